--- a/crates/cottonnotch/src/net/driver/audit.rs
+++ b/crates/cottonnotch/src/net/driver/audit.rs
@@ -172,7 +172,7 @@
         }
     }
 
-    fn count(&mut self, step: Step, why: &'static str) {
+    pub(super) fn count(&mut self, step: Step, why: &'static str) {
         *self.reasons.entry((step, why)).or_default() += 1;
     }
 }
@@ -206,7 +206,7 @@
     }
 }
 
-fn outcome_name(outcome: Outcome) -> &'static str {
+pub(super) fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "served",
         Outcome::Error => "error",
@@ -219,7 +219,7 @@
     }
 }
 
-fn unserved_name(why: Unserved) -> &'static str {
+pub(super) fn unserved_name(why: Unserved) -> &'static str {
     match why {
         Unserved::Leaving => "leaving",
         Unserved::AttemptsSpent => "attempts_spent",
--- a/crates/cottonnotch/src/net/driver/clock_file.rs
+++ b/crates/cottonnotch/src/net/driver/clock_file.rs
@@ -37,6 +37,12 @@
         ClockFile { path, boot, shift: now - monotonic() }
     }
 
+    /// A file of this boot, for tests that hold its text equal.
+    #[cfg(test)]
+    pub fn of_boot(path: PathBuf, boot: &str, shift: Micros) -> Self {
+        ClockFile { path: Some(path), boot: boot.to_owned(), shift }
+    }
+
     /// The wall clock as earlier processes and this one have seen it.
     pub fn load(&self, now: Micros, unix: Micros) -> WallClock {
         let eras = self.path.as_deref().and_then(|path| self.read(path)).unwrap_or_default();
--- /dev/null
+++ b/crates/cottonnotch/src/net/driver/golden_tests.rs
@@ -0,0 +1,171 @@
+//! The files in `TMPDIR`, the figures and the reasons keep the bytes that earlier builds gave them.
+
+use super::audit::{Audit, Step, outcome_name, unserved_name};
+use super::calls::Call;
+use super::clock_file::ClockFile;
+use super::replacement::Replacement;
+use crate::maintenance::{Maintenance, Mark, decode, encode};
+use crate::net::management::figures::{Figures, Gauges, Homes};
+use crate::net::objection::Objection;
+use crate::net::open_line::BadLine;
+use crate::rules::Seen;
+use cottonnotch_accord::Role;
+use cottonnotch_decision::{ClassId, Outcome, Request, RequestId, Unserved};
+use cottonnotch_golden::{assert_text, golden_path};
+use cottonnotch_proxy::{WallClock, WallEra};
+use cottonnotch_reactor::line::TooLong;
+use cottonnotch_records::MoveReason;
+use std::collections::BTreeMap;
+use std::fmt::Write;
+
+#[test]
+fn the_maintenance_file_keeps_its_text() {
+    let marks = [
+        ("s1", Mark { at: 1_764_000_000_000_000, out: true, since: 1_764_000_000_000_000 }),
+        ("s 2", Mark { at: 1_764_000_000_000_009, out: false, since: 1_764_000_000_000_001 }),
+    ];
+    let state = Maintenance::of(marks.map(|(id, mark)| (id.to_owned(), mark)));
+    let path = golden_path!("maintenance.txt");
+    assert_text(&path, &encode(&state));
+    assert_eq!(decode(&std::fs::read(path).unwrap()), Ok(state));
+}
+
+#[test]
+fn the_clock_file_keeps_its_text() {
+    let folder = tempfile::tempdir().unwrap();
+    let path = folder.path().join("cottonnotch-127.0.0.1_8000.clock");
+    let file = ClockFile::of_boot(path.clone(), "00000000-1111-2222-3333-444444444444", -5_000_000);
+    let eras = vec![
+        WallEra { offset: 1_764_000_000_000_000, from: None, seen: 10_000_000 },
+        WallEra { offset: 1_764_003_600_000_000, from: Some(9_500_000), seen: 20_000_000 },
+    ];
+    let clock = WallClock::after(eras, 21_000_000, 1_764_003_621_000_000);
+    file.save(&clock).unwrap();
+    let golden = golden_path!("clock.txt");
+    assert_text(&golden, &std::fs::read_to_string(&path).unwrap());
+    std::fs::copy(golden, &path).unwrap();
+    let read = file.load(22_000_000, 1_764_003_622_000_000);
+    let [first, second] = read.eras().collect::<Vec<_>>()[..] else { panic!("{read:?}") };
+    assert_eq!((first.offset, first.from, first.seen), (1_764_000_000_000_000, None, 10_000_000));
+    assert_eq!((second.offset, second.from), (1_764_003_600_000_000, Some(9_500_000)));
+}
+
+/// Names of files, and their texts but for the monotonic time of the start.
+#[test]
+fn the_process_file_keeps_its_names_and_its_form() {
+    let folder = tempfile::tempdir().unwrap();
+    let prefix = folder.path().join("cottonnotch-127.0.0.1_8000.process");
+    let mut text = String::new();
+    let mut note = || {
+        for entry in std::fs::read_dir(folder.path()).unwrap() {
+            let path = entry.unwrap().path();
+            let content = std::fs::read_to_string(&path).unwrap();
+            let (held, began) = content.split_at(8);
+            assert!(began.bytes().all(|byte| byte.is_ascii_digit()));
+            let name = path.file_name().unwrap().to_str().unwrap();
+            writeln!(text, "{name} {held} and {} digits", began.len()).unwrap();
+        }
+    };
+    let mut process = Replacement::new(prefix, 1_764_000_000_000_000);
+    process.show().unwrap();
+    note();
+    process.say_ready().unwrap();
+    process.tell_held(73).unwrap();
+    note();
+    assert_text(&golden_path!("process.txt"), &text);
+}
+
+fn seen() -> Seen {
+    Seen {
+        version: Some(7),
+        rules: 8,
+        lease_left_ms: 900,
+        newest: 9,
+        role: Role::Leader,
+        leader: Some(1),
+        term: 3,
+        live: 5,
+        held_back: BTreeMap::from([("consortium/verlag b".to_owned(), "a conflict".to_owned())]),
+        refused_in_doubt: 2,
+        strays: 4,
+        unsent: 6,
+        broken: 1,
+        list_behind: Some((5, 6)),
+        trouble: Some("no address".to_owned()),
+        ..Seen::default()
+    }
+}
+
+/// A connection that was open before the start.
+fn open_connection() -> Request {
+    let (tenant, left, load_hint, group) = (None, None, None, None);
+    Request { id: RequestId(1), class: ClassId(0), tenant, left, load_hint, group, again: false }
+}
+
+#[test]
+fn the_figures_keep_their_names() {
+    let mut figures = Figures::default();
+    figures.classes(["page-view", "note edit"].into_iter());
+    figures.passed(0);
+    figures.dropped(1);
+    figures.failed(1);
+    figures.tried();
+    figures.loaded(true);
+    figures.loaded(false);
+    figures.watch_lost();
+    figures.list_fell_back(true);
+    figures.list_fell_back(false);
+    let homes = Some(Homes { groups: 2, most: 205, told: 31, cut: 4, dropped: 5 });
+    let gauges = Gauges { in_progress: 3, known: 2, skipped: 1, rules: Some(seen()), homes };
+    let mut audit = Audit::default();
+    for outcome in OUTCOMES {
+        audit.count(Step::Retried, outcome_name(outcome));
+        audit.count(Step::Closed, outcome_name(outcome));
+    }
+    for why in UNSERVED {
+        audit.count(Step::Refused, unserved_name(why));
+        audit.count(Step::Failed, unserved_name(why));
+    }
+    let call = Call::new(RequestId(1), 0, 1, None);
+    for why in [MoveReason::Asked, MoveReason::Draining, MoveReason::Silent, MoveReason::Leaving] {
+        audit.reopened(&open_connection(), call.wire_id);
+        audit.moved(&call, why);
+    }
+    assert_text(&golden_path!("figures.txt"), &figures.text(gauges, audit.figures()));
+}
+
+const OUTCOMES: [Outcome; 8] = [
+    Outcome::Served,
+    Outcome::Error,
+    Outcome::Full,
+    Outcome::TimedOut,
+    Outcome::ConnectFailed,
+    Outcome::Reset,
+    Outcome::Cancelled,
+    Outcome::NotSent,
+];
+const UNSERVED: [Unserved; 6] = [
+    Unserved::Leaving,
+    Unserved::AttemptsSpent,
+    Unserved::TooLate,
+    Unserved::WindowOver,
+    Unserved::Ruled,
+    Unserved::NoServer,
+];
+
+#[test]
+fn what_a_client_is_told_keeps_its_words() {
+    let lines =
+        [BadLine::NotText, BadLine::NotOpen, BadLine::NoClass, BadLine::BadFigure("id"), BadLine::Twice];
+    let mut texts: Vec<String> = lines.into_iter().map(|line| Objection::BadLine(line).to_string()).collect();
+    let others = [
+        Objection::TooLong(TooLong),
+        Objection::Silent,
+        Objection::TooMuch,
+        Objection::UnknownClass,
+        Objection::UnknownTenant,
+        Objection::IdOpen,
+    ];
+    texts.extend(others.iter().map(Objection::to_string));
+    assert_text(&golden_path!("client_errors.txt"), &(texts.join("\n") + "\n"));
+}
--- a/crates/cottonnotch/src/net/driver/mod.rs
+++ b/crates/cottonnotch/src/net/driver/mod.rs
@@ -13,6 +13,8 @@
 mod calls;
 mod clients;
 mod clock_file;
+#[cfg(test)]
+mod golden_tests;
 mod lifecycle;
 mod maintenance;
 mod management;
--- /dev/null
+++ b/crates/cottonnotch/src/rules/golden_tests.rs
@@ -0,0 +1,67 @@
+//! What a member keeps on disk, and the contents that go to others, keep the bytes that earlier builds gave them.
+
+use super::content::{Compiled, Content};
+use super::disk::{Disk, load};
+use super::lent::{Lease, LeaseFile};
+use super::recall::{HELD, MEMORY, content_name};
+use cottonnotch_accord::Memory;
+use cottonnotch_golden::{assert_bytes, golden_path};
+use cottonnotch_lowering::{Profile, Profiles};
+use cottonnotch_rulebook::{File, Ledger, Merged, World, merge};
+
+const FILE: &str = r#"
+namespace = "consortium"
+owner = "fleet@consortium.example"
+revision = 12
+rules = 1
+
+[[rule]]
+name = "no-small-nodes"
+classes = ["print"]
+place.avoid.hardware = ["small"]
+"#;
+
+fn content() -> Content {
+    let world = World::of("consortium", &["a"], &["print"], &["north"], &["small", "large"], 100);
+    let files = [File::new("consortium.toml", FILE)];
+    let Merged { book, ledger, .. } = merge(&Ledger::default(), &files, &world);
+    let profiles = Profiles::from([("large".to_owned(), Profile::full())]);
+    Content::new(Some([7; 32]), ledger, book, profiles, world)
+}
+
+#[test]
+fn a_content_keeps_its_bytes_and_its_name() {
+    let made = content().compile().unwrap();
+    let named = [
+        ("content", made.bytes.to_vec()),
+        ("hash", made.hash.to_vec()),
+        ("file_name", content_name(&made.hash).into_bytes()),
+        ("plan_hash", made.plan.hash().to_vec()),
+    ];
+    let golden = assert_bytes(&golden_path!("content.txt"), &named);
+    let read = Compiled::read(golden[0].clone()).unwrap();
+    assert_eq!((read.content, read.hash, read.plan.hash()), (content(), made.hash, made.plan.hash()));
+}
+
+#[test]
+fn the_files_of_a_state_folder_keep_their_bytes() {
+    let folder = tempfile::tempdir().unwrap();
+    let disk = Disk::open(folder.path()).unwrap();
+    let lease = Lease { number: 11, hash: [9; 32], until: 1_234_567_890 };
+    disk.save(MEMORY, &postcard::to_allocvec(&Memory::first()).unwrap()).unwrap();
+    disk.save(HELD, &postcard::to_allocvec(&(11_u64, [9_u8; 32])).unwrap()).unwrap();
+    LeaseFile::own(folder.path()).unwrap().tell(lease).unwrap();
+    let names = ["memory", "held", "lease"];
+    let made = names.map(|name| (name, std::fs::read(folder.path().join(name)).unwrap()));
+    let golden = assert_bytes(&golden_path!("state_folder.txt"), &made);
+
+    let other = tempfile::tempdir().unwrap();
+    for (name, bytes) in names.iter().zip(&golden) {
+        std::fs::write(other.path().join(name), bytes).unwrap();
+    }
+    let memory = load(other.path(), MEMORY).unwrap().unwrap();
+    assert_eq!(postcard::from_bytes::<Memory>(&memory).unwrap(), Memory::first());
+    let held = load(other.path(), HELD).unwrap().unwrap();
+    assert_eq!(postcard::from_bytes::<(u64, [u8; 32])>(&held).unwrap(), (11, [9; 32]));
+    assert_eq!(LeaseFile::of_another(other.path()).unwrap().read(), Some(lease));
+}
--- a/crates/cottonnotch/src/rules/mod.rs
+++ b/crates/cottonnotch/src/rules/mod.rs
@@ -36,3 +36,6 @@
 pub use rulebook::Rulebook;
 pub use ruling::Basis;
 pub use settings::{BadRules, RulesSettings};
+
+#[cfg(test)]
+mod golden_tests;
--- /dev/null
+++ b/crates/fleet/tests/golden.rs
@@ -0,0 +1,100 @@
+//! Datagrams of the fleet view keep the bytes that earlier builds gave them.
+
+use cottonnotch_fleet::wire::{
+    Datagram, Groups, Homes, Report, Table, Totals, load, rate, read, write_groups, write_homes,
+    write_report, write_table,
+};
+use cottonnotch_fleet::{Entry, Subchannel, Word};
+use cottonnotch_golden::{assert_bytes, golden_path};
+
+fn totals() -> Totals {
+    Totals { connections: 4_711, requests: 88.0, well: 12.5, failed: 0.25 }
+}
+
+fn report(entries: u32, leaving: bool) -> Report {
+    let word = |n| [Word::Unclear, Word::Well, Word::Unwell][n as usize % 3];
+    let entry = |n: u32| Entry {
+        subchannel: Subchannel((n * 70_001) & 0xff_ffff),
+        load: f64::from(n) * 1_000.0,
+        groups: (0..n as u8 % 5).collect(),
+        word: word(n),
+    };
+    let entries = (1..=entries).map(entry).collect();
+    Report {
+        generation: 513,
+        part: (0, 1),
+        leaving,
+        no_answer: !leaving,
+        next: 2_300_000,
+        totals: totals(),
+        entries,
+    }
+}
+
+fn table(nodes: u32) -> Table {
+    let word = |n| [Word::Unclear, Word::Well, Word::Unwell][n as usize % 3];
+    let node = |n: u32| (Subchannel((n * 70_001) & 0xff_ffff), f64::from(n % 64) / 32.0, word(n));
+    Table {
+        generation: 513,
+        part: (0, 1),
+        young: nodes == 0,
+        period: 1_000_000,
+        members: 300,
+        totals: totals(),
+        mean_load: 640.0,
+        nodes: (1..=nodes).map(node).collect(),
+    }
+}
+
+fn groups() -> Groups {
+    let groups = (1..40).map(|n| (u64::MAX / n, n as f64 * 1_600.0)).collect();
+    Groups { generation: 513, part: (0, 1), no_answer: true, next: 2_300_000, groups }
+}
+
+fn homes() -> Homes {
+    let homes = (1..40).map(|n| (u64::MAX / u64::from(n), 5 + n)).collect();
+    Homes { generation: 513, part: (0, 1), young: false, homes }
+}
+
+fn datagrams() -> Vec<(&'static str, Vec<u8>)> {
+    let sets = [
+        ("report_leaving", write_report(&report(0, true))),
+        ("report", write_report(&report(60, false))),
+        ("table_young", write_table(&table(0))),
+        ("table", write_table(&table(120))),
+        ("groups", write_groups(&groups())),
+        ("homes", write_homes(&homes())),
+    ];
+    sets.into_iter().flat_map(|(name, set)| set.into_iter().map(move |bytes| (name, bytes))).collect()
+}
+
+/// A datagram written again; one datagram has one part of its set.
+fn rewritten(datagram: &Datagram) -> Vec<Vec<u8>> {
+    match datagram {
+        Datagram::Report(report) => write_report(report),
+        Datagram::Table(table) => write_table(table),
+        Datagram::Groups(groups) => write_groups(groups),
+        Datagram::Homes(homes) => write_homes(homes),
+    }
+}
+
+#[test]
+fn datagrams_keep_their_bytes_and_are_read_back() {
+    let made = datagrams();
+    let golden = assert_bytes(&golden_path!("datagrams.txt"), &made);
+    // Byte 5 has the part and how many there are: a part that is written alone is the only one.
+    const PART: usize = 5;
+    for (bytes, (name, _)) in golden.iter().zip(&made) {
+        let datagram = read(bytes).unwrap_or_else(|| panic!("{name} is not read"));
+        let again = rewritten(&datagram);
+        let [again] = &again[..] else { panic!("{name} is {} datagrams now", again.len()) };
+        assert_eq!((&again[..PART], &again[PART + 1..]), (&bytes[..PART], &bytes[PART + 1..]), "{name}");
+    }
+}
+
+#[test]
+fn scales_keep_their_steps() {
+    let values = [0.0, 0.1, 1.0, 63.0, 64.0, 100.0, 1e3, 1e4, 1e5, 1e6, 4e6, 1e9];
+    let made = [("load", values.map(load).to_vec()), ("rate", values.map(rate).to_vec())];
+    assert_bytes(&golden_path!("scales.txt"), &made);
+}
--- /dev/null
+++ b/crates/gossip/tests/golden.rs
@@ -0,0 +1,84 @@
+//! Datagrams keep the bytes that earlier builds gave them, with each kind of proof.
+
+use cottonnotch_golden::{assert_bytes, golden_path};
+use cottonnotch_gossip::wire::{Draft, Header, LONGEST, Part, Rumour, Word, read_parts};
+use cottonnotch_gossip::{Entry, Evidence, Incarnation, Keys, Load, Strength, Subchannel, To};
+
+const SECRET: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
+
+fn incarnation() -> Incarnation {
+    Incarnation { life: 1_764_000_000_000_000, turn: 3 }
+}
+
+fn header(strength: Strength, to_all: bool) -> Header {
+    Header { strength, to_all, sender: 300, incarnation: incarnation(), counter: 70_000 }
+}
+
+fn entries() -> Vec<Entry> {
+    let evidence = Evidence { full: 1, failed: 2, timed_out: 3, silent: 4, served: 5, age_tenths: 6 };
+    let load = Load::from_micros_per_s(1_234_567);
+    vec![
+        Entry { subchannel: Subchannel::of("s-1"), standing: 900, load, groups: 0x8001_0203, evidence },
+        Entry {
+            subchannel: Subchannel::of("s-2"),
+            standing: 0,
+            load: Load::default(),
+            groups: 0,
+            evidence: Evidence::default(),
+        },
+    ]
+}
+
+fn parts() -> Vec<(&'static str, Part)> {
+    let rumour = |subject, word| Rumour { subject, incarnation: incarnation(), word };
+    let rumours = vec![rumour(1, Word::Alive), rumour(200, Word::Suspect), rumour(3, Word::Left)];
+    vec![
+        ("ping", Part::Ping { nonce: 0x1234 }),
+        ("ack", Part::Ack { nonce: 0x1234 }),
+        ("ask", Part::Ask { nonce: 7, target: 200 }),
+        ("vouch", Part::Vouch { nonce: 7 }),
+        ("leave", Part::Leave),
+        ("rumours", Part::Rumours(rumours)),
+        ("digest", Part::Digest { of: 130, entries: entries() }),
+        ("digest_empty", Part::Digest { of: 0, entries: Vec::new() }),
+    ]
+}
+
+fn datagram(header: &Header, keys: &Keys, to: To, parts: &[Part]) -> Vec<u8> {
+    let mut draft = Draft::new(header, LONGEST);
+    parts.iter().for_each(|part| assert!(draft.push(part)));
+    draft.finish(keys, to)
+}
+
+#[test]
+fn each_section_keeps_its_bytes() {
+    let header = header(Strength::Address, false);
+    let made: Vec<_> = parts()
+        .into_iter()
+        .map(|(name, part)| (name, datagram(&header, &Keys::Address, To::One(5), &[part])))
+        .collect();
+    let golden = assert_bytes(&golden_path!("sections.txt"), &made);
+    for (bytes, (name, part)) in golden.iter().zip(parts()) {
+        let (read, length) = Header::read(bytes).unwrap();
+        assert_eq!((read, read_parts(&bytes[length..]).unwrap()), (header, vec![part]), "{name}");
+    }
+}
+
+#[test]
+fn each_proof_keeps_its_bytes() {
+    let secret = [SECRET.as_bytes().to_vec()];
+    let public = Keys::public_of(SECRET.as_bytes()).unwrap();
+    let shared = Keys::load(Strength::Shared, &secret, None, 0, 1).unwrap();
+    let signed = Keys::load(Strength::Signed, &secret, Some(public.as_bytes()), 0, 1).unwrap();
+    let parts: Vec<_> = parts().into_iter().map(|(_, part)| part).take(5).collect();
+    let make = |keys: &Keys, to| datagram(&header(keys.strength(), to == To::All), keys, to, &parts);
+    let made = [
+        ("address", make(&Keys::Address, To::One(5))),
+        ("shared_to_one", make(&shared, To::One(5))),
+        ("shared_to_all", make(&shared, To::All)),
+        ("signed_to_one", make(&signed, To::One(5))),
+        ("signed_to_all", make(&signed, To::All)),
+        ("public_key", public.into_bytes()),
+    ];
+    assert_bytes(&golden_path!("proofs.txt"), &made);
+}
--- /dev/null
+++ b/crates/proxy/tests/golden.rs
@@ -0,0 +1,22 @@
+//! Envelopes keep the bytes that earlier builds gave them.
+
+use cottonnotch_accord::Message;
+use cottonnotch_golden::{assert_bytes, golden_path};
+use cottonnotch_proxy::envelope::Seal;
+
+fn seal(me: u16) -> Seal {
+    Seal::new("0123456789abcdef".repeat(4).as_bytes(), "site", me).unwrap()
+}
+
+#[test]
+fn an_envelope_keeps_its_bytes() {
+    let messages = [
+        ("hint", Message::Hint { echo: 7, leader: Some(2) }),
+        ("vote", Message::Vote { term: 8, only_asked: false, granted: true }),
+    ];
+    let made = messages.clone().map(|(name, message)| (name, seal(0).close(1, message).unwrap()));
+    let golden = assert_bytes(&golden_path!("envelopes.txt"), &made);
+    for (bytes, (_, message)) in golden.iter().zip(messages) {
+        assert_eq!(seal(1).open(bytes), Ok((0, message)));
+    }
+}
