--- a/crates/fleet/benches/homes.rs
+++ b/crates/aggregation/benches/homes.rs
@@ -1,7 +1,7 @@
 //! What homes by a group's size cost a proxy, and what they do to the fullest node: a tier on virtual time, with groups whose
 //! sizes fall as 1 over their rank, the largest of a million connections. Without and with, one JSON line each.
 //!
-//! `cargo bench --locked -p cottonnotch-fleet --bench homes`; `-- 440` for one size.
+//! `cargo bench --locked -p cottonnotch-aggregation --bench homes`; `-- 440` for one size.
 
 #[path = "../tests/played/mod.rs"]
 mod played;
--- a/crates/fleet/tests/golden.rs
+++ b/crates/aggregation/tests/golden.rs
@@ -1,10 +1,10 @@
 //! Datagrams of the fleet view keep the bytes that earlier builds gave them.
 
-use cottonnotch_fleet::wire::{
+use cottonnotch_aggregation::wire::{
     Datagram, Groups, Homes, Report, Table, Totals, load, rate, read, write_groups, write_homes,
     write_report, write_table,
 };
-use cottonnotch_fleet::{Entry, Subchannel, Word};
+use cottonnotch_aggregation::{Entry, Subchannel, Word};
 use cottonnotch_golden::{assert_bytes, golden_path};
 
 fn totals() -> Totals {
--- a/crates/fleet/tests/homes.rs
+++ b/crates/aggregation/tests/homes.rs
@@ -2,8 +2,8 @@
 //! programs, strangers and liars.
 
 mod played;
-use cottonnotch_fleet::wire::{self, Datagram, Groups, Homes};
-use cottonnotch_fleet::*;
+use cottonnotch_aggregation::wire::{self, Datagram, Groups, Homes};
+use cottonnotch_aggregation::*;
 use played::*;
 
 const LARGE: u64 = 0xfeed_f00d_dead_beef;
--- a/crates/fleet/tests/played/mod.rs
+++ b/crates/aggregation/tests/played/mod.rs
@@ -2,8 +2,8 @@
 //! off, or run an older program. What is judged is what each member would act on, against what all have in truth.
 #![allow(dead_code)]
 
-use cottonnotch_fleet::wire::Totals;
-use cottonnotch_fleet::*;
+use cottonnotch_aggregation::wire::Totals;
+use cottonnotch_aggregation::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
--- a/crates/fleet/tests/stopped.rs
+++ b/crates/aggregation/tests/stopped.rs
@@ -1,6 +1,6 @@
 //! A member that was stopped while it asked: what it finds in its socket is as old as that, and it asks anew at once.
 
-use cottonnotch_fleet::{FleetSection, Input, Member, Micros, Output, Settings, keepers};
+use cottonnotch_aggregation::{FleetSection, Input, Member, Micros, Output, Settings, keepers};
 
 const S: Micros = 1_000_000;
 /// The same for all members: the clock shows Unix time.
@@ -19,7 +19,7 @@
 
 #[test]
 fn one_that_was_stopped_while_it_asked_takes_the_next_prompt_answer_and_none_of_before() {
-    let epoch = (START / cottonnotch_fleet::EPOCH) as u64;
+    let epoch = (START / cottonnotch_aggregation::EPOCH) as u64;
     let keeper_is = keepers(epoch, 4)[0];
     let me = (keeper_is + 1) % 4;
     let mut keeper = Member::new(settings(), keeper_is, 4, 1, START, START);
--- a/crates/fleet/tests/tier.rs
+++ b/crates/aggregation/tests/tier.rs
@@ -1,8 +1,8 @@
 //! A whole tier in one process on virtual time from one seed: datagrams are lost and late, members restart, parts are cut
 //! off. What is measured is how far the told sums are from the true ones, and what that costs.
 
-use cottonnotch_fleet::wire::Totals;
-use cottonnotch_fleet::*;
+use cottonnotch_aggregation::wire::Totals;
+use cottonnotch_aggregation::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
--- a/crates/fleet/tests/wall_clock.rs
+++ b/crates/aggregation/tests/wall_clock.rs
@@ -1,6 +1,6 @@
 //! The wall clock is stepped: epochs, on which all members must agree, follow it; no other time does.
 
-use cottonnotch_fleet::{EPOCH, FleetSection, Input, Member, Micros, Output, Settings, keepers};
+use cottonnotch_aggregation::{EPOCH, FleetSection, Input, Member, Micros, Output, Settings, keepers};
 
 const S: Micros = 1_000_000;
 const MEMBERS: u32 = 12;
--- a/crates/accord/tests/common/chaos.rs
+++ b/crates/consensus/tests/common/chaos.rs
@@ -2,7 +2,7 @@
 
 use super::world::{MS, Net, World};
 use super::{content, not_for};
-use cottonnotch_accord::{Mutant, Role, Timing, Topic};
+use cottonnotch_consensus::{Mutant, Role, Timing, Topic};
 use rand::RngExt;
 
 /// What may go wrong.
@@ -53,7 +53,7 @@
 }
 
 /// A content drawn at random; half of them contradict a given other.
-pub fn any_content(world: &mut World, id: u16) -> cottonnotch_accord::Hash {
+pub fn any_content(world: &mut World, id: u16) -> cottonnotch_consensus::Hash {
     let says = [0; 3].map(|_: u8| world.chance.random_range(0..=2));
     let hash = content(id, says);
     if world.chance.random_range(0..8) == 0 {
@@ -188,7 +188,7 @@
 
 /// What the voters say of themselves, and how the last proposals ended.
 pub fn report(world: &World) -> String {
-    let short = |hash: &cottonnotch_accord::Hash| format!("{:x?}", &hash[..6]);
+    let short = |hash: &cottonnotch_consensus::Hash| format!("{:x?}", &hash[..6]);
     let over = world.over.iter().rev().take(9);
     let over =
         over.map(|(member, topic, hash, why)| format!("\n  {member} {topic:?} {} {why:?}", short(hash)));
--- a/crates/accord/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -8,7 +8,7 @@
 pub mod time;
 pub mod world;
 
-use cottonnotch_accord::Hash;
+use cottonnotch_consensus::Hash;
 
 /// Content of a version: what it says on each of three questions (0: nothing), who can't run it, whether it is refused.
 pub fn content(id: u16, says: [u8; 3]) -> Hash {
--- a/crates/accord/tests/common/oracle.rs
+++ b/crates/consensus/tests/common/oracle.rs
@@ -1,7 +1,7 @@
 //! What must hold at every instant, seen from outside all clocks.
 
 use super::contradict;
-use cottonnotch_accord::{Hash, Right, Topic};
+use cottonnotch_consensus::{Hash, Right, Topic};
 use std::collections::BTreeMap;
 
 /// One process's right, by true time.
--- a/crates/accord/tests/common/scenes.rs
+++ b/crates/consensus/tests/common/scenes.rs
@@ -2,7 +2,7 @@
 
 use super::content;
 use super::world::{MS, World};
-use cottonnotch_accord::{Hash, Mutant, Timing, Topic};
+use cottonnotch_consensus::{Hash, Mutant, Timing, Topic};
 use rand::RngExt;
 
 pub const OLD: u8 = 1;
--- a/crates/accord/tests/common/world.rs
+++ b/crates/consensus/tests/common/world.rs
@@ -3,7 +3,7 @@
 use super::oracle::Oracle;
 use super::time::{Clock, Event};
 use super::{contradict, runs_at};
-use cottonnotch_accord::{
+use cottonnotch_consensus::{
     Config, Hash, Input, Member, Memory, Message, Mutant, Output, Role, Status, Timing, Topic, Verdict, Why,
 };
 use rand::{RngExt, SeedableRng};
--- a/crates/accord/tests/config.rs
+++ b/crates/consensus/tests/config.rs
@@ -1,6 +1,6 @@
 //! What the spans and the voters must be.
 
-use cottonnotch_accord::{BadTiming, Config, Timing};
+use cottonnotch_consensus::{BadTiming, Config, Timing};
 
 fn config(me: u16, members: u16, voters: &[u16]) -> Config {
     Config { me, members, voters: voters.to_vec(), timing: Timing::default(), incarnation: 1 }
--- a/crates/accord/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -5,14 +5,14 @@
 mod common;
 
 use common::{content, contradict};
-use cottonnotch_accord::{
+use cottonnotch_consensus::{
     Config, Input, Member, Memory, Message, Mutant, Output, Role, Timing, Topic, Verdict,
 };
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{Hash as _, Hasher};
 
-type Hash = cottonnotch_accord::Hash;
+type Hash = cottonnotch_consensus::Hash;
 
 const MS: i64 = 1_000;
 
--- a/crates/accord/tests/figures.rs
+++ b/crates/consensus/tests/figures.rs
@@ -5,7 +5,7 @@
 use common::content;
 use common::scenes::{acting, new};
 use common::world::{MS, Traffic, World};
-use cottonnotch_accord::{Mutant, Timing, Topic};
+use cottonnotch_consensus::{Mutant, Timing, Topic};
 
 fn between(before: Traffic, after: Traffic, members: u16, span_us: i64) -> (f64, f64) {
     let seconds = span_us as f64 / 1e6 * f64::from(members);
--- a/crates/accord/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Messages and durable state keep the bytes that earlier builds gave them.
 
-use cottonnotch_accord::{
+use cottonnotch_consensus::{
     Answered, Grant, ListMark, Memory, Message, Pending, Phase, ProposalId, Renew, Stamp, State, Topic,
     TopicState, Version, Why,
 };
--- a/crates/accord/tests/growth.rs
+++ b/crates/consensus/tests/growth.rs
@@ -8,7 +8,7 @@
 use common::content;
 use common::scenes::{acting, new};
 use common::world::{MS, Traffic, World};
-use cottonnotch_accord::{Mutant, Topic};
+use cottonnotch_consensus::{Mutant, Topic};
 
 /// What the page says of a member that neither leads nor votes, whatever the size.
 const MEMBER_MESSAGES_PER_S: f64 = 6.0;
--- a/crates/accord/tests/hard.rs
+++ b/crates/consensus/tests/hard.rs
@@ -5,7 +5,7 @@
 use common::scenes::{self, acting, new, old};
 use common::world::{MS, World};
 use common::{chaos, content};
-use cottonnotch_accord::{Memory, Mutant, Role, Timing, Topic, Why};
+use cottonnotch_consensus::{Memory, Mutant, Role, Timing, Topic, Why};
 
 const FAITHFUL: Mutant = Mutant::Faithful;
 
--- a/crates/accord/tests/lists.rs
+++ b/crates/consensus/tests/lists.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::world::{MS, World};
-use cottonnotch_accord::{Input, Mutant, Timing};
+use cottonnotch_consensus::{Input, Mutant, Timing};
 
 fn running(seed: u64) -> World {
     let mut world = World::new(seed, 7, 3, Timing::default(), Mutant::Faithful);
--- a/crates/accord/tests/mutants.rs
+++ b/crates/consensus/tests/mutants.rs
@@ -5,7 +5,7 @@
 use common::chaos::{Faults, storm};
 use common::scenes;
 use common::world::{MS, Net, World};
-use cottonnotch_accord::Mutant;
+use cottonnotch_consensus::Mutant;
 
 /// Seeds tried; each mutant is found within few of them.
 const SEEDS: u64 = 1_000;
--- a/crates/accord/tests/quiet.rs
+++ b/crates/consensus/tests/quiet.rs
@@ -4,7 +4,7 @@
 
 use common::world::{MS, World};
 use common::{content, not_for, refused};
-use cottonnotch_accord::{Mutant, Timing, Topic, Why};
+use cottonnotch_consensus::{Mutant, Timing, Topic, Why};
 
 fn settled(seed: u64, members: u16) -> World {
     let mut world = World::new(seed, members, 3, Timing::default(), Mutant::Faithful);
--- a/crates/accord/tests/wire.rs
+++ b/crates/consensus/tests/wire.rs
@@ -1,6 +1,6 @@
 //! Messages: how large they get, and that nothing from outside, however wrong, stops a member.
 
-use cottonnotch_accord::{
+use cottonnotch_consensus::{
     Answered, Config, Grant, Input, ListMark, Member, Memory, Message, Pending, Phase, ProposalId, Renew,
     Stamp, State, Timing, Topic, TopicState, Verdict, Version, Why,
 };
--- a/crates/cottonnotch/src/config/fault.rs
+++ b/crates/cottonnotch/src/config/fault.rs
@@ -3,7 +3,7 @@
 use super::operator_file::BadOperator;
 use crate::rules::BadRules;
 use cottonnotch_decision::settings::BadSetting;
-use cottonnotch_proxy::BadResult;
+use cottonnotch_proxy_core::BadResult;
 
 /// Why the proxy cannot start, or keeps what it has.
 #[derive(Debug, thiserror::Error)]
--- a/crates/cottonnotch/src/config/mod.rs
+++ b/crates/cottonnotch/src/config/mod.rs
@@ -24,7 +24,7 @@
 use crate::rules::RulesSettings;
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_gossip::Keys;
-use cottonnotch_proxy::ResolverResult;
+use cottonnotch_proxy_core::ResolverResult;
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 use std::net::SocketAddr;
--- a/crates/cottonnotch/src/config/operator.rs
+++ b/crates/cottonnotch/src/config/operator.rs
@@ -7,7 +7,7 @@
 use crate::OPERATOR_VARIABLE;
 use crate::logging::LogConfig;
 use crate::rules::{AccordSection, HardwareSection, RulesSection};
-use cottonnotch_fleet::FleetSection;
+use cottonnotch_aggregation::FleetSection;
 use cottonnotch_gossip::{GossipSection, Strength};
 use cottonnotch_records::RecordsSection;
 use serde::{Deserialize, Serialize};
--- a/crates/cottonnotch/src/config/platform.rs
+++ b/crates/cottonnotch/src/config/platform.rs
@@ -9,7 +9,7 @@
 use crate::rules::RulesSettings;
 use cottonnotch_decision::settings::{self, Pairs, Profile};
 use cottonnotch_gossip::{GossipSection, Keys, Settings};
-use cottonnotch_proxy::ResolverResult;
+use cottonnotch_proxy_core::ResolverResult;
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/cottonnotch/src/net/driver/audit.rs
+++ b/crates/cottonnotch/src/net/driver/audit.rs
@@ -4,7 +4,7 @@
 use super::calls::Call;
 use super::net::PART;
 use cottonnotch_decision::{Entry, Micros, Outcome, Request, RequestId, ServerId, Settings, Unserved};
-use cottonnotch_proxy::{Checked, FinalAnswer, Guard, Violation};
+use cottonnotch_proxy_core::{Checked, FinalAnswer, Guard, Violation};
 use cottonnotch_records::MoveReason;
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
--- a/crates/cottonnotch/src/net/driver/clock_file.rs
+++ b/crates/cottonnotch/src/net/driver/clock_file.rs
@@ -6,7 +6,7 @@
 
 use cottonnotch_decision::Micros;
 use cottonnotch_decision::names::digest;
-use cottonnotch_proxy::{WallClock, WallEra};
+use cottonnotch_proxy_core::{WallClock, WallEra};
 use rustix::time::{ClockId, clock_gettime};
 use std::fs;
 use std::io;
--- a/crates/cottonnotch/src/net/driver/messages.rs
+++ b/crates/cottonnotch/src/net/driver/messages.rs
@@ -4,7 +4,7 @@
 use super::net::{Net, TICK};
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_decision::{Event, Micros, RequestId, ServerId};
-use cottonnotch_proxy::{EVERY, LoadLines, MessageDelays, Note, Told};
+use cottonnotch_proxy_core::{EVERY, LoadLines, MessageDelays, Note, Told};
 
 /// How messages fare.
 pub struct Messages {
--- a/crates/cottonnotch/src/net/driver/mod.rs
+++ b/crates/cottonnotch/src/net/driver/mod.rs
@@ -38,7 +38,7 @@
 use clients::Clients;
 use clock_file::ClockFile;
 use cottonnotch_decision::{Action, Balancer, Event, Micros, Notice, ServerId};
-use cottonnotch_proxy::ResolverResult;
+use cottonnotch_proxy_core::ResolverResult;
 use cottonnotch_reactor::listener::Binding;
 use cottonnotch_reactor::seldom::Seldom;
 use cottonnotch_reactor::signals::{SIGHUP, SIGTERM, Signals};
--- a/crates/cottonnotch/src/net/driver/net.rs
+++ b/crates/cottonnotch/src/net/driver/net.rs
@@ -7,7 +7,7 @@
 use crate::net::happening::{Front, Io, Object};
 use crate::rules::Rulebook;
 use cottonnotch_decision::Micros;
-use cottonnotch_proxy::WallClock;
+use cottonnotch_proxy_core::WallClock;
 use cottonnotch_reactor::{Clock, Key, Reactor};
 
 /// The driver's timers: the module's tokens are below these.
--- a/crates/cottonnotch/src/net/driver/peers.rs
+++ b/crates/cottonnotch/src/net/driver/peers.rs
@@ -1,5 +1,5 @@
 //! The other proxies of the tier: a small one gossips, a large one has a view of the fleet, and which of them it is, is
-//! settled at the start. Here is what is mio's of that: the socket, the timer, the log. The rest is `cottonnotch_proxy`'s.
+//! settled at the start. Here is what is mio's of that: the socket, the timer, the log. The rest is `cottonnotch_proxy_core`'s.
 
 use super::messages::Messages;
 use super::net::{GOSSIP, Net, PART};
@@ -8,10 +8,10 @@
 use crate::net::datagrams::Datagrams;
 use crate::net::happening::Object;
 use crate::net::management::figures::Homes;
+use cottonnotch_aggregation::Settings;
 use cottonnotch_decision::{Event, Micros};
-use cottonnotch_fleet::Settings;
 use cottonnotch_gossip::{Gossip, State};
-use cottonnotch_proxy::{Alarm, Input, Local, Output, Roster};
+use cottonnotch_proxy_core::{Alarm, Input, Local, Output, Roster};
 use cottonnotch_reactor::Key;
 use cottonnotch_reactor::seldom::Seldom;
 use std::io;
@@ -26,7 +26,7 @@
 
 /// This proxy as a member, with its socket.
 struct Member {
-    peers: cottonnotch_proxy::Peers,
+    peers: cottonnotch_proxy_core::Peers,
     socket: Key,
     alarm: Alarm,
     /// Datagrams that the fleet's member had dropped when that was last told.
@@ -54,9 +54,9 @@
         let socket = bind(net, listen)?;
         let (seed, now) = (net.config.seed, net.now());
         let unix = net.wall.unix(now);
-        let member = cottonnotch_fleet::Member::new(settings, me, members as u32, seed, now, unix);
+        let member = cottonnotch_aggregation::Member::new(settings, me, members as u32, seed, now, unix);
         log::info!(target: PART, peers = members, listen:%; "a view of the fleet with {} other proxies", members - 1);
-        let peers = cottonnotch_proxy::Peers::fleet(member, roster(net));
+        let peers = cottonnotch_proxy_core::Peers::fleet(member, roster(net));
         Ok(Some(Member::new(net, peers, socket)))
     }
 
@@ -70,11 +70,11 @@
         let (seed, now, strength) = (net.config.seed, net.now(), settings.strength);
         let gossip = Gossip::new(settings, keys, me, members, life, seed, now);
         log::info!(target: PART, peers = members, listen:%; "gossip with {} other proxies", members.saturating_sub(1));
-        let peers = cottonnotch_proxy::Peers::gossip(gossip, strength, roster(net));
+        let peers = cottonnotch_proxy_core::Peers::gossip(gossip, strength, roster(net));
         Ok(Some(Member::new(net, peers, socket)))
     }
 
-    fn new(net: &mut Net, peers: cottonnotch_proxy::Peers, socket: Key) -> Self {
+    fn new(net: &mut Net, peers: cottonnotch_proxy_core::Peers, socket: Key) -> Self {
         let (alarm, drops) = (Alarm::default(), Seldom::default());
         let mut member = Member { peers, socket, alarm, dropped: 0, drops };
         member.arm(net);
@@ -89,7 +89,9 @@
 
     /// Says how many datagrams the fleet's member has dropped, if any since the last time.
     fn say_dropped(&mut self, now: Micros) {
-        let Some(counts) = self.peers.fleet_member().map(cottonnotch_fleet::Member::counts) else { return };
+        let Some(counts) = self.peers.fleet_member().map(cottonnotch_aggregation::Member::counts) else {
+            return;
+        };
         let all = counts.dropped + counts.late;
         if all > self.dropped && self.drops.due(now).is_some() {
             let more = all - std::mem::replace(&mut self.dropped, all);
--- a/crates/cottonnotch/src/net/driver/subchannels.rs
+++ b/crates/cottonnotch/src/net/driver/subchannels.rs
@@ -7,7 +7,7 @@
 use crate::rules::Kind;
 use cottonnotch_decision::names::{Names, digest};
 use cottonnotch_decision::{Belief, Entry, Event, Listed, Micros, ServerId, ZoneId};
-use cottonnotch_proxy::{ResolverResult, Servers};
+use cottonnotch_proxy_core::{ResolverResult, Servers};
 use cottonnotch_reactor::Key;
 use cottonnotch_reactor::seldom::Seldom;
 use cottonnotch_records::Name;
--- a/crates/cottonnotch/src/net/happening.rs
+++ b/crates/cottonnotch/src/net/happening.rs
@@ -6,7 +6,7 @@
 use super::management::{Call, Caller};
 use super::objection::Objection;
 use cottonnotch_decision::{Micros, Outcome};
-use cottonnotch_proxy::ResolverResult;
+use cottonnotch_proxy_core::ResolverResult;
 use cottonnotch_reactor::listener::Listener;
 use cottonnotch_reactor::signals::Signals;
 use cottonnotch_reactor::{Connection, Key, Report};
--- a/crates/cottonnotch/src/net/management/figures.rs
+++ b/crates/cottonnotch/src/net/management/figures.rs
@@ -2,7 +2,7 @@
 //! is counted here too, so that the two can't tell different stories.
 
 use crate::rules::Seen;
-use cottonnotch_accord::Role;
+use cottonnotch_consensus::Role;
 use std::collections::HashMap;
 use std::fmt::Write;
 
--- a/crates/cottonnotch/src/rules/board.rs
+++ b/crates/cottonnotch/src/rules/board.rs
@@ -1,7 +1,7 @@
 //! What operators may ask of the rules: the version, the lease, what is held back. Written by the threads beside the loop,
 //! read when somebody calls; no request looks at it.
 
-use cottonnotch_accord::{Micros, Role};
+use cottonnotch_consensus::{Micros, Role};
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
--- a/crates/cottonnotch/src/rules/clock.rs
+++ b/crates/cottonnotch/src/rules/clock.rs
@@ -1,7 +1,7 @@
 //! The clock that leases are kept by. It goes on while the process is stopped and while the machine sleeps, and nobody
 //! can set it.
 
-use cottonnotch_accord::Micros;
+use cottonnotch_consensus::Micros;
 use rustix::time::{ClockId, clock_gettime};
 
 /// Microseconds since some moment of this machine's; never compared between machines.
--- a/crates/cottonnotch/src/rules/config.rs
+++ b/crates/cottonnotch/src/rules/config.rs
@@ -1,7 +1,7 @@
 //! The sections `[rules]`, `[[hardware]]` and `[accord]` of the operator's file. All are off unless set.
 
-use cottonnotch_accord::{Config, Timing};
-use cottonnotch_lowering::{Budgets, Features, Profile, Profiles};
+use cottonnotch_consensus::{Config, Timing};
+use cottonnotch_rule_compiler::{Budgets, Features, Profile, Profiles};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -205,8 +205,8 @@
     }
 
     /// Names the key that a fault of the spans is best mended at, and shows the sum that was to be kept.
-    fn unkept(&self, bad: &cottonnotch_accord::BadTiming) -> String {
-        use cottonnotch_accord::BadTiming as Bad;
+    fn unkept(&self, bad: &cottonnotch_consensus::BadTiming) -> String {
+        use cottonnotch_consensus::BadTiming as Bad;
         match bad {
             Bad::Contradiction { .. } => {
                 format!("accord.contradiction_ms cannot be kept: {}", self.sum())
--- a/crates/cottonnotch/src/rules/content.rs
+++ b/crates/cottonnotch/src/rules/content.rs
@@ -1,9 +1,9 @@
 //! What a version of the rules contains, and what this process makes of it. The bytes go to all members as they are, so
 //! that all have the same book, and lower it by the same profiles to the same plan.
 
-use cottonnotch_accord::Hash;
-use cottonnotch_lowering::{Plan, Profiles, lower};
-use cottonnotch_rulebook::{Book, Ledger, World};
+use cottonnotch_consensus::Hash;
+use cottonnotch_routing_rules::{Book, Ledger, World};
+use cottonnotch_rule_compiler::{Plan, Profiles, lower};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt::Write;
--- a/crates/cottonnotch/src/rules/folder.rs
+++ b/crates/cottonnotch/src/rules/folder.rs
@@ -1,7 +1,7 @@
 //! The folder with the namespaces' files. A file that can't be read, or isn't a namespace's, is handed on as it is: the merge
 //! holds its namespace back, on what was good last, and says why. So one owner's slip stops no other's change, and no start.
 
-use cottonnotch_rulebook::{BadFile, File, MOST_BYTES, read};
+use cottonnotch_routing_rules::{BadFile, File, MOST_BYTES, read};
 use std::io::Read;
 use std::path::Path;
 
--- a/crates/cottonnotch/src/rules/golden_tests.rs
+++ b/crates/cottonnotch/src/rules/golden_tests.rs
@@ -4,10 +4,10 @@
 use super::disk::{Disk, load};
 use super::lent::{Lease, LeaseFile};
 use super::recall::{HELD, MEMORY, content_name};
-use cottonnotch_accord::Memory;
+use cottonnotch_consensus::Memory;
 use cottonnotch_golden::{assert_bytes, golden_path};
-use cottonnotch_lowering::{Profile, Profiles};
-use cottonnotch_rulebook::{File, Ledger, Merged, World, merge};
+use cottonnotch_routing_rules::{File, Ledger, Merged, World, merge};
+use cottonnotch_rule_compiler::{Profile, Profiles};
 
 const FILE: &str = r#"
 namespace = "consortium"
--- a/crates/cottonnotch/src/rules/lent.rs
+++ b/crates/cottonnotch/src/rules/lent.rs
@@ -2,7 +2,7 @@
 //! before the earlier one has left, and goes by this until then: both act in one member's name, by one clock, under one
 //! lease. What is revoked is revoked here first, so a reader looks each time it acts.
 
-use cottonnotch_accord::{Hash, Micros};
+use cottonnotch_consensus::{Hash, Micros};
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
--- a/crates/cottonnotch/src/rules/mod.rs
+++ b/crates/cottonnotch/src/rules/mod.rs
@@ -1,5 +1,5 @@
-//! Rules: whose requests go where, as their owners wrote it down. Files become a book (`cottonnotch-rulebook`), the book a
-//! plan (`cottonnotch-lowering`), and which plan is in force is agreed with the other proxies (`cottonnotch-accord`). Here
+//! Rules: whose requests go where, as their owners wrote it down. Files become a book (`cottonnotch-routing-rules`), the book a
+//! plan (`cottonnotch-rule-compiler`), and which plan is in force is agreed with the other proxies (`cottonnotch-consensus`). Here
 //! the parts meet threads, sockets and disks; `docs/ops/rules.md` is the operator's side.
 //!
 //! The loop never waits for any of it. Threads of their own agree ([`agent`]), compile and compare ([`worker`]) and hand
--- a/crates/cottonnotch/src/rules/overlay.rs
+++ b/crates/cottonnotch/src/rules/overlay.rs
@@ -1,6 +1,6 @@
 //! What a proxy's own files change of what is in force. Folders differ from proxy to proxy, and none has to have all files.
 
-use cottonnotch_rulebook::{File, Ledger, read};
+use cottonnotch_routing_rules::{File, Ledger, read};
 use std::collections::BTreeMap;
 
 /// The files that count: those in force, with this proxy's in place of older ones.
@@ -45,7 +45,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use cottonnotch_rulebook::{World, merge};
+    use cottonnotch_routing_rules::{World, merge};
 
     fn file(namespace: &str, revision: u64, most: u32) -> File {
         let rule = format!("[[rule]]\nname = \"r\"\nattempts = {{ most = {most} }}\n");
--- a/crates/cottonnotch/src/rules/publication.rs
+++ b/crates/cottonnotch/src/rules/publication.rs
@@ -3,8 +3,8 @@
 
 use super::lent::LeaseFile;
 use arc_swap::{ArcSwapOption, Guard};
-use cottonnotch_accord::{Hash, Micros};
-use cottonnotch_lowering::Plan;
+use cottonnotch_consensus::{Hash, Micros};
+use cottonnotch_rule_compiler::Plan;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, Ordering};
 
@@ -100,8 +100,8 @@
 mod tests {
     use super::super::lent::Lease;
     use super::*;
-    use cottonnotch_lowering::{Profiles, lower};
-    use cottonnotch_rulebook::Book;
+    use cottonnotch_routing_rules::Book;
+    use cottonnotch_rule_compiler::{Profiles, lower};
     use std::sync::atomic::AtomicBool;
 
     fn plan() -> Arc<Plan> {
--- a/crates/cottonnotch/src/rules/recall.rs
+++ b/crates/cottonnotch/src/rules/recall.rs
@@ -5,7 +5,7 @@
 use super::content::{Compiled, hex};
 use super::disk::{self, Disk};
 use super::lent::{Lease, LeaseFile};
-use cottonnotch_accord::{Hash, Input, Memory, Micros};
+use cottonnotch_consensus::{Hash, Input, Memory, Micros};
 use std::io;
 use std::sync::Arc;
 
--- a/crates/cottonnotch/src/rules/reckoning.rs
+++ b/crates/cottonnotch/src/rules/reckoning.rs
@@ -5,8 +5,8 @@
 use super::standing::Standing;
 use cottonnotch_decision::part::{Bucket, Part};
 use cottonnotch_decision::{Micros, Ruling, ServerId};
-use cottonnotch_lowering::{LimitId, Look, NodeKey, Plan};
-use cottonnotch_rulebook::{Node, Request, When};
+use cottonnotch_routing_rules::{Node, Request, When};
+use cottonnotch_rule_compiler::{LimitId, Look, NodeKey, Plan};
 use std::collections::HashMap;
 use std::sync::Arc;
 
--- a/crates/cottonnotch/src/rules/report.rs
+++ b/crates/cottonnotch/src/rules/report.rs
@@ -4,8 +4,8 @@
 use super::config::AccordSection;
 use super::settings::RulesSettings;
 use cottonnotch_decision::settings::Profile;
-use cottonnotch_lowering::lower;
-use cottonnotch_rulebook::{Kind, Ledger, Merged, Rule, Strength, merge};
+use cottonnotch_routing_rules::{Kind, Ledger, Merged, Rule, Strength, merge};
+use cottonnotch_rule_compiler::lower;
 use std::collections::BTreeSet;
 use std::fmt::Write;
 
@@ -70,7 +70,7 @@
     };
     let mut on = names("tenants", &rule.on.tenants) + &names("classes", &rule.on.classes);
     if !rule.on.groups.is_empty() {
-        let range = |of: &cottonnotch_rulebook::GroupRange| format!("{:#x}..{:#x}", of.first, of.last);
+        let range = |of: &cottonnotch_routing_rules::GroupRange| format!("{:#x}..{:#x}", of.first, of.last);
         on += &format!(" groups {}", rule.on.groups.iter().map(range).collect::<Vec<_>>().join(","));
     }
     let asks = match &rule.kind {
--- a/crates/cottonnotch/src/rules/rulebook.rs
+++ b/crates/cottonnotch/src/rules/rulebook.rs
@@ -10,7 +10,7 @@
 use super::ruling::{Basis, Doubt, Rulings};
 use super::settings::RulesSettings;
 use super::worker::{Job, Way, Worker};
-use cottonnotch_accord::{Config, Input};
+use cottonnotch_consensus::{Config, Input};
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_decision::{Entry, Event, Micros, RequestId, ServerId};
 use std::io;
--- a/crates/cottonnotch/src/rules/ruling.rs
+++ b/crates/cottonnotch/src/rules/ruling.rs
@@ -7,12 +7,12 @@
 use super::fleet::Kind;
 use super::publication::{Publication, Published};
 use super::reckoning::Reckoning;
-use cottonnotch_accord::Hash;
+use cottonnotch_consensus::Hash;
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_decision::{Entry, Micros, Request, RequestId, Rules, Ruling, ServerId, Stay};
-use cottonnotch_lowering::Plan;
 use cottonnotch_records::Name;
-use cottonnotch_rulebook::{OnDoubt, When};
+use cottonnotch_routing_rules::{OnDoubt, When};
+use cottonnotch_rule_compiler::Plan;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -171,9 +171,9 @@
     tenants: &'a [Name],
     classes: &'a [Name],
     request: &Request,
-) -> cottonnotch_rulebook::Request<'a> {
+) -> cottonnotch_routing_rules::Request<'a> {
     let name = |names: &'a [Name], number: u16| names.get(usize::from(number)).map(|name| &**name);
-    cottonnotch_rulebook::Request {
+    cottonnotch_routing_rules::Request {
         tenant: request.tenant.and_then(|tenant| name(tenants, tenant.0)),
         class: name(classes, request.class.0).unwrap_or_default(),
         group: request.group,
--- a/crates/cottonnotch/src/rules/ruling/tests.rs
+++ b/crates/cottonnotch/src/rules/ruling/tests.rs
@@ -4,8 +4,8 @@
 use crate::rules::clock::Clock;
 use cottonnotch_decision::names::Names;
 use cottonnotch_decision::{Class, ClassId, Effect, Listed, Settings, TenantId, ZoneId};
-use cottonnotch_lowering::{Profile as Hardware, Profiles, lower};
-use cottonnotch_rulebook::{File, Ledger, World, merge};
+use cottonnotch_routing_rules::{File, Ledger, World, merge};
+use cottonnotch_rule_compiler::{Profile as Hardware, Profiles, lower};
 
 use std::collections::BTreeSet;
 
--- a/crates/cottonnotch/src/rules/server.rs
+++ b/crates/cottonnotch/src/rules/server.rs
@@ -1,7 +1,7 @@
 //! Gives contents to other members: `GET /content/HEX`. Whoever fetches one checks its digest, so no proof goes with it.
 
 use super::content::{Library, hex};
-use cottonnotch_accord::Hash;
+use cottonnotch_consensus::Hash;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/cottonnotch/src/rules/settings.rs
+++ b/crates/cottonnotch/src/rules/settings.rs
@@ -4,9 +4,9 @@
 use super::folder::{BadFolder, faulty, read_folder};
 use crate::config::Operator;
 use cottonnotch_decision::settings::Profile;
-use cottonnotch_lowering::Profiles;
-use cottonnotch_proxy::envelope::Seal;
-use cottonnotch_rulebook::{BadFile, File, World};
+use cottonnotch_proxy_core::envelope::Seal;
+use cottonnotch_routing_rules::{BadFile, File, World};
+use cottonnotch_rule_compiler::Profiles;
 use std::collections::BTreeSet;
 
 /// Everything that the rules need of the configuration.
--- a/crates/cottonnotch/src/rules/standing.rs
+++ b/crates/cottonnotch/src/rules/standing.rs
@@ -1,7 +1,7 @@
 //! This proxy's standing connections and the limits that they count under.
 
 use cottonnotch_decision::{Request, RequestId, ServerId};
-use cottonnotch_lowering::LimitId;
+use cottonnotch_rule_compiler::LimitId;
 use std::collections::HashMap;
 
 /// A connection, or an attempt that may become one.
--- a/crates/cottonnotch/tests/accord/played.rs
+++ b/crates/cottonnotch/tests/accord/played.rs
@@ -3,7 +3,7 @@
 
 use crate::link::Mesh;
 use crate::rules::{ACT, CONTRADICTION, LEASE};
-use cottonnotch_accord::{Config, Input, Member, Memory, Message, Output, Timing};
+use cottonnotch_consensus::{Config, Input, Member, Memory, Message, Output, Timing};
 use std::net::UdpSocket;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/cottonnotch/tests/gossip.rs
+++ b/crates/cottonnotch/tests/gossip.rs
@@ -2,8 +2,8 @@
 //! crates.
 
 mod peers;
-use cottonnotch_fleet::wire::{self, Datagram, Report, Table, Totals};
-use cottonnotch_fleet::{EPOCH, keepers};
+use cottonnotch_aggregation::wire::{self, Datagram, Report, Table, Totals};
+use cottonnotch_aggregation::{EPOCH, keepers};
 use cottonnotch_gossip::{
     Entry, Evidence, Gossip, GossipSection, Input, Keys, Load, Output, State, Strength, Subchannel, To,
 };
--- a/crates/cottonnotch/tests/homes.rs
+++ b/crates/cottonnotch/tests/homes.rs
@@ -2,7 +2,7 @@
 //! of render nodes. They are judged from outside: by where the connections of one large group stand.
 
 mod peers;
-use cottonnotch_fleet::{EPOCH, keepers};
+use cottonnotch_aggregation::{EPOCH, keepers};
 use peers::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufRead, BufReader, Write};
--- a/crates/proxy/benches/growth.rs
+++ b/crates/proxy-core/benches/growth.rs
@@ -3,7 +3,7 @@
 #![allow(missing_docs)]
 
 use cottonnotch_decision::{Micros, RequestId, ServerId};
-use cottonnotch_proxy::{FleetUse, MessageDelays, ResolverResult};
+use cottonnotch_proxy_core::{FleetUse, MessageDelays, ResolverResult};
 use std::hint::black_box;
 use std::time::Instant;
 
--- a/crates/proxy/src/driven.rs
+++ b/crates/proxy-core/src/driven.rs
@@ -48,16 +48,16 @@
 }
 
 driven!(
-    cottonnotch_accord::Member,
-    cottonnotch_accord::Input,
-    cottonnotch_accord::Input::Tick,
-    cottonnotch_accord::Output
+    cottonnotch_consensus::Member,
+    cottonnotch_consensus::Input,
+    cottonnotch_consensus::Input::Tick,
+    cottonnotch_consensus::Output
 );
 driven!(
-    cottonnotch_fleet::Member,
-    cottonnotch_fleet::Input<'a>,
-    cottonnotch_fleet::Input::Tick,
-    cottonnotch_fleet::Output
+    cottonnotch_aggregation::Member,
+    cottonnotch_aggregation::Input<'a>,
+    cottonnotch_aggregation::Input::Tick,
+    cottonnotch_aggregation::Output
 );
 driven!(
     cottonnotch_gossip::Gossip,
--- a/crates/proxy/src/envelope.rs
+++ b/crates/proxy-core/src/envelope.rs
@@ -1,7 +1,7 @@
 //! What goes over the wire: a message in an envelope that proves its sender, its receiver and its cluster. Whatever does
 //! not prove them, or is of another form, is dropped unread.
 
-use cottonnotch_accord::Message;
+use cottonnotch_consensus::Message;
 use serde::{Deserialize, Serialize};
 
 /// The form of envelope and message. Another one is dropped: the bytes may mean something else.
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy-core/src/fleet.rs
@@ -6,8 +6,8 @@
 use crate::message_delay::FleetUse;
 use crate::names::{WireNames, shown};
 use crate::peers::{Around, Carrying, Input, Local, Output, Translator};
+use cottonnotch_aggregation::{Entry, Member, Own, View, wire};
 use cottonnotch_decision::{Event, Micros, ServerId, Tier, Word};
-use cottonnotch_fleet::{Entry, Member, Own, View, wire};
 use cottonnotch_gossip::{Ledger, Met, Subchannel, To};
 use std::collections::{BTreeMap, BTreeSet};
 use std::convert::Infallible;
@@ -74,22 +74,22 @@
             Input::Second => {
                 self.member.set_unix(now, around.local.unix);
                 let sizes = self.sizes(now, around.local);
-                self.hand(now, cottonnotch_fleet::Input::Sizes(sizes), around)
+                self.hand(now, cottonnotch_aggregation::Input::Sizes(sizes), around)
             }
             Input::Datagram { from, bytes } => {
                 let from = around.roster.ordinal(from);
-                self.hand(now, cottonnotch_fleet::Input::Datagram { from, bytes }, around)
+                self.hand(now, cottonnotch_aggregation::Input::Datagram { from, bytes }, around)
             }
-            Input::Leave => self.hand(now, cottonnotch_fleet::Input::Leave, around),
+            Input::Leave => self.hand(now, cottonnotch_aggregation::Input::Leave, around),
             Input::Tick if self.member.next_timeout() <= now => {
                 if self.member.wants_groups() {
                     // Nothing goes out with these alone.
                     let groups = around.local.delays.by_group(now);
-                    let Ok(()) = self.hand(now, cottonnotch_fleet::Input::Groups(groups), around);
+                    let Ok(()) = self.hand(now, cottonnotch_aggregation::Input::Groups(groups), around);
                 }
                 let own = self.own(now, around.local);
                 // A report that is due goes out with this, or with the tick.
-                let Ok(()) = self.hand(now, cottonnotch_fleet::Input::Own(own), around);
+                let Ok(()) = self.hand(now, cottonnotch_aggregation::Input::Own(own), around);
                 Carrying { member: self, around }.hand_time(now)
             }
             Input::Tick | Input::Keys(_) => Ok(()),
@@ -99,7 +99,7 @@
     fn hand(
         &mut self,
         now: Micros,
-        input: cottonnotch_fleet::Input<'_>,
+        input: cottonnotch_aggregation::Input<'_>,
         around: &mut Around<'_, '_>,
     ) -> Result<(), Infallible> {
         Carrying { member: self, around }.hand(now, input)
@@ -174,14 +174,14 @@
         &mut self.member
     }
 
-    fn translate(&mut self, _: Micros, output: cottonnotch_fleet::Output, around: &mut Around<'_, '_>) {
+    fn translate(&mut self, _: Micros, output: cottonnotch_aggregation::Output, around: &mut Around<'_, '_>) {
         match output {
-            cottonnotch_fleet::Output::Send { to, bytes } => around.send(To::One(to), bytes),
-            cottonnotch_fleet::Output::Keeper(keeper) => around.out.push_back(Output::Keeper(keeper)),
-            cottonnotch_fleet::Output::Homes => {
+            cottonnotch_aggregation::Output::Send { to, bytes } => around.send(To::One(to), bytes),
+            cottonnotch_aggregation::Output::Keeper(keeper) => around.out.push_back(Output::Keeper(keeper)),
+            cottonnotch_aggregation::Output::Homes => {
                 around.tell(Event::Homes(self.member.homes().collect()));
             }
-            cottonnotch_fleet::Output::View => {
+            cottonnotch_aggregation::Output::View => {
                 let Some(view) = self.member.view() else { return };
                 self.events(view).for_each(|event| around.tell(event));
                 let used = view.named().filter_map(|(node, told)| Some((self.number(node)?, told.used)));
--- a/crates/proxy/src/message_delay.rs
+++ b/crates/proxy-core/src/message_delay.rs
@@ -8,8 +8,8 @@
 //! return one within 2 ms however much work has piled up (docs/design.md has the figures). The larger of the two is noted.
 
 use crate::peer_loads::{PeerLoads, Standing, groups_in, sketch};
+use cottonnotch_aggregation::GroupLoad;
 use cottonnotch_decision::{Micros, RequestId, ServerId};
-use cottonnotch_fleet::GroupLoad;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Between two rounds of notes.
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy-core/src/peers.rs
@@ -137,7 +137,7 @@
     }
 
     /// One of a tier that has a view of the fleet.
-    pub fn fleet(member: cottonnotch_fleet::Member, roster: Roster) -> Self {
+    pub fn fleet(member: cottonnotch_aggregation::Member, roster: Roster) -> Self {
         Peers { way: Way::Fleet(Box::new(FleetMember::new(member))), roster, out: VecDeque::new() }
     }
 
@@ -172,7 +172,7 @@
     }
 
     /// The member of the fleet, where this is one.
-    pub fn fleet_member(&self) -> Option<&cottonnotch_fleet::Member> {
+    pub fn fleet_member(&self) -> Option<&cottonnotch_aggregation::Member> {
         match &self.way {
             Way::Fleet(member) => Some(&member.member),
             Way::Gossip(_) => None,
--- a/crates/proxy/tests/golden.rs
+++ b/crates/proxy-core/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Envelopes keep the bytes that earlier builds gave them.
 
-use cottonnotch_accord::Message;
+use cottonnotch_consensus::Message;
 use cottonnotch_golden::{assert_bytes, golden_path};
-use cottonnotch_proxy::envelope::Seal;
+use cottonnotch_proxy_core::envelope::Seal;
 
 fn seal(me: u16) -> Seal {
     Seal::new("0123456789abcdef".repeat(4).as_bytes(), "site", me).unwrap()
--- a/crates/proxy/tests/growth.rs
+++ b/crates/proxy-core/tests/growth.rs
@@ -2,7 +2,7 @@
 //! other. `docs/CAPACITY.md` quotes the slopes; a test fails when one grows past that.
 
 use cottonnotch_decision::{Micros, RequestId, ServerId};
-use cottonnotch_proxy::{MessageDelays, ResolverResult};
+use cottonnotch_proxy_core::{MessageDelays, ResolverResult};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use std::alloc::System;
 
--- a/crates/proxy/tests/guard.rs
+++ b/crates/proxy-core/tests/guard.rs
@@ -1,7 +1,7 @@
 //! Each rule of the guard, kept and broken.
 
 use cottonnotch_decision::*;
-use cottonnotch_proxy::{FinalAnswer, Guard, Violation};
+use cottonnotch_proxy_core::{FinalAnswer, Guard, Violation};
 
 const S: Micros = 1_000_000;
 const ID: RequestId = RequestId(1);
--- a/crates/proxy/tests/wall_clock.rs
+++ b/crates/proxy-core/tests/wall_clock.rs
@@ -1,7 +1,7 @@
 //! Unix times told before, around and after steps of the wall clock.
 
 use cottonnotch_decision::Micros;
-use cottonnotch_proxy::{WallClock, WallEra};
+use cottonnotch_proxy_core::{WallClock, WallEra};
 use proptest::prelude::*;
 
 const S: Micros = 1_000_000;
--- a/crates/rulebook/benches/merge.rs
+++ b/crates/routing-rules/benches/merge.rs
@@ -5,7 +5,7 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use cottonnotch_rulebook::{File, Ledger, Merger, World, merge};
+use cottonnotch_routing_rules::{File, Ledger, Merger, World, merge};
 use criterion::{Criterion, criterion_group, criterion_main};
 
 const HOUSES: usize = 60;
--- a/crates/rulebook/tests/common/mod.rs
+++ b/crates/routing-rules/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
 
-use cottonnotch_rulebook::{File, Node, Request, World};
+use cottonnotch_routing_rules::{File, Node, Request, World};
 use proptest::collection::{btree_set, vec};
 use proptest::prelude::*;
 
--- a/crates/rulebook/tests/common/oracle.rs
+++ b/crates/routing-rules/tests/common/oracle.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-use cottonnotch_rulebook::{Node, Request};
+use cottonnotch_routing_rules::{Node, Request};
 
 use crate::common::{
     CLASSES, HALLS, HARDWARE, Names, Nodes, On, Spec, TENANTS, WHOLE, What, nodes, requests,
--- a/crates/rulebook/tests/conflicts.rs
+++ b/crates/routing-rules/tests/conflicts.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{file, world};
-use cottonnotch_rulebook::{Conflict, File, Ledger, Merged, Merger, State, check, merge};
+use cottonnotch_routing_rules::{Conflict, File, Ledger, Merged, Merger, State, check, merge};
 
 const ROOT: &str = r#"
 [[delegate]]
--- a/crates/rulebook/tests/examples.rs
+++ b/crates/routing-rules/tests/examples.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use cottonnotch_rulebook::{File, Ledger, Node, OnDoubt, Request, State, When, World, effective, merge};
+use cottonnotch_routing_rules::{File, Ledger, Node, OnDoubt, Request, State, When, World, effective, merge};
 
 fn files() -> Vec<File> {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/rules");
--- a/crates/rulebook/tests/files.rs
+++ b/crates/routing-rules/tests/files.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::{any_universe, file, files, world};
-use cottonnotch_rulebook::{Conflict, File, Kind, Ledger, MOST_BYTES, OnDoubt, State, Strength, merge, read};
+use cottonnotch_routing_rules::{
+    Conflict, File, Kind, Ledger, MOST_BYTES, OnDoubt, State, Strength, merge, read,
+};
 use proptest::prelude::*;
 
 fn error(body: &str) -> (u32, String, String) {
--- a/crates/rulebook/tests/oracle.rs
+++ b/crates/routing-rules/tests/oracle.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 use common::{any_universe, files, nodes, requests, world};
-use cottonnotch_rulebook::{
+use cottonnotch_routing_rules::{
     Book, Conflict, File, How, Kind, Ledger, Merger, State, Strength, check, effective, merge,
 };
 use oracle::Found;
@@ -56,7 +56,7 @@
             let rules: Vec<_> =
                 musts.iter().map(|spot| rule_of(universe, &spot.namespace, &spot.name)).collect();
             prop_assert!(rules.iter().all(|(on, _)| oracle::speaks(on, &request)), "{conflict}");
-            let allowed = |skip: Option<usize>, node: &cottonnotch_rulebook::Node| {
+            let allowed = |skip: Option<usize>, node: &cottonnotch_routing_rules::Node| {
                 rules.iter().enumerate().all(|(at, (_, what))| Some(at) == skip || allows(what, node))
             };
             prop_assert!(!nodes().iter().any(|node| allowed(None, node)), "{conflict}");
@@ -89,7 +89,7 @@
     Ok(())
 }
 
-fn allows(what: &common::What, node: &cottonnotch_rulebook::Node) -> bool {
+fn allows(what: &common::What, node: &cottonnotch_routing_rules::Node) -> bool {
     match what {
         common::What::Require(of) => oracle::means(of, node),
         common::What::Avoid(of) => !oracle::means(of, node),
@@ -201,7 +201,7 @@
                     }
                     match &rule.kind {
                         Kind::Place { how, halls, hardware } => {
-                            let meant = cottonnotch_rulebook::is_meant(halls, hardware, &node);
+                            let meant = cottonnotch_routing_rules::is_meant(halls, hardware, &node);
                             prop_assert!(!whole.allowed || meant == (*how == How::Require));
                         }
                         Kind::Attempts { most } => prop_assert!(whole.attempts.is_some_and(|least| least <= *most)),
--- a/crates/rulebook/tests/table.rs
+++ b/crates/routing-rules/tests/table.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use cottonnotch_rulebook::{Event, Name};
+use cottonnotch_routing_rules::{Event, Name};
 
 #[test]
 fn the_documents_table_is_the_codes() {
--- a/crates/lowering/benches/look.rs
+++ b/crates/rule-compiler/benches/look.rs
@@ -8,10 +8,10 @@
 use std::time::{Duration, Instant};
 
 use arc_swap::ArcSwap;
-use cottonnotch_lowering::{Plan, Profile, Profiles, contradiction, lower};
-use cottonnotch_rulebook::{
+use cottonnotch_routing_rules::{
     Book, GroupRange, How, Kind, Node, OnDoubt, Owner, Request, Rule, Selector, Strength, When,
 };
+use cottonnotch_rule_compiler::{Plan, Profile, Profiles, contradiction, lower};
 use criterion::Criterion;
 use hdrhistogram::Histogram;
 
--- a/crates/lowering/src/canonical.rs
+++ b/crates/rule-compiler/src/canonical.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::marker::PhantomData;
 
-use cottonnotch_rulebook::{GroupRange, OnDoubt};
+use cottonnotch_routing_rules::{GroupRange, OnDoubt};
 use serde::de::{SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 
--- a/crates/lowering/src/contradiction.rs
+++ b/crates/rule-compiler/src/contradiction.rs
@@ -3,7 +3,7 @@
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
 
-use cottonnotch_rulebook::{GroupRange, Node, Request, Selector};
+use cottonnotch_routing_rules::{GroupRange, Node, Request, Selector};
 
 use crate::index::{ANY, Names, Slot};
 use crate::look::{Look, NodeKey};
--- a/crates/lowering/src/effects.rs
+++ b/crates/rule-compiler/src/effects.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashMap, HashSet};
 
-use cottonnotch_rulebook::{OnDoubt, stricter};
+use cottonnotch_routing_rules::{OnDoubt, stricter};
 use fnv::FnvBuildHasher;
 
 use crate::bits::{SetId, SetsBuilder};
--- a/crates/lowering/src/forms.rs
+++ b/crates/rule-compiler/src/forms.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use cottonnotch_rulebook::{How, Kind, Rule, Strength, When};
+use cottonnotch_routing_rules::{How, Kind, Rule, Strength, When};
 
 use crate::plan::{Counted, Form, NodeSet};
 use crate::profile::{Budgets, Features};
--- a/crates/lowering/src/groups.rs
+++ b/crates/rule-compiler/src/groups.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use cottonnotch_rulebook::GroupRange;
+use cottonnotch_routing_rules::GroupRange;
 
 /// No effect.
 pub(crate) const NONE: u32 = u32::MAX;
--- a/crates/lowering/src/index.rs
+++ b/crates/rule-compiler/src/index.rs
@@ -6,7 +6,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use cottonnotch_rulebook::{GroupRange, Node};
+use cottonnotch_routing_rules::{GroupRange, Node};
 use fnv::FnvBuildHasher;
 
 use crate::bits::{SetId, Sets, SetsBuilder};
--- a/crates/lowering/src/look.rs
+++ b/crates/rule-compiler/src/look.rs
@@ -1,6 +1,6 @@
 //! What a plan says of one request.
 
-use cottonnotch_rulebook::{Node, OnDoubt, Request, When, stricter};
+use cottonnotch_routing_rules::{Node, OnDoubt, Request, When, stricter};
 
 use crate::effects::{Effect, least};
 use crate::groups::NONE;
--- a/crates/lowering/src/lower.rs
+++ b/crates/rule-compiler/src/lower.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use cottonnotch_rulebook::{Book, Kind, OnDoubt, Rule, Selector};
+use cottonnotch_routing_rules::{Book, Kind, OnDoubt, Rule, Selector};
 
 use crate::canonical::tidied;
 use crate::forms::{Class, Formed, form, is_wish};
--- a/crates/lowering/src/plan.rs
+++ b/crates/rule-compiler/src/plan.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-use cottonnotch_rulebook::{Node, OnDoubt, Request, Selector, When, is_meant};
+use cottonnotch_routing_rules::{Node, OnDoubt, Request, Selector, When, is_meant};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
--- a/crates/lowering/tests/common/mod.rs
+++ b/crates/rule-compiler/tests/common/mod.rs
@@ -4,10 +4,10 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-use cottonnotch_lowering::{Budgets, Features, Profile, Profiles};
-use cottonnotch_rulebook::{
+use cottonnotch_routing_rules::{
     Book, GroupRange, How, Kind, Node, OnDoubt, Owner, Request, Rule, Selector, Strength, When, is_meant,
 };
+use cottonnotch_rule_compiler::{Budgets, Features, Profile, Profiles};
 use proptest::collection::{btree_set, vec};
 use proptest::prelude::*;
 
--- a/crates/lowering/tests/contradiction.rs
+++ b/crates/rule-compiler/tests/contradiction.rs
@@ -5,10 +5,10 @@
 use std::cmp::Ordering;
 
 use common::*;
-use cottonnotch_lowering::{LimitId, Look, NodeSet, Plan, Profile, Profiles, contradiction, lower};
-use cottonnotch_rulebook::{
+use cottonnotch_routing_rules::{
     Book, GroupRange, How, Kind, Node, OnDoubt, Request, Rule, Selector, Strength, When,
 };
+use cottonnotch_rule_compiler::{LimitId, Look, NodeSet, Plan, Profile, Profiles, contradiction, lower};
 use proptest::prelude::*;
 
 /// What musts bound by numbers.
--- a/crates/lowering/tests/golden.rs
+++ b/crates/rule-compiler/tests/golden.rs
@@ -1,8 +1,8 @@
 //! The book and the plan of the example rules keep the bytes that earlier builds gave them: proxies vote on their hashes.
 
 use cottonnotch_golden::{assert_bytes, assert_text, golden_path};
-use cottonnotch_lowering::{Budgets, Features, Plan, Profile, Profiles, lower};
-use cottonnotch_rulebook::{Book, File, Ledger, Merged, World, merge};
+use cottonnotch_routing_rules::{Book, File, Ledger, Merged, World, merge};
+use cottonnotch_rule_compiler::{Budgets, Features, Plan, Profile, Profiles, lower};
 use std::path::Path;
 
 const FILES: [&str; 5] = [
--- a/crates/lowering/tests/kinds.rs
+++ b/crates/rule-compiler/tests/kinds.rs
@@ -5,10 +5,10 @@
 use std::collections::BTreeSet;
 
 use common::book_of;
-use cottonnotch_lowering::{
+use cottonnotch_routing_rules::{Book, How, Kind, Node, OnDoubt, Request, Rule, Selector, Strength, When};
+use cottonnotch_rule_compiler::{
     BadPlan, Features, Lowered, NodeSet, Plan, Profile, Profiles, Runs, UNKNOWN, contradiction, in_use, lower,
 };
-use cottonnotch_rulebook::{Book, How, Kind, Node, OnDoubt, Request, Rule, Selector, Strength, When};
 
 const ASKED: Request = Request { tenant: Some("t0"), class: "c0", group: Some(5) };
 
@@ -277,7 +277,8 @@
     });
     let musts = (0..musts).map(|number| {
         let mut rule = rule(&format!("m{number}"), Strength::Must, Kind::Attempts { most: 3 });
-        rule.on.groups = vec![cottonnotch_rulebook::GroupRange { first: number as u64, last: number as u64 }];
+        rule.on.groups =
+            vec![cottonnotch_routing_rules::GroupRange { first: number as u64, last: number as u64 }];
         rule
     });
     book_of(wishes.chain(musts).collect(), &[OnDoubt::Keep; 3])
@@ -374,7 +375,7 @@
     assert_eq!(with(1, 9), Err(BadPlan::Needs(9)));
     assert_eq!(with(1, 2), Err(BadPlan::Canonical("needs")));
     assert_eq!(Plan::from_bytes(&[]), Err(BadPlan::Decode));
-    let too_many = vec![1; cottonnotch_lowering::MAX_BYTES + 1];
+    let too_many = vec![1; cottonnotch_rule_compiler::MAX_BYTES + 1];
     assert!(matches!(Plan::from_bytes(&too_many), Err(BadPlan::TooLarge(_))));
 }
 
--- a/crates/lowering/tests/lowering.rs
+++ b/crates/rule-compiler/tests/lowering.rs
@@ -5,8 +5,10 @@
 use std::collections::BTreeSet;
 
 use common::*;
-use cottonnotch_lowering::{Look, Plan, Profiles, Runs, lower};
-use cottonnotch_rulebook::{Book, GroupRange, How, Kind, Node, OnDoubt, Request, When, effective, is_meant};
+use cottonnotch_routing_rules::{
+    Book, GroupRange, How, Kind, Node, OnDoubt, Request, When, effective, is_meant,
+};
+use cottonnotch_rule_compiler::{Look, Plan, Profiles, Runs, lower};
 use proptest::prelude::*;
 
 /// What has to hold of a look, whatever the profiles.
@@ -267,20 +269,20 @@
     }
 }
 
-fn plain_rule(number: usize, must: bool) -> cottonnotch_rulebook::Rule {
-    cottonnotch_rulebook::Rule {
+fn plain_rule(number: usize, must: bool) -> cottonnotch_routing_rules::Rule {
+    cottonnotch_routing_rules::Rule {
         namespace: "a".into(),
         name: format!("r{number:03}"),
         file: "rules.toml".into(),
         line: 1,
         strength: if must {
-            cottonnotch_rulebook::Strength::Must
+            cottonnotch_routing_rules::Strength::Must
         } else {
-            cottonnotch_rulebook::Strength::Wish
+            cottonnotch_routing_rules::Strength::Wish
         },
         priority: 0,
         depth: 0,
-        on: cottonnotch_rulebook::Selector::default(),
+        on: cottonnotch_routing_rules::Selector::default(),
         kind: Kind::Attempts { most: 1 },
     }
 }
--- a/crates/scale/src/agreement.rs
+++ b/crates/scale/src/agreement.rs
@@ -3,10 +3,10 @@
 use crate::hollow::{Due, Wish};
 use crate::records::What;
 use crate::shape::Shape;
-use cottonnotch_accord::{Hash, Member, Memory, Output as Wanted, Timing, Topic};
+use cottonnotch_consensus::{Hash, Member, Memory, Output as Wanted, Timing, Topic};
 use cottonnotch_decision::Micros;
-use cottonnotch_proxy::Embedder;
-use cottonnotch_proxy::envelope::Seal;
+use cottonnotch_proxy_core::Embedder;
+use cottonnotch_proxy_core::envelope::Seal;
 use std::collections::VecDeque;
 use std::convert::Infallible;
 
@@ -77,7 +77,7 @@
                 self.record(What::May { version, kind, until });
             }
             Wanted::ProposalOver { hash, why, .. } => {
-                let in_force = why == cottonnotch_accord::Why::InForce;
+                let in_force = why == cottonnotch_consensus::Why::InForce;
                 self.record(What::Over { content: content_of(&hash).0, in_force });
             }
             Wanted::Right(_) | Wanted::ListBehind { .. } => {}
@@ -112,7 +112,7 @@
     let voters = shape.voters();
     let me_there = u16::try_from(me).ok()?;
     let memory = memory.or_else(|| (is_first && voters.contains(&me_there)).then(Memory::first));
-    let config = cottonnotch_accord::Config {
+    let config = cottonnotch_consensus::Config {
         me: me_there,
         members: u16::try_from(shape.members).ok()?,
         voters,
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -1,7 +1,7 @@
 //! One hollow proxy, sans-io: fully deterministic, no sockets, no clocks, no chance but that from one seed.
 //!
 //! Its module, its member of the fleet view or of gossip and its member of the accord are the program's own, driven by
-//! `cottonnotch-proxy`. Its connections are synthetic: drawn from the seed, set up after a fixed time, none ever fails. What it
+//! `cottonnotch-proxy-core`. Its connections are synthetic: drawn from the seed, set up after a fixed time, none ever fails. What it
 //! holds grows with its connections, the nodes, the groups and the members, never with a product of two.
 
 use crate::agreement::{Accord, accord, hash_of};
@@ -9,13 +9,13 @@
 use crate::nodes::Nodes;
 use crate::records::What;
 use crate::shape::{HOMES, Shape, mixed};
-use cottonnotch_accord::{Hash, Input as Told, Memory, Topic, Verdict};
+use cottonnotch_aggregation::FleetSection;
+use cottonnotch_consensus::{Hash, Input as Told, Memory, Topic, Verdict};
 use cottonnotch_decision::{
     Action, Balancer, ClassId, Event, Micros, Outcome, Request, RequestId, ServerId, Settings,
 };
-use cottonnotch_fleet::FleetSection;
 use cottonnotch_gossip::{Gossip, GossipSection, Keys, State, Strength};
-use cottonnotch_proxy::{
+use cottonnotch_proxy_core::{
     EVERY, Embedder, Input, Local, MessageDelays, Note, Output, Peers, ResolverResult, Roster,
 };
 use rand::{RngExt, SeedableRng};
@@ -310,7 +310,7 @@
 
     /// It leads the accord.
     pub fn leads(&self) -> bool {
-        let is_leader = |accord: &Accord| accord.member.status().role == cottonnotch_accord::Role::Leader;
+        let is_leader = |accord: &Accord| accord.member.status().role == cottonnotch_consensus::Role::Leader;
         self.accord.as_ref().is_some_and(is_leader)
     }
 
@@ -592,7 +592,7 @@
         let section =
             FleetSection { members_from: Some(shape.members_from), group_homes, ..FleetSection::default() };
         let settings = section.check().ok()??;
-        let member = cottonnotch_fleet::Member::new(settings, me, shape.members, seed, now, now);
+        let member = cottonnotch_aggregation::Member::new(settings, me, shape.members, seed, now, now);
         return Some(Peers::fleet(member, roster));
     }
     let section = GossipSection { strength: Some(Strength::Address), ..GossipSection::default() };
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,5 +1,5 @@
 //! Hollow proxies: the program's own sans-io members (decision, fleet view or gossip, accord, list calls), wired by
-//! `cottonnotch-proxy` as the daemon wires them, with synthetic connections in place of clients and render nodes.
+//! `cottonnotch-proxy-core` as the daemon wires them, with synthetic connections in place of clients and render nodes.
 //!
 //! [`Hollow`] itself is sans-io; [`sockets`] runs many in one process on real loopback sockets and real time, [`virtual_time`]
 //! on links in memory and virtual time, where an hour's cut or hundreds of members in a test take seconds. [`judge`] reads
--- a/crates/scale/src/nodes.rs
+++ b/crates/scale/src/nodes.rs
@@ -2,7 +2,7 @@
 
 use cottonnotch_decision::names::{Names, digest};
 use cottonnotch_decision::{Entry, Event, Micros, ServerId, ZoneId};
-use cottonnotch_proxy::{MessageDelays, ResolverResult, Servers};
+use cottonnotch_proxy_core::{MessageDelays, ResolverResult, Servers};
 
 /// All that were ever listed. Grows with the number of nodes.
 #[derive(Debug, Default)]
--- a/crates/scale/src/sockets.rs
+++ b/crates/scale/src/sockets.rs
@@ -7,7 +7,7 @@
 use crate::records::{Record, What};
 use crate::watch::{self, Watch};
 use cottonnotch_decision::Micros;
-use cottonnotch_proxy::Alarm;
+use cottonnotch_proxy_core::Alarm;
 use cottonnotch_reactor::{Connection, Key, Leg, Reactor};
 use mio::net::UdpSocket;
 use rustix::time::{ClockId, clock_gettime};
--- a/crates/scale/src/tier.rs
+++ b/crates/scale/src/tier.rs
@@ -13,7 +13,7 @@
 };
 use crate::watch;
 use cottonnotch_decision::Micros;
-use cottonnotch_proxy::{Alarm, ResolverResult, Roster};
+use cottonnotch_proxy_core::{Alarm, ResolverResult, Roster};
 use cottonnotch_reactor::{Clock, Reactor};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -26,7 +26,7 @@
 const FIRST: u64 = 1;
 const CHANGED: u64 = 2;
 /// Nodes that are used by less are not told.
-const LEAST_USE: f64 = cottonnotch_fleet::wire::LEAST_USE;
+const LEAST_USE: f64 = cottonnotch_aggregation::wire::LEAST_USE;
 
 /// How long is waited and measured.
 #[derive(Clone, Copy, Debug, clap::Args)]
--- a/crates/scale/src/watch.rs
+++ b/crates/scale/src/watch.rs
@@ -3,7 +3,7 @@
 use crate::sockets::{Io, Object, Report};
 use cottonnotch_decision::Micros;
 use cottonnotch_decision::list_calls::SILENT_AFTER;
-use cottonnotch_proxy::ResolverResult;
+use cottonnotch_proxy_core::ResolverResult;
 use cottonnotch_reactor::http::StreamedResponse;
 use cottonnotch_reactor::json_texts::JsonTexts;
 use cottonnotch_reactor::line::{Fill, LineStream};
