--- a/crates/cottonnotch/src/config/fault.rs
+++ b/crates/cottonnotch/src/config/fault.rs
@@ -3,7 +3,7 @@
 use super::operator_file::BadOperator;
 use crate::rules::BadRules;
 use cottonnotch_decision::settings::BadSetting;
-use cottonnotch_proxy_core::BadResult;
+use cottonnotch_proxy_core::EndpointUpdateError;
 
 /// Why the proxy cannot start, or keeps what it has.
 #[derive(Debug, thiserror::Error)]
@@ -61,7 +61,7 @@
     Wrong { key: &'static str, trouble: &'static str, value: String },
     /// The list that the proxy last had.
     #[error("known: {0}")]
-    Known(#[from] BadResult),
+    Known(#[from] EndpointUpdateError),
     /// A setting.
     #[error("settings.{key} {trouble}")]
     Setting { key: String, trouble: String },
@@ -72,10 +72,10 @@
     pub fn key(&self) -> String {
         match self {
             Fault::Missing { key } | Fault::Wrong { key, .. } => (*key).to_owned(),
-            Fault::Known(BadResult::NotJson(_)) => "known".to_owned(),
-            Fault::Known(BadResult::Contradicts(i)) => format!("known.members.{i}.id"),
-            Fault::Known(BadResult::Field(field)) => format!("known.{field}"),
-            Fault::Known(BadResult::Member(i, field)) => format!("known.members.{i}.{field}"),
+            Fault::Known(EndpointUpdateError::NotJson(_)) => "known".to_owned(),
+            Fault::Known(EndpointUpdateError::Contradicts(i)) => format!("known.members.{i}.id"),
+            Fault::Known(EndpointUpdateError::Field(field)) => format!("known.{field}"),
+            Fault::Known(EndpointUpdateError::Member(i, field)) => format!("known.members.{i}.{field}"),
             Fault::Dropped { key } => key.clone(),
             Fault::Setting { key, .. } => format!("settings.{key}"),
         }
--- a/crates/cottonnotch/src/config/mod.rs
+++ b/crates/cottonnotch/src/config/mod.rs
@@ -24,7 +24,7 @@
 use crate::rules::RulesSettings;
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_gossip::Keys;
-use cottonnotch_proxy_core::ResolverResult;
+use cottonnotch_proxy_core::EndpointUpdate;
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 use std::net::SocketAddr;
@@ -54,7 +54,7 @@
     /// The rules, if there are any.
     pub rules: Option<RulesSettings>,
     /// The list as the proxy last had it.
-    pub known: ResolverResult,
+    pub known: EndpointUpdate,
     /// The settings, in the module's terms.
     pub profile: Profile,
     /// The operator's file.
--- a/crates/cottonnotch/src/config/platform.rs
+++ b/crates/cottonnotch/src/config/platform.rs
@@ -9,7 +9,7 @@
 use crate::rules::RulesSettings;
 use cottonnotch_decision::settings::{self, Pairs, Profile};
 use cottonnotch_gossip::{GossipSection, Keys, Settings};
-use cottonnotch_proxy_core::ResolverResult;
+use cottonnotch_proxy_core::EndpointUpdate;
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -242,11 +242,11 @@
         Ok(memory as u64)
     }
 
-    fn known(&mut self) -> Result<ResolverResult, BadConfig> {
+    fn known(&mut self) -> Result<EndpointUpdate, BadConfig> {
         let (known, source) = match self.json.get("known") {
-            None => (ResolverResult { revision: 0, complete: true, members: Vec::new() }, Source::Default),
+            None => (EndpointUpdate { revision: 0, complete: true, members: Vec::new() }, Source::Default),
             Some(known) => {
-                let known = ResolverResult::from_json(known);
+                let known = EndpointUpdate::from_json(known);
                 (known.map_err(|bad| self.fault(bad.into(), Source::Json))?, Source::Json)
             }
         };
--- a/crates/cottonnotch/src/net/call_attempt.rs
+++ b/crates/cottonnotch/src/net/call_attempt.rs
@@ -5,7 +5,7 @@
 use crate::rules::Clock;
 use cottonnotch_decision::{Micros, Outcome};
 use cottonnotch_reactor::line::{Fill, LineStream, trim_end};
-use cottonnotch_reactor::{Key, Leg};
+use cottonnotch_reactor::{Half, Key};
 use std::io;
 use std::net::SocketAddr;
 
@@ -71,7 +71,7 @@
         line: OpenLine,
         until: Option<Micros>,
     ) -> io::Result<Self> {
-        let link = LineStream::connect(order.address, io, key, Leg::Far)?;
+        let link = LineStream::connect(order.address, io, key, Half::Far)?;
         let started = io.now();
         let connect_until = started + order.connect_timeout;
         let AttemptOrder { address, act_by, before, .. } = *order;
--- a/crates/cottonnotch/src/net/datagrams.rs
+++ b/crates/cottonnotch/src/net/datagrams.rs
@@ -1,7 +1,7 @@
 //! The socket on which proxies hear one another.
 
 use super::happening::{Happening, Io, Object};
-use cottonnotch_reactor::{Connection, Key, Leg};
+use cottonnotch_reactor::{Connection, Half, Key};
 use mio::net::UdpSocket;
 use std::io;
 use std::net::SocketAddr;
@@ -36,25 +36,25 @@
 impl Connection for Datagrams {
     type Report = Happening;
 
-    fn readable(&mut self, io: &mut Io, leg: Leg) {
+    fn readable(&mut self, io: &mut Io, leg: Half) {
         let mut heard = Vec::new();
         let mut bytes = [0; LONGEST + 1];
         for _ in 0..AT_ONCE {
             match self.socket.recv_from(&mut bytes) {
                 Ok((length, from)) => heard.push((from, bytes[..length].to_vec())),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    io.tell(Happening::Datagrams(heard));
+                    io.report(Happening::Datagrams(heard));
                     return;
                 }
                 // What one was sent to is not there; it says nothing of what may still be read.
                 Err(_) => {}
             }
         }
-        io.tell(Happening::Datagrams(heard));
+        io.report(Happening::Datagrams(heard));
         io.call_again(self.key, leg);
     }
 
-    fn writable(&mut self, _: &mut Io, _: Leg) {}
+    fn writable(&mut self, _: &mut Io, _: Half) {}
 
     fn timer(&mut self, _: &mut Io, _: u32) {}
 
--- a/crates/cottonnotch/src/net/driver/arrivals.rs
+++ b/crates/cottonnotch/src/net/driver/arrivals.rs
@@ -8,7 +8,7 @@
 use cottonnotch_decision::Micros;
 use cottonnotch_reactor::Key;
 use cottonnotch_reactor::line::{LineStream, Unwatched};
-use cottonnotch_reactor::listener::{Binding, Listener, turn_away_newcomers};
+use cottonnotch_reactor::listener::{Binding, Listener, reject_new_connections};
 use mio::net::{TcpListener, TcpStream};
 use std::collections::VecDeque;
 use std::io;
@@ -87,7 +87,7 @@
     pub fn close(&mut self, net: &mut Net, rpcs: usize) {
         let Some(door) = self.door.as_mut().filter(|door| door.closing.is_none()) else { return };
         door.closing = Some(net.now());
-        if let Err(error) = turn_away_newcomers(&door.listener) {
+        if let Err(error) = reject_new_connections(&door.listener) {
             // Those who come between the last look and the close are reset.
             log::warn!(target: PART, error:%; "newcomers cannot be turned away before the door closes: {error}");
         }
--- a/crates/cottonnotch/src/net/driver/audit.rs
+++ b/crates/cottonnotch/src/net/driver/audit.rs
@@ -4,7 +4,7 @@
 use super::calls::Call;
 use super::net::PART;
 use cottonnotch_decision::{Entry, Micros, Outcome, Request, RequestId, ServerId, Settings, Unserved};
-use cottonnotch_proxy_core::{Checked, FinalAnswer, Guard, Violation};
+use cottonnotch_proxy_core::{FinalAnswer, Guard, GuardResult, Violation};
 use cottonnotch_records::MoveReason;
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
@@ -178,7 +178,7 @@
 }
 
 /// Says that a rule was broken; a debug build stops there, unless somebody else may have caused it.
-fn report(checked: Checked, call: &Call) {
+fn report(checked: GuardResult, call: &Call) {
     let Err(violation) = checked else { return };
     let (kind, request) = (violation.name(), call.id.0);
     log::error!(
--- a/crates/cottonnotch/src/net/driver/clients.rs
+++ b/crates/cottonnotch/src/net/driver/clients.rs
@@ -15,7 +15,7 @@
     ClassId, Event, Micros, Outcome, Request, RequestId, ServerId, TenantId, Unserved,
 };
 use cottonnotch_reactor::Key;
-use cottonnotch_reactor::seldom::Seldom;
+use cottonnotch_reactor::rate_limited_log::RateLimitedLog;
 use cottonnotch_records::MoveReason;
 
 /// A connection that was open before the start is tried again after this, until its client gives up.
@@ -26,8 +26,8 @@
 pub struct Clients {
     calls: Calls,
     reopening: Vec<Key>,
-    crowded: Seldom,
-    rejections: Seldom,
+    crowded: RateLimitedLog,
+    rejections: RateLimitedLog,
 }
 
 impl Clients {
--- a/crates/cottonnotch/src/net/driver/clock_file.rs
+++ b/crates/cottonnotch/src/net/driver/clock_file.rs
@@ -6,7 +6,7 @@
 
 use cottonnotch_decision::Micros;
 use cottonnotch_decision::names::digest;
-use cottonnotch_proxy_core::{WallClock, WallEra};
+use cottonnotch_proxy_core::{ClockOffset, WallClock};
 use rustix::time::{ClockId, clock_gettime};
 use std::fs;
 use std::io;
@@ -46,10 +46,10 @@
     /// The wall clock as earlier processes and this one have seen it.
     pub fn load(&self, now: Micros, unix: Micros) -> WallClock {
         let eras = self.path.as_deref().and_then(|path| self.read(path)).unwrap_or_default();
-        WallClock::after(eras, now, unix)
+        WallClock::with_history(eras, now, unix)
     }
 
-    fn read(&self, path: &Path) -> Option<Vec<WallEra>> {
+    fn read(&self, path: &Path) -> Option<Vec<ClockOffset>> {
         let metadata = fs::symlink_metadata(path).ok()?;
         if !metadata.is_file() || metadata.len() > MOST_BYTES {
             return None;
@@ -64,19 +64,19 @@
         lines.map(|line| self.era(line)).collect()
     }
 
-    fn era(&self, line: &str) -> Option<WallEra> {
+    fn era(&self, line: &str) -> Option<ClockOffset> {
         let mut numbers = line.split(' ').map(str::parse::<Micros>);
         let mut next = || numbers.next()?.ok();
         let (offset, from, seen) = (next()?, next()?, next()?);
         let from = (from >= 0).then_some(from + self.shift);
-        Some(WallEra { offset: offset - self.shift, from, seen: seen + self.shift })
+        Some(ClockOffset { offset: offset - self.shift, from, seen: seen + self.shift })
     }
 
     /// Keeps what is known now. Fails as the system's calls do; what was kept before stands then.
     pub fn save(&self, clock: &WallClock) -> io::Result<()> {
         let Some(path) = self.path.as_deref() else { return Ok(()) };
         let mut body = format!("{FORM}\n{}", self.boot);
-        for WallEra { offset, from, seen } in clock.eras() {
+        for ClockOffset { offset, from, seen } in clock.offsets() {
             // Times of the machine's monotonic clock are never negative: that stands for none.
             let from = from.map_or(-1, |from| (from - self.shift).max(0));
             body.push_str(&format!("\n{} {from} {}", offset + self.shift, seen - self.shift));
--- a/crates/cottonnotch/src/net/driver/golden_tests.rs
+++ b/crates/cottonnotch/src/net/driver/golden_tests.rs
@@ -12,7 +12,7 @@
 use cottonnotch_consensus::Role;
 use cottonnotch_decision::{ClassId, Outcome, Request, RequestId, Unserved};
 use cottonnotch_golden::{assert_text, golden_path};
-use cottonnotch_proxy_core::{WallClock, WallEra};
+use cottonnotch_proxy_core::{ClockOffset, WallClock};
 use cottonnotch_reactor::line::TooLong;
 use cottonnotch_records::MoveReason;
 use std::collections::BTreeMap;
@@ -36,16 +36,16 @@
     let path = folder.path().join("cottonnotch-127.0.0.1_8000.clock");
     let file = ClockFile::of_boot(path.clone(), "00000000-1111-2222-3333-444444444444", -5_000_000);
     let eras = vec![
-        WallEra { offset: 1_764_000_000_000_000, from: None, seen: 10_000_000 },
-        WallEra { offset: 1_764_003_600_000_000, from: Some(9_500_000), seen: 20_000_000 },
+        ClockOffset { offset: 1_764_000_000_000_000, from: None, seen: 10_000_000 },
+        ClockOffset { offset: 1_764_003_600_000_000, from: Some(9_500_000), seen: 20_000_000 },
     ];
-    let clock = WallClock::after(eras, 21_000_000, 1_764_003_621_000_000);
+    let clock = WallClock::with_history(eras, 21_000_000, 1_764_003_621_000_000);
     file.save(&clock).unwrap();
     let golden = golden_path!("clock.txt");
     assert_text(&golden, &std::fs::read_to_string(&path).unwrap());
     std::fs::copy(golden, &path).unwrap();
     let read = file.load(22_000_000, 1_764_003_622_000_000);
-    let [first, second] = read.eras().collect::<Vec<_>>()[..] else { panic!("{read:?}") };
+    let [first, second] = read.offsets().collect::<Vec<_>>()[..] else { panic!("{read:?}") };
     assert_eq!((first.offset, first.from, first.seen), (1_764_000_000_000_000, None, 10_000_000));
     assert_eq!((second.offset, second.from), (1_764_003_600_000_000, Some(9_500_000)));
 }
--- a/crates/cottonnotch/src/net/driver/lifecycle.rs
+++ b/crates/cottonnotch/src/net/driver/lifecycle.rs
@@ -9,7 +9,7 @@
 use crate::config::{BadConfig, Config};
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_decision::{Event, Micros, RequestId};
-use cottonnotch_reactor::seldom::Seldom;
+use cottonnotch_reactor::rate_limited_log::RateLimitedLog;
 use std::io;
 use std::net::SocketAddr;
 
@@ -47,7 +47,7 @@
     replacement: Option<Replacement>,
     /// An earlier process serves still; `None`: that could not be told yet.
     has_elder: Option<bool>,
-    hidden: Seldom,
+    hidden: RateLimitedLog,
     began: Micros,
 }
 
@@ -57,7 +57,7 @@
         let began = net.now();
         let place = net.config.mgmt.and_then(|_| shared_file(net.config.listen, "process"));
         let replacement = place.map(|place| Replacement::new(place, began));
-        let (shutdown, hidden) = (None, Seldom::default());
+        let (shutdown, hidden) = (None, RateLimitedLog::default());
         let mut lifecycle = Lifecycle {
             address: net.config.listen,
             reread,
--- a/crates/cottonnotch/src/net/driver/management.rs
+++ b/crates/cottonnotch/src/net/driver/management.rs
@@ -9,7 +9,7 @@
 use crate::net::management::{Answer, Desk};
 use cottonnotch_decision::{Event, Micros};
 use cottonnotch_reactor::Key;
-use cottonnotch_reactor::seldom::Seldom;
+use cottonnotch_reactor::rate_limited_log::RateLimitedLog;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -21,8 +21,8 @@
 pub struct Management {
     desk: Option<Desk>,
     kept: Kept,
-    unread: Seldom,
-    unwritten: Seldom,
+    unread: RateLimitedLog,
+    unwritten: RateLimitedLog,
 }
 
 /// Where a proxy's processes share something: named by the address that they share, so that proxies on one machine don't
@@ -50,7 +50,7 @@
     }
 
     fn at(desk: Option<Desk>, kept: Kept) -> Self {
-        Management { desk, kept, unread: Seldom::default(), unwritten: Seldom::default() }
+        Management { desk, kept, unread: RateLimitedLog::default(), unwritten: RateLimitedLog::default() }
     }
 
     /// Looks for what another process of this proxy was told, and sets the timer of the next look. An event, if that
--- a/crates/cottonnotch/src/net/driver/messages.rs
+++ b/crates/cottonnotch/src/net/driver/messages.rs
@@ -4,11 +4,11 @@
 use super::net::{Net, TICK};
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_decision::{Event, Micros, RequestId, ServerId};
-use cottonnotch_proxy_core::{EVERY, LoadLines, MessageDelays, Note, Told};
+use cottonnotch_proxy_core::{LatencyReport, LoadLine, LoadLines, MessageLatencies, REPORT_INTERVAL};
 
 /// How messages fare.
 pub struct Messages {
-    delays: MessageDelays,
+    delays: MessageLatencies,
     lines: LoadLines,
     /// Lines may tell delays, too.
     tells_delay: bool,
@@ -19,9 +19,9 @@
 impl Messages {
     /// Nothing seen yet. Sets the timer of the first [`Self::tick`].
     pub fn start(net: &mut Net) -> Self {
-        net.timer_in(EVERY, TICK);
+        net.timer_in(REPORT_INTERVAL, TICK);
         let Profile { settings, tells_delay, .. } = &net.config.profile;
-        let delays = MessageDelays::new(settings.nodes, settings.shortest_aim(), settings.weighted);
+        let delays = MessageLatencies::new(settings.nodes, settings.shortest_aim(), settings.weighted);
         let (groups, tells_delay) = (settings.groups, *tells_delay);
         Messages { delays, lines: LoadLines::default(), tells_delay, groups }
     }
@@ -29,7 +29,7 @@
     /// The settings have changed.
     pub fn set(&mut self, Profile { settings, tells_delay, .. }: &Profile) {
         self.tells_delay = *tells_delay;
-        self.delays.set(settings.nodes, settings.shortest_aim(), settings.weighted);
+        self.delays.configure(settings.nodes, settings.shortest_aim(), settings.weighted);
         self.groups = settings.groups;
     }
 
@@ -42,31 +42,31 @@
     }
 
     /// What stands where, and what the other proxies say of theirs.
-    pub fn delays(&mut self) -> &mut MessageDelays {
+    pub fn delays(&mut self) -> &mut MessageLatencies {
         &mut self.delays
     }
 
     /// A connection is up; `setup` is how long that took.
     pub fn opened(&mut self, now: Micros, call: &Call, server: ServerId, setup: Option<Micros>) {
         let group = call.group.filter(|_| self.groups);
-        self.delays.opened(now, call.id, server, group, setup);
+        self.delays.connection_opened(now, call.id, server, group, setup);
     }
 
     /// An RPC is over, up or not.
     pub fn over(&mut self, call: &Call) {
-        self.delays.ended(call.id);
+        self.delays.connection_closed(call.id);
     }
 
     /// A subchannel has told a figure on this connection: its load, or a delay.
     pub fn load(&mut self, now: Micros, call: &Call, figure: f64) -> Option<Event> {
         let told = match call.at {
-            Some((server, _)) if self.tells_delay => self.lines.line(now, server, call.id, figure),
-            _ => Told::Load(figure),
+            Some((server, _)) if self.tells_delay => self.lines.classify(now, server, call.id, figure),
+            _ => LoadLine::Load(figure),
         };
         match (told, call.at) {
-            (Told::Load(load), _) => Some(self.loaded(call.id, load)),
-            (Told::Delay(delay), Some((server, _))) => {
-                let Note { server, delay } = self.delays.told(now, server, delay)?;
+            (LoadLine::Load(load), _) => Some(self.loaded(call.id, load)),
+            (LoadLine::Delay(delay), Some((server, _))) => {
+                let LatencyReport { server, delay } = self.delays.latency_advertised(now, server, delay)?;
                 Some(Event::DelayNote { server, delay })
             }
             _ => None,
@@ -74,21 +74,21 @@
     }
 
     fn loaded(&mut self, request: RequestId, load: f64) -> Event {
-        self.delays.load(request, load);
+        self.delays.load_changed(request, load);
         Event::LoadNote { request, load }
     }
 
     /// A client's line was answered after this long, or is unanswered for that long by now.
     pub fn delayed(&mut self, now: Micros, call: &Call, delay: Micros) {
         if let Some((server, _)) = call.at {
-            self.delays.measured(now, server, delay);
+            self.delays.round_trip_measured(now, server, delay);
         }
     }
 
     /// The notes that are due; sets the next tick's timer.
     pub fn tick(&mut self, net: &mut Net, calls: &Calls) -> Vec<Event> {
         let now = net.now();
-        net.timer_in(EVERY, TICK);
+        net.timer_in(REPORT_INTERVAL, TICK);
         for (key, _) in calls.up() {
             let waited = net.with_front(key, |front, _| front.waiting_for(now)).flatten();
             // A line that is still unanswered shows a delay as well as a late reply does.
@@ -98,8 +98,8 @@
         }
         let settled = self.lines.settle(now);
         let mut events: Vec<Event> = settled.into_iter().map(|(id, load)| self.loaded(id, load)).collect();
-        let note = |Note { server, delay }| Event::DelayNote { server, delay };
-        events.extend(self.delays.notes(now).into_iter().map(note));
+        let note = |LatencyReport { server, delay }| Event::DelayNote { server, delay };
+        events.extend(self.delays.due_reports(now).into_iter().map(note));
         events
     }
 }
--- a/crates/cottonnotch/src/net/driver/mod.rs
+++ b/crates/cottonnotch/src/net/driver/mod.rs
@@ -38,9 +38,9 @@
 use clients::Clients;
 use clock_file::ClockFile;
 use cottonnotch_decision::{Action, Balancer, Event, Micros, Notice, ServerId};
-use cottonnotch_proxy_core::ResolverResult;
+use cottonnotch_proxy_core::EndpointUpdate;
 use cottonnotch_reactor::listener::Binding;
-use cottonnotch_reactor::seldom::Seldom;
+use cottonnotch_reactor::rate_limited_log::RateLimitedLog;
 use cottonnotch_reactor::signals::{SIGHUP, SIGTERM, Signals};
 use cottonnotch_reactor::{Clock, Key, Reactor};
 use cottonnotch_records::{MoveReason, Recorder};
@@ -71,9 +71,9 @@
     lifecycle: Lifecycle,
     peers: Peers,
     management: Management,
-    holding: Seldom,
+    holding: RateLimitedLog,
     /// Said when it can't listen beside an earlier process.
-    shut_out: Seldom,
+    shut_out: RateLimitedLog,
 }
 
 impl Driver {
@@ -127,8 +127,8 @@
             clients: Clients::default(),
             subchannels: Subchannels::default(),
             lifecycle,
-            holding: Seldom::default(),
-            shut_out: Seldom::default(),
+            holding: RateLimitedLog::default(),
+            shut_out: RateLimitedLog::default(),
         };
         // Before the first list: nothing must go to what is out.
         driver.look_for_calls();
@@ -256,7 +256,7 @@
         }
     }
 
-    fn resolved(&mut self, result: ResolverResult, copy: bool) {
+    fn resolved(&mut self, result: EndpointUpdate, copy: bool) {
         let event = self.subchannels.take(&mut self.net, &mut self.messages, result, copy);
         self.tell(Some(event));
         // After the module knows: what is called off now goes elsewhere.
--- a/crates/cottonnotch/src/net/driver/peers.rs
+++ b/crates/cottonnotch/src/net/driver/peers.rs
@@ -11,9 +11,9 @@
 use cottonnotch_aggregation::Settings;
 use cottonnotch_decision::{Event, Micros};
 use cottonnotch_gossip::{Gossip, State};
-use cottonnotch_proxy_core::{Alarm, Input, Local, Output, Roster};
+use cottonnotch_proxy_core::{Input, LocalState, Output, Roster, WakeUpTimer};
 use cottonnotch_reactor::Key;
-use cottonnotch_reactor::seldom::Seldom;
+use cottonnotch_reactor::rate_limited_log::RateLimitedLog;
 use std::io;
 use std::net::SocketAddr;
 
@@ -28,10 +28,10 @@
 struct Member {
     peers: cottonnotch_proxy_core::Peers,
     socket: Key,
-    alarm: Alarm,
+    alarm: WakeUpTimer,
     /// Datagrams that the fleet's member had dropped when that was last told.
     dropped: u64,
-    drops: Seldom,
+    drops: RateLimitedLog,
 }
 
 impl Member {
@@ -75,14 +75,14 @@
     }
 
     fn new(net: &mut Net, peers: cottonnotch_proxy_core::Peers, socket: Key) -> Self {
-        let (alarm, drops) = (Alarm::default(), Seldom::default());
+        let (alarm, drops) = (WakeUpTimer::default(), RateLimitedLog::default());
         let mut member = Member { peers, socket, alarm, dropped: 0, drops };
         member.arm(net);
         member
     }
 
     fn arm(&mut self, net: &mut Net) {
-        if let Some(after) = self.alarm.set(net.now(), self.peers.next_timeout()) {
+        if let Some(after) = self.alarm.arm(net.now(), self.peers.next_timeout()) {
             net.timer_in(after, GOSSIP);
         }
     }
@@ -100,7 +100,7 @@
     }
 
     fn handle(&mut self, net: &Net, around: &mut Around<'_>, input: Input<'_>) {
-        let mut local = Local {
+        let mut local = LocalState {
             delays: around.messages.delays(),
             servers: around.subchannels,
             settings: &net.config.profile.settings,
@@ -221,7 +221,7 @@
 
     /// The timer is due; it may be outdated.
     pub fn timer(&mut self, net: &mut Net, mut around: Around<'_>) -> Vec<Event> {
-        self.member.iter_mut().for_each(|member| member.alarm.rung());
+        self.member.iter_mut().for_each(|member| member.alarm.fired());
         self.hand(net, &mut around, [Input::Tick])
     }
 
--- a/crates/cottonnotch/src/net/driver/subchannels.rs
+++ b/crates/cottonnotch/src/net/driver/subchannels.rs
@@ -7,9 +7,9 @@
 use crate::rules::Kind;
 use cottonnotch_decision::names::{Names, digest};
 use cottonnotch_decision::{Belief, Entry, Event, Listed, Micros, ServerId, ZoneId};
-use cottonnotch_proxy_core::{ResolverResult, Servers};
+use cottonnotch_proxy_core::{EndpointUpdate, Servers};
 use cottonnotch_reactor::Key;
-use cottonnotch_reactor::seldom::Seldom;
+use cottonnotch_reactor::rate_limited_log::RateLimitedLog;
 use cottonnotch_records::Name;
 use std::net::SocketAddr;
 
@@ -66,7 +66,7 @@
     laid_over: Maintenance,
     /// Discovery has been heard of; before, there is what the configuration remembers.
     is_confirmed: bool,
-    losses: Seldom,
+    losses: RateLimitedLog,
 }
 
 impl Subchannels {
@@ -77,10 +77,10 @@
         &mut self,
         net: &mut Net,
         messages: &mut Messages,
-        result: ResolverResult,
+        result: EndpointUpdate,
         copy: bool,
     ) -> Event {
-        let ResolverResult { revision, complete: full, members } = result;
+        let EndpointUpdate { revision, complete: full, members } = result;
         // Before times that were told are looked at: the wall clock may have been stepped since the last second.
         net.observe_wall();
         let now = net.now();
@@ -126,7 +126,7 @@
             subchannel.address = member.address.or(subchannel.address);
             let anew = std::mem::replace(&mut subchannel.up_since, member.up_since) != member.up_since;
             if anew {
-                subchannel.started = member.up_since.map(|unix| net.wall.time_of(now, unix));
+                subchannel.started = member.up_since.map(|unix| net.wall.to_monotonic(now, unix));
             }
             messages.listed(ServerId(number), member.weight, anew);
             entries.push(subchannel.entry(ServerId(number), &self.laid_over));
@@ -189,7 +189,7 @@
         net.observe_wall();
         let now = net.now();
         self.by_hand = by_hand;
-        self.laid_over.follow(&self.by_hand, ids, |unix| net.wall.time_of(now, unix));
+        self.laid_over.follow(&self.by_hand, ids, |unix| net.wall.to_monotonic(now, unix));
         let mut entries = Vec::new();
         for id in ids {
             let is_out = self.by_hand.is_out(id);
--- a/crates/cottonnotch/src/net/happening.rs
+++ b/crates/cottonnotch/src/net/happening.rs
@@ -6,7 +6,7 @@
 use super::management::{Call, Caller};
 use super::objection::Objection;
 use cottonnotch_decision::{Micros, Outcome};
-use cottonnotch_proxy_core::ResolverResult;
+use cottonnotch_proxy_core::EndpointUpdate;
 use cottonnotch_reactor::listener::Listener;
 use cottonnotch_reactor::signals::Signals;
 use cottonnotch_reactor::{Connection, Key, Report};
@@ -69,7 +69,7 @@
     /// A client's line was answered after this long, or is unanswered for that long by now.
     Message { rpc: Key, delay: Micros },
     /// The resolver's list, or changes of it.
-    Resolved { watch: Key, result: ResolverResult },
+    Resolved { watch: Key, result: EndpointUpdate },
     /// The resolver's call failed or its watch is lost; `silent`: it said nothing where a beat was due.
     ResolverLost { watch: Key, silent: bool, why: String },
     /// Datagrams have come from other proxies, each with its sender's address.
--- a/crates/cottonnotch/src/net/management/caller.rs
+++ b/crates/cottonnotch/src/net/management/caller.rs
@@ -5,7 +5,7 @@
 use cottonnotch_decision::Micros;
 use cottonnotch_reactor::http_server::{BadRequest, RequestReader};
 use cottonnotch_reactor::line::{Fill, LineStream};
-use cottonnotch_reactor::{Connection, Key, Leg};
+use cottonnotch_reactor::{Connection, Half, Key};
 use mio::net::TcpStream;
 use std::io;
 
@@ -57,7 +57,7 @@
         io.timer(self.until, self.key, 0);
         // What came after the call is read away: a close with bytes unread would reset the connection, and could take
         // the answer with it.
-        io.call_again(self.key, Leg::Near);
+        io.call_again(self.key, Half::Near);
     }
 
     fn read(&mut self, io: &mut Io) {
@@ -68,13 +68,13 @@
             (Ok(Some(request)), _) => match Call::read(&request) {
                 Ok(call) => {
                     self.state = State::Asked;
-                    io.tell(Happening::Called(self.key, call));
+                    io.report(Happening::Called(self.key, call));
                 }
                 Err(answer) => self.answer(io, &answer),
             },
             (Err(bad), _) => self.answer(io, &bad.into()),
             (Ok(None), Fill::Blocked) => {}
-            (Ok(None), Fill::More) => io.call_again(self.key, Leg::Near),
+            (Ok(None), Fill::More) => io.call_again(self.key, Half::Near),
             // Half a call, and no more to come: it may still read why.
             (Ok(None), Fill::Ended) => self.answer(io, &BadRequest::Malformed.into()),
             (Ok(None), Fill::Broken(_)) => self.state = State::Closed,
@@ -85,19 +85,19 @@
 impl Connection for Caller {
     type Report = Happening;
 
-    fn readable(&mut self, io: &mut Io, _: Leg) {
+    fn readable(&mut self, io: &mut Io, _: Half) {
         match self.state {
             State::Reading(_) => self.read(io),
             State::Answered => match self.stream.discard() {
                 Fill::Ended | Fill::Broken(_) => self.state = State::Closed,
-                Fill::More => io.call_again(self.key, Leg::Near),
+                Fill::More => io.call_again(self.key, Half::Near),
                 Fill::Blocked => {}
             },
             State::Asked | State::Closed => {}
         }
     }
 
-    fn writable(&mut self, _: &mut Io, _: Leg) {
+    fn writable(&mut self, _: &mut Io, _: Half) {
         if self.stream.flush().is_err() {
             self.state = State::Closed;
         }
--- a/crates/cottonnotch/src/net/resolver.rs
+++ b/crates/cottonnotch/src/net/resolver.rs
@@ -4,11 +4,11 @@
 use super::happening::{Happening, Io, Object};
 use cottonnotch_decision::Micros;
 use cottonnotch_decision::list_calls::{SILENT_AFTER, UNTOLD_AFTER};
-use cottonnotch_proxy_core::ResolverResult;
+use cottonnotch_proxy_core::EndpointUpdate;
 use cottonnotch_reactor::http::StreamedResponse;
-use cottonnotch_reactor::json_texts::JsonTexts;
+use cottonnotch_reactor::json_stream::JsonStream;
 use cottonnotch_reactor::line::{Fill, LineStream};
-use cottonnotch_reactor::{Connection, Key, Leg};
+use cottonnotch_reactor::{Connection, Half, Key};
 use std::io;
 use std::net::SocketAddr;
 
@@ -27,7 +27,7 @@
     stream: LineStream,
     connected: bool,
     response: StreamedResponse,
-    texts: JsonTexts,
+    texts: JsonStream,
     asked: Micros,
     /// When its last whole word came, if any did; else when it was asked.
     heard: Micros,
@@ -42,7 +42,7 @@
 impl Watch {
     /// Asks for the changes after a revision.
     pub fn start(discovery: SocketAddr, from: u64, key: Key, io: &mut Io) -> io::Result<Self> {
-        let mut stream = LineStream::connect(discovery, io, key, Leg::Near)?;
+        let mut stream = LineStream::connect(discovery, io, key, Half::Near)?;
         let request = format!(
             "GET /registry/instances?watch=1&from={from} HTTP/1.1\r\nHost: {discovery}\r\n\
              Accept: application/json\r\n\r\n"
@@ -50,7 +50,7 @@
         stream.push(request.as_bytes());
         let heard = io.now();
         io.timer(heard + UNANSWERED, key, 0);
-        let (response, texts) = (StreamedResponse::new(), JsonTexts::new());
+        let (response, texts) = (StreamedResponse::new(), JsonStream::new());
         let (connected, answered, told, lost) = (false, false, false, false);
         Ok(Watch {
             key,
@@ -85,7 +85,7 @@
     fn lose_as(&mut self, io: &mut Io, silent: bool, why: impl ToString) {
         if !self.lost {
             self.lost = true;
-            io.tell(Happening::ResolverLost { watch: self.key, silent, why: why.to_string() });
+            io.report(Happening::ResolverLost { watch: self.key, silent, why: why.to_string() });
         }
     }
 
@@ -105,8 +105,8 @@
             }
         }
         for mut text in texts {
-            match ResolverResult::parse(&mut text) {
-                Ok(result) => io.tell(Happening::Resolved { watch: self.key, result }),
+            match EndpointUpdate::parse(&mut text) {
+                Ok(result) => io.report(Happening::Resolved { watch: self.key, result }),
                 // A bad list is dropped whole and counts as a failed call: the next watch begins at the
                 // last revision that was taken.
                 Err(error) => return self.lose(io, format!("a bad list: {error}")),
@@ -135,7 +135,7 @@
 impl Connection for Watch {
     type Report = Happening;
 
-    fn readable(&mut self, io: &mut Io, _: Leg) {
+    fn readable(&mut self, io: &mut Io, _: Half) {
         let fill = self.stream.fill();
         let bytes = self.stream.take_rest();
         if !bytes.is_empty() {
@@ -143,14 +143,14 @@
         }
         match fill {
             Fill::Blocked => {}
-            Fill::More => io.call_again(self.key, Leg::Near),
+            Fill::More => io.call_again(self.key, Half::Near),
             Fill::Ended => self.end(io, "the connection has ended"),
             Fill::Broken(error) if self.connected => self.lose(io, error),
             Fill::Broken(_) => {}
         }
     }
 
-    fn writable(&mut self, io: &mut Io, _: Leg) {
+    fn writable(&mut self, io: &mut Io, _: Half) {
         if !self.connected {
             match self.stream.connected() {
                 Ok(connected) => self.connected = connected,
--- a/crates/cottonnotch/src/net/rpc.rs
+++ b/crates/cottonnotch/src/net/rpc.rs
@@ -8,7 +8,7 @@
 use super::relay::{Pass, Relay, Seen};
 use cottonnotch_decision::{Micros, Outcome};
 use cottonnotch_reactor::line::{Fill, LineStream, MAX_LINE, trim_end};
-use cottonnotch_reactor::{Connection, Key, Leg};
+use cottonnotch_reactor::{Connection, Half, Key};
 use std::fmt::Display;
 use std::net::SocketAddr;
 
@@ -87,14 +87,14 @@
         };
         io.timer(until, self.key, CLOSE);
         // What came with the line is read away, and more that comes: an edge is told once.
-        io.call_again(self.key, Leg::Near);
+        io.call_again(self.key, Half::Near);
     }
 
     /// Turns a client away with an error. Guards against rubbish: it costs one line and is never passed on,
     /// where a subchannel would answer SYNTAX, or an error that looks like the subchannel's own trouble.
     fn reject(&mut self, io: &mut Io, why: Objection) {
         self.answer(io, &format!("ERR {why}\r\n"));
-        io.tell(Happening::TurnedAway { rpc: self.key, why });
+        io.report(Happening::TurnedAway { rpc: self.key, why });
     }
 
     /// The client waits for an attempt or its answer. Guards against a second answer: it may have left, or have been
@@ -124,7 +124,7 @@
                 Err(error) => return self.reject(io, error.into()),
                 Ok(None) => match fill {
                     Fill::Blocked => return,
-                    Fill::More => return io.call_again(self.key, Leg::Near),
+                    Fill::More => return io.call_again(self.key, Half::Near),
                     Fill::Ended | Fill::Broken(_) => {
                         self.state = State::Closed;
                         return;
@@ -142,9 +142,9 @@
                 self.deadline = wish.left.map(|left| io.now() + left);
                 self.line = Some(line);
                 self.state = State::Held;
-                io.tell(Happening::Asked(self.key, wish));
+                io.report(Happening::Asked(self.key, wish));
                 // The client's end may have come with the line; an edge is told once.
-                io.call_again(self.key, Leg::Near);
+                io.call_again(self.key, Half::Near);
             }
             Err(error) => self.reject(io, error.into()),
         }
@@ -164,11 +164,11 @@
             // is told: one that reads on hears it, and one that left doesn't.
             Fill::Ended => {
                 self.answer(io, "ERR the client has ended its sending\r\n");
-                io.tell(Happening::ClientGone { rpc: self.key, outcome });
+                io.report(Happening::ClientGone { rpc: self.key, outcome });
             }
             Fill::Broken(_) => {
                 self.state = State::Closed;
-                io.tell(Happening::ClientGone { rpc: self.key, outcome });
+                io.report(Happening::ClientGone { rpc: self.key, outcome });
             }
             Fill::Blocked | Fill::More if self.client.has_input() => self.reject(io, Objection::TooMuch),
             Fill::Blocked | Fill::More => {}
@@ -193,11 +193,11 @@
         let State::Attempting(attempt) = &mut self.state else { return };
         let progress = attempt.advance(io.now());
         if attempt.newly_written() {
-            io.tell(Happening::Written { rpc: self.key });
+            io.report(Happening::Written { rpc: self.key });
         }
         match progress {
             Progress::Pending => {}
-            Progress::Again => io.call_again(self.key, Leg::Far),
+            Progress::Again => io.call_again(self.key, Half::Far),
             Progress::Ended(outcome) => self.attempt_ended(io, outcome),
             Progress::Up(line) => {
                 let elapsed = attempt.elapsed(io.now());
@@ -207,10 +207,10 @@
                     return;
                 };
                 self.state = State::Up(Box::new(Relay::new(attempt.into_link(), io.now())));
-                io.tell(Happening::Up { rpc: self.key, elapsed });
+                io.report(Happening::Up { rpc: self.key, elapsed });
                 // Either side may have sent more already.
-                self.relay(io, Leg::Far);
-                self.relay(io, Leg::Near);
+                self.relay(io, Half::Far);
+                self.relay(io, Half::Near);
             }
         }
     }
@@ -219,23 +219,23 @@
         // Dropping the attempt closes its connection: never two attempts out.
         log::trace!(client:? = self.key, outcome:?; "client {:?}: call attempt ended as {outcome:?}", self.key);
         self.state = State::Held;
-        io.tell(Happening::AttemptEnded { rpc: self.key, outcome });
+        io.report(Happening::AttemptEnded { rpc: self.key, outcome });
     }
 
-    fn relay(&mut self, io: &mut Io, from: Leg) {
+    fn relay(&mut self, io: &mut Io, from: Half) {
         let State::Up(relay) = &mut self.state else { return };
         let now = io.now();
         let idle = relay.waiting_for(now).is_none();
         let mut seen = Vec::new();
         let pass = match from {
-            Leg::Near => relay.pass_client(&mut self.client, now),
-            Leg::Far => relay.pass_subchannel(&mut self.client, now, &mut seen),
+            Half::Near => relay.pass_client(&mut self.client, now),
+            Half::Far => relay.pass_subchannel(&mut self.client, now, &mut seen),
         };
         if idle && relay.waiting_for(now).is_some() {
             io.timer(now + SILENT, self.key, SILENCE);
         }
         for seen in seen {
-            io.tell(match seen {
+            io.report(match seen {
                 Seen::Load(load) => Happening::Load { rpc: self.key, load },
                 Seen::Answered(delay) => Happening::Message { rpc: self.key, delay },
             });
@@ -249,7 +249,7 @@
                 let address = self.at.map_or("-".to_owned(), |at| at.to_string());
                 log::warn!(rpc, address; "subchannel sent a line of over {MAX_LINE} bytes, client moved");
                 self.move_away(io);
-                io.tell(Happening::Ended { rpc: self.key, outcome: Outcome::Reset });
+                io.report(Happening::Ended { rpc: self.key, outcome: Outcome::Reset });
             }
             Pass::Over { outcome, reset } => self.over(io, outcome, reset),
         }
@@ -257,7 +257,7 @@
 
     /// The connection is over; the client's side ends as the subchannel's did.
     fn over(&mut self, io: &mut Io, outcome: Outcome, reset: bool) {
-        io.tell(Happening::Ended { rpc: self.key, outcome });
+        io.report(Happening::Ended { rpc: self.key, outcome });
         if reset {
             self.client.reset();
             self.state = State::Closed;
@@ -278,15 +278,15 @@
 impl Connection for Rpc {
     type Report = Happening;
 
-    fn readable(&mut self, io: &mut Io, leg: Leg) {
+    fn readable(&mut self, io: &mut Io, leg: Half) {
         match (&self.state, leg) {
-            (State::Reading { .. }, Leg::Near) => self.first_line(io),
-            (State::Held | State::Attempting(_), Leg::Near) => self.watch_client(io),
-            (State::Attempting(_), Leg::Far) => self.advance(io),
+            (State::Reading { .. }, Half::Near) => self.first_line(io),
+            (State::Held | State::Attempting(_), Half::Near) => self.watch_client(io),
+            (State::Attempting(_), Half::Far) => self.advance(io),
             (State::Up(_), leg) => self.relay(io, leg),
-            (State::Answered { .. }, Leg::Near) => match self.client.discard() {
+            (State::Answered { .. }, Half::Near) => match self.client.discard() {
                 Fill::Ended | Fill::Broken(_) => self.state = State::Closed,
-                Fill::More => io.call_again(self.key, Leg::Near),
+                Fill::More => io.call_again(self.key, Half::Near),
                 Fill::Blocked => {}
             },
             // Left over from an attempt that is closed.
@@ -294,25 +294,25 @@
         }
     }
 
-    fn writable(&mut self, io: &mut Io, leg: Leg) {
+    fn writable(&mut self, io: &mut Io, leg: Half) {
         match (&mut self.state, leg) {
-            (State::Attempting(_), Leg::Far) => self.advance(io),
-            (State::Up(relay), Leg::Far) => {
+            (State::Attempting(_), Half::Far) => self.advance(io),
+            (State::Up(relay), Half::Far) => {
                 relay.flush();
                 // The client may have been left unread while this side was full.
-                io.call_again(self.key, Leg::Near);
+                io.call_again(self.key, Half::Near);
             }
-            (State::Up(_), Leg::Near) => {
+            (State::Up(_), Half::Near) => {
                 // A broken connection is found by reading.
                 let _ = self.client.flush();
-                io.call_again(self.key, Leg::Far);
+                io.call_again(self.key, Half::Far);
             }
-            (_, Leg::Near) => {
+            (_, Half::Near) => {
                 if self.client.flush().is_err() && matches!(self.state, State::Answered { .. }) {
                     self.state = State::Closed;
                 }
             }
-            (_, Leg::Far) => {}
+            (_, Half::Far) => {}
         }
     }
 
@@ -346,15 +346,15 @@
                         "subchannel silent for {waited_ms} ms, client moved"
                     );
                     self.move_away(io);
-                    io.tell(Happening::Silent { rpc: self.key });
-                    io.tell(Happening::Ended { rpc: self.key, outcome: Outcome::Reset });
+                    io.report(Happening::Silent { rpc: self.key });
+                    io.report(Happening::Ended { rpc: self.key, outcome: Outcome::Reset });
                 }
                 Some(waited) => io.timer(now + SILENT - waited, self.key, SILENCE),
                 None => {}
             },
             (CLOSE, State::Answered { until }) if *until <= now => self.state = State::Closed,
             (FAR_END, State::Up(_)) => {
-                io.tell(Happening::Ended { rpc: self.key, outcome: Outcome::Cancelled });
+                io.report(Happening::Ended { rpc: self.key, outcome: Outcome::Cancelled });
                 self.state = State::Closed;
             }
             _ => {}
--- a/crates/cottonnotch/src/rules/agent.rs
+++ b/crates/cottonnotch/src/rules/agent.rs
@@ -11,7 +11,7 @@
 use super::server::Serving;
 use super::worker::Job;
 use cottonnotch_consensus::{Config, Input, Member};
-use cottonnotch_proxy_core::envelope::Seal;
+use cottonnotch_proxy_core::envelope::EnvelopeKey;
 use std::io;
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
 use std::path::PathBuf;
@@ -87,7 +87,7 @@
 pub struct Parts {
     pub listen: SocketAddr,
     pub members: Vec<SocketAddr>,
-    pub seal: Seal,
+    pub seal: EnvelopeKey,
     pub state_folder: Option<PathBuf>,
     pub first_start: bool,
     pub config: Config,
--- a/crates/cottonnotch/src/rules/member.rs
+++ b/crates/cottonnotch/src/rules/member.rs
@@ -7,8 +7,8 @@
 use super::recall::{HELD, MEMORY};
 use super::worker::Job;
 use cottonnotch_consensus::{Hash, Input, Member, Message, Micros, Output, Right, Topic};
-use cottonnotch_proxy_core::Embedder;
-use cottonnotch_proxy_core::envelope::MOST_BYTES;
+use cottonnotch_proxy_core::MemberDriver;
+use cottonnotch_proxy_core::envelope::MAX_DATAGRAM_BYTES;
 use std::io;
 use std::net::UdpSocket;
 use std::sync::mpsc::Receiver;
@@ -29,7 +29,7 @@
     pub told: Option<(Option<Hash>, bool)>,
 }
 
-impl Embedder for Thread<'_> {
+impl MemberDriver for Thread<'_> {
     type Member = Member;
     type Error = io::Error;
 
@@ -37,7 +37,7 @@
         &mut self.member
     }
 
-    fn carry_out(&mut self, _: Micros, output: Output) -> io::Result<()> {
+    fn execute(&mut self, _: Micros, output: Output) -> io::Result<()> {
         match output {
             Output::Send { to, message } => self.send(to, message),
             Output::Save(memory) => {
@@ -62,22 +62,24 @@
 impl Thread<'_> {
     /// Runs until it is told to stop, or until something fails on which the accord rests.
     pub fn run(&mut self, commands: &Receiver<Input>) -> io::Result<()> {
-        let mut buffer = [0; MOST_BYTES + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             while let Ok(input) = commands.try_recv() {
-                self.hand(Clock.now(), input)?;
+                self.handle_input(Clock.now(), input)?;
             }
             if self.agent.is_stopped() {
                 return Ok(());
             }
-            self.hand_time(Clock.now())?;
+            self.handle_timeout(Clock.now())?;
             self.look();
             let wait = (self.member.next_timeout() - Clock.now()).clamp(1_000, 1_000_000);
             self.socket.set_read_timeout(Some(Duration::from_micros(wait as u64)))?;
             match self.socket.recv_from(&mut buffer) {
                 Ok((length, _)) if buffer[..length] == *WAKE => {}
                 Ok((length, _)) => match self.parts.seal.open(&buffer[..length]) {
-                    Ok((from, message)) => self.hand(Clock.now(), Input::Message { from, message })?,
+                    Ok((from, message)) => {
+                        self.handle_input(Clock.now(), Input::Message { from, message })?
+                    }
                     Err(error) => {
                         self.parts.board.seen().strays += 1;
                         log::debug!("datagram dropped: {error}");
@@ -98,7 +100,7 @@
 
     fn send(&self, to: u16, message: Message) {
         let Some(address) = self.parts.members.get(usize::from(to)) else { return };
-        let sent = match self.parts.seal.close(to, message) {
+        let sent = match self.parts.seal.seal(to, message) {
             Ok(bytes) => self.socket.send_to(&bytes, address).map(|_| ()),
             Err(error) => Err(io::Error::other(error)),
         };
--- a/crates/cottonnotch/src/rules/settings.rs
+++ b/crates/cottonnotch/src/rules/settings.rs
@@ -4,7 +4,7 @@
 use super::folder::{BadFolder, faulty, read_folder};
 use crate::config::Operator;
 use cottonnotch_decision::settings::Profile;
-use cottonnotch_proxy_core::envelope::Seal;
+use cottonnotch_proxy_core::envelope::EnvelopeKey;
 use cottonnotch_routing_rules::{BadFile, File, World};
 use cottonnotch_rule_compiler::Profiles;
 use std::collections::BTreeSet;
@@ -17,7 +17,7 @@
     /// What each hardware class can run.
     pub profiles: Profiles,
     /// How the others are agreed with, if they are.
-    pub accord: Option<(AccordSettings, Seal)>,
+    pub accord: Option<(AccordSettings, EnvelopeKey)>,
     root: String,
     connections: u64,
 }
@@ -63,7 +63,8 @@
             let path = settings.key_file.display().to_string();
             let text = std::fs::read(&settings.key_file)
                 .map_err(|error| BadRules::NoKey { path: path.clone(), error })?;
-            let seal = Seal::new(&text, &settings.cluster, settings.me).ok_or(BadRules::BadKey(path))?;
+            let seal =
+                EnvelopeKey::new(&text, &settings.cluster, settings.me).ok_or(BadRules::BadKey(path))?;
             Ok::<_, BadRules>((settings, seal))
         };
         let accord = accord.map(sealed).transpose()?;
--- a/crates/kit/src/bad_proxy/beside.rs
+++ b/crates/kit/src/bad_proxy/beside.rs
@@ -3,7 +3,7 @@
 use super::report::{Io, Object, Report};
 use crate::time::{MS, Micros};
 use cottonnotch_reactor::line::LineStream;
-use cottonnotch_reactor::{Connection, Key, Leg};
+use cottonnotch_reactor::{Connection, Half, Key};
 use std::io;
 use std::net::SocketAddr;
 
@@ -20,7 +20,7 @@
 impl Beside {
     /// Begins it; `line` is the whole first line.
     pub fn start(address: SocketAddr, line: &[u8], key: Key, io: &mut Io) -> io::Result<Self> {
-        let mut link = LineStream::connect(address, io, key, Leg::Near)?;
+        let mut link = LineStream::connect(address, io, key, Half::Near)?;
         link.push(line);
         io.timer(io.now() + OUT, key, 0);
         Ok(Beside { link, over: false })
@@ -32,11 +32,11 @@
 impl Connection for Beside {
     type Report = Report;
 
-    fn readable(&mut self, _: &mut Io, _: Leg) {
+    fn readable(&mut self, _: &mut Io, _: Half) {
         self.link.discard();
     }
 
-    fn writable(&mut self, _: &mut Io, _: Leg) {
+    fn writable(&mut self, _: &mut Io, _: Half) {
         let written = self.link.connected().and_then(|up| if up { self.link.flush() } else { Ok(true) });
         self.over |= written.is_err();
     }
--- a/crates/kit/src/bad_proxy/relay.rs
+++ b/crates/kit/src/bad_proxy/relay.rs
@@ -3,7 +3,7 @@
 use super::report::Io;
 use crate::time::Micros;
 use cottonnotch_reactor::line::{Fill, LineStream, trim_end};
-use cottonnotch_reactor::{Key, Leg};
+use cottonnotch_reactor::{Half, Key};
 use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
@@ -44,7 +44,7 @@
 
 impl Attempt {
     pub fn start(order: Order, key: Key, io: &mut Io) -> io::Result<Self> {
-        let mut link = LineStream::connect(order.address, io, key, Leg::Far)?;
+        let mut link = LineStream::connect(order.address, io, key, Half::Far)?;
         link.push(&order.line);
         Ok(Attempt { link, connected: false, order })
     }
--- a/crates/kit/src/bad_proxy/session.rs
+++ b/crates/kit/src/bad_proxy/session.rs
@@ -6,7 +6,7 @@
 use super::report::{Io, Object, Report};
 use crate::time::{MS, Micros, S};
 use cottonnotch_reactor::line::{Fill, LineStream, trim_end};
-use cottonnotch_reactor::{Connection, Key, Leg};
+use cottonnotch_reactor::{Connection, Half, Key};
 use mio::net::TcpStream;
 use std::io;
 
@@ -102,7 +102,7 @@
         io.timer(order.until, self.key, ATTEMPT);
         match Attempt::start(order, self.key, io) {
             Ok(attempt) => self.state = State::Trying(Box::new(attempt)),
-            Err(_) => io.tell(Report::AttemptOver(self.key)),
+            Err(_) => io.report(Report::AttemptOver(self.key)),
         }
     }
 
@@ -150,7 +150,7 @@
         if let Some(until) = until {
             io.timer(until, self.key, FAULT);
         }
-        io.call_again(self.key, Leg::Near);
+        io.call_again(self.key, Half::Near);
     }
 
     /// For the fault: serves the client without a render node.
@@ -159,7 +159,7 @@
         self.client.push(format!("UP {:016}\r\n", io.now()).as_bytes());
         self.client.take_rest();
         self.state = State::Pretending;
-        io.call_again(self.key, Leg::Near);
+        io.call_again(self.key, Half::Near);
     }
 
     /// For the fault: closes without a word.
@@ -175,7 +175,7 @@
         self.state = if self.client.flush().is_ok() { State::Ending } else { State::Gone };
         io.timer(io.now() + LINGER_FOR, self.key, LINGER);
         // What else it sent is read away: a close with bytes unread could take the last line with it.
-        io.call_again(self.key, Leg::Near);
+        io.call_again(self.key, Half::Near);
     }
 
     fn first_line(&mut self, io: &mut Io) {
@@ -194,7 +194,7 @@
                 (Ok(Some(line)), _) => return self.opened(io, trim_end(&line)),
                 (Err(error), _) => return self.reject(io, &error.to_string()),
                 (Ok(None), Fill::Blocked) => return,
-                (Ok(None), Fill::More) => return io.call_again(self.key, Leg::Near),
+                (Ok(None), Fill::More) => return io.call_again(self.key, Half::Near),
                 (Ok(None), _) => return self.state = State::Gone,
             }
         }
@@ -205,7 +205,7 @@
             Err(error) => self.reject(io, &error.to_string()),
             Ok(line) => {
                 self.state = State::Waiting;
-                io.tell(Report::Asked(self.key, line));
+                io.report(Report::Asked(self.key, line));
                 // More, or the client's end, may have come with the line; an edge is told once.
                 self.watch_client(io);
             }
@@ -230,15 +230,15 @@
                 self.client.push(&line);
                 let State::Trying(attempt) = std::mem::replace(&mut self.state, State::Gone) else { return };
                 self.state = State::Up(Box::new(attempt.into_relay()));
-                io.tell(Report::Up(self.key));
+                io.report(Report::Up(self.key));
                 match self.fault {
                     Some(Fault::AnswersTwice) => io.timer(io.now() + SECOND_ANSWER, self.key, FAULT),
                     Some(Fault::CutsWithoutMove) => io.timer(io.now() + CUT, self.key, FAULT),
                     _ => {}
                 }
                 // Either side may have sent more already.
-                self.relay(io, Leg::Far);
-                self.relay(io, Leg::Near);
+                self.relay(io, Half::Far);
+                self.relay(io, Half::Near);
             }
         }
     }
@@ -246,13 +246,13 @@
     fn attempt_over(&mut self, io: &mut Io) {
         // This closes it: the next one goes out after that.
         self.state = State::Waiting;
-        io.tell(Report::AttemptOver(self.key));
+        io.report(Report::AttemptOver(self.key));
     }
 
-    fn relay(&mut self, io: &mut Io, from: Leg) {
+    fn relay(&mut self, io: &mut Io, from: Half) {
         let State::Up(relay) = &mut self.state else { return };
         let now = io.now();
-        if from == Leg::Near && self.fault == Some(Fault::HoldsLine) {
+        if from == Half::Near && self.fault == Some(Fault::HoldsLine) {
             if self.hold == Hold::NotYet {
                 // An end without a line is passed on below, as usual.
                 self.client.fill();
@@ -266,10 +266,10 @@
             }
         }
         let pass = match from {
-            Leg::Near => relay.pass_client(&mut self.client, now),
-            Leg::Far => relay.pass_node(&mut self.client),
+            Half::Near => relay.pass_client(&mut self.client, now),
+            Half::Far => relay.pass_node(&mut self.client),
         };
-        if from == Leg::Near && relay.waiting_since().is_some() {
+        if from == Half::Near && relay.waiting_since().is_some() {
             io.timer(now + SILENT_FOR, self.key, SILENCE);
         }
         match pass {
@@ -281,7 +281,7 @@
             Pass::NodeEnded { reset } if self.fault == Some(Fault::KeepsEnded) => {
                 self.state = State::Kept { reset };
                 io.timer(now + KEPT, self.key, FAULT);
-                io.call_again(self.key, Leg::Near);
+                io.call_again(self.key, Half::Near);
             }
             Pass::NodeEnded { reset } => self.node_ended(io, reset),
         }
@@ -307,7 +307,7 @@
             _ if broken => self.state = State::Gone,
             Fill::Blocked => {}
             Fill::More if self.client.is_full() => self.state = State::Gone,
-            Fill::More => io.call_again(self.key, Leg::Near),
+            Fill::More => io.call_again(self.key, Half::Near),
             Fill::Ended | Fill::Broken(_) => self.end(io, ""),
         }
     }
@@ -316,7 +316,7 @@
     fn discard(&mut self, io: &mut Io) {
         match (self.client.discard(), &self.state) {
             (Fill::Blocked, _) => {}
-            (Fill::More, _) => io.call_again(self.key, Leg::Near),
+            (Fill::More, _) => io.call_again(self.key, Half::Near),
             // Its last lines may not all be written; it has only ended its own sending.
             (Fill::Ended, State::Ending) if matches!(self.client.flush(), Ok(false)) => {}
             _ => self.state = State::Gone,
@@ -327,34 +327,34 @@
 impl Connection for Session {
     type Report = Report;
 
-    fn readable(&mut self, io: &mut Io, leg: Leg) {
+    fn readable(&mut self, io: &mut Io, leg: Half) {
         match (&self.state, leg) {
-            (State::Reading { .. }, Leg::Near) => self.first_line(io),
-            (State::Waiting | State::Trying(_), Leg::Near) => self.watch_client(io),
-            (State::Trying(_), Leg::Far) => self.advance(io),
+            (State::Reading { .. }, Half::Near) => self.first_line(io),
+            (State::Waiting | State::Trying(_), Half::Near) => self.watch_client(io),
+            (State::Trying(_), Half::Far) => self.advance(io),
             (State::Up(_), leg) => self.relay(io, leg),
-            (State::Pretending, Leg::Near) => self.echo(io),
-            (State::Ending | State::Mute | State::Kept { .. }, Leg::Near) => self.discard(io),
+            (State::Pretending, Half::Near) => self.echo(io),
+            (State::Ending | State::Mute | State::Kept { .. }, Half::Near) => self.discard(io),
             // Left over from what is closed.
             (_, _) => {}
         }
     }
 
-    fn writable(&mut self, io: &mut Io, leg: Leg) {
+    fn writable(&mut self, io: &mut Io, leg: Half) {
         match (&mut self.state, leg) {
-            (State::Trying(_), Leg::Far) => self.advance(io),
-            (State::Up(relay), Leg::Far) => {
+            (State::Trying(_), Half::Far) => self.advance(io),
+            (State::Up(relay), Half::Far) => {
                 relay.flush();
                 // The client was left unread while this side was full.
-                io.call_again(self.key, Leg::Near);
+                io.call_again(self.key, Half::Near);
             }
-            (_, Leg::Near) => {
+            (_, Half::Near) => {
                 // A broken connection is found by reading.
                 let _ = self.client.flush();
-                io.call_again(self.key, Leg::Near);
-                io.call_again(self.key, Leg::Far);
+                io.call_again(self.key, Half::Near);
+                io.call_again(self.key, Half::Far);
             }
-            (_, Leg::Far) => {}
+            (_, Half::Far) => {}
         }
     }
 
@@ -380,7 +380,7 @@
                 Some(Fault::CutsWithoutMove) => self.end(io, ""),
                 _ => {
                     self.hold = Hold::Released;
-                    io.call_again(self.key, Leg::Near);
+                    io.call_again(self.key, Half::Near);
                 }
             },
             (FAULT, State::Mute) => self.state = State::Gone,
@@ -397,7 +397,7 @@
     }
 
     fn closed(&mut self, io: &mut Io) {
-        io.tell(Report::Gone(self.key));
+        io.report(Report::Gone(self.key));
     }
 }
 
--- a/crates/kit/src/bad_proxy/watch.rs
+++ b/crates/kit/src/bad_proxy/watch.rs
@@ -4,9 +4,9 @@
 use super::report::{Io, Object, Report};
 use crate::time::{Micros, S};
 use cottonnotch_reactor::http::StreamedResponse;
-use cottonnotch_reactor::json_texts::JsonTexts;
+use cottonnotch_reactor::json_stream::JsonStream;
 use cottonnotch_reactor::line::{Fill, LineStream};
-use cottonnotch_reactor::{Connection, Key, Leg};
+use cottonnotch_reactor::{Connection, Half, Key};
 use std::io;
 use std::net::SocketAddr;
 
@@ -20,7 +20,7 @@
     key: Key,
     stream: LineStream,
     response: StreamedResponse,
-    texts: JsonTexts,
+    texts: JsonStream,
     heard: Micros,
     lost: bool,
 }
@@ -28,7 +28,7 @@
 impl Watch {
     /// Asks for the changes after a revision.
     pub fn start(discovery: SocketAddr, from: u64, key: Key, io: &mut Io) -> io::Result<Self> {
-        let mut stream = LineStream::connect(discovery, io, key, Leg::Near)?;
+        let mut stream = LineStream::connect(discovery, io, key, Half::Near)?;
         let request =
             format!("GET /registry/instances?watch=1&from={from} HTTP/1.1\r\nHost: {discovery}\r\n\r\n");
         stream.push(request.as_bytes());
@@ -38,7 +38,7 @@
             key,
             stream,
             response: StreamedResponse::new(),
-            texts: JsonTexts::new(),
+            texts: JsonStream::new(),
             heard,
             lost: false,
         })
@@ -47,7 +47,7 @@
     fn lose(&mut self, io: &mut Io) {
         if !self.lost {
             self.lost = true;
-            io.tell(Report::WatchLost(self.key));
+            io.report(Report::WatchLost(self.key));
         }
     }
 }
@@ -57,7 +57,7 @@
 impl Connection for Watch {
     type Report = Report;
 
-    fn readable(&mut self, io: &mut Io, _: Leg) {
+    fn readable(&mut self, io: &mut Io, _: Half) {
         let fill = self.stream.fill();
         let bytes = self.stream.take_rest();
         if !bytes.is_empty() {
@@ -68,21 +68,21 @@
         let sound = self.texts.feed(&body, &mut texts).is_ok() && sound;
         for mut text in texts {
             match List::parse(&mut text) {
-                Ok(list) => io.tell(Report::Listed(self.key, list)),
+                Ok(list) => io.report(Report::Listed(self.key, list)),
                 // Taken whole or not at all; the next watch begins at the last list that was.
                 Err(_) => return self.lose(io),
             }
         }
         match (sound, fill) {
             (true, Fill::Blocked) => {}
-            (true, Fill::More) => io.call_again(self.key, Leg::Near),
+            (true, Fill::More) => io.call_again(self.key, Half::Near),
             // Before the connection stands, `writable` finds out.
             (true, Fill::Broken(error)) if error.kind() == io::ErrorKind::NotConnected => {}
             _ => self.lose(io),
         }
     }
 
-    fn writable(&mut self, io: &mut Io, _: Leg) {
+    fn writable(&mut self, io: &mut Io, _: Half) {
         let written = self.stream.connected().and_then(|up| if up { self.stream.flush() } else { Ok(true) });
         if written.is_err() {
             self.lose(io);
--- a/crates/kit/src/emulator/clients.rs
+++ b/crates/kit/src/emulator/clients.rs
@@ -9,7 +9,7 @@
 use crate::plan::{Plan, SessionId, What};
 use crate::time::{MS, Micros};
 use cottonnotch_reactor::line::{Fill, LineStream, TooLong, trim_end};
-use cottonnotch_reactor::{Connection, Io, Key, Leg, Reactor, Report};
+use cottonnotch_reactor::{Connection, Half, Io, Key, Reactor, Report};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::io;
@@ -75,10 +75,10 @@
         self.session.handle(io.now(), input, &|proxy| board.is_admitted(proxy), &mut out);
         for output in out {
             match output {
-                Output::Note(observation) => io.tell(Told::Note(observation)),
+                Output::Note(observation) => io.report(Told::Note(observation)),
                 Output::Connect(proxy) => {
                     let address = self.shared.addresses.proxy(proxy);
-                    match LineStream::connect(address, io, self.key, Leg::Near) {
+                    match LineStream::connect(address, io, self.key, Half::Near) {
                         Ok(stream) => self.link = Link::Connecting(stream),
                         Err(error) => {
                             log::debug!("no connection to {address}: {error}");
@@ -108,11 +108,11 @@
         if was != is {
             if let Some((request, _)) = was {
                 board.closed(request);
-                io.tell(Told::Standing(-1));
+                io.report(Told::Standing(-1));
             }
             if let Some((request, proxy)) = is {
                 board.opened(request, proxy);
-                io.tell(Told::Standing(1));
+                io.report(Told::Standing(1));
             }
         }
         self.flush(io);
@@ -130,7 +130,7 @@
                     if let Link::Opening(stream) = std::mem::replace(&mut self.link, Link::None) {
                         self.link = Link::Open(stream);
                         // An edge is told once: what came before the first line was out is still to be read.
-                        io.call_again(self.key, Leg::Near);
+                        io.call_again(self.key, Half::Near);
                     }
                     self.step(io, Input::Written);
                 }
@@ -146,7 +146,7 @@
 impl Connection for Client {
     type Report = Told;
 
-    fn readable(&mut self, io: &mut Io<Told>, leg: Leg) {
+    fn readable(&mut self, io: &mut Io<Told>, leg: Half) {
         let Link::Open(stream) = &mut self.link else { return };
         let fill = stream.fill();
         while let Link::Open(stream) = &mut self.link {
@@ -169,7 +169,7 @@
         }
     }
 
-    fn writable(&mut self, io: &mut Io<Told>, _: Leg) {
+    fn writable(&mut self, io: &mut Io<Told>, _: Half) {
         if let Link::Connecting(stream) = &mut self.link {
             match stream.connected() {
                 Ok(false) => return,
--- a/crates/kit/src/emulator/discovery_connection.rs
+++ b/crates/kit/src/emulator/discovery_connection.rs
@@ -6,7 +6,7 @@
 use crate::time::{MS, Micros};
 use cottonnotch_reactor::line::{Fill, LineStream};
 use cottonnotch_reactor::listener::Listener;
-use cottonnotch_reactor::{Connection, Io, Key, Leg};
+use cottonnotch_reactor::{Connection, Half, Io, Key};
 use mio::net::TcpStream;
 use std::collections::VecDeque;
 use std::io;
@@ -159,7 +159,7 @@
             Ok(true) => {
                 let (key, at) = (self.key, io.now());
                 for tells in self.pushed.drain(..) {
-                    io.tell(Report::Written { key, tells, at });
+                    io.report(Report::Written { key, tells, at });
                 }
                 if self.closing && self.pieces.is_empty() {
                     // Closes as soon as the other side has read it and ended: a reset could overtake what is written.
@@ -195,14 +195,14 @@
         let Some(call) = call(query) else { return self.refuse("400 Bad Request", io) };
         self.raw.drain(..used);
         self.busy = true;
-        io.tell(Report::Call(self.key, call));
+        io.report(Report::Call(self.key, call));
     }
 }
 
 impl Connection for DiscoveryConnection {
     type Report = Report;
 
-    fn readable(&mut self, io: &mut Io<Report>, _: Leg) {
+    fn readable(&mut self, io: &mut Io<Report>, _: Half) {
         let fill = self.stream.fill();
         let bytes = self.stream.take_rest();
         // What comes while a watch goes on, or beyond all bounds, is nobody's.
@@ -212,12 +212,12 @@
         self.calls(io);
         match fill {
             Fill::Blocked => {}
-            Fill::More => io.call_again(self.key, Leg::Near),
+            Fill::More => io.call_again(self.key, Half::Near),
             Fill::Ended | Fill::Broken(_) => self.done = true,
         }
     }
 
-    fn writable(&mut self, io: &mut Io<Report>, _: Leg) {
+    fn writable(&mut self, io: &mut Io<Report>, _: Half) {
         self.flush(io);
     }
 
@@ -231,7 +231,7 @@
     }
 
     fn closed(&mut self, io: &mut Io<Report>) {
-        io.tell(Report::Gone(self.key, io.now()));
+        io.report(Report::Gone(self.key, io.now()));
     }
 }
 
@@ -263,14 +263,14 @@
 impl Connection for Party {
     type Report = Report;
 
-    fn readable(&mut self, io: &mut Io<Report>, leg: Leg) {
+    fn readable(&mut self, io: &mut Io<Report>, leg: Half) {
         match self {
             Party::Listener(listener) => listener.readable(io, leg),
             Party::Connection(connection) => connection.readable(io, leg),
         }
     }
 
-    fn writable(&mut self, io: &mut Io<Report>, leg: Leg) {
+    fn writable(&mut self, io: &mut Io<Report>, leg: Half) {
         match self {
             Party::Listener(listener) => listener.writable(io, leg),
             Party::Connection(connection) => connection.writable(io, leg),
--- a/crates/kit/src/emulator/front.rs
+++ b/crates/kit/src/emulator/front.rs
@@ -14,7 +14,7 @@
 use crate::plan::{Plan, ProxyId};
 use crate::time::{MS, Micros};
 use cottonnotch_reactor::line::{Fill, LineStream, trim_end};
-use cottonnotch_reactor::{Connection, Io, Key, Leg, Reactor, Report};
+use cottonnotch_reactor::{Connection, Half, Io, Key, Reactor, Report};
 use std::io;
 use std::sync::Arc;
 
@@ -59,13 +59,13 @@
 impl Connection for Probe {
     type Report = Told;
 
-    fn readable(&mut self, io: &mut Io<Told>, _: Leg) {
+    fn readable(&mut self, io: &mut Io<Told>, _: Half) {
         let fill = self.link.fill();
         while let Ok(Some(line)) = self.link.take_line() {
             match trim_end(&line) {
                 b"PONG" => {
                     self.idle = true;
-                    io.tell(Told::Pong(self.proxy));
+                    io.report(Told::Pong(self.proxy));
                 }
                 // Whoever says anything else is not serving, and is asked on a new connection.
                 _ => self.broken = true,
@@ -74,7 +74,7 @@
         self.broken |= !matches!(fill, Fill::Blocked);
     }
 
-    fn writable(&mut self, _: &mut Io<Told>, _: Leg) {
+    fn writable(&mut self, _: &mut Io<Told>, _: Half) {
         if !self.connected {
             match self.link.connected() {
                 Ok(connected) => self.connected = connected,
@@ -170,7 +170,7 @@
         if known.probe.is_none() {
             let address = self.addresses.proxy(proxy);
             let made = self.reactor.insert(|key, io| {
-                let link = LineStream::connect(address, io, key, Leg::Near)?;
+                let link = LineStream::connect(address, io, key, Half::Near)?;
                 Ok(Box::new(Probe { proxy, link, connected: false, idle: true, broken: false }))
             });
             known.probe = made.ok();
--- a/crates/kit/src/emulator/network.rs
+++ b/crates/kit/src/emulator/network.rs
@@ -9,7 +9,7 @@
 use crate::observation::{Observation, Seen};
 use crate::plan::{NetworkChange, Plan, ProxyId, What};
 use crate::time::Micros;
-use cottonnotch_reactor::{Connection, Io, Key, Leg, Reactor, Report};
+use cottonnotch_reactor::{Connection, Half, Io, Key, Reactor, Report};
 use mio::net::UdpSocket;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -51,13 +51,13 @@
 impl Connection for Relay {
     type Report = Told;
 
-    fn readable(&mut self, io: &mut Io<Told>, leg: Leg) {
+    fn readable(&mut self, io: &mut Io<Told>, leg: Half) {
         let mut bytes = [0; LONGEST];
         for _ in 0..AT_ONCE {
             match self.socket.recv_from(&mut bytes) {
                 Ok((n, _)) => {
                     let bytes = bytes[..n].to_vec();
-                    io.tell(Told::Came { from: self.seen_by, to: self.of, bytes });
+                    io.report(Told::Came { from: self.seen_by, to: self.of, bytes });
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 // A receiver that is down: its port was reported closed. Nothing is owed for a datagram.
@@ -67,7 +67,7 @@
         io.call_again(self.key, leg);
     }
 
-    fn writable(&mut self, _: &mut Io<Told>, _: Leg) {}
+    fn writable(&mut self, _: &mut Io<Told>, _: Half) {}
 
     fn timer(&mut self, _: &mut Io<Told>, _: u32) {}
 
--- a/crates/kit/src/emulator/nodes_connection.rs
+++ b/crates/kit/src/emulator/nodes_connection.rs
@@ -3,7 +3,7 @@
 use crate::time::{Micros, S};
 use cottonnotch_reactor::line::{Fill, LineStream};
 use cottonnotch_reactor::listener::Listener;
-use cottonnotch_reactor::{Connection, Io, Key, Leg};
+use cottonnotch_reactor::{Connection, Half, Io, Key};
 use mio::net::TcpStream;
 use std::io;
 
@@ -106,7 +106,7 @@
     pub fn wake(&mut self, io: &mut Io<Report>) {
         self.silent = false;
         self.flush();
-        self.readable(io, Leg::Near);
+        self.readable(io, Half::Near);
     }
 
     fn flush(&mut self) {
@@ -123,20 +123,20 @@
         let at = io.now();
         loop {
             match self.stream.take_line() {
-                Ok(Some(line)) if self.opened => io.tell(Report::Line { key: self.key, line, at }),
+                Ok(Some(line)) if self.opened => io.report(Report::Line { key: self.key, line, at }),
                 Ok(Some(line)) => {
                     let first_byte = self.first_byte.take().unwrap_or(at);
                     if matches!(&line[..], b"PING\r\n" | b"STATS\r\n") {
-                        io.tell(Report::Probe(self.key));
+                        io.report(Report::Probe(self.key));
                     } else {
                         self.opened = true;
-                        io.tell(Report::First { key: self.key, line, first_byte, at });
+                        io.report(Report::First { key: self.key, line, first_byte, at });
                     }
                 }
                 Ok(None) => break,
                 Err(_) => {
                     self.stream.take_rest();
-                    return io.tell(Report::TooLong(self.key));
+                    return io.report(Report::TooLong(self.key));
                 }
             }
         }
@@ -149,7 +149,7 @@
 impl Connection for NodeConnection {
     type Report = Report;
 
-    fn readable(&mut self, io: &mut Io<Report>, _: Leg) {
+    fn readable(&mut self, io: &mut Io<Report>, _: Half) {
         if self.silent || self.ended {
             return;
         }
@@ -159,20 +159,20 @@
         }
         match fill {
             Fill::Blocked => {}
-            Fill::More => io.call_again(self.key, Leg::Near),
+            Fill::More => io.call_again(self.key, Half::Near),
             Fill::Ended => {
                 self.ended = true;
                 if self.leaving {
                     self.flush();
                 } else {
-                    io.tell(Report::Ended(self.key, io.now()));
+                    io.report(Report::Ended(self.key, io.now()));
                 }
             }
             Fill::Broken(_) => self.done = true,
         }
     }
 
-    fn writable(&mut self, _: &mut Io<Report>, _: Leg) {
+    fn writable(&mut self, _: &mut Io<Report>, _: Half) {
         self.flush();
     }
 
@@ -189,7 +189,7 @@
     }
 
     fn closed(&mut self, io: &mut Io<Report>) {
-        io.tell(Report::Gone(self.key, io.now()));
+        io.report(Report::Gone(self.key, io.now()));
     }
 }
 
@@ -212,14 +212,14 @@
 impl Connection for Party {
     type Report = Report;
 
-    fn readable(&mut self, io: &mut Io<Report>, leg: Leg) {
+    fn readable(&mut self, io: &mut Io<Report>, leg: Half) {
         match self {
             Party::Listener(listener) => listener.readable(io, leg),
             Party::Connection(connection) => connection.readable(io, leg),
         }
     }
 
-    fn writable(&mut self, io: &mut Io<Report>, leg: Leg) {
+    fn writable(&mut self, io: &mut Io<Report>, leg: Half) {
         match self {
             Party::Listener(listener) => listener.writable(io, leg),
             Party::Connection(connection) => connection.writable(io, leg),
--- a/crates/kit/src/emulator/rude.rs
+++ b/crates/kit/src/emulator/rude.rs
@@ -9,7 +9,7 @@
 use crate::plan::{Plan, ProxyId, RudeKind};
 use crate::time::{MS, Micros, S};
 use cottonnotch_reactor::line::{Fill, LineStream, TooLong};
-use cottonnotch_reactor::{Connection, Io, Key, Leg, Reactor, Report};
+use cottonnotch_reactor::{Connection, Half, Io, Key, Reactor, Report};
 use std::io;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -72,10 +72,10 @@
         let owed = if self.kind == RudeKind::Huge { OWED_WITHIN_HUGE } else { OWED_WITHIN };
         let now = io.now();
         self.by = now + owed;
-        io.tell(Told::Note(now, Seen::RudeCame { rude: self.place, proxy: self.proxy, by: self.by }));
+        io.report(Told::Note(now, Seen::RudeCame { rude: self.place, proxy: self.proxy, by: self.by }));
         for request in std::mem::take(&mut self.script.ids) {
             let (rude, proxy) = (self.place, self.proxy);
-            io.tell(Told::Note(now, Seen::RudeAsked { rude, request, proxy }));
+            io.report(Told::Note(now, Seen::RudeAsked { rude, request, proxy }));
         }
         io.timer(self.by + LATE, self.key, 0);
         if self.visits == 0 {
@@ -93,7 +93,7 @@
                 return;
             }
             if said >= MAX_TURN {
-                return io.call_again(self.key, Leg::Near);
+                return io.call_again(self.key, Half::Near);
             }
             match self.script.say_next(&mut self.link) {
                 Some(length) => said += length,
@@ -103,7 +103,7 @@
     }
 
     fn over(&mut self, io: &mut Io<Told>, how: RudeEnd) {
-        io.tell(Told::Note(io.now(), Seen::RudeOver { rude: self.place, how }));
+        io.report(Told::Note(io.now(), Seen::RudeOver { rude: self.place, how }));
         let turned_away = how != RudeEnd::Served;
         self.done = !(self.kind == RudeKind::AgainAtOnce && turned_away && io.now() < self.again_until);
         if !self.done {
@@ -113,7 +113,7 @@
 
     fn come_again(&mut self, io: &mut Io<Told>) {
         let address = self.shared.addresses.proxy(self.proxy);
-        match LineStream::connect(address, io, self.key, Leg::Near) {
+        match LineStream::connect(address, io, self.key, Half::Near) {
             Ok(link) => {
                 self.link = link;
                 self.connected = false;
@@ -128,7 +128,7 @@
 impl Connection for Rude {
     type Report = Told;
 
-    fn readable(&mut self, io: &mut Io<Told>, leg: Leg) {
+    fn readable(&mut self, io: &mut Io<Told>, leg: Half) {
         if !self.connected {
             return;
         }
@@ -145,7 +145,7 @@
         }
     }
 
-    fn writable(&mut self, io: &mut Io<Told>, leg: Leg) {
+    fn writable(&mut self, io: &mut Io<Told>, leg: Half) {
         if !self.connected {
             match self.link.connected() {
                 Ok(true) => {
@@ -220,7 +220,7 @@
     let script = script(&shared.plan, kind, seed, place, 0, stolen.flatten().map(|(id, _)| id));
     let address = shared.addresses.proxy(proxy);
     let made = reactor.insert(|key, io| {
-        let link = LineStream::connect(address, io, key, Leg::Near)?;
+        let link = LineStream::connect(address, io, key, Half::Near)?;
         let shared = Rc::clone(shared);
         let (now, done) = (io.now(), false);
         // Counts until the connection stands: it is given up like one that is never answered.
--- a/crates/kit/src/load/echo.rs
+++ b/crates/kit/src/load/echo.rs
@@ -2,7 +2,7 @@
 
 use cottonnotch_reactor::line::{Fill, LineStream};
 use cottonnotch_reactor::listener::Listener;
-use cottonnotch_reactor::{Clock, Connection, Io, Key, Leg, Micros, Reactor, Report};
+use cottonnotch_reactor::{Clock, Connection, Half, Io, Key, Micros, Reactor, Report};
 use mio::net::TcpListener;
 use std::io;
 use std::net::SocketAddr;
@@ -69,7 +69,7 @@
         }
         match fill {
             Fill::Blocked => {}
-            Fill::More => io.call_again(self.key, Leg::Near),
+            Fill::More => io.call_again(self.key, Half::Near),
             Fill::Ended | Fill::Broken(_) => self.over = true,
         }
     }
@@ -78,20 +78,20 @@
 impl Connection for Object {
     type Report = Told;
 
-    fn readable(&mut self, io: &mut Io<Told>, leg: Leg) {
+    fn readable(&mut self, io: &mut Io<Told>, leg: Half) {
         match self {
             Object::Listener(listener) => listener.readable(io, leg),
             Object::Connection(echoing) => echoing.readable(io),
         }
     }
 
-    fn writable(&mut self, io: &mut Io<Told>, _: Leg) {
+    fn writable(&mut self, io: &mut Io<Told>, _: Half) {
         if let Object::Connection(echoing) = self {
             if echoing.stream.flush().is_err() {
                 echoing.over = true;
             }
             // What came while the output was full was left unread.
-            io.call_again(echoing.key, Leg::Near);
+            io.call_again(echoing.key, Half::Near);
         }
     }
 
--- a/crates/kit/src/load/generator.rs
+++ b/crates/kit/src/load/generator.rs
@@ -2,7 +2,7 @@
 
 use super::{LoadError, system};
 use cottonnotch_reactor::line::{Fill, LineStream};
-use cottonnotch_reactor::{Clock, Connection, Io, Key, Leg, Micros, Reactor, Report};
+use cottonnotch_reactor::{Clock, Connection, Half, Io, Key, Micros, Reactor, Report};
 use hdrhistogram::Histogram;
 use std::collections::VecDeque;
 use std::io::{self, BufRead, BufReader, Write};
@@ -204,7 +204,7 @@
         key: Key,
         io: &Io<Told>,
     ) -> io::Result<Self> {
-        let mut stream = LineStream::connect(to, io, key, Leg::Near)?;
+        let mut stream = LineStream::connect(to, io, key, Half::Near)?;
         stream.push(first_line().as_bytes());
         let (out, waiting) = (VecDeque::new(), VecDeque::new());
         Ok(Client { key, stream, connected: false, up: false, over: false, setup, out, waiting, in_flight })
@@ -239,9 +239,9 @@
                         break;
                     }
                     self.up = true;
-                    io.tell(Told::Up);
+                    io.report(Told::Up);
                     if let Some(due) = self.setup {
-                        io.tell(Told::Done(due));
+                        io.report(Told::Done(due));
                         // No port is left behind waiting: thousands a second would use them up.
                         self.stream.reset();
                         self.over = true;
@@ -250,7 +250,7 @@
                 }
                 Ok(Some(_)) => {
                     if let Some(due) = self.out.pop_front() {
-                        io.tell(Told::Done(due));
+                        io.report(Told::Done(due));
                     }
                 }
                 Ok(None) => break,
@@ -262,7 +262,7 @@
         }
         match fill {
             Fill::Blocked => {}
-            Fill::More => io.call_again(self.key, Leg::Near),
+            Fill::More => io.call_again(self.key, Half::Near),
             Fill::Ended | Fill::Broken(_) => self.over = true,
         }
         if !self.over {
@@ -274,13 +274,13 @@
 impl Connection for Client {
     type Report = Told;
 
-    fn readable(&mut self, io: &mut Io<Told>, _: Leg) {
+    fn readable(&mut self, io: &mut Io<Told>, _: Half) {
         if self.connected {
             self.read(io);
         }
     }
 
-    fn writable(&mut self, io: &mut Io<Told>, _: Leg) {
+    fn writable(&mut self, io: &mut Io<Told>, _: Half) {
         if !self.connected {
             match self.stream.connected() {
                 Ok(true) => self.connected = true,
@@ -292,7 +292,7 @@
             self.over = true;
         }
         // What came with the connect is not told again.
-        io.call_again(self.key, Leg::Near);
+        io.call_again(self.key, Half::Near);
     }
 
     fn timer(&mut self, _: &mut Io<Told>, _: u32) {}
@@ -303,7 +303,7 @@
 
     fn closed(&mut self, io: &mut Io<Told>) {
         self.stream.reset();
-        io.tell(Told::Over);
+        io.report(Told::Over);
     }
 }
 
--- a/crates/proxy-core/benches/growth.rs
+++ b/crates/proxy-core/benches/growth.rs
@@ -3,7 +3,7 @@
 #![allow(missing_docs)]
 
 use cottonnotch_decision::{Micros, RequestId, ServerId};
-use cottonnotch_proxy_core::{FleetUse, MessageDelays, ResolverResult};
+use cottonnotch_proxy_core::{EndpointUpdate, FleetUtilisation, MessageLatencies};
 use std::hint::black_box;
 use std::time::Instant;
 
@@ -42,7 +42,7 @@
         let text = list(members);
         let [least, median] = timed(|| {
             let mut bytes = text.clone().into_bytes();
-            black_box(ResolverResult::parse(&mut bytes).expect("a sound list"));
+            black_box(EndpointUpdate::parse(&mut bytes).expect("a sound list"));
         });
         let bytes = text.len();
         println!(
@@ -54,15 +54,15 @@
 }
 
 /// A proxy's connections, spread evenly, each of a group at one of its five render nodes.
-fn delays(nodes: u32, connections: u64) -> MessageDelays {
-    let mut delays = MessageDelays::new(440, Some(60_000), true);
+fn delays(nodes: u32, connections: u64) -> MessageLatencies {
+    let mut delays = MessageLatencies::new(440, Some(60_000), true);
     (0..nodes).for_each(|node| delays.listed(ServerId(node), 2.0, true));
     for id in 0..connections {
         let group = id.wrapping_mul(0x9e37_79b9_7f4a_7c15) % GROUPS;
         let home = (group * 5 + id % 5).wrapping_mul(0xd134_2543_de82_ef95) >> 20;
         let server = ServerId((home % u64::from(nodes)) as u32);
-        delays.opened(S, RequestId(id), server, Some(group), Some(2_000));
-        delays.load(RequestId(id), 100.0);
+        delays.connection_opened(S, RequestId(id), server, Some(group), Some(2_000));
+        delays.load_changed(RequestId(id), 100.0);
     }
     delays
 }
@@ -91,22 +91,22 @@
     let mut now = 100 * S;
     if !matches!(known, Known::Alone) {
         let used = (0..nodes).step_by(3).map(|node| (ServerId(node), 0.6)).collect();
-        delays.fleet = Some(FleetUse::new(now, 1_000 * S, 100.0, used));
+        delays.fleet = Some(FleetUtilisation::new(now, 1_000 * S, 100.0, used));
     }
     let [_, notes] = timed(|| {
         now += S;
         if matches!(known, Known::ViewAndTold) {
             (0..nodes).for_each(|node| {
-                black_box(delays.told(now, ServerId(node), 5_000));
+                black_box(delays.latency_advertised(now, ServerId(node), 5_000));
             });
         }
-        black_box(delays.notes(now));
+        black_box(delays.due_reports(now));
     });
     let [_, report] = timed(|| {
-        black_box(delays.standing_by_group(now));
+        black_box(delays.established_by_group(now));
     });
     let [_, groups] = timed(|| {
-        black_box(delays.by_group(now));
+        black_box(delays.load_by_group(now));
     });
     println!(
         r#"{{"what":"each second","known":"{known:?}","nodes":{nodes},"connections":{connections},"n":{ROUNDS},"notes_median_us":{notes:.0},"report_median_us":{report:.0},"groups_median_us":{groups:.0}}}"#
--- a/crates/proxy-core/src/resolver_result.rs
+++ b/crates/proxy-core/src/endpoint_update.rs
@@ -29,7 +29,7 @@
 
 /// A list, or changes of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ResolverResult {
+pub struct EndpointUpdate {
     /// Counts up.
     pub revision: u64,
     /// All members are named; those that are not are gone.
@@ -40,7 +40,7 @@
 
 /// What is wrong with a result. A result is taken whole or not at all: half a list would drop members.
 #[derive(Debug, thiserror::Error)]
-pub enum BadResult {
+pub enum EndpointUpdateError {
     /// No JSON.
     #[error("it is not JSON: {0}")]
     NotJson(#[from] simd_json::Error),
@@ -55,30 +55,32 @@
     Contradicts(usize),
 }
 
-impl ResolverResult {
+impl EndpointUpdate {
     /// Reads one JSON text; the buffer is used up.
-    pub fn parse(text: &mut [u8]) -> Result<Self, BadResult> {
+    pub fn parse(text: &mut [u8]) -> Result<Self, EndpointUpdateError> {
         Self::from_json(&simd_json::to_owned_value(text)?)
     }
 
     /// Reads a value.
-    pub fn from_json(json: &OwnedValue) -> Result<Self, BadResult> {
-        let revision = json.get_u64("revision").ok_or(BadResult::Field("revision"))?;
-        let complete = json.get_bool("complete").ok_or(BadResult::Field("complete"))?;
-        let members = json.get_array("members").ok_or(BadResult::Field("members"))?;
-        let members =
-            members.iter().enumerate().map(|(i, m)| member(m).map_err(|field| BadResult::Member(i, field)));
+    pub fn from_json(json: &OwnedValue) -> Result<Self, EndpointUpdateError> {
+        let revision = json.get_u64("revision").ok_or(EndpointUpdateError::Field("revision"))?;
+        let complete = json.get_bool("complete").ok_or(EndpointUpdateError::Field("complete"))?;
+        let members = json.get_array("members").ok_or(EndpointUpdateError::Field("members"))?;
+        let members = members
+            .iter()
+            .enumerate()
+            .map(|(i, m)| member(m).map_err(|field| EndpointUpdateError::Member(i, field)));
         let members: Vec<Member> = members.collect::<Result<_, _>>()?;
         // In a list of changes the later one is news; a whole list names each as it is.
         if complete {
             let mut first = HashMap::with_capacity(members.len());
             for (i, member) in members.iter().enumerate() {
                 if *first.entry(&member.id).or_insert(member) != member {
-                    return Err(BadResult::Contradicts(i));
+                    return Err(EndpointUpdateError::Contradicts(i));
                 }
             }
         }
-        Ok(ResolverResult { revision, complete, members })
+        Ok(EndpointUpdate { revision, complete, members })
     }
 }
 
--- a/crates/proxy-core/src/envelope.rs
+++ b/crates/proxy-core/src/envelope.rs
@@ -11,11 +11,11 @@
 /// Bytes of the proof at the end.
 const PROOF: usize = 32;
 /// No datagram is larger: it would be cut in pieces on the way.
-pub const MOST_BYTES: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
 /// What the members of a cluster share.
 #[derive(Clone)]
-pub struct Seal {
+pub struct EnvelopeKey {
     key: [u8; 32],
     cluster: u64,
     me: u16,
@@ -32,7 +32,7 @@
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadEnvelope {
+pub enum EnvelopeError {
     /// No key of ours made it, or it was changed on the way.
     #[error("it is not proven")]
     Unproven,
@@ -47,14 +47,14 @@
     TooLarge,
 }
 
-impl std::fmt::Debug for Seal {
+impl std::fmt::Debug for EnvelopeKey {
     /// Never shows the key.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Seal").field("me", &self.me).finish_non_exhaustive()
+        f.debug_struct("EnvelopeKey").field("me", &self.me).finish_non_exhaustive()
     }
 }
 
-impl Seal {
+impl EnvelopeKey {
     /// From the text of the key's file; `None` if it does not hold 64 hexadecimal digits and nothing else.
     pub fn new(key_file: &[u8], cluster: &str, me: u16) -> Option<Self> {
         let digits = key_file.trim_ascii();
@@ -64,37 +64,37 @@
         let digest = blake3::hash(cluster.as_bytes());
         let first = digest.as_bytes().first_chunk().copied().unwrap_or_default();
         let key = blake3::derive_key(CONTEXT, &digits.to_ascii_lowercase());
-        Some(Seal { key, cluster: u64::from_le_bytes(first), me })
+        Some(EnvelopeKey { key, cluster: u64::from_le_bytes(first), me })
     }
 
     /// The datagram of a message.
-    pub fn close(&self, to: u16, message: Message) -> Result<Vec<u8>, BadEnvelope> {
+    pub fn seal(&self, to: u16, message: Message) -> Result<Vec<u8>, EnvelopeError> {
         let envelope = Envelope { form: FORM, cluster: self.cluster, from: self.me, to, message };
-        let mut bytes = postcard::to_allocvec(&envelope).map_err(|_| BadEnvelope::Form)?;
+        let mut bytes = postcard::to_allocvec(&envelope).map_err(|_| EnvelopeError::Form)?;
         let proof = blake3::keyed_hash(&self.key, &bytes);
         bytes.extend_from_slice(proof.as_bytes());
-        if bytes.len() > MOST_BYTES { Err(BadEnvelope::TooLarge) } else { Ok(bytes) }
+        if bytes.len() > MAX_DATAGRAM_BYTES { Err(EnvelopeError::TooLarge) } else { Ok(bytes) }
     }
 
     /// Who sent a datagram, and what.
-    pub fn open(&self, datagram: &[u8]) -> Result<(u16, Message), BadEnvelope> {
-        let at = datagram.len().checked_sub(PROOF).ok_or(BadEnvelope::Unproven)?;
+    pub fn open(&self, datagram: &[u8]) -> Result<(u16, Message), EnvelopeError> {
+        let at = datagram.len().checked_sub(PROOF).ok_or(EnvelopeError::Unproven)?;
         let (bytes, proof) = datagram.split_at(at);
-        let proof: [u8; PROOF] = proof.try_into().map_err(|_| BadEnvelope::Unproven)?;
+        let proof: [u8; PROOF] = proof.try_into().map_err(|_| EnvelopeError::Unproven)?;
         // Comparing two of these takes the same time wherever they differ.
         if blake3::keyed_hash(&self.key, bytes) != blake3::Hash::from_bytes(proof) {
-            return Err(BadEnvelope::Unproven);
+            return Err(EnvelopeError::Unproven);
         }
-        let (form, _) = postcard::take_from_bytes::<u16>(bytes).map_err(|_| BadEnvelope::Form)?;
+        let (form, _) = postcard::take_from_bytes::<u16>(bytes).map_err(|_| EnvelopeError::Form)?;
         if form != FORM {
-            return Err(BadEnvelope::Form);
+            return Err(EnvelopeError::Form);
         }
-        let envelope: Envelope = postcard::from_bytes(bytes).map_err(|_| BadEnvelope::Form)?;
+        let envelope: Envelope = postcard::from_bytes(bytes).map_err(|_| EnvelopeError::Form)?;
         if (envelope.cluster, envelope.to) != (self.cluster, self.me) || envelope.from == self.me {
-            return Err(BadEnvelope::Stray);
+            return Err(EnvelopeError::Stray);
         }
         if !envelope.message.bounded() {
-            return Err(BadEnvelope::Form);
+            return Err(EnvelopeError::Form);
         }
         Ok((envelope.from, envelope.message))
     }
@@ -105,8 +105,8 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn seal(key: char, cluster: &str, me: u16) -> Seal {
-        Seal::new(format!("{}\n", key.to_string().repeat(64)).as_bytes(), cluster, me).unwrap()
+    fn seal(key: char, cluster: &str, me: u16) -> EnvelopeKey {
+        EnvelopeKey::new(format!("{}\n", key.to_string().repeat(64)).as_bytes(), cluster, me).unwrap()
     }
 
     fn message() -> Message {
@@ -115,16 +115,16 @@
 
     #[test]
     fn only_the_receiver_of_the_cluster_opens_it() {
-        let datagram = seal('a', "site", 0).close(1, message()).unwrap();
+        let datagram = seal('a', "site", 0).seal(1, message()).unwrap();
         assert_eq!(seal('a', "site", 1).open(&datagram), Ok((0, message())));
         assert_eq!(seal('A', "site", 1).open(&datagram), Ok((0, message())), "digits have no case");
-        assert_eq!(seal('a', "site", 2).open(&datagram), Err(BadEnvelope::Stray));
-        assert_eq!(seal('a', "other", 1).open(&datagram), Err(BadEnvelope::Stray));
-        assert_eq!(seal('b', "site", 1).open(&datagram), Err(BadEnvelope::Unproven));
-        let own = seal('a', "site", 1).close(1, message()).unwrap();
-        assert_eq!(seal('a', "site", 1).open(&own), Err(BadEnvelope::Stray), "its own echo");
+        assert_eq!(seal('a', "site", 2).open(&datagram), Err(EnvelopeError::Stray));
+        assert_eq!(seal('a', "other", 1).open(&datagram), Err(EnvelopeError::Stray));
+        assert_eq!(seal('b', "site", 1).open(&datagram), Err(EnvelopeError::Unproven));
+        let own = seal('a', "site", 1).seal(1, message()).unwrap();
+        assert_eq!(seal('a', "site", 1).open(&own), Err(EnvelopeError::Stray), "its own echo");
         for text in ["", "abc", &"g".repeat(64), &"a".repeat(65)] {
-            assert!(Seal::new(text.as_bytes(), "site", 0).is_none());
+            assert!(EnvelopeKey::new(text.as_bytes(), "site", 0).is_none());
         }
         assert!(!format!("{:?}", seal('a', "site", 0)).contains("97"), "the key is not shown");
     }
@@ -132,10 +132,10 @@
     proptest! {
         #[test]
         fn whatever_is_changed_is_dropped(at in any::<prop::sample::Index>(), bit in 0..8_u32) {
-            let mut datagram = seal('a', "site", 0).close(1, message()).unwrap();
+            let mut datagram = seal('a', "site", 0).seal(1, message()).unwrap();
             let at = at.index(datagram.len());
             datagram[at] ^= 1 << bit;
-            prop_assert_eq!(seal('a', "site", 1).open(&datagram), Err(BadEnvelope::Unproven));
+            prop_assert_eq!(seal('a', "site", 1).open(&datagram), Err(EnvelopeError::Unproven));
         }
 
         #[test]
--- a/crates/proxy-core/src/fleet.rs
+++ b/crates/proxy-core/src/fleet.rs
@@ -1,11 +1,11 @@
 //! The fleet view: what this proxy reports of its subchannels, and what is made of the sums it is told. Who is keeper and
 //! how often is asked is the fleet crate's matter; what follows, the module's.
 
-use crate::driven::Embedder;
 use crate::gossip::word;
-use crate::message_delay::FleetUse;
+use crate::member_driver::MemberDriver;
+use crate::message_latency::FleetUtilisation;
 use crate::names::{WireNames, shown};
-use crate::peers::{Around, Carrying, Input, Local, Output, Translator};
+use crate::peers::{Around, Carrying, Input, LocalState, Output, Translator};
 use cottonnotch_aggregation::{Entry, Member, Own, View, wire};
 use cottonnotch_decision::{Event, Micros, ServerId, Tier, Word};
 use cottonnotch_gossip::{Ledger, Met, Subchannel, To};
@@ -84,13 +84,13 @@
             Input::Tick if self.member.next_timeout() <= now => {
                 if self.member.wants_groups() {
                     // Nothing goes out with these alone.
-                    let groups = around.local.delays.by_group(now);
+                    let groups = around.local.delays.load_by_group(now);
                     let Ok(()) = self.hand(now, cottonnotch_aggregation::Input::Groups(groups), around);
                 }
                 let own = self.own(now, around.local);
                 // A report that is due goes out with this, or with the tick.
                 let Ok(()) = self.hand(now, cottonnotch_aggregation::Input::Own(own), around);
-                Carrying { member: self, around }.hand_time(now)
+                Carrying { member: self, around }.handle_timeout(now)
             }
             Input::Tick | Input::Keys(_) => Ok(()),
         };
@@ -102,10 +102,10 @@
         input: cottonnotch_aggregation::Input<'_>,
         around: &mut Around<'_, '_>,
     ) -> Result<(), Infallible> {
-        Carrying { member: self, around }.hand(now, input)
+        Carrying { member: self, around }.handle_input(now, input)
     }
 
-    fn sizes(&mut self, now: Micros, local: &Local<'_>) -> BTreeMap<wire::Subchannel, f64> {
+    fn sizes(&mut self, now: Micros, local: &LocalState<'_>) -> BTreeMap<wire::Subchannel, f64> {
         self.names.learn(local.servers);
         let size = |(server, size): (ServerId, f64)| {
             // One that has just started can do less than its size says, and looks empty.
@@ -113,13 +113,13 @@
             let warmth = started.map_or(1.0, |at| local.settings.share_at(now.saturating_sub(at)));
             Some((self.name(server)?, size * warmth))
         };
-        local.delays.sizes().filter_map(size).collect()
+        local.delays.capacities().filter_map(size).collect()
     }
 
-    fn own(&mut self, now: Micros, local: &Local<'_>) -> Own {
+    fn own(&mut self, now: Micros, local: &LocalState<'_>) -> Own {
         self.names.learn(local.servers);
         self.met.forget_old(now);
-        let mut standing = local.delays.standing_by_group(now);
+        let mut standing = local.delays.established_by_group(now);
         let servers: BTreeSet<ServerId> = standing.keys().copied().chain(self.met.subchannels()).collect();
         let entry = |server: ServerId| {
             let stands = standing.remove(&server);
@@ -185,7 +185,8 @@
                 let Some(view) = self.member.view() else { return };
                 self.events(view).for_each(|event| around.tell(event));
                 let used = view.named().filter_map(|(node, told)| Some((self.number(node)?, told.used)));
-                let fleet = FleetUse::new(view.at, self.member.period(), view.mean_load, used.collect());
+                let fleet =
+                    FleetUtilisation::new(view.at, self.member.period(), view.mean_load, used.collect());
                 around.local.delays.fleet = Some(fleet);
             }
         }
--- a/crates/proxy-core/src/gossip.rs
+++ b/crates/proxy-core/src/gossip.rs
@@ -1,10 +1,10 @@
 //! Gossip: what the other proxies are told of this one's subchannels, and what is made of what they tell. Who is there and
 //! what counts is the gossip crate's matter; what follows from a word, the module's.
 
-use crate::driven::Embedder;
+use crate::member_driver::MemberDriver;
 use crate::names::{WireNames, shown};
-use crate::peer_loads::Standing;
-use crate::peers::{Around, Carrying, Input, Local, Output, Translator};
+use crate::peer_loads::EstablishedLoad;
+use crate::peers::{Around, Carrying, Input, LocalState, Output, Translator};
 use cottonnotch_decision::{Event, Micros, ServerId, Word};
 use cottonnotch_gossip::{Entry, Evidence, Gossip, Ledger, Load, Strength};
 use std::collections::BTreeSet;
@@ -52,7 +52,7 @@
             }
             Input::Keys(_) => Ok(()),
             Input::Leave => self.hand(now, cottonnotch_gossip::Input::Leave, around),
-            Input::Tick => Carrying { member: self, around }.hand_time(now),
+            Input::Tick => Carrying { member: self, around }.handle_timeout(now),
         };
     }
 
@@ -62,16 +62,17 @@
         input: cottonnotch_gossip::Input<'_>,
         around: &mut Around<'_, '_>,
     ) -> Result<(), Infallible> {
-        Carrying { member: self, around }.hand(now, input)
+        Carrying { member: self, around }.handle_input(now, input)
     }
 
-    fn entries(&mut self, now: Micros, local: &Local<'_>) -> Vec<Entry> {
-        let standing = local.delays.standing();
+    fn entries(&mut self, now: Micros, local: &LocalState<'_>) -> Vec<Entry> {
+        let standing = local.delays.established();
         self.met.forget_old(now);
         let servers: BTreeSet<ServerId> = standing.keys().copied().chain(self.met.subchannels()).collect();
         let entry = |server: ServerId| {
             let subchannel = self.names.digest(server)?;
-            let (count, Standing { load, groups }) = standing.get(&server).copied().unwrap_or_default();
+            let (count, EstablishedLoad { load, groups }) =
+                standing.get(&server).copied().unwrap_or_default();
             let evidence = self.met.evidence(now, server);
             let load = Load::from_micros_per_s(load.max(0.0) as u64);
             Some(Entry { subchannel, standing: count, load, groups, evidence })
@@ -101,9 +102,9 @@
                         continue;
                     };
                     let load = entry.load.micros_per_s() as f64;
-                    let standing = Standing { load, groups: entry.groups };
+                    let standing = EstablishedLoad { load, groups: entry.groups };
                     let standing = (entry.standing > 0).then_some(standing);
-                    around.local.delays.peers.told(now, from, server, standing);
+                    around.local.delays.peers.report_received(now, from, server, standing);
                     around.tell(Event::Peer { from, server, word: word(&entry.evidence) });
                 }
             }
--- a/crates/proxy-core/src/guard/mod.rs
+++ b/crates/proxy-core/src/guard/mod.rs
@@ -39,7 +39,7 @@
 }
 
 /// What a step comes to.
-pub type Checked = Result<(), Violation>;
+pub type GuardResult = Result<(), Violation>;
 
 impl Guard {
     /// A guard under these settings.
@@ -91,12 +91,12 @@
     }
 
     /// An attempt is to be sent now. It must not be where this fails; a cold server's budget is counted all the same.
-    pub fn send(&mut self, now: Micros, id: RequestId, server: ServerId) -> Checked {
+    pub fn send(&mut self, now: Micros, id: RequestId, server: ServerId) -> GuardResult {
         let checked = self.check_send(now, id, server);
         self.counted(checked)
     }
 
-    fn check_send(&mut self, now: Micros, id: RequestId, server: ServerId) -> Checked {
+    fn check_send(&mut self, now: Micros, id: RequestId, server: ServerId) -> GuardResult {
         let tracked = self.owed.get_mut(&id).ok_or(Violation::SentUnowed)?;
         if tracked.out.is_some() {
             return Err(Violation::SecondAttemptOut);
@@ -118,7 +118,7 @@
     }
 
     /// The last byte of the attempt's line is written: from now on it may run.
-    pub fn written(&mut self, now: Micros, id: RequestId) -> Checked {
+    pub fn written(&mut self, now: Micros, id: RequestId) -> GuardResult {
         let Some(tracked) = self.owed.get(&id) else { return Ok(()) };
         let Some(out) = tracked.out else { return Ok(()) };
         let server = self.servers.get(out.server.0 as usize);
@@ -137,7 +137,7 @@
     }
 
     /// The attempt that was out brought the connection up, which is the final answer.
-    pub fn up(&mut self, now: Micros, id: RequestId) -> Checked {
+    pub fn up(&mut self, now: Micros, id: RequestId) -> GuardResult {
         let checked = match self.owed.remove(&id) {
             Some(tracked) => {
                 self.up.insert(id);
@@ -149,13 +149,13 @@
     }
 
     /// The proxy gives a final answer now.
-    pub fn answered(&mut self, now: Micros, id: RequestId, answer: FinalAnswer) -> Checked {
+    pub fn answered(&mut self, now: Micros, id: RequestId, answer: FinalAnswer) -> GuardResult {
         let checked = self.check_answer(now, id, answer);
         self.owed.remove(&id);
         self.counted(checked)
     }
 
-    fn check_answer(&self, now: Micros, id: RequestId, answer: FinalAnswer) -> Checked {
+    fn check_answer(&self, now: Micros, id: RequestId, answer: FinalAnswer) -> GuardResult {
         let tracked = self.owed.get(&id).ok_or(Violation::AnsweredUnowed)?;
         if tracked.out.is_some() {
             return Err(Violation::AnsweredWhileOut);
@@ -172,7 +172,7 @@
     }
 
     /// A connection that was up has ended, or is ended with `MOVE`.
-    pub fn closed(&mut self, id: RequestId) -> Checked {
+    pub fn closed(&mut self, id: RequestId) -> GuardResult {
         let was_up = self.up.remove(&id);
         self.counted(was_up.then_some(()).ok_or(Violation::ClosedUnserved))
     }
@@ -193,7 +193,7 @@
         owed
     }
 
-    fn counted(&mut self, checked: Checked) -> Checked {
+    fn counted(&mut self, checked: GuardResult) -> GuardResult {
         checked.inspect_err(|violation| self.violations.count(*violation))
     }
 }
@@ -202,6 +202,6 @@
     ClassRules { effect: settings.effect(class), attempts: settings.attempts(class) }
 }
 
-fn on_time(tracked: &Tracked, now: Micros) -> Checked {
+fn on_time(tracked: &Tracked, now: Micros) -> GuardResult {
     if tracked.is_lost_at(now) && !tracked.was_overdue() { Err(Violation::AnsweredLate) } else { Ok(()) }
 }
--- a/crates/proxy-core/src/load_lines.rs
+++ b/crates/proxy-core/src/load_lines.rs
@@ -22,7 +22,7 @@
 
 /// What a line is.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Told {
+pub enum LoadLine {
     /// The load of its connection, microseconds of work a second.
     Load(f64),
     /// What a message takes at the render node.
@@ -52,7 +52,7 @@
 
 impl LoadLines {
     /// A line with this figure has come on a connection to that render node.
-    pub fn line(&mut self, now: Micros, server: ServerId, request: RequestId, figure: f64) -> Told {
+    pub fn classify(&mut self, now: Micros, server: ServerId, request: RequestId, figure: f64) -> LoadLine {
         let node = self.nodes.entry(server).or_default();
         if figure > MOST_MS {
             // What came before on this connection is outdated as a load; it may still be a delay's first note.
@@ -60,7 +60,7 @@
                 .iter_mut()
                 .filter(|(_, id, _)| *id == request)
                 .for_each(|(.., load)| *load = f64::NAN);
-            return Told::Load(figure);
+            return LoadLine::Load(figure);
         }
         let follows = |at: Micros| now - at > STEP / 2 && now - at < 2 * STEP && in_step(now, at);
         let before = node.undecided.iter().position(|(at, ..)| follows(*at));
@@ -71,13 +71,13 @@
         if node.moment.is_some_and(|moment| in_step(now, moment)) {
             // The moment follows a clock that drifts.
             node.moment = Some(now);
-            return Told::Delay((figure.max(0.0) * 1_000.0) as Micros);
+            return LoadLine::Delay((figure.max(0.0) * 1_000.0) as Micros);
         }
         if node.undecided.len() >= MOST_UNDECIDED {
-            return Told::Load(figure);
+            return LoadLine::Load(figure);
         }
         node.undecided.push((now, request, figure));
-        Told::Undecided
+        LoadLine::Undecided
     }
 
     /// Lines that were loads after all, as nothing followed them: to be called once a second.
@@ -107,8 +107,8 @@
     const MS: Micros = 1_000;
     const NODE: ServerId = ServerId(3);
 
-    fn line(lines: &mut LoadLines, at: Micros, request: u64, figure: f64) -> Told {
-        lines.line(at, NODE, RequestId(request), figure)
+    fn classify(lines: &mut LoadLines, at: Micros, request: u64, figure: f64) -> LoadLine {
+        lines.classify(at, NODE, RequestId(request), figure)
     }
 
     /// Found on zone+vast, seed 9: 1,230 ms at a node came as `LOAD 1230` and was taken for a load of next to nothing, so that
@@ -116,15 +116,15 @@
     #[test]
     fn what_comes_in_step_is_a_delay_whichever_connection_it_comes_on() {
         let mut lines = LoadLines::default();
-        assert_eq!(line(&mut lines, 23 * MS, 1, 41_000.0), Told::Load(41_000.0));
-        assert_eq!(line(&mut lines, 523 * MS, 1, 46.0), Told::Undecided, "it may be a small load");
-        assert_eq!(line(&mut lines, 1_525 * MS, 2, 475.0), Told::Delay(475 * MS));
-        assert_eq!(line(&mut lines, 1_900 * MS, 2, 475.0), Told::Undecided, "out of step");
+        assert_eq!(classify(&mut lines, 23 * MS, 1, 41_000.0), LoadLine::Load(41_000.0));
+        assert_eq!(classify(&mut lines, 523 * MS, 1, 46.0), LoadLine::Undecided, "it may be a small load");
+        assert_eq!(classify(&mut lines, 1_525 * MS, 2, 475.0), LoadLine::Delay(475 * MS));
+        assert_eq!(classify(&mut lines, 1_900 * MS, 2, 475.0), LoadLine::Undecided, "out of step");
         // Back after a time without: the moment is known.
-        assert_eq!(line(&mut lines, 9_521 * MS, 1, 31.0), Told::Delay(31 * MS));
+        assert_eq!(classify(&mut lines, 9_521 * MS, 1, 31.0), LoadLine::Delay(31 * MS));
         assert_eq!(
-            line(&mut lines, 10_522 * MS, 1, 12.0),
-            Told::Delay(12 * MS),
+            classify(&mut lines, 10_522 * MS, 1, 12.0),
+            LoadLine::Delay(12 * MS),
             "once more when it is back under"
         );
         assert_eq!(lines.settle(10_600 * MS), [(RequestId(2), 475.0)], "what nothing followed was a load");
@@ -135,17 +135,17 @@
     fn a_new_life_of_the_process_has_another_moment() {
         let mut lines = LoadLines::default();
         for at in [100, 1_100, 2_100] {
-            line(&mut lines, at * MS, 1, 80.0);
+            classify(&mut lines, at * MS, 1, 80.0);
         }
         lines.forget(NODE);
-        assert_eq!(line(&mut lines, 3_100 * MS, 1, 80.0), Told::Undecided);
+        assert_eq!(classify(&mut lines, 3_100 * MS, 1, 80.0), LoadLine::Undecided);
     }
 
     #[test]
     fn a_flood_of_small_loads_is_bounded() {
         let mut lines = LoadLines::default();
         for n in 0..10_000 {
-            line(&mut lines, n * 20, n as u64, 50.0);
+            classify(&mut lines, n * 20, n as u64, 50.0);
         }
         assert!(lines.nodes[&NODE].undecided.len() <= MOST_UNDECIDED);
     }
@@ -166,13 +166,13 @@
             let (mut wrong, mut small, mut missed) = (0, 0, 0);
             let mut noted_at = Micros::MIN / 2;
             for (at, delay, figure) in &all {
-                let told = lines.line(*at, NODE, RequestId(1), *figure);
+                let told = lines.classify(*at, NODE, RequestId(1), *figure);
                 small += usize::from(!delay && *figure <= MOST_MS);
-                wrong += usize::from(matches!(told, Told::Delay(_)) != *delay && !(*delay && told == Told::Undecided));
-                prop_assert!(!*delay || !matches!(told, Told::Load(_)), "{told:?}");
+                wrong += usize::from(matches!(told, LoadLine::Delay(_)) != *delay && !(*delay && told == LoadLine::Undecided));
+                prop_assert!(!*delay || !matches!(told, LoadLine::Load(_)), "{told:?}");
                 if *delay {
                     // One that follows another after a second is known for what it is.
-                    missed += usize::from(at - noted_at == STEP && told == Told::Undecided);
+                    missed += usize::from(at - noted_at == STEP && told == LoadLine::Undecided);
                     noted_at = *at;
                 }
             }
--- a/crates/proxy-core/src/driven.rs
+++ b/crates/proxy-core/src/member_driver.rs
@@ -3,14 +3,14 @@
 use cottonnotch_decision::Micros;
 
 /// A sans-io member: inputs with their time go in, then outputs come out until there is none.
-pub trait Driven {
+pub trait SansIoMember {
     /// What happened.
     type Input<'a>;
     /// What is to be done, or to be known.
     type Output;
 
-    /// The input that says that [`Driven::next_timeout`] has come.
-    fn time() -> Self::Input<'static>;
+    /// The input that says that [`SansIoMember::next_timeout`] has come.
+    fn tick() -> Self::Input<'static>;
 
     /// Takes an input.
     fn handle(&mut self, now: Micros, input: Self::Input<'_>);
@@ -18,17 +18,17 @@
     /// The next thing to do, if any.
     fn poll(&mut self) -> Option<Self::Output>;
 
-    /// When [`Driven::time`] is due, unless another input comes first.
+    /// When [`SansIoMember::time`] is due, unless another input comes first.
     fn next_timeout(&self) -> Micros;
 }
 
 macro_rules! driven {
     ($member:ty, $input:ty, $time:expr, $output:ty) => {
-        impl Driven for $member {
+        impl SansIoMember for $member {
             type Input<'a> = $input;
             type Output = $output;
 
-            fn time() -> Self::Input<'static> {
+            fn tick() -> Self::Input<'static> {
                 $time
             }
 
@@ -67,9 +67,9 @@
 );
 
 /// Who has a member, and carries out what it asks for.
-pub trait Embedder {
+pub trait MemberDriver {
     /// The member.
-    type Member: Driven;
+    type Member: SansIoMember;
     /// Why an output can't be carried out; what is left of them is not.
     type Error;
 
@@ -77,22 +77,29 @@
     fn member(&mut self) -> &mut Self::Member;
 
     /// Carries out one output; they come in their order.
-    fn carry_out(&mut self, now: Micros, output: <Self::Member as Driven>::Output)
-    -> Result<(), Self::Error>;
+    fn execute(
+        &mut self,
+        now: Micros,
+        output: <Self::Member as SansIoMember>::Output,
+    ) -> Result<(), Self::Error>;
 
     /// Hands the member an input, and carries out all that comes of it.
-    fn hand(&mut self, now: Micros, input: <Self::Member as Driven>::Input<'_>) -> Result<(), Self::Error> {
+    fn handle_input(
+        &mut self,
+        now: Micros,
+        input: <Self::Member as SansIoMember>::Input<'_>,
+    ) -> Result<(), Self::Error> {
         self.member().handle(now, input);
         while let Some(output) = self.member().poll() {
-            self.carry_out(now, output)?;
+            self.execute(now, output)?;
         }
         Ok(())
     }
 
     /// Tells the member that its time has come, if it has.
-    fn hand_time(&mut self, now: Micros) -> Result<(), Self::Error> {
+    fn handle_timeout(&mut self, now: Micros) -> Result<(), Self::Error> {
         if self.member().next_timeout() <= now {
-            self.hand(now, Self::Member::time())?;
+            self.handle_input(now, Self::Member::tick())?;
         }
         Ok(())
     }
@@ -100,18 +107,18 @@
 
 /// One timer of an embedder that can't take timers back: it may ring early, and never late.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Alarm {
+pub struct WakeUpTimer {
     armed: Option<Micros>,
 }
 
-impl Alarm {
+impl WakeUpTimer {
     /// It rings.
-    pub fn rung(&mut self) {
+    pub fn fired(&mut self) {
         self.armed = None;
     }
 
     /// After how long a timer is to ring, if another one is needed for what is due then.
-    pub fn set(&mut self, now: Micros, due: Micros) -> Option<Micros> {
+    pub fn arm(&mut self, now: Micros, due: Micros) -> Option<Micros> {
         if due == Micros::MAX || self.armed.is_some_and(|armed| armed <= due) {
             return None;
         }
--- a/crates/proxy-core/src/message_delay.rs
+++ b/crates/proxy-core/src/message_latency.rs
@@ -7,13 +7,13 @@
 //! how long set-ups take, and what the fleet's keeper says. A client's line is timed to its reply as well, though render nodes
 //! return one within 2 ms however much work has piled up (docs/design.md has the figures). The larger of the two is noted.
 
-use crate::peer_loads::{PeerLoads, Standing, groups_in, sketch};
+use crate::peer_loads::{EstablishedLoad, PeerLoads, groups_in, sketch};
 use cottonnotch_aggregation::GroupLoad;
 use cottonnotch_decision::{Micros, RequestId, ServerId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Between two rounds of notes.
-pub const EVERY: Micros = 1_000_000;
+pub const REPORT_INTERVAL: Micros = 1_000_000;
 /// A measured delay is believed for this long: clients send a line every 2 s.
 const BELIEVED: Micros = 4_000_000;
 /// What a core of standard speed, a listed size of 1, does: work in microseconds a second.
@@ -88,7 +88,7 @@
 
 /// A note that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Note {
+pub struct LatencyReport {
     /// Where.
     pub server: ServerId,
     /// Time that a message takes.
@@ -97,7 +97,7 @@
 
 /// Message delays of all subchannels, as far as this proxy can tell.
 #[derive(Debug)]
-pub struct MessageDelays {
+pub struct MessageLatencies {
     nodes: f64,
     /// The shortest aim; none, and nothing is noted.
     aim: Option<f64>,
@@ -109,24 +109,24 @@
     /// What the other proxies say.
     pub peers: PeerLoads,
     /// What all are said to have together.
-    pub fleet: Option<FleetUse>,
+    pub fleet: Option<FleetUtilisation>,
     /// Subchannels tell their delays: one that is silent to connections of ours has none.
     tells: bool,
 }
 
 /// What all proxies together have, as the fleet's keeper told.
 #[derive(Debug)]
-pub struct FleetUse {
+pub struct FleetUtilisation {
     until: Micros,
     mean_load: f64,
     used: BTreeMap<ServerId, f64>,
 }
 
-impl FleetUse {
+impl FleetUtilisation {
     /// Told at that time; the next is told after about a `period`. Load over size by subchannel (those that are not named
     /// have little), and the mean load of a connection.
     pub fn new(at: Micros, period: Micros, mean_load: f64, used: BTreeMap<ServerId, f64>) -> Self {
-        FleetUse { until: at + FLEET_FOR * period, mean_load, used }
+        FleetUtilisation { until: at + FLEET_FOR * period, mean_load, used }
     }
 }
 
@@ -153,11 +153,11 @@
     groups: BTreeSet<u64>,
 }
 
-impl MessageDelays {
+impl MessageLatencies {
     /// Nothing seen yet; by the settings there are so many proxies, `aim` is the shortest time wanted of a message, and sizes are
     /// listed or not.
     pub fn new(nodes: u32, aim: Option<Micros>, sized: bool) -> Self {
-        MessageDelays {
+        MessageLatencies {
             nodes: f64::from(nodes.max(1)),
             aim: aim.map(|aim| aim as f64),
             sized,
@@ -171,7 +171,7 @@
     }
 
     /// The settings have changed.
-    pub fn set(&mut self, nodes: u32, aim: Option<Micros>, sized: bool) {
+    pub fn configure(&mut self, nodes: u32, aim: Option<Micros>, sized: bool) {
         (self.nodes, self.aim, self.sized) = (f64::from(nodes.max(1)), aim.map(|aim| aim as f64), sized);
     }
 
@@ -186,7 +186,7 @@
     }
 
     /// A connection is up; `setup` is how long that took.
-    pub fn opened(
+    pub fn connection_opened(
         &mut self,
         now: Micros,
         request: RequestId,
@@ -203,26 +203,31 @@
     }
 
     /// A connection's load has changed, work in microseconds a second.
-    pub fn load(&mut self, request: RequestId, load: f64) {
+    pub fn load_changed(&mut self, request: RequestId, load: f64) {
         if let Some(open) = self.open.get_mut(&request) {
             open.load = Some(load.max(0.0));
         }
     }
 
     /// A client's line was answered after this long, or has waited so long by now.
-    pub fn measured(&mut self, now: Micros, server: ServerId, delay: Micros) {
+    pub fn round_trip_measured(&mut self, now: Micros, server: ServerId, delay: Micros) {
         if let Some(known) = self.known.get_mut(&server.0) {
             known.measured = Some((now, delay));
         }
     }
 
     /// A subchannel has told how long a message takes there. The note is the module's at once.
-    pub fn told(&mut self, now: Micros, server: ServerId, delay: Micros) -> Option<Note> {
+    pub fn latency_advertised(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        delay: Micros,
+    ) -> Option<LatencyReport> {
         self.tells = true;
         let known = self.known.get_mut(&server.0)?;
         known.told = Some((now, delay));
         known.over = self.aim.is_some_and(|aim| delay as f64 > aim / 3.0);
-        Some(Note { server, delay })
+        Some(LatencyReport { server, delay })
     }
 
     /// Subchannels with a connection of ours that is old enough to have been told a delay, if there were one.
@@ -232,12 +237,12 @@
     }
 
     /// A connection is over, if it was up.
-    pub fn ended(&mut self, request: RequestId) {
+    pub fn connection_closed(&mut self, request: RequestId) {
         self.open.remove(&request);
     }
 
     /// Once a second: the notes that are due.
-    pub fn notes(&mut self, now: Micros) -> Vec<Note> {
+    pub fn due_reports(&mut self, now: Micros) -> Vec<LatencyReport> {
         let Some(aim) = self.aim else { return Vec::new() };
         let mut notes = Vec::new();
         let silent = self.silent(now);
@@ -251,7 +256,7 @@
             let delay = measured.max(estimate);
             let over = delay as f64 > aim / 3.0;
             if over || known.over {
-                notes.push(Note { server: ServerId(number), delay });
+                notes.push(LatencyReport { server: ServerId(number), delay });
             }
             known.over = over;
         }
@@ -259,9 +264,9 @@
     }
 
     /// This proxy's own sums, for the others to hear.
-    pub fn standing(&self) -> BTreeMap<ServerId, (u32, Standing)> {
+    pub fn established(&self) -> BTreeMap<ServerId, (u32, EstablishedLoad)> {
         let mean = self.mean();
-        let mut all: BTreeMap<ServerId, (u32, Standing)> = BTreeMap::new();
+        let mut all: BTreeMap<ServerId, (u32, EstablishedLoad)> = BTreeMap::new();
         for open in self.open.values() {
             let (count, standing) = all.entry(open.server).or_default();
             *count += 1;
@@ -273,7 +278,7 @@
 
     /// The same with a byte of each group's digest in place of a sketch. A connection that has not told its load counts with
     /// the fleet's mean, if that is known: where a proxy has three, its own say nothing, and new ones would weigh nothing.
-    pub fn standing_by_group(&self, now: Micros) -> BTreeMap<ServerId, (f64, Vec<u8>)> {
+    pub fn established_by_group(&self, now: Micros) -> BTreeMap<ServerId, (f64, Vec<u8>)> {
         let mean = self.usual_load(now);
         let mut all: BTreeMap<ServerId, (f64, Vec<u8>)> = BTreeMap::new();
         for open in self.open.values() {
@@ -287,7 +292,7 @@
 
     /// What this proxy has of each group; a connection that has not told its load counts with the mean. Takes as long as there
     /// are connections.
-    pub fn by_group(&self, now: Micros) -> Vec<GroupLoad> {
+    pub fn load_by_group(&self, now: Micros) -> Vec<GroupLoad> {
         let mean = self.usual_load(now);
         let mut all: HashMap<u64, GroupLoad> = HashMap::new();
         for open in self.open.values() {
@@ -300,7 +305,7 @@
     }
 
     /// The listed subchannels' capacities, microseconds of work a second; none where sizes are not listed.
-    pub fn sizes(&self) -> impl Iterator<Item = (ServerId, f64)> + '_ {
+    pub fn capacities(&self) -> impl Iterator<Item = (ServerId, f64)> + '_ {
         let sized = self.known.iter().filter(|_| self.sized);
         sized.map(|(number, known)| (ServerId(*number), known.weight * WORK_OF_A_CORE))
     }
@@ -406,20 +411,20 @@
     const OTHERS: ServerId = ServerId(2);
 
     /// The keeper says that both subchannels are full; we have a connection at one of them, since the time 0.
-    fn full_by_the_keeper() -> MessageDelays {
-        let mut delays = MessageDelays::new(100, Some(60 * MS), true);
+    fn full_by_the_keeper() -> MessageLatencies {
+        let mut delays = MessageLatencies::new(100, Some(60 * MS), true);
         for server in [OURS, OTHERS] {
             delays.listed(server, 2.0, false);
         }
-        delays.opened(0, RequestId(1), OURS, None, None);
+        delays.connection_opened(0, RequestId(1), OURS, None, None);
         let used = BTreeMap::from([(OURS, 2.0), (OTHERS, 2.0)]);
-        delays.fleet = Some(FleetUse::new(0, 20 * S, 40_000.0, used));
+        delays.fleet = Some(FleetUtilisation::new(0, 20 * S, 40_000.0, used));
         delays
     }
 
-    fn noted(delays: &mut MessageDelays, now: Micros) -> Vec<ServerId> {
-        let over = |note: &Note| note.delay > 20 * MS;
-        delays.notes(now).iter().filter(|note| over(note)).map(|note| note.server).collect()
+    fn noted(delays: &mut MessageLatencies, now: Micros) -> Vec<ServerId> {
+        let over = |note: &LatencyReport| note.delay > 20 * MS;
+        delays.due_reports(now).iter().filter(|note| over(note)).map(|note| note.server).collect()
     }
 
     #[test]
@@ -432,28 +437,31 @@
     #[test]
     fn one_that_could_tell_us_and_does_not_has_no_delay() {
         let mut delays = full_by_the_keeper();
-        delays.told(3 * S, OTHERS, 90 * MS);
+        delays.latency_advertised(3 * S, OTHERS, 90 * MS);
         assert_eq!(
             noted(&mut delays, 5 * S),
             [OTHERS],
             "silent to our connection; the other one's note is old"
         );
-        delays.ended(RequestId(1));
+        delays.connection_closed(RequestId(1));
         assert_eq!(noted(&mut delays, 6 * S), [OURS, OTHERS], "nobody there is ours, who could be told");
-        delays.opened(7 * S, RequestId(2), OURS, None, None);
+        delays.connection_opened(7 * S, RequestId(2), OURS, None, None);
         assert_eq!(noted(&mut delays, 8 * S), [OURS, OTHERS], "too new to have been told");
     }
 
     #[test]
     fn what_is_told_is_noted_at_once_and_once() {
         let mut delays = full_by_the_keeper();
-        assert_eq!(delays.told(3 * S, OURS, 300 * MS), Some(Note { server: OURS, delay: 300 * MS }));
-        let tick: Vec<ServerId> = delays.notes(3 * S + S / 2).iter().map(|note| note.server).collect();
+        assert_eq!(
+            delays.latency_advertised(3 * S, OURS, 300 * MS),
+            Some(LatencyReport { server: OURS, delay: 300 * MS })
+        );
+        let tick: Vec<ServerId> = delays.due_reports(3 * S + S / 2).iter().map(|note| note.server).collect();
         assert_eq!(tick, [OTHERS], "not a second time with the tick, nor as back under");
-        assert_eq!(delays.told(4 * S, ServerId(9), 300 * MS), None, "never listed");
+        assert_eq!(delays.latency_advertised(4 * S, ServerId(9), 300 * MS), None, "never listed");
         // A new life of the process is not judged by what the old one told.
         delays.listed(OURS, 2.0, true);
-        delays.ended(RequestId(1));
+        delays.connection_closed(RequestId(1));
         assert_eq!(noted(&mut delays, 4 * S), [OURS, OTHERS]);
     }
 }
--- a/crates/proxy-core/src/peer_loads.rs
+++ b/crates/proxy-core/src/peer_loads.rs
@@ -16,7 +16,7 @@
 
 /// What a peer has standing at a subchannel.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Standing {
+pub struct EstablishedLoad {
     /// Summed load, work in microseconds a second.
     pub load: f64,
     /// Which groups: one bit of 32 for each, joined.
@@ -37,7 +37,7 @@
 #[derive(Debug, Default)]
 struct Peer {
     heard: Option<Micros>,
-    standing: BTreeMap<u32, Standing>,
+    standing: BTreeMap<u32, EstablishedLoad>,
 }
 
 /// The peers that are alive, as far as is known.
@@ -68,7 +68,13 @@
     }
 
     /// A peer said what it has standing at a subchannel; nothing, and it has none there any more.
-    pub fn told(&mut self, now: Micros, from: u32, server: ServerId, standing: Option<Standing>) {
+    pub fn report_received(
+        &mut self,
+        now: Micros,
+        from: u32,
+        server: ServerId,
+        standing: Option<EstablishedLoad>,
+    ) {
         let peer = self.peers.entry(from).or_default();
         peer.heard = Some(now);
         match standing {
@@ -115,8 +121,8 @@
     const S: Micros = 1_000_000;
     const AT: ServerId = ServerId(3);
 
-    fn told(load: f64) -> Option<Standing> {
-        Some(Standing { load, groups: sketch(7) })
+    fn told(load: f64) -> Option<EstablishedLoad> {
+        Some(EstablishedLoad { load, groups: sketch(7) })
     }
 
     #[test]
@@ -129,7 +135,7 @@
     fn what_all_said_takes_the_guess_s_place_and_fades_into_it_again() {
         let mut peers = PeerLoads::default();
         for from in 1..5 {
-            peers.told(0, from, AT, told(30.0));
+            peers.report_received(0, from, AT, told(30.0));
         }
         let at = |now| peers.others(now, AT, 4.0, 10.0);
         assert_eq!(at(2 * S), Others { load: 120.0, groups: sketch(7), told: 1.0 });
@@ -142,16 +148,16 @@
     #[test]
     fn a_peer_that_has_nothing_there_counts_as_heard() {
         let mut peers = PeerLoads::default();
-        peers.told(0, 1, AT, None);
-        peers.told(0, 2, ServerId(9), told(50.0));
+        peers.report_received(0, 1, AT, None);
+        peers.report_received(0, 2, ServerId(9), told(50.0));
         assert_eq!(peers.others(S, AT, 2.0, 10.0).load, 0.0);
     }
 
     #[test]
     fn who_has_left_takes_its_load_along_at_once() {
         let mut peers = PeerLoads::default();
-        peers.told(0, 1, AT, told(30.0));
-        peers.told(0, 2, AT, told(50.0));
+        peers.report_received(0, 1, AT, told(30.0));
+        peers.report_received(0, 2, AT, told(50.0));
         peers.alive([2].into());
         assert_eq!(peers.others(S, AT, 4.0, 10.0).load, 50.0);
         peers.alive(BTreeSet::new());
@@ -163,7 +169,7 @@
         let mut peers = PeerLoads::default();
         peers.alive((1..=100).collect());
         for from in 1..=20 {
-            peers.told(0, from, AT, told(30.0));
+            peers.report_received(0, from, AT, told(30.0));
         }
         let others = peers.others(S, AT, 4.0, 10.0);
         assert!((2850.0..3000.0).contains(&others.load) && others.told == 0.2, "{others:?}");
--- a/crates/proxy-core/src/peers.rs
+++ b/crates/proxy-core/src/peers.rs
@@ -1,10 +1,10 @@
 //! The other proxies of the tier: a small one gossips, a large one has a view of the fleet; this proxy is a member of one of the
 //! two. What it holds grows with the number of members and of render nodes, not with their product.
 
-use crate::driven::{Driven, Embedder};
 use crate::fleet::FleetMember;
 use crate::gossip::GossipMember;
-use crate::message_delay::MessageDelays;
+use crate::member_driver::{MemberDriver, SansIoMember};
+use crate::message_latency::MessageLatencies;
 use cottonnotch_decision::{Event, Micros, ServerId, Settings};
 use cottonnotch_gossip::{Gossip, Keys, State, Strength, To};
 use std::collections::{BTreeMap, VecDeque};
@@ -24,9 +24,9 @@
 }
 
 /// What this proxy has at the moment.
-pub struct Local<'a> {
+pub struct LocalState<'a> {
     /// What stands where; what is told of the other proxies goes here too.
-    pub delays: &'a mut MessageDelays,
+    pub delays: &'a mut MessageLatencies,
     /// The render nodes.
     pub servers: &'a dyn Servers,
     /// The module's settings.
@@ -150,7 +150,7 @@
     }
 
     /// Takes an input; then [`Peers::poll`] until it gives nothing. `now` never goes back.
-    pub fn handle(&mut self, now: Micros, input: Input<'_>, local: &mut Local<'_>) {
+    pub fn handle(&mut self, now: Micros, input: Input<'_>, local: &mut LocalState<'_>) {
         let (roster, out) = (&self.roster, &mut self.out);
         match &mut self.way {
             Way::Gossip(member) => member.handle(now, input, &mut Around { local, roster, out }),
@@ -190,7 +190,7 @@
 
 /// What is around a member while its outputs are carried out.
 pub(crate) struct Around<'a, 'b> {
-    pub local: &'a mut Local<'b>,
+    pub local: &'a mut LocalState<'b>,
     pub roster: &'a Roster,
     pub out: &'a mut VecDeque<Output>,
 }
@@ -215,19 +215,19 @@
 
 /// What translates for one kind of member.
 pub(crate) trait Translator {
-    type Member: Driven;
+    type Member: SansIoMember;
 
     fn driven(&mut self) -> &mut Self::Member;
 
     fn translate(
         &mut self,
         now: Micros,
-        output: <Self::Member as Driven>::Output,
+        output: <Self::Member as SansIoMember>::Output,
         around: &mut Around<'_, '_>,
     );
 }
 
-impl<M: Translator> Embedder for Carrying<'_, M, Around<'_, '_>> {
+impl<M: Translator> MemberDriver for Carrying<'_, M, Around<'_, '_>> {
     type Member = M::Member;
     type Error = Infallible;
 
@@ -235,7 +235,11 @@
         self.member.driven()
     }
 
-    fn carry_out(&mut self, now: Micros, output: <M::Member as Driven>::Output) -> Result<(), Infallible> {
+    fn execute(
+        &mut self,
+        now: Micros,
+        output: <M::Member as SansIoMember>::Output,
+    ) -> Result<(), Infallible> {
         self.member.translate(now, output, self.around);
         Ok(())
     }
--- a/crates/proxy-core/src/wall_clock.rs
+++ b/crates/proxy-core/src/wall_clock.rs
@@ -31,7 +31,7 @@
 
 /// What one process tells the next of a time in which the wall clock was not stepped. The next such time begins where it was seen last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WallEra {
+pub struct ClockOffset {
     /// Wall clock less the process's own.
     pub offset: Micros,
     /// When the time before was seen last; `None`: there is none that is known.
@@ -66,9 +66,9 @@
 
     /// As [`Self::new`], for a process that was told what earlier ones saw, by its own clock and oldest first. What can't be true
     /// is dropped.
-    pub fn after(earlier: Vec<WallEra>, now: Micros, unix: Micros) -> Self {
+    pub fn with_history(earlier: Vec<ClockOffset>, now: Micros, unix: Micros) -> Self {
         let mut eras: VecDeque<Era> = VecDeque::new();
-        for WallEra { offset, from, seen } in earlier.into_iter().take(MOST_ERAS) {
+        for ClockOffset { offset, from, seen } in earlier.into_iter().take(MOST_ERAS) {
             let is_after = eras.back().is_none_or(|before| before.seen <= seen);
             if !is_after || seen > now {
                 return WallClock::new(now, unix);
@@ -87,8 +87,8 @@
     }
 
     /// What is known, for the next process.
-    pub fn eras(&self) -> impl Iterator<Item = WallEra> {
-        self.eras.iter().map(|era| WallEra { offset: era.offset, from: era.from, seen: era.seen })
+    pub fn offsets(&self) -> impl Iterator<Item = ClockOffset> {
+        self.eras.iter().map(|era| ClockOffset { offset: era.offset, from: era.from, seen: era.seen })
     }
 
     /// Both clocks were read. To be called once a second at least, and before a time is asked for. True if the wall clock was stepped
@@ -118,7 +118,7 @@
     /// young is treated with more care. Where the wall clock showed it twice, the later one counts for the same reason.
     ///
     /// A step before this process began is known of only if an earlier one told it ([`Self::after`]).
-    pub fn time_of(&self, now: Micros, unix: Micros) -> Micros {
+    pub fn to_monotonic(&self, now: Micros, unix: Micros) -> Micros {
         self.eras.iter().filter_map(|era| era.time(now, unix)).max().unwrap_or(now)
     }
 }
--- a/crates/proxy-core/tests/golden.rs
+++ b/crates/proxy-core/tests/golden.rs
@@ -2,10 +2,10 @@
 
 use cottonnotch_consensus::Message;
 use cottonnotch_golden::{assert_bytes, golden_path};
-use cottonnotch_proxy_core::envelope::Seal;
+use cottonnotch_proxy_core::envelope::EnvelopeKey;
 
-fn seal(me: u16) -> Seal {
-    Seal::new("0123456789abcdef".repeat(4).as_bytes(), "site", me).unwrap()
+fn seal(me: u16) -> EnvelopeKey {
+    EnvelopeKey::new("0123456789abcdef".repeat(4).as_bytes(), "site", me).unwrap()
 }
 
 #[test]
@@ -14,7 +14,7 @@
         ("hint", Message::Hint { echo: 7, leader: Some(2) }),
         ("vote", Message::Vote { term: 8, only_asked: false, granted: true }),
     ];
-    let made = messages.clone().map(|(name, message)| (name, seal(0).close(1, message).unwrap()));
+    let made = messages.clone().map(|(name, message)| (name, seal(0).seal(1, message).unwrap()));
     let golden = assert_bytes(&golden_path!("envelopes.txt"), &made);
     for (bytes, (_, message)) in golden.iter().zip(messages) {
         assert_eq!(seal(1).open(bytes), Ok((0, message)));
--- a/crates/proxy-core/tests/growth.rs
+++ b/crates/proxy-core/tests/growth.rs
@@ -2,7 +2,7 @@
 //! other. `docs/CAPACITY.md` quotes the slopes; a test fails when one grows past that.
 
 use cottonnotch_decision::{Micros, RequestId, ServerId};
-use cottonnotch_proxy_core::{MessageDelays, ResolverResult};
+use cottonnotch_proxy_core::{EndpointUpdate, MessageLatencies};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use std::alloc::System;
 
@@ -24,13 +24,13 @@
     change.bytes_allocated as f64 - change.bytes_deallocated as f64
 }
 
-fn delays(nodes: u32, connections: u64) -> MessageDelays {
-    let mut delays = MessageDelays::new(440, Some(60_000), true);
+fn delays(nodes: u32, connections: u64) -> MessageLatencies {
+    let mut delays = MessageLatencies::new(440, Some(60_000), true);
     (0..nodes).for_each(|node| delays.listed(ServerId(node), 2.0, true));
     for id in 0..connections {
         let server = ServerId((id % u64::from(nodes)) as u32);
-        delays.opened(S, RequestId(id), server, Some(id % 12_400), Some(2_000));
-        delays.load(RequestId(id), 100.0);
+        delays.connection_opened(S, RequestId(id), server, Some(id % 12_400), Some(2_000));
+        delays.load_changed(RequestId(id), 100.0);
     }
     delays
 }
@@ -65,7 +65,7 @@
     }
     for members in [90, 1_024, 4_096] {
         let mut text = list(members);
-        let bytes = held(|| ResolverResult::parse(&mut text).expect("a sound list"));
+        let bytes = held(|| EndpointUpdate::parse(&mut text).expect("a sound list"));
         let each = bytes / members as f64;
         println!(r#"{{"what":"list heap","members":{members},"bytes_a_member":{each:.1}}}"#);
         assert!(each < A_MEMBER, "{members} members: {each} bytes each");
--- a/crates/proxy-core/tests/wall_clock.rs
+++ b/crates/proxy-core/tests/wall_clock.rs
@@ -1,7 +1,7 @@
 //! Unix times told before, around and after steps of the wall clock.
 
 use cottonnotch_decision::Micros;
-use cottonnotch_proxy_core::{WallClock, WallEra};
+use cottonnotch_proxy_core::{ClockOffset, WallClock};
 use proptest::prelude::*;
 
 const S: Micros = 1_000_000;
@@ -22,10 +22,14 @@
 fn without_a_step_times_are_what_they_are() {
     let clock = stepped(HOUR, 0, 10 * S);
     for time in [-HOUR, -S, 0, 5 * S, 10 * S] {
-        assert_eq!(clock.time_of(10 * S, UNIX + time), time);
+        assert_eq!(clock.to_monotonic(10 * S, UNIX + time), time);
     }
-    assert_eq!(clock.time_of(10 * S, UNIX + 10 * S + S / 10), 10 * S, "another machine is a little ahead");
-    assert_eq!(clock.time_of(10 * S, UNIX + HOUR), 10 * S, "a time to come counts as now");
+    assert_eq!(
+        clock.to_monotonic(10 * S, UNIX + 10 * S + S / 10),
+        10 * S,
+        "another machine is a little ahead"
+    );
+    assert_eq!(clock.to_monotonic(10 * S, UNIX + HOUR), 10 * S, "a time to come counts as now");
     assert_eq!(clock.unix(10 * S), UNIX + 10 * S);
 }
 
@@ -43,12 +47,12 @@
     for by in [-HOUR, -7 * S, -2 * S, 2 * S, 7 * S, HOUR] {
         let clock = stepped(20 * S - S / 2, by, 30 * S);
         // Read on the old clock a second before the step, and told after it.
-        let time = clock.time_of(30 * S, UNIX + 18 * S);
+        let time = clock.to_monotonic(30 * S, UNIX + 18 * S);
         assert!((18 * S..=30 * S).contains(&time), "step of {by}: {time}");
     }
     // An hour leaves no doubt which clock it was.
     for by in [-HOUR, HOUR] {
-        assert_eq!(stepped(20 * S - S / 2, by, 30 * S).time_of(30 * S, UNIX + 18 * S), 18 * S);
+        assert_eq!(stepped(20 * S - S / 2, by, 30 * S).to_monotonic(30 * S, UNIX + 18 * S), 18 * S);
     }
 }
 
@@ -58,8 +62,8 @@
     for step in 0..100 {
         clock.observe(step * S, UNIX + step * S + step % 2 * HOUR);
     }
-    assert_eq!(clock.time_of(99 * S, UNIX + 99 * S + HOUR), 99 * S);
-    assert_eq!(clock.time_of(99 * S, UNIX + 98 * S), 98 * S);
+    assert_eq!(clock.to_monotonic(99 * S, UNIX + 99 * S + HOUR), 99 * S);
+    assert_eq!(clock.to_monotonic(99 * S, UNIX + 98 * S), 98 * S);
 }
 
 #[test]
@@ -67,21 +71,21 @@
     for by in [-HOUR, HOUR] {
         let earlier = stepped(HOUR, 0, 20 * S);
         // It ended; the clock was stepped at 25 s; the next process begins at 30 s.
-        let next = WallClock::after(earlier.eras().collect(), 30 * S, UNIX + 30 * S + by);
-        assert_eq!(next.time_of(30 * S, UNIX + 24 * S), 24 * S, "told by the old clock");
-        assert_eq!(next.time_of(30 * S, UNIX + 28 * S + by), 28 * S, "told by the new one");
-        let third = WallClock::after(next.eras().collect(), 40 * S, UNIX + 40 * S + by);
-        assert_eq!(third.time_of(40 * S, UNIX + 24 * S), 24 * S, "as the one after that knows");
+        let next = WallClock::with_history(earlier.offsets().collect(), 30 * S, UNIX + 30 * S + by);
+        assert_eq!(next.to_monotonic(30 * S, UNIX + 24 * S), 24 * S, "told by the old clock");
+        assert_eq!(next.to_monotonic(30 * S, UNIX + 28 * S + by), 28 * S, "told by the new one");
+        let third = WallClock::with_history(next.offsets().collect(), 40 * S, UNIX + 40 * S + by);
+        assert_eq!(third.to_monotonic(40 * S, UNIX + 24 * S), 24 * S, "as the one after that knows");
     }
 }
 
 #[test]
 fn what_cannot_be_true_of_earlier_processes_is_dropped() {
-    let era = |seen| WallEra { offset: UNIX - HOUR, from: None, seen };
+    let era = |seen| ClockOffset { offset: UNIX - HOUR, from: None, seen };
     for earlier in [vec![], vec![era(11 * S)], vec![era(5 * S), era(4 * S)]] {
-        let clock = WallClock::after(earlier, 10 * S, UNIX + 10 * S);
-        assert_eq!(clock.eras().count(), 1);
-        assert_eq!(clock.time_of(10 * S, UNIX + 7 * S), 7 * S);
+        let clock = WallClock::with_history(earlier, 10 * S, UNIX + 10 * S);
+        assert_eq!(clock.offsets().count(), 1);
+        assert_eq!(clock.to_monotonic(10 * S, UNIX + 7 * S), 7 * S);
     }
 }
 
@@ -99,7 +103,7 @@
         for look in (0..now).step_by(S as usize).chain([now]) {
             clock.observe(look, UNIX + look + offset(look));
         }
-        let time = clock.time_of(now, UNIX + told_at + offset(told_at));
+        let time = clock.to_monotonic(now, UNIX + told_at + offset(told_at));
         // Two steps between two looks leave an offset that was never seen; small ones look like slewing.
         let seen: Vec<Micros> = (0..now).step_by(S as usize).chain([now]).map(offset).collect();
         prop_assume!(seen.iter().any(|seen| *seen == offset(told_at)));
--- a/crates/reactor/src/json_texts.rs
+++ b/crates/reactor/src/json_stream.rs
@@ -12,7 +12,7 @@
 
 /// Why the stream cannot be read on.
 #[derive(Debug, thiserror::Error)]
-pub enum BadText {
+pub enum JsonStreamError {
     /// It is no JSON object. Line and column are counted from the text's beginning.
     #[error("it is not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
@@ -23,7 +23,7 @@
 
 /// Splits a stream into JSON objects.
 #[derive(Debug, Default)]
-pub struct JsonTexts {
+pub struct JsonStream {
     /// From the beginning of the text that is not whole yet.
     buffer: Vec<u8>,
     /// The last byte that is no blank closed an object.
@@ -32,20 +32,20 @@
     tried: usize,
 }
 
-impl JsonTexts {
+impl JsonStream {
     /// Before the first byte.
     pub fn new() -> Self {
-        JsonTexts::default()
+        JsonStream::default()
     }
 
     /// Takes bytes as they came and appends the texts that are whole now. Those before a fault are appended too.
-    pub fn feed(&mut self, bytes: &[u8], texts: &mut Vec<Vec<u8>>) -> Result<(), BadText> {
+    pub fn feed(&mut self, bytes: &[u8], texts: &mut Vec<Vec<u8>>) -> Result<(), JsonStreamError> {
         let bytes = if self.buffer.is_empty() { bytes.trim_ascii_start() } else { bytes };
         self.buffer.extend_from_slice(bytes);
         if self.may_be_whole(bytes) {
             self.split(texts)?;
         }
-        if self.buffer.len() > MAX_TEXT { Err(BadText::TooLong) } else { Ok(()) }
+        if self.buffer.len() > MAX_TEXT { Err(JsonStreamError::TooLong) } else { Ok(()) }
     }
 
     /// Bytes that begin a text have come, and the rest has not.
@@ -64,7 +64,7 @@
         !self.buffer.is_empty() && (ended || self.closed || self.buffer.len() >= 2 * self.tried)
     }
 
-    fn split(&mut self, texts: &mut Vec<Vec<u8>>) -> Result<(), BadText> {
+    fn split(&mut self, texts: &mut Vec<Vec<u8>>) -> Result<(), JsonStreamError> {
         let mut used = 0;
         let mut fault = None;
         loop {
@@ -109,5 +109,5 @@
 }
 
 #[cfg(test)]
-#[path = "json_texts_tests.rs"]
+#[path = "json_stream_tests.rs"]
 mod tests;
--- a/crates/reactor/src/json_texts_tests.rs
+++ b/crates/reactor/src/json_stream_tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use proptest::prelude::*;
 
-fn split(pieces: &[&[u8]]) -> (Vec<String>, Result<(), BadText>) {
-    let (mut texts, mut found) = (JsonTexts::new(), Vec::new());
+fn split(pieces: &[&[u8]]) -> (Vec<String>, Result<(), JsonStreamError>) {
+    let (mut texts, mut found) = (JsonStream::new(), Vec::new());
     let result = pieces.iter().try_for_each(|piece| texts.feed(piece, &mut found));
     (found.into_iter().map(|text| String::from_utf8(text).unwrap()).collect(), result)
 }
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_text_is_handed_on_once_it_is_whole_and_half_a_text_never() {
-    let (mut texts, mut found) = (JsonTexts::new(), Vec::new());
+    let (mut texts, mut found) = (JsonStream::new(), Vec::new());
     texts.feed(b"{\"a\":1", &mut found).unwrap();
     assert!(found.is_empty() && texts.is_within());
     texts.feed(b"}", &mut found).unwrap();
@@ -47,14 +47,14 @@
 fn what_is_no_object_is_refused_and_what_came_before_it_is_kept() {
     for bad in ["{\"a\":1}\nnull\n", "{\"a\":1}\n12", "{\"a\":1} [] ", "{\"a\":1}{\"b\" 1}", "{\"a\":1}]"] {
         let (found, result) = split(&[bad.as_bytes()]);
-        assert!(matches!(result, Err(BadText::NotJson(_))), "{bad}: {result:?}");
+        assert!(matches!(result, Err(JsonStreamError::NotJson(_))), "{bad}: {result:?}");
         assert_eq!(found, ["{\"a\":1}"], "{bad}");
     }
 }
 
 #[test]
 fn an_endless_text_is_given_up_at_the_bound_without_being_read_again_and_again() {
-    let (mut texts, mut found) = (JsonTexts::new(), Vec::new());
+    let (mut texts, mut found) = (JsonStream::new(), Vec::new());
     texts.feed(b"{\"a\":[", &mut found).unwrap();
     let piece = b"{\"id\":\"x\"},".repeat(1000);
     let most = MAX_TEXT / piece.len() + 2;
@@ -96,7 +96,7 @@
 
     #[test]
     fn any_bytes_are_taken_or_refused(pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 0..8)) {
-        let (mut texts, mut found) = (JsonTexts::new(), Vec::new());
+        let (mut texts, mut found) = (JsonStream::new(), Vec::new());
         for piece in &pieces {
             if texts.feed(piece, &mut found).is_err() {
                 break;
@@ -111,7 +111,7 @@
 #[test]
 fn a_text_with_a_long_blank_within_that_comes_in_pieces_is_found() {
     let text = format!("{{{}\"a\":[{{\"b\":1}},{{\"b\":2.0}}]}}\n", " ".repeat(40_000));
-    let (mut texts, mut found) = (JsonTexts::new(), Vec::new());
+    let (mut texts, mut found) = (JsonStream::new(), Vec::new());
     for piece in text.as_bytes().chunks(6_000) {
         texts.feed(piece, &mut found).unwrap();
     }
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -5,12 +5,12 @@
 pub mod clock;
 pub mod http;
 pub mod http_server;
-pub mod json_texts;
+pub mod json_stream;
 pub mod line;
 pub mod listener;
+pub mod rate_limited_log;
 mod reactor;
-pub mod seldom;
 pub mod signals;
 
 pub use clock::{Clock, Micros};
-pub use reactor::{Connection, Io, Key, Leg, Reactor, Report};
+pub use reactor::{Connection, Half, Io, Key, Reactor, Report};
--- a/crates/reactor/src/line.rs
+++ b/crates/reactor/src/line.rs
@@ -1,6 +1,6 @@
 //! Lines on a non-blocking socket: CRLF framing with a bound, partial reads and writes, bounded buffers.
 
-use crate::reactor::{Io, Key, Leg, Report};
+use crate::reactor::{Half, Io, Key, Report};
 use mio::net::TcpStream;
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr};
@@ -68,7 +68,7 @@
 impl LineStream {
     /// Takes over an accepted socket. Whoever it belongs to is owed an answer, so it is given back if it can't be watched.
     pub fn accepted<R: Report>(mut stream: TcpStream, io: &Io<R>, key: Key) -> Result<Self, Unwatched> {
-        if let Err(error) = io.register(&mut stream, key, Leg::Near) {
+        if let Err(error) = io.register(&mut stream, key, Half::Near) {
             // As a source that no poll has seen: in debug builds mio takes one only once.
             let fresh = std::net::TcpStream::from(OwnedFd::from(stream));
             return Err(Unwatched { stream: TcpStream::from_std(fresh), error });
@@ -83,7 +83,7 @@
     }
 
     /// Begins to connect.
-    pub fn connect<R: Report>(address: SocketAddr, io: &Io<R>, key: Key, leg: Leg) -> io::Result<Self> {
+    pub fn connect<R: Report>(address: SocketAddr, io: &Io<R>, key: Key, leg: Half) -> io::Result<Self> {
         let mut stream = TcpStream::connect(address)?;
         io.register(&mut stream, key, leg)?;
         Ok(Self::new(stream, io))
--- a/crates/reactor/src/listener.rs
+++ b/crates/reactor/src/listener.rs
@@ -1,6 +1,6 @@
 //! A listening socket. Its owner accepts, one by one, as it has room.
 
-use crate::reactor::{Connection, Io, Key, Leg, Report};
+use crate::reactor::{Connection, Half, Io, Key, Report};
 use mio::net::TcpListener;
 use socket2::{Domain, SockFilter, SockRef, Socket, Type};
 use std::io;
@@ -64,7 +64,7 @@
 /// Lets the listener's system side take no new connection, while those that it has begun come to their end and can be
 /// accepted. Guards against resets: a listener that is closed resets whoever is in its queue. Who comes now has the first
 /// packet dropped, and sends it again a second later, to whoever listens then. Fails where the system has no such filter.
-pub fn turn_away_newcomers(listener: &TcpListener) -> io::Result<()> {
+pub fn reject_new_connections(listener: &TcpListener) -> io::Result<()> {
     // Classic BPF: load the flags, byte 13 of the TCP header; keep nothing of what has SYN set, all of anything else.
     const LOAD_BYTE: u16 = 0x30;
     const JUMP_IF_SET: u16 = 0x45;
@@ -83,11 +83,11 @@
 impl<R: Report> Connection for Listener<R> {
     type Report = R;
 
-    fn readable(&mut self, io: &mut Io<R>, _: Leg) {
-        io.tell((self.report)(self.key));
+    fn readable(&mut self, io: &mut Io<R>, _: Half) {
+        io.report((self.report)(self.key));
     }
 
-    fn writable(&mut self, _: &mut Io<R>, _: Leg) {}
+    fn writable(&mut self, _: &mut Io<R>, _: Half) {}
 
     fn timer(&mut self, _: &mut Io<R>, _: u32) {}
 
--- a/crates/reactor/src/seldom.rs
+++ b/crates/reactor/src/rate_limited_log.rs
@@ -7,12 +7,12 @@
 
 /// When the line was last written, and how often it was left out since.
 #[derive(Debug, Default)]
-pub struct Seldom {
+pub struct RateLimitedLog {
     next: Micros,
     left_out: u64,
 }
 
-impl Seldom {
+impl RateLimitedLog {
     /// How many were left out, if the line is to be written now.
     pub fn due(&mut self, now: Micros) -> Option<u64> {
         if now < self.next {
--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -15,7 +15,7 @@
 
 /// Which of an object's sockets: most have one, a relayed RPC has two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Leg {
+pub enum Half {
     /// The client's, or the only one.
     Near,
     /// The subchannel's.
@@ -30,14 +30,14 @@
 }
 
 impl Key {
-    fn token(self, leg: Leg) -> Token {
-        let leg = usize::from(leg == Leg::Far);
+    fn token(self, leg: Half) -> Token {
+        let leg = usize::from(leg == Half::Far);
         Token((self.generation as usize) << 32 | (self.index as usize) << 1 | leg)
     }
 
-    fn of(token: Token) -> (Key, Leg) {
+    fn of(token: Token) -> (Key, Half) {
         let index = (token.0 as u32) >> 1;
-        let leg = if token.0 & 1 == 1 { Leg::Far } else { Leg::Near };
+        let leg = if token.0 & 1 == 1 { Half::Far } else { Half::Near };
         (Key { index, generation: (token.0 >> 32) as u32 }, leg)
     }
 }
@@ -53,9 +53,9 @@
     /// What it has to tell.
     type Report: Report;
     /// There may be something to read.
-    fn readable(&mut self, io: &mut Io<Self::Report>, leg: Leg);
+    fn readable(&mut self, io: &mut Io<Self::Report>, leg: Half);
     /// There may be room to write, or a connect has ended.
-    fn writable(&mut self, io: &mut Io<Self::Report>, leg: Leg);
+    fn writable(&mut self, io: &mut Io<Self::Report>, leg: Half);
     /// A timer that the object set is due; it may be outdated.
     fn timer(&mut self, io: &mut Io<Self::Report>, timer: u32);
     /// The object is finished and will be dropped.
@@ -78,7 +78,7 @@
     clock: Clock,
     timers: BinaryHeap<Reverse<(Micros, u64, Owner, u32)>>,
     timer_number: u64,
-    again: VecDeque<(Key, Leg)>,
+    again: VecDeque<(Key, Half)>,
     /// What objects have to tell, for the owner.
     pub reports: VecDeque<R>,
     /// Bytes that each direction of a connection may hold.
@@ -92,13 +92,13 @@
     }
 
     /// Registers a socket for both directions.
-    pub fn register(&self, source: &mut impl Source, key: Key, leg: Leg) -> io::Result<()> {
+    pub fn register(&self, source: &mut impl Source, key: Key, leg: Half) -> io::Result<()> {
         self.registry.register(source, key.token(leg), Interest::READABLE | Interest::WRITABLE)
     }
 
     /// Registers a source that is only read.
     pub fn register_reader(&self, source: &mut impl Source, key: Key) -> io::Result<()> {
-        self.registry.register(source, key.token(Leg::Near), Interest::READABLE)
+        self.registry.register(source, key.token(Half::Near), Interest::READABLE)
     }
 
     /// Calls the object's `timer` at that time.
@@ -118,12 +118,12 @@
 
     /// Calls `readable` again in the next round: the object stopped before it would have blocked, so that
     /// one busy connection does not keep the others waiting.
-    pub fn call_again(&mut self, key: Key, leg: Leg) {
+    pub fn call_again(&mut self, key: Key, leg: Half) {
         self.again.push_back((key, leg));
     }
 
     /// Reports to the owner.
-    pub fn tell(&mut self, report: R) {
+    pub fn report(&mut self, report: R) {
         self.reports.push_back(report);
     }
 }
@@ -237,7 +237,7 @@
         while self.io.timers.peek().is_some_and(|Reverse((at, ..))| *at <= now) {
             let Some(Reverse((_, _, owner, timer))) = self.io.timers.pop() else { break };
             match owner {
-                Owner::Loop => self.io.tell(C::Report::timer(timer)),
+                Owner::Loop => self.io.report(C::Report::timer(timer)),
                 Owner::Connection(key) => {
                     self.with(key, |c, io| c.timer(io, timer));
                 }
--- a/crates/reactor/src/signals.rs
+++ b/crates/reactor/src/signals.rs
@@ -1,7 +1,7 @@
 //! Signals, told to the loop through a pipe.
 
 use crate::clock::Micros;
-use crate::reactor::{Connection, Io, Key, Leg, Report};
+use crate::reactor::{Connection, Half, Io, Key, Report};
 use mio::net::UnixStream;
 use std::io::{self, Read};
 use std::sync::Arc;
@@ -43,7 +43,7 @@
         let is_pending = self.pending.swap(false, Ordering::AcqRel);
         let was_told = self.empty(io);
         if is_pending && !was_told {
-            io.tell((self.report)());
+            io.report((self.report)());
         }
     }
 
@@ -56,7 +56,7 @@
                 Ok(0) => return was_told,
                 Ok(_) => {
                     was_told = true;
-                    io.tell((self.report)());
+                    io.report((self.report)());
                 }
                 // An edge is told once: what is not read now would wait for the next signal.
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -69,11 +69,11 @@
 impl<R: Report> Connection for Signals<R> {
     type Report = R;
 
-    fn readable(&mut self, io: &mut Io<R>, _: Leg) {
+    fn readable(&mut self, io: &mut Io<R>, _: Half) {
         self.take(io);
     }
 
-    fn writable(&mut self, _: &mut Io<R>, _: Leg) {}
+    fn writable(&mut self, _: &mut Io<R>, _: Half) {}
 
     fn timer(&mut self, io: &mut Io<R>, _: u32) {
         self.take(io);
--- a/crates/reactor/tests/line.rs
+++ b/crates/reactor/tests/line.rs
@@ -1,7 +1,7 @@
 //! How a connection ended, whoever came upon it first: a write, a read, or a read after those.
 
 use cottonnotch_reactor::line::{Fill, LineStream};
-use cottonnotch_reactor::{Clock, Connection, Io, Key, Leg, Reactor, Report};
+use cottonnotch_reactor::{Clock, Connection, Half, Io, Key, Reactor, Report};
 use std::io::{ErrorKind, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
@@ -19,8 +19,8 @@
 
 impl Connection for Holder {
     type Report = Nothing;
-    fn readable(&mut self, _: &mut Io<Nothing>, _: Leg) {}
-    fn writable(&mut self, _: &mut Io<Nothing>, _: Leg) {}
+    fn readable(&mut self, _: &mut Io<Nothing>, _: Half) {}
+    fn writable(&mut self, _: &mut Io<Nothing>, _: Half) {}
     fn timer(&mut self, _: &mut Io<Nothing>, _: u32) {}
     fn done(&self) -> bool {
         false
@@ -44,7 +44,7 @@
     let address = listener.local_addr().unwrap();
     let mut reactor = Reactor::<Holder>::new(Clock::unix()).unwrap();
     let connect = |key: Key, io: &mut Io<Nothing>| {
-        Ok(Box::new(Holder(LineStream::connect(address, io, key, Leg::Near)?)))
+        Ok(Box::new(Holder(LineStream::connect(address, io, key, Half::Near)?)))
     };
     let key = reactor.insert(connect).unwrap();
     let (peer, _) = listener.accept().unwrap();
--- a/crates/reactor/tests/listener.rs
+++ b/crates/reactor/tests/listener.rs
@@ -1,6 +1,6 @@
 //! A listener that is about to be closed.
 
-use cottonnotch_reactor::listener::turn_away_newcomers;
+use cottonnotch_reactor::listener::reject_new_connections;
 use mio::net::TcpListener;
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -11,7 +11,7 @@
     let listener = TcpListener::bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
     let mut early = TcpStream::connect(address).unwrap();
-    turn_away_newcomers(&listener).unwrap();
+    reject_new_connections(&listener).unwrap();
     let late = TcpStream::connect_timeout(&address, Duration::from_millis(300));
     assert_eq!(
         late.unwrap_err().kind(),
--- a/crates/scale/src/agreement.rs
+++ b/crates/scale/src/agreement.rs
@@ -5,8 +5,8 @@
 use crate::shape::Shape;
 use cottonnotch_consensus::{Hash, Member, Memory, Output as Wanted, Timing, Topic};
 use cottonnotch_decision::Micros;
-use cottonnotch_proxy_core::Embedder;
-use cottonnotch_proxy_core::envelope::Seal;
+use cottonnotch_proxy_core::MemberDriver;
+use cottonnotch_proxy_core::envelope::EnvelopeKey;
 use std::collections::VecDeque;
 use std::convert::Infallible;
 
@@ -26,7 +26,7 @@
 pub(crate) struct Accord {
     pub began: Micros,
     pub member: Member,
-    pub seal: Seal,
+    pub seal: EnvelopeKey,
     pub memory: Option<Memory>,
     /// What has come of the member's outputs, to be taken up by the proxy.
     pub later: Vec<(Micros, Due)>,
@@ -47,7 +47,7 @@
     (u32::from_le_bytes([hash[0], hash[1], hash[2], hash[3]]), hash[4])
 }
 
-impl Embedder for Accord {
+impl MemberDriver for Accord {
     type Member = Member;
     type Error = Infallible;
 
@@ -55,10 +55,10 @@
         &mut self.member
     }
 
-    fn carry_out(&mut self, now: Micros, output: Wanted) -> Result<(), Infallible> {
+    fn execute(&mut self, now: Micros, output: Wanted) -> Result<(), Infallible> {
         match output {
             Wanted::Send { to, message } => {
-                if let Ok(bytes) = self.seal.close(to, message) {
+                if let Ok(bytes) = self.seal.seal(to, message) {
                     self.out.push_back(Wish::Accord { to, bytes });
                 }
             }
@@ -123,7 +123,7 @@
     Some(Accord {
         began: now - STARTED,
         member: Member::new(config, STARTED, memory.clone(), seed),
-        seal: Seal::new(KEY, CLUSTER, me_there)?,
+        seal: EnvelopeKey::new(KEY, CLUSTER, me_there)?,
         memory,
         later: Vec::new(),
         out: VecDeque::new(),
--- a/crates/scale/src/discovery.rs
+++ b/crates/scale/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use cottonnotch_reactor::line::{Fill, LineStream};
 use cottonnotch_reactor::listener::Listener;
-use cottonnotch_reactor::{Clock, Connection, Key, Leg, Reactor};
+use cottonnotch_reactor::{Clock, Connection, Half, Key, Reactor};
 use mio::net::TcpListener;
 use std::collections::BTreeSet;
 use std::io;
@@ -66,22 +66,22 @@
 impl Connection for Watcher {
     type Report = Report;
 
-    fn readable(&mut self, io: &mut Io, _: Leg) {
+    fn readable(&mut self, io: &mut Io, _: Half) {
         let fill = self.stream.fill();
         let head = self.stream.take_rest();
         // A request of a few lines comes in one piece; whatever else comes is of no interest.
         if !self.called && head.windows(4).any(|end| end == b"\r\n\r\n") {
             self.called = true;
-            io.tell(Report::Called(self.key));
+            io.report(Report::Called(self.key));
         }
         match fill {
             Fill::Blocked => {}
-            Fill::More => io.call_again(self.key, Leg::Near),
+            Fill::More => io.call_again(self.key, Half::Near),
             Fill::Ended | Fill::Broken(_) => self.done = true,
         }
     }
 
-    fn writable(&mut self, _: &mut Io, _: Leg) {
+    fn writable(&mut self, _: &mut Io, _: Half) {
         self.done |= self.stream.flush().is_err();
     }
 
@@ -92,7 +92,7 @@
     }
 
     fn closed(&mut self, io: &mut Io) {
-        io.tell(Report::Gone(self.key));
+        io.report(Report::Gone(self.key));
     }
 }
 
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -16,7 +16,8 @@
 };
 use cottonnotch_gossip::{Gossip, GossipSection, Keys, State, Strength};
 use cottonnotch_proxy_core::{
-    EVERY, Embedder, Input, Local, MessageDelays, Note, Output, Peers, ResolverResult, Roster,
+    EndpointUpdate, Input, LatencyReport, LocalState, MemberDriver, MessageLatencies, Output, Peers,
+    REPORT_INTERVAL, Roster,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -49,7 +50,7 @@
     /// Discovery has told a list, in a text of so many bytes.
     Listed {
         /// The list.
-        result: &'a ResolverResult,
+        result: &'a EndpointUpdate,
         /// Bytes of the text.
         bytes: usize,
     },
@@ -177,7 +178,7 @@
     settings: Settings,
     chance: ChaCha8Rng,
     balancer: Balancer,
-    delays: MessageDelays,
+    delays: MessageLatencies,
     nodes: Nodes,
     peers: Option<Peers>,
     accord: Option<Accord>,
@@ -193,7 +194,7 @@
 
 impl Hollow {
     /// A process that starts now, with the list that its configuration remembers.
-    pub fn start(place: Place, known: &ResolverResult, now: Micros) -> Self {
+    pub fn start(place: Place, known: &EndpointUpdate, now: Micros) -> Self {
         let Place { shape, me, roster, life, is_first, memory } = place;
         let seed = mixed(shape.seed, u64::from(me)) ^ life;
         let settings = shape.settings(me);
@@ -201,7 +202,7 @@
         let peers = peers(&shape, me, roster, life, now, seed);
         let mut hollow = Hollow {
             balancer: Balancer::new(settings.clone(), seed, now),
-            delays: MessageDelays::new(settings.nodes, settings.shortest_aim(), settings.weighted),
+            delays: MessageLatencies::new(settings.nodes, settings.shortest_aim(), settings.weighted),
             chance: ChaCha8Rng::seed_from_u64(seed),
             nodes: Nodes::default(),
             open: Vec::new(),
@@ -219,7 +220,7 @@
             accord,
         };
         // Not all members of a joint start tick in one instant.
-        let first = hollow.chance.random_range(0..EVERY);
+        let first = hollow.chance.random_range(0..REPORT_INTERVAL);
         hollow.later(now + first, Due::Second);
         hollow.next_arrival(now);
         let event = hollow.nodes.take(&mut hollow.delays, known, true);
@@ -266,8 +267,8 @@
     }
 
     fn up(&mut self, now: Micros, request: RequestId, server: ServerId, group: u32, setup: Option<Micros>) {
-        self.delays.opened(now, request, server, Some(digest(group)), setup);
-        self.delays.load(request, self.shape.load(self.me, request.0));
+        self.delays.connection_opened(now, request, server, Some(digest(group)), setup);
+        self.delays.load_changed(request, self.shape.load(self.me, request.0));
         self.open.push(Open { request, server, group });
     }
 
@@ -354,7 +355,7 @@
                 self.counts.accord_in.add(bytes.len());
                 let Some(accord) = &mut self.accord else { return };
                 if let Ok((from, message)) = accord.seal.open(bytes) {
-                    let Ok(()) = accord.hand(now - accord.began, Told::Message { from, message });
+                    let Ok(()) = accord.handle_input(now - accord.began, Told::Message { from, message });
                     self.take_accord();
                 }
             }
@@ -407,7 +408,7 @@
             Part::Accord => {
                 self.next_due(now);
                 if let Some(accord) = &mut self.accord {
-                    let Ok(()) = accord.hand_time(now - accord.began);
+                    let Ok(()) = accord.handle_timeout(now - accord.began);
                     self.take_accord();
                 }
             }
@@ -425,9 +426,9 @@
     fn due(&mut self, now: Micros, due: Due) {
         match due {
             Due::Second => {
-                self.later(now + EVERY, Due::Second);
+                self.later(now + REPORT_INTERVAL, Due::Second);
                 self.hand_peers(now, Input::Second);
-                for Note { server, delay } in self.delays.notes(now) {
+                for LatencyReport { server, delay } in self.delays.due_reports(now) {
                     self.tell(now, Event::DelayNote { server, delay });
                 }
             }
@@ -470,13 +471,13 @@
     }
 
     fn ended(&mut self, now: Micros, request: RequestId, server: ServerId) {
-        self.delays.ended(request);
+        self.delays.connection_closed(request);
         self.tell(now, Event::Ended { request, attempt: 0, server, outcome: Outcome::Served, last: true });
     }
 
     fn hand_peers(&mut self, now: Micros, input: Input<'_>) {
         let Some(peers) = &mut self.peers else { return };
-        let mut local = Local {
+        let mut local = LocalState {
             delays: &mut self.delays,
             servers: &self.nodes,
             settings: &self.settings,
@@ -510,7 +511,7 @@
 
     fn hand_accord(&mut self, now: Micros, input: Told) {
         let Some(accord) = &mut self.accord else { return };
-        let Ok(()) = accord.hand(now - accord.began, input);
+        let Ok(()) = accord.handle_input(now - accord.began, input);
         self.take_accord();
     }
 
@@ -563,7 +564,7 @@
                 let Some(at) = self.open.iter().position(|open| open.request == request) else { return };
                 let Open { request, server, group } = self.open.swap_remove(at);
                 self.counts.moves += 1;
-                self.delays.ended(request);
+                self.delays.connection_closed(request);
                 let (outcome, last) = (Outcome::Served, true);
                 self.pending.push_back(Event::Ended { request, attempt: 0, server, outcome, last });
                 let again = self.request(group, true);
--- a/crates/scale/src/nodes.rs
+++ b/crates/scale/src/nodes.rs
@@ -2,7 +2,7 @@
 
 use cottonnotch_decision::names::{Names, digest};
 use cottonnotch_decision::{Entry, Event, Micros, ServerId, ZoneId};
-use cottonnotch_proxy_core::{MessageDelays, ResolverResult, Servers};
+use cottonnotch_proxy_core::{EndpointUpdate, MessageLatencies, Servers};
 
 /// All that were ever listed. Grows with the number of nodes.
 #[derive(Debug, Default)]
@@ -15,7 +15,7 @@
 
 impl Nodes {
     /// Takes a list; what the module is to hear.
-    pub fn take(&mut self, delays: &mut MessageDelays, result: &ResolverResult, copy: bool) -> Event {
+    pub fn take(&mut self, delays: &mut MessageLatencies, result: &EndpointUpdate, copy: bool) -> Event {
         self.revision = result.revision;
         let mut entries = Vec::with_capacity(result.members.len());
         for member in &result.members {
--- a/crates/scale/src/relay.rs
+++ b/crates/scale/src/relay.rs
@@ -3,7 +3,7 @@
 
 use crate::figures::Traffic;
 use crate::sockets::{ACCORD_PORT, PEERS_PORT, RELAYED, address};
-use cottonnotch_reactor::{Clock, Connection, Key, Leg, Reactor};
+use cottonnotch_reactor::{Clock, Connection, Half, Key, Reactor};
 use mio::net::UdpSocket;
 use std::collections::BTreeMap;
 use std::io;
@@ -41,14 +41,14 @@
 impl Connection for End {
     type Report = Report;
 
-    fn readable(&mut self, io: &mut cottonnotch_reactor::Io<Report>, _: Leg) {
+    fn readable(&mut self, io: &mut cottonnotch_reactor::Io<Report>, _: Half) {
         let mut bytes = [0; 1_500];
         while let Ok((length, from)) = self.socket.recv_from(&mut bytes) {
-            io.tell(Report::Heard { at: self.at, bytes: bytes[..length].to_vec(), from });
+            io.report(Report::Heard { at: self.at, bytes: bytes[..length].to_vec(), from });
         }
     }
 
-    fn writable(&mut self, _: &mut cottonnotch_reactor::Io<Report>, _: Leg) {}
+    fn writable(&mut self, _: &mut cottonnotch_reactor::Io<Report>, _: Half) {}
 
     fn timer(&mut self, _: &mut cottonnotch_reactor::Io<Report>, _: u32) {}
 
--- a/crates/scale/src/sockets.rs
+++ b/crates/scale/src/sockets.rs
@@ -7,8 +7,8 @@
 use crate::records::{Record, What};
 use crate::watch::{self, Watch};
 use cottonnotch_decision::Micros;
-use cottonnotch_proxy_core::Alarm;
-use cottonnotch_reactor::{Connection, Key, Leg, Reactor};
+use cottonnotch_proxy_core::WakeUpTimer;
+use cottonnotch_reactor::{Connection, Half, Key, Reactor};
 use mio::net::UdpSocket;
 use rustix::time::{ClockId, clock_gettime};
 use std::io;
@@ -92,7 +92,7 @@
 impl Connection for Datagrams {
     type Report = Report;
 
-    fn readable(&mut self, io: &mut Io, leg: Leg) {
+    fn readable(&mut self, io: &mut Io, leg: Half) {
         let (seat, accord) = (self.seat, self.accord);
         let longest = if accord { LONGEST_OF_ACCORD } else { LONGEST_OF_PEERS };
         let mut bytes = [0; LONGEST_OF_ACCORD + 1];
@@ -101,18 +101,18 @@
             match self.socket.recv_from(&mut bytes[..=longest]) {
                 Ok((length, from)) => heard.push((from, bytes[..length].to_vec())),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    io.tell(Report::Datagrams { seat, accord, heard });
+                    io.report(Report::Datagrams { seat, accord, heard });
                     return;
                 }
                 // What one was sent to is not there; it says nothing of what may still be read.
                 Err(_) => {}
             }
         }
-        io.tell(Report::Datagrams { seat, accord, heard });
+        io.report(Report::Datagrams { seat, accord, heard });
         io.call_again(self.key, leg);
     }
 
-    fn writable(&mut self, _: &mut Io, _: Leg) {}
+    fn writable(&mut self, _: &mut Io, _: Half) {}
 
     fn timer(&mut self, _: &mut Io, _: u32) {}
 
@@ -142,7 +142,7 @@
     pub peers: Key,
     pub accord: Key,
     pub watch: Option<Key>,
-    pub alarm: Alarm,
+    pub alarm: WakeUpTimer,
     /// Its process has ended.
     pub stopped: bool,
 }
@@ -169,7 +169,7 @@
             Report::Timer(seat) => {
                 let seat = seat as usize;
                 let Some(there) = self.seats.get_mut(seat) else { return Ok(()) };
-                there.alarm.rung();
+                there.alarm.fired();
                 return self.wake(seat);
             }
             Report::Datagrams { seat, accord: false, heard } => {
@@ -227,7 +227,7 @@
         if there.stopped {
             return;
         }
-        if let Some(after) = there.alarm.set(now, there.hollow.next_timeout()) {
+        if let Some(after) = there.alarm.arm(now, there.hollow.next_timeout()) {
             self.reactor.io.owner_timer(now + after, seat as u32);
         }
     }
--- a/crates/scale/src/tier.rs
+++ b/crates/scale/src/tier.rs
@@ -13,7 +13,7 @@
 };
 use crate::watch;
 use cottonnotch_decision::Micros;
-use cottonnotch_proxy_core::{Alarm, ResolverResult, Roster};
+use cottonnotch_proxy_core::{EndpointUpdate, Roster, WakeUpTimer};
 use cottonnotch_reactor::{Clock, Reactor};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -62,7 +62,7 @@
 struct Run {
     shape: Shape,
     span: Span,
-    known: ResolverResult,
+    known: EndpointUpdate,
     roster: Roster,
     discovery: SocketAddr,
     clock: Clock,
@@ -102,7 +102,7 @@
             peers,
             accord,
             watch: None,
-            alarm: Alarm::default(),
+            alarm: WakeUpTimer::default(),
             stopped: false,
         });
     }
@@ -158,7 +158,7 @@
     span: Span,
     members: &[u32],
     discovery: SocketAddr,
-    known: ResolverResult,
+    known: EndpointUpdate,
     relayed: bool,
 ) -> io::Result<(Arc<Run>, Receiver<Reply>)> {
     let port = PEERS_PORT + if relayed { RELAYED } else { 0 };
--- a/crates/scale/src/virtual_time.rs
+++ b/crates/scale/src/virtual_time.rs
@@ -9,7 +9,7 @@
 use cottonnotch_consensus::Memory;
 use cottonnotch_decision::Micros;
 use cottonnotch_decision::names::unit;
-use cottonnotch_proxy_core::{ResolverResult, Roster};
+use cottonnotch_proxy_core::{EndpointUpdate, Roster};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -61,7 +61,7 @@
     number: u64,
     roster: Roster,
     by_address: BTreeMap<SocketAddr, u32>,
-    list: ResolverResult,
+    list: EndpointUpdate,
 }
 
 fn address(member: u32) -> SocketAddr {
@@ -69,10 +69,10 @@
 }
 
 /// The list of this shape's nodes.
-fn list(shape: &Shape, revision: u64, without: Option<u32>) -> ResolverResult {
+fn list(shape: &Shape, revision: u64, without: Option<u32>) -> EndpointUpdate {
     let mut text = shape.list(revision, without).into_bytes();
-    let nothing = ResolverResult { revision, complete: true, members: Vec::new() };
-    ResolverResult::parse(&mut text).unwrap_or(nothing)
+    let nothing = EndpointUpdate { revision, complete: true, members: Vec::new() };
+    EndpointUpdate::parse(&mut text).unwrap_or(nothing)
 }
 
 impl World {
--- a/crates/scale/src/watch.rs
+++ b/crates/scale/src/watch.rs
@@ -3,11 +3,11 @@
 use crate::sockets::{Io, Object, Report};
 use cottonnotch_decision::Micros;
 use cottonnotch_decision::list_calls::SILENT_AFTER;
-use cottonnotch_proxy_core::ResolverResult;
+use cottonnotch_proxy_core::EndpointUpdate;
 use cottonnotch_reactor::http::StreamedResponse;
-use cottonnotch_reactor::json_texts::JsonTexts;
+use cottonnotch_reactor::json_stream::JsonStream;
 use cottonnotch_reactor::line::{Fill, LineStream};
-use cottonnotch_reactor::{Connection, Key, Leg};
+use cottonnotch_reactor::{Connection, Half, Key};
 use std::io;
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
     stream: LineStream,
     connected: bool,
     response: StreamedResponse,
-    texts: JsonTexts,
+    texts: JsonStream,
     heard: Micros,
     answered: bool,
     lost: bool,
@@ -30,7 +30,7 @@
 impl Watch {
     /// Asks for the changes after a revision.
     pub fn start(seat: usize, discovery: SocketAddr, from: u64, key: Key, io: &mut Io) -> io::Result<Self> {
-        let mut stream = LineStream::connect(discovery, io, key, Leg::Near)?;
+        let mut stream = LineStream::connect(discovery, io, key, Half::Near)?;
         let request = format!(
             "GET /registry/instances?watch=1&from={from} HTTP/1.1\r\nHost: {discovery}\r\n\
              Accept: application/json\r\n\r\n"
@@ -38,7 +38,7 @@
         stream.push(request.as_bytes());
         let heard = io.now();
         io.timer(heard + UNANSWERED, key, 0);
-        let (response, texts) = (StreamedResponse::new(), JsonTexts::new());
+        let (response, texts) = (StreamedResponse::new(), JsonStream::new());
         Ok(Watch {
             seat,
             key,
@@ -54,7 +54,7 @@
 
     fn lose(&mut self, io: &mut Io, silent: bool) {
         if !std::mem::replace(&mut self.lost, true) {
-            io.tell(Report::ListLost { seat: self.seat, watch: self.key, silent });
+            io.report(Report::ListLost { seat: self.seat, watch: self.key, silent });
         }
     }
 
@@ -63,7 +63,7 @@
         let goes_on = self.response.feed(bytes, &mut body).is_ok();
         let whole = self.texts.feed(&body, &mut texts).is_ok();
         for text in texts {
-            io.tell(Report::Listed { seat: self.seat, watch: self.key, text });
+            io.report(Report::Listed { seat: self.seat, watch: self.key, text });
         }
         if !goes_on || !whole {
             self.lose(io, false);
@@ -72,14 +72,14 @@
 }
 
 /// A list's text as the daemon reads it; `None`: it can't be read, and counts as a failed call.
-pub fn read(mut text: Vec<u8>) -> Option<ResolverResult> {
-    ResolverResult::parse(&mut text).ok()
+pub fn read(mut text: Vec<u8>) -> Option<EndpointUpdate> {
+    EndpointUpdate::parse(&mut text).ok()
 }
 
 impl Connection for Watch {
     type Report = Report;
 
-    fn readable(&mut self, io: &mut Io, _: Leg) {
+    fn readable(&mut self, io: &mut Io, _: Half) {
         let fill = self.stream.fill();
         let bytes = self.stream.take_rest();
         if !bytes.is_empty() {
@@ -91,14 +91,14 @@
         }
         match fill {
             Fill::Blocked => {}
-            Fill::More => io.call_again(self.key, Leg::Near),
+            Fill::More => io.call_again(self.key, Half::Near),
             Fill::Ended => self.lose(io, false),
             Fill::Broken(_) if self.connected => self.lose(io, false),
             Fill::Broken(_) => {}
         }
     }
 
-    fn writable(&mut self, io: &mut Io, _: Leg) {
+    fn writable(&mut self, io: &mut Io, _: Half) {
         if !self.connected {
             match self.stream.connected() {
                 Ok(connected) => self.connected = connected,
