--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     /// This member's ordinal.
-    pub me: u16,
+    pub ordinal: u16,
     /// Members there are; ordinals are below this.
     pub members: u16,
     /// Ordinals of those that vote: an odd number of them, the same at all members.
@@ -30,9 +30,11 @@
     /// Time from one round of the leader to the next.
     pub heartbeat: Micros,
     /// A voter that heard from a leader votes for no other for so long.
-    pub election_least: Micros,
+    #[serde(rename = "election_least")]
+    pub election_timeout_min: Micros,
     /// The longest a voter waits for a leader, or for votes.
-    pub election_most: Micros,
+    #[serde(rename = "election_most")]
+    pub election_timeout_max: Micros,
     /// How far clocks' rates may be off, in millionths.
     pub drift_ppm: u32,
     /// The longest from a look at the right to the act under it.
@@ -48,8 +50,8 @@
         Self {
             lease: 1_200_000,
             heartbeat: 150_000,
-            election_least: 500_000,
-            election_most: 900_000,
+            election_timeout_min: 500_000,
+            election_timeout_max: 900_000,
             drift_ppm: 1_000,
             act: 300_000,
             prepare: 3_000_000,
@@ -60,7 +62,7 @@
 
 /// What can't be.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadTiming {
+pub enum ConfigError {
     /// The promise isn't kept by these spans.
     #[error(
         "lease {lease} us with drift {drift_ppm} ppm is {leased} us, and act {act} us: {sum} us in all, more than \
@@ -112,37 +114,39 @@
 
 impl Timing {
     /// Whether the spans keep the promise.
-    pub fn check(&self) -> Result<(), BadTiming> {
+    pub fn check(&self) -> Result<(), ConfigError> {
         const HOUR: Micros = 3_600_000_000;
         let spans = [
             ("lease", self.lease, 1_000),
             ("heartbeat", self.heartbeat, 1),
-            ("election_least", self.election_least, 1),
-            ("election_most", self.election_most, 1),
+            ("election_least", self.election_timeout_min, 1),
+            ("election_most", self.election_timeout_max, 1),
             ("act", self.act, 0),
             ("prepare", self.prepare, 1),
             ("contradiction", self.contradiction, 1),
         ];
         for (name, value, least) in spans {
             if value < least || value > HOUR {
-                return Err(BadTiming::Span { name, value, least });
+                return Err(ConfigError::Span { name, value, least });
             }
         }
         if self.drift_ppm >= 200_000 {
-            return Err(BadTiming::Drift(self.drift_ppm));
+            return Err(ConfigError::Drift(self.drift_ppm));
         }
-        let least = crate::state::longer(self.election_least, self.drift_ppm);
-        if self.election_least < 3 * self.heartbeat || self.election_most < least + self.election_least / 10 {
-            return Err(BadTiming::Election {
+        let least = crate::state::longer(self.election_timeout_min, self.drift_ppm);
+        if self.election_timeout_min < 3 * self.heartbeat
+            || self.election_timeout_max < least + self.election_timeout_min / 10
+        {
+            return Err(ConfigError::Election {
                 heartbeat: self.heartbeat,
-                least: self.election_least,
-                most: self.election_most,
+                least: self.election_timeout_min,
+                most: self.election_timeout_max,
             });
         }
         let leased = crate::state::longer(self.lease, self.drift_ppm);
         let sum = leased + self.act;
         if sum > self.contradiction {
-            return Err(BadTiming::Contradiction {
+            return Err(ConfigError::Contradiction {
                 lease: self.lease,
                 drift_ppm: self.drift_ppm,
                 leased,
@@ -157,20 +161,22 @@
 
 impl Config {
     /// Whether the spans keep the promise and the voters can vote.
-    pub fn check(&self) -> Result<(), BadTiming> {
+    pub fn check(&self) -> Result<(), ConfigError> {
         self.timing.check()?;
         let count = self.voters.len();
         let mut distinct = self.voters.clone();
         distinct.sort_unstable();
         distinct.dedup();
         if count == 0 || count > MOST_VOTERS || count.is_multiple_of(2) || distinct.len() != count {
-            return Err(BadTiming::Voters(format!(
+            return Err(ConfigError::Voters(format!(
                 "voters {:?}: an odd number of different ones is needed, at most {MOST_VOTERS}",
                 self.voters
             )));
         }
-        if let Some(stranger) = distinct.iter().chain([&self.me]).find(|&&ordinal| ordinal >= self.members) {
-            return Err(BadTiming::Voters(format!("member {stranger} of {} there are", self.members)));
+        if let Some(stranger) =
+            distinct.iter().chain([&self.ordinal]).find(|&&ordinal| ordinal >= self.members)
+        {
+            return Err(ConfigError::Voters(format!("member {stranger} of {} there are", self.members)));
         }
         Ok(())
     }
--- a/crates/consensus/src/effect.rs
+++ b/crates/consensus/src/effect.rs
@@ -3,14 +3,14 @@
 use crate::leading::Leader;
 use crate::mutant::Mutant;
 use crate::state::{Pending, Phase, ProposalId};
-use crate::{Hash, Member, Message, Micros, Output, State, Topic, Verdict, Version, Why};
+use crate::{ContentHash, Member, Message, Micros, Output, ProposalOutcome, State, Topic, Verdict, Version};
 use std::collections::{BTreeSet, VecDeque};
 
 /// What a proposer asked for.
 #[derive(Clone, Debug)]
 pub(crate) struct Proposal {
     pub id: ProposalId,
-    pub hash: Hash,
+    pub hash: ContentHash,
     pub size: u32,
     /// When its proposer asked for it last.
     pub asked_at: Micros,
@@ -22,7 +22,7 @@
     pub proposal: Proposal,
     since: Micros,
     /// What the embedder was asked to check it against, once it was.
-    pub against: Option<Vec<(u64, Hash)>>,
+    pub against: Option<Vec<(u64, ContentHash)>>,
     pub verdict: Option<Verdict>,
 }
 
@@ -50,13 +50,13 @@
                 Some(_) => self.fetched_by(checking),
             });
         };
-        let below = leader.leases.last_below(topic, pending.version.agrees_from, self.now);
+        let below = leader.leases.last_below(topic, pending.version.compatible_from, self.now);
         let prepared = change.prepared.map_or(Micros::MAX, |(_, since)| since + self.config.timing.prepare);
         match pending.phase {
             // Leases of members that went away end, and with them the wait for these members.
             Phase::Prepare if prepared > self.now => prepared.min(self.now + self.config.timing.heartbeat),
             Phase::Prepare => self.now + self.config.timing.heartbeat,
-            Phase::Release => below.unwrap_or(Micros::MAX),
+            Phase::Revoke => below.unwrap_or(Micros::MAX),
         }
     }
 
@@ -71,7 +71,7 @@
             None => self.check_next(topic),
             Some(pending) => match pending.phase {
                 Phase::Prepare => self.prepare(topic, pending),
-                Phase::Release => self.release(topic, pending),
+                Phase::Revoke => self.release(topic, pending),
             },
         }
     }
@@ -95,11 +95,11 @@
             return self.stop_checking(topic);
         }
         if checking.against.is_none() {
-            if self.holder.cannot(&hash) {
-                return self.refuse(topic, id, Why::CannotRun);
+            if self.holder.cannot_run(&hash) {
+                return self.refuse(topic, id, ProposalOutcome::Unsupported);
             }
             if now >= self.fetched_by(&checking) {
-                return self.refuse(topic, id, Why::Unfetched);
+                return self.refuse(topic, id, ProposalOutcome::ContentUnavailable);
             }
             if !self.holder.has(&hash) && now >= asked_at + self.config.timing.lease {
                 // Its proposer is gone, and the content with it; if it comes back, it asks again.
@@ -125,7 +125,7 @@
         let Some(verdict) = checking.verdict else {
             if now >= self.fetched_by(&checking) {
                 // No word from the embedder: the queue must not stand still for ever.
-                self.refuse(topic, id, Why::Refused);
+                self.refuse(topic, id, ProposalOutcome::Rejected);
             }
             return;
         };
@@ -133,16 +133,16 @@
         let Some(mut state) = self.settled().cloned() else { return };
         let part = state.topic_mut(topic);
         let number = part.last_number + 1;
-        let agrees_from = match verdict {
-            Verdict::Refused => return self.refuse(topic, id, Why::Refused),
-            Verdict::Contradicts => number,
+        let compatible_from = match verdict {
+            Verdict::Rejected => return self.refuse(topic, id, ProposalOutcome::Rejected),
+            Verdict::Incompatible => number,
             // Numbers that weren't checked don't count, were they greater or less.
-            Verdict::Agrees { from } => {
+            Verdict::Compatible { from } => {
                 against.iter().map(|&(number, _)| number).find(|&checked| checked >= from).unwrap_or(number)
             }
         };
         part.last_number = number;
-        let version = Version { number, hash, size, agrees_from };
+        let version = Version { number, hash, size, compatible_from };
         part.pending = Some(Pending { version, phase: Phase::Prepare, proposal: id });
         self.stop_checking(topic);
         self.write(state);
@@ -155,10 +155,10 @@
     }
 
     /// A proposal is over before it got a number; agreed, so that it stays over with the next leader.
-    fn refuse(&mut self, topic: Topic, id: ProposalId, why: Why) {
+    fn refuse(&mut self, topic: Topic, id: ProposalId, outcome: ProposalOutcome) {
         self.stop_checking(topic);
         let Some(mut state) = self.settled().cloned() else { return };
-        state.topic_mut(topic).answer(id, why);
+        state.topic_mut(topic).answer(id, outcome);
         self.write(state);
     }
 
@@ -176,8 +176,8 @@
                 now
             }
         };
-        if leader.leases.live(now, lease).any(|(_, tenant)| tenant.cannot[at] == Some(number)) {
-            return self.drop_pending(topic, pending, Why::CannotRun);
+        if leader.leases.live(now, lease).any(|(_, tenant)| tenant.unsupported[at] == Some(number)) {
+            return self.drop_pending(topic, pending, ProposalOutcome::Unsupported);
         }
         // Before that, it doesn't know yet who lives.
         let ready =
@@ -189,20 +189,20 @@
         }
         if !kept {
             if now >= since + 2 * patience {
-                self.drop_pending(topic, pending, Why::Unfetched);
+                self.drop_pending(topic, pending, ProposalOutcome::ContentUnavailable);
             }
             return;
         }
         let Some(leader) = self.leader() else { return };
-        let below = leader.leases.last_below(topic, pending.version.agrees_from, now);
+        let below = leader.leases.last_below(topic, pending.version.compatible_from, now);
         let Some(mut state) = self.settled().cloned() else { return };
         let part = state.topic_mut(topic);
-        let agrees = part.in_force.is_none_or(|version| version.number >= pending.version.agrees_from);
-        let at_once = (handed_over && agrees && below.is_none()) || self.is(Mutant::EarlyEffect);
+        let agrees = part.in_force.is_none_or(|version| version.number >= pending.version.compatible_from);
+        let at_once = (handed_over && agrees && below.is_none()) || self.is(Mutant::EarlyActivation);
         if at_once {
             return self.put_in_force(topic, pending);
         }
-        part.pending = Some(Pending { phase: Phase::Release, ..pending });
+        part.pending = Some(Pending { phase: Phase::Revoke, ..pending });
         self.write(state);
     }
 
@@ -220,11 +220,11 @@
         keepers.len() >= self.config.majority()
     }
 
-    fn drop_pending(&mut self, topic: Topic, pending: Pending, why: Why) {
+    fn drop_pending(&mut self, topic: Topic, pending: Pending, outcome: ProposalOutcome) {
         let Some(mut state) = self.settled().cloned() else { return };
         let part = state.topic_mut(topic);
         part.pending = None;
-        part.answer(pending.proposal, why);
+        part.answer(pending.proposal, outcome);
         self.write(state);
     }
 
@@ -232,7 +232,7 @@
     /// by their holders' word or by time, nobody can act on it.
     fn release(&mut self, topic: Topic, pending: Pending) {
         let Some(leader) = self.leader() else { return };
-        let below = leader.leases.last_below(topic, pending.version.agrees_from, self.now);
+        let below = leader.leases.last_below(topic, pending.version.compatible_from, self.now);
         if self.handed_over() && below.is_none() {
             self.put_in_force(topic, pending);
         }
@@ -243,7 +243,7 @@
         let part = state.topic_mut(topic);
         part.in_force = Some(pending.version);
         part.pending = None;
-        part.answer(pending.proposal, Why::InForce);
+        part.answer(pending.proposal, ProposalOutcome::InForce);
         self.write(state);
     }
 
@@ -251,7 +251,7 @@
     pub(crate) fn tell(&mut self, before: Option<State>) {
         let (now, lease) = (self.now, self.longer(self.config.timing.lease));
         let Some(leader) = self.leader() else { return };
-        let Some((stamp, state)) = leader.committed.clone() else { return };
+        let Some((revision, state)) = leader.committed.clone() else { return };
         let changed = before.as_ref().is_none_or(|before| {
             let outward =
                 |state: &State| [0, 1].map(|at| (state.topics[at].in_force, state.topics[at].pending));
@@ -267,16 +267,19 @@
         for member in to {
             // Two lives of one member are told once.
             if last.replace(member) != Some(member) {
-                self.send(member, Message::Announce { stamp, pending });
+                self.send(member, Message::Announce { revision, pending });
             }
         }
-        let answered = |state: &State, topic: Topic| state.topic(topic).answered.last().copied();
+        let results = |state: &State, topic: Topic| state.topic(topic).results.last().copied();
         for topic in Topic::ALL {
-            let newest = answered(&state, topic);
+            let newest = results(&state, topic);
             if let Some(answer) = newest
-                && before.as_ref().is_some_and(|before| answered(before, topic) != newest)
+                && before.as_ref().is_some_and(|before| results(before, topic) != newest)
             {
-                self.send(answer.proposal.member, Message::Over { id: answer.proposal, why: answer.why });
+                self.send(
+                    answer.proposal.member,
+                    Message::ProposalFinished { id: answer.proposal, outcome: answer.outcome },
+                );
             }
         }
     }
--- a/crates/consensus/src/electing.rs
+++ b/crates/consensus/src/electing.rs
@@ -4,7 +4,7 @@
 use crate::leading::Leader;
 use crate::mutant::Mutant;
 use crate::voter::Voter;
-use crate::{Member, Message, Micros, Stamp};
+use crate::{Member, Message, Micros, StateRevision};
 use rand::RngExt;
 use std::collections::BTreeSet;
 
@@ -13,15 +13,15 @@
 pub(crate) struct Candidacy {
     pub term: u64,
     /// Only asked so far.
-    pub only_asked: bool,
+    pub pre_vote: bool,
     pub votes: BTreeSet<u16>,
 }
 
 impl Member {
     /// When to ask for votes, if no leader is heard till then. Never while the last one heard may count on this voter.
     pub(crate) fn election_deadline(&mut self) -> Micros {
-        let least = self.longer(self.config.timing.election_least);
-        let most = self.config.timing.election_most.max(least + 1);
+        let least = self.longer(self.config.timing.election_timeout_min);
+        let most = self.config.timing.election_timeout_max.max(least + 1);
         self.now + self.chance.random_range(least..=most)
     }
 
@@ -37,24 +37,24 @@
     }
 
     /// Asks for votes; for real only after a majority said it would vote so.
-    fn canvass(&mut self, only_asked: bool) {
-        let me = self.config.me;
+    fn canvass(&mut self, pre_vote: bool) {
+        let me = self.config.ordinal;
         let deadline = self.election_deadline();
         let Some(voter) = &mut self.voter else { return };
         voter.deadline = deadline;
         voter.leader = None;
-        let term = voter.memory.term + 1;
-        if !only_asked {
-            voter.memory.term = term;
-            voter.memory.voted = Some(me);
+        let term = voter.durable_state.term + 1;
+        if !pre_vote {
+            voter.durable_state.term = term;
+            voter.durable_state.voted = Some(me);
             self.counts.elections += 1;
         }
-        voter.candidacy = Some(Candidacy { term, only_asked, votes: BTreeSet::from([me]) });
-        let stamp = voter.memory.stamp;
-        if !only_asked {
+        voter.candidacy = Some(Candidacy { term, pre_vote, votes: BTreeSet::from([me]) });
+        let revision = voter.durable_state.revision;
+        if !pre_vote {
             self.save();
         }
-        self.tell_other_voters(&Message::Canvass { term, only_asked, stamp });
+        self.tell_other_voters(&Message::VoteRequest { term, pre_vote, revision });
         self.count_votes();
     }
 
@@ -64,66 +64,67 @@
         if candidacy.votes.len() < majority {
             return;
         }
-        if candidacy.only_asked { self.canvass(false) } else { self.win() }
+        if candidacy.pre_vote { self.canvass(false) } else { self.win() }
     }
 
     /// Whether a leader may still count on this voter.
     fn promised(&self, voter: &Voter) -> bool {
-        if self.is(Mutant::Fickle) {
+        if self.is(Mutant::VoteDespiteLeader) {
             return false;
         }
-        let heard = self.now < voter.heard_at.saturating_add(self.longer(self.config.timing.election_least));
+        let heard =
+            self.now < voter.heard_at.saturating_add(self.longer(self.config.timing.election_timeout_min));
         heard || self.leads_now()
     }
 
     /// Another voter asks for this one's vote.
-    pub(crate) fn canvassed(&mut self, from: u16, term: u64, only_asked: bool, stamp: Stamp) {
+    pub(crate) fn canvassed(&mut self, from: u16, term: u64, pre_vote: bool, revision: StateRevision) {
         let deadline = self.election_deadline();
         let Some(voter) = &self.voter else { return };
         if voter.recovering.is_some() {
             return;
         }
-        let newer = stamp >= voter.memory.stamp;
-        let known = voter.memory.term;
-        if self.promised(voter) || term < known || (only_asked && (term == known || !newer)) {
-            self.send(from, Message::Vote { term: known, only_asked, granted: false });
+        let newer = revision >= voter.durable_state.revision;
+        let known = voter.durable_state.term;
+        if self.promised(voter) || term < known || (pre_vote && (term == known || !newer)) {
+            self.send(from, Message::VoteResponse { term: known, pre_vote, granted: false });
             return;
         }
-        if only_asked {
-            self.send(from, Message::Vote { term, only_asked, granted: true });
+        if pre_vote {
+            self.send(from, Message::VoteResponse { term, pre_vote, granted: true });
             return;
         }
         if term > known {
             self.adopt(term, None);
         }
         let Some(voter) = &mut self.voter else { return };
-        let granted = newer && voter.memory.voted.is_none_or(|voted| voted == from);
+        let granted = newer && voter.durable_state.voted.is_none_or(|voted| voted == from);
         if granted {
-            voter.memory.voted = Some(from);
+            voter.durable_state.voted = Some(from);
             voter.deadline = deadline;
         }
         if granted || term > known {
             self.save();
         }
-        self.send(from, Message::Vote { term, only_asked, granted });
+        self.send(from, Message::VoteResponse { term, pre_vote, granted });
     }
 
     /// An answer to this candidate.
-    pub(crate) fn voted(&mut self, from: u16, term: u64, only_asked: bool, granted: bool) {
+    pub(crate) fn voted(&mut self, from: u16, term: u64, pre_vote: bool, granted: bool) {
         let Some(voter) = &mut self.voter else { return };
         if voter.recovering.is_some() {
             return;
         }
         if !granted {
             // Only what is greater tells something; and only a candidate needs to know.
-            if term > voter.memory.term && voter.candidacy.is_some() {
+            if term > voter.durable_state.term && voter.candidacy.is_some() {
                 self.adopt(term, None);
                 self.save();
             }
             return;
         }
         match &mut voter.candidacy {
-            Some(candidacy) if candidacy.term == term && candidacy.only_asked == only_asked => {
+            Some(candidacy) if candidacy.term == term && candidacy.pre_vote == pre_vote => {
                 candidacy.votes.insert(from);
                 self.count_votes();
             }
@@ -135,13 +136,13 @@
     pub(crate) fn adopt(&mut self, term: u64, leader: Option<u16>) {
         let deadline = self.election_deadline();
         let Some(voter) = &mut self.voter else { return };
-        let forward = term > voter.memory.term;
+        let forward = term > voter.durable_state.term;
         if forward {
-            voter.memory.term = term;
-            voter.memory.voted = None;
+            voter.durable_state.term = term;
+            voter.durable_state.voted = None;
         }
         if voter.leading.take().is_some() {
-            self.counts.deposed += 1;
+            self.counts.leaderships_lost += 1;
         }
         voter.candidacy = None;
         voter.leader = leader;
@@ -151,13 +152,14 @@
 
     /// Leads, from here on: writes the state it holds anew, in its own term, and counts on nothing before a majority has it.
     fn win(&mut self) {
-        let (now, me) = (self.now, self.config.me);
+        let (now, me) = (self.now, self.config.ordinal);
         let Some(voter) = &mut self.voter else { return };
         voter.candidacy = None;
         voter.leader = Some(me);
-        voter.memory.stamp = Stamp { term: voter.memory.term, seq: voter.memory.stamp.seq + 1 };
+        voter.durable_state.revision =
+            StateRevision { term: voter.durable_state.term, seq: voter.durable_state.revision.seq + 1 };
         voter.leading = Some(Box::new(Leader::new(now)));
-        self.counts.won += 1;
+        self.counts.elections_won += 1;
         self.save();
         self.beat();
     }
--- a/crates/consensus/src/granting.rs
+++ b/crates/consensus/src/granting.rs
@@ -1,15 +1,15 @@
 //! The leader's book of leases, and the answer to a member that asks.
 
-use crate::lists::ListMark;
+use crate::lists::ListRevision;
 use crate::state::Phase;
-use crate::{Grant, Hash, Member, Message, Micros, Renew, Topic};
+use crate::{ContentHash, LeaseGrant, LeaseRequest, Member, Message, Micros, Topic};
 use std::collections::BTreeMap;
 
 /// One lease granted: it is over at `over`, by this leader's clock, wherever the member's clock stands.
 #[derive(Clone, Copy, Debug)]
-struct Lease {
+struct GrantedLease {
     number: u64,
-    hash: Hash,
+    hash: ContentHash,
     over: Micros,
 }
 
@@ -18,11 +18,11 @@
 pub(crate) struct Tenant {
     last_sent: Option<Micros>,
     seen_at: Micros,
-    pub holds: [Option<u64>; 2],
+    pub active: [Option<u64>; 2],
     pub ready: [Option<u64>; 2],
-    pub cannot: [Option<u64>; 2],
-    pub list: ListMark,
-    leases: [Vec<Lease>; 2],
+    pub unsupported: [Option<u64>; 2],
+    pub list: ListRevision,
+    leases: [Vec<GrantedLease>; 2],
 }
 
 /// All leases this leader granted. A life of a member ends by time only: its process may just be stopped, whatever a newer
@@ -47,11 +47,11 @@
     }
 
     /// Versions under lease, least first.
-    pub fn leased(&self, topic: Topic, now: Micros) -> BTreeMap<u64, Hash> {
+    pub fn leased(&self, topic: Topic, now: Micros) -> BTreeMap<u64, ContentHash> {
         self.running(topic, now).map(|lease| (lease.number, lease.hash)).collect()
     }
 
-    fn running(&self, topic: Topic, now: Micros) -> impl Iterator<Item = &Lease> {
+    fn running(&self, topic: Topic, now: Micros) -> impl Iterator<Item = &GrantedLease> {
         self.tenants
             .values()
             .flat_map(move |tenant| &tenant.leases[topic.index()])
@@ -59,10 +59,10 @@
     }
 
     /// Live members by the number they hold.
-    pub fn held_by(&self, topic: Topic, now: Micros, lease: Micros) -> Vec<(u64, u32)> {
+    pub fn members_by_version(&self, topic: Topic, now: Micros, lease: Micros) -> Vec<(u64, u32)> {
         let mut counts = BTreeMap::new();
         for (_, tenant) in self.live(now, lease) {
-            *counts.entry(tenant.holds[topic.index()].unwrap_or(0)).or_insert(0) += 1;
+            *counts.entry(tenant.active[topic.index()].unwrap_or(0)).or_insert(0) += 1;
         }
         counts.into_iter().collect()
     }
@@ -79,17 +79,17 @@
 
 impl Member {
     /// A member asks for its leases.
-    pub(crate) fn renewed(&mut self, from: u16, renew: Renew) {
+    pub(crate) fn renewed(&mut self, from: u16, renew: LeaseRequest) {
         let Some(voter) = &self.voter else { return self.counts.dropped += 1 };
-        let me = self.config.me;
+        let me = self.config.ordinal;
         let leads = self.leads_now();
         // What was heard long ago points nowhere.
-        let lately = self.now < voter.heard_at.saturating_add(self.config.timing.election_most);
+        let lately = self.now < voter.heard_at.saturating_add(self.config.timing.election_timeout_max);
         let known = voter.leader.filter(|&leader| leader != me && lately);
         let committed = self.leader().filter(|_| leads).and_then(|leader| leader.committed.clone());
-        let Some((stamp, committed)) = committed else {
+        let Some((revision, committed)) = committed else {
             if self.leader().is_none() {
-                self.send(from, Message::Hint { echo: renew.sent_at, leader: known });
+                self.send(from, Message::LeaderHint { echo: renew.sent_at, leader: known });
             }
             return;
         };
@@ -102,19 +102,19 @@
         }
         tenant.last_sent = Some(renew.sent_at);
         tenant.seen_at = now;
-        tenant.holds = renew.holds;
+        tenant.active = renew.active;
         tenant.ready = renew.ready;
-        tenant.cannot = renew.cannot;
+        tenant.unsupported = renew.unsupported;
         tenant.list = renew.list;
         let mut versions = [None; 2];
         for topic in Topic::ALL {
             let at = topic.index();
-            let (part, released) = (committed.topic(topic), renew.released_below[at]);
+            let (part, released) = (committed.topic(topic), renew.revoked_below[at]);
             // The member's word: it is done with these, and takes no grant of them that may be under way.
             tenant.leases[at].retain(|lease| lease.number >= released);
             let Some(version) = part.in_force else { continue };
             let leaving = part.pending.is_some_and(|pending| {
-                pending.phase == Phase::Release && version.number < pending.version.agrees_from
+                pending.phase == Phase::Revoke && version.number < pending.version.compatible_from
             });
             if leaving || version.number < released {
                 continue;
@@ -122,13 +122,21 @@
             versions[at] = Some(version);
             match tenant.leases[at].iter_mut().find(|lease| lease.number == version.number) {
                 Some(lease) => lease.over = over,
-                None => tenant.leases[at].push(Lease { number: version.number, hash: version.hash, over }),
+                None => {
+                    tenant.leases[at].push(GrantedLease { number: version.number, hash: version.hash, over })
+                }
             }
         }
         let pending = [0, 1].map(|at| committed.topics[at].pending);
-        let list = self.leader().map_or_else(ListMark::default, |leader| leader.list);
-        let grant =
-            Grant { incarnation: renew.incarnation, echo: renew.sent_at, stamp, versions, pending, list };
-        self.send(from, Message::Grant(Box::new(grant)));
+        let list = self.leader().map_or_else(ListRevision::default, |leader| leader.list);
+        let grant = LeaseGrant {
+            incarnation: renew.incarnation,
+            echo: renew.sent_at,
+            revision,
+            versions,
+            pending,
+            list,
+        };
+        self.send(from, Message::LeaseGrant(Box::new(grant)));
     }
 }
--- a/crates/consensus/src/holding.rs
+++ b/crates/consensus/src/holding.rs
@@ -3,7 +3,10 @@
 use crate::mutant::Mutant;
 use crate::state::{Pending, Phase};
 use crate::status::TopicStatus;
-use crate::{Config, Grant, Hash, Member, Message, Micros, Output, Renew, Right, Stamp, Topic, Version};
+use crate::{
+    Config, ContentHash, Lease, LeaseGrant, LeaseRequest, Member, Message, Micros, Output, StateRevision,
+    Topic, Version,
+};
 use rand::RngExt;
 
 /// One topic.
@@ -15,11 +18,11 @@
     offered: Option<(Version, Micros)>,
     /// Nothing below is taken: what was held once, or what was released.
     floor: u64,
-    released_below: u64,
+    revoked_below: u64,
     pub pending: Option<Pending>,
     /// When the embedder was last asked for which contents; the newest few.
-    pub asked: Vec<(Hash, Micros)>,
-    shown: Option<Right>,
+    pub asked: Vec<(ContentHash, Micros)>,
+    shown: Option<Lease>,
 }
 
 /// A member's leases.
@@ -30,7 +33,7 @@
     /// Whether that one granted.
     sure: bool,
     /// The newest state it was told of.
-    pub stamp: Stamp,
+    pub revision: StateRevision,
     last_sent: Micros,
     last_echo: Micros,
     next_renew: Micros,
@@ -40,17 +43,18 @@
     /// Went where a voter pointed; two that point at each other must not send it to and fro.
     followed: bool,
     pub topics: [Held; 2],
-    pub have: Vec<Hash>,
-    pub cannot: Vec<Hash>,
+    pub have: Vec<ContentHash>,
+    pub unsupported: Vec<ContentHash>,
 }
 
 impl Holder {
     pub fn new(config: &Config, now: Micros) -> Self {
-        let target = if config.votes(config.me) { Some(config.me) } else { config.voters.first().copied() };
+        let target =
+            if config.votes(config.ordinal) { Some(config.ordinal) } else { config.voters.first().copied() };
         Self {
-            target: target.unwrap_or(config.me),
+            target: target.unwrap_or(config.ordinal),
             sure: false,
-            stamp: Stamp::default(),
+            revision: StateRevision::default(),
             last_sent: Micros::MIN,
             last_echo: Micros::MIN,
             next_renew: now,
@@ -59,26 +63,26 @@
             followed: false,
             topics: Default::default(),
             have: Vec::new(),
-            cannot: Vec::new(),
+            unsupported: Vec::new(),
         }
     }
 
-    pub fn has(&self, hash: &Hash) -> bool {
+    pub fn has(&self, hash: &ContentHash) -> bool {
         self.have.contains(hash)
     }
 
-    pub fn cannot(&self, hash: &Hash) -> bool {
-        self.cannot.contains(hash)
+    pub fn cannot_run(&self, hash: &ContentHash) -> bool {
+        self.unsupported.contains(hash)
     }
 
     pub fn known_leader(&self) -> Option<u16> {
         self.sure.then_some(self.target)
     }
 
-    pub fn right(&self, topic: Topic) -> Right {
+    pub fn lease(&self, topic: Topic) -> Lease {
         match self.topics[topic.index()].right {
-            Some((version, until)) => Right { topic, version: Some((version.number, version.hash)), until },
-            None => Right { topic, version: None, until: Micros::MIN },
+            Some((version, until)) => Lease { topic, version: Some((version.number, version.hash)), until },
+            None => Lease { topic, version: None, until: Micros::MIN },
         }
     }
 
@@ -86,10 +90,10 @@
         let held = &self.topics[topic.index()];
         let newest = held.pending.map_or(0, |pending| pending.version.number);
         TopicStatus {
-            holds: held.right.map(|(version, _)| version),
+            active: held.right.map(|(version, _)| version),
             until: held.right.map_or(Micros::MIN, |(_, until)| until),
             newest: newest.max(held.offered.map_or(0, |(version, _)| version.number)).max(held.floor),
-            held_by: Vec::new(),
+            members_by_version: Vec::new(),
         }
     }
 
@@ -112,17 +116,17 @@
 
     /// Says what this process may act on, if that changed.
     fn show(&mut self, topic: Topic) {
-        let (now, right) = (self.now, self.holder.right(topic));
+        let (now, right) = (self.now, self.holder.lease(topic));
         let held = &mut self.holder.topics[topic.index()];
         let before = held.shown.map(|right| right.version);
         let right = match right.version {
             // Whatever was shown before is over now, at the latest.
-            None => Right { until: held.shown.map_or(now, |shown| shown.until.min(now)), ..right },
+            None => Lease { until: held.shown.map_or(now, |shown| shown.until.min(now)), ..right },
             Some(_) => right,
         };
         if before.flatten() != right.version || (right.version.is_some() && held.shown != Some(right)) {
             held.shown = Some(right);
-            self.out.push_back(Output::Right(right));
+            self.out.push_back(Output::LeaseChanged(right));
         }
     }
 
@@ -157,22 +161,22 @@
         holder.last_sent = now;
         holder.next_renew = now + patience + jitter;
         let per_topic = |of: &dyn Fn(&Held) -> Option<u64>| [of(&holder.topics[0]), of(&holder.topics[1])];
-        let pending = |held: &Held, among: &[Hash]| {
+        let pending = |held: &Held, among: &[ContentHash]| {
             held.pending
                 .filter(|pending| among.contains(&pending.version.hash))
                 .map(|pending| pending.version.number)
         };
-        let renew = Renew {
+        let renew = LeaseRequest {
             incarnation: me,
             sent_at: now,
-            holds: per_topic(&|held| held.right.map(|(version, _)| version.number)),
-            released_below: [holder.topics[0].released_below, holder.topics[1].released_below],
+            active: per_topic(&|held| held.right.map(|(version, _)| version.number)),
+            revoked_below: [holder.topics[0].revoked_below, holder.topics[1].revoked_below],
             ready: per_topic(&|held| pending(held, &holder.have)),
-            cannot: per_topic(&|held| pending(held, &holder.cannot)),
+            unsupported: per_topic(&|held| pending(held, &holder.unsupported)),
             list: self.lists.mine,
         };
         let to = holder.target;
-        self.send(to, Message::Renew(Box::new(renew)));
+        self.send(to, Message::LeaseRequest(Box::new(renew)));
     }
 
     fn next_voter(&mut self) {
@@ -209,10 +213,10 @@
     }
 
     /// The leader answered.
-    pub(crate) fn granted(&mut self, from: u16, grant: Grant) {
-        let takes_back = self.is(Mutant::TakesBack);
+    pub(crate) fn granted(&mut self, from: u16, grant: LeaseGrant) {
+        let takes_back = self.is(Mutant::AcceptRevoked);
         let holder = &mut self.holder;
-        let older = grant.echo <= holder.last_echo || grant.stamp < holder.stamp;
+        let older = grant.echo <= holder.last_echo || grant.revision < holder.revision;
         if grant.incarnation != self.config.incarnation
             || grant.echo > holder.last_sent
             || (older && !takes_back)
@@ -228,14 +232,14 @@
         let timing = self.config.timing;
         let jitter = self.chance.random_range(0..=timing.lease / 12);
         self.holder.next_renew = (grant.echo + timing.lease / 3 - jitter).max(self.now + 1);
-        self.pending_told(grant.stamp, grant.pending, from);
+        self.pending_told(grant.revision, grant.pending, from);
         // From when it was asked for: the leader counts from later, and longer.
         let from_when = if self.is(Mutant::LeaseFromReceipt) { self.now } else { grant.echo };
         let until = from_when + self.shorter(timing.lease);
         for topic in Topic::ALL {
             let Some(version) = grant.versions[topic.index()] else { continue };
             let held = &mut self.holder.topics[topic.index()];
-            if version.number < held.floor.max(held.released_below) && !takes_back {
+            if version.number < held.floor.max(held.revoked_below) && !takes_back {
                 continue;
             }
             held.offered = Some((version, until));
@@ -249,7 +253,7 @@
 
     /// Acts on what was offered, once its content is here.
     pub(crate) fn take(&mut self, topic: Topic) {
-        let takes_back = self.is(Mutant::TakesBack);
+        let takes_back = self.is(Mutant::AcceptRevoked);
         let held = &mut self.holder.topics[topic.index()];
         let Some((version, until)) = held.offered else { return };
         let held_already = held.right.is_some_and(|(before, _)| before.number == version.number);
@@ -269,27 +273,27 @@
     }
 
     /// The leader says, unasked, that something changed.
-    pub(crate) fn announced(&mut self, from: u16, stamp: Stamp, pending: [Option<Pending>; 2]) {
-        if stamp <= self.holder.stamp {
+    pub(crate) fn announced(&mut self, from: u16, revision: StateRevision, pending: [Option<Pending>; 2]) {
+        if revision <= self.holder.revision {
             return self.counts.dropped += 1;
         }
         self.holder.target = from;
         self.holder.misses = 0;
-        self.pending_told(stamp, pending, from);
+        self.pending_told(revision, pending, from);
         self.renew_now();
     }
 
-    fn pending_told(&mut self, stamp: Stamp, pending: [Option<Pending>; 2], leader: u16) {
-        if stamp < self.holder.stamp {
+    fn pending_told(&mut self, revision: StateRevision, pending: [Option<Pending>; 2], leader: u16) {
+        if revision < self.holder.revision {
             return;
         }
-        self.holder.stamp = stamp;
+        self.holder.revision = revision;
         for topic in Topic::ALL {
             let pending = pending[topic.index()];
             self.holder.topics[topic.index()].pending = pending;
             let Some(Pending { version, phase, proposal }) = pending else { continue };
-            if phase == Phase::Release {
-                self.let_go(topic, version.agrees_from);
+            if phase == Phase::Revoke {
+                self.let_go(topic, version.compatible_from);
             }
             self.want(topic, version.hash, version.size, vec![leader, proposal.member]);
         }
@@ -298,10 +302,10 @@
     /// Drops what a version contradicts that will be in force for sure, and never takes it again; the leader hears at once.
     fn let_go(&mut self, topic: Topic, below: u64) {
         let held = &mut self.holder.topics[topic.index()];
-        if held.released_below >= below {
+        if held.revoked_below >= below {
             return;
         }
-        held.released_below = below;
+        held.revoked_below = below;
         held.offered = held.offered.filter(|(version, _)| version.number >= below);
         if held.right.is_some_and(|(version, _)| version.number < below) {
             held.right = None;
--- a/crates/consensus/src/io.rs
+++ b/crates/consensus/src/io.rs
@@ -1,6 +1,6 @@
 //! What goes into a member, and what comes out.
 
-use crate::{Hash, Memory, Message, Micros, Topic, Why};
+use crate::{ContentHash, DurableState, Message, Micros, ProposalOutcome, Topic};
 
 /// What happened.
 #[derive(Clone, Debug)]
@@ -14,12 +14,12 @@
         /// What.
         message: Message,
     },
-    /// Put this in force. The content is here and compiled. Answered by one [`Output::ProposalOver`].
+    /// Put this in force. The content is here and compiled. ProposalResult by one [`Output::ProposalFinished`].
     Propose {
         /// Of what.
         topic: Topic,
         /// The content.
-        hash: Hash,
+        hash: ContentHash,
         /// Bytes of it.
         size: u32,
     },
@@ -28,22 +28,22 @@
         /// As asked.
         topic: Topic,
         /// As asked.
-        hash: Hash,
+        hash: ContentHash,
         /// What came out.
         verdict: Verdict,
     },
     /// The content is here and compiled; also unasked, as for what is still on the disk.
-    Have {
+    ContentReady {
         /// Which.
-        hash: Hash,
+        hash: ContentHash,
     },
-    /// The content is here, and this process can't run it. Stands until the process ends or says [`Input::Have`].
-    CannotRun {
+    /// The content is here, and this process can't run it. Stands until the process ends or says [`Input::ContentReady`].
+    ContentUnsupported {
         /// Which.
-        hash: Hash,
+        hash: ContentHash,
     },
     /// Discovery told of this revision of the list of members.
-    ListSeen {
+    ListReceived {
         /// Which.
         revision: u64,
     },
@@ -53,14 +53,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Verdict {
     /// It agrees with all versions it was to be checked against from this number on.
-    Agrees {
+    Compatible {
         /// The least such number.
         from: u64,
     },
     /// It contradicts the one in force.
-    Contradicts,
+    Incompatible,
     /// It is not to be put in force.
-    Refused,
+    Rejected,
 }
 
 /// What is to be done, or to be known; in this order.
@@ -75,41 +75,41 @@
         message: Message,
     },
     /// Make this durable before anything after it is carried out. If that fails, the process must end.
-    Save(Memory),
+    Save(DurableState),
     /// May this be put in force? Answer with [`Input::Checked`].
     Check {
         /// Of what.
         topic: Topic,
         /// The content; it is here.
-        hash: Hash,
+        hash: ContentHash,
         /// Versions somebody may act on, by number, least first; the last one is in force. Their content may not be here;
         /// what can't be had is to be taken for contradicting.
-        against: Vec<(u64, Hash)>,
+        against: Vec<(u64, ContentHash)>,
     },
-    /// Get the content, compile it, answer with [`Input::Have`] or [`Input::CannotRun`]. Asked again while it is needed.
+    /// Get the content, compile it, answer with [`Input::ContentReady`] or [`Input::ContentUnsupported`]. Asked again while it is needed.
     Fetch {
         /// Of what.
         topic: Topic,
         /// The content.
-        hash: Hash,
+        hash: ContentHash,
         /// Bytes of it.
         size: u32,
         /// Who has it, the likeliest first.
         from: Vec<u16>,
     },
     /// What this process may act on changed.
-    Right(Right),
+    LeaseChanged(Lease),
     /// A proposal of this process is over.
-    ProposalOver {
+    ProposalFinished {
         /// Of what.
         topic: Topic,
         /// The content.
-        hash: Hash,
+        hash: ContentHash,
         /// How it ended.
-        why: Why,
+        outcome: ProposalOutcome,
     },
     /// Others were told of a newer list of members.
-    ListBehind {
+    ListOutdated {
         /// Its revision.
         revision: u64,
     },
@@ -117,11 +117,11 @@
 
 /// What this process may act on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Right {
+pub struct Lease {
     /// Of what.
     pub topic: Topic,
     /// Number and content; `None`: nothing, the process is in doubt.
-    pub version: Option<(u64, Hash)>,
+    pub version: Option<(u64, ContentHash)>,
     /// Own clock; acting at this time or after is forbidden.
     pub until: Micros,
 }
--- a/crates/consensus/src/leading.rs
+++ b/crates/consensus/src/leading.rs
@@ -2,9 +2,9 @@
 
 use crate::effect::Change;
 use crate::granting::Leases;
-use crate::lists::ListMark;
+use crate::lists::ListRevision;
 use crate::mutant::Mutant;
-use crate::{Member, Message, Micros, Stamp, State, Topic};
+use crate::{Member, Message, Micros, State, StateRevision, Topic};
 use std::collections::BTreeMap;
 
 /// What a leader keeps, for one term.
@@ -12,15 +12,15 @@
 pub(crate) struct Leader {
     pub won_at: Micros,
     /// By voter: the newest round it acknowledged, and what it had then.
-    heard: BTreeMap<u16, (Micros, Stamp)>,
+    heard: BTreeMap<u16, (Micros, StateRevision)>,
     next_beat: Micros,
     /// The state in memory is agreed: a majority has it.
     pub agreed: bool,
     /// The newest state agreed in this term, and its order.
-    pub committed: Option<(Stamp, State)>,
+    pub committed: Option<(StateRevision, State)>,
     pub leases: Leases,
     pub changes: [Change; 2],
-    pub list: ListMark,
+    pub list: ListRevision,
 }
 
 impl Leader {
@@ -33,7 +33,7 @@
             committed: None,
             leases: Leases::default(),
             changes: [Change::default(), Change::default()],
-            list: ListMark::default(),
+            list: ListRevision::default(),
         }
     }
 }
@@ -53,13 +53,14 @@
     /// Until when no other can be elected: the voters of that round promised so from when they heard it, which is later
     /// than it was sent.
     pub(crate) fn authority_until(&self, leader: &Leader) -> Option<Micros> {
-        Some(self.quorum_round(leader)? + self.shorter(self.config.timing.election_least))
+        Some(self.quorum_round(leader)? + self.shorter(self.config.timing.election_timeout_min))
     }
 
     /// Whether this process leads at this instant, by its own clock.
     pub(crate) fn leads_now(&self) -> bool {
         let Some(leader) = self.voter.as_ref().and_then(|voter| voter.leading.as_ref()) else { return false };
-        self.is(Mutant::PauseUnnoticed) || self.authority_until(leader).is_some_and(|until| self.now < until)
+        self.is(Mutant::NoAuthorityCheck)
+            || self.authority_until(leader).is_some_and(|until| self.now < until)
     }
 
     pub(crate) fn leader_mut(&mut self) -> Option<&mut Leader> {
@@ -80,7 +81,7 @@
     /// Whether leases that earlier leaders granted are over: all of them were granted before this one won.
     pub(crate) fn handed_over(&self) -> bool {
         self.leader().is_some_and(|leader| {
-            self.is(Mutant::NoHandover) || self.now >= leader.won_at + self.longer(self.config.timing.lease)
+            self.is(Mutant::SkipHandover) || self.now >= leader.won_at + self.longer(self.config.timing.lease)
         })
     }
 
@@ -100,15 +101,15 @@
         let Some(voter) = &mut self.voter else { return };
         let Some(leader) = &mut voter.leading else { return };
         leader.next_beat = now + heartbeat;
-        let (term, stamp) = (voter.memory.term, voter.memory.stamp);
+        let (term, revision) = (voter.durable_state.term, voter.durable_state.revision);
         let mut rounds = Vec::new();
         for &to in &self.config.voters {
-            if to == self.config.me {
+            if to == self.config.ordinal {
                 continue;
             }
-            let has = leader.heard.get(&to).is_some_and(|&(_, had)| had == stamp);
-            let state = (!has).then(|| Box::new(voter.memory.state.clone()));
-            rounds.push((to, Message::Beat { term, round: now, stamp, state }));
+            let has = leader.heard.get(&to).is_some_and(|&(_, had)| had == revision);
+            let state = (!has).then(|| Box::new(voter.durable_state.state.clone()));
+            rounds.push((to, Message::Heartbeat { term, round: now, revision, state }));
         }
         for (to, message) in rounds {
             self.send(to, message);
@@ -118,9 +119,9 @@
     /// Writes the next state; nothing is counted on before a majority has it.
     pub(crate) fn write(&mut self, state: State) {
         let Some(voter) = &mut self.voter else { return };
-        let follows = state.may_follow(&voter.memory.state);
-        voter.memory.stamp.seq += 1;
-        voter.memory.state = state;
+        let follows = state.may_follow(&voter.durable_state.state);
+        voter.durable_state.revision.seq += 1;
+        voter.durable_state.state = state;
         if let Some(leader) = &mut voter.leading {
             leader.agreed = false;
         }
@@ -135,7 +136,7 @@
         from: u16,
         term: u64,
         round: Micros,
-        stamp: Stamp,
+        revision: StateRevision,
         state: Option<Box<State>>,
     ) {
         let deadline = self.election_deadline();
@@ -147,11 +148,11 @@
             voter.heard_at = now;
             return;
         }
-        if term < voter.memory.term {
-            let (term, stamp) = (voter.memory.term, voter.memory.stamp);
-            return self.send(from, Message::Heard { term, round, stamp });
+        if term < voter.durable_state.term {
+            let (term, revision) = (voter.durable_state.term, voter.durable_state.revision);
+            return self.send(from, Message::HeartbeatAck { term, round, revision });
         }
-        let mut changed = term > voter.memory.term;
+        let mut changed = term > voter.durable_state.term;
         if changed {
             self.adopt(term, Some(from));
         }
@@ -164,53 +165,53 @@
         voter.heard_at = now;
         voter.deadline = deadline;
         if let Some(state) = state
-            && stamp > voter.memory.stamp
+            && revision > voter.durable_state.revision
         {
-            voter.memory.stamp = stamp;
-            voter.memory.state = *state;
+            voter.durable_state.revision = revision;
+            voter.durable_state.state = *state;
             changed = true;
         }
-        let stamp = voter.memory.stamp;
+        let revision = voter.durable_state.revision;
         if changed {
             self.save();
         }
-        self.send(from, Message::Heard { term, round, stamp });
+        self.send(from, Message::HeartbeatAck { term, round, revision });
     }
 
     /// A voter's acknowledgement came in.
-    pub(crate) fn heard(&mut self, from: u16, term: u64, round: Micros, stamp: Stamp) {
+    pub(crate) fn heard(&mut self, from: u16, term: u64, round: Micros, revision: StateRevision) {
         let now = self.now;
         let Some(voter) = &mut self.voter else { return };
         if voter.recovering.is_some() {
             return;
         }
-        if term > voter.memory.term {
+        if term > voter.durable_state.term {
             self.adopt(term, None);
             return self.save();
         }
-        let known = voter.memory.term;
+        let known = voter.durable_state.term;
         let Some(leader) = &mut voter.leading else { return };
         let newest = leader.heard.get(&from).is_none_or(|&(before, _)| round >= before);
         if term == known && newest && round <= now && round >= leader.won_at {
             // In place of what it said before, never added to it: it may have lost its memory since.
-            leader.heard.insert(from, (round, stamp));
+            leader.heard.insert(from, (round, revision));
         } else {
             self.counts.dropped += 1;
         }
     }
 
     pub(crate) fn turn_leader(&mut self) {
-        let (now, window) = (self.now, self.config.timing.election_most);
+        let (now, window) = (self.now, self.config.timing.election_timeout_max);
         let Some(leader) = self.leader() else { return };
         let last = self.quorum_round(leader).unwrap_or(leader.won_at).max(leader.won_at);
-        if now > last + window && !self.is(Mutant::PauseUnnoticed) {
+        if now > last + window && !self.is(Mutant::NoAuthorityCheck) {
             // Nobody hears it, or it hears nobody: as long as it goes on, others may wait for it in vain.
             let deadline = self.election_deadline();
             let Some(voter) = &mut self.voter else { return };
             voter.leading = None;
             voter.leader = None;
             voter.deadline = deadline;
-            self.counts.deposed += 1;
+            self.counts.leaderships_lost += 1;
             return;
         }
         if now >= leader.next_beat {
@@ -230,20 +231,23 @@
     /// Whether a majority has the state by now. Only fresh words count: a voter that lost its memory abstains for longer
     /// than they stay fresh, then learns from a majority of the others what was agreed with its help.
     fn agree(&mut self) {
-        let (now, window) = (self.now, self.config.timing.election_most);
+        let (now, window) = (self.now, self.config.timing.election_timeout_max);
         let Some(voter) = &mut self.voter else { return };
         let Some(leader) = &mut voter.leading else { return };
         if leader.agreed {
             return;
         }
-        let have =
-            leader.heard.values().filter(|&&(round, had)| had == voter.memory.stamp && now <= round + window);
+        let have = leader
+            .heard
+            .values()
+            .filter(|&&(round, had)| had == voter.durable_state.revision && now <= round + window);
         if have.count() + 1 < self.config.majority() {
             return;
         }
         leader.agreed = true;
-        let before = leader.committed.replace((voter.memory.stamp, voter.memory.state.clone()));
-        let follows = before.as_ref().is_none_or(|(_, before)| voter.memory.state.may_follow(before));
+        let before =
+            leader.committed.replace((voter.durable_state.revision, voter.durable_state.state.clone()));
+        let follows = before.as_ref().is_none_or(|(_, before)| voter.durable_state.state.may_follow(before));
         self.sure(follows, "an agreed state went back");
         self.tell(before.map(|(_, before)| before));
     }
--- a/crates/consensus/src/lists.rs
+++ b/crates/consensus/src/lists.rs
@@ -5,7 +5,7 @@
 
 /// A revision of the list. Epochs count the times revisions began anew.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct ListMark {
+pub struct ListRevision {
     /// Greater ones are newer, whatever their revision.
     pub epoch: u64,
     /// Within the epoch.
@@ -16,9 +16,9 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Lists {
     /// What discovery told last, as this member tells it.
-    pub mine: ListMark,
+    pub mine: ListRevision,
     /// The last mark this member was said to be behind of.
-    behind: ListMark,
+    behind: ListRevision,
 }
 
 impl Member {
@@ -33,7 +33,7 @@
     }
 
     /// The leader said what others were told.
-    pub(crate) fn list_heard(&mut self, newest: ListMark) {
+    pub(crate) fn list_heard(&mut self, newest: ListRevision) {
         let lists = &mut self.lists;
         if newest.epoch > lists.mine.epoch && newest.revision >= lists.mine.revision {
             // Started since, or told less than the new epoch has: it can't have anything of an older epoch to fall back from.
@@ -41,7 +41,7 @@
         }
         if newest > lists.mine && newest > lists.behind {
             lists.behind = newest;
-            self.out.push_back(Output::ListBehind { revision: newest.revision });
+            self.out.push_back(Output::ListOutdated { revision: newest.revision });
         }
     }
 
@@ -49,7 +49,7 @@
     pub(crate) fn list_told(&mut self) {
         let (now, lease) = (self.now, self.longer(self.config.timing.lease));
         let Some(leader) = self.leader_mut() else { return };
-        let mut marks: Vec<ListMark> =
+        let mut marks: Vec<ListRevision> =
             leader.leases.live(now, lease).map(|(_, tenant)| tenant.list).collect();
         marks.sort_unstable();
         let Some(middle) = marks.get(marks.len().saturating_sub(1) / 2) else { return };
--- a/crates/consensus/src/member.rs
+++ b/crates/consensus/src/member.rs
@@ -7,7 +7,7 @@
 use crate::state::{longer, shorter};
 use crate::status::{Role, Status, TopicStatus};
 use crate::voter::Voter;
-use crate::{Config, Input, Memory, Message, Micros, Output, Right, Topic};
+use crate::{Config, DurableState, Input, Lease, Message, Micros, Output, Topic};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
@@ -16,11 +16,11 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Counts {
     pub elections: u64,
-    pub won: u64,
-    pub deposed: u64,
+    pub elections_won: u64,
+    pub leaderships_lost: u64,
     pub grants: u64,
     pub dropped: u64,
-    pub broken: u64,
+    pub invariant_violations: u64,
 }
 
 /// One member of the accord; a voter too, if the configuration says so.
@@ -43,9 +43,9 @@
 
 impl Member {
     /// A process that starts now. `memory` is what it last saved. A voter without it (lost, or never had) abstains: it
-    /// waits until whatever it may have promised is over, then asks the others what they know. Give [`Memory::first`] at
+    /// waits until whatever it may have promised is over, then asks the others what they know. Give [`DurableState::initial`] at
     /// the very first start of a cluster only. Other members need none. The configuration is to have been checked.
-    pub fn new(config: Config, now: Micros, memory: Option<Memory>, seed: u64) -> Self {
+    pub fn new(config: Config, now: Micros, durable_state: Option<DurableState>, seed: u64) -> Self {
         let mut member = Self {
             now,
             chance: ChaCha8Rng::seed_from_u64(seed),
@@ -57,12 +57,12 @@
             lists: Lists::default(),
             counts: Counts::default(),
             #[cfg(feature = "mutants")]
-            mutant: Mutant::Faithful,
+            mutant: Mutant::Unmodified,
             config,
         };
-        if member.config.votes(member.config.me) {
+        if member.config.votes(member.config.ordinal) {
             let deadline = member.election_deadline();
-            member.voter = Some(Voter::new(now, memory, deadline, &member.config));
+            member.voter = Some(Voter::new(now, durable_state, deadline, &member.config));
         }
         member.first_renewal();
         member
@@ -74,10 +74,10 @@
     pub fn mutate(&mut self, mutant: Mutant) {
         self.mutant = mutant;
         if let Some(voter) = &mut self.voter {
-            if mutant == Mutant::ForgetfulVoter && voter.recovering.take().is_some() {
+            if mutant == Mutant::SkipRecovery && voter.recovering.take().is_some() {
                 voter.heard_at = Micros::MIN / 2;
             }
-            if mutant == Mutant::RashRestart {
+            if mutant == Mutant::VoteAfterRestart {
                 voter.heard_at = Micros::MIN / 2;
                 voter.deadline = self.now;
             }
@@ -106,13 +106,13 @@
             Input::Message { from, message } => self.receive(from, message),
             Input::Propose { topic, hash, size } => self.propose(topic, hash, size),
             Input::Checked { topic, hash, verdict } => self.checked(topic, hash, verdict),
-            Input::Have { hash } => self.have(hash),
-            Input::CannotRun { hash } => self.cannot_run(hash),
-            Input::ListSeen { revision } => self.list_seen(revision),
+            Input::ContentReady { hash } => self.have(hash),
+            Input::ContentUnsupported { hash } => self.cannot_run(hash),
+            Input::ListReceived { revision } => self.list_seen(revision),
         }
         self.turn();
         while let Some(message) = self.inward.pop_front() {
-            self.receive(self.config.me, message);
+            self.receive(self.config.ordinal, message);
             self.turn();
         }
     }
@@ -130,42 +130,49 @@
     fn receive(&mut self, from: u16, message: Message) {
         let among_voters = matches!(
             message,
-            Message::Canvass { .. }
-                | Message::Vote { .. }
-                | Message::Beat { .. }
-                | Message::Heard { .. }
-                | Message::Recover { .. }
-                | Message::Recovered { .. }
+            Message::VoteRequest { .. }
+                | Message::VoteResponse { .. }
+                | Message::Heartbeat { .. }
+                | Message::HeartbeatAck { .. }
+                | Message::RecoveryRequest { .. }
+                | Message::RecoveryResponse { .. }
         );
         // These come from voters only; the rest of what voters do, only they do.
         let by_voter = among_voters
             || matches!(
                 message,
-                Message::Grant(_) | Message::Hint { .. } | Message::Announce { .. } | Message::Over { .. }
+                Message::LeaseGrant(_)
+                    | Message::LeaderHint { .. }
+                    | Message::Announce { .. }
+                    | Message::ProposalFinished { .. }
             );
         if from >= self.config.members
             || !message.bounded()
             || (by_voter && !self.config.votes(from))
-            || (among_voters && (self.voter.is_none() || from == self.config.me))
+            || (among_voters && (self.voter.is_none() || from == self.config.ordinal))
         {
             self.counts.dropped += 1;
             return;
         }
         match message {
-            Message::Canvass { term, only_asked, stamp } => self.canvassed(from, term, only_asked, stamp),
-            Message::Vote { term, only_asked, granted } => self.voted(from, term, only_asked, granted),
-            Message::Beat { term, round, stamp, state } => self.beaten(from, term, round, stamp, state),
-            Message::Heard { term, round, stamp } => self.heard(from, term, round, stamp),
-            Message::Recover { nonce } => self.asked_to_recover(from, nonce),
-            Message::Recovered { nonce, term, stamp, state } => {
-                self.recovered(from, nonce, term, stamp, *state)
+            Message::VoteRequest { term, pre_vote, revision } => {
+                self.canvassed(from, term, pre_vote, revision)
             }
-            Message::Renew(renew) => self.renewed(from, *renew),
-            Message::Grant(grant) => self.granted(from, *grant),
-            Message::Hint { echo, leader } => self.hinted(echo, leader),
-            Message::Announce { stamp, pending } => self.announced(from, stamp, pending),
+            Message::VoteResponse { term, pre_vote, granted } => self.voted(from, term, pre_vote, granted),
+            Message::Heartbeat { term, round, revision, state } => {
+                self.beaten(from, term, round, revision, state)
+            }
+            Message::HeartbeatAck { term, round, revision } => self.heard(from, term, round, revision),
+            Message::RecoveryRequest { nonce } => self.asked_to_recover(from, nonce),
+            Message::RecoveryResponse { nonce, term, revision, state } => {
+                self.recovered(from, nonce, term, revision, *state)
+            }
+            Message::LeaseRequest(renew) => self.renewed(from, *renew),
+            Message::LeaseGrant(grant) => self.granted(from, *grant),
+            Message::LeaderHint { echo, leader } => self.hinted(echo, leader),
+            Message::Announce { revision, pending } => self.announced(from, revision, pending),
             Message::Propose { id, topic, hash, size } => self.proposed(from, id, topic, hash, size),
-            Message::Over { id, why } => self.proposal_over(id, why),
+            Message::ProposalFinished { id, outcome } => self.proposal_over(id, outcome),
         }
     }
 
@@ -181,12 +188,12 @@
     }
 
     /// What this process may act on, as of the last input; to be read with its `until`.
-    pub fn right(&self, topic: Topic) -> Right {
-        self.holder.right(topic)
+    pub fn lease(&self, topic: Topic) -> Lease {
+        self.holder.lease(topic)
     }
 
     pub(crate) fn send(&mut self, to: u16, message: Message) {
-        if to == self.config.me {
+        if to == self.config.ordinal {
             self.inward.push_back(message);
         } else {
             self.out.push_back(Output::Send { to, message });
@@ -196,7 +203,7 @@
     pub(crate) fn tell_other_voters(&mut self, message: &Message) {
         for at in 0..self.config.voters.len() {
             let to = self.config.voters[at];
-            if to != self.config.me {
+            if to != self.config.ordinal {
                 self.send(to, message.clone());
             }
         }
@@ -205,15 +212,15 @@
     /// An invariant: stops tests, is counted in programs.
     pub(crate) fn sure(&mut self, holds: bool, what: &str) {
         // Mutants are there to break them; what counts with those is the oracle outside.
-        let faithful = self.is(Mutant::Faithful) || cfg!(not(feature = "mutants"));
+        let faithful = self.is(Mutant::Unmodified) || cfg!(not(feature = "mutants"));
         debug_assert!(holds || !faithful, "{what}");
         if !holds {
-            self.counts.broken += 1;
+            self.counts.invariant_violations += 1;
         }
     }
 
     fn drift(&self) -> u32 {
-        if self.is(Mutant::NoDrift) { 0 } else { self.config.timing.drift_ppm }
+        if self.is(Mutant::IgnoreDrift) { 0 } else { self.config.timing.drift_ppm }
     }
 
     pub(crate) fn longer(&self, span: Micros) -> Micros {
@@ -227,15 +234,15 @@
     /// What this member knows.
     pub fn status(&self) -> Status {
         let mut status = Status {
-            term: self.holder.stamp.term,
+            term: self.holder.revision.term,
             leader: self.holder.known_leader(),
             proposals: self.proposer.len(),
             elections: self.counts.elections,
-            won: self.counts.won,
-            deposed: self.counts.deposed,
+            elections_won: self.counts.elections_won,
+            leaderships_lost: self.counts.leaderships_lost,
             grants: self.counts.grants,
             dropped: self.counts.dropped,
-            broken: self.counts.broken,
+            invariant_violations: self.counts.invariant_violations,
             ..Status::default()
         };
         for topic in Topic::ALL {
@@ -243,18 +250,21 @@
         }
         if let Some(voter) = &self.voter {
             status.role = voter.role();
-            status.term = status.term.max(voter.memory.term);
+            status.term = status.term.max(voter.durable_state.term);
             status.leader = voter.leader.or(status.leader);
-            status.stamp = voter.memory.stamp;
-            status.state = Some(voter.memory.state.clone());
+            status.revision = voter.durable_state.revision;
+            status.state = Some(voter.durable_state.state.clone());
             if let Some(leader) = &voter.leading {
                 status.authority_until = self.authority_until(leader);
-                status.live =
+                status.live_members =
                     leader.leases.live(self.now, self.longer(self.config.timing.lease)).count() as u32;
                 for topic in Topic::ALL {
                     let status: &mut TopicStatus = &mut status.topics[topic.index()];
-                    status.held_by =
-                        leader.leases.held_by(topic, self.now, self.longer(self.config.timing.lease));
+                    status.members_by_version = leader.leases.members_by_version(
+                        topic,
+                        self.now,
+                        self.longer(self.config.timing.lease),
+                    );
                 }
             }
         }
--- a/crates/consensus/src/mutant.rs
+++ b/crates/consensus/src/mutant.rs
@@ -5,23 +5,23 @@
 #[allow(dead_code)]
 pub enum Mutant {
     /// None.
-    Faithful,
+    Unmodified,
     /// A member counts its lease from when the grant came in, not from when it asked.
     LeaseFromReceipt,
     /// A voter without memory goes on as if there had never been any.
-    ForgetfulVoter,
+    SkipRecovery,
     /// The leader doesn't wait for old leases to end.
-    EarlyEffect,
+    EarlyActivation,
     /// Nobody allows for clocks' drift.
-    NoDrift,
+    IgnoreDrift,
     /// A leader doesn't look at its clock before it acts.
-    PauseUnnoticed,
+    NoAuthorityCheck,
     /// A new leader doesn't wait for leases that earlier ones granted.
-    NoHandover,
+    SkipHandover,
     /// A voter votes though it hears from a leader.
-    Fickle,
+    VoteDespiteLeader,
     /// A voter that restarts with its memory votes at once.
-    RashRestart,
+    VoteAfterRestart,
     /// A member takes grants below what it released.
-    TakesBack,
+    AcceptRevoked,
 }
--- a/crates/consensus/src/proposing.rs
+++ b/crates/consensus/src/proposing.rs
@@ -2,7 +2,7 @@
 
 use crate::effect::{Checking, Proposal};
 use crate::state::ProposalId;
-use crate::{Hash, Member, Message, Micros, Output, Topic, Why};
+use crate::{ContentHash, Member, Message, Micros, Output, ProposalOutcome, Topic};
 use rand::RngExt;
 
 /// Proposals that may wait at the leader, a topic; the rest is asked again by their proposers.
@@ -12,7 +12,7 @@
 struct Waiting {
     id: ProposalId,
     topic: Topic,
-    hash: Hash,
+    hash: ContentHash,
     size: u32,
     next_ask: Micros,
 }
@@ -41,7 +41,7 @@
 }
 
 impl Member {
-    pub(crate) fn propose(&mut self, topic: Topic, hash: Hash, size: u32) {
+    pub(crate) fn propose(&mut self, topic: Topic, hash: ContentHash, size: u32) {
         self.have(hash);
         if self.proposer.waiting.iter().any(|waiting| waiting.topic == topic && waiting.hash == hash) {
             // Asked for already; one answer serves both.
@@ -55,13 +55,17 @@
             let asked = waiting.topic != topic || Some(at) == first;
             at += 1;
             if !asked {
-                out.push_back(Output::ProposalOver { topic, hash: waiting.hash, why: Why::Superseded });
+                out.push_back(Output::ProposalFinished {
+                    topic,
+                    hash: waiting.hash,
+                    outcome: ProposalOutcome::Superseded,
+                });
             }
             asked
         });
         self.proposer.serial += 1;
         let id = ProposalId {
-            member: self.config.me,
+            member: self.config.ordinal,
             incarnation: self.config.incarnation,
             serial: self.proposer.serial,
         };
@@ -84,25 +88,25 @@
         }
     }
 
-    pub(crate) fn proposal_over(&mut self, id: ProposalId, why: Why) {
+    pub(crate) fn proposal_over(&mut self, id: ProposalId, outcome: ProposalOutcome) {
         let Some(at) = self.proposer.waiting.iter().position(|waiting| waiting.id == id) else { return };
         let Waiting { topic, hash, .. } = self.proposer.waiting.remove(at);
-        self.out.push_back(Output::ProposalOver { topic, hash, why });
+        self.out.push_back(Output::ProposalFinished { topic, hash, outcome });
     }
 
     /// A proposal came in.
-    pub(crate) fn proposed(&mut self, from: u16, id: ProposalId, topic: Topic, hash: Hash, size: u32) {
+    pub(crate) fn proposed(&mut self, from: u16, id: ProposalId, topic: Topic, hash: ContentHash, size: u32) {
         if id.member != from {
             return self.counts.dropped += 1;
         }
         // Only what is agreed may be answered with.
         let Some(state) = self.settled() else { return };
         let part = state.topic(topic);
-        if let Some(why) = part.answer_to(&id) {
-            return self.send(from, Message::Over { id, why });
+        if let Some(outcome) = part.answer_to(&id) {
+            return self.send(from, Message::ProposalFinished { id, outcome });
         }
         if part.in_force.is_some_and(|version| version.hash == hash) {
-            return self.send(from, Message::Over { id, why: Why::InForce });
+            return self.send(from, Message::ProposalFinished { id, outcome: ProposalOutcome::InForce });
         }
         if part.pending.is_some_and(|pending| pending.proposal == id || pending.version.hash == hash) {
             return;
@@ -122,7 +126,7 @@
     }
 
     /// Leader: what the embedder says of the proposal it was asked about.
-    pub(crate) fn checked(&mut self, topic: Topic, hash: Hash, verdict: crate::Verdict) {
+    pub(crate) fn checked(&mut self, topic: Topic, hash: ContentHash, verdict: crate::Verdict) {
         let Some(leader) = self.leader_mut() else { return };
         if let Some(Checking { proposal, against: Some(_), verdict: slot @ None, .. }) =
             &mut leader.changes[topic.index()].checking
--- a/crates/consensus/src/recovering.rs
+++ b/crates/consensus/src/recovering.rs
@@ -1,7 +1,7 @@
 //! A voter without memory: it abstains until what it may have promised is over, then learns what was agreed with its help.
 
 use crate::state::longer;
-use crate::{Config, Member, Memory, Message, Micros, Stamp, State};
+use crate::{Config, DurableState, Member, Message, Micros, State, StateRevision};
 use rand::RngExt;
 use std::collections::BTreeMap;
 
@@ -13,13 +13,13 @@
     pub next_ask: Micros,
     /// Of the question, once it was asked.
     nonce: Option<u64>,
-    answers: BTreeMap<u16, (u64, Stamp, State)>,
+    answers: BTreeMap<u16, (u64, StateRevision, State)>,
 }
 
 impl Recovering {
     pub fn new(now: Micros, config: &Config) -> Self {
         let timing = &config.timing;
-        let wait = longer(2 * timing.election_most + timing.lease, timing.drift_ppm);
+        let wait = longer(2 * timing.election_timeout_max + timing.lease, timing.drift_ppm);
         Self { next_ask: now + wait, nonce: None, answers: BTreeMap::new() }
     }
 }
@@ -39,7 +39,7 @@
         recovering.next_ask = now + patience + jitter;
         // Asked again with the same one: answers to any of these questions came after the wait.
         let nonce = *recovering.nonce.get_or_insert(chance);
-        self.tell_other_voters(&Message::Recover { nonce });
+        self.tell_other_voters(&Message::RecoveryRequest { nonce });
         if self.config.voters.len() == 1 {
             // Alone, it can learn from nobody; only the operator's word helps.
             self.counts.dropped += 1;
@@ -52,28 +52,35 @@
         if voter.recovering.is_some() {
             return;
         }
-        let Memory { term, stamp, state, .. } = voter.memory.clone();
-        self.send(from, Message::Recovered { nonce, term, stamp, state: Box::new(state) });
+        let DurableState { term, revision, state, .. } = voter.durable_state.clone();
+        self.send(from, Message::RecoveryResponse { nonce, term, revision, state: Box::new(state) });
     }
 
     /// An answer. A majority of all voters, without this one, has seen any term it voted in and any state it helped agree.
-    pub(crate) fn recovered(&mut self, from: u16, nonce: u64, term: u64, stamp: Stamp, state: State) {
-        let (now, me, majority) = (self.now, self.config.me, self.config.majority());
+    pub(crate) fn recovered(
+        &mut self,
+        from: u16,
+        nonce: u64,
+        term: u64,
+        revision: StateRevision,
+        state: State,
+    ) {
+        let (now, me, majority) = (self.now, self.config.ordinal, self.config.majority());
         let deadline = self.election_deadline();
         let Some(voter) = &mut self.voter else { return };
         let Some(recovering) = &mut voter.recovering else { return };
         if recovering.nonce != Some(nonce) {
             return self.counts.dropped += 1;
         }
-        recovering.answers.insert(from, (term, stamp, state));
+        recovering.answers.insert(from, (term, revision, state));
         if recovering.answers.len() < majority {
             return;
         }
         let term = recovering.answers.values().map(|&(term, ..)| term).max().unwrap_or(0);
-        let newest = recovering.answers.values().max_by_key(|(_, stamp, _)| *stamp);
-        let Some((_, stamp, state)) = newest.cloned() else { return };
+        let newest = recovering.answers.values().max_by_key(|(_, revision, _)| *revision);
+        let Some((_, revision, state)) = newest.cloned() else { return };
         // Voted for itself in this term, as it were: whom it did vote for, it doesn't know.
-        voter.memory = Memory { term, voted: Some(me), stamp, state };
+        voter.durable_state = DurableState { term, voted: Some(me), revision, state };
         voter.recovering = None;
         voter.heard_at = now;
         voter.deadline = deadline;
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -1,10 +1,10 @@
 //! What the voters replicate, and what one of them keeps across restarts.
 
-use crate::{Hash, Micros};
+use crate::{ContentHash, Micros};
 use serde::{Deserialize, Serialize};
 
 /// Outcomes of proposals the state remembers, a topic; so many proposers at one time are told apart from their echoes.
-pub(crate) const ANSWERED: usize = 6;
+pub(crate) const MAX_RESULTS: usize = 6;
 
 /// What versions are of; each topic goes its own way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -30,11 +30,11 @@
     /// Its place; never given twice.
     pub number: u64,
     /// What it contains.
-    pub hash: Hash,
+    pub hash: ContentHash,
     /// Bytes of the content.
     pub size: u32,
     /// It agrees with all versions from this number on that were before it; its own number: with none.
-    pub agrees_from: u64,
+    pub compatible_from: u64,
 }
 
 /// How far a pending version is.
@@ -43,7 +43,7 @@
     /// Members get it and say whether they can run it; it may still be dropped.
     Prepare,
     /// Members let go of what it contradicts; it will be in force.
-    Release,
+    Revoke,
 }
 
 /// One proposal, told from its echoes.
@@ -70,26 +70,26 @@
 
 /// How a proposal ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Why {
+pub enum ProposalOutcome {
     /// It is in force.
     InForce,
     /// A live member cannot run it.
-    CannotRun,
+    Unsupported,
     /// The embedder of the leader refused it, or said nothing of it.
-    Refused,
+    Rejected,
     /// The leader, or most voters, couldn't get the content.
-    Unfetched,
+    ContentUnavailable,
     /// The same process proposed another one since, before this one was asked for or before its answer came.
     Superseded,
 }
 
 /// What became of the newest proposal of one life of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Answered {
+pub struct ProposalResult {
     /// Which.
     pub proposal: ProposalId,
     /// How it ended.
-    pub why: Why,
+    pub outcome: ProposalOutcome,
 }
 
 /// One topic's part of the state.
@@ -102,32 +102,30 @@
     /// The greatest number given so far.
     pub last_number: u64,
     /// Outcomes, the newest last; at most a few.
-    pub answered: Vec<Answered>,
+    pub results: Vec<ProposalResult>,
 }
 
 impl TopicState {
     /// Notes how a proposal ended; one entry a life of a member.
-    pub(crate) fn answer(&mut self, proposal: ProposalId, why: Why) {
-        self.answered.retain(|answered| {
-            (answered.proposal.member, answered.proposal.incarnation)
-                != (proposal.member, proposal.incarnation)
+    pub(crate) fn answer(&mut self, proposal: ProposalId, outcome: ProposalOutcome) {
+        self.results.retain(|results| {
+            (results.proposal.member, results.proposal.incarnation) != (proposal.member, proposal.incarnation)
         });
-        if self.answered.len() >= ANSWERED {
-            self.answered.remove(0);
+        if self.results.len() >= MAX_RESULTS {
+            self.results.remove(0);
         }
-        self.answered.push(Answered { proposal, why });
+        self.results.push(ProposalResult { proposal, outcome });
     }
 
     /// How this proposal ended, if the state still knows.
-    pub(crate) fn answer_to(&self, proposal: &ProposalId) -> Option<Why> {
-        let newest = self.answered.iter().find(|answered| {
-            (answered.proposal.member, answered.proposal.incarnation)
-                == (proposal.member, proposal.incarnation)
+    pub(crate) fn answer_to(&self, proposal: &ProposalId) -> Option<ProposalOutcome> {
+        let newest = self.results.iter().find(|results| {
+            (results.proposal.member, results.proposal.incarnation) == (proposal.member, proposal.incarnation)
         })?;
         match newest.proposal.serial.cmp(&proposal.serial) {
             std::cmp::Ordering::Less => None,
-            std::cmp::Ordering::Equal => Some(newest.why),
-            std::cmp::Ordering::Greater => Some(Why::Superseded),
+            std::cmp::Ordering::Equal => Some(newest.outcome),
+            std::cmp::Ordering::Greater => Some(ProposalOutcome::Superseded),
         }
     }
 }
@@ -169,7 +167,7 @@
 
 /// Orders states: the term of the leader that wrote it, then its count in that term and before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct StateRevision {
     /// Term of the leader that wrote it.
     pub term: u64,
     /// Counts up with each state written.
@@ -178,23 +176,23 @@
 
 /// What a voter must not forget. Without it, see [`crate::Member::new`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Memory {
+pub struct DurableState {
     /// The greatest term known; votes go to candidates of this one only.
     pub term: u64,
     /// Whom this one voted for in `term`.
     pub voted: Option<u16>,
     /// Order of `state`.
-    pub stamp: Stamp,
+    pub revision: StateRevision,
     /// The newest state accepted.
     pub state: State,
 }
 
-impl Memory {
+impl DurableState {
     /// For the very first start of a cluster, by the operator's word. Never after a loss: with it, a voter that forgot
     /// may vote anew in a term, or for one that doesn't know what is in force. If all voters begin so a second time, all
     /// members have to start anew: those that live take no number below what they had.
-    pub fn first() -> Self {
-        Self { term: 0, voted: None, stamp: Stamp::default(), state: State::default() }
+    pub fn initial() -> Self {
+        Self { term: 0, voted: None, revision: StateRevision::default(), state: State::default() }
     }
 }
 
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -1,6 +1,6 @@
 //! What a member knows, for on-call.
 
-use crate::{Micros, Stamp, State, Topic, Version};
+use crate::{Micros, State, StateRevision, Topic, Version};
 
 /// What a voter does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
@@ -22,13 +22,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TopicStatus {
     /// What this member holds, though its time may be over.
-    pub holds: Option<Version>,
+    pub active: Option<Version>,
     /// Until when, by its own clock.
     pub until: Micros,
     /// The newest version known to be in force or pending.
     pub newest: u64,
     /// Leader: live members by the number they said they hold; 0 stands for none.
-    pub held_by: Vec<(u64, u32)>,
+    pub members_by_version: Vec<(u64, u32)>,
 }
 
 /// What a member knows of itself and of the accord.
@@ -43,27 +43,27 @@
     /// Leader: until when it may act as one, by its own clock.
     pub authority_until: Option<Micros>,
     /// Voter: order of the state it holds.
-    pub stamp: Stamp,
+    pub revision: StateRevision,
     /// Voter: the state it holds; the last change of it may not be agreed yet.
     pub state: Option<State>,
     /// By topic.
     pub topics: [TopicStatus; 2],
     /// Leader: members that asked for a lease within the last one's time.
-    pub live: u32,
+    pub live_members: u32,
     /// Proposals of this process that aren't over.
     pub proposals: u32,
     /// Elections begun here.
     pub elections: u64,
     /// Elections won here.
-    pub won: u64,
+    pub elections_won: u64,
     /// Times the authority of a leader ran out here.
-    pub deposed: u64,
+    pub leaderships_lost: u64,
     /// Grants that came in and counted.
     pub grants: u64,
     /// Messages dropped: too old, from the wrong one, out of bounds.
     pub dropped: u64,
     /// Invariants found broken. Always 0 unless this code, a clock or a disk is at fault.
-    pub broken: u64,
+    pub invariant_violations: u64,
 }
 
 impl Status {
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -4,12 +4,12 @@
 use crate::leading::Leader;
 use crate::recovering::Recovering;
 use crate::status::Role;
-use crate::{Config, Member, Memory, Micros, Output};
+use crate::{Config, DurableState, Member, Micros, Output};
 
 /// A voter's part of a member.
 #[derive(Clone, Debug)]
 pub(crate) struct Voter {
-    pub memory: Memory,
+    pub durable_state: DurableState,
     /// When it last heard from a leader of its term, or started: it votes for no other for a while after.
     pub heard_at: Micros,
     /// When it asks for votes.
@@ -23,10 +23,10 @@
 impl Voter {
     /// With its memory it goes on, but as if it had just heard from a leader: it may have, before it restarted, and that
     /// leader counts on it.
-    pub fn new(now: Micros, memory: Option<Memory>, deadline: Micros, config: &Config) -> Self {
-        let recovering = memory.is_none().then(|| Recovering::new(now, config));
+    pub fn new(now: Micros, durable_state: Option<DurableState>, deadline: Micros, config: &Config) -> Self {
+        let recovering = durable_state.is_none().then(|| Recovering::new(now, config));
         Self {
-            memory: memory.unwrap_or_else(Memory::first),
+            durable_state: durable_state.unwrap_or_else(DurableState::initial),
             heard_at: now,
             deadline,
             leader: None,
@@ -53,7 +53,7 @@
     /// Keeps the voter's memory, ahead of whatever is sent next.
     pub(crate) fn save(&mut self) {
         if let Some(voter) = &self.voter {
-            self.out.push_back(Output::Save(voter.memory.clone()));
+            self.out.push_back(Output::Save(voter.durable_state.clone()));
         }
     }
 
--- a/crates/consensus/tests/common/chaos.rs
+++ b/crates/consensus/tests/common/chaos.rs
@@ -41,7 +41,7 @@
                 3 => Net { most: 5 * MS, loss: 200, doubled: 20, ..Net::default() },
                 _ => Net { most: 10 * MS, loss: 10, doubled: 10, ..Net::default() },
             },
-            mutant: Mutant::Faithful,
+            mutant: Mutant::Unmodified,
         }
     }
 
@@ -53,7 +53,7 @@
 }
 
 /// A content drawn at random; half of them contradict a given other.
-pub fn any_content(world: &mut World, id: u16) -> cottonnotch_consensus::Hash {
+pub fn any_content(world: &mut World, id: u16) -> cottonnotch_consensus::ContentHash {
     let says = [0; 3].map(|_: u8| world.chance.random_range(0..=2));
     let hash = content(id, says);
     if world.chance.random_range(0..8) == 0 {
@@ -188,10 +188,10 @@
 
 /// What the voters say of themselves, and how the last proposals ended.
 pub fn report(world: &World) -> String {
-    let short = |hash: &cottonnotch_consensus::Hash| format!("{:x?}", &hash[..6]);
+    let short = |hash: &cottonnotch_consensus::ContentHash| format!("{:x?}", &hash[..6]);
     let over = world.over.iter().rev().take(9);
-    let over =
-        over.map(|(member, topic, hash, why)| format!("\n  {member} {topic:?} {} {why:?}", short(hash)));
+    let over = over
+        .map(|(member, topic, hash, outcome)| format!("\n  {member} {topic:?} {} {outcome:?}", short(hash)));
     let voters = world.voters.iter().filter_map(|&voter| {
         let status = world.status(voter)?;
         let state = status.state?;
@@ -200,8 +200,8 @@
             let pending = topic.pending.map(|pending| (pending.version.number, pending.phase));
             format!("{:?} {pending:?}", topic.in_force.map(|version| (version.number, short(&version.hash))))
         };
-        let (role, stamp) = (status.role, status.stamp);
-        Some(format!("\n  {voter} {role:?} {stamp:?} rules {} settings {}", part(0), part(1)))
+        let (role, revision) = (status.role, status.revision);
+        Some(format!("\n  {voter} {role:?} {revision:?} rules {} settings {}", part(0), part(1)))
     });
     format!("leader {:?}{}{}", world.leader(), over.collect::<String>(), voters.collect::<String>())
 }
--- a/crates/consensus/tests/common/oracle.rs
+++ b/crates/consensus/tests/common/oracle.rs
@@ -1,14 +1,14 @@
 //! What must hold at every instant, seen from outside all clocks.
 
 use super::contradict;
-use cottonnotch_consensus::{Hash, Right, Topic};
+use cottonnotch_consensus::{ContentHash, Lease, Topic};
 use std::collections::BTreeMap;
 
 /// One process's right, by true time.
 #[derive(Clone, Copy, Debug)]
 struct Acting {
     number: u64,
-    hash: Hash,
+    hash: ContentHash,
     until: i64,
 }
 
@@ -16,7 +16,7 @@
 pub struct Oracle {
     acting: [BTreeMap<usize, Acting>; 2],
     floors: [BTreeMap<usize, u64>; 2],
-    named: [BTreeMap<u64, Hash>; 2],
+    named: [BTreeMap<u64, ContentHash>; 2],
     pub violation: Option<String>,
     /// The greatest number anyone was given a right on.
     pub greatest: [u64; 2],
@@ -30,7 +30,7 @@
 
 impl Oracle {
     /// A process was given a right, or lost it; `until` by true time.
-    pub fn right(&mut self, now: i64, process: usize, right: Right, until: i64) {
+    pub fn lease(&mut self, now: i64, process: usize, right: Lease, until: i64) {
         let at = right.topic as usize;
         if let Some(before) = self.acting[at].remove(&process)
             && before.until <= now
--- a/crates/consensus/tests/common/scenes.rs
+++ b/crates/consensus/tests/common/scenes.rs
@@ -2,17 +2,17 @@
 
 use super::content;
 use super::world::{MS, World};
-use cottonnotch_consensus::{Hash, Mutant, Timing, Topic};
+use cottonnotch_consensus::{ContentHash, Mutant, Timing, Topic};
 use rand::RngExt;
 
 pub const OLD: u8 = 1;
 pub const NEW: u8 = 2;
 
-pub fn old() -> Hash {
+pub fn old() -> ContentHash {
     content(1, [OLD, 0, 0])
 }
 
-pub fn new() -> Hash {
+pub fn new() -> ContentHash {
     content(2, [NEW, 0, 0])
 }
 
@@ -57,7 +57,7 @@
     world.cut_both(leader, rival);
     world.propose(4, Topic::Rules, new());
     world.cut_both(4, leader);
-    let won = |world: &World| world.status(rival).is_some_and(|status| status.won > 0);
+    let won = |world: &World| world.status(rival).is_some_and(|status| status.elections_won > 0);
     // With votes kept, it never wins.
     if world.run_until(2_000 * MS, won).is_some() {
         world.cut_off(leader);
--- a/crates/consensus/tests/common/world.rs
+++ b/crates/consensus/tests/common/world.rs
@@ -4,7 +4,8 @@
 use super::time::{Clock, Event};
 use super::{contradict, runs_at};
 use cottonnotch_consensus::{
-    Config, Hash, Input, Member, Memory, Message, Mutant, Output, Role, Status, Timing, Topic, Verdict, Why,
+    Config, ContentHash, DurableState, Input, Member, Message, Mutant, Output, ProposalOutcome, Role, Status,
+    Timing, Topic, Verdict,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -66,15 +67,15 @@
     /// By ordinal: its process that hears.
     pub at: Vec<Option<usize>>,
     /// By ordinal: what its disk has.
-    pub disks: Vec<Option<Memory>>,
+    pub disks: Vec<Option<DurableState>>,
     /// Members that can't get contents.
     pub fetch_fails: BTreeSet<u16>,
     /// By ordinal: contents its disk has.
-    pub contents: Vec<BTreeSet<Hash>>,
+    pub contents: Vec<BTreeSet<ContentHash>>,
     pub net: Net,
     pub cut: BTreeSet<(u16, u16)>,
     pub oracle: Oracle,
-    pub over: Vec<(u16, Topic, Hash, Why)>,
+    pub over: Vec<(u16, Topic, ContentHash, ProposalOutcome)>,
     pub behind: Vec<(u16, u64)>,
     pub mutant: Mutant,
     pub traffic: Traffic,
@@ -100,9 +101,9 @@
     pub fn new(seed: u64, members: u16, voters: u16, timing: Timing, mutant: Mutant) -> Self {
         let mut world = Self::empty(seed, members, voters, timing, mutant);
         for ordinal in 0..members {
-            let memory = world.voters.contains(&ordinal).then(Memory::first);
-            world.disks[usize::from(ordinal)] = memory.clone();
-            world.start(ordinal, memory);
+            let durable_state = world.voters.contains(&ordinal).then(DurableState::initial);
+            world.disks[usize::from(ordinal)] = durable_state.clone();
+            world.start(ordinal, durable_state);
         }
         world
     }
@@ -142,7 +143,7 @@
     }
 
     /// A new process of this member; the one before, if it still lives, no longer hears.
-    pub fn start(&mut self, ordinal: u16, memory: Option<Memory>) -> usize {
+    pub fn start(&mut self, ordinal: u16, durable_state: Option<DurableState>) -> usize {
         self.incarnations += 1;
         let clock = Clock {
             offset: self.chance.random_range(-1_000_000_000..1_000_000_000),
@@ -154,14 +155,14 @@
             },
         };
         let config = Config {
-            me: ordinal,
+            ordinal,
             members: self.members,
             voters: self.voters.clone(),
             timing: self.timing,
             incarnation: self.incarnations,
         };
         config.check().unwrap();
-        let mut member = Member::new(config, clock.own(self.now), memory, self.chance.random());
+        let mut member = Member::new(config, clock.own(self.now), durable_state, self.chance.random());
         member.mutate(self.mutant);
         let process = self.processes.len();
         self.processes.push(Process {
@@ -201,8 +202,8 @@
 
     pub fn restart(&mut self, ordinal: u16) {
         if self.at[usize::from(ordinal)].is_none() {
-            let memory = self.disks[usize::from(ordinal)].clone();
-            self.start(ordinal, memory);
+            let durable_state = self.disks[usize::from(ordinal)].clone();
+            self.start(ordinal, durable_state);
         }
     }
 
@@ -255,7 +256,7 @@
         }
     }
 
-    pub fn propose(&mut self, ordinal: u16, topic: Topic, hash: Hash) {
+    pub fn propose(&mut self, ordinal: u16, topic: Topic, hash: ContentHash) {
         if let Some(process) = self.at[usize::from(ordinal)] {
             self.contents[usize::from(ordinal)].insert(hash);
             self.give(process, Input::Propose { topic, hash, size: 1_000 });
@@ -293,13 +294,13 @@
         let ordinal = self.processes[process].ordinal;
         match output {
             Output::Send { to, message } => self.transmit(ordinal, to, message),
-            Output::Save(memory) => self.disks[usize::from(ordinal)] = Some(memory),
+            Output::Save(durable_state) => self.disks[usize::from(ordinal)] = Some(durable_state),
             Output::Check { topic, hash, against } => {
                 let verdict = if hash[8] == 1 {
-                    Verdict::Refused
+                    Verdict::Rejected
                 } else {
                     let agreeing = against.iter().rev().take_while(|(_, other)| !contradict(&hash, other));
-                    agreeing.last().map_or(Verdict::Contradicts, |&(from, _)| Verdict::Agrees { from })
+                    agreeing.last().map_or(Verdict::Incompatible, |&(from, _)| Verdict::Compatible { from })
                 };
                 let at = self.now + 5 * MS;
                 self.push(at, What::Input { process, input: Input::Checked { topic, hash, verdict } });
@@ -322,16 +323,21 @@
                     self.handed_out[usize::from(source)] += 1;
                 }
                 let at = self.now + self.chance.random_range(MS..=self.fetching);
-                let input =
-                    if runs_at(&hash, ordinal) { Input::Have { hash } } else { Input::CannotRun { hash } };
+                let input = if runs_at(&hash, ordinal) {
+                    Input::ContentReady { hash }
+                } else {
+                    Input::ContentUnsupported { hash }
+                };
                 self.push(at, What::Input { process, input });
             }
-            Output::Right(right) => {
+            Output::LeaseChanged(right) => {
                 let until = self.processes[process].clock.real(right.until);
-                self.oracle.right(self.now, process, right, until);
+                self.oracle.lease(self.now, process, right, until);
+            }
+            Output::ProposalFinished { topic, hash, outcome } => {
+                self.over.push((ordinal, topic, hash, outcome))
             }
-            Output::ProposalOver { topic, hash, why } => self.over.push((ordinal, topic, hash, why)),
-            Output::ListBehind { revision } => self.behind.push((ordinal, revision)),
+            Output::ListOutdated { revision } => self.behind.push((ordinal, revision)),
         }
     }
 
@@ -379,7 +385,7 @@
                     }
                 }
                 What::Input { process, input } => {
-                    if let Input::Have { hash } = &input {
+                    if let Input::ContentReady { hash } = &input {
                         let ordinal = usize::from(self.processes[process].ordinal);
                         self.contents[ordinal].insert(*hash);
                     }
@@ -423,10 +429,10 @@
     }
 
     /// Members whose process may act on this content now.
-    pub fn acting_on(&self, topic: Topic, hash: Hash) -> usize {
+    pub fn acting_on(&self, topic: Topic, hash: ContentHash) -> usize {
         let acts = |process: &&usize| {
             let one = &self.processes[**process];
-            let right = one.member.right(topic);
+            let right = one.member.lease(topic);
             right.version.is_some_and(|(_, held)| held == hash) && one.clock.own(self.now) < right.until
         };
         self.at.iter().flatten().filter(acts).count()
@@ -462,7 +468,7 @@
             panic!("seed {}, at {} us: {violation}", self.seed, self.now);
         }
         for process in &self.processes {
-            let broken = process.member.status().broken;
+            let broken = process.member.status().invariant_violations;
             assert_eq!(broken, 0, "seed {}: member {} counts broken invariants", self.seed, process.ordinal);
         }
     }
--- a/crates/consensus/tests/config.rs
+++ b/crates/consensus/tests/config.rs
@@ -1,9 +1,9 @@
 //! What the spans and the voters must be.
 
-use cottonnotch_consensus::{BadTiming, Config, Timing};
+use cottonnotch_consensus::{Config, ConfigError, Timing};
 
-fn config(me: u16, members: u16, voters: &[u16]) -> Config {
-    Config { me, members, voters: voters.to_vec(), timing: Timing::default(), incarnation: 1 }
+fn config(ordinal: u16, members: u16, voters: &[u16]) -> Config {
+    Config { ordinal, members, voters: voters.to_vec(), timing: Timing::default(), incarnation: 1 }
 }
 
 #[test]
@@ -28,22 +28,27 @@
 fn spans_without_room_for_elections_are_refused() {
     for timing in [
         Timing { heartbeat: 200_000, ..Timing::default() },
-        Timing { election_most: 520_000, ..Timing::default() },
+        Timing { election_timeout_max: 520_000, ..Timing::default() },
         // A slow voter keeps its word beyond the longest wait.
-        Timing { election_most: 560_000, drift_ppm: 100_000, contradiction: 9_000_000, ..Timing::default() },
+        Timing {
+            election_timeout_max: 560_000,
+            drift_ppm: 100_000,
+            contradiction: 9_000_000,
+            ..Timing::default()
+        },
     ] {
-        assert!(matches!(timing.check(), Err(BadTiming::Election { .. })), "{timing:?}");
+        assert!(matches!(timing.check(), Err(ConfigError::Election { .. })), "{timing:?}");
     }
     let zero = Timing { heartbeat: 0, ..Timing::default() };
-    assert!(matches!(zero.check(), Err(BadTiming::Span { name: "heartbeat", .. })));
+    assert!(matches!(zero.check(), Err(ConfigError::Span { name: "heartbeat", .. })));
     let wild = Timing { drift_ppm: 200_000, ..Timing::default() };
-    assert_eq!(wild.check(), Err(BadTiming::Drift(200_000)));
+    assert_eq!(wild.check(), Err(ConfigError::Drift(200_000)));
 }
 
 #[test]
 fn voters_must_be_odd_different_and_there() {
     for voters in [&[][..], &[0, 1], &[0, 1, 1], &[0, 1, 9], &[0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10]] {
-        assert!(matches!(config(0, 9, voters).check(), Err(BadTiming::Voters(_))), "{voters:?}");
+        assert!(matches!(config(0, 9, voters).check(), Err(ConfigError::Voters(_))), "{voters:?}");
     }
-    assert!(matches!(config(9, 9, &[0, 1, 2]).check(), Err(BadTiming::Voters(_))));
+    assert!(matches!(config(9, 9, &[0, 1, 2]).check(), Err(ConfigError::Voters(_))));
 }
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -6,20 +6,18 @@
 
 use common::{content, contradict};
 use cottonnotch_consensus::{
-    Config, Input, Member, Memory, Message, Mutant, Output, Role, Timing, Topic, Verdict,
+    Config, ContentHash, DurableState, Input, Member, Message, Mutant, Output, Role, Timing, Topic, Verdict,
 };
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{Hash as _, Hasher};
 
-type Hash = cottonnotch_consensus::Hash;
-
 const MS: i64 = 1_000;
 
 #[derive(Clone)]
 struct Node {
     member: Member,
-    memory: Option<Memory>,
+    durable_state: Option<DurableState>,
     stopped: bool,
     /// What came while it was stopped.
     queued: Vec<Input>,
@@ -32,7 +30,7 @@
     now: i64,
     nodes: Vec<Node>,
     flight: Vec<(u16, u16, Message)>,
-    named: BTreeMap<u64, Hash>,
+    named: BTreeMap<u64, ContentHash>,
     leaders: BTreeMap<u64, u16>,
     mutant: Mutant,
     path: Vec<String>,
@@ -54,17 +52,17 @@
             path: Vec::new(),
         };
         for at in 0..3 {
-            let memory = Some(Memory::first());
-            let member = small.member(at, 1, memory.clone());
-            small.nodes.push(Node { member, memory, stopped: false, queued: Vec::new(), life: 1 });
+            let durable_state = Some(DurableState::initial());
+            let member = small.member(at, 1, durable_state.clone());
+            small.nodes.push(Node { member, durable_state, stopped: false, queued: Vec::new(), life: 1 });
         }
         small
     }
 
-    fn member(&self, at: u16, life: u64, memory: Option<Memory>) -> Member {
+    fn member(&self, at: u16, life: u64, durable_state: Option<DurableState>) -> Member {
         let timing = Timing { drift_ppm: 0, ..Timing::default() };
-        let config = Config { me: at, members: 3, voters: vec![0, 1, 2], timing, incarnation: life };
-        let mut member = Member::new(config, self.now, memory, u64::from(at) + 10 * life);
+        let config = Config { ordinal: at, members: 3, voters: vec![0, 1, 2], timing, incarnation: life };
+        let mut member = Member::new(config, self.now, durable_state, u64::from(at) + 10 * life);
         member.mutate(self.mutant);
         member
     }
@@ -79,15 +77,15 @@
             while let Some(output) = self.nodes[at].member.poll() {
                 match output {
                     Output::Send { to, message } => self.flight.push((at as u16, to, message)),
-                    Output::Save(memory) => self.nodes[at].memory = Some(memory),
+                    Output::Save(durable_state) => self.nodes[at].durable_state = Some(durable_state),
                     Output::Check { topic, hash, against } => {
                         let contradicts = against.iter().any(|(_, other)| contradict(&hash, other));
                         let from = against.first().map_or(0, |first| first.0);
                         let verdict =
-                            if contradicts { Verdict::Contradicts } else { Verdict::Agrees { from } };
+                            if contradicts { Verdict::Incompatible } else { Verdict::Compatible { from } };
                         inputs.push_back(Input::Checked { topic, hash, verdict });
                     }
-                    Output::Fetch { hash, .. } => inputs.push_back(Input::Have { hash }),
+                    Output::Fetch { hash, .. } => inputs.push_back(Input::ContentReady { hash }),
                     _ => {}
                 }
             }
@@ -95,10 +93,10 @@
     }
 
     fn restart(&mut self, at: usize, forgets: bool) {
-        let memory = self.nodes[at].memory.clone().filter(|_| !forgets);
+        let durable_state = self.nodes[at].durable_state.clone().filter(|_| !forgets);
         let life = self.nodes[at].life + 1;
-        let member = self.member(at as u16, life, memory.clone());
-        self.nodes[at] = Node { member, memory, stopped: false, queued: Vec::new(), life };
+        let member = self.member(at as u16, life, durable_state.clone());
+        self.nodes[at] = Node { member, durable_state, stopped: false, queued: Vec::new(), life };
     }
 
     fn next_timeout(&self) -> i64 {
@@ -141,8 +139,8 @@
     /// Whether all holds at this instant.
     fn broken(&mut self) -> Option<String> {
         for topic in Topic::ALL {
-            let rights: Vec<_> = self.nodes.iter().map(|node| node.member.right(topic)).collect();
-            let acting: Vec<(u64, Hash)> = rights
+            let rights: Vec<_> = self.nodes.iter().map(|node| node.member.lease(topic)).collect();
+            let acting: Vec<(u64, ContentHash)> = rights
                 .iter()
                 .filter(|right| self.now < right.until)
                 .filter_map(|right| right.version)
@@ -158,7 +156,7 @@
         }
         for (at, node) in self.nodes.iter().enumerate() {
             let status = node.member.status();
-            if status.broken > 0 {
+            if status.invariant_violations > 0 {
                 return Some(format!("member {at} counts a broken invariant"));
             }
             if status.role == Role::Leader
@@ -199,20 +197,20 @@
         self.nodes.iter().position(leads).unwrap_or_default() as u16
     }
 
-    fn on(&self, hash: Hash) -> usize {
+    fn on(&self, hash: ContentHash) -> usize {
         let acts = |node: &&Node| {
-            let right = node.member.right(Topic::Rules);
+            let right = node.member.lease(Topic::Rules);
             right.version.is_some_and(|(_, held)| held == hash) && self.now < right.until
         };
         self.nodes.iter().filter(acts).count()
     }
 }
 
-fn old() -> Hash {
+fn old() -> ContentHash {
     content(1, [1, 0, 0])
 }
 
-fn new() -> Hash {
+fn new() -> ContentHash {
     content(2, [2, 0, 0])
 }
 
@@ -233,7 +231,7 @@
     let starts: Vec<usize> = (0..48).step_by(6).collect();
     let most = env("ACCORD_STATES").unwrap_or(8_000) / starts.len();
     for start in starts {
-        let mut first = acting(Mutant::Faithful);
+        let mut first = acting(Mutant::Unmodified);
         let proposer = usize::from((first.leader() + 1) % 3);
         first.give(proposer, Input::Propose { topic: Topic::Rules, hash: new(), size: 9 });
         first.flight.retain(|(_, _, message)| matches!(message, Message::Propose { .. }));
@@ -397,7 +395,7 @@
     for spans in
         [[3 * MS, 700 * MS, 1_300 * MS], [90 * MS, 1_500 * MS, 400 * MS], [1_000 * MS, 250 * MS, 2_600 * MS]]
     {
-        count += courses(Mutant::Faithful, true, depth, &spans);
+        count += courses(Mutant::Unmodified, true, depth, &spans);
     }
     println!("{count} courses of {depth} slots");
 }
@@ -406,5 +404,5 @@
 #[test]
 #[should_panic(expected = "acted on against")]
 fn every_course_of_faults_finds_an_early_effect() {
-    courses(Mutant::EarlyEffect, false, 2, &[3 * MS, 700 * MS]);
+    courses(Mutant::EarlyActivation, false, 2, &[3 * MS, 700 * MS]);
 }
--- a/crates/consensus/tests/figures.rs
+++ b/crates/consensus/tests/figures.rs
@@ -17,7 +17,7 @@
 #[test]
 fn messages_stay_few_and_small() {
     for members in [3, 7, 30, 300] {
-        let (mut world, _) = acting(1, members, 3, Mutant::Faithful);
+        let (mut world, _) = acting(1, members, 3, Mutant::Unmodified);
         world.weigh = true;
         let (before, ticks) = (world.traffic, world.ticks);
         let idle = if members > 100 { 2_000 * MS } else { 10_000 * MS };
@@ -62,7 +62,7 @@
 
 fn to_force(dead: &Dead, hash: [u8; 3], seeds: u64) -> Vec<i64> {
     let one = |seed: u64| {
-        let (mut world, leader) = acting(seed, 7, 3, Mutant::Faithful);
+        let (mut world, leader) = acting(seed, 7, 3, Mutant::Unmodified);
         let hash = content(2, hash);
         let gone = match dead {
             Dead::Nobody => None,
@@ -108,7 +108,7 @@
 fn a_member_that_stops_holds_a_change_up_for_one_lease() {
     let mut times = Vec::new();
     for seed in 0..60 {
-        let (mut world, _) = acting(seed, 7, 3, Mutant::Faithful);
+        let (mut world, _) = acting(seed, 7, 3, Mutant::Unmodified);
         world.stop(5);
         world.propose(6, Topic::Rules, new());
         let Some(took) = world.run_until(10_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 6)
@@ -128,7 +128,7 @@
 fn a_leader_that_dies_leaves_members_in_doubt_for_a_short_time() {
     let mut longest = Vec::new();
     for seed in 0..60 {
-        let (mut world, leader) = acting(seed, 7, 3, Mutant::Faithful);
+        let (mut world, leader) = acting(seed, 7, 3, Mutant::Unmodified);
         world.crash(leader, false);
         let mut doubt = 0;
         for _ in 0..1_500 {
@@ -150,7 +150,7 @@
 /// Whatever is in it, a message fits in a datagram with room to spare.
 #[test]
 fn the_largest_message_fits() {
-    let mut world = World::new(1, 300, 3, Timing::default(), Mutant::Faithful);
+    let mut world = World::new(1, 300, 3, Timing::default(), Mutant::Unmodified);
     world.weigh = true;
     world.run(2_500 * MS);
     // Many proposers on both topics, so that the state remembers as many outcomes as it may.
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -1,21 +1,21 @@
 //! Messages and durable state keep the bytes that earlier builds gave them.
 
 use cottonnotch_consensus::{
-    Answered, Grant, ListMark, Memory, Message, Pending, Phase, ProposalId, Renew, Stamp, State, Topic,
-    TopicState, Version, Why,
+    DurableState, LeaseGrant, LeaseRequest, ListRevision, Message, Pending, Phase, ProposalId,
+    ProposalOutcome, ProposalResult, State, StateRevision, Topic, TopicState, Version,
 };
 use cottonnotch_golden::{assert_bytes, golden_path};
 
-const WHYS: [(&str, Why); 5] = [
-    ("in_force", Why::InForce),
-    ("cannot_run", Why::CannotRun),
-    ("refused", Why::Refused),
-    ("unfetched", Why::Unfetched),
-    ("superseded", Why::Superseded),
+const WHYS: [(&str, ProposalOutcome); 5] = [
+    ("in_force", ProposalOutcome::InForce),
+    ("cannot_run", ProposalOutcome::Unsupported),
+    ("refused", ProposalOutcome::Rejected),
+    ("unfetched", ProposalOutcome::ContentUnavailable),
+    ("superseded", ProposalOutcome::Superseded),
 ];
 
 fn version(number: u64) -> Version {
-    Version { number, hash: [number as u8; 32], size: 70_000, agrees_from: number - 1 }
+    Version { number, hash: [number as u8; 32], size: 70_000, compatible_from: number - 1 }
 }
 
 fn proposal(member: u16) -> ProposalId {
@@ -27,67 +27,69 @@
 }
 
 fn state() -> State {
-    let answered = WHYS
+    let results = WHYS
         .iter()
         .zip(1..)
-        .map(|((_, why), member)| Answered { proposal: proposal(member), why: *why })
+        .map(|((_, outcome), member)| ProposalResult { proposal: proposal(member), outcome: *outcome })
         .collect();
     let rules = TopicState {
         in_force: Some(version(11)),
         pending: Some(pending(12, Phase::Prepare)),
         last_number: 12,
-        answered,
+        results,
     };
     let settings =
-        TopicState { pending: Some(pending(4, Phase::Release)), last_number: 4, ..TopicState::default() };
+        TopicState { pending: Some(pending(4, Phase::Revoke)), last_number: 4, ..TopicState::default() };
     State { topics: [rules, settings] }
 }
 
 fn messages() -> Vec<(String, Message)> {
-    let stamp = Stamp { term: 7, seq: 300 };
-    let list = ListMark { epoch: 2, revision: 91 };
-    let pending = [Some(pending(12, Phase::Release)), None];
-    let renew = Renew {
+    let revision = StateRevision { term: 7, seq: 300 };
+    let list = ListRevision { epoch: 2, revision: 91 };
+    let pending = [Some(pending(12, Phase::Revoke)), None];
+    let renew = LeaseRequest {
         incarnation: 1_764_000_000_000_000,
         sent_at: 5_000_000,
-        holds: [Some(11), None],
-        released_below: [11, 0],
+        active: [Some(11), None],
+        revoked_below: [11, 0],
         ready: [Some(12), None],
-        cannot: [None, Some(4)],
+        unsupported: [None, Some(4)],
         list,
     };
-    let grant = Grant {
+    let grant = LeaseGrant {
         incarnation: 1_764_000_000_000_000,
         echo: 5_000_000,
-        stamp,
+        revision,
         versions: [Some(version(11)), None],
         pending,
         list,
     };
     let propose = |topic| Message::Propose { id: proposal(2), topic, hash: [9; 32], size: 4_096 };
     let mut messages = vec![
-        ("canvass", Message::Canvass { term: 8, only_asked: true, stamp }),
-        ("vote", Message::Vote { term: 8, only_asked: false, granted: true }),
-        ("beat", Message::Beat { term: 7, round: -20, stamp, state: None }),
+        ("canvass", Message::VoteRequest { term: 8, pre_vote: true, revision }),
+        ("vote", Message::VoteResponse { term: 8, pre_vote: false, granted: true }),
+        ("beat", Message::Heartbeat { term: 7, round: -20, revision, state: None }),
         (
             "beat_with_state",
-            Message::Beat { term: 7, round: 9_000_000, stamp, state: Some(Box::new(state())) },
+            Message::Heartbeat { term: 7, round: 9_000_000, revision, state: Some(Box::new(state())) },
         ),
-        ("heard", Message::Heard { term: 7, round: 9_000_000, stamp }),
-        ("recover", Message::Recover { nonce: u64::MAX }),
-        ("recovered", Message::Recovered { nonce: 5, term: 7, stamp, state: Box::new(state()) }),
-        ("renew", Message::Renew(Box::new(renew))),
-        ("grant", Message::Grant(Box::new(grant))),
-        ("hint", Message::Hint { echo: 5_000_000, leader: Some(1) }),
-        ("hint_nobody", Message::Hint { echo: 5_000_000, leader: None }),
-        ("announce", Message::Announce { stamp, pending }),
+        ("heard", Message::HeartbeatAck { term: 7, round: 9_000_000, revision }),
+        ("recover", Message::RecoveryRequest { nonce: u64::MAX }),
+        ("recovered", Message::RecoveryResponse { nonce: 5, term: 7, revision, state: Box::new(state()) }),
+        ("renew", Message::LeaseRequest(Box::new(renew))),
+        ("grant", Message::LeaseGrant(Box::new(grant))),
+        ("hint", Message::LeaderHint { echo: 5_000_000, leader: Some(1) }),
+        ("hint_nobody", Message::LeaderHint { echo: 5_000_000, leader: None }),
+        ("announce", Message::Announce { revision, pending }),
         ("propose_rules", propose(Topic::Rules)),
         ("propose_settings", propose(Topic::Settings)),
     ]
     .into_iter()
     .map(|(name, message)| (name.to_owned(), message))
     .collect::<Vec<_>>();
-    messages.extend(WHYS.map(|(name, why)| (format!("over_{name}"), Message::Over { id: proposal(2), why })));
+    messages.extend(WHYS.map(|(name, outcome)| {
+        (format!("over_{name}"), Message::ProposalFinished { id: proposal(2), outcome })
+    }));
     messages
 }
 
@@ -107,13 +109,23 @@
 
 #[test]
 fn durable_state_keeps_its_bytes() {
-    let memories = [
-        ("first", Memory::first()),
-        ("voted", Memory { term: 8, voted: Some(2), stamp: Stamp { term: 7, seq: 300 }, state: state() }),
+    let durable_states = [
+        ("first", DurableState::initial()),
+        (
+            "voted",
+            DurableState {
+                term: 8,
+                voted: Some(2),
+                revision: StateRevision { term: 7, seq: 300 },
+                state: state(),
+            },
+        ),
     ];
-    let encoded = memories.clone().map(|(name, memory)| (name, postcard::to_allocvec(&memory).unwrap()));
+    let encoded = durable_states
+        .clone()
+        .map(|(name, durable_state)| (name, postcard::to_allocvec(&durable_state).unwrap()));
     let golden = assert_bytes(&golden_path!("durable_state.txt"), &encoded);
-    for (bytes, (name, memory)) in golden.iter().zip(&memories) {
-        assert_eq!(&postcard::from_bytes::<Memory>(bytes).unwrap(), memory, "{name}");
+    for (bytes, (name, durable_state)) in golden.iter().zip(&durable_states) {
+        assert_eq!(&postcard::from_bytes::<DurableState>(bytes).unwrap(), durable_state, "{name}");
     }
 }
--- a/crates/consensus/tests/growth.rs
+++ b/crates/consensus/tests/growth.rs
@@ -62,7 +62,7 @@
 #[test]
 fn a_member_costs_the_same_at_any_size_and_the_leader_as_many_times_that() {
     for &members in sizes() {
-        let (mut world, leader) = acting(1, members, 3, Mutant::Faithful);
+        let (mut world, leader) = acting(1, members, 3, Mutant::Unmodified);
         world.weigh = true;
         let before = both_ways(&world);
         world.run(6_000 * MS);
@@ -93,7 +93,7 @@
 #[test]
 fn twenty_changes_within_a_minute_are_each_in_force_everywhere_soon() {
     for &members in sizes() {
-        let (mut world, leader) = acting(2, members, 3, Mutant::Faithful);
+        let (mut world, leader) = acting(2, members, 3, Mutant::Unmodified);
         world.weigh = true;
         let everywhere = usize::from(members);
         let handed = world.handed_out.clone();
@@ -133,7 +133,7 @@
 
 /// How long a change that contradicts what is in force takes until all that can act on it do, in microseconds.
 fn to_force(members: u16, seed: u64, harm: impl Fn(&mut World, u16) -> u16) -> i64 {
-    let (mut world, leader) = acting(seed, members, 3, Mutant::Faithful);
+    let (mut world, leader) = acting(seed, members, 3, Mutant::Unmodified);
     let left = usize::from(harm(&mut world, leader));
     let proposer = members - 1;
     world.propose(proposer, Topic::Rules, new());
@@ -171,7 +171,7 @@
 #[test]
 fn the_side_without_voters_is_in_doubt_until_the_cut_is_over_and_then_acts_alike_soon() {
     for &members in sizes() {
-        let (mut world, _) = acting(3, members, 3, Mutant::Faithful);
+        let (mut world, _) = acting(3, members, 3, Mutant::Unmodified);
         world.weigh = true;
         let half = members / 2;
         for one in 0..half {
--- a/crates/consensus/tests/hard.rs
+++ b/crates/consensus/tests/hard.rs
@@ -5,9 +5,9 @@
 use common::scenes::{self, acting, new, old};
 use common::world::{MS, World};
 use common::{chaos, content};
-use cottonnotch_consensus::{Memory, Mutant, Role, Timing, Topic, Why};
+use cottonnotch_consensus::{DurableState, Mutant, ProposalOutcome, Role, Timing, Topic};
 
-const FAITHFUL: Mutant = Mutant::Faithful;
+const FAITHFUL: Mutant = Mutant::Unmodified;
 
 #[test]
 fn a_leader_stopped_across_a_change_finds_its_right_over() {
@@ -63,8 +63,11 @@
         let took = world.run_until(10_000 * MS, rest);
         assert!(took.is_some(), "seed {seed}: killed after {after} outputs: {}", chaos::report(&world));
         world.run(500 * MS);
-        let over =
-            world.over.iter().filter(|over| (over.0, over.2, over.3) == (4, new(), Why::InForce)).count();
+        let over = world
+            .over
+            .iter()
+            .filter(|over| (over.0, over.2, over.3) == (4, new(), ProposalOutcome::InForce))
+            .count();
         assert_eq!(over, 1, "seed {seed}");
         assert_eq!(world.oracle.greatest[0], 2, "seed {seed}: it got a second number");
         world.heal();
@@ -187,7 +190,13 @@
         world.run(2_000 * MS);
         let mut over = world.over.split_off(1);
         over.sort_by_key(|over| over.0);
-        assert_eq!(over, [(5, Topic::Rules, new(), Why::InForce), (6, Topic::Rules, other, Why::InForce)]);
+        assert_eq!(
+            over,
+            [
+                (5, Topic::Rules, new(), ProposalOutcome::InForce),
+                (6, Topic::Rules, other, ProposalOutcome::InForce)
+            ]
+        );
         assert_eq!(world.oracle.greatest[0], 3, "seed {seed}");
         world.sound();
     }
@@ -227,7 +236,7 @@
     assert!(world.leader().is_none());
     for ordinal in 0..3 {
         world.crash(ordinal, true);
-        world.start(ordinal, Some(Memory::first()));
+        world.start(ordinal, Some(DurableState::initial()));
     }
     world.run(3_000 * MS);
     assert!(world.leader().is_some());
--- a/crates/consensus/tests/mutants.rs
+++ b/crates/consensus/tests/mutants.rs
@@ -41,43 +41,43 @@
 
 #[test]
 fn a_voter_that_forgets_is_found() {
-    found_in(Mutant::ForgetfulVoter, scenes::a_voter_forgets_what_it_helped_agree);
+    found_in(Mutant::SkipRecovery, scenes::a_voter_forgets_what_it_helped_agree);
 }
 
 #[test]
 fn effect_before_old_leases_end_is_found() {
-    found(Mutant::EarlyEffect, few);
+    found(Mutant::EarlyActivation, few);
 }
 
 #[test]
 fn drift_not_allowed_for_is_found() {
     let shape = |seed| Faults { drift_ppm: 100_000, net: Net::default(), ..few(seed) };
-    found(Mutant::NoDrift, shape);
+    found(Mutant::IgnoreDrift, shape);
 }
 
 #[test]
 fn a_pause_not_noticed_is_found() {
-    found_in(Mutant::PauseUnnoticed, scenes::leader_stopped_across_a_change);
+    found_in(Mutant::NoAuthorityCheck, scenes::leader_stopped_across_a_change);
 }
 
 #[test]
 fn leases_of_earlier_leaders_not_waited_for_are_found() {
-    found_in(Mutant::NoHandover, scenes::a_lease_of_a_leader_that_died);
+    found_in(Mutant::SkipHandover, scenes::a_lease_of_a_leader_that_died);
 }
 
 #[test]
 fn a_voter_that_votes_while_it_hears_a_leader_is_found() {
-    found_in(Mutant::Fickle, scenes::a_rival_while_the_leader_is_heard);
+    found_in(Mutant::VoteDespiteLeader, scenes::a_rival_while_the_leader_is_heard);
 }
 
 #[test]
 fn a_voter_that_votes_at_once_after_a_restart_is_found() {
-    found_in(Mutant::RashRestart, scenes::a_voter_restarts_under_a_rival);
+    found_in(Mutant::VoteAfterRestart, scenes::a_voter_restarts_under_a_rival);
 }
 
 #[test]
 fn a_member_that_takes_back_what_it_released_is_found() {
-    found(Mutant::TakesBack, few);
+    found(Mutant::AcceptRevoked, few);
 }
 
 #[test]
--- a/crates/consensus/tests/quiet.rs
+++ b/crates/consensus/tests/quiet.rs
@@ -4,10 +4,10 @@
 
 use common::world::{MS, World};
 use common::{content, not_for, refused};
-use cottonnotch_consensus::{Mutant, Timing, Topic, Why};
+use cottonnotch_consensus::{Mutant, ProposalOutcome, Timing, Topic};
 
 fn settled(seed: u64, members: u16) -> World {
-    let mut world = World::new(seed, members, 3, Timing::default(), Mutant::Faithful);
+    let mut world = World::new(seed, members, 3, Timing::default(), Mutant::Unmodified);
     world.run(5_000 * MS);
     assert!(world.leader().is_some(), "seed {seed}: nobody leads");
     world
@@ -28,7 +28,10 @@
         world.run(1_000 * MS);
         assert_eq!(
             world.over,
-            [(5, Topic::Rules, first, Why::InForce), (6, Topic::Rules, second, Why::InForce)],
+            [
+                (5, Topic::Rules, first, ProposalOutcome::InForce),
+                (6, Topic::Rules, second, ProposalOutcome::InForce)
+            ],
             "seed {seed}"
         );
         world.sound();
@@ -44,7 +47,13 @@
     let worse = refused(content(2, [1, 0, 0]));
     world.propose(3, Topic::Rules, worse);
     world.run(1_000 * MS);
-    assert_eq!(world.over, [(5, Topic::Rules, bad, Why::CannotRun), (3, Topic::Rules, worse, Why::Refused)]);
+    assert_eq!(
+        world.over,
+        [
+            (5, Topic::Rules, bad, ProposalOutcome::Unsupported),
+            (3, Topic::Rules, worse, ProposalOutcome::Rejected)
+        ]
+    );
     assert_eq!(world.oracle.greatest, [0, 0]);
     world.sound();
 }
--- a/crates/consensus/tests/wire.rs
+++ b/crates/consensus/tests/wire.rs
@@ -1,8 +1,9 @@
 //! Messages: how large they get, and that nothing from outside, however wrong, stops a member.
 
 use cottonnotch_consensus::{
-    Answered, Config, Grant, Input, ListMark, Member, Memory, Message, Pending, Phase, ProposalId, Renew,
-    Stamp, State, Timing, Topic, TopicState, Verdict, Version, Why,
+    Config, DurableState, Input, LeaseGrant, LeaseRequest, ListRevision, Member, Message, Pending, Phase,
+    ProposalId, ProposalOutcome, ProposalResult, State, StateRevision, Timing, Topic, TopicState, Verdict,
+    Version,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -11,12 +12,12 @@
 
 fn largest_state() -> State {
     let id = ProposalId { member: u16::MAX, incarnation: u64::MAX, serial: u32::MAX };
-    let version = Version { number: MOST, hash: [255; 32], size: u32::MAX, agrees_from: MOST };
+    let version = Version { number: MOST, hash: [255; 32], size: u32::MAX, compatible_from: MOST };
     let topic = TopicState {
         in_force: Some(version),
-        pending: Some(Pending { version, phase: Phase::Release, proposal: id }),
+        pending: Some(Pending { version, phase: Phase::Revoke, proposal: id }),
         last_number: MOST,
-        answered: vec![Answered { proposal: id, why: Why::Superseded }; 6],
+        results: vec![ProposalResult { proposal: id, outcome: ProposalOutcome::Superseded }; 6],
     };
     State { topics: [topic.clone(), topic] }
 }
@@ -24,32 +25,37 @@
 #[test]
 fn no_message_is_larger_than_a_datagram_holds() {
     let state = largest_state();
-    let stamp = Stamp { term: MOST, seq: MOST };
-    let list = ListMark { epoch: MOST, revision: u64::MAX };
+    let revision = StateRevision { term: MOST, seq: MOST };
+    let list = ListRevision { epoch: MOST, revision: u64::MAX };
     let (versions, pending) =
         ([0, 1].map(|at| state.topics[at].in_force), [0, 1].map(|at| state.topics[at].pending));
     let many = [Some(u64::MAX); 2];
     let all = [
-        Message::Beat { term: MOST, round: -(MOST as i64), stamp, state: Some(Box::new(state.clone())) },
-        Message::Recovered { nonce: u64::MAX, term: MOST, stamp, state: Box::new(state) },
-        Message::Renew(Box::new(Renew {
+        Message::Heartbeat {
+            term: MOST,
+            round: -(MOST as i64),
+            revision,
+            state: Some(Box::new(state.clone())),
+        },
+        Message::RecoveryResponse { nonce: u64::MAX, term: MOST, revision, state: Box::new(state) },
+        Message::LeaseRequest(Box::new(LeaseRequest {
             incarnation: u64::MAX,
             sent_at: -(MOST as i64),
-            holds: many,
-            released_below: [u64::MAX; 2],
+            active: many,
+            revoked_below: [u64::MAX; 2],
             ready: many,
-            cannot: many,
+            unsupported: many,
             list,
         })),
-        Message::Grant(Box::new(Grant {
+        Message::LeaseGrant(Box::new(LeaseGrant {
             incarnation: u64::MAX,
             echo: -(MOST as i64),
-            stamp,
+            revision,
             versions,
             pending,
             list,
         })),
-        Message::Announce { stamp, pending },
+        Message::Announce { revision, pending },
     ];
     for message in all {
         let bytes = postcard::to_allocvec(&message).unwrap();
@@ -62,11 +68,11 @@
 #[test]
 fn a_state_that_remembers_too_much_is_out_of_bounds() {
     let mut state = largest_state();
-    let one = state.topics[0].answered[0];
-    state.topics[0].answered.push(one);
-    let stamp = Stamp::default();
-    assert!(!Message::Recovered { nonce: 1, term: 1, stamp, state: Box::new(state) }.bounded());
-    assert!(!Message::Canvass { term: u64::MAX, only_asked: false, stamp }.bounded());
+    let one = state.topics[0].results[0];
+    state.topics[0].results.push(one);
+    let revision = StateRevision::default();
+    assert!(!Message::RecoveryResponse { nonce: 1, term: 1, revision, state: Box::new(state) }.bounded());
+    assert!(!Message::VoteRequest { term: u64::MAX, pre_vote: false, revision }.bounded());
 }
 
 /// Small numbers meet what is there; large ones meet the edges.
@@ -82,16 +88,16 @@
     (0..3u8).prop_map(|byte| [byte; 32])
 }
 
-fn stamp() -> impl Strategy<Value = Stamp> {
-    (number(), number()).prop_map(|(term, seq)| Stamp { term, seq })
+fn revision() -> impl Strategy<Value = StateRevision> {
+    (number(), number()).prop_map(|(term, seq)| StateRevision { term, seq })
 }
 
 fn version() -> impl Strategy<Value = Version> {
-    (number(), hash(), number()).prop_map(|(number, hash, agrees_from)| Version {
+    (number(), hash(), number()).prop_map(|(number, hash, compatible_from)| Version {
         number,
         hash,
         size: 1,
-        agrees_from,
+        compatible_from,
     })
 }
 
@@ -105,7 +111,7 @@
 
 fn pending() -> impl Strategy<Value = Pending> {
     (version(), any::<bool>(), id()).prop_map(|(version, late, proposal)| {
-        let phase = if late { Phase::Release } else { Phase::Prepare };
+        let phase = if late { Phase::Revoke } else { Phase::Prepare };
         Pending { version, phase, proposal }
     })
 }
@@ -121,66 +127,75 @@
     let topic = || {
         (proptest::option::of(version()), proptest::option::of(pending()), number(), vec(id(), 0..8))
             .prop_map(|(in_force, pending, last_number, ids)| {
-                let answered =
-                    ids.into_iter().map(|proposal| Answered { proposal, why: Why::InForce }).collect();
-                TopicState { in_force, pending, last_number, answered }
+                let results = ids
+                    .into_iter()
+                    .map(|proposal| ProposalResult { proposal, outcome: ProposalOutcome::InForce })
+                    .collect();
+                TopicState { in_force, pending, last_number, results }
             })
     };
     (topic(), topic()).prop_map(|(one, other)| Box::new(State { topics: [one, other] }))
 }
 
 fn message() -> impl Strategy<Value = Message> {
-    let list = || (number(), number()).prop_map(|(epoch, revision)| ListMark { epoch, revision });
+    let list = || (number(), number()).prop_map(|(epoch, revision)| ListRevision { epoch, revision });
     let numbers = || pair(number().boxed());
     let renew = (number(), time(), numbers(), (number(), number()), numbers(), numbers(), list()).prop_map(
-        |(incarnation, sent_at, holds, released, ready, cannot, list)| {
-            let released_below = [released.0, released.1];
-            Message::Renew(Box::new(Renew {
+        |(incarnation, sent_at, active, released, ready, unsupported, list)| {
+            let revoked_below = [released.0, released.1];
+            Message::LeaseRequest(Box::new(LeaseRequest {
                 incarnation,
                 sent_at,
-                holds,
-                released_below,
+                active,
+                revoked_below,
                 ready,
-                cannot,
+                unsupported,
                 list,
             }))
         },
     );
-    let grant = (time(), stamp(), pair(version().boxed()), pair(pending().boxed()), list()).prop_map(
-        |(echo, stamp, versions, pending, list)| {
-            Message::Grant(Box::new(Grant { incarnation: 1, echo, stamp, versions, pending, list }))
+    let grant = (time(), revision(), pair(version().boxed()), pair(pending().boxed()), list()).prop_map(
+        |(echo, revision, versions, pending, list)| {
+            Message::LeaseGrant(Box::new(LeaseGrant {
+                incarnation: 1,
+                echo,
+                revision,
+                versions,
+                pending,
+                list,
+            }))
         },
     );
     prop_oneof![
-        (number(), any::<bool>(), stamp()).prop_map(|(term, only_asked, stamp)| Message::Canvass {
+        (number(), any::<bool>(), revision()).prop_map(|(term, pre_vote, revision)| Message::VoteRequest {
             term,
-            only_asked,
-            stamp
+            pre_vote,
+            revision
         }),
-        (number(), any::<bool>(), any::<bool>()).prop_map(|(term, only_asked, granted)| Message::Vote {
+        (number(), any::<bool>(), any::<bool>())
+            .prop_map(|(term, pre_vote, granted)| Message::VoteResponse { term, pre_vote, granted }),
+        (number(), time(), revision(), proptest::option::of(state()))
+            .prop_map(|(term, round, revision, state)| Message::Heartbeat { term, round, revision, state }),
+        (number(), time(), revision()).prop_map(|(term, round, revision)| Message::HeartbeatAck {
             term,
-            only_asked,
-            granted
+            round,
+            revision
         }),
-        (number(), time(), stamp(), proptest::option::of(state()))
-            .prop_map(|(term, round, stamp, state)| Message::Beat { term, round, stamp, state }),
-        (number(), time(), stamp()).prop_map(|(term, round, stamp)| Message::Heard { term, round, stamp }),
-        number().prop_map(|nonce| Message::Recover { nonce }),
-        (number(), number(), stamp(), state()).prop_map(|(nonce, term, stamp, state)| Message::Recovered {
-            nonce,
-            term,
-            stamp,
-            state
+        number().prop_map(|nonce| Message::RecoveryRequest { nonce }),
+        (number(), number(), revision(), state()).prop_map(|(nonce, term, revision, state)| {
+            Message::RecoveryResponse { nonce, term, revision, state }
         }),
         renew,
         grant,
-        (time(), proptest::option::of(0..9u16)).prop_map(|(echo, leader)| Message::Hint { echo, leader }),
-        (stamp(), pair(pending().boxed())).prop_map(|(stamp, pending)| Message::Announce { stamp, pending }),
+        (time(), proptest::option::of(0..9u16))
+            .prop_map(|(echo, leader)| Message::LeaderHint { echo, leader }),
+        (revision(), pair(pending().boxed()))
+            .prop_map(|(revision, pending)| Message::Announce { revision, pending }),
         (id(), any::<bool>(), hash()).prop_map(|(id, rules, hash)| {
             let topic = if rules { Topic::Rules } else { Topic::Settings };
             Message::Propose { id, topic, hash, size: 1 }
         }),
-        id().prop_map(|id| Message::Over { id, why: Why::InForce }),
+        id().prop_map(|id| Message::ProposalFinished { id, outcome: ProposalOutcome::InForce }),
     ]
 }
 
@@ -191,21 +206,21 @@
     #[test]
     fn nothing_from_outside_stops_a_member(
         inputs in vec((0..300_000i64, 0..7u16, message(), hash(), 0..8u8), 1..60),
-        me in 0..5u16,
+        ordinal in 0..5u16,
         remembers in any::<bool>(),
     ) {
         let config =
-            Config { me, members: 5, voters: vec![0, 1, 2], timing: Timing::default(), incarnation: 1 };
-        let mut member = Member::new(config, 0, remembers.then(Memory::first), 7);
+            Config { ordinal, members: 5, voters: vec![0, 1, 2], timing: Timing::default(), incarnation: 1 };
+        let mut member = Member::new(config, 0, remembers.then(DurableState::initial), 7);
         let mut now = 0;
         for (step, from, message, hash, kind) in inputs {
             now += step;
             let input = match kind {
-                0 => Input::Have { hash },
-                1 => Input::CannotRun { hash },
+                0 => Input::ContentReady { hash },
+                1 => Input::ContentUnsupported { hash },
                 2 => Input::Propose { topic: Topic::Rules, hash, size: 1 },
-                3 => Input::Checked { topic: Topic::Rules, hash, verdict: Verdict::Agrees { from: step as u64 } },
-                4 => Input::ListSeen { revision: step as u64 },
+                3 => Input::Checked { topic: Topic::Rules, hash, verdict: Verdict::Compatible { from: step as u64 } },
+                4 => Input::ListReceived { revision: step as u64 },
                 _ => Input::Message { from, message },
             };
             // Forged ones may say what no leader does; what is broken then is counted, and stops tests of the crate only.
--- a/crates/cottonnotch/src/rules/config.rs
+++ b/crates/cottonnotch/src/rules/config.rs
@@ -184,7 +184,7 @@
         if me >= members {
             return Err(format!("accord.me is {me}, and accord.members names {members} proxies"));
         }
-        let config = Config { me, members, voters: self.voters.clone(), timing, incarnation: 0 };
+        let config = Config { ordinal: me, members, voters: self.voters.clone(), timing, incarnation: 0 };
         config.check().map_err(|bad| format!("accord.voters cannot be used: {bad}"))?;
         Ok(Some(settings))
     }
@@ -195,8 +195,8 @@
         Timing {
             lease: us(self.lease_ms),
             heartbeat: us(self.heartbeat_ms),
-            election_least: us(self.election_least_ms),
-            election_most: us(self.election_most_ms),
+            election_timeout_min: us(self.election_least_ms),
+            election_timeout_max: us(self.election_most_ms),
             drift_ppm: self.drift_ppm,
             act: us(self.act_ms),
             prepare: us(self.prepare_ms),
@@ -205,8 +205,8 @@
     }
 
     /// Names the key that a fault of the spans is best mended at, and shows the sum that was to be kept.
-    fn unkept(&self, bad: &cottonnotch_consensus::BadTiming) -> String {
-        use cottonnotch_consensus::BadTiming as Bad;
+    fn unkept(&self, bad: &cottonnotch_consensus::ConfigError) -> String {
+        use cottonnotch_consensus::ConfigError as Bad;
         match bad {
             Bad::Contradiction { .. } => {
                 format!("accord.contradiction_ms cannot be kept: {}", self.sum())
--- a/crates/cottonnotch/src/rules/content.rs
+++ b/crates/cottonnotch/src/rules/content.rs
@@ -1,7 +1,7 @@
 //! What a version of the rules contains, and what this process makes of it. The bytes go to all members as they are, so
 //! that all have the same book, and lower it by the same profiles to the same plan.
 
-use cottonnotch_consensus::Hash;
+use cottonnotch_consensus::ContentHash;
 use cottonnotch_routing_rules::{Book, Ledger, World};
 use cottonnotch_rule_compiler::{Plan, Profiles, lower};
 use serde::{Deserialize, Serialize};
@@ -21,7 +21,7 @@
 pub struct Content {
     form: u16,
     /// What was in force when it was made: it is good for no other.
-    pub base: Option<Hash>,
+    pub base: Option<ContentHash>,
     /// Each namespace's state and last good file.
     pub ledger: Ledger,
     /// What the files come to.
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct Compiled {
     /// The digest of its bytes.
-    pub hash: Hash,
+    pub hash: ContentHash,
     /// As it goes to the others.
     pub bytes: Arc<[u8]>,
     /// What it contains.
@@ -61,7 +61,13 @@
 
 impl Content {
     /// A content made on top of `base`.
-    pub fn new(base: Option<Hash>, ledger: Ledger, book: Book, profiles: Profiles, world: World) -> Self {
+    pub fn new(
+        base: Option<ContentHash>,
+        ledger: Ledger,
+        book: Book,
+        profiles: Profiles,
+        world: World,
+    ) -> Self {
         Content { form: FORM, base, ledger, book, profiles, world }
     }
 
@@ -97,7 +103,7 @@
 }
 
 /// A digest as text.
-pub fn hex(hash: &Hash) -> String {
+pub fn hex(hash: &ContentHash) -> String {
     hash.iter().fold(String::with_capacity(64), |mut text, byte| {
         // A text takes whatever is written.
         let _ = write!(text, "{byte:02x}");
@@ -111,7 +117,7 @@
 
 #[derive(Debug, Default)]
 struct Shelf {
-    contents: BTreeMap<Hash, (u64, Arc<Compiled>)>,
+    contents: BTreeMap<ContentHash, (u64, Arc<Compiled>)>,
     uses: u64,
 }
 
@@ -122,7 +128,7 @@
     }
 
     /// The content, if it is here.
-    pub fn get(&self, hash: &Hash) -> Option<Arc<Compiled>> {
+    pub fn get(&self, hash: &ContentHash) -> Option<Arc<Compiled>> {
         let mut shelf = self.shelf();
         shelf.uses += 1;
         let uses = shelf.uses;
@@ -132,7 +138,7 @@
     }
 
     /// Puts a content in; the one that was not asked for the longest goes. Returns the digests of those that went.
-    pub fn put(&self, compiled: Arc<Compiled>) -> Vec<Hash> {
+    pub fn put(&self, compiled: Arc<Compiled>) -> Vec<ContentHash> {
         let mut shelf = self.shelf();
         shelf.uses += 1;
         let uses = shelf.uses;
--- a/crates/cottonnotch/src/rules/golden_tests.rs
+++ b/crates/cottonnotch/src/rules/golden_tests.rs
@@ -2,9 +2,9 @@
 
 use super::content::{Compiled, Content};
 use super::disk::{Disk, load};
-use super::lent::{Lease, LeaseFile};
+use super::lent::{LeaseFile, LeaseRecord};
 use super::recall::{HELD, MEMORY, content_name};
-use cottonnotch_consensus::Memory;
+use cottonnotch_consensus::DurableState;
 use cottonnotch_golden::{assert_bytes, golden_path};
 use cottonnotch_routing_rules::{File, Ledger, Merged, World, merge};
 use cottonnotch_rule_compiler::{Profile, Profiles};
@@ -47,8 +47,8 @@
 fn the_files_of_a_state_folder_keep_their_bytes() {
     let folder = tempfile::tempdir().unwrap();
     let disk = Disk::open(folder.path()).unwrap();
-    let lease = Lease { number: 11, hash: [9; 32], until: 1_234_567_890 };
-    disk.save(MEMORY, &postcard::to_allocvec(&Memory::first()).unwrap()).unwrap();
+    let lease = LeaseRecord { number: 11, hash: [9; 32], until: 1_234_567_890 };
+    disk.save(MEMORY, &postcard::to_allocvec(&DurableState::initial()).unwrap()).unwrap();
     disk.save(HELD, &postcard::to_allocvec(&(11_u64, [9_u8; 32])).unwrap()).unwrap();
     LeaseFile::own(folder.path()).unwrap().tell(lease).unwrap();
     let names = ["memory", "held", "lease"];
@@ -60,7 +60,7 @@
         std::fs::write(other.path().join(name), bytes).unwrap();
     }
     let memory = load(other.path(), MEMORY).unwrap().unwrap();
-    assert_eq!(postcard::from_bytes::<Memory>(&memory).unwrap(), Memory::first());
+    assert_eq!(postcard::from_bytes::<DurableState>(&memory).unwrap(), DurableState::initial());
     let held = load(other.path(), HELD).unwrap().unwrap();
     assert_eq!(postcard::from_bytes::<(u64, [u8; 32])>(&held).unwrap(), (11, [9; 32]));
     assert_eq!(LeaseFile::of_another(other.path()).unwrap().read(), Some(lease));
--- a/crates/cottonnotch/src/rules/lent.rs
+++ b/crates/cottonnotch/src/rules/lent.rs
@@ -2,7 +2,7 @@
 //! before the earlier one has left, and goes by this until then: both act in one member's name, by one clock, under one
 //! lease. What is revoked is revoked here first, so a reader looks each time it acts.
 
-use cottonnotch_consensus::{Hash, Micros};
+use cottonnotch_consensus::{ContentHash, Micros};
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
@@ -21,11 +21,11 @@
 
 /// What it says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Lease {
+pub struct LeaseRecord {
     /// The version.
     pub number: u64,
     /// Its content.
-    pub hash: Hash,
+    pub hash: ContentHash,
     /// Its end.
     pub until: Micros,
 }
@@ -48,7 +48,7 @@
     }
 
     /// Tells what holds from now on.
-    pub fn tell(&self, lease: Lease) -> io::Result<()> {
+    pub fn tell(&self, lease: LeaseRecord) -> io::Result<()> {
         let mut bytes = [0; WIDTH];
         bytes[..8].copy_from_slice(&lease.number.to_le_bytes());
         bytes[8..40].copy_from_slice(&lease.hash);
@@ -59,7 +59,7 @@
     }
 
     /// What holds now; `None`: nothing that can be read.
-    pub fn read(&self) -> Option<Lease> {
+    pub fn read(&self) -> Option<LeaseRecord> {
         // A second look, where the first met half a write.
         (0..2).find_map(|_| {
             let mut bytes = [0; WIDTH];
@@ -71,7 +71,7 @@
             let number = u64::from_le_bytes(*words.first_chunk()?);
             let until = Micros::from_le_bytes(*words.last_chunk()?);
             let hash = *words.get(8..40)?.first_chunk()?;
-            Some(Lease { number, hash, until })
+            Some(LeaseRecord { number, hash, until })
         })
     }
 }
@@ -88,12 +88,12 @@
         let theirs = LeaseFile::of_another(folder.path()).unwrap();
         assert_eq!(theirs.read(), None, "nothing was told yet");
         for until in [1, Micros::MIN, Micros::MAX] {
-            let lease = Lease { number: 7, hash: [3; 32], until };
+            let lease = LeaseRecord { number: 7, hash: [3; 32], until };
             own.tell(lease).unwrap();
             assert_eq!(theirs.read(), Some(lease));
         }
         for at in 0..WIDTH {
-            own.tell(Lease { number: 7, hash: [3; 32], until: 5 }).unwrap();
+            own.tell(LeaseRecord { number: 7, hash: [3; 32], until: 5 }).unwrap();
             let mut byte = [0];
             own.0.read_exact_at(&mut byte, at as u64).unwrap();
             own.0.write_all_at(&[byte[0] ^ 1], at as u64).unwrap();
--- a/crates/cottonnotch/src/rules/member.rs
+++ b/crates/cottonnotch/src/rules/member.rs
@@ -3,10 +3,10 @@
 use super::agent::{Agent, Parts, WAKE};
 use super::clock::Clock;
 use super::content::hex;
-use super::lent::{Lease, LeaseFile};
+use super::lent::{LeaseFile, LeaseRecord};
 use super::recall::{HELD, MEMORY};
 use super::worker::Job;
-use cottonnotch_consensus::{Hash, Input, Member, Message, Micros, Output, Right, Topic};
+use cottonnotch_consensus::{ContentHash, Input, Lease, Member, Message, Micros, Output, Topic};
 use cottonnotch_proxy_core::MemberDriver;
 use cottonnotch_proxy_core::envelope::MAX_DATAGRAM_BYTES;
 use std::io;
@@ -26,7 +26,7 @@
     /// Where a process that takes this one's part reads what holds.
     pub lease: Option<LeaseFile>,
     /// What the worker was last told of this process's version.
-    pub told: Option<(Option<Hash>, bool)>,
+    pub told: Option<(Option<ContentHash>, bool)>,
 }
 
 impl MemberDriver for Thread<'_> {
@@ -49,9 +49,9 @@
             }
             Output::Check { hash, against, .. } => self.ask(Job::Check { hash, against }),
             Output::Fetch { hash, size, from, .. } => self.ask(Job::Fetch { hash, size, from }),
-            Output::Right(right) => self.publish(right)?,
-            Output::ProposalOver { hash, why, .. } => self.ask(Job::Over { hash, why }),
-            Output::ListBehind { revision } => {
+            Output::LeaseChanged(right) => self.publish(right)?,
+            Output::ProposalFinished { hash, outcome, .. } => self.ask(Job::Over { hash, outcome }),
+            Output::ListOutdated { revision } => {
                 self.parts.board.seen().list_behind = Some((revision, Clock.now()));
             }
         }
@@ -111,19 +111,19 @@
     }
 
     /// What this process may act on has changed.
-    fn publish(&mut self, right: Right) -> io::Result<()> {
+    fn publish(&mut self, right: Lease) -> io::Result<()> {
         if right.topic != Topic::Rules {
             return Ok(());
         }
         let Some((number, hash)) = right.version else {
-            self.lend(0, Hash::default(), Micros::MIN)?;
+            self.lend(0, ContentHash::default(), Micros::MIN)?;
             self.parts.publication.revoke();
             self.say_over();
             return Ok(());
         };
         // It was granted since it is here.
         let Some(compiled) = self.parts.library.get(&hash) else {
-            self.lend(0, Hash::default(), Micros::MIN)?;
+            self.lend(0, ContentHash::default(), Micros::MIN)?;
             self.parts.publication.revoke();
             log::error!("rules {} are granted and not here", &hex(&hash)[..12]);
             return Ok(());
@@ -157,24 +157,24 @@
 
     /// What holds, for a process that waits to take this one's part. Unless it is told of the end, nothing after that may be
     /// carried out: others would be told that nobody acts any more on what is let go.
-    fn lend(&self, number: u64, hash: Hash, until: Micros) -> io::Result<()> {
-        self.lease.as_ref().map_or(Ok(()), |file| file.tell(Lease { number, hash, until }))
+    fn lend(&self, number: u64, hash: ContentHash, until: Micros) -> io::Result<()> {
+        self.lease.as_ref().map_or(Ok(()), |file| file.tell(LeaseRecord { number, hash, until }))
     }
 
     /// Tells operators and the worker how things stand.
     fn look(&mut self) {
         let status = self.member.status();
         let topic = status.topic(Topic::Rules);
-        let held = topic.holds.map(|version| version.hash);
+        let held = topic.active.map(|version| version.hash);
         let nothing = topic.newest == 0 && held.is_none();
         let is_first = nothing && status.leader.is_some();
         {
             let mut seen = self.parts.board.seen();
-            seen.version = topic.holds.map(|version| version.number).or(seen.version);
+            seen.version = topic.active.map(|version| version.number).or(seen.version);
             seen.until = topic.until;
             seen.newest = topic.newest.max(seen.newest);
             (seen.role, seen.leader, seen.term) = (status.role, status.leader, status.term);
-            (seen.live, seen.broken) = (status.live, status.broken);
+            (seen.live, seen.broken) = (status.live_members, status.invariant_violations);
         }
         if self.told != Some((held, is_first)) {
             self.told = Some((held, is_first));
--- a/crates/cottonnotch/src/rules/publication.rs
+++ b/crates/cottonnotch/src/rules/publication.rs
@@ -3,7 +3,7 @@
 
 use super::lent::LeaseFile;
 use arc_swap::{ArcSwapOption, Guard};
-use cottonnotch_consensus::{Hash, Micros};
+use cottonnotch_consensus::{ContentHash, Micros};
 use cottonnotch_rule_compiler::Plan;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, Ordering};
@@ -16,14 +16,14 @@
     /// Its place in the order of versions; 0: of this process alone.
     pub number: u64,
     /// Its content.
-    pub hash: Hash,
+    pub hash: ContentHash,
     /// Acting on it is forbidden from then on, by [`Clock`](super::clock::Clock).
     until: AtomicI64,
 }
 
 impl Published {
     /// A version with its lease's end.
-    pub fn new(plan: Arc<Plan>, number: u64, hash: Hash, until: Micros) -> Self {
+    pub fn new(plan: Arc<Plan>, number: u64, hash: ContentHash, until: Micros) -> Self {
         Published { plan, number, hash, until: AtomicI64::new(until) }
     }
 
@@ -64,14 +64,14 @@
     }
 
     /// What an earlier process of this member goes by is gone by here too, for as long as its file says so.
-    pub fn lend(&self, plan: &Arc<Plan>, number: u64, hash: Hash, file: LeaseFile) {
+    pub fn lend(&self, plan: &Arc<Plan>, number: u64, hash: ContentHash, file: LeaseFile) {
         self.lent.store(Some(Arc::new(file)));
         let published = Published::new(Arc::clone(plan), number, hash, Micros::MIN);
         self.current.store(Some(Arc::new(published)));
     }
 
     /// A version was granted, or its lease renewed.
-    pub fn grant(&self, plan: &Arc<Plan>, number: u64, hash: Hash, until: Micros) {
+    pub fn grant(&self, plan: &Arc<Plan>, number: u64, hash: ContentHash, until: Micros) {
         let current = self.current.load();
         match &*current {
             Some(same) if (same.number, same.hash) == (number, hash) => {
@@ -98,7 +98,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::lent::Lease;
+    use super::super::lent::LeaseRecord;
     use super::*;
     use cottonnotch_routing_rules::Book;
     use cottonnotch_rule_compiler::{Profiles, lower};
@@ -150,7 +150,7 @@
         let folder = tempfile::tempdir().unwrap();
         let own = LeaseFile::own(folder.path()).unwrap();
         let publication = Publication::default();
-        let tell = |number, until| own.tell(Lease { number, hash: [3; 32], until }).unwrap();
+        let tell = |number, until| own.tell(LeaseRecord { number, hash: [3; 32], until }).unwrap();
         let until = || publication.until(publication.read().as_ref().unwrap());
         tell(3, 1_000);
         publication.lend(&plan(), 3, [3; 32], LeaseFile::of_another(folder.path()).unwrap());
--- a/crates/cottonnotch/src/rules/recall.rs
+++ b/crates/cottonnotch/src/rules/recall.rs
@@ -4,8 +4,8 @@
 use super::agent::{Agent, Parts};
 use super::content::{Compiled, hex};
 use super::disk::{self, Disk};
-use super::lent::{Lease, LeaseFile};
-use cottonnotch_consensus::{Hash, Input, Memory, Micros};
+use super::lent::{LeaseFile, LeaseRecord};
+use cottonnotch_consensus::{ContentHash, DurableState, Input, Micros};
 use std::io;
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 const CONTENT: &str = "content-";
 
 /// The name of a content's file.
-pub fn content_name(hash: &Hash) -> String {
+pub fn content_name(hash: &ContentHash) -> String {
     format!("{CONTENT}{}", hex(hash))
 }
 
@@ -23,7 +23,7 @@
 pub fn borrow(parts: &Parts) -> Option<()> {
     let folder = parts.state_folder.as_deref()?;
     let file = LeaseFile::of_another(folder).ok()?;
-    let Lease { number, hash, .. } = file.read()?;
+    let LeaseRecord { number, hash, .. } = file.read()?;
     if matches!(&*parts.publication.read(), Some(p) if (p.number, p.hash) == (number, hash)) {
         return None;
     }
@@ -36,8 +36,8 @@
 }
 
 /// What an earlier process of this member has left: its memory, its contents, and what it went by.
-pub fn remembered(parts: &Parts, agent: &Agent, disk: Option<&Disk>) -> io::Result<Option<Memory>> {
-    let first = || parts.first_start.then(Memory::first);
+pub fn remembered(parts: &Parts, agent: &Agent, disk: Option<&Disk>) -> io::Result<Option<DurableState>> {
+    let first = || parts.first_start.then(DurableState::initial);
     let Some(disk) = disk else { return Ok(first()) };
     for name in disk.names(CONTENT)? {
         match disk
@@ -48,7 +48,7 @@
             Ok(compiled) if name == content_name(&compiled.hash) => {
                 let hash = compiled.hash;
                 parts.library.put(Arc::new(compiled));
-                agent.tell(Input::Have { hash });
+                agent.tell(Input::ContentReady { hash });
             }
             _ => {
                 // It is fetched again if it is needed.
@@ -57,8 +57,11 @@
             }
         }
     }
-    let held =
-        disk.load(HELD).ok().flatten().and_then(|bytes| postcard::from_bytes::<(u64, Hash)>(&bytes).ok());
+    let held = disk
+        .load(HELD)
+        .ok()
+        .flatten()
+        .and_then(|bytes| postcard::from_bytes::<(u64, ContentHash)>(&bytes).ok());
     if parts.publication.read().is_none()
         && let Some((number, hash)) = held
         && let Some(compiled) = parts.library.get(&hash)
--- a/crates/cottonnotch/src/rules/rulebook.rs
+++ b/crates/cottonnotch/src/rules/rulebook.rs
@@ -71,7 +71,7 @@
                     state_folder: accord.state_folder.clone(),
                     first_start: accord.first_start,
                     config: Config {
-                        me: accord.me,
+                        ordinal: accord.me,
                         members: accord.members.len() as u16,
                         voters: accord.voters.clone(),
                         timing: accord.timing,
@@ -153,7 +153,7 @@
             self.tell_world(profile);
         }
         if let Some(agent) = &self.agent {
-            agent.tell(Input::ListSeen { revision });
+            agent.tell(Input::ListReceived { revision });
             self.board.seen().list_behind.take_if(|(newer, _)| *newer <= revision);
         }
     }
--- a/crates/cottonnotch/src/rules/ruling.rs
+++ b/crates/cottonnotch/src/rules/ruling.rs
@@ -7,7 +7,7 @@
 use super::fleet::Kind;
 use super::publication::{Publication, Published};
 use super::reckoning::Reckoning;
-use cottonnotch_consensus::Hash;
+use cottonnotch_consensus::ContentHash;
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_decision::{Entry, Micros, Request, RequestId, Rules, Ruling, ServerId, Stay};
 use cottonnotch_records::Name;
@@ -55,7 +55,7 @@
     classes: Vec<Name>,
     tenants: Vec<Name>,
     /// The version that the reckoning is by.
-    version: Option<(u64, Hash)>,
+    version: Option<(u64, ContentHash)>,
     reckoning: Reckoning,
     basis: HashMap<RequestId, Basis>,
     refused_in_doubt: u64,
--- a/crates/cottonnotch/src/rules/server.rs
+++ b/crates/cottonnotch/src/rules/server.rs
@@ -1,7 +1,7 @@
 //! Gives contents to other members: `GET /content/HEX`. Whoever fetches one checks its digest, so no proof goes with it.
 
 use super::content::{Library, hex};
-use cottonnotch_consensus::Hash;
+use cottonnotch_consensus::ContentHash;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -44,12 +44,12 @@
 }
 
 /// Where a member has that content.
-pub fn url(member: SocketAddr, hash: &Hash) -> String {
+pub fn url(member: SocketAddr, hash: &ContentHash) -> String {
     format!("http://{member}/content/{}", hex(hash))
 }
 
-fn digest(text: &str) -> Option<Hash> {
-    let mut hash = Hash::default();
+fn digest(text: &str) -> Option<ContentHash> {
+    let mut hash = ContentHash::default();
     if text.len() != 2 * hash.len() || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
         return None;
     }
--- a/crates/cottonnotch/src/rules/worker.rs
+++ b/crates/cottonnotch/src/rules/worker.rs
@@ -6,7 +6,7 @@
 use super::overlay::{advances, overlay};
 use super::publication::Publication;
 use super::server::url;
-use cottonnotch_consensus::{Hash, Input, Micros, Topic, Verdict, Why};
+use cottonnotch_consensus::{ContentHash, Input, Micros, ProposalOutcome, Topic, Verdict};
 use cottonnotch_routing_rules::{Conflict, File, Ledger, Merged, World, merge};
 use cottonnotch_rule_compiler::{Profiles, contradiction};
 use std::collections::BTreeMap;
@@ -27,13 +27,13 @@
 #[derive(Debug)]
 pub enum Job {
     /// Get a content from one of these members.
-    Fetch { hash: Hash, size: u32, from: Vec<u16> },
+    Fetch { hash: ContentHash, size: u32, from: Vec<u16> },
     /// May this be put in force, on top of the last of these?
-    Check { hash: Hash, against: Vec<(u64, Hash)> },
+    Check { hash: ContentHash, against: Vec<(u64, ContentHash)> },
     /// A proposal of this process is over.
-    Over { hash: Hash, why: Why },
+    Over { hash: ContentHash, outcome: ProposalOutcome },
     /// What this process holds, and whether nothing ever was in force.
-    Held { version: Option<Hash>, is_first: bool },
+    Held { version: Option<ContentHash>, is_first: bool },
     /// This proxy's own files, and what each hardware class can run.
     Own { files: Vec<File>, profiles: Profiles },
     /// What there is to be ruled.
@@ -64,12 +64,12 @@
     /// The profiles changed while in use, and were not proposed yet.
     new_profiles: bool,
     world: Option<World>,
-    held: Option<Hash>,
+    held: Option<ContentHash>,
     is_first: Option<Instant>,
     /// What this process has asked to be put in force.
-    outstanding: Option<Hash>,
+    outstanding: Option<ContentHash>,
     /// What can't be run somewhere: it is not asked for again.
-    given_up: Option<Hash>,
+    given_up: Option<ContentHash>,
     due: Option<Instant>,
 }
 
@@ -121,15 +121,15 @@
                 log::debug!("rules {}: {verdict:?} beside {against:?}", &hex(&hash)[..12]);
                 self.tell(Input::Checked { topic: Topic::Rules, hash, verdict });
             }
-            Job::Over { hash, why } => {
+            Job::Over { hash, outcome } => {
                 self.outstanding = self.outstanding.filter(|outstanding| *outstanding != hash);
-                match why {
-                    Why::InForce => log::info!("rules {} are in force", &hex(&hash)[..12]),
-                    Why::CannotRun => {
+                match outcome {
+                    ProposalOutcome::InForce => log::info!("rules {} are in force", &hex(&hash)[..12]),
+                    ProposalOutcome::Unsupported => {
                         log::error!("rules {} are dropped: a proxy cannot run them", &hex(&hash)[..12]);
                         self.given_up = Some(hash);
                     }
-                    why => log::info!("rules {} are made anew: {why:?}", &hex(&hash)[..12]),
+                    outcome => log::info!("rules {} are made anew: {outcome:?}", &hex(&hash)[..12]),
                 }
                 self.soon(AGAIN_AFTER);
             }
@@ -256,11 +256,11 @@
     }
 
     /// What the leader has to know of a proposal.
-    fn check(&self, hash: &Hash, against: &[(u64, Hash)]) -> Verdict {
-        let Some(new) = self.library.get(hash) else { return Verdict::Refused };
+    fn check(&self, hash: &ContentHash, against: &[(u64, ContentHash)]) -> Verdict {
+        let Some(new) = self.library.get(hash) else { return Verdict::Rejected };
         // Made on top of something else, it would take back what has come in force since.
         if new.content.base != against.last().map(|(_, hash)| *hash) {
-            return Verdict::Refused;
+            return Verdict::Rejected;
         }
         let mut agrees = None;
         for (number, old) in against.iter().rev() {
@@ -272,12 +272,12 @@
             }
             agrees = Some(*number);
         }
-        agrees.map_or(Verdict::Contradicts, |from| Verdict::Agrees { from })
+        agrees.map_or(Verdict::Incompatible, |from| Verdict::Compatible { from })
     }
 
-    fn fetch(&mut self, hash: Hash, size: u32, from: &[u16]) {
+    fn fetch(&mut self, hash: ContentHash, size: u32, from: &[u16]) {
         if self.library.get(&hash).is_some() {
-            return self.tell(Input::Have { hash });
+            return self.tell(Input::ContentReady { hash });
         }
         let config = ureq::Agent::config_builder()
             .timeout_connect(Some(CONNECT_WITHIN))
@@ -304,11 +304,11 @@
             match Compiled::read(bytes) {
                 Ok(compiled) => {
                     self.keep(Arc::new(compiled));
-                    return self.tell(Input::Have { hash });
+                    return self.tell(Input::ContentReady { hash });
                 }
                 Err(error) => {
                     log::error!("rules {} cannot be run by this build: {error}", &hex(&hash)[..12]);
-                    return self.tell(Input::CannotRun { hash });
+                    return self.tell(Input::ContentUnsupported { hash });
                 }
             }
         }
--- a/crates/cottonnotch/tests/accord/played.rs
+++ b/crates/cottonnotch/tests/accord/played.rs
@@ -3,7 +3,7 @@
 
 use crate::link::Mesh;
 use crate::rules::{ACT, CONTRADICTION, LEASE};
-use cottonnotch_consensus::{Config, Input, Member, Memory, Message, Output, Timing};
+use cottonnotch_consensus::{Config, DurableState, Input, Member, Message, Output, Timing};
 use std::net::UdpSocket;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -28,8 +28,8 @@
         let timing = Timing {
             lease: us(LEASE),
             heartbeat: 100_000,
-            election_least: 350_000,
-            election_most: 700_000,
+            election_timeout_min: 350_000,
+            election_timeout_max: 700_000,
             drift_ppm: 1_000,
             act: us(ACT),
             prepare: 1_500_000,
@@ -37,7 +37,8 @@
         };
         let voters = voters.iter().map(|voter| *voter as u16).collect();
         let known = mesh.known_to(me).to_vec();
-        let config = Config { me: me as u16, members: known.len() as u16, voters, timing, incarnation: 1 };
+        let config =
+            Config { ordinal: me as u16, members: known.len() as u16, voters, timing, incarnation: 1 };
         let socket = UdpSocket::bind(mesh.own[me]).unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
         let (able, end) = (Arc::clone(&can_run), Arc::clone(&over));
@@ -47,7 +48,7 @@
             let cluster = u64::from_le_bytes(*digest.as_bytes().first_chunk().unwrap());
             let began = Instant::now();
             let now = || began.elapsed().as_micros() as i64;
-            let mut member = Member::new(config, now(), Some(Memory::first()), me as u64);
+            let mut member = Member::new(config, now(), Some(DurableState::initial()), me as u64);
             let mut bytes = [0; 1500];
             while !end.load(Ordering::Relaxed) {
                 if let Ok((length, _)) = socket.recv_from(&mut bytes)
@@ -70,9 +71,11 @@
                             let _ = socket.send_to(&sealed, known[usize::from(to)]);
                         }
                         Output::Fetch { hash, .. } if able.load(Ordering::Relaxed) => {
-                            member.handle(now(), Input::Have { hash });
+                            member.handle(now(), Input::ContentReady { hash });
+                        }
+                        Output::Fetch { hash, .. } => {
+                            member.handle(now(), Input::ContentUnsupported { hash })
                         }
-                        Output::Fetch { hash, .. } => member.handle(now(), Input::CannotRun { hash }),
                         _ => {}
                     }
                 }
--- a/crates/proxy-core/src/envelope.rs
+++ b/crates/proxy-core/src/envelope.rs
@@ -110,7 +110,7 @@
     }
 
     fn message() -> Message {
-        Message::Hint { echo: 7, leader: Some(2) }
+        Message::LeaderHint { echo: 7, leader: Some(2) }
     }
 
     #[test]
--- a/crates/proxy-core/tests/golden.rs
+++ b/crates/proxy-core/tests/golden.rs
@@ -11,8 +11,8 @@
 #[test]
 fn an_envelope_keeps_its_bytes() {
     let messages = [
-        ("hint", Message::Hint { echo: 7, leader: Some(2) }),
-        ("vote", Message::Vote { term: 8, only_asked: false, granted: true }),
+        ("hint", Message::LeaderHint { echo: 7, leader: Some(2) }),
+        ("vote", Message::VoteResponse { term: 8, pre_vote: false, granted: true }),
     ];
     let made = messages.clone().map(|(name, message)| (name, seal(0).seal(1, message).unwrap()));
     let golden = assert_bytes(&golden_path!("envelopes.txt"), &made);
--- a/crates/scale/src/agreement.rs
+++ b/crates/scale/src/agreement.rs
@@ -3,7 +3,7 @@
 use crate::hollow::{Due, Wish};
 use crate::records::What;
 use crate::shape::Shape;
-use cottonnotch_consensus::{Hash, Member, Memory, Output as Wanted, Timing, Topic};
+use cottonnotch_consensus::{ContentHash, DurableState, Member, Output as Wanted, Timing, Topic};
 use cottonnotch_decision::Micros;
 use cottonnotch_proxy_core::MemberDriver;
 use cottonnotch_proxy_core::envelope::EnvelopeKey;
@@ -27,15 +27,15 @@
     pub began: Micros,
     pub member: Member,
     pub seal: EnvelopeKey,
-    pub memory: Option<Memory>,
+    pub memory: Option<DurableState>,
     /// What has come of the member's outputs, to be taken up by the proxy.
     pub later: Vec<(Micros, Due)>,
     pub out: VecDeque<Wish>,
 }
 
 /// A content's hash: its number, and its kind.
-pub(crate) fn hash_of(content: u32, kind: u8) -> Hash {
-    let mut hash = Hash::default();
+pub(crate) fn hash_of(content: u32, kind: u8) -> ContentHash {
+    let mut hash = ContentHash::default();
     hash[..4].copy_from_slice(&content.to_le_bytes());
     hash[4] = kind;
     // All zeros would be no content.
@@ -43,7 +43,7 @@
     hash
 }
 
-fn content_of(hash: &Hash) -> (u32, u8) {
+fn content_of(hash: &ContentHash) -> (u32, u8) {
     (u32::from_le_bytes([hash[0], hash[1], hash[2], hash[3]]), hash[4])
 }
 
@@ -70,17 +70,17 @@
                 self.later.push((self.began + now + CHECK, Due::Checked { hash, agrees_from }));
             }
             Wanted::Fetch { hash, .. } => self.later.push((self.began + now + FETCH, Due::Have { hash })),
-            Wanted::Right(right) if right.topic == Topic::Rules => {
+            Wanted::LeaseChanged(right) if right.topic == Topic::Rules => {
                 let version = right.version.map(|(number, hash)| (number, content_of(&hash).0));
                 let kind = right.version.map_or(0, |(_, hash)| content_of(&hash).1);
                 let until = self.began.saturating_add(right.until);
                 self.record(What::May { version, kind, until });
             }
-            Wanted::ProposalOver { hash, why, .. } => {
-                let in_force = why == cottonnotch_consensus::Why::InForce;
+            Wanted::ProposalFinished { hash, outcome, .. } => {
+                let in_force = outcome == cottonnotch_consensus::ProposalOutcome::InForce;
                 self.record(What::Over { content: content_of(&hash).0, in_force });
             }
-            Wanted::Right(_) | Wanted::ListBehind { .. } => {}
+            Wanted::LeaseChanged(_) | Wanted::ListOutdated { .. } => {}
         }
         Ok(())
     }
@@ -101,7 +101,7 @@
 pub(crate) fn accord(
     shape: &Shape,
     me: u32,
-    memory: Option<Memory>,
+    memory: Option<DurableState>,
     is_first: bool,
     now: Micros,
     seed: u64,
@@ -111,9 +111,9 @@
     }
     let voters = shape.voters();
     let me_there = u16::try_from(me).ok()?;
-    let memory = memory.or_else(|| (is_first && voters.contains(&me_there)).then(Memory::first));
+    let memory = memory.or_else(|| (is_first && voters.contains(&me_there)).then(DurableState::initial));
     let config = cottonnotch_consensus::Config {
-        me: me_there,
+        ordinal: me_there,
         members: u16::try_from(shape.members).ok()?,
         voters,
         timing: Timing::default(),
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -10,7 +10,7 @@
 use crate::records::What;
 use crate::shape::{HOMES, Shape, mixed};
 use cottonnotch_aggregation::FleetSection;
-use cottonnotch_consensus::{Hash, Input as Told, Memory, Topic, Verdict};
+use cottonnotch_consensus::{ContentHash, DurableState, Input as Told, Topic, Verdict};
 use cottonnotch_decision::{
     Action, Balancer, ClassId, Event, Micros, Outcome, Request, RequestId, ServerId, Settings,
 };
@@ -104,8 +104,8 @@
     Arrival,
     Module(u32),
     Up { request: u64, attempt: u32, server: u32 },
-    Checked { hash: Hash, agrees_from: Option<u64> },
-    Have { hash: Hash },
+    Checked { hash: ContentHash, agrees_from: Option<u64> },
+    Have { hash: ContentHash },
 }
 
 /// What a proxy's time goes to.
@@ -162,7 +162,7 @@
     /// It begins with the whole tier, and not in a tier that runs.
     pub is_first: bool,
     /// What a voter had on disk; `None`: nothing.
-    pub memory: Option<Memory>,
+    pub memory: Option<DurableState>,
 }
 
 /// Load and groups of connections by node, by the shape's numbers.
@@ -305,7 +305,7 @@
     }
 
     /// What a voter has on disk.
-    pub fn memory(&self) -> Option<Memory> {
+    pub fn memory(&self) -> Option<DurableState> {
         self.accord.as_ref().and_then(|accord| accord.memory.clone())
     }
 
@@ -368,7 +368,7 @@
                 }
                 let event = self.nodes.take(&mut self.delays, result, false);
                 self.tell(now, event);
-                self.hand_accord(now, Told::ListSeen { revision: result.revision });
+                self.hand_accord(now, Told::ListReceived { revision: result.revision });
             }
             Happening::ListLost { silent: true } => self.tell(now, Event::ListSilent),
             Happening::ListLost { silent: false } => self.tell(now, Event::ListFailed),
@@ -457,10 +457,10 @@
                 }
             }
             Due::Checked { hash, agrees_from } => {
-                let verdict = agrees_from.map_or(Verdict::Contradicts, |from| Verdict::Agrees { from });
+                let verdict = agrees_from.map_or(Verdict::Incompatible, |from| Verdict::Compatible { from });
                 self.hand_accord(now, Told::Checked { topic: Topic::Rules, hash, verdict });
             }
-            Due::Have { hash } => self.hand_accord(now, Told::Have { hash }),
+            Due::Have { hash } => self.hand_accord(now, Told::ContentReady { hash }),
         }
     }
 
--- a/crates/scale/src/virtual_time.rs
+++ b/crates/scale/src/virtual_time.rs
@@ -6,7 +6,7 @@
 use crate::records::{Record, What};
 use crate::shape::{Shape, mixed};
 use crate::tier::fill;
-use cottonnotch_consensus::Memory;
+use cottonnotch_consensus::DurableState;
 use cottonnotch_decision::Micros;
 use cottonnotch_decision::names::unit;
 use cottonnotch_proxy_core::{EndpointUpdate, Roster};
@@ -40,7 +40,7 @@
     hollow: Option<Hollow>,
     life: u64,
     armed: Micros,
-    memory: Option<Memory>,
+    memory: Option<DurableState>,
     /// Of lives that have ended.
     before: Vec<Counts>,
 }
