--- a/crates/cottonnotch/src/maintenance/mod.rs
+++ b/crates/cottonnotch/src/maintenance/mod.rs
@@ -2,9 +2,9 @@
 //! discovery lists. Two processes of one proxy, while one replaces the other, each hold such a state and merge them:
 //! for each render node the later call counts, so that the order of merging does not matter.
 
-mod saved;
+mod text_format;
 
-pub use saved::{BadSave, MOST_BYTES, decode, encode};
+pub use text_format::{BadSave, MOST_BYTES, decode, encode};
 
 use cottonnotch_decision::{Listed, Micros};
 use std::collections::BTreeMap;
--- a/crates/cottonnotch/src/net/call_attempt.rs
+++ b/crates/cottonnotch/src/net/attempt.rs
@@ -1,6 +1,6 @@
 //! One call attempt: connect to the subchannel, write the first line, wait for what comes back.
 
-use super::happening::{AttemptOrder, Io};
+use super::network_event::{AttemptOrder, Io};
 use super::open_line::OpenLine;
 use crate::rules::Clock;
 use cottonnotch_decision::{Micros, Outcome};
--- a/crates/cottonnotch/src/net/rpc.rs
+++ b/crates/cottonnotch/src/net/client_connection.rs
@@ -1,11 +1,11 @@
 //! A client's RPC: the line protocol in front of the decisions, as an explicit state machine.
 
-use super::call_attempt::{CallAttempt, Progress};
-use super::happening::{AttemptOrder, CallOff, Front, Happening, Io, Object};
+use super::attempt::{CallAttempt, Progress};
 use super::invariant::invariant;
-use super::objection::Objection;
+use super::network_event::{AttemptOrder, CallOff, Front, Happening, Io, Object};
 use super::open_line::OpenLine;
 use super::relay::{Pass, Relay, Seen};
+use super::request_error::Objection;
 use cottonnotch_decision::{Micros, Outcome};
 use cottonnotch_reactor::line::{Fill, LineStream, MAX_LINE, trim_end};
 use cottonnotch_reactor::{Connection, Half, Key};
--- a/crates/cottonnotch/src/net/resolver.rs
+++ b/crates/cottonnotch/src/net/discovery_client.rs
@@ -1,7 +1,7 @@
 //! The resolver: a watch on discovery over HTTP/1.1. It reports results; when to watch is the module's
 //! decision. Another source of lists would be another connection object that reports the same happenings.
 
-use super::happening::{Happening, Io, Object};
+use super::network_event::{Happening, Io, Object};
 use cottonnotch_decision::Micros;
 use cottonnotch_decision::list_calls::{SILENT_AFTER, UNTOLD_AFTER};
 use cottonnotch_proxy_core::EndpointUpdate;
--- a/crates/cottonnotch/src/net/driver/arrivals.rs
+++ b/crates/cottonnotch/src/net/driver/acceptor.rs
@@ -1,10 +1,10 @@
 //! Clients that arrive, until they ask for something: accepting them, and the descriptors there are for that.
 
-use super::net::{ACCEPT, Net, PART};
-use super::unwatched::UnwatchedClients;
-use crate::net::happening::Happening;
+use super::context::{ACCEPT, Net, PART};
+use super::unregistered_clients::UnwatchedClients;
+use crate::net::client_connection::Rpc;
 use crate::net::management::PLACES;
-use crate::net::rpc::Rpc;
+use crate::net::network_event::Happening;
 use cottonnotch_decision::Micros;
 use cottonnotch_reactor::Key;
 use cottonnotch_reactor::line::{LineStream, Unwatched};
--- a/crates/cottonnotch/src/net/driver/audit.rs
+++ b/crates/cottonnotch/src/net/driver/audit.rs
@@ -1,8 +1,8 @@
 //! What the proxy does with each request, watched: the guard checks every step against the rules, each close, retry and refusal is
 //! counted by its reason, and each change of a request's state is in the log (`debug`) under its id.
 
-use super::calls::Call;
-use super::net::PART;
+use super::context::PART;
+use super::request_table::Call;
 use cottonnotch_decision::{Entry, Micros, Outcome, Request, RequestId, ServerId, Settings, Unserved};
 use cottonnotch_proxy_core::{FinalAnswer, Guard, GuardResult, Violation};
 use cottonnotch_records::MoveReason;
--- a/crates/cottonnotch/src/net/driver/clients.rs
+++ b/crates/cottonnotch/src/net/driver/clients.rs
@@ -1,15 +1,15 @@
 //! Clients and their RPCs: what they ask and how they fare becomes events, and what is decided of them is asked of
 //! their fronts.
 
-use super::arrivals::{Arrivals, FULL_RETRY_AFTER};
-use super::calls::{Call, Calls, Stage};
-use super::messages::Messages;
-use super::net::{Net, PART, REOPEN};
-use super::subchannels::Subchannels;
+use super::acceptor::{Arrivals, FULL_RETRY_AFTER};
+use super::context::{Net, PART, REOPEN};
+use super::endpoints::Subchannels;
+use super::message_latency::Messages;
+use super::request_table::{Call, Calls, Stage};
 use crate::config::Config;
-use crate::net::happening::{AttemptOrder, CallOff, Front, Io, Wish};
 use crate::net::invariant::invariant;
-use crate::net::objection::Objection;
+use crate::net::network_event::{AttemptOrder, CallOff, Front, Io, Wish};
+use crate::net::request_error::Objection;
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_decision::{
     ClassId, Event, Micros, Outcome, Request, RequestId, ServerId, TenantId, Unserved,
--- a/crates/cottonnotch/src/net/driver/net.rs
+++ b/crates/cottonnotch/src/net/driver/context.rs
@@ -4,7 +4,7 @@
 use super::clock_file::ClockFile;
 use super::records::Records;
 use crate::config::Config;
-use crate::net::happening::{Front, Io, Object};
+use crate::net::network_event::{Front, Io, Object};
 use crate::rules::Rulebook;
 use cottonnotch_decision::Micros;
 use cottonnotch_proxy_core::WallClock;
--- a/crates/cottonnotch/src/net/driver/subchannels.rs
+++ b/crates/cottonnotch/src/net/driver/endpoints.rs
@@ -1,9 +1,9 @@
 //! The render nodes: the lists that a resolver brings, and the watch that brings them.
 
-use super::messages::Messages;
-use super::net::{Net, PART};
+use super::context::{Net, PART};
+use super::message_latency::Messages;
 use crate::maintenance::Maintenance;
-use crate::net::resolver::Watch;
+use crate::net::discovery_client::Watch;
 use crate::rules::Kind;
 use cottonnotch_decision::names::{Names, digest};
 use cottonnotch_decision::{Belief, Entry, Event, Listed, Micros, ServerId, ZoneId};
--- a/crates/cottonnotch/src/net/driver/golden_tests.rs
+++ b/crates/cottonnotch/src/net/driver/golden_tests.rs
@@ -1,13 +1,13 @@
 //! The files in `TMPDIR`, the figures and the reasons keep the bytes that earlier builds gave them.
 
 use super::audit::{Audit, Step, outcome_name, unserved_name};
-use super::calls::Call;
 use super::clock_file::ClockFile;
-use super::replacement::Replacement;
+use super::hot_restart::Replacement;
+use super::request_table::Call;
 use crate::maintenance::{Maintenance, Mark, decode, encode};
-use crate::net::management::figures::{Figures, Gauges, Homes};
-use crate::net::objection::Objection;
+use crate::net::management::metrics::{Figures, Gauges, Homes};
 use crate::net::open_line::BadLine;
+use crate::net::request_error::Objection;
 use crate::rules::Seen;
 use cottonnotch_consensus::Role;
 use cottonnotch_decision::{ClassId, Outcome, Request, RequestId, Unserved};
--- a/crates/cottonnotch/src/net/driver/lifecycle.rs
+++ b/crates/cottonnotch/src/net/driver/lifecycle.rs
@@ -1,10 +1,10 @@
 //! How the proxy's life changes: a new configuration, and the end.
 
-use super::calls::Calls;
+use super::context::{Net, PART, ROUND};
+use super::hot_restart::Replacement;
 use super::management::shared_file;
-use super::messages::Messages;
-use super::net::{Net, PART, ROUND};
-use super::replacement::Replacement;
+use super::message_latency::Messages;
+use super::request_table::Calls;
 use super::shutdown::{self, Shutdown};
 use crate::config::{BadConfig, Config};
 use cottonnotch_decision::settings::Profile;
--- a/crates/cottonnotch/src/net/driver/management.rs
+++ b/crates/cottonnotch/src/net/driver/management.rs
@@ -1,10 +1,10 @@
 //! The operators' address as the driver has it: who is let in, whether this process is ready, and what is called for by
 //! hand.
 
-use super::maintenance::{Kept, LOOK_EVERY, NoSave};
-use super::messages::Messages;
-use super::net::{CALLERS, LOOK, Net, PART};
-use super::subchannels::Subchannels;
+use super::context::{CALLERS, LOOK, Net, PART};
+use super::endpoints::Subchannels;
+use super::maintenance_file::{Kept, LOOK_EVERY, NoSave};
+use super::message_latency::Messages;
 use crate::maintenance::Maintenance;
 use crate::net::management::{Answer, Desk};
 use cottonnotch_decision::{Event, Micros};
--- a/crates/cottonnotch/src/net/driver/messages.rs
+++ b/crates/cottonnotch/src/net/driver/message_latency.rs
@@ -1,7 +1,7 @@
 //! Messages on connections that are up: what loads and delays they show, and the notes that the module gets.
 
-use super::calls::{Call, Calls};
-use super::net::{Net, TICK};
+use super::context::{Net, TICK};
+use super::request_table::{Call, Calls};
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_decision::{Event, Micros, RequestId, ServerId};
 use cottonnotch_proxy_core::{LatencyReport, LoadLine, LoadLines, MessageLatencies, REPORT_INTERVAL};
--- a/crates/cottonnotch/src/net/driver/mod.rs
+++ b/crates/cottonnotch/src/net/driver/mod.rs
@@ -8,35 +8,36 @@
 //! ([`Driver::settle`]), [`clients`] asks the front for a call attempt ([`Driver::act`]), and once that is up the
 //! front relays.
 
-mod arrivals;
+mod acceptor;
 mod audit;
-mod calls;
 mod clients;
 mod clock_file;
+mod context;
+mod endpoints;
 #[cfg(test)]
 mod golden_tests;
+mod hot_restart;
 mod lifecycle;
-mod maintenance;
+mod maintenance_file;
 mod management;
-mod messages;
-mod net;
-mod passing;
+mod message_latency;
 mod peers;
 mod records;
-mod replacement;
+mod request_table;
 mod shutdown;
-mod subchannels;
-mod unwatched;
+mod transient_errors;
+mod unregistered_clients;
 
-use super::happening::{Happening, Object};
-use super::management::figures::Gauges;
+use super::management::metrics::Gauges;
 use super::management::{Answer, Call};
+use super::network_event::{Happening, Object};
 use crate::config::Config;
 use crate::rules::Rulebook;
-use arrivals::Arrivals;
+use acceptor::Arrivals;
 use audit::Audit;
 use clients::Clients;
 use clock_file::ClockFile;
+use context::Net;
 use cottonnotch_decision::{Action, Balancer, Event, Micros, Notice, ServerId};
 use cottonnotch_proxy_core::EndpointUpdate;
 use cottonnotch_reactor::listener::Binding;
@@ -44,17 +45,16 @@
 use cottonnotch_reactor::signals::{SIGHUP, SIGTERM, Signals};
 use cottonnotch_reactor::{Clock, Key, Reactor};
 use cottonnotch_records::{MoveReason, Recorder};
+use endpoints::Subchannels;
 use lifecycle::{Lifecycle, Reloaded, Reread, Round};
 use management::{Management, shared_file};
-use messages::Messages;
-use net::Net;
-use passing::patiently;
+use message_latency::Messages;
 use peers::{Around, Peers};
 use records::Records;
 use std::collections::VecDeque;
 use std::io;
 use std::time::Duration;
-use subchannels::Subchannels;
+use transient_errors::patiently;
 
 /// The records' writer is waited for so long at the end: a shutdown is over 150 ms before SIGKILL may come.
 const RECORDS_WITHIN: Duration = Duration::from_millis(100);
@@ -170,12 +170,12 @@
         let (net, messages) = (&mut self.net, &mut self.messages);
         match happening {
             Happening::Acceptable => self.arrivals.acceptable(net, self.clients.calls().len()),
-            Happening::Timer(net::ACCEPT) => self.arrivals.accept_again(net, self.clients.calls().len()),
+            Happening::Timer(context::ACCEPT) => self.arrivals.accept_again(net, self.clients.calls().len()),
 
             Happening::Callable => self.management.acceptable(net),
-            Happening::Timer(net::CALLERS) => self.management.accept_again(net),
+            Happening::Timer(context::CALLERS) => self.management.accept_again(net),
             Happening::Called(caller, call) => self.called(caller, &call),
-            Happening::Timer(net::LOOK) => self.look(),
+            Happening::Timer(context::LOOK) => self.look(),
 
             Happening::TurnedAway { rpc, why } => {
                 for event in self.clients.turned_away(net, messages, rpc, &why) {
@@ -206,7 +206,7 @@
                 }
             }
             Happening::Silent { rpc } => self.clients.silent(net, &self.subchannels, rpc),
-            Happening::Timer(net::REOPEN) => self.clients.reopen_all(net, &self.subchannels),
+            Happening::Timer(context::REOPEN) => self.clients.reopen_all(net, &self.subchannels),
 
             Happening::Load { rpc, load } => {
                 let now = net.now();
@@ -218,7 +218,7 @@
                     messages.delayed(net.now(), call, delay);
                 }
             }
-            Happening::Timer(net::TICK) => self.tick(),
+            Happening::Timer(context::TICK) => self.tick(),
 
             Happening::Datagrams(heard) => {
                 let around =
@@ -226,7 +226,7 @@
                 let events = self.peers.datagrams(net, around, &heard);
                 self.tell_all(events);
             }
-            Happening::Timer(net::GOSSIP) => {
+            Happening::Timer(context::GOSSIP) => {
                 let around =
                     Around { messages, subchannels: &self.subchannels, rpcs: self.clients.calls().len() };
                 let events = self.peers.timer(net, around);
@@ -249,7 +249,7 @@
                     self.round();
                 }
             }
-            Happening::Timer(net::ROUND) => self.round(),
+            Happening::Timer(context::ROUND) => self.round(),
             Happening::Reload => self.reload(),
 
             Happening::Timer(token) => self.tell(Some(Event::Timer(token))),
--- a/crates/cottonnotch/src/net/driver/peers.rs
+++ b/crates/cottonnotch/src/net/driver/peers.rs
@@ -1,13 +1,13 @@
 //! The other proxies of the tier: a small one gossips, a large one has a view of the fleet, and which of them it is, is
 //! settled at the start. Here is what is mio's of that: the socket, the timer, the log. The rest is `cottonnotch_proxy_core`'s.
 
-use super::messages::Messages;
-use super::net::{GOSSIP, Net, PART};
-use super::subchannels::Subchannels;
+use super::context::{GOSSIP, Net, PART};
+use super::endpoints::Subchannels;
+use super::message_latency::Messages;
 use crate::config::Gossiping;
 use crate::net::datagrams::Datagrams;
-use crate::net::happening::Object;
-use crate::net::management::figures::Homes;
+use crate::net::management::metrics::Homes;
+use crate::net::network_event::Object;
 use cottonnotch_aggregation::Settings;
 use cottonnotch_decision::{Event, Micros};
 use cottonnotch_gossip::{Gossip, State};
--- a/crates/cottonnotch/src/net/driver/records.rs
+++ b/crates/cottonnotch/src/net/driver/records.rs
@@ -2,8 +2,8 @@
 //! module's terms become the schema's. One note of an ending feeds both. While records are off, each call costs a
 //! comparison and at most a count.
 
-use super::calls::Call;
-use crate::net::management::figures::Figures;
+use super::request_table::Call;
+use crate::net::management::metrics::Figures;
 use crate::rules::Basis;
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_decision::{Belief, Entry, Listed, Micros, Outcome, Request, RequestId};
--- a/crates/cottonnotch/src/net/driver/passing.rs
+++ b/crates/cottonnotch/src/net/driver/transient_errors.rs
@@ -1,6 +1,6 @@
 //! Errors of the system's that pass: for want of memory, buffers or descriptors. A process that starts waits for their end.
 
-use super::net::PART;
+use super::context::PART;
 use rustix::io::Errno;
 use std::io;
 use std::time::Duration;
--- a/crates/cottonnotch/src/net/driver/unwatched.rs
+++ b/crates/cottonnotch/src/net/driver/unregistered_clients.rs
@@ -1,8 +1,8 @@
 //! Clients that were accepted and whose sockets the poll could not take, for want of memory. They are owed an answer like any other:
 //! the poll is asked again, and where that goes on failing they are told to come again.
 
-use super::arrivals::FULL_RETRY_AFTER;
-use crate::net::rpc::busy;
+use super::acceptor::FULL_RETRY_AFTER;
+use crate::net::client_connection::busy;
 use cottonnotch_decision::Micros;
 use mio::net::TcpStream;
 use std::collections::VecDeque;
--- a/crates/cottonnotch/src/net/management/caller.rs
+++ b/crates/cottonnotch/src/net/management/admin_connection.rs
@@ -1,7 +1,7 @@
 //! One operator's connection: reads a call, reports it, writes the answer, and ends.
 
-use super::call::{Answer, Call};
-use crate::net::happening::{Happening, Io, Object};
+use super::admin_request::{Answer, Call};
+use crate::net::network_event::{Happening, Io, Object};
 use cottonnotch_decision::Micros;
 use cottonnotch_reactor::http_server::{BadRequest, RequestReader};
 use cottonnotch_reactor::line::{Fill, LineStream};
--- a/crates/cottonnotch/src/net/management/desk.rs
+++ b/crates/cottonnotch/src/net/management/admin_server.rs
@@ -1,7 +1,7 @@
 //! Where operators are let in: a listener with places of its own, so that clients can't take them.
 
-use super::caller::Caller;
-use crate::net::happening::{Happening, Object};
+use super::admin_connection::Caller;
+use crate::net::network_event::{Happening, Object};
 use cottonnotch_decision::Micros;
 use cottonnotch_reactor::listener::Listener;
 use cottonnotch_reactor::{Key, Reactor};
--- a/crates/cottonnotch/src/net/management/mod.rs
+++ b/crates/cottonnotch/src/net/management/mod.rs
@@ -1,11 +1,11 @@
 //! The operators' address: HTTP/1.1, one call to a connection. A call is read here and answered by the driver, which
 //! knows what is asked for; what is no call is answered at once.
 
-mod call;
-mod caller;
-mod desk;
-pub mod figures;
+mod admin_connection;
+mod admin_request;
+mod admin_server;
+pub mod metrics;
 
-pub use call::{Answer, Call};
-pub use caller::Caller;
-pub use desk::{Desk, PLACES};
+pub use admin_connection::Caller;
+pub use admin_request::{Answer, Call};
+pub use admin_server::{Desk, PLACES};
--- a/crates/cottonnotch/src/net/mod.rs
+++ b/crates/cottonnotch/src/net/mod.rs
@@ -1,13 +1,13 @@
 //! The network side: sockets, protocols and the loop. It decides nothing; see [`driver`].
 
-mod call_attempt;
+mod attempt;
+mod client_connection;
 mod datagrams;
+mod discovery_client;
 pub mod driver;
-mod happening;
 mod invariant;
 mod management;
-mod objection;
+mod network_event;
 mod open_line;
 mod relay;
-mod resolver;
-mod rpc;
+mod request_error;
--- a/crates/cottonnotch/src/net/happening.rs
+++ b/crates/cottonnotch/src/net/network_event.rs
@@ -4,7 +4,7 @@
 
 use super::datagrams::Datagrams;
 use super::management::{Call, Caller};
-use super::objection::Objection;
+use super::request_error::Objection;
 use cottonnotch_decision::{Micros, Outcome};
 use cottonnotch_proxy_core::EndpointUpdate;
 use cottonnotch_reactor::listener::Listener;
--- a/crates/cottonnotch/src/net/open_line.rs
+++ b/crates/cottonnotch/src/net/open_line.rs
@@ -1,6 +1,6 @@
 //! The first line of a client's connection: `OPEN ID KEY name=value,...`.
 
-use super::happening::Wish;
+use super::network_event::Wish;
 use cottonnotch_decision::Micros;
 use cottonnotch_decision::names::digest;
 
