--- a/crates/cottonnotch/src/net/datagrams.rs
+++ b/crates/cottonnotch/src/net/datagrams.rs
@@ -1,7 +1,7 @@
 //! The socket on which proxies hear one another.
 
-use cottonnotch_reactor::{Connection, Half, Key};
 use super::network_event::{Happening, Io, Object};
+use cottonnotch_reactor::{Connection, Half, Key};
 use mio::net::UdpSocket;
 use std::io;
 use std::net::SocketAddr;
