--- a/crates/cottonnotch/src/config/fault.rs
+++ b/crates/cottonnotch/src/config/fault.rs
@@ -1,7 +1,7 @@
 //! Why a configuration is refused. Each message begins with the faulty key and ends with where it stands.
 
 use super::operator_file::BadOperator;
-use crate::rules::BadRules;
+use crate::rules::RulesError;
 use cottonnotch_decision::settings::BadSetting;
 use cottonnotch_proxy_core::EndpointUpdateError;
 
@@ -22,7 +22,7 @@
     Gossip { trouble: String },
     /// The rules can't be as they are configured.
     #[error("{0}")]
-    Rules(#[from] BadRules),
+    Rules(#[from] RulesError),
     /// The operator's file is faulty.
     #[error(transparent)]
     Operator(#[from] BadOperator),
--- a/crates/cottonnotch/src/config/operator.rs
+++ b/crates/cottonnotch/src/config/operator.rs
@@ -6,7 +6,7 @@
 use super::operator_file::OperatorFile;
 use crate::OPERATOR_VARIABLE;
 use crate::logging::LogConfig;
-use crate::rules::{AccordSection, HardwareSection, RulesSection};
+use crate::rules::{ConsensusSection, HardwareSection, RulesSection};
 use cottonnotch_aggregation::FleetSection;
 use cottonnotch_gossip::{GossipSection, Strength};
 use cottonnotch_records::RecordsSection;
@@ -34,7 +34,7 @@
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub hardware: Vec<HardwareSection>,
     /// `[accord]`
-    pub accord: AccordSection,
+    pub accord: ConsensusSection,
 }
 
 impl Operator {
@@ -189,12 +189,12 @@
         assert_eq!(read.fleet, fleet);
         assert_eq!((queue_records, flush_ms), (usual.queue_records, usual.flush_ms));
         assert!(read.accord.check().unwrap().is_some() && read.hardware.len() == 1);
-        let plain = AccordSection::default();
+        let plain = ConsensusSection::default();
         let (listen, cluster, key_file, me) =
             (plain.listen, plain.cluster.clone(), plain.key_file.clone(), plain.me);
         let (voters, members, state_folder) = (Vec::new(), Vec::new(), plain.state_folder.clone());
         let figures =
-            AccordSection { listen, cluster, key_file, me, voters, members, state_folder, ..read.accord };
+            ConsensusSection { listen, cluster, key_file, me, voters, members, state_folder, ..read.accord };
         assert_eq!(figures, plain, "the shipped figures are the defaults");
         let mut keys = BTreeMap::new();
         leaves("", &simd_json::serde::to_owned_value(Operator::default()).unwrap(), &mut keys);
--- a/crates/cottonnotch/src/main.rs
+++ b/crates/cottonnotch/src/main.rs
@@ -96,10 +96,11 @@
     let operator = Operator::read(path, &mut effective);
     let config = operator.and_then(|operator| Config::start(operator, &mut effective));
     // Serving goes on without a faulty file; who checks wants to know of it.
-    let config = config.and_then(|config| match config.rules.as_ref().map(rules::RulesSettings::sound) {
-        Some(Err(bad)) => Err(bad.into()),
-        _ => Ok(config),
-    });
+    let config =
+        config.and_then(|config| match config.rules.as_ref().map(rules::RulesSettings::check_files) {
+            Some(Err(bad)) => Err(bad.into()),
+            _ => Ok(config),
+        });
     // Whoever reads this may have gone; there is nobody left to tell.
     let written = match &config {
         Ok(config) => write!(std::io::stdout().lock(), "{effective}{}", rules_report(config)),
--- a/crates/cottonnotch/src/net/driver/clients.rs
+++ b/crates/cottonnotch/src/net/driver/clients.rs
@@ -279,7 +279,7 @@
             let Net { records, rules, .. } = net;
             records.refused(&call, after, || rules.as_ref()?.basis(request));
         }
-        net.rules.iter().for_each(|rules| rules.over(request));
+        net.rules.iter().for_each(|rules| rules.forget_request(request));
     }
 
     /// A final answer that the module has decided on: a failure.
@@ -289,7 +289,7 @@
             net.audit.failed(net.reactor.io.now(), &call, why);
             net.records.failed(&call, words);
         }
-        net.rules.iter().for_each(|rules| rules.over(request));
+        net.rules.iter().for_each(|rules| rules.forget_request(request));
     }
 
     /// `None`: no answer was given.
@@ -424,7 +424,7 @@
     let basis = || net.rules.as_ref()?.basis(call.id);
     net.records.attempt(call.id, call.latest(), || subchannels.shared_name(server), timeout, basis);
     let connect_timeout = net.config.profile.connect_timeout;
-    let act_by = net.rules.as_ref().and_then(|rules| rules.act_by(call.id));
+    let act_by = net.rules.as_ref().and_then(|rules| rules.write_deadline(call.id));
     let order = subchannels.address(server);
     let order = order.map(|address| AttemptOrder { address, timeout, connect_timeout, act_by, before });
     let begun = order.and_then(|order| net.with_front(key, |front, io| front.attempt(io, order)));
--- a/crates/cottonnotch/src/net/driver/context.rs
+++ b/crates/cottonnotch/src/net/driver/context.rs
@@ -5,7 +5,7 @@
 use super::records::Records;
 use crate::config::Config;
 use crate::net::network_event::{Front, Io, Object};
-use crate::rules::Rulebook;
+use crate::rules::RulesService;
 use cottonnotch_decision::Micros;
 use cottonnotch_proxy_core::WallClock;
 use cottonnotch_reactor::{Clock, Key, Reactor};
@@ -36,7 +36,7 @@
     pub wall: WallClock,
     pub clock_file: ClockFile,
     /// The rules, if there are any.
-    pub rules: Option<Rulebook>,
+    pub rules: Option<RulesService>,
     /// Descriptors that other processes of this proxy hold: the limit is for all of them.
     pub held_elsewhere: usize,
     /// RPCs that are being served, as of the last look.
--- a/crates/cottonnotch/src/net/driver/endpoints.rs
+++ b/crates/cottonnotch/src/net/driver/endpoints.rs
@@ -4,7 +4,7 @@
 use super::message_latency::Messages;
 use crate::maintenance::Maintenance;
 use crate::net::discovery_client::Watch;
-use crate::rules::Kind;
+use crate::rules::NodeKind;
 use cottonnotch_decision::names::{Names, digest};
 use cottonnotch_decision::{Belief, Entry, Event, Listed, Micros, ServerId, ZoneId};
 use cottonnotch_proxy_core::{EndpointUpdate, Servers};
@@ -152,9 +152,9 @@
         let kind_of = |server: ServerId| {
             let subchannel = self.known.get(server.0 as usize);
             let (zone, flavor) = subchannel.map_or((ZoneId::default(), ""), |s| (s.zone, &*s.flavor));
-            Kind { hall: profile.zones.name(u32::from(zone.0)).into(), hardware: flavor.into() }
+            NodeKind { hall: profile.zones.name(u32::from(zone.0)).into(), hardware: flavor.into() }
         };
-        rules.listed(profile, self.revision, full, entries, kind_of);
+        rules.update_endpoints(profile, self.revision, full, entries, kind_of);
     }
 
     fn record(&self, net: &Net, full: bool, entries: &[Entry]) {
--- a/crates/cottonnotch/src/net/driver/golden_tests.rs
+++ b/crates/cottonnotch/src/net/driver/golden_tests.rs
@@ -8,7 +8,7 @@
 use crate::net::management::metrics::{Figures, Gauges, Homes};
 use crate::net::open_line::BadLine;
 use crate::net::request_error::Objection;
-use crate::rules::Seen;
+use crate::rules::RulesStatus;
 use cottonnotch_consensus::Role;
 use cottonnotch_decision::{ClassId, Outcome, Request, RequestId, Unserved};
 use cottonnotch_golden::{assert_text, golden_path};
@@ -75,8 +75,8 @@
     assert_text(&golden_path!("process.txt"), &text);
 }
 
-fn seen() -> Seen {
-    Seen {
+fn seen() -> RulesStatus {
+    RulesStatus {
         version: Some(7),
         rules: 8,
         lease_left_ms: 900,
@@ -84,15 +84,15 @@
         role: Role::Leader,
         leader: Some(1),
         term: 3,
-        live: 5,
+        live_members: 5,
         held_back: BTreeMap::from([("consortium/verlag b".to_owned(), "a conflict".to_owned())]),
-        refused_in_doubt: 2,
-        strays: 4,
-        unsent: 6,
-        broken: 1,
-        list_behind: Some((5, 6)),
-        trouble: Some("no address".to_owned()),
-        ..Seen::default()
+        rejected_while_uncertain: 2,
+        invalid_datagrams: 4,
+        unsent_datagrams: 6,
+        invariant_violations: 1,
+        newer_list: Some((5, 6)),
+        consensus_error: Some("no address".to_owned()),
+        ..RulesStatus::default()
     }
 }
 
--- a/crates/cottonnotch/src/net/driver/mod.rs
+++ b/crates/cottonnotch/src/net/driver/mod.rs
@@ -32,7 +32,7 @@
 use super::management::{Answer, Call};
 use super::network_event::{Happening, Object};
 use crate::config::Config;
-use crate::rules::Rulebook;
+use crate::rules::RulesService;
 use acceptor::Arrivals;
 use audit::Audit;
 use clients::Clients;
@@ -112,7 +112,7 @@
         let has_elder = lifecycle.has_elder(&mut net);
         if let Some(settings) = net.config.rules.clone() {
             let (profile, seed) = (&net.config.profile, net.config.seed);
-            let rules = Rulebook::start(settings, profile, seed, names, has_elder)?;
+            let rules = RulesService::start(settings, profile, seed, names, has_elder)?;
             balancer = balancer.under(Box::new(rules.rulings().clone()));
             net.rules = Some(rules);
         }
@@ -267,7 +267,7 @@
         self.net.observe_wall();
         self.net.audit.look_for_overdue(self.net.now());
         // What is held may be allowed now, or forbidden.
-        let ruled = self.net.rules.as_mut().and_then(Rulebook::tick);
+        let ruled = self.net.rules.as_mut().and_then(RulesService::tick);
         self.tell(ruled);
         self.catch_up();
         let events = self.with_peers(|peers, net, around| peers.tick(net, around));
@@ -280,7 +280,7 @@
     /// by itself only after several beats, and drained nodes be used until then.
     fn catch_up(&mut self) {
         let revision = self.subchannels.revision();
-        let missed = self.net.rules.as_ref().and_then(|rules| rules.list_missed(revision));
+        let missed = self.net.rules.as_ref().and_then(|rules| rules.newer_list_revision(revision));
         if let Some(newer) = missed {
             log::warn!(revision; "others were told of list {newer} by discovery, this proxy has {revision} and asks again");
             // As after a silence: the module spreads the calls of all that were told of it in one moment.
@@ -314,7 +314,7 @@
             }
             Call::Metrics => {
                 let (known, skipped) = self.subchannels.gauges(self.net.now());
-                let rules = self.net.rules.as_ref().map(Rulebook::seen);
+                let rules = self.net.rules.as_ref().map(RulesService::status);
                 let (in_progress, homes) = (self.clients.calls().len(), self.peers.homes());
                 let gauges = Gauges { in_progress, known, skipped, rules, homes };
                 Answer::yes(self.net.records.figures().text(gauges, self.net.audit.figures()))
@@ -376,7 +376,7 @@
         if self.arrivals.is_open() && self.lifecycle.has_successor() {
             self.arrivals.close(&mut self.net, self.clients.calls().len());
             self.peers.hand_over(&mut self.net);
-            self.net.rules.iter_mut().for_each(Rulebook::hand_over);
+            self.net.rules.iter_mut().for_each(RulesService::stop_consensus);
         }
     }
 
@@ -441,7 +441,7 @@
             log::debug!("event {event:?}");
             self.peers.witness(now, &event);
             self.watch_servers(now, &event);
-            self.net.rules.iter().for_each(|rules| rules.witness(&event));
+            self.net.rules.iter().for_each(|rules| rules.observe_event(&event));
             self.balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
                 log::debug!("action {action:?}");
--- a/crates/cottonnotch/src/net/driver/records.rs
+++ b/crates/cottonnotch/src/net/driver/records.rs
@@ -4,7 +4,7 @@
 
 use super::request_table::Call;
 use crate::net::management::metrics::Figures;
-use crate::rules::Basis;
+use crate::rules::VerdictBasis;
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_decision::{Belief, Entry, Listed, Micros, Outcome, Request, RequestId};
 use cottonnotch_gossip::State;
@@ -98,7 +98,7 @@
         attempt: u32,
         subchannel: impl FnOnce() -> Name,
         timeout: Micros,
-        basis: impl FnOnce() -> Option<Basis>,
+        basis: impl FnOnce() -> Option<VerdictBasis>,
     ) {
         self.recorder.record_with(|| Event::Attempt {
             request,
@@ -131,7 +131,12 @@
         self.recorder.record_with(|| Event::Answer { request, answer: Answer::Up });
     }
 
-    pub fn refused(&mut self, call: &Call, retry_after: Micros, basis: impl FnOnce() -> Option<Basis>) {
+    pub fn refused(
+        &mut self,
+        call: &Call,
+        retry_after: Micros,
+        basis: impl FnOnce() -> Option<VerdictBasis>,
+    ) {
         self.figures.dropped(call.class);
         let request = call.id.0;
         let answer = || Answer::Refused { retry_after_ms: millis(retry_after), ruled: basis().map(ruled) };
@@ -224,8 +229,8 @@
     }
 }
 
-fn ruled(basis: Basis) -> Box<Ruled> {
-    let Basis { version, rules, is_doubtful: in_doubt, .. } = basis;
+fn ruled(basis: VerdictBasis) -> Box<Ruled> {
+    let VerdictBasis { version, rules, is_uncertain: in_doubt, .. } = basis;
     Box::new(Ruled { version, rules, in_doubt })
 }
 
--- a/crates/cottonnotch/src/net/management/metrics.rs
+++ b/crates/cottonnotch/src/net/management/metrics.rs
@@ -1,7 +1,7 @@
 //! What operators' tools fetch: counts since the process began, and gauges. Where an ending is noted for the records it
 //! is counted here too, so that the two can't tell different stories.
 
-use crate::rules::Seen;
+use crate::rules::RulesStatus;
 use cottonnotch_consensus::Role;
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -26,7 +26,7 @@
     /// Those of them that get nothing new now, by hand or by the module's choice.
     pub skipped: usize,
     /// How it stands with the rules, if there are any.
-    pub rules: Option<Seen>,
+    pub rules: Option<RulesStatus>,
     /// How it stands with homes by a group's size, where they are on.
     pub homes: Option<Homes>,
 }
@@ -160,13 +160,13 @@
             line("rules.held_back", seen.held_back.len() as u64, 'g');
             line("rules.term", seen.term, 'g');
             line("rules.leads", u64::from(seen.role == Role::Leader), 'g');
-            line("rules.live", u64::from(seen.live), 'g');
-            line("rules.list_behind", u64::from(seen.list_behind.is_some()), 'g');
-            line("rules.stopped", u64::from(seen.trouble.is_some()), 'g');
-            line("rules.refused_in_doubt", seen.refused_in_doubt, 'c');
-            line("rules.stray_datagrams", seen.strays, 'c');
-            line("rules.unsent_datagrams", seen.unsent, 'c');
-            line("rules.broken", seen.broken, 'c');
+            line("rules.live", u64::from(seen.live_members), 'g');
+            line("rules.list_behind", u64::from(seen.newer_list.is_some()), 'g');
+            line("rules.stopped", u64::from(seen.consensus_error.is_some()), 'g');
+            line("rules.refused_in_doubt", seen.rejected_while_uncertain, 'c');
+            line("rules.stray_datagrams", seen.invalid_datagrams, 'c');
+            line("rules.unsent_datagrams", seen.unsent_datagrams, 'c');
+            line("rules.broken", seen.invariant_violations, 'c');
             for namespace in seen.held_back.keys() {
                 line(&format!("rules.held_back.{}", plain(namespace)), 1, 'g');
             }
--- a/crates/cottonnotch/src/rules/agent.rs
+++ b/crates/cottonnotch/src/rules/agent.rs
@@ -1,6 +1,6 @@
 //! The thread of the accord, as others have it, and its start: address, folder and memory are had, or waited for.
 
-use super::board::Board;
+use super::board::StatusBoard;
 use super::clock::Clock;
 use super::content::{Compiled, Library, hex};
 use super::disk::Disk;
@@ -94,7 +94,7 @@
     pub seed: u64,
     pub library: Library,
     pub publication: Arc<Publication>,
-    pub board: Arc<Board>,
+    pub board: Arc<StatusBoard>,
     pub jobs: Sender<Job>,
 }
 
@@ -121,7 +121,7 @@
         let board = Arc::clone(&parts.board);
         if let Err(error) = run(parts, &running, commands.1, opened) {
             log::error!(error:%; "the accord ends here, its lease runs out: {error}");
-            board.seen().trouble = Some(error.to_string());
+            board.seen().consensus_error = Some(error.to_string());
         }
     })?;
     Ok(agent)
--- a/crates/cottonnotch/src/rules/board.rs
+++ b/crates/cottonnotch/src/rules/board.rs
@@ -7,7 +7,7 @@
 
 /// What is known at the moment.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct RulesStatus {
     /// The version that this process holds or last held.
     pub version: Option<u64>,
     /// How many rules that has.
@@ -25,30 +25,30 @@
     /// The greatest term it knows.
     pub term: u64,
     /// Members that the leader has heard of lately; 0 elsewhere.
-    pub live: u32,
+    pub live_members: u32,
     /// Namespaces of this proxy's folder that are held back, with the reason.
     pub held_back: BTreeMap<String, String>,
     /// Requests that were refused since it was in doubt which rules count.
-    pub refused_in_doubt: u64,
+    pub rejected_while_uncertain: u64,
     /// Datagrams that were dropped unread.
-    pub strays: u64,
+    pub invalid_datagrams: u64,
     /// Datagrams that could not be sent.
-    pub unsent: u64,
+    pub unsent_datagrams: u64,
     /// Invariants found broken.
-    pub broken: u64,
+    pub invariant_violations: u64,
     /// Others were told of a newer list of render nodes, of this revision, and when that was heard.
-    pub list_behind: Option<(u64, Micros)>,
+    pub newer_list: Option<(u64, Micros)>,
     /// Why the accord does not run here, if it should.
-    pub trouble: Option<String>,
+    pub consensus_error: Option<String>,
 }
 
 /// The board.
 #[derive(Debug, Default)]
-pub struct Board(Mutex<Seen>);
+pub struct StatusBoard(Mutex<RulesStatus>);
 
-impl Board {
+impl StatusBoard {
     /// To look at it, or change it.
-    pub fn seen(&self) -> MutexGuard<'_, Seen> {
+    pub fn seen(&self) -> MutexGuard<'_, RulesStatus> {
         // Nobody leaves it half changed.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/cottonnotch/src/rules/config.rs
+++ b/crates/cottonnotch/src/rules/config.rs
@@ -52,7 +52,7 @@
 /// How this proxy agrees with the others on which rules are in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct AccordSection {
+pub struct ConsensusSection {
     /// This member's own end: datagrams, and contents over TCP. The accord is off unless it is set.
     pub listen: Option<SocketAddr>,
     /// The cluster's name, the same at all members.
@@ -93,9 +93,9 @@
     pub retry_ms: u32,
 }
 
-impl Default for AccordSection {
+impl Default for ConsensusSection {
     fn default() -> Self {
-        AccordSection {
+        ConsensusSection {
             listen: None,
             cluster: None,
             key_file: None,
@@ -121,7 +121,7 @@
 
 /// What the accord needs, checked.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AccordSettings {
+pub struct ConsensusSettings {
     /// This member's own end.
     pub listen: SocketAddr,
     /// The cluster's name.
@@ -148,9 +148,9 @@
     pub retry: Duration,
 }
 
-impl AccordSection {
+impl ConsensusSection {
     /// What it comes to; `None`: off. A message begins with the key's full path.
-    pub fn check(&self) -> Result<Option<AccordSettings>, String> {
+    pub fn check(&self) -> Result<Option<ConsensusSettings>, String> {
         let timing = self.timing();
         timing.check().map_err(|bad| self.unkept(&bad))?;
         let Some(listen) = self.listen else {
@@ -162,7 +162,7 @@
         let missing = |key: &str| format!("accord.{key} is missing, and accord.listen is set");
         let me = self.me.ok_or_else(|| missing("me"))?;
         let cluster = self.cluster.clone().filter(|name| !name.is_empty());
-        let settings = AccordSettings {
+        let settings = ConsensusSettings {
             listen,
             cluster: cluster.ok_or_else(|| missing("cluster"))?,
             key_file: self.key_file.clone().ok_or_else(|| missing("key_file"))?,
--- a/crates/cottonnotch/src/rules/fleet.rs
+++ b/crates/cottonnotch/src/rules/fleet.rs
@@ -8,7 +8,7 @@
 
 /// A hall and a hardware class.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Kind {
+pub struct NodeKind {
     /// The hall: discovery's `locality`.
     pub hall: Box<str>,
     /// The hardware class: discovery's `flavor`.
@@ -17,9 +17,9 @@
 
 /// Some of the kinds, a bit each.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Kinds(Vec<u64>);
+pub struct NodeKindSet(Vec<u64>);
 
-impl Kinds {
+impl NodeKindSet {
     /// Those of so many for which `holds`.
     pub fn of(count: usize, mut holds: impl FnMut(usize) -> bool) -> Self {
         let mut words = vec![0_u64; count.div_ceil(64)];
@@ -28,7 +28,7 @@
                 words[kind / 64] |= 1 << (kind % 64);
             }
         }
-        Kinds(words)
+        NodeKindSet(words)
     }
 
     /// It is among them.
@@ -50,15 +50,15 @@
 #[derive(Debug, Default)]
 pub struct Fleet {
     nodes: Vec<Option<Node>>,
-    kinds: Vec<Kind>,
+    kinds: Vec<NodeKind>,
     /// Ready nodes of each kind.
     ready: Vec<usize>,
-    sets: HashMap<Kinds, Arc<ServerSet>>,
+    sets: HashMap<NodeKindSet, Arc<ServerSet>>,
 }
 
 impl Fleet {
     /// The list has changed in these; `kind_of` names each one's kind.
-    pub fn listed(&mut self, full: bool, entries: &[Entry], kind_of: impl Fn(ServerId) -> Kind) {
+    pub fn listed(&mut self, full: bool, entries: &[Entry], kind_of: impl Fn(ServerId) -> NodeKind) {
         if full {
             self.nodes.iter_mut().flatten().for_each(|node| node.is_ready = false);
         }
@@ -79,7 +79,7 @@
         }
     }
 
-    fn intern(&mut self, kind: Kind) -> u16 {
+    fn intern(&mut self, kind: NodeKind) -> u16 {
         let known = self.kinds.iter().position(|known| *known == kind);
         let place = known.unwrap_or_else(|| {
             self.kinds.push(kind);
@@ -90,7 +90,7 @@
     }
 
     /// The kinds, by number.
-    pub fn kinds(&self) -> &[Kind] {
+    pub fn kinds(&self) -> &[NodeKind] {
         &self.kinds
     }
 
@@ -106,7 +106,7 @@
     }
 
     /// All nodes of these kinds.
-    pub fn set(&mut self, kinds: &Kinds) -> Arc<ServerSet> {
+    pub fn set(&mut self, kinds: &NodeKindSet) -> Arc<ServerSet> {
         if let Some(set) = self.sets.get(kinds) {
             return Arc::clone(set);
         }
@@ -120,7 +120,7 @@
 
     /// The group's first `most` nodes of these kinds, in an order of its own that is the same at every proxy with the same
     /// list. It is the order in which the decisions choose a group's homes.
-    pub fn homes(&self, kinds: &Kinds, group: u64, most: usize) -> ServerSet {
+    pub fn homes(&self, kinds: &NodeKindSet, group: u64, most: usize) -> ServerSet {
         let rank = |node: &Node| {
             unit(node.digest ^ group.wrapping_mul(0x9e37_79b9_7f4a_7c15)).powf(1.0 / node.weight)
         };
@@ -140,8 +140,8 @@
     use super::*;
     use cottonnotch_decision::ZoneId;
 
-    fn kind(hall: &str, hardware: &str) -> Kind {
-        Kind { hall: hall.into(), hardware: hardware.into() }
+    fn kind(hall: &str, hardware: &str) -> NodeKind {
+        NodeKind { hall: hall.into(), hardware: hardware.into() }
     }
 
     fn entry(server: u32, state: Listed) -> Entry {
@@ -164,7 +164,8 @@
     fn sets_are_those_of_their_kinds_and_follow_the_list() {
         let mut fleet = fleet();
         assert_eq!(fleet.kinds().len(), 6);
-        let in_a = |fleet: &Fleet| Kinds::of(fleet.kinds().len(), |kind| &*fleet.kinds()[kind].hall == "a");
+        let in_a =
+            |fleet: &Fleet| NodeKindSet::of(fleet.kinds().len(), |kind| &*fleet.kinds()[kind].hall == "a");
         let meant = in_a(&fleet);
         let numbers = |set: &ServerSet| (0..20).filter(|n| set.contains(ServerId(*n))).collect::<Vec<_>>();
         assert_eq!(numbers(&fleet.set(&meant)), [0, 3, 6, 9]);
@@ -183,14 +184,14 @@
     #[test]
     fn a_group_has_the_same_homes_whatever_order_the_list_came_in() {
         let fleet = fleet();
-        let all = Kinds::of(fleet.kinds().len(), |_| true);
+        let all = NodeKindSet::of(fleet.kinds().len(), |_| true);
         let mut again = Fleet::default();
         let mut entries: Vec<Entry> = (0..10).map(|server| entry(server, Listed::Ready)).collect();
         entries.reverse();
         for one in &entries {
             again.listed(false, std::slice::from_ref(one), |_| kind("a", "x"));
         }
-        let all_again = Kinds::of(again.kinds().len(), |_| true);
+        let all_again = NodeKindSet::of(again.kinds().len(), |_| true);
         let mut used = ServerSet::default();
         for group in 0..40 {
             let homes = fleet.homes(&all, group, 2);
--- a/crates/cottonnotch/src/rules/member.rs
+++ b/crates/cottonnotch/src/rules/member.rs
@@ -52,7 +52,7 @@
             Output::LeaseChanged(right) => self.publish(right)?,
             Output::ProposalFinished { hash, outcome, .. } => self.ask(Job::Over { hash, outcome }),
             Output::ListOutdated { revision } => {
-                self.parts.board.seen().list_behind = Some((revision, Clock.now()));
+                self.parts.board.seen().newer_list = Some((revision, Clock.now()));
             }
         }
         Ok(())
@@ -81,7 +81,7 @@
                         self.handle_input(Clock.now(), Input::Message { from, message })?
                     }
                     Err(error) => {
-                        self.parts.board.seen().strays += 1;
+                        self.parts.board.seen().invalid_datagrams += 1;
                         log::debug!("datagram dropped: {error}");
                     }
                 },
@@ -105,7 +105,7 @@
             Err(error) => Err(io::Error::other(error)),
         };
         if let Err(error) = sent {
-            self.parts.board.seen().unsent += 1;
+            self.parts.board.seen().unsent_datagrams += 1;
             log::debug!("datagram to {address} is lost: {error}");
         }
     }
@@ -174,7 +174,8 @@
             seen.until = topic.until;
             seen.newest = topic.newest.max(seen.newest);
             (seen.role, seen.leader, seen.term) = (status.role, status.leader, status.term);
-            (seen.live, seen.broken) = (status.live_members, status.invariant_violations);
+            (seen.live_members, seen.invariant_violations) =
+                (status.live_members, status.invariant_violations);
         }
         if self.told != Some((held, is_first)) {
             self.told = Some((held, is_first));
--- a/crates/cottonnotch/src/rules/mod.rs
+++ b/crates/cottonnotch/src/rules/mod.rs
@@ -28,14 +28,14 @@
 mod standing;
 mod worker;
 
-pub use board::Seen;
+pub use board::RulesStatus;
 pub use clock::Clock;
-pub use config::{AccordSection, HardwareSection, RulesSection};
-pub use fleet::Kind;
+pub use config::{ConsensusSection, HardwareSection, RulesSection};
+pub use fleet::NodeKind;
 pub use report::report;
-pub use rulebook::Rulebook;
-pub use ruling::Basis;
-pub use settings::{BadRules, RulesSettings};
+pub use rulebook::RulesService;
+pub use ruling::VerdictBasis;
+pub use settings::{RulesError, RulesSettings};
 
 #[cfg(test)]
 mod golden_tests;
--- a/crates/cottonnotch/src/rules/reckoning.rs
+++ b/crates/cottonnotch/src/rules/reckoning.rs
@@ -1,7 +1,7 @@
 //! From a look at the plan to a ruling: which nodes are left, which come first, and this proxy's part of what the whole
 //! fleet may have.
 
-use super::fleet::{Fleet, Kind, Kinds};
+use super::fleet::{Fleet, NodeKind, NodeKindSet};
 use super::standing::Standing;
 use cottonnotch_decision::part::{Bucket, Part};
 use cottonnotch_decision::{Micros, Ruling, ServerId};
@@ -38,7 +38,7 @@
     whole / proxies + u64::from(me < whole % proxies)
 }
 
-fn node(kind: &Kind) -> Node<'_> {
+fn node(kind: &NodeKind) -> Node<'_> {
     Node { hall: &kind.hall, hardware: &kind.hardware }
 }
 
@@ -97,8 +97,8 @@
             .caps()
             .filter(|(limit, whole, _)| self.standing.of(*limit) >= share(*whole, self.proxies, self.me))
             .collect();
-        let is_full = |kind: &Kind| full.iter().any(|(_, _, nodes)| nodes.contains(&node(kind)));
-        let allowed = Kinds::of(keys.len(), |kind| {
+        let is_full = |kind: &NodeKind| full.iter().any(|(_, _, nodes)| nodes.contains(&node(kind)));
+        let allowed = NodeKindSet::of(keys.len(), |kind| {
             look.allows_key(keys[kind]) && !fleet.kinds().get(kind).is_some_and(is_full)
         });
         let is_all = (0..keys.len()).all(|kind| allowed.has(kind));
@@ -126,7 +126,7 @@
     }
 
     /// Those that the wishes put first among the allowed that are there; `None`: they put none before another.
-    fn preferred(&self, look: &Look, allowed: &Kinds) -> Option<Kinds> {
+    fn preferred(&self, look: &Look, allowed: &NodeKindSet) -> Option<NodeKindSet> {
         let keys = &self.keys;
         let ranks = || {
             let there = (0..keys.len()).filter(|kind| allowed.has(*kind) && self.fleet.is_ready(*kind));
@@ -134,7 +134,7 @@
         };
         let best = ranks().min()?;
         let differs = ranks().any(|rank| rank != best);
-        differs.then(|| Kinds::of(keys.len(), |kind| look.rank_key(keys[kind]) == best))
+        differs.then(|| NodeKindSet::of(keys.len(), |kind| look.rank_key(keys[kind]) == best))
     }
 }
 
--- a/crates/cottonnotch/src/rules/report.rs
+++ b/crates/cottonnotch/src/rules/report.rs
@@ -1,7 +1,7 @@
 //! What `cottonnotch check` says of the rules: the merged book, what is in conflict, how each rule runs on each class, and
 //! how long processes may differ.
 
-use super::config::AccordSection;
+use super::config::ConsensusSection;
 use super::settings::RulesSettings;
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_routing_rules::{Kind, Ledger, Merged, Rule, Strength, merge};
@@ -12,7 +12,7 @@
 /// The report on rules as they are configured, with render nodes of these kinds (hall and hardware class).
 pub fn report(
     settings: &RulesSettings,
-    accord: &AccordSection,
+    accord: &ConsensusSection,
     profile: &Profile,
     listed: BTreeSet<(String, String)>,
 ) -> String {
@@ -25,7 +25,7 @@
 fn write_report(
     text: &mut String,
     settings: &RulesSettings,
-    accord: &AccordSection,
+    accord: &ConsensusSection,
     profile: &Profile,
     listed: BTreeSet<(String, String)>,
 ) -> std::fmt::Result {
--- a/crates/cottonnotch/src/rules/rulebook.rs
+++ b/crates/cottonnotch/src/rules/rulebook.rs
@@ -1,13 +1,13 @@
 //! The rules as the driver has them: it says what happens, and asks what counts.
 
 use super::agent::{self, Agent, Parts};
-use super::board::{Board, Seen};
+use super::board::{RulesStatus, StatusBoard};
 use super::clock::Clock;
 use super::config::Unknown;
 use super::content::Library;
-use super::fleet::Kind;
+use super::fleet::NodeKind;
 use super::publication::Publication;
-use super::ruling::{Basis, Doubt, Rulings};
+use super::ruling::{Doubt, Rulings, VerdictBasis};
 use super::settings::RulesSettings;
 use super::worker::{Job, Way, Worker};
 use cottonnotch_consensus::{Config, Input};
@@ -26,11 +26,11 @@
 const LIST_AGAIN: Micros = 2_000_000;
 
 /// The rules, with the threads behind them.
-pub struct Rulebook {
+pub struct RulesService {
     rulings: Rulings,
     settings: RulesSettings,
     publication: Arc<Publication>,
-    board: Arc<Board>,
+    board: Arc<StatusBoard>,
     jobs: Sender<Job>,
     agent: Option<Agent>,
     /// The longest from a look to the act under it.
@@ -39,7 +39,7 @@
     announced: Option<(u64, bool)>,
 }
 
-impl Rulebook {
+impl RulesService {
     /// Begins the threads. Fails if an address or a folder can't be had; `waits`: unless another process of this proxy may have
     /// it still. `names`: the records want the rules' names.
     pub fn start(
@@ -49,7 +49,7 @@
         names: bool,
         waits: bool,
     ) -> io::Result<Self> {
-        let (publication, board) = (Arc::new(Publication::default()), Arc::new(Board::default()));
+        let (publication, board) = (Arc::new(Publication::default()), Arc::new(StatusBoard::default()));
         let library = Library::default();
         let (jobs, to_do) = channel();
         let accord = settings.accord.as_ref();
@@ -96,7 +96,8 @@
         thread.spawn(move || worker.run(&to_do))?;
         let act = accord.map(|(accord, _)| accord.timing.act);
         let rulings = Rulings::new(Arc::clone(&publication), doubt, names, profile);
-        let rulebook = Rulebook { rulings, settings, publication, board, jobs, agent, act, announced: None };
+        let rulebook =
+            RulesService { rulings, settings, publication, board, jobs, agent, act, announced: None };
         rulebook.hand_files();
         Ok(rulebook)
     }
@@ -130,7 +131,7 @@
     }
 
     fn tell_world(&self, profile: &Profile) {
-        let named = |kind: Kind| (kind.hall.into_string(), kind.hardware.into_string());
+        let named = |kind: NodeKind| (kind.hall.into_string(), kind.hardware.into_string());
         let nodes: std::collections::BTreeSet<_> = self.rulings.kinds().into_iter().map(named).collect();
         // With no node nothing can be placed, and no rule be judged.
         if !nodes.is_empty() {
@@ -139,13 +140,13 @@
     }
 
     /// The list, or what operators have laid over it, has changed in these.
-    pub fn listed(
+    pub fn update_endpoints(
         &self,
         profile: &Profile,
         revision: u64,
         full: bool,
         entries: &[Entry],
-        kind_of: impl Fn(ServerId) -> Kind,
+        kind_of: impl Fn(ServerId) -> NodeKind,
     ) {
         let before = self.rulings.kinds().len();
         self.rulings.listed(full, entries, kind_of);
@@ -154,15 +155,15 @@
         }
         if let Some(agent) = &self.agent {
             agent.tell(Input::ListReceived { revision });
-            self.board.seen().list_behind.take_if(|(newer, _)| *newer <= revision);
+            self.board.seen().newer_list.take_if(|(newer, _)| *newer <= revision);
         }
     }
 
     /// Others have been told of a newer list than this one for longer than discovery's tellings are apart: its revision. Said
     /// again after a while, for as long as it is so.
-    pub fn list_missed(&self, revision: u64) -> Option<u64> {
+    pub fn newer_list_revision(&self, revision: u64) -> Option<u64> {
         let mut seen = self.board.seen();
-        let (newer, since) = seen.list_behind.as_mut()?;
+        let (newer, since) = seen.newer_list.as_mut()?;
         let now = Clock.now();
         if *newer <= revision || now - *since < LIST_LATE {
             return None;
@@ -172,7 +173,7 @@
     }
 
     /// What the module is about to hear, as far as it changes what stands.
-    pub fn witness(&self, event: &Event) {
+    pub fn observe_event(&self, event: &Event) {
         match event {
             Event::Open { request, server } => self.rulings.opened(request, *server),
             Event::Ended { request, last, .. } => {
@@ -181,20 +182,20 @@
                     self.rulings.forget(*request);
                 }
             }
-            Event::Gone(request) => self.over(*request),
+            Event::Gone(request) => self.forget_request(*request),
             _ => {}
         }
     }
 
     /// The request has had its answer, or needs none.
-    pub fn over(&self, request: RequestId) {
+    pub fn forget_request(&self, request: RequestId) {
         self.rulings.left(request);
         self.rulings.forget(request);
     }
 
     /// The request's first line must be written before this, by [`Clock`], or not at all.
-    pub fn act_by(&self, request: RequestId) -> Option<Micros> {
-        Some(self.rulings.looked(request)?.saturating_add(self.act?))
+    pub fn write_deadline(&self, request: RequestId) -> Option<Micros> {
+        Some(self.rulings.evaluated_at(request)?.saturating_add(self.act?))
     }
 
     /// Once a second: an event if what is held is to be looked at anew.
@@ -209,17 +210,17 @@
     }
 
     /// Another process of this proxy takes this one's part.
-    pub fn hand_over(&mut self) {
+    pub fn stop_consensus(&mut self) {
         self.agent.iter().for_each(Agent::stop);
     }
 
     /// What the request was last ruled by.
-    pub fn basis(&self, request: RequestId) -> Option<Basis> {
+    pub fn basis(&self, request: RequestId) -> Option<VerdictBasis> {
         self.rulings.basis(request)
     }
 
     /// What operators may know.
-    pub fn seen(&self) -> Seen {
+    pub fn status(&self) -> RulesStatus {
         let mut seen = self.board.seen().clone();
         if let Some(published) = &*self.publication.read() {
             (seen.version, seen.until) = (Some(published.number), self.publication.until(published));
@@ -228,7 +229,7 @@
         // Rounded up: 0 means that it is over.
         let left = seen.until.saturating_sub(Clock.now());
         seen.lease_left_ms = u64::try_from(left).map_or(0, |left| left.div_ceil(1_000));
-        seen.refused_in_doubt = self.rulings.refused_in_doubt();
+        seen.rejected_while_uncertain = self.rulings.rejected_while_uncertain();
         seen
     }
 }
--- a/crates/cottonnotch/src/rules/ruling.rs
+++ b/crates/cottonnotch/src/rules/ruling.rs
@@ -4,7 +4,7 @@
 
 use super::clock::Clock;
 use super::config::Unknown;
-use super::fleet::Kind;
+use super::fleet::NodeKind;
 use super::publication::{Publication, Published};
 use super::reckoning::Reckoning;
 use cottonnotch_consensus::ContentHash;
@@ -31,15 +31,15 @@
 
 /// What a request was last ruled by.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Basis {
+pub struct VerdictBasis {
     /// The version; `None`: none was known.
     pub version: Option<u64>,
     /// The musts that speak of it, if names are kept.
     pub rules: Vec<Name>,
     /// It was not known whether the version is in force.
-    pub is_doubtful: bool,
-    /// When that was looked at, by [`Clock`].
-    pub looked: Micros,
+    pub is_uncertain: bool,
+    /// When that was evaluated_at at, by [`Clock`].
+    pub evaluated_at: Micros,
 }
 
 /// The rules, as the loop has them. Clones are the same.
@@ -57,8 +57,8 @@
     /// The version that the reckoning is by.
     version: Option<(u64, ContentHash)>,
     reckoning: Reckoning,
-    basis: HashMap<RequestId, Basis>,
-    refused_in_doubt: u64,
+    basis: HashMap<RequestId, VerdictBasis>,
+    rejected_while_uncertain: u64,
 }
 
 impl Rulings {
@@ -73,7 +73,7 @@
             version: None,
             reckoning: Reckoning::default(),
             basis: HashMap::new(),
-            refused_in_doubt: 0,
+            rejected_while_uncertain: 0,
         };
         let rulings = Rulings(Rc::new(RefCell::new(state)));
         rulings.set(profile);
@@ -89,7 +89,7 @@
     }
 
     /// The list has changed in these.
-    pub fn listed(&self, full: bool, entries: &[Entry], kind_of: impl Fn(ServerId) -> Kind) {
+    pub fn listed(&self, full: bool, entries: &[Entry], kind_of: impl Fn(ServerId) -> NodeKind) {
         let mut state = self.0.borrow_mut();
         state.reckoning.fleet.listed(full, entries, kind_of);
         // Keys and counts are by kind: they are made anew.
@@ -97,7 +97,7 @@
     }
 
     /// The kinds of render node that were ever listed.
-    pub fn kinds(&self) -> Vec<Kind> {
+    pub fn kinds(&self) -> Vec<NodeKind> {
         self.0.borrow().reckoning.fleet.kinds().to_vec()
     }
 
@@ -121,18 +121,18 @@
     }
 
     /// What it was last ruled by.
-    pub fn basis(&self, request: RequestId) -> Option<Basis> {
+    pub fn basis(&self, request: RequestId) -> Option<VerdictBasis> {
         self.0.borrow().basis.get(&request).cloned()
     }
 
-    /// When that was looked at.
-    pub fn looked(&self, request: RequestId) -> Option<Micros> {
-        self.0.borrow().basis.get(&request).map(|basis| basis.looked)
+    /// When that was evaluated_at at.
+    pub fn evaluated_at(&self, request: RequestId) -> Option<Micros> {
+        self.0.borrow().basis.get(&request).map(|basis| basis.evaluated_at)
     }
 
     /// Requests that were refused since it was in doubt which rules are in force.
-    pub fn refused_in_doubt(&self) -> u64 {
-        self.0.borrow().refused_in_doubt
+    pub fn rejected_while_uncertain(&self) -> u64 {
+        self.0.borrow().rejected_while_uncertain
     }
 }
 
@@ -184,33 +184,39 @@
     fn ruling(&mut self, now: Micros, request: &Request) -> Ruling {
         let reading = self.publication.read();
         // After the version is read: a process that was stopped in between finds the lease over.
-        let looked = Clock.now();
+        let evaluated_at = Clock.now();
         let Some(published) = reading.as_ref() else {
-            self.note(request, Basis { version: None, rules: Vec::new(), is_doubtful: true, looked });
+            self.note(
+                request,
+                VerdictBasis { version: None, rules: Vec::new(), is_uncertain: true, evaluated_at },
+            );
             return self.unknown(self.doubt.before_first);
         };
         self.follow(published);
         let asked = asked(&self.tenants, &self.classes, request);
         let look = published.plan.look(&asked);
-        let is_doubtful = looked >= self.publication.until(published);
+        let is_uncertain = evaluated_at >= self.publication.until(published);
         let rules = match self.names {
             true => look.rule_names().map(Name::from).collect(),
             false => Vec::new(),
         };
-        let ruling = match (is_doubtful, look.on_doubt()) {
-            (true, None) => return self.doubted(request, published.number, rules, looked),
+        let ruling = match (is_uncertain, look.on_doubt()) {
+            (true, None) => return self.doubted(request, published.number, rules, evaluated_at),
             (true, Some(OnDoubt::Refuse { retry_ms })) => {
-                self.refused_in_doubt += 1;
+                self.rejected_while_uncertain += 1;
                 Ruling { refuse: Some(Micros::from(retry_ms) * 1_000), ..Ruling::default() }
             }
-            _ => self.reckoning.ruling(now, request.group, &look, !is_doubtful),
+            _ => self.reckoning.ruling(now, request.group, &look, !is_uncertain),
         };
-        self.note(request, Basis { version: Some(published.number), rules, is_doubtful, looked });
+        self.note(
+            request,
+            VerdictBasis { version: Some(published.number), rules, is_uncertain, evaluated_at },
+        );
         ruling
     }
 
-    fn doubted(&mut self, request: &Request, number: u64, rules: Vec<Name>, looked: Micros) -> Ruling {
-        self.note(request, Basis { version: Some(number), rules, is_doubtful: true, looked });
+    fn doubted(&mut self, request: &Request, number: u64, rules: Vec<Name>, evaluated_at: Micros) -> Ruling {
+        self.note(request, VerdictBasis { version: Some(number), rules, is_uncertain: true, evaluated_at });
         self.unknown(self.doubt.unruled)
     }
 
@@ -218,11 +224,11 @@
         if what == Unknown::Serve {
             return Ruling::default();
         }
-        self.refused_in_doubt += 1;
+        self.rejected_while_uncertain += 1;
         Ruling { refuse: Some(self.doubt.retry), ..Ruling::default() }
     }
 
-    fn note(&mut self, request: &Request, basis: Basis) {
+    fn note(&mut self, request: &Request, basis: VerdictBasis) {
         self.basis.insert(request.id, basis);
     }
 
--- a/crates/cottonnotch/src/rules/ruling/tests.rs
+++ b/crates/cottonnotch/src/rules/ruling/tests.rs
@@ -64,7 +64,7 @@
         weight: 1.0,
     };
     let entries: Vec<Entry> = proxies.map(entry).collect();
-    rulings.listed(true, &entries, |server| Kind {
+    rulings.listed(true, &entries, |server| NodeKind {
         hall: ["a", "b"][server.0 as usize % 2].into(),
         hardware: ["x", "y"][server.0 as usize / 2 % 2].into(),
     });
@@ -119,7 +119,7 @@
     let both = rulings.ruling(0, &request(3, 1, Some(0), None));
     assert_eq!((allowed(&both), &both.preferred), (vec![0, 4], &None));
     let basis = rulings.basis(RequestId(3)).unwrap();
-    assert_eq!((basis.version, basis.is_doubtful), (Some(1), false));
+    assert_eq!((basis.version, basis.is_uncertain), (Some(1), false));
     assert_eq!(
         BTreeSet::from_iter(basis.rules),
         BTreeSet::from(["consortium:edits", "consortium:north"].map(Name::from))
@@ -216,8 +216,8 @@
     publication.revoke();
     assert_eq!(rulings.ruling(0, &north), refused(250_000), "as the namespace says");
     assert_eq!(rulings.ruling(0, &other), Ruling::default(), "no must speaks of it, and wishes are dropped");
-    assert!(rulings.basis(north.id).unwrap().is_doubtful);
-    assert_eq!(rulings.refused_in_doubt(), 1);
+    assert!(rulings.basis(north.id).unwrap().is_uncertain);
+    assert_eq!(rulings.rejected_while_uncertain(), 1);
     // The lease is over by the clock alone, without a word from anybody.
     publication.grant(&plan(rules), 1, [1; 32], Clock.now() + 30_000);
     assert_eq!(allowed(&rulings.ruling(0, &north)), [0, 2, 4, 6]);
--- a/crates/cottonnotch/src/rules/settings.rs
+++ b/crates/cottonnotch/src/rules/settings.rs
@@ -1,6 +1,6 @@
 //! What the sections come to, with the files that they name read.
 
-use super::config::{self, AccordSettings};
+use super::config::{self, ConsensusSettings};
 use super::folder::{BadFolder, faulty, read_folder};
 use crate::config::Operator;
 use cottonnotch_decision::settings::Profile;
@@ -17,14 +17,14 @@
     /// What each hardware class can run.
     pub profiles: Profiles,
     /// How the others are agreed with, if they are.
-    pub accord: Option<(AccordSettings, EnvelopeKey)>,
+    pub accord: Option<(ConsensusSettings, EnvelopeKey)>,
     root: String,
     connections: u64,
 }
 
 /// Why the rules can't be as they are configured. Each message begins with the key's full path.
 #[derive(Debug, thiserror::Error)]
-pub enum BadRules {
+pub enum RulesError {
     /// A section.
     #[error("{0}")]
     Section(String),
@@ -51,21 +51,21 @@
 
 impl RulesSettings {
     /// Reads what the sections name; `None`: they are off.
-    pub fn read(operator: &Operator) -> Result<Option<Self>, BadRules> {
-        let accord = operator.accord.check().map_err(BadRules::Section)?;
-        let profiles = config::profiles(&operator.hardware).map_err(BadRules::Section)?;
+    pub fn read(operator: &Operator) -> Result<Option<Self>, RulesError> {
+        let accord = operator.accord.check().map_err(RulesError::Section)?;
+        let profiles = config::profiles(&operator.hardware).map_err(RulesError::Section)?;
         let folder = &operator.rules.folder;
         if accord.is_none() && folder.is_none() {
             return Ok(None);
         }
         let files = folder.as_deref().map(read_folder).transpose()?.unwrap_or_default();
-        let sealed = |settings: AccordSettings| {
+        let sealed = |settings: ConsensusSettings| {
             let path = settings.key_file.display().to_string();
             let text = std::fs::read(&settings.key_file)
-                .map_err(|error| BadRules::NoKey { path: path.clone(), error })?;
+                .map_err(|error| RulesError::NoKey { path: path.clone(), error })?;
             let seal =
-                EnvelopeKey::new(&text, &settings.cluster, settings.me).ok_or(BadRules::BadKey(path))?;
-            Ok::<_, BadRules>((settings, seal))
+                EnvelopeKey::new(&text, &settings.cluster, settings.me).ok_or(RulesError::BadKey(path))?;
+            Ok::<_, RulesError>((settings, seal))
         };
         let accord = accord.map(sealed).transpose()?;
         let (root, connections) = (operator.rules.root.clone(), operator.rules.connections);
@@ -73,7 +73,7 @@
     }
 
     /// Whether each file is a namespace's.
-    pub fn sound(&self) -> Result<(), BadRules> {
+    pub fn check_files(&self) -> Result<(), RulesError> {
         faulty(&self.files).map_or(Ok(()), |bad| Err(bad.into()))
     }
 
--- a/crates/cottonnotch/src/rules/worker.rs
+++ b/crates/cottonnotch/src/rules/worker.rs
@@ -1,7 +1,7 @@
 //! The thread that makes, gets, compiles and compares contents, so that neither the loop nor the accord waits for it.
 
 use super::agent::Agent;
-use super::board::Board;
+use super::board::StatusBoard;
 use super::content::{Compiled, Content, Library, hex};
 use super::overlay::{advances, overlay};
 use super::publication::Publication;
@@ -57,7 +57,7 @@
 pub struct Worker {
     way: Way,
     library: Library,
-    board: Arc<Board>,
+    board: Arc<StatusBoard>,
     members: Vec<SocketAddr>,
     files: Vec<File>,
     profiles: Profiles,
@@ -74,7 +74,7 @@
 }
 
 impl Worker {
-    pub fn new(way: Way, library: Library, board: Arc<Board>, members: Vec<SocketAddr>) -> Self {
+    pub fn new(way: Way, library: Library, board: Arc<StatusBoard>, members: Vec<SocketAddr>) -> Self {
         // Alone there is nobody who could know of an earlier version.
         let is_first = matches!(way, Way::Alone { .. }).then(Instant::now);
         Worker {
