--- a/crates/aggregation/src/homes.rs
+++ b/crates/aggregation/src/affinity_subsets.rs
@@ -6,7 +6,7 @@
 //! Invariants, asserted in debug and counted or clamped in release: no group has fewer than [`LEAST_HOMES`]; homes fall by half
 //! at most within a hold; no more groups are held than twice those of a table.
 
-use crate::gathering::GROUP_COST;
+use crate::aggregation::GROUP_COST;
 use crate::{GroupHomes, Micros};
 use std::collections::BTreeMap;
 
@@ -114,5 +114,5 @@
 }
 
 #[cfg(test)]
-#[path = "homes_tests.rs"]
+#[path = "affinity_subsets_tests.rs"]
 mod tests;
--- a/crates/aggregation/src/gathering.rs
+++ b/crates/aggregation/src/aggregation.rs
@@ -1,7 +1,7 @@
 //! What a keeper has been told, and the sums of it. Each member counts with its newest report, as long as that is fresh.
 
 use crate::wire::{Entry, LEAST_USE, Report, Subchannel, Table, Totals, Word, write_table};
-use crate::{Micros, Settings, pace};
+use crate::{Micros, Settings, report_interval};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Load that each group adds to each subchannel which holds any of it, in mean connection loads: the platform's figure,
@@ -174,7 +174,7 @@
         let reports: usize = self.claims.values().map(|claim| claim.bytes).sum();
         let tables: usize = write_table(table).iter().map(Vec::len).sum();
         let bytes = reports as f64 / self.claims.len().max(1) as f64 + tables as f64 + self.beside;
-        pace::period(settings, f64::from(table.members), bytes, table.totals.requests)
+        report_interval::period(settings, f64::from(table.members), bytes, table.totals.requests)
     }
 
     fn sum(&self, young: bool, size: impl Fn(Subchannel) -> Option<f64>) -> Table {
--- a/crates/aggregation/src/group_sums.rs
+++ b/crates/aggregation/src/group_sums.rs
@@ -1,8 +1,8 @@
 //! What a keeper was told of groups, and the homes that follow from the sums. Grows with members times the groups of a report,
 //! which the wire bounds; a claim ages out as reports do.
 
-use crate::gathering::{ALWAYS, KEPT_HALVES, LEAST_NEXT, MOST_OF_USUAL};
-use crate::homes::{LEAST_HOMES, Nodes, needed};
+use crate::affinity_subsets::{LEAST_HOMES, Nodes, needed};
+use crate::aggregation::{ALWAYS, KEPT_HALVES, LEAST_NEXT, MOST_OF_USUAL};
 use crate::wire::Groups;
 use crate::{GroupHomes, Micros, Settings};
 use std::collections::BTreeMap;
--- a/crates/aggregation/src/lib.rs
+++ b/crates/aggregation/src/lib.rs
@@ -9,23 +9,23 @@
 //! The keeper also sums up what all have of each large group, and tells how many homes those need that five are too few for:
 //! `docs/design/group-homes.md`.
 
+pub mod affinity_subsets;
+mod aggregation;
+mod aggregator_order;
 mod config;
-mod gathering;
 pub mod group_sums;
 pub mod groups;
-pub mod homes;
 mod member;
-mod order;
-mod pace;
-mod view;
+mod report_interval;
+mod snapshot;
 pub mod wire;
 
+pub use aggregation::{Claim, Gathering};
+pub use aggregator_order::{EPOCH, keepers};
 pub use config::{BadFleet, FleetSection, GroupHomes, Settings};
-pub use gathering::{Claim, Gathering};
 pub use groups::GroupLoad;
 pub use member::{Counts, Input, Member, Output, Own};
-pub use order::{EPOCH, keepers};
-pub use view::{Told, View};
+pub use snapshot::{Told, View};
 pub use wire::{Entry, Subchannel, Word};
 
 /// A point in time or a span, in microseconds.
--- a/crates/aggregation/src/member.rs
+++ b/crates/aggregation/src/member.rs
@@ -1,12 +1,12 @@
 //! One member: reports to the keeper, asks others when that is silent, and is keeper when it is asked.
 
-use crate::gathering::Gathering;
+use crate::affinity_subsets::{GroupsHomes, LEAST_HOMES, Nodes, needed, room};
+use crate::aggregation::Gathering;
+use crate::aggregator_order::{EPOCH, keepers};
 use crate::group_sums::{GroupSums, Heard};
 use crate::groups::{GroupLoad, heaviest};
-use crate::homes::{GroupsHomes, LEAST_HOMES, Nodes, needed, room};
-use crate::order::{EPOCH, keepers};
-use crate::pace;
-use crate::view::View;
+use crate::report_interval;
+use crate::snapshot::View;
 use crate::wire::{self, Datagram, Entry, Groups, Homes, Report, Subchannel, Table, Totals};
 use crate::{GroupHomes, Micros, Settings};
 use rand::{RngExt, SeedableRng};
@@ -239,7 +239,7 @@
     /// Between two reports, as the keeper wants it; within this member's own bounds, whatever that says.
     pub fn period(&self) -> Micros {
         let told = self.view.as_ref().filter(|view| self.now - view.at < 4 * self.settings.longest_period);
-        let period = told.map_or(pace::UNKNOWN, |view| view.period);
+        let period = told.map_or(report_interval::UNKNOWN, |view| view.period);
         period.clamp(self.settings.period, self.settings.longest_period)
     }
 
--- a/crates/gossip/src/gossip.rs
+++ b/crates/gossip/src/gossip.rs
@@ -1,14 +1,14 @@
 //! One member: its inputs, its outputs, its clock. What it does with a datagram is in `receiving` and `hearsay`, how it asks
 //! for signs of life in `probing`, what it sends in `telling`.
 
-use crate::ceiling::{Bucket, Ceiling};
+use crate::bandwidth_limit::{Bucket, Ceiling};
+use crate::broadcast_queue::Rumours;
 use crate::health::Health;
-use crate::own::Own;
+use crate::local_state::Own;
 use crate::peer::{Peer, State};
 use crate::probing::{Probes, Suspicion};
 use crate::rotation::Rotation;
-use crate::rumours::Rumours;
-use crate::telling::Leaving;
+use crate::sending::Leaving;
 use crate::{Counts, Entry, Incarnation, Keys, Micros, Settings, To};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -5,25 +5,25 @@
 //! microseconds of one clock that never goes back. `docs/design/gossip.md` says why it is built so, what goes over the wire,
 //! and what a liar can and can't do.
 
-mod ceiling;
+mod bandwidth_limit;
+mod broadcast_queue;
 mod config;
 mod counts;
 mod entry;
 mod gossip;
 mod health;
-mod hearsay;
 mod incarnation;
+mod indirect_reports;
 mod keys;
-mod ledger;
-mod own;
+mod local_state;
+mod observations;
 mod peer;
+mod peer_state;
 mod probing;
 mod receiving;
+mod replay_window;
 mod rotation;
-mod rumours;
-mod telling;
-mod told;
-mod window;
+mod sending;
 pub mod wire;
 
 pub use config::{BadGossip, GossipSection, Settings};
@@ -32,7 +32,7 @@
 pub use gossip::{Gossip, Input, Output};
 pub use incarnation::Incarnation;
 pub use keys::{BadKeys, Keys, SharedKey, Strength};
-pub use ledger::{Ledger, Met};
+pub use observations::{Ledger, Met};
 pub use peer::State;
 pub use wire::To;
 
--- a/crates/gossip/src/peer.rs
+++ b/crates/gossip/src/peer.rs
@@ -1,8 +1,8 @@
 //! What is known of one other member.
 
-use crate::ceiling::Bucket;
-use crate::told::Told;
-use crate::window::Window;
+use crate::bandwidth_limit::Bucket;
+use crate::peer_state::Told;
+use crate::replay_window::Window;
 use crate::{Incarnation, Micros};
 
 /// Members that are remembered for having said so: more don't shorten a suspicion (Lifeguard's K), and two liars are
--- a/crates/gossip/src/told.rs
+++ b/crates/gossip/src/peer_state.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 use crate::entry::{Entry, Subchannel};
-use crate::own::MOST_ENTRIES;
+use crate::local_state::MOST_ENTRIES;
 use std::collections::BTreeMap;
 
 /// Entries that were told to be no more are kept so that a late datagram does not bring them back; so many at most.
--- a/crates/gossip/src/telling.rs
+++ b/crates/gossip/src/sending.rs
@@ -3,7 +3,7 @@
 use crate::config::JITTER;
 use crate::peer::State;
 use crate::wire::{Draft, Header, Part, Rumour, To, Word};
-use crate::{Entry, Gossip, Micros, Output, Purpose, rumours};
+use crate::{Entry, Gossip, Micros, Output, Purpose, broadcast_queue};
 use rand::RngExt;
 use rand::seq::SliceRandom;
 
@@ -84,7 +84,7 @@
         self.counts.sent_bytes += copies * bytes;
         // What went to one that may be gone was hardly told.
         if accusation.is_none() {
-            let limit = rumours::tellings(self.live_others() + 1, self.settings.fan_out);
+            let limit = broadcast_queue::tellings(self.live_others() + 1, self.settings.fan_out);
             self.rumours.told(&rumours, copies as u32, limit);
         }
         let bytes = draft.finish(&self.keys, to);
