--- a/crates/aggregation/benches/homes.rs
+++ b/crates/aggregation/benches/homes.rs
@@ -16,7 +16,7 @@
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 const LARGEST: u32 = 1_000_000;
-/// Groups that the simulation has; smaller ones need five homes at any size.
+/// GroupReport that the simulation has; smaller ones need five homes at any size.
 const GROUPS: u64 = 400;
 
 fn main() {
@@ -48,7 +48,7 @@
     let core: Vec<f64> = busy.iter().zip(&sim.busy).map(|(a, b)| per_s((*b - *a).as_secs_f64())).collect();
     let mean = |all: &[f64]| all.iter().sum::<f64>() / all.len() as f64;
     let most = |all: &[f64]| all.iter().copied().fold(0.0, f64::max);
-    let period = sim.members[0].as_ref().map_or(0, |one| one.period());
+    let period = sim.members[0].as_ref().map_or(0, |one| one.report_interval());
     let (least, middle, highest) = sim.spread(1);
     let held = region.change();
     println!(
--- a/crates/aggregation/src/affinity_subsets.rs
+++ b/crates/aggregation/src/affinity_subsets.rs
@@ -1,4 +1,4 @@
-//! Homes by a group's size: how many a load needs, and how many this proxy acts on ([`GroupsHomes`]).
+//! SubsetSizes by a group's size: how many a load needs, and how many this proxy acts on ([`AffinitySubsets`]).
 //!
 //! The side that errs: too many homes cost the group's own work once more at each; too few push nodes over. A member that
 //! isn't heard may be dead or only cut off, its connections still there. So homes rise at once and fall slowly.
@@ -7,7 +7,7 @@
 //! at most within a hold; no more groups are held than twice those of a table.
 
 use crate::aggregation::GROUP_COST;
-use crate::{GroupHomes, Micros};
+use crate::{AffinitySettings, Micros};
 use std::collections::BTreeMap;
 
 /// Every group has so many.
@@ -50,18 +50,18 @@
 
 /// The homes that a proxy acts on, of the groups that have more than five.
 #[derive(Debug, Default)]
-pub struct GroupsHomes {
+pub struct AffinitySubsets {
     held: BTreeMap<u64, Held>,
     most: usize,
     hold: Micros,
-    /// Groups that found no room.
+    /// GroupReport that found no room.
     pub dropped: u64,
 }
 
-impl GroupsHomes {
+impl AffinitySubsets {
     /// None yet. Holds twice as many groups as a table names: those that are named now, and those that fall.
-    pub fn new(settings: &GroupHomes) -> Self {
-        GroupsHomes { held: BTreeMap::new(), most: 2 * settings.groups, hold: settings.hold, dropped: 0 }
+    pub fn new(settings: &AffinitySettings) -> Self {
+        AffinitySubsets { held: BTreeMap::new(), most: 2 * settings.groups, hold: settings.hold, dropped: 0 }
     }
 
     /// A group needs so many, as somebody says. Whether that changed anything.
--- a/crates/aggregation/src/affinity_subsets_tests.rs
+++ b/crates/aggregation/src/affinity_subsets_tests.rs
@@ -2,7 +2,8 @@
 use proptest::prelude::*;
 
 const S: Micros = 1_000_000;
-const SETTINGS: GroupHomes = GroupHomes { groups: 4, home_use: 0.25, hold: 600 * S, keep: 180 * S };
+const SETTINGS: AffinitySettings =
+    AffinitySettings { groups: 4, home_use: 0.25, hold: 600 * S, keep: 180 * S };
 
 proptest! {
     /// The plain oracle: the least number whose homes each have room for their part and what the group costs there.
@@ -22,7 +23,7 @@
     fn homes_rise_at_once_and_fall_by_half_in_a_hold_at_most(
         steps in prop::collection::vec((0..200_i64, 0..12_u64, 0..3_000_u32), 1..300),
     ) {
-        let mut homes = GroupsHomes::new(&SETTINGS);
+        let mut homes = AffinitySubsets::new(&SETTINGS);
         let mut past: Vec<(Micros, BTreeMap<u64, u32>)> = Vec::new();
         let mut now = 0;
         for (wait, group, told) in steps {
@@ -58,7 +59,7 @@
 
 #[test]
 fn one_that_swings_keeps_the_most_of_a_hold() {
-    let mut homes = GroupsHomes::new(&SETTINGS);
+    let mut homes = AffinitySubsets::new(&SETTINGS);
     for second in 0..1_800 {
         homes.told(second * S, 1, if second % 7 == 0 { 40 } else { 36 });
         homes.settle(second * S);
@@ -75,7 +76,7 @@
 /// 100,000 names: those that came first have their room, the others are counted.
 #[test]
 fn a_flood_of_names_takes_no_more_room_than_stated() {
-    let mut homes = GroupsHomes::new(&SETTINGS);
+    let mut homes = AffinitySubsets::new(&SETTINGS);
     homes.told(0, 7, 9);
     (1_000..101_000).for_each(|name| assert_eq!(homes.told(S, name, 2_000), name < 1_007));
     assert_eq!((homes.of(7), homes.all().count()), (9, 8));
--- a/crates/aggregation/src/aggregator_order.rs
+++ b/crates/aggregation/src/aggregator_order.rs
@@ -1,9 +1,9 @@
-//! Who is keeper, and who takes its place: an order that all members work out alike, another one each epoch.
+//! Who is aggregator, and who takes its place: an order that all members work out alike, another one each epoch.
 
 use crate::Micros;
 
-/// How long one order counts. Short enough that a keeper that lies, one of 300, has its say for 3 s of 1,000; long beside
-/// the period in which a new keeper gathers its reports.
+/// How long one order counts. Short enough that a aggregator that lies, one of 300, has its say for 3 s of 1,000; long beside
+/// the period in which a new aggregator gathers its reports.
 pub const EPOCH: Micros = 20_000_000;
 /// So many are worth asking when those before them don't answer: with seven of ten gone all at once, all 24 are gone in one
 /// case of 5,000.
@@ -18,8 +18,8 @@
     z ^ (z >> 31)
 }
 
-/// The first ones of an epoch's order, the keeper first. One member more or less changes the places of no others.
-pub fn keepers(epoch: u64, members: u32) -> Vec<u32> {
+/// The first ones of an epoch's order, the aggregator first. One member more or less changes the places of no others.
+pub fn aggregator_order(epoch: u64, members: u32) -> Vec<u32> {
     let mut all: Vec<(u64, u32)> = (0..members).map(|ordinal| (score(epoch, ordinal), ordinal)).collect();
     let first = CANDIDATES.min(all.len());
     if first < all.len() {
@@ -38,12 +38,14 @@
     fn duty_goes_round_evenly_and_one_more_member_changes_little() {
         let mut duty = vec![0_u32; 300];
         for epoch in 0..30_000 {
-            duty[keepers(epoch, 300)[0] as usize] += 1;
+            duty[aggregator_order(epoch, 300)[0] as usize] += 1;
         }
         assert!(duty.iter().all(|times| (50..170).contains(times)), "{duty:?}");
-        let differ = (0..1_000).filter(|epoch| keepers(*epoch, 300)[0] != keepers(*epoch, 301)[0]).count();
-        assert!(differ < 15, "{differ} of 1,000 epochs have another keeper");
-        assert_eq!(keepers(7, 3).len(), 3);
-        assert!(keepers(7, 0).is_empty());
+        let differ = (0..1_000)
+            .filter(|epoch| aggregator_order(*epoch, 300)[0] != aggregator_order(*epoch, 301)[0])
+            .count();
+        assert!(differ < 15, "{differ} of 1,000 epochs have another aggregator");
+        assert_eq!(aggregator_order(7, 3).len(), 3);
+        assert!(aggregator_order(7, 0).is_empty());
     }
 }
--- a/crates/aggregation/src/config.rs
+++ b/crates/aggregation/src/config.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetSection {
-    /// A tier of so many proxies or more has a fleet view, in place of gossip.
+    /// A tier of so many proxies or more has a fleet snapshot, in place of gossip.
     pub members_from: Option<u32>,
     /// Ceiling of the whole tier: full datagrams (256 bytes) sent for each request that comes to any of its proxies.
     pub datagrams_per_request: f64,
@@ -57,10 +57,10 @@
     }
 }
 
-/// Homes by a group's size, checked and on. Times in microseconds.
+/// SubsetSizes by a group's size, checked and on. Times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct GroupHomes {
-    /// Groups of one report, or of one table, at most.
+pub struct AffinitySettings {
+    /// GroupReport of one report, or of one table, at most.
     pub groups: usize,
     /// Part of a node's size for one group at each of its homes.
     pub home_use: f64,
@@ -81,13 +81,13 @@
     pub period: i64,
     /// Between two reports at most.
     pub longest_period: i64,
-    /// Homes by a group's size; `None`: five, whatever its size.
-    pub group_homes: Option<GroupHomes>,
+    /// SubsetSizes by a group's size; `None`: five, whatever its size.
+    pub affinity: Option<AffinitySettings>,
 }
 
 /// What is wrong with the section; the message begins with the key.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum BadFleet {
+pub enum FleetSectionError {
     /// Out of bounds.
     #[error("fleet.{key} is not within {least} to {most}: '{value}'")]
     OutOfBounds {
@@ -112,10 +112,10 @@
 
 impl FleetSection {
     /// The settings, if the section is sound; `None` if it is off. Bounds are checked even then.
-    pub fn check(&self) -> Result<Option<Settings>, BadFleet> {
+    pub fn check(&self) -> Result<Option<Settings>, FleetSectionError> {
         let within = |key, value: f64, least: f64, most: f64| match value {
             _ if (least..=most).contains(&value) => Ok(()),
-            _ => Err(BadFleet::OutOfBounds { key, least, most, value }),
+            _ => Err(FleetSectionError::OutOfBounds { key, least, most, value }),
         };
         let (least, most) = (f64::from(MEMBERS_WITHIN.0), f64::from(MEMBERS_WITHIN.1));
         within("members_from", self.members_from.map_or(least, f64::from), least, most)?;
@@ -131,14 +131,14 @@
         within("homes_hold_s", f64::from(self.homes_hold_s), least, most)?;
         within("homes_keep_s", f64::from(self.homes_keep_s), least, most)?;
         if self.longest_period_ms < self.period_ms {
-            return Err(BadFleet::Order { longest: self.longest_period_ms, least: self.period_ms });
+            return Err(FleetSectionError::Order { longest: self.longest_period_ms, least: self.period_ms });
         }
         Ok(self.members_from.map(|members_from| Settings {
             members_from,
             datagrams_per_request: self.datagrams_per_request,
             period: i64::from(self.period_ms) * 1_000,
             longest_period: i64::from(self.longest_period_ms) * 1_000,
-            group_homes: self.group_homes.map(|groups| GroupHomes {
+            affinity: self.group_homes.map(|groups| AffinitySettings {
                 groups: groups as usize,
                 home_use: self.home_use,
                 hold: i64::from(self.homes_hold_s) * 1_000_000,
@@ -160,8 +160,8 @@
         };
         assert_eq!(check(""), Ok(None));
         assert_eq!(check("members_from = 24").unwrap().unwrap().period, 1_000_000);
-        assert_eq!(check("members_from = 24").unwrap().unwrap().group_homes, None, "five homes unless said");
-        let homes = check("members_from = 24\ngroup_homes = 64").unwrap().unwrap().group_homes.unwrap();
+        assert_eq!(check("members_from = 24").unwrap().unwrap().affinity, None, "five homes unless said");
+        let homes = check("members_from = 24\ngroup_homes = 64").unwrap().unwrap().affinity.unwrap();
         assert_eq!((homes.groups, homes.hold, homes.keep), (64, 600_000_000, 180_000_000));
         for (text, named) in [
             ("members = 3", "unknown field"),
--- a/crates/aggregation/src/group_sums.rs
+++ b/crates/aggregation/src/group_sums.rs
@@ -1,10 +1,10 @@
-//! What a keeper was told of groups, and the homes that follow from the sums. Grows with members times the groups of a report,
-//! which the wire bounds; a claim ages out as reports do.
+//! What a aggregator was told of groups, and the homes that follow from the sums. Grows with members times the groups of a report,
+//! which the wire bounds; a member_report ages out as reports do.
 
 use crate::affinity_subsets::{LEAST_HOMES, Nodes, needed};
 use crate::aggregation::{ALWAYS, KEPT_HALVES, LEAST_NEXT, MOST_OF_USUAL};
-use crate::wire::Groups;
-use crate::{GroupHomes, Micros, Settings};
+use crate::wire::GroupReport;
+use crate::{AffinitySettings, Micros, Settings};
 use std::collections::BTreeMap;
 
 /// A table is made anew after this: a group's size changes within minutes, and 440 members' groups take a millisecond or two.
@@ -13,9 +13,9 @@
 /// the connections of the half that is cut off are still there.
 const MOST_UNHEARD: f64 = 2.0;
 
-/// What the keeper knows of its tier beside groups.
+/// What the aggregator knows of its tier beside groups.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Heard {
+pub struct FleetTotals {
     /// Members that the tier has.
     pub tier: u32,
     /// ... and that report.
@@ -30,7 +30,7 @@
     pub nodes: Nodes,
 }
 
-impl Heard {
+impl FleetTotals {
     /// What a sum over the members that tell their groups is multiplied with, to stand for all.
     fn scale(&self) -> f64 {
         let told = if self.with_groups > 0.0 {
@@ -43,7 +43,7 @@
 }
 
 #[derive(Debug)]
-struct Claim {
+struct MemberReport {
     until: Micros,
     generation: u16,
     parts: u8,
@@ -56,70 +56,84 @@
 /// All that was told of groups.
 #[derive(Debug, Default)]
 pub struct GroupSums {
-    claims: BTreeMap<u32, Claim>,
+    reports: BTreeMap<u32, MemberReport>,
     table: Option<(Micros, Vec<(u64, u32)>)>,
-    /// Groups that found no room in a table.
+    /// GroupReport that found no room in a table.
     pub cut: u64,
 }
 
 impl GroupSums {
-    /// A datagram of so many bytes has come. The same part of a report again changes nothing, so a claim is two reports at most;
+    /// A datagram of so many bytes has come. The same part of a report again changes nothing, so a member_report is two reports at most;
     /// false if it names other groups than the first, which no honest member's does.
-    pub fn take(&mut self, settings: &Settings, now: Micros, from: u32, bytes: usize, told: Groups) -> bool {
+    pub fn take(
+        &mut self,
+        settings: &Settings,
+        now: Micros,
+        from: u32,
+        bytes: usize,
+        told: GroupReport,
+    ) -> bool {
         let (generation, bit) = (told.generation, 1_u16 << (told.part.0 & 15));
-        let fresh =
-            Claim { until: now, generation, parts: told.part.1, come: 0, bytes: 0, groups: BTreeMap::new() };
-        let claim = self.claims.entry(from).or_insert(fresh);
-        let newer = generation.wrapping_sub(claim.generation) as i16;
+        let fresh = MemberReport {
+            until: now,
+            generation,
+            parts: told.part.1,
+            come: 0,
+            bytes: 0,
+            groups: BTreeMap::new(),
+        };
+        let member_report = self.reports.entry(from).or_insert(fresh);
+        let newer = generation.wrapping_sub(member_report.generation) as i16;
         if newer < 0 && newer > -16 {
             // Overtaken on the way. One that is far behind is of a new process.
             return true;
         }
         if newer != 0 {
-            let before = claim.generation;
-            claim.groups.retain(|_, (of, _)| newer > 0 && *of == before);
-            (claim.generation, claim.parts, claim.come, claim.bytes) = (generation, told.part.1, 0, 0);
+            let before = member_report.generation;
+            member_report.groups.retain(|_, (of, _)| newer > 0 && *of == before);
+            (member_report.generation, member_report.parts, member_report.come, member_report.bytes) =
+                (generation, told.part.1, 0, 0);
         }
         // No honest member is silent for longer, whatever this one says.
         let next = told.next.clamp(LEAST_NEXT, 5 * settings.longest_period / 2);
-        claim.until = now + KEPT_HALVES * next / 2;
-        if claim.come & bit != 0 {
-            return told.groups.iter().all(|(group, _)| claim.groups.contains_key(group));
+        member_report.until = now + KEPT_HALVES * next / 2;
+        if member_report.come & bit != 0 {
+            return told.groups.iter().all(|(group, _)| member_report.groups.contains_key(group));
         }
-        claim.bytes += bytes;
-        claim.come |= bit;
-        claim.groups.extend(told.groups.into_iter().map(|(group, load)| (group, (generation, load))));
-        if claim.come.count_ones() >= u32::from(claim.parts) {
-            claim.groups.retain(|_, (of, _)| *of == generation);
+        member_report.bytes += bytes;
+        member_report.come |= bit;
+        member_report.groups.extend(told.groups.into_iter().map(|(group, load)| (group, (generation, load))));
+        if member_report.come.count_ones() >= u32::from(member_report.parts) {
+            member_report.groups.retain(|_, (of, _)| *of == generation);
         }
         true
     }
 
     /// A member has left.
     pub fn forget(&mut self, member: u32) {
-        self.claims.remove(&member);
+        self.reports.remove(&member);
     }
 
     /// Only these members count.
     pub fn keep(&mut self, heard: impl Fn(u32) -> bool) {
-        self.claims.retain(|member, _| heard(*member));
+        self.reports.retain(|member, _| heard(*member));
     }
 
     /// What is old doesn't count any more, and takes no room.
     pub fn forget_old(&mut self, now: Micros) {
-        self.claims.retain(|_, claim| now <= claim.until);
+        self.reports.retain(|_, member_report| now <= member_report.until);
     }
 
     /// Whether this member tells its groups.
     pub fn has(&self, member: u32) -> bool {
-        self.claims.contains_key(&member)
+        self.reports.contains_key(&member)
     }
 
     /// Bytes to and fro for each report, beside those of the reports and tables.
     pub fn bytes(&self) -> f64 {
-        let told: usize = self.claims.values().map(|claim| claim.bytes).sum();
+        let told: usize = self.reports.values().map(|member_report| member_report.bytes).sum();
         let table = self.table.as_ref().map_or(0, |(_, homes)| 10 * homes.len());
-        told as f64 / self.claims.len().max(1) as f64 + table as f64
+        told as f64 / self.reports.len().max(1) as f64 + table as f64
     }
 
     /// The last table, while it is not to be made anew.
@@ -128,7 +142,12 @@
     }
 
     /// The groups that need more than five homes, those that need most first.
-    pub fn table(&mut self, settings: &GroupHomes, now: Micros, heard: &Heard) -> Vec<(u64, u32)> {
+    pub fn table(
+        &mut self,
+        settings: &AffinitySettings,
+        now: Micros,
+        heard: &FleetTotals,
+    ) -> Vec<(u64, u32)> {
         if let Some(table) = self.fresh(now) {
             return table;
         }
@@ -149,12 +168,12 @@
 
     /// Each group's load over all that tell theirs. No member counts for more than twice what 19 of 20 have of a group, and
     /// four connections: one that lies moves a sum by no more. Of a tier half counts at least, as if the rest of that had nothing:
-    /// a keeper that hears three members would take one of them for the usual.
+    /// a aggregator that hears three members would take one of them for the usual.
     pub fn sums(&self, mean_load: f64, tier: u32) -> Vec<(u64, f64)> {
-        let told = self.claims.values().flat_map(|claim| &claim.groups);
+        let told = self.reports.values().flat_map(|member_report| &member_report.groups);
         let mut all: Vec<(u64, f64)> = told.map(|(group, (_, load))| (*group, *load)).collect();
         all.sort_unstable_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-        let members = self.claims.len().max(tier as usize / 2);
+        let members = self.reports.len().max(tier as usize / 2);
         // The 19th of 20; those that don't name the group have nothing of it.
         let place = (members * 19 / 20).saturating_sub(1);
         let sum = |of: &[(u64, f64)]| {
--- a/crates/aggregation/src/group_sums_tests.rs
+++ b/crates/aggregation/src/group_sums_tests.rs
@@ -10,14 +10,14 @@
     section.check().unwrap().unwrap()
 }
 
-fn told(generation: u16, part: (u8, u8), groups: &[(u64, f64)]) -> Groups {
-    Groups { generation, part, no_answer: false, next: S, groups: groups.to_vec() }
+fn told(generation: u16, part: (u8, u8), groups: &[(u64, f64)]) -> GroupReport {
+    GroupReport { generation, part, no_answer: false, next: S, groups: groups.to_vec() }
 }
 
-fn heard(members: u32) -> Heard {
+fn heard(members: u32) -> FleetTotals {
     let connections = f64::from(members) * 10.0;
     let nodes = Nodes { count: 90, size: 1e4 };
-    Heard { tier: members, members, connections, with_groups: connections, mean_load: MEAN, nodes }
+    FleetTotals { tier: members, members, connections, with_groups: connections, mean_load: MEAN, nodes }
 }
 
 proptest! {
@@ -65,7 +65,7 @@
     }
 }
 
-/// A keeper that hears few: of one member alone nothing is believed beyond four connections.
+/// A aggregator that hears few: of one member alone nothing is believed beyond four connections.
 #[test]
 fn where_few_are_heard_none_is_taken_for_the_usual() {
     let mut sums = GroupSums::default();
@@ -84,7 +84,7 @@
         sums.take(&settings(), 0, member, 40, told(1, (0, 1), &[(1, 500.0)]));
     });
     sums.take(&settings(), 0, 39, 40, told(1, (0, 1), &[(2, 1e9 * MEAN)]));
-    let homes = settings().group_homes.unwrap();
+    let homes = settings().affinity.unwrap();
     // 39 x 500 over a quarter of 10,000 less 3 x 100: nine homes.
     assert_eq!(sums.table(&homes, 0, &heard(40)), [(1, 9)]);
 }
@@ -96,7 +96,7 @@
     (0..30).for_each(|member| {
         sums.take(&settings(), 0, member, 40, told(1, (0, 1), &groups));
     });
-    let homes = settings().group_homes.unwrap();
+    let homes = settings().affinity.unwrap();
     let table = sums.table(&homes, 0, &heard(30));
     let named: Vec<u64> = table.iter().map(|(group, _)| *group).collect();
     assert_eq!((named, sums.cut), (vec![19, 18, 17], 17));
@@ -106,8 +106,8 @@
 /// Half of the tier has an older program, which reports and tells no groups; a region can't be heard.
 #[test]
 fn those_that_tell_nothing_are_taken_to_be_like_the_others() {
-    let homes = settings().group_homes.unwrap();
-    let needs = |heard: Heard| {
+    let homes = settings().affinity.unwrap();
+    let needs = |heard: FleetTotals| {
         let mut sums = GroupSums::default();
         (0..30).for_each(|member| {
             sums.take(&settings(), 0, member, 40, told(1, (0, 1), &[(1, 1_000.0)]));
@@ -115,10 +115,10 @@
         sums.table(&homes, 0, &heard)[0].1
     };
     assert_eq!(needs(heard(30)), 14);
-    let older = Heard { tier: 60, members: 60, connections: 600.0, with_groups: 300.0, ..heard(30) };
+    let older = FleetTotals { tier: 60, members: 60, connections: 600.0, with_groups: 300.0, ..heard(30) };
     assert_eq!(needs(older), 28, "half of the connections are of members that tell no groups");
-    assert_eq!(needs(Heard { tier: 60, ..heard(30) }), 28, "half isn't heard");
-    assert_eq!(needs(Heard { tier: 440, ..heard(30) }), 28, "no more than as many again");
+    assert_eq!(needs(FleetTotals { tier: 60, ..heard(30) }), 28, "half isn't heard");
+    assert_eq!(needs(FleetTotals { tier: 440, ..heard(30) }), 28, "no more than as many again");
 }
 
 #[test]
@@ -134,11 +134,17 @@
     sums.forget_old(4 * S);
     assert_eq!(sums.sums(MEAN, 30), [(1, 12.0)]);
     sums.forget_old(5 * S);
-    assert!(sums.sums(MEAN, 30).is_empty() && sums.claims.is_empty());
+    assert!(sums.sums(MEAN, 30).is_empty() && sums.reports.is_empty());
     // Who says that its next report comes in a year is forgotten as others are.
-    sums.take(&settings(), 5 * S, 1, 40, Groups { next: 31_536_000 * S, ..told(4, (0, 1), &[(1, 12.0)]) });
+    sums.take(
+        &settings(),
+        5 * S,
+        1,
+        40,
+        GroupReport { next: 31_536_000 * S, ..told(4, (0, 1), &[(1, 12.0)]) },
+    );
     sums.forget_old(60 * S);
-    assert!(sums.claims.is_empty());
+    assert!(sums.reports.is_empty());
 }
 
 /// As many names as datagrams hold, in each report others: nothing adds up.
@@ -151,7 +157,7 @@
             let groups: Vec<(u64, f64)> = (0..27).map(|name| (base | name, 1.0)).collect();
             sums.take(&settings(), 0, 1, 256, told(generation, (part, 16), &groups));
         }
-        assert!(sums.claims[&1].groups.len() <= 2 * 16 * 27, "{}", sums.claims[&1].groups.len());
+        assert!(sums.reports[&1].groups.len() <= 2 * 16 * 27, "{}", sums.reports[&1].groups.len());
     }
 }
 
@@ -163,15 +169,15 @@
         let groups: Vec<(u64, f64)> = (0..27).map(|name| (again << 8 | name, 1.0)).collect();
         sums.take(&settings(), 0, 1, 256, told(1, (0, 2), &groups))
     });
-    assert_eq!((sound.count(), sums.claims[&1].groups.len()), (1, 27));
+    assert_eq!((sound.count(), sums.reports[&1].groups.len()), (1, 27));
 }
 
-/// The first new one of a tier of older programs is keeper: what it has stands for no more than as much again.
+/// The first new one of a tier of older programs is aggregator: what it has stands for no more than as much again.
 #[test]
 fn a_few_that_tell_groups_do_not_stand_for_all() {
     let mut sums = GroupSums::default();
     sums.take(&settings(), 0, 1, 40, told(1, (0, 1), &[(1, 40.0)]));
-    let heard = Heard { tier: 30, members: 30, connections: 1e6, with_groups: 4.0, ..heard(30) };
-    let table = sums.table(&settings().group_homes.unwrap(), 0, &heard);
+    let heard = FleetTotals { tier: 30, members: 30, connections: 1e6, with_groups: 4.0, ..heard(30) };
+    let table = sums.table(&settings().affinity.unwrap(), 0, &heard);
     assert!(table.is_empty(), "{table:?}");
 }
--- a/crates/aggregation/src/groups.rs
+++ b/crates/aggregation/src/groups.rs
@@ -6,7 +6,7 @@
     /// Digest of its name, the same at every proxy.
     pub group: u64,
     /// This proxy's connections of it.
-    pub count: u32,
+    pub connections: u32,
     /// Their summed load, work in microseconds a second.
     pub load: f64,
 }
--- a/crates/aggregation/src/groups_tests.rs
+++ b/crates/aggregation/src/groups_tests.rs
@@ -6,7 +6,7 @@
     #[test]
     fn the_heaviest_are_kept(loads in prop::collection::vec(0..50_u32, 0..200), most in 1..40_usize, least in 0..20_u32) {
         let groups: Vec<GroupLoad> = (loads.iter().enumerate())
-            .map(|(group, load)| GroupLoad { group: group as u64, count: 1, load: f64::from(*load) })
+            .map(|(group, load)| GroupLoad { group: group as u64, connections: 1, load: f64::from(*load) })
             .collect();
         let mut oracle: Vec<GroupLoad> = groups.iter().copied().filter(|one| one.load >= f64::from(least)).collect();
         oracle.sort_by(|a, b| b.load.total_cmp(&a.load).then(a.group.cmp(&b.group)));
@@ -18,6 +18,6 @@
 
 #[test]
 fn what_is_no_load_is_no_group() {
-    let group = |load| GroupLoad { group: 1, count: 1, load };
+    let group = |load| GroupLoad { group: 1, connections: 1, load };
     assert_eq!(heaviest(vec![group(f64::NAN), group(f64::INFINITY)], 4, 0.0), (vec![], 0));
 }
--- a/crates/aggregation/src/member.rs
+++ b/crates/aggregation/src/member.rs
@@ -1,21 +1,23 @@
-//! One member: reports to the keeper, asks others when that is silent, and is keeper when it is asked.
+//! One member: reports to the aggregator, asks others when that is silent, and is aggregator when it is asked.
 
-use crate::affinity_subsets::{GroupsHomes, LEAST_HOMES, Nodes, needed, room};
-use crate::aggregation::Gathering;
-use crate::aggregator_order::{EPOCH, keepers};
-use crate::group_sums::{GroupSums, Heard};
+use crate::affinity_subsets::{AffinitySubsets, LEAST_HOMES, Nodes, needed, room};
+use crate::aggregation::Aggregation;
+use crate::aggregator_order::{EPOCH, aggregator_order};
+use crate::group_sums::{FleetTotals, GroupSums};
 use crate::groups::{GroupLoad, heaviest};
 use crate::report_interval;
-use crate::snapshot::View;
-use crate::wire::{self, Datagram, Entry, Groups, Homes, Report, Subchannel, Table, Totals};
-use crate::{GroupHomes, Micros, Settings};
+use crate::snapshot::Snapshot;
+use crate::wire::{
+    self, Datagram, EndpointDigest, Entry, FleetSummary, GroupReport, Report, SubsetSizes, Totals,
+};
+use crate::{AffinitySettings, Micros, Settings};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
 
 /// An answer that took longer is lost: there and back at 38 ms each, three times over.
 const ANSWER: Micros = 250_000;
-/// Members asked at once when the keeper is silent: 1 again, then 1, 2, 4 and so on of those next in order.
+/// Members asked at once when the aggregator is silent: 1 again, then 1, 2, 4 and so on of those next in order.
 const MOST_AT_ONCE: usize = 4;
 /// Periods without an answer of the first in order until its deputy is asked first. Guards against members that follow the
 /// deputy after two lost datagrams: the sums would fall apart, half here and half there.
@@ -24,7 +26,7 @@
 const LOOK_AGAIN: u16 = 3;
 /// Rounds of asking before a member waits for its next period, and doubles that.
 const ROUNDS: u32 = 6;
-/// A view is replaced by one of fewer members than this part only once it is old: a keeper that has just begun has not heard
+/// A snapshot is replaced by one of fewer members than this part only once it is old: a aggregator that has just begun has not heard
 /// all.
 const LEAST_OF_BEFORE: f64 = 0.6;
 /// An answer that comes later than all rounds of asking take, and half a second for the way, is none: this process was stopped
@@ -39,10 +41,10 @@
 
 /// What this proxy has.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Own {
+pub struct LocalLoad {
     /// Its sums.
     pub totals: Totals,
-    /// Each subchannel where it has connections or met something.
+    /// Each endpoint where it has connections or met something.
     pub entries: Vec<Entry>,
 }
 
@@ -57,11 +59,11 @@
         bytes: &'a [u8],
     },
     /// What this proxy has now, in place of what it had before.
-    Own(Own),
-    /// The listed subchannels' capacities, microseconds of work a second, for the time when this one is keeper.
-    Sizes(BTreeMap<Subchannel, f64>),
+    LocalLoad(LocalLoad),
+    /// The listed endpoints' capacities, microseconds of work a second, for the time when this one is aggregator.
+    Capacities(BTreeMap<EndpointDigest, f64>),
     /// What this proxy has of each group, in place of what it had before. Only where homes follow from a group's size.
-    Groups(Vec<GroupLoad>),
+    GroupLoads(Vec<GroupLoad>),
     /// This proxy leaves: what it had counts no more.
     Leave,
     /// [`Member::next_timeout`] has come.
@@ -78,12 +80,12 @@
         /// What.
         bytes: Vec<u8>,
     },
-    /// There is a new [`Member::view`].
-    View,
-    /// Another member is keeper, as far as this one knows; `None`: none answers.
-    Keeper(Option<u32>),
+    /// There is a new [`Member::snapshot`].
+    Snapshot,
+    /// Another member is aggregator, as far as this one knows; `None`: none answers.
+    Aggregator(Option<u32>),
     /// [`Member::homes`] have changed.
-    Homes,
+    AffinitySubsets,
 }
 
 /// Sums since the start.
@@ -100,7 +102,7 @@
     /// Answers that came after their time.
     pub late: u64,
     /// Tables of homes that were taken.
-    pub homes_told: u64,
+    pub subset_tables_received: u64,
     /// Times that a group found no room: in this proxy's report, in a table of its own, or among those that it acts on.
     pub groups_cut: u64,
 }
@@ -126,7 +128,7 @@
     unix: Micros,
     epoch: u64,
     order: Vec<u32>,
-    keeper: Option<u32>,
+    aggregator: Option<u32>,
     /// Whom the last report went to, the first of them first; periods in which the first in order has not answered.
     asked: Vec<u32>,
     first_silent: u32,
@@ -135,15 +137,15 @@
     /// Reports that stayed without any answer, one after another.
     unheard: u32,
     generation: u16,
-    own: Own,
-    sizes: BTreeMap<Subchannel, f64>,
-    gathering: Gathering,
+    own: LocalLoad,
+    sizes: BTreeMap<EndpointDigest, f64>,
+    aggregation: Aggregation,
     own_groups: Vec<GroupLoad>,
     sums: GroupSums,
-    homes: GroupsHomes,
+    homes: AffinitySubsets,
     /// When a table of homes came last, or this member began.
     homes_at: Micros,
-    view: Option<View>,
+    snapshot: Option<Snapshot>,
     announced: bool,
     left: bool,
     /// When the last report went out.
@@ -158,7 +160,7 @@
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
         let next_report = now + chance.random_range(0..=settings.period / 4);
         let generation = chance.random();
-        let homes = settings.group_homes.as_ref().map_or_else(GroupsHomes::default, GroupsHomes::new);
+        let homes = settings.affinity.as_ref().map_or_else(AffinitySubsets::default, AffinitySubsets::new);
         let mut member = Member {
             settings,
             me,
@@ -168,21 +170,21 @@
             unix: unix - now,
             epoch: 0,
             order: Vec::new(),
-            keeper: None,
+            aggregator: None,
             asked: Vec::new(),
             first_silent: 0,
             stage: Stage::Quiet,
             next_report,
             unheard: 0,
             generation,
-            own: Own::default(),
+            own: LocalLoad::default(),
             sizes: BTreeMap::new(),
-            gathering: Gathering::default(),
+            aggregation: Aggregation::default(),
             own_groups: Vec::new(),
             sums: GroupSums::default(),
             homes,
             homes_at: now,
-            view: None,
+            snapshot: None,
             announced: false,
             left: false,
             reported: now,
@@ -190,7 +192,7 @@
             out: VecDeque::new(),
         };
         member.epoch = member.epoch_at(now);
-        member.order = keepers(member.epoch, members);
+        member.order = aggregator_order(member.epoch, members);
         member
     }
 
@@ -199,10 +201,10 @@
         self.now = self.now.max(now);
         match input {
             Input::Datagram { from, bytes } => self.datagram(from, bytes),
-            Input::Own(own) => self.own = own,
-            Input::Sizes(sizes) => self.sizes = sizes,
+            Input::LocalLoad(own) => self.own = own,
+            Input::Capacities(sizes) => self.sizes = sizes,
             // A report that is due waits for what this proxy has beside groups.
-            Input::Groups(groups) => return self.has_groups(groups),
+            Input::GroupLoads(groups) => return self.has_groups(groups),
             Input::Leave => self.leave(),
             Input::Tick => {}
         }
@@ -213,7 +215,7 @@
 
     /// What the wall clock shows now, in Unix time: it may have been stepped, and epochs follow it, as they do at all members whose
     /// machines read the same clock. No other time does.
-    pub fn set_unix(&mut self, now: Micros, unix: Micros) {
+    pub fn set_wall_clock(&mut self, now: Micros, unix: Micros) {
         self.unix = unix - now;
     }
 
@@ -232,29 +234,32 @@
     }
 
     /// What was told last, if anything ever was. It may be old.
-    pub fn view(&self) -> Option<&View> {
-        self.view.as_ref()
+    pub fn snapshot(&self) -> Option<&Snapshot> {
+        self.snapshot.as_ref()
     }
 
-    /// Between two reports, as the keeper wants it; within this member's own bounds, whatever that says.
-    pub fn period(&self) -> Micros {
-        let told = self.view.as_ref().filter(|view| self.now - view.at < 4 * self.settings.longest_period);
-        let period = told.map_or(report_interval::UNKNOWN, |view| view.period);
+    /// Between two reports, as the aggregator wants it; within this member's own bounds, whatever that says.
+    pub fn report_interval(&self) -> Micros {
+        let told = self
+            .snapshot
+            .as_ref()
+            .filter(|snapshot| self.now - snapshot.received_at < 4 * self.settings.longest_period);
+        let period = told.map_or(report_interval::UNKNOWN, |snapshot| snapshot.report_interval);
         period.clamp(self.settings.period, self.settings.longest_period)
     }
 
-    /// Who is keeper, as far as this member knows.
-    pub fn keeper(&self) -> Option<u32> {
-        self.keeper
+    /// Who is aggregator, as far as this member knows.
+    pub fn aggregator(&self) -> Option<u32> {
+        self.aggregator
     }
 
-    /// Whether homes follow from groups' sizes, and [`Input::Groups`] is of use.
+    /// Whether homes follow from groups' sizes, and [`Input::GroupLoads`] is of use.
     pub fn wants_groups(&self) -> bool {
-        self.settings.group_homes.is_some() && !self.left
+        self.settings.affinity.is_some() && !self.left
     }
 
     /// The groups that have more than five homes, and how many.
-    pub fn homes(&self) -> impl Iterator<Item = (u64, u32)> {
+    pub fn affinity_subsets(&self) -> impl Iterator<Item = (u64, u32)> {
         self.homes.all()
     }
 
@@ -272,11 +277,11 @@
         let epoch = self.epoch_at(self.now);
         if epoch != self.epoch {
             self.epoch = epoch;
-            self.order = keepers(epoch, self.members);
+            self.order = aggregator_order(epoch, self.members);
             self.announced = false;
             self.first_silent = 0;
             self.sums.forget_old(self.now);
-            self.set_keeper(self.order.first().copied());
+            self.set_aggregator(self.order.first().copied());
         }
         match self.stage {
             // It was stopped, or very late: what comes now may be as old as that, so it asks anew.
@@ -294,29 +299,29 @@
         self.generation = self.generation.wrapping_add(1);
         let first = self.order.first().copied();
         let look = self.first_silent < SILENT || self.generation.is_multiple_of(LOOK_AGAIN);
-        let keeper = if look { first } else { self.keeper.or(first) };
-        let spread = self.period() / 10;
-        let period = (self.period() << self.unheard.min(3)).min(2 * self.settings.longest_period);
+        let aggregator = if look { first } else { self.aggregator.or(first) };
+        let spread = self.report_interval() / 10;
+        let period = (self.report_interval() << self.unheard.min(3)).min(2 * self.settings.longest_period);
         let jitter = self.chance.random_range(-spread..=spread);
         (self.reported, self.next_report) = (self.now, self.now + period + jitter);
         self.asked.clear();
-        let Some(keeper) = keeper else { return };
+        let Some(aggregator) = aggregator else { return };
         self.announce(period);
-        self.tell(keeper, false);
-        if keeper == self.me {
+        self.tell(aggregator, false);
+        if aggregator == self.me {
             self.answer_self();
         } else {
-            let next = self.order.iter().position(|other| *other == keeper).map_or(0, |place| place + 1);
+            let next = self.order.iter().position(|other| *other == aggregator).map_or(0, |place| place + 1);
             self.stage = Stage::Asking { round: 0, next, due: self.now + ANSWER };
         }
     }
 
-    /// Shortly before another keeper's time it is told what it will need.
+    /// Shortly before another aggregator's time it is told what it will need.
     fn announce(&mut self, period: Micros) {
         let soon = self.epoch_at(self.now + period + period / 10);
         if soon > self.epoch && !self.announced {
             self.announced = true;
-            if let Some(next) = keepers(soon, self.members).first().copied() {
+            if let Some(next) = aggregator_order(soon, self.members).first().copied() {
                 self.tell(next, true);
             }
         }
@@ -329,7 +334,7 @@
             // Nobody answers: cut off, or all are gone. It begins at the first one again.
             self.stage = Stage::Quiet;
             self.unheard += 1;
-            return self.set_keeper(None);
+            return self.set_aggregator(None);
         }
         let due = self.now + ANSWER;
         if round == 0 {
@@ -355,7 +360,7 @@
         if alone {
             // Its own turn: all before it are silent.
             self.tell(self.me, false);
-            self.set_keeper(Some(self.me));
+            self.set_aggregator(Some(self.me));
             self.answer_self();
         }
     }
@@ -364,25 +369,25 @@
         let entries = if self.left { Vec::new() } else { self.own.entries.clone() };
         let (totals, generation) = (self.own.totals, self.generation);
         // Asking round may have taken longer than to the next report.
-        let next = (self.next_report - self.now).max(self.period());
+        let next = (self.next_report - self.now).max(self.report_interval());
         let leaving = self.left;
         let report = Report { generation, part: (0, 1), leaving, no_answer, next, totals, entries };
         if !no_answer && !self.asked.contains(&to) {
             self.asked.push(to);
         }
-        let groups = self.settings.group_homes.filter(|_| !leaving).map(|_| {
+        let groups = self.settings.affinity.filter(|_| !leaving).map(|_| {
             let groups = self.own_groups.iter().map(|own| (own.group, own.load)).collect();
-            Groups { generation, part: (0, 1), no_answer, next, groups }
+            GroupReport { generation, part: (0, 1), no_answer, next, groups }
         });
         if to == self.me {
             // What costs nothing has no bytes.
             groups.into_iter().for_each(|groups| {
                 self.sums.take(&self.settings, self.now, to, 0, groups);
             });
-            return self.gathering.take(self.now, to, 0, report);
+            return self.aggregation.take(self.now, to, 0, report);
         }
         let mut parts = wire::write_report(&report);
-        parts.extend(groups.iter().flat_map(wire::write_groups));
+        parts.extend(groups.iter().flat_map(wire::write_group_report));
         parts.into_iter().for_each(|bytes| self.send(to, bytes));
     }
 
@@ -398,11 +403,13 @@
             (Some(from), Some(Datagram::Report(report))) if !self.left => {
                 self.reported(from, report, bytes.len())
             }
-            (Some(from), Some(Datagram::Table(table))) if !self.left => self.answered(from, table),
-            (Some(from), Some(Datagram::Groups(groups))) if !self.left => {
+            (Some(from), Some(Datagram::Summary(table))) if !self.left => self.answered(from, table),
+            (Some(from), Some(Datagram::GroupReport(groups))) if !self.left => {
                 self.groups_reported(from, groups, bytes.len())
             }
-            (Some(from), Some(Datagram::Homes(homes))) if !self.left => self.homes_answered(from, homes),
+            (Some(from), Some(Datagram::SubsetSizes(homes))) if !self.left => {
+                self.homes_answered(from, homes)
+            }
             _ => self.counts.dropped += 1,
         }
     }
@@ -413,21 +420,21 @@
         if report.leaving {
             self.sums.forget(from);
         }
-        self.gathering.take(self.now, from, bytes, report);
+        self.aggregation.take(self.now, from, bytes, report);
         if wanted {
             let table = self.table();
-            let parts = wire::write_table(&Table { generation, ..table });
+            let parts = wire::write_summary(&FleetSummary { generation, ..table });
             parts.into_iter().for_each(|bytes| self.send(from, bytes));
         }
     }
 
-    fn table(&mut self) -> Table {
+    fn table(&mut self) -> FleetSummary {
         let sizes = &self.sizes;
-        self.gathering.set_beside(self.sums.bytes());
-        self.gathering.table(&self.settings, self.now, |node| sizes.get(&node).copied())
+        self.aggregation.set_beside(self.sums.bytes());
+        self.aggregation.table(&self.settings, self.now, |node| sizes.get(&node).copied())
     }
 
-    /// Only from whom it was asked for, and only to the last report: an earlier keeper could guess the next number. And in time.
+    /// Only from whom it was asked for, and only to the last report: an earlier aggregator could guess the next number. And in time.
     fn is_answer(&mut self, from: u32, generation: u16) -> bool {
         let asked = generation == self.generation && self.asked.contains(&from);
         let late = self.now - self.reported > LATE;
@@ -436,7 +443,7 @@
         asked && !late
     }
 
-    fn answered(&mut self, from: u32, table: Table) {
+    fn answered(&mut self, from: u32, table: FleetSummary) {
         if !self.is_answer(from, table.generation) {
             return;
         }
@@ -447,13 +454,13 @@
             self.first_silent = 0;
         }
         // Of several that answered, the first in order is everybody's.
-        let better = self.keeper.and_then(place).is_some_and(|known| known < rank);
+        let better = self.aggregator.and_then(place).is_some_and(|known| known < rank);
         if matches!(self.stage, Stage::Quiet) && better {
             return;
         }
         self.stage = Stage::Quiet;
         self.unheard = 0;
-        self.set_keeper(Some(from));
+        self.set_aggregator(Some(from));
         self.take_table(table);
     }
 
@@ -463,7 +470,7 @@
         let table = self.table();
         let young = table.young;
         self.take_table(table);
-        if let Some(settings) = self.settings.group_homes
+        if let Some(settings) = self.settings.affinity
             && !young
         {
             let homes = self.homes_table(&settings);
@@ -479,18 +486,21 @@
     }
 
     fn mean_load(&self) -> f64 {
-        self.view.as_ref().map_or(0.0, |view| view.mean_load)
+        self.snapshot.as_ref().map_or(0.0, |snapshot| snapshot.mean_load)
     }
 
     /// This member's part of all connections, as far as it knows.
     fn part(&self) -> f64 {
         let even = 1.0 / f64::from(self.members.max(1));
-        let told = self.view.as_ref().filter(|view| self.now - view.at < 4 * self.settings.longest_period);
-        told.map_or(even, |view| view.part().max(LEAST_OF_EVEN * even))
+        let told = self
+            .snapshot
+            .as_ref()
+            .filter(|snapshot| self.now - snapshot.received_at < 4 * self.settings.longest_period);
+        told.map_or(even, |snapshot| snapshot.connection_share().max(LEAST_OF_EVEN * even))
     }
 
     fn has_groups(&mut self, groups: Vec<GroupLoad>) {
-        let Some(settings) = self.settings.group_homes else { return };
+        let Some(settings) = self.settings.affinity else { return };
         let (nodes, mean_load) = (self.nodes(), self.mean_load());
         let five = f64::from(LEAST_HOMES) * room(nodes, settings.home_use, mean_load);
         let least = five / f64::from(self.members.max(1)) / WORTH_REPORTING;
@@ -502,17 +512,17 @@
         let part = self.part();
         let mut changed = false;
         for own in &self.own_groups {
-            let guess = untold && own.count >= SAMPLE;
+            let guess = untold && own.connections >= SAMPLE;
             let load = if guess { own.load / part } else { own.load };
             let homes = needed(load, mean_load, nodes, settings.home_use);
             changed |= self.homes.told(self.now, own.group, homes);
         }
         changed |= untold && self.homes.settle(self.now);
-        self.out.extend(changed.then_some(Output::Homes));
+        self.out.extend(changed.then_some(Output::AffinitySubsets));
     }
 
-    fn groups_reported(&mut self, from: u32, groups: Groups, bytes: usize) {
-        let Some(settings) = self.settings.group_homes else {
+    fn groups_reported(&mut self, from: u32, groups: GroupReport, bytes: usize) {
+        let Some(settings) = self.settings.affinity else {
             self.counts.dropped += 1;
             return;
         };
@@ -523,12 +533,12 @@
         if wanted {
             let young = self.table().young;
             let homes = if young { Vec::new() } else { self.homes_table(&settings) };
-            let table = Homes { generation, part: (0, 1), young, homes };
-            wire::write_homes(&table).into_iter().for_each(|bytes| self.send(from, bytes));
+            let table = SubsetSizes { generation, part: (0, 1), young, homes };
+            wire::write_subset_sizes(&table).into_iter().for_each(|bytes| self.send(from, bytes));
         }
     }
 
-    fn homes_table(&mut self, settings: &GroupHomes) -> Vec<(u64, u32)> {
+    fn homes_table(&mut self, settings: &AffinitySettings) -> Vec<(u64, u32)> {
         // Each of all members asks in a period, and what follows looks at all.
         if let Some(table) = self.sums.fresh(self.now) {
             return table;
@@ -536,14 +546,14 @@
         let nodes = self.nodes();
         let table = self.table();
         // Whose report was lost has its groups counted with the others that aren't heard.
-        self.sums.keep(|member| self.gathering.has(member));
-        let (connections, with_groups) = self.gathering.connections(|member| self.sums.has(member));
+        self.sums.keep(|member| self.aggregation.has(member));
+        let (connections, with_groups) = self.aggregation.connections(|member| self.sums.has(member));
         let (members, mean_load) = (table.members, table.mean_load);
-        let heard = Heard { tier: self.members, members, connections, with_groups, mean_load, nodes };
+        let heard = FleetTotals { tier: self.members, members, connections, with_groups, mean_load, nodes };
         self.sums.table(settings, self.now, &heard)
     }
 
-    fn homes_answered(&mut self, from: u32, homes: Homes) {
+    fn homes_answered(&mut self, from: u32, homes: SubsetSizes) {
         if self.is_answer(from, homes.generation) && !homes.young {
             let last = homes.part.0 + 1 == homes.part.1;
             self.take_homes(homes.homes, last);
@@ -552,34 +562,34 @@
 
     fn take_homes(&mut self, homes: Vec<(u64, u32)>, last: bool) {
         self.homes_at = self.now;
-        self.counts.homes_told += 1;
+        self.counts.subset_tables_received += 1;
         let most = self.sizes.len() as u32;
         let mut changed = false;
         for (group, homes) in homes {
             changed |= self.homes.told(self.now, group, homes.min(most));
         }
         changed |= last && self.homes.settle(self.now);
-        self.out.extend(changed.then_some(Output::Homes));
+        self.out.extend(changed.then_some(Output::AffinitySubsets));
     }
 
-    fn take_table(&mut self, table: Table) {
-        let fewer = self.view.as_ref().is_some_and(|view| {
-            f64::from(table.members) < LEAST_OF_BEFORE * f64::from(view.members)
-                && self.now - view.at < 3 * self.period()
+    fn take_table(&mut self, table: FleetSummary) {
+        let fewer = self.snapshot.as_ref().is_some_and(|snapshot| {
+            f64::from(table.members) < LEAST_OF_BEFORE * f64::from(snapshot.members)
+                && self.now - snapshot.received_at < 3 * self.report_interval()
         });
         if table.young || fewer {
             return;
         }
         let own = self.own.totals.connections;
-        self.view.get_or_insert_default().take(self.now, own, table);
+        self.snapshot.get_or_insert_default().take(self.now, own, table);
         // Where more come than before, not only from the next report on.
-        self.next_report = self.next_report.min(self.reported + self.period() * 11 / 10);
-        self.out.push_back(Output::View);
+        self.next_report = self.next_report.min(self.reported + self.report_interval() * 11 / 10);
+        self.out.push_back(Output::Snapshot);
     }
 
-    fn set_keeper(&mut self, keeper: Option<u32>) {
-        if std::mem::replace(&mut self.keeper, keeper) != keeper {
-            self.out.push_back(Output::Keeper(keeper));
+    fn set_aggregator(&mut self, aggregator: Option<u32>) {
+        if std::mem::replace(&mut self.aggregator, aggregator) != aggregator {
+            self.out.push_back(Output::Aggregator(aggregator));
         }
     }
 
@@ -587,8 +597,8 @@
         if !self.left {
             self.left = true;
             self.generation = self.generation.wrapping_add(1);
-            if let Some(keeper) = self.keeper.filter(|keeper| *keeper != self.me) {
-                self.tell(keeper, false);
+            if let Some(aggregator) = self.aggregator.filter(|aggregator| *aggregator != self.me) {
+                self.tell(aggregator, false);
             }
         }
     }
--- a/crates/aggregation/src/snapshot.rs
+++ b/crates/aggregation/src/snapshot.rs
@@ -1,25 +1,25 @@
 //! What a member was told last.
 
 use crate::Micros;
-use crate::wire::{Subchannel, Table, Totals, Word};
+use crate::wire::{EndpointDigest, FleetSummary, HealthVerdict, Totals};
 use std::collections::BTreeMap;
 
-/// Of one subchannel.
+/// Of one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Told {
+pub struct EndpointUsage {
     /// Load over size, of all proxies together, what groups cost included; 0 for less than can be told.
-    pub used: f64,
+    pub utilization: f64,
     /// What they met there.
-    pub word: Word,
+    pub health: HealthVerdict,
 }
 
 /// A table as it was taken.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct View {
+pub struct Snapshot {
     /// When it came. What is in it is about half a period older.
-    pub at: Micros,
-    /// What the keeper wants between two reports.
-    pub period: Micros,
+    pub received_at: Micros,
+    /// What the aggregator wants between two reports.
+    pub report_interval: Micros,
     /// How many proxies' reports are in it.
     pub members: u32,
     /// Mean load of a connection, work in microseconds a second.
@@ -28,41 +28,47 @@
     pub totals: Totals,
     /// This proxy's own connections, open or wanted, as it last reported them.
     pub own_connections: u32,
-    nodes: BTreeMap<Subchannel, Told>,
+    nodes: BTreeMap<EndpointDigest, EndpointUsage>,
 }
 
-impl View {
-    pub(crate) fn take(&mut self, now: Micros, own_connections: u32, table: Table) {
-        let nodes = table.nodes.into_iter().map(|(node, used, word)| (node, Told { used, word }));
+impl Snapshot {
+    pub(crate) fn take(&mut self, now: Micros, own_connections: u32, table: FleetSummary) {
+        let nodes = table
+            .nodes
+            .into_iter()
+            .map(|(node, used, health)| (node, EndpointUsage { utilization: used, health }));
         if table.part.0 == 0 {
             self.nodes = nodes.collect();
         } else {
             self.nodes.extend(nodes);
         }
-        (self.at, self.period, self.mean_load) = (now, table.period, table.mean_load);
+        (self.received_at, self.report_interval, self.mean_load) = (now, table.period, table.mean_load);
         (self.members, self.totals) = (table.members, table.totals);
         self.own_connections = own_connections;
     }
 
-    /// What was told of a subchannel. One that isn't named is used by less than [`crate::wire::LEAST_USE`]; that counts as 0.
-    pub fn of(&self, node: Subchannel) -> Told {
-        self.nodes.get(&node).copied().unwrap_or(Told { used: 0.0, word: Word::Unclear })
+    /// What was told of a endpoint. One that isn't named is used by less than [`crate::wire::MIN_REPORTED_UTILIZATION`]; that counts as 0.
+    pub fn endpoint(&self, node: EndpointDigest) -> EndpointUsage {
+        self.nodes
+            .get(&node)
+            .copied()
+            .unwrap_or(EndpointUsage { utilization: 0.0, health: HealthVerdict::Unknown })
     }
 
     /// Those that are named.
-    pub fn named(&self) -> impl Iterator<Item = (Subchannel, Told)> {
+    pub fn endpoints(&self) -> impl Iterator<Item = (EndpointDigest, EndpointUsage)> {
         self.nodes.iter().map(|(node, told)| (*node, *told))
     }
 
     /// This proxy's part of all connections, 0 to 1.
-    pub fn part(&self) -> f64 {
+    pub fn connection_share(&self) -> f64 {
         f64::from(self.own_connections) / f64::from(self.totals.connections.max(self.own_connections).max(1))
     }
 
     /// Part of the set-ups that failed; 0 where there were too few to say.
-    pub fn failing(&self) -> f64 {
-        let all = self.totals.well + self.totals.failed;
-        if all < FEW { 0.0 } else { self.totals.failed / all }
+    pub fn setup_failure_ratio(&self) -> f64 {
+        let all = self.totals.successes_per_s + self.totals.failures_per_s;
+        if all < FEW { 0.0 } else { self.totals.failures_per_s / all }
     }
 }
 
--- a/crates/aggregation/src/wire.rs
+++ b/crates/aggregation/src/wire.rs
@@ -15,12 +15,12 @@
 //!
 //! | entry | bytes | |
 //! | --- | --- | --- |
-//! | subchannel | 3 | digest of its name |
+//! | endpoint | 3 | digest of its name |
 //! | report: load | 1 | [`load`]; 2.2% off at most |
 //! | report: word, groups | 1 + n | bits 5 and 6 the word, bits 0 to 4 how many groups, then a byte of each one's digest |
 //! | table: use, word | 1 | bits 0 to 5 load over size: 0 for less than 0.4, else from there in steps of 1/32; bits 6 and 7 the word |
 //!
-//! Groups and homes have the header as far as the part; groups then the next, as reports do. Their entries:
+//! GroupReport and homes have the header as far as the part; groups then the next, as reports do. Their entries:
 //!
 //! | entry | bytes | |
 //! | --- | --- | --- |
@@ -45,57 +45,57 @@
 const YOUNG: u8 = 1;
 /// Datagrams of one report or table at most.
 pub const MOST_PARTS: usize = 16;
-/// Groups of one entry at most.
+/// GroupReport of one entry at most.
 const MOST_GROUPS: usize = 31;
-/// What a table can say of a subchannel's use.
-pub const LEAST_USE: f64 = 0.4;
+/// What a table can say of a endpoint's use.
+pub const MIN_REPORTED_UTILIZATION: f64 = 0.4;
 const USE_STEP: f64 = 1.0 / 32.0;
 
-/// 24 bits of a digest of a subchannel's name; the embedder's matter which.
+/// 24 bits of a digest of a endpoint's name; the embedder's matter which.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Subchannel(pub u32);
+pub struct EndpointDigest(pub u32);
 
-/// What proxies met at a subchannel within the last seconds.
+/// What proxies met at a endpoint within the last seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Word {
+pub enum HealthVerdict {
     /// Nothing, or both good and bad.
     #[default]
-    Unclear,
+    Unknown,
     /// Attempts went well, none failed.
-    Well,
+    Healthy,
     /// Attempts failed, none went well.
-    Unwell,
+    Unhealthy,
 }
 
-impl Word {
+impl HealthVerdict {
     fn bits(self) -> u8 {
         match self {
-            Word::Unclear => 0,
-            Word::Well => 1,
-            Word::Unwell => 2,
+            HealthVerdict::Unknown => 0,
+            HealthVerdict::Healthy => 1,
+            HealthVerdict::Unhealthy => 2,
         }
     }
 
-    fn of(bits: u8) -> Word {
+    fn of(bits: u8) -> HealthVerdict {
         match bits & 3 {
-            1 => Word::Well,
-            2 => Word::Unwell,
-            _ => Word::Unclear,
+            1 => HealthVerdict::Healthy,
+            2 => HealthVerdict::Unhealthy,
+            _ => HealthVerdict::Unknown,
         }
     }
 }
 
-/// What one proxy has at one subchannel.
+/// What one proxy has at one endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     /// Which one.
-    pub subchannel: Subchannel,
+    pub endpoint: EndpointDigest,
     /// Summed load of its connections there, work in microseconds a second.
     pub load: f64,
     /// A byte of the digest of each group that has connections of it there.
     pub groups: Vec<u8>,
     /// What it met there.
-    pub word: Word,
+    pub health: HealthVerdict,
 }
 
 /// What one proxy, or all together, have in sum.
@@ -104,11 +104,11 @@
     /// Connections that are open or wanted.
     pub connections: u32,
     /// Requests a second.
-    pub requests: f64,
+    pub requests_per_s: f64,
     /// Set-ups a second that went well.
-    pub well: f64,
+    pub successes_per_s: f64,
     /// Set-ups a second that failed, whatever was at fault.
-    pub failed: f64,
+    pub failures_per_s: f64,
 }
 
 /// One datagram of a report.
@@ -120,24 +120,24 @@
     pub part: (u8, u8),
     /// The proxy leaves and has nothing any more.
     pub leaving: bool,
-    /// It is told ahead of a keeper's time, no answer is wanted.
+    /// It is told ahead of a aggregator's time, no answer is wanted.
     pub no_answer: bool,
     /// The sender's next report comes after about this long; to a tenth of a second.
     pub next: Micros,
     /// Sums.
     pub totals: Totals,
-    /// The subchannels of this part.
+    /// The endpoints of this part.
     pub entries: Vec<Entry>,
 }
 
 /// One datagram of a table.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Table {
+pub struct FleetSummary {
     /// The report that it answers.
     pub generation: u16,
     /// Which datagram of it, of how many.
     pub part: (u8, u8),
-    /// The keeper has not heard all yet; nothing in it counts but that the keeper is there.
+    /// The aggregator has not heard all yet; nothing in it counts but that the aggregator is there.
     pub young: bool,
     /// What everybody is to leave between two reports; to a tenth of a second.
     pub period: Micros,
@@ -147,18 +147,18 @@
     pub totals: Totals,
     /// Mean load of a connection, work in microseconds a second.
     pub mean_load: f64,
-    /// Subchannel, load over size, word.
-    pub nodes: Vec<(Subchannel, f64, Word)>,
+    /// EndpointDigest, load over size, word.
+    pub nodes: Vec<(EndpointDigest, f64, HealthVerdict)>,
 }
 
 /// One datagram of a proxy's heaviest groups.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Groups {
+pub struct GroupReport {
     /// That of the report which goes with it.
     pub generation: u16,
     /// Which datagram of it, of how many.
     pub part: (u8, u8),
-    /// It is told ahead of a keeper's time, no answer is wanted.
+    /// It is told ahead of a aggregator's time, no answer is wanted.
     pub no_answer: bool,
     /// The sender's next report comes after about this long; to a tenth of a second.
     pub next: Micros,
@@ -168,12 +168,12 @@
 
 /// One datagram of the answer: the groups that need more than five homes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Homes {
+pub struct SubsetSizes {
     /// That of the report.
     pub generation: u16,
     /// Which datagram of it, of how many.
     pub part: (u8, u8),
-    /// The keeper has not heard all yet; nothing in it counts.
+    /// The aggregator has not heard all yet; nothing in it counts.
     pub young: bool,
     /// A group's digest and its homes.
     pub homes: Vec<(u64, u32)>,
@@ -182,14 +182,14 @@
 /// A datagram that was read.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Datagram {
-    /// To a keeper.
+    /// To a aggregator.
     Report(Report),
-    /// From a keeper.
-    Table(Table),
-    /// To a keeper that knows homes by a group's size.
-    Groups(Groups),
+    /// From a aggregator.
+    Summary(FleetSummary),
+    /// To a aggregator that knows homes by a group's size.
+    GroupReport(GroupReport),
     /// From such a one.
-    Homes(Homes),
+    SubsetSizes(SubsetSizes),
 }
 
 /// A load as a byte: 0 for none, else 64 us a second times 2 to the power of sixteenths; up to 3.8 cores.
@@ -238,7 +238,7 @@
 
 fn totals(bytes: &mut Vec<u8>, totals: &Totals) {
     number(bytes, totals.connections);
-    bytes.extend([rate(totals.requests), rate(totals.well), rate(totals.failed)]);
+    bytes.extend([rate(totals.requests_per_s), rate(totals.successes_per_s), rate(totals.failures_per_s)]);
 }
 
 fn header(kind: u8, flags: u8, generation: u16) -> Vec<u8> {
@@ -277,9 +277,9 @@
     number(&mut head, tenths(report.next));
     totals(&mut head, &report.totals);
     let entry = |entry: &Entry| {
-        let mut bytes = entry.subchannel.0.to_le_bytes()[..3].to_vec();
+        let mut bytes = entry.endpoint.0.to_le_bytes()[..3].to_vec();
         let groups = &entry.groups[..entry.groups.len().min(MOST_GROUPS)];
-        bytes.extend([load(entry.load), entry.word.bits() << 5 | groups.len() as u8]);
+        bytes.extend([load(entry.load), entry.health.bits() << 5 | groups.len() as u8]);
         bytes.extend(groups);
         bytes
     };
@@ -287,20 +287,23 @@
 }
 
 /// A table as datagrams. Of the nodes only those that say something, the fullest first.
-pub fn write_table(table: &Table) -> Vec<Vec<u8>> {
+pub fn write_summary(table: &FleetSummary) -> Vec<Vec<u8>> {
     let mut head = header(TABLE, u8::from(table.young) * YOUNG, table.generation);
     number(&mut head, tenths(table.period));
     number(&mut head, table.members);
     totals(&mut head, &table.totals);
     head.push(load(table.mean_load));
-    let mut told: Vec<_> =
-        table.nodes.iter().filter(|(_, used, word)| *used >= LEAST_USE || *word != Word::Unclear).collect();
+    let mut told: Vec<_> = table
+        .nodes
+        .iter()
+        .filter(|(_, used, word)| *used >= MIN_REPORTED_UTILIZATION || *word != HealthVerdict::Unknown)
+        .collect();
     told.sort_by(|a, b| b.1.total_cmp(&a.1));
-    let entry = |(subchannel, used, word): &(Subchannel, f64, Word)| {
-        let mut bytes = subchannel.0.to_le_bytes()[..3].to_vec();
+    let entry = |(endpoint, used, word): &(EndpointDigest, f64, HealthVerdict)| {
+        let mut bytes = endpoint.0.to_le_bytes()[..3].to_vec();
         // 0 stands for less: what is named for its word alone must not look full.
-        let step = ((used - LEAST_USE) / USE_STEP).round().clamp(0.0, 62.0) as u8 + 1;
-        let step = if *used < LEAST_USE { 0 } else { step };
+        let step = ((used - MIN_REPORTED_UTILIZATION) / USE_STEP).round().clamp(0.0, 62.0) as u8 + 1;
+        let step = if *used < MIN_REPORTED_UTILIZATION { 0 } else { step };
         bytes.push(step | word.bits() << 6);
         bytes
     };
@@ -308,7 +311,7 @@
 }
 
 /// A proxy's groups as datagrams, one at least; the part's numbers of `groups` don't matter. The first ones go first.
-pub fn write_groups(groups: &Groups) -> Vec<Vec<u8>> {
+pub fn write_group_report(groups: &GroupReport) -> Vec<Vec<u8>> {
     let mut head = header(GROUPS, u8::from(groups.no_answer) * NO_ANSWER, groups.generation);
     number(&mut head, tenths(groups.next));
     let entry = |(group, load): &(u64, f64)| {
@@ -321,7 +324,7 @@
 }
 
 /// A table of homes as datagrams, one at least. The first ones go first.
-pub fn write_homes(homes: &Homes) -> Vec<Vec<u8>> {
+pub fn write_subset_sizes(homes: &SubsetSizes) -> Vec<Vec<u8>> {
     let head = header(HOMES, u8::from(homes.young) * YOUNG, homes.generation);
     let entry = |(group, homes): &(u64, u32)| {
         let mut bytes = group.to_le_bytes().to_vec();
@@ -355,7 +358,12 @@
     fn totals(&mut self) -> Option<Totals> {
         let connections = self.number()?;
         let mut rate = || self.byte().map(rate_of);
-        Some(Totals { connections, requests: rate()?, well: rate()?, failed: rate()? })
+        Some(Totals {
+            connections,
+            requests_per_s: rate()?,
+            successes_per_s: rate()?,
+            failures_per_s: rate()?,
+        })
     }
 
     /// Pairs of a group and a number, to the end.
@@ -369,8 +377,8 @@
         Some(groups)
     }
 
-    fn subchannel(&mut self) -> Option<Subchannel> {
-        Some(Subchannel(u32::from_le_bytes([self.byte()?, self.byte()?, self.byte()?, 0])))
+    fn endpoint(&mut self) -> Option<EndpointDigest> {
+        Some(EndpointDigest(u32::from_le_bytes([self.byte()?, self.byte()?, self.byte()?, 0])))
     }
 }
 
@@ -396,9 +404,14 @@
             let totals = reading.totals()?;
             let mut entries = Vec::new();
             while !reading.0.is_empty() {
-                let (subchannel, load, flags) = (reading.subchannel()?, reading.byte()?, reading.byte()?);
+                let (endpoint, load, flags) = (reading.endpoint()?, reading.byte()?, reading.byte()?);
                 let groups = (0..flags & 31).map(|_| reading.byte()).collect::<Option<Vec<u8>>>()?;
-                entries.push(Entry { subchannel, load: load_of(load), groups, word: Word::of(flags >> 5) });
+                entries.push(Entry {
+                    endpoint,
+                    load: load_of(load),
+                    groups,
+                    health: HealthVerdict::of(flags >> 5),
+                });
             }
             let (leaving, no_answer) = (flags & LEAVING > 0, flags & NO_ANSWER > 0);
             Some(Datagram::Report(Report { generation, part, leaving, no_answer, next, totals, entries }))
@@ -409,27 +422,27 @@
             let mean_load = load_of(reading.byte()?);
             let mut nodes = Vec::new();
             while !reading.0.is_empty() {
-                let (subchannel, told) = (reading.subchannel()?, reading.byte()?);
+                let (endpoint, told) = (reading.endpoint()?, reading.byte()?);
                 let used = match told & 63 {
                     0 => 0.0,
-                    step => LEAST_USE + f64::from(step - 1) * USE_STEP,
+                    step => MIN_REPORTED_UTILIZATION + f64::from(step - 1) * USE_STEP,
                 };
-                nodes.push((subchannel, used, Word::of(told >> 6)));
+                nodes.push((endpoint, used, HealthVerdict::of(told >> 6)));
             }
             let young = flags & YOUNG > 0;
-            let table = Table { generation, part, young, period, members, totals, mean_load, nodes };
-            Some(Datagram::Table(table))
+            let table = FleetSummary { generation, part, young, period, members, totals, mean_load, nodes };
+            Some(Datagram::Summary(table))
         }
         GROUPS => {
             let next = of_tenths(reading.number()?);
             let load = |(group, steps): (u64, u32)| (group, f64::from(steps) * LOAD_STEP);
             let groups = reading.groups()?.into_iter().map(load).collect();
             let no_answer = flags & NO_ANSWER > 0;
-            Some(Datagram::Groups(Groups { generation, part, no_answer, next, groups }))
+            Some(Datagram::GroupReport(GroupReport { generation, part, no_answer, next, groups }))
         }
         HOMES => {
             let homes = reading.groups()?;
-            Some(Datagram::Homes(Homes { generation, part, young: flags & YOUNG > 0, homes }))
+            Some(Datagram::SubsetSizes(SubsetSizes { generation, part, young: flags & YOUNG > 0, homes }))
         }
         _ => None,
     }
@@ -442,11 +455,11 @@
 
     fn entry() -> impl Strategy<Value = Entry> {
         (0..1_u32 << 24, 0.0..3.8e6, prop::collection::vec(any::<u8>(), 0..40), 0..3_u8).prop_map(
-            |(subchannel, load, groups, word)| Entry {
-                subchannel: Subchannel(subchannel),
+            |(endpoint, load, groups, word)| Entry {
+                endpoint: EndpointDigest(endpoint),
                 load,
                 groups,
-                word: Word::of(word),
+                health: HealthVerdict::of(word),
             },
         )
     }
@@ -454,7 +467,7 @@
     proptest! {
         #[test]
         fn reports_come_back_within_the_stated_error(entries in prop::collection::vec(entry(), 0..60), generation: u16) {
-            let totals = Totals { connections: 70_000, requests: 3.0, well: 0.0, failed: 100.0 };
+            let totals = Totals { connections: 70_000, requests_per_s: 3.0, successes_per_s: 0.0, failures_per_s: 100.0 };
             let next = 2_300_000;
             let report =
                 Report { generation, part: (0, 1), leaving: false, no_answer: true, next, totals, entries };
@@ -464,14 +477,14 @@
                 prop_assert!(bytes.len() <= LONGEST);
                 let Some(Datagram::Report(read)) = read(bytes) else { panic!("unreadable") };
                 prop_assert_eq!(read.part, (place as u8, parts.len() as u8));
-                prop_assert!((read.totals.requests / 3.0 - 1.0).abs() < 0.05 && read.totals.connections == 70_000);
+                prop_assert!((read.totals.requests_per_s / 3.0 - 1.0).abs() < 0.05 && read.totals.connections == 70_000);
                 prop_assert_eq!(read.next, next);
                 prop_assert!(read.generation == generation && read.no_answer && !read.leaving);
                 back.extend(read.entries);
             }
             for (sent, read) in report.entries.iter().zip(&back) {
-                prop_assert_eq!(sent.subchannel, read.subchannel);
-                prop_assert_eq!(sent.word, read.word);
+                prop_assert_eq!(sent.endpoint, read.endpoint);
+                prop_assert_eq!(sent.health, read.health);
                 prop_assert!(sent.load < 64.0 || (read.load / sent.load - 1.0).abs() < 0.023);
                 prop_assert_eq!(&sent.groups[..sent.groups.len().min(31)], &read.groups[..]);
             }
@@ -486,12 +499,12 @@
         ) {
             let next = 6_000_000;
             let groups = all.iter().map(|(group, load, _)| (*group, *load)).collect();
-            let report = Groups { generation, part: (0, 1), no_answer: told, next, groups };
+            let report = GroupReport { generation, part: (0, 1), no_answer: told, next, groups };
             let (mut back, mut homes_back) = (Vec::new(), Vec::new());
-            let parts = write_groups(&report);
+            let parts = write_group_report(&report);
             for (place, bytes) in parts.iter().enumerate() {
                 prop_assert!(bytes.len() <= LONGEST);
-                let Some(Datagram::Groups(read)) = read(bytes) else { panic!("unreadable") };
+                let Some(Datagram::GroupReport(read)) = read(bytes) else { panic!("unreadable") };
                 prop_assert_eq!(read.part, (place as u8, parts.len() as u8));
                 prop_assert!(read.generation == generation && read.no_answer == told && read.next == next);
                 back.extend(read.groups);
@@ -501,11 +514,11 @@
                 prop_assert!(group == told && (load - read).abs() <= LOAD_STEP / 2.0);
             }
             let homes = all.iter().map(|(group, _, homes)| (*group, *homes)).collect();
-            let table = Homes { generation, part: (0, 1), young: told, homes };
-            let parts = write_homes(&table);
+            let table = SubsetSizes { generation, part: (0, 1), young: told, homes };
+            let parts = write_subset_sizes(&table);
             for bytes in &parts {
                 prop_assert!(bytes.len() <= LONGEST);
-                let Some(Datagram::Homes(read)) = read(bytes) else { panic!("unreadable") };
+                let Some(Datagram::SubsetSizes(read)) = read(bytes) else { panic!("unreadable") };
                 prop_assert!(read.young == told && read.generation == generation);
                 homes_back.extend(read.homes);
             }
@@ -526,15 +539,15 @@
 
     #[test]
     fn a_table_tells_what_is_full_or_unwell_and_nothing_else() {
-        let node = |n, used, word| (Subchannel(n), used, word);
+        let node = |n, used, word| (EndpointDigest(n), used, word);
         let nodes = vec![
-            node(1, 0.2, Word::Unclear),
-            node(2, 0.2, Word::Unwell),
-            node(3, 0.93, Word::Well),
-            node(4, 9.0, Word::Unclear),
+            node(1, 0.2, HealthVerdict::Unknown),
+            node(2, 0.2, HealthVerdict::Unhealthy),
+            node(3, 0.93, HealthVerdict::Healthy),
+            node(4, 9.0, HealthVerdict::Unknown),
         ];
         let totals = Totals { connections: 1, ..Totals::default() };
-        let table = Table {
+        let table = FleetSummary {
             generation: 9,
             part: (0, 1),
             young: false,
@@ -544,10 +557,12 @@
             mean_load: 40_000.0,
             nodes,
         };
-        let Some(Datagram::Table(back)) = read(&write_table(&table)[0]) else { panic!("unreadable") };
-        let told: Vec<u32> = back.nodes.iter().map(|(subchannel, ..)| subchannel.0).collect();
+        let Some(Datagram::Summary(back)) = read(&write_summary(&table)[0]) else { panic!("unreadable") };
+        let told: Vec<u32> = back.nodes.iter().map(|(endpoint, ..)| endpoint.0).collect();
         assert_eq!(told, [4, 3, 2], "the fullest first");
-        assert!((back.nodes[1].1 - 0.93).abs() <= USE_STEP / 2.0 && back.nodes[1].2 == Word::Well);
+        assert!(
+            (back.nodes[1].1 - 0.93).abs() <= USE_STEP / 2.0 && back.nodes[1].2 == HealthVerdict::Healthy
+        );
         assert!((back.mean_load / 40_000.0 - 1.0).abs() < 0.023, "{}", back.mean_load);
         assert_eq!(back.nodes[2].1, 0.0, "named for its word alone, not as full");
         assert_eq!((back.members, back.generation, back.period), (300, 9, 1_500_000));
--- a/crates/aggregation/tests/affinity_subsets.rs
+++ b/crates/aggregation/tests/affinity_subsets.rs
@@ -1,8 +1,8 @@
-//! Homes by a group's size, in whole tiers with faults: loss, delay, stops, restarts, cuts, members that aren't heard, older
+//! SubsetSizes by a group's size, in whole tiers with faults: loss, delay, stops, restarts, cuts, members that aren't heard, older
 //! programs, strangers and liars.
 
 mod played;
-use cottonnotch_aggregation::wire::{self, Datagram, Groups, Homes};
+use cottonnotch_aggregation::wire::{self, Datagram, GroupReport, SubsetSizes};
 use cottonnotch_aggregation::*;
 use played::*;
 
@@ -114,7 +114,7 @@
     assert_right(&sim, "25 s after the regions met again");
 }
 
-/// Half has an older program, or the keys off: it drops what it doesn't know, and every second keeper tells nothing.
+/// Half has an older program, or the keys off: it drops what it doesn't know, and every second aggregator tells nothing.
 #[test]
 fn half_of_the_tier_with_an_older_program() {
     let mut sim = tier(8, 120, 60, settings(Some(64), 600, 180));
@@ -138,9 +138,12 @@
     assert!(dropped(&old) > 100, "what it doesn't know it drops and counts");
     // Answers that cross the next question are dropped in any tier.
     assert!(dropped(&new) * 1_000 < sim.sent, "and nobody drops what the older tell: {}", dropped(&new));
-    let views =
-        sim.members.iter().flatten().filter(|one| one.view().is_some_and(|view| sim.now - view.at < 10 * S));
-    assert!(views.count() > 110, "the fleet's view goes on");
+    let snapshots = sim
+        .members
+        .iter()
+        .flatten()
+        .filter(|one| one.snapshot().is_some_and(|snapshot| sim.now - snapshot.received_at < 10 * S));
+    assert!(snapshots.count() > 110, "the fleet's snapshot goes on");
 }
 
 /// Hears all and isn't heard: it gets no answers, keeps what it had for the stated time, and then goes by its own.
@@ -187,7 +190,7 @@
         sim.go_on(member);
         let after = sim.members[7].as_ref().unwrap().counts();
         late += after.late - counts.late;
-        let told = after.homes_told - counts.homes_told;
+        let told = after.subset_tables_received - counts.subset_tables_received;
         assert_eq!(told, 0, "seed {seed}: it took a table of 30 s ago");
         assert!(sim.homes(member, LARGE) >= before, "seed {seed}");
         sim.run_for(10 * S);
@@ -199,13 +202,13 @@
     assert!(late > 0, "none of them found an answer of before in its socket");
 }
 
-/// A group that claims to have a billion listeners, 100,000 names, strangers, wrong sizes, another tier size.
+/// A group that reports to have a billion listeners, 100,000 names, strangers, wrong sizes, another tier size.
 #[test]
 fn bad_input_is_dropped_or_bounded_and_counted() {
     let mut sim = tier(20, 40, 100, settings(Some(64), 600, 180));
     sim.run_for(25 * S);
     let (before, bytes) = (sim.spread(LARGE), sim.bytes.iter().sum::<u64>());
-    // Two members lie, at whoever is keeper; each tells others as many names as it can.
+    // Two members lie, at whoever is aggregator; each tells others as many names as it can.
     for round in 0..200_u64 {
         for liar in [38, 39] {
             sim.groups[liar].insert(round << 32 | liar as u64, 1_000_000_000);
@@ -218,7 +221,11 @@
     let (least, _, most) = sim.spread(LARGE);
     assert!(least >= before.0 && most <= before.2 + before.2 / 5, "{least} to {most}, {before:?} before");
     for (place, one) in sim.members.iter().flatten().enumerate().take(38) {
-        assert!(one.homes().count() <= 3, "{place}: {:?}", one.homes().collect::<Vec<_>>());
+        assert!(
+            one.affinity_subsets().count() <= 3,
+            "{place}: {:?}",
+            one.affinity_subsets().collect::<Vec<_>>()
+        );
     }
     assert!(sim.sum(|counts| counts.groups_cut) > 1_000);
     let spent = sim.bytes.iter().sum::<u64>() - bytes;
@@ -228,9 +235,12 @@
     // Strangers and broken datagrams.
     let one = sim.members[3].as_mut().unwrap();
     let dropped = one.counts().dropped;
-    let groups = Groups { generation: 1, part: (0, 1), no_answer: false, next: S, groups: vec![(1, 1e12)] };
-    let homes = Homes { generation: 1, part: (0, 1), young: false, homes: vec![(LARGE, 1), (SMALL, 200)] };
-    let (groups, homes) = (wire::write_groups(&groups).remove(0), wire::write_homes(&homes).remove(0));
+    let groups =
+        GroupReport { generation: 1, part: (0, 1), no_answer: false, next: S, groups: vec![(1, 1e12)] };
+    let homes =
+        SubsetSizes { generation: 1, part: (0, 1), young: false, homes: vec![(LARGE, 1), (SMALL, 200)] };
+    let (groups, homes) =
+        (wire::write_group_report(&groups).remove(0), wire::write_subset_sizes(&homes).remove(0));
     let mut long = homes.clone();
     long.resize(257, 0);
     let inputs: Vec<(Option<u32>, &[u8])> = vec![
@@ -253,7 +263,7 @@
     assert_eq!(sim.homes(3, SMALL), 5);
 }
 
-/// A keeper that says what it likes: no group gets more homes than there are nodes, or fewer than five.
+/// A aggregator that says what it likes: no group gets more homes than there are nodes, or fewer than five.
 #[test]
 fn a_lying_keeper_is_held_to_the_nodes_that_there_are() {
     let mut sim = tier(21, 30, 100, settings(Some(64), 600, 180));
@@ -266,15 +276,16 @@
     let mut asked = None;
     while let Some(output) = one.poll() {
         if let Output::Send { to, bytes } = output
-            && let Some(Datagram::Groups(groups)) = wire::read(&bytes)
+            && let Some(Datagram::GroupReport(groups)) = wire::read(&bytes)
         {
             asked = Some((to, groups.generation));
         }
     }
-    let (keeper, generation) = asked.expect("it reports its groups");
+    let (aggregator, generation) = asked.expect("it reports its groups");
     let homes = vec![(LARGE, 0), (SMALL, u32::MAX), (78, 3)];
-    let lie = wire::write_homes(&Homes { generation, part: (0, 1), young: false, homes }).remove(0);
-    one.handle(sim.now, Input::Datagram { from: Some(keeper), bytes: &lie });
+    let lie =
+        wire::write_subset_sizes(&SubsetSizes { generation, part: (0, 1), young: false, homes }).remove(0);
+    one.handle(sim.now, Input::Datagram { from: Some(aggregator), bytes: &lie });
     assert_eq!(sim.homes(9, SMALL), 200, "all nodes, no more");
     assert_eq!(sim.homes(9, 78), 5);
     assert_eq!(sim.homes(9, LARGE), honest, "nobody takes homes away at once");
--- a/crates/aggregation/tests/fleet.rs
+++ b/crates/aggregation/tests/fleet.rs
@@ -85,8 +85,8 @@
         let unix = UNIX + self.now + clock;
         let new = Member::new(self.settings.clone(), member, self.size(), seed, self.now, unix);
         self.members[member as usize] = Some(new);
-        let sizes = (0..self.nodes).map(|node| (Subchannel(node), SIZE)).collect();
-        self.input(member, Input::Sizes(sizes));
+        let sizes = (0..self.nodes).map(|node| (EndpointDigest(node), SIZE)).collect();
+        self.input(member, Input::Capacities(sizes));
     }
 
     /// A process dies, its connections with it.
@@ -105,14 +105,22 @@
         let (now, seed) = (self.now, self.seed);
         let standing = &self.standing[member as usize];
         let Some(one) = &mut self.members[member as usize] else { return };
-        let totals = Totals { connections: standing.values().sum(), requests, well: requests, failed: 0.0 };
+        let totals = Totals {
+            connections: standing.values().sum(),
+            requests_per_s: requests,
+            successes_per_s: requests,
+            failures_per_s: 0.0,
+        };
         let entry = |(node, count): (&u32, &u32)| Entry {
-            subchannel: Subchannel(*node),
+            endpoint: EndpointDigest(*node),
             load: LOAD * f64::from(*count),
             groups: Vec::new(),
-            word: Word::Unclear,
+            health: HealthVerdict::Unknown,
         };
-        one.handle(now, Input::Own(Own { totals, entries: standing.iter().map(entry).collect() }));
+        one.handle(
+            now,
+            Input::LocalLoad(LocalLoad { totals, entries: standing.iter().map(entry).collect() }),
+        );
         one.handle(now, input);
         let mut sends = Vec::new();
         while let Some(output) = one.poll() {
@@ -165,28 +173,31 @@
     }
 
     /// Mean of what the members of a part are told of its full nodes, over what is true; and the part of the members whose
-    /// view is no older than so much.
+    /// snapshot is no older than so much.
     fn told(&self, part: u8, fresh: Micros) -> (f64, f64) {
         let full: Vec<u32> = (0..self.nodes).filter(|node| self.used(part, *node) > 0.5).collect();
-        let (mut told, mut truth, mut views, mut live) = (0.0, 0.0, 0.0, 0.0);
+        let (mut told, mut truth, mut snapshots, mut live) = (0.0, 0.0, 0.0, 0.0);
         for member in 0..self.size() as usize {
             let Some(one) = self.members[member].as_ref().filter(|_| self.part[member] == part) else {
                 continue;
             };
             live += 1.0;
-            let Some(view) = one.view().filter(|view| self.now - view.at <= fresh) else { continue };
-            views += 1.0;
+            let Some(snapshot) = one.snapshot().filter(|snapshot| self.now - snapshot.received_at <= fresh)
+            else {
+                continue;
+            };
+            snapshots += 1.0;
             for node in &full {
-                told += view.of(Subchannel(*node)).used;
+                told += snapshot.endpoint(EndpointDigest(*node)).utilization;
                 truth += self.used(part, *node).min(2.37);
             }
         }
-        (if truth > 0.0 { told / truth } else { 1.0 }, views / f64::max(live, 1.0))
+        (if truth > 0.0 { told / truth } else { 1.0 }, snapshots / f64::max(live, 1.0))
     }
 
     fn show(&self, what: &str, told: (f64, f64), datagrams: f64) {
         eprintln!(
-            "seed {}, {} members, {what}: told {:.3} of what is true, {:.3} have a fresh view, {datagrams:.2} full datagrams \
+            "seed {}, {} members, {what}: told {:.3} of what is true, {:.3} have a fresh snapshot, {datagrams:.2} full datagrams \
              a request",
             self.seed,
             self.size(),
@@ -287,18 +298,20 @@
 
 /// A table that says that all is full, in answer to that report.
 fn lie(generation: u16) -> Vec<u8> {
-    let nodes = (0..9).map(|node| (Subchannel(node), 2.0, Word::Unwell)).collect();
+    let nodes = (0..9).map(|node| (EndpointDigest(node), 2.0, HealthVerdict::Unhealthy)).collect();
     let (totals, part) = (Totals::default(), (0, 1));
     let (period, mean_load) = (S, 0.0);
-    let table = wire::Table { generation, part, young: false, period, members: 30, totals, mean_load, nodes };
-    wire::write_table(&table).remove(0)
+    let table =
+        wire::FleetSummary { generation, part, young: false, period, members: 30, totals, mean_load, nodes };
+    wire::write_summary(&table).remove(0)
 }
 
 /// A member far down in the order, which has just asked: who was asked, and the number of its report.
 fn one_that_asks(tier: &mut Tier) -> (u32, u32, u16) {
     let epoch = (UNIX / EPOCH) as u64;
-    let order = keepers(epoch, tier.size());
-    let one = (0..tier.size()).find(|member| !order[..6].contains(member)).expect("one that is no keeper");
+    let order = aggregator_order(epoch, tier.size());
+    let one =
+        (0..tier.size()).find(|member| !order[..6].contains(member)).expect("one that is no aggregator");
     let member = tier.members[one as usize].as_mut().expect("it runs");
     tier.now = member.next_timeout();
     member.handle(tier.now, Input::Tick);
@@ -316,9 +329,9 @@
     let other = (0..30).find(|other| *other != one && *other != asked).unwrap();
     let mut hear = |from, generation| {
         member.handle(tier.now, Input::Datagram { from, bytes: &lie(generation) });
-        member.view().map(|view| view.of(Subchannel(0)).used)
+        member.snapshot().map(|snapshot| snapshot.endpoint(EndpointDigest(0)).utilization)
     };
-    // A keeper of an earlier epoch knows the numbers.
+    // A aggregator of an earlier epoch knows the numbers.
     assert_eq!(hear(Some(other), generation), None);
     assert_eq!(hear(None, generation), None);
     assert_eq!(hear(Some(asked), generation.wrapping_add(1)), None, "the next one's answer");
@@ -340,7 +353,8 @@
     let mut least = f64::INFINITY;
     for _ in 0..60 {
         tier.run_for(500_000);
-        let told = tier.members[59].as_ref().unwrap().view().unwrap().of(Subchannel(3)).used;
+        let told =
+            tier.members[59].as_ref().unwrap().snapshot().unwrap().endpoint(EndpointDigest(3)).utilization;
         least = least.min(told / tier.used(0, 3).min(2.35));
     }
     assert!(least > 0.9, "seed {}: at times {least:.2} of what is true", tier.seed);
--- a/crates/aggregation/tests/golden.rs
+++ b/crates/aggregation/tests/golden.rs
@@ -1,23 +1,23 @@
-//! Datagrams of the fleet view keep the bytes that earlier builds gave them.
+//! Datagrams of the fleet snapshot keep the bytes that earlier builds gave them.
 
 use cottonnotch_aggregation::wire::{
-    Datagram, Groups, Homes, Report, Table, Totals, load, rate, read, write_groups, write_homes,
-    write_report, write_table,
+    Datagram, FleetSummary, GroupReport, Report, SubsetSizes, Totals, load, rate, read, write_group_report,
+    write_report, write_subset_sizes, write_summary,
 };
-use cottonnotch_aggregation::{Entry, Subchannel, Word};
+use cottonnotch_aggregation::{EndpointDigest, Entry, HealthVerdict};
 use cottonnotch_golden::{assert_bytes, golden_path};
 
 fn totals() -> Totals {
-    Totals { connections: 4_711, requests: 88.0, well: 12.5, failed: 0.25 }
+    Totals { connections: 4_711, requests_per_s: 88.0, successes_per_s: 12.5, failures_per_s: 0.25 }
 }
 
 fn report(entries: u32, leaving: bool) -> Report {
-    let word = |n| [Word::Unclear, Word::Well, Word::Unwell][n as usize % 3];
+    let word = |n| [HealthVerdict::Unknown, HealthVerdict::Healthy, HealthVerdict::Unhealthy][n as usize % 3];
     let entry = |n: u32| Entry {
-        subchannel: Subchannel((n * 70_001) & 0xff_ffff),
+        endpoint: EndpointDigest((n * 70_001) & 0xff_ffff),
         load: f64::from(n) * 1_000.0,
         groups: (0..n as u8 % 5).collect(),
-        word: word(n),
+        health: word(n),
     };
     let entries = (1..=entries).map(entry).collect();
     Report {
@@ -31,10 +31,10 @@
     }
 }
 
-fn table(nodes: u32) -> Table {
-    let word = |n| [Word::Unclear, Word::Well, Word::Unwell][n as usize % 3];
-    let node = |n: u32| (Subchannel((n * 70_001) & 0xff_ffff), f64::from(n % 64) / 32.0, word(n));
-    Table {
+fn table(nodes: u32) -> FleetSummary {
+    let word = |n| [HealthVerdict::Unknown, HealthVerdict::Healthy, HealthVerdict::Unhealthy][n as usize % 3];
+    let node = |n: u32| (EndpointDigest((n * 70_001) & 0xff_ffff), f64::from(n % 64) / 32.0, word(n));
+    FleetSummary {
         generation: 513,
         part: (0, 1),
         young: nodes == 0,
@@ -46,24 +46,24 @@
     }
 }
 
-fn groups() -> Groups {
+fn groups() -> GroupReport {
     let groups = (1..40).map(|n| (u64::MAX / n, n as f64 * 1_600.0)).collect();
-    Groups { generation: 513, part: (0, 1), no_answer: true, next: 2_300_000, groups }
+    GroupReport { generation: 513, part: (0, 1), no_answer: true, next: 2_300_000, groups }
 }
 
-fn homes() -> Homes {
+fn homes() -> SubsetSizes {
     let homes = (1..40).map(|n| (u64::MAX / u64::from(n), 5 + n)).collect();
-    Homes { generation: 513, part: (0, 1), young: false, homes }
+    SubsetSizes { generation: 513, part: (0, 1), young: false, homes }
 }
 
 fn datagrams() -> Vec<(&'static str, Vec<u8>)> {
     let sets = [
         ("report_leaving", write_report(&report(0, true))),
         ("report", write_report(&report(60, false))),
-        ("table_young", write_table(&table(0))),
-        ("table", write_table(&table(120))),
-        ("groups", write_groups(&groups())),
-        ("homes", write_homes(&homes())),
+        ("table_young", write_summary(&table(0))),
+        ("table", write_summary(&table(120))),
+        ("groups", write_group_report(&groups())),
+        ("homes", write_subset_sizes(&homes())),
     ];
     sets.into_iter().flat_map(|(name, set)| set.into_iter().map(move |bytes| (name, bytes))).collect()
 }
@@ -72,9 +72,9 @@
 fn rewritten(datagram: &Datagram) -> Vec<Vec<u8>> {
     match datagram {
         Datagram::Report(report) => write_report(report),
-        Datagram::Table(table) => write_table(table),
-        Datagram::Groups(groups) => write_groups(groups),
-        Datagram::Homes(homes) => write_homes(homes),
+        Datagram::Summary(table) => write_summary(table),
+        Datagram::GroupReport(groups) => write_group_report(groups),
+        Datagram::SubsetSizes(homes) => write_subset_sizes(homes),
     }
 }
 
--- a/crates/aggregation/tests/played/mod.rs
+++ b/crates/aggregation/tests/played/mod.rs
@@ -122,8 +122,8 @@
         let settings = self.settings[member as usize].clone();
         let new = Member::new(settings, member, self.scale.members, seed, self.now, unix);
         self.members[member as usize] = Some(new);
-        let sizes = (0..self.scale.nodes).map(|node| (Subchannel(node), self.scale.size)).collect();
-        self.input(member, Input::Sizes(sizes));
+        let sizes = (0..self.scale.nodes).map(|node| (EndpointDigest(node), self.scale.size)).collect();
+        self.input(member, Input::Capacities(sizes));
     }
 
     /// A process dies; its clients come again at the others.
@@ -151,24 +151,24 @@
         self.due.push(Reverse((at, self.number, due)));
     }
 
-    pub fn own(&self, member: u32) -> (Own, Vec<GroupLoad>) {
+    pub fn own(&self, member: u32) -> (LocalLoad, Vec<GroupLoad>) {
         let groups = &self.groups[member as usize];
         let rate = self.scale.requests_per_s / f64::from(self.scale.members);
         let connections = groups.values().fold(0_u32, |sum, count| sum.saturating_add(*count));
-        let totals = Totals { connections, requests: rate, well: rate, failed: 0.0 };
+        let totals = Totals { connections, requests_per_s: rate, successes_per_s: rate, failures_per_s: 0.0 };
         let load = self.scale.load;
         let stands = Entry {
-            subchannel: Subchannel(0),
+            endpoint: EndpointDigest(0),
             load: f64::from(connections) * load,
             groups: vec![],
-            word: Word::Well,
+            health: HealthVerdict::Healthy,
         };
         let group = |(group, count): (&u64, &u32)| GroupLoad {
             group: *group,
-            count: *count,
+            connections: *count,
             load: load * f64::from(*count),
         };
-        (Own { totals, entries: vec![stands] }, groups.iter().map(group).collect())
+        (LocalLoad { totals, entries: vec![stands] }, groups.iter().map(group).collect())
     }
 
     fn input(&mut self, member: u32, input: Input<'_>) {
@@ -185,14 +185,14 @@
         if self.stopped[place].is_some() {
             return;
         }
-        let tick = matches!(input, Input::Tick | Input::Sizes(_));
+        let tick = matches!(input, Input::Tick | Input::Capacities(_));
         let own = tick.then(|| self.own(member));
         let now = self.now;
         let Some(one) = &mut self.members[place] else { return };
         let began = Instant::now();
         if let Some((own, groups)) = own {
-            one.handle(now, Input::Groups(groups));
-            one.handle(now, Input::Own(own));
+            one.handle(now, Input::GroupLoads(groups));
+            one.handle(now, Input::LocalLoad(own));
         }
         one.handle(now, input);
         let mut sends = Vec::new();
@@ -242,8 +242,9 @@
 
     /// The homes of a group that a member acts on.
     pub fn homes(&self, member: u32, group: u64) -> u32 {
-        let told =
-            self.members[member as usize].as_ref().map(|one| one.homes().collect::<BTreeMap<u64, u32>>());
+        let told = self.members[member as usize]
+            .as_ref()
+            .map(|one| one.affinity_subsets().collect::<BTreeMap<u64, u32>>());
         told.and_then(|told| told.get(&group).copied()).unwrap_or(5)
     }
 
--- a/crates/aggregation/tests/wall_clock.rs
+++ b/crates/aggregation/tests/wall_clock.rs
@@ -1,6 +1,8 @@
 //! The wall clock is stepped: epochs, on which all members must agree, follow it; no other time does.
 
-use cottonnotch_aggregation::{EPOCH, FleetSection, Input, Member, Micros, Output, Settings, keepers};
+use cottonnotch_aggregation::{
+    EPOCH, FleetSection, Input, Member, Micros, Output, Settings, aggregator_order,
+};
 
 const S: Micros = 1_000_000;
 const MEMBERS: u32 = 12;
@@ -20,16 +22,16 @@
 fn members_of_before_and_after_a_step_ask_the_same_keeper() {
     for step in [-3600 * S, -7 * S, 7 * S, 3600 * S] {
         let unix = UNIX + 2 * S + step;
-        let keeper = keepers((unix / EPOCH) as u64, MEMBERS)[0];
-        let me = (keeper + 1) % MEMBERS;
+        let aggregator = aggregator_order((unix / EPOCH) as u64, MEMBERS)[0];
+        let me = (aggregator + 1) % MEMBERS;
         // One that began before the step, on a clock of its own, and one that begins after it.
         let mut before = Member::new(settings(), me, MEMBERS, 1, 0, UNIX);
-        before.set_unix(2 * S, unix);
+        before.set_wall_clock(2 * S, unix);
         let mut after = Member::new(settings(), me, MEMBERS, 2, 2 * S, unix);
         for member in [&mut before, &mut after] {
             let at = member.next_timeout().max(2 * S);
             let asked = reports_to(member, at);
-            assert_eq!(asked.first(), Some(&keeper), "step of {step}: asked {asked:?}");
+            assert_eq!(asked.first(), Some(&aggregator), "step of {step}: asked {asked:?}");
             assert!(member.next_timeout() < at + 10 * S, "its own times are not stepped");
         }
     }
--- a/crates/cottonnotch/src/config/platform.rs
+++ b/crates/cottonnotch/src/config/platform.rs
@@ -113,7 +113,7 @@
     }
     let keys =
         Keys::load(settings.strength, &files, public.as_deref(), me, members).map_err(|error| bad(&error))?;
-    let settings = Settings { broadcast: tier.all.is_some(), ..settings };
+    let settings = Settings { multicast: tier.all.is_some(), ..settings };
     let life = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
     Ok(Some(Gossiping { settings, keys, life }))
 }
--- a/crates/cottonnotch/src/net/driver/peers.rs
+++ b/crates/cottonnotch/src/net/driver/peers.rs
@@ -190,10 +190,17 @@
     /// How it stands with homes by a group's size, where they are on.
     pub fn homes(&self) -> Option<Homes> {
         let member = self.member.as_ref()?.peers.fleet_member().filter(|member| member.wants_groups())?;
-        let (counts, most) = (member.counts(), member.homes().map(|(_, homes)| homes).max().unwrap_or(0));
+        let (counts, most) =
+            (member.counts(), member.affinity_subsets().map(|(_, homes)| homes).max().unwrap_or(0));
         let dropped = counts.dropped + counts.late;
-        let (told, cut) = (counts.homes_told, counts.groups_cut);
-        Some(Homes { groups: member.homes().count() as u64, most: u64::from(most), told, cut, dropped })
+        let (told, cut) = (counts.subset_tables_received, counts.groups_cut);
+        Some(Homes {
+            groups: member.affinity_subsets().count() as u64,
+            most: u64::from(most),
+            told,
+            cut,
+            dropped,
+        })
     }
 
     /// What the module is about to hear, as far as it shows something.
--- a/crates/cottonnotch/tests/gossip.rs
+++ b/crates/cottonnotch/tests/gossip.rs
@@ -2,10 +2,10 @@
 //! crates.
 
 mod peers;
-use cottonnotch_aggregation::wire::{self, Datagram, Report, Table, Totals};
-use cottonnotch_aggregation::{EPOCH, keepers};
+use cottonnotch_aggregation::wire::{self, Datagram, FleetSummary, Report, Totals};
+use cottonnotch_aggregation::{EPOCH, aggregator_order};
 use cottonnotch_gossip::{
-    Entry, Evidence, Gossip, GossipSection, Input, Keys, Load, Output, State, Strength, Subchannel, To,
+    EndpointDigest, Entry, Evidence, Gossip, GossipSection, Input, Keys, Load, Output, State, Strength, To,
 };
 use peers::*;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
@@ -87,7 +87,7 @@
         let now = self.now();
         if self.told.elapsed() > Duration::from_millis(300) {
             self.told = Instant::now();
-            self.gossip.handle(now, Input::Own(self.own.clone()));
+            self.gossip.handle(now, Input::LocalState(self.own.clone()));
         }
         if self.gossip.next_timeout() <= now {
             self.gossip.handle(now, Input::Tick);
@@ -104,9 +104,9 @@
                     // Whoever is not there hears nothing.
                     let _ = self.socket.send_to(&bytes, to);
                 }
-                Output::Heard { from: 0, entries } => {
+                Output::PeerReport { from: 0, entries } => {
                     for entry in entries {
-                        self.heard.retain(|old| old.subchannel != entry.subchannel);
+                        self.heard.retain(|old| old.endpoint != entry.endpoint);
                         self.heard.push(entry);
                     }
                 }
@@ -117,14 +117,15 @@
     }
 
     fn of(&self, name: &str) -> Option<Entry> {
-        self.heard.iter().find(|entry| entry.subchannel == Subchannel::of(name)).copied()
+        self.heard.iter().find(|entry| entry.endpoint == EndpointDigest::of(name)).copied()
     }
 
     fn tells(&mut self, name: &str, load: u64, evidence: Evidence) {
         let load = Load::from_micros_per_s(load);
         let standing = u32::from(load != Load::default());
-        let entry = Entry { subchannel: Subchannel::of(name), standing, load, groups: 0, evidence };
-        self.own.retain(|old| old.subchannel != entry.subchannel);
+        let entry =
+            Entry { endpoint: EndpointDigest::of(name), connections: standing, load, groups: 0, evidence };
+        self.own.retain(|old| old.endpoint != entry.endpoint);
         self.own.push(entry);
     }
 }
@@ -192,10 +193,10 @@
     let told = until("the standing connection", &mut [&mut peer], |played| {
         played[0].of("s0").filter(|entry| entry.load.micros_per_s() > 0)
     });
-    assert_eq!((told.standing, told.groups.count_ones()), (1, 1));
+    assert_eq!((told.connections, told.groups.count_ones()), (1, 1));
     assert!(told.load.micros_per_s().abs_diff(500_000) < 500, "{told:?}");
     drop((client, far));
-    until("its end", &mut [&mut peer], |played| played[0].of("s0").filter(|entry| entry.standing == 0));
+    until("its end", &mut [&mut peer], |played| played[0].of("s0").filter(|entry| entry.connections == 0));
     assert!(peer.datagrams.iter().all(|length| *length <= 256), "{:?}", peer.datagrams);
 }
 
@@ -365,8 +366,9 @@
     for _ in 0..20 {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as i64;
         let epoch = (now / EPOCH) as u64;
-        let orders =
-            |members: u8| (epoch..epoch + 3).map(|epoch| keepers(epoch, members.into())).collect::<Vec<_>>();
+        let orders = |members: u8| {
+            (epoch..epoch + 3).map(|epoch| aggregator_order(epoch, members.into())).collect::<Vec<_>>()
+        };
         if let Some(members) = (6..=120).find(|members| orders(*members).iter().all(far)) {
             return (members, orders(members));
         }
@@ -410,11 +412,11 @@
                 };
                 asked.push(place);
                 if !self.dead.contains(&place) && !report.no_answer {
-                    let node = wire::Subchannel(Subchannel::of(self.full).bits());
-                    let nodes = vec![(node, 2.0, wire::Word::Unclear)];
+                    let node = wire::EndpointDigest(EndpointDigest::of(self.full).bits());
+                    let nodes = vec![(node, 2.0, wire::HealthVerdict::Unknown)];
                     let (generation, totals) =
                         (report.generation, Totals { connections: 9, ..Totals::default() });
-                    let table = Table {
+                    let table = FleetSummary {
                         generation,
                         part: (0, 1),
                         young: false,
@@ -424,7 +426,7 @@
                         mean_load: 1_000.0,
                         nodes,
                     };
-                    end.send_to(&wire::write_table(&table)[0], from).unwrap();
+                    end.send_to(&wire::write_summary(&table)[0], from).unwrap();
                 }
                 self.reports.push(report);
             }
--- a/crates/cottonnotch/tests/homes.rs
+++ b/crates/cottonnotch/tests/homes.rs
@@ -2,7 +2,7 @@
 //! of render nodes. They are judged from outside: by where the connections of one large group stand.
 
 mod peers;
-use cottonnotch_aggregation::{EPOCH, keepers};
+use cottonnotch_aggregation::{EPOCH, aggregator_order};
 use peers::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufRead, BufReader, Write};
@@ -283,8 +283,8 @@
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as i64;
     let epoch = (now / EPOCH) as u64;
     let on_duty: BTreeSet<usize> =
-        (epoch..epoch + 2).map(|epoch| keepers(epoch, MEMBERS as u32)[0] as usize).collect();
-    let keeper = |epoch: &u64| keepers(*epoch, MEMBERS as u32)[0] as usize;
+        (epoch..epoch + 2).map(|epoch| aggregator_order(epoch, MEMBERS as u32)[0] as usize).collect();
+    let keeper = |epoch: &u64| aggregator_order(*epoch, MEMBERS as u32)[0] as usize;
     // The first turn of one that doesn't know them: its member is not among those that do.
     let turn = (epoch + 2..).find(|epoch| !on_duty.contains(&keeper(epoch))).unwrap();
     let taken = |member: &usize| on_duty.contains(member) || *member == keeper(&turn);
--- a/crates/gossip/benches/cost.rs
+++ b/crates/gossip/benches/cost.rs
@@ -1,5 +1,5 @@
 //! What gossip costs a proxy: reading a datagram by each strength, dropping one that is not worth reading, and a whole
-//! period with few and many members and subchannels.
+//! period with few and many members and endpoints.
 #![allow(missing_docs)]
 
 use cottonnotch_gossip::wire::{Draft, Header};
@@ -38,8 +38,8 @@
 
 fn entries(count: u32, change: u32) -> Vec<Entry> {
     let entry = |number: u32| Entry {
-        subchannel: Subchannel::from_bits(number.wrapping_mul(2_654_435_761)),
-        standing: number % 30 + 1 + (number + change) % 3,
+        endpoint: EndpointDigest::from_bits(number.wrapping_mul(2_654_435_761)),
+        connections: number % 30 + 1 + (number + change) % 3,
         load: Load::from_micros_per_s(u64::from(number + change) * 9_000 + 5_000),
         groups: number.wrapping_mul(0x9e37_79b9),
         evidence: Evidence { served: 3, age_tenths: 2, ..Default::default() },
@@ -102,8 +102,8 @@
 fn period(c: &mut Criterion) {
     let mut group = c.benchmark_group("period");
     for members in [5u32, 50, 300] {
-        for subchannels in [16, 200] {
-            group.bench_function(format!("{members}-members-{subchannels}-subchannels"), |b| {
+        for endpoints in [16, 200] {
+            group.bench_function(format!("{members}-members-{endpoints}-endpoints"), |b| {
                 let mut gossip = member(Strength::Address, members);
                 let (mut now, mut counters) = (0, vec![0u64; members as usize]);
                 let mut round = 0u32;
@@ -126,11 +126,11 @@
                                 (sender, draft.finish(&Keys::Address, To::One(0)))
                             })
                             .collect();
-                        (from, entries(subchannels, round))
+                        (from, entries(endpoints, round))
                     },
                     |(datagrams, own)| {
                         now += S;
-                        gossip.handle(now.min(gossip.next_timeout()), Input::Own(own));
+                        gossip.handle(now.min(gossip.next_timeout()), Input::LocalState(own));
                         for (from, bytes) in &datagrams {
                             gossip.handle(
                                 now.min(gossip.next_timeout()),
--- a/crates/gossip/src/broadcast_queue.rs
+++ b/crates/gossip/src/broadcast_queue.rs
@@ -1,6 +1,6 @@
 //! News of members that is still to be passed on.
 
-use crate::wire::Rumour;
+use crate::wire::Broadcast;
 use std::collections::BTreeMap;
 
 /// News is told this many times the logarithm of the members (SWIM's lambda; memberlist has 4, with which one of 50 members
@@ -9,14 +9,14 @@
 
 /// The newest word on each member, and how often it was told.
 #[derive(Debug, Default)]
-pub(crate) struct Rumours {
-    by_subject: BTreeMap<u16, (Rumour, u32)>,
+pub(crate) struct Broadcasts {
+    by_subject: BTreeMap<u16, (Broadcast, u32)>,
 }
 
-impl Rumours {
+impl Broadcasts {
     /// To be told from now on, in place of older word on the same member.
-    pub(crate) fn put(&mut self, rumour: Rumour) {
-        self.by_subject.insert(rumour.subject, (rumour, 0));
+    pub(crate) fn put(&mut self, broadcast: Broadcast) {
+        self.by_subject.insert(broadcast.subject, (broadcast, 0));
     }
 
     /// Whether there is word on this member to be told.
@@ -30,24 +30,24 @@
     }
 
     /// The least told first; none on the receiver itself, which is told of accusations only, and by those who doubt it.
-    pub(crate) fn in_order(&self, receiver: Option<u16>) -> Vec<Rumour> {
-        let mut all: Vec<(u32, Rumour)> = self
+    pub(crate) fn in_order(&self, receiver: Option<u16>) -> Vec<Broadcast> {
+        let mut all: Vec<(u32, Broadcast)> = self
             .by_subject
             .values()
             .filter(|(r, _)| Some(r.subject) != receiver)
             .map(|(r, told)| (*told, *r))
             .collect();
         all.sort_by_key(|(told, _)| *told);
-        all.into_iter().map(|(_, rumour)| rumour).collect()
+        all.into_iter().map(|(_, broadcast)| broadcast).collect()
     }
 
     /// These went out, in so many copies.
-    pub(crate) fn told(&mut self, rumours: &[Rumour], copies: u32, limit: u32) {
-        for rumour in rumours {
-            if let Some((_, told)) = self.by_subject.get_mut(&rumour.subject) {
+    pub(crate) fn told(&mut self, broadcasts: &[Broadcast], copies: u32, limit: u32) {
+        for broadcast in broadcasts {
+            if let Some((_, told)) = self.by_subject.get_mut(&broadcast.subject) {
                 *told += copies;
                 if *told >= limit {
-                    self.by_subject.remove(&rumour.subject);
+                    self.by_subject.remove(&broadcast.subject);
                 }
             }
         }
--- a/crates/gossip/src/config.rs
+++ b/crates/gossip/src/config.rs
@@ -12,7 +12,7 @@
 /// Receivers of a digest each period, where nothing is said: with five proxies, all others.
 const FAN_OUT: u32 = 4;
 const FAN_OUT_WITHIN: (u32, u32) = (1, 64);
-/// Datagrams of one digest, where nothing is said: one holds about 18 subchannels.
+/// Datagrams of one digest, where nothing is said: one holds about 18 endpoints.
 const DIGEST_DATAGRAMS: u32 = 1;
 const DIGEST_DATAGRAMS_WITHIN: (u32, u32) = (1, 16);
 /// Datagrams a second, where nothing is said: four times what quiet needs with hundreds of members, for the days when many
@@ -113,12 +113,12 @@
     /// The least suspicion for up to ten members.
     pub suspicion: i64,
     /// The network copies one datagram to all others (`peers_all`). Not in the file: the embedder knows.
-    pub broadcast: bool,
+    pub multicast: bool,
 }
 
 /// What is wrong with the section; the message names the key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadGossip {
+pub enum GossipSectionError {
     /// Out of bounds.
     #[error("gossip.{key} is not within {least} to {most}: '{value}'")]
     OutOfBounds {
@@ -172,10 +172,10 @@
     }
 
     /// The settings, if the section is sound; `None` if it is off. Bounds are checked even then.
-    pub fn check(&self) -> Result<Option<Settings>, BadGossip> {
+    pub fn check(&self) -> Result<Option<Settings>, GossipSectionError> {
         let within = |key, value: u32, (least, most): (u32, u32)| match value {
             _ if (least..=most).contains(&value) => Ok(value),
-            _ => Err(BadGossip::OutOfBounds { key, least, most, value }),
+            _ => Err(GossipSectionError::OutOfBounds { key, least, most, value }),
         };
         let micros = |ms: u32| i64::from(ms) * 1_000;
         let period = within("period_ms", self.period_ms, PERIOD_WITHIN)?;
@@ -192,7 +192,7 @@
             [("datagrams_per_s", datagrams, needed), ("bytes_per_s", bytes, needed * u64::from(longest))]
         {
             if needed * 8 > u64::from(ceiling) * DIGEST_EIGHTHS {
-                return Err(BadGossip::Ceiling { key, needed });
+                return Err(GossipSectionError::Ceiling { key, needed });
             }
         }
         self.check_files()?;
@@ -207,12 +207,12 @@
             probe_timeout: micros(probe),
             silence: micros(period) * i64::from(silent),
             suspicion: micros(period) * i64::from(suspicion),
-            broadcast: false,
+            multicast: false,
         }))
     }
 
-    fn check_files(&self) -> Result<(), BadGossip> {
-        let wrong = |key, why| Err(BadGossip::KeyFiles { key, why });
+    fn check_files(&self) -> Result<(), GossipSectionError> {
+        let wrong = |key, why| Err(GossipSectionError::KeyFiles { key, why });
         match (self.strength, self.key_files.len(), &self.public_keys) {
             (None | Some(Strength::Address), 1.., _) => {
                 wrong("key_files", "unused without strength 'shared' or 'signed'")
--- a/crates/gossip/src/counts.rs
+++ b/crates/gossip/src/counts.rs
@@ -2,21 +2,21 @@
 
 /// Why a datagram that came in was dropped, in the order of the checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Dropped {
+pub enum DropReason {
     /// From no member's address.
-    Stranger,
+    UnknownSender,
     /// Beyond what is looked at from one peer, or from all.
-    Flood,
+    RateLimited,
     /// Too long, or too short for a header and its proof.
     Length,
     /// Of a newer version of the protocol.
-    Newer,
+    NewerVersion,
     /// Not of this protocol.
     Malformed,
     /// Proven in another way than is configured here.
-    Strength,
+    WrongStrength,
     /// In the name of another than its address has.
-    Name,
+    WrongSender,
     /// Of an incarnation that was superseded.
     Superseded,
     /// Seen before, or too old to tell.
@@ -25,19 +25,19 @@
     Forged,
 }
 
-impl Dropped {
+impl DropReason {
     /// All, in order.
-    pub const ALL: [Dropped; 10] = [
-        Dropped::Stranger,
-        Dropped::Flood,
-        Dropped::Length,
-        Dropped::Newer,
-        Dropped::Malformed,
-        Dropped::Strength,
-        Dropped::Name,
-        Dropped::Superseded,
-        Dropped::Replayed,
-        Dropped::Forged,
+    pub const ALL: [DropReason; 10] = [
+        DropReason::UnknownSender,
+        DropReason::RateLimited,
+        DropReason::Length,
+        DropReason::NewerVersion,
+        DropReason::Malformed,
+        DropReason::WrongStrength,
+        DropReason::WrongSender,
+        DropReason::Superseded,
+        DropReason::Replayed,
+        DropReason::Forged,
     ];
 }
 
@@ -63,13 +63,13 @@
     pub received: u64,
     /// Their bytes.
     pub received_bytes: u64,
-    dropped: [u64; Dropped::ALL.len()],
+    dropped: [u64; DropReason::ALL.len()],
     withheld: [u64; 3],
 }
 
 impl Counts {
     /// Datagrams dropped for this reason.
-    pub fn dropped(&self, why: Dropped) -> u64 {
+    pub fn dropped(&self, why: DropReason) -> u64 {
         self.dropped[why as usize]
     }
 
@@ -83,7 +83,7 @@
         self.withheld[purpose as usize]
     }
 
-    pub(crate) fn drop(&mut self, why: Dropped) {
+    pub(crate) fn drop(&mut self, why: DropReason) {
         self.dropped[why as usize] += 1;
     }
 
--- a/crates/gossip/src/entry.rs
+++ b/crates/gossip/src/entry.rs
@@ -1,22 +1,22 @@
-//! What a proxy tells of one subchannel.
+//! What a proxy tells of one endpoint.
 
 use std::collections::BTreeMap;
 
-/// A digest of a subchannel's name: 24 bits of BLAKE3. 16 bits would collide on 9 of 100 lists of 110 names; with 24 it is 1
+/// A digest of a endpoint's name: 24 bits of BLAKE3. 16 bits would collide on 9 of 100 lists of 110 names; with 24 it is 1
 /// list of 840 with 200 names, and a byte less than 32 in each entry. [`Directory`] keeps such pairs out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Subchannel(u32);
+pub struct EndpointDigest(u32);
 
-impl Subchannel {
+impl EndpointDigest {
     /// The digest of this name.
     pub fn of(name: &str) -> Self {
         let [a, b, c, ..] = *blake3::hash(name.as_bytes()).as_bytes();
-        Subchannel(u32::from_le_bytes([a, b, c, 0]))
+        EndpointDigest(u32::from_le_bytes([a, b, c, 0]))
     }
 
     /// By the digest's value; only its lowest 24 bits count.
     pub fn from_bits(bits: u32) -> Self {
-        Subchannel(bits & 0xff_ffff)
+        EndpointDigest(bits & 0xff_ffff)
     }
 
     /// The digest's value.
@@ -29,16 +29,16 @@
 /// peers tell is not taken. Peers with the same list leave out the same two.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
-    names: BTreeMap<Subchannel, Option<String>>,
+    names: BTreeMap<EndpointDigest, Option<String>>,
 }
 
 impl Directory {
     /// Of these names.
     pub fn new<'a>(names: impl IntoIterator<Item = &'a str>) -> Self {
-        let mut by_digest: BTreeMap<Subchannel, Option<String>> = BTreeMap::new();
+        let mut by_digest: BTreeMap<EndpointDigest, Option<String>> = BTreeMap::new();
         for name in names {
             by_digest
-                .entry(Subchannel::of(name))
+                .entry(EndpointDigest::of(name))
                 .and_modify(|known| {
                     if known.as_deref() != Some(name) {
                         *known = None;
@@ -50,13 +50,13 @@
     }
 
     /// The name with this digest; `None` if there is none, or two.
-    pub fn name(&self, subchannel: Subchannel) -> Option<&str> {
-        self.names.get(&subchannel)?.as_deref()
+    pub fn name(&self, endpoint: EndpointDigest) -> Option<&str> {
+        self.names.get(&endpoint)?.as_deref()
     }
 
     /// The digest of a name; `None` if it isn't here or shares its digest.
-    pub fn digest(&self, name: &str) -> Option<Subchannel> {
-        let digest = Subchannel::of(name);
+    pub fn digest(&self, name: &str) -> Option<EndpointDigest> {
+        let digest = EndpointDigest::of(name);
         (self.name(digest) == Some(name)).then_some(digest)
     }
 }
@@ -95,7 +95,7 @@
     }
 }
 
-/// What a proxy met at a subchannel within the last few seconds (4 is a good span): evidence, not a verdict. Counts stay
+/// What a proxy met at a endpoint within the last few seconds (4 is a good span): evidence, not a verdict. Counts stay
 /// at 255.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Evidence {
@@ -115,18 +115,18 @@
 
 impl Evidence {
     /// Pieces of trouble.
-    pub fn trouble(&self) -> u32 {
+    pub fn faults(&self) -> u32 {
         [self.full, self.failed, self.timed_out, self.silent].into_iter().map(u32::from).sum()
     }
 }
 
-/// What one proxy tells of one subchannel. Replaces what the same proxy told of it before.
+/// What one proxy tells of one endpoint. Replaces what the same proxy told of it before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// Which one.
-    pub subchannel: Subchannel,
-    /// The proxy's own standing connections there.
-    pub standing: u32,
+    pub endpoint: EndpointDigest,
+    /// The proxy's own connections connections there.
+    pub connections: u32,
     /// Their load, summed.
     pub load: Load,
     /// A sketch of the groups that they belong to: bit (digest of the group modulo 32).
@@ -137,21 +137,21 @@
 
 impl Entry {
     /// Nothing to tell of it: also how it is told that there is nothing any more.
-    pub fn empty(subchannel: Subchannel) -> Self {
-        Entry { subchannel, standing: 0, load: Load(0), groups: 0, evidence: Evidence::default() }
+    pub fn empty(endpoint: EndpointDigest) -> Self {
+        Entry { endpoint, connections: 0, load: Load(0), groups: 0, evidence: Evidence::default() }
     }
 
     /// Whether it says nothing.
     pub fn is_empty(&self) -> bool {
-        *self == Entry::empty(self.subchannel)
+        *self == Entry::empty(self.endpoint)
     }
 
     /// How much a peer that heard that one last would be wrong. In units of 1% of a core; one connection counts as much, a
     /// piece of trouble as eight: it is worth most while it is fresh.
     pub(crate) fn differs(&self, told: &Entry) -> u64 {
         let load = self.load.micros_per_s().abs_diff(told.load.micros_per_s()) / 10_000;
-        let trouble = u64::from(self.evidence.trouble().saturating_sub(told.evidence.trouble()));
-        load + u64::from(self.standing.abs_diff(told.standing)) + 8 * trouble
+        let trouble = u64::from(self.evidence.faults().saturating_sub(told.evidence.faults()));
+        load + u64::from(self.connections.abs_diff(told.connections)) + 8 * trouble
     }
 }
 
@@ -164,7 +164,7 @@
     fn names_that_share_a_digest_are_left_out() {
         // Found by trying: among 20,000 names about 12 pairs share 24 bits.
         let names: Vec<String> = (0..20_000).map(|n| format!("s-{n}")).collect();
-        let mut digests: Vec<_> = names.iter().map(|name| (Subchannel::of(name), name)).collect();
+        let mut digests: Vec<_> = names.iter().map(|name| (EndpointDigest::of(name), name)).collect();
         digests.sort();
         let pair = digests.windows(2).find(|two| two[0].0 == two[1].0).expect("a pair");
         let directory = Directory::new([pair[0].1.as_str(), pair[1].1, "another", "another"]);
--- a/crates/gossip/src/gossip.rs
+++ b/crates/gossip/src/gossip.rs
@@ -2,7 +2,7 @@
 //! for signs of life in `probing`, what it sends in `telling`.
 
 use crate::bandwidth_limit::{Bucket, Ceiling};
-use crate::broadcast_queue::Rumours;
+use crate::broadcast_queue::Broadcasts;
 use crate::health::Health;
 use crate::local_state::Own;
 use crate::peer::{Peer, State};
@@ -32,9 +32,9 @@
         /// Its bytes.
         bytes: &'a [u8],
     },
-    /// All that this proxy has to tell of its subchannels, in place of what it had before; about once a period. See
+    /// All that this proxy has to tell of its endpoints, in place of what it had before; about once a period. See
     /// [`crate::Directory`] for names. What is told next is told of this.
-    Own(Vec<Entry>),
+    LocalState(Vec<Entry>),
     /// This proxy leaves (SIGTERM): the others are told at once. See [`Gossip::gone`].
     Leave,
     /// Keys changed (reload). Of the same strength; another one takes a restart.
@@ -65,10 +65,10 @@
         /// Its incarnation, as known.
         incarnation: Incarnation,
     },
-    /// A peer told something new of its subchannels. Each entry takes the place of what the same peer told of the same
-    /// subchannel before; an empty one says that there is nothing any more. The whole is [`Gossip::digest_of`]. When a
+    /// A peer told something new of its endpoints. Each entry takes the place of what the same peer told of the same
+    /// endpoint before; an empty one says that there is nothing any more. The whole is [`Gossip::digest_of`]. When a
     /// member is dead, has left or lives anew, all that it told is void.
-    Heard {
+    PeerReport {
         /// Who.
         from: u32,
         /// What is new.
@@ -95,7 +95,7 @@
     pub(crate) live: usize,
     pub(crate) suspicions: BTreeMap<u16, Suspicion>,
     pub(crate) probes: Probes,
-    pub(crate) rumours: Rumours,
+    pub(crate) broadcasts: Broadcasts,
     pub(crate) own: Own,
     pub(crate) health: Health,
     pub(crate) ceiling: Ceiling,
@@ -137,7 +137,7 @@
             live: 0,
             suspicions: BTreeMap::new(),
             probes: Probes::default(),
-            rumours: Rumours::default(),
+            broadcasts: Broadcasts::default(),
             own: Own::default(),
             health: Health::default(),
             ceiling: Ceiling::new(&settings),
@@ -168,7 +168,7 @@
         self.allow_for_sleep();
         match input {
             Input::Datagram { from, bytes } => self.datagram(from, bytes),
-            Input::Own(entries) => self.own.set(entries, self.rounds()),
+            Input::LocalState(entries) => self.own.set(entries, self.rounds()),
             Input::Leave => self.leave(),
             Input::Keys(keys) if keys.strength() == self.settings.strength => self.keys = keys,
             Input::Keys(_) => debug_assert!(false, "another strength takes a restart"),
@@ -211,7 +211,7 @@
             .map(|(entry, at)| (entry, self.now - at))
     }
 
-    /// How long ago a peer last told of its subchannels, and how many it has; those not in [`Gossip::digest_of`] were not
+    /// How long ago a peer last told of its endpoints, and how many it has; those not in [`Gossip::digest_of`] were not
     /// heard of yet.
     pub fn freshness(&self, origin: u32) -> Option<(Micros, usize)> {
         self.peer(origin)?.told.newest().map(|(at, of)| (self.now - at, of))
@@ -228,7 +228,7 @@
     }
 
     /// After [`Input::Leave`]: everybody was told as often as is useful, the process may end.
-    pub fn gone(&self) -> bool {
+    pub fn has_left(&self) -> bool {
         self.leaving.as_ref().is_some_and(|leaving| leaving.next().is_none())
     }
 
@@ -257,10 +257,10 @@
             return;
         }
         let before = std::mem::replace(&mut peer.state, state);
-        if !state.takes_part() {
+        if !state.is_active() {
             peer.told = Default::default();
         }
-        match (before.takes_part(), state.takes_part()) {
+        match (before.is_active(), state.is_active()) {
             (true, false) => self.live -= 1,
             (false, true) => self.live += 1,
             _ => {}
@@ -292,7 +292,7 @@
         self.suspicions.retain(|ordinal, _| *ordinal < members);
         self.probes.keep_below(members);
         self.peers.resize_with(members.into(), || Peer::new(now, per_s));
-        self.live = self.others().filter(|other| self.peers[usize::from(*other)].state.takes_part()).count();
+        self.live = self.others().filter(|other| self.peers[usize::from(*other)].state.is_active()).count();
         self.receivers = Rotation::new(members, self.me, &mut self.chance);
         self.asked = Rotation::new(members, self.me, &mut self.chance);
     }
--- a/crates/gossip/src/incarnation.rs
+++ b/crates/gossip/src/incarnation.rs
@@ -1,6 +1,6 @@
 //! The number by which a member's sayings, and what is said of it, are ordered.
 
-/// A life may be said to lie this much beyond the known one and still be believed: 34 years of milliseconds. More is a
+/// A generation may be said to lie this much beyond the known one and still be believed: 34 years of milliseconds. More is a
 /// lie that wants to use the numbers up.
 const PLAUSIBLE: u64 = 1 << 40;
 
@@ -9,28 +9,29 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Incarnation {
     /// Which process: as the embedder gave it, Unix time in milliseconds at the start. 0: by configuration, not heard.
-    pub life: u64,
+    pub generation: u64,
     /// How often this process had to contradict word that it is gone.
-    pub turn: u16,
+    pub refutations: u16,
 }
 
 impl Incarnation {
     /// The first of a process.
-    pub fn first(life: u64) -> Self {
-        Incarnation { life, turn: 0 }
+    pub fn first(generation: u64) -> Self {
+        Incarnation { generation, refutations: 0 }
     }
 
     /// The least that supersedes this one.
     pub(crate) fn next(self) -> Self {
-        match self.turn.checked_add(1) {
-            Some(turn) => Incarnation { turn, ..self },
-            None => Incarnation::first(self.life.saturating_add(1)),
+        match self.refutations.checked_add(1) {
+            Some(refutations) => Incarnation { refutations, ..self },
+            None => Incarnation::first(self.generation.saturating_add(1)),
         }
     }
 
     /// Whether word of this incarnation can be true, where that one is known. A member that nobody heard yet may have
     /// any.
     pub(crate) fn plausible_after(self, known: Incarnation) -> bool {
-        self.life < u64::MAX && (known.life == 0 || self.life <= known.life.saturating_add(PLAUSIBLE))
+        self.generation < u64::MAX
+            && (known.generation == 0 || self.generation <= known.generation.saturating_add(PLAUSIBLE))
     }
 }
--- a/crates/gossip/src/indirect_reports.rs
+++ b/crates/gossip/src/indirect_reports.rs
@@ -1,7 +1,7 @@
 //! What others say of members. Words start questions, never give the answer: nobody is dead or back by hearsay alone.
 
 use crate::peer::State;
-use crate::wire::{Rumour, To, Word};
+use crate::wire::{Broadcast, ReportedState, To};
 use crate::{Gossip, Incarnation, Micros, Purpose};
 
 /// A life of its own that is said to be later than it is, is believed this often at most: a liar would use numbers up.
@@ -11,8 +11,8 @@
 const BETWEEN_QUESTIONS: Micros = 125_000;
 
 impl Gossip {
-    pub(crate) fn told_of(&mut self, from: u16, rumour: Rumour) {
-        let Rumour { subject, incarnation, word } = rumour;
+    pub(crate) fn told_of(&mut self, from: u16, broadcast: Broadcast) {
+        let Broadcast { subject, incarnation, state: word } = broadcast;
         if subject == self.me {
             return self.told_of_me(incarnation, word);
         }
@@ -23,45 +23,45 @@
         let peer = self.peer_mut(subject);
         let known = peer.incarnation;
         // Who never heard it can't say of which incarnation it speaks.
-        let incarnation = if incarnation.life == 0 { known } else { incarnation };
+        let incarnation = if incarnation.generation == 0 { known } else { incarnation };
         if incarnation < known || !incarnation.plausible_after(known) {
             return;
         }
         match word {
             // Only this raises the number known: an accuser that could would have every contradiction come too late.
-            Word::Alive => {
+            ReportedState::Alive => {
                 if incarnation > known {
                     peer.incarnation = incarnation;
                     peer.alive_tellers.clear();
                 }
-                self.said_alive(from, rumour, incarnation > known);
+                self.said_alive(from, broadcast, incarnation > known);
             }
-            Word::Suspect => self.said_suspect(from, subject),
-            Word::Left => self.said_left(from, subject),
+            ReportedState::Suspect => self.said_suspect(from, subject),
+            ReportedState::Left => self.said_left(from, subject),
         }
     }
 
     /// It contradicted an accusation, or lives anew.
-    fn said_alive(&mut self, from: u16, rumour: Rumour, news: bool) {
-        let subject = rumour.subject;
+    fn said_alive(&mut self, from: u16, broadcast: Broadcast, news: bool) {
+        let subject = broadcast.subject;
         let peer = self.peer_mut(subject);
         let state = peer.state;
-        let by_many = !state.takes_part() && peer.said_alive_by(from);
+        let by_many = !state.is_active() && peer.said_alive_by(from);
         match state {
             State::Alive | State::Suspect if !news => {}
             State::Alive => {
                 peer.contradicted();
                 self.probes.end_unasked(subject);
-                self.rumours.put(rumour);
+                self.broadcasts.put(broadcast);
             }
             State::Suspect => {
                 self.gave_sign(subject);
-                self.rumours.put(rumour);
+                self.broadcasts.put(broadcast);
             }
             // By their words liars could let the dead come and go: more than they must say it, or it is asked itself.
             State::Dead | State::Left if by_many => {
                 self.gave_sign(subject);
-                self.rumours.put(rumour);
+                self.broadcasts.put(broadcast);
             }
             State::Dead | State::Left => self.probe_within(subject, false, self.spread()),
         }
@@ -89,7 +89,7 @@
     /// has answered such a question lately, that does.
     fn said_left(&mut self, from: u16, subject: u16) {
         let peer = self.peer_mut(subject);
-        if !peer.state.takes_part() {
+        if !peer.state.is_active() {
             return;
         }
         peer.said_left_by(from);
@@ -118,35 +118,42 @@
         self.peers[usize::from(subject)].asked_by_word.is_none_or(|at| self.now - at >= interval)
     }
 
-    fn told_of_me(&mut self, said: Incarnation, word: Word) {
+    fn told_of_me(&mut self, said: Incarnation, word: ReportedState) {
         let must_exceed = match word {
-            Word::Alive => said > self.incarnation,
-            Word::Suspect | Word::Left => said >= self.incarnation,
+            ReportedState::Alive => said > self.incarnation,
+            ReportedState::Suspect | ReportedState::Left => said >= self.incarnation,
         };
         if self.leaving.is_some() || !said.plausible_after(self.incarnation) {
             return;
         }
         if !must_exceed {
-            if word != Word::Alive && !self.rumours.holds(self.me) {
+            if word != ReportedState::Alive && !self.broadcasts.holds(self.me) {
                 self.contradict();
             }
             return;
         }
-        if said.life > self.incarnation.life {
+        if said.generation > self.incarnation.generation {
             if self.jumped.is_some_and(|at| self.now - at < JUMP_EVERY) {
                 return;
             }
             self.jumped = Some(self.now);
         }
         // Beyond another life's number it must be a life of its own, for its counter began anew.
-        self.incarnation =
-            if said.life > self.incarnation.life { Incarnation::first(said.life + 1) } else { said.next() };
+        self.incarnation = if said.generation > self.incarnation.generation {
+            Incarnation::first(said.generation + 1)
+        } else {
+            said.next()
+        };
         self.contradict();
     }
 
     /// At once, for a suspicion has its time; but a liar can't make this member talk all the time.
     fn contradict(&mut self) {
-        self.rumours.put(Rumour { subject: self.me, incarnation: self.incarnation, word: Word::Alive });
+        self.broadcasts.put(Broadcast {
+            subject: self.me,
+            incarnation: self.incarnation,
+            state: ReportedState::Alive,
+        });
         if self.contradicted.is_none_or(|at| self.now - at >= self.settings.period) {
             self.contradicted = Some(self.now);
             for receiver in self.next_receivers() {
@@ -159,7 +166,7 @@
     pub(crate) fn suspect(&mut self, subject: u16) {
         let incarnation = self.peers[usize::from(subject)].incarnation;
         self.set_state(subject, State::Suspect);
-        self.rumours.put(Rumour { subject, incarnation, word: Word::Suspect });
+        self.broadcasts.put(Broadcast { subject, incarnation, state: ReportedState::Suspect });
         self.begin_suspicion(subject);
     }
 
@@ -169,7 +176,7 @@
         let (incarnation, left) = (peer.incarnation, !peer.left_tellers.is_empty());
         self.set_state(subject, if left { State::Left } else { State::Dead });
         if left {
-            self.rumours.put(Rumour { subject, incarnation, word: Word::Left });
+            self.broadcasts.put(Broadcast { subject, incarnation, state: ReportedState::Left });
         }
     }
 
@@ -180,7 +187,7 @@
         peer.gave_sign(now);
         self.probes.end(subject);
         if self.peers[usize::from(subject)].state != State::Alive {
-            self.rumours.withdraw(subject);
+            self.broadcasts.withdraw(subject);
             self.set_state(subject, State::Alive);
         }
     }
--- a/crates/gossip/src/keys.rs
+++ b/crates/gossip/src/keys.rs
@@ -71,7 +71,7 @@
 
 /// What is wrong with the keys. Never holds any of their text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadKeys {
+pub enum KeysError {
     /// Not 64 hexadecimal digits.
     #[error(
         "gossip.key_files: file {0} does not hold 64 hexadecimal digits and nothing else (`openssl rand -hex 32` makes a key)"
@@ -132,20 +132,20 @@
         public_keys: Option<&[u8]>,
         me: u32,
         members: u32,
-    ) -> Result<Keys, BadKeys> {
+    ) -> Result<Keys, KeysError> {
         if public_keys.is_some() != (strength == Strength::Signed) {
-            return Err(BadKeys::Public);
+            return Err(KeysError::Public);
         }
-        let wrong = |strength, needs| Err(BadKeys::Files { strength, needs });
+        let wrong = |strength, needs| Err(KeysError::Files { strength, needs });
         let secrets = key_files
             .iter()
             .enumerate()
-            .map(|(n, text)| hex(text.trim_ascii()).ok_or(BadKeys::Secret(n + 1)))
+            .map(|(n, text)| hex(text.trim_ascii()).ok_or(KeysError::Secret(n + 1)))
             .collect::<Result<Vec<_>, _>>()?;
         match (strength, secrets.as_slice(), public_keys) {
             (Strength::Address, [], _) => Ok(Keys::Address),
             (Strength::Address, ..) => wrong("address", "none"),
-            (Strength::Shared, [one, two], _) if one == two => Err(BadKeys::Same),
+            (Strength::Shared, [one, two], _) if one == two => Err(KeysError::Same),
             (Strength::Shared, [_] | [_, _], _) => Ok(Keys::Shared(
                 secrets.iter().map(|key| SharedKey(blake3::derive_key(CONTEXT, key))).collect(),
             )),
@@ -156,10 +156,10 @@
                 let own = Box::new(SigningKey::from_bytes(secret));
                 let public = public_lines(public)?;
                 if public.len() != members as usize {
-                    return Err(BadKeys::Lines { lines: public.len(), members: members as usize });
+                    return Err(KeysError::Lines { lines: public.len(), members: members as usize });
                 }
                 if !public.get(me as usize).is_some_and(|mine| mine.contains(&own.verifying_key())) {
-                    return Err(BadKeys::NotMine(me as usize + 1));
+                    return Err(KeysError::NotMine(me as usize + 1));
                 }
                 Ok(Keys::Signed { own, public })
             }
@@ -227,7 +227,7 @@
     }
 }
 
-fn public_lines(text: &[u8]) -> Result<Vec<Vec<VerifyingKey>>, BadKeys> {
+fn public_lines(text: &[u8]) -> Result<Vec<Vec<VerifyingKey>>, KeysError> {
     let mut members = Vec::new();
     for (n, line) in text.trim_ascii().split(|byte| *byte == b'\n').enumerate() {
         let keys = line
@@ -236,7 +236,7 @@
             .map(|word| VerifyingKey::from_bytes(&hex(word)?).ok().filter(|key| !key.is_weak()));
         match keys.collect::<Option<Vec<_>>>() {
             Some(keys) if (1..=2).contains(&keys.len()) => members.push(keys),
-            _ => return Err(BadKeys::Line(n + 1)),
+            _ => return Err(KeysError::Line(n + 1)),
         }
     }
     Ok(members)
@@ -290,17 +290,17 @@
             Keys::load(strength, files, public.map(str::as_bytes), 0, 1).map(|keys| keys.strength())
         };
         use Strength::*;
-        assert_eq!(load(Shared, &[file(1), b"secret-but-not-hex".to_vec()], None), Err(BadKeys::Secret(2)));
-        assert_eq!(load(Shared, &[file(1), file(1)], None), Err(BadKeys::Same));
-        assert!(matches!(load(Shared, &[], None), Err(BadKeys::Files { .. })));
-        assert!(matches!(load(Address, &[file(1)], None), Err(BadKeys::Files { .. })));
-        assert!(matches!(load(Signed, &[file(1), file(2)], Some("")), Err(BadKeys::Files { .. })));
-        assert_eq!(load(Signed, &[file(1)], None), Err(BadKeys::Public));
-        assert_eq!(load(Signed, &[file(1)], Some("")), Err(BadKeys::Line(1)));
+        assert_eq!(load(Shared, &[file(1), b"secret-but-not-hex".to_vec()], None), Err(KeysError::Secret(2)));
+        assert_eq!(load(Shared, &[file(1), file(1)], None), Err(KeysError::Same));
+        assert!(matches!(load(Shared, &[], None), Err(KeysError::Files { .. })));
+        assert!(matches!(load(Address, &[file(1)], None), Err(KeysError::Files { .. })));
+        assert!(matches!(load(Signed, &[file(1), file(2)], Some("")), Err(KeysError::Files { .. })));
+        assert_eq!(load(Signed, &[file(1)], None), Err(KeysError::Public));
+        assert_eq!(load(Signed, &[file(1)], Some("")), Err(KeysError::Line(1)));
         let other = Keys::public_of(&file(2)).unwrap();
-        assert_eq!(load(Signed, &[file(1)], Some(&other)), Err(BadKeys::NotMine(1)));
+        assert_eq!(load(Signed, &[file(1)], Some(&other)), Err(KeysError::NotMine(1)));
         let two = format!("{other}\n{other}");
-        assert_eq!(load(Signed, &[file(1)], Some(&two)), Err(BadKeys::Lines { lines: 2, members: 1 }));
+        assert_eq!(load(Signed, &[file(1)], Some(&two)), Err(KeysError::Lines { lines: 2, members: 1 }));
         let shown = format!("{:?}", Keys::load(Shared, &[file(0xab)], None, 0, 1).unwrap());
         assert!(!shown.contains("ab") && !shown.contains("171"), "{shown}");
     }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -26,13 +26,13 @@
 mod sending;
 pub mod wire;
 
-pub use config::{BadGossip, GossipSection, Settings};
-pub use counts::{Counts, Dropped, Purpose};
-pub use entry::{Directory, Entry, Evidence, Load, Subchannel};
+pub use config::{GossipSection, GossipSectionError, Settings};
+pub use counts::{Counts, DropReason, Purpose};
+pub use entry::{Directory, EndpointDigest, Entry, Evidence, Load};
 pub use gossip::{Gossip, Input, Output};
 pub use incarnation::Incarnation;
-pub use keys::{BadKeys, Keys, SharedKey, Strength};
-pub use observations::{Ledger, Met};
+pub use keys::{Keys, KeysError, SharedKey, Strength};
+pub use observations::{Observation, Observations};
 pub use peer::State;
 pub use wire::To;
 
--- a/crates/gossip/src/local_state.rs
+++ b/crates/gossip/src/local_state.rs
@@ -1,9 +1,9 @@
-//! What this proxy tells of its subchannels, and which of it first.
+//! What this proxy tells of its endpoints, and which of it first.
 
-use crate::entry::{Entry, Subchannel};
+use crate::entry::{EndpointDigest, Entry};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Entries at most: five times the subchannels that the fleet has. Of more, those with the least load are not told.
+/// Entries at most: five times the endpoints that the fleet has. Of more, those with the least load are not told.
 pub(crate) const MOST_ENTRIES: usize = 1_024;
 /// A change is told to each member so often at least, and so is that something is no more: at 30% loss one of 37 members
 /// misses it, until the rotation comes round.
@@ -24,7 +24,7 @@
 /// Own entries.
 #[derive(Debug, Default)]
 pub(crate) struct Own {
-    entries: BTreeMap<Subchannel, Mine>,
+    entries: BTreeMap<EndpointDigest, Mine>,
     round: u64,
 }
 
@@ -34,20 +34,20 @@
         list.retain(|entry| !entry.is_empty());
         if list.len() > MOST_ENTRIES {
             list.sort_by_key(|entry| {
-                std::cmp::Reverse((entry.load, entry.evidence.trouble(), entry.standing))
+                std::cmp::Reverse((entry.load, entry.evidence.faults(), entry.connections))
             });
             list.truncate(MOST_ENTRIES);
         }
-        let mut list: BTreeMap<Subchannel, Entry> =
-            list.into_iter().map(|entry| (entry.subchannel, entry)).collect();
-        for (subchannel, mine) in &mut self.entries {
-            mine.update(list.remove(subchannel).unwrap_or(Entry::empty(*subchannel)), rounds);
+        let mut list: BTreeMap<EndpointDigest, Entry> =
+            list.into_iter().map(|entry| (entry.endpoint, entry)).collect();
+        for (endpoint, mine) in &mut self.entries {
+            mine.update(list.remove(endpoint).unwrap_or(Entry::empty(*endpoint)), rounds);
         }
-        for (subchannel, entry) in list {
-            let told = Entry::empty(subchannel);
+        for (endpoint, entry) in list {
+            let told = Entry::empty(endpoint);
             let mut mine = Mine { now: told, told, weight: 0, untold: 0, round: 0 };
             mine.update(entry, rounds);
-            self.entries.insert(subchannel, mine);
+            self.entries.insert(endpoint, mine);
         }
     }
 
@@ -67,7 +67,7 @@
         let (mut order, mut taken) = (Vec::with_capacity(self.entries.len()), BTreeSet::new());
         while order.len() < self.entries.len() {
             for next in [&mut by_weight, &mut by_age] {
-                order.extend(next.map(|mine| mine.now).find(|entry| taken.insert(entry.subchannel)));
+                order.extend(next.map(|mine| mine.now).find(|entry| taken.insert(entry.endpoint)));
             }
         }
         order
@@ -77,7 +77,7 @@
     pub(crate) fn told(&mut self, entries: &[Entry]) {
         self.round += 1;
         for entry in entries {
-            let Some(mine) = self.entries.get_mut(&entry.subchannel) else { continue };
+            let Some(mine) = self.entries.get_mut(&entry.endpoint) else { continue };
             mine.told = *entry;
             mine.round = self.round;
             mine.untold = mine.untold.saturating_sub(1);
@@ -105,9 +105,9 @@
     use super::*;
     use crate::Load;
 
-    fn entry(name: u32, standing: u32) -> Entry {
-        let load = Load::from_micros_per_s(u64::from(standing) * 10_000);
-        Entry { standing, load, ..Entry::empty(Subchannel::from_bits(name)) }
+    fn entry(name: u32, connections: u32) -> Entry {
+        let load = Load::from_micros_per_s(u64::from(connections) * 10_000);
+        Entry { connections, load, ..Entry::empty(EndpointDigest::from_bits(name)) }
     }
 
     #[test]
@@ -124,10 +124,10 @@
         let mut rounds_told = BTreeMap::<u32, u32>::new();
         for round in 0..11 {
             let order = own.in_order();
-            assert_eq!(round < 3, order[0].standing == 50, "round {round}");
+            assert_eq!(round < 3, order[0].connections == 50, "round {round}");
             own.told(&order[..10]);
             for entry in &order[..10] {
-                *rounds_told.entry(entry.subchannel.bits()).or_default() += 1;
+                *rounds_told.entry(entry.endpoint.bits()).or_default() += 1;
             }
         }
         assert_eq!(rounds_told.len(), 100, "11 rounds of 10 tell all, and the changed one three times");
@@ -143,7 +143,7 @@
         assert_eq!(own.len(), 1);
         for _ in 0..6 {
             let order = own.in_order();
-            assert!(order.iter().any(|e| e.is_empty() && e.subchannel.bits() == 1));
+            assert!(order.iter().any(|e| e.is_empty() && e.endpoint.bits() == 1));
             own.told(&order);
         }
         assert_eq!(own.in_order().len(), 1);
--- a/crates/gossip/src/observations.rs
+++ b/crates/gossip/src/observations.rs
@@ -1,16 +1,16 @@
-//! What an embedder met at each subchannel lately, and the evidence that it makes.
+//! What an embedder met at each endpoint lately, and the evidence that it makes.
 
 use crate::{Evidence, Micros};
 use std::collections::{BTreeMap, VecDeque};
 
 /// What was met longer ago is no evidence of now: three periods of a second.
 const TOLD_FOR: Micros = 3_000_000;
-/// So much is kept for each subchannel: the counts that are told end at 255.
+/// So much is kept for each endpoint: the counts that are told end at 255.
 const MOST_MET: usize = 256;
 
-/// How an attempt at a subchannel, or a connection there, came out.
+/// How an attempt at a endpoint, or a connection there, came out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Met {
+pub enum Observation {
     /// Turned away as full.
     Full,
     /// It could not connect.
@@ -23,21 +23,21 @@
     Served,
 }
 
-/// What was met lately, by the embedder's own names of subchannels.
+/// What was met lately, by the embedder's own names of endpoints.
 #[derive(Clone, Debug)]
-pub struct Ledger<K> {
-    met: BTreeMap<K, VecDeque<(Micros, Met)>>,
+pub struct Observations<K> {
+    met: BTreeMap<K, VecDeque<(Micros, Observation)>>,
 }
 
-impl<K: Copy + Ord> Default for Ledger<K> {
+impl<K: Copy + Ord> Default for Observations<K> {
     fn default() -> Self {
-        Ledger { met: BTreeMap::new() }
+        Observations { met: BTreeMap::new() }
     }
 }
 
-impl<K: Copy + Ord> Ledger<K> {
+impl<K: Copy + Ord> Observations<K> {
     /// This was met there.
-    pub fn met(&mut self, now: Micros, at: K, met: Met) {
+    pub fn record(&mut self, now: Micros, at: K, met: Observation) {
         let all = self.met.entry(at).or_default();
         if all.len() == MOST_MET {
             all.pop_front();
@@ -56,7 +56,7 @@
     }
 
     /// Where anything was met.
-    pub fn subchannels(&self) -> impl Iterator<Item = K> {
+    pub fn endpoints(&self) -> impl Iterator<Item = K> {
         self.met.keys().copied()
     }
 
@@ -66,14 +66,14 @@
         let mut newest: Option<(Micros, bool)> = None;
         for (at, met) in self.met.get(&at).into_iter().flatten() {
             let count = match met {
-                Met::Full => &mut evidence.full,
-                Met::Failed => &mut evidence.failed,
-                Met::TimedOut => &mut evidence.timed_out,
-                Met::Silent => &mut evidence.silent,
-                Met::Served => &mut evidence.served,
+                Observation::Full => &mut evidence.full,
+                Observation::Failed => &mut evidence.failed,
+                Observation::TimedOut => &mut evidence.timed_out,
+                Observation::Silent => &mut evidence.silent,
+                Observation::Served => &mut evidence.served,
             };
             *count = count.saturating_add(1);
-            let trouble = *met != Met::Served;
+            let trouble = *met != Observation::Served;
             if trouble {
                 evidence.served = 0;
             }
@@ -93,9 +93,9 @@
 
     const NOW: Micros = 10_000_000;
 
-    fn evidence(all: &[(Micros, Met)]) -> Evidence {
-        let mut ledger = Ledger::default();
-        all.iter().for_each(|(ago, met)| ledger.met(NOW - ago, 'a', *met));
+    fn evidence(all: &[(Micros, Observation)]) -> Evidence {
+        let mut ledger = Observations::default();
+        all.iter().for_each(|(ago, met)| ledger.record(NOW - ago, 'a', *met));
         ledger.forget_old(NOW);
         ledger.evidence(NOW, 'a')
     }
@@ -103,21 +103,21 @@
     #[test]
     fn what_is_told_is_what_was_met_since_the_newest_trouble() {
         let told = evidence(&[
-            (3_500_000, Met::Failed),
-            (2_500_000, Met::Served),
-            (2_000_000, Met::Failed),
-            (1_500_000, Met::TimedOut),
-            (500_000, Met::Served),
+            (3_500_000, Observation::Failed),
+            (2_500_000, Observation::Served),
+            (2_000_000, Observation::Failed),
+            (1_500_000, Observation::TimedOut),
+            (500_000, Observation::Served),
         ]);
         assert_eq!((told.failed, told.timed_out, told.served, told.age_tenths), (1, 1, 1, 15));
-        let well = evidence(&[(900_000, Met::Served), (200_000, Met::Served)]);
-        assert_eq!((well.trouble(), well.served, well.age_tenths), (0, 2, 2));
-        assert_eq!(evidence(&[(4_000_000, Met::Silent)]), Evidence::default());
+        let well = evidence(&[(900_000, Observation::Served), (200_000, Observation::Served)]);
+        assert_eq!((well.faults(), well.served, well.age_tenths), (0, 2, 2));
+        assert_eq!(evidence(&[(4_000_000, Observation::Silent)]), Evidence::default());
     }
 
     #[test]
     fn a_flood_is_kept_in_bounds() {
-        let told = evidence(&[(1_000, Met::Full); 5000]);
+        let told = evidence(&[(1_000, Observation::Full); 5000]);
         assert_eq!(told.full, 255);
     }
 }
--- a/crates/gossip/src/peer.rs
+++ b/crates/gossip/src/peer.rs
@@ -31,7 +31,7 @@
 
 impl State {
     /// Whether it takes part, as far as is known.
-    pub fn takes_part(self) -> bool {
+    pub fn is_active(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 }
--- a/crates/gossip/src/peer_state.rs
+++ b/crates/gossip/src/peer_state.rs
@@ -1,7 +1,7 @@
-//! What one peer told of its subchannels.
+//! What one peer told of its endpoints.
 
 use crate::Micros;
-use crate::entry::{Entry, Subchannel};
+use crate::entry::{EndpointDigest, Entry};
 use crate::local_state::MOST_ENTRIES;
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
 /// A peer's entries within one of its lives.
 #[derive(Debug, Default)]
 pub(crate) struct Told {
-    entries: BTreeMap<Subchannel, Heard>,
+    entries: BTreeMap<EndpointDigest, Heard>,
     /// Of the newest digest: its version, when it came, how many entries the peer said that it has.
     newest: Option<(u64, Micros, usize)>,
 }
@@ -30,7 +30,7 @@
         let mut news = Vec::with_capacity(entries.len());
         for entry in entries {
             let heard = Heard { entry: *entry, version, at: now };
-            let known = self.entries.entry(entry.subchannel).or_insert(Heard { version: 0, ..heard });
+            let known = self.entries.entry(entry.endpoint).or_insert(Heard { version: 0, ..heard });
             if known.version < version {
                 *known = heard;
                 news.push(*entry);
@@ -47,16 +47,16 @@
 
     /// Drops the oldest beyond so many: of what stands, the peer no longer has them; that was told, and lost.
     fn trim(&mut self, gone: bool, most: usize) {
-        let mut ages: Vec<(u64, Subchannel)> = self
+        let mut ages: Vec<(u64, EndpointDigest)> = self
             .entries
             .iter()
             .filter(|(_, heard)| heard.entry.is_empty() == gone)
-            .map(|(subchannel, heard)| (heard.version, *subchannel))
+            .map(|(endpoint, heard)| (heard.version, *endpoint))
             .collect();
         if ages.len() > most {
             ages.sort_unstable();
-            for (_, subchannel) in &ages[..ages.len() - most] {
-                self.entries.remove(subchannel);
+            for (_, endpoint) in &ages[..ages.len() - most] {
+                self.entries.remove(endpoint);
             }
         }
     }
@@ -76,12 +76,12 @@
 mod tests {
     use super::*;
 
-    fn entry(name: u32, standing: u32) -> Entry {
-        Entry { standing, ..Entry::empty(Subchannel::from_bits(name)) }
+    fn entry(name: u32, connections: u32) -> Entry {
+        Entry { connections, ..Entry::empty(EndpointDigest::from_bits(name)) }
     }
 
-    fn standing(told: &Told) -> Vec<(u32, u32)> {
-        told.entries().map(|(entry, _)| (entry.subchannel.bits(), entry.standing)).collect()
+    fn connections(told: &Told) -> Vec<(u32, u32)> {
+        told.entries().map(|(entry, _)| (entry.endpoint.bits(), entry.connections)).collect()
     }
 
     #[test]
@@ -91,7 +91,7 @@
         assert_eq!(told.take(4, 1, 3, &[entry(1, 9), entry(2, 9)]), [], "older, late");
         assert_eq!(told.take(7, 2, 1, &[entry(1, 0)]), [entry(1, 0)], "no more");
         assert_eq!(told.take(6, 3, 2, &[entry(1, 10)]), [], "does not come back");
-        assert_eq!(standing(&told), [(2, 20)]);
+        assert_eq!(connections(&told), [(2, 20)]);
         assert_eq!(told.newest(), Some((2, 1)));
     }
 
@@ -100,7 +100,7 @@
         let mut told = Told::default();
         told.take(1, 0, 3, &[entry(1, 1), entry(2, 2), entry(3, 3)]);
         told.take(3, 0, 2, &[entry(1, 1), entry(3, 4)]);
-        assert_eq!(standing(&told), [(1, 1), (3, 4)]);
+        assert_eq!(connections(&told), [(1, 1), (3, 4)]);
     }
 
     #[test]
--- a/crates/gossip/src/probing.rs
+++ b/crates/gossip/src/probing.rs
@@ -4,7 +4,7 @@
 //! a member is gone only if this one asked it itself, directly and through others, and got nothing.
 
 use crate::peer::{MOST_TELLERS, State};
-use crate::wire::{Part, To};
+use crate::wire::{Section, To};
 use crate::{Gossip, Micros, Purpose};
 use rand::RngExt;
 use rand::seq::IndexedRandom;
@@ -245,7 +245,7 @@
     fn next_stage(&mut self, target: u16) {
         let patience = self.patience();
         let Some(mut probe) = self.probes.by_target.remove(&target) else { return };
-        let ping = [Part::Ping { nonce: probe.nonce }];
+        let ping = [Section::Ping { nonce: probe.nonce }];
         match probe.stage {
             Stage::Waiting => {
                 if self.send(To::One(target.into()), Purpose::Probe, &ping) {
@@ -289,9 +289,9 @@
             return None;
         }
         helpers.retain(|helper| {
-            self.send(To::One((*helper).into()), Purpose::Probe, &[Part::Ask { nonce, target }])
+            self.send(To::One((*helper).into()), Purpose::Probe, &[Section::IndirectPing { nonce, target }])
         });
-        self.send(To::One(target.into()), Purpose::Probe, &[Part::Ping { nonce }]);
+        self.send(To::One(target.into()), Purpose::Probe, &[Section::Ping { nonce }]);
         (able.is_empty() || !helpers.is_empty()).then_some(helpers)
     }
 
@@ -338,7 +338,7 @@
         }
         if self.periods.is_multiple_of(GONE_EVERY) {
             let gone: Vec<u16> =
-                self.others().filter(|other| !self.peers[usize::from(*other)].state.takes_part()).collect();
+                self.others().filter(|other| !self.peers[usize::from(*other)].state.is_active()).collect();
             if let Some(target) = gone.choose(&mut self.chance) {
                 self.probe(*target, false);
             }
@@ -361,7 +361,7 @@
         let nonce = self.probes.next_nonce();
         let until = now + 2 * self.settings.probe_timeout;
         self.probes.relays.insert(nonce, Relay { asker, asker_nonce, target, until });
-        self.send(To::One(target.into()), Purpose::Answer, &[Part::Ping { nonce }]);
+        self.send(To::One(target.into()), Purpose::Answer, &[Section::Ping { nonce }]);
     }
 
     pub(crate) fn acknowledged(&mut self, from: u16, nonce: u16) {
@@ -369,7 +369,7 @@
         let now = self.now;
         let Some(relay) = self.probes.relays.get(&nonce).filter(|relay| relay.target == from) else { return };
         if relay.until > now {
-            let vouch = Part::Vouch { nonce: relay.asker_nonce };
+            let vouch = Section::IndirectAck { nonce: relay.asker_nonce };
             self.send(To::One(relay.asker.into()), Purpose::Answer, &[vouch]);
         }
         self.probes.relays.remove(&nonce);
--- a/crates/gossip/src/receiving.rs
+++ b/crates/gossip/src/receiving.rs
@@ -2,8 +2,8 @@
 
 use crate::gossip::Output;
 use crate::peer::{Heard, State};
-use crate::wire::{self, Header, Part, Rumour, To, Word};
-use crate::{Dropped, Gossip, Purpose};
+use crate::wire::{self, Broadcast, Header, ReportedState, Section, To};
+use crate::{DropReason, Gossip, Purpose};
 
 impl Gossip {
     pub(crate) fn datagram(&mut self, from: Option<u32>, bytes: &[u8]) {
@@ -21,46 +21,48 @@
     }
 
     /// The datagram's content, if it is one, is new, and is its sender's. A dropped one changes nothing but counts.
-    fn admit(&mut self, from: Option<u32>, bytes: &[u8]) -> Result<(Header, Vec<Part>), Dropped> {
-        let from = from.and_then(|from| u16::try_from(from).ok()).ok_or(Dropped::Stranger)?;
+    fn admit(&mut self, from: Option<u32>, bytes: &[u8]) -> Result<(Header, Vec<Section>), DropReason> {
+        let from = from.and_then(|from| u16::try_from(from).ok()).ok_or(DropReason::UnknownSender)?;
         if from == self.me || usize::from(from) >= self.peers.len() {
-            return Err(Dropped::Stranger);
+            return Err(DropReason::UnknownSender);
         }
         let now = self.now;
         if !self.peer_mut(from).inbound.take(now) || !self.inbound.take(now) {
-            return Err(Dropped::Flood);
+            return Err(DropReason::RateLimited);
         }
         let proof = self.settings.strength.proof_bytes();
         if bytes.len() > wire::LONGEST || bytes.len() <= proof {
-            return Err(Dropped::Length);
+            return Err(DropReason::Length);
         }
         match bytes[0] {
             wire::VERSION => {}
-            0 => return Err(Dropped::Malformed),
-            _ => return Err(Dropped::Newer),
+            0 => return Err(DropReason::Malformed),
+            _ => return Err(DropReason::NewerVersion),
         }
-        let (header, length) = Header::read(bytes).map_err(|_| Dropped::Malformed)?;
+        let (header, length) = Header::read(bytes).map_err(|_| DropReason::Malformed)?;
         if header.strength != self.settings.strength {
-            return Err(Dropped::Strength);
+            return Err(DropReason::WrongStrength);
         }
         if header.sender != from {
-            return Err(Dropped::Name);
+            return Err(DropReason::WrongSender);
         }
         if let Some(heard) = self.peers[usize::from(from)].heard {
             if header.incarnation < heard.incarnation {
                 self.correct(from);
-                return Err(Dropped::Superseded);
+                return Err(DropReason::Superseded);
             }
             // Within a life the counter goes on when the turn does.
-            if header.incarnation.life == heard.incarnation.life && !heard.window.fresh(header.counter) {
-                return Err(Dropped::Replayed);
+            if header.incarnation.generation == heard.incarnation.generation
+                && !heard.window.fresh(header.counter)
+            {
+                return Err(DropReason::Replayed);
             }
         }
-        let body = bytes.get(length..bytes.len() - proof).ok_or(Dropped::Length)?;
+        let body = bytes.get(length..bytes.len() - proof).ok_or(DropReason::Length)?;
         if !self.keys.proves(from, (!header.to_all).then_some(self.me), bytes) {
-            return Err(Dropped::Forged);
+            return Err(DropReason::Forged);
         }
-        let parts = wire::read_parts(body).map_err(|_| Dropped::Malformed)?;
+        let parts = wire::read_sections(body).map_err(|_| DropReason::Malformed)?;
         Ok((header, parts))
     }
 
@@ -74,39 +76,42 @@
         }
         peer.corrected = Some(now);
         let Some(heard) = peer.heard else { return };
-        let rumour = Rumour { subject: member, incarnation: heard.incarnation, word: Word::Alive };
-        self.send(To::One(member.into()), Purpose::Answer, &[Part::Rumours(vec![rumour])]);
+        let broadcast =
+            Broadcast { subject: member, incarnation: heard.incarnation, state: ReportedState::Alive };
+        self.send(To::One(member.into()), Purpose::Answer, &[Section::Broadcasts(vec![broadcast])]);
     }
 
-    fn take(&mut self, header: Header, parts: Vec<Part>) {
+    fn take(&mut self, header: Header, parts: Vec<Section>) {
         let from = header.sender;
-        let leaves = parts.contains(&Part::Leave);
+        let leaves = parts.contains(&Section::Leave);
         if !self.heard(&header, leaves) {
             return;
         }
         let now = self.now;
         for part in parts {
-            let asks = matches!(part, Part::Ping { .. } | Part::Ask { .. });
+            let asks = matches!(part, Section::Ping { .. } | Section::IndirectPing { .. });
             if asks && !self.peer_mut(from).questions.take(now) {
                 self.counts.withhold(Purpose::Answer);
                 continue;
             }
             match part {
-                Part::Ping { nonce } => {
-                    self.send(To::One(from.into()), Purpose::Answer, &[Part::Ack { nonce }]);
+                Section::Ping { nonce } => {
+                    self.send(To::One(from.into()), Purpose::Answer, &[Section::Ack { nonce }]);
                 }
-                Part::Ack { nonce } => self.acknowledged(from, nonce),
-                Part::Ask { nonce, target } => self.asked_to_ping(from, nonce, target),
-                Part::Vouch { nonce } => self.vouched(from, nonce),
-                Part::Leave => {}
-                Part::Rumours(rumours) => rumours.into_iter().for_each(|rumour| self.told_of(from, rumour)),
-                Part::Digest { of, entries } if !leaves => {
-                    let news = self.peer_mut(from).told.take(header.counter, now, of, &entries);
+                Section::Ack { nonce } => self.acknowledged(from, nonce),
+                Section::IndirectPing { nonce, target } => self.asked_to_ping(from, nonce, target),
+                Section::IndirectAck { nonce } => self.vouched(from, nonce),
+                Section::Leave => {}
+                Section::Broadcasts(broadcasts) => {
+                    broadcasts.into_iter().for_each(|broadcast| self.told_of(from, broadcast))
+                }
+                Section::Digest { total, entries } if !leaves => {
+                    let news = self.peer_mut(from).told.take(header.counter, now, total, &entries);
                     if !news.is_empty() {
-                        self.output(Output::Heard { from: from.into(), entries: news });
+                        self.output(Output::PeerReport { from: from.into(), entries: news });
                     }
                 }
-                Part::Digest { .. } => {}
+                Section::Digest { .. } => {}
             }
         }
     }
@@ -118,7 +123,7 @@
         let news = header.incarnation > peer.incarnation;
         let (first, new_life) = match peer.heard {
             None => (true, false),
-            Some(heard) => (false, heard.incarnation.life != header.incarnation.life),
+            Some(heard) => (false, heard.incarnation.generation != header.incarnation.generation),
         };
         if first || new_life {
             peer.heard = Some(Heard { incarnation: header.incarnation, window: Default::default() });
@@ -146,11 +151,11 @@
             self.probes.end(ordinal);
             if state != State::Left {
                 self.set_state(ordinal, State::Left);
-                self.rumours.put(Rumour { subject: ordinal, incarnation, word: Word::Left });
+                self.broadcasts.put(Broadcast { subject: ordinal, incarnation, state: ReportedState::Left });
             }
             return true;
         }
-        if !state.takes_part() && !news {
+        if !state.is_active() && !news {
             // Others may think so too, and believe only a newer incarnation: it is told, so that it contradicts.
             self.send(To::One(ordinal.into()), Purpose::Answer, &[]);
         }
@@ -159,7 +164,7 @@
             self.output(Output::Member { ordinal: ordinal.into(), state, incarnation });
         }
         if news && !first {
-            self.rumours.put(Rumour { subject: ordinal, incarnation, word: Word::Alive });
+            self.broadcasts.put(Broadcast { subject: ordinal, incarnation, state: ReportedState::Alive });
         }
         true
     }
--- a/crates/gossip/src/sending.rs
+++ b/crates/gossip/src/sending.rs
@@ -2,7 +2,7 @@
 
 use crate::config::JITTER;
 use crate::peer::State;
-use crate::wire::{Draft, Header, Part, Rumour, To, Word};
+use crate::wire::{Broadcast, Draft, Header, ReportedState, Section, To};
 use crate::{Entry, Gossip, Micros, Output, Purpose, broadcast_queue};
 use rand::RngExt;
 use rand::seq::SliceRandom;
@@ -31,7 +31,7 @@
 
 impl Gossip {
     /// A datagram with these sections and what news has room; whether the ceiling let it through.
-    pub(crate) fn send(&mut self, to: To, purpose: Purpose, parts: &[Part]) -> bool {
+    pub(crate) fn send(&mut self, to: To, purpose: Purpose, parts: &[Section]) -> bool {
         self.datagram_to(to, purpose, parts, None).is_some()
     }
 
@@ -40,7 +40,7 @@
         &mut self,
         to: To,
         purpose: Purpose,
-        parts: &[Part],
+        parts: &[Section],
         digest: Option<(u32, &[Entry])>,
     ) -> Option<usize> {
         let receiver = match to {
@@ -65,12 +65,12 @@
             draft.push(part);
         }
         let accusation = receiver.and_then(|receiver| self.accusation(receiver));
-        let mut rumours = Vec::from_iter(accusation);
-        rumours.extend(self.rumours.in_order(receiver));
+        let mut broadcasts = Vec::from_iter(accusation);
+        broadcasts.extend(self.broadcasts.in_order(receiver));
         let room = if digest.is_some() { draft.room() / 2 } else { draft.room() };
-        if !rumours.is_empty() {
-            let fitted = draft.rumours(&rumours, room);
-            rumours.truncate(fitted);
+        if !broadcasts.is_empty() {
+            let fitted = draft.broadcasts(&broadcasts, room);
+            broadcasts.truncate(fitted);
         }
         let entries = digest.map_or(0, |(of, entries)| draft.entries(of, entries));
         let bytes = (draft.written() + self.settings.strength.proof_bytes()) as u64;
@@ -85,7 +85,7 @@
         // What went to one that may be gone was hardly told.
         if accusation.is_none() {
             let limit = broadcast_queue::tellings(self.live_others() + 1, self.settings.fan_out);
-            self.rumours.told(&rumours, copies as u32, limit);
+            self.broadcasts.told(&broadcasts, copies as u32, limit);
         }
         let bytes = draft.finish(&self.keys, to);
         self.output(Output::Send { to, bytes });
@@ -93,20 +93,20 @@
     }
 
     /// Who is not believed alive is told so with whatever it is sent, so that it can contradict.
-    fn accusation(&self, receiver: u16) -> Option<Rumour> {
+    fn accusation(&self, receiver: u16) -> Option<Broadcast> {
         let peer = &self.peers[usize::from(receiver)];
-        let word = Word::Suspect;
-        (peer.state != State::Alive).then_some(Rumour {
+        let state = ReportedState::Suspect;
+        (peer.state != State::Alive).then_some(Broadcast {
             subject: receiver,
             incarnation: peer.incarnation,
-            word,
+            state,
         })
     }
 
     /// Who gets this member's next round: all that take part if they are few, else the next of them.
     pub(crate) fn next_receivers(&mut self) -> Vec<u16> {
         let (peers, fan_out) = (&self.peers, self.settings.fan_out);
-        self.receivers.next(fan_out, &mut self.chance, |other| peers[usize::from(other)].state.takes_part())
+        self.receivers.next(fan_out, &mut self.chance, |other| peers[usize::from(other)].state.is_active())
     }
 
     pub(crate) fn period(&mut self) {
@@ -121,7 +121,7 @@
     /// One that hears nobody is likelier cut off itself than all others dead. Of two, neither can tell.
     fn judge_own_health(&mut self) {
         let live =
-            self.others().map(|other| &self.peers[usize::from(other)]).filter(|peer| peer.state.takes_part());
+            self.others().map(|other| &self.peers[usize::from(other)]).filter(|peer| peer.state.is_active());
         let fresh: Vec<bool> = live.map(|peer| self.now - peer.sign < self.settings.silence).collect();
         if fresh.len() < 2 || fresh.contains(&true) {
             self.health.well();
@@ -132,7 +132,7 @@
 
     fn tell_digest(&mut self) {
         let receivers = self.next_receivers();
-        let to_all = self.settings.broadcast && receivers.len() > 1 && receivers.len() == self.live_others();
+        let to_all = self.settings.multicast && receivers.len() > 1 && receivers.len() == self.live_others();
         let receivers: Vec<To> = if to_all {
             vec![To::All]
         } else {
@@ -175,14 +175,14 @@
             if leaving.pending.is_empty() && leaving.round < FAREWELLS {
                 leaving.round += 1;
                 leaving.pending =
-                    self.others().filter(|o| self.peers[usize::from(*o)].state.takes_part()).collect();
+                    self.others().filter(|o| self.peers[usize::from(*o)].state.is_active()).collect();
                 leaving.pending.shuffle(&mut self.chance);
-                if self.settings.broadcast && self.send(To::All, Purpose::Digest, &[Part::Leave]) {
+                if self.settings.multicast && self.send(To::All, Purpose::Digest, &[Section::Leave]) {
                     leaving.pending.clear();
                 }
             }
             while let Some(receiver) = leaving.pending.last() {
-                if !self.send(To::One((*receiver).into()), Purpose::Digest, &[Part::Leave]) {
+                if !self.send(To::One((*receiver).into()), Purpose::Digest, &[Section::Leave]) {
                     break;
                 }
                 leaving.pending.pop();
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -46,18 +46,18 @@
 
 /// What one member says of another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rumour {
+pub struct Broadcast {
     /// Of whom.
     pub subject: u16,
     /// Of which incarnation: word of an older one is void.
     pub incarnation: Incarnation,
     /// What.
-    pub word: Word,
+    pub state: ReportedState,
 }
 
 /// What can be said of a member. "Dead" can't: nobody's word is more than a suspicion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum ReportedState {
     /// It lives, and was heard to say so.
     Alive,
     /// The sender itself could not reach it, directly or through others. Nobody passes that on who only heard it.
@@ -68,8 +68,8 @@
 
 /// A section.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Part {
-    /// Asks for an [`Part::Ack`] of the same number.
+pub enum Section {
+    /// Asks for an [`Section::Ack`] of the same number.
     Ping {
         /// The asker's number.
         nonce: u16,
@@ -79,26 +79,26 @@
         /// That of the ping.
         nonce: u16,
     },
-    /// Asks to ping another member, and to [`Part::Vouch`] for it if it answers.
-    Ask {
+    /// Asks to ping another member, and to [`Section::IndirectAck`] for it if it answers.
+    IndirectPing {
         /// The asker's number.
         nonce: u16,
         /// Whom to ping.
         target: u16,
     },
     /// The member that was asked about has answered.
-    Vouch {
+    IndirectAck {
         /// That of the request.
         nonce: u16,
     },
     /// The sender leaves.
     Leave,
     /// Said of others.
-    Rumours(Vec<Rumour>),
-    /// A part of what the sender tells of its subchannels.
+    Broadcasts(Vec<Broadcast>),
+    /// A part of what the sender tells of its endpoints.
     Digest {
         /// How many entries it has in all: tells the receiver when it holds some that are no more.
-        of: u32,
+        total: u32,
         /// Those told here.
         entries: Vec<Entry>,
     },
@@ -107,10 +107,10 @@
 pub(crate) mod kind {
     pub(crate) const PING: u8 = 1;
     pub(crate) const ACK: u8 = 2;
-    pub(crate) const ASK: u8 = 3;
-    pub(crate) const VOUCH: u8 = 4;
+    pub(crate) const INDIRECT_PING: u8 = 3;
+    pub(crate) const INDIRECT_ACK: u8 = 4;
     pub(crate) const LEAVE: u8 = 5;
-    pub(crate) const RUMOURS: u8 = 6;
+    pub(crate) const BROADCASTS: u8 = 6;
     pub(crate) const DIGEST: u8 = 7;
 }
 
@@ -127,7 +127,7 @@
 }
 
 /// Reads the sections: what follows the header, without the proof at the end.
-pub fn read_parts(bytes: &[u8]) -> Result<Vec<Part>, Malformed> {
+pub fn read_sections(bytes: &[u8]) -> Result<Vec<Section>, Malformed> {
     read::parts(bytes)
 }
 
--- a/crates/gossip/src/wire/read.rs
+++ b/crates/gossip/src/wire/read.rs
@@ -1,7 +1,7 @@
 //! From bytes: never panics, never takes more than the datagram has.
 
-use super::{Header, Malformed, Part, Rumour, STRENGTH_BITS, TO_ALL_BIT, Word, kind};
-use crate::entry::{Entry, Evidence, Load, Subchannel};
+use super::{Broadcast, Header, Malformed, ReportedState, STRENGTH_BITS, Section, TO_ALL_BIT, kind};
+use crate::entry::{EndpointDigest, Entry, Evidence, Load};
 use crate::{Incarnation, Strength};
 
 type Read<T> = Result<T, Malformed>;
@@ -45,25 +45,25 @@
     }
 
     fn incarnation(&mut self) -> Read<Incarnation> {
-        Ok(Incarnation { life: self.number()?, turn: self.number()? })
+        Ok(Incarnation { generation: self.number()?, refutations: self.number()? })
     }
 
-    fn rumour(&mut self) -> Read<Rumour> {
-        let word = match self.byte()? {
-            0 => Word::Alive,
-            1 => Word::Suspect,
-            2 => Word::Left,
+    fn broadcast(&mut self) -> Read<Broadcast> {
+        let state = match self.byte()? {
+            0 => ReportedState::Alive,
+            1 => ReportedState::Suspect,
+            2 => ReportedState::Left,
             _ => return Err(Malformed),
         };
-        Ok(Rumour { subject: self.number()?, incarnation: self.incarnation()?, word })
+        Ok(Broadcast { subject: self.number()?, incarnation: self.incarnation()?, state })
     }
 
     fn entry(&mut self) -> Read<Entry> {
         let [a, b, c] = self.array()?;
-        let mut entry = Entry::empty(Subchannel::from_bits(u32::from_le_bytes([a, b, c, 0])));
+        let mut entry = Entry::empty(EndpointDigest::from_bits(u32::from_le_bytes([a, b, c, 0])));
         let flags = self.byte()?;
         if flags & 1 != 0 {
-            entry.standing = self.number()?;
+            entry.connections = self.number()?;
             entry.load = Load(self.u16()?);
         }
         if flags & 2 != 0 {
@@ -106,20 +106,22 @@
     Ok((header, bytes.len() - reader.0.len()))
 }
 
-pub(super) fn parts(bytes: &[u8]) -> Read<Vec<Part>> {
+pub(super) fn parts(bytes: &[u8]) -> Read<Vec<Section>> {
     let (mut reader, mut parts) = (Reader(bytes), Vec::new());
     while !reader.0.is_empty() {
         let (kind, length) = (reader.byte()?, reader.byte()?);
         // What a newer program writes behind the fields that are known here stays unread.
         let mut content = Reader(reader.bytes(usize::from(length))?);
         parts.push(match kind {
-            kind::PING => Part::Ping { nonce: content.u16()? },
-            kind::ACK => Part::Ack { nonce: content.u16()? },
-            kind::ASK => Part::Ask { nonce: content.u16()?, target: content.number()? },
-            kind::VOUCH => Part::Vouch { nonce: content.u16()? },
-            kind::LEAVE => Part::Leave,
-            kind::RUMOURS => Part::Rumours(content.all(Reader::rumour)?),
-            kind::DIGEST => Part::Digest { of: content.number()?, entries: content.all(Reader::entry)? },
+            kind::PING => Section::Ping { nonce: content.u16()? },
+            kind::ACK => Section::Ack { nonce: content.u16()? },
+            kind::INDIRECT_PING => Section::IndirectPing { nonce: content.u16()?, target: content.number()? },
+            kind::INDIRECT_ACK => Section::IndirectAck { nonce: content.u16()? },
+            kind::LEAVE => Section::Leave,
+            kind::BROADCASTS => Section::Broadcasts(content.all(Reader::broadcast)?),
+            kind::DIGEST => {
+                Section::Digest { total: content.number()?, entries: content.all(Reader::entry)? }
+            }
             _ => continue,
         });
     }
--- a/crates/gossip/src/wire/tests.rs
+++ b/crates/gossip/src/wire/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::{Evidence, Keys, Load, Subchannel};
+use crate::{EndpointDigest, Evidence, Keys, Load};
 use proptest::prelude::*;
 
 fn incarnation() -> impl Strategy<Value = Incarnation> {
-    (any::<u64>(), any::<u16>()).prop_map(|(life, turn)| Incarnation { life, turn })
+    (any::<u64>(), any::<u16>()).prop_map(|(generation, refutations)| Incarnation { generation, refutations })
 }
 
 fn header() -> impl Strategy<Value = Header> {
@@ -18,22 +18,23 @@
     )
 }
 
-fn rumour() -> impl Strategy<Value = Rumour> {
-    let word = prop_oneof![Just(Word::Alive), Just(Word::Left), Just(Word::Suspect),];
-    (any::<u16>(), incarnation(), word).prop_map(|(subject, incarnation, word)| Rumour {
+fn broadcast() -> impl Strategy<Value = Broadcast> {
+    let state =
+        prop_oneof![Just(ReportedState::Alive), Just(ReportedState::Left), Just(ReportedState::Suspect),];
+    (any::<u16>(), incarnation(), state).prop_map(|(subject, incarnation, state)| Broadcast {
         subject,
         incarnation,
-        word,
+        state,
     })
 }
 
 fn entry() -> impl Strategy<Value = Entry> {
     let evidence = prop::array::uniform6(prop_oneof![Just(0), any::<u8>()]);
-    let standing = prop_oneof![Just(0), 0u32..200, any::<u32>()];
-    (any::<u32>(), standing, any::<u16>(), any::<u32>(), evidence).prop_map(
-        |(name, standing, load, groups, e)| Entry {
-            subchannel: Subchannel::from_bits(name),
-            standing,
+    let connections = prop_oneof![Just(0), 0u32..200, any::<u32>()];
+    (any::<u32>(), connections, any::<u16>(), any::<u32>(), evidence).prop_map(
+        |(name, connections, load, groups, e)| Entry {
+            endpoint: EndpointDigest::from_bits(name),
+            connections,
             load: Load(load),
             groups,
             evidence: Evidence {
@@ -48,24 +49,26 @@
     )
 }
 
-fn part() -> impl Strategy<Value = Part> {
+fn part() -> impl Strategy<Value = Section> {
     prop_oneof![
-        any::<u16>().prop_map(|nonce| Part::Ping { nonce }),
-        any::<u16>().prop_map(|nonce| Part::Ack { nonce }),
-        (any::<u16>(), any::<u16>()).prop_map(|(nonce, target)| Part::Ask { nonce, target }),
-        any::<u16>().prop_map(|nonce| Part::Vouch { nonce }),
-        Just(Part::Leave),
-        prop::collection::vec(rumour(), 0..30).prop_map(Part::Rumours),
+        any::<u16>().prop_map(|nonce| Section::Ping { nonce }),
+        any::<u16>().prop_map(|nonce| Section::Ack { nonce }),
+        (any::<u16>(), any::<u16>()).prop_map(|(nonce, target)| Section::IndirectPing { nonce, target }),
+        any::<u16>().prop_map(|nonce| Section::IndirectAck { nonce }),
+        Just(Section::Leave),
+        prop::collection::vec(broadcast(), 0..30).prop_map(Section::Broadcasts),
         (any::<u32>(), prop::collection::vec(entry(), 0..60))
-            .prop_map(|(of, entries)| Part::Digest { of, entries }),
+            .prop_map(|(total, entries)| Section::Digest { total, entries }),
     ]
 }
 
 /// What of a part must come back when only so many items of its list fitted.
-fn cut(part: &Part, fitted: usize) -> Part {
+fn cut(part: &Section, fitted: usize) -> Section {
     match part {
-        Part::Rumours(rumours) => Part::Rumours(rumours[..fitted].to_vec()),
-        Part::Digest { of, entries } => Part::Digest { of: *of, entries: entries[..fitted].to_vec() },
+        Section::Broadcasts(broadcasts) => Section::Broadcasts(broadcasts[..fitted].to_vec()),
+        Section::Digest { total, entries } => {
+            Section::Digest { total: *total, entries: entries[..fitted].to_vec() }
+        }
         other => other.clone(),
     }
 }
@@ -78,8 +81,8 @@
         for part in &parts {
             let before = draft.written();
             let fitted = match part {
-                Part::Rumours(rumours) => draft.rumours(rumours, LONGEST),
-                Part::Digest { of, entries } => draft.entries(*of, entries),
+                Section::Broadcasts(broadcasts) => draft.broadcasts(broadcasts, LONGEST),
+                Section::Digest { total, entries } => draft.entries(*total, entries),
                 part => usize::from(draft.push(part)),
             };
             if draft.written() > before {
@@ -90,19 +93,19 @@
         prop_assert!(bytes.len() <= most.min(LONGEST));
         let (read, length) = Header::read(&bytes).unwrap();
         prop_assert_eq!(read, header);
-        prop_assert_eq!(read_parts(&bytes[length..]).unwrap(), wanted);
+        prop_assert_eq!(read_sections(&bytes[length..]).unwrap(), wanted);
     }
 
     #[test]
     fn rubbish_never_panics_and_what_is_read_is_written_the_same(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = Header::read(&bytes);
-        let Ok(parts) = read_parts(&bytes) else { return Ok(()) };
+        let Ok(parts) = read_sections(&bytes) else { return Ok(()) };
         let header = Header { strength: Strength::Address, to_all: false, sender: 0, incarnation: Incarnation::default(), counter: 0 };
         let mut draft = Draft::new(&header, LONGEST);
         let begin = draft.written();
         let fitted = parts.iter().take_while(|part| draft.push(part)).count();
         prop_assume!(fitted == parts.len());
-        prop_assert_eq!(read_parts(&draft.finish(&Keys::Address, To::All)[begin..]).unwrap(), parts);
+        prop_assert_eq!(read_sections(&draft.finish(&Keys::Address, To::All)[begin..]).unwrap(), parts);
     }
 
     #[test]
@@ -116,9 +119,9 @@
         let place = at % bytes.len();
         bytes[place] = with;
         if let Ok((_, length)) = Header::read(&bytes) {
-            let _ = read_parts(&bytes[length..]);
+            let _ = read_sections(&bytes[length..]);
         }
-        let _ = read_parts(&bytes[..place]);
+        let _ = read_sections(&bytes[..place]);
     }
 }
 
@@ -126,7 +129,7 @@
 fn what_a_newer_program_adds_is_skipped() {
     // A ping with a field behind its number, a section of an unknown kind, and a leave.
     let bytes = [kind::PING, 4, 1, 2, 77, 77, 200, 3, 9, 9, 9, kind::LEAVE, 0];
-    assert_eq!(read_parts(&bytes), Ok(vec![Part::Ping { nonce: 0x0201 }, Part::Leave]));
+    assert_eq!(read_sections(&bytes), Ok(vec![Section::Ping { nonce: 0x0201 }, Section::Leave]));
 }
 
 #[test]
--- a/crates/gossip/src/wire/write.rs
+++ b/crates/gossip/src/wire/write.rs
@@ -1,6 +1,8 @@
 //! To bytes, within a bound.
 
-use super::{Header, LONGEST, Part, Rumour, STRENGTH_BITS, TO_ALL_BIT, To, VERSION, Word, kind};
+use super::{
+    Broadcast, Header, LONGEST, ReportedState, STRENGTH_BITS, Section, TO_ALL_BIT, To, VERSION, kind,
+};
 use crate::{Entry, Incarnation, Keys, Strength};
 
 fn number(bytes: &mut Vec<u8>, value: u64) {
@@ -13,28 +15,28 @@
 }
 
 fn incarnation(bytes: &mut Vec<u8>, value: Incarnation) {
-    number(bytes, value.life);
-    number(bytes, u64::from(value.turn));
+    number(bytes, value.generation);
+    number(bytes, u64::from(value.refutations));
 }
 
-fn rumour(bytes: &mut Vec<u8>, rumour: &Rumour) {
-    bytes.push(match rumour.word {
-        Word::Alive => 0,
-        Word::Suspect => 1,
-        Word::Left => 2,
+fn broadcast(bytes: &mut Vec<u8>, broadcast: &Broadcast) {
+    bytes.push(match broadcast.state {
+        ReportedState::Alive => 0,
+        ReportedState::Suspect => 1,
+        ReportedState::Left => 2,
     });
-    number(bytes, u64::from(rumour.subject));
-    incarnation(bytes, rumour.incarnation);
+    number(bytes, u64::from(broadcast.subject));
+    incarnation(bytes, broadcast.incarnation);
 }
 
 fn entry(bytes: &mut Vec<u8>, entry: &Entry) {
-    bytes.extend_from_slice(&entry.subchannel.bits().to_le_bytes()[..3]);
+    bytes.extend_from_slice(&entry.endpoint.bits().to_le_bytes()[..3]);
     let flags_at = bytes.len();
     bytes.push(0);
     let mut flags = 0;
-    if entry.standing != 0 || entry.load.0 != 0 {
+    if entry.connections != 0 || entry.load.0 != 0 {
         flags |= 1;
-        number(bytes, u64::from(entry.standing));
+        number(bytes, u64::from(entry.connections));
         bytes.extend_from_slice(&entry.load.0.to_le_bytes());
     }
     if entry.groups != 0 {
@@ -88,31 +90,31 @@
         self.bytes.len()
     }
 
-    /// Adds a section if it fits; of a list only what fits, see [`Draft::rumours`] and [`Draft::entries`].
-    pub fn push(&mut self, part: &Part) -> bool {
+    /// Adds a section if it fits; of a list only what fits, see [`Draft::broadcasts`] and [`Draft::entries`].
+    pub fn push(&mut self, part: &Section) -> bool {
         match part {
-            Part::Ping { nonce } => {
+            Section::Ping { nonce } => {
                 self.section(kind::PING, |bytes| bytes.extend_from_slice(&nonce.to_le_bytes()))
             }
-            Part::Ack { nonce } => {
+            Section::Ack { nonce } => {
                 self.section(kind::ACK, |bytes| bytes.extend_from_slice(&nonce.to_le_bytes()))
             }
-            Part::Vouch { nonce } => {
-                self.section(kind::VOUCH, |bytes| bytes.extend_from_slice(&nonce.to_le_bytes()))
+            Section::IndirectAck { nonce } => {
+                self.section(kind::INDIRECT_ACK, |bytes| bytes.extend_from_slice(&nonce.to_le_bytes()))
             }
-            Part::Ask { nonce, target } => self.section(kind::ASK, |bytes| {
+            Section::IndirectPing { nonce, target } => self.section(kind::INDIRECT_PING, |bytes| {
                 bytes.extend_from_slice(&nonce.to_le_bytes());
                 number(bytes, u64::from(*target));
             }),
-            Part::Leave => self.section(kind::LEAVE, |_| {}),
-            Part::Rumours(rumours) => self.rumours(rumours, LONGEST) == rumours.len(),
-            Part::Digest { of, entries } => self.entries(*of, entries) == entries.len(),
+            Section::Leave => self.section(kind::LEAVE, |_| {}),
+            Section::Broadcasts(broadcasts) => self.broadcasts(broadcasts, LONGEST) == broadcasts.len(),
+            Section::Digest { total, entries } => self.entries(*total, entries) == entries.len(),
         }
     }
 
-    /// Adds rumours from the first on, in a section of at most so many bytes; how many fitted.
-    pub fn rumours(&mut self, rumours: &[Rumour], most: usize) -> usize {
-        self.list(kind::RUMOURS, most, |_| {}, rumours, rumour)
+    /// Adds broadcasts from the first on, in a section of at most so many bytes; how many fitted.
+    pub fn broadcasts(&mut self, broadcasts: &[Broadcast], most: usize) -> usize {
+        self.list(kind::BROADCASTS, most, |_| {}, broadcasts, broadcast)
     }
 
     /// Adds entries from the first on; how many fitted. With none to tell, the section still says so: a proxy without
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A whole tier in one process on virtual time from one seed: datagrams are lost, delayed, doubled and overtaken.
 #![allow(dead_code)] // Each test binary uses its part.
 
-use cottonnotch_gossip::wire::{Draft, Header, Part, Rumour, Word};
+use cottonnotch_gossip::wire::{Broadcast, Draft, Header, ReportedState, Section};
 use cottonnotch_gossip::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -59,7 +59,7 @@
     pub keys: Vec<Keys>,
     pub beliefs: Vec<Belief>,
     pub heard: Vec<(u32, u32, Vec<Entry>)>,
-    pub subchannels: u32,
+    pub endpoints: u32,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     number: u64,
 }
@@ -94,7 +94,7 @@
             keys,
             beliefs: Vec::new(),
             heard: Vec::new(),
-            subchannels: 16,
+            endpoints: 16,
             events: BinaryHeap::new(),
             number: 0,
         };
@@ -206,19 +206,19 @@
             }
             Event::Tells(_) if node.gossip.is_none() => {}
             Event::Tells(_) => {
-                let entries = (0..self.subchannels).map(|n| self.entry(n)).collect();
-                self.input(member, Input::Own(entries));
+                let entries = (0..self.endpoints).map(|n| self.entry(n)).collect();
+                self.input(member, Input::LocalState(entries));
                 self.push(self.now + S, Event::Tells(member));
             }
         }
     }
 
     fn entry(&mut self, number: u32) -> Entry {
-        let standing = self.chance.random_range(1..40);
+        let connections = self.chance.random_range(1..40);
         Entry {
-            subchannel: Subchannel::of(&format!("s-{number}")),
-            standing,
-            load: Load::from_micros_per_s(u64::from(standing) * self.chance.random_range(5_000..20_000)),
+            endpoint: EndpointDigest::of(&format!("s-{number}")),
+            connections,
+            load: Load::from_micros_per_s(u64::from(connections) * self.chance.random_range(5_000..20_000)),
             groups: self.chance.random(),
             evidence: Evidence {
                 served: self.chance.random_range(0..9),
@@ -236,7 +236,7 @@
                 Output::Member { ordinal, state, incarnation } => {
                     self.beliefs.push((self.now, member, ordinal, state, incarnation));
                 }
-                Output::Heard { from, entries } => self.heard.push((member, from, entries)),
+                Output::PeerReport { from, entries } => self.heard.push((member, from, entries)),
             }
         }
         let now = self.now;
@@ -306,7 +306,7 @@
     incarnation: Incarnation,
     counter: u64,
     to: To,
-    parts: &[Part],
+    parts: &[Section],
 ) -> Vec<u8> {
     let header = Header {
         strength: keys.strength(),
@@ -320,8 +320,8 @@
     draft.finish(keys, to)
 }
 
-pub fn rumour(subject: u32, incarnation: Incarnation, word: Word) -> Rumour {
-    Rumour { subject: subject as u16, incarnation, word }
+pub fn broadcast(subject: u32, incarnation: Incarnation, state: ReportedState) -> Broadcast {
+    Broadcast { subject: subject as u16, incarnation, state }
 }
 
 /// Median and worst, in seconds.
