--- a/crates/gossip/tests/faulty_peers.rs
+++ b/crates/gossip/tests/faulty_peers.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use cottonnotch_gossip::wire::{Part, Word};
+use cottonnotch_gossip::wire::{ReportedState, Section};
 use cottonnotch_gossip::*;
 use rand::RngExt;
 
@@ -59,16 +59,17 @@
                 for subject in (0..honest.min(of)).filter(|subject| *subject != to) {
                     let now = known(tier, to, subject);
                     let said = match tier.chance.random_range(0..4) {
-                        0 => Incarnation { turn: now.turn.saturating_add(3), ..now },
-                        1 if to == 0 => Incarnation::first(now.life + (1 << 39)),
+                        0 => Incarnation { refutations: now.refutations.saturating_add(3), ..now },
+                        1 if to == 0 => Incarnation::first(now.generation + (1 << 39)),
                         _ => now,
                     };
-                    let words = [Word::Suspect, Word::Left];
-                    let rumours = words.map(|word| rumour(subject, said, word)).to_vec();
+                    let words = [ReportedState::Suspect, ReportedState::Left];
+                    let broadcasts = words.map(|word| broadcast(subject, said, word)).to_vec();
                     counter += 1;
                     let life = Incarnation::first(EPOCH);
                     let one = To::One(to);
-                    let lie = write(&tier.keys[0], liar, life, counter, one, &[Part::Rumours(rumours)]);
+                    let lie =
+                        write(&tier.keys[0], liar, life, counter, one, &[Section::Broadcasts(broadcasts)]);
                     tier.inject(Some(liar), to, lie);
                 }
             }
@@ -88,7 +89,7 @@
         slander(&mut tier, 2, of, if members < 100 { 60 } else { 30 });
         let honest = members - 2;
         let gone: Vec<Belief> =
-            tier.beliefs.iter().filter(|b| !b.3.takes_part() && b.2 < honest).copied().collect();
+            tier.beliefs.iter().filter(|b| !b.3.is_active() && b.2 < honest).copied().collect();
         assert_eq!(gone, [], "seed {seed}, {members} members, loss {loss}");
         if loss == 0.0 {
             let doubted = tier.beliefs.iter().filter(|b| b.3 == State::Suspect && b.2 < honest).count();
@@ -96,7 +97,7 @@
         }
         tier.run_for(10 * S);
         // Among a hundred at 2% loss somebody is doubted for a moment at any time.
-        let well = |state: State| if members < 100 { state == State::Alive } else { state.takes_part() };
+        let well = |state: State| if members < 100 { state == State::Alive } else { state.is_active() };
         for member in 0..honest {
             let sees =
                 (0..honest).filter(|other| *other != member && well(tier.sees(member, *other))).count();
@@ -111,7 +112,7 @@
     tier.run_for(10 * S);
     tier.network.cut = vec![(0, 1), (1, 0)];
     slander(&mut tier, 2, 5, 120);
-    let gone: Vec<Belief> = tier.beliefs.iter().filter(|b| !b.3.takes_part() && b.2 < 3).copied().collect();
+    let gone: Vec<Belief> = tier.beliefs.iter().filter(|b| !b.3.is_active() && b.2 < 3).copied().collect();
     assert_eq!(gone, [], "seed 21: 2 reaches both");
 }
 
@@ -124,15 +125,15 @@
     assert_eq!(tier.see(1, State::Dead), (4, 4), "seed 22");
     tier.kill(4);
     let began = tier.now;
-    for turn in 1..100 {
-        let said = Incarnation { life: EPOCH, turn };
+    for refutations in 1..100 {
+        let said = Incarnation { generation: EPOCH, refutations };
         for to in [0, 2, 3] {
-            let parts = [Part::Rumours(vec![rumour(1, said, Word::Alive)])];
+            let parts = [Section::Broadcasts(vec![broadcast(1, said, ReportedState::Alive)])];
             let lie = write(
                 &Keys::Address,
                 4,
                 Incarnation::first(EPOCH),
-                1_000 + u64::from(turn),
+                1_000 + u64::from(refutations),
                 To::One(to),
                 &parts,
             );
@@ -151,21 +152,22 @@
     tier.run_for(10 * S);
     let before = tier.gossip(0).incarnation();
     for counter in 0..200 {
-        let far = Incarnation { life: u64::MAX - 1 - counter % 2, turn: u16::MAX };
-        let near = Incarnation { life: tier.gossip(0).incarnation().life + (1 << 40), turn: 9 };
-        let words = [far, near].map(|said| rumour(0, said, Word::Suspect)).to_vec();
+        let far = Incarnation { generation: u64::MAX - 1 - counter % 2, refutations: u16::MAX };
+        let near =
+            Incarnation { generation: tier.gossip(0).incarnation().generation + (1 << 40), refutations: 9 };
+        let words = [far, near].map(|said| broadcast(0, said, ReportedState::Suspect)).to_vec();
         for to in 0..4 {
-            let parts = [Part::Rumours(words.clone())];
+            let parts = [Section::Broadcasts(words.clone())];
             let lie =
                 write(&Keys::Address, 4, Incarnation::first(EPOCH), 1_000 + counter, To::One(to), &parts);
             tier.inject(Some(4), to, lie);
         }
         tier.run_for(500 * MS);
     }
-    let jumps = (tier.gossip(0).incarnation().life - before.life) >> 40;
+    let jumps = (tier.gossip(0).incarnation().generation - before.generation) >> 40;
     assert!(jumps <= 11, "seed 23: {jumps} leaps in 100 s; u64 has room for 16 million");
     assert!(
-        !tier.beliefs.iter().any(|b| b.2 == 0 && !b.3.takes_part()),
+        !tier.beliefs.iter().any(|b| b.2 == 0 && !b.3.is_active()),
         "seed 23: and it is heard all the time"
     );
 }
@@ -192,16 +194,16 @@
         // The next life, and the old one's words again.
         tier.start(1, EPOCH + 100_000);
         tier.run_for(5 * S);
-        let superseded = tier.gossip(0).counts().dropped(Dropped::Superseded);
+        let superseded = tier.gossip(0).counts().dropped(DropReason::Superseded);
         for (_, bytes) in said.iter().filter(|(to, _)| *to == To::One(0)) {
             tier.inject(Some(1), 0, bytes.clone());
         }
         tier.run_for(5 * S);
         assert!(
-            tier.gossip(0).counts().dropped(Dropped::Superseded) > superseded,
+            tier.gossip(0).counts().dropped(DropReason::Superseded) > superseded,
             "seed {seed}, {strength:?}"
         );
-        assert_eq!(known(&tier, 0, 1).life, EPOCH + 100_000, "seed {seed}, {strength:?}");
+        assert_eq!(known(&tier, 0, 1).generation, EPOCH + 100_000, "seed {seed}, {strength:?}");
     }
 }
 
@@ -211,16 +213,16 @@
         let mut tier = tier(strength, seed);
         let liars = tier.keys[3].clone();
         let farewell =
-            |counter| write(&liars, 1, Incarnation::first(EPOCH), counter, To::One(0), &[Part::Leave]);
+            |counter| write(&liars, 1, Incarnation::first(EPOCH), counter, To::One(0), &[Section::Leave]);
         // From its own address: the name does not fit.
         tier.inject(Some(3), 0, farewell(1_000));
         tier.run_for(10 * MS);
-        assert_eq!(tier.gossip(0).counts().dropped(Dropped::Name), 1, "seed {seed}, {strength:?}");
+        assert_eq!(tier.gossip(0).counts().dropped(DropReason::WrongSender), 1, "seed {seed}, {strength:?}");
         assert_eq!(tier.sees(0, 1), State::Alive, "seed {seed}, {strength:?}");
         // From the other's address, which it should not be able to: only a signature helps.
         tier.inject(Some(1), 0, farewell(1_001));
         tier.run_for(10 * MS);
-        let (forged, state) = (tier.gossip(0).counts().dropped(Dropped::Forged), tier.sees(0, 1));
+        let (forged, state) = (tier.gossip(0).counts().dropped(DropReason::Forged), tier.sees(0, 1));
         match strength {
             Strength::Signed => assert_eq!((forged, state), (1, State::Alive), "seed {seed}"),
             _ => assert_eq!(
@@ -237,7 +239,7 @@
     let mut tier = tier(Strength::Shared, 50);
     let good = tier.nodes[1].said.iter().rfind(|(to, _)| *to == To::One(0)).unwrap().1.clone();
     let newest = tier.gossip(0).freshness(1).unwrap();
-    let mut expect = |what: &str, from: Option<u32>, bytes: &[u8], why: Dropped| {
+    let mut expect = |what: &str, from: Option<u32>, bytes: &[u8], why: DropReason| {
         let mut gossip = tier.nodes[0].gossip.take().unwrap();
         while gossip.poll().is_some() {}
         let before = gossip.counts();
@@ -250,27 +252,27 @@
         assert_eq!(gossip.freshness(1).unwrap().1, newest.1, "{what}");
         tier.nodes[0].gossip = Some(gossip);
     };
-    expect("a stranger", None, &good, Dropped::Stranger);
-    expect("nobody's ordinal", Some(5), &good, Dropped::Stranger);
-    expect("no ordinal at all", Some(70_000), &good, Dropped::Stranger);
-    expect("its own echo", Some(0), &good, Dropped::Stranger);
-    expect("nothing", Some(1), &[], Dropped::Length);
-    expect("a byte too much", Some(1), &[1; 257], Dropped::Length);
-    expect("zeros", Some(1), &[0; 100], Dropped::Malformed);
-    expect("another strength", Some(1), &[&[1, 0], &good[2..]].concat(), Dropped::Strength);
-    expect("said before", Some(1), &good, Dropped::Replayed);
+    expect("a stranger", None, &good, DropReason::UnknownSender);
+    expect("nobody's ordinal", Some(5), &good, DropReason::UnknownSender);
+    expect("no ordinal at all", Some(70_000), &good, DropReason::UnknownSender);
+    expect("its own echo", Some(0), &good, DropReason::UnknownSender);
+    expect("nothing", Some(1), &[], DropReason::Length);
+    expect("a byte too much", Some(1), &[1; 257], DropReason::Length);
+    expect("zeros", Some(1), &[0; 100], DropReason::Malformed);
+    expect("another strength", Some(1), &[&[1, 0], &good[2..]].concat(), DropReason::WrongStrength);
+    expect("said before", Some(1), &good, DropReason::Replayed);
     // With a counter that is new, so that only the proof is left to tell.
     let new =
-        write(&shared(&[7]), 1, Incarnation::first(EPOCH), 5_000, To::One(0), &[Part::Ping { nonce: 1 }]);
-    expect("cut within the header", Some(1), &new[..17], Dropped::Length);
+        write(&shared(&[7]), 1, Incarnation::first(EPOCH), 5_000, To::One(0), &[Section::Ping { nonce: 1 }]);
+    expect("cut within the header", Some(1), &new[..17], DropReason::Length);
     for cut in [1, 4] {
-        expect("cut at the end", Some(1), &new[..new.len() - cut], Dropped::Forged);
+        expect("cut at the end", Some(1), &new[..new.len() - cut], DropReason::Forged);
     }
     let mut changed = new.clone();
     changed[new.len() - 20] ^= 1;
-    expect("changed", Some(1), &changed, Dropped::Forged);
-    let strangers = write(&shared(&[8]), 1, Incarnation::first(EPOCH), 5_000, To::One(0), &[Part::Leave]);
-    expect("under another key", Some(1), &strangers, Dropped::Forged);
+    expect("changed", Some(1), &changed, DropReason::Forged);
+    let strangers = write(&shared(&[8]), 1, Incarnation::first(EPOCH), 5_000, To::One(0), &[Section::Leave]);
+    expect("under another key", Some(1), &strangers, DropReason::Forged);
     // None of these pushed the window on.
     tier.inject(Some(1), 0, new);
     let before = tier.gossip(0).counts().sent;
@@ -281,7 +283,7 @@
 #[test]
 fn an_old_programs_peer_beside_a_new_one() {
     let mut tier = tier(Strength::Address, 60);
-    let ping = Part::Ping { nonce: 77 };
+    let ping = Section::Ping { nonce: 77 };
     let newer = |counter| {
         let mut bytes = write(
             &Keys::Address,
@@ -304,7 +306,7 @@
     tier.inject(Some(1), 0, version_2);
     tier.run_for(MS);
     assert_eq!(tier.gossip(0).counts().sent, before.sent + 1, "of another version nothing is");
-    assert_eq!(tier.gossip(0).counts().dropped(Dropped::Newer), 1);
+    assert_eq!(tier.gossip(0).counts().dropped(DropReason::NewerVersion), 1);
 }
 
 #[test]
@@ -318,14 +320,14 @@
         for _ in 0..200 {
             for _ in 0..100 {
                 counter += 1;
-                let ask = [Part::Ping { nonce: 1 }, Part::Ask { nonce: 2, target: 1 }];
+                let ask = [Section::Ping { nonce: 1 }, Section::IndirectPing { nonce: 2, target: 1 }];
                 let ping = write(&keys, 4, Incarnation::first(EPOCH), counter, To::One(0), &ask);
                 tier.inject(Some(4), 0, ping);
             }
             tier.run_for(50 * MS);
         }
         // 20,000 in 10 s: looked at are 32 a second. The ceiling of what is sent is watched by the tier itself.
-        let flood = tier.gossip(0).counts().dropped(Dropped::Flood);
+        let flood = tier.gossip(0).counts().dropped(DropReason::RateLimited);
         assert!(flood >= 20_000 - 12 * 32, "seed {seed}, {strength:?}: {flood} dropped");
         let blamed: Vec<Belief> = tier.beliefs_since(began, State::Dead);
         assert!(blamed.iter().all(|b| b.2 == 4), "seed {seed}, {strength:?}: {blamed:?}");
@@ -344,12 +346,12 @@
         }
     }
     assert_eq!(tier.beliefs_since(began, State::Suspect), [], "seed 80");
-    assert!((0..5).all(|member| tier.gossip(member).counts().dropped(Dropped::Forged) == 0), "seed 80");
+    assert!((0..5).all(|member| tier.gossip(member).counts().dropped(DropReason::Forged) == 0), "seed 80");
     // Who has only the old one is no member.
     tier.input(2, Input::Keys(shared(&[7])));
     tier.run_for(20 * S);
     assert_eq!(tier.see(2, State::Dead).0, 4, "seed 80");
-    assert!(tier.gossip(0).counts().dropped(Dropped::Forged) > 0);
+    assert!(tier.gossip(0).counts().dropped(DropReason::Forged) > 0);
 }
 
 #[test]
@@ -363,5 +365,5 @@
     tier.input(2, Input::Keys(signed(2, 99, Some(99))));
     tier.run_for(10 * S);
     assert_eq!(tier.beliefs_since(began, State::Suspect), [], "seed 81");
-    assert!((0..5).all(|member| tier.gossip(member).counts().dropped(Dropped::Forged) == 0), "seed 81");
+    assert!((0..5).all(|member| tier.gossip(member).counts().dropped(DropReason::Forged) == 0), "seed 81");
 }
--- a/crates/gossip/tests/golden.rs
+++ b/crates/gossip/tests/golden.rs
@@ -1,13 +1,13 @@
 //! Datagrams keep the bytes that earlier builds gave them, with each kind of proof.
 
 use cottonnotch_golden::{assert_bytes, golden_path};
-use cottonnotch_gossip::wire::{Draft, Header, LONGEST, Part, Rumour, Word, read_parts};
-use cottonnotch_gossip::{Entry, Evidence, Incarnation, Keys, Load, Strength, Subchannel, To};
+use cottonnotch_gossip::wire::{Broadcast, Draft, Header, LONGEST, ReportedState, Section, read_sections};
+use cottonnotch_gossip::{EndpointDigest, Entry, Evidence, Incarnation, Keys, Load, Strength, To};
 
 const SECRET: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 
 fn incarnation() -> Incarnation {
-    Incarnation { life: 1_764_000_000_000_000, turn: 3 }
+    Incarnation { generation: 1_764_000_000_000_000, refutations: 3 }
 }
 
 fn header(strength: Strength, to_all: bool) -> Header {
@@ -18,10 +18,10 @@
     let evidence = Evidence { full: 1, failed: 2, timed_out: 3, silent: 4, served: 5, age_tenths: 6 };
     let load = Load::from_micros_per_s(1_234_567);
     vec![
-        Entry { subchannel: Subchannel::of("s-1"), standing: 900, load, groups: 0x8001_0203, evidence },
+        Entry { endpoint: EndpointDigest::of("s-1"), connections: 900, load, groups: 0x8001_0203, evidence },
         Entry {
-            subchannel: Subchannel::of("s-2"),
-            standing: 0,
+            endpoint: EndpointDigest::of("s-2"),
+            connections: 0,
             load: Load::default(),
             groups: 0,
             evidence: Evidence::default(),
@@ -29,22 +29,26 @@
     ]
 }
 
-fn parts() -> Vec<(&'static str, Part)> {
-    let rumour = |subject, word| Rumour { subject, incarnation: incarnation(), word };
-    let rumours = vec![rumour(1, Word::Alive), rumour(200, Word::Suspect), rumour(3, Word::Left)];
+fn parts() -> Vec<(&'static str, Section)> {
+    let broadcast = |subject, state| Broadcast { subject, incarnation: incarnation(), state };
+    let broadcasts = vec![
+        broadcast(1, ReportedState::Alive),
+        broadcast(200, ReportedState::Suspect),
+        broadcast(3, ReportedState::Left),
+    ];
     vec![
-        ("ping", Part::Ping { nonce: 0x1234 }),
-        ("ack", Part::Ack { nonce: 0x1234 }),
-        ("ask", Part::Ask { nonce: 7, target: 200 }),
-        ("vouch", Part::Vouch { nonce: 7 }),
-        ("leave", Part::Leave),
-        ("rumours", Part::Rumours(rumours)),
-        ("digest", Part::Digest { of: 130, entries: entries() }),
-        ("digest_empty", Part::Digest { of: 0, entries: Vec::new() }),
+        ("ping", Section::Ping { nonce: 0x1234 }),
+        ("ack", Section::Ack { nonce: 0x1234 }),
+        ("ask", Section::IndirectPing { nonce: 7, target: 200 }),
+        ("vouch", Section::IndirectAck { nonce: 7 }),
+        ("leave", Section::Leave),
+        ("rumours", Section::Broadcasts(broadcasts)),
+        ("digest", Section::Digest { total: 130, entries: entries() }),
+        ("digest_empty", Section::Digest { total: 0, entries: Vec::new() }),
     ]
 }
 
-fn datagram(header: &Header, keys: &Keys, to: To, parts: &[Part]) -> Vec<u8> {
+fn datagram(header: &Header, keys: &Keys, to: To, parts: &[Section]) -> Vec<u8> {
     let mut draft = Draft::new(header, LONGEST);
     parts.iter().for_each(|part| assert!(draft.push(part)));
     draft.finish(keys, to)
@@ -60,7 +64,7 @@
     let golden = assert_bytes(&golden_path!("sections.txt"), &made);
     for (bytes, (name, part)) in golden.iter().zip(parts()) {
         let (read, length) = Header::read(bytes).unwrap();
-        assert_eq!((read, read_parts(&bytes[length..]).unwrap()), (header, vec![part]), "{name}");
+        assert_eq!((read, read_sections(&bytes[length..]).unwrap()), (header, vec![part]), "{name}");
     }
 }
 
--- a/crates/gossip/tests/membership.rs
+++ b/crates/gossip/tests/membership.rs
@@ -104,10 +104,10 @@
     part_and_meet(&[(300, 1, 30), (300, 1, 120)], 300 * S, 60 * S);
 }
 
-/// Hours of virtual time with five members and 30% loss; how often one that lives was suspected, and believed dead.
+/// Hours of virtual time with five members and 30% loss; how often one that generations was suspected, and believed dead.
 fn false_deaths(seed: u64, hours: i64) -> (usize, usize) {
     let mut tier = Tier::new(5, seed, settings());
-    tier.subchannels = 1;
+    tier.endpoints = 1;
     tier.network.loss = 0.3;
     tier.network.doubled = 0.1;
     for _ in 0..hours * 60 {
@@ -159,20 +159,20 @@
 
 #[test]
 fn a_farewell_is_known_to_all_within_a_period() {
-    for (members, broadcast) in [(3, false), (5, false), (5, true), (24, true), (50, false), (300, false)] {
-        let mut tier = Tier::new(members, 11, Settings { broadcast, ..settings() });
+    for (members, multicast) in [(3, false), (5, false), (5, true), (24, true), (50, false), (300, false)] {
+        let mut tier = Tier::new(members, 11, Settings { multicast, ..settings() });
         tier.network.loss = 0.05;
         tier.run_for(10 * S);
         let began = tier.now;
         tier.input(1, Input::Leave);
-        let ready = tier.run_until(5 * S, |tier| tier.gossip(1).gone()).expect("it may go");
+        let ready = tier.run_until(5 * S, |tier| tier.gossip(1).has_left()).expect("it may go");
         tier.kill(1);
         let more = tier.run_until(60 * S, |tier| tier.see(1, State::Left).0 == members as usize - 1);
         let more = more.unwrap_or_else(|| panic!("seed 11, {members}: {:?} know", tier.see(1, State::Left)));
         let left = tier.beliefs_since(began, State::Left);
         let direct = left.iter().filter(|belief| belief.0 <= began + S).count();
         println!(
-            "{members} members, broadcast {broadcast}: may go after {} ms; {direct} know within 1 s, all after {:.1} s",
+            "{members} members, multicast {multicast}: may go after {} ms; {direct} know within 1 s, all after {:.1} s",
             ready / MS,
             (ready + more) as f64 / S as f64
         );
@@ -202,11 +202,11 @@
         let life = EPOCH.checked_add_signed(back_by_ms).unwrap();
         tier.start(2, life);
         let newer = |tier: &Tier| {
-            let lives = tier
+            let generations = tier
                 .running()
                 .filter(|m| *m != 2)
-                .map(|m| tier.gossip(m).members().find(|member| member.0 == 2).unwrap().2.life);
-            lives.filter(|heard| *heard > EPOCH).count() == members as usize - 1
+                .map(|m| tier.gossip(m).members().find(|member| member.0 == 2).unwrap().2.generation);
+            generations.filter(|heard| *heard > EPOCH).count() == members as usize - 1
         };
         let took =
             tier.run_until(20 * S, newer).unwrap_or_else(|| panic!("{members} members, {back_by_ms} ms"));
@@ -259,14 +259,14 @@
 #[test]
 fn digests_arrive_whole_and_fresh() {
     let mut tier = settled(5, 1, 0.0);
-    tier.subchannels = 200;
+    tier.endpoints = 200;
     tier.run_for(40 * S);
     for (member, of) in [(0, 1), (4, 2)] {
         let gossip = tier.gossip(member);
         assert_eq!(gossip.freshness(of).unwrap().1, 200);
         assert_eq!(gossip.digest_of(of).count(), 200, "rotation tells what changes crowd out");
     }
-    tier.subchannels = 3;
+    tier.endpoints = 3;
     tier.run_for(30 * S);
     assert_eq!(tier.gossip(0).digest_of(1).count(), 3, "what is no more is gone");
     assert!(tier.gossip(0).digest_of(1).all(|(_, age)| age < 2 * S));
--- a/crates/gossip/tests/one_member.rs
+++ b/crates/gossip/tests/one_member.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use cottonnotch_gossip::wire::{Header, Part, Word, read_parts};
+use cottonnotch_gossip::wire::{Header, ReportedState, Section, read_sections};
 use cottonnotch_gossip::*;
 use std::collections::BTreeSet;
 
@@ -34,13 +34,13 @@
         }
     }
 
-    fn says(&mut self, member: u32, counter: u64, parts: &[Part]) {
+    fn says(&mut self, member: u32, counter: u64, parts: &[Section]) {
         let bytes = write(&Keys::Address, member, Incarnation::first(EPOCH), counter, To::One(0), parts);
         self.gossip.handle(self.now, Input::Datagram { from: Some(member), bytes: &bytes });
         self.listen();
     }
 
-    fn says_next(&mut self, member: u32, parts: &[Part]) {
+    fn says_next(&mut self, member: u32, parts: &[Section]) {
         self.counter += 1;
         self.says(member, self.counter, parts);
     }
@@ -51,12 +51,12 @@
                 Output::Member { ordinal, state, .. } => self.beliefs.push((ordinal, state)),
                 Output::Send { to: To::One(to), bytes } => {
                     let length = Header::read(&bytes).unwrap().1;
-                    for part in read_parts(&bytes[length..]).unwrap() {
-                        let Part::Ping { nonce } = part else { continue };
+                    for part in read_sections(&bytes[length..]).unwrap() {
+                        let Section::Ping { nonce } = part else { continue };
                         self.asked.insert(to);
                         self.pings += usize::from(to == 3);
                         if to == 3 && self.answers {
-                            self.says_next(3, &[Part::Ack { nonce }]);
+                            self.says_next(3, &[Section::Ack { nonce }]);
                         }
                     }
                 }
@@ -76,10 +76,10 @@
         self.now = until;
     }
 
-    fn accuse(&mut self, word: Word) {
+    fn accuse(&mut self, state: ReportedState) {
         for teller in [1, 2, 5] {
-            let rumour = rumour(3, Incarnation::first(EPOCH), word);
-            self.says_next(teller, &[Part::Rumours(vec![rumour])]);
+            let broadcast = broadcast(3, Incarnation::first(EPOCH), state);
+            self.says_next(teller, &[Section::Broadcasts(vec![broadcast])]);
         }
     }
 
@@ -92,8 +92,8 @@
 fn who_is_heard_is_not_asked_whatever_is_said() {
     let mut played = Played::new();
     for _ in 0..40 {
-        played.says_next(3, &[Part::Digest { of: 0, entries: vec![] }]);
-        played.accuse(Word::Suspect);
+        played.says_next(3, &[Section::Digest { total: 0, entries: vec![] }]);
+        played.accuse(ReportedState::Suspect);
         played.pass(250 * MS);
     }
     assert_eq!((played.pings, played.believed(3)), (0, vec![State::Alive]));
@@ -104,7 +104,7 @@
     let mut played = Played::new();
     played.says_next(3, &[]);
     for _ in 0..240 {
-        for word in [Word::Suspect, Word::Left] {
+        for word in [ReportedState::Suspect, ReportedState::Left] {
             played.accuse(word);
             played.pass(125 * MS);
         }
@@ -123,8 +123,8 @@
     played.pass(3 * S);
     played.asked.clear();
     for subject in 3..24 {
-        let rumour = rumour(subject, Incarnation::first(EPOCH), Word::Suspect);
-        played.says_next(1, &[Part::Rumours(vec![rumour])]);
+        let broadcast = broadcast(subject, Incarnation::first(EPOCH), ReportedState::Suspect);
+        played.says_next(1, &[Section::Broadcasts(vec![broadcast])]);
     }
     played.pass(700 * MS);
     // Two, and one in its turn.
@@ -137,10 +137,11 @@
         let mut played = Played::new();
         played.pass(3 * S);
         played.says_next(3, &[]);
-        played.accuse(Word::Suspect);
+        played.accuse(ReportedState::Suspect);
         if contradicted {
-            let rumour = rumour(3, Incarnation { life: EPOCH, turn: 1 }, Word::Alive);
-            played.says_next(6, &[Part::Rumours(vec![rumour])]);
+            let broadcast =
+                broadcast(3, Incarnation { generation: EPOCH, refutations: 1 }, ReportedState::Alive);
+            played.says_next(6, &[Section::Broadcasts(vec![broadcast])]);
         }
         played.pass(4_500 * MS);
         assert_eq!(played.pings, usize::from(!contradicted));
@@ -152,7 +153,7 @@
     let mut played = Played::new();
     played.pass(10 * S);
     let sent = |played: &Played| played.gossip.counts().sent;
-    let ping = [Part::Ping { nonce: 9 }];
+    let ping = [Section::Ping { nonce: 9 }];
     let before = sent(&played);
     (0..30).for_each(|_| played.says_next(1, &ping));
     assert_eq!(sent(&played) - before, 4, "the questions of one");
@@ -172,7 +173,7 @@
     let mut played = Played::new();
     played.says_next(3, &[]);
     played.answers = false;
-    played.accuse(Word::Left);
+    played.accuse(ReportedState::Left);
     played.pass(1_500 * MS);
     assert_eq!(played.believed(3), [State::Alive, State::Suspect]);
     played.answers = true;
@@ -180,7 +181,7 @@
     assert_eq!(played.believed(3), [State::Alive, State::Suspect, State::Alive]);
     played.answers = false;
     played.pass(20 * S);
-    played.accuse(Word::Left);
+    played.accuse(ReportedState::Left);
     played.pass(6 * S);
     assert_eq!(played.believed(3).last(), Some(&State::Left), "and if it fails again, it is believed");
 }
@@ -205,8 +206,8 @@
 fn what_was_said_before_a_farewell_does_not_bring_back() {
     let mut played = Played::new();
     played.says(3, 10, &[]);
-    played.says(3, 12, &[Part::Leave]);
-    played.says(3, 11, &[Part::Digest { of: 0, entries: vec![] }]);
+    played.says(3, 12, &[Section::Leave]);
+    played.says(3, 11, &[Section::Digest { total: 0, entries: vec![] }]);
     assert_eq!(played.believed(3), [State::Alive, State::Left]);
     played.says(3, 13, &[]);
     assert_eq!(played.believed(3), [State::Alive, State::Left, State::Alive], "what it says after does");
--- a/crates/kit/src/emulator/liar.rs
+++ b/crates/kit/src/emulator/liar.rs
@@ -5,7 +5,7 @@
 use crate::plan::{Lie, Plan, ProxyId};
 use crate::time::{MS, Micros, S};
 use cottonnotch_gossip::{
-    Entry, Evidence, Gossip, GossipSection, Input, Keys, Load, Output, Settings, Strength, Subchannel, To,
+    EndpointDigest, Entry, Evidence, Gossip, GossipSection, Input, Keys, Load, Output, Settings, Strength, To,
 };
 
 /// Between two rounds of lies: as often as proxies tell theirs.
@@ -34,7 +34,7 @@
         let section = GossipSection { strength: Some(Strength::Address), ..GossipSection::default() };
         let settings = section.check().ok().flatten();
         let Some(settings) = settings else { unreachable!("the section's own defaults are sound") };
-        let settings = Settings { broadcast: false, ..settings };
+        let settings = Settings { multicast: false, ..settings };
         let members = plan.members();
         let (me, seed) = (u32::from(ordinal.0), plan.seed ^ u64::from(ordinal.0) << 40);
         let gossip = Gossip::new(settings, Keys::Address, me, members.into(), unix_ms, seed, now);
@@ -51,7 +51,7 @@
     pub fn tick(&mut self, now: Micros, plan: &Plan) -> Vec<(ProxyId, Vec<u8>)> {
         if self.next <= now {
             self.next = now + EVERY;
-            self.gossip.handle(now, Input::Own(self.lies(plan)));
+            self.gossip.handle(now, Input::LocalState(self.lies(plan)));
         }
         if self.gossip.next_timeout() <= now {
             self.gossip.handle(now, Input::Tick);
@@ -61,7 +61,7 @@
 
     fn lies(&self, plan: &Plan) -> Vec<Entry> {
         let entry = |node: &crate::plan::Node| {
-            let empty = Entry::empty(Subchannel::of(&node.name));
+            let empty = Entry::empty(EndpointDigest::of(&node.name));
             match self.lie {
                 Lie::Nothing => empty,
                 Lie::AllUnwell => {
@@ -71,7 +71,7 @@
                 }
                 Lie::AllCrowded => {
                     let load = Load::from_micros_per_s((CROWDED * node.capacity * 1e6) as u64);
-                    Entry { standing: CLAIMED, load, ..empty }
+                    Entry { connections: CLAIMED, load, ..empty }
                 }
             }
         };
--- a/crates/proxy-core/src/fleet.rs
+++ b/crates/proxy-core/src/fleet.rs
@@ -6,9 +6,9 @@
 use crate::message_latency::FleetUtilisation;
 use crate::names::{WireNames, shown};
 use crate::peers::{Around, Carrying, Input, LocalState, Output, Translator};
-use cottonnotch_aggregation::{Entry, Member, Own, View, wire};
+use cottonnotch_aggregation::{Entry, LocalLoad, Member, Snapshot, wire};
 use cottonnotch_decision::{Event, Micros, ServerId, Tier, Word};
-use cottonnotch_gossip::{Ledger, Met, Subchannel, To};
+use cottonnotch_gossip::{EndpointDigest, Observation, Observations, To};
 use std::collections::{BTreeMap, BTreeSet};
 use std::convert::Infallible;
 
@@ -40,7 +40,7 @@
 pub(crate) struct FleetMember {
     pub member: Member,
     names: WireNames,
-    met: Ledger<ServerId>,
+    met: Observations<ServerId>,
     requests: Rate,
     well: Rate,
     failed: Rate,
@@ -49,7 +49,7 @@
 impl FleetMember {
     /// One that has met nothing yet.
     pub fn new(member: Member) -> Self {
-        let (names, met) = (WireNames::default(), Ledger::default());
+        let (names, met) = (WireNames::default(), Observations::default());
         let (requests, well, failed) = (Rate::default(), Rate::default(), Rate::default());
         FleetMember { member, names, met, requests, well, failed }
     }
@@ -61,20 +61,20 @@
         }
         let Some((server, met)) = shown(event) else { return };
         match met {
-            Met::Served => self.well.note(now, 1.0),
-            Met::TimedOut => self.failed.note(now, 1.0),
+            Observation::Served => self.well.note(now, 1.0),
+            Observation::TimedOut => self.failed.note(now, 1.0),
             _ => {}
         }
-        self.met.met(now, server, met);
+        self.met.record(now, server, met);
     }
 
     /// Takes an input, and carries out what comes of it.
     pub fn handle(&mut self, now: Micros, input: Input<'_>, around: &mut Around<'_, '_>) {
         let Ok(()) = match input {
             Input::Second => {
-                self.member.set_unix(now, around.local.unix);
+                self.member.set_wall_clock(now, around.local.unix);
                 let sizes = self.sizes(now, around.local);
-                self.hand(now, cottonnotch_aggregation::Input::Sizes(sizes), around)
+                self.hand(now, cottonnotch_aggregation::Input::Capacities(sizes), around)
             }
             Input::Datagram { from, bytes } => {
                 let from = around.roster.ordinal(from);
@@ -85,11 +85,11 @@
                 if self.member.wants_groups() {
                     // Nothing goes out with these alone.
                     let groups = around.local.delays.load_by_group(now);
-                    let Ok(()) = self.hand(now, cottonnotch_aggregation::Input::Groups(groups), around);
+                    let Ok(()) = self.hand(now, cottonnotch_aggregation::Input::GroupLoads(groups), around);
                 }
                 let own = self.own(now, around.local);
                 // A report that is due goes out with this, or with the tick.
-                let Ok(()) = self.hand(now, cottonnotch_aggregation::Input::Own(own), around);
+                let Ok(()) = self.hand(now, cottonnotch_aggregation::Input::LocalLoad(own), around);
                 Carrying { member: self, around }.handle_timeout(now)
             }
             Input::Tick | Input::Keys(_) => Ok(()),
@@ -105,7 +105,7 @@
         Carrying { member: self, around }.handle_input(now, input)
     }
 
-    fn sizes(&mut self, now: Micros, local: &LocalState<'_>) -> BTreeMap<wire::Subchannel, f64> {
+    fn sizes(&mut self, now: Micros, local: &LocalState<'_>) -> BTreeMap<wire::EndpointDigest, f64> {
         self.names.learn(local.servers);
         let size = |(server, size): (ServerId, f64)| {
             // One that has just started can do less than its size says, and looks empty.
@@ -116,49 +116,58 @@
         local.delays.capacities().filter_map(size).collect()
     }
 
-    fn own(&mut self, now: Micros, local: &LocalState<'_>) -> Own {
+    fn own(&mut self, now: Micros, local: &LocalState<'_>) -> LocalLoad {
         self.names.learn(local.servers);
         self.met.forget_old(now);
         let mut standing = local.delays.established_by_group(now);
-        let servers: BTreeSet<ServerId> = standing.keys().copied().chain(self.met.subchannels()).collect();
+        let servers: BTreeSet<ServerId> = standing.keys().copied().chain(self.met.endpoints()).collect();
         let entry = |server: ServerId| {
             let stands = standing.remove(&server);
             let something = stands.is_some();
             let (load, groups) = stands.unwrap_or_default();
             let word = match word(&self.met.evidence(now, server)) {
-                Word::Well => wire::Word::Well,
-                Word::Unwell => wire::Word::Unwell,
-                Word::Unclear => wire::Word::Unclear,
+                Word::Well => wire::HealthVerdict::Healthy,
+                Word::Unwell => wire::HealthVerdict::Unhealthy,
+                Word::Unclear => wire::HealthVerdict::Unknown,
             };
             // What is over and showed nothing is not worth its bytes.
-            let subchannel = self.name(server)?;
-            (something || word != wire::Word::Unclear).then_some(Entry { subchannel, load, groups, word })
+            let endpoint = self.name(server)?;
+            (something || word != wire::HealthVerdict::Unknown).then_some(Entry {
+                endpoint,
+                load,
+                groups,
+                health: word,
+            })
         };
         let entries = servers.into_iter().filter_map(entry).collect();
         let totals = wire::Totals {
             connections: local.rpcs as u32,
-            requests: self.requests.per_s(now),
-            well: self.well.per_s(now),
-            failed: self.failed.per_s(now),
+            requests_per_s: self.requests.per_s(now),
+            successes_per_s: self.well.per_s(now),
+            failures_per_s: self.failed.per_s(now),
         };
-        Own { totals, entries }
+        LocalLoad { totals, entries }
     }
 
-    fn name(&self, server: ServerId) -> Option<wire::Subchannel> {
-        self.names.digest(server).map(|digest| wire::Subchannel(digest.bits()))
+    fn name(&self, server: ServerId) -> Option<wire::EndpointDigest> {
+        self.names.digest(server).map(|digest| wire::EndpointDigest(digest.bits()))
     }
 
-    fn number(&self, node: wire::Subchannel) -> Option<ServerId> {
-        self.names.number(Subchannel::from_bits(node.0))
+    fn number(&self, node: wire::EndpointDigest) -> Option<ServerId> {
+        self.names.number(EndpointDigest::from_bits(node.0))
     }
 
-    fn events<'a>(&'a self, view: &'a View) -> impl Iterator<Item = Event> + 'a {
-        let tier = Tier { nodes: f64::from(view.members.max(1)), part: view.part(), failing: view.failing() };
-        let words = view.named().filter_map(|(node, told)| {
-            let word = match told.word {
-                wire::Word::Well => Word::Well,
-                wire::Word::Unwell => Word::Unwell,
-                wire::Word::Unclear => return None,
+    fn events<'a>(&'a self, view: &'a Snapshot) -> impl Iterator<Item = Event> + 'a {
+        let tier = Tier {
+            nodes: f64::from(view.members.max(1)),
+            part: view.connection_share(),
+            failing: view.setup_failure_ratio(),
+        };
+        let words = view.endpoints().filter_map(|(node, told)| {
+            let word = match told.health {
+                wire::HealthVerdict::Healthy => Word::Well,
+                wire::HealthVerdict::Unhealthy => Word::Unwell,
+                wire::HealthVerdict::Unknown => return None,
             };
             let server = self.number(node)?;
             Some(VOICES.map(|from| Event::Peer { from, server, word }))
@@ -177,16 +186,23 @@
     fn translate(&mut self, _: Micros, output: cottonnotch_aggregation::Output, around: &mut Around<'_, '_>) {
         match output {
             cottonnotch_aggregation::Output::Send { to, bytes } => around.send(To::One(to), bytes),
-            cottonnotch_aggregation::Output::Keeper(keeper) => around.out.push_back(Output::Keeper(keeper)),
-            cottonnotch_aggregation::Output::Homes => {
-                around.tell(Event::Homes(self.member.homes().collect()));
+            cottonnotch_aggregation::Output::Aggregator(keeper) => {
+                around.out.push_back(Output::Keeper(keeper))
+            }
+            cottonnotch_aggregation::Output::AffinitySubsets => {
+                around.tell(Event::Homes(self.member.affinity_subsets().collect()));
             }
-            cottonnotch_aggregation::Output::View => {
-                let Some(view) = self.member.view() else { return };
+            cottonnotch_aggregation::Output::Snapshot => {
+                let Some(view) = self.member.snapshot() else { return };
                 self.events(view).for_each(|event| around.tell(event));
-                let used = view.named().filter_map(|(node, told)| Some((self.number(node)?, told.used)));
-                let fleet =
-                    FleetUtilisation::new(view.at, self.member.period(), view.mean_load, used.collect());
+                let used =
+                    view.endpoints().filter_map(|(node, told)| Some((self.number(node)?, told.utilization)));
+                let fleet = FleetUtilisation::new(
+                    view.received_at,
+                    self.member.report_interval(),
+                    view.mean_load,
+                    used.collect(),
+                );
                 around.local.delays.fleet = Some(fleet);
             }
         }
--- a/crates/proxy-core/src/gossip.rs
+++ b/crates/proxy-core/src/gossip.rs
@@ -6,7 +6,7 @@
 use crate::peer_loads::EstablishedLoad;
 use crate::peers::{Around, Carrying, Input, LocalState, Output, Translator};
 use cottonnotch_decision::{Event, Micros, ServerId, Word};
-use cottonnotch_gossip::{Entry, Evidence, Gossip, Ledger, Load, Strength};
+use cottonnotch_gossip::{Entry, Evidence, Gossip, Load, Observations, Strength};
 use std::collections::BTreeSet;
 use std::convert::Infallible;
 
@@ -18,19 +18,19 @@
     pub gossip: Gossip,
     strength: Strength,
     names: WireNames,
-    met: Ledger<ServerId>,
+    met: Observations<ServerId>,
 }
 
 impl GossipMember {
     /// One that has met nothing yet.
     pub fn new(gossip: Gossip, strength: Strength) -> Self {
-        GossipMember { gossip, strength, names: WireNames::default(), met: Ledger::default() }
+        GossipMember { gossip, strength, names: WireNames::default(), met: Observations::default() }
     }
 
     /// What the module is about to hear.
     pub fn witness(&mut self, now: Micros, event: &Event) {
         if let Some((server, met)) = shown(event) {
-            self.met.met(now, server, met);
+            self.met.record(now, server, met);
         }
     }
 
@@ -40,7 +40,7 @@
             Input::Second => {
                 self.names.learn(around.local.servers);
                 let entries = self.entries(now, around.local);
-                self.hand(now, cottonnotch_gossip::Input::Own(entries), around)
+                self.hand(now, cottonnotch_gossip::Input::LocalState(entries), around)
             }
             Input::Datagram { from, bytes } => {
                 let from = around.roster.ordinal(from);
@@ -68,14 +68,14 @@
     fn entries(&mut self, now: Micros, local: &LocalState<'_>) -> Vec<Entry> {
         let standing = local.delays.established();
         self.met.forget_old(now);
-        let servers: BTreeSet<ServerId> = standing.keys().copied().chain(self.met.subchannels()).collect();
+        let servers: BTreeSet<ServerId> = standing.keys().copied().chain(self.met.endpoints()).collect();
         let entry = |server: ServerId| {
-            let subchannel = self.names.digest(server)?;
+            let endpoint = self.names.digest(server)?;
             let (count, EstablishedLoad { load, groups }) =
                 standing.get(&server).copied().unwrap_or_default();
             let evidence = self.met.evidence(now, server);
             let load = Load::from_micros_per_s(load.max(0.0) as u64);
-            Some(Entry { subchannel, standing: count, load, groups, evidence })
+            Some(Entry { endpoint, connections: count, load, groups, evidence })
         };
         servers.into_iter().filter_map(entry).collect()
     }
@@ -92,18 +92,18 @@
         match output {
             cottonnotch_gossip::Output::Send { to, bytes } => around.send(to, bytes),
             cottonnotch_gossip::Output::Member { ordinal, state, incarnation } => {
-                around.out.push_back(Output::Member { ordinal, state, life: incarnation.life });
-                let there = self.gossip.members().filter(|(_, state, _)| state.takes_part());
+                around.out.push_back(Output::Member { ordinal, state, life: incarnation.generation });
+                let there = self.gossip.members().filter(|(_, state, _)| state.is_active());
                 around.local.delays.peers.alive(there.map(|(ordinal, ..)| ordinal).collect());
             }
-            cottonnotch_gossip::Output::Heard { from, entries } => {
+            cottonnotch_gossip::Output::PeerReport { from, entries } => {
                 for entry in entries {
-                    let Some(server) = self.names.number(entry.subchannel) else {
+                    let Some(server) = self.names.number(entry.endpoint) else {
                         continue;
                     };
                     let load = entry.load.micros_per_s() as f64;
                     let standing = EstablishedLoad { load, groups: entry.groups };
-                    let standing = (entry.standing > 0).then_some(standing);
+                    let standing = (entry.connections > 0).then_some(standing);
                     around.local.delays.peers.report_received(now, from, server, standing);
                     around.tell(Event::Peer { from, server, word: word(&entry.evidence) });
                 }
--- a/crates/proxy-core/src/message_latency.rs
+++ b/crates/proxy-core/src/message_latency.rs
@@ -297,8 +297,8 @@
         let mut all: HashMap<u64, GroupLoad> = HashMap::new();
         for open in self.open.values() {
             let Some(group) = open.group else { continue };
-            let of = all.entry(group).or_insert(GroupLoad { group, count: 0, load: 0.0 });
-            of.count += 1;
+            let of = all.entry(group).or_insert(GroupLoad { group, connections: 0, load: 0.0 });
+            of.connections += 1;
             of.load += open.load.unwrap_or(mean);
         }
         all.into_values().collect()
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -335,13 +335,14 @@
     /// What it was told of all: members in its view, the time between two reports, and use by node.
     pub fn view(&self) -> Option<View> {
         let member = self.peers.as_ref()?.fleet_member()?;
-        let view = member.view()?;
-        let named: BTreeMap<u32, f64> = view.named().map(|(node, told)| (node.0, told.used)).collect();
+        let view = member.snapshot()?;
+        let named: BTreeMap<u32, f64> =
+            view.endpoints().map(|(node, told)| (node.0, told.utilization)).collect();
         let by_place = (0..self.shape.nodes).filter_map(|place| {
-            let digest = cottonnotch_gossip::Subchannel::of(&format!("n{place}"));
+            let digest = cottonnotch_gossip::EndpointDigest::of(&format!("n{place}"));
             named.get(&digest.bits()).map(|used| (place, *used))
         });
-        Some((view.members, member.period(), by_place.collect()))
+        Some((view.members, member.report_interval(), by_place.collect()))
     }
 
     /// Takes what happened; then [`Hollow::poll`] until it gives nothing.
--- a/crates/scale/src/tier.rs
+++ b/crates/scale/src/tier.rs
@@ -26,7 +26,7 @@
 const FIRST: u64 = 1;
 const CHANGED: u64 = 2;
 /// Nodes that are used by less are not told.
-const LEAST_USE: f64 = cottonnotch_aggregation::wire::LEAST_USE;
+const LEAST_USE: f64 = cottonnotch_aggregation::wire::MIN_REPORTED_UTILIZATION;
 
 /// How long is waited and measured.
 #[derive(Clone, Copy, Debug, clap::Args)]
--- a/crates/simhost/src/peers.rs
+++ b/crates/simhost/src/peers.rs
@@ -4,8 +4,8 @@
 use cottonnotch_decision::names::Names;
 use cottonnotch_decision::{Event, Micros, Outcome, ServerId, Word};
 use cottonnotch_gossip::{
-    Entry, Evidence, Gossip, GossipSection, Input, Keys, Ledger, Met, Output, Settings, Strength, Subchannel,
-    To,
+    EndpointDigest, Entry, Evidence, Gossip, GossipSection, Input, Keys, Observation, Observations, Output,
+    Settings, Strength, To,
 };
 use std::collections::BTreeMap;
 
@@ -18,9 +18,9 @@
 /// One member.
 pub struct Peers {
     gossip: Gossip,
-    numbers: BTreeMap<Subchannel, Option<ServerId>>,
+    numbers: BTreeMap<EndpointDigest, Option<ServerId>>,
     known: usize,
-    met: Ledger<ServerId>,
+    met: Observations<ServerId>,
     period: Micros,
     next_own: Micros,
     armed: Option<Micros>,
@@ -31,29 +31,29 @@
     pub fn new(period_ms: u32, me: u32, members: u32, seed: u64, now: Micros) -> Option<Self> {
         let section =
             GossipSection { strength: Some(Strength::Address), period_ms, ..GossipSection::default() };
-        let settings = Settings { broadcast: true, ..section.check().ok()?? };
+        let settings = Settings { multicast: true, ..section.check().ok()?? };
         // A life is told from an earlier one of the same instance by its start; the wire's clock only moves forward.
         let life = u64::try_from(now / 1000).unwrap_or(0) + 1;
         let period = settings.period;
         let gossip = Gossip::new(settings, Keys::Address, me, members, life, seed, now);
-        let (numbers, met) = (BTreeMap::new(), Ledger::default());
+        let (numbers, met) = (BTreeMap::new(), Observations::default());
         Some(Peers { gossip, numbers, known: 0, met, period, next_own: now + period, armed: None })
     }
 
     /// What the module is about to hear, as far as it shows something of a server.
     pub fn witness(&mut self, now: Micros, event: &Event) {
         let (server, met) = match event {
-            Event::Established { server, .. } => (*server, Met::Served),
+            Event::Established { server, .. } => (*server, Observation::Served),
             Event::Ended { server, outcome, last, .. } => match (outcome, last) {
-                (Outcome::Full, false) => (*server, Met::Full),
-                (Outcome::ConnectFailed, false) => (*server, Met::Failed),
-                (Outcome::TimedOut | Outcome::Error, false) => (*server, Met::TimedOut),
-                (Outcome::Reset, _) => (*server, Met::Silent),
+                (Outcome::Full, false) => (*server, Observation::Full),
+                (Outcome::ConnectFailed, false) => (*server, Observation::Failed),
+                (Outcome::TimedOut | Outcome::Error, false) => (*server, Observation::TimedOut),
+                (Outcome::Reset, _) => (*server, Observation::Silent),
                 _ => return,
             },
             _ => return,
         };
-        self.met.met(now, server, met);
+        self.met.record(now, server, met);
     }
 
     /// A datagram has come.
@@ -64,7 +64,7 @@
     /// The timer has rung, or anything else happened.
     pub fn tick(&mut self, now: Micros, servers: &Names) {
         for number in self.known..servers.len() {
-            let digest = Subchannel::of(servers.name(number as u32));
+            let digest = EndpointDigest::of(servers.name(number as u32));
             let server = Some(ServerId(number as u32));
             self.numbers.entry(digest).and_modify(|known| *known = None).or_insert(server);
         }
@@ -73,11 +73,11 @@
             self.next_own = now + self.period;
             self.met.forget_old(now);
             let entry = |server: ServerId| {
-                let empty = Entry::empty(Subchannel::of(servers.name(server.0)));
+                let empty = Entry::empty(EndpointDigest::of(servers.name(server.0)));
                 Entry { evidence: self.met.evidence(now, server), ..empty }
             };
-            let own = self.met.subchannels().map(entry).collect();
-            self.gossip.handle(now, Input::Own(own));
+            let own = self.met.endpoints().map(entry).collect();
+            self.gossip.handle(now, Input::LocalState(own));
         }
         if self.gossip.next_timeout() <= now {
             self.gossip.handle(now, Input::Tick);
@@ -91,9 +91,9 @@
             match output {
                 Output::Send { to: To::One(to), bytes } => posts.push((Some(to), bytes)),
                 Output::Send { to: To::All, bytes } => posts.push((None, bytes)),
-                Output::Heard { from, entries } => {
+                Output::PeerReport { from, entries } => {
                     for entry in entries {
-                        if let Some(Some(server)) = self.numbers.get(&entry.subchannel).copied() {
+                        if let Some(Some(server)) = self.numbers.get(&entry.endpoint).copied() {
                             events.push(Event::Peer { from, server, word: word(&entry.evidence) });
                         }
                     }
