--- a/crates/cottonnotch/src/rules/worker.rs
+++ b/crates/cottonnotch/src/rules/compile_worker.rs
@@ -1,11 +1,11 @@
 //! The thread that makes, gets, compiles and compares contents, so that neither the loop nor the accord waits for it.
 
-use super::agent::Agent;
-use super::board::StatusBoard;
-use super::content::{Compiled, Content, Library, hex};
-use super::overlay::{advances, overlay};
-use super::publication::Publication;
-use super::server::url;
+use super::consensus_thread::Agent;
+use super::content_server::url;
+use super::local_overrides::{advances, overlay};
+use super::published_plan::Publication;
+use super::status::StatusBoard;
+use super::version_content::{Compiled, Content, Library, hex};
 use cottonnotch_consensus::{ContentHash, Input, Micros, ProposalOutcome, Topic, Verdict};
 use cottonnotch_routing_rules::{Conflict, File, Ledger, Merged, World, merge};
 use cottonnotch_rule_compiler::{Profiles, contradiction};
--- a/crates/cottonnotch/src/rules/member.rs
+++ b/crates/cottonnotch/src/rules/consensus_loop.rs
@@ -1,11 +1,11 @@
 //! The accord's loop: hears, ticks, and carries out what the accord asks for, in its order.
 
-use super::agent::{Agent, Parts, WAKE};
 use super::clock::Clock;
-use super::content::hex;
-use super::lent::{LeaseFile, LeaseRecord};
-use super::recall::{HELD, MEMORY};
-use super::worker::Job;
+use super::compile_worker::Job;
+use super::consensus_thread::{Agent, Parts, WAKE};
+use super::lease_file::{LeaseFile, LeaseRecord};
+use super::state_recovery::{HELD, MEMORY};
+use super::version_content::hex;
 use cottonnotch_consensus::{ContentHash, Input, Lease, Member, Message, Micros, Output, Topic};
 use cottonnotch_proxy_core::MemberDriver;
 use cottonnotch_proxy_core::envelope::MAX_DATAGRAM_BYTES;
--- a/crates/cottonnotch/src/rules/agent.rs
+++ b/crates/cottonnotch/src/rules/consensus_thread.rs
@@ -1,15 +1,15 @@
 //! The thread of the accord, as others have it, and its start: address, folder and memory are had, or waited for.
 
-use super::board::StatusBoard;
 use super::clock::Clock;
-use super::content::{Compiled, Library, hex};
-use super::disk::Disk;
-use super::lent::LeaseFile;
-use super::member::Thread;
-use super::publication::Publication;
-use super::recall::{borrow, content_name, remembered};
-use super::server::Serving;
-use super::worker::Job;
+use super::compile_worker::Job;
+use super::consensus_loop::Thread;
+use super::content_server::Serving;
+use super::durable_file::Disk;
+use super::lease_file::LeaseFile;
+use super::published_plan::Publication;
+use super::state_recovery::{borrow, content_name, remembered};
+use super::status::StatusBoard;
+use super::version_content::{Compiled, Library, hex};
 use cottonnotch_consensus::{Config, Input, Member};
 use cottonnotch_proxy_core::envelope::EnvelopeKey;
 use std::io;
--- a/crates/cottonnotch/src/rules/server.rs
+++ b/crates/cottonnotch/src/rules/content_server.rs
@@ -1,6 +1,6 @@
 //! Gives contents to other members: `GET /content/HEX`. Whoever fetches one checks its digest, so no proof goes with it.
 
-use super::content::{Library, hex};
+use super::version_content::{Library, hex};
 use cottonnotch_consensus::ContentHash;
 use std::io;
 use std::net::SocketAddr;
@@ -60,15 +60,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_digest_is_read_back_and_nothing_else_is() {
-        let hash = [0xa7; 32];
-        assert_eq!(digest(&hex(&hash)), Some(hash));
-        for text in ["", "a7", &"g7".repeat(32), &"a7".repeat(33), &"ä".repeat(32)] {
-            assert_eq!(digest(text), None, "{text}");
-        }
-    }
-}
+#[path = "content_server_tests.rs"]
+mod tests;
--- a/crates/cottonnotch/src/rules/golden_tests.rs
+++ b/crates/cottonnotch/src/rules/golden_tests.rs
@@ -1,9 +1,9 @@
 //! What a member keeps on disk, and the contents that go to others, keep the bytes that earlier builds gave them.
 
-use super::content::{Compiled, Content};
-use super::disk::{Disk, load};
-use super::lent::{LeaseFile, LeaseRecord};
-use super::recall::{HELD, MEMORY, content_name};
+use super::durable_file::{Disk, load};
+use super::lease_file::{LeaseFile, LeaseRecord};
+use super::state_recovery::{HELD, MEMORY, content_name};
+use super::version_content::{Compiled, Content};
 use cottonnotch_consensus::DurableState;
 use cottonnotch_golden::{assert_bytes, golden_path};
 use cottonnotch_routing_rules::{File, Ledger, Merged, World, merge};
--- a/crates/cottonnotch/src/rules/mod.rs
+++ b/crates/cottonnotch/src/rules/mod.rs
@@ -2,40 +2,40 @@
 //! plan (`cottonnotch-rule-compiler`), and which plan is in force is agreed with the other proxies (`cottonnotch-consensus`). Here
 //! the parts meet threads, sockets and disks; `docs/ops/rules.md` is the operator's side.
 //!
-//! The loop never waits for any of it. Threads of their own agree ([`agent`]), compile and compare ([`worker`]) and hand
-//! contents to other members ([`server`]); they publish what counts ([`publication`]), and each dispatch looks at that and
-//! at the clock ([`ruling`]). Without the sections `[rules]` and `[accord]` nothing of it exists.
+//! The loop never waits for any of it. Threads of their own agree ([`consensus_thread`]), compile and compare ([`compile_worker`]) and hand
+//! contents to other members ([`content_server`]); they publish what counts ([`published_plan`]), and each dispatch looks at that and
+//! at the clock ([`routing_verdict`]). Without the sections `[rules]` and `[accord]` nothing of it exists.
 
-mod agent;
-mod board;
 mod clock;
+mod compile_worker;
 mod config;
-mod content;
-mod disk;
-mod fleet;
-mod folder;
-mod lent;
-mod member;
-mod overlay;
-mod publication;
-mod recall;
-mod reckoning;
+mod consensus_loop;
+mod consensus_thread;
+mod content_server;
+mod durable_file;
+mod established_connections;
+mod lease_file;
+mod local_overrides;
+mod node_kinds;
+mod published_plan;
 mod report;
-mod rulebook;
-mod ruling;
-mod server;
+mod routing_verdict;
+mod rule_evaluation;
+mod rules_folder;
+mod service;
 mod settings;
-mod standing;
-mod worker;
+mod state_recovery;
+mod status;
+mod version_content;
 
-pub use board::RulesStatus;
 pub use clock::Clock;
 pub use config::{ConsensusSection, HardwareSection, RulesSection};
-pub use fleet::NodeKind;
+pub use node_kinds::NodeKind;
 pub use report::report;
-pub use rulebook::RulesService;
-pub use ruling::VerdictBasis;
+pub use routing_verdict::VerdictBasis;
+pub use service::RulesService;
 pub use settings::{RulesError, RulesSettings};
+pub use status::RulesStatus;
 
 #[cfg(test)]
 mod golden_tests;
--- a/crates/cottonnotch/src/rules/ruling.rs
+++ b/crates/cottonnotch/src/rules/routing_verdict.rs
@@ -4,9 +4,9 @@
 
 use super::clock::Clock;
 use super::config::Unknown;
-use super::fleet::NodeKind;
-use super::publication::{Publication, Published};
-use super::reckoning::Reckoning;
+use super::node_kinds::NodeKind;
+use super::published_plan::{Publication, Published};
+use super::rule_evaluation::Reckoning;
 use cottonnotch_consensus::ContentHash;
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_decision::{Entry, Micros, Request, RequestId, Rules, Ruling, ServerId, Stay};
@@ -250,4 +250,5 @@
 }
 
 #[cfg(test)]
+#[path = "routing_verdict_tests.rs"]
 mod tests;
--- a/crates/cottonnotch/src/rules/reckoning.rs
+++ b/crates/cottonnotch/src/rules/rule_evaluation.rs
@@ -1,8 +1,8 @@
 //! From a look at the plan to a ruling: which nodes are left, which come first, and this proxy's part of what the whole
 //! fleet may have.
 
-use super::fleet::{Fleet, NodeKind, NodeKindSet};
-use super::standing::Standing;
+use super::established_connections::Standing;
+use super::node_kinds::{Fleet, NodeKind, NodeKindSet};
 use cottonnotch_decision::part::{Bucket, Part};
 use cottonnotch_decision::{Micros, Ruling, ServerId};
 use cottonnotch_routing_rules::{Node, Request, When};
@@ -139,17 +139,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn parts_of_a_number_are_the_number() {
-        for proxies in [1, 2, 3, 7, 300] {
-            for whole in [0, 1, 2, 299, 300, 1_000] {
-                let parts = (0..proxies).map(|me| share(whole, proxies, me));
-                assert_eq!(parts.sum::<u64>(), whole, "{whole} among {proxies}");
-            }
-        }
-        assert_eq!(share(5, 0, 0), 5);
-    }
-}
+#[path = "rule_evaluation_tests.rs"]
+mod tests;
--- a/crates/cottonnotch/src/rules/rulebook.rs
+++ b/crates/cottonnotch/src/rules/service.rs
@@ -1,15 +1,15 @@
 //! The rules as the driver has them: it says what happens, and asks what counts.
 
-use super::agent::{self, Agent, Parts};
-use super::board::{RulesStatus, StatusBoard};
 use super::clock::Clock;
+use super::compile_worker::{Job, Way, Worker};
 use super::config::Unknown;
-use super::content::Library;
-use super::fleet::NodeKind;
-use super::publication::Publication;
-use super::ruling::{Doubt, Rulings, VerdictBasis};
+use super::consensus_thread::{self, Agent, Parts};
+use super::node_kinds::NodeKind;
+use super::published_plan::Publication;
+use super::routing_verdict::{Doubt, Rulings, VerdictBasis};
 use super::settings::RulesSettings;
-use super::worker::{Job, Way, Worker};
+use super::status::{RulesStatus, StatusBoard};
+use super::version_content::Library;
 use cottonnotch_consensus::{Config, Input};
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_decision::{Entry, Event, Micros, RequestId, ServerId};
@@ -83,7 +83,7 @@
                     board: Arc::clone(&board),
                     jobs: jobs.clone(),
                 };
-                Some(agent::start(parts, channel(), waits)?)
+                Some(consensus_thread::start(parts, channel(), waits)?)
             }
         };
         let way = match &agent {
--- a/crates/cottonnotch/src/rules/settings.rs
+++ b/crates/cottonnotch/src/rules/settings.rs
@@ -1,7 +1,7 @@
 //! What the sections come to, with the files that they name read.
 
 use super::config::{self, ConsensusSettings};
-use super::folder::{BadFolder, faulty, read_folder};
+use super::rules_folder::{BadFolder, faulty, read_folder};
 use crate::config::Operator;
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_proxy_core::envelope::EnvelopeKey;
--- a/crates/cottonnotch/src/rules/recall.rs
+++ b/crates/cottonnotch/src/rules/state_recovery.rs
@@ -1,10 +1,10 @@
 //! What a process of this member finds of an earlier one: its memory, its contents, what it went by, and, while it still
 //! lives, what it goes by.
 
-use super::agent::{Agent, Parts};
-use super::content::{Compiled, hex};
-use super::disk::{self, Disk};
-use super::lent::{LeaseFile, LeaseRecord};
+use super::consensus_thread::{Agent, Parts};
+use super::durable_file::{self, Disk};
+use super::lease_file::{LeaseFile, LeaseRecord};
+use super::version_content::{Compiled, hex};
 use cottonnotch_consensus::{ContentHash, DurableState, Input, Micros};
 use std::io;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
     if matches!(&*parts.publication.read(), Some(p) if (p.number, p.hash) == (number, hash)) {
         return None;
     }
-    let bytes = disk::load(folder, &content_name(&hash)).ok()??;
+    let bytes = durable_file::load(folder, &content_name(&hash)).ok()??;
     let compiled = Arc::new(Compiled::read(bytes).ok().filter(|compiled| compiled.hash == hash)?);
     log::info!(version = number; "rules version {number} counts here for as long as the earlier process has it");
     parts.publication.lend(&compiled.plan, number, hash, file);
