--- a/crates/cottonnotch/src/main.rs
+++ b/crates/cottonnotch/src/main.rs
@@ -10,7 +10,7 @@
 use clap::Parser;
 use command_line::{Command, CommandLine};
 use config::{BadConfig, Config, Effective, Operator};
-use cottonnotch_records::{Identity, NoRecorder, Recorder};
+use cottonnotch_records::{Identity, Recorder, RecorderError};
 use logging::LogConfig;
 use net::driver::Driver;
 use std::io::Write;
@@ -75,10 +75,12 @@
     let recorder = Recorder::open(&settings, Identity { name, incarnation, version });
     recorder.map_err(|error| {
         let message = match error {
-            NoRecorder::Target { key, target, error } => {
+            RecorderError::Target { key, target, error } => {
                 format!("records.{key} cannot be written: '{target}': {error}")
             }
-            NoRecorder::Thread(error) => format!("records cannot begin, the system gives no thread: {error}"),
+            RecorderError::Thread(error) => {
+                format!("records cannot begin, the system gives no thread: {error}")
+            }
         };
         file.refuse(&message).into()
     })
--- a/crates/cottonnotch/src/net/driver/audit.rs
+++ b/crates/cottonnotch/src/net/driver/audit.rs
@@ -137,10 +137,10 @@
     /// A connection that was up is moved.
     pub fn moved(&mut self, call: &Call, why: MoveReason) {
         let why = match why {
-            MoveReason::Asked => "moved_asked",
+            MoveReason::PolicyRequest => "moved_asked",
             MoveReason::Draining => "moved_draining",
-            MoveReason::Silent => "moved_silent",
-            MoveReason::Leaving => "moved_leaving",
+            MoveReason::Unresponsive => "moved_silent",
+            MoveReason::ProxyShutdown => "moved_leaving",
         };
         self.closed(call, why);
     }
--- a/crates/cottonnotch/src/net/driver/clients.rs
+++ b/crates/cottonnotch/src/net/driver/clients.rs
@@ -311,7 +311,7 @@
     pub fn reason_to_move(&self, subchannels: &Subchannels, request: RequestId) -> MoveReason {
         let at = self.calls.key(request).and_then(|key| self.calls.get(key)?.at);
         let is_draining = at.is_some_and(|(server, _)| subchannels.is_draining(server));
-        if is_draining { MoveReason::Draining } else { MoveReason::Asked }
+        if is_draining { MoveReason::Draining } else { MoveReason::PolicyRequest }
     }
 
     /// Moves a client away, if it is up; an event of how its connection ended.
@@ -339,7 +339,7 @@
     /// A client was moved since its subchannel returned nothing any more.
     pub fn silent(&self, net: &Net, subchannels: &Subchannels, key: Key) {
         if let Some(Call { id, at: Some((server, _)), .. }) = self.calls.get(key) {
-            net.records.moved(*id, || subchannels.shared_name(*server), MoveReason::Silent);
+            net.records.moved(*id, || subchannels.shared_name(*server), MoveReason::Unresponsive);
         }
     }
 
--- a/crates/cottonnotch/src/net/driver/golden_tests.rs
+++ b/crates/cottonnotch/src/net/driver/golden_tests.rs
@@ -127,7 +127,9 @@
         audit.count(Step::Failed, unserved_name(why));
     }
     let call = Call::new(RequestId(1), 0, 1, None);
-    for why in [MoveReason::Asked, MoveReason::Draining, MoveReason::Silent, MoveReason::Leaving] {
+    for why in
+        [MoveReason::PolicyRequest, MoveReason::Draining, MoveReason::Unresponsive, MoveReason::ProxyShutdown]
+    {
         audit.reopened(&open_connection(), call.wire_id);
         audit.moved(&call, why);
     }
--- a/crates/cottonnotch/src/net/driver/mod.rs
+++ b/crates/cottonnotch/src/net/driver/mod.rs
@@ -403,7 +403,8 @@
         let Some(Round { leaving, is_last }) = round else { return };
         for request in leaving {
             let (net, messages, subchannels) = (&mut self.net, &mut self.messages, &self.subchannels);
-            let ended = self.clients.move_away(net, messages, subchannels, request, MoveReason::Leaving);
+            let ended =
+                self.clients.move_away(net, messages, subchannels, request, MoveReason::ProxyShutdown);
             self.pending.extend(ended);
         }
         self.settle();
--- a/crates/cottonnotch/src/net/driver/records.rs
+++ b/crates/cottonnotch/src/net/driver/records.rs
@@ -10,7 +10,8 @@
 use cottonnotch_gossip::State;
 use cottonnotch_records as schema;
 use cottonnotch_records::{
-    Answer, Change, Counts, Event, MoveReason, Name, PeerState, Phase, Recorder, Reload, Ruled, Why,
+    Answer, AppliedRules, Counts, EndpointChange, Event, MoveReason, Name, PeerState, Phase, Reason,
+    Recorder, Reload,
 };
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -52,27 +53,27 @@
         entries: impl Iterator<Item = (&'a Entry, Name, Option<SocketAddr>)>,
     ) {
         self.recorder.record_with(|| {
-            let change = |(entry, subchannel, address): (&Entry, Name, Option<SocketAddr>)| {
+            let change = |(entry, endpoint, address): (&Entry, Name, Option<SocketAddr>)| {
                 let phase = match entry.state {
                     Listed::Ready => Phase::Up,
                     Listed::Draining => Phase::Draining,
-                    Listed::Gone => Phase::Gone,
+                    Listed::Gone => Phase::Removed,
                 };
-                Change { subchannel, phase, address }
+                EndpointChange { endpoint, phase, address }
             };
             Event::List { revision, complete, changes: entries.map(change).collect() }
         });
     }
 
     pub fn believes(&self, subchannel: impl FnOnce() -> Name, belief: Belief) {
-        self.recorder.record_with(|| Event::Subchannel {
-            subchannel: subchannel(),
-            belief: match belief {
-                Belief::Up => schema::Belief::Up,
-                Belief::Paused { until } => schema::Belief::Paused { until_us: micros(until) },
-                Belief::Trial => schema::Belief::Trial,
-                Belief::Draining => schema::Belief::Draining,
-                Belief::Gone => schema::Belief::Gone,
+        self.recorder.record_with(|| Event::Endpoint {
+            endpoint: subchannel(),
+            state: match belief {
+                Belief::Up => schema::EndpointState::Up,
+                Belief::Paused { until } => schema::EndpointState::Paused { until_us: micros(until) },
+                Belief::Trial => schema::EndpointState::Trial,
+                Belief::Draining => schema::EndpointState::Draining,
+                Belief::Gone => schema::EndpointState::Removed,
             },
         });
     }
@@ -87,7 +88,7 @@
                 tenant: request.tenant.and_then(|tenant| name(&self.tenants, tenant.0)),
                 deadline_ms: request.left.map(millis),
                 group: request.group.map(schema::Hex),
-                again: request.again,
+                is_retry: request.again,
             }
         });
     }
@@ -103,9 +104,9 @@
         self.recorder.record_with(|| Event::Attempt {
             request,
             attempt,
-            subchannel: subchannel(),
+            endpoint: subchannel(),
             timeout_ms: millis(timeout),
-            ruled: basis().map(ruled),
+            applied_rules: basis().map(applied_rules),
         });
     }
 
@@ -125,7 +126,7 @@
         self.recorder.record_with(|| Event::Up {
             request,
             attempt,
-            subchannel: subchannel(),
+            endpoint: subchannel(),
             took_us: micros(took),
         });
         self.recorder.record_with(|| Event::Answer { request, answer: Answer::Up });
@@ -139,14 +140,17 @@
     ) {
         self.figures.dropped(call.class);
         let request = call.id.0;
-        let answer = || Answer::Refused { retry_after_ms: millis(retry_after), ruled: basis().map(ruled) };
+        let answer = || Answer::Rejected {
+            retry_after_ms: millis(retry_after),
+            applied_rules: basis().map(applied_rules),
+        };
         self.recorder.record_with(|| Event::Answer { request, answer: answer() });
     }
 
     pub fn failed(&mut self, call: &Call, why: &dyn Display) {
         self.figures.failed(call.class);
         let request = call.id.0;
-        let answer = || Answer::Failed { why: why.to_string().into() };
+        let answer = || Answer::Failed { reason: why.to_string().into() };
         self.recorder.record_with(|| Event::Answer { request, answer: answer() });
     }
 
@@ -156,24 +160,29 @@
     }
 
     /// A client of this class, if it is one of the settings', got an error before it had a request.
-    pub fn objected(&mut self, class: Option<u32>, why: impl FnOnce() -> Why) {
+    pub fn objected(&mut self, class: Option<u32>, why: impl FnOnce() -> Reason) {
         class.into_iter().for_each(|class| self.figures.failed(class));
         self.turned_away(why);
     }
 
     /// A client of this class got the unavailable status before it had a request.
-    pub fn left_out(&mut self, class: Option<u32>, why: impl FnOnce() -> Why) {
+    pub fn left_out(&mut self, class: Option<u32>, why: impl FnOnce() -> Reason) {
         class.into_iter().for_each(|class| self.figures.dropped(class));
         self.turned_away(why);
     }
 
     /// A client got an error or the unavailable status, and had no request.
-    pub fn turned_away(&self, why: impl FnOnce() -> Why) {
-        self.recorder.record_with(|| Event::TurnedAway { why: why() });
+    pub fn turned_away(&self, why: impl FnOnce() -> Reason) {
+        self.recorder.record_with(|| Event::ClientRejected { reason: why() });
     }
 
-    pub fn moved(&self, RequestId(request): RequestId, subchannel: impl FnOnce() -> Name, why: MoveReason) {
-        self.recorder.record_with(|| Event::Moved { request, subchannel: subchannel(), why });
+    pub fn moved(
+        &self,
+        RequestId(request): RequestId,
+        subchannel: impl FnOnce() -> Name,
+        reason: MoveReason,
+    ) {
+        self.recorder.record_with(|| Event::Moved { request, endpoint: subchannel(), reason });
     }
 
     pub fn ended(&self, RequestId(request): RequestId, outcome: Outcome) {
@@ -197,13 +206,13 @@
     /// A new configuration counts.
     pub fn reload_taken(&mut self) {
         self.figures.loaded(true);
-        self.recorder.record_with(|| Event::Reload { reload: Reload::Taken });
+        self.recorder.record_with(|| Event::Reload { reload: Reload::Applied });
     }
 
     /// A new configuration is faulty.
     pub fn reload_kept(&mut self, why: &dyn Display) {
         self.figures.loaded(false);
-        let reload = || Reload::Kept { why: why.to_string().into() };
+        let reload = || Reload::Rejected { reason: why.to_string().into() };
         self.recorder.record_with(|| Event::Reload { reload: reload() });
     }
 
@@ -229,9 +238,9 @@
     }
 }
 
-fn ruled(basis: VerdictBasis) -> Box<Ruled> {
-    let VerdictBasis { version, rules, is_uncertain: in_doubt, .. } = basis;
-    Box::new(Ruled { version, rules, in_doubt })
+fn applied_rules(basis: VerdictBasis) -> Box<AppliedRules> {
+    let VerdictBasis { version, rules, is_uncertain: version_uncertain, .. } = basis;
+    Box::new(AppliedRules { version, rules, version_uncertain })
 }
 
 fn micros(time: Micros) -> u64 {
--- a/crates/cottonnotch/tests/endings/nodes.rs
+++ b/crates/cottonnotch/tests/endings/nodes.rs
@@ -1,7 +1,7 @@
 //! Render nodes that end, spoil or repeat what they say, on connections that are up.
 
 use crate::peers::*;
-use cottonnotch_records::{Event, Outcome, RotatedSet, What};
+use cottonnotch_records::{Event, LineContent, Outcome, RotatedSet};
 use std::io::ErrorKind;
 use std::process::Command;
 use tempfile::TempDir;
@@ -110,12 +110,12 @@
     within(PATIENCE, "the render node's side is closed", || far.try_say("x").err());
     proxy.terminate();
     assert!(proxy.exited().success());
-    let ended = RotatedSet::open(&records).unwrap().filter_map(|line| match line.what {
-        What::Record(record) => match record.event {
+    let ended = RotatedSet::open(&records).unwrap().filter_map(|line| match line.content {
+        LineContent::Record(record) => match record.event {
             Event::Ended { outcome, .. } => Some(outcome),
             _ => None,
         },
-        What::Finding(finding) => panic!("{finding:?}"),
+        LineContent::Finding(finding) => panic!("{finding:?}"),
     });
     assert_eq!(ended.collect::<Vec<_>>(), [Outcome::Reset]);
 }
--- a/crates/cottonnotch/tests/records.rs
+++ b/crates/cottonnotch/tests/records.rs
@@ -45,9 +45,9 @@
 fn read(path: &Path) -> (Vec<Record>, Vec<Finding>) {
     let (mut records, mut findings) = (Vec::new(), Vec::new());
     for line in RotatedSet::open(path).unwrap() {
-        match line.what {
-            What::Record(record) => records.push(record),
-            What::Finding(finding) => findings.push(finding),
+        match line.content {
+            LineContent::Record(record) => records.push(record),
+            LineContent::Finding(finding) => findings.push(finding),
         }
     }
     (records, findings)
@@ -61,7 +61,7 @@
 /// What the records say of the request with this id, in order, in the words of this test.
 fn told(records: &[Record], wire_id: u64) -> Vec<String> {
     let number = records.iter().find_map(|record| match &record.event {
-        Event::Request { request, wire_id: Hex(id), class, deadline_ms, group, again: false, .. }
+        Event::Request { request, wire_id: Hex(id), class, deadline_ms, group, is_retry: false, .. }
             if *id == wire_id =>
         {
             assert_eq!((&**class, group), ("look", &Some(Hex(0x5c0f))));
@@ -73,18 +73,18 @@
     let number = number.unwrap_or_else(|| panic!("no request with id {wire_id:016x}"));
     let words = |record: &Record| {
         let (of, words) = match &record.event {
-            Event::Attempt { request, attempt, subchannel, .. } => {
-                (request, format!("attempt {attempt} at {subchannel}"))
+            Event::Attempt { request, attempt, endpoint, .. } => {
+                (request, format!("attempt {attempt} at {endpoint}"))
             }
             Event::AttemptEnded { request, attempt, outcome, .. } => {
                 (request, format!("attempt {attempt} {outcome:?}"))
             }
-            Event::Up { request, attempt, subchannel, .. } => {
-                (request, format!("attempt {attempt} up at {subchannel}"))
+            Event::Up { request, attempt, endpoint, .. } => {
+                (request, format!("attempt {attempt} up at {endpoint}"))
             }
             Event::Answer { request, answer } => (request, format!("answer {answer:?}")),
-            Event::Moved { request, subchannel, why } => {
-                (request, format!("moved from {subchannel}, {why:?}"))
+            Event::Moved { request, endpoint, reason } => {
+                (request, format!("moved from {endpoint}, {reason:?}"))
             }
             Event::Ended { request, outcome } => (request, format!("ended {outcome:?}")),
             Event::ClientLeft { request } => (request, "left".to_owned()),
@@ -190,37 +190,37 @@
     expect(served, &served_story.map(str::to_owned));
     let text = str::to_owned;
     let up = |at: &str| [format!("attempt 0 at {at}"), format!("attempt 0 up at {at}"), text("answer Up")];
-    let moved = |at: &str, why: &str| {
-        [&up(at)[..], &[format!("moved from {at}, {why}"), text("ended Cancelled")]].concat()
+    let moved = |at: &str, reason: &str| {
+        [&up(at)[..], &[format!("moved from {at}, {reason}"), text("ended Cancelled")]].concat()
     };
     expect(drained, &moved("s0", "Draining"));
-    expect(leaving, &moved("s1", "Leaving"));
-    expect(refused, &[format!("answer Refused {{ retry_after_ms: {wait}, ruled: None }}")]);
+    expect(leaving, &moved("s1", "ProxyShutdown"));
+    expect(refused, &[format!("answer Rejected {{ retry_after_ms: {wait}, applied_rules: None }}")]);
     let why = "more than one line before the answer";
-    expect(hasty, &[format!("answer Failed {{ why: {why:?} }}")]);
+    expect(hasty, &[format!("answer Failed {{ reason: {why:?} }}")]);
     expect(left, &[text("attempt 0 at s0"), text("attempt 0 Cancelled"), text("left")]);
 
     let count = |is: fn(&Event) -> bool| records.iter().filter(|record| is(&record.event)).count();
     assert_eq!(count(|e| matches!(e, Event::Request { .. })), 6);
     assert_eq!(count(|e| matches!(e, Event::Answer { .. })), 5, "none for the one that left");
-    let turned_away: Vec<&str> = records.iter().filter_map(|r| turned_away(&r.event)).collect();
-    assert_eq!(turned_away, ["the line is not OPEN ID KEY NAMES", "the class is unknown"]);
+    let rejections: Vec<&str> = records.iter().filter_map(|r| rejection_reason(&r.event)).collect();
+    assert_eq!(rejections, ["the line is not OPEN ID KEY NAMES", "the class is unknown"]);
     let others: Vec<&Event> = records.iter().map(|record| &record.event).filter(|e| is_of_proxy(e)).collect();
     let [
         Event::Start { name, pid, .. },
         first,
         second,
-        Event::Reload { reload: Reload::Kept { why } },
+        Event::Reload { reload: Reload::Rejected { reason } },
         rest @ ..,
     ] = &others[..]
     else {
         panic!("{others:?}")
     };
     assert_eq!((&**name, *pid), ("n0", proxy.id()));
-    assert!(why.starts_with("settings.policyLimits.mostTries is not a number"), "{why}");
-    assert_eq!(rest, [&Event::Reload { reload: Reload::Taken }, &Event::Shutdown {}, &Event::Stop {}]);
-    let change = |i: usize, phase| Change {
-        subchannel: format!("s{i}").into(),
+    assert!(reason.starts_with("settings.policyLimits.mostTries is not a number"), "{reason}");
+    assert_eq!(rest, [&Event::Reload { reload: Reload::Applied }, &Event::Shutdown {}, &Event::Stop {}]);
+    let change = |i: usize, phase| EndpointChange {
+        endpoint: format!("s{i}").into(),
         phase,
         address: Some(nodes[i].address()),
     };
@@ -228,25 +228,31 @@
     assert_eq!(**first, listed(1, true, vec![change(0, Phase::Up)]));
     assert_eq!(**second, listed(2, false, vec![change(0, Phase::Draining), change(1, Phase::Up)]));
 
-    let beliefs = |name: &str| -> Vec<Belief> {
+    let states = |name: &str| -> Vec<EndpointState> {
         let of = |record: &Record| match &record.event {
-            Event::Subchannel { subchannel, belief } if **subchannel == *name => Some(*belief),
+            Event::Endpoint { endpoint, state } if **endpoint == *name => Some(*state),
             _ => None,
         };
         records.iter().filter_map(of).collect()
     };
-    let told = beliefs("s0");
-    let [Belief::Up, Belief::Paused { until_us }, Belief::Trial, Belief::Up, Belief::Draining] = told[..]
+    let told = states("s0");
+    let [
+        EndpointState::Up,
+        EndpointState::Paused { until_us },
+        EndpointState::Trial,
+        EndpointState::Up,
+        EndpointState::Draining,
+    ] = told[..]
     else {
         panic!("{told:?}")
     };
     assert_eq!(until_us % 1_000_000, 0, "pauses end at marks");
-    assert_eq!(beliefs("s1"), [Belief::Up]);
+    assert_eq!(states("s1"), [EndpointState::Up]);
     true
 }
 
-fn turned_away(event: &Event) -> Option<&str> {
-    if let Event::TurnedAway { why } = event { Some(why) } else { None }
+fn rejection_reason(event: &Event) -> Option<&str> {
+    if let Event::ClientRejected { reason } = event { Some(reason) } else { None }
 }
 
 fn is_of_proxy(event: &Event) -> bool {
@@ -276,7 +282,7 @@
         "attempt 1 at s0",
         "attempt 1 up at s0",
         "answer Up",
-        "moved from s0, Silent",
+        "moved from s0, Unresponsive",
         "ended Reset",
     ];
     let all = within(PATIENCE, "the end", || {
@@ -328,7 +334,7 @@
     drop(pair);
     let (records, findings) = folder.read();
     assert_eq!(findings, []);
-    assert_eq!(records.iter().filter(|record| turned_away(&record.event).is_some()).count(), 1500);
+    assert_eq!(records.iter().filter(|record| rejection_reason(&record.event).is_some()).count(), 1500);
     assert_eq!(records.last().unwrap().event, Event::Stop {});
 }
 
--- a/crates/records/benches/cost.rs
+++ b/crates/records/benches/cost.rs
@@ -18,16 +18,16 @@
 struct Names {
     class: Name,
     tenant: Name,
-    subchannel: Name,
+    endpoint: Name,
 }
 
 fn names() -> Names {
-    Names { class: "note-edit".into(), tenant: "casa-coral-sul".into(), subchannel: "s-5be2a07c".into() }
+    Names { class: "note-edit".into(), tenant: "casa-coral-sul".into(), endpoint: "s-5be2a07c".into() }
 }
 
 /// The records of one set-up, as the proxy would build them.
 fn setup(names: &Names, request: u64) -> [Event; SETUP] {
-    let subchannel = || names.subchannel.clone();
+    let endpoint = || names.endpoint.clone();
     [
         Event::Request {
             request,
@@ -36,10 +36,10 @@
             tenant: Some(names.tenant.clone()),
             deadline_ms: Some(1_200),
             group: Some(Hex(0x5c0f_6e1a_2b3d_4c59)),
-            again: false,
+            is_retry: false,
         },
-        Event::Attempt { request, attempt: 0, subchannel: subchannel(), timeout_ms: 400, ruled: None },
-        Event::Up { request, attempt: 0, subchannel: subchannel(), took_us: 31_245 },
+        Event::Attempt { request, attempt: 0, endpoint: endpoint(), timeout_ms: 400, applied_rules: None },
+        Event::Up { request, attempt: 0, endpoint: endpoint(), took_us: 31_245 },
         Event::Answer { request, answer: Answer::Up },
         Event::Ended { request, outcome: Outcome::Served },
     ]
@@ -96,7 +96,7 @@
                 black_box(&off).record_with(|| Event::Up {
                     request,
                     attempt: 0,
-                    subchannel: names.subchannel.clone(),
+                    endpoint: names.endpoint.clone(),
                     took_us: 31_245,
                 });
             }
--- a/crates/records/src/config.rs
+++ b/crates/records/src/config.rs
@@ -85,7 +85,7 @@
 
 /// What is wrong with the section; the message names the key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadRecords {
+pub enum RecordsSectionError {
     /// Two targets.
     #[error("records.file and records.descriptor are both set: keep one of them")]
     TwoTargets,
@@ -115,10 +115,10 @@
 impl RecordsSection {
     /// The settings, if the section is sound; `None` if it is off. Bounds are checked even then, so that a fault
     /// shows before the day on which records are wanted.
-    pub fn check(&self) -> Result<Option<Settings>, BadRecords> {
+    pub fn check(&self) -> Result<Option<Settings>, RecordsSectionError> {
         let within = |key, value: u64, (least, most): (u64, u64)| match value {
             _ if (least..=most).contains(&value) => Ok(value),
-            _ => Err(BadRecords::OutOfBounds { key, least, most, value }),
+            _ => Err(RecordsSectionError::OutOfBounds { key, least, most, value }),
         };
         let wide = |(least, most): (u32, u32)| (u64::from(least), u64::from(most));
         let max_bytes = within("max_bytes", self.max_bytes.unwrap_or(MAX_BYTES), (LEAST_BYTES, u64::MAX))?;
@@ -127,17 +127,17 @@
         within("queue_records", u64::from(self.queue_records), wide(QUEUE_WITHIN))?;
         within("flush_ms", u64::from(self.flush_ms), wide(FLUSH_WITHIN))?;
         let target = match (&self.file, self.descriptor) {
-            (Some(_), Some(_)) => return Err(BadRecords::TwoTargets),
+            (Some(_), Some(_)) => return Err(RecordsSectionError::TwoTargets),
             (None, None) => return Ok(None),
-            (Some(path), None) if path.as_os_str().is_empty() => return Err(BadRecords::EmptyFile),
+            (Some(path), None) if path.as_os_str().is_empty() => return Err(RecordsSectionError::EmptyFile),
             (Some(path), None) => Target::File { path: path.clone(), max_bytes, keep },
             (None, Some(number)) => {
                 if number == 0 || i32::try_from(number).is_err() {
-                    return Err(BadRecords::NoOutput(number));
+                    return Err(RecordsSectionError::NoOutput(number));
                 }
                 let given = [("max_bytes", self.max_bytes.is_some()), ("keep", self.keep.is_some())];
                 if let Some((key, _)) = given.into_iter().find(|(_, given)| *given) {
-                    return Err(BadRecords::OnlyForFile(key));
+                    return Err(RecordsSectionError::OnlyForFile(key));
                 }
                 Target::Descriptor(number)
             }
--- a/crates/records/src/lib.rs
+++ b/crates/records/src/lib.rs
@@ -4,18 +4,18 @@
 //! `docs/records.md` describes the schema, `docs/design/records.md` why it is built so.
 
 mod config;
-mod outlet;
 mod parse;
 mod reader;
 mod record;
 mod recorder;
-mod scribe;
 mod sequence;
+mod sink;
+mod writer;
 
-pub use config::{BadRecords, RecordsSection, Settings, Target};
-pub use reader::{Finding, Line, Place, Reader, RotatedSet, What};
+pub use config::{RecordsSection, RecordsSectionError, Settings, Target};
+pub use reader::{Finding, Line, LineContent, Location, Reader, RotatedSet};
 pub use record::{
-    Answer, Belief, Change, Event, Hex, LONGEST_LINE, MoveReason, Name, Outcome, PeerState, Phase, Record,
-    Reload, Ruled, SCHEMA, Why,
+    Answer, AppliedRules, EndpointChange, EndpointState, Event, Hex, LONGEST_LINE, MoveReason, Name, Outcome,
+    PeerState, Phase, Reason, Record, Reload, SCHEMA,
 };
-pub use recorder::{Counts, Identity, NoRecorder, Recorder};
+pub use recorder::{Counts, Identity, Recorder, RecorderError};
--- a/crates/records/src/parse.rs
+++ b/crates/records/src/parse.rs
@@ -34,7 +34,7 @@
 pub(crate) fn parse(line: &[u8]) -> Parsed {
     let nothing = |finding| Parsed { record: None, step: None, newer: None, findings: vec![finding] };
     if !is_shallow(line) {
-        return nothing(Finding::Rubbish { why: "nested too deeply".to_owned() });
+        return nothing(Finding::Malformed { why: "nested too deeply".to_owned() });
     }
     let newer = |v: u32| Some(v).filter(|v| *v > SCHEMA);
     // The parser works in place, and each try needs the line as it came.
@@ -55,11 +55,11 @@
         Err(error) => error,
     };
     let Ok(Header { v, seq, event }) = simd_json::from_slice(&mut line.to_vec()) else {
-        return nothing(Finding::Rubbish { why: error.to_string() });
+        return nothing(Finding::Malformed { why: error.to_string() });
     };
     let step = if event == "start" { Step::Start } else { Step::One };
     let finding = if Event::NAMES.contains(&event.as_str()) {
-        Finding::Rubbish { why: format!("event '{event}' cannot be read: {error}") }
+        Finding::Malformed { why: format!("event '{event}' cannot be read: {error}") }
     } else {
         Finding::UnknownEvent { event }
     };
--- a/crates/records/src/reader.rs
+++ b/crates/records/src/reader.rs
@@ -3,10 +3,10 @@
 //! Nothing that a file can hold stops it. What is wrong or new is an item of its own, in its place among the
 //! records, and the rest is read on.
 
-use crate::outlet::{identity, rotated};
 use crate::parse::{Parsed, parse};
 use crate::record::{LONGEST_LINE, Record};
 use crate::sequence::Sequence;
+use crate::sink::{identity, rotated};
 use std::collections::{BTreeSet, VecDeque};
 use std::fmt;
 use std::fs::File;
@@ -19,14 +19,14 @@
 
 /// Where a line stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// Its file, when a rotated set is read.
     pub file: Option<Arc<Path>>,
     /// Its number in the file, from 1.
     pub line: u64,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.file {
             Some(file) => write!(f, "{}:{}", file.display(), self.line),
@@ -38,15 +38,15 @@
 /// An item: findings about a line come before its record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Line {
-    /// Where.
-    pub place: Place,
-    /// What.
-    pub what: What,
+    /// Where it stands.
+    pub location: Location,
+    /// What was found there.
+    pub content: LineContent,
 }
 
 /// What a line gave.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum LineContent {
     /// A record.
     Record(Record),
     /// Something wrong, missing or new.
@@ -64,7 +64,7 @@
     },
     /// The line is no record.
     #[error("no record: {why}")]
-    Rubbish {
+    Malformed {
         /// What the parser says.
         why: String,
     },
@@ -101,13 +101,13 @@
     },
     /// The first record is not an incarnation's first: what came before is gone, by rotation as a rule.
     #[error("records before seq {seq} are not here any more")]
-    BeginsLate {
+    StartsMidSequence {
         /// The first that there is.
         seq: u64,
     },
     /// The sequence goes back without a `start`: lines were copied, or a `start` is missing.
     #[error("seq {found} comes where {expected} should: a start is missing, or lines are double")]
-    Backwards {
+    SequenceWentBack {
         /// The `seq` to come.
         expected: u64,
         /// The one that came.
@@ -131,7 +131,7 @@
 
 impl Memory {
     /// What a line says, in order.
-    fn digest(&mut self, text: &[u8], is_ended: bool) -> Vec<What> {
+    fn digest(&mut self, text: &[u8], is_ended: bool) -> Vec<LineContent> {
         let Parsed { record, step, newer, mut findings } = parse(text);
         let cut = !is_ended || (text.first() == Some(&b'{') && text.last() != Some(&b'}'));
         if step.is_none() && cut {
@@ -149,7 +149,7 @@
             findings.extend(newer.map(|v| Finding::NewerSchema { v }));
         }
         findings.extend(step.and_then(|(seq, step)| self.sequence.take(seq, step)));
-        findings.into_iter().map(What::Finding).chain(record.map(What::Record)).collect()
+        findings.into_iter().map(LineContent::Finding).chain(record.map(LineContent::Record)).collect()
     }
 }
 
@@ -187,34 +187,34 @@
         self.text.clear();
         let bound = LONGEST_LINE as u64 + 1;
         let read = source.by_ref().take(bound).read_until(b'\n', &mut self.text);
-        let (whats, more) = match read {
+        let (contents, more) = match read {
             Ok(0) => (Vec::new(), false),
-            Err(error) => (vec![What::Finding(Finding::Unreadable { why: error.to_string() })], false),
+            Err(error) => (vec![LineContent::Finding(Finding::Unreadable { why: error.to_string() })], false),
             Ok(_) if self.text.len() > LONGEST_LINE => {
                 let ended = self.text.last() == Some(&b'\n');
                 let skipped = if ended { Ok(0) } else { source.skip_until(b'\n') };
                 let unreadable =
                     skipped.as_ref().err().map(|error| Finding::Unreadable { why: error.to_string() });
                 let findings = [Some(Finding::TooLong), unreadable];
-                (findings.into_iter().flatten().map(What::Finding).collect(), skipped.is_ok())
+                (findings.into_iter().flatten().map(LineContent::Finding).collect(), skipped.is_ok())
             }
             Ok(_) => {
                 let (text, is_ended) = match self.text.strip_suffix(b"\n") {
                     Some(text) => (text, true),
                     None => (self.text.as_slice(), false),
                 };
-                let whats = if text.trim_ascii().is_empty() {
+                let contents = if text.trim_ascii().is_empty() {
                     // The writer ends what was cut off with a line end, and that may fall to a new file.
                     Vec::new()
                 } else {
                     self.memory.digest(text, is_ended)
                 };
-                (whats, true)
+                (contents, true)
             }
         };
         self.line += 1;
-        let place = Place { file: self.file.clone(), line: self.line };
-        self.ready.extend(whats.into_iter().map(|what| Line { place: place.clone(), what }));
+        let location = Location { file: self.file.clone(), line: self.line };
+        self.ready.extend(contents.into_iter().map(|content| Line { location: location.clone(), content }));
         if !more {
             self.source = None;
         }
--- a/crates/records/src/record.rs
+++ b/crates/records/src/record.rs
@@ -21,7 +21,7 @@
 /// A name that many records share.
 pub type Name = Arc<str>;
 /// A reason in words, usually a fixed text.
-pub type Why = Cow<'static, str>;
+pub type Reason = Cow<'static, str>;
 
 /// One line.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -65,7 +65,7 @@
         /// Its process.
         pid: u32,
         /// The program's version.
-        version: Why,
+        version: Reason,
     },
     /// The resolver's list, or a change of it, was taken.
     List {
@@ -74,15 +74,17 @@
         /// All of the list: subchannels that it does not name are gone.
         complete: bool,
         /// The subchannels of which it tells.
-        changes: Vec<Change>,
+        changes: Vec<EndpointChange>,
     },
-    /// The proxy changed its belief about a subchannel.
-    Subchannel {
-        /// Its name on the list.
-        subchannel: Name,
-        /// What it believes now.
+    /// The proxy's own view of an endpoint has changed.
+    #[serde(rename = "subchannel")]
+    Endpoint {
+        /// The endpoint's name on discovery's list.
+        #[serde(rename = "subchannel")]
+        endpoint: Name,
+        /// The state from now on.
         #[serde(flatten)]
-        belief: Belief,
+        state: EndpointState,
     },
     /// A request was taken: one final answer is owed.
     Request {
@@ -102,7 +104,8 @@
         #[serde(default, skip_serializing_if = "Option::is_none")]
         group: Option<Hex>,
         /// The client came again, or marked a repeat.
-        again: bool,
+        #[serde(rename = "again")]
+        is_retry: bool,
     },
     /// A call attempt began.
     Attempt {
@@ -110,13 +113,14 @@
         request: u64,
         /// From 0, in the order sent.
         attempt: u32,
-        /// Where.
-        subchannel: Name,
+        /// The endpoint that it goes to.
+        #[serde(rename = "subchannel")]
+        endpoint: Name,
         /// It ends as timed out after this; 0: when the client gives up.
         timeout_ms: u32,
         /// By which rules it may go there, where there are rules.
-        #[serde(default, skip_serializing_if = "Option::is_none")]
-        ruled: Option<Box<Ruled>>,
+        #[serde(rename = "ruled", default, skip_serializing_if = "Option::is_none")]
+        applied_rules: Option<Box<AppliedRules>>,
     },
     /// A call attempt ended without `UP`.
     AttemptEnded {
@@ -135,8 +139,9 @@
         request: u64,
         /// Which.
         attempt: u32,
-        /// Where.
-        subchannel: Name,
+        /// The endpoint that it goes to.
+        #[serde(rename = "subchannel")]
+        endpoint: Name,
         /// Since the attempt began.
         took_us: u64,
     },
@@ -148,19 +153,23 @@
         #[serde(flatten)]
         answer: Answer,
     },
-    /// A client was turned away before it had a request.
-    TurnedAway {
+    /// A client was rejected before it had a request.
+    #[serde(rename = "turned_away")]
+    ClientRejected {
         /// What was wrong.
-        why: Why,
+        #[serde(rename = "why")]
+        reason: Reason,
     },
     /// A client was sent `MOVE`.
     Moved {
         /// Whose connection.
         request: u64,
-        /// Where it was.
-        subchannel: Name,
-        /// For what.
-        why: MoveReason,
+        /// The endpoint that served it.
+        #[serde(rename = "subchannel")]
+        endpoint: Name,
+        /// The reason.
+        #[serde(rename = "why")]
+        reason: MoveReason,
     },
     /// A connection that was up is over.
     Ended {
@@ -242,9 +251,10 @@
 
 /// What the list says of a subchannel.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Change {
-    /// Its name.
-    pub subchannel: Name,
+pub struct EndpointChange {
+    /// The endpoint's name.
+    #[serde(rename = "subchannel")]
+    pub endpoint: Name,
     /// Its phase.
     pub phase: Phase,
     /// Where it is, if that is known.
@@ -261,13 +271,14 @@
     /// Completes what it holds.
     Draining,
     /// No longer there.
-    Gone,
+    #[serde(rename = "gone")]
+    Removed,
 }
 
 /// What the proxy believes of a subchannel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
-pub enum Belief {
+pub enum EndpointState {
     /// It may be used.
     Up,
     /// It kept failing and is left alone for a while.
@@ -280,7 +291,8 @@
     /// It gets nothing new.
     Draining,
     /// It is not there.
-    Gone,
+    #[serde(rename = "gone")]
+    Removed,
 }
 
 /// How an attempt, or the connection that came of it, ended.
@@ -311,24 +323,26 @@
 pub enum Answer {
     /// Served.
     Up,
-    /// The unavailable status.
-    Refused {
+    /// The unavailable status: it never ran, and a retry is harmless.
+    #[serde(rename = "refused")]
+    Rejected {
         /// The client may come again after this; 0: nothing was said.
         retry_after_ms: u32,
         /// By which rules it was looked at last, where there are rules.
-        #[serde(default, skip_serializing_if = "Option::is_none")]
-        ruled: Option<Box<Ruled>>,
+        #[serde(rename = "ruled", default, skip_serializing_if = "Option::is_none")]
+        applied_rules: Option<Box<AppliedRules>>,
     },
     /// Any other answer.
     Failed {
-        /// What the client was told.
-        why: Why,
+        /// The error text that the client got.
+        #[serde(rename = "why")]
+        reason: Reason,
     },
 }
 
 /// What a request was ruled by.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ruled {
+pub struct AppliedRules {
     /// The rules' version; left out where none was known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<u64>,
@@ -336,21 +350,25 @@
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub rules: Vec<Name>,
     /// It was in doubt whether the version is in force. A refusal was for that, unless the rules go on in doubt.
-    pub in_doubt: bool,
+    #[serde(rename = "in_doubt")]
+    pub version_uncertain: bool,
 }
 
-/// Why a client was moved.
+/// Reason a client was moved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MoveReason {
     /// The decision module asked for it.
-    Asked,
+    #[serde(rename = "asked")]
+    PolicyRequest,
     /// The render node drains.
     Draining,
     /// The render node returned nothing any more.
-    Silent,
-    /// The proxy itself leaves.
-    Leaving,
+    #[serde(rename = "silent")]
+    Unresponsive,
+    /// The proxy itself shuts down.
+    #[serde(rename = "leaving")]
+    ProxyShutdown,
 }
 
 /// What came of reading the configuration again.
@@ -358,11 +376,14 @@
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum Reload {
     /// The new one counts.
-    Taken,
+    #[serde(rename = "taken")]
+    Applied,
     /// The new one is faulty, the old one goes on whole.
-    Kept {
+    #[serde(rename = "kept")]
+    Rejected {
         /// The fault.
-        why: Why,
+        #[serde(rename = "why")]
+        reason: Reason,
     },
 }
 
--- a/crates/records/src/recorder.rs
+++ b/crates/records/src/recorder.rs
@@ -1,9 +1,9 @@
 //! The handle that the proxy's loop holds, and the thread behind it.
 
 use crate::config::{Settings, Target};
-use crate::outlet::outlet;
-use crate::record::{Event, Name, Why};
-use crate::scribe::{Message, Now, Scribe};
+use crate::record::{Event, Name, Reason};
+use crate::sink::sink;
+use crate::writer::{Message, Now, Writer};
 use std::cell::Cell;
 use std::io;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -25,7 +25,7 @@
     /// Tells this run of the process from any other under the name.
     pub incarnation: u64,
     /// The program's version.
-    pub version: Why,
+    pub version: Reason,
 }
 
 /// Records since the start. `produced = written + lost` once the recorder is closed in time; before, the rest waits.
@@ -39,9 +39,9 @@
     pub lost: u64,
 }
 
-/// Why records can't begin.
+/// Reason records can't begin.
 #[derive(Debug, thiserror::Error)]
-pub enum NoRecorder {
+pub enum RecorderError {
     /// The target can't be opened for writing.
     #[error("records.{key}: '{target}' cannot be written: {error}")]
     Target {
@@ -105,7 +105,7 @@
 
     /// Opens the target, starts the writer and records `start`. To be called before any other descriptor is opened
     /// if the target is a descriptor: its number must still be the inherited one's.
-    pub fn open(settings: &Settings, identity: Identity) -> Result<Self, NoRecorder> {
+    pub fn open(settings: &Settings, identity: Identity) -> Result<Self, RecorderError> {
         let (key, target) = match &settings.target {
             Target::File { path, .. } => ("file", path.display().to_string()),
             Target::Descriptor(number) => ("descriptor", number.to_string()),
@@ -113,20 +113,20 @@
         let shared = Arc::new(Shared::default());
         let theirs = Arc::clone(&shared);
         let hurry = move || theirs.end.get().is_some_and(|end| Instant::now() >= end.until);
-        let mut scribe = Scribe::new(outlet(&settings.target, hurry), format!("{key} '{target}'"));
-        match scribe.open() {
+        let mut writer = Writer::new(sink(&settings.target, hurry), format!("{key} '{target}'"));
+        match writer.open() {
             // The writer opens it before each batch, and counts what is lost until then.
             Err(error) if passes(&error) => {
                 log::warn!(error:%; "records.{key} '{target}' cannot be opened yet: {error}");
             }
-            opened => opened.map_err(|error| NoRecorder::Target { key, target, error })?,
+            opened => opened.map_err(|error| RecorderError::Target { key, target, error })?,
         }
 
         let (queue, incoming) = sync_channel(settings.queue_records);
         let (finished, done) = sync_channel(1);
         let (began, flush, theirs) = (Instant::now(), settings.flush, Arc::clone(&shared));
         let write = move || {
-            write_all(&mut scribe, &incoming, &theirs, began, flush);
+            write_all(&mut writer, &incoming, &theirs, began, flush);
             // Nobody waits any more if the time was up.
             let _ = finished.send(());
         };
@@ -138,7 +138,7 @@
             crowd: settings.queue_records as u64 / 2,
             began,
             shared,
-            writer: writer.map_err(NoRecorder::Thread)?.thread().clone(),
+            writer: writer.map_err(RecorderError::Thread)?.thread().clone(),
             done,
         }));
         let Identity { name, incarnation, version } = identity;
@@ -228,7 +228,7 @@
 
 /// The writer's life.
 fn write_all(
-    scribe: &mut Scribe<impl crate::outlet::Outlet>,
+    writer: &mut Writer<impl crate::sink::Sink>,
     incoming: &Receiver<Message>,
     shared: &Shared,
     began: Instant,
@@ -237,12 +237,12 @@
     let (mut taken, mut ended) = (0, false);
     while !ended {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64);
-        scribe.at(Now { mono_us: began.elapsed().as_micros() as u64, wall_us: wall });
+        writer.at(Now { mono_us: began.elapsed().as_micros() as u64, wall_us: wall });
         let mut empty = false;
         for _ in 0..ROUND {
             match incoming.try_recv() {
                 Ok(message) => {
-                    scribe.take(message);
+                    writer.take(message);
                     taken += 1;
                     shared.taken.store(taken, Ordering::Relaxed);
                 }
@@ -254,12 +254,12 @@
             }
         }
         if let Some(end) = shared.end.get().filter(|_| ended) {
-            scribe.finish(end.produced, end.in_order);
+            writer.finish(end.produced, end.in_order);
         } else if empty {
-            scribe.flush();
+            writer.flush();
         }
-        shared.written.store(scribe.written(), Ordering::Release);
-        shared.lost.store(scribe.lost(), Ordering::Release);
+        shared.written.store(writer.written(), Ordering::Release);
+        shared.lost.store(writer.lost(), Ordering::Release);
         if empty && !ended {
             thread::park_timeout(flush);
         }
--- a/crates/records/src/sequence.rs
+++ b/crates/records/src/sequence.rs
@@ -28,13 +28,13 @@
         let expected = match (step, before) {
             // What an earlier incarnation lost at its end can't be seen: nobody knows how far it had counted.
             (Step::Start, _) => 0,
-            (_, None) if found > 0 => return Some(Finding::BeginsLate { seq: found }),
+            (_, None) if found > 0 => return Some(Finding::StartsMidSequence { seq: found }),
             (_, None) => 0,
             (_, Some(expected)) => expected,
         };
         match found {
             _ if found > expected => Some(Finding::Gap { since: expected, count: found - expected }),
-            _ if found < expected => Some(Finding::Backwards { expected, found }),
+            _ if found < expected => Some(Finding::SequenceWentBack { expected, found }),
             _ => None,
         }
     }
--- a/crates/records/src/outlet.rs
+++ b/crates/records/src/sink.rs
@@ -13,8 +13,8 @@
 /// A pipe that is full is tried again after this: its reader is behind, and sooner costs only wake-ups.
 const PIPE_FULL_WAIT: Duration = Duration::from_millis(5);
 
-/// Where the scribe writes. Told to [`close`](Outlet::close) after an error.
-pub(crate) trait Outlet {
+/// Where the writer writes. Told to [`close`](Sink::close) after an error.
+pub(crate) trait Sink {
     /// Before each batch: opens what is not open, or no longer where it was. True if what was there ends within a
     /// line.
     fn begin(&mut self) -> io::Result<bool>;
@@ -26,8 +26,8 @@
     fn close(&mut self);
 }
 
-/// The outlet for a target; `hurry` says whether there is no time left to wait for a pipe's reader.
-pub(crate) fn outlet(target: &Target, hurry: impl Fn() -> bool + Send + 'static) -> Box<dyn Outlet + Send> {
+/// The sink for a target; `hurry` says whether there is no time left to wait for a pipe's reader.
+pub(crate) fn sink(target: &Target, hurry: impl Fn() -> bool + Send + 'static) -> Box<dyn Sink + Send> {
     match target {
         Target::File { path, max_bytes, keep } => {
             let (path, max_bytes, keep) = (path.clone(), *max_bytes, *keep);
@@ -39,7 +39,7 @@
     }
 }
 
-impl<O: Outlet + ?Sized> Outlet for Box<O> {
+impl<O: Sink + ?Sized> Sink for Box<O> {
     fn begin(&mut self) -> io::Result<bool> {
         (**self).begin()
     }
@@ -123,7 +123,7 @@
     }
 }
 
-impl Outlet for RotatedFile {
+impl Sink for RotatedFile {
     fn begin(&mut self) -> io::Result<bool> {
         if let Some((file, size)) = &mut self.open {
             let held = file.metadata()?;
@@ -181,7 +181,7 @@
     }
 }
 
-impl Outlet for Stream {
+impl Sink for Stream {
     fn begin(&mut self) -> io::Result<bool> {
         if self.file.is_none() {
             self.file = Some(self.open()?);
--- a/crates/records/src/scribe.rs
+++ b/crates/records/src/writer.rs
@@ -5,8 +5,8 @@
 //! loses the end of a batch, and a record that comes while nothing can be written joins it. So the lost ones are
 //! always one run that ends before the next line, and one `dropped` line in front of that tells it.
 
-use crate::outlet::Outlet;
 use crate::record::{Event, LONGEST_LINE, Record, SCHEMA};
+use crate::sink::Sink;
 use std::io;
 
 /// Bytes that are gathered before they are written: a write costs some microseconds, whatever it holds.
@@ -38,9 +38,9 @@
     pub wall_us: u64,
 }
 
-/// The scribe.
-pub(crate) struct Scribe<O> {
-    outlet: O,
+/// The writer.
+pub(crate) struct Writer<O> {
+    sink: O,
     /// How the log calls the target.
     target: String,
     now: Now,
@@ -57,10 +57,10 @@
     written: u64,
 }
 
-impl<O: Outlet> Scribe<O> {
-    pub fn new(outlet: O, target: String) -> Self {
-        Scribe {
-            outlet,
+impl<O: Sink> Writer<O> {
+    pub fn new(sink: O, target: String) -> Self {
+        Writer {
+            sink,
             target,
             now: Now::default(),
             batch: Vec::with_capacity(BATCH + 1024),
@@ -75,7 +75,7 @@
 
     /// Opens the target, to learn at once if it cannot be had.
     pub fn open(&mut self) -> io::Result<()> {
-        self.ragged |= self.outlet.begin()?;
+        self.ragged |= self.sink.begin()?;
         Ok(())
     }
 
@@ -173,7 +173,7 @@
                     );
                 }
                 self.retry_at = Some(self.now.mono_us + RETRY_AFTER);
-                self.outlet.close();
+                self.sink.close();
             }
         }
         self.batch.clear();
@@ -182,21 +182,21 @@
 
     /// Writes the batch, as many lines at a time as there is room for; `done` counts whole lines.
     fn write_out(&mut self, done: &mut usize) -> io::Result<()> {
-        self.ragged |= self.outlet.begin()?;
+        self.ragged |= self.sink.begin()?;
         let mut begin = 0;
         while let Some(line) = self.lines.get(*done) {
             let closing = u64::from(self.ragged);
-            let room = self.outlet.room((line.end - begin) as u64 + closing)? - closing;
+            let room = self.sink.room((line.end - begin) as u64 + closing)? - closing;
             let fit = |line: &Line| (line.end - begin) as u64 <= room;
             let until = *done + self.lines[*done..].partition_point(fit);
             if self.ragged {
                 // The rest of a line that was cut is never written: what follows begins a line of its own.
-                write_some(&mut self.outlet, b"\n")?;
+                write_some(&mut self.sink, b"\n")?;
                 self.ragged = false;
             }
             let end = self.lines[until - 1].end;
             while begin < end {
-                match write_some(&mut self.outlet, &self.batch[begin..end]) {
+                match write_some(&mut self.sink, &self.batch[begin..end]) {
                     Ok(written) => begin += written,
                     Err(error) => {
                         let ended = self.lines.partition_point(|line| line.end <= begin);
@@ -228,9 +228,9 @@
     }
 }
 
-fn write_some(outlet: &mut impl Outlet, bytes: &[u8]) -> io::Result<usize> {
+fn write_some(sink: &mut impl Sink, bytes: &[u8]) -> io::Result<usize> {
     loop {
-        match outlet.write(bytes) {
+        match sink.write(bytes) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             done => return done,
@@ -241,7 +241,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::reader::{Finding, Reader, What};
+    use crate::reader::{Finding, LineContent, Reader};
     use proptest::prelude::*;
 
     /// Takes at most so many bytes a write; 0: fails.
@@ -250,7 +250,7 @@
         text: Vec<u8>,
     }
 
-    impl Outlet for Scripted {
+    impl Sink for Scripted {
         fn begin(&mut self) -> io::Result<bool> {
             Ok(false)
         }
@@ -279,29 +279,29 @@
             script in prop::collection::vec(prop_oneof![Just(0_usize), 1..300_usize], 0..60),
             tail in 0..3_u64,
         ) {
-            let mut scribe = Scribe::new(Scripted { script, text: Vec::new() }, "here".to_owned());
+            let mut writer = Writer::new(Scripted { script, text: Vec::new() }, "here".to_owned());
             let (mut seq, mut mono_us) = (0, 0);
             for (missing, later, flush) in steps {
                 seq += missing.saturating_sub(1);
                 mono_us += later;
-                scribe.at(Now { mono_us, wall_us: mono_us + 5 });
-                scribe.take(Message { seq, mono_us, event: Event::ClientLeft { request: seq } });
+                writer.at(Now { mono_us, wall_us: mono_us + 5 });
+                writer.take(Message { seq, mono_us, event: Event::ClientLeft { request: seq } });
                 seq += 1;
                 if flush {
-                    scribe.flush();
+                    writer.flush();
                 }
             }
             let produced = seq + tail;
-            scribe.outlet.script.clear();
-            scribe.finish(produced, true);
-            prop_assert_eq!(scribe.written() + scribe.lost(), produced + 1);
+            writer.sink.script.clear();
+            writer.finish(produced, true);
+            prop_assert_eq!(writer.written() + writer.lost(), produced + 1);
 
             let (mut expected, mut written, mut dropped, mut stopped) = (0, 0, 0, false);
-            for line in Reader::new(&scribe.outlet.text[..]) {
-                match line.what {
-                    What::Finding(Finding::Truncated { .. }) => {}
-                    What::Finding(finding) => prop_assert!(false, "{}: {finding}", line.place),
-                    What::Record(record) => {
+            for line in Reader::new(&writer.sink.text[..]) {
+                match line.content {
+                    LineContent::Finding(Finding::Truncated { .. }) => {}
+                    LineContent::Finding(finding) => prop_assert!(false, "{}: {finding}", line.location),
+                    LineContent::Record(record) => {
                         let from = match record.event {
                             Event::Dropped { count, since_seq } => {
                                 dropped += count;
@@ -319,7 +319,7 @@
                 }
             }
             prop_assert!(stopped);
-            prop_assert_eq!((written, dropped), (scribe.written(), scribe.lost()));
+            prop_assert_eq!((written, dropped), (writer.written(), writer.lost()));
         }
     }
 }
--- a/crates/records/tests/golden.rs
+++ b/crates/records/tests/golden.rs
@@ -2,33 +2,38 @@
 
 use cottonnotch_golden::{assert_text, golden_path};
 use cottonnotch_records::{
-    Answer, Belief, Change, Event, Hex, MoveReason, Name, Outcome, PeerState, Phase, Record, Reload, Ruled,
-    SCHEMA,
+    Answer, AppliedRules, EndpointChange, EndpointState, Event, Hex, MoveReason, Name, Outcome, PeerState,
+    Phase, Record, Reload, SCHEMA,
 };
 
 fn name(text: &str) -> Name {
     text.into()
 }
 
-fn ruled() -> Option<Box<Ruled>> {
+fn applied_rules() -> Option<Box<AppliedRules>> {
     let rules = vec![name("consortium:attempts"), name("consortium/casa-c:slow")];
-    Some(Box::new(Ruled { version: Some(7), rules, in_doubt: true }))
+    Some(Box::new(AppliedRules { version: Some(7), rules, version_uncertain: true }))
 }
 
-fn bare_ruled() -> Option<Box<Ruled>> {
-    Some(Box::new(Ruled { version: None, rules: Vec::new(), in_doubt: false }))
+fn bare_rules() -> Option<Box<AppliedRules>> {
+    Some(Box::new(AppliedRules { version: None, rules: Vec::new(), version_uncertain: false }))
 }
 
 fn lists() -> Vec<Event> {
     let address = Some("127.0.0.1:9001".parse().unwrap());
     let changes = vec![
-        Change { subchannel: name("s1"), phase: Phase::Up, address },
-        Change { subchannel: name("s2"), phase: Phase::Draining, address: None },
-        Change { subchannel: name("s3"), phase: Phase::Gone, address: None },
+        EndpointChange { endpoint: name("s1"), phase: Phase::Up, address },
+        EndpointChange { endpoint: name("s2"), phase: Phase::Draining, address: None },
+        EndpointChange { endpoint: name("s3"), phase: Phase::Removed, address: None },
     ];
-    let beliefs =
-        [Belief::Up, Belief::Paused { until_us: 9_000_000 }, Belief::Trial, Belief::Draining, Belief::Gone];
-    let believed = beliefs.map(|belief| Event::Subchannel { subchannel: name("s1"), belief });
+    let beliefs = [
+        EndpointState::Up,
+        EndpointState::Paused { until_us: 9_000_000 },
+        EndpointState::Trial,
+        EndpointState::Draining,
+        EndpointState::Removed,
+    ];
+    let believed = beliefs.map(|state| Event::Endpoint { endpoint: name("s1"), state });
     [Event::List { revision: 4, complete: true, changes }].into_iter().chain(believed).collect()
 }
 
@@ -41,7 +46,7 @@
         tenant: Some(name("edicoes-a")),
         deadline_ms: Some(1_800),
         group: Some(Hex(0x5c0f)),
-        again: true,
+        is_retry: true,
     };
     let bare = Event::Request {
         request: 4,
@@ -50,11 +55,16 @@
         tenant: None,
         deadline_ms: None,
         group: None,
-        again: false,
+        is_retry: false,
+    };
+    let attempt = |applied_rules| Event::Attempt {
+        request: 3,
+        attempt: 1,
+        endpoint: name("s1"),
+        timeout_ms: 250,
+        applied_rules,
     };
-    let attempt =
-        |ruled| Event::Attempt { request: 3, attempt: 1, subchannel: name("s1"), timeout_ms: 250, ruled };
-    vec![full, bare, attempt(None), attempt(ruled()), attempt(bare_ruled())]
+    vec![full, bare, attempt(None), attempt(applied_rules()), attempt(bare_rules())]
 }
 
 fn endings() -> Vec<Event> {
@@ -71,20 +81,26 @@
     let attempts =
         outcomes.map(|outcome| Event::AttemptEnded { request: 3, attempt: 1, outcome, took_us: 77 });
     let ended = outcomes.map(|outcome| Event::Ended { request: 3, outcome });
-    let up = Event::Up { request: 3, attempt: 2, subchannel: name("s1"), took_us: 1_234 };
+    let up = Event::Up { request: 3, attempt: 2, endpoint: name("s1"), took_us: 1_234 };
     attempts.into_iter().chain([up]).chain(ended).collect()
 }
 
 fn answers() -> Vec<Event> {
     let answers = [
         Answer::Up,
-        Answer::Refused { retry_after_ms: 0, ruled: None },
-        Answer::Refused { retry_after_ms: 500, ruled: ruled() },
-        Answer::Failed { why: "the deadline has passed".into() },
+        Answer::Rejected { retry_after_ms: 0, applied_rules: None },
+        Answer::Rejected { retry_after_ms: 500, applied_rules: applied_rules() },
+        Answer::Failed { reason: "the deadline has passed".into() },
+    ];
+    let reasons = [
+        MoveReason::PolicyRequest,
+        MoveReason::Draining,
+        MoveReason::Unresponsive,
+        MoveReason::ProxyShutdown,
     ];
-    let reasons = [MoveReason::Asked, MoveReason::Draining, MoveReason::Silent, MoveReason::Leaving];
-    let moved = reasons.map(|why| Event::Moved { request: 3, subchannel: name("s1"), why });
-    let others = [Event::TurnedAway { why: "no first line came".into() }, Event::ClientLeft { request: 3 }];
+    let moved = reasons.map(|reason| Event::Moved { request: 3, endpoint: name("s1"), reason });
+    let others =
+        [Event::ClientRejected { reason: "no first line came".into() }, Event::ClientLeft { request: 3 }];
     answers
         .map(|answer| Event::Answer { request: 3, answer })
         .into_iter()
@@ -100,7 +116,7 @@
         pid: 77,
         version: "0.1.0".into(),
     };
-    let reloads = [Reload::Taken, Reload::Kept { why: "discovery is missing".into() }];
+    let reloads = [Reload::Applied, Reload::Rejected { reason: "discovery is missing".into() }];
     let states = [PeerState::Alive, PeerState::Suspect, PeerState::Dead, PeerState::Left];
     let peers = states.map(|state| Event::Peer { peer: 2, state, incarnation: 9 });
     let end = [Event::Shutdown {}, Event::Stop {}, Event::Dropped { count: 3, since_seq: 9 }];
--- a/crates/records/tests/reading.rs
+++ b/crates/records/tests/reading.rs
@@ -8,8 +8,8 @@
     any::<String>().prop_map(Name::from)
 }
 
-fn why() -> impl Strategy<Value = Why> {
-    any::<String>().prop_map(Why::from)
+fn reason() -> impl Strategy<Value = Reason> {
+    any::<String>().prop_map(Reason::from)
 }
 
 fn outcome() -> impl Strategy<Value = Outcome> {
@@ -17,10 +17,10 @@
     prop::sample::select(vec![Served, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, NotSent])
 }
 
-fn change() -> impl Strategy<Value = Change> {
-    let phase = prop::sample::select(vec![Phase::Up, Phase::Draining, Phase::Gone]);
-    (name(), phase, any::<Option<(std::net::IpAddr, u16)>>()).prop_map(|(subchannel, phase, address)| {
-        Change { subchannel, phase, address: address.map(Into::into) }
+fn endpoint_change() -> impl Strategy<Value = EndpointChange> {
+    let phase = prop::sample::select(vec![Phase::Up, Phase::Draining, Phase::Removed]);
+    (name(), phase, any::<Option<(std::net::IpAddr, u16)>>()).prop_map(|(endpoint, phase, address)| {
+        EndpointChange { endpoint, phase, address: address.map(Into::into) }
     })
 }
 
@@ -33,69 +33,76 @@
     ]
 }
 
-fn belief() -> impl Strategy<Value = Belief> {
+fn endpoint_state() -> impl Strategy<Value = EndpointState> {
     prop_oneof![
-        prop::sample::select(vec![Belief::Up, Belief::Trial, Belief::Draining, Belief::Gone]),
-        any::<u64>().prop_map(|until_us| Belief::Paused { until_us }),
+        prop::sample::select(vec![
+            EndpointState::Up,
+            EndpointState::Trial,
+            EndpointState::Draining,
+            EndpointState::Removed
+        ]),
+        any::<u64>().prop_map(|until_us| EndpointState::Paused { until_us }),
     ]
 }
 
-fn ruled() -> impl Strategy<Value = Option<Box<Ruled>>> {
-    let ruled = (any::<Option<u64>>(), prop::collection::vec(name(), 0..4), any::<bool>())
-        .prop_map(|(version, rules, in_doubt)| Box::new(Ruled { version, rules, in_doubt }));
-    prop::option::of(ruled)
+fn applied_rules() -> impl Strategy<Value = Option<Box<AppliedRules>>> {
+    let applied = (any::<Option<u64>>(), prop::collection::vec(name(), 0..4), any::<bool>()).prop_map(
+        |(version, rules, version_uncertain)| Box::new(AppliedRules { version, rules, version_uncertain }),
+    );
+    prop::option::of(applied)
 }
 
 fn answer() -> impl Strategy<Value = Answer> {
     prop_oneof![
         Just(Answer::Up),
-        (any::<u32>(), ruled()).prop_map(|(retry_after_ms, ruled)| Answer::Refused { retry_after_ms, ruled }),
-        why().prop_map(|why| Answer::Failed { why }),
+        (any::<u32>(), applied_rules())
+            .prop_map(|(retry_after_ms, applied_rules)| Answer::Rejected { retry_after_ms, applied_rules }),
+        reason().prop_map(|reason| Answer::Failed { reason }),
     ]
 }
 
 fn event() -> impl Strategy<Value = Event> {
     use MoveReason::*;
     let (u64s, u32s) = (any::<u64>, any::<u32>);
-    let reason = prop::sample::select(vec![Asked, Draining, Silent, Leaving]);
-    let reload = prop_oneof![Just(Reload::Taken), why().prop_map(|why| Reload::Kept { why })];
+    let move_reason = prop::sample::select(vec![PolicyRequest, Draining, Unresponsive, ProxyShutdown]);
+    let reload = prop_oneof![Just(Reload::Applied), reason().prop_map(|reason| Reload::Rejected { reason })];
     let optional = (any::<Option<String>>(), any::<Option<u32>>(), any::<Option<u64>>(), any::<bool>());
     prop_oneof![
-        (name(), u64s(), u32s(), why()).prop_map(|(name, incarnation, pid, version)| Event::Start {
+        (name(), u64s(), u32s(), reason()).prop_map(|(name, incarnation, pid, version)| Event::Start {
             name,
             incarnation,
             pid,
             version
         }),
-        (u64s(), any::<bool>(), prop::collection::vec(change(), 0..5))
+        (u64s(), any::<bool>(), prop::collection::vec(endpoint_change(), 0..5))
             .prop_map(|(revision, complete, changes)| Event::List { revision, complete, changes }),
-        (name(), belief()).prop_map(|(subchannel, belief)| Event::Subchannel { subchannel, belief }),
+        (name(), endpoint_state()).prop_map(|(endpoint, state)| Event::Endpoint { endpoint, state }),
         (u64s(), u64s(), name(), optional).prop_map(
-            |(request, id, class, (tenant, deadline_ms, group, again))| {
+            |(request, id, class, (tenant, deadline_ms, group, is_retry))| {
                 let (tenant, group) = (tenant.map(Name::from), group.map(Hex));
-                Event::Request { request, wire_id: Hex(id), class, tenant, deadline_ms, group, again }
+                Event::Request { request, wire_id: Hex(id), class, tenant, deadline_ms, group, is_retry }
             }
         ),
-        (u64s(), u32s(), name(), u32s(), ruled()).prop_map(
-            |(request, attempt, subchannel, timeout_ms, ruled)| {
-                Event::Attempt { request, attempt, subchannel, timeout_ms, ruled }
+        (u64s(), u32s(), name(), u32s(), applied_rules()).prop_map(
+            |(request, attempt, endpoint, timeout_ms, applied_rules)| {
+                Event::Attempt { request, attempt, endpoint, timeout_ms, applied_rules }
             }
         ),
         (u64s(), u32s(), outcome(), u64s()).prop_map(|(request, attempt, outcome, took_us)| {
             Event::AttemptEnded { request, attempt, outcome, took_us }
         }),
-        (u64s(), u32s(), name(), u64s()).prop_map(|(request, attempt, subchannel, took_us)| Event::Up {
+        (u64s(), u32s(), name(), u64s()).prop_map(|(request, attempt, endpoint, took_us)| Event::Up {
             request,
             attempt,
-            subchannel,
+            endpoint,
             took_us
         }),
         (u64s(), answer()).prop_map(|(request, answer)| Event::Answer { request, answer }),
-        why().prop_map(|why| Event::TurnedAway { why }),
-        (u64s(), name(), reason).prop_map(|(request, subchannel, why)| Event::Moved {
+        reason().prop_map(|reason| Event::ClientRejected { reason }),
+        (u64s(), name(), move_reason).prop_map(|(request, endpoint, reason)| Event::Moved {
             request,
-            subchannel,
-            why
+            endpoint,
+            reason
         }),
         (u64s(), outcome()).prop_map(|(request, outcome)| Event::Ended { request, outcome }),
         u64s().prop_map(|request| Event::ClientLeft { request }),
@@ -114,9 +121,9 @@
 fn read(text: &[u8]) -> (Vec<Record>, Vec<(u64, Finding)>) {
     let (mut records, mut findings) = (Vec::new(), Vec::new());
     for line in Reader::new(text) {
-        match line.what {
-            What::Record(record) => records.push(record),
-            What::Finding(finding) => findings.push((line.place.line, finding)),
+        match line.content {
+            LineContent::Record(record) => records.push(record),
+            LineContent::Finding(finding) => findings.push((line.location.line, finding)),
         }
     }
     (records, findings)
@@ -191,15 +198,15 @@
     let named: Vec<(u64, Finding)> = findings
         .into_iter()
         .map(|(line, finding)| match finding {
-            Finding::Rubbish { .. } => (line, Finding::Rubbish { why: String::new() }),
+            Finding::Malformed { .. } => (line, Finding::Malformed { why: String::new() }),
             finding => (line, finding),
         })
         .collect();
-    let rubbish = || Finding::Rubbish { why: String::new() };
+    let rubbish = || Finding::Malformed { why: String::new() };
     assert_eq!(
         named,
         [
-            (1, Finding::BeginsLate { seq: 4 }),
+            (1, Finding::StartsMidSequence { seq: 4 }),
             (3, Finding::UnknownEvent { event: "eclipse".into() }),
             (4, field("client_left", "hue")),
             (6, Finding::NewerSchema { v: 7 }),
@@ -208,9 +215,9 @@
             (10, rubbish()),
             (11, rubbish()),
             (12, Finding::Gap { since: 11, count: 1 }),
-            (13, Finding::Backwards { expected: 15, found: 3 }),
+            (13, Finding::SequenceWentBack { expected: 15, found: 3 }),
             (14, field("list", "changes.size")),
-            (14, Finding::Backwards { expected: 4, found: 0 }),
+            (14, Finding::SequenceWentBack { expected: 4, found: 0 }),
             (15, Finding::Truncated { bytes: 30 }),
             (17, Finding::Truncated { bytes: 50 }),
         ]
@@ -226,10 +233,10 @@
     let mut names = BTreeSet::new();
     for example in examples {
         let lines: Vec<Line> = Reader::new(example.as_bytes()).collect();
-        let record = lines.iter().find_map(|line| match &line.what {
-            What::Record(record) => Some(record),
-            What::Finding(Finding::BeginsLate { .. }) => None,
-            What::Finding(finding) => panic!("{example}: {finding}"),
+        let record = lines.iter().find_map(|line| match &line.content {
+            LineContent::Record(record) => Some(record),
+            LineContent::Finding(Finding::StartsMidSequence { .. }) => None,
+            LineContent::Finding(finding) => panic!("{example}: {finding}"),
         });
         let mut text = Vec::new();
         record.unwrap().write_line(&mut text).unwrap();
--- a/crates/records/tests/writing.rs
+++ b/crates/records/tests/writing.rs
@@ -38,9 +38,9 @@
 fn sort(lines: impl Iterator<Item = Line>) -> (Vec<Record>, Vec<Finding>) {
     let (mut records, mut findings) = (Vec::new(), Vec::new());
     for line in lines {
-        match line.what {
-            What::Record(record) => records.push(record),
-            What::Finding(finding) => findings.push(finding),
+        match line.content {
+            LineContent::Record(record) => records.push(record),
+            LineContent::Finding(finding) => findings.push(finding),
         }
     }
     (records, findings)
@@ -71,7 +71,7 @@
     assert!(sizes.len() == 4 && sizes.iter().all(|size| *size <= 262_144), "{sizes:?}");
     let (records, findings) = sort(RotatedSet::open(&path).unwrap());
     let first = records[0].seq;
-    assert_eq!(findings, [Finding::BeginsLate { seq: first }]);
+    assert_eq!(findings, [Finding::StartsMidSequence { seq: first }]);
     let expected = first..counts.produced;
     assert!(records.iter().map(|record| record.seq).eq(expected) && records.len() > 7_500);
     assert!(records.is_sorted_by_key(|record| record.mono_us));
