--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -133,7 +133,7 @@
         if self.drift_ppm >= 200_000 {
             return Err(ConfigError::Drift(self.drift_ppm));
         }
-        let least = crate::state::longer(self.election_timeout_min, self.drift_ppm);
+        let least = crate::clock_drift::longer(self.election_timeout_min, self.drift_ppm);
         if self.election_timeout_min < 3 * self.heartbeat
             || self.election_timeout_max < least + self.election_timeout_min / 10
         {
@@ -143,7 +143,7 @@
                 most: self.election_timeout_max,
             });
         }
-        let leased = crate::state::longer(self.lease, self.drift_ppm);
+        let leased = crate::clock_drift::longer(self.lease, self.drift_ppm);
         let sum = leased + self.act;
         if sum > self.contradiction {
             return Err(ConfigError::Contradiction {
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -20,27 +20,20 @@
 //! Of the interface: [`Member::lease`] takes the topic; [`Output::Fetch`] says topic and size; [`Input::Propose`] says the content is here and compiled (as [`Input::ContentReady`] would); [`Message::bounded`] is to be asked
 //! of each message that was decoded; a proposal of what is pending already is over when that one is.
 
+mod clock_drift;
 mod config;
-mod contents;
-mod effect;
-mod electing;
-mod granting;
-mod holding;
 mod io;
-mod leading;
-mod lists;
+mod list_revision;
 mod member;
 mod message;
 mod mutant;
-mod proposing;
-mod recovering;
+mod roles;
 mod state;
 mod status;
-mod voter;
 
 pub use config::{Config, ConfigError, Timing};
 pub use io::{Input, Lease, Output, Verdict};
-pub use lists::ListRevision;
+pub use list_revision::ListRevision;
 pub use member::Member;
 pub use message::{LeaseGrant, LeaseRequest, Message};
 #[cfg(feature = "mutants")]
--- a/crates/consensus/src/electing.rs
+++ b/crates/consensus/src/member/election.rs
@@ -1,22 +1,14 @@
 //! Elections, as in Raft, with a question ahead of each that binds nobody, so that a voter that was cut off doesn't drive up
 //! the term.
 
-use crate::leading::Leader;
 use crate::mutant::Mutant;
-use crate::voter::Voter;
+use crate::roles::candidate::Candidacy;
+use crate::roles::leader::Leader;
+use crate::roles::voter::Voter;
 use crate::{Member, Message, Micros, StateRevision};
 use rand::RngExt;
 use std::collections::BTreeSet;
 
-/// What a candidate counts.
-#[derive(Clone, Debug)]
-pub(crate) struct Candidacy {
-    pub term: u64,
-    /// Only asked so far.
-    pub pre_vote: bool,
-    pub votes: BTreeSet<u16>,
-}
-
 impl Member {
     /// When to ask for votes, if no leader is heard till then. Never while the last one heard may count on this voter.
     pub(crate) fn election_deadline(&mut self) -> Micros {
--- a/crates/consensus/src/lists.rs
+++ b/crates/consensus/src/member/endpoint_list.rs
@@ -1,25 +1,6 @@
 //! How far members are with the list of members that discovery tells them. A member that is told less than others hears so.
 
-use crate::{Member, Output};
-use serde::{Deserialize, Serialize};
-
-/// A revision of the list. Epochs count the times revisions began anew.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct ListRevision {
-    /// Greater ones are newer, whatever their revision.
-    pub epoch: u64,
-    /// Within the epoch.
-    pub revision: u64,
-}
-
-/// A member's own.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct Lists {
-    /// What discovery told last, as this member tells it.
-    pub mine: ListRevision,
-    /// The last mark this member was said to be behind of.
-    behind: ListRevision,
-}
+use crate::{ListRevision, Member, Output};
 
 impl Member {
     /// Discovery told of a list. One with a lower revision than before is claimed to be of the next epoch; whether it is,
--- a/crates/consensus/src/member.rs
+++ b/crates/consensus/src/member/mod.rs
@@ -1,12 +1,23 @@
 //! One member: its inputs, its outputs, its clock.
 
-use crate::holding::Holder;
-use crate::lists::Lists;
+mod activation;
+mod content;
+mod election;
+mod endpoint_list;
+mod leader;
+mod lease_grants;
+mod lease_holder;
+mod proposal;
+mod recovery;
+mod voter;
+
+use crate::clock_drift::{longer, shorter};
 use crate::mutant::Mutant;
-use crate::proposing::Proposer;
-use crate::state::{longer, shorter};
+use crate::roles::endpoint_lists::Lists;
+use crate::roles::lease_holder::Holder;
+use crate::roles::proposer::Proposer;
+use crate::roles::voter::Voter;
 use crate::status::{Role, Status, TopicStatus};
-use crate::voter::Voter;
 use crate::{Config, DurableState, Input, Lease, Message, Micros, Output, Topic};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
--- a/crates/consensus/src/proposing.rs
+++ b/crates/consensus/src/member/proposal.rs
@@ -1,45 +1,14 @@
 //! Proposals: at the proposer, asked again until they are over; at the leader, one at a time.
 
-use crate::effect::{Checking, Proposal};
+use crate::roles::change::{Checking, Proposal};
+use crate::roles::proposer::Waiting;
 use crate::state::ProposalId;
-use crate::{ContentHash, Member, Message, Micros, Output, ProposalOutcome, Topic};
+use crate::{ContentHash, Member, Message, Output, ProposalOutcome, Topic};
 use rand::RngExt;
 
 /// Proposals that may wait at the leader, a topic; the rest is asked again by their proposers.
 const MOST_QUEUED: usize = 8;
 
-#[derive(Clone, Debug)]
-struct Waiting {
-    id: ProposalId,
-    topic: Topic,
-    hash: ContentHash,
-    size: u32,
-    next_ask: Micros,
-}
-
-/// A proposer's.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct Proposer {
-    serial: u32,
-    /// Of each topic the first is asked for; the one after it, if any, waits for it.
-    waiting: Vec<Waiting>,
-}
-
-impl Proposer {
-    pub fn len(&self) -> u32 {
-        self.waiting.len() as u32
-    }
-
-    fn first(&self, topic: Topic) -> Option<usize> {
-        self.waiting.iter().position(|waiting| waiting.topic == topic)
-    }
-
-    pub fn next_timeout(&self) -> Micros {
-        let firsts = Topic::ALL.iter().filter_map(|&topic| Some(self.waiting[self.first(topic)?].next_ask));
-        firsts.min().unwrap_or(Micros::MAX)
-    }
-}
-
 impl Member {
     pub(crate) fn propose(&mut self, topic: Topic, hash: ContentHash, size: u32) {
         self.have(hash);
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,6 +1,6 @@
 //! What members tell one another. Nothing here grows with the number of members.
 
-use crate::lists::ListRevision;
+use crate::list_revision::ListRevision;
 use crate::state::{MAX_RESULTS, ProposalId, ProposalOutcome, State, StateRevision};
 use crate::{ContentHash, Micros, Pending, Topic, Version};
 use serde::{Deserialize, Serialize};
--- /dev/null
+++ b/crates/consensus/src/roles/mod.rs
@@ -0,0 +1,11 @@
+//! What a member keeps for each part that it plays. The steps of the protocol are in [`crate::member`].
+
+pub(crate) mod candidate;
+pub(crate) mod change;
+pub(crate) mod endpoint_lists;
+pub(crate) mod leader;
+pub(crate) mod lease_grants;
+pub(crate) mod lease_holder;
+pub(crate) mod proposer;
+pub(crate) mod recovery;
+pub(crate) mod voter;
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/roles/voter.rs
@@ -1,10 +1,10 @@
 //! What a voter keeps.
 
-use crate::electing::Candidacy;
-use crate::leading::Leader;
-use crate::recovering::Recovering;
+use super::candidate::Candidacy;
+use super::leader::Leader;
+use super::recovery::Recovering;
 use crate::status::Role;
-use crate::{Config, DurableState, Member, Micros, Output};
+use crate::{Config, DurableState, Micros};
 
 /// A voter's part of a member.
 #[derive(Clone, Debug)]
@@ -48,22 +48,3 @@
         }
     }
 }
-
-impl Member {
-    /// Keeps the voter's memory, ahead of whatever is sent next.
-    pub(crate) fn save(&mut self) {
-        if let Some(voter) = &self.voter {
-            self.out.push_back(Output::Save(voter.durable_state.clone()));
-        }
-    }
-
-    pub(crate) fn voter_timeout(&self, voter: &Voter) -> Micros {
-        if let Some(recovering) = &voter.recovering {
-            return recovering.next_ask;
-        }
-        match &voter.leading {
-            Some(leader) => self.leader_timeout(leader),
-            None => voter.deadline,
-        }
-    }
-}
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -1,6 +1,6 @@
 //! What the voters replicate, and what one of them keeps across restarts.
 
-use crate::{ContentHash, Micros};
+use crate::ContentHash;
 use serde::{Deserialize, Serialize};
 
 /// Outcomes of proposals the state remembers, a topic; so many proposers at one time are told apart from their echoes.
@@ -195,13 +195,3 @@
         Self { term: 0, voted: None, revision: StateRevision::default(), state: State::default() }
     }
 }
-
-/// A span by a clock that may run fast: no shorter than `span` in true time.
-pub(crate) fn longer(span: Micros, drift_ppm: u32) -> Micros {
-    span + span * Micros::from(drift_ppm) / 1_000_000 + 1
-}
-
-/// A span by a clock that may run slow: no longer than `span` in true time.
-pub(crate) fn shorter(span: Micros, drift_ppm: u32) -> Micros {
-    span - span * Micros::from(drift_ppm) / 1_000_000 - 1
-}
