--- a/crates/cottonnotch/src/config/fault.rs
+++ b/crates/cottonnotch/src/config/fault.rs
@@ -2,7 +2,7 @@
 
 use super::operator_file::BadOperator;
 use crate::rules::RulesError;
-use cottonnotch_decision::settings::BadSetting;
+use cottonnotch_decision::settings::InvalidSetting;
 use cottonnotch_proxy_core::EndpointUpdateError;
 
 /// Why the proxy cannot start, or keeps what it has.
@@ -82,8 +82,8 @@
     }
 }
 
-impl From<BadSetting> for Fault {
-    fn from(BadSetting { key, trouble }: BadSetting) -> Self {
+impl From<InvalidSetting> for Fault {
+    fn from(InvalidSetting { key, trouble }: InvalidSetting) -> Self {
         Fault::Setting { key, trouble }
     }
 }
--- a/crates/cottonnotch/src/maintenance/mod.rs
+++ b/crates/cottonnotch/src/maintenance/mod.rs
@@ -6,7 +6,7 @@
 
 pub use text_format::{BadSave, MOST_BYTES, decode, encode};
 
-use cottonnotch_decision::{Listed, Micros};
+use cottonnotch_decision::{Micros, ServerState};
 use std::collections::BTreeMap;
 
 /// The end of a maintenance is remembered for so long: past any overlap of two processes, and past any warm-up.
@@ -114,9 +114,14 @@
 
     /// What discovery's word on a render node comes to: out, it is draining, whatever else is listed, unless it is
     /// gone; put back, it counts as started anew, at the latest when it was put back.
-    pub fn over(&self, id: &str, listed: Listed, started: Option<Micros>) -> (Listed, Option<Micros>) {
+    pub fn over(
+        &self,
+        id: &str,
+        listed: ServerState,
+        started: Option<Micros>,
+    ) -> (ServerState, Option<Micros>) {
         match self.marks.get(id) {
-            Some(mark) if mark.out && listed == Listed::Ready => (Listed::Draining, started),
+            Some(mark) if mark.out && listed == ServerState::Ready => (ServerState::Draining, started),
             // A start that is told from after it was taken out is the one that the maintenance was for.
             Some(mark) if !mark.out && started.is_none_or(|at| at <= mark.since) => (listed, Some(mark.at)),
             _ => (listed, started),
--- a/crates/cottonnotch/src/maintenance/tests.rs
+++ b/crates/cottonnotch/src/maintenance/tests.rs
@@ -64,10 +64,10 @@
             if i == back_at {
                 state.exit(60, "a");
             }
-            let listed = [Listed::Ready, Listed::Draining, Listed::Gone][listed as usize];
+            let listed = [ServerState::Ready, ServerState::Draining, ServerState::Removed][listed as usize];
             let (comes_to, since) = state.over("a", listed, started);
             if i < back_at {
-                prop_assert!(comes_to != Listed::Ready, "listed as {listed:?} at {i}");
+                prop_assert!(comes_to != ServerState::Ready, "listed as {listed:?} at {i}");
             } else {
                 prop_assert_eq!(comes_to, listed, "the ban's end ends only the ban");
                 prop_assert!(since.is_some_and(|at| at > 50), "it comes back cold: {since:?}");
--- a/crates/cottonnotch/src/net/discovery_client.rs
+++ b/crates/cottonnotch/src/net/discovery_client.rs
@@ -3,7 +3,7 @@
 
 use super::network_event::{Happening, Io, Object};
 use cottonnotch_decision::Micros;
-use cottonnotch_decision::list_calls::{SILENT_AFTER, UNTOLD_AFTER};
+use cottonnotch_decision::list_polling::{WATCH_SILENT_AFTER, UNANSWERED_AFTER};
 use cottonnotch_proxy_core::EndpointUpdate;
 use cottonnotch_reactor::http::StreamedResponse;
 use cottonnotch_reactor::json_stream::JsonStream;
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 
 /// Guards against a discovery that vanished: its connection stays open, and the list would quietly grow old.
-const SILENT: Micros = SILENT_AFTER;
+const SILENT: Micros = WATCH_SILENT_AFTER;
 /// A call waits for its turn at discovery, which answers one after another, and says 503 itself when that takes too long. One
 /// without a word for so long has fallen silent like a watch. Chosen: over the 3 s that discovery was seen to let a call wait.
 const UNANSWERED: Micros = 3_500_000;
@@ -75,7 +75,7 @@
     /// When it is to be given up if nothing more comes.
     fn due(&self) -> Micros {
         let silent = self.heard + if self.answered { SILENT } else { UNANSWERED };
-        if self.told { silent } else { silent.min(self.asked + UNTOLD_AFTER) }
+        if self.told { silent } else { silent.min(self.asked + UNANSWERED_AFTER) }
     }
 
     fn lose(&mut self, io: &mut Io, why: impl ToString) {
--- a/crates/cottonnotch/src/net/driver/audit.rs
+++ b/crates/cottonnotch/src/net/driver/audit.rs
@@ -3,7 +3,7 @@
 
 use super::context::PART;
 use super::request_table::Call;
-use cottonnotch_decision::{Entry, Micros, Outcome, Request, RequestId, ServerId, Settings, Unserved};
+use cottonnotch_decision::{Entry, Micros, Outcome, Request, RequestId, ServerId, Settings, RejectionReason};
 use cottonnotch_proxy_core::{FinalAnswer, Guard, GuardResult, Violation};
 use cottonnotch_records::MoveReason;
 use std::collections::BTreeMap;
@@ -107,12 +107,12 @@
     }
 
     /// Refused, by the module.
-    pub fn refused(&mut self, now: Micros, call: &Call, why: Unserved) {
+    pub fn refused(&mut self, now: Micros, call: &Call, why: RejectionReason) {
         self.answered(now, call, FinalAnswer::Refused, unserved_name(why));
     }
 
     /// Failed, by the module.
-    pub fn failed(&mut self, now: Micros, call: &Call, why: Unserved) {
+    pub fn failed(&mut self, now: Micros, call: &Call, why: RejectionReason) {
         self.answered(now, call, FinalAnswer::Failed, unserved_name(why));
     }
 
@@ -219,13 +219,13 @@
     }
 }
 
-pub(super) fn unserved_name(why: Unserved) -> &'static str {
+pub(super) fn unserved_name(why: RejectionReason) -> &'static str {
     match why {
-        Unserved::Leaving => "leaving",
-        Unserved::AttemptsSpent => "attempts_spent",
-        Unserved::TooLate => "too_late",
-        Unserved::WindowOver => "window_over",
-        Unserved::Ruled => "ruled",
-        Unserved::NoServer => "no_server",
+        RejectionReason::ShuttingDown => "leaving",
+        RejectionReason::AttemptsExhausted => "attempts_spent",
+        RejectionReason::DeadlineTooClose => "too_late",
+        RejectionReason::IdempotencyWindowOver => "window_over",
+        RejectionReason::RejectedByRule => "ruled",
+        RejectionReason::NoServer => "no_server",
     }
 }
--- a/crates/cottonnotch/src/net/driver/clients.rs
+++ b/crates/cottonnotch/src/net/driver/clients.rs
@@ -12,7 +12,7 @@
 use crate::net::request_error::Objection;
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_decision::{
-    ClassId, Event, Micros, Outcome, Request, RequestId, ServerId, TenantId, Unserved,
+    ClassId, Event, Micros, Outcome, RejectionReason, Request, RequestId, ServerId, TenantId,
 };
 use cottonnotch_reactor::Key;
 use cottonnotch_reactor::rate_limited_log::RateLimitedLog;
@@ -233,7 +233,7 @@
         // One that left is reported, and forgotten then. The module hears of it first: no turn, set-up or budget of others'
         // is taken for an attempt that is not made.
         let is_there = net.with_front(key, |front, io| front.awaits_answer(io)) == Some(true);
-        [(!is_there).then_some(Event::Gone(request)), Some(ended)]
+        [(!is_there).then_some(Event::ClientClosed(request)), Some(ended)]
     }
 
     /// An attempt's subchannel took it.
@@ -272,7 +272,7 @@
         messages: &mut Messages,
         request: RequestId,
         after: Micros,
-        why: Unserved,
+        why: RejectionReason,
     ) {
         if let Some(call) = self.answer(net, messages, request, |front, io| front.unavailable(io, after)) {
             net.audit.refused(net.reactor.io.now(), &call, why);
@@ -283,7 +283,7 @@
     }
 
     /// A final answer that the module has decided on: a failure.
-    pub fn fail(&mut self, net: &mut Net, messages: &mut Messages, request: RequestId, why: Unserved) {
+    pub fn fail(&mut self, net: &mut Net, messages: &mut Messages, request: RequestId, why: RejectionReason) {
         let words = &"no attempt went well";
         if let Some(call) = self.answer(net, messages, request, |front, io| front.fail(io, words)) {
             net.audit.failed(net.reactor.io.now(), &call, why);
@@ -452,5 +452,5 @@
     let request = call.id;
     let ended =
         call.at.map(|(server, attempt)| Event::Ended { request, attempt, server, outcome, last: true });
-    [Some(Event::Gone(request)), ended]
+    [Some(Event::ClientClosed(request)), ended]
 }
--- a/crates/cottonnotch/src/net/driver/endpoints.rs
+++ b/crates/cottonnotch/src/net/driver/endpoints.rs
@@ -6,7 +6,7 @@
 use crate::net::discovery_client::Watch;
 use crate::rules::NodeKind;
 use cottonnotch_decision::names::{Names, digest};
-use cottonnotch_decision::{Belief, Entry, Event, Listed, Micros, ServerId, ZoneId};
+use cottonnotch_decision::{ServerHealth, Entry, Event, ServerState, Micros, ServerId, ZoneId};
 use cottonnotch_proxy_core::{EndpointUpdate, Servers};
 use cottonnotch_reactor::Key;
 use cottonnotch_reactor::rate_limited_log::RateLimitedLog;
@@ -18,7 +18,7 @@
 struct Subchannel {
     name: Name,
     /// As discovery lists it.
-    state: Listed,
+    state: ServerState,
     address: Option<SocketAddr>,
     /// When its process started, as discovery tells it in Unix time; and by the loop's clock, worked out when that was first told.
     up_since: Option<Micros>,
@@ -29,19 +29,19 @@
     cell: u32,
     weight: f64,
     /// What the module last said of it.
-    belief: Belief,
+    belief: ServerHealth,
 }
 
 impl Subchannel {
     fn new(name: Name) -> Self {
-        let (state, belief, zone) = (Listed::Gone, Belief::default(), ZoneId::default());
+        let (state, belief, zone) = (ServerState::Removed, ServerHealth::default(), ZoneId::default());
         let flavor = Box::default();
         let (address, up_since, started) = (None, None, None);
         Subchannel { name, state, address, up_since, started, zone, flavor, cell: 0, weight: 1.0, belief }
     }
 
     fn is_listed(&self) -> bool {
-        self.state != Listed::Gone
+        self.state != ServerState::Removed
     }
 
     /// What the module is told of it.
@@ -106,7 +106,7 @@
         self.revision = revision;
         self.is_confirmed |= !copy;
         if full {
-            self.known.iter_mut().for_each(|subchannel| subchannel.state = Listed::Gone);
+            self.known.iter_mut().for_each(|subchannel| subchannel.state = ServerState::Removed);
         }
         let mut entries = Vec::with_capacity(members.len());
         for member in members {
@@ -138,7 +138,7 @@
             target: PART, revision, members, complete = full;
             "resolver result {revision}: {members} members, complete {full}"
         );
-        for entry in entries.iter().filter(|e| e.state != Listed::Ready) {
+        for entry in entries.iter().filter(|e| e.state != ServerState::Ready) {
             let (subchannel, state) = (self.name(entry.server), entry.state);
             log::info!(target: PART, subchannel, state:?, revision; "subchannel {subchannel} is {state:?}");
         }
@@ -204,7 +204,7 @@
         }
         self.record(net, false, &entries);
         self.rule(net, false, &entries);
-        (!entries.is_empty()).then_some(Event::ByHand { entries })
+        (!entries.is_empty()).then_some(Event::ManualOverride { entries })
     }
 
     /// Begins a watch from the last revision taken, in place of the old one. An event if that fails.
@@ -262,7 +262,7 @@
     }
 
     /// The module believes this of it from now on.
-    pub fn believed(&mut self, server: ServerId, belief: Belief) {
+    pub fn believed(&mut self, server: ServerId, belief: ServerHealth) {
         self.known.get_mut(server.0 as usize).into_iter().for_each(|s| s.belief = belief);
     }
 
@@ -273,12 +273,12 @@
 
     /// Some subchannel may get new RPCs, as far as lists tell.
     pub fn can_place(&self) -> bool {
-        self.known.iter().any(|s| s.state == Listed::Ready && !self.by_hand.is_out(&s.name))
+        self.known.iter().any(|s| s.state == ServerState::Ready && !self.by_hand.is_out(&s.name))
     }
 
     /// How many are listed, and how many of these get nothing new now though discovery says that they may.
     pub fn gauges(&self, now: Micros) -> (usize, usize) {
-        let paused = |s: &Subchannel| matches!(s.belief, Belief::Paused { until } if until > now);
+        let paused = |s: &Subchannel| matches!(s.belief, ServerHealth::Paused { until } if until > now);
         let skipped = |s: &&Subchannel| paused(s) || self.by_hand.is_out(&s.name);
         let listed = || self.known.iter().filter(|s| s.is_listed());
         (listed().count(), listed().filter(skipped).count())
@@ -287,13 +287,13 @@
     /// It may get new RPCs, as far as the list and the operators tell.
     pub fn is_ready(&self, server: ServerId) -> bool {
         let subchannel = self.known.get(server.0 as usize);
-        subchannel.is_some_and(|s| s.entry(server, &self.laid_over).state == Listed::Ready)
+        subchannel.is_some_and(|s| s.entry(server, &self.laid_over).state == ServerState::Ready)
     }
 
     /// The list, or the operators, say that it drains.
     pub fn is_draining(&self, server: ServerId) -> bool {
         let subchannel = self.known.get(server.0 as usize);
-        subchannel.is_some_and(|s| s.entry(server, &self.laid_over).state == Listed::Draining)
+        subchannel.is_some_and(|s| s.entry(server, &self.laid_over).state == ServerState::Draining)
     }
 
     pub fn find(&self, name: &str) -> Option<ServerId> {
--- a/crates/cottonnotch/src/net/driver/golden_tests.rs
+++ b/crates/cottonnotch/src/net/driver/golden_tests.rs
@@ -10,7 +10,7 @@
 use crate::net::request_error::Objection;
 use crate::rules::RulesStatus;
 use cottonnotch_consensus::Role;
-use cottonnotch_decision::{ClassId, Outcome, Request, RequestId, Unserved};
+use cottonnotch_decision::{ClassId, Outcome, RejectionReason, Request, RequestId};
 use cottonnotch_golden::{assert_text, golden_path};
 use cottonnotch_proxy_core::{ClockOffset, WallClock};
 use cottonnotch_reactor::line::TooLong;
@@ -146,13 +146,13 @@
     Outcome::Cancelled,
     Outcome::NotSent,
 ];
-const UNSERVED: [Unserved; 6] = [
-    Unserved::Leaving,
-    Unserved::AttemptsSpent,
-    Unserved::TooLate,
-    Unserved::WindowOver,
-    Unserved::Ruled,
-    Unserved::NoServer,
+const UNSERVED: [RejectionReason; 6] = [
+    RejectionReason::ShuttingDown,
+    RejectionReason::AttemptsExhausted,
+    RejectionReason::DeadlineTooClose,
+    RejectionReason::IdempotencyWindowOver,
+    RejectionReason::RejectedByRule,
+    RejectionReason::NoServer,
 ];
 
 #[test]
--- a/crates/cottonnotch/src/net/driver/message_latency.rs
+++ b/crates/cottonnotch/src/net/driver/message_latency.rs
@@ -21,7 +21,7 @@
     pub fn start(net: &mut Net) -> Self {
         net.timer_in(REPORT_INTERVAL, TICK);
         let Profile { settings, tells_delay, .. } = &net.config.profile;
-        let delays = MessageLatencies::new(settings.nodes, settings.shortest_aim(), settings.weighted);
+        let delays = MessageLatencies::new(settings.nodes, settings.shortest_message_objective(), settings.weighted);
         let (groups, tells_delay) = (settings.groups, *tells_delay);
         Messages { delays, lines: LoadLines::default(), tells_delay, groups }
     }
@@ -29,7 +29,7 @@
     /// The settings have changed.
     pub fn set(&mut self, Profile { settings, tells_delay, .. }: &Profile) {
         self.tells_delay = *tells_delay;
-        self.delays.configure(settings.nodes, settings.shortest_aim(), settings.weighted);
+        self.delays.configure(settings.nodes, settings.shortest_message_objective(), settings.weighted);
         self.groups = settings.groups;
     }
 
@@ -67,7 +67,7 @@
             (LoadLine::Load(load), _) => Some(self.loaded(call.id, load)),
             (LoadLine::Delay(delay), Some((server, _))) => {
                 let LatencyReport { server, delay } = self.delays.latency_advertised(now, server, delay)?;
-                Some(Event::DelayNote { server, delay })
+                Some(Event::LatencyUpdate { server, latency: delay })
             }
             _ => None,
         }
@@ -75,7 +75,7 @@
 
     fn loaded(&mut self, request: RequestId, load: f64) -> Event {
         self.delays.load_changed(request, load);
-        Event::LoadNote { request, load }
+        Event::LoadUpdate { request, load }
     }
 
     /// A client's line was answered after this long, or is unanswered for that long by now.
@@ -98,7 +98,7 @@
         }
         let settled = self.lines.settle(now);
         let mut events: Vec<Event> = settled.into_iter().map(|(id, load)| self.loaded(id, load)).collect();
-        let note = |LatencyReport { server, delay }| Event::DelayNote { server, delay };
+        let note = |LatencyReport { server, delay }| Event::LatencyUpdate { server, latency: delay };
         events.extend(self.delays.due_reports(now).into_iter().map(note));
         events
     }
--- a/crates/cottonnotch/src/net/driver/mod.rs
+++ b/crates/cottonnotch/src/net/driver/mod.rs
@@ -38,7 +38,7 @@
 use clients::Clients;
 use clock_file::ClockFile;
 use context::Net;
-use cottonnotch_decision::{Action, Balancer, Event, Micros, Notice, ServerId};
+use cottonnotch_decision::{Action, Balancer, Event, Micros, Notification, ServerId};
 use cottonnotch_proxy_core::EndpointUpdate;
 use cottonnotch_reactor::listener::Binding;
 use cottonnotch_reactor::rate_limited_log::RateLimitedLog;
@@ -411,7 +411,7 @@
         if is_last {
             self.with_peers(|peers, net, around| peers.leave(net, around));
             // In each round up to the end: clients may still come.
-            self.tell(Some(Event::Leaving));
+            self.tell(Some(Event::ShuttingDown));
             self.clients.abandon(&mut self.net, &mut self.messages);
             self.arrivals.go_away(&mut self.net);
         }
@@ -456,7 +456,7 @@
         let audit = &mut self.net.audit;
         match event {
             Event::List { full, entries, .. } => audit.listed(now, *full, entries),
-            Event::ByHand { entries } => audit.listed(now, false, entries),
+            Event::ManualOverride { entries } => audit.listed(now, false, entries),
             Event::Settings(settings) => audit.set((**settings).clone()),
             _ => {}
         }
@@ -468,50 +468,50 @@
             Action::Send { request, server, timeout, before } => {
                 self.clients.send(net, &self.subchannels, request, server, timeout, before)
             }
-            Action::Refuse { request, retry_after, why } => {
+            Action::Reject { request, retry_after, reason: why } => {
                 self.clients.refuse(net, messages, request, retry_after, why);
                 None
             }
-            Action::Fail { request, why } => {
+            Action::Fail { request, reason: why } => {
                 self.clients.fail(net, messages, request, why);
                 None
             }
-            Action::Move(request) => {
+            Action::Migrate(request) => {
                 let why = self.clients.reason_to_move(&self.subchannels, request);
                 self.clients.move_away(net, messages, &self.subchannels, request, why)
             }
-            Action::Watch => self.subchannels.watch(net),
+            Action::WatchList => self.subchannels.watch(net),
             // No probe is made: the module asks for none.
             Action::Probe(server) => Some(Event::Probed { server, report: None }),
             Action::Timer { after, token } => {
                 net.reactor.io.owner_timer(now + after, token);
                 None
             }
-            Action::Believe { server, belief } => {
+            Action::HealthChanged { server, health: belief } => {
                 self.subchannels.believed(server, belief);
                 net.records.believes(|| self.subchannels.shared_name(server), belief);
                 None
             }
-            Action::Log { notice, server } => {
-                self.log(now, notice, server);
+            Action::Log { notification, server } => {
+                self.log(now, notification, server);
                 None
             }
         };
         self.pending.extend(event);
     }
 
-    fn log(&mut self, now: Micros, notice: Notice, server: Option<ServerId>) {
-        if notice == Notice::Holding && self.holding.due(now).is_none() {
+    fn log(&mut self, now: Micros, notification: Notification, server: Option<ServerId>) {
+        if notification == Notification::Queueing && self.holding.due(now).is_none() {
             return;
         }
         let subchannel = server.map_or("-", |server| self.subchannels.name(server));
         let (discovery, revision) = (self.net.config.discovery, self.subchannels.revision());
         let rpcs = self.clients.calls().len();
-        match notice {
-            Notice::PausedFailing => log::warn!(subchannel; "subchannel {subchannel} paused, keeps failing"),
-            Notice::Recovered => log::info!(subchannel; "subchannel {subchannel} back after a good trial"),
-            Notice::Holding => log::warn!(rpcs; "no subchannel can be used now, holding RPCs"),
-            Notice::ListUnreachable => {
+        match notification {
+            Notification::PausedFailing => log::warn!(subchannel; "subchannel {subchannel} paused, keeps failing"),
+            Notification::Recovered => log::info!(subchannel; "subchannel {subchannel} back after a good trial"),
+            Notification::Queueing => log::warn!(rpcs; "no subchannel can be used now, holding RPCs"),
+            Notification::ListUnreachable => {
                 log::error!(
                     discovery:%, revision;
                     "discovery cannot be reached, going on with the last list"
--- a/crates/cottonnotch/src/net/driver/peers.rs
+++ b/crates/cottonnotch/src/net/driver/peers.rs
@@ -117,7 +117,7 @@
             match output {
                 Output::Send { to, bytes } => send(net, self.socket, to, &bytes),
                 Output::Event(event) => {
-                    if let Event::Homes(homes) = &event {
+                    if let Event::AffinitySubsets(homes) = &event {
                         let most = homes.iter().map(|(_, homes)| *homes).max().unwrap_or(0);
                         log::debug!(target: PART, groups = homes.len(), most; "{} groups have more than five homes", homes.len());
                     }
--- a/crates/cottonnotch/src/net/driver/records.rs
+++ b/crates/cottonnotch/src/net/driver/records.rs
@@ -6,7 +6,7 @@
 use crate::net::management::metrics::Figures;
 use crate::rules::VerdictBasis;
 use cottonnotch_decision::settings::Profile;
-use cottonnotch_decision::{Belief, Entry, Listed, Micros, Outcome, Request, RequestId};
+use cottonnotch_decision::{ServerHealth, Entry, ServerState, Micros, Outcome, Request, RequestId};
 use cottonnotch_gossip::State;
 use cottonnotch_records as schema;
 use cottonnotch_records::{
@@ -55,9 +55,9 @@
         self.recorder.record_with(|| {
             let change = |(entry, endpoint, address): (&Entry, Name, Option<SocketAddr>)| {
                 let phase = match entry.state {
-                    Listed::Ready => Phase::Up,
-                    Listed::Draining => Phase::Draining,
-                    Listed::Gone => Phase::Removed,
+                    ServerState::Ready => Phase::Up,
+                    ServerState::Draining => Phase::Draining,
+                    ServerState::Removed => Phase::Removed,
                 };
                 EndpointChange { endpoint, phase, address }
             };
@@ -65,15 +65,15 @@
         });
     }
 
-    pub fn believes(&self, subchannel: impl FnOnce() -> Name, belief: Belief) {
+    pub fn believes(&self, subchannel: impl FnOnce() -> Name, belief: ServerHealth) {
         self.recorder.record_with(|| Event::Endpoint {
             endpoint: subchannel(),
             state: match belief {
-                Belief::Up => schema::EndpointState::Up,
-                Belief::Paused { until } => schema::EndpointState::Paused { until_us: micros(until) },
-                Belief::Trial => schema::EndpointState::Trial,
-                Belief::Draining => schema::EndpointState::Draining,
-                Belief::Gone => schema::EndpointState::Removed,
+                ServerHealth::Up => schema::EndpointState::Up,
+                ServerHealth::Paused { until } => schema::EndpointState::Paused { until_us: micros(until) },
+                ServerHealth::Trial => schema::EndpointState::Trial,
+                ServerHealth::Draining => schema::EndpointState::Draining,
+                ServerHealth::Unlisted => schema::EndpointState::Removed,
             },
         });
     }
--- a/crates/cottonnotch/src/rules/node_kinds.rs
+++ b/crates/cottonnotch/src/rules/node_kinds.rs
@@ -2,7 +2,7 @@
 //! kinds may take a request is found by the kind; the set of nodes that comes of it is made once for each list.
 
 use cottonnotch_decision::names::unit;
-use cottonnotch_decision::{Entry, Listed, ServerId, ServerSet};
+use cottonnotch_decision::{Entry, ServerState, ServerId, ServerSet};
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -68,7 +68,7 @@
                 self.nodes.resize(place + 1, None);
             }
             let kind = self.intern(kind_of(entry.server));
-            let is_ready = entry.state == Listed::Ready;
+            let is_ready = entry.state == ServerState::Ready;
             let weight = if entry.weight.is_finite() && entry.weight > 0.0 { entry.weight } else { 1.0 };
             self.nodes[place] = Some(Node { kind, is_ready, digest: entry.digest, weight });
         }
--- a/crates/cottonnotch/src/rules/routing_verdict.rs
+++ b/crates/cottonnotch/src/rules/routing_verdict.rs
@@ -9,7 +9,7 @@
 use super::rule_evaluation::Reckoning;
 use cottonnotch_consensus::ContentHash;
 use cottonnotch_decision::settings::Profile;
-use cottonnotch_decision::{Entry, Micros, Request, RequestId, Rules, Ruling, ServerId, Stay};
+use cottonnotch_decision::{Entry, Micros, Request, RequestId, RoutingRules, RoutingVerdict, ServerId, Stickiness};
 use cottonnotch_records::Name;
 use cottonnotch_routing_rules::{OnDoubt, When};
 use cottonnotch_rule_compiler::Plan;
@@ -136,8 +136,8 @@
     }
 }
 
-impl Rules for Rulings {
-    fn ruling(&mut self, now: Micros, request: &Request) -> Ruling {
+impl RoutingRules for Rulings {
+    fn ruling(&mut self, now: Micros, request: &Request) -> RoutingVerdict {
         self.0.borrow_mut().ruling(now, request)
     }
 
@@ -153,15 +153,15 @@
         state.stands(plan, request, server);
     }
 
-    fn stay(&mut self, _: Micros, request: &Request, server: ServerId) -> Option<Stay> {
+    fn stickiness(&mut self, _: Micros, request: &Request, server: ServerId) -> Option<Stickiness> {
         let state = self.0.borrow();
         let reading = state.publication.read();
         // What is known counts here also in doubt: to leave a connection where it is contradicts nobody.
         let plan = &reading.as_ref()?.plan;
         let asked = asked(&state.tenants, &state.classes, request);
         match state.reckoning.moves(&plan.look(&asked), server)? {
-            When::Last => Some(Stay::ToTheLast),
-            When::DrainsOnly => Some(Stay::UntilDrained),
+            When::Last => Some(Stickiness::MigrateLast),
+            When::DrainsOnly => Some(Stickiness::UntilDrained),
         }
     }
 }
@@ -181,7 +181,7 @@
 }
 
 impl State {
-    fn ruling(&mut self, now: Micros, request: &Request) -> Ruling {
+    fn ruling(&mut self, now: Micros, request: &Request) -> RoutingVerdict {
         let reading = self.publication.read();
         // After the version is read: a process that was stopped in between finds the lease over.
         let evaluated_at = Clock.now();
@@ -204,7 +204,7 @@
             (true, None) => return self.doubted(request, published.number, rules, evaluated_at),
             (true, Some(OnDoubt::Refuse { retry_ms })) => {
                 self.rejected_while_uncertain += 1;
-                Ruling { refuse: Some(Micros::from(retry_ms) * 1_000), ..Ruling::default() }
+                RoutingVerdict { refuse: Some(Micros::from(retry_ms) * 1_000), ..RoutingVerdict::default() }
             }
             _ => self.reckoning.ruling(now, request.group, &look, !is_uncertain),
         };
@@ -215,17 +215,17 @@
         ruling
     }
 
-    fn doubted(&mut self, request: &Request, number: u64, rules: Vec<Name>, evaluated_at: Micros) -> Ruling {
+    fn doubted(&mut self, request: &Request, number: u64, rules: Vec<Name>, evaluated_at: Micros) -> RoutingVerdict {
         self.note(request, VerdictBasis { version: Some(number), rules, is_uncertain: true, evaluated_at });
         self.unknown(self.doubt.unruled)
     }
 
-    fn unknown(&mut self, what: Unknown) -> Ruling {
+    fn unknown(&mut self, what: Unknown) -> RoutingVerdict {
         if what == Unknown::Serve {
-            return Ruling::default();
+            return RoutingVerdict::default();
         }
         self.rejected_while_uncertain += 1;
-        Ruling { refuse: Some(self.doubt.retry), ..Ruling::default() }
+        RoutingVerdict { refuse: Some(self.doubt.retry), ..RoutingVerdict::default() }
     }
 
     fn note(&mut self, request: &Request, basis: VerdictBasis) {
--- a/crates/cottonnotch/src/rules/routing_verdict_tests.rs
+++ b/crates/cottonnotch/src/rules/routing_verdict_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::rules::clock::Clock;
 use cottonnotch_decision::names::Names;
-use cottonnotch_decision::{Class, ClassId, Effect, Listed, Settings, TenantId, ZoneId};
+use cottonnotch_decision::{Class, ClassId, Idempotency, ServerState, Settings, TenantId, ZoneId};
 use cottonnotch_routing_rules::{File, Ledger, World, merge};
 use cottonnotch_rule_compiler::{Profile as Hardware, Profiles, lower};
 
@@ -13,7 +13,7 @@
 
 fn profile(proxies: u32, ordinal: u32) -> Profile {
     let class =
-        Class { target: S, deadline: S, message_aim: 0, attempts: 3, effect: Effect::Safe, worth: 1.0 };
+        Class { target: S, deadline: S, message_latency_objective: 0, attempts: 3, idempotency: Idempotency::Idempotent, priority_weight: 1.0 };
     let tenant = cottonnotch_decision::Tenant { allowance_per_s: 1.0, allowance_open: 1.0 };
     let settings = Settings {
         nodes: proxies,
@@ -57,7 +57,7 @@
     let entry = |server: u32| Entry {
         server: ServerId(server),
         digest: u64::from(server + 1).wrapping_mul(0x5851_f42d_4c95_7f2d),
-        state: Listed::Ready,
+        state: ServerState::Ready,
         zone: ZoneId::default(),
         cell: 0,
         started: None,
@@ -95,11 +95,11 @@
     }
 }
 
-fn allowed(ruling: &Ruling) -> Vec<u32> {
+fn allowed(ruling: &RoutingVerdict) -> Vec<u32> {
     (0..8).filter(|server| ruling.allows(ServerId(*server))).collect()
 }
 
-fn first_choice(ruling: &Ruling) -> Vec<u32> {
+fn first_choice(ruling: &RoutingVerdict) -> Vec<u32> {
     (0..8).filter(|server| !ruling.is_second_choice(ServerId(*server))).collect()
 }
 
@@ -201,21 +201,21 @@
         homes,
         "the same for all of it"
     );
-    assert_eq!(rulings.stay(0, &request(4, 0, Some(0), None), ServerId(0)), Some(Stay::UntilDrained));
-    assert_eq!(rulings.stay(0, &request(4, 0, Some(1), None), ServerId(0)), None);
+    assert_eq!(rulings.stickiness(0, &request(4, 0, Some(0), None), ServerId(0)), Some(Stickiness::UntilDrained));
+    assert_eq!(rulings.stickiness(0, &request(4, 0, Some(1), None), ServerId(0)), None);
 }
 
 #[test]
 fn doubt_refuses_keeps_or_serves_as_owners_and_operators_say() {
     let rules = "[[rule]]\nname = \"north\"\ntenants = [\"north\"]\nplace = { require = { halls = [\"a\"] } }\n\
          [[rule]]\nname = \"near\"\nplace = { prefer = { hardware = [\"y\"] } }\n";
-    let refused = |after| Ruling { refuse: Some(after), ..Ruling::default() };
+    let refused = |after| RoutingVerdict { refuse: Some(after), ..RoutingVerdict::default() };
     let (mut rulings, publication) = rulings(rules);
     let (north, other) = (request(1, 0, Some(0), None), request(2, 0, None, None));
     assert!(rulings.ruling(0, &north).preferred.is_some());
     publication.revoke();
     assert_eq!(rulings.ruling(0, &north), refused(250_000), "as the namespace says");
-    assert_eq!(rulings.ruling(0, &other), Ruling::default(), "no must speaks of it, and wishes are dropped");
+    assert_eq!(rulings.ruling(0, &other), RoutingVerdict::default(), "no must speaks of it, and wishes are dropped");
     assert!(rulings.basis(north.id).unwrap().is_uncertain);
     assert_eq!(rulings.rejected_while_uncertain(), 1);
     // The lease is over by the clock alone, without a word from anybody.
--- a/crates/cottonnotch/src/rules/rule_evaluation.rs
+++ b/crates/cottonnotch/src/rules/rule_evaluation.rs
@@ -3,8 +3,8 @@
 
 use super::established_connections::Standing;
 use super::node_kinds::{Fleet, NodeKind, NodeKindSet};
-use cottonnotch_decision::part::{Bucket, Part};
-use cottonnotch_decision::{Micros, Ruling, ServerId};
+use cottonnotch_decision::quota::{Quota, TokenBucket};
+use cottonnotch_decision::{Micros, RoutingVerdict, ServerId};
 use cottonnotch_routing_rules::{Node, Request, When};
 use cottonnotch_rule_compiler::{LimitId, Look, NodeKey, Plan};
 use std::collections::HashMap;
@@ -22,7 +22,7 @@
     pub standing: Standing,
     /// The kinds of node as the plan has them.
     keys: Vec<NodeKey>,
-    buckets: HashMap<LimitId, Bucket>,
+    buckets: HashMap<LimitId, TokenBucket>,
 }
 
 impl Default for Reckoning {
@@ -86,12 +86,12 @@
     /// A set-up is made.
     pub fn take(&mut self, now: Micros, look: &Look) {
         for (limit, _) in look.paces() {
-            self.buckets.entry(limit).or_insert_with(|| Bucket::new(now)).take();
+            self.buckets.entry(limit).or_insert_with(|| TokenBucket::new(now)).take();
         }
     }
 
     /// What a look comes to now. Wishes are left out while it is in doubt whether they still count.
-    pub fn ruling(&mut self, now: Micros, group: Option<u64>, look: &Look, with_wishes: bool) -> Ruling {
+    pub fn ruling(&mut self, now: Micros, group: Option<u64>, look: &Look, with_wishes: bool) -> RoutingVerdict {
         let (fleet, keys) = (&self.fleet, &self.keys);
         let full: Vec<_> = look
             .caps()
@@ -103,19 +103,19 @@
         });
         let is_all = (0..keys.len()).all(|kind| allowed.has(kind));
         let preferred = with_wishes.then(|| self.preferred(look, &allowed)).flatten();
-        let mut ruling = Ruling {
+        let mut ruling = RoutingVerdict {
             allowed: (!is_all).then(|| self.fleet.set(&allowed)),
             preferred: preferred.map(|kinds| self.fleet.set(&kinds)),
             attempts: look.attempts().unwrap_or(u32::MAX),
-            ..Ruling::default()
+            ..RoutingVerdict::default()
         };
         if let (Some(most), Some(group)) = (look.spread(), group) {
             ruling.allowed = Some(Arc::new(self.fleet.homes(&allowed, group, most as usize)));
         }
-        let part = Part::even(self.proxies);
+        let part = Quota::even(self.proxies);
         for (limit, milli) in look.paces() {
             let per_s = part.of(now, milli as f64 / 1e3);
-            let bucket = self.buckets.entry(limit).or_insert_with(|| Bucket::new(now));
+            let bucket = self.buckets.entry(limit).or_insert_with(|| TokenBucket::new(now));
             if !bucket.fill(now, per_s) {
                 // Less than a microsecond short is short still.
                 let next = bucket.next(per_s).max(now + 1);
--- a/crates/cottonnotch/src/rules/service.rs
+++ b/crates/cottonnotch/src/rules/service.rs
@@ -182,7 +182,7 @@
                     self.rulings.forget(*request);
                 }
             }
-            Event::Gone(request) => self.forget_request(*request),
+            Event::ClientClosed(request) => self.forget_request(*request),
             _ => {}
         }
     }
@@ -206,7 +206,7 @@
             let in_force = now < self.publication.until(published);
             (published.number, in_force)
         });
-        (std::mem::replace(&mut self.announced, state) != state).then_some(Event::Ruled)
+        (std::mem::replace(&mut self.announced, state) != state).then_some(Event::RulesChanged)
     }
 
     /// Another process of this proxy takes this one's part.
--- a/crates/cottonnotch/tests/endings/lists.rs
+++ b/crates/cottonnotch/tests/endings/lists.rs
@@ -156,7 +156,7 @@
 }
 
 /// The longest from a call to the next one, whatever became of it: a second of the six is left, and half a second more here,
-/// for what the machine takes. (On virtual time, to the microsecond: `decision/tests/list_calls.rs`.)
+/// for what the machine takes. (On virtual time, to the microsecond: `decision/tests/list_polling.rs`.)
 const CALLED_AGAIN: Duration = Duration::from_millis(5_500);
 
 /// The next call, within that time after the last one went out.
@@ -167,7 +167,7 @@
     call
 }
 
-// Guards list_calls.rs `failed`: waits grow, yet no further than the clock of the list lets them. (The seventh was over 8 s.)
+// Guards list_polling.rs `failed`: waits grow, yet no further than the clock of the list lets them. (The seventh was over 8 s.)
 #[test]
 fn after_seven_refusals_in_a_row_the_next_call_is_made_in_time_and_tells_the_drain() {
     let (proxy, nodes, client, _far) = served();
--- a/crates/decision/benches/growth.rs
+++ b/crates/decision/benches/growth.rs
@@ -24,10 +24,10 @@
         classes: vec![Class {
             target: 500_000,
             deadline: 20 * S,
-            message_aim: 150_000,
+            message_latency_objective: 150_000,
             attempts: 3,
-            effect: Effect::Safe,
-            worth: 1.0,
+            idempotency: Idempotency::Idempotent,
+            priority_weight: 1.0,
         }],
         groups,
         step: 2_000,
@@ -42,7 +42,7 @@
     let entry = |server: u32| Entry {
         server: ServerId(server),
         digest: u64::from(server + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(17),
-        state: Listed::Ready,
+        state: ServerState::Ready,
         zone: ZoneId(server as u16 % 6),
         cell: server / 8,
         started: None,
@@ -77,7 +77,7 @@
     let server = sent(out).expect("all may be used");
     let request = RequestId(id);
     balancer.handle(now, Event::Established { request, attempt: 0, server, elapsed: 1_000 }, out);
-    balancer.handle(now, Event::Gone(request), out);
+    balancer.handle(now, Event::ClientClosed(request), out);
     took
 }
 
@@ -108,7 +108,7 @@
         let mut balancer = balancer(nodes, groups, now);
         let mut out = Vec::new();
         for server in (0..nodes).map(ServerId) {
-            balancer.handle(now, Event::DelayNote { server, delay: 60_000 }, &mut out);
+            balancer.handle(now, Event::LatencyUpdate { server, latency: 60_000 }, &mut out);
         }
         out.clear();
         let start = Instant::now();
--- a/crates/decision/benches/homes.rs
+++ b/crates/decision/benches/homes.rs
@@ -20,10 +20,10 @@
     let class = Class {
         target: 500_000,
         deadline: 2_000_000,
-        message_aim: 100_000,
+        message_latency_objective: 100_000,
         attempts: 4,
-        effect: Effect::Safe,
-        worth: 1.0,
+        idempotency: Idempotency::Idempotent,
+        priority_weight: 1.0,
     };
     let settings = Settings {
         ordinal,
@@ -37,7 +37,7 @@
     let entry = |server: u32| Entry {
         server: ServerId(server),
         digest: names::digest(&format!("node-{server}")),
-        state: Listed::Ready,
+        state: ServerState::Ready,
         zone: ZoneId(0),
         cell: server / 2,
         started: None,
@@ -45,7 +45,7 @@
     };
     let list = Event::List { full: true, copy: false, entries: (0..nodes).map(entry).collect() };
     balancer.handle(0, list, &mut Vec::new());
-    balancer.handle(0, Event::Homes(vec![(7, homes)]), &mut Vec::new());
+    balancer.handle(0, Event::AffinitySubsets(vec![(7, homes)]), &mut Vec::new());
     balancer
 }
 
--- a/crates/decision/src/homes.rs
+++ b/crates/decision/src/affinity.rs
@@ -1,28 +1,28 @@
 //! A group's homes: the servers over which its connections rotate, the first ones in an order of its own that is common to all
 //! nodes (rendezvous hashing, Thaler and Ravishankar 1998; by weight, Efraimidis and Spirakis 2006). More homes only add to
-//! those that were. Holds the groups that somebody told of ([`Event::Homes`](crate::Event::Homes)), who bounds them.
+//! those that were. Holds the groups that somebody told of ([`Event::AffinitySubsets`](crate::Event::AffinitySubsets)), who bounds them.
 
 use crate::names::unit;
 use std::collections::BTreeMap;
 
 /// A group of which nothing was told has so many, and no group has fewer.
-pub const LEAST_HOMES: usize = 5;
+pub const MIN_SUBSET_SIZE: usize = 5;
 
 /// How many homes groups have.
 #[derive(Debug, Default)]
-pub(crate) struct Homes {
+pub(crate) struct AffinitySubsets {
     told: BTreeMap<u64, u32>,
 }
 
-impl Homes {
-    /// These groups have so many homes, and all others [`LEAST_HOMES`].
+impl AffinitySubsets {
+    /// These groups have so many homes, and all others [`MIN_SUBSET_SIZE`].
     pub(crate) fn set(&mut self, told: Vec<(u64, u32)>) {
         self.told = told.into_iter().collect();
     }
 
     /// How many a group has.
     fn of(&self, group: u64) -> usize {
-        self.told.get(&group).map_or(LEAST_HOMES, |homes| LEAST_HOMES.max(*homes as usize))
+        self.told.get(&group).map_or(MIN_SUBSET_SIZE, |homes| MIN_SUBSET_SIZE.max(*homes as usize))
     }
 
     /// The [`score`] of the last of a group's homes among servers with these scores; 0 if all of them are homes.
--- a/crates/decision/src/budget.rs
+++ b/crates/decision/src/budget.rs
@@ -6,7 +6,7 @@
 /// After a pause a server takes new connections at its usual rate, rising by as much each second; after this it is bounded no
 /// more.
 const EASE: Micros = 10 * SECOND;
-/// Part of a cold server's budget that is used; the rest is for chance and for the nodes' unequal parts.
+/// Quota of a cold server's budget that is used; the rest is for chance and for the nodes' unequal parts.
 const COLD_BUDGET_USED: f64 = 0.5;
 
 /// Servers that are out are counted on for so long: processes that die together are back after half a minute at most, by the
@@ -15,14 +15,14 @@
 
 /// The weight of all servers, those counted on that were listed lately and are out.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Whole {
+pub(crate) struct FleetTotal {
     most: f64,
     now: f64,
     /// Since when there is less than the most.
     less: Option<Micros>,
 }
 
-impl Whole {
+impl FleetTotal {
     /// A list has come: its ready servers have this weight.
     pub(crate) fn listed(&mut self, now: Micros, weight: f64) {
         if weight >= self.most || self.less.is_some_and(|since| now - since >= OUT) {
@@ -60,14 +60,15 @@
         strained: Option<Micros>,
     ) -> Option<Bound> {
         let share = started.map_or(1.0, |at| settings.share_at(now.saturating_sub(at)));
-        let cold = (share < 1.0).then_some(share * settings.fall_multiple.max(1.0) * COLD_BUDGET_USED * fill);
+        let cold =
+            (share < 1.0).then_some(share * settings.overload_multiple.max(1.0) * COLD_BUDGET_USED * fill);
         let since = strained.map(|at| (now - at).max(0)).filter(|since| *since < EASE);
         let eased = since.map(|since| usual * (1.0 + since as f64 / SECOND as f64));
         let rate = cold.unwrap_or(f64::INFINITY).min(eased.unwrap_or(f64::INFINITY));
         let per_s = rate * weight;
         // Without a window nothing lapses; and none is shorter than what timers tell apart.
-        let span = settings.fall_window.max(SECOND / 10) as f64 / SECOND as f64;
-        let window = cold.filter(|_| settings.fall_window > 0).map(|_| per_s * span);
+        let span = settings.overload_window.max(SECOND / 10) as f64 / SECOND as f64;
+        let window = cold.filter(|_| settings.overload_window > 0).map(|_| per_s * span);
         per_s.is_finite().then_some(Bound { per_s, window })
     }
 
--- a/crates/decision/src/budget_tests.rs
+++ b/crates/decision/src/budget_tests.rs
@@ -2,13 +2,19 @@
 
 const S: Micros = SECOND;
 
-fn settings(fall_window: Micros) -> Settings {
-    Settings { cold_from: 0.3, warm_up: 9 * S, fall_multiple: 3.0, fall_window, ..Settings::default() }
+fn settings(overload_window: Micros) -> Settings {
+    Settings {
+        slow_start_from: 0.3,
+        slow_start_window: 9 * S,
+        overload_multiple: 3.0,
+        overload_window,
+        ..Settings::default()
+    }
 }
 
 #[test]
 fn servers_that_are_out_are_counted_on_for_a_while_and_not_for_ever() {
-    let mut whole = Whole::default();
+    let mut whole = FleetTotal::default();
     whole.listed(0, 16.0);
     whole.listed(S, 12.0);
     whole.listed(2 * S, 8.0);
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -40,7 +40,7 @@
 
 impl Scope {
     /// A server of the one zone and cell does not drop what one of the other zone and cell may have run.
-    pub fn parts(self, one: (ZoneId, u32), other: (ZoneId, u32)) -> bool {
+    pub fn separates(self, one: (ZoneId, u32), other: (ZoneId, u32)) -> bool {
         match self {
             Scope::All => false,
             Scope::Zone => one.0 != other.0,
@@ -51,9 +51,9 @@
 
 /// What repeating a request does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Repeats are harmless.
-    Safe,
+    Idempotent,
     /// Repeats are dropped by the servers in `scope`, for `window` after the first send that may have run.
     Keyed {
         /// Who drops repeats.
@@ -62,22 +62,22 @@
         window: Micros,
     },
     /// A repeat is allowed only while no earlier attempt may have run.
-    Unsafe,
+    NotIdempotent,
 }
 
-impl Effect {
+impl Idempotency {
     /// Until when a repeat may be sent, if the first send that may have run was then; `None`: without end.
     pub fn repeat_until(self, first_sent: Micros) -> Option<Micros> {
         match self {
-            Effect::Safe => None,
-            Effect::Keyed { window, .. } => Some(first_sent.saturating_add(window)),
-            Effect::Unsafe => Some(first_sent),
+            Idempotency::Idempotent => None,
+            Idempotency::Keyed { window, .. } => Some(first_sent.saturating_add(window)),
+            Idempotency::NotIdempotent => Some(first_sent),
         }
     }
 
     /// Whether a refusal is allowed though an attempt may have run.
-    pub fn may_refuse(self) -> bool {
-        matches!(self, Effect::Safe | Effect::Keyed { scope: Scope::All, .. })
+    pub fn may_reject(self) -> bool {
+        matches!(self, Idempotency::Idempotent | Idempotency::Keyed { scope: Scope::All, .. })
     }
 }
 
@@ -89,13 +89,13 @@
     /// How long a client waits in all; 0 if not stated.
     pub deadline: Micros,
     /// Wanted time of one message on an established connection; 0 if not stated.
-    pub message_aim: Micros,
+    pub message_latency_objective: Micros,
     /// Most attempts for one request.
     pub attempts: u32,
     /// What a repeat does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Worth of a request (or of a second, or of a unit of work).
-    pub worth: f64,
+    pub priority_weight: f64,
 }
 
 /// A tenant and the part of the service that it may count on.
@@ -123,15 +123,15 @@
     /// Connections of one group share work on a server.
     pub groups: bool,
     /// Worth counts for each unit of work, not for each request or second.
-    pub worth_by_work: bool,
+    pub weight_by_work: bool,
     /// Worth of a request beyond its tenant's share, as part of the usual.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Batches come at most this often.
     pub step: Micros,
     /// The server list must be asked for.
     pub list_on_request: bool,
     /// What it says counts as told from the start, whether or not it was asked for: the first call is not put off.
-    pub list_told_unasked: bool,
+    pub list_pushed: bool,
     /// The list's `weight` says how servers compare in size.
     pub weighted: bool,
     /// Refusals carry a time after which the client may come again.
@@ -139,13 +139,13 @@
     /// The longest such time that clients honour.
     pub max_retry_after: Micros,
     /// A server starts at this share of its capacity or more ...
-    pub cold_from: f64,
+    pub slow_start_from: f64,
     /// ... and is warm after this time.
-    pub warm_up: Micros,
+    pub slow_start_window: Micros,
     /// A cold server falls over if all nodes send it more than this multiple of what it can do.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// How long it bears that.
-    pub fall_window: Micros,
+    pub overload_window: Micros,
     /// Probes are allowed.
     pub probes: bool,
     /// Place of "load over capacity" in a load report, if reports have it.
@@ -153,13 +153,13 @@
     /// Price of one probe for each request, as a part of the result.
     pub probe_price: f64,
     /// Price of one move for each request, as a part of the result.
-    pub move_price: f64,
+    pub migration_price: f64,
 }
 
 impl Settings {
     /// What a repeat does in a class; an unknown one is treated as what allows least.
-    pub fn effect(&self, class: usize) -> Effect {
-        self.classes.get(class).map_or(Effect::Unsafe, |c| c.effect)
+    pub fn idempotency(&self, class: usize) -> Idempotency {
+        self.classes.get(class).map_or(Idempotency::NotIdempotent, |c| c.idempotency)
     }
 
     /// Most attempts for one request of a class.
@@ -173,8 +173,8 @@
     }
 
     /// The shortest wanted time of a message, if any class states one.
-    pub fn shortest_aim(&self) -> Option<Micros> {
-        self.classes.iter().map(|c| c.message_aim).filter(|aim| *aim > 0).min()
+    pub fn shortest_message_objective(&self) -> Option<Micros> {
+        self.classes.iter().map(|c| c.message_latency_objective).filter(|aim| *aim > 0).min()
     }
 
     /// New connections a second that all tenants are allowed together, over all nodes; `None` if not stated.
@@ -195,21 +195,21 @@
 
     /// The part of its capacity that a server has for certain, this long after its start.
     pub fn share_at(&self, age: Micros) -> f64 {
-        let from = self.cold_from.clamp(0.05, 1.0);
-        let warmth = age.max(0) as f64 / self.warm_up.max(1) as f64;
+        let from = self.slow_start_from.clamp(0.05, 1.0);
+        let warmth = age.max(0) as f64 / self.slow_start_window.max(1) as f64;
         from + (1.0 - from) * warmth.min(1.0)
     }
 }
 
 /// State of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum ServerState {
     /// Takes new connections.
     Ready,
     /// Finishing what it has; must get nothing new.
     Draining,
     /// Withdrawn.
-    Gone,
+    Removed,
 }
 
 /// One entry of the server list.
@@ -220,7 +220,7 @@
     /// A digest of the server's name, the same at every node: gives all nodes one common order.
     pub digest: u64,
     /// Its state.
-    pub state: Listed,
+    pub state: ServerState,
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell: a small group of servers that share which keys they have seen.
@@ -280,13 +280,13 @@
 
 /// What a node met at a server within the last few seconds, as it says itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum PeerVerdict {
     /// Attempts went well, and none failed.
-    Well,
+    Healthy,
     /// Attempts failed to connect, timed out or met silence, and none went well.
-    Unwell,
+    Unhealthy,
     /// Neither, or both.
-    Unclear,
+    Inconclusive,
 }
 
 /// What an instance is told.
@@ -305,7 +305,7 @@
     },
     /// What the operators said of servers by hand, laid over the list: entries as in a list that names what changed.
     /// No answer to a question. One that was draining and may serve again begins anew.
-    ByHand {
+    ManualOverride {
         /// The entries.
         entries: Vec<Entry>,
     },
@@ -347,21 +347,21 @@
         last: bool,
     },
     /// The load of an established connection has changed (work in microseconds a second).
-    LoadNote {
+    LoadUpdate {
         /// Whose.
         request: RequestId,
         /// The load now.
         load: f64,
     },
     /// Messages at a server take this long now.
-    DelayNote {
+    LatencyUpdate {
         /// Where.
         server: ServerId,
         /// Time that a message takes.
-        delay: Micros,
+        latency: Micros,
     },
     /// The client has left; nothing more is owed.
-    Gone(RequestId),
+    ClientClosed(RequestId),
     /// Result of a probe: the load report, or `None` if the probe failed.
     Probed {
         /// The server.
@@ -370,54 +370,54 @@
         report: Option<Vec<f64>>,
     },
     /// What another node has met at a server lately. Its own word: it may be wrong, or lie.
-    Peer {
+    PeerReport {
         /// Number of the sender.
         from: u32,
         /// The server.
         server: ServerId,
         /// What it met.
-        word: Word,
+        verdict: PeerVerdict,
     },
     /// What is known of all nodes together.
-    Tier(Tier),
-    /// The groups whose connections rotate over more than [`LEAST_HOMES`](crate::homes::LEAST_HOMES) servers, by
+    Fleet(FleetStatus),
+    /// The groups whose connections rotate over more than [`MIN_SUBSET_SIZE`](crate::affinity::MIN_SUBSET_SIZE) servers, by
     /// [`Request::group`], and over how many. All others have those few, whatever was told before.
-    Homes(Vec<(u64, u32)>),
+    AffinitySubsets(Vec<(u64, u32)>),
     /// What the rules say has changed: what is held is looked at anew.
-    Ruled,
+    RulesChanged,
     /// The node ends: what is owed or still comes is answered, and nothing is sent any more.
-    Leaving,
+    ShuttingDown,
     /// A timer is due.
     Timer(u32),
 }
 
 /// All nodes together, as one of them was told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Tier {
+pub struct FleetStatus {
     /// How many nodes take part.
     pub nodes: f64,
     /// This node's part of all that clients want, 0 to 1.
-    pub part: f64,
-    /// Part of all nodes' latest set-ups that failed, wherever they went, 0 to 1.
-    pub failing: f64,
+    pub demand_share: f64,
+    /// Quota of all nodes' latest set-ups that failed, wherever they went, 0 to 1.
+    pub failure_rate: f64,
 }
 
 /// What the log should say; the embedder words it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Notice {
+pub enum Notification {
     /// A server has been paused after failures, or again after a failed trial.
     PausedFailing,
     /// A paused server's trial went well.
     Recovered,
     /// No server may be used now; requests are held.
-    Holding,
+    Queueing,
     /// The server list cannot be had.
     ListUnreachable,
 }
 
 /// What an instance believes of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Belief {
+pub enum ServerHealth {
     /// It may be used.
     Up,
     /// It is left alone.
@@ -431,22 +431,22 @@
     Draining,
     /// It is not there, or was never listed.
     #[default]
-    Gone,
+    Unlisted,
 }
 
 /// Why a request gets a final answer without having been served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unserved {
+pub enum RejectionReason {
     /// The node ends.
-    Leaving,
+    ShuttingDown,
     /// It has had all attempts that its class or a rule allows.
-    AttemptsSpent,
+    AttemptsExhausted,
     /// Too little of its time is left for an attempt.
-    TooLate,
+    DeadlineTooClose,
     /// Its repeats have no effect only up to now.
-    WindowOver,
+    IdempotencyWindowOver,
     /// A rule says so.
-    Ruled,
+    RejectedByRule,
     /// No server may take it within the time that it can wait.
     NoServer,
 }
@@ -466,25 +466,25 @@
         before: Option<Micros>,
     },
     /// Final answer: turned away, trying again is harmless.
-    Refuse {
+    Reject {
         /// Whose.
         request: RequestId,
         /// Not before this; 0: nothing said.
         retry_after: Micros,
         /// Why it is not served.
-        why: Unserved,
+        reason: RejectionReason,
     },
     /// Final answer: failed, no promise.
     Fail {
         /// Whose.
         request: RequestId,
         /// Why it is not served.
-        why: Unserved,
+        reason: RejectionReason,
     },
     /// End an established connection politely; the client comes again.
-    Move(RequestId),
+    Migrate(RequestId),
     /// Ask for changes of the server list.
-    Watch,
+    WatchList,
     /// Probe a server.
     Probe(ServerId),
     /// Call back with [`Event::Timer`] after this time.
@@ -497,16 +497,16 @@
     /// Write a line in the log.
     Log {
         /// What.
-        notice: Notice,
+        notification: Notification,
         /// About which server.
         server: Option<ServerId>,
     },
     /// Nothing is to be done: the instance believes this of a server from now on. Told when it changes. That a pause
     /// has lapsed shows when the server is next looked at.
-    Believe {
+    HealthChanged {
         /// Which server.
         server: ServerId,
         /// What.
-        belief: Belief,
+        health: ServerHealth,
     },
 }
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,17 +1,17 @@
 //! The decisions of one proxy, without sockets and without a clock: events in, actions out. The proxy and the
 //! simulator's adapter both embed it. See `docs/design.md`.
 
+pub mod affinity;
 mod budget;
-pub mod homes;
 pub mod interface;
-mod job;
-pub mod list_calls;
+pub mod list_polling;
 pub mod names;
-pub mod part;
+mod pending_request;
 pub mod policy;
+pub mod quota;
 pub mod rules;
 pub mod settings;
 
 pub use interface::*;
 pub use policy::Balancer;
-pub use rules::{Rules, Ruling, ServerSet, Stay};
+pub use rules::{RoutingRules, RoutingVerdict, ServerSet, Stickiness};
--- a/crates/decision/src/list_calls.rs
+++ b/crates/decision/src/list_polling.rs
@@ -9,7 +9,7 @@
 
 /// A subscription that has said nothing for this long has fallen silent: beats come every 2 s. What it misses counts as
 /// told 6 s after its last word, so what is left has to do for a call, and for one or two that fail.
-pub const SILENT_AFTER: Micros = 2_750_000;
+pub const WATCH_SILENT_AFTER: Micros = 2_750_000;
 
 /// Calls a second that the list service gets from all nodes together after a blow that hit all. Chosen: 300 nodes ask
 /// again within the second that is left of the six after a silence has been noticed and a call has failed.
@@ -23,7 +23,7 @@
 pub const BETWEEN_CALLS: Micros = 4 * SECOND;
 /// A call that says nothing whole for so long has fallen silent, and whoever made it reports that: with its turn in the
 /// spread, the next goes out 5 s after it.
-pub const UNTOLD_AFTER: Micros = 4 * SECOND;
+pub const UNANSWERED_AFTER: Micros = 4 * SECOND;
 /// A call of which nothing at all is reported is given up as lost after this: a long list may take its time.
 const UNANSWERED: Micros = 15 * SECOND;
 /// A subscription that held for so long shows that the service is well; a shorter one only that it was reached.
@@ -31,7 +31,7 @@
 
 /// When this node is to ask next.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ListCalls {
+pub struct ListPoller {
     nodes: u32,
     due: Option<Micros>,
     failures: u32,
@@ -41,10 +41,10 @@
     answered: Option<Micros>,
 }
 
-impl ListCalls {
+impl ListPoller {
     /// A node among so many that have not asked yet.
     pub fn among(nodes: u32) -> Self {
-        ListCalls { nodes, ..ListCalls::default() }
+        ListPoller { nodes, ..ListPoller::default() }
     }
 
     /// The number of nodes has changed.
--- a/crates/decision/src/job.rs
+++ b/crates/decision/src/pending_request.rs
@@ -1,6 +1,6 @@
 //! What a node knows of one request, and what its class makes of that. Nothing is decided here.
 
-use crate::interface::{Effect, Micros, Request, Scope, ServerId, Settings, ZoneId};
+use crate::interface::{Idempotency, Micros, Request, Scope, ServerId, Settings, ZoneId};
 
 /// A client that waits no longer than this leaves less time for answers and tries. One that tells no time waits so long.
 const SECOND: Micros = 1_000_000;
@@ -10,24 +10,24 @@
 const LEAST_TRY: Micros = 60_000;
 
 /// A server's zone and cell.
-pub(crate) type Spot = (ZoneId, u32);
+pub(crate) type Locality = (ZoneId, u32);
 
 /// The servers that drop the repeats of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Group {
     scope: Scope,
-    spot: Spot,
+    spot: Locality,
 }
 
 impl Group {
     /// A server there is one of them.
-    pub(crate) fn holds(self, spot: Spot) -> bool {
-        !self.scope.parts(spot, self.spot)
+    pub(crate) fn holds(self, spot: Locality) -> bool {
+        !self.scope.separates(spot, self.spot)
     }
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Job {
+pub(crate) struct PendingRequest {
     /// As it was asked for; the load as noted since.
     pub(crate) request: Request,
     pub(crate) deadline: Option<Micros>,
@@ -36,14 +36,14 @@
     pub(crate) at: Option<ServerId>,
     pub(crate) tried: Vec<ServerId>,
     /// The last attempt: where its server was when it was sent, and when that was. A server may come back elsewhere.
-    pub(crate) last: Option<(Spot, Micros)>,
+    pub(crate) last: Option<(Locality, Micros)>,
     /// The first attempt that may have run.
-    pub(crate) may_have_run: Option<(Spot, Micros)>,
+    pub(crate) may_have_run: Option<(Locality, Micros)>,
 }
 
-impl Job {
+impl PendingRequest {
     pub(crate) fn new(request: Request, now: Micros) -> Self {
-        Job {
+        PendingRequest {
             deadline: request.left.map(|left| now.saturating_add(left)),
             request,
             arrived: now,
@@ -62,8 +62,8 @@
 
     /// Worth for the load it brings.
     pub(crate) fn value(&self, settings: &Settings) -> f64 {
-        let worth = settings.classes.get(self.class()).map_or(1.0, |c| c.worth);
-        let load = if settings.worth_by_work { 1.0 } else { self.request.load_hint.unwrap_or(1.0) };
+        let worth = settings.classes.get(self.class()).map_or(1.0, |c| c.priority_weight);
+        let load = if settings.weight_by_work { 1.0 } else { self.request.load_hint.unwrap_or(1.0) };
         worth / load.max(1e-9)
     }
 
@@ -90,13 +90,13 @@
 
     /// Until when a repeat has no effect; `None`: without end, or nothing has run.
     pub(crate) fn repeat_until(&self, settings: &Settings) -> Option<Micros> {
-        let effect = settings.effect(self.class());
+        let effect = settings.idempotency(self.class());
         self.may_have_run.and_then(|(_, sent)| effect.repeat_until(sent))
     }
 
     /// The servers that drop its repeats, if an attempt may have run.
     pub(crate) fn bound_to(&self, settings: &Settings) -> Option<Group> {
-        let Effect::Keyed { scope, .. } = settings.effect(self.class()) else { return None };
+        let Idempotency::Keyed { scope, .. } = settings.idempotency(self.class()) else { return None };
         self.may_have_run.map(|(spot, _)| Group { scope, spot })
     }
 }
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -9,14 +9,14 @@
 mod pauses;
 mod rotation;
 
-use crate::budget::{Bound, Whole};
-use crate::homes::{self, Homes};
+use crate::affinity::{self, AffinitySubsets};
+use crate::budget::{Bound, FleetTotal};
 use crate::interface::*;
-use crate::job::{Group, Job, Spot};
-use crate::list_calls::ListCalls;
+use crate::list_polling::ListPoller;
 use crate::names::unit;
-use crate::part::{Bucket, Part};
-use crate::rules::{Rules, Ruling, Stay};
+use crate::pending_request::{Group, Locality, PendingRequest};
+use crate::quota::{Quota, TokenBucket};
+use crate::rules::{RoutingRules, RoutingVerdict, Stickiness};
 use std::collections::BTreeMap;
 
 /// Pauses end at marks of this clock, as PIP-385's quotas do.
@@ -35,7 +35,7 @@
     ready: bool,
     draining: bool,
     /// Its zone and cell.
-    spot: Spot,
+    spot: Locality,
     weight: f64,
     started: Option<Micros>,
     digest: u64,
@@ -60,10 +60,10 @@
     open: Vec<RequestId>,
     leave_by: Option<Micros>,
     /// What was told of it last.
-    told: Belief,
+    told: ServerHealth,
     /// When an attempt of this node's last went well; what other nodes said last, and when.
     well: Option<Micros>,
-    words: Vec<(u32, Word, Micros)>,
+    words: Vec<(u32, PeerVerdict, Micros)>,
     /// Paused by words alone until then; forgotten with the next experience of this node's own.
     accused: Option<Micros>,
 }
@@ -73,29 +73,29 @@
 pub struct Balancer {
     settings: Settings,
     /// What may be done with a request, if somebody has rules for that.
-    rules: Option<Box<dyn Rules>>,
+    rules: Option<Box<dyn RoutingRules>>,
     random: u64,
     servers: Vec<Server>,
     ready: Vec<ServerId>,
     total_weight: f64,
-    whole: Whole,
-    jobs: BTreeMap<RequestId, Job>,
+    whole: FleetTotal,
+    jobs: BTreeMap<RequestId, PendingRequest>,
     held: Vec<RequestId>,
     rotation: f64,
     wake: Option<Micros>,
     drain_due: Option<Micros>,
-    list_calls: ListCalls,
+    list_calls: ListPoller,
     arrivals: f64,
     arrivals_at: Micros,
     started_at: Micros,
-    /// Part of the latest set-ups that failed or timed out; when the next may be sent if that is most.
+    /// Quota of the latest set-ups that failed or timed out; when the next may be sent if that is most.
     failing: f64,
     next_send: Micros,
     /// How many servers a group's turns rotate over.
-    homes: Homes,
+    homes: AffinitySubsets,
     /// This node's part of what all have; set-ups that it may send; when one was last quick, none slow since.
-    part: Part,
-    setups: Bucket,
+    part: Quota,
+    setups: TokenBucket,
     quick: Option<Micros>,
     /// Most of the servers heard of lately are piled up.
     crowded: bool,
@@ -106,14 +106,14 @@
 impl Balancer {
     /// A node's decisions from `now` on. `seed` feeds its jitter.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
-        let (part, setups) = (Part::even(settings.nodes), Bucket::new(now));
-        let list_calls = ListCalls::among(settings.nodes);
+        let (part, setups) = (Quota::even(settings.nodes), TokenBucket::new(now));
+        let list_calls = ListPoller::among(settings.nodes);
         let blank = Balancer { arrivals_at: now, started_at: now, ..Balancer::default() };
         Balancer { settings, part, setups, list_calls, random: seed, ..blank }
     }
 
     /// The same under rules, which are asked before each send.
-    pub fn under(self, rules: Box<dyn Rules>) -> Self {
+    pub fn under(self, rules: Box<dyn RoutingRules>) -> Self {
         Balancer { rules: Some(rules), ..self }
     }
 
@@ -121,7 +121,7 @@
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::List { full, copy, entries } => self.list(now, full, copy, entries, out),
-            Event::ByHand { entries } => self.listed(now, entries, out),
+            Event::ManualOverride { entries } => self.listed(now, entries, out),
             Event::ListFailed => self.list_failed(now, out),
             Event::ListSilent => {
                 let chance = self.random();
@@ -134,14 +134,17 @@
                     self.arrivals_at = now;
                 }
                 let id = request.id;
-                self.jobs.insert(id, Job::new(request, now));
+                self.jobs.insert(id, PendingRequest::new(request, now));
                 self.dispatch(now, id, out);
             }
             Event::Open { request, server } => {
                 let id = request.id;
                 let spot = self.server(server).map(|s| s.spot).unwrap_or_default();
                 let last = Some((spot, now));
-                self.jobs.insert(id, Job { sent: 1, at: Some(server), last, ..Job::new(request, now) });
+                self.jobs.insert(
+                    id,
+                    PendingRequest { sent: 1, at: Some(server), last, ..PendingRequest::new(request, now) },
+                );
                 self.opened(id, server);
                 self.move_late_comer(now, server, out);
             }
@@ -161,11 +164,11 @@
                     self.again(now, request, server, outcome, out);
                 }
             }
-            Event::Gone(request) => self.finish(request),
-            Event::LoadNote { request, load } => {
+            Event::ClientClosed(request) => self.finish(request),
+            Event::LoadUpdate { request, load } => {
                 self.jobs.entry(request).and_modify(|job| job.request.load_hint = Some(load));
             }
-            Event::DelayNote { server, delay, .. } => self.delayed(now, server, delay, out),
+            Event::LatencyUpdate { server, latency } => self.latency_changed(now, server, latency, out),
             Event::Timer(WAKE) if self.wake.is_some_and(|at| at <= now) => {
                 self.wake = None;
                 self.release_held(now, out);
@@ -177,14 +180,16 @@
                 self.list_calls.set_nodes(settings.nodes);
                 self.settings = *settings;
             }
-            Event::Tier(tier) => self.told(now, tier),
-            Event::Homes(homes) => self.homes.set(homes),
-            Event::Ruled => self.release_held(now, out),
-            Event::Leaving => {
+            Event::Fleet(tier) => self.told(now, tier),
+            Event::AffinitySubsets(homes) => self.homes.set(homes),
+            Event::RulesChanged => self.release_held(now, out),
+            Event::ShuttingDown => {
                 self.leaving = true;
                 self.release_held(now, out);
             }
-            Event::Peer { from, server, word } => self.heard(now, from, server, word, out),
+            Event::PeerReport { from, server, verdict } => {
+                self.peer_reported(now, from, server, verdict, out)
+            }
             Event::Probed { .. } | Event::Timer(_) => {}
         }
     }
@@ -207,19 +212,19 @@
         let late = left.is_some_and(|left| left < job.least_try(&self.settings));
         let is_over = before.is_some_and(|end| end <= now);
         let unserved = if self.leaving {
-            Some(Unserved::Leaving)
+            Some(RejectionReason::ShuttingDown)
         } else if job.sent >= most {
-            Some(Unserved::AttemptsSpent)
+            Some(RejectionReason::AttemptsExhausted)
         } else if late {
-            Some(Unserved::TooLate)
+            Some(RejectionReason::DeadlineTooClose)
         } else {
-            is_over.then_some(Unserved::WindowOver)
+            is_over.then_some(RejectionReason::IdempotencyWindowOver)
         };
-        if let Some(why) = unserved {
-            return self.answer(now, id, self.next_chance(now, &ruling, repeats), why, out);
+        if let Some(reason) = unserved {
+            return self.answer(now, id, self.next_chance(now, &ruling, repeats), reason, out);
         }
         if let Some(after) = ruling.refuse {
-            return self.answer(now, id, now.saturating_add(after), Unserved::Ruled, out);
+            return self.answer(now, id, now.saturating_add(after), RejectionReason::RejectedByRule, out);
         }
         let from = ruling.not_before.unwrap_or(now);
         if let Some(server) = (from <= now).then(|| self.pick(now, id, &ruling)).flatten() {
@@ -245,10 +250,10 @@
         let until = self.next_chance(now, &ruling, repeats).max(from).min(before.unwrap_or(Micros::MAX));
         // As the paper's send time-outs shorter than the pause left: what cannot wait is refused early.
         if until > last_call {
-            return self.answer(now, id, until, Unserved::NoServer, out);
+            return self.answer(now, id, until, RejectionReason::NoServer, out);
         }
         if self.held.is_empty() {
-            out.push(Action::Log { notice: Notice::Holding, server: None });
+            out.push(Action::Log { notification: Notification::Queueing, server: None });
         }
         self.held.push(id);
         if self.wake.is_none_or(|set| until < set) {
@@ -258,15 +263,22 @@
     }
 
     /// The final answer to what cannot be placed: a refusal where that may be said.
-    fn answer(&mut self, now: Micros, id: RequestId, until: Micros, why: Unserved, out: &mut Vec<Action>) {
+    fn answer(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        until: Micros,
+        reason: RejectionReason,
+        out: &mut Vec<Action>,
+    ) {
         let Some(job) = self.jobs.get(&id) else { return };
-        let refusable = job.may_have_run.is_none() || self.settings.effect(job.class()).may_refuse();
+        let refusable = job.may_have_run.is_none() || self.settings.idempotency(job.class()).may_reject();
         let longest = if self.settings.retry_after { self.settings.max_retry_after } else { 0 };
         let retry_after = (until - now).min(longest);
         out.push(if refusable {
-            Action::Refuse { request: id, retry_after, why }
+            Action::Reject { request: id, retry_after, reason }
         } else {
-            Action::Fail { request: id, why }
+            Action::Fail { request: id, reason }
         });
         self.finish(id);
     }
@@ -301,7 +313,7 @@
     }
 
     /// The servers that may take new connections, as far as the list and the rules tell.
-    fn allowed<'a>(&'a self, ruling: &'a Ruling) -> impl Iterator<Item = &'a Server> {
+    fn allowed<'a>(&'a self, ruling: &'a RoutingVerdict) -> impl Iterator<Item = &'a Server> {
         self.ready.iter().filter(|id| ruling.allows(**id)).filter_map(|id| self.server(*id))
     }
 
@@ -327,15 +339,15 @@
     /// Tells what is believed of this server, if that has changed.
     fn believe(&mut self, now: Micros, server: ServerId, out: &mut Vec<Action>) {
         let belief = match self.paused_until {
-            _ if self.draining => Belief::Draining,
-            _ if !self.ready => Belief::Gone,
-            Some(until) if until > now => Belief::Paused { until },
-            Some(_) => Belief::Trial,
-            None if self.half_open => Belief::Trial,
-            None => Belief::Up,
+            _ if self.draining => ServerHealth::Draining,
+            _ if !self.ready => ServerHealth::Unlisted,
+            Some(until) if until > now => ServerHealth::Paused { until },
+            Some(_) => ServerHealth::Trial,
+            None if self.half_open => ServerHealth::Trial,
+            None => ServerHealth::Up,
         };
         if std::mem::replace(&mut self.told, belief) != belief {
-            out.push(Action::Believe { server, belief });
+            out.push(Action::HealthChanged { server, health: belief });
         }
     }
 }
--- a/crates/decision/src/policy/lists.rs
+++ b/crates/decision/src/policy/lists.rs
@@ -18,7 +18,7 @@
     ) {
         if !copy {
             self.list_calls.answered(now);
-        } else if self.settings.list_told_unasked && self.settings.list_on_request {
+        } else if self.settings.list_pushed && self.settings.list_on_request {
             self.call_for_list(now, out);
         } else if self.settings.list_on_request {
             let chance = self.random();
@@ -32,7 +32,7 @@
     }
 
     pub(super) fn call_for_list(&mut self, now: Micros, out: &mut Vec<Action>) {
-        out.push(Action::Watch);
+        out.push(Action::WatchList);
         ask_list(self.list_calls.called(now), out);
     }
 
@@ -70,7 +70,7 @@
             let Some(until) = s.leave_by else { continue };
             let rounds = ((until - now).max(0) / DRAIN_ROUND) as f64 + 1.0;
             let kept = s.open.len() - (s.open.len() as f64 / rounds + chance) as usize;
-            out.extend(s.open.drain(kept..).map(Action::Move));
+            out.extend(s.open.drain(kept..).map(Action::Migrate));
             self.drain_due = self.drain_due.or((kept > 0 || now < until).then_some(now + DRAIN_ROUND));
         }
         out.extend(self.drain_due.map(|_| Action::Timer { after: DRAIN_ROUND, token: DRAIN }));
@@ -85,7 +85,7 @@
         let weighted = self.settings.weighted && entry.weight.is_finite() && entry.weight > 0.0;
         let weight = if weighted { entry.weight } else { 1.0 };
         // Put back after a drain: its first turn is the next, or it would wait for one at a quiet hour.
-        let back = known.leave_by.is_some() && entry.state == Listed::Ready;
+        let back = known.leave_by.is_some() && entry.state == ServerState::Ready;
         if known.weight == 0.0 || known.started != entry.started || back {
             // New, or a new life of the process: what was known of the old one no longer counts.
             // All nodes share one hashed order and enter it at phases ordinal/nodes: rotations that walk
@@ -98,9 +98,9 @@
             let digest = entry.digest;
             *known = Server { digest, place, turn, budget, filled: now, open, told, ..Server::default() };
         }
-        known.ready = entry.state == Listed::Ready;
+        known.ready = entry.state == ServerState::Ready;
         // What drained and is gone by now has its connections moved all the same.
-        known.draining = entry.state == Listed::Draining;
+        known.draining = entry.state == ServerState::Draining;
         let until = known.draining.then_some(now + DRAIN_WITHIN);
         known.leave_by = known.leave_by.or(until).filter(|_| !known.ready);
         (known.spot, known.weight, known.started) = ((entry.zone, entry.cell), weight, entry.started);
@@ -110,7 +110,7 @@
     pub(super) fn list_failed(&mut self, now: Micros, out: &mut Vec<Action>) {
         let chance = self.random();
         let (after, is_news) = self.list_calls.failed(now, chance);
-        let unreachable = Action::Log { notice: Notice::ListUnreachable, server: None };
+        let unreachable = Action::Log { notification: Notification::ListUnreachable, server: None };
         out.extend(is_news.then_some(unreachable));
         ask_list(after, out);
     }
--- a/crates/decision/src/policy/pauses.rs
+++ b/crates/decision/src/policy/pauses.rs
@@ -6,7 +6,7 @@
 const MOST_DOUBLINGS: u32 = 5;
 /// One strike is forgotten for each such time without another.
 const FORGET: Micros = 20 * SECOND;
-/// Part of its own connections that a node moves off a server for each note of messages over the aim: more
+/// Quota of its own connections that a node moves off a server for each note of messages over the aim: more
 /// where more has piled up, so that the pile is gone within about CLEAR_WITHIN.
 const MOVED_PER_NOTE: f64 = 0.1;
 const CLEAR_WITHIN: f64 = 2.0 * SECOND as f64;
@@ -69,7 +69,7 @@
             until += ((1 << s.strikes.min(MOST_DOUBLINGS)) - 1) * SECOND;
             s.strikes += 1;
             if s.strikes == 2 {
-                out.push(Action::Log { notice: Notice::PausedFailing, server: Some(at) });
+                out.push(Action::Log { notification: Notification::PausedFailing, server: Some(at) });
             }
         }
         (s.trial, s.accused) = (None, None);
@@ -82,7 +82,7 @@
         let Some(s) = self.server_mut(at).filter(|s| s.trial == Some(by)) else { return };
         (s.trial, s.half_open) = (None, false);
         if s.strikes > 1 {
-            out.push(Action::Log { notice: Notice::Recovered, server: Some(at) });
+            out.push(Action::Log { notification: Notification::Recovered, server: Some(at) });
         }
         // Half is forgiven, not all: a server that fails most requests passes a trial now and then.
         s.strikes /= 2;
@@ -92,8 +92,14 @@
 
     /// Messages at a server take long: work has piled up there, though it refuses nothing. A note comes
     /// once a second while that lasts, so the pause reaches to the mark after the next note.
-    pub(super) fn delayed(&mut self, now: Micros, at: ServerId, delay: Micros, out: &mut Vec<Action>) {
-        let shortest = self.settings.shortest_aim();
+    pub(super) fn latency_changed(
+        &mut self,
+        now: Micros,
+        at: ServerId,
+        delay: Micros,
+        out: &mut Vec<Action>,
+    ) {
+        let shortest = self.settings.shortest_message_objective();
         let chance = self.random();
         let (jobs, settings) = (&self.jobs, &self.settings);
         let Some(s) = self.servers.get_mut(at.0 as usize) else { return };
@@ -111,7 +117,7 @@
         let value = |id: &RequestId| jobs.get(id).map_or(0.0, |job| job.value(settings));
         let mut stays = BTreeMap::new();
         if let Some(rules) = &mut self.rules {
-            let stay = |id: &RequestId| Some((*id, rules.stay(now, &jobs.get(id)?.request, at)?));
+            let stay = |id: &RequestId| Some((*id, rules.stickiness(now, &jobs.get(id)?.request, at)?));
             stays.extend(s.open.iter().filter_map(stay));
         }
         let order = |a: &RequestId, b: &RequestId| {
@@ -120,14 +126,21 @@
         let part = (MOVED_PER_NOTE + delay as f64 / CLEAR_WITHIN).min(MOST_MOVED);
         for _ in 0..(s.open.len() as f64 * part + chance) as usize {
             let least = s.open.iter().enumerate().min_by(|a, b| order(a.1, b.1));
-            let may = least.filter(|(_, id)| stays.get(id) != Some(&Stay::UntilDrained));
+            let may = least.filter(|(_, id)| stays.get(id) != Some(&Stickiness::UntilDrained));
             let Some((index, _)) = may else { break };
-            out.push(Action::Move(s.open.swap_remove(index)));
+            out.push(Action::Migrate(s.open.swap_remove(index)));
         }
     }
 
     /// Another node's word is evidence, no order: it brings a pause or a trial forward where it is confirmed.
-    pub(super) fn heard(&mut self, now: Micros, from: u32, at: ServerId, word: Word, out: &mut Vec<Action>) {
+    pub(super) fn peer_reported(
+        &mut self,
+        now: Micros,
+        from: u32,
+        at: ServerId,
+        word: PeerVerdict,
+        out: &mut Vec<Action>,
+    ) {
         let fresh = |at: Micros| now - at <= WORD;
         let accused = self.servers.iter().filter(|s| s.accused.is_some_and(|until| until > now)).count();
         let room = accused as f64 + 1.0 <= self.ready.len() as f64 * MOST_ACCUSED;
@@ -136,19 +149,19 @@
         s.words.retain(|(node, _, said)| *node != from && fresh(*said));
         s.words.push((from, word, now));
         let agree = |word| s.words.iter().filter(|(_, said, _)| *said == word).count();
-        let (well, unwell) = (agree(Word::Well), agree(Word::Unwell));
+        let (well, unwell) = (agree(PeerVerdict::Healthy), agree(PeerVerdict::Unhealthy));
         let paused = s.paused_until.is_some_and(|until| until > now);
         let strained = s.strained.is_some_and(fresh);
         let agreed = unwell > well && unwell + usize::from(strained) >= AGREED;
         match word {
             // Once only: whoever repeats it, this node looks for itself before it believes it again.
-            Word::Unwell
+            PeerVerdict::Unhealthy
                 if agreed && !paused && room && s.accused.is_none() && !s.well.is_some_and(fresh) =>
             {
                 (s.paused_until, s.accused) = (Some(mark), Some(mark));
             }
             // Others serve there: the trial need not wait for a pause that grew with each failure.
-            Word::Well if paused && unwell == 0 && well >= AGREED => {
+            PeerVerdict::Healthy if paused && unwell == 0 && well >= AGREED => {
                 s.paused_until = s.paused_until.min(Some(mark));
             }
             _ => {}
--- a/crates/decision/src/policy/rotation.rs
+++ b/crates/decision/src/policy/rotation.rs
@@ -12,7 +12,7 @@
 
 impl Balancer {
     /// The unpaused server whose turn is due first, if any; takes its turn.
-    pub(super) fn pick(&mut self, now: Micros, id: RequestId, ruling: &Ruling) -> Option<ServerId> {
+    pub(super) fn pick(&mut self, now: Micros, id: RequestId, ruling: &RoutingVerdict) -> Option<ServerId> {
         // Failures wherever one turns point at something shared: more tries keep it down (ic7944d).
         let down = self.part.failing(now, self.failing) > 0.5;
         if down && now < self.next_send || !self.setups.fill(now, self.setups_per_s(now)) {
@@ -24,7 +24,7 @@
         // Connections of a group share work: spread over the fleet they would multiply it (ie5ddb3), and in
         // overload none would be held out. A group's turns rotate over the servers that come first in an
         // order of its own, common to all nodes; while these are paused it is held.
-        let at_home = |s: &Server| group.map_or(1.0, |g| homes::score(g, s.digest, s.weight));
+        let at_home = |s: &Server| group.map_or(1.0, |g| affinity::score(g, s.digest, s.weight));
         let least_home = group.map_or(0.0, |g| self.homes.least(g, self.allowed(ruling).map(at_home)));
         let (usual, rotation) = (self.usual_rates(now), self.rotation);
         let mut best: Option<((bool, bool, f64), ServerId)> = None;
@@ -91,13 +91,13 @@
         let open: usize = self.servers.iter().map(|s| s.open.len()).sum();
         let own = if allowed > 0.0 { open } else { self.jobs.len() } as f64;
         let full = self.part.careful(now, allowed, own) * self.part.idle(now);
-        let fill = full * SECOND as f64 / self.settings.warm_up.max(SECOND) as f64;
+        let fill = full * SECOND as f64 / self.settings.slow_start_window.max(SECOND) as f64;
         let fill = if allowed > 0.0 { fill } else { fill.max(rate) };
         (rate / self.total_weight.max(1e-9), fill / self.whole.weight(now).max(1e-9))
     }
 
     /// What has passed by now brought to budgets what the old part was.
-    pub(super) fn told(&mut self, now: Micros, tier: Tier) {
+    pub(super) fn told(&mut self, now: Micros, tier: FleetStatus) {
         let usual = self.usual_rates(now);
         for s in &mut self.servers {
             let bound = Bound::of(&self.settings, now, usual, s.weight, s.started, s.strained);
@@ -115,7 +115,7 @@
     }
 
     /// When some server may next be tried: its pause has lapsed and its budget is there.
-    pub(super) fn next_chance(&self, now: Micros, ruling: &Ruling, repeats: Option<Group>) -> Micros {
+    pub(super) fn next_chance(&self, now: Micros, ruling: &RoutingVerdict, repeats: Option<Group>) -> Micros {
         let usual = self.usual_rates(now);
         let chance = |s: &Server| {
             let bound = Bound::of(&self.settings, now, usual, s.weight, s.started, s.strained);
--- a/crates/decision/src/part.rs
+++ b/crates/decision/src/quota.rs
@@ -2,9 +2,9 @@
 //! so that what 300 nodes do at once adds up to the same as what 2 do.
 //!
 //! What all may do is divided evenly by the settings' number of nodes, unless somebody has told lately how large this
-//! node's part is ([`Event::Tier`](crate::Event::Tier)): clients come unevenly, and nodes that are gone need nothing.
+//! node's part is ([`Event::Fleet`](crate::Event::Fleet)): clients come unevenly, and nodes that are gone need nothing.
 
-use crate::interface::{Micros, Tier};
+use crate::interface::{FleetStatus, Micros};
 
 /// What was told counts for this long; after that the parts are even again.
 const TOLD_FOR: Micros = 8_000_000;
@@ -17,21 +17,21 @@
 
 /// How large a node's part is, as far as it knows.
 #[derive(Clone, Copy, Debug)]
-pub struct Part {
+pub struct Quota {
     nodes: f64,
-    told: Option<(Tier, Micros)>,
+    told: Option<(FleetStatus, Micros)>,
 }
 
-impl Default for Part {
+impl Default for Quota {
     fn default() -> Self {
-        Part::even(1)
+        Quota::even(1)
     }
 }
 
-impl Part {
+impl Quota {
     /// An even part among so many nodes; none counts as one.
     pub fn even(nodes: u32) -> Self {
-        Part { nodes: f64::from(nodes.max(1)), told: None }
+        Quota { nodes: f64::from(nodes.max(1)), told: None }
     }
 
     /// The settings name another number of nodes. What was told goes on.
@@ -40,18 +40,18 @@
     }
 
     /// Somebody told what the tier is like.
-    pub fn told(&mut self, now: Micros, tier: Tier) {
+    pub fn told(&mut self, now: Micros, tier: FleetStatus) {
         self.told = Some((tier, now));
     }
 
     /// What was told, if it still counts.
-    pub fn tier(&self, now: Micros) -> Option<Tier> {
+    pub fn tier(&self, now: Micros) -> Option<FleetStatus> {
         self.told.filter(|(_, at)| now - at < TOLD_FOR).map(|(tier, _)| tier)
     }
 
-    /// Part of the latest set-ups that failed: of this node's own, or of all nodes', as told, whichever is more.
+    /// Quota of the latest set-ups that failed: of this node's own, or of all nodes', as told, whichever is more.
     pub fn failing(&self, now: Micros, own: f64) -> f64 {
-        self.tier(now).map_or(own, |tier| own.max(tier.failing))
+        self.tier(now).map_or(own, |tier| own.max(tier.failure_rate))
     }
 
     /// How many times its part of a budget a node may count with where it is a node of a large tier, which is told of: most of
@@ -66,9 +66,9 @@
     /// of which would use the whole.
     pub fn careful(&self, now: Micros, figure: f64, own: f64) -> f64 {
         match self.tier(now) {
-            Some(tier) if tier.part.is_finite() && tier.nodes.is_finite() => {
+            Some(tier) if tier.demand_share.is_finite() && tier.nodes.is_finite() => {
                 let heard = tier.nodes.clamp(1.0, self.nodes) / self.nodes;
-                figure * (tier.part.clamp(0.0, 1.0) * heard + 1.0 / self.nodes) / 2.0
+                figure * (tier.demand_share.clamp(0.0, 1.0) * heard + 1.0 / self.nodes) / 2.0
             }
             Some(_) => self.of(now, figure),
             None => self.of(now, figure).max(own),
@@ -78,9 +78,9 @@
     /// This node's part of a figure of the whole tier. Over all nodes the parts add up to no more than half as much again.
     pub fn of(&self, now: Micros, figure: f64) -> f64 {
         let share = match self.tier(now) {
-            Some(tier) if tier.part.is_finite() && tier.nodes.is_finite() => {
+            Some(tier) if tier.demand_share.is_finite() && tier.nodes.is_finite() => {
                 let even = 1.0 / tier.nodes.clamp(1.0, self.nodes);
-                tier.part.clamp(LEAST_OF_EVEN * even, 1.0)
+                tier.demand_share.clamp(LEAST_OF_EVEN * even, 1.0)
             }
             _ => 1.0 / self.nodes,
         };
@@ -90,7 +90,7 @@
 
 /// Tokens that come in at a rate which may change. What a second brings is saved, or two.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Bucket {
+pub struct TokenBucket {
     tokens: f64,
     filled: Micros,
 }
@@ -98,10 +98,10 @@
 /// A node whose part is less than that a second may still place two clients that come together.
 const SAVED: f64 = 2.0;
 
-impl Bucket {
+impl TokenBucket {
     /// A full one.
     pub fn new(now: Micros) -> Self {
-        Bucket { tokens: SAVED, filled: now }
+        TokenBucket { tokens: SAVED, filled: now }
     }
 
     /// Lets in what has come since the last time, at so many a second; whether there is one to take. Without a bound on
--- a/crates/decision/src/rules.rs
+++ b/crates/decision/src/rules.rs
@@ -54,7 +54,7 @@
 
 /// What rules say of a request at this moment.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ruling {
+pub struct RoutingVerdict {
     /// It may go to these only; `None`: to all.
     pub allowed: Option<Arc<ServerSet>>,
     /// Of those that may take it now, these come first. Nobody waits for them.
@@ -68,14 +68,14 @@
     pub refuse: Option<Micros>,
 }
 
-impl Default for Ruling {
+impl Default for RoutingVerdict {
     /// What no rule speaks of.
     fn default() -> Self {
-        Ruling { allowed: None, preferred: None, attempts: u32::MAX, not_before: None, refuse: None }
+        RoutingVerdict { allowed: None, preferred: None, attempts: u32::MAX, not_before: None, refuse: None }
     }
 }
 
-impl Ruling {
+impl RoutingVerdict {
     /// The request may go there.
     pub fn allows(&self, server: ServerId) -> bool {
         self.allowed.as_ref().is_none_or(|set| set.contains(server))
@@ -89,23 +89,23 @@
 
 /// When an established connection may be moved for the sake of its server's load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stay {
+pub enum Stickiness {
     /// After those that may be moved anyhow.
-    ToTheLast,
+    MigrateLast,
     /// Not at all: it leaves with its server only.
     UntilDrained,
 }
 
 /// Whoever knows the rules.
-pub trait Rules: Debug {
+pub trait RoutingRules: Debug {
     /// What they say of a request now.
-    fn ruling(&mut self, now: Micros, request: &Request) -> Ruling;
+    fn ruling(&mut self, now: Micros, request: &Request) -> RoutingVerdict;
 
     /// The request is sent there, as the last ruling allowed.
     fn sent(&mut self, now: Micros, request: &Request, server: ServerId);
 
     /// What they say of moving its connection off that server; `None`: nothing.
-    fn stay(&mut self, _now: Micros, _request: &Request, _server: ServerId) -> Option<Stay> {
+    fn stickiness(&mut self, _now: Micros, _request: &Request, _server: ServerId) -> Option<Stickiness> {
         None
     }
 }
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -2,7 +2,7 @@
 //! simulator's first message) and the proxy (its configuration) share. Unknown keys are ignored; a value of a known one
 //! that can't be used is refused, with the key's full path, what was found and what is allowed.
 
-use crate::interface::{Class, Effect, Micros, Scope, Settings, Tenant, ZoneId};
+use crate::interface::{Class, Idempotency, Micros, Scope, Settings, Tenant, ZoneId};
 use crate::names::Names;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -43,7 +43,7 @@
         self.withdrawn = (0..class_list.len() as u32).filter(|class| !offered.contains(class)).collect();
         for class in &self.withdrawn {
             // No new message is measured by the aim of a class that is not offered any more.
-            class_list[*class as usize].message_aim = 0;
+            class_list[*class as usize].message_latency_objective = 0;
         }
         let (mut tenants, mut tenant_list) = (old.tenants.clone(), old.settings.tenants.clone());
         for (i, tenant) in self.settings.tenants.drain(..).enumerate() {
@@ -62,12 +62,14 @@
 /// Puts a class under a number of its name that has the same rules, or under a new one. Guards against requests that were
 /// taken by the old rules: they go by them to their end. Only the aim of messages is everybody's at once.
 fn place_class(names: &mut Names, list: &mut Vec<Class>, name: &str, class: Class) -> u32 {
-    let alike = |there: &Class| Class { message_aim: class.message_aim, ..there.clone() } == class;
+    let alike = |there: &Class| {
+        Class { message_latency_objective: class.message_latency_objective, ..there.clone() } == class
+    };
     let same = names.numbers_of(name).find(|number| list.get(*number as usize).is_some_and(alike));
     match same {
         Some(number) => {
             names.prefer(number);
-            list[number as usize].message_aim = class.message_aim;
+            list[number as usize].message_latency_objective = class.message_latency_objective;
             number
         }
         None if list.len() >= MOST_CLASSES => place(names, list, name, class),
@@ -90,17 +92,17 @@
 
 /// A setting that cannot be used: its key, and the trouble with its value.
 #[derive(Debug, PartialEq, Eq)]
-pub struct BadSetting {
+pub struct InvalidSetting {
     /// The faulty key, by its full path.
     pub key: String,
     /// What is wrong, to be read after the key.
     pub trouble: String,
 }
 
-impl BadSetting {
+impl InvalidSetting {
     fn new(key: &str, trouble: &str, found: &str, allowed: &str) -> Self {
         let short: String = found.chars().take(40).collect();
-        BadSetting { key: key.to_owned(), trouble: format!("{trouble}: '{short}', allowed: {allowed}") }
+        InvalidSetting { key: key.to_owned(), trouble: format!("{trouble}: '{short}', allowed: {allowed}") }
     }
 }
 
@@ -136,50 +138,50 @@
     }
 
     /// A finite number.
-    fn figure(&self, key: &str, default: f64) -> Result<f64, BadSetting> {
+    fn figure(&self, key: &str, default: f64) -> Result<f64, InvalidSetting> {
         let Some(text) = self.given(key, default) else { return Ok(default) };
-        number(text).ok_or_else(|| BadSetting::new(key, "is not a number", text, "a finite number"))
+        number(text).ok_or_else(|| InvalidSetting::new(key, "is not a number", text, "a finite number"))
     }
 
     /// A number that can't be below `least`. Guards against what a clamp would make of it in silence.
-    fn from(&self, least: f64, key: &str, default: f64) -> Result<f64, BadSetting> {
+    fn from(&self, least: f64, key: &str, default: f64) -> Result<f64, InvalidSetting> {
         let value = self.figure(key, default)?;
         if value >= least {
             return Ok(value);
         }
         let (trouble, allowed) = (format!("is below {least}"), format!("{least} or more"));
-        Err(BadSetting::new(key, &trouble, self.text(key).unwrap_or_default(), &allowed))
+        Err(InvalidSetting::new(key, &trouble, self.text(key).unwrap_or_default(), &allowed))
     }
 
-    fn time(&self, key: &str, default: Micros) -> Result<Micros, BadSetting> {
+    fn time(&self, key: &str, default: Micros) -> Result<Micros, InvalidSetting> {
         Ok(self.from(0.0, key, default as f64)?.min(LONGEST) as Micros)
     }
 
-    fn count(&self, least: u32, key: &str, default: u32) -> Result<u32, BadSetting> {
+    fn count(&self, least: u32, key: &str, default: u32) -> Result<u32, InvalidSetting> {
         Ok(self.from(f64::from(least), key, f64::from(default))?.min(4e9) as u32)
     }
 
-    fn flag(&self, key: &str) -> Result<bool, BadSetting> {
+    fn flag(&self, key: &str) -> Result<bool, InvalidSetting> {
         let word = self.word(key, "false", &["true", "false", "1", "0"])?;
         Ok(matches!(word, "true" | "1"))
     }
 
     /// One of these words. Guards against a misspelt one, which would be read as something else in silence: unknown keys
     /// are ignored, but what a known one may say is told in full.
-    fn word<'a>(&'a self, key: &str, default: &'a str, words: &[&str]) -> Result<&'a str, BadSetting> {
+    fn word<'a>(&'a self, key: &str, default: &'a str, words: &[&str]) -> Result<&'a str, InvalidSetting> {
         let word = self.given(key, default).unwrap_or(default);
         if words.contains(&word) {
             return Ok(word);
         }
-        Err(BadSetting::new(key, "has an unknown value", word, &words.join(", ")))
+        Err(InvalidSetting::new(key, "has an unknown value", word, &words.join(", ")))
     }
 
     /// A list of numbers of 0 or more; what is left out of it is 0.
-    fn figures(&self, key: &str) -> Result<Vec<f64>, BadSetting> {
+    fn figures(&self, key: &str) -> Result<Vec<f64>, InvalidSetting> {
         let figure = |(i, text): (usize, &str)| match number(text) {
             _ if text.is_empty() || text == "-" => Ok(0.0),
             Some(value) if value >= 0.0 => Ok(value),
-            _ => Err(BadSetting::new(&format!("{key}.{i}"), "is no such number", text, "0 or more")),
+            _ => Err(InvalidSetting::new(&format!("{key}.{i}"), "is no such number", text, "0 or more")),
         };
         self.list(key).into_iter().enumerate().map(figure).collect()
     }
@@ -190,7 +192,7 @@
 }
 
 /// Reads flat pairs into the module's terms.
-pub fn read(pairs: &Pairs) -> Result<Profile, BadSetting> {
+pub fn read(pairs: &Pairs) -> Result<Profile, InvalidSetting> {
     let (mut classes, mut tenants, mut zones) = (Names::default(), Names::default(), Names::default());
     for zone in pairs.list("zones") {
         zones.intern(zone);
@@ -202,7 +204,7 @@
         let key = |name: &str| format!("requestClasses.{i}.{name}");
         let Some(name) = pairs.text(&key("name")) else { continue };
         let effect = match pairs.word(&key("effect"), "unsafe", &["safe", "keyed", "unsafe"])? {
-            "safe" => Effect::Safe,
+            "safe" => Idempotency::Idempotent,
             "keyed" => {
                 // Left out, it is what allows least.
                 let scope = match pairs.word(&key("group"), "cell", &["all", "zone", "cell"])? {
@@ -210,9 +212,9 @@
                     "zone" => Scope::Zone,
                     _ => Scope::Cell,
                 };
-                Effect::Keyed { scope, window: pairs.time(&key("window"), 0)? }
+                Idempotency::Keyed { scope, window: pairs.time(&key("window"), 0)? }
             }
-            _ => Effect::Unsafe,
+            _ => Idempotency::NotIdempotent,
         };
         if classes.intern(name) as usize != class_list.len() {
             continue;
@@ -220,10 +222,10 @@
         class_list.push(Class {
             target: pairs.time(&key("target"), 0)?,
             deadline: pairs.time(&key("deadline"), 0)?,
-            message_aim: aims.get(i as usize).map_or(0, |aim| aim.min(LONGEST) as Micros),
+            message_latency_objective: aims.get(i as usize).map_or(0, |aim| aim.min(LONGEST) as Micros),
             attempts,
-            effect,
-            worth: pairs.from(0.0, &key("gain"), 1.0)?,
+            idempotency: effect,
+            priority_weight: pairs.from(0.0, &key("gain"), 1.0)?,
         });
     }
     let open = pairs.figures("familyInfo.tenantQuotaConnections")?;
@@ -248,22 +250,22 @@
         classes: class_list,
         tenants: tenant_list,
         groups: pairs.flag("familyInfo.groups")?,
-        worth_by_work: pairs.text("worthBy") == Some("work"),
-        over_share_worth: pairs.from(0.0, "overShareWorth", 1.0)?,
+        weight_by_work: pairs.text("worthBy") == Some("work"),
+        over_quota_weight: pairs.from(0.0, "overShareWorth", 1.0)?,
         step: pairs.time("step", 1_000)?,
         list_on_request,
-        list_told_unasked: !list_on_request,
+        list_pushed: !list_on_request,
         weighted: pairs.text("weights").is_some_and(|w| w != "none"),
         retry_after: pairs.flag("policyLimits.retryAfter")?,
         max_retry_after: pairs.time("policyLimits.maxRetryAfter", 0)?,
-        cold_from: pairs.from(0.0, "rules.coldFrom", 1.0)?,
-        warm_up: pairs.time("rules.warmUp", 0)?,
-        fall_multiple: pairs.from(0.0, "rules.fallMultiple", 1.0)?,
-        fall_window: pairs.time("rules.fall", 0)?,
+        slow_start_from: pairs.from(0.0, "rules.coldFrom", 1.0)?,
+        slow_start_window: pairs.time("rules.warmUp", 0)?,
+        overload_multiple: pairs.from(0.0, "rules.fallMultiple", 1.0)?,
+        overload_window: pairs.time("rules.fall", 0)?,
         probes: pairs.flag("policyLimits.probes")?,
         report_load: columns.iter().position(|c| *c == "x0"),
         probe_price: pairs.figure("prices.probe", 0.0)?,
-        move_price: pairs.figure("prices.moves", 0.0)?,
+        migration_price: pairs.figure("prices.moves", 0.0)?,
     };
     let connect_timeout = pairs.time("policyLimits.connectTimeout", 250_000)?;
     let tells_delay = pairs.flag("familyInfo.tellsDelay")?;
--- a/crates/decision/tests/any_settings/draw.rs
+++ b/crates/decision/tests/any_settings/draw.rs
@@ -32,27 +32,27 @@
     prop_oneof![50 * MS..=S, S..=10 * S, 10 * S..=60 * S]
 }
 
-fn effect() -> impl Strategy<Value = Effect> {
+fn idempotency() -> impl Strategy<Value = Idempotency> {
     let scope = prop_oneof![Just(Scope::All), Just(Scope::Zone), Just(Scope::Cell)];
     // From less than a round trip up to seconds.
     let window = prop_oneof![1 => Just(0), 1 => 1..=10 * MS, 4 => 10 * MS..=S, 2 => S..=8 * S];
-    let keyed = (scope, window).prop_map(|(scope, window)| Effect::Keyed { scope, window });
-    prop_oneof![Just(Effect::Safe), keyed.clone(), keyed, Just(Effect::Unsafe)]
+    let keyed = (scope, window).prop_map(|(scope, window)| Idempotency::Keyed { scope, window });
+    prop_oneof![Just(Idempotency::Idempotent), keyed.clone(), keyed, Just(Idempotency::NotIdempotent)]
 }
 
 prop_compose! {
     fn class()(
         deadline in prop_oneof![4 => time(), 1 => Just(0)],
         target in prop_oneof![1 => Just(0), 4 => time()],
-        message_aim in prop_oneof![Just(0), 1..=S],
+        message_latency_objective in prop_oneof![Just(0), 1..=S],
         attempts in 1..=5_u32,
-        effect in effect(),
-        worth in prop_oneof![Just(0.0), Just(1.0), 0.0..1e6],
+        idempotency in idempotency(),
+        priority_weight in prop_oneof![Just(0.0), Just(1.0), 0.0..1e6],
         told in prop_oneof![5 => Just(100), 2 => 1..=100_i64, 1 => Just(0)],
     ) -> (Class, Option<Micros>) {
         // The whole deadline, a part of it, or nothing is told with the request.
         let left = (deadline > 0 && told > 0).then(|| (deadline / 100 * told).max(1));
-        (Class { target, deadline, message_aim, attempts, effect, worth }, left)
+        (Class { target, deadline, message_latency_objective, attempts, idempotency, priority_weight }, left)
     }
 }
 
@@ -70,7 +70,7 @@
         max_retry_after in prop_oneof![Just(0), 1..=10 * S],
         cold in (figure(), prop_oneof![Just(0), 1..=20 * S], figure(), prop_oneof![Just(0), 1..=5 * S]),
         prices in (prop_oneof![Just(0.0), 0.0..1.0], prop_oneof![Just(0.0), 0.0..1.0]),
-        over_share_worth in figure(),
+        over_quota_weight in figure(),
     ) -> Settings {
         let tenant = |(allowance_per_s, allowance_open)| Tenant { allowance_per_s, allowance_open };
         Settings {
@@ -80,22 +80,22 @@
             classes: Vec::new(),
             tenants: tenants.into_iter().map(tenant).collect(),
             groups: flags[0],
-            worth_by_work: flags[1],
-            over_share_worth,
+            weight_by_work: flags[1],
+            over_quota_weight,
             step,
             list_on_request: flags[2],
-            list_told_unasked: flags[3],
+            list_pushed: flags[3],
             weighted: flags[4],
             retry_after: flags[5],
             max_retry_after,
-            cold_from: cold.0,
-            warm_up: cold.1,
-            fall_multiple: cold.2,
-            fall_window: cold.3,
+            slow_start_from: cold.0,
+            slow_start_window: cold.1,
+            overload_multiple: cold.2,
+            overload_window: cold.3,
             probes: false,
             report_load: None,
             probe_price: prices.0,
-            move_price: prices.1,
+            migration_price: prices.1,
         }
     }
 }
--- a/crates/decision/tests/any_settings/judge.rs
+++ b/crates/decision/tests/any_settings/judge.rs
@@ -62,7 +62,7 @@
 
 #[derive(Clone, Debug)]
 struct Asked {
-    effect: Effect,
+    idempotency: Idempotency,
     tries: u32,
     deadline: Option<Micros>,
     attempts: Vec<Attempt>,
@@ -105,14 +105,14 @@
         for entry in entries {
             let known = self.servers.entry(entry.server).or_default();
             known.spot = (entry.zone, entry.cell);
-            known.told = if entry.state == Listed::Ready { None } else { known.told.or(Some(now)) };
+            known.told = if entry.state == ServerState::Ready { None } else { known.told.or(Some(now)) };
         }
     }
 
     pub fn request(&mut self, now: Micros, request: &Request, class: &Class) {
         let deadline = request.left.map(|left| now.saturating_add(left));
-        let (effect, tries) = (class.effect, class.attempts);
-        let asked = Asked { effect, tries, deadline, attempts: Vec::new(), over: None };
+        let (idempotency, tries) = (class.idempotency, class.attempts);
+        let asked = Asked { idempotency, tries, deadline, attempts: Vec::new(), over: None };
         self.asked.insert(request.id, asked);
     }
 
@@ -144,8 +144,8 @@
     pub fn written(&mut self, now: Micros, id: RequestId, number: usize) {
         let Some(asked) = self.asked.get_mut(&id) else { return };
         asked.attempts[number].written = Some(now);
-        let (attempts, effect) = (asked.attempts.clone(), asked.effect);
-        let Effect::Keyed { window, .. } = effect else { return };
+        let (attempts, idempotency) = (asked.attempts.clone(), asked.idempotency);
+        let Idempotency::Keyed { window, .. } = idempotency else { return };
         for earlier in attempts[..number].iter().filter(|earlier| earlier.may_have_run()) {
             if now >= earlier.sent + window {
                 let after = now - earlier.sent;
@@ -172,7 +172,7 @@
     pub fn action(&mut self, now: Micros, action: &Action) {
         match action {
             Action::Send { request, server, .. } => self.send(now, *request, *server),
-            Action::Refuse { request, .. } => self.answer(now, *request, true),
+            Action::Reject { request, .. } => self.answer(now, *request, true),
             Action::Fail { request, .. } => self.answer(now, *request, false),
             _ => {}
         }
@@ -204,7 +204,7 @@
         let spot = known.unwrap_or_default().spot;
         let earlier = asked.attempts.clone();
         asked.attempts.push(Attempt { spot, sent: now, written: None, outcome: None });
-        let (effect, tries, over) = (asked.effect, asked.tries, asked.over);
+        let (idempotency, tries, over) = (asked.idempotency, asked.tries, asked.over);
         if let Some(why) = over {
             let rule = if why == "its client left" { Rule::Gone } else { Rule::Answered };
             self.broken(rule, format!("{id:?} is sent at {now}, but {why}"));
@@ -216,10 +216,10 @@
             self.broken(Rule::OneOut, format!("{id:?}: two attempts out at {now}: {earlier:?}"));
         }
         for first in earlier.iter().filter(|attempt| attempt.may_have_run()) {
-            let harmless = match effect {
-                Effect::Safe => true,
-                Effect::Unsafe => false,
-                Effect::Keyed { scope, window } => {
+            let harmless = match idempotency {
+                Idempotency::Idempotent => true,
+                Idempotency::NotIdempotent => false,
+                Idempotency::Keyed { scope, window } => {
                     let seen = match scope {
                         Scope::All => true,
                         Scope::Zone => first.spot.0 == spot.0,
@@ -229,7 +229,7 @@
                 }
             };
             if !harmless {
-                let told = format!("{id:?}, {effect:?}: sent to {spot:?} at {now} after {first:?}");
+                let told = format!("{id:?}, {idempotency:?}: sent to {spot:?} at {now} after {first:?}");
                 return self.broken(Rule::NoEffectTwice, told);
             }
         }
@@ -240,7 +240,7 @@
             return self.broken(Rule::Answered, format!("{id:?} is answered, but was never asked for"));
         };
         let over = asked.over.replace("it is answered");
-        let (effect, deadline, attempts) = (asked.effect, asked.deadline, asked.attempts.clone());
+        let (idempotency, deadline, attempts) = (asked.idempotency, asked.deadline, asked.attempts.clone());
         if let Some(why) = over {
             self.broken(Rule::Answered, format!("{id:?} is answered at {now}, but {why}"));
         }
@@ -248,9 +248,10 @@
             self.broken(Rule::Answered, format!("{id:?} is answered {late} us after its deadline"));
         }
         let may_have_run = attempts.iter().any(Attempt::may_have_run);
-        let fair = matches!(effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. });
+        let fair =
+            matches!(idempotency, Idempotency::Idempotent | Idempotency::Keyed { scope: Scope::All, .. });
         if refusal && may_have_run && !fair {
-            self.broken(Rule::NoEffectTwice, format!("{id:?}, {effect:?}: refused after {attempts:?}"));
+            self.broken(Rule::NoEffectTwice, format!("{id:?}, {idempotency:?}: refused after {attempts:?}"));
         }
     }
 
--- a/crates/decision/tests/any_settings/mutants.rs
+++ b/crates/decision/tests/any_settings/mutants.rs
@@ -44,10 +44,10 @@
     /// What it believes the settings to be.
     pub fn settings(self, mut settings: Settings) -> Settings {
         for class in &mut settings.classes {
-            match (self, &mut class.effect) {
+            match (self, &mut class.idempotency) {
                 (Mutant::TriesOnce, _) => class.attempts += 1,
-                (Mutant::ForgetsTheWindow, Effect::Keyed { window, .. }) => *window = i64::MAX / 4,
-                (Mutant::ForgetsTheGroup, Effect::Keyed { scope, .. }) => *scope = Scope::All,
+                (Mutant::ForgetsTheWindow, Idempotency::Keyed { window, .. }) => *window = i64::MAX / 4,
+                (Mutant::ForgetsTheGroup, Idempotency::Keyed { scope, .. }) => *scope = Scope::All,
                 _ => {}
             }
         }
@@ -57,13 +57,13 @@
     /// What it hears of an event.
     pub fn event(self, event: Event) -> Option<Event> {
         match (self, event) {
-            (Mutant::MissesLeftClients, Event::Gone(_)) => None,
+            (Mutant::MissesLeftClients, Event::ClientClosed(_)) => None,
             (Mutant::MissesLeftClients, Event::Ended { request, attempt, server, outcome, .. }) => {
                 Some(Event::Ended { request, attempt, server, outcome, last: false })
             }
-            (Mutant::MissesItsOwnEnd | Mutant::HoldsAtItsEnd, Event::Leaving) => None,
+            (Mutant::MissesItsOwnEnd | Mutant::HoldsAtItsEnd, Event::ShuttingDown) => None,
             (Mutant::MissesDrains, Event::List { full: false, copy, mut entries }) => {
-                entries.iter_mut().for_each(|entry| entry.state = Listed::Ready);
+                entries.iter_mut().for_each(|entry| entry.state = ServerState::Ready);
                 Some(Event::List { full: false, copy, entries })
             }
             (
@@ -78,7 +78,7 @@
     pub fn actions(self, ends: bool, actions: Vec<Action>) -> Vec<Action> {
         let mut done = Vec::new();
         for action in actions {
-            let is_answer = matches!(action, Action::Refuse { .. } | Action::Fail { .. });
+            let is_answer = matches!(action, Action::Reject { .. } | Action::Fail { .. });
             match (self, action) {
                 (Mutant::SwallowsAnswers, _) if is_answer => {}
                 (Mutant::AnswersTwice, answer) if is_answer => done.extend([answer.clone(), answer]),
@@ -88,8 +88,8 @@
                 (Mutant::WritesAtAnyTime, Action::Send { request, server, timeout, .. }) => {
                     done.push(Action::Send { request, server, timeout, before: None });
                 }
-                (Mutant::RefusesWhatFailed, Action::Fail { request, why }) => {
-                    done.push(Action::Refuse { request, retry_after: 0, why });
+                (Mutant::RefusesWhatFailed, Action::Fail { request, reason }) => {
+                    done.push(Action::Reject { request, retry_after: 0, reason });
                 }
                 (_, action) => done.push(action),
             }
--- a/crates/decision/tests/any_settings/rulings.rs
+++ b/crates/decision/tests/any_settings/rulings.rs
@@ -12,7 +12,7 @@
 }
 
 impl Whims {
-    pub fn say(self, now: Micros, id: RequestId) -> Ruling {
+    pub fn say(self, now: Micros, id: RequestId) -> RoutingVerdict {
         let second = (now / S) as u64;
         let mix =
             self.seed ^ id.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ second.wrapping_mul(0xd6e8_feb8_6659_fd93);
@@ -22,7 +22,7 @@
             let some = (0..self.servers).filter(|server| bits >> (server % 16) & 1 == 1).map(ServerId);
             Some(Arc::new(some.collect::<ServerSet>()))
         };
-        let mut ruling = Ruling::default();
+        let mut ruling = RoutingVerdict::default();
         match z % 8 {
             0 => ruling.allowed = set(z >> 8),
             1 => ruling.preferred = set(z >> 8),
@@ -35,14 +35,14 @@
     }
 }
 
-impl Rules for Whims {
-    fn ruling(&mut self, now: Micros, request: &Request) -> Ruling {
+impl RoutingRules for Whims {
+    fn ruling(&mut self, now: Micros, request: &Request) -> RoutingVerdict {
         self.say(now, request.id)
     }
 
     fn sent(&mut self, _now: Micros, _request: &Request, _server: ServerId) {}
 
-    fn stay(&mut self, _now: Micros, request: &Request, _server: ServerId) -> Option<Stay> {
-        [None, Some(Stay::ToTheLast), Some(Stay::UntilDrained)][request.id.0 as usize % 3]
+    fn stickiness(&mut self, _now: Micros, request: &Request, _server: ServerId) -> Option<Stickiness> {
+        [None, Some(Stickiness::MigrateLast), Some(Stickiness::UntilDrained)][request.id.0 as usize % 3]
     }
 }
--- a/crates/decision/tests/any_settings/world.rs
+++ b/crates/decision/tests/any_settings/world.rs
@@ -188,7 +188,7 @@
         Entry {
             server: ServerId(number),
             digest: u64::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ self.plan.seed,
-            state: Listed::Ready,
+            state: ServerState::Ready,
             zone: ZoneId(self.below(u64::from(self.plan.zones)) as u16),
             cell: self.below(u64::from(self.plan.cells)) as u32,
             started,
@@ -214,7 +214,7 @@
                     self.seen.left += 1;
                     self.clients.entry(id).and_modify(|client| client.over = true);
                     self.judge.gone(id);
-                    self.tell(Event::Gone(id));
+                    self.tell(Event::ClientClosed(id));
                 }
             }
             Happening::Written { id, number, at } => self.judge.written(at, id, number),
@@ -259,7 +259,7 @@
                 self.ends = true;
                 self.judge.leaving(self.now);
                 let before = (self.seen.refused, self.seen.failed);
-                self.tell(Event::Leaving);
+                self.tell(Event::ShuttingDown);
                 self.seen.answered_at_the_end += self.seen.refused + self.seen.failed - before.0 - before.1;
             }
         }
@@ -319,11 +319,11 @@
         }
         let number = self.below(self.servers.len() as u64) as usize;
         let anew = self.entry(number as u32);
-        let state = [Listed::Ready, Listed::Draining, Listed::Gone][self.below(3) as usize];
-        self.seen.drains += usize::from(state != Listed::Ready);
+        let state = [ServerState::Ready, ServerState::Draining, ServerState::Removed][self.below(3) as usize];
+        self.seen.drains += usize::from(state != ServerState::Ready);
         // What starts anew may be put into another cell.
         let entry = match state {
-            Listed::Ready => anew,
+            ServerState::Ready => anew,
             state => Entry { state, ..self.servers[number].entry.clone() },
         };
         self.servers[number].entry = entry.clone();
@@ -332,7 +332,7 @@
             let changed = if whole { &self.servers[..] } else { &self.servers[number..=number] };
             let entries = changed.iter().map(|server| server.entry.clone());
             // What is gone is left out of a whole list.
-            let entries = entries.filter(|entry| !whole || entry.state != Listed::Gone).collect();
+            let entries = entries.filter(|entry| !whole || entry.state != ServerState::Removed).collect();
             self.list(whole, false, entries);
         }
         if self.chance(50) {
@@ -349,23 +349,26 @@
     /// What peers, servers and the operators say.
     fn hearsay(&mut self) {
         let server = ServerId(self.below(u64::from(self.plan.servers) + 2) as u32);
-        let word = [Word::Well, Word::Unwell, Word::Unclear][self.below(3) as usize];
+        let word =
+            [PeerVerdict::Healthy, PeerVerdict::Unhealthy, PeerVerdict::Inconclusive][self.below(3) as usize];
         let event = match self.below(8) {
-            0 => Event::DelayNote { server, delay: self.time(2 * S) },
-            1 => {
-                Event::Tier(Tier { nodes: self.below(400) as f64, part: 0.01, failing: self.below(2) as f64 })
-            }
-            2 => Event::Ruled,
+            0 => Event::LatencyUpdate { server, latency: self.time(2 * S) },
+            1 => Event::Fleet(FleetStatus {
+                nodes: self.below(400) as f64,
+                demand_share: 0.01,
+                failure_rate: self.below(2) as f64,
+            }),
+            2 => Event::RulesChanged,
             3 if self.subscribed => Event::ListSilent,
-            4 => Event::ByHand { entries: Vec::new() },
+            4 => Event::ManualOverride { entries: Vec::new() },
             5 => {
                 // The tier has grown; classes keep what they are.
                 let grown = Settings { nodes: 1 + self.below(300) as u32, ..self.plan.settings.clone() };
                 let believed = self.mutant.map_or(grown.clone(), |mutant| mutant.settings(grown));
                 Event::Settings(Box::new(believed))
             }
-            6 => Event::LoadNote { request: RequestId(self.below(80)), load: 1e5 },
-            _ => Event::Peer { from: self.below(4) as u32, server, word },
+            6 => Event::LoadUpdate { request: RequestId(self.below(80)), load: 1e5 },
+            _ => Event::PeerReport { from: self.below(4) as u32, server, verdict: word },
         };
         self.tell(event);
     }
@@ -398,7 +401,7 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Send { request, server, timeout, before } => self.send(request, server, timeout, before),
-            Action::Refuse { request, .. } => {
+            Action::Reject { request, .. } => {
                 self.seen.refused += 1;
                 self.clients.entry(request).and_modify(|client| client.over = true);
             }
@@ -412,12 +415,12 @@
                 let at = self.now + after.max(1);
                 self.at(at, Happening::Ring(token));
             }
-            Action::Watch => {
+            Action::WatchList => {
                 let fails = self.chance(self.plan.list_fails);
                 let after = self.now + self.time(300 * MS);
                 self.at(after, Happening::ListAnswer { fails });
             }
-            Action::Move(_) | Action::Probe(_) | Action::Log { .. } | Action::Believe { .. } => {}
+            Action::Migrate(_) | Action::Probe(_) | Action::Log { .. } | Action::HealthChanged { .. } => {}
         }
     }
 
--- a/crates/decision/tests/cold_fleet.rs
+++ b/crates/decision/tests/cold_fleet.rs
@@ -87,11 +87,11 @@
     let settings = Settings {
         nodes,
         tenants,
-        cold_from: chance.within(0.1, 0.5),
-        warm_up: (chance.within(5.0, 15.0) * S as f64) as Micros,
-        fall_multiple: chance.within(2.0, 4.0),
-        fall_window: (chance.within(1.5, 3.0) * S as f64) as Micros,
-        ..settings(Effect::Safe)
+        slow_start_from: chance.within(0.1, 0.5),
+        slow_start_window: (chance.within(5.0, 15.0) * S as f64) as Micros,
+        overload_multiple: chance.within(2.0, 4.0),
+        overload_window: (chance.within(1.5, 3.0) * S as f64) as Micros,
+        ..settings(Idempotency::Idempotent)
     };
     let crowd = (allowance_open * chance.within(0.3, 1.5)) as u64;
     let burst = ((chance.within(0.0, 12.0) * S as f64) as Micros, S + chance.below(2_000_000) as i64, crowd);
@@ -106,7 +106,7 @@
     Asks { client: usize, tries: u32 },
     Up { node: usize, life: u32, request: u64, server: u32, sent: Micros },
     Rings { node: usize, life: u32, token: u32 },
-    Listed { node: usize, life: u32, server: u32, state: u8 },
+    ServerState { node: usize, life: u32, server: u32, state: u8 },
     Phase { server: u32, state: u8 },
     Tell,
     Dies { node: usize },
@@ -265,11 +265,11 @@
             Due::Rings { node, life, token } if self.lives[node] == life => {
                 self.tell(node, now, Event::Timer(token));
             }
-            Due::Listed { node, life, server, state } if self.lives[node] == life => {
+            Due::ServerState { node, life, server, state } if self.lives[node] == life => {
                 let entries = vec![self.entry(server, state)];
                 self.tell(node, now, Event::List { full: false, copy: false, entries });
             }
-            Due::Rings { .. } | Due::Listed { .. } => {}
+            Due::Rings { .. } | Due::ServerState { .. } => {}
             Due::Phase { server, state } => self.phase(now, server, state),
             Due::Tell => self.told(now),
             Due::Dies { node } => {
@@ -292,7 +292,7 @@
     }
 
     fn entry(&self, server: u32, state: u8) -> Entry {
-        let listed = [Listed::Gone, Listed::Draining, Listed::Ready][usize::from(state)];
+        let listed = [ServerState::Removed, ServerState::Draining, ServerState::Ready][usize::from(state)];
         Entry { started: self.servers[server as usize].started, ..entry(server, listed) }
     }
 
@@ -304,7 +304,7 @@
         self.servers[server as usize].state = state;
         for node in 0..self.nodes.len() {
             let at = now + (self.chance.part() * 200e3) as Micros;
-            self.push(at, Due::Listed { node, life: self.lives[node], server, state });
+            self.push(at, Due::ServerState { node, life: self.lives[node], server, state });
         }
     }
 
@@ -338,9 +338,13 @@
         let is_half = self.plan.told == Told::Half;
         for node in (0..count).filter(|node| !is_half || node % 2 == 0) {
             let (members, holds) = sums[side(node)];
-            let tier = Tier { nodes: members, part: self.holds[node] / holds.max(1.0), failing: 0.0 };
+            let tier = FleetStatus {
+                nodes: members,
+                demand_share: self.holds[node] / holds.max(1.0),
+                failure_rate: 0.0,
+            };
             if self.nodes[node].is_some() {
-                self.tell(node, now, Event::Tier(tier));
+                self.tell(node, now, Event::Fleet(tier));
             }
         }
         self.counted.iter_mut().for_each(|counted| *counted *= 0.7);
@@ -362,14 +366,14 @@
                     }
                     self.push(now + 30 * MS, Due::Up { node, life, request, server, sent: now });
                 }
-                Action::Refuse { request, retry_after, .. } => {
+                Action::Reject { request, retry_after, .. } => {
                     self.holds[node] -= 1.0;
                     let (client, tries) = self.requests[request.0 as usize];
                     let wait = if tries < 3 { 100 * MS } else { S };
                     self.push(now + wait.max(retry_after), Due::Asks { client, tries: tries + 1 });
                 }
                 // It comes again.
-                Action::Move(request) => {
+                Action::Migrate(request) => {
                     self.holds[node] -= 1.0;
                     let (client, _) = self.requests[request.0 as usize];
                     self.push(now + 200 * MS, Due::Asks { client, tries: 1 });
@@ -383,16 +387,16 @@
     /// Every window that begins with an arrival, against what the server bears in it: its capacity rises evenly, so that of the
     /// window's middle is the mean.
     fn judge(&mut self, server: usize) {
-        let Settings { fall_multiple, fall_window, warm_up, .. } = self.plan.settings;
+        let Settings { overload_multiple, overload_window, slow_start_window, .. } = self.plan.settings;
         let Some(started) = self.servers[server].started else { return };
         let mut came = std::mem::take(&mut self.servers[server].came);
         // A warm one doesn't fall.
-        came.retain(|at| at - started < warm_up);
-        let per_s = self.plan.fills / (warm_up as f64 / 1e6);
+        came.retain(|at| at - started < slow_start_window);
+        let per_s = self.plan.fills / (slow_start_window as f64 / 1e6);
         for (first, from) in came.iter().enumerate() {
-            let burst = came[first..].partition_point(|at| at - from < fall_window) as f64;
-            let share = self.plan.settings.share_at(from - started + fall_window / 2);
-            let allowed = fall_multiple * share * per_s * fall_window as f64 / 1e6;
+            let burst = came[first..].partition_point(|at| at - from < overload_window) as f64;
+            let share = self.plan.settings.share_at(from - started + overload_window / 2);
+            let allowed = overload_multiple * share * per_s * overload_window as f64 / 1e6;
             let bears = allowed + 2.0 * allowed.sqrt() + 2.0;
             if burst / bears > self.worst.0 {
                 let age = (from - started) as f64 / 1e6;
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -13,26 +13,33 @@
     pub timers: Vec<(Micros, u32)>,
 }
 
-pub fn class(effect: Effect) -> Class {
-    Class { target: 500 * MS, deadline: 2 * S, message_aim: 100 * MS, attempts: 4, effect, worth: 1.0 }
+pub fn class(idempotency: Idempotency) -> Class {
+    Class {
+        target: 500 * MS,
+        deadline: 2 * S,
+        message_latency_objective: 100 * MS,
+        attempts: 4,
+        idempotency,
+        priority_weight: 1.0,
+    }
 }
 
-pub fn settings(effect: Effect) -> Settings {
+pub fn settings(idempotency: Idempotency) -> Settings {
     Settings {
         nodes: 1,
-        classes: vec![class(effect)],
+        classes: vec![class(idempotency)],
         step: 5 * MS,
         retry_after: true,
         max_retry_after: 2 * S,
-        cold_from: 0.2,
-        warm_up: 10 * S,
-        fall_multiple: 3.0,
-        fall_window: 3 * S,
+        slow_start_from: 0.2,
+        slow_start_window: 10 * S,
+        overload_multiple: 3.0,
+        overload_window: 3 * S,
         ..Settings::default()
     }
 }
 
-pub fn entry(server: u32, state: Listed) -> Entry {
+pub fn entry(server: u32, state: ServerState) -> Entry {
     Entry {
         server: ServerId(server),
         digest: u64::from(server).wrapping_mul(0x9e37_79b9_7f4a_7c15),
@@ -61,7 +68,7 @@
         let now = 100 * S;
         let balancer = Balancer::new(settings, 7, now);
         let mut node = Node { now, balancer, done: Vec::new(), timers: Vec::new() };
-        let entries = (0..servers).map(|s| entry(s, Listed::Ready)).collect();
+        let entries = (0..servers).map(|s| entry(s, ServerState::Ready)).collect();
         node.tell(Event::List { full: true, copy: true, entries });
         node
     }
@@ -135,7 +142,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
@@ -143,6 +150,6 @@
 }
 
 pub fn moves(actions: &[Action]) -> Vec<u64> {
-    let moved = |a: &Action| if let Action::Move(request) = a { Some(request.0) } else { None };
+    let moved = |a: &Action| if let Action::Migrate(request) = a { Some(request.0) } else { None };
     actions.iter().filter_map(moved).collect()
 }
--- a/crates/decision/tests/homes.rs
+++ b/crates/decision/tests/homes.rs
@@ -1,8 +1,8 @@
-//! Homes by a group's size: what was told of a group decides over how many servers its connections rotate, and nothing else.
+//! AffinitySubsets by a group's size: what was told of a group decides over how many servers its connections rotate, and nothing else.
 
 mod common;
 use common::*;
-use cottonnotch_decision::homes::LEAST_HOMES;
+use cottonnotch_decision::affinity::MIN_SUBSET_SIZE;
 use cottonnotch_decision::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,7 +14,7 @@
 }
 
 fn node(ordinal: u32, nodes: u32, servers: u32) -> Node {
-    Node::new(Settings { ordinal, nodes, groups: true, ..settings(Effect::Safe) }, servers)
+    Node::new(Settings { ordinal, nodes, groups: true, ..settings(Idempotency::Idempotent) }, servers)
 }
 
 /// Where so many connections of a group go.
@@ -45,15 +45,15 @@
 fn a_group_rotates_over_as_many_as_told_and_keeps_those_that_it_had() {
     let mut one = node(0, 8, 90);
     let five = homes(&mut one, GROUP, 0);
-    assert_eq!(five.len(), LEAST_HOMES);
-    one.tell(Event::Homes(vec![(GROUP, 17)]));
+    assert_eq!(five.len(), MIN_SUBSET_SIZE);
+    one.tell(Event::AffinitySubsets(vec![(GROUP, 17)]));
     let more = homes(&mut one, GROUP, 1_000);
     assert_eq!(more.len(), 17);
     assert!(more.is_superset(&five), "more homes only add to those that were");
     let other = homes(&mut node(5, 8, 90), GROUP, 0);
     assert_eq!(other, five, "a node that wasn't told: the first of the same order");
-    assert_eq!(homes(&mut one, GROUP + 1, 2_000).len(), LEAST_HOMES, "another group has what it had");
-    one.tell(Event::Homes(vec![]));
+    assert_eq!(homes(&mut one, GROUP + 1, 2_000).len(), MIN_SUBSET_SIZE, "another group has what it had");
+    one.tell(Event::AffinitySubsets(vec![]));
     assert_eq!(homes(&mut one, GROUP, 3_000), five, "what is told of no more has five again");
 }
 
@@ -61,11 +61,11 @@
 fn never_fewer_than_five_and_no_more_than_there_are() {
     let mut one = node(0, 1, 12);
     for (told, are) in [(0, 5), (1, 5), (5, 5), (6, 6), (12, 12), (13, 12), (u32::MAX, 12)] {
-        one.tell(Event::Homes(vec![(GROUP, told)]));
+        one.tell(Event::AffinitySubsets(vec![(GROUP, told)]));
         assert_eq!(homes(&mut one, GROUP, u64::from(told) * 1_000).len(), are, "told {told}");
     }
     let mut few = node(0, 1, 3);
-    few.tell(Event::Homes(vec![(GROUP, 9)]));
+    few.tell(Event::AffinitySubsets(vec![(GROUP, 9)]));
     assert_eq!(homes(&mut few, GROUP, 0).len(), 3);
 }
 
@@ -75,7 +75,7 @@
     #[test]
     fn homes_are_the_first_of_the_group_s_order(group: u64, servers in 1..40_u32, told in 0..60_u32) {
         let score = |server: &u32| {
-            let digest = entry(*server, Listed::Ready).digest;
+            let digest = entry(*server, ServerState::Ready).digest;
             let mixed = digest ^ group.wrapping_mul(0x9e37_79b9_7f4a_7c15);
             (names::unit(mixed) * 1e18) as u64
         };
@@ -83,7 +83,7 @@
         order.sort_by_key(|server| std::cmp::Reverse(score(server)));
         order.truncate(told.max(5) as usize);
         let mut one = node(0, 1, servers);
-        one.tell(Event::Homes(vec![(group, told)]));
+        one.tell(Event::AffinitySubsets(vec![(group, told)]));
         prop_assert_eq!(homes(&mut one, group, 0), order.into_iter().collect::<BTreeSet<u32>>());
     }
 }
@@ -91,10 +91,10 @@
 #[test]
 fn a_draining_home_gets_nothing_new_and_the_next_in_order_takes_its_place() {
     let mut one = node(0, 1, 60);
-    one.tell(Event::Homes(vec![(GROUP, 20)]));
+    one.tell(Event::AffinitySubsets(vec![(GROUP, 20)]));
     let before = homes(&mut one, GROUP, 0);
     let gone = *before.first().unwrap();
-    let entries = vec![entry(gone, Listed::Draining)];
+    let entries = vec![entry(gone, ServerState::Draining)];
     one.tell(Event::List { full: false, copy: false, entries });
     let after = homes(&mut one, GROUP, 1_000);
     assert!(!after.contains(&gone) && after.len() == 20);
@@ -110,9 +110,9 @@
         let mut one = node(0, 1, 40);
         places(&mut one, group, 0..400);
         let started = Some(one.now);
-        let entries = vec![Entry { started, ..entry(cold, Listed::Ready) }];
+        let entries = vec![Entry { started, ..entry(cold, ServerState::Ready) }];
         one.tell(Event::List { full: false, copy: false, entries });
-        one.tell(Event::Homes(vec![(GROUP, 40)]));
+        one.tell(Event::AffinitySubsets(vec![(GROUP, 40)]));
         let mut sent = 0;
         for round in 0..30_u64 {
             one.run_to(one.now + S / 10);
@@ -129,9 +129,9 @@
 /// A repeat of what may have run goes where repeats are dropped, whether that is a home or not.
 #[test]
 fn a_keyed_repeat_stays_in_its_zone_whatever_its_homes() {
-    let keyed = Effect::Keyed { scope: Scope::Zone, window: 10 * S };
+    let keyed = Idempotency::Keyed { scope: Scope::Zone, window: 10 * S };
     let mut one = Node::new(Settings { groups: true, ..settings(keyed) }, 40);
-    one.tell(Event::Homes(vec![(GROUP, 11)]));
+    one.tell(Event::AffinitySubsets(vec![(GROUP, 11)]));
     for id in 0..60 {
         let first = one.tell(Event::Request(grouped(id, GROUP)));
         let Some(Action::Send { server: at, .. }) = first.iter().find(|a| matches!(a, Action::Send { .. }))
--- a/crates/decision/tests/list_clock.rs
+++ b/crates/decision/tests/list_clock.rs
@@ -1,7 +1,7 @@
 //! The list's clock on virtual time: how much of the six seconds after a watch's last word is left when a new watch has
 //! answered. Discovery's calls fail after 50 ms, and a call that goes well has answered after 50 ms.
 
-use cottonnotch_decision::list_calls::SILENT_AFTER;
+use cottonnotch_decision::list_polling::WATCH_SILENT_AFTER;
 use cottonnotch_decision::*;
 
 const MS: Micros = 1_000;
@@ -20,7 +20,7 @@
 /// When this node's watch answers anew after its last word at 0, when its first calls fail; and when it called.
 fn answered(node: &mut Balancer, failures: usize) -> (Micros, Vec<Micros>) {
     let mut out = Vec::new();
-    let mut now = SILENT_AFTER;
+    let mut now = WATCH_SILENT_AFTER;
     let mut calls = Vec::new();
     node.handle(now, Event::ListSilent, &mut out);
     loop {
@@ -28,7 +28,7 @@
         now += after;
         out.clear();
         node.handle(now, Event::Timer(token), &mut out);
-        assert_eq!(out[0], Action::Watch);
+        assert_eq!(out[0], Action::WatchList);
         calls.push(now);
         now += CALL;
         out.clear();
@@ -63,7 +63,7 @@
             let wanted = if failures < 2 || nodes == 2 { 0 } else { -GRACE };
             assert!(left > wanted, "{nodes} nodes, {failures} failed: {left}");
             if nodes == 2 {
-                assert!(first.iter().all(|at| at - SILENT_AFTER < 10 * MS), "two call at once");
+                assert!(first.iter().all(|at| at - WATCH_SILENT_AFTER < 10 * MS), "two call at once");
             }
         }
     }
@@ -115,7 +115,7 @@
 /// What comes of the copy that a node starts with, of so many nodes.
 fn start(ordinal: u32, nodes: u32, told_unasked: bool) -> Vec<Action> {
     let asked = Settings { ordinal, nodes, list_on_request: true, ..Settings::default() };
-    let settings = Settings { list_told_unasked: told_unasked, ..asked };
+    let settings = Settings { list_pushed: told_unasked, ..asked };
     let mut out = Vec::new();
     let copy = Event::List { full: true, copy: true, entries: Vec::new() };
     Balancer::new(settings, u64::from(ordinal), 0).handle(0, copy, &mut out);
@@ -127,7 +127,7 @@
     for nodes in [1, 5, 300] {
         for ordinal in 0..nodes {
             let out = start(ordinal, nodes, true);
-            assert_eq!(out.first(), Some(&Action::Watch), "{nodes} nodes: {out:?}");
+            assert_eq!(out.first(), Some(&Action::WatchList), "{nodes} nodes: {out:?}");
         }
     }
 }
@@ -148,17 +148,16 @@
 
 #[test]
 fn a_first_call_that_fails_or_is_not_answered_is_made_again() {
-    let settings =
-        Settings { nodes: 5, list_on_request: true, list_told_unasked: true, ..Settings::default() };
+    let settings = Settings { nodes: 5, list_on_request: true, list_pushed: true, ..Settings::default() };
     let mut node = Balancer::new(settings, 3, 0);
     let mut out = Vec::new();
     node.handle(0, Event::List { full: true, copy: true, entries: Vec::new() }, &mut out);
-    let [Action::Watch, Action::Timer { after: given_up, token }] = out[..] else { panic!("{out:?}") };
+    let [Action::WatchList, Action::Timer { after: given_up, token }] = out[..] else { panic!("{out:?}") };
     out.clear();
     node.handle(CALL, Event::ListFailed, &mut out);
     let [Action::Timer { after, .. }] = out[..] else { panic!("{out:?}") };
     assert!(after < S && after < given_up, "{after}");
     out.clear();
     node.handle(CALL + after, Event::Timer(token), &mut out);
-    assert_eq!(out.first(), Some(&Action::Watch));
+    assert_eq!(out.first(), Some(&Action::WatchList));
 }
--- a/crates/decision/tests/list_calls.rs
+++ b/crates/decision/tests/list_polling.rs
@@ -2,7 +2,7 @@
 //! What became of a call, whatever it was, must not put off the next one: a change counts as told 6 s after discovery had
 //! it and could be reached.
 
-use cottonnotch_decision::list_calls::{SILENT_AFTER, UNTOLD_AFTER};
+use cottonnotch_decision::list_polling::{UNANSWERED_AFTER, WATCH_SILENT_AFTER};
 use cottonnotch_decision::*;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -64,7 +64,7 @@
     let fleet = (0..nodes).map(|n| Balancer::new(settings(n), seed ^ (u64::from(n) << 20), 0));
     let mut fleet: Vec<Balancer> = fleet.collect();
     let mut due: BinaryHeap<Reverse<(Micros, u32, Due)>> =
-        (0..nodes).map(|n| Reverse((SILENT_AFTER, n, Due::Silent))).collect();
+        (0..nodes).map(|n| Reverse((WATCH_SILENT_AFTER, n, Due::Silent))).collect();
     let (mut last, mut calls) = (vec![None; nodes as usize], Vec::new());
     let (mut seen, mut told, mut free) = (Seen::default(), 0, 0);
     let mut recent: VecDeque<Micros> = VecDeque::new();
@@ -85,7 +85,7 @@
         for action in out {
             match action {
                 Action::Timer { after, token } => due.push(Reverse((now + after, n, Due::Timer(token)))),
-                Action::Watch => {
+                Action::WatchList => {
                     let before: Option<Micros> = last[n as usize].replace(now);
                     seen.gap = seen.gap.max(before.map_or(0, |before| now - before));
                     calls.push(now);
@@ -133,7 +133,7 @@
     Fault::Waited(800 * MS),
     Fault::Waited(2 * S),
     Fault::Waited(3 * S),
-    Fault::GivenUp(UNTOLD_AFTER),
+    Fault::GivenUp(UNANSWERED_AFTER),
 ];
 
 #[test]
--- a/crates/decision/tests/memory.rs
+++ b/crates/decision/tests/memory.rs
@@ -27,9 +27,9 @@
 /// Bytes that are held with so many render nodes and connections that stand.
 fn held(nodes: u32, connections: u64, come: Come) -> f64 {
     let region = Region::new(HEAP);
-    let mut balancer = Balancer::new(settings(Effect::Safe), 7, 100 * S);
+    let mut balancer = Balancer::new(settings(Idempotency::Idempotent), 7, 100 * S);
     let mut out = Vec::new();
-    let entries = (0..nodes).map(|server| entry(server, Listed::Ready)).collect();
+    let entries = (0..nodes).map(|server| entry(server, ServerState::Ready)).collect();
     balancer.handle(100 * S, Event::List { full: true, copy: true, entries }, &mut out);
     for id in 0..connections {
         let server = ServerId((id % u64::from(nodes)) as u32);
--- a/crates/decision/tests/module.rs
+++ b/crates/decision/tests/module.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn turns_rotate_over_all_servers() {
-    let mut node = Node::new(settings(Effect::Safe), 5);
+    let mut node = Node::new(settings(Idempotency::Idempotent), 5);
     let first: Vec<u32> = (0..5).map(|i| node.place(i).0).collect();
     let second: Vec<u32> = (5..10).map(|i| node.place(i).0).collect();
     let mut sorted = first.clone();
@@ -17,10 +17,10 @@
 
 #[test]
 fn turns_follow_listed_size_where_weights_are_given() {
-    let mut node = Node::new(Settings { weighted: true, ..settings(Effect::Safe) }, 0);
-    let mut big = entry(0, Listed::Ready);
+    let mut node = Node::new(Settings { weighted: true, ..settings(Idempotency::Idempotent) }, 0);
+    let mut big = entry(0, ServerState::Ready);
     big.weight = 3.0;
-    node.tell(Event::List { full: true, copy: false, entries: vec![big, entry(1, Listed::Ready)] });
+    node.tell(Event::List { full: true, copy: false, entries: vec![big, entry(1, ServerState::Ready)] });
     let big_turns = (0..40).filter(|i| node.place(*i) == ServerId(0)).count();
     assert!((29..=31).contains(&big_turns), "{big_turns} of 40 turns for a server three times as large");
 }
@@ -29,7 +29,7 @@
 fn nodes_enter_the_common_order_at_different_phases() {
     let first: Vec<u32> = (0..8)
         .map(|ordinal| {
-            let mut node = Node::new(Settings { ordinal, nodes: 8, ..settings(Effect::Safe) }, 8);
+            let mut node = Node::new(Settings { ordinal, nodes: 8, ..settings(Idempotency::Idempotent) }, 8);
             node.place(1).0
         })
         .collect();
@@ -39,7 +39,7 @@
 
 #[test]
 fn full_pauses_until_the_second_mark_and_moves_on_at_once() {
-    let mut node = Node::new(settings(Effect::Safe), 2);
+    let mut node = Node::new(settings(Idempotency::Idempotent), 2);
     node.now = 100 * S + 300 * MS;
     let full = node.place(1);
     let (other, _) = sent(&node.end(1, full, Outcome::Full, false)).expect("tried elsewhere at once");
@@ -57,7 +57,7 @@
 
 #[test]
 fn one_trial_after_a_pause_not_a_flood() {
-    let mut node = Node::new(settings(Effect::Safe), 2);
+    let mut node = Node::new(settings(Idempotency::Idempotent), 2);
     let bad = node.place(1);
     node.end(1, bad, Outcome::ConnectFailed, false);
     node.run_to(103 * S);
@@ -67,7 +67,7 @@
 
 #[test]
 fn failed_trial_pauses_longer() {
-    let mut node = Node::new(settings(Effect::Safe), 1);
+    let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     let mut waits = Vec::new();
     for id in 1..5 {
         let from = node.now;
@@ -89,7 +89,7 @@
 
 #[test]
 fn held_while_all_are_paused_and_released_when_one_lapses() {
-    let mut node = Node::new(settings(Effect::Safe), 1);
+    let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     node.now = 100 * S + 500 * MS;
     let server = node.place(1);
     node.end(1, server, Outcome::Full, true);
@@ -101,20 +101,20 @@
 
 #[test]
 fn refused_early_when_it_cannot_wait() {
-    let mut node = Node::new(settings(Effect::Safe), 1);
+    let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     node.now = 100 * S + 100 * MS;
     let server = node.place(1);
     node.end(1, server, Outcome::Full, true);
     let now = node.ask(2, 300 * MS);
     assert!(
-        now.iter().any(|a| matches!(a, Action::Refuse { retry_after, .. } if *retry_after > 0)),
+        now.iter().any(|a| matches!(a, Action::Reject { retry_after, .. } if *retry_after > 0)),
         "the mark is beyond its patience: {now:?}"
     );
 }
 
 #[test]
 fn with_no_time_told_refused_after_one_pause() {
-    let mut node = Node::new(settings(Effect::Safe), 0);
+    let mut node = Node::new(settings(Idempotency::Idempotent), 0);
     assert!(!refused(&node.tell(Event::Request(request(1, None)))));
     assert!(refused(&node.run_to(103 * S)));
 }
@@ -129,7 +129,7 @@
 
 #[test]
 fn unsafe_request_is_not_repeated_once_it_may_have_run() {
-    let mut node = Node::new(settings(Effect::Unsafe), 3);
+    let mut node = Node::new(settings(Idempotency::NotIdempotent), 3);
     let server = node.place(1);
     let (server, _) = sent(&node.end(1, server, Outcome::ConnectFailed, false)).expect("never ran: again");
     let end = node.end(1, server, Outcome::Error, false);
@@ -138,7 +138,7 @@
 
 #[test]
 fn keyed_request_is_repeated_only_in_its_group_and_window() {
-    let keyed = |scope| Effect::Keyed { scope, window: 600 * MS };
+    let keyed = |scope| Idempotency::Keyed { scope, window: 600 * MS };
     let mut node = Node::new(settings(keyed(Scope::Zone)), 6);
     let at = node.place(1);
     let (next, _) = sent(&node.end(1, at, Outcome::TimedOut, false)).expect("repeats are dropped there");
@@ -160,10 +160,10 @@
 
 #[test]
 fn draining_and_gone_servers_get_nothing_new() {
-    let mut node = Node::new(settings(Effect::Safe), 3);
-    let entries = vec![entry(0, Listed::Draining)];
+    let mut node = Node::new(settings(Idempotency::Idempotent), 3);
+    let entries = vec![entry(0, ServerState::Draining)];
     node.tell(Event::List { full: false, copy: false, entries });
-    let entries = vec![entry(0, Listed::Draining), entry(1, Listed::Ready)];
+    let entries = vec![entry(0, ServerState::Draining), entry(1, ServerState::Ready)];
     node.tell(Event::List { full: true, copy: false, entries });
     for id in 0..10 {
         assert_eq!(node.place(id), ServerId(1), "0 drains, 2 is absent from the full list");
@@ -172,10 +172,10 @@
 
 #[test]
 fn restart_under_the_same_id_forgets_the_old_life() {
-    let mut node = Node::new(settings(Effect::Safe), 1);
+    let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     let server = node.place(1);
     node.end(1, server, Outcome::ConnectFailed, true);
-    let mut restarted = entry(0, Listed::Ready);
+    let mut restarted = entry(0, ServerState::Ready);
     restarted.started = Some(node.now - 20 * S);
     node.tell(Event::List { full: false, copy: false, entries: vec![restarted] });
     assert_eq!(node.place(2), server);
@@ -183,7 +183,7 @@
 
 #[test]
 fn silent_server_leaves_room_for_another_try() {
-    let mut node = Node::new(settings(Effect::Safe), 2);
+    let mut node = Node::new(settings(Idempotency::Idempotent), 2);
     let (server, timeout) = sent(&node.ask(1, 600 * MS)).unwrap();
     assert!(timeout > 0 && timeout <= 300 * MS);
     node.now += timeout;
@@ -192,7 +192,7 @@
 
 #[test]
 fn attempts_run_out_and_the_request_is_refused() {
-    let mut node = Node::new(settings(Effect::Safe), 9);
+    let mut node = Node::new(settings(Idempotency::Idempotent), 9);
     let mut server = node.place(1);
     for _ in 0..3 {
         server = sent(&node.end(1, server, Outcome::ConnectFailed, false)).unwrap().0;
@@ -203,11 +203,11 @@
 
 #[test]
 fn nothing_is_sent_for_a_request_whose_client_left() {
-    let mut node = Node::new(settings(Effect::Safe), 1);
+    let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     let server = node.place(1);
     node.end(1, server, Outcome::Full, true);
     node.ask(2, 2 * S);
-    node.tell(Event::Gone(RequestId(2)));
+    node.tell(Event::ClientClosed(RequestId(2)));
     node.done.clear();
     node.run_to(110 * S);
     assert!(sent(&node.done).is_none() && !refused(&node.done));
@@ -215,11 +215,11 @@
 
 #[test]
 fn failing_list_service_is_asked_with_back_off() {
-    let mut node = Node::new(Settings { list_on_request: true, ..settings(Effect::Safe) }, 1);
+    let mut node = Node::new(Settings { list_on_request: true, ..settings(Idempotency::Idempotent) }, 1);
     let mut asked = Vec::new();
     while node.now < 160 * S {
         let at = node.now + 10 * MS;
-        if node.run_to(at).contains(&Action::Watch) {
+        if node.run_to(at).contains(&Action::WatchList) {
             asked.push(at);
             node.tell(Event::ListFailed);
         }
@@ -235,7 +235,7 @@
 /// Found on nachhoeren big-2: servers that shed were kept full by the trials of many nodes.
 #[test]
 fn lately_paused_server_takes_only_its_usual_rate() {
-    let mut node = Node::new(settings(Effect::Safe), 4);
+    let mut node = Node::new(settings(Idempotency::Idempotent), 4);
     node.carry(0..20, 500 * MS);
     let strained = ServerId(2);
     node.end(900, strained, Outcome::Full, true);
@@ -255,9 +255,9 @@
 /// Found on the rough days: a storm of returning clients filled servers that had just started.
 #[test]
 fn storm_does_not_push_over_a_cold_server() {
-    let mut node = Node::new(settings(Effect::Safe), 4);
+    let mut node = Node::new(settings(Idempotency::Idempotent), 4);
     node.carry(0..40, 250 * MS);
-    let mut cold = entry(9, Listed::Ready);
+    let mut cold = entry(9, ServerState::Ready);
     cold.started = Some(node.now);
     node.tell(Event::List { full: false, copy: false, entries: vec![cold] });
     let mut storm = 0;
@@ -272,26 +272,26 @@
 /// Found on casa rough-1 and oslo overload: a server piled up past the aim earns nothing for anyone on it.
 #[test]
 fn delay_notes_pause_and_past_the_aim_move_a_part() {
-    let mut node = Node::new(settings(Effect::Safe), 2);
+    let mut node = Node::new(settings(Idempotency::Idempotent), 2);
     for id in 0..80 {
         let at = node.place(id);
         node.begin(id, at);
     }
     let slow = ServerId(0);
-    let note = |delay| Event::DelayNote { server: slow, delay };
+    let note = |delay| Event::LatencyUpdate { server: slow, latency: delay };
     let mild = node.tell(note(40 * MS));
-    assert!(!mild.iter().any(|a| matches!(a, Action::Move(_))));
+    assert!(!mild.iter().any(|a| matches!(a, Action::Migrate(_))));
     for id in 100..110 {
         assert_eq!(node.place(id), ServerId(1), "paused by the note");
     }
-    let moved = node.tell(note(150 * MS)).iter().filter(|a| matches!(a, Action::Move(_))).count();
+    let moved = node.tell(note(150 * MS)).iter().filter(|a| matches!(a, Action::Migrate(_))).count();
     assert!((6..=8).contains(&moved), "{moved} of 40 moved: a tenth and the pile over two seconds");
 }
 
 /// Found on nachhoeren rough-1: one blow that breaks many connections counted as many failures.
 #[test]
 fn failures_during_a_pause_add_nothing() {
-    let mut node = Node::new(settings(Effect::Safe), 1);
+    let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     for id in 0..30 {
         node.place(id);
         node.begin(id, ServerId(0));
@@ -307,7 +307,8 @@
 #[test]
 fn a_group_takes_turns_at_five_servers_that_all_nodes_agree_on() {
     let places = |ordinal, groups| {
-        let mut node = Node::new(Settings { ordinal, nodes: 8, groups, ..settings(Effect::Safe) }, 12);
+        let mut node =
+            Node::new(Settings { ordinal, nodes: 8, groups, ..settings(Idempotency::Idempotent) }, 12);
         let mut turns = std::collections::BTreeMap::new();
         for id in 0..15 {
             let grouped = Request { group: Some(4711), ..request(id, Some(2 * S)) };
@@ -325,8 +326,8 @@
 /// Found on nachhoeren big-2: in overload each group found some server that its node had no news of.
 #[test]
 fn a_group_is_held_while_its_servers_are_paused() {
-    let classes = vec![Class { attempts: 9, ..class(Effect::Safe) }];
-    let mut node = Node::new(Settings { groups: true, classes, ..settings(Effect::Safe) }, 12);
+    let classes = vec![Class { attempts: 9, ..class(Idempotency::Idempotent) }];
+    let mut node = Node::new(Settings { groups: true, classes, ..settings(Idempotency::Idempotent) }, 12);
     let ask = |id| Request { group: Some(4711), ..request(id, Some(2 * S)) };
     node.carry(100..160, 100 * MS);
     let (first, _) = sent(&node.tell(Event::Request(ask(1)))).unwrap();
@@ -344,15 +345,15 @@
 /// Incident ie5ddb3: moving on while the pile already drained overshot and spread the groups.
 #[test]
 fn no_moves_while_the_pile_drains() {
-    let mut node = Node::new(settings(Effect::Safe), 1);
+    let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     for id in 0..40 {
         node.place(id);
         node.begin(id, ServerId(0));
     }
     let mut moves = |delay| {
         node.now += S;
-        let note = Event::DelayNote { server: ServerId(0), delay };
-        node.tell(note).iter().filter(|a| matches!(a, Action::Move(_))).count()
+        let note = Event::LatencyUpdate { server: ServerId(0), latency: delay };
+        node.tell(note).iter().filter(|a| matches!(a, Action::Migrate(_))).count()
     };
     assert!(moves(500 * MS) > 0);
     assert_eq!(moves(300 * MS), 0);
@@ -362,7 +363,7 @@
 /// Incident i118c6b: in overload a node always found a server that it had no news of, and held nobody out.
 #[test]
 fn servers_not_heard_of_are_doubted_while_most_are_piled_up() {
-    let mut node = Node::new(settings(Effect::Safe), 8);
+    let mut node = Node::new(settings(Idempotency::Idempotent), 8);
     for id in 0..60 {
         node.run_to(node.now + 100 * MS);
         let at = node.place(id);
@@ -372,7 +373,7 @@
         }
     }
     for server in (0..5).map(ServerId) {
-        node.tell(Event::DelayNote { server, delay: 80 * MS });
+        node.tell(Event::LatencyUpdate { server, latency: 80 * MS });
     }
     let mut tried = |from| {
         let ids = from..from + 50;
@@ -386,7 +387,7 @@
 /// Incident ic7944d: retries at server after server kept a store down that all of them share.
 #[test]
 fn sends_are_paced_while_most_fail_wherever_they_go() {
-    let mut node = Node::new(settings(Effect::Safe), 50);
+    let mut node = Node::new(settings(Idempotency::Idempotent), 50);
     node.carry(0..20, 500 * MS);
     let mut sends = 0;
     for id in 1000..1100 {
@@ -404,11 +405,11 @@
 /// Guards against a draining server's clients being cut off, and against them coming again all at once.
 #[test]
 fn a_draining_servers_clients_are_moved_bit_by_bit_before_it_leaves() {
-    let mut node = Node::new(settings(Effect::Safe), 2);
+    let mut node = Node::new(settings(Idempotency::Idempotent), 2);
     node.carry(0..20, 50 * MS);
     let there = node.placed_at(ServerId(0));
     assert!(there.len() >= 8, "{there:?}");
-    let draining = Event::List { full: false, copy: false, entries: vec![entry(0, Listed::Draining)] };
+    let draining = Event::List { full: false, copy: false, entries: vec![entry(0, ServerState::Draining)] };
     let mut moved = moves(&node.tell(draining));
     assert!(moved.len() <= 1, "not at once: {moved:?}");
     let told = node.now;
@@ -421,7 +422,7 @@
 
 #[test]
 fn what_is_believed_of_a_server_is_told_once_for_each_change() {
-    let mut node = Node::new(settings(Effect::Safe), 1);
+    let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     let only = ServerId(0);
     node.now = 100 * S + 300 * MS;
     for id in 1..4 {
@@ -430,32 +431,33 @@
     node.end(1, only, Outcome::Full, false);
     // Broken by the same blow.
     node.end(2, only, Outcome::Reset, true);
-    node.tell(Event::DelayNote { server: only, delay: S });
+    node.tell(Event::LatencyUpdate { server: only, latency: S });
     node.run_to(103 * S);
     // Held until then, it is the trial.
     node.begin(1, only);
-    for state in [Listed::Ready, Listed::Draining, Listed::Draining, Listed::Gone] {
+    for state in [ServerState::Ready, ServerState::Draining, ServerState::Draining, ServerState::Removed] {
         node.tell(Event::List { full: false, copy: false, entries: vec![entry(0, state)] });
     }
-    let mut back = entry(0, Listed::Ready);
+    let mut back = entry(0, ServerState::Ready);
     back.started = Some(node.now);
     node.tell(Event::List { full: false, copy: false, entries: vec![back] });
     node.tell(Event::List { full: true, copy: false, entries: vec![] });
     let told = node.done.iter().filter_map(|action| match action {
-        Action::Believe { server, belief } => Some((*server, *belief)),
+        Action::HealthChanged { server, health: belief } => Some((*server, *belief)),
         _ => None,
     });
-    let paused = |second: Micros| Belief::Paused { until: second * S };
-    use Belief::{Draining, Gone, Trial, Up};
-    let expected = [Up, paused(101), paused(102), Trial, Up, Draining, Gone, Up, Gone];
+    let paused = |second: Micros| ServerHealth::Paused { until: second * S };
+    use ServerHealth::{Draining, Trial, Unlisted, Up};
+    let expected = [Up, paused(101), paused(102), Trial, Up, Draining, Unlisted, Up, Unlisted];
     assert_eq!(told.collect::<Vec<_>>(), expected.map(|belief| (only, belief)));
 }
 
 /// The operators: a render node was out, paused before, and nothing came there for long after it was put back.
 #[test]
 fn what_is_put_back_by_hand_begins_anew_and_its_turn_is_the_next() {
-    let mut node = Node::new(settings(Effect::Safe), 3);
-    let by_hand = |state, started| Event::ByHand { entries: vec![Entry { started, ..entry(0, state) }] };
+    let mut node = Node::new(settings(Idempotency::Idempotent), 3);
+    let by_hand =
+        |state, started| Event::ManualOverride { entries: vec![Entry { started, ..entry(0, state) }] };
     node.carry(100..130, 100 * MS);
     let mut id = 200;
     loop {
@@ -467,7 +469,7 @@
         id += 1;
     }
     node.end(id, ServerId(0), Outcome::ConnectFailed, false);
-    node.tell(by_hand(Listed::Draining, None));
+    node.tell(by_hand(ServerState::Draining, None));
     for id in 300..330 {
         node.run_to(node.now + 100 * MS);
         let at = node.place(id);
@@ -475,7 +477,7 @@
         node.begin(id, at);
     }
     let started = Some(node.now);
-    node.tell(by_hand(Listed::Ready, started));
+    node.tell(by_hand(ServerState::Ready, started));
     assert_eq!(node.place(400), ServerId(0), "no pause, and no wait for its place in the rotation");
     node.begin(400, ServerId(0));
     let burst: Vec<ServerId> = (401..411).map(|id| node.place(id)).collect();
@@ -487,7 +489,7 @@
 #[test]
 fn a_node_that_knows_no_usual_rate_still_tries_once_a_second_while_most_fail() {
     // Two a second for all nodes: of two nodes, one each.
-    let mut node = Node::new(Settings { nodes: 2, ..settings(Effect::Safe) }, 60);
+    let mut node = Node::new(Settings { nodes: 2, ..settings(Idempotency::Idempotent) }, 60);
     let ask = |id| Event::Request(Request { again: true, ..request(id, Some(2 * S)) });
     for id in 0..6 {
         let (at, _) = sent(&node.tell(ask(id))).expect("nothing has failed enough yet");
@@ -497,7 +499,7 @@
     for id in 100..200 {
         node.run_to(node.now + 100 * MS);
         let Some((at, _)) = sent(&node.tell(ask(id))) else {
-            node.tell(Event::Gone(RequestId(id)));
+            node.tell(Event::ClientClosed(RequestId(id)));
             continue;
         };
         tried += 1;
@@ -509,9 +511,10 @@
 /// An attempt that was out when its server began to drain, and comes up after the drain's last round.
 #[test]
 fn a_connection_that_comes_up_after_the_drains_last_round_is_moved_too() {
-    let mut node = Node::new(settings(Effect::Safe), 2);
+    let mut node = Node::new(settings(Idempotency::Idempotent), 2);
     let late = node.place(1);
-    let draining = Event::List { full: false, copy: false, entries: vec![entry(late.0, Listed::Draining)] };
+    let draining =
+        Event::List { full: false, copy: false, entries: vec![entry(late.0, ServerState::Draining)] };
     node.tell(draining);
     node.run_to(node.now + 3 * S);
     let mut moved = moves(&node.begin(1, late));
--- a/crates/decision/tests/rulebook.rs
+++ b/crates/decision/tests/rulebook.rs
@@ -17,14 +17,14 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    ruling: Ruling,
+    ruling: RoutingVerdict,
     asked: usize,
     sent: Vec<ServerId>,
-    stays: BTreeMap<RequestId, Stay>,
+    stays: BTreeMap<RequestId, Stickiness>,
 }
 
-impl Rules for Told {
-    fn ruling(&mut self, _: Micros, _: &Request) -> Ruling {
+impl RoutingRules for Told {
+    fn ruling(&mut self, _: Micros, _: &Request) -> RoutingVerdict {
         let mut inner = self.0.borrow_mut();
         inner.asked += 1;
         inner.ruling.clone()
@@ -34,13 +34,13 @@
         self.0.borrow_mut().sent.push(server);
     }
 
-    fn stay(&mut self, _: Micros, request: &Request, _: ServerId) -> Option<Stay> {
+    fn stickiness(&mut self, _: Micros, request: &Request, _: ServerId) -> Option<Stickiness> {
         self.0.borrow().stays.get(&request.id).copied()
     }
 }
 
 impl Told {
-    fn say(&self, ruling: Ruling) {
+    fn say(&self, ruling: RoutingVerdict) {
         self.0.borrow_mut().ruling = ruling;
     }
 }
@@ -49,7 +49,7 @@
     let told = Told::default();
     let mut node = Node::new(settings.clone(), 0);
     node.balancer = Balancer::new(settings, 7, node.now).under(Box::new(told.clone()));
-    let entries = (0..servers).map(|s| entry(s, Listed::Ready)).collect();
+    let entries = (0..servers).map(|s| entry(s, ServerState::Ready)).collect();
     node.tell(Event::List { full: true, copy: true, entries });
     (node, told)
 }
@@ -58,13 +58,13 @@
     Some(Arc::new(servers.iter().copied().map(ServerId).collect()))
 }
 
-fn allow(servers: &[u32]) -> Ruling {
-    Ruling { allowed: only(servers), ..Ruling::default() }
+fn allow(servers: &[u32]) -> RoutingVerdict {
+    RoutingVerdict { allowed: only(servers), ..RoutingVerdict::default() }
 }
 
 #[test]
 fn the_forbidden_gets_nothing_also_while_all_else_is_paused() {
-    let (mut node, told) = under(settings(Effect::Safe), 6);
+    let (mut node, told) = under(settings(Idempotency::Idempotent), 6);
     told.say(allow(&[1, 4]));
     for id in 0..40 {
         node.run_to(node.now + 20 * MS);
@@ -93,7 +93,7 @@
 
 #[test]
 fn with_none_listed_that_it_may_go_to_it_is_answered_early() {
-    let (mut node, told) = under(settings(Effect::Safe), 3);
+    let (mut node, told) = under(settings(Idempotency::Idempotent), 3);
     told.say(allow(&[7]));
     let answer = node.ask(1, 500 * MS);
     assert!(refused(&answer), "what cannot wait for a pause is refused at once: {answer:?}");
@@ -104,7 +104,7 @@
 
 #[test]
 fn what_is_held_is_looked_at_anew() {
-    let (mut node, told) = under(settings(Effect::Safe), 3);
+    let (mut node, told) = under(settings(Idempotency::Idempotent), 3);
     told.say(allow(&[]));
     assert_eq!(sent(&node.ask(1, 20 * S)), None);
     node.run_to(node.now + 3 * S);
@@ -112,17 +112,17 @@
     assert!(asked >= 3, "asked {asked} times in three seconds");
     // The rule changes meanwhile, and nobody waits for the next look.
     told.say(allow(&[2]));
-    assert_eq!(sent(&node.tell(Event::Ruled)).map(|(server, _)| server), Some(ServerId(2)));
+    assert_eq!(sent(&node.tell(Event::RulesChanged)).map(|(server, _)| server), Some(ServerId(2)));
     // One that was held under the old rules, and is refused under new ones.
     told.say(allow(&[]));
     assert!(!refused(&node.ask(2, 20 * S)));
-    told.say(Ruling { refuse: Some(700 * MS), ..Ruling::default() });
-    let answer = node.tell(Event::Ruled);
+    told.say(RoutingVerdict { refuse: Some(700 * MS), ..RoutingVerdict::default() });
+    let answer = node.tell(Event::RulesChanged);
     assert!(
-        answer.contains(&Action::Refuse {
+        answer.contains(&Action::Reject {
             request: RequestId(2),
             retry_after: 700 * MS,
-            why: Unserved::Ruled
+            reason: RejectionReason::RejectedByRule
         }),
         "{answer:?}"
     );
@@ -130,23 +130,31 @@
 
 #[test]
 fn doubt_refuses_at_once_with_a_time_to_come_back() {
-    let doubt = |after| Ruling { refuse: Some(after), ..Ruling::default() };
-    let (mut node, told) = under(settings(Effect::Unsafe), 3);
+    let doubt = |after| RoutingVerdict { refuse: Some(after), ..RoutingVerdict::default() };
+    let (mut node, told) = under(settings(Idempotency::NotIdempotent), 3);
     told.say(doubt(500 * MS));
     let answer = node.ask(1, 20 * S);
     assert_eq!(
         answer,
-        [Action::Refuse { request: RequestId(1), retry_after: 500 * MS, why: Unserved::Ruled }]
+        [Action::Reject {
+            request: RequestId(1),
+            retry_after: 500 * MS,
+            reason: RejectionReason::RejectedByRule
+        }]
     );
     told.say(doubt(60 * S));
     let answer = node.ask(2, 20 * S);
     assert_eq!(
         answer,
-        [Action::Refuse { request: RequestId(2), retry_after: 2 * S, why: Unserved::Ruled }],
+        [Action::Reject {
+            request: RequestId(2),
+            retry_after: 2 * S,
+            reason: RejectionReason::RejectedByRule
+        }],
         "what clients honour"
     );
     // One that may have run must not be called harmless to repeat.
-    let (mut node, told) = under(settings(Effect::Keyed { scope: Scope::Zone, window: 10 * S }), 3);
+    let (mut node, told) = under(settings(Idempotency::Keyed { scope: Scope::Zone, window: 10 * S }), 3);
     let at = node.place(3);
     told.say(doubt(500 * MS));
     let answer = node.end(3, at, Outcome::TimedOut, false);
@@ -155,15 +163,15 @@
 
 #[test]
 fn a_time_that_is_to_come_is_waited_for_or_refused_early() {
-    let (mut node, told) = under(settings(Effect::Safe), 3);
+    let (mut node, told) = under(settings(Idempotency::Idempotent), 3);
     let at = node.now + 400 * MS;
-    told.say(Ruling { not_before: Some(at), ..Ruling::default() });
+    told.say(RoutingVerdict { not_before: Some(at), ..RoutingVerdict::default() });
     let short = node.ask(1, 300 * MS);
     assert!(
-        short.contains(&Action::Refuse {
+        short.contains(&Action::Reject {
             request: RequestId(1),
             retry_after: 400 * MS,
-            why: Unserved::NoServer
+            reason: RejectionReason::NoServer
         }),
         "{short:?}"
     );
@@ -174,8 +182,8 @@
 
 #[test]
 fn the_preferred_come_first_and_are_not_waited_for() {
-    let (mut node, told) = under(settings(Effect::Safe), 6);
-    let wish = |servers: &[u32]| Ruling { preferred: only(servers), ..Ruling::default() };
+    let (mut node, told) = under(settings(Idempotency::Idempotent), 6);
+    let wish = |servers: &[u32]| RoutingVerdict { preferred: only(servers), ..RoutingVerdict::default() };
     told.say(wish(&[2, 3]));
     for id in 0..200 {
         node.run_to(node.now + 20 * MS);
@@ -190,7 +198,7 @@
     assert!(![2, 3].contains(&third.0));
     // Turns that were passed over are not made up for once the wish is gone.
     node.run_to(node.now + 30 * S);
-    told.say(Ruling::default());
+    told.say(RoutingVerdict::default());
     let mut got = [0; 6];
     for id in 400..460 {
         node.run_to(node.now + 100 * MS);
@@ -204,8 +212,8 @@
 #[test]
 fn attempts_are_bounded_by_the_class_and_the_rule() {
     for (ruled, most) in [(2, 2), (9, 4), (u32::MAX, 4)] {
-        let (mut node, told) = under(settings(Effect::Safe), 9);
-        told.say(Ruling { attempts: ruled, ..Ruling::default() });
+        let (mut node, told) = under(settings(Idempotency::Idempotent), 9);
+        told.say(RoutingVerdict { attempts: ruled, ..RoutingVerdict::default() });
         let mut tries = 0;
         let mut last = node.ask(1, 2 * S);
         while let Some((at, _)) = sent(&last) {
@@ -219,7 +227,7 @@
 
 #[test]
 fn a_group_has_its_homes_among_the_allowed() {
-    let grouped = Settings { groups: true, ..settings(Effect::Safe) };
+    let grouped = Settings { groups: true, ..settings(Idempotency::Idempotent) };
     let (mut node, told) = under(grouped, 40);
     told.say(allow(&[11, 30]));
     for group in 0..50 {
@@ -233,23 +241,23 @@
 
 #[test]
 fn a_pile_is_moved_in_the_order_that_the_rules_ask_for() {
-    let (mut node, told) = under(settings(Effect::Safe), 1);
+    let (mut node, told) = under(settings(Idempotency::Idempotent), 1);
     node.carry(0..40, 50 * MS);
     for id in 0..40 {
-        let stay = [None, Some(Stay::ToTheLast), Some(Stay::UntilDrained)][id as usize % 3];
+        let stay = [None, Some(Stickiness::MigrateLast), Some(Stickiness::UntilDrained)][id as usize % 3];
         told.0.borrow_mut().stays.extend(stay.map(|stay| (RequestId(id), stay)));
     }
     let mut moved = Vec::new();
     for _ in 0..60 {
         node.run_to(node.now + S);
-        moved.extend(moves(&node.tell(Event::DelayNote { server: ServerId(0), delay: 400 * MS })));
+        moved.extend(moves(&node.tell(Event::LatencyUpdate { server: ServerId(0), latency: 400 * MS })));
     }
     let first_last = moved.iter().position(|id| id % 3 == 1).expect("in the end those go too");
     assert!(
         moved[..first_last].iter().all(|id| id % 3 == 0) && moved[first_last..].iter().all(|id| id % 3 == 1)
     );
     assert_eq!(moved.len(), 27, "all but those that stay until it drains");
-    node.tell(Event::List { full: false, copy: false, entries: vec![entry(0, Listed::Draining)] });
+    node.tell(Event::List { full: false, copy: false, entries: vec![entry(0, ServerState::Draining)] });
     node.run_to(node.now + 5 * S);
     assert_eq!(moves(&node.done).len(), 40, "and those when it does");
 }
@@ -262,7 +270,7 @@
     Begin { which: u8 },
     List { server: u8, state: u8, started: bool },
     Delay { server: u8, ms: u16 },
-    Word { from: u8, server: u8, well: bool },
+    PeerReport { from: u8, server: u8, well: bool },
     Wait { ms: u16 },
 }
 
@@ -275,7 +283,7 @@
         1 => (0_u8..8, 0_u8..3, any::<bool>())
             .prop_map(|(server, state, started)| Step::List { server, state, started }),
         1 => (0_u8..8, 0_u16..400).prop_map(|(server, ms)| Step::Delay { server, ms }),
-        1 => (0_u8..4, 0_u8..8, any::<bool>()).prop_map(|(from, server, well)| Step::Word { from, server, well }),
+        1 => (0_u8..4, 0_u8..8, any::<bool>()).prop_map(|(from, server, well)| Step::PeerReport { from, server, well }),
         4 => (1_u16..1_500).prop_map(|ms| Step::Wait { ms }),
     ]
 }
@@ -312,19 +320,20 @@
                 node.begin(id, at);
             }
             Step::List { server, state, started } => {
-                let state = [Listed::Ready, Listed::Draining, Listed::Gone][usize::from(*state)];
+                let state =
+                    [ServerState::Ready, ServerState::Draining, ServerState::Removed][usize::from(*state)];
                 let started = started.then_some(node.now);
                 let entries = vec![Entry { started, ..entry(u32::from(*server), state) }];
                 node.tell(Event::List { full: false, copy: false, entries });
             }
             Step::Delay { server, ms } => {
                 let (server, delay) = (ServerId(u32::from(*server)), Micros::from(*ms) * MS);
-                node.tell(Event::DelayNote { server, delay });
+                node.tell(Event::LatencyUpdate { server, latency: delay });
             }
-            Step::Word { from, server, well } => {
-                let word = if *well { Word::Well } else { Word::Unwell };
+            Step::PeerReport { from, server, well } => {
+                let word = if *well { PeerVerdict::Healthy } else { PeerVerdict::Unhealthy };
                 let server = ServerId(u32::from(*server));
-                node.tell(Event::Peer { from: u32::from(*from), server, word });
+                node.tell(Event::PeerReport { from: u32::from(*from), server, verdict: word });
             }
             Step::Wait { ms } => {
                 node.run_to(node.now + Micros::from(*ms) * MS);
@@ -348,9 +357,9 @@
         steps in proptest::collection::vec(step(), 1..250),
         groups in any::<bool>(),
     ) {
-        let settings = Settings { groups, ..settings(Effect::Safe) };
+        let settings = Settings { groups, ..settings(Idempotency::Idempotent) };
         let all: Vec<u32> = (0..8).collect();
-        for ruling in [Ruling::default(), allow(&all), Ruling { preferred: only(&all), ..allow(&all) }] {
+        for ruling in [RoutingVerdict::default(), allow(&all), RoutingVerdict { preferred: only(&all), ..allow(&all) }] {
             let (node, told) = under(settings.clone(), 8);
             told.say(ruling);
             prop_assert_eq!(play(Node::new(settings.clone(), 8), &steps), play(node, &steps));
@@ -364,11 +373,11 @@
         preferred in proptest::collection::btree_set(0_u32..8, 0..5),
         attempts in 1_u32..4,
     ) {
-        let settings = Settings { groups: true, ..settings(Effect::Safe) };
+        let settings = Settings { groups: true, ..settings(Idempotency::Idempotent) };
         let (node, told) = under(settings, 8);
         let servers = |set: &std::collections::BTreeSet<u32>| only(&set.iter().copied().collect::<Vec<_>>());
         let (allowed_set, preferred) = (servers(&allowed), servers(&preferred));
-        told.say(Ruling { allowed: allowed_set, preferred, attempts, ..Ruling::default() });
+        told.say(RoutingVerdict { allowed: allowed_set, preferred, attempts, ..RoutingVerdict::default() });
         let mut tries = std::collections::BTreeMap::new();
         for action in play(node, &steps) {
             if let Action::Send { request, server, .. } = action {
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -34,10 +34,10 @@
 }
 
 /// Plays one random world and checks every action against the rules as the wire words them.
-fn play(seed: u64, effect: Effect) {
+fn play(seed: u64, idempotency: Idempotency) {
     let mut rng = Rng(seed);
-    let mut node = Node::new(settings(effect), 6);
-    let mut listed: BTreeMap<u32, Listed> = (0..6).map(|s| (s, Listed::Ready)).collect();
+    let mut node = Node::new(settings(idempotency), 6);
+    let mut listed: BTreeMap<u32, ServerState> = (0..6).map(|s| (s, ServerState::Ready)).collect();
     let mut open: BTreeMap<u64, Open> = BTreeMap::new();
     let mut over: BTreeSet<u64> = BTreeSet::new();
     let mut answers = 0;
@@ -48,7 +48,7 @@
         loop {
             let due = node.timers.iter().map(|t| t.0).min().unwrap_or(at).min(at);
             let mut actions = node.run_to(due.max(node.now));
-            check(&mut node, &mut actions, &mut open, &mut over, &mut answers, &listed, effect);
+            check(&mut node, &mut actions, &mut open, &mut over, &mut answers, &listed, idempotency);
             if due == at {
                 break;
             }
@@ -66,7 +66,8 @@
             }
             4 => {
                 let server = rng.next(8) as u32;
-                let state = [Listed::Ready, Listed::Draining, Listed::Gone][rng.next(3) as usize];
+                let state =
+                    [ServerState::Ready, ServerState::Draining, ServerState::Removed][rng.next(3) as usize];
                 listed.insert(server, state);
                 let mut changed = entry(server, state);
                 changed.started = (rng.next(2) == 0).then_some(node.now);
@@ -76,7 +77,7 @@
                 Some(id) => {
                     open.remove(&id);
                     over.insert(id);
-                    node.tell(Event::Gone(RequestId(id)))
+                    node.tell(Event::ClientClosed(RequestId(id)))
                 }
                 None => vec![],
             },
@@ -105,7 +106,7 @@
                 None => vec![],
             },
         };
-        check(&mut node, &mut actions, &mut open, &mut over, &mut answers, &listed, effect);
+        check(&mut node, &mut actions, &mut open, &mut over, &mut answers, &listed, idempotency);
         // Attempts end by the client's patience at the latest, as the wire's cut time-outs do.
         let due: Vec<u64> = open
             .iter()
@@ -117,7 +118,7 @@
             let (server, sent) = entry.out.take().unwrap();
             entry.may_have_run.get_or_insert((server, sent));
             let mut actions = node.end(id, server, Outcome::TimedOut, false);
-            check(&mut node, &mut actions, &mut open, &mut over, &mut answers, &listed, effect);
+            check(&mut node, &mut actions, &mut open, &mut over, &mut answers, &listed, idempotency);
             assert!(!open.contains_key(&id), "a time-out at the deadline is answered at once");
         }
         for (id, entry) in &open {
@@ -134,8 +135,8 @@
     open: &mut BTreeMap<u64, Open>,
     over: &mut BTreeSet<u64>,
     answers: &mut u32,
-    listed: &BTreeMap<u32, Listed>,
-    effect: Effect,
+    listed: &BTreeMap<u32, ServerState>,
+    idempotency: Idempotency,
 ) {
     for action in actions.drain(..) {
         match action {
@@ -144,12 +145,12 @@
                 let entry = open.get_mut(&request.0).expect("sent for a known request");
                 assert!(entry.out.is_none() && !entry.begun, "two attempts out");
                 assert!(timeout >= 0 && node.now + timeout <= entry.deadline);
-                assert_eq!(listed.get(&server.0), Some(&Listed::Ready), "sent to a server not ready");
+                assert_eq!(listed.get(&server.0), Some(&ServerState::Ready), "sent to a server not ready");
                 entry.sends += 1;
                 assert!(entry.sends <= 4);
-                match (effect, entry.may_have_run) {
-                    (Effect::Unsafe, Some(_)) => panic!("unsafe request repeated"),
-                    (Effect::Keyed { scope, window }, Some((at, sent))) => {
+                match (idempotency, entry.may_have_run) {
+                    (Idempotency::NotIdempotent, Some(_)) => panic!("unsafe request repeated"),
+                    (Idempotency::Keyed { scope, window }, Some((at, sent))) => {
                         assert!(node.now - sent < window, "repeated past the window");
                         assert!(scope != Scope::Zone || at.0 % 2 == server.0 % 2, "repeated in another zone");
                         assert!(scope != Scope::Cell || at.0 / 2 == server.0 / 2, "repeated in another cell");
@@ -158,14 +159,14 @@
                 }
                 entry.out = Some((server, node.now));
             }
-            Action::Refuse { request, retry_after, .. } => {
+            Action::Reject { request, retry_after, .. } => {
                 let entry = open.remove(&request.0).expect("one answer for a known request");
                 assert!(retry_after >= 0 && entry.out.is_none());
                 let ran = entry.may_have_run.is_some();
-                let fair = match effect {
-                    Effect::Safe => true,
-                    Effect::Keyed { scope, .. } => scope == Scope::All || !ran,
-                    Effect::Unsafe => !ran,
+                let fair = match idempotency {
+                    Idempotency::Idempotent => true,
+                    Idempotency::Keyed { scope, .. } => scope == Scope::All || !ran,
+                    Idempotency::NotIdempotent => !ran,
                 };
                 assert!(fair, "refused although it may have run");
                 over.insert(request.0);
@@ -184,18 +185,18 @@
 
 #[test]
 fn rules_hold_for_safe_requests() {
-    (1..30).for_each(|seed| play(seed, Effect::Safe));
+    (1..30).for_each(|seed| play(seed, Idempotency::Idempotent));
 }
 
 #[test]
 fn rules_hold_for_unsafe_requests() {
-    (1..30).for_each(|seed| play(seed, Effect::Unsafe));
+    (1..30).for_each(|seed| play(seed, Idempotency::NotIdempotent));
 }
 
 #[test]
 fn rules_hold_for_keyed_requests() {
     for scope in [Scope::All, Scope::Zone, Scope::Cell] {
-        (1..20).for_each(|seed| play(seed, Effect::Keyed { scope, window: 700 * MS }));
+        (1..20).for_each(|seed| play(seed, Idempotency::Keyed { scope, window: 700 * MS }));
     }
 }
 
@@ -204,7 +205,7 @@
 fn no_sequence_of_events_panics() {
     for seed in 1..40 {
         let mut rng = Rng(seed);
-        let mut node = Node::new(settings(Effect::Safe), (seed % 4) as u32);
+        let mut node = Node::new(settings(Idempotency::Idempotent), (seed % 4) as u32);
         for _ in 0..3000 {
             if rng.next(3) == 0 {
                 node.now += rng.next(300) as Micros * MS;
@@ -226,15 +227,15 @@
                     let outcome = OUTCOMES[rng.next(8) as usize];
                     Event::Ended { request: id, attempt, server, outcome, last: rng.next(2) == 0 }
                 }
-                6 => Event::LoadNote { request: id, load: figure },
-                7 => Event::DelayNote { server, delay: odd },
-                8 => Event::Gone(id),
+                6 => Event::LoadUpdate { request: id, load: figure },
+                7 => Event::LatencyUpdate { server, latency: odd },
+                8 => Event::ClientClosed(id),
                 9 => {
                     let report = Some(vec![figure; rng.next(4) as usize]).filter(|_| rng.next(2) == 0);
                     Event::Probed { server, report }
                 }
                 10 => {
-                    let mut e = entry(server.0, Listed::Ready);
+                    let mut e = entry(server.0, ServerState::Ready);
                     (e.started, e.weight) = (Some(odd), figure);
                     Event::List { full: rng.next(2) == 0, copy: false, entries: vec![e] }
                 }
--- a/crates/decision/tests/settings.rs
+++ b/crates/decision/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings as the platform tells them: what is taken, and what is refused with its key, what was found and what is allowed.
 
-use cottonnotch_decision::settings::{BadSetting, Pairs, Profile, read};
+use cottonnotch_decision::settings::{InvalidSetting, Pairs, Profile, read};
 use cottonnotch_decision::*;
 
 /// The example of the simulator's page.
@@ -105,7 +105,7 @@
     zones=hall-a,hall-b,hall-c,hall-d,hall-e";
 
 /// The example with other values, or without a key (`None`).
-fn with(changes: &[(&str, Option<&str>)]) -> Result<Profile, BadSetting> {
+fn with(changes: &[(&str, Option<&str>)]) -> Result<Profile, InvalidSetting> {
     let mut pairs = Pairs::default();
     for pair in EXAMPLE.split(' ') {
         let (key, value) = pair.split_once('=').expect("a pair");
@@ -129,9 +129,9 @@
     let Profile { settings, connect_timeout, tells_delay, .. } = with(&[]).expect("sound");
     assert_eq!((settings.nodes, settings.classes.len(), settings.tenants.len()), (5, 3, 3));
     assert_eq!(settings.classes[2].target, 500_000);
-    assert_eq!(settings.classes[1].message_aim, 60_000);
+    assert_eq!(settings.classes[1].message_latency_objective, 60_000);
     assert_eq!(settings.tenants[2].allowance_open, 89.0);
-    assert_eq!((settings.list_on_request, settings.list_told_unasked), (true, false));
+    assert_eq!((settings.list_on_request, settings.list_pushed), (true, false));
     assert_eq!((connect_timeout, tells_delay), (250_000, true));
 }
 
@@ -217,15 +217,15 @@
 
 #[test]
 fn what_is_left_out_allows_least() {
-    let effect = |value| ("requestClasses.0.effect", value);
-    assert_eq!(class_of(&[effect(None)]).effect, Effect::Unsafe);
-    let group = |value| [effect(Some("keyed")), ("requestClasses.0.group", value)];
+    let idempotency = |value| ("requestClasses.0.effect", value);
+    assert_eq!(class_of(&[idempotency(None)]).idempotency, Idempotency::NotIdempotent);
+    let group = |value| [idempotency(Some("keyed")), ("requestClasses.0.group", value)];
     let window = 5_000_000;
-    assert_eq!(class_of(&group(Some("zone"))).effect, Effect::Keyed { scope: Scope::Zone, window });
-    assert_eq!(class_of(&group(None)).effect, Effect::Keyed { scope: Scope::Cell, window });
-    let no_window = [effect(Some("keyed")), ("requestClasses.0.window", None)];
-    assert_eq!(class_of(&no_window).effect, Effect::Keyed { scope: Scope::All, window: 0 });
+    assert_eq!(class_of(&group(Some("zone"))).idempotency, Idempotency::Keyed { scope: Scope::Zone, window });
+    assert_eq!(class_of(&group(None)).idempotency, Idempotency::Keyed { scope: Scope::Cell, window });
+    let no_window = [idempotency(Some("keyed")), ("requestClasses.0.window", None)];
+    assert_eq!(class_of(&no_window).idempotency, Idempotency::Keyed { scope: Scope::All, window: 0 });
     assert_eq!(class_of(&[("policyLimits.mostTries", None)]).attempts, 1);
     let pushed = with(&[("registryMode", None)]).expect("sound").settings;
-    assert_eq!((pushed.list_on_request, pushed.list_told_unasked), (false, true));
+    assert_eq!((pushed.list_on_request, pushed.list_pushed), (false, true));
 }
--- a/crates/decision/tests/short_times.rs
+++ b/crates/decision/tests/short_times.rs
@@ -6,8 +6,8 @@
 
 /// Clients that wait so long, where a server answers within a fifth of it.
 fn patience(deadline: Micros, classes: usize) -> Settings {
-    let short = Class { target: deadline / 2, deadline, ..class(Effect::Safe) };
-    Settings { classes: vec![short; classes], ..settings(Effect::Safe) }
+    let short = Class { target: deadline / 2, deadline, ..class(Idempotency::Idempotent) };
+    Settings { classes: vec![short; classes], ..settings(Idempotency::Idempotent) }
 }
 
 #[test]
@@ -55,16 +55,16 @@
 
 #[test]
 fn with_no_target_told_an_attempt_gets_half_of_what_is_left() {
-    let untold = Class { target: 0, ..class(Effect::Safe) };
-    let mut node = Node::new(Settings { classes: vec![untold], ..settings(Effect::Safe) }, 2);
+    let untold = Class { target: 0, ..class(Idempotency::Idempotent) };
+    let mut node = Node::new(Settings { classes: vec![untold], ..settings(Idempotency::Idempotent) }, 2);
     assert_eq!(sent(&node.ask(1, 600 * MS)).expect("sent").1, 300 * MS);
     let unbounded = sent(&node.tell(Event::Request(request(2, None)))).expect("sent");
     assert_eq!(unbounded.1, S);
 }
 
 fn keyed(scope: Scope, window: Micros) -> Settings {
-    let long = Class { deadline: 30 * S, ..class(Effect::Keyed { scope, window }) };
-    Settings { classes: vec![long], ..settings(Effect::Safe) }
+    let long = Class { deadline: 30 * S, ..class(Idempotency::Keyed { scope, window }) };
+    Settings { classes: vec![long], ..settings(Idempotency::Idempotent) }
 }
 
 #[test]
@@ -107,7 +107,8 @@
     // The server is put into another cell while the attempt is out: those of its old cell have seen the key.
     let mut node = Node::new(keyed(Scope::Cell, 20 * S), 6);
     let at = sent(&node.ask(1, 30 * S)).expect("sent").0;
-    let moved = Entry { cell: (at.0 / 2 + 1) % 3, started: Some(node.now), ..entry(at.0, Listed::Ready) };
+    let moved =
+        Entry { cell: (at.0 / 2 + 1) % 3, started: Some(node.now), ..entry(at.0, ServerState::Ready) };
     node.tell(Event::List { full: false, copy: false, entries: vec![moved] });
     let next = sent(&node.end(1, at, Outcome::Reset, false)).expect("its cell has another server").0;
     assert_eq!((at.0 / 2, next != at), (next.0 / 2, true), "from {at:?} to {next:?}");
--- a/crates/decision/tests/tier.rs
+++ b/crates/decision/tests/tier.rs
@@ -35,7 +35,7 @@
     Told,
 }
 
-struct Tier {
+struct FleetStatus {
     nodes: Vec<Balancer>,
     due: BinaryHeap<Reverse<(Micros, u64, Due)>>,
     numbers: u64,
@@ -50,15 +50,16 @@
     holds: Vec<f64>,
 }
 
-impl Tier {
+impl FleetStatus {
     /// Of so many nodes. All servers started at that time, or long ago.
     fn new(nodes: u32, allowance_open: f64, started: Option<Micros>) -> Self {
         let tenants = vec![Tenant { allowance_per_s: ALLOWED, allowance_open }];
         let balancer = |ordinal| {
-            let settings = Settings { ordinal, nodes, tenants: tenants.clone(), ..settings(Effect::Safe) };
+            let settings =
+                Settings { ordinal, nodes, tenants: tenants.clone(), ..settings(Idempotency::Idempotent) };
             Balancer::new(settings, u64::from(ordinal) + 1, 0)
         };
-        let mut tier = Tier {
+        let mut tier = FleetStatus {
             nodes: (0..nodes).map(balancer).collect(),
             due: BinaryHeap::new(),
             numbers: 0,
@@ -69,7 +70,7 @@
             holds: vec![0.0; nodes as usize],
         };
         for node in 0..nodes as usize {
-            let listed = |server| Entry { started, ..entry(server, Listed::Ready) };
+            let listed = |server| Entry { started, ..entry(server, ServerState::Ready) };
             let entries = (0..SERVERS).map(listed).collect();
             tier.tell(node, 0, Event::List { full: true, copy: false, entries });
         }
@@ -97,7 +98,7 @@
                     let at = if up { self.busy } else { now + timeout };
                     self.push(at, Due::Ends { node, request, attempt, server: server.0, sent: now, up });
                 }
-                Action::Refuse { request, retry_after, .. } => {
+                Action::Reject { request, retry_after, .. } => {
                     self.holds[node] -= 1.0;
                     let (client, tries, _) = self.requests[request.0 as usize];
                     // Clients come again; after some tries they wait longer.
@@ -145,8 +146,12 @@
                     let (nodes, all) = (self.nodes.len() as f64, self.holds.iter().sum::<f64>().max(1.0));
                     for node in 0..self.nodes.len() {
                         let part = self.holds[node] / all;
-                        let tier = cottonnotch_decision::Tier { nodes, part, failing: 0.0 };
-                        self.tell(node, now, Event::Tier(tier));
+                        let tier = cottonnotch_decision::FleetStatus {
+                            nodes,
+                            demand_share: part,
+                            failure_rate: 0.0,
+                        };
+                        self.tell(node, now, Event::Fleet(tier));
                     }
                     self.push(now + S, Due::Told);
                 }
@@ -158,7 +163,7 @@
 
 /// All clients come again within a second and a half. When nine tenths are up, in seconds; and set-ups sent for each client.
 fn storm(nodes: u32) -> (f64, f64) {
-    let mut tier = Tier::new(nodes, 0.0, None);
+    let mut tier = FleetStatus::new(nodes, 0.0, None);
     for client in 0..CLIENTS {
         let at = S + (client as f64 / CLIENTS as f64 * 1.5e6) as Micros;
         tier.push(at, Due::Asks { client, tries: 0 });
@@ -189,7 +194,7 @@
     const WANTED: u64 = 300;
     const MAY_HOLD: f64 = 800.0;
     for (nodes, told) in [(2, false), (100, false), (300, false), (100, true), (300, true)] {
-        let mut tier = Tier::new(nodes, MAY_HOLD, Some(0));
+        let mut tier = FleetStatus::new(nodes, MAY_HOLD, Some(0));
         if told {
             tier.push(0, Due::Told);
         }
@@ -197,15 +202,16 @@
             tier.push((client * 5) as Micros * MS, Due::Asks { client, tries: 0 });
         }
         tier.run(20 * S);
-        let Settings { fall_multiple, fall_window, .. } = settings(Effect::Safe);
-        let of_all = settings(Effect::Safe);
-        let fills = MAY_HOLD / f64::from(SERVERS) / (of_all.warm_up as f64 / 1e6);
+        let Settings { overload_multiple, overload_window, .. } = settings(Idempotency::Idempotent);
+        let of_all = settings(Idempotency::Idempotent);
+        let fills = MAY_HOLD / f64::from(SERVERS) / (of_all.slow_start_window as f64 / 1e6);
         for server in 0..SERVERS {
             let times: Vec<Micros> =
                 tier.sent.iter().filter(|(_, at)| *at == server).map(|(t, _)| *t).collect();
             for &from in &times {
-                let burst = times.iter().filter(|t| (from..from + fall_window).contains(*t)).count() as f64;
-                let bears = fall_multiple * of_all.share_at(from) * fills * fall_window as f64 / 1e6;
+                let burst =
+                    times.iter().filter(|t| (from..from + overload_window).contains(*t)).count() as f64;
+                let bears = overload_multiple * of_all.share_at(from) * fills * overload_window as f64 / 1e6;
                 // Chance: all nodes together are no clock.
                 let bears = bears + 2.0 * bears.sqrt();
                 assert!(
@@ -229,10 +235,16 @@
 
 #[test]
 fn what_nodes_are_told_of_the_tier_holds_back_one_that_has_not_failed_itself() {
-    let fleet = Settings { nodes: 300, ..settings(Effect::Safe) };
+    let fleet = Settings { nodes: 300, ..settings(Idempotency::Idempotent) };
     let mut node = Node::new(fleet, 10);
     node.place(1);
-    let told = |failing| Event::Tier(cottonnotch_decision::Tier { nodes: 300.0, part: 0.003, failing });
+    let told = |failing| {
+        Event::Fleet(cottonnotch_decision::FleetStatus {
+            nodes: 300.0,
+            demand_share: 0.003,
+            failure_rate: failing,
+        })
+    };
     node.tell(told(0.9));
     assert!(sent(&node.ask(2, 2 * S)).is_none(), "the store is down, as all others say");
     node.tell(told(0.0));
@@ -244,7 +256,7 @@
 #[test]
 fn a_crowd_is_let_through_while_set_ups_are_quick_and_no_longer() {
     let tenants = vec![Tenant { allowance_per_s: 3.0, allowance_open: 0.0 }];
-    let mut node = Node::new(Settings { nodes: 2, tenants, ..settings(Effect::Safe) }, 8);
+    let mut node = Node::new(Settings { nodes: 2, tenants, ..settings(Idempotency::Idempotent) }, 8);
     let mut placed = 0;
     for id in 0..60 {
         node.now += 20 * MS;
