--- a/crates/decision/tests/words.rs
+++ b/crates/decision/tests/words.rs
@@ -4,13 +4,13 @@
 use common::*;
 use cottonnotch_decision::*;
 
-fn say(node: &mut Node, from: u32, server: u32, word: Word) {
-    node.tell(Event::Peer { from, server: ServerId(server), word });
+fn say(node: &mut Node, from: u32, server: u32, word: PeerVerdict) {
+    node.tell(Event::PeerReport { from, server: ServerId(server), verdict: word });
 }
 
 /// A node that has had nothing from its servers for long, in the middle of a second.
 fn quiet(servers: u32) -> Node {
-    let mut node = Node::new(settings(Effect::Safe), servers);
+    let mut node = Node::new(settings(Idempotency::Idempotent), servers);
     node.now = 200 * S + 300 * MS;
     node
 }
@@ -18,12 +18,12 @@
 fn paused(node: &Node) -> Vec<u32> {
     let mut beliefs = std::collections::BTreeMap::new();
     for action in &node.done {
-        if let Action::Believe { server, belief } = action {
+        if let Action::HealthChanged { server, health: belief } = action {
             beliefs.insert(server.0, *belief);
         }
     }
     let now = node.now;
-    let still = |b: &Belief| matches!(b, Belief::Paused { until } if *until > now);
+    let still = |b: &ServerHealth| matches!(b, ServerHealth::Paused { until } if *until > now);
     beliefs.into_iter().filter(|(_, belief)| still(belief)).map(|(server, _)| server).collect()
 }
 
@@ -32,7 +32,7 @@
     let mut node = quiet(8);
     for _ in 0..10 {
         for server in 0..8 {
-            say(&mut node, 3, server, Word::Unwell);
+            say(&mut node, 3, server, PeerVerdict::Unhealthy);
         }
     }
     assert_eq!(paused(&node), []);
@@ -41,8 +41,8 @@
 #[test]
 fn two_that_agree_bring_a_pause_until_the_next_mark_and_a_trial_after_it() {
     let mut node = quiet(8);
-    say(&mut node, 3, 5, Word::Unwell);
-    say(&mut node, 4, 5, Word::Unwell);
+    say(&mut node, 3, 5, PeerVerdict::Unhealthy);
+    say(&mut node, 4, 5, PeerVerdict::Unhealthy);
     assert_eq!(paused(&node), [5]);
     let placed: Vec<u32> = (0..14).map(|id| node.place(id).0).collect();
     assert!(!placed.contains(&5), "{placed:?}");
@@ -54,9 +54,9 @@
 #[test]
 fn words_that_are_old_do_not_add_up() {
     let mut node = quiet(8);
-    say(&mut node, 3, 5, Word::Unwell);
+    say(&mut node, 3, 5, PeerVerdict::Unhealthy);
     node.now += 3 * S + 1;
-    say(&mut node, 4, 5, Word::Unwell);
+    say(&mut node, 4, 5, PeerVerdict::Unhealthy);
     assert_eq!(paused(&node), []);
 }
 
@@ -67,7 +67,7 @@
     node.end(1, at, Outcome::Full, true);
     node.now = 201 * S + 10 * MS;
     assert_eq!(paused(&node), []);
-    say(&mut node, 3, at.0, Word::Unwell);
+    say(&mut node, 3, at.0, PeerVerdict::Unhealthy);
     assert_eq!(paused(&node), [at.0]);
 }
 
@@ -77,7 +77,7 @@
     let at = node.place(1);
     node.begin(1, at);
     for from in 1..200 {
-        say(&mut node, from, at.0, Word::Unwell);
+        say(&mut node, from, at.0, PeerVerdict::Unhealthy);
     }
     assert_eq!(paused(&node), []);
 }
@@ -85,10 +85,10 @@
 #[test]
 fn peers_that_contradict_one_another_bring_no_pause() {
     let mut node = quiet(8);
-    say(&mut node, 1, 5, Word::Well);
-    say(&mut node, 2, 5, Word::Well);
-    say(&mut node, 3, 5, Word::Unwell);
-    say(&mut node, 4, 5, Word::Unwell);
+    say(&mut node, 1, 5, PeerVerdict::Healthy);
+    say(&mut node, 2, 5, PeerVerdict::Healthy);
+    say(&mut node, 3, 5, PeerVerdict::Unhealthy);
+    say(&mut node, 4, 5, PeerVerdict::Unhealthy);
     assert_eq!(paused(&node), []);
 }
 
@@ -97,15 +97,15 @@
     let mut node = quiet(16);
     for server in 0..16 {
         for from in 1..5 {
-            say(&mut node, from, server, Word::Unwell);
+            say(&mut node, from, server, PeerVerdict::Unhealthy);
         }
     }
     assert_eq!(paused(&node).len(), 4);
     // Three, where a quarter is less than one: words alone never take the last servers.
     let mut few = quiet(3);
     for server in 0..3 {
-        say(&mut few, 1, server, Word::Unwell);
-        say(&mut few, 2, server, Word::Unwell);
+        say(&mut few, 1, server, PeerVerdict::Unhealthy);
+        say(&mut few, 2, server, PeerVerdict::Unhealthy);
     }
     assert_eq!(paused(&few), []);
 }
@@ -114,8 +114,8 @@
 fn what_is_repeated_is_not_believed_again_before_this_node_has_looked() {
     let mut node = quiet(8);
     for round in 0..5 {
-        say(&mut node, 1, 5, Word::Unwell);
-        say(&mut node, 2, 5, Word::Unwell);
+        say(&mut node, 1, 5, PeerVerdict::Unhealthy);
+        say(&mut node, 2, 5, PeerVerdict::Unhealthy);
         assert_eq!(paused(&node).len(), usize::from(round == 0), "round {round}");
         node.run_to((201 + round) * S + 10 * MS);
     }
@@ -144,13 +144,15 @@
     }
     let until = |node: &Node| {
         node.done.iter().rev().find_map(|action| match action {
-            Action::Believe { server: ServerId(1), belief: Belief::Paused { until } } => Some(*until),
+            Action::HealthChanged { server: ServerId(1), health: ServerHealth::Paused { until } } => {
+                Some(*until)
+            }
             _ => None,
         })
     };
     assert!(until(&node).unwrap() > node.now + 2 * S);
-    say(&mut node, 1, 1, Word::Well);
+    say(&mut node, 1, 1, PeerVerdict::Healthy);
     assert!(until(&node).unwrap() > node.now + 2 * S, "one is not enough");
-    say(&mut node, 2, 1, Word::Well);
+    say(&mut node, 2, 1, PeerVerdict::Healthy);
     assert_eq!(until(&node).unwrap(), (node.now / S + 1) * S, "tried at the next mark, not before");
 }
--- a/crates/proxy-core/src/endpoint_update.rs
+++ b/crates/proxy-core/src/endpoint_update.rs
@@ -1,6 +1,6 @@
 //! A resolver result: the list of subchannels, or what changed of it, in discovery's JSON form.
 
-use cottonnotch_decision::{Listed, Micros};
+use cottonnotch_decision::{Micros, ServerState};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 use std::collections::HashMap;
@@ -20,7 +20,7 @@
     /// A small group of nodes that share which keys they have seen.
     pub cell: u32,
     /// Whether it takes what is new.
-    pub state: Listed,
+    pub state: ServerState,
     /// Its size beside others'.
     pub weight: f64,
     /// When its process last started, in Unix time of its own machine; `None`: long ago.
@@ -87,13 +87,13 @@
 fn member(json: &OwnedValue) -> Result<Member, &'static str> {
     let id = json.get_str("id").filter(|id| !id.is_empty()).ok_or("id")?;
     let state = match json.get_str("phase") {
-        Some("up") => Listed::Ready,
-        Some("draining") => Listed::Draining,
-        Some("removed") => Listed::Gone,
+        Some("up") => ServerState::Ready,
+        Some("draining") => ServerState::Draining,
+        Some("removed") => ServerState::Removed,
         _ => return Err("phase"),
     };
     let address = json.get_str("host_port").map(str::parse).transpose().map_err(|_| "host_port")?;
-    if address.is_none() && state != Listed::Gone {
+    if address.is_none() && state != ServerState::Removed {
         return Err("host_port");
     }
     let zone = json.get_str("locality").unwrap_or("").to_owned();
--- a/crates/proxy-core/src/fleet.rs
+++ b/crates/proxy-core/src/fleet.rs
@@ -7,7 +7,7 @@
 use crate::names::{WireNames, shown};
 use crate::peers::{Around, Carrying, Input, LocalState, Output, Translator};
 use cottonnotch_aggregation::{Entry, LocalLoad, Member, Snapshot, wire};
-use cottonnotch_decision::{Event, Micros, ServerId, Tier, Word};
+use cottonnotch_decision::{Event, Micros, ServerId, FleetStatus, PeerVerdict};
 use cottonnotch_gossip::{EndpointDigest, Observation, Observations, To};
 use std::collections::{BTreeMap, BTreeSet};
 use std::convert::Infallible;
@@ -126,9 +126,9 @@
             let something = stands.is_some();
             let (load, groups) = stands.unwrap_or_default();
             let word = match word(&self.met.evidence(now, server)) {
-                Word::Well => wire::HealthVerdict::Healthy,
-                Word::Unwell => wire::HealthVerdict::Unhealthy,
-                Word::Unclear => wire::HealthVerdict::Unknown,
+                PeerVerdict::Healthy => wire::HealthVerdict::Healthy,
+                PeerVerdict::Unhealthy => wire::HealthVerdict::Unhealthy,
+                PeerVerdict::Inconclusive => wire::HealthVerdict::Unknown,
             };
             // What is over and showed nothing is not worth its bytes.
             let endpoint = self.name(server)?;
@@ -158,21 +158,21 @@
     }
 
     fn events<'a>(&'a self, view: &'a Snapshot) -> impl Iterator<Item = Event> + 'a {
-        let tier = Tier {
+        let tier = FleetStatus {
             nodes: f64::from(view.members.max(1)),
-            part: view.connection_share(),
-            failing: view.setup_failure_ratio(),
+            demand_share: view.connection_share(),
+            failure_rate: view.setup_failure_ratio(),
         };
         let words = view.endpoints().filter_map(|(node, told)| {
             let word = match told.health {
-                wire::HealthVerdict::Healthy => Word::Well,
-                wire::HealthVerdict::Unhealthy => Word::Unwell,
+                wire::HealthVerdict::Healthy => PeerVerdict::Healthy,
+                wire::HealthVerdict::Unhealthy => PeerVerdict::Unhealthy,
                 wire::HealthVerdict::Unknown => return None,
             };
             let server = self.number(node)?;
-            Some(VOICES.map(|from| Event::Peer { from, server, word }))
+            Some(VOICES.map(|from| Event::PeerReport { from, server, verdict: word }))
         });
-        std::iter::once(Event::Tier(tier)).chain(words.flatten())
+        std::iter::once(Event::Fleet(tier)).chain(words.flatten())
     }
 }
 
@@ -190,7 +190,7 @@
                 around.out.push_back(Output::Keeper(keeper))
             }
             cottonnotch_aggregation::Output::AffinitySubsets => {
-                around.tell(Event::Homes(self.member.affinity_subsets().collect()));
+                around.tell(Event::AffinitySubsets(self.member.affinity_subsets().collect()));
             }
             cottonnotch_aggregation::Output::Snapshot => {
                 let Some(view) = self.member.snapshot() else { return };
--- a/crates/proxy-core/src/gossip.rs
+++ b/crates/proxy-core/src/gossip.rs
@@ -5,7 +5,7 @@
 use crate::names::{WireNames, shown};
 use crate::peer_loads::EstablishedLoad;
 use crate::peers::{Around, Carrying, Input, LocalState, Output, Translator};
-use cottonnotch_decision::{Event, Micros, ServerId, Word};
+use cottonnotch_decision::{Event, Micros, ServerId, PeerVerdict};
 use cottonnotch_gossip::{Entry, Evidence, Gossip, Load, Observations, Strength};
 use std::collections::BTreeSet;
 use std::convert::Infallible;
@@ -105,7 +105,7 @@
                     let standing = EstablishedLoad { load, groups: entry.groups };
                     let standing = (entry.connections > 0).then_some(standing);
                     around.local.delays.peers.report_received(now, from, server, standing);
-                    around.tell(Event::Peer { from, server, word: word(&entry.evidence) });
+                    around.tell(Event::PeerReport { from, server, verdict: word(&entry.evidence) });
                 }
             }
         }
@@ -114,12 +114,12 @@
 
 /// What a peer's evidence says. That a render node is full shows nothing of its health, and who was refused tells the
 /// others nothing that they would not be told at once.
-pub(crate) fn word(evidence: &Evidence) -> Word {
+pub(crate) fn word(evidence: &Evidence) -> PeerVerdict {
     let unwell = u32::from(evidence.failed) + u32::from(evidence.timed_out) + u32::from(evidence.silent);
     match (evidence.age_tenths <= MOST_AGE_TENTHS, unwell, evidence.served) {
-        (true, 1.., 0) => Word::Unwell,
-        (true, 0, 1..) => Word::Well,
-        _ => Word::Unclear,
+        (true, 1.., 0) => PeerVerdict::Unhealthy,
+        (true, 0, 1..) => PeerVerdict::Healthy,
+        _ => PeerVerdict::Inconclusive,
     }
 }
 
@@ -130,11 +130,11 @@
     #[test]
     fn words_need_one_kind_of_evidence_and_a_fresh_one() {
         let sick = Evidence { failed: 2, age_tenths: 5, ..Evidence::default() };
-        assert_eq!(word(&sick), Word::Unwell);
-        assert_eq!(word(&Evidence { served: 1, ..sick }), Word::Unclear);
-        assert_eq!(word(&Evidence { age_tenths: 31, ..sick }), Word::Unclear);
-        assert_eq!(word(&Evidence { full: 9, ..Evidence::default() }), Word::Unclear, "full is not sick");
-        assert_eq!(word(&Evidence { served: 3, ..Evidence::default() }), Word::Well);
-        assert_eq!(word(&Evidence::default()), Word::Unclear);
+        assert_eq!(word(&sick), PeerVerdict::Unhealthy);
+        assert_eq!(word(&Evidence { served: 1, ..sick }), PeerVerdict::Inconclusive);
+        assert_eq!(word(&Evidence { age_tenths: 31, ..sick }), PeerVerdict::Inconclusive);
+        assert_eq!(word(&Evidence { full: 9, ..Evidence::default() }), PeerVerdict::Inconclusive, "full is not sick");
+        assert_eq!(word(&Evidence { served: 3, ..Evidence::default() }), PeerVerdict::Healthy);
+        assert_eq!(word(&Evidence::default()), PeerVerdict::Inconclusive);
     }
 }
--- a/crates/proxy-core/src/guard/mod.rs
+++ b/crates/proxy-core/src/guard/mod.rs
@@ -199,7 +199,7 @@
 }
 
 fn class_rules(settings: &Settings, class: usize) -> ClassRules {
-    ClassRules { effect: settings.effect(class), attempts: settings.attempts(class) }
+    ClassRules { idempotency: settings.idempotency(class), attempts: settings.attempts(class) }
 }
 
 fn on_time(tracked: &Tracked, now: Micros) -> GuardResult {
--- a/crates/proxy-core/src/guard/request.rs
+++ b/crates/proxy-core/src/guard/request.rs
@@ -1,7 +1,7 @@
 //! What the guard keeps of one request.
 
 use super::violation::Violation;
-use cottonnotch_decision::{Effect, Micros, Outcome, ServerId, ZoneId};
+use cottonnotch_decision::{Idempotency, Micros, Outcome, ServerId, ZoneId};
 
 /// Up to so long after its deadline an answer only earns nothing; after that the request is lost (standing test).
 pub(super) const LOST_AFTER: Micros = 500_000;
@@ -12,7 +12,7 @@
 /// What its class allows.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ClassRules {
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     pub attempts: u32,
 }
 
@@ -45,20 +45,22 @@
     /// Whether an attempt may be sent to a server there now, as far as earlier ones tell.
     pub fn check_repeat(&self, rules: ClassRules, spot: Spot, now: Micros) -> Result<(), Violation> {
         let Some((first_spot, first_sent)) = self.may_have_run else { return Ok(()) };
-        match rules.effect {
-            Effect::Safe => Ok(()),
-            Effect::Unsafe => Err(Violation::RepeatedUnsafe),
-            Effect::Keyed { scope, .. } if scope.parts(first_spot, spot) => Err(Violation::RepeatedElsewhere),
-            Effect::Keyed { window, .. } if now >= first_sent.saturating_add(window) => {
+        match rules.idempotency {
+            Idempotency::Idempotent => Ok(()),
+            Idempotency::NotIdempotent => Err(Violation::RepeatedUnsafe),
+            Idempotency::Keyed { scope, .. } if scope.separates(first_spot, spot) => {
+                Err(Violation::RepeatedElsewhere)
+            }
+            Idempotency::Keyed { window, .. } if now >= first_sent.saturating_add(window) => {
                 Err(Violation::RepeatedLate)
             }
-            Effect::Keyed { .. } => Ok(()),
+            Idempotency::Keyed { .. } => Ok(()),
         }
     }
 
     /// Whether a refusal may be said now.
     pub fn check_refusal(&self, rules: ClassRules) -> Result<(), Violation> {
-        let allowed = self.may_have_run.is_none() || rules.effect.may_refuse();
+        let allowed = self.may_have_run.is_none() || rules.idempotency.may_reject();
         allowed.then_some(()).ok_or(Violation::RefusedAfterEffect)
     }
 
--- a/crates/proxy-core/src/guard/server.rs
+++ b/crates/proxy-core/src/guard/server.rs
@@ -1,7 +1,7 @@
 //! What the guard keeps of one server: its place, whether it may get anything new, and what it got while cold.
 
 use super::request::Spot;
-use cottonnotch_decision::{Entry, Listed, Micros, Settings};
+use cottonnotch_decision::{Entry, Micros, ServerState, Settings};
 use std::collections::VecDeque;
 
 const SECOND: f64 = 1_000_000.0;
@@ -35,7 +35,7 @@
             self.sent.clear();
         }
         self.started = entry.started;
-        if entry.state == Listed::Ready {
+        if entry.state == ServerState::Ready {
             self.is_ready = true;
         } else {
             self.stop(now);
@@ -63,21 +63,21 @@
             self.sent.clear();
             return true;
         };
-        let window = settings.fall_window;
+        let window = settings.overload_window;
         while self.sent.front().is_some_and(|at| now - at >= window) {
             self.sent.pop_front();
         }
         self.sent.push_back(now);
         let part = if settings.weighted { self.weight } else { 1.0 } / total_weight.max(1e-9);
-        let filled_per_s = settings.allowance_open() * SECOND / settings.warm_up.max(1) as f64;
-        let allowed = share * settings.fall_multiple * filled_per_s * part * window as f64 / SECOND;
+        let filled_per_s = settings.allowance_open() * SECOND / settings.slow_start_window.max(1) as f64;
+        let allowed = share * settings.overload_multiple * filled_per_s * part * window as f64 / SECOND;
         self.sent.len() as f64 <= with_chance(allowed)
     }
 
     /// The part of its capacity that it has for certain; `None`: it is warm, nobody knows, or the settings don't say what it bears.
     fn cold_share(&self, now: Micros, settings: &Settings) -> Option<f64> {
         let age = now - self.born_after?;
-        let is_told = settings.fall_window > 0 && settings.allowance_open() > 0.0;
+        let is_told = settings.overload_window > 0 && settings.allowance_open() > 0.0;
         let share = settings.share_at(age);
         (is_told && share < 1.0).then_some(share)
     }
--- a/crates/proxy-core/tests/guard.rs
+++ b/crates/proxy-core/tests/guard.rs
@@ -6,22 +6,29 @@
 const S: Micros = 1_000_000;
 const ID: RequestId = RequestId(1);
 
-fn settings(effect: Effect) -> Settings {
-    let class = Class { target: 0, deadline: 2 * S, message_aim: 0, attempts: 3, effect, worth: 1.0 };
+fn settings(idempotency: Idempotency) -> Settings {
+    let class = Class {
+        target: 0,
+        deadline: 2 * S,
+        message_latency_objective: 0,
+        attempts: 3,
+        idempotency,
+        priority_weight: 1.0,
+    };
     let tenant = Tenant { allowance_per_s: 0.0, allowance_open: 100.0 };
     Settings {
         nodes: 1,
         classes: vec![class],
         tenants: vec![tenant],
-        cold_from: 0.3,
-        warm_up: 10 * S,
-        fall_multiple: 3.0,
-        fall_window: 2 * S,
+        slow_start_from: 0.3,
+        slow_start_window: 10 * S,
+        overload_multiple: 3.0,
+        overload_window: 2 * S,
         ..Settings::default()
     }
 }
 
-fn entry(server: u32, cell: u32, state: Listed, started: Option<Micros>) -> Entry {
+fn entry(server: u32, cell: u32, state: ServerState, started: Option<Micros>) -> Entry {
     Entry { server: ServerId(server), digest: 0, state, zone: ZoneId(0), cell, started, weight: 1.0 }
 }
 
@@ -31,16 +38,16 @@
 }
 
 /// Two servers, of cells 0 and 1, and one request that was taken at 0.
-fn guard(effect: Effect) -> Guard {
-    let mut guard = Guard::new(settings(effect));
-    guard.listed(0, true, &[entry(0, 0, Listed::Ready, None), entry(1, 1, Listed::Ready, None)]);
+fn guard(idempotency: Idempotency) -> Guard {
+    let mut guard = Guard::new(settings(idempotency));
+    guard.listed(0, true, &[entry(0, 0, ServerState::Ready, None), entry(1, 1, ServerState::Ready, None)]);
     guard.requested(0, &request(1));
     guard
 }
 
 #[test]
 fn a_request_that_is_tried_answered_and_closed_in_order_breaks_nothing() {
-    let mut guard = guard(Effect::Safe);
+    let mut guard = guard(Idempotency::Idempotent);
     guard.send(1, ID, ServerId(0)).unwrap();
     guard.written(2, ID).unwrap();
     guard.attempt_ended(ID, Outcome::TimedOut);
@@ -55,7 +62,7 @@
 
 #[test]
 fn sending_is_for_requests_that_are_owed_an_answer_one_attempt_at_a_time() {
-    let mut guard = guard(Effect::Safe);
+    let mut guard = guard(Idempotency::Idempotent);
     assert_eq!(guard.send(1, RequestId(9), ServerId(0)), Err(Violation::SentUnowed));
     guard.send(1, ID, ServerId(0)).unwrap();
     assert_eq!(guard.send(2, ID, ServerId(1)), Err(Violation::SecondAttemptOut));
@@ -72,26 +79,26 @@
 
 #[test]
 fn nothing_new_goes_to_a_server_that_drains_or_is_gone() {
-    let mut guard = guard(Effect::Safe);
-    guard.listed(1, false, &[entry(0, 0, Listed::Draining, None)]);
+    let mut guard = guard(Idempotency::Idempotent);
+    guard.listed(1, false, &[entry(0, 0, ServerState::Draining, None)]);
     assert_eq!(guard.send(2, ID, ServerId(0)), Err(Violation::SentToStopped));
     guard.send(3, ID, ServerId(1)).unwrap();
-    guard.listed(4, true, &[entry(0, 0, Listed::Ready, None)]);
+    guard.listed(4, true, &[entry(0, 0, ServerState::Ready, None)]);
     assert_eq!(guard.written(5, ID), Ok(()), "it was on its way");
     assert_eq!(guard.written(2 * S, ID), Err(Violation::SentToStopped), "over a second after the list");
 }
 
 #[test]
 fn what_may_have_run_is_repeated_only_as_its_effect_allows() {
-    let repeat = |effect, outcome, server, at| {
-        let mut guard = guard(effect);
+    let repeat = |idempotency, outcome, server, at| {
+        let mut guard = guard(idempotency);
         guard.send(0, ID, ServerId(0)).unwrap();
         guard.attempt_ended(ID, outcome);
         guard.send(at, ID, ServerId(server))
     };
-    assert_eq!(repeat(Effect::Unsafe, Outcome::Reset, 1, 1), Err(Violation::RepeatedUnsafe));
-    assert_eq!(repeat(Effect::Unsafe, Outcome::Full, 1, 1), Ok(()));
-    let keyed = |scope| Effect::Keyed { scope, window: S };
+    assert_eq!(repeat(Idempotency::NotIdempotent, Outcome::Reset, 1, 1), Err(Violation::RepeatedUnsafe));
+    assert_eq!(repeat(Idempotency::NotIdempotent, Outcome::Full, 1, 1), Ok(()));
+    let keyed = |scope| Idempotency::Keyed { scope, window: S };
     assert_eq!(repeat(keyed(Scope::Cell), Outcome::TimedOut, 1, 1), Err(Violation::RepeatedElsewhere));
     assert_eq!(repeat(keyed(Scope::Cell), Outcome::TimedOut, 0, S - 1), Ok(()));
     assert_eq!(repeat(keyed(Scope::All), Outcome::Error, 1, S), Err(Violation::RepeatedLate));
@@ -99,22 +106,22 @@
 
 #[test]
 fn a_refusal_promises_that_a_repeat_is_harmless() {
-    let refuse = |effect, outcome| {
-        let mut guard = guard(effect);
+    let refuse = |idempotency, outcome| {
+        let mut guard = guard(idempotency);
         guard.send(0, ID, ServerId(0)).unwrap();
         guard.attempt_ended(ID, outcome);
         guard.answered(1, ID, FinalAnswer::Refused)
     };
-    let zone = Effect::Keyed { scope: Scope::Zone, window: S };
-    assert_eq!(refuse(Effect::Unsafe, Outcome::Cancelled), Err(Violation::RefusedAfterEffect));
+    let zone = Idempotency::Keyed { scope: Scope::Zone, window: S };
+    assert_eq!(refuse(Idempotency::NotIdempotent, Outcome::Cancelled), Err(Violation::RefusedAfterEffect));
     assert_eq!(refuse(zone, Outcome::Reset), Err(Violation::RefusedAfterEffect));
     assert_eq!(refuse(zone, Outcome::NotSent), Ok(()));
-    assert_eq!(refuse(Effect::Keyed { scope: Scope::All, window: S }, Outcome::Reset), Ok(()));
+    assert_eq!(refuse(Idempotency::Keyed { scope: Scope::All, window: S }, Outcome::Reset), Ok(()));
 }
 
 #[test]
 fn each_request_gets_one_answer_in_its_time_and_none_while_an_attempt_is_out() {
-    let mut guard = guard(Effect::Safe);
+    let mut guard = guard(Idempotency::Idempotent);
     guard.send(1, ID, ServerId(0)).unwrap();
     assert_eq!(guard.answered(2, ID, FinalAnswer::Failed), Err(Violation::AnsweredWhileOut));
     assert_eq!(guard.answered(3, ID, FinalAnswer::Failed), Err(Violation::AnsweredUnowed));
@@ -141,10 +148,14 @@
     // Two servers share 100 connections that fill them in 10 s: at 0.3 of its capacity a server bears 3 x 0.3 x 5 a second,
     // 9 in a window of 2 s, and 21 with chance.
     for told in [Some(-3600 * S), Some(5 * S), Some(3600 * S)] {
-        let mut guard = Guard::new(settings(Effect::Safe));
-        guard.listed(0, true, &[entry(0, 0, Listed::Ready, None), entry(1, 1, Listed::Gone, None)]);
-        guard.listed(5 * S, false, &[entry(1, 1, Listed::Gone, None)]);
-        guard.listed(5 * S + 1, false, &[entry(1, 1, Listed::Ready, told)]);
+        let mut guard = Guard::new(settings(Idempotency::Idempotent));
+        guard.listed(
+            0,
+            true,
+            &[entry(0, 0, ServerState::Ready, None), entry(1, 1, ServerState::Removed, None)],
+        );
+        guard.listed(5 * S, false, &[entry(1, 1, ServerState::Removed, None)]);
+        guard.listed(5 * S + 1, false, &[entry(1, 1, ServerState::Ready, told)]);
         let sent = (0..40).filter(|id| {
             guard.requested(6 * S, &request(100 + id));
             guard.send(6 * S, RequestId(100 + id), ServerId(1)).is_ok()
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -202,7 +202,7 @@
         let peers = peers(&shape, me, roster, life, now, seed);
         let mut hollow = Hollow {
             balancer: Balancer::new(settings.clone(), seed, now),
-            delays: MessageLatencies::new(settings.nodes, settings.shortest_aim(), settings.weighted),
+            delays: MessageLatencies::new(settings.nodes, settings.shortest_message_objective(), settings.weighted),
             chance: ChaCha8Rng::seed_from_u64(seed),
             nodes: Nodes::default(),
             open: Vec::new(),
@@ -430,7 +430,7 @@
                 self.later(now + REPORT_INTERVAL, Due::Second);
                 self.hand_peers(now, Input::Second);
                 for LatencyReport { server, delay } in self.delays.due_reports(now) {
-                    self.tell(now, Event::DelayNote { server, delay });
+                    self.tell(now, Event::LatencyUpdate { server, latency: delay });
                 }
             }
             Due::First => {
@@ -494,7 +494,7 @@
                     self.out.push_back(Wish::Datagram { to, bytes });
                 }
                 Output::Event(event) => {
-                    if let Event::Tier(tier) = &event {
+                    if let Event::Fleet(tier) = &event {
                         let members = tier.nodes as u32;
                         self.out.push_back(Wish::Record(What::View { members }));
                     }
@@ -557,11 +557,11 @@
                 let (request, server) = (request.0, server.0);
                 self.later(now + SETUP, Due::Up { request, attempt, server });
             }
-            Action::Refuse { request, .. } | Action::Fail { request, .. } => {
+            Action::Reject { request, .. } | Action::Fail { request, .. } => {
                 self.owed.remove(&request);
                 self.counts.refused += 1;
             }
-            Action::Move(request) => {
+            Action::Migrate(request) => {
                 let Some(at) = self.open.iter().position(|open| open.request == request) else { return };
                 let Open { request, server, group } = self.open.swap_remove(at);
                 self.counts.moves += 1;
@@ -572,13 +572,13 @@
                 self.owed.insert(again.id, Owed { group, attempts: 0 });
                 self.pending.push_back(Event::Request(again));
             }
-            Action::Watch => {
+            Action::WatchList => {
                 self.counts.list_calls += 1;
                 self.out.push_back(Wish::Watch { from: self.nodes.revision() });
             }
             Action::Probe(server) => self.pending.push_back(Event::Probed { server, report: None }),
             Action::Timer { after, token } => self.later(now + after, Due::Module(token)),
-            Action::Log { .. } | Action::Believe { .. } => {}
+            Action::Log { .. } | Action::HealthChanged { .. } => {}
         }
     }
 }
--- a/crates/scale/src/shape.rs
+++ b/crates/scale/src/shape.rs
@@ -1,7 +1,7 @@
 //! How large a tier is, and the synthetic connections that follow from that and a seed.
 
 use cottonnotch_decision::names::unit;
-use cottonnotch_decision::{Class, Effect, Micros, Settings, ZoneId};
+use cottonnotch_decision::{Class, Idempotency, Micros, Settings, ZoneId};
 use serde::{Deserialize, Serialize};
 
 /// Servers that a group's connections go to, as the module chooses them today.
@@ -132,10 +132,10 @@
         let class = Class {
             target: 300 * MS,
             deadline: 2_000 * MS,
-            message_aim: Micros::from(self.aim_ms) * MS,
+            message_latency_objective: Micros::from(self.aim_ms) * MS,
             attempts: 3,
-            effect: Effect::Safe,
-            worth: 1.0,
+            idempotency: Idempotency::Idempotent,
+            priority_weight: 1.0,
         };
         Settings {
             ordinal: member,
@@ -143,16 +143,16 @@
             zone: ZoneId(self.zone(member) as u16),
             classes: vec![class],
             groups: true,
-            over_share_worth: 1.0,
+            over_quota_weight: 1.0,
             step: MS,
             list_on_request: true,
             weighted: true,
             retry_after: true,
             max_retry_after: 1_000 * MS,
-            cold_from: 0.3,
-            warm_up: 9_000 * MS,
-            fall_multiple: 3.0,
-            fall_window: 2_000 * MS,
+            slow_start_from: 0.3,
+            slow_start_window: 9_000 * MS,
+            overload_multiple: 3.0,
+            overload_window: 2_000 * MS,
             ..Settings::default()
         }
     }
--- a/crates/scale/src/watch.rs
+++ b/crates/scale/src/watch.rs
@@ -2,7 +2,7 @@
 
 use crate::sockets::{Io, Object, Report};
 use cottonnotch_decision::Micros;
-use cottonnotch_decision::list_calls::SILENT_AFTER;
+use cottonnotch_decision::list_polling::WATCH_SILENT_AFTER;
 use cottonnotch_proxy_core::EndpointUpdate;
 use cottonnotch_reactor::http::StreamedResponse;
 use cottonnotch_reactor::json_stream::JsonStream;
@@ -85,7 +85,7 @@
         if !bytes.is_empty() {
             self.heard = io.now();
             if !std::mem::replace(&mut self.answered, true) {
-                io.timer(self.heard + SILENT_AFTER, self.key, 0);
+                io.timer(self.heard + WATCH_SILENT_AFTER, self.key, 0);
             }
             self.take(io, &bytes);
         }
@@ -111,7 +111,7 @@
     }
 
     fn timer(&mut self, io: &mut Io, _: u32) {
-        let due = self.heard + if self.answered { SILENT_AFTER } else { UNANSWERED };
+        let due = self.heard + if self.answered { WATCH_SILENT_AFTER } else { UNANSWERED };
         if due > io.now() {
             io.timer(due, self.key, 0);
         } else {
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -9,8 +9,8 @@
 use cottonnotch_decision::names::{Names, digest};
 use cottonnotch_decision::settings::{self, Pairs, Profile};
 use cottonnotch_decision::{
-    Action, Balancer, ClassId, Entry, Event, Listed, Micros, Notice, Outcome, Request, RequestId, ServerId,
-    TenantId, ZoneId,
+    Action, Balancer, ClassId, Entry, Event, Micros, Notification, Outcome, Request, RequestId, ServerId,
+    ServerState, TenantId, ZoneId,
 };
 use peers::Peers;
 use std::collections::HashMap;
@@ -229,9 +229,9 @@
         let cell = parts.optional("stripe")?.unwrap_or(0);
         let lifecycle = parts.text("lifecycle")?;
         let state = match lifecycle {
-            "Running" => Listed::Ready,
-            "Stopping" => Listed::Draining,
-            "Deleted" => Listed::Gone,
+            "Running" => ServerState::Ready,
+            "Stopping" => ServerState::Draining,
+            "Deleted" => ServerState::Removed,
             _ => return bad("lifecycle", format!("is unknown: '{}'", wire::short(lifecycle))),
         };
         let zone = parts.raw("rackZone")?;
@@ -314,10 +314,10 @@
                 let server = self.server(p.text("host")?)?;
                 p.optional::<u32>("copy")?;
                 match sort {
-                    1 => Event::LoadNote { request, load: value },
+                    1 => Event::LoadUpdate { request, load: value },
                     2 => {
                         let delay = (value * 1000.0).clamp(0.0, 4e15) as Micros;
-                        Event::DelayNote { server, delay }
+                        Event::LatencyUpdate { server, latency: delay }
                     }
                     _ => {
                         p.end()?;
@@ -325,7 +325,7 @@
                     }
                 }
             }
-            "aborted" => Event::Gone(RequestId(p.number("tid")?)),
+            "aborted" => Event::ClientClosed(RequestId(p.number("tid")?)),
             "sampled" => {
                 let server = self.server(p.text("host")?)?;
                 let good = outcome(p.text("rc")?)? == Outcome::Served;
@@ -392,12 +392,12 @@
                 let host = self.servers.name(server.0);
                 writeln!(to, "place\tnode-{node}\t{}\t{host}\t{timeout}", request.0)
             }
-            Action::Refuse { request, retry_after, .. } => {
+            Action::Reject { request, retry_after, .. } => {
                 writeln!(to, "say_no\tnode-{node}\t{}\t{retry_after}", request.0)
             }
             Action::Fail { request, .. } => writeln!(to, "report_failure\tnode-{node}\t{}", request.0),
-            Action::Move(request) => writeln!(to, "rebalance\tnode-{node}\t{}", request.0),
-            Action::Watch => writeln!(to, "stream_changes\tnode-{node}\t1"),
+            Action::Migrate(request) => writeln!(to, "rebalance\tnode-{node}\t{}", request.0),
+            Action::WatchList => writeln!(to, "stream_changes\tnode-{node}\t1"),
             Action::Probe(server) => writeln!(to, "sample\tnode-{node}\t{}", self.servers.name(server.0)),
             Action::Timer { after, token } => {
                 let name = format!("timer-{token}");
@@ -406,13 +406,13 @@
                 Ok(())
             }
             // The wire has no line for it.
-            Action::Believe { .. } => Ok(()),
-            Action::Log { notice, server } => {
-                let text = match notice {
-                    Notice::PausedFailing => "server paused, keeps failing",
-                    Notice::Recovered => "server back after a good trial",
-                    Notice::Holding => "no server can be used now, holding connections",
-                    Notice::ListUnreachable => "server list cannot be had, going on with the last one",
+            Action::HealthChanged { .. } => Ok(()),
+            Action::Log { notification, server } => {
+                let text = match notification {
+                    Notification::PausedFailing => "server paused, keeps failing",
+                    Notification::Recovered => "server back after a good trial",
+                    Notification::Queueing => "no server can be used now, holding connections",
+                    Notification::ListUnreachable => "server list cannot be had, going on with the last one",
                 };
                 match server {
                     Some(server) => {
--- a/crates/simhost/src/peers.rs
+++ b/crates/simhost/src/peers.rs
@@ -2,7 +2,7 @@
 //! tell anyhow is told there: who is there, and what was met at servers. Loads are not, since it tells delays itself.
 
 use cottonnotch_decision::names::Names;
-use cottonnotch_decision::{Event, Micros, Outcome, ServerId, Word};
+use cottonnotch_decision::{Event, Micros, Outcome, ServerId, PeerVerdict};
 use cottonnotch_gossip::{
     EndpointDigest, Entry, Evidence, Gossip, GossipSection, Input, Keys, Observation, Observations, Output,
     Settings, Strength, To,
@@ -94,7 +94,7 @@
                 Output::PeerReport { from, entries } => {
                     for entry in entries {
                         if let Some(Some(server)) = self.numbers.get(&entry.endpoint).copied() {
-                            events.push(Event::Peer { from, server, word: word(&entry.evidence) });
+                            events.push(Event::PeerReport { from, server, verdict: word(&entry.evidence) });
                         }
                     }
                 }
@@ -116,11 +116,11 @@
     }
 }
 
-fn word(evidence: &Evidence) -> Word {
+fn word(evidence: &Evidence) -> PeerVerdict {
     let unwell = u32::from(evidence.failed) + u32::from(evidence.timed_out) + u32::from(evidence.silent);
     match (evidence.age_tenths <= MOST_AGE_TENTHS, unwell, evidence.served) {
-        (true, 1.., 0) => Word::Unwell,
-        (true, 0, 1..) => Word::Well,
-        _ => Word::Unclear,
+        (true, 1.., 0) => PeerVerdict::Unhealthy,
+        (true, 0, 1..) => PeerVerdict::Healthy,
+        _ => PeerVerdict::Inconclusive,
     }
 }
