--- a/crates/cottonnotch/src/net/discovery_client.rs
+++ b/crates/cottonnotch/src/net/discovery_client.rs
@@ -3,7 +3,7 @@
 
 use super::network_event::{Happening, Io, Object};
 use cottonnotch_decision::Micros;
-use cottonnotch_decision::list_polling::{WATCH_SILENT_AFTER, UNANSWERED_AFTER};
+use cottonnotch_decision::list_polling::{UNANSWERED_AFTER, WATCH_SILENT_AFTER};
 use cottonnotch_proxy_core::EndpointUpdate;
 use cottonnotch_reactor::http::StreamedResponse;
 use cottonnotch_reactor::json_stream::JsonStream;
--- a/crates/cottonnotch/src/net/driver/audit.rs
+++ b/crates/cottonnotch/src/net/driver/audit.rs
@@ -3,7 +3,7 @@
 
 use super::context::PART;
 use super::request_table::Call;
-use cottonnotch_decision::{Entry, Micros, Outcome, Request, RequestId, ServerId, Settings, RejectionReason};
+use cottonnotch_decision::{Entry, Micros, Outcome, RejectionReason, Request, RequestId, ServerId, Settings};
 use cottonnotch_proxy_core::{FinalAnswer, Guard, GuardResult, Violation};
 use cottonnotch_records::MoveReason;
 use std::collections::BTreeMap;
--- a/crates/cottonnotch/src/net/driver/endpoints.rs
+++ b/crates/cottonnotch/src/net/driver/endpoints.rs
@@ -6,7 +6,7 @@
 use crate::net::discovery_client::Watch;
 use crate::rules::NodeKind;
 use cottonnotch_decision::names::{Names, digest};
-use cottonnotch_decision::{ServerHealth, Entry, Event, ServerState, Micros, ServerId, ZoneId};
+use cottonnotch_decision::{Entry, Event, Micros, ServerHealth, ServerId, ServerState, ZoneId};
 use cottonnotch_proxy_core::{EndpointUpdate, Servers};
 use cottonnotch_reactor::Key;
 use cottonnotch_reactor::rate_limited_log::RateLimitedLog;
--- a/crates/cottonnotch/src/net/driver/message_latency.rs
+++ b/crates/cottonnotch/src/net/driver/message_latency.rs
@@ -21,7 +21,8 @@
     pub fn start(net: &mut Net) -> Self {
         net.timer_in(REPORT_INTERVAL, TICK);
         let Profile { settings, tells_delay, .. } = &net.config.profile;
-        let delays = MessageLatencies::new(settings.nodes, settings.shortest_message_objective(), settings.weighted);
+        let delays =
+            MessageLatencies::new(settings.nodes, settings.shortest_message_objective(), settings.weighted);
         let (groups, tells_delay) = (settings.groups, *tells_delay);
         Messages { delays, lines: LoadLines::default(), tells_delay, groups }
     }
--- a/crates/cottonnotch/src/net/driver/mod.rs
+++ b/crates/cottonnotch/src/net/driver/mod.rs
@@ -508,8 +508,12 @@
         let (discovery, revision) = (self.net.config.discovery, self.subchannels.revision());
         let rpcs = self.clients.calls().len();
         match notification {
-            Notification::PausedFailing => log::warn!(subchannel; "subchannel {subchannel} paused, keeps failing"),
-            Notification::Recovered => log::info!(subchannel; "subchannel {subchannel} back after a good trial"),
+            Notification::PausedFailing => {
+                log::warn!(subchannel; "subchannel {subchannel} paused, keeps failing")
+            }
+            Notification::Recovered => {
+                log::info!(subchannel; "subchannel {subchannel} back after a good trial")
+            }
             Notification::Queueing => log::warn!(rpcs; "no subchannel can be used now, holding RPCs"),
             Notification::ListUnreachable => {
                 log::error!(
--- a/crates/cottonnotch/src/net/driver/records.rs
+++ b/crates/cottonnotch/src/net/driver/records.rs
@@ -6,7 +6,7 @@
 use crate::net::management::metrics::Figures;
 use crate::rules::VerdictBasis;
 use cottonnotch_decision::settings::Profile;
-use cottonnotch_decision::{ServerHealth, Entry, ServerState, Micros, Outcome, Request, RequestId};
+use cottonnotch_decision::{Entry, Micros, Outcome, Request, RequestId, ServerHealth, ServerState};
 use cottonnotch_gossip::State;
 use cottonnotch_records as schema;
 use cottonnotch_records::{
--- a/crates/cottonnotch/src/rules/node_kinds.rs
+++ b/crates/cottonnotch/src/rules/node_kinds.rs
@@ -2,7 +2,7 @@
 //! kinds may take a request is found by the kind; the set of nodes that comes of it is made once for each list.
 
 use cottonnotch_decision::names::unit;
-use cottonnotch_decision::{Entry, ServerState, ServerId, ServerSet};
+use cottonnotch_decision::{Entry, ServerId, ServerSet, ServerState};
 use std::collections::HashMap;
 use std::sync::Arc;
 
--- a/crates/cottonnotch/src/rules/routing_verdict.rs
+++ b/crates/cottonnotch/src/rules/routing_verdict.rs
@@ -9,7 +9,9 @@
 use super::rule_evaluation::Reckoning;
 use cottonnotch_consensus::ContentHash;
 use cottonnotch_decision::settings::Profile;
-use cottonnotch_decision::{Entry, Micros, Request, RequestId, RoutingRules, RoutingVerdict, ServerId, Stickiness};
+use cottonnotch_decision::{
+    Entry, Micros, Request, RequestId, RoutingRules, RoutingVerdict, ServerId, Stickiness,
+};
 use cottonnotch_records::Name;
 use cottonnotch_routing_rules::{OnDoubt, When};
 use cottonnotch_rule_compiler::Plan;
@@ -215,7 +217,13 @@
         ruling
     }
 
-    fn doubted(&mut self, request: &Request, number: u64, rules: Vec<Name>, evaluated_at: Micros) -> RoutingVerdict {
+    fn doubted(
+        &mut self,
+        request: &Request,
+        number: u64,
+        rules: Vec<Name>,
+        evaluated_at: Micros,
+    ) -> RoutingVerdict {
         self.note(request, VerdictBasis { version: Some(number), rules, is_uncertain: true, evaluated_at });
         self.unknown(self.doubt.unruled)
     }
--- a/crates/cottonnotch/src/rules/routing_verdict_tests.rs
+++ b/crates/cottonnotch/src/rules/routing_verdict_tests.rs
@@ -12,8 +12,14 @@
 const S: Micros = 1_000_000;
 
 fn profile(proxies: u32, ordinal: u32) -> Profile {
-    let class =
-        Class { target: S, deadline: S, message_latency_objective: 0, attempts: 3, idempotency: Idempotency::Idempotent, priority_weight: 1.0 };
+    let class = Class {
+        target: S,
+        deadline: S,
+        message_latency_objective: 0,
+        attempts: 3,
+        idempotency: Idempotency::Idempotent,
+        priority_weight: 1.0,
+    };
     let tenant = cottonnotch_decision::Tenant { allowance_per_s: 1.0, allowance_open: 1.0 };
     let settings = Settings {
         nodes: proxies,
@@ -201,7 +207,10 @@
         homes,
         "the same for all of it"
     );
-    assert_eq!(rulings.stickiness(0, &request(4, 0, Some(0), None), ServerId(0)), Some(Stickiness::UntilDrained));
+    assert_eq!(
+        rulings.stickiness(0, &request(4, 0, Some(0), None), ServerId(0)),
+        Some(Stickiness::UntilDrained)
+    );
     assert_eq!(rulings.stickiness(0, &request(4, 0, Some(1), None), ServerId(0)), None);
 }
 
@@ -215,7 +224,11 @@
     assert!(rulings.ruling(0, &north).preferred.is_some());
     publication.revoke();
     assert_eq!(rulings.ruling(0, &north), refused(250_000), "as the namespace says");
-    assert_eq!(rulings.ruling(0, &other), RoutingVerdict::default(), "no must speaks of it, and wishes are dropped");
+    assert_eq!(
+        rulings.ruling(0, &other),
+        RoutingVerdict::default(),
+        "no must speaks of it, and wishes are dropped"
+    );
     assert!(rulings.basis(north.id).unwrap().is_uncertain);
     assert_eq!(rulings.rejected_while_uncertain(), 1);
     // The lease is over by the clock alone, without a word from anybody.
--- a/crates/cottonnotch/src/rules/rule_evaluation.rs
+++ b/crates/cottonnotch/src/rules/rule_evaluation.rs
@@ -91,7 +91,13 @@
     }
 
     /// What a look comes to now. Wishes are left out while it is in doubt whether they still count.
-    pub fn ruling(&mut self, now: Micros, group: Option<u64>, look: &Look, with_wishes: bool) -> RoutingVerdict {
+    pub fn ruling(
+        &mut self,
+        now: Micros,
+        group: Option<u64>,
+        look: &Look,
+        with_wishes: bool,
+    ) -> RoutingVerdict {
         let (fleet, keys) = (&self.fleet, &self.keys);
         let full: Vec<_> = look
             .caps()
--- a/crates/proxy-core/src/fleet.rs
+++ b/crates/proxy-core/src/fleet.rs
@@ -7,7 +7,7 @@
 use crate::names::{WireNames, shown};
 use crate::peers::{Around, Carrying, Input, LocalState, Output, Translator};
 use cottonnotch_aggregation::{Entry, LocalLoad, Member, Snapshot, wire};
-use cottonnotch_decision::{Event, Micros, ServerId, FleetStatus, PeerVerdict};
+use cottonnotch_decision::{Event, FleetStatus, Micros, PeerVerdict, ServerId};
 use cottonnotch_gossip::{EndpointDigest, Observation, Observations, To};
 use std::collections::{BTreeMap, BTreeSet};
 use std::convert::Infallible;
--- a/crates/proxy-core/src/gossip.rs
+++ b/crates/proxy-core/src/gossip.rs
@@ -5,7 +5,7 @@
 use crate::names::{WireNames, shown};
 use crate::peer_loads::EstablishedLoad;
 use crate::peers::{Around, Carrying, Input, LocalState, Output, Translator};
-use cottonnotch_decision::{Event, Micros, ServerId, PeerVerdict};
+use cottonnotch_decision::{Event, Micros, PeerVerdict, ServerId};
 use cottonnotch_gossip::{Entry, Evidence, Gossip, Load, Observations, Strength};
 use std::collections::BTreeSet;
 use std::convert::Infallible;
@@ -133,7 +133,11 @@
         assert_eq!(word(&sick), PeerVerdict::Unhealthy);
         assert_eq!(word(&Evidence { served: 1, ..sick }), PeerVerdict::Inconclusive);
         assert_eq!(word(&Evidence { age_tenths: 31, ..sick }), PeerVerdict::Inconclusive);
-        assert_eq!(word(&Evidence { full: 9, ..Evidence::default() }), PeerVerdict::Inconclusive, "full is not sick");
+        assert_eq!(
+            word(&Evidence { full: 9, ..Evidence::default() }),
+            PeerVerdict::Inconclusive,
+            "full is not sick"
+        );
         assert_eq!(word(&Evidence { served: 3, ..Evidence::default() }), PeerVerdict::Healthy);
         assert_eq!(word(&Evidence::default()), PeerVerdict::Inconclusive);
     }
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -202,7 +202,11 @@
         let peers = peers(&shape, me, roster, life, now, seed);
         let mut hollow = Hollow {
             balancer: Balancer::new(settings.clone(), seed, now),
-            delays: MessageLatencies::new(settings.nodes, settings.shortest_message_objective(), settings.weighted),
+            delays: MessageLatencies::new(
+                settings.nodes,
+                settings.shortest_message_objective(),
+                settings.weighted,
+            ),
             chance: ChaCha8Rng::seed_from_u64(seed),
             nodes: Nodes::default(),
             open: Vec::new(),
--- a/crates/simhost/src/peers.rs
+++ b/crates/simhost/src/peers.rs
@@ -2,7 +2,7 @@
 //! tell anyhow is told there: who is there, and what was met at servers. Loads are not, since it tells delays itself.
 
 use cottonnotch_decision::names::Names;
-use cottonnotch_decision::{Event, Micros, Outcome, ServerId, PeerVerdict};
+use cottonnotch_decision::{Event, Micros, Outcome, PeerVerdict, ServerId};
 use cottonnotch_gossip::{
     EndpointDigest, Entry, Evidence, Gossip, GossipSection, Input, Keys, Observation, Observations, Output,
     Settings, Strength, To,
