--- a/crates/cottonnotch/src/maintenance/tests.rs
+++ b/crates/cottonnotch/src/maintenance/tests.rs
@@ -40,12 +40,12 @@
 
     #[test]
     fn merging_does_not_mind_the_order(
-        marks in prop::collection::vec((any_id(), 0i64..5, any::<bool>(), 0i64..5), 0..12),
+        overrides in prop::collection::vec((any_id(), 0i64..5, any::<bool>(), 0i64..5), 0..12),
         cut in 0usize..12,
     ) {
-        let marks: Vec<_> = marks.into_iter().map(|(id, at, out, since)| (id, Mark { at, out, since })).collect();
-        let (a, b) = marks.split_at(cut.min(marks.len()));
-        let (a, b) = (Maintenance::of(a.to_vec()), Maintenance::of(b.to_vec()));
+        let overrides: Vec<_> = overrides.into_iter().map(|(id, at, out, since)| (id, ManualOverride { at, out, since })).collect();
+        let (a, b) = overrides.split_at(cut.min(overrides.len()));
+        let (a, b) = (Maintenance::from_overrides(a.to_vec()), Maintenance::from_overrides(b.to_vec()));
         let (mut ab, mut ba) = (a.clone(), b.clone());
         ab.merge(&b);
         ba.merge(&a);
@@ -65,14 +65,14 @@
                 state.exit(60, "a");
             }
             let listed = [ServerState::Ready, ServerState::Draining, ServerState::Removed][listed as usize];
-            let (comes_to, since) = state.over("a", listed, started);
+            let (comes_to, since) = state.apply("a", listed, started);
             if i < back_at {
                 prop_assert!(comes_to != ServerState::Ready, "listed as {listed:?} at {i}");
             } else {
                 prop_assert_eq!(comes_to, listed, "the ban's end ends only the ban");
                 prop_assert!(since.is_some_and(|at| at > 50), "it comes back cold: {since:?}");
             }
-            prop_assert_eq!(state.over("b", listed, started), (listed, started), "others are left alone");
+            prop_assert_eq!(state.apply("b", listed, started), (listed, started), "others are left alone");
         }
     }
 
@@ -113,7 +113,7 @@
     assert!(state.exit(3, "a"));
     assert!(!state.is_out("a"));
     assert!(!state.exit(4, "a") && !state.exit(4, "never"));
-    assert!(!state.knows("never"), "what is not out leaves no trace");
+    assert!(!state.contains("never"), "what is not out leaves no trace");
 }
 
 #[test]
@@ -129,9 +129,9 @@
 #[test]
 fn another_version_is_refused() {
     let text = encode(&Maintenance::default());
-    assert_eq!(decode(text.replace(" 1\n", " 2\n").as_bytes()), Err(BadSave::Form));
-    assert_eq!(decode(b""), Err(BadSave::Form));
-    assert_eq!(decode(text.trim_end().as_bytes()), Err(BadSave::Checksum));
+    assert_eq!(decode(text.replace(" 1\n", " 2\n").as_bytes()), Err(MaintenanceDecodeError::Form));
+    assert_eq!(decode(b""), Err(MaintenanceDecodeError::Form));
+    assert_eq!(decode(text.trim_end().as_bytes()), Err(MaintenanceDecodeError::Checksum));
 }
 
 #[test]
@@ -140,6 +140,6 @@
     state.enter(1, "a");
     state.enter(1, "b");
     state.exit(2, "b");
-    state.forget_old(2 + REMEMBERED);
-    assert!(state.is_out("a") && !state.knows("b"));
+    state.remove_expired(2 + RETENTION);
+    assert!(state.is_out("a") && !state.contains("b"));
 }
--- a/crates/cottonnotch/src/net/attempt.rs
+++ b/crates/cottonnotch/src/net/attempt.rs
@@ -1,4 +1,4 @@
-//! One call attempt: connect to the subchannel, write the first line, wait for what comes back.
+//! One attempt: connect to the endpoint, write the first line, wait for what comes back.
 
 use super::network_event::{AttemptOrder, Io};
 use super::open_line::OpenLine;
@@ -23,30 +23,30 @@
     Pending,
     /// Stopped before it would have blocked; to be called again.
     Again,
-    /// The subchannel's `UP` line, as it came.
+    /// The endpoint's `UP` line, as it came.
     Up(Vec<u8>),
     Ended(Outcome),
 }
 
 /// An attempt that is out.
 #[derive(Debug)]
-pub struct CallAttempt {
+pub struct Attempt {
     address: SocketAddr,
     link: LineStream,
     /// Goes out once the connection is up, with the time that is left then.
     line: OpenLine,
     phase: Phase,
     /// That the line is written was noted.
-    told: bool,
+    write_reported: bool,
     started: Micros,
-    connect_until: Micros,
-    until: Option<Micros>,
+    connect_deadline: Micros,
+    deadline: Option<Micros>,
     act_by: Option<Micros>,
     before: Option<Micros>,
 }
 
 /// What an answer line means, by the protocol's table.
-fn answer(address: SocketAddr, line: Vec<u8>) -> Progress {
+fn classify_answer(address: SocketAddr, line: Vec<u8>) -> Progress {
     let words = trim_end(&line);
     let verb = words.split(|b| *b == b' ').next().unwrap_or_default();
     match verb {
@@ -56,44 +56,44 @@
         b"ERR" => Progress::Ended(Outcome::Error),
         _ => {
             let words = words.escape_ascii();
-            log::warn!(address:%, answer:% = words; "subchannel answered a call attempt with '{words}'");
+            log::warn!(address:%, answer:% = words; "endpoint answered an attempt with '{words}'");
             Progress::Ended(Outcome::Error)
         }
     }
 }
 
-impl CallAttempt {
+impl Attempt {
     /// Begins the attempt; `line` is the client's first line, `until` when the proxy stops waiting.
     pub fn start(
         io: &mut Io,
         key: Key,
         order: &AttemptOrder,
         line: OpenLine,
-        until: Option<Micros>,
+        deadline: Option<Micros>,
     ) -> io::Result<Self> {
         let link = LineStream::connect(order.address, io, key, Half::Far)?;
         let started = io.now();
-        let connect_until = started + order.connect_timeout;
+        let connect_deadline = started + order.connect_timeout;
         let AttemptOrder { address, act_by, before, .. } = *order;
         let phase = Phase::Connecting;
-        Ok(CallAttempt {
+        Ok(Attempt {
             address,
             link,
             line,
             phase,
-            told: false,
+            write_reported: false,
             started,
-            connect_until,
-            until,
+            connect_deadline,
+            deadline,
             act_by,
             before,
         })
     }
 
     /// When the attempt is next due to be ended.
-    pub fn due(&self) -> Option<Micros> {
-        let connect = (self.phase == Phase::Connecting).then_some(self.connect_until);
-        [connect, self.until].into_iter().flatten().min()
+    pub fn next_timeout(&self) -> Option<Micros> {
+        let connect = (self.phase == Phase::Connecting).then_some(self.connect_deadline);
+        [connect, self.deadline].into_iter().flatten().min()
     }
 
     /// Time since it began.
@@ -116,7 +116,7 @@
             }
         }
         if self.phase == Phase::Writing {
-            // The process was stopped, or the subchannel slow: by now other rules may count. It is decided anew.
+            // The process was stopped, or the endpoint slow: by now other rules may count. It is decided anew.
             if self.act_by.is_some_and(|act_by| Clock.now() >= act_by) {
                 return Progress::Ended(Outcome::NotSent);
             }
@@ -133,7 +133,7 @@
         }
         let fill = self.link.fill();
         match (self.link.take_line(), fill) {
-            (Ok(Some(line)), _) => answer(self.address, line),
+            (Ok(Some(line)), _) => classify_answer(self.address, line),
             (Err(_), _) => Progress::Ended(Outcome::Error),
             (Ok(None), Fill::Blocked) => Progress::Pending,
             (Ok(None), Fill::More) => Progress::Again,
@@ -143,14 +143,14 @@
 
     /// The render node is told how long the proxy waits from now on: the connection may have been long in coming up.
     fn begin_writing(&mut self, now: Micros) {
-        let left = self.until.map(|until| until - now);
+        let left = self.deadline.map(|deadline| deadline - now);
         self.link.push(&self.line.forwarded(left));
         self.phase = Phase::Writing;
     }
 
     /// The first line has been written whole; true once for each attempt.
-    pub fn newly_written(&mut self) -> bool {
-        self.is_written() && !std::mem::replace(&mut self.told, true)
+    pub fn take_newly_written(&mut self) -> bool {
+        self.is_written() && !std::mem::replace(&mut self.write_reported, true)
     }
 
     /// The first line has been written whole: it may have run.
@@ -160,13 +160,13 @@
 
     /// Ends the attempt if its time is up.
     pub fn overdue(&self, now: Micros) -> Option<Outcome> {
-        if self.until.is_some_and(|until| until <= now) {
+        if self.deadline.is_some_and(|deadline| deadline <= now) {
             // While not even connected, nothing can have run.
             let waiting = self.phase == Phase::Waiting;
             return Some(if waiting { Outcome::TimedOut } else { Outcome::ConnectFailed });
         }
-        let slow = self.phase == Phase::Connecting && self.connect_until <= now;
-        slow.then_some(Outcome::ConnectFailed)
+        let connect_timed_out = self.phase == Phase::Connecting && self.connect_deadline <= now;
+        connect_timed_out.then_some(Outcome::ConnectFailed)
     }
 
     /// The connection, once it is up.
--- a/crates/cottonnotch/src/net/datagrams.rs
+++ b/crates/cottonnotch/src/net/datagrams.rs
@@ -1,16 +1,16 @@
 //! The socket on which proxies hear one another.
 
-use super::network_event::{Happening, Io, Object};
+use super::network_event::{Io, NetworkEvent, Object};
 use cottonnotch_reactor::{Connection, Half, Key};
 use mio::net::UdpSocket;
 use std::io;
 use std::net::SocketAddr;
 
 /// The longest datagram that the platform carries, and what a longer one is cut to: one byte more shows it.
-pub const LONGEST: usize = 256;
+pub const MAX_DATAGRAM: usize = 256;
 /// Read in one turn before clients have theirs. Guards against a flood: the rest waits in the system's own bounded
 /// buffer, and what does not fit there is lost before it has cost anything.
-const AT_ONCE: usize = 32;
+const READ_BATCH: usize = 32;
 
 /// The proxy's own end.
 #[derive(Debug)]
@@ -29,28 +29,28 @@
 
     /// Sends one. What can't be sent now is lost, as it may be anywhere on its way.
     pub fn send(&self, to: SocketAddr, bytes: &[u8]) -> bool {
-        bytes.len() <= LONGEST && self.socket.send_to(bytes, to).is_ok()
+        bytes.len() <= MAX_DATAGRAM && self.socket.send_to(bytes, to).is_ok()
     }
 }
 
 impl Connection for Datagrams {
-    type Report = Happening;
+    type Report = NetworkEvent;
 
     fn readable(&mut self, io: &mut Io, leg: Half) {
-        let mut heard = Vec::new();
-        let mut bytes = [0; LONGEST + 1];
-        for _ in 0..AT_ONCE {
+        let mut received = Vec::new();
+        let mut bytes = [0; MAX_DATAGRAM + 1];
+        for _ in 0..READ_BATCH {
             match self.socket.recv_from(&mut bytes) {
-                Ok((length, from)) => heard.push((from, bytes[..length].to_vec())),
+                Ok((length, from)) => received.push((from, bytes[..length].to_vec())),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    io.report(Happening::Datagrams(heard));
+                    io.report(NetworkEvent::Datagrams(received));
                     return;
                 }
                 // What one was sent to is not there; it says nothing of what may still be read.
                 Err(_) => {}
             }
         }
-        io.report(Happening::Datagrams(heard));
+        io.report(NetworkEvent::Datagrams(received));
         io.call_again(self.key, leg);
     }
 
--- a/crates/cottonnotch/src/net/driver/audit.rs
+++ b/crates/cottonnotch/src/net/driver/audit.rs
@@ -1,8 +1,8 @@
 //! What the proxy does with each request, watched: the guard checks every step against the rules, each close, retry and refusal is
 //! counted by its reason, and each change of a request's state is in the log (`debug`) under its id.
 
-use super::context::PART;
-use super::request_table::Call;
+use super::context::LOG_TARGET;
+use super::request_table::TrackedRequest;
 use cottonnotch_decision::{Entry, Micros, Outcome, RejectionReason, Request, RequestId, ServerId, Settings};
 use cottonnotch_proxy_core::{FinalAnswer, Guard, GuardResult, Violation};
 use cottonnotch_records::MoveReason;
@@ -51,7 +51,7 @@
     }
 
     /// Each figure with its value: violations by kind, then steps by reason.
-    pub fn figures(&self) -> impl Iterator<Item = (String, u64)> {
+    pub fn metrics(&self) -> impl Iterator<Item = (String, u64)> {
         let violations = self.guard.violations().all();
         let violations = violations.map(|(kind, count)| (format!("violations.{}", kind.name()), count));
         let reasons = self.reasons.iter();
@@ -78,88 +78,92 @@
     }
 
     /// An attempt is to be sent. False: it must not be.
-    pub fn may_send(&mut self, now: Micros, call: &Call, server: ServerId) -> bool {
-        let checked = self.guard.send(now, call.id, server);
+    pub fn may_send(&mut self, now: Micros, tracked: &TrackedRequest, server: ServerId) -> bool {
+        let checked = self.guard.send(now, tracked.id, server);
         let may = !matches!(checked, Err(violation) if !violation.may_come_from_outside());
-        report(checked, call);
-        if let Some(before) = call.last_outcome {
+        report(checked, tracked);
+        if let Some(before) = tracked.last_outcome {
             self.count(Step::Retried, outcome_name(before));
         }
-        state(call.id, call.wire_id, format_args!("attempt {} to server {}", call.attempts, server.0));
+        state(
+            tracked.id,
+            tracked.wire_id,
+            format_args!("attempt {} to server {}", tracked.attempts, server.0),
+        );
         may
     }
 
     /// The last byte of the attempt's line is written.
-    pub fn written(&mut self, now: Micros, call: &Call) {
-        report(self.guard.written(now, call.id), call);
+    pub fn written(&mut self, now: Micros, tracked: &TrackedRequest) {
+        report(self.guard.written(now, tracked.id), tracked);
     }
 
     /// The attempt has ended without having been up.
-    pub fn attempt_ended(&mut self, call: &Call, outcome: Outcome) {
-        self.guard.attempt_ended(call.id, outcome);
-        state(call.id, call.wire_id, format_args!("attempt ended, {}", outcome_name(outcome)));
+    pub fn attempt_ended(&mut self, tracked: &TrackedRequest, outcome: Outcome) {
+        self.guard.attempt_ended(tracked.id, outcome);
+        state(tracked.id, tracked.wire_id, format_args!("attempt ended, {}", outcome_name(outcome)));
     }
 
     /// The attempt brought the connection up.
-    pub fn up(&mut self, now: Micros, call: &Call) {
-        report(self.guard.up(now, call.id), call);
-        state(call.id, call.wire_id, "up");
+    pub fn up(&mut self, now: Micros, tracked: &TrackedRequest) {
+        report(self.guard.up(now, tracked.id), tracked);
+        state(tracked.id, tracked.wire_id, "up");
     }
 
     /// Refused, by the module.
-    pub fn refused(&mut self, now: Micros, call: &Call, why: RejectionReason) {
-        self.answered(now, call, FinalAnswer::Refused, unserved_name(why));
+    pub fn refused(&mut self, now: Micros, tracked: &TrackedRequest, why: RejectionReason) {
+        self.answered(now, tracked, FinalAnswer::Refused, unserved_name(why));
     }
 
     /// Failed, by the module.
-    pub fn failed(&mut self, now: Micros, call: &Call, why: RejectionReason) {
-        self.answered(now, call, FinalAnswer::Failed, unserved_name(why));
+    pub fn failed(&mut self, now: Micros, tracked: &TrackedRequest, why: RejectionReason) {
+        self.answered(now, tracked, FinalAnswer::Failed, unserved_name(why));
     }
 
     /// Answered with an error for what its client did.
-    pub fn turned_away(&mut self, now: Micros, call: &Call) {
-        self.answered(now, call, FinalAnswer::Failed, "client");
+    pub fn client_rejected(&mut self, now: Micros, tracked: &TrackedRequest) {
+        self.answered(now, tracked, FinalAnswer::Failed, "client");
     }
 
-    fn answered(&mut self, now: Micros, call: &Call, answer: FinalAnswer, why: &'static str) {
-        report(self.guard.answered(now, call.id, answer), call);
+    fn answered(&mut self, now: Micros, tracked: &TrackedRequest, answer: FinalAnswer, why: &'static str) {
+        report(self.guard.answered(now, tracked.id, answer), tracked);
         let step = if answer == FinalAnswer::Refused { Step::Refused } else { Step::Failed };
         self.count(step, why);
-        state(call.id, call.wire_id, format_args!("{}: {why}", step.name()));
+        state(tracked.id, tracked.wire_id, format_args!("{}: {why}", step.name()));
     }
 
     /// Its client left before the answer.
-    pub fn client_left(&mut self, call: &Call) {
-        self.guard.client_left(call.id);
-        state(call.id, call.wire_id, "its client has left");
+    pub fn client_left(&mut self, tracked: &TrackedRequest) {
+        self.guard.client_left(tracked.id);
+        state(tracked.id, tracked.wire_id, "its client has left");
     }
 
     /// A connection that was up is moved.
-    pub fn moved(&mut self, call: &Call, why: MoveReason) {
+    pub fn moved(&mut self, tracked: &TrackedRequest, why: MoveReason) {
         let why = match why {
             MoveReason::PolicyRequest => "moved_asked",
             MoveReason::Draining => "moved_draining",
             MoveReason::Unresponsive => "moved_silent",
             MoveReason::ProxyShutdown => "moved_leaving",
         };
-        self.closed(call, why);
+        self.closed(tracked, why);
     }
 
     /// A connection that was up has ended.
-    pub fn ended(&mut self, call: &Call, outcome: Outcome) {
-        self.closed(call, outcome_name(outcome));
+    pub fn ended(&mut self, tracked: &TrackedRequest, outcome: Outcome) {
+        self.closed(tracked, outcome_name(outcome));
     }
 
-    fn closed(&mut self, call: &Call, why: &'static str) {
-        report(self.guard.closed(call.id), call);
+    fn closed(&mut self, tracked: &TrackedRequest, why: &'static str) {
+        report(self.guard.closed(tracked.id), tracked);
         self.count(Step::Closed, why);
-        state(call.id, call.wire_id, format_args!("closed: {why}"));
+        state(tracked.id, tracked.wire_id, format_args!("closed: {why}"));
     }
 
     // ---- time ----
 
     /// Once a second: which requests have had no answer in their time.
-    pub fn look_for_overdue(&mut self, now: Micros) {
+    pub fn report_overdue(&mut self, now: Micros) {
         for request in self.guard.overdue(now) {
             unanswered(request, "in its time");
         }
@@ -178,29 +182,29 @@
 }
 
 /// Says that a rule was broken; a debug build stops there, unless somebody else may have caused it.
-fn report(checked: GuardResult, call: &Call) {
+fn report(checked: GuardResult, tracked: &TrackedRequest) {
     let Err(violation) = checked else { return };
-    let (kind, request) = (violation.name(), call.id.0);
+    let (kind, request) = (violation.name(), tracked.id.0);
     log::error!(
-        target: PART, kind, request, wire_id:% = Hex(call.wire_id);
-        "rule violation {kind}: request {request}, {} on the wire", Hex(call.wire_id)
+        target: LOG_TARGET, kind, request, wire_id:% = HexId(tracked.wire_id);
+        "rule violation {kind}: request {request}, {} on the wire", HexId(tracked.wire_id)
     );
-    debug_assert!(violation.may_come_from_outside(), "rule violation {kind}: {call:?}");
+    debug_assert!(violation.may_come_from_outside(), "rule violation {kind}: {tracked:?}");
 }
 
 fn unanswered(RequestId(request): RequestId, when: &str) {
     let kind = Violation::Unanswered.name();
-    log::error!(target: PART, kind, request; "rule violation {kind}: request {request} had no answer {when}");
+    log::error!(target: LOG_TARGET, kind, request; "rule violation {kind}: request {request} had no answer {when}");
 }
 
 fn state(RequestId(request): RequestId, wire_id: u64, state: impl Display) {
-    log::debug!(target: PART, request, wire_id:% = Hex(wire_id); "request {request}: {state}");
+    log::debug!(target: LOG_TARGET, request, wire_id:% = HexId(wire_id); "request {request}: {state}");
 }
 
 /// An id as it is on the wire.
-struct Hex(u64);
+struct HexId(u64);
 
-impl Display for Hex {
+impl Display for HexId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
--- a/crates/cottonnotch/src/net/driver/clients.rs
+++ b/crates/cottonnotch/src/net/driver/clients.rs
@@ -1,15 +1,15 @@
-//! Clients and their RPCs: what they ask and how they fare becomes events, and what is decided of them is asked of
+//! Clients and their requests: what they ask and how they fare becomes events, and what is decided of them is asked of
 //! their fronts.
 
-use super::acceptor::{Arrivals, FULL_RETRY_AFTER};
-use super::context::{Net, PART, REOPEN};
-use super::endpoints::Subchannels;
-use super::message_latency::Messages;
-use super::request_table::{Call, Calls, Stage};
+use super::acceptor::{Acceptor, FULL_RETRY_AFTER};
+use super::context::{Context, LOG_TARGET, REOPEN};
+use super::endpoints::Endpoints;
+use super::message_latency::MessageLatency;
+use super::request_table::{RequestTable, Stage, TrackedRequest};
 use crate::config::Config;
 use crate::net::invariant::invariant;
-use crate::net::network_event::{AttemptOrder, CallOff, Front, Io, Wish};
-use crate::net::request_error::Objection;
+use crate::net::network_event::{AttemptOrder, CancelScope, ClientProtocol, ConnectionRequest, Io};
+use crate::net::request_error::RequestError;
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_decision::{
     ClassId, Event, Micros, Outcome, RejectionReason, Request, RequestId, ServerId, TenantId,
@@ -24,433 +24,448 @@
 /// Clients that have asked for a connection.
 #[derive(Default)]
 pub struct Clients {
-    calls: Calls,
+    requests: RequestTable,
     reopening: Vec<Key>,
-    crowded: RateLimitedLog,
-    rejections: RateLimitedLog,
+    socket_shortage_log: RateLimitedLog,
+    rejection_log: RateLimitedLog,
 }
 
 impl Clients {
-    pub fn calls(&self) -> &Calls {
-        &self.calls
+    pub fn requests(&self) -> &RequestTable {
+        &self.requests
     }
 
     /// A client was turned away with an error; if it had asked already, that was its answer.
-    pub fn turned_away(
+    pub fn handle_rejected(
         &mut self,
-        net: &mut Net,
-        messages: &mut Messages,
+        context: &mut Context,
+        latency: &mut MessageLatency,
         key: Key,
-        why: &Objection,
+        why: &RequestError,
     ) -> [Option<Event>; 2] {
-        self.log_rejection(net, why);
-        let Some(mut call) = self.forget(messages, key) else {
-            net.records.turned_away(|| why.to_string().into());
+        self.log_rejection(context, why);
+        let Some(mut tracked) = self.remove(latency, key) else {
+            context.records.client_rejected(|| why.to_string().into());
             return [None, None];
         };
-        end_attempt(net, &mut call, Outcome::Cancelled);
-        if call.stage == Stage::Owed {
-            net.audit.turned_away(net.reactor.io.now(), &call);
+        end_attempt(context, &mut tracked, Outcome::Cancelled);
+        if tracked.stage == Stage::Owed {
+            context.audit.client_rejected(context.reactor.io.now(), &tracked);
         }
-        net.records.failed(&call, why);
-        gone(call, Outcome::Cancelled)
+        context.records.failed(&tracked, why);
+        client_gone_events(tracked, Outcome::Cancelled)
     }
 
-    fn log_rejection(&mut self, net: &Net, why: &Objection) {
-        if let Some(more) = self.rejections.due(net.now()) {
+    fn log_rejection(&mut self, context: &Context, why: &RequestError) {
+        if let Some(more) = self.rejection_log.due(context.now()) {
             log::warn!(
-                target: PART, reason:% = why, left_out = more;
+                target: LOG_TARGET, reason:% = why, left_out = more;
                 "client turned away: {why} ({more} more since the last such line)"
             );
         }
     }
 
-    /// Says why a client is answered without an attempt, if a line of it must not reach a subchannel.
-    fn objection(&self, config: &Config, wish: &Wish) -> Option<Objection> {
+    /// Says why a client is answered without an attempt, if a line of it must not reach an endpoint.
+    fn validate(&self, config: &Config, wanted: &ConnectionRequest) -> Option<RequestError> {
         let Profile { tenants, settings, .. } = &config.profile;
-        let stranger = |tenant: &String| !settings.tenants.is_empty() && tenants.find(tenant).is_none();
-        if config.profile.class(&wish.class).is_none() {
-            Some(Objection::UnknownClass)
-        } else if wish.tenant.as_ref().is_some_and(stranger) {
-            Some(Objection::UnknownTenant)
-        } else if self.calls.has_wire_id(wish.id) {
-            Some(Objection::IdOpen)
+        let is_unknown = |tenant: &String| !settings.tenants.is_empty() && tenants.find(tenant).is_none();
+        if config.profile.class(&wanted.class).is_none() {
+            Some(RequestError::UnknownClass)
+        } else if wanted.tenant.as_ref().is_some_and(is_unknown) {
+            Some(RequestError::UnknownTenant)
+        } else if self.requests.has_wire_id(wanted.id) {
+            Some(RequestError::IdOpen)
         } else {
             None
         }
     }
 
     /// A client wishes for a connection.
-    pub fn asked(
+    pub fn handle_connection_request(
         &mut self,
-        net: &mut Net,
-        arrivals: &mut Arrivals,
-        subchannels: &Subchannels,
+        context: &mut Context,
+        acceptor: &mut Acceptor,
+        endpoints: &Endpoints,
         key: Key,
-        wish: Wish,
+        wanted: ConnectionRequest,
     ) -> Option<Event> {
-        if let Some(why) = self.objection(&net.config, &wish) {
-            self.log_rejection(net, &why);
-            let class = net.config.profile.classes.find(&wish.class);
-            net.records.objected(class, || why.to_string().into());
-            net.with_front(key, |front, io| front.fail(io, &why));
+        if let Some(why) = self.validate(&context.config, &wanted) {
+            self.log_rejection(context, &why);
+            let class = context.config.profile.classes.find(&wanted.class);
+            context.records.rejected_by_validation(class, || why.to_string().into());
+            context.with_client(key, |client, io| client.fail(io, &why));
             return None;
         }
-        if !arrivals.make_room_for_call(net, self.calls.len()) {
-            self.left_out(net, key, &wish);
+        if !acceptor.make_room_for_attempt(context, self.requests.len()) {
+            self.reject_for_sockets(context, key, &wanted);
             return None;
         }
-        let profile = &net.config.profile;
-        let class = profile.class(&wish.class)?;
-        let id = self.calls.new_id();
+        let profile = &context.config.profile;
+        let class = profile.class(&wanted.class)?;
+        let id = self.requests.new_id();
         let request = Request {
             id,
             class: ClassId(class as u16),
-            tenant: wish.tenant.and_then(|t| profile.tenants.find(&t)).map(|t| TenantId(t as u16)),
-            left: wish.left,
-            load_hint: wish.load_hint,
-            group: wish.group,
-            again: wish.again,
+            tenant: wanted.tenant.and_then(|t| profile.tenants.find(&t)).map(|t| TenantId(t as u16)),
+            left: wanted.time_left,
+            load_hint: wanted.load_hint,
+            group: wanted.group,
+            again: wanted.is_repeat,
         };
-        net.records.request(&request, wish.id);
-        if net.with_front(key, |front, io| front.awaits_answer(io)) != Some(true) {
+        context.records.request(&request, wanted.id);
+        if context.with_client(key, |client, io| client.is_awaiting_answer(io)) != Some(true) {
             // It left, or sent too much, right behind its line: what the report of that finds is nobody. Guards the turns
             // and set-ups of others: the module would try for it again and again, each time for nothing.
-            net.records.client_left(request.id);
+            context.records.client_left(request.id);
             return None;
         }
-        let call = Call::new(id, class, wish.id, wish.group);
-        // One that names a subchannel which is not known is a new connection like any other.
-        match wish.at.and_then(|at| subchannels.find(&at)) {
+        let tracked = TrackedRequest::new(id, class, wanted.id, wanted.group);
+        // One that names an endpoint which is not known is a new connection like any other.
+        match wanted.current_endpoint.and_then(|at| endpoints.find(&at)) {
             None => {
-                net.audit.requested(net.reactor.io.now(), &request, call.wire_id);
-                self.calls.insert(key, call);
+                context.audit.requested(context.reactor.io.now(), &request, tracked.wire_id);
+                self.requests.insert(key, tracked);
                 Some(Event::Request(request))
             }
             Some(at) => {
                 let stage = Stage::Reopening(Box::new(request));
-                self.calls.insert(key, Call { at: Some((at, 0)), stage, ..call });
-                self.reopen(net, subchannels, key);
+                self.requests.insert(key, TrackedRequest { at: Some((at, 0)), stage, ..tracked });
+                self.reopen(context, endpoints, key);
                 None
             }
         }
     }
 
     /// Guards against running out of descriptors: one that waited unanswered would not come again.
-    fn left_out(&mut self, net: &mut Net, key: Key, wish: &Wish) {
-        if let Some(more) = self.crowded.due(net.now()) {
-            let (rpcs, sockets) = (self.calls.len(), net.config.sockets);
+    fn reject_for_sockets(&mut self, context: &mut Context, key: Key, wanted: &ConnectionRequest) {
+        if let Some(more) = self.socket_shortage_log.due(context.now()) {
+            let (requests, sockets) = (self.requests.len(), context.config.sockets);
             log::warn!(
-                target: PART, rpcs, sockets, left_out = more;
-                "out of sockets, a client gets the unavailable status ({more} more since)"
+                target: LOG_TARGET, requests, sockets, left_out = more;
+                "out of sockets, a client gets a rejection ({more} more since)"
             );
         }
-        let class = net.config.profile.classes.find(&wish.class);
-        net.records.left_out(class, || "out of sockets".into());
-        net.with_front(key, |front, io| front.unavailable(io, FULL_RETRY_AFTER));
+        let class = context.config.profile.classes.find(&wanted.class);
+        context.records.rejected_for_sockets(class, || "out of sockets".into());
+        context.with_client(key, |client, io| client.reject(io, FULL_RETRY_AFTER));
     }
 
     // ---- attempts ----
 
-    /// Makes a call attempt for a request; an event if it can't even begin.
-    pub fn send(
+    /// Makes an attempt for a request; an event if it can't even begin.
+    pub fn start_attempt(
         &mut self,
-        net: &mut Net,
-        subchannels: &Subchannels,
+        context: &mut Context,
+        endpoints: &Endpoints,
         request: RequestId,
         server: ServerId,
         timeout: Micros,
         before: Option<Micros>,
     ) -> Option<Event> {
-        let key = self.calls.key(request);
-        let call = key.and_then(|key| self.calls.get_mut(key));
-        let (Some(key), Some(call)) = (key, call) else {
+        let key = self.requests.key(request);
+        let tracked = key.and_then(|key| self.requests.get_mut(key));
+        let (Some(key), Some(tracked)) = (key, tracked) else {
             invariant!(false, "an attempt is made for a request that is owed an answer");
             return None;
         };
-        let attempt = call.attempts;
-        call.at = Some((server, attempt));
-        if net.with_front(key, |front, io| front.awaits_answer(io)) != Some(true) {
+        let attempt = tracked.attempts;
+        tracked.at = Some((server, attempt));
+        if context.with_client(key, |client, io| client.is_awaiting_answer(io)) != Some(true) {
             // It has left, which is reported and ends this attempt too.
-            call.attempts += 1;
+            tracked.attempts += 1;
             return None;
         }
         let not_sent = Event::Ended { request, attempt, server, outcome: Outcome::NotSent, last: false };
-        if !net.audit.may_send(net.reactor.io.now(), call, server) {
-            call.attempts += 1;
+        if !context.audit.may_send(context.reactor.io.now(), tracked, server) {
+            tracked.attempts += 1;
             return Some(not_sent);
         }
-        if begin_attempt(net, subchannels, key, call, server, timeout, before) {
+        if begin_attempt(context, endpoints, key, tracked, server, timeout, before) {
             return None;
         }
         Some(not_sent)
     }
 
     /// The last byte of an attempt's first line was written.
-    pub fn written(&self, net: &mut Net, key: Key) {
-        net.records.written();
-        if let Some(call) = self.calls.get(key) {
-            net.audit.written(net.reactor.io.now(), call);
+    pub fn handle_attempt_written(&self, context: &mut Context, key: Key) {
+        context.records.written();
+        if let Some(tracked) = self.requests.get(key) {
+            context.audit.written(context.reactor.io.now(), tracked);
         }
     }
 
-    /// Takes a connection that was open before the start back to its subchannel.
-    fn reopen(&mut self, net: &mut Net, subchannels: &Subchannels, key: Key) {
-        if net.with_front(key, |front, io| front.awaits_answer(io)) != Some(true) {
+    /// Takes a connection that was open before the start back to its endpoint.
+    fn reopen(&mut self, context: &mut Context, endpoints: &Endpoints, key: Key) {
+        if context.with_client(key, |client, io| client.is_awaiting_answer(io)) != Some(true) {
             // It has left, which is reported.
             return;
         }
-        let Some(call) = self.calls.get_mut(key) else { return };
-        let Some((server, _)) = call.at else { return };
-        if !begin_attempt(net, subchannels, key, call, server, 0, None) {
-            self.reopen_later(net, key);
+        let Some(tracked) = self.requests.get_mut(key) else { return };
+        let Some((server, _)) = tracked.at else { return };
+        if !begin_attempt(context, endpoints, key, tracked, server, 0, None) {
+            self.reopen_later(context, key);
         }
     }
 
-    fn reopen_later(&mut self, net: &mut Net, key: Key) {
+    fn reopen_later(&mut self, context: &mut Context, key: Key) {
         self.reopening.push(key);
-        net.timer_in(REOPEN_AFTER, REOPEN);
+        context.set_timer(REOPEN_AFTER, REOPEN);
     }
 
     /// The timer for that is due.
-    pub fn reopen_all(&mut self, net: &mut Net, subchannels: &Subchannels) {
+    pub fn reopen_all(&mut self, context: &mut Context, endpoints: &Endpoints) {
         for key in std::mem::take(&mut self.reopening) {
-            self.reopen(net, subchannels, key);
+            self.reopen(context, endpoints, key);
         }
     }
 
     /// An attempt has ended without having been up: that, and before it that its client is gone, if it is.
-    pub fn attempt_ended(&mut self, net: &mut Net, key: Key, outcome: Outcome) -> [Option<Event>; 2] {
-        let Some(call) = self.calls.get_mut(key) else { return [None, None] };
-        end_attempt(net, call, outcome);
-        if let Stage::Reopening(_) = call.stage {
-            self.reopen_later(net, key);
+    pub fn handle_attempt_ended(
+        &mut self,
+        context: &mut Context,
+        key: Key,
+        outcome: Outcome,
+    ) -> [Option<Event>; 2] {
+        let Some(tracked) = self.requests.get_mut(key) else { return [None, None] };
+        end_attempt(context, tracked, outcome);
+        if let Stage::Reopening(_) = tracked.stage {
+            self.reopen_later(context, key);
             return [None, None];
         }
-        let Some((server, attempt)) = call.at else { return [None, None] };
-        let request = call.id;
+        let Some((server, attempt)) = tracked.at else { return [None, None] };
+        let request = tracked.id;
         let ended = Event::Ended { request, attempt, server, outcome, last: false };
         // One that left is reported, and forgotten then. The module hears of it first: no turn, set-up or budget of others'
         // is taken for an attempt that is not made.
-        let is_there = net.with_front(key, |front, io| front.awaits_answer(io)) == Some(true);
-        [(!is_there).then_some(Event::ClientClosed(request)), Some(ended)]
+        let is_waiting = context.with_client(key, |client, io| client.is_awaiting_answer(io)) == Some(true);
+        [(!is_waiting).then_some(Event::ClientClosed(request)), Some(ended)]
     }
 
-    /// An attempt's subchannel took it.
-    pub fn up(
+    /// An attempt's endpoint took it.
+    pub fn handle_established(
         &mut self,
-        net: &mut Net,
-        messages: &mut Messages,
-        subchannels: &Subchannels,
+        context: &mut Context,
+        latency: &mut MessageLatency,
+        endpoints: &Endpoints,
         key: Key,
         elapsed: Micros,
     ) -> Option<Event> {
-        let call = self.calls.get_mut(key)?;
-        let (server, attempt) = call.at?;
-        call.began = None;
-        net.records.up(call, || subchannels.shared_name(server), elapsed);
-        let (event, setup) = match std::mem::replace(&mut call.stage, Stage::Up) {
+        let tracked = self.requests.get_mut(key)?;
+        let (server, attempt) = tracked.at?;
+        tracked.began = None;
+        context.records.up(tracked, || endpoints.shared_name(server), elapsed);
+        let (event, setup) = match std::mem::replace(&mut tracked.stage, Stage::Up) {
             Stage::Reopening(request) => {
-                net.audit.reopened(&request, call.wire_id);
+                context.audit.reopened(&request, tracked.wire_id);
                 (Event::Open { request: *request, server }, None)
             }
             _ => {
-                net.audit.up(net.reactor.io.now(), call);
-                (Event::Established { request: call.id, attempt, server, elapsed }, Some(elapsed))
+                context.audit.up(context.reactor.io.now(), tracked);
+                (Event::Established { request: tracked.id, attempt, server, elapsed }, Some(elapsed))
             }
         };
-        messages.opened(net.now(), call, server, setup);
+        latency.connection_opened(context.now(), tracked, server, setup);
         Some(event)
     }
 
     // ---- endings ----
 
-    /// A final answer that the module has decided on: the unavailable status.
-    pub fn refuse(
+    /// A final answer that the module has decided on: a rejection.
+    pub fn reject(
         &mut self,
-        net: &mut Net,
-        messages: &mut Messages,
+        context: &mut Context,
+        latency: &mut MessageLatency,
         request: RequestId,
         after: Micros,
         why: RejectionReason,
     ) {
-        if let Some(call) = self.answer(net, messages, request, |front, io| front.unavailable(io, after)) {
-            net.audit.refused(net.reactor.io.now(), &call, why);
-            let Net { records, rules, .. } = net;
-            records.refused(&call, after, || rules.as_ref()?.basis(request));
+        if let Some(tracked) =
+            self.give_final_answer(context, latency, request, |client, io| client.reject(io, after))
+        {
+            context.audit.refused(context.reactor.io.now(), &tracked, why);
+            let Context { records, rules, .. } = context;
+            records.refused(&tracked, after, || rules.as_ref()?.basis(request));
         }
-        net.rules.iter().for_each(|rules| rules.forget_request(request));
+        context.rules.iter().for_each(|rules| rules.forget_request(request));
     }
 
     /// A final answer that the module has decided on: a failure.
-    pub fn fail(&mut self, net: &mut Net, messages: &mut Messages, request: RequestId, why: RejectionReason) {
-        let words = &"no attempt went well";
-        if let Some(call) = self.answer(net, messages, request, |front, io| front.fail(io, words)) {
-            net.audit.failed(net.reactor.io.now(), &call, why);
-            net.records.failed(&call, words);
+    pub fn fail(
+        &mut self,
+        context: &mut Context,
+        latency: &mut MessageLatency,
+        request: RequestId,
+        why: RejectionReason,
+    ) {
+        let reason = &"no attempt went well";
+        if let Some(tracked) =
+            self.give_final_answer(context, latency, request, |client, io| client.fail(io, reason))
+        {
+            context.audit.failed(context.reactor.io.now(), &tracked, why);
+            context.records.failed(&tracked, reason);
         }
-        net.rules.iter().for_each(|rules| rules.forget_request(request));
+        context.rules.iter().for_each(|rules| rules.forget_request(request));
     }
 
     /// `None`: no answer was given.
-    fn answer(
+    fn give_final_answer(
         &mut self,
-        net: &mut Net,
-        messages: &mut Messages,
+        context: &mut Context,
+        latency: &mut MessageLatency,
         request: RequestId,
-        give: impl FnOnce(&mut dyn Front, &mut Io) -> bool,
-    ) -> Option<Call> {
-        let key = self.calls.key(request);
+        give: impl FnOnce(&mut dyn ClientProtocol, &mut Io) -> bool,
+    ) -> Option<TrackedRequest> {
+        let key = self.requests.key(request);
         invariant!(key.is_some(), "a final answer is given once, to a request that is owed one");
         // One that left or was turned away is forgotten when the report of that has its turn.
-        let given = key.filter(|key| net.with_front(*key, give) == Some(true));
-        given.and_then(|key| self.forget(messages, key))
+        let given = key.filter(|key| context.with_client(*key, give) == Some(true));
+        given.and_then(|key| self.remove(latency, key))
     }
 
     /// Why the module moves it.
-    pub fn reason_to_move(&self, subchannels: &Subchannels, request: RequestId) -> MoveReason {
-        let at = self.calls.key(request).and_then(|key| self.calls.get(key)?.at);
-        let is_draining = at.is_some_and(|(server, _)| subchannels.is_draining(server));
+    pub fn migration_reason(&self, endpoints: &Endpoints, request: RequestId) -> MoveReason {
+        let at = self.requests.key(request).and_then(|key| self.requests.get(key)?.at);
+        let is_draining = at.is_some_and(|(server, _)| endpoints.is_draining(server));
         if is_draining { MoveReason::Draining } else { MoveReason::PolicyRequest }
     }
 
     /// Moves a client away, if it is up; an event of how its connection ended.
-    pub fn move_away(
+    pub fn migrate(
         &mut self,
-        net: &mut Net,
-        messages: &mut Messages,
-        subchannels: &Subchannels,
+        context: &mut Context,
+        latency: &mut MessageLatency,
+        endpoints: &Endpoints,
         request: RequestId,
         why: MoveReason,
     ) -> Option<Event> {
-        let key = self.calls.key(request)?;
-        if net.with_front(key, |front, io| front.move_away(io)) != Some(true) {
+        let key = self.requests.key(request)?;
+        if context.with_client(key, |client, io| client.migrate(io)) != Some(true) {
             return None;
         }
-        let call = self.forget(messages, key)?;
-        net.audit.moved(&call, why);
-        let (server, attempt) = call.at?;
+        let tracked = self.remove(latency, key)?;
+        context.audit.moved(&tracked, why);
+        let (server, attempt) = tracked.at?;
         let outcome = Outcome::Cancelled;
-        net.records.moved(request, || subchannels.shared_name(server), why);
-        net.records.ended(request, outcome);
+        context.records.moved(request, || endpoints.shared_name(server), why);
+        context.records.ended(request, outcome);
         Some(Event::Ended { request, attempt, server, outcome, last: true })
     }
 
-    /// A client was moved since its subchannel returned nothing any more.
-    pub fn silent(&self, net: &Net, subchannels: &Subchannels, key: Key) {
-        if let Some(Call { id, at: Some((server, _)), .. }) = self.calls.get(key) {
-            net.records.moved(*id, || subchannels.shared_name(*server), MoveReason::Unresponsive);
+    /// A client was moved since its endpoint returned nothing any more.
+    pub fn record_silent_endpoint(&self, context: &Context, endpoints: &Endpoints, key: Key) {
+        if let Some(TrackedRequest { id, at: Some((server, _)), .. }) = self.requests.get(key) {
+            context.records.moved(*id, || endpoints.shared_name(*server), MoveReason::Unresponsive);
         }
     }
 
     /// A connection that was up has ended.
-    pub fn ended(
+    pub fn handle_connection_ended(
         &mut self,
-        net: &mut Net,
-        messages: &mut Messages,
+        context: &mut Context,
+        latency: &mut MessageLatency,
         key: Key,
         outcome: Outcome,
     ) -> Option<Event> {
-        let call = self.forget(messages, key)?;
-        net.audit.ended(&call, outcome);
-        net.records.ended(call.id, outcome);
-        let (server, attempt) = call.at?;
-        Some(Event::Ended { request: call.id, attempt, server, outcome, last: true })
+        let tracked = self.remove(latency, key)?;
+        context.audit.ended(&tracked, outcome);
+        context.records.ended(tracked.id, outcome);
+        let (server, attempt) = tracked.at?;
+        Some(Event::Ended { request: tracked.id, attempt, server, outcome, last: true })
     }
 
     /// A client left before its answer: that, and the end of its attempt.
-    pub fn left(
+    pub fn handle_client_left(
         &mut self,
-        net: &mut Net,
-        messages: &mut Messages,
+        context: &mut Context,
+        latency: &mut MessageLatency,
         key: Key,
         outcome: Outcome,
     ) -> [Option<Event>; 2] {
-        let Some(mut call) = self.forget(messages, key) else { return [None, None] };
+        let Some(mut tracked) = self.remove(latency, key) else { return [None, None] };
         // One that is held has had its attempts: what they used must not be given back.
-        let outcome = if call.began.is_some() { outcome } else { Outcome::Cancelled };
-        end_attempt(net, &mut call, outcome);
-        net.audit.client_left(&call);
-        net.records.client_left(call.id);
-        gone(call, outcome)
+        let outcome = if tracked.began.is_some() { outcome } else { Outcome::Cancelled };
+        end_attempt(context, &mut tracked, outcome);
+        context.audit.client_left(&tracked);
+        context.records.client_left(tracked.id);
+        client_gone_events(tracked, outcome)
     }
 
-    /// Attempts whose line is not written yet and whose subchannel may get nothing new any more are called off.
-    pub fn call_off_unwritten(&self, net: &mut Net, subchannels: &Subchannels) {
-        for (key, server) in self.calls.attempted() {
-            if !subchannels.is_ready(server) {
-                net.with_front(key, |front, io| front.call_off(io, CallOff::Unwritten));
+    /// Attempts whose line is not written yet and whose endpoint may get nothing new any more are called off.
+    pub fn cancel_unwritten_attempts(&self, context: &mut Context, endpoints: &Endpoints) {
+        for (key, server) in self.requests.attempted() {
+            if !endpoints.is_ready(server) {
+                context.with_client(key, |client, io| client.cancel_attempt(io, CancelScope::UnwrittenOnly));
             }
         }
     }
 
     /// The proxy leaves: every attempt that is out is called off, and the module answers by what may have run. Whoever was
     /// open before the start is unknown to it, and goes back to where it came from by another proxy.
-    pub fn abandon(&mut self, net: &mut Net, messages: &mut Messages) {
-        let out: Vec<Key> = self.calls.attempted().map(|(key, _)| key).collect();
+    pub fn abandon_attempts(&mut self, context: &mut Context, latency: &mut MessageLatency) {
+        let out: Vec<Key> = self.requests.attempted().map(|(key, _)| key).collect();
         for key in out {
-            net.with_front(key, |front, io| front.call_off(io, CallOff::Any));
+            context.with_client(key, |client, io| client.cancel_attempt(io, CancelScope::AnyAttempt));
         }
-        for key in self.calls.reopening() {
-            if net.with_front(key, |front, io| front.unavailable(io, 0)) != Some(true) {
+        for key in self.requests.reopening() {
+            if context.with_client(key, |client, io| client.reject(io, 0)) != Some(true) {
                 continue;
             }
-            if let Some(mut call) = self.forget(messages, key) {
-                end_attempt(net, &mut call, Outcome::Cancelled);
-                net.records.refused(&call, 0, || None);
+            if let Some(mut tracked) = self.remove(latency, key) {
+                end_attempt(context, &mut tracked, Outcome::Cancelled);
+                context.records.refused(&tracked, 0, || None);
             }
         }
     }
 
-    fn forget(&mut self, messages: &mut Messages, key: Key) -> Option<Call> {
-        let call = self.calls.remove(key)?;
-        messages.over(&call);
-        Some(call)
+    fn remove(&mut self, latency: &mut MessageLatency, key: Key) -> Option<TrackedRequest> {
+        let tracked = self.requests.remove(key)?;
+        latency.request_over(&tracked);
+        Some(tracked)
     }
 }
 
-/// Makes a call attempt; false if it could not even be begun.
+/// Makes an attempt; false if it could not even be begun.
 fn begin_attempt(
-    net: &mut Net,
-    subchannels: &Subchannels,
+    context: &mut Context,
+    endpoints: &Endpoints,
     key: Key,
-    call: &mut Call,
+    tracked: &mut TrackedRequest,
     server: ServerId,
     timeout: Micros,
     before: Option<Micros>,
 ) -> bool {
-    call.attempts += 1;
-    call.began = Some(net.now());
-    let basis = || net.rules.as_ref()?.basis(call.id);
-    net.records.attempt(call.id, call.latest(), || subchannels.shared_name(server), timeout, basis);
-    let connect_timeout = net.config.profile.connect_timeout;
-    let act_by = net.rules.as_ref().and_then(|rules| rules.write_deadline(call.id));
-    let order = subchannels.address(server);
+    tracked.attempts += 1;
+    tracked.began = Some(context.now());
+    let basis = || context.rules.as_ref()?.basis(tracked.id);
+    context.records.attempt(tracked.id, tracked.latest(), || endpoints.shared_name(server), timeout, basis);
+    let connect_timeout = context.config.profile.connect_timeout;
+    let act_by = context.rules.as_ref().and_then(|rules| rules.write_deadline(tracked.id));
+    let order = endpoints.address(server);
     let order = order.map(|address| AttemptOrder { address, timeout, connect_timeout, act_by, before });
-    let begun = order.and_then(|order| net.with_front(key, |front, io| front.attempt(io, order)));
+    let begun = order.and_then(|order| context.with_client(key, |client, io| client.attempt(io, order)));
     if begun != Some(true) {
-        end_attempt(net, call, Outcome::NotSent);
+        end_attempt(context, tracked, Outcome::NotSent);
     }
     begun == Some(true)
 }
 
 /// An attempt is over, if one is out.
-fn end_attempt(net: &mut Net, call: &mut Call, outcome: Outcome) {
-    if let Some(began) = call.began.take() {
-        net.audit.attempt_ended(call, outcome);
-        call.last_outcome = Some(outcome);
-        net.records.attempt_ended(call.id, call.latest(), outcome, net.now() - began);
+fn end_attempt(context: &mut Context, tracked: &mut TrackedRequest, outcome: Outcome) {
+    if let Some(began) = tracked.began.take() {
+        context.audit.attempt_ended(tracked, outcome);
+        tracked.last_outcome = Some(outcome);
+        context.records.attempt_ended(tracked.id, tracked.latest(), outcome, context.now() - began);
     }
 }
 
 /// What the module hears of a request whose client is gone: that, and the end of its attempt, which is told of each,
 /// or a trial would be out for ever.
-fn gone(call: Call, outcome: Outcome) -> [Option<Event>; 2] {
-    if let Stage::Reopening(_) = call.stage {
+fn client_gone_events(tracked: TrackedRequest, outcome: Outcome) -> [Option<Event>; 2] {
+    if let Stage::Reopening(_) = tracked.stage {
         return [None, None];
     }
-    let request = call.id;
+    let request = tracked.id;
     let ended =
-        call.at.map(|(server, attempt)| Event::Ended { request, attempt, server, outcome, last: true });
+        tracked.at.map(|(server, attempt)| Event::Ended { request, attempt, server, outcome, last: true });
     [Some(Event::ClientClosed(request)), ended]
 }
--- a/crates/cottonnotch/src/net/driver/endpoints.rs
+++ b/crates/cottonnotch/src/net/driver/endpoints.rs
@@ -1,9 +1,9 @@
-//! The render nodes: the lists that a resolver brings, and the watch that brings them.
+//! The render nodes: the lists that a discovery client brings, and the watch that brings them.
 
-use super::context::{Net, PART};
-use super::message_latency::Messages;
+use super::context::{Context, LOG_TARGET};
+use super::message_latency::MessageLatency;
 use crate::maintenance::Maintenance;
-use crate::net::discovery_client::Watch;
+use crate::net::discovery_client::DiscoveryWatch;
 use crate::rules::NodeKind;
 use cottonnotch_decision::names::{Names, digest};
 use cottonnotch_decision::{Entry, Event, Micros, ServerHealth, ServerId, ServerState, ZoneId};
@@ -13,9 +13,9 @@
 use cottonnotch_records::Name;
 use std::net::SocketAddr;
 
-/// A render node, as the resolver has it.
+/// A render node, as the discovery client has it.
 #[derive(Debug)]
-struct Subchannel {
+struct Endpoint {
     name: Name,
     /// As discovery lists it.
     state: ServerState,
@@ -32,12 +32,12 @@
     belief: ServerHealth,
 }
 
-impl Subchannel {
+impl Endpoint {
     fn new(name: Name) -> Self {
         let (state, belief, zone) = (ServerState::Removed, ServerHealth::default(), ZoneId::default());
         let flavor = Box::default();
         let (address, up_since, started) = (None, None, None);
-        Subchannel { name, state, address, up_since, started, zone, flavor, cell: 0, weight: 1.0, belief }
+        Endpoint { name, state, address, up_since, started, zone, flavor, cell: 0, weight: 1.0, belief }
     }
 
     fn is_listed(&self) -> bool {
@@ -45,8 +45,8 @@
     }
 
     /// What the module is told of it.
-    fn entry(&self, server: ServerId, by_hand: &Maintenance) -> Entry {
-        let (state, started) = by_hand.over(&self.name, self.state, self.started);
+    fn entry(&self, server: ServerId, manual_overrides: &Maintenance) -> Entry {
+        let (state, started) = manual_overrides.apply(&self.name, self.state, self.started);
         let (digest, zone, cell, weight) = (digest(&self.name), self.zone, self.cell, self.weight);
         Entry { server, digest, state, zone, cell, started, weight }
     }
@@ -54,59 +54,59 @@
 
 /// All that were ever listed.
 #[derive(Debug, Default)]
-pub struct Subchannels {
+pub struct Endpoints {
     /// Their ids: the numbers are the module's servers, and are never given anew.
     names: Names,
-    known: Vec<Subchannel>,
+    known: Vec<Endpoint>,
     watch: Option<Key>,
     revision: u64,
     /// What the operators have laid over the lists, as it is kept: in Unix time.
-    by_hand: Maintenance,
+    manual_overrides: Maintenance,
     /// The same by the loop's clock, worked out when each call was first known.
-    laid_over: Maintenance,
+    effective_overrides: Maintenance,
     /// Discovery has been heard of; before, there is what the configuration remembers.
     is_confirmed: bool,
-    losses: RateLimitedLog,
+    watch_loss_log: RateLimitedLog,
 }
 
-impl Subchannels {
+impl Endpoints {
     /// Takes a list, or changes of it; `copy` if it came with the start. Revisions count up. A whole list with a lower
     /// one is discovery's own word all the same: it was restored from an older state, and what it says now counts.
     /// Changes with a lower one say nothing of what was changed since: they are refused, and the whole list is asked for.
-    pub fn take(
+    pub fn update(
         &mut self,
-        net: &mut Net,
-        messages: &mut Messages,
+        context: &mut Context,
+        latency: &mut MessageLatency,
         result: EndpointUpdate,
         copy: bool,
     ) -> Event {
         let EndpointUpdate { revision, complete: full, members } = result;
         // Before times that were told are looked at: the wall clock may have been stepped since the last second.
-        net.observe_wall();
-        let now = net.now();
+        context.observe_wall_clock();
+        let now = context.now();
         if revision < self.revision {
             let last = self.revision;
-            net.records.list_fell_back(full);
+            context.records.list_fell_back(full);
             if !full {
                 log::warn!(
-                    target: PART, revision, last;
+                    target: LOG_TARGET, revision, last;
                     "changes of revision {revision} after {last} refused, the whole list is asked for"
                 );
                 self.revision = 0;
                 if let Some(watch) = self.watch.take() {
-                    net.reactor.remove(watch);
+                    context.reactor.remove(watch);
                 }
                 return Event::ListFailed;
             }
             log::warn!(
-                target: PART, revision, last;
+                target: LOG_TARGET, revision, last;
                 "discovery has gone back from revision {last} to {revision}, its list is taken"
             );
         }
         self.revision = revision;
         self.is_confirmed |= !copy;
         if full {
-            self.known.iter_mut().for_each(|subchannel| subchannel.state = ServerState::Removed);
+            self.known.iter_mut().for_each(|endpoint| endpoint.state = ServerState::Removed);
         }
         let mut entries = Vec::with_capacity(members.len());
         for member in members {
@@ -114,127 +114,135 @@
             let number = self.names.intern(&member.id);
             if self.known.len() <= number as usize {
                 // Numbers are given in order, so the new one's place is the next.
-                self.known.push(Subchannel::new(member.id.as_str().into()));
+                self.known.push(Endpoint::new(member.id.as_str().into()));
             }
-            let subchannel = &mut self.known[number as usize];
-            let zone = ZoneId(net.config.profile.zones.intern(&member.zone) as u16);
-            (subchannel.state, subchannel.zone) = (member.state, zone);
-            (subchannel.cell, subchannel.weight) = (member.cell, member.weight);
-            if *subchannel.flavor != *member.flavor {
-                subchannel.flavor = member.flavor.into();
+            let endpoint = &mut self.known[number as usize];
+            let zone = ZoneId(context.config.profile.zones.intern(&member.zone) as u16);
+            (endpoint.state, endpoint.zone) = (member.state, zone);
+            (endpoint.cell, endpoint.weight) = (member.cell, member.weight);
+            if *endpoint.flavor != *member.flavor {
+                endpoint.flavor = member.flavor.into();
             }
-            subchannel.address = member.address.or(subchannel.address);
-            let anew = std::mem::replace(&mut subchannel.up_since, member.up_since) != member.up_since;
+            endpoint.address = member.address.or(endpoint.address);
+            let anew = std::mem::replace(&mut endpoint.up_since, member.up_since) != member.up_since;
             if anew {
-                subchannel.started = member.up_since.map(|unix| net.wall.to_monotonic(now, unix));
+                endpoint.started = member.up_since.map(|unix| context.wall_clock.to_monotonic(now, unix));
             }
-            messages.listed(ServerId(number), member.weight, anew);
-            entries.push(subchannel.entry(ServerId(number), &self.laid_over));
+            latency.listed(ServerId(number), member.weight, anew);
+            entries.push(endpoint.entry(ServerId(number), &self.effective_overrides));
         }
-        self.record(net, full, &entries);
-        self.rule(net, full, &entries);
+        self.record(context, full, &entries);
+        self.update_rules(context, full, &entries);
         let members = entries.len();
         log::debug!(
-            target: PART, revision, members, complete = full;
-            "resolver result {revision}: {members} members, complete {full}"
+            target: LOG_TARGET, revision, members, complete = full;
+            "endpoint update {revision}: {members} members, complete {full}"
         );
         for entry in entries.iter().filter(|e| e.state != ServerState::Ready) {
-            let (subchannel, state) = (self.name(entry.server), entry.state);
-            log::info!(target: PART, subchannel, state:?, revision; "subchannel {subchannel} is {state:?}");
+            let (endpoint, state) = (self.name(entry.server), entry.state);
+            log::info!(target: LOG_TARGET, endpoint, state:?, revision; "endpoint {endpoint} is {state:?}");
         }
         Event::List { full, copy, entries }
     }
 
     /// What the rules have to know of these: halls and hardware classes, and which may be used.
-    fn rule(&self, net: &Net, full: bool, entries: &[Entry]) {
-        let Some(rules) = &net.rules else { return };
-        let profile = &net.config.profile;
+    fn update_rules(&self, context: &Context, full: bool, entries: &[Entry]) {
+        let Some(rules) = &context.rules else { return };
+        let profile = &context.config.profile;
         let kind_of = |server: ServerId| {
-            let subchannel = self.known.get(server.0 as usize);
-            let (zone, flavor) = subchannel.map_or((ZoneId::default(), ""), |s| (s.zone, &*s.flavor));
+            let endpoint = self.known.get(server.0 as usize);
+            let (zone, flavor) = endpoint.map_or((ZoneId::default(), ""), |s| (s.zone, &*s.flavor));
             NodeKind { hall: profile.zones.name(u32::from(zone.0)).into(), hardware: flavor.into() }
         };
         rules.update_endpoints(profile, self.revision, full, entries, kind_of);
     }
 
-    fn record(&self, net: &Net, full: bool, entries: &[Entry]) {
+    fn record(&self, context: &Context, full: bool, entries: &[Entry]) {
         let named = entries.iter().map(|entry| {
-            let subchannel = &self.known[entry.server.0 as usize];
-            (entry, Name::clone(&subchannel.name), subchannel.address)
+            let endpoint = &self.known[entry.server.0 as usize];
+            (entry, Name::clone(&endpoint.name), endpoint.address)
         });
-        net.records.list(self.revision, full, named);
+        context.records.list(self.revision, full, named);
     }
 
     // ---- by hand ----
 
     /// What the operators have laid over the lists.
-    pub fn by_hand(&self) -> &Maintenance {
-        &self.by_hand
+    pub fn manual_overrides(&self) -> &Maintenance {
+        &self.manual_overrides
     }
 
     /// A render node of this id is listed now, or a call for it is remembered.
     pub fn is_known(&self, id: &str) -> bool {
         let listed = self.names.find(id).and_then(|number| self.known.get(number as usize));
-        listed.is_some_and(Subchannel::is_listed) || self.by_hand.knows(id)
+        listed.is_some_and(Endpoint::is_listed) || self.manual_overrides.contains(id)
     }
 
     /// The operators have called for something else: these ids are concerned. An event, if any was ever listed.
-    pub fn lay_over(
+    pub fn set_overrides(
         &mut self,
-        net: &mut Net,
-        messages: &mut Messages,
-        by_hand: Maintenance,
+        context: &mut Context,
+        latency: &mut MessageLatency,
+        manual_overrides: Maintenance,
         ids: &[String],
     ) -> Option<Event> {
-        net.observe_wall();
-        let now = net.now();
-        self.by_hand = by_hand;
-        self.laid_over.follow(&self.by_hand, ids, |unix| net.wall.to_monotonic(now, unix));
+        context.observe_wall_clock();
+        let now = context.now();
+        self.manual_overrides = manual_overrides;
+        self.effective_overrides
+            .copy_overrides(&self.manual_overrides, ids, |unix| context.wall_clock.to_monotonic(now, unix));
         let mut entries = Vec::new();
         for id in ids {
-            let is_out = self.by_hand.is_out(id);
+            let is_out = self.manual_overrides.is_out(id);
             let how = if is_out { "taken out" } else { "put back" };
-            log::info!(target: PART, subchannel = id.as_str(); "subchannel {id} {how} by hand");
+            log::info!(target: LOG_TARGET, endpoint = id.as_str(); "endpoint {id} {how} by hand");
             let Some(number) = self.names.find(id) else { continue };
-            let Some(subchannel) = self.known.get(number as usize) else { continue };
+            let Some(endpoint) = self.known.get(number as usize) else { continue };
             let server = ServerId(number);
             // What was seen of it before says nothing of the process that comes back.
-            messages.listed(server, subchannel.weight, !is_out);
-            entries.push(subchannel.entry(server, &self.laid_over));
+            latency.listed(server, endpoint.weight, !is_out);
+            entries.push(endpoint.entry(server, &self.effective_overrides));
         }
-        self.record(net, false, &entries);
-        self.rule(net, false, &entries);
+        self.record(context, false, &entries);
+        self.update_rules(context, false, &entries);
         (!entries.is_empty()).then_some(Event::ManualOverride { entries })
     }
 
     /// Begins a watch from the last revision taken, in place of the old one. An event if that fails.
-    pub fn watch(&mut self, net: &mut Net) -> Option<Event> {
+    pub fn watch(&mut self, context: &mut Context) -> Option<Event> {
         if let Some(old) = self.watch.take() {
-            net.reactor.remove(old);
+            context.reactor.remove(old);
         }
-        let (discovery, from) = (net.config.discovery, self.revision);
-        match net.reactor.insert(|key, io| Ok(Box::new(Watch::start(discovery, from, key, io)?))) {
+        let (discovery, from) = (context.config.discovery, self.revision);
+        match context.reactor.insert(|key, io| Ok(Box::new(DiscoveryWatch::start(discovery, from, key, io)?)))
+        {
             Ok(key) => {
                 self.watch = Some(key);
                 None
             }
             Err(error) => {
-                log::warn!(target: PART, discovery:%, error:%; "cannot watch discovery: {error}");
+                log::warn!(target: LOG_TARGET, discovery:%, error:%; "cannot watch discovery: {error}");
                 Some(Event::ListFailed)
             }
         }
     }
 
     /// A watch is lost; an event if it was the current one.
-    pub fn lost(&mut self, net: &mut Net, watch: Key, silent: bool, why: &str) -> Option<Event> {
+    pub fn watch_lost(
+        &mut self,
+        context: &mut Context,
+        watch: Key,
+        silent: bool,
+        why: &str,
+    ) -> Option<Event> {
         if !self.is_watch(watch) {
             return None;
         }
-        let (discovery, revision) = (net.config.discovery, self.revision);
-        net.records.watch_lost();
-        if let Some(more) = self.losses.due(net.now()) {
+        let (discovery, revision) = (context.config.discovery, self.revision);
+        context.records.watch_lost();
+        if let Some(more) = self.watch_loss_log.due(context.now()) {
             log::warn!(
-                target: PART, discovery:%, revision, left_out = more;
+                target: LOG_TARGET, discovery:%, revision, left_out = more;
                 "watch on discovery lost: {why} ({more} more since the last such line)"
             );
         }
@@ -262,7 +270,7 @@
     }
 
     /// The module believes this of it from now on.
-    pub fn believed(&mut self, server: ServerId, belief: ServerHealth) {
+    pub fn set_belief(&mut self, server: ServerId, belief: ServerHealth) {
         self.known.get_mut(server.0 as usize).into_iter().for_each(|s| s.belief = belief);
     }
 
@@ -271,29 +279,29 @@
         self.is_confirmed
     }
 
-    /// Some subchannel may get new RPCs, as far as lists tell.
-    pub fn can_place(&self) -> bool {
-        self.known.iter().any(|s| s.state == ServerState::Ready && !self.by_hand.is_out(&s.name))
+    /// Some endpoint may get new requests, as far as lists tell.
+    pub fn has_usable_endpoint(&self) -> bool {
+        self.known.iter().any(|s| s.state == ServerState::Ready && !self.manual_overrides.is_out(&s.name))
     }
 
     /// How many are listed, and how many of these get nothing new now though discovery says that they may.
     pub fn gauges(&self, now: Micros) -> (usize, usize) {
-        let paused = |s: &Subchannel| matches!(s.belief, ServerHealth::Paused { until } if until > now);
-        let skipped = |s: &&Subchannel| paused(s) || self.by_hand.is_out(&s.name);
+        let paused = |s: &Endpoint| matches!(s.belief, ServerHealth::Paused { until } if until > now);
+        let skipped = |s: &&Endpoint| paused(s) || self.manual_overrides.is_out(&s.name);
         let listed = || self.known.iter().filter(|s| s.is_listed());
         (listed().count(), listed().filter(skipped).count())
     }
 
-    /// It may get new RPCs, as far as the list and the operators tell.
+    /// It may get new requests, as far as the list and the operators tell.
     pub fn is_ready(&self, server: ServerId) -> bool {
-        let subchannel = self.known.get(server.0 as usize);
-        subchannel.is_some_and(|s| s.entry(server, &self.laid_over).state == ServerState::Ready)
+        let endpoint = self.known.get(server.0 as usize);
+        endpoint.is_some_and(|s| s.entry(server, &self.effective_overrides).state == ServerState::Ready)
     }
 
     /// The list, or the operators, say that it drains.
     pub fn is_draining(&self, server: ServerId) -> bool {
-        let subchannel = self.known.get(server.0 as usize);
-        subchannel.is_some_and(|s| s.entry(server, &self.laid_over).state == ServerState::Draining)
+        let endpoint = self.known.get(server.0 as usize);
+        endpoint.is_some_and(|s| s.entry(server, &self.effective_overrides).state == ServerState::Draining)
     }
 
     pub fn find(&self, name: &str) -> Option<ServerId> {
@@ -305,7 +313,7 @@
     }
 }
 
-impl Servers for Subchannels {
+impl Servers for Endpoints {
     fn count(&self) -> usize {
         self.names.len()
     }
@@ -315,6 +323,6 @@
     }
 
     fn started(&self, server: ServerId) -> Option<Micros> {
-        self.known.get(server.0 as usize).and_then(|subchannel| subchannel.started)
+        self.known.get(server.0 as usize).and_then(|endpoint| endpoint.started)
     }
 }
--- a/crates/cottonnotch/src/net/driver/golden_tests.rs
+++ b/crates/cottonnotch/src/net/driver/golden_tests.rs
@@ -2,12 +2,12 @@
 
 use super::audit::{Audit, Step, outcome_name, unserved_name};
 use super::clock_file::ClockFile;
-use super::hot_restart::Replacement;
-use super::request_table::Call;
-use crate::maintenance::{Maintenance, Mark, decode, encode};
-use crate::net::management::metrics::{Figures, Gauges, Homes};
-use crate::net::open_line::BadLine;
-use crate::net::request_error::Objection;
+use super::hot_restart::HotRestart;
+use super::request_table::TrackedRequest;
+use crate::maintenance::{Maintenance, ManualOverride, decode, encode};
+use crate::net::management::metrics::{AffinityMetrics, Gauges, Metrics};
+use crate::net::open_line::OpenLineError;
+use crate::net::request_error::RequestError;
 use crate::rules::RulesStatus;
 use cottonnotch_consensus::Role;
 use cottonnotch_decision::{ClassId, Outcome, RejectionReason, Request, RequestId};
@@ -20,11 +20,11 @@
 
 #[test]
 fn the_maintenance_file_keeps_its_text() {
-    let marks = [
-        ("s1", Mark { at: 1_764_000_000_000_000, out: true, since: 1_764_000_000_000_000 }),
-        ("s 2", Mark { at: 1_764_000_000_000_009, out: false, since: 1_764_000_000_000_001 }),
+    let overrides = [
+        ("s1", ManualOverride { at: 1_764_000_000_000_000, out: true, since: 1_764_000_000_000_000 }),
+        ("s 2", ManualOverride { at: 1_764_000_000_000_009, out: false, since: 1_764_000_000_000_001 }),
     ];
-    let state = Maintenance::of(marks.map(|(id, mark)| (id.to_owned(), mark)));
+    let state = Maintenance::from_overrides(overrides.map(|(id, mark)| (id.to_owned(), mark)));
     let path = golden_path!("maintenance.txt");
     assert_text(&path, &encode(&state));
     assert_eq!(decode(&std::fs::read(path).unwrap()), Ok(state));
@@ -66,11 +66,11 @@
             writeln!(text, "{name} {held} and {} digits", began.len()).unwrap();
         }
     };
-    let mut process = Replacement::new(prefix, 1_764_000_000_000_000);
+    let mut process = HotRestart::new(prefix, 1_764_000_000_000_000);
     process.show().unwrap();
     note();
-    process.say_ready().unwrap();
-    process.tell_held(73).unwrap();
+    process.announce_ready().unwrap();
+    process.publish_descriptors(73).unwrap();
     note();
     assert_text(&golden_path!("process.txt"), &text);
 }
@@ -104,18 +104,18 @@
 
 #[test]
 fn the_figures_keep_their_names() {
-    let mut figures = Figures::default();
-    figures.classes(["page-view", "note edit"].into_iter());
-    figures.passed(0);
-    figures.dropped(1);
-    figures.failed(1);
-    figures.tried();
-    figures.loaded(true);
-    figures.loaded(false);
-    figures.watch_lost();
-    figures.list_fell_back(true);
-    figures.list_fell_back(false);
-    let homes = Some(Homes { groups: 2, most: 205, told: 31, cut: 4, dropped: 5 });
+    let mut metrics = Metrics::default();
+    metrics.set_classes(["page-view", "note edit"].into_iter());
+    metrics.served(0);
+    metrics.rejected(1);
+    metrics.failed(1);
+    metrics.attempt_written();
+    metrics.configuration_loaded(true);
+    metrics.configuration_loaded(false);
+    metrics.watch_lost();
+    metrics.list_fell_back(true);
+    metrics.list_fell_back(false);
+    let homes = Some(AffinityMetrics { groups: 2, most: 205, told: 31, cut: 4, dropped: 5 });
     let gauges = Gauges { in_progress: 3, known: 2, skipped: 1, rules: Some(seen()), homes };
     let mut audit = Audit::default();
     for outcome in OUTCOMES {
@@ -126,14 +126,14 @@
         audit.count(Step::Refused, unserved_name(why));
         audit.count(Step::Failed, unserved_name(why));
     }
-    let call = Call::new(RequestId(1), 0, 1, None);
+    let tracked = TrackedRequest::new(RequestId(1), 0, 1, None);
     for why in
         [MoveReason::PolicyRequest, MoveReason::Draining, MoveReason::Unresponsive, MoveReason::ProxyShutdown]
     {
-        audit.reopened(&open_connection(), call.wire_id);
-        audit.moved(&call, why);
+        audit.reopened(&open_connection(), tracked.wire_id);
+        audit.moved(&tracked, why);
     }
-    assert_text(&golden_path!("figures.txt"), &figures.text(gauges, audit.figures()));
+    assert_text(&golden_path!("figures.txt"), &metrics.text(gauges, audit.metrics()));
 }
 
 const OUTCOMES: [Outcome; 8] = [
@@ -157,17 +157,23 @@
 
 #[test]
 fn what_a_client_is_told_keeps_its_words() {
-    let lines =
-        [BadLine::NotText, BadLine::NotOpen, BadLine::NoClass, BadLine::BadFigure("id"), BadLine::Twice];
-    let mut texts: Vec<String> = lines.into_iter().map(|line| Objection::BadLine(line).to_string()).collect();
+    let lines = [
+        OpenLineError::NotText,
+        OpenLineError::NotOpen,
+        OpenLineError::NoClass,
+        OpenLineError::BadFigure("id"),
+        OpenLineError::Twice,
+    ];
+    let mut texts: Vec<String> =
+        lines.into_iter().map(|line| RequestError::OpenLineError(line).to_string()).collect();
     let others = [
-        Objection::TooLong(TooLong),
-        Objection::Silent,
-        Objection::TooMuch,
-        Objection::UnknownClass,
-        Objection::UnknownTenant,
-        Objection::IdOpen,
+        RequestError::TooLong(TooLong),
+        RequestError::NoFirstLine,
+        RequestError::DataBeforeAnswer,
+        RequestError::UnknownClass,
+        RequestError::UnknownTenant,
+        RequestError::IdOpen,
     ];
-    texts.extend(others.iter().map(Objection::to_string));
+    texts.extend(others.iter().map(RequestError::to_string));
     assert_text(&golden_path!("client_errors.txt"), &(texts.join("\n") + "\n"));
 }
--- a/crates/cottonnotch/src/net/driver/hot_restart.rs
+++ b/crates/cottonnotch/src/net/driver/hot_restart.rs
@@ -26,7 +26,7 @@
 
 /// Another process of this proxy, which lives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Other {
+pub struct SiblingProcess {
     /// When it began, in microseconds of Unix time.
     pub born: Micros,
     /// When it began by the machine's monotonic clock; `None`: an older build, which doesn't say.
@@ -39,42 +39,42 @@
 
 /// This process's own file.
 #[derive(Debug)]
-struct Shown {
+struct ProcessFile {
     file: File,
     path: PathBuf,
 }
 
 /// This process among those of its proxy.
 #[derive(Debug)]
-pub struct Replacement {
+pub struct HotRestart {
     /// What the names of all of them begin with, the folder included.
     prefix: PathBuf,
     born: Micros,
     began: Micros,
     is_ready: bool,
     /// `None`: the file could not be written yet.
-    shown: Option<Shown>,
+    file_shown: Option<ProcessFile>,
 }
 
-impl Replacement {
+impl HotRestart {
     /// A process that starts; the others don't see it before [`Self::show`].
     pub fn new(prefix: PathBuf, born: Micros) -> Self {
-        Replacement { prefix, born, began: monotonic(), is_ready: false, shown: None }
+        HotRestart { prefix, born, began: monotonic(), is_ready: false, file_shown: None }
     }
 
     /// Shows this process, if it isn't shown yet. Fails where the folder can't be written to; it may be tried again.
     pub fn show(&mut self) -> io::Result<()> {
-        if self.shown.is_some() {
+        if self.file_shown.is_some() {
             return Ok(());
         }
         let hidden = self.prefix.with_extension(format!("{}-{}.new", std::process::id(), self.born));
-        let path = named(&self.prefix, self.born, if self.is_ready { READY } else { STARTING });
-        let shown = self.write(&hidden, &path);
-        if shown.is_err() {
+        let path = file_path(&self.prefix, self.born, if self.is_ready { READY } else { STARTING });
+        let file_shown = self.write(&hidden, &path);
+        if file_shown.is_err() {
             // What was begun is no use to anybody.
             let _ = fs::remove_file(&hidden);
         }
-        self.shown = Some(Shown { file: shown?, path });
+        self.file_shown = Some(ProcessFile { file: file_shown?, path });
         Ok(())
     }
 
@@ -89,45 +89,45 @@
     }
 
     /// Shows that this process serves clients. Fails as [`Self::show`], and is to be said again then.
-    pub fn say_ready(&mut self) -> io::Result<()> {
+    pub fn announce_ready(&mut self) -> io::Result<()> {
         self.is_ready = true;
         self.show()?;
-        let ready = named(&self.prefix, self.born, READY);
-        if let Some(shown) = self.shown.as_mut().filter(|shown| shown.path != ready) {
-            fs::rename(&shown.path, &ready)?;
-            shown.path = ready;
+        let ready = file_path(&self.prefix, self.born, READY);
+        if let Some(file_shown) = self.file_shown.as_mut().filter(|file_shown| file_shown.path != ready) {
+            fs::rename(&file_shown.path, &ready)?;
+            file_shown.path = ready;
         }
         Ok(())
     }
 
     /// Tells the others how many descriptors this process holds.
-    pub fn tell_held(&self, held: usize) -> io::Result<()> {
+    pub fn publish_descriptors(&self, held: usize) -> io::Result<()> {
         let text = format!("{:0HELD_WIDTH$}", held.min(99_999_999));
-        self.shown.as_ref().map_or(Ok(()), |shown| shown.file.write_all_at(text.as_bytes(), 0))
+        self.file_shown.as_ref().map_or(Ok(()), |file_shown| file_shown.file.write_all_at(text.as_bytes(), 0))
     }
 
     /// The others that live. Files of those that have ended are removed. Fails where that can't be told now: somebody may live.
-    pub fn others(&self) -> io::Result<Vec<Other>> {
+    pub fn siblings(&self) -> io::Result<Vec<SiblingProcess>> {
         let folder = self.prefix.parent().unwrap_or(Path::new("."));
-        let own = self.shown.as_ref().map(|shown| shown.path.as_path());
-        let mut others = Vec::new();
+        let own = self.file_shown.as_ref().map(|file_shown| file_shown.path.as_path());
+        let mut siblings = Vec::new();
         for entry in fs::read_dir(folder)? {
             let path = entry?.path();
             if Some(path.as_path()) != own {
-                others.extend(self.other(&path)?);
+                siblings.extend(self.sibling(&path)?);
             }
         }
-        Ok(others)
+        Ok(siblings)
     }
 
-    fn other(&self, path: &Path) -> io::Result<Option<Other>> {
-        let Some((born, is_ready)) = self.name_of(path) else { return Ok(None) };
+    fn sibling(&self, path: &Path) -> io::Result<Option<SiblingProcess>> {
+        let Some((born, is_ready)) = self.parse_name(path) else { return Ok(None) };
         // Guards against what is no plain file: a pipe of that name would hold up the loop.
-        let Some(metadata) = unless_gone(fs::symlink_metadata(path))? else { return Ok(None) };
+        let Some(metadata) = ignore_not_found(fs::symlink_metadata(path))? else { return Ok(None) };
         if !metadata.is_file() {
             return Ok(None);
         }
-        let Some(file) = unless_gone(File::open(path))? else { return Ok(None) };
+        let Some(file) = ignore_not_found(File::open(path))? else { return Ok(None) };
         match file.try_lock_shared() {
             Err(TryLockError::WouldBlock) => {}
             Err(TryLockError::Error(error)) => return Err(error),
@@ -142,11 +142,11 @@
         let text = std::str::from_utf8(&bytes[..read]).unwrap_or_default();
         let (held, began) = text.split_at_checked(HELD_WIDTH).unwrap_or((text, ""));
         let (held, began) = (held.parse().unwrap_or(0), began.parse().ok());
-        Ok(Some(Other { born, began, is_ready, held }))
+        Ok(Some(SiblingProcess { born, began, is_ready, held }))
     }
 
     /// What a file's name says, if it is one of this proxy's: when its process began, and whether it is ready.
-    fn name_of(&self, path: &Path) -> Option<(Micros, bool)> {
+    fn parse_name(&self, path: &Path) -> Option<(Micros, bool)> {
         let prefix = self.prefix.file_name()?.to_str()?;
         let name = path.file_name()?.to_str()?.strip_prefix(prefix)?.strip_prefix('-')?;
         let (born, word) = name.split_once('.')?;
@@ -159,22 +159,22 @@
     }
 
     /// One that began before this one.
-    pub fn is_elder(&self, other: &Other) -> bool {
-        match other.began {
-            Some(began) => (began, other.born) < (self.began, self.born),
-            None => other.born < self.born,
+    pub fn is_older(&self, sibling: &SiblingProcess) -> bool {
+        match sibling.began {
+            Some(began) => (began, sibling.born) < (self.began, self.born),
+            None => sibling.born < self.born,
         }
     }
 
     /// A process that began later serves clients, as far as that can be told now.
     pub fn has_successor(&self) -> bool {
-        let others = self.others().unwrap_or_default();
-        others.iter().any(|other| !self.is_elder(other) && other.is_ready)
+        let siblings = self.siblings().unwrap_or_default();
+        siblings.iter().any(|sibling| !self.is_older(sibling) && sibling.is_ready)
     }
 }
 
 /// A file that has gone meanwhile is none.
-fn unless_gone<T>(found: io::Result<T>) -> io::Result<Option<T>> {
+fn ignore_not_found<T>(found: io::Result<T>) -> io::Result<Option<T>> {
     match found {
         Ok(found) => Ok(Some(found)),
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
@@ -182,14 +182,14 @@
     }
 }
 
-impl Drop for Replacement {
+impl Drop for HotRestart {
     fn drop(&mut self) {
         // The lock ends with the process in any case; this only tidies up.
-        let _ = self.shown.as_ref().map(|shown| fs::remove_file(&shown.path));
+        let _ = self.file_shown.as_ref().map(|file_shown| fs::remove_file(&file_shown.path));
     }
 }
 
-fn named(prefix: &Path, born: Micros, word: &str) -> PathBuf {
+fn file_path(prefix: &Path, born: Micros, word: &str) -> PathBuf {
     let mut name = prefix.as_os_str().to_owned();
     name.push(format!("-{born}.{word}"));
     PathBuf::from(name)
@@ -200,28 +200,28 @@
     use super::*;
 
     /// A process that has shown itself.
-    fn begun(prefix: &Path, born: Micros) -> Replacement {
-        let mut replacement = Replacement::new(prefix.to_owned(), born);
-        replacement.show().unwrap();
-        replacement
+    fn started_process(prefix: &Path, born: Micros) -> HotRestart {
+        let mut hot_restart = HotRestart::new(prefix.to_owned(), born);
+        hot_restart.show().unwrap();
+        hot_restart
     }
 
     #[test]
     fn a_successor_counts_once_it_is_ready_and_for_as_long_as_it_lives() {
         let folder = tempfile::tempdir().unwrap();
         let prefix = folder.path().join("cottonnotch-a_1.process");
-        let mut old = begun(&prefix, 10);
-        old.say_ready().unwrap();
-        assert!(old.others().unwrap().is_empty() && !old.has_successor());
-        let mut new = begun(&prefix, 20);
+        let mut old = started_process(&prefix, 10);
+        old.announce_ready().unwrap();
+        assert!(old.siblings().unwrap().is_empty() && !old.has_successor());
+        let mut new = started_process(&prefix, 20);
         assert!(!old.has_successor(), "it only starts");
-        old.tell_held(73).unwrap();
-        let seen = new.others().unwrap();
-        let [elder] = &seen[..] else { panic!("{seen:?}") };
-        assert_eq!((elder.born, elder.is_ready, elder.held), (10, true, 73));
-        assert!(new.is_elder(elder));
-        new.say_ready().unwrap();
-        new.say_ready().unwrap();
+        old.publish_descriptors(73).unwrap();
+        let seen = new.siblings().unwrap();
+        let [predecessor] = &seen[..] else { panic!("{seen:?}") };
+        assert_eq!((predecessor.born, predecessor.is_ready, predecessor.held), (10, true, 73));
+        assert!(new.is_older(predecessor));
+        new.announce_ready().unwrap();
+        new.announce_ready().unwrap();
         assert!(old.has_successor() && !new.has_successor());
         drop(new);
         assert!(!old.has_successor());
@@ -232,21 +232,21 @@
     fn who_is_older_is_no_matter_of_the_wall_clock_unless_the_other_says_no_more() {
         let folder = tempfile::tempdir().unwrap();
         let prefix = folder.path().join("cottonnotch-a_1.process");
-        let first = begun(&prefix, 20);
+        let first = started_process(&prefix, 20);
         // The wall clock went back.
-        let mut second = begun(&prefix, 10);
-        second.say_ready().unwrap();
+        let mut second = started_process(&prefix, 10);
+        second.announce_ready().unwrap();
         assert!(first.has_successor() && !second.has_successor());
-        assert!(second.is_elder(&first.others_seen_by(&second)));
+        assert!(second.is_older(&first.seen_by(&second)));
         // An older build's file has its descriptors alone.
-        second.shown.as_ref().unwrap().file.set_len(HELD_WIDTH as u64).unwrap();
+        second.file_shown.as_ref().unwrap().file.set_len(HELD_WIDTH as u64).unwrap();
         assert!(!first.has_successor(), "by its name it is the older one");
     }
 
-    impl Replacement {
+    impl HotRestart {
         /// This one, as that other one sees it.
-        fn others_seen_by(&self, other: &Replacement) -> Other {
-            other.others().unwrap().into_iter().find(|seen| seen.born == self.born).unwrap()
+        fn seen_by(&self, sibling: &HotRestart) -> SiblingProcess {
+            sibling.siblings().unwrap().into_iter().find(|seen| seen.born == self.born).unwrap()
         }
     }
 
@@ -254,21 +254,21 @@
     fn one_that_cannot_be_shown_sees_the_others_and_is_shown_once_it_can_be() {
         let folder = tempfile::tempdir().unwrap();
         let prefix = folder.path().join("later").join("cottonnotch-a_1.process");
-        let mut me = Replacement::new(prefix.clone(), 10);
-        assert!(me.show().is_err() && me.say_ready().is_err(), "there is no folder");
-        assert!(me.others().is_err() && !me.has_successor(), "nor can it be told who is there");
+        let mut me = HotRestart::new(prefix.clone(), 10);
+        assert!(me.show().is_err() && me.announce_ready().is_err(), "there is no folder");
+        assert!(me.siblings().is_err() && !me.has_successor(), "nor can it be told who is there");
         fs::create_dir(folder.path().join("later")).unwrap();
-        assert!(me.others().unwrap().is_empty());
+        assert!(me.siblings().unwrap().is_empty());
         me.show().unwrap();
-        let other = begun(&prefix, 20);
-        assert!(other.others().unwrap()[0].is_ready, "what could not be said before is said now");
+        let sibling = started_process(&prefix, 20);
+        assert!(sibling.siblings().unwrap()[0].is_ready, "what could not be said before is said now");
     }
 
     #[test]
     fn what_a_dead_process_left_is_removed_and_what_is_not_ours_is_left_alone() {
         let folder = tempfile::tempdir().unwrap();
         let prefix = folder.path().join("cottonnotch-a_1.process");
-        let me = begun(&prefix, 10);
+        let me = started_process(&prefix, 10);
         for dead in ["99.ready", "98.starting"] {
             fs::write(folder.path().join(format!("cottonnotch-a_1.process-{dead}")), "rubbish").unwrap();
         }
@@ -281,7 +281,7 @@
             fs::write(folder.path().join(name), "").unwrap();
         }
         fs::create_dir(folder.path().join("cottonnotch-a_1.process-50.ready")).unwrap();
-        assert!(me.others().unwrap().is_empty());
+        assert!(me.siblings().unwrap().is_empty());
         let left = fs::read_dir(folder.path()).unwrap().count();
         assert_eq!(left, foreign.len() + 2, "what is foreign, the folder, and this process's own");
     }
--- a/crates/cottonnotch/src/net/driver/lifecycle.rs
+++ b/crates/cottonnotch/src/net/driver/lifecycle.rs
@@ -1,10 +1,10 @@
 //! How the proxy's life changes: a new configuration, and the end.
 
-use super::context::{Net, PART, ROUND};
-use super::hot_restart::Replacement;
+use super::context::{Context, DRAIN_ROUND, LOG_TARGET};
+use super::hot_restart::HotRestart;
 use super::management::shared_file;
-use super::message_latency::Messages;
-use super::request_table::Calls;
+use super::message_latency::MessageLatency;
+use super::request_table::RequestTable;
 use super::shutdown::{self, Shutdown};
 use crate::config::{BadConfig, Config};
 use cottonnotch_decision::settings::Profile;
@@ -17,22 +17,22 @@
 pub type Reread = Box<dyn Fn() -> Result<Config, BadConfig>>;
 
 /// Discovery is waited for so long at a start beside an earlier process, which goes on serving meanwhile.
-const SETTLED_AFTER: Micros = 2_000_000;
-/// Descriptors beside those of objects and of subchannels' sides: standard streams, the poll, signals' other ends.
-const UNCOUNTED: usize = 10;
+const TAKEOVER_TIMEOUT: Micros = 2_000_000;
+/// Descriptors beside those of objects and of endpoints' sides: standard streams, the poll, signals' other ends.
+const UNCOUNTED_DESCRIPTORS: usize = 10;
 
 /// A configuration that was taken.
 pub struct Reloaded {
     /// For the module.
     pub event: Event,
     /// Discovery is elsewhere now.
-    pub moved: bool,
+    pub discovery_moved: bool,
 }
 
 /// A round of the shutdown.
-pub struct Round {
+pub struct DrainRound {
     /// To be moved now.
-    pub leaving: Vec<RequestId>,
+    pub migrating: Vec<RequestId>,
     /// What is still there afterwards is abandoned.
     pub is_last: bool,
 }
@@ -44,27 +44,27 @@
     reread: Reread,
     shutdown: Option<Shutdown>,
     /// This process among others of its proxy, where they can meet.
-    replacement: Option<Replacement>,
+    hot_restart: Option<HotRestart>,
     /// An earlier process serves still; `None`: that could not be told yet.
-    has_elder: Option<bool>,
-    hidden: RateLimitedLog,
+    has_predecessor: Option<bool>,
+    hidden_log: RateLimitedLog,
     began: Micros,
 }
 
 impl Lifecycle {
     /// A process that starts. Others of its proxy are looked for only where operators can say when it is to take over.
-    pub fn new(net: &Net, reread: Reread) -> Self {
-        let began = net.now();
-        let place = net.config.mgmt.and_then(|_| shared_file(net.config.listen, "process"));
-        let replacement = place.map(|place| Replacement::new(place, began));
-        let (shutdown, hidden) = (None, RateLimitedLog::default());
+    pub fn new(context: &Context, reread: Reread) -> Self {
+        let began = context.now();
+        let path = context.config.mgmt.and_then(|_| shared_file(context.config.listen, "process"));
+        let hot_restart = path.map(|path| HotRestart::new(path, began));
+        let (shutdown, hidden_log) = (None, RateLimitedLog::default());
         let mut lifecycle = Lifecycle {
-            address: net.config.listen,
+            address: context.config.listen,
             reread,
             shutdown,
-            replacement,
-            has_elder: None,
-            hidden,
+            hot_restart,
+            has_predecessor: None,
+            hidden_log,
             began,
         };
         lifecycle.show(began);
@@ -72,125 +72,125 @@
     }
 
     /// Clients may connect there.
-    pub fn listens_on(&mut self, address: SocketAddr) {
+    pub fn set_address(&mut self, address: SocketAddr) {
         self.address = address;
     }
 
     /// Shows this process to the others, if it isn't yet: the folder may be full for a while.
     fn show(&mut self, now: Micros) {
-        if let Some(Err(error)) = self.replacement.as_mut().map(Replacement::show) {
-            self.say_hidden(now, &error);
+        if let Some(Err(error)) = self.hot_restart.as_mut().map(HotRestart::show) {
+            self.log_hidden(now, &error);
         }
     }
 
-    fn say_hidden(&mut self, now: Micros, error: &io::Error) {
-        if let Some(left_out) = self.hidden.due(now) {
+    fn log_hidden(&mut self, now: Micros, error: &io::Error) {
+        if let Some(left_out) = self.hidden_log.due(now) {
             log::warn!(
-                target: PART, error:%, left_out;
+                target: LOG_TARGET, error:%, left_out;
                 "this process cannot show itself to others of its proxy, or not see them, and tries on: {error}"
             );
         }
     }
 
     /// Another process may find this one, now or once it can be shown.
-    pub fn may_be_replaced(&self) -> bool {
-        self.replacement.is_some()
+    pub fn can_hot_restart(&self) -> bool {
+        self.hot_restart.is_some()
     }
 
     /// Looks for other processes of this proxy, and tells them of this one; true if an earlier one serves still.
-    pub fn has_elder(&mut self, net: &mut Net) -> bool {
-        self.show(net.now());
-        let Some(replacement) = &self.replacement else { return false };
-        let others = match replacement.others() {
-            Ok(others) => others,
+    pub fn has_predecessor(&mut self, context: &mut Context) -> bool {
+        self.show(context.now());
+        let Some(hot_restart) = &self.hot_restart else { return false };
+        let siblings = match hot_restart.siblings() {
+            Ok(siblings) => siblings,
             Err(error) => {
-                self.say_hidden(net.now(), &error);
+                self.log_hidden(context.now(), &error);
                 // One is taken to be there until its time to show itself is over.
-                return self.has_elder.unwrap_or(net.now() - self.began < SETTLED_AFTER);
+                return self.has_predecessor.unwrap_or(context.now() - self.began < TAKEOVER_TIMEOUT);
             }
         };
-        net.held_elsewhere = others.iter().map(|other| other.held).sum();
-        if !others.is_empty() {
-            // An RPC holds two, its own object's and the subchannel's; what is beyond objects is some ten.
-            let held = net.reactor.connections() + net.rpcs + UNCOUNTED;
+        context.sibling_descriptors = siblings.iter().map(|sibling| sibling.held).sum();
+        if !siblings.is_empty() {
+            // A request holds two, its own object's and the endpoint's; what is beyond objects is some ten.
+            let held = context.reactor.connections() + context.requests + UNCOUNTED_DESCRIPTORS;
             // What can't be told leaves the other with what it heard before.
-            let _ = replacement.tell_held(held);
+            let _ = hot_restart.publish_descriptors(held);
         }
-        let has_elder = others.iter().any(|other| replacement.is_elder(other));
-        self.has_elder = Some(has_elder);
-        has_elder
+        let has_predecessor = siblings.iter().any(|sibling| hot_restart.is_older(sibling));
+        self.has_predecessor = Some(has_predecessor);
+        has_predecessor
     }
 
     /// Clients that an earlier process serves are to be taken over: the list is discovery's own and calls by hand are known, or
     /// both have had their time.
-    pub fn is_settled(&self, now: Micros, is_informed: bool) -> bool {
-        is_informed || now - self.began >= SETTLED_AFTER
+    pub fn can_take_over(&self, now: Micros, has_maintenance: bool) -> bool {
+        has_maintenance || now - self.began >= TAKEOVER_TIMEOUT
     }
 
     /// This process serves: an earlier one may leave.
-    pub fn say_ready(&mut self) {
-        if let Some(Err(error)) = self.replacement.as_mut().map(Replacement::say_ready) {
-            log::warn!(target: PART, error:%; "an earlier process cannot be told that this one serves: {error}");
+    pub fn announce_ready(&mut self) {
+        if let Some(Err(error)) = self.hot_restart.as_mut().map(HotRestart::announce_ready) {
+            log::warn!(target: LOG_TARGET, error:%; "an earlier process cannot be told that this one serves: {error}");
         }
     }
 
     /// A later process serves clients.
     pub fn has_successor(&self) -> bool {
-        self.replacement.as_ref().is_some_and(Replacement::has_successor)
+        self.hot_restart.as_ref().is_some_and(HotRestart::has_successor)
     }
 
     /// Takes a new configuration as a whole, or keeps the old one. No connection is touched.
-    pub fn reload(&self, net: &mut Net, messages: &mut Messages) -> Option<Reloaded> {
-        let reread = (self.reread)().and_then(|new| new.succeeds(&net.config).map(|()| new));
+    pub fn reload(&self, context: &mut Context, latency: &mut MessageLatency) -> Option<Reloaded> {
+        let reread = (self.reread)().and_then(|new| new.succeeds(&context.config).map(|()| new));
         let new = match reread {
             Ok(new) => new,
             Err(error) => {
                 log::error!(
-                    target: PART, key = error.key();
+                    target: LOG_TARGET, key = error.key();
                     "configuration kept, the new one is faulty: {error}"
                 );
-                net.records.reload_kept(&error);
+                context.records.reload_kept(&error);
                 return None;
             }
         };
-        let old = &net.config;
+        let old = &context.config;
         if new.listen != old.listen {
             log::warn!(
-                target: PART, key = "listen", address:% = self.address;
+                target: LOG_TARGET, key = "listen", address:% = self.address;
                 "listen cannot change while clients are served, still at {}", self.address
             );
         }
         if new.mgmt != old.mgmt {
             log::warn!(
-                target: PART, key = "mgmt";
+                target: LOG_TARGET, key = "mgmt";
                 "mgmt cannot change while clients are served, the old one stays"
             );
         }
         if new.tier != old.tier {
             log::warn!(
-                target: PART, key = "peers";
+                target: LOG_TARGET, key = "peers";
                 "peers cannot change while clients are served, the old ones go on"
             );
         }
         let operator = new.operator.succeed(&old.operator);
         log::info!(
-            target: PART, discovery:% = new.discovery;
+            target: LOG_TARGET, discovery:% = new.discovery;
             "configuration read again, discovery at {}", new.discovery
         );
-        let moved = new.discovery != old.discovery;
+        let discovery_moved = new.discovery != old.discovery;
         let profile = new.profile.succeed(&old.profile);
-        messages.set(&profile);
-        net.records.set(&profile);
-        net.records.reload_taken();
-        net.reactor.io.buffer_bound = new.buffer_bound;
-        if let Some(rules) = &mut net.rules {
+        latency.set(&profile);
+        context.records.set(&profile);
+        context.records.reload_taken();
+        context.reactor.io.buffer_bound = new.buffer_bound;
+        if let Some(rules) = &mut context.rules {
             rules.reload(new.rules.clone(), &profile);
         } else if new.rules.is_some() {
-            log::warn!(target: PART, "rules cannot begin while clients are served");
+            log::warn!(target: LOG_TARGET, "rules cannot begin while clients are served");
         }
         let event = Event::Settings(Box::new(profile.settings.clone()));
         let (known, tier) = (old.known.clone(), old.tier.clone());
-        net.config = Config {
+        context.config = Config {
             listen: old.listen,
             mgmt: old.mgmt,
             seed: old.seed,
@@ -200,38 +200,38 @@
             operator,
             ..new
         };
-        Some(Reloaded { event, moved })
+        Some(Reloaded { event, discovery_moved })
     }
 
     /// The process was asked to stop; false if that goes on already.
-    pub fn terminate(&mut self, net: &Net, calls: &Calls) -> bool {
+    pub fn terminate(&mut self, context: &Context, requests: &RequestTable) -> bool {
         if self.shutdown.is_some() {
             return false;
         }
-        let now = net.now();
-        let Profile { settings, withdrawn, .. } = &net.config.profile;
+        let now = context.now();
+        let Profile { settings, withdrawn, .. } = &context.config.profile;
         let offered = (0..).zip(&settings.classes).filter(|(number, _)| !withdrawn.contains(number));
         // Of those that are offered: who sends SIGKILL knows no others.
         let longest = offered.map(|(_, class)| class.deadline).max();
-        let (rpcs, up) = (calls.len(), calls.up().count());
-        log::info!(target: PART, rpcs, up; "asked to stop: clients are moved");
-        net.records.shutdown();
+        let (requests, up) = (requests.len(), requests.up().count());
+        log::info!(target: LOG_TARGET, requests, up; "asked to stop: clients are moved");
+        context.records.shutdown();
         self.shutdown = Some(Shutdown::begin(now, longest.unwrap_or(0)));
         true
     }
 
     /// The next round of a shutdown, if one goes on; sets the timer of the one after.
-    pub fn round(&mut self, net: &mut Net, calls: &Calls) -> Option<Round> {
-        let now = net.now();
+    pub fn next_round(&mut self, context: &mut Context, requests: &RequestTable) -> Option<DrainRound> {
+        let now = context.now();
         let shutdown = self.shutdown.as_mut()?;
-        net.timer_in(shutdown::ROUND, ROUND);
-        let mut leaving: Vec<RequestId> = calls.up().map(|(_, id)| id).collect();
-        leaving.truncate(shutdown.quota(now, leaving.len()));
-        Some(Round { leaving, is_last: shutdown.is_last(now) })
+        context.set_timer(shutdown::DRAIN_ROUND, DRAIN_ROUND);
+        let mut migrating: Vec<RequestId> = requests.up().map(|(_, id)| id).collect();
+        migrating.truncate(shutdown.quota(now, migrating.len()));
+        Some(DrainRound { migrating, is_last: shutdown.is_last(now) })
     }
 
     /// A shutdown goes on.
-    pub fn is_leaving(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.shutdown.is_some()
     }
 
--- a/crates/cottonnotch/src/net/driver/maintenance_file.rs
+++ b/crates/cottonnotch/src/net/driver/maintenance_file.rs
@@ -1,7 +1,7 @@
 //! Calls for maintenance, and the file in which they outlive the process: both processes of a replacement read and
 //! write it, and each takes over what the other was told.
 
-use crate::maintenance::{BadSave, MOST_BYTES, Maintenance, decode, encode};
+use crate::maintenance::{MAX_BYTES, Maintenance, MaintenanceDecodeError, decode, encode};
 use cottonnotch_decision::Micros;
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
@@ -10,26 +10,26 @@
 
 /// The file is looked at this often. A call on one process binds the other within it, well under the second that a call
 /// has.
-pub const LOOK_EVERY: Micros = 100_000;
+pub const POLL_EVERY: Micros = 100_000;
 
 /// Tells one writing of a file from another, without reading it.
-type Stamp = (Option<SystemTime>, u64);
+type FileStamp = (Option<SystemTime>, u64);
 
 /// Why there is nothing to take over.
 #[derive(Debug, thiserror::Error)]
-pub enum NoSave {
+pub enum MaintenanceFileError {
     #[error("{0}")]
-    Bad(#[from] BadSave),
+    Bad(#[from] MaintenanceDecodeError),
     #[error("{0}")]
     Io(#[from] io::Error),
 }
 
 /// The file, if calls are kept.
 #[derive(Debug, Default)]
-pub struct Kept {
+pub struct MaintenanceFile {
     path: Option<PathBuf>,
     /// What was read, or written, last.
-    seen: Option<Stamp>,
+    seen: Option<FileStamp>,
     /// It was looked at, and read if it was there.
     is_known: bool,
     /// What is there now is less than this process knows, and could not be written yet.
@@ -38,10 +38,10 @@
     is_unsynced: bool,
 }
 
-impl Kept {
+impl MaintenanceFile {
     /// Calls are kept in this file; in none, they end with the process.
     pub fn at(path: Option<PathBuf>) -> Self {
-        Kept { path, ..Kept::default() }
+        MaintenanceFile { path, ..MaintenanceFile::default() }
     }
 
     /// What is kept was read, or there is nothing.
@@ -50,7 +50,7 @@
     }
 
     /// There is a file to look at.
-    pub fn is_kept(&self) -> bool {
+    pub fn is_persistent(&self) -> bool {
         self.path.is_some()
     }
 
@@ -61,7 +61,7 @@
 
     /// What another process has written since the last look or writing, if anything. What can't be read now is looked at again; what
     /// is no sound state is told once.
-    pub fn look(&mut self) -> Option<Result<Maintenance, NoSave>> {
+    pub fn read_changes(&mut self) -> Option<Result<Maintenance, MaintenanceFileError>> {
         let path = self.path.as_deref()?;
         let stamp = match stamp(path) {
             Ok(stamp) => Some(stamp),
@@ -73,14 +73,14 @@
             return None;
         }
         let found = stamp.map(|_| read(path));
-        if !matches!(found, Some(Err(NoSave::Io(_)))) {
+        if !matches!(found, Some(Err(MaintenanceFileError::Io(_)))) {
             (self.seen, self.is_known) = (stamp, true);
         }
         found
     }
 
     /// What could not be saved is to be saved as soon as it can be.
-    pub fn fell_behind(&mut self) {
+    pub fn mark_behind(&mut self) {
         self.is_behind = true;
     }
 
@@ -99,7 +99,7 @@
         let Some(path) = self.path.as_deref() else { return Ok(()) };
         // A name that no other process writes to, so that what is renamed is whole.
         let new = path.with_extension(format!("{}.new", std::process::id()));
-        let written = write_whole(&new, encode(state).as_bytes()).and_then(|()| fs::rename(&new, path));
+        let written = write_synced(&new, encode(state).as_bytes()).and_then(|()| fs::rename(&new, path));
         if let Err(error) = written {
             // What was begun is no use to anybody.
             let _ = fs::remove_file(&new);
@@ -114,26 +114,26 @@
 }
 
 /// A name must never stand for bytes that aren't on the disk yet.
-fn write_whole(path: &Path, bytes: &[u8]) -> io::Result<()> {
+fn write_synced(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let mut file = File::create(path)?;
     file.write_all(bytes)?;
     file.sync_all()
 }
 
-fn stamp(path: &Path) -> io::Result<Stamp> {
+fn stamp(path: &Path) -> io::Result<FileStamp> {
     let metadata = fs::symlink_metadata(path)?;
     #[cfg(unix)]
     let place = std::os::unix::fs::MetadataExt::ino(&metadata);
     Ok((metadata.modified().ok(), place))
 }
 
-fn read(path: &Path) -> Result<Maintenance, NoSave> {
+fn read(path: &Path) -> Result<Maintenance, MaintenanceFileError> {
     // Guards against what is no plain file: a pipe of that name would hold up the loop.
     if !fs::symlink_metadata(path)?.is_file() {
-        return Err(BadSave::Form.into());
+        return Err(MaintenanceDecodeError::Form.into());
     }
     let mut bytes = Vec::new();
-    File::open(path)?.take(MOST_BYTES as u64 + 1).read_to_end(&mut bytes)?;
+    File::open(path)?.take(MAX_BYTES as u64 + 1).read_to_end(&mut bytes)?;
     Ok(decode(&bytes)?)
 }
 
@@ -141,22 +141,22 @@
 mod tests {
     use super::*;
 
-    fn two() -> (tempfile::TempDir, Kept, Kept) {
+    fn two() -> (tempfile::TempDir, MaintenanceFile, MaintenanceFile) {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("x.maintenance");
-        (folder, Kept::at(Some(path.clone())), Kept::at(Some(path)))
+        (folder, MaintenanceFile::at(Some(path.clone())), MaintenanceFile::at(Some(path)))
     }
 
     #[test]
     fn what_one_process_writes_the_other_finds_once() {
         let (_folder, mut one, mut other) = two();
-        assert!(one.look().is_none(), "nothing is there");
+        assert!(one.read_changes().is_none(), "nothing is there");
         let mut state = Maintenance::default();
         state.enter(5, "s1");
         one.save(&state).unwrap();
-        assert!(one.look().is_none(), "its own writing is no news");
-        assert_eq!(other.look().unwrap().unwrap(), state);
-        assert!(other.look().is_none(), "told once");
+        assert!(one.read_changes().is_none(), "its own writing is no news");
+        assert_eq!(other.read_changes().unwrap().unwrap(), state);
+        assert!(other.read_changes().is_none(), "told once");
     }
 
     #[test]
@@ -168,16 +168,16 @@
         let text = encode(&state);
         for foreign in [&b""[..], b"{}", &text.as_bytes()[..text.len() / 2], &[0xff; 700_000]] {
             fs::write(&path, foreign).unwrap();
-            assert!(one.look().unwrap().is_err(), "{} bytes", foreign.len());
+            assert!(one.read_changes().unwrap().is_err(), "{} bytes", foreign.len());
             fs::remove_file(&path).unwrap();
-            assert!(one.look().is_none());
+            assert!(one.read_changes().is_none());
         }
         fs::create_dir(&path).unwrap();
-        assert!(one.look().unwrap().is_err(), "no file at all");
+        assert!(one.read_changes().unwrap().is_err(), "no file at all");
         assert!(other.save(&state).is_err(), "and nothing can be written over it");
         assert!(fs::read_dir(folder.path()).unwrap().count() == 1, "nothing is left lying about");
         fs::remove_dir(&path).unwrap();
         other.save(&state).unwrap();
-        assert_eq!(one.look().unwrap().unwrap(), state);
+        assert_eq!(one.read_changes().unwrap().unwrap(), state);
     }
 }
--- a/crates/cottonnotch/src/net/driver/management.rs
+++ b/crates/cottonnotch/src/net/driver/management.rs
@@ -1,12 +1,12 @@
 //! The operators' address as the driver has it: who is let in, whether this process is ready, and what is called for by
 //! hand.
 
-use super::context::{CALLERS, LOOK, Net, PART};
-use super::endpoints::Subchannels;
-use super::maintenance_file::{Kept, LOOK_EVERY, NoSave};
-use super::message_latency::Messages;
+use super::context::{ACCEPT_ADMINS, Context, LOG_TARGET, POLL_SIBLINGS};
+use super::endpoints::Endpoints;
+use super::maintenance_file::{MaintenanceFile, MaintenanceFileError, POLL_EVERY};
+use super::message_latency::MessageLatency;
 use crate::maintenance::Maintenance;
-use crate::net::management::{Answer, Desk};
+use crate::net::management::{AdminResponse, AdminServer};
 use cottonnotch_decision::{Event, Micros};
 use cottonnotch_reactor::Key;
 use cottonnotch_reactor::rate_limited_log::RateLimitedLog;
@@ -15,59 +15,64 @@
 use std::path::PathBuf;
 
 /// Processes share their state in this folder, where the environment names one.
-const FOLDER: &str = "TMPDIR";
+const STATE_FOLDER_VARIABLE: &str = "TMPDIR";
 
 /// The desk, if there is one, and what is kept of the calls.
 pub struct Management {
-    desk: Option<Desk>,
-    kept: Kept,
-    unread: RateLimitedLog,
-    unwritten: RateLimitedLog,
+    admin_server: Option<AdminServer>,
+    file: MaintenanceFile,
+    read_failure_log: RateLimitedLog,
+    write_failure_log: RateLimitedLog,
 }
 
 /// Where a proxy's processes share something: named by the address that they share, so that proxies on one machine don't
 /// read each other's. `None`: nowhere, since no folder is named, or the system gives each an address of its own.
 pub fn shared_file(listen: SocketAddr, kind: &str) -> Option<PathBuf> {
-    let folder = std::env::var_os(FOLDER).filter(|folder| !folder.is_empty())?;
+    let folder = std::env::var_os(STATE_FOLDER_VARIABLE).filter(|folder| !folder.is_empty())?;
     let address = listen.to_string().replace([':', '[', ']', '%'], "_");
     (listen.port() != 0).then(|| PathBuf::from(folder).join(format!("cottonnotch-{address}.{kind}")))
 }
 
 impl Management {
     /// Opens the operators' address, if one is configured. Fails if it can't be had.
-    pub fn start(net: &mut Net) -> io::Result<Self> {
-        let Some(address) = net.config.mgmt else {
-            return Ok(Management::at(None, Kept::default()));
+    pub fn start(context: &mut Context) -> io::Result<Self> {
+        let Some(address) = context.config.mgmt else {
+            return Ok(Management::new(None, MaintenanceFile::default()));
         };
-        let desk = Desk::open(&mut net.reactor, address, CALLERS)?;
+        let admin_server = AdminServer::open(&mut context.reactor, address, ACCEPT_ADMINS)?;
         // No key-values: scripts take the last word as the address.
-        log::info!(target: PART, "operators may call at {}", desk.address()?);
-        let kept = Kept::at(shared_file(net.config.listen, "maintenance"));
-        if !kept.is_kept() {
-            log::warn!(target: PART, "maintenance by hand ends with this process: {FOLDER} names no folder, or listen no port");
+        log::info!(target: LOG_TARGET, "operators may call at {}", admin_server.address()?);
+        let file = MaintenanceFile::at(shared_file(context.config.listen, "maintenance"));
+        if !file.is_persistent() {
+            log::warn!(target: LOG_TARGET, "maintenance by hand ends with this process: {STATE_FOLDER_VARIABLE} names no folder, or listen no port");
         }
-        Ok(Management::at(Some(desk), kept))
+        Ok(Management::new(Some(admin_server), file))
     }
 
-    fn at(desk: Option<Desk>, kept: Kept) -> Self {
-        Management { desk, kept, unread: RateLimitedLog::default(), unwritten: RateLimitedLog::default() }
+    fn new(admin_server: Option<AdminServer>, file: MaintenanceFile) -> Self {
+        Management {
+            admin_server,
+            file,
+            read_failure_log: RateLimitedLog::default(),
+            write_failure_log: RateLimitedLog::default(),
+        }
     }
 
     /// Looks for what another process of this proxy was told, and sets the timer of the next look. An event, if that
     /// changes something.
-    pub fn look(
+    pub fn sync(
         &mut self,
-        net: &mut Net,
-        messages: &mut Messages,
-        subchannels: &mut Subchannels,
+        context: &mut Context,
+        latency: &mut MessageLatency,
+        endpoints: &mut Endpoints,
     ) -> Option<Event> {
-        self.desk.as_ref()?;
-        net.timer_in(LOOK_EVERY, LOOK);
-        match self.take_over(net, messages, subchannels) {
+        self.admin_server.as_ref()?;
+        context.set_timer(POLL_EVERY, POLL_SIBLINGS);
+        match self.take_over(context, latency, endpoints) {
             Ok(event) => event,
             Err(error) => {
-                if let Some(left_out) = self.unread.due(net.now()) {
-                    log::error!(target: PART, error:%, left_out; "kept maintenance cannot be taken over: {error}");
+                if let Some(left_out) = self.read_failure_log.due(context.now()) {
+                    log::error!(target: LOG_TARGET, error:%, left_out; "kept maintenance cannot be taken over: {error}");
                 }
                 None
             }
@@ -77,117 +82,121 @@
     /// Takes over what is kept, if that is news, and writes what is missing there. Fails if it can't be read, now or ever.
     fn take_over(
         &mut self,
-        net: &mut Net,
-        messages: &mut Messages,
-        subchannels: &mut Subchannels,
-    ) -> Result<Option<Event>, NoSave> {
-        let theirs = self.kept.look().transpose()?;
-        let mut merged = subchannels.by_hand().clone();
+        context: &mut Context,
+        latency: &mut MessageLatency,
+        endpoints: &mut Endpoints,
+    ) -> Result<Option<Event>, MaintenanceFileError> {
+        let theirs = self.file.read_changes().transpose()?;
+        let mut merged = endpoints.manual_overrides().clone();
         let changed = theirs.as_ref().map_or_else(Vec::new, |theirs| merged.merge(theirs));
         // Guards against two that write at once: who finds something missing writes it again, until it is there.
-        if theirs.is_some_and(|theirs| merged != theirs) || self.kept.is_behind() {
-            self.save(net.now(), &merged);
+        if theirs.is_some_and(|theirs| merged != theirs) || self.file.is_behind() {
+            self.save(context.now(), &merged);
         }
-        if self.kept.sync_folder().is_err() {
-            log::debug!(target: PART, "the folder of kept maintenance cannot be synced yet");
+        if self.file.sync_folder().is_err() {
+            log::debug!(target: LOG_TARGET, "the folder of kept maintenance cannot be synced yet");
         }
         if changed.is_empty() {
             return Ok(None);
         }
-        Ok(subchannels.lay_over(net, messages, merged, &changed))
+        Ok(endpoints.set_overrides(context, latency, merged, &changed))
     }
 
     fn save(&mut self, now: Micros, state: &Maintenance) {
-        let Err(error) = self.kept.save(state) else { return };
-        self.kept.fell_behind();
-        if let Some(left_out) = self.unwritten.due(now) {
-            log::error!(target: PART, error:%, left_out; "maintenance by hand cannot be kept yet: {error}");
+        let Err(error) = self.file.save(state) else { return };
+        self.file.mark_behind();
+        if let Some(left_out) = self.write_failure_log.due(now) {
+            log::error!(target: LOG_TARGET, error:%, left_out; "maintenance by hand cannot be kept yet: {error}");
         }
     }
 
     /// An operator takes a render node out, or puts it back: the answer, and an event if that changes anything.
-    pub fn by_hand(
+    pub fn set_maintenance(
         &mut self,
-        net: &mut Net,
-        messages: &mut Messages,
-        subchannels: &mut Subchannels,
+        context: &mut Context,
+        latency: &mut MessageLatency,
+        endpoints: &mut Endpoints,
         id: &str,
         out: bool,
-    ) -> (Answer, Vec<Event>) {
+    ) -> (AdminResponse, Vec<Event>) {
         // What is kept first: what this process writes takes the place of what is there, which it must know.
-        let taken_over = match self.take_over(net, messages, subchannels) {
-            Err(NoSave::Io(error)) => {
+        let taken_over = match self.take_over(context, latency, endpoints) {
+            Err(MaintenanceFileError::Io(error)) => {
                 let words = format!("nothing was done, earlier calls cannot be read: {error}\n");
-                return (Answer::failed(words), Vec::new());
+                return (AdminResponse::failed(words), Vec::new());
             }
-            Err(NoSave::Bad(error)) => {
-                log::error!(target: PART, error:%; "kept maintenance cannot be taken over: {error}");
+            Err(MaintenanceFileError::Bad(error)) => {
+                log::error!(target: LOG_TARGET, error:%; "kept maintenance cannot be taken over: {error}");
                 None
             }
             Ok(event) => event,
         };
-        let (answer, event) = self.call(net, messages, subchannels, id, out);
+        let (answer, event) = self.apply_override(context, latency, endpoints, id, out);
         (answer, taken_over.into_iter().chain(event).collect())
     }
 
-    fn call(
+    fn apply_override(
         &mut self,
-        net: &mut Net,
-        messages: &mut Messages,
-        subchannels: &mut Subchannels,
+        context: &mut Context,
+        latency: &mut MessageLatency,
+        endpoints: &mut Endpoints,
         id: &str,
         out: bool,
-    ) -> (Answer, Option<Event>) {
-        if !subchannels.is_known(id) {
-            return (Answer::unknown("no render node of that id is listed\n"), None);
+    ) -> (AdminResponse, Option<Event>) {
+        if !endpoints.is_known(id) {
+            return (AdminResponse::not_found("no render node of that id is listed\n"), None);
         }
         let how = if out { "out" } else { "in use" };
-        let done = Answer::yes(format!("{id} is {how}\n"));
+        let done = AdminResponse::ok(format!("{id} is {how}\n"));
         // Of the wall clock: another process, or a later one, reads it.
-        net.observe_wall();
-        let now = net.wall.unix(net.now());
-        let mut state = subchannels.by_hand().clone();
+        context.observe_wall_clock();
+        let now = context.wall_clock.unix(context.now());
+        let mut state = endpoints.manual_overrides().clone();
         let changed = if out { state.enter(now, id) } else { state.exit(now, id) };
         if !changed && state.is_out(id) != out {
-            return (Answer::failed("too many render nodes are out\n"), None);
+            return (AdminResponse::failed("too many render nodes are out\n"), None);
         }
         if !changed {
             return (done, None);
         }
-        state.forget_old(now);
+        state.remove_expired(now);
         // The yes is a promise that outlives this process; where it can't be kept, nothing is done.
-        if let Err(error) = self.kept.save(&state) {
-            log::error!(target: PART, error:%; "maintenance by hand cannot be kept: {error}");
-            return (Answer::failed(format!("nothing was done, it cannot be kept: {error}\n")), None);
+        if let Err(error) = self.file.save(&state) {
+            log::error!(target: LOG_TARGET, error:%; "maintenance by hand cannot be kept: {error}");
+            return (AdminResponse::failed(format!("nothing was done, it cannot be kept: {error}\n")), None);
         }
-        (done, subchannels.lay_over(net, messages, state, &[id.to_owned()]))
+        (done, endpoints.set_overrides(context, latency, state, &[id.to_owned()]))
     }
 
     /// What earlier processes were told by hand is known here, as far as it is kept.
-    pub fn is_informed(&self) -> bool {
-        self.desk.is_none() || self.kept.is_known()
+    pub fn has_maintenance(&self) -> bool {
+        self.admin_server.is_none() || self.file.is_known()
     }
 
     /// Operators wait to be let in.
-    pub fn acceptable(&mut self, net: &mut Net) {
-        self.desk.iter_mut().for_each(|desk| desk.acceptable(&mut net.reactor));
+    pub fn on_admins_waiting(&mut self, context: &mut Context) {
+        self.admin_server
+            .iter_mut()
+            .for_each(|admin_server| admin_server.on_connections_waiting(&mut context.reactor));
     }
 
     /// The timer for that is due.
-    pub fn accept_again(&mut self, net: &mut Net) {
-        self.desk.iter_mut().for_each(|desk| desk.accept_again(&mut net.reactor));
+    pub fn on_accept_timer(&mut self, context: &mut Context) {
+        self.admin_server
+            .iter_mut()
+            .for_each(|admin_server| admin_server.on_accept_timer(&mut context.reactor));
     }
 
     /// Whether this process is ready to serve.
-    pub fn status(trouble: Option<&str>) -> Answer {
-        match trouble {
-            Some(trouble) => Answer::unready(format!("not ready: {trouble}\n")),
-            None => Answer::yes("ready\n"),
+    pub fn status(not_ready_reason: Option<&str>) -> AdminResponse {
+        match not_ready_reason {
+            Some(not_ready_reason) => AdminResponse::unavailable(format!("not ready: {not_ready_reason}\n")),
+            None => AdminResponse::ok("ready\n"),
         }
     }
 
     /// Answers a caller, if it is still there.
-    pub fn answer(&self, net: &mut Net, caller: Key, answer: &Answer) {
-        net.reactor.with(caller, |object, io| object.caller().map(|caller| caller.answer(io, answer)));
+    pub fn answer(&self, context: &mut Context, admin: Key, answer: &AdminResponse) {
+        context.reactor.with(admin, |object, io| object.admin().map(|admin| admin.answer(io, answer)));
     }
 }
--- a/crates/cottonnotch/src/net/driver/message_latency.rs
+++ b/crates/cottonnotch/src/net/driver/message_latency.rs
@@ -1,13 +1,13 @@
 //! Messages on connections that are up: what loads and delays they show, and the notes that the module gets.
 
-use super::context::{Net, TICK};
-use super::request_table::{Call, Calls};
+use super::context::{Context, TICK};
+use super::request_table::{RequestTable, TrackedRequest};
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_decision::{Event, Micros, RequestId, ServerId};
 use cottonnotch_proxy_core::{LatencyReport, LoadLine, LoadLines, MessageLatencies, REPORT_INTERVAL};
 
 /// How messages fare.
-pub struct Messages {
+pub struct MessageLatency {
     delays: MessageLatencies,
     lines: LoadLines,
     /// Lines may tell delays, too.
@@ -16,15 +16,15 @@
     groups: bool,
 }
 
-impl Messages {
+impl MessageLatency {
     /// Nothing seen yet. Sets the timer of the first [`Self::tick`].
-    pub fn start(net: &mut Net) -> Self {
-        net.timer_in(REPORT_INTERVAL, TICK);
-        let Profile { settings, tells_delay, .. } = &net.config.profile;
+    pub fn start(context: &mut Context) -> Self {
+        context.set_timer(REPORT_INTERVAL, TICK);
+        let Profile { settings, tells_delay, .. } = &context.config.profile;
         let delays =
             MessageLatencies::new(settings.nodes, settings.shortest_message_objective(), settings.weighted);
         let (groups, tells_delay) = (settings.groups, *tells_delay);
-        Messages { delays, lines: LoadLines::default(), tells_delay, groups }
+        MessageLatency { delays, lines: LoadLines::default(), tells_delay, groups }
     }
 
     /// The settings have changed.
@@ -34,7 +34,7 @@
         self.groups = settings.groups;
     }
 
-    /// A subchannel is listed; `anew` if it is a new life of its process.
+    /// An endpoint is listed; `anew` if it is a new life of its process.
     pub fn listed(&mut self, server: ServerId, weight: f64, anew: bool) {
         self.delays.listed(server, weight, anew);
         if anew {
@@ -48,24 +48,30 @@
     }
 
     /// A connection is up; `setup` is how long that took.
-    pub fn opened(&mut self, now: Micros, call: &Call, server: ServerId, setup: Option<Micros>) {
-        let group = call.group.filter(|_| self.groups);
-        self.delays.connection_opened(now, call.id, server, group, setup);
+    pub fn connection_opened(
+        &mut self,
+        now: Micros,
+        tracked: &TrackedRequest,
+        server: ServerId,
+        setup: Option<Micros>,
+    ) {
+        let group = tracked.group.filter(|_| self.groups);
+        self.delays.connection_opened(now, tracked.id, server, group, setup);
     }
 
-    /// An RPC is over, up or not.
-    pub fn over(&mut self, call: &Call) {
-        self.delays.connection_closed(call.id);
+    /// A request is over, up or not.
+    pub fn request_over(&mut self, tracked: &TrackedRequest) {
+        self.delays.connection_closed(tracked.id);
     }
 
-    /// A subchannel has told a figure on this connection: its load, or a delay.
-    pub fn load(&mut self, now: Micros, call: &Call, figure: f64) -> Option<Event> {
-        let told = match call.at {
-            Some((server, _)) if self.tells_delay => self.lines.classify(now, server, call.id, figure),
+    /// An endpoint has told a figure on this connection: its load, or a delay.
+    pub fn load_reported(&mut self, now: Micros, tracked: &TrackedRequest, figure: f64) -> Option<Event> {
+        let told = match tracked.at {
+            Some((server, _)) if self.tells_delay => self.lines.classify(now, server, tracked.id, figure),
             _ => LoadLine::Load(figure),
         };
-        match (told, call.at) {
-            (LoadLine::Load(load), _) => Some(self.loaded(call.id, load)),
+        match (told, tracked.at) {
+            (LoadLine::Load(load), _) => Some(self.loaded(tracked.id, load)),
             (LoadLine::Delay(delay), Some((server, _))) => {
                 let LatencyReport { server, delay } = self.delays.latency_advertised(now, server, delay)?;
                 Some(Event::LatencyUpdate { server, latency: delay })
@@ -80,21 +86,21 @@
     }
 
     /// A client's line was answered after this long, or is unanswered for that long by now.
-    pub fn delayed(&mut self, now: Micros, call: &Call, delay: Micros) {
-        if let Some((server, _)) = call.at {
+    pub fn record(&mut self, now: Micros, tracked: &TrackedRequest, delay: Micros) {
+        if let Some((server, _)) = tracked.at {
             self.delays.round_trip_measured(now, server, delay);
         }
     }
 
     /// The notes that are due; sets the next tick's timer.
-    pub fn tick(&mut self, net: &mut Net, calls: &Calls) -> Vec<Event> {
-        let now = net.now();
-        net.timer_in(REPORT_INTERVAL, TICK);
-        for (key, _) in calls.up() {
-            let waited = net.with_front(key, |front, _| front.waiting_for(now)).flatten();
+    pub fn tick(&mut self, context: &mut Context, requests: &RequestTable) -> Vec<Event> {
+        let now = context.now();
+        context.set_timer(REPORT_INTERVAL, TICK);
+        for (key, _) in requests.up() {
+            let waited = context.with_client(key, |client, _| client.oldest_unanswered(now)).flatten();
             // A line that is still unanswered shows a delay as well as a late reply does.
-            if let (Some(waited), Some(call)) = (waited, calls.get(key)) {
-                self.delayed(net.now(), call, waited);
+            if let (Some(waited), Some(tracked)) = (waited, requests.get(key)) {
+                self.record(context.now(), tracked, waited);
             }
         }
         let settled = self.lines.settle(now);
--- a/crates/cottonnotch/src/net/driver/mod.rs
+++ b/crates/cottonnotch/src/net/driver/mod.rs
@@ -1,11 +1,11 @@
-//! Between the sockets and the decisions: turns happenings into the module's events and carries out its
-//! actions in order. Here the network's terms (subchannel, RPC, call attempt) meet the module's (server,
+//! Between the sockets and the decisions: turns network events into the module's events and carries out its
+//! actions in order. Here the network's terms (endpoint, request, attempt) meet the module's (server,
 //! request, send); nothing is decided.
 //!
-//! This file is the core: it hands each happening to the part that translates it, each event to the module, and
+//! This file is the core: it hands each network event to the part that translates it, each event to the module, and
 //! each action to the part that carries it out. A request's way: a front reads a client's line and tells its
-//! `Wish` ([`Driver::take`]), [`clients`] makes an event of it, the module answers with an action
-//! ([`Driver::settle`]), [`clients`] asks the front for a call attempt ([`Driver::act`]), and once that is up the
+//! `ConnectionRequest` ([`Driver::take`]), [`clients`] makes an event of it, the module answers with an action
+//! ([`Driver::settle`]), [`clients`] asks the front for an attempt ([`Driver::act`]), and once that is up the
 //! front relays.
 
 mod acceptor;
@@ -29,15 +29,15 @@
 mod unregistered_clients;
 
 use super::management::metrics::Gauges;
-use super::management::{Answer, Call};
-use super::network_event::{Happening, Object};
+use super::management::{AdminRequest, AdminResponse};
+use super::network_event::{NetworkEvent, Object};
 use crate::config::Config;
 use crate::rules::RulesService;
-use acceptor::Arrivals;
+use acceptor::Acceptor;
 use audit::Audit;
 use clients::Clients;
 use clock_file::ClockFile;
-use context::Net;
+use context::Context;
 use cottonnotch_decision::{Action, Balancer, Event, Micros, Notification, ServerId};
 use cottonnotch_proxy_core::EndpointUpdate;
 use cottonnotch_reactor::listener::Binding;
@@ -45,48 +45,48 @@
 use cottonnotch_reactor::signals::{SIGHUP, SIGTERM, Signals};
 use cottonnotch_reactor::{Clock, Key, Reactor};
 use cottonnotch_records::{MoveReason, Recorder};
-use endpoints::Subchannels;
-use lifecycle::{Lifecycle, Reloaded, Reread, Round};
+use endpoints::Endpoints;
+use lifecycle::{DrainRound, Lifecycle, Reloaded, Reread};
 use management::{Management, shared_file};
-use message_latency::Messages;
-use peers::{Around, Peers};
+use message_latency::MessageLatency;
+use peers::{PeerContext, Peers};
 use records::Records;
 use std::collections::VecDeque;
 use std::io;
 use std::time::Duration;
-use transient_errors::patiently;
+use transient_errors::retry_transient;
 
 /// The records' writer is waited for so long at the end: a shutdown is over 150 ms before SIGKILL may come.
-const RECORDS_WITHIN: Duration = Duration::from_millis(100);
+const RECORDS_CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Everything that one proxy holds.
 pub struct Driver {
-    net: Net,
+    context: Context,
     balancer: Balancer,
     pending: VecDeque<Event>,
-    arrivals: Arrivals,
+    acceptor: Acceptor,
     clients: Clients,
-    messages: Messages,
-    subchannels: Subchannels,
+    latency: MessageLatency,
+    endpoints: Endpoints,
     lifecycle: Lifecycle,
     peers: Peers,
     management: Management,
-    holding: RateLimitedLog,
+    no_endpoint_log: RateLimitedLog,
     /// Said when it can't listen beside an earlier process.
-    shut_out: RateLimitedLog,
+    listen_failure_log: RateLimitedLog,
 }
 
 impl Driver {
     /// Opens the sockets and starts the module. `reread` gets the configuration anew on SIGHUP.
     pub fn start(config: Config, recorder: Recorder, reread: Reread) -> io::Result<Self> {
-        let mut reactor = patiently("poll", || Reactor::<dyn Object>::new(Clock::unix()))?;
+        let mut reactor = retry_transient("poll", || Reactor::<dyn Object>::new(Clock::unix()))?;
         reactor.io.buffer_bound = config.buffer_bound;
         // Guards against the system's own answer to a signal, which is to end the process.
-        let signals: [(i32, fn() -> Happening); 2] =
-            [(SIGTERM, || Happening::Terminate), (SIGHUP, || Happening::Reload)];
-        for (signal, happening) in signals {
-            patiently("hear signals", || {
-                reactor.insert(|key, io| Ok(Box::new(Signals::register(signal, happening, key, io)?)))
+        let signals: [(i32, fn() -> NetworkEvent); 2] =
+            [(SIGTERM, || NetworkEvent::Terminate), (SIGHUP, || NetworkEvent::Reload)];
+        for (signal, network_event) in signals {
+            retry_transient("hear signals", || {
+                reactor.insert(|key, io| Ok(Box::new(Signals::register(signal, network_event, key, io)?)))
             })?;
         }
         let mut balancer = Balancer::new(config.profile.settings.clone(), config.seed, reactor.io.now());
@@ -95,48 +95,48 @@
         let records = Records::new(recorder, &config.profile);
         let audit = Audit::new(config.profile.settings.clone());
         let clock_file = ClockFile::at(shared_file(config.listen, "clock"), reactor.io.now());
-        let wall = clock_file.load(reactor.io.now(), Clock::wall());
-        let mut net = Net {
+        let wall_clock = clock_file.load(reactor.io.now(), Clock::wall());
+        let mut context = Context {
             reactor,
             config,
             records,
             audit,
-            wall,
+            wall_clock,
             clock_file,
             rules: None,
-            held_elsewhere: 0,
-            rpcs: 0,
+            sibling_descriptors: 0,
+            requests: 0,
         };
-        net.keep_wall();
-        let mut lifecycle = Lifecycle::new(&net, reread);
-        let has_elder = lifecycle.has_elder(&mut net);
-        if let Some(settings) = net.config.rules.clone() {
-            let (profile, seed) = (&net.config.profile, net.config.seed);
-            let rules = RulesService::start(settings, profile, seed, names, has_elder)?;
+        context.save_wall_clock();
+        let mut lifecycle = Lifecycle::new(&context, reread);
+        let has_predecessor = lifecycle.has_predecessor(&mut context);
+        if let Some(settings) = context.config.rules.clone() {
+            let (profile, seed) = (&context.config.profile, context.config.seed);
+            let rules = RulesService::start(settings, profile, seed, names, has_predecessor)?;
             balancer = balancer.under(Box::new(rules.rulings().clone()));
-            net.rules = Some(rules);
+            context.rules = Some(rules);
         }
         let mut driver = Driver {
-            messages: Messages::start(&mut net),
-            peers: patiently("hear other proxies", || Peers::start(&mut net, has_elder))?,
-            management: patiently("hear operators", || Management::start(&mut net))?,
-            net,
+            latency: MessageLatency::start(&mut context),
+            peers: retry_transient("hear other proxies", || Peers::start(&mut context, has_predecessor))?,
+            management: retry_transient("hear operators", || Management::start(&mut context))?,
+            context,
             balancer,
             pending: VecDeque::new(),
-            arrivals: Arrivals::default(),
+            acceptor: Acceptor::default(),
             clients: Clients::default(),
-            subchannels: Subchannels::default(),
+            endpoints: Endpoints::default(),
             lifecycle,
-            holding: RateLimitedLog::default(),
-            shut_out: RateLimitedLog::default(),
+            no_endpoint_log: RateLimitedLog::default(),
+            listen_failure_log: RateLimitedLog::default(),
         };
         // Before the first list: nothing must go to what is out.
-        driver.look_for_calls();
-        driver.resolved(known, true);
-        if has_elder {
+        driver.sync_maintenance();
+        driver.apply_endpoint_update(known, true);
+        if has_predecessor {
             log::info!("an earlier process serves, clients are let in once the list is there");
         } else {
-            patiently("listen for clients", || driver.open())?;
+            retry_transient("listen for clients", || driver.listen())?;
         }
         Ok(driver)
     }
@@ -144,11 +144,11 @@
     /// Serves until a shutdown is over. Records end with it.
     pub fn run(&mut self) -> io::Result<()> {
         loop {
-            self.net.reactor.turn()?;
-            while let Some(happening) = self.net.reactor.io.reports.pop_front() {
-                self.take(happening);
+            self.context.reactor.turn()?;
+            while let Some(network_event) = self.context.reactor.io.reports.pop_front() {
+                self.dispatch(network_event);
             }
-            if self.lifecycle.is_over(self.net.now()) {
+            if self.lifecycle.is_over(self.context.now()) {
                 self.close_records();
                 return Ok(());
             }
@@ -156,8 +156,8 @@
     }
 
     fn close_records(&mut self) {
-        self.net.audit.finish();
-        let counts = self.net.records.close(RECORDS_WITHIN);
+        self.context.audit.finish();
+        let counts = self.context.records.close(RECORDS_CLOSE_TIMEOUT);
         // What was not written in time is lost as well, though nobody counted it.
         let lost = counts.produced.saturating_sub(counts.written);
         if lost > 0 {
@@ -166,294 +166,323 @@
         }
     }
 
-    fn take(&mut self, happening: Happening) {
-        let (net, messages) = (&mut self.net, &mut self.messages);
-        match happening {
-            Happening::Acceptable => self.arrivals.acceptable(net, self.clients.calls().len()),
-            Happening::Timer(context::ACCEPT) => self.arrivals.accept_again(net, self.clients.calls().len()),
+    fn dispatch(&mut self, network_event: NetworkEvent) {
+        let (context, latency) = (&mut self.context, &mut self.latency);
+        match network_event {
+            NetworkEvent::ClientsWaiting => {
+                self.acceptor.on_clients_waiting(context, self.clients.requests().len())
+            }
+            NetworkEvent::Timer(context::ACCEPT_CLIENTS) => {
+                self.acceptor.on_accept_timer(context, self.clients.requests().len())
+            }
 
-            Happening::Callable => self.management.acceptable(net),
-            Happening::Timer(context::CALLERS) => self.management.accept_again(net),
-            Happening::Called(caller, call) => self.called(caller, &call),
-            Happening::Timer(context::LOOK) => self.look(),
+            NetworkEvent::AdminsWaiting => self.management.on_admins_waiting(context),
+            NetworkEvent::Timer(context::ACCEPT_ADMINS) => self.management.on_accept_timer(context),
+            NetworkEvent::AdminRequested(admin, admin_request) => {
+                self.handle_admin_request(admin, &admin_request)
+            }
+            NetworkEvent::Timer(context::POLL_SIBLINGS) => self.poll_siblings(),
 
-            Happening::TurnedAway { rpc, why } => {
-                for event in self.clients.turned_away(net, messages, rpc, &why) {
-                    self.tell(event);
+            NetworkEvent::ClientRejected { client, why } => {
+                for event in self.clients.handle_rejected(context, latency, client, &why) {
+                    self.handle_event(event);
                 }
             }
-            Happening::Asked(key, wish) => {
-                let event = self.clients.asked(net, &mut self.arrivals, &self.subchannels, key, wish);
-                self.tell(event);
+            NetworkEvent::ConnectionRequested(key, wanted) => {
+                let event = self.clients.handle_connection_request(
+                    context,
+                    &mut self.acceptor,
+                    &self.endpoints,
+                    key,
+                    wanted,
+                );
+                self.handle_event(event);
             }
-            Happening::Written { rpc } => self.clients.written(net, rpc),
-            Happening::Up { rpc, elapsed } => {
-                let event = self.clients.up(net, messages, &self.subchannels, rpc, elapsed);
-                self.tell(event);
+            NetworkEvent::AttemptWritten { client } => self.clients.handle_attempt_written(context, client),
+            NetworkEvent::Established { client, elapsed } => {
+                let event =
+                    self.clients.handle_established(context, latency, &self.endpoints, client, elapsed);
+                self.handle_event(event);
             }
-            Happening::AttemptEnded { rpc, outcome } => {
-                for event in self.clients.attempt_ended(net, rpc, outcome) {
-                    self.tell(event);
+            NetworkEvent::AttemptEnded { client, outcome } => {
+                for event in self.clients.handle_attempt_ended(context, client, outcome) {
+                    self.handle_event(event);
                 }
             }
-            Happening::Ended { rpc, outcome } => {
-                let event = self.clients.ended(net, messages, rpc, outcome);
-                self.tell(event);
+            NetworkEvent::ConnectionEnded { client, outcome } => {
+                let event = self.clients.handle_connection_ended(context, latency, client, outcome);
+                self.handle_event(event);
             }
-            Happening::ClientGone { rpc, outcome } => {
-                for event in self.clients.left(net, messages, rpc, outcome) {
-                    self.tell(event);
+            NetworkEvent::ClientLeft { client, outcome } => {
+                for event in self.clients.handle_client_left(context, latency, client, outcome) {
+                    self.handle_event(event);
                 }
             }
-            Happening::Silent { rpc } => self.clients.silent(net, &self.subchannels, rpc),
-            Happening::Timer(context::REOPEN) => self.clients.reopen_all(net, &self.subchannels),
-
-            Happening::Load { rpc, load } => {
-                let now = net.now();
-                let event = self.clients.calls().get(rpc).and_then(|call| messages.load(now, call, load));
-                self.tell(event);
+            NetworkEvent::EndpointSilent { client } => {
+                self.clients.record_silent_endpoint(context, &self.endpoints, client)
+            }
+            NetworkEvent::Timer(context::REOPEN) => self.clients.reopen_all(context, &self.endpoints),
+
+            NetworkEvent::LoadReported { client, load } => {
+                let now = context.now();
+                let event = self
+                    .clients
+                    .requests()
+                    .get(client)
+                    .and_then(|admin_request| latency.load_reported(now, admin_request, load));
+                self.handle_event(event);
             }
-            Happening::Message { rpc, delay } => {
-                if let Some(call) = self.clients.calls().get(rpc) {
-                    messages.delayed(net.now(), call, delay);
+            NetworkEvent::LineAnswered { client, delay } => {
+                if let Some(admin_request) = self.clients.requests().get(client) {
+                    latency.record(context.now(), admin_request, delay);
                 }
             }
-            Happening::Timer(context::TICK) => self.tick(),
-
-            Happening::Datagrams(heard) => {
-                let around =
-                    Around { messages, subchannels: &self.subchannels, rpcs: self.clients.calls().len() };
-                let events = self.peers.datagrams(net, around, &heard);
-                self.tell_all(events);
+            NetworkEvent::Timer(context::TICK) => self.tick(),
+
+            NetworkEvent::Datagrams(heard) => {
+                let peer_context = PeerContext {
+                    latency,
+                    endpoints: &self.endpoints,
+                    requests: self.clients.requests().len(),
+                };
+                let events = self.peers.datagrams(context, peer_context, &heard);
+                self.handle_events(events);
             }
-            Happening::Timer(context::GOSSIP) => {
-                let around =
-                    Around { messages, subchannels: &self.subchannels, rpcs: self.clients.calls().len() };
-                let events = self.peers.timer(net, around);
-                self.tell_all(events);
+            NetworkEvent::Timer(context::PEERS) => {
+                let peer_context = PeerContext {
+                    latency,
+                    endpoints: &self.endpoints,
+                    requests: self.clients.requests().len(),
+                };
+                let events = self.peers.on_timer(context, peer_context);
+                self.handle_events(events);
             }
 
-            Happening::Resolved { watch, result } => {
-                if self.subchannels.is_watch(watch) {
-                    self.resolved(result, false);
+            NetworkEvent::EndpointUpdate { watch, result } => {
+                if self.endpoints.is_watch(watch) {
+                    self.apply_endpoint_update(result, false);
                 }
             }
-            Happening::ResolverLost { watch, silent, why } => {
-                let event = self.subchannels.lost(net, watch, silent, &why);
-                self.tell(event);
+            NetworkEvent::WatchLost { watch, silent, why } => {
+                let event = self.endpoints.watch_lost(context, watch, silent, &why);
+                self.handle_event(event);
             }
 
-            Happening::Terminate => {
-                if self.lifecycle.terminate(net, self.clients.calls()) {
-                    self.hand_over();
-                    self.round();
+            NetworkEvent::Terminate => {
+                if self.lifecycle.terminate(context, self.clients.requests()) {
+                    self.hand_over_listener();
+                    self.drain_round();
                 }
             }
-            Happening::Timer(context::ROUND) => self.round(),
-            Happening::Reload => self.reload(),
+            NetworkEvent::Timer(context::DRAIN_ROUND) => self.drain_round(),
+            NetworkEvent::Reload => self.reload(),
 
-            Happening::Timer(token) => self.tell(Some(Event::Timer(token))),
+            NetworkEvent::Timer(token) => self.handle_event(Some(Event::Timer(token))),
         }
     }
 
-    fn resolved(&mut self, result: EndpointUpdate, copy: bool) {
-        let event = self.subchannels.take(&mut self.net, &mut self.messages, result, copy);
-        self.tell(Some(event));
+    fn apply_endpoint_update(&mut self, result: EndpointUpdate, copy: bool) {
+        let event = self.endpoints.update(&mut self.context, &mut self.latency, result, copy);
+        self.handle_event(Some(event));
         // After the module knows: what is called off now goes elsewhere.
-        self.clients.call_off_unwritten(&mut self.net, &self.subchannels);
+        self.clients.cancel_unwritten_attempts(&mut self.context, &self.endpoints);
     }
 
     fn tick(&mut self) {
-        self.net.observe_wall();
-        self.net.audit.look_for_overdue(self.net.now());
+        self.context.observe_wall_clock();
+        self.context.audit.report_overdue(self.context.now());
         // What is held may be allowed now, or forbidden.
-        let ruled = self.net.rules.as_mut().and_then(RulesService::tick);
-        self.tell(ruled);
-        self.catch_up();
-        let events = self.with_peers(|peers, net, around| peers.tick(net, around));
-        self.tell_all(events);
-        let events = self.messages.tick(&mut self.net, self.clients.calls());
-        self.tell_all(events);
+        let ruled = self.context.rules.as_mut().and_then(RulesService::tick);
+        self.handle_event(ruled);
+        self.refresh_stale_list();
+        let events = self.with_peers(|peers, context, peer_context| peers.tick(context, peer_context));
+        self.handle_events(events);
+        let events = self.latency.tick(&mut self.context, self.clients.requests());
+        self.handle_events(events);
     }
 
     /// Asks discovery anew if others were told of a newer list. Guards against a watch that is open and silent: it would show
     /// by itself only after several beats, and drained nodes be used until then.
-    fn catch_up(&mut self) {
-        let revision = self.subchannels.revision();
-        let missed = self.net.rules.as_ref().and_then(|rules| rules.newer_list_revision(revision));
+    fn refresh_stale_list(&mut self) {
+        let revision = self.endpoints.revision();
+        let missed = self.context.rules.as_ref().and_then(|rules| rules.newer_list_revision(revision));
         if let Some(newer) = missed {
             log::warn!(revision; "others were told of list {newer} by discovery, this proxy has {revision} and asks again");
             // As after a silence: the module spreads the calls of all that were told of it in one moment.
-            self.tell(Some(Event::ListSilent));
+            self.handle_event(Some(Event::ListSilent));
         }
     }
 
     fn reload(&mut self) {
-        let reloaded = self.lifecycle.reload(&mut self.net, &mut self.messages);
-        let Some(Reloaded { event, moved }) = reloaded else { return };
-        self.tell(Some(event));
-        let events = self.with_peers(|peers, net, around| peers.reload(net, around));
-        self.tell_all(events);
-        if moved {
+        let reloaded = self.lifecycle.reload(&mut self.context, &mut self.latency);
+        let Some(Reloaded { event, discovery_moved }) = reloaded else { return };
+        self.handle_event(Some(event));
+        let events = self.with_peers(|peers, context, peer_context| peers.reload(context, peer_context));
+        self.handle_events(events);
+        if discovery_moved {
             // At once, and from the last revision taken: the old address may have told its last already.
             // That its watch ends is no failure; the module hears only of the new one's.
-            let event = self.subchannels.watch(&mut self.net);
-            self.tell(event);
+            let event = self.endpoints.watch(&mut self.context);
+            self.handle_event(event);
         }
     }
 
     /// An operator calls; the answer is given in this turn.
-    fn called(&mut self, caller: Key, call: &Call) {
-        let answer = match call {
-            Call::Status => {
-                let trouble = self.trouble();
-                if trouble.is_none() {
-                    self.lifecycle.say_ready();
+    fn handle_admin_request(&mut self, admin: Key, admin_request: &AdminRequest) {
+        let answer = match admin_request {
+            AdminRequest::Status => {
+                let not_ready_reason = self.not_ready_reason();
+                if not_ready_reason.is_none() {
+                    self.lifecycle.announce_ready();
                 }
-                Management::status(trouble)
+                Management::status(not_ready_reason)
             }
-            Call::Metrics => {
-                let (known, skipped) = self.subchannels.gauges(self.net.now());
-                let rules = self.net.rules.as_ref().map(RulesService::status);
-                let (in_progress, homes) = (self.clients.calls().len(), self.peers.homes());
+            AdminRequest::Metrics => {
+                let (known, skipped) = self.endpoints.gauges(self.context.now());
+                let rules = self.context.rules.as_ref().map(RulesService::status);
+                let (in_progress, homes) = (self.clients.requests().len(), self.peers.homes());
                 let gauges = Gauges { in_progress, known, skipped, rules, homes };
-                Answer::yes(self.net.records.figures().text(gauges, self.net.audit.figures()))
+                AdminResponse::ok(self.context.records.metrics().text(gauges, self.context.audit.metrics()))
             }
-            Call::Enter(id) => self.by_hand(id, true),
-            Call::Exit(id) => self.by_hand(id, false),
+            AdminRequest::Enter(id) => self.set_maintenance(id, true),
+            AdminRequest::Exit(id) => self.set_maintenance(id, false),
         };
-        self.management.answer(&mut self.net, caller, &answer);
+        self.management.answer(&mut self.context, admin, &answer);
     }
 
     /// The answer is given once the call is in force: what is held or is to be tried again has gone elsewhere.
-    fn by_hand(&mut self, id: &str, out: bool) -> Answer {
-        let (net, messages, subchannels) = (&mut self.net, &mut self.messages, &mut self.subchannels);
-        let (answer, events) = self.management.by_hand(net, messages, subchannels, id, out);
-        self.tell_all(events);
-        self.clients.call_off_unwritten(&mut self.net, &self.subchannels);
+    fn set_maintenance(&mut self, id: &str, out: bool) -> AdminResponse {
+        let (context, latency, endpoints) = (&mut self.context, &mut self.latency, &mut self.endpoints);
+        let (answer, events) = self.management.set_maintenance(context, latency, endpoints, id, out);
+        self.handle_events(events);
+        self.clients.cancel_unwritten_attempts(&mut self.context, &self.endpoints);
         answer
     }
 
     /// What operators have called for, here or at another process of this proxy.
-    fn look_for_calls(&mut self) {
-        let event = self.management.look(&mut self.net, &mut self.messages, &mut self.subchannels);
-        self.tell(event);
-        self.clients.call_off_unwritten(&mut self.net, &self.subchannels);
+    fn sync_maintenance(&mut self) {
+        let event = self.management.sync(&mut self.context, &mut self.latency, &mut self.endpoints);
+        self.handle_event(event);
+        self.clients.cancel_unwritten_attempts(&mut self.context, &self.endpoints);
     }
 
     /// What other processes of this proxy did.
-    fn look(&mut self) {
-        self.look_for_calls();
-        self.net.rpcs = self.clients.calls().len();
-        let has_elder = self.lifecycle.has_elder(&mut self.net);
-        self.peers.retry(&mut self.net);
-        if self.lifecycle.is_leaving() {
-            self.hand_over();
-        } else if !self.arrivals.is_open() && (!has_elder || self.is_settled()) {
+    fn poll_siblings(&mut self) {
+        self.sync_maintenance();
+        self.context.requests = self.clients.requests().len();
+        let has_predecessor = self.lifecycle.has_predecessor(&mut self.context);
+        self.peers.retry(&mut self.context);
+        if self.lifecycle.is_draining() {
+            self.hand_over_listener();
+        } else if !self.acceptor.is_listening() && (!has_predecessor || self.can_take_over()) {
             // It is tried again at the next look; the earlier process goes on.
-            if let Err(error) = self.open()
-                && let Some(left_out) = self.shut_out.due(self.net.now())
+            if let Err(error) = self.listen()
+                && let Some(left_out) = self.listen_failure_log.due(self.context.now())
             {
-                let address = self.net.config.listen;
+                let address = self.context.config.listen;
                 log::error!(address:%, error:%, left_out; "cannot listen beside the earlier process: {error}");
             }
         }
     }
 
     /// Lets clients in.
-    fn open(&mut self) -> io::Result<()> {
+    fn listen(&mut self) -> io::Result<()> {
         // Alone where no other process could be told of: a second one by mistake is to fail.
-        let binding = if self.lifecycle.may_be_replaced() { Binding::Shared } else { Binding::Alone };
-        let address = self.arrivals.open(&mut self.net, binding)?;
-        self.lifecycle.listens_on(address);
+        let binding = if self.lifecycle.can_hot_restart() { Binding::Shared } else { Binding::Alone };
+        let address = self.acceptor.listen(&mut self.context, binding)?;
+        self.lifecycle.set_address(address);
         // No key-values: scripts take the last word as the address.
-        log::info!("{} listens on {address}", self.net.config.name);
+        log::info!("{} listens on {address}", self.context.config.name);
         Ok(())
     }
 
     /// A successor, if there is one, serves clients from now on.
-    fn hand_over(&mut self) {
-        if self.arrivals.is_open() && self.lifecycle.has_successor() {
-            self.arrivals.close(&mut self.net, self.clients.calls().len());
-            self.peers.hand_over(&mut self.net);
-            self.net.rules.iter_mut().for_each(RulesService::stop_consensus);
+    fn hand_over_listener(&mut self) {
+        if self.acceptor.is_listening() && self.lifecycle.has_successor() {
+            self.acceptor.begin_close(&mut self.context, self.clients.requests().len());
+            self.peers.hand_over(&mut self.context);
+            self.context.rules.iter_mut().for_each(RulesService::stop_consensus);
         }
     }
 
-    fn is_settled(&self) -> bool {
-        let is_informed = self.subchannels.is_confirmed() && self.management.is_informed();
-        self.subchannels.can_place() && self.lifecycle.is_settled(self.net.now(), is_informed)
+    fn can_take_over(&self) -> bool {
+        let has_maintenance = self.endpoints.is_confirmed() && self.management.has_maintenance();
+        self.endpoints.has_usable_endpoint()
+            && self.lifecycle.can_take_over(self.context.now(), has_maintenance)
     }
 
     /// Why this process is not ready to serve, if it isn't.
-    fn trouble(&self) -> Option<&'static str> {
-        if self.lifecycle.is_leaving() {
+    fn not_ready_reason(&self) -> Option<&'static str> {
+        if self.lifecycle.is_draining() {
             Some("it is shutting down")
-        } else if !self.subchannels.can_place() {
+        } else if !self.endpoints.has_usable_endpoint() {
             Some("no render node is listed that may be used")
-        } else if !self.arrivals.is_open() {
+        } else if !self.acceptor.is_listening() {
             Some("it does not listen for clients yet")
         } else {
             None
         }
     }
 
-    fn round(&mut self) {
-        let round = self.lifecycle.round(&mut self.net, self.clients.calls());
-        let Some(Round { leaving, is_last }) = round else { return };
-        for request in leaving {
-            let (net, messages, subchannels) = (&mut self.net, &mut self.messages, &self.subchannels);
-            let ended =
-                self.clients.move_away(net, messages, subchannels, request, MoveReason::ProxyShutdown);
+    fn drain_round(&mut self) {
+        let round = self.lifecycle.next_round(&mut self.context, self.clients.requests());
+        let Some(DrainRound { migrating, is_last }) = round else { return };
+        for request in migrating {
+            let (context, latency, endpoints) = (&mut self.context, &mut self.latency, &self.endpoints);
+            let ended = self.clients.migrate(context, latency, endpoints, request, MoveReason::ProxyShutdown);
             self.pending.extend(ended);
         }
-        self.settle();
+        self.process_pending();
         if is_last {
-            self.with_peers(|peers, net, around| peers.leave(net, around));
+            self.with_peers(|peers, context, peer_context| peers.leave(context, peer_context));
             // In each round up to the end: clients may still come.
-            self.tell(Some(Event::ShuttingDown));
-            self.clients.abandon(&mut self.net, &mut self.messages);
-            self.arrivals.go_away(&mut self.net);
+            self.handle_event(Some(Event::ShuttingDown));
+            self.clients.abandon_attempts(&mut self.context, &mut self.latency);
+            self.acceptor.decline_idle_clients(&mut self.context);
         }
     }
 
-    fn with_peers<T>(&mut self, use_them: impl FnOnce(&mut Peers, &mut Net, Around<'_>) -> T) -> T {
-        let (messages, rpcs) = (&mut self.messages, self.clients.calls().len());
-        use_them(&mut self.peers, &mut self.net, Around { messages, subchannels: &self.subchannels, rpcs })
+    fn with_peers<T>(&mut self, use_them: impl FnOnce(&mut Peers, &mut Context, PeerContext<'_>) -> T) -> T {
+        let (latency, requests) = (&mut self.latency, self.clients.requests().len());
+        use_them(
+            &mut self.peers,
+            &mut self.context,
+            PeerContext { latency, endpoints: &self.endpoints, requests },
+        )
     }
 
     // ---- the module ----
 
-    fn tell_all(&mut self, events: Vec<Event>) {
+    fn handle_events(&mut self, events: Vec<Event>) {
         self.pending.extend(events);
-        self.settle();
+        self.process_pending();
     }
 
-    fn tell(&mut self, event: Option<Event>) {
+    fn handle_event(&mut self, event: Option<Event>) {
         self.pending.extend(event);
-        self.settle();
+        self.process_pending();
     }
 
     /// Hands the module what is pending, and what comes of its own actions.
-    fn settle(&mut self) {
+    fn process_pending(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.pending.pop_front() {
-            let now = self.net.now();
+            let now = self.context.now();
             log::debug!("event {event:?}");
             self.peers.witness(now, &event);
-            self.watch_servers(now, &event);
-            self.net.rules.iter().for_each(|rules| rules.observe_event(&event));
+            self.audit_event(now, &event);
+            self.context.rules.iter().for_each(|rules| rules.observe_event(&event));
             self.balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
                 log::debug!("action {action:?}");
-                self.act(now, action);
+                self.execute(now, action);
             }
         }
     }
 
     /// What the module is about to hear of servers and settings, for the guard.
-    fn watch_servers(&mut self, now: Micros, event: &Event) {
-        let audit = &mut self.net.audit;
+    fn audit_event(&mut self, now: Micros, event: &Event) {
+        let audit = &mut self.context.audit;
         match event {
             Event::List { full, entries, .. } => audit.listed(now, *full, entries),
             Event::ManualOverride { entries } => audit.listed(now, false, entries),
@@ -462,34 +491,34 @@
         }
     }
 
-    fn act(&mut self, now: Micros, action: Action) {
-        let (net, messages) = (&mut self.net, &mut self.messages);
+    fn execute(&mut self, now: Micros, action: Action) {
+        let (context, latency) = (&mut self.context, &mut self.latency);
         let event = match action {
             Action::Send { request, server, timeout, before } => {
-                self.clients.send(net, &self.subchannels, request, server, timeout, before)
+                self.clients.start_attempt(context, &self.endpoints, request, server, timeout, before)
             }
             Action::Reject { request, retry_after, reason: why } => {
-                self.clients.refuse(net, messages, request, retry_after, why);
+                self.clients.reject(context, latency, request, retry_after, why);
                 None
             }
             Action::Fail { request, reason: why } => {
-                self.clients.fail(net, messages, request, why);
+                self.clients.fail(context, latency, request, why);
                 None
             }
             Action::Migrate(request) => {
-                let why = self.clients.reason_to_move(&self.subchannels, request);
-                self.clients.move_away(net, messages, &self.subchannels, request, why)
+                let why = self.clients.migration_reason(&self.endpoints, request);
+                self.clients.migrate(context, latency, &self.endpoints, request, why)
             }
-            Action::WatchList => self.subchannels.watch(net),
+            Action::WatchList => self.endpoints.watch(context),
             // No probe is made: the module asks for none.
             Action::Probe(server) => Some(Event::Probed { server, report: None }),
             Action::Timer { after, token } => {
-                net.reactor.io.owner_timer(now + after, token);
+                context.reactor.io.owner_timer(now + after, token);
                 None
             }
             Action::HealthChanged { server, health: belief } => {
-                self.subchannels.believed(server, belief);
-                net.records.believes(|| self.subchannels.shared_name(server), belief);
+                self.endpoints.set_belief(server, belief);
+                context.records.believes(|| self.endpoints.shared_name(server), belief);
                 None
             }
             Action::Log { notification, server } => {
@@ -501,20 +530,20 @@
     }
 
     fn log(&mut self, now: Micros, notification: Notification, server: Option<ServerId>) {
-        if notification == Notification::Queueing && self.holding.due(now).is_none() {
+        if notification == Notification::Queueing && self.no_endpoint_log.due(now).is_none() {
             return;
         }
-        let subchannel = server.map_or("-", |server| self.subchannels.name(server));
-        let (discovery, revision) = (self.net.config.discovery, self.subchannels.revision());
-        let rpcs = self.clients.calls().len();
+        let endpoint = server.map_or("-", |server| self.endpoints.name(server));
+        let (discovery, revision) = (self.context.config.discovery, self.endpoints.revision());
+        let requests = self.clients.requests().len();
         match notification {
             Notification::PausedFailing => {
-                log::warn!(subchannel; "subchannel {subchannel} paused, keeps failing")
+                log::warn!(endpoint; "endpoint {endpoint} paused, keeps failing")
             }
             Notification::Recovered => {
-                log::info!(subchannel; "subchannel {subchannel} back after a good trial")
+                log::info!(endpoint; "endpoint {endpoint} back after a good trial")
             }
-            Notification::Queueing => log::warn!(rpcs; "no subchannel can be used now, holding RPCs"),
+            Notification::Queueing => log::warn!(requests; "no endpoint can be used now, holding requests"),
             Notification::ListUnreachable => {
                 log::error!(
                     discovery:%, revision;
--- a/crates/cottonnotch/src/net/driver/peers.rs
+++ b/crates/cottonnotch/src/net/driver/peers.rs
@@ -1,12 +1,12 @@
 //! The other proxies of the tier: a small one gossips, a large one has a view of the fleet, and which of them it is, is
 //! settled at the start. Here is what is mio's of that: the socket, the timer, the log. The rest is `cottonnotch_proxy_core`'s.
 
-use super::context::{GOSSIP, Net, PART};
-use super::endpoints::Subchannels;
-use super::message_latency::Messages;
+use super::context::{Context, LOG_TARGET, PEERS};
+use super::endpoints::Endpoints;
+use super::message_latency::MessageLatency;
 use crate::config::Gossiping;
 use crate::net::datagrams::Datagrams;
-use crate::net::management::metrics::Homes;
+use crate::net::management::metrics::AffinityMetrics;
 use crate::net::network_event::Object;
 use cottonnotch_aggregation::Settings;
 use cottonnotch_decision::{Event, Micros};
@@ -21,7 +21,7 @@
 pub struct Peers {
     member: Option<Member>,
     /// Another process of this proxy has the address; it is tried again.
-    waits: bool,
+    waits_for_address: bool,
 }
 
 /// This proxy as a member, with its socket.
@@ -36,165 +36,165 @@
 
 impl Member {
     /// Opens the socket, if the platform gave it one. Fails if its address can't be had.
-    fn start(net: &mut Net) -> io::Result<Option<Self>> {
-        match fleet_settings(net) {
-            Some(settings) => Member::of_fleet(net, settings),
-            None => Member::of_gossip(net),
+    fn start(context: &mut Context) -> io::Result<Option<Self>> {
+        match fleet_settings(context) {
+            Some(settings) => Member::start_aggregation(context, settings),
+            None => Member::start_gossip(context),
         }
     }
 
-    fn of_fleet(net: &mut Net, settings: Settings) -> io::Result<Option<Self>> {
-        let members = net.config.tier.peers.len();
-        let me = net.config.profile.settings.ordinal;
-        let Some(listen) = net.config.tier.listen else { return Ok(None) };
+    fn start_aggregation(context: &mut Context, settings: Settings) -> io::Result<Option<Self>> {
+        let members = context.config.tier.peers.len();
+        let me = context.config.profile.settings.ordinal;
+        let Some(listen) = context.config.tier.listen else { return Ok(None) };
         if me as usize >= members {
-            log::warn!(target: PART, members; "no fleet view: this proxy is number {me} of {members}");
+            log::warn!(target: LOG_TARGET, members; "no fleet view: this proxy is number {me} of {members}");
             return Ok(None);
         }
-        let socket = bind(net, listen)?;
-        let (seed, now) = (net.config.seed, net.now());
-        let unix = net.wall.unix(now);
+        let socket = bind_socket(context, listen)?;
+        let (seed, now) = (context.config.seed, context.now());
+        let unix = context.wall_clock.unix(now);
         let member = cottonnotch_aggregation::Member::new(settings, me, members as u32, seed, now, unix);
-        log::info!(target: PART, peers = members, listen:%; "a view of the fleet with {} other proxies", members - 1);
-        let peers = cottonnotch_proxy_core::Peers::fleet(member, roster(net));
-        Ok(Some(Member::new(net, peers, socket)))
+        log::info!(target: LOG_TARGET, peers = members, listen:%; "a view of the fleet with {} other proxies", members - 1);
+        let peers = cottonnotch_proxy_core::Peers::fleet(member, roster(context));
+        Ok(Some(Member::new(context, peers, socket)))
     }
 
-    fn of_gossip(net: &mut Net) -> io::Result<Option<Self>> {
-        let Some(Gossiping { settings, keys, life }) = net.config.gossip.clone() else {
+    fn start_gossip(context: &mut Context) -> io::Result<Option<Self>> {
+        let Some(Gossiping { settings, keys, life }) = context.config.gossip.clone() else {
             return Ok(None);
         };
-        let Some(listen) = net.config.tier.listen else { return Ok(None) };
-        let (me, members) = (net.config.profile.settings.ordinal, net.config.tier.peers.len() as u32);
-        let socket = bind(net, listen)?;
-        let (seed, now, strength) = (net.config.seed, net.now(), settings.strength);
+        let Some(listen) = context.config.tier.listen else { return Ok(None) };
+        let (me, members) = (context.config.profile.settings.ordinal, context.config.tier.peers.len() as u32);
+        let socket = bind_socket(context, listen)?;
+        let (seed, now, strength) = (context.config.seed, context.now(), settings.strength);
         let gossip = Gossip::new(settings, keys, me, members, life, seed, now);
-        log::info!(target: PART, peers = members, listen:%; "gossip with {} other proxies", members.saturating_sub(1));
-        let peers = cottonnotch_proxy_core::Peers::gossip(gossip, strength, roster(net));
-        Ok(Some(Member::new(net, peers, socket)))
+        log::info!(target: LOG_TARGET, peers = members, listen:%; "gossip with {} other proxies", members.saturating_sub(1));
+        let peers = cottonnotch_proxy_core::Peers::gossip(gossip, strength, roster(context));
+        Ok(Some(Member::new(context, peers, socket)))
     }
 
-    fn new(net: &mut Net, peers: cottonnotch_proxy_core::Peers, socket: Key) -> Self {
+    fn new(context: &mut Context, peers: cottonnotch_proxy_core::Peers, socket: Key) -> Self {
         let (alarm, drops) = (WakeUpTimer::default(), RateLimitedLog::default());
         let mut member = Member { peers, socket, alarm, dropped: 0, drops };
-        member.arm(net);
+        member.arm(context);
         member
     }
 
-    fn arm(&mut self, net: &mut Net) {
-        if let Some(after) = self.alarm.arm(net.now(), self.peers.next_timeout()) {
-            net.timer_in(after, GOSSIP);
+    fn arm(&mut self, context: &mut Context) {
+        if let Some(after) = self.alarm.arm(context.now(), self.peers.next_timeout()) {
+            context.set_timer(after, PEERS);
         }
     }
 
     /// Says how many datagrams the fleet's member has dropped, if any since the last time.
-    fn say_dropped(&mut self, now: Micros) {
+    fn log_dropped(&mut self, now: Micros) {
         let Some(counts) = self.peers.fleet_member().map(cottonnotch_aggregation::Member::counts) else {
             return;
         };
         let all = counts.dropped + counts.late;
         if all > self.dropped && self.drops.due(now).is_some() {
             let more = all - std::mem::replace(&mut self.dropped, all);
-            log::info!(target: PART, more, late = counts.late; "{more} datagrams of the tier were dropped: unknown, unasked or too late");
+            log::info!(target: LOG_TARGET, more, late = counts.late; "{more} datagrams of the tier were dropped: unknown, unasked or too late");
         }
     }
 
-    fn handle(&mut self, net: &Net, around: &mut Around<'_>, input: Input<'_>) {
+    fn handle(&mut self, context: &Context, peer_context: &mut PeerContext<'_>, input: Input<'_>) {
         let mut local = LocalState {
-            delays: around.messages.delays(),
-            servers: around.subchannels,
-            settings: &net.config.profile.settings,
-            rpcs: around.rpcs,
-            unix: net.wall.unix(net.now()),
+            delays: peer_context.latency.delays(),
+            servers: peer_context.endpoints,
+            settings: &context.config.profile.settings,
+            rpcs: peer_context.requests,
+            unix: context.wall_clock.unix(context.now()),
         };
-        self.peers.handle(net.now(), input, &mut local);
+        self.peers.handle(context.now(), input, &mut local);
     }
 
     /// Carries out what came of the inputs; the module is to hear the events.
-    fn carry_out(&mut self, net: &mut Net) -> Vec<Event> {
+    fn carry_out(&mut self, context: &mut Context) -> Vec<Event> {
         let mut events = Vec::new();
         while let Some(output) = self.peers.poll() {
             match output {
-                Output::Send { to, bytes } => send(net, self.socket, to, &bytes),
+                Output::Send { to, bytes } => send(context, self.socket, to, &bytes),
                 Output::Event(event) => {
                     if let Event::AffinitySubsets(homes) = &event {
                         let most = homes.iter().map(|(_, homes)| *homes).max().unwrap_or(0);
-                        log::debug!(target: PART, groups = homes.len(), most; "{} groups have more than five homes", homes.len());
+                        log::debug!(target: LOG_TARGET, groups = homes.len(), most; "{} groups have more than five homes", homes.len());
                     }
                     events.push(event);
                 }
                 Output::Member { ordinal, state, life } => {
                     let name = state_name(state);
-                    log::info!(target: PART, peer = ordinal, state = name; "proxy {ordinal} is {name}");
-                    net.records.peer(ordinal, state, life);
+                    log::info!(target: LOG_TARGET, peer = ordinal, state = name; "proxy {ordinal} is {name}");
+                    context.records.peer(ordinal, state, life);
                 }
                 Output::Keeper(Some(keeper)) => {
-                    log::debug!(target: PART, keeper; "proxy {keeper} keeps the fleet's view");
+                    log::debug!(target: LOG_TARGET, keeper; "proxy {keeper} keeps the fleet's view");
                 }
                 Output::Keeper(None) => {
-                    log::warn!(target: PART, "no proxy answers for the fleet's view, going on with the last one");
+                    log::warn!(target: LOG_TARGET, "no proxy answers for the fleet's view, going on with the last one");
                 }
             }
         }
-        self.arm(net);
+        self.arm(context);
         events
     }
 }
 
 /// What this proxy has while its member is driven.
-pub struct Around<'a> {
-    pub messages: &'a mut Messages,
-    pub subchannels: &'a Subchannels,
-    /// RPCs in progress.
-    pub rpcs: usize,
+pub struct PeerContext<'a> {
+    pub latency: &'a mut MessageLatency,
+    pub endpoints: &'a Endpoints,
+    /// requests in progress.
+    pub requests: usize,
 }
 
 impl Peers {
     /// Opens the socket, if this proxy is to speak with others. Fails if its address can't be had; `waits`: unless another
     /// process of this proxy may have it still.
-    pub fn start(net: &mut Net, waits: bool) -> io::Result<Self> {
-        match Member::start(net) {
-            Ok(member) => Ok(Peers { member, waits: false }),
-            Err(error) if waits && error.kind() == io::ErrorKind::AddrInUse => {
-                log::info!(target: PART, "gossip begins once the earlier process has left its address");
-                Ok(Peers { member: None, waits })
+    pub fn start(context: &mut Context, waits_for_address: bool) -> io::Result<Self> {
+        match Member::start(context) {
+            Ok(member) => Ok(Peers { member, waits_for_address: false }),
+            Err(error) if waits_for_address && error.kind() == io::ErrorKind::AddrInUse => {
+                log::info!(target: LOG_TARGET, "gossip begins once the earlier process has left its address");
+                Ok(Peers { member: None, waits_for_address })
             }
             Err(error) => Err(error),
         }
     }
 
     /// Tries again for the address that another process had.
-    pub fn retry(&mut self, net: &mut Net) {
-        if self.waits
-            && let Ok(member) = Member::start(net)
+    pub fn retry(&mut self, context: &mut Context) {
+        if self.waits_for_address
+            && let Ok(member) = Member::start(context)
         {
-            (self.member, self.waits) = (member, false);
+            (self.member, self.waits_for_address) = (member, false);
         }
     }
 
     /// Another process of this proxy takes this one's part, under the same number: no farewell, which would mark both as
     /// gone.
-    pub fn hand_over(&mut self, net: &mut Net) {
-        self.waits = false;
+    pub fn hand_over(&mut self, context: &mut Context) {
+        self.waits_for_address = false;
         if let Some(member) = self.member.take() {
-            net.reactor.remove(member.socket);
+            context.reactor.remove(member.socket);
         }
     }
 
     /// A new configuration was taken: keys may have changed.
-    pub fn reload(&mut self, net: &mut Net, mut around: Around<'_>) -> Vec<Event> {
-        let keys = net.config.gossip.as_ref().map(|gossiping| gossiping.keys.clone());
-        keys.map_or_else(Vec::new, |keys| self.hand(net, &mut around, [Input::Keys(keys)]))
+    pub fn reload(&mut self, context: &mut Context, mut peer_context: PeerContext<'_>) -> Vec<Event> {
+        let keys = context.config.gossip.as_ref().map(|gossiping| gossiping.keys.clone());
+        keys.map_or_else(Vec::new, |keys| self.handle_inputs(context, &mut peer_context, [Input::Keys(keys)]))
     }
 
     /// How it stands with homes by a group's size, where they are on.
-    pub fn homes(&self) -> Option<Homes> {
+    pub fn homes(&self) -> Option<AffinityMetrics> {
         let member = self.member.as_ref()?.peers.fleet_member().filter(|member| member.wants_groups())?;
         let (counts, most) =
             (member.counts(), member.affinity_subsets().map(|(_, homes)| homes).max().unwrap_or(0));
         let dropped = counts.dropped + counts.late;
         let (told, cut) = (counts.subset_tables_received, counts.groups_cut);
-        Some(Homes {
+        Some(AffinityMetrics {
             groups: member.affinity_subsets().count() as u64,
             most: u64::from(most),
             told,
@@ -209,65 +209,65 @@
     }
 
     /// Once a second: what this proxy has to tell.
-    pub fn tick(&mut self, net: &mut Net, mut around: Around<'_>) -> Vec<Event> {
-        let events = self.hand(net, &mut around, [Input::Second]);
-        self.member.iter_mut().for_each(|member| member.say_dropped(net.now()));
+    pub fn tick(&mut self, context: &mut Context, mut peer_context: PeerContext<'_>) -> Vec<Event> {
+        let events = self.handle_inputs(context, &mut peer_context, [Input::Second]);
+        self.member.iter_mut().for_each(|member| member.log_dropped(context.now()));
         events
     }
 
     /// Datagrams have come.
     pub fn datagrams(
         &mut self,
-        net: &mut Net,
-        mut around: Around<'_>,
+        context: &mut Context,
+        mut peer_context: PeerContext<'_>,
         heard: &[(SocketAddr, Vec<u8>)],
     ) -> Vec<Event> {
         let inputs = heard.iter().map(|(from, bytes)| Input::Datagram { from: *from, bytes });
-        self.hand(net, &mut around, inputs)
+        self.handle_inputs(context, &mut peer_context, inputs)
     }
 
     /// The timer is due; it may be outdated.
-    pub fn timer(&mut self, net: &mut Net, mut around: Around<'_>) -> Vec<Event> {
+    pub fn on_timer(&mut self, context: &mut Context, mut peer_context: PeerContext<'_>) -> Vec<Event> {
         self.member.iter_mut().for_each(|member| member.alarm.fired());
-        self.hand(net, &mut around, [Input::Tick])
+        self.handle_inputs(context, &mut peer_context, [Input::Tick])
     }
 
     /// The proxy leaves, its clients have been moved: the others count it no more.
-    pub fn leave(&mut self, net: &mut Net, mut around: Around<'_>) {
-        self.hand(net, &mut around, [Input::Leave]);
+    pub fn leave(&mut self, context: &mut Context, mut peer_context: PeerContext<'_>) {
+        self.handle_inputs(context, &mut peer_context, [Input::Leave]);
     }
 
-    fn hand<'a>(
+    fn handle_inputs<'a>(
         &mut self,
-        net: &mut Net,
-        around: &mut Around<'_>,
+        context: &mut Context,
+        peer_context: &mut PeerContext<'_>,
         inputs: impl IntoIterator<Item = Input<'a>>,
     ) -> Vec<Event> {
         let Some(member) = &mut self.member else { return Vec::new() };
-        inputs.into_iter().for_each(|input| member.handle(net, around, input));
-        member.carry_out(net)
+        inputs.into_iter().for_each(|input| member.handle(context, peer_context, input));
+        member.carry_out(context)
     }
 }
 
 /// The fleet's settings, if the operator wants a view for a tier of this size.
-fn fleet_settings(net: &Net) -> Option<Settings> {
+fn fleet_settings(context: &Context) -> Option<Settings> {
     // The section was checked when it was read.
-    let settings = net.config.operator.fleet.check().ok().flatten()?;
-    (net.config.tier.peers.len() as u64 >= u64::from(settings.members_from)).then_some(settings)
+    let settings = context.config.operator.fleet.check().ok().flatten()?;
+    (context.config.tier.peers.len() as u64 >= u64::from(settings.members_from)).then_some(settings)
 }
 
-fn roster(net: &Net) -> Roster {
-    Roster::new(&net.config.tier.peers, net.config.tier.all)
+fn roster(context: &Context) -> Roster {
+    Roster::new(&context.config.tier.peers, context.config.tier.all)
 }
 
-fn bind(net: &mut Net, listen: SocketAddr) -> io::Result<Key> {
-    net.reactor.insert(|key, io| Ok(Box::new(Datagrams::bind(listen, key, io)?)))
+fn bind_socket(context: &mut Context, listen: SocketAddr) -> io::Result<Key> {
+    context.reactor.insert(|key, io| Ok(Box::new(Datagrams::bind(listen, key, io)?)))
 }
 
 /// Sends a datagram from that socket; what can't be sent is lost.
-fn send(net: &mut Net, socket: Key, to: SocketAddr, bytes: &[u8]) {
+fn send(context: &mut Context, socket: Key, to: SocketAddr, bytes: &[u8]) {
     let send = |object: &mut dyn Object| object.datagrams().is_some_and(|socket| socket.send(to, bytes));
-    net.reactor.with(socket, |object, _| send(object));
+    context.reactor.with(socket, |object, _| send(object));
 }
 
 fn state_name(state: State) -> &'static str {
--- a/crates/cottonnotch/src/net/driver/records.rs
+++ b/crates/cottonnotch/src/net/driver/records.rs
@@ -2,8 +2,8 @@
 //! module's terms become the schema's. One note of an ending feeds both. While records are off, each call costs a
 //! comparison and at most a count.
 
-use super::request_table::Call;
-use crate::net::management::metrics::Figures;
+use super::request_table::TrackedRequest;
+use crate::net::management::metrics::Metrics;
 use crate::rules::VerdictBasis;
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_decision::{Entry, Micros, Outcome, Request, RequestId, ServerHealth, ServerState};
@@ -20,7 +20,7 @@
 /// The records, and the names that the settings' numbers stand for: made once, since most records have one.
 pub struct Records {
     recorder: Recorder,
-    figures: Figures,
+    metrics: Metrics,
     classes: Vec<Name>,
     tenants: Vec<Name>,
 }
@@ -28,7 +28,7 @@
 impl Records {
     pub fn new(recorder: Recorder, profile: &Profile) -> Self {
         let mut records =
-            Records { recorder, figures: Figures::default(), classes: Vec::new(), tenants: Vec::new() };
+            Records { recorder, metrics: Metrics::default(), classes: Vec::new(), tenants: Vec::new() };
         records.set(profile);
         records
     }
@@ -36,13 +36,13 @@
     /// The settings have changed.
     pub fn set(&mut self, Profile { settings, classes, tenants, .. }: &Profile) {
         self.classes = (0..settings.classes.len()).map(|i| classes.name(i as u32).into()).collect();
-        self.figures.classes((0..settings.classes.len()).map(|i| classes.name(i as u32)));
+        self.metrics.set_classes((0..settings.classes.len()).map(|i| classes.name(i as u32)));
         self.tenants = (0..settings.tenants.len()).map(|i| tenants.name(i as u32).into()).collect();
     }
 
     /// The counts so far.
-    pub fn figures(&self) -> &Figures {
-        &self.figures
+    pub fn metrics(&self) -> &Metrics {
+        &self.metrics
     }
 
     /// A list, or changes of it, was taken; each entry with its name and address.
@@ -65,9 +65,9 @@
         });
     }
 
-    pub fn believes(&self, subchannel: impl FnOnce() -> Name, belief: ServerHealth) {
+    pub fn believes(&self, endpoint: impl FnOnce() -> Name, belief: ServerHealth) {
         self.recorder.record_with(|| Event::Endpoint {
-            endpoint: subchannel(),
+            endpoint: endpoint(),
             state: match belief {
                 ServerHealth::Up => schema::EndpointState::Up,
                 ServerHealth::Paused { until } => schema::EndpointState::Paused { until_us: micros(until) },
@@ -97,14 +97,14 @@
         &self,
         RequestId(request): RequestId,
         attempt: u32,
-        subchannel: impl FnOnce() -> Name,
+        endpoint: impl FnOnce() -> Name,
         timeout: Micros,
         basis: impl FnOnce() -> Option<VerdictBasis>,
     ) {
         self.recorder.record_with(|| Event::Attempt {
             request,
             attempt,
-            endpoint: subchannel(),
+            endpoint: endpoint(),
             timeout_ms: millis(timeout),
             applied_rules: basis().map(applied_rules),
         });
@@ -120,13 +120,13 @@
     }
 
     /// An attempt brought `UP`, which is the final answer.
-    pub fn up(&mut self, call: &Call, subchannel: impl FnOnce() -> Name, took: Micros) {
-        self.figures.passed(call.class);
-        let (request, attempt) = (call.id.0, call.latest());
+    pub fn up(&mut self, tracked: &TrackedRequest, endpoint: impl FnOnce() -> Name, took: Micros) {
+        self.metrics.served(tracked.class);
+        let (request, attempt) = (tracked.id.0, tracked.latest());
         self.recorder.record_with(|| Event::Up {
             request,
             attempt,
-            endpoint: subchannel(),
+            endpoint: endpoint(),
             took_us: micros(took),
         });
         self.recorder.record_with(|| Event::Answer { request, answer: Answer::Up });
@@ -134,12 +134,12 @@
 
     pub fn refused(
         &mut self,
-        call: &Call,
+        tracked: &TrackedRequest,
         retry_after: Micros,
         basis: impl FnOnce() -> Option<VerdictBasis>,
     ) {
-        self.figures.dropped(call.class);
-        let request = call.id.0;
+        self.metrics.rejected(tracked.class);
+        let request = tracked.id.0;
         let answer = || Answer::Rejected {
             retry_after_ms: millis(retry_after),
             applied_rules: basis().map(applied_rules),
@@ -147,42 +147,37 @@
         self.recorder.record_with(|| Event::Answer { request, answer: answer() });
     }
 
-    pub fn failed(&mut self, call: &Call, why: &dyn Display) {
-        self.figures.failed(call.class);
-        let request = call.id.0;
+    pub fn failed(&mut self, tracked: &TrackedRequest, why: &dyn Display) {
+        self.metrics.failed(tracked.class);
+        let request = tracked.id.0;
         let answer = || Answer::Failed { reason: why.to_string().into() };
         self.recorder.record_with(|| Event::Answer { request, answer: answer() });
     }
 
     /// The last byte of an attempt's first line was written.
     pub fn written(&mut self) {
-        self.figures.tried();
+        self.metrics.attempt_written();
     }
 
     /// A client of this class, if it is one of the settings', got an error before it had a request.
-    pub fn objected(&mut self, class: Option<u32>, why: impl FnOnce() -> Reason) {
-        class.into_iter().for_each(|class| self.figures.failed(class));
-        self.turned_away(why);
+    pub fn rejected_by_validation(&mut self, class: Option<u32>, why: impl FnOnce() -> Reason) {
+        class.into_iter().for_each(|class| self.metrics.failed(class));
+        self.client_rejected(why);
     }
 
-    /// A client of this class got the unavailable status before it had a request.
-    pub fn left_out(&mut self, class: Option<u32>, why: impl FnOnce() -> Reason) {
-        class.into_iter().for_each(|class| self.figures.dropped(class));
-        self.turned_away(why);
+    /// A client of this class got a rejection before it had a request.
+    pub fn rejected_for_sockets(&mut self, class: Option<u32>, why: impl FnOnce() -> Reason) {
+        class.into_iter().for_each(|class| self.metrics.rejected(class));
+        self.client_rejected(why);
     }
 
-    /// A client got an error or the unavailable status, and had no request.
-    pub fn turned_away(&self, why: impl FnOnce() -> Reason) {
+    /// A client got an error or a rejection, and had no request.
+    pub fn client_rejected(&self, why: impl FnOnce() -> Reason) {
         self.recorder.record_with(|| Event::ClientRejected { reason: why() });
     }
 
-    pub fn moved(
-        &self,
-        RequestId(request): RequestId,
-        subchannel: impl FnOnce() -> Name,
-        reason: MoveReason,
-    ) {
-        self.recorder.record_with(|| Event::Moved { request, endpoint: subchannel(), reason });
+    pub fn moved(&self, RequestId(request): RequestId, endpoint: impl FnOnce() -> Name, reason: MoveReason) {
+        self.recorder.record_with(|| Event::Moved { request, endpoint: endpoint(), reason });
     }
 
     pub fn ended(&self, RequestId(request): RequestId, outcome: Outcome) {
@@ -195,23 +190,23 @@
 
     /// The watch on discovery is lost, or a call for it failed.
     pub fn watch_lost(&mut self) {
-        self.figures.watch_lost();
+        self.metrics.watch_lost();
     }
 
     /// A list came with a lower revision than the last one; it was taken, or refused.
     pub fn list_fell_back(&mut self, taken: bool) {
-        self.figures.list_fell_back(taken);
+        self.metrics.list_fell_back(taken);
     }
 
     /// A new configuration counts.
     pub fn reload_taken(&mut self) {
-        self.figures.loaded(true);
+        self.metrics.configuration_loaded(true);
         self.recorder.record_with(|| Event::Reload { reload: Reload::Applied });
     }
 
     /// A new configuration is faulty.
     pub fn reload_kept(&mut self, why: &dyn Display) {
-        self.figures.loaded(false);
+        self.metrics.configuration_loaded(false);
         let reload = || Reload::Rejected { reason: why.to_string().into() };
         self.recorder.record_with(|| Event::Reload { reload: reload() });
     }
--- a/crates/cottonnotch/src/net/driver/shutdown.rs
+++ b/crates/cottonnotch/src/net/driver/shutdown.rs
@@ -10,7 +10,7 @@
 /// Held back for the last answers to be written and read.
 const RESERVE: Micros = 300_000;
 /// Between two rounds of moving.
-pub const ROUND: Micros = 25_000;
+pub const DRAIN_ROUND: Micros = 25_000;
 
 /// A shutdown that has begun.
 #[derive(Clone, Copy, Debug)]
@@ -30,7 +30,7 @@
     /// has been moved as of the time has passed: all of them in the last. Guards against rounding up, which
     /// would move a few connections at one a round, within the first tenth of the time.
     pub fn quota(&mut self, now: Micros, up: usize) -> usize {
-        let passed = (now + ROUND - self.began) as f64 / (self.until - self.began).max(1) as f64;
+        let passed = (now + DRAIN_ROUND - self.began) as f64 / (self.until - self.began).max(1) as f64;
         let due = (self.moved + up) as f64 * passed.min(1.0);
         let quota = (due.ceil() as usize).saturating_sub(self.moved).min(up);
         self.moved += quota;
@@ -39,7 +39,7 @@
 
     /// Time is up: what is still owed an answer is refused.
     pub fn is_last(&self, now: Micros) -> bool {
-        now + ROUND >= self.until
+        now + DRAIN_ROUND >= self.until
     }
 
     /// When to leave: the last answers have been read, or never will be.
