--- a/crates/cottonnotch/src/net/driver/unregistered_clients.rs
+++ b/crates/cottonnotch/src/net/driver/unregistered_clients.rs
@@ -10,35 +10,35 @@
 use std::net::Shutdown;
 
 /// The poll is asked again for so long. A client waits for its answer at least as long as this and a second more.
-const ASKED_FOR: Micros = 500_000;
+const RETRY_FOR: Micros = 500_000;
 /// After its answer a client is given this long to read it: a close over unread bytes would take it along.
 const LINGER: Micros = 1_000_000;
 /// Clients that are kept at most; one more is told to come again at once.
-const MOST: usize = 256;
+const MAX_WAITING: usize = 256;
 
 /// A client whose socket is not watched.
 #[derive(Debug)]
-struct Unwatched {
+struct UnregisteredClient {
     stream: TcpStream,
     since: Micros,
 }
 
 /// All of them, oldest first.
 #[derive(Debug, Default)]
-pub struct UnwatchedClients {
-    waiting: VecDeque<Unwatched>,
+pub struct UnregisteredClients {
+    waiting: VecDeque<UnregisteredClient>,
     /// They have had their answer.
-    answered: VecDeque<Unwatched>,
+    answered: VecDeque<UnregisteredClient>,
 }
 
-impl UnwatchedClients {
+impl UnregisteredClients {
     /// One more.
     pub fn push(&mut self, stream: TcpStream, since: Micros) {
-        self.waiting.push_back(Unwatched { stream, since });
+        self.waiting.push_back(UnregisteredClient { stream, since });
     }
 
     /// Somebody is left to look after.
-    pub fn are_there(&self) -> bool {
+    pub fn has_any(&self) -> bool {
         !self.waiting.is_empty() || !self.answered.is_empty()
     }
 
@@ -53,8 +53,8 @@
     }
 
     /// The one that was tried in vain.
-    pub fn push_first(&mut self, stream: TcpStream, since: Micros) {
-        self.waiting.push_front(Unwatched { stream, since });
+    pub fn push_front(&mut self, stream: TcpStream, since: Micros) {
+        self.waiting.push_front(UnregisteredClient { stream, since });
     }
 
     /// Answers those that have waited too long, or are too many, and lets go of those that have read their answer. Returns how
@@ -62,7 +62,7 @@
     pub fn give_up(&mut self, now: Micros) -> usize {
         let mut given_up = 0;
         while let Some(first) = self.waiting.front()
-            && (now - first.since >= ASKED_FOR || self.waiting.len() > MOST)
+            && (now - first.since >= RETRY_FOR || self.waiting.len() > MAX_WAITING)
             && let Some(client) = self.waiting.pop_front()
         {
             given_up += 1;
@@ -81,9 +81,9 @@
     }
 }
 
-impl Unwatched {
+impl UnregisteredClient {
     /// Tells the client to come again; `None` if it is gone.
-    fn answer(mut self, now: Micros) -> Option<Unwatched> {
+    fn answer(mut self, now: Micros) -> Option<UnregisteredClient> {
         // The socket is new and empty: so short a line fits.
         let told = self.stream.write_all(busy(FULL_RETRY_AFTER).as_bytes());
         told.and_then(|()| self.stream.shutdown(Shutdown::Write)).ok()?;
--- a/crates/cottonnotch/src/net/management/admin_connection.rs
+++ b/crates/cottonnotch/src/net/management/admin_connection.rs
@@ -1,7 +1,7 @@
 //! One operator's connection: reads a call, reports it, writes the answer, and ends.
 
-use super::admin_request::{Answer, Call};
-use crate::net::network_event::{Happening, Io, Object};
+use super::admin_request::{AdminRequest, AdminResponse};
+use crate::net::network_event::{Io, NetworkEvent, Object};
 use cottonnotch_decision::Micros;
 use cottonnotch_reactor::http_server::{BadRequest, RequestReader};
 use cottonnotch_reactor::line::{Fill, LineStream};
@@ -11,7 +11,7 @@
 
 /// A call is whole after this, or it is answered so. Guards against callers that send nothing, half a call, or a byte
 /// at a time.
-const CALL_WITHIN: Micros = 2_000_000;
+const REQUEST_TIMEOUT: Micros = 2_000_000;
 /// A caller that was answered is given this long to read and to close: one that never reads costs a place no longer.
 const LINGER: Micros = 1_000_000;
 
@@ -26,24 +26,24 @@
 
 /// A caller, from its connection's beginning to its end.
 #[derive(Debug)]
-pub struct Caller {
+pub struct AdminConnection {
     key: Key,
     stream: LineStream,
     state: State,
     until: Micros,
 }
 
-impl Caller {
+impl AdminConnection {
     /// Takes over an accepted connection.
     pub fn accepted(stream: TcpStream, key: Key, io: &mut Io) -> io::Result<Self> {
         let stream = LineStream::accepted(stream, io, key)?;
-        let until = io.now() + CALL_WITHIN;
+        let until = io.now() + REQUEST_TIMEOUT;
         io.timer(until, key, 0);
-        Ok(Caller { key, stream, state: State::Reading(RequestReader::default()), until })
+        Ok(AdminConnection { key, stream, state: State::Reading(RequestReader::default()), until })
     }
 
     /// Answers; nothing if the caller was answered before.
-    pub fn answer(&mut self, io: &mut Io, answer: &Answer) {
+    pub fn answer(&mut self, io: &mut Io, answer: &AdminResponse) {
         if let State::Answered | State::Closed = self.state {
             return;
         }
@@ -65,10 +65,10 @@
         let fill = self.stream.fill();
         let read = reader.feed(&self.stream.take_rest());
         match (read, fill) {
-            (Ok(Some(request)), _) => match Call::read(&request) {
-                Ok(call) => {
+            (Ok(Some(request)), _) => match AdminRequest::read(&request) {
+                Ok(request) => {
                     self.state = State::Asked;
-                    io.report(Happening::Called(self.key, call));
+                    io.report(NetworkEvent::AdminRequested(self.key, request));
                 }
                 Err(answer) => self.answer(io, &answer),
             },
@@ -82,8 +82,8 @@
     }
 }
 
-impl Connection for Caller {
-    type Report = Happening;
+impl Connection for AdminConnection {
+    type Report = NetworkEvent;
 
     fn readable(&mut self, io: &mut Io, _: Half) {
         match self.state {
@@ -120,8 +120,8 @@
     }
 }
 
-impl Object for Caller {
-    fn caller(&mut self) -> Option<&mut Caller> {
+impl Object for AdminConnection {
+    fn admin(&mut self) -> Option<&mut AdminConnection> {
         Some(self)
     }
 }
--- a/crates/cottonnotch/src/net/management/metrics.rs
+++ b/crates/cottonnotch/src/net/management/metrics.rs
@@ -8,7 +8,7 @@
 
 /// How the requests of one class were answered.
 #[derive(Debug, Default)]
-struct Handled {
+struct ClassCounts {
     /// As the name goes over the wire.
     name: String,
     passed: u64,
@@ -21,19 +21,19 @@
 pub struct Gauges {
     /// Requests taken and not ended.
     pub in_progress: usize,
-    /// Subchannels in the list.
+    /// Endpoints in the list.
     pub known: usize,
     /// Those of them that get nothing new now, by hand or by the module's choice.
     pub skipped: usize,
     /// How it stands with the rules, if there are any.
     pub rules: Option<RulesStatus>,
     /// How it stands with homes by a group's size, where they are on.
-    pub homes: Option<Homes>,
+    pub homes: Option<AffinityMetrics>,
 }
 
 /// Homes by a group's size: values of the moment, and counts since the process began.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Homes {
+pub struct AffinityMetrics {
     /// Groups that have more than five homes.
     pub groups: u64,
     /// Homes of the group that has most.
@@ -48,8 +48,8 @@
 
 /// The counts.
 #[derive(Debug, Default)]
-pub struct Figures {
-    handled: Vec<Handled>,
+pub struct Metrics {
+    handled: Vec<ClassCounts>,
     /// Places in `handled` by the settings' number of a class: numbers of one name share a place.
     places: Vec<usize>,
     by_name: HashMap<String, usize>,
@@ -61,31 +61,31 @@
     lists_refused: u64,
 }
 
-impl Figures {
+impl Metrics {
     /// The settings have these classes now, in the order of their numbers. One that was dropped keeps its counts.
-    pub fn classes<'a>(&mut self, names: impl Iterator<Item = &'a str>) {
+    pub fn set_classes<'a>(&mut self, names: impl Iterator<Item = &'a str>) {
         self.places.clear();
         for name in names {
             let place = *self.by_name.entry(name.to_owned()).or_insert_with(|| {
-                self.handled.push(Handled { name: plain(name), ..Handled::default() });
+                self.handled.push(ClassCounts { name: plain(name), ..ClassCounts::default() });
                 self.handled.len() - 1
             });
             self.places.push(place);
         }
     }
 
-    fn handled(&mut self, class: u32) -> Option<&mut Handled> {
+    fn handled(&mut self, class: u32) -> Option<&mut ClassCounts> {
         let place = *self.places.get(class as usize)?;
         self.handled.get_mut(place)
     }
 
     /// A connection was brought up.
-    pub fn passed(&mut self, class: u32) {
+    pub fn served(&mut self, class: u32) {
         self.handled(class).into_iter().for_each(|handled| handled.passed += 1);
     }
 
     /// A request was refused.
-    pub fn dropped(&mut self, class: u32) {
+    pub fn rejected(&mut self, class: u32) {
         self.handled(class).into_iter().for_each(|handled| handled.dropped += 1);
     }
 
@@ -94,13 +94,13 @@
         self.handled(class).into_iter().for_each(|handled| handled.bad_gateway += 1);
     }
 
-    /// The last byte of a call attempt's first line was written.
-    pub fn tried(&mut self) {
+    /// The last byte of an attempt's first line was written.
+    pub fn attempt_written(&mut self) {
         self.upstream_tries += 1;
     }
 
     /// A configuration was taken on SIGHUP, or turned down.
-    pub fn loaded(&mut self, taken: bool) {
+    pub fn configuration_loaded(&mut self, taken: bool) {
         if taken {
             self.loads += 1;
         } else {
@@ -129,7 +129,7 @@
             // A text takes whatever is written.
             let _ = writeln!(text, "svc.{name}:{value}|{kind}");
         };
-        for Handled { name, passed, dropped, bad_gateway } in &self.handled {
+        for ClassCounts { name, passed, dropped, bad_gateway } in &self.handled {
             line(&format!("handled.{name}.passed"), *passed, 'c');
             line(&format!("handled.{name}.dropped"), *dropped, 'c');
             line(&format!("handled.{name}.bad_gateway"), *bad_gateway, 'c');
@@ -194,23 +194,23 @@
 
     #[test]
     fn every_class_is_there_from_the_first_moment_and_stays() {
-        let mut figures = Figures::default();
-        figures.classes(["look", "edit"].into_iter());
+        let mut metrics = Metrics::default();
+        metrics.set_classes(["look", "edit"].into_iter());
         let gauges = Gauges { in_progress: 3, known: 2, skipped: 1, ..Gauges::default() };
-        let text = figures.text(gauges.clone(), std::iter::empty());
+        let text = metrics.text(gauges.clone(), std::iter::empty());
         assert!(text.starts_with("svc.handled.look.passed:0|c\nsvc.handled.look.dropped:0|c\n"), "{text}");
         assert!(
             text.ends_with("svc.in_progress:3|g\nsvc.known_render_nodes:2|g\nsvc.skipped_render_nodes:1|g\n")
         );
-        figures.passed(1);
-        figures.failed(0);
+        metrics.served(1);
+        metrics.failed(0);
         // `edit` goes, and comes back under another number.
-        figures.classes(["look", "print"].into_iter());
-        figures.dropped(1);
-        figures.classes(["look", "print", "edit"].into_iter());
-        figures.passed(2);
-        figures.passed(9);
-        let text = figures.text(gauges, std::iter::empty());
+        metrics.set_classes(["look", "print"].into_iter());
+        metrics.rejected(1);
+        metrics.set_classes(["look", "print", "edit"].into_iter());
+        metrics.served(2);
+        metrics.served(9);
+        let text = metrics.text(gauges, std::iter::empty());
         for line in ["look.bad_gateway:1|c", "edit.passed:2|c", "print.dropped:1|c", "print.passed:0|c"] {
             assert!(text.contains(&format!("svc.handled.{line}\n")), "{line}: {text}");
         }
@@ -218,18 +218,18 @@
 
     #[test]
     fn homes_are_told_where_they_are_on() {
-        let homes = Some(Homes { groups: 2, most: 205, told: 31, cut: 4, dropped: 5 });
-        let text = Figures::default().text(Gauges { homes, ..Gauges::default() }, std::iter::empty());
+        let homes = Some(AffinityMetrics { groups: 2, most: 205, told: 31, cut: 4, dropped: 5 });
+        let text = Metrics::default().text(Gauges { homes, ..Gauges::default() }, std::iter::empty());
         let told = "svc.homes.groups:2|g\nsvc.homes.most:205|g\nsvc.homes.told:31|c\nsvc.homes.cut:4|c\nsvc.homes.dropped:5|c\n";
         assert!(text.ends_with(told), "{text}");
-        assert!(!Figures::default().text(Gauges::default(), std::iter::empty()).contains("homes"));
+        assert!(!Metrics::default().text(Gauges::default(), std::iter::empty()).contains("homes"));
     }
 
     #[test]
     fn no_name_breaks_the_format() {
-        let mut figures = Figures::default();
-        figures.classes(["a:1|c\nsvc.b", "ok-name_2"].into_iter());
-        let text = figures.text(Gauges::default(), std::iter::empty());
+        let mut metrics = Metrics::default();
+        metrics.set_classes(["a:1|c\nsvc.b", "ok-name_2"].into_iter());
+        let text = metrics.text(Gauges::default(), std::iter::empty());
         assert!(text.contains("svc.handled.a%3a1%7cc%0asvc%2eb.passed:0|c\n"), "{text}");
         assert!(text.contains("svc.handled.ok-name_2.passed:0|c\n"), "{text}");
         assert!(text.lines().all(|line| line.matches(':').count() == 1 && line.matches('|').count() == 1));
--- a/crates/cottonnotch/src/net/management/mod.rs
+++ b/crates/cottonnotch/src/net/management/mod.rs
@@ -6,6 +6,6 @@
 mod admin_server;
 pub mod metrics;
 
-pub use admin_connection::Caller;
-pub use admin_request::{Answer, Call};
-pub use admin_server::{Desk, PLACES};
+pub use admin_connection::AdminConnection;
+pub use admin_request::{AdminRequest, AdminResponse};
+pub use admin_server::{AdminServer, MAX_ADMIN_CONNECTIONS};
--- a/crates/cottonnotch/src/net/open_line.rs
+++ b/crates/cottonnotch/src/net/open_line.rs
@@ -1,12 +1,12 @@
 //! The first line of a client's connection: `OPEN ID KEY name=value,...`.
 
-use super::network_event::Wish;
+use super::network_event::ConnectionRequest;
 use cottonnotch_decision::Micros;
 use cottonnotch_decision::names::digest;
 
 /// What is wrong with a first line; the text is what the client is answered.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-pub enum BadLine {
+pub enum OpenLineError {
     #[error("the line is not text")]
     NotText,
     #[error("the line is not OPEN ID KEY NAMES")]
@@ -28,73 +28,74 @@
 }
 
 impl OpenLine {
-    /// The client's id for this connection, as it came: the RPC's name in the log.
+    /// The client's id for this connection, as it came: the request's name in the log.
     pub fn id(&self) -> &str {
         self.text.split(' ').nth(1).unwrap_or("-")
     }
 
     /// Reads a line without its end.
-    pub fn parse(line: &[u8]) -> Result<(OpenLine, Wish), BadLine> {
-        let text = std::str::from_utf8(line).map_err(|_| BadLine::NotText)?;
+    pub fn parse(line: &[u8]) -> Result<(OpenLine, ConnectionRequest), OpenLineError> {
+        let text = std::str::from_utf8(line).map_err(|_| OpenLineError::NotText)?;
         if !text.bytes().all(|b| b == b' ' || b.is_ascii_graphic()) {
-            return Err(BadLine::NotText);
+            return Err(OpenLineError::NotText);
         }
         let mut words = text.split(' ');
         let (verb, id, key, names) = (words.next(), words.next(), words.next(), words.next());
-        let given = |word: Option<&str>| word.is_some_and(|w| !w.is_empty());
+        let is_given = |word: Option<&str>| word.is_some_and(|w| !w.is_empty());
         let names =
-            names.filter(|_| verb == Some("OPEN") && given(id) && given(key) && words.next().is_none());
-        let names = names.ok_or(BadLine::NotOpen)?;
-        let id = id.and_then(number).ok_or(BadLine::BadFigure("id"))?;
-        let mut wish = Wish {
+            names.filter(|_| verb == Some("OPEN") && is_given(id) && is_given(key) && words.next().is_none());
+        let names = names.ok_or(OpenLineError::NotOpen)?;
+        let id = id.and_then(parse_id).ok_or(OpenLineError::BadFigure("id"))?;
+        let mut wanted = ConnectionRequest {
             id,
             class: String::new(),
             tenant: None,
-            left: None,
+            time_left: None,
             load_hint: None,
             group: None,
-            again: false,
-            at: None,
+            is_repeat: false,
+            current_endpoint: None,
         };
         let mut wait = None;
         let mut start = text.len() - names.len();
         let mut seen = Vec::new();
         for pair in names.split(',') {
-            let (name, value) = pair.split_once('=').ok_or(BadLine::NotOpen)?;
+            let (name, value) = pair.split_once('=').ok_or(OpenLineError::NotOpen)?;
             if name.is_empty() || seen.contains(&name) {
-                return Err(BadLine::Twice);
+                return Err(OpenLineError::Twice);
             }
             seen.push(name);
             match name {
-                "c" => wish.class = value.to_owned(),
-                "t" => wish.tenant = Some(value.to_owned()).filter(|t| !t.is_empty() && t != "-"),
+                "c" => wanted.class = value.to_owned(),
+                "t" => wanted.tenant = Some(value.to_owned()).filter(|t| !t.is_empty() && t != "-"),
                 "d" => {
                     let figure = value.bytes().all(|b| b.is_ascii_digit()).then(|| value.parse().ok());
-                    let left: u32 = figure.flatten().filter(|d| *d > 0).ok_or(BadLine::BadFigure("d"))?;
-                    wish.left = Some(Micros::from(left) * 1000);
+                    let time_left: u32 =
+                        figure.flatten().filter(|d| *d > 0).ok_or(OpenLineError::BadFigure("d"))?;
+                    wanted.time_left = Some(Micros::from(time_left) * 1000);
                     wait = Some((start + 2, start + pair.len()));
                 }
                 "g" => {
-                    wish.group = Some(u64::from_str_radix(value, 16).unwrap_or_else(|_| digest(value)));
+                    wanted.group = Some(u64::from_str_radix(value, 16).unwrap_or_else(|_| digest(value)));
                 }
                 "h" => {
                     let hint = value.parse().ok().filter(|h: &f64| h.is_finite());
-                    wish.load_hint = Some(hint.ok_or(BadLine::BadFigure("h"))?);
+                    wanted.load_hint = Some(hint.ok_or(OpenLineError::BadFigure("h"))?);
                 }
-                "r" => wish.again |= flag(value).ok_or(BadLine::BadFigure("r"))?,
-                "again" => wish.again |= flag(value).ok_or(BadLine::BadFigure("again"))?,
-                "at" => wish.at = Some(value.to_owned()),
+                "r" => wanted.is_repeat |= parse_flag(value).ok_or(OpenLineError::BadFigure("r"))?,
+                "again" => wanted.is_repeat |= parse_flag(value).ok_or(OpenLineError::BadFigure("again"))?,
+                "at" => wanted.current_endpoint = Some(value.to_owned()),
                 _ => {}
             }
             start += pair.len() + 1;
         }
-        if wish.class.is_empty() {
-            return Err(BadLine::NoClass);
+        if wanted.class.is_empty() {
+            return Err(OpenLineError::NoClass);
         }
-        Ok((OpenLine { text: text.to_owned(), wait }, wish))
+        Ok((OpenLine { text: text.to_owned(), wait }, wanted))
     }
 
-    /// The line for the subchannel: as it came, but `d` tells how long the proxy will wait.
+    /// The line for the endpoint: as it came, but `d` tells how long the proxy will wait.
     pub fn forwarded(&self, wait: Option<Micros>) -> Vec<u8> {
         let text = match (self.wait, wait) {
             (Some((from, to)), Some(wait)) => {
@@ -108,12 +109,12 @@
 }
 
 /// An id: hexadecimal digits, 64 bits at most.
-fn number(word: &str) -> Option<u64> {
+fn parse_id(word: &str) -> Option<u64> {
     let digits = word.bytes().all(|b| b.is_ascii_hexdigit());
     digits.then(|| u64::from_str_radix(word, 16).ok()).flatten()
 }
 
-fn flag(value: &str) -> Option<bool> {
+fn parse_flag(value: &str) -> Option<bool> {
     match value {
         "0" => Some(false),
         "1" => Some(true),
--- a/crates/cottonnotch/src/net/relay.rs
+++ b/crates/cottonnotch/src/net/relay.rs
@@ -7,11 +7,11 @@
 /// Unanswered lines that are remembered: a client that floods is relayed, but costs no more memory.
 const MAX_WAITING: usize = 1024;
 /// A render node that answers twice does so within this time of its first answer.
-const ANSWERS_AGAIN: Micros = 1_000_000;
+const REPEATED_ANSWER_WINDOW: Micros = 1_000_000;
 
-/// What the relay noticed in the subchannel's lines.
+/// What the relay noticed in the endpoint's lines.
 #[derive(Debug, PartialEq)]
-pub enum Seen {
+pub enum Observation {
     Load(f64),
     /// A line of the client's was answered after this long.
     Answered(Micros),
@@ -19,14 +19,14 @@
 
 /// How a pass over one direction ended.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Pass {
-    On,
+pub enum RelayOutcome {
+    Continue,
     /// There may be more to read; to be called again.
     More,
-    /// The client ended its sending; what the subchannel still sends is passed on.
+    /// The client ended its sending; what the endpoint still sends is passed on.
     ClientEnded,
-    /// The subchannel sent what is no line. It runs still, so the client is moved, not cut off.
-    Spoilt,
+    /// The endpoint sent what is no line. It runs still, so the client is moved, not cut off.
+    LineTooLong,
     /// The connection is over; the client's side is to be closed alike.
     Over {
         outcome: Outcome,
@@ -34,14 +34,14 @@
     },
 }
 
-/// The subchannel's side of a connection that is up, and what is known of the exchange.
+/// The endpoint's side of a connection that is up, and what is known of the exchange.
 #[derive(Debug)]
 pub struct Relay {
     link: LineStream,
     /// When each line of the client's that is unanswered was passed on, and whether it reads like an answer.
     waiting: VecDeque<(Micros, bool)>,
-    /// What the subchannel's last line makes of an end that follows it.
-    farewell: Option<Outcome>,
+    /// What the endpoint's last line makes of an end that follows it.
+    announced_end: Option<Outcome>,
     client_ended: bool,
     /// Up to here an answer may still be repeated.
     answers_until: Micros,
@@ -55,8 +55,8 @@
 impl Relay {
     /// One whose answer has come now.
     pub fn new(link: LineStream, now: Micros) -> Self {
-        let answers_until = now + ANSWERS_AGAIN;
-        Relay { link, waiting: VecDeque::new(), farewell: None, client_ended: false, answers_until }
+        let answers_until = now + REPEATED_ANSWER_WINDOW;
+        Relay { link, waiting: VecDeque::new(), announced_end: None, client_ended: false, answers_until }
     }
 
     /// A second answer is no line of the session, and to the client it would be a second final answer. A client's own
@@ -64,25 +64,25 @@
     fn is_second_answer(&self, line: &[u8], now: Micros) -> bool {
         now < self.answers_until
             && match verb(line) {
-                b"UP" | b"BUSY" => !self.waiting.iter().any(|(_, alike)| *alike),
+                b"UP" | b"BUSY" => !self.waiting.iter().any(|(_, looks_like_answer)| *looks_like_answer),
                 b"ERR" => self.waiting.is_empty(),
                 _ => false,
             }
     }
 
     /// For how long the oldest unanswered line has waited.
-    pub fn waiting_for(&self, now: Micros) -> Option<Micros> {
+    pub fn oldest_unanswered(&self, now: Micros) -> Option<Micros> {
         self.waiting.front().map(|(since, _)| now - since)
     }
 
     /// Passes on what the client sent.
-    pub fn pass_client(&mut self, client: &mut LineStream, now: Micros) -> Pass {
+    pub fn relay_client(&mut self, client: &mut LineStream, now: Micros) -> RelayOutcome {
         if self.client_ended {
             // It may have left altogether since.
-            return if client.is_broken() { self.reset() } else { Pass::On };
+            return if client.is_broken() { self.reset() } else { RelayOutcome::Continue };
         }
         if self.link.is_full() {
-            return Pass::On;
+            return RelayOutcome::Continue;
         }
         let fill = client.fill();
         loop {
@@ -108,35 +108,40 @@
             Fill::Blocked | Fill::More => {}
         }
         if self.link.flush().is_err() {
-            // What the subchannel sent before it broke is still to be read; that finds the end.
-            return Pass::On;
+            // What the endpoint sent before it broke is still to be read; that finds the end.
+            return RelayOutcome::Continue;
         }
         match fill {
-            Fill::More => Pass::More,
-            Fill::Ended => Pass::ClientEnded,
-            _ => Pass::On,
+            Fill::More => RelayOutcome::More,
+            Fill::Ended => RelayOutcome::ClientEnded,
+            _ => RelayOutcome::Continue,
         }
     }
 
-    /// Passes on what the subchannel sent, and notes what it tells.
-    pub fn pass_subchannel(&mut self, client: &mut LineStream, now: Micros, seen: &mut Vec<Seen>) -> Pass {
+    /// Passes on what the endpoint sent, and notes what it tells.
+    pub fn relay_endpoint(
+        &mut self,
+        client: &mut LineStream,
+        now: Micros,
+        observations: &mut Vec<Observation>,
+    ) -> RelayOutcome {
         if client.is_full() {
-            return Pass::On;
+            return RelayOutcome::Continue;
         }
         let fill = self.link.fill();
         loop {
             match self.link.take_line() {
                 Ok(Some(line)) => {
-                    log::trace!("subchannel says '{}'", line.escape_ascii());
+                    log::trace!("endpoint says '{}'", line.escape_ascii());
                     if self.is_second_answer(trim_end(&line), now) {
                         log::debug!("dropped a second answer, '{}'", line.escape_ascii());
                         continue;
                     }
-                    self.note(trim_end(&line), now, seen);
+                    self.note(trim_end(&line), now, observations);
                     client.push(&line);
                 }
                 Ok(None) => break,
-                Err(TooLong) => return Pass::Spoilt,
+                Err(TooLong) => return RelayOutcome::LineTooLong,
             }
         }
         let pass = match fill {
@@ -148,43 +153,44 @@
                 self.over(Outcome::Reset, false)
             }
             Fill::Broken(_) => self.over(Outcome::Reset, true),
-            Fill::Blocked => Pass::On,
-            Fill::More => Pass::More,
+            Fill::Blocked => RelayOutcome::Continue,
+            Fill::More => RelayOutcome::More,
         };
         match client.flush() {
-            Err(_) if !matches!(pass, Pass::Over { .. }) => self.reset(),
+            Err(_) if !matches!(pass, RelayOutcome::Over { .. }) => self.reset(),
             _ => pass,
         }
     }
 
-    /// Writes on to the subchannel what did not fit before.
+    /// Writes on to the endpoint what did not fit before.
     pub fn flush(&mut self) {
         // A broken connection is found by reading.
         let _ = self.link.flush();
     }
 
     /// The client's reset passes on.
-    fn reset(&self) -> Pass {
+    fn reset(&self) -> RelayOutcome {
         self.link.reset();
         self.over(Outcome::Cancelled, true)
     }
 
-    fn over(&self, outcome: Outcome, reset: bool) -> Pass {
+    fn over(&self, outcome: Outcome, reset: bool) -> RelayOutcome {
         let left = self.client_ended.then_some(Outcome::Cancelled);
-        Pass::Over { outcome: self.farewell.or(left).unwrap_or(outcome), reset }
+        RelayOutcome::Over { outcome: self.announced_end.or(left).unwrap_or(outcome), reset }
     }
 
-    fn note(&mut self, line: &[u8], now: Micros, seen: &mut Vec<Seen>) {
-        self.farewell = None;
+    fn note(&mut self, line: &[u8], now: Micros, observations: &mut Vec<Observation>) {
+        self.announced_end = None;
         let mut words = line.split(|b| *b == b' ');
         match words.next().unwrap_or_default() {
             b"LOAD" => {
                 let figure = words.next().and_then(|w| std::str::from_utf8(w).ok()?.parse::<f64>().ok());
-                seen.extend(figure.filter(|f| f.is_finite()).map(Seen::Load));
+                observations.extend(figure.filter(|f| f.is_finite()).map(Observation::Load));
             }
-            b"BYE" => self.farewell = Some(Outcome::Served),
-            b"MOVE" => self.farewell = Some(Outcome::Cancelled),
-            _ => seen.extend(self.waiting.pop_front().map(|(since, _)| Seen::Answered(now - since))),
+            b"BYE" => self.announced_end = Some(Outcome::Served),
+            b"MOVE" => self.announced_end = Some(Outcome::Cancelled),
+            _ => observations
+                .extend(self.waiting.pop_front().map(|(since, _)| Observation::Answered(now - since))),
         }
     }
 }
--- a/crates/cottonnotch/tests/configuration.rs
+++ b/crates/cottonnotch/tests/configuration.rs
@@ -243,13 +243,13 @@
     let value = simd_json::to_owned_value(&mut line.clone().into_bytes()).expect("JSON");
     let text = |key: &str| value.get_str(key).unwrap_or_else(|| panic!("{key} in {line}"));
     assert_eq!((text("level"), text("part")), ("info", "cottonnotch::net::driver"));
-    assert_eq!(text("text"), "subchannel s\"0 is Draining");
+    assert_eq!(text("text"), "endpoint s\"0 is Draining");
     assert!(text("time").starts_with("20") && text("time").ends_with('Z'), "{line}");
     let fields = value.get("fields").unwrap();
-    assert_eq!((fields.get_str("subchannel"), fields.get_u64("revision")), (Some("s\"0"), Some(7)));
+    assert_eq!((fields.get_str("endpoint"), fields.get_u64("revision")), (Some("s\"0"), Some(7)));
     proxy.terminate();
     let stopping = proxy.logged("asked to stop");
-    assert!(stopping.contains(r#""rpcs":0"#), "a number stays one: {stopping}");
+    assert!(stopping.contains(r#""requests":0"#), "a number stays one: {stopping}");
 }
 
 #[test]
@@ -259,7 +259,7 @@
     let _client = proxy.open();
     let mut far = node.called().0;
     far.say("HELLO x=1 \"y\"\x1b[2J\r\n");
-    let line = proxy.logged("subchannel answered a call attempt with 'HELLO x=1");
+    let line = proxy.logged("endpoint answered an attempt with 'HELLO x=1");
     assert!(!line.contains('\x1b'), "{line:?}");
     assert!(line.contains(&format!(" address={} answer=\"HELLO x=1 ", node.address())), "{line}");
 }
--- a/crates/cottonnotch/tests/endings/lists.rs
+++ b/crates/cottonnotch/tests/endings/lists.rs
@@ -306,7 +306,7 @@
     let gone = list(90, true, &[member("s9", &nodes[1], "up")]);
     let _ = call.try_say(&format!("{HEAD}{}", chunk(&gone)));
     watch.say(&chunk(&list(2, false, &[member("s2", &nodes[0], "removed")])));
-    proxy.logged("subchannel s2 is Gone");
+    proxy.logged("endpoint s2 is Removed");
     is_served(&proxy, &nodes);
     watch.say(&chunk(&drain(3, &nodes)));
     is_obeyed(&proxy, &nodes, client);
@@ -358,7 +358,7 @@
     let mut far_between = node.called().0;
     let (mut watch, _) = proxy.discovery.watched();
     watch.say(&chunk(&list(2, false, &[member("s0", &node, "removed"), member("s9", &node, "up")])));
-    proxy.logged("subchannel s0 is Gone");
+    proxy.logged("endpoint s0 is Removed");
     far_between.say("UP 2\r\n");
     assert_eq!(between.hear(), "UP 2\r\n");
     let (mut later, mut far_later) = proxy.up(&node);
--- a/crates/cottonnotch/tests/lists.rs
+++ b/crates/cottonnotch/tests/lists.rs
@@ -160,7 +160,7 @@
     while call.hear() != "\r\n" {}
     let body = one(2, &node, "draining");
     call.say(&format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk(&body)));
-    proxy.logged("subchannel s0 is Draining");
+    proxy.logged("endpoint s0 is Draining");
 }
 
 #[test]
@@ -175,7 +175,7 @@
     let proxy = Proxy::with(&[&node], 1024, &pushed);
     let (mut watch, _) = proxy.discovery.watched();
     watch.say(&chunk(&one(2, &node, "draining")));
-    proxy.logged("subchannel s0 is Draining");
+    proxy.logged("endpoint s0 is Draining");
     // It falls silent, and is opened anew.
     let (_, asked) = proxy.discovery.watched();
     assert!(asked.contains("from=2 "), "{asked}");
