--- /dev/null
+++ b/crates/cottonnotch/src/net/driver/decisions.rs
@@ -0,0 +1,109 @@
+//! The decision module: events go in, and its actions are carried out in order.
+
+use super::Driver;
+use super::context::LOG_TARGET;
+use cottonnotch_decision::{Action, Event, Micros, Notification, ServerId};
+
+impl Driver {
+    pub(super) fn handle_events(&mut self, events: Vec<Event>) {
+        self.pending.extend(events);
+        self.process_pending();
+    }
+
+    pub(super) fn handle_event(&mut self, event: Option<Event>) {
+        self.pending.extend(event);
+        self.process_pending();
+    }
+
+    /// Hands the module what is pending, and what comes of its own actions.
+    pub(super) fn process_pending(&mut self) {
+        let mut actions = Vec::new();
+        while let Some(event) = self.pending.pop_front() {
+            let now = self.context.now();
+            log::debug!(target: LOG_TARGET, "event {event:?}");
+            self.peers.witness(now, &event);
+            self.audit_event(now, &event);
+            self.context.rules.iter().for_each(|rules| rules.observe_event(&event));
+            self.balancer.handle(now, event, &mut actions);
+            for action in actions.drain(..) {
+                log::debug!(target: LOG_TARGET, "action {action:?}");
+                self.execute(now, action);
+            }
+        }
+    }
+
+    /// What the module is about to hear of servers and settings, for the guard.
+    pub(super) fn audit_event(&mut self, now: Micros, event: &Event) {
+        let audit = &mut self.context.audit;
+        match event {
+            Event::List { full, entries, .. } => audit.listed(now, *full, entries),
+            Event::ManualOverride { entries } => audit.listed(now, false, entries),
+            Event::Settings(settings) => audit.set((**settings).clone()),
+            _ => {}
+        }
+    }
+
+    pub(super) fn execute(&mut self, now: Micros, action: Action) {
+        let (context, latency) = (&mut self.context, &mut self.latency);
+        let event = match action {
+            Action::Send { request, server, timeout, before } => {
+                self.clients.start_attempt(context, &self.endpoints, request, server, timeout, before)
+            }
+            Action::Reject { request, retry_after, reason: why } => {
+                self.clients.reject(context, latency, request, retry_after, why);
+                None
+            }
+            Action::Fail { request, reason: why } => {
+                self.clients.fail(context, latency, request, why);
+                None
+            }
+            Action::Migrate(request) => {
+                let why = self.clients.migration_reason(&self.endpoints, request);
+                self.clients.migrate(context, latency, &self.endpoints, request, why)
+            }
+            Action::WatchList => self.endpoints.watch(context),
+            // No probe is made: the module asks for none.
+            Action::Probe(server) => Some(Event::Probed { server, report: None }),
+            Action::Timer { after, token } => {
+                context.reactor.io.owner_timer(now + after, token);
+                None
+            }
+            Action::HealthChanged { server, health: belief } => {
+                self.endpoints.set_belief(server, belief);
+                context.records.believes(|| self.endpoints.shared_name(server), belief);
+                None
+            }
+            Action::Log { notification, server } => {
+                self.log(now, notification, server);
+                None
+            }
+        };
+        self.pending.extend(event);
+    }
+
+    pub(super) fn log(&mut self, now: Micros, notification: Notification, server: Option<ServerId>) {
+        if notification == Notification::Queueing && self.no_endpoint_log.due(now).is_none() {
+            return;
+        }
+        let endpoint = server.map_or("-", |server| self.endpoints.name(server));
+        let (discovery, revision) = (self.context.config.discovery, self.endpoints.revision());
+        let requests = self.clients.requests().len();
+        match notification {
+            Notification::PausedFailing => {
+                log::warn!(target: LOG_TARGET, endpoint; "endpoint {endpoint} paused, keeps failing")
+            }
+            Notification::Recovered => {
+                log::info!(target: LOG_TARGET, endpoint; "endpoint {endpoint} back after a good trial")
+            }
+            Notification::Queueing => {
+                log::warn!(target: LOG_TARGET, requests; "no endpoint can be used now, holding requests")
+            }
+            Notification::ListUnreachable => {
+                log::error!(
+                    target: LOG_TARGET, discovery:%, revision;
+                    "discovery cannot be reached, going on with the last list"
+                )
+            }
+        }
+    }
+}
