--- a/crates/cottonnotch/src/config/fault.rs
+++ b/crates/cottonnotch/src/config/fault.rs
@@ -1,13 +1,13 @@
 //! Why a configuration is refused. Each message begins with the faulty key and ends with where it stands.
 
-use super::operator_file::BadOperator;
+use super::operator_file::OperatorFileError;
 use crate::rules::RulesError;
 use cottonnotch_decision::settings::InvalidSetting;
 use cottonnotch_proxy_core::EndpointUpdateError;
 
 /// Why the proxy cannot start, or keeps what it has.
 #[derive(Debug, thiserror::Error)]
-pub enum BadConfig {
+pub enum ConfigError {
     /// The platform's file can't be had.
     #[error("GW_CONFIG: '{path}' cannot be read: {error}")]
     Unreadable { path: String, error: std::io::Error },
@@ -16,7 +16,7 @@
     NotJson { path: String, line: Option<usize>, error: simd_json::Error },
     /// A value of the platform's can't be used.
     #[error("{fault} ({place})")]
-    Platform { fault: Fault, place: String },
+    Platform { fault: ValueError, place: String },
     /// Gossip can't be as it is configured.
     #[error("{trouble}")]
     Gossip { trouble: String },
@@ -25,20 +25,22 @@
     Rules(#[from] RulesError),
     /// The operator's file is faulty.
     #[error(transparent)]
-    Operator(#[from] BadOperator),
+    Operator(#[from] OperatorFileError),
 }
 
-impl BadConfig {
+impl ConfigError {
     /// The faulty key, by its full path; what names the file if all of it is faulty.
     pub fn key(&self) -> String {
         match self {
-            BadConfig::Unreadable { .. } | BadConfig::NotJson { .. } => "GW_CONFIG".to_owned(),
-            BadConfig::Platform { fault, .. } => fault.key(),
-            BadConfig::Gossip { trouble } => trouble.split([':', ' ']).next().unwrap_or("gossip").to_owned(),
-            BadConfig::Rules(error) => {
+            ConfigError::Unreadable { .. } | ConfigError::NotJson { .. } => "GW_CONFIG".to_owned(),
+            ConfigError::Platform { fault, .. } => fault.key(),
+            ConfigError::Gossip { trouble } => {
+                trouble.split([':', ' ']).next().unwrap_or("gossip").to_owned()
+            }
+            ConfigError::Rules(error) => {
                 error.to_string().split([':', ' ']).next().unwrap_or("rules").to_owned()
             }
-            BadConfig::Operator(error) => error.key().to_owned(),
+            ConfigError::Operator(error) => error.key().to_owned(),
         }
     }
 }
@@ -49,7 +51,7 @@
 
 /// What is wrong with a value of the platform's.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum ValueError {
     /// It must be told, and isn't.
     #[error("{key} is missing")]
     Missing { key: &'static str },
@@ -67,23 +69,25 @@
     Setting { key: String, trouble: String },
 }
 
-impl Fault {
+impl ValueError {
     /// The faulty key, by its full path.
     pub fn key(&self) -> String {
         match self {
-            Fault::Missing { key } | Fault::Wrong { key, .. } => (*key).to_owned(),
-            Fault::Known(EndpointUpdateError::NotJson(_)) => "known".to_owned(),
-            Fault::Known(EndpointUpdateError::Contradicts(i)) => format!("known.members.{i}.id"),
-            Fault::Known(EndpointUpdateError::Field(field)) => format!("known.{field}"),
-            Fault::Known(EndpointUpdateError::Member(i, field)) => format!("known.members.{i}.{field}"),
-            Fault::Dropped { key } => key.clone(),
-            Fault::Setting { key, .. } => format!("settings.{key}"),
+            ValueError::Missing { key } | ValueError::Wrong { key, .. } => (*key).to_owned(),
+            ValueError::Known(EndpointUpdateError::NotJson(_)) => "known".to_owned(),
+            ValueError::Known(EndpointUpdateError::Contradicts(i)) => format!("known.members.{i}.id"),
+            ValueError::Known(EndpointUpdateError::Field(field)) => format!("known.{field}"),
+            ValueError::Known(EndpointUpdateError::Endpoint(i, field)) => {
+                format!("known.members.{i}.{field}")
+            }
+            ValueError::Dropped { key } => key.clone(),
+            ValueError::Setting { key, .. } => format!("settings.{key}"),
         }
     }
 }
 
-impl From<InvalidSetting> for Fault {
+impl From<InvalidSetting> for ValueError {
     fn from(InvalidSetting { key, trouble }: InvalidSetting) -> Self {
-        Fault::Setting { key, trouble }
+        ValueError::Setting { key, trouble }
     }
 }
--- a/crates/cottonnotch/src/config/json_file.rs
+++ b/crates/cottonnotch/src/config/json_file.rs
@@ -1,7 +1,7 @@
 //! The platform's JSON file, and on which line of it a key stands. simd-json's values carry no positions, but the
 //! keys of its borrowing values are slices of the text itself, and where such a slice begins is its position.
 
-use super::fault::BadConfig;
+use super::fault::ConfigError;
 use simd_json::cow::Cow;
 use simd_json::{BorrowedValue, OwnedValue};
 use std::cell::OnceCell;
@@ -18,10 +18,10 @@
 
 impl JsonFile {
     /// Reads a file and its value.
-    pub fn read(path: String) -> Result<(JsonFile, OwnedValue), BadConfig> {
+    pub fn read(path: String) -> Result<(JsonFile, OwnedValue), ConfigError> {
         let text = match std::fs::read(&path) {
             Ok(text) => text,
-            Err(error) => return Err(BadConfig::Unreadable { path, error }),
+            Err(error) => return Err(ConfigError::Unreadable { path, error }),
         };
         // Parsing writes into its input, and positions are wanted of the text as it is.
         match simd_json::to_owned_value(&mut text.clone()) {
@@ -29,7 +29,7 @@
             Err(error) => {
                 // 0 is also what errors have that know no place.
                 let line = (error.index() > 0).then(|| Newlines::of(&text).line(error.index()));
-                Err(BadConfig::NotJson { path, line, error })
+                Err(ConfigError::NotJson { path, line, error })
             }
         }
     }
--- a/crates/cottonnotch/src/config/mod.rs
+++ b/crates/cottonnotch/src/config/mod.rs
@@ -12,14 +12,14 @@
 mod operator;
 mod operator_file;
 mod platform;
-mod told;
+mod present_keys;
 
 pub use effective::Effective;
-pub use fault::BadConfig;
-use fault::Fault;
-pub use operator::Operator;
+pub use fault::ConfigError;
+use fault::ValueError;
+pub use operator::OperatorConfig;
 pub use operator_file::near_miss;
-pub use told::Told;
+pub use present_keys::PresentKeys;
 
 use crate::rules::RulesSettings;
 use cottonnotch_decision::settings::Profile;
@@ -48,24 +48,24 @@
     /// Bytes that each direction of a connection may hold, from the memory limit.
     pub buffer_bound: usize,
     /// Where the other proxies are, if there are any.
-    pub tier: Tier,
+    pub peer_addresses: PeerAddresses,
     /// How it speaks with them, if it does.
-    pub gossip: Option<Gossiping>,
+    pub gossip: Option<GossipConfig>,
     /// The rules, if there are any.
     pub rules: Option<RulesSettings>,
     /// The list as the proxy last had it.
-    pub known: EndpointUpdate,
+    pub initial_endpoints: EndpointUpdate,
     /// The settings, in the module's terms.
     pub profile: Profile,
     /// The operator's file.
-    pub operator: Operator,
+    pub operator: OperatorConfig,
     /// Keys that the JSON file has.
-    pub told: Told,
+    pub present_keys: PresentKeys,
 }
 
 /// The other proxies, as the platform tells of them.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Tier {
+pub struct PeerAddresses {
     /// This proxy's own end for datagrams.
     pub listen: Option<SocketAddr>,
     /// An address for each proxy, this one included, in the order of their numbers.
@@ -76,36 +76,37 @@
 
 /// What gossip needs beside the tier.
 #[derive(Clone, Debug)]
-pub struct Gossiping {
+pub struct GossipConfig {
     /// The section's figures.
     pub settings: cottonnotch_gossip::Settings,
     /// What proves the members.
     pub keys: Keys,
     /// Tells this process from earlier ones of its name: Unix time in milliseconds when it was read.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 impl Config {
     /// Reads what the environment and the JSON file say, once the operator's file is read.
-    pub fn start(operator: Operator, effective: &mut Effective) -> Result<Self, BadConfig> {
+    pub fn load(operator: OperatorConfig, effective: &mut Effective) -> Result<Self, ConfigError> {
         platform::read(operator, false, effective)
     }
 
     /// What `self` lacks of the configuration that counts. Guards against a file that was cut down by mistake: what it says
     /// no more would fall back to defaults, or to the environment of the start.
-    pub fn succeeds(&self, old: &Config) -> Result<(), BadConfig> {
-        match self.told.lacks(&old.told) {
-            Some(key) => {
-                Err(BadConfig::Platform { fault: Fault::Dropped { key }, place: self.told.path.clone() })
-            }
+    pub fn check_replaces(&self, old: &Config) -> Result<(), ConfigError> {
+        match self.present_keys.lacks(&old.present_keys) {
+            Some(key) => Err(ConfigError::Platform {
+                fault: ValueError::Dropped { key },
+                place: self.present_keys.path.clone(),
+            }),
             None => Ok(()),
         }
     }
 
     /// Reads both files again. Guards against an environment that still names what the JSON file has replaced.
-    pub fn again(operator: Option<&Path>) -> Result<Self, BadConfig> {
+    pub fn reload(operator: Option<&Path>) -> Result<Self, ConfigError> {
         let mut effective = Effective::default();
-        let operator = Operator::read(operator, &mut effective)?;
+        let operator = OperatorConfig::read(operator, &mut effective)?;
         platform::read(operator, true, &mut effective)
     }
 }
--- a/crates/cottonnotch/src/config/operator.rs
+++ b/crates/cottonnotch/src/config/operator.rs
@@ -1,8 +1,8 @@
 //! The operator's file: what is new here and no business of the platform's. One section a subsystem, whose type
-//! lives with what it configures. A new section is a field of [`Operator`], and a line each in `check` and `succeed`.
+//! lives with what it configures. A new section is a field of [`OperatorConfig`], and a line each in `check` and `succeed`.
 
 use super::effective::{Effective, Source};
-use super::fault::BadConfig;
+use super::fault::ConfigError;
 use super::operator_file::OperatorFile;
 use crate::OPERATOR_VARIABLE;
 use crate::logging::LogConfig;
@@ -19,7 +19,7 @@
 /// Every section. What the file leaves out has its default, and is then off.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Operator {
+pub struct OperatorConfig {
     /// `[log]`
     pub log: LogConfig,
     /// `[records]`
@@ -34,22 +34,23 @@
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub hardware: Vec<HardwareSection>,
     /// `[accord]`
-    pub accord: ConsensusSection,
+    #[serde(rename = "accord")]
+    pub consensus: ConsensusSection,
 }
 
-impl Operator {
+impl OperatorConfig {
     /// Reads and checks a file whole, and notes each value; with no file, all are defaults.
-    pub fn read(path: Option<&Path>, effective: &mut Effective) -> Result<Operator, BadConfig> {
-        let mut operator = Operator::default();
+    pub fn read(path: Option<&Path>, effective: &mut Effective) -> Result<OperatorConfig, ConfigError> {
+        let mut operator = OperatorConfig::default();
         let shown = path.map_or(String::new(), |path| path.display().to_string());
         effective.note("operator", shown, source(path));
         if let Some(path) = path {
-            let (file, read) = OperatorFile::read::<Operator>(path)?;
+            let (file, read) = OperatorFile::read::<OperatorConfig>(path)?;
             read.check().map_err(|message| file.refuse(&message))?;
             operator = read;
             effective.operator = Some(file);
         }
-        operator.log.rust_log = LogConfig::usual().rust_log;
+        operator.log.rust_log = LogConfig::from_environment().rust_log;
         operator.note(effective);
         Ok(operator)
     }
@@ -60,7 +61,7 @@
         self.records.check().map_err(|bad| bad.to_string())?;
         self.gossip.check().map_err(|bad| bad.to_string())?;
         self.fleet.check().map_err(|bad| bad.to_string())?;
-        self.accord.check()?;
+        self.consensus.check()?;
         if self.fleet.members_from.is_some()
             && !matches!(self.gossip.strength, None | Some(Strength::Address))
         {
@@ -74,7 +75,7 @@
 
     /// Takes this in place of the `old` one, as far as that is possible while clients are served; says in the
     /// log what is not. Returns what counts from now on.
-    pub fn succeed(self, old: &Operator) -> Operator {
+    pub fn replacing(self, old: &OperatorConfig) -> OperatorConfig {
         if self.records != old.records {
             log::warn!(
                 key = "records";
@@ -94,12 +95,12 @@
         if self.fleet != old.fleet {
             log::warn!(key = "fleet"; "the fleet view cannot change while clients are served, it goes on as at the start");
         }
-        if self.accord != old.accord {
+        if self.consensus != old.consensus {
             log::warn!(key = "accord"; "the accord cannot change while clients are served, it goes on as at the start");
         }
-        let (log, records, fleet) = (self.log.succeed(&old.log), old.records.clone(), old.fleet.clone());
-        let (rules, hardware, accord) = (self.rules, self.hardware, old.accord.clone());
-        Operator { log, records, gossip, fleet, rules, hardware, accord }
+        let (log, records, fleet) = (self.log.replacing(&old.log), old.records.clone(), old.fleet.clone());
+        let (rules, hardware, consensus) = (self.rules, self.hardware, old.consensus.clone());
+        OperatorConfig { log, records, gossip, fleet, rules, hardware, consensus }
     }
 
     /// The values as they are written, so that no section is to list its keys a second time.
@@ -168,10 +169,10 @@
 
     #[test]
     fn the_shipped_file_changes_nothing_and_its_comments_are_accepted() {
-        assert_eq!(toml::from_str::<Operator>(SHIPPED).unwrap(), Operator::default());
+        assert_eq!(toml::from_str::<OperatorConfig>(SHIPPED).unwrap(), OperatorConfig::default());
         let all = uncommented();
         let set: toml::Table = all.parse().unwrap();
-        let read: Operator = toml::from_str(&all).unwrap();
+        let read: OperatorConfig = toml::from_str(&all).unwrap();
         // Of the two targets only one may be set.
         let RecordsSection { file, descriptor, queue_records, flush_ms, .. } = read.records.clone();
         let to_file = RecordsSection { descriptor: None, ..read.records.clone() };
@@ -181,23 +182,32 @@
         for records in [to_file, to_descriptor] {
             // A fleet view has no proof, so it goes with no other strength than 'address'.
             let fleet = FleetSection::default();
-            Operator { records, fleet, ..read.clone() }.check().unwrap();
+            OperatorConfig { records, fleet, ..read.clone() }.check().unwrap();
         }
-        let signed = Operator { gossip: read.gossip, fleet: read.fleet.clone(), ..Operator::default() };
+        let signed =
+            OperatorConfig { gossip: read.gossip, fleet: read.fleet.clone(), ..OperatorConfig::default() };
         assert!(signed.check().unwrap_err().starts_with("fleet.members_from"));
         let fleet = FleetSection { members_from: Some(24), group_homes: Some(64), ..FleetSection::default() };
         assert_eq!(read.fleet, fleet);
         assert_eq!((queue_records, flush_ms), (usual.queue_records, usual.flush_ms));
-        assert!(read.accord.check().unwrap().is_some() && read.hardware.len() == 1);
+        assert!(read.consensus.check().unwrap().is_some() && read.hardware.len() == 1);
         let plain = ConsensusSection::default();
         let (listen, cluster, key_file, me) =
             (plain.listen, plain.cluster.clone(), plain.key_file.clone(), plain.me);
         let (voters, members, state_folder) = (Vec::new(), Vec::new(), plain.state_folder.clone());
-        let figures =
-            ConsensusSection { listen, cluster, key_file, me, voters, members, state_folder, ..read.accord };
+        let figures = ConsensusSection {
+            listen,
+            cluster,
+            key_file,
+            me,
+            voters,
+            members,
+            state_folder,
+            ..read.consensus
+        };
         assert_eq!(figures, plain, "the shipped figures are the defaults");
         let mut keys = BTreeMap::new();
-        leaves("", &simd_json::serde::to_owned_value(Operator::default()).unwrap(), &mut keys);
+        leaves("", &simd_json::serde::to_owned_value(OperatorConfig::default()).unwrap(), &mut keys);
         for key in keys.keys() {
             let (section, name) = key.split_once('.').unwrap();
             let found = set.get(section).and_then(|section| section.get(name));
--- a/crates/cottonnotch/src/config/operator_file.rs
+++ b/crates/cottonnotch/src/config/operator_file.rs
@@ -26,7 +26,7 @@
 
 /// Why the operator's file is refused; it is taken whole or not at all.
 #[derive(Debug, thiserror::Error)]
-pub enum BadOperator {
+pub enum OperatorFileError {
     /// It can't be had.
     #[error("operator's file '{}' cannot be read: {error}", path.display())]
     Unreadable { path: PathBuf, error: std::io::Error },
@@ -38,30 +38,30 @@
     Key { path: PathBuf, line: usize, key: String, trouble: String },
 }
 
-impl BadOperator {
+impl OperatorFileError {
     /// The faulty key, by its full path; what names the file if all of it is faulty.
     pub fn key(&self) -> &str {
         match self {
-            BadOperator::Unreadable { .. } | BadOperator::NotToml { .. } => "operator",
-            BadOperator::Key { key, .. } => key,
+            OperatorFileError::Unreadable { .. } | OperatorFileError::NotToml { .. } => "operator",
+            OperatorFileError::Key { key, .. } => key,
         }
     }
 }
 
 impl OperatorFile {
     /// Reads a file and its value. What serde can't see is left to [`Self::refuse`].
-    pub fn read<T: DeserializeOwned>(path: &Path) -> Result<(OperatorFile, T), BadOperator> {
+    pub fn read<T: DeserializeOwned>(path: &Path) -> Result<(OperatorFile, T), OperatorFileError> {
         let path = path.to_owned();
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => text,
-            Err(error) => return Err(BadOperator::Unreadable { path, error }),
+            Err(error) => return Err(OperatorFileError::Unreadable { path, error }),
         };
         let mut spans = BTreeMap::new();
         match DeTable::parse(&text) {
             Ok(table) => collect("", table.get_ref(), &mut spans),
             Err(error) => {
                 let line = line_at(&text, error.span().map_or(0, |span| span.start));
-                return Err(BadOperator::NotToml { path, line, trouble: error.message().to_owned() });
+                return Err(OperatorFileError::NotToml { path, line, trouble: error.message().to_owned() });
             }
         }
         let value = toml::from_str::<T>(&text);
@@ -78,7 +78,7 @@
     }
 
     /// Refuses the file for a fault that serde can't see. The message begins with the key's full path.
-    pub fn refuse(&self, message: &str) -> BadOperator {
+    pub fn refuse(&self, message: &str) -> OperatorFileError {
         let (key, trouble) = message.split_once(' ').unwrap_or((message, "is faulty"));
         let mut near = key;
         let line = loop {
@@ -89,17 +89,17 @@
             }
         };
         let (key, trouble) = (key.to_owned(), trouble.to_owned());
-        BadOperator::Key { path: self.path.clone(), line, key, trouble }
+        OperatorFileError::Key { path: self.path.clone(), line, key, trouble }
     }
 
-    fn fault(&self, error: &toml::de::Error) -> BadOperator {
+    fn fault(&self, error: &toml::de::Error) -> OperatorFileError {
         let at = error.span().map_or(0, |span| span.start);
         let around = |place: &Place| place.key.contains(&at) || place.value.contains(&at);
         // The innermost of those around it; a key is longer than what it stands in.
         let key = self.spans.iter().filter(|(_, place)| around(place)).max_by_key(|(key, _)| key.len());
         let key = key.map_or("operator", |(key, _)| key.as_str()).to_owned();
         let (path, line) = (self.path.clone(), line_at(&self.text, at));
-        BadOperator::Key { path, line, key, trouble: said(error.message()) }
+        OperatorFileError::Key { path, line, key, trouble: said(error.message()) }
     }
 }
 
--- a/crates/cottonnotch/src/config/platform.rs
+++ b/crates/cottonnotch/src/config/platform.rs
@@ -2,10 +2,10 @@
 //! the platform may add some.
 
 use super::effective::{Effective, Source};
-use super::fault::{BadConfig, Fault};
+use super::fault::{ConfigError, ValueError};
 use super::json_file::JsonFile;
-use super::operator::Operator;
-use super::{Config, Gossiping, Tier, Told, plain, variable};
+use super::operator::OperatorConfig;
+use super::{Config, GossipConfig, PeerAddresses, PresentKeys, plain, variable};
 use crate::rules::RulesSettings;
 use cottonnotch_decision::settings::{self, Pairs, Profile};
 use cottonnotch_gossip::{GossipSection, Keys, Settings};
@@ -37,7 +37,11 @@
 const LEAST_SOCKETS: u64 = 64;
 
 /// Reads everything; `file_wins` over the environment on SIGHUP. Each value is noted with its source.
-pub fn read(operator: Operator, file_wins: bool, effective: &mut Effective) -> Result<Config, BadConfig> {
+pub fn read(
+    operator: OperatorConfig,
+    file_wins: bool,
+    effective: &mut Effective,
+) -> Result<Config, ConfigError> {
     let json = match variable("GW_CONFIG") {
         None => {
             effective.note("GW_CONFIG", "", Source::Default);
@@ -58,17 +62,17 @@
     let seed = reader.seed()?;
     let (sockets, memory) = (reader.sockets()?, reader.memory_mb()?);
     let buffer_bound = (memory.saturating_mul(1 << 20) / 4 / sockets).clamp(LEAST_BUFFER, MOST_BUFFER);
-    let tier = reader.tier()?;
-    let known = reader.known()?;
+    let peer_addresses = reader.tier()?;
+    let initial_endpoints = reader.known()?;
     let (mut profile, pairs) = reader.settings()?;
     // Whatever the mode: over sockets a list comes by a watch only. What is pushed counts as told without one, too, from
     // the first moment: the settings say so, and the module opens the watch at once.
     profile.settings.list_on_request = true;
     let path = reader.effective.json.as_ref().map_or_else(String::new, |file| file.path.clone());
-    let told = Told::of(path, &json, &pairs);
-    let gossip = gossiping(&operator.gossip, &tier, &profile)?;
+    let present_keys = PresentKeys::of(path, &json, &pairs);
+    let gossip = gossiping(&operator.gossip, &peer_addresses, &profile)?;
     let rules = RulesSettings::read(&operator).map_err(|bad| match &reader.effective.operator {
-        Some(file) => BadConfig::from(file.refuse(&bad.to_string())),
+        Some(file) => ConfigError::from(file.refuse(&bad.to_string())),
         None => bad.into(),
     })?;
     let sockets = usize::try_from(sockets).unwrap_or(usize::MAX);
@@ -81,23 +85,23 @@
         seed,
         sockets,
         buffer_bound,
-        tier,
+        peer_addresses,
         gossip,
         rules,
-        known,
+        initial_endpoints,
         profile,
         operator,
-        told,
+        present_keys,
     })
 }
 
 /// What the section `[gossip]` makes of the tier. Keys are read now, so that a fault ends the start or the reload.
 fn gossiping(
     section: &GossipSection,
-    tier: &Tier,
+    tier: &PeerAddresses,
     profile: &Profile,
-) -> Result<Option<Gossiping>, BadConfig> {
-    let bad = |trouble: &dyn std::fmt::Display| BadConfig::Gossip { trouble: trouble.to_string() };
+) -> Result<Option<GossipConfig>, ConfigError> {
+    let bad = |trouble: &dyn std::fmt::Display| ConfigError::Gossip { trouble: trouble.to_string() };
     let Some(settings) = section.check().map_err(|error| bad(&error))? else { return Ok(None) };
     let read = |path: &PathBuf| {
         std::fs::read(path)
@@ -114,8 +118,9 @@
     let keys =
         Keys::load(settings.strength, &files, public.as_deref(), me, members).map_err(|error| bad(&error))?;
     let settings = Settings { multicast: tier.all.is_some(), ..settings };
-    let life = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
-    Ok(Some(Gossiping { settings, keys, life }))
+    let incarnation =
+        SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
+    Ok(Some(GossipConfig { settings, keys, incarnation }))
 }
 
 struct Reader<'a> {
@@ -125,7 +130,7 @@
 }
 
 impl Reader<'_> {
-    fn fault(&self, fault: Fault, source: Source) -> BadConfig {
+    fn fault(&self, fault: ValueError, source: Source) -> ConfigError {
         let place = match (source, &self.effective.json) {
             (Source::Environment(name), _) => format!("environment {name}"),
             (_, None) => "GW_CONFIG is not set".to_owned(),
@@ -134,11 +139,11 @@
                 None => file.path.clone(),
             },
         };
-        BadConfig::Platform { fault, place }
+        ConfigError::Platform { fault, place }
     }
 
-    fn wrong(&self, key: &'static str, trouble: &'static str, value: String, source: Source) -> BadConfig {
-        self.fault(Fault::Wrong { key, trouble, value }, source)
+    fn wrong(&self, key: &'static str, trouble: &'static str, value: String, source: Source) -> ConfigError {
+        self.fault(ValueError::Wrong { key, trouble, value }, source)
     }
 
     /// A text of the environment's or the file's, noted with its source.
@@ -147,7 +152,7 @@
         name: &'static str,
         key: &'static str,
         default: Option<&str>,
-    ) -> Result<(String, Source), BadConfig> {
+    ) -> Result<(String, Source), ConfigError> {
         let inherited = variable(name);
         let written = self.json.get(key).filter(|_| self.file_wins || inherited.is_none());
         let (text, source) = match (written, inherited, default) {
@@ -157,20 +162,20 @@
             },
             (None, Some(text), _) => (text, Source::Environment(name)),
             (None, None, Some(text)) => (text.to_owned(), Source::Default),
-            (None, None, None) => return Err(self.fault(Fault::Missing { key }, Source::Default)),
+            (None, None, None) => return Err(self.fault(ValueError::Missing { key }, Source::Default)),
         };
         self.effective.note(key, &text, source);
         Ok((text, source))
     }
 
-    fn address(&mut self, name: &'static str, key: &'static str) -> Result<SocketAddr, BadConfig> {
+    fn address(&mut self, name: &'static str, key: &'static str) -> Result<SocketAddr, ConfigError> {
         let (text, source) = self.text(name, key, None)?;
         let trouble = "is not an address and port";
         text.parse().map_err(|_| self.wrong(key, trouble, text, source))
     }
 
     /// Where operators call; nothing, or an empty text, is nowhere.
-    fn mgmt(&mut self) -> Result<Option<SocketAddr>, BadConfig> {
+    fn mgmt(&mut self) -> Result<Option<SocketAddr>, ConfigError> {
         let (text, source) = self.text("GW_MGMT", "mgmt", Some(""))?;
         if text.is_empty() {
             return Ok(None);
@@ -180,14 +185,14 @@
     }
 
     /// The other proxies. All of it may be left out: such a proxy is alone.
-    fn tier(&mut self) -> Result<Tier, BadConfig> {
+    fn tier(&mut self) -> Result<PeerAddresses, ConfigError> {
         let listen = self.address_if("peer_listen")?;
         let all = self.address_if("peers_all")?;
         let key = "peers";
         let trouble = "is not a list of addresses and ports";
         let Some(value) = self.json.get(key) else {
             self.effective.note(key, "", Source::Default);
-            return Ok(Tier { listen, peers: Vec::new(), all });
+            return Ok(PeerAddresses { listen, peers: Vec::new(), all });
         };
         let read = |value: &OwnedValue| value.as_str()?.parse().ok();
         let peers: Option<Vec<SocketAddr>> =
@@ -195,10 +200,10 @@
         let peers = peers.ok_or_else(|| self.wrong(key, trouble, value.encode(), Source::Json))?;
         let shown = peers.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
         self.effective.note(key, shown, Source::Json);
-        Ok(Tier { listen, peers, all })
+        Ok(PeerAddresses { listen, peers, all })
     }
 
-    fn address_if(&mut self, key: &'static str) -> Result<Option<SocketAddr>, BadConfig> {
+    fn address_if(&mut self, key: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
         let Some(value) = self.json.get(key) else {
             self.effective.note(key, "", Source::Default);
             return Ok(None);
@@ -211,7 +216,7 @@
         Ok(Some(address))
     }
 
-    fn seed(&mut self) -> Result<u64, BadConfig> {
+    fn seed(&mut self) -> Result<u64, ConfigError> {
         let (text, source) = self.text("GW_SEED", "seed", Some(DEFAULT_SEED))?;
         let trouble = "is not a hexadecimal number of 64 bits";
         u64::from_str_radix(&text, 16).map_err(|_| self.wrong("seed", trouble, text, source))
@@ -224,7 +229,7 @@
         }
     }
 
-    fn sockets(&mut self) -> Result<u64, BadConfig> {
+    fn sockets(&mut self) -> Result<u64, ConfigError> {
         let (key, (value, source)) = ("limits.sockets", self.limit("sockets", DEFAULT_SOCKETS));
         let sockets = value.as_u64().filter(|sockets| *sockets >= LEAST_SOCKETS);
         let trouble = "is not a whole number of 64 or more";
@@ -233,7 +238,7 @@
         Ok(sockets)
     }
 
-    fn memory_mb(&mut self) -> Result<u64, BadConfig> {
+    fn memory_mb(&mut self) -> Result<u64, ConfigError> {
         let (key, (value, source)) = ("limits.memory_mb", self.limit("memory_mb", DEFAULT_MEMORY));
         let memory = value.cast_f64().filter(|mb| *mb >= 1.0);
         let trouble = "is not a number of 1 or more";
@@ -242,15 +247,15 @@
         Ok(memory as u64)
     }
 
-    fn known(&mut self) -> Result<EndpointUpdate, BadConfig> {
+    fn known(&mut self) -> Result<EndpointUpdate, ConfigError> {
         let (known, source) = match self.json.get("known") {
-            None => (EndpointUpdate { revision: 0, complete: true, members: Vec::new() }, Source::Default),
+            None => (EndpointUpdate { revision: 0, complete: true, endpoints: Vec::new() }, Source::Default),
             Some(known) => {
                 let known = EndpointUpdate::from_json(known);
                 (known.map_err(|bad| self.fault(bad.into(), Source::Json))?, Source::Json)
             }
         };
-        let (members, complete) = (known.members.len(), known.complete);
+        let (members, complete) = (known.endpoints.len(), known.complete);
         let shown = format!("revision {}, {members} members, complete {complete}", known.revision);
         self.effective.note("known", shown, source);
         Ok(known)
@@ -258,9 +263,10 @@
 
     /// Deadlines and attempts are numbers above 0, where they are told. Guards against what a default or a clamp would make
     /// of anything else: requests that nobody answers, or that are given up unsent.
-    fn check_settings(&self, settings: &OwnedValue) -> Result<(), BadConfig> {
-        let refuse =
-            |key: String, trouble: String| Err(self.fault(Fault::Setting { key, trouble }, Source::Json));
+    fn check_settings(&self, settings: &OwnedValue) -> Result<(), ConfigError> {
+        let refuse = |key: String, trouble: String| {
+            Err(self.fault(ValueError::Setting { key, trouble }, Source::Json))
+        };
         if let Some(most) = settings.get("policyLimits").and_then(|limits| limits.get("mostTries"))
             && let Some(trouble) = no_number_above_zero(most, 1.0, MOST_TRIES)
         {
@@ -293,10 +299,10 @@
         Ok(())
     }
 
-    fn settings(&mut self) -> Result<(Profile, Pairs), BadConfig> {
+    fn settings(&mut self) -> Result<(Profile, Pairs), ConfigError> {
         let mut pairs = Pairs::default();
         match self.json.get("settings") {
-            None => return Err(self.fault(Fault::Missing { key: "settings" }, Source::Json)),
+            None => return Err(self.fault(ValueError::Missing { key: "settings" }, Source::Json)),
             Some(settings) => flatten("", settings, &mut pairs),
         }
         let profile = settings::read(&pairs).map_err(|bad| self.fault(bad.into(), Source::Json))?;
@@ -304,7 +310,7 @@
             self.check_settings(settings)?;
         }
         if profile.settings.classes.is_empty() {
-            return Err(self.fault(Fault::Missing { key: "settings.requestClasses" }, Source::Json));
+            return Err(self.fault(ValueError::Missing { key: "settings.requestClasses" }, Source::Json));
         }
         let asked = pairs.asked();
         for (key, default) in &asked {
--- a/crates/cottonnotch/src/config/told.rs
+++ b/crates/cottonnotch/src/config/present_keys.rs
@@ -14,13 +14,13 @@
 
 /// The keys, by their full paths. Items of lists come and go: of them there are the keys that all have, under `*`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct PresentKeys {
     /// The file.
     pub path: String,
     keys: BTreeSet<String>,
 }
 
-impl Told {
+impl PresentKeys {
     /// What the file has of all that the proxy asks for.
     pub fn of(path: String, json: &OwnedValue, settings: &Pairs) -> Self {
         let has = |value: &OwnedValue, key: &str| value.get(key).is_some_and(|value| !value.is_null());
@@ -41,11 +41,11 @@
                 keys.insert(format!("settings.{list}.*.{key}"));
             }
         }
-        Told { path, keys }
+        PresentKeys { path, keys }
     }
 
     /// A key that an earlier file had and this one hasn't.
-    pub fn lacks(&self, earlier: &Told) -> Option<String> {
+    pub fn lacks(&self, earlier: &PresentKeys) -> Option<String> {
         earlier.keys.difference(&self.keys).next().cloned()
     }
 }
--- a/crates/cottonnotch/src/logging.rs
+++ b/crates/cottonnotch/src/logging.rs
@@ -44,7 +44,7 @@
 
 impl LogConfig {
     /// What counts where no operator's file does: the environment's `RUST_LOG`, or the defaults.
-    pub fn usual() -> Self {
+    pub fn from_environment() -> Self {
         LogConfig { rust_log: std::env::var("RUST_LOG").ok(), ..LogConfig::default() }
     }
 
@@ -70,7 +70,7 @@
 
     /// Takes this in place of the `old` one: the filter at once, the form of lines not, since whoever reads the
     /// log could not tell where it changes. Returns what counts from now on.
-    pub fn succeed(self, old: &LogConfig) -> LogConfig {
+    pub fn replacing(self, old: &LogConfig) -> LogConfig {
         if self.format != old.format {
             let format = old.format;
             log::warn!(
--- a/crates/cottonnotch/src/main.rs
+++ b/crates/cottonnotch/src/main.rs
@@ -9,7 +9,7 @@
 
 use clap::Parser;
 use command_line::{Command, CommandLine};
-use config::{BadConfig, Config, Effective, Operator};
+use config::{Config, ConfigError, Effective, OperatorConfig};
 use cottonnotch_records::{Identity, Recorder, RecorderError};
 use logging::LogConfig;
 use net::driver::Driver;
@@ -33,10 +33,10 @@
 
 fn serve(path: Option<PathBuf>) -> ExitCode {
     let mut effective = Effective::default();
-    let operator = Operator::read(path.as_deref(), &mut effective);
+    let operator = OperatorConfig::read(path.as_deref(), &mut effective);
     // A faulty file is said in the log too, in its usual form.
-    logging::install(operator.as_ref().map_or(&LogConfig::usual(), |read| &read.log));
-    let config = operator.and_then(|operator| Config::start(operator, &mut effective));
+    logging::install(operator.as_ref().map_or(&LogConfig::from_environment(), |read| &read.log));
+    let config = operator.and_then(|operator| Config::load(operator, &mut effective));
     // Before any socket is opened: an inherited descriptor's number could be given to one.
     let ready = config.and_then(|config| Ok((recorder(&config, &effective)?, config)));
     let (recorder, config) = match ready {
@@ -48,7 +48,7 @@
     };
     drop(effective);
     let name = config.name.clone();
-    let reread = Box::new(move || Config::again(path.as_deref()));
+    let reread = Box::new(move || Config::reload(path.as_deref()));
     let served = Driver::start(config, recorder, reread).and_then(|mut driver| driver.run());
     match served {
         Ok(()) => {
@@ -63,7 +63,7 @@
 }
 
 /// Begins the records, if they are on.
-fn recorder(config: &Config, effective: &Effective) -> Result<Recorder, BadConfig> {
+fn recorder(config: &Config, effective: &Effective) -> Result<Recorder, ConfigError> {
     let Some(file) = &effective.operator else { return Ok(Recorder::off()) };
     let settings = config.operator.records.check().map_err(|bad| file.refuse(&bad.to_string()))?;
     let Some(settings) = settings else { return Ok(Recorder::off()) };
@@ -89,14 +89,15 @@
 /// What the rules come to, if there are any.
 fn rules_report(config: &Config) -> String {
     let Some(settings) = &config.rules else { return String::new() };
-    let listed = config.known.members.iter().map(|member| (member.zone.clone(), member.flavor.clone()));
-    rules::report(settings, &config.operator.accord, &config.profile, listed.collect())
+    let listed =
+        config.initial_endpoints.endpoints.iter().map(|member| (member.zone.clone(), member.flavor.clone()));
+    rules::report(settings, &config.operator.consensus, &config.profile, listed.collect())
 }
 
 fn check(path: Option<&Path>) -> ExitCode {
     let mut effective = Effective::default();
-    let operator = Operator::read(path, &mut effective);
-    let config = operator.and_then(|operator| Config::start(operator, &mut effective));
+    let operator = OperatorConfig::read(path, &mut effective);
+    let config = operator.and_then(|operator| Config::load(operator, &mut effective));
     // Serving goes on without a faulty file; who checks wants to know of it.
     let config =
         config.and_then(|config| match config.rules.as_ref().map(rules::RulesSettings::check_files) {
--- a/crates/cottonnotch/src/net/driver/endpoints.rs
+++ b/crates/cottonnotch/src/net/driver/endpoints.rs
@@ -80,7 +80,7 @@
         result: EndpointUpdate,
         copy: bool,
     ) -> Event {
-        let EndpointUpdate { revision, complete: full, members } = result;
+        let EndpointUpdate { revision, complete: full, endpoints: members } = result;
         // Before times that were told are looked at: the wall clock may have been stepped since the last second.
         context.observe_wall_clock();
         let now = context.now();
--- a/crates/cottonnotch/src/net/driver/lifecycle.rs
+++ b/crates/cottonnotch/src/net/driver/lifecycle.rs
@@ -6,7 +6,7 @@
 use super::message_latency::MessageLatency;
 use super::request_table::RequestTable;
 use super::shutdown::{self, Shutdown};
-use crate::config::{BadConfig, Config};
+use crate::config::{Config, ConfigError};
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_decision::{Event, Micros, RequestId};
 use cottonnotch_reactor::rate_limited_log::RateLimitedLog;
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 
 /// Gets the whole configuration anew, from both files.
-pub type Reread = Box<dyn Fn() -> Result<Config, BadConfig>>;
+pub type Reread = Box<dyn Fn() -> Result<Config, ConfigError>>;
 
 /// Discovery is waited for so long at a start beside an earlier process, which goes on serving meanwhile.
 const TAKEOVER_TIMEOUT: Micros = 2_000_000;
@@ -141,7 +141,7 @@
 
     /// Takes a new configuration as a whole, or keeps the old one. No connection is touched.
     pub fn reload(&self, context: &mut Context, latency: &mut MessageLatency) -> Option<Reloaded> {
-        let reread = (self.reread)().and_then(|new| new.succeeds(&context.config).map(|()| new));
+        let reread = (self.reread)().and_then(|new| new.check_replaces(&context.config).map(|()| new));
         let new = match reread {
             Ok(new) => new,
             Err(error) => {
@@ -166,13 +166,13 @@
                 "mgmt cannot change while clients are served, the old one stays"
             );
         }
-        if new.tier != old.tier {
+        if new.peer_addresses != old.peer_addresses {
             log::warn!(
                 target: LOG_TARGET, key = "peers";
                 "peers cannot change while clients are served, the old ones go on"
             );
         }
-        let operator = new.operator.succeed(&old.operator);
+        let operator = new.operator.replacing(&old.operator);
         log::info!(
             target: LOG_TARGET, discovery:% = new.discovery;
             "configuration read again, discovery at {}", new.discovery
@@ -189,13 +189,13 @@
             log::warn!(target: LOG_TARGET, "rules cannot begin while clients are served");
         }
         let event = Event::Settings(Box::new(profile.settings.clone()));
-        let (known, tier) = (old.known.clone(), old.tier.clone());
+        let (initial_endpoints, peer_addresses) = (old.initial_endpoints.clone(), old.peer_addresses.clone());
         context.config = Config {
             listen: old.listen,
             mgmt: old.mgmt,
             seed: old.seed,
-            known,
-            tier,
+            initial_endpoints,
+            peer_addresses,
             profile,
             operator,
             ..new
--- a/crates/cottonnotch/src/net/driver/peers.rs
+++ b/crates/cottonnotch/src/net/driver/peers.rs
@@ -4,7 +4,7 @@
 use super::context::{Context, LOG_TARGET, PEERS};
 use super::endpoints::Endpoints;
 use super::message_latency::MessageLatency;
-use crate::config::Gossiping;
+use crate::config::GossipConfig;
 use crate::net::datagrams::Datagrams;
 use crate::net::management::metrics::AffinityMetrics;
 use crate::net::network_event::Object;
@@ -44,9 +44,9 @@
     }
 
     fn start_aggregation(context: &mut Context, settings: Settings) -> io::Result<Option<Self>> {
-        let members = context.config.tier.peers.len();
+        let members = context.config.peer_addresses.peers.len();
         let me = context.config.profile.settings.ordinal;
-        let Some(listen) = context.config.tier.listen else { return Ok(None) };
+        let Some(listen) = context.config.peer_addresses.listen else { return Ok(None) };
         if me as usize >= members {
             log::warn!(target: LOG_TARGET, members; "no fleet view: this proxy is number {me} of {members}");
             return Ok(None);
@@ -61,11 +61,12 @@
     }
 
     fn start_gossip(context: &mut Context) -> io::Result<Option<Self>> {
-        let Some(Gossiping { settings, keys, life }) = context.config.gossip.clone() else {
+        let Some(GossipConfig { settings, keys, incarnation: life }) = context.config.gossip.clone() else {
             return Ok(None);
         };
-        let Some(listen) = context.config.tier.listen else { return Ok(None) };
-        let (me, members) = (context.config.profile.settings.ordinal, context.config.tier.peers.len() as u32);
+        let Some(listen) = context.config.peer_addresses.listen else { return Ok(None) };
+        let (me, members) =
+            (context.config.profile.settings.ordinal, context.config.peer_addresses.peers.len() as u32);
         let socket = bind_socket(context, listen)?;
         let (seed, now, strength) = (context.config.seed, context.now(), settings.strength);
         let gossip = Gossip::new(settings, keys, me, members, life, seed, now);
@@ -253,11 +254,11 @@
 fn fleet_settings(context: &Context) -> Option<Settings> {
     // The section was checked when it was read.
     let settings = context.config.operator.fleet.check().ok().flatten()?;
-    (context.config.tier.peers.len() as u64 >= u64::from(settings.members_from)).then_some(settings)
+    (context.config.peer_addresses.peers.len() as u64 >= u64::from(settings.members_from)).then_some(settings)
 }
 
 fn roster(context: &Context) -> Roster {
-    Roster::new(&context.config.tier.peers, context.config.tier.all)
+    Roster::new(&context.config.peer_addresses.peers, context.config.peer_addresses.all)
 }
 
 fn bind_socket(context: &mut Context, listen: SocketAddr) -> io::Result<Key> {
--- a/crates/cottonnotch/src/rules/settings.rs
+++ b/crates/cottonnotch/src/rules/settings.rs
@@ -2,7 +2,7 @@
 
 use super::config::{self, ConsensusSettings};
 use super::rules_folder::{BadFolder, faulty, read_folder};
-use crate::config::Operator;
+use crate::config::OperatorConfig;
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_proxy_core::envelope::EnvelopeKey;
 use cottonnotch_routing_rules::{BadFile, File, World};
@@ -51,8 +51,8 @@
 
 impl RulesSettings {
     /// Reads what the sections name; `None`: they are off.
-    pub fn read(operator: &Operator) -> Result<Option<Self>, RulesError> {
-        let accord = operator.accord.check().map_err(RulesError::Section)?;
+    pub fn read(operator: &OperatorConfig) -> Result<Option<Self>, RulesError> {
+        let accord = operator.consensus.check().map_err(RulesError::Section)?;
         let profiles = config::profiles(&operator.hardware).map_err(RulesError::Section)?;
         let folder = &operator.rules.folder;
         if accord.is_none() && folder.is_none() {
--- a/crates/proxy-core/src/lib.rs
+++ b/crates/proxy-core/src/lib.rs
@@ -20,7 +20,7 @@
 mod peers;
 mod wall_clock;
 
-pub use endpoint_update::{EndpointUpdate, EndpointUpdateError, Member};
+pub use endpoint_update::{EndpointEntry, EndpointUpdate, EndpointUpdateError};
 pub use guard::{FinalAnswer, Guard, GuardResult, Violation, Violations};
 pub use load_lines::{LoadLine, LoadLines};
 pub use member_driver::{MemberDriver, SansIoMember, WakeUpTimer};
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -367,7 +367,7 @@
             Happening::Listed { result, bytes } => {
                 self.counts.list_bytes += bytes as u64;
                 // A beat is a list of changes that names none.
-                let nodes = result.members.len() as u32;
+                let nodes = result.endpoints.len() as u32;
                 if result.complete {
                     self.out.push_back(Wish::Record(What::Listed { revision: result.revision, nodes }));
                 }
--- a/crates/scale/src/nodes.rs
+++ b/crates/scale/src/nodes.rs
@@ -17,8 +17,8 @@
     /// Takes a list; what the module is to hear.
     pub fn take(&mut self, delays: &mut MessageLatencies, result: &EndpointUpdate, copy: bool) -> Event {
         self.revision = result.revision;
-        let mut entries = Vec::with_capacity(result.members.len());
-        for member in &result.members {
+        let mut entries = Vec::with_capacity(result.endpoints.len());
+        for member in &result.endpoints {
             let number = self.names.intern(&member.id);
             let is_new = self.started.len() <= number as usize;
             if is_new {
--- a/crates/scale/src/virtual_time.rs
+++ b/crates/scale/src/virtual_time.rs
@@ -71,7 +71,7 @@
 /// The list of this shape's nodes.
 fn list(shape: &Shape, revision: u64, without: Option<u32>) -> EndpointUpdate {
     let mut text = shape.list(revision, without).into_bytes();
-    let nothing = EndpointUpdate { revision, complete: true, members: Vec::new() };
+    let nothing = EndpointUpdate { revision, complete: true, endpoints: Vec::new() };
     EndpointUpdate::parse(&mut text).unwrap_or(nothing)
 }
 
