--- a/crates/cottonnotch/src/net/driver/startup.rs
+++ b/crates/cottonnotch/src/net/driver/startup.rs
@@ -38,7 +38,7 @@
             })?;
         }
         let mut balancer = Balancer::new(config.profile.settings.clone(), config.seed, reactor.io.now());
-        let known = config.known.clone();
+        let known = config.initial_endpoints.clone();
         let names = recorder.is_on();
         let records = Records::new(recorder, &config.profile);
         let audit = Audit::new(config.profile.settings.clone());
