--- a/crates/cottonnotch/src/config/fault.rs
+++ b/crates/cottonnotch/src/config/fault.rs
@@ -87,7 +87,7 @@
 }
 
 impl From<InvalidSetting> for ValueError {
-    fn from(InvalidSetting { key, trouble }: InvalidSetting) -> Self {
-        ValueError::Setting { key, trouble }
+    fn from(InvalidSetting { key, problem }: InvalidSetting) -> Self {
+        ValueError::Setting { key, trouble: problem }
     }
 }
--- a/crates/cottonnotch/src/config/platform.rs
+++ b/crates/cottonnotch/src/config/platform.rs
@@ -312,7 +312,7 @@
         if profile.settings.classes.is_empty() {
             return Err(self.fault(ValueError::Missing { key: "settings.requestClasses" }, Source::Json));
         }
-        let asked = pairs.asked();
+        let asked = pairs.lookups();
         for (key, default) in &asked {
             let key_there = format!("settings.{key}");
             match (default, pairs.0.get(key)) {
--- a/crates/cottonnotch/src/config/present_keys.rs
+++ b/crates/cottonnotch/src/config/present_keys.rs
@@ -29,7 +29,7 @@
         if let Some(limits) = json.get("limits") {
             keys.extend(LIMITS.iter().filter(|key| has(limits, key)).map(|key| format!("limits.{key}")));
         }
-        let asked = settings.asked();
+        let asked = settings.lookups();
         let given = asked.iter().filter(|(_, default)| default.is_none()).map(|(key, _)| key.as_str());
         let (listed, plain): (Vec<&str>, Vec<&str>) = given.partition(|key| item(key).is_some());
         keys.extend(plain.iter().filter(|key| !key.ends_with(".count")).map(|key| format!("settings.{key}")));
--- a/crates/cottonnotch/src/net/driver/lifecycle.rs
+++ b/crates/cottonnotch/src/net/driver/lifecycle.rs
@@ -178,7 +178,7 @@
             "configuration read again, discovery at {}", new.discovery
         );
         let discovery_moved = new.discovery != old.discovery;
-        let profile = new.profile.succeed(&old.profile);
+        let profile = new.profile.renumbered_from(&old.profile);
         latency.set(&profile);
         context.records.set(&profile);
         context.records.reload_taken();
--- a/crates/cottonnotch/src/net/driver/message_latency.rs
+++ b/crates/cottonnotch/src/net/driver/message_latency.rs
@@ -11,7 +11,7 @@
     delays: MessageLatencies,
     lines: LoadLines,
     /// Lines may tell delays, too.
-    tells_delay: bool,
+    reports_latency: bool,
     /// Groups count.
     groups: bool,
 }
@@ -20,16 +20,16 @@
     /// Nothing seen yet. Sets the timer of the first [`Self::tick`].
     pub fn start(context: &mut Context) -> Self {
         context.set_timer(REPORT_INTERVAL, TICK);
-        let Profile { settings, tells_delay, .. } = &context.config.profile;
+        let Profile { settings, reports_latency, .. } = &context.config.profile;
         let delays =
             MessageLatencies::new(settings.nodes, settings.shortest_message_objective(), settings.weighted);
-        let (groups, tells_delay) = (settings.groups, *tells_delay);
-        MessageLatency { delays, lines: LoadLines::default(), tells_delay, groups }
+        let (groups, reports_latency) = (settings.groups, *reports_latency);
+        MessageLatency { delays, lines: LoadLines::default(), reports_latency, groups }
     }
 
     /// The settings have changed.
-    pub fn set(&mut self, Profile { settings, tells_delay, .. }: &Profile) {
-        self.tells_delay = *tells_delay;
+    pub fn set(&mut self, Profile { settings, reports_latency, .. }: &Profile) {
+        self.reports_latency = *reports_latency;
         self.delays.configure(settings.nodes, settings.shortest_message_objective(), settings.weighted);
         self.groups = settings.groups;
     }
@@ -67,7 +67,7 @@
     /// An endpoint has told a figure on this connection: its load, or a delay.
     pub fn load_reported(&mut self, now: Micros, tracked: &TrackedRequest, figure: f64) -> Option<Event> {
         let told = match tracked.at {
-            Some((server, _)) if self.tells_delay => self.lines.classify(now, server, tracked.id, figure),
+            Some((server, _)) if self.reports_latency => self.lines.classify(now, server, tracked.id, figure),
             _ => LoadLine::Load(figure),
         };
         match (told, tracked.at) {
--- a/crates/cottonnotch/src/net/driver/startup.rs
+++ b/crates/cottonnotch/src/net/driver/startup.rs
@@ -61,7 +61,7 @@
         if let Some(settings) = context.config.rules.clone() {
             let (profile, seed) = (&context.config.profile, context.config.seed);
             let rules = RulesService::start(settings, profile, seed, names, has_predecessor)?;
-            balancer = balancer.under(Box::new(rules.rulings().clone()));
+            balancer = balancer.with_rules(Box::new(rules.rulings().clone()));
             context.rules = Some(rules);
         }
         let mut driver = Driver {
--- a/crates/cottonnotch/src/rules/routing_verdict.rs
+++ b/crates/cottonnotch/src/rules/routing_verdict.rs
@@ -139,11 +139,11 @@
 }
 
 impl RoutingRules for Rulings {
-    fn ruling(&mut self, now: Micros, request: &Request) -> RoutingVerdict {
+    fn evaluate(&mut self, now: Micros, request: &Request) -> RoutingVerdict {
         self.0.borrow_mut().ruling(now, request)
     }
 
-    fn sent(&mut self, now: Micros, request: &Request, server: ServerId) {
+    fn record_attempt(&mut self, now: Micros, request: &Request, server: ServerId) {
         let mut state = self.0.borrow_mut();
         let state = &mut *state;
         let reading = state.publication.read();
--- a/crates/cottonnotch/src/rules/routing_verdict_tests.rs
+++ b/crates/cottonnotch/src/rules/routing_verdict_tests.rs
@@ -42,7 +42,7 @@
         withdrawn: Default::default(),
         zones: Names::default(),
         connect_timeout: S,
-        tells_delay: false,
+        reports_latency: false,
     }
 }
 
@@ -116,13 +116,13 @@
          [[rule]]\nname = \"edits\"\nclasses = [\"edit\"]\nplace = { avoid = { hardware = [\"y\"] } }\n\
          [[rule]]\nname = \"near\"\nclasses = [\"look\"]\nplace = { prefer = { hardware = [\"y\"] } }\n",
     );
-    let look = rulings.ruling(0, &request(1, 0, None, None));
+    let look = rulings.evaluate(0, &request(1, 0, None, None));
     assert_eq!((look.allowed.clone(), first_choice(&look)), (None, vec![2, 3, 6, 7]));
-    let north = rulings.ruling(0, &request(2, 0, Some(0), None));
+    let north = rulings.evaluate(0, &request(2, 0, Some(0), None));
     assert_eq!(allowed(&north), [0, 2, 4, 6]);
     let wished: Vec<u32> = first_choice(&north).into_iter().filter(|s| allowed(&north).contains(s)).collect();
     assert_eq!(wished, [2, 6]);
-    let both = rulings.ruling(0, &request(3, 1, Some(0), None));
+    let both = rulings.evaluate(0, &request(3, 1, Some(0), None));
     assert_eq!((allowed(&both), &both.preferred), (vec![0, 4], &None));
     let basis = rulings.basis(RequestId(3)).unwrap();
     assert_eq!((basis.version, basis.is_uncertain), (Some(1), false));
@@ -130,10 +130,10 @@
         BTreeSet::from_iter(basis.rules),
         BTreeSet::from(["consortium:edits", "consortium:north"].map(Name::from))
     );
-    assert_eq!(rulings.ruling(0, &request(4, 1, Some(1), None)).allowed.map(|_| ()), Some(()));
+    assert_eq!(rulings.evaluate(0, &request(4, 1, Some(1), None)).allowed.map(|_| ()), Some(()));
     // A wish for what isn't there puts nothing before another.
     list(&rulings, [0, 1, 4, 5].into_iter());
-    assert_eq!(rulings.ruling(0, &request(5, 0, None, None)).preferred, None);
+    assert_eq!(rulings.evaluate(0, &request(5, 0, None, None)).preferred, None);
 }
 
 #[test]
@@ -145,22 +145,22 @@
         let mut at_a = 0;
         for id in 0..20 {
             let asked = request(id, 0, None, None);
-            let ruling = rulings.ruling(0, &asked);
+            let ruling = rulings.evaluate(0, &asked);
             let to = allowed(&ruling)[0];
             at_a += u32::from(to.is_multiple_of(2));
-            rulings.sent(0, &asked, ServerId(to));
+            rulings.record_attempt(0, &asked, ServerId(to));
         }
         taken += at_a;
         // Others are not counted, and are not held back.
-        assert_eq!(rulings.ruling(0, &request(50, 1, None, None)).allowed, None);
+        assert_eq!(rulings.evaluate(0, &request(50, 1, None, None)).allowed, None);
         // One leaves: there is room for one, also under a new version and a new list.
         rulings.left(RequestId(0));
         publication.grant(&plan(cap), 2, [2; 32], Micros::MAX);
         list(&rulings, 0..8);
         let asked = request(60, 0, None, None);
-        assert_eq!(allowed(&rulings.ruling(0, &asked)).len(), 8);
-        rulings.sent(0, &asked, ServerId(0));
-        assert_eq!(allowed(&rulings.ruling(0, &request(61, 0, None, None))), [1, 3, 5, 7]);
+        assert_eq!(allowed(&rulings.evaluate(0, &asked)).len(), 8);
+        rulings.record_attempt(0, &asked, ServerId(0));
+        assert_eq!(allowed(&rulings.evaluate(0, &request(61, 0, None, None))), [1, 3, 5, 7]);
         rulings.opened(&request(62, 0, None, None), ServerId(2));
     }
     assert_eq!(taken, 5, "three proxies together");
@@ -178,9 +178,9 @@
     for now in (0..60 * S).step_by(50_000) {
         id += 1;
         let asked = request(id, 0, None, None);
-        match rulings.ruling(now, &asked).not_before {
+        match rulings.evaluate(now, &asked).not_before {
             None => {
-                rulings.sent(now, &asked, ServerId(0));
+                rulings.record_attempt(now, &asked, ServerId(0));
                 rulings.left(asked.id);
                 sent += 1;
             }
@@ -188,7 +188,7 @@
         }
     }
     assert!((118..=123).contains(&sent), "two a second for a minute, and what was saved: {sent}");
-    assert_eq!(rulings.ruling(60 * S, &request(0, 1, None, None)).not_before, None);
+    assert_eq!(rulings.evaluate(60 * S, &request(0, 1, None, None)).not_before, None);
 }
 
 #[test]
@@ -198,12 +198,12 @@
          [[rule]]\nname = \"together\"\nclasses = [\"look\"]\nspread = { nodes = 2 }\n\
          [[rule]]\nname = \"still\"\ntenants = [\"north\"]\nmove = \"drains-only\"\n",
     );
-    assert_eq!(rulings.ruling(0, &request(1, 1, None, None)).attempts, 2);
-    assert_eq!(rulings.ruling(0, &request(1, 0, None, None)).attempts, u32::MAX);
-    let homes = allowed(&rulings.ruling(0, &request(2, 0, None, Some(77))));
+    assert_eq!(rulings.evaluate(0, &request(1, 1, None, None)).attempts, 2);
+    assert_eq!(rulings.evaluate(0, &request(1, 0, None, None)).attempts, u32::MAX);
+    let homes = allowed(&rulings.evaluate(0, &request(2, 0, None, Some(77))));
     assert_eq!(homes.len(), 2);
     assert_eq!(
-        allowed(&rulings.ruling(0, &request(3, 0, Some(1), Some(77)))),
+        allowed(&rulings.evaluate(0, &request(3, 0, Some(1), Some(77)))),
         homes,
         "the same for all of it"
     );
@@ -221,11 +221,11 @@
     let refused = |after| RoutingVerdict { refuse: Some(after), ..RoutingVerdict::default() };
     let (mut rulings, publication) = rulings(rules);
     let (north, other) = (request(1, 0, Some(0), None), request(2, 0, None, None));
-    assert!(rulings.ruling(0, &north).preferred.is_some());
+    assert!(rulings.evaluate(0, &north).preferred.is_some());
     publication.revoke();
-    assert_eq!(rulings.ruling(0, &north), refused(250_000), "as the namespace says");
+    assert_eq!(rulings.evaluate(0, &north), refused(250_000), "as the namespace says");
     assert_eq!(
-        rulings.ruling(0, &other),
+        rulings.evaluate(0, &other),
         RoutingVerdict::default(),
         "no must speaks of it, and wishes are dropped"
     );
@@ -233,13 +233,13 @@
     assert_eq!(rulings.rejected_while_uncertain(), 1);
     // The lease is over by the clock alone, without a word from anybody.
     publication.grant(&plan(rules), 1, [1; 32], Clock.now() + 30_000);
-    assert_eq!(allowed(&rulings.ruling(0, &north)), [0, 2, 4, 6]);
+    assert_eq!(allowed(&rulings.evaluate(0, &north)), [0, 2, 4, 6]);
     std::thread::sleep(std::time::Duration::from_millis(40));
-    assert_eq!(rulings.ruling(0, &north), refused(250_000));
+    assert_eq!(rulings.evaluate(0, &north), refused(250_000));
 
     let (mut rulings, publication) = rulings_of(1, 0, rules, Unknown::Refuse);
     publication.revoke();
-    assert_eq!(rulings.ruling(0, &other), refused(500_000), "the operator wants it so");
+    assert_eq!(rulings.evaluate(0, &other), refused(500_000), "the operator wants it so");
 
     let keep = Rulings::new(
         Arc::default(),
@@ -247,7 +247,7 @@
         false,
         &profile(1, 0),
     );
-    assert_eq!(keep.clone().ruling(0, &other), refused(S), "nothing is known yet");
+    assert_eq!(keep.clone().evaluate(0, &other), refused(S), "nothing is known yet");
     assert_eq!(keep.basis(other.id).unwrap().version, None);
 }
 
@@ -263,7 +263,7 @@
     let rounds = 200_000;
     for id in 0..rounds {
         let asked = request(id % 64, 0, Some((id % 2) as u16), Some(id % 160));
-        std::hint::black_box(rulings.ruling(0, &asked));
+        std::hint::black_box(rulings.evaluate(0, &asked));
     }
     println!("{:?} a ruling", began.elapsed() / rounds as u32);
 }
--- a/crates/cottonnotch/src/rules/rule_evaluation.rs
+++ b/crates/cottonnotch/src/rules/rule_evaluation.rs
@@ -120,11 +120,11 @@
         }
         let part = Quota::even(self.proxies);
         for (limit, milli) in look.paces() {
-            let per_s = part.of(now, milli as f64 / 1e3);
+            let per_s = part.share_of(now, milli as f64 / 1e3);
             let bucket = self.buckets.entry(limit).or_insert_with(|| TokenBucket::new(now));
-            if !bucket.fill(now, per_s) {
+            if !bucket.refill(now, per_s) {
                 // Less than a microsecond short is short still.
-                let next = bucket.next(per_s).max(now + 1);
+                let next = bucket.next_token_at(per_s).max(now + 1);
                 ruling.not_before = ruling.not_before.max(Some(next));
             }
         }
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -113,7 +113,7 @@
     }
 
     /// The same under rules, which are asked before each send.
-    pub fn under(self, rules: Box<dyn RoutingRules>) -> Self {
+    pub fn with_rules(self, rules: Box<dyn RoutingRules>) -> Self {
         Balancer { rules: Some(rules), ..self }
     }
 
@@ -200,7 +200,7 @@
         if job.at.is_some() {
             return;
         }
-        let asked = self.rules.as_mut().map(|rules| rules.ruling(now, &job.request));
+        let asked = self.rules.as_mut().map(|rules| rules.evaluate(now, &job.request));
         let ruling = asked.unwrap_or_default();
         let left = job.deadline.map(|at| at.saturating_sub(now));
         let last_call = job.last_call(&self.settings);
@@ -239,7 +239,7 @@
             (job.sent, job.at) = (job.sent + 1, Some(server));
             job.last = self.servers.get(server.0 as usize).map(|s| (s.spot, now));
             job.tried.push(server);
-            self.rules.iter_mut().for_each(|rules| rules.sent(now, &job.request, server));
+            self.rules.iter_mut().for_each(|rules| rules.record_attempt(now, &job.request, server));
             if let Some(s) = self.server_mut(server) {
                 s.believe(now, server, out);
             }
--- a/crates/decision/src/policy/lists.rs
+++ b/crates/decision/src/policy/lists.rs
@@ -92,7 +92,7 @@
             // in step would otherwise put every node's next connection on the same server.
             let phase = f64::from(self.settings.ordinal) / f64::from(self.settings.nodes.max(1));
             let place = (unit(entry.digest) - phase).rem_euclid(1.0);
-            let first = (place + self.part.of(now, 1.0)).min(1.0);
+            let first = (place + self.part.share_of(now, 1.0)).min(1.0);
             let (turn, budget) = if back { (0.0, first) } else { (self.rotation + place / weight, place) };
             let (open, told) = (std::mem::take(&mut known.open), known.told);
             let digest = entry.digest;
--- a/crates/decision/src/policy/rotation.rs
+++ b/crates/decision/src/policy/rotation.rs
@@ -14,8 +14,8 @@
     /// The unpaused server whose turn is due first, if any; takes its turn.
     pub(super) fn pick(&mut self, now: Micros, id: RequestId, ruling: &RoutingVerdict) -> Option<ServerId> {
         // Failures wherever one turns point at something shared: more tries keep it down (ic7944d).
-        let down = self.part.failing(now, self.failing) > 0.5;
-        if down && now < self.next_send || !self.setups.fill(now, self.setups_per_s(now)) {
+        let down = self.part.failure_ratio(now, self.failing) > 0.5;
+        if down && now < self.next_send || !self.setups.refill(now, self.setups_per_s(now)) {
             return None;
         }
         let job = self.jobs.get(&id)?;
@@ -67,9 +67,9 @@
                 best = Some((key, candidate));
             }
         }
-        self.crowded = 2 * bad > heard && self.part.tier(now).is_none();
+        self.crowded = 2 * bad > heard && self.part.fleet(now).is_none();
         let server = best?.1;
-        let rate = (usual.0 * self.total_weight).max(self.part.of(now, LEAST_PACE));
+        let rate = (usual.0 * self.total_weight).max(self.part.share_of(now, LEAST_PACE));
         self.setups.take();
         self.next_send = now + (SECOND as f64 / rate) as Micros;
         let rotation = rotation.max(due.1);
@@ -90,7 +90,7 @@
         let allowed = self.settings.allowance_open();
         let open: usize = self.servers.iter().map(|s| s.open.len()).sum();
         let own = if allowed > 0.0 { open } else { self.jobs.len() } as f64;
-        let full = self.part.careful(now, allowed, own) * self.part.idle(now);
+        let full = self.part.conservative_share_of(now, allowed, own) * self.part.idle_factor(now);
         let fill = full * SECOND as f64 / self.settings.slow_start_window.max(SECOND) as f64;
         let fill = if allowed > 0.0 { fill } else { fill.max(rate) };
         (rate / self.total_weight.max(1e-9), fill / self.whole.weight(now).max(1e-9))
@@ -104,14 +104,14 @@
             s.budget = bound.map_or(s.budget, |bound| bound.filled(s.budget, now - s.filled));
             s.filled = now;
         }
-        self.part.told(now, tier);
+        self.part.update(now, tier);
     }
 
     /// Set-ups that this node may send. In a large tier, which is told of, its own last one says little.
     pub(super) fn setups_per_s(&self, now: Micros) -> f64 {
-        let quick = self.part.tier(now).is_none() && self.quick.is_some_and(|at| now - at < SECOND);
+        let quick = self.part.fleet(now).is_none() && self.quick.is_some_and(|at| now - at < SECOND);
         let allowed = self.settings.allowance_per_s().filter(|_| !quick);
-        allowed.map_or(f64::INFINITY, |allowed| self.part.of(now, SETUPS * allowed))
+        allowed.map_or(f64::INFINITY, |allowed| self.part.share_of(now, SETUPS * allowed))
     }
 
     /// When some server may next be tried: its pause has lapsed and its budget is there.
@@ -124,7 +124,7 @@
         };
         let within = |s: &&Server| repeats.is_none_or(|group| group.holds(s.spot));
         let soonest = self.allowed(ruling).filter(within).map(chance).min();
-        let setups = self.setups.next(self.setups_per_s(now));
+        let setups = self.setups.next_token_at(self.setups_per_s(now));
         soonest.unwrap_or(now + SECOND).max(setups).clamp(now + SECOND / 20, now + SECOND)
     }
 }
--- a/crates/decision/src/quota.rs
+++ b/crates/decision/src/quota.rs
@@ -7,19 +7,19 @@
 use crate::interface::{FleetStatus, Micros};
 
 /// What was told counts for this long; after that the parts are even again.
-const TOLD_FOR: Micros = 8_000_000;
+const STATUS_VALID_FOR: Micros = 8_000_000;
 /// However small a node's part was when it was told, it gets this much of an even one: clients may come to it next.
-const LEAST_OF_EVEN: f64 = 0.5;
+const MIN_SHARE_OF_EVEN: f64 = 0.5;
 /// The budget of a cold server is used by half, and careful parts add up to the whole at most: with this, all nodes together use
 /// two thirds of it, and chance has the rest. 2 earns more on the vast days (24 further seeds a kind: the worst third 0.35
 /// for 0.26 with 1) and breaks no rule there, but a simulation of 100 nodes pushes cold servers over.
-const IDLE: f64 = 4.0 / 3.0;
+const IDLE_FACTOR: f64 = 4.0 / 3.0;
 
 /// How large a node's part is, as far as it knows.
 #[derive(Clone, Copy, Debug)]
 pub struct Quota {
     nodes: f64,
-    told: Option<(FleetStatus, Micros)>,
+    status: Option<(FleetStatus, Micros)>,
 }
 
 impl Default for Quota {
@@ -31,7 +31,7 @@
 impl Quota {
     /// An even part among so many nodes; none counts as one.
     pub fn even(nodes: u32) -> Self {
-        Quota { nodes: f64::from(nodes.max(1)), told: None }
+        Quota { nodes: f64::from(nodes.max(1)), status: None }
     }
 
     /// The settings name another number of nodes. What was told goes on.
@@ -39,48 +39,48 @@
         self.nodes = f64::from(nodes.max(1));
     }
 
-    /// Somebody told what the tier is like.
-    pub fn told(&mut self, now: Micros, tier: FleetStatus) {
-        self.told = Some((tier, now));
+    /// Somebody told what the fleet is like.
+    pub fn update(&mut self, now: Micros, fleet: FleetStatus) {
+        self.status = Some((fleet, now));
     }
 
     /// What was told, if it still counts.
-    pub fn tier(&self, now: Micros) -> Option<FleetStatus> {
-        self.told.filter(|(_, at)| now - at < TOLD_FOR).map(|(tier, _)| tier)
+    pub fn fleet(&self, now: Micros) -> Option<FleetStatus> {
+        self.status.filter(|(_, at)| now - at < STATUS_VALID_FOR).map(|(fleet, _)| fleet)
     }
 
     /// Quota of the latest set-ups that failed: of this node's own, or of all nodes', as told, whichever is more.
-    pub fn failing(&self, now: Micros, own: f64) -> f64 {
-        self.tier(now).map_or(own, |tier| own.max(tier.failure_rate))
+    pub fn failure_ratio(&self, now: Micros, own: f64) -> f64 {
+        self.fleet(now).map_or(own, |fleet| own.max(fleet.failure_rate))
     }
 
-    /// How many times its part of a budget a node may count with where it is a node of a large tier, which is told of: most of
+    /// How many times its part of a budget a node may count with where it is a node of a large fleet, which is told of: most of
     /// the others have nobody waiting at the moment, and what they don't use is lost to all.
-    pub fn idle(&self, now: Micros) -> f64 {
-        if self.tier(now).is_some() { IDLE } else { 1.0 }
+    pub fn idle_factor(&self, now: Micros) -> f64 {
+        if self.fleet(now).is_some() { IDLE_FACTOR } else { 1.0 }
     }
 
     /// This node's part of what must not be overdrawn; `own` is what it has of that, and counts with where it is more and nobody
     /// tells. Parts that are told are half by demand and half even, and add up to no more than the whole. Nodes that nobody heard
     /// of, when it was told, are taken to be there and to use theirs. Guards against two sides that don't hear each other, each
     /// of which would use the whole.
-    pub fn careful(&self, now: Micros, figure: f64, own: f64) -> f64 {
-        match self.tier(now) {
-            Some(tier) if tier.demand_share.is_finite() && tier.nodes.is_finite() => {
-                let heard = tier.nodes.clamp(1.0, self.nodes) / self.nodes;
-                figure * (tier.demand_share.clamp(0.0, 1.0) * heard + 1.0 / self.nodes) / 2.0
+    pub fn conservative_share_of(&self, now: Micros, figure: f64, own: f64) -> f64 {
+        match self.fleet(now) {
+            Some(fleet) if fleet.demand_share.is_finite() && fleet.nodes.is_finite() => {
+                let heard = fleet.nodes.clamp(1.0, self.nodes) / self.nodes;
+                figure * (fleet.demand_share.clamp(0.0, 1.0) * heard + 1.0 / self.nodes) / 2.0
             }
-            Some(_) => self.of(now, figure),
-            None => self.of(now, figure).max(own),
+            Some(_) => self.share_of(now, figure),
+            None => self.share_of(now, figure).max(own),
         }
     }
 
-    /// This node's part of a figure of the whole tier. Over all nodes the parts add up to no more than half as much again.
-    pub fn of(&self, now: Micros, figure: f64) -> f64 {
-        let share = match self.tier(now) {
-            Some(tier) if tier.demand_share.is_finite() && tier.nodes.is_finite() => {
-                let even = 1.0 / tier.nodes.clamp(1.0, self.nodes);
-                tier.demand_share.clamp(LEAST_OF_EVEN * even, 1.0)
+    /// This node's part of a figure of the whole fleet. Over all nodes the parts add up to no more than half as much again.
+    pub fn share_of(&self, now: Micros, figure: f64) -> f64 {
+        let share = match self.fleet(now) {
+            Some(fleet) if fleet.demand_share.is_finite() && fleet.nodes.is_finite() => {
+                let even = 1.0 / fleet.nodes.clamp(1.0, self.nodes);
+                fleet.demand_share.clamp(MIN_SHARE_OF_EVEN * even, 1.0)
             }
             _ => 1.0 / self.nodes,
         };
@@ -92,28 +92,28 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TokenBucket {
     tokens: f64,
-    filled: Micros,
+    refilled_at: Micros,
 }
 
 /// A node whose part is less than that a second may still place two clients that come together.
-const SAVED: f64 = 2.0;
+const MAX_SAVED_TOKENS: f64 = 2.0;
 
 impl TokenBucket {
     /// A full one.
     pub fn new(now: Micros) -> Self {
-        TokenBucket { tokens: SAVED, filled: now }
+        TokenBucket { tokens: MAX_SAVED_TOKENS, refilled_at: now }
     }
 
     /// Lets in what has come since the last time, at so many a second; whether there is one to take. Without a bound on
     /// the rate there always is.
-    pub fn fill(&mut self, now: Micros, per_s: f64) -> bool {
+    pub fn refill(&mut self, now: Micros, per_s: f64) -> bool {
         if per_s.is_infinite() {
-            (self.tokens, self.filled) = (SAVED, now);
+            (self.tokens, self.refilled_at) = (MAX_SAVED_TOKENS, now);
             return true;
         }
-        let seconds = (now - self.filled).max(0) as f64 / 1e6;
-        self.tokens = (self.tokens + per_s * seconds).min(per_s.max(SAVED));
-        self.filled = now;
+        let seconds = (now - self.refilled_at).max(0) as f64 / 1e6;
+        self.tokens = (self.tokens + per_s * seconds).min(per_s.max(MAX_SAVED_TOKENS));
+        self.refilled_at = now;
         self.tokens >= 1.0
     }
 
@@ -128,8 +128,8 @@
     }
 
     /// When there will be one, at this rate.
-    pub fn next(&self, per_s: f64) -> Micros {
+    pub fn next_token_at(&self, per_s: f64) -> Micros {
         let short = (1.0 - self.tokens).max(0.0) * 1e6 / per_s.max(1e-6);
-        self.filled.saturating_add(short as Micros)
+        self.refilled_at.saturating_add(short as Micros)
     }
 }
--- a/crates/decision/src/rules.rs
+++ b/crates/decision/src/rules.rs
@@ -99,10 +99,10 @@
 /// Whoever knows the rules.
 pub trait RoutingRules: Debug {
     /// What they say of a request now.
-    fn ruling(&mut self, now: Micros, request: &Request) -> RoutingVerdict;
+    fn evaluate(&mut self, now: Micros, request: &Request) -> RoutingVerdict;
 
     /// The request is sent there, as the last ruling allowed.
-    fn sent(&mut self, now: Micros, request: &Request, server: ServerId);
+    fn record_attempt(&mut self, now: Micros, request: &Request, server: ServerId);
 
     /// What they say of moving its connection off that server; `None`: nothing.
     fn stickiness(&mut self, _now: Micros, _request: &Request, _server: ServerId) -> Option<Stickiness> {
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -23,7 +23,7 @@
     /// A connection that is not up after this long could not be made.
     pub connect_timeout: Micros,
     /// Servers note how long a message takes there, too, and not only connections' loads.
-    pub tells_delay: bool,
+    pub reports_latency: bool,
 }
 
 impl Profile {
@@ -35,7 +35,7 @@
     /// These settings in place of `old` ones, under the numbers that those gave. Guards against connections
     /// that are open: they carry a class, a tenant and a zone by number, and a new file may have another
     /// order, or leave some out.
-    pub fn succeed(mut self, old: &Profile) -> Profile {
+    pub fn renumbered_from(mut self, old: &Profile) -> Profile {
         let (mut classes, mut class_list) = (old.classes.clone(), old.settings.classes.clone());
         let offered: BTreeSet<u32> = (self.settings.classes.drain(..).enumerate())
             .map(|(i, class)| place_class(&mut classes, &mut class_list, self.classes.name(i as u32), class))
@@ -90,19 +90,19 @@
     number
 }
 
-/// A setting that cannot be used: its key, and the trouble with its value.
+/// A setting that cannot be used: its key, and the problem with its value.
 #[derive(Debug, PartialEq, Eq)]
 pub struct InvalidSetting {
     /// The faulty key, by its full path.
     pub key: String,
     /// What is wrong, to be read after the key.
-    pub trouble: String,
+    pub problem: String,
 }
 
 impl InvalidSetting {
-    fn new(key: &str, trouble: &str, found: &str, allowed: &str) -> Self {
+    fn new(key: &str, problem: &str, found: &str, allowed: &str) -> Self {
         let short: String = found.chars().take(40).collect();
-        InvalidSetting { key: key.to_owned(), trouble: format!("{trouble}: '{short}', allowed: {allowed}") }
+        InvalidSetting { key: key.to_owned(), problem: format!("{problem}: '{short}', allowed: {allowed}") }
     }
 }
 
@@ -121,7 +121,7 @@
 impl Pairs {
     /// What [`read`] asked for, by key: the default that it took, or nothing where the pairs had a value. For
     /// those who check a configuration: what was given and not asked for has no effect.
-    pub fn asked(&self) -> BTreeMap<String, Option<String>> {
+    pub fn lookups(&self) -> BTreeMap<String, Option<String>> {
         self.1.borrow().clone()
     }
 
@@ -149,8 +149,8 @@
         if value >= least {
             return Ok(value);
         }
-        let (trouble, allowed) = (format!("is below {least}"), format!("{least} or more"));
-        Err(InvalidSetting::new(key, &trouble, self.text(key).unwrap_or_default(), &allowed))
+        let (problem, allowed) = (format!("is below {least}"), format!("{least} or more"));
+        Err(InvalidSetting::new(key, &problem, self.text(key).unwrap_or_default(), &allowed))
     }
 
     fn time(&self, key: &str, default: Micros) -> Result<Micros, InvalidSetting> {
@@ -268,7 +268,7 @@
         migration_price: pairs.figure("prices.moves", 0.0)?,
     };
     let connect_timeout = pairs.time("policyLimits.connectTimeout", 250_000)?;
-    let tells_delay = pairs.flag("familyInfo.tellsDelay")?;
+    let reports_latency = pairs.flag("familyInfo.tellsDelay")?;
     let withdrawn = BTreeSet::new();
-    Ok(Profile { settings, classes, withdrawn, tenants, zones, connect_timeout, tells_delay })
+    Ok(Profile { settings, classes, withdrawn, tenants, zones, connect_timeout, reports_latency })
 }
--- a/crates/decision/tests/any_settings/rulings.rs
+++ b/crates/decision/tests/any_settings/rulings.rs
@@ -36,11 +36,11 @@
 }
 
 impl RoutingRules for Whims {
-    fn ruling(&mut self, now: Micros, request: &Request) -> RoutingVerdict {
+    fn evaluate(&mut self, now: Micros, request: &Request) -> RoutingVerdict {
         self.say(now, request.id)
     }
 
-    fn sent(&mut self, _now: Micros, _request: &Request, _server: ServerId) {}
+    fn record_attempt(&mut self, _now: Micros, _request: &Request, _server: ServerId) {}
 
     fn stickiness(&mut self, _now: Micros, request: &Request, _server: ServerId) -> Option<Stickiness> {
         [None, Some(Stickiness::MigrateLast), Some(Stickiness::UntilDrained)][request.id.0 as usize % 3]
--- a/crates/decision/tests/any_settings/world.rs
+++ b/crates/decision/tests/any_settings/world.rs
@@ -102,7 +102,7 @@
         random: plan.seed,
         now: START,
         node: match heard {
-            Some(whims) => node.under(Box::new(whims)),
+            Some(whims) => node.with_rules(Box::new(whims)),
             None => node,
         },
         judge: Judge::new(figures),
--- a/crates/decision/tests/quota.rs
+++ b/crates/decision/tests/quota.rs
@@ -8,10 +8,10 @@
 #[test]
 fn even_parts_add_up_to_the_whole_at_any_number_of_nodes() {
     for nodes in [1_u32, 2, 30, 300, 3_000] {
-        let sum: f64 = (0..nodes).map(|_| Quota::even(nodes).of(0, 60.0)).sum();
+        let sum: f64 = (0..nodes).map(|_| Quota::even(nodes).share_of(0, 60.0)).sum();
         assert!((sum - 60.0).abs() < 1e-6, "{nodes} nodes: {sum}");
     }
-    assert_eq!(Quota::even(0).of(0, 60.0), 60.0, "a number that is missing counts as one");
+    assert_eq!(Quota::even(0).share_of(0, 60.0), 60.0, "a number that is missing counts as one");
 }
 
 #[test]
@@ -21,8 +21,8 @@
     let parts: Vec<f64> = shares
         .map(|part| {
             let mut own = Quota::even(300);
-            own.told(0, FleetStatus { nodes: 100.0, demand_share: part, failure_rate: 0.0 });
-            own.of(S, 60.0)
+            own.update(0, FleetStatus { nodes: 100.0, demand_share: part, failure_rate: 0.0 });
+            own.share_of(S, 60.0)
         })
         .collect();
     let sum: f64 = parts.iter().sum();
@@ -34,11 +34,11 @@
 #[test]
 fn what_was_told_lapses_and_nonsense_is_bounded() {
     let mut part = Quota::even(10);
-    part.told(0, FleetStatus { nodes: 2.0, demand_share: 0.5, failure_rate: 0.0 });
-    assert_eq!((part.of(S, 10.0), part.of(9 * S, 10.0)), (5.0, 1.0));
+    part.update(0, FleetStatus { nodes: 2.0, demand_share: 0.5, failure_rate: 0.0 });
+    assert_eq!((part.share_of(S, 10.0), part.share_of(9 * S, 10.0)), (5.0, 1.0));
     for (nodes, told) in [(0.0, 7.0), (f64::NAN, f64::NAN), (f64::NAN, 0.5), (1e9, -1.0)] {
-        part.told(0, FleetStatus { nodes, demand_share: told, failure_rate: 0.0 });
-        let share = part.of(S, 1.0);
+        part.update(0, FleetStatus { nodes, demand_share: told, failure_rate: 0.0 });
+        let share = part.share_of(S, 1.0);
         assert!((0.05..=1.0).contains(&share), "{nodes} {told}: {share}");
     }
 }
@@ -48,14 +48,14 @@
     let mut bucket = TokenBucket::new(0);
     let mut taken = 0;
     for now in (0..100 * S).step_by(10_000) {
-        if bucket.fill(now, 0.5) {
+        if bucket.refill(now, 0.5) {
             bucket.take();
             taken += 1;
-            assert!(bucket.fill(now, 0.5) || bucket.next(0.5) > now);
+            assert!(bucket.refill(now, 0.5) || bucket.next_token_at(0.5) > now);
         }
     }
     assert!((51..=52).contains(&taken), "{taken}");
-    assert!(TokenBucket::default().next(0.0) > 1_000 * S);
+    assert!(TokenBucket::default().next_token_at(0.0) > 1_000 * S);
 }
 
 #[test]
@@ -63,8 +63,8 @@
     for (nodes, side) in [(2_u32, 1_u32), (20, 6), (30, 10), (440, 147)] {
         let part = |heard: u32, part: f64| {
             let mut own = Quota::even(nodes);
-            own.told(0, FleetStatus { nodes: f64::from(heard), demand_share: part, failure_rate: 0.0 });
-            own.careful(S, 60.0, 1e9)
+            own.update(0, FleetStatus { nodes: f64::from(heard), demand_share: part, failure_rate: 0.0 });
+            own.conservative_share_of(S, 60.0, 1e9)
         };
         // On each side one has all, and the rest nothing.
         let of_side = |heard: u32| part(heard, 1.0) + f64::from(heard - 1) * part(heard, 0.0);
@@ -78,7 +78,10 @@
 #[test]
 fn a_careful_part_is_even_or_what_one_has_where_nobody_tells() {
     let mut part = Quota::even(10);
-    assert_eq!((part.careful(0, 10.0, 0.0), part.careful(0, 10.0, 3.0)), (1.0, 3.0));
-    part.told(0, FleetStatus { nodes: f64::NAN, demand_share: f64::NAN, failure_rate: 0.0 });
-    assert!((0.0..=10.0).contains(&part.careful(S, 10.0, 0.0)));
+    assert_eq!(
+        (part.conservative_share_of(0, 10.0, 0.0), part.conservative_share_of(0, 10.0, 3.0)),
+        (1.0, 3.0)
+    );
+    part.update(0, FleetStatus { nodes: f64::NAN, demand_share: f64::NAN, failure_rate: 0.0 });
+    assert!((0.0..=10.0).contains(&part.conservative_share_of(S, 10.0, 0.0)));
 }
--- a/crates/decision/tests/rulebook.rs
+++ b/crates/decision/tests/rulebook.rs
@@ -24,13 +24,13 @@
 }
 
 impl RoutingRules for Told {
-    fn ruling(&mut self, _: Micros, _: &Request) -> RoutingVerdict {
+    fn evaluate(&mut self, _: Micros, _: &Request) -> RoutingVerdict {
         let mut inner = self.0.borrow_mut();
         inner.asked += 1;
         inner.ruling.clone()
     }
 
-    fn sent(&mut self, _: Micros, _: &Request, server: ServerId) {
+    fn record_attempt(&mut self, _: Micros, _: &Request, server: ServerId) {
         self.0.borrow_mut().sent.push(server);
     }
 
@@ -48,7 +48,7 @@
 fn under(settings: Settings, servers: u32) -> (Node, Told) {
     let told = Told::default();
     let mut node = Node::new(settings.clone(), 0);
-    node.balancer = Balancer::new(settings, 7, node.now).under(Box::new(told.clone()));
+    node.balancer = Balancer::new(settings, 7, node.now).with_rules(Box::new(told.clone()));
     let entries = (0..servers).map(|s| entry(s, ServerState::Ready)).collect();
     node.tell(Event::List { full: true, copy: true, entries });
     (node, told)
--- a/crates/decision/tests/settings.rs
+++ b/crates/decision/tests/settings.rs
@@ -126,13 +126,13 @@
 
 #[test]
 fn the_example_of_the_page_is_taken() {
-    let Profile { settings, connect_timeout, tells_delay, .. } = with(&[]).expect("sound");
+    let Profile { settings, connect_timeout, reports_latency, .. } = with(&[]).expect("sound");
     assert_eq!((settings.nodes, settings.classes.len(), settings.tenants.len()), (5, 3, 3));
     assert_eq!(settings.classes[2].target, 500_000);
     assert_eq!(settings.classes[1].message_latency_objective, 60_000);
     assert_eq!(settings.tenants[2].allowance_open, 89.0);
     assert_eq!((settings.list_on_request, settings.list_pushed), (true, false));
-    assert_eq!((connect_timeout, tells_delay), (250_000, true));
+    assert_eq!((connect_timeout, reports_latency), (250_000, true));
 }
 
 #[test]
@@ -168,7 +168,7 @@
             _ if list => format!("{key}.0"),
             _ => key.to_owned(),
         };
-        assert_eq!((bad.key, bad.trouble.as_str()), (path, trouble));
+        assert_eq!((bad.key, bad.problem.as_str()), (path, trouble));
     }
 }
 
@@ -176,7 +176,7 @@
 fn what_is_found_is_shown_in_short() {
     let long = "x".repeat(5_000);
     let bad = with(&[("step", Some(&long))]).expect_err("no number");
-    assert!(bad.trouble.len() < 120, "{}", bad.trouble);
+    assert!(bad.problem.len() < 120, "{}", bad.problem);
 }
 
 #[test]
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -474,7 +474,7 @@
     }
     match settings::read(&pairs) {
         Ok(profile) => Ok(profile),
-        Err(error) => bad("profileData", format!("{} {}", error.key, error.trouble)),
+        Err(error) => bad("profileData", format!("{} {}", error.key, error.problem)),
     }
 }
 
