--- a/crates/cottonnotch/src/rules/compile_worker.rs
+++ b/crates/cottonnotch/src/rules/compile_worker.rs
@@ -7,7 +7,7 @@
 use super::status::StatusBoard;
 use super::version_content::{Compiled, Content, Library, hex};
 use cottonnotch_consensus::{ContentHash, Input, Micros, ProposalOutcome, Topic, Verdict};
-use cottonnotch_routing_rules::{Conflict, File, Ledger, Merged, World, merge};
+use cottonnotch_routing_rules::{Conflict, History, Inventory, Merged, RuleFile, merge};
 use cottonnotch_rule_compiler::{Profiles, contradiction};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -35,9 +35,9 @@
     /// What this process holds, and whether nothing ever was in force.
     Held { version: Option<ContentHash>, is_first: bool },
     /// This proxy's own files, and what each hardware class can run.
-    Own { files: Vec<File>, profiles: Profiles },
+    Own { files: Vec<RuleFile>, profiles: Profiles },
     /// What there is to be ruled.
-    World(World),
+    Inventory(Inventory),
 }
 
 /// Where a content goes that was made here.
@@ -59,11 +59,11 @@
     library: Library,
     board: Arc<StatusBoard>,
     members: Vec<SocketAddr>,
-    files: Vec<File>,
+    files: Vec<RuleFile>,
     profiles: Profiles,
     /// The profiles changed while in use, and were not proposed yet.
     new_profiles: bool,
-    world: Option<World>,
+    world: Option<Inventory>,
     held: Option<ContentHash>,
     is_first: Option<Instant>,
     /// What this process has asked to be put in force.
@@ -143,7 +143,7 @@
                 (self.files, self.profiles, self.given_up) = (files, profiles, None);
                 self.propose();
             }
-            Job::World(world) => {
+            Job::Inventory(world) => {
                 self.world = Some(world);
                 self.propose();
             }
@@ -183,7 +183,7 @@
             world.tenants.extend(known.tenants);
             world.classes.extend(known.classes);
         }
-        let empty = Ledger::default();
+        let empty = History::default();
         let last = base.as_ref().map_or(&empty, |base| &base.content.ledger);
         let Merged { book, ledger, conflicts, .. } = merge(last, &overlay(last, &self.files), &world);
         self.note(conflicts.iter().flat_map(|conflict| {
--- a/crates/cottonnotch/src/rules/golden_tests.rs
+++ b/crates/cottonnotch/src/rules/golden_tests.rs
@@ -6,7 +6,7 @@
 use super::version_content::{Compiled, Content};
 use cottonnotch_consensus::DurableState;
 use cottonnotch_golden::{assert_bytes, golden_path};
-use cottonnotch_routing_rules::{File, Ledger, Merged, World, merge};
+use cottonnotch_routing_rules::{History, Inventory, Merged, RuleFile, merge};
 use cottonnotch_rule_compiler::{Profile, Profiles};
 
 const FILE: &str = r#"
@@ -22,9 +22,9 @@
 "#;
 
 fn content() -> Content {
-    let world = World::of("consortium", &["a"], &["print"], &["north"], &["small", "large"], 100);
-    let files = [File::new("consortium.toml", FILE)];
-    let Merged { book, ledger, .. } = merge(&Ledger::default(), &files, &world);
+    let world = Inventory::of("consortium", &["a"], &["print"], &["north"], &["small", "large"], 100);
+    let files = [RuleFile::new("consortium.toml", FILE)];
+    let Merged { book, ledger, .. } = merge(&History::default(), &files, &world);
     let profiles = Profiles::from([("large".to_owned(), Profile::full())]);
     Content::new(Some([7; 32]), ledger, book, profiles, world)
 }
--- a/crates/cottonnotch/src/rules/local_overrides.rs
+++ b/crates/cottonnotch/src/rules/local_overrides.rs
@@ -1,14 +1,14 @@
 //! What a proxy's own files change of what is in force. Folders differ from proxy to proxy, and none has to have all files.
 
-use cottonnotch_routing_rules::{File, Ledger, read};
+use cottonnotch_routing_rules::{History, RuleFile, read};
 use std::collections::BTreeMap;
 
 /// The files that count: those in force, with this proxy's in place of older ones.
-pub fn overlay(last: &Ledger, own: &[File]) -> Vec<File> {
-    let mut files: BTreeMap<String, (u64, File)> = BTreeMap::new();
+pub fn overlay(last: &History, own: &[RuleFile]) -> Vec<RuleFile> {
+    let mut files: BTreeMap<String, (u64, RuleFile)> = BTreeMap::new();
     for (namespace, entry) in &last.namespaces {
         if let Some(good) = &entry.good {
-            let file = File::new(good.file.clone(), good.text.as_bytes());
+            let file = RuleFile::new(good.file.clone(), good.text.as_bytes());
             files.insert(namespace.clone(), (good.revision, file));
         }
     }
@@ -35,7 +35,7 @@
 
 /// Whether some namespace has a newer revision in force. Guards against proxies whose folders or worlds differ and that would
 /// replace one another's for ever: revisions only go up.
-pub fn advances(last: &Ledger, new: &Ledger) -> bool {
+pub fn advances(last: &History, new: &History) -> bool {
     new.namespaces.iter().any(|(namespace, entry)| {
         let before = last.namespaces.get(namespace).and_then(|entry| entry.good.as_ref());
         entry.good.as_ref().map(|good| good.revision) > before.map(|good| good.revision)
--- a/crates/cottonnotch/src/rules/local_overrides_tests.rs
+++ b/crates/cottonnotch/src/rules/local_overrides_tests.rs
@@ -1,30 +1,30 @@
 use super::*;
-use cottonnotch_routing_rules::{World, merge};
+use cottonnotch_routing_rules::{Inventory, merge};
 
-fn file(namespace: &str, revision: u64, most: u32) -> File {
+fn file(namespace: &str, revision: u64, most: u32) -> RuleFile {
     let rule = format!("[[rule]]\nname = \"r\"\nattempts = {{ most = {most} }}\n");
     let delegate = match namespace.contains('/') {
         true => String::new(),
         false => "[[delegate]]\nto = \"c/one\"\ntenants = [\"t\"]\n".to_owned(),
     };
     let name = format!("{}.toml", namespace.replace('/', "-"));
-    File::new(name, format!("namespace = \"{namespace}\"\nrevision = {revision}\n{delegate}{rule}"))
+    RuleFile::new(name, format!("namespace = \"{namespace}\"\nrevision = {revision}\n{delegate}{rule}"))
 }
 
-fn merged(last: &Ledger, own: &[File]) -> (Ledger, usize) {
-    let world = World::of("c", &["t"], &["look"], &["a"], &["x"], 100);
+fn merged(last: &History, own: &[RuleFile]) -> (History, usize) {
+    let world = Inventory::of("c", &["t"], &["look"], &["a"], &["x"], 100);
     let merged = merge(last, &overlay(last, own), &world);
     (merged.ledger, merged.conflicts.len())
 }
 
 #[test]
 fn newer_files_count_older_ones_say_nothing_and_missing_ones_stay() {
-    let (first, conflicts) = merged(&Ledger::default(), &[file("c", 3, 5), file("c/one", 1, 4)]);
-    assert!(conflicts == 0 && advances(&Ledger::default(), &first));
+    let (first, conflicts) = merged(&History::default(), &[file("c", 3, 5), file("c/one", 1, 4)]);
+    assert!(conflicts == 0 && advances(&History::default(), &first));
     // A proxy that has the child's newer file only.
     let (second, conflicts) = merged(&first, &[file("c/one", 2, 3)]);
     assert!(conflicts == 0 && advances(&first, &second) && !advances(&second, &first));
-    let revision = |of: &Ledger, namespace: &str| of.namespaces[namespace].in_force;
+    let revision = |of: &History, namespace: &str| of.namespaces[namespace].in_force;
     assert_eq!((revision(&second, "c"), revision(&second, "c/one")), (Some(3), Some(2)));
     // One whose folder is behind, and one that has nothing.
     for own in [vec![file("c", 2, 9), file("c/one", 1, 4)], Vec::new()] {
@@ -36,8 +36,8 @@
 
 #[test]
 fn a_broken_file_holds_back_its_namespace_on_what_was_good_and_no_other() {
-    let (first, _) = merged(&Ledger::default(), &[file("c", 3, 5), file("c/one", 1, 4)]);
-    let broken = File::new("c-one.toml", "namespace = ");
+    let (first, _) = merged(&History::default(), &[file("c", 3, 5), file("c/one", 1, 4)]);
+    let broken = RuleFile::new("c-one.toml", "namespace = ");
     let (second, conflicts) = merged(&first, &[file("c", 4, 5), broken]);
     assert!(conflicts == 1 && advances(&first, &second));
     assert_eq!((second.namespaces["c"].in_force, second.namespaces["c/one"].in_force), (Some(4), Some(1)));
@@ -47,11 +47,11 @@
 
 #[test]
 fn two_contents_of_one_revision_are_a_conflict_and_change_nothing() {
-    let (first, _) = merged(&Ledger::default(), &[file("c", 3, 5)]);
+    let (first, _) = merged(&History::default(), &[file("c", 3, 5)]);
     let (second, conflicts) = merged(&first, &[file("c", 3, 6)]);
     assert!(conflicts == 1 && !advances(&first, &second));
     assert_eq!(second.namespaces["c"].good, first.namespaces["c"].good);
-    let other = File::new("again.toml", file("c", 4, 7).text);
+    let other = RuleFile::new("again.toml", file("c", 4, 7).text);
     let (_, conflicts) = merged(&first, &[file("c", 4, 6), other]);
     assert!(conflicts > 0, "two files of one folder");
 }
--- a/crates/cottonnotch/src/rules/report.rs
+++ b/crates/cottonnotch/src/rules/report.rs
@@ -4,7 +4,7 @@
 use super::config::ConsensusSection;
 use super::settings::RulesSettings;
 use cottonnotch_decision::settings::Profile;
-use cottonnotch_routing_rules::{Kind, Ledger, Merged, Rule, Strength, merge};
+use cottonnotch_routing_rules::{History, Merged, Rule, RuleKind, Strength, merge};
 use cottonnotch_rule_compiler::lower;
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -38,7 +38,7 @@
         return writeln!(text, "rules: known names no render node, so rules cannot be judged here");
     }
     let world = settings.world(profile, listed);
-    let Merged { book, ledger, conflicts } = merge(&Ledger::default(), &settings.files, &world);
+    let Merged { book, ledger, conflicts } = merge(&History::default(), &settings.files, &world);
     for owner in &book.namespaces {
         writeln!(text, "rules: {} revision {}, in doubt: {:?}", owner.path, owner.revision, owner.on_doubt)?;
     }
@@ -61,8 +61,8 @@
 
 fn line(rule: &Rule) -> String {
     let strength = match rule.strength {
-        Strength::Must => "must",
-        Strength::Wish => "wish",
+        Strength::Requirement => "must",
+        Strength::Preference => "wish",
     };
     let names = |what: &str, names: &BTreeSet<String>| match names.is_empty() {
         true => String::new(),
@@ -74,16 +74,16 @@
         on += &format!(" groups {}", rule.on.groups.iter().map(range).collect::<Vec<_>>().join(","));
     }
     let asks = match &rule.kind {
-        Kind::Place { how, halls, hardware } => {
+        RuleKind::Place { how, halls, hardware } => {
             format!("{how:?}{}{}", names("halls", halls), names("hardware", hardware)).to_lowercase()
         }
-        Kind::Cap { connections, halls, hardware } => {
+        RuleKind::Cap { connections, halls, hardware } => {
             format!("cap {connections}{}{}", names("halls", halls), names("hardware", hardware))
         }
-        Kind::Spread { nodes } => format!("spread {nodes}"),
-        Kind::Pace { per_s_milli } => format!("pace {} a second", *per_s_milli as f64 / 1e3),
-        Kind::Attempts { most } => format!("attempts {most}"),
-        Kind::Move { when } => format!("move {when:?}").to_lowercase(),
+        RuleKind::Spread { nodes } => format!("spread {nodes}"),
+        RuleKind::Pace { per_s_milli } => format!("pace {} a second", *per_s_milli as f64 / 1e3),
+        RuleKind::Attempts { most } => format!("attempts {most}"),
+        RuleKind::Move { when } => format!("move {when:?}").to_lowercase(),
     };
     let on = if on.is_empty() { " all".to_owned() } else { on };
     format!("{}:{} {strength} on{on}: {asks} ({}, line {})", rule.namespace, rule.name, rule.file, rule.line)
--- a/crates/cottonnotch/src/rules/routing_verdict.rs
+++ b/crates/cottonnotch/src/rules/routing_verdict.rs
@@ -13,7 +13,7 @@
     Entry, Micros, Request, RequestId, RoutingRules, RoutingVerdict, ServerId, Stickiness,
 };
 use cottonnotch_records::Name;
-use cottonnotch_routing_rules::{OnDoubt, When};
+use cottonnotch_routing_rules::{MoveCondition, UncertaintyPolicy};
 use cottonnotch_rule_compiler::Plan;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -40,7 +40,7 @@
     pub rules: Vec<Name>,
     /// It was not known whether the version is in force.
     pub is_uncertain: bool,
-    /// When that was evaluated_at at, by [`Clock`].
+    /// MoveCondition that was evaluated_at at, by [`Clock`].
     pub evaluated_at: Micros,
 }
 
@@ -162,8 +162,8 @@
         let plan = &reading.as_ref()?.plan;
         let asked = asked(&state.tenants, &state.classes, request);
         match state.reckoning.moves(&plan.look(&asked), server)? {
-            When::Last => Some(Stickiness::MigrateLast),
-            When::DrainsOnly => Some(Stickiness::UntilDrained),
+            MoveCondition::Last => Some(Stickiness::MigrateLast),
+            MoveCondition::DrainsOnly => Some(Stickiness::UntilDrained),
         }
     }
 }
@@ -204,7 +204,7 @@
         };
         let ruling = match (is_uncertain, look.on_doubt()) {
             (true, None) => return self.doubted(request, published.number, rules, evaluated_at),
-            (true, Some(OnDoubt::Refuse { retry_ms })) => {
+            (true, Some(UncertaintyPolicy::Refuse { retry_ms })) => {
                 self.rejected_while_uncertain += 1;
                 RoutingVerdict { refuse: Some(Micros::from(retry_ms) * 1_000), ..RoutingVerdict::default() }
             }
--- a/crates/cottonnotch/src/rules/routing_verdict_tests.rs
+++ b/crates/cottonnotch/src/rules/routing_verdict_tests.rs
@@ -4,7 +4,7 @@
 use crate::rules::clock::Clock;
 use cottonnotch_decision::names::Names;
 use cottonnotch_decision::{Class, ClassId, Idempotency, ServerState, Settings, TenantId, ZoneId};
-use cottonnotch_routing_rules::{File, Ledger, World, merge};
+use cottonnotch_routing_rules::{History, Inventory, RuleFile, merge};
 use cottonnotch_rule_compiler::{Profile as Hardware, Profiles, lower};
 
 use std::collections::BTreeSet;
@@ -51,8 +51,8 @@
     let text =
         format!("namespace = \"consortium\"\nrevision = 1\non_doubt = \"refuse\"\nretry_ms = 250\n{rules}");
     let world =
-        World::of("consortium", &["north", "south"], &["look", "edit"], &["a", "b"], &["x", "y"], 1_000);
-    let merged = merge(&Ledger::default(), &[File::new("consortium.toml", text)], &world);
+        Inventory::of("consortium", &["north", "south"], &["look", "edit"], &["a", "b"], &["x", "y"], 1_000);
+    let merged = merge(&History::default(), &[RuleFile::new("consortium.toml", text)], &world);
     assert_eq!(merged.conflicts, []);
     let profiles: Profiles = ["x", "y"].map(|class| (class.to_owned(), Hardware::full())).into();
     Arc::new(lower(&merged.book, &profiles).plan)
--- a/crates/cottonnotch/src/rules/rule_evaluation.rs
+++ b/crates/cottonnotch/src/rules/rule_evaluation.rs
@@ -5,7 +5,7 @@
 use super::node_kinds::{Fleet, NodeKind, NodeKindSet};
 use cottonnotch_decision::quota::{Quota, TokenBucket};
 use cottonnotch_decision::{Micros, RoutingVerdict, ServerId};
-use cottonnotch_routing_rules::{Node, Request, When};
+use cottonnotch_routing_rules::{MoveCondition, Node, Request};
 use cottonnotch_rule_compiler::{LimitId, Look, NodeKey, Plan};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -78,7 +78,7 @@
     }
 
     /// When a connection may be moved off that node.
-    pub fn moves(&self, look: &Look, server: ServerId) -> Option<When> {
+    pub fn moves(&self, look: &Look, server: ServerId) -> Option<MoveCondition> {
         let kind = self.fleet.kinds().get(self.fleet.kind(server)?)?;
         look.move_when_on(&node(kind))
     }
--- a/crates/cottonnotch/src/rules/rules_folder.rs
+++ b/crates/cottonnotch/src/rules/rules_folder.rs
@@ -1,7 +1,7 @@
 //! The folder with the namespaces' files. A file that can't be read, or isn't a namespace's, is handed on as it is: the merge
 //! holds its namespace back, on what was good last, and says why. So one owner's slip stops no other's change, and no start.
 
-use cottonnotch_routing_rules::{BadFile, File, MOST_BYTES, read};
+use cottonnotch_routing_rules::{MAX_FILE_BYTES, RuleFile, RuleFileError, read};
 use std::io::Read;
 use std::path::Path;
 
@@ -16,7 +16,7 @@
 }
 
 /// Reads every `*.toml` in the folder.
-pub fn read_folder(folder: &Path) -> Result<Vec<File>, BadFolder> {
+pub fn read_folder(folder: &Path) -> Result<Vec<RuleFile>, BadFolder> {
     let unreadable = |error| BadFolder { path: folder.display().to_string(), error };
     let mut files = Vec::new();
     for entry in std::fs::read_dir(folder).map_err(unreadable)? {
@@ -31,7 +31,7 @@
             Vec::new()
         });
         // By its name alone: folders differ from proxy to proxy, and what is agreed on must not.
-        files.push(File::new(name, text));
+        files.push(RuleFile::new(name, text));
     }
     files.sort();
     Ok(files)
@@ -40,12 +40,12 @@
 /// No more than shows that a file is too large: it may be of any size.
 fn read_text(path: &Path) -> std::io::Result<Vec<u8>> {
     let mut text = Vec::new();
-    std::fs::File::open(path)?.take(MOST_BYTES as u64 + 1).read_to_end(&mut text)?;
+    std::fs::File::open(path)?.take(MAX_FILE_BYTES as u64 + 1).read_to_end(&mut text)?;
     Ok(text)
 }
 
 /// The first file that isn't a namespace's, for whoever asks before files are put in place.
-pub fn faulty(files: &[File]) -> Option<BadFile> {
+pub fn faulty(files: &[RuleFile]) -> Option<RuleFileError> {
     files.iter().find_map(|file| read(file).err())
 }
 
--- a/crates/cottonnotch/src/rules/rules_folder_tests.rs
+++ b/crates/cottonnotch/src/rules/rules_folder_tests.rs
@@ -7,14 +7,14 @@
     write("good.toml", b"namespace = \"r\"\nrevision = 1\n");
     assert_eq!(faulty(&read_folder(folder.path()).unwrap()), None);
     write("broken.toml", b"namespace = ");
-    write("huge.toml", &vec![b'#'; 3 * MOST_BYTES]);
+    write("huge.toml", &vec![b'#'; 3 * MAX_FILE_BYTES]);
     write(".half.toml", b"");
     write("notes.txt", b"");
     std::fs::create_dir(folder.path().join("odd.toml")).unwrap();
     let files = read_folder(folder.path()).unwrap();
     let names: Vec<&str> = files.iter().map(|file| &*file.path_on_disk).collect();
     assert_eq!(names, ["broken.toml", "good.toml", "huge.toml", "odd.toml"]);
-    assert_eq!(files[2].text.len(), MOST_BYTES + 1);
+    assert_eq!(files[2].text.len(), MAX_FILE_BYTES + 1);
     assert_eq!(faulty(&files).unwrap().file, "broken.toml");
     assert!(faulty(&files[2..3]).is_some(), "it is too large");
     assert!(read_folder(Path::new("/nowhere/at/all")).is_err());
--- a/crates/cottonnotch/src/rules/service.rs
+++ b/crates/cottonnotch/src/rules/service.rs
@@ -135,7 +135,7 @@
         let nodes: std::collections::BTreeSet<_> = self.rulings.kinds().into_iter().map(named).collect();
         // With no node nothing can be placed, and no rule be judged.
         if !nodes.is_empty() {
-            self.ask(Job::World(self.settings.world(profile, nodes)));
+            self.ask(Job::Inventory(self.settings.world(profile, nodes)));
         }
     }
 
--- a/crates/cottonnotch/src/rules/settings.rs
+++ b/crates/cottonnotch/src/rules/settings.rs
@@ -5,7 +5,7 @@
 use crate::config::OperatorConfig;
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_proxy_core::envelope::EnvelopeKey;
-use cottonnotch_routing_rules::{BadFile, File, World};
+use cottonnotch_routing_rules::{Inventory, RuleFile, RuleFileError};
 use cottonnotch_rule_compiler::Profiles;
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub struct RulesSettings {
     /// The namespaces' files.
-    pub files: Vec<File>,
+    pub files: Vec<RuleFile>,
     /// What each hardware class can run.
     pub profiles: Profiles,
     /// How the others are agreed with, if they are.
@@ -33,7 +33,7 @@
     Folder(#[from] BadFolder),
     /// A file in it.
     #[error("rules.folder has a faulty file: {0}")]
-    File(#[from] BadFile),
+    File(#[from] RuleFileError),
     /// The key.
     #[error("accord.key_file cannot be read: '{path}': {error}")]
     NoKey {
@@ -78,7 +78,7 @@
     }
 
     /// The world that is ruled, with render nodes of these kinds.
-    pub fn world(&self, profile: &Profile, nodes: BTreeSet<(String, String)>) -> World {
+    pub fn world(&self, profile: &Profile, nodes: BTreeSet<(String, String)>) -> Inventory {
         let Profile { settings, classes, tenants, .. } = profile;
         let stated = settings.allowance_open();
         let connections = match self.connections {
@@ -86,7 +86,7 @@
             0 => u64::MAX,
             connections => connections,
         };
-        World {
+        Inventory {
             root: self.root.clone(),
             tenants: (0..settings.tenants.len()).map(|i| tenants.name(i as u32).to_owned()).collect(),
             classes: (0..settings.classes.len()).map(|i| classes.name(i as u32).to_owned()).collect(),
--- a/crates/cottonnotch/src/rules/version_content.rs
+++ b/crates/cottonnotch/src/rules/version_content.rs
@@ -2,7 +2,7 @@
 //! that all have the same book, and lower it by the same profiles to the same plan.
 
 use cottonnotch_consensus::ContentHash;
-use cottonnotch_routing_rules::{Book, Ledger, World};
+use cottonnotch_routing_rules::{Book, History, Inventory};
 use cottonnotch_rule_compiler::{Plan, Profiles, lower};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -23,13 +23,13 @@
     /// What was in force when it was made: it is good for no other.
     pub base: Option<ContentHash>,
     /// Each namespace's state and last good file.
-    pub ledger: Ledger,
+    pub ledger: History,
     /// What the files come to.
     pub book: Book,
     /// What each hardware class can run.
     pub profiles: Profiles,
     /// What there is to be ruled, as far as any proposer knew.
-    pub world: World,
+    pub world: Inventory,
 }
 
 /// Why bytes can't be run.
@@ -63,10 +63,10 @@
     /// A content made on top of `base`.
     pub fn new(
         base: Option<ContentHash>,
-        ledger: Ledger,
+        ledger: History,
         book: Book,
         profiles: Profiles,
-        world: World,
+        world: Inventory,
     ) -> Self {
         Content { form: FORM, base, ledger, book, profiles, world }
     }
--- a/crates/cottonnotch/src/rules/version_content_tests.rs
+++ b/crates/cottonnotch/src/rules/version_content_tests.rs
@@ -1,8 +1,10 @@
 use super::*;
 
 fn compiled(step: u64) -> Compiled {
-    let ledger = Ledger { step, ..Ledger::default() };
-    Content::new(Some([7; 32]), ledger, Book::default(), Profiles::new(), World::default()).compile().unwrap()
+    let ledger = History { step, ..History::default() };
+    Content::new(Some([7; 32]), ledger, Book::default(), Profiles::new(), Inventory::default())
+        .compile()
+        .unwrap()
 }
 
 #[test]
--- a/crates/routing-rules/benches/merge.rs
+++ b/crates/routing-rules/benches/merge.rs
@@ -5,7 +5,7 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use cottonnotch_routing_rules::{File, Ledger, Merger, World, merge};
+use cottonnotch_routing_rules::{History, Inventory, Merger, RuleFile, merge};
 use criterion::{Criterion, criterion_group, criterion_main};
 
 const HOUSES: usize = 60;
@@ -23,11 +23,18 @@
     format!("tenant-{house}-{at}")
 }
 
-fn world(houses: usize, connections: u64) -> World {
+fn world(houses: usize, connections: u64) -> Inventory {
     let tenants: Vec<String> =
         (0..houses).flat_map(|house| (0..TENANTS).map(move |at| tenant(house, at))).collect();
     let tenants: Vec<&str> = tenants.iter().map(String::as_str).collect();
-    World::of("consortium", &tenants, &["live", "batch", "proof", "print"], &HALLS, &HARDWARE, connections)
+    Inventory::of(
+        "consortium",
+        &tenants,
+        &["live", "batch", "proof", "print"],
+        &HALLS,
+        &HARDWARE,
+        connections,
+    )
 }
 
 fn rules(text: &mut String, seed: usize, revision: usize, tenants: &[String]) {
@@ -57,16 +64,16 @@
     format!("namespace = \"{path}\"\nowner = \"operators\"\nrevision = {revision}\n\n")
 }
 
-fn team(house: usize, team: usize, revision: usize) -> File {
+fn team(house: usize, team: usize, revision: usize) -> RuleFile {
     let path = format!("consortium/house-{house}/team-{team}");
     let mut text = head(&path, revision);
     let tenants = [tenant(house, team * 2), tenant(house, team * 2 + 1)];
     rules(&mut text, house + team, revision, &tenants);
-    File::new(format!("{path}.toml"), text)
+    RuleFile::new(format!("{path}.toml"), text)
 }
 
 /// The consortium and the namespaces below it, 300 with 60 houses: houses, each with four teams.
-fn files(houses: usize) -> Vec<File> {
+fn files(houses: usize) -> Vec<RuleFile> {
     let mut root = head("consortium", 1);
     let mut files = Vec::new();
     for house in 0..houses {
@@ -88,13 +95,13 @@
             .expect("a string takes all");
         }
         rules(&mut text, house, 1, &all);
-        files.push(File::new(format!("{path}.toml"), text));
+        files.push(RuleFile::new(format!("{path}.toml"), text));
         files.extend((0..TEAMS).map(|at| team(house, at, 1)));
     }
     writeln!(root, "[[rule]]\nname = \"no-cellar\"\nplace.avoid = {{ halls = [\"cellar\"] }}\n")
         .expect("a string takes all");
     rules(&mut root, 0, 1, &(0..houses).map(|house| tenant(house, 0)).collect::<Vec<_>>());
-    files.push(File::new("consortium.toml", root));
+    files.push(RuleFile::new("consortium.toml", root));
     files
 }
 
@@ -109,10 +116,10 @@
 /// proxies send one another is the ledger, the book, and what is small beside them.
 fn growth(houses: usize, connections: u64, times: u32) {
     let (files, world) = (files(houses), world(houses, connections));
-    let merged = merge(&Ledger::default(), &files, &world);
+    let merged = merge(&History::default(), &files, &world);
     let [least, median, _] = timed(times, || {
         let start = Instant::now();
-        black_box(merge(&Ledger::default(), &files, &world));
+        black_box(merge(&History::default(), &files, &world));
         start.elapsed()
     });
     let text: usize = files.iter().map(|file| file.text.len()).sum();
@@ -133,18 +140,18 @@
     // The consortium promises more than there is: all but one house are held back one after another.
     growth(180, 100_000, 1);
     let (files, world) = (files(HOUSES), world(HOUSES, ENOUGH * HOUSES as u64));
-    let first = merge(&Ledger::default(), &files, &world);
+    let first = merge(&History::default(), &files, &world);
     assert!(first.conflicts.is_empty(), "{:?}", first.conflicts.first());
     let (namespaces, rules) = (first.book.namespaces.len(), first.book.rules.len());
     let bytes: usize = files.iter().map(|file| file.text.len()).sum();
     println!("{namespaces} namespaces, {rules} rules, {bytes} bytes");
     criterion.bench_function("whole", |bench| {
-        bench.iter(|| black_box(merge(&Ledger::default(), &files, &world)));
+        bench.iter(|| black_box(merge(&History::default(), &files, &world)));
     });
     // Two revisions of one team's file in turn; each merge finds one changed file against what it remembers.
     let mut changed = files.clone();
     let mut merger = Merger::default();
-    let mut ledger = merger.merge(&Ledger::default(), &files, &world).ledger;
+    let mut ledger = merger.merge(&History::default(), &files, &world).ledger;
     let mut revision = 1;
     let mut one = || {
         revision += 1;
@@ -161,7 +168,7 @@
     });
     let whole = timed(25, || {
         let start = Instant::now();
-        black_box(merge(&Ledger::default(), &files, &world));
+        black_box(merge(&History::default(), &files, &world));
         start.elapsed()
     });
     let changed = timed(100, one);
--- a/crates/routing-rules/src/book.rs
+++ b/crates/routing-rules/src/book.rs
@@ -22,13 +22,13 @@
     /// The revision that is in force.
     pub revision: u64,
     /// What becomes of its requests while the version is in doubt.
-    pub on_doubt: OnDoubt,
+    pub on_doubt: UncertaintyPolicy,
 }
 
 /// What becomes of the requests of a namespace's musts while it isn't known which version holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum OnDoubt {
+pub enum UncertaintyPolicy {
     /// They are refused, and told when to come again.
     Refuse {
         /// The delay that a refused client is told.
@@ -59,7 +59,7 @@
     /// Which requests it speaks of.
     pub on: Selector,
     /// What it asks for.
-    pub kind: Kind,
+    pub kind: RuleKind,
 }
 
 /// Whether a rule must hold.
@@ -67,9 +67,11 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Strength {
     /// It holds, whatever it costs.
-    Must,
+    #[serde(rename = "must")]
+    Requirement,
     /// It orders what the musts allow.
-    Wish,
+    #[serde(rename = "wish")]
+    Preference,
 }
 
 /// Which requests a rule speaks of. An empty set means any; a request without a tenant or a group matches only an empty set
@@ -110,18 +112,18 @@
 /// What a rule asks for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum RuleKind {
     /// Which nodes a request may go to. A node is meant if the halls are empty or have its hall, and the hardware classes
     /// are empty or have its class.
     Place {
         /// How the nodes are meant.
-        how: How,
+        how: PlacementMode,
         /// The halls.
         halls: BTreeSet<String>,
         /// The hardware classes.
         hardware: BTreeSet<String>,
     },
-    /// Most standing connections over the whole fleet, on the nodes meant as in [`Kind::Place`].
+    /// Most standing connections over the whole fleet, on the nodes meant as in [`RuleKind::Place`].
     Cap {
         /// Most connections.
         connections: u64,
@@ -148,14 +150,14 @@
     /// When a connection may be moved.
     Move {
         /// When.
-        when: When,
+        when: MoveCondition,
     },
 }
 
 /// How a placement means its nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum How {
+pub enum PlacementMode {
     /// Only the nodes meant.
     Require,
     /// Any but the nodes meant.
@@ -167,7 +169,7 @@
 /// When a connection may be moved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum When {
+pub enum MoveCondition {
     /// After the others.
     Last,
     /// Only when its node drains.
@@ -195,7 +197,7 @@
 }
 
 /// Whether a node is meant by these halls and hardware classes.
-pub fn is_meant(halls: &BTreeSet<String>, hardware: &BTreeSet<String>, node: &Node) -> bool {
+pub fn selects_node(halls: &BTreeSet<String>, hardware: &BTreeSet<String>, node: &Node) -> bool {
     (halls.is_empty() || halls.contains(node.hall))
         && (hardware.is_empty() || hardware.contains(node.hardware))
 }
--- a/crates/routing-rules/src/cache.rs
+++ b/crates/routing-rules/src/cache.rs
@@ -5,14 +5,14 @@
 
 use crate::compiled::{Compiled, Read};
 use crate::conflict::Conflict;
-use crate::file::{self, BadFile, File};
+use crate::file::{self, RuleFile, RuleFileError};
 use crate::idle::{self, Children};
-use crate::world::World;
+use crate::world::Inventory;
 
 #[derive(Debug)]
 struct Kept {
     text: Vec<u8>,
-    outcome: Result<Arc<Read>, BadFile>,
+    outcome: Result<Arc<Read>, RuleFileError>,
     turn: u64,
 }
 
@@ -23,13 +23,13 @@
     files: HashMap<String, Vec<Kept>>,
     compiled: HashMap<[u8; 32], (Arc<Compiled>, u64)>,
     idle: HashMap<[u8; 32], (Vec<Conflict>, u64)>,
-    world: World,
+    world: Inventory,
     turn: u64,
 }
 
 impl Cache {
     /// Begins a merge. In another world nothing that was checked holds.
-    pub fn begin(&mut self, world: &World) {
+    pub fn begin(&mut self, world: &Inventory) {
         self.turn += 1;
         if self.world != *world {
             self.world = world.clone();
@@ -49,7 +49,7 @@
         self.idle.retain(|_, (_, used)| *used == turn);
     }
 
-    pub fn read(&mut self, file: &File) -> Result<Arc<Read>, BadFile> {
+    pub fn read(&mut self, file: &RuleFile) -> Result<Arc<Read>, RuleFileError> {
         let turn = self.turn;
         if let Some(kept) = self.find(&file.path_on_disk, &file.text) {
             kept.turn = turn;
@@ -73,7 +73,7 @@
                 kept.turn = turn;
                 kept.outcome.clone().ok()
             }
-            None => self.read(&File::new(path_on_disk, text.as_bytes())).ok(),
+            None => self.read(&RuleFile::new(path_on_disk, text.as_bytes())).ok(),
         }
     }
 
--- a/crates/routing-rules/src/candidate.rs
+++ b/crates/routing-rules/src/candidate.rs
@@ -5,10 +5,10 @@
 
 use crate::cache::Cache;
 use crate::compiled::Read;
-use crate::conflict::{Conflict, Spot, Witness};
-use crate::file::{BadFile, File};
-use crate::ledger::{Entry, Ledger};
-use crate::world::World;
+use crate::conflict::{Conflict, RuleLocation, Witness};
+use crate::file::{RuleFile, RuleFileError};
+use crate::ledger::{Entry, History};
+use crate::world::Inventory;
 
 /// How young a content is; the greater, the younger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -83,9 +83,9 @@
 }
 
 /// Reads the files and finds each namespace's contents.
-pub(crate) fn take(last: &Ledger, files: &[File], world: &World, cache: &mut Cache) -> Taken {
+pub(crate) fn take(last: &History, files: &[RuleFile], world: &Inventory, cache: &mut Cache) -> Taken {
     let mut taken = Taken::default();
-    let mut files: Vec<&File> = files.iter().collect();
+    let mut files: Vec<&RuleFile> = files.iter().collect();
     files.sort_unstable();
     files.dedup();
     let mut broken = Vec::new();
@@ -176,12 +176,13 @@
 }
 
 /// The newest of a namespace's files; two of the newest revision have to be the same.
-fn newest(reads: &[Arc<Read>], world: &World) -> Result<Arc<Read>, Box<Conflict>> {
+fn newest(reads: &[Arc<Read>], world: &Inventory) -> Result<Arc<Read>, Box<Conflict>> {
     let revision = reads.iter().map(|read| read.file.revision).max().unwrap_or_default();
     let mut newest = reads.iter().filter(|read| read.file.revision == revision);
     // The files are sorted by path, so the first is the same whatever their order was.
     let Some(first) = newest.next() else {
-        let error = BadFile { file: String::new(), line: 0, key: String::new(), why: "no file".to_owned() };
+        let error =
+            RuleFileError { file: String::new(), line: 0, key: String::new(), why: "no file".to_owned() };
         return Err(Box::new(Conflict::Broken { namespace: None, error }));
     };
     match newest.find(|read| read.hash != first.hash) {
@@ -190,7 +191,7 @@
     }
 }
 
-fn fits(read: &Read, good: &Read, world: &World) -> Result<(), Box<Conflict>> {
+fn fits(read: &Read, good: &Read, world: &Inventory) -> Result<(), Box<Conflict>> {
     if read.file.revision < good.file.revision {
         return Err(Box::new(Conflict::OldRevision {
             one: read.spot(read.file.line, ""),
@@ -205,7 +206,7 @@
 }
 
 /// The witness is a request of the first rule that only one of the contents has, else of any rule.
-fn two_contents(one: &Read, other: &Read, world: &World) -> Conflict {
+fn two_contents(one: &Read, other: &Read, world: &Inventory) -> Conflict {
     let differs = one.file.rules.iter().find(|rule| !other.file.rules.contains(rule));
     let differs = differs.or(other.file.rules.iter().find(|rule| !one.file.rules.contains(rule)));
     Conflict::TwoContents {
@@ -216,7 +217,7 @@
     }
 }
 
-pub(crate) fn sample(rule: Option<&crate::file::Stated>, world: &World) -> Witness {
+pub(crate) fn sample(rule: Option<&crate::file::DeclaredRule>, world: &Inventory) -> Witness {
     let (tenants, classes, groups) = rule
         .map(|rule| (rule.tenants.clone(), rule.classes.clone(), rule.groups.clone()))
         .unwrap_or_default();
@@ -226,7 +227,7 @@
 
 /// The namespace that a broken file stands for: the one last read from it, or the one that its path names. A namespace
 /// that another file speaks for has nothing to fear from it.
-fn whose(error: &BadFile, last: &Ledger, taken: &Taken, world: &World) -> Option<String> {
+fn whose(error: &RuleFileError, last: &History, taken: &Taken, world: &Inventory) -> Option<String> {
     let free = |path: &&String| !taken.newest.contains_key(*path);
     let read_from = |entry: &Entry| entry.good.as_ref().is_some_and(|good| good.file == error.file);
     let by_file = last.namespaces.iter().filter(|(_, entry)| read_from(entry)).map(|(path, _)| path);
@@ -244,6 +245,6 @@
 }
 
 /// Where a namespace that has no file stands.
-pub(crate) fn nowhere(path: &str) -> Spot {
-    Spot { namespace: path.to_owned(), file: String::new(), line: 0, name: String::new() }
+pub(crate) fn nowhere(path: &str) -> RuleLocation {
+    RuleLocation { namespace: path.to_owned(), file: String::new(), line: 0, name: String::new() }
 }
--- a/crates/routing-rules/src/check.rs
+++ b/crates/routing-rules/src/check.rs
@@ -2,18 +2,18 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::book::{Kind, Node, Request, Rule};
+use crate::book::{Node, Request, Rule, RuleKind};
 use crate::compiled::{Compiled, Read, is_child};
-use crate::conflict::{Conflict, Spot, Witness};
+use crate::conflict::{Conflict, RuleLocation, Witness};
 use crate::mask::{Mask, is_must};
 use crate::scope::{Scope, meeting};
-use crate::world::World;
+use crate::world::Inventory;
 
 /// The most requests without a node that are told of one namespace: each is another set of musts.
 const MOST_TOLD: usize = 16;
 
 /// All that can be told without knowing what lies below the namespace.
-pub(crate) fn with_chain(of: &Compiled, world: &World) -> Vec<Conflict> {
+pub(crate) fn with_chain(of: &Compiled, world: &Inventory) -> Vec<Conflict> {
     let mut conflicts = Vec::new();
     same_subject(of, world, &mut conflicts);
     beyond_whole(of, world, &mut conflicts);
@@ -21,8 +21,8 @@
     conflicts
 }
 
-pub(crate) fn spot(rule: &Rule) -> Spot {
-    Spot {
+pub(crate) fn spot(rule: &Rule) -> RuleLocation {
+    RuleLocation {
         namespace: rule.namespace.clone(),
         file: rule.file.clone(),
         line: rule.line,
@@ -31,9 +31,9 @@
 }
 
 /// What the namespace speaks of and doesn't own.
-pub(crate) fn not_owned(read: &Read, scope: &Scope, world: &World) -> Vec<Conflict> {
+pub(crate) fn not_owned(read: &Read, scope: &Scope, world: &Inventory) -> Vec<Conflict> {
     let mut conflicts = Vec::new();
-    let mut tell = |one: Spot, beyond: Option<(String, Witness)>| {
+    let mut tell = |one: RuleLocation, beyond: Option<(String, Witness)>| {
         if let Some((what, witness)) = beyond {
             conflicts.push(Conflict::NotOwned { one, other: scope.spot.clone(), what, witness });
         }
@@ -52,7 +52,7 @@
 }
 
 /// Only children that share a tenant, or of which one has any tenant, are compared.
-fn same_subject(of: &Compiled, world: &World, conflicts: &mut Vec<Conflict>) {
+fn same_subject(of: &Compiled, world: &Inventory, conflicts: &mut Vec<Conflict>) {
     let mut by_tenant = BTreeMap::<&str, Vec<usize>>::new();
     let mut any_tenant = Vec::new();
     let mut pairs = BTreeSet::new();
@@ -70,7 +70,7 @@
     }
     let claim = |at: usize| {
         let (child, _, given) = &of.grants[at];
-        Spot { namespace: child.clone(), ..given.spot.clone() }
+        RuleLocation { namespace: child.clone(), ..given.spot.clone() }
     };
     for (one, other) in pairs {
         if let Some(request) = meeting(&of.grants[one].2.on, &of.grants[other].2.on, world) {
@@ -81,14 +81,14 @@
     }
 }
 
-fn beyond_whole(of: &Compiled, world: &World, conflicts: &mut Vec<Conflict>) {
+fn beyond_whole(of: &Compiled, world: &Inventory, conflicts: &mut Vec<Conflict>) {
     let Some(whole) = of.scope.connections else { return };
     let other = of.scope.spot.clone();
     let (mut promised, mut passes, mut parts) = (0_u64, None, Vec::new());
     for (child, part, given) in &of.grants {
         let Some(part) = part else { continue };
         promised = promised.saturating_add(*part);
-        let spot = Spot { namespace: child.clone(), ..given.spot.clone() };
+        let spot = RuleLocation { namespace: child.clone(), ..given.spot.clone() };
         if promised > whole && passes.is_none() {
             passes = Some((spot.clone(), Witness::new(&world.sample(&given.on), None)));
         }
@@ -97,17 +97,17 @@
     if let Some((one, witness)) = passes {
         let promiser = of.read.spot(of.read.file.line, "");
         let other = other.clone();
-        conflicts.push(Conflict::BeyondWhole { one, promiser, other, parts, promised, whole, witness });
+        conflicts.push(Conflict::OverCommitted { one, promiser, other, parts, promised, whole, witness });
     }
     for rule in &of.read.file.rules {
-        let Kind::Cap { connections, .. } = rule.kind else { continue };
+        let RuleKind::Cap { connections, .. } = rule.kind else { continue };
         if connections > whole {
             let one = of.read.spot(rule.line, &rule.name);
             let on = of.scope.narrow(&rule.tenants, &rule.classes, &rule.groups);
             let witness = Witness::new(&world.sample(&on), None);
             let (promiser, parts, other) = (one.clone(), Vec::new(), other.clone());
             let promised = connections;
-            conflicts.push(Conflict::BeyondWhole { one, promiser, other, parts, promised, whole, witness });
+            conflicts.push(Conflict::OverCommitted { one, promiser, other, parts, promised, whole, witness });
         }
     }
 }
@@ -115,7 +115,7 @@
 /// The tenants of the requests that can come and that the sets, empty for any, match.
 pub(crate) fn tenants<'a>(
     named: &'a BTreeSet<String>,
-    world: &'a World,
+    world: &'a Inventory,
 ) -> impl Iterator<Item = Option<&'a str>> {
     let any = named.is_empty();
     let all = world.tenants.iter().filter(move |tenant| any || named.contains(*tenant));
@@ -135,7 +135,7 @@
 
 type Must<'a> = (&'a Rule, &'a Mask);
 
-fn allowed(musts: &[Must], world: &World) -> Mask {
+fn allowed(musts: &[Must], world: &Inventory) -> Mask {
     let mut mask = Mask::all(world);
     musts.iter().for_each(|(_, nodes)| mask.and(nodes));
     mask
@@ -143,7 +143,7 @@
 
 /// Requests that a must of this namespace takes the last node from. Those that the musts above it leave none are told
 /// there.
-fn no_node(of: &Compiled, world: &World, conflicts: &mut Vec<Conflict>) {
+fn no_node(of: &Compiled, world: &Inventory, conflicts: &mut Vec<Conflict>) {
     if world.nodes.is_empty() || !of.placed.iter().any(|placed| is_must(of.rules[placed.rule].strength)) {
         return;
     }
@@ -188,7 +188,7 @@
 }
 
 /// Musts that leave no node, of which none can be spared. Those nearer the root are spared first.
-fn least<'a>(mut musts: Vec<Must<'a>>, world: &World) -> Vec<Must<'a>> {
+fn least<'a>(mut musts: Vec<Must<'a>>, world: &Inventory) -> Vec<Must<'a>> {
     let mut at = 0;
     while at < musts.len() {
         let spared = musts.remove(at);
@@ -200,9 +200,10 @@
     musts
 }
 
-fn without_node(musts: &[Must], request: &Request, world: &World) -> Conflict {
-    let all: Vec<Spot> = musts.iter().map(|(rule, _)| spot(rule)).collect();
-    let nobody = || Spot { namespace: String::new(), file: String::new(), line: 0, name: String::new() };
+fn without_node(musts: &[Must], request: &Request, world: &Inventory) -> Conflict {
+    let all: Vec<RuleLocation> = musts.iter().map(|(rule, _)| spot(rule)).collect();
+    let nobody =
+        || RuleLocation { namespace: String::new(), file: String::new(), line: 0, name: String::new() };
     // The deepest of them stands last; without it there is a node, and that is the witness.
     let one = all.last().cloned().unwrap_or_else(nobody);
     let other = all.first().cloned().unwrap_or_else(nobody);
--- a/crates/routing-rules/src/checked.rs
+++ b/crates/routing-rules/src/checked.rs
@@ -2,12 +2,17 @@
 
 use std::collections::BTreeSet;
 
-use crate::book::{How, Kind, Strength};
-use crate::file::{BadFile, Delegate, MOST_DEPTH, MOST_NAME, Reader, Stated};
+use crate::book::{PlacementMode, RuleKind, Strength};
+use crate::file::{DeclaredRule, Delegate, MAX_DEPTH, MAX_NAME_BYTES, Reader, RuleFileError};
 use crate::groups;
 use crate::raw::{RawDelegate, RawPlace, RawRule};
 
-pub(crate) fn delegate(reader: &Reader, of: &str, line: u32, raw: RawDelegate) -> Result<Delegate, BadFile> {
+pub(crate) fn delegate(
+    reader: &Reader,
+    of: &str,
+    line: u32,
+    raw: RawDelegate,
+) -> Result<Delegate, RuleFileError> {
     // A name alone is a child's, but for the root's: one that delegates to the root should hear of it.
     let root = of.split('/').next().unwrap_or(of);
     let path = |to: String| if to.contains('/') || to == root { to } else { format!("{of}/{to}") };
@@ -43,7 +48,7 @@
     })
 }
 
-pub(crate) fn rule(reader: &Reader, line: u32, raw: RawRule) -> Result<Stated, BadFile> {
+pub(crate) fn rule(reader: &Reader, line: u32, raw: RawRule) -> Result<DeclaredRule, RuleFileError> {
     let bad = |key: &str, why: &str| reader.bad(line, key, why);
     if let Some(why) = bad_segment(&raw.name) {
         return Err(bad("name", why));
@@ -52,55 +57,55 @@
     let groups = groups::normal(&raw.groups).map_err(|why| reader.bad(line, "groups", why))?;
     let kinds = [
         raw.place.map(place),
-        raw.cap.map(|cap| Kind::Cap {
+        raw.cap.map(|cap| RuleKind::Cap {
             connections: cap.connections,
             halls: cap.halls,
             hardware: cap.hardware,
         }),
-        raw.spread.map(|spread| Kind::Spread { nodes: spread.nodes }),
-        raw.pace.map(|pace| Kind::Pace { per_s_milli: milli(pace.per_s) }),
-        raw.attempts.map(|attempts| Kind::Attempts { most: attempts.most }),
-        raw.r#move.map(|when| Kind::Move { when }),
+        raw.spread.map(|spread| RuleKind::Spread { nodes: spread.nodes }),
+        raw.pace.map(|pace| RuleKind::Pace { per_s_milli: milli(pace.per_s) }),
+        raw.attempts.map(|attempts| RuleKind::Attempts { most: attempts.most }),
+        raw.r#move.map(|when| RuleKind::Move { when }),
     ];
     let mut kinds = kinds.into_iter().flatten();
     let (Some(kind), None) = (kinds.next(), kinds.next()) else {
         return Err(bad("rule", "has to have one of place, cap, spread, pace, attempts, move"));
     };
     match &kind {
-        Kind::Place { halls, hardware, .. } => {
+        RuleKind::Place { halls, hardware, .. } => {
             if halls.is_empty() && hardware.is_empty() {
                 return Err(bad("place", "names no halls and no hardware"));
             }
             names(reader, line, &[("halls", halls), ("hardware", hardware)])?;
         }
-        Kind::Cap { connections: 0, .. } => return Err(bad("cap", "is 0; use place = { avoid = .. }")),
-        Kind::Cap { halls, hardware, .. } => {
+        RuleKind::Cap { connections: 0, .. } => return Err(bad("cap", "is 0; use place = { avoid = .. }")),
+        RuleKind::Cap { halls, hardware, .. } => {
             names(reader, line, &[("halls", halls), ("hardware", hardware)])?;
         }
-        Kind::Spread { nodes: 0 } => return Err(bad("spread", "on 0 nodes leaves no node")),
-        Kind::Pace { per_s_milli: 0 } => return Err(bad("pace", "is under a thousandth a second")),
-        Kind::Attempts { most: 0 } => return Err(bad("attempts", "is 0; 1 is the least")),
+        RuleKind::Spread { nodes: 0 } => return Err(bad("spread", "on 0 nodes leaves no node")),
+        RuleKind::Pace { per_s_milli: 0 } => return Err(bad("pace", "is under a thousandth a second")),
+        RuleKind::Attempts { most: 0 } => return Err(bad("attempts", "is 0; 1 is the least")),
         _ => {}
     }
     let stated = match (raw.must, raw.strength) {
         (Some(_), Some(_)) => return Err(bad("strength", "says the same as must; one of them is enough")),
-        (Some(true), None) => Some(Strength::Must),
-        (Some(false), None) => Some(Strength::Wish),
+        (Some(true), None) => Some(Strength::Requirement),
+        (Some(false), None) => Some(Strength::Preference),
         (None, strength) => strength,
     };
     let strength = match (&kind, stated) {
-        (Kind::Place { how: How::Prefer, .. }, Some(Strength::Must)) => {
+        (RuleKind::Place { how: PlacementMode::Prefer, .. }, Some(Strength::Requirement)) => {
             return Err(bad("place", "prefer is a wish; a must requires"));
         }
-        (Kind::Place { how: How::Prefer, .. }, _) => Strength::Wish,
-        (Kind::Place { how: How::Require, .. }, Some(Strength::Wish)) => {
+        (RuleKind::Place { how: PlacementMode::Prefer, .. }, _) => Strength::Preference,
+        (RuleKind::Place { how: PlacementMode::Require, .. }, Some(Strength::Preference)) => {
             return Err(bad("place", "require is a must; a wish prefers"));
         }
-        (Kind::Place { .. } | Kind::Move { .. }, stated) => stated.unwrap_or(Strength::Must),
-        (_, Some(Strength::Wish)) => return Err(bad("must", "only a place or a move can be a wish")),
-        (_, _) => Strength::Must,
+        (RuleKind::Place { .. } | RuleKind::Move { .. }, stated) => stated.unwrap_or(Strength::Requirement),
+        (_, Some(Strength::Preference)) => return Err(bad("must", "only a place or a move can be a wish")),
+        (_, _) => Strength::Requirement,
     };
-    Ok(Stated {
+    Ok(DeclaredRule {
         name: raw.name,
         line,
         strength,
@@ -112,13 +117,13 @@
     })
 }
 
-fn place(raw: RawPlace) -> Kind {
+fn place(raw: RawPlace) -> RuleKind {
     let (how, nodes) = match raw {
-        RawPlace::Require(nodes) => (How::Require, nodes),
-        RawPlace::Avoid(nodes) => (How::Avoid, nodes),
-        RawPlace::Prefer(nodes) => (How::Prefer, nodes),
+        RawPlace::Require(nodes) => (PlacementMode::Require, nodes),
+        RawPlace::Avoid(nodes) => (PlacementMode::Avoid, nodes),
+        RawPlace::Prefer(nodes) => (PlacementMode::Prefer, nodes),
     };
-    Kind::Place { how, halls: nodes.halls, hardware: nodes.hardware }
+    RuleKind::Place { how, halls: nodes.halls, hardware: nodes.hardware }
 }
 
 /// A rate in thousandths; what is no rate at all becomes 0, which is refused.
@@ -126,9 +131,9 @@
     if per_s.is_finite() && per_s > 0.0 && per_s < 1e12 { (per_s * 1_000.0).round() as u64 } else { 0 }
 }
 
-fn names(reader: &Reader, line: u32, sets: &[(&str, &BTreeSet<String>)]) -> Result<(), BadFile> {
+fn names(reader: &Reader, line: u32, sets: &[(&str, &BTreeSet<String>)]) -> Result<(), RuleFileError> {
     for (key, set) in sets {
-        if set.iter().any(|name| name.is_empty() || name.len() > MOST_NAME) {
+        if set.iter().any(|name| name.is_empty() || name.len() > MAX_NAME_BYTES) {
             return Err(reader.bad(line, key, "has a name that is empty or too long"));
         }
     }
@@ -136,7 +141,7 @@
 }
 
 pub(crate) fn bad_path(path: &str) -> Option<&'static str> {
-    if path.split('/').count() > MOST_DEPTH + 1 {
+    if path.split('/').count() > MAX_DEPTH + 1 {
         return Some("is too deep");
     }
     path.split('/').find_map(bad_segment)
@@ -145,7 +150,7 @@
 /// Dots are kept for the names of rules that delegations stand for.
 fn bad_segment(name: &str) -> Option<&'static str> {
     let plain = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-' || byte == b'_';
-    if name.is_empty() || name.len() > MOST_NAME {
+    if name.is_empty() || name.len() > MAX_NAME_BYTES {
         return Some("has a name that is empty or too long");
     }
     (!name.bytes().all(plain)).then_some("has a name of other than a-z, 0-9, - and _")
--- a/crates/routing-rules/src/compiled.rs
+++ b/crates/routing-rules/src/compiled.rs
@@ -3,13 +3,13 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-use crate::book::{How, Kind, Rule, Strength};
+use crate::book::{PlacementMode, Rule, RuleKind, Strength};
 use crate::check;
-use crate::conflict::{Conflict, Spot};
+use crate::conflict::{Conflict, RuleLocation};
 use crate::file::{Delegate, NamespaceFile};
 use crate::mask::Mask;
 use crate::scope::Scope;
-use crate::world::World;
+use crate::world::Inventory;
 
 /// A file that was read.
 #[derive(Debug)]
@@ -33,8 +33,8 @@
         self.children.get(child).and_then(|at| self.file.delegates.get(*at))
     }
 
-    pub fn spot(&self, line: u32, name: &str) -> Spot {
-        Spot {
+    pub fn spot(&self, line: u32, name: &str) -> RuleLocation {
+        RuleLocation {
             namespace: self.file.namespace.clone(),
             file: self.path_on_disk.clone(),
             line,
@@ -97,7 +97,7 @@
         parent: Option<Arc<Compiled>>,
         read: Arc<Read>,
         void: &[&str],
-        world: &World,
+        world: &Inventory,
     ) -> Compiled {
         let path = read.file.namespace.as_str();
         let scope = match &parent {
@@ -206,7 +206,7 @@
 }
 
 fn own_rules(read: &Read, scope: &Scope, depth: u32) -> Vec<Rule> {
-    let rule = |stated: &crate::file::Stated| Rule {
+    let rule = |stated: &crate::file::DeclaredRule| Rule {
         namespace: read.file.namespace.clone(),
         name: stated.name.clone(),
         file: read.path_on_disk.clone(),
@@ -223,12 +223,12 @@
 /// The musts that a delegation stands for: the child uses only the nodes and connections that it was given. They are the
 /// parent's, so that they hold whether the child has a file or not.
 fn delegated(read: &Read, to: &Delegate, part: Option<u64>, given: &Scope, depth: u32) -> Vec<Rule> {
-    let rule = |what: &str, kind: Kind| Rule {
+    let rule = |what: &str, kind: RuleKind| Rule {
         namespace: read.file.namespace.clone(),
         name: format!("delegate.{}.{what}", last_segment(&to.to)),
         file: read.path_on_disk.clone(),
         line: to.line,
-        strength: Strength::Must,
+        strength: Strength::Requirement,
         priority: 0,
         depth,
         on: given.on.clone(),
@@ -237,11 +237,11 @@
     let mut rules = Vec::new();
     if !to.halls.is_empty() || !to.hardware.is_empty() {
         let (halls, hardware) = (to.halls.clone(), to.hardware.clone());
-        rules.push(rule("nodes", Kind::Place { how: How::Require, halls, hardware }));
+        rules.push(rule("nodes", RuleKind::Place { how: PlacementMode::Require, halls, hardware }));
     }
     if let Some(connections) = part {
         let (halls, hardware) = Default::default();
-        rules.push(rule("connections", Kind::Cap { connections, halls, hardware }));
+        rules.push(rule("connections", RuleKind::Cap { connections, halls, hardware }));
     }
     rules
 }
--- a/crates/routing-rules/src/conflict.rs
+++ b/crates/routing-rules/src/conflict.rs
@@ -3,11 +3,11 @@
 use std::fmt;
 
 use crate::book::{Node, Request};
-use crate::file::BadFile;
+use crate::file::RuleFileError;
 
 /// Where something stands, and whose it is.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Spot {
+pub struct RuleLocation {
     /// The namespace.
     pub namespace: String,
     /// Its file; empty if it has none.
@@ -18,7 +18,7 @@
     pub name: String,
 }
 
-impl fmt::Display for Spot {
+impl fmt::Display for RuleLocation {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}", self.namespace)?;
         if !self.name.is_empty() {
@@ -84,13 +84,13 @@
         /// The namespace it is taken to be of, if that is known.
         namespace: Option<String>,
         /// What is wrong.
-        error: BadFile,
+        error: RuleFileError,
     },
     /// A file states an older revision than the last good one; a return is a new revision.
     #[error("{one}: revision {stated} is older than {last}; to go back, give the old text a new revision")]
     OldRevision {
         /// The file.
-        one: Spot,
+        one: RuleLocation,
         /// The revision it states.
         stated: u64,
         /// The last good revision.
@@ -100,9 +100,9 @@
     #[error("{one} and {other} both are revision {revision}, with different contents; e.g. {witness}")]
     TwoContents {
         /// The one.
-        one: Spot,
+        one: RuleLocation,
         /// The other: a file, or the last good content.
-        other: Spot,
+        other: RuleLocation,
         /// The revision.
         revision: u64,
         /// A request that the contents may differ on.
@@ -112,9 +112,9 @@
     #[error("{one} delegates in a circle to {other}; e.g. {witness}")]
     Circle {
         /// The delegation.
-        one: Spot,
+        one: RuleLocation,
         /// The namespace delegated to.
-        other: Spot,
+        other: RuleLocation,
         /// A request delegated so.
         witness: Witness,
     },
@@ -122,9 +122,9 @@
     #[error("{one} delegates to {other}, which isn't its child; e.g. {witness}")]
     NotItsChild {
         /// The delegation.
-        one: Spot,
+        one: RuleLocation,
         /// The namespace delegated to.
-        other: Spot,
+        other: RuleLocation,
         /// A request delegated so.
         witness: Witness,
     },
@@ -132,9 +132,9 @@
     #[error("{one} has no delegation from {other}; e.g. {witness}")]
     Orphan {
         /// The namespace.
-        one: Spot,
+        one: RuleLocation,
         /// The parent it should have one from.
-        other: Spot,
+        other: RuleLocation,
         /// A request it speaks of.
         witness: Witness,
     },
@@ -142,9 +142,9 @@
     #[error("{one} speaks of what {other} doesn't give it: {what}; e.g. {witness}")]
     NotOwned {
         /// The rule or the delegation.
-        one: Spot,
+        one: RuleLocation,
         /// What the namespace was given.
-        other: Spot,
+        other: RuleLocation,
         /// What is not owned.
         what: String,
         /// A request, and a node if it is about nodes.
@@ -154,25 +154,25 @@
     #[error("{one} and {other} both claim {witness}")]
     SameSubject {
         /// The one child, where the parent delegates to it.
-        one: Spot,
+        one: RuleLocation,
         /// The other child, where the parent delegates to it.
-        other: Spot,
+        other: RuleLocation,
         /// The parent.
-        parent: Spot,
+        parent: RuleLocation,
         /// A request of both.
         witness: Witness,
     },
     /// More connections are promised than there are.
     #[error("{one}: {promised} connections are promised of {whole} that {other} has; e.g. {witness}")]
-    BeyondWhole {
+    OverCommitted {
         /// The delegation that passes the whole, or the cap above it.
-        one: Spot,
+        one: RuleLocation,
         /// Who promises them.
-        promiser: Spot,
+        promiser: RuleLocation,
         /// What the parts are of.
-        other: Spot,
+        other: RuleLocation,
         /// The children that have parts, where they have them; a cap is alone.
-        parts: Vec<Spot>,
+        parts: Vec<RuleLocation>,
         /// What is promised in all.
         promised: u64,
         /// What there is.
@@ -184,21 +184,21 @@
     #[error("{one} and {other} leave no node to {witness}")]
     NoNode {
         /// The deepest of the musts.
-        one: Spot,
+        one: RuleLocation,
         /// The other; the same, if one must is enough.
-        other: Spot,
+        other: RuleLocation,
         /// All the musts that it takes: without any of them there is a node.
-        musts: Vec<Spot>,
+        musts: Vec<RuleLocation>,
         /// The request, and a node that the other must allows or would allow.
         witness: Witness,
     },
     /// A wish can never take effect.
     #[error("{one} can never take effect for {other}; e.g. {witness}")]
-    IdleWish {
+    IneffectivePreference {
         /// The wish.
-        one: Spot,
+        one: RuleLocation,
         /// What stands against it; the wish itself, if no request is matched at all.
-        other: Spot,
+        other: RuleLocation,
         /// A request that it speaks of, and a node that it would be for.
         witness: Witness,
     },
@@ -217,11 +217,11 @@
             Conflict::TwoContents { one, other, .. }
             | Conflict::Circle { one, other, .. }
             | Conflict::NotOwned { one, other, .. }
-            | Conflict::IdleWish { one, other, .. } => vec![&one.namespace, &other.namespace],
+            | Conflict::IneffectivePreference { one, other, .. } => vec![&one.namespace, &other.namespace],
             Conflict::SameSubject { one, other, parent, .. } => {
                 vec![&one.namespace, &other.namespace, &parent.namespace]
             }
-            Conflict::BeyondWhole { one, promiser, other, parts, .. } => {
+            Conflict::OverCommitted { one, promiser, other, parts, .. } => {
                 let parts = parts.iter().chain([one, promiser, other]);
                 parts.map(|spot| spot.namespace.as_str()).collect()
             }
@@ -236,7 +236,9 @@
     pub(crate) fn promised_children(&self) -> Vec<&str> {
         match self {
             Conflict::SameSubject { one, other, .. } => vec![&one.namespace, &other.namespace],
-            Conflict::BeyondWhole { parts, .. } => parts.iter().map(|spot| spot.namespace.as_str()).collect(),
+            Conflict::OverCommitted { parts, .. } => {
+                parts.iter().map(|spot| spot.namespace.as_str()).collect()
+            }
             _ => Vec::new(),
         }
     }
@@ -264,9 +266,9 @@
             | Conflict::Orphan { witness, .. }
             | Conflict::NotOwned { witness, .. }
             | Conflict::SameSubject { witness, .. }
-            | Conflict::BeyondWhole { witness, .. }
+            | Conflict::OverCommitted { witness, .. }
             | Conflict::NoNode { witness, .. }
-            | Conflict::IdleWish { witness, .. } => Some(witness),
+            | Conflict::IneffectivePreference { witness, .. } => Some(witness),
         }
     }
 }
--- a/crates/routing-rules/src/effective.rs
+++ b/crates/routing-rules/src/effective.rs
@@ -2,7 +2,10 @@
 
 use std::cmp::Reverse;
 
-use crate::book::{Book, How, Kind, Node, OnDoubt, Request, Rule, Strength, When, is_meant};
+use crate::book::{
+    Book, MoveCondition, Node, PlacementMode, Request, Rule, RuleKind, Strength, UncertaintyPolicy,
+    selects_node,
+};
 
 /// What a book says of one request and one node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -21,44 +24,44 @@
     /// Most nodes for the request's group.
     pub spread: Option<u32>,
     /// When its connection may be moved: the strictest must; without one, the wish that goes first.
-    pub move_when: Option<When>,
+    pub move_when: Option<MoveCondition>,
     /// Whether any must speaks of the request.
     pub has_musts: bool,
     /// What the strictest owner of these musts asks for in doubt.
-    pub on_doubt: Option<OnDoubt>,
+    pub on_doubt: Option<UncertaintyPolicy>,
 }
 
 /// What the book says of a request on a node.
 pub fn effective(book: &Book, request: &Request, node: &Node) -> Effective {
     let mut of = Effective { allowed: true, ..Effective::default() };
     let mut rules: Vec<&Rule> = book.rules.iter().filter(|rule| rule.on.matches(request)).collect();
-    rules.sort_by(|a, b| a.wish_order().cmp(&b.wish_order()));
+    rules.sort_by(|a, b| a.preference_order().cmp(&b.preference_order()));
     let mut move_wish = None;
     for rule in rules {
         let id = format!("{}:{}", rule.namespace, rule.name);
-        let must = rule.strength == Strength::Must;
+        let must = rule.strength == Strength::Requirement;
         if must {
             of.has_musts = true;
             let owner = book.namespaces.iter().find(|owner| owner.path == rule.namespace);
             of.on_doubt = stricter(of.on_doubt, owner.map(|owner| owner.on_doubt));
         }
         match &rule.kind {
-            Kind::Place { how, halls, hardware } => {
-                let satisfied = is_meant(halls, hardware, node) != (*how == How::Avoid);
+            RuleKind::Place { how, halls, hardware } => {
+                let satisfied = selects_node(halls, hardware, node) != (*how == PlacementMode::Avoid);
                 if must {
                     of.allowed &= satisfied;
                 } else {
                     of.wishes.push((id, satisfied));
                 }
             }
-            Kind::Cap { connections, halls, hardware } if must && is_meant(halls, hardware, node) => {
+            RuleKind::Cap { connections, halls, hardware } if must && selects_node(halls, hardware, node) => {
                 of.caps.push((id, *connections));
             }
-            Kind::Spread { nodes } if must => of.spread = least(of.spread, *nodes),
-            Kind::Pace { per_s_milli } if must => of.paces.push((id, *per_s_milli)),
-            Kind::Attempts { most } if must => of.attempts = least(of.attempts, *most),
-            Kind::Move { when } if must => of.move_when = of.move_when.max(Some(*when)),
-            Kind::Move { when } => move_wish = move_wish.or(Some(*when)),
+            RuleKind::Spread { nodes } if must => of.spread = least(of.spread, *nodes),
+            RuleKind::Pace { per_s_milli } if must => of.paces.push((id, *per_s_milli)),
+            RuleKind::Attempts { most } if must => of.attempts = least(of.attempts, *most),
+            RuleKind::Move { when } if must => of.move_when = of.move_when.max(Some(*when)),
+            RuleKind::Move { when } => move_wish = move_wish.or(Some(*when)),
             _ => {}
         }
     }
@@ -68,7 +71,7 @@
 
 impl Rule {
     /// What orders wishes: that nearer the root goes first, then that of the higher priority, then by namespace and name.
-    pub fn wish_order(&self) -> (u32, Reverse<i32>, &str, &str) {
+    pub fn preference_order(&self) -> (u32, Reverse<i32>, &str, &str) {
         (self.depth, Reverse(self.priority), &self.namespace, &self.name)
     }
 }
@@ -78,14 +81,17 @@
 }
 
 /// Refusing is stricter than keeping; of two that refuse, the longer delay is.
-pub fn stricter(one: Option<OnDoubt>, other: Option<OnDoubt>) -> Option<OnDoubt> {
+pub fn stricter(
+    one: Option<UncertaintyPolicy>,
+    other: Option<UncertaintyPolicy>,
+) -> Option<UncertaintyPolicy> {
     match (one, other) {
-        (Some(OnDoubt::Refuse { retry_ms: a }), Some(OnDoubt::Refuse { retry_ms: b })) => {
-            Some(OnDoubt::Refuse { retry_ms: a.max(b) })
-        }
-        (Some(refuse @ OnDoubt::Refuse { .. }), _) | (_, Some(refuse @ OnDoubt::Refuse { .. })) => {
-            Some(refuse)
-        }
+        (
+            Some(UncertaintyPolicy::Refuse { retry_ms: a }),
+            Some(UncertaintyPolicy::Refuse { retry_ms: b }),
+        ) => Some(UncertaintyPolicy::Refuse { retry_ms: a.max(b) }),
+        (Some(refuse @ UncertaintyPolicy::Refuse { .. }), _)
+        | (_, Some(refuse @ UncertaintyPolicy::Refuse { .. })) => Some(refuse),
         (one, other) => one.or(other),
     }
 }
--- a/crates/routing-rules/src/file.rs
+++ b/crates/routing-rules/src/file.rs
@@ -4,39 +4,39 @@
 
 use toml::Spanned;
 
-use crate::book::{GroupRange, Kind, OnDoubt, Strength};
+use crate::book::{GroupRange, RuleKind, Strength, UncertaintyPolicy};
 use crate::checked::{bad_path, delegate, rule};
 use crate::raw::{Doubt, Raw};
 
 /// The largest file that is read, in bytes.
-pub const MOST_BYTES: usize = 1 << 20;
+pub const MAX_FILE_BYTES: usize = 1 << 20;
 /// The most rules and delegations in one file.
-pub const MOST_ITEMS: usize = 5_000;
+pub const MAX_ITEMS: usize = 5_000;
 /// The deepest namespace: so many stand above it at most.
-pub const MOST_DEPTH: usize = 16;
+pub const MAX_DEPTH: usize = 16;
 /// The longest name of one namespace, rule, tenant or the like, in bytes.
-pub const MOST_NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 
 /// A file as it was found: nothing is known of its contents yet, not even whether they are text.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct File {
+pub struct RuleFile {
     /// Where it was found; it is only named in messages, and tells whose a broken file is.
     pub path_on_disk: String,
     /// Its bytes.
     pub text: Vec<u8>,
 }
 
-impl File {
+impl RuleFile {
     /// A file of these bytes.
-    pub fn new(path_on_disk: impl Into<String>, text: impl Into<Vec<u8>>) -> File {
-        File { path_on_disk: path_on_disk.into(), text: text.into() }
+    pub fn new(path_on_disk: impl Into<String>, text: impl Into<Vec<u8>>) -> RuleFile {
+        RuleFile { path_on_disk: path_on_disk.into(), text: text.into() }
     }
 }
 
 /// Why a file can't be taken.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 #[error("{file}:{line}: {key}: {why}")]
-pub struct BadFile {
+pub struct RuleFileError {
     /// The file.
     pub file: String,
     /// The line, from 1; 0 if it is about the file as a whole.
@@ -59,11 +59,11 @@
     /// The revision; each content has its own.
     pub revision: u64,
     /// What becomes of its requests while the version is in doubt.
-    pub on_doubt: OnDoubt,
+    pub on_doubt: UncertaintyPolicy,
     /// What it leaves to its children, in the file's order.
     pub delegates: Vec<Delegate>,
     /// Its rules, in the file's order.
-    pub rules: Vec<Stated>,
+    pub rules: Vec<DeclaredRule>,
 }
 
 /// What a namespace leaves to one child. An empty set means all that the namespace has itself.
@@ -93,7 +93,7 @@
 
 /// A rule as its file states it: an empty set means all that its namespace has.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Stated {
+pub struct DeclaredRule {
     /// Its name.
     pub name: String,
     /// The line it starts on.
@@ -109,7 +109,7 @@
     /// The score groups it names.
     pub groups: Vec<GroupRange>,
     /// What it asks for.
-    pub kind: Kind,
+    pub kind: RuleKind,
 }
 
 /// Where in a file something is, and the way to complain of it.
@@ -125,26 +125,26 @@
         u32::try_from(self.starts.partition_point(|start| *start <= at)).unwrap_or(u32::MAX)
     }
 
-    pub fn bad(&self, line: u32, key: &str, why: impl Into<String>) -> BadFile {
-        BadFile { file: self.file.to_owned(), line, key: key.to_owned(), why: why.into() }
+    pub fn bad(&self, line: u32, key: &str, why: impl Into<String>) -> RuleFileError {
+        RuleFileError { file: self.file.to_owned(), line, key: key.to_owned(), why: why.into() }
     }
 
     /// What the parser complains of: the key is what its line starts with.
-    fn parser(&self, error: &toml::de::Error) -> BadFile {
+    fn parser(&self, error: &toml::de::Error) -> RuleFileError {
         let line = error.span().map_or(0, |span| self.line(span.start));
         let text = self.text.lines().nth((line as usize).saturating_sub(1)).unwrap_or_default();
         let key = text.split('=').next().unwrap_or_default().trim();
-        let key: String = key.chars().take(MOST_NAME).collect();
+        let key: String = key.chars().take(MAX_NAME_BYTES).collect();
         self.bad(line, &key, error.message())
     }
 }
 
 /// Reads a file. The error tells file, line and key.
-pub fn read(file: &File) -> Result<NamespaceFile, BadFile> {
+pub fn read(file: &RuleFile) -> Result<NamespaceFile, RuleFileError> {
     let name = file.path_on_disk.as_str();
     let whole =
-        |why: &str| BadFile { file: name.to_owned(), line: 0, key: "file".to_owned(), why: why.into() };
-    if file.text.len() > MOST_BYTES {
+        |why: &str| RuleFileError { file: name.to_owned(), line: 0, key: "file".to_owned(), why: why.into() };
+    if file.text.len() > MAX_FILE_BYTES {
         return Err(whole("larger than 1 MiB"));
     }
     let text = std::str::from_utf8(&file.text).map_err(|_| whole("not UTF-8"))?;
@@ -159,14 +159,14 @@
     checked(&reader, raw)
 }
 
-fn checked(reader: &Reader, raw: Raw) -> Result<NamespaceFile, BadFile> {
+fn checked(reader: &Reader, raw: Raw) -> Result<NamespaceFile, RuleFileError> {
     let line = reader.line(raw.namespace.span().start);
     let namespace = raw.namespace.into_inner();
     if let Some(why) = bad_path(&namespace) {
         return Err(reader.bad(line, "namespace", why));
     }
-    if raw.rule.len() + raw.delegate.len() > MOST_ITEMS {
-        return Err(reader.bad(0, "rule", format!("more than {MOST_ITEMS} rules and delegations")));
+    if raw.rule.len() + raw.delegate.len() > MAX_ITEMS {
+        return Err(reader.bad(0, "rule", format!("more than {MAX_ITEMS} rules and delegations")));
     }
     // A cut between two rules leaves a file that reads well; the count is there to catch it.
     if let Some(count) = raw.rules {
@@ -177,13 +177,13 @@
         }
     }
     let on_doubt = match (raw.on_doubt, raw.retry_ms) {
-        (Doubt::Keep, None) => OnDoubt::Keep,
+        (Doubt::Keep, None) => UncertaintyPolicy::Keep,
         (Doubt::Keep, Some(retry)) => {
             let line = reader.line(retry.span().start);
             return Err(reader.bad(line, "retry_ms", "only goes with on_doubt = \"refuse\""));
         }
         (Doubt::Refuse, retry) => {
-            OnDoubt::Refuse { retry_ms: retry.map_or(DEFAULT_RETRY_MS, Spanned::into_inner) }
+            UncertaintyPolicy::Refuse { retry_ms: retry.map_or(DEFAULT_RETRY_MS, Spanned::into_inner) }
         }
     };
     let mut delegates = Vec::new();
--- a/crates/routing-rules/src/groups.rs
+++ b/crates/routing-rules/src/groups.rs
@@ -6,15 +6,16 @@
 
 /// A range as a file states it: `"0x10"`, `"0x10-0x1f"`, `16`, or `[16, 31]`.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(untagged)]
-pub(crate) enum Stated {
+// The text that a reader of `check` sees of a range of another kind, word for word.
+#[serde(untagged, expecting = "data did not match any variant of untagged enum Stated")]
+pub(crate) enum GroupText {
     Text(String),
     One(u64),
     Pair([u64; 2]),
 }
 
 /// Sorted, disjoint and as few as can be.
-pub(crate) fn normal(stated: &[Stated]) -> Result<Vec<GroupRange>, String> {
+pub(crate) fn normal(stated: &[GroupText]) -> Result<Vec<GroupRange>, String> {
     let mut ranges = stated.iter().map(range).collect::<Result<Vec<_>, _>>()?;
     ranges.sort_unstable();
     let mut normal: Vec<GroupRange> = Vec::with_capacity(ranges.len());
@@ -27,11 +28,11 @@
     Ok(normal)
 }
 
-fn range(stated: &Stated) -> Result<GroupRange, String> {
+fn range(stated: &GroupText) -> Result<GroupRange, String> {
     let (first, last) = match stated {
-        Stated::One(group) => (*group, *group),
-        Stated::Pair([first, last]) => (*first, *last),
-        Stated::Text(text) => match text.split_once('-') {
+        GroupText::One(group) => (*group, *group),
+        GroupText::Pair([first, last]) => (*first, *last),
+        GroupText::Text(text) => match text.split_once('-') {
             Some((first, last)) => (number(first)?, number(last)?),
             None => (number(text)?, number(text)?),
         },
--- a/crates/routing-rules/src/idle.rs
+++ b/crates/routing-rules/src/idle.rs
@@ -8,7 +8,7 @@
 use crate::compiled::Compiled;
 use crate::conflict::{Conflict, Witness};
 use crate::mask::{Mask, is_must};
-use crate::world::World;
+use crate::world::Inventory;
 
 /// The namespaces in force by their parents.
 pub(crate) type Children = BTreeMap<String, Vec<Arc<Compiled>>>;
@@ -16,7 +16,7 @@
 type Placement<'a> = (&'a Rule, &'a Mask);
 
 /// The wishes of a namespace that can never take effect.
-pub(crate) fn wishes(of: &Compiled, children: &Children, world: &World) -> Vec<Conflict> {
+pub(crate) fn wishes(of: &Compiled, children: &Children, world: &Inventory) -> Vec<Conflict> {
     let chain = of.chain();
     let wishes = of.placed.iter().map(|placed| (&of.rules[placed.rule], &placed.nodes));
     let wishes = wishes.filter(|(rule, _)| !is_must(rule.strength));
@@ -28,7 +28,7 @@
     wish: Placement,
     chain: &[&Compiled],
     children: &Children,
-    world: &World,
+    world: &Inventory,
 ) -> Option<Conflict> {
     // What stands against it differs by request. The deepest is told, since what lies nearer the root isn't enough.
     let mut told: Option<(Request, Option<&Rule>)> = None;
@@ -36,7 +36,7 @@
         let mut met: Vec<Placement> = Vec::new();
         met.extend(chain.iter().flat_map(|namespace| namespace.placed_for(tenant)));
         below(of, tenant, children, &mut met);
-        met.retain(|(rule, _)| is_must(rule.strength) || rule.wish_order() < wish.0.wish_order());
+        met.retain(|(rule, _)| is_must(rule.strength) || rule.preference_order() < wish.0.preference_order());
         for class in &world.classes {
             if !wish.0.on.classes.is_empty() && !wish.0.on.classes.contains(class) {
                 continue;
@@ -65,7 +65,7 @@
     let node = wish.1.first().and_then(|at| world.nodes().nth(at));
     let one = spot(wish.0);
     let other = other.map_or_else(|| one.clone(), spot);
-    Some(Conflict::IdleWish { one, other, witness: Witness::new(&request, node) })
+    Some(Conflict::IneffectivePreference { one, other, witness: Witness::new(&request, node) })
 }
 
 /// The musts of the namespaces below that can match the tenant.
@@ -87,7 +87,7 @@
 
 /// What stands against a wish on one request. It takes effect if a node that satisfies it is allowed and is not behind
 /// each node that doesn't: behind as the wishes before it order them.
-fn against<'a>(wish: Placement, met: Vec<Placement<'a>>, world: &World) -> Against<'a> {
+fn against<'a>(wish: Placement, met: Vec<Placement<'a>>, world: &Inventory) -> Against<'a> {
     let (musts, mut wishes): (Vec<_>, Vec<_>) = met.into_iter().partition(|(rule, _)| is_must(rule.strength));
     let mut satisfying = wish.1.clone();
     let mut others = Mask::all(world);
@@ -105,7 +105,7 @@
     if others.is_empty() {
         return Against::Nothing;
     }
-    wishes.sort_by(|a, b| a.0.wish_order().cmp(&b.0.wish_order()));
+    wishes.sort_by(|a, b| a.0.preference_order().cmp(&b.0.preference_order()));
     for (rule, nodes) in wishes {
         let (mut wished, mut unwished) = (satisfying.clone(), others.clone());
         wished.and(nodes);
--- a/crates/routing-rules/src/ledger.rs
+++ b/crates/routing-rules/src/ledger.rs
@@ -10,7 +10,7 @@
 /// Each namespace's state and last good content. An empty one is that of the very first start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Ledger {
+pub struct History {
     /// How many merges changed something.
     pub step: u64,
     /// The namespaces, by path.
@@ -26,7 +26,7 @@
     /// The revision whose rules are in the book.
     pub in_force: Option<u64>,
     /// The last content that was in force. It stays when the file goes, so that an older revision can't return.
-    pub good: Option<Good>,
+    pub good: Option<GoodRevision>,
     /// The digest of the content that is held back: it stays younger than whatever comes after.
     pub refused: Option<String>,
     /// Whether what its parent delegates to it doesn't count, since it was promised beyond what there is, or twice.
@@ -37,7 +37,7 @@
 /// A content that was in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Good {
+pub struct GoodRevision {
     /// The file it was read from.
     pub file: String,
     /// Its revision.
--- a/crates/routing-rules/src/lib.rs
+++ b/crates/routing-rules/src/lib.rs
@@ -28,14 +28,16 @@
 mod youngest;
 
 pub use book::{
-    Book, GroupRange, How, Kind, Node, OnDoubt, Owner, Request, Rule, Selector, Strength, When, is_meant,
+    Book, GroupRange, MoveCondition, Node, Owner, PlacementMode, Request, Rule, RuleKind, Selector, Strength,
+    UncertaintyPolicy, selects_node,
 };
-pub use conflict::{Conflict, Spot, Witness};
+pub use conflict::{Conflict, RuleLocation, Witness};
 pub use effective::{Effective, effective, stricter};
 pub use file::{
-    BadFile, Delegate, File, MOST_BYTES, MOST_DEPTH, MOST_ITEMS, MOST_NAME, NamespaceFile, Stated, read,
+    DeclaredRule, Delegate, MAX_DEPTH, MAX_FILE_BYTES, MAX_ITEMS, MAX_NAME_BYTES, NamespaceFile, RuleFile,
+    RuleFileError, read,
 };
-pub use ledger::{Entry, Good, Ledger};
+pub use ledger::{Entry, GoodRevision, History};
 pub use merge::{Merged, Merger, check, merge};
-pub use state::{Event, Name, State};
-pub use world::World;
+pub use state::{State, StateEvent, StateName};
+pub use world::Inventory;
--- a/crates/routing-rules/src/mask.rs
+++ b/crates/routing-rules/src/mask.rs
@@ -1,7 +1,7 @@
 //! Sets of the world's kinds of node, as bits.
 
-use crate::book::{How, Kind, Strength, is_meant};
-use crate::world::World;
+use crate::book::{PlacementMode, RuleKind, Strength, selects_node};
+use crate::world::Inventory;
 
 /// A set of the world's kinds of node, by their order.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -9,11 +9,11 @@
 
 impl Mask {
     /// All kinds of node.
-    pub fn all(world: &World) -> Mask {
+    pub fn all(world: &Inventory) -> Mask {
         Mask::of(world, |_| true)
     }
 
-    pub fn of(world: &World, mut has: impl FnMut(&crate::book::Node) -> bool) -> Mask {
+    pub fn of(world: &Inventory, mut has: impl FnMut(&crate::book::Node) -> bool) -> Mask {
         let mut mask = Mask(vec![0; world.nodes.len().div_ceil(64)]);
         for (at, node) in world.nodes().enumerate() {
             mask.0[at / 64] |= u64::from(has(&node)) << (at % 64);
@@ -22,9 +22,9 @@
     }
 
     /// The nodes that satisfy a placement: those meant, or those not meant if it avoids.
-    pub fn satisfying(world: &World, kind: &Kind) -> Option<Mask> {
-        let Kind::Place { how, halls, hardware } = kind else { return None };
-        Some(Mask::of(world, |node| is_meant(halls, hardware, node) != (*how == How::Avoid)))
+    pub fn satisfying(world: &Inventory, kind: &RuleKind) -> Option<Mask> {
+        let RuleKind::Place { how, halls, hardware } = kind else { return None };
+        Some(Mask::of(world, |node| selects_node(halls, hardware, node) != (*how == PlacementMode::Avoid)))
     }
 
     pub fn is_empty(&self) -> bool {
@@ -47,5 +47,5 @@
 
 /// Whether a rule's strength is must.
 pub(crate) fn is_must(strength: Strength) -> bool {
-    strength == Strength::Must
+    strength == Strength::Requirement
 }
--- a/crates/routing-rules/src/merge.rs
+++ b/crates/routing-rules/src/merge.rs
@@ -8,11 +8,11 @@
 use crate::candidate::{self, Candidate};
 use crate::compiled::Compiled;
 use crate::conflict::Conflict;
-use crate::file::File;
-use crate::ledger::Ledger;
+use crate::file::RuleFile;
+use crate::ledger::History;
 use crate::outcome::{self, Outcome};
 use crate::pass::Pass;
-use crate::world::World;
+use crate::world::Inventory;
 use crate::youngest::Ages;
 
 /// What came of a merge.
@@ -21,19 +21,19 @@
     /// The book in force.
     pub book: Book,
     /// What to remember.
-    pub ledger: Ledger,
+    pub ledger: History,
     /// What held namespaces back.
     pub conflicts: Vec<Conflict>,
 }
 
 /// Merges the files into one book. The outcome depends on nothing but what is given here, and not on the files' order.
-pub fn merge(last: &Ledger, files: &[File], world: &World) -> Merged {
+pub fn merge(last: &History, files: &[RuleFile], world: &Inventory) -> Merged {
     Merger::default().merge(last, files, world)
 }
 
 /// All that conflicts if the newest content of each namespace is taken as it is, before any is held back: what an operator
 /// asks before files are put in place.
-pub fn check(last: &Ledger, files: &[File], world: &World) -> Vec<Conflict> {
+pub fn check(last: &History, files: &[RuleFile], world: &Inventory) -> Vec<Conflict> {
     let mut cache = Cache::default();
     cache.begin(world);
     let taken = candidate::take(last, files, world, &mut cache);
@@ -55,7 +55,7 @@
 
 impl Merger {
     /// See [`merge`].
-    pub fn merge(&mut self, last: &Ledger, files: &[File], world: &World) -> Merged {
+    pub fn merge(&mut self, last: &History, files: &[RuleFile], world: &Inventory) -> Merged {
         self.cache.begin(world);
         let mut merged = self.round(last, files, world);
         // What came in makes others the younger, so that the same files might come to another book next time. The book
@@ -74,7 +74,7 @@
         merged
     }
 
-    fn round(&mut self, last: &Ledger, files: &[File], world: &World) -> Merged {
+    fn round(&mut self, last: &History, files: &[RuleFile], world: &Inventory) -> Merged {
         let mut taken = candidate::take(last, files, world, &mut self.cache);
         let mut tried = Tried { candidates: std::mem::take(&mut taken.candidates), void: BTreeSet::new() };
         let asked = tried.candidates.clone();
@@ -139,7 +139,7 @@
 }
 
 impl Tried {
-    fn run(&self, world: &World, cache: &mut Cache) -> Pass {
+    fn run(&self, world: &Inventory, cache: &mut Cache) -> Pass {
         Pass::run(&self.candidates, &self.void, world, cache)
     }
 
@@ -163,7 +163,7 @@
         path: &str,
         asked: &BTreeMap<String, Candidate>,
         void_before: &BTreeSet<String>,
-        world: &World,
+        world: &Inventory,
         cache: &mut Cache,
     ) -> Option<(Tried, Pass)> {
         let mut more = self.clone();
--- a/crates/routing-rules/src/outcome.rs
+++ b/crates/routing-rules/src/outcome.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 
 use crate::candidate::{Taken, digest};
-use crate::ledger::{Entry, Good, Ledger};
+use crate::ledger::{Entry, GoodRevision, History};
 use crate::pass::Pass;
-use crate::state::{Event, Name, State};
+use crate::state::{State, StateEvent, StateName};
 
 /// What a merge came to.
 pub(crate) struct Outcome<'a> {
@@ -14,9 +14,9 @@
 }
 
 /// The ledger after the merge. It is the old one if nothing changed, so that merging the same again changes nothing.
-pub(crate) fn ledger(last: &Ledger, outcome: &Outcome) -> Ledger {
+pub(crate) fn ledger(last: &History, outcome: &Outcome) -> History {
     let step = last.step.saturating_add(1);
-    let mut next = Ledger { step, ..Ledger::default() };
+    let mut next = History { step, ..History::default() };
     let taken = outcome.taken;
     let mut paths: BTreeSet<&String> = last.namespaces.keys().collect();
     paths.extend(taken.newest.keys().chain(taken.held.keys()));
@@ -42,30 +42,30 @@
     };
     let held = taken.held.get(path).cloned().or_else(below_void);
     let event = if pass.handed.contains_key(path) {
-        Event::HandOver
+        StateEvent::HandOver
     } else if pass.frozen.contains_key(path) {
-        Event::Freeze
+        StateEvent::Freeze
     } else if taken.refused.iter().any(|refused| refused == path) {
-        Event::Refused
+        StateEvent::Refused
     } else if held.is_some() {
-        Event::Conflict
+        StateEvent::Conflict
     } else if active.is_some() {
-        Event::Taken
+        StateEvent::Taken
     } else {
-        Event::Gone
+        StateEvent::Gone
     };
     let old = before.map(|entry| &entry.state);
-    let name = old.map_or(Name::Absent, State::name).next(event);
+    let name = old.map_or(StateName::Absent, State::name).next(event);
     let same = old.filter(|state| state.name() == name);
     let since = same.and_then(State::since).unwrap_or(step);
     let state = match name {
-        Name::Absent => State::Absent,
-        Name::Good => State::Good,
-        Name::Frozen => State::Frozen { since, by: pass.frozen.get(path).cloned().unwrap_or_default() },
-        Name::HandedOver => {
+        StateName::Absent => State::Absent,
+        StateName::Good => State::Good,
+        StateName::Frozen => State::Frozen { since, by: pass.frozen.get(path).cloned().unwrap_or_default() },
+        StateName::HandedOver => {
             State::HandedOver { since, to: pass.handed.get(path).cloned().unwrap_or_default() }
         }
-        Name::HeldBack => {
+        StateName::HeldBack => {
             let (why, by) = held.clone().unwrap_or_default();
             let same = matches!(same, Some(State::HeldBack { why: old, .. }) if *old == why);
             State::HeldBack { since: if same { since } else { step }, why, by }
@@ -78,7 +78,7 @@
         let revision = read.file.revision;
         let old = candidate.and_then(|candidate| candidate.good.as_ref());
         let taken = old.filter(|(old, _)| old.hash == read.hash).map_or(step, |(_, taken)| *taken);
-        good = Some(Good { file: read.path_on_disk.clone(), revision, text, taken });
+        good = Some(GoodRevision { file: read.path_on_disk.clone(), revision, text, taken });
     }
     // What the file says and isn't in force stays the youngest until it changes.
     let newest = taken.newest.get(path);
--- a/crates/routing-rules/src/pass.rs
+++ b/crates/routing-rules/src/pass.rs
@@ -9,7 +9,7 @@
 use crate::conflict::{Conflict, Witness};
 use crate::file::Delegate;
 use crate::idle::Children;
-use crate::world::World;
+use crate::world::Inventory;
 
 /// What one look found.
 #[derive(Debug, Default)]
@@ -35,7 +35,7 @@
     pub fn run(
         candidates: &BTreeMap<String, Candidate>,
         void: &BTreeSet<String>,
-        world: &World,
+        world: &Inventory,
         cache: &mut Cache,
     ) -> Pass {
         let mut pass = Pass::default();
@@ -90,7 +90,7 @@
     }
 
     /// Delegations to others than children: in a circle, or to no purpose.
-    fn strangers(&mut self, world: &World) {
+    fn strangers(&mut self, world: &Inventory) {
         let mut edges = Vec::new();
         for (path, of) in &self.active {
             let strange = of.read.file.delegates.iter().filter(|delegate| !is_child(path, &delegate.to));
@@ -149,7 +149,7 @@
     path: &str,
     above: Option<&'a Arc<Compiled>>,
     later: &BTreeSet<&str>,
-    world: &World,
+    world: &Inventory,
 ) -> Stand<'a> {
     let Some(parent) = parent_of(path) else {
         return if path == world.root { Stand::Root } else { Stand::Orphan };
@@ -165,7 +165,7 @@
     }
 }
 
-fn orphan(read: &Read, above: Option<&Compiled>, world: &World) -> Conflict {
+fn orphan(read: &Read, above: Option<&Compiled>, world: &Inventory) -> Conflict {
     let path = &read.file.namespace;
     let other = match above {
         Some(above) => above.read.spot(above.read.file.line, ""),
--- a/crates/routing-rules/src/raw.rs
+++ b/crates/routing-rules/src/raw.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-use crate::book::{Strength, When};
+use crate::book::{MoveCondition, Strength};
 use crate::groups;
 
 #[derive(Deserialize)]
@@ -42,7 +42,7 @@
     #[serde(default)]
     pub classes: BTreeSet<String>,
     #[serde(default)]
-    pub groups: Vec<groups::Stated>,
+    pub groups: Vec<groups::GroupText>,
     #[serde(default)]
     pub halls: BTreeSet<String>,
     #[serde(default)]
@@ -66,13 +66,13 @@
     #[serde(default)]
     pub classes: BTreeSet<String>,
     #[serde(default)]
-    pub groups: Vec<groups::Stated>,
+    pub groups: Vec<groups::GroupText>,
     pub place: Option<RawPlace>,
     pub cap: Option<RawCap>,
     pub spread: Option<RawSpread>,
     pub pace: Option<RawPace>,
     pub attempts: Option<RawAttempts>,
-    pub r#move: Option<When>,
+    pub r#move: Option<MoveCondition>,
 }
 
 #[derive(Deserialize)]
--- a/crates/routing-rules/src/scope.rs
+++ b/crates/routing-rules/src/scope.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeSet;
 
-use crate::book::{GroupRange, Kind, Request, Selector};
-use crate::conflict::{Spot, Witness};
-use crate::file::{Delegate, Stated};
+use crate::book::{GroupRange, Request, RuleKind, Selector};
+use crate::conflict::{RuleLocation, Witness};
+use crate::file::{DeclaredRule, Delegate};
 use crate::groups;
-use crate::world::World;
+use crate::world::Inventory;
 
 /// What a namespace was given. Empty sets mean any.
 #[derive(Clone, Debug)]
@@ -17,18 +17,18 @@
     /// Its part of the connections, or that of the nearest above it that has one.
     pub connections: Option<u64>,
     /// Where it was given.
-    pub spot: Spot,
+    pub spot: RuleLocation,
 }
 
 impl Scope {
     /// The root's: everything.
-    pub fn root(world: &World) -> Scope {
+    pub fn root(world: &Inventory) -> Scope {
         Scope {
             on: Selector::default(),
             halls: BTreeSet::new(),
             hardware: BTreeSet::new(),
             connections: Some(world.connections),
-            spot: Spot {
+            spot: RuleLocation {
                 namespace: world.root.clone(),
                 file: String::new(),
                 line: 0,
@@ -38,7 +38,7 @@
     }
 
     /// A child's, out of its parent's. It may be more than the parent has: that is found as a conflict.
-    pub fn child(&self, delegate: &Delegate, spot: Spot) -> Scope {
+    pub fn child(&self, delegate: &Delegate, spot: RuleLocation) -> Scope {
         Scope {
             on: self.narrow(&delegate.tenants, &delegate.classes, &delegate.groups),
             halls: or(&delegate.halls, &self.halls),
@@ -64,17 +64,19 @@
     }
 
     /// What a rule names that the namespace wasn't given, and a witness.
-    pub fn rule_beyond(&self, rule: &Stated, world: &World) -> Option<(String, Witness)> {
+    pub fn rule_beyond(&self, rule: &DeclaredRule, world: &Inventory) -> Option<(String, Witness)> {
         let none = BTreeSet::new();
         let (halls, hardware) = match &rule.kind {
-            Kind::Place { halls, hardware, .. } | Kind::Cap { halls, hardware, .. } => (halls, hardware),
+            RuleKind::Place { halls, hardware, .. } | RuleKind::Cap { halls, hardware, .. } => {
+                (halls, hardware)
+            }
             _ => (&none, &none),
         };
         self.beyond(&rule.tenants, &rule.classes, &rule.groups, halls, hardware, world)
     }
 
     /// What a delegation names that the namespace wasn't given, and a witness.
-    pub fn delegate_beyond(&self, to: &Delegate, world: &World) -> Option<(String, Witness)> {
+    pub fn delegate_beyond(&self, to: &Delegate, world: &Inventory) -> Option<(String, Witness)> {
         self.beyond(&to.tenants, &to.classes, &to.groups, &to.halls, &to.hardware, world)
     }
 
@@ -85,7 +87,7 @@
         groups: &[GroupRange],
         halls: &BTreeSet<String>,
         hardware: &BTreeSet<String>,
-        world: &World,
+        world: &Inventory,
     ) -> Option<(String, Witness)> {
         let on = self.narrow(tenants, classes, groups);
         let sample = world.sample(&on);
@@ -138,7 +140,11 @@
 }
 
 /// A request that can come and that both selectors match.
-pub(crate) fn meeting<'a>(one: &'a Selector, other: &'a Selector, world: &'a World) -> Option<Request<'a>> {
+pub(crate) fn meeting<'a>(
+    one: &'a Selector,
+    other: &'a Selector,
+    world: &'a Inventory,
+) -> Option<Request<'a>> {
     let tenant = match (one.tenants.is_empty(), other.tenants.is_empty()) {
         (true, true) => None,
         (true, false) => Some(other.tenants.iter().find(|t| world.tenants.contains(*t))?),
--- a/crates/routing-rules/src/state.rs
+++ b/crates/routing-rules/src/state.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The state of a namespace. `since` counts merges that changed something: [`crate::Ledger::step`].
+/// The state of a namespace. `since` counts merges that changed something: [`crate::History::step`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum State {
@@ -38,7 +38,7 @@
 
 /// A state without its particulars.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Name {
+pub enum StateName {
     /// [`State::Absent`].
     Absent,
     /// [`State::Good`].
@@ -53,7 +53,7 @@
 
 /// What a merge finds of a namespace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Event {
+pub enum StateEvent {
     /// Its file is there, and in force.
     Taken,
     /// Its file can't be taken by itself: broken, an older revision, two contents of one revision.
@@ -70,13 +70,13 @@
 
 impl State {
     /// The state's name.
-    pub fn name(&self) -> Name {
+    pub fn name(&self) -> StateName {
         match self {
-            State::Absent => Name::Absent,
-            State::Good => Name::Good,
-            State::HeldBack { .. } => Name::HeldBack,
-            State::Frozen { .. } => Name::Frozen,
-            State::HandedOver { .. } => Name::HandedOver,
+            State::Absent => StateName::Absent,
+            State::Good => StateName::Good,
+            State::HeldBack { .. } => StateName::HeldBack,
+            State::Frozen { .. } => StateName::Frozen,
+            State::HandedOver { .. } => StateName::HandedOver,
         }
     }
 
@@ -90,25 +90,32 @@
     }
 }
 
-impl Name {
+impl StateName {
     /// All, in the table's order.
-    pub const ALL: [Name; 5] = [Name::Absent, Name::Good, Name::HeldBack, Name::Frozen, Name::HandedOver];
+    pub const ALL: [StateName; 5] =
+        [StateName::Absent, StateName::Good, StateName::HeldBack, StateName::Frozen, StateName::HandedOver];
 
     /// The state that the event leads to.
-    pub fn next(self, event: Event) -> Name {
+    pub fn next(self, event: StateEvent) -> StateName {
         match (self, event) {
             // A thaw or the end of a hand-over shows as whatever the file then is.
-            (_, Event::Taken) => Name::Good,
-            (_, Event::Refused | Event::Conflict) => Name::HeldBack,
-            (_, Event::Gone) => Name::Absent,
-            (_, Event::Freeze) => Name::Frozen,
-            (_, Event::HandOver) => Name::HandedOver,
+            (_, StateEvent::Taken) => StateName::Good,
+            (_, StateEvent::Refused | StateEvent::Conflict) => StateName::HeldBack,
+            (_, StateEvent::Gone) => StateName::Absent,
+            (_, StateEvent::Freeze) => StateName::Frozen,
+            (_, StateEvent::HandOver) => StateName::HandedOver,
         }
     }
 }
 
-impl Event {
+impl StateEvent {
     /// All, in the table's order.
-    pub const ALL: [Event; 6] =
-        [Event::Taken, Event::Refused, Event::Conflict, Event::Gone, Event::Freeze, Event::HandOver];
+    pub const ALL: [StateEvent; 6] = [
+        StateEvent::Taken,
+        StateEvent::Refused,
+        StateEvent::Conflict,
+        StateEvent::Gone,
+        StateEvent::Freeze,
+        StateEvent::HandOver,
+    ];
 }
--- a/crates/routing-rules/src/world.rs
+++ b/crates/routing-rules/src/world.rs
@@ -9,7 +9,7 @@
 /// What exists. A request can be met if its class is one of these and its tenant, if it names one, too; groups can be any.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct World {
+pub struct Inventory {
     /// The path of the namespace that owns everything.
     pub root: String,
     /// The tenants that exist.
@@ -22,7 +22,7 @@
     pub connections: u64,
 }
 
-impl World {
+impl Inventory {
     /// A world in which each hall has nodes of each hardware class.
     pub fn of(
         root: &str,
@@ -31,10 +31,10 @@
         halls: &[&str],
         hardware: &[&str],
         connections: u64,
-    ) -> World {
+    ) -> Inventory {
         let set = |names: &[&str]| names.iter().map(ToString::to_string).collect();
         let nodes = halls.iter().flat_map(|hall| hardware.iter().map(|h| (hall.to_string(), h.to_string())));
-        World {
+        Inventory {
             root: root.to_owned(),
             tenants: set(tenants),
             classes: set(classes),
--- a/crates/routing-rules/tests/common/mod.rs
+++ b/crates/routing-rules/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
 
-use cottonnotch_routing_rules::{File, Node, Request, World};
+use cottonnotch_routing_rules::{Inventory, Node, Request, RuleFile};
 use proptest::collection::{btree_set, vec};
 use proptest::prelude::*;
 
@@ -15,8 +15,8 @@
 pub const GROUPS: u64 = 4;
 pub const WHOLE: u64 = 100;
 
-pub fn world() -> World {
-    World::of("r", &TENANTS, &CLASSES, &HALLS, &HARDWARE, WHOLE)
+pub fn world() -> Inventory {
+    Inventory::of("r", &TENANTS, &CLASSES, &HALLS, &HARDWARE, WHOLE)
 }
 
 /// Each request of the universe; one group beyond those that files name stands for all others.
@@ -37,9 +37,9 @@
 }
 
 /// A file of a namespace, in the place that its name says.
-pub fn file(namespace: &str, revision: u64, body: &str) -> File {
+pub fn file(namespace: &str, revision: u64, body: &str) -> RuleFile {
     let text = format!("namespace = \"{namespace}\"\nowner = \"someone\"\nrevision = {revision}\n{body}\n");
-    File::new(format!("rules/{namespace}.toml"), text)
+    RuleFile::new(format!("rules/{namespace}.toml"), text)
 }
 
 pub type Names = BTreeSet<usize>;
@@ -114,7 +114,7 @@
 }
 
 impl Spec {
-    pub fn file(&self) -> File {
+    pub fn file(&self) -> RuleFile {
         let mut body = String::new();
         for grant in &self.grants {
             writeln!(body, "[[delegate]]\nto = \"{}\"", grant.to).expect("a string takes all");
@@ -221,6 +221,6 @@
         .prop_map(|(root, a, b, x, y)| [Some(root), a, b, x, y].into_iter().flatten().collect())
 }
 
-pub fn files(universe: &[Spec]) -> Vec<File> {
+pub fn files(universe: &[Spec]) -> Vec<RuleFile> {
     universe.iter().map(Spec::file).collect()
 }
--- a/crates/routing-rules/tests/conflicts.rs
+++ b/crates/routing-rules/tests/conflicts.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{file, world};
-use cottonnotch_routing_rules::{Conflict, File, Ledger, Merged, Merger, State, check, merge};
+use cottonnotch_routing_rules::{Conflict, History, Merged, Merger, RuleFile, State, check, merge};
 
 const ROOT: &str = r#"
 [[delegate]]
@@ -17,11 +17,11 @@
 connections = 50
 "#;
 
-fn fresh(files: &[File]) -> Merged {
-    merge(&Ledger::default(), files, &world())
+fn fresh(files: &[RuleFile]) -> Merged {
+    merge(&History::default(), files, &world())
 }
 
-fn root() -> File {
+fn root() -> RuleFile {
     file("r", 1, ROOT)
 }
 
@@ -122,7 +122,7 @@
 fn parts_promised_beyond_the_whole() {
     let body = ROOT.replace("connections = 50", "connections = 51");
     let merged = fresh(&[file("r", 1, &body), file("r/a", 1, ""), file("r/b", 1, "")]);
-    let Conflict::BeyondWhole { promised: 102, whole: 100, parts, .. } = only(&merged) else {
+    let Conflict::OverCommitted { promised: 102, whole: 100, parts, .. } = only(&merged) else {
         panic!("{:?}", merged.conflicts)
     };
     assert_eq!(parts.len(), 2);
@@ -132,7 +132,7 @@
 #[test]
 fn a_cap_beyond_the_part_of_its_namespace() {
     let merged = fresh(&[root(), file("r/a", 1, "[[rule]]\nname = \"much\"\ncap.connections = 51\n")]);
-    assert!(matches!(only(&merged), Conflict::BeyondWhole { promised: 51, whole: 50, .. }));
+    assert!(matches!(only(&merged), Conflict::OverCommitted { promised: 51, whole: 50, .. }));
     assert_eq!(in_force(&merged), [("r", 1)]);
 }
 
@@ -141,7 +141,9 @@
     let parent = format!("{ROOT}[[rule]]\nname = \"not-south\"\nplace.avoid.halls = [\"h1\"]\n");
     let child = "[[rule]]\nname = \"south\"\nplace.prefer.halls = [\"h1\"]\n";
     let merged = fresh(&[file("r", 1, &parent), file("r/a", 1, child)]);
-    let Conflict::IdleWish { one, other, witness } = only(&merged) else { panic!("{:?}", merged.conflicts) };
+    let Conflict::IneffectivePreference { one, other, witness } = only(&merged) else {
+        panic!("{:?}", merged.conflicts)
+    };
     assert_eq!((one.name.as_str(), other.name.as_str()), ("south", "not-south"));
     assert_eq!(witness.node().map(|node| node.hall), Some("h1"));
     assert_eq!(in_force(&merged), [("r", 1)]);
@@ -155,7 +157,7 @@
     assert_eq!(fresh(&files("place.prefer.hardware = [\"w0\"]")).conflicts, []);
     assert_eq!(fresh(&files("place.prefer.halls = [\"h0\"]")).conflicts, []);
     let merged = fresh(&files("place.prefer.halls = [\"h1\"]"));
-    assert!(matches!(only(&merged), Conflict::IdleWish { other, .. } if other.namespace == "r"));
+    assert!(matches!(only(&merged), Conflict::IneffectivePreference { other, .. } if other.namespace == "r"));
 }
 
 #[test]
@@ -163,7 +165,7 @@
     let parent = format!("{ROOT}[[rule]]\nname = \"w\"\ntenants = [\"t0\"]\nplace.prefer.halls = [\"h0\"]\n");
     let child = "[[rule]]\nname = \"m\"\nplace.require.halls = [\"h1\"]\n";
     let merged = fresh(&[file("r", 1, &parent), file("r/a", 1, child)]);
-    assert!(matches!(only(&merged), Conflict::IdleWish { one, .. } if one.namespace == "r"));
+    assert!(matches!(only(&merged), Conflict::IneffectivePreference { one, .. } if one.namespace == "r"));
     assert_eq!(in_force(&merged), [("r", 1)]);
 }
 
@@ -180,7 +182,7 @@
         file("r/a", 1, "[[delegate]]\nto = \"r/b\"\n"),
         file("r/b", 1, "[[delegate]]\nto = \"r/a\"\n"),
     ];
-    let conflicts = check(&Ledger::default(), &across, &world());
+    let conflicts = check(&History::default(), &across, &world());
     assert_eq!(conflicts.iter().filter(|c| matches!(c, Conflict::Circle { .. })).count(), 2, "{conflicts:?}");
 }
 
@@ -227,7 +229,7 @@
         assert_eq!(in_force(&merged), [("r", 1)]);
     }
     // The same content twice is one.
-    let copy = File::new("rules/copy.toml", one.text.clone());
+    let copy = RuleFile::new("rules/copy.toml", one.text.clone());
     assert_eq!(fresh(&[root(), one, copy]).conflicts, []);
 }
 
@@ -299,10 +301,10 @@
 #[test]
 fn a_merger_that_remembers_gives_what_a_fresh_one_gives() {
     let mut merger = Merger::default();
-    let mut ledger = Ledger::default();
+    let mut ledger = History::default();
     let wish = "[[rule]]\nname = \"w\"\nplace.prefer.halls = [\"h1\"]\n";
     let must = "[[rule]]\nname = \"m\"\nplace.require.halls = [\"h0\"]\n";
-    let steps: [&[File]; 6] = [
+    let steps: [&[RuleFile]; 6] = [
         &[root(), file("r/a", 1, wish)],
         &[root(), file("r/a", 1, wish)],
         &[file("r", 2, &format!("{ROOT}{must}")), file("r/a", 1, wish)],
--- a/crates/routing-rules/tests/examples.rs
+++ b/crates/routing-rules/tests/examples.rs
@@ -2,22 +2,24 @@
 
 use std::path::Path;
 
-use cottonnotch_routing_rules::{File, Ledger, Node, OnDoubt, Request, State, When, World, effective, merge};
+use cottonnotch_routing_rules::{
+    History, Inventory, MoveCondition, Node, Request, RuleFile, State, UncertaintyPolicy, effective, merge,
+};
 
-fn files() -> Vec<File> {
+fn files() -> Vec<RuleFile> {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/rules");
     let names = ["consortium", "consortium/edicoes-a", "consortium/edicoes-a/opera", "consortium/verlag-b"];
     let names = names.into_iter().chain(["consortium/casa-c"]);
     let file = |name: &str| {
         let path = format!("{name}.toml");
         let text = std::fs::read(dir.join(&path)).expect("the example is there");
-        File::new(format!("examples/rules/{path}"), text)
+        RuleFile::new(format!("examples/rules/{path}"), text)
     };
     names.map(file).collect()
 }
 
-fn world() -> World {
-    World::of(
+fn world() -> Inventory {
+    Inventory::of(
         "consortium",
         &["edicoes-a", "edicoes-a-opera", "verlag-b", "archive"],
         &["print", "proof"],
@@ -29,7 +31,7 @@
 
 #[test]
 fn three_rivals_and_a_consortium_merge_with_no_conflict() {
-    let merged = merge(&Ledger::default(), &files(), &world());
+    let merged = merge(&History::default(), &files(), &world());
     assert_eq!(merged.conflicts, []);
     assert_eq!(merged.book.namespaces.len(), 5);
     assert!(merged.ledger.namespaces.values().all(|entry| entry.state == State::Good));
@@ -44,8 +46,8 @@
     assert!(!ask(Some("edicoes-a-opera"), "proof", None, "east", "large").allowed);
     let opera = ask(Some("edicoes-a-opera"), "proof", Some(0x123), "south", "large");
     assert_eq!(opera.wishes, [("consortium/edicoes-a/opera:opera-in-the-south".to_owned(), true)]);
-    assert_eq!((opera.spread, opera.move_when), (Some(3), Some(When::DrainsOnly)));
-    assert_eq!(opera.on_doubt, Some(OnDoubt::Refuse { retry_ms: 2_000 }));
+    assert_eq!((opera.spread, opera.move_when), (Some(3), Some(MoveCondition::DrainsOnly)));
+    assert_eq!(opera.on_doubt, Some(UncertaintyPolicy::Refuse { retry_ms: 2_000 }));
     // The least number of attempts counts.
     assert_eq!(ask(Some("verlag-b"), "proof", None, "east", "large").attempts, Some(2));
     assert_eq!(ask(Some("edicoes-a"), "proof", None, "north", "large").attempts, Some(4));
--- a/crates/routing-rules/tests/files.rs
+++ b/crates/routing-rules/tests/files.rs
@@ -4,7 +4,7 @@
 
 use common::{any_universe, file, files, world};
 use cottonnotch_routing_rules::{
-    Conflict, File, Kind, Ledger, MOST_BYTES, OnDoubt, State, Strength, merge, read,
+    Conflict, History, MAX_FILE_BYTES, RuleFile, RuleKind, State, Strength, UncertaintyPolicy, merge, read,
 };
 use proptest::prelude::*;
 
@@ -20,13 +20,13 @@
                 [[delegate]]\nto = \"x\"\ngroups = [\"0x10-0x1f\", [32, 33], 7, \"ffffffffffffffff\"]\n\n\
                 [[rule]]\nname = \"one\"\npace.per_s = 2.5\n\n[[rule]]\nname = \"two\"\nmove = \"drains-only\"\nstrength = \"wish\"\n";
     let content = read(&file("r/a", 9, body)).expect("it is whole");
-    assert_eq!((content.revision, content.on_doubt), (9, OnDoubt::Refuse { retry_ms: 250 }));
+    assert_eq!((content.revision, content.on_doubt), (9, UncertaintyPolicy::Refuse { retry_ms: 250 }));
     assert_eq!((content.delegates[0].to.as_str(), content.delegates[0].line), ("r/a/x", 8));
     let groups: Vec<(u64, u64)> = content.delegates[0].groups.iter().map(|g| (g.first, g.last)).collect();
     assert_eq!(groups, [(7, 7), (0x10, 0x21), (u64::MAX, u64::MAX)]);
-    assert_eq!(content.rules[0].kind, Kind::Pace { per_s_milli: 2_500 });
+    assert_eq!(content.rules[0].kind, RuleKind::Pace { per_s_milli: 2_500 });
     assert_eq!((content.rules[0].line, content.rules[1].line), (12, 16));
-    assert_eq!(content.rules[1].strength, Strength::Wish);
+    assert_eq!(content.rules[1].strength, Strength::Preference);
 }
 
 #[test]
@@ -66,13 +66,14 @@
 
 #[test]
 fn too_large_cut_short_or_no_text_at_all() {
-    let large = File::new("f", vec![b'#'; MOST_BYTES + 1]);
+    let large = RuleFile::new("f", vec![b'#'; MAX_FILE_BYTES + 1]);
     assert!(read(&large).is_err_and(|error| error.why.contains("larger")));
-    assert!(read(&File::new("f", vec![0xff, b'\n'])).is_err_and(|error| error.why.contains("UTF-8")));
+    assert!(read(&RuleFile::new("f", vec![0xff, b'\n'])).is_err_and(|error| error.why.contains("UTF-8")));
     assert!(
-        read(&File::new("f", "namespace = \"r\"\nrevision = 1")).is_err_and(|e| e.why.contains("cut short"))
+        read(&RuleFile::new("f", "namespace = \"r\"\nrevision = 1"))
+            .is_err_and(|e| e.why.contains("cut short"))
     );
-    assert!(read(&File::new("f", "")).is_err());
+    assert!(read(&RuleFile::new("f", "")).is_err());
 }
 
 #[test]
@@ -89,7 +90,7 @@
     for cut in
         (0..whole.text.len()).filter(|cut| *cut >= counted || whole.text[..*cut].last() != Some(&b'\n'))
     {
-        let part = File::new("f", &whole.text[..cut]);
+        let part = RuleFile::new("f", &whole.text[..cut]);
         assert!(read(&part).is_err(), "{:?}", String::from_utf8_lossy(&part.text));
     }
 }
@@ -98,8 +99,8 @@
 fn a_broken_file_holds_back_its_own_namespace_alone() {
     let body = "[[delegate]]\nto = \"a\"\ntenants = [\"t0\"]\n[[delegate]]\nto = \"b\"\ntenants = [\"t1\"]\n";
     let good = [file("r", 1, body), file("r/a", 1, ""), file("r/b", 1, "")];
-    let first = merge(&Ledger::default(), &good, &world());
-    let broken = File::new("rules/r/a.toml", "namespace = \n");
+    let first = merge(&History::default(), &good, &world());
+    let broken = RuleFile::new("rules/r/a.toml", "namespace = \n");
     let merged = merge(&first.ledger, &[good[0].clone(), broken.clone(), file("r/b", 2, "")], &world());
     let revisions: Vec<u64> = merged.book.namespaces.iter().map(|owner| owner.revision).collect();
     assert_eq!(revisions, [1, 1, 2]);
@@ -110,12 +111,12 @@
         "{state:?}"
     );
     // The name it was last read under counts as well, and one that is nobody's holds nobody back.
-    let anyone = File::new("nobody.toml", "namespace = \n");
+    let anyone = RuleFile::new("nobody.toml", "namespace = \n");
     let merged = merge(&first.ledger, &[good.as_slice(), &[anyone]].concat(), &world());
     assert_eq!(merged.book, first.book);
     assert!(matches!(&merged.conflicts[..], [Conflict::Broken { namespace: None, .. }]));
     // The first start: the file's place tells whose it is.
-    let merged = merge(&Ledger::default(), &[good[0].clone(), broken], &world());
+    let merged = merge(&History::default(), &[good[0].clone(), broken], &world());
     assert!(
         matches!(&merged.conflicts[..], [Conflict::Broken { namespace: Some(path), .. }] if path == "r/a")
     );
@@ -149,7 +150,7 @@
     fn any_bytes_never_panic_and_change_no_other_namespace(universe in any_universe(), bytes in anything(), at in 0..5_usize) {
         // The last good state, then one file overwritten by anything.
         let good = files(&universe);
-        let first = merge(&Ledger::default(), &good, &world());
+        let first = merge(&History::default(), &good, &world());
         let settled = merge(&first.ledger, &good, &world());
         let mut bad = good.clone();
         let at = at % bad.len();
--- a/crates/routing-rules/tests/oracle.rs
+++ b/crates/routing-rules/tests/oracle.rs
@@ -8,7 +8,8 @@
 
 use common::{any_universe, files, nodes, requests, world};
 use cottonnotch_routing_rules::{
-    Book, Conflict, File, How, Kind, Ledger, Merger, State, Strength, check, effective, merge,
+    Book, Conflict, History, Merger, PlacementMode, RuleFile, RuleKind, State, Strength, check, effective,
+    merge,
 };
 use oracle::Found;
 use proptest::prelude::*;
@@ -28,16 +29,16 @@
             Conflict::SameSubject { one, other, .. } => {
                 found.same_subject.insert((one.namespace.clone(), other.namespace.clone()));
             }
-            Conflict::BeyondWhole { one, parts, .. } if parts.is_empty() => {
+            Conflict::OverCommitted { one, parts, .. } if parts.is_empty() => {
                 found.beyond_caps.insert((one.namespace.clone(), one.name.clone()));
             }
-            Conflict::BeyondWhole { promiser, .. } => {
+            Conflict::OverCommitted { promiser, .. } => {
                 found.beyond_parts.insert(promiser.namespace.clone());
             }
             Conflict::NoNode { one, .. } => {
                 found.no_node.insert(one.namespace.clone());
             }
-            Conflict::IdleWish { one, .. } => {
+            Conflict::IneffectivePreference { one, .. } => {
                 found.idle.insert((one.namespace.clone(), one.name.clone()));
             }
             other => panic!("not in these universes: {other}"),
@@ -69,7 +70,7 @@
             let node = witness.node().expect("there is a node without the last must");
             prop_assert!(allowed(Some(rules.len() - 1), &node), "{conflict}");
         }
-        Conflict::IdleWish { one, .. } => {
+        Conflict::IneffectivePreference { one, .. } => {
             let (on, _) = rule_of(universe, &one.namespace, &one.name);
             prop_assert!(oracle::speaks(&on, &request), "{conflict}");
         }
@@ -128,7 +129,7 @@
 
     #[test]
     fn conflicts_are_those_of_brute_force(universe in any_universe()) {
-        let conflicts = check(&Ledger::default(), &files(&universe), &world());
+        let conflicts = check(&History::default(), &files(&universe), &world());
         prop_assert_eq!(told(&conflicts), oracle::conflicts(&universe));
         for conflict in &conflicts {
             witness_is_real(conflict, &universe)?;
@@ -137,7 +138,7 @@
 
     #[test]
     fn what_is_left_has_no_conflict(universe in any_universe()) {
-        let merged = merge(&Ledger::default(), &files(&universe), &world());
+        let merged = merge(&History::default(), &files(&universe), &world());
         each_request_has_a_node(&merged.book)?;
         // What is in force, without the delegations that were voided, is without conflict by brute force too.
         let in_force: BTreeSet<&str> = merged.book.namespaces.iter().map(|owner| owner.path.as_str()).collect();
@@ -176,9 +177,9 @@
         }),
     ) {
         let sorted = files(&universe);
-        let shuffled: Vec<File> = order.iter().map(|at| sorted[*at].clone()).collect();
-        let merged = merge(&Ledger::default(), &sorted, &world());
-        prop_assert_eq!(&merged, &merge(&Ledger::default(), &shuffled, &world()));
+        let shuffled: Vec<RuleFile> = order.iter().map(|at| sorted[*at].clone()).collect();
+        let merged = merge(&History::default(), &sorted, &world());
+        prop_assert_eq!(&merged, &merge(&History::default(), &shuffled, &world()));
         let bytes = toml::to_string(&merged.book).expect("a book is written");
         let again = merge(&merged.ledger, &shuffled, &world());
         prop_assert_eq!(&again.book, &merged.book);
@@ -186,25 +187,25 @@
         let third = merge(&again.ledger, &sorted, &world());
         prop_assert_eq!(&third, &again);
         let ledger = toml::to_string(&merged.ledger).expect("a ledger is written");
-        prop_assert_eq!(toml::from_str::<Ledger>(&ledger).expect("and read"), merged.ledger);
+        prop_assert_eq!(toml::from_str::<History>(&ledger).expect("and read"), merged.ledger);
     }
 
     #[test]
     fn a_parents_musts_hold_below_it(universe in any_universe()) {
-        let merged = merge(&Ledger::default(), &files(&universe), &world());
+        let merged = merge(&History::default(), &files(&universe), &world());
         for request in requests() {
             for node in nodes() {
                 let whole = effective(&merged.book, &request, &node);
                 for rule in &merged.book.rules {
-                    if rule.strength != Strength::Must || !rule.on.matches(&request) {
+                    if rule.strength != Strength::Requirement || !rule.on.matches(&request) {
                         continue;
                     }
                     match &rule.kind {
-                        Kind::Place { how, halls, hardware } => {
-                            let meant = cottonnotch_routing_rules::is_meant(halls, hardware, &node);
-                            prop_assert!(!whole.allowed || meant == (*how == How::Require));
+                        RuleKind::Place { how, halls, hardware } => {
+                            let meant = cottonnotch_routing_rules::selects_node(halls, hardware, &node);
+                            prop_assert!(!whole.allowed || meant == (*how == PlacementMode::Require));
                         }
-                        Kind::Attempts { most } => prop_assert!(whole.attempts.is_some_and(|least| least <= *most)),
+                        RuleKind::Attempts { most } => prop_assert!(whole.attempts.is_some_and(|least| least <= *most)),
                         _ => {}
                     }
                 }
@@ -212,12 +213,12 @@
         }
         // The root's own rules are all in force, whatever stands below: of two that conflict the deeper is the younger.
         // What it holds against itself alone, a child's musts may settle, so that is left out.
-        let alone = merge(&Ledger::default(), &files(&universe[..1]), &world());
+        let alone = merge(&History::default(), &files(&universe[..1]), &world());
         let own = |book: &Book| {
             let own = book.rules.iter().filter(|rule| rule.namespace == "r" && rule.name.starts_with("rule-"));
             own.cloned().collect::<Vec<_>>()
         };
-        let root_held = check(&Ledger::default(), &files(&universe), &world())
+        let root_held = check(&History::default(), &files(&universe), &world())
             .iter()
             .any(|conflict| conflict.namespaces() == ["r"]);
         if !root_held && alone.book.namespaces.len() == 1 {
@@ -230,7 +231,7 @@
         history in proptest::collection::vec((any_universe(), 0..4_u8), 2..4),
     ) {
         let mut merger = Merger::default();
-        let mut ledger = Ledger::default();
+        let mut ledger = History::default();
         for (step, (mut universe, hall)) in history.into_iter().enumerate() {
             // Mostly newer revisions; now and then an old one, or the same with another content.
             for spec in &mut universe {
--- a/crates/routing-rules/tests/table.rs
+++ b/crates/routing-rules/tests/table.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use cottonnotch_routing_rules::{Event, Name};
+use cottonnotch_routing_rules::{StateEvent, StateName};
 
 #[test]
 fn the_documents_table_is_the_codes() {
@@ -19,12 +19,12 @@
         spaced.trim().to_lowercase()
     };
     let head: Vec<String> = std::iter::once("from".to_owned())
-        .chain(Event::ALL.iter().map(|event| plain(format!("{event:?}"))))
+        .chain(StateEvent::ALL.iter().map(|event| plain(format!("{event:?}"))))
         .collect();
     assert!(rows.contains(&head), "no head {head:?}");
-    for name in Name::ALL {
+    for name in StateName::ALL {
         let row: Vec<String> = std::iter::once(plain(format!("{name:?}")))
-            .chain(Event::ALL.iter().map(|event| plain(format!("{:?}", name.next(*event)))))
+            .chain(StateEvent::ALL.iter().map(|event| plain(format!("{:?}", name.next(*event)))))
             .collect();
         assert!(rows.contains(&row), "no row {row:?}");
     }
--- a/crates/rule-compiler/benches/look.rs
+++ b/crates/rule-compiler/benches/look.rs
@@ -9,7 +9,8 @@
 
 use arc_swap::ArcSwap;
 use cottonnotch_routing_rules::{
-    Book, GroupRange, How, Kind, Node, OnDoubt, Owner, Request, Rule, Selector, Strength, When,
+    Book, GroupRange, MoveCondition, Node, Owner, PlacementMode, Request, Rule, RuleKind, Selector, Strength,
+    UncertaintyPolicy,
 };
 use cottonnotch_rule_compiler::{Plan, Profile, Profiles, contradiction, lower};
 use criterion::Criterion;
@@ -46,17 +47,19 @@
         }
         let (halls, hardware) = (some("hall-", number * 11, HALLS), some("node-", number * 13, CLASSES));
         let kind = match which / 1000 % 10 {
-            0..4 => Kind::Place { how: How::Avoid, halls, hardware },
-            4..7 => Kind::Place { how: How::Prefer, halls, hardware: BTreeSet::new() },
-            7 => Kind::Cap { connections: 1_000, halls, hardware: BTreeSet::new() },
-            8 => Kind::Attempts { most: 3 },
-            _ => Kind::Move { when: When::Last },
+            0..4 => RuleKind::Place { how: PlacementMode::Avoid, halls, hardware },
+            4..7 => RuleKind::Place { how: PlacementMode::Prefer, halls, hardware: BTreeSet::new() },
+            7 => RuleKind::Cap { connections: 1_000, halls, hardware: BTreeSet::new() },
+            8 => RuleKind::Attempts { most: 3 },
+            _ => RuleKind::Move { when: MoveCondition::Last },
         };
         let depth = mix(number * 17) % 3;
-        let strength = if matches!(kind, Kind::Place { how: How::Prefer, .. }) || which.is_multiple_of(7) {
-            Strength::Wish
+        let strength = if matches!(kind, RuleKind::Place { how: PlacementMode::Prefer, .. })
+            || which.is_multiple_of(7)
+        {
+            Strength::Preference
         } else {
-            Strength::Must
+            Strength::Requirement
         };
         Rule {
             namespace: paths[depth as usize].into(),
@@ -72,7 +75,7 @@
     };
     let mut rules: Vec<Rule> = (0..count).map(rule).collect();
     rules.sort_by(|a, b| (&a.namespace, &a.name).cmp(&(&b.namespace, &b.name)));
-    let on_doubt = OnDoubt::Refuse { retry_ms: 500 };
+    let on_doubt = UncertaintyPolicy::Refuse { retry_ms: 500 };
     let namespaces = paths.map(|path| Owner { path: path.into(), revision: 1, on_doubt });
     Book { namespaces: namespaces.into(), rules }
 }
@@ -223,11 +226,11 @@
         name,
         file: "rules.toml".into(),
         line: 1,
-        strength: Strength::Must,
+        strength: Strength::Requirement,
         priority: 0,
         depth: 0,
         on: Selector { tenants, ..Selector::default() },
-        kind: Kind::Attempts { most: 2 },
+        kind: RuleKind::Attempts { most: 2 },
     };
     let with = |more: Vec<Rule>| {
         let mut rules = large.rules.clone();
--- a/crates/rule-compiler/src/canonical.rs
+++ b/crates/rule-compiler/src/canonical.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::marker::PhantomData;
 
-use cottonnotch_routing_rules::{GroupRange, OnDoubt};
+use cottonnotch_routing_rules::{GroupRange, UncertaintyPolicy};
 use serde::de::{SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 
@@ -63,7 +63,7 @@
     if !tidy(&rule.on.groups) {
         return Err(BadPlan::Canonical("groups"));
     }
-    if rule.form.is_wish() && rule.on_doubt != OnDoubt::Keep {
+    if rule.form.is_wish() && rule.on_doubt != UncertaintyPolicy::Keep {
         return Err(BadPlan::Canonical("a wish in doubt"));
     }
     let named = rule.form.nodes().map(|nodes| &nodes.hardware);
--- a/crates/rule-compiler/src/effects.rs
+++ b/crates/rule-compiler/src/effects.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashMap, HashSet};
 
-use cottonnotch_routing_rules::{OnDoubt, stricter};
+use cottonnotch_routing_rules::{UncertaintyPolicy, stricter};
 use fnv::FnvBuildHasher;
 
 use crate::bits::{SetId, SetsBuilder};
@@ -19,7 +19,7 @@
     pub allow: SetId,
     pub attempts: Option<u32>,
     pub spread: Option<u32>,
-    pub doubt: Option<OnDoubt>,
+    pub doubt: Option<UncertaintyPolicy>,
     /// The musts.
     pub musts: Run,
     /// Those of them that limit standing connections.
--- a/crates/rule-compiler/src/forms.rs
+++ b/crates/rule-compiler/src/forms.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use cottonnotch_routing_rules::{How, Kind, Rule, Strength, When};
+use cottonnotch_routing_rules::{MoveCondition, PlacementMode, Rule, RuleKind, Strength};
 
 use crate::plan::{Counted, Form, NodeSet};
 use crate::profile::{Budgets, Features};
@@ -31,12 +31,12 @@
 
 /// Whether a rule asks for an order only.
 pub(crate) fn is_wish(rule: &Rule) -> bool {
-    rule.strength == Strength::Wish
+    rule.strength == Strength::Preference
 }
 
 fn means(rule: &Rule, class: &Class) -> bool {
     match &rule.kind {
-        Kind::Place { hardware, .. } | Kind::Cap { hardware, .. } => {
+        RuleKind::Place { hardware, .. } | RuleKind::Cap { hardware, .. } => {
             hardware.is_empty() || (class.listed && hardware.contains(&*class.name))
         }
         _ => true,
@@ -51,24 +51,24 @@
         return wish(rule, classes);
     }
     match &rule.kind {
-        Kind::Place { how, halls, hardware } => {
+        RuleKind::Place { how, halls, hardware } => {
             let nodes = NodeSet { halls: halls.clone(), hardware: hardware.clone() };
             // A must that prefers holds as one that requires, as the rulebook reads it.
-            let form = if *how == How::Avoid { Form::Avoid(nodes) } else { Form::Require(nodes) };
+            let form = if *how == PlacementMode::Avoid { Form::Avoid(nodes) } else { Form::Require(nodes) };
             formed(form, each(&|_| EXACTLY))
         }
-        Kind::Cap { connections, halls, hardware } => {
+        RuleKind::Cap { connections, halls, hardware } => {
             let nodes = NodeSet { halls: halls.clone(), hardware: hardware.clone() };
             let (connections, runs) = cap(*connections, each(&cap_on));
             formed(Form::Cap { connections, nodes }, runs)
         }
-        Kind::Spread { nodes } => {
+        RuleKind::Spread { nodes } => {
             let (form, runs) = spread(*nodes, each(&spread_on), classes);
             formed(form, runs)
         }
-        Kind::Pace { per_s_milli } => formed(Form::Pace(*per_s_milli), each(&|_| EXACTLY)),
-        Kind::Attempts { most } => formed(Form::Attempts(*most), each(&|_| EXACTLY)),
-        Kind::Move { when } => {
+        RuleKind::Pace { per_s_milli } => formed(Form::Pace(*per_s_milli), each(&|_| EXACTLY)),
+        RuleKind::Attempts { most } => formed(Form::Attempts(*most), each(&|_| EXACTLY)),
+        RuleKind::Move { when } => {
             let runs = each(&|class| move_on(*when, class));
             let stricter = runs.iter().zip(0..).filter(|(run, _)| is(run, Runs::Stricter));
             let drains_only = stricter.map(|(_, class)| class).collect();
@@ -88,12 +88,12 @@
 fn wish(rule: &Rule, classes: &[Class]) -> Formed {
     let each = |runs: &dyn Fn(&Class) -> Run| each(rule, classes, runs);
     match &rule.kind {
-        Kind::Place { how, halls, hardware } => {
+        RuleKind::Place { how, halls, hardware } => {
             let nodes = NodeSet { halls: halls.clone(), hardware: hardware.clone() };
-            let form = Form::Wish { avoid: *how == How::Avoid, nodes };
+            let form = Form::Wish { avoid: *how == PlacementMode::Avoid, nodes };
             Formed { form: Some(form), runs: each(&order_on) }
         }
-        Kind::Move { when } => {
+        RuleKind::Move { when } => {
             let runs = each(&|class| match move_on(*when, class) {
                 EXACTLY => EXACTLY,
                 _ => (Runs::Dropped, "its nodes move all that they hold at once"),
@@ -183,8 +183,8 @@
     (Form::Spread { nodes: left, counted: Some(Counted { connections: counted, nodes: on }) }, runs)
 }
 
-fn move_on(when: When, class: &Class) -> Run {
-    if when == When::DrainsOnly || class.features.drained_by_pieces {
+fn move_on(when: MoveCondition, class: &Class) -> Run {
+    if when == MoveCondition::DrainsOnly || class.features.drained_by_pieces {
         EXACTLY
     } else if class.features.tells_loads {
         let words =
--- a/crates/rule-compiler/src/index.rs
+++ b/crates/rule-compiler/src/index.rs
@@ -228,9 +228,9 @@
         let width = self.hardware.len() as u32 + 1;
         let pairs = (0..(self.halls.len() as u32 + 1) * width).filter(|pair| {
             let (hall, class) = (pair / width, pair % width);
-            let is_meant = halls.as_ref().is_none_or(|halls| halls[hall as usize])
+            let selects_node = halls.as_ref().is_none_or(|halls| halls[hall as usize])
                 && hardware.as_ref().is_none_or(|hardware| hardware[class as usize]);
-            is_meant == meant && !rule.out.contains(&(class as u16))
+            selects_node == meant && !rule.out.contains(&(class as u16))
         });
         Own { allow: sets.of(pairs), place: NONE }
     }
--- a/crates/rule-compiler/src/look.rs
+++ b/crates/rule-compiler/src/look.rs
@@ -1,6 +1,6 @@
 //! What a plan says of one request.
 
-use cottonnotch_routing_rules::{Node, OnDoubt, Request, When, stricter};
+use cottonnotch_routing_rules::{MoveCondition, Node, Request, UncertaintyPolicy, stricter};
 
 use crate::effects::{Effect, least};
 use crate::groups::NONE;
@@ -211,33 +211,33 @@
 
     /// When its connections may be moved, wherever they are: the strictest that a must asks for on any class, or what the
     /// first wish asks for if no must does.
-    pub fn move_when(&self) -> Option<When> {
+    pub fn move_when(&self) -> Option<MoveCondition> {
         self.must_move(|drains_only| !drains_only.is_empty()).or_else(|| self.wished_move(|_| true))
     }
 
     /// When its connections on a node may be moved.
-    pub fn move_when_on(&self, node: &Node) -> Option<When> {
+    pub fn move_when_on(&self, node: &Node) -> Option<MoveCondition> {
         let index = &self.plan.index;
         let class = index.hardware.get(node.hardware).copied().unwrap_or(index.hardware.len() as u32) as u16;
         self.must_move_at(class).or_else(|| self.wished_move(|out| !out.contains(&class)))
     }
 
     /// When its connections on a listed class may be moved, by the musts alone.
-    pub(crate) fn must_move_at(&self, class: u16) -> Option<When> {
+    pub(crate) fn must_move_at(&self, class: u16) -> Option<MoveCondition> {
         self.must_move(|drains_only| drains_only.contains(&class))
     }
 
-    fn must_move(&self, strict: impl Fn(&[u16]) -> bool) -> Option<When> {
+    fn must_move(&self, strict: impl Fn(&[u16]) -> bool) -> Option<MoveCondition> {
         let rules = &self.plan.body.rules;
         let must = self.of(|effect| effect.moves).filter_map(|at| match &rules[at].form {
-            Form::Move { drains_only, .. } if strict(drains_only) => Some(When::DrainsOnly),
+            Form::Move { drains_only, .. } if strict(drains_only) => Some(MoveCondition::DrainsOnly),
             Form::Move { when, .. } => Some(*when),
             _ => None,
         });
         must.max()
     }
 
-    fn wished_move(&self, heard: impl Fn(&[u16]) -> bool) -> Option<When> {
+    fn wished_move(&self, heard: impl Fn(&[u16]) -> bool) -> Option<MoveCondition> {
         let (rules, own) = (&self.plan.body.rules, &self.plan.index.own);
         let wishes = self.of(|effect| effect.moves).filter_map(|at| match &rules[at].form {
             Form::WishMove(when) if heard(&rules[at].out) => Some((own[at].place, *when)),
@@ -252,7 +252,7 @@
     }
 
     /// What the owners of its musts ask for while the version is in doubt, the strictest. None without musts.
-    pub fn on_doubt(&self) -> Option<OnDoubt> {
+    pub fn on_doubt(&self) -> Option<UncertaintyPolicy> {
         self.effects().fold(None, |doubt, effect| stricter(doubt, effect.doubt))
     }
 
--- a/crates/rule-compiler/src/lower.rs
+++ b/crates/rule-compiler/src/lower.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use cottonnotch_routing_rules::{Book, Kind, OnDoubt, Rule, Selector};
+use cottonnotch_routing_rules::{Book, Rule, RuleKind, Selector, UncertaintyPolicy};
 
 use crate::canonical::tidied;
 use crate::forms::{Class, Formed, form, is_wish};
@@ -36,7 +36,7 @@
     }
     let hardware: Vec<String> =
         classes.iter().filter(|class| class.listed).map(|class| class.name.to_string()).collect();
-    let doubts: BTreeMap<&str, OnDoubt> =
+    let doubts: BTreeMap<&str, UncertaintyPolicy> =
         book.namespaces.iter().map(|owner| (owner.path.as_str(), owner.on_doubt)).collect();
     let wishes = order.iter().filter(|&&at| is_wish(&book.rules[at])).count();
     let musts = order.len() - wishes;
@@ -74,7 +74,7 @@
 /// The classes that have a profile or that a rule names, and then every other.
 fn classes(book: &Book, profiles: &Profiles) -> Vec<Class> {
     let named = book.rules.iter().filter_map(|rule| match &rule.kind {
-        Kind::Place { hardware, .. } | Kind::Cap { hardware, .. } => Some(hardware),
+        RuleKind::Place { hardware, .. } | RuleKind::Cap { hardware, .. } => Some(hardware),
         _ => None,
     });
     let names: BTreeSet<&String> = named.flatten().chain(profiles.keys()).collect();
@@ -89,7 +89,7 @@
 /// Musts first, and of each sort those of fewer depth, then of higher priority, then by namespace and name.
 fn order(rules: &[Rule]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..rules.len()).collect();
-    order.sort_by_key(|&at| (is_wish(&rules[at]), rules[at].wish_order()));
+    order.sort_by_key(|&at| (is_wish(&rules[at]), rules[at].preference_order()));
     order
 }
 
@@ -143,13 +143,13 @@
     formed: &[Formed],
     kept: &[usize],
     hardware: &[String],
-    doubts: &BTreeMap<&str, OnDoubt>,
+    doubts: &BTreeMap<&str, UncertaintyPolicy>,
 ) -> Result<Plan, BadPlan> {
     let lowered = kept.iter().filter_map(|&at| lowrule(&book.rules[at], &formed[at], doubts));
     Plan::new(hardware.to_vec(), lowered.collect())
 }
 
-fn lowrule(rule: &Rule, formed: &Formed, doubts: &BTreeMap<&str, OnDoubt>) -> Option<Lowrule> {
+fn lowrule(rule: &Rule, formed: &Formed, doubts: &BTreeMap<&str, UncertaintyPolicy>) -> Option<Lowrule> {
     let mut on = rule.on.clone();
     on.groups = tidied(&on.groups);
     if on.groups.is_empty() != rule.on.groups.is_empty() {
@@ -165,9 +165,9 @@
         return None;
     }
     let on_doubt = match doubts.get(rule.namespace.as_str()) {
-        _ if form.is_wish() => OnDoubt::Keep,
+        _ if form.is_wish() => UncertaintyPolicy::Keep,
         Some(&on_doubt) => on_doubt,
-        None => OnDoubt::Refuse { retry_ms: STRAY_RETRY_MS },
+        None => UncertaintyPolicy::Refuse { retry_ms: STRAY_RETRY_MS },
     };
     let (namespace, name) = (rule.namespace.clone(), rule.name.clone());
     Some(Lowrule { namespace, name, depth: rule.depth, priority: rule.priority, on, on_doubt, form, out })
@@ -181,7 +181,7 @@
         depth: 0,
         priority: 0,
         on: Selector::default(),
-        on_doubt: OnDoubt::Refuse { retry_ms: STRAY_RETRY_MS },
+        on_doubt: UncertaintyPolicy::Refuse { retry_ms: STRAY_RETRY_MS },
         form: Form::Shut,
         out: Vec::new(),
     };
--- a/crates/rule-compiler/src/plan.rs
+++ b/crates/rule-compiler/src/plan.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-use cottonnotch_routing_rules::{Node, OnDoubt, Request, Selector, When, is_meant};
+use cottonnotch_routing_rules::{MoveCondition, Node, Request, Selector, UncertaintyPolicy, selects_node};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -58,7 +58,7 @@
 impl NodeSet {
     /// Whether a node is of the set.
     pub fn contains(&self, node: &Node) -> bool {
-        is_meant(&self.halls, &self.hardware, node)
+        selects_node(&self.halls, &self.hardware, node)
     }
 }
 
@@ -80,7 +80,7 @@
     Attempts(u32),
     /// On these classes, only when the node drains.
     Move {
-        when: When,
+        when: MoveCondition,
         drains_only: Vec<u16>,
     },
     /// No node at all: what couldn't be put into a plan.
@@ -89,7 +89,7 @@
         avoid: bool,
         nodes: NodeSet,
     },
-    WishMove(When),
+    WishMove(MoveCondition),
 }
 
 /// What stands for a spread where a class keeps no groups.
@@ -132,7 +132,7 @@
     pub depth: u32,
     pub priority: i32,
     pub on: Selector,
-    pub on_doubt: OnDoubt,
+    pub on_doubt: UncertaintyPolicy,
     pub form: Form,
     /// The classes, by their place in the plan's list, that a must takes out of its requests' candidates, or that a wish
     /// doesn't order. The place after the last is every other class.
--- a/crates/rule-compiler/tests/common/mod.rs
+++ b/crates/rule-compiler/tests/common/mod.rs
@@ -5,7 +5,8 @@
 use std::collections::BTreeSet;
 
 use cottonnotch_routing_rules::{
-    Book, GroupRange, How, Kind, Node, OnDoubt, Owner, Request, Rule, Selector, Strength, When, is_meant,
+    Book, GroupRange, MoveCondition, Node, Owner, PlacementMode, Request, Rule, RuleKind, Selector, Strength,
+    UncertaintyPolicy, selects_node,
 };
 use cottonnotch_rule_compiler::{Budgets, Features, Profile, Profiles};
 use proptest::collection::{btree_set, vec};
@@ -71,24 +72,24 @@
     })
 }
 
-fn kind() -> impl Strategy<Value = Kind> {
-    let how = prop::sample::select(vec![How::Require, How::Avoid, How::Prefer]);
-    let when = prop::sample::select(vec![When::Last, When::DrainsOnly]);
+fn kind() -> impl Strategy<Value = RuleKind> {
+    let how = prop::sample::select(vec![PlacementMode::Require, PlacementMode::Avoid, PlacementMode::Prefer]);
+    let when = prop::sample::select(vec![MoveCondition::Last, MoveCondition::DrainsOnly]);
     prop_oneof![
         4 => (how, names(&HALLS, 2), names(&HARDWARE, 2))
-            .prop_map(|(how, halls, hardware)| Kind::Place { how, halls, hardware }),
+            .prop_map(|(how, halls, hardware)| RuleKind::Place { how, halls, hardware }),
         2 => (0..9u64, names(&HALLS, 1), names(&HARDWARE, 2))
-            .prop_map(|(connections, halls, hardware)| Kind::Cap { connections, halls, hardware }),
-        1 => (0..6u32).prop_map(|nodes| Kind::Spread { nodes }),
-        1 => (0..5u64).prop_map(|per_s_milli| Kind::Pace { per_s_milli }),
-        1 => (0..4u32).prop_map(|most| Kind::Attempts { most }),
-        1 => when.prop_map(|when| Kind::Move { when }),
+            .prop_map(|(connections, halls, hardware)| RuleKind::Cap { connections, halls, hardware }),
+        1 => (0..6u32).prop_map(|nodes| RuleKind::Spread { nodes }),
+        1 => (0..5u64).prop_map(|per_s_milli| RuleKind::Pace { per_s_milli }),
+        1 => (0..4u32).prop_map(|most| RuleKind::Attempts { most }),
+        1 => when.prop_map(|when| RuleKind::Move { when }),
     ]
 }
 
 /// A rule, named by `number` so that names are unique.
 pub fn rule(number: usize) -> impl Strategy<Value = Rule> {
-    let strength = prop::sample::select(vec![Strength::Must, Strength::Wish]);
+    let strength = prop::sample::select(vec![Strength::Requirement, Strength::Preference]);
     (0..OWNERS.len(), strength, -1..2i32, selector(), kind()).prop_map(
         move |(owner, strength, priority, on, kind)| {
             let (namespace, depth) = OWNERS[owner];
@@ -99,8 +100,11 @@
     )
 }
 
-fn on_doubt() -> impl Strategy<Value = OnDoubt> {
-    prop_oneof![Just(OnDoubt::Keep), (1..4u32).prop_map(|retry_ms| OnDoubt::Refuse { retry_ms })]
+fn on_doubt() -> impl Strategy<Value = UncertaintyPolicy> {
+    prop_oneof![
+        Just(UncertaintyPolicy::Keep),
+        (1..4u32).prop_map(|retry_ms| UncertaintyPolicy::Refuse { retry_ms })
+    ]
 }
 
 pub fn book(most: usize) -> impl Strategy<Value = Book> {
@@ -108,9 +112,9 @@
     (rules, [on_doubt(), on_doubt(), on_doubt()]).prop_map(|(rules, doubts)| book_of(rules, &doubts))
 }
 
-pub fn book_of(mut rules: Vec<Rule>, doubts: &[OnDoubt; 3]) -> Book {
+pub fn book_of(mut rules: Vec<Rule>, doubts: &[UncertaintyPolicy; 3]) -> Book {
     rules.sort_by(|a, b| (&a.namespace, &a.name).cmp(&(&b.namespace, &b.name)));
-    let owner = |((path, _), on_doubt): (&(&str, u32), &OnDoubt)| Owner {
+    let owner = |((path, _), on_doubt): (&(&str, u32), &UncertaintyPolicy)| Owner {
         path: path.to_string(),
         revision: 1,
         on_doubt: *on_doubt,
@@ -144,7 +148,7 @@
 }
 
 pub fn is_must(rule: &Rule) -> bool {
-    rule.strength == Strength::Must
+    rule.strength == Strength::Requirement
 }
 
 pub fn musts<'a>(book: &'a Book, request: &Request<'a>) -> Vec<&'a Rule> {
@@ -154,8 +158,10 @@
 /// Whether the book's musts allow a node.
 pub fn allowed(book: &Book, request: &Request, node: &Node) -> bool {
     musts(book, request).iter().all(|rule| match &rule.kind {
-        Kind::Place { how: How::Avoid, halls, hardware } => !is_meant(halls, hardware, node),
-        Kind::Place { halls, hardware, .. } => is_meant(halls, hardware, node),
+        RuleKind::Place { how: PlacementMode::Avoid, halls, hardware } => {
+            !selects_node(halls, hardware, node)
+        }
+        RuleKind::Place { halls, hardware, .. } => selects_node(halls, hardware, node),
         _ => true,
     })
 }
@@ -166,26 +172,28 @@
         book.rules.iter().filter(|rule| !is_must(rule) && rule.on.matches(request)).collect();
     wishes.sort_by_key(|rule| (rule.depth, Reverse(rule.priority), &rule.namespace, &rule.name));
     let says = |rule: &&Rule| match &rule.kind {
-        Kind::Place { how, halls, hardware } => Some(is_meant(halls, hardware, node) == (*how == How::Avoid)),
+        RuleKind::Place { how, halls, hardware } => {
+            Some(selects_node(halls, hardware, node) == (*how == PlacementMode::Avoid))
+        }
         _ => None,
     };
     wishes.iter().filter_map(says).collect()
 }
 
 /// The least number that a matching must of one kind has.
-pub fn least<T: Ord>(book: &Book, request: &Request, number: impl Fn(&Kind) -> Option<T>) -> Option<T> {
+pub fn least<T: Ord>(book: &Book, request: &Request, number: impl Fn(&RuleKind) -> Option<T>) -> Option<T> {
     musts(book, request).iter().filter_map(|rule| number(&rule.kind)).min()
 }
 
-pub fn strictest(book: &Book, request: &Request) -> Option<OnDoubt> {
+pub fn strictest(book: &Book, request: &Request) -> Option<UncertaintyPolicy> {
     let owner = |rule: &&Rule| {
         let owner = book.namespaces.iter().find(|owner| owner.path == rule.namespace);
         owner.expect("every rule has an owner").on_doubt
     };
     // Of refusals, the one that asks for the longest wait; any refusal before keeping.
     musts(book, request).iter().map(owner).min_by_key(|doubt| match doubt {
-        OnDoubt::Refuse { retry_ms } => (0, Reverse(*retry_ms)),
-        OnDoubt::Keep => (1, Reverse(0)),
+        UncertaintyPolicy::Refuse { retry_ms } => (0, Reverse(*retry_ms)),
+        UncertaintyPolicy::Keep => (1, Reverse(0)),
     })
 }
 
--- a/crates/rule-compiler/tests/contradiction.rs
+++ b/crates/rule-compiler/tests/contradiction.rs
@@ -6,14 +6,15 @@
 
 use common::*;
 use cottonnotch_routing_rules::{
-    Book, GroupRange, How, Kind, Node, OnDoubt, Request, Rule, Selector, Strength, When,
+    Book, GroupRange, MoveCondition, Node, PlacementMode, Request, Rule, RuleKind, Selector, Strength,
+    UncertaintyPolicy,
 };
 use cottonnotch_rule_compiler::{LimitId, Look, NodeSet, Plan, Profile, Profiles, contradiction, lower};
 use proptest::prelude::*;
 
 /// What musts bound by numbers.
 type Numbers =
-    (Option<u32>, Option<u32>, Vec<(LimitId, u64)>, Vec<(LimitId, u64, NodeSet)>, Vec<Option<When>>);
+    (Option<u32>, Option<u32>, Vec<(LimitId, u64)>, Vec<(LimitId, u64, NodeSet)>, Vec<Option<MoveCondition>>);
 
 fn numbers(look: &Look) -> Numbers {
     let mut paces: Vec<_> = look.paces().collect();
@@ -34,8 +35,8 @@
 fn quiet_book(most: usize) -> impl Strategy<Value = Book> {
     book(most).prop_map(|mut book| {
         for rule in &mut book.rules {
-            if matches!(rule.kind, Kind::Move { .. }) {
-                rule.strength = Strength::Must;
+            if matches!(rule.kind, RuleKind::Move { .. }) {
+                rule.strength = Strength::Requirement;
             }
         }
         book
@@ -65,8 +66,8 @@
                 });
             }
             for rule in &mut rules {
-                if matches!(rule.kind, Kind::Move { .. }) {
-                    rule.strength = Strength::Must;
+                if matches!(rule.kind, RuleKind::Move { .. }) {
+                    rule.strength = Strength::Requirement;
                 }
             }
             rules.sort_by(|a, b| (&a.namespace, &a.name).cmp(&(&b.namespace, &b.name)));
@@ -108,7 +109,7 @@
     #[test]
     fn wishes_never_contradict(book in book(8), other in book(8), profiles in profiles()) {
         let wishes = |mut book: Book| {
-            book.rules.iter_mut().for_each(|rule| rule.strength = Strength::Wish);
+            book.rules.iter_mut().for_each(|rule| rule.strength = Strength::Preference);
             book
         };
         let (one, two) = (lower(&wishes(book), &profiles).plan, lower(&wishes(other), &profiles).plan);
@@ -122,12 +123,12 @@
         name: name.into(),
         file: "rules.toml".into(),
         line: 1,
-        strength: Strength::Must,
+        strength: Strength::Requirement,
         priority: 0,
         depth: 0,
         on: Selector::default(),
-        kind: Kind::Place {
-            how: How::Avoid,
+        kind: RuleKind::Place {
+            how: PlacementMode::Avoid,
             halls: halls.iter().map(|hall| hall.to_string()).collect(),
             hardware: Default::default(),
         },
@@ -135,7 +136,7 @@
 }
 
 fn plan(rules: Vec<Rule>) -> Plan {
-    lower(&book_of(rules, &[OnDoubt::Keep; 3]), &full()).plan
+    lower(&book_of(rules, &[UncertaintyPolicy::Keep; 3]), &full()).plan
 }
 
 #[test]
@@ -174,7 +175,7 @@
         none.budgets.rules = 0;
         [("w0".to_string(), Profile::full()), (small.to_string(), none)].into()
     };
-    let book = book_of(vec![avoid("one", &["h0"])], &[OnDoubt::Keep; 3]);
+    let book = book_of(vec![avoid("one", &["h0"])], &[UncertaintyPolicy::Keep; 3]);
     let (old, new) = (lower(&book, &profiles("w1")).plan, lower(&book, &profiles("w2")).plan);
     let witness = contradiction(&old, &new).expect("w1 is out in one of them only");
     assert_eq!(witness.hardware, "w1");
--- a/crates/rule-compiler/tests/golden.rs
+++ b/crates/rule-compiler/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The book and the plan of the example rules keep the bytes that earlier builds gave them: proxies vote on their hashes.
 
 use cottonnotch_golden::{assert_bytes, assert_text, golden_path};
-use cottonnotch_routing_rules::{Book, File, Ledger, Merged, World, merge};
+use cottonnotch_routing_rules::{Book, History, Inventory, Merged, RuleFile, merge};
 use cottonnotch_rule_compiler::{Budgets, Features, Plan, Profile, Profiles, lower};
 use std::path::Path;
 
@@ -48,20 +48,20 @@
 tenants = ["verlag-b"]
 "#;
 
-fn files() -> Vec<File> {
+fn files() -> Vec<RuleFile> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/rules");
     let read = |name: &str| {
         let mut text = std::fs::read_to_string(folder.join(name)).unwrap();
         if name.ends_with("verlag-b.toml") {
             text.push_str(DELEGATION);
         }
-        File::new(name, text)
+        RuleFile::new(name, text)
     };
-    FILES.into_iter().map(read).chain([File::new("more.toml", MORE)]).collect()
+    FILES.into_iter().map(read).chain([RuleFile::new("more.toml", MORE)]).collect()
 }
 
-fn world() -> World {
-    World::of(
+fn world() -> Inventory {
+    Inventory::of(
         "consortium",
         &["edicoes-a", "edicoes-a-opera", "verlag-b", "archive"],
         &["print", "proof"],
@@ -83,7 +83,7 @@
 
 #[test]
 fn book_and_plan_keep_their_bytes() {
-    let Merged { book, ledger, conflicts } = merge(&Ledger::default(), &files(), &world());
+    let Merged { book, ledger, conflicts } = merge(&History::default(), &files(), &world());
     let lowered = lower(&book, &profiles());
     let encode = |value: postcard::Result<Vec<u8>>| value.unwrap();
     let made = [
@@ -95,8 +95,8 @@
         ("plan_hash", lowered.plan.hash().to_vec()),
     ];
     let golden = assert_bytes(&golden_path!("book_and_plan.txt"), &made);
-    assert_eq!(postcard::from_bytes::<World>(&golden[0]).unwrap(), world());
-    assert_eq!(postcard::from_bytes::<Ledger>(&golden[1]).unwrap(), ledger);
+    assert_eq!(postcard::from_bytes::<Inventory>(&golden[0]).unwrap(), world());
+    assert_eq!(postcard::from_bytes::<History>(&golden[1]).unwrap(), ledger);
     assert_eq!(postcard::from_bytes::<Book>(&golden[2]).unwrap(), book);
     assert_eq!(postcard::from_bytes::<Profiles>(&golden[3]).unwrap(), profiles());
     let plan = Plan::from_bytes(&golden[4]).unwrap();
--- a/crates/rule-compiler/tests/kinds.rs
+++ b/crates/rule-compiler/tests/kinds.rs
@@ -5,14 +5,16 @@
 use std::collections::BTreeSet;
 
 use common::book_of;
-use cottonnotch_routing_rules::{Book, How, Kind, Node, OnDoubt, Request, Rule, Selector, Strength, When};
+use cottonnotch_routing_rules::{
+    Book, MoveCondition, Node, PlacementMode, Request, Rule, RuleKind, Selector, Strength, UncertaintyPolicy,
+};
 use cottonnotch_rule_compiler::{
     BadPlan, Features, Lowered, NodeSet, Plan, Profile, Profiles, Runs, UNKNOWN, contradiction, in_use, lower,
 };
 
 const ASKED: Request = Request { tenant: Some("t0"), class: "c0", group: Some(5) };
 
-fn rule(name: &str, strength: Strength, kind: Kind) -> Rule {
+fn rule(name: &str, strength: Strength, kind: RuleKind) -> Rule {
     Rule {
         namespace: "a".into(),
         name: name.into(),
@@ -26,17 +28,17 @@
     }
 }
 
-fn must(kind: Kind) -> Book {
-    book_of(vec![rule("one", Strength::Must, kind)], &[OnDoubt::Keep; 3])
+fn must(kind: RuleKind) -> Book {
+    book_of(vec![rule("one", Strength::Requirement, kind)], &[UncertaintyPolicy::Keep; 3])
 }
 
-fn wish(kind: Kind) -> Book {
-    book_of(vec![rule("one", Strength::Wish, kind)], &[OnDoubt::Keep; 3])
+fn wish(kind: RuleKind) -> Book {
+    book_of(vec![rule("one", Strength::Preference, kind)], &[UncertaintyPolicy::Keep; 3])
 }
 
-fn place(how: How, halls: &[&str], hardware: &[&str]) -> Kind {
+fn place(how: PlacementMode, halls: &[&str], hardware: &[&str]) -> RuleKind {
     let set = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
-    Kind::Place { how, halls: set(halls), hardware: set(hardware) }
+    RuleKind::Place { how, halls: set(halls), hardware: set(hardware) }
 }
 
 fn with(features: Features) -> Profile {
@@ -71,9 +73,9 @@
 
 #[test]
 fn a_place_runs_exactly_everywhere() {
-    for how in [How::Require, How::Avoid] {
+    for how in [PlacementMode::Require, PlacementMode::Avoid] {
         let lowered = lower(&must(place(how, &["h"], &[])), &full_and(Features::default()));
-        let meant = how == How::Require;
+        let meant = how == PlacementMode::Require;
         for class in ["full", "weak", UNKNOWN] {
             assert_eq!(runs(&lowered, class), Some(Runs::Exactly));
             assert_eq!(lowered.plan.look(&ASKED).allows(&on("h", class)), meant);
@@ -84,7 +86,7 @@
 
 #[test]
 fn a_place_that_names_classes_means_no_other() {
-    let lowered = lower(&must(place(How::Avoid, &[], &["weak"])), &full_and(Features::default()));
+    let lowered = lower(&must(place(PlacementMode::Avoid, &[], &["weak"])), &full_and(Features::default()));
     assert_eq!(allowed(&lowered), ["full", "never heard of"]);
     assert_eq!((runs(&lowered, "full"), runs(&lowered, "weak")), (None, Some(Runs::Exactly)));
 }
@@ -93,7 +95,7 @@
 fn a_wish_for_nodes_needs_weights_or_told_delays() {
     let delays = Features { tells_delays: true, ..Features::default() };
     let classes = [("full", Profile::full()), ("delays", with(delays)), ("weak", with(Features::default()))];
-    let lowered = lower(&wish(place(How::Prefer, &["h"], &[])), &profiles(&classes));
+    let lowered = lower(&wish(place(PlacementMode::Prefer, &["h"], &[])), &profiles(&classes));
     let expected = [("full", Runs::Exactly), ("delays", Runs::Stricter), ("weak", Runs::Dropped)];
     for (class, how) in expected {
         assert_eq!(runs(&lowered, class), Some(how));
@@ -106,7 +108,7 @@
 
 #[test]
 fn a_cap_is_held_lower_where_only_probes_tell() {
-    let cap = || must(Kind::Cap { connections: 10, halls: BTreeSet::new(), hardware: BTreeSet::new() });
+    let cap = || must(RuleKind::Cap { connections: 10, halls: BTreeSet::new(), hardware: BTreeSet::new() });
     let lowered = lower(&cap(), &profiles(&[("full", Profile::full())]));
     assert_eq!(caps(&lowered), [(None, 10, BTreeSet::new())]);
     assert_eq!((runs(&lowered, UNKNOWN), allowed(&lowered)), (Some(Runs::NotAtAll), vec!["full"]));
@@ -128,7 +130,7 @@
 #[test]
 fn the_lower_cap_bounds_what_really_stands() {
     for connections in 0..500u64 {
-        let kind = Kind::Cap { connections, halls: BTreeSet::new(), hardware: BTreeSet::new() };
+        let kind = RuleKind::Cap { connections, halls: BTreeSet::new(), hardware: BTreeSet::new() };
         let probes = Features { answers_probes: true, ..Features::default() };
         let held = caps(&lower(&must(kind), &full_and(probes)))[0].1;
         assert!(held * 4 / 3 <= connections && (held + 1) * 4 / 3 >= connections, "{connections} as {held}");
@@ -138,7 +140,7 @@
 #[test]
 fn a_spread_is_counted_where_groups_are_not_kept() {
     let loads = Features { tells_loads: true, ..Features::default() };
-    let spread = |nodes| must(Kind::Spread { nodes });
+    let spread = |nodes| must(RuleKind::Spread { nodes });
     let lowered = lower(&spread(6), &profiles(&[("full", Profile::full())]));
     assert_eq!(
         (lowered.plan.look(&ASKED).spread(), caps(&lowered), lowered.plan.needs()),
@@ -175,10 +177,10 @@
     let loads = Features { tells_loads: true, ..Features::default() };
     let halls = ["h0", "h1", "h2"];
     let rules = vec![
-        rule("halls", Strength::Must, place(How::Require, &halls, &[])),
-        rule("spread", Strength::Must, Kind::Spread { nodes: 6 }),
+        rule("halls", Strength::Requirement, place(PlacementMode::Require, &halls, &[])),
+        rule("spread", Strength::Requirement, RuleKind::Spread { nodes: 6 }),
     ];
-    let lowered = lower(&book_of(rules, &[OnDoubt::Keep; 3]), &full_and(loads));
+    let lowered = lower(&book_of(rules, &[UncertaintyPolicy::Keep; 3]), &full_and(loads));
     let mut preferred = BTreeSet::new();
     for group in 0..40 {
         let look = lowered.plan.look(&Request { group: Some(group), ..ASKED });
@@ -193,10 +195,10 @@
 #[test]
 fn paces_and_attempts_need_nothing_of_a_class() {
     let rules = vec![
-        rule("attempts", Strength::Must, Kind::Attempts { most: 2 }),
-        rule("pace", Strength::Must, Kind::Pace { per_s_milli: 1500 }),
+        rule("attempts", Strength::Requirement, RuleKind::Attempts { most: 2 }),
+        rule("pace", Strength::Requirement, RuleKind::Pace { per_s_milli: 1500 }),
     ];
-    let lowered = lower(&book_of(rules, &[OnDoubt::Keep; 3]), &full_and(Features::default()));
+    let lowered = lower(&book_of(rules, &[UncertaintyPolicy::Keep; 3]), &full_and(Features::default()));
     assert!(lowered.table.iter().all(|row| row.runs == Runs::Exactly));
     assert_eq!(allowed(&lowered), ["full", "weak", "never heard of"]);
     let look = lowered.plan.look(&ASKED);
@@ -205,36 +207,43 @@
 
 #[test]
 fn moving_last_needs_draining_by_pieces() {
-    let last = || must(Kind::Move { when: When::Last });
+    let last = || must(RuleKind::Move { when: MoveCondition::Last });
     let loads = Features { tells_loads: true, ..Features::default() };
     let lowered = lower(&last(), &full_and(loads));
     let look = lowered.plan.look(&ASKED);
-    assert_eq!(look.move_when_on(&on("h", "full")), Some(When::Last));
-    assert_eq!(look.move_when_on(&on("h", "weak")), Some(When::DrainsOnly));
-    assert_eq!((look.move_when(), allowed(&lowered)), (Some(When::DrainsOnly), vec!["full", "weak"]));
+    assert_eq!(look.move_when_on(&on("h", "full")), Some(MoveCondition::Last));
+    assert_eq!(look.move_when_on(&on("h", "weak")), Some(MoveCondition::DrainsOnly));
+    assert_eq!(
+        (look.move_when(), allowed(&lowered)),
+        (Some(MoveCondition::DrainsOnly), vec!["full", "weak"])
+    );
 
     let lowered = lower(&last(), &full_and(Features::default()));
-    assert_eq!((lowered.plan.look(&ASKED).move_when(), allowed(&lowered)), (Some(When::Last), vec!["full"]));
+    assert_eq!(
+        (lowered.plan.look(&ASKED).move_when(), allowed(&lowered)),
+        (Some(MoveCondition::Last), vec!["full"])
+    );
 
-    let lowered = lower(&must(Kind::Move { when: When::DrainsOnly }), &full_and(Features::default()));
+    let lowered =
+        lower(&must(RuleKind::Move { when: MoveCondition::DrainsOnly }), &full_and(Features::default()));
     assert!(lowered.table.iter().all(|row| row.runs == Runs::Exactly));
 }
 
 #[test]
 fn a_wish_to_move_last_is_dropped_without_pieces() {
-    let lowered = lower(&wish(Kind::Move { when: When::Last }), &full_and(Features::default()));
+    let lowered = lower(&wish(RuleKind::Move { when: MoveCondition::Last }), &full_and(Features::default()));
     let look = lowered.plan.look(&ASKED);
-    assert_eq!(look.move_when_on(&on("h", "full")), Some(When::Last));
+    assert_eq!(look.move_when_on(&on("h", "full")), Some(MoveCondition::Last));
     assert_eq!((look.move_when_on(&on("h", "weak")), runs(&lowered, "weak")), (None, Some(Runs::Dropped)));
 }
 
 #[test]
 fn a_number_as_a_wish_is_dropped_and_counted() {
     let kinds = [
-        Kind::Cap { connections: 1, halls: BTreeSet::new(), hardware: BTreeSet::new() },
-        Kind::Spread { nodes: 1 },
-        Kind::Pace { per_s_milli: 1 },
-        Kind::Attempts { most: 1 },
+        RuleKind::Cap { connections: 1, halls: BTreeSet::new(), hardware: BTreeSet::new() },
+        RuleKind::Spread { nodes: 1 },
+        RuleKind::Pace { per_s_milli: 1 },
+        RuleKind::Attempts { most: 1 },
     ];
     for kind in kinds {
         let lowered = lower(&wish(kind), &full_and(Features::default()));
@@ -252,7 +261,7 @@
     now.entry("weak".into()).or_default().features.keeps_groups = false;
     let settled = in_use(&before, &now);
     assert_eq!((settled["full"], settled["weak"]), (Profile::full(), Profile::least()));
-    let book = must(Kind::Spread { nodes: 4 });
+    let book = must(RuleKind::Spread { nodes: 4 });
     assert_eq!(allowed(&lower(&book, &before)), ["full", "weak"]);
     let lowered = lower(&book, &settled);
     assert_eq!((allowed(&lowered), lowered.plan.look(&ASKED).spread()), (vec!["full"], Some(4)));
@@ -269,19 +278,19 @@
     let wishes = (0..wishes).map(|number| {
         let mut rule = rule(
             &format!("w{number}"),
-            Strength::Wish,
-            place(How::Prefer, &["h", &format!("x{number}")], &[]),
+            Strength::Preference,
+            place(PlacementMode::Prefer, &["h", &format!("x{number}")], &[]),
         );
         rule.depth = number as u32;
         rule
     });
     let musts = (0..musts).map(|number| {
-        let mut rule = rule(&format!("m{number}"), Strength::Must, Kind::Attempts { most: 3 });
+        let mut rule = rule(&format!("m{number}"), Strength::Requirement, RuleKind::Attempts { most: 3 });
         rule.on.groups =
             vec![cottonnotch_routing_rules::GroupRange { first: number as u64, last: number as u64 }];
         rule
     });
-    book_of(wishes.chain(musts).collect(), &[OnDoubt::Keep; 3])
+    book_of(wishes.chain(musts).collect(), &[UncertaintyPolicy::Keep; 3])
 }
 
 fn how(lowered: &Lowered, name: &str) -> Runs {
@@ -317,12 +326,12 @@
 fn more_musts_than_a_plan_holds_allow_nothing() {
     let mut rules = Vec::new();
     for number in 0..40 {
-        let mut rule = rule(&format!("r{number}"), Strength::Must, Kind::Attempts { most: 3 });
+        let mut rule = rule(&format!("r{number}"), Strength::Requirement, RuleKind::Attempts { most: 3 });
         rule.on.tenants = (0..300).map(|tenant| format!("t{tenant}")).collect();
         rule.on.classes = (0..100).map(|class| format!("c{class}")).collect();
         rules.push(rule);
     }
-    let lowered = lower(&book_of(rules, &[OnDoubt::Keep; 3]), &full_and(Profile::full().features));
+    let lowered = lower(&book_of(rules, &[UncertaintyPolicy::Keep; 3]), &full_and(Profile::full().features));
     assert!(allowed(&lowered).is_empty());
     assert!(lowered.table.iter().all(|row| row.runs == Runs::NotAtAll));
     assert_eq!(Plan::from_bytes(&lowered.plan.to_bytes()).as_ref(), Ok(&lowered.plan));
@@ -330,9 +339,10 @@
 
 #[test]
 fn wishes_that_a_plan_does_not_hold_leave_the_musts() {
-    let mut book = must(place(How::Avoid, &["g"], &[]));
+    let mut book = must(place(PlacementMode::Avoid, &["g"], &[]));
     for number in 0..40 {
-        let mut rule = rule(&format!("r{number}"), Strength::Wish, place(How::Prefer, &["h"], &[]));
+        let mut rule =
+            rule(&format!("r{number}"), Strength::Preference, place(PlacementMode::Prefer, &["h"], &[]));
         rule.on.tenants = (0..300).map(|tenant| format!("t{tenant}")).collect();
         rule.on.classes = (0..100).map(|class| format!("c{class}")).collect();
         book.rules.push(rule);
@@ -382,7 +392,7 @@
 #[test]
 fn limits_keep_their_numbers_from_plan_to_plan() {
     let cap =
-        |connections| must(Kind::Cap { connections, halls: BTreeSet::new(), hardware: BTreeSet::new() });
+        |connections| must(RuleKind::Cap { connections, halls: BTreeSet::new(), hardware: BTreeSet::new() });
     let id = |book| {
         lower(&book, &full_and(Profile::full().features)).plan.look(&ASKED).caps().next().map(|cap| cap.0)
     };
--- a/crates/rule-compiler/tests/lowering.rs
+++ b/crates/rule-compiler/tests/lowering.rs
@@ -6,7 +6,8 @@
 
 use common::*;
 use cottonnotch_routing_rules::{
-    Book, GroupRange, How, Kind, Node, OnDoubt, Request, When, effective, is_meant,
+    Book, GroupRange, MoveCondition, Node, PlacementMode, Request, RuleKind, UncertaintyPolicy, effective,
+    selects_node,
 };
 use cottonnotch_rule_compiler::{Look, Plan, Profiles, Runs, lower};
 use proptest::prelude::*;
@@ -18,15 +19,16 @@
     let names: BTreeSet<String> = matching.iter().map(|rule| id(rule)).collect();
     prop_assert_eq!(look.rule_names().map(String::from).collect::<BTreeSet<_>>(), names);
     prop_assert_eq!(look.on_doubt(), strictest(book, request));
-    let attempts = |kind: &Kind| if let Kind::Attempts { most } = kind { Some(*most) } else { None };
+    let attempts = |kind: &RuleKind| if let RuleKind::Attempts { most } = kind { Some(*most) } else { None };
     prop_assert_eq!(look.attempts(), least(book, request, attempts));
-    let spread = |kind: &Kind| if let Kind::Spread { nodes } = kind { Some(*nodes) } else { None };
+    let spread = |kind: &RuleKind| if let RuleKind::Spread { nodes } = kind { Some(*nodes) } else { None };
     if let Some(bound) = least(book, request, spread) {
         prop_assert!(look.spread().is_some_and(|nodes| nodes <= bound));
     }
     let mut paces: Vec<u64> = look.paces().map(|(_, pace)| pace).collect();
     paces.sort();
-    let pace = |kind: &Kind| if let Kind::Pace { per_s_milli } = kind { Some(*per_s_milli) } else { None };
+    let pace =
+        |kind: &RuleKind| if let RuleKind::Pace { per_s_milli } = kind { Some(*per_s_milli) } else { None };
     let mut asked: Vec<u64> = matching.iter().filter_map(|rule| pace(&rule.kind)).collect();
     asked.sort();
     prop_assert_eq!(paces, asked);
@@ -37,13 +39,13 @@
         prop_assert!(allowed(book, request, &node), "{request:?} may go to {node:?}");
         for rule in &matching {
             match &rule.kind {
-                Kind::Cap { connections, halls, hardware } if is_meant(halls, hardware, &node) => {
+                RuleKind::Cap { connections, halls, hardware } if selects_node(halls, hardware, &node) => {
                     let held = look.caps().any(|(_, cap, nodes)| {
                         cap <= *connections && nodes.halls == *halls && nodes.hardware == *hardware
                     });
                     prop_assert!(held, "{rule:?} isn't held on {node:?}");
                 }
-                Kind::Move { when } => {
+                RuleKind::Move { when } => {
                     prop_assert!(look.move_when_on(&node) >= Some(*when));
                     prop_assert!(look.move_when() >= look.move_when_on(&node));
                 }
@@ -97,10 +99,10 @@
     ) {
         let rule = |(number, nodes): (usize, &u32)| {
             let mut rule = plain_rule(number, true);
-            rule.kind = Kind::Spread { nodes: *nodes };
+            rule.kind = RuleKind::Spread { nodes: *nodes };
             rule
         };
-        let book = book_of(spreads.iter().enumerate().map(rule).collect(), &[OnDoubt::Keep; 3]);
+        let book = book_of(spreads.iter().enumerate().map(rule).collect(), &[UncertaintyPolicy::Keep; 3]);
         let plan = lower(&book, &profiles).plan;
         let bound = spreads.into_iter().min().unwrap_or(0);
         let request = Request { tenant: None, class: "c0", group: Some(3) };
@@ -117,12 +119,12 @@
         for request in requests() {
             let look = lowered.plan.look(&request);
             never_looser(&book, &request, &look)?;
-            let spread = |kind: &Kind| if let Kind::Spread { nodes } = kind { Some(*nodes) } else { None };
+            let spread = |kind: &RuleKind| if let RuleKind::Spread { nodes } = kind { Some(*nodes) } else { None };
             prop_assert_eq!(look.spread(), least(&book, &request, spread));
             let mut caps: Vec<_> = look.caps().map(|(_, cap, nodes)| (cap, &nodes.halls, &nodes.hardware)).collect();
             caps.sort();
             let asked = |kind| match kind {
-                Kind::Cap { connections, halls, hardware } => Some((connections, halls, hardware)),
+                RuleKind::Cap { connections, halls, hardware } => Some((connections, halls, hardware)),
                 _ => None,
             };
             let mut wanted: Vec<_> = musts(&book, &request).iter().filter_map(|rule| asked(rule.kind.clone())).collect();
@@ -131,8 +133,8 @@
             for (cap, wanted) in caps.iter().zip(&wanted) {
                 prop_assert_eq!(*cap, (wanted.0, &wanted.1, &wanted.2));
             }
-            let when = |kind: &Kind| if let Kind::Move { when } = kind { Some(*when) } else { None };
-            let asked: Option<When> = musts(&book, &request).iter().filter_map(|rule| when(&rule.kind)).max();
+            let when = |kind: &RuleKind| if let RuleKind::Move { when } = kind { Some(*when) } else { None };
+            let asked: Option<MoveCondition> = musts(&book, &request).iter().filter_map(|rule| when(&rule.kind)).max();
             if asked.is_some() {
                 prop_assert_eq!(look.move_when(), asked);
             }
@@ -241,22 +243,22 @@
             rule.on.groups = vec![GroupRange { first, last: first + more }];
             // Many of the musts bound attempts, so that some nodes stay allowed.
             rule.kind = match number % 5 {
-                0 => Kind::Place {
-                    how: How::Avoid,
+                0 => RuleKind::Place {
+                    how: PlacementMode::Avoid,
                     halls: [HALLS[hall].to_string()].into(),
                     hardware: [HARDWARE[number % 3].to_string()].into(),
                 },
-                _ => Kind::Attempts { most: (first % 90) as u32 },
+                _ => RuleKind::Attempts { most: (first % 90) as u32 },
             };
             rules.push(rule);
         }
         let mut everywhere = plain_rule(999, true);
         everywhere.on.groups = vec![GroupRange { first: 0, last: u64::MAX }];
-        everywhere.kind = Kind::Attempts { most: 50 };
+        everywhere.kind = RuleKind::Attempts { most: 50 };
         rules.push(everywhere);
-        let book = book_of(rules, &[OnDoubt::Keep; 3]);
+        let book = book_of(rules, &[UncertaintyPolicy::Keep; 3]);
         let plan = lower(&book, &full()).plan;
-        let most = |kind: &Kind| if let Kind::Attempts { most } = kind { Some(*most) } else { None };
+        let most = |kind: &RuleKind| if let RuleKind::Attempts { most } = kind { Some(*most) } else { None };
         for group in 0..810 {
             let request = Request { tenant: None, class: "c0", group: Some(group) };
             let look = plan.look(&request);
@@ -276,13 +278,13 @@
         file: "rules.toml".into(),
         line: 1,
         strength: if must {
-            cottonnotch_routing_rules::Strength::Must
+            cottonnotch_routing_rules::Strength::Requirement
         } else {
-            cottonnotch_routing_rules::Strength::Wish
+            cottonnotch_routing_rules::Strength::Preference
         },
         priority: 0,
         depth: 0,
         on: cottonnotch_routing_rules::Selector::default(),
-        kind: Kind::Attempts { most: 1 },
+        kind: RuleKind::Attempts { most: 1 },
     }
 }
