--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -1,47 +1,52 @@
-//! How many there are, who votes, and the spans all follow from.
+//! The cluster's members and voters, and the spans of the protocol.
 
 use crate::Micros;
+use crate::clock_drift::lengthen;
 use serde::{Deserialize, Serialize};
 
-/// Voters at most; more of them only make each change dearer.
-const MOST_VOTERS: usize = 9;
+/// The most voters: more would only make each change slower.
+const MAX_VOTERS: usize = 9;
+/// The longest span that can be configured.
+const HOUR: Micros = 3_600_000_000;
+/// Drift that is too large for a lease to be worth anything.
+const MAX_DRIFT_PPM: u32 = 200_000;
 
-/// Who this process is, among whom.
+/// This process's place in the cluster.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// This member's ordinal.
     pub ordinal: u16,
-    /// Members there are; ordinals are below this.
+    /// The number of members; ordinals are below it.
     pub members: u16,
-    /// Ordinals of those that vote: an odd number of them, the same at all members.
+    /// The voters' ordinals: an odd number of them, the same at all members.
     pub voters: Vec<u16>,
     /// The same at all members.
     pub timing: Timing,
-    /// This life of the process; never used twice by this member.
+    /// Identifies this start of the process; never used twice by this member.
     pub incarnation: u64,
 }
 
-/// The spans. The same at all members.
+/// The spans of the protocol, in microseconds. The same at all members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Timing {
-    /// How long a member may act on a version after it asked for the lease.
+    /// How long a member may act on a version after it requested the lease.
     pub lease: Micros,
-    /// Time from one round of the leader to the next.
+    /// Between two heartbeats of the leader.
     pub heartbeat: Micros,
-    /// A voter that heard from a leader votes for no other for so long.
+    /// For so long after a heartbeat a voter votes for no other candidate.
     #[serde(rename = "election_least")]
     pub election_timeout_min: Micros,
-    /// The longest a voter waits for a leader, or for votes.
+    /// The longest that a voter waits for a leader, or for votes.
     #[serde(rename = "election_most")]
     pub election_timeout_max: Micros,
     /// How far clocks' rates may be off, in millionths.
     pub drift_ppm: u32,
-    /// The longest from a look at the right to the act under it.
+    /// The longest from a look at the lease to the act under it.
     pub act: Micros,
-    /// How long members have to get a new version before it goes on without them.
+    /// How long members may take to prepare a new version before the change goes on without them.
     pub prepare: Micros,
-    /// The promise to the operator: nobody acts on contradicting versions longer than this.
+    /// What operators are promised: no two members act on incompatible versions for longer.
     pub contradiction: Micros,
 }
 
@@ -60,10 +65,10 @@
     }
 }
 
-/// What can't be.
+/// Why a configuration can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// The promise isn't kept by these spans.
+    /// The spans don't keep [`Timing::contradiction`].
     #[error(
         "lease {lease} us with drift {drift_ppm} ppm is {leased} us, and act {act} us: {sum} us in all, more than \
          contradiction {contradiction} us"
@@ -73,49 +78,63 @@
         lease: Micros,
         /// As configured.
         drift_ppm: u32,
-        /// The lease at the slowest clock.
+        /// The lease by the slowest clock.
         leased: Micros,
         /// As configured.
         act: Micros,
-        /// What it comes to.
+        /// `leased` and `act` together.
         sum: Micros,
-        /// What was promised.
+        /// As configured.
         contradiction: Micros,
     },
-    /// Spans that leave no room for elections.
+    /// The spans leave no room for elections.
     #[error(
-        "heartbeat {heartbeat} us, election_least {least} us, election_most {most} us: each must be above zero, least at least three heartbeats, most above least by a tenth"
+        "heartbeat {heartbeat} us, election_least {min} us, election_most {max} us: each must be above zero, least at least three heartbeats, most above least by a tenth"
     )]
     Election {
         /// As configured.
         heartbeat: Micros,
-        /// As configured.
-        least: Micros,
-        /// As configured.
-        most: Micros,
+        /// [`Timing::election_timeout_min`], as configured.
+        min: Micros,
+        /// [`Timing::election_timeout_max`], as configured.
+        max: Micros,
     },
-    /// A span that must be above zero, or not below, isn't; or is over an hour.
-    #[error("{name} is {value} us; it must be from {least} to 3,600,000,000")]
+    /// A span is too short, or longer than an hour.
+    #[error("{name} is {value} us; it must be from {min} to 3,600,000,000")]
     Span {
-        /// Which.
+        /// The span's key.
         name: &'static str,
         /// As configured.
         value: Micros,
-        /// The least that can be.
-        least: Micros,
+        /// The shortest it can be.
+        min: Micros,
     },
-    /// Clocks so bad that no lease holds.
+    /// The clocks are too bad for leases.
     #[error("drift {0} ppm; it must be below 200,000")]
     Drift(u32),
-    /// Voters that can't vote.
-    #[error("{0}")]
-    Voters(String),
+    /// These voters can't be a majority of one another.
+    #[error("voters {0:?}: an odd number of different ones is needed, at most {MAX_VOTERS}")]
+    Voters(Vec<u16>),
+    /// This member, or a voter, isn't a member of the cluster.
+    #[error("member {ordinal} of {members} there are")]
+    UnknownMember {
+        /// Its ordinal.
+        ordinal: u16,
+        /// The number of members.
+        members: u16,
+    },
 }
 
 impl Timing {
-    /// Whether the spans keep the promise.
+    /// Whether every span is in its range and together they keep [`Timing::contradiction`].
     pub fn check(&self) -> Result<(), ConfigError> {
-        const HOUR: Micros = 3_600_000_000;
+        self.check_ranges()?;
+        self.check_election()?;
+        self.check_contradiction()
+    }
+
+    fn check_ranges(&self) -> Result<(), ConfigError> {
+        // Operators' keys, whatever the fields are called.
         let spans = [
             ("lease", self.lease, 1_000),
             ("heartbeat", self.heartbeat, 1),
@@ -125,67 +144,63 @@
             ("prepare", self.prepare, 1),
             ("contradiction", self.contradiction, 1),
         ];
-        for (name, value, least) in spans {
-            if value < least || value > HOUR {
-                return Err(ConfigError::Span { name, value, least });
+        for (name, value, min) in spans {
+            if value < min || value > HOUR {
+                return Err(ConfigError::Span { name, value, min });
             }
         }
-        if self.drift_ppm >= 200_000 {
-            return Err(ConfigError::Drift(self.drift_ppm));
-        }
-        let least = crate::clock_drift::longer(self.election_timeout_min, self.drift_ppm);
-        if self.election_timeout_min < 3 * self.heartbeat
-            || self.election_timeout_max < least + self.election_timeout_min / 10
-        {
-            return Err(ConfigError::Election {
-                heartbeat: self.heartbeat,
-                least: self.election_timeout_min,
-                most: self.election_timeout_max,
-            });
+        if self.drift_ppm >= MAX_DRIFT_PPM { Err(ConfigError::Drift(self.drift_ppm)) } else { Ok(()) }
+    }
+
+    fn check_election(&self) -> Result<(), ConfigError> {
+        let (min, max) = (self.election_timeout_min, self.election_timeout_max);
+        let promised = lengthen(min, self.drift_ppm);
+        if min < 3 * self.heartbeat || max < promised + min / 10 {
+            return Err(ConfigError::Election { heartbeat: self.heartbeat, min, max });
         }
-        let leased = crate::clock_drift::longer(self.lease, self.drift_ppm);
+        Ok(())
+    }
+
+    fn check_contradiction(&self) -> Result<(), ConfigError> {
+        let leased = lengthen(self.lease, self.drift_ppm);
         let sum = leased + self.act;
-        if sum > self.contradiction {
-            return Err(ConfigError::Contradiction {
-                lease: self.lease,
-                drift_ppm: self.drift_ppm,
-                leased,
-                act: self.act,
-                sum,
-                contradiction: self.contradiction,
-            });
+        if sum <= self.contradiction {
+            return Ok(());
         }
-        Ok(())
+        Err(ConfigError::Contradiction {
+            lease: self.lease,
+            drift_ppm: self.drift_ppm,
+            leased,
+            act: self.act,
+            sum,
+            contradiction: self.contradiction,
+        })
     }
 }
 
 impl Config {
-    /// Whether the spans keep the promise and the voters can vote.
+    /// Whether the spans can be used, and the voters are an odd number of different members.
     pub fn check(&self) -> Result<(), ConfigError> {
         self.timing.check()?;
         let count = self.voters.len();
         let mut distinct = self.voters.clone();
         distinct.sort_unstable();
         distinct.dedup();
-        if count == 0 || count > MOST_VOTERS || count.is_multiple_of(2) || distinct.len() != count {
-            return Err(ConfigError::Voters(format!(
-                "voters {:?}: an odd number of different ones is needed, at most {MOST_VOTERS}",
-                self.voters
-            )));
+        if count == 0 || count > MAX_VOTERS || count.is_multiple_of(2) || distinct.len() != count {
+            return Err(ConfigError::Voters(self.voters.clone()));
         }
-        if let Some(stranger) =
-            distinct.iter().chain([&self.ordinal]).find(|&&ordinal| ordinal >= self.members)
-        {
-            return Err(ConfigError::Voters(format!("member {stranger} of {} there are", self.members)));
+        let members = self.members;
+        match distinct.into_iter().chain([self.ordinal]).find(|&ordinal| ordinal >= members) {
+            Some(ordinal) => Err(ConfigError::UnknownMember { ordinal, members }),
+            None => Ok(()),
         }
-        Ok(())
     }
 
-    pub(crate) fn votes(&self, ordinal: u16) -> bool {
+    pub(crate) fn is_voter(&self, ordinal: u16) -> bool {
         self.voters.contains(&ordinal)
     }
 
-    /// Voters that make a majority.
+    /// The number of voters that makes a majority.
     pub(crate) fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
--- a/crates/consensus/src/io.rs
+++ b/crates/consensus/src/io.rs
@@ -1,127 +1,131 @@
-//! What goes into a member, and what comes out.
+//! A member's inputs and outputs.
 
-use crate::{ContentHash, DurableState, Message, Micros, ProposalOutcome, Topic};
+use crate::message::Message;
+use crate::state::{DurableState, ProposalOutcome, Topic};
+use crate::{ContentHash, Micros};
 
-/// What happened.
+/// An event that the embedder hands to a member.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// [`crate::Member::next_timeout`] has come.
+    /// [`crate::Member::next_timeout`] has passed.
     Tick,
-    /// A message came in; the embedder has made sure who sent it.
+    /// A message arrived. The embedder has authenticated its sender.
     Message {
-        /// Who.
+        /// The sender's ordinal.
         from: u16,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// Put this in force. The content is here and compiled. ProposalResult by one [`Output::ProposalFinished`].
+    /// Put this content in force. It is here and compiled, as after [`Input::ContentReady`]. Answered by one
+    /// [`Output::ProposalFinished`].
     Propose {
-        /// Of what.
+        /// The topic.
         topic: Topic,
-        /// The content.
+        /// The content's hash.
         hash: ContentHash,
-        /// Bytes of it.
+        /// The content's size in bytes.
         size: u32,
     },
     /// Answer to [`Output::Check`].
     Checked {
-        /// As asked.
+        /// As in the request.
         topic: Topic,
-        /// As asked.
+        /// As in the request.
         hash: ContentHash,
-        /// What came out.
+        /// The embedder's answer.
         verdict: Verdict,
     },
-    /// The content is here and compiled; also unasked, as for what is still on the disk.
+    /// The content is here and compiled. Also unasked, as for contents that are on disk at the start.
     ContentReady {
-        /// Which.
+        /// The content's hash.
         hash: ContentHash,
     },
-    /// The content is here, and this process can't run it. Stands until the process ends or says [`Input::ContentReady`].
+    /// The content is here, and this process can't run it. Holds until the process ends or a [`Input::ContentReady`] follows.
     ContentUnsupported {
-        /// Which.
+        /// The content's hash.
         hash: ContentHash,
     },
-    /// Discovery told of this revision of the list of members.
+    /// Discovery sent a list of endpoints.
     ListReceived {
-        /// Which.
+        /// The list's revision.
         revision: u64,
     },
 }
 
-/// What the embedder of the leader says of a proposal.
+/// The answer of the leader's embedder to a compatibility check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Verdict {
-    /// It agrees with all versions it was to be checked against from this number on.
+    /// Compatible with all versions it was compared with, from this number on.
     Compatible {
         /// The least such number.
         from: u64,
     },
-    /// It contradicts the one in force.
+    /// Incompatible with the version in force.
     Incompatible,
-    /// It is not to be put in force.
+    /// Not to be put in force.
     Rejected,
 }
 
-/// What is to be done, or to be known; in this order.
+/// What the embedder must carry out, in this order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[allow(clippy::large_enum_variant)] // Queued a few at a time; a box each would cost more than it saves.
 pub enum Output {
-    /// Send this; it may be lost.
+    /// Send this message. It may be lost.
     Send {
-        /// To whom.
+        /// The receiver's ordinal.
         to: u16,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// Make this durable before anything after it is carried out. If that fails, the process must end.
+    /// Make this durable before any later output is carried out. If that fails, the process must end.
     Save(DurableState),
-    /// May this be put in force? Answer with [`Input::Checked`].
+    /// Compare this content with these versions. Answer with [`Input::Checked`].
     Check {
-        /// Of what.
+        /// The topic.
         topic: Topic,
-        /// The content; it is here.
+        /// The content's hash; the content is here.
         hash: ContentHash,
-        /// Versions somebody may act on, by number, least first; the last one is in force. Their content may not be here;
-        /// what can't be had is to be taken for contradicting.
+        /// Versions that some member may act on, in the order of their numbers; the last one is in force. Their contents may
+        /// not be here; one that can't be had counts as incompatible.
         against: Vec<(u64, ContentHash)>,
     },
-    /// Get the content, compile it, answer with [`Input::ContentReady`] or [`Input::ContentUnsupported`]. Asked again while it is needed.
+    /// Get the content, compile it, answer with [`Input::ContentReady`] or [`Input::ContentUnsupported`]. Requested again
+    /// for as long as it is needed.
     Fetch {
-        /// Of what.
+        /// The topic.
         topic: Topic,
-        /// The content.
+        /// The content's hash.
         hash: ContentHash,
-        /// Bytes of it.
+        /// The content's size in bytes.
         size: u32,
-        /// Who has it, the likeliest first.
+        /// Members that may have it, the likeliest first.
         from: Vec<u16>,
     },
-    /// What this process may act on changed.
+    /// The version that this process may act on changed, or its lease was extended.
     LeaseChanged(Lease),
-    /// A proposal of this process is over.
+    /// A proposal of this process is finished.
     ProposalFinished {
-        /// Of what.
+        /// The topic.
         topic: Topic,
-        /// The content.
+        /// The content's hash.
         hash: ContentHash,
-        /// How it ended.
+        /// How the proposal ended.
         outcome: ProposalOutcome,
     },
-    /// Others were told of a newer list of members.
+    /// Discovery sent a newer endpoint list to other members.
     ListOutdated {
-        /// Its revision.
+        /// That list's revision.
         revision: u64,
     },
 }
 
-/// What this process may act on.
+/// The version that this process may act on, and until when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// Of what.
+    /// The topic.
     pub topic: Topic,
-    /// Number and content; `None`: nothing, the process is in doubt.
+    /// Number and content; `None`: the process may act on nothing.
     pub version: Option<(u64, ContentHash)>,
-    /// Own clock; acting at this time or after is forbidden.
+    /// By the process's own clock: acting at this time or later is forbidden.
     pub until: Micros,
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,24 +1,22 @@
-//! Which version of the rules each member may act on, agreed among a few voters, sans-io: no sockets, no clocks, no
-//! threads, no chance but that from one seed. [`Member`] is `handle(now, input)`, `poll() -> output` and `next_timeout()`.
+//! Agreement among a few voters on which version of the rules each member may act on. Sans-io and deterministic: no sockets,
+//! no clocks, no threads, and no random numbers but those from one seed. [`Member`] has `handle(now, input)`,
+//! `poll() -> output` and `next_timeout()`.
 //!
-//! A few members, the voters, replicate one small [`State`]: per [`Topic`] the version in force and the one pending. All
-//! members, voters too, act on a version only under a lease that the voters' leader granted. Contents stay with the
-//! embedder; here a version is a hash, a number and the least number it agrees with. Invariants, checked in tests by an
-//! oracle that sees all clocks, and as far as one member can see them counted in [`Status::broken`]:
+//! A few members, the voters, replicate one small [`State`]: per [`Topic`] the version in force and the pending one. All
+//! members, voters included, act on a version only under a [`Lease`] that the voters' leader granted. Contents stay with the
+//! embedder; here a version is a hash, a number, and the least number it is compatible with. Invariants, checked in tests by
+//! an oracle that sees all clocks, and as far as one member can see them counted in [`Status::invariant_violations`]:
 //!
-//! - at no instant may two members act (own clock before [`Lease::until`]) on versions that contradict each other;
-//! - a number names one version, ever; numbers never go back at a member, nor in the state;
-//! - what was once in force by a majority is followed only by greater numbers;
-//! - whoever was stopped, for however long, finds its right over by its own clock.
+//! - at no instant may two members act (own clock before [`Lease::until`]) on incompatible versions;
+//! - a number names one version for ever; numbers never go back, neither at a member nor in the state;
+//! - a version that was in force, committed by a majority, is followed by greater numbers only;
+//! - a process that was stopped, for however long, finds its lease expired by its own clock.
 //!
-//! What the embedder owes: clocks whose rates err by at most [`Timing::drift_ppm`] and that go on while the process is
+//! The embedder guarantees: clocks whose rates err by at most [`Timing::drift_ppm`] and that go on while the process is
 //! stopped or the machine sleeps; a new [`Config::incarnation`] at each start; [`Output`]s carried out in their order, with
 //! [`Output::Save`] durable and [`Output::LeaseChanged`] in effect before any later one; one process at a time with one
-//! [`DurableState`] (a lock on its file); contents kept on disk while they are in force or pending; messages that can't be forged.
-//! `docs/design/accord.md` says why it is built so.
-//!
-//! Of the interface: [`Member::lease`] takes the topic; [`Output::Fetch`] says topic and size; [`Input::Propose`] says the content is here and compiled (as [`Input::ContentReady`] would); [`Message::bounded`] is to be asked
-//! of each message that was decoded; a proposal of what is pending already is over when that one is.
+//! [`DurableState`] (a lock on its file); contents stored on disk while they are in force or pending; authenticated messages;
+//! [`Message::bounded`] checked on each decoded message. `docs/design/consensus.md` has the reasons for the design.
 
 mod clock_drift;
 mod config;
@@ -48,5 +46,5 @@
 /// A point in time or a span, in microseconds of the process's own monotonic clock. Never compared between machines.
 pub type Micros = i64;
 
-/// What names a version's content; the embedder's digest of it.
+/// The embedder's digest of a version's content.
 pub type ContentHash = [u8; 32];
--- a/crates/consensus/src/member/activation.rs
+++ b/crates/consensus/src/member/activation.rs
@@ -1,257 +1,183 @@
-//! How a proposal comes in force: checked, prepared, whatever it contradicts released, then granted.
+//! How a pending version comes in force: prepared by the members, leases on incompatible versions revoked, then activated.
 
 use crate::mutant::Mutant;
-use crate::roles::change::{Checking, Proposal};
 use crate::roles::leader::Leader;
-use crate::state::{Pending, Phase, ProposalId};
-use crate::{Member, Message, Micros, Output, ProposalOutcome, State, Topic, Verdict, Version};
+use crate::state::{Pending, Phase};
+use crate::{Member, Message, Micros, ProposalOutcome, State, Topic};
 use std::collections::BTreeSet;
 
 impl Member {
-    /// When the change can go on by time alone.
-    pub(crate) fn change_timeout(&self, leader: &Leader, topic: Topic) -> Micros {
-        let Some((_, state)) = leader.committed.as_ref().filter(|_| leader.agreed) else {
+    /// When the topic's change can go on by time alone.
+    pub(super) fn change_timeout(&self, leader: &Leader, topic: Topic) -> Micros {
+        let Some((_, state)) = leader.committed.as_ref().filter(|_| leader.is_committed) else {
             return Micros::MAX;
         };
         let change = &leader.changes[topic.index()];
         let Some(pending) = state.topic(topic).pending else {
-            let asked_till =
-                |checking: &Checking| checking.proposal.asked_at.saturating_add(self.config.timing.lease);
-            return change.checking.as_ref().map_or(Micros::MAX, |checking| match checking.against {
-                None => self.fetched_by(checking).min(asked_till(checking)),
-                Some(_) => self.fetched_by(checking),
-            });
+            return change.check.as_ref().map_or(Micros::MAX, |check| self.check_timeout(check));
         };
-        let below = leader.leases.last_below(topic, pending.version.compatible_from, self.now);
-        let prepared = change.prepared.map_or(Micros::MAX, |(_, since)| since + self.config.timing.prepare);
+        let patience = self.config.timing.prepare;
+        let prepared = change.preparing_since.map_or(Micros::MAX, |(_, since)| since + patience);
+        let soon = self.now + self.config.timing.heartbeat;
         match pending.phase {
-            // Leases of members that went away end, and with them the wait for these members.
-            Phase::Prepare if prepared > self.now => prepared.min(self.now + self.config.timing.heartbeat),
-            Phase::Prepare => self.now + self.config.timing.heartbeat,
-            Phase::Revoke => below.unwrap_or(Micros::MAX),
+            // Leases of members that ended expire, and with them the wait for these members.
+            Phase::Prepare if prepared > self.now => prepared.min(soon),
+            Phase::Prepare => soon,
+            Phase::Revoke => self.incompatible_until(leader, topic, &pending).unwrap_or(Micros::MAX),
         }
     }
 
-    fn fetched_by(&self, checking: &Checking) -> Micros {
-        checking.since + 2 * self.config.timing.prepare
+    /// When the last lease on a version that the pending one is incompatible with expires; `None`: there is none.
+    fn incompatible_until(&self, leader: &Leader, topic: Topic, pending: &Pending) -> Option<Micros> {
+        leader.grants.last_expiry_below(topic, pending.version.compatible_from, self.now)
     }
 
-    /// Leader: goes on with this topic's change, as far as it can now.
-    pub(crate) fn drive(&mut self, topic: Topic) {
-        let Some(state) = self.settled() else { return };
+    /// Leader: takes the topic's change as far as it can go now.
+    pub(super) fn advance_change(&mut self, topic: Topic) {
+        let Some(state) = self.settled_state() else { return };
         match state.topic(topic).pending {
-            None => self.check_next(topic),
+            None => self.advance_check(topic),
             Some(pending) => match pending.phase {
-                Phase::Prepare => self.prepare(topic, pending),
-                Phase::Revoke => self.release(topic, pending),
+                Phase::Prepare => self.advance_prepare(topic, pending),
+                Phase::Revoke => self.advance_revoke(topic, pending),
             },
         }
     }
 
-    fn check_next(&mut self, topic: Topic) {
+    /// Waits until the members are ready for the version, for a limited time, and a majority of the voters has its content:
+    /// whoever is elected next must have it.
+    fn advance_prepare(&mut self, topic: Topic, pending: Pending) {
         let now = self.now;
-        let at = topic.index();
-        let Some(leader) = self.leader_mut() else { return };
-        let change = &mut leader.changes[at];
-        change.prepared = None;
-        if change.checking.is_none() {
-            let Some(proposal) = change.queue.pop_front() else { return };
-            change.checking = Some(Checking { proposal, since: now, against: None, verdict: None });
-        }
-        let Some(checking) = change.checking.clone() else { return };
-        let Proposal { id, hash, size, asked_at } = checking.proposal;
-        let Some(part) = self.settled().map(|state| state.topic(topic)) else { return };
-        let in_force = part.in_force;
-        if part.answer_to(&id).is_some() || in_force.is_some_and(|version| version.hash == hash) {
-            // It waited in the queue while the same was put in force; its proposer hears when it asks again.
-            return self.stop_checking(topic);
-        }
-        if checking.against.is_none() {
-            if self.holder.cannot_run(&hash) {
-                return self.refuse(topic, id, ProposalOutcome::Unsupported);
-            }
-            if now >= self.fetched_by(&checking) {
-                return self.refuse(topic, id, ProposalOutcome::ContentUnavailable);
-            }
-            if !self.holder.has(&hash) && now >= asked_at + self.config.timing.lease {
-                // Its proposer is gone, and the content with it; if it comes back, it asks again.
-                self.stop_checking(topic);
-                return self.check_next(topic);
-            }
-            if !self.holder.has(&hash) {
-                return self.want(topic, hash, size, vec![id.member]);
-            }
-            // Whoever may act on something else than what is in force has it from this leader, once earlier leases are over.
-            let mut against = match self.leader() {
-                Some(leader) if self.handed_over() => leader.leases.leased(topic, now),
-                _ => Default::default(),
-            };
-            against.extend(in_force.map(|version| (version.number, version.hash)));
-            let against: Vec<_> = against.into_iter().collect();
-            if let Some(checking) = self.leader_mut().and_then(|leader| leader.changes[at].checking.as_mut())
-            {
-                checking.against = Some(against.clone());
-            }
-            return self.out.push_back(Output::Check { topic, hash, against });
-        }
-        let Some(verdict) = checking.verdict else {
-            if now >= self.fetched_by(&checking) {
-                // No word from the embedder: the queue must not stand still for ever.
-                self.refuse(topic, id, ProposalOutcome::Rejected);
-            }
-            return;
-        };
-        let against = checking.against.unwrap_or_default();
-        let Some(mut state) = self.settled().cloned() else { return };
-        let part = state.topic_mut(topic);
-        let number = part.last_number + 1;
-        let compatible_from = match verdict {
-            Verdict::Rejected => return self.refuse(topic, id, ProposalOutcome::Rejected),
-            Verdict::Incompatible => number,
-            // Numbers that weren't checked don't count, were they greater or less.
-            Verdict::Compatible { from } => {
-                against.iter().map(|&(number, _)| number).find(|&checked| checked >= from).unwrap_or(number)
-            }
-        };
-        part.last_number = number;
-        let version = Version { number, hash, size, compatible_from };
-        part.pending = Some(Pending { version, phase: Phase::Prepare, proposal: id });
-        self.stop_checking(topic);
-        self.write(state);
-    }
-
-    fn stop_checking(&mut self, topic: Topic) {
-        if let Some(leader) = self.leader_mut() {
-            leader.changes[topic.index()].checking = None;
-        }
-    }
-
-    /// A proposal is over before it got a number; agreed, so that it stays over with the next leader.
-    fn refuse(&mut self, topic: Topic, id: ProposalId, outcome: ProposalOutcome) {
-        self.stop_checking(topic);
-        let Some(mut state) = self.settled().cloned() else { return };
-        state.topic_mut(topic).answer(id, outcome);
-        self.write(state);
-    }
-
-    fn prepare(&mut self, topic: Topic, pending: Pending) {
-        let (now, lease) = (self.now, self.longer(self.config.timing.lease));
-        let (number, at) = (pending.version.number, topic.index());
-        let handed_over = self.handed_over();
-        let patience = self.config.timing.prepare;
+        let (number, patience) = (pending.version.number, self.config.timing.prepare);
         let Some(leader) = self.leader_mut() else { return };
-        let change = &mut leader.changes[at];
-        let since = match change.prepared {
-            Some((of, since)) if of == number => since,
-            _ => {
-                change.prepared = Some((number, now));
-                now
-            }
-        };
-        if leader.leases.live(now, lease).any(|(_, tenant)| tenant.unsupported[at] == Some(number)) {
+        let since = leader.changes[topic.index()].prepare_start(number, now);
+        if self.is_unsupported_by_a_member(topic, number) {
             return self.drop_pending(topic, pending, ProposalOutcome::Unsupported);
         }
-        // Before that, it doesn't know yet who lives.
-        let ready =
-            handed_over && leader.leases.live(now, lease).all(|(_, tenant)| tenant.ready[at] == Some(number));
-        // Whoever is elected next must have it: what is in force is to be had as long as a majority of voters is.
-        let kept = self.kept_by_a_majority(topic, number);
-        if (!ready || !kept) && now < since + patience {
+        let has_majority = self.is_ready_at_a_majority(topic, number);
+        let is_ready = has_majority && self.is_ready_at_all_members(topic, number);
+        if !is_ready && now < since + patience {
             return;
         }
-        if !kept {
+        if !has_majority {
             if now >= since + 2 * patience {
                 self.drop_pending(topic, pending, ProposalOutcome::ContentUnavailable);
             }
             return;
         }
-        let Some(leader) = self.leader() else { return };
-        let below = leader.leases.last_below(topic, pending.version.compatible_from, now);
-        let Some(mut state) = self.settled().cloned() else { return };
-        let part = state.topic_mut(topic);
-        let agrees = part.in_force.is_none_or(|version| version.number >= pending.version.compatible_from);
-        let at_once = (handed_over && agrees && below.is_none()) || self.is(Mutant::EarlyActivation);
-        if at_once {
-            return self.put_in_force(topic, pending);
-        }
-        part.pending = Some(Pending { phase: Phase::Revoke, ..pending });
-        self.write(state);
+        self.finish_prepare(topic, pending);
+    }
+
+    fn is_unsupported_by_a_member(&self, topic: Topic, number: u64) -> bool {
+        let (at, lease) = (topic.index(), self.granted_span());
+        self.leader().is_some_and(|leader| {
+            leader.grants.live(self.now, lease).any(|(_, member)| member.unsupported[at] == Some(number))
+        })
+    }
+
+    /// Whether all live members are ready. Not known before every lease of an earlier leader has expired: until then a live
+    /// member may not have asked this one.
+    fn is_ready_at_all_members(&self, topic: Topic, number: u64) -> bool {
+        let (at, lease) = (topic.index(), self.granted_span());
+        self.earlier_leases_expired()
+            && self.leader().is_some_and(|leader| {
+                leader.grants.live(self.now, lease).all(|(_, member)| member.ready[at] == Some(number))
+            })
     }
 
-    fn kept_by_a_majority(&self, topic: Topic, number: u64) -> bool {
-        let lease = self.longer(self.config.timing.lease);
+    fn is_ready_at_a_majority(&self, topic: Topic, number: u64) -> bool {
+        let (at, lease) = (topic.index(), self.granted_span());
         let Some(leader) = self.leader() else { return false };
-        let keepers: BTreeSet<u16> = leader
-            .leases
+        let ready_voters: BTreeSet<u16> = leader
+            .grants
             .live(self.now, lease)
-            .filter(|(member, tenant)| {
-                self.config.votes(*member) && tenant.ready[topic.index()] == Some(number)
-            })
-            .map(|(member, _)| member)
+            .filter(|(ordinal, member)| self.config.is_voter(*ordinal) && member.ready[at] == Some(number))
+            .map(|(ordinal, _)| ordinal)
             .collect();
-        keepers.len() >= self.config.majority()
+        ready_voters.len() >= self.config.majority()
+    }
+
+    /// Activates the version at once if nobody can act on a version that it is incompatible with; else revokes those first.
+    fn finish_prepare(&mut self, topic: Topic, pending: Pending) {
+        let Some(leader) = self.leader() else { return };
+        let has_incompatible = self.incompatible_until(leader, topic, &pending).is_some();
+        let Some(mut state) = self.settled_state().cloned() else { return };
+        let current = state.topic_mut(topic);
+        let is_compatible =
+            current.in_force.is_none_or(|version| version.number >= pending.version.compatible_from);
+        let nothing_to_revoke = self.earlier_leases_expired() && is_compatible && !has_incompatible;
+        if nothing_to_revoke || self.has_mutant(Mutant::EarlyActivation) {
+            return self.activate(topic, pending);
+        }
+        current.pending = Some(Pending { phase: Phase::Revoke, ..pending });
+        self.write_state(state);
     }
 
     fn drop_pending(&mut self, topic: Topic, pending: Pending, outcome: ProposalOutcome) {
-        let Some(mut state) = self.settled().cloned() else { return };
-        let part = state.topic_mut(topic);
-        part.pending = None;
-        part.answer(pending.proposal, outcome);
-        self.write(state);
+        let Some(mut state) = self.settled_state().cloned() else { return };
+        let current = state.topic_mut(topic);
+        current.pending = None;
+        current.record_outcome(pending.proposal, outcome);
+        self.write_state(state);
     }
 
-    /// Nobody is granted what the pending version contradicts since this phase was agreed; once all such leases are over,
-    /// by their holders' word or by time, nobody can act on it.
-    fn release(&mut self, topic: Topic, pending: Pending) {
+    /// Waits until no lease on an incompatible version is left. None is granted since this phase was committed; once those
+    /// granted before are given up by their holders or have expired, nobody can act on one.
+    fn advance_revoke(&mut self, topic: Topic, pending: Pending) {
         let Some(leader) = self.leader() else { return };
-        let below = leader.leases.last_below(topic, pending.version.compatible_from, self.now);
-        if self.handed_over() && below.is_none() {
-            self.put_in_force(topic, pending);
+        let has_incompatible = self.incompatible_until(leader, topic, &pending).is_some();
+        if self.earlier_leases_expired() && !has_incompatible {
+            self.activate(topic, pending);
         }
     }
 
-    fn put_in_force(&mut self, topic: Topic, pending: Pending) {
-        let Some(mut state) = self.settled().cloned() else { return };
-        let part = state.topic_mut(topic);
-        part.in_force = Some(pending.version);
-        part.pending = None;
-        part.answer(pending.proposal, ProposalOutcome::InForce);
-        self.write(state);
+    fn activate(&mut self, topic: Topic, pending: Pending) {
+        let Some(mut state) = self.settled_state().cloned() else { return };
+        let current = state.topic_mut(topic);
+        current.in_force = Some(pending.version);
+        current.pending = None;
+        current.record_outcome(pending.proposal, ProposalOutcome::InForce);
+        self.write_state(state);
     }
 
-    /// A state was agreed: whom it concerns is told; all members, if this leader is new to them.
-    pub(crate) fn tell(&mut self, before: Option<State>) {
-        let (now, lease) = (self.now, self.longer(self.config.timing.lease));
+    /// A state was committed: announces it to the members it concerns, and proposals' outcomes to their proposers.
+    pub(super) fn announce_state(&mut self, before: Option<State>) {
         let Some(leader) = self.leader() else { return };
         let Some((revision, state)) = leader.committed.clone() else { return };
-        let changed = before.as_ref().is_none_or(|before| {
-            let outward =
-                |state: &State| [0, 1].map(|at| (state.topics[at].in_force, state.topics[at].pending));
-            outward(before) != outward(&state)
-        });
-        let to: Vec<u16> = match (&before, changed) {
-            (None, _) => (0..self.config.members).collect(),
-            (Some(_), true) => leader.leases.live(now, lease).map(|(member, _)| member).collect(),
-            (Some(_), false) => Vec::new(),
-        };
-        let pending = [0, 1].map(|at| state.topics[at].pending);
+        let pending = state.pending();
         let mut last = None;
-        for member in to {
-            // Two lives of one member are told once.
+        for member in self.members_to_notify(leader, before.as_ref(), &state) {
+            // Two incarnations of one member get one announcement.
             if last.replace(member) != Some(member) {
                 self.send(member, Message::Announce { revision, pending });
             }
         }
-        let results = |state: &State, topic: Topic| state.topic(topic).results.last().copied();
+        if let Some(before) = before {
+            self.announce_outcomes(&before, &state);
+        }
+    }
+
+    /// All members, if this leader is new to them; the live ones, if a version changed.
+    fn members_to_notify(&self, leader: &Leader, before: Option<&State>, state: &State) -> Vec<u16> {
+        let versions = |state: &State| state.topics.each_ref().map(|topic| (topic.in_force, topic.pending));
+        let lease = self.granted_span();
+        match before {
+            None => (0..self.config.members).collect(),
+            Some(before) if versions(before) != versions(state) => {
+                leader.grants.live(self.now, lease).map(|(member, _)| member).collect()
+            }
+            Some(_) => Vec::new(),
+        }
+    }
+
+    fn announce_outcomes(&mut self, before: &State, state: &State) {
         for topic in Topic::ALL {
-            let newest = results(&state, topic);
-            if let Some(answer) = newest
-                && before.as_ref().is_some_and(|before| results(before, topic) != newest)
+            let newest = state.topic(topic).results.last().copied();
+            if let Some(result) = newest
+                && before.topic(topic).results.last().copied() != newest
             {
-                self.send(
-                    answer.proposal.member,
-                    Message::ProposalFinished { id: answer.proposal, outcome: answer.outcome },
-                );
+                let message = Message::ProposalFinished { id: result.proposal, outcome: result.outcome };
+                self.send(result.proposal.member, message);
             }
         }
     }
--- /dev/null
+++ b/crates/consensus/src/member/compatibility.rs
@@ -0,0 +1,136 @@
+//! The compatibility check: the leader fetches a proposal's content, has the embedder compare it with the versions that
+//! somebody may act on, and gives it a number.
+
+use crate::roles::change::{CompatibilityCheck, QueuedProposal};
+use crate::state::{Pending, Phase, ProposalId};
+use crate::{ContentHash, Member, Micros, Output, ProposalOutcome, Topic, Verdict, Version};
+
+impl Member {
+    /// When the content of the proposal must be here and compared; after that it is rejected.
+    pub(super) fn check_deadline(&self, check: &CompatibilityCheck) -> Micros {
+        check.started_at + 2 * self.config.timing.prepare
+    }
+
+    /// When the check can go on by time alone.
+    pub(super) fn check_timeout(&self, check: &CompatibilityCheck) -> Micros {
+        let deadline = self.check_deadline(check);
+        match check.against {
+            None => deadline.min(check.proposal.last_sent_at.saturating_add(self.config.timing.lease)),
+            Some(_) => deadline,
+        }
+    }
+
+    /// Goes on with the proposal that is being checked, or with the first of the queue.
+    pub(super) fn advance_check(&mut self, topic: Topic) {
+        let Some(check) = self.current_check(topic) else { return };
+        if self.is_settled(topic, &check.proposal) {
+            // Its proposer hears of the outcome when it sends the proposal again.
+            return self.end_check(topic);
+        }
+        match (&check.against, check.verdict) {
+            (None, _) => self.start_check(topic, check),
+            (Some(_), Some(verdict)) => self.finish_check(topic, check, verdict),
+            (Some(_), None) if self.now >= self.check_deadline(&check) => {
+                // The embedder doesn't answer: the queue must not stand still for ever.
+                self.reject_proposal(topic, check.proposal.id, ProposalOutcome::Rejected);
+            }
+            (Some(_), None) => {}
+        }
+    }
+
+    /// The check under way; of the queue's first proposal, if there is none.
+    fn current_check(&mut self, topic: Topic) -> Option<CompatibilityCheck> {
+        let now = self.now;
+        let change = &mut self.leader_mut()?.changes[topic.index()];
+        change.preparing_since = None;
+        if change.check.is_none() {
+            let proposal = change.queue.pop_front()?;
+            change.check =
+                Some(CompatibilityCheck { proposal, started_at: now, against: None, verdict: None });
+        }
+        change.check.clone()
+    }
+
+    /// Whether the proposal has an outcome by now, or its content came in force while it was queued.
+    fn is_settled(&self, topic: Topic, proposal: &QueuedProposal) -> bool {
+        self.settled_state().is_some_and(|state| {
+            let current = state.topic(topic);
+            current.outcome_of(&proposal.id).is_some()
+                || current.in_force.is_some_and(|version| version.hash == proposal.hash)
+        })
+    }
+
+    /// Fetches the content, then asks the embedder for its verdict.
+    fn start_check(&mut self, topic: Topic, check: CompatibilityCheck) {
+        let deadline = self.check_deadline(&check);
+        let QueuedProposal { id, hash, size, last_sent_at } = check.proposal;
+        if self.lease_holder.is_unsupported(&hash) {
+            return self.reject_proposal(topic, id, ProposalOutcome::Unsupported);
+        }
+        if self.now >= deadline {
+            return self.reject_proposal(topic, id, ProposalOutcome::ContentUnavailable);
+        }
+        if !self.lease_holder.is_available(&hash) {
+            if self.now >= last_sent_at + self.config.timing.lease {
+                // Its proposer ended, and the content with it; if it comes back, it sends the proposal again.
+                self.end_check(topic);
+                return self.advance_check(topic);
+            }
+            return self.fetch_content(topic, hash, size, vec![id.member]);
+        }
+        let against = self.versions_in_use(topic);
+        if let Some(check) = self.leader_mut().and_then(|leader| leader.changes[topic.index()].check.as_mut())
+        {
+            check.against = Some(against.clone());
+        }
+        self.outputs.push_back(Output::Check { topic, hash, against });
+    }
+
+    /// Versions that some member may act on, in the order of their numbers; the last one is in force. Before the leases of
+    /// earlier leaders have expired only that one is known.
+    fn versions_in_use(&self, topic: Topic) -> Vec<(u64, ContentHash)> {
+        let mut versions = match self.leader() {
+            Some(leader) if self.earlier_leases_expired() => leader.grants.leased_versions(topic, self.now),
+            _ => Default::default(),
+        };
+        let in_force = self.settled_state().and_then(|state| state.topic(topic).in_force);
+        versions.extend(in_force.map(|version| (version.number, version.hash)));
+        versions.into_iter().collect()
+    }
+
+    /// Makes the proposal the topic's pending version.
+    fn finish_check(&mut self, topic: Topic, check: CompatibilityCheck, verdict: Verdict) {
+        let QueuedProposal { id, hash, size, .. } = check.proposal;
+        let Some(mut state) = self.settled_state().cloned() else { return };
+        let current = state.topic_mut(topic);
+        let number = current.last_number + 1;
+        let compatible_from = match verdict {
+            Verdict::Rejected => return self.reject_proposal(topic, id, ProposalOutcome::Rejected),
+            Verdict::Incompatible => number,
+            // Only numbers that were compared count, whatever the embedder answered.
+            Verdict::Compatible { from } => {
+                let mut compared = check.against.unwrap_or_default().into_iter().map(|(number, _)| number);
+                compared.find(|&compared| compared >= from).unwrap_or(number)
+            }
+        };
+        current.last_number = number;
+        let version = Version { number, hash, size, compatible_from };
+        current.pending = Some(Pending { version, phase: Phase::Prepare, proposal: id });
+        self.end_check(topic);
+        self.write_state(state);
+    }
+
+    fn end_check(&mut self, topic: Topic) {
+        if let Some(leader) = self.leader_mut() {
+            leader.changes[topic.index()].check = None;
+        }
+    }
+
+    /// Ends a proposal that has no number yet. Written to the state, so that it stays ended under the next leader.
+    fn reject_proposal(&mut self, topic: Topic, id: ProposalId, outcome: ProposalOutcome) {
+        self.end_check(topic);
+        let Some(mut state) = self.settled_state().cloned() else { return };
+        state.topic_mut(topic).record_outcome(id, outcome);
+        self.write_state(state);
+    }
+}
--- a/crates/consensus/src/member/content.rs
+++ b/crates/consensus/src/member/content.rs
@@ -1,66 +1,72 @@
-//! Which contents are here, and asking the embedder for those that aren't.
+//! Which contents are available here, and requests to the embedder for those that aren't.
 
 use crate::{ContentHash, Member, Output, Topic};
 
-/// Contents a member remembers to have, or not to be able to run.
-const MOST_CONTENTS: usize = 32;
+/// Contents that a member remembers as available, as unsupported, or as requested for a topic.
+const MAX_CONTENTS: usize = 32;
 
 impl Member {
-    /// Asks the embedder for a content, again only after a while.
-    pub(crate) fn want(&mut self, topic: Topic, hash: ContentHash, size: u32, from: Vec<u16>) {
-        if self.holder.has(&hash) || self.holder.cannot_run(&hash) {
+    /// Asks the embedder to fetch a content; once within a lease's time, since it may be slow.
+    pub(super) fn fetch_content(&mut self, topic: Topic, hash: ContentHash, size: u32, from: Vec<u16>) {
+        if self.lease_holder.is_available(&hash) || self.lease_holder.is_unsupported(&hash) {
             return;
         }
-        let (now, again) = (self.now, self.config.timing.lease);
-        let held = &mut self.holder.topics[topic.index()];
-        held.asked.retain(|&(_, at)| now < at + again);
-        if held.asked.iter().any(|&(asked, _)| asked == hash) {
+        let (now, retry_after) = (self.now, self.config.timing.lease);
+        let requested = &mut self.lease_holder.topics[topic.index()].requested_contents;
+        requested.retain(|&(_, at)| now < at + retry_after);
+        if requested.iter().any(|&(requested, _)| requested == hash) {
             return;
         }
-        held.asked.truncate(MOST_CONTENTS);
-        held.asked.insert(0, (hash, now));
+        requested.truncate(MAX_CONTENTS);
+        requested.insert(0, (hash, now));
+        let from = self.content_sources(from);
+        self.outputs.push_back(Output::Fetch { topic, hash, size, from });
+    }
+
+    /// Members that may have a content: the given ones, then the voters, each once and without this member.
+    fn content_sources(&self, first: Vec<u16>) -> Vec<u16> {
         let mut sources: Vec<u16> = Vec::new();
-        for member in from.into_iter().chain(self.config.voters.iter().copied()) {
+        for member in first.into_iter().chain(self.config.voters.iter().copied()) {
             if member != self.config.ordinal && !sources.contains(&member) {
                 sources.push(member);
             }
         }
-        self.out.push_back(Output::Fetch { topic, hash, size, from: sources });
+        sources
     }
 
-    pub(crate) fn have(&mut self, hash: ContentHash) {
-        self.holder.unsupported.retain(|unsupported| *unsupported != hash);
-        remember(&mut self.holder.have, hash);
-        self.content_changed(hash);
+    pub(super) fn content_ready(&mut self, hash: ContentHash) {
+        self.lease_holder.unsupported.retain(|unsupported| *unsupported != hash);
+        remember(&mut self.lease_holder.available, hash);
+        self.report_pending_content(hash);
         for topic in Topic::ALL {
-            self.take(topic);
+            self.activate_offered(topic);
         }
     }
 
-    pub(crate) fn cannot_run(&mut self, hash: ContentHash) {
-        self.holder.have.retain(|have| *have != hash);
-        remember(&mut self.holder.unsupported, hash);
-        self.content_changed(hash);
+    pub(super) fn content_unsupported(&mut self, hash: ContentHash) {
+        self.lease_holder.available.retain(|available| *available != hash);
+        remember(&mut self.lease_holder.unsupported, hash);
+        self.report_pending_content(hash);
     }
 
-    /// The leader waits for this word, if it is of what is pending.
-    fn content_changed(&mut self, hash: ContentHash) {
-        if self
-            .holder
+    /// The leader waits for members' readiness: it is told at once about a content that is pending.
+    fn report_pending_content(&mut self, hash: ContentHash) {
+        let is_pending = self
+            .lease_holder
             .topics
             .iter()
-            .any(|held| held.pending.is_some_and(|pending| pending.version.hash == hash))
-        {
-            self.renew_now();
+            .any(|lease| lease.pending.is_some_and(|pending| pending.version.hash == hash));
+        if is_pending {
+            self.request_lease_now();
         }
     }
 }
 
-/// The newest last; the oldest goes.
-fn remember(among: &mut Vec<ContentHash>, hash: ContentHash) {
-    among.retain(|other| *other != hash);
-    if among.len() >= MOST_CONTENTS {
-        among.remove(0);
+/// Adds a content as the newest; the oldest is dropped at the limit.
+fn remember(contents: &mut Vec<ContentHash>, hash: ContentHash) {
+    contents.retain(|other| *other != hash);
+    if contents.len() >= MAX_CONTENTS {
+        contents.remove(0);
     }
-    among.push(hash);
+    contents.push(hash);
 }
--- a/crates/consensus/src/member/election.rs
+++ b/crates/consensus/src/member/election.rs
@@ -1,5 +1,5 @@
-//! Elections, as in Raft, with a question ahead of each that binds nobody, so that a voter that was cut off doesn't drive up
-//! the term.
+//! Elections as in Raft, with a pre-vote ahead of each (Ongaro's thesis, section 9.6), so that a voter that was cut off
+//! doesn't raise the term.
 
 use crate::mutant::Mutant;
 use crate::roles::candidate::Candidacy;
@@ -10,43 +10,55 @@
 use std::collections::BTreeSet;
 
 impl Member {
-    /// When to ask for votes, if no leader is heard till then. Never while the last one heard may count on this voter.
-    pub(crate) fn election_deadline(&mut self) -> Micros {
-        let least = self.longer(self.config.timing.election_timeout_min);
-        let most = self.config.timing.election_timeout_max.max(least + 1);
-        self.now + self.chance.random_range(least..=most)
+    /// Draws when to become a candidate, unless a leader is heard before. Never while the leader heard last may count on
+    /// this voter.
+    pub(super) fn draw_election_deadline(&mut self) -> Micros {
+        let min = self.lengthen(self.config.timing.election_timeout_min);
+        let max = self.config.timing.election_timeout_max.max(min + 1);
+        self.now + self.rng.random_range(min..=max)
     }
 
-    /// A candidate's window ends by its own clock, too: votes that wait in a queue meanwhile are for a term it then leaves.
-    pub(crate) fn turn_election(&mut self) {
-        let now = self.now;
-        let due = self.voter.as_ref().is_some_and(|voter| {
-            voter.recovering.is_none() && voter.leading.is_none() && now >= voter.deadline
-        });
-        if due {
-            self.canvass(true);
+    /// A candidacy ends by the candidate's clock, too: votes that wait in a queue meanwhile are for a term it then leaves.
+    pub(super) fn tick_election(&mut self) {
+        if self.voter.as_ref().is_some_and(|voter| voter.is_election_due(self.now)) {
+            self.start_pre_vote();
         }
     }
 
-    /// Asks for votes; for real only after a majority said it would vote so.
-    fn canvass(&mut self, pre_vote: bool) {
-        let me = self.config.ordinal;
-        let deadline = self.election_deadline();
+    /// Asks whether a majority would vote for this voter.
+    fn start_pre_vote(&mut self) {
+        let Some(term) = self.begin_candidacy() else { return };
+        let votes = BTreeSet::from([self.config.ordinal]);
+        self.request_votes(Candidacy { term, pre_vote: true, votes });
+    }
+
+    /// Asks for votes, after a majority granted the pre-vote.
+    fn start_election(&mut self) {
+        let ordinal = self.config.ordinal;
+        let Some(term) = self.begin_candidacy() else { return };
         let Some(voter) = &mut self.voter else { return };
-        voter.deadline = deadline;
-        voter.leader = None;
-        let term = voter.durable_state.term + 1;
-        if !pre_vote {
-            voter.durable_state.term = term;
-            voter.durable_state.voted = Some(me);
-            self.counts.elections += 1;
-        }
-        voter.candidacy = Some(Candidacy { term, pre_vote, votes: BTreeSet::from([me]) });
+        voter.durable_state.term = term;
+        voter.durable_state.voted = Some(ordinal);
+        self.counters.elections += 1;
+        self.save_durable_state();
+        self.request_votes(Candidacy { term, pre_vote: false, votes: BTreeSet::from([ordinal]) });
+    }
+
+    /// Forgets the leader and draws the time of the next attempt; the term to be elected in.
+    fn begin_candidacy(&mut self) -> Option<u64> {
+        let deadline = self.draw_election_deadline();
+        let voter = self.voter.as_mut()?;
+        voter.election_deadline = deadline;
+        voter.known_leader = None;
+        Some(voter.durable_state.term + 1)
+    }
+
+    fn request_votes(&mut self, candidacy: Candidacy) {
+        let (term, pre_vote) = (candidacy.term, candidacy.pre_vote);
+        let Some(voter) = &mut self.voter else { return };
+        voter.candidacy = Some(candidacy);
         let revision = voter.durable_state.revision;
-        if !pre_vote {
-            self.save();
-        }
-        self.tell_other_voters(&Message::VoteRequest { term, pre_vote, revision });
+        self.send_to_other_voters(&Message::VoteRequest { term, pre_vote, revision });
         self.count_votes();
     }
 
@@ -56,62 +68,64 @@
         if candidacy.votes.len() < majority {
             return;
         }
-        if candidacy.pre_vote { self.canvass(false) } else { self.win() }
+        if candidacy.pre_vote { self.start_election() } else { self.become_leader() }
     }
 
-    /// Whether a leader may still count on this voter.
-    fn promised(&self, voter: &Voter) -> bool {
-        if self.is(Mutant::VoteDespiteLeader) {
+    /// Whether a leader may still count on this voter to vote for no other.
+    fn is_bound_to_leader(&self, voter: &Voter) -> bool {
+        if self.has_mutant(Mutant::VoteDespiteLeader) {
             return false;
         }
-        let heard =
-            self.now < voter.heard_at.saturating_add(self.longer(self.config.timing.election_timeout_min));
-        heard || self.leads_now()
+        let promise = self.lengthen(self.config.timing.election_timeout_min);
+        self.now < voter.leader_heard_at.saturating_add(promise) || self.has_authority()
     }
 
-    /// Another voter asks for this one's vote.
-    pub(crate) fn canvassed(&mut self, from: u16, term: u64, pre_vote: bool, revision: StateRevision) {
-        let deadline = self.election_deadline();
+    pub(super) fn receive_vote_request(
+        &mut self,
+        from: u16,
+        term: u64,
+        pre_vote: bool,
+        revision: StateRevision,
+    ) {
+        let deadline = self.draw_election_deadline();
         let Some(voter) = &self.voter else { return };
-        if voter.recovering.is_some() {
+        if voter.recovery.is_some() {
             return;
         }
-        let newer = revision >= voter.durable_state.revision;
-        let known = voter.durable_state.term;
-        if self.promised(voter) || term < known || (pre_vote && (term == known || !newer)) {
-            self.send(from, Message::VoteResponse { term: known, pre_vote, granted: false });
-            return;
+        let is_up_to_date = revision >= voter.durable_state.revision;
+        let own_term = voter.durable_state.term;
+        let is_useless_pre_vote = pre_vote && (term == own_term || !is_up_to_date);
+        if self.is_bound_to_leader(voter) || term < own_term || is_useless_pre_vote {
+            return self.send(from, Message::VoteResponse { term: own_term, pre_vote, granted: false });
         }
         if pre_vote {
-            self.send(from, Message::VoteResponse { term, pre_vote, granted: true });
-            return;
+            return self.send(from, Message::VoteResponse { term, pre_vote, granted: true });
         }
-        if term > known {
-            self.adopt(term, None);
+        if term > own_term {
+            self.adopt_term(term, None);
         }
         let Some(voter) = &mut self.voter else { return };
-        let granted = newer && voter.durable_state.voted.is_none_or(|voted| voted == from);
+        let granted = is_up_to_date && voter.durable_state.voted.is_none_or(|voted| voted == from);
         if granted {
             voter.durable_state.voted = Some(from);
-            voter.deadline = deadline;
+            voter.election_deadline = deadline;
         }
-        if granted || term > known {
-            self.save();
+        if granted || term > own_term {
+            self.save_durable_state();
         }
         self.send(from, Message::VoteResponse { term, pre_vote, granted });
     }
 
-    /// An answer to this candidate.
-    pub(crate) fn voted(&mut self, from: u16, term: u64, pre_vote: bool, granted: bool) {
+    pub(super) fn receive_vote_response(&mut self, from: u16, term: u64, pre_vote: bool, granted: bool) {
         let Some(voter) = &mut self.voter else { return };
-        if voter.recovering.is_some() {
+        if voter.recovery.is_some() {
             return;
         }
         if !granted {
-            // Only what is greater tells something; and only a candidate needs to know.
+            // Only a greater term is news, and only a candidate needs it.
             if term > voter.durable_state.term && voter.candidacy.is_some() {
-                self.adopt(term, None);
-                self.save();
+                self.adopt_term(term, None);
+                self.save_durable_state();
             }
             return;
         }
@@ -120,39 +134,39 @@
                 candidacy.votes.insert(from);
                 self.count_votes();
             }
-            _ => self.counts.dropped += 1,
+            _ => self.counters.dropped += 1,
         }
     }
 
-    /// Goes on in a greater term. The caller saves.
-    pub(crate) fn adopt(&mut self, term: u64, leader: Option<u16>) {
-        let deadline = self.election_deadline();
+    /// Follows in a greater term. The caller saves the durable state.
+    pub(super) fn adopt_term(&mut self, term: u64, leader: Option<u16>) {
+        let deadline = self.draw_election_deadline();
         let Some(voter) = &mut self.voter else { return };
-        let forward = term > voter.durable_state.term;
-        if forward {
+        let is_greater = term > voter.durable_state.term;
+        if is_greater {
             voter.durable_state.term = term;
             voter.durable_state.voted = None;
         }
-        if voter.leading.take().is_some() {
-            self.counts.leaderships_lost += 1;
+        if voter.leadership.take().is_some() {
+            self.counters.leaderships_lost += 1;
         }
         voter.candidacy = None;
-        voter.leader = leader;
-        voter.deadline = deadline;
-        self.sure(forward, "a term was to go back");
+        voter.known_leader = leader;
+        voter.election_deadline = deadline;
+        self.check_invariant(is_greater, "a term was to go back");
     }
 
-    /// Leads, from here on: writes the state it holds anew, in its own term, and counts on nothing before a majority has it.
-    fn win(&mut self) {
-        let (now, me) = (self.now, self.config.ordinal);
+    /// Leads from now on: writes the state it has anew, in its own term, and relies on nothing before a majority has it.
+    fn become_leader(&mut self) {
+        let (now, ordinal) = (self.now, self.config.ordinal);
         let Some(voter) = &mut self.voter else { return };
         voter.candidacy = None;
-        voter.leader = Some(me);
+        voter.known_leader = Some(ordinal);
         voter.durable_state.revision =
             StateRevision { term: voter.durable_state.term, seq: voter.durable_state.revision.seq + 1 };
-        voter.leading = Some(Box::new(Leader::new(now)));
-        self.counts.elections_won += 1;
-        self.save();
-        self.beat();
+        voter.leadership = Some(Box::new(Leader::new(now)));
+        self.counters.elections_won += 1;
+        self.save_durable_state();
+        self.send_heartbeat();
     }
 }
--- a/crates/consensus/src/member/endpoint_list.rs
+++ b/crates/consensus/src/member/endpoint_list.rs
@@ -1,42 +1,43 @@
-//! How far members are with the list of members that discovery tells them. A member that is told less than others hears so.
+//! Comparison of the members' endpoint lists: a member whose list is older than that of others is notified.
 
 use crate::{ListRevision, Member, Output};
 
 impl Member {
-    /// Discovery told of a list. One with a lower revision than before is claimed to be of the next epoch; whether it is,
-    /// the leader finds by how many say so.
-    pub(crate) fn list_seen(&mut self, revision: u64) {
-        let mine = &mut self.lists.mine;
-        if revision < mine.revision {
-            mine.epoch += 1;
+    /// Discovery sent a list. A revision below the one before starts another epoch, as far as this member knows; the leader
+    /// accepts that epoch once enough members are in it.
+    pub(super) fn list_received(&mut self, revision: u64) {
+        let own = &mut self.lists.own;
+        if revision < own.revision {
+            own.epoch += 1;
         }
-        mine.revision = revision;
+        own.revision = revision;
     }
 
-    /// The leader said what others were told.
-    pub(crate) fn list_heard(&mut self, newest: ListRevision) {
+    /// The leader reported the newest list that members have.
+    pub(super) fn newest_list_reported(&mut self, newest: ListRevision) {
         let lists = &mut self.lists;
-        if newest.epoch > lists.mine.epoch && newest.revision >= lists.mine.revision {
-            // Started since, or told less than the new epoch has: it can't have anything of an older epoch to fall back from.
-            lists.mine.epoch = newest.epoch;
+        if newest.epoch > lists.own.epoch && newest.revision >= lists.own.revision {
+            // This member started since, or has less than the new epoch had at once: its list can't be of an older epoch.
+            lists.own.epoch = newest.epoch;
         }
-        if newest > lists.mine && newest > lists.behind {
-            lists.behind = newest;
-            self.out.push_back(Output::ListOutdated { revision: newest.revision });
+        if newest > lists.own && newest > lists.notified {
+            lists.notified = newest;
+            self.outputs.push_back(Output::ListOutdated { revision: newest.revision });
         }
     }
 
-    /// Leader: the greatest told. A new epoch counts when more than half of the live members are in it or a later one.
-    pub(crate) fn list_told(&mut self) {
-        let (now, lease) = (self.now, self.longer(self.config.timing.lease));
+    /// Leader: finds the newest list of the live members. A new epoch counts once more than half of them are in it or in a
+    /// later one.
+    pub(super) fn update_newest_list(&mut self) {
+        let (now, lease) = (self.now, self.granted_span());
         let Some(leader) = self.leader_mut() else { return };
-        let mut marks: Vec<ListRevision> =
-            leader.leases.live(now, lease).map(|(_, tenant)| tenant.list).collect();
-        marks.sort_unstable();
-        let Some(middle) = marks.get(marks.len().saturating_sub(1) / 2) else { return };
-        let epoch = middle.epoch.max(leader.list.epoch);
-        if let Some(&greatest) = marks.iter().rev().find(|mark| mark.epoch <= epoch) {
-            leader.list = leader.list.max(greatest);
+        let mut lists: Vec<ListRevision> =
+            leader.grants.live(now, lease).map(|(_, member)| member.list).collect();
+        lists.sort_unstable();
+        let Some(median) = lists.get(lists.len().saturating_sub(1) / 2) else { return };
+        let epoch = median.epoch.max(leader.list.epoch);
+        if let Some(&newest) = lists.iter().rev().find(|list| list.epoch <= epoch) {
+            leader.list = leader.list.max(newest);
         }
     }
 }
--- a/crates/consensus/src/member/leader.rs
+++ b/crates/consensus/src/member/leader.rs
@@ -1,103 +1,107 @@
-//! What a leader does: rounds to the other voters, what they acknowledged, and until when it may act as one.
+//! The leader's heartbeats, what voters acknowledge, and until when the leader has authority.
 
 use crate::mutant::Mutant;
 use crate::roles::leader::Leader;
 use crate::{Member, Message, Micros, State, StateRevision, Topic};
 
 impl Member {
-    /// When the newest round began that a majority acknowledged; this voter itself is of any.
-    fn quorum_round(&self, leader: &Leader) -> Option<Micros> {
+    /// When the leader sent the newest heartbeat that a majority acknowledged; it counts as one of them itself.
+    fn newest_quorum_round(&self, leader: &Leader) -> Option<Micros> {
         let needed = self.config.majority() - 1;
         if needed == 0 {
             return Some(self.now);
         }
-        let mut rounds: Vec<Micros> = leader.heard.values().map(|&(round, _)| round).collect();
+        let mut rounds: Vec<Micros> = leader.acks.values().map(|&(round, _)| round).collect();
         rounds.sort_unstable_by(|one, other| other.cmp(one));
         rounds.get(needed - 1).copied()
     }
 
-    /// Until when no other can be elected: the voters of that round promised so from when they heard it, which is later
-    /// than it was sent.
-    pub(crate) fn authority_until(&self, leader: &Leader) -> Option<Micros> {
-        Some(self.quorum_round(leader)? + self.shorter(self.config.timing.election_timeout_min))
+    /// Until when no other voter can be elected: the voters that acknowledged that heartbeat promised so, from when they
+    /// received it, which is later than it was sent.
+    pub(super) fn authority_until(&self, leader: &Leader) -> Option<Micros> {
+        Some(self.newest_quorum_round(leader)? + self.shorten(self.config.timing.election_timeout_min))
     }
 
     /// Whether this process leads at this instant, by its own clock.
-    pub(crate) fn leads_now(&self) -> bool {
-        let Some(leader) = self.voter.as_ref().and_then(|voter| voter.leading.as_ref()) else { return false };
-        self.is(Mutant::NoAuthorityCheck)
+    pub(super) fn has_authority(&self) -> bool {
+        let Some(leader) = self.leader() else { return false };
+        self.has_mutant(Mutant::NoAuthorityCheck)
             || self.authority_until(leader).is_some_and(|until| self.now < until)
     }
 
-    pub(crate) fn leader_mut(&mut self) -> Option<&mut Leader> {
-        self.voter.as_mut()?.leading.as_deref_mut()
+    pub(super) fn leader_mut(&mut self) -> Option<&mut Leader> {
+        self.voter.as_mut()?.leadership.as_deref_mut()
     }
 
-    pub(crate) fn leader(&self) -> Option<&Leader> {
-        self.voter.as_ref()?.leading.as_deref()
+    pub(super) fn leader(&self) -> Option<&Leader> {
+        self.voter.as_ref()?.leadership.as_deref()
     }
 
-    /// The state agreed, if this process leads at this instant and nothing is on its way to be agreed.
-    pub(crate) fn settled(&self) -> Option<&State> {
+    /// The committed state, if this process leads at this instant and no write waits to be committed.
+    pub(super) fn settled_state(&self) -> Option<&State> {
         let leader = self.leader()?;
         let (_, state) = leader.committed.as_ref()?;
-        (leader.agreed && self.leads_now()).then_some(state)
+        (leader.is_committed && self.has_authority()).then_some(state)
     }
 
-    /// Whether leases that earlier leaders granted are over: all of them were granted before this one won.
-    pub(crate) fn handed_over(&self) -> bool {
+    /// When every lease that an earlier leader granted has expired: all were granted before this one was elected.
+    fn earlier_leases_expire_at(&self, leader: &Leader) -> Micros {
+        leader.elected_at + self.granted_span()
+    }
+
+    /// Whether every lease that an earlier leader granted has expired.
+    pub(super) fn earlier_leases_expired(&self) -> bool {
         self.leader().is_some_and(|leader| {
-            self.is(Mutant::SkipHandover) || self.now >= leader.won_at + self.longer(self.config.timing.lease)
+            self.has_mutant(Mutant::SkipHandover) || self.now >= self.earlier_leases_expire_at(leader)
         })
     }
 
-    pub(crate) fn leader_timeout(&self, leader: &Leader) -> Micros {
-        let handover = leader.won_at + self.longer(self.config.timing.lease);
-        let handover = if handover > self.now { handover } else { Micros::MAX };
-        if !self.leads_now() {
-            return leader.next_beat;
+    pub(super) fn leader_timeout(&self, leader: &Leader) -> Micros {
+        if !self.has_authority() {
+            return leader.next_heartbeat;
         }
+        let handover = self.earlier_leases_expire_at(leader);
+        let handover = if handover > self.now { handover } else { Micros::MAX };
         let change = Topic::ALL.iter().map(|&topic| self.change_timeout(leader, topic)).min();
-        leader.next_beat.min(handover).min(change.unwrap_or(Micros::MAX).max(self.now + 1))
+        leader.next_heartbeat.min(handover).min(change.unwrap_or(Micros::MAX).max(self.now + 1))
     }
 
-    /// A round; with the state to those that aren't known to have it.
-    pub(crate) fn beat(&mut self) {
-        let (now, heartbeat) = (self.now, self.config.timing.heartbeat);
+    /// Sends a heartbeat to the other voters; with the state to those that aren't known to have it.
+    pub(super) fn send_heartbeat(&mut self) {
+        let (now, interval) = (self.now, self.config.timing.heartbeat);
         let Some(voter) = &mut self.voter else { return };
-        let Some(leader) = &mut voter.leading else { return };
-        leader.next_beat = now + heartbeat;
+        let Some(leader) = &mut voter.leadership else { return };
+        leader.next_heartbeat = now + interval;
         let (term, revision) = (voter.durable_state.term, voter.durable_state.revision);
-        let mut rounds = Vec::new();
+        let mut heartbeats = Vec::new();
         for &to in &self.config.voters {
             if to == self.config.ordinal {
                 continue;
             }
-            let has = leader.heard.get(&to).is_some_and(|&(_, had)| had == revision);
-            let state = (!has).then(|| Box::new(voter.durable_state.state.clone()));
-            rounds.push((to, Message::Heartbeat { term, round: now, revision, state }));
+            let is_current = leader.acks.get(&to).is_some_and(|&(_, acked)| acked == revision);
+            let state = (!is_current).then(|| Box::new(voter.durable_state.state.clone()));
+            heartbeats.push((to, Message::Heartbeat { term, round: now, revision, state }));
         }
-        for (to, message) in rounds {
+        for (to, message) in heartbeats {
             self.send(to, message);
         }
     }
 
-    /// Writes the next state; nothing is counted on before a majority has it.
-    pub(crate) fn write(&mut self, state: State) {
+    /// Writes the next state; nothing relies on it before a majority has it.
+    pub(super) fn write_state(&mut self, state: State) {
         let Some(voter) = &mut self.voter else { return };
-        let follows = state.may_follow(&voter.durable_state.state);
+        let may_follow = state.may_follow(&voter.durable_state.state);
         voter.durable_state.revision.seq += 1;
         voter.durable_state.state = state;
-        if let Some(leader) = &mut voter.leading {
-            leader.agreed = false;
+        if let Some(leader) = &mut voter.leadership {
+            leader.is_committed = false;
         }
-        self.sure(follows, "a state was to go back");
-        self.save();
-        self.beat();
+        self.check_invariant(may_follow, "a state was to go back");
+        self.save_durable_state();
+        self.send_heartbeat();
     }
 
-    /// A leader's round came in.
-    pub(crate) fn beaten(
+    pub(super) fn receive_heartbeat(
         &mut self,
         from: u16,
         term: u64,
@@ -105,116 +109,124 @@
         revision: StateRevision,
         state: Option<Box<State>>,
     ) {
-        let deadline = self.election_deadline();
+        let deadline = self.draw_election_deadline();
         let now = self.now;
         let Some(voter) = &mut self.voter else { return };
-        if voter.recovering.is_some() {
-            // It says nothing of what it has: it may have had more.
-            voter.leader = Some(from);
-            voter.heard_at = now;
+        if voter.recovery.is_some() {
+            // No acknowledgement: the state it lost may have been newer than the one it has now.
+            voter.known_leader = Some(from);
+            voter.leader_heard_at = now;
             return;
         }
-        if term < voter.durable_state.term {
-            let (term, revision) = (voter.durable_state.term, voter.durable_state.revision);
-            return self.send(from, Message::HeartbeatAck { term, round, revision });
+        let own_term = voter.durable_state.term;
+        if term < own_term {
+            let revision = voter.durable_state.revision;
+            return self.send(from, Message::HeartbeatAck { term: own_term, round, revision });
         }
-        let mut changed = term > voter.durable_state.term;
-        if changed {
-            self.adopt(term, Some(from));
+        if term > own_term {
+            self.adopt_term(term, Some(from));
         }
         let Some(voter) = &mut self.voter else { return };
-        if voter.leading.is_some() {
-            return self.sure(false, "two leaders in one term");
+        if voter.leadership.is_some() {
+            return self.check_invariant(false, "two leaders in one term");
         }
         voter.candidacy = None;
-        voter.leader = Some(from);
-        voter.heard_at = now;
-        voter.deadline = deadline;
-        if let Some(state) = state
-            && revision > voter.durable_state.revision
-        {
+        voter.known_leader = Some(from);
+        voter.leader_heard_at = now;
+        voter.election_deadline = deadline;
+        let newer = state.filter(|_| revision > voter.durable_state.revision);
+        let is_changed = term > own_term || newer.is_some();
+        if let Some(state) = newer {
             voter.durable_state.revision = revision;
             voter.durable_state.state = *state;
-            changed = true;
         }
         let revision = voter.durable_state.revision;
-        if changed {
-            self.save();
+        if is_changed {
+            self.save_durable_state();
         }
         self.send(from, Message::HeartbeatAck { term, round, revision });
     }
 
-    /// A voter's acknowledgement came in.
-    pub(crate) fn heard(&mut self, from: u16, term: u64, round: Micros, revision: StateRevision) {
+    pub(super) fn receive_heartbeat_ack(
+        &mut self,
+        from: u16,
+        term: u64,
+        round: Micros,
+        revision: StateRevision,
+    ) {
         let now = self.now;
         let Some(voter) = &mut self.voter else { return };
-        if voter.recovering.is_some() {
+        if voter.recovery.is_some() {
             return;
         }
-        if term > voter.durable_state.term {
-            self.adopt(term, None);
-            return self.save();
+        let own_term = voter.durable_state.term;
+        if term > own_term {
+            self.adopt_term(term, None);
+            return self.save_durable_state();
         }
-        let known = voter.durable_state.term;
-        let Some(leader) = &mut voter.leading else { return };
-        let newest = leader.heard.get(&from).is_none_or(|&(before, _)| round >= before);
-        if term == known && newest && round <= now && round >= leader.won_at {
-            // In place of what it said before, never added to it: it may have lost its memory since.
-            leader.heard.insert(from, (round, revision));
+        let Some(leader) = &mut voter.leadership else { return };
+        let is_newest = leader.acks.get(&from).is_none_or(|&(before, _)| round >= before);
+        if term == own_term && is_newest && round <= now && round >= leader.elected_at {
+            // Replaces the voter's earlier acknowledgement, never adds to it: it may have lost its durable state since.
+            leader.acks.insert(from, (round, revision));
         } else {
-            self.counts.dropped += 1;
+            self.counters.dropped += 1;
         }
     }
 
-    pub(crate) fn turn_leader(&mut self) {
-        let (now, window) = (self.now, self.config.timing.election_timeout_max);
+    pub(super) fn tick_leader(&mut self) {
         let Some(leader) = self.leader() else { return };
-        let last = self.quorum_round(leader).unwrap_or(leader.won_at).max(leader.won_at);
-        if now > last + window && !self.is(Mutant::NoAuthorityCheck) {
-            // Nobody hears it, or it hears nobody: as long as it goes on, others may wait for it in vain.
-            let deadline = self.election_deadline();
-            let Some(voter) = &mut self.voter else { return };
-            voter.leading = None;
-            voter.leader = None;
-            voter.deadline = deadline;
-            self.counts.leaderships_lost += 1;
-            return;
+        let newest = self.newest_quorum_round(leader).unwrap_or(leader.elected_at).max(leader.elected_at);
+        let silence = self.now - newest;
+        if silence > self.config.timing.election_timeout_max && !self.has_mutant(Mutant::NoAuthorityCheck) {
+            return self.step_down();
         }
-        if now >= leader.next_beat {
-            let lease = self.longer(self.config.timing.lease);
-            if let Some(leader) = self.leader_mut() {
-                leader.leases.forget(now, lease);
-            }
-            self.list_told();
-            self.beat();
+        if self.now >= leader.next_heartbeat {
+            self.remove_expired_grants();
+            self.update_newest_list();
+            self.send_heartbeat();
         }
-        self.agree();
+        self.commit_if_majority();
         for topic in Topic::ALL {
-            self.drive(topic);
+            self.advance_change(topic);
+        }
+    }
+
+    /// Follows again: no majority acknowledges this leader, and as long as it leads, others may wait for it in vain.
+    fn step_down(&mut self) {
+        let deadline = self.draw_election_deadline();
+        let Some(voter) = &mut self.voter else { return };
+        voter.leadership = None;
+        voter.known_leader = None;
+        voter.election_deadline = deadline;
+        self.counters.leaderships_lost += 1;
+    }
+
+    fn remove_expired_grants(&mut self) {
+        let (now, lease) = (self.now, self.granted_span());
+        if let Some(leader) = self.leader_mut() {
+            leader.grants.remove_expired(now, lease);
         }
     }
 
-    /// Whether a majority has the state by now. Only fresh words count: a voter that lost its memory abstains for longer
-    /// than they stay fresh, then learns from a majority of the others what was agreed with its help.
-    fn agree(&mut self) {
+    /// Commits the state once a majority has it. Only recent acknowledgements count: a voter that lost its durable state
+    /// abstains for longer than they stay recent, then learns from a majority of the others what was committed with its help.
+    fn commit_if_majority(&mut self) {
         let (now, window) = (self.now, self.config.timing.election_timeout_max);
         let Some(voter) = &mut self.voter else { return };
-        let Some(leader) = &mut voter.leading else { return };
-        if leader.agreed {
+        let Some(leader) = &mut voter.leadership else { return };
+        if leader.is_committed {
             return;
         }
-        let have = leader
-            .heard
-            .values()
-            .filter(|&&(round, had)| had == voter.durable_state.revision && now <= round + window);
+        let (revision, state) = (voter.durable_state.revision, &voter.durable_state.state);
+        let have = leader.acks.values().filter(|&&(round, acked)| acked == revision && now <= round + window);
         if have.count() + 1 < self.config.majority() {
             return;
         }
-        leader.agreed = true;
-        let before =
-            leader.committed.replace((voter.durable_state.revision, voter.durable_state.state.clone()));
-        let follows = before.as_ref().is_none_or(|(_, before)| voter.durable_state.state.may_follow(before));
-        self.sure(follows, "an agreed state went back");
-        self.tell(before.map(|(_, before)| before));
+        leader.is_committed = true;
+        let before = leader.committed.replace((revision, state.clone()));
+        let may_follow = before.as_ref().is_none_or(|(_, before)| state.may_follow(before));
+        self.check_invariant(may_follow, "a committed state went back");
+        self.announce_state(before.map(|(_, before)| before));
     }
 }
--- a/crates/consensus/src/member/lease_grants.rs
+++ b/crates/consensus/src/member/lease_grants.rs
@@ -1,69 +1,78 @@
-//! The leader's book of leases, and the answer to a member that asks.
+//! The leader's answer to a lease request.
 
-use crate::roles::lease_grants::GrantedLease;
+use crate::roles::lease_grants::MemberLeases;
 use crate::state::Phase;
-use crate::{LeaseGrant, LeaseRequest, ListRevision, Member, Message, Topic};
+use crate::{LeaseGrant, LeaseRequest, Member, Message, Micros, State, Topic, TopicState, Version};
 
 impl Member {
-    /// A member asks for its leases.
-    pub(crate) fn renewed(&mut self, from: u16, renew: LeaseRequest) {
-        let Some(voter) = &self.voter else { return self.counts.dropped += 1 };
-        let me = self.config.ordinal;
-        let leads = self.leads_now();
-        // What was heard long ago points nowhere.
-        let lately = self.now < voter.heard_at.saturating_add(self.config.timing.election_timeout_max);
-        let known = voter.leader.filter(|&leader| leader != me && lately);
-        let committed = self.leader().filter(|_| leads).and_then(|leader| leader.committed.clone());
-        let Some((revision, committed)) = committed else {
-            if self.leader().is_none() {
-                self.send(from, Message::LeaderHint { echo: renew.sent_at, leader: known });
-            }
-            return;
+    /// Voter: grants leases on the versions in force, if it leads; points to the leader otherwise.
+    pub(super) fn receive_lease_request(&mut self, from: u16, request: &LeaseRequest) {
+        if self.voter.is_none() {
+            return self.counters.dropped += 1;
+        }
+        let committed =
+            self.leader().filter(|_| self.has_authority()).and_then(|leader| leader.committed.clone());
+        let Some((revision, state)) = committed else {
+            return self.hint_at_leader(from, request.sent_at);
         };
-        let now = self.now;
-        let over = now + self.longer(self.config.timing.lease);
+        let (now, expires_at) = (self.now, self.now + self.granted_span());
         let Some(leader) = self.leader_mut() else { return };
-        let tenant = leader.leases.tenants.entry((from, renew.incarnation)).or_default();
-        if tenant.last_sent.is_some_and(|last| renew.sent_at <= last) {
-            return self.counts.dropped += 1;
+        let member = leader.grants.members.entry((from, request.incarnation)).or_default();
+        if member.last_sent.is_some_and(|last| request.sent_at <= last) {
+            return self.counters.dropped += 1;
         }
-        tenant.last_sent = Some(renew.sent_at);
-        tenant.seen_at = now;
-        tenant.active = renew.active;
-        tenant.ready = renew.ready;
-        tenant.unsupported = renew.unsupported;
-        tenant.list = renew.list;
-        let mut versions = [None; 2];
-        for topic in Topic::ALL {
-            let at = topic.index();
-            let (part, released) = (committed.topic(topic), renew.revoked_below[at]);
-            // The member's word: it is done with these, and takes no grant of them that may be under way.
-            tenant.leases[at].retain(|lease| lease.number >= released);
-            let Some(version) = part.in_force else { continue };
-            let leaving = part.pending.is_some_and(|pending| {
-                pending.phase == Phase::Revoke && version.number < pending.version.compatible_from
-            });
-            if leaving || version.number < released {
-                continue;
-            }
-            versions[at] = Some(version);
-            match tenant.leases[at].iter_mut().find(|lease| lease.number == version.number) {
-                Some(lease) => lease.over = over,
-                None => {
-                    tenant.leases[at].push(GrantedLease { number: version.number, hash: version.hash, over })
-                }
-            }
-        }
-        let pending = [0, 1].map(|at| committed.topics[at].pending);
-        let list = self.leader().map_or_else(ListRevision::default, |leader| leader.list);
+        member.update(now, request);
+        let versions = grant_versions(member, request, &state, expires_at);
         let grant = LeaseGrant {
-            incarnation: renew.incarnation,
-            echo: renew.sent_at,
+            incarnation: request.incarnation,
+            echo: request.sent_at,
             revision,
             versions,
-            pending,
-            list,
+            pending: state.pending(),
+            list: leader.list,
         };
         self.send(from, Message::LeaseGrant(Box::new(grant)));
     }
+
+    /// Names the leader to a member, if it was heard recently. A leader without a committed state answers nothing.
+    fn hint_at_leader(&mut self, to: u16, echo: Micros) {
+        let Some(voter) = &self.voter else { return };
+        if voter.leadership.is_some() {
+            return;
+        }
+        let max_age = self.config.timing.election_timeout_max;
+        let is_recent = self.now < voter.leader_heard_at.saturating_add(max_age);
+        let leader = voter.known_leader.filter(|&leader| leader != self.config.ordinal && is_recent);
+        self.send(to, Message::LeaderHint { echo, leader });
+    }
+}
+
+/// Extends the member's leases on the versions in force, unless they are being revoked; those versions, by topic.
+fn grant_versions(
+    member: &mut MemberLeases,
+    request: &LeaseRequest,
+    state: &State,
+    expires_at: Micros,
+) -> [Option<Version>; 2] {
+    let mut versions = [None; 2];
+    for topic in Topic::ALL {
+        let at = topic.index();
+        let revoked_below = request.revoked_below[at];
+        // The member acts on nothing below, and accepts no such grant that may be under way.
+        member.leases[at].retain(|lease| lease.number >= revoked_below);
+        let Some(version) = state.topic(topic).in_force else { continue };
+        if is_being_revoked(state.topic(topic), &version) || version.number < revoked_below {
+            continue;
+        }
+        versions[at] = Some(version);
+        member.extend(topic, &version, expires_at);
+    }
+    versions
+}
+
+/// Whether the pending version is incompatible with this one, and waits for its leases to end.
+fn is_being_revoked(topic: &TopicState, version: &Version) -> bool {
+    topic.pending.is_some_and(|pending| {
+        pending.phase == Phase::Revoke && version.number < pending.version.compatible_from
+    })
 }
--- a/crates/consensus/src/member/lease_holder.rs
+++ b/crates/consensus/src/member/lease_holder.rs
@@ -1,221 +1,250 @@
-//! A member's leases: asked for by its own clock, counted from there, let go of at once when told to.
+//! A member's leases: requested and counted by its own clock from when it sent the request, dropped at once when revoked.
 
 use crate::mutant::Mutant;
-use crate::roles::lease_holder::Held;
+use crate::roles::lease_holder::TopicLease;
 use crate::state::{Pending, Phase};
 use crate::{
     ContentHash, Lease, LeaseGrant, LeaseRequest, Member, Message, Micros, Output, StateRevision, Topic,
+    Version,
 };
 use rand::RngExt;
 
 impl Member {
-    /// Members that start together don't all ask at once.
-    pub(crate) fn first_renewal(&mut self) {
-        let spread = self.chance.random_range(0..=self.config.timing.heartbeat);
-        self.holder.next_renew = self.now + spread;
-        let at = self.chance.random_range(0..self.config.voters.len());
+    /// Draws the time and the voter of the first request: members that start together don't all ask at once.
+    pub(super) fn schedule_first_request(&mut self) {
+        let spread = self.rng.random_range(0..=self.config.timing.heartbeat);
+        self.lease_holder.next_request = self.now + spread;
+        let at = self.rng.random_range(0..self.config.voters.len());
         if self.voter.is_none() {
-            self.holder.target = self.config.voters[at];
+            self.lease_holder.target = self.config.voters[at];
         }
     }
 
-    /// Says what this process may act on, if that changed.
-    fn show(&mut self, topic: Topic) {
-        let (now, right) = (self.now, self.holder.lease(topic));
-        let held = &mut self.holder.topics[topic.index()];
-        let before = held.shown.map(|right| right.version);
-        let right = match right.version {
-            // Whatever was shown before is over now, at the latest.
-            None => Lease { until: held.shown.map_or(now, |shown| shown.until.min(now)), ..right },
-            Some(_) => right,
+    /// Notifies the embedder of the lease, if it changed.
+    fn publish_lease(&mut self, topic: Topic) {
+        let (now, lease) = (self.now, self.lease_holder.lease(topic));
+        let published = &mut self.lease_holder.topics[topic.index()].published;
+        let before = published.map(|lease| lease.version);
+        let lease = match lease.version {
+            // Whatever was published before ends now, at the latest.
+            None => Lease { until: published.map_or(now, |before| before.until.min(now)), ..lease },
+            Some(_) => lease,
         };
-        if before.flatten() != right.version || (right.version.is_some() && held.shown != Some(right)) {
-            held.shown = Some(right);
-            self.out.push_back(Output::LeaseChanged(right));
+        let is_new_version = before.flatten() != lease.version;
+        if is_new_version || (lease.version.is_some() && *published != Some(lease)) {
+            *published = Some(lease);
+            self.outputs.push_back(Output::LeaseChanged(lease));
         }
     }
 
-    pub(crate) fn expire_rights(&mut self) {
+    pub(super) fn expire_leases(&mut self) {
         for topic in Topic::ALL {
-            let held = &mut self.holder.topics[topic.index()];
-            held.offered = held.offered.filter(|&(_, until)| self.now < until);
-            if held.right.is_some_and(|(_, until)| self.now >= until) {
-                held.right = None;
-                self.show(topic);
+            let lease = &mut self.lease_holder.topics[topic.index()];
+            lease.offered = lease.offered.filter(|&(_, until)| self.now < until);
+            if lease.active.is_some_and(|(_, until)| self.now >= until) {
+                lease.active = None;
+                self.publish_lease(topic);
             }
         }
     }
 
-    /// Asks for the leases when it is time to.
-    pub(crate) fn turn_holder(&mut self) {
+    /// Requests the leases when it is time to.
+    pub(super) fn tick_lease_holder(&mut self) {
         let now = self.now;
-        if now < self.holder.next_renew || now <= self.holder.last_sent {
+        if now < self.lease_holder.next_request || now <= self.lease_holder.last_sent {
             return;
         }
-        let timing = self.config.timing;
-        // A lost message costs little time of the lease; a leader that is gone is soon left for the next voter.
-        let patience = (timing.heartbeat * 2).min(timing.lease / 4)
-            + timing.heartbeat * i64::from(self.holder.misses.min(4)) / 4;
-        let jitter = self.chance.random_range(0..=patience / 4);
-        let prompt = std::mem::take(&mut self.holder.prompt);
-        if self.holder.misses >= 2 && !prompt {
-            self.next_voter();
-        }
-        let (me, holder) = (self.config.incarnation, &mut self.holder);
-        holder.misses += u32::from(!prompt);
+        let retry_after = self.lease_retry_after();
+        let jitter = self.rng.random_range(0..=retry_after / 4);
+        let is_early = std::mem::take(&mut self.lease_holder.is_early);
+        if self.lease_holder.unanswered >= 2 && !is_early {
+            self.try_next_voter();
+        }
+        let holder = &mut self.lease_holder;
+        holder.unanswered += u32::from(!is_early);
         holder.last_sent = now;
-        holder.next_renew = now + patience + jitter;
-        let per_topic = |of: &dyn Fn(&Held) -> Option<u64>| [of(&holder.topics[0]), of(&holder.topics[1])];
-        let pending = |held: &Held, among: &[ContentHash]| {
-            held.pending
-                .filter(|pending| among.contains(&pending.version.hash))
+        holder.next_request = now + retry_after + jitter;
+        let to = holder.target;
+        let request = self.lease_request();
+        self.send(to, Message::LeaseRequest(Box::new(request)));
+    }
+
+    /// How long to wait for an answer: so that a lost message costs little of the lease's time, and a leader that died is
+    /// soon given up for the next voter.
+    fn lease_retry_after(&self) -> Micros {
+        let timing = &self.config.timing;
+        let backoff = timing.heartbeat * i64::from(self.lease_holder.unanswered.min(4)) / 4;
+        (timing.heartbeat * 2).min(timing.lease / 4) + backoff
+    }
+
+    /// The request that goes out now.
+    fn lease_request(&self) -> LeaseRequest {
+        let holder = &self.lease_holder;
+        let by_topic = |of: &dyn Fn(&TopicLease) -> Option<u64>| holder.topics.each_ref().map(of);
+        let pending_in = |lease: &TopicLease, contents: &[ContentHash]| {
+            lease
+                .pending
+                .filter(|pending| contents.contains(&pending.version.hash))
                 .map(|pending| pending.version.number)
         };
-        let renew = LeaseRequest {
-            incarnation: me,
-            sent_at: now,
-            active: per_topic(&|held| held.right.map(|(version, _)| version.number)),
-            revoked_below: [holder.topics[0].revoked_below, holder.topics[1].revoked_below],
-            ready: per_topic(&|held| pending(held, &holder.have)),
-            unsupported: per_topic(&|held| pending(held, &holder.unsupported)),
-            list: self.lists.mine,
-        };
-        let to = holder.target;
-        self.send(to, Message::LeaseRequest(Box::new(renew)));
+        LeaseRequest {
+            incarnation: self.config.incarnation,
+            sent_at: holder.last_sent,
+            active: by_topic(&|lease| lease.active.map(|(version, _)| version.number)),
+            revoked_below: holder.topics.each_ref().map(|lease| lease.revoked_below),
+            ready: by_topic(&|lease| pending_in(lease, &holder.available)),
+            unsupported: by_topic(&|lease| pending_in(lease, &holder.unsupported)),
+            list: self.lists.own,
+        }
     }
 
-    fn next_voter(&mut self) {
+    fn try_next_voter(&mut self) {
         let voters = &self.config.voters;
-        let at = voters.iter().position(|&voter| voter == self.holder.target).unwrap_or(0);
-        self.holder.target = voters[(at + 1) % voters.len()];
-        self.holder.sure = false;
+        let at = voters.iter().position(|&voter| voter == self.lease_holder.target).unwrap_or(0);
+        self.lease_holder.target = voters[(at + 1) % voters.len()];
+        self.lease_holder.target_is_leader = false;
     }
 
-    pub(crate) fn renew_now(&mut self) {
-        self.holder.prompt = true;
-        self.holder.next_renew = self.now.max(self.holder.last_sent.saturating_add(1));
+    /// Requests the leases ahead of their time: the leader waits for what the request says.
+    pub(super) fn request_lease_now(&mut self) {
+        self.lease_holder.is_early = true;
+        self.lease_holder.next_request = self.now.max(self.lease_holder.last_sent.saturating_add(1));
     }
 
-    /// A voter that doesn't lead answered.
-    pub(crate) fn hinted(&mut self, echo: Micros, leader: Option<u16>) {
-        if echo != self.holder.last_sent {
+    /// A voter that doesn't lead answered the newest request.
+    pub(super) fn receive_leader_hint(&mut self, echo: Micros, leader: Option<u16>) {
+        if echo != self.lease_holder.last_sent {
             return;
         }
-        match leader.filter(|&leader| self.config.votes(leader)) {
-            Some(leader) if leader != self.holder.target && !self.holder.followed => {
-                self.holder.followed = true;
-                self.holder.target = leader;
-                self.holder.sure = false;
-                self.renew_now();
+        match leader.filter(|&leader| self.config.is_voter(leader)) {
+            Some(leader) if leader != self.lease_holder.target && !self.lease_holder.followed_hint => {
+                self.lease_holder.followed_hint = true;
+                self.lease_holder.target = leader;
+                self.lease_holder.target_is_leader = false;
+                self.request_lease_now();
             }
             _ => {
-                self.holder.followed = false;
-                self.next_voter();
-                let wait = self.chance.random_range(1..=self.config.timing.heartbeat);
-                self.holder.next_renew = self.now + wait;
+                self.lease_holder.followed_hint = false;
+                self.try_next_voter();
+                let backoff = self.rng.random_range(1..=self.config.timing.heartbeat);
+                self.lease_holder.next_request = self.now + backoff;
             }
         }
     }
 
     /// The leader answered.
-    pub(crate) fn granted(&mut self, from: u16, grant: LeaseGrant) {
-        let takes_back = self.is(Mutant::AcceptRevoked);
-        let holder = &mut self.holder;
-        let older = grant.echo <= holder.last_echo || grant.revision < holder.revision;
-        if grant.incarnation != self.config.incarnation
-            || grant.echo > holder.last_sent
-            || (older && !takes_back)
-        {
-            return self.counts.dropped += 1;
+    pub(super) fn receive_lease_grant(&mut self, from: u16, grant: &LeaseGrant) {
+        if !self.accepts_grant(grant) {
+            return self.counters.dropped += 1;
         }
+        let holder = &mut self.lease_holder;
         holder.last_echo = grant.echo;
         holder.target = from;
-        holder.sure = true;
-        holder.followed = false;
-        holder.misses = 0;
-        self.counts.grants += 1;
+        holder.target_is_leader = true;
+        holder.followed_hint = false;
+        holder.unanswered = 0;
+        self.counters.grants += 1;
         let timing = self.config.timing;
-        let jitter = self.chance.random_range(0..=timing.lease / 12);
-        self.holder.next_renew = (grant.echo + timing.lease / 3 - jitter).max(self.now + 1);
-        self.pending_told(grant.revision, grant.pending, from);
-        // From when it was asked for: the leader counts from later, and longer.
-        let from_when = if self.is(Mutant::LeaseFromReceipt) { self.now } else { grant.echo };
-        let until = from_when + self.shorter(timing.lease);
+        let jitter = self.rng.random_range(0..=timing.lease / 12);
+        self.lease_holder.next_request = (grant.echo + timing.lease / 3 - jitter).max(self.now + 1);
+        self.update_pending(grant.revision, grant.pending, from);
+        // Counted from the request: the leader counts from later, and for longer.
+        let starts_at = if self.has_mutant(Mutant::LeaseFromReceipt) { self.now } else { grant.echo };
+        let until = starts_at + self.shorten(timing.lease);
         for topic in Topic::ALL {
-            let Some(version) = grant.versions[topic.index()] else { continue };
-            let held = &mut self.holder.topics[topic.index()];
-            if version.number < held.floor.max(held.revoked_below) && !takes_back {
-                continue;
-            }
-            held.offered = Some((version, until));
-            self.take(topic);
-            if !self.holder.has(&version.hash) {
-                self.want(topic, version.hash, version.size, vec![from]);
+            if let Some(version) = grant.versions[topic.index()] {
+                self.offer_lease(topic, version, until, from);
             }
         }
-        self.list_heard(grant.list);
+        self.newest_list_reported(grant.list);
+    }
+
+    /// Whether the grant answers a request of this incarnation, and no newer answer came before.
+    fn accepts_grant(&self, grant: &LeaseGrant) -> bool {
+        let holder = &self.lease_holder;
+        let is_old = grant.echo <= holder.last_echo || grant.revision < holder.known_revision;
+        grant.incarnation == self.config.incarnation
+            && grant.echo <= holder.last_sent
+            && (!is_old || self.has_mutant(Mutant::AcceptRevoked))
     }
 
-    /// Acts on what was offered, once its content is here.
-    pub(crate) fn take(&mut self, topic: Topic) {
-        let takes_back = self.is(Mutant::AcceptRevoked);
-        let held = &mut self.holder.topics[topic.index()];
-        let Some((version, until)) = held.offered else { return };
-        let held_already = held.right.is_some_and(|(before, _)| before.number == version.number);
-        if !(held_already || self.holder.have.contains(&version.hash)) || until <= self.now {
+    /// Starts or extends a granted lease; fetches the content first if it isn't here.
+    fn offer_lease(&mut self, topic: Topic, version: Version, until: Micros, leader: u16) {
+        let accepts_revoked = self.has_mutant(Mutant::AcceptRevoked);
+        let lease = &mut self.lease_holder.topics[topic.index()];
+        if version.number < lease.floor.max(lease.revoked_below) && !accepts_revoked {
             return;
         }
-        held.offered = None;
-        let forward = version.number >= held.floor;
-        let until = match held.right {
-            Some((before, already)) if before.number == version.number => already.max(until),
-            _ => until,
-        };
-        held.right = Some((version, until));
-        held.floor = version.number;
-        self.sure(forward || takes_back, "a member's number went back");
-        self.show(topic);
+        lease.offered = Some((version, until));
+        self.activate_offered(topic);
+        if !self.lease_holder.is_available(&version.hash) {
+            self.fetch_content(topic, version.hash, version.size, vec![leader]);
+        }
+    }
+
+    /// Acts on the offered version, once its content is here.
+    pub(super) fn activate_offered(&mut self, topic: Topic) {
+        let lease = &mut self.lease_holder.topics[topic.index()];
+        let Some((version, until)) = lease.offered else { return };
+        let same = lease.active.filter(|(active, _)| active.number == version.number);
+        if (same.is_none() && !self.lease_holder.available.contains(&version.hash)) || until <= self.now {
+            return;
+        }
+        lease.offered = None;
+        let is_forward = version.number >= lease.floor;
+        lease.active = Some((version, same.map_or(until, |(_, earlier)| earlier.max(until))));
+        lease.floor = version.number;
+        let is_allowed = is_forward || self.has_mutant(Mutant::AcceptRevoked);
+        self.check_invariant(is_allowed, "a member's number went back");
+        self.publish_lease(topic);
     }
 
-    /// The leader says, unasked, that something changed.
-    pub(crate) fn announced(&mut self, from: u16, revision: StateRevision, pending: [Option<Pending>; 2]) {
-        if revision <= self.holder.revision {
-            return self.counts.dropped += 1;
+    /// The leader announced, unasked, that the state changed.
+    pub(super) fn receive_announcement(
+        &mut self,
+        from: u16,
+        revision: StateRevision,
+        pending: [Option<Pending>; 2],
+    ) {
+        if revision <= self.lease_holder.known_revision {
+            return self.counters.dropped += 1;
         }
-        self.holder.target = from;
-        self.holder.misses = 0;
-        self.pending_told(revision, pending, from);
-        self.renew_now();
+        self.lease_holder.target = from;
+        self.lease_holder.unanswered = 0;
+        self.update_pending(revision, pending, from);
+        self.request_lease_now();
     }
 
-    fn pending_told(&mut self, revision: StateRevision, pending: [Option<Pending>; 2], leader: u16) {
-        if revision < self.holder.revision {
+    /// Follows the pending versions: fetches their contents, and drops the leases that they revoke.
+    fn update_pending(&mut self, revision: StateRevision, pending: [Option<Pending>; 2], leader: u16) {
+        if revision < self.lease_holder.known_revision {
             return;
         }
-        self.holder.revision = revision;
+        self.lease_holder.known_revision = revision;
         for topic in Topic::ALL {
             let pending = pending[topic.index()];
-            self.holder.topics[topic.index()].pending = pending;
+            self.lease_holder.topics[topic.index()].pending = pending;
             let Some(Pending { version, phase, proposal }) = pending else { continue };
             if phase == Phase::Revoke {
-                self.let_go(topic, version.compatible_from);
+                self.revoke_below(topic, version.compatible_from);
             }
-            self.want(topic, version.hash, version.size, vec![leader, proposal.member]);
+            self.fetch_content(topic, version.hash, version.size, vec![leader, proposal.member]);
         }
     }
 
-    /// Drops what a version contradicts that will be in force for sure, and never takes it again; the leader hears at once.
-    fn let_go(&mut self, topic: Topic, below: u64) {
-        let held = &mut self.holder.topics[topic.index()];
-        if held.revoked_below >= below {
+    /// Drops versions that are incompatible with one that will be in force for sure, never accepts them again, and tells the
+    /// leader at once.
+    fn revoke_below(&mut self, topic: Topic, number: u64) {
+        let lease = &mut self.lease_holder.topics[topic.index()];
+        if lease.revoked_below >= number {
             return;
         }
-        held.revoked_below = below;
-        held.offered = held.offered.filter(|(version, _)| version.number >= below);
-        if held.right.is_some_and(|(version, _)| version.number < below) {
-            held.right = None;
-            self.show(topic);
+        lease.revoked_below = number;
+        lease.offered = lease.offered.filter(|(version, _)| version.number >= number);
+        if lease.active.is_some_and(|(version, _)| version.number < number) {
+            lease.active = None;
+            self.publish_lease(topic);
         }
-        self.renew_now();
+        self.request_lease_now();
     }
 }
--- a/crates/consensus/src/member/mod.rs
+++ b/crates/consensus/src/member/mod.rs
@@ -1,6 +1,7 @@
-//! One member: its inputs, its outputs, its clock.
+//! One member: its inputs, its outputs, its clock. The steps of the protocol are in the files below.
 
 mod activation;
+mod compatibility;
 mod content;
 mod election;
 mod endpoint_list;
@@ -11,71 +12,73 @@
 mod recovery;
 mod voter;
 
-use crate::clock_drift::{longer, shorter};
+use crate::clock_drift::{lengthen, shorten};
 use crate::mutant::Mutant;
-use crate::roles::endpoint_lists::Lists;
-use crate::roles::lease_holder::Holder;
+use crate::roles::endpoint_lists::ListProgress;
+use crate::roles::lease_holder::LeaseHolder;
 use crate::roles::proposer::Proposer;
 use crate::roles::voter::Voter;
-use crate::status::{Role, Status, TopicStatus};
+use crate::status::{Role, Status};
 use crate::{Config, DurableState, Input, Lease, Message, Micros, Output, Topic};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
 
-/// What was counted.
+/// Counters since the process started; [`Status`] says what each means.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Counts {
-    pub elections: u64,
-    pub elections_won: u64,
-    pub leaderships_lost: u64,
-    pub grants: u64,
-    pub dropped: u64,
-    pub invariant_violations: u64,
+struct Counters {
+    elections: u64,
+    elections_won: u64,
+    leaderships_lost: u64,
+    grants: u64,
+    dropped: u64,
+    invariant_violations: u64,
 }
 
-/// One member of the accord; a voter too, if the configuration says so.
+/// One member of the cluster; also a voter, if the configuration says so.
 #[derive(Clone, Debug)]
 pub struct Member {
-    pub(crate) config: Config,
-    pub(crate) now: Micros,
-    pub(crate) chance: ChaCha8Rng,
-    pub(crate) out: VecDeque<Output>,
-    /// What this process tells itself, as when the leader renews its own lease.
-    pub(crate) inward: VecDeque<Message>,
-    pub(crate) voter: Option<Voter>,
-    pub(crate) holder: Holder,
-    pub(crate) proposer: Proposer,
-    pub(crate) lists: Lists,
-    pub(crate) counts: Counts,
+    config: Config,
+    /// The time of the newest input.
+    now: Micros,
+    rng: ChaCha8Rng,
+    outputs: VecDeque<Output>,
+    /// Messages of this process to itself, as when the leader renews its own lease.
+    loopback: VecDeque<Message>,
+    voter: Option<Voter>,
+    lease_holder: LeaseHolder,
+    proposer: Proposer,
+    lists: ListProgress,
+    counters: Counters,
     #[cfg(feature = "mutants")]
     mutant: Mutant,
 }
 
 impl Member {
-    /// A process that starts now. `memory` is what it last saved. A voter without it (lost, or never had) abstains: it
-    /// waits until whatever it may have promised is over, then asks the others what they know. Give [`DurableState::initial`] at
-    /// the very first start of a cluster only. Other members need none. The configuration is to have been checked.
+    /// A member that starts now. `durable_state` is what it last saved; members that don't vote need none. A voter without
+    /// it, lost or never there, abstains: it waits until whatever it may have promised is over, then asks the other voters
+    /// for their state. Give [`DurableState::initial`] at the very first start of a cluster only. The configuration must
+    /// have passed [`Config::check`].
     pub fn new(config: Config, now: Micros, durable_state: Option<DurableState>, seed: u64) -> Self {
         let mut member = Self {
             now,
-            chance: ChaCha8Rng::seed_from_u64(seed),
-            out: VecDeque::new(),
-            inward: VecDeque::new(),
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            outputs: VecDeque::new(),
+            loopback: VecDeque::new(),
             voter: None,
-            holder: Holder::new(&config, now),
+            lease_holder: LeaseHolder::new(&config, now),
             proposer: Proposer::default(),
-            lists: Lists::default(),
-            counts: Counts::default(),
+            lists: ListProgress::default(),
+            counters: Counters::default(),
             #[cfg(feature = "mutants")]
             mutant: Mutant::Unmodified,
             config,
         };
-        if member.config.votes(member.config.ordinal) {
-            let deadline = member.election_deadline();
+        if member.config.is_voter(member.config.ordinal) {
+            let deadline = member.draw_election_deadline();
             member.voter = Some(Voter::new(now, durable_state, deadline, &member.config));
         }
-        member.first_renewal();
+        member.schedule_first_request();
         member
     }
 
@@ -85,133 +88,125 @@
     pub fn mutate(&mut self, mutant: Mutant) {
         self.mutant = mutant;
         if let Some(voter) = &mut self.voter {
-            if mutant == Mutant::SkipRecovery && voter.recovering.take().is_some() {
-                voter.heard_at = Micros::MIN / 2;
+            if mutant == Mutant::SkipRecovery && voter.recovery.take().is_some() {
+                voter.leader_heard_at = Micros::MIN / 2;
             }
             if mutant == Mutant::VoteAfterRestart {
-                voter.heard_at = Micros::MIN / 2;
-                voter.deadline = self.now;
+                voter.leader_heard_at = Micros::MIN / 2;
+                voter.election_deadline = self.now;
             }
         }
     }
 
-    /// Whether the fault is built in. Never, outside of tests.
+    /// Whether the fault is built in. Never outside of tests.
     #[cfg(feature = "mutants")]
-    pub(crate) fn is(&self, mutant: Mutant) -> bool {
+    fn has_mutant(&self, mutant: Mutant) -> bool {
         self.mutant == mutant
     }
 
-    /// Whether the fault is built in. Never, outside of tests.
+    /// Whether the fault is built in. Never outside of tests.
     #[cfg(not(feature = "mutants"))]
-    pub(crate) fn is(&self, _: Mutant) -> bool {
+    fn has_mutant(&self, _: Mutant) -> bool {
         false
     }
 
-    /// Takes what happened at `now`. A time before an earlier one is taken for that one.
+    /// Handles an input that arrived at `now`, by the process's monotonic clock. A time before that of an earlier input
+    /// counts as the earlier one's.
     pub fn handle(&mut self, now: Micros, input: Input) {
         self.now = self.now.max(now);
-        // What the clock ended comes first: after a stop, nothing may be done under what ran out meanwhile.
-        self.turn();
+        // Expiry comes first: after a stop, nothing may be done under a lease that ran out meanwhile.
+        self.tick();
         match input {
             Input::Tick => {}
             Input::Message { from, message } => self.receive(from, message),
             Input::Propose { topic, hash, size } => self.propose(topic, hash, size),
-            Input::Checked { topic, hash, verdict } => self.checked(topic, hash, verdict),
-            Input::ContentReady { hash } => self.have(hash),
-            Input::ContentUnsupported { hash } => self.cannot_run(hash),
-            Input::ListReceived { revision } => self.list_seen(revision),
+            Input::Checked { topic, hash, verdict } => self.check_finished(topic, hash, verdict),
+            Input::ContentReady { hash } => self.content_ready(hash),
+            Input::ContentUnsupported { hash } => self.content_unsupported(hash),
+            Input::ListReceived { revision } => self.list_received(revision),
         }
-        self.turn();
-        while let Some(message) = self.inward.pop_front() {
+        self.tick();
+        while let Some(message) = self.loopback.pop_front() {
             self.receive(self.config.ordinal, message);
-            self.turn();
+            self.tick();
         }
     }
 
-    /// What is due by the clock, or has become possible.
-    fn turn(&mut self) {
-        self.expire_rights();
-        self.turn_recovery();
-        self.turn_election();
-        self.turn_leader();
-        self.turn_proposer();
-        self.turn_holder();
+    /// Does what is due by the clock, or has become possible.
+    fn tick(&mut self) {
+        self.expire_leases();
+        self.tick_recovery();
+        self.tick_election();
+        self.tick_leader();
+        self.tick_proposer();
+        self.tick_lease_holder();
     }
 
     fn receive(&mut self, from: u16, message: Message) {
-        let among_voters = matches!(
-            message,
-            Message::VoteRequest { .. }
-                | Message::VoteResponse { .. }
-                | Message::Heartbeat { .. }
-                | Message::HeartbeatAck { .. }
-                | Message::RecoveryRequest { .. }
-                | Message::RecoveryResponse { .. }
-        );
-        // These come from voters only; the rest of what voters do, only they do.
-        let by_voter = among_voters
-            || matches!(
-                message,
-                Message::LeaseGrant(_)
-                    | Message::LeaderHint { .. }
-                    | Message::Announce { .. }
-                    | Message::ProposalFinished { .. }
-            );
-        if from >= self.config.members
-            || !message.bounded()
-            || (by_voter && !self.config.votes(from))
-            || (among_voters && (self.voter.is_none() || from == self.config.ordinal))
-        {
-            self.counts.dropped += 1;
+        if !self.accepts(from, &message) {
+            self.counters.dropped += 1;
             return;
         }
         match message {
             Message::VoteRequest { term, pre_vote, revision } => {
-                self.canvassed(from, term, pre_vote, revision)
+                self.receive_vote_request(from, term, pre_vote, revision)
+            }
+            Message::VoteResponse { term, pre_vote, granted } => {
+                self.receive_vote_response(from, term, pre_vote, granted)
             }
-            Message::VoteResponse { term, pre_vote, granted } => self.voted(from, term, pre_vote, granted),
             Message::Heartbeat { term, round, revision, state } => {
-                self.beaten(from, term, round, revision, state)
+                self.receive_heartbeat(from, term, round, revision, state)
+            }
+            Message::HeartbeatAck { term, round, revision } => {
+                self.receive_heartbeat_ack(from, term, round, revision)
             }
-            Message::HeartbeatAck { term, round, revision } => self.heard(from, term, round, revision),
-            Message::RecoveryRequest { nonce } => self.asked_to_recover(from, nonce),
+            Message::RecoveryRequest { nonce } => self.receive_recovery_request(from, nonce),
             Message::RecoveryResponse { nonce, term, revision, state } => {
-                self.recovered(from, nonce, term, revision, *state)
+                self.receive_recovery_response(from, nonce, term, revision, *state)
             }
-            Message::LeaseRequest(renew) => self.renewed(from, *renew),
-            Message::LeaseGrant(grant) => self.granted(from, *grant),
-            Message::LeaderHint { echo, leader } => self.hinted(echo, leader),
-            Message::Announce { revision, pending } => self.announced(from, revision, pending),
-            Message::Propose { id, topic, hash, size } => self.proposed(from, id, topic, hash, size),
-            Message::ProposalFinished { id, outcome } => self.proposal_over(id, outcome),
+            Message::LeaseRequest(request) => self.receive_lease_request(from, &request),
+            Message::LeaseGrant(grant) => self.receive_lease_grant(from, &grant),
+            Message::LeaderHint { echo, leader } => self.receive_leader_hint(echo, leader),
+            Message::Announce { revision, pending } => self.receive_announcement(from, revision, pending),
+            Message::Propose { id, topic, hash, size } => self.receive_proposal(from, id, topic, hash, size),
+            Message::ProposalFinished { id, outcome } => self.proposal_finished(id, outcome),
         }
     }
 
-    /// When a [`Input::Tick`] is due, if nothing else comes before.
+    /// Whether the message keeps the bounds and may come from this sender.
+    fn accepts(&self, from: u16, message: &Message) -> bool {
+        let among_voters = message.is_among_voters();
+        from < self.config.members
+            && message.bounded()
+            && (!message.is_from_voter() || self.config.is_voter(from))
+            && (!among_voters || (self.voter.is_some() && from != self.config.ordinal))
+    }
+
+    /// When [`Input::Tick`] is due, unless another input comes before.
     pub fn next_timeout(&self) -> Micros {
         let voter = self.voter.as_ref().map_or(Micros::MAX, |voter| self.voter_timeout(voter));
-        voter.min(self.holder.next_timeout()).min(self.proposer.next_timeout())
+        voter.min(self.lease_holder.next_timeout()).min(self.proposer.next_timeout())
     }
 
-    /// What is to be done next.
+    /// The next output, to be carried out before the one after it.
     pub fn poll(&mut self) -> Option<Output> {
-        self.out.pop_front()
+        self.outputs.pop_front()
     }
 
-    /// What this process may act on, as of the last input; to be read with its `until`.
+    /// The lease on this topic as of the last input. Compare its `until` with the clock before each use.
     pub fn lease(&self, topic: Topic) -> Lease {
-        self.holder.lease(topic)
+        self.lease_holder.lease(topic)
     }
 
-    pub(crate) fn send(&mut self, to: u16, message: Message) {
+    fn send(&mut self, to: u16, message: Message) {
         if to == self.config.ordinal {
-            self.inward.push_back(message);
+            self.loopback.push_back(message);
         } else {
-            self.out.push_back(Output::Send { to, message });
+            self.outputs.push_back(Output::Send { to, message });
         }
     }
 
-    pub(crate) fn tell_other_voters(&mut self, message: &Message) {
+    fn send_to_other_voters(&mut self, message: &Message) {
         for at in 0..self.config.voters.len() {
             let to = self.config.voters[at];
             if to != self.config.ordinal {
@@ -220,66 +215,72 @@
         }
     }
 
-    /// An invariant: stops tests, is counted in programs.
-    pub(crate) fn sure(&mut self, holds: bool, what: &str) {
-        // Mutants are there to break them; what counts with those is the oracle outside.
-        let faithful = self.is(Mutant::Unmodified) || cfg!(not(feature = "mutants"));
-        debug_assert!(holds || !faithful, "{what}");
+    /// Checks an invariant: a violation fails tests, and is counted in programs.
+    fn check_invariant(&mut self, holds: bool, invariant: &str) {
+        // Mutants violate invariants on purpose; the oracle of the tests judges those.
+        let is_unmodified = self.has_mutant(Mutant::Unmodified) || cfg!(not(feature = "mutants"));
+        debug_assert!(holds || !is_unmodified, "{invariant}");
         if !holds {
-            self.counts.invariant_violations += 1;
+            self.counters.invariant_violations += 1;
         }
     }
 
-    fn drift(&self) -> u32 {
-        if self.is(Mutant::IgnoreDrift) { 0 } else { self.config.timing.drift_ppm }
+    fn drift_ppm(&self) -> u32 {
+        if self.has_mutant(Mutant::IgnoreDrift) { 0 } else { self.config.timing.drift_ppm }
+    }
+
+    /// See [`lengthen`]; by the configured drift.
+    fn lengthen(&self, span: Micros) -> Micros {
+        lengthen(span, self.drift_ppm())
     }
 
-    pub(crate) fn longer(&self, span: Micros) -> Micros {
-        longer(span, self.drift())
+    /// See [`shorten`]; by the configured drift.
+    fn shorten(&self, span: Micros) -> Micros {
+        shorten(span, self.drift_ppm())
     }
 
-    pub(crate) fn shorter(&self, span: Micros) -> Micros {
-        shorter(span, self.drift())
+    /// A granted lease's span by the granter's clock: it covers the holder's, however far the two clocks drift.
+    fn granted_span(&self) -> Micros {
+        self.lengthen(self.config.timing.lease)
     }
 
-    /// What this member knows.
+    /// This member's view of itself and of the cluster.
     pub fn status(&self) -> Status {
         let mut status = Status {
-            term: self.holder.revision.term,
-            leader: self.holder.known_leader(),
+            term: self.lease_holder.known_revision.term,
+            leader: self.lease_holder.known_leader(),
             proposals: self.proposer.len(),
-            elections: self.counts.elections,
-            elections_won: self.counts.elections_won,
-            leaderships_lost: self.counts.leaderships_lost,
-            grants: self.counts.grants,
-            dropped: self.counts.dropped,
-            invariant_violations: self.counts.invariant_violations,
+            elections: self.counters.elections,
+            elections_won: self.counters.elections_won,
+            leaderships_lost: self.counters.leaderships_lost,
+            grants: self.counters.grants,
+            dropped: self.counters.dropped,
+            invariant_violations: self.counters.invariant_violations,
             ..Status::default()
         };
         for topic in Topic::ALL {
-            status.topics[topic.index()] = self.holder.topic_status(topic);
+            status.topics[topic.index()] = self.lease_holder.topic_status(topic);
         }
         if let Some(voter) = &self.voter {
-            status.role = voter.role();
-            status.term = status.term.max(voter.durable_state.term);
-            status.leader = voter.leader.or(status.leader);
-            status.revision = voter.durable_state.revision;
-            status.state = Some(voter.durable_state.state.clone());
-            if let Some(leader) = &voter.leading {
-                status.authority_until = self.authority_until(leader);
-                status.live_members =
-                    leader.leases.live(self.now, self.longer(self.config.timing.lease)).count() as u32;
-                for topic in Topic::ALL {
-                    let status: &mut TopicStatus = &mut status.topics[topic.index()];
-                    status.members_by_version = leader.leases.members_by_version(
-                        topic,
-                        self.now,
-                        self.longer(self.config.timing.lease),
-                    );
-                }
-            }
+            self.add_voter_status(&mut status, voter);
         }
         debug_assert!(self.voter.is_some() || status.role == Role::Member);
         status
     }
+
+    fn add_voter_status(&self, status: &mut Status, voter: &Voter) {
+        status.role = voter.role();
+        status.term = status.term.max(voter.durable_state.term);
+        status.leader = voter.known_leader.or(status.leader);
+        status.revision = voter.durable_state.revision;
+        status.state = Some(voter.durable_state.state.clone());
+        let Some(leader) = &voter.leadership else { return };
+        let lease = self.granted_span();
+        status.authority_until = self.authority_until(leader);
+        status.live_members = leader.grants.live(self.now, lease).count() as u32;
+        for topic in Topic::ALL {
+            status.topics[topic.index()].members_by_version =
+                leader.grants.members_by_version(topic, self.now, lease);
+        }
+    }
 }
--- a/crates/consensus/src/member/proposal.rs
+++ b/crates/consensus/src/member/proposal.rs
@@ -1,108 +1,119 @@
-//! Proposals: at the proposer, asked again until they are over; at the leader, one at a time.
+//! Proposals: the proposer sends one a topic until it is finished, the leader queues what it receives.
 
-use crate::roles::change::{Checking, Proposal};
-use crate::roles::proposer::Waiting;
+use crate::roles::change::{CompatibilityCheck, QueuedProposal};
+use crate::roles::proposer::OwnProposal;
 use crate::state::ProposalId;
-use crate::{ContentHash, Member, Message, Output, ProposalOutcome, Topic};
+use crate::{ContentHash, Member, Message, Output, ProposalOutcome, Topic, Verdict};
 use rand::RngExt;
 
-/// Proposals that may wait at the leader, a topic; the rest is asked again by their proposers.
-const MOST_QUEUED: usize = 8;
+/// Proposals that wait at the leader, a topic. One beyond is dropped, and its proposer sends it again.
+const MAX_QUEUED: usize = 8;
 
 impl Member {
-    pub(crate) fn propose(&mut self, topic: Topic, hash: ContentHash, size: u32) {
-        self.have(hash);
-        if self.proposer.waiting.iter().any(|waiting| waiting.topic == topic && waiting.hash == hash) {
-            // Asked for already; one answer serves both.
+    /// Accepts a proposal of this process.
+    pub(super) fn propose(&mut self, topic: Topic, hash: ContentHash, size: u32) {
+        self.content_ready(hash);
+        let proposals = &self.proposer.proposals;
+        if proposals.iter().any(|proposal| proposal.topic == topic && proposal.hash == hash) {
+            // It is proposed already; one outcome answers both.
             return;
         }
-        // What wasn't asked for yet would be replaced as soon as it were in force.
-        let first = self.proposer.first(topic);
-        let mut at = 0;
-        let out = &mut self.out;
-        self.proposer.waiting.retain(|waiting| {
-            let asked = waiting.topic != topic || Some(at) == first;
-            at += 1;
-            if !asked {
-                out.push_back(Output::ProposalFinished {
-                    topic,
-                    hash: waiting.hash,
-                    outcome: ProposalOutcome::Superseded,
-                });
-            }
-            asked
-        });
+        self.supersede_unsent(topic);
         self.proposer.serial += 1;
         let id = ProposalId {
             member: self.config.ordinal,
             incarnation: self.config.incarnation,
             serial: self.proposer.serial,
         };
-        self.proposer.waiting.push(Waiting { id, topic, hash, size, next_ask: self.now });
+        self.proposer.proposals.push(OwnProposal { id, topic, hash, size, next_send: self.now });
     }
 
-    pub(crate) fn turn_proposer(&mut self) {
-        let patience = self.config.timing.heartbeat * 2;
+    /// Ends the topic's proposals that weren't sent yet: the new one would replace them as soon as they were in force.
+    fn supersede_unsent(&mut self, topic: Topic) {
+        let first = self.proposer.first(topic);
+        let mut at = 0;
+        let outputs = &mut self.outputs;
+        self.proposer.proposals.retain(|proposal| {
+            let stays = proposal.topic != topic || Some(at) == first;
+            at += 1;
+            if !stays {
+                let outcome = ProposalOutcome::Superseded;
+                outputs.push_back(Output::ProposalFinished { topic, hash: proposal.hash, outcome });
+            }
+            stays
+        });
+    }
+
+    /// Sends each topic's first proposal to the leader when it is time to.
+    pub(super) fn tick_proposer(&mut self) {
+        let retry_after = self.config.timing.heartbeat * 2;
         for topic in Topic::ALL {
             let Some(at) = self.proposer.first(topic) else { continue };
-            let jitter = self.chance.random_range(0..=patience / 2);
-            let waiting = &mut self.proposer.waiting[at];
-            if self.now < waiting.next_ask {
+            let jitter = self.rng.random_range(0..=retry_after / 2);
+            let proposal = &mut self.proposer.proposals[at];
+            if self.now < proposal.next_send {
                 continue;
             }
-            waiting.next_ask = self.now + patience + jitter;
-            let message = Message::Propose { id: waiting.id, topic, hash: waiting.hash, size: waiting.size };
-            let to = self.holder.target;
+            proposal.next_send = self.now + retry_after + jitter;
+            let message =
+                Message::Propose { id: proposal.id, topic, hash: proposal.hash, size: proposal.size };
+            let to = self.lease_holder.target;
             self.send(to, message);
         }
     }
 
-    pub(crate) fn proposal_over(&mut self, id: ProposalId, outcome: ProposalOutcome) {
-        let Some(at) = self.proposer.waiting.iter().position(|waiting| waiting.id == id) else { return };
-        let Waiting { topic, hash, .. } = self.proposer.waiting.remove(at);
-        self.out.push_back(Output::ProposalFinished { topic, hash, outcome });
+    pub(super) fn proposal_finished(&mut self, id: ProposalId, outcome: ProposalOutcome) {
+        let Some(at) = self.proposer.proposals.iter().position(|proposal| proposal.id == id) else { return };
+        let OwnProposal { topic, hash, .. } = self.proposer.proposals.remove(at);
+        self.outputs.push_back(Output::ProposalFinished { topic, hash, outcome });
     }
 
-    /// A proposal came in.
-    pub(crate) fn proposed(&mut self, from: u16, id: ProposalId, topic: Topic, hash: ContentHash, size: u32) {
+    /// Leader: answers a proposal from the committed state, or queues it.
+    pub(super) fn receive_proposal(
+        &mut self,
+        from: u16,
+        id: ProposalId,
+        topic: Topic,
+        hash: ContentHash,
+        size: u32,
+    ) {
         if id.member != from {
-            return self.counts.dropped += 1;
+            return self.counters.dropped += 1;
         }
-        // Only what is agreed may be answered with.
-        let Some(state) = self.settled() else { return };
-        let part = state.topic(topic);
-        if let Some(outcome) = part.answer_to(&id) {
+        // Only what is committed may be answered.
+        let Some(state) = self.settled_state() else { return };
+        let current = state.topic(topic);
+        if let Some(outcome) = current.outcome_of(&id) {
             return self.send(from, Message::ProposalFinished { id, outcome });
         }
-        if part.in_force.is_some_and(|version| version.hash == hash) {
+        if current.in_force.is_some_and(|version| version.hash == hash) {
             return self.send(from, Message::ProposalFinished { id, outcome: ProposalOutcome::InForce });
         }
-        if part.pending.is_some_and(|pending| pending.proposal == id || pending.version.hash == hash) {
+        if current.pending.is_some_and(|pending| pending.proposal == id || pending.version.hash == hash) {
             return;
         }
-        let now = self.now;
+        self.queue_proposal(topic, QueuedProposal { id, hash, size, last_sent_at: self.now });
+    }
+
+    fn queue_proposal(&mut self, topic: Topic, proposal: QueuedProposal) {
         let Some(leader) = self.leader_mut() else { return };
         let change = &mut leader.changes[topic.index()];
-        let checked = change.checking.as_mut().map(|checking| &mut checking.proposal);
-        if let Some(known) = checked.into_iter().chain(&mut change.queue).find(|proposal| proposal.id == id) {
-            known.asked_at = now;
-            return;
-        }
-        if change.queue.len() >= MOST_QUEUED {
-            return;
+        if let Some(known) = change.find_proposal(proposal.id) {
+            known.last_sent_at = proposal.last_sent_at;
+        } else if change.queue.len() < MAX_QUEUED {
+            change.queue.push_back(proposal);
         }
-        change.queue.push_back(Proposal { id, hash, size, asked_at: now });
     }
 
-    /// Leader: what the embedder says of the proposal it was asked about.
-    pub(crate) fn checked(&mut self, topic: Topic, hash: ContentHash, verdict: crate::Verdict) {
+    /// Leader: notes the embedder's verdict on the proposal that it was asked about.
+    pub(super) fn check_finished(&mut self, topic: Topic, hash: ContentHash, answer: Verdict) {
         let Some(leader) = self.leader_mut() else { return };
-        if let Some(Checking { proposal, against: Some(_), verdict: slot @ None, .. }) =
-            &mut leader.changes[topic.index()].checking
+        if let Some(CompatibilityCheck { proposal, against: Some(_), verdict: verdict @ None, .. }) =
+            &mut leader.changes[topic.index()].check
             && proposal.hash == hash
         {
-            // Used once nothing else is on its way to be agreed.
-            *slot = Some(verdict);
+            // Used once no other write waits to be committed.
+            *verdict = Some(answer);
         }
     }
 }
--- a/crates/consensus/src/member/voter.rs
+++ b/crates/consensus/src/member/voter.rs
@@ -1,23 +1,23 @@
-//! A voter saves what it must not forget, and waits.
+//! What voters do in every role: they save their durable state ahead of what they send, and wait.
 
 use crate::roles::voter::Voter;
 use crate::{Member, Micros, Output};
 
 impl Member {
-    /// Keeps the voter's memory, ahead of whatever is sent next.
-    pub(crate) fn save(&mut self) {
+    /// Saves the voter's durable state, ahead of whatever is sent next.
+    pub(super) fn save_durable_state(&mut self) {
         if let Some(voter) = &self.voter {
-            self.out.push_back(Output::Save(voter.durable_state.clone()));
+            self.outputs.push_back(Output::Save(voter.durable_state.clone()));
         }
     }
 
-    pub(crate) fn voter_timeout(&self, voter: &Voter) -> Micros {
-        if let Some(recovering) = &voter.recovering {
-            return recovering.next_ask;
+    pub(super) fn voter_timeout(&self, voter: &Voter) -> Micros {
+        if let Some(recovery) = &voter.recovery {
+            return recovery.next_request;
         }
-        match &voter.leading {
+        match &voter.leadership {
             Some(leader) => self.leader_timeout(leader),
-            None => voter.deadline,
+            None => voter.election_deadline,
         }
     }
 }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,161 +1,163 @@
-//! What members tell one another. Nothing here grows with the number of members.
+//! The messages of the protocol. No message grows with the number of members.
+//!
+//! Encoded by the order of variants and fields: that order must not change.
 
 use crate::list_revision::ListRevision;
-use crate::state::{MAX_RESULTS, ProposalId, ProposalOutcome, State, StateRevision};
-use crate::{ContentHash, Micros, Pending, Topic, Version};
+use crate::state::{MAX_RESULTS, Pending, ProposalId, ProposalOutcome, State, StateRevision, Topic, Version};
+use crate::{ContentHash, Micros};
 use serde::{Deserialize, Serialize};
 
-/// One datagram's worth; postcard makes less than 1,000 bytes of it.
+/// One datagram's content; below 1,000 bytes as postcard encodes it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Candidate to voters: vote for me.
+    /// Candidate to voters.
     VoteRequest {
-        /// The term it would lead.
+        /// The term that the candidate would lead.
         term: u64,
-        /// Only asked, not begun: the answer binds nobody.
+        /// A pre-vote: the answer binds nobody.
         pre_vote: bool,
-        /// How new its state is.
+        /// The revision of the candidate's state.
         revision: StateRevision,
     },
     /// Voter to candidate.
     VoteResponse {
         /// The term voted in; if not granted, the voter's.
         term: u64,
-        /// As asked.
+        /// As in the request.
         pre_vote: bool,
-        /// Whether it votes for it.
+        /// Whether the voter votes for the candidate.
         granted: bool,
     },
-    /// Leader to voters: the round.
+    /// Leader to voters.
     Heartbeat {
-        /// The leader's.
+        /// The leader's term.
         term: u64,
         /// When the leader sent it, by its clock.
         round: Micros,
-        /// Order of its state.
+        /// The revision of the leader's state.
         revision: StateRevision,
         /// The state, for a voter that isn't known to have it.
         state: Option<Box<State>>,
     },
-    /// Voter to leader: heard that round.
+    /// Voter to leader.
     HeartbeatAck {
-        /// The voter's.
+        /// The voter's term.
         term: u64,
-        /// As in the round.
+        /// As in the heartbeat.
         round: Micros,
-        /// Order of the newest state it has kept.
+        /// The revision of the voter's state.
         revision: StateRevision,
     },
-    /// A voter that lost its memory to the others: what do you know?
+    /// A voter that lost its durable state to the other voters.
     RecoveryRequest {
-        /// Tells answers to this question from earlier ones.
+        /// Tells answers to this request from answers to earlier ones.
         nonce: u64,
     },
-    /// The answer.
+    /// The answer to a voter that recovers.
     RecoveryResponse {
-        /// As asked.
+        /// As in the request.
         nonce: u64,
         /// The greatest term known.
         term: u64,
-        /// Order of `state`.
+        /// The revision of `state`.
         revision: StateRevision,
         /// The newest state accepted.
         state: Box<State>,
     },
-    /// Member to leader: a lease, please.
+    /// Member to leader.
     LeaseRequest(Box<LeaseRequest>),
     /// Leader to member.
     LeaseGrant(Box<LeaseGrant>),
-    /// A voter that can't grant: ask that one.
+    /// A voter that doesn't lead to a member that requested a lease.
     LeaderHint {
-        /// The asking's time, as sent.
+        /// The request's time, as sent.
         echo: Micros,
-        /// Who leads, as far as it knows.
+        /// Who leads, as far as the voter knows.
         leader: Option<u16>,
     },
-    /// Leader to members, unasked: something changed, renew now.
+    /// Leader to members, unasked: the state changed, renew now.
     Announce {
-        /// Order of the state it tells of.
+        /// The revision of the new state.
         revision: StateRevision,
-        /// What is pending, by topic.
+        /// The pending versions, by topic.
         pending: [Option<Pending>; 2],
     },
-    /// Proposer to leader; again and again until it is over.
+    /// Proposer to leader; retried until the outcome arrives.
     Propose {
-        /// Which.
+        /// Identifies the proposal.
         id: ProposalId,
-        /// Of what.
+        /// The topic.
         topic: Topic,
-        /// The content.
+        /// The content's hash.
         hash: ContentHash,
-        /// Bytes of it.
+        /// The content's size in bytes.
         size: u32,
     },
     /// Leader to proposer.
     ProposalFinished {
-        /// Which.
+        /// Identifies the proposal.
         id: ProposalId,
         /// How it ended.
         outcome: ProposalOutcome,
     },
 }
 
-/// A member's asking for leases, and what the leader has to know of it.
+/// A member's request for leases, with what the leader must know of the member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Which life of the member.
+    /// The member's incarnation.
     pub incarnation: u64,
-    /// Its own clock; always greater than in the one before. The lease counts from here.
+    /// By the member's clock, greater than in any request before. The lease counts from here.
     pub sent_at: Micros,
-    /// The number it acts on, by topic.
+    /// The number that the member acts on, by topic.
     pub active: [Option<u64>; 2],
-    /// It never again acts on anything below, by topic.
+    /// The member never again acts on a number below, by topic.
     pub revoked_below: [u64; 2],
-    /// The pending number it is ready to run, by topic.
+    /// The pending number that the member is ready to run, by topic.
     pub ready: [Option<u64>; 2],
-    /// The pending number it cannot run, by topic.
+    /// The pending number that the member cannot run, by topic.
     pub unsupported: [Option<u64>; 2],
-    /// The newest list of members it was told of.
+    /// The newest endpoint list that discovery sent to the member.
     pub list: ListRevision,
 }
 
-/// The leader's answer.
+/// The leader's answer to a [`LeaseRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The asking's.
+    /// The request's incarnation.
     pub incarnation: u64,
-    /// The asking's time, as sent.
+    /// The request's time, as sent.
     pub echo: Micros,
-    /// Order of the state granted from.
+    /// The revision of the state that the leases are granted from.
     pub revision: StateRevision,
-    /// What the member may act on, by topic.
+    /// The version that the member may act on, by topic.
     pub versions: [Option<Version>; 2],
-    /// What is pending, by topic.
+    /// The pending version, by topic.
     pub pending: [Option<Pending>; 2],
-    /// The newest list any member told of.
+    /// The newest endpoint list that discovery sent to any member.
     pub list: ListRevision,
 }
 
-/// Numbers, terms and times from outside are below this, so that what is counted on from them can't overflow.
-const MOST: u64 = 1 << 60;
+/// Numbers, terms and times from outside must be below this, so that sums with them can't overflow.
+const MAX_VALUE: u64 = 1 << 60;
 
-fn small(number: u64) -> bool {
-    number < MOST
+fn is_bounded(number: u64) -> bool {
+    number < MAX_VALUE
 }
 
-fn near(time: Micros) -> bool {
-    time.unsigned_abs() < MOST
+fn is_bounded_time(time: Micros) -> bool {
+    is_bounded(time.unsigned_abs())
 }
 
 impl StateRevision {
     fn bounded(&self) -> bool {
-        small(self.term) && small(self.seq)
+        is_bounded(self.term) && is_bounded(self.seq)
     }
 }
 
 impl Version {
     fn bounded(&self) -> bool {
-        small(self.number) && self.compatible_from <= self.number
+        is_bounded(self.number) && self.compatible_from <= self.number
     }
 }
 
@@ -163,48 +165,80 @@
     fn bounded(&self) -> bool {
         self.topics.iter().all(|topic| {
             topic.results.len() <= MAX_RESULTS
-                && small(topic.last_number)
+                && is_bounded(topic.last_number)
                 && topic.in_force.is_none_or(|version| version.bounded())
                 && topic.pending.is_none_or(|pending| pending.version.bounded())
         })
     }
 }
 
+impl LeaseGrant {
+    fn bounded(&self) -> bool {
+        is_bounded_time(self.echo)
+            && self.revision.bounded()
+            && self.versions.iter().flatten().all(|version| version.bounded())
+            && all_bounded(&self.pending)
+            && is_bounded(self.list.epoch)
+    }
+}
+
+fn all_bounded(pending: &[Option<Pending>; 2]) -> bool {
+    pending.iter().flatten().all(|pending| pending.version.bounded())
+}
+
 impl Message {
-    /// Whether what was decoded keeps to the bounds that decoding itself doesn't check. A message that doesn't is to be
+    /// Whether a decoded message keeps the bounds that decoding itself doesn't check. A message that doesn't must be
     /// dropped; [`crate::Member::handle`] does so too.
     pub fn bounded(&self) -> bool {
-        let pending_bounded = |pending: &[Option<Pending>; 2]| {
-            pending.iter().flatten().all(|pending| pending.version.bounded())
-        };
         match self {
-            Message::VoteRequest { term, revision, .. } => small(*term) && revision.bounded(),
-            Message::VoteResponse { term, .. } => small(*term),
+            Message::VoteRequest { term, revision, .. } => is_bounded(*term) && revision.bounded(),
+            Message::VoteResponse { term, .. } => is_bounded(*term),
             Message::Heartbeat { term, round, revision, state } => {
-                let state = state.as_ref().is_none_or(|state| state.bounded());
-                small(*term) && near(*round) && revision.bounded() && state
+                is_bounded(*term)
+                    && is_bounded_time(*round)
+                    && revision.bounded()
+                    && state.as_ref().is_none_or(|state| state.bounded())
             }
             Message::HeartbeatAck { term, round, revision } => {
-                small(*term) && near(*round) && revision.bounded()
+                is_bounded(*term) && is_bounded_time(*round) && revision.bounded()
             }
             Message::RecoveryRequest { .. }
             | Message::LeaderHint { .. }
             | Message::Propose { .. }
             | Message::ProposalFinished { .. } => true,
             Message::RecoveryResponse { term, revision, state, .. } => {
-                small(*term) && revision.bounded() && state.bounded()
+                is_bounded(*term) && revision.bounded() && state.bounded()
             }
-            Message::LeaseRequest(renew) => near(renew.sent_at) && small(renew.list.epoch),
-            Message::LeaseGrant(grant) => {
-                let versions = grant.versions.iter().flatten().all(|version| version.bounded());
-                let list = small(grant.list.epoch);
-                near(grant.echo)
-                    && grant.revision.bounded()
-                    && versions
-                    && pending_bounded(&grant.pending)
-                    && list
+            Message::LeaseRequest(request) => {
+                is_bounded_time(request.sent_at) && is_bounded(request.list.epoch)
             }
-            Message::Announce { revision, pending } => revision.bounded() && pending_bounded(pending),
+            Message::LeaseGrant(grant) => grant.bounded(),
+            Message::Announce { revision, pending } => revision.bounded() && all_bounded(pending),
         }
     }
+
+    /// Whether one voter sends it to another.
+    pub(crate) fn is_among_voters(&self) -> bool {
+        matches!(
+            self,
+            Message::VoteRequest { .. }
+                | Message::VoteResponse { .. }
+                | Message::Heartbeat { .. }
+                | Message::HeartbeatAck { .. }
+                | Message::RecoveryRequest { .. }
+                | Message::RecoveryResponse { .. }
+        )
+    }
+
+    /// Whether only voters send it.
+    pub(crate) fn is_from_voter(&self) -> bool {
+        self.is_among_voters()
+            || matches!(
+                self,
+                Message::LeaseGrant(_)
+                    | Message::LeaderHint { .. }
+                    | Message::Announce { .. }
+                    | Message::ProposalFinished { .. }
+            )
+    }
 }
--- a/crates/consensus/src/mutant.rs
+++ b/crates/consensus/src/mutant.rs
@@ -1,27 +1,27 @@
-//! Faults built in on purpose: each must make a test fail, so that the tests are known to look.
+//! Faults built in on purpose: the tests must find each of them.
 
-/// Which fault.
+/// A built-in fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(dead_code)]
 pub enum Mutant {
-    /// None.
+    /// No fault.
     Unmodified,
-    /// A member counts its lease from when the grant came in, not from when it asked.
+    /// A member counts its lease from when the grant arrived, not from when it sent the request.
     LeaseFromReceipt,
-    /// A voter without memory goes on as if there had never been any.
+    /// A voter without durable state starts with an empty one at once.
     SkipRecovery,
-    /// The leader doesn't wait for old leases to end.
+    /// The leader doesn't wait for leases on incompatible versions to end.
     EarlyActivation,
-    /// Nobody allows for clocks' drift.
+    /// Nobody allows for clock drift.
     IgnoreDrift,
     /// A leader doesn't look at its clock before it acts.
     NoAuthorityCheck,
-    /// A new leader doesn't wait for leases that earlier ones granted.
+    /// A new leader doesn't wait for leases that earlier leaders granted.
     SkipHandover,
-    /// A voter votes though it hears from a leader.
+    /// A voter votes although it hears from a leader.
     VoteDespiteLeader,
-    /// A voter that restarts with its memory votes at once.
+    /// A voter that restarts with its durable state votes at once.
     VoteAfterRestart,
-    /// A member takes grants below what it released.
+    /// A member accepts grants of versions that were revoked.
     AcceptRevoked,
 }
--- a/crates/consensus/src/roles/change.rs
+++ b/crates/consensus/src/roles/change.rs
@@ -1,34 +1,54 @@
-//! How a proposal comes in force: checked, prepared, whatever it contradicts released, then granted.
+//! The leader's progress with the change of one topic.
 
 use crate::state::ProposalId;
 use crate::{ContentHash, Micros, Verdict};
 use std::collections::VecDeque;
 
-/// What a proposer asked for.
+/// A proposal that the leader knows of and that has no number yet.
 #[derive(Clone, Debug)]
-pub(crate) struct Proposal {
+pub(crate) struct QueuedProposal {
     pub id: ProposalId,
     pub hash: ContentHash,
     pub size: u32,
-    /// When its proposer asked for it last.
-    pub asked_at: Micros,
+    /// When its proposer sent it last.
+    pub last_sent_at: Micros,
 }
 
-/// A proposal that the leader gets and lets be checked.
+/// The compatibility check of a proposal: the leader fetches the content, then asks the embedder for a verdict.
 #[derive(Clone, Debug)]
-pub(crate) struct Checking {
-    pub proposal: Proposal,
-    pub since: Micros,
-    /// What the embedder was asked to check it against, once it was.
+pub(crate) struct CompatibilityCheck {
+    pub proposal: QueuedProposal,
+    pub started_at: Micros,
+    /// The versions that the embedder was asked to compare with; `None` before it was asked.
     pub against: Option<Vec<(u64, ContentHash)>>,
+    /// The embedder's answer.
     pub verdict: Option<Verdict>,
 }
 
-/// One topic's change, as the leader drives it. Lost with the leader: what is to last is in the state.
+/// The change of one topic, as the leader drives it. Lost with the leadership: what must last is in the replicated state.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Change {
-    pub checking: Option<Checking>,
-    pub queue: VecDeque<Proposal>,
-    /// Number of the pending version and when this leader first saw it agreed.
-    pub prepared: Option<(u64, Micros)>,
+pub(crate) struct TopicChange {
+    pub check: Option<CompatibilityCheck>,
+    pub queue: VecDeque<QueuedProposal>,
+    /// The pending version's number, and when this leader first saw it committed.
+    pub preparing_since: Option<(u64, Micros)>,
+}
+
+impl TopicChange {
+    /// The proposal with this id, whether it is being checked or still queued.
+    pub fn find_proposal(&mut self, id: ProposalId) -> Option<&mut QueuedProposal> {
+        let checked = self.check.as_mut().map(|check| &mut check.proposal);
+        checked.into_iter().chain(&mut self.queue).find(|proposal| proposal.id == id)
+    }
+
+    /// When the version of this number was first seen pending; now, if it is seen for the first time.
+    pub fn prepare_start(&mut self, number: u64, now: Micros) -> Micros {
+        match self.preparing_since {
+            Some((of, since)) if of == number => since,
+            _ => {
+                self.preparing_since = Some((number, now));
+                now
+            }
+        }
+    }
 }
--- a/crates/consensus/src/roles/endpoint_lists.rs
+++ b/crates/consensus/src/roles/endpoint_lists.rs
@@ -1,12 +1,12 @@
-//! How far members are with the list of members that discovery tells them. A member that is told less than others hears so.
+//! A member's progress with the endpoint list.
 
 use crate::ListRevision;
 
-/// A member's own.
+/// Which endpoint list a member has, and which newer one it reported to the embedder.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Lists {
-    /// What discovery told last, as this member tells it.
-    pub mine: ListRevision,
-    /// The last mark this member was said to be behind of.
-    pub behind: ListRevision,
+pub(crate) struct ListProgress {
+    /// The newest list that discovery sent to this member.
+    pub own: ListRevision,
+    /// The newest list of other members that the embedder was notified of.
+    pub notified: ListRevision,
 }
--- a/crates/consensus/src/roles/leader.rs
+++ b/crates/consensus/src/roles/leader.rs
@@ -1,36 +1,38 @@
-//! What a leader does: rounds to the other voters, what they acknowledged, and until when it may act as one.
+//! What a leader knows during one term.
 
-use super::change::Change;
-use super::lease_grants::Leases;
+use super::change::TopicChange;
+use super::lease_grants::LeaseGrants;
 use crate::{ListRevision, Micros, State, StateRevision};
 use std::collections::BTreeMap;
 
-/// What a leader keeps, for one term.
+/// A leader's data, for one term.
 #[derive(Clone, Debug)]
 pub(crate) struct Leader {
-    pub won_at: Micros,
-    /// By voter: the newest round it acknowledged, and what it had then.
-    pub heard: BTreeMap<u16, (Micros, StateRevision)>,
-    pub next_beat: Micros,
-    /// The state in memory is agreed: a majority has it.
-    pub agreed: bool,
-    /// The newest state agreed in this term, and its order.
+    pub elected_at: Micros,
+    /// By voter: the newest heartbeat it acknowledged, by the leader's clock, and the revision of the state it had then.
+    pub acks: BTreeMap<u16, (Micros, StateRevision)>,
+    pub next_heartbeat: Micros,
+    /// A majority has the state that this leader wrote last.
+    pub is_committed: bool,
+    /// The newest state committed in this term.
     pub committed: Option<(StateRevision, State)>,
-    pub leases: Leases,
-    pub changes: [Change; 2],
+    pub grants: LeaseGrants,
+    /// By topic.
+    pub changes: [TopicChange; 2],
+    /// The newest endpoint list that members have.
     pub list: ListRevision,
 }
 
 impl Leader {
     pub fn new(now: Micros) -> Self {
         Self {
-            won_at: now,
-            heard: BTreeMap::new(),
-            next_beat: now,
-            agreed: false,
+            elected_at: now,
+            acks: BTreeMap::new(),
+            next_heartbeat: now,
+            is_committed: false,
             committed: None,
-            leases: Leases::default(),
-            changes: [Change::default(), Change::default()],
+            grants: LeaseGrants::default(),
+            changes: [TopicChange::default(), TopicChange::default()],
             list: ListRevision::default(),
         }
     }
--- a/crates/consensus/src/roles/lease_holder.rs
+++ b/crates/consensus/src/roles/lease_holder.rs
@@ -1,99 +1,109 @@
-//! A member's leases: asked for by its own clock, counted from there, let go of at once when told to.
+//! A member's own leases, and its requests for them.
 
 use crate::state::Pending;
 use crate::status::TopicStatus;
 use crate::{Config, ContentHash, Lease, Micros, StateRevision, Topic, Version};
 
-/// One topic.
+/// The lease on one topic.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Held {
-    /// What this process may act on, and until when.
-    pub right: Option<(Version, Micros)>,
-    /// What was granted and isn't here yet.
+pub(crate) struct TopicLease {
+    /// The version this process may act on, and until when.
+    pub active: Option<(Version, Micros)>,
+    /// A granted version whose content isn't here yet, and until when.
     pub offered: Option<(Version, Micros)>,
-    /// Nothing below is taken: what was held once, or what was released.
+    /// Versions below are never acted on again: a greater one was active.
     pub floor: u64,
+    /// Versions below are never acted on again: they were revoked.
     pub revoked_below: u64,
     pub pending: Option<Pending>,
-    /// When the embedder was last asked for which contents; the newest few.
-    pub asked: Vec<(ContentHash, Micros)>,
-    pub shown: Option<Lease>,
+    /// The contents that the embedder was asked for, the newest first, and when.
+    pub requested_contents: Vec<(ContentHash, Micros)>,
+    /// The lease that the embedder was last notified of.
+    pub published: Option<Lease>,
 }
 
-/// A member's leases.
+/// A member's leases, and the voter that it requests them from.
 #[derive(Clone, Debug)]
-pub(crate) struct Holder {
-    /// The voter it asks.
+pub(crate) struct LeaseHolder {
+    /// The voter that requests go to.
     pub target: u16,
-    /// Whether that one granted.
-    pub sure: bool,
-    /// The newest state it was told of.
-    pub revision: StateRevision,
+    /// The target granted a lease, so it leads.
+    pub target_is_leader: bool,
+    /// The newest state that a leader announced.
+    pub known_revision: StateRevision,
     pub last_sent: Micros,
+    /// The request time of the newest grant.
     pub last_echo: Micros,
-    pub next_renew: Micros,
-    pub misses: u32,
-    /// Asks ahead of its time: the one before isn't missing.
-    pub prompt: bool,
-    /// Went where a voter pointed; two that point at each other must not send it to and fro.
-    pub followed: bool,
-    pub topics: [Held; 2],
-    pub have: Vec<ContentHash>,
+    pub next_request: Micros,
+    /// Requests since the last answer.
+    pub unanswered: u32,
+    /// The next request is ahead of its time: that the one before has no answer yet isn't a miss.
+    pub is_early: bool,
+    /// The target was taken from a hint: two voters that point at each other must not send this member to and fro.
+    pub followed_hint: bool,
+    pub topics: [TopicLease; 2],
+    /// Contents that are here and compiled, the newest last.
+    pub available: Vec<ContentHash>,
+    /// Contents that this process cannot run, the newest last.
     pub unsupported: Vec<ContentHash>,
 }
 
-impl Holder {
+impl LeaseHolder {
     pub fn new(config: &Config, now: Micros) -> Self {
-        let target =
-            if config.votes(config.ordinal) { Some(config.ordinal) } else { config.voters.first().copied() };
+        let target = if config.is_voter(config.ordinal) {
+            Some(config.ordinal)
+        } else {
+            config.voters.first().copied()
+        };
         Self {
             target: target.unwrap_or(config.ordinal),
-            sure: false,
-            revision: StateRevision::default(),
+            target_is_leader: false,
+            known_revision: StateRevision::default(),
             last_sent: Micros::MIN,
             last_echo: Micros::MIN,
-            next_renew: now,
-            misses: 0,
-            prompt: false,
-            followed: false,
+            next_request: now,
+            unanswered: 0,
+            is_early: false,
+            followed_hint: false,
             topics: Default::default(),
-            have: Vec::new(),
+            available: Vec::new(),
             unsupported: Vec::new(),
         }
     }
 
-    pub fn has(&self, hash: &ContentHash) -> bool {
-        self.have.contains(hash)
+    pub fn is_available(&self, hash: &ContentHash) -> bool {
+        self.available.contains(hash)
     }
 
-    pub fn cannot_run(&self, hash: &ContentHash) -> bool {
+    pub fn is_unsupported(&self, hash: &ContentHash) -> bool {
         self.unsupported.contains(hash)
     }
 
     pub fn known_leader(&self) -> Option<u16> {
-        self.sure.then_some(self.target)
+        self.target_is_leader.then_some(self.target)
     }
 
     pub fn lease(&self, topic: Topic) -> Lease {
-        match self.topics[topic.index()].right {
+        match self.topics[topic.index()].active {
             Some((version, until)) => Lease { topic, version: Some((version.number, version.hash)), until },
             None => Lease { topic, version: None, until: Micros::MIN },
         }
     }
 
     pub fn topic_status(&self, topic: Topic) -> TopicStatus {
-        let held = &self.topics[topic.index()];
-        let newest = held.pending.map_or(0, |pending| pending.version.number);
+        let lease = &self.topics[topic.index()];
+        let pending = lease.pending.map_or(0, |pending| pending.version.number);
+        let offered = lease.offered.map_or(0, |(version, _)| version.number);
         TopicStatus {
-            active: held.right.map(|(version, _)| version),
-            until: held.right.map_or(Micros::MIN, |(_, until)| until),
-            newest: newest.max(held.offered.map_or(0, |(version, _)| version.number)).max(held.floor),
+            active: lease.active.map(|(version, _)| version),
+            until: lease.active.map_or(Micros::MIN, |(_, until)| until),
+            newest: pending.max(offered).max(lease.floor),
             members_by_version: Vec::new(),
         }
     }
 
     pub fn next_timeout(&self) -> Micros {
-        let ends = self.topics.iter().filter_map(|held| held.right.map(|(_, until)| until));
-        ends.min().unwrap_or(Micros::MAX).min(self.next_renew)
+        let ends = self.topics.iter().filter_map(|lease| lease.active.map(|(_, until)| until));
+        ends.min().unwrap_or(Micros::MAX).min(self.next_request)
     }
 }
--- a/crates/consensus/src/roles/mod.rs
+++ b/crates/consensus/src/roles/mod.rs
@@ -1,4 +1,4 @@
-//! What a member keeps for each part that it plays. The steps of the protocol are in [`crate::member`].
+//! The data that a member keeps for each role it plays. The steps of the protocol are methods of [`crate::Member`].
 
 pub(crate) mod candidate;
 pub(crate) mod change;
--- a/crates/consensus/src/roles/recovery.rs
+++ b/crates/consensus/src/roles/recovery.rs
@@ -1,24 +1,25 @@
-//! A voter without memory: it abstains until what it may have promised is over, then learns what was agreed with its help.
+//! What a voter without durable state keeps while it recovers.
 
-use crate::clock_drift::longer;
+use crate::clock_drift::lengthen;
 use crate::{Config, Micros, State, StateRevision};
 use std::collections::BTreeMap;
 
-/// What a voter without memory keeps.
+/// The recovery of a voter that lost its durable state (Viewstamped Replication Revisited, section 4.3).
 #[derive(Clone, Debug)]
-pub(crate) struct Recovering {
-    /// When to ask (again). First only after votes it may have given are counted or void, rounds it may have acknowledged
-    /// are stale, and leases it may have granted are over.
-    pub next_ask: Micros,
-    /// Of the question, once it was asked.
+pub(crate) struct Recovery {
+    /// When to ask the other voters (again). Not before the votes this voter may have given are counted or void, the
+    /// heartbeats it may have acknowledged are stale, and the leases it may have granted have expired.
+    pub next_request: Micros,
+    /// Identifies the request, once it was sent.
     pub nonce: Option<u64>,
+    /// By voter: its term, and its state with the revision.
     pub answers: BTreeMap<u16, (u64, StateRevision, State)>,
 }
 
-impl Recovering {
+impl Recovery {
     pub fn new(now: Micros, config: &Config) -> Self {
         let timing = &config.timing;
-        let wait = longer(2 * timing.election_timeout_max + timing.lease, timing.drift_ppm);
-        Self { next_ask: now + wait, nonce: None, answers: BTreeMap::new() }
+        let wait = lengthen(2 * timing.election_timeout_max + timing.lease, timing.drift_ppm);
+        Self { next_request: now + wait, nonce: None, answers: BTreeMap::new() }
     }
 }
--- a/crates/consensus/src/roles/voter.rs
+++ b/crates/consensus/src/roles/voter.rs
@@ -1,45 +1,50 @@
-//! What a voter keeps.
+//! What a voter keeps, whatever its role among the voters is.
 
 use super::candidate::Candidacy;
 use super::leader::Leader;
-use super::recovery::Recovering;
+use super::recovery::Recovery;
 use crate::status::Role;
 use crate::{Config, DurableState, Micros};
 
-/// A voter's part of a member.
+/// The part of a member that votes.
 #[derive(Clone, Debug)]
 pub(crate) struct Voter {
     pub durable_state: DurableState,
-    /// When it last heard from a leader of its term, or started: it votes for no other for a while after.
-    pub heard_at: Micros,
-    /// When it asks for votes.
-    pub deadline: Micros,
-    pub leader: Option<u16>,
-    pub recovering: Option<Recovering>,
+    /// When it last heard from a leader of its term, or started. It votes for no other candidate for a while after.
+    pub leader_heard_at: Micros,
+    /// When it becomes a candidate, unless it hears from a leader before.
+    pub election_deadline: Micros,
+    pub known_leader: Option<u16>,
+    pub recovery: Option<Recovery>,
     pub candidacy: Option<Candidacy>,
-    pub leading: Option<Box<Leader>>,
+    pub leadership: Option<Box<Leader>>,
 }
 
 impl Voter {
-    /// With its memory it goes on, but as if it had just heard from a leader: it may have, before it restarted, and that
-    /// leader counts on it.
-    pub fn new(now: Micros, durable_state: Option<DurableState>, deadline: Micros, config: &Config) -> Self {
-        let recovering = durable_state.is_none().then(|| Recovering::new(now, config));
+    /// A voter that starts. With its durable state it continues as if it had just heard from a leader: it may have, before
+    /// it restarted, and that leader counts on its vote. Without, it recovers first.
+    pub fn new(
+        now: Micros,
+        durable_state: Option<DurableState>,
+        election_deadline: Micros,
+        config: &Config,
+    ) -> Self {
+        let recovery = durable_state.is_none().then(|| Recovery::new(now, config));
         Self {
             durable_state: durable_state.unwrap_or_else(DurableState::initial),
-            heard_at: now,
-            deadline,
-            leader: None,
-            recovering,
+            leader_heard_at: now,
+            election_deadline,
+            known_leader: None,
+            recovery,
             candidacy: None,
-            leading: None,
+            leadership: None,
         }
     }
 
     pub fn role(&self) -> Role {
-        if self.recovering.is_some() {
+        if self.recovery.is_some() {
             Role::Recovering
-        } else if self.leading.is_some() {
+        } else if self.leadership.is_some() {
             Role::Leader
         } else if self.candidacy.is_some() {
             Role::Candidate
@@ -47,4 +52,9 @@
             Role::Follower
         }
     }
+
+    /// Whether an election may begin by time alone.
+    pub fn is_election_due(&self, now: Micros) -> bool {
+        self.recovery.is_none() && self.leadership.is_none() && now >= self.election_deadline
+    }
 }
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -1,16 +1,17 @@
-//! What a member knows, for on-call.
+//! A member's view of itself and of the cluster, for operators.
 
-use crate::{Micros, State, StateRevision, Topic, Version};
+use crate::Micros;
+use crate::state::{State, StateRevision, Topic, Version};
 
-/// What a voter does.
+/// A member's role among the voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Role {
-    /// Doesn't vote.
+    /// Not a voter.
     #[default]
     Member,
-    /// Lost its memory; abstains until what it may have promised is over and others told it what they know.
+    /// Lost its durable state: abstains until what it may have promised is over and the other voters sent theirs.
     Recovering,
-    /// Votes, follows.
+    /// Votes, and follows a leader.
     Follower,
     /// Asks for votes.
     Candidate,
@@ -18,23 +19,23 @@
     Leader,
 }
 
-/// One topic, as seen here.
+/// The status of one topic.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TopicStatus {
-    /// What this member holds, though its time may be over.
+    /// The version this member has a lease on; the lease may have expired.
     pub active: Option<Version>,
-    /// Until when, by its own clock.
+    /// When the lease expires, by the member's own clock.
     pub until: Micros,
-    /// The newest version known to be in force or pending.
+    /// The greatest number known to be in force or pending.
     pub newest: u64,
-    /// Leader: live members by the number they said they hold; 0 stands for none.
+    /// Leader: live members by the number they act on; 0 stands for none.
     pub members_by_version: Vec<(u64, u32)>,
 }
 
-/// What a member knows of itself and of the accord.
+/// A member's status.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Status {
-    /// What it does.
+    /// Its role.
     pub role: Role,
     /// The greatest term it knows of.
     pub term: u64,
@@ -42,32 +43,32 @@
     pub leader: Option<u16>,
     /// Leader: until when it may act as one, by its own clock.
     pub authority_until: Option<Micros>,
-    /// Voter: order of the state it holds.
+    /// Voter: the revision of its state.
     pub revision: StateRevision,
-    /// Voter: the state it holds; the last change of it may not be agreed yet.
+    /// Voter: its state; the last write may not be committed yet.
     pub state: Option<State>,
     /// By topic.
     pub topics: [TopicStatus; 2],
-    /// Leader: members that asked for a lease within the last one's time.
+    /// Leader: incarnations that requested a lease within the last lease's time.
     pub live_members: u32,
-    /// Proposals of this process that aren't over.
+    /// Unfinished proposals of this process.
     pub proposals: u32,
-    /// Elections begun here.
+    /// Elections started here.
     pub elections: u64,
     /// Elections won here.
     pub elections_won: u64,
-    /// Times the authority of a leader ran out here.
+    /// Times this process stopped leading.
     pub leaderships_lost: u64,
-    /// Grants that came in and counted.
+    /// Lease grants accepted.
     pub grants: u64,
-    /// Messages dropped: too old, from the wrong one, out of bounds.
+    /// Messages dropped: outdated, from the wrong sender, or out of bounds.
     pub dropped: u64,
-    /// Invariants found broken. Always 0 unless this code, a clock or a disk is at fault.
+    /// Invariants found violated. Always 0 unless this code, a clock or a disk is at fault.
     pub invariant_violations: u64,
 }
 
 impl Status {
-    /// One topic.
+    /// The status of one topic.
     pub fn topic(&self, topic: Topic) -> &TopicStatus {
         &self.topics[topic.index()]
     }
--- a/crates/consensus/tests/config.rs
+++ b/crates/consensus/tests/config.rs
@@ -1,4 +1,4 @@
-//! What the spans and the voters must be.
+//! Checks of the configured spans and voters.
 
 use cottonnotch_consensus::{Config, ConfigError, Timing};
 
@@ -7,14 +7,14 @@
 }
 
 #[test]
-fn the_defaults_keep_the_promise() {
+fn accepts_defaults() {
     assert_eq!(Timing::default().check(), Ok(()));
     assert_eq!(config(4, 5, &[0, 1, 2]).check(), Ok(()));
     assert_eq!(config(0, 1, &[0]).check(), Ok(()));
 }
 
 #[test]
-fn spans_that_break_the_promise_are_refused_with_the_sum() {
+fn rejects_spans_beyond_the_contradiction_with_their_sum() {
     let timing = Timing { lease: 1_700_000, drift_ppm: 10_000, ..Timing::default() };
     let text = timing.check().unwrap_err().to_string();
     // 1.7 s, a hundredth more for a slow clock, and the act.
@@ -25,11 +25,11 @@
 }
 
 #[test]
-fn spans_without_room_for_elections_are_refused() {
+fn rejects_spans_without_room_for_elections() {
     for timing in [
         Timing { heartbeat: 200_000, ..Timing::default() },
         Timing { election_timeout_max: 520_000, ..Timing::default() },
-        // A slow voter keeps its word beyond the longest wait.
+        // A slow voter keeps its promise beyond the longest wait.
         Timing {
             election_timeout_max: 560_000,
             drift_ppm: 100_000,
@@ -46,9 +46,19 @@
 }
 
 #[test]
-fn voters_must_be_odd_different_and_there() {
-    for voters in [&[][..], &[0, 1], &[0, 1, 1], &[0, 1, 9], &[0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10]] {
-        assert!(matches!(config(0, 9, voters).check(), Err(ConfigError::Voters(_))), "{voters:?}");
+fn rejects_voters_without_a_proper_majority() {
+    for voters in [&[][..], &[0, 1], &[0, 1, 1], &[0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10]] {
+        let error = config(0, 9, voters).check().unwrap_err();
+        assert_eq!(error, ConfigError::Voters(voters.to_vec()), "{voters:?}");
     }
-    assert!(matches!(config(9, 9, &[0, 1, 2]).check(), Err(ConfigError::Voters(_))));
+    let text = config(0, 9, &[0, 1]).check().unwrap_err().to_string();
+    assert_eq!(text, "voters [0, 1]: an odd number of different ones is needed, at most 9");
+}
+
+#[test]
+fn rejects_ordinals_beyond_the_members() {
+    let unknown = Err(ConfigError::UnknownMember { ordinal: 9, members: 9 });
+    assert_eq!(config(0, 9, &[0, 1, 9]).check(), unknown);
+    assert_eq!(config(9, 9, &[0, 1, 2]).check(), unknown);
+    assert_eq!(unknown.unwrap_err().to_string(), "member 9 of 9 there are");
 }
--- a/crates/cottonnotch/src/rules/config.rs
+++ b/crates/cottonnotch/src/rules/config.rs
@@ -214,7 +214,7 @@
             Bad::Election { .. } => format!("accord.election_least_ms cannot be used: {bad}"),
             Bad::Span { name, .. } => format!("accord.{name}_ms cannot be used: {bad}"),
             Bad::Drift(_) => format!("accord.drift_ppm cannot be used: {bad}"),
-            Bad::Voters(_) => format!("accord.voters cannot be used: {bad}"),
+            Bad::Voters(_) | Bad::UnknownMember { .. } => format!("accord.voters cannot be used: {bad}"),
         }
     }
 
