--- /dev/null
+++ b/crates/cottonnotch/src/config/operator_tests.rs
@@ -0,0 +1,54 @@
+use super::*;
+
+const SHIPPED: &str = include_str!("../../../../deploy/cottonnotch.toml");
+
+/// The shipped file with its settings, which are the comments without a space, set.
+fn uncommented() -> String {
+    let set = |line: &str| match line.strip_prefix('#') {
+        Some(set) if set.starts_with("[[") || set.starts_with(|c: char| c.is_ascii_alphabetic()) => {
+            set.to_owned()
+        }
+        _ => line.to_owned(),
+    };
+    SHIPPED.lines().map(set).collect::<Vec<_>>().join("\n")
+}
+
+#[test]
+fn the_shipped_file_changes_nothing_and_its_comments_are_accepted() {
+    assert_eq!(toml::from_str::<OperatorConfig>(SHIPPED).unwrap(), OperatorConfig::default());
+    let all = uncommented();
+    let set: toml::Table = all.parse().unwrap();
+    let read: OperatorConfig = toml::from_str(&all).unwrap();
+    // Of the two targets only one may be set.
+    let RecordsSection { file, descriptor, queue_records, flush_ms, .. } = read.records.clone();
+    let to_file = RecordsSection { descriptor: None, ..read.records.clone() };
+    let usual = RecordsSection::default();
+    let to_descriptor = RecordsSection { descriptor, queue_records, flush_ms, ..usual.clone() };
+    assert!(file.is_some() && descriptor.is_some());
+    for records in [to_file, to_descriptor] {
+        // A fleet view has no proof, so it goes with no other strength than 'address'.
+        let fleet = FleetSection::default();
+        OperatorConfig { records, fleet, ..read.clone() }.check().unwrap();
+    }
+    let signed =
+        OperatorConfig { gossip: read.gossip, fleet: read.fleet.clone(), ..OperatorConfig::default() };
+    assert!(signed.check().unwrap_err().starts_with("fleet.members_from"));
+    let fleet = FleetSection { members_from: Some(24), group_homes: Some(64), ..FleetSection::default() };
+    assert_eq!(read.fleet, fleet);
+    assert_eq!((queue_records, flush_ms), (usual.queue_records, usual.flush_ms));
+    assert!(read.consensus.check().unwrap().is_some() && read.hardware.len() == 1);
+    let plain = ConsensusSection::default();
+    let (listen, cluster, key_file, me) =
+        (plain.listen, plain.cluster.clone(), plain.key_file.clone(), plain.me);
+    let (voters, members, state_folder) = (Vec::new(), Vec::new(), plain.state_folder.clone());
+    let figures =
+        ConsensusSection { listen, cluster, key_file, me, voters, members, state_folder, ..read.consensus };
+    assert_eq!(figures, plain, "the shipped figures are the defaults");
+    let mut keys = BTreeMap::new();
+    leaves("", &simd_json::serde::to_owned_value(OperatorConfig::default()).unwrap(), &mut keys);
+    for key in keys.keys() {
+        let (section, name) = key.split_once('.').unwrap();
+        let found = set.get(section).and_then(|section| section.get(name));
+        assert!(found.is_some(), "{key} is not in the shipped file");
+    }
+}
