--- a/crates/consensus/tests/config.rs
+++ b/crates/consensus/tests/config.rs
@@ -57,8 +57,9 @@
 
 #[test]
 fn rejects_ordinals_beyond_the_members() {
-    let unknown = Err(ConfigError::UnknownMember { ordinal: 9, members: 9 });
-    assert_eq!(config(0, 9, &[0, 1, 9]).check(), unknown);
-    assert_eq!(config(9, 9, &[0, 1, 2]).check(), unknown);
-    assert_eq!(unknown.unwrap_err().to_string(), "member 9 of 9 there are");
+    let unknown = ConfigError::UnknownMember { ordinal: 9, members: 9 };
+    let error = config(0, 9, &[0, 1, 9]).check().unwrap_err();
+    assert_eq!(error, unknown);
+    assert_eq!(config(9, 9, &[0, 1, 2]).check(), Err(unknown));
+    assert_eq!(error.to_string(), "member 9 of 9 there are");
 }
--- a/crates/cottonnotch/src/rules/compile_worker.rs
+++ b/crates/cottonnotch/src/rules/compile_worker.rs
@@ -1,6 +1,7 @@
 //! The thread that makes, gets, compiles and compares contents, so that neither the loop nor the accord waits for it.
 
-use super::consensus_thread::Agent;
+use super::compile_job::Job;
+use super::consensus_handle::Agent;
 use super::content_server::url;
 use super::local_overrides::{advances, overlay};
 use super::published_plan::Publication;
@@ -23,23 +24,6 @@
 const CONNECT_WITHIN: Duration = Duration::from_millis(500);
 const FETCH_WITHIN: Duration = Duration::from_secs(3);
 
-/// What there is to do.
-#[derive(Debug)]
-pub enum Job {
-    /// Get a content from one of these members.
-    Fetch { hash: ContentHash, size: u32, from: Vec<u16> },
-    /// May this be put in force, on top of the last of these?
-    Check { hash: ContentHash, against: Vec<(u64, ContentHash)> },
-    /// A proposal of this process is over.
-    Over { hash: ContentHash, outcome: ProposalOutcome },
-    /// What this process holds, and whether nothing ever was in force.
-    Held { version: Option<ContentHash>, is_first: bool },
-    /// This proxy's own files, and what each hardware class can run.
-    Own { files: Vec<RuleFile>, profiles: Profiles },
-    /// What there is to be ruled.
-    Inventory(Inventory),
-}
-
 /// Where a content goes that was made here.
 pub enum Way {
     /// To the accord.
--- a/crates/cottonnotch/src/rules/consensus_loop.rs
+++ b/crates/cottonnotch/src/rules/consensus_loop.rs
@@ -1,10 +1,11 @@
 //! The accord's loop: hears, ticks, and carries out what the accord asks for, in its order.
 
 use super::clock::Clock;
-use super::compile_worker::Job;
-use super::consensus_thread::{Agent, Parts, WAKE};
+use super::compile_job::Job;
+use super::consensus_handle::{Agent, WAKE};
+use super::consensus_parts::Parts;
 use super::lease_file::{LeaseFile, LeaseRecord};
-use super::state_recovery::{HELD, MEMORY};
+use super::state_files::{HELD, MEMORY};
 use super::version_content::hex;
 use cottonnotch_consensus::{ContentHash, Input, Lease, Member, Message, Micros, Output, Topic};
 use cottonnotch_proxy_core::MemberDriver;
--- a/crates/cottonnotch/src/rules/consensus_thread.rs
+++ b/crates/cottonnotch/src/rules/consensus_thread.rs
@@ -1,102 +1,22 @@
 //! The thread of the accord, as others have it, and its start: address, folder and memory are had, or waited for.
 
 use super::clock::Clock;
-use super::compile_worker::Job;
+use super::consensus_handle::Agent;
 use super::consensus_loop::Thread;
+use super::consensus_parts::Parts;
 use super::content_server::Serving;
 use super::durable_file::Disk;
 use super::lease_file::LeaseFile;
-use super::published_plan::Publication;
-use super::state_recovery::{borrow, content_name, remembered};
-use super::status::StatusBoard;
-use super::version_content::{Compiled, Library, hex};
+use super::state_recovery::{borrow, remembered};
 use cottonnotch_consensus::{Config, Input, Member};
-use cottonnotch_proxy_core::envelope::EnvelopeKey;
 use std::io;
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
-use std::path::PathBuf;
-use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
 use std::sync::mpsc::{Receiver, Sender};
-use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// Another process of this proxy has the address, or the folder: it is tried again after this.
 const AGAIN_AFTER: Duration = Duration::from_millis(100);
-/// A datagram of nothing ends the thread's wait; it is no message.
-pub const WAKE: &[u8] = &[0];
-
-/// The thread, as others have it.
-#[derive(Clone)]
-pub struct Agent {
-    commands: Sender<Input>,
-    waker: Arc<OnceLock<UdpSocket>>,
-    disk: Arc<Mutex<Option<Disk>>>,
-    library: Library,
-    stop: Arc<AtomicBool>,
-}
-
-impl Agent {
-    /// Hands the accord what has happened.
-    pub fn tell(&self, input: Input) {
-        // The thread is over: the process ends, or the accord has.
-        let _ = self.commands.send(input);
-        self.wake();
-    }
-
-    fn wake(&self) {
-        if let Some(waker) = self.waker.get() {
-            // It looks by itself a little later.
-            let _ = waker.send(WAKE);
-        }
-    }
-
-    /// Its folder, if it has one.
-    pub fn disk(&self) -> MutexGuard<'_, Option<Disk>> {
-        // Nobody leaves it half changed.
-        self.disk.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    /// Keeps a content, also beyond the process if it has a folder.
-    pub fn keep(&self, compiled: Arc<Compiled>) {
-        let (hash, bytes) = (compiled.hash, Arc::clone(&compiled.bytes));
-        let gone = self.library.put(compiled);
-        let disk = self.disk();
-        let Some(disk) = &*disk else { return };
-        if let Err(error) = disk.save(&content_name(&hash), &bytes) {
-            log::error!(error:%; "rules {} cannot be kept beyond this process: {error}", &hex(&hash)[..12]);
-        }
-        for hash in gone {
-            // What stays is found at the next start, and goes then.
-            let _ = disk.remove(&content_name(&hash));
-        }
-    }
-
-    /// The thread is to end.
-    pub fn is_stopped(&self) -> bool {
-        self.stop.load(Ordering::Acquire)
-    }
-
-    /// The thread ends: another process takes this member's part.
-    pub fn stop(&self) {
-        self.stop.store(true, Ordering::Release);
-        self.wake();
-    }
-}
-
-/// What the thread is made of.
-pub struct Parts {
-    pub listen: SocketAddr,
-    pub members: Vec<SocketAddr>,
-    pub seal: EnvelopeKey,
-    pub state_folder: Option<PathBuf>,
-    pub first_start: bool,
-    pub config: Config,
-    pub seed: u64,
-    pub library: Library,
-    pub publication: Arc<Publication>,
-    pub board: Arc<StatusBoard>,
-    pub jobs: Sender<Job>,
-}
 
 /// Begins the thread. Fails if the address can't be had; `waits`: unless another process may have it still.
 pub fn start(parts: Parts, commands: (Sender<Input>, Receiver<Input>), waits: bool) -> io::Result<Agent> {
--- a/crates/cottonnotch/src/rules/golden_tests.rs
+++ b/crates/cottonnotch/src/rules/golden_tests.rs
@@ -2,7 +2,7 @@
 
 use super::durable_file::{Disk, load};
 use super::lease_file::{LeaseFile, LeaseRecord};
-use super::state_recovery::{HELD, MEMORY, content_name};
+use super::state_files::{HELD, MEMORY, content_name};
 use super::version_content::{Compiled, Content};
 use cottonnotch_consensus::DurableState;
 use cottonnotch_golden::{assert_bytes, golden_path};
--- a/crates/cottonnotch/src/rules/mod.rs
+++ b/crates/cottonnotch/src/rules/mod.rs
@@ -7,9 +7,12 @@
 //! at the clock ([`routing_verdict`]). Without the sections `[rules]` and `[accord]` nothing of it exists.
 
 mod clock;
+mod compile_job;
 mod compile_worker;
 mod config;
+mod consensus_handle;
 mod consensus_loop;
+mod consensus_parts;
 mod consensus_thread;
 mod content_server;
 mod durable_file;
@@ -24,6 +27,7 @@
 mod rules_folder;
 mod service;
 mod settings;
+mod state_files;
 mod state_recovery;
 mod status;
 mod version_content;
--- a/crates/cottonnotch/src/rules/service.rs
+++ b/crates/cottonnotch/src/rules/service.rs
@@ -1,9 +1,12 @@
 //! The rules as the driver has them: it says what happens, and asks what counts.
 
 use super::clock::Clock;
-use super::compile_worker::{Job, Way, Worker};
+use super::compile_job::Job;
+use super::compile_worker::{Way, Worker};
 use super::config::Unknown;
-use super::consensus_thread::{self, Agent, Parts};
+use super::consensus_handle::Agent;
+use super::consensus_parts::Parts;
+use super::consensus_thread;
 use super::node_kinds::NodeKind;
 use super::published_plan::Publication;
 use super::routing_verdict::{Doubt, Rulings, VerdictBasis};
--- a/crates/cottonnotch/src/rules/state_recovery.rs
+++ b/crates/cottonnotch/src/rules/state_recovery.rs
@@ -1,24 +1,16 @@
 //! What a process of this member finds of an earlier one: its memory, its contents, what it went by, and, while it still
 //! lives, what it goes by.
 
-use super::consensus_thread::{Agent, Parts};
+use super::consensus_handle::Agent;
+use super::consensus_parts::Parts;
 use super::durable_file::{self, Disk};
 use super::lease_file::{LeaseFile, LeaseRecord};
-use super::version_content::{Compiled, hex};
+use super::state_files::{CONTENT, HELD, MEMORY, content_name};
+use super::version_content::Compiled;
 use cottonnotch_consensus::{ContentHash, DurableState, Input, Micros};
 use std::io;
 use std::sync::Arc;
 
-/// The files' names.
-pub const MEMORY: &str = "memory";
-pub const HELD: &str = "held";
-const CONTENT: &str = "content-";
-
-/// The name of a content's file.
-pub fn content_name(hash: &ContentHash) -> String {
-    format!("{CONTENT}{}", hex(hash))
-}
-
 /// While another process of this member has the address: goes by what that one goes by, if it can be had.
 pub fn borrow(parts: &Parts) -> Option<()> {
     let folder = parts.state_folder.as_deref()?;
