--- a/crates/aggregation/benches/homes.rs
+++ b/crates/aggregation/benches/homes.rs
@@ -1,4 +1,4 @@
-//! What homes by a group's size cost a proxy, and what they do to the fullest node: a tier on virtual time, with groups whose
+//! What affinity subsets by a group's load cost a proxy, and what they do to the fullest node: a fleet on virtual time, with groups whose
 //! sizes fall as 1 over their rank, the largest of a million connections. Without and with, one JSON line each.
 //!
 //! `cargo bench --locked -p cottonnotch-aggregation --bench homes`; `-- 440` for one size.
@@ -16,7 +16,7 @@
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 const LARGEST: u32 = 1_000_000;
-/// GroupReport that the simulation has; smaller ones need five homes at any size.
+/// Groups that the simulation has; smaller ones need five endpoints at any size.
 const GROUPS: u64 = 400;
 
 fn main() {
--- a/crates/aggregation/src/affinity_subsets.rs
+++ b/crates/aggregation/src/affinity_subsets.rs
@@ -1,115 +1,129 @@
-//! SubsetSizes by a group's size: how many a load needs, and how many this proxy acts on ([`AffinitySubsets`]).
+//! Sizes of the groups' affinity subsets: how many endpoints a load needs, and the sizes that this proxy acts on
+//! ([`AffinitySubsets`]).
 //!
-//! The side that errs: too many homes cost the group's own work once more at each; too few push nodes over. A member that
-//! isn't heard may be dead or only cut off, its connections still there. So homes rise at once and fall slowly.
+//! The side that errs: a subset that is too large costs the group's own work once more at each endpoint; one that is too small
+//! overloads endpoints. A member that isn't heard may be dead or only cut off, its connections still there. So subsets grow at once
+//! and shrink slowly.
 //!
-//! Invariants, asserted in debug and counted or clamped in release: no group has fewer than [`LEAST_HOMES`]; homes fall by half
-//! at most within a hold; no more groups are held than twice those of a table.
+//! Invariants, asserted in debug builds and counted or clamped in release: no subset is smaller than [`MIN_SUBSET_SIZE`]; it
+//! shrinks by half at most within a hold; no more groups are held than twice those of one answer.
 
-use crate::aggregation::GROUP_COST;
+use crate::fleet_sums::GROUP_COST;
 use crate::{AffinitySettings, Micros};
 use std::collections::BTreeMap;
 
-/// Every group has so many.
-pub const LEAST_HOMES: u32 = 5;
-/// What a home costs is no more of it than this, or no number of homes would do.
-const MOST_COST: f64 = 0.5;
+/// The endpoints that every group has.
+pub const MIN_SUBSET_SIZE: u32 = 5;
+/// What a group costs at an endpoint takes no more than this share of its target, or no number of endpoints would do.
+const MAX_COST_SHARE: f64 = 0.5;
 
-/// The nodes that homes are counted for, as a proxy has them in its list.
+/// The endpoints that subsets are sized for, as a proxy has them in its list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Nodes {
+pub struct EndpointPool {
     /// How many there are.
     pub count: u32,
     /// Their mean capacity, microseconds of work a second; 0 where that isn't listed.
-    pub size: f64,
+    pub mean_capacity: f64,
 }
 
-/// What one home may take of a group's connections: its used part less what the group costs there.
-pub fn room(nodes: Nodes, home_use: f64, mean_load: f64) -> f64 {
-    let used = home_use * nodes.size;
-    used - (GROUP_COST * mean_load).min(MOST_COST * used)
+/// The load of one group's connections that one endpoint may take: its target less what the group costs there.
+pub fn load_per_endpoint(pool: EndpointPool, target_utilization: f64, mean_load: f64) -> f64 {
+    let target = target_utilization * pool.mean_capacity;
+    target - (GROUP_COST * mean_load).min(MAX_COST_SHARE * target)
 }
 
-/// The homes that a group of this load needs: five at least; no more than there are nodes, unless that is fewer. Five where
-/// sizes are not known.
-pub fn needed(load: f64, mean_load: f64, nodes: Nodes, home_use: f64) -> u32 {
-    let homes = (load / room(nodes, home_use, mean_load)).ceil();
+/// The endpoints that a group of this load needs: five at least; no more than there are, unless those are fewer. Five where
+/// capacities are not known.
+pub fn required_size(load: f64, mean_load: f64, pool: EndpointPool, target_utilization: f64) -> u32 {
+    let size = (load / load_per_endpoint(pool, target_utilization, mean_load)).ceil();
     // Of what is not a number the cast makes 0.
-    let homes = if nodes.size > 0.0 { homes as u32 } else { 0 };
-    homes.min(nodes.count).max(LEAST_HOMES)
+    let size = if pool.mean_capacity > 0.0 { size as u32 } else { 0 };
+    size.min(pool.count).max(MIN_SUBSET_SIZE)
 }
 
+/// The size of one group's subset, and what decides when it shrinks.
 #[derive(Clone, Copy, Debug)]
-struct Held {
-    homes: u32,
-    /// Since when it may have been too many: it was last told as many.
-    since: Micros,
-    /// The most that was told since then.
-    highest: u32,
+struct SubsetSize {
+    size: u32,
+    /// When this size was last asked for; from then on it may be too large.
+    held_since: Micros,
+    /// The largest size that was asked for since then.
+    largest_since: u32,
 }
 
-/// The homes that a proxy acts on, of the groups that have more than five.
+impl SubsetSize {
+    fn new(size: u32, now: Micros) -> Self {
+        SubsetSize { size, held_since: now, largest_since: 0 }
+    }
+}
+
+/// The sizes that a proxy acts on, of the groups whose subset has more than five endpoints.
 #[derive(Debug, Default)]
 pub struct AffinitySubsets {
-    held: BTreeMap<u64, Held>,
-    most: usize,
+    sizes: BTreeMap<u64, SubsetSize>,
+    max_groups: usize,
     hold: Micros,
-    /// GroupReport that found no room.
-    pub dropped: u64,
+    /// Groups that found no room.
+    pub truncated: u64,
 }
 
 impl AffinitySubsets {
-    /// None yet. Holds twice as many groups as a table names: those that are named now, and those that fall.
+    /// No group yet. Holds twice as many groups as one answer names: those that are named now, and those that shrink.
     pub fn new(settings: &AffinitySettings) -> Self {
-        AffinitySubsets { held: BTreeMap::new(), most: 2 * settings.groups, hold: settings.hold, dropped: 0 }
+        AffinitySubsets {
+            sizes: BTreeMap::new(),
+            max_groups: 2 * settings.max_groups,
+            hold: settings.shrink_hold,
+            truncated: 0,
+        }
     }
 
-    /// A group needs so many, as somebody says. Whether that changed anything.
-    pub fn told(&mut self, now: Micros, group: u64, homes: u32) -> bool {
-        if let Some(held) = self.held.get_mut(&group) {
-            if homes < held.homes {
-                held.highest = held.highest.max(homes);
+    /// Takes the size that somebody says a group needs. Whether that changed the size in force.
+    pub fn require(&mut self, now: Micros, group: u64, size: u32) -> bool {
+        if let Some(subset) = self.sizes.get_mut(&group) {
+            if size < subset.size {
+                subset.largest_since = subset.largest_since.max(size);
                 return false;
             }
-            let more = homes > held.homes;
-            *held = Held { homes, since: now, highest: 0 };
-            return more;
+            let grew = size > subset.size;
+            *subset = SubsetSize::new(size, now);
+            return grew;
         }
-        if homes <= LEAST_HOMES {
+        if size <= MIN_SUBSET_SIZE {
             return false;
         }
-        if self.held.len() >= self.most {
-            // Those that are here fall in their time, whatever else is told.
-            self.dropped += 1;
+        if self.sizes.len() >= self.max_groups {
+            // Groups that are here stay until they have shrunk, whatever else is asked for.
+            self.truncated += 1;
             return false;
         }
-        self.held.insert(group, Held { homes, since: now, highest: 0 });
+        self.sizes.insert(group, SubsetSize::new(size, now));
         true
     }
 
-    /// Lets those fall that were told to have fewer for a whole hold. Only to be asked when somebody has just told: silence says
-    /// nothing of a group. Whether that changed anything.
-    pub fn settle(&mut self, now: Micros) -> bool {
-        let mut fell = false;
-        for held in self.held.values_mut().filter(|held| now - held.since >= self.hold) {
-            let homes = held.highest.max(held.homes.div_ceil(2));
-            fell |= homes != held.homes;
-            *held = Held { homes, since: now, highest: 0 };
+    /// Shrinks the subsets for which less was asked during a whole hold. Only to be called when sizes were just received:
+    /// silence says nothing of a group. Whether that changed anything.
+    pub fn shrink(&mut self, now: Micros) -> bool {
+        let mut changed = false;
+        for subset in self.sizes.values_mut().filter(|subset| now - subset.held_since >= self.hold) {
+            let size = subset.largest_since.max(subset.size.div_ceil(2));
+            changed |= size != subset.size;
+            *subset = SubsetSize::new(size, now);
         }
-        // Whoever isn't held has five.
-        self.held.retain(|_, held| held.homes > LEAST_HOMES);
-        debug_assert!(self.held.len() <= self.most);
-        fell
+        // A group that isn't held has five.
+        self.sizes.retain(|_, subset| subset.size > MIN_SUBSET_SIZE);
+        debug_assert!(self.sizes.len() <= self.max_groups);
+        changed
     }
 
-    /// The groups that have more than five, and how many.
-    pub fn all(&self) -> impl Iterator<Item = (u64, u32)> {
-        self.held.iter().map(|(group, held)| (*group, held.homes))
+    /// The groups whose subset has more than five endpoints, and how many.
+    pub fn iter(&self) -> impl Iterator<Item = (u64, u32)> {
+        self.sizes.iter().map(|(group, subset)| (*group, subset.size))
     }
 
-    /// How many a group has.
-    pub fn of(&self, group: u64) -> u32 {
-        self.held.get(&group).map_or(LEAST_HOMES, |held| held.homes)
+    /// The size of a group's subset.
+    pub fn size_of(&self, group: u64) -> u32 {
+        self.sizes.get(&group).map_or(MIN_SUBSET_SIZE, |subset| subset.size)
     }
 }
 
--- a/crates/aggregation/src/aggregation_tests.rs
+++ b/crates/aggregation/src/aggregation_tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::FleetSection;
+use crate::wire::{Entry, Fragment, HealthVerdict, MIN_REPORTED_UTILIZATION, Totals};
 use proptest::prelude::*;
 
 const S: Micros = 1_000_000;
@@ -8,7 +9,7 @@
     FleetSection { members_from: Some(4), ..Default::default() }.check().unwrap().unwrap()
 }
 
-fn report(generation: u16, part: (u8, u8), entries: &[(u32, f64)]) -> Report {
+fn report(sequence: u16, fragment: (u8, u8), entries: &[(u32, f64)]) -> Report {
     let entry = |(node, load): &(u32, f64)| Entry {
         endpoint: EndpointDigest(*node),
         load: *load,
@@ -17,95 +18,106 @@
     };
     let entries: Vec<Entry> = entries.iter().map(entry).collect();
     let totals = Totals { connections: entries.len() as u32, ..Totals::default() };
-    Report { generation, part, leaving: false, no_answer: false, next: S, totals, entries }
+    Report {
+        sequence,
+        fragment: Fragment { index: fragment.0, count: fragment.1 },
+        leaving: false,
+        advance_notice: false,
+        next_report_in: S,
+        totals,
+        entries,
+    }
 }
 
 fn used(aggregation: &mut Aggregation, now: Micros) -> BTreeMap<u32, f64> {
-    aggregation.table = None;
-    let table = aggregation.table(&settings(), now, |_| Some(100.0));
-    table.nodes.into_iter().map(|(node, used, _)| (node.0, used)).collect()
+    aggregation.cached_summary = None;
+    let summary = aggregation.summary(&settings(), now, |_| Some(100.0));
+    summary.endpoints.into_iter().map(|node| (node.endpoint.0, node.utilization)).collect()
 }
 
 proptest! {
     // What is summed is neither lost nor counted twice, whatever is doubled, late or overtaken.
     #[test]
-    fn each_member_counts_once_with_its_newest_report(
+    fn counts_newest_report_of_each_member(
         order in prop::collection::vec((0..5_u32, 0..4_u16), 1..60),
     ) {
         let mut aggregation = Aggregation::default();
         let mut newest: BTreeMap<u32, u16> = BTreeMap::new();
-        for (step, (member, generation)) in order.iter().enumerate() {
-            let load = f64::from(*generation + 1);
-            aggregation.take(step as i64, *member, 40, report(*generation, (0, 1), &[(*member, load)]));
-            let known = newest.entry(*member).or_insert(*generation);
-            *known = (*known).max(*generation);
+        for (step, (member, sequence)) in order.iter().enumerate() {
+            let load = f64::from(*sequence + 1);
+            aggregation.record(step as i64, *member, 40, report(*sequence, (0, 1), &[(*member, load)]));
+            let known = newest.entry(*member).or_insert(*sequence);
+            *known = (*known).max(*sequence);
         }
         let sums = used(&mut aggregation, 100);
-        for (member, generation) in newest {
-            prop_assert_eq!(sums.get(&member).copied(), Some(f64::from(generation + 1) / 100.0));
+        for (member, sequence) in newest {
+            prop_assert_eq!(sums.get(&member).copied(), Some(f64::from(sequence + 1) / 100.0));
         }
     }
 }
 
+/// The previous report stands in for the lost fragment; a complete report replaces it.
 #[test]
-fn a_lost_part_is_stood_for_by_the_last_report_and_what_is_told_no_more_is_gone() {
+fn previous_report_stands_in_for_lost_fragment() {
     let mut aggregation = Aggregation::default();
-    let mut take = |now, report| aggregation.take(now, 1, 40, report);
+    let mut take = |now, report| aggregation.record(now, 1, 40, report);
     take(0, report(1, (0, 2), &[(1, 10.0)]));
     take(0, report(1, (1, 2), &[(2, 20.0)]));
     take(S, report(2, (0, 2), &[(1, 11.0)]));
     assert_eq!(used(&mut aggregation, S), BTreeMap::from([(1, 0.11), (2, 0.2)]));
-    aggregation.take(2 * S, 1, 40, report(3, (0, 1), &[(1, 12.0)]));
+    aggregation.record(2 * S, 1, 40, report(3, (0, 1), &[(1, 12.0)]));
     assert_eq!(used(&mut aggregation, 2 * S), BTreeMap::from([(1, 0.12)]));
 }
 
+/// A new process replaces the old one at once; a member that is silent for three intervals expires.
 #[test]
-fn a_new_process_replaces_the_old_one_and_the_silent_age_out() {
+fn restart_replaces_and_silence_expires() {
     let mut aggregation = Aggregation::default();
-    aggregation.take(0, 1, 40, report(900, (0, 1), &[(1, 10.0)]));
-    aggregation.take(0, 2, 40, report(5, (0, 1), &[(2, 10.0)]));
-    aggregation.take(S, 1, 40, report(0, (0, 1), &[(3, 30.0)]));
+    aggregation.record(0, 1, 40, report(900, (0, 1), &[(1, 10.0)]));
+    aggregation.record(0, 2, 40, report(5, (0, 1), &[(2, 10.0)]));
+    aggregation.record(S, 1, 40, report(0, (0, 1), &[(3, 30.0)]));
     assert_eq!(used(&mut aggregation, S), BTreeMap::from([(2, 0.1), (3, 0.3)]));
     assert_eq!(used(&mut aggregation, 3 * S), BTreeMap::from([(3, 0.3)]), "2 was silent for three periods");
-    aggregation.take(3 * S, 1, 40, Report { leaving: true, ..report(1, (0, 1), &[]) });
+    aggregation.record(3 * S, 1, 40, Report { leaving: true, ..report(1, (0, 1), &[]) });
     assert!(used(&mut aggregation, 3 * S).is_empty());
 }
 
+/// Two members of forty report far more than any can have.
 #[test]
-fn two_liars_of_forty_move_the_sums_by_little() {
-    let honest = |aggregation: &mut Aggregation| {
+fn faulty_members_move_sums_little() {
+    let correct = |aggregation: &mut Aggregation| {
         for member in 0..38 {
-            aggregation.take(0, member, 40, report(1, (0, 1), &[(member % 10, 10.0), (10, 10.0)]));
+            aggregation.record(0, member, 40, report(1, (0, 1), &[(member % 10, 10.0), (10, 10.0)]));
         }
     };
     let mut aggregation = Aggregation::default();
-    honest(&mut aggregation);
+    correct(&mut aggregation);
     let before: f64 = used(&mut aggregation, 0).values().sum();
-    for liar in [38, 39] {
-        let mut lie = report(1, (0, 1), &[(0, 4e6), (1, 4e6)]);
-        lie.totals.connections = 4_000_000;
-        aggregation.take(0, liar, 40, lie);
+    for member in [38, 39] {
+        let mut reported = report(1, (0, 1), &[(0, 4e6), (1, 4e6)]);
+        reported.totals.connections = 4_000_000;
+        aggregation.record(0, member, 40, reported);
     }
     let after: f64 = used(&mut aggregation, 0).values().sum();
-    // Honest ones have 2 connections each; a liar counts for 8 of four times the usual load.
+    // Correct members have 2 connections each; a faulty one counts for 8 of four times the usual load.
     assert!(after - before <= 2.0 * 8.0 * 4.0 * 10.0 / 100.0 + 1e-9, "{before} {after}");
 }
 
-/// Few requests and few failures at most members; two say that all set-ups fail, and that many come.
+/// Few requests and few failures at most members; two report that all set-ups fail, and that there are many.
 #[test]
-fn two_liars_of_forty_neither_stop_the_tier_nor_raise_its_price() {
+fn faulty_members_move_rates_little() {
     let mut aggregation = Aggregation::default();
     for member in 0..40 {
-        let mut told = report(1, (0, 1), &[(member % 10, 10.0)]);
-        told.totals =
+        let mut reported = report(1, (0, 1), &[(member % 10, 10.0)]);
+        reported.totals =
             Totals { connections: 1, requests_per_s: 0.3, successes_per_s: 0.3, failures_per_s: 0.0 };
         if member >= 38 {
-            told.totals =
+            reported.totals =
                 Totals { connections: 1, requests_per_s: 1e6, successes_per_s: 0.0, failures_per_s: 1e6 };
         }
-        aggregation.take(0, member, 40, told);
+        aggregation.record(0, member, 40, reported);
     }
-    let FleetSummary { totals, .. } = aggregation.table(&settings(), 0, |_| Some(100.0));
+    let FleetSummary { totals, .. } = aggregation.summary(&settings(), 0, |_| Some(100.0));
     assert!(
         totals.failures_per_s <= 1.0
             && totals.failures_per_s / (totals.successes_per_s + totals.failures_per_s) < 0.1,
@@ -115,52 +127,53 @@
 }
 
 #[test]
-fn a_member_with_a_long_way_to_its_next_report_does_not_age_out_before() {
+fn report_lives_until_announced_next_one() {
     let mut aggregation = Aggregation::default();
-    aggregation.take(0, 1, 40, Report { next: 6 * S, ..report(1, (0, 1), &[(1, 10.0)]) });
-    aggregation.take(5 * S, 2, 40, report(1, (0, 1), &[(2, 10.0)]));
+    aggregation.record(0, 1, 40, Report { next_report_in: 6 * S, ..report(1, (0, 1), &[(1, 10.0)]) });
+    aggregation.record(5 * S, 2, 40, report(1, (0, 1), &[(2, 10.0)]));
     assert_eq!(used(&mut aggregation, 7 * S), BTreeMap::from([(1, 0.1), (2, 0.1)]));
     assert_eq!(used(&mut aggregation, 8 * S), BTreeMap::from([(1, 0.1)]));
 }
 
 /// Ten nodes; where all take as many, nobody is held off, however many that is.
 #[test]
-fn a_node_that_took_far_more_than_others_settles_and_an_even_rush_holds_nobody_off() {
-    let told = |crowd: u32| {
+fn crowded_endpoint_is_reported_as_utilized() {
+    let utilizations = |crowd: u32| {
         let mut aggregation = Aggregation::default();
         for member in 0..60 {
             let node = if member < crowd { 0 } else { member % 10 };
-            let mut told = report(1, (0, 1), &[(node, 0.1)]);
-            told.entries[0].health = HealthVerdict::Healthy;
-            aggregation.take(0, member, 40, told);
+            let mut reported = report(1, (0, 1), &[(node, 0.1)]);
+            reported.entries[0].health = HealthVerdict::Healthy;
+            aggregation.record(0, member, 40, reported);
         }
         used(&mut aggregation, 0)
     };
-    assert!(told(0).values().all(|used| *used < MIN_REPORTED_UTILIZATION), "{:?}", told(0));
-    let crowded = told(20);
+    assert!(utilizations(0).values().all(|used| *used < MIN_REPORTED_UTILIZATION), "{:?}", utilizations(0));
+    let crowded = utilizations(20);
     assert!(crowded[&0] >= MIN_REPORTED_UTILIZATION, "{crowded:?}");
     assert!((1..10).all(|node| crowded[&node] < MIN_REPORTED_UTILIZATION), "{crowded:?}");
 }
 
+/// A verdict needs two members, and as many against it undo it.
 #[test]
-fn a_word_needs_two_and_no_majority_against_it() {
+fn verdict_needs_two_and_a_majority() {
     let mut aggregation = Aggregation::default();
-    let word = |aggregation: &mut Aggregation, member, word| {
-        let mut told = report(1, (0, 1), &[(1, 1.0)]);
-        told.entries[0].health = word;
-        aggregation.take(0, member, 40, told);
-        aggregation.table = None;
-        aggregation.table(&settings(), 0, |_| Some(100.0)).nodes[0].2
+    let verdict_after = |aggregation: &mut Aggregation, member, health| {
+        let mut reported = report(1, (0, 1), &[(1, 1.0)]);
+        reported.entries[0].health = health;
+        aggregation.record(0, member, 40, reported);
+        aggregation.cached_summary = None;
+        aggregation.summary(&settings(), 0, |_| Some(100.0)).endpoints[0].health
     };
     assert_eq!(
-        word(&mut aggregation, 1, HealthVerdict::Unhealthy),
+        verdict_after(&mut aggregation, 1, HealthVerdict::Unhealthy),
         HealthVerdict::Unknown,
         "one may be cut off itself"
     );
-    assert_eq!(word(&mut aggregation, 2, HealthVerdict::Unhealthy), HealthVerdict::Unhealthy);
-    assert_eq!(word(&mut aggregation, 3, HealthVerdict::Healthy), HealthVerdict::Unhealthy);
+    assert_eq!(verdict_after(&mut aggregation, 2, HealthVerdict::Unhealthy), HealthVerdict::Unhealthy);
+    assert_eq!(verdict_after(&mut aggregation, 3, HealthVerdict::Healthy), HealthVerdict::Unhealthy);
     assert_eq!(
-        word(&mut aggregation, 4, HealthVerdict::Healthy),
+        verdict_after(&mut aggregation, 4, HealthVerdict::Healthy),
         HealthVerdict::Unknown,
         "as many say otherwise"
     );
--- a/crates/aggregation/src/aggregator_order_tests.rs
+++ b/crates/aggregation/src/aggregator_order_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn duty_goes_round_evenly_and_one_more_member_changes_little() {
+fn duty_is_even_and_stable() {
     let mut duty = vec![0_u32; 300];
     for epoch in 0..30_000 {
         duty[aggregator_order(epoch, 300)[0] as usize] += 1;
--- a/crates/aggregation/src/config.rs
+++ b/crates/aggregation/src/config.rs
@@ -6,39 +6,39 @@
 const PERIOD_MS: u32 = 1_000;
 const LONGEST_PERIOD_MS: u32 = 6_000;
 const DATAGRAMS_WITHIN: (f64, f64) = (0.01, 1_000.0);
-/// Below, answers cross the next question; above, nothing told is worth its datagram.
+/// Milliseconds. Below, answers cross the next report; above, no summary is worth its datagram.
 const PERIOD_WITHIN: (u32, u32) = (200, 60_000);
-/// Heaviest groups that a proxy reports, and groups that a table names: what 16 datagrams hold, with room for long figures.
+/// Groups of one report, and of one answer: what 16 datagrams hold, with room for long numbers.
 const GROUPS_WITHIN: (u32, u32) = (1, 320);
-/// Under a quarter of a node, a group shares each of its homes with others.
-const HOME_USE: f64 = 0.25;
-const HOME_USE_WITHIN: (f64, f64) = (0.05, 0.9);
-const HOMES_HOLD_S: u32 = 600;
-const HOMES_KEEP_S: u32 = 180;
-/// Under 10 s, two tables that are lost would count as silence.
+/// Up to a quarter of a node, a group shares each endpoint of its subset with others.
+const TARGET_UTILIZATION: f64 = 0.25;
+const TARGET_UTILIZATION_WITHIN: (f64, f64) = (0.05, 0.9);
+const SHRINK_HOLD_S: u32 = 600;
+const RETENTION_S: u32 = 180;
+/// Under 10 s, two answers that are lost would count as silence.
 const SECONDS_WITHIN: (u32, u32) = (10, 86_400);
-/// With fewer, everybody can tell everybody.
+/// With fewer members each can send to every other.
 const MEMBERS_WITHIN: (u32, u32) = (4, 65_535);
 
 /// The section as it is written. Off unless `members_from` is set.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetSection {
-    /// A tier of so many proxies or more has a fleet snapshot, in place of gossip.
+    /// A fleet of so many proxies or more aggregates reports, in place of gossip.
     pub members_from: Option<u32>,
-    /// Ceiling of the whole tier: full datagrams (256 bytes) sent for each request that comes to any of its proxies.
+    /// Bandwidth limit of the fleet: full datagrams (256 bytes) sent for each request that arrives at any of its proxies.
     pub datagrams_per_request: f64,
-    /// Milliseconds between two reports of a proxy at least.
+    /// The least time between two reports of a proxy, in milliseconds.
     pub period_ms: u32,
-    /// ... and at most, however few requests come.
+    /// The most, however few requests arrive, in milliseconds.
     pub longest_period_ms: u32,
-    /// So many of its heaviest groups a proxy reports, and so many groups a table gives more than five homes. Off unless set.
+    /// Groups that a proxy reports, the heaviest, and groups that one answer gives more than five endpoints. Off unless set.
     pub group_homes: Option<u32>,
-    /// Part of a node's size that one group is to use at each of its homes, what a home costs included.
+    /// Share of a node's capacity that one group is to use at each endpoint of its subset, what it costs there included.
     pub home_use: f64,
-    /// Seconds within which a group's homes fall by half at most.
+    /// Seconds within which a group's subset shrinks by half at most.
     pub homes_hold_s: u32,
-    /// Seconds for which the last table's homes count when none comes any more.
+    /// Seconds for which the last answer's sizes count when no other arrives.
     pub homes_keep_s: u32,
 }
 
@@ -50,38 +50,38 @@
             period_ms: PERIOD_MS,
             longest_period_ms: LONGEST_PERIOD_MS,
             group_homes: None,
-            home_use: HOME_USE,
-            homes_hold_s: HOMES_HOLD_S,
-            homes_keep_s: HOMES_KEEP_S,
+            home_use: TARGET_UTILIZATION,
+            homes_hold_s: SHRINK_HOLD_S,
+            homes_keep_s: RETENTION_S,
         }
     }
 }
 
-/// SubsetSizes by a group's size, checked and on. Times in microseconds.
+/// Settings of affinity subsets that follow a group's load, checked. Times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AffinitySettings {
-    /// GroupReport of one report, or of one table, at most.
-    pub groups: usize,
-    /// Part of a node's size for one group at each of its homes.
-    pub home_use: f64,
-    /// Within this time homes fall by half at most.
-    pub hold: i64,
-    /// The last table counts for so long.
-    pub keep: i64,
+    /// Groups of one report, or of one answer, at most.
+    pub max_groups: usize,
+    /// Share of a node's capacity for one group at each endpoint of its subset.
+    pub target_utilization: f64,
+    /// Within this time a subset shrinks by half at most.
+    pub shrink_hold: i64,
+    /// The last answer counts for so long.
+    pub retention: i64,
 }
 
 /// A checked section that is on. Times in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The tier's size from which on it counts.
+    /// The least number of members that aggregate.
     pub members_from: u32,
-    /// Full datagrams for each request of the tier.
+    /// Full datagrams for each request of the fleet.
     pub datagrams_per_request: f64,
-    /// Between two reports at least.
-    pub period: i64,
-    /// Between two reports at most.
-    pub longest_period: i64,
-    /// SubsetSizes by a group's size; `None`: five, whatever its size.
+    /// The least time between two reports.
+    pub min_report_interval: i64,
+    /// The most.
+    pub max_report_interval: i64,
+    /// Affinity subsets that follow a group's load; `None`: five endpoints, whatever its load.
     pub affinity: Option<AffinitySettings>,
 }
 
@@ -126,7 +126,7 @@
         within("longest_period_ms", f64::from(self.longest_period_ms), least, most)?;
         let (least, most) = (f64::from(GROUPS_WITHIN.0), f64::from(GROUPS_WITHIN.1));
         within("group_homes", self.group_homes.map_or(least, f64::from), least, most)?;
-        within("home_use", self.home_use, HOME_USE_WITHIN.0, HOME_USE_WITHIN.1)?;
+        within("home_use", self.home_use, TARGET_UTILIZATION_WITHIN.0, TARGET_UTILIZATION_WITHIN.1)?;
         let (least, most) = (f64::from(SECONDS_WITHIN.0), f64::from(SECONDS_WITHIN.1));
         within("homes_hold_s", f64::from(self.homes_hold_s), least, most)?;
         within("homes_keep_s", f64::from(self.homes_keep_s), least, most)?;
@@ -136,13 +136,13 @@
         Ok(self.members_from.map(|members_from| Settings {
             members_from,
             datagrams_per_request: self.datagrams_per_request,
-            period: i64::from(self.period_ms) * 1_000,
-            longest_period: i64::from(self.longest_period_ms) * 1_000,
+            min_report_interval: i64::from(self.period_ms) * 1_000,
+            max_report_interval: i64::from(self.longest_period_ms) * 1_000,
             affinity: self.group_homes.map(|groups| AffinitySettings {
-                groups: groups as usize,
-                home_use: self.home_use,
-                hold: i64::from(self.homes_hold_s) * 1_000_000,
-                keep: i64::from(self.homes_keep_s) * 1_000_000,
+                max_groups: groups as usize,
+                target_utilization: self.home_use,
+                shrink_hold: i64::from(self.homes_hold_s) * 1_000_000,
+                retention: i64::from(self.homes_keep_s) * 1_000_000,
             }),
         }))
     }
--- a/crates/aggregation/src/config_tests.rs
+++ b/crates/aggregation/src/config_tests.rs
@@ -1,16 +1,19 @@
 use super::*;
 
 #[test]
-fn off_unless_said_and_every_fault_names_its_key() {
+fn is_off_by_default_and_errors_name_their_key() {
     let check = |text: &str| {
         let section: FleetSection = toml::from_str(text).map_err(|e| e.message().to_owned())?;
         section.check().map_err(|e| e.to_string())
     };
     assert_eq!(check(""), Ok(None));
-    assert_eq!(check("members_from = 24").unwrap().unwrap().period, 1_000_000);
-    assert_eq!(check("members_from = 24").unwrap().unwrap().affinity, None, "five homes unless said");
-    let homes = check("members_from = 24\ngroup_homes = 64").unwrap().unwrap().affinity.unwrap();
-    assert_eq!((homes.groups, homes.hold, homes.keep), (64, 600_000_000, 180_000_000));
+    assert_eq!(check("members_from = 24").unwrap().unwrap().min_report_interval, 1_000_000);
+    assert_eq!(check("members_from = 24").unwrap().unwrap().affinity, None, "five endpoints by default");
+    let affinity = check("members_from = 24\ngroup_homes = 64").unwrap().unwrap().affinity.unwrap();
+    assert_eq!(
+        (affinity.max_groups, affinity.shrink_hold, affinity.retention),
+        (64, 600_000_000, 180_000_000)
+    );
     for (text, named) in [
         ("members = 3", "unknown field"),
         ("members_from = 2", "fleet.members_from is not within"),
--- a/crates/aggregation/src/group_sums.rs
+++ b/crates/aggregation/src/group_sums.rs
@@ -1,192 +1,228 @@
-//! What a aggregator was told of groups, and the homes that follow from the sums. Grows with members times the groups of a report,
-//! which the wire bounds; a member_report ages out as reports do.
+//! The group reports that an aggregator has received, and the sizes of the affinity subsets that follow. Grows with members times
+//! the groups of a report, which the wire bounds; a report expires as load reports do.
 
-use crate::affinity_subsets::{LEAST_HOMES, Nodes, needed};
-use crate::aggregation::{ALWAYS, KEPT_HALVES, LEAST_NEXT, MOST_OF_USUAL};
+use crate::affinity_subsets::{EndpointPool, MIN_SUBSET_SIZE, required_size};
+use crate::fleet_sums::{ALWAYS_ALLOWED, MAX_OVER_USUAL};
+use crate::member_report::{LIFETIME_HALF_INTERVALS, MIN_NEXT_REPORT_IN};
+use crate::sequence::SequenceOrder;
 use crate::wire::GroupReport;
 use crate::{AffinitySettings, Micros, Settings};
 use std::collections::BTreeMap;
 
-/// A table is made anew after this: a group's size changes within minutes, and 440 members' groups take a millisecond or two.
-const REMADE: Micros = 1_000_000;
+/// Sizes are kept for this long: a group's load changes within minutes, and 440 members' groups take a millisecond or two.
+const SIZES_LIFETIME: Micros = 1_000_000;
 /// Members that aren't heard are taken to have as much as the others, up to as many again: with two regions that lose each other,
 /// the connections of the half that is cut off are still there.
-const MOST_UNHEARD: f64 = 2.0;
+const MAX_EXTRAPOLATION: f64 = 2.0;
+/// Bytes of one group in an answer, about.
+const BYTES_PER_SIZE: usize = 10;
 
-/// What the aggregator knows of its tier beside groups.
+/// What the aggregator knows of the fleet besides groups.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FleetTotals {
-    /// Members that the tier has.
-    pub tier: u32,
-    /// ... and that report.
-    pub members: u32,
-    /// Connections of those, none counted for more than it can have.
+    /// Members by configuration.
+    pub configured_members: u32,
+    /// Members that report.
+    pub reporting_members: u32,
+    /// Connections of those, none counted for more than the limit.
     pub connections: f64,
-    /// Those of members that tell their groups: older programs don't.
-    pub with_groups: f64,
+    /// Connections of the members that report groups: older programs don't.
+    pub connections_with_groups: f64,
     /// Mean load of a connection.
     pub mean_load: f64,
-    /// The render nodes.
-    pub nodes: Nodes,
+    /// The listed endpoints.
+    pub endpoints: EndpointPool,
 }
 
 impl FleetTotals {
-    /// What a sum over the members that tell their groups is multiplied with, to stand for all.
-    fn scale(&self) -> f64 {
-        let told = if self.with_groups > 0.0 {
-            (self.connections / self.with_groups).clamp(1.0, MOST_UNHEARD)
+    /// What a sum over the members that report groups is multiplied with, to stand for all members.
+    fn extrapolation(&self) -> f64 {
+        let without_groups = if self.connections_with_groups > 0.0 {
+            (self.connections / self.connections_with_groups).clamp(1.0, MAX_EXTRAPOLATION)
         } else {
             1.0
         };
-        told * (f64::from(self.tier) / f64::from(self.members.max(1))).clamp(1.0, MOST_UNHEARD)
+        let members = f64::from(self.configured_members) / f64::from(self.reporting_members.max(1));
+        without_groups * members.clamp(1.0, MAX_EXTRAPOLATION)
     }
 }
 
+/// One member's newest group report.
 #[derive(Debug)]
-struct MemberReport {
-    until: Micros,
-    generation: u16,
-    parts: u8,
-    come: u16,
+struct MemberGroups {
+    expires_at: Micros,
+    sequence: u16,
+    fragments: u8,
+    /// Bit n: fragment n has arrived.
+    fragments_received: u16,
     bytes: usize,
-    /// Load, and the report that it is of: where a part of the newest is lost, the last one stands for it.
+    /// Each load with the sequence number of its report: while a fragment of the newest is missing, the previous one stands in.
     groups: BTreeMap<u64, (u16, f64)>,
 }
 
-/// All that was told of groups.
+impl MemberGroups {
+    fn begin(now: Micros, report: &GroupReport) -> Self {
+        MemberGroups {
+            expires_at: now,
+            sequence: report.sequence,
+            fragments: report.fragment.count,
+            fragments_received: 0,
+            bytes: 0,
+            groups: BTreeMap::new(),
+        }
+    }
+
+    /// Begins a newer report; the previous one's groups stand in for fragments that are still to arrive.
+    fn supersede(&mut self, report: &GroupReport, order: SequenceOrder) {
+        let previous = self.sequence;
+        let usable = order != SequenceOrder::Restarted;
+        self.groups.retain(|_, (sequence, _)| usable && *sequence == previous);
+        self.sequence = report.sequence;
+        self.fragments = report.fragment.count;
+        self.fragments_received = 0;
+        self.bytes = 0;
+    }
+
+    fn add_fragment(&mut self, bytes: usize, report: GroupReport) {
+        self.bytes += bytes;
+        self.fragments_received |= report.fragment.bit();
+        let sequence = self.sequence;
+        self.groups.extend(report.groups.into_iter().map(|(group, load)| (group, (sequence, load))));
+        if self.fragments_received.count_ones() >= u32::from(self.fragments) {
+            self.groups.retain(|_, (of, _)| *of == sequence);
+        }
+    }
+}
+
+/// Whether a datagram is one that a correct member sends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Recorded {
+    /// It was taken, or changed nothing.
+    Accepted,
+    /// A fragment that arrived again names other groups than the first time.
+    Contradictory,
+}
+
+/// All members' group reports.
 #[derive(Debug, Default)]
 pub struct GroupSums {
-    reports: BTreeMap<u32, MemberReport>,
-    table: Option<(Micros, Vec<(u64, u32)>)>,
-    /// GroupReport that found no room in a table.
-    pub cut: u64,
+    reports: BTreeMap<u32, MemberGroups>,
+    /// The last sizes, and when they were computed.
+    cached_sizes: Option<(Micros, Vec<(u64, u32)>)>,
+    /// Groups that found no room in an answer.
+    pub truncated: u64,
 }
 
 impl GroupSums {
-    /// A datagram of so many bytes has come. The same part of a report again changes nothing, so a member_report is two reports at most;
-    /// false if it names other groups than the first, which no honest member's does.
-    pub fn take(
+    /// Takes a datagram of so many bytes. The same fragment of a report again changes nothing, so a member has two reports here at
+    /// most.
+    pub fn record(
         &mut self,
         settings: &Settings,
         now: Micros,
         from: u32,
         bytes: usize,
-        told: GroupReport,
-    ) -> bool {
-        let (generation, bit) = (told.generation, 1_u16 << (told.part.0 & 15));
-        let fresh = MemberReport {
-            until: now,
-            generation,
-            parts: told.part.1,
-            come: 0,
-            bytes: 0,
-            groups: BTreeMap::new(),
-        };
-        let member_report = self.reports.entry(from).or_insert(fresh);
-        let newer = generation.wrapping_sub(member_report.generation) as i16;
-        if newer < 0 && newer > -16 {
-            // Overtaken on the way. One that is far behind is of a new process.
-            return true;
+        report: GroupReport,
+    ) -> Recorded {
+        let stored = self.reports.entry(from).or_insert_with(|| MemberGroups::begin(now, &report));
+        match SequenceOrder::of(report.sequence, stored.sequence) {
+            SequenceOrder::Overtaken => return Recorded::Accepted,
+            SequenceOrder::Same => {}
+            order => stored.supersede(&report, order),
         }
-        if newer != 0 {
-            let before = member_report.generation;
-            member_report.groups.retain(|_, (of, _)| newer > 0 && *of == before);
-            (member_report.generation, member_report.parts, member_report.come, member_report.bytes) =
-                (generation, told.part.1, 0, 0);
+        // No correct member is silent for longer, whatever this one announces.
+        let next = report.next_report_in.clamp(MIN_NEXT_REPORT_IN, 5 * settings.max_report_interval / 2);
+        stored.expires_at = now + LIFETIME_HALF_INTERVALS * next / 2;
+        if stored.fragments_received & report.fragment.bit() == 0 {
+            stored.add_fragment(bytes, report);
+            return Recorded::Accepted;
         }
-        // No honest member is silent for longer, whatever this one says.
-        let next = told.next.clamp(LEAST_NEXT, 5 * settings.longest_period / 2);
-        member_report.until = now + KEPT_HALVES * next / 2;
-        if member_report.come & bit != 0 {
-            return told.groups.iter().all(|(group, _)| member_report.groups.contains_key(group));
-        }
-        member_report.bytes += bytes;
-        member_report.come |= bit;
-        member_report.groups.extend(told.groups.into_iter().map(|(group, load)| (group, (generation, load))));
-        if member_report.come.count_ones() >= u32::from(member_report.parts) {
-            member_report.groups.retain(|_, (of, _)| *of == generation);
-        }
-        true
+        let known = report.groups.iter().all(|(group, _)| stored.groups.contains_key(group));
+        if known { Recorded::Accepted } else { Recorded::Contradictory }
     }
 
-    /// A member has left.
-    pub fn forget(&mut self, member: u32) {
+    /// Removes a member that has left.
+    pub fn remove(&mut self, member: u32) {
         self.reports.remove(&member);
     }
 
-    /// Only these members count.
-    pub fn keep(&mut self, heard: impl Fn(u32) -> bool) {
-        self.reports.retain(|member, _| heard(*member));
+    /// Keeps the selected members only.
+    pub fn retain(&mut self, selected: impl Fn(u32) -> bool) {
+        self.reports.retain(|member, _| selected(*member));
     }
 
-    /// What is old doesn't count any more, and takes no room.
-    pub fn forget_old(&mut self, now: Micros) {
-        self.reports.retain(|_, member_report| now <= member_report.until);
+    /// Removes reports that are too old to count.
+    pub fn expire(&mut self, now: Micros) {
+        self.reports.retain(|_, report| now <= report.expires_at);
     }
 
-    /// Whether this member tells its groups.
-    pub fn has(&self, member: u32) -> bool {
+    /// Whether this member reports its groups.
+    pub fn contains(&self, member: u32) -> bool {
         self.reports.contains_key(&member)
     }
 
-    /// Bytes to and fro for each report, beside those of the reports and tables.
-    pub fn bytes(&self) -> f64 {
-        let told: usize = self.reports.values().map(|member_report| member_report.bytes).sum();
-        let table = self.table.as_ref().map_or(0, |(_, homes)| 10 * homes.len());
-        told as f64 / self.reports.len().max(1) as f64 + table as f64
+    /// Mean bytes of a group report and its answer.
+    pub fn mean_bytes(&self) -> f64 {
+        let reports: usize = self.reports.values().map(|report| report.bytes).sum();
+        let answer = self.cached_sizes.as_ref().map_or(0, |(_, sizes)| BYTES_PER_SIZE * sizes.len());
+        reports as f64 / self.reports.len().max(1) as f64 + answer as f64
     }
 
-    /// The last table, while it is not to be made anew.
-    pub fn fresh(&self, now: Micros) -> Option<Vec<(u64, u32)>> {
-        self.table.as_ref().filter(|(made, _)| now - made < REMADE).map(|(_, table)| table.clone())
+    /// The last sizes, while they are not to be computed anew.
+    pub fn cached_sizes(&self, now: Micros) -> Option<Vec<(u64, u32)>> {
+        let cached = self.cached_sizes.as_ref();
+        cached.filter(|(computed_at, _)| now - computed_at < SIZES_LIFETIME).map(|(_, sizes)| sizes.clone())
     }
 
-    /// The groups that need more than five homes, those that need most first.
-    pub fn table(
+    /// The groups whose subset needs more than five endpoints, the largest subsets first.
+    pub fn subset_sizes(
         &mut self,
         settings: &AffinitySettings,
         now: Micros,
-        heard: &FleetTotals,
+        fleet: &FleetTotals,
     ) -> Vec<(u64, u32)> {
-        if let Some(table) = self.fresh(now) {
-            return table;
+        if let Some(sizes) = self.cached_sizes(now) {
+            return sizes;
         }
-        self.forget_old(now);
-        let scale = heard.scale();
-        let homes = |(group, load): (u64, f64)| {
-            (group, needed(load * scale, heard.mean_load, heard.nodes, settings.home_use))
+        self.expire(now);
+        let extrapolation = fleet.extrapolation();
+        let size = |(group, load): (u64, f64)| {
+            let load = load * extrapolation;
+            (group, required_size(load, fleet.mean_load, fleet.endpoints, settings.target_utilization))
         };
-        let mut table: Vec<(u64, u32)> =
-            self.sums(heard.mean_load, heard.tier).into_iter().map(homes).collect();
-        table.retain(|(_, homes)| *homes > LEAST_HOMES);
-        table.sort_unstable_by(|a, b| b.1.cmp(&a.1).then(a.0.cmp(&b.0)));
-        self.cut += table.len().saturating_sub(settings.groups) as u64;
-        table.truncate(settings.groups);
-        self.table = Some((now, table.clone()));
-        table
+        let sums = self.sums(fleet.mean_load, fleet.configured_members);
+        let mut sizes: Vec<(u64, u32)> = sums.into_iter().map(size).collect();
+        sizes.retain(|(_, size)| *size > MIN_SUBSET_SIZE);
+        sizes.sort_unstable_by(|a, b| b.1.cmp(&a.1).then(a.0.cmp(&b.0)));
+        self.truncated += sizes.len().saturating_sub(settings.max_groups) as u64;
+        sizes.truncate(settings.max_groups);
+        self.cached_sizes = Some((now, sizes.clone()));
+        sizes
     }
 
-    /// Each group's load over all that tell theirs. No member counts for more than twice what 19 of 20 have of a group, and
-    /// four connections: one that lies moves a sum by no more. Of a tier half counts at least, as if the rest of that had nothing:
-    /// a aggregator that hears three members would take one of them for the usual.
-    pub fn sums(&self, mean_load: f64, tier: u32) -> Vec<(u64, f64)> {
-        let told = self.reports.values().flat_map(|member_report| &member_report.groups);
-        let mut all: Vec<(u64, f64)> = told.map(|(group, (_, load))| (*group, *load)).collect();
-        all.sort_unstable_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-        let members = self.reports.len().max(tier as usize / 2);
-        // The 19th of 20; those that don't name the group have nothing of it.
-        let place = (members * 19 / 20).saturating_sub(1);
-        let sum = |of: &[(u64, f64)]| {
-            let nothing = members - of.len();
-            let usual =
-                place.checked_sub(nothing).and_then(|place| of.get(place)).map_or(0.0, |(_, load)| *load);
-            let most = MOST_OF_USUAL * usual + ALWAYS * mean_load;
-            (of[0].0, of.iter().map(|(_, load)| load.min(most)).sum())
-        };
-        all.chunk_by(|a, b| a.0 == b.0).map(sum).collect()
+    /// Each group's load over all members that report theirs. No member counts for more than twice what 19 of 20 have of a group,
+    /// and four connections: a faulty one moves a sum by no more. Half of the configured members count at least, as if the rest
+    /// of that had nothing: an aggregator that hears three members would take one of them for the usual.
+    pub fn sums(&self, mean_load: f64, configured_members: u32) -> Vec<(u64, f64)> {
+        let reported = self.reports.values().flat_map(|report| &report.groups);
+        let mut loads: Vec<(u64, f64)> = reported.map(|(group, (_, load))| (*group, *load)).collect();
+        loads.sort_unstable_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+        let members = self.reports.len().max(configured_members as usize / 2);
+        let of_one_group = |loads: &[(u64, f64)]| (loads[0].0, limited_sum(loads, members, mean_load));
+        loads.chunk_by(|a, b| a.0 == b.0).map(of_one_group).collect()
     }
 }
 
+/// The sum of one group's loads in ascending order, each limited by what 19 of 20 of so many members have.
+fn limited_sum(loads: &[(u64, f64)], members: usize, mean_load: f64) -> f64 {
+    let rank = (members * 19 / 20).saturating_sub(1);
+    // Members that don't name the group have nothing of it.
+    let without = members - loads.len();
+    let usual = rank.checked_sub(without).and_then(|rank| loads.get(rank)).map_or(0.0, |(_, load)| *load);
+    let limit = MAX_OVER_USUAL * usual + ALWAYS_ALLOWED * mean_load;
+    loads.iter().map(|(_, load)| load.min(limit)).sum()
+}
+
 #[cfg(test)]
 #[path = "group_sums_tests.rs"]
 mod tests;
--- a/crates/aggregation/src/groups.rs
+++ b/crates/aggregation/src/groups.rs
@@ -1,4 +1,4 @@
-//! A proxy's heaviest groups: what it reports of them. Holds what the operator allows, whatever comes.
+//! The heaviest groups of one proxy: what its group report names. Bounded by the operator's setting.
 
 /// What a proxy has of one group.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -11,18 +11,18 @@
     pub load: f64,
 }
 
-/// The heaviest `most` groups whose load is `least` or more, the heaviest first; and how many others were as heavy as that.
-/// Of equal ones all proxies keep the same.
-pub fn heaviest(mut groups: Vec<GroupLoad>, most: usize, least: f64) -> (Vec<GroupLoad>, usize) {
-    groups.retain(|group| group.load.is_finite() && group.load >= least);
+/// The heaviest `max_groups` groups whose load is `min_load` or more, the heaviest first; and how many others had that load.
+/// Of equal ones every proxy keeps the same.
+pub fn heaviest(mut groups: Vec<GroupLoad>, max_groups: usize, min_load: f64) -> (Vec<GroupLoad>, usize) {
+    groups.retain(|group| group.load.is_finite() && group.load >= min_load);
     let order = |a: &GroupLoad, b: &GroupLoad| b.load.total_cmp(&a.load).then(a.group.cmp(&b.group));
-    let cut = groups.len().saturating_sub(most);
-    if cut > 0 {
-        groups.select_nth_unstable_by(most, order);
-        groups.truncate(most);
+    let truncated = groups.len().saturating_sub(max_groups);
+    if truncated > 0 {
+        groups.select_nth_unstable_by(max_groups, order);
+        groups.truncate(max_groups);
     }
     groups.sort_unstable_by(order);
-    (groups, cut)
+    (groups, truncated)
 }
 
 #[cfg(test)]
--- a/crates/aggregation/src/groups_tests.rs
+++ b/crates/aggregation/src/groups_tests.rs
@@ -4,7 +4,7 @@
 proptest! {
     /// The plain oracle: sorted as a whole.
     #[test]
-    fn the_heaviest_are_kept(loads in prop::collection::vec(0..50_u32, 0..200), most in 1..40_usize, least in 0..20_u32) {
+    fn keeps_heaviest_like_full_sort(loads in prop::collection::vec(0..50_u32, 0..200), most in 1..40_usize, least in 0..20_u32) {
         let groups: Vec<GroupLoad> = (loads.iter().enumerate())
             .map(|(group, load)| GroupLoad { group: group as u64, connections: 1, load: f64::from(*load) })
             .collect();
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn what_is_no_load_is_no_group() {
+fn drops_groups_without_finite_load() {
     let group = |load| GroupLoad { group: 1, connections: 1, load };
     assert_eq!(heaviest(vec![group(f64::NAN), group(f64::INFINITY)], 4, 0.0), (vec![], 0));
 }
--- a/crates/aggregation/src/lib.rs
+++ b/crates/aggregation/src/lib.rs
@@ -1,30 +1,37 @@
-//! The fleet snapshot, sans-io: fully deterministic, no sockets, no clocks, no chance but that from one seed. [`Member`] is
-//! `handle(now, input)`, `poll() -> output` and `next_timeout()`.
+//! Aggregation of load reports over a fleet of proxies, sans-io: fully deterministic, no sockets, no clocks, no randomness but that
+//! from one seed. [`Member`] is `handle(now, input)`, `poll() -> output` and `next_timeout()`.
 //!
-//! Each proxy of a large tier sees a few connections, which say next to nothing of the render nodes. So each *reports* what
-//! it has, once a period, to one proxy that is *aggregator* for the time being, and gets the sums of all reports, the *table*,
-//! as the answer. The aggregator is another one every [`EPOCH`]; who comes next is the same for everybody.
-//! `docs/design/fleet-snapshot.md` says why, and what it costs.
+//! Each proxy of a large fleet has a few connections, which say next to nothing of the render nodes. So each member reports
+//! what it has, once an interval, to the member that is *aggregator* for the time being, and gets a *fleet summary*, the sums of
+//! all reports, as the answer. The aggregator is another one every [`EPOCH`]; all members compute the same order.
+//! `docs/design/fleet-view.md` says why, and what it costs.
 //!
-//! The aggregator also sums up what all have of each large group, and tells how many homes those need that five are too few for:
-//! `docs/design/group-homes.md`.
+//! The aggregator also sums up what all members have of each large group, and answers how many endpoints the group's affinity
+//! subset needs if five are too few: `docs/design/group-homes.md`.
 
 pub mod affinity_subsets;
 mod aggregation;
+mod aggregator;
 mod aggregator_order;
+mod aggregator_search;
 mod config;
+mod fleet_sums;
 pub mod group_sums;
 pub mod groups;
+mod interface;
 mod member;
+mod member_report;
 mod report_interval;
+mod sequence;
 mod snapshot;
+mod subset_tracker;
 pub mod wire;
 
-pub use aggregation::{Aggregation, MemberReport};
 pub use aggregator_order::{EPOCH, aggregator_order};
 pub use config::{AffinitySettings, FleetSection, FleetSectionError, Settings};
 pub use groups::GroupLoad;
-pub use member::{Counts, Input, LocalLoad, Member, Output};
+pub use interface::{Counts, Input, LocalLoad, Output};
+pub use member::Member;
 pub use snapshot::{EndpointUsage, Snapshot};
 pub use wire::{EndpointDigest, Entry, HealthVerdict};
 
--- a/crates/aggregation/src/snapshot.rs
+++ b/crates/aggregation/src/snapshot.rs
@@ -1,76 +1,76 @@
-//! What a member was told last.
+//! The last fleet summary that a member received.
 
 use crate::Micros;
 use crate::wire::{EndpointDigest, FleetSummary, HealthVerdict, Totals};
 use std::collections::BTreeMap;
 
-/// Of one endpoint.
+/// Set-ups a second under which no failure ratio is given.
+const MIN_SETUPS_PER_S: f64 = 2.0;
+
+/// What all proxies together have at one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointUsage {
-    /// Load over size, of all proxies together, what groups cost included; 0 for less than can be told.
+    /// Load over capacity, what groups cost included; 0 for less than a summary can express.
     pub utilization: f64,
-    /// What they met there.
+    /// What most of those who know say.
     pub health: HealthVerdict,
 }
 
-/// A table as it was taken.
+/// A fleet summary as it was received.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// When it came. What is in it is about half a period older.
+    /// When it arrived. Its content is about half a report interval older.
     pub received_at: Micros,
-    /// What the aggregator wants between two reports.
+    /// The time that the aggregator wants between two reports.
     pub report_interval: Micros,
-    /// How many proxies' reports are in it.
+    /// Members whose reports are in it.
     pub members: u32,
     /// Mean load of a connection, work in microseconds a second.
     pub mean_load: f64,
-    /// Sums over these.
+    /// Sums over these members.
     pub totals: Totals,
     /// This proxy's own connections, open or wanted, as it last reported them.
     pub own_connections: u32,
-    nodes: BTreeMap<EndpointDigest, EndpointUsage>,
+    endpoints: BTreeMap<EndpointDigest, EndpointUsage>,
 }
 
 impl Snapshot {
-    pub(crate) fn take(&mut self, now: Micros, own_connections: u32, table: FleetSummary) {
-        let nodes = table
-            .nodes
-            .into_iter()
-            .map(|(node, used, health)| (node, EndpointUsage { utilization: used, health }));
-        if table.part.0 == 0 {
-            self.nodes = nodes.collect();
-        } else {
-            self.nodes.extend(nodes);
+    /// Takes one datagram of a summary; the first fragment replaces the endpoints, later ones add to them.
+    pub(crate) fn update(&mut self, now: Micros, own_connections: u32, summary: FleetSummary) {
+        if summary.fragment.index == 0 {
+            self.endpoints.clear();
         }
-        (self.received_at, self.report_interval, self.mean_load) = (now, table.period, table.mean_load);
-        (self.members, self.totals) = (table.members, table.totals);
+        self.endpoints.extend(summary.endpoints.into_iter().map(|summed| {
+            (summed.endpoint, EndpointUsage { utilization: summed.utilization, health: summed.health })
+        }));
+        self.received_at = now;
+        self.report_interval = summary.report_interval;
+        self.members = summary.members;
+        self.mean_load = summary.mean_load;
+        self.totals = summary.totals;
         self.own_connections = own_connections;
     }
 
-    /// What was told of a endpoint. One that isn't named is used by less than [`crate::wire::MIN_REPORTED_UTILIZATION`]; that counts as 0.
-    pub fn endpoint(&self, node: EndpointDigest) -> EndpointUsage {
-        self.nodes
-            .get(&node)
-            .copied()
-            .unwrap_or(EndpointUsage { utilization: 0.0, health: HealthVerdict::Unknown })
+    /// What is known of an endpoint. One that isn't named is utilized by less than
+    /// [`crate::wire::MIN_REPORTED_UTILIZATION`]; that counts as 0.
+    pub fn endpoint(&self, endpoint: EndpointDigest) -> EndpointUsage {
+        let unnamed = EndpointUsage { utilization: 0.0, health: HealthVerdict::Unknown };
+        self.endpoints.get(&endpoint).copied().unwrap_or(unnamed)
     }
 
-    /// Those that are named.
+    /// The endpoints that are named.
     pub fn endpoints(&self) -> impl Iterator<Item = (EndpointDigest, EndpointUsage)> {
-        self.nodes.iter().map(|(node, told)| (*node, *told))
+        self.endpoints.iter().map(|(endpoint, usage)| (*endpoint, *usage))
     }
 
-    /// This proxy's part of all connections, 0 to 1.
+    /// This proxy's share of all connections, 0 to 1.
     pub fn connection_share(&self) -> f64 {
         f64::from(self.own_connections) / f64::from(self.totals.connections.max(self.own_connections).max(1))
     }
 
-    /// Part of the set-ups that failed; 0 where there were too few to say.
+    /// The ratio of connection set-ups that failed; 0 where there were too few to tell.
     pub fn setup_failure_ratio(&self) -> f64 {
-        let all = self.totals.successes_per_s + self.totals.failures_per_s;
-        if all < FEW { 0.0 } else { self.totals.failures_per_s / all }
+        let setups = self.totals.successes_per_s + self.totals.failures_per_s;
+        if setups < MIN_SETUPS_PER_S { 0.0 } else { self.totals.failures_per_s / setups }
     }
 }
-
-/// Set-ups a second under which nothing is said of how many fail.
-const FEW: f64 = 2.0;
--- a/crates/aggregation/tests/affinity_subsets.rs
+++ b/crates/aggregation/tests/affinity_subsets.rs
@@ -1,8 +1,8 @@
-//! SubsetSizes by a group's size, in whole tiers with faults: loss, delay, stops, restarts, cuts, members that aren't heard, older
-//! programs, strangers and liars.
+//! Affinity subsets by a group's load, in fleets with faults: loss, delay, stops, restarts, cuts, members that aren't heard, older
+//! programs, strangers and faulty members.
 
 mod played;
-use cottonnotch_aggregation::wire::{self, Datagram, GroupReport, SubsetSizes};
+use cottonnotch_aggregation::wire::{self, Datagram, Fragment, GroupReport, SubsetSizes};
 use cottonnotch_aggregation::*;
 use played::*;
 
@@ -15,7 +15,7 @@
 }
 
 /// One group of so many connections a member, and a small one.
-fn tier(seed: u64, members: u32, each: u32, settings: Settings) -> Sim {
+fn fleet(seed: u64, members: u32, each: u32, settings: Settings) -> Sim {
     let mut sim = Sim::new(seed, scale(members), settings);
     sim.clients(LARGE, members * each);
     sim.clients(SMALL, 60);
@@ -26,7 +26,7 @@
     assert_within(sim, what, 1.3);
 }
 
-/// Enough homes everywhere; no more than so many times what is needed at most members.
+/// Subsets are large enough everywhere; no more than so many times what is needed at most members.
 fn assert_within(sim: &Sim, what: &str, times: f64) {
     let (least, middle, most) = sim.spread(LARGE);
     let needs = sim.needs(LARGE);
@@ -40,19 +40,20 @@
     assert_eq!(sim.spread(SMALL), (5, 5, 5), "seed {}, {what}: a small group has five", sim.seed);
 }
 
+/// All members compute the same size for a large group, in fleets of every size.
 #[test]
-fn all_spread_a_large_group_alike_at_every_size() {
+fn sizes_large_group_alike_everywhere() {
     for (seed, members, each) in [(1, 30, 200), (2, 110, 60), (3, 300, 30), (4, 440, 30)] {
-        let mut sim = tier(seed, members, each, settings(Some(64), 600, 180));
-        assert!(sim.fullest(LARGE) > 1.2, "before anything is told it would push five nodes over");
+        let mut sim = fleet(seed, members, each, settings(Some(64), 600, 180));
+        assert!(sim.fullest(LARGE) > 1.2, "before the first answer it would push five nodes over");
         sim.run_for(25 * S);
         assert_right(&sim, "25 s after the start");
     }
 }
 
 #[test]
-fn homes_rise_with_a_group_within_seconds_and_fall_slowly() {
-    let mut sim = tier(5, 60, 20, settings(Some(64), 60, 30));
+fn subset_grows_fast_and_shrinks_slowly() {
+    let mut sim = fleet(5, 60, 20, settings(Some(64), 60, 30));
     sim.run_for(20 * S);
     let before = sim.needs(LARGE);
     sim.clients(LARGE, 6_000);
@@ -78,8 +79,8 @@
 }
 
 #[test]
-fn a_third_lost_and_a_tenth_restarted_all_the_time() {
-    let mut sim = tier(6, 300, 30, settings(Some(64), 600, 180));
+fn survives_loss_and_rolling_restart() {
+    let mut sim = fleet(6, 300, 30, settings(Some(64), 600, 180));
     sim.loss = 0.33;
     sim.run_for(40 * S);
     for round in 0..10 {
@@ -91,17 +92,17 @@
         sim.run_for(3 * S);
     }
     sim.run_for(20 * S);
-    // While clients come again, some are counted at two members: too many homes, not too few.
+    // While clients come again, some are counted at two members: subsets too large, not too small.
     assert_within(&sim, "20 s after all were restarted, a third lost", 1.6);
 }
 
 /// Two regions lose each other: all connections go on, each side hears half of the members.
 #[test]
-fn a_region_that_is_cut_off_pushes_no_node_over_on_either_side() {
-    let mut sim = tier(7, 220, 30, settings(Some(64), 60, 30));
+fn partition_overloads_no_endpoint() {
+    let mut sim = fleet(7, 220, 30, settings(Some(64), 60, 30));
     sim.run_for(25 * S);
     let before = sim.spread(LARGE).1;
-    (0..110).for_each(|member| sim.part[member] = 1);
+    (0..110).for_each(|member| sim.partition[member] = 1);
     for minute in 0..10 {
         sim.run_for(60 * S);
         let (least, middle, most) = sim.spread(LARGE);
@@ -109,15 +110,15 @@
         assert!(middle <= before * 3 / 2 && most <= before * 2, "minute {minute}: {middle}, {most}");
         assert!(sim.fullest(LARGE) <= 0.3, "minute {minute}: {}", sim.fullest(LARGE));
     }
-    sim.part.fill(0);
+    sim.partition.fill(0);
     sim.run_for(25 * S);
     assert_right(&sim, "25 s after the regions met again");
 }
 
 /// Half has an older program, or the keys off: it drops what it doesn't know, and every second aggregator tells nothing.
 #[test]
-fn half_of_the_tier_with_an_older_program() {
-    let mut sim = tier(8, 120, 60, settings(Some(64), 600, 180));
+fn half_of_fleet_without_groups() {
+    let mut sim = fleet(8, 120, 60, settings(Some(64), 600, 180));
     for member in (0..120).filter(|member| member % 2 == 1) {
         sim.settings[member as usize] = settings(None, 600, 180);
         sim.start(member);
@@ -125,18 +126,18 @@
     sim.run_for(200 * S);
     let needs = sim.needs(LARGE);
     for member in 0..120 {
-        let homes = sim.homes(member, LARGE);
+        let size = sim.subset_size(member, LARGE);
         if member % 2 == 0 {
-            assert!((needs * 85 / 100..=needs * 14 / 10).contains(&homes), "{member}: {homes} of {needs}");
+            assert!((needs * 85 / 100..=needs * 14 / 10).contains(&size), "{member}: {size} of {needs}");
         } else {
-            assert_eq!(homes, 5, "an older program has five");
+            assert_eq!(size, 5, "an older program has five");
         }
     }
     let (old, new): (Vec<_>, Vec<_>) = (0..120).partition(|member| member % 2 == 1);
     let dropped =
         |of: &[usize]| -> u64 { of.iter().map(|m| sim.members[*m].as_ref().unwrap().counts().dropped).sum() };
     assert!(dropped(&old) > 100, "what it doesn't know it drops and counts");
-    // Answers that cross the next question are dropped in any tier.
+    // Answers that cross the next question are dropped in any fleet.
     assert!(dropped(&new) * 1_000 < sim.sent, "and nobody drops what the older tell: {}", dropped(&new));
     let snapshots = sim
         .members
@@ -148,34 +149,34 @@
 
 /// Hears all and isn't heard: it gets no answers, keeps what it had for the stated time, and then goes by its own.
 #[test]
-fn one_that_is_not_heard_keeps_its_homes_and_then_goes_by_its_own_count() {
-    let mut sim = tier(9, 60, 100, settings(Some(64), 60, 30));
+fn unheard_member_falls_back_to_own_groups() {
+    let mut sim = fleet(9, 60, 100, settings(Some(64), 60, 30));
     sim.run_for(25 * S);
-    let before = sim.homes(4, LARGE);
+    let before = sim.subset_size(4, LARGE);
     sim.mute[4] = true;
     for _ in 0..12 {
         sim.run_for(20 * S);
-        let (homes, needs) = (sim.homes(4, LARGE), sim.needs(LARGE));
-        assert!(homes >= before * 7 / 10 && homes <= needs * 2, "{homes}, {before} before, needs {needs}");
+        let (size, needs) = (sim.subset_size(4, LARGE), sim.needs(LARGE));
+        assert!(size >= before * 7 / 10 && size <= needs * 2, "{size}, {before} before, needs {needs}");
     }
     // Its clients leave: by its own count there is nothing.
     sim.groups[4].remove(&LARGE);
-    let mut last = sim.homes(4, LARGE);
+    let mut last = sim.subset_size(4, LARGE);
     for _ in 0..10 {
         sim.run_for(60 * S);
-        let homes = sim.homes(4, LARGE);
-        assert!(homes >= last / 2, "by half in a hold at most: {homes} after {last}");
-        last = homes;
+        let size = sim.subset_size(4, LARGE);
+        assert!(size >= last / 2, "by half in a hold at most: {size} after {last}");
+        last = size;
     }
     assert_eq!(last, 5);
 }
 
 /// Stopped for 30 s, as by SIGSTOP: what waits in its socket is as old as that.
 #[test]
-fn one_that_was_stopped_acts_on_no_table_of_before() {
+fn stopped_member_ignores_stale_sizes() {
     let mut late = 0;
     for seed in 10..16 {
-        let mut sim = tier(seed, 40, 100, settings(Some(64), 60, 30));
+        let mut sim = fleet(seed, 40, 100, settings(Some(64), 60, 30));
         sim.loss = 0.0;
         sim.run_for(25 * S);
         // It stops when it has just asked, so that the answer is on its way.
@@ -183,38 +184,38 @@
         let at = sim.members[7].as_ref().unwrap().next_timeout();
         sim.run_for((at - sim.now).max(0));
         sim.stop(member);
-        let before = sim.homes(member, LARGE);
+        let before = sim.subset_size(member, LARGE);
         sim.clients(LARGE, 40_000);
         sim.run_for(30 * S);
         let counts = sim.members[7].as_ref().unwrap().counts();
         sim.go_on(member);
         let after = sim.members[7].as_ref().unwrap().counts();
         late += after.late - counts.late;
-        let told = after.subset_tables_received - counts.subset_tables_received;
-        assert_eq!(told, 0, "seed {seed}: it took a table of 30 s ago");
-        assert!(sim.homes(member, LARGE) >= before, "seed {seed}");
+        let accepted = after.subset_tables_received - counts.subset_tables_received;
+        assert_eq!(accepted, 0, "seed {seed}: it accepted sizes of 30 s ago");
+        assert!(sim.subset_size(member, LARGE) >= before, "seed {seed}");
         sim.run_for(10 * S);
         assert!(
-            sim.homes(member, LARGE) >= sim.needs(LARGE) * 8 / 10,
+            sim.subset_size(member, LARGE) >= sim.needs(LARGE) * 8 / 10,
             "seed {seed}: it goes on with the others"
         );
     }
     assert!(late > 0, "none of them found an answer of before in its socket");
 }
 
-/// A group that reports to have a billion listeners, 100,000 names, strangers, wrong sizes, another tier size.
+/// A group that reports to have a billion listeners, 100,000 names, strangers, wrong sizes, another fleet size.
 #[test]
-fn bad_input_is_dropped_or_bounded_and_counted() {
-    let mut sim = tier(20, 40, 100, settings(Some(64), 600, 180));
+fn bad_input_is_bounded_and_counted() {
+    let mut sim = fleet(20, 40, 100, settings(Some(64), 600, 180));
     sim.run_for(25 * S);
     let (before, bytes) = (sim.spread(LARGE), sim.bytes.iter().sum::<u64>());
     // Two members lie, at whoever is aggregator; each tells others as many names as it can.
     for round in 0..200_u64 {
-        for liar in [38, 39] {
-            sim.groups[liar].insert(round << 32 | liar as u64, 1_000_000_000);
+        for faulty in [38, 39] {
+            sim.groups[faulty].insert(round << 32 | faulty as u64, 1_000_000_000);
             let names = (0..500).map(|name| (1 << 63 | round << 20 | name, 1));
             let more: Vec<_> = names.collect();
-            sim.groups[liar].extend(more);
+            sim.groups[faulty].extend(more);
         }
         sim.run_for(S / 5);
     }
@@ -235,10 +236,19 @@
     // Strangers and broken datagrams.
     let one = sim.members[3].as_mut().unwrap();
     let dropped = one.counts().dropped;
-    let groups =
-        GroupReport { generation: 1, part: (0, 1), no_answer: false, next: S, groups: vec![(1, 1e12)] };
-    let homes =
-        SubsetSizes { generation: 1, part: (0, 1), young: false, homes: vec![(LARGE, 1), (SMALL, 200)] };
+    let groups = GroupReport {
+        sequence: 1,
+        fragment: Fragment::ONLY,
+        advance_notice: false,
+        next_report_in: S,
+        groups: vec![(1, 1e12)],
+    };
+    let homes = SubsetSizes {
+        sequence: 1,
+        fragment: Fragment::ONLY,
+        incomplete: false,
+        sizes: vec![(LARGE, 1), (SMALL, 200)],
+    };
     let (groups, homes) =
         (wire::write_group_report(&groups).remove(0), wire::write_subset_sizes(&homes).remove(0));
     let mut long = homes.clone();
@@ -260,16 +270,16 @@
         one.handle(sim.now, Input::Datagram { from, bytes });
     }
     assert_eq!(one.counts().dropped, dropped + many);
-    assert_eq!(sim.homes(3, SMALL), 5);
+    assert_eq!(sim.subset_size(3, SMALL), 5);
 }
 
-/// A aggregator that says what it likes: no group gets more homes than there are nodes, or fewer than five.
+/// An aggregator that answers what it likes: no group gets more endpoints than there are, or fewer than five.
 #[test]
-fn a_lying_keeper_is_held_to_the_nodes_that_there_are() {
-    let mut sim = tier(21, 30, 100, settings(Some(64), 600, 180));
+fn faulty_aggregator_is_bounded_by_pool() {
+    let mut sim = fleet(21, 30, 100, settings(Some(64), 600, 180));
     sim.loss = 0.0;
     sim.run_for(25 * S);
-    let honest = sim.homes(9, LARGE);
+    let honest = sim.subset_size(9, LARGE);
     let one = sim.members[9].as_mut().unwrap();
     sim.now = one.next_timeout();
     one.handle(sim.now, Input::Tick);
@@ -278,15 +288,20 @@
         if let Output::Send { to, bytes } = output
             && let Some(Datagram::GroupReport(groups)) = wire::read(&bytes)
         {
-            asked = Some((to, groups.generation));
+            asked = Some((to, groups.sequence));
         }
     }
-    let (aggregator, generation) = asked.expect("it reports its groups");
+    let (aggregator, sequence) = asked.expect("it reports its groups");
     let homes = vec![(LARGE, 0), (SMALL, u32::MAX), (78, 3)];
-    let lie =
-        wire::write_subset_sizes(&SubsetSizes { generation, part: (0, 1), young: false, homes }).remove(0);
-    one.handle(sim.now, Input::Datagram { from: Some(aggregator), bytes: &lie });
-    assert_eq!(sim.homes(9, SMALL), 200, "all nodes, no more");
-    assert_eq!(sim.homes(9, 78), 5);
-    assert_eq!(sim.homes(9, LARGE), honest, "nobody takes homes away at once");
+    let answer = wire::write_subset_sizes(&SubsetSizes {
+        sequence,
+        fragment: Fragment::ONLY,
+        incomplete: false,
+        sizes: homes,
+    })
+    .remove(0);
+    one.handle(sim.now, Input::Datagram { from: Some(aggregator), bytes: &answer });
+    assert_eq!(sim.subset_size(9, SMALL), 200, "all nodes, no more");
+    assert_eq!(sim.subset_size(9, 78), 5);
+    assert_eq!(sim.subset_size(9, LARGE), honest, "no subset shrinks at once");
 }
--- a/crates/aggregation/tests/golden.rs
+++ b/crates/aggregation/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Datagrams of the fleet snapshot keep the bytes that earlier builds gave them.
 
 use cottonnotch_aggregation::wire::{
-    Datagram, FleetSummary, GroupReport, Report, SubsetSizes, Totals, load, rate, read, write_group_report,
-    write_report, write_subset_sizes, write_summary,
+    Datagram, EndpointSummary, FleetSummary, Fragment, GroupReport, Report, SubsetSizes, Totals, encode_load,
+    encode_rate, read, write_group_report, write_report, write_subset_sizes, write_summary,
 };
 use cottonnotch_aggregation::{EndpointDigest, Entry, HealthVerdict};
 use cottonnotch_golden::{assert_bytes, golden_path};
@@ -21,11 +21,11 @@
     };
     let entries = (1..=entries).map(entry).collect();
     Report {
-        generation: 513,
-        part: (0, 1),
+        sequence: 513,
+        fragment: Fragment::ONLY,
         leaving,
-        no_answer: !leaving,
-        next: 2_300_000,
+        advance_notice: !leaving,
+        next_report_in: 2_300_000,
         totals: totals(),
         entries,
     }
@@ -33,27 +33,37 @@
 
 fn table(nodes: u32) -> FleetSummary {
     let word = |n| [HealthVerdict::Unknown, HealthVerdict::Healthy, HealthVerdict::Unhealthy][n as usize % 3];
-    let node = |n: u32| (EndpointDigest((n * 70_001) & 0xff_ffff), f64::from(n % 64) / 32.0, word(n));
+    let node = |n: u32| EndpointSummary {
+        endpoint: EndpointDigest((n * 70_001) & 0xff_ffff),
+        utilization: f64::from(n % 64) / 32.0,
+        health: word(n),
+    };
     FleetSummary {
-        generation: 513,
-        part: (0, 1),
-        young: nodes == 0,
-        period: 1_000_000,
+        sequence: 513,
+        fragment: Fragment::ONLY,
+        incomplete: nodes == 0,
+        report_interval: 1_000_000,
         members: 300,
         totals: totals(),
         mean_load: 640.0,
-        nodes: (1..=nodes).map(node).collect(),
+        endpoints: (1..=nodes).map(node).collect(),
     }
 }
 
 fn groups() -> GroupReport {
     let groups = (1..40).map(|n| (u64::MAX / n, n as f64 * 1_600.0)).collect();
-    GroupReport { generation: 513, part: (0, 1), no_answer: true, next: 2_300_000, groups }
+    GroupReport {
+        sequence: 513,
+        fragment: Fragment::ONLY,
+        advance_notice: true,
+        next_report_in: 2_300_000,
+        groups,
+    }
 }
 
 fn homes() -> SubsetSizes {
     let homes = (1..40).map(|n| (u64::MAX / u64::from(n), 5 + n)).collect();
-    SubsetSizes { generation: 513, part: (0, 1), young: false, homes }
+    SubsetSizes { sequence: 513, fragment: Fragment::ONLY, incomplete: false, sizes: homes }
 }
 
 fn datagrams() -> Vec<(&'static str, Vec<u8>)> {
@@ -68,7 +78,7 @@
     sets.into_iter().flat_map(|(name, set)| set.into_iter().map(move |bytes| (name, bytes))).collect()
 }
 
-/// A datagram written again; one datagram has one part of its set.
+/// A datagram written again; one datagram has one fragment of its set.
 fn rewritten(datagram: &Datagram) -> Vec<Vec<u8>> {
     match datagram {
         Datagram::Report(report) => write_report(report),
@@ -82,19 +92,23 @@
 fn datagrams_keep_their_bytes_and_are_read_back() {
     let made = datagrams();
     let golden = assert_bytes(&golden_path!("datagrams.txt"), &made);
-    // Byte 5 has the part and how many there are: a part that is written alone is the only one.
-    const PART: usize = 5;
+    // Byte 5 has the fragment and how many there are: a fragment that is written alone is the only one.
+    const FRAGMENT: usize = 5;
     for (bytes, (name, _)) in golden.iter().zip(&made) {
         let datagram = read(bytes).unwrap_or_else(|| panic!("{name} is not read"));
         let again = rewritten(&datagram);
         let [again] = &again[..] else { panic!("{name} is {} datagrams now", again.len()) };
-        assert_eq!((&again[..PART], &again[PART + 1..]), (&bytes[..PART], &bytes[PART + 1..]), "{name}");
+        assert_eq!(
+            (&again[..FRAGMENT], &again[FRAGMENT + 1..]),
+            (&bytes[..FRAGMENT], &bytes[FRAGMENT + 1..]),
+            "{name}"
+        );
     }
 }
 
 #[test]
 fn scales_keep_their_steps() {
     let values = [0.0, 0.1, 1.0, 63.0, 64.0, 100.0, 1e3, 1e4, 1e5, 1e6, 4e6, 1e9];
-    let made = [("load", values.map(load).to_vec()), ("rate", values.map(rate).to_vec())];
+    let made = [("load", values.map(encode_load).to_vec()), ("rate", values.map(encode_rate).to_vec())];
     assert_bytes(&golden_path!("scales.txt"), &made);
 }
--- a/crates/aggregation/tests/played/mod.rs
+++ b/crates/aggregation/tests/played/mod.rs
@@ -1,4 +1,4 @@
-//! A tier on virtual time from one seed, for homes by a group's size: datagrams are lost and late, members stop, die, are cut
+//! A fleet on virtual time from one seed, for endpoints by a group's size: datagrams are lost and late, members stop, die, are cut
 //! off, or run an older program. What is judged is what each member would act on, against what all have in truth.
 #![allow(dead_code)]
 
@@ -40,13 +40,13 @@
     pub now: Micros,
     pub scale: Scale,
     pub loss: f64,
-    /// Members of different parts don't hear one another.
-    pub part: Vec<u8>,
+    /// Members of different partitions don't hear one another.
+    pub partition: Vec<u8>,
     /// What it sends is lost, though it hears.
     pub mute: Vec<bool>,
     /// Stopped: nothing runs, datagrams wait in its socket.
     pub stopped: Vec<Option<Waiting>>,
-    /// Each member's settings: an older program has no homes.
+    /// Each member's settings: an older program has no endpoints.
     pub settings: Vec<Settings>,
     pub members: Vec<Option<Member>>,
     /// Each member's connections by group.
@@ -78,7 +78,7 @@
             now: 0,
             scale,
             loss: 0.1,
-            part: vec![0; many],
+            partition: vec![0; many],
             mute: vec![false; many],
             stopped: vec![None; many],
             settings: vec![settings; many],
@@ -109,12 +109,12 @@
         self.groups.iter().filter_map(|groups| groups.get(&group)).sum()
     }
 
-    /// The homes that all need together, by the same formula as a plain one.
+    /// The endpoints that all need together, by the same formula as a plain one.
     pub fn needs(&self, group: u64) -> u32 {
         let Scale { load, size, nodes, .. } = self.scale;
         let room = 0.25 * size - (3.0 * load).min(0.125 * size);
-        let homes = (f64::from(self.count(group)) * load / room).ceil() as u32;
-        homes.clamp(5, nodes.max(5))
+        let endpoints = (f64::from(self.count(group)) * load / room).ceil() as u32;
+        endpoints.clamp(5, nodes.max(5))
     }
 
     pub fn start(&mut self, member: u32) {
@@ -208,7 +208,7 @@
             assert!(bytes.len() <= 256, "seed {}: {} bytes", self.seed, bytes.len());
             self.bytes[place] += bytes.len() as u64;
             self.sent += 1;
-            let cut = self.part[place] != self.part[to as usize] || self.mute[place];
+            let cut = self.partition[place] != self.partition[to as usize] || self.mute[place];
             if !cut && !self.chance.random_bool(self.loss) {
                 self.bytes[to as usize] += bytes.len() as u64;
                 let at = now + self.chance.random_range(1_000..38_000);
@@ -240,18 +240,18 @@
         self.now = until;
     }
 
-    /// The homes of a group that a member acts on.
-    pub fn homes(&self, member: u32, group: u64) -> u32 {
-        let told = self.members[member as usize]
+    /// The endpoints of a group that a member acts on.
+    pub fn subset_size(&self, member: u32, group: u64) -> u32 {
+        let subsets = self.members[member as usize]
             .as_ref()
             .map(|one| one.affinity_subsets().collect::<BTreeMap<u64, u32>>());
-        told.and_then(|told| told.get(&group).copied()).unwrap_or(5)
+        subsets.and_then(|subsets| subsets.get(&group).copied()).unwrap_or(5)
     }
 
-    /// The least, the middle and the most homes of a group, over the members that are there.
+    /// The least, the middle and the most endpoints of a group, over the members that are there.
     pub fn spread(&self, group: u64) -> (u32, u32, u32) {
         let live = (0..self.scale.members).filter(|member| self.members[*member as usize].is_some());
-        let mut all: Vec<u32> = live.map(|member| self.homes(member, group)).collect();
+        let mut all: Vec<u32> = live.map(|member| self.subset_size(member, group)).collect();
         all.sort_unstable();
         (all[0], all[all.len() / 2], all[all.len() - 1])
     }
@@ -261,7 +261,7 @@
     pub fn fullest(&self, group: u64) -> f64 {
         let of = |member: u32| {
             let own = self.groups[member as usize].get(&group).copied().unwrap_or(0);
-            f64::from(own) / f64::from(self.homes(member, group))
+            f64::from(own) / f64::from(self.subset_size(member, group))
         };
         (0..self.scale.members).map(of).sum::<f64>() * self.scale.load / self.scale.size
     }
--- a/crates/aggregation/tests/stopped.rs
+++ b/crates/aggregation/tests/stopped.rs
@@ -17,14 +17,15 @@
         .collect()
 }
 
+/// A member that is stopped while it asks takes the next prompt answer, and none from before.
 #[test]
-fn one_that_was_stopped_while_it_asked_takes_the_next_prompt_answer_and_none_of_before() {
+fn stopped_member_drops_stale_answers() {
     let epoch = (START / cottonnotch_aggregation::EPOCH) as u64;
     let aggregator_is = aggregator_order(epoch, 4)[0];
     let me = (aggregator_is + 1) % 4;
     let mut aggregator = Member::new(settings(), aggregator_is, 4, 1, START, START);
     let mut member = Member::new(settings(), me, 4, 2, START, START);
-    let tell = |aggregator: &mut Member, now, bytes: &[u8]| {
+    let answers_to = |aggregator: &mut Member, now, bytes: &[u8]| {
         aggregator.handle(now, Input::Datagram { from: Some(me), bytes });
         sent(aggregator).into_iter().filter(|(to, _)| *to == me).map(|(_, bytes)| bytes).collect::<Vec<_>>()
     };
@@ -34,7 +35,9 @@
         assert!(now < START + 15 * S, "no snapshot before the epoch's end");
         member.handle(now, Input::Tick);
         for (to, bytes) in sent(&mut member) {
-            for answer in if to == aggregator_is { tell(&mut aggregator, now, &bytes) } else { Vec::new() } {
+            for answer in
+                if to == aggregator_is { answers_to(&mut aggregator, now, &bytes) } else { Vec::new() }
+            {
                 member.handle(now, Input::Datagram { from: Some(aggregator_is), bytes: &answer });
             }
         }
@@ -46,7 +49,7 @@
     let old: Vec<Vec<u8>> = sent(&mut member)
         .iter()
         .filter(|(to, _)| *to == aggregator_is)
-        .flat_map(|(_, bytes)| tell(&mut aggregator, now, bytes))
+        .flat_map(|(_, bytes)| answers_to(&mut aggregator, now, bytes))
         .collect();
     assert!(!old.is_empty());
     now += 3 * S;
@@ -63,7 +66,7 @@
     let asked: Vec<_> = asked.iter().filter(|(to, _)| *to == aggregator_is).collect();
     assert!(!asked.is_empty(), "it asks at once");
     for (_, bytes) in asked {
-        for answer in tell(&mut aggregator, now, bytes) {
+        for answer in answers_to(&mut aggregator, now, bytes) {
             member.handle(now, Input::Datagram { from: Some(aggregator_is), bytes: &answer });
         }
     }
--- a/crates/aggregation/tests/wall_clock.rs
+++ b/crates/aggregation/tests/wall_clock.rs
@@ -18,8 +18,9 @@
     outputs.filter_map(|output| if let Output::Send { to, .. } = output { Some(to) } else { None }).collect()
 }
 
+/// Members from before and after a step of the wall clock ask the same aggregator.
 #[test]
-fn members_of_before_and_after_a_step_ask_the_same_keeper() {
+fn epoch_follows_stepped_wall_clock() {
     for step in [-3600 * S, -7 * S, 7 * S, 3600 * S] {
         let unix = UNIX + 2 * S + step;
         let aggregator = aggregator_order((unix / EPOCH) as u64, MEMBERS)[0];
--- a/crates/cottonnotch/tests/gossip.rs
+++ b/crates/cottonnotch/tests/gossip.rs
@@ -411,20 +411,24 @@
                     panic!("no report")
                 };
                 asked.push(place);
-                if !self.dead.contains(&place) && !report.no_answer {
+                if !self.dead.contains(&place) && !report.advance_notice {
                     let node = wire::EndpointDigest(EndpointDigest::of(self.full).bits());
-                    let nodes = vec![(node, 2.0, wire::HealthVerdict::Unknown)];
-                    let (generation, totals) =
-                        (report.generation, Totals { connections: 9, ..Totals::default() });
+                    let nodes = vec![wire::EndpointSummary {
+                        endpoint: node,
+                        utilization: 2.0,
+                        health: wire::HealthVerdict::Unknown,
+                    }];
+                    let (sequence, totals) =
+                        (report.sequence, Totals { connections: 9, ..Totals::default() });
                     let table = FleetSummary {
-                        generation,
-                        part: (0, 1),
-                        young: false,
-                        period: 200_000,
+                        sequence,
+                        fragment: wire::Fragment::ONLY,
+                        incomplete: false,
+                        report_interval: 200_000,
                         members: 4,
                         totals,
                         mean_load: 1_000.0,
-                        nodes,
+                        endpoints: nodes,
                     };
                     end.send_to(&wire::write_summary(&table)[0], from).unwrap();
                 }
