--- a/crates/cottonnotch/src/net/attempt.rs
+++ b/crates/cottonnotch/src/net/attempt.rs
@@ -1,6 +1,7 @@
-//! One attempt: connect to the endpoint, write the first line, wait for what comes back.
+//! One attempt to open a connection at an endpoint: connect, write the client's first line, wait for the answer.
 
-use super::network_event::{AttemptOrder, Io};
+use super::client_protocol::AttemptParameters;
+use super::network_event::Io;
 use super::open_line::OpenLine;
 use crate::rules::Clock;
 use cottonnotch_decision::{Micros, Outcome};
@@ -9,6 +10,9 @@
 use std::io;
 use std::net::SocketAddr;
 
+/// The log's part of this file: filters and collectors know it by this.
+const LOG_TARGET: &str = "cottonnotch::net::attempt";
+
 /// Until the last byte of the first line is written, the attempt can't have run; from then on it may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
@@ -28,7 +32,7 @@
     Ended(Outcome),
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 #[derive(Debug)]
 pub struct Attempt {
     address: SocketAddr,
@@ -36,13 +40,14 @@
     /// Goes out once the connection is up, with the time that is left then.
     line: OpenLine,
     phase: Phase,
-    /// That the line is written was noted.
+    /// That the line is written was reported.
     write_reported: bool,
     started: Micros,
     connect_deadline: Micros,
     deadline: Option<Micros>,
-    act_by: Option<Micros>,
-    before: Option<Micros>,
+    /// By the rules' clock.
+    rules_write_deadline: Option<Micros>,
+    write_deadline: Option<Micros>,
 }
 
 /// What an answer line means, by the protocol's table.
@@ -56,25 +61,25 @@
         b"ERR" => Progress::Ended(Outcome::Error),
         _ => {
             let words = words.escape_ascii();
-            log::warn!(address:%, answer:% = words; "endpoint answered an attempt with '{words}'");
+            log::warn!(target: LOG_TARGET, address:%, answer:% = words; "endpoint answered an attempt with '{words}'");
             Progress::Ended(Outcome::Error)
         }
     }
 }
 
 impl Attempt {
-    /// Begins the attempt; `line` is the client's first line, `until` when the proxy stops waiting.
+    /// Begins the attempt; `line` is the client's first line, `deadline` when the proxy stops waiting.
     pub fn start(
         io: &mut Io,
         key: Key,
-        order: &AttemptOrder,
+        parameters: &AttemptParameters,
         line: OpenLine,
         deadline: Option<Micros>,
     ) -> io::Result<Self> {
-        let link = LineStream::connect(order.address, io, key, Half::Far)?;
+        let link = LineStream::connect(parameters.address, io, key, Half::Far)?;
         let started = io.now();
-        let connect_deadline = started + order.connect_timeout;
-        let AttemptOrder { address, act_by, before, .. } = *order;
+        let connect_deadline = started + parameters.connect_timeout;
+        let AttemptParameters { address, rules_write_deadline, write_deadline, .. } = *parameters;
         let phase = Phase::Connecting;
         Ok(Attempt {
             address,
@@ -85,8 +90,8 @@
             started,
             connect_deadline,
             deadline,
-            act_by,
-            before,
+            rules_write_deadline,
+            write_deadline,
         })
     }
 
@@ -103,8 +108,8 @@
 
     /// Goes on as far as the socket allows.
     pub fn advance(&mut self, now: Micros) -> Progress {
-        // It came up and its time was up in one turn, of which readiness is told first: given up is given up, and a line
-        // that is not written can't run.
+        // It was connected and its time was up in one turn, of which readiness is reported first: given up is given up, and
+        // a line that is not written can't run.
         if let Some(outcome) = self.overdue(now).filter(|_| !self.is_written()) {
             return Progress::Ended(outcome);
         }
@@ -116,12 +121,7 @@
             }
         }
         if self.phase == Phase::Writing {
-            // The process was stopped, or the endpoint slow: by now other rules may count. It is decided anew.
-            if self.act_by.is_some_and(|act_by| Clock.now() >= act_by) {
-                return Progress::Ended(Outcome::NotSent);
-            }
-            // A repeat that arrives after its window has an effect of its own.
-            if self.before.is_some_and(|before| now >= before) {
+            if self.is_too_late_to_write(now) {
                 return Progress::Ended(Outcome::NotSent);
             }
             match self.link.flush() {
@@ -141,6 +141,13 @@
         }
     }
 
+    fn is_too_late_to_write(&self, now: Micros) -> bool {
+        // The process was stopped, or the endpoint slow: by now other rules may count. It is decided anew.
+        self.rules_write_deadline.is_some_and(|deadline| Clock.now() >= deadline)
+            // A repeat that arrives after its window has an effect of its own.
+            || self.write_deadline.is_some_and(|deadline| now >= deadline)
+    }
+
     /// The render node is told how long the proxy waits from now on: the connection may have been long in coming up.
     fn begin_writing(&mut self, now: Micros) {
         let left = self.deadline.map(|deadline| deadline - now);
--- /dev/null
+++ b/crates/cottonnotch/src/net/client_connection/commands.rs
@@ -0,0 +1,129 @@
+//! What the driver asks of the connection.
+
+use super::{ATTEMPT_TIMER, ClientConnection, LOG_TARGET, State};
+use crate::net::attempt::Attempt;
+use crate::net::client_protocol::{AttemptParameters, CancelScope, ClientProtocol};
+use crate::net::final_answer::{MOVE, busy_line, error_line};
+use crate::net::invariant::invariant;
+use crate::net::network_event::Io;
+use cottonnotch_decision::{Micros, Outcome};
+use std::fmt::Display;
+
+impl ClientConnection {
+    /// The client waits for an attempt or its answer. Guards against a second answer: it may have left, or have been
+    /// rejected for what it sent too early, and the report of that waits its turn.
+    fn is_queued(&self) -> bool {
+        invariant!(
+            !matches!(self.state, State::Attempting(_) | State::Established(_)),
+            "nothing is asked of a request whose attempt is in flight or that is established"
+        ) && matches!(self.state, State::Queued)
+    }
+
+    /// False if no answer is owed any more.
+    fn give_final_answer(&mut self, io: &mut Io, line: impl FnOnce() -> String) -> bool {
+        let is_queued = self.is_queued();
+        if is_queued {
+            self.send_final_line(io, &line());
+        }
+        is_queued
+    }
+}
+
+impl ClientProtocol for ClientConnection {
+    fn start_attempt(&mut self, io: &mut Io, parameters: AttemptParameters) -> bool {
+        if !self.is_queued() {
+            return false;
+        }
+        let Some(line) = &self.line else { return false };
+        let now = io.now();
+        let timeout = (parameters.timeout > 0).then(|| now + parameters.timeout);
+        let deadline = [timeout, self.deadline].into_iter().flatten().min();
+        self.endpoint_address = Some(parameters.address);
+        match Attempt::start(io, self.key, &parameters, line.clone(), deadline) {
+            Ok(attempt) => {
+                if let Some(due) = attempt.next_timeout() {
+                    io.timer(due, self.key, ATTEMPT_TIMER);
+                }
+                self.state = State::Attempting(Box::new(attempt));
+                true
+            }
+            Err(error) => {
+                let (wire_id, address) = (line.id(), parameters.address);
+                log::warn!(
+                    target: LOG_TARGET, wire_id, address:%, error:%;
+                    "attempt to {address} could not begin: {error}"
+                );
+                false
+            }
+        }
+    }
+
+    fn is_awaiting_answer(&mut self, io: &mut Io) -> bool {
+        self.check_client_present(io) && matches!(self.state, State::Queued)
+    }
+
+    fn cancel_attempt(&mut self, io: &mut Io, scope: CancelScope) -> bool {
+        let State::Attempting(attempt) = &self.state else { return false };
+        let outcome = match (attempt.is_written(), scope) {
+            (true, CancelScope::UnwrittenOnly) => return false,
+            (true, CancelScope::AnyAttempt) => Outcome::Cancelled,
+            (false, _) => Outcome::NotSent,
+        };
+        self.end_attempt(io, outcome);
+        true
+    }
+
+    fn reject(&mut self, io: &mut Io, retry_after: Micros) -> bool {
+        self.give_final_answer(io, || busy_line(retry_after))
+    }
+
+    fn fail(&mut self, io: &mut Io, reason: &dyn Display) -> bool {
+        self.give_final_answer(io, || error_line(reason))
+    }
+
+    fn migrate(&mut self, io: &mut Io) -> bool {
+        let is_established = matches!(self.state, State::Established(_));
+        if is_established {
+            // Only whole lines are queued for the client, so this falls between two.
+            self.send_final_line(io, MOVE);
+        }
+        is_established
+    }
+
+    fn reject_idle(&mut self, io: &mut Io, retry_after: Micros) -> bool {
+        if let State::ReadingFirstLine { .. } = self.state {
+            // A usual client's line may be there already and only not read yet.
+            self.read_first_line(io);
+        }
+        match self.state {
+            State::ReadingFirstLine { pinged: false, .. } => {
+                self.send_final_line(io, &busy_line(retry_after));
+                true
+            }
+            // It has had its PONG, and would take a BUSY for another one's.
+            State::ReadingFirstLine { pinged: true, .. } => {
+                self.end_client(io);
+                false
+            }
+            _ => false,
+        }
+    }
+
+    fn evict_idle(&mut self, io: &mut Io, retry_after: Micros) -> bool {
+        let was_rejected = self.reject_idle(io, retry_after);
+        // Guards against those that ask by PING and stay, too: by hundreds, they kept every other client from being accepted.
+        if let State::Answered { .. } = self.state {
+            // A close over unread bytes resets the connection, and takes the line that was just written with it.
+            self.client.discard();
+            self.state = State::Closed;
+        }
+        was_rejected
+    }
+
+    fn oldest_unanswered(&self, now: Micros) -> Option<Micros> {
+        match &self.state {
+            State::Established(relay) => relay.oldest_unanswered(now),
+            _ => None,
+        }
+    }
+}
--- /dev/null
+++ b/crates/cottonnotch/src/net/client_connection/relaying.rs
@@ -0,0 +1,95 @@
+//! While the connection is established: lines pass both ways, and a silent endpoint is noticed.
+
+use super::{
+    ClientConnection, ENDPOINT_END_TIMEOUT, ENDPOINT_END_TIMER, LOG_TARGET, SILENCE_TIMEOUT, SILENCE_TIMER,
+    State,
+};
+use crate::net::client_protocol::ClientProtocol;
+use crate::net::network_event::{ClientEvent, Io, NetworkEvent};
+use crate::net::relay::{End, Observation, RelayProgress};
+use cottonnotch_decision::{Micros, Outcome};
+use cottonnotch_reactor::Half;
+use cottonnotch_reactor::line::MAX_LINE;
+
+impl ClientConnection {
+    /// Relays what came from this half.
+    pub(super) fn relay(&mut self, io: &mut Io, from: Half) {
+        let State::Established(relay) = &mut self.state else { return };
+        let now = io.now();
+        let was_idle = relay.oldest_unanswered(now).is_none();
+        let mut observations = Vec::new();
+        let progress = match from {
+            Half::Near => relay.relay_client(&mut self.client, now),
+            Half::Far => relay.relay_endpoint(&mut self.client, now, &mut observations),
+        };
+        if was_idle && relay.oldest_unanswered(now).is_some() {
+            io.timer(now + SILENCE_TIMEOUT, self.key, SILENCE_TIMER);
+        }
+        for observation in observations {
+            let event = match observation {
+                Observation::Load(load) => ClientEvent::LoadReported(load),
+                Observation::LineAnswered { latency } => ClientEvent::LineAnswered { latency },
+            };
+            io.report(NetworkEvent::Client(self.key, event));
+        }
+        match progress {
+            RelayProgress::Idle => {}
+            RelayProgress::More => io.call_again(self.key, from),
+            RelayProgress::ClientEnded => io.timer(now + ENDPOINT_END_TIMEOUT, self.key, ENDPOINT_END_TIMER),
+            RelayProgress::LineTooLong => self.migrate_after_long_line(io),
+            RelayProgress::Ended { outcome, end } => self.end_relay(io, outcome, end),
+        }
+    }
+
+    fn migrate_after_long_line(&mut self, io: &mut Io) {
+        let (wire_id, address) = self.log_names();
+        log::warn!(
+            target: LOG_TARGET, wire_id, address;
+            "endpoint sent a line of over {MAX_LINE} bytes, client migrated"
+        );
+        self.migrate(io);
+        self.report(io, ClientEvent::Ended(Outcome::Reset));
+    }
+
+    /// The connection is over; the client's side ends as the endpoint's did.
+    fn end_relay(&mut self, io: &mut Io, outcome: Outcome, end: End) {
+        self.report(io, ClientEvent::Ended(outcome));
+        match end {
+            End::Reset => {
+                self.client.reset();
+                self.state = State::Closed;
+            }
+            End::Close => self.end_client(io),
+        }
+    }
+
+    /// The client has ended its sending, and the endpoint did not end in its time.
+    pub(super) fn close_after_client(&mut self, io: &mut Io) {
+        self.report(io, ClientEvent::Ended(Outcome::Cancelled));
+        self.state = State::Closed;
+    }
+
+    /// The silence timer is due: migrates the client if its oldest line is unanswered for too long. Guards against an
+    /// endpoint that hangs or was cut off: its connections stay open and silent, and TCP does not notice.
+    pub(super) fn check_silence(&mut self, io: &mut Io) {
+        let State::Established(relay) = &self.state else { return };
+        let now = io.now();
+        match relay.oldest_unanswered(now) {
+            Some(waited) if waited >= SILENCE_TIMEOUT => self.migrate_from_silent_endpoint(io, waited),
+            Some(waited) => io.timer(now + SILENCE_TIMEOUT - waited, self.key, SILENCE_TIMER),
+            None => {}
+        }
+    }
+
+    fn migrate_from_silent_endpoint(&mut self, io: &mut Io, waited: Micros) {
+        let waited_ms = waited / 1000;
+        let (wire_id, address) = self.log_names();
+        log::info!(
+            target: LOG_TARGET, wire_id, address, waited_ms;
+            "endpoint silent for {waited_ms} ms, client migrated"
+        );
+        self.migrate(io);
+        self.report(io, ClientEvent::EndpointSilent);
+        self.report(io, ClientEvent::Ended(Outcome::Reset));
+    }
+}
--- a/crates/cottonnotch/src/net/datagrams.rs
+++ b/crates/cottonnotch/src/net/datagrams.rs
@@ -1,6 +1,7 @@
-//! The socket on which proxies hear one another.
+//! The socket on which proxies exchange datagrams.
 
-use super::network_event::{Io, NetworkEvent, Object};
+use super::network_event::{Io, NetworkEvent};
+use super::object::{DatagramSender, Object};
 use cottonnotch_reactor::{Connection, Half, Key};
 use mio::net::UdpSocket;
 use std::io;
@@ -12,7 +13,7 @@
 /// buffer, and what does not fit there is lost before it has cost anything.
 const READ_BATCH: usize = 32;
 
-/// The proxy's own end.
+/// The socket of this proxy.
 #[derive(Debug)]
 pub struct Datagrams {
     socket: UdpSocket,
@@ -20,15 +21,17 @@
 }
 
 impl Datagrams {
-    /// Listens there. Fails as the system's calls do.
+    /// Listens at this address. Fails as the system calls do.
     pub fn bind(address: SocketAddr, key: Key, io: &mut Io) -> io::Result<Self> {
         let mut socket = UdpSocket::bind(address)?;
         io.register_reader(&mut socket, key)?;
         Ok(Datagrams { socket, key })
     }
+}
 
-    /// Sends one. What can't be sent now is lost, as it may be anywhere on its way.
-    pub fn send(&self, to: SocketAddr, bytes: &[u8]) -> bool {
+impl DatagramSender for Datagrams {
+    /// What can't be sent now is lost, as it may be anywhere on its way.
+    fn send(&self, to: SocketAddr, bytes: &[u8]) -> bool {
         bytes.len() <= MAX_DATAGRAM && self.socket.send_to(bytes, to).is_ok()
     }
 }
@@ -64,7 +67,7 @@
 }
 
 impl Object for Datagrams {
-    fn datagrams(&mut self) -> Option<&mut Datagrams> {
+    fn datagrams(&mut self) -> Option<&mut dyn DatagramSender> {
         Some(self)
     }
 }
--- a/crates/cottonnotch/src/net/discovery_client.rs
+++ b/crates/cottonnotch/src/net/discovery_client.rs
@@ -1,7 +1,8 @@
-//! The discovery client: a watch on discovery over HTTP/1.1. It reports results; when to watch is the module's
-//! decision. Another source of lists would be another connection object that reports the same network events.
+//! The discovery client: a watch on discovery over HTTP/1.1. It reports endpoint updates; when to watch is the decision
+//! module's choice. Another source of lists would be another connection object that reports the same network events.
 
-use super::network_event::{Io, NetworkEvent, Object};
+use super::network_event::{Io, NetworkEvent, WatchLoss};
+use super::object::Object;
 use cottonnotch_decision::Micros;
 use cottonnotch_decision::list_polling::{UNANSWERED_AFTER, WATCH_SILENT_AFTER};
 use cottonnotch_proxy_core::EndpointUpdate;
@@ -14,10 +15,11 @@
 
 /// Guards against a discovery that vanished: its connection stays open, and the list would quietly grow old.
 const SILENCE_TIMEOUT: Micros = WATCH_SILENT_AFTER;
-/// A call waits for its turn at discovery, which answers one after another, and says 503 itself when that takes too long. One
-/// without a word for so long has fallen silent like a watch. Chosen: over the 3 s that discovery was seen to let a call wait.
+/// A request waits for its turn at discovery, which answers one after another, and answers 503 itself when that takes
+/// too long. One without an answer for this long counts as silent, like a watch. Chosen: over the 3 s that discovery was
+/// seen to let a request wait.
 const ANSWER_TIMEOUT: Micros = 3_500_000;
-/// Bytes that drip are no word: a head, a text or a beat that is whole is one, or so many bytes of a long text.
+/// Single bytes are no progress: a complete head, text or heartbeat is, or this many bytes of a long text.
 const PROGRESS_BYTES: usize = 4_096;
 
 /// One watch.
@@ -29,18 +31,20 @@
     response: StreamedResponse,
     texts: JsonStream,
     requested_at: Micros,
-    /// When its last whole word came, if any did; else when it was asked.
+    /// When it last made progress; before that, when it was requested.
     last_progress: Micros,
     /// Bytes since then.
     bytes_since_progress: usize,
-    /// Its head is whole; so was a text or a beat.
+    /// The response's head is complete.
     has_head: bool,
+    /// A text or a heartbeat was complete.
     has_data: bool,
+    /// Its end was reported.
     lost: bool,
 }
 
 impl DiscoveryWatch {
-    /// Asks for the changes after a revision.
+    /// Requests the changes after a revision; 0: the complete list.
     pub fn start(discovery: SocketAddr, from: u64, key: Key, io: &mut Io) -> io::Result<Self> {
         let mut stream = LineStream::connect(discovery, io, key, Half::Near)?;
         let request = format!(
@@ -67,7 +71,7 @@
         })
     }
 
-    /// How far the call is: its timers carry that number.
+    /// How far the response is: its timers carry that number.
     fn progress_stage(&self) -> u32 {
         u32::from(self.has_head) + u32::from(self.has_data)
     }
@@ -78,14 +82,14 @@
         if self.has_data { silent } else { silent.min(self.requested_at + UNANSWERED_AFTER) }
     }
 
-    fn report_lost(&mut self, io: &mut Io, why: impl ToString) {
-        self.report_lost_as(io, false, why);
+    fn fail(&mut self, io: &mut Io, reason: impl ToString) {
+        self.report_lost(io, WatchLoss::Failed, reason);
     }
 
-    fn report_lost_as(&mut self, io: &mut Io, silent: bool, why: impl ToString) {
+    fn report_lost(&mut self, io: &mut Io, loss: WatchLoss, reason: impl ToString) {
         if !self.lost {
             self.lost = true;
-            io.report(NetworkEvent::WatchLost { watch: self.key, silent, why: why.to_string() });
+            io.report(NetworkEvent::WatchLost { watch: self.key, loss, reason: reason.to_string() });
         }
     }
 
@@ -98,35 +102,39 @@
             || !body.is_empty() && !self.texts.is_within()
             || self.bytes_since_progress >= PROGRESS_BYTES;
         if is_progress || self.response.is_begun() && !self.has_head {
-            let before = self.progress_stage();
-            (self.last_progress, self.bytes_since_progress, self.has_head) = (io.now(), 0, true);
-            self.has_data |= is_progress;
-            if self.progress_stage() != before {
-                io.timer(self.due(), self.key, self.progress_stage());
-            }
+            self.note_progress(io, is_progress);
         }
         for mut text in texts {
             match EndpointUpdate::parse(&mut text) {
-                Ok(result) => io.report(NetworkEvent::EndpointUpdate { watch: self.key, result }),
+                Ok(update) => io.report(NetworkEvent::EndpointUpdate { watch: self.key, update }),
                 // A bad list is dropped whole and counts as a failed call: the next watch begins at the
                 // last revision that was taken.
-                Err(error) => return self.report_lost(io, format!("a bad list: {error}")),
+                Err(error) => return self.fail(io, format!("a bad list: {error}")),
             }
         }
         if let Err(error) = parsed {
-            return self.report_lost(io, format!("a bad list: {error}"));
+            return self.fail(io, format!("a bad list: {error}"));
         }
         if let Err(error) = result {
             self.end(io, error);
         }
     }
 
-    /// It says no more. What is half there is dropped, and asked for again.
+    fn note_progress(&mut self, io: &mut Io, has_data: bool) {
+        let stage_before = self.progress_stage();
+        (self.last_progress, self.bytes_since_progress, self.has_head) = (io.now(), 0, true);
+        self.has_data |= has_data;
+        if self.progress_stage() != stage_before {
+            io.timer(self.due(), self.key, self.progress_stage());
+        }
+    }
+
+    /// The response has ended. A list that is half there is dropped, and asked for again.
     fn end(&mut self, io: &mut Io, why: impl std::fmt::Display) {
         if self.texts.is_within() {
-            self.report_lost(io, format!("{why} in the middle of a list"));
+            self.fail(io, format!("{why} in the middle of a list"));
         } else {
-            self.report_lost(io, why);
+            self.fail(io, why);
         }
     }
 }
@@ -146,7 +154,7 @@
             Fill::Blocked => {}
             Fill::More => io.call_again(self.key, Half::Near),
             Fill::Ended => self.end(io, "the connection has ended"),
-            Fill::Broken(error) if self.connected => self.report_lost(io, error),
+            Fill::Broken(error) if self.connected => self.fail(io, error),
             Fill::Broken(_) => {}
         }
     }
@@ -155,26 +163,30 @@
         if !self.connected {
             match self.stream.connected() {
                 Ok(connected) => self.connected = connected,
-                Err(error) => return self.report_lost(io, error),
+                Err(error) => return self.fail(io, error),
             }
         }
         if self.connected
             && let Err(error) = self.stream.flush()
         {
-            self.report_lost(io, error);
+            self.fail(io, error);
         }
     }
 
     fn timer(&mut self, io: &mut Io, timer: u32) {
         let due = self.due();
         if timer != self.progress_stage() {
-            // Another one runs since the call got further.
+            // Another one runs since the response got further.
         } else if due > io.now() {
             io.timer(due, self.key, timer);
         } else if self.has_data {
-            self.report_lost_as(io, true, "a beat has not come, it is silent");
+            self.report_lost(io, WatchLoss::Silent, "a beat has not come, it is silent");
         } else {
-            self.report_lost_as(io, true, if self.has_head { "no list, it is silent" } else { "no answer" });
+            self.report_lost(
+                io,
+                WatchLoss::Silent,
+                if self.has_head { "no list, it is silent" } else { "no answer" },
+            );
         }
     }
 
--- a/crates/cottonnotch/src/net/driver/acceptor.rs
+++ b/crates/cottonnotch/src/net/driver/acceptor.rs
@@ -3,7 +3,7 @@
 use super::context::{ACCEPT_CLIENTS, Context, LOG_TARGET};
 use super::unregistered_clients::UnregisteredClients;
 use crate::net::client_connection::ClientConnection;
-use crate::net::management::MAX_ADMIN_CONNECTIONS;
+use crate::net::management::admin_server::MAX_ADMIN_CONNECTIONS;
 use crate::net::network_event::NetworkEvent;
 use cottonnotch_decision::Micros;
 use cottonnotch_reactor::Key;
@@ -220,10 +220,10 @@
     }
 
     /// The proxy goes away: clients that rest are told, or a line that comes when the process has ended would be lost.
-    pub fn decline_idle_clients(&mut self, context: &mut Context) {
+    pub fn reject_idle_clients(&mut self, context: &mut Context) {
         self.unregistered.answer_all(context.now());
         for (_, key) in self.idle_clients.drain(..) {
-            if context.with_client(key, |client, io| client.decline_idle(io, 0)) == Some(true) {
+            if context.with_client(key, |client, io| client.reject_idle(io, 0)) == Some(true) {
                 context.records.client_rejected(|| "the proxy leaves, and it had said nothing".into());
             }
         }
--- a/crates/cottonnotch/src/net/driver/admin.rs
+++ b/crates/cottonnotch/src/net/driver/admin.rs
@@ -1,46 +1,56 @@
 //! Requests of operators: status, metrics, and maintenance by hand.
 
 use super::Driver;
-use super::management::Management;
+use super::management::{MaintenanceAction, status_response};
+use crate::net::management::admin_request::{AdminRequest, AdminResponse};
 use crate::net::management::metrics::Gauges;
-use crate::net::management::{AdminRequest, AdminResponse};
 use crate::rules::RulesService;
 use cottonnotch_reactor::Key;
 
 impl Driver {
-    /// An operator calls; the answer is given in this turn.
-    pub(super) fn handle_admin_request(&mut self, admin: Key, admin_request: &AdminRequest) {
-        let answer = match admin_request {
-            AdminRequest::Status => {
-                let not_ready_reason = self.not_ready_reason();
-                if not_ready_reason.is_none() {
-                    self.lifecycle.announce_ready();
-                }
-                Management::status(not_ready_reason)
-            }
-            AdminRequest::Metrics => {
-                let (known, skipped) = self.endpoints.gauges(self.context.now());
-                let rules = self.context.rules.as_ref().map(RulesService::status);
-                let (in_progress, homes) = (self.clients.requests().len(), self.peers.homes());
-                let gauges = Gauges { in_progress, known, skipped, rules, homes };
-                AdminResponse::ok(self.context.records.metrics().text(gauges, self.context.audit.metrics()))
-            }
-            AdminRequest::Enter(id) => self.set_maintenance(id, true),
-            AdminRequest::Exit(id) => self.set_maintenance(id, false),
+    /// Responds in this turn of the loop.
+    pub(super) fn handle_admin_request(&mut self, admin: Key, request: &AdminRequest) {
+        let response = match request {
+            AdminRequest::Status => self.status(),
+            AdminRequest::Metrics => self.metrics(),
+            AdminRequest::Enter(id) => self.set_maintenance(id, MaintenanceAction::Enter),
+            AdminRequest::Exit(id) => self.set_maintenance(id, MaintenanceAction::Exit),
         };
-        self.management.answer(&mut self.context, admin, &answer);
+        self.management.respond(&mut self.context, admin, &response);
     }
 
-    /// The answer is given once the call is in force: what is held or is to be tried again has gone elsewhere.
-    pub(super) fn set_maintenance(&mut self, id: &str, out: bool) -> AdminResponse {
+    /// Whether this process is ready to serve; if it is, an earlier one may stop.
+    fn status(&mut self) -> AdminResponse {
+        let not_ready_reason = self.not_ready_reason();
+        if not_ready_reason.is_none() {
+            self.lifecycle.announce_ready();
+        }
+        status_response(not_ready_reason)
+    }
+
+    fn metrics(&self) -> AdminResponse {
+        let (known_endpoints, skipped_endpoints) = self.endpoints.gauges(self.context.now());
+        let gauges = Gauges {
+            in_progress: self.clients.in_progress(),
+            known_endpoints,
+            skipped_endpoints,
+            rules: self.context.rules.as_ref().map(RulesService::status),
+            affinity: self.peers.affinity_metrics(),
+        };
+        let audit = self.context.audit.metrics();
+        AdminResponse::ok(self.context.records.metrics().text(gauges, audit))
+    }
+
+    /// Responds once the override is in force: what is queued or is to be tried again has gone elsewhere.
+    fn set_maintenance(&mut self, id: &str, action: MaintenanceAction) -> AdminResponse {
         let (context, latency, endpoints) = (&mut self.context, &mut self.latency, &mut self.endpoints);
-        let (answer, events) = self.management.set_maintenance(context, latency, endpoints, id, out);
+        let (response, events) = self.management.set_maintenance(context, latency, endpoints, id, action);
         self.handle_events(events);
         self.clients.cancel_unwritten_attempts(&mut self.context, &self.endpoints);
-        answer
+        response
     }
 
-    /// What operators have called for, here or at another process of this proxy.
+    /// Takes over what operators have set at another process of this proxy.
     pub(super) fn sync_maintenance(&mut self) {
         let event = self.management.sync(&mut self.context, &mut self.latency, &mut self.endpoints);
         self.handle_event(event);
@@ -48,8 +58,8 @@
     }
 
     /// Why this process is not ready to serve, if it isn't.
-    pub(super) fn not_ready_reason(&self) -> Option<&'static str> {
-        if self.lifecycle.is_draining() {
+    fn not_ready_reason(&self) -> Option<&'static str> {
+        if self.lifecycle.is_shutting_down() {
             Some("it is shutting down")
         } else if !self.endpoints.has_usable_endpoint() {
             Some("no render node is listed that may be used")
--- a/crates/cottonnotch/src/net/driver/audit.rs
+++ b/crates/cottonnotch/src/net/driver/audit.rs
@@ -1,5 +1,5 @@
-//! What the proxy does with each request, watched: the guard checks every step against the rules, each close, retry and refusal is
-//! counted by its reason, and each change of a request's state is in the log (`debug`) under its id.
+//! The audit of requests: the guard checks every step against the rules, each close, retry and rejection is counted by its
+//! reason, and each change of a request's state is in the log (`debug`) under its id.
 
 use super::context::LOG_TARGET;
 use super::request_table::TrackedRequest;
@@ -12,28 +12,29 @@
 /// A step whose reasons are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Step {
-    /// A connection that was up has ended, or was ended with `MOVE`.
+    /// An established connection has ended, or was ended with `MOVE`.
     Closed,
-    /// An attempt follows one that ended so.
+    /// An attempt follows one that ended for this reason.
     Retried,
-    /// Refused: harmless to repeat.
-    Refused,
+    /// Rejected: harmless to repeat.
+    Rejected,
     /// Answered with an error.
     Failed,
 }
 
 impl Step {
+    /// Part of a metric's key.
     fn name(self) -> &'static str {
         match self {
             Step::Closed => "closed",
             Step::Retried => "retried",
-            Step::Refused => "refused",
+            Step::Rejected => "refused",
             Step::Failed => "failed",
         }
     }
 }
 
-/// The guard of this proxy, and the counts.
+/// The guard of this proxy, and the counts by reason.
 #[derive(Debug, Default)]
 pub struct Audit {
     guard: Guard,
@@ -46,38 +47,38 @@
     }
 
     /// The settings have changed.
-    pub fn set(&mut self, settings: Settings) {
+    pub fn configure(&mut self, settings: Settings) {
         self.guard.set(settings);
     }
 
-    /// Each figure with its value: violations by kind, then steps by reason.
+    /// Each metric with its value: violations by kind, then steps by reason.
     pub fn metrics(&self) -> impl Iterator<Item = (String, u64)> {
         let violations = self.guard.violations().all();
         let violations = violations.map(|(kind, count)| (format!("violations.{}", kind.name()), count));
         let reasons = self.reasons.iter();
-        violations.chain(reasons.map(|((step, why), count)| (format!("{}.{why}", step.name()), *count)))
+        violations.chain(reasons.map(|((step, reason), count)| (format!("{}.{reason}", step.name()), *count)))
     }
 
-    /// What the module is told of the servers.
+    /// The decision module is about to get these entries of the server list.
     pub fn listed(&mut self, now: Micros, full: bool, entries: &[Entry]) {
         self.guard.listed(now, full, entries);
     }
 
-    // ---- a request's way ----
+    // ---- the steps of a request ----
 
-    /// It was taken.
+    /// It was accepted.
     pub fn requested(&mut self, now: Micros, request: &Request, wire_id: u64) {
         self.guard.requested(now, request);
         state(request.id, wire_id, format_args!("owed an answer, {:?} us left", request.left));
     }
 
-    /// It was open before the start and is up again.
+    /// It was open before the start and is established again.
     pub fn reopened(&mut self, request: &Request, wire_id: u64) {
         self.guard.reopened(request);
         state(request.id, wire_id, "up again");
     }
 
-    /// An attempt is to be sent. False: it must not be.
+    /// Whether an attempt may be sent: false if that would break a rule of ours.
     pub fn may_send(&mut self, now: Micros, tracked: &TrackedRequest, server: ServerId) -> bool {
         let checked = self.guard.send(now, tracked.id, server);
         let may = !matches!(checked, Err(violation) if !violation.may_come_from_outside());
@@ -94,30 +95,30 @@
     }
 
     /// The last byte of the attempt's line is written.
-    pub fn written(&mut self, now: Micros, tracked: &TrackedRequest) {
+    pub fn attempt_written(&mut self, now: Micros, tracked: &TrackedRequest) {
         report(self.guard.written(now, tracked.id), tracked);
     }
 
-    /// The attempt has ended without having been up.
+    /// The attempt has ended without a connection.
     pub fn attempt_ended(&mut self, tracked: &TrackedRequest, outcome: Outcome) {
         self.guard.attempt_ended(tracked.id, outcome);
         state(tracked.id, tracked.wire_id, format_args!("attempt ended, {}", outcome_name(outcome)));
     }
 
-    /// The attempt brought the connection up.
-    pub fn up(&mut self, now: Micros, tracked: &TrackedRequest) {
+    /// The attempt has established the connection.
+    pub fn established(&mut self, now: Micros, tracked: &TrackedRequest) {
         report(self.guard.up(now, tracked.id), tracked);
         state(tracked.id, tracked.wire_id, "up");
     }
 
-    /// Refused, by the module.
-    pub fn refused(&mut self, now: Micros, tracked: &TrackedRequest, why: RejectionReason) {
-        self.answered(now, tracked, FinalAnswer::Refused, unserved_name(why));
+    /// Rejected by the decision module.
+    pub fn rejected(&mut self, now: Micros, tracked: &TrackedRequest, reason: RejectionReason) {
+        self.answered(now, tracked, FinalAnswer::Refused, rejection_name(reason));
     }
 
-    /// Failed, by the module.
-    pub fn failed(&mut self, now: Micros, tracked: &TrackedRequest, why: RejectionReason) {
-        self.answered(now, tracked, FinalAnswer::Failed, unserved_name(why));
+    /// Failed by the decision module.
+    pub fn failed(&mut self, now: Micros, tracked: &TrackedRequest, reason: RejectionReason) {
+        self.answered(now, tracked, FinalAnswer::Failed, rejection_name(reason));
     }
 
     /// Answered with an error for what its client did.
@@ -125,11 +126,11 @@
         self.answered(now, tracked, FinalAnswer::Failed, "client");
     }
 
-    fn answered(&mut self, now: Micros, tracked: &TrackedRequest, answer: FinalAnswer, why: &'static str) {
+    fn answered(&mut self, now: Micros, tracked: &TrackedRequest, answer: FinalAnswer, reason: &'static str) {
         report(self.guard.answered(now, tracked.id, answer), tracked);
-        let step = if answer == FinalAnswer::Refused { Step::Refused } else { Step::Failed };
-        self.count(step, why);
-        state(tracked.id, tracked.wire_id, format_args!("{}: {why}", step.name()));
+        let step = if answer == FinalAnswer::Refused { Step::Rejected } else { Step::Failed };
+        self.count(step, reason);
+        state(tracked.id, tracked.wire_id, format_args!("{}: {reason}", step.name()));
     }
 
     /// Its client left before the answer.
@@ -138,50 +139,50 @@
         state(tracked.id, tracked.wire_id, "its client has left");
     }
 
-    /// A connection that was up is moved.
-    pub fn moved(&mut self, tracked: &TrackedRequest, why: MoveReason) {
-        let why = match why {
+    /// An established connection is migrated.
+    pub fn migrated(&mut self, tracked: &TrackedRequest, reason: MoveReason) {
+        let reason = match reason {
             MoveReason::PolicyRequest => "moved_asked",
             MoveReason::Draining => "moved_draining",
             MoveReason::Unresponsive => "moved_silent",
             MoveReason::ProxyShutdown => "moved_leaving",
         };
-        self.closed(tracked, why);
+        self.closed(tracked, reason);
     }
 
-    /// A connection that was up has ended.
+    /// An established connection has ended.
     pub fn ended(&mut self, tracked: &TrackedRequest, outcome: Outcome) {
         self.closed(tracked, outcome_name(outcome));
     }
 
-    fn closed(&mut self, tracked: &TrackedRequest, why: &'static str) {
+    fn closed(&mut self, tracked: &TrackedRequest, reason: &'static str) {
         report(self.guard.closed(tracked.id), tracked);
-        self.count(Step::Closed, why);
-        state(tracked.id, tracked.wire_id, format_args!("closed: {why}"));
+        self.count(Step::Closed, reason);
+        state(tracked.id, tracked.wire_id, format_args!("closed: {reason}"));
     }
 
     // ---- time ----
 
-    /// Once a second: which requests have had no answer in their time.
+    /// Once a second: reports requests that have had no answer in their time.
     pub fn report_overdue(&mut self, now: Micros) {
         for request in self.guard.overdue(now) {
             unanswered(request, "in its time");
         }
     }
 
-    /// The process ends.
+    /// The process ends: reports requests that are still without an answer.
     pub fn finish(&mut self) {
         for request in self.guard.finish() {
             unanswered(request, "before the process ends");
         }
     }
 
-    pub(super) fn count(&mut self, step: Step, why: &'static str) {
-        *self.reasons.entry((step, why)).or_default() += 1;
+    pub(super) fn count(&mut self, step: Step, reason: &'static str) {
+        *self.reasons.entry((step, reason)).or_default() += 1;
     }
 }
 
-/// Says that a rule was broken; a debug build stops there, unless somebody else may have caused it.
+/// Logs a broken rule; a debug build stops there, unless somebody else may have caused it.
 fn report(checked: GuardResult, tracked: &TrackedRequest) {
     let Err(violation) = checked else { return };
     let (kind, request) = (violation.name(), tracked.id.0);
@@ -223,8 +224,8 @@
     }
 }
 
-pub(super) fn unserved_name(why: RejectionReason) -> &'static str {
-    match why {
+pub(super) fn rejection_name(reason: RejectionReason) -> &'static str {
+    match reason {
         RejectionReason::ShuttingDown => "leaving",
         RejectionReason::AttemptsExhausted => "attempts_spent",
         RejectionReason::DeadlineTooClose => "too_late",
--- /dev/null
+++ b/crates/cottonnotch/src/net/driver/clients/admission.rs
@@ -0,0 +1,142 @@
+//! Admission of requests: a valid one is tracked and handed to the decision module, another one gets its error at once.
+
+use super::Clients;
+use crate::config::Config;
+use crate::net::connection_request::ConnectionRequest;
+use crate::net::driver::acceptor::{Acceptor, FULL_RETRY_AFTER};
+use crate::net::driver::context::{Context, LOG_TARGET};
+use crate::net::driver::endpoints::Endpoints;
+use crate::net::driver::message_latency::MessageLatency;
+use crate::net::driver::request_table::{Stage, TrackedRequest};
+use crate::net::request_error::RequestError;
+use cottonnotch_decision::settings::Profile;
+use cottonnotch_decision::{ClassId, Event, Request, RequestId, TenantId};
+use cottonnotch_reactor::Key;
+
+impl Clients {
+    /// A client requests a connection: the event for the decision module, unless the client is answered here or its
+    /// connection is only reopened.
+    pub fn handle_connection_request(
+        &mut self,
+        context: &mut Context,
+        acceptor: &mut Acceptor,
+        endpoints: &Endpoints,
+        key: Key,
+        asked: ConnectionRequest,
+    ) -> Option<Event> {
+        if let Some(error) = self.validate(&context.config, &asked) {
+            self.reject_invalid(context, key, &asked, &error);
+            return None;
+        }
+        if !acceptor.make_room_for_attempt(context, self.requests.len()) {
+            self.reject_for_sockets(context, key, &asked);
+            return None;
+        }
+        let request = to_request(&context.config.profile, self.requests.new_id(), &asked)?;
+        context.records.request(&request, asked.id);
+        if !context.is_awaiting_answer(key) {
+            // It left, or sent too much, right behind its line: the report of that finds no request. Guards the attempts
+            // and set-ups of others: the module would try for it again and again, each time for nothing.
+            context.records.client_left(request.id);
+            return None;
+        }
+        let tracked = TrackedRequest::new(request.id, u32::from(request.class.0), asked.id, asked.group);
+        // One that names an endpoint which is not known is a new connection like any other.
+        match asked.current_endpoint.and_then(|name| endpoints.find(&name)) {
+            None => {
+                context.audit.requested(context.now(), &request, tracked.wire_id);
+                self.requests.insert(key, tracked);
+                Some(Event::Request(request))
+            }
+            Some(server) => {
+                let stage = Stage::Reopening(Box::new(request));
+                let latest_attempt = Some((server, 0));
+                self.requests.insert(key, TrackedRequest { latest_attempt, stage, ..tracked });
+                self.reopen(context, endpoints, key);
+                None
+            }
+        }
+    }
+
+    /// Why a client is answered without an attempt, if a line of it must not reach an endpoint.
+    fn validate(&self, config: &Config, asked: &ConnectionRequest) -> Option<RequestError> {
+        let Profile { tenants, settings, .. } = &config.profile;
+        let is_unknown = |tenant: &String| !settings.tenants.is_empty() && tenants.find(tenant).is_none();
+        if config.profile.class(&asked.class).is_none() {
+            Some(RequestError::UnknownClass)
+        } else if asked.tenant.as_ref().is_some_and(is_unknown) {
+            Some(RequestError::UnknownTenant)
+        } else if self.requests.has_wire_id(asked.id) {
+            Some(RequestError::IdOpen)
+        } else {
+            None
+        }
+    }
+
+    fn reject_invalid(
+        &mut self,
+        context: &mut Context,
+        key: Key,
+        asked: &ConnectionRequest,
+        error: &RequestError,
+    ) {
+        self.log_rejection(context, error);
+        let class = context.config.profile.classes.find(&asked.class);
+        context.records.rejected_as_invalid(class, || error.to_string().into());
+        context.with_client(key, |client, io| client.fail(io, error));
+    }
+
+    /// Guards against running out of descriptors: a client that waited unanswered would not come again.
+    fn reject_for_sockets(&mut self, context: &mut Context, key: Key, asked: &ConnectionRequest) {
+        if let Some(more) = self.socket_shortage_log.due(context.now()) {
+            let (requests, sockets) = (self.requests.len(), context.config.sockets);
+            log::warn!(
+                target: LOG_TARGET, requests, sockets, left_out = more;
+                "out of sockets, a client is rejected ({more} more since)"
+            );
+        }
+        let class = context.config.profile.classes.find(&asked.class);
+        context.records.rejected_for_sockets(class, || "out of sockets".into());
+        context.with_client(key, |client, io| client.reject(io, FULL_RETRY_AFTER));
+    }
+
+    /// A client was rejected with an error; if it had a request already, that was its answer.
+    pub fn handle_rejected(
+        &mut self,
+        context: &mut Context,
+        latency: &mut MessageLatency,
+        key: Key,
+        error: &RequestError,
+    ) -> [Option<Event>; 2] {
+        self.log_rejection(context, error);
+        let Some(tracked) = self.remove(latency, key) else {
+            context.records.client_rejected(|| error.to_string().into());
+            return [None, None];
+        };
+        self.end_rejected(context, tracked, error)
+    }
+
+    fn log_rejection(&mut self, context: &Context, error: &RequestError) {
+        if let Some(more) = self.rejection_log.due(context.now()) {
+            log::warn!(
+                target: LOG_TARGET, reason:% = error, left_out = more;
+                "client rejected: {error} ({more} more since the last such line)"
+            );
+        }
+    }
+}
+
+/// The request in the settings' numbers; `None` if its class has none.
+fn to_request(profile: &Profile, id: RequestId, asked: &ConnectionRequest) -> Option<Request> {
+    let class = profile.class(&asked.class)?;
+    let tenant = asked.tenant.as_ref().and_then(|tenant| profile.tenants.find(tenant));
+    Some(Request {
+        id,
+        class: ClassId(class as u16),
+        tenant: tenant.map(|tenant| TenantId(tenant as u16)),
+        left: asked.time_left,
+        load_hint: asked.load_hint,
+        group: asked.group,
+        again: asked.is_repeat,
+    })
+}
--- a/crates/cottonnotch/src/net/driver/decisions.rs
+++ b/crates/cottonnotch/src/net/driver/decisions.rs
@@ -1,27 +1,30 @@
 //! The decision module: events go in, and its actions are carried out in order.
 
 use super::Driver;
+use super::clients::AttemptPlan;
 use super::context::LOG_TARGET;
 use cottonnotch_decision::{Action, Event, Micros, Notification, ServerId};
 
 impl Driver {
+    /// Hands these events to the decision module, in order.
     pub(super) fn handle_events(&mut self, events: Vec<Event>) {
         self.pending.extend(events);
         self.process_pending();
     }
 
+    /// Hands an event to the decision module, if there is one.
     pub(super) fn handle_event(&mut self, event: Option<Event>) {
         self.pending.extend(event);
         self.process_pending();
     }
 
-    /// Hands the module what is pending, and what comes of its own actions.
+    /// Hands the decision module what is pending, and what comes of its own actions.
     pub(super) fn process_pending(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.pending.pop_front() {
             let now = self.context.now();
             log::debug!(target: LOG_TARGET, "event {event:?}");
-            self.peers.witness(now, &event);
+            self.peers.observe_event(now, &event);
             self.audit_event(now, &event);
             self.context.rules.iter().for_each(|rules| rules.observe_event(&event));
             self.balancer.handle(now, event, &mut actions);
@@ -32,45 +35,47 @@
         }
     }
 
-    /// What the module is about to hear of servers and settings, for the guard.
-    pub(super) fn audit_event(&mut self, now: Micros, event: &Event) {
+    /// Shows the guard what the module is about to get of servers and settings.
+    fn audit_event(&mut self, now: Micros, event: &Event) {
         let audit = &mut self.context.audit;
         match event {
             Event::List { full, entries, .. } => audit.listed(now, *full, entries),
             Event::ManualOverride { entries } => audit.listed(now, false, entries),
-            Event::Settings(settings) => audit.set((**settings).clone()),
+            Event::Settings(settings) => audit.configure((**settings).clone()),
             _ => {}
         }
     }
 
-    pub(super) fn execute(&mut self, now: Micros, action: Action) {
+    /// Carries out an action; what comes of it at once is pending.
+    fn execute(&mut self, now: Micros, action: Action) {
         let (context, latency) = (&mut self.context, &mut self.latency);
         let event = match action {
             Action::Send { request, server, timeout, before } => {
-                self.clients.start_attempt(context, &self.endpoints, request, server, timeout, before)
+                let plan = AttemptPlan { server, timeout, write_deadline: before };
+                self.clients.start_attempt(context, &self.endpoints, request, plan)
             }
-            Action::Reject { request, retry_after, reason: why } => {
-                self.clients.reject(context, latency, request, retry_after, why);
+            Action::Reject { request, retry_after, reason } => {
+                self.clients.reject(context, latency, request, retry_after, reason);
                 None
             }
-            Action::Fail { request, reason: why } => {
-                self.clients.fail(context, latency, request, why);
+            Action::Fail { request, reason } => {
+                self.clients.fail(context, latency, request, reason);
                 None
             }
             Action::Migrate(request) => {
-                let why = self.clients.migration_reason(&self.endpoints, request);
-                self.clients.migrate(context, latency, &self.endpoints, request, why)
+                let reason = self.clients.migration_reason(&self.endpoints, request);
+                self.clients.migrate(context, latency, &self.endpoints, request, reason)
             }
             Action::WatchList => self.endpoints.watch(context),
-            // No probe is made: the module asks for none.
+            // No health check is made: the module asks for none.
             Action::Probe(server) => Some(Event::Probed { server, report: None }),
             Action::Timer { after, token } => {
                 context.reactor.io.owner_timer(now + after, token);
                 None
             }
-            Action::HealthChanged { server, health: belief } => {
-                self.endpoints.set_belief(server, belief);
-                context.records.believes(|| self.endpoints.shared_name(server), belief);
+            Action::HealthChanged { server, health } => {
+                self.endpoints.set_health(server, health);
+                context.records.endpoint_health(|| self.endpoints.shared_name(server), health);
                 None
             }
             Action::Log { notification, server } => {
@@ -81,22 +86,22 @@
         self.pending.extend(event);
     }
 
-    pub(super) fn log(&mut self, now: Micros, notification: Notification, server: Option<ServerId>) {
+    fn log(&mut self, now: Micros, notification: Notification, server: Option<ServerId>) {
         if notification == Notification::Queueing && self.no_endpoint_log.due(now).is_none() {
             return;
         }
         let endpoint = server.map_or("-", |server| self.endpoints.name(server));
         let (discovery, revision) = (self.context.config.discovery, self.endpoints.revision());
-        let requests = self.clients.requests().len();
+        let requests = self.clients.in_progress();
         match notification {
             Notification::PausedFailing => {
                 log::warn!(target: LOG_TARGET, endpoint; "endpoint {endpoint} paused, keeps failing")
             }
             Notification::Recovered => {
-                log::info!(target: LOG_TARGET, endpoint; "endpoint {endpoint} back after a good trial")
+                log::info!(target: LOG_TARGET, endpoint; "endpoint {endpoint} back after a successful trial")
             }
             Notification::Queueing => {
-                log::warn!(target: LOG_TARGET, requests; "no endpoint can be used now, holding requests")
+                log::warn!(target: LOG_TARGET, requests; "no endpoint can be used now, queueing requests")
             }
             Notification::ListUnreachable => {
                 log::error!(
--- a/crates/cottonnotch/src/net/driver/dispatch.rs
+++ b/crates/cottonnotch/src/net/driver/dispatch.rs
@@ -1,157 +1,140 @@
-//! Network events: each is handed to the part that turns it into events of the decision module.
+//! Dispatch of network events: each is handed to the part that it concerns, and what that makes of it to the decision
+//! module.
 
 use super::Driver;
 use super::context::{self, LOG_TARGET};
-use super::peers::PeerContext;
-use crate::net::network_event::NetworkEvent;
+use super::endpoints::UpdateSource;
+use crate::net::network_event::{ClientEvent, NetworkEvent};
 use crate::rules::RulesService;
 use cottonnotch_decision::Event;
 use cottonnotch_proxy_core::EndpointUpdate;
+use cottonnotch_reactor::Key;
+use std::net::SocketAddr;
 
 impl Driver {
     pub(super) fn dispatch(&mut self, network_event: NetworkEvent) {
-        let (context, latency) = (&mut self.context, &mut self.latency);
+        let context = &mut self.context;
         match network_event {
+            NetworkEvent::Client(client, event) => self.dispatch_client_event(client, event),
             NetworkEvent::ClientsWaiting => {
-                self.acceptor.on_clients_waiting(context, self.clients.requests().len())
+                self.acceptor.on_clients_waiting(context, self.clients.in_progress())
             }
-            NetworkEvent::Timer(context::ACCEPT_CLIENTS) => {
-                self.acceptor.on_accept_timer(context, self.clients.requests().len())
-            }
-
             NetworkEvent::AdminsWaiting => self.management.on_admins_waiting(context),
-            NetworkEvent::Timer(context::ACCEPT_ADMINS) => self.management.on_accept_timer(context),
-            NetworkEvent::AdminRequested(admin, admin_request) => {
-                self.handle_admin_request(admin, &admin_request)
-            }
-            NetworkEvent::Timer(context::POLL_SIBLINGS) => self.poll_siblings(),
-
-            NetworkEvent::ClientRejected { client, why } => {
-                for event in self.clients.handle_rejected(context, latency, client, &why) {
-                    self.handle_event(event);
-                }
-            }
-            NetworkEvent::ConnectionRequested(key, wanted) => {
-                let event = self.clients.handle_connection_request(
-                    context,
-                    &mut self.acceptor,
-                    &self.endpoints,
-                    key,
-                    wanted,
-                );
-                self.handle_event(event);
-            }
-            NetworkEvent::AttemptWritten { client } => self.clients.handle_attempt_written(context, client),
-            NetworkEvent::Established { client, elapsed } => {
-                let event =
-                    self.clients.handle_established(context, latency, &self.endpoints, client, elapsed);
-                self.handle_event(event);
-            }
-            NetworkEvent::AttemptEnded { client, outcome } => {
-                for event in self.clients.handle_attempt_ended(context, client, outcome) {
-                    self.handle_event(event);
+            NetworkEvent::AdminRequested(admin, request) => self.handle_admin_request(admin, &request),
+            NetworkEvent::Datagrams(received) => self.handle_datagrams(&received),
+            NetworkEvent::EndpointUpdate { watch, update } => {
+                if self.endpoints.is_watch(watch) {
+                    self.apply_endpoint_update(update, UpdateSource::Discovery);
                 }
             }
-            NetworkEvent::ConnectionEnded { client, outcome } => {
-                let event = self.clients.handle_connection_ended(context, latency, client, outcome);
+            NetworkEvent::WatchLost { watch, loss, reason } => {
+                let event = self.endpoints.handle_watch_lost(context, watch, loss, &reason);
                 self.handle_event(event);
             }
-            NetworkEvent::ClientLeft { client, outcome } => {
-                for event in self.clients.handle_client_left(context, latency, client, outcome) {
-                    self.handle_event(event);
-                }
-            }
-            NetworkEvent::EndpointSilent { client } => {
-                self.clients.record_silent_endpoint(context, &self.endpoints, client)
-            }
-            NetworkEvent::Timer(context::REOPEN) => self.clients.reopen_all(context, &self.endpoints),
-
-            NetworkEvent::LoadReported { client, load } => {
-                let now = context.now();
-                let event = self
-                    .clients
-                    .requests()
-                    .get(client)
-                    .and_then(|admin_request| latency.load_reported(now, admin_request, load));
-                self.handle_event(event);
-            }
-            NetworkEvent::LineAnswered { client, delay } => {
-                if let Some(admin_request) = self.clients.requests().get(client) {
-                    latency.record(context.now(), admin_request, delay);
-                }
-            }
-            NetworkEvent::Timer(context::TICK) => self.tick(),
+            NetworkEvent::Terminate => self.terminate(),
+            NetworkEvent::Reload => self.reload(),
+            NetworkEvent::Timer(timer) => self.dispatch_timer(timer),
+        }
+    }
 
-            NetworkEvent::Datagrams(heard) => {
-                let peer_context = PeerContext {
-                    latency,
-                    endpoints: &self.endpoints,
-                    requests: self.clients.requests().len(),
-                };
-                let events = self.peers.datagrams(context, peer_context, &heard);
-                self.handle_events(events);
-            }
-            NetworkEvent::Timer(context::PEERS) => {
-                let peer_context = PeerContext {
-                    latency,
-                    endpoints: &self.endpoints,
-                    requests: self.clients.requests().len(),
-                };
-                let events = self.peers.on_timer(context, peer_context);
-                self.handle_events(events);
-            }
+    fn dispatch_timer(&mut self, timer: u32) {
+        let context = &mut self.context;
+        match timer {
+            context::TICK => self.tick(),
+            context::DRAIN_ROUND => self.drain_round(),
+            context::REOPEN => self.clients.reopen_all(context, &self.endpoints),
+            context::ACCEPT_CLIENTS => self.acceptor.on_accept_timer(context, self.clients.in_progress()),
+            context::ACCEPT_ADMINS => self.management.on_accept_timer(context),
+            context::PEERS => self.handle_peers_timer(),
+            context::POLL_SIBLINGS => self.poll_siblings(),
+            token => self.handle_event(Some(Event::Timer(token))),
+        }
+    }
 
-            NetworkEvent::EndpointUpdate { watch, result } => {
-                if self.endpoints.is_watch(watch) {
-                    self.apply_endpoint_update(result, false);
+    fn dispatch_client_event(&mut self, client: Key, event: ClientEvent) {
+        let (context, latency, endpoints) = (&mut self.context, &mut self.latency, &self.endpoints);
+        let events = match event {
+            ClientEvent::Rejected(error) => self.clients.handle_rejected(context, latency, client, &error),
+            ClientEvent::ConnectionRequested(request) => {
+                let acceptor = &mut self.acceptor;
+                [self.clients.handle_connection_request(context, acceptor, endpoints, client, request), None]
+            }
+            ClientEvent::AttemptWritten => {
+                self.clients.handle_attempt_written(context, client);
+                return;
+            }
+            ClientEvent::Established { elapsed } => {
+                [self.clients.handle_established(context, latency, endpoints, client, elapsed), None]
+            }
+            ClientEvent::AttemptEnded(outcome) => self.clients.handle_attempt_ended(context, client, outcome),
+            ClientEvent::EndpointSilent => {
+                self.clients.record_silent_endpoint(context, endpoints, client);
+                return;
+            }
+            ClientEvent::Ended(outcome) => {
+                [self.clients.handle_connection_ended(context, latency, client, outcome), None]
+            }
+            ClientEvent::Left(outcome) => self.clients.handle_client_left(context, latency, client, outcome),
+            ClientEvent::LoadReported(load) => {
+                let (now, tracked) = (context.now(), self.clients.requests().get(client));
+                [tracked.and_then(|tracked| latency.handle_load_report(now, tracked, load)), None]
+            }
+            ClientEvent::LineAnswered { latency: answered_after } => {
+                if let Some(tracked) = self.clients.requests().get(client) {
+                    latency.record(context.now(), tracked, answered_after);
                 }
+                return;
             }
-            NetworkEvent::WatchLost { watch, silent, why } => {
-                let event = self.endpoints.watch_lost(context, watch, silent, &why);
-                self.handle_event(event);
-            }
+        };
+        // One after the other: what comes of the first is carried out before the second is handed over.
+        for event in events {
+            self.handle_event(event);
+        }
+    }
 
-            NetworkEvent::Terminate => {
-                if self.lifecycle.terminate(context, self.clients.requests()) {
-                    self.hand_over_listener();
-                    self.drain_round();
-                }
-            }
-            NetworkEvent::Timer(context::DRAIN_ROUND) => self.drain_round(),
-            NetworkEvent::Reload => self.reload(),
+    fn handle_datagrams(&mut self, received: &[(SocketAddr, Vec<u8>)]) {
+        let events =
+            self.with_peers(|peers, context, inputs| peers.handle_datagrams(context, inputs, received));
+        self.handle_events(events);
+    }
 
-            NetworkEvent::Timer(token) => self.handle_event(Some(Event::Timer(token))),
-        }
+    fn handle_peers_timer(&mut self) {
+        let events = self.with_peers(|peers, context, inputs| peers.on_timer(context, inputs));
+        self.handle_events(events);
     }
 
-    pub(super) fn apply_endpoint_update(&mut self, result: EndpointUpdate, copy: bool) {
-        let event = self.endpoints.update(&mut self.context, &mut self.latency, result, copy);
+    pub(super) fn apply_endpoint_update(&mut self, update: EndpointUpdate, source: UpdateSource) {
+        let event = self.endpoints.apply_update(&mut self.context, &mut self.latency, update, source);
         self.handle_event(Some(event));
-        // After the module knows: what is called off now goes elsewhere.
+        // After the decision module knows: what is cancelled now goes elsewhere.
         self.clients.cancel_unwritten_attempts(&mut self.context, &self.endpoints);
     }
 
-    pub(super) fn tick(&mut self) {
+    /// Once a second.
+    fn tick(&mut self) {
         self.context.observe_wall_clock();
         self.context.audit.report_overdue(self.context.now());
-        // What is held may be allowed now, or forbidden.
-        let ruled = self.context.rules.as_mut().and_then(RulesService::tick);
-        self.handle_event(ruled);
+        // What is queued may be allowed now, or forbidden.
+        let rules_event = self.context.rules.as_mut().and_then(RulesService::tick);
+        self.handle_event(rules_event);
         self.refresh_stale_list();
-        let events = self.with_peers(|peers, context, peer_context| peers.tick(context, peer_context));
+        let events = self.with_peers(|peers, context, inputs| peers.tick(context, inputs));
         self.handle_events(events);
         let events = self.latency.tick(&mut self.context, self.clients.requests());
         self.handle_events(events);
     }
 
-    /// Asks discovery anew if others were told of a newer list. Guards against a watch that is open and silent: it would show
-    /// by itself only after several beats, and drained nodes be used until then.
-    pub(super) fn refresh_stale_list(&mut self) {
+    /// Asks discovery again if other proxies have a newer list. Guards against a watch that is open and silent: it would
+    /// show by itself only after several heartbeats, and drained nodes be used until then.
+    fn refresh_stale_list(&mut self) {
         let revision = self.endpoints.revision();
-        let missed = self.context.rules.as_ref().and_then(|rules| rules.newer_list_revision(revision));
-        if let Some(newer) = missed {
-            log::warn!(target: LOG_TARGET, revision; "others were told of list {newer} by discovery, this proxy has {revision} and asks again");
-            // As after a silence: the module spreads the calls of all that were told of it in one moment.
+        let newer = self.context.rules.as_ref().and_then(|rules| rules.newer_list_revision(revision));
+        if let Some(newer) = newer {
+            log::warn!(
+                target: LOG_TARGET, revision;
+                "other proxies have list {newer} of discovery, this proxy has {revision} and asks again"
+            );
+            // As after a silence: the module spreads the requests of all proxies that learnt of it in one moment.
             self.handle_event(Some(Event::ListSilent));
         }
     }
--- a/crates/cottonnotch/src/net/driver/endpoints.rs
+++ b/crates/cottonnotch/src/net/driver/endpoints.rs
@@ -1,184 +1,179 @@
-//! The render nodes: the lists that a discovery client brings, and the watch that brings them.
+//! The endpoints: the render nodes that discovery has listed, the watch on discovery, and the operators' overrides.
 
 use super::context::{Context, LOG_TARGET};
+use super::endpoint::{Endpoint, Incarnation};
 use super::message_latency::MessageLatency;
 use crate::maintenance::Maintenance;
 use crate::net::discovery_client::DiscoveryWatch;
+use crate::net::network_event::WatchLoss;
 use crate::rules::NodeKind;
-use cottonnotch_decision::names::{Names, digest};
+use cottonnotch_decision::names::Names;
 use cottonnotch_decision::{Entry, Event, Micros, ServerHealth, ServerId, ServerState, ZoneId};
-use cottonnotch_proxy_core::{EndpointUpdate, Servers};
+use cottonnotch_proxy_core::{EndpointEntry, EndpointUpdate, Servers};
 use cottonnotch_reactor::Key;
 use cottonnotch_reactor::rate_limited_log::RateLimitedLog;
 use cottonnotch_records::Name;
 use std::net::SocketAddr;
 
-/// A render node, as the discovery client has it.
-#[derive(Debug)]
-struct Endpoint {
-    name: Name,
-    /// As discovery lists it.
-    state: ServerState,
-    address: Option<SocketAddr>,
-    /// When its process started, as discovery tells it in Unix time; and by the loop's clock, worked out when that was first told.
-    up_since: Option<Micros>,
-    started: Option<Micros>,
-    zone: ZoneId,
-    /// Its hardware class, as discovery names it.
-    flavor: Box<str>,
-    cell: u32,
-    weight: f64,
-    /// What the module last said of it.
-    belief: ServerHealth,
+/// Where an endpoint update comes from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum UpdateSource {
+    /// The list that came with the configuration, possibly outdated.
+    Remembered,
+    /// Discovery.
+    Discovery,
 }
 
-impl Endpoint {
-    fn new(name: Name) -> Self {
-        let (state, belief, zone) = (ServerState::Removed, ServerHealth::default(), ZoneId::default());
-        let flavor = Box::default();
-        let (address, up_since, started) = (None, None, None);
-        Endpoint { name, state, address, up_since, started, zone, flavor, cell: 0, weight: 1.0, belief }
-    }
-
-    fn is_listed(&self) -> bool {
-        self.state != ServerState::Removed
-    }
-
-    /// What the module is told of it.
-    fn entry(&self, server: ServerId, manual_overrides: &Maintenance) -> Entry {
-        let (state, started) = manual_overrides.apply(&self.name, self.state, self.started);
-        let (digest, zone, cell, weight) = (digest(&self.name), self.zone, self.cell, self.weight);
-        Entry { server, digest, state, zone, cell, started, weight }
-    }
-}
-
-/// All that were ever listed.
+/// All endpoints that were ever listed.
 #[derive(Debug, Default)]
 pub struct Endpoints {
-    /// Their ids: the numbers are the module's servers, and are never given anew.
+    /// Their ids: the numbers are the decision module's servers, and are never given anew.
     names: Names,
     known: Vec<Endpoint>,
     watch: Option<Key>,
     revision: u64,
-    /// What the operators have laid over the lists, as it is kept: in Unix time.
+    /// The operators' overrides as they are stored: in Unix time.
     manual_overrides: Maintenance,
-    /// The same by the loop's clock, worked out when each call was first known.
+    /// The same by the loop's clock, converted when each override was first known.
     effective_overrides: Maintenance,
-    /// Discovery has been heard of; before, there is what the configuration remembers.
+    /// Discovery has sent a list; before, there is what the configuration remembers.
     is_confirmed: bool,
     watch_loss_log: RateLimitedLog,
 }
 
 impl Endpoints {
-    /// Takes a list, or changes of it; `copy` if it came with the start. Revisions count up. A whole list with a lower
-    /// one is discovery's own word all the same: it was restored from an older state, and what it says now counts.
-    /// Changes with a lower one say nothing of what was changed since: they are refused, and the whole list is asked for.
-    pub fn update(
+    // ---- updates ----
+
+    /// Applies an update; the event for the decision module. Revisions count up. A complete list with a lower one is
+    /// accepted all the same: discovery was restored from an older state, and what it lists now counts. Changes with a
+    /// lower one say nothing of what was changed since: they are rejected, and the complete list is requested.
+    pub fn apply_update(
         &mut self,
         context: &mut Context,
         latency: &mut MessageLatency,
-        result: EndpointUpdate,
-        copy: bool,
+        update: EndpointUpdate,
+        source: UpdateSource,
     ) -> Event {
-        let EndpointUpdate { revision, complete: full, endpoints: members } = result;
-        // Before times that were told are looked at: the wall clock may have been stepped since the last second.
+        let EndpointUpdate { revision, complete, endpoints } = update;
+        // Before starts are converted: the wall clock may have been stepped since the last second.
         context.observe_wall_clock();
-        let now = context.now();
         if revision < self.revision {
-            let last = self.revision;
-            context.records.list_fell_back(full);
-            if !full {
-                log::warn!(
-                    target: LOG_TARGET, revision, last;
-                    "changes of revision {revision} after {last} refused, the whole list is asked for"
-                );
-                self.revision = 0;
-                if let Some(watch) = self.watch.take() {
-                    context.reactor.remove(watch);
-                }
-                return Event::ListFailed;
+            if !complete {
+                return self.reject_older_changes(context, revision);
             }
-            log::warn!(
-                target: LOG_TARGET, revision, last;
-                "discovery has gone back from revision {last} to {revision}, its list is taken"
-            );
+            self.accept_older_list(context, revision);
         }
         self.revision = revision;
-        self.is_confirmed |= !copy;
-        if full {
+        self.is_confirmed |= source == UpdateSource::Discovery;
+        if complete {
             self.known.iter_mut().for_each(|endpoint| endpoint.state = ServerState::Removed);
         }
-        let mut entries = Vec::with_capacity(members.len());
-        for member in members {
-            // Numbers are never given anew: a member that restarts or moves keeps its number.
-            let number = self.names.intern(&member.id);
-            if self.known.len() <= number as usize {
-                // Numbers are given in order, so the new one's place is the next.
-                self.known.push(Endpoint::new(member.id.as_str().into()));
-            }
-            let endpoint = &mut self.known[number as usize];
-            let zone = ZoneId(context.config.profile.zones.intern(&member.zone) as u16);
-            (endpoint.state, endpoint.zone) = (member.state, zone);
-            (endpoint.cell, endpoint.weight) = (member.cell, member.weight);
-            if *endpoint.flavor != *member.flavor {
-                endpoint.flavor = member.flavor.into();
-            }
-            endpoint.address = member.address.or(endpoint.address);
-            let anew = std::mem::replace(&mut endpoint.up_since, member.up_since) != member.up_since;
-            if anew {
-                endpoint.started = member.up_since.map(|unix| context.wall_clock.to_monotonic(now, unix));
-            }
-            latency.listed(ServerId(number), member.weight, anew);
-            entries.push(endpoint.entry(ServerId(number), &self.effective_overrides));
+        let now = context.now();
+        let listed = endpoints.into_iter();
+        let entries: Vec<Entry> =
+            listed.map(|listed| self.apply_entry(context, latency, now, listed)).collect();
+        self.record(context, complete, &entries);
+        self.update_rules(context, complete, &entries);
+        self.log_update(complete, &entries);
+        Event::List { full: complete, copy: source == UpdateSource::Remembered, entries }
+    }
+
+    fn reject_older_changes(&mut self, context: &mut Context, revision: u64) -> Event {
+        let last = self.revision;
+        context.records.older_list_rejected();
+        log::warn!(
+            target: LOG_TARGET, revision, last;
+            "changes of revision {revision} after {last} rejected, the complete list is requested"
+        );
+        self.revision = 0;
+        if let Some(watch) = self.watch.take() {
+            context.reactor.remove(watch);
+        }
+        Event::ListFailed
+    }
+
+    fn accept_older_list(&self, context: &mut Context, revision: u64) {
+        let last = self.revision;
+        context.records.older_list_accepted();
+        log::warn!(
+            target: LOG_TARGET, revision, last;
+            "discovery has gone back from revision {last} to {revision}, its list is accepted"
+        );
+    }
+
+    fn apply_entry(
+        &mut self,
+        context: &mut Context,
+        latency: &mut MessageLatency,
+        now: Micros,
+        listed: EndpointEntry,
+    ) -> Entry {
+        // Numbers are never given anew: an endpoint that restarts or moves keeps its number.
+        let number = self.names.intern(&listed.id);
+        if self.known.len() <= number as usize {
+            // Numbers are given in order, so the new one's place is the next.
+            self.known.push(Endpoint::new(listed.id.as_str().into()));
         }
-        self.record(context, full, &entries);
-        self.update_rules(context, full, &entries);
-        let members = entries.len();
+        let server = ServerId(number);
+        let weight = listed.weight;
+        let zone = ZoneId(context.config.profile.zones.intern(&listed.zone) as u16);
+        let endpoint = &mut self.known[number as usize];
+        let incarnation = endpoint.apply(listed, zone, |unix| context.wall_clock.to_monotonic(now, unix));
+        latency.update_endpoint(server, weight, incarnation);
+        endpoint.entry(server, &self.effective_overrides)
+    }
+
+    fn log_update(&self, complete: bool, entries: &[Entry]) {
+        let (revision, endpoints) = (self.revision, entries.len());
         log::debug!(
-            target: LOG_TARGET, revision, members, complete = full;
-            "endpoint update {revision}: {members} members, complete {full}"
+            target: LOG_TARGET, revision, endpoints, complete;
+            "endpoint update {revision}: {endpoints} endpoints, complete {complete}"
         );
-        for entry in entries.iter().filter(|e| e.state != ServerState::Ready) {
+        for entry in entries.iter().filter(|entry| entry.state != ServerState::Ready) {
             let (endpoint, state) = (self.name(entry.server), entry.state);
             log::info!(target: LOG_TARGET, endpoint, state:?, revision; "endpoint {endpoint} is {state:?}");
         }
-        Event::List { full, copy, entries }
     }
 
-    /// What the rules have to know of these: halls and hardware classes, and which may be used.
+    /// Gives the rules what they have to know of these: halls and hardware classes, and which may be used.
     fn update_rules(&self, context: &Context, full: bool, entries: &[Entry]) {
         let Some(rules) = &context.rules else { return };
         let profile = &context.config.profile;
         let kind_of = |server: ServerId| {
-            let endpoint = self.known.get(server.0 as usize);
-            let (zone, flavor) = endpoint.map_or((ZoneId::default(), ""), |s| (s.zone, &*s.flavor));
+            let endpoint = self.known_at(server);
+            let (zone, flavor) =
+                endpoint.map_or((ZoneId::default(), ""), |endpoint| (endpoint.zone, &*endpoint.flavor));
             NodeKind { hall: profile.zones.name(u32::from(zone.0)).into(), hardware: flavor.into() }
         };
         rules.update_endpoints(profile, self.revision, full, entries, kind_of);
     }
 
+    fn known_at(&self, server: ServerId) -> Option<&Endpoint> {
+        self.known.get(server.0 as usize)
+    }
+
     fn record(&self, context: &Context, full: bool, entries: &[Entry]) {
         let named = entries.iter().map(|entry| {
             let endpoint = &self.known[entry.server.0 as usize];
             (entry, Name::clone(&endpoint.name), endpoint.address)
         });
-        context.records.list(self.revision, full, named);
+        context.records.endpoint_list(self.revision, full, named);
     }
 
-    // ---- by hand ----
+    // ---- manual overrides ----
 
-    /// What the operators have laid over the lists.
+    /// The operators' overrides, in Unix time.
     pub fn manual_overrides(&self) -> &Maintenance {
         &self.manual_overrides
     }
 
-    /// A render node of this id is listed now, or a call for it is remembered.
+    /// A render node of this id is listed now, or an override of it is remembered.
     pub fn is_known(&self, id: &str) -> bool {
         let listed = self.names.find(id).and_then(|number| self.known.get(number as usize));
         listed.is_some_and(Endpoint::is_listed) || self.manual_overrides.contains(id)
     }
 
-    /// The operators have called for something else: these ids are concerned. An event, if any was ever listed.
+    /// Replaces the overrides; these ids are concerned. An event, if any of them was ever listed.
     pub fn set_overrides(
         &mut self,
         context: &mut Context,
@@ -194,13 +189,14 @@
         let mut entries = Vec::new();
         for id in ids {
             let is_out = self.manual_overrides.is_out(id);
-            let how = if is_out { "taken out" } else { "put back" };
-            log::info!(target: LOG_TARGET, endpoint = id.as_str(); "endpoint {id} {how} by hand");
+            let change = if is_out { "taken out" } else { "put back" };
+            log::info!(target: LOG_TARGET, endpoint = id.as_str(); "endpoint {id} {change} by hand");
             let Some(number) = self.names.find(id) else { continue };
             let Some(endpoint) = self.known.get(number as usize) else { continue };
             let server = ServerId(number);
             // What was seen of it before says nothing of the process that comes back.
-            latency.listed(server, endpoint.weight, !is_out);
+            let incarnation = if is_out { Incarnation::Same } else { Incarnation::New };
+            latency.update_endpoint(server, endpoint.weight, incarnation);
             entries.push(endpoint.entry(server, &self.effective_overrides));
         }
         self.record(context, false, &entries);
@@ -208,7 +204,9 @@
         (!entries.is_empty()).then_some(Event::ManualOverride { entries })
     }
 
-    /// Begins a watch from the last revision taken, in place of the old one. An event if that fails.
+    // ---- the watch on discovery ----
+
+    /// Begins a watch from the last revision accepted, in place of the old one. An event if that fails.
     pub fn watch(&mut self, context: &mut Context) -> Option<Event> {
         if let Some(old) = self.watch.take() {
             context.reactor.remove(old);
@@ -228,12 +226,12 @@
     }
 
     /// A watch is lost; an event if it was the current one.
-    pub fn watch_lost(
+    pub fn handle_watch_lost(
         &mut self,
         context: &mut Context,
         watch: Key,
-        silent: bool,
-        why: &str,
+        loss: WatchLoss,
+        reason: &str,
     ) -> Option<Event> {
         if !self.is_watch(watch) {
             return None;
@@ -243,73 +241,86 @@
         if let Some(more) = self.watch_loss_log.due(context.now()) {
             log::warn!(
                 target: LOG_TARGET, discovery:%, revision, left_out = more;
-                "watch on discovery lost: {why} ({more} more since the last such line)"
+                "watch on discovery lost: {reason} ({more} more since the last such line)"
             );
         }
         self.watch = None;
-        Some(if silent { Event::ListSilent } else { Event::ListFailed })
+        Some(match loss {
+            WatchLoss::Silent => Event::ListSilent,
+            WatchLoss::Failed => Event::ListFailed,
+        })
     }
 
-    /// It is the current watch: what another one said is old.
+    /// It is the current watch: what another one reports is outdated.
     pub fn is_watch(&self, watch: Key) -> bool {
         self.watch == Some(watch)
     }
 
-    /// The last revision taken.
+    // ---- questions ----
+
+    /// The last revision accepted.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
+    /// Its id in discovery's lists.
     pub fn name(&self, server: ServerId) -> &str {
         self.names.name(server.0)
     }
 
-    /// Its name, to be kept.
+    /// Its id, shared.
     pub fn shared_name(&self, server: ServerId) -> Name {
-        self.known.get(server.0 as usize).map_or_else(|| "-".into(), |s| Name::clone(&s.name))
+        self.known_at(server).map_or_else(|| "-".into(), |endpoint| Name::clone(&endpoint.name))
     }
 
-    /// The module believes this of it from now on.
-    pub fn set_belief(&mut self, server: ServerId, belief: ServerHealth) {
-        self.known.get_mut(server.0 as usize).into_iter().for_each(|s| s.belief = belief);
+    /// The decision module rates it so from now on.
+    pub fn set_health(&mut self, server: ServerId, health: ServerHealth) {
+        self.known.get_mut(server.0 as usize).into_iter().for_each(|endpoint| endpoint.health = health);
     }
 
-    /// Discovery has been heard of.
+    /// Discovery has sent a list.
     pub fn is_confirmed(&self) -> bool {
         self.is_confirmed
     }
 
     /// Some endpoint may get new requests, as far as lists tell.
     pub fn has_usable_endpoint(&self) -> bool {
-        self.known.iter().any(|s| s.state == ServerState::Ready && !self.manual_overrides.is_out(&s.name))
+        self.known.iter().any(|endpoint| {
+            endpoint.state == ServerState::Ready && !self.manual_overrides.is_out(&endpoint.name)
+        })
     }
 
     /// How many are listed, and how many of these get nothing new now though discovery says that they may.
     pub fn gauges(&self, now: Micros) -> (usize, usize) {
-        let paused = |s: &Endpoint| matches!(s.belief, ServerHealth::Paused { until } if until > now);
-        let skipped = |s: &&Endpoint| paused(s) || self.manual_overrides.is_out(&s.name);
-        let listed = || self.known.iter().filter(|s| s.is_listed());
+        let paused =
+            |endpoint: &Endpoint| matches!(endpoint.health, ServerHealth::Paused { until } if until > now);
+        let skipped = |endpoint: &&Endpoint| paused(endpoint) || self.manual_overrides.is_out(&endpoint.name);
+        let listed = || self.known.iter().filter(|endpoint| endpoint.is_listed());
         (listed().count(), listed().filter(skipped).count())
     }
 
     /// It may get new requests, as far as the list and the operators tell.
     pub fn is_ready(&self, server: ServerId) -> bool {
-        let endpoint = self.known.get(server.0 as usize);
-        endpoint.is_some_and(|s| s.entry(server, &self.effective_overrides).state == ServerState::Ready)
+        self.known_at(server).is_some_and(|endpoint| {
+            endpoint.entry(server, &self.effective_overrides).state == ServerState::Ready
+        })
     }
 
     /// The list, or the operators, say that it drains.
     pub fn is_draining(&self, server: ServerId) -> bool {
-        let endpoint = self.known.get(server.0 as usize);
-        endpoint.is_some_and(|s| s.entry(server, &self.effective_overrides).state == ServerState::Draining)
+        self.known_at(server).is_some_and(|endpoint| {
+            endpoint.entry(server, &self.effective_overrides).state == ServerState::Draining
+        })
     }
 
+    /// The endpoint of this id, if it was ever listed.
     pub fn find(&self, name: &str) -> Option<ServerId> {
         self.names.find(name).map(ServerId)
     }
 
+    /// Where it listens, if that is known.
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
-        self.known.get(server.0 as usize).and_then(|s| s.address)
+        self.known_at(server).and_then(|endpoint| endpoint.address)
     }
 }
 
@@ -323,6 +334,6 @@
     }
 
     fn started(&self, server: ServerId) -> Option<Micros> {
-        self.known.get(server.0 as usize).and_then(|endpoint| endpoint.started)
+        self.known_at(server).and_then(|endpoint| endpoint.started)
     }
 }
--- a/crates/cottonnotch/src/net/driver/golden_tests.rs
+++ b/crates/cottonnotch/src/net/driver/golden_tests.rs
@@ -1,6 +1,6 @@
 //! The files in `TMPDIR`, the figures and the reasons keep the bytes that earlier builds gave them.
 
-use super::audit::{Audit, Step, outcome_name, unserved_name};
+use super::audit::{Audit, Step, outcome_name, rejection_name};
 use super::clock_file::ClockFile;
 use super::hot_restart::HotRestart;
 use super::request_table::TrackedRequest;
@@ -75,7 +75,7 @@
     assert_text(&golden_path!("process.txt"), &text);
 }
 
-fn seen() -> RulesStatus {
+fn rules_status() -> RulesStatus {
     RulesStatus {
         version: Some(7),
         rules: 8,
@@ -110,28 +110,40 @@
     metrics.rejected(1);
     metrics.failed(1);
     metrics.attempt_written();
-    metrics.configuration_loaded(true);
-    metrics.configuration_loaded(false);
+    metrics.configuration_applied();
+    metrics.configuration_rejected();
     metrics.watch_lost();
-    metrics.list_fell_back(true);
-    metrics.list_fell_back(false);
-    let homes = Some(AffinityMetrics { groups: 2, most: 205, told: 31, cut: 4, dropped: 5 });
-    let gauges = Gauges { in_progress: 3, known: 2, skipped: 1, rules: Some(seen()), homes };
+    metrics.older_list_accepted();
+    metrics.older_list_rejected();
+    let affinity = Some(AffinityMetrics {
+        groups: 2,
+        largest_subset: 205,
+        tables_received: 31,
+        groups_cut: 4,
+        datagrams_dropped: 5,
+    });
+    let gauges = Gauges {
+        in_progress: 3,
+        known_endpoints: 2,
+        skipped_endpoints: 1,
+        rules: Some(rules_status()),
+        affinity,
+    };
     let mut audit = Audit::default();
     for outcome in OUTCOMES {
         audit.count(Step::Retried, outcome_name(outcome));
         audit.count(Step::Closed, outcome_name(outcome));
     }
-    for why in UNSERVED {
-        audit.count(Step::Refused, unserved_name(why));
-        audit.count(Step::Failed, unserved_name(why));
+    for why in REJECTION_REASONS {
+        audit.count(Step::Rejected, rejection_name(why));
+        audit.count(Step::Failed, rejection_name(why));
     }
     let tracked = TrackedRequest::new(RequestId(1), 0, 1, None);
     for why in
         [MoveReason::PolicyRequest, MoveReason::Draining, MoveReason::Unresponsive, MoveReason::ProxyShutdown]
     {
         audit.reopened(&open_connection(), tracked.wire_id);
-        audit.moved(&tracked, why);
+        audit.migrated(&tracked, why);
     }
     assert_text(&golden_path!("figures.txt"), &metrics.text(gauges, audit.metrics()));
 }
@@ -146,7 +158,7 @@
     Outcome::Cancelled,
     Outcome::NotSent,
 ];
-const UNSERVED: [RejectionReason; 6] = [
+const REJECTION_REASONS: [RejectionReason; 6] = [
     RejectionReason::ShuttingDown,
     RejectionReason::AttemptsExhausted,
     RejectionReason::DeadlineTooClose,
@@ -165,7 +177,7 @@
         OpenLineError::Twice,
     ];
     let mut texts: Vec<String> =
-        lines.into_iter().map(|line| RequestError::OpenLineError(line).to_string()).collect();
+        lines.into_iter().map(|line| RequestError::InvalidLine(line).to_string()).collect();
     let others = [
         RequestError::TooLong(TooLong),
         RequestError::NoFirstLine,
--- /dev/null
+++ b/crates/cottonnotch/src/net/driver/hot_restart_tests.rs
@@ -0,0 +1,88 @@
+use super::*;
+
+/// A process that has shown itself.
+fn started_process(prefix: &Path, born: Micros) -> HotRestart {
+    let mut hot_restart = HotRestart::new(prefix.to_owned(), born);
+    hot_restart.show().unwrap();
+    hot_restart
+}
+
+#[test]
+fn a_successor_counts_once_it_is_ready_and_for_as_long_as_it_lives() {
+    let folder = tempfile::tempdir().unwrap();
+    let prefix = folder.path().join("cottonnotch-a_1.process");
+    let mut old = started_process(&prefix, 10);
+    old.announce_ready().unwrap();
+    assert!(old.siblings().unwrap().is_empty() && !old.has_successor());
+    let mut new = started_process(&prefix, 20);
+    assert!(!old.has_successor(), "it only starts");
+    old.publish_descriptors(73).unwrap();
+    let seen = new.siblings().unwrap();
+    let [predecessor] = &seen[..] else { panic!("{seen:?}") };
+    assert_eq!((predecessor.born, predecessor.is_ready, predecessor.held), (10, true, 73));
+    assert!(new.is_older(predecessor));
+    new.announce_ready().unwrap();
+    new.announce_ready().unwrap();
+    assert!(old.has_successor() && !new.has_successor());
+    drop(new);
+    assert!(!old.has_successor());
+    assert_eq!(fs::read_dir(folder.path()).unwrap().count(), 1, "its file is gone");
+}
+
+#[test]
+fn who_is_older_is_no_matter_of_the_wall_clock_unless_the_other_says_no_more() {
+    let folder = tempfile::tempdir().unwrap();
+    let prefix = folder.path().join("cottonnotch-a_1.process");
+    let first = started_process(&prefix, 20);
+    // The wall clock went back.
+    let mut second = started_process(&prefix, 10);
+    second.announce_ready().unwrap();
+    assert!(first.has_successor() && !second.has_successor());
+    assert!(second.is_older(&first.seen_by(&second)));
+    // An older build's file has its descriptors alone.
+    second.file_shown.as_ref().unwrap().file.set_len(HELD_WIDTH as u64).unwrap();
+    assert!(!first.has_successor(), "by its name it is the older one");
+}
+
+impl HotRestart {
+    /// This one, as that other one sees it.
+    fn seen_by(&self, sibling: &HotRestart) -> SiblingProcess {
+        sibling.siblings().unwrap().into_iter().find(|seen| seen.born == self.born).unwrap()
+    }
+}
+
+#[test]
+fn one_that_cannot_be_shown_sees_the_others_and_is_shown_once_it_can_be() {
+    let folder = tempfile::tempdir().unwrap();
+    let prefix = folder.path().join("later").join("cottonnotch-a_1.process");
+    let mut me = HotRestart::new(prefix.clone(), 10);
+    assert!(me.show().is_err() && me.announce_ready().is_err(), "there is no folder");
+    assert!(me.siblings().is_err() && !me.has_successor(), "nor can it be told who is there");
+    fs::create_dir(folder.path().join("later")).unwrap();
+    assert!(me.siblings().unwrap().is_empty());
+    me.show().unwrap();
+    let sibling = started_process(&prefix, 20);
+    assert!(sibling.siblings().unwrap()[0].is_ready, "what could not be said before is said now");
+}
+
+#[test]
+fn what_a_dead_process_left_is_removed_and_what_is_not_ours_is_left_alone() {
+    let folder = tempfile::tempdir().unwrap();
+    let prefix = folder.path().join("cottonnotch-a_1.process");
+    let me = started_process(&prefix, 10);
+    for dead in ["99.ready", "98.starting"] {
+        fs::write(folder.path().join(format!("cottonnotch-a_1.process-{dead}")), "rubbish").unwrap();
+    }
+    let foreign = [
+        "cottonnotch-a_1.process-x.ready",
+        "cottonnotch-a_1.process-5.other",
+        "cottonnotch-b_1.process-7.ready",
+    ];
+    for name in foreign {
+        fs::write(folder.path().join(name), "").unwrap();
+    }
+    fs::create_dir(folder.path().join("cottonnotch-a_1.process-50.ready")).unwrap();
+    assert!(me.siblings().unwrap().is_empty());
+    let left = fs::read_dir(folder.path()).unwrap().count();
+    assert_eq!(left, foreign.len() + 2, "what is foreign, the folder, and this process's own");
+}
--- a/crates/cottonnotch/src/net/driver/lifecycle.rs
+++ b/crates/cottonnotch/src/net/driver/lifecycle.rs
@@ -1,4 +1,4 @@
-//! How the proxy's life changes: a new configuration, and the end.
+//! The state of the process: its place among other processes of the proxy, its configuration, and its shutdown.
 
 use super::context::{Context, DRAIN_ROUND, LOG_TARGET};
 use super::hot_restart::HotRestart;
@@ -13,57 +13,67 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Gets the whole configuration anew, from both files.
-pub type Reread = Box<dyn Fn() -> Result<Config, ConfigError>>;
+/// Reads the whole configuration anew, from both files.
+pub type ReadConfig = Box<dyn Fn() -> Result<Config, ConfigError>>;
 
 /// Discovery is waited for so long at a start beside an earlier process, which goes on serving meanwhile.
 const TAKEOVER_TIMEOUT: Micros = 2_000_000;
 /// Descriptors beside those of objects and of endpoints' sides: standard streams, the poll, signals' other ends.
 const UNCOUNTED_DESCRIPTORS: usize = 10;
 
-/// A configuration that was taken.
+/// A configuration that was applied.
 pub struct Reloaded {
-    /// For the module.
+    /// For the decision module.
     pub event: Event,
-    /// Discovery is elsewhere now.
+    /// Discovery has another address now.
     pub discovery_moved: bool,
 }
 
 /// A round of the shutdown.
 pub struct DrainRound {
-    /// To be moved now.
+    /// To be migrated now.
     pub migrating: Vec<RequestId>,
-    /// What is still there afterwards is abandoned.
+    /// What is left afterwards is ended.
     pub is_last: bool,
 }
 
-/// What it takes to change.
+/// Whether an earlier process of this proxy serves.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Predecessor {
+    /// There is none, or it has stopped.
+    None,
+    /// It accepts clients, and this process takes them over.
+    Serving,
+}
+
+/// The state of the process.
 pub struct Lifecycle {
     /// Where clients connect, also where the system chose the port.
     address: SocketAddr,
-    reread: Reread,
+    read_config: ReadConfig,
     shutdown: Option<Shutdown>,
     /// This process among others of its proxy, where they can meet.
     hot_restart: Option<HotRestart>,
-    /// An earlier process serves still; `None`: that could not be told yet.
-    has_predecessor: Option<bool>,
+    /// As last seen; `None`: that could not be seen yet.
+    predecessor: Option<Predecessor>,
     hidden_log: RateLimitedLog,
+    /// When this process started.
     began: Micros,
 }
 
 impl Lifecycle {
     /// A process that starts. Others of its proxy are looked for only where operators can say when it is to take over.
-    pub fn new(context: &Context, reread: Reread) -> Self {
+    pub fn new(context: &Context, read_config: ReadConfig) -> Self {
         let began = context.now();
         let path = context.config.mgmt.and_then(|_| shared_file(context.config.listen, "process"));
         let hot_restart = path.map(|path| HotRestart::new(path, began));
         let (shutdown, hidden_log) = (None, RateLimitedLog::default());
         let mut lifecycle = Lifecycle {
             address: context.config.listen,
-            reread,
+            read_config,
             shutdown,
             hot_restart,
-            has_predecessor: None,
+            predecessor: None,
             hidden_log,
             began,
         };
@@ -71,12 +81,12 @@
         lifecycle
     }
 
-    /// Clients may connect there.
+    /// Clients may connect at this address.
     pub fn set_address(&mut self, address: SocketAddr) {
         self.address = address;
     }
 
-    /// Shows this process to the others, if it isn't yet: the folder may be full for a while.
+    /// Shows this process to the others, if it isn't shown yet: the folder may be full for a while.
     fn show(&mut self, now: Micros) {
         if let Some(Err(error)) = self.hot_restart.as_mut().map(HotRestart::show) {
             self.log_hidden(now, &error);
@@ -87,7 +97,7 @@
         if let Some(left_out) = self.hidden_log.due(now) {
             log::warn!(
                 target: LOG_TARGET, error:%, left_out;
-                "this process cannot show itself to others of its proxy, or not see them, and tries on: {error}"
+                "this process cannot show itself to others of its proxy, or not see them, and retries: {error}"
             );
         }
     }
@@ -97,37 +107,44 @@
         self.hot_restart.is_some()
     }
 
-    /// Looks for other processes of this proxy, and tells them of this one; true if an earlier one serves still.
-    pub fn has_predecessor(&mut self, context: &mut Context) -> bool {
+    /// Looks for other processes of this proxy, and tells them how many descriptors this one holds.
+    pub fn find_predecessor(&mut self, context: &mut Context) -> Predecessor {
         self.show(context.now());
-        let Some(hot_restart) = &self.hot_restart else { return false };
+        let Some(hot_restart) = &self.hot_restart else { return Predecessor::None };
         let siblings = match hot_restart.siblings() {
             Ok(siblings) => siblings,
             Err(error) => {
                 self.log_hidden(context.now(), &error);
-                // One is taken to be there until its time to show itself is over.
-                return self.has_predecessor.unwrap_or(context.now() - self.began < TAKEOVER_TIMEOUT);
+                return self.assumed_predecessor(context.now());
             }
         };
         context.sibling_descriptors = siblings.iter().map(|sibling| sibling.held).sum();
         if !siblings.is_empty() {
             // A request holds two, its own object's and the endpoint's; what is beyond objects is some ten.
             let held = context.reactor.connections() + context.requests + UNCOUNTED_DESCRIPTORS;
-            // What can't be told leaves the other with what it heard before.
+            // What can't be published leaves the other with the number that it read before.
             let _ = hot_restart.publish_descriptors(held);
         }
-        let has_predecessor = siblings.iter().any(|sibling| hot_restart.is_older(sibling));
-        self.has_predecessor = Some(has_predecessor);
-        has_predecessor
+        let has_older = siblings.iter().any(|sibling| hot_restart.is_older(sibling));
+        let predecessor = if has_older { Predecessor::Serving } else { Predecessor::None };
+        self.predecessor = Some(predecessor);
+        predecessor
+    }
+
+    /// While the others can't be seen: as last seen, or one is assumed until its time to show itself is over.
+    fn assumed_predecessor(&self, now: Micros) -> Predecessor {
+        let assumed =
+            if now - self.began < TAKEOVER_TIMEOUT { Predecessor::Serving } else { Predecessor::None };
+        self.predecessor.unwrap_or(assumed)
     }
 
-    /// Clients that an earlier process serves are to be taken over: the list is discovery's own and calls by hand are known, or
-    /// both have had their time.
-    pub fn can_take_over(&self, now: Micros, has_maintenance: bool) -> bool {
-        has_maintenance || now - self.began >= TAKEOVER_TIMEOUT
+    /// Whether clients of an earlier process are to be taken over: the list is discovery's own and manual overrides are
+    /// known (`is_informed`), or both have had their time.
+    pub fn can_take_over(&self, now: Micros, is_informed: bool) -> bool {
+        is_informed || now - self.began >= TAKEOVER_TIMEOUT
     }
 
-    /// This process serves: an earlier one may leave.
+    /// This process serves: an earlier one may stop.
     pub fn announce_ready(&mut self) {
         if let Some(Err(error)) = self.hot_restart.as_mut().map(HotRestart::announce_ready) {
             log::warn!(target: LOG_TARGET, error:%; "an earlier process cannot be told that this one serves: {error}");
@@ -139,21 +156,42 @@
         self.hot_restart.as_ref().is_some_and(HotRestart::has_successor)
     }
 
-    /// Takes a new configuration as a whole, or keeps the old one. No connection is touched.
+    /// Applies a new configuration as a whole, or keeps the old one. No connection is touched.
     pub fn reload(&self, context: &mut Context, latency: &mut MessageLatency) -> Option<Reloaded> {
-        let reread = (self.reread)().and_then(|new| new.check_replaces(&context.config).map(|()| new));
-        let new = match reread {
+        let read = (self.read_config)().and_then(|new| new.check_replaces(&context.config).map(|()| new));
+        let new = match read {
             Ok(new) => new,
             Err(error) => {
                 log::error!(
                     target: LOG_TARGET, key = error.key();
                     "configuration kept, the new one is faulty: {error}"
                 );
-                context.records.reload_kept(&error);
+                context.records.reload_rejected(&error);
                 return None;
             }
         };
-        let old = &context.config;
+        self.log_unchangeable(&context.config, &new);
+        let operator = new.operator.replacing(&context.config.operator);
+        let new = Config { operator, ..new };
+        log::info!(
+            target: LOG_TARGET, discovery:% = new.discovery;
+            "configuration read again, discovery at {}", new.discovery
+        );
+        let discovery_moved = new.discovery != context.config.discovery;
+        let profile = new.profile.renumbered_from(&context.config.profile);
+        let new = Config { profile, ..new };
+        latency.configure(&new.profile);
+        context.records.configure(&new.profile);
+        context.records.reload_applied();
+        context.reactor.io.buffer_bound = new.buffer_bound;
+        reload_rules(context, &new);
+        let event = Event::Settings(Box::new(new.profile.settings.clone()));
+        context.config = merge_config(&context.config, new);
+        Some(Reloaded { event, discovery_moved })
+    }
+
+    /// Says which changes don't count before the next start.
+    fn log_unchangeable(&self, old: &Config, new: &Config) {
         if new.listen != old.listen {
             log::warn!(
                 target: LOG_TARGET, key = "listen", address:% = self.address;
@@ -172,35 +210,6 @@
                 "peers cannot change while clients are served, the old ones go on"
             );
         }
-        let operator = new.operator.replacing(&old.operator);
-        log::info!(
-            target: LOG_TARGET, discovery:% = new.discovery;
-            "configuration read again, discovery at {}", new.discovery
-        );
-        let discovery_moved = new.discovery != old.discovery;
-        let profile = new.profile.renumbered_from(&old.profile);
-        latency.set(&profile);
-        context.records.set(&profile);
-        context.records.reload_taken();
-        context.reactor.io.buffer_bound = new.buffer_bound;
-        if let Some(rules) = &mut context.rules {
-            rules.reload(new.rules.clone(), &profile);
-        } else if new.rules.is_some() {
-            log::warn!(target: LOG_TARGET, "rules cannot begin while clients are served");
-        }
-        let event = Event::Settings(Box::new(profile.settings.clone()));
-        let (initial_endpoints, peer_addresses) = (old.initial_endpoints.clone(), old.peer_addresses.clone());
-        context.config = Config {
-            listen: old.listen,
-            mgmt: old.mgmt,
-            seed: old.seed,
-            initial_endpoints,
-            peer_addresses,
-            profile,
-            operator,
-            ..new
-        };
-        Some(Reloaded { event, discovery_moved })
     }
 
     /// The process was asked to stop; false if that goes on already.
@@ -211,10 +220,10 @@
         let now = context.now();
         let Profile { settings, withdrawn, .. } = &context.config.profile;
         let offered = (0..).zip(&settings.classes).filter(|(number, _)| !withdrawn.contains(number));
-        // Of those that are offered: who sends SIGKILL knows no others.
+        // Of the classes that are offered: who sends SIGKILL knows no others.
         let longest = offered.map(|(_, class)| class.deadline).max();
-        let (requests, up) = (requests.len(), requests.up().count());
-        log::info!(target: LOG_TARGET, requests, up; "asked to stop: clients are moved");
+        let (requests, up) = (requests.len(), requests.established().count());
+        log::info!(target: LOG_TARGET, requests, up; "asked to stop: clients are migrated");
         context.records.shutdown();
         self.shutdown = Some(Shutdown::begin(now, longest.unwrap_or(0)));
         true
@@ -224,14 +233,14 @@
     pub fn next_round(&mut self, context: &mut Context, requests: &RequestTable) -> Option<DrainRound> {
         let now = context.now();
         let shutdown = self.shutdown.as_mut()?;
-        context.set_timer(shutdown::DRAIN_ROUND, DRAIN_ROUND);
-        let mut migrating: Vec<RequestId> = requests.up().map(|(_, id)| id).collect();
+        context.set_timer(shutdown::ROUND_INTERVAL, DRAIN_ROUND);
+        let mut migrating: Vec<RequestId> = requests.established().map(|(_, id)| id).collect();
         migrating.truncate(shutdown.quota(now, migrating.len()));
         Some(DrainRound { migrating, is_last: shutdown.is_last(now) })
     }
 
     /// A shutdown goes on.
-    pub fn is_draining(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         self.shutdown.is_some()
     }
 
@@ -240,3 +249,23 @@
         self.shutdown.is_some_and(|shutdown| shutdown.is_over(now))
     }
 }
+
+fn reload_rules(context: &mut Context, new: &Config) {
+    if let Some(rules) = &mut context.rules {
+        rules.reload(new.rules.clone(), &new.profile);
+    } else if new.rules.is_some() {
+        log::warn!(target: LOG_TARGET, "rules cannot begin while clients are served");
+    }
+}
+
+/// The new configuration, but for what can't change while clients are served.
+fn merge_config(old: &Config, new: Config) -> Config {
+    Config {
+        listen: old.listen,
+        mgmt: old.mgmt,
+        seed: old.seed,
+        initial_endpoints: old.initial_endpoints.clone(),
+        peer_addresses: old.peer_addresses.clone(),
+        ..new
+    }
+}
--- /dev/null
+++ b/crates/cottonnotch/src/net/driver/maintenance_file_tests.rs
@@ -0,0 +1,41 @@
+use super::*;
+
+fn two() -> (tempfile::TempDir, MaintenanceFile, MaintenanceFile) {
+    let folder = tempfile::tempdir().unwrap();
+    let path = folder.path().join("x.maintenance");
+    (folder, MaintenanceFile::at(Some(path.clone())), MaintenanceFile::at(Some(path)))
+}
+
+#[test]
+fn what_one_process_writes_the_other_finds_once() {
+    let (_folder, mut one, mut other) = two();
+    assert!(one.read_changes().is_none(), "nothing is there");
+    let mut state = Maintenance::default();
+    state.enter(5, "s1");
+    one.save(&state).unwrap();
+    assert!(one.read_changes().is_none(), "its own writing is no news");
+    assert_eq!(other.read_changes().unwrap().unwrap(), state);
+    assert!(other.read_changes().is_none(), "told once");
+}
+
+#[test]
+fn what_is_torn_or_foreign_is_refused_and_what_is_written_next_counts() {
+    let (folder, mut one, mut other) = two();
+    let path = folder.path().join("x.maintenance");
+    let mut state = Maintenance::default();
+    state.enter(5, "s1");
+    let text = encode(&state);
+    for foreign in [&b""[..], b"{}", &text.as_bytes()[..text.len() / 2], &[0xff; 700_000]] {
+        fs::write(&path, foreign).unwrap();
+        assert!(one.read_changes().unwrap().is_err(), "{} bytes", foreign.len());
+        fs::remove_file(&path).unwrap();
+        assert!(one.read_changes().is_none());
+    }
+    fs::create_dir(&path).unwrap();
+    assert!(one.read_changes().unwrap().is_err(), "no file at all");
+    assert!(other.save(&state).is_err(), "and nothing can be written over it");
+    assert!(fs::read_dir(folder.path()).unwrap().count() == 1, "nothing is left lying about");
+    fs::remove_dir(&path).unwrap();
+    other.save(&state).unwrap();
+    assert_eq!(one.read_changes().unwrap().unwrap(), state);
+}
--- a/crates/cottonnotch/src/net/driver/management.rs
+++ b/crates/cottonnotch/src/net/driver/management.rs
@@ -1,12 +1,13 @@
-//! The operators' address as the driver has it: who is let in, whether this process is ready, and what is called for by
-//! hand.
+//! The operators' address as the driver has it: connections are accepted, requests get responses, and maintenance by hand
+//! is stored for the other processes of this proxy.
 
 use super::context::{ACCEPT_ADMINS, Context, LOG_TARGET, POLL_SIBLINGS};
 use super::endpoints::Endpoints;
 use super::maintenance_file::{MaintenanceFile, MaintenanceFileError, POLL_EVERY};
 use super::message_latency::MessageLatency;
 use crate::maintenance::Maintenance;
-use crate::net::management::{AdminResponse, AdminServer};
+use crate::net::management::admin_request::AdminResponse;
+use crate::net::management::admin_server::AdminServer;
 use cottonnotch_decision::{Event, Micros};
 use cottonnotch_reactor::Key;
 use cottonnotch_reactor::rate_limited_log::RateLimitedLog;
@@ -17,7 +18,16 @@
 /// Processes share their state in this folder, where the environment names one.
 const STATE_FOLDER_VARIABLE: &str = "TMPDIR";
 
-/// The desk, if there is one, and what is kept of the calls.
+/// What an operator does with a render node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MaintenanceAction {
+    /// Takes it out of use.
+    Enter,
+    /// Puts it back in use.
+    Exit,
+}
+
+/// The admin server, if there is one, and the stored maintenance.
 pub struct Management {
     admin_server: Option<AdminServer>,
     file: MaintenanceFile,
@@ -25,7 +35,7 @@
     write_failure_log: RateLimitedLog,
 }
 
-/// Where a proxy's processes share something: named by the address that they share, so that proxies on one machine don't
+/// The file in which a proxy's processes share something: named by the address that they share, so that proxies on one machine don't
 /// read each other's. `None`: nowhere, since no folder is named, or the system gives each an address of its own.
 pub fn shared_file(listen: SocketAddr, kind: &str) -> Option<PathBuf> {
     let folder = std::env::var_os(STATE_FOLDER_VARIABLE).filter(|folder| !folder.is_empty())?;
@@ -58,8 +68,8 @@
         }
     }
 
-    /// Looks for what another process of this proxy was told, and sets the timer of the next look. An event, if that
-    /// changes something.
+    /// Takes over what operators have set at another process of this proxy, and sets the timer of the next poll. An event,
+    /// if that changes something.
     pub fn sync(
         &mut self,
         context: &mut Context,
@@ -72,14 +82,14 @@
             Ok(event) => event,
             Err(error) => {
                 if let Some(left_out) = self.read_failure_log.due(context.now()) {
-                    log::error!(target: LOG_TARGET, error:%, left_out; "kept maintenance cannot be taken over: {error}");
+                    log::error!(target: LOG_TARGET, error:%, left_out; "stored maintenance cannot be taken over: {error}");
                 }
                 None
             }
         }
     }
 
-    /// Takes over what is kept, if that is news, and writes what is missing there. Fails if it can't be read, now or ever.
+    /// Takes over what is stored, if that is new, and writes what is missing there. Fails if it can't be read, now or ever.
     fn take_over(
         &mut self,
         context: &mut Context,
@@ -94,7 +104,7 @@
             self.save(context.now(), &merged);
         }
         if self.file.sync_folder().is_err() {
-            log::debug!(target: LOG_TARGET, "the folder of kept maintenance cannot be synced yet");
+            log::debug!(target: LOG_TARGET, "the folder of stored maintenance cannot be synced yet");
         }
         if changed.is_empty() {
             return Ok(None);
@@ -106,33 +116,33 @@
         let Err(error) = self.file.save(state) else { return };
         self.file.mark_behind();
         if let Some(left_out) = self.write_failure_log.due(now) {
-            log::error!(target: LOG_TARGET, error:%, left_out; "maintenance by hand cannot be kept yet: {error}");
+            log::error!(target: LOG_TARGET, error:%, left_out; "maintenance by hand cannot be stored yet: {error}");
         }
     }
 
-    /// An operator takes a render node out, or puts it back: the answer, and an event if that changes anything.
+    /// An operator takes a render node out, or puts it back: the response, and events if that changes anything.
     pub fn set_maintenance(
         &mut self,
         context: &mut Context,
         latency: &mut MessageLatency,
         endpoints: &mut Endpoints,
         id: &str,
-        out: bool,
+        action: MaintenanceAction,
     ) -> (AdminResponse, Vec<Event>) {
-        // What is kept first: what this process writes takes the place of what is there, which it must know.
+        // What is stored first: what this process writes replaces what is there, which it must know.
         let taken_over = match self.take_over(context, latency, endpoints) {
             Err(MaintenanceFileError::Io(error)) => {
-                let words = format!("nothing was done, earlier calls cannot be read: {error}\n");
-                return (AdminResponse::failed(words), Vec::new());
+                let text = format!("nothing was done, earlier calls cannot be read: {error}\n");
+                return (AdminResponse::failed(text), Vec::new());
             }
             Err(MaintenanceFileError::Bad(error)) => {
-                log::error!(target: LOG_TARGET, error:%; "kept maintenance cannot be taken over: {error}");
+                log::error!(target: LOG_TARGET, error:%; "stored maintenance cannot be taken over: {error}");
                 None
             }
             Ok(event) => event,
         };
-        let (answer, event) = self.apply_override(context, latency, endpoints, id, out);
-        (answer, taken_over.into_iter().chain(event).collect())
+        let (response, event) = self.apply_override(context, latency, endpoints, id, action);
+        (response, taken_over.into_iter().chain(event).collect())
     }
 
     fn apply_override(
@@ -141,19 +151,22 @@
         latency: &mut MessageLatency,
         endpoints: &mut Endpoints,
         id: &str,
-        out: bool,
+        action: MaintenanceAction,
     ) -> (AdminResponse, Option<Event>) {
         if !endpoints.is_known(id) {
             return (AdminResponse::not_found("no render node of that id is listed\n"), None);
         }
-        let how = if out { "out" } else { "in use" };
-        let done = AdminResponse::ok(format!("{id} is {how}\n"));
+        let (is_out, state_name) = match action {
+            MaintenanceAction::Enter => (true, "out"),
+            MaintenanceAction::Exit => (false, "in use"),
+        };
+        let done = AdminResponse::ok(format!("{id} is {state_name}\n"));
         // Of the wall clock: another process, or a later one, reads it.
         context.observe_wall_clock();
         let now = context.wall_clock.unix(context.now());
         let mut state = endpoints.manual_overrides().clone();
-        let changed = if out { state.enter(now, id) } else { state.exit(now, id) };
-        if !changed && state.is_out(id) != out {
+        let changed = if is_out { state.enter(now, id) } else { state.exit(now, id) };
+        if !changed && state.is_out(id) != is_out {
             return (AdminResponse::failed("too many render nodes are out\n"), None);
         }
         if !changed {
@@ -162,18 +175,18 @@
         state.remove_expired(now);
         // The yes is a promise that outlives this process; where it can't be kept, nothing is done.
         if let Err(error) = self.file.save(&state) {
-            log::error!(target: LOG_TARGET, error:%; "maintenance by hand cannot be kept: {error}");
+            log::error!(target: LOG_TARGET, error:%; "maintenance by hand cannot be stored: {error}");
             return (AdminResponse::failed(format!("nothing was done, it cannot be kept: {error}\n")), None);
         }
         (done, endpoints.set_overrides(context, latency, state, &[id.to_owned()]))
     }
 
-    /// What earlier processes were told by hand is known here, as far as it is kept.
+    /// What operators have set at earlier processes is known here, as far as it is stored.
     pub fn has_maintenance(&self) -> bool {
         self.admin_server.is_none() || self.file.is_known()
     }
 
-    /// Operators wait to be let in.
+    /// Operators wait to be accepted.
     pub fn on_admins_waiting(&mut self, context: &mut Context) {
         self.admin_server
             .iter_mut()
@@ -187,16 +200,16 @@
             .for_each(|admin_server| admin_server.on_accept_timer(&mut context.reactor));
     }
 
-    /// Whether this process is ready to serve.
-    pub fn status(not_ready_reason: Option<&str>) -> AdminResponse {
-        match not_ready_reason {
-            Some(not_ready_reason) => AdminResponse::unavailable(format!("not ready: {not_ready_reason}\n")),
-            None => AdminResponse::ok("ready\n"),
-        }
+    /// Sends a response, if the operator is still connected.
+    pub fn respond(&self, context: &mut Context, admin: Key, response: &AdminResponse) {
+        context.reactor.with(admin, |object, io| object.admin().map(|admin| admin.respond(io, response)));
     }
+}
 
-    /// Answers a caller, if it is still there.
-    pub fn answer(&self, context: &mut Context, admin: Key, answer: &AdminResponse) {
-        context.reactor.with(admin, |object, io| object.admin().map(|admin| admin.answer(io, answer)));
+/// The response to a request for the status.
+pub fn status_response(not_ready_reason: Option<&str>) -> AdminResponse {
+    match not_ready_reason {
+        Some(reason) => AdminResponse::unavailable(format!("not ready: {reason}\n")),
+        None => AdminResponse::ok("ready\n"),
     }
 }
--- a/crates/cottonnotch/src/net/driver/message_latency.rs
+++ b/crates/cottonnotch/src/net/driver/message_latency.rs
@@ -1,18 +1,19 @@
-//! Messages on connections that are up: what loads and delays they show, and the notes that the module gets.
+//! Latency and load of messages on established connections, and the reports of them that the decision module gets.
 
 use super::context::{Context, TICK};
+use super::endpoint::Incarnation;
 use super::request_table::{RequestTable, TrackedRequest};
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_decision::{Event, Micros, RequestId, ServerId};
 use cottonnotch_proxy_core::{LatencyReport, LoadLine, LoadLines, MessageLatencies, REPORT_INTERVAL};
 
-/// How messages fare.
+/// Latencies and loads, by endpoint and connection.
 pub struct MessageLatency {
     delays: MessageLatencies,
     lines: LoadLines,
-    /// Lines may tell delays, too.
+    /// `LOAD` lines may report latencies, too.
     reports_latency: bool,
-    /// Groups count.
+    /// Groups are kept together, so their connections are counted.
     groups: bool,
 }
 
@@ -28,26 +29,27 @@
     }
 
     /// The settings have changed.
-    pub fn set(&mut self, Profile { settings, reports_latency, .. }: &Profile) {
+    pub fn configure(&mut self, Profile { settings, reports_latency, .. }: &Profile) {
         self.reports_latency = *reports_latency;
         self.delays.configure(settings.nodes, settings.shortest_message_objective(), settings.weighted);
         self.groups = settings.groups;
     }
 
-    /// An endpoint is listed; `anew` if it is a new life of its process.
-    pub fn listed(&mut self, server: ServerId, weight: f64, anew: bool) {
-        self.delays.listed(server, weight, anew);
-        if anew {
+    /// An endpoint is listed, with its weight; what is known of an earlier process is dropped.
+    pub fn update_endpoint(&mut self, server: ServerId, weight: f64, incarnation: Incarnation) {
+        let is_new = incarnation == Incarnation::New;
+        self.delays.listed(server, weight, is_new);
+        if is_new {
             self.lines.forget(server);
         }
     }
 
-    /// What stands where, and what the other proxies say of theirs.
+    /// Established connections by endpoint, and what the other proxies report of theirs.
     pub fn delays(&mut self) -> &mut MessageLatencies {
         &mut self.delays
     }
 
-    /// A connection is up; `setup` is how long that took.
+    /// A connection is established; `setup` is how long that took, if it was measured.
     pub fn connection_opened(
         &mut self,
         now: Micros,
@@ -59,18 +61,23 @@
         self.delays.connection_opened(now, tracked.id, server, group, setup);
     }
 
-    /// A request is over, up or not.
-    pub fn request_over(&mut self, tracked: &TrackedRequest) {
+    /// A request is over, established or not.
+    pub fn remove_request(&mut self, tracked: &TrackedRequest) {
         self.delays.connection_closed(tracked.id);
     }
 
-    /// An endpoint has told a figure on this connection: its load, or a delay.
-    pub fn load_reported(&mut self, now: Micros, tracked: &TrackedRequest, figure: f64) -> Option<Event> {
-        let told = match tracked.at {
+    /// An endpoint has reported a figure on this connection: its load, or a delay.
+    pub fn handle_load_report(
+        &mut self,
+        now: Micros,
+        tracked: &TrackedRequest,
+        figure: f64,
+    ) -> Option<Event> {
+        let reported = match tracked.latest_attempt {
             Some((server, _)) if self.reports_latency => self.lines.classify(now, server, tracked.id, figure),
             _ => LoadLine::Load(figure),
         };
-        match (told, tracked.at) {
+        match (reported, tracked.latest_attempt) {
             (LoadLine::Load(load), _) => Some(self.loaded(tracked.id, load)),
             (LoadLine::Delay(delay), Some((server, _))) => {
                 let LatencyReport { server, delay } = self.delays.latency_advertised(now, server, delay)?;
@@ -87,16 +94,16 @@
 
     /// A client's line was answered after this long, or is unanswered for that long by now.
     pub fn record(&mut self, now: Micros, tracked: &TrackedRequest, delay: Micros) {
-        if let Some((server, _)) = tracked.at {
+        if let Some((server, _)) = tracked.latest_attempt {
             self.delays.round_trip_measured(now, server, delay);
         }
     }
 
-    /// The notes that are due; sets the next tick's timer.
+    /// The reports that are due; sets the timer of the next tick.
     pub fn tick(&mut self, context: &mut Context, requests: &RequestTable) -> Vec<Event> {
         let now = context.now();
         context.set_timer(REPORT_INTERVAL, TICK);
-        for (key, _) in requests.up() {
+        for (key, _) in requests.established() {
             let waited = context.with_client(key, |client, _| client.oldest_unanswered(now)).flatten();
             // A line that is still unanswered shows a delay as well as a late reply does.
             if let (Some(waited), Some(tracked)) = (waited, requests.get(key)) {
--- a/crates/cottonnotch/src/net/driver/mod.rs
+++ b/crates/cottonnotch/src/net/driver/mod.rs
@@ -16,6 +16,7 @@
 mod context;
 mod decisions;
 mod dispatch;
+mod endpoint;
 mod endpoints;
 #[cfg(test)]
 mod golden_tests;
@@ -63,7 +64,6 @@
     peers: Peers,
     management: Management,
     no_endpoint_log: RateLimitedLog,
-    /// Said when it can't listen beside an earlier process.
     listen_failure_log: RateLimitedLog,
 }
 
--- a/crates/cottonnotch/src/net/driver/peers.rs
+++ b/crates/cottonnotch/src/net/driver/peers.rs
@@ -1,13 +1,14 @@
-//! The other proxies of the tier: a small one gossips, a large one has a view of the fleet, and which of them it is, is
-//! settled at the start. Here is what is mio's of that: the socket, the timer, the log. The rest is `cottonnotch_proxy_core`'s.
+//! The other proxies of the fleet: a small fleet gossips, a large one aggregates load reports, and which of them it is, is
+//! settled at the start. Here are the socket, the timer and the log of that; the rest is in `cottonnotch_proxy_core`.
 
 use super::context::{Context, LOG_TARGET, PEERS};
 use super::endpoints::Endpoints;
+use super::lifecycle::Predecessor;
 use super::message_latency::MessageLatency;
 use crate::config::GossipConfig;
 use crate::net::datagrams::Datagrams;
 use crate::net::management::metrics::AffinityMetrics;
-use crate::net::network_event::Object;
+use crate::net::object::Object;
 use cottonnotch_aggregation::Settings;
 use cottonnotch_decision::{Event, Micros};
 use cottonnotch_gossip::{Gossip, State};
@@ -17,10 +18,10 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The tier, as far as this proxy takes part in it.
+/// The fleet, as far as this proxy takes part in it.
 pub struct Peers {
     member: Option<Member>,
-    /// Another process of this proxy has the address; it is tried again.
+    /// Another process of this proxy has the address; binding it is tried again.
     waits_for_address: bool,
 }
 
@@ -28,10 +29,10 @@
 struct Member {
     peers: cottonnotch_proxy_core::Peers,
     socket: Key,
-    alarm: WakeUpTimer,
-    /// Datagrams that the fleet's member had dropped when that was last told.
-    dropped: u64,
-    drops: RateLimitedLog,
+    wake_up_timer: WakeUpTimer,
+    /// Datagrams that the member had dropped when that was last logged.
+    logged_drops: u64,
+    drop_log: RateLimitedLog,
 }
 
 impl Member {
@@ -48,14 +49,14 @@
         let me = context.config.profile.settings.ordinal;
         let Some(listen) = context.config.peer_addresses.listen else { return Ok(None) };
         if me as usize >= members {
-            log::warn!(target: LOG_TARGET, members; "no fleet view: this proxy is number {me} of {members}");
+            log::warn!(target: LOG_TARGET, members; "no aggregation: this proxy is number {me} of {members}");
             return Ok(None);
         }
         let socket = bind_socket(context, listen)?;
         let (seed, now) = (context.config.seed, context.now());
         let unix = context.wall_clock.unix(now);
         let member = cottonnotch_aggregation::Member::new(settings, me, members as u32, seed, now, unix);
-        log::info!(target: LOG_TARGET, peers = members, listen:%; "a view of the fleet with {} other proxies", members - 1);
+        log::info!(target: LOG_TARGET, peers = members, listen:%; "aggregation with {} other proxies", members - 1);
         let peers = cottonnotch_proxy_core::Peers::fleet(member, roster(context));
         Ok(Some(Member::new(context, peers, socket)))
     }
@@ -76,51 +77,54 @@
     }
 
     fn new(context: &mut Context, peers: cottonnotch_proxy_core::Peers, socket: Key) -> Self {
-        let (alarm, drops) = (WakeUpTimer::default(), RateLimitedLog::default());
-        let mut member = Member { peers, socket, alarm, dropped: 0, drops };
+        let (wake_up_timer, drop_log) = (WakeUpTimer::default(), RateLimitedLog::default());
+        let mut member = Member { peers, socket, wake_up_timer, logged_drops: 0, drop_log };
         member.arm(context);
         member
     }
 
     fn arm(&mut self, context: &mut Context) {
-        if let Some(after) = self.alarm.arm(context.now(), self.peers.next_timeout()) {
+        if let Some(after) = self.wake_up_timer.arm(context.now(), self.peers.next_timeout()) {
             context.set_timer(after, PEERS);
         }
     }
 
-    /// Says how many datagrams the fleet's member has dropped, if any since the last time.
+    /// Logs how many datagrams the member has dropped, if any since the last time.
     fn log_dropped(&mut self, now: Micros) {
         let Some(counts) = self.peers.fleet_member().map(cottonnotch_aggregation::Member::counts) else {
             return;
         };
         let all = counts.dropped + counts.late;
-        if all > self.dropped && self.drops.due(now).is_some() {
-            let more = all - std::mem::replace(&mut self.dropped, all);
-            log::info!(target: LOG_TARGET, more, late = counts.late; "{more} datagrams of the tier were dropped: unknown, unasked or too late");
+        if all > self.logged_drops && self.drop_log.due(now).is_some() {
+            let more = all - std::mem::replace(&mut self.logged_drops, all);
+            log::info!(target: LOG_TARGET, more, late = counts.late; "{more} datagrams of the fleet were dropped: unknown, unrequested or too late");
         }
     }
 
-    fn handle(&mut self, context: &Context, peer_context: &mut PeerContext<'_>, input: Input<'_>) {
+    fn handle(&mut self, context: &Context, proxy: &mut PeerInputs<'_>, input: Input<'_>) {
         let mut local = LocalState {
-            delays: peer_context.latency.delays(),
-            servers: peer_context.endpoints,
+            delays: proxy.latency.delays(),
+            servers: proxy.endpoints,
             settings: &context.config.profile.settings,
-            rpcs: peer_context.requests,
+            rpcs: proxy.requests,
             unix: context.wall_clock.unix(context.now()),
         };
         self.peers.handle(context.now(), input, &mut local);
     }
 
-    /// Carries out what came of the inputs; the module is to hear the events.
+    /// Carries out what came of the inputs; the events are for the decision module.
     fn carry_out(&mut self, context: &mut Context) -> Vec<Event> {
         let mut events = Vec::new();
         while let Some(output) = self.peers.poll() {
             match output {
                 Output::Send { to, bytes } => send(context, self.socket, to, &bytes),
                 Output::Event(event) => {
-                    if let Event::AffinitySubsets(homes) = &event {
-                        let most = homes.iter().map(|(_, homes)| *homes).max().unwrap_or(0);
-                        log::debug!(target: LOG_TARGET, groups = homes.len(), most; "{} groups have more than five homes", homes.len());
+                    if let Event::AffinitySubsets(subsets) = &event {
+                        let largest = subsets.iter().map(|(_, size)| *size).max().unwrap_or(0);
+                        log::debug!(
+                            target: LOG_TARGET, groups = subsets.len(), largest;
+                            "{} groups have affinity subsets of more than five endpoints", subsets.len()
+                        );
                     }
                     events.push(event);
                 }
@@ -129,11 +133,11 @@
                     log::info!(target: LOG_TARGET, peer = ordinal, state = name; "proxy {ordinal} is {name}");
                     context.records.peer(ordinal, state, life);
                 }
-                Output::Keeper(Some(keeper)) => {
-                    log::debug!(target: LOG_TARGET, keeper; "proxy {keeper} keeps the fleet's view");
+                Output::Keeper(Some(aggregator)) => {
+                    log::debug!(target: LOG_TARGET, aggregator; "proxy {aggregator} aggregates the fleet's reports");
                 }
                 Output::Keeper(None) => {
-                    log::warn!(target: LOG_TARGET, "no proxy answers for the fleet's view, going on with the last one");
+                    log::warn!(target: LOG_TARGET, "no aggregator answers, going on with the last snapshot");
                 }
             }
         }
@@ -142,22 +146,25 @@
     }
 }
 
-/// What this proxy has while its member is driven.
-pub struct PeerContext<'a> {
+/// What the member reads and updates while it handles inputs.
+pub struct PeerInputs<'a> {
+    /// Latencies and loads of this proxy's connections.
     pub latency: &'a mut MessageLatency,
+    /// The endpoints.
     pub endpoints: &'a Endpoints,
-    /// requests in progress.
+    /// Requests in progress.
     pub requests: usize,
 }
 
 impl Peers {
-    /// Opens the socket, if this proxy is to speak with others. Fails if its address can't be had; `waits`: unless another
-    /// process of this proxy may have it still.
-    pub fn start(context: &mut Context, waits_for_address: bool) -> io::Result<Self> {
+    /// Opens the socket, if this proxy is to exchange datagrams with others. Fails if its address can't be had, unless a
+    /// predecessor may have it still: then binding is tried again by [`Self::retry`].
+    pub fn start(context: &mut Context, predecessor: Predecessor) -> io::Result<Self> {
+        let waits_for_address = predecessor == Predecessor::Serving;
         match Member::start(context) {
             Ok(member) => Ok(Peers { member, waits_for_address: false }),
             Err(error) if waits_for_address && error.kind() == io::ErrorKind::AddrInUse => {
-                log::info!(target: LOG_TARGET, "gossip begins once the earlier process has left its address");
+                log::info!(target: LOG_TARGET, "gossip begins once the earlier process has released its address");
                 Ok(Peers { member: None, waits_for_address })
             }
             Err(error) => Err(error),
@@ -173,8 +180,8 @@
         }
     }
 
-    /// Another process of this proxy takes this one's part, under the same number: no farewell, which would mark both as
-    /// gone.
+    /// Another process of this proxy takes this one's place, under the same number: no leave message, which would mark both
+    /// as gone.
     pub fn hand_over(&mut self, context: &mut Context) {
         self.waits_for_address = false;
         if let Some(member) = self.member.take() {
@@ -182,75 +189,73 @@
         }
     }
 
-    /// A new configuration was taken: keys may have changed.
-    pub fn reload(&mut self, context: &mut Context, mut peer_context: PeerContext<'_>) -> Vec<Event> {
+    /// A new configuration was applied: keys may have changed.
+    pub fn reload(&mut self, context: &mut Context, mut proxy: PeerInputs<'_>) -> Vec<Event> {
         let keys = context.config.gossip.as_ref().map(|gossiping| gossiping.keys.clone());
-        keys.map_or_else(Vec::new, |keys| self.handle_inputs(context, &mut peer_context, [Input::Keys(keys)]))
+        keys.map_or_else(Vec::new, |keys| self.handle_inputs(context, &mut proxy, [Input::Keys(keys)]))
     }
 
-    /// How it stands with homes by a group's size, where they are on.
-    pub fn homes(&self) -> Option<AffinityMetrics> {
+    /// Affinity subsets by a group's size, where they are on.
+    pub fn affinity_metrics(&self) -> Option<AffinityMetrics> {
         let member = self.member.as_ref()?.peers.fleet_member().filter(|member| member.wants_groups())?;
-        let (counts, most) =
-            (member.counts(), member.affinity_subsets().map(|(_, homes)| homes).max().unwrap_or(0));
-        let dropped = counts.dropped + counts.late;
-        let (told, cut) = (counts.subset_tables_received, counts.groups_cut);
+        let counts = member.counts();
+        let largest_subset = member.affinity_subsets().map(|(_, size)| size).max().unwrap_or(0);
         Some(AffinityMetrics {
             groups: member.affinity_subsets().count() as u64,
-            most: u64::from(most),
-            told,
-            cut,
-            dropped,
+            largest_subset: u64::from(largest_subset),
+            tables_received: counts.subset_tables_received,
+            groups_cut: counts.groups_cut,
+            datagrams_dropped: counts.dropped + counts.late,
         })
     }
 
-    /// What the module is about to hear, as far as it shows something.
-    pub fn witness(&mut self, now: Micros, event: &Event) {
+    /// An event that the decision module is about to get, for the member's own observations.
+    pub fn observe_event(&mut self, now: Micros, event: &Event) {
         self.member.iter_mut().for_each(|member| member.peers.witness(now, event));
     }
 
-    /// Once a second: what this proxy has to tell.
-    pub fn tick(&mut self, context: &mut Context, mut peer_context: PeerContext<'_>) -> Vec<Event> {
-        let events = self.handle_inputs(context, &mut peer_context, [Input::Second]);
+    /// Once a second: what this proxy has to report.
+    pub fn tick(&mut self, context: &mut Context, mut proxy: PeerInputs<'_>) -> Vec<Event> {
+        let events = self.handle_inputs(context, &mut proxy, [Input::Second]);
         self.member.iter_mut().for_each(|member| member.log_dropped(context.now()));
         events
     }
 
     /// Datagrams have come.
-    pub fn datagrams(
+    pub fn handle_datagrams(
         &mut self,
         context: &mut Context,
-        mut peer_context: PeerContext<'_>,
-        heard: &[(SocketAddr, Vec<u8>)],
+        mut proxy: PeerInputs<'_>,
+        received: &[(SocketAddr, Vec<u8>)],
     ) -> Vec<Event> {
-        let inputs = heard.iter().map(|(from, bytes)| Input::Datagram { from: *from, bytes });
-        self.handle_inputs(context, &mut peer_context, inputs)
+        let inputs = received.iter().map(|(from, bytes)| Input::Datagram { from: *from, bytes });
+        self.handle_inputs(context, &mut proxy, inputs)
     }
 
     /// The timer is due; it may be outdated.
-    pub fn on_timer(&mut self, context: &mut Context, mut peer_context: PeerContext<'_>) -> Vec<Event> {
-        self.member.iter_mut().for_each(|member| member.alarm.fired());
-        self.handle_inputs(context, &mut peer_context, [Input::Tick])
+    pub fn on_timer(&mut self, context: &mut Context, mut proxy: PeerInputs<'_>) -> Vec<Event> {
+        self.member.iter_mut().for_each(|member| member.wake_up_timer.fired());
+        self.handle_inputs(context, &mut proxy, [Input::Tick])
     }
 
-    /// The proxy leaves, its clients have been moved: the others count it no more.
-    pub fn leave(&mut self, context: &mut Context, mut peer_context: PeerContext<'_>) {
-        self.handle_inputs(context, &mut peer_context, [Input::Leave]);
+    /// The proxy shuts down, its clients have been migrated: the others count it no more.
+    pub fn leave(&mut self, context: &mut Context, mut proxy: PeerInputs<'_>) {
+        self.handle_inputs(context, &mut proxy, [Input::Leave]);
     }
 
     fn handle_inputs<'a>(
         &mut self,
         context: &mut Context,
-        peer_context: &mut PeerContext<'_>,
+        proxy: &mut PeerInputs<'_>,
         inputs: impl IntoIterator<Item = Input<'a>>,
     ) -> Vec<Event> {
         let Some(member) = &mut self.member else { return Vec::new() };
-        inputs.into_iter().for_each(|input| member.handle(context, peer_context, input));
+        inputs.into_iter().for_each(|input| member.handle(context, proxy, input));
         member.carry_out(context)
     }
 }
 
-/// The fleet's settings, if the operator wants a view for a tier of this size.
+/// The settings of aggregation, if the operator wants it for a fleet of this size.
 fn fleet_settings(context: &Context) -> Option<Settings> {
     // The section was checked when it was read.
     let settings = context.config.operator.fleet.check().ok().flatten()?;
--- a/crates/cottonnotch/src/net/driver/records.rs
+++ b/crates/cottonnotch/src/net/driver/records.rs
@@ -29,12 +29,12 @@
     pub fn new(recorder: Recorder, profile: &Profile) -> Self {
         let mut records =
             Records { recorder, metrics: Metrics::default(), classes: Vec::new(), tenants: Vec::new() };
-        records.set(profile);
+        records.configure(profile);
         records
     }
 
     /// The settings have changed.
-    pub fn set(&mut self, Profile { settings, classes, tenants, .. }: &Profile) {
+    pub fn configure(&mut self, Profile { settings, classes, tenants, .. }: &Profile) {
         self.classes = (0..settings.classes.len()).map(|i| classes.name(i as u32).into()).collect();
         self.metrics.set_classes((0..settings.classes.len()).map(|i| classes.name(i as u32)));
         self.tenants = (0..settings.tenants.len()).map(|i| tenants.name(i as u32).into()).collect();
@@ -46,7 +46,7 @@
     }
 
     /// A list, or changes of it, was taken; each entry with its name and address.
-    pub fn list<'a>(
+    pub fn endpoint_list<'a>(
         &self,
         revision: u64,
         complete: bool,
@@ -65,10 +65,10 @@
         });
     }
 
-    pub fn believes(&self, endpoint: impl FnOnce() -> Name, belief: ServerHealth) {
+    pub fn endpoint_health(&self, endpoint: impl FnOnce() -> Name, health: ServerHealth) {
         self.recorder.record_with(|| Event::Endpoint {
             endpoint: endpoint(),
-            state: match belief {
+            state: match health {
                 ServerHealth::Up => schema::EndpointState::Up,
                 ServerHealth::Paused { until } => schema::EndpointState::Paused { until_us: micros(until) },
                 ServerHealth::Trial => schema::EndpointState::Trial,
@@ -120,9 +120,9 @@
     }
 
     /// An attempt brought `UP`, which is the final answer.
-    pub fn up(&mut self, tracked: &TrackedRequest, endpoint: impl FnOnce() -> Name, took: Micros) {
+    pub fn established(&mut self, tracked: &TrackedRequest, endpoint: impl FnOnce() -> Name, took: Micros) {
         self.metrics.served(tracked.class);
-        let (request, attempt) = (tracked.id.0, tracked.latest());
+        let (request, attempt) = (tracked.id.0, tracked.latest_attempt_number());
         self.recorder.record_with(|| Event::Up {
             request,
             attempt,
@@ -132,7 +132,7 @@
         self.recorder.record_with(|| Event::Answer { request, answer: Answer::Up });
     }
 
-    pub fn refused(
+    pub fn rejected(
         &mut self,
         tracked: &TrackedRequest,
         retry_after: Micros,
@@ -147,36 +147,41 @@
         self.recorder.record_with(|| Event::Answer { request, answer: answer() });
     }
 
-    pub fn failed(&mut self, tracked: &TrackedRequest, why: &dyn Display) {
+    pub fn failed(&mut self, tracked: &TrackedRequest, reason: &dyn Display) {
         self.metrics.failed(tracked.class);
         let request = tracked.id.0;
-        let answer = || Answer::Failed { reason: why.to_string().into() };
+        let answer = || Answer::Failed { reason: reason.to_string().into() };
         self.recorder.record_with(|| Event::Answer { request, answer: answer() });
     }
 
     /// The last byte of an attempt's first line was written.
-    pub fn written(&mut self) {
+    pub fn attempt_written(&mut self) {
         self.metrics.attempt_written();
     }
 
     /// A client of this class, if it is one of the settings', got an error before it had a request.
-    pub fn rejected_by_validation(&mut self, class: Option<u32>, why: impl FnOnce() -> Reason) {
+    pub fn rejected_as_invalid(&mut self, class: Option<u32>, reason: impl FnOnce() -> Reason) {
         class.into_iter().for_each(|class| self.metrics.failed(class));
-        self.client_rejected(why);
+        self.client_rejected(reason);
     }
 
     /// A client of this class got a rejection before it had a request.
-    pub fn rejected_for_sockets(&mut self, class: Option<u32>, why: impl FnOnce() -> Reason) {
+    pub fn rejected_for_sockets(&mut self, class: Option<u32>, reason: impl FnOnce() -> Reason) {
         class.into_iter().for_each(|class| self.metrics.rejected(class));
-        self.client_rejected(why);
+        self.client_rejected(reason);
     }
 
     /// A client got an error or a rejection, and had no request.
-    pub fn client_rejected(&self, why: impl FnOnce() -> Reason) {
-        self.recorder.record_with(|| Event::ClientRejected { reason: why() });
+    pub fn client_rejected(&self, reason: impl FnOnce() -> Reason) {
+        self.recorder.record_with(|| Event::ClientRejected { reason: reason() });
     }
 
-    pub fn moved(&self, RequestId(request): RequestId, endpoint: impl FnOnce() -> Name, reason: MoveReason) {
+    pub fn migrated(
+        &self,
+        RequestId(request): RequestId,
+        endpoint: impl FnOnce() -> Name,
+        reason: MoveReason,
+    ) {
         self.recorder.record_with(|| Event::Moved { request, endpoint: endpoint(), reason });
     }
 
@@ -193,21 +198,26 @@
         self.metrics.watch_lost();
     }
 
-    /// A list came with a lower revision than the last one; it was taken, or refused.
-    pub fn list_fell_back(&mut self, taken: bool) {
-        self.metrics.list_fell_back(taken);
+    /// A list came with a lower revision than the last one, and was accepted.
+    pub fn older_list_accepted(&mut self) {
+        self.metrics.older_list_accepted();
+    }
+
+    /// Changes came with a lower revision than the last one, and were rejected.
+    pub fn older_list_rejected(&mut self) {
+        self.metrics.older_list_rejected();
     }
 
     /// A new configuration counts.
-    pub fn reload_taken(&mut self) {
-        self.metrics.configuration_loaded(true);
+    pub fn reload_applied(&mut self) {
+        self.metrics.configuration_applied();
         self.recorder.record_with(|| Event::Reload { reload: Reload::Applied });
     }
 
     /// A new configuration is faulty.
-    pub fn reload_kept(&mut self, why: &dyn Display) {
-        self.metrics.configuration_loaded(false);
-        let reload = || Reload::Rejected { reason: why.to_string().into() };
+    pub fn reload_rejected(&mut self, reason: &dyn Display) {
+        self.metrics.configuration_rejected();
+        let reload = || Reload::Rejected { reason: reason.to_string().into() };
         self.recorder.record_with(|| Event::Reload { reload: reload() });
     }
 
--- a/crates/cottonnotch/src/net/driver/startup.rs
+++ b/crates/cottonnotch/src/net/driver/startup.rs
@@ -6,15 +6,16 @@
 use super::clients::Clients;
 use super::clock_file::ClockFile;
 use super::context::{Context, LOG_TARGET};
-use super::endpoints::Endpoints;
-use super::lifecycle::{Lifecycle, Reread};
+use super::endpoints::{Endpoints, UpdateSource};
+use super::lifecycle::{Lifecycle, Predecessor, ReadConfig};
 use super::management::{Management, shared_file};
 use super::message_latency::MessageLatency;
 use super::peers::Peers;
 use super::records::Records;
 use super::transient_errors::retry_transient;
 use crate::config::Config;
-use crate::net::network_event::{NetworkEvent, Object};
+use crate::net::network_event::NetworkEvent;
+use crate::net::object::Object;
 use crate::rules::RulesService;
 use cottonnotch_decision::Balancer;
 use cottonnotch_reactor::rate_limited_log::RateLimitedLog;
@@ -25,48 +26,24 @@
 use std::io;
 
 impl Driver {
-    /// Opens the sockets and starts the module. `reread` gets the configuration anew on SIGHUP.
-    pub fn start(config: Config, recorder: Recorder, reread: Reread) -> io::Result<Self> {
-        let mut reactor = retry_transient("poll", || Reactor::<dyn Object>::new(Clock::unix()))?;
-        reactor.io.buffer_bound = config.buffer_bound;
-        // Guards against the system's own answer to a signal, which is to end the process.
-        let signals: [(i32, fn() -> NetworkEvent); 2] =
-            [(SIGTERM, || NetworkEvent::Terminate), (SIGHUP, || NetworkEvent::Reload)];
-        for (signal, network_event) in signals {
-            retry_transient("hear signals", || {
-                reactor.insert(|key, io| Ok(Box::new(Signals::register(signal, network_event, key, io)?)))
-            })?;
-        }
+    /// Opens the sockets and starts the decision module. `read_config` gets the configuration anew on SIGHUP. Fails as the
+    /// system calls do, after those errors that pass were waited for.
+    pub fn start(config: Config, recorder: Recorder, read_config: ReadConfig) -> io::Result<Self> {
+        let reactor = start_reactor(&config)?;
         let mut balancer = Balancer::new(config.profile.settings.clone(), config.seed, reactor.io.now());
-        let known = config.initial_endpoints.clone();
-        let names = recorder.is_on();
-        let records = Records::new(recorder, &config.profile);
-        let audit = Audit::new(config.profile.settings.clone());
-        let clock_file = ClockFile::at(shared_file(config.listen, "clock"), reactor.io.now());
-        let wall_clock = clock_file.load(reactor.io.now(), Clock::wall());
-        let mut context = Context {
-            reactor,
-            config,
-            records,
-            audit,
-            wall_clock,
-            clock_file,
-            rules: None,
-            sibling_descriptors: 0,
-            requests: 0,
-        };
+        let initial_endpoints = config.initial_endpoints.clone();
+        let records_on = recorder.is_on();
+        let mut context = create_context(reactor, config, recorder);
         context.save_wall_clock();
-        let mut lifecycle = Lifecycle::new(&context, reread);
-        let has_predecessor = lifecycle.has_predecessor(&mut context);
-        if let Some(settings) = context.config.rules.clone() {
-            let (profile, seed) = (&context.config.profile, context.config.seed);
-            let rules = RulesService::start(settings, profile, seed, names, has_predecessor)?;
+        let mut lifecycle = Lifecycle::new(&context, read_config);
+        let predecessor = lifecycle.find_predecessor(&mut context);
+        if let Some(rules) = start_rules(&context, records_on, predecessor)? {
             balancer = balancer.with_rules(Box::new(rules.rulings().clone()));
             context.rules = Some(rules);
         }
         let mut driver = Driver {
             latency: MessageLatency::start(&mut context),
-            peers: retry_transient("hear other proxies", || Peers::start(&mut context, has_predecessor))?,
+            peers: retry_transient("hear other proxies", || Peers::start(&mut context, predecessor))?,
             management: retry_transient("hear operators", || Management::start(&mut context))?,
             context,
             balancer,
@@ -78,14 +55,60 @@
             no_endpoint_log: RateLimitedLog::default(),
             listen_failure_log: RateLimitedLog::default(),
         };
-        // Before the first list: nothing must go to what is out.
+        // Before the first list: nothing must go to an endpoint in maintenance.
         driver.sync_maintenance();
-        driver.apply_endpoint_update(known, true);
-        if has_predecessor {
-            log::info!(target: LOG_TARGET, "an earlier process serves, clients are let in once the list is there");
-        } else {
-            retry_transient("listen for clients", || driver.listen())?;
+        driver.apply_endpoint_update(initial_endpoints, UpdateSource::Remembered);
+        match predecessor {
+            Predecessor::Serving => {
+                log::info!(target: LOG_TARGET, "an earlier process serves, clients are accepted once the list is there")
+            }
+            Predecessor::None => retry_transient("listen for clients", || driver.listen())?,
         }
         Ok(driver)
     }
 }
+
+/// The loop, with the process's signals on it.
+fn start_reactor(config: &Config) -> io::Result<Reactor<dyn Object>> {
+    let mut reactor = retry_transient("poll", || Reactor::<dyn Object>::new(Clock::unix()))?;
+    reactor.io.buffer_bound = config.buffer_bound;
+    // Guards against the system's own answer to a signal, which is to end the process.
+    let signals: [(i32, fn() -> NetworkEvent); 2] =
+        [(SIGTERM, || NetworkEvent::Terminate), (SIGHUP, || NetworkEvent::Reload)];
+    for (signal, network_event) in signals {
+        retry_transient("hear signals", || {
+            reactor.insert(|key, io| Ok(Box::new(Signals::register(signal, network_event, key, io)?)))
+        })?;
+    }
+    Ok(reactor)
+}
+
+fn create_context(reactor: Reactor<dyn Object>, config: Config, recorder: Recorder) -> Context {
+    let records = Records::new(recorder, &config.profile);
+    let audit = Audit::new(config.profile.settings.clone());
+    let clock_file = ClockFile::at(shared_file(config.listen, "clock"), reactor.io.now());
+    let wall_clock = clock_file.load(reactor.io.now(), Clock::wall());
+    Context {
+        reactor,
+        config,
+        records,
+        audit,
+        wall_clock,
+        clock_file,
+        rules: None,
+        sibling_descriptors: 0,
+        requests: 0,
+    }
+}
+
+/// The rules, if there are any. Fails where their consensus thread can't be started.
+fn start_rules(
+    context: &Context,
+    records_on: bool,
+    predecessor: Predecessor,
+) -> io::Result<Option<RulesService>> {
+    let Some(settings) = context.config.rules.clone() else { return Ok(None) };
+    let (profile, seed) = (&context.config.profile, context.config.seed);
+    let has_predecessor = predecessor == Predecessor::Serving;
+    RulesService::start(settings, profile, seed, records_on, has_predecessor).map(Some)
+}
--- a/crates/cottonnotch/src/net/driver/unregistered_clients.rs
+++ b/crates/cottonnotch/src/net/driver/unregistered_clients.rs
@@ -2,7 +2,7 @@
 //! the poll is asked again, and where that goes on failing they are told to come again.
 
 use super::acceptor::FULL_RETRY_AFTER;
-use crate::net::client_connection::busy;
+use crate::net::final_answer::busy_line;
 use cottonnotch_decision::Micros;
 use mio::net::TcpStream;
 use std::collections::VecDeque;
@@ -85,7 +85,7 @@
     /// Tells the client to come again; `None` if it is gone.
     fn answer(mut self, now: Micros) -> Option<UnregisteredClient> {
         // The socket is new and empty: so short a line fits.
-        let told = self.stream.write_all(busy(FULL_RETRY_AFTER).as_bytes());
+        let told = self.stream.write_all(busy_line(FULL_RETRY_AFTER).as_bytes());
         told.and_then(|()| self.stream.shutdown(Shutdown::Write)).ok()?;
         self.since = now;
         Some(self)
--- a/crates/cottonnotch/src/net/invariant.rs
+++ b/crates/cottonnotch/src/net/invariant.rs
@@ -1,5 +1,5 @@
-//! What must hold: asserted in debug builds, counted and logged in release builds, where a proxy that
-//! carries on serves its clients better than one that is gone.
+//! Invariants: asserted in debug builds, counted and logged in release builds, where a proxy that carries on serves its
+//! clients better than one that has crashed.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
--- a/crates/cottonnotch/src/net/management/admin_connection.rs
+++ b/crates/cottonnotch/src/net/management/admin_connection.rs
@@ -1,7 +1,8 @@
-//! One operator's connection: reads a call, reports it, writes the answer, and ends.
+//! One operator's connection: reads a request, reports it, writes the response, and ends.
 
 use super::admin_request::{AdminRequest, AdminResponse};
-use crate::net::network_event::{Io, NetworkEvent, Object};
+use crate::net::network_event::{Io, NetworkEvent};
+use crate::net::object::{AdminResponder, Object};
 use cottonnotch_decision::Micros;
 use cottonnotch_reactor::http_server::{BadRequest, RequestReader};
 use cottonnotch_reactor::line::{Fill, LineStream};
@@ -9,22 +10,22 @@
 use mio::net::TcpStream;
 use std::io;
 
-/// A call is whole after this, or it is answered so. Guards against callers that send nothing, half a call, or a byte
-/// at a time.
+/// A request is complete after this, or the response says that it is late. Guards against connections that send nothing,
+/// half a request, or a byte at a time.
 const REQUEST_TIMEOUT: Micros = 2_000_000;
-/// A caller that was answered is given this long to read and to close: one that never reads costs a place no longer.
+/// An operator that was answered is given this long to read and to close: one that never reads holds a connection no longer.
 const LINGER: Micros = 1_000_000;
 
 #[derive(Debug)]
 enum State {
     Reading(RequestReader),
-    /// The call was told to the driver, which answers in the same turn of the loop.
-    Asked,
+    /// The request was reported to the driver, which responds in the same turn of the loop.
+    Reported,
     Answered,
     Closed,
 }
 
-/// A caller, from its connection's beginning to its end.
+/// An operator's connection, from its beginning to its end.
 #[derive(Debug)]
 pub struct AdminConnection {
     key: Key,
@@ -42,12 +43,11 @@
         Ok(AdminConnection { key, stream, state: State::Reading(RequestReader::default()), until })
     }
 
-    /// Answers; nothing if the caller was answered before.
-    pub fn answer(&mut self, io: &mut Io, answer: &AdminResponse) {
+    fn send_response(&mut self, io: &mut Io, response: &AdminResponse) {
         if let State::Answered | State::Closed = self.state {
             return;
         }
-        self.stream.push(&answer.encode());
+        self.stream.push(&response.encode());
         self.stream.finish();
         self.state = match self.stream.flush() {
             Ok(_) => State::Answered,
@@ -55,8 +55,8 @@
         };
         self.until = io.now() + LINGER;
         io.timer(self.until, self.key, 0);
-        // What came after the call is read away: a close with bytes unread would reset the connection, and could take
-        // the answer with it.
+        // What came after the request is read away: a close with bytes unread would reset the connection, and could take
+        // the response with it.
         io.call_again(self.key, Half::Near);
     }
 
@@ -65,23 +65,29 @@
         let fill = self.stream.fill();
         let read = reader.feed(&self.stream.take_rest());
         match (read, fill) {
-            (Ok(Some(request)), _) => match AdminRequest::read(&request) {
+            (Ok(Some(request)), _) => match AdminRequest::parse(&request) {
                 Ok(request) => {
-                    self.state = State::Asked;
+                    self.state = State::Reported;
                     io.report(NetworkEvent::AdminRequested(self.key, request));
                 }
-                Err(answer) => self.answer(io, &answer),
+                Err(answer) => self.send_response(io, &answer),
             },
-            (Err(bad), _) => self.answer(io, &bad.into()),
+            (Err(bad), _) => self.send_response(io, &bad.into()),
             (Ok(None), Fill::Blocked) => {}
             (Ok(None), Fill::More) => io.call_again(self.key, Half::Near),
-            // Half a call, and no more to come: it may still read why.
-            (Ok(None), Fill::Ended) => self.answer(io, &BadRequest::Malformed.into()),
+            // Half a request, and no more to come: it may still read why.
+            (Ok(None), Fill::Ended) => self.send_response(io, &BadRequest::Malformed.into()),
             (Ok(None), Fill::Broken(_)) => self.state = State::Closed,
         }
     }
 }
 
+impl AdminResponder for AdminConnection {
+    fn respond(&mut self, io: &mut Io, response: &AdminResponse) {
+        self.send_response(io, response);
+    }
+}
+
 impl Connection for AdminConnection {
     type Report = NetworkEvent;
 
@@ -93,7 +99,7 @@
                 Fill::More => io.call_again(self.key, Half::Near),
                 Fill::Blocked => {}
             },
-            State::Asked | State::Closed => {}
+            State::Reported | State::Closed => {}
         }
     }
 
@@ -108,9 +114,9 @@
             return;
         }
         match self.state {
-            State::Reading(_) => self.answer(io, &BadRequest::Late.into()),
+            State::Reading(_) => self.send_response(io, &BadRequest::Late.into()),
             // Its last byte came in the turn in which its time is up: it is carried out, and answered in this turn.
-            State::Asked => {}
+            State::Reported => {}
             _ => self.state = State::Closed,
         }
     }
@@ -121,7 +127,7 @@
 }
 
 impl Object for AdminConnection {
-    fn admin(&mut self) -> Option<&mut AdminConnection> {
+    fn admin(&mut self) -> Option<&mut dyn AdminResponder> {
         Some(self)
     }
 }
--- a/crates/cottonnotch/src/net/management/admin_server.rs
+++ b/crates/cottonnotch/src/net/management/admin_server.rs
@@ -1,7 +1,8 @@
-//! Where operators are let in: a listener with places of its own, so that clients can't take them.
+//! The admin server: a listener for operators with connections of its own, so that clients can't take them.
 
 use super::admin_connection::AdminConnection;
-use crate::net::network_event::{NetworkEvent, Object};
+use crate::net::network_event::NetworkEvent;
+use crate::net::object::Object;
 use cottonnotch_decision::Micros;
 use cottonnotch_reactor::listener::Listener;
 use cottonnotch_reactor::{Key, Reactor};
@@ -11,16 +12,18 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Callers at a time. One more takes the place of the one that has been there longest.
+/// The log's part of this file: filters and collectors know it by this.
+const LOG_TARGET: &str = "cottonnotch::net::management::admin_server";
+/// Connections at a time. One more takes the place of the oldest.
 pub const MAX_ADMIN_CONNECTIONS: usize = 12;
-/// No caller gives up its place sooner than this. Guards against a crowd of callers that would let none finish.
+/// No connection is closed for another one sooner than this. Guards against a crowd that would let none finish.
 const EVICTABLE_AFTER: Micros = 50_000;
 /// Accepted in one turn before others have theirs.
 const ACCEPT_BATCH: usize = 8;
-/// Wait before accepting again when there is no place.
+/// Wait before accepting again when no connection may be closed yet.
 const ACCEPT_RETRY_AFTER: Micros = 10_000;
 
-/// The operators' desk.
+/// The listener for operators, with their connections.
 pub struct AdminServer {
     listener: Rc<TcpListener>,
     connections: VecDeque<(Micros, Key)>,
@@ -43,14 +46,14 @@
         Ok(AdminServer { listener, connections: VecDeque::new(), is_timer_set: false, timer })
     }
 
-    /// Where it is, also where the system chose the port.
+    /// Where it listens, also where the system chose the port.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
     /// Callers wait to be let in.
     pub fn on_connections_waiting(&mut self, reactor: &mut Reactor<dyn Object>) {
-        // While a timer runs, a new caller is no reason to try sooner.
+        // While a timer runs, a new connection is no reason to try sooner.
         if !self.is_timer_set {
             self.accept(reactor);
         }
@@ -73,13 +76,13 @@
                     {
                         Ok(key) => self.connections.push_back((reactor.io.now(), key)),
                         Err(error) => {
-                            log::warn!(error:%; "operator's call lost while it was accepted: {error}")
+                            log::warn!(target: LOG_TARGET, error:%; "admin connection lost while it was accepted: {error}")
                         }
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) => {
-                    log::debug!("an operator's call was not accepted: {error}");
+                    log::debug!(target: LOG_TARGET, "an admin connection was not accepted: {error}");
                     return self.accept_after(reactor, ACCEPT_RETRY_AFTER);
                 }
             }
@@ -93,7 +96,7 @@
         reactor.io.owner_timer(now + wait, self.timer);
     }
 
-    /// Guards against callers that stay and say nothing: the oldest gives up its place.
+    /// Guards against connections that stay and send nothing: the oldest is closed.
     fn make_room(&mut self, reactor: &mut Reactor<dyn Object>) -> bool {
         self.connections.retain(|(_, key)| reactor.contains(*key));
         while self.connections.len() >= MAX_ADMIN_CONNECTIONS {
--- a/crates/cottonnotch/src/net/management/metrics.rs
+++ b/crates/cottonnotch/src/net/management/metrics.rs
@@ -1,5 +1,5 @@
-//! What operators' tools fetch: counts since the process began, and gauges. Where an ending is noted for the records it
-//! is counted here too, so that the two can't tell different stories.
+//! Metrics for operators' tools: counters since the process began, and gauges. Where an ending is recorded it is counted
+//! here too, so that the two can't disagree.
 
 use crate::rules::RulesStatus;
 use cottonnotch_consensus::Role;
@@ -9,7 +9,7 @@
 /// How the requests of one class were answered.
 #[derive(Debug, Default)]
 struct ClassCounts {
-    /// As the name goes over the wire.
+    /// As it goes over the wire.
     name: String,
     passed: u64,
     dropped: u64,
@@ -19,34 +19,34 @@
 /// Values of the moment, which the driver knows.
 #[derive(Clone, Debug, Default)]
 pub struct Gauges {
-    /// Requests taken and not ended.
+    /// Requests accepted and not ended.
     pub in_progress: usize,
     /// Endpoints in the list.
-    pub known: usize,
-    /// Those of them that get nothing new now, by hand or by the module's choice.
-    pub skipped: usize,
-    /// How it stands with the rules, if there are any.
+    pub known_endpoints: usize,
+    /// Those of them that get nothing new now, by manual override or by the decision module's choice.
+    pub skipped_endpoints: usize,
+    /// The status of the rules, if there are any.
     pub rules: Option<RulesStatus>,
-    /// How it stands with homes by a group's size, where they are on.
-    pub homes: Option<AffinityMetrics>,
+    /// Affinity subsets by a group's size, where they are on.
+    pub affinity: Option<AffinityMetrics>,
 }
 
-/// Homes by a group's size: values of the moment, and counts since the process began.
+/// Affinity subsets by a group's size: values of the moment, and counts since the process began.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AffinityMetrics {
-    /// Groups that have more than five homes.
+    /// Groups whose subset has more than five endpoints.
     pub groups: u64,
-    /// Homes of the group that has most.
-    pub most: u64,
-    /// Tables of homes that were taken.
-    pub told: u64,
-    /// Groups that found no room in a report or a table.
-    pub cut: u64,
-    /// Datagrams of the tier that were nothing of ours, from no member, or answers to no question or too late.
-    pub dropped: u64,
+    /// Endpoints in the largest subset.
+    pub largest_subset: u64,
+    /// Tables of subsets that were accepted.
+    pub tables_received: u64,
+    /// Groups that were cut from a report or a table for want of room.
+    pub groups_cut: u64,
+    /// Datagrams of the fleet that were malformed, from no member, or answers to no request or too late.
+    pub datagrams_dropped: u64,
 }
 
-/// The counts.
+/// The counters.
 #[derive(Debug, Default)]
 pub struct Metrics {
     handled: Vec<ClassCounts>,
@@ -79,12 +79,12 @@
         self.handled.get_mut(place)
     }
 
-    /// A connection was brought up.
+    /// A connection was established.
     pub fn served(&mut self, class: u32) {
         self.handled(class).into_iter().for_each(|handled| handled.passed += 1);
     }
 
-    /// A request was refused.
+    /// A request was rejected.
     pub fn rejected(&mut self, class: u32) {
         self.handled(class).into_iter().for_each(|handled| handled.dropped += 1);
     }
@@ -99,79 +99,110 @@
         self.upstream_tries += 1;
     }
 
-    /// A configuration was taken on SIGHUP, or turned down.
-    pub fn configuration_loaded(&mut self, taken: bool) {
-        if taken {
-            self.loads += 1;
-        } else {
-            self.load_errors += 1;
-        }
+    /// A configuration was applied on SIGHUP.
+    pub fn configuration_applied(&mut self) {
+        self.loads += 1;
     }
 
-    /// The watch on discovery is lost, or a call for it failed.
+    /// A configuration was rejected on SIGHUP.
+    pub fn configuration_rejected(&mut self) {
+        self.load_errors += 1;
+    }
+
+    /// The watch on discovery is lost, or a request for it failed.
     pub fn watch_lost(&mut self) {
         self.watches_lost += 1;
     }
 
-    /// A list came with a lower revision than the last one; it was taken, or refused.
-    pub fn list_fell_back(&mut self, taken: bool) {
-        if taken {
-            self.lists_back += 1;
-        } else {
-            self.lists_refused += 1;
-        }
+    /// A list came with a lower revision than the last one, and was accepted.
+    pub fn older_list_accepted(&mut self) {
+        self.lists_back += 1;
+    }
+
+    /// Changes came with a lower revision than the last one, and were rejected.
+    pub fn older_list_rejected(&mut self) {
+        self.lists_refused += 1;
     }
 
-    /// All of it, a figure a line; `audit` has the counts of violations and reasons.
+    /// All of them, a metric a line; `audit` has the counts of violations and reasons.
     pub fn text(&self, gauges: Gauges, audit: impl Iterator<Item = (String, u64)>) -> String {
-        let mut text = String::new();
-        let mut line = |name: &str, value: u64, kind: char| {
-            // A text takes whatever is written.
-            let _ = writeln!(text, "svc.{name}:{value}|{kind}");
-        };
-        for ClassCounts { name, passed, dropped, bad_gateway } in &self.handled {
-            line(&format!("handled.{name}.passed"), *passed, 'c');
-            line(&format!("handled.{name}.dropped"), *dropped, 'c');
-            line(&format!("handled.{name}.bad_gateway"), *bad_gateway, 'c');
+        let mut text = MetricsText::default();
+        self.write_counts(&mut text);
+        audit.for_each(|(name, count)| text.counter(&name, count));
+        text.gauge("in_progress", gauges.in_progress as u64);
+        text.gauge("known_render_nodes", gauges.known_endpoints as u64);
+        text.gauge("skipped_render_nodes", gauges.skipped_endpoints as u64);
+        if let Some(affinity) = &gauges.affinity {
+            affinity.write(&mut text);
         }
-        line("upstream_tries", self.upstream_tries, 'c');
-        line("loads", self.loads, 'c');
-        line("load_errors", self.load_errors, 'c');
-        line("watches_lost", self.watches_lost, 'c');
-        line("lists_back", self.lists_back, 'c');
-        line("lists_refused", self.lists_refused, 'c');
-        audit.for_each(|(name, count)| line(&name, count, 'c'));
-        line("in_progress", gauges.in_progress as u64, 'g');
-        line("known_render_nodes", gauges.known as u64, 'g');
-        line("skipped_render_nodes", gauges.skipped as u64, 'g');
-        if let Some(homes) = &gauges.homes {
-            line("homes.groups", homes.groups, 'g');
-            line("homes.most", homes.most, 'g');
-            line("homes.told", homes.told, 'c');
-            line("homes.cut", homes.cut, 'c');
-            line("homes.dropped", homes.dropped, 'c');
+        if let Some(rules) = &gauges.rules {
+            write_rules(rules, &mut text);
         }
-        if let Some(seen) = &gauges.rules {
-            let version = seen.version.unwrap_or(0);
-            line("rules.version", version, 'g');
-            line("rules.rules", seen.rules, 'g');
-            line("rules.lag", seen.newest.saturating_sub(version), 'g');
-            line("rules.lease_left_ms", seen.lease_left_ms, 'g');
-            line("rules.held_back", seen.held_back.len() as u64, 'g');
-            line("rules.term", seen.term, 'g');
-            line("rules.leads", u64::from(seen.role == Role::Leader), 'g');
-            line("rules.live", u64::from(seen.live_members), 'g');
-            line("rules.list_behind", u64::from(seen.newer_list.is_some()), 'g');
-            line("rules.stopped", u64::from(seen.consensus_error.is_some()), 'g');
-            line("rules.refused_in_doubt", seen.rejected_while_uncertain, 'c');
-            line("rules.stray_datagrams", seen.invalid_datagrams, 'c');
-            line("rules.unsent_datagrams", seen.unsent_datagrams, 'c');
-            line("rules.broken", seen.invariant_violations, 'c');
-            for namespace in seen.held_back.keys() {
-                line(&format!("rules.held_back.{}", plain(namespace)), 1, 'g');
-            }
+        text.0
+    }
+
+    fn write_counts(&self, text: &mut MetricsText) {
+        for ClassCounts { name, passed, dropped, bad_gateway } in &self.handled {
+            text.counter(&format!("handled.{name}.passed"), *passed);
+            text.counter(&format!("handled.{name}.dropped"), *dropped);
+            text.counter(&format!("handled.{name}.bad_gateway"), *bad_gateway);
         }
-        text
+        text.counter("upstream_tries", self.upstream_tries);
+        text.counter("loads", self.loads);
+        text.counter("load_errors", self.load_errors);
+        text.counter("watches_lost", self.watches_lost);
+        text.counter("lists_back", self.lists_back);
+        text.counter("lists_refused", self.lists_refused);
+    }
+}
+
+impl AffinityMetrics {
+    fn write(&self, text: &mut MetricsText) {
+        text.gauge("homes.groups", self.groups);
+        text.gauge("homes.most", self.largest_subset);
+        text.counter("homes.told", self.tables_received);
+        text.counter("homes.cut", self.groups_cut);
+        text.counter("homes.dropped", self.datagrams_dropped);
+    }
+}
+
+fn write_rules(rules: &RulesStatus, text: &mut MetricsText) {
+    let version = rules.version.unwrap_or(0);
+    text.gauge("rules.version", version);
+    text.gauge("rules.rules", rules.rules);
+    text.gauge("rules.lag", rules.newest.saturating_sub(version));
+    text.gauge("rules.lease_left_ms", rules.lease_left_ms);
+    text.gauge("rules.held_back", rules.held_back.len() as u64);
+    text.gauge("rules.term", rules.term);
+    text.gauge("rules.leads", u64::from(rules.role == Role::Leader));
+    text.gauge("rules.live", u64::from(rules.live_members));
+    text.gauge("rules.list_behind", u64::from(rules.newer_list.is_some()));
+    text.gauge("rules.stopped", u64::from(rules.consensus_error.is_some()));
+    text.counter("rules.refused_in_doubt", rules.rejected_while_uncertain);
+    text.counter("rules.stray_datagrams", rules.invalid_datagrams);
+    text.counter("rules.unsent_datagrams", rules.unsent_datagrams);
+    text.counter("rules.broken", rules.invariant_violations);
+    for namespace in rules.held_back.keys() {
+        text.gauge(&format!("rules.held_back.{}", plain(namespace)), 1);
+    }
+}
+
+/// The text that is fetched: `svc.NAME:VALUE|c` for a counter and `|g` for a gauge, a line each.
+#[derive(Default)]
+struct MetricsText(String);
+
+impl MetricsText {
+    fn counter(&mut self, name: &str, value: u64) {
+        self.line(name, value, 'c');
+    }
+
+    fn gauge(&mut self, name: &str, value: u64) {
+        self.line(name, value, 'g');
+    }
+
+    fn line(&mut self, name: &str, value: u64, kind: char) {
+        // Writing to a string can't fail.
+        let _ = writeln!(self.0, "svc.{name}:{value}|{kind}");
     }
 }
 
@@ -189,49 +220,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn every_class_is_there_from_the_first_moment_and_stays() {
-        let mut metrics = Metrics::default();
-        metrics.set_classes(["look", "edit"].into_iter());
-        let gauges = Gauges { in_progress: 3, known: 2, skipped: 1, ..Gauges::default() };
-        let text = metrics.text(gauges.clone(), std::iter::empty());
-        assert!(text.starts_with("svc.handled.look.passed:0|c\nsvc.handled.look.dropped:0|c\n"), "{text}");
-        assert!(
-            text.ends_with("svc.in_progress:3|g\nsvc.known_render_nodes:2|g\nsvc.skipped_render_nodes:1|g\n")
-        );
-        metrics.served(1);
-        metrics.failed(0);
-        // `edit` goes, and comes back under another number.
-        metrics.set_classes(["look", "print"].into_iter());
-        metrics.rejected(1);
-        metrics.set_classes(["look", "print", "edit"].into_iter());
-        metrics.served(2);
-        metrics.served(9);
-        let text = metrics.text(gauges, std::iter::empty());
-        for line in ["look.bad_gateway:1|c", "edit.passed:2|c", "print.dropped:1|c", "print.passed:0|c"] {
-            assert!(text.contains(&format!("svc.handled.{line}\n")), "{line}: {text}");
-        }
-    }
-
-    #[test]
-    fn homes_are_told_where_they_are_on() {
-        let homes = Some(AffinityMetrics { groups: 2, most: 205, told: 31, cut: 4, dropped: 5 });
-        let text = Metrics::default().text(Gauges { homes, ..Gauges::default() }, std::iter::empty());
-        let told = "svc.homes.groups:2|g\nsvc.homes.most:205|g\nsvc.homes.told:31|c\nsvc.homes.cut:4|c\nsvc.homes.dropped:5|c\n";
-        assert!(text.ends_with(told), "{text}");
-        assert!(!Metrics::default().text(Gauges::default(), std::iter::empty()).contains("homes"));
-    }
-
-    #[test]
-    fn no_name_breaks_the_format() {
-        let mut metrics = Metrics::default();
-        metrics.set_classes(["a:1|c\nsvc.b", "ok-name_2"].into_iter());
-        let text = metrics.text(Gauges::default(), std::iter::empty());
-        assert!(text.contains("svc.handled.a%3a1%7cc%0asvc%2eb.passed:0|c\n"), "{text}");
-        assert!(text.contains("svc.handled.ok-name_2.passed:0|c\n"), "{text}");
-        assert!(text.lines().all(|line| line.matches(':').count() == 1 && line.matches('|').count() == 1));
-    }
-}
+#[path = "metrics_tests.rs"]
+mod tests;
--- a/crates/cottonnotch/src/net/open_line.rs
+++ b/crates/cottonnotch/src/net/open_line.rs
@@ -1,8 +1,9 @@
 //! The first line of a client's connection: `OPEN ID KEY name=value,...`.
 
-use super::network_event::ConnectionRequest;
+use super::connection_request::ConnectionRequest;
 use cottonnotch_decision::Micros;
 use cottonnotch_decision::names::digest;
+use std::ops::Range;
 
 /// What is wrong with a first line; the text is what the client is answered.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
@@ -19,12 +20,12 @@
     Twice,
 }
 
-/// A first line, kept as it came so that it can go on unchanged.
+/// A first line, kept as it came so that it can be forwarded unchanged.
 #[derive(Clone, Debug)]
 pub struct OpenLine {
     text: String,
-    /// Where the value of `d` stands in the text.
-    wait: Option<(usize, usize)>,
+    /// Where the value of `d`, the client's deadline, stands in the text.
+    deadline_value: Option<Range<usize>>,
 }
 
 impl OpenLine {
@@ -39,14 +40,9 @@
         if !text.bytes().all(|b| b == b' ' || b.is_ascii_graphic()) {
             return Err(OpenLineError::NotText);
         }
-        let mut words = text.split(' ');
-        let (verb, id, key, names) = (words.next(), words.next(), words.next(), words.next());
-        let is_given = |word: Option<&str>| word.is_some_and(|w| !w.is_empty());
-        let names =
-            names.filter(|_| verb == Some("OPEN") && is_given(id) && is_given(key) && words.next().is_none());
-        let names = names.ok_or(OpenLineError::NotOpen)?;
-        let id = id.and_then(parse_id).ok_or(OpenLineError::BadFigure("id"))?;
-        let mut wanted = ConnectionRequest {
+        let (id, names) = split_words(text)?;
+        let id = parse_id(id).ok_or(OpenLineError::BadFigure("id"))?;
+        let mut request = ConnectionRequest {
             id,
             class: String::new(),
             tenant: None,
@@ -56,7 +52,7 @@
             is_repeat: false,
             current_endpoint: None,
         };
-        let mut wait = None;
+        let mut deadline_value = None;
         let mut start = text.len() - names.len();
         let mut seen = Vec::new();
         for pair in names.split(',') {
@@ -65,42 +61,24 @@
                 return Err(OpenLineError::Twice);
             }
             seen.push(name);
-            match name {
-                "c" => wanted.class = value.to_owned(),
-                "t" => wanted.tenant = Some(value.to_owned()).filter(|t| !t.is_empty() && t != "-"),
-                "d" => {
-                    let figure = value.bytes().all(|b| b.is_ascii_digit()).then(|| value.parse().ok());
-                    let time_left: u32 =
-                        figure.flatten().filter(|d| *d > 0).ok_or(OpenLineError::BadFigure("d"))?;
-                    wanted.time_left = Some(Micros::from(time_left) * 1000);
-                    wait = Some((start + 2, start + pair.len()));
-                }
-                "g" => {
-                    wanted.group = Some(u64::from_str_radix(value, 16).unwrap_or_else(|_| digest(value)));
-                }
-                "h" => {
-                    let hint = value.parse().ok().filter(|h: &f64| h.is_finite());
-                    wanted.load_hint = Some(hint.ok_or(OpenLineError::BadFigure("h"))?);
-                }
-                "r" => wanted.is_repeat |= parse_flag(value).ok_or(OpenLineError::BadFigure("r"))?,
-                "again" => wanted.is_repeat |= parse_flag(value).ok_or(OpenLineError::BadFigure("again"))?,
-                "at" => wanted.current_endpoint = Some(value.to_owned()),
-                _ => {}
+            set_field(&mut request, name, value)?;
+            if name == "d" {
+                deadline_value = Some(start + "d=".len()..start + pair.len());
             }
-            start += pair.len() + 1;
+            start += pair.len() + ",".len();
         }
-        if wanted.class.is_empty() {
+        if request.class.is_empty() {
             return Err(OpenLineError::NoClass);
         }
-        Ok((OpenLine { text: text.to_owned(), wait }, wanted))
+        Ok((OpenLine { text: text.to_owned(), deadline_value }, request))
     }
 
-    /// The line for the endpoint: as it came, but `d` tells how long the proxy will wait.
+    /// The line for the endpoint: as it came, but `d` says how long the proxy will wait.
     pub fn forwarded(&self, wait: Option<Micros>) -> Vec<u8> {
-        let text = match (self.wait, wait) {
-            (Some((from, to)), Some(wait)) => {
+        let text = match (&self.deadline_value, wait) {
+            (Some(value), Some(wait)) => {
                 let ms = (wait / 1000).max(1);
-                format!("{}{ms}{}\r\n", &self.text[..from], &self.text[to..])
+                format!("{}{ms}{}\r\n", &self.text[..value.start], &self.text[value.end..])
             }
             _ => format!("{}\r\n", self.text),
         };
@@ -108,12 +86,48 @@
     }
 }
 
+/// The id and the names of a line that has its four words.
+fn split_words(text: &str) -> Result<(&str, &str), OpenLineError> {
+    let words: Vec<&str> = text.splitn(5, ' ').collect();
+    match words[..] {
+        ["OPEN", id, key, names] if !id.is_empty() && !key.is_empty() => Ok((id, names)),
+        _ => Err(OpenLineError::NotOpen),
+    }
+}
+
+/// Sets the field that this name stands for. Unknown names are forwarded and mean nothing here.
+fn set_field(request: &mut ConnectionRequest, name: &str, value: &str) -> Result<(), OpenLineError> {
+    match name {
+        "c" => request.class = value.to_owned(),
+        "t" => request.tenant = Some(value.to_owned()).filter(|tenant| !tenant.is_empty() && tenant != "-"),
+        "d" => request.time_left = Some(parse_deadline(value).ok_or(OpenLineError::BadFigure("d"))?),
+        "g" => request.group = Some(u64::from_str_radix(value, 16).unwrap_or_else(|_| digest(value))),
+        "h" => request.load_hint = Some(parse_load(value).ok_or(OpenLineError::BadFigure("h"))?),
+        "r" => request.is_repeat |= parse_flag(value).ok_or(OpenLineError::BadFigure("r"))?,
+        "again" => request.is_repeat |= parse_flag(value).ok_or(OpenLineError::BadFigure("again"))?,
+        "at" => request.current_endpoint = Some(value.to_owned()),
+        _ => {}
+    }
+    Ok(())
+}
+
 /// An id: hexadecimal digits, 64 bits at most.
 fn parse_id(word: &str) -> Option<u64> {
     let digits = word.bytes().all(|b| b.is_ascii_hexdigit());
     digits.then(|| u64::from_str_radix(word, 16).ok()).flatten()
 }
 
+/// A deadline: a positive number of milliseconds, of digits alone.
+fn parse_deadline(value: &str) -> Option<Micros> {
+    let is_number = value.bytes().all(|b| b.is_ascii_digit());
+    let ms: u32 = is_number.then(|| value.parse().ok()).flatten()?;
+    (ms > 0).then_some(Micros::from(ms) * 1000)
+}
+
+fn parse_load(value: &str) -> Option<f64> {
+    value.parse().ok().filter(|load: &f64| load.is_finite())
+}
+
 fn parse_flag(value: &str) -> Option<bool> {
     match value {
         "0" => Some(false),
--- a/crates/cottonnotch/src/net/relay.rs
+++ b/crates/cottonnotch/src/net/relay.rs
@@ -1,45 +1,62 @@
-//! A connection that is up: lines pass unchanged both ways, and an end on one side ends the other alike.
+//! Relaying on an established connection: lines pass unchanged both ways, and an end on one side ends the other in the
+//! same manner.
 
 use cottonnotch_decision::{Micros, Outcome};
 use cottonnotch_reactor::line::{Fill, LineStream, TooLong, trim_end};
 use std::collections::VecDeque;
 
-/// Unanswered lines that are remembered: a client that floods is relayed, but costs no more memory.
-const MAX_WAITING: usize = 1024;
+/// Unanswered lines that are remembered: a client that floods is relayed, but costs no more memory. Chosen.
+const MAX_UNANSWERED: usize = 1024;
 /// A render node that answers twice does so within this time of its first answer.
 const REPEATED_ANSWER_WINDOW: Micros = 1_000_000;
 
 /// What the relay noticed in the endpoint's lines.
 #[derive(Debug, PartialEq)]
 pub enum Observation {
+    /// The endpoint reported this load, or a latency.
     Load(f64),
     /// A line of the client's was answered after this long.
-    Answered(Micros),
+    LineAnswered { latency: Micros },
 }
 
-/// How a pass over one direction ended.
+/// How far relaying in one direction went.
 #[derive(Debug, PartialEq, Eq)]
-pub enum RelayOutcome {
-    Continue,
+pub enum RelayProgress {
+    /// All that could be relayed was; the next event goes on.
+    Idle,
     /// There may be more to read; to be called again.
     More,
-    /// The client ended its sending; what the endpoint still sends is passed on.
+    /// The client ended its sending; what the endpoint still sends is relayed.
     ClientEnded,
-    /// The endpoint sent what is no line. It runs still, so the client is moved, not cut off.
+    /// The endpoint sent what is no line. It runs still, so the client is migrated, not cut off.
     LineTooLong,
-    /// The connection is over; the client's side is to be closed alike.
-    Over {
-        outcome: Outcome,
-        reset: bool,
-    },
+    /// The connection is over; the client's side is to be ended in this manner.
+    Ended { outcome: Outcome, end: End },
 }
 
-/// The endpoint's side of a connection that is up, and what is known of the exchange.
+/// The manner in which a connection ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum End {
+    /// After the last byte that was sent.
+    Close,
+    /// At once, with a TCP reset.
+    Reset,
+}
+
+/// A line of the client's that has no answer yet.
+#[derive(Debug)]
+struct UnansweredLine {
+    relayed_at: Micros,
+    /// It reads like a final answer, and an endpoint that echoes it sends no second one.
+    looks_like_answer: bool,
+}
+
+/// The endpoint's side of an established connection, and what is known of the exchange.
 #[derive(Debug)]
 pub struct Relay {
     link: LineStream,
-    /// When each line of the client's that is unanswered was passed on, and whether it reads like an answer.
-    waiting: VecDeque<(Micros, bool)>,
+    /// The client's lines without an answer, oldest first.
+    unanswered: VecDeque<UnansweredLine>,
     /// What the endpoint's last line makes of an end that follows it.
     announced_end: Option<Outcome>,
     client_ended: bool,
@@ -53,36 +70,37 @@
 }
 
 impl Relay {
-    /// One whose answer has come now.
+    /// A relay whose `UP` line has come now.
     pub fn new(link: LineStream, now: Micros) -> Self {
         let answers_until = now + REPEATED_ANSWER_WINDOW;
-        Relay { link, waiting: VecDeque::new(), announced_end: None, client_ended: false, answers_until }
+        Relay { link, unanswered: VecDeque::new(), announced_end: None, client_ended: false, answers_until }
     }
 
-    /// A second answer is no line of the session, and to the client it would be a second final answer. A client's own
-    /// line that looks like one comes back only while it is unanswered; an error may be the answer to any line.
+    /// Whether a line repeats the final answer. It is no line of the session, and to the client it would be a second
+    /// final answer. A client's own line that looks like one comes back only while it is unanswered; an error may be
+    /// the answer to any line.
     fn is_second_answer(&self, line: &[u8], now: Micros) -> bool {
         now < self.answers_until
             && match verb(line) {
-                b"UP" | b"BUSY" => !self.waiting.iter().any(|(_, looks_like_answer)| *looks_like_answer),
-                b"ERR" => self.waiting.is_empty(),
+                b"UP" | b"BUSY" => !self.unanswered.iter().any(|line| line.looks_like_answer),
+                b"ERR" => self.unanswered.is_empty(),
                 _ => false,
             }
     }
 
     /// For how long the oldest unanswered line has waited.
     pub fn oldest_unanswered(&self, now: Micros) -> Option<Micros> {
-        self.waiting.front().map(|(since, _)| now - since)
+        self.unanswered.front().map(|line| now - line.relayed_at)
     }
 
-    /// Passes on what the client sent.
-    pub fn relay_client(&mut self, client: &mut LineStream, now: Micros) -> RelayOutcome {
+    /// Relays what the client sent.
+    pub fn relay_client(&mut self, client: &mut LineStream, now: Micros) -> RelayProgress {
         if self.client_ended {
             // It may have left altogether since.
-            return if client.is_broken() { self.reset() } else { RelayOutcome::Continue };
+            return if client.is_broken() { self.reset() } else { RelayProgress::Idle };
         }
         if self.link.is_full() {
-            return RelayOutcome::Continue;
+            return RelayProgress::Idle;
         }
         let fill = client.fill();
         loop {
@@ -90,12 +108,10 @@
                 Ok(Some(line)) => {
                     log::trace!("client says '{}'", line.escape_ascii());
                     self.link.push(&line);
-                    if self.waiting.len() < MAX_WAITING {
-                        self.waiting.push_back((now, matches!(verb(&line), b"UP" | b"BUSY")));
-                    }
+                    self.remember_unanswered(&line, now);
                 }
                 Ok(None) => break,
-                Err(TooLong) => return self.over(Outcome::Cancelled, false),
+                Err(TooLong) => return self.ended(Outcome::Cancelled, End::Close),
             }
         }
         match fill {
@@ -109,24 +125,24 @@
         }
         if self.link.flush().is_err() {
             // What the endpoint sent before it broke is still to be read; that finds the end.
-            return RelayOutcome::Continue;
+            return RelayProgress::Idle;
         }
         match fill {
-            Fill::More => RelayOutcome::More,
-            Fill::Ended => RelayOutcome::ClientEnded,
-            _ => RelayOutcome::Continue,
+            Fill::More => RelayProgress::More,
+            Fill::Ended => RelayProgress::ClientEnded,
+            _ => RelayProgress::Idle,
         }
     }
 
-    /// Passes on what the endpoint sent, and notes what it tells.
+    /// Relays what the endpoint sent, and notes what it shows.
     pub fn relay_endpoint(
         &mut self,
         client: &mut LineStream,
         now: Micros,
         observations: &mut Vec<Observation>,
-    ) -> RelayOutcome {
+    ) -> RelayProgress {
         if client.is_full() {
-            return RelayOutcome::Continue;
+            return RelayProgress::Idle;
         }
         let fill = self.link.fill();
         loop {
@@ -137,49 +153,58 @@
                         log::debug!("dropped a second answer, '{}'", line.escape_ascii());
                         continue;
                     }
-                    self.note(trim_end(&line), now, observations);
+                    self.observe_line(trim_end(&line), now, observations);
                     client.push(&line);
                 }
                 Ok(None) => break,
-                Err(TooLong) => return RelayOutcome::LineTooLong,
+                Err(TooLong) => return RelayProgress::LineTooLong,
             }
         }
-        let pass = match fill {
+        let progress = match fill {
             Fill::Ended => {
                 let rest = self.link.take_rest();
                 if !self.is_second_answer(trim_end(&rest), now) {
                     client.push(&rest);
                 }
-                self.over(Outcome::Reset, false)
+                self.ended(Outcome::Reset, End::Close)
             }
-            Fill::Broken(_) => self.over(Outcome::Reset, true),
-            Fill::Blocked => RelayOutcome::Continue,
-            Fill::More => RelayOutcome::More,
+            Fill::Broken(_) => self.ended(Outcome::Reset, End::Reset),
+            Fill::Blocked => RelayProgress::Idle,
+            Fill::More => RelayProgress::More,
         };
         match client.flush() {
-            Err(_) if !matches!(pass, RelayOutcome::Over { .. }) => self.reset(),
-            _ => pass,
+            Err(_) if !matches!(progress, RelayProgress::Ended { .. }) => self.reset(),
+            _ => progress,
         }
     }
 
-    /// Writes on to the endpoint what did not fit before.
+    fn remember_unanswered(&mut self, line: &[u8], now: Micros) {
+        if self.unanswered.len() < MAX_UNANSWERED {
+            let looks_like_answer = matches!(verb(line), b"UP" | b"BUSY");
+            self.unanswered.push_back(UnansweredLine { relayed_at: now, looks_like_answer });
+        }
+    }
+
+    /// Goes on writing to the endpoint what did not fit before.
     pub fn flush(&mut self) {
         // A broken connection is found by reading.
         let _ = self.link.flush();
     }
 
-    /// The client's reset passes on.
-    fn reset(&self) -> RelayOutcome {
+    /// Relays the client's reset.
+    fn reset(&self) -> RelayProgress {
         self.link.reset();
-        self.over(Outcome::Cancelled, true)
+        self.ended(Outcome::Cancelled, End::Reset)
     }
 
-    fn over(&self, outcome: Outcome, reset: bool) -> RelayOutcome {
+    /// The connection is over: what the endpoint announced, or that the client has left, counts before `outcome`.
+    fn ended(&self, outcome: Outcome, end: End) -> RelayProgress {
         let left = self.client_ended.then_some(Outcome::Cancelled);
-        RelayOutcome::Over { outcome: self.announced_end.or(left).unwrap_or(outcome), reset }
+        RelayProgress::Ended { outcome: self.announced_end.or(left).unwrap_or(outcome), end }
     }
 
-    fn note(&mut self, line: &[u8], now: Micros, observations: &mut Vec<Observation>) {
+    /// Notes what a line of the endpoint's means: its load, the end that it announces, or an answer.
+    fn observe_line(&mut self, line: &[u8], now: Micros, observations: &mut Vec<Observation>) {
         self.announced_end = None;
         let mut words = line.split(|b| *b == b' ');
         match words.next().unwrap_or_default() {
@@ -189,8 +214,11 @@
             }
             b"BYE" => self.announced_end = Some(Outcome::Served),
             b"MOVE" => self.announced_end = Some(Outcome::Cancelled),
-            _ => observations
-                .extend(self.waiting.pop_front().map(|(since, _)| Observation::Answered(now - since))),
+            _ => {
+                let answered = self.unanswered.pop_front();
+                let latency = answered.map(|line| now - line.relayed_at);
+                observations.extend(latency.map(|latency| Observation::LineAnswered { latency }));
+            }
         }
     }
 }
--- a/crates/cottonnotch/tests/endings/shutdown.rs
+++ b/crates/cottonnotch/tests/endings/shutdown.rs
@@ -131,7 +131,7 @@
     far.say("UP 1\r\n");
     assert_eq!(just.hear(), "UP 1\r\n");
     let mut late = proxy.connect();
-    proxy.logged("client turned away");
+    proxy.logged("client rejected");
     late.say(&fresh(OPEN));
     assert_eq!(late.rest().unwrap(), "ERR no first line came\r\n");
     let (mut next, line) = (proxy.connect(), fresh(OPEN));
--- a/crates/cottonnotch/tests/homes.rs
+++ b/crates/cottonnotch/tests/homes.rs
@@ -315,7 +315,7 @@
             tier.proxies[*proxy]
                 .log_so_far()
                 .into_iter()
-                .filter(|line| line.contains("datagrams of the tier were dropped"))
+                .filter(|line| line.contains("datagrams of the fleet were dropped"))
         };
         without.iter().map(|proxy| told(proxy).count()).max().filter(|lines| *lines > 0)
     };
