--- a/crates/decision/src/budget_tests.rs
+++ b/crates/decision/src/budget_tests.rs
@@ -12,38 +12,42 @@
     }
 }
 
+/// Servers that are out are counted on for a while, and not for ever.
 #[test]
-fn servers_that_are_out_are_counted_on_for_a_while_and_not_for_ever() {
-    let mut whole = FleetTotal::default();
-    whole.listed(0, 16.0);
-    whole.listed(S, 12.0);
-    whole.listed(2 * S, 8.0);
-    assert_eq!(whole.weight(2 * S), 16.0);
-    whole.listed(30 * S, 16.0);
-    assert_eq!(whole.weight(200 * S), 16.0, "all are back");
-    whole.listed(200 * S, 8.0);
+fn fleet_total_counts_lost_servers_for_a_minute() {
+    let mut total = FleetTotal::default();
+    total.record(0, 16.0);
+    total.record(S, 12.0);
+    total.record(2 * S, 8.0);
+    assert_eq!(total.weight(2 * S), 16.0);
+    total.record(30 * S, 16.0);
+    assert_eq!(total.weight(200 * S), 16.0, "all are back");
+    total.record(200 * S, 8.0);
     assert_eq!(
-        (whole.weight(259 * S), whole.weight(260 * S)),
+        (total.weight(259 * S), total.weight(260 * S)),
         (16.0, 8.0),
         "made smaller, and no list since"
     );
-    whole.listed(300 * S, 6.0);
-    assert_eq!(whole.weight(300 * S), 6.0);
-    whole.listed(301 * S, 5.0);
-    assert_eq!(whole.weight(301 * S), 6.0, "the next one that is out");
+    total.record(300 * S, 6.0);
+    assert_eq!(total.weight(300 * S), 6.0);
+    total.record(301 * S, 5.0);
+    assert_eq!(total.weight(301 * S), 6.0, "the next one that is out");
 }
 
-/// A file that names no window for the rule has cold servers filled as before, and short ones don't shut them out.
+/// A file that names no window for the rule has warming servers filled as before, and short ones don't shut them out.
 #[test]
-fn a_window_of_nothing_or_next_to_it_shuts_no_cold_server_out() {
+fn short_or_missing_window_admits_connections_to_warming_server() {
     for window in [0, 1, S / 100, S] {
-        let bound = |now| Bound::of(&settings(window), now, (1.0, 0.2), 1.0, Some(0), None);
-        let (mut budget, mut taken) = (0.0, 0);
+        let usual = UsualRates { per_weight: 1.0, fill: 0.2 };
+        let limit = |now| SetupLimit::of(&settings(window), now, usual, 1.0, Some(0), None);
+        let (mut budget, mut taken) = (SetupBudget::new(0.0, 0), 0);
         for step in 1..160_i64 {
             let now = step * S / 20;
-            budget = bound(now).expect("it is cold").filled(budget, S / 20);
-            if budget >= 1.0 {
-                (budget, taken) = (budget - 1.0, taken + 1);
+            assert!(limit(now).is_some(), "it warms up");
+            budget.refill(limit(now), now);
+            if budget.has_token() {
+                budget.spend();
+                taken += 1;
             }
         }
         assert!(taken >= 1, "a window of {window} us: {taken}");
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -7,6 +7,9 @@
 /// A point in time or a span, in microseconds.
 pub type Micros = i64;
 
+/// A second, in [`Micros`].
+pub(crate) const SECOND: Micros = 1_000_000;
+
 /// A server, as the embedder numbers it: small numbers, the same for the life of the instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerId(pub u32);
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -3,6 +3,7 @@
 
 pub mod affinity;
 mod budget;
+
 pub mod interface;
 pub mod list_polling;
 pub mod names;
--- /dev/null
+++ b/crates/decision/src/policy/balancer.rs
@@ -0,0 +1,190 @@
+//! The state of one node's decisions, and which method answers which event.
+
+use super::arrivals::{ArrivalRate, SetupPacing};
+use super::requests::Requests;
+use super::server::Servers;
+use super::turns::Rotation;
+use crate::affinity::AffinitySubsets;
+use crate::interface::*;
+use crate::list_polling::ListPoller;
+use crate::names::unit;
+use crate::pending_request::PendingRequest;
+use crate::quota::Quota;
+use crate::rules::RoutingRules;
+
+/// Timer: queued requests may be tried again.
+pub(super) const WAKE_UP: u32 = 0;
+/// Timer: the server list is to be polled.
+pub(super) const POLL_LIST: u32 = 1;
+/// Timer: the next round of moving connections off draining servers.
+pub(super) const DRAIN_ROUND: u32 = 2;
+
+/// The decisions of one node. Each field holds the state of one concern.
+#[derive(Debug, Default)]
+pub struct Balancer {
+    pub(super) settings: Settings,
+    /// What may be done with a request, if somebody has rules for that.
+    pub(super) rules: Option<Box<dyn RoutingRules>>,
+    pub(super) jitter: Jitter,
+    pub(super) servers: Servers,
+    pub(super) requests: Requests,
+    pub(super) rotation: Rotation,
+    /// When the next round of moving connections off draining servers is due.
+    pub(super) next_drain_round: Option<Micros>,
+    pub(super) list_poller: ListPoller,
+    pub(super) arrivals: ArrivalRate,
+    pub(super) setups: SetupPacing,
+    /// How many servers the connections of an affinity group rotate over.
+    pub(super) subsets: AffinitySubsets,
+    /// This node's share of what all nodes have together.
+    pub(super) quota: Quota,
+    /// The node shuts down: nothing is sent any more, what is owed is answered.
+    pub(super) shutting_down: bool,
+}
+
+impl Balancer {
+    /// A node's decisions from `now` on. `seed` feeds its jitter.
+    pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
+        Balancer {
+            quota: Quota::even(settings.nodes),
+            list_poller: ListPoller::among(settings.nodes),
+            jitter: Jitter { state: seed },
+            arrivals: ArrivalRate::new(now),
+            setups: SetupPacing::new(now),
+            settings,
+            ..Balancer::default()
+        }
+    }
+
+    /// The same under rules, which are evaluated before each send.
+    pub fn with_rules(self, rules: Box<dyn RoutingRules>) -> Self {
+        Balancer { rules: Some(rules), ..self }
+    }
+
+    /// Takes one event and appends the actions that follow from it to `out`, in the order in which they are
+    /// due.
+    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+        match event {
+            Event::List { full, copy, entries } => self.list_received(now, full, copy, entries, out),
+            Event::ManualOverride { entries } => self.apply_entries(now, entries, out),
+            Event::ListFailed => self.list_failed(now, out),
+            Event::ListSilent => self.list_silent(now, out),
+            Event::Request(request) => self.request_arrived(now, request, out),
+            Event::Open { request, server } => self.adopt_open_connection(now, request, server, out),
+            Event::Established { request, server, elapsed, .. } => {
+                self.connection_established(now, request, server, elapsed, out);
+            }
+            Event::Ended { request, server, outcome, last, .. } => {
+                self.record_outcome(now, server, request, outcome, out);
+                if last {
+                    self.finish(request);
+                } else {
+                    self.retry(now, request, server, outcome, out);
+                }
+            }
+            Event::ClientClosed(request) => self.finish(request),
+            Event::LoadUpdate { request, load } => self.requests.set_load(request, load),
+            Event::LatencyUpdate { server, latency } => self.latency_changed(now, server, latency, out),
+            Event::Timer(token) => self.timer_fired(now, token, out),
+            Event::Settings(settings) => self.replace_settings(*settings),
+            Event::Fleet(status) => self.fleet_status_changed(now, status),
+            Event::AffinitySubsets(sizes) => self.subsets.set(sizes),
+            Event::RulesChanged => self.dispatch_queued(now, out),
+            Event::ShuttingDown => {
+                self.shutting_down = true;
+                self.dispatch_queued(now, out);
+            }
+            Event::PeerReport { from, server, verdict } => {
+                self.peer_reported(now, from, server, verdict, out);
+            }
+            Event::Probed { .. } => {}
+        }
+    }
+
+    /// Acts on a timer that is still wanted; one that was set before a sooner one of its kind is not.
+    fn timer_fired(&mut self, now: Micros, token: u32, out: &mut Vec<Action>) {
+        let is_due = |at: Option<Micros>| at.is_some_and(|at| at <= now);
+        match token {
+            WAKE_UP if is_due(self.requests.wake_up) => {
+                self.requests.wake_up = None;
+                self.dispatch_queued(now, out);
+            }
+            POLL_LIST if self.list_poller.is_due(now) => self.poll_list(now, out),
+            DRAIN_ROUND if is_due(self.next_drain_round) => self.drain(now, out),
+            _ => {}
+        }
+    }
+
+    fn replace_settings(&mut self, settings: Settings) {
+        self.quota.set_nodes(settings.nodes);
+        self.list_poller.set_nodes(settings.nodes);
+        self.settings = settings;
+    }
+
+    /// A client's request: counted, unless the client came again, and dispatched.
+    fn request_arrived(&mut self, now: Micros, request: Request, out: &mut Vec<Action>) {
+        if !request.again {
+            self.arrivals.record(now);
+        }
+        let id = request.id;
+        self.requests.pending.insert(id, PendingRequest::new(request, now));
+        self.dispatch(now, id, out);
+    }
+
+    /// A connection that was open before this instance started.
+    fn adopt_open_connection(
+        &mut self,
+        now: Micros,
+        request: Request,
+        server: ServerId,
+        out: &mut Vec<Action>,
+    ) {
+        let id = request.id;
+        let locality = self.servers.get(server).map(|s| s.listing.locality).unwrap_or_default();
+        let adopted = PendingRequest::adopted(request, now, server, locality);
+        self.requests.pending.insert(id, adopted);
+        self.add_connection(id, server);
+        self.drain_late_connection(now, server, out);
+    }
+
+    fn connection_established(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        server: ServerId,
+        elapsed: Micros,
+        out: &mut Vec<Action>,
+    ) {
+        self.add_connection(request, server);
+        self.setups.succeeded(now, elapsed <= self.settings.quick());
+        if let Some(s) = self.servers.get_mut(server) {
+            s.peer_reports.own_success(now);
+        }
+        self.trial_succeeded(now, server, request, out);
+        self.drain_late_connection(now, server, out);
+    }
+
+    fn add_connection(&mut self, id: RequestId, server: ServerId) {
+        if !self.requests.pending.contains_key(&id) {
+            return;
+        }
+        if let Some(s) = self.servers.get_mut(server) {
+            s.connections.open.push(id);
+        }
+    }
+}
+
+/// The node's own random numbers. Each draw moves the sequence on, so the order of draws is part of the
+/// behaviour.
+#[derive(Debug, Default)]
+pub(super) struct Jitter {
+    state: u64,
+}
+
+impl Jitter {
+    /// The next number, from 0 to 1.
+    pub(super) fn draw(&mut self) -> f64 {
+        self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        unit(self.state)
+    }
+}
--- a/crates/decision/src/policy/rotation.rs
+++ b/crates/decision/src/policy/rotation.rs
@@ -1,130 +1,207 @@
-//! Which server is next: turns, budgets of cold and strained servers, the rate of set-ups.
+//! Which server is next: the rotation over servers that may take a request.
 
-use super::*;
+use super::balancer::Balancer;
+use super::server::{Server, Servers};
+use super::turns::Rotation;
+use crate::affinity;
+use crate::budget::{SetupLimit, UsualRates};
+use crate::interface::*;
+use crate::pending_request::DedupGroup;
+use crate::rules::RoutingVerdict;
 
-/// While most set-ups fail, a node keeps to its usual rate, or to its part of so many for all, if more.
+/// While most set-ups fail, a node keeps to its usual rate, or to its share of so many for all, if more.
 const LEAST_PACE: f64 = 2.0;
-/// All nodes together set up at most this multiple of what tenants are allowed a second, but for nodes whose
-/// last set-up was quick: the store that all share goes down under all that come again after a break.
-const SETUPS: f64 = 3.0;
 /// Multiple of the usual rate for servers not heard of while most others are piled up.
 const UNHEARD: f64 = 0.1;
+/// A server counts as piled up for this long after a report of slow messages.
+const SLOW_FOR: Micros = 3 * SECOND;
+
+/// What a request asks of its server.
+struct Constraints<'a> {
+    verdict: &'a RoutingVerdict,
+    /// The servers that drop its repeats, if an attempt may have run.
+    dedup_group: Option<DedupGroup>,
+    affinity: Option<Affinity>,
+    /// The servers that it was sent to before come last.
+    tried: &'a [ServerId],
+}
+
+/// The subset of servers that the connections of one group rotate over: those with the highest scores.
+struct Affinity {
+    group: u64,
+    least_score: f64,
+}
+
+impl Affinity {
+    fn contains(&self, s: &Server) -> bool {
+        affinity::score(self.group, s.listing.digest, s.listing.weight) >= self.least_score
+    }
+}
+
+/// What decides between servers, least first: tried before, not preferred, when the next turn is due.
+type TurnKey = (bool, bool, f64);
+
+/// The server of the turn that is due first, and what the search for it met.
+struct Selection {
+    best: Option<(TurnKey, ServerId)>,
+    /// The first turn that is due among all that may take the request, tried or not: whether it is second
+    /// choice, and when it is due. What is preferred takes turns of its own: the rest would else fall
+    /// behind, and then get all.
+    first_due: (bool, f64),
+    /// Servers of which this node hears, and those of them that are piled up.
+    heard: u32,
+    overloaded: u32,
+}
+
+impl Selection {
+    fn new() -> Self {
+        Selection { best: None, first_due: (true, f64::INFINITY), heard: 0, overloaded: 0 }
+    }
+
+    fn count(&mut self, s: &Server, now: Micros) {
+        let is_slow = s.latency.slow_at.is_some_and(|at| now - at < SLOW_FOR);
+        self.heard += u32::from(is_slow || !s.connections.open.is_empty());
+        self.overloaded += u32::from(is_slow);
+    }
+
+    fn offer(&mut self, id: ServerId, s: &Server, constraints: &Constraints) {
+        let is_second_choice = constraints.verdict.is_second_choice(id);
+        let due = (is_second_choice, s.turn.next_due);
+        if due < self.first_due {
+            self.first_due = due;
+        }
+        let key = (constraints.tried.contains(&id), is_second_choice, s.turn.next_due);
+        if self.best.is_none_or(|(least, _)| key < least) {
+            self.best = Some((key, id));
+        }
+    }
+}
 
 impl Balancer {
     /// The unpaused server whose turn is due first, if any; takes its turn.
-    pub(super) fn pick(&mut self, now: Micros, id: RequestId, ruling: &RoutingVerdict) -> Option<ServerId> {
-        // Failures wherever one turns point at something shared: more tries keep it down (ic7944d).
-        let down = self.part.failure_ratio(now, self.failing) > 0.5;
-        if down && now < self.next_send || !self.setups.refill(now, self.setups_per_s(now)) {
+    pub(super) fn pick(&mut self, now: Micros, id: RequestId, verdict: &RoutingVerdict) -> Option<ServerId> {
+        if !self.may_set_up(now) {
             return None;
         }
-        let job = self.jobs.get(&id)?;
-        let repeats = job.bound_to(&self.settings);
-        let group = job.request.group.filter(|_| self.settings.groups && repeats.is_none());
+        let pending = self.requests.pending.get(&id)?;
+        let dedup_group = pending.dedup_group(&self.settings);
         // Connections of a group share work: spread over the fleet they would multiply it (ie5ddb3), and in
-        // overload none would be held out. A group's turns rotate over the servers that come first in an
-        // order of its own, common to all nodes; while these are paused it is held.
-        let at_home = |s: &Server| group.map_or(1.0, |g| affinity::score(g, s.digest, s.weight));
-        let least_home = group.map_or(0.0, |g| self.homes.least(g, self.allowed(ruling).map(at_home)));
-        let (usual, rotation) = (self.usual_rates(now), self.rotation);
-        let mut best: Option<((bool, bool, f64), ServerId)> = None;
-        let (mut due, mut heard, mut bad) = ((true, f64::INFINITY), 0, 0);
-        for &candidate in &self.ready {
-            let Some(s) = self.servers.get_mut(candidate.0 as usize) else { continue };
-            let lately = s.slow.is_some_and(|at| now - at < 3 * SECOND);
-            heard += u32::from(lately || !s.open.is_empty());
-            bad += u32::from(lately);
-            if s.paused_until.is_some_and(|until| until > now) {
-                continue;
-            }
-            if s.paused_until.take().is_some() {
-                // The pause has lapsed. The trial comes at this node's own place in the order, so that
-                // the nodes do not all reopen the server at one second mark.
-                s.half_open = true;
-                s.turn = s.turn.max(rotation + s.place / s.weight);
-            }
-            let mut bound = Bound::of(&self.settings, now, usual, s.weight, s.started, s.strained);
-            // Most servers with connections of this node are piled up: those of which it hears nothing are
-            // likely so too; tried at server after server, nobody would be held out (i118c6b).
-            if self.crowded && bound.is_none() && group.is_none() && s.open.is_empty() {
-                bound = Some(Bound::warm(usual.0 * s.weight * UNHEARD));
-            }
-            s.budget = bound.map_or(s.budget, |bound| bound.filled(s.budget, now - s.filled));
-            s.filled = now;
-            if repeats.is_some_and(|group| !group.holds(s.spot))
-                || !ruling.allows(candidate)
-                || s.half_open && s.trial.is_some()
-                || bound.is_some() && s.budget < 1.0
-                || at_home(s) < least_home
-            {
-                continue;
-            }
-            // What is wished for takes turns of its own: the rest would else fall behind, and then get all.
-            let second = ruling.is_second_choice(candidate);
-            due = if (second, s.turn) < due { (second, s.turn) } else { due };
-            let key = (job.tried.contains(&candidate), second, s.turn);
-            if best.is_none_or(|(least, _)| key < least) {
-                best = Some((key, candidate));
-            }
+        // overload none would be kept out. A group's turns rotate over the servers that come first in an
+        // order of its own, common to all nodes; while these are paused it is queued.
+        let group = pending.request.group.filter(|_| self.settings.groups && dedup_group.is_none());
+        let affinity = group.map(|group| self.affinity(group, verdict));
+        let constraints = Constraints { verdict, dedup_group, affinity, tried: &pending.tried };
+        let usual = self.usual_rates(now);
+        let selection = select(&mut self.servers, &self.settings, &self.rotation, now, usual, &constraints);
+        self.rotation.mostly_overloaded =
+            2 * selection.overloaded > selection.heard && self.quota.fleet(now).is_none();
+        let (_, server) = selection.best?;
+        self.pace_set_ups(now, usual);
+        self.take_turn(id, server, selection.first_due.1)
+    }
+
+    /// This node may set up a connection now. Failures wherever one turns point at something shared: more
+    /// tries keep it down (ic7944d).
+    fn may_set_up(&mut self, now: Micros) -> bool {
+        let is_down = self.quota.failure_ratio(now, self.setups.failure_ratio) > 0.5;
+        if is_down && now < self.setups.next_send {
+            return false;
         }
-        self.crowded = 2 * bad > heard && self.part.fleet(now).is_none();
-        let server = best?.1;
-        let rate = (usual.0 * self.total_weight).max(self.part.share_of(now, LEAST_PACE));
-        self.setups.take();
-        self.next_send = now + (SECOND as f64 / rate) as Micros;
-        let rotation = rotation.max(due.1);
-        self.rotation = rotation;
-        let s = self.server_mut(server)?;
-        s.turn = s.turn.max(rotation - 1.0 / s.weight) + 1.0 / s.weight;
-        s.trial = s.half_open.then_some(id);
-        s.budget = (s.budget - 1.0).max(0.0);
+        let per_s = self.setups_per_s(now);
+        self.setups.tokens.refill(now, per_s)
+    }
+
+    fn affinity(&self, group: u64, verdict: &RoutingVerdict) -> Affinity {
+        let score = |s: &Server| affinity::score(group, s.listing.digest, s.listing.weight);
+        let least_score = self.subsets.least_score(group, self.allowed(verdict).map(score));
+        Affinity { group, least_score }
+    }
+
+    /// Counts the set-up that is about to be sent, and bounds the next one in case most fail.
+    fn pace_set_ups(&mut self, now: Micros, usual: UsualRates) {
+        let own_rate = usual.per_weight * self.servers.ready_weight;
+        let rate = own_rate.max(self.quota.share_of(now, LEAST_PACE));
+        self.setups.tokens.take();
+        self.setups.next_send = now + (SECOND as f64 / rate) as Micros;
+    }
+
+    /// Moves the rotation on to the turn that was due first, and gives the server its next turn.
+    fn take_turn(&mut self, id: RequestId, server: ServerId, first_due: f64) -> Option<ServerId> {
+        let virtual_time = self.rotation.virtual_time.max(first_due);
+        self.rotation.virtual_time = virtual_time;
+        let s = self.servers.get_mut(server)?;
+        let step = 1.0 / s.listing.weight;
+        s.turn.next_due = s.turn.next_due.max(virtual_time - step) + step;
+        s.breaker.trial = s.breaker.half_open.then_some(id);
+        s.budget.spend();
         Some(server)
     }
 
-    /// New connections a second that a server of weight 1 usually gets from this node, and that would fill it
-    /// to the others' level, or to what tenants may hold, within its warm-up: a fleet a third full has room.
-    pub(super) fn usual_rates(&self, now: Micros) -> (f64, f64) {
-        let age = (now - self.started_at).max(SECOND) as f64 / SECOND as f64;
-        let rate = self.arrivals / (RATE_MEMORY * (1.0 - (-age / RATE_MEMORY).exp()));
-        // What waits shows no room, and servers that are out leave the rest no more.
-        let allowed = self.settings.allowance_open();
-        let open: usize = self.servers.iter().map(|s| s.open.len()).sum();
-        let own = if allowed > 0.0 { open } else { self.jobs.len() } as f64;
-        let full = self.part.conservative_share_of(now, allowed, own) * self.part.idle_factor(now);
-        let fill = full * SECOND as f64 / self.settings.slow_start_window.max(SECOND) as f64;
-        let fill = if allowed > 0.0 { fill } else { fill.max(rate) };
-        (rate / self.total_weight.max(1e-9), fill / self.whole.weight(now).max(1e-9))
+    /// The servers that may take new connections, as far as the list and the rules tell.
+    pub(super) fn allowed<'a>(&'a self, verdict: &'a RoutingVerdict) -> impl Iterator<Item = &'a Server> {
+        let ready = self.servers.ready.iter();
+        ready.filter(|id| verdict.allows(**id)).filter_map(|id| self.servers.get(*id))
     }
+}
 
-    /// What has passed by now brought to budgets what the old part was.
-    pub(super) fn told(&mut self, now: Micros, tier: FleetStatus) {
-        let usual = self.usual_rates(now);
-        for s in &mut self.servers {
-            let bound = Bound::of(&self.settings, now, usual, s.weight, s.started, s.strained);
-            s.budget = bound.map_or(s.budget, |bound| bound.filled(s.budget, now - s.filled));
-            s.filled = now;
+/// Looks at each ready server: reopens it if its pause has lapsed, fills its budget, and compares its turn.
+fn select(
+    servers: &mut Servers,
+    settings: &Settings,
+    rotation: &Rotation,
+    now: Micros,
+    usual: UsualRates,
+    constraints: &Constraints,
+) -> Selection {
+    let mut selection = Selection::new();
+    for position in 0..servers.ready.len() {
+        let id = servers.ready[position];
+        let Some(s) = servers.get_mut(id) else { continue };
+        selection.count(s, now);
+        if s.breaker.is_paused(now) {
+            continue;
+        }
+        reopen_if_lapsed(s, rotation);
+        let limit = setup_limit(s, settings, rotation, now, usual, constraints);
+        s.budget.refill(limit, now);
+        if may_take(id, s, limit, constraints) {
+            selection.offer(id, s, constraints);
         }
-        self.part.update(now, tier);
     }
+    selection
+}
 
-    /// Set-ups that this node may send. In a large tier, which is told of, its own last one says little.
-    pub(super) fn setups_per_s(&self, now: Micros) -> f64 {
-        let quick = self.part.fleet(now).is_none() && self.quick.is_some_and(|at| now - at < SECOND);
-        let allowed = self.settings.allowance_per_s().filter(|_| !quick);
-        allowed.map_or(f64::INFINITY, |allowed| self.part.share_of(now, SETUPS * allowed))
+/// Where a pause has lapsed, the trial comes at this node's own place in the order, so that the nodes do
+/// not all reopen the server at one second mark.
+fn reopen_if_lapsed(s: &mut Server, rotation: &Rotation) {
+    if s.breaker.half_open_if_lapsed() {
+        let trial_due = rotation.virtual_time + s.turn.ring_position / s.listing.weight;
+        s.turn.next_due = s.turn.next_due.max(trial_due);
     }
+}
 
-    /// When some server may next be tried: its pause has lapsed and its budget is there.
-    pub(super) fn next_chance(&self, now: Micros, ruling: &RoutingVerdict, repeats: Option<Group>) -> Micros {
-        let usual = self.usual_rates(now);
-        let chance = |s: &Server| {
-            let bound = Bound::of(&self.settings, now, usual, s.weight, s.started, s.strained);
-            let short = bound.map_or(0, |bound| bound.short(s.budget));
-            s.paused_until.unwrap_or(now).max(s.filled.saturating_add(short))
-        };
-        let within = |s: &&Server| repeats.is_none_or(|group| group.holds(s.spot));
-        let soonest = self.allowed(ruling).filter(within).map(chance).min();
-        let setups = self.setups.next_token_at(self.setups_per_s(now));
-        soonest.unwrap_or(now + SECOND).max(setups).clamp(now + SECOND / 20, now + SECOND)
+fn setup_limit(
+    s: &Server,
+    settings: &Settings,
+    rotation: &Rotation,
+    now: Micros,
+    usual: UsualRates,
+    constraints: &Constraints,
+) -> Option<SetupLimit> {
+    let limit = s.setup_limit(settings, now, usual);
+    // Most servers with connections of this node are piled up: those of which it hears nothing are
+    // likely so too; tried at server after server, nobody would be kept out (i118c6b).
+    let is_unheard = constraints.affinity.is_none() && s.connections.open.is_empty();
+    if rotation.mostly_overloaded && limit.is_none() && is_unheard {
+        return Some(SetupLimit::at_rate(usual.per_weight * s.listing.weight * UNHEARD));
     }
+    limit
+}
+
+fn may_take(id: ServerId, s: &Server, limit: Option<SetupLimit>, constraints: &Constraints) -> bool {
+    constraints.dedup_group.is_none_or(|group| group.contains(s.listing.locality))
+        && constraints.verdict.allows(id)
+        && !s.breaker.is_on_trial()
+        && (limit.is_none() || s.budget.has_token())
+        && constraints.affinity.as_ref().is_none_or(|affinity| affinity.contains(s))
 }
--- /dev/null
+++ b/crates/decision/src/policy/server.rs
@@ -0,0 +1,141 @@
+//! What a node knows of its servers: the list's entry, the circuit breaker, the budget of set-ups, the
+//! connections.
+
+use super::circuit_breaker::CircuitBreaker;
+use super::peer_reports::PeerReports;
+use super::turns::Turn;
+use crate::budget::{FleetTotal, SetupBudget};
+use crate::interface::*;
+use crate::pending_request::Locality;
+
+/// All servers that were ever listed, by number.
+#[derive(Debug, Default)]
+pub(super) struct Servers {
+    all: Vec<Server>,
+    /// Those that the list has take new connections, in the order of their numbers.
+    pub(super) ready: Vec<ServerId>,
+    /// The weight of those together.
+    pub(super) ready_weight: f64,
+    /// The weight of the fleet, servers that are out for a while included.
+    pub(super) fleet_total: FleetTotal,
+}
+
+impl Servers {
+    pub(super) fn get(&self, id: ServerId) -> Option<&Server> {
+        self.all.get(id.0 as usize)
+    }
+
+    pub(super) fn get_mut(&mut self, id: ServerId) -> Option<&mut Server> {
+        self.all.get_mut(id.0 as usize)
+    }
+
+    /// The server of this number, made if there was none.
+    pub(super) fn entry(&mut self, id: ServerId) -> &mut Server {
+        let index = id.0 as usize;
+        if index >= self.all.len() {
+            self.all.resize_with(index + 1, Server::default);
+        }
+        &mut self.all[index]
+    }
+
+    pub(super) fn iter(&self) -> impl Iterator<Item = &Server> {
+        self.all.iter()
+    }
+
+    pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Server> {
+        self.all.iter_mut()
+    }
+
+    /// Works out anew, after a change of the list, which servers are ready and what they weigh.
+    pub(super) fn update_ready(&mut self, now: Micros) {
+        let ids = (0..self.all.len() as u32).map(ServerId);
+        self.ready = ids.filter(|id| self.get(*id).is_some_and(Server::is_ready)).collect();
+        self.ready_weight = self.ready.iter().filter_map(|id| self.get(*id)).map(|s| s.listing.weight).sum();
+        self.fleet_total.record(now, self.ready_weight);
+    }
+
+    /// Reports each server's health that has changed.
+    pub(super) fn report_health(&mut self, now: Micros, out: &mut Vec<Action>) {
+        for (number, s) in self.all.iter_mut().enumerate() {
+            s.report_health(now, ServerId(number as u32), out);
+        }
+    }
+}
+
+/// One server, as this node sees it. Each field holds the state of one concern.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Server {
+    pub(super) listing: Listing,
+    pub(super) turn: Turn,
+    pub(super) breaker: CircuitBreaker,
+    pub(super) latency: Latency,
+    /// New connections that it may get while it warms up, was overloaded lately, or is not heard of.
+    pub(super) budget: SetupBudget,
+    pub(super) connections: Connections,
+    pub(super) peer_reports: PeerReports,
+    /// The health that was reported last.
+    pub(super) reported: ServerHealth,
+}
+
+/// What the server list says.
+#[derive(Clone, Debug)]
+pub(super) struct Listing {
+    pub(super) state: ServerState,
+    /// Its zone and cell.
+    pub(super) locality: Locality,
+    /// Its size beside other servers'; 0 until it is first listed.
+    pub(super) weight: f64,
+    pub(super) started: Option<Micros>,
+    /// A digest of its name, the same at every node.
+    pub(super) digest: u64,
+}
+
+impl Default for Listing {
+    fn default() -> Self {
+        let locality = Locality::default();
+        Listing { state: ServerState::Removed, locality, weight: 0.0, started: None, digest: 0 }
+    }
+}
+
+/// The latest report of how long messages take.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Latency {
+    pub(super) last: Micros,
+    /// When it was last so long that work has piled up.
+    pub(super) slow_at: Option<Micros>,
+}
+
+/// This node's connections to a server.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Connections {
+    /// The established ones.
+    pub(super) open: Vec<RequestId>,
+    /// When they are to have left, where the server drains.
+    pub(super) drain_deadline: Option<Micros>,
+}
+
+impl Server {
+    /// It takes new connections, as far as the list tells.
+    pub(super) fn is_ready(&self) -> bool {
+        self.listing.state == ServerState::Ready
+    }
+
+    /// Reports this server's health, if that has changed.
+    pub(super) fn report_health(&mut self, now: Micros, id: ServerId, out: &mut Vec<Action>) {
+        let health = self.health(now);
+        if std::mem::replace(&mut self.reported, health) != health {
+            out.push(Action::HealthChanged { server: id, health });
+        }
+    }
+
+    fn health(&self, now: Micros) -> ServerHealth {
+        match (self.listing.state, self.breaker.paused_until) {
+            (ServerState::Draining, _) => ServerHealth::Draining,
+            (ServerState::Removed, _) => ServerHealth::Unlisted,
+            (ServerState::Ready, Some(until)) if until > now => ServerHealth::Paused { until },
+            (ServerState::Ready, Some(_)) => ServerHealth::Trial,
+            (ServerState::Ready, None) if self.breaker.half_open => ServerHealth::Trial,
+            (ServerState::Ready, None) => ServerHealth::Up,
+        }
+    }
+}
--- a/crates/decision/src/quota.rs
+++ b/crates/decision/src/quota.rs
@@ -123,8 +123,8 @@
     }
 
     /// Gives back one that was taken and not used.
-    pub fn give_back(&mut self, unused: bool) {
-        self.tokens += f64::from(u8::from(unused));
+    pub fn give_back(&mut self) {
+        self.tokens += 1.0;
     }
 
     /// When there will be one, at this rate.
