--- a/crates/cottonnotch/src/net/driver/acceptor.rs
+++ b/crates/cottonnotch/src/net/driver/acceptor.rs
@@ -1,4 +1,4 @@
-//! Clients that arrive, until they ask for something: accepting them, and the descriptors there are for that.
+//! The acceptor: clients are accepted, and those that have sent no request yet are evicted where descriptors run short.
 
 use super::context::{ACCEPT_CLIENTS, Context, LOG_TARGET};
 use super::unregistered_clients::UnregisteredClients;
@@ -15,27 +15,27 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Descriptors kept for what is no request: the listener, the watch, the poll, standard streams, signals, and
-/// clients that are told that there is no room.
+/// Descriptors reserved for what is no request: the listener, the watch, the poll, standard streams, signals, and
+/// clients that are rejected for want of capacity.
 const RESERVED_SOCKETS: usize = 32;
-/// A quarter of the descriptors is not given to clients that have not asked yet ...
+/// One part in this many of the descriptors is not given to clients that have sent no request yet ...
 const RESERVED_SHARE_FOR_ATTEMPTS: usize = 4;
-/// ... but so many are always let in, the proxy's own few objects included.
+/// ... but this many connections are always admitted, the proxy's own few objects included.
 const ALWAYS_ADMITTED: usize = 14;
 /// Accepted in one turn before others have theirs.
 const ACCEPT_BATCH: usize = 32;
 /// Wait before accepting again when there is no descriptor left.
 const ACCEPT_RETRY_AFTER: Micros = 20_000;
-/// No client is let go for want of room sooner than this after it connected: a usual one has sent its line.
+/// No client is evicted sooner than this after it connected: a usual one has sent its line by then.
 const EVICTABLE_AFTER: Micros = 100_000;
-/// A door that closes stays open for those who have begun to come in: on one machine their handshake takes microseconds.
+/// A listener that closes stays open for clients whose handshake has begun: on one machine that takes microseconds.
 const CLOSE_AFTER: Micros = 5_000;
-/// It closes all the same after this, though some are left that there is no room for.
+/// It closes all the same after this, though some are left for whom there is no capacity.
 const CLOSE_AT_LATEST: Micros = 1_500_000;
-/// What a client is told when there is no descriptor for it.
+/// The Retry-After of a client for which there is no descriptor.
 pub const FULL_RETRY_AFTER: Micros = 1_000_000;
 
-/// What room is wanted for.
+/// What a descriptor is needed for.
 #[derive(Clone, Copy, Debug)]
 enum SocketUse {
     /// One more client.
@@ -44,27 +44,28 @@
     Endpoint,
 }
 
-/// Where clients come in.
+/// The listener for clients.
 struct ClientListener {
     listener: Rc<TcpListener>,
     key: Key,
-    /// It closes, since then.
+    /// When it began to close, if it does.
     closing: Option<Micros>,
 }
 
-/// Clients on their way in.
+/// Accepts clients.
 #[derive(Default)]
 pub struct Acceptor {
     client_listener: Option<ClientListener>,
     /// Accepting goes on by a timer.
     is_timer_set: bool,
-    /// Clients in the order in which they connected, until they are let go or are gone.
-    idle_clients: VecDeque<(Micros, Key)>,
+    /// Clients in the order in which they connected, until they are evicted or closed: the first of them are candidates
+    /// for eviction, which spares those that have sent a request.
+    accepted_clients: VecDeque<(Micros, Key)>,
     unregistered: UnregisteredClients,
 }
 
 impl Acceptor {
-    /// Listens for clients; where. Fails as the system's calls do.
+    /// Listens for clients; the address. Fails as the system calls do.
     pub fn listen(&mut self, context: &mut Context, binding: Binding) -> io::Result<SocketAddr> {
         let (address, mut shared) = (context.config.listen, None);
         let key = context.reactor.insert(|key, io| {
@@ -79,30 +80,27 @@
         Ok(address)
     }
 
-    /// Clients are let in.
+    /// Clients are accepted.
     pub fn is_listening(&self) -> bool {
         self.client_listener.is_some()
     }
 
-    /// Another process lets clients in from now on: who has begun to come in here still may, then the door is closed.
+    /// Another process accepts clients from now on: those whose handshake has begun here still are, then the listener closes.
     pub fn begin_close(&mut self, context: &mut Context, requests: usize) {
-        let Some(client_listener) =
-            self.client_listener.as_mut().filter(|client_listener| client_listener.closing.is_none())
-        else {
+        let Some(open) = self.client_listener.as_mut().filter(|listener| listener.closing.is_none()) else {
             return;
         };
-        client_listener.closing = Some(context.now());
-        if let Err(error) = reject_new_connections(&client_listener.listener) {
-            // Those who come between the last look and the close are reset.
-            log::warn!(target: LOG_TARGET, error:%; "newcomers cannot be turned away before the door closes: {error}");
+        open.closing = Some(context.now());
+        if let Err(error) = reject_new_connections(&open.listener) {
+            // Those who connect between the last accept and the close are reset.
+            log::warn!(target: LOG_TARGET, error:%; "new connections cannot be refused before the listener closes: {error}");
         }
         self.on_clients_waiting(context, requests);
     }
 
-    /// Nobody is left who waits to be let in.
+    /// No client is left that waits to be accepted: a listener that closes is closed, if it has had its time.
     fn on_backlog_empty(&mut self, context: &mut Context) {
-        let Some(closing) = self.client_listener.as_ref().and_then(|client_listener| client_listener.closing)
-        else {
+        let Some(closing) = self.client_listener.as_ref().and_then(|listener| listener.closing) else {
             return;
         };
         let open_for = CLOSE_AFTER - (context.now() - closing);
@@ -115,11 +113,11 @@
     fn close_listener(&mut self, context: &mut Context) {
         if let Some(client_listener) = self.client_listener.take() {
             context.reactor.remove(client_listener.key);
-            log::info!(target: LOG_TARGET, "another process lets clients in, the door is closed");
+            log::info!(target: LOG_TARGET, "another process accepts clients, the listener is closed");
         }
     }
 
-    /// Clients wait to be accepted; `rpcs` are being served.
+    /// Clients wait to be accepted; this many requests are in progress.
     pub fn on_clients_waiting(&mut self, context: &mut Context, requests: usize) {
         // While a timer runs, a new client is no reason to try sooner, nor for a second timer.
         if !self.is_timer_set {
@@ -133,7 +131,7 @@
         self.accept(context, requests);
     }
 
-    /// Makes an object of an accepted client. Fails if the poll can't take its socket now.
+    /// Puts an accepted client on the loop. Fails if its socket can't be registered now.
     fn admit(&mut self, context: &mut Context, stream: TcpStream) -> Result<(), Unwatched> {
         let mut given_back = None;
         let inserted = context.reactor.insert(|key, io| match LineStream::accepted(stream, io, key) {
@@ -145,12 +143,12 @@
             }
         });
         if let Ok(key) = inserted {
-            self.idle_clients.push_back((context.now(), key));
+            self.accepted_clients.push_back((context.now(), key));
         }
         given_back.map_or(Ok(()), Err)
     }
 
-    /// Tries again for clients that could not be watched, and answers those that have waited too long.
+    /// Tries again to register clients' sockets, and answers clients that have waited too long.
     fn retry_unregistered(&mut self, context: &mut Context) {
         while let Some((stream, since)) = self.unregistered.pop() {
             if let Err(Unwatched { stream, .. }) = self.admit(context, stream) {
@@ -178,8 +176,8 @@
         if client_listener.closing.is_some_and(|since| now - since > CLOSE_AT_LATEST) {
             return self.close_listener(context);
         }
-        if self.idle_clients.len() > 2 * context.config.sockets {
-            self.idle_clients.retain(|(_, key)| context.reactor.contains(*key));
+        if self.accepted_clients.len() > 2 * context.config.sockets {
+            self.accepted_clients.retain(|(_, key)| context.reactor.contains(*key));
         }
         for _ in 0..ACCEPT_BATCH {
             if !self.make_room(context, requests, SocketUse::Client) {
@@ -188,7 +186,7 @@
             match listener.accept() {
                 Ok((stream, _)) => {
                     if let Err(Unwatched { stream, error }) = self.admit(context, stream) {
-                        log::warn!(target: LOG_TARGET, error:%; "a client cannot be watched yet: {error}");
+                        log::warn!(target: LOG_TARGET, error:%; "a client's socket cannot be registered yet: {error}");
                         self.unregistered.push(stream, now);
                     }
                 }
@@ -197,7 +195,7 @@
                 }
                 Err(error) if is_transient(&error) => {}
                 Err(error) => {
-                    // Guards against EMFILE: the edge is told once, so without this timer the waiting
+                    // Guards against EMFILE: the edge is reported once, so without this timer the waiting
                     // clients would never be accepted.
                     let (connections, sockets) = (context.reactor.connections(), context.config.sockets);
                     log::error!(target: LOG_TARGET, connections, sockets, error:%; "cannot accept: {error}");
@@ -213,32 +211,32 @@
         context.set_timer(wait, ACCEPT_CLIENTS);
     }
 
-    /// Lets clients go that have asked nothing until there is room for the endpoint's side of one more request;
+    /// Evicts clients that have sent no request until there is a descriptor for the endpoint's side of one more request;
     /// false if there is none.
     pub fn make_room_for_attempt(&mut self, context: &mut Context, requests: usize) -> bool {
         self.make_room(context, requests, SocketUse::Endpoint)
     }
 
-    /// The proxy goes away: clients that rest are told, or a line that comes when the process has ended would be lost.
+    /// The proxy shuts down: idle clients are rejected, or a line that comes when the process has ended would be lost.
     pub fn reject_idle_clients(&mut self, context: &mut Context) {
         self.unregistered.answer_all(context.now());
-        for (_, key) in self.idle_clients.drain(..) {
+        for (_, key) in self.accepted_clients.drain(..) {
             if context.with_client(key, |client, io| client.reject_idle(io, 0)) == Some(true) {
                 context.records.client_rejected(|| "the proxy leaves, and it had said nothing".into());
             }
         }
     }
 
-    /// Guards against clients that connect by hundreds and say nothing, or stay when they were answered: they
-    /// would hold the descriptors of others.
+    /// Guards against clients that connect by hundreds and send nothing, or stay when they were answered: they would hold
+    /// the descriptors of others.
     fn make_room(&mut self, context: &mut Context, requests: usize, socket_use: SocketUse) -> bool {
-        while !has_room(context, requests, self.unregistered.len(), socket_use) {
+        while !has_descriptor(context, requests, self.unregistered.len(), socket_use) {
             let now = context.now();
-            let Some((at, key)) = self.idle_clients.front().copied() else { return false };
+            let Some((at, key)) = self.accepted_clients.front().copied() else { return false };
             if at + EVICTABLE_AFTER > now {
                 return false;
             }
-            self.idle_clients.pop_front();
+            self.accepted_clients.pop_front();
             if context.with_client(key, |client, io| client.evict_idle(io, FULL_RETRY_AFTER)) == Some(true) {
                 context.records.client_rejected(|| "no room for clients that say nothing".into());
             }
@@ -247,18 +245,18 @@
     }
 }
 
-/// For a client, a part is kept for the endpoints of those that ask, and if requests have all of it, a few are let
-/// in to be told so.
-fn has_room(context: &Context, requests: usize, unwatched: usize, socket_use: SocketUse) -> bool {
-    let (connections, sockets) = (context.reactor.connections() + unwatched, context.config.sockets);
+/// Whether there is a descriptor for this. From clients, a share is reserved for the endpoints' sides of requests; if
+/// requests have all of it, a few clients are admitted to be rejected.
+fn has_descriptor(context: &Context, requests: usize, unregistered: usize, socket_use: SocketUse) -> bool {
+    let (connections, sockets) = (context.reactor.connections() + unregistered, context.config.sockets);
     // A request counts two: the client's, which is among the connections, and the endpoint's.
-    // Operators' places are kept for them whether they are there or not: a flood of clients must not take them.
+    // Operators' connections are reserved whether they are there or not: a flood of clients must not take them.
     let reserved =
         RESERVED_SOCKETS + if context.config.mgmt.is_some() { MAX_ADMIN_CONNECTIONS + 1 } else { 0 };
     let free = sockets.saturating_sub(reserved + connections + requests + context.sibling_descriptors);
     match socket_use {
         SocketUse::Endpoint => free > 0,
-        // requests whose clients have just left may still be counted, and are no connections any more.
+        // Requests whose clients have just left may still be counted, and are no connections any more.
         SocketUse::Client => {
             free > sockets / RESERVED_SHARE_FOR_ATTEMPTS
                 || connections.saturating_sub(requests) < ALWAYS_ADMITTED
--- a/crates/cottonnotch/src/net/driver/clock_file.rs
+++ b/crates/cottonnotch/src/net/driver/clock_file.rs
@@ -1,25 +1,25 @@
-//! What a process has seen of the wall clock, kept for the next one at the same address: a step before a process began can't be seen by
-//! itself, and a render node that started just before it would count as an hour old.
+//! What a process has seen of the wall clock, stored for the next one at the same address: a step before a process began
+//! can't be seen by itself, and a render node that started just before it would count as an hour old.
 //!
-//! The file is small and replaced whole. It counts within one boot of the machine, whose monotonic clock it is in; what can't be read
-//! or is of another boot is as good as none.
+//! The file is small and replaced as a whole. It counts within one boot of the machine, whose monotonic clock it is in;
+//! what can't be read or is of another boot counts as none.
 
+use super::machine_clock::machine_now;
 use cottonnotch_decision::Micros;
 use cottonnotch_decision::names::digest;
 use cottonnotch_proxy_core::{ClockOffset, WallClock};
-use rustix::time::{ClockId, clock_gettime};
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
 
 /// The first word. Another version's file is left alone: it may mean something else.
-const FORM: &str = "cottonnotch-clock-1";
+const FORMAT: &str = "cottonnotch-clock-1";
 /// Tells one boot of the machine from another.
 const BOOT: &str = "/proc/sys/kernel/random/boot_id";
 /// No file is longer.
-const MOST_BYTES: u64 = 4096;
+const MAX_BYTES: u64 = 4096;
 
-/// The file, if there is a place for it.
+/// The file, if there is a folder for it.
 #[derive(Debug)]
 pub struct ClockFile {
     path: Option<PathBuf>,
@@ -31,10 +31,10 @@
 impl ClockFile {
     /// In this file; `now` is the loop's clock.
     pub fn at(path: Option<PathBuf>, now: Micros) -> Self {
-        // Without it nothing can be kept.
+        // Without it nothing can be stored.
         let boot = fs::read_to_string(BOOT).map(|id| id.trim().to_owned()).unwrap_or_default();
         let path = path.filter(|_| !boot.is_empty());
-        ClockFile { path, boot, shift: now - monotonic() }
+        ClockFile { path, boot, shift: now - machine_now() }
     }
 
     /// A file of this boot, for tests that hold its text equal.
@@ -51,13 +51,13 @@
 
     fn read(&self, path: &Path) -> Option<Vec<ClockOffset>> {
         let metadata = fs::symlink_metadata(path).ok()?;
-        if !metadata.is_file() || metadata.len() > MOST_BYTES {
+        if !metadata.is_file() || metadata.len() > MAX_BYTES {
             return None;
         }
         let text = fs::read_to_string(path).ok()?;
         let (body, sum) = text.trim_end().rsplit_once('\n')?;
         let mut lines = body.lines();
-        let is_ours = sum == format!("{:016x}", digest(body)) && lines.next() == Some(FORM);
+        let is_ours = sum == format!("{:016x}", digest(body)) && lines.next() == Some(FORMAT);
         if !is_ours || lines.next() != Some(self.boot.as_str()) {
             return None;
         }
@@ -72,10 +72,10 @@
         Some(ClockOffset { offset: offset - self.shift, from, seen: seen + self.shift })
     }
 
-    /// Keeps what is known now. Fails as the system's calls do; what was kept before stands then.
+    /// Stores what is known now. Fails as the system calls do; what was stored before stands then.
     pub fn save(&self, clock: &WallClock) -> io::Result<()> {
         let Some(path) = self.path.as_deref() else { return Ok(()) };
-        let mut body = format!("{FORM}\n{}", self.boot);
+        let mut body = format!("{FORMAT}\n{}", self.boot);
         for ClockOffset { offset, from, seen } in clock.offsets() {
             // Times of the machine's monotonic clock are never negative: that stands for none.
             let from = from.map_or(-1, |from| (from - self.shift).max(0));
@@ -91,9 +91,3 @@
         saved
     }
 }
-
-/// Microseconds since the machine was started.
-fn monotonic() -> Micros {
-    let now = clock_gettime(ClockId::Monotonic);
-    now.tv_sec.saturating_mul(1_000_000).saturating_add(now.tv_nsec / 1_000)
-}
--- a/crates/cottonnotch/src/net/driver/hot_restart.rs
+++ b/crates/cottonnotch/src/net/driver/hot_restart.rs
@@ -1,11 +1,11 @@
-//! Replacing the process: one of this proxy's starts while another one serves. Each shows itself by a file in the folder
-//! that they share, and proves by a lock on it that it lives: the system lets go of a lock when its process ends,
-//! however it ends. What a file says is in its name (when its process began, in Unix time, and whether it is ready) and in two numbers
-//! of fixed width: descriptors held, and when its process began by the machine's monotonic clock, which settles who is older
-//! though the wall clock be stepped between two starts. Other files are left alone.
+//! Hot restart: a process of this proxy starts while another one serves. Each shows itself by a file in the folder that
+//! they share, and proves by a lock on it that it lives: the system releases a lock when its process ends, however it ends.
+//! A file's name has when its process began, in Unix time, and whether it is ready; its content has two numbers of fixed
+//! width: descriptors held, and when its process began by the machine's monotonic clock, which settles which is older though
+//! the wall clock be stepped between two starts. Other files are left alone.
 
+use super::machine_clock::machine_now;
 use cottonnotch_decision::Micros;
-use rustix::time::{ClockId, clock_gettime};
 use std::fs::{self, File, TryLockError};
 use std::io;
 use std::os::unix::fs::FileExt;
@@ -18,12 +18,6 @@
 /// Bytes of the start by the monotonic clock, behind them.
 const BEGAN_WIDTH: usize = 20;
 
-/// Microseconds since the machine was started; the same clock for all its processes.
-fn monotonic() -> Micros {
-    let now = clock_gettime(ClockId::Monotonic);
-    now.tv_sec.saturating_mul(1_000_000).saturating_add(now.tv_nsec / 1_000)
-}
-
 /// Another process of this proxy, which lives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SiblingProcess {
@@ -59,7 +53,7 @@
 impl HotRestart {
     /// A process that starts; the others don't see it before [`Self::show`].
     pub fn new(prefix: PathBuf, born: Micros) -> Self {
-        HotRestart { prefix, born, began: monotonic(), is_ready: false, file_shown: None }
+        HotRestart { prefix, born, began: machine_now(), is_ready: false, file_shown: None }
     }
 
     /// Shows this process, if it isn't shown yet. Fails where the folder can't be written to; it may be tried again.
@@ -81,14 +75,14 @@
     fn write(&self, hidden: &Path, path: &Path) -> io::Result<File> {
         let file = File::create(hidden)?;
         let text = format!("{:0HELD_WIDTH$}{:0BEGAN_WIDTH$}", 0, self.began);
-        // Locked and whole before it can be seen by its name: it would be taken for a dead process's.
+        // Locked and complete before it can be seen by its name: it would be taken for a dead process's.
         file.try_lock()?;
         file.write_all_at(text.as_bytes(), 0)?;
         fs::rename(hidden, path)?;
         Ok(file)
     }
 
-    /// Shows that this process serves clients. Fails as [`Self::show`], and is to be said again then.
+    /// Shows that this process serves clients. Fails as [`Self::show`], and is to be tried again then.
     pub fn announce_ready(&mut self) -> io::Result<()> {
         self.is_ready = true;
         self.show()?;
@@ -106,7 +100,8 @@
         self.file_shown.as_ref().map_or(Ok(()), |file_shown| file_shown.file.write_all_at(text.as_bytes(), 0))
     }
 
-    /// The others that live. Files of those that have ended are removed. Fails where that can't be told now: somebody may live.
+    /// The other processes that live. Files of those that have ended are removed. Fails where that can't be seen now: some
+    /// may live.
     pub fn siblings(&self) -> io::Result<Vec<SiblingProcess>> {
         let folder = self.prefix.parent().unwrap_or(Path::new("."));
         let own = self.file_shown.as_ref().map(|file_shown| file_shown.path.as_path());
@@ -145,7 +140,7 @@
         Ok(Some(SiblingProcess { born, began, is_ready, held }))
     }
 
-    /// What a file's name says, if it is one of this proxy's: when its process began, and whether it is ready.
+    /// Parses a file's name, if it is one of this proxy's: when its process began, and whether it is ready.
     fn parse_name(&self, path: &Path) -> Option<(Micros, bool)> {
         let prefix = self.prefix.file_name()?.to_str()?;
         let name = path.file_name()?.to_str()?.strip_prefix(prefix)?.strip_prefix('-')?;
@@ -158,7 +153,7 @@
         Some((born.parse().ok()?, is_ready))
     }
 
-    /// One that began before this one.
+    /// Whether another process began before this one.
     pub fn is_older(&self, sibling: &SiblingProcess) -> bool {
         match sibling.began {
             Some(began) => (began, sibling.born) < (self.began, self.born),
@@ -166,14 +161,14 @@
         }
     }
 
-    /// A process that began later serves clients, as far as that can be told now.
+    /// Whether a process that began later serves clients, as far as that can be seen now.
     pub fn has_successor(&self) -> bool {
         let siblings = self.siblings().unwrap_or_default();
         siblings.iter().any(|sibling| !self.is_older(sibling) && sibling.is_ready)
     }
 }
 
-/// A file that has gone meanwhile is none.
+/// A file that was removed meanwhile is none.
 fn ignore_not_found<T>(found: io::Result<T>) -> io::Result<Option<T>> {
     match found {
         Ok(found) => Ok(Some(found)),
--- a/crates/cottonnotch/src/net/driver/hot_restart_tests.rs
+++ b/crates/cottonnotch/src/net/driver/hot_restart_tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_successor_counts_once_it_is_ready_and_for_as_long_as_it_lives() {
+fn successor_counts_while_ready_and_alive() {
     let folder = tempfile::tempdir().unwrap();
     let prefix = folder.path().join("cottonnotch-a_1.process");
     let mut old = started_process(&prefix, 10);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn who_is_older_is_no_matter_of_the_wall_clock_unless_the_other_says_no_more() {
+fn age_goes_by_monotonic_clock() {
     let folder = tempfile::tempdir().unwrap();
     let prefix = folder.path().join("cottonnotch-a_1.process");
     let first = started_process(&prefix, 20);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn one_that_cannot_be_shown_sees_the_others_and_is_shown_once_it_can_be() {
+fn retries_showing_itself() {
     let folder = tempfile::tempdir().unwrap();
     let prefix = folder.path().join("later").join("cottonnotch-a_1.process");
     let mut me = HotRestart::new(prefix.clone(), 10);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn what_a_dead_process_left_is_removed_and_what_is_not_ours_is_left_alone() {
+fn removes_files_of_dead_processes_only() {
     let folder = tempfile::tempdir().unwrap();
     let prefix = folder.path().join("cottonnotch-a_1.process");
     let me = started_process(&prefix, 10);
--- a/crates/cottonnotch/src/net/driver/maintenance_file.rs
+++ b/crates/cottonnotch/src/net/driver/maintenance_file.rs
@@ -1,5 +1,5 @@
-//! Calls for maintenance, and the file in which they outlive the process: both processes of a replacement read and
-//! write it, and each takes over what the other was told.
+//! The file in which manual overrides outlive the process: both processes of a hot restart read and write it, and each
+//! takes over what operators have set at the other.
 
 use crate::maintenance::{MAX_BYTES, Maintenance, MaintenanceDecodeError, decode, encode};
 use cottonnotch_decision::Micros;
@@ -8,29 +8,31 @@
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
-/// The file is looked at this often. A call on one process binds the other within it, well under the second that a call
-/// has.
-pub const POLL_EVERY: Micros = 100_000;
+/// The file is polled this often. An override set at one process binds the other within it, well under the second that
+/// a request has.
+pub const POLL_INTERVAL: Micros = 100_000;
 
 /// Tells one writing of a file from another, without reading it.
 type FileStamp = (Option<SystemTime>, u64);
 
-/// Why there is nothing to take over.
+/// Why the file can't be taken over.
 #[derive(Debug, thiserror::Error)]
 pub enum MaintenanceFileError {
-    #[error("{0}")]
-    Bad(#[from] MaintenanceDecodeError),
-    #[error("{0}")]
+    /// Its content is faulty.
+    #[error(transparent)]
+    Invalid(#[from] MaintenanceDecodeError),
+    /// It can't be read now.
+    #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// The file, if calls are kept.
+/// The file, if overrides are stored.
 #[derive(Debug, Default)]
 pub struct MaintenanceFile {
     path: Option<PathBuf>,
     /// What was read, or written, last.
     seen: Option<FileStamp>,
-    /// It was looked at, and read if it was there.
+    /// It was polled, and read if it was there.
     is_known: bool,
     /// What is there now is less than this process knows, and could not be written yet.
     is_behind: bool,
@@ -39,28 +41,28 @@
 }
 
 impl MaintenanceFile {
-    /// Calls are kept in this file; in none, they end with the process.
+    /// Overrides are stored in this file; without one, they end with the process.
     pub fn at(path: Option<PathBuf>) -> Self {
         MaintenanceFile { path, ..MaintenanceFile::default() }
     }
 
-    /// What is kept was read, or there is nothing.
+    /// What is stored was read, or there is nothing.
     pub fn is_known(&self) -> bool {
         self.path.is_none() || self.is_known
     }
 
-    /// There is a file to look at.
+    /// There is a file: overrides outlive the process.
     pub fn is_persistent(&self) -> bool {
         self.path.is_some()
     }
 
-    /// What is kept is less than what this process knows: it is to be saved again.
+    /// What is stored is less than what this process knows: it is to be saved again.
     pub fn is_behind(&self) -> bool {
         self.is_behind
     }
 
-    /// What another process has written since the last look or writing, if anything. What can't be read now is looked at again; what
-    /// is no sound state is told once.
+    /// What another process has written since the last poll or write, if anything. What can't be read now is polled again;
+    /// a faulty state is reported once.
     pub fn read_changes(&mut self) -> Option<Result<Maintenance, MaintenanceFileError>> {
         let path = self.path.as_deref()?;
         let stamp = match stamp(path) {
--- a/crates/cottonnotch/src/net/driver/maintenance_file_tests.rs
+++ b/crates/cottonnotch/src/net/driver/maintenance_file_tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn what_one_process_writes_the_other_finds_once() {
+fn reads_what_another_process_wrote_once() {
     let (_folder, mut one, mut other) = two();
     assert!(one.read_changes().is_none(), "nothing is there");
     let mut state = Maintenance::default();
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn what_is_torn_or_foreign_is_refused_and_what_is_written_next_counts() {
+fn rejects_torn_file_and_reads_the_next_one() {
     let (folder, mut one, mut other) = two();
     let path = folder.path().join("x.maintenance");
     let mut state = Maintenance::default();
--- a/crates/cottonnotch/src/net/driver/management.rs
+++ b/crates/cottonnotch/src/net/driver/management.rs
@@ -3,7 +3,7 @@
 
 use super::context::{ACCEPT_ADMINS, Context, LOG_TARGET, POLL_SIBLINGS};
 use super::endpoints::Endpoints;
-use super::maintenance_file::{MaintenanceFile, MaintenanceFileError, POLL_EVERY};
+use super::maintenance_file::{MaintenanceFile, MaintenanceFileError, POLL_INTERVAL};
 use super::message_latency::MessageLatency;
 use crate::maintenance::Maintenance;
 use crate::net::management::admin_request::AdminResponse;
@@ -77,7 +77,7 @@
         endpoints: &mut Endpoints,
     ) -> Option<Event> {
         self.admin_server.as_ref()?;
-        context.set_timer(POLL_EVERY, POLL_SIBLINGS);
+        context.set_timer(POLL_INTERVAL, POLL_SIBLINGS);
         match self.take_over(context, latency, endpoints) {
             Ok(event) => event,
             Err(error) => {
@@ -135,7 +135,7 @@
                 let text = format!("nothing was done, earlier calls cannot be read: {error}\n");
                 return (AdminResponse::failed(text), Vec::new());
             }
-            Err(MaintenanceFileError::Bad(error)) => {
+            Err(MaintenanceFileError::Invalid(error)) => {
                 log::error!(target: LOG_TARGET, error:%; "stored maintenance cannot be taken over: {error}");
                 None
             }
--- a/crates/cottonnotch/src/net/driver/mod.rs
+++ b/crates/cottonnotch/src/net/driver/mod.rs
@@ -22,6 +22,7 @@
 mod golden_tests;
 mod hot_restart;
 mod lifecycle;
+mod machine_clock;
 mod maintenance_file;
 mod management;
 mod message_latency;
--- a/crates/cottonnotch/src/net/driver/unregistered_clients.rs
+++ b/crates/cottonnotch/src/net/driver/unregistered_clients.rs
@@ -1,5 +1,5 @@
-//! Clients that were accepted and whose sockets the poll could not take, for want of memory. They are owed an answer like any other:
-//! the poll is asked again, and where that goes on failing they are told to come again.
+//! Accepted clients whose sockets could not be registered with the poll, for want of memory. They are owed an answer like
+//! any other: registration is tried again, and where that goes on failing they are rejected.
 
 use super::acceptor::FULL_RETRY_AFTER;
 use crate::net::final_answer::busy_line;
@@ -9,35 +9,35 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::Shutdown;
 
-/// The poll is asked again for so long. A client waits for its answer at least as long as this and a second more.
+/// Registration is tried again for this long. A client waits for its answer at least as long as this and a second more.
 const RETRY_FOR: Micros = 500_000;
 /// After its answer a client is given this long to read it: a close over unread bytes would take it along.
 const LINGER: Micros = 1_000_000;
-/// Clients that are kept at most; one more is told to come again at once.
+/// Clients that may wait; one more is rejected at once.
 const MAX_WAITING: usize = 256;
 
-/// A client whose socket is not watched.
+/// A client whose socket is not registered.
 #[derive(Debug)]
 struct UnregisteredClient {
     stream: TcpStream,
     since: Micros,
 }
 
-/// All of them, oldest first.
+/// All such clients, oldest first.
 #[derive(Debug, Default)]
 pub struct UnregisteredClients {
     waiting: VecDeque<UnregisteredClient>,
-    /// They have had their answer.
+    /// Those that have had their answer.
     answered: VecDeque<UnregisteredClient>,
 }
 
 impl UnregisteredClients {
-    /// One more.
+    /// Adds a client that was accepted at this time.
     pub fn push(&mut self, stream: TcpStream, since: Micros) {
         self.waiting.push_back(UnregisteredClient { stream, since });
     }
 
-    /// Somebody is left to look after.
+    /// Whether a client is left.
     pub fn has_any(&self) -> bool {
         !self.waiting.is_empty() || !self.answered.is_empty()
     }
@@ -47,17 +47,17 @@
         self.waiting.len() + self.answered.len()
     }
 
-    /// The one that has waited longest, for another try; it is given back by [`Self::push_first`] if that fails.
+    /// Removes the one that has waited longest, for another try; [`Self::push_front`] takes it back if that fails.
     pub fn pop(&mut self) -> Option<(TcpStream, Micros)> {
         self.waiting.pop_front().map(|client| (client.stream, client.since))
     }
 
-    /// The one that was tried in vain.
+    /// Takes back the one that was tried in vain.
     pub fn push_front(&mut self, stream: TcpStream, since: Micros) {
         self.waiting.push_front(UnregisteredClient { stream, since });
     }
 
-    /// Answers those that have waited too long, or are too many, and lets go of those that have read their answer. Returns how
+    /// Answers those that have waited too long, or are too many, and closes those that have read their answer. Returns how
     /// many were answered.
     pub fn give_up(&mut self, now: Micros) -> usize {
         let mut given_up = 0;
--- a/crates/cottonnotch/tests/clock_steps.rs
+++ b/crates/cottonnotch/tests/clock_steps.rs
@@ -142,7 +142,7 @@
     let new = Proxy::shared_by(shims.command(None), address, folder.path(), Scripted::new(), &[&node]);
     within(PATIENCE, "the new one's yes", || (new.call("GET", "/status", "").0 == 200).then_some(()));
     old.terminate();
-    old.logged("the door is closed");
+    old.logged("the listener is closed");
     assert!(old.exited().success());
     // Nobody but the new one is left to take this client.
     let _client = TcpStream::connect(address).unwrap();
--- a/crates/cottonnotch/tests/file_faults.rs
+++ b/crates/cottonnotch/tests/file_faults.rs
@@ -81,7 +81,7 @@
     watch.say(&chunk(&list(2, true, &[member("s0", &node, "up")])));
     within(PATIENCE, "the new one's yes", || (new.call("GET", "/status", "").0 == 200).then_some(()));
     old.terminate();
-    old.logged("the door is closed");
+    old.logged("the listener is closed");
     assert!(old.exited().success());
 }
 
--- a/crates/cottonnotch/tests/lists.rs
+++ b/crates/cottonnotch/tests/lists.rs
@@ -115,7 +115,7 @@
     watch.say(&chunk(&list(7, false, &[])));
     // Of yesterday: in the meantime the node was put back.
     watch.say(&chunk(&one(6, &node, "removed")));
-    proxy.logged("changes of revision 6 after 7 refused");
+    proxy.logged("changes of revision 6 after 7 rejected");
     let (mut watch, asked) = proxy.discovery.watched();
     assert!(asked.contains("from=0 "), "{asked}");
     proxy.up(&node);
--- a/crates/cottonnotch/tests/replacement.rs
+++ b/crates/cottonnotch/tests/replacement.rs
@@ -97,7 +97,7 @@
         within(PATIENCE, "the new one's yes", || (new.call("GET", "/status", "").0 == 200).then_some(()));
         assert_eq!(old.call("GET", "/status", "").0, 200, "the old one serves still");
         old.terminate();
-        old.logged("the door is closed");
+        old.logged("the listener is closed");
         assert!(old.exited().success());
         assert_eq!(new.call("GET", "/status", "").0, 200);
         assert!(new.figure("handled.look.passed").unwrap() > 0, "its own counts begin at 0");
--- a/crates/cottonnotch/tests/rules.rs
+++ b/crates/cottonnotch/tests/rules.rs
@@ -355,7 +355,7 @@
     }
     counts(&younger, 1);
     elder.terminate();
-    elder.logged("another process lets clients in");
+    elder.logged("another process accepts clients");
     counts(&younger, 1);
     // Anew under one name and one memory: the three still agree.
     cluster.places[0].write(&file(2, &require("b")));
