--- a/crates/decision/src/interface/action.rs
+++ b/crates/decision/src/interface/action.rs
@@ -2,25 +2,25 @@
 
 use super::{Micros, RequestId, ServerId};
 
-/// What the log should say; the embedder words it.
+/// What is to be logged; the embedder words it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notification {
     /// A server has been paused after failures, or again after a failed trial.
     PausedFailing,
     /// A paused server's trial went well.
     Recovered,
-    /// No server may be used now; requests are held.
+    /// No server may be used now; requests are queued.
     Queueing,
     /// The server list cannot be had.
     ListUnreachable,
 }
 
-/// What an instance believes of a server.
+/// The health of a server, as an instance sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerHealth {
     /// It may be used.
     Up,
-    /// It is left alone.
+    /// It gets no connections.
     Paused {
         /// Until then.
         until: Micros,
@@ -37,15 +37,15 @@
 /// Why a request gets a final answer without having been served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// The node ends.
+    /// The node shuts down.
     ShuttingDown,
     /// It has had all attempts that its class or a rule allows.
     AttemptsExhausted,
     /// Too little of its time is left for an attempt.
     DeadlineTooClose,
-    /// Its repeats have no effect only up to now.
+    /// The time in which its repeats have no effect is over.
     IdempotencyWindowOver,
-    /// A rule says so.
+    /// A rule rejects it.
     RejectedByRule,
     /// No server may take it within the time that it can wait.
     NoServer,
@@ -56,57 +56,57 @@
 pub enum Action {
     /// Send an attempt (numbered 0, 1, 2 ... for each request in the order sent).
     Send {
-        /// Whose.
+        /// The request.
         request: RequestId,
-        /// Where.
+        /// The server.
         server: ServerId,
         /// End it as timed out after this; 0: when the client gives up.
         timeout: Micros,
         /// Its first line is written before then or not at all: repeats have no effect only up to there.
         before: Option<Micros>,
     },
-    /// Final answer: turned away, trying again is harmless.
+    /// Final answer: rejected, a retry is harmless.
     Reject {
-        /// Whose.
+        /// The request.
         request: RequestId,
-        /// Not before this; 0: nothing said.
+        /// The client is to retry after this time (Retry-After); 0: none is stated.
         retry_after: Micros,
         /// Why it is not served.
         reason: RejectionReason,
     },
     /// Final answer: failed, no promise.
     Fail {
-        /// Whose.
+        /// The request.
         request: RequestId,
         /// Why it is not served.
         reason: RejectionReason,
     },
-    /// End an established connection politely; the client comes again.
+    /// Migrate an established connection: end it cleanly, and the client comes back.
     Migrate(RequestId),
     /// Ask for changes of the server list.
     WatchList,
-    /// Probe a server.
+    /// Send a health check to a server.
     Probe(ServerId),
-    /// Call back with [`Event::Timer`] after this time.
+    /// Send an [`Event::Timer`](crate::Event::Timer) after this time.
     Timer {
         /// From now.
         after: Micros,
-        /// Given back.
+        /// The token of that event.
         token: u32,
     },
     /// Write a line in the log.
     Log {
-        /// What.
+        /// What to log.
         notification: Notification,
         /// About which server.
         server: Option<ServerId>,
     },
-    /// Nothing is to be done: the instance believes this of a server from now on. Told when it changes. That a pause
-    /// has lapsed shows when the server is next looked at.
+    /// Nothing is to be done: a server's health, as the instance sees it, has changed. That a pause has lapsed shows when
+    /// the server is next considered.
     HealthChanged {
-        /// Which server.
+        /// The server.
         server: ServerId,
-        /// What.
+        /// Its health from now on.
         health: ServerHealth,
     },
 }
--- a/crates/decision/src/interface/event.rs
+++ b/crates/decision/src/interface/event.rs
@@ -41,13 +41,13 @@
     pub class: ClassId,
     /// Its tenant, if there are tenants.
     pub tenant: Option<TenantId>,
-    /// Time until the client gives up; `None`: not told.
+    /// Time until the client gives up; `None`: not stated.
     pub left: Option<Micros>,
     /// Expected load, work in microseconds a second.
     pub load_hint: Option<f64>,
     /// The group it shares work with.
     pub group: Option<u64>,
-    /// The client came again: after a break or a move, or a repeat where clients mark them.
+    /// The client came back: after a break or a migration, or with a repeat where clients mark them.
     pub again: bool,
 }
 
@@ -58,7 +58,7 @@
     Served,
     /// The server answered with an error.
     Error,
-    /// Turned away unseen; never ran.
+    /// Rejected by the server as full, unseen; never ran.
     Full,
     /// No answer in the time allowed.
     TimedOut,
@@ -79,7 +79,7 @@
     }
 }
 
-/// What a node met at a server within the last few seconds, as it says itself.
+/// What a node met at a server within the last few seconds, as it reports itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerVerdict {
     /// Attempts went well, and none failed.
@@ -90,29 +90,30 @@
     Inconclusive,
 }
 
-/// What an instance is told.
+/// What an instance is notified of.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The settings have changed. What is numbered keeps its number.
     Settings(Box<Settings>),
     /// The server list: all of it (`full`), or what changed.
     List {
-        /// Servers absent from a full list are gone.
+        /// Servers absent from a full list are removed.
         full: bool,
-        /// This is the copy that came with the start, possibly outdated; no answer to a question.
+        /// This is the copy that came with the start, possibly outdated; it answers no call for the list.
         copy: bool,
         /// The entries.
         entries: Vec<Entry>,
     },
     /// What the operators said of servers by hand, laid over the list: entries as in a list that names what changed.
-    /// No answer to a question. One that was draining and may serve again begins anew.
+    /// It answers no call for the list. A server that was draining and may serve again begins anew.
     ManualOverride {
         /// The entries.
         entries: Vec<Entry>,
     },
     /// A call for the list failed, or the subscription broke.
     ListFailed,
-    /// The subscription has said nothing for longer than it ever should: what it misses counts as told soon.
+    /// The subscription has sent nothing for longer than it ever should: the changes that it misses will soon count as
+    /// notified.
     ListSilent,
     /// A client's request; one final answer is owed.
     Request(Request),
@@ -123,82 +124,82 @@
         /// Where it runs.
         server: ServerId,
     },
-    /// The connection stands.
+    /// An attempt has become an established connection.
     Established {
-        /// Whose.
+        /// The request.
         request: RequestId,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u32,
-        /// Where.
+        /// The server.
         server: ServerId,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Micros,
     },
     /// An attempt has ended; exactly one for each sent.
     Ended {
-        /// Whose.
+        /// The request.
         request: RequestId,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u32,
-        /// Where.
+        /// The server.
         server: ServerId,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
         /// Nothing more is owed for the request.
         last: bool,
     },
-    /// The load of an established connection has changed (work in microseconds a second).
+    /// The load of an established connection has changed.
     LoadUpdate {
-        /// Whose.
+        /// The connection's request.
         request: RequestId,
-        /// The load now.
+        /// The load now, work in microseconds a second.
         load: f64,
     },
-    /// Messages at a server take this long now.
+    /// The latency of messages at a server has changed.
     LatencyUpdate {
-        /// Where.
+        /// The server.
         server: ServerId,
-        /// Time that a message takes.
+        /// Time that a message takes now.
         latency: Micros,
     },
-    /// The client has left; nothing more is owed.
+    /// The client has closed its connection; nothing more is owed.
     ClientClosed(RequestId),
-    /// Result of a probe: the load report, or `None` if the probe failed.
+    /// Result of a health check.
     Probed {
         /// The server.
         server: ServerId,
-        /// The report's values, in the order of the settings; `None`: no answer.
+        /// The load report's values, in the order of the settings; `None`: the check failed.
         report: Option<Vec<f64>>,
     },
-    /// What another node has met at a server lately. Its own word: it may be wrong, or lie.
+    /// What another node has met at a server lately. It is that node's claim: it may be mistaken or false.
     PeerReport {
         /// Number of the sender.
         from: u32,
         /// The server.
         server: ServerId,
-        /// What it met.
+        /// What the sender met there.
         verdict: PeerVerdict,
     },
     /// What is known of all nodes together.
     Fleet(FleetStatus),
-    /// The groups whose connections rotate over more than [`MIN_SUBSET_SIZE`](crate::affinity::MIN_SUBSET_SIZE) servers, by
-    /// [`Request::group`], and over how many. All others have those few, whatever was told before.
+    /// The groups whose connections rotate over more than [`MIN_SUBSET_SIZE`](crate::affinity::MIN_SUBSET_SIZE)
+    /// servers, by [`Request::group`], and over how many. It replaces the earlier ones: all other groups have that minimum.
     AffinitySubsets(Vec<(u64, u32)>),
-    /// What the rules say has changed: what is held is looked at anew.
+    /// The rules have changed: queued requests are evaluated anew.
     RulesChanged,
-    /// The node ends: what is owed or still comes is answered, and nothing is sent any more.
+    /// The node shuts down: what is owed or still arrives is answered, and nothing is sent any more.
     ShuttingDown,
-    /// A timer is due.
+    /// A timer is due; its token.
     Timer(u32),
 }
 
-/// All nodes together, as one of them was told.
+/// The status of all nodes together, as one of them last received it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetStatus {
     /// How many nodes take part.
     pub nodes: f64,
-    /// This node's part of all that clients want, 0 to 1.
+    /// This node's share of all that clients want, 0 to 1.
     pub demand_share: f64,
-    /// Quota of all nodes' latest set-ups that failed, wherever they went, 0 to 1.
+    /// Part of all nodes' latest set-ups that failed, wherever they went, 0 to 1.
     pub failure_rate: f64,
 }
--- a/crates/decision/src/interface/settings.rs
+++ b/crates/decision/src/interface/settings.rs
@@ -1,4 +1,4 @@
-//! What an instance is told of its service: classes of requests, tenants, limits.
+//! The settings of an instance: classes of requests, tenants, limits.
 
 use super::{Micros, ZoneId};
 
@@ -14,7 +14,7 @@
 }
 
 impl Scope {
-    /// A server of the one zone and cell does not drop what one of the other zone and cell may have run.
+    /// Whether a server at one locality (zone and cell) may run again what one at the other may have run.
     pub fn separates(self, one: (ZoneId, u32), other: (ZoneId, u32)) -> bool {
         match self {
             Scope::All => false,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether a refusal is allowed though an attempt may have run.
+    /// Whether a rejection, which invites a retry, is allowed though an attempt may have run.
     pub fn may_reject(self) -> bool {
         matches!(self, Idempotency::Idempotent | Idempotency::Keyed { scope: Scope::All, .. })
     }
@@ -59,30 +59,30 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Connections set up within this time earn their worth; 0 if not stated.
+    /// Latency objective: connections set up within this time earn their weight; 0 if not stated.
     pub target: Micros,
     /// How long a client waits in all; 0 if not stated.
     pub deadline: Micros,
-    /// Wanted time of one message on an established connection; 0 if not stated.
+    /// Latency objective of one message on an established connection; 0 if not stated.
     pub message_latency_objective: Micros,
     /// Most attempts for one request.
     pub attempts: u32,
     /// What a repeat does.
     pub idempotency: Idempotency,
-    /// Worth of a request (or of a second, or of a unit of work).
+    /// Priority weight of a request (or of a second, or of a unit of work).
     pub priority_weight: f64,
 }
 
-/// A tenant and the part of the service that it may count on.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// New connections a second within its share, over all nodes; 0 if not stated.
+    /// New connections a second within its quota, over all nodes; 0 if not stated.
     pub allowance_per_s: f64,
-    /// Open connections within its share, over all nodes; 0 if not stated.
+    /// Open connections within its quota, over all nodes; 0 if not stated.
     pub allowance_open: f64,
 }
 
-/// What an instance is told when it starts.
+/// The settings with which an instance starts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// Number of this node among its peers, from 0.
@@ -97,37 +97,37 @@
     pub tenants: Vec<Tenant>,
     /// Connections of one group share work on a server.
     pub groups: bool,
-    /// Worth counts for each unit of work, not for each request or second.
+    /// The priority weight counts for each unit of work, not for each request or second.
     pub weight_by_work: bool,
-    /// Worth of a request beyond its tenant's share, as part of the usual.
+    /// Priority weight of a request beyond its tenant's quota, as a part of the usual.
     pub over_quota_weight: f64,
-    /// Batches come at most this often.
+    /// Events arrive in batches, at most this often.
     pub step: Micros,
-    /// The server list must be asked for.
+    /// The server list must be polled.
     pub list_on_request: bool,
-    /// What it says counts as told from the start, whether or not it was asked for: the first call is not put off.
+    /// Its changes count as notified from the start, whether or not it was polled: the first poll is not put off.
     pub list_pushed: bool,
     /// The list's `weight` says how servers compare in size.
     pub weighted: bool,
-    /// Refusals carry a time after which the client may come again.
+    /// Rejections carry a time after which the client may retry (Retry-After).
     pub retry_after: bool,
     /// The longest such time that clients honour.
     pub max_retry_after: Micros,
     /// A server starts at this share of its capacity or more ...
     pub slow_start_from: f64,
-    /// ... and is warm after this time.
+    /// ... and has warmed up after this time.
     pub slow_start_window: Micros,
-    /// A cold server falls over if all nodes send it more than this multiple of what it can do.
+    /// A warming server falls over if all nodes send it more than this multiple of what it can do.
     pub overload_multiple: f64,
-    /// How long it bears that.
+    /// How long it bears that; 0 if not stated.
     pub overload_window: Micros,
-    /// Probes are allowed.
+    /// Health checks are allowed.
     pub probes: bool,
     /// Place of "load over capacity" in a load report, if reports have it.
     pub report_load: Option<usize>,
-    /// Price of one probe for each request, as a part of the result.
+    /// Price of one health check for each request, as a part of the result.
     pub probe_price: f64,
-    /// Price of one move for each request, as a part of the result.
+    /// Price of one migration for each request, as a part of the result.
     pub migration_price: f64,
 }
 
@@ -142,12 +142,12 @@
         self.classes.get(class).map_or(1, |c| c.attempts)
     }
 
-    /// Within this time a connection of a class is to be set up; `None`: not told.
+    /// Within this time a connection of a class is to be set up; `None`: not stated.
     pub fn target(&self, class: usize) -> Option<Micros> {
         self.classes.get(class).map(|c| c.target).filter(|target| *target > 0)
     }
 
-    /// The shortest wanted time of a message, if any class states one.
+    /// The shortest latency objective of a message, if any class states one.
     pub fn shortest_message_objective(&self) -> Option<Micros> {
         self.classes.iter().map(|c| c.message_latency_objective).filter(|aim| *aim > 0).min()
     }
@@ -163,7 +163,7 @@
         self.tenants.iter().map(|tenant| tenant.allowance_open).sum()
     }
 
-    /// A set-up that takes no longer shows that what set-ups share has room: a quarter of the shortest target.
+    /// A set-up that takes no longer shows that what all set-ups share has capacity left: a quarter of the shortest target.
     pub fn quick(&self) -> Micros {
         (0..self.classes.len()).filter_map(|class| self.target(class)).min().unwrap_or(0) / 4
     }
