--- a/crates/cottonnotch/src/config/operator.rs
+++ b/crates/cottonnotch/src/config/operator.rs
@@ -61,7 +61,7 @@
         self.records.check().map_err(|bad| bad.to_string())?;
         self.gossip.check().map_err(|bad| bad.to_string())?;
         self.fleet.check().map_err(|bad| bad.to_string())?;
-        self.consensus.check()?;
+        self.consensus.check().map_err(|error| error.to_string())?;
         if self.fleet.members_from.is_some()
             && !matches!(self.gossip.strength, None | Some(Strength::Address))
         {
--- a/crates/cottonnotch/src/net/driver/startup.rs
+++ b/crates/cottonnotch/src/net/driver/startup.rs
@@ -38,7 +38,7 @@
         let mut lifecycle = Lifecycle::new(&context, read_config);
         let predecessor = lifecycle.find_predecessor(&mut context);
         if let Some(rules) = start_rules(&context, records_on, predecessor)? {
-            balancer = balancer.with_rules(Box::new(rules.rulings().clone()));
+            balancer = balancer.with_rules(Box::new(rules.verdicts().clone()));
             context.rules = Some(rules);
         }
         let mut driver = Driver {
--- a/crates/cottonnotch/src/rules/clock.rs
+++ b/crates/cottonnotch/src/rules/clock.rs
@@ -1,10 +1,9 @@
-//! The clock that leases are kept by. It goes on while the process is stopped and while the machine sleeps, and nobody
-//! can set it.
+//! The clock of leases. It goes on while the process is stopped and while the machine sleeps, and nobody can set it.
 
 use cottonnotch_consensus::Micros;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Microseconds since some moment of this machine's; never compared between machines.
+/// Microseconds since this machine's boot; never compared between machines.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Clock;
 
--- a/crates/cottonnotch/src/rules/clock_tests.rs
+++ b/crates/cottonnotch/src/rules/clock_tests.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 #[test]
-fn it_goes_on_and_never_back() {
+fn never_goes_back() {
     let first = Clock.now();
     std::thread::sleep(Duration::from_millis(5));
     let second = Clock.now();
--- a/crates/cottonnotch/src/rules/compile_job.rs
+++ b/crates/cottonnotch/src/rules/compile_job.rs
@@ -1,22 +1,22 @@
-//! What the compile worker is asked for.
+//! The jobs of the compile worker.
 
 use cottonnotch_consensus::{ContentHash, ProposalOutcome};
 use cottonnotch_routing_rules::{Inventory, RuleFile};
 use cottonnotch_rule_compiler::Profiles;
 
-/// What there is to do.
+/// A job, or news that may lead to a proposal.
 #[derive(Debug)]
-pub enum Job {
-    /// Get a content from one of these members.
+pub enum CompileJob {
+    /// Fetch a content from one of these members.
     Fetch { hash: ContentHash, size: u32, from: Vec<u16> },
-    /// May this be put in force, on top of the last of these?
+    /// Compare a content with these versions; the last one is in force.
     Check { hash: ContentHash, against: Vec<(u64, ContentHash)> },
-    /// A proposal of this process is over.
-    Over { hash: ContentHash, outcome: ProposalOutcome },
-    /// What this process holds, and whether nothing ever was in force.
-    Held { version: Option<ContentHash>, is_first: bool },
-    /// This proxy's own files, and what each hardware class can run.
-    Own { files: Vec<RuleFile>, profiles: Profiles },
-    /// What there is to be ruled.
+    /// A proposal of this process is finished.
+    ProposalFinished { hash: ContentHash, outcome: ProposalOutcome },
+    /// The version this process acts on, and whether none has ever been in force.
+    ActiveVersion { hash: Option<ContentHash>, nothing_in_force: bool },
+    /// This proxy's rule files, and what each hardware class can run.
+    LocalFiles { files: Vec<RuleFile>, profiles: Profiles },
+    /// What rules can refer to.
     Inventory(Inventory),
 }
--- a/crates/cottonnotch/src/rules/compile_worker.rs
+++ b/crates/cottonnotch/src/rules/compile_worker.rs
@@ -1,12 +1,12 @@
-//! The thread that makes, gets, compiles and compares contents, so that neither the loop nor the accord waits for it.
+//! The thread that makes, fetches, compiles and compares contents, so that neither the event loop nor consensus waits for it.
 
-use super::compile_job::Job;
-use super::consensus_handle::Agent;
-use super::content_server::url;
-use super::local_overrides::{advances, overlay};
-use super::published_plan::Publication;
+use super::compile_job::CompileJob;
+use super::consensus_handle::ConsensusHandle;
+use super::content_fetcher::fetch_content;
+use super::local_overrides::{apply_overrides, has_newer_revision};
+use super::published_plan::PublishedPlan;
 use super::status::StatusBoard;
-use super::version_content::{Compiled, Content, Library, hex};
+use super::version_content::{ContentBody, ContentCache, VersionContent, short_hex};
 use cottonnotch_consensus::{ContentHash, Input, Micros, ProposalOutcome, Topic, Verdict};
 use cottonnotch_routing_rules::{Conflict, History, Inventory, Merged, RuleFile, merge};
 use cottonnotch_rule_compiler::{Profiles, contradiction};
@@ -16,285 +16,315 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant};
 
-/// What was refused is made again on top of what is in force then, after this.
-const AGAIN_AFTER: Duration = Duration::from_millis(400);
-/// A cluster in which nothing is in force gets an empty book after this, if nobody has files.
-const EMPTY_AFTER: Duration = Duration::from_secs(10);
-/// How long a member is waited for.
-const CONNECT_WITHIN: Duration = Duration::from_millis(500);
-const FETCH_WITHIN: Duration = Duration::from_secs(3);
+/// After a proposal ended, the local files are merged again this much later, onto whatever is in force then.
+const REPROPOSE_AFTER: Duration = Duration::from_millis(400);
+/// Where no version has ever been in force and this proxy has no files, it proposes an empty book after this: another proxy
+/// may have files.
+const EMPTY_BOOK_AFTER: Duration = Duration::from_secs(10);
 
-/// Where a content goes that was made here.
-pub enum Way {
-    /// To the accord.
-    Agreed(Agent),
-    /// There are no others to agree with: it counts at once, and here only.
-    Alone {
-        /// There.
-        publication: Arc<Publication>,
-        /// The versions so far.
+/// Where this process's own contents go.
+pub enum Destination {
+    /// They are proposed to the other members.
+    Consensus(ConsensusHandle),
+    /// There are no other members: they are in force at once, in this process.
+    Local {
+        published: Arc<PublishedPlan>,
+        /// The number of the version published last.
         number: u64,
     },
 }
 
-/// The thread's state.
-pub struct Worker {
-    way: Way,
-    library: Library,
-    board: Arc<StatusBoard>,
-    members: Vec<SocketAddr>,
+/// What this proxy's own configuration says.
+#[derive(Default)]
+struct LocalRules {
     files: Vec<RuleFile>,
     profiles: Profiles,
-    /// The profiles changed while in use, and were not proposed yet.
-    new_profiles: bool,
-    world: Option<Inventory>,
-    held: Option<ContentHash>,
-    is_first: Option<Instant>,
-    /// What this process has asked to be put in force.
+    /// The profiles changed while rules were in use, and that wasn't proposed yet.
+    profiles_changed: bool,
+    /// `None` before the first endpoint list.
+    inventory: Option<Inventory>,
+}
+
+/// The progress of this process's proposals.
+#[derive(Default)]
+struct ProposalState {
+    /// The version that this process acts on.
+    active: Option<ContentHash>,
+    /// Since when it is known that no version has ever been in force.
+    nothing_in_force_since: Option<Instant>,
+    /// The content that is proposed.
     outstanding: Option<ContentHash>,
-    /// What can't be run somewhere: it is not asked for again.
-    given_up: Option<ContentHash>,
-    due: Option<Instant>,
+    /// A content that some member cannot run. It isn't proposed again.
+    unsupported: Option<ContentHash>,
+    /// When the local files are merged again.
+    retry_at: Option<Instant>,
 }
 
-impl Worker {
-    pub fn new(way: Way, library: Library, board: Arc<StatusBoard>, members: Vec<SocketAddr>) -> Self {
-        // Alone there is nobody who could know of an earlier version.
-        let is_first = matches!(way, Way::Alone { .. }).then(Instant::now);
-        Worker {
-            way,
-            library,
-            board,
-            members,
-            files: Vec::new(),
-            profiles: Profiles::new(),
-            new_profiles: false,
-            world: None,
-            held: None,
-            is_first,
-            outstanding: None,
-            given_up: None,
-            due: None,
+/// What a proposal is made on top of.
+enum Base {
+    Version(Arc<VersionContent>),
+    /// No version has ever been in force.
+    Nothing,
+}
+
+impl Base {
+    fn version(&self) -> Option<&VersionContent> {
+        match self {
+            Base::Version(content) => Some(content),
+            Base::Nothing => None,
         }
     }
+}
+
+/// The state of the thread.
+pub struct CompileWorker {
+    destination: Destination,
+    contents: ContentCache,
+    status: Arc<StatusBoard>,
+    members: Vec<SocketAddr>,
+    local: LocalRules,
+    proposal: ProposalState,
+}
+
+impl CompileWorker {
+    pub fn new(
+        destination: Destination,
+        contents: ContentCache,
+        status: Arc<StatusBoard>,
+        members: Vec<SocketAddr>,
+    ) -> Self {
+        // Without other members nobody could know of an earlier version.
+        let is_alone = matches!(destination, Destination::Local { .. });
+        let nothing_in_force_since = is_alone.then(Instant::now);
+        let proposal = ProposalState { nothing_in_force_since, ..ProposalState::default() };
+        CompileWorker { destination, contents, status, members, local: LocalRules::default(), proposal }
+    }
 
-    /// Works until nobody is there to ask.
-    pub fn run(mut self, jobs: &Receiver<Job>) {
+    /// Does jobs until nobody is left to send one.
+    pub fn run(mut self, jobs: &Receiver<CompileJob>) {
         loop {
-            let wait = self.due.map(|due| due.saturating_duration_since(Instant::now()));
+            let wait = self.proposal.retry_at.map(|at| at.saturating_duration_since(Instant::now()));
             let job = match wait {
                 Some(wait) => jobs.recv_timeout(wait),
                 None => jobs.recv().map_err(|_| RecvTimeoutError::Disconnected),
             };
             match job {
                 Err(RecvTimeoutError::Disconnected) => return,
-                Ok(job) => self.take(job),
+                Ok(job) => self.do_job(job),
                 Err(RecvTimeoutError::Timeout) => {
-                    self.due = None;
+                    self.proposal.retry_at = None;
                     self.propose();
                 }
             }
         }
     }
 
-    fn take(&mut self, job: Job) {
+    fn do_job(&mut self, job: CompileJob) {
         match job {
-            Job::Fetch { hash, size, from } => self.fetch(hash, size, &from),
-            Job::Check { hash, against } => {
+            CompileJob::Fetch { hash, size, from } => self.fetch(hash, size, &from),
+            CompileJob::Check { hash, against } => {
                 let verdict = self.check(&hash, &against);
-                log::debug!("rules {}: {verdict:?} beside {against:?}", &hex(&hash)[..12]);
-                self.tell(Input::Checked { topic: Topic::Rules, hash, verdict });
-            }
-            Job::Over { hash, outcome } => {
-                self.outstanding = self.outstanding.filter(|outstanding| *outstanding != hash);
-                match outcome {
-                    ProposalOutcome::InForce => log::info!("rules {} are in force", &hex(&hash)[..12]),
-                    ProposalOutcome::Unsupported => {
-                        log::error!("rules {} are dropped: a proxy cannot run them", &hex(&hash)[..12]);
-                        self.given_up = Some(hash);
-                    }
-                    outcome => log::info!("rules {} are made anew: {outcome:?}", &hex(&hash)[..12]),
-                }
-                self.soon(AGAIN_AFTER);
+                log::debug!("rules {}: {verdict:?} compared with {against:?}", short_hex(&hash));
+                self.send(Input::Checked { topic: Topic::Rules, hash, verdict });
             }
-            Job::Held { version, is_first } => {
-                self.held = version;
-                self.is_first = is_first.then(|| self.is_first.unwrap_or_else(Instant::now));
+            CompileJob::ProposalFinished { hash, outcome } => self.finish_proposal(hash, outcome),
+            CompileJob::ActiveVersion { hash, nothing_in_force } => {
+                let since = self.proposal.nothing_in_force_since;
+                self.proposal.active = hash;
+                self.proposal.nothing_in_force_since =
+                    nothing_in_force.then(|| since.unwrap_or_else(Instant::now));
                 self.propose();
             }
-            Job::Own { files, profiles } => {
-                self.new_profiles |= self.profiles != profiles && self.world.is_some();
-                (self.files, self.profiles, self.given_up) = (files, profiles, None);
+            CompileJob::LocalFiles { files, profiles } => {
+                self.local.profiles_changed |=
+                    self.local.profiles != profiles && self.local.inventory.is_some();
+                (self.local.files, self.local.profiles) = (files, profiles);
+                self.proposal.unsupported = None;
                 self.propose();
             }
-            Job::Inventory(world) => {
-                self.world = Some(world);
+            CompileJob::Inventory(inventory) => {
+                self.local.inventory = Some(inventory);
                 self.propose();
             }
         }
     }
 
-    fn soon(&mut self, after: Duration) {
-        let at = Instant::now() + after;
-        self.due = Some(self.due.map_or(at, |due| due.min(at)));
+    fn finish_proposal(&mut self, hash: ContentHash, outcome: ProposalOutcome) {
+        self.proposal.outstanding = self.proposal.outstanding.filter(|outstanding| *outstanding != hash);
+        let name = short_hex(&hash);
+        match outcome {
+            ProposalOutcome::InForce => log::info!("rules {name} are in force"),
+            ProposalOutcome::Unsupported => {
+                log::error!("rules {name} are dropped: a proxy cannot run them");
+                self.proposal.unsupported = Some(hash);
+            }
+            outcome => log::info!("rules {name} are merged again, their proposal ended: {outcome:?}"),
+        }
+        self.propose_after(REPROPOSE_AFTER);
+    }
+
+    fn propose_after(&mut self, wait: Duration) {
+        let at = Instant::now() + wait;
+        self.proposal.retry_at = Some(self.proposal.retry_at.map_or(at, |earlier| earlier.min(at)));
     }
 
-    /// Asks for this proxy's files to be put in force, if they say something new.
+    /// Proposes this proxy's files on top of the version in force, if they change it.
     fn propose(&mut self) {
-        let Some(mut world) = self.world.clone() else { return };
-        if self.outstanding.is_some() {
+        let Some(inventory) = self.local.inventory.clone() else { return };
+        if self.proposal.outstanding.is_some() {
             return;
         }
-        let base = match (self.held, self.is_first) {
-            (Some(hash), _) => match self.library.get(&hash) {
-                Some(base) => Some(base),
-                None => return,
-            },
-            (None, Some(since)) => {
-                let wait = EMPTY_AFTER.saturating_sub(since.elapsed());
-                if self.files.is_empty() && !wait.is_zero() {
-                    return self.soon(wait);
-                }
-                None
-            }
-            // In doubt: whatever was made now would be on top of something old.
-            (None, None) => return,
+        let Some(base) = self.base() else { return };
+        let Some(body) = self.merge_files(base.version(), inventory) else { return };
+        let content = match body.compile() {
+            Ok(content) => Arc::new(content),
+            Err(error) => return log::error!("rules cannot be proposed: {error}"),
         };
-        // Guards against a proxy that hasn't heard of a hall yet, and would hold back who speaks of it.
-        if let Some(base) = &base {
-            let known = base.content.world.clone();
-            world.nodes.extend(known.nodes);
-            world.tenants.extend(known.tenants);
-            world.classes.extend(known.classes);
+        if self.proposal.unsupported != Some(content.hash) {
+            self.local.profiles_changed = false;
+            self.publish(content);
         }
-        let empty = History::default();
-        let last = base.as_ref().map_or(&empty, |base| &base.content.ledger);
-        let Merged { book, ledger, conflicts, .. } = merge(last, &overlay(last, &self.files), &world);
-        self.note(conflicts.iter().flat_map(|conflict| {
-            let owners = match conflict {
-                // Nobody knows whose it is.
-                Conflict::Broken { namespace: None, error } => vec![&*error.file],
-                conflict => conflict.namespaces(),
-            };
-            owners.into_iter().map(move |owner| (owner.to_owned(), conflict.to_string()))
-        }));
-        let profiles_differ = base.as_ref().is_some_and(|base| base.content.profiles != self.profiles);
-        let has_news = base.is_none() || advances(last, &ledger) || (self.new_profiles && profiles_differ);
-        if !has_news {
-            return;
+    }
+
+    /// What a proposal can be made on top of now; `None`: it isn't known, or not here, or waits for other proxies' files.
+    fn base(&mut self) -> Option<Base> {
+        if let Some(hash) = self.proposal.active {
+            return self.contents.get(&hash).map(Base::Version);
         }
-        let profiles = match &base {
-            Some(base) if !self.new_profiles => base.content.profiles.clone(),
-            _ => self.profiles.clone(),
-        };
-        let compiled = match Content::new(base.map(|base| base.hash), ledger, book, profiles, world).compile()
-        {
-            Ok(compiled) => Arc::new(compiled),
-            Err(error) => return log::error!("rules cannot be proposed: {error}"),
-        };
-        if self.given_up == Some(compiled.hash) {
-            return;
+        // Without a lease and with versions that were in force, a proposal would be made on top of an outdated one.
+        let since = self.proposal.nothing_in_force_since?;
+        let wait = EMPTY_BOOK_AFTER.saturating_sub(since.elapsed());
+        if self.local.files.is_empty() && !wait.is_zero() {
+            self.propose_after(wait);
+            return None;
+        }
+        Some(Base::Nothing)
+    }
+
+    /// Merges the local files into the base; `None`: that changes nothing.
+    fn merge_files(&self, base: Option<&VersionContent>, mut inventory: Inventory) -> Option<ContentBody> {
+        if let Some(base) = base {
+            extend_inventory(&mut inventory, &base.body.inventory);
+        }
+        let nothing = History::default();
+        let last = base.map_or(&nothing, |base| &base.body.history);
+        let files = apply_overrides(last, &self.local.files);
+        let Merged { book, ledger, conflicts, .. } = merge(last, &files, &inventory);
+        self.report_conflicts(&conflicts);
+        let new_profiles =
+            self.local.profiles_changed && base.is_some_and(|base| base.body.profiles != self.local.profiles);
+        if base.is_some() && !has_newer_revision(last, &ledger) && !new_profiles {
+            return None;
         }
-        self.new_profiles = false;
-        let (hash, size) = (compiled.hash, compiled.bytes.len() as u32);
-        match &mut self.way {
-            Way::Agreed(agent) => {
-                log::info!("rules {} of {size} bytes are proposed", &hex(&hash)[..12]);
-                self.outstanding = Some(hash);
-                agent.keep(compiled);
-                agent.tell(Input::Propose { topic: Topic::Rules, hash, size });
+        let profiles = match base {
+            Some(base) if !self.local.profiles_changed => base.body.profiles.clone(),
+            _ => self.local.profiles.clone(),
+        };
+        Some(ContentBody::new(base.map(|base| base.hash), ledger, book, profiles, inventory))
+    }
+
+    /// Sends a content of this process where it is put in force.
+    fn publish(&mut self, content: Arc<VersionContent>) {
+        let (hash, size) = (content.hash, content.bytes.len() as u32);
+        match &mut self.destination {
+            Destination::Consensus(handle) => {
+                log::info!("rules {} of {size} bytes are proposed", short_hex(&hash));
+                self.proposal.outstanding = Some(hash);
+                handle.store(content);
+                handle.send(Input::Propose { topic: Topic::Rules, hash, size });
             }
-            Way::Alone { publication, number } => {
+            Destination::Local { published, number } => {
                 *number += 1;
-                let rules = compiled.content.book.rules.len();
-                publication.grant(&compiled.plan, *number, hash, Micros::MAX);
-                log::info!(version = *number; "rules version {number} counts here: {rules} rules");
-                self.library.put(compiled);
-                (self.held, self.is_first) = (Some(hash), None);
+                let rules = content.body.book.rules.len();
+                published.grant(&content.plan, *number, hash, Micros::MAX);
+                log::info!(version = *number; "rules version {number} is active: {rules} rules");
+                self.contents.insert(content);
+                self.proposal.active = Some(hash);
+                self.proposal.nothing_in_force_since = None;
             }
         }
     }
 
-    fn tell(&self, input: Input) {
-        if let Way::Agreed(agent) = &self.way {
-            agent.tell(input);
+    fn send(&self, input: Input) {
+        if let Destination::Consensus(handle) = &self.destination {
+            handle.send(input);
         }
     }
 
-    fn keep(&self, compiled: Arc<Compiled>) {
-        match &self.way {
-            Way::Agreed(agent) => agent.keep(compiled),
-            Way::Alone { .. } => drop(self.library.put(compiled)),
+    fn store(&self, content: Arc<VersionContent>) {
+        match &self.destination {
+            Destination::Consensus(handle) => handle.store(content),
+            Destination::Local { .. } => drop(self.contents.insert(content)),
         }
     }
 
-    /// Which namespaces are held back, for operators; each is logged when that changes.
-    fn note(&self, conflicts: impl Iterator<Item = (String, String)>) {
-        let held_back: BTreeMap<String, String> = conflicts.collect();
-        let before = std::mem::replace(&mut self.board.seen().held_back, held_back.clone());
-        for (namespace, why) in &held_back {
-            if before.get(namespace) != Some(why) {
-                log::warn!(namespace = namespace.as_str(); "rules of {namespace} are in a conflict: {why}");
+    /// Reports the namespaces that are held back, with the reason, and logs each when that changes.
+    fn report_conflicts(&self, conflicts: &[Conflict]) {
+        let mut held_back = BTreeMap::new();
+        for conflict in conflicts {
+            for namespace in conflicting_namespaces(conflict) {
+                held_back.insert(namespace.to_owned(), conflict.to_string());
+            }
+        }
+        let before = std::mem::replace(&mut self.status.lock().held_back, held_back.clone());
+        for (namespace, reason) in &held_back {
+            if before.get(namespace) != Some(reason) {
+                log::warn!(namespace = namespace.as_str(); "rules of {namespace} are in a conflict: {reason}");
             }
         }
     }
 
-    /// What the leader has to know of a proposal.
+    /// Compares a content with the versions that some member may act on.
     fn check(&self, hash: &ContentHash, against: &[(u64, ContentHash)]) -> Verdict {
-        let Some(new) = self.library.get(hash) else { return Verdict::Rejected };
-        // Made on top of something else, it would take back what has come in force since.
-        if new.content.base != against.last().map(|(_, hash)| *hash) {
+        let Some(new) = self.contents.get(hash) else { return Verdict::Rejected };
+        // Made on top of another version, it would undo what has come in force since.
+        if new.body.base != against.last().map(|(_, hash)| *hash) {
             return Verdict::Rejected;
         }
-        let mut agrees = None;
+        let mut compatible_from = None;
         for (number, old) in against.iter().rev() {
-            // What can't be compared is taken for contradicting.
-            let Some(old) = self.library.get(old) else { break };
-            if let Some(found) = contradiction(&old.plan, &new.plan) {
-                log::info!("rules {} contradict version {number}: {found:?}", &hex(hash)[..12]);
+            // A version that isn't here counts as incompatible.
+            let Some(old) = self.contents.get(old) else { break };
+            if let Some(witness) = contradiction(&old.plan, &new.plan) {
+                log::info!("rules {} are incompatible with version {number}: {witness:?}", short_hex(hash));
                 break;
             }
-            agrees = Some(*number);
+            compatible_from = Some(*number);
         }
-        agrees.map_or(Verdict::Incompatible, |from| Verdict::Compatible { from })
+        compatible_from.map_or(Verdict::Incompatible, |from| Verdict::Compatible { from })
     }
 
+    /// Fetches a content for this member, if it isn't here. Where nobody has it, consensus requests it again.
     fn fetch(&mut self, hash: ContentHash, size: u32, from: &[u16]) {
-        if self.library.get(&hash).is_some() {
-            return self.tell(Input::ContentReady { hash });
+        if self.contents.get(&hash).is_some() {
+            return self.send(Input::ContentReady { hash });
         }
-        let config = ureq::Agent::config_builder()
-            .timeout_connect(Some(CONNECT_WITHIN))
-            .timeout_global(Some(FETCH_WITHIN))
-            .proxy(None)
-            .build();
-        let client = ureq::Agent::new_with_config(config);
-        for member in from.iter().filter_map(|member| self.members.get(usize::from(*member))) {
-            let got = client.get(url(*member, &hash)).call();
-            let bytes = got.and_then(|mut got| {
-                got.body_mut().with_config().limit(u64::from(size).saturating_add(1)).read_to_vec()
-            });
-            let bytes = match bytes {
-                Ok(bytes) if *blake3::hash(&bytes).as_bytes() == hash => bytes,
-                Ok(_) => {
-                    log::warn!(member:%; "rules {} came otherwise than agreed from {member}", &hex(&hash)[..12]);
-                    continue;
-                }
-                Err(error) => {
-                    log::info!(member:%, error:%; "rules {} cannot be had from {member}: {error}", &hex(&hash)[..12]);
-                    continue;
-                }
-            };
-            match Compiled::read(bytes) {
-                Ok(compiled) => {
-                    self.keep(Arc::new(compiled));
-                    return self.tell(Input::ContentReady { hash });
-                }
-                Err(error) => {
-                    log::error!("rules {} cannot be run by this build: {error}", &hex(&hash)[..12]);
-                    return self.tell(Input::ContentUnsupported { hash });
-                }
+        let members = from.iter().filter_map(|member| self.members.get(usize::from(*member)).copied());
+        let Some(bytes) = fetch_content(members, &hash, size) else { return };
+        match VersionContent::decode(bytes) {
+            Ok(content) => {
+                self.store(Arc::new(content));
+                self.send(Input::ContentReady { hash });
+            }
+            Err(error) => {
+                log::error!("rules {} cannot be run by this build: {error}", short_hex(&hash));
+                self.send(Input::ContentUnsupported { hash });
             }
         }
     }
 }
+
+/// Adds what other proxies know: this one may not have seen a hall yet, and would hold back the rules that name it.
+fn extend_inventory(inventory: &mut Inventory, known: &Inventory) {
+    inventory.nodes.extend(known.nodes.iter().cloned());
+    inventory.tenants.extend(known.tenants.iter().cloned());
+    inventory.classes.extend(known.classes.iter().cloned());
+}
+
+/// The namespaces a conflict holds back; the file's name where its namespace can't be read.
+fn conflicting_namespaces(conflict: &Conflict) -> Vec<&str> {
+    match conflict {
+        Conflict::Broken { namespace: None, error } => vec![&*error.file],
+        conflict => conflict.namespaces(),
+    }
+}
--- a/crates/cottonnotch/src/rules/config.rs
+++ b/crates/cottonnotch/src/rules/config.rs
@@ -1,21 +1,22 @@
-//! The sections `[rules]`, `[[hardware]]` and `[accord]` of the operator's file. All are off unless set.
+//! The sections `[rules]`, `[[hardware]]` and `[accord]` of the operator's file. All are off unless set. Their keys are the
+//! operators': `[accord]` configures consensus.
 
-use cottonnotch_consensus::{Config, Timing};
+use cottonnotch_consensus::{Config, ConfigError, Timing};
 use cottonnotch_rule_compiler::{Budgets, Features, Profile, Profiles};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Where this proxy has rules from.
+/// Where this proxy's rules come from.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RulesSection {
     /// The folder with the namespaces' files, `*.toml`. They are read at the start and on SIGHUP.
     pub folder: Option<PathBuf>,
-    /// The path of the namespace that owns everything; files speak of what it has, or is left to them.
+    /// The path of the namespace that owns everything, and delegates to the others.
     pub root: String,
-    /// The fleet's connections in all, of which namespaces have parts. 0: what the settings' tenants may hold open.
+    /// The connections of the whole fleet, of which namespaces have quotas. 0: what the settings' tenants may hold open.
     pub connections: u64,
 }
 
@@ -25,7 +26,7 @@
     }
 }
 
-/// What one hardware class of render node can run.
+/// What the render nodes of one hardware class can run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HardwareSection {
@@ -34,46 +35,46 @@
     /// What its nodes can do.
     #[serde(default)]
     pub features: Features,
-    /// How much of the rules it takes.
+    /// How many rules they can hold.
     #[serde(default)]
     pub budgets: Budgets,
 }
 
-/// What is done with a request while this process knows of no rule that it could go by.
+/// What happens to a request while this process knows of no rule to follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Unknown {
-    /// It is refused, with a time to come again.
+pub enum UnknownRules {
+    /// It is rejected, with a Retry-After.
     Refuse,
-    /// It goes the ordinary way.
+    /// It is served as without rules.
     Serve,
 }
 
-/// How this proxy agrees with the others on which rules are in force.
+/// How this proxy and the others agree on which rules are in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ConsensusSection {
-    /// This member's own end: datagrams, and contents over TCP. The accord is off unless it is set.
+    /// The address for datagrams, and for contents over TCP. Consensus is off unless it is set.
     pub listen: Option<SocketAddr>,
     /// The cluster's name, the same at all members.
     pub cluster: Option<String>,
-    /// The file with the key that proves members to one another: 64 hexadecimal digits.
+    /// The file with the key that authenticates members: 64 hexadecimal digits.
     pub key_file: Option<PathBuf>,
-    /// This member's number, from 0.
+    /// This member's ordinal, from 0.
     pub me: Option<u16>,
-    /// The members that vote, by number: an odd number of them.
+    /// The ordinals of the members that vote: an odd number of them.
     pub voters: Vec<u16>,
-    /// By which address this proxy reaches each member, this one included, in the order of their numbers.
+    /// The address by which this proxy reaches each member, this one included, by ordinal.
     pub members: Vec<SocketAddr>,
-    /// What must outlive the process is kept here.
+    /// The folder for the state that outlives the process.
     pub state_folder: Option<PathBuf>,
-    /// The cluster begins: a member without memory never had any.
+    /// The cluster starts for the first time: a voter without durable state never had any.
     pub first_start: bool,
-    /// No two processes act on contradicting rules for longer.
+    /// No two processes act on incompatible rules for longer.
     pub contradiction_ms: u32,
-    /// How long a process may act without hearing from the others.
+    /// How long a process may act on a version after it requested the lease.
     pub lease_ms: u32,
-    /// Between two rounds of the leader.
+    /// Between two heartbeats of the leader.
     pub heartbeat_ms: u32,
     /// How long a voter waits for a leader at least ...
     pub election_least_ms: u32,
@@ -81,15 +82,15 @@
     pub election_most_ms: u32,
     /// How far clocks' rates may be off, in millionths.
     pub drift_ppm: u32,
-    /// The longest from a look at the rules to the act under them.
+    /// The longest from a look at the lease to the act under it.
     pub act_ms: u32,
-    /// How long members have to get new rules ready.
+    /// How long members may take to prepare new rules.
     pub prepare_ms: u32,
-    /// What is done with requests before this process has heard which rules are in force.
-    pub before_first: Unknown,
-    /// While the lease is over: what is done with those that no known must speaks of.
-    pub unruled_on_doubt: Unknown,
-    /// The time that is told to those refused for either.
+    /// For requests before this process knows which rules are in force.
+    pub before_first: UnknownRules,
+    /// While the lease is expired: for requests that no requirement selects.
+    pub unruled_on_doubt: UnknownRules,
+    /// The Retry-After of requests rejected for either.
     pub retry_ms: u32,
 }
 
@@ -112,61 +113,116 @@
             drift_ppm: 1_000,
             act_ms: 300,
             prepare_ms: 3_000,
-            before_first: Unknown::Refuse,
-            unruled_on_doubt: Unknown::Serve,
+            before_first: UnknownRules::Refuse,
+            unruled_on_doubt: UnknownRules::Serve,
             retry_ms: 500,
         }
     }
 }
 
-/// What the accord needs, checked.
+/// What consensus needs of the configuration, checked.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConsensusSettings {
-    /// This member's own end.
+    /// The address for datagrams, and for contents over TCP.
     pub listen: SocketAddr,
     /// The cluster's name.
     pub cluster: String,
-    /// The key's file.
+    /// The file with the key that authenticates members.
     pub key_file: PathBuf,
-    /// This member's number.
-    pub me: u16,
-    /// The voters' numbers.
+    /// This member's ordinal.
+    pub ordinal: u16,
+    /// The voters' ordinals.
     pub voters: Vec<u16>,
-    /// Where each member is reached.
+    /// The members' addresses, by ordinal.
     pub members: Vec<SocketAddr>,
-    /// Where what must outlive the process is kept.
+    /// The folder for the state that outlives the process.
     pub state_folder: Option<PathBuf>,
-    /// The cluster begins.
+    /// The cluster starts for the first time.
     pub first_start: bool,
-    /// The spans.
+    /// The spans of the protocol.
     pub timing: Timing,
-    /// Before the first version.
-    pub before_first: Unknown,
-    /// Without a lease and without a must.
-    pub unruled_on_doubt: Unknown,
-    /// The time told then.
+    /// For requests before any version is known.
+    pub before_first: UnknownRules,
+    /// For requests that no requirement selects, while the lease is expired.
+    pub unruled_on_doubt: UnknownRules,
+    /// The Retry-After of requests rejected for either.
     pub retry: Duration,
 }
 
+/// Why a section can't be used. Each message begins with the key's full path.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SectionError {
+    /// Keys of `[accord]` are set, and consensus is off.
+    #[error("accord.listen is missing, and other keys of the section are set")]
+    ListenMissing,
+    /// Consensus is on, and this key is missing.
+    #[error("accord.{0} is missing, and accord.listen is set")]
+    KeyMissing(&'static str),
+    /// The port was left to the system.
+    #[error("accord.listen needs a port: datagrams and contents go to the same number")]
+    NoPort,
+    /// Ordinals have 16 bits.
+    #[error("accord.members names {0} proxies, which is too many")]
+    TooManyMembers(usize),
+    /// This member isn't one of the members.
+    #[error("accord.me is {me}, and accord.members names {members} proxies")]
+    NotAMember {
+        /// This member's ordinal.
+        me: u16,
+        /// The number of members.
+        members: u16,
+    },
+    /// The spans add up to more than was promised.
+    #[error("accord.contradiction_ms cannot be kept: {sum}")]
+    Contradiction {
+        /// The spans, as a sum.
+        sum: String,
+    },
+    /// A key has a value that consensus can't use.
+    #[error("accord.{key} cannot be used: {source}")]
+    Unusable {
+        /// The key.
+        key: String,
+        /// Why.
+        source: ConfigError,
+    },
+    /// A hardware class has two sections.
+    #[error("hardware.{index}.name is there twice: '{name}'")]
+    ClassTwice {
+        /// The second section's place.
+        index: usize,
+        /// The class.
+        name: String,
+    },
+}
+
 impl ConsensusSection {
-    /// What it comes to; `None`: off. A message begins with the key's full path.
-    pub fn check(&self) -> Result<Option<ConsensusSettings>, String> {
+    /// The settings of consensus; `None`: it is off.
+    pub fn check(&self) -> Result<Option<ConsensusSettings>, SectionError> {
         let timing = self.timing();
-        timing.check().map_err(|bad| self.unkept(&bad))?;
+        timing.check().map_err(|error| self.timing_error(error))?;
         let Some(listen) = self.listen else {
             return match self.cluster.is_some() || self.me.is_some() || !self.members.is_empty() {
-                true => Err("accord.listen is missing, and other keys of the section are set".into()),
+                true => Err(SectionError::ListenMissing),
                 false => Ok(None),
             };
         };
-        let missing = |key: &str| format!("accord.{key} is missing, and accord.listen is set");
-        let me = self.me.ok_or_else(|| missing("me"))?;
+        let settings = self.settings(listen, timing)?;
+        if listen.port() == 0 {
+            return Err(SectionError::NoPort);
+        }
+        self.check_members(settings.ordinal, timing)?;
+        Ok(Some(settings))
+    }
+
+    fn settings(&self, listen: SocketAddr, timing: Timing) -> Result<ConsensusSettings, SectionError> {
+        let ordinal = self.me.ok_or(SectionError::KeyMissing("me"))?;
         let cluster = self.cluster.clone().filter(|name| !name.is_empty());
-        let settings = ConsensusSettings {
+        Ok(ConsensusSettings {
             listen,
-            cluster: cluster.ok_or_else(|| missing("cluster"))?,
-            key_file: self.key_file.clone().ok_or_else(|| missing("key_file"))?,
-            me,
+            cluster: cluster.ok_or(SectionError::KeyMissing("cluster"))?,
+            key_file: self.key_file.clone().ok_or(SectionError::KeyMissing("key_file"))?,
+            ordinal,
             voters: self.voters.clone(),
             members: self.members.clone(),
             state_folder: self.state_folder.clone(),
@@ -175,21 +231,20 @@
             before_first: self.before_first,
             unruled_on_doubt: self.unruled_on_doubt,
             retry: Duration::from_millis(self.retry_ms.into()),
-        };
-        if listen.port() == 0 {
-            return Err("accord.listen needs a port: datagrams and contents go to the same number".into());
-        }
-        let members = u16::try_from(self.members.len())
-            .map_err(|_| format!("accord.members names {} proxies, which is too many", self.members.len()))?;
-        if me >= members {
-            return Err(format!("accord.me is {me}, and accord.members names {members} proxies"));
+        })
+    }
+
+    fn check_members(&self, ordinal: u16, timing: Timing) -> Result<(), SectionError> {
+        let count = self.members.len();
+        let members = u16::try_from(count).map_err(|_| SectionError::TooManyMembers(count))?;
+        if ordinal >= members {
+            return Err(SectionError::NotAMember { me: ordinal, members });
         }
-        let config = Config { ordinal: me, members, voters: self.voters.clone(), timing, incarnation: 0 };
-        config.check().map_err(|bad| format!("accord.voters cannot be used: {bad}"))?;
-        Ok(Some(settings))
+        let config = Config { ordinal, members, voters: self.voters.clone(), timing, incarnation: 0 };
+        config.check().map_err(|source| SectionError::Unusable { key: "voters".into(), source })
     }
 
-    /// The spans in the accord's terms.
+    /// The spans of the protocol, in microseconds.
     pub fn timing(&self) -> Timing {
         let us = |ms: u32| i64::from(ms) * 1_000;
         Timing {
@@ -204,21 +259,19 @@
         }
     }
 
-    /// Names the key that a fault of the spans is best mended at, and shows the sum that was to be kept.
-    fn unkept(&self, bad: &cottonnotch_consensus::ConfigError) -> String {
-        use cottonnotch_consensus::ConfigError as Bad;
-        match bad {
-            Bad::Contradiction { .. } => {
-                format!("accord.contradiction_ms cannot be kept: {}", self.sum())
-            }
-            Bad::Election { .. } => format!("accord.election_least_ms cannot be used: {bad}"),
-            Bad::Span { name, .. } => format!("accord.{name}_ms cannot be used: {bad}"),
-            Bad::Drift(_) => format!("accord.drift_ppm cannot be used: {bad}"),
-            Bad::Voters(_) | Bad::UnknownMember { .. } => format!("accord.voters cannot be used: {bad}"),
-        }
+    /// Names the key by which a fault of the spans is best corrected.
+    fn timing_error(&self, source: ConfigError) -> SectionError {
+        let key = match &source {
+            ConfigError::Contradiction { .. } => return SectionError::Contradiction { sum: self.sum() },
+            ConfigError::Election { .. } => "election_least_ms".to_owned(),
+            ConfigError::Span { name, .. } => format!("{name}_ms"),
+            ConfigError::Drift(_) => "drift_ppm".to_owned(),
+            ConfigError::Voters(_) | ConfigError::UnknownMember { .. } => "voters".to_owned(),
+        };
+        SectionError::Unusable { key, source }
     }
 
-    /// How long two processes may act on contradicting rules, as a sum.
+    /// How long two processes may act on incompatible rules, as a sum.
     pub fn sum(&self) -> String {
         let (lease, act, drift) = (self.lease_ms, self.act_ms, self.drift_ppm);
         let slow = (u64::from(lease) * u64::from(drift)).div_ceil(1_000_000);
@@ -229,13 +282,13 @@
     }
 }
 
-/// The profiles by class; a class that is named twice is a fault.
-pub fn profiles(hardware: &[HardwareSection]) -> Result<Profiles, String> {
+/// The profiles by class; a class that is named twice is an error.
+pub fn profiles(hardware: &[HardwareSection]) -> Result<Profiles, SectionError> {
     let mut profiles = Profiles::new();
-    for (i, HardwareSection { name, features, budgets }) in hardware.iter().enumerate() {
+    for (index, HardwareSection { name, features, budgets }) in hardware.iter().enumerate() {
         let profile = Profile { features: *features, budgets: *budgets };
         if profiles.insert(name.clone(), profile).is_some() {
-            return Err(format!("hardware.{i}.name is there twice: '{name}'"));
+            return Err(SectionError::ClassTwice { index, name: name.clone() });
         }
     }
     Ok(profiles)
--- a/crates/cottonnotch/src/rules/consensus_loop.rs
+++ b/crates/cottonnotch/src/rules/consensus_loop.rs
@@ -1,13 +1,16 @@
-//! The accord's loop: hears, ticks, and carries out what the accord asks for, in its order.
+//! The loop of the consensus thread: it receives datagrams, keeps the member's timeouts, and carries out the member's outputs
+//! in their order.
 
 use super::clock::Clock;
-use super::compile_job::Job;
-use super::consensus_handle::{Agent, WAKE};
-use super::consensus_parts::Parts;
+use super::compile_job::CompileJob;
+use super::consensus_handle::{ConsensusHandle, WAKE_UP};
+use super::consensus_parts::{MemberSettings, SharedParts};
 use super::lease_file::{LeaseFile, LeaseRecord};
-use super::state_files::{HELD, MEMORY};
-use super::version_content::hex;
-use cottonnotch_consensus::{ContentHash, Input, Lease, Member, Message, Micros, Output, Topic};
+use super::state_files::{DURABLE_STATE, LAST_ACTIVE};
+use super::version_content::{VersionContent, short_hex};
+use cottonnotch_consensus::{
+    ContentHash, DurableState, Input, Lease, Member, Message, Micros, Output, Topic,
+};
 use cottonnotch_proxy_core::MemberDriver;
 use cottonnotch_proxy_core::envelope::MAX_DATAGRAM_BYTES;
 use std::io;
@@ -15,22 +18,32 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 
-/// A socket that fails at once is not asked again before this.
-const PAUSE: Duration = Duration::from_millis(10);
-
-/// One member, with its socket.
-pub struct Thread<'a> {
-    pub parts: Parts,
-    pub agent: &'a Agent,
-    pub socket: UdpSocket,
-    pub member: Member,
-    /// Where a process that takes this one's part reads what holds.
-    pub lease: Option<LeaseFile>,
-    /// What the worker was last told of this process's version.
-    pub told: Option<(Option<ContentHash>, bool)>,
+/// A socket whose read failed at once is not read again before this.
+const PAUSE_AFTER_ERROR: Duration = Duration::from_millis(10);
+/// The shortest and the longest wait for a datagram, in microseconds. A command may come without its wake-up.
+const WAIT: (Micros, Micros) = (1_000, 1_000_000);
+
+/// What the worker knows of the active version.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct ReportedVersion {
+    active: Option<ContentHash>,
+    /// No version has ever been in force, and there is a leader who would know.
+    nothing_in_force: bool,
+}
+
+/// One member with its socket.
+pub struct ConsensusLoop<'a> {
+    settings: MemberSettings,
+    shared: SharedParts,
+    handle: &'a ConsensusHandle,
+    socket: UdpSocket,
+    member: Member,
+    /// Where a successor reads this process's lease.
+    lease_file: Option<LeaseFile>,
+    reported: Option<ReportedVersion>,
 }
 
-impl MemberDriver for Thread<'_> {
+impl MemberDriver for ConsensusLoop<'_> {
     type Member = Member;
     type Error = io::Error;
 
@@ -41,146 +54,178 @@
     fn execute(&mut self, _: Micros, output: Output) -> io::Result<()> {
         match output {
             Output::Send { to, message } => self.send(to, message),
-            Output::Save(memory) => {
-                if let Some(disk) = &*self.agent.disk() {
-                    let bytes = postcard::to_allocvec(&memory).map_err(io::Error::other)?;
-                    // Nothing that rests on it may be sent unless this went well: the thread ends.
-                    disk.save(MEMORY, &bytes)?;
-                }
+            Output::Save(durable_state) => self.save(&durable_state)?,
+            Output::Check { hash, against, .. } => self.request(CompileJob::Check { hash, against }),
+            Output::Fetch { hash, size, from, .. } => self.request(CompileJob::Fetch { hash, size, from }),
+            Output::LeaseChanged(lease) => self.publish(lease)?,
+            Output::ProposalFinished { hash, outcome, .. } => {
+                self.request(CompileJob::ProposalFinished { hash, outcome });
             }
-            Output::Check { hash, against, .. } => self.ask(Job::Check { hash, against }),
-            Output::Fetch { hash, size, from, .. } => self.ask(Job::Fetch { hash, size, from }),
-            Output::LeaseChanged(right) => self.publish(right)?,
-            Output::ProposalFinished { hash, outcome, .. } => self.ask(Job::Over { hash, outcome }),
             Output::ListOutdated { revision } => {
-                self.parts.board.seen().newer_list = Some((revision, Clock.now()));
+                self.shared.status.lock().newer_list = Some((revision, Clock.now()));
             }
         }
         Ok(())
     }
 }
 
-impl Thread<'_> {
-    /// Runs until it is told to stop, or until something fails on which the accord rests.
-    pub fn run(&mut self, commands: &Receiver<Input>) -> io::Result<()> {
+impl<'a> ConsensusLoop<'a> {
+    pub fn new(
+        settings: MemberSettings,
+        shared: SharedParts,
+        handle: &'a ConsensusHandle,
+        socket: UdpSocket,
+        member: Member,
+        lease_file: Option<LeaseFile>,
+    ) -> Self {
+        ConsensusLoop { settings, shared, handle, socket, member, lease_file, reported: None }
+    }
+
+    /// Runs until it is stopped, or until something fails that the protocol depends on.
+    pub fn run(&mut self, inputs: &Receiver<Input>) -> io::Result<()> {
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            while let Ok(input) = commands.try_recv() {
+            while let Ok(input) = inputs.try_recv() {
                 self.handle_input(Clock.now(), input)?;
             }
-            if self.agent.is_stopped() {
+            if self.handle.is_stopped() {
                 return Ok(());
             }
             self.handle_timeout(Clock.now())?;
-            self.look();
-            let wait = (self.member.next_timeout() - Clock.now()).clamp(1_000, 1_000_000);
-            self.socket.set_read_timeout(Some(Duration::from_micros(wait as u64)))?;
-            match self.socket.recv_from(&mut buffer) {
-                Ok((length, _)) if buffer[..length] == *WAKE => {}
-                Ok((length, _)) => match self.parts.seal.open(&buffer[..length]) {
-                    Ok((from, message)) => {
-                        self.handle_input(Clock.now(), Input::Message { from, message })?
-                    }
-                    Err(error) => {
-                        self.parts.board.seen().invalid_datagrams += 1;
-                        log::debug!("datagram dropped: {error}");
-                    }
-                },
-                Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
-                }
-                // An earlier datagram could not be delivered, or worse.
-                Err(_) => std::thread::sleep(PAUSE),
+            self.report_status();
+            self.receive(&mut buffer)?;
+        }
+    }
+
+    /// Waits for a datagram until the member's next timeout.
+    fn receive(&mut self, buffer: &mut [u8]) -> io::Result<()> {
+        let wait = (self.member.next_timeout() - Clock.now()).clamp(WAIT.0, WAIT.1);
+        self.socket.set_read_timeout(Some(Duration::from_micros(wait as u64)))?;
+        match self.socket.recv_from(buffer) {
+            Ok((length, _)) if buffer[..length] == *WAKE_UP => {}
+            Ok((length, _)) => self.receive_datagram(&buffer[..length])?,
+            Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
+            // An earlier datagram could not be delivered, or worse.
+            Err(_) => std::thread::sleep(PAUSE_AFTER_ERROR),
+        }
+        Ok(())
+    }
+
+    fn receive_datagram(&mut self, datagram: &[u8]) -> io::Result<()> {
+        match self.settings.envelope_key.open(datagram) {
+            Ok((from, message)) => self.handle_input(Clock.now(), Input::Message { from, message }),
+            Err(error) => {
+                self.shared.status.lock().invalid_datagrams += 1;
+                log::debug!("datagram dropped: {error}");
+                Ok(())
             }
         }
     }
 
-    fn ask(&self, job: Job) {
+    fn request(&self, job: CompileJob) {
         // The worker ends with the process only.
-        let _ = self.parts.jobs.send(job);
+        let _ = self.shared.jobs.send(job);
     }
 
     fn send(&self, to: u16, message: Message) {
-        let Some(address) = self.parts.members.get(usize::from(to)) else { return };
-        let sent = match self.parts.seal.seal(to, message) {
+        let Some(address) = self.settings.members.get(usize::from(to)) else { return };
+        let sent = match self.settings.envelope_key.seal(to, message) {
             Ok(bytes) => self.socket.send_to(&bytes, address).map(|_| ()),
             Err(error) => Err(io::Error::other(error)),
         };
         if let Err(error) = sent {
-            self.parts.board.seen().unsent_datagrams += 1;
-            log::debug!("datagram to {address} is lost: {error}");
+            self.shared.status.lock().unsent_datagrams += 1;
+            log::debug!("datagram to {address} cannot be sent: {error}");
         }
     }
 
-    /// What this process may act on has changed.
-    fn publish(&mut self, right: Lease) -> io::Result<()> {
-        if right.topic != Topic::Rules {
+    /// Makes the durable state durable. Unless that succeeds, nothing that depends on it may be sent: the thread ends.
+    fn save(&self, durable_state: &DurableState) -> io::Result<()> {
+        let Some(folder) = &*self.handle.state_folder() else { return Ok(()) };
+        let bytes = postcard::to_allocvec(durable_state).map_err(io::Error::other)?;
+        folder.save(DURABLE_STATE, &bytes)
+    }
+
+    /// Publishes a changed lease to the requests, in the lease file first.
+    fn publish(&mut self, lease: Lease) -> io::Result<()> {
+        if lease.topic != Topic::Rules {
             return Ok(());
         }
-        let Some((number, hash)) = right.version else {
-            self.lend(0, ContentHash::default(), Micros::MIN)?;
-            self.parts.publication.revoke();
-            self.say_over();
+        let Some((number, hash)) = lease.version else {
+            self.revoke()?;
+            self.log_revoked();
             return Ok(());
         };
-        // It was granted since it is here.
-        let Some(compiled) = self.parts.library.get(&hash) else {
-            self.lend(0, ContentHash::default(), Micros::MIN)?;
-            self.parts.publication.revoke();
-            log::error!("rules {} are granted and not here", &hex(&hash)[..12]);
+        // It was granted since its content is here.
+        let Some(content) = self.shared.contents.get(&hash) else {
+            self.revoke()?;
+            log::error!("rules {} are granted, but their content is missing", short_hex(&hash));
             return Ok(());
         };
         let is_new =
-            !matches!(&*self.parts.publication.read(), Some(p) if (p.number, p.hash) == (number, hash));
-        self.lend(number, hash, right.until)?;
-        self.parts.publication.grant(&compiled.plan, number, hash, right.until);
+            !matches!(&*self.shared.published.read(), Some(p) if (p.number, p.hash) == (number, hash));
+        self.write_lease(LeaseRecord { number, hash, until: lease.until })?;
+        self.shared.published.grant(&content.plan, number, hash, lease.until);
         if is_new {
-            log::info!(version = number; "rules version {number} counts here: {} rules", compiled.content.book.rules.len());
-            if let Some(disk) = &*self.agent.disk()
-                && let Ok(bytes) = postcard::to_allocvec(&(number, hash))
-                && let Err(error) = disk.save(HELD, &bytes)
-            {
-                log::error!(error:%; "which rules counted last cannot be kept: {error}");
-            }
+            self.record_activation(number, &content);
         }
         Ok(())
     }
 
-    /// Why nothing may be acted on now: at each change that contradicts, for a moment, and that is no trouble.
-    fn say_over(&self) {
+    fn revoke(&self) -> io::Result<()> {
+        self.write_lease(LeaseRecord { number: 0, hash: ContentHash::default(), until: Micros::MIN })?;
+        self.shared.published.revoke();
+        Ok(())
+    }
+
+    /// Stores which version was active last, for the next start.
+    fn record_activation(&self, number: u64, content: &VersionContent) {
+        let rules = content.body.book.rules.len();
+        log::info!(version = number; "rules version {number} is active: {rules} rules");
+        if let Some(folder) = &*self.handle.state_folder()
+            && let Ok(bytes) = postcard::to_allocvec(&(number, content.hash))
+            && let Err(error) = folder.save(LAST_ACTIVE, &bytes)
+        {
+            log::error!(error:%; "the active rules version cannot be stored: {error}");
+        }
+    }
+
+    /// Logs why nothing may be acted on now. At each change to an incompatible version that is so for a moment, and no fault.
+    fn log_revoked(&self) {
         let newest = self.member.status().topic(Topic::Rules).newest;
-        match self.parts.publication.read().as_ref().map(|published| published.number) {
+        match self.shared.published.read().as_ref().map(|published| published.number) {
             Some(last) if last < newest => {
-                log::info!(version = last; "rules version {last} ends here, {newest} is on its way");
+                log::info!(version = last; "rules version {last} is revoked, {newest} is pending");
             }
-            _ => log::warn!("the lease on the rules is over, those in doubt go by 'on_doubt'"),
+            _ => log::warn!("the lease on the rules has expired, requests follow 'on_doubt'"),
         }
     }
 
-    /// What holds, for a process that waits to take this one's part. Unless it is told of the end, nothing after that may be
-    /// carried out: others would be told that nobody acts any more on what is let go.
-    fn lend(&self, number: u64, hash: ContentHash, until: Micros) -> io::Result<()> {
-        self.lease.as_ref().map_or(Ok(()), |file| file.tell(LeaseRecord { number, hash, until }))
+    /// Writes the lease for a successor that waits to take over. Unless that succeeds, nothing later may be carried out: other
+    /// members would hear that nobody acts on a revoked version any more.
+    fn write_lease(&self, record: LeaseRecord) -> io::Result<()> {
+        self.lease_file.as_ref().map_or(Ok(()), |file| file.write(record))
     }
 
-    /// Tells operators and the worker how things stand.
-    fn look(&mut self) {
-        let status = self.member.status();
-        let topic = status.topic(Topic::Rules);
-        let held = topic.active.map(|version| version.hash);
-        let nothing = topic.newest == 0 && held.is_none();
-        let is_first = nothing && status.leader.is_some();
+    /// Reports the member's status to operators, and the active version to the worker.
+    fn report_status(&mut self) {
+        let member = self.member.status();
+        let topic = member.topic(Topic::Rules);
+        let active = topic.active.map(|version| version.hash);
+        let nothing_in_force = topic.newest == 0 && active.is_none() && member.leader.is_some();
         {
-            let mut seen = self.parts.board.seen();
-            seen.version = topic.active.map(|version| version.number).or(seen.version);
-            seen.until = topic.until;
-            seen.newest = topic.newest.max(seen.newest);
-            (seen.role, seen.leader, seen.term) = (status.role, status.leader, status.term);
-            (seen.live_members, seen.invariant_violations) =
-                (status.live_members, status.invariant_violations);
+            let mut status = self.shared.status.lock();
+            status.version = topic.active.map(|version| version.number).or(status.version);
+            status.until = topic.until;
+            status.newest = topic.newest.max(status.newest);
+            (status.role, status.leader, status.term) = (member.role, member.leader, member.term);
+            status.live_members = member.live_members;
+            status.invariant_violations = member.invariant_violations;
         }
-        if self.told != Some((held, is_first)) {
-            self.told = Some((held, is_first));
-            self.ask(Job::Held { version: held, is_first });
+        let report = ReportedVersion { active, nothing_in_force };
+        if self.reported != Some(report) {
+            self.reported = Some(report);
+            self.request(CompileJob::ActiveVersion { hash: active, nothing_in_force });
         }
     }
 }
--- a/crates/cottonnotch/src/rules/consensus_parts.rs
+++ b/crates/cottonnotch/src/rules/consensus_parts.rs
@@ -1,9 +1,9 @@
-//! What the consensus thread is made of.
+//! What the consensus thread is started with.
 
-use super::compile_job::Job;
-use super::published_plan::Publication;
+use super::compile_job::CompileJob;
+use super::published_plan::PublishedPlan;
 use super::status::StatusBoard;
-use super::version_content::Library;
+use super::version_content::ContentCache;
 use cottonnotch_consensus::Config;
 use cottonnotch_proxy_core::envelope::EnvelopeKey;
 use std::net::SocketAddr;
@@ -11,17 +11,32 @@
 use std::sync::Arc;
 use std::sync::mpsc::Sender;
 
-/// What the thread is made of.
-pub struct Parts {
+/// The member's place in the cluster, from the configuration.
+pub struct MemberSettings {
+    /// Datagrams, and contents over TCP, are received here.
     pub listen: SocketAddr,
+    /// The members' addresses, by ordinal.
     pub members: Vec<SocketAddr>,
-    pub seal: EnvelopeKey,
+    /// Authenticates datagrams.
+    pub envelope_key: EnvelopeKey,
     pub state_folder: Option<PathBuf>,
+    /// The cluster starts for the first time: a voter without durable state never had any.
     pub first_start: bool,
     pub config: Config,
     pub seed: u64,
-    pub library: Library,
-    pub publication: Arc<Publication>,
-    pub board: Arc<StatusBoard>,
-    pub jobs: Sender<Job>,
+}
+
+/// What the consensus thread shares with other threads.
+#[derive(Clone)]
+pub struct SharedParts {
+    pub contents: ContentCache,
+    pub published: Arc<PublishedPlan>,
+    pub status: Arc<StatusBoard>,
+    pub jobs: Sender<CompileJob>,
+}
+
+/// What the consensus thread is started with.
+pub struct ConsensusParts {
+    pub member: MemberSettings,
+    pub shared: SharedParts,
 }
--- a/crates/cottonnotch/src/rules/consensus_thread.rs
+++ b/crates/cottonnotch/src/rules/consensus_thread.rs
@@ -1,13 +1,13 @@
-//! The thread of the accord, as others have it, and its start: address, folder and memory are had, or waited for.
+//! The start of the consensus thread: it takes, or waits for, its address and its state folder, and restores its state.
 
 use super::clock::Clock;
-use super::consensus_handle::Agent;
-use super::consensus_loop::Thread;
-use super::consensus_parts::Parts;
-use super::content_server::Serving;
-use super::durable_file::Disk;
+use super::consensus_handle::ConsensusHandle;
+use super::consensus_loop::ConsensusLoop;
+use super::consensus_parts::{ConsensusParts, MemberSettings, SharedParts};
+use super::content_server::ContentServer;
+use super::durable_file::StateFolder;
 use super::lease_file::LeaseFile;
-use super::state_recovery::{borrow, remembered};
+use super::state_recovery::{follow_predecessor, restore_state};
 use cottonnotch_consensus::{Config, Input, Member};
 use std::io;
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
@@ -15,105 +15,137 @@
 use std::sync::mpsc::{Receiver, Sender};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Another process of this proxy has the address, or the folder: it is tried again after this.
-const AGAIN_AFTER: Duration = Duration::from_millis(100);
+/// While another process of this proxy has the address or the folder, they are tried again after this.
+const RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Begins the thread. Fails if the address can't be had; `waits`: unless another process may have it still.
-pub fn start(parts: Parts, commands: (Sender<Input>, Receiver<Input>), waits: bool) -> io::Result<Agent> {
-    let agent = Agent {
-        commands: commands.0,
-        waker: Arc::default(),
-        disk: Arc::default(),
-        library: parts.library.clone(),
-        stop: Arc::default(),
-    };
-    let opened = match open(&parts) {
-        Ok(opened) => Some(opened),
-        Err(error) if waits && is_taken(&error) => {
-            log::info!("the accord begins once the earlier process has left its address");
+/// Whether another process of this proxy may still have the address and the state folder.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Predecessor {
+    /// There is none: what is taken is an error.
+    Absent,
+    /// There may be one: what is taken is waited for.
+    MayRun,
+}
+
+/// Starts the thread. Fails if the address or the folder can't be had and isn't waited for.
+pub fn start(
+    parts: ConsensusParts,
+    inputs: (Sender<Input>, Receiver<Input>),
+    predecessor: Predecessor,
+) -> io::Result<ConsensusHandle> {
+    let (sender, inputs) = inputs;
+    let handle = ConsensusHandle::new(sender, parts.shared.contents.clone());
+    let resources = match Resources::acquire(&parts) {
+        Ok(resources) => Some(resources),
+        Err(error) if predecessor == Predecessor::MayRun && is_taken(&error) => {
+            log::info!("consensus starts once the predecessor has released its address");
             None
         }
         Err(error) => return Err(error),
     };
-    let running = agent.clone();
+    let own_handle = handle.clone();
     let thread = std::thread::Builder::new().name("rules-accord".into());
     thread.spawn(move || {
-        let board = Arc::clone(&parts.board);
-        if let Err(error) = run(parts, &running, commands.1, opened) {
-            log::error!(error:%; "the accord ends here, its lease runs out: {error}");
-            board.seen().consensus_error = Some(error.to_string());
+        let status = Arc::clone(&parts.shared.status);
+        if let Err(error) = run(parts, &own_handle, &inputs, resources) {
+            log::error!(error:%; "consensus stops in this process, its lease will expire: {error}");
+            status.lock().consensus_error = Some(error.to_string());
         }
     })?;
-    Ok(agent)
+    Ok(handle)
 }
 
-/// Another process has it.
+/// Whether another process has what was asked for.
 fn is_taken(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::AddrInUse | io::ErrorKind::WouldBlock)
 }
 
-/// What one process of a member has alone.
-struct Opened {
+/// What only one process of a member can have.
+struct Resources {
     socket: UdpSocket,
-    serving: Serving,
-    disk: Option<Disk>,
+    content_server: ContentServer,
+    state_folder: Option<StateFolder>,
 }
 
-fn open(parts: &Parts) -> io::Result<Opened> {
-    let said = |what: &str, error: io::Error| {
-        if is_taken(&error) { error } else { io::Error::new(error.kind(), format!("{what}: {error}")) }
-    };
-    let socket = UdpSocket::bind(parts.listen).map_err(|error| said("accord.listen", error))?;
-    let disk = parts.state_folder.as_deref().map(Disk::open).transpose();
-    let disk = disk.map_err(|error| said("accord.state_folder", error))?;
-    let serving = Serving::start(parts.listen, parts.library.clone());
-    let serving = serving.map_err(|error| said("accord.listen", error))?;
-    Ok(Opened { socket, serving, disk })
+impl Resources {
+    fn acquire(parts: &ConsensusParts) -> io::Result<Self> {
+        let MemberSettings { listen, state_folder, .. } = &parts.member;
+        let socket = UdpSocket::bind(listen).map_err(|error| with_key("accord.listen", error))?;
+        let state_folder = state_folder.as_deref().map(StateFolder::open).transpose();
+        let state_folder = state_folder.map_err(|error| with_key("accord.state_folder", error))?;
+        let content_server = ContentServer::start(*listen, parts.shared.contents.clone());
+        let content_server = content_server.map_err(|error| with_key("accord.listen", error))?;
+        Ok(Resources { socket, content_server, state_folder })
+    }
+}
+
+/// Names the configuration's key in an error; not in one that is waited for, which shows nobody its text.
+fn with_key(key: &str, error: io::Error) -> io::Error {
+    if is_taken(&error) { error } else { io::Error::new(error.kind(), format!("{key}: {error}")) }
 }
 
 fn run(
-    parts: Parts,
-    agent: &Agent,
-    commands: Receiver<Input>,
-    opened: Option<Opened>,
-) -> Result<(), io::Error> {
-    let mut opened = opened;
-    let Opened { socket, serving, disk } = loop {
-        if agent.is_stopped() {
-            return Ok(());
-        }
-        match opened.take().map_or_else(|| open(&parts), Ok) {
-            Ok(opened) => break opened,
+    parts: ConsensusParts,
+    handle: &ConsensusHandle,
+    inputs: &Receiver<Input>,
+    resources: Option<Resources>,
+) -> io::Result<()> {
+    let Some(resources) = wait_for_resources(&parts, handle, resources)? else { return Ok(()) };
+    let Resources { socket, content_server, state_folder } = resources;
+    if let Ok(waker) = waker(&socket) {
+        handle.set_waker(waker);
+    }
+    let ConsensusParts { member: settings, shared } = parts;
+    let member = start_member(&settings, &shared, handle, state_folder.as_ref())?;
+    let folder = settings.state_folder.as_deref().filter(|_| state_folder.is_some());
+    let lease_file = folder.map(LeaseFile::create).transpose()?;
+    *handle.state_folder() = state_folder;
+    let result = ConsensusLoop::new(settings, shared, handle, socket, member, lease_file).run(inputs);
+    // Granted leases expire by themselves. The address and the folder are free for the next process.
+    content_server.stop();
+    *handle.state_folder() = None;
+    result
+}
+
+/// Retries until the predecessor has released the address and the folder, and follows its lease meanwhile; `None`: stopped.
+fn wait_for_resources(
+    parts: &ConsensusParts,
+    handle: &ConsensusHandle,
+    mut acquired: Option<Resources>,
+) -> io::Result<Option<Resources>> {
+    while !handle.is_stopped() {
+        match acquired.take().map_or_else(|| Resources::acquire(parts), Ok) {
+            Ok(resources) => return Ok(Some(resources)),
             Err(error) if is_taken(&error) => {
-                borrow(&parts);
-                std::thread::sleep(AGAIN_AFTER);
+                let folder = parts.member.state_folder.as_deref();
+                folder.and_then(|folder| follow_predecessor(folder, &parts.shared));
+                std::thread::sleep(RETRY_AFTER);
             }
             Err(error) => return Err(error),
         }
-    };
-    if let Ok(waker) = waker(&socket) {
-        let _ = agent.waker.set(waker);
     }
-    let memory = remembered(&parts, agent, disk.as_ref())?;
-    let lease = parts.state_folder.as_deref().filter(|_| disk.is_some()).map(LeaseFile::own).transpose()?;
-    *agent.disk() = disk;
+    Ok(None)
+}
+
+/// The member, with the state that an earlier process left.
+fn start_member(
+    settings: &MemberSettings,
+    shared: &SharedParts,
+    handle: &ConsensusHandle,
+    state_folder: Option<&StateFolder>,
+) -> io::Result<Member> {
+    let durable_state = restore_state(settings, shared, handle, state_folder)?;
     let now = Clock.now();
-    let config = Config { incarnation: incarnation(), ..parts.config.clone() };
-    let member = Member::new(config, now, memory, parts.seed ^ incarnation());
-    let mut thread = Thread { parts, agent, socket, member, lease, told: None };
-    let ended = thread.run(&commands);
-    // What was granted ends by itself. The address and the folder are free for the next process.
-    serving.stop();
-    *agent.disk() = None;
-    ended
+    let config = Config { incarnation: incarnation(), ..settings.config.clone() };
+    Ok(Member::new(config, now, durable_state, settings.seed ^ incarnation()))
 }
 
-/// Never given twice to this member: the time of the start.
+/// Never given twice to this member: the time of the start, in microseconds.
 fn incarnation() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
 }
 
-/// A socket that reaches this one.
+/// A socket whose datagrams reach this one.
 fn waker(socket: &UdpSocket) -> io::Result<UdpSocket> {
     let mut to = socket.local_addr()?;
     match to {
--- a/crates/cottonnotch/src/rules/content_server.rs
+++ b/crates/cottonnotch/src/rules/content_server.rs
@@ -1,54 +1,56 @@
-//! Gives contents to other members: `GET /content/HEX`. Whoever fetches one checks its digest, so no proof goes with it.
+//! Serves contents to other members: `GET /content/HEX`. Whoever fetches one checks its hash, so the answer needs no
+//! authentication.
 
-use super::version_content::{Library, hex};
+use super::version_content::{ContentCache, hex};
 use cottonnotch_consensus::ContentHash;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tiny_http::{Method, Response, Server};
 
-/// The other end of [`serve`].
+/// The server, running on a thread of its own.
 #[derive(Clone)]
-pub struct Serving(Arc<Server>);
+pub struct ContentServer(Arc<Server>);
 
-impl Serving {
-    /// Opens the address, and serves on a thread of its own until it is told to stop.
-    pub fn start(listen: SocketAddr, library: Library) -> io::Result<Self> {
+impl ContentServer {
+    /// Binds the address and serves until stopped.
+    pub fn start(listen: SocketAddr, contents: ContentCache) -> io::Result<Self> {
         let server = Server::http(listen).map_err(|error| match error.downcast::<io::Error>() {
             Ok(error) => *error,
             Err(error) => io::Error::other(error),
         })?;
         let server = Arc::new(server);
-        let serving = Serving(Arc::clone(&server));
-        std::thread::Builder::new().name("rules-contents".into()).spawn(move || serve(&server, &library))?;
-        Ok(serving)
+        let handle = ContentServer(Arc::clone(&server));
+        std::thread::Builder::new().name("rules-contents".into()).spawn(move || serve(&server, &contents))?;
+        Ok(handle)
     }
 
-    /// Stops it.
+    /// Stops the server.
     pub fn stop(&self) {
         self.0.unblock();
     }
 }
 
-fn serve(server: &Server, library: &Library) {
+fn serve(server: &Server, contents: &ContentCache) {
     // Ends when the server is unblocked.
     while let Ok(request) = server.recv() {
-        let wanted = request.url().strip_prefix("/content/").and_then(digest);
-        let found = wanted.filter(|_| *request.method() == Method::Get).and_then(|hash| library.get(&hash));
-        // Who asked may be gone.
+        let requested = request.url().strip_prefix("/content/").and_then(parse_hash);
+        let found =
+            requested.filter(|_| *request.method() == Method::Get).and_then(|hash| contents.get(&hash));
+        // The connection may be closed by now.
         let _ = match found {
-            Some(compiled) => request.respond(Response::from_data(compiled.bytes.to_vec())),
+            Some(content) => request.respond(Response::from_data(content.bytes.to_vec())),
             None => request.respond(Response::empty(404)),
         };
     }
 }
 
-/// Where a member has that content.
-pub fn url(member: SocketAddr, hash: &ContentHash) -> String {
+/// The URL of a content at a member.
+pub fn content_url(member: SocketAddr, hash: &ContentHash) -> String {
     format!("http://{member}/content/{}", hex(hash))
 }
 
-fn digest(text: &str) -> Option<ContentHash> {
+fn parse_hash(text: &str) -> Option<ContentHash> {
     let mut hash = ContentHash::default();
     if text.len() != 2 * hash.len() || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
         return None;
--- a/crates/cottonnotch/src/rules/durable_file_tests.rs
+++ b/crates/cottonnotch/src/rules/durable_file_tests.rs
@@ -1,36 +1,36 @@
 use super::*;
 
 #[test]
-fn what_is_saved_is_loaded_and_what_is_damaged_is_refused() {
+fn loads_what_was_saved_and_rejects_damaged_files() {
     let folder = tempfile::tempdir().unwrap();
-    let disk = Disk::open(folder.path()).unwrap();
-    assert!(disk.load("memory").unwrap().is_none());
-    disk.save("memory", b"one").unwrap();
-    disk.save("memory", b"two").unwrap();
-    disk.save("content-aa", b"").unwrap();
-    assert_eq!(disk.load("memory").unwrap().unwrap(), b"two");
-    assert_eq!(disk.names("content-").unwrap(), ["content-aa"]);
+    let state = StateFolder::open(folder.path()).unwrap();
+    assert!(state.load("memory").unwrap().is_none());
+    state.save("memory", b"one").unwrap();
+    state.save("memory", b"two").unwrap();
+    state.save("content-aa", b"").unwrap();
+    assert_eq!(state.load("memory").unwrap().unwrap(), b"two");
+    assert_eq!(state.list("content-").unwrap(), ["content-aa"]);
     let path = folder.path().join("memory");
     let sound = std::fs::read(&path).unwrap();
     for at in 0..sound.len() {
         let mut torn = sound.clone();
         torn[at] ^= 1;
         std::fs::write(&path, &torn).unwrap();
-        assert!(matches!(disk.load("memory"), Err(BadFile::Damaged)), "byte {at}");
+        assert!(matches!(state.load("memory"), Err(StateFileError::Damaged)), "byte {at}");
         std::fs::write(&path, &sound[..at]).unwrap();
-        assert!(matches!(disk.load("memory"), Err(BadFile::Damaged)), "cut at {at}");
+        assert!(matches!(state.load("memory"), Err(StateFileError::Damaged)), "cut at {at}");
     }
     // A crash before the rename leaves the old one.
     std::fs::write(&path, &sound).unwrap();
     std::fs::write(folder.path().join("memory.new"), b"half").unwrap();
-    assert_eq!(disk.load("memory").unwrap().unwrap(), b"two");
+    assert_eq!(state.load("memory").unwrap().unwrap(), b"two");
 }
 
 #[test]
-fn a_folder_has_one_owner() {
+fn folder_is_locked_by_one_process() {
     let folder = tempfile::tempdir().unwrap();
-    let disk = Disk::open(folder.path()).unwrap();
-    assert_eq!(Disk::open(folder.path()).unwrap_err().kind(), io::ErrorKind::WouldBlock);
-    drop(disk);
-    Disk::open(folder.path()).unwrap();
+    let state = StateFolder::open(folder.path()).unwrap();
+    assert_eq!(StateFolder::open(folder.path()).unwrap_err().kind(), io::ErrorKind::WouldBlock);
+    drop(state);
+    StateFolder::open(folder.path()).unwrap();
 }
--- a/crates/cottonnotch/src/rules/established_connections.rs
+++ b/crates/cottonnotch/src/rules/established_connections.rs
@@ -1,4 +1,4 @@
-//! This proxy's standing connections and the limits that they count under.
+//! This proxy's established connections, counted by the limits they come under.
 
 use cottonnotch_decision::{Request, RequestId, ServerId};
 use cottonnotch_rule_compiler::LimitId;
@@ -6,33 +6,31 @@
 
 /// A connection, or an attempt that may become one.
 #[derive(Debug)]
-struct Stand {
+struct Established {
     request: Request,
     server: ServerId,
     limits: Vec<LimitId>,
 }
 
-/// All of them.
+/// The established connections. Grows with them and with the plan's limits.
 #[derive(Debug, Default)]
-pub struct Standing {
-    stands: HashMap<RequestId, Stand>,
+pub struct EstablishedConnections {
+    connections: HashMap<RequestId, Established>,
     counts: HashMap<LimitId, u64>,
 }
 
-impl Standing {
-    /// It stands there, and counts under these. Where it stood before it does no more.
+impl EstablishedConnections {
+    /// Adds a request's connection, which counts towards these limits; it replaces the request's earlier one.
     pub fn insert(&mut self, request: &Request, server: ServerId, limits: Vec<LimitId>) {
         self.remove(request.id);
-        for limit in &limits {
-            *self.counts.entry(*limit).or_default() += 1;
-        }
-        self.stands.insert(request.id, Stand { request: request.clone(), server, limits });
+        count(&mut self.counts, &limits);
+        self.connections.insert(request.id, Established { request: request.clone(), server, limits });
     }
 
-    /// It stands no more.
+    /// Removes a request's connection, if it has one.
     pub fn remove(&mut self, request: RequestId) {
-        let Some(stand) = self.stands.remove(&request) else { return };
-        for limit in stand.limits {
+        let Some(connection) = self.connections.remove(&request) else { return };
+        for limit in connection.limits {
             if let Some(count) = self.counts.get_mut(&limit) {
                 *count -= 1;
                 if *count == 0 {
@@ -42,19 +40,23 @@
         }
     }
 
-    /// How many count under this.
-    pub fn of(&self, limit: LimitId) -> u64 {
+    /// The connections that count towards this limit.
+    pub fn count(&self, limit: LimitId) -> u64 {
         self.counts.get(&limit).copied().unwrap_or(0)
     }
 
-    /// Limits are others now.
+    /// Counts all connections anew, towards the limits that `limits` gives each.
     pub fn recount(&mut self, limits: impl Fn(&Request, ServerId) -> Vec<LimitId>) {
         self.counts.clear();
-        for stand in self.stands.values_mut() {
-            stand.limits = limits(&stand.request, stand.server);
-            for limit in &stand.limits {
-                *self.counts.entry(*limit).or_default() += 1;
-            }
+        for connection in self.connections.values_mut() {
+            connection.limits = limits(&connection.request, connection.server);
+            count(&mut self.counts, &connection.limits);
         }
     }
 }
+
+fn count(counts: &mut HashMap<LimitId, u64>, limits: &[LimitId]) {
+    for limit in limits {
+        *counts.entry(*limit).or_default() += 1;
+    }
+}
--- a/crates/cottonnotch/src/rules/golden_tests.rs
+++ b/crates/cottonnotch/src/rules/golden_tests.rs
@@ -1,9 +1,9 @@
 //! What a member keeps on disk, and the contents that go to others, keep the bytes that earlier builds gave them.
 
-use super::durable_file::{Disk, load};
+use super::durable_file::{StateFolder, load};
 use super::lease_file::{LeaseFile, LeaseRecord};
-use super::state_files::{HELD, MEMORY, content_name};
-use super::version_content::{Compiled, Content};
+use super::state_files::{DURABLE_STATE, LAST_ACTIVE, content_name};
+use super::version_content::{ContentBody, VersionContent};
 use cottonnotch_consensus::DurableState;
 use cottonnotch_golden::{assert_bytes, golden_path};
 use cottonnotch_routing_rules::{History, Inventory, Merged, RuleFile, merge};
@@ -21,12 +21,12 @@
 place.avoid.hardware = ["small"]
 "#;
 
-fn content() -> Content {
+fn content() -> ContentBody {
     let world = Inventory::of("consortium", &["a"], &["print"], &["north"], &["small", "large"], 100);
     let files = [RuleFile::new("consortium.toml", FILE)];
     let Merged { book, ledger, .. } = merge(&History::default(), &files, &world);
     let profiles = Profiles::from([("large".to_owned(), Profile::full())]);
-    Content::new(Some([7; 32]), ledger, book, profiles, world)
+    ContentBody::new(Some([7; 32]), ledger, book, profiles, world)
 }
 
 #[test]
@@ -39,18 +39,18 @@
         ("plan_hash", made.plan.hash().to_vec()),
     ];
     let golden = assert_bytes(&golden_path!("content.txt"), &named);
-    let read = Compiled::read(golden[0].clone()).unwrap();
-    assert_eq!((read.content, read.hash, read.plan.hash()), (content(), made.hash, made.plan.hash()));
+    let read = VersionContent::decode(golden[0].clone()).unwrap();
+    assert_eq!((read.body, read.hash, read.plan.hash()), (content(), made.hash, made.plan.hash()));
 }
 
 #[test]
 fn the_files_of_a_state_folder_keep_their_bytes() {
     let folder = tempfile::tempdir().unwrap();
-    let disk = Disk::open(folder.path()).unwrap();
+    let disk = StateFolder::open(folder.path()).unwrap();
     let lease = LeaseRecord { number: 11, hash: [9; 32], until: 1_234_567_890 };
-    disk.save(MEMORY, &postcard::to_allocvec(&DurableState::initial()).unwrap()).unwrap();
-    disk.save(HELD, &postcard::to_allocvec(&(11_u64, [9_u8; 32])).unwrap()).unwrap();
-    LeaseFile::own(folder.path()).unwrap().tell(lease).unwrap();
+    disk.save(DURABLE_STATE, &postcard::to_allocvec(&DurableState::initial()).unwrap()).unwrap();
+    disk.save(LAST_ACTIVE, &postcard::to_allocvec(&(11_u64, [9_u8; 32])).unwrap()).unwrap();
+    LeaseFile::create(folder.path()).unwrap().write(lease).unwrap();
     let names = ["memory", "held", "lease"];
     let made = names.map(|name| (name, std::fs::read(folder.path().join(name)).unwrap()));
     let golden = assert_bytes(&golden_path!("state_folder.txt"), &made);
@@ -59,9 +59,9 @@
     for (name, bytes) in names.iter().zip(&golden) {
         std::fs::write(other.path().join(name), bytes).unwrap();
     }
-    let memory = load(other.path(), MEMORY).unwrap().unwrap();
+    let memory = load(other.path(), DURABLE_STATE).unwrap().unwrap();
     assert_eq!(postcard::from_bytes::<DurableState>(&memory).unwrap(), DurableState::initial());
-    let held = load(other.path(), HELD).unwrap().unwrap();
+    let held = load(other.path(), LAST_ACTIVE).unwrap().unwrap();
     assert_eq!(postcard::from_bytes::<(u64, [u8; 32])>(&held).unwrap(), (11, [9; 32]));
-    assert_eq!(LeaseFile::of_another(other.path()).unwrap().read(), Some(lease));
+    assert_eq!(LeaseFile::open(other.path()).unwrap().read(), Some(lease));
 }
--- a/crates/cottonnotch/src/rules/mod.rs
+++ b/crates/cottonnotch/src/rules/mod.rs
@@ -1,10 +1,12 @@
-//! Rules: whose requests go where, as their owners wrote it down. Files become a book (`cottonnotch-routing-rules`), the book a
-//! plan (`cottonnotch-rule-compiler`), and which plan is in force is agreed with the other proxies (`cottonnotch-consensus`). Here
-//! the parts meet threads, sockets and disks; `docs/ops/rules.md` is the operator's side.
+//! The daemon's routing rules: which requests may go to which render nodes, as their owners wrote it down. Files are merged to a
+//! book (`cottonnotch-routing-rules`), the book is compiled to a plan (`cottonnotch-rule-compiler`), and the proxies agree on which
+//! plan is in force (`cottonnotch-consensus`). This module connects those crates with threads, sockets and disks.
+//! `docs/ops/rules.md` is the operator's side.
 //!
-//! The loop never waits for any of it. Threads of their own agree ([`consensus_thread`]), compile and compare ([`compile_worker`]) and hand
-//! contents to other members ([`content_server`]); they publish what counts ([`published_plan`]), and each dispatch looks at that and
-//! at the clock ([`routing_verdict`]). Without the sections `[rules]` and `[accord]` nothing of it exists.
+//! The event loop waits for none of it. Threads of their own run consensus ([`consensus_thread`]), compile and compare contents
+//! ([`compile_worker`]) and serve them to other members ([`content_server`]). They publish the version in force
+//! ([`published_plan`]), and each dispatch looks at that and at the clock ([`routing_verdict`]). Without the sections `[rules]`
+//! and `[accord]` none of it exists.
 
 mod clock;
 mod compile_job;
@@ -14,6 +16,7 @@
 mod consensus_loop;
 mod consensus_parts;
 mod consensus_thread;
+mod content_fetcher;
 mod content_server;
 mod durable_file;
 mod established_connections;
--- a/crates/cottonnotch/src/rules/node_kinds.rs
+++ b/crates/cottonnotch/src/rules/node_kinds.rs
@@ -1,5 +1,5 @@
-//! The render nodes as rules see them: each is of a kind, its hall and its hardware class, and there are few kinds. Which
-//! kinds may take a request is found by the kind; the set of nodes that comes of it is made once for each list.
+//! The render nodes by kind: hall and hardware class. There are few kinds. Rules are evaluated by kind; the set of nodes of some
+//! kinds is built once for each endpoint list.
 
 use cottonnotch_decision::names::unit;
 use cottonnotch_decision::{Entry, ServerId, ServerSet, ServerState};
@@ -15,24 +15,24 @@
     pub hardware: Box<str>,
 }
 
-/// Some of the kinds, a bit each.
+/// A set of kinds, a bit each.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct NodeKindSet(Vec<u64>);
 
 impl NodeKindSet {
-    /// Those of so many for which `holds`.
-    pub fn of(count: usize, mut holds: impl FnMut(usize) -> bool) -> Self {
+    /// The kinds below `count` for which `contains`.
+    pub fn of(count: usize, mut contains: impl FnMut(usize) -> bool) -> Self {
         let mut words = vec![0_u64; count.div_ceil(64)];
         for kind in 0..count {
-            if holds(kind) {
+            if contains(kind) {
                 words[kind / 64] |= 1 << (kind % 64);
             }
         }
         NodeKindSet(words)
     }
 
-    /// It is among them.
-    pub fn has(&self, kind: usize) -> bool {
+    /// Whether the kind is in the set.
+    pub fn contains(&self, kind: usize) -> bool {
         self.0.get(kind / 64).is_some_and(|word| word >> (kind % 64) & 1 == 1)
     }
 }
@@ -40,15 +40,15 @@
 #[derive(Clone, Debug)]
 struct Node {
     kind: u16,
-    /// It takes new connections, as far as the list tells.
+    /// It accepts new connections, as far as the list says.
     is_ready: bool,
     digest: u64,
     weight: f64,
 }
 
-/// The render nodes that were ever listed.
+/// The render nodes that were ever listed, by kind. Grows with them.
 #[derive(Debug, Default)]
-pub struct Fleet {
+pub struct RenderNodes {
     nodes: Vec<Option<Node>>,
     kinds: Vec<NodeKind>,
     /// Ready nodes of each kind.
@@ -56,9 +56,9 @@
     sets: HashMap<NodeKindSet, Arc<ServerSet>>,
 }
 
-impl Fleet {
-    /// The list has changed in these; `kind_of` names each one's kind.
-    pub fn listed(&mut self, full: bool, entries: &[Entry], kind_of: impl Fn(ServerId) -> NodeKind) {
+impl RenderNodes {
+    /// Updates the listed nodes; a `full` list replaces the one before. `kind_of` gives each node's kind.
+    pub fn update(&mut self, full: bool, entries: &[Entry], kind_of: impl Fn(ServerId) -> NodeKind) {
         if full {
             self.nodes.iter_mut().flatten().for_each(|node| node.is_ready = false);
         }
@@ -85,7 +85,7 @@
             self.kinds.push(kind);
             self.kinds.len() - 1
         });
-        // Nobody has so many halls and classes; the last would stand for more than one.
+        // Nobody has so many halls and classes; beyond, the last number stands for several.
         u16::try_from(place).unwrap_or(u16::MAX)
     }
 
@@ -94,7 +94,7 @@
         &self.kinds
     }
 
-    /// Some node of the kind takes new connections.
+    /// Whether some node of the kind accepts new connections.
     pub fn is_ready(&self, kind: usize) -> bool {
         self.ready.get(kind).is_some_and(|count| *count > 0)
     }
@@ -105,33 +105,33 @@
         Some(usize::from(node.kind))
     }
 
-    /// All nodes of these kinds.
+    /// All nodes of these kinds, ready or not.
     pub fn set(&mut self, kinds: &NodeKindSet) -> Arc<ServerSet> {
         if let Some(set) = self.sets.get(kinds) {
             return Arc::clone(set);
         }
         let numbered = (0..).map(ServerId).zip(&self.nodes);
-        let of_kind = |node: &Node| kinds.has(usize::from(node.kind));
-        let meant = numbered.filter(|(_, node)| node.as_ref().is_some_and(of_kind));
-        let set: Arc<ServerSet> = Arc::new(meant.map(|(server, _)| server).collect());
+        let of_kind = |node: &Node| kinds.contains(usize::from(node.kind));
+        let selected = numbered.filter(|(_, node)| node.as_ref().is_some_and(of_kind));
+        let set: Arc<ServerSet> = Arc::new(selected.map(|(server, _)| server).collect());
         self.sets.insert(kinds.clone(), Arc::clone(&set));
         set
     }
 
-    /// The group's first `most` nodes of these kinds, in an order of its own that is the same at every proxy with the same
-    /// list. It is the order in which the decisions choose a group's homes.
-    pub fn homes(&self, kinds: &NodeKindSet, group: u64, most: usize) -> ServerSet {
+    /// The group's first `size` ready nodes of these kinds, by weighted rendezvous hashing: the same at every proxy with the same
+    /// list, and the same order as that of the decision module's affinity subsets.
+    pub fn affinity_subset(&self, kinds: &NodeKindSet, group: u64, size: usize) -> ServerSet {
         let rank = |node: &Node| {
             unit(node.digest ^ group.wrapping_mul(0x9e37_79b9_7f4a_7c15)).powf(1.0 / node.weight)
         };
         let numbered = (0..).map(ServerId).zip(&self.nodes);
         let mut order: Vec<(f64, ServerId)> = numbered
             .filter_map(|(server, node)| Some((server, node.as_ref()?)))
-            .filter(|(_, node)| node.is_ready && kinds.has(usize::from(node.kind)))
+            .filter(|(_, node)| node.is_ready && kinds.contains(usize::from(node.kind)))
             .map(|(server, node)| (rank(node), server))
             .collect();
         order.sort_unstable_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        order.into_iter().take(most).map(|(_, server)| server).collect()
+        order.into_iter().take(size).map(|(_, server)| server).collect()
     }
 }
 
--- a/crates/cottonnotch/src/rules/published_plan.rs
+++ b/crates/cottonnotch/src/rules/published_plan.rs
@@ -1,5 +1,5 @@
-//! What requests are ruled by, shared between the thread of the accord and the loop. Whoever reads takes no lock: one
-//! look at the version and one at the end of its lease, and the two always belong together.
+//! The version that requests follow, published by the consensus thread to the event loop. Readers take no lock: they read
+//! the version, then the end of its lease, and the two always belong together.
 
 use super::lease_file::LeaseFile;
 use arc_swap::{ArcSwapOption, Guard};
@@ -8,51 +8,51 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, Ordering};
 
-/// A version that was in force here, and may still be.
+/// A version that was active here, and may still be.
 #[derive(Debug)]
-pub struct Published {
-    /// What it says.
+pub struct PublishedVersion {
+    /// Its plan.
     pub plan: Arc<Plan>,
-    /// Its place in the order of versions; 0: of this process alone.
+    /// Its number; counted by this process alone where there is no consensus.
     pub number: u64,
-    /// Its content.
+    /// Its content's hash.
     pub hash: ContentHash,
-    /// Acting on it is forbidden from then on, by [`Clock`](super::clock::Clock).
+    /// Acting on it is forbidden from this time on, by [`Clock`](super::clock::Clock).
     until: AtomicI64,
 }
 
-impl Published {
-    /// A version with its lease's end.
+impl PublishedVersion {
+    /// A version with the end of its lease.
     pub fn new(plan: Arc<Plan>, number: u64, hash: ContentHash, until: Micros) -> Self {
-        Published { plan, number, hash, until: AtomicI64::new(until) }
+        PublishedVersion { plan, number, hash, until: AtomicI64::new(until) }
     }
 
-    /// Its lease's end.
+    /// The end of its lease.
     pub fn until(&self) -> Micros {
         self.until.load(Ordering::Acquire)
     }
 }
 
-/// The version that this process goes by. Written by one thread.
+/// The version that this process acts on. Written by one thread.
 #[derive(Debug, Default)]
-pub struct Publication {
-    current: ArcSwapOption<Published>,
-    /// While an earlier process is the member: where it says what holds.
-    lent: ArcSwapOption<LeaseFile>,
+pub struct PublishedPlan {
+    current: ArcSwapOption<PublishedVersion>,
+    /// While an earlier process is the member: the file with its lease.
+    predecessor_lease: ArcSwapOption<LeaseFile>,
 }
 
-/// A version that is being read.
-pub type Reading = Guard<Option<Arc<Published>>>;
+/// A version that is being read; it stays as it is meanwhile.
+pub type VersionGuard = Guard<Option<Arc<PublishedVersion>>>;
 
-impl Publication {
-    /// The version, if there ever was one. Its lease may be over.
-    pub fn read(&self) -> Reading {
+impl PublishedPlan {
+    /// The version, if there ever was one. Its lease may have expired.
+    pub fn read(&self) -> VersionGuard {
         self.current.load()
     }
 
-    /// When it is forbidden to act on what was read.
-    pub fn until(&self, published: &Published) -> Micros {
-        match &*self.lent.load() {
+    /// When it is forbidden to act on the version that was read.
+    pub fn until(&self, published: &PublishedVersion) -> Micros {
+        match &*self.predecessor_lease.load() {
             None => published.until(),
             Some(file) => match file.read() {
                 Some(lease) if (lease.number, lease.hash) == (published.number, published.hash) => {
@@ -63,14 +63,14 @@
         }
     }
 
-    /// What an earlier process of this member goes by is gone by here too, for as long as its file says so.
-    pub fn lend(&self, plan: &Arc<Plan>, number: u64, hash: ContentHash, file: LeaseFile) {
-        self.lent.store(Some(Arc::new(file)));
-        let published = Published::new(Arc::clone(plan), number, hash, Micros::MIN);
+    /// Publishes the version that the predecessor acts on, for as long as its lease file says so.
+    pub fn follow_predecessor(&self, plan: &Arc<Plan>, number: u64, hash: ContentHash, file: LeaseFile) {
+        self.predecessor_lease.store(Some(Arc::new(file)));
+        let published = PublishedVersion::new(Arc::clone(plan), number, hash, Micros::MIN);
         self.current.store(Some(Arc::new(published)));
     }
 
-    /// A version was granted, or its lease renewed.
+    /// Publishes a granted version, or extends its lease.
     pub fn grant(&self, plan: &Arc<Plan>, number: u64, hash: ContentHash, until: Micros) {
         let current = self.current.load();
         match &*current {
@@ -78,21 +78,21 @@
                 same.until.store(until, Ordering::Release);
             }
             _ => {
-                // The end belongs to the version: nobody reads the old one with the new one's.
+                // The end belongs to the version: nobody may read the old version with the new lease.
                 self.revoke();
-                let published = Published::new(Arc::clone(plan), number, hash, until);
+                let published = PublishedVersion::new(Arc::clone(plan), number, hash, until);
                 self.current.store(Some(Arc::new(published)));
             }
         }
-        self.lent.store(None);
+        self.predecessor_lease.store(None);
     }
 
-    /// What is granted ends now. It is still known, for those rules that go on in doubt.
+    /// Ends the lease now. The version stays known, for rules that hold while it is uncertain which one is in force.
     pub fn revoke(&self) {
         if let Some(current) = &*self.current.load() {
             current.until.store(Micros::MIN, Ordering::Release);
         }
-        self.lent.store(None);
+        self.predecessor_lease.store(None);
     }
 }
 
--- a/crates/cottonnotch/src/rules/published_plan_tests.rs
+++ b/crates/cottonnotch/src/rules/published_plan_tests.rs
@@ -9,8 +9,8 @@
 }
 
 #[test]
-fn a_version_is_never_read_with_the_lease_of_another() {
-    let (publication, plan, over) = (Publication::default(), plan(), AtomicBool::new(false));
+fn never_reads_a_version_with_the_lease_of_another() {
+    let (published_plan, plan, over) = (PublishedPlan::default(), plan(), AtomicBool::new(false));
     // Version N is granted until times N * 1000 and the 500 after it, and never else.
     std::thread::scope(|scope| {
         let readers: Vec<_> = (0..3)
@@ -18,7 +18,7 @@
                 scope.spawn(|| {
                     let mut seen = (0, 0);
                     while !over.load(Ordering::Relaxed) {
-                        let reading = publication.read();
+                        let reading = published_plan.read();
                         let Some(published) = &*reading else { continue };
                         let (number, until) = (published.number, published.until());
                         assert!(number >= seen.0, "versions never go back");
@@ -32,10 +32,10 @@
             .collect();
         for number in 1..2_000_u64 {
             for more in 0..5 {
-                publication.grant(&plan, number, [number as u8; 32], number as i64 * 1_000 + more);
+                published_plan.grant(&plan, number, [number as u8; 32], number as i64 * 1_000 + more);
             }
             if number % 7 == 0 {
-                publication.revoke();
+                published_plan.revoke();
             }
         }
         over.store(true, Ordering::Relaxed);
@@ -46,38 +46,38 @@
 }
 
 #[test]
-fn what_is_lent_is_followed_until_something_is_granted_here() {
+fn follows_the_predecessor_until_a_grant() {
     let folder = tempfile::tempdir().unwrap();
-    let own = LeaseFile::own(folder.path()).unwrap();
-    let publication = Publication::default();
-    let tell = |number, until| own.tell(LeaseRecord { number, hash: [3; 32], until }).unwrap();
-    let until = || publication.until(publication.read().as_ref().unwrap());
-    tell(3, 1_000);
-    publication.lend(&plan(), 3, [3; 32], LeaseFile::of_another(folder.path()).unwrap());
+    let own = LeaseFile::create(folder.path()).unwrap();
+    let published_plan = PublishedPlan::default();
+    let write = |number, until| own.write(LeaseRecord { number, hash: [3; 32], until }).unwrap();
+    let until = || published_plan.until(published_plan.read().as_ref().unwrap());
+    write(3, 1_000);
+    published_plan.follow_predecessor(&plan(), 3, [3; 32], LeaseFile::open(folder.path()).unwrap());
     assert_eq!(until(), 1_000);
-    tell(3, 2_000);
+    write(3, 2_000);
     assert_eq!(until(), 2_000);
-    tell(4, 3_000);
+    write(4, 3_000);
     assert_eq!(until(), Micros::MIN, "the other one goes by another version now");
-    tell(3, Micros::MIN);
+    write(3, Micros::MIN);
     assert_eq!(until(), Micros::MIN);
-    publication.grant(&plan(), 3, [3; 32], 5_000);
+    published_plan.grant(&plan(), 3, [3; 32], 5_000);
     assert_eq!(until(), 5_000);
-    publication.revoke();
+    published_plan.revoke();
     assert_eq!(until(), Micros::MIN);
 }
 
 #[test]
-fn what_is_revoked_is_known_and_not_in_force() {
-    let publication = Publication::default();
-    assert!(publication.read().is_none());
-    publication.grant(&plan(), 3, [3; 32], 1_000);
-    let reading = publication.read();
+fn revoked_version_stays_known() {
+    let published_plan = PublishedPlan::default();
+    assert!(published_plan.read().is_none());
+    published_plan.grant(&plan(), 3, [3; 32], 1_000);
+    let reading = published_plan.read();
     let published = reading.as_ref().unwrap();
-    assert_eq!(publication.until(published), 1_000);
-    publication.revoke();
-    assert_eq!(publication.until(published), Micros::MIN);
-    assert_eq!(publication.read().as_ref().unwrap().number, 3);
-    publication.grant(&plan(), 3, [3; 32], 2_000);
-    assert_eq!(publication.read().as_ref().unwrap().until(), 2_000);
+    assert_eq!(published_plan.until(published), 1_000);
+    published_plan.revoke();
+    assert_eq!(published_plan.until(published), Micros::MIN);
+    assert_eq!(published_plan.read().as_ref().unwrap().number, 3);
+    published_plan.grant(&plan(), 3, [3; 32], 2_000);
+    assert_eq!(published_plan.read().as_ref().unwrap().until(), 2_000);
 }
--- a/crates/cottonnotch/src/rules/report.rs
+++ b/crates/cottonnotch/src/rules/report.rs
@@ -1,5 +1,5 @@
-//! What `cottonnotch check` says of the rules: the merged book, what is in conflict, how each rule runs on each class, and
-//! how long processes may differ.
+//! What `cottonnotch check` reports on the rules: the merged book, conflicts, how each rule runs on each hardware class, and how
+//! long two processes may differ.
 
 use super::config::ConsensusSection;
 use super::settings::RulesSettings;
@@ -12,33 +12,33 @@
 /// The report on rules as they are configured, with render nodes of these kinds (hall and hardware class).
 pub fn report(
     settings: &RulesSettings,
-    accord: &ConsensusSection,
+    section: &ConsensusSection,
     profile: &Profile,
     listed: BTreeSet<(String, String)>,
 ) -> String {
     let mut text = String::from("\n");
-    // A text takes whatever is written.
-    let _ = write_report(&mut text, settings, accord, profile, listed);
+    // Writing to a string can't fail.
+    let _ = write_report(&mut text, settings, section, profile, listed);
     text
 }
 
 fn write_report(
     text: &mut String,
     settings: &RulesSettings,
-    accord: &ConsensusSection,
+    section: &ConsensusSection,
     profile: &Profile,
     listed: BTreeSet<(String, String)>,
 ) -> std::fmt::Result {
-    if settings.accord.is_some() {
-        writeln!(text, "rules: two processes differ for at most {}", accord.sum())?;
+    if settings.consensus.is_some() {
+        writeln!(text, "rules: two processes differ for at most {}", section.sum())?;
     } else {
         writeln!(text, "rules: agreed with no other process, accord.listen is not set")?;
     }
     if listed.is_empty() {
         return writeln!(text, "rules: known names no render node, so rules cannot be judged here");
     }
-    let world = settings.world(profile, listed);
-    let Merged { book, ledger, conflicts } = merge(&History::default(), &settings.files, &world);
+    let inventory = settings.inventory(profile, listed);
+    let Merged { book, ledger, conflicts } = merge(&History::default(), &settings.files, &inventory);
     for owner in &book.namespaces {
         writeln!(text, "rules: {} revision {}, in doubt: {:?}", owner.path, owner.revision, owner.on_doubt)?;
     }
--- a/crates/cottonnotch/src/rules/routing_verdict_tests.rs
+++ b/crates/cottonnotch/src/rules/routing_verdict_tests.rs
@@ -1,4 +1,4 @@
-//! Rulings from real files, over all that the decisions may ask.
+//! RoutingVerdicts from real files, over all that the decisions may ask.
 
 use super::*;
 use crate::rules::clock::Clock;
@@ -59,7 +59,7 @@
 }
 
 /// Eight nodes: halls a and b by turns, classes x and y by pairs.
-fn list(rulings: &Rulings, proxies: impl Iterator<Item = u32>) {
+fn list(verdicts: &RoutingVerdicts, proxies: impl Iterator<Item = u32>) {
     let entry = |server: u32| Entry {
         server: ServerId(server),
         digest: u64::from(server + 1).wrapping_mul(0x5851_f42d_4c95_7f2d),
@@ -70,23 +70,33 @@
         weight: 1.0,
     };
     let entries: Vec<Entry> = proxies.map(entry).collect();
-    rulings.listed(true, &entries, |server| NodeKind {
+    verdicts.update_endpoints(true, &entries, |server| NodeKind {
         hall: ["a", "b"][server.0 as usize % 2].into(),
         hardware: ["x", "y"][server.0 as usize / 2 % 2].into(),
     });
 }
 
-fn rulings_of(proxies: u32, ordinal: u32, rules: &str, unruled: Unknown) -> (Rulings, Arc<Publication>) {
-    let publication = Arc::new(Publication::default());
-    let doubt = Doubt { before_first: Unknown::Refuse, unruled, retry: 500_000 };
-    let rulings = Rulings::new(Arc::clone(&publication), doubt, true, &profile(proxies, ordinal));
-    list(&rulings, 0..8);
-    publication.grant(&plan(rules), 1, [1; 32], Micros::MAX);
-    (rulings, publication)
+fn verdicts_of(
+    proxies: u32,
+    ordinal: u32,
+    rules: &str,
+    unruled: UnknownRules,
+) -> (RoutingVerdicts, Arc<PublishedPlan>) {
+    let published = Arc::new(PublishedPlan::default());
+    let uncertainty = UncertaintySettings { before_first: UnknownRules::Refuse, unruled, retry: 500_000 };
+    let verdicts = RoutingVerdicts::new(
+        Arc::clone(&published),
+        uncertainty,
+        RuleNames::Recorded,
+        &profile(proxies, ordinal),
+    );
+    list(&verdicts, 0..8);
+    published.grant(&plan(rules), 1, [1; 32], Micros::MAX);
+    (verdicts, published)
 }
 
-fn rulings(rules: &str) -> (Rulings, Arc<Publication>) {
-    rulings_of(1, 0, rules, Unknown::Serve)
+fn verdicts(rules: &str) -> (RoutingVerdicts, Arc<PublishedPlan>) {
+    verdicts_of(1, 0, rules, UnknownRules::Serve)
 }
 
 fn request(id: u64, class: u16, tenant: Option<u16>, group: Option<u64>) -> Request {
@@ -101,169 +111,169 @@
     }
 }
 
-fn allowed(ruling: &RoutingVerdict) -> Vec<u32> {
-    (0..8).filter(|server| ruling.allows(ServerId(*server))).collect()
+fn allowed(verdict: &RoutingVerdict) -> Vec<u32> {
+    (0..8).filter(|server| verdict.allows(ServerId(*server))).collect()
 }
 
-fn first_choice(ruling: &RoutingVerdict) -> Vec<u32> {
-    (0..8).filter(|server| !ruling.is_second_choice(ServerId(*server))).collect()
+fn first_choice(verdict: &RoutingVerdict) -> Vec<u32> {
+    (0..8).filter(|server| !verdict.is_second_choice(ServerId(*server))).collect()
 }
 
 #[test]
-fn places_narrow_and_wishes_order_for_those_they_speak_of() {
-    let (mut rulings, _) = rulings(
+fn requirements_restrict_and_preferences_order_nodes() {
+    let (mut verdicts, _) = verdicts(
         "[[rule]]\nname = \"north\"\ntenants = [\"north\"]\nplace = { require = { halls = [\"a\"] } }\n\
          [[rule]]\nname = \"edits\"\nclasses = [\"edit\"]\nplace = { avoid = { hardware = [\"y\"] } }\n\
          [[rule]]\nname = \"near\"\nclasses = [\"look\"]\nplace = { prefer = { hardware = [\"y\"] } }\n",
     );
-    let look = rulings.evaluate(0, &request(1, 0, None, None));
+    let look = verdicts.evaluate(0, &request(1, 0, None, None));
     assert_eq!((look.allowed.clone(), first_choice(&look)), (None, vec![2, 3, 6, 7]));
-    let north = rulings.evaluate(0, &request(2, 0, Some(0), None));
+    let north = verdicts.evaluate(0, &request(2, 0, Some(0), None));
     assert_eq!(allowed(&north), [0, 2, 4, 6]);
     let wished: Vec<u32> = first_choice(&north).into_iter().filter(|s| allowed(&north).contains(s)).collect();
     assert_eq!(wished, [2, 6]);
-    let both = rulings.evaluate(0, &request(3, 1, Some(0), None));
+    let both = verdicts.evaluate(0, &request(3, 1, Some(0), None));
     assert_eq!((allowed(&both), &both.preferred), (vec![0, 4], &None));
-    let basis = rulings.basis(RequestId(3)).unwrap();
+    let basis = verdicts.basis(RequestId(3)).unwrap();
     assert_eq!((basis.version, basis.is_uncertain), (Some(1), false));
     assert_eq!(
         BTreeSet::from_iter(basis.rules),
         BTreeSet::from(["consortium:edits", "consortium:north"].map(Name::from))
     );
-    assert_eq!(rulings.evaluate(0, &request(4, 1, Some(1), None)).allowed.map(|_| ()), Some(()));
+    assert_eq!(verdicts.evaluate(0, &request(4, 1, Some(1), None)).allowed.map(|_| ()), Some(()));
     // A wish for what isn't there puts nothing before another.
-    list(&rulings, [0, 1, 4, 5].into_iter());
-    assert_eq!(rulings.evaluate(0, &request(5, 0, None, None)).preferred, None);
+    list(&verdicts, [0, 1, 4, 5].into_iter());
+    assert_eq!(verdicts.evaluate(0, &request(5, 0, None, None)).preferred, None);
 }
 
 #[test]
-fn a_cap_counts_attempts_and_connections_and_parts_are_the_whole() {
+fn cap_counts_attempts_and_connections_of_all_proxies() {
     let cap = "[[rule]]\nname = \"cap\"\nclasses = [\"look\"]\ncap = { connections = 5, halls = [\"a\"] }\n";
     let mut taken = 0;
-    for me in 0..3 {
-        let (mut rulings, publication) = rulings_of(3, me, cap, Unknown::Serve);
+    for ordinal in 0..3 {
+        let (mut verdicts, published) = verdicts_of(3, ordinal, cap, UnknownRules::Serve);
         let mut at_a = 0;
         for id in 0..20 {
-            let asked = request(id, 0, None, None);
-            let ruling = rulings.evaluate(0, &asked);
-            let to = allowed(&ruling)[0];
+            let limited = request(id, 0, None, None);
+            let verdict = verdicts.evaluate(0, &limited);
+            let to = allowed(&verdict)[0];
             at_a += u32::from(to.is_multiple_of(2));
-            rulings.record_attempt(0, &asked, ServerId(to));
+            verdicts.record_attempt(0, &limited, ServerId(to));
         }
         taken += at_a;
         // Others are not counted, and are not held back.
-        assert_eq!(rulings.evaluate(0, &request(50, 1, None, None)).allowed, None);
+        assert_eq!(verdicts.evaluate(0, &request(50, 1, None, None)).allowed, None);
         // One leaves: there is room for one, also under a new version and a new list.
-        rulings.left(RequestId(0));
-        publication.grant(&plan(cap), 2, [2; 32], Micros::MAX);
-        list(&rulings, 0..8);
-        let asked = request(60, 0, None, None);
-        assert_eq!(allowed(&rulings.evaluate(0, &asked)).len(), 8);
-        rulings.record_attempt(0, &asked, ServerId(0));
-        assert_eq!(allowed(&rulings.evaluate(0, &request(61, 0, None, None))), [1, 3, 5, 7]);
-        rulings.opened(&request(62, 0, None, None), ServerId(2));
+        verdicts.remove_connection(RequestId(0));
+        published.grant(&plan(cap), 2, [2; 32], Micros::MAX);
+        list(&verdicts, 0..8);
+        let limited = request(60, 0, None, None);
+        assert_eq!(allowed(&verdicts.evaluate(0, &limited)).len(), 8);
+        verdicts.record_attempt(0, &limited, ServerId(0));
+        assert_eq!(allowed(&verdicts.evaluate(0, &request(61, 0, None, None))), [1, 3, 5, 7]);
+        verdicts.add_connection(&request(62, 0, None, None), ServerId(2));
     }
     assert_eq!(taken, 5, "three proxies together");
 }
 
 #[test]
-fn a_pace_lets_its_part_through_and_says_when_the_next_may_go() {
-    let (mut rulings, _) = rulings_of(
+fn pace_admits_its_share_and_reports_the_next_token() {
+    let (mut verdicts, _) = verdicts_of(
         4,
         0,
         "[[rule]]\nname = \"slow\"\nclasses = [\"look\"]\npace = { per_s = 8.0 }\n",
-        Unknown::Serve,
+        UnknownRules::Serve,
     );
     let (mut sent, mut id) = (0, 0);
     for now in (0..60 * S).step_by(50_000) {
         id += 1;
-        let asked = request(id, 0, None, None);
-        match rulings.evaluate(now, &asked).not_before {
+        let limited = request(id, 0, None, None);
+        match verdicts.evaluate(now, &limited).not_before {
             None => {
-                rulings.record_attempt(now, &asked, ServerId(0));
-                rulings.left(asked.id);
+                verdicts.record_attempt(now, &limited, ServerId(0));
+                verdicts.remove_connection(limited.id);
                 sent += 1;
             }
             Some(next) => assert!(next > now && next <= now + S / 2 + 1),
         }
     }
     assert!((118..=123).contains(&sent), "two a second for a minute, and what was saved: {sent}");
-    assert_eq!(rulings.evaluate(60 * S, &request(0, 1, None, None)).not_before, None);
+    assert_eq!(verdicts.evaluate(60 * S, &request(0, 1, None, None)).not_before, None);
 }
 
 #[test]
-fn attempts_groups_and_moves_are_as_written() {
-    let (mut rulings, _) = rulings(
+fn applies_attempts_spread_and_move_rules() {
+    let (mut verdicts, _) = verdicts(
         "[[rule]]\nname = \"tries\"\nclasses = [\"edit\"]\nattempts = { most = 2 }\n\
          [[rule]]\nname = \"together\"\nclasses = [\"look\"]\nspread = { nodes = 2 }\n\
          [[rule]]\nname = \"still\"\ntenants = [\"north\"]\nmove = \"drains-only\"\n",
     );
-    assert_eq!(rulings.evaluate(0, &request(1, 1, None, None)).attempts, 2);
-    assert_eq!(rulings.evaluate(0, &request(1, 0, None, None)).attempts, u32::MAX);
-    let homes = allowed(&rulings.evaluate(0, &request(2, 0, None, Some(77))));
-    assert_eq!(homes.len(), 2);
+    assert_eq!(verdicts.evaluate(0, &request(1, 1, None, None)).attempts, 2);
+    assert_eq!(verdicts.evaluate(0, &request(1, 0, None, None)).attempts, u32::MAX);
+    let subset = allowed(&verdicts.evaluate(0, &request(2, 0, None, Some(77))));
+    assert_eq!(subset.len(), 2);
     assert_eq!(
-        allowed(&rulings.evaluate(0, &request(3, 0, Some(1), Some(77)))),
-        homes,
+        allowed(&verdicts.evaluate(0, &request(3, 0, Some(1), Some(77)))),
+        subset,
         "the same for all of it"
     );
     assert_eq!(
-        rulings.stickiness(0, &request(4, 0, Some(0), None), ServerId(0)),
+        verdicts.stickiness(0, &request(4, 0, Some(0), None), ServerId(0)),
         Some(Stickiness::UntilDrained)
     );
-    assert_eq!(rulings.stickiness(0, &request(4, 0, Some(1), None), ServerId(0)), None);
+    assert_eq!(verdicts.stickiness(0, &request(4, 0, Some(1), None), ServerId(0)), None);
 }
 
 #[test]
-fn doubt_refuses_keeps_or_serves_as_owners_and_operators_say() {
+fn uncertainty_follows_owners_and_operators() {
     let rules = "[[rule]]\nname = \"north\"\ntenants = [\"north\"]\nplace = { require = { halls = [\"a\"] } }\n\
          [[rule]]\nname = \"near\"\nplace = { prefer = { hardware = [\"y\"] } }\n";
     let refused = |after| RoutingVerdict { refuse: Some(after), ..RoutingVerdict::default() };
-    let (mut rulings, publication) = rulings(rules);
+    let (mut verdicts, published) = verdicts(rules);
     let (north, other) = (request(1, 0, Some(0), None), request(2, 0, None, None));
-    assert!(rulings.evaluate(0, &north).preferred.is_some());
-    publication.revoke();
-    assert_eq!(rulings.evaluate(0, &north), refused(250_000), "as the namespace says");
+    assert!(verdicts.evaluate(0, &north).preferred.is_some());
+    published.revoke();
+    assert_eq!(verdicts.evaluate(0, &north), refused(250_000), "as the namespace says");
     assert_eq!(
-        rulings.evaluate(0, &other),
+        verdicts.evaluate(0, &other),
         RoutingVerdict::default(),
         "no must speaks of it, and wishes are dropped"
     );
-    assert!(rulings.basis(north.id).unwrap().is_uncertain);
-    assert_eq!(rulings.rejected_while_uncertain(), 1);
+    assert!(verdicts.basis(north.id).unwrap().is_uncertain);
+    assert_eq!(verdicts.rejected_while_uncertain(), 1);
     // The lease is over by the clock alone, without a word from anybody.
-    publication.grant(&plan(rules), 1, [1; 32], Clock.now() + 30_000);
-    assert_eq!(allowed(&rulings.evaluate(0, &north)), [0, 2, 4, 6]);
+    published.grant(&plan(rules), 1, [1; 32], Clock.now() + 30_000);
+    assert_eq!(allowed(&verdicts.evaluate(0, &north)), [0, 2, 4, 6]);
     std::thread::sleep(std::time::Duration::from_millis(40));
-    assert_eq!(rulings.evaluate(0, &north), refused(250_000));
+    assert_eq!(verdicts.evaluate(0, &north), refused(250_000));
 
-    let (mut rulings, publication) = rulings_of(1, 0, rules, Unknown::Refuse);
-    publication.revoke();
-    assert_eq!(rulings.evaluate(0, &other), refused(500_000), "the operator wants it so");
+    let (mut verdicts, published) = verdicts_of(1, 0, rules, UnknownRules::Refuse);
+    published.revoke();
+    assert_eq!(verdicts.evaluate(0, &other), refused(500_000), "the operator wants it so");
 
-    let keep = Rulings::new(
+    let keep = RoutingVerdicts::new(
         Arc::default(),
-        Doubt { before_first: Unknown::Refuse, unruled: Unknown::Serve, retry: S },
-        false,
+        UncertaintySettings { before_first: UnknownRules::Refuse, unruled: UnknownRules::Serve, retry: S },
+        RuleNames::Omitted,
         &profile(1, 0),
     );
     assert_eq!(keep.clone().evaluate(0, &other), refused(S), "nothing is known yet");
     assert_eq!(keep.basis(other.id).unwrap().version, None);
 }
 
-/// Prints what a ruling costs; `cargo test --release -- --ignored --nocapture a_ruling_s_cost`.
+/// Prints what a verdict costs; `cargo test --release -- --ignored --nocapture measures_verdict_cost`.
 #[test]
 #[ignore = "a measurement"]
-fn a_ruling_s_cost() {
+fn measures_verdict_cost() {
     let rules: String = (0..60)
         .map(|n| format!("[[rule]]\nname = \"r{n}\"\ntenants = [\"{}\"]\ngroups = [[{n}, {}]]\nplace = {{ avoid = {{ halls = [\"b\"], hardware = [\"y\"] }} }}\n", ["north", "south"][n % 2], n + 100))
         .collect();
-    let (mut rulings, _) = rulings(&rules);
+    let (mut verdicts, _) = verdicts(&rules);
     let began = std::time::Instant::now();
     let rounds = 200_000;
     for id in 0..rounds {
-        let asked = request(id % 64, 0, Some((id % 2) as u16), Some(id % 160));
-        std::hint::black_box(rulings.evaluate(0, &asked));
+        let limited = request(id % 64, 0, Some((id % 2) as u16), Some(id % 160));
+        std::hint::black_box(verdicts.evaluate(0, &limited));
     }
-    println!("{:?} a ruling", began.elapsed() / rounds as u32);
+    println!("{:?} a verdict", began.elapsed() / rounds as u32);
 }
--- a/crates/cottonnotch/src/rules/rule_evaluation.rs
+++ b/crates/cottonnotch/src/rules/rule_evaluation.rs
@@ -1,8 +1,8 @@
-//! From a look at the plan to a ruling: which nodes are left, which come first, and this proxy's part of what the whole
-//! fleet may have.
+//! From the compiled rules of a request to its routing verdict: the nodes that are allowed, those that are preferred, and this
+//! proxy's share of fleet-wide limits and rates.
 
-use super::established_connections::Standing;
-use super::node_kinds::{Fleet, NodeKind, NodeKindSet};
+use super::established_connections::EstablishedConnections;
+use super::node_kinds::{NodeKind, NodeKindSet, RenderNodes};
 use cottonnotch_decision::quota::{Quota, TokenBucket};
 use cottonnotch_decision::{Micros, RoutingVerdict, ServerId};
 use cottonnotch_routing_rules::{MoveCondition, Node, Request};
@@ -10,137 +10,170 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// What rulings are reckoned from.
+/// Whether preferences count. They don't while it is uncertain whether their version is in force.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Preferences {
+    Apply,
+    Ignore,
+}
+
+/// What verdicts are evaluated from, besides the plan.
 #[derive(Debug)]
-pub struct Reckoning {
-    /// How many proxies there are, and which of them this is.
+pub struct RuleEvaluation {
+    /// The number of proxies, and this one's ordinal: fleet-wide limits are shared among them.
     proxies: u32,
-    me: u32,
-    /// The render nodes.
-    pub fleet: Fleet,
-    /// The connections.
-    pub standing: Standing,
-    /// The kinds of node as the plan has them.
+    ordinal: u32,
+    pub nodes: RenderNodes,
+    pub connections: EstablishedConnections,
+    /// The plan's keys of the node kinds.
     keys: Vec<NodeKey>,
     buckets: HashMap<LimitId, TokenBucket>,
 }
 
-impl Default for Reckoning {
+impl Default for RuleEvaluation {
     fn default() -> Self {
-        let (fleet, standing) = (Fleet::default(), Standing::default());
-        Reckoning { proxies: 1, me: 0, fleet, standing, keys: Vec::new(), buckets: HashMap::new() }
+        let (nodes, connections) = (RenderNodes::default(), EstablishedConnections::default());
+        RuleEvaluation {
+            proxies: 1,
+            ordinal: 0,
+            nodes,
+            connections,
+            keys: Vec::new(),
+            buckets: HashMap::new(),
+        }
     }
 }
 
-/// The part of one proxy of a number: all parts together are the whole, exactly.
-fn share(whole: u64, proxies: u32, me: u32) -> u64 {
-    let (proxies, me) = (u64::from(proxies.max(1)), u64::from(me));
-    whole / proxies + u64::from(me < whole % proxies)
+/// One proxy's share of a number. The shares of all proxies add up to it exactly.
+fn share(total: u64, proxies: u32, ordinal: u32) -> u64 {
+    let (proxies, ordinal) = (u64::from(proxies.max(1)), u64::from(ordinal));
+    total / proxies + u64::from(ordinal < total % proxies)
 }
 
-fn node(kind: &NodeKind) -> Node<'_> {
+fn node_of(kind: &NodeKind) -> Node<'_> {
     Node { hall: &kind.hall, hardware: &kind.hardware }
 }
 
-/// Under which limits a connection counts that stands there.
-fn limits(plan: &Plan, fleet: &Fleet, asked: &Request, server: ServerId) -> Vec<LimitId> {
-    let Some(kind) = fleet.kind(server).and_then(|kind| fleet.kinds().get(kind)) else { return Vec::new() };
-    let look = plan.look(asked);
-    let counted = look.caps().filter(|(_, _, nodes)| nodes.contains(&node(kind)));
+/// The limits that a request's connection to this server counts towards.
+fn limits(plan: &Plan, nodes: &RenderNodes, request: &Request, server: ServerId) -> Vec<LimitId> {
+    let Some(kind) = nodes.kind(server).and_then(|kind| nodes.kinds().get(kind)) else { return Vec::new() };
+    let rules = plan.look(request);
+    let counted = rules.caps().filter(|(_, _, limited)| limited.contains(&node_of(kind)));
     counted.map(|(limit, _, _)| limit).collect()
 }
 
-impl Reckoning {
-    /// So many proxies share what belongs to all, and this is one of them.
-    pub fn set_proxies(&mut self, proxies: u32, me: u32) {
-        (self.proxies, self.me) = (proxies.max(1), me);
+impl RuleEvaluation {
+    /// Sets the number of proxies and this one's ordinal.
+    pub fn set_proxies(&mut self, proxies: u32, ordinal: u32) {
+        (self.proxies, self.ordinal) = (proxies.max(1), ordinal);
     }
 
-    /// Another plan, or another list: what is kept by kind and by limit is made anew.
-    pub fn follow<'a>(&mut self, plan: &Plan, asked: impl Fn(&cottonnotch_decision::Request) -> Request<'a>) {
-        let Reckoning { fleet, standing, .. } = self;
-        self.keys = fleet.kinds().iter().map(|kind| plan.node_key(&node(kind))).collect();
-        standing.recount(|request, server| limits(plan, fleet, &asked(request), server));
-        // What was owed or saved goes with the limits; a rate is kept to again within a second or two.
+    /// Follows another plan, or another endpoint list: everything by node kind and by limit is computed anew.
+    pub fn set_plan<'a>(
+        &mut self,
+        plan: &Plan,
+        request_of: impl Fn(&cottonnotch_decision::Request) -> Request<'a>,
+    ) {
+        let RuleEvaluation { nodes, connections, .. } = self;
+        self.keys = nodes.kinds().iter().map(|kind| plan.node_key(&node_of(kind))).collect();
+        connections.recount(|request, server| limits(plan, nodes, &request_of(request), server));
+        // Tokens owed or saved are lost with the limits; a rate is kept again within a second or two.
         self.buckets.clear();
     }
 
-    /// The request stands there from now on.
-    pub fn stands(
+    /// Counts the request's connection to this server from now on.
+    pub fn add_connection(
         &mut self,
         plan: Option<&Plan>,
         request: &cottonnotch_decision::Request,
-        asked: &Request,
+        rule_request: &Request,
         server: ServerId,
     ) {
-        let limits = plan.map(|plan| limits(plan, &self.fleet, asked, server)).unwrap_or_default();
-        self.standing.insert(request, server, limits);
+        let limits = plan.map(|plan| limits(plan, &self.nodes, rule_request, server)).unwrap_or_default();
+        self.connections.insert(request, server, limits);
     }
 
-    /// When a connection may be moved off that node.
-    pub fn moves(&self, look: &Look, server: ServerId) -> Option<MoveCondition> {
-        let kind = self.fleet.kinds().get(self.fleet.kind(server)?)?;
-        look.move_when_on(&node(kind))
+    /// When a connection may be moved off this server.
+    pub fn move_condition(&self, rules: &Look, server: ServerId) -> Option<MoveCondition> {
+        let kind = self.nodes.kinds().get(self.nodes.kind(server)?)?;
+        rules.move_when_on(&node_of(kind))
     }
 
-    /// A set-up is made.
-    pub fn take(&mut self, now: Micros, look: &Look) {
-        for (limit, _) in look.paces() {
+    /// Takes a token of each rate that the request's connection comes under.
+    pub fn take_tokens(&mut self, now: Micros, rules: &Look) {
+        for (limit, _) in rules.paces() {
             self.buckets.entry(limit).or_insert_with(|| TokenBucket::new(now)).take();
         }
     }
 
-    /// What a look comes to now. Wishes are left out while it is in doubt whether they still count.
-    pub fn ruling(
+    /// The verdict that the rules come to now.
+    pub fn evaluate(
         &mut self,
         now: Micros,
         group: Option<u64>,
-        look: &Look,
-        with_wishes: bool,
+        rules: &Look,
+        preferences: Preferences,
     ) -> RoutingVerdict {
-        let (fleet, keys) = (&self.fleet, &self.keys);
-        let full: Vec<_> = look
-            .caps()
-            .filter(|(limit, whole, _)| self.standing.of(*limit) >= share(*whole, self.proxies, self.me))
-            .collect();
-        let is_full = |kind: &NodeKind| full.iter().any(|(_, _, nodes)| nodes.contains(&node(kind)));
-        let allowed = NodeKindSet::of(keys.len(), |kind| {
-            look.allows_key(keys[kind]) && !fleet.kinds().get(kind).is_some_and(is_full)
-        });
-        let is_all = (0..keys.len()).all(|kind| allowed.has(kind));
-        let preferred = with_wishes.then(|| self.preferred(look, &allowed)).flatten();
-        let mut ruling = RoutingVerdict {
-            allowed: (!is_all).then(|| self.fleet.set(&allowed)),
-            preferred: preferred.map(|kinds| self.fleet.set(&kinds)),
-            attempts: look.attempts().unwrap_or(u32::MAX),
+        let allowed = self.allowed_kinds(rules);
+        let preferred = match preferences {
+            Preferences::Apply => self.preferred_kinds(rules, &allowed),
+            Preferences::Ignore => None,
+        };
+        let allows_all = (0..self.keys.len()).all(|kind| allowed.contains(kind));
+        let mut verdict = RoutingVerdict {
+            allowed: (!allows_all).then(|| self.nodes.set(&allowed)),
+            preferred: preferred.map(|kinds| self.nodes.set(&kinds)),
+            attempts: rules.attempts().unwrap_or(u32::MAX),
             ..RoutingVerdict::default()
         };
-        if let (Some(most), Some(group)) = (look.spread(), group) {
-            ruling.allowed = Some(Arc::new(self.fleet.homes(&allowed, group, most as usize)));
-        }
-        let part = Quota::even(self.proxies);
-        for (limit, milli) in look.paces() {
-            let per_s = part.share_of(now, milli as f64 / 1e3);
-            let bucket = self.buckets.entry(limit).or_insert_with(|| TokenBucket::new(now));
-            if !bucket.refill(now, per_s) {
-                // Less than a microsecond short is short still.
-                let next = bucket.next_token_at(per_s).max(now + 1);
-                ruling.not_before = ruling.not_before.max(Some(next));
-            }
+        if let (Some(size), Some(group)) = (rules.spread(), group) {
+            verdict.allowed = Some(Arc::new(self.nodes.affinity_subset(&allowed, group, size as usize)));
         }
-        ruling
+        verdict.not_before = self.next_tokens_at(now, rules);
+        verdict
     }
 
-    /// Those that the wishes put first among the allowed that are there; `None`: they put none before another.
-    fn preferred(&self, look: &Look, allowed: &NodeKindSet) -> Option<NodeKindSet> {
+    /// The kinds that the rules allow and whose connection limits have room in this proxy's share.
+    fn allowed_kinds(&self, rules: &Look) -> NodeKindSet {
+        let exhausted: Vec<_> = rules
+            .caps()
+            .filter(|(limit, total, _)| {
+                self.connections.count(*limit) >= share(*total, self.proxies, self.ordinal)
+            })
+            .collect();
+        let is_exhausted =
+            |kind: &NodeKind| exhausted.iter().any(|(_, _, nodes)| nodes.contains(&node_of(kind)));
+        NodeKindSet::of(self.keys.len(), |kind| {
+            rules.allows_key(self.keys[kind]) && !self.nodes.kinds().get(kind).is_some_and(is_exhausted)
+        })
+    }
+
+    /// The kinds that the preferences rank first among the allowed ones with ready nodes; `None`: they rank all alike.
+    fn preferred_kinds(&self, rules: &Look, allowed: &NodeKindSet) -> Option<NodeKindSet> {
         let keys = &self.keys;
         let ranks = || {
-            let there = (0..keys.len()).filter(|kind| allowed.has(*kind) && self.fleet.is_ready(*kind));
-            there.map(|kind| look.rank_key(keys[kind]))
+            let ready = (0..keys.len()).filter(|kind| allowed.contains(*kind) && self.nodes.is_ready(*kind));
+            ready.map(|kind| rules.rank_key(keys[kind]))
         };
         let best = ranks().min()?;
         let differs = ranks().any(|rank| rank != best);
-        differs.then(|| NodeKindSet::of(keys.len(), |kind| look.rank_key(keys[kind]) == best))
+        differs.then(|| NodeKindSet::of(keys.len(), |kind| rules.rank_key(keys[kind]) == best))
+    }
+
+    /// When every rate that the request comes under has a token in this proxy's share; `None`: now.
+    fn next_tokens_at(&mut self, now: Micros, rules: &Look) -> Option<Micros> {
+        let quota = Quota::even(self.proxies);
+        let mut not_before = None;
+        for (limit, per_s_milli) in rules.paces() {
+            let per_s = quota.share_of(now, per_s_milli as f64 / 1e3);
+            let bucket = self.buckets.entry(limit).or_insert_with(|| TokenBucket::new(now));
+            if !bucket.refill(now, per_s) {
+                // Less than a microsecond short is short still.
+                let next = bucket.next_token_at(per_s).max(now + 1);
+                not_before = not_before.max(Some(next));
+            }
+        }
+        not_before
     }
 }
 
--- a/crates/cottonnotch/src/rules/rule_evaluation_tests.rs
+++ b/crates/cottonnotch/src/rules/rule_evaluation_tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn parts_of_a_number_are_the_number() {
+fn shares_add_up_to_the_total() {
     for proxies in [1, 2, 3, 7, 300] {
-        for whole in [0, 1, 2, 299, 300, 1_000] {
-            let parts = (0..proxies).map(|me| share(whole, proxies, me));
-            assert_eq!(parts.sum::<u64>(), whole, "{whole} among {proxies}");
+        for total in [0, 1, 2, 299, 300, 1_000] {
+            let shares = (0..proxies).map(|ordinal| share(total, proxies, ordinal));
+            assert_eq!(shares.sum::<u64>(), total, "{total} among {proxies}");
         }
     }
     assert_eq!(share(5, 0, 0), 5);
--- a/crates/cottonnotch/src/rules/service.rs
+++ b/crates/cottonnotch/src/rules/service.rs
@@ -1,148 +1,129 @@
-//! The rules as the driver has them: it says what happens, and asks what counts.
+//! The rules as the driver has them: it reports events and asks for verdicts.
 
 use super::clock::Clock;
-use super::compile_job::Job;
-use super::compile_worker::{Way, Worker};
-use super::config::Unknown;
-use super::consensus_handle::Agent;
-use super::consensus_parts::Parts;
-use super::consensus_thread;
+use super::compile_job::CompileJob;
+use super::compile_worker::{CompileWorker, Destination};
+use super::config::{ConsensusSettings, UnknownRules};
+use super::consensus_handle::ConsensusHandle;
+use super::consensus_parts::{ConsensusParts, MemberSettings, SharedParts};
+use super::consensus_thread::{self, Predecessor};
 use super::node_kinds::NodeKind;
-use super::published_plan::Publication;
-use super::routing_verdict::{Doubt, Rulings, VerdictBasis};
+use super::published_plan::PublishedPlan;
+use super::routing_verdict::{RoutingVerdicts, RuleNames, UncertaintySettings, VerdictBasis};
 use super::settings::RulesSettings;
 use super::status::{RulesStatus, StatusBoard};
-use super::version_content::Library;
+use super::version_content::ContentCache;
 use cottonnotch_consensus::{Config, Input};
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_decision::{Entry, Event, Micros, RequestId, ServerId};
+use cottonnotch_proxy_core::envelope::EnvelopeKey;
 use std::io;
 use std::sync::Arc;
-use std::sync::mpsc::{Sender, channel};
+use std::sync::mpsc::{Receiver, Sender, channel};
 
-/// Where nobody is agreed with, a retry is told as the accord's default is.
-const RETRY_ALONE: Micros = 500_000;
-
-/// Discovery tells one proxy after another: one that is told so much later is not told.
-const LIST_LATE: Micros = 300_000;
-/// Between two attempts to be told.
-const LIST_AGAIN: Micros = 2_000_000;
+/// The Retry-After without consensus: the default of `accord.retry_ms`.
+const RETRY_WITHOUT_CONSENSUS: Micros = 500_000;
+/// Discovery sends a list to one proxy after another: one that hasn't got it after so long won't get it.
+const LIST_OVERDUE_AFTER: Micros = 300_000;
+/// Between two requests for the newer list.
+const LIST_RETRY_AFTER: Micros = 2_000_000;
 
 /// The rules, with the threads behind them.
 pub struct RulesService {
-    rulings: Rulings,
+    verdicts: RoutingVerdicts,
     settings: RulesSettings,
-    publication: Arc<Publication>,
-    board: Arc<StatusBoard>,
-    jobs: Sender<Job>,
-    agent: Option<Agent>,
-    /// The longest from a look to the act under it.
+    published: Arc<PublishedPlan>,
+    status: Arc<StatusBoard>,
+    jobs: Sender<CompileJob>,
+    consensus: Option<ConsensusHandle>,
+    /// The longest from a verdict to the write that follows it; `None`: without consensus, any time.
     act: Option<Micros>,
-    /// The version that held requests were last looked at under.
+    /// The version that queued requests were last evaluated by, and whether its lease was valid.
     announced: Option<(u64, bool)>,
 }
 
 impl RulesService {
-    /// Begins the threads. Fails if an address or a folder can't be had; `waits`: unless another process of this proxy may have
-    /// it still. `names`: the records want the rules' names.
+    /// Starts the threads. Fails if an address or a folder can't be had; if `has_predecessor`, an earlier process of this proxy
+    /// may have it still, and it is waited for. `records_names`: the records name the rules.
     pub fn start(
         settings: RulesSettings,
         profile: &Profile,
         seed: u64,
-        names: bool,
-        waits: bool,
+        records_names: bool,
+        has_predecessor: bool,
     ) -> io::Result<Self> {
-        let (publication, board) = (Arc::new(Publication::default()), Arc::new(StatusBoard::default()));
-        let library = Library::default();
-        let (jobs, to_do) = channel();
-        let accord = settings.accord.as_ref();
-        let doubt = accord.map_or(
-            Doubt { before_first: Unknown::Refuse, unruled: Unknown::Serve, retry: RETRY_ALONE },
-            |(accord, _)| Doubt {
-                before_first: accord.before_first,
-                unruled: accord.unruled_on_doubt,
-                retry: accord.retry.as_micros() as Micros,
-            },
-        );
-        let agent = match accord {
+        let (jobs, job_queue) = channel();
+        let shared = SharedParts {
+            contents: ContentCache::default(),
+            published: Arc::default(),
+            status: Arc::default(),
+            jobs,
+        };
+        let consensus = match &settings.consensus {
             None => None,
-            Some((accord, seal)) => {
-                let parts = Parts {
-                    listen: accord.listen,
-                    members: accord.members.clone(),
-                    seal: seal.clone(),
-                    state_folder: accord.state_folder.clone(),
-                    first_start: accord.first_start,
-                    config: Config {
-                        ordinal: accord.me,
-                        members: accord.members.len() as u16,
-                        voters: accord.voters.clone(),
-                        timing: accord.timing,
-                        incarnation: 0,
-                    },
-                    seed,
-                    library: library.clone(),
-                    publication: Arc::clone(&publication),
-                    board: Arc::clone(&board),
-                    jobs: jobs.clone(),
-                };
-                Some(consensus_thread::start(parts, channel(), waits)?)
+            Some((consensus, envelope_key)) => {
+                let predecessor = if has_predecessor { Predecessor::MayRun } else { Predecessor::Absent };
+                let member = member_settings(consensus, envelope_key, seed);
+                let parts = ConsensusParts { member, shared: shared.clone() };
+                Some(consensus_thread::start(parts, channel(), predecessor)?)
             }
         };
-        let way = match &agent {
-            Some(agent) => Way::Agreed(agent.clone()),
-            None => Way::Alone { publication: Arc::clone(&publication), number: 0 },
+        start_worker(&settings, consensus.clone(), &shared, job_queue)?;
+        let rule_names = if records_names { RuleNames::Recorded } else { RuleNames::Omitted };
+        let uncertainty = uncertainty(&settings);
+        let SharedParts { published, status, jobs, .. } = shared;
+        let service = RulesService {
+            verdicts: RoutingVerdicts::new(Arc::clone(&published), uncertainty, rule_names, profile),
+            act: settings.consensus.as_ref().map(|(consensus, _)| consensus.timing.act),
+            settings,
+            published,
+            status,
+            jobs,
+            consensus,
+            announced: None,
         };
-        let members = accord.map(|(accord, _)| accord.members.clone()).unwrap_or_default();
-        let worker = Worker::new(way, library, Arc::clone(&board), members);
-        let thread = std::thread::Builder::new().name("rules-worker".into());
-        thread.spawn(move || worker.run(&to_do))?;
-        let act = accord.map(|(accord, _)| accord.timing.act);
-        let rulings = Rulings::new(Arc::clone(&publication), doubt, names, profile);
-        let rulebook =
-            RulesService { rulings, settings, publication, board, jobs, agent, act, announced: None };
-        rulebook.hand_files();
-        Ok(rulebook)
-    }
-
-    fn hand_files(&self) {
+        service.send_local_files();
+        Ok(service)
+    }
+
+    fn send_local_files(&self) {
         let (files, profiles) = (self.settings.files.clone(), self.settings.profiles.clone());
-        self.ask(Job::Own { files, profiles });
+        self.request(CompileJob::LocalFiles { files, profiles });
     }
 
-    fn ask(&self, job: Job) {
+    fn request(&self, job: CompileJob) {
         // The worker ends with the process.
         let _ = self.jobs.send(job);
     }
 
-    /// What the decisions are put under.
-    pub fn rulings(&self) -> &Rulings {
-        &self.rulings
+    /// The rules as the decision module asks them.
+    pub fn verdicts(&self) -> &RoutingVerdicts {
+        &self.verdicts
     }
 
-    /// A new configuration was taken. Of the accord nothing changes.
+    /// Follows a changed configuration. Of consensus nothing changes.
     pub fn reload(&mut self, settings: Option<RulesSettings>, profile: &Profile) {
-        self.rulings.set(profile);
+        self.verdicts.set_profile(profile);
         let Some(settings) = settings else {
-            return log::warn!("rules cannot be switched off while clients are served, the old ones go on");
+            return log::warn!("rules cannot be switched off while clients are served, the old ones stay");
         };
-        let accord = self.settings.accord.take();
+        let consensus = self.settings.consensus.take();
         self.settings = settings;
-        self.settings.accord = accord;
-        self.hand_files();
-        self.tell_world(profile);
+        self.settings.consensus = consensus;
+        self.send_local_files();
+        self.send_inventory(profile);
     }
 
-    fn tell_world(&self, profile: &Profile) {
+    fn send_inventory(&self, profile: &Profile) {
         let named = |kind: NodeKind| (kind.hall.into_string(), kind.hardware.into_string());
-        let nodes: std::collections::BTreeSet<_> = self.rulings.kinds().into_iter().map(named).collect();
-        // With no node nothing can be placed, and no rule be judged.
+        let nodes: std::collections::BTreeSet<_> = self.verdicts.kinds().into_iter().map(named).collect();
+        // Without any node no rule can be compiled.
         if !nodes.is_empty() {
-            self.ask(Job::Inventory(self.settings.world(profile, nodes)));
+            self.request(CompileJob::Inventory(self.settings.inventory(profile, nodes)));
         }
     }
 
-    /// The list, or what operators have laid over it, has changed in these.
+    /// Follows an update of the endpoint list, or of operators' overrides of it.
     pub fn update_endpoints(
         &self,
         profile: &Profile,
@@ -151,38 +132,38 @@
         entries: &[Entry],
         kind_of: impl Fn(ServerId) -> NodeKind,
     ) {
-        let before = self.rulings.kinds().len();
-        self.rulings.listed(full, entries, kind_of);
-        if self.rulings.kinds().len() != before {
-            self.tell_world(profile);
+        let kinds_before = self.verdicts.kinds().len();
+        self.verdicts.update_endpoints(full, entries, kind_of);
+        if self.verdicts.kinds().len() != kinds_before {
+            self.send_inventory(profile);
         }
-        if let Some(agent) = &self.agent {
-            agent.tell(Input::ListReceived { revision });
-            self.board.seen().newer_list.take_if(|(newer, _)| *newer <= revision);
+        if let Some(consensus) = &self.consensus {
+            consensus.send(Input::ListReceived { revision });
+            self.status.lock().newer_list.take_if(|(newer, _)| *newer <= revision);
         }
     }
 
-    /// Others have been told of a newer list than this one for longer than discovery's tellings are apart: its revision. Said
-    /// again after a while, for as long as it is so.
+    /// The revision of a list that other members have had for longer than discovery's updates are apart, if this proxy's list is
+    /// older. Reported again after a while, for as long as that is so.
     pub fn newer_list_revision(&self, revision: u64) -> Option<u64> {
-        let mut seen = self.board.seen();
-        let (newer, since) = seen.newer_list.as_mut()?;
+        let mut status = self.status.lock();
+        let (newer, since) = status.newer_list.as_mut()?;
         let now = Clock.now();
-        if *newer <= revision || now - *since < LIST_LATE {
+        if *newer <= revision || now - *since < LIST_OVERDUE_AFTER {
             return None;
         }
-        *since = now + LIST_AGAIN;
+        *since = now + LIST_RETRY_AFTER;
         Some(*newer)
     }
 
-    /// What the module is about to hear, as far as it changes what stands.
+    /// Follows an event that the decision module is about to handle, as far as it changes established connections.
     pub fn observe_event(&self, event: &Event) {
         match event {
-            Event::Open { request, server } => self.rulings.opened(request, *server),
+            Event::Open { request, server } => self.verdicts.add_connection(request, *server),
             Event::Ended { request, last, .. } => {
-                self.rulings.left(*request);
+                self.verdicts.remove_connection(*request);
                 if *last {
-                    self.rulings.forget(*request);
+                    self.verdicts.forget(*request);
                 }
             }
             Event::ClientClosed(request) => self.forget_request(*request),
@@ -190,49 +171,102 @@
         }
     }
 
-    /// The request has had its answer, or needs none.
+    /// Forgets a request that was answered, or needs no answer.
     pub fn forget_request(&self, request: RequestId) {
-        self.rulings.left(request);
-        self.rulings.forget(request);
+        self.verdicts.remove_connection(request);
+        self.verdicts.forget(request);
     }
 
-    /// The request's first line must be written before this, by [`Clock`], or not at all.
+    /// The request's first line must be written before this time, by [`Clock`], or not at all.
     pub fn write_deadline(&self, request: RequestId) -> Option<Micros> {
-        Some(self.rulings.evaluated_at(request)?.saturating_add(self.act?))
+        Some(self.verdicts.evaluated_at(request)?.saturating_add(self.act?))
     }
 
-    /// Once a second: an event if what is held is to be looked at anew.
+    /// Once a second: an event if queued requests must be evaluated anew.
     pub fn tick(&mut self) -> Option<Event> {
         let now = Clock.now();
-        let reading = self.publication.read();
-        let state = reading.as_ref().map(|published| {
-            let in_force = now < self.publication.until(published);
-            (published.number, in_force)
+        let version = self.published.read();
+        let state = version.as_ref().map(|published| {
+            let is_leased = now < self.published.until(published);
+            (published.number, is_leased)
         });
         (std::mem::replace(&mut self.announced, state) != state).then_some(Event::RulesChanged)
     }
 
-    /// Another process of this proxy takes this one's part.
+    /// Ends consensus in this process: a successor takes over as the member.
     pub fn stop_consensus(&mut self) {
-        self.agent.iter().for_each(Agent::stop);
+        self.consensus.iter().for_each(ConsensusHandle::stop);
     }
 
-    /// What the request was last ruled by.
+    /// What the request's last verdict was based on.
     pub fn basis(&self, request: RequestId) -> Option<VerdictBasis> {
-        self.rulings.basis(request)
+        self.verdicts.basis(request)
     }
 
-    /// What operators may know.
+    /// The status for operators.
     pub fn status(&self) -> RulesStatus {
-        let mut seen = self.board.seen().clone();
-        if let Some(published) = &*self.publication.read() {
-            (seen.version, seen.until) = (Some(published.number), self.publication.until(published));
-            seen.rules = published.plan.rules() as u64;
+        let mut status = self.status.lock().clone();
+        if let Some(published) = &*self.published.read() {
+            (status.version, status.until) = (Some(published.number), self.published.until(published));
+            status.rules = published.plan.rules() as u64;
         }
-        // Rounded up: 0 means that it is over.
-        let left = seen.until.saturating_sub(Clock.now());
-        seen.lease_left_ms = u64::try_from(left).map_or(0, |left| left.div_ceil(1_000));
-        seen.rejected_while_uncertain = self.rulings.rejected_while_uncertain();
-        seen
+        // Rounded up: 0 means that it has expired.
+        let left = status.until.saturating_sub(Clock.now());
+        status.lease_left_ms = u64::try_from(left).map_or(0, |left| left.div_ceil(1_000));
+        status.rejected_while_uncertain = self.verdicts.rejected_while_uncertain();
+        status
+    }
+}
+
+fn member_settings(consensus: &ConsensusSettings, envelope_key: &EnvelopeKey, seed: u64) -> MemberSettings {
+    MemberSettings {
+        listen: consensus.listen,
+        members: consensus.members.clone(),
+        envelope_key: envelope_key.clone(),
+        state_folder: consensus.state_folder.clone(),
+        first_start: consensus.first_start,
+        config: Config {
+            ordinal: consensus.ordinal,
+            members: consensus.members.len() as u16,
+            voters: consensus.voters.clone(),
+            timing: consensus.timing,
+            // Each start has its own: the thread sets it.
+            incarnation: 0,
+        },
+        seed,
+    }
+}
+
+fn uncertainty(settings: &RulesSettings) -> UncertaintySettings {
+    match &settings.consensus {
+        None => UncertaintySettings {
+            before_first: UnknownRules::Refuse,
+            unruled: UnknownRules::Serve,
+            retry: RETRY_WITHOUT_CONSENSUS,
+        },
+        Some((consensus, _)) => UncertaintySettings {
+            before_first: consensus.before_first,
+            unruled: consensus.unruled_on_doubt,
+            retry: consensus.retry.as_micros() as Micros,
+        },
     }
 }
+
+fn start_worker(
+    settings: &RulesSettings,
+    consensus: Option<ConsensusHandle>,
+    shared: &SharedParts,
+    jobs: Receiver<CompileJob>,
+) -> io::Result<()> {
+    let destination = match consensus {
+        Some(handle) => Destination::Consensus(handle),
+        None => Destination::Local { published: Arc::clone(&shared.published), number: 0 },
+    };
+    let members = settings.consensus.as_ref().map(|(consensus, _)| consensus.members.clone());
+    let contents = shared.contents.clone();
+    let status = Arc::clone(&shared.status);
+    let worker = CompileWorker::new(destination, contents, status, members.unwrap_or_default());
+    let thread = std::thread::Builder::new().name("rules-worker".into());
+    thread.spawn(move || worker.run(&jobs))?;
+    Ok(())
+}
--- a/crates/cottonnotch/src/rules/settings.rs
+++ b/crates/cottonnotch/src/rules/settings.rs
@@ -1,7 +1,7 @@
-//! What the sections come to, with the files that they name read.
+//! The settings of the rules, with the files that the sections name.
 
-use super::config::{self, ConsensusSettings};
-use super::rules_folder::{BadFolder, faulty, read_folder};
+use super::config::{self, ConsensusSettings, SectionError};
+use super::rules_folder::{FolderError, first_faulty, read_folder};
 use crate::config::OperatorConfig;
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_proxy_core::envelope::EnvelopeKey;
@@ -16,27 +16,27 @@
     pub files: Vec<RuleFile>,
     /// What each hardware class can run.
     pub profiles: Profiles,
-    /// How the others are agreed with, if they are.
-    pub accord: Option<(ConsensusSettings, EnvelopeKey)>,
+    /// How the proxies agree on versions; `None`: this process acts on its own files alone.
+    pub consensus: Option<(ConsensusSettings, EnvelopeKey)>,
     root: String,
     connections: u64,
 }
 
-/// Why the rules can't be as they are configured. Each message begins with the key's full path.
+/// Why the rules can't be used as they are configured. Each message begins with the key's full path.
 #[derive(Debug, thiserror::Error)]
 pub enum RulesError {
     /// A section.
-    #[error("{0}")]
-    Section(String),
+    #[error(transparent)]
+    Section(#[from] SectionError),
     /// The folder.
     #[error(transparent)]
-    Folder(#[from] BadFolder),
+    Folder(#[from] FolderError),
     /// A file in it.
     #[error("rules.folder has a faulty file: {0}")]
     File(#[from] RuleFileError),
     /// The key.
     #[error("accord.key_file cannot be read: '{path}': {error}")]
-    NoKey {
+    UnreadableKey {
         /// The file.
         path: String,
         /// Why.
@@ -46,39 +46,31 @@
     #[error(
         "accord.key_file does not hold 64 hexadecimal digits and nothing else (`openssl rand -hex 32` makes a key): '{0}'"
     )]
-    BadKey(String),
+    InvalidKey(String),
 }
 
 impl RulesSettings {
     /// Reads what the sections name; `None`: they are off.
     pub fn read(operator: &OperatorConfig) -> Result<Option<Self>, RulesError> {
-        let accord = operator.consensus.check().map_err(RulesError::Section)?;
-        let profiles = config::profiles(&operator.hardware).map_err(RulesError::Section)?;
+        let consensus = operator.consensus.check()?;
+        let profiles = config::profiles(&operator.hardware)?;
         let folder = &operator.rules.folder;
-        if accord.is_none() && folder.is_none() {
+        if consensus.is_none() && folder.is_none() {
             return Ok(None);
         }
         let files = folder.as_deref().map(read_folder).transpose()?.unwrap_or_default();
-        let sealed = |settings: ConsensusSettings| {
-            let path = settings.key_file.display().to_string();
-            let text = std::fs::read(&settings.key_file)
-                .map_err(|error| RulesError::NoKey { path: path.clone(), error })?;
-            let seal =
-                EnvelopeKey::new(&text, &settings.cluster, settings.me).ok_or(RulesError::BadKey(path))?;
-            Ok::<_, RulesError>((settings, seal))
-        };
-        let accord = accord.map(sealed).transpose()?;
+        let consensus = consensus.map(with_key).transpose()?;
         let (root, connections) = (operator.rules.root.clone(), operator.rules.connections);
-        Ok(Some(RulesSettings { files, profiles, accord, root, connections }))
+        Ok(Some(RulesSettings { files, profiles, consensus, root, connections }))
     }
 
-    /// Whether each file is a namespace's.
+    /// Whether every file is valid.
     pub fn check_files(&self) -> Result<(), RulesError> {
-        faulty(&self.files).map_or(Ok(()), |bad| Err(bad.into()))
+        first_faulty(&self.files).map_or(Ok(()), |error| Err(error.into()))
     }
 
-    /// The world that is ruled, with render nodes of these kinds.
-    pub fn world(&self, profile: &Profile, nodes: BTreeSet<(String, String)>) -> Inventory {
+    /// What rules can refer to, with render nodes of these kinds.
+    pub fn inventory(&self, profile: &Profile, nodes: BTreeSet<(String, String)>) -> Inventory {
         let Profile { settings, classes, tenants, .. } = profile;
         let stated = settings.allowance_open();
         let connections = match self.connections {
@@ -95,3 +87,14 @@
         }
     }
 }
+
+/// Reads the key that authenticates members.
+fn with_key(settings: ConsensusSettings) -> Result<(ConsensusSettings, EnvelopeKey), RulesError> {
+    let path = settings.key_file.display().to_string();
+    let text = match std::fs::read(&settings.key_file) {
+        Ok(text) => text,
+        Err(error) => return Err(RulesError::UnreadableKey { path, error }),
+    };
+    let key = EnvelopeKey::new(&text, &settings.cluster, settings.ordinal);
+    Ok((settings, key.ok_or(RulesError::InvalidKey(path))?))
+}
--- a/crates/cottonnotch/src/rules/state_files.rs
+++ b/crates/cottonnotch/src/rules/state_files.rs
@@ -1,14 +1,18 @@
-//! The names of the files in the state folder.
+//! The names of the files in the state folder. They are on disk: they must not change.
 
 use super::version_content::hex;
 use cottonnotch_consensus::ContentHash;
 
-/// The files' names.
-pub const MEMORY: &str = "memory";
-pub const HELD: &str = "held";
-pub const CONTENT: &str = "content-";
+/// The voter's durable state.
+pub const DURABLE_STATE: &str = "memory";
+/// The number and the hash of the version that was active last.
+pub const LAST_ACTIVE: &str = "held";
+/// The lease, for a successor.
+pub const LEASE: &str = "lease";
+/// What the names of contents begin with.
+pub const CONTENT_PREFIX: &str = "content-";
 
 /// The name of a content's file.
 pub fn content_name(hash: &ContentHash) -> String {
-    format!("{CONTENT}{}", hex(hash))
+    format!("{CONTENT_PREFIX}{}", hex(hash))
 }
--- a/crates/cottonnotch/src/rules/state_recovery.rs
+++ b/crates/cottonnotch/src/rules/state_recovery.rs
@@ -1,79 +1,110 @@
-//! What a process of this member finds of an earlier one: its memory, its contents, what it went by, and, while it still
-//! lives, what it goes by.
+//! What a process takes over from an earlier one of the same member: durable state, contents and the version that was active
+//! last; and, while that process still runs, its lease.
 
-use super::consensus_handle::Agent;
-use super::consensus_parts::Parts;
-use super::durable_file::{self, Disk};
+use super::consensus_handle::ConsensusHandle;
+use super::consensus_parts::{MemberSettings, SharedParts};
+use super::durable_file::{self, StateFileError, StateFolder};
 use super::lease_file::{LeaseFile, LeaseRecord};
-use super::state_files::{CONTENT, HELD, MEMORY, content_name};
-use super::version_content::Compiled;
+use super::state_files::{CONTENT_PREFIX, DURABLE_STATE, LAST_ACTIVE, content_name};
+use super::version_content::{ContentError, VersionContent};
 use cottonnotch_consensus::{ContentHash, DurableState, Input, Micros};
 use std::io;
+use std::path::Path;
 use std::sync::Arc;
 
-/// While another process of this member has the address: goes by what that one goes by, if it can be had.
-pub fn borrow(parts: &Parts) -> Option<()> {
-    let folder = parts.state_folder.as_deref()?;
-    let file = LeaseFile::of_another(folder).ok()?;
+/// Acts on the version that the predecessor has a lease on, for as long as it has; `None`: there is nothing new to act on.
+pub fn follow_predecessor(folder: &Path, shared: &SharedParts) -> Option<()> {
+    let file = LeaseFile::open(folder).ok()?;
     let LeaseRecord { number, hash, .. } = file.read()?;
-    if matches!(&*parts.publication.read(), Some(p) if (p.number, p.hash) == (number, hash)) {
+    if matches!(&*shared.published.read(), Some(p) if (p.number, p.hash) == (number, hash)) {
         return None;
     }
     let bytes = durable_file::load(folder, &content_name(&hash)).ok()??;
-    let compiled = Arc::new(Compiled::read(bytes).ok().filter(|compiled| compiled.hash == hash)?);
-    log::info!(version = number; "rules version {number} counts here for as long as the earlier process has it");
-    parts.publication.lend(&compiled.plan, number, hash, file);
-    parts.library.put(compiled);
+    let content = Arc::new(VersionContent::decode(bytes).ok().filter(|content| content.hash == hash)?);
+    log::info!(version = number; "rules version {number} is active for as long as the predecessor holds its lease");
+    shared.published.follow_predecessor(&content.plan, number, hash, file);
+    shared.contents.insert(content);
     Some(())
 }
 
-/// What an earlier process of this member has left: its memory, its contents, and what it went by.
-pub fn remembered(parts: &Parts, agent: &Agent, disk: Option<&Disk>) -> io::Result<Option<DurableState>> {
-    let first = || parts.first_start.then(DurableState::initial);
-    let Some(disk) = disk else { return Ok(first()) };
-    for name in disk.names(CONTENT)? {
-        match disk
-            .load(&name)
-            .map_err(|error| error.to_string())
-            .and_then(|bytes| Compiled::read(bytes.unwrap_or_default()).map_err(|error| error.to_string()))
-        {
-            Ok(compiled) if name == content_name(&compiled.hash) => {
-                let hash = compiled.hash;
-                parts.library.put(Arc::new(compiled));
-                agent.tell(Input::ContentReady { hash });
+/// Restores what an earlier process left in the state folder; the voter's durable state, if there is one.
+pub fn restore_state(
+    settings: &MemberSettings,
+    shared: &SharedParts,
+    handle: &ConsensusHandle,
+    folder: Option<&StateFolder>,
+) -> io::Result<Option<DurableState>> {
+    let initial = || settings.first_start.then(DurableState::initial);
+    let Some(folder) = folder else { return Ok(initial()) };
+    restore_contents(folder, shared, handle)?;
+    restore_last_active(folder, shared);
+    Ok(restore_durable_state(folder, initial))
+}
+
+/// Why a stored content can't be used.
+#[derive(Debug, thiserror::Error)]
+enum StoredContentError {
+    #[error(transparent)]
+    File(#[from] StateFileError),
+    #[error(transparent)]
+    Content(#[from] ContentError),
+    #[error("it is not the content of its name")]
+    Misnamed,
+}
+
+fn load_content(folder: &StateFolder, name: &str) -> Result<VersionContent, StoredContentError> {
+    let content = VersionContent::decode(folder.load(name)?.unwrap_or_default())?;
+    if name == content_name(&content.hash) { Ok(content) } else { Err(StoredContentError::Misnamed) }
+}
+
+fn restore_contents(folder: &StateFolder, shared: &SharedParts, handle: &ConsensusHandle) -> io::Result<()> {
+    for name in folder.list(CONTENT_PREFIX)? {
+        match load_content(folder, &name) {
+            Ok(content) => {
+                let hash = content.hash;
+                shared.contents.insert(Arc::new(content));
+                handle.send(Input::ContentReady { hash });
             }
-            _ => {
+            Err(error) => {
                 // It is fetched again if it is needed.
-                log::warn!("kept rules '{name}' cannot be used, they are removed");
-                let _ = disk.remove(&name);
+                log::warn!("stored rules '{name}' cannot be used and are removed: {error}");
+                let _ = folder.remove(&name);
             }
         }
     }
-    let held = disk
-        .load(HELD)
-        .ok()
-        .flatten()
-        .and_then(|bytes| postcard::from_bytes::<(u64, ContentHash)>(&bytes).ok());
-    if parts.publication.read().is_none()
-        && let Some((number, hash)) = held
-        && let Some(compiled) = parts.library.get(&hash)
+    Ok(())
+}
+
+/// Publishes the version that was active last without a lease: it is known, for rules that hold while it is uncertain which
+/// version is in force.
+fn restore_last_active(folder: &StateFolder, shared: &SharedParts) {
+    let bytes = folder.load(LAST_ACTIVE).ok().flatten();
+    let last = bytes.and_then(|bytes| postcard::from_bytes::<(u64, ContentHash)>(&bytes).ok());
+    if shared.published.read().is_none()
+        && let Some((number, hash)) = last
+        && let Some(content) = shared.contents.get(&hash)
     {
-        // Known, and not in force: for those rules that go on in doubt.
-        parts.publication.grant(&compiled.plan, number, hash, Micros::MIN);
-        parts.board.seen().version = Some(number);
+        shared.published.grant(&content.plan, number, hash, Micros::MIN);
+        shared.status.lock().version = Some(number);
     }
-    match disk.load(MEMORY) {
+}
+
+fn restore_durable_state(
+    folder: &StateFolder,
+    initial: impl FnOnce() -> Option<DurableState>,
+) -> Option<DurableState> {
+    match folder.load(DURABLE_STATE) {
         Ok(Some(bytes)) => match postcard::from_bytes(&bytes) {
-            Ok(memory) => Ok(Some(memory)),
+            Ok(durable_state) => Some(durable_state),
             Err(error) => {
-                log::error!(error:%; "the accord's memory is of another build, this member abstains for a while: {error}");
-                Ok(None)
+                log::error!(error:%; "the durable state of consensus is of another build, this voter recovers first: {error}");
+                None
             }
         },
-        Ok(None) => Ok(first()),
+        Ok(None) => initial(),
         Err(error) => {
-            log::error!(error:%; "the accord's memory is lost, this member abstains for a while: {error}");
-            Ok(None)
+            log::error!(error:%; "the durable state of consensus cannot be read, this voter recovers first: {error}");
+            None
         }
     }
 }
--- a/crates/cottonnotch/src/rules/status.rs
+++ b/crates/cottonnotch/src/rules/status.rs
@@ -1,55 +1,55 @@
-//! What operators may ask of the rules: the version, the lease, what is held back. Written by the threads beside the loop,
-//! read when somebody calls; no request looks at it.
+//! The status of the rules for operators: the version, the lease, namespaces held back. Written by the rules' threads, read on
+//! request by the admin server; no client's request looks at it.
 
 use cottonnotch_consensus::{Micros, Role};
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// What is known at the moment.
+/// The status of the rules.
 #[derive(Clone, Debug, Default)]
 pub struct RulesStatus {
-    /// The version that this process holds or last held.
+    /// The version that this process acts on, or acted on last.
     pub version: Option<u64>,
-    /// How many rules that has.
+    /// The number of its rules.
     pub rules: u64,
-    /// Until when it may act on it; may be past.
+    /// When its lease expires, or expired.
     pub until: Micros,
-    /// What is left of that, in milliseconds, when it was asked for.
+    /// What is left of the lease when the status is read, in milliseconds, rounded up.
     pub lease_left_ms: u64,
-    /// The newest version it has heard of.
+    /// The newest version known.
     pub newest: u64,
-    /// What it does among the voters.
+    /// The role among the voters.
     pub role: Role,
-    /// Who leads, as far as it knows.
+    /// The leader, as far as it is known.
     pub leader: Option<u16>,
-    /// The greatest term it knows.
+    /// The greatest term known.
     pub term: u64,
-    /// Members that the leader has heard of lately; 0 elsewhere.
+    /// Leader: members that requested a lease recently; 0 elsewhere.
     pub live_members: u32,
-    /// Namespaces of this proxy's folder that are held back, with the reason.
+    /// Namespaces that are held back on their last valid revision, with the reason.
     pub held_back: BTreeMap<String, String>,
-    /// Requests that were refused since it was in doubt which rules count.
+    /// Requests rejected since it was uncertain which rules are in force.
     pub rejected_while_uncertain: u64,
-    /// Datagrams that were dropped unread.
+    /// Datagrams dropped since they could not be authenticated or decoded.
     pub invalid_datagrams: u64,
     /// Datagrams that could not be sent.
     pub unsent_datagrams: u64,
-    /// Invariants found broken.
+    /// Invariants found violated.
     pub invariant_violations: u64,
-    /// Others were told of a newer list of render nodes, of this revision, and when that was heard.
+    /// The revision of an endpoint list newer than this proxy's that other members have, and when this proxy heard of it.
     pub newer_list: Option<(u64, Micros)>,
-    /// Why the accord does not run here, if it should.
+    /// Why the consensus thread ended, if it did.
     pub consensus_error: Option<String>,
 }
 
-/// The board.
+/// The status, shared between threads.
 #[derive(Debug, Default)]
 pub struct StatusBoard(Mutex<RulesStatus>);
 
 impl StatusBoard {
-    /// To look at it, or change it.
-    pub fn seen(&self) -> MutexGuard<'_, RulesStatus> {
-        // Nobody leaves it half changed.
+    /// The status, to read or to change.
+    pub fn lock(&self) -> MutexGuard<'_, RulesStatus> {
+        // Nobody panics with it half changed.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/cottonnotch/src/rules/version_content.rs
+++ b/crates/cottonnotch/src/rules/version_content.rs
@@ -1,5 +1,5 @@
-//! What a version of the rules contains, and what this process makes of it. The bytes go to all members as they are, so
-//! that all have the same book, and lower it by the same profiles to the same plan.
+//! The content of a version of the rules, and the plan that it compiles to. All members get the same bytes, so that all
+//! compile the same book by the same profiles to the same plan.
 
 use cottonnotch_consensus::ContentHash;
 use cottonnotch_routing_rules::{Book, History, Inventory};
@@ -9,148 +9,170 @@
 use std::fmt::Write;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The form of the bytes. Another one can't be run here.
-const FORM: u16 = 1;
-/// No content is larger.
-pub const MOST_BYTES: usize = 16 << 20;
-/// Contents that are kept: those in force, those on their way, and what was in force before, for comparing.
-const KEPT: usize = 12;
+/// The format of the bytes. Another one can't be run here.
+const FORMAT: u16 = 1;
+/// The largest content, in bytes.
+pub const MAX_CONTENT_BYTES: usize = 16 << 20;
+/// Contents in the cache: those in force or pending, and earlier ones to compare with.
+const MAX_CACHED: usize = 12;
 
-/// A version's content.
+/// What a version consists of, as all members have it. Encoded by the order of the fields, which must not change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Content {
-    form: u16,
-    /// What was in force when it was made: it is good for no other.
+pub struct ContentBody {
+    format: u16,
+    /// The version in force that it was made on top of; it is good for no other.
     pub base: Option<ContentHash>,
-    /// Each namespace's state and last good file.
-    pub ledger: History,
-    /// What the files come to.
+    /// Each namespace's state and last valid file.
+    pub history: History,
+    /// The rules that the files merge to.
     pub book: Book,
     /// What each hardware class can run.
     pub profiles: Profiles,
-    /// What there is to be ruled, as far as any proposer knew.
-    pub world: Inventory,
+    /// What rules can refer to, as far as any proposer knew.
+    pub inventory: Inventory,
 }
 
-/// Why bytes can't be run.
+/// Why bytes are no content that this build can run.
 #[derive(Debug, thiserror::Error)]
-pub enum BadContent {
-    /// Another build made them.
-    #[error("it is of form {0}, and this build runs {FORM}")]
-    Form(u16),
-    /// Nothing made them, or another build.
+pub enum ContentError {
+    /// They are of another build's format.
+    #[error("it is of form {0}, and this build runs {FORMAT}")]
+    Format(u16),
+    /// They can't be decoded.
     #[error("it cannot be read: {0}")]
     Unreadable(#[from] postcard::Error),
-    /// Too many.
-    #[error("it is larger than {MOST_BYTES} bytes")]
+    /// There are too many.
+    #[error("it is larger than {MAX_CONTENT_BYTES} bytes")]
     TooLarge,
 }
 
-/// A content that can be run here.
+/// A content that this process can act on.
 #[derive(Debug)]
-pub struct Compiled {
-    /// The digest of its bytes.
+pub struct VersionContent {
+    /// The hash of the bytes.
     pub hash: ContentHash,
-    /// As it goes to the others.
+    /// The encoded body, as members exchange it.
     pub bytes: Arc<[u8]>,
-    /// What it contains.
-    pub content: Content,
-    /// What it says of each request.
+    /// The decoded body.
+    pub body: ContentBody,
+    /// The plan that it compiles to.
     pub plan: Arc<Plan>,
 }
 
-impl Content {
-    /// A content made on top of `base`.
+impl ContentBody {
+    /// A body made on top of the version `base`.
     pub fn new(
         base: Option<ContentHash>,
-        ledger: History,
+        history: History,
         book: Book,
         profiles: Profiles,
-        world: Inventory,
+        inventory: Inventory,
     ) -> Self {
-        Content { form: FORM, base, ledger, book, profiles, world }
+        ContentBody { format: FORMAT, base, history, book, profiles, inventory }
     }
 
-    /// Makes it ready to be run.
-    pub fn compile(self) -> Result<Compiled, BadContent> {
+    /// Encodes and compiles it.
+    pub fn compile(self) -> Result<VersionContent, ContentError> {
         let bytes = postcard::to_allocvec(&self)?;
-        if bytes.len() > MOST_BYTES {
-            return Err(BadContent::TooLarge);
+        if bytes.len() > MAX_CONTENT_BYTES {
+            return Err(ContentError::TooLarge);
         }
-        Ok(self.with(bytes.into()))
+        Ok(self.with_bytes(bytes.into()))
     }
 
-    fn with(self, bytes: Arc<[u8]>) -> Compiled {
+    fn with_bytes(self, bytes: Arc<[u8]>) -> VersionContent {
         let plan = Arc::new(lower(&self.book, &self.profiles).plan);
-        Compiled { hash: *blake3::hash(&bytes).as_bytes(), bytes, content: self, plan }
+        VersionContent { hash: *blake3::hash(&bytes).as_bytes(), bytes, body: self, plan }
     }
 }
 
-impl Compiled {
-    /// Reads what another member has made, or this one earlier.
-    pub fn read(bytes: Vec<u8>) -> Result<Self, BadContent> {
-        if bytes.len() > MOST_BYTES {
-            return Err(BadContent::TooLarge);
+impl VersionContent {
+    /// Decodes and compiles what another member encoded, or this one earlier.
+    pub fn decode(bytes: Vec<u8>) -> Result<Self, ContentError> {
+        if bytes.len() > MAX_CONTENT_BYTES {
+            return Err(ContentError::TooLarge);
         }
-        // Another form may be laid out in another way from here on.
-        let (form, _) = postcard::take_from_bytes::<u16>(&bytes)?;
-        if form != FORM {
-            return Err(BadContent::Form(form));
+        // Another format may be laid out differently from here on.
+        let (format, _) = postcard::take_from_bytes::<u16>(&bytes)?;
+        if format != FORMAT {
+            return Err(ContentError::Format(format));
         }
-        let content: Content = postcard::from_bytes(&bytes)?;
-        Ok(content.with(bytes.into()))
+        let body: ContentBody = postcard::from_bytes(&bytes)?;
+        Ok(body.with_bytes(bytes.into()))
     }
 }
 
-/// A digest as text.
+/// A hash in hexadecimal digits.
 pub fn hex(hash: &ContentHash) -> String {
     hash.iter().fold(String::with_capacity(64), |mut text, byte| {
-        // A text takes whatever is written.
+        // Writing to a string can't fail.
         let _ = write!(text, "{byte:02x}");
         text
     })
 }
 
-/// The contents that this process has, by digest. Shared by the threads beside the loop.
+/// The digits of a hash that log lines show.
+pub fn short_hex(hash: &ContentHash) -> String {
+    let mut text = hex(hash);
+    text.truncate(12);
+    text
+}
+
+/// The contents that this process has, by hash; the least recently used are evicted. Clones share the contents.
 #[derive(Clone, Debug, Default)]
-pub struct Library(Arc<Mutex<Shelf>>);
+pub struct ContentCache(Arc<Mutex<CachedContents>>);
 
 #[derive(Debug, Default)]
-struct Shelf {
-    contents: BTreeMap<ContentHash, (u64, Arc<Compiled>)>,
+struct CachedContents {
+    /// With the use that was made of each last.
+    contents: BTreeMap<ContentHash, (u64, Arc<VersionContent>)>,
     uses: u64,
 }
 
-impl Library {
-    fn shelf(&self) -> MutexGuard<'_, Shelf> {
-        // Nobody leaves it half changed.
+impl CachedContents {
+    fn next_use(&mut self) -> u64 {
+        self.uses += 1;
+        self.uses
+    }
+
+    fn least_recently_used(&self) -> Option<ContentHash> {
+        self.contents.iter().min_by_key(|(_, (used, _))| *used).map(|(hash, _)| *hash)
+    }
+}
+
+impl ContentCache {
+    fn lock(&self) -> MutexGuard<'_, CachedContents> {
+        // Nobody panics with it half changed.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The content, if it is here.
-    pub fn get(&self, hash: &ContentHash) -> Option<Arc<Compiled>> {
-        let mut shelf = self.shelf();
-        shelf.uses += 1;
-        let uses = shelf.uses;
-        let (used, compiled) = shelf.contents.get_mut(hash)?;
-        *used = uses;
-        Some(Arc::clone(compiled))
+    /// The content of this hash.
+    pub fn get(&self, hash: &ContentHash) -> Option<Arc<VersionContent>> {
+        let mut cached = self.lock();
+        let this_use = cached.next_use();
+        let (used, content) = cached.contents.get_mut(hash)?;
+        *used = this_use;
+        Some(Arc::clone(content))
     }
 
-    /// Puts a content in; the one that was not asked for the longest goes. Returns the digests of those that went.
-    pub fn put(&self, compiled: Arc<Compiled>) -> Vec<ContentHash> {
-        let mut shelf = self.shelf();
-        shelf.uses += 1;
-        let uses = shelf.uses;
-        shelf.contents.insert(compiled.hash, (uses, compiled));
-        let mut gone = Vec::new();
-        while shelf.contents.len() > KEPT {
-            let oldest = shelf.contents.iter().min_by_key(|(_, (used, _))| *used).map(|(hash, _)| *hash);
-            let Some(oldest) = oldest else { break };
-            shelf.contents.remove(&oldest);
-            gone.push(oldest);
+    /// Inserts a content. Returns the hashes of those that were evicted for it.
+    pub fn insert(&self, content: Arc<VersionContent>) -> Vec<ContentHash> {
+        let mut cached = self.lock();
+        let this_use = cached.next_use();
+        cached.contents.insert(content.hash, (this_use, content));
+        let mut evicted = Vec::new();
+        while cached.contents.len() > MAX_CACHED {
+            let Some(oldest) = cached.least_recently_used() else { break };
+            cached.contents.remove(&oldest);
+            evicted.push(oldest);
         }
-        gone
+        evicted
+    }
+
+    /// How many contents there are.
+    #[cfg(test)]
+    pub fn len(&self) -> usize {
+        self.lock().contents.len()
     }
 }
 
--- a/crates/cottonnotch/tests/accord/proxy.rs
+++ b/crates/cottonnotch/tests/accord/proxy.rs
@@ -165,7 +165,7 @@
         let number = |line: &String| {
             let rest = line.split("rules version ").nth(1)?;
             let (number, rest) = rest.split_once(' ')?;
-            rest.starts_with("counts here").then(|| number.parse().ok())?
+            rest.starts_with("is active").then(|| number.parse().ok())?
         };
         self.log().iter().filter_map(number).map(|number| (number, String::new())).collect()
     }
--- a/crates/cottonnotch/tests/accord/stories/processes.rs
+++ b/crates/cottonnotch/tests/accord/stories/processes.rs
@@ -78,7 +78,7 @@
     // The old leases of one that is cut off have to run out first: there is time between the yes and the effect.
     tier.mesh.isolate(rest[3]);
     tier.change(rest[0], "dagger", &keeps_to("dagger", 2, "b"));
-    tier.proxies[leader].logged("contradict version");
+    tier.proxies[leader].logged("are incompatible with version");
     std::thread::sleep(Duration::from_millis(150));
     assert!(tier.proxies.iter().all(|proxy| proxy.held().map(|(number, _)| number) == Some(before)));
     tier.kill(leader);
--- a/crates/cottonnotch/tests/rules.rs
+++ b/crates/cottonnotch/tests/rules.rs
@@ -141,7 +141,7 @@
     place.write(&file(1, &require("a")));
     let proxy = place.start();
     let _watch = halls.tell(&proxy);
-    proxy.logged("rules version 1 counts here: 1 rules");
+    proxy.logged("rules version 1 is active: 1 rules");
     for _ in 0..6 {
         assert_eq!(halls.place(&proxy), Some(0));
     }
@@ -152,7 +152,7 @@
     assert_eq!(halls.place(&proxy), Some(0));
     place.write(&file(2, &require("b")));
     proxy.reload();
-    proxy.logged("rules version 2 counts here");
+    proxy.logged("rules version 2 is active");
     for _ in 0..6 {
         assert_eq!(halls.place(&proxy), Some(1));
     }
@@ -324,7 +324,7 @@
         write(&cluster.places[place].rules().join("child.toml"), &child(name, class, 2));
         proxies[place].reload();
     }
-    let rules = |proxy: &Proxy| proxy.log_until("counts here: 3 rules").len();
+    let rules = |proxy: &Proxy| proxy.log_until("is active: 3 rules").len();
     assert!(proxies.iter().all(|proxy| rules(proxy) > 0));
     proxies.iter().for_each(|proxy| counts(proxy, 3));
 }
@@ -484,7 +484,7 @@
     place.write(&file(1, &require("a")));
     let ruled = place.start();
     let _watch = halls.tell(&ruled);
-    ruled.logged("rules version 1 counts here");
+    ruled.logged("rules version 1 is active");
     assert_eq!(tasks(&ruled), 2, "alone there is a thread that compiles, and no other");
 }
 
