--- a/crates/proxy-core/src/fleet.rs
+++ b/crates/proxy-core/src/fleet.rs
@@ -1,11 +1,11 @@
 //! The fleet view: what this proxy reports of its subchannels, and what is made of the sums it is told. Who is keeper and
 //! how often is asked is the fleet crate's matter; what follows, the module's.
 
-use crate::gossip::word;
+use crate::interface::{Around, Carrying, Input, LocalState, Output, Translator};
 use crate::member_driver::MemberDriver;
 use crate::message_latency::FleetUtilisation;
-use crate::names::{WireNames, shown};
-use crate::peers::{Around, Carrying, Input, LocalState, Output, Translator};
+use crate::names::WireNames;
+use crate::observations::{shown, word};
 use cottonnotch_aggregation::{Entry, LocalLoad, Member, Snapshot, wire};
 use cottonnotch_decision::{Event, FleetStatus, Micros, PeerVerdict, ServerId};
 use cottonnotch_gossip::{EndpointDigest, Observation, Observations, To};
--- a/crates/proxy-core/src/gossip.rs
+++ b/crates/proxy-core/src/gossip.rs
@@ -1,18 +1,16 @@
 //! Gossip: what the other proxies are told of this one's subchannels, and what is made of what they tell. Who is there and
 //! what counts is the gossip crate's matter; what follows from a word, the module's.
 
+use crate::interface::{Around, Carrying, Input, LocalState, Output, Translator};
 use crate::member_driver::MemberDriver;
-use crate::names::{WireNames, shown};
+use crate::names::WireNames;
+use crate::observations::{shown, word};
 use crate::peer_loads::EstablishedLoad;
-use crate::peers::{Around, Carrying, Input, LocalState, Output, Translator};
-use cottonnotch_decision::{Event, Micros, PeerVerdict, ServerId};
-use cottonnotch_gossip::{Entry, Evidence, Gossip, Load, Observations, Strength};
+use cottonnotch_decision::{Event, Micros, ServerId};
+use cottonnotch_gossip::{Entry, Gossip, Load, Observations, Strength};
 use std::collections::BTreeSet;
 use std::convert::Infallible;
 
-/// Peers' words are as old as they say; older ones are no evidence.
-const MOST_AGE_TENTHS: u8 = 30;
-
 /// This proxy as a member of a tier that gossips.
 pub(crate) struct GossipMember {
     pub gossip: Gossip,
@@ -111,18 +109,3 @@
         }
     }
 }
-
-/// What a peer's evidence says. That a render node is full shows nothing of its health, and who was refused tells the
-/// others nothing that they would not be told at once.
-pub(crate) fn word(evidence: &Evidence) -> PeerVerdict {
-    let unwell = u32::from(evidence.failed) + u32::from(evidence.timed_out) + u32::from(evidence.silent);
-    match (evidence.age_tenths <= MOST_AGE_TENTHS, unwell, evidence.served) {
-        (true, 1.., 0) => PeerVerdict::Unhealthy,
-        (true, 0, 1..) => PeerVerdict::Healthy,
-        _ => PeerVerdict::Inconclusive,
-    }
-}
-
-#[cfg(test)]
-#[path = "gossip_tests.rs"]
-mod tests;
--- a/crates/proxy-core/src/names.rs
+++ b/crates/proxy-core/src/names.rs
@@ -1,30 +1,10 @@
 //! Names as they go over the wire, and what an event shows of a subchannel.
 
-use crate::Servers;
-use cottonnotch_decision::{Event, Outcome, ServerId};
-use cottonnotch_gossip::{EndpointDigest, Observation};
+use crate::interface::Servers;
+use cottonnotch_decision::ServerId;
+use cottonnotch_gossip::EndpointDigest;
 use std::collections::BTreeMap;
 
-/// What an event shows of a subchannel, if anything.
-pub(crate) fn shown(event: &Event) -> Option<(ServerId, Observation)> {
-    let (server, outcome) = match event {
-        Event::Established { server, .. } => (*server, Outcome::Served),
-        Event::Ended { server, outcome, last, .. } if !last || *outcome == Outcome::Reset => {
-            (*server, *outcome)
-        }
-        _ => return None,
-    };
-    let met = match outcome {
-        Outcome::Full => Observation::Full,
-        Outcome::ConnectFailed => Observation::Failed,
-        Outcome::TimedOut | Outcome::Error => Observation::TimedOut,
-        Outcome::Reset => Observation::Silent,
-        Outcome::Served => Observation::Served,
-        Outcome::Cancelled | Outcome::NotSent => return None,
-    };
-    Some((server, met))
-}
-
 /// Subchannels by the digests of their names, as they go over the wire. Two names of one digest are both left out.
 #[derive(Debug, Default)]
 pub struct WireNames {
