--- a/crates/cottonnotch/src/net/driver/audit.rs
+++ b/crates/cottonnotch/src/net/driver/audit.rs
@@ -4,7 +4,7 @@
 use super::context::LOG_TARGET;
 use super::request_table::TrackedRequest;
 use cottonnotch_decision::{Entry, Micros, Outcome, RejectionReason, Request, RequestId, ServerId, Settings};
-use cottonnotch_proxy_core::{FinalAnswer, Guard, GuardResult, Violation};
+use cottonnotch_proxy_core::{FinalAnswer, Guard, GuardResult, ListScope, Violation};
 use cottonnotch_records::MoveReason;
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
@@ -48,12 +48,12 @@
 
     /// The settings have changed.
     pub fn configure(&mut self, settings: Settings) {
-        self.guard.set(settings);
+        self.guard.configure(settings);
     }
 
     /// Each metric with its value: violations by kind, then steps by reason.
     pub fn metrics(&self) -> impl Iterator<Item = (String, u64)> {
-        let violations = self.guard.violations().all();
+        let violations = self.guard.violations().iter();
         let violations = violations.map(|(kind, count)| (format!("violations.{}", kind.name()), count));
         let reasons = self.reasons.iter();
         violations.chain(reasons.map(|((step, reason), count)| (format!("{}.{reason}", step.name()), *count)))
@@ -61,7 +61,8 @@
 
     /// The decision module is about to get these entries of the server list.
     pub fn listed(&mut self, now: Micros, full: bool, entries: &[Entry]) {
-        self.guard.listed(now, full, entries);
+        let scope = if full { ListScope::Complete } else { ListScope::Changes };
+        self.guard.listed(now, scope, entries);
     }
 
     // ---- the steps of a request ----
@@ -74,14 +75,14 @@
 
     /// It was open before the start and is established again.
     pub fn reopened(&mut self, request: &Request, wire_id: u64) {
-        self.guard.reopened(request);
+        self.guard.reestablished(request);
         state(request.id, wire_id, "up again");
     }
 
     /// Whether an attempt may be sent: false if that would break a rule of ours.
     pub fn may_send(&mut self, now: Micros, tracked: &TrackedRequest, server: ServerId) -> bool {
-        let checked = self.guard.send(now, tracked.id, server);
-        let may = !matches!(checked, Err(violation) if !violation.may_come_from_outside());
+        let checked = self.guard.check_attempt(now, tracked.id, server);
+        let may = !matches!(checked, Err(violation) if !violation.may_have_external_cause());
         report(checked, tracked);
         if let Some(before) = tracked.last_outcome {
             self.count(Step::Retried, outcome_name(before));
@@ -96,7 +97,7 @@
 
     /// The last byte of the attempt's line is written.
     pub fn attempt_written(&mut self, now: Micros, tracked: &TrackedRequest) {
-        report(self.guard.written(now, tracked.id), tracked);
+        report(self.guard.attempt_written(now, tracked.id), tracked);
     }
 
     /// The attempt has ended without a connection.
@@ -107,13 +108,13 @@
 
     /// The attempt has established the connection.
     pub fn established(&mut self, now: Micros, tracked: &TrackedRequest) {
-        report(self.guard.up(now, tracked.id), tracked);
+        report(self.guard.established(now, tracked.id), tracked);
         state(tracked.id, tracked.wire_id, "up");
     }
 
     /// Rejected by the decision module.
     pub fn rejected(&mut self, now: Micros, tracked: &TrackedRequest, reason: RejectionReason) {
-        self.answered(now, tracked, FinalAnswer::Refused, rejection_name(reason));
+        self.answered(now, tracked, FinalAnswer::Rejected, rejection_name(reason));
     }
 
     /// Failed by the decision module.
@@ -128,7 +129,7 @@
 
     fn answered(&mut self, now: Micros, tracked: &TrackedRequest, answer: FinalAnswer, reason: &'static str) {
         report(self.guard.answered(now, tracked.id, answer), tracked);
-        let step = if answer == FinalAnswer::Refused { Step::Rejected } else { Step::Failed };
+        let step = if answer == FinalAnswer::Rejected { Step::Rejected } else { Step::Failed };
         self.count(step, reason);
         state(tracked.id, tracked.wire_id, format_args!("{}: {reason}", step.name()));
     }
@@ -190,7 +191,7 @@
         target: LOG_TARGET, kind, request, wire_id:% = HexId(tracked.wire_id);
         "rule violation {kind}: request {request}, {} on the wire", HexId(tracked.wire_id)
     );
-    debug_assert!(violation.may_come_from_outside(), "rule violation {kind}: {tracked:?}");
+    debug_assert!(violation.may_have_external_cause(), "rule violation {kind}: {tracked:?}");
 }
 
 fn unanswered(RequestId(request): RequestId, when: &str) {
--- a/crates/cottonnotch/src/net/driver/message_latency.rs
+++ b/crates/cottonnotch/src/net/driver/message_latency.rs
@@ -22,8 +22,7 @@
     pub fn start(context: &mut Context) -> Self {
         context.set_timer(REPORT_INTERVAL, TICK);
         let Profile { settings, reports_latency, .. } = &context.config.profile;
-        let delays =
-            MessageLatencies::new(settings.nodes, settings.shortest_message_objective(), settings.weighted);
+        let delays = MessageLatencies::new(settings.into());
         let (groups, reports_latency) = (settings.groups, *reports_latency);
         MessageLatency { delays, lines: LoadLines::default(), reports_latency, groups }
     }
@@ -31,15 +30,15 @@
     /// The settings have changed.
     pub fn configure(&mut self, Profile { settings, reports_latency, .. }: &Profile) {
         self.reports_latency = *reports_latency;
-        self.delays.configure(settings.nodes, settings.shortest_message_objective(), settings.weighted);
+        self.delays.configure(settings.into());
         self.groups = settings.groups;
     }
 
     /// An endpoint is listed, with its weight; what is known of an earlier process is dropped.
     pub fn update_endpoint(&mut self, server: ServerId, weight: f64, incarnation: Incarnation) {
-        let is_new = incarnation == Incarnation::New;
-        self.delays.listed(server, weight, is_new);
-        if is_new {
+        self.delays.endpoint_listed(server, weight);
+        if incarnation == Incarnation::New {
+            self.delays.process_restarted(server);
             self.lines.forget(server);
         }
     }
@@ -79,8 +78,9 @@
         };
         match (reported, tracked.latest_attempt) {
             (LoadLine::Load(load), _) => Some(self.loaded(tracked.id, load)),
-            (LoadLine::Delay(delay), Some((server, _))) => {
-                let LatencyReport { server, delay } = self.delays.latency_advertised(now, server, delay)?;
+            (LoadLine::Latency(delay), Some((server, _))) => {
+                let LatencyReport { server, latency: delay } =
+                    self.delays.latency_advertised(now, server, delay)?;
                 Some(Event::LatencyUpdate { server, latency: delay })
             }
             _ => None,
@@ -112,7 +112,7 @@
         }
         let settled = self.lines.settle(now);
         let mut events: Vec<Event> = settled.into_iter().map(|(id, load)| self.loaded(id, load)).collect();
-        let note = |LatencyReport { server, delay }| Event::LatencyUpdate { server, latency: delay };
+        let note = |LatencyReport { server, latency: delay }| Event::LatencyUpdate { server, latency: delay };
         events.extend(self.delays.due_reports(now).into_iter().map(note));
         events
     }
--- a/crates/cottonnotch/src/net/driver/peers.rs
+++ b/crates/cottonnotch/src/net/driver/peers.rs
@@ -57,7 +57,7 @@
         let unix = context.wall_clock.unix(now);
         let member = cottonnotch_aggregation::Member::new(settings, me, members as u32, seed, now, unix);
         log::info!(target: LOG_TARGET, peers = members, listen:%; "aggregation with {} other proxies", members - 1);
-        let peers = cottonnotch_proxy_core::Peers::fleet(member, roster(context));
+        let peers = cottonnotch_proxy_core::Peers::with_aggregation(member, roster(context));
         Ok(Some(Member::new(context, peers, socket)))
     }
 
@@ -72,7 +72,7 @@
         let (seed, now, strength) = (context.config.seed, context.now(), settings.strength);
         let gossip = Gossip::new(settings, keys, me, members, life, seed, now);
         log::info!(target: LOG_TARGET, peers = members, listen:%; "gossip with {} other proxies", members.saturating_sub(1));
-        let peers = cottonnotch_proxy_core::Peers::gossip(gossip, strength, roster(context));
+        let peers = cottonnotch_proxy_core::Peers::with_gossip(gossip, strength, roster(context));
         Ok(Some(Member::new(context, peers, socket)))
     }
 
@@ -91,7 +91,8 @@
 
     /// Logs how many datagrams the member has dropped, if any since the last time.
     fn log_dropped(&mut self, now: Micros) {
-        let Some(counts) = self.peers.fleet_member().map(cottonnotch_aggregation::Member::counts) else {
+        let Some(counts) = self.peers.aggregation_member().map(cottonnotch_aggregation::Member::counts)
+        else {
             return;
         };
         let all = counts.dropped + counts.late;
@@ -103,10 +104,10 @@
 
     fn handle(&mut self, context: &Context, proxy: &mut PeerInputs<'_>, input: Input<'_>) {
         let mut local = LocalState {
-            delays: proxy.latency.delays(),
+            latencies: proxy.latency.delays(),
             servers: proxy.endpoints,
             settings: &context.config.profile.settings,
-            rpcs: proxy.requests,
+            requests: proxy.requests,
             unix: context.wall_clock.unix(context.now()),
         };
         self.peers.handle(context.now(), input, &mut local);
@@ -128,15 +129,15 @@
                     }
                     events.push(event);
                 }
-                Output::Member { ordinal, state, life } => {
+                Output::Member { ordinal, state, incarnation: life } => {
                     let name = state_name(state);
                     log::info!(target: LOG_TARGET, peer = ordinal, state = name; "proxy {ordinal} is {name}");
                     context.records.peer(ordinal, state, life);
                 }
-                Output::Keeper(Some(aggregator)) => {
+                Output::Aggregator(Some(aggregator)) => {
                     log::debug!(target: LOG_TARGET, aggregator; "proxy {aggregator} aggregates the fleet's reports");
                 }
-                Output::Keeper(None) => {
+                Output::Aggregator(None) => {
                     log::warn!(target: LOG_TARGET, "no aggregator answers, going on with the last snapshot");
                 }
             }
@@ -197,7 +198,8 @@
 
     /// Affinity subsets by a group's size, where they are on.
     pub fn affinity_metrics(&self) -> Option<AffinityMetrics> {
-        let member = self.member.as_ref()?.peers.fleet_member().filter(|member| member.wants_groups())?;
+        let member =
+            self.member.as_ref()?.peers.aggregation_member().filter(|member| member.wants_groups())?;
         let counts = member.counts();
         let largest_subset = member.affinity_subsets().map(|(_, size)| size).max().unwrap_or(0);
         Some(AffinityMetrics {
@@ -211,12 +213,12 @@
 
     /// An event that the decision module is about to get, for the member's own observations.
     pub fn observe_event(&mut self, now: Micros, event: &Event) {
-        self.member.iter_mut().for_each(|member| member.peers.witness(now, event));
+        self.member.iter_mut().for_each(|member| member.peers.observe(now, event));
     }
 
     /// Once a second: what this proxy has to report.
     pub fn tick(&mut self, context: &mut Context, mut proxy: PeerInputs<'_>) -> Vec<Event> {
-        let events = self.handle_inputs(context, &mut proxy, [Input::Second]);
+        let events = self.handle_inputs(context, &mut proxy, [Input::EverySecond]);
         self.member.iter_mut().for_each(|member| member.log_dropped(context.now()));
         events
     }
--- a/crates/proxy-core/benches/growth.rs
+++ b/crates/proxy-core/benches/growth.rs
@@ -3,11 +3,14 @@
 #![allow(missing_docs)]
 
 use cottonnotch_decision::{Micros, RequestId, ServerId};
-use cottonnotch_proxy_core::{EndpointUpdate, FleetUtilisation, MessageLatencies};
+use cottonnotch_proxy_core::{EndpointUpdate, FleetUtilisation, LatencySettings, MessageLatencies};
 use std::hint::black_box;
 use std::time::Instant;
 
 const S: Micros = 1_000_000;
+/// 440 proxies with an objective of 60 ms.
+const SETTINGS: LatencySettings =
+    LatencySettings { proxies: 440, objective: Some(60_000), sizes_are_listed: true };
 /// Rounds of each point.
 const ROUNDS: usize = 9;
 /// Groups: 62,000 pairs, with five render nodes each.
@@ -54,30 +57,41 @@
 }
 
 /// A proxy's connections, spread evenly, each of a group at one of its five render nodes.
-fn delays(nodes: u32, connections: u64) -> MessageLatencies {
-    let mut delays = MessageLatencies::new(440, Some(60_000), true);
-    (0..nodes).for_each(|node| delays.listed(ServerId(node), 2.0, true));
+fn latencies(nodes: u32, connections: u64) -> MessageLatencies {
+    let mut latencies = MessageLatencies::new(SETTINGS);
+    (0..nodes).for_each(|node| latencies.endpoint_listed(ServerId(node), 2.0));
     for id in 0..connections {
         let group = id.wrapping_mul(0x9e37_79b9_7f4a_7c15) % GROUPS;
         let home = (group * 5 + id % 5).wrapping_mul(0xd134_2543_de82_ef95) >> 20;
         let server = ServerId((home % u64::from(nodes)) as u32);
-        delays.connection_opened(S, RequestId(id), server, Some(group), Some(2_000));
-        delays.load_changed(RequestId(id), 100.0);
+        latencies.connection_opened(S, RequestId(id), server, Some(group), Some(2_000));
+        latencies.load_changed(RequestId(id), 100.0);
     }
-    delays
+    latencies
 }
 
-/// What the notes are made of: what this proxy alone knows (no fresh view), a view of the fleet, and what render nodes tell of
-/// their delays beside it.
-#[derive(Clone, Copy, Debug)]
+/// What the reports are made of: what this proxy alone knows (no fresh snapshot), a snapshot of the fleet, and the latencies
+/// that render nodes advertise beside it.
+#[derive(Clone, Copy)]
 enum Known {
     Alone,
-    View,
-    ViewAndTold,
+    Snapshot,
+    SnapshotAndAdvertised,
+}
+
+impl Known {
+    /// Its name in the figures' lines, which stays when a variant is renamed.
+    fn name(self) -> &'static str {
+        match self {
+            Known::Alone => "Alone",
+            Known::Snapshot => "View",
+            Known::SnapshotAndAdvertised => "ViewAndTold",
+        }
+    }
 }
 
 fn each_second() {
-    for known in [Known::Alone, Known::View, Known::ViewAndTold] {
+    for known in [Known::Alone, Known::Snapshot, Known::SnapshotAndAdvertised] {
         for nodes in [90, 1_024, 4_096] {
             for connections in [1_000, 10_000, 45_455, 90_909] {
                 second(known, nodes, connections);
@@ -87,29 +101,30 @@
 }
 
 fn second(known: Known, nodes: u32, connections: u64) {
-    let mut delays = delays(nodes, connections);
+    let mut latencies = latencies(nodes, connections);
     let mut now = 100 * S;
     if !matches!(known, Known::Alone) {
         let used = (0..nodes).step_by(3).map(|node| (ServerId(node), 0.6)).collect();
-        delays.fleet = Some(FleetUtilisation::new(now, 1_000 * S, 100.0, used));
+        latencies.fleet = Some(FleetUtilisation::new(now, 1_000 * S, 100.0, used));
     }
     let [_, notes] = timed(|| {
         now += S;
-        if matches!(known, Known::ViewAndTold) {
+        if matches!(known, Known::SnapshotAndAdvertised) {
             (0..nodes).for_each(|node| {
-                black_box(delays.latency_advertised(now, ServerId(node), 5_000));
+                black_box(latencies.latency_advertised(now, ServerId(node), 5_000));
             });
         }
-        black_box(delays.due_reports(now));
+        black_box(latencies.due_reports(now));
     });
     let [_, report] = timed(|| {
-        black_box(delays.established_by_group(now));
+        black_box(latencies.established_by_group(now));
     });
     let [_, groups] = timed(|| {
-        black_box(delays.load_by_group(now));
+        black_box(latencies.load_by_group(now));
     });
     println!(
-        r#"{{"what":"each second","known":"{known:?}","nodes":{nodes},"connections":{connections},"n":{ROUNDS},"notes_median_us":{notes:.0},"report_median_us":{report:.0},"groups_median_us":{groups:.0}}}"#
+        r#"{{"what":"each second","known":"{}","nodes":{nodes},"connections":{connections},"n":{ROUNDS},"notes_median_us":{notes:.0},"report_median_us":{report:.0},"groups_median_us":{groups:.0}}}"#,
+        known.name()
     );
 }
 
--- a/crates/proxy-core/src/envelope.rs
+++ b/crates/proxy-core/src/envelope.rs
@@ -1,29 +1,35 @@
-//! What goes over the wire: a message in an envelope that proves its sender, its receiver and its cluster. Whatever does
-//! not prove them, or is of another form, is dropped unread.
+//! The envelope of consensus messages: a datagram that authenticates its sender, its receiver and its cluster. One that fails
+//! to, or is of another format, is dropped unread.
+//!
+//! A datagram is the envelope in postcard's encoding, followed by a keyed BLAKE3 hash of it.
 
 use cottonnotch_consensus::Message;
 use serde::{Deserialize, Serialize};
 
-/// The form of envelope and message. Another one is dropped: the bytes may mean something else.
-const FORM: u16 = 1;
-/// Keys of one use are not keys of another.
-const CONTEXT: &str = "cottonnotch 2026 accord, shared key of datagrams, version 1";
-/// Bytes of the proof at the end.
-const PROOF: usize = 32;
-/// No datagram is larger: it would be cut in pieces on the way.
+/// The format of envelope and message. Another one is dropped: the bytes may mean something else.
+const FORMAT: u16 = 1;
+/// Context string of the key's derivation: keys of one use are not keys of another.
+const KEY_CONTEXT: &str = "cottonnotch 2026 accord, shared key of datagrams, version 1";
+/// Hexadecimal digits of a key file.
+const KEY_DIGITS: usize = 64;
+/// Bytes of the authentication tag at the end.
+const TAG_BYTES: usize = 32;
+/// No datagram is larger: it would be fragmented on the way.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
-/// What the members of a cluster share.
+/// The key that the members of a cluster share, and this member's own identity.
 #[derive(Clone)]
 pub struct EnvelopeKey {
     key: [u8; 32],
+    /// The first bytes of the cluster name's hash.
     cluster: u64,
     me: u16,
 }
 
+/// The authenticated part of a datagram. Fields are encoded in this order.
 #[derive(Serialize, Deserialize)]
 struct Envelope {
-    form: u16,
+    format: u16,
     cluster: u64,
     from: u16,
     to: u16,
@@ -33,16 +39,16 @@
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EnvelopeError {
-    /// No key of ours made it, or it was changed on the way.
+    /// No key of the cluster made it, or it was changed on the way.
     #[error("it is not proven")]
-    Unproven,
-    /// It can't be read, or is of another form.
+    NotAuthentic,
+    /// It can't be decoded, or is of another format.
     #[error("it is of another form")]
-    Form,
-    /// It is for somebody else.
+    UnknownFormat,
+    /// It is for another member or cluster, or an echo of this member's own.
     #[error("it is for another member or cluster")]
-    Stray,
-    /// It would be larger than a datagram may be.
+    WrongReceiver,
+    /// It would be larger than [`MAX_DATAGRAM_BYTES`].
     #[error("it is too large")]
     TooLarge,
 }
@@ -55,49 +61,54 @@
 }
 
 impl EnvelopeKey {
-    /// From the text of the key's file; `None` if it does not hold 64 hexadecimal digits and nothing else.
+    /// A key from the contents of its file; `None` if that is not 64 hexadecimal digits and nothing else.
     pub fn new(key_file: &[u8], cluster: &str, me: u16) -> Option<Self> {
         let digits = key_file.trim_ascii();
-        if digits.len() != 64 || !digits.iter().all(u8::is_ascii_hexdigit) {
+        if digits.len() != KEY_DIGITS || !digits.iter().all(u8::is_ascii_hexdigit) {
             return None;
         }
         let digest = blake3::hash(cluster.as_bytes());
-        let first = digest.as_bytes().first_chunk().copied().unwrap_or_default();
-        let key = blake3::derive_key(CONTEXT, &digits.to_ascii_lowercase());
-        Some(EnvelopeKey { key, cluster: u64::from_le_bytes(first), me })
+        let cluster = digest.as_bytes().first_chunk().copied().unwrap_or_default();
+        let key = blake3::derive_key(KEY_CONTEXT, &digits.to_ascii_lowercase());
+        Some(EnvelopeKey { key, cluster: u64::from_le_bytes(cluster), me })
     }
 
-    /// The datagram of a message.
+    /// Seals a message to a member in a datagram.
     pub fn seal(&self, to: u16, message: Message) -> Result<Vec<u8>, EnvelopeError> {
-        let envelope = Envelope { form: FORM, cluster: self.cluster, from: self.me, to, message };
-        let mut bytes = postcard::to_allocvec(&envelope).map_err(|_| EnvelopeError::Form)?;
-        let proof = blake3::keyed_hash(&self.key, &bytes);
-        bytes.extend_from_slice(proof.as_bytes());
+        let envelope = Envelope { format: FORMAT, cluster: self.cluster, from: self.me, to, message };
+        let mut bytes = postcard::to_allocvec(&envelope).map_err(|_| EnvelopeError::UnknownFormat)?;
+        let tag = blake3::keyed_hash(&self.key, &bytes);
+        bytes.extend_from_slice(tag.as_bytes());
         if bytes.len() > MAX_DATAGRAM_BYTES { Err(EnvelopeError::TooLarge) } else { Ok(bytes) }
     }
 
-    /// Who sent a datagram, and what.
+    /// Opens a datagram: its sender and message.
     pub fn open(&self, datagram: &[u8]) -> Result<(u16, Message), EnvelopeError> {
-        let at = datagram.len().checked_sub(PROOF).ok_or(EnvelopeError::Unproven)?;
-        let (bytes, proof) = datagram.split_at(at);
-        let proof: [u8; PROOF] = proof.try_into().map_err(|_| EnvelopeError::Unproven)?;
-        // Comparing two of these takes the same time wherever they differ.
-        if blake3::keyed_hash(&self.key, bytes) != blake3::Hash::from_bytes(proof) {
-            return Err(EnvelopeError::Unproven);
-        }
-        let (form, _) = postcard::take_from_bytes::<u16>(bytes).map_err(|_| EnvelopeError::Form)?;
-        if form != FORM {
-            return Err(EnvelopeError::Form);
+        let bytes = self.authenticate(datagram)?;
+        let (format, _) =
+            postcard::take_from_bytes::<u16>(bytes).map_err(|_| EnvelopeError::UnknownFormat)?;
+        if format != FORMAT {
+            return Err(EnvelopeError::UnknownFormat);
         }
-        let envelope: Envelope = postcard::from_bytes(bytes).map_err(|_| EnvelopeError::Form)?;
+        let envelope: Envelope = postcard::from_bytes(bytes).map_err(|_| EnvelopeError::UnknownFormat)?;
         if (envelope.cluster, envelope.to) != (self.cluster, self.me) || envelope.from == self.me {
-            return Err(EnvelopeError::Stray);
+            return Err(EnvelopeError::WrongReceiver);
         }
         if !envelope.message.bounded() {
-            return Err(EnvelopeError::Form);
+            return Err(EnvelopeError::UnknownFormat);
         }
         Ok((envelope.from, envelope.message))
     }
+
+    /// The bytes in front of the tag, if the tag is theirs.
+    fn authenticate<'a>(&self, datagram: &'a [u8]) -> Result<&'a [u8], EnvelopeError> {
+        let (bytes, tag) = datagram.split_last_chunk::<TAG_BYTES>().ok_or(EnvelopeError::NotAuthentic)?;
+        // Comparing two of these takes the same time wherever they differ.
+        if blake3::keyed_hash(&self.key, bytes) != blake3::Hash::from_bytes(*tag) {
+            return Err(EnvelopeError::NotAuthentic);
+        }
+        Ok(bytes)
+    }
 }
 
 #[cfg(test)]
--- a/crates/proxy-core/src/guard/checks.rs
+++ b/crates/proxy-core/src/guard/checks.rs
@@ -1,7 +1,7 @@
-//! The guard itself: which step breaks which rule.
+//! The guard itself: each step, and the rules that it may violate.
 
-use super::request::{AttemptOut, ClassRules, Tracked};
-use super::server::Watched;
+use super::request::{ClassRules, PendingAttempt, PendingRequest};
+use super::server::TrackedServer;
 use super::violation::{Violation, Violations};
 use cottonnotch_decision::{Entry, Micros, Outcome, Request, RequestId, ServerId, Settings};
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,27 +9,38 @@
 /// A final answer that the proxy itself gives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// Turned away; trying again is harmless.
-    Refused,
+    /// Rejected; a retry is harmless.
+    Rejected,
     /// Failed, no promise.
     Failed,
 }
 
+/// What a list of servers stands for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListScope {
+    /// All servers: one that it doesn't name has been removed.
+    Complete,
+    /// Changes to the previous list.
+    Changes,
+}
+
 /// The guard of one proxy.
 #[derive(Debug, Default)]
 pub struct Guard {
     settings: Settings,
-    servers: Vec<Watched>,
+    servers: Vec<TrackedServer>,
+    /// Summed weight of the servers that are ready.
     total_weight: f64,
-    /// When the last list was taken.
-    heard: Option<Micros>,
-    /// Those that are owed an answer, and those that are up.
-    owed: BTreeMap<RequestId, Tracked>,
-    up: BTreeSet<RequestId>,
+    /// When the latest list was taken.
+    latest_list: Option<Micros>,
+    /// Requests that await their final answer.
+    pending: BTreeMap<RequestId, PendingRequest>,
+    /// Requests whose connections are established.
+    established: BTreeSet<RequestId>,
     violations: Violations,
 }
 
-/// What a step comes to.
+/// Whether a step violates a rule, and which.
 pub type GuardResult = Result<(), Violation>;
 
 impl Guard {
@@ -38,8 +49,8 @@
         Guard { settings, ..Guard::default() }
     }
 
-    /// The settings have changed. Classes keep their numbers.
-    pub fn set(&mut self, settings: Settings) {
+    /// Applies changed settings. Classes keep their numbers.
+    pub fn configure(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
@@ -50,91 +61,92 @@
 
     // ---- servers ----
 
-    /// A list, or changes of it, counts from now on; whole lists leave out who is gone.
-    pub fn listed(&mut self, now: Micros, full: bool, entries: &[Entry]) {
-        if full {
+    /// A list counts from now on.
+    pub fn listed(&mut self, now: Micros, scope: ListScope, entries: &[Entry]) {
+        if scope == ListScope::Complete {
             self.servers.iter_mut().for_each(|server| server.stop(now));
         }
         for entry in entries {
             let index = entry.server.0 as usize;
             if index >= self.servers.len() {
-                self.servers.resize_with(index + 1, Watched::default);
+                self.servers.resize_with(index + 1, TrackedServer::default);
             }
-            self.servers[index].listed(now, entry, self.heard);
+            self.servers[index].listed(now, entry, self.latest_list);
         }
         let ready = self.servers.iter().filter(|server| server.is_ready);
         let weighted = self.settings.weighted;
         self.total_weight = ready.map(|server| if weighted { server.weight } else { 1.0 }).sum();
-        self.heard = Some(now);
+        self.latest_list = Some(now);
     }
 
     // ---- requests ----
 
-    /// A client's request was taken: one final answer is owed.
+    /// A client's request was taken: one final answer is due.
     pub fn requested(&mut self, now: Micros, request: &Request) {
         let deadline = request.left.map(|left| now.saturating_add(left));
-        self.owed.insert(request.id, Tracked::new(usize::from(request.class.0), deadline));
+        self.pending.insert(request.id, PendingRequest::new(usize::from(request.class.0), deadline));
     }
 
-    /// A connection from before the start is up again.
-    pub fn reopened(&mut self, request: &Request) {
-        self.up.insert(request.id);
+    /// A connection from before the start is established again.
+    pub fn reestablished(&mut self, request: &Request) {
+        self.established.insert(request.id);
     }
 
-    /// An attempt is to be sent now. It must not be where this fails; a cold server's budget is counted all the same.
-    pub fn send(&mut self, now: Micros, id: RequestId, server: ServerId) -> GuardResult {
-        let checked = self.check_send(now, id, server);
+    /// Checks an attempt that is about to be sent. It must not be sent if this fails; a slow start's budget is counted all the
+    /// same.
+    pub fn check_attempt(&mut self, now: Micros, id: RequestId, server: ServerId) -> GuardResult {
+        let checked = self.start_attempt(now, id, server);
         self.counted(checked)
     }
 
-    fn check_send(&mut self, now: Micros, id: RequestId, server: ServerId) -> GuardResult {
-        let tracked = self.owed.get_mut(&id).ok_or(Violation::SentUnowed)?;
-        if tracked.out.is_some() {
-            return Err(Violation::SecondAttemptOut);
+    fn start_attempt(&mut self, now: Micros, id: RequestId, server: ServerId) -> GuardResult {
+        let request = self.pending.get_mut(&id).ok_or(Violation::AttemptWithoutRequest)?;
+        if request.attempt.is_some() {
+            return Err(Violation::ConcurrentAttempt);
         }
-        let rules = class_rules(&self.settings, tracked.class);
-        if tracked.attempts >= rules.attempts {
+        let rules = class_rules(&self.settings, request.class);
+        if request.attempts >= rules.attempts {
             return Err(Violation::TooManyAttempts);
         }
-        let watched = self.servers.get_mut(server.0 as usize).filter(|watched| watched.is_ready);
-        let watched = watched.ok_or(Violation::SentToStopped)?;
-        tracked.check_repeat(rules, watched.spot, now)?;
-        tracked.attempts += 1;
-        tracked.out = Some(AttemptOut { server, spot: watched.spot, sent: now });
-        if watched.sent(now, &self.settings, self.total_weight) {
+        let tracked = self.servers.get_mut(server.0 as usize).filter(|tracked| tracked.is_ready);
+        let tracked = tracked.ok_or(Violation::AttemptToStoppedServer)?;
+        request.check_retry(rules, tracked.locality, now)?;
+        request.attempts += 1;
+        request.attempt = Some(PendingAttempt { server, locality: tracked.locality, sent: now });
+        if tracked.count_attempt(now, &self.settings, self.total_weight) {
             Ok(())
         } else {
-            Err(Violation::ColdOverBudget)
+            Err(Violation::SlowStartOverBudget)
         }
     }
 
-    /// The last byte of the attempt's line is written: from now on it may run.
-    pub fn written(&mut self, now: Micros, id: RequestId) -> GuardResult {
-        let Some(tracked) = self.owed.get(&id) else { return Ok(()) };
-        let Some(out) = tracked.out else { return Ok(()) };
-        let server = self.servers.get(out.server.0 as usize);
+    /// The last byte of the attempt's line was written: from now on it may run.
+    pub fn attempt_written(&mut self, now: Micros, id: RequestId) -> GuardResult {
+        let Some(request) = self.pending.get(&id) else { return Ok(()) };
+        let Some(attempt) = request.attempt else { return Ok(()) };
+        let server = self.servers.get(attempt.server.0 as usize);
         let may_be_reached = server.is_some_and(|server| server.may_be_reached(now));
-        let rules = class_rules(&self.settings, tracked.class);
-        let repeat = tracked.check_repeat(rules, out.spot, now);
-        let checked = if may_be_reached { repeat } else { Err(Violation::SentToStopped) };
+        let rules = class_rules(&self.settings, request.class);
+        let retry = request.check_retry(rules, attempt.locality, now);
+        let checked = if may_be_reached { retry } else { Err(Violation::AttemptToStoppedServer) };
         self.counted(checked)
     }
 
-    /// The attempt that was out has ended without having been up.
+    /// The attempt under way ended without an established connection.
     pub fn attempt_ended(&mut self, id: RequestId, outcome: Outcome) {
-        if let Some(tracked) = self.owed.get_mut(&id) {
-            tracked.ended(outcome);
+        if let Some(request) = self.pending.get_mut(&id) {
+            request.attempt_ended(outcome);
         }
     }
 
-    /// The attempt that was out brought the connection up, which is the final answer.
-    pub fn up(&mut self, now: Micros, id: RequestId) -> GuardResult {
-        let checked = match self.owed.remove(&id) {
-            Some(tracked) => {
-                self.up.insert(id);
-                on_time(&tracked, now)
+    /// The attempt under way established the connection, which is the final answer.
+    pub fn established(&mut self, now: Micros, id: RequestId) -> GuardResult {
+        let checked = match self.pending.remove(&id) {
+            Some(request) => {
+                self.established.insert(id);
+                check_in_time(&request, now)
             }
-            None => Err(Violation::AnsweredUnowed),
+            None => Err(Violation::AnswerWithoutRequest),
         };
         self.counted(checked)
     }
@@ -142,46 +154,48 @@
     /// The proxy gives a final answer now.
     pub fn answered(&mut self, now: Micros, id: RequestId, answer: FinalAnswer) -> GuardResult {
         let checked = self.check_answer(now, id, answer);
-        self.owed.remove(&id);
+        self.pending.remove(&id);
         self.counted(checked)
     }
 
     fn check_answer(&self, now: Micros, id: RequestId, answer: FinalAnswer) -> GuardResult {
-        let tracked = self.owed.get(&id).ok_or(Violation::AnsweredUnowed)?;
-        if tracked.out.is_some() {
-            return Err(Violation::AnsweredWhileOut);
+        let request = self.pending.get(&id).ok_or(Violation::AnswerWithoutRequest)?;
+        if request.attempt.is_some() {
+            return Err(Violation::AnsweredDuringAttempt);
         }
-        if answer == FinalAnswer::Refused {
-            tracked.check_refusal(class_rules(&self.settings, tracked.class))?;
+        if answer == FinalAnswer::Rejected {
+            request.check_rejection(class_rules(&self.settings, request.class))?;
         }
-        on_time(tracked, now)
+        check_in_time(request, now)
     }
 
-    /// The client has left before its answer: nothing is owed any more.
+    /// The client has left before its answer: none is due any more.
     pub fn client_left(&mut self, id: RequestId) {
-        self.owed.remove(&id);
+        self.pending.remove(&id);
     }
 
-    /// A connection that was up has ended, or is ended with `MOVE`.
+    /// An established connection has ended, or is ended with `MOVE`.
     pub fn closed(&mut self, id: RequestId) -> GuardResult {
-        let was_up = self.up.remove(&id);
-        self.counted(was_up.then_some(()).ok_or(Violation::ClosedUnserved))
+        let was_established = self.established.remove(&id);
+        self.counted(was_established.then_some(()).ok_or(Violation::ClosedNotEstablished))
     }
 
-    /// Requests whose time for an answer has passed by now; each is given and counted once.
+    /// Requests whose time for an answer has passed by now; each is returned and counted once.
     pub fn overdue(&mut self, now: Micros) -> Vec<RequestId> {
-        let late = self.owed.iter_mut().filter_map(|(id, t)| t.newly_overdue(now).then_some(*id));
-        let late: Vec<RequestId> = late.collect();
-        late.iter().for_each(|_| self.violations.count(Violation::Unanswered));
-        late
+        let overdue =
+            self.pending.iter_mut().filter_map(|(id, request)| request.newly_overdue(now).then_some(*id));
+        let overdue: Vec<RequestId> = overdue.collect();
+        overdue.iter().for_each(|_| self.violations.count(Violation::Unanswered));
+        overdue
     }
 
-    /// The process ends: requests that are still owed an answer. Those that were overdue before are not counted again.
+    /// The process ends: returns the requests that still await an answer. Those that were overdue before are not counted
+    /// again.
     pub fn finish(&mut self) -> Vec<RequestId> {
-        let owed = self.owed.iter().filter(|(_, tracked)| !tracked.was_overdue());
-        let owed: Vec<RequestId> = owed.map(|(id, _)| *id).collect();
-        owed.iter().for_each(|_| self.violations.count(Violation::Unanswered));
-        owed
+        let unanswered = self.pending.iter().filter(|(_, request)| !request.was_overdue());
+        let unanswered: Vec<RequestId> = unanswered.map(|(id, _)| *id).collect();
+        unanswered.iter().for_each(|_| self.violations.count(Violation::Unanswered));
+        unanswered
     }
 
     fn counted(&mut self, checked: GuardResult) -> GuardResult {
@@ -193,6 +207,7 @@
     ClassRules { idempotency: settings.idempotency(class), attempts: settings.attempts(class) }
 }
 
-fn on_time(tracked: &Tracked, now: Micros) -> GuardResult {
-    if tracked.is_lost_at(now) && !tracked.was_overdue() { Err(Violation::AnsweredLate) } else { Ok(()) }
+/// An answer to a request that is lost violates the deadline, unless it was counted as overdue before.
+fn check_in_time(request: &PendingRequest, now: Micros) -> GuardResult {
+    if request.is_lost_at(now) && !request.was_overdue() { Err(Violation::AnsweredLate) } else { Ok(()) }
 }
--- a/crates/proxy-core/src/guard/request.rs
+++ b/crates/proxy-core/src/guard/request.rs
@@ -1,88 +1,94 @@
-//! What the guard keeps of one request.
+//! What the guard tracks of one request.
 
 use super::violation::Violation;
 use cottonnotch_decision::{Idempotency, Micros, Outcome, ServerId, ZoneId};
 
-/// Up to so long after its deadline an answer only earns nothing; after that the request is lost (standing test).
+/// Up to so long after its deadline an answer only earns nothing; after that the request is lost. The platform's standing
+/// test has the same bound, in microseconds.
 pub(super) const LOST_AFTER: Micros = 500_000;
 
 /// A server's zone and cell.
-pub(super) type Spot = (ZoneId, u32);
+pub(super) type Locality = (ZoneId, u32);
 
-/// What its class allows.
+/// What a request's class allows.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ClassRules {
+    /// What a retry of it may do.
     pub idempotency: Idempotency,
+    /// Most attempts.
     pub attempts: u32,
 }
 
-/// An attempt that is out.
+/// An attempt that has been sent and has not ended.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct AttemptOut {
+pub(super) struct PendingAttempt {
     pub server: ServerId,
-    pub spot: Spot,
+    pub locality: Locality,
     pub sent: Micros,
 }
 
-/// One request that is owed an answer.
+/// A request that awaits its final answer.
 #[derive(Clone, Debug)]
-pub(super) struct Tracked {
+pub(super) struct PendingRequest {
     pub class: usize,
+    /// Attempts sent so far.
     pub attempts: u32,
-    pub out: Option<AttemptOut>,
+    /// The attempt that is under way.
+    pub attempt: Option<PendingAttempt>,
     deadline: Option<Micros>,
-    /// The first attempt that may have run: where, and when it was sent.
-    may_have_run: Option<(Spot, Micros)>,
-    /// That no answer came in time was counted.
+    /// The first attempt that may have run: its locality, and when it was sent.
+    may_have_run: Option<(Locality, Micros)>,
+    /// The violation that no answer came in time has been counted.
     overdue: bool,
 }
 
-impl Tracked {
+impl PendingRequest {
+    /// A request of this class that no attempt was sent for yet.
     pub fn new(class: usize, deadline: Option<Micros>) -> Self {
-        Tracked { class, attempts: 0, out: None, deadline, may_have_run: None, overdue: false }
+        PendingRequest { class, attempts: 0, attempt: None, deadline, may_have_run: None, overdue: false }
     }
 
-    /// Whether an attempt may be sent to a server there now, as far as earlier ones tell.
-    pub fn check_repeat(&self, rules: ClassRules, spot: Spot, now: Micros) -> Result<(), Violation> {
-        let Some((first_spot, first_sent)) = self.may_have_run else { return Ok(()) };
+    /// Whether an attempt may be sent to a server there now, as far as earlier attempts allow.
+    pub fn check_retry(&self, rules: ClassRules, locality: Locality, now: Micros) -> Result<(), Violation> {
+        let Some((first_locality, first_sent)) = self.may_have_run else { return Ok(()) };
         match rules.idempotency {
             Idempotency::Idempotent => Ok(()),
-            Idempotency::NotIdempotent => Err(Violation::RepeatedUnsafe),
-            Idempotency::Keyed { scope, .. } if scope.separates(first_spot, spot) => {
-                Err(Violation::RepeatedElsewhere)
+            Idempotency::NotIdempotent => Err(Violation::RetriedNotIdempotent),
+            Idempotency::Keyed { scope, .. } if scope.separates(first_locality, locality) => {
+                Err(Violation::RetriedOutsideScope)
             }
             Idempotency::Keyed { window, .. } if now >= first_sent.saturating_add(window) => {
-                Err(Violation::RepeatedLate)
+                Err(Violation::RetriedAfterWindow)
             }
             Idempotency::Keyed { .. } => Ok(()),
         }
     }
 
-    /// Whether a refusal may be said now.
-    pub fn check_refusal(&self, rules: ClassRules) -> Result<(), Violation> {
+    /// Whether the request may be rejected now, which invites the client to retry.
+    pub fn check_rejection(&self, rules: ClassRules) -> Result<(), Violation> {
         let allowed = self.may_have_run.is_none() || rules.idempotency.may_reject();
-        allowed.then_some(()).ok_or(Violation::RefusedAfterEffect)
+        allowed.then_some(()).ok_or(Violation::RejectedAfterEffect)
     }
 
-    /// An attempt has ended.
-    pub fn ended(&mut self, outcome: Outcome) {
-        let Some(out) = self.out.take() else { return };
+    /// The attempt under way has ended.
+    pub fn attempt_ended(&mut self, outcome: Outcome) {
+        let Some(attempt) = self.attempt.take() else { return };
         if !outcome.never_ran() {
-            self.may_have_run.get_or_insert((out.spot, out.sent));
+            self.may_have_run.get_or_insert((attempt.locality, attempt.sent));
         }
     }
 
-    /// An answer at that time is too late to count.
+    /// Whether an answer at that time is too late to count.
     pub fn is_lost_at(&self, now: Micros) -> bool {
         self.deadline.is_some_and(|deadline| now > deadline.saturating_add(LOST_AFTER))
     }
 
-    /// It is overdue; true once.
+    /// Whether the request is overdue; true once.
     pub fn newly_overdue(&mut self, now: Micros) -> bool {
         self.is_lost_at(now) && !std::mem::replace(&mut self.overdue, true)
     }
 
-    /// That no answer came in time was counted already.
+    /// Whether [`Self::newly_overdue`] was true before.
     pub fn was_overdue(&self) -> bool {
         self.overdue
     }
--- a/crates/proxy-core/src/guard/violation.rs
+++ b/crates/proxy-core/src/guard/violation.rs
@@ -1,80 +1,81 @@
-//! The kinds of broken rule, and how often each was seen.
+//! The kinds of violation, and how often each was seen.
 
-/// A rule that was broken, or would have been had the step been taken.
+/// A rule that was violated, or would have been had the step been taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Violation {
-    /// Sending: an attempt for a request that is not owed an answer.
-    SentUnowed,
-    /// Sending: an attempt while another one of the same request is out.
-    SecondAttemptOut,
+    /// Sending: an attempt for a request that awaits no answer.
+    AttemptWithoutRequest,
+    /// Sending: an attempt while another one of the same request is under way.
+    ConcurrentAttempt,
     /// Sending: more attempts than the class allows.
     TooManyAttempts,
-    /// Sending: to a server that drains or is gone.
-    SentToStopped,
-    /// Repeating: an unsafe request that may have run.
-    RepeatedUnsafe,
-    /// Repeating: a keyed request at a server that doesn't drop its repeats.
-    RepeatedElsewhere,
-    /// Repeating: a keyed request after its window.
-    RepeatedLate,
-    /// Repeating: a refusal, which invites a repeat, of what may have run and must not be repeated everywhere.
-    RefusedAfterEffect,
+    /// Sending: to a server that is draining or removed.
+    AttemptToStoppedServer,
+    /// Retrying: a request that is not idempotent and may have run.
+    RetriedNotIdempotent,
+    /// Retrying: a request with an idempotency key at a server that doesn't know the key.
+    RetriedOutsideScope,
+    /// Retrying: a request with an idempotency key after the key's window.
+    RetriedAfterWindow,
+    /// Retrying: a rejection, which invites a retry, of what may have run and must not be retried everywhere.
+    RejectedAfterEffect,
     /// Closing: a second final answer, or one to nobody.
-    AnsweredUnowed,
-    /// Closing: a final answer while an attempt is out.
-    AnsweredWhileOut,
+    AnswerWithoutRequest,
+    /// Closing: a final answer while an attempt is under way.
+    AnsweredDuringAttempt,
     /// Closing: a final answer so late that the request counts as lost.
     AnsweredLate,
     /// Closing: no final answer in its time, or none before the end of the process.
     Unanswered,
-    /// Closing: a connection ended as if it had been up.
-    ClosedUnserved,
-    /// Starting: a cold server got more from this proxy than all proxies together may send it.
-    ColdOverBudget,
+    /// Closing: a connection ended as if it had been established.
+    ClosedNotEstablished,
+    /// Starting: a server in slow start got more from this proxy than all proxies together may send it.
+    SlowStartOverBudget,
 }
 
 impl Violation {
     /// All kinds, in the order in which they are declared.
     pub const ALL: [Violation; 14] = [
-        Violation::SentUnowed,
-        Violation::SecondAttemptOut,
+        Violation::AttemptWithoutRequest,
+        Violation::ConcurrentAttempt,
         Violation::TooManyAttempts,
-        Violation::SentToStopped,
-        Violation::RepeatedUnsafe,
-        Violation::RepeatedElsewhere,
-        Violation::RepeatedLate,
-        Violation::RefusedAfterEffect,
-        Violation::AnsweredUnowed,
-        Violation::AnsweredWhileOut,
+        Violation::AttemptToStoppedServer,
+        Violation::RetriedNotIdempotent,
+        Violation::RetriedOutsideScope,
+        Violation::RetriedAfterWindow,
+        Violation::RejectedAfterEffect,
+        Violation::AnswerWithoutRequest,
+        Violation::AnsweredDuringAttempt,
         Violation::AnsweredLate,
         Violation::Unanswered,
-        Violation::ClosedUnserved,
-        Violation::ColdOverBudget,
+        Violation::ClosedNotEstablished,
+        Violation::SlowStartOverBudget,
     ];
 
-    /// Its name in figures and logs.
+    /// Its name in metrics and logs. Dashboards refer to it, so it stays when a variant is renamed.
     pub fn name(self) -> &'static str {
         match self {
-            Violation::SentUnowed => "sent_unowed",
-            Violation::SecondAttemptOut => "second_attempt_out",
+            Violation::AttemptWithoutRequest => "sent_unowed",
+            Violation::ConcurrentAttempt => "second_attempt_out",
             Violation::TooManyAttempts => "too_many_attempts",
-            Violation::SentToStopped => "sent_to_stopped",
-            Violation::RepeatedUnsafe => "repeated_unsafe",
-            Violation::RepeatedElsewhere => "repeated_elsewhere",
-            Violation::RepeatedLate => "repeated_late",
-            Violation::RefusedAfterEffect => "refused_after_effect",
-            Violation::AnsweredUnowed => "answered_unowed",
-            Violation::AnsweredWhileOut => "answered_while_out",
+            Violation::AttemptToStoppedServer => "sent_to_stopped",
+            Violation::RetriedNotIdempotent => "repeated_unsafe",
+            Violation::RetriedOutsideScope => "repeated_elsewhere",
+            Violation::RetriedAfterWindow => "repeated_late",
+            Violation::RejectedAfterEffect => "refused_after_effect",
+            Violation::AnswerWithoutRequest => "answered_unowed",
+            Violation::AnsweredDuringAttempt => "answered_while_out",
             Violation::AnsweredLate => "answered_late",
             Violation::Unanswered => "unanswered",
-            Violation::ClosedUnserved => "closed_unserved",
-            Violation::ColdOverBudget => "cold_over_budget",
+            Violation::ClosedNotEstablished => "closed_unserved",
+            Violation::SlowStartOverBudget => "cold_over_budget",
         }
     }
 
-    /// A process that is stopped or starved from outside can come to break it without a fault of its own: counted, never asserted.
-    pub fn may_come_from_outside(self) -> bool {
-        matches!(self, Violation::AnsweredLate | Violation::Unanswered | Violation::ColdOverBudget)
+    /// Whether a process that is stopped or starved from outside can violate it without a fault of its own: such a violation
+    /// is counted, never asserted.
+    pub fn may_have_external_cause(self) -> bool {
+        matches!(self, Violation::AnsweredLate | Violation::Unanswered | Violation::SlowStartOverBudget)
     }
 
     fn index(self) -> usize {
@@ -97,7 +98,7 @@
     }
 
     /// Each kind with its count.
-    pub fn all(&self) -> impl Iterator<Item = (Violation, u64)> {
+    pub fn iter(&self) -> impl Iterator<Item = (Violation, u64)> {
         Violation::ALL.into_iter().map(|violation| (violation, self.of(violation)))
     }
 }
--- a/crates/proxy-core/src/interface.rs
+++ b/crates/proxy-core/src/interface.rs
@@ -1,4 +1,5 @@
-//! What the members of the peer protocols share: inputs, outputs, and the surroundings in which outputs are carried out.
+//! What the peer protocols share: the inputs and outputs of [`crate::Peers`], and the environment in which a protocol member's
+//! outputs are executed.
 
 use crate::member_driver::{MemberDriver, SansIoMember};
 use crate::message_latency::MessageLatencies;
@@ -8,7 +9,7 @@
 use std::convert::Infallible;
 use std::net::SocketAddr;
 
-/// The render nodes, as the embedder numbers them: from 0, and no number is given anew.
+/// The render nodes, as the embedder numbers them: from 0, and no number is reused.
 pub trait Servers {
     /// How many have been named so far.
     fn count(&self) -> usize;
@@ -16,25 +17,25 @@
     /// A node's name.
     fn name(&self, server: ServerId) -> &str;
 
-    /// When its process last started; `None`: long ago.
+    /// When its process last started, by this process's clock; `None`: long ago.
     fn started(&self, server: ServerId) -> Option<Micros>;
 }
 
-/// What this proxy has at the moment.
+/// This proxy's own state, which it reports to the others.
 pub struct LocalState<'a> {
-    /// What stands where; what is told of the other proxies goes here too.
-    pub delays: &'a mut MessageLatencies,
+    /// Its connections and their loads; what the others report is put here too.
+    pub latencies: &'a mut MessageLatencies,
     /// The render nodes.
     pub servers: &'a dyn Servers,
-    /// The module's settings.
+    /// The decision module's settings.
     pub settings: &'a Settings,
-    /// Requests that are owed an answer or served.
-    pub rpcs: usize,
-    /// What the wall clock shows, in Unix time.
+    /// Requests that are pending or served.
+    pub requests: usize,
+    /// What the wall clock shows, Unix time in microseconds.
     pub unix: Micros,
 }
 
-/// Whose address is whose.
+/// The members' addresses, by their ordinals.
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     peers: Vec<SocketAddr>,
@@ -49,7 +50,7 @@
         Roster { peers: peers.to_vec(), all, ordinals }
     }
 
-    /// How many there are.
+    /// How many members there are.
     pub fn members(&self) -> usize {
         self.peers.len()
     }
@@ -66,96 +67,101 @@
     }
 }
 
-/// What happened.
+/// An input to [`crate::Peers`].
 #[derive(Clone, Debug)]
 pub enum Input<'a> {
-    /// A second has passed.
-    Second,
-    /// A datagram came in.
+    /// A second has passed: local state is read anew.
+    EverySecond,
+    /// A datagram arrived.
     Datagram {
-        /// From there.
+        /// The sender's address.
         from: SocketAddr,
         /// Its bytes.
         bytes: &'a [u8],
     },
     /// Keys may have changed.
     Keys(Keys),
-    /// The proxy leaves, its clients have been moved: the others count it no more.
+    /// The proxy shuts down and its clients have been moved: the others count it no more.
     Leave,
-    /// [`Peers::next_timeout`] may have come.
+    /// [`crate::Peers::next_timeout`] may have passed.
     Tick,
 }
 
-/// What is to be done, or to be known.
+/// An output of [`crate::Peers`]: an action, or news.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send this datagram; what can't be sent is lost.
+    /// Send this datagram; if that fails it is lost.
     Send {
-        /// There.
+        /// The receiver's address.
         to: SocketAddr,
-        /// These bytes, 256 at most.
+        /// The datagram, 256 bytes at most.
         bytes: Vec<u8>,
     },
-    /// The module is to hear this.
+    /// An event for the decision module.
     Event(Event),
-    /// What another proxy is believed to be has changed.
+    /// The believed state of another proxy has changed.
     Member {
-        /// Which.
+        /// The proxy's ordinal.
         ordinal: u32,
-        /// To this.
+        /// Its state from now on.
         state: State,
-        /// Which of its lives.
-        life: u64,
+        /// Its incarnation.
+        incarnation: u64,
     },
-    /// Another proxy keeps the fleet's view, as far as this one knows; `None`: none answers.
-    Keeper(Option<u32>),
+    /// Another proxy is the aggregator, as far as this one knows; `None`: none answers.
+    Aggregator(Option<u32>),
 }
 
-/// What is around a member while its outputs are carried out.
-pub(crate) struct Around<'a, 'b> {
+/// The environment in which a member's outputs are executed.
+pub(crate) struct Environment<'a, 'b> {
     pub local: &'a mut LocalState<'b>,
     pub roster: &'a Roster,
-    pub out: &'a mut VecDeque<Output>,
+    pub outputs: &'a mut VecDeque<Output>,
 }
 
-impl Around<'_, '_> {
+impl Environment<'_, '_> {
+    /// Queues a datagram. One to an ordinal that the roster doesn't have is dropped.
     pub fn send(&mut self, to: To, bytes: Vec<u8>) {
         if let Some(to) = self.roster.address(to) {
-            self.out.push_back(Output::Send { to, bytes });
+            self.outputs.push_back(Output::Send { to, bytes });
         }
     }
 
-    pub fn tell(&mut self, event: Event) {
-        self.out.push_back(Output::Event(event));
+    /// Queues an event for the decision module.
+    pub fn notify(&mut self, event: Event) {
+        self.outputs.push_back(Output::Event(event));
     }
 }
 
-/// A member whose outputs are being carried out.
-pub(crate) struct Carrying<'a, M, A> {
-    pub member: &'a mut M,
-    pub around: &'a mut A,
-}
-
-/// What translates for one kind of member.
-pub(crate) trait Translator {
+/// A member of one protocol, whose outputs become those of [`crate::Peers`].
+pub(crate) trait ProtocolMember {
+    /// The protocol's sans-io member.
     type Member: SansIoMember;
 
-    fn driven(&mut self) -> &mut Self::Member;
+    /// The sans-io member.
+    fn member(&mut self) -> &mut Self::Member;
 
+    /// Executes one output of the sans-io member.
     fn translate(
         &mut self,
         now: Micros,
         output: <Self::Member as SansIoMember>::Output,
-        around: &mut Around<'_, '_>,
+        environment: &mut Environment<'_, '_>,
     );
 }
 
-impl<M: Translator> MemberDriver for Carrying<'_, M, Around<'_, '_>> {
+/// Drives a protocol member in an environment.
+pub(crate) struct ProtocolDriver<'a, M, E> {
+    pub member: &'a mut M,
+    pub environment: &'a mut E,
+}
+
+impl<M: ProtocolMember> MemberDriver for ProtocolDriver<'_, M, Environment<'_, '_>> {
     type Member = M::Member;
     type Error = Infallible;
 
     fn member(&mut self) -> &mut M::Member {
-        self.member.driven()
+        self.member.member()
     }
 
     fn execute(
@@ -163,7 +169,7 @@
         now: Micros,
         output: <M::Member as SansIoMember>::Output,
     ) -> Result<(), Infallible> {
-        self.member.translate(now, output, self.around);
+        self.member.translate(now, output, self.environment);
         Ok(())
     }
 }
--- a/crates/proxy-core/src/load_lines_tests.rs
+++ b/crates/proxy-core/src/load_lines_tests.rs
@@ -11,17 +11,17 @@
 /// Found on zone+vast, seed 9: 1,230 ms at a node came as `LOAD 1230` and was taken for a load of next to nothing, so that
 /// the fullest node looked the emptiest.
 #[test]
-fn what_comes_in_step_is_a_delay_whichever_connection_it_comes_on() {
+fn periodic_figures_are_latencies_on_any_connection() {
     let mut lines = LoadLines::default();
     assert_eq!(classify(&mut lines, 23 * MS, 1, 41_000.0), LoadLine::Load(41_000.0));
     assert_eq!(classify(&mut lines, 523 * MS, 1, 46.0), LoadLine::Undecided, "it may be a small load");
-    assert_eq!(classify(&mut lines, 1_525 * MS, 2, 475.0), LoadLine::Delay(475 * MS));
+    assert_eq!(classify(&mut lines, 1_525 * MS, 2, 475.0), LoadLine::Latency(475 * MS));
     assert_eq!(classify(&mut lines, 1_900 * MS, 2, 475.0), LoadLine::Undecided, "out of step");
-    // Back after a time without: the moment is known.
-    assert_eq!(classify(&mut lines, 9_521 * MS, 1, 31.0), LoadLine::Delay(31 * MS));
+    // Back after a time without: the phase is known.
+    assert_eq!(classify(&mut lines, 9_521 * MS, 1, 31.0), LoadLine::Latency(31 * MS));
     assert_eq!(
         classify(&mut lines, 10_522 * MS, 1, 12.0),
-        LoadLine::Delay(12 * MS),
+        LoadLine::Latency(12 * MS),
         "once more when it is back under"
     );
     assert_eq!(lines.settle(10_600 * MS), [(RequestId(2), 475.0)], "what nothing followed was a load");
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_new_life_of_the_process_has_another_moment() {
+fn a_restarted_process_has_another_phase() {
     let mut lines = LoadLines::default();
     for at in [100, 1_100, 2_100] {
         classify(&mut lines, at * MS, 1, 80.0);
@@ -39,43 +39,43 @@
 }
 
 #[test]
-fn a_flood_of_small_loads_is_bounded() {
+fn undecided_lines_are_bounded() {
     let mut lines = LoadLines::default();
     for n in 0..10_000 {
         classify(&mut lines, n * 20, n as u64, 50.0);
     }
-    assert!(lines.nodes[&NODE].undecided.len() <= MOST_UNDECIDED);
+    assert!(lines.nodes[&NODE].undecided.len() <= MAX_UNDECIDED);
 }
 
 proptest! {
-    // Loads that change at random moments, delays in step between them: nearly each is taken for what it is.
+    // Loads that change at random moments, periodic latencies between them: nearly each is classified right.
     #[test]
-    fn loads_and_delays_are_told_apart(
+    fn separates_loads_from_latencies(
         loads in prop::collection::vec((0..20_000_i64, 400.0..60_000.0_f64), 0..40),
-        moment in 0..1_000_i64,
-        delays in prop::collection::vec(prop::option::weighted(0.7, 20.0..1_500.0_f64), 20),
+        phase in 0..1_000_i64,
+        latencies in prop::collection::vec(prop::option::weighted(0.7, 20.0..1_500.0_f64), 20),
     ) {
         let mut all: Vec<(Micros, bool, f64)> = loads.iter().map(|(at, load)| (at * MS, false, *load)).collect();
-        let noted = delays.iter().enumerate().filter_map(|(s, d)| Some(((s as i64 * 1_000 + moment) * MS, true, (*d)?)));
-        all.extend(noted);
+        let advertised = latencies.iter().enumerate().filter_map(|(s, d)| Some(((s as i64 * 1_000 + phase) * MS, true, (*d)?)));
+        all.extend(advertised);
         all.sort_by_key(|(at, ..)| *at);
         let mut lines = LoadLines::default();
         let (mut wrong, mut small, mut missed) = (0, 0, 0);
-        let mut noted_at = Micros::MIN / 2;
-        for (at, delay, figure) in &all {
-            let told = lines.classify(*at, NODE, RequestId(1), *figure);
-            small += usize::from(!delay && *figure <= MOST_MS);
-            wrong += usize::from(matches!(told, LoadLine::Delay(_)) != *delay && !(*delay && told == LoadLine::Undecided));
-            prop_assert!(!*delay || !matches!(told, LoadLine::Load(_)), "{told:?}");
-            if *delay {
+        let mut latest = Micros::MIN / 2;
+        for (at, is_latency, figure) in &all {
+            let line = lines.classify(*at, NODE, RequestId(1), *figure);
+            small += usize::from(!is_latency && *figure <= MAX_LATENCY_MS);
+            wrong += usize::from(matches!(line, LoadLine::Latency(_)) != *is_latency && !(*is_latency && line == LoadLine::Undecided));
+            prop_assert!(!*is_latency || !matches!(line, LoadLine::Load(_)), "{line:?}");
+            if *is_latency {
                 // One that follows another after a second is known for what it is.
-                missed += usize::from(at - noted_at == STEP && told == LoadLine::Undecided);
-                noted_at = *at;
+                missed += usize::from(at - latest == PERIOD && line == LoadLine::Undecided);
+                latest = *at;
             }
         }
-        // Two small loads a second apart move the moment, and the next note is missed.
+        // Two small loads a second apart move the phase, and the next latency is missed.
         prop_assert!(missed <= small / 2, "{missed} missed among {small} small loads");
-        // One in 33 small loads is in step by chance; the first may be taken for the beat until the next.
+        // One in 33 small loads is in phase by chance; the first may be taken for a latency until the next.
         prop_assert!(wrong <= 3 + small / 3, "{wrong} of {}", all.len());
     }
 }
--- a/crates/proxy-core/src/member_driver.rs
+++ b/crates/proxy-core/src/member_driver.rs
@@ -1,35 +1,36 @@
-//! How a sans-io member is driven.
+//! How a sans-io member is driven: inputs go in with their time, outputs are executed in their order.
 
 use cottonnotch_decision::Micros;
 
-/// A sans-io member: inputs with their time go in, then outputs come out until there is none.
+/// A sans-io member: an input with its time, then outputs until there is none.
 pub trait SansIoMember {
     /// What happened.
     type Input<'a>;
-    /// What is to be done, or to be known.
+    /// An action to take, or news.
     type Output;
 
-    /// The input that says that [`SansIoMember::next_timeout`] has come.
+    /// The input for a timeout that has passed.
     fn tick() -> Self::Input<'static>;
 
-    /// Takes an input.
+    /// Handles an input at that time, in microseconds.
     fn handle(&mut self, now: Micros, input: Self::Input<'_>);
 
-    /// The next thing to do, if any.
+    /// The next output, if any.
     fn poll(&mut self) -> Option<Self::Output>;
 
-    /// When [`SansIoMember::time`] is due, unless another input comes first.
+    /// When [`SansIoMember::tick`] is due, unless another input comes first.
     fn next_timeout(&self) -> Micros;
 }
 
-macro_rules! driven {
-    ($member:ty, $input:ty, $time:expr, $output:ty) => {
+/// Implements [`SansIoMember`] by the inherent methods of the same names.
+macro_rules! impl_sans_io_member {
+    ($member:ty, $input:ty, $tick:expr, $output:ty) => {
         impl SansIoMember for $member {
             type Input<'a> = $input;
             type Output = $output;
 
             fn tick() -> Self::Input<'static> {
-                $time
+                $tick
             }
 
             fn handle(&mut self, now: Micros, input: Self::Input<'_>) {
@@ -47,43 +48,43 @@
     };
 }
 
-driven!(
+impl_sans_io_member!(
     cottonnotch_consensus::Member,
     cottonnotch_consensus::Input,
     cottonnotch_consensus::Input::Tick,
     cottonnotch_consensus::Output
 );
-driven!(
+impl_sans_io_member!(
     cottonnotch_aggregation::Member,
     cottonnotch_aggregation::Input<'a>,
     cottonnotch_aggregation::Input::Tick,
     cottonnotch_aggregation::Output
 );
-driven!(
+impl_sans_io_member!(
     cottonnotch_gossip::Gossip,
     cottonnotch_gossip::Input<'a>,
     cottonnotch_gossip::Input::Tick,
     cottonnotch_gossip::Output
 );
 
-/// Who has a member, and carries out what it asks for.
+/// Owns a member and executes its outputs.
 pub trait MemberDriver {
     /// The member.
     type Member: SansIoMember;
-    /// Why an output can't be carried out; what is left of them is not.
+    /// Why an output can't be executed; the outputs after it are not.
     type Error;
 
     /// Its member.
     fn member(&mut self) -> &mut Self::Member;
 
-    /// Carries out one output; they come in their order.
+    /// Executes one output; they come in their order.
     fn execute(
         &mut self,
         now: Micros,
         output: <Self::Member as SansIoMember>::Output,
     ) -> Result<(), Self::Error>;
 
-    /// Hands the member an input, and carries out all that comes of it.
+    /// Hands the member an input, and executes all outputs.
     fn handle_input(
         &mut self,
         now: Micros,
@@ -96,7 +97,7 @@
         Ok(())
     }
 
-    /// Tells the member that its time has come, if it has.
+    /// Hands the member its timeout, if that has passed.
     fn handle_timeout(&mut self, now: Micros) -> Result<(), Self::Error> {
         if self.member().next_timeout() <= now {
             self.handle_input(now, Self::Member::tick())?;
@@ -105,24 +106,24 @@
     }
 }
 
-/// One timer of an embedder that can't take timers back: it may ring early, and never late.
+/// The timer of an embedder that can't cancel timers: it may fire early, and never late.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WakeUpTimer {
-    armed: Option<Micros>,
+    due: Option<Micros>,
 }
 
 impl WakeUpTimer {
-    /// It rings.
+    /// The timer has fired.
     pub fn fired(&mut self) {
-        self.armed = None;
+        self.due = None;
     }
 
-    /// After how long a timer is to ring, if another one is needed for what is due then.
+    /// After how long a timer has to fire for what is due then, in microseconds; `None`: one that is set already suffices.
     pub fn arm(&mut self, now: Micros, due: Micros) -> Option<Micros> {
-        if due == Micros::MAX || self.armed.is_some_and(|armed| armed <= due) {
+        if due == Micros::MAX || self.due.is_some_and(|armed| armed <= due) {
             return None;
         }
-        self.armed = Some(due);
+        self.due = Some(due);
         Some((due - now).max(0))
     }
 }
--- a/crates/proxy-core/src/message_latency_tests.rs
+++ b/crates/proxy-core/src/message_latency_tests.rs
@@ -5,53 +5,65 @@
 const OURS: ServerId = ServerId(1);
 const OTHERS: ServerId = ServerId(2);
 
-/// The keeper says that both subchannels are full; we have a connection at one of them, since the time 0.
-fn full_by_the_keeper() -> MessageLatencies {
-    let mut delays = MessageLatencies::new(100, Some(60 * MS), true);
+fn settings() -> LatencySettings {
+    LatencySettings { proxies: 100, objective: Some(60 * MS), sizes_are_listed: true }
+}
+
+/// The aggregator reports both render nodes as full; this proxy has a connection at one of them, since the time 0.
+fn reported_full() -> MessageLatencies {
+    let mut latencies = MessageLatencies::new(settings());
     for server in [OURS, OTHERS] {
-        delays.listed(server, 2.0, false);
+        latencies.endpoint_listed(server, 2.0);
     }
-    delays.connection_opened(0, RequestId(1), OURS, None, None);
-    let used = BTreeMap::from([(OURS, 2.0), (OTHERS, 2.0)]);
-    delays.fleet = Some(FleetUtilisation::new(0, 20 * S, 40_000.0, used));
-    delays
+    latencies.connection_opened(0, RequestId(1), OURS, None, None);
+    let ratios = BTreeMap::from([(OURS, 2.0), (OTHERS, 2.0)]);
+    latencies.fleet = Some(FleetUtilisation::new(0, 20 * S, 40_000.0, ratios));
+    latencies
 }
 
-fn noted(delays: &mut MessageLatencies, now: Micros) -> Vec<ServerId> {
-    let over = |note: &LatencyReport| note.delay > 20 * MS;
-    delays.due_reports(now).iter().filter(|note| over(note)).map(|note| note.server).collect()
+/// Render nodes that are reported over the threshold.
+fn reported_over(latencies: &mut MessageLatencies, now: Micros) -> Vec<ServerId> {
+    let is_over = |report: &LatencyReport| report.latency > 20 * MS;
+    latencies.due_reports(now).iter().filter(|report| is_over(report)).map(|report| report.server).collect()
 }
 
 #[test]
-fn where_none_tells_a_delay_the_estimate_counts_for_all() {
-    let mut delays = full_by_the_keeper();
-    assert_eq!(noted(&mut delays, 3 * S), [OURS, OTHERS]);
+fn estimates_count_where_no_node_advertises() {
+    let mut latencies = reported_full();
+    assert_eq!(reported_over(&mut latencies, 3 * S), [OURS, OTHERS]);
 }
 
-/// Found on the vast days: estimates kept clients off nodes that told this proxy nothing, having no delay to tell.
+/// Found on the vast days: estimates kept clients off nodes that advertised nothing to this proxy, having no latency to
+/// advertise.
 #[test]
-fn one_that_could_tell_us_and_does_not_has_no_delay() {
-    let mut delays = full_by_the_keeper();
-    delays.latency_advertised(3 * S, OTHERS, 90 * MS);
-    assert_eq!(noted(&mut delays, 5 * S), [OTHERS], "silent to our connection; the other one's note is old");
-    delays.connection_closed(RequestId(1));
-    assert_eq!(noted(&mut delays, 6 * S), [OURS, OTHERS], "nobody there is ours, who could be told");
-    delays.connection_opened(7 * S, RequestId(2), OURS, None, None);
-    assert_eq!(noted(&mut delays, 8 * S), [OURS, OTHERS], "too new to have been told");
+fn a_node_silent_to_a_connection_has_no_latency() {
+    let mut latencies = reported_full();
+    latencies.latency_advertised(3 * S, OTHERS, 90 * MS);
+    assert_eq!(
+        reported_over(&mut latencies, 5 * S),
+        [OTHERS],
+        "silent to our connection; the other one's report is old"
+    );
+    latencies.connection_closed(RequestId(1));
+    assert_eq!(reported_over(&mut latencies, 6 * S), [OURS, OTHERS], "no connection there to advertise on");
+    latencies.connection_opened(7 * S, RequestId(2), OURS, None, None);
+    assert_eq!(reported_over(&mut latencies, 8 * S), [OURS, OTHERS], "too new to have got one");
 }
 
 #[test]
-fn what_is_told_is_noted_at_once_and_once() {
-    let mut delays = full_by_the_keeper();
+fn advertised_latency_is_reported_at_once_and_once() {
+    let mut latencies = reported_full();
     assert_eq!(
-        delays.latency_advertised(3 * S, OURS, 300 * MS),
-        Some(LatencyReport { server: OURS, delay: 300 * MS })
+        latencies.latency_advertised(3 * S, OURS, 300 * MS),
+        Some(LatencyReport { server: OURS, latency: 300 * MS })
     );
-    let tick: Vec<ServerId> = delays.due_reports(3 * S + S / 2).iter().map(|note| note.server).collect();
-    assert_eq!(tick, [OTHERS], "not a second time with the tick, nor as back under");
-    assert_eq!(delays.latency_advertised(4 * S, ServerId(9), 300 * MS), None, "never listed");
-    // A new life of the process is not judged by what the old one told.
-    delays.listed(OURS, 2.0, true);
-    delays.connection_closed(RequestId(1));
-    assert_eq!(noted(&mut delays, 4 * S), [OURS, OTHERS]);
+    let due: Vec<ServerId> =
+        latencies.due_reports(3 * S + S / 2).iter().map(|report| report.server).collect();
+    assert_eq!(due, [OTHERS], "not a second time with the tick, nor as back under");
+    assert_eq!(latencies.latency_advertised(4 * S, ServerId(9), 300 * MS), None, "never listed");
+    // A restarted process is not judged by what the old one advertised.
+    latencies.endpoint_listed(OURS, 2.0);
+    latencies.process_restarted(OURS);
+    latencies.connection_closed(RequestId(1));
+    assert_eq!(reported_over(&mut latencies, 4 * S), [OURS, OTHERS]);
 }
--- a/crates/proxy-core/src/observations.rs
+++ b/crates/proxy-core/src/observations.rs
@@ -1,13 +1,13 @@
-//! What an event shows of a render node, and what the evidence of a peer says of one.
+//! What a decision event shows of an endpoint's health, and the verdict that a peer's evidence amounts to.
 
 use cottonnotch_decision::{Event, Outcome, PeerVerdict, ServerId};
 use cottonnotch_gossip::{Evidence, Observation};
 
-/// Peers' words are as old as they say; older ones are no evidence.
-const MOST_AGE_TENTHS: u8 = 30;
+/// Older evidence doesn't count, in tenths of a second; a peer's evidence is as old as it says.
+const MAX_AGE_TENTHS: u8 = 30;
 
-/// What an event shows of a subchannel, if anything.
-pub(crate) fn shown(event: &Event) -> Option<(ServerId, Observation)> {
+/// What an event shows of an endpoint's health, if anything.
+pub(crate) fn observation(event: &Event) -> Option<(ServerId, Observation)> {
     let (server, outcome) = match event {
         Event::Established { server, .. } => (*server, Outcome::Served),
         Event::Ended { server, outcome, last, .. } if !last || *outcome == Outcome::Reset => {
@@ -15,7 +15,7 @@
         }
         _ => return None,
     };
-    let met = match outcome {
+    let observation = match outcome {
         Outcome::Full => Observation::Full,
         Outcome::ConnectFailed => Observation::Failed,
         Outcome::TimedOut | Outcome::Error => Observation::TimedOut,
@@ -23,14 +23,14 @@
         Outcome::Served => Observation::Served,
         Outcome::Cancelled | Outcome::NotSent => return None,
     };
-    Some((server, met))
+    Some((server, observation))
 }
 
-/// What a peer's evidence says. That a render node is full shows nothing of its health, and who was refused tells the
-/// others nothing that they would not be told at once.
-pub(crate) fn word(evidence: &Evidence) -> PeerVerdict {
-    let unwell = u32::from(evidence.failed) + u32::from(evidence.timed_out) + u32::from(evidence.silent);
-    match (evidence.age_tenths <= MOST_AGE_TENTHS, unwell, evidence.served) {
+/// The verdict of a peer's evidence. That a render node is full shows nothing of its health, and a client that was rejected
+/// shows the others nothing that they would not be told at once.
+pub(crate) fn verdict(evidence: &Evidence) -> PeerVerdict {
+    let failures = u32::from(evidence.failed) + u32::from(evidence.timed_out) + u32::from(evidence.silent);
+    match (evidence.age_tenths <= MAX_AGE_TENTHS, failures, evidence.served) {
         (true, 1.., 0) => PeerVerdict::Unhealthy,
         (true, 0, 1..) => PeerVerdict::Healthy,
         _ => PeerVerdict::Inconclusive,
--- a/crates/proxy-core/src/observations_tests.rs
+++ b/crates/proxy-core/src/observations_tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
 #[test]
-fn words_need_one_kind_of_evidence_and_a_fresh_one() {
-    let sick = Evidence { failed: 2, age_tenths: 5, ..Evidence::default() };
-    assert_eq!(word(&sick), PeerVerdict::Unhealthy);
-    assert_eq!(word(&Evidence { served: 1, ..sick }), PeerVerdict::Inconclusive);
-    assert_eq!(word(&Evidence { age_tenths: 31, ..sick }), PeerVerdict::Inconclusive);
+fn verdict_needs_fresh_evidence_of_one_kind() {
+    let failing = Evidence { failed: 2, age_tenths: 5, ..Evidence::default() };
+    assert_eq!(verdict(&failing), PeerVerdict::Unhealthy);
+    assert_eq!(verdict(&Evidence { served: 1, ..failing }), PeerVerdict::Inconclusive);
+    assert_eq!(verdict(&Evidence { age_tenths: 31, ..failing }), PeerVerdict::Inconclusive);
     assert_eq!(
-        word(&Evidence { full: 9, ..Evidence::default() }),
+        verdict(&Evidence { full: 9, ..Evidence::default() }),
         PeerVerdict::Inconclusive,
-        "full is not sick"
+        "full is not failing"
     );
-    assert_eq!(word(&Evidence { served: 3, ..Evidence::default() }), PeerVerdict::Healthy);
-    assert_eq!(word(&Evidence::default()), PeerVerdict::Inconclusive);
+    assert_eq!(verdict(&Evidence { served: 3, ..Evidence::default() }), PeerVerdict::Healthy);
+    assert_eq!(verdict(&Evidence::default()), PeerVerdict::Inconclusive);
 }
--- a/crates/proxy-core/src/peer_loads.rs
+++ b/crates/proxy-core/src/peer_loads.rs
@@ -1,116 +1,134 @@
-//! What other proxies say that they have standing: their own sums for each subchannel, as long as these are fresh.
+//! The loads that other proxies report: their own sums for each render node, as long as these are fresh.
 //!
-//! A peer that was heard lately counts with what it said; one that is alive and was not heard counts with a guess, which
-//! leans on those that were heard; one that is gone counts for nothing. Freshness fades, so the guess comes back
-//! smoothly when words stop.
+//! A peer that reported lately counts with its report; one that is alive and has not reported counts with a guess, which
+//! leans on the reports of the others; one that has left counts for nothing. Freshness fades, so the guess comes back smoothly
+//! when reports stop. It grows with the peers' reports: for each peer the render nodes that it has connections to.
 
 use cottonnotch_decision::{Micros, ServerId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A peer's words count in full for this long: two and a half periods of a second ...
+/// A report counts in full for this long: two and a half periods of a second ...
 const FRESH: Micros = 2_500_000;
 /// ... and for nothing after this.
 const STALE: Micros = 6_000_000;
-/// The guess weighs as much as this many peers that were heard.
-const GUESS: f64 = 1.0;
+/// The guess weighs as much as this many peers that reported.
+const GUESS_WEIGHT: f64 = 1.0;
+/// Multiplier of Fibonacci hashing, 2^64 over the golden ratio: a group's key may be a counter, the product's highest
+/// bits are spread.
+const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
+/// The highest five bits choose one of 32.
+const BIT_SHIFT: u32 = u64::BITS - 5;
 
-/// What a peer has standing at a subchannel.
+/// A proxy's established connections to one render node, summed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EstablishedLoad {
-    /// Summed load, work in microseconds a second.
+    /// Load in microseconds of work a second.
     pub load: f64,
-    /// Which groups: one bit of 32 for each, joined.
+    /// The groups: one bit of 32 for each ([`group_bit`]), joined.
     pub groups: u32,
 }
 
-/// All that is known of the others at one subchannel.
+/// What is known of all other proxies' connections to one render node.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Others {
-    /// Their summed load.
+pub struct OtherProxies {
+    /// Their summed load, reported or guessed.
     pub load: f64,
-    /// Their groups, as far as told.
+    /// Their groups, as far as reported.
     pub groups: u32,
-    /// Part of it that was told and not guessed, 0 to 1.
-    pub told: f64,
+    /// The fraction of the load that was reported and not guessed, 0 to 1.
+    pub reported: f64,
 }
 
 #[derive(Debug, Default)]
 struct Peer {
-    heard: Option<Micros>,
-    standing: BTreeMap<u32, EstablishedLoad>,
+    reported_at: Option<Micros>,
+    /// By render node's number.
+    established: BTreeMap<u32, EstablishedLoad>,
 }
 
-/// The peers that are alive, as far as is known.
+impl Peer {
+    /// How far its reports count now: 1 while fresh, 0 once stale; `None`: it never reported.
+    fn freshness(&self, now: Micros) -> Option<f64> {
+        let age = now - self.reported_at?;
+        Some(((STALE - age) as f64 / (STALE - FRESH) as f64).clamp(0.0, 1.0))
+    }
+}
+
+/// The reports of the peers that are alive, as far as is known.
 #[derive(Debug, Default)]
 pub struct PeerLoads {
-    /// Other proxies that are there; `None`: nobody has told, so all that the settings count.
+    /// Other proxies that are alive; `None`: membership is unknown, so all that the settings count.
     alive: Option<BTreeSet<u32>>,
     peers: BTreeMap<u32, Peer>,
 }
 
-/// The one bit of 32 that stands for a group.
-pub fn sketch(group: u64) -> u32 {
-    // The key's own bits may be a counter's; the product's highest ones are not.
-    1 << (group.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 59)
+/// The bit of 32 that stands for a group.
+pub fn group_bit(group: u64) -> u32 {
+    1 << (group.wrapping_mul(GOLDEN_RATIO) >> BIT_SHIFT)
 }
 
-/// How many groups a joined sketch stands for (linear counting, Whang et al. 1990); at most some 110.
-pub fn groups_in(sketch: u32) -> f64 {
-    let empty = f64::from(sketch.count_zeros()).max(1.0);
+/// How many groups joined bits stand for (linear counting, Whang et al. 1990); at most some 110.
+pub fn group_count(bits: u32) -> f64 {
+    let empty = f64::from(bits.count_zeros()).max(1.0);
     -32.0 * (empty / 32.0).ln()
 }
 
 impl PeerLoads {
-    /// These others are there. Who is not among them has left with all that it had.
-    pub fn alive(&mut self, alive: BTreeSet<u32>) {
+    /// Sets which other proxies are alive. One that is not among them has left with all its load.
+    pub fn set_alive(&mut self, alive: BTreeSet<u32>) {
         self.peers.retain(|peer, _| alive.contains(peer));
         self.alive = Some(alive);
     }
 
-    /// A peer said what it has standing at a subchannel; nothing, and it has none there any more.
+    /// A peer reported its connections to a render node; `None`: it has none there any more.
     pub fn report_received(
         &mut self,
         now: Micros,
         from: u32,
         server: ServerId,
-        standing: Option<EstablishedLoad>,
+        established: Option<EstablishedLoad>,
     ) {
         let peer = self.peers.entry(from).or_default();
-        peer.heard = Some(now);
-        match standing {
-            Some(standing) => drop(peer.standing.insert(server.0, standing)),
-            None => drop(peer.standing.remove(&server.0)),
+        peer.reported_at = Some(now);
+        match established {
+            Some(established) => drop(peer.established.insert(server.0, established)),
+            None => drop(peer.established.remove(&server.0)),
         }
     }
 
-    /// How many others there are, of so many by the settings.
-    pub fn count(&self, settled: f64) -> f64 {
-        self.alive.as_ref().map_or(settled, |alive| alive.len() as f64)
+    /// How many other proxies there are, of so many by the settings.
+    pub fn count(&self, configured: f64) -> f64 {
+        self.alive.as_ref().map_or(configured, |alive| alive.len() as f64)
     }
 
-    /// What all others have at a subchannel, of whom there are so many by the settings; `guess` is what one of them is
-    /// thought to have.
-    pub fn others(&self, now: Micros, server: ServerId, settled: f64, guess: f64) -> Others {
-        let count = self.count(settled);
+    /// The connections of all other proxies to a render node. There are so many proxies by the settings; `guess` is the load
+    /// that one of them is thought to have there.
+    pub fn others(&self, now: Micros, server: ServerId, configured: f64, guess: f64) -> OtherProxies {
+        let count = self.count(configured);
         let (mut load, mut groups, mut heard) = (0.0, 0, 0.0);
         for peer in self.peers.values() {
-            let Some(age) = peer.heard.map(|at| now - at) else { continue };
-            let weight = ((STALE - age) as f64 / (STALE - FRESH) as f64).clamp(0.0, 1.0);
-            let standing = peer.standing.get(&server.0).copied().unwrap_or_default();
-            load += weight * standing.load;
+            let Some(weight) = peer.freshness(now) else { continue };
+            let established = peer.established.get(&server.0).copied().unwrap_or_default();
+            load += weight * established.load;
             heard += weight;
-            groups |= if weight > 0.0 { standing.groups } else { 0 };
+            groups |= if weight > 0.0 { established.groups } else { 0 };
         }
-        // More may have been heard than are alive for a moment, when one has just left.
+        // More may have reported than are alive for a moment, when one has just left.
         let heard = heard.min(count);
-        let unheard = (guess * GUESS + load) / (GUESS + heard);
-        let told = match () {
-            () if count > 0.0 => heard / count,
-            // Nobody else is there, as has been told; without gossip it is only the settings' word.
-            () if self.alive.is_some() => 1.0,
-            () => 0.0,
-        };
-        Others { load: load + (count - heard) * unheard, groups, told }
+        let unheard_load = (guess * GUESS_WEIGHT + load) / (GUESS_WEIGHT + heard);
+        let load = load + (count - heard) * unheard_load;
+        OtherProxies { load, groups, reported: self.reported_fraction(heard, count) }
+    }
+
+    fn reported_fraction(&self, heard: f64, count: f64) -> f64 {
+        if count > 0.0 {
+            heard / count
+        } else if self.alive.is_some() {
+            // Membership says that nobody else is there; without gossip only the settings do.
+            1.0
+        } else {
+            0.0
+        }
     }
 }
 
--- a/crates/proxy-core/src/peers.rs
+++ b/crates/proxy-core/src/peers.rs
@@ -1,83 +1,83 @@
-//! The other proxies of the tier: a small one gossips, a large one has a view of the fleet; this proxy is a member of one of the
-//! two. What it holds grows with the number of members and of render nodes, not with their product.
+//! The other proxies of the fleet: a small fleet gossips, a large one aggregates load reports; this proxy is a member of one of
+//! the two protocols. Its state grows with the number of members and of render nodes, not with their product.
 
-use crate::fleet::FleetMember;
-use crate::gossip::GossipMember;
-use crate::interface::{Around, Input, LocalState, Output, Roster};
+use crate::aggregation_member::AggregationMember;
+use crate::gossip_member::GossipMember;
+use crate::interface::{Environment, Input, LocalState, Output, Roster};
 use cottonnotch_decision::{Event, Micros};
 use cottonnotch_gossip::{Gossip, Strength};
 use std::collections::VecDeque;
 
-/// The tier, as this proxy takes part in it.
+/// This proxy's membership in the fleet.
 pub struct Peers {
-    way: Way,
+    protocol: Protocol,
     roster: Roster,
-    out: VecDeque<Output>,
+    outputs: VecDeque<Output>,
 }
 
-enum Way {
+enum Protocol {
     Gossip(Box<GossipMember>),
-    Fleet(Box<FleetMember>),
+    Aggregation(Box<AggregationMember>),
 }
 
 impl Peers {
-    /// One of a tier that gossips.
-    pub fn gossip(member: Gossip, strength: Strength, roster: Roster) -> Self {
-        Peers {
-            way: Way::Gossip(Box::new(GossipMember::new(member, strength))),
-            roster,
-            out: VecDeque::new(),
-        }
+    /// A member of a fleet that gossips.
+    pub fn with_gossip(member: Gossip, strength: Strength, roster: Roster) -> Self {
+        Self::new(Protocol::Gossip(Box::new(GossipMember::new(member, strength))), roster)
+    }
+
+    /// A member of a fleet that aggregates load reports.
+    pub fn with_aggregation(member: cottonnotch_aggregation::Member, roster: Roster) -> Self {
+        Self::new(Protocol::Aggregation(Box::new(AggregationMember::new(member))), roster)
     }
 
-    /// One of a tier that has a view of the fleet.
-    pub fn fleet(member: cottonnotch_aggregation::Member, roster: Roster) -> Self {
-        Peers { way: Way::Fleet(Box::new(FleetMember::new(member))), roster, out: VecDeque::new() }
+    fn new(protocol: Protocol, roster: Roster) -> Self {
+        Peers { protocol, roster, outputs: VecDeque::new() }
     }
 
-    /// What the module is about to hear.
-    pub fn witness(&mut self, now: Micros, event: &Event) {
-        match &mut self.way {
-            Way::Gossip(member) => member.witness(now, event),
-            Way::Fleet(member) => member.witness(now, event),
+    /// Observes an event that the decision module is about to handle.
+    pub fn observe(&mut self, now: Micros, event: &Event) {
+        match &mut self.protocol {
+            Protocol::Gossip(member) => member.observe(now, event),
+            Protocol::Aggregation(member) => member.observe(now, event),
         }
     }
 
-    /// Takes an input; then [`Peers::poll`] until it gives nothing. `now` never goes back.
+    /// Handles an input; then [`Peers::poll`] until it returns nothing. `now` never goes back.
     pub fn handle(&mut self, now: Micros, input: Input<'_>, local: &mut LocalState<'_>) {
-        let (roster, out) = (&self.roster, &mut self.out);
-        match &mut self.way {
-            Way::Gossip(member) => member.handle(now, input, &mut Around { local, roster, out }),
-            Way::Fleet(member) => member.handle(now, input, &mut Around { local, roster, out }),
+        let environment = &mut Environment { local, roster: &self.roster, outputs: &mut self.outputs };
+        match &mut self.protocol {
+            Protocol::Gossip(member) => member.handle(now, input, environment),
+            Protocol::Aggregation(member) => member.handle(now, input, environment),
         }
     }
 
-    /// The next thing to do, if any.
+    /// The next output, if any.
     pub fn poll(&mut self) -> Option<Output> {
-        self.out.pop_front()
+        self.outputs.pop_front()
     }
 
     /// When [`Input::Tick`] is due, unless another input comes first; [`Micros::MAX`]: never.
     pub fn next_timeout(&self) -> Micros {
-        match &self.way {
-            Way::Gossip(member) => member.gossip.next_timeout(),
-            Way::Fleet(member) => member.member.next_timeout(),
+        match &self.protocol {
+            Protocol::Gossip(member) => member.gossip.next_timeout(),
+            Protocol::Aggregation(member) => member.member.next_timeout(),
         }
     }
 
-    /// The member of the fleet, where this is one.
-    pub fn fleet_member(&self) -> Option<&cottonnotch_aggregation::Member> {
-        match &self.way {
-            Way::Fleet(member) => Some(&member.member),
-            Way::Gossip(_) => None,
+    /// The aggregation protocol's member, where that is the protocol.
+    pub fn aggregation_member(&self) -> Option<&cottonnotch_aggregation::Member> {
+        match &self.protocol {
+            Protocol::Aggregation(member) => Some(&member.member),
+            Protocol::Gossip(_) => None,
         }
     }
 
-    /// The member that gossips, where this is one.
+    /// The gossip protocol's member, where that is the protocol.
     pub fn gossip_member(&self) -> Option<&Gossip> {
-        match &self.way {
-            Way::Gossip(member) => Some(&member.gossip),
-            Way::Fleet(_) => None,
+        match &self.protocol {
+            Protocol::Gossip(member) => Some(&member.gossip),
+            Protocol::Aggregation(_) => None,
         }
     }
 }
--- a/crates/proxy-core/tests/growth.rs
+++ b/crates/proxy-core/tests/growth.rs
@@ -2,7 +2,7 @@
 //! other. `docs/CAPACITY.md` quotes the slopes; a test fails when one grows past that.
 
 use cottonnotch_decision::{Micros, RequestId, ServerId};
-use cottonnotch_proxy_core::{EndpointUpdate, MessageLatencies};
+use cottonnotch_proxy_core::{EndpointUpdate, LatencySettings, MessageLatencies};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use std::alloc::System;
 
@@ -10,29 +10,32 @@
 static HEAP: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 const S: Micros = 1_000_000;
+/// 440 proxies with an objective of 60 ms.
+const SETTINGS: LatencySettings =
+    LatencySettings { proxies: 440, objective: Some(60_000), sizes_are_listed: true };
 /// Bytes at most for each connection, for each render node, and for each member of a list that was read.
 const A_CONNECTION: f64 = 130.0;
 const A_NODE: f64 = 220.0;
 const A_MEMBER: f64 = 220.0;
 
-/// Bytes that stay while what `make` returns is held.
-fn held<T>(make: impl FnOnce() -> T) -> f64 {
+/// Bytes of heap that what `make` returns takes.
+fn heap_of<T>(make: impl FnOnce() -> T) -> f64 {
     let region = Region::new(HEAP);
-    let kept = make();
+    let made = make();
     let change = region.change();
-    drop(kept);
+    drop(made);
     change.bytes_allocated as f64 - change.bytes_deallocated as f64
 }
 
-fn delays(nodes: u32, connections: u64) -> MessageLatencies {
-    let mut delays = MessageLatencies::new(440, Some(60_000), true);
-    (0..nodes).for_each(|node| delays.listed(ServerId(node), 2.0, true));
+fn latencies(nodes: u32, connections: u64) -> MessageLatencies {
+    let mut latencies = MessageLatencies::new(SETTINGS);
+    (0..nodes).for_each(|node| latencies.endpoint_listed(ServerId(node), 2.0));
     for id in 0..connections {
         let server = ServerId((id % u64::from(nodes)) as u32);
-        delays.connection_opened(S, RequestId(id), server, Some(id % 12_400), Some(2_000));
-        delays.load_changed(RequestId(id), 100.0);
+        latencies.connection_opened(S, RequestId(id), server, Some(id % 12_400), Some(2_000));
+        latencies.load_changed(RequestId(id), 100.0);
     }
-    delays
+    latencies
 }
 
 fn list(members: usize) -> Vec<u8> {
@@ -51,12 +54,12 @@
 #[test]
 fn loads_and_lists_cost_so_much_each() {
     for nodes in [90, 4_096] {
-        let empty = held(|| delays(nodes, 0));
+        let empty = heap_of(|| latencies(nodes, 0));
         let each = empty / f64::from(nodes);
         println!(r#"{{"what":"loads heap","nodes":{nodes},"connections":0,"bytes_a_node":{each:.1}}}"#);
         assert!(each < A_NODE, "{nodes} nodes: {each} bytes each");
         for connections in [1_000, 10_000, 45_455, 90_909] {
-            let each = (held(|| delays(nodes, connections)) - empty) / connections as f64;
+            let each = (heap_of(|| latencies(nodes, connections)) - empty) / connections as f64;
             println!(
                 r#"{{"what":"loads heap","nodes":{nodes},"connections":{connections},"bytes_a_connection":{each:.1}}}"#
             );
@@ -65,7 +68,7 @@
     }
     for members in [90, 1_024, 4_096] {
         let mut text = list(members);
-        let bytes = held(|| EndpointUpdate::parse(&mut text).expect("a sound list"));
+        let bytes = heap_of(|| EndpointUpdate::parse(&mut text).expect("a sound list"));
         let each = bytes / members as f64;
         println!(r#"{{"what":"list heap","members":{members},"bytes_a_member":{each:.1}}}"#);
         assert!(each < A_MEMBER, "{members} members: {each} bytes each");
--- a/crates/proxy-core/tests/wall_clock.rs
+++ b/crates/proxy-core/tests/wall_clock.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn without_a_step_times_are_what_they_are() {
+fn converts_without_a_step() {
     let clock = stepped(HOUR, 0, 10 * S);
     for time in [-HOUR, -S, 0, 5 * S, 10 * S] {
         assert_eq!(clock.to_monotonic(10 * S, UNIX + time), time);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_slewed_clock_was_not_stepped() {
+fn slewing_is_no_step() {
     let mut clock = WallClock::new(0, UNIX);
     for now in (0..100 * S).step_by(S as usize) {
         assert!(!clock.observe(now, UNIX + now + now / 20));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn what_is_told_from_before_a_step_is_as_old_as_it_is() {
+fn converts_times_from_before_a_step() {
     for by in [-HOUR, -7 * S, -2 * S, 2 * S, 7 * S, HOUR] {
         let clock = stepped(20 * S - S / 2, by, 30 * S);
         // Read on the old clock a second before the step, and told after it.
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn after_many_steps_the_latest_ones_are_known() {
+fn remembers_the_latest_steps() {
     let mut clock = WallClock::new(0, UNIX);
     for step in 0..100 {
         clock.observe(step * S, UNIX + step * S + step % 2 * HOUR);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_process_that_was_told_knows_of_a_step_before_its_start() {
+fn history_covers_steps_before_the_start() {
     for by in [-HOUR, HOUR] {
         let earlier = stepped(HOUR, 0, 20 * S);
         // It ended; the clock was stepped at 25 s; the next process begins at 30 s.
@@ -80,9 +80,9 @@
 }
 
 #[test]
-fn what_cannot_be_true_of_earlier_processes_is_dropped() {
-    let era = |seen| ClockOffset { offset: UNIX - HOUR, from: None, seen };
-    for earlier in [vec![], vec![era(11 * S)], vec![era(5 * S), era(4 * S)]] {
+fn drops_an_impossible_history() {
+    let offset = |seen| ClockOffset { offset: UNIX - HOUR, from: None, seen };
+    for earlier in [vec![], vec![offset(11 * S)], vec![offset(5 * S), offset(4 * S)]] {
         let clock = WallClock::with_history(earlier, 10 * S, UNIX + 10 * S);
         assert_eq!(clock.offsets().count(), 1);
         assert_eq!(clock.to_monotonic(10 * S, UNIX + 7 * S), 7 * S);
@@ -92,22 +92,22 @@
 proptest! {
     /// Whatever the steps: what is told is never taken for older than it is, by more than a look and the tolerance.
     #[test]
-    fn nothing_is_taken_for_older_than_it_is(
+    fn never_overestimates_an_age(
         steps in proptest::collection::vec((0..60 * S, -HOUR..HOUR), 0..5),
-        told_at in 0..60 * S,
+        sent_at in 0..60 * S,
         later in 0..20 * S,
     ) {
         let offset = |now: Micros| steps.iter().filter(|(at, _)| *at <= now).map(|(_, by)| by).sum::<Micros>();
         let mut clock = WallClock::new(-1, UNIX - 1);
-        let now = told_at + later;
+        let now = sent_at + later;
         for look in (0..now).step_by(S as usize).chain([now]) {
             clock.observe(look, UNIX + look + offset(look));
         }
-        let time = clock.to_monotonic(now, UNIX + told_at + offset(told_at));
+        let time = clock.to_monotonic(now, UNIX + sent_at + offset(sent_at));
         // Two steps between two looks leave an offset that was never seen; small ones look like slewing.
         let seen: Vec<Micros> = (0..now).step_by(S as usize).chain([now]).map(offset).collect();
-        prop_assume!(seen.iter().any(|seen| *seen == offset(told_at)));
-        prop_assert!(time >= told_at - S - 350_000, "{time} for {told_at}");
+        prop_assume!(seen.iter().any(|seen| *seen == offset(sent_at)));
+        prop_assert!(time >= sent_at - S - 350_000, "{time} for {sent_at}");
         prop_assert!(time <= now);
     }
 }
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -202,11 +202,7 @@
         let peers = peers(&shape, me, roster, life, now, seed);
         let mut hollow = Hollow {
             balancer: Balancer::new(settings.clone(), seed, now),
-            delays: MessageLatencies::new(
-                settings.nodes,
-                settings.shortest_message_objective(),
-                settings.weighted,
-            ),
+            delays: MessageLatencies::new((&settings).into()),
             chance: ChaCha8Rng::seed_from_u64(seed),
             nodes: Nodes::default(),
             open: Vec::new(),
@@ -338,7 +334,7 @@
 
     /// What it was told of all: members in its view, the time between two reports, and use by node.
     pub fn view(&self) -> Option<View> {
-        let member = self.peers.as_ref()?.fleet_member()?;
+        let member = self.peers.as_ref()?.aggregation_member()?;
         let view = member.snapshot()?;
         let named: BTreeMap<u32, f64> =
             view.endpoints().map(|(node, told)| (node.0, told.utilization)).collect();
@@ -432,8 +428,8 @@
         match due {
             Due::Second => {
                 self.later(now + REPORT_INTERVAL, Due::Second);
-                self.hand_peers(now, Input::Second);
-                for LatencyReport { server, delay } in self.delays.due_reports(now) {
+                self.hand_peers(now, Input::EverySecond);
+                for LatencyReport { server, latency: delay } in self.delays.due_reports(now) {
                     self.tell(now, Event::LatencyUpdate { server, latency: delay });
                 }
             }
@@ -483,10 +479,10 @@
     fn hand_peers(&mut self, now: Micros, input: Input<'_>) {
         let Some(peers) = &mut self.peers else { return };
         let mut local = LocalState {
-            delays: &mut self.delays,
+            latencies: &mut self.delays,
             servers: &self.nodes,
             settings: &self.settings,
-            rpcs: self.open.len() + self.owed.len(),
+            requests: self.open.len() + self.owed.len(),
             // This clock is Unix time, and is never stepped.
             unix: now,
         };
@@ -508,7 +504,7 @@
                     let is = matches!(state, State::Dead);
                     self.out.push_back(Wish::Record(What::Dead { of: ordinal, is }));
                 }
-                Output::Keeper(keeper) => self.out.push_back(Wish::Record(What::Keeper(keeper))),
+                Output::Aggregator(keeper) => self.out.push_back(Wish::Record(What::Keeper(keeper))),
             }
         }
         self.settle(now);
@@ -543,7 +539,7 @@
         let mut actions = Vec::new();
         while let Some(event) = self.pending.pop_front() {
             if let Some(peers) = &mut self.peers {
-                peers.witness(now, &event);
+                peers.observe(now, &event);
             }
             self.balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
@@ -599,11 +595,11 @@
             FleetSection { members_from: Some(shape.members_from), group_homes, ..FleetSection::default() };
         let settings = section.check().ok()??;
         let member = cottonnotch_aggregation::Member::new(settings, me, shape.members, seed, now, now);
-        return Some(Peers::fleet(member, roster));
+        return Some(Peers::with_aggregation(member, roster));
     }
     let section = GossipSection { strength: Some(Strength::Address), ..GossipSection::default() };
     let settings = section.check().ok()??;
     let strength = settings.strength;
     let gossip = Gossip::new(settings, Keys::Address, me, shape.members, life, seed, now);
-    Some(Peers::gossip(gossip, strength, roster))
+    Some(Peers::with_gossip(gossip, strength, roster))
 }
--- a/crates/scale/src/nodes.rs
+++ b/crates/scale/src/nodes.rs
@@ -25,7 +25,10 @@
                 self.started.push(member.up_since);
             }
             let before = std::mem::replace(&mut self.started[number as usize], member.up_since);
-            delays.listed(ServerId(number), member.weight, !is_new && before != member.up_since);
+            delays.endpoint_listed(ServerId(number), member.weight);
+            if !is_new && before != member.up_since {
+                delays.process_restarted(ServerId(number));
+            }
             entries.push(Entry {
                 server: ServerId(number),
                 digest: digest(&member.id),
