--- a/crates/cottonnotch/src/maintenance/tests.rs
+++ b/crates/cottonnotch/src/maintenance/maintenance_tests.rs
@@ -5,14 +5,14 @@
     prop_oneof![Just("a".to_owned()), Just("b".to_owned()), Just("s-5be2".to_owned())]
 }
 
-/// The plain model: every call ever made, in the order of its time; the last one for an id counts.
+/// The plain model: every override ever set, in the order of its time; the last one of an id counts.
 fn is_out(calls: &[(bool, String)], id: &str) -> bool {
     calls.iter().rev().find(|(_, called)| called == id).is_some_and(|(out, _)| *out)
 }
 
 proptest! {
     #[test]
-    fn the_last_call_counts_on_one_process_and_on_two(
+    fn latest_override_counts_across_processes(
         calls in prop::collection::vec((any::<bool>(), any_id(), any::<bool>(), any::<bool>()), 0..40),
     ) {
         let (mut one, mut other) = (Maintenance::default(), Maintenance::default());
@@ -39,11 +39,11 @@
     }
 
     #[test]
-    fn merging_does_not_mind_the_order(
+    fn merge_is_commutative(
         overrides in prop::collection::vec((any_id(), 0i64..5, any::<bool>(), 0i64..5), 0..12),
         cut in 0usize..12,
     ) {
-        let overrides: Vec<_> = overrides.into_iter().map(|(id, at, out, since)| (id, ManualOverride { at, out, since })).collect();
+        let overrides: Vec<_> = overrides.into_iter().map(|(id, at, out, since)| (id, ManualOverride { set_at: at, is_out: out, out_since: since })).collect();
         let (a, b) = overrides.split_at(cut.min(overrides.len()));
         let (a, b) = (Maintenance::from_overrides(a.to_vec()), Maintenance::from_overrides(b.to_vec()));
         let (mut ab, mut ba) = (a.clone(), b.clone());
@@ -54,7 +54,7 @@
     }
 
     #[test]
-    fn a_list_never_ends_a_ban(
+    fn list_never_ends_maintenance(
         lists in prop::collection::vec((0u8..3, prop::option::of(0i64..99)), 1..20),
         back_at in 0usize..20,
     ) {
@@ -77,7 +77,7 @@
     }
 
     #[test]
-    fn a_saved_state_that_was_touched_is_refused_whole(
+    fn rejects_damaged_state(
         ids in prop::collection::btree_set("[a-z0-9-]{1,9}", 1..6),
         at in any::<prop::sample::Index>(),
         cut in any::<bool>(),
@@ -97,7 +97,7 @@
     }
 
     #[test]
-    fn rubbish_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn decode_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = decode(&bytes);
         let mut ours = b"cottonnotch-maintenance 1\n".to_vec();
         ours.extend(bytes);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn entering_twice_is_undone_by_one_exit() {
+fn one_exit_undoes_repeated_enters() {
     let mut state = Maintenance::default();
     assert!(state.enter(1, "a"));
     assert!(!state.enter(2, "a"), "nothing new");
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_call_counts_though_the_clock_went_back() {
+fn override_counts_after_clock_step_back() {
     let mut state = Maintenance::default();
     state.enter(1_000, "a");
     let mut other = state.clone();
@@ -127,15 +127,15 @@
 }
 
 #[test]
-fn another_version_is_refused() {
+fn rejects_other_version() {
     let text = encode(&Maintenance::default());
-    assert_eq!(decode(text.replace(" 1\n", " 2\n").as_bytes()), Err(MaintenanceDecodeError::Form));
-    assert_eq!(decode(b""), Err(MaintenanceDecodeError::Form));
-    assert_eq!(decode(text.trim_end().as_bytes()), Err(MaintenanceDecodeError::Checksum));
+    assert_eq!(decode(text.replace(" 1\n", " 2\n").as_bytes()), Err(MaintenanceDecodeError::InvalidFormat));
+    assert_eq!(decode(b""), Err(MaintenanceDecodeError::InvalidFormat));
+    assert_eq!(decode(text.trim_end().as_bytes()), Err(MaintenanceDecodeError::WrongChecksum));
 }
 
 #[test]
-fn ends_are_forgotten_in_time_and_bans_never() {
+fn expires_ended_overrides_only() {
     let mut state = Maintenance::default();
     state.enter(1, "a");
     state.enter(1, "b");
--- a/crates/cottonnotch/src/maintenance/text_format.rs
+++ b/crates/cottonnotch/src/maintenance/text_format.rs
@@ -1,61 +1,64 @@
-//! The state as a small text that is taken whole or not at all: a first line with the form's name and version, one line
-//! for each call, and a last line with a checksum over all before it.
+//! The state as a small text that is read completely or not at all: a first line with the format's name and version, one
+//! line for each override, and a last line with a checksum over all before it.
 
 use super::{MAX_OVERRIDES, Maintenance, ManualOverride};
 use cottonnotch_decision::names::digest;
 use std::fmt::Write;
 
-/// The first line. Another version's state is refused: it may mean something else by the same words.
+/// The first line. Another version's state is rejected: it may mean something else by the same words.
 const FORMAT: &str = "cottonnotch-maintenance 1";
-/// No saved state is longer.
+/// How a line begins whose render node is out, or back in use.
+const OUT: &str = "out";
+const BACK: &str = "back";
+/// Bytes of the longest saved state that is read.
 pub const MAX_BYTES: usize = 512 * 1024;
 
-/// Why a saved state is not taken.
+/// Why a saved state is rejected.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum MaintenanceDecodeError {
     #[error("it is longer than {MAX_BYTES} bytes")]
     TooLong,
     #[error("it is of another form or version")]
-    Form,
+    InvalidFormat,
     #[error("its checksum is wrong: it is torn, or not ours")]
-    Checksum,
+    WrongChecksum,
     #[error("line {0} cannot be read")]
-    Line(usize),
+    InvalidLine(usize),
 }
 
-/// The text of a state.
+/// Encodes a state.
 pub fn encode(state: &Maintenance) -> String {
     let mut text = format!("{FORMAT}\n");
-    for (id, ManualOverride { at, out, since }) in state.overrides() {
-        let word = if out { "out" } else { "back" };
-        // A text takes whatever is written.
-        let _ = writeln!(text, "{word} {at} {since} {id}");
+    for (id, ManualOverride { set_at, is_out, out_since }) in state.overrides() {
+        let state = if is_out { OUT } else { BACK };
+        // Writing to a string can't fail.
+        let _ = writeln!(text, "{state} {set_at} {out_since} {id}");
     }
     let sum = digest(&text);
     let _ = writeln!(text, "end {sum:016x}");
     text
 }
 
-/// The state of a text.
+/// Decodes a state. Fails if the text is not one that [`encode`] made, completely.
 pub fn decode(bytes: &[u8]) -> Result<Maintenance, MaintenanceDecodeError> {
     if bytes.len() > MAX_BYTES {
         return Err(MaintenanceDecodeError::TooLong);
     }
-    let text = std::str::from_utf8(bytes).map_err(|_| MaintenanceDecodeError::Form)?;
+    let text = std::str::from_utf8(bytes).map_err(|_| MaintenanceDecodeError::InvalidFormat)?;
     let rest = text
         .strip_prefix(FORMAT)
         .and_then(|rest| rest.strip_prefix('\n'))
-        .ok_or(MaintenanceDecodeError::Form)?;
-    let end = rest.rfind("end ").ok_or(MaintenanceDecodeError::Checksum)?;
-    let (calls, end) = rest.split_at(end);
+        .ok_or(MaintenanceDecodeError::InvalidFormat)?;
+    let end = rest.rfind("end ").ok_or(MaintenanceDecodeError::WrongChecksum)?;
+    let (lines, end) = rest.split_at(end);
     let before = &text[..text.len() - end.len()];
     if end != format!("end {:016x}\n", digest(before)) {
-        return Err(MaintenanceDecodeError::Checksum);
+        return Err(MaintenanceDecodeError::WrongChecksum);
     }
-    let overrides = calls
+    let overrides = lines
         .lines()
         .enumerate()
-        .map(|(i, line)| parse_override(line).ok_or(MaintenanceDecodeError::Line(i + 2)));
+        .map(|(i, line)| parse_override(line).ok_or(MaintenanceDecodeError::InvalidLine(i + 2)));
     let overrides = overrides.collect::<Result<Vec<_>, _>>()?;
     if overrides.len() > MAX_OVERRIDES {
         Err(MaintenanceDecodeError::TooLong)
@@ -66,12 +69,12 @@
 
 fn parse_override(line: &str) -> Option<(String, ManualOverride)> {
     let mut words = line.splitn(4, ' ');
-    let out = match words.next()? {
-        "out" => true,
-        "back" => false,
+    let is_out = match words.next()? {
+        OUT => true,
+        BACK => false,
         _ => return None,
     };
-    let (at, since) = (words.next()?.parse().ok()?, words.next()?.parse().ok()?);
+    let (set_at, out_since) = (words.next()?.parse().ok()?, words.next()?.parse().ok()?);
     let id = words.next().filter(|id| !id.is_empty())?;
-    Some((id.to_owned(), ManualOverride { at, out, since }))
+    Some((id.to_owned(), ManualOverride { set_at, is_out, out_since }))
 }
--- a/crates/cottonnotch/src/net/driver/golden_tests.rs
+++ b/crates/cottonnotch/src/net/driver/golden_tests.rs
@@ -1,4 +1,4 @@
-//! The files in `TMPDIR`, the figures and the reasons keep the bytes that earlier builds gave them.
+//! The files in `TMPDIR`, the metrics and the reasons keep the bytes that earlier builds gave them.
 
 use super::audit::{Audit, Step, outcome_name, rejection_name};
 use super::clock_file::ClockFile;
@@ -19,10 +19,16 @@
 use std::fmt::Write;
 
 #[test]
-fn the_maintenance_file_keeps_its_text() {
+fn maintenance_file_keeps_its_text() {
     let overrides = [
-        ("s1", ManualOverride { at: 1_764_000_000_000_000, out: true, since: 1_764_000_000_000_000 }),
-        ("s 2", ManualOverride { at: 1_764_000_000_000_009, out: false, since: 1_764_000_000_000_001 }),
+        (
+            "s1",
+            ManualOverride { set_at: 1_764_000_000_000_000, is_out: true, out_since: 1_764_000_000_000_000 },
+        ),
+        (
+            "s 2",
+            ManualOverride { set_at: 1_764_000_000_000_009, is_out: false, out_since: 1_764_000_000_000_001 },
+        ),
     ];
     let state = Maintenance::from_overrides(overrides.map(|(id, mark)| (id.to_owned(), mark)));
     let path = golden_path!("maintenance.txt");
@@ -31,7 +37,7 @@
 }
 
 #[test]
-fn the_clock_file_keeps_its_text() {
+fn clock_file_keeps_its_text() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("cottonnotch-127.0.0.1_8000.clock");
     let file = ClockFile::of_boot(path.clone(), "00000000-1111-2222-3333-444444444444", -5_000_000);
@@ -52,7 +58,7 @@
 
 /// Names of files, and their texts but for the monotonic time of the start.
 #[test]
-fn the_process_file_keeps_its_names_and_its_form() {
+fn process_file_keeps_names_and_format() {
     let folder = tempfile::tempdir().unwrap();
     let prefix = folder.path().join("cottonnotch-127.0.0.1_8000.process");
     let mut text = String::new();
@@ -103,7 +109,7 @@
 }
 
 #[test]
-fn the_figures_keep_their_names() {
+fn metrics_keep_their_keys() {
     let mut metrics = Metrics::default();
     metrics.set_classes(["page-view", "note edit"].into_iter());
     metrics.served(0);
@@ -168,7 +174,7 @@
 ];
 
 #[test]
-fn what_a_client_is_told_keeps_its_words() {
+fn client_errors_keep_their_texts() {
     let lines = [
         OpenLineError::NotText,
         OpenLineError::NotOpen,
--- a/crates/cottonnotch/src/net/driver/maintenance_file.rs
+++ b/crates/cottonnotch/src/net/driver/maintenance_file.rs
@@ -132,7 +132,7 @@
 fn read(path: &Path) -> Result<Maintenance, MaintenanceFileError> {
     // Guards against what is no plain file: a pipe of that name would hold up the loop.
     if !fs::symlink_metadata(path)?.is_file() {
-        return Err(MaintenanceDecodeError::Form.into());
+        return Err(MaintenanceDecodeError::InvalidFormat.into());
     }
     let mut bytes = Vec::new();
     File::open(path)?.take(MAX_BYTES as u64 + 1).read_to_end(&mut bytes)?;
