--- /dev/null
+++ b/crates/simhost/src/actions.rs
@@ -0,0 +1,58 @@
+//! The module's actions, written as lines of the wire.
+
+use crate::instance::Instance;
+use cottonnotch_decision::{Action, Notification, ServerId};
+use std::io::{self, Write};
+
+impl Instance {
+    /// Writes the line that an action stands for, if it has one.
+    pub fn write_action(&mut self, node: u64, action: &Action, to: &mut Vec<u8>) -> io::Result<()> {
+        match action {
+            Action::Send { request, server, timeout, .. } => {
+                let host = self.servers.name(server.0);
+                writeln!(to, "place\tnode-{node}\t{}\t{host}\t{timeout}", request.0)
+            }
+            Action::Reject { request, retry_after, .. } => {
+                writeln!(to, "say_no\tnode-{node}\t{}\t{retry_after}", request.0)
+            }
+            Action::Fail { request, .. } => writeln!(to, "report_failure\tnode-{node}\t{}", request.0),
+            Action::Migrate(request) => writeln!(to, "rebalance\tnode-{node}\t{}", request.0),
+            Action::WatchList => writeln!(to, "stream_changes\tnode-{node}\t1"),
+            Action::Probe(server) => writeln!(to, "sample\tnode-{node}\t{}", self.servers.name(server.0)),
+            Action::Timer { after, token } => {
+                let name = format!("timer-{token}");
+                writeln!(to, "arm\tnode-{node}\t{after}\t{name}")?;
+                self.timers.insert(name, *token);
+                Ok(())
+            }
+            // The wire has no line for it.
+            Action::HealthChanged { .. } => Ok(()),
+            Action::Log { notification, server } => {
+                self.write_record(node, message(*notification), *server, to)
+            }
+        }
+    }
+
+    fn write_record(
+        &self,
+        node: u64,
+        text: &str,
+        server: Option<ServerId>,
+        to: &mut Vec<u8>,
+    ) -> io::Result<()> {
+        match server {
+            Some(server) => writeln!(to, "record\tnode-{node}\t{text}: {}", self.servers.name(server.0)),
+            None => writeln!(to, "record\tnode-{node}\t{text}"),
+        }
+    }
+}
+
+/// The text of a notification in the simulator's log.
+fn message(notification: Notification) -> &'static str {
+    match notification {
+        Notification::PausedFailing => "server paused, keeps failing",
+        Notification::Recovered => "server back after a good trial",
+        Notification::Queueing => "no server can be used now, holding connections",
+        Notification::ListUnreachable => "server list cannot be had, going on with the last one",
+    }
+}
--- /dev/null
+++ b/crates/simhost/src/instance.rs
@@ -0,0 +1,116 @@
+//! One instance of the module: its settings, the names on its wire, its timers and its gossip.
+
+use crate::fields::{Fields, MalformedLine, excerpt, malformed};
+use crate::gossip_member::GossipMember;
+use base64::Engine;
+use base64::engine::general_purpose::STANDARD;
+use cottonnotch_decision::names::{Names, digest};
+use cottonnotch_decision::settings::{self, Pairs, Profile};
+use cottonnotch_decision::{
+    Balancer, ClassId, Entry, Event, Micros, ServerId, ServerState, TenantId, ZoneId,
+};
+use std::collections::HashMap;
+use std::io::{self, Write};
+
+/// The name of gossip's timer. The module's are `timer-` and a number.
+pub const GOSSIP_TIMER: &str = "gossip";
+
+/// One instance and what it needs to speak on the wire.
+pub struct Instance {
+    pub balancer: Balancer,
+    profile: Profile,
+    pub servers: Names,
+    /// The module's tokens by the names of their timers.
+    pub timers: HashMap<String, u32>,
+    /// Its gossip member, if instances gossip.
+    pub member: Option<GossipMember>,
+}
+
+impl Instance {
+    /// An instance with the settings that stand in `profile`, as `path=value` fields.
+    pub fn new(seed: u64, profile: &str, gossip_ms: Option<u32>, now: Micros) -> Result<Self, MalformedLine> {
+        let profile = read_profile(profile)?;
+        let balancer = Balancer::new(profile.settings.clone(), seed, now);
+        let (ordinal, nodes) = (profile.settings.ordinal, profile.settings.nodes);
+        let member = gossip_ms.and_then(|ms| GossipMember::new(ms, ordinal, nodes, seed, now));
+        let (servers, timers) = (Names::default(), HashMap::new());
+        Ok(Instance { balancer, profile, servers, timers, member })
+    }
+
+    /// A `row` of the server list.
+    pub fn read_entry(&mut self, mut fields: Fields) -> Result<Entry, MalformedLine> {
+        let cell = fields.optional("stripe")?.unwrap_or(0);
+        let state = read_state(fields.text("lifecycle")?)?;
+        let zone = fields.raw("rackZone")?;
+        let host = fields.text("host")?;
+        let started = fields.optional("upSince")?.filter(|at| *at != 0);
+        let weight = fields.figure("nominal")?.unwrap_or(1.0);
+        fields.raw("classOfHost")?;
+        fields.end()?;
+        let zone = ZoneId(self.profile.zones.intern(zone) as u16);
+        let digest = digest(host);
+        let server = ServerId(self.servers.intern(host));
+        Ok(Entry { server, digest, state, zone, cell, started, weight })
+    }
+
+    /// Does what is due of gossip and writes its lines; returns the events for the module.
+    pub fn drive_gossip(&mut self, node: u64, now: Micros, to: &mut Vec<u8>) -> io::Result<Vec<Event>> {
+        let Some(member) = &mut self.member else { return Ok(Vec::new()) };
+        member.tick(now, &self.servers);
+        let (datagrams, events) = member.drain();
+        for datagram in datagrams {
+            let peer = datagram.to.map_or(-1, i64::from);
+            let raw = STANDARD.encode(datagram.bytes);
+            writeln!(to, "post\tnode-{node}\t{peer}\t{raw}")?;
+        }
+        if let Some(after) = member.next_timer(now) {
+            writeln!(to, "arm\tnode-{node}\t{after}\t{GOSSIP_TIMER}")?;
+        }
+        Ok(events)
+    }
+
+    pub fn class(&self, name: &str) -> Result<ClassId, MalformedLine> {
+        match self.profile.classes.find(name) {
+            Some(number) => Ok(ClassId(number as u16)),
+            None => malformed("qos", format!("is no class of the settings: '{}'", excerpt(name))),
+        }
+    }
+
+    pub fn tenant(&self, name: &str) -> Result<Option<TenantId>, MalformedLine> {
+        if matches!(name, "" | "-" | "0") {
+            return Ok(None);
+        }
+        match self.profile.tenants.find(name) {
+            Some(number) => Ok(Some(TenantId(number as u16))),
+            None => malformed("party", format!("is no tenant of the settings: '{}'", excerpt(name))),
+        }
+    }
+
+    pub fn server(&self, name: &str) -> Result<ServerId, MalformedLine> {
+        match self.servers.find(name) {
+            Some(number) => Ok(ServerId(number)),
+            None => malformed("host", format!("was in no list: '{}'", excerpt(name))),
+        }
+    }
+}
+
+fn read_state(lifecycle: &str) -> Result<ServerState, MalformedLine> {
+    Ok(match lifecycle {
+        "Running" => ServerState::Ready,
+        "Stopping" => ServerState::Draining,
+        "Deleted" => ServerState::Removed,
+        _ => return malformed("lifecycle", format!("is unknown: '{}'", excerpt(lifecycle))),
+    })
+}
+
+/// The settings as the first message carries them: `path=value` fields.
+fn read_profile(text: &str) -> Result<Profile, MalformedLine> {
+    let mut pairs = Pairs::default();
+    for pair in text.split('\t').filter(|p| !p.is_empty() && *p != "-") {
+        match pair.split_once('=') {
+            Some((key, value)) => pairs.0.insert(key.to_owned(), value.to_owned()),
+            None => return malformed("profileData", format!("has no '=' in '{}'", excerpt(pair))),
+        };
+    }
+    settings::read(&pairs).map_err(|error| MalformedLine::new("profileData", error.to_string()))
+}
