--- a/crates/proxy-core/src/message_latency/connections.rs
+++ b/crates/proxy-core/src/message_latency/connections.rs
@@ -1,14 +1,11 @@
 //! This proxy's established connections, and the sums over them. It grows with the connections.
 
-use crate::peer_loads::{EstablishedLoad, group_bit};
+use crate::peer_loads::{EstablishedLoad, group_bit, group_hash};
 use cottonnotch_aggregation::GroupLoad;
 use cottonnotch_decision::{Micros, RequestId, ServerId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Multiplier of Fibonacci hashing, 2^64 over the golden ratio: a group's key may be a counter, the product's highest
-/// bits are spread.
-const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
-/// A digest of a group is its product's highest byte.
+/// A digest of a group is its hash's highest byte.
 const DIGEST_SHIFT: u32 = u64::BITS - u8::BITS;
 
 /// One established connection.
@@ -96,7 +93,7 @@
             let (load, digests) = all.entry(connection.server).or_default();
             *load += connection.load.unwrap_or(usual_load);
             let digest =
-                connection.group.map(|group| (group.wrapping_mul(GOLDEN_RATIO) >> DIGEST_SHIFT) as u8);
+                connection.group.map(|group| (group_hash(group) >> DIGEST_SHIFT) as u8);
             digests.extend(digest.filter(|digest| !digests.contains(digest)));
         }
         all
--- a/crates/proxy-core/src/message_latency.rs
+++ b/crates/proxy-core/src/message_latency/latencies.rs
@@ -1,26 +1,11 @@
-//! How long a message takes at each render node: the latency reports that the decision module needs, once a second while
-//! the latency is over a third of the shortest latency objective, and once more when it is back under.
-//!
-//! Where render nodes advertise their latency ([`crate::LoadLines`]), that is reported at once, and one that is silent to a
-//! connection of this proxy has no such latency. A render node without a connection of this proxy advertises nothing to it,
-//! and there are platforms where none does. There the latency is estimated from what a proxy does see: the loads of its own
-//! connections, the groups they belong to, how long set-ups take, and the aggregator's report. The round trip of a client's
-//! line is measured as well, though render nodes return one within 2 ms however much work has piled up (docs/design.md has
-//! the figures). The larger of the two is reported.
-//!
-//! It grows with the connections and with the render nodes. No I/O, no clock.
-
-mod connections;
-mod utilisation;
+//! Message latencies of all render nodes: what is known of each, and the reports that are due.
 
+use super::connections::{Connection, Connections, NodeConnections};
+use super::utilisation::{Evidence, FleetUtilisation, Utilisation};
 use crate::peer_loads::{EstablishedLoad, PeerLoads, group_bit, group_count};
-use connections::{Connection, Connections, NodeConnections};
 use cottonnotch_aggregation::GroupLoad;
 use cottonnotch_decision::{Micros, RequestId, ServerId, Settings};
 use std::collections::{BTreeMap, BTreeSet};
-use utilisation::{Evidence, Utilisation};
-
-pub use utilisation::FleetUtilisation;
 
 /// Between two rounds of latency reports, in microseconds.
 pub const REPORT_INTERVAL: Micros = 1_000_000;
@@ -371,5 +356,5 @@
 }
 
 #[cfg(test)]
-#[path = "message_latency_tests.rs"]
+#[path = "latencies_tests.rs"]
 mod tests;
--- a/crates/proxy-core/src/peer_loads.rs
+++ b/crates/proxy-core/src/peer_loads.rs
@@ -62,9 +62,14 @@
     peers: BTreeMap<u32, Peer>,
 }
 
+/// A group's hash; its highest bits are the best spread.
+pub(crate) fn group_hash(group: u64) -> u64 {
+    group.wrapping_mul(GOLDEN_RATIO)
+}
+
 /// The bit of 32 that stands for a group.
 pub fn group_bit(group: u64) -> u32 {
-    1 << (group.wrapping_mul(GOLDEN_RATIO) >> BIT_SHIFT)
+    1 << (group_hash(group) >> BIT_SHIFT)
 }
 
 /// How many groups joined bits stand for (linear counting, Whang et al. 1990); at most some 110.
