--- a/crates/cottonnotch/src/net/discovery_client.rs
+++ b/crates/cottonnotch/src/net/discovery_client.rs
@@ -99,9 +99,9 @@
         let parsed = self.texts.feed(&body, &mut texts);
         self.bytes_since_progress += bytes.len();
         let is_progress = !texts.is_empty()
-            || !body.is_empty() && !self.texts.is_within()
+            || !body.is_empty() && !self.texts.has_partial_text()
             || self.bytes_since_progress >= PROGRESS_BYTES;
-        if is_progress || self.response.is_begun() && !self.has_head {
+        if is_progress || self.response.has_head() && !self.has_head {
             self.note_progress(io, is_progress);
         }
         for mut text in texts {
@@ -131,7 +131,7 @@
 
     /// The response has ended. A list that is half there is dropped, and asked for again.
     fn end(&mut self, io: &mut Io, why: impl std::fmt::Display) {
-        if self.texts.is_within() {
+        if self.texts.has_partial_text() {
             self.fail(io, format!("{why} in the middle of a list"));
         } else {
             self.fail(io, why);
--- a/crates/cottonnotch/src/net/driver/acceptor.rs
+++ b/crates/cottonnotch/src/net/driver/acceptor.rs
@@ -7,7 +7,7 @@
 use crate::net::network_event::NetworkEvent;
 use cottonnotch_decision::Micros;
 use cottonnotch_reactor::Key;
-use cottonnotch_reactor::line::{LineStream, Unwatched};
+use cottonnotch_reactor::line::{LineStream, RegistrationError};
 use cottonnotch_reactor::listener::{Binding, Listener, reject_new_connections};
 use mio::net::{TcpListener, TcpStream};
 use std::collections::VecDeque;
@@ -70,7 +70,7 @@
         let (address, mut shared) = (context.config.listen, None);
         let key = context.reactor.insert(|key, io| {
             let (listener, socket) =
-                Listener::bind_as(binding, address, |_| NetworkEvent::ClientsWaiting, key, io)?;
+                Listener::bind_with(binding, address, |_| NetworkEvent::ClientsWaiting, key, io)?;
             shared = Some(socket);
             Ok(Box::new(listener))
         })?;
@@ -132,7 +132,7 @@
     }
 
     /// Puts an accepted client on the loop. Fails if its socket can't be registered now.
-    fn admit(&mut self, context: &mut Context, stream: TcpStream) -> Result<(), Unwatched> {
+    fn admit(&mut self, context: &mut Context, stream: TcpStream) -> Result<(), RegistrationError> {
         let mut given_back = None;
         let inserted = context.reactor.insert(|key, io| match LineStream::accepted(stream, io, key) {
             Ok(client) => Ok(Box::new(ClientConnection::accepted(client, key, io))),
@@ -151,7 +151,7 @@
     /// Tries again to register clients' sockets, and answers clients that have waited too long.
     fn retry_unregistered(&mut self, context: &mut Context) {
         while let Some((stream, since)) = self.unregistered.pop() {
-            if let Err(Unwatched { stream, .. }) = self.admit(context, stream) {
+            if let Err(RegistrationError { stream, .. }) = self.admit(context, stream) {
                 self.unregistered.push_front(stream, since);
                 break;
             }
@@ -185,7 +185,7 @@
             }
             match listener.accept() {
                 Ok((stream, _)) => {
-                    if let Err(Unwatched { stream, error }) = self.admit(context, stream) {
+                    if let Err(RegistrationError { stream, error }) = self.admit(context, stream) {
                         log::warn!(target: LOG_TARGET, error:%; "a client's socket cannot be registered yet: {error}");
                         self.unregistered.push(stream, now);
                     }
--- a/crates/cottonnotch/src/net/driver/context.rs
+++ b/crates/cottonnotch/src/net/driver/context.rs
@@ -64,7 +64,7 @@
     /// Reads the wall clock. A reading during which the process stood still says nothing, and is left to the next one.
     pub fn observe_wall_clock(&mut self) {
         let before = self.now();
-        let unix = Clock::wall();
+        let unix = Clock::wall_now();
         let now = self.now();
         if now - before <= MAX_SAMPLE_TIME && self.wall_clock.observe(now, unix) {
             log::warn!(target: LOG_TARGET, unix; "the wall clock was stepped; times go on by the monotonic clock");
--- a/crates/cottonnotch/src/net/driver/process.rs
+++ b/crates/cottonnotch/src/net/driver/process.rs
@@ -43,7 +43,7 @@
     /// Accepts clients from now on.
     pub(super) fn listen(&mut self) -> io::Result<()> {
         // Alone where no other process could find this one: a second one by mistake is to fail.
-        let binding = if self.lifecycle.can_hot_restart() { Binding::Shared } else { Binding::Alone };
+        let binding = if self.lifecycle.can_hot_restart() { Binding::Shared } else { Binding::Exclusive };
         let address = self.acceptor.listen(&mut self.context, binding)?;
         self.lifecycle.set_address(address);
         // No key-values: scripts take the last word as the address.
--- a/crates/cottonnotch/src/net/driver/startup.rs
+++ b/crates/cottonnotch/src/net/driver/startup.rs
@@ -87,7 +87,7 @@
     let records = Records::new(recorder, &config.profile);
     let audit = Audit::new(config.profile.settings.clone());
     let clock_file = ClockFile::at(shared_file(config.listen, "clock"), reactor.io.now());
-    let wall_clock = clock_file.load(reactor.io.now(), Clock::wall());
+    let wall_clock = clock_file.load(reactor.io.now(), Clock::wall_now());
     Context {
         reactor,
         config,
--- a/crates/kit/src/time.rs
+++ b/crates/kit/src/time.rs
@@ -33,7 +33,7 @@
 
     /// The same clock for an event loop.
     pub fn for_loop(&self) -> Clock {
-        Clock::at(self.began, self.base)
+        Clock::starting_at(self.began, self.base)
     }
 
     /// A time of the run as Unix time in milliseconds, as lists have it.
--- a/crates/proxy-core/src/message_latency/connections.rs
+++ b/crates/proxy-core/src/message_latency/connections.rs
@@ -92,8 +92,7 @@
         for connection in self.iter() {
             let (load, digests) = all.entry(connection.server).or_default();
             *load += connection.load.unwrap_or(usual_load);
-            let digest =
-                connection.group.map(|group| (group_hash(group) >> DIGEST_SHIFT) as u8);
+            let digest = connection.group.map(|group| (group_hash(group) >> DIGEST_SHIFT) as u8);
             digests.extend(digest.filter(|digest| !digests.contains(digest)));
         }
         all
--- a/crates/reactor/src/clock.rs
+++ b/crates/reactor/src/clock.rs
@@ -13,19 +13,19 @@
 }
 
 impl Clock {
-    /// Unix time, taken once and then advanced by the monotonic clock: it never goes back, and is no Unix time any more once the
+    /// Unix time, taken once and then advanced by the monotonic clock: it never goes back, and differs from Unix time once the
     /// wall clock was stepped.
     pub fn unix() -> Self {
-        Clock { started: Instant::now(), base: Self::wall() }
+        Clock { started: Instant::now(), base: Self::wall_now() }
     }
 
     /// Reads `base` at that moment: loops that are given the same share their time.
-    pub fn at(started: Instant, base: Micros) -> Self {
+    pub fn starting_at(started: Instant, base: Micros) -> Self {
         Clock { started, base }
     }
 
     /// What the machine's wall clock shows now, in Unix time. It may be stepped, either way.
-    pub fn wall() -> Micros {
+    pub fn wall_now() -> Micros {
         SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as Micros)
     }
 
--- a/crates/reactor/src/http.rs
+++ b/crates/reactor/src/http.rs
@@ -6,7 +6,7 @@
 
 /// Why the response cannot be read on.
 #[derive(Debug, thiserror::Error)]
-pub enum BadResponse {
+pub enum ResponseError {
     /// The head can't be parsed.
     #[error("the response cannot be read: {0}")]
     Malformed(#[from] httparse::Error),
@@ -19,30 +19,30 @@
     /// The chunking is broken.
     #[error("a chunk's size or end cannot be read")]
     BadChunk,
-    /// More came than is kept.
+    /// The head is longer than its bound.
     #[error("the response's head is too long")]
     TooLong,
-    /// All of it has come.
+    /// The whole response was received.
     #[error("the response has ended")]
     Over,
 }
 
 #[derive(Debug)]
-enum Part {
+enum State {
     Head,
     Size,
     Data(u64),
     DataEnd,
-    /// A body of that length, of which so much is to come.
+    /// Within a body of a known length, of which so many bytes are to come.
     Left(u64),
-    /// A body up to the connection's end.
-    Rest,
+    /// Within a body that the connection's end delimits.
+    UntilClose,
 }
 
 /// Reads a response's body.
 #[derive(Debug)]
 pub struct StreamedResponse {
-    part: Part,
+    state: State,
     raw: Vec<u8>,
 }
 
@@ -55,51 +55,51 @@
 impl StreamedResponse {
     /// Before the first byte.
     pub fn new() -> Self {
-        StreamedResponse { part: Part::Head, raw: Vec::new() }
+        StreamedResponse { state: State::Head, raw: Vec::new() }
     }
 
-    /// Takes bytes as they came and appends what they hold of the body to `body`, also what came before a fault.
-    pub fn feed(&mut self, bytes: &[u8], body: &mut Vec<u8>) -> Result<(), BadResponse> {
+    /// Takes bytes as they arrived and appends what they hold of the body to `body`, also what preceded an error.
+    pub fn feed(&mut self, bytes: &[u8], body: &mut Vec<u8>) -> Result<(), ResponseError> {
         self.raw.extend_from_slice(bytes);
         loop {
-            let used = match self.part {
-                Part::Head => self.head()?,
-                Part::Size => match httparse::parse_chunk_size(&self.raw) {
+            let used = match self.state {
+                State::Head => self.head()?,
+                State::Size => match httparse::parse_chunk_size(&self.raw) {
                     Ok(httparse::Status::Partial) if self.raw.len() > MAX_HEAD => {
-                        return Err(BadResponse::TooLong);
+                        return Err(ResponseError::TooLong);
                     }
                     Ok(httparse::Status::Partial) => None,
-                    Ok(httparse::Status::Complete((_, 0))) => return Err(BadResponse::Over),
+                    Ok(httparse::Status::Complete((_, 0))) => return Err(ResponseError::Over),
                     Ok(httparse::Status::Complete((used, size))) => {
-                        self.part = Part::Data(size);
+                        self.state = State::Data(size);
                         Some(used)
                     }
-                    Err(_) => return Err(BadResponse::BadChunk),
+                    Err(_) => return Err(ResponseError::BadChunk),
                 },
-                Part::Data(left) => {
-                    let (take, left) = self.hand_on(left, body);
-                    self.part = if left == 0 { Part::DataEnd } else { Part::Data(left) };
-                    (take > 0).then_some(take)
+                State::Data(left) => {
+                    let (taken, left) = self.forward_body(left, body);
+                    self.state = if left == 0 { State::DataEnd } else { State::Data(left) };
+                    (taken > 0).then_some(taken)
                 }
-                Part::DataEnd => match self.raw.get(..2) {
+                State::DataEnd => match self.raw.get(..2) {
                     Some(b"\r\n") => {
-                        self.part = Part::Size;
+                        self.state = State::Size;
                         Some(2)
                     }
-                    Some(_) => return Err(BadResponse::BadChunk),
+                    Some(_) => return Err(ResponseError::BadChunk),
                     None => None,
                 },
-                Part::Left(left) => {
-                    let (take, left) = self.hand_on(left, body);
+                State::Left(left) => {
+                    let (taken, left) = self.forward_body(left, body);
                     if left == 0 {
-                        return Err(BadResponse::Over);
+                        return Err(ResponseError::Over);
                     }
-                    self.part = Part::Left(left);
-                    (take > 0).then_some(take)
+                    self.state = State::Left(left);
+                    (taken > 0).then_some(taken)
                 }
-                Part::Rest => {
-                    let (take, _) = self.hand_on(u64::MAX, body);
-                    (take > 0).then_some(take)
+                State::UntilClose => {
+                    let (taken, _) = self.forward_body(u64::MAX, body);
+                    (taken > 0).then_some(taken)
                 }
             };
             match used {
@@ -109,39 +109,39 @@
         }
     }
 
-    /// The head is whole.
-    pub fn is_begun(&self) -> bool {
-        !matches!(self.part, Part::Head)
+    /// Whether the head is complete.
+    pub fn has_head(&self) -> bool {
+        !matches!(self.state, State::Head)
     }
 
-    /// Appends at most so much; returns how much, and what is left to come.
-    fn hand_on(&self, left: u64, body: &mut Vec<u8>) -> (usize, u64) {
-        let take = self.raw.len().min(usize::try_from(left).unwrap_or(usize::MAX));
-        body.extend_from_slice(&self.raw[..take]);
-        (take, left - take as u64)
+    /// Appends at most `left` bytes to the body; returns how many, and how many are then left to come.
+    fn forward_body(&self, left: u64, body: &mut Vec<u8>) -> (usize, u64) {
+        let taken = self.raw.len().min(usize::try_from(left).unwrap_or(usize::MAX));
+        body.extend_from_slice(&self.raw[..taken]);
+        (taken, left - taken as u64)
     }
 
-    fn head(&mut self) -> Result<Option<usize>, BadResponse> {
+    fn head(&mut self) -> Result<Option<usize>, ResponseError> {
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut response = httparse::Response::new(&mut headers);
         let used = match response.parse(&self.raw)? {
-            httparse::Status::Partial if self.raw.len() > MAX_HEAD => return Err(BadResponse::TooLong),
+            httparse::Status::Partial if self.raw.len() > MAX_HEAD => return Err(ResponseError::TooLong),
             httparse::Status::Partial => return Ok(None),
             httparse::Status::Complete(used) => used,
         };
         match response.code {
             Some(200) => {}
-            code => return Err(BadResponse::Status(code.unwrap_or(0))),
+            code => return Err(ResponseError::Status(code.unwrap_or(0))),
         }
         let named = |name: &str| response.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
-        self.part = match (named("transfer-encoding"), named("content-length")) {
-            (Some(coding), None) if coding.value.eq_ignore_ascii_case(b"chunked") => Part::Size,
+        self.state = match (named("transfer-encoding"), named("content-length")) {
+            (Some(coding), None) if coding.value.eq_ignore_ascii_case(b"chunked") => State::Size,
             (None, Some(length)) => {
                 let length = std::str::from_utf8(length.value).ok().and_then(|text| text.trim().parse().ok());
-                Part::Left(length.ok_or(BadResponse::BadLength)?)
+                State::Left(length.ok_or(ResponseError::BadLength)?)
             }
-            (None, None) => Part::Rest,
-            _ => return Err(BadResponse::BadLength),
+            (None, None) => State::UntilClose,
+            _ => return Err(ResponseError::BadLength),
         };
         Ok(Some(used))
     }
--- a/crates/reactor/src/http_server.rs
+++ b/crates/reactor/src/http_server.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 as a server sees it, without I/O: one call, fed as it comes and split anywhere, and its answer. The head is
-//! httparse's matter; what is here are the bounds and what a call needs beyond its head.
+//! HTTP/1.1 as a server sees it, without I/O: one request, fed as it arrives and split anywhere, and its response. httparse
+//! parses the head; here are the bounds, and the body.
 
 /// A request's head is not longer.
 const MAX_HEAD: usize = 8 * 1024;
@@ -8,18 +8,18 @@
 /// No body is longer.
 pub const MAX_BODY: usize = 1024;
 
-/// A whole call.
+/// A complete request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     /// `GET`, `POST`, ..., as it came.
     pub method: String,
-    /// What is asked for, without a query.
+    /// The target's path, without a query.
     pub path: String,
     /// The body; empty where there is none.
     pub body: Vec<u8>,
 }
 
-/// Why a call is not taken; [`BadRequest::status`] is what it is answered.
+/// Why a request is rejected; [`BadRequest::status`] is the response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BadRequest {
     /// It can't be parsed, or says two things at once.
@@ -34,10 +34,10 @@
     /// The body comes in a way that is not read here.
     #[error("a body must come whole, with its length")]
     Encoded,
-    /// The caller wants to be told to go on (RFC 9110, section 10.1.1).
+    /// The client expects to be asked to go on (RFC 9110, section 10.1.1).
     #[error("no expectation is met")]
     Expectation,
-    /// The call did not come whole in its time.
+    /// The request was not complete in its time.
     #[error("the call did not come in time")]
     Late,
 }
@@ -56,7 +56,7 @@
     }
 }
 
-/// A call's head.
+/// A request's head.
 #[derive(Debug)]
 struct Head {
     method: String,
@@ -64,7 +64,7 @@
     length: usize,
 }
 
-/// Reads one call. After it, or after an error, nothing more is read.
+/// Reads one request. After it, or after an error, nothing more is read.
 #[derive(Debug, Default)]
 pub struct RequestReader {
     raw: Vec<u8>,
@@ -72,7 +72,7 @@
 }
 
 impl RequestReader {
-    /// Takes bytes as they came; the call once it is whole. What follows it is left alone.
+    /// Takes bytes as they arrived; returns the request once it is complete. What follows it is ignored.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Request>, BadRequest> {
         self.raw.extend_from_slice(bytes);
         if self.head.is_none() {
@@ -94,8 +94,8 @@
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     // Guards against a head that is read anew with each byte of it: past the bound nobody looks for its end.
-    let looked_at = &raw[..raw.len().min(MAX_HEAD)];
-    let used = match request.parse(looked_at) {
+    let searched = &raw[..raw.len().min(MAX_HEAD)];
+    let used = match request.parse(searched) {
         Ok(httparse::Status::Complete(used)) => used,
         Ok(httparse::Status::Partial) if raw.len() >= MAX_HEAD => return Err(BadRequest::HeadTooLong),
         Ok(httparse::Status::Partial) => return Ok(None),
@@ -114,7 +114,7 @@
             return Err(BadRequest::Expectation);
         } else if is("content-length") {
             let said = read_length(header.value)?;
-            // Guards against two readers of one call that disagree on where it ends.
+            // Guards against two readers of one request that disagree on where it ends (RFC 9112, section 6.3).
             if length.is_some_and(|length| length != said) {
                 return Err(BadRequest::Malformed);
             }
@@ -135,7 +135,7 @@
     if length > MAX_BODY { Err(BadRequest::BodyTooLong) } else { Ok(length) }
 }
 
-/// The whole answer to a call: the connection ends after it.
+/// The complete response to a request: the connection ends after it.
 pub fn response(status: u16, allow: Option<&str>, body: &str) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
--- a/crates/reactor/src/json_stream.rs
+++ b/crates/reactor/src/json_stream.rs
@@ -1,5 +1,5 @@
-//! JSON texts one after another in a stream of bytes, each ending where it is whole: neither a line's nor a chunk's
-//! end means anything, and a text may be spread over many lines. No I/O.
+//! A stream of JSON texts one after another, each ending where it is complete: neither a line's nor a chunk's end means
+//! anything, and a text may be spread over many lines. No I/O.
 //!
 //! Where a text ends is found by `serde_json`'s stream, which keeps no values; whoever takes the text reads it with
 //! the parser of his choice. What that costs: a text is looked through twice, and one that comes in many pieces up
@@ -16,20 +16,20 @@
     /// It is no JSON object. Line and column are counted from the text's beginning.
     #[error("it is not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// More came than is kept.
+    /// The text is longer than its bound.
     #[error("a JSON text of over {MAX_TEXT} bytes")]
     TooLong,
 }
 
-/// Splits a stream into JSON objects.
+/// Splits a stream of bytes into JSON objects.
 #[derive(Debug, Default)]
 pub struct JsonStream {
-    /// From the beginning of the text that is not whole yet.
+    /// From the beginning of the text that is not complete yet.
     buffer: Vec<u8>,
     /// The last byte that is no blank closed an object.
-    closed: bool,
-    /// Length of the buffer when it was last looked through in vain.
-    tried: usize,
+    ends_with_object: bool,
+    /// Length of the buffer when it was last searched in vain.
+    searched: usize,
 }
 
 impl JsonStream {
@@ -38,30 +38,30 @@
         JsonStream::default()
     }
 
-    /// Takes bytes as they came and appends the texts that are whole now. Those before a fault are appended too.
+    /// Takes bytes as they arrived and appends the texts that are complete now. Those before an error are appended too.
     pub fn feed(&mut self, bytes: &[u8], texts: &mut Vec<Vec<u8>>) -> Result<(), JsonStreamError> {
         let bytes = if self.buffer.is_empty() { bytes.trim_ascii_start() } else { bytes };
         self.buffer.extend_from_slice(bytes);
-        if self.may_be_whole(bytes) {
+        if self.may_be_complete(bytes) {
             self.split(texts)?;
         }
         if self.buffer.len() > MAX_TEXT { Err(JsonStreamError::TooLong) } else { Ok(()) }
     }
 
-    /// Bytes that begin a text have come, and the rest has not.
-    pub fn is_within(&self) -> bool {
+    /// Whether a text has begun and is not complete.
+    pub fn has_partial_text(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Guards against looking through a long text again with each piece of it: that is done when an object may have
-    /// ended, which a comma or another bracket behind it rules out, or when twice as much is there as the last time.
-    fn may_be_whole(&mut self, bytes: &[u8]) -> bool {
+    /// Guards against a search through a long text with each piece of it: one is due when an object may have ended, which a
+    /// comma or another bracket behind it rules out, or when twice as much is there as the last time.
+    fn may_be_complete(&mut self, bytes: &[u8]) -> bool {
         let mut ended = false;
         for byte in bytes.iter().filter(|byte| !byte.is_ascii_whitespace()) {
-            ended |= self.closed && !matches!(byte, b',' | b']' | b'}');
-            self.closed = *byte == b'}';
+            ended |= self.ends_with_object && !matches!(byte, b',' | b']' | b'}');
+            self.ends_with_object = *byte == b'}';
         }
-        !self.buffer.is_empty() && (ended || self.closed || self.buffer.len() >= 2 * self.tried)
+        !self.buffer.is_empty() && (ended || self.ends_with_object || self.buffer.len() >= 2 * self.searched)
     }
 
     fn split(&mut self, texts: &mut Vec<Vec<u8>>) -> Result<(), JsonStreamError> {
@@ -94,7 +94,7 @@
             }
         }
         self.buffer.drain(..used);
-        self.tried = self.buffer.len();
+        self.searched = self.buffer.len();
         fault.map_or(Ok(()), |error| Err(error.into()))
     }
 }
--- a/crates/reactor/src/json_stream_tests.rs
+++ b/crates/reactor/src/json_stream_tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_text_over_several_lines_is_one_text_and_several_in_one_piece_are_several() {
+fn splits_texts_regardless_of_lines() {
     let indented = "{\n  \"revision\": 1,\n  \"members\": [\n    {\"id\": \"a}\\\"\"}\n  ]\n}";
     let (found, result) = split(&[format!("\r\n{indented}\r\n{{}}{{\"a\":[]}}\n \n").as_bytes()]);
     result.unwrap();
@@ -19,12 +19,12 @@
 
 /// Found on short days: a piece that ended right behind the point of `"size":1.25` cost the watch, and with it a drain.
 #[test]
-fn a_text_cut_at_any_byte_is_not_whole_yet_and_never_faulty() {
-    let whole = br#"{"a":-1.25e-3,"b":[1.0,2E+7,-0.5,-7],"c":"\u00e9\n","d":[true,false,null],"e":0}"#;
-    for cut in 1..whole.len() {
-        let (found, result) = split(&[&whole[..cut], &whole[cut..]]);
-        assert!(result.is_ok(), "cut behind '{}': {result:?}", whole[..cut].escape_ascii());
-        assert_eq!(found, [std::str::from_utf8(whole).unwrap()]);
+fn a_truncated_text_is_incomplete() {
+    let complete = br#"{"a":-1.25e-3,"b":[1.0,2E+7,-0.5,-7],"c":"\u00e9\n","d":[true,false,null],"e":0}"#;
+    for cut in 1..complete.len() {
+        let (found, result) = split(&[&complete[..cut], &complete[cut..]]);
+        assert!(result.is_ok(), "cut behind '{}': {result:?}", complete[..cut].escape_ascii());
+        assert_eq!(found, [std::str::from_utf8(complete).unwrap()]);
     }
     for faulty in ["{\"a\":1.", "{\"a\":-", "{\"a\":1e", "{\"a\":0"] {
         let (found, result) = split(&[faulty.as_bytes(), b"x}"]);
@@ -33,18 +33,18 @@
 }
 
 #[test]
-fn a_text_is_handed_on_once_it_is_whole_and_half_a_text_never() {
+fn returns_only_complete_texts() {
     let (mut texts, mut found) = (JsonStream::new(), Vec::new());
     texts.feed(b"{\"a\":1", &mut found).unwrap();
-    assert!(found.is_empty() && texts.is_within());
+    assert!(found.is_empty() && texts.has_partial_text());
     texts.feed(b"}", &mut found).unwrap();
-    assert!(found.len() == 1 && !texts.is_within(), "no line's end is waited for");
+    assert!(found.len() == 1 && !texts.has_partial_text(), "no line's end is waited for");
     texts.feed(b"\n{\"b\":{}", &mut found).unwrap();
-    assert!(found.len() == 1 && texts.is_within());
+    assert!(found.len() == 1 && texts.has_partial_text());
 }
 
 #[test]
-fn what_is_no_object_is_refused_and_what_came_before_it_is_kept() {
+fn rejects_other_values_after_the_texts_before() {
     for bad in ["{\"a\":1}\nnull\n", "{\"a\":1}\n12", "{\"a\":1} [] ", "{\"a\":1}{\"b\" 1}", "{\"a\":1}]"] {
         let (found, result) = split(&[bad.as_bytes()]);
         assert!(matches!(result, Err(JsonStreamError::NotJson(_))), "{bad}: {result:?}");
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_endless_text_is_given_up_at_the_bound_without_being_read_again_and_again() {
+fn bounds_the_length_and_the_searches() {
     let (mut texts, mut found) = (JsonStream::new(), Vec::new());
     texts.feed(b"{\"a\":[", &mut found).unwrap();
     let piece = b"{\"id\":\"x\"},".repeat(1000);
@@ -61,7 +61,7 @@
     let mut looks = 0;
     let mut feed = || {
         let result = texts.feed(&piece, &mut found);
-        looks += u32::from(texts.tried == texts.buffer.len());
+        looks += u32::from(texts.searched == texts.buffer.len());
         result.is_ok()
     };
     let fed = (0..most).take_while(|_| feed()).count();
@@ -72,7 +72,7 @@
 proptest! {
     /// Wherever the pieces' borders fall, the same texts come, and any bytes are taken without a panic.
     #[test]
-    fn borders_mean_nothing(
+    fn any_split_gives_the_same_texts(
         values in prop::collection::vec(("[a-z{}\\[\\],\\\\\" \n]{0,8}", -9.0_f64..9.0, any::<bool>()), 0..6),
         cuts in prop::collection::vec(0_usize..400, 0..12),
     ) {
@@ -95,7 +95,7 @@
     }
 
     #[test]
-    fn any_bytes_are_taken_or_refused(pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 0..8)) {
+    fn accepts_or_rejects_arbitrary_bytes(pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 0..8)) {
         let (mut texts, mut found) = (JsonStream::new(), Vec::new());
         for piece in &pieces {
             if texts.feed(piece, &mut found).is_err() {
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_text_with_a_long_blank_within_that_comes_in_pieces_is_found() {
+fn finds_a_text_with_long_blanks_in_pieces() {
     let text = format!("{{{}\"a\":[{{\"b\":1}},{{\"b\":2.0}}]}}\n", " ".repeat(40_000));
     let (mut texts, mut found) = (JsonStream::new(), Vec::new());
     for piece in text.as_bytes().chunks(6_000) {
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -1,6 +1,5 @@
-//! An event loop on mio: connections are objects with callbacks, and nothing is started for a single one. Lines and
-//! streamed HTTP responses on non-blocking sockets. It knows nothing of proxies: what its objects have to tell is of
-//! the owner's own type.
+//! An event loop on mio: connections are objects with callbacks, and no thread or task is started for one. Lines, HTTP and JSON
+//! streams on non-blocking sockets. It knows nothing of proxies: its objects' reports are of the owner's own type.
 
 pub mod clock;
 pub mod http;
--- a/crates/reactor/src/line.rs
+++ b/crates/reactor/src/line.rs
@@ -9,13 +9,13 @@
 
 /// No line is longer, its end included.
 pub const MAX_LINE: usize = 4096;
-/// Read in one callback before other connections have their turn.
+/// Bytes read in one callback before other connections have their turn.
 const MAX_TURN: usize = 16 * 1024;
 
-/// How a round of reading ended.
+/// How one call of [`LineStream::fill`] ended.
 #[derive(Debug)]
 pub enum Fill {
-    /// All that has come is in the buffer.
+    /// All that has arrived is in the buffer.
     Blocked,
     /// There may be more; to be called again.
     More,
@@ -42,57 +42,60 @@
     /// End our sending once all is written.
     finish: bool,
     finished: bool,
-    /// How it broke. The system tells that once, to whoever reads or writes first; whoever reads after that is shown an
-    /// orderly end.
+    /// How it broke. The system reports that once, to the first read or write; a read after that returns an orderly end.
     broken: Option<io::ErrorKind>,
-    /// What is written goes out at once (TCP_NODELAY). Until the system has taken that, it is asked at each writing.
-    is_prompt: bool,
+    /// What is written is sent at once (TCP_NODELAY). Until the system has accepted that, it is asked at each write.
+    nagle_is_disabled: bool,
 }
 
-/// An accepted socket that the poll could not take.
+/// An accepted socket that could not be registered with the poll. It is given back: its client is still owed an answer.
 #[derive(Debug, thiserror::Error)]
 #[error("an accepted socket cannot be watched: {error}")]
-pub struct Unwatched {
+pub struct RegistrationError {
     /// The socket.
     pub stream: TcpStream,
     /// Why.
     pub error: io::Error,
 }
 
-impl From<Unwatched> for io::Error {
-    fn from(unwatched: Unwatched) -> Self {
-        unwatched.error
+impl From<RegistrationError> for io::Error {
+    fn from(failed: RegistrationError) -> Self {
+        failed.error
     }
 }
 
 impl LineStream {
-    /// Takes over an accepted socket. Whoever it belongs to is owed an answer, so it is given back if it can't be watched.
-    pub fn accepted<R: Report>(mut stream: TcpStream, io: &Io<R>, key: Key) -> Result<Self, Unwatched> {
+    /// Takes over an accepted socket. It is given back in the error if it can't be registered.
+    pub fn accepted<R: Report>(
+        mut stream: TcpStream,
+        io: &Io<R>,
+        key: Key,
+    ) -> Result<Self, RegistrationError> {
         if let Err(error) = io.register(&mut stream, key, Half::Near) {
             // As a source that no poll has seen: in debug builds mio takes one only once.
             let fresh = std::net::TcpStream::from(OwnedFd::from(stream));
-            return Err(Unwatched { stream: TcpStream::from_std(fresh), error });
+            return Err(RegistrationError { stream: TcpStream::from_std(fresh), error });
         }
         let mut accepted = Self::new(stream, io);
-        accepted.be_prompt();
+        accepted.disable_nagle();
         Ok(accepted)
     }
 
-    fn be_prompt(&mut self) {
-        self.is_prompt = self.is_prompt || self.stream.set_nodelay(true).is_ok();
+    fn disable_nagle(&mut self) {
+        self.nagle_is_disabled = self.nagle_is_disabled || self.stream.set_nodelay(true).is_ok();
     }
 
     /// Begins to connect.
-    pub fn connect<R: Report>(address: SocketAddr, io: &Io<R>, key: Key, leg: Half) -> io::Result<Self> {
+    pub fn connect<R: Report>(address: SocketAddr, io: &Io<R>, key: Key, half: Half) -> io::Result<Self> {
         let mut stream = TcpStream::connect(address)?;
-        io.register(&mut stream, key, leg)?;
+        io.register(&mut stream, key, half)?;
         Ok(Self::new(stream, io))
     }
 
     fn new<R: Report>(stream: TcpStream, io: &Io<R>) -> Self {
         let (input, output, bound) = (Vec::new(), Vec::new(), io.buffer_bound);
-        let (finish, finished, broken, is_prompt) = (false, false, None, false);
-        LineStream { stream, input, output, bound, finish, finished, broken, is_prompt }
+        let (finish, finished, broken, nagle_is_disabled) = (false, false, None, false);
+        LineStream { stream, input, output, bound, finish, finished, broken, nagle_is_disabled }
     }
 
     /// After `writable`: whether the connection stands by now.
@@ -102,7 +105,7 @@
         }
         match self.stream.peer_addr() {
             Ok(_) => {
-                self.be_prompt();
+                self.disable_nagle();
                 Ok(true)
             }
             Err(error) if error.kind() == io::ErrorKind::NotConnected => Ok(false),
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Reads what has come, as far as this turn allows.
+    /// Reads what has arrived, as far as this turn allows.
     pub fn fill(&mut self) -> Fill {
         let mut chunk = [0; MAX_LINE];
         let mut taken = 0;
@@ -137,7 +140,7 @@
         Fill::More
     }
 
-    /// The next whole line, its end included.
+    /// Takes the next complete line, its end included.
     pub fn take_line(&mut self) -> Result<Option<Vec<u8>>, TooLong> {
         let end = self.input.iter().take(MAX_LINE).position(|b| *b == b'\n');
         match end {
@@ -147,7 +150,7 @@
         }
     }
 
-    /// Reads what has come and forgets it.
+    /// Reads what has arrived and drops it.
     pub fn discard(&mut self) -> Fill {
         self.input.clear();
         let fill = self.fill();
@@ -160,12 +163,12 @@
         !matches!(self.stream.take_error(), Ok(None))
     }
 
-    /// Something has come that was not taken.
+    /// Whether bytes have arrived that were not taken.
     pub fn has_input(&self) -> bool {
         !self.input.is_empty()
     }
 
-    /// What has come and is no whole line.
+    /// Takes the bytes that have arrived and are no complete line.
     pub fn take_rest(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.input)
     }
@@ -182,7 +185,7 @@
 
     /// Writes what is queued; true once every byte has been written.
     pub fn flush(&mut self) -> io::Result<bool> {
-        self.be_prompt();
+        self.disable_nagle();
         let mut sent = 0;
         let result = loop {
             if sent == self.output.len() {
@@ -194,7 +197,7 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break Ok(false),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => {
-                    // A broken pipe is no news: the peer had ended in order before, or the reset was told already.
+                    // A broken pipe is no news: the peer had ended in order before, or the reset was reported already.
                     if error.kind() != io::ErrorKind::BrokenPipe {
                         self.broken = Some(error.kind());
                     }
--- a/crates/reactor/src/listener.rs
+++ b/crates/reactor/src/listener.rs
@@ -1,4 +1,4 @@
-//! A listening socket. Its owner accepts, one by one, as it has room.
+//! A listening socket. Its owner accepts connections one by one, as it has capacity.
 
 use crate::reactor::{Connection, Half, Io, Key, Report};
 use mio::net::TcpListener;
@@ -7,20 +7,20 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Clients that the system lets wait to be accepted, if its own bound allows. Guards against a flood: past the
-/// usual 128, a client's first packet is dropped, and it tries again after a second.
+/// Connections that may wait to be accepted, if the system's own bound allows. Guards against a flood: past the usual 128, a
+/// client's SYN is dropped, and sent again after a second.
 const BACKLOG: i32 = 4096;
 
 /// Who else may listen at the address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Binding {
-    /// Nobody: a second one fails.
-    Alone,
+    /// Nobody: a second listener fails.
+    Exclusive,
     /// Any process of the same user that says so too (SO_REUSEPORT): the system spreads those who connect.
     Shared,
 }
 
-/// Reports, by its key, that somebody waits to be accepted.
+/// Reports, with its key, that a connection waits to be accepted.
 #[derive(Debug)]
 pub struct Listener<R> {
     _socket: Rc<TcpListener>,
@@ -29,18 +29,18 @@
 }
 
 impl<R: Report> Listener<R> {
-    /// Listens alone; the owner shares the socket. Fails as the system's calls do: address taken, no descriptor.
+    /// Listens exclusively; the socket is shared with the owner. Fails as the system's calls do: address in use, no descriptor.
     pub fn bind(
         address: SocketAddr,
         report: fn(Key) -> R,
         key: Key,
         io: &mut Io<R>,
     ) -> io::Result<(Self, Rc<TcpListener>)> {
-        Self::bind_as(Binding::Alone, address, report, key, io)
+        Self::bind_with(Binding::Exclusive, address, report, key, io)
     }
 
-    /// Listens, alone or not. Otherwise as [`Self::bind`].
-    pub fn bind_as(
+    /// Listens with this binding; otherwise as [`Self::bind`].
+    pub fn bind_with(
         binding: Binding,
         address: SocketAddr,
         report: fn(Key) -> R,
@@ -61,9 +61,9 @@
     }
 }
 
-/// Lets the listener's system side take no new connection, while those that it has begun come to their end and can be
-/// accepted. Guards against resets: a listener that is closed resets whoever is in its queue. Who comes now has the first
-/// packet dropped, and sends it again a second later, to whoever listens then. Fails where the system has no such filter.
+/// Makes the system drop new connections to the listener, while those whose handshake has begun can be completed and accepted.
+/// Guards against resets: a listener that is closed resets whatever is in its backlog. A new client's SYN is dropped, and sent
+/// again a second later, to whoever listens then. Fails where the system has no such filter.
 pub fn reject_new_connections(listener: &TcpListener) -> io::Result<()> {
     // Classic BPF: load the flags, byte 13 of the TCP header; keep nothing of what has SYN set, all of anything else.
     const LOAD_BYTE: u16 = 0x30;
--- a/crates/reactor/src/rate_limited_log.rs
+++ b/crates/reactor/src/rate_limited_log.rs
@@ -1,25 +1,25 @@
-//! A log line that may come many times a second, written seldom. Guards against a log that fills up in a flood.
+//! Rate limit of a log line that may be due many times a second. Guards against a log that fills up in a flood.
 
 use crate::clock::Micros;
 
-/// Between two such lines.
-const EVERY: Micros = 10_000_000;
+/// Between two such lines, in microseconds.
+const INTERVAL: Micros = 10_000_000;
 
-/// When the line was last written, and how often it was left out since.
+/// When the line may be written next, and how often it was suppressed since the last time.
 #[derive(Debug, Default)]
 pub struct RateLimitedLog {
     next: Micros,
-    left_out: u64,
+    suppressed: u64,
 }
 
 impl RateLimitedLog {
-    /// How many were left out, if the line is to be written now.
+    /// How many lines were suppressed, if one is to be written now; otherwise counts this one as suppressed.
     pub fn due(&mut self, now: Micros) -> Option<u64> {
         if now < self.next {
-            self.left_out += 1;
+            self.suppressed += 1;
             return None;
         }
-        self.next = now + EVERY;
-        Some(std::mem::take(&mut self.left_out))
+        self.next = now + INTERVAL;
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -1,8 +1,8 @@
 //! The event loop: one mio poll, a slab of connection objects with callbacks, a heap of timers, one clock.
 //!
-//! Readiness is edge-triggered: an object reads and writes until it would block, or asks to be called again
-//! when it has had its part of a turn. Objects never call one another; they report what happens, which the loop's
-//! owner takes up after each round of callbacks.
+//! Readiness is edge-triggered: an object reads and writes until it would block, or asks to be called again when it has used up
+//! its share of a turn. Objects never call one another; they report what happens, and the loop's owner handles the reports
+//! after each round of callbacks.
 
 use crate::clock::{Clock, Micros};
 use mio::event::Source;
@@ -13,16 +13,16 @@
 use std::io;
 use std::time::Duration;
 
-/// Which of an object's sockets: most have one, a relayed RPC has two.
+/// Which half of an object's connection: most objects have one socket, a relayed connection has two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Half {
     /// The client's, or the only one.
     Near,
-    /// The subchannel's.
+    /// The endpoint's.
     Far,
 }
 
-/// Names a connection object; never names a later object that reuses its place.
+/// Identifies a connection object; never a later object that reuses its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key {
     index: u32,
@@ -30,19 +30,19 @@
 }
 
 impl Key {
-    fn token(self, leg: Half) -> Token {
-        let leg = usize::from(leg == Half::Far);
-        Token((self.generation as usize) << 32 | (self.index as usize) << 1 | leg)
+    fn token(self, half: Half) -> Token {
+        let half = usize::from(half == Half::Far);
+        Token((self.generation as usize) << 32 | (self.index as usize) << 1 | half)
     }
 
     fn of(token: Token) -> (Key, Half) {
         let index = (token.0 as u32) >> 1;
-        let leg = if token.0 & 1 == 1 { Half::Far } else { Half::Near };
-        (Key { index, generation: (token.0 >> 32) as u32 }, leg)
+        let half = if token.0 & 1 == 1 { Half::Far } else { Half::Near };
+        (Key { index, generation: (token.0 >> 32) as u32 }, half)
     }
 }
 
-/// What objects have to tell the loop's owner.
+/// A report from an object to the loop's owner.
 pub trait Report {
     /// A timer of the owner's own is due.
     fn timer(timer: u32) -> Self;
@@ -50,12 +50,12 @@
 
 /// A connection as the loop sees it.
 pub trait Connection {
-    /// What it has to tell.
+    /// Its reports to the loop's owner.
     type Report: Report;
     /// There may be something to read.
-    fn readable(&mut self, io: &mut Io<Self::Report>, leg: Half);
+    fn readable(&mut self, io: &mut Io<Self::Report>, half: Half);
     /// There may be room to write, or a connect has ended.
-    fn writable(&mut self, io: &mut Io<Self::Report>, leg: Half);
+    fn writable(&mut self, io: &mut Io<Self::Report>, half: Half);
     /// A timer that the object set is due; it may be outdated.
     fn timer(&mut self, io: &mut Io<Self::Report>, timer: u32);
     /// The object is finished and will be dropped.
@@ -79,7 +79,7 @@
     timers: BinaryHeap<Reverse<(Micros, u64, Owner, u32)>>,
     timer_number: u64,
     again: VecDeque<(Key, Half)>,
-    /// What objects have to tell, for the owner.
+    /// Reports that the owner has not handled yet.
     pub reports: VecDeque<R>,
     /// Bytes that each direction of a connection may hold.
     pub buffer_bound: usize,
@@ -92,8 +92,8 @@
     }
 
     /// Registers a socket for both directions.
-    pub fn register(&self, source: &mut impl Source, key: Key, leg: Half) -> io::Result<()> {
-        self.registry.register(source, key.token(leg), Interest::READABLE | Interest::WRITABLE)
+    pub fn register(&self, source: &mut impl Source, key: Key, half: Half) -> io::Result<()> {
+        self.registry.register(source, key.token(half), Interest::READABLE | Interest::WRITABLE)
     }
 
     /// Registers a source that is only read.
@@ -118,8 +118,8 @@
 
     /// Calls `readable` again in the next round: the object stopped before it would have blocked, so that
     /// one busy connection does not keep the others waiting.
-    pub fn call_again(&mut self, key: Key, leg: Half) {
-        self.again.push_back((key, leg));
+    pub fn call_again(&mut self, key: Key, half: Half) {
+        self.again.push_back((key, half));
     }
 
     /// Reports to the owner.
@@ -174,7 +174,7 @@
 
     /// Calls `use_it` on the object, if it still exists, and drops the object if that finished it.
     pub fn with<T>(&mut self, key: Key, use_it: impl FnOnce(&mut C, &mut Io<C::Report>) -> T) -> Option<T> {
-        // Guards against stale tokens and timers: a place that was given to a later object is not meant.
+        // Guards against stale tokens and timers: a slot that was given to a later object is not meant.
         let slot = self.slots.get_mut(key.index as usize).filter(|s| s.generation == key.generation)?;
         let result = use_it(slot.connection.as_mut(), &mut self.io);
         if slot.connection.done() {
@@ -184,12 +184,12 @@
         Some(result)
     }
 
-    /// The object still exists.
+    /// Whether the object still exists.
     pub fn contains(&self, key: Key) -> bool {
         self.slots.get(key.index as usize).is_some_and(|slot| slot.generation == key.generation)
     }
 
-    /// Objects there are.
+    /// How many objects there are.
     pub fn connections(&self) -> usize {
         self.slots.len()
     }
@@ -222,16 +222,16 @@
             })
             .collect();
         for (token, readable, writable) in ready {
-            let (key, leg) = Key::of(token);
+            let (key, half) = Key::of(token);
             if writable {
-                self.with(key, |c, io| c.writable(io, leg));
+                self.with(key, |c, io| c.writable(io, half));
             }
             if readable {
-                self.with(key, |c, io| c.readable(io, leg));
+                self.with(key, |c, io| c.readable(io, half));
             }
         }
-        for (key, leg) in std::mem::take(&mut self.io.again) {
-            self.with(key, |c, io| c.readable(io, leg));
+        for (key, half) in std::mem::take(&mut self.io.again) {
+            self.with(key, |c, io| c.readable(io, half));
         }
         let now = self.io.now();
         while self.io.timers.peek().is_some_and(|Reverse((at, ..))| *at <= now) {
--- a/crates/reactor/tests/http_server.rs
+++ b/crates/reactor/tests/http_server.rs
@@ -15,7 +15,7 @@
     b"POST /maintenance/enter?who=me HTTP/1.1\r\nHost: x\r\ncontent-LENGTH: 5\r\n\r\ns-1a\nmore";
 
 #[test]
-fn a_call_ends_where_its_length_says() {
+fn request_ends_at_its_length() {
     assert_eq!(read(POST), Ok(Some(request("POST", "/maintenance/enter", b"s-1a\n"))));
     let whole = POST.len() - b"more".len();
     assert_eq!(read(&POST[..whole]), Ok(Some(request("POST", "/maintenance/enter", b"s-1a\n"))));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn each_fault_has_its_code() {
+fn maps_errors_to_status_codes() {
     let post = |headers: &str| format!("POST / HTTP/1.1\r\n{headers}\r\n\r\n").into_bytes();
     for (bytes, status) in [
         (b"\x16\x03\x01\x02\x00\x01".to_vec(), 400),
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn an_answer_says_its_length_and_that_it_is_the_last() {
+fn response_has_length_and_closes() {
     let text = String::from_utf8(response(404, None, "no\n")).unwrap();
     assert!(text.starts_with("HTTP/1.1 404 Not Found\r\n"), "{text}");
     assert!(
@@ -73,12 +73,12 @@
 
 proptest! {
     #[test]
-    fn any_split_gives_the_same_call(cuts in prop::collection::vec(any::<prop::sample::Index>(), 0..20)) {
+    fn any_split_gives_the_same_request(cuts in prop::collection::vec(any::<prop::sample::Index>(), 0..20)) {
         prop_assert_eq!(in_pieces(POST, &cuts), read(POST));
     }
 
     #[test]
-    fn rubbish_never_panics_and_is_never_a_call_by_its_split(
+    fn arbitrary_bytes_are_split_independent(
         bytes in prop::collection::vec(prop_oneof![any::<u8>(), Just(b'\r'), Just(b'\n'), Just(b' ')], 0..300),
         cuts in prop::collection::vec(any::<prop::sample::Index>(), 0..5),
     ) {
--- a/crates/reactor/tests/line.rs
+++ b/crates/reactor/tests/line.rs
@@ -27,19 +27,19 @@
     }
 }
 
-/// Tries again until it finds something; fails the story if it never does.
-fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+/// Tries again until it finds something; fails the test if it never does.
+fn until<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let end = Instant::now() + Duration::from_secs(10);
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
         assert!(Instant::now() < end, "waited in vain: {what}");
     }
 }
 
-/// A stream and its peer, used by a story.
-fn play(story: impl FnOnce(&mut LineStream, TcpStream)) {
+/// A stream and its peer, used by a test.
+fn with_connection(test: impl FnOnce(&mut LineStream, TcpStream)) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let mut reactor = Reactor::<Holder>::new(Clock::unix()).unwrap();
@@ -48,7 +48,7 @@
     };
     let key = reactor.insert(connect).unwrap();
     let (peer, _) = listener.accept().unwrap();
-    reactor.with(key, |Holder(stream), _| story(stream, peer)).unwrap();
+    reactor.with(key, |Holder(stream), _| test(stream, peer)).unwrap();
 }
 
 fn reset(peer: &TcpStream) {
@@ -71,8 +71,8 @@
 }
 
 #[test]
-fn a_reset_that_was_read_is_read_again() {
-    play(|stream, mut peer| {
+fn a_reset_is_reported_on_each_read() {
+    with_connection(|stream, mut peer| {
         peer.write_all(b"UP 1\r\n").unwrap();
         reset(&peer);
         drop(peer);
@@ -86,8 +86,8 @@
 }
 
 #[test]
-fn a_reset_that_a_write_ran_into_is_read_after_what_came_before_it() {
-    play(|stream, mut peer| {
+fn a_reset_seen_by_a_write_is_read_after_the_data() {
+    with_connection(|stream, mut peer| {
         peer.write_all(b"LOAD 2\r\n").unwrap();
         reset(&peer);
         drop(peer);
@@ -98,8 +98,8 @@
 }
 
 #[test]
-fn an_end_stays_an_end_though_writes_fail_after_it() {
-    play(|stream, mut peer| {
+fn an_orderly_end_survives_failed_writes() {
+    with_connection(|stream, mut peer| {
         peer.write_all(b"BYE\r\n").unwrap();
         drop(peer);
         // The peer's system answers what it gets now with a reset.
--- a/crates/reactor/tests/listener.rs
+++ b/crates/reactor/tests/listener.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 #[test]
-fn newcomers_wait_while_those_on_their_way_in_are_accepted() {
+fn rejects_new_connections_and_accepts_pending_ones() {
     let listener = TcpListener::bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
     let mut early = TcpStream::connect(address).unwrap();
