--- a/crates/decision/tests/homes.rs
+++ b/crates/decision/tests/affinity.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_group_rotates_over_as_many_as_told_and_keeps_those_that_it_had() {
+fn larger_subset_keeps_its_earlier_members() {
     let mut one = node(0, 8, 90);
     let five = homes(&mut one, GROUP, 0);
     assert_eq!(five.len(), MIN_SUBSET_SIZE);
@@ -57,8 +57,9 @@
     assert_eq!(homes(&mut one, GROUP, 3_000), five, "what is told of no more has five again");
 }
 
+/// No fewer than five servers, and no more than there are.
 #[test]
-fn never_fewer_than_five_and_no_more_than_there_are() {
+fn subset_size_is_bounded() {
     let mut one = node(0, 1, 12);
     for (told, are) in [(0, 5), (1, 5), (5, 5), (6, 6), (12, 12), (13, 12), (u32::MAX, 12)] {
         one.tell(Event::AffinitySubsets(vec![(GROUP, told)]));
@@ -73,7 +74,7 @@
     #![proptest_config(ProptestConfig::with_cases(24))]
     /// The plain oracle: servers sorted by a score of the group and the server, of which the first are taken.
     #[test]
-    fn homes_are_the_first_of_the_group_s_order(group: u64, servers in 1..40_u32, told in 0..60_u32) {
+    fn subset_matches_sorted_oracle(group: u64, servers in 1..40_u32, told in 0..60_u32) {
         let score = |server: &u32| {
             let digest = entry(*server, ServerState::Ready).digest;
             let mixed = digest ^ group.wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn a_draining_home_gets_nothing_new_and_the_next_in_order_takes_its_place() {
+fn next_in_order_replaces_draining_member() {
     let mut one = node(0, 1, 60);
     one.tell(Event::AffinitySubsets(vec![(GROUP, 20)]));
     let before = homes(&mut one, GROUP, 0);
@@ -104,7 +105,7 @@
 /// A server that started just now takes its budget and no more, however many homes make it one: as much as where nothing has a
 /// group.
 #[test]
-fn a_cold_home_is_not_pushed_over() {
+fn warming_member_keeps_its_budget() {
     let cold = 3;
     let sent_to_cold = |group: Option<u64>| {
         let mut one = node(0, 1, 40);
@@ -128,7 +129,7 @@
 
 /// A repeat of what may have run goes where repeats are dropped, whether that is a home or not.
 #[test]
-fn a_keyed_repeat_stays_in_its_zone_whatever_its_homes() {
+fn keyed_retry_stays_in_its_zone() {
     let keyed = Idempotency::Keyed { scope: Scope::Zone, window: 10 * S };
     let mut one = Node::new(Settings { groups: true, ..settings(keyed) }, 40);
     one.tell(Event::AffinitySubsets(vec![(GROUP, 11)]));
--- a/crates/decision/tests/any_settings/judge.rs
+++ b/crates/decision/tests/any_settings/checker.rs
@@ -1,7 +1,7 @@
 //! What nobody may ever see a node do, judged from outside: by what was asked, sent, written, told and answered. It knows
 //! nothing of the module's own state.
 
-use crate::rulings::Whims;
+use crate::routing_verdicts::Whims;
 use cottonnotch_decision::*;
 use std::collections::BTreeMap;
 
--- a/crates/decision/tests/any_settings/main.rs
+++ b/crates/decision/tests/any_settings/main.rs
@@ -1,18 +1,18 @@
 //! Any settings, any troubles: what a node does keeps the rules. Plays on virtual time, judged from outside.
 
-mod draw;
-mod judge;
+mod checker;
 mod mutants;
-mod rulings;
-mod world;
+mod routing_verdicts;
+mod simulation;
+mod strategies;
 
-use draw::{Plan, plan};
-use judge::Rule;
+use checker::Rule;
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, TestRng, TestRunner};
+use simulation::{Seen, play};
 use std::collections::BTreeSet;
-use world::{Seen, play};
+use strategies::{Plan, plan};
 
 /// The plays of each run; `PLAYS` asks for more.
 fn plays(usual: u32) -> u32 {
@@ -31,14 +31,15 @@
     #![proptest_config(Config { cases: plays(256), failure_persistence: None, ..Config::default() })]
 
     #[test]
-    fn a_node_keeps_the_rules_under_any_settings(plan in plan()) {
+    fn keeps_invariants_under_any_settings(plan in plan()) {
         let (_, violations) = play(&plan, None);
         prop_assert!(violations.is_empty(), "seed {}: {violations:#?}", plan.seed);
     }
 }
 
+/// Guards against simulations in which nothing happens that the invariants are about.
 #[test]
-fn plays_show_what_the_rules_are_about() {
+fn simulations_exercise_each_invariant() {
     let mut all = Seen::default();
     for plan in plans(plays(200)) {
         let (seen, violations) = play(&plan, None);
@@ -60,8 +61,9 @@
     assert!(kept_from_writing >= 3 && all.answered_at_the_end >= 20, "{all:?}");
 }
 
+/// Each mutant breaks one invariant, and the checker names that one.
 #[test]
-fn the_judge_names_the_rule_that_each_mutant_breaks() {
+fn checker_detects_each_mutant() {
     let plans = plans(plays(150));
     for (mutant, rule) in mutants::ALL {
         let named: BTreeSet<Rule> = (plans.iter())
--- a/crates/decision/tests/any_settings/mutants.rs
+++ b/crates/decision/tests/any_settings/mutants.rs
@@ -1,6 +1,6 @@
 //! Nodes that are wrong in one way each: a wrapper alters what the module hears or does. The judge has to name the rule.
 
-use crate::judge::Rule;
+use crate::checker::Rule;
 use cottonnotch_decision::*;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/decision/tests/any_settings/rulings.rs
+++ b/crates/decision/tests/any_settings/routing_verdicts.rs
@@ -1,7 +1,7 @@
 //! Rules that change their mind every second: what they say follows from the seed, the request and the second alone, so that
 //! the judge can ask them, too.
 
-use crate::draw::{MS, S};
+use crate::strategies::{MS, S};
 use cottonnotch_decision::*;
 use std::sync::Arc;
 
--- a/crates/decision/tests/any_settings/world.rs
+++ b/crates/decision/tests/any_settings/simulation.rs
@@ -1,9 +1,9 @@
 //! Clients, servers and lists around one node, on virtual time. All that happens follows from the plan and its seed.
 
-use crate::draw::{MS, Plan, S};
-use crate::judge::{Figures, Judge, Violation};
+use crate::checker::{Figures, Judge, Violation};
 use crate::mutants::Mutant;
-use crate::rulings::Whims;
+use crate::routing_verdicts::Whims;
+use crate::strategies::{MS, Plan, S};
 use cottonnotch_decision::*;
 use std::collections::BTreeMap;
 
--- a/crates/decision/tests/module.rs
+++ b/crates/decision/tests/balancer.rs
@@ -5,7 +5,7 @@
 use cottonnotch_decision::*;
 
 #[test]
-fn turns_rotate_over_all_servers() {
+fn rotation_covers_all_servers() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 5);
     let first: Vec<u32> = (0..5).map(|i| node.place(i).0).collect();
     let second: Vec<u32> = (5..10).map(|i| node.place(i).0).collect();
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn turns_follow_listed_size_where_weights_are_given() {
+fn rotation_follows_weights() {
     let mut node = Node::new(Settings { weighted: true, ..settings(Idempotency::Idempotent) }, 0);
     let mut big = entry(0, ServerState::Ready);
     big.weight = 3.0;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn nodes_enter_the_common_order_at_different_phases() {
+fn nodes_start_rotation_at_different_phases() {
     let first: Vec<u32> = (0..8)
         .map(|ordinal| {
             let mut node = Node::new(Settings { ordinal, nodes: 8, ..settings(Idempotency::Idempotent) }, 8);
@@ -37,8 +37,9 @@
     assert!(distinct.len() >= 4, "first turns pile up: {first:?}");
 }
 
+/// The request goes on to another server at once.
 #[test]
-fn full_pauses_until_the_second_mark_and_moves_on_at_once() {
+fn full_server_is_paused_until_second_mark() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 2);
     node.now = 100 * S + 300 * MS;
     let full = node.place(1);
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn one_trial_after_a_pause_not_a_flood() {
+fn lapsed_pause_allows_one_trial() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 2);
     let bad = node.place(1);
     node.end(1, bad, Outcome::ConnectFailed, false);
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn failed_trial_pauses_longer() {
+fn failed_trial_lengthens_pause() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     let mut waits = Vec::new();
     for id in 1..5 {
@@ -87,8 +88,9 @@
     assert!(waits.len() == 3 && waits[0] < waits[1] && waits[1] < waits[2], "{waits:?}");
 }
 
+/// Queued requests are sent when a pause lapses.
 #[test]
-fn held_while_all_are_paused_and_released_when_one_lapses() {
+fn queues_while_all_servers_are_paused() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     node.now = 100 * S + 500 * MS;
     let server = node.place(1);
@@ -100,7 +102,7 @@
 }
 
 #[test]
-fn refused_early_when_it_cannot_wait() {
+fn rejects_early_what_cannot_wait() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     node.now = 100 * S + 100 * MS;
     let server = node.place(1);
@@ -113,22 +115,23 @@
 }
 
 #[test]
-fn with_no_time_told_refused_after_one_pause() {
+fn rejects_after_one_pause_without_deadline() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 0);
     assert!(!refused(&node.tell(Event::Request(request(1, None)))));
     assert!(refused(&node.run_to(103 * S)));
 }
 
 #[test]
-fn no_servers_and_no_limits_hold_and_answer_in_time() {
+fn answers_in_time_without_servers() {
     let mut node = Node::new(Settings::default(), 0);
     node.ask(1, 1500 * MS);
     node.run_to(102 * S);
     assert!(failed(&node.done) || refused(&node.done));
 }
 
+/// Once an attempt of it may have run.
 #[test]
-fn unsafe_request_is_not_repeated_once_it_may_have_run() {
+fn non_idempotent_request_is_not_retried() {
     let mut node = Node::new(settings(Idempotency::NotIdempotent), 3);
     let server = node.place(1);
     let (server, _) = sent(&node.end(1, server, Outcome::ConnectFailed, false)).expect("never ran: again");
@@ -137,7 +140,7 @@
 }
 
 #[test]
-fn keyed_request_is_repeated_only_in_its_group_and_window() {
+fn keyed_retry_keeps_group_and_window() {
     let keyed = |scope| Idempotency::Keyed { scope, window: 600 * MS };
     let mut node = Node::new(settings(keyed(Scope::Zone)), 6);
     let at = node.place(1);
@@ -159,7 +162,7 @@
 }
 
 #[test]
-fn draining_and_gone_servers_get_nothing_new() {
+fn draining_and_removed_servers_get_nothing() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 3);
     let entries = vec![entry(0, ServerState::Draining)];
     node.tell(Event::List { full: false, copy: false, entries });
@@ -171,7 +174,7 @@
 }
 
 #[test]
-fn restart_under_the_same_id_forgets_the_old_life() {
+fn new_incarnation_forgets_earlier_state() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     let server = node.place(1);
     node.end(1, server, Outcome::ConnectFailed, true);
@@ -182,7 +185,7 @@
 }
 
 #[test]
-fn silent_server_leaves_room_for_another_try() {
+fn timeout_leaves_time_for_retry() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 2);
     let (server, timeout) = sent(&node.ask(1, 600 * MS)).unwrap();
     assert!(timeout > 0 && timeout <= 300 * MS);
@@ -191,7 +194,7 @@
 }
 
 #[test]
-fn attempts_run_out_and_the_request_is_refused() {
+fn rejects_after_last_attempt() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 9);
     let mut server = node.place(1);
     for _ in 0..3 {
@@ -202,7 +205,7 @@
 }
 
 #[test]
-fn nothing_is_sent_for_a_request_whose_client_left() {
+fn sends_nothing_after_client_closed() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     let server = node.place(1);
     node.end(1, server, Outcome::Full, true);
@@ -214,7 +217,7 @@
 }
 
 #[test]
-fn failing_list_service_is_asked_with_back_off() {
+fn failing_list_service_is_polled_with_backoff() {
     let mut node = Node::new(Settings { list_on_request: true, ..settings(Idempotency::Idempotent) }, 1);
     let mut asked = Vec::new();
     while node.now < 160 * S {
@@ -234,7 +237,7 @@
 
 /// Found on nachhoeren big-2: servers that shed were kept full by the trials of many nodes.
 #[test]
-fn lately_paused_server_takes_only_its_usual_rate() {
+fn recovering_server_is_bounded_to_usual_rate() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 4);
     node.carry(0..20, 500 * MS);
     let strained = ServerId(2);
@@ -254,7 +257,7 @@
 
 /// Found on the rough days: a storm of returning clients filled servers that had just started.
 #[test]
-fn storm_does_not_push_over_a_cold_server() {
+fn reconnect_storm_does_not_overload_warming_server() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 4);
     node.carry(0..40, 250 * MS);
     let mut cold = entry(9, ServerState::Ready);
@@ -271,7 +274,7 @@
 
 /// Found on casa rough-1 and oslo overload: a server piled up past the aim earns nothing for anyone on it.
 #[test]
-fn delay_notes_pause_and_past_the_aim_move_a_part() {
+fn slow_messages_pause_and_migrate_a_part() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 2);
     for id in 0..80 {
         let at = node.place(id);
@@ -290,7 +293,7 @@
 
 /// Found on nachhoeren rough-1: one blow that breaks many connections counted as many failures.
 #[test]
-fn failures_during_a_pause_add_nothing() {
+fn failures_during_pause_count_once() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     for id in 0..30 {
         node.place(id);
@@ -305,7 +308,7 @@
 
 /// Incident ie5ddb3: groups spread over the fleet multiplied its work.
 #[test]
-fn a_group_takes_turns_at_five_servers_that_all_nodes_agree_on() {
+fn group_rotates_over_common_subset() {
     let places = |ordinal, groups| {
         let mut node =
             Node::new(Settings { ordinal, nodes: 8, groups, ..settings(Idempotency::Idempotent) }, 12);
@@ -325,7 +328,7 @@
 
 /// Found on nachhoeren big-2: in overload each group found some server that its node had no news of.
 #[test]
-fn a_group_is_held_while_its_servers_are_paused() {
+fn group_queues_while_its_subset_is_paused() {
     let classes = vec![Class { attempts: 9, ..class(Idempotency::Idempotent) }];
     let mut node = Node::new(Settings { groups: true, classes, ..settings(Idempotency::Idempotent) }, 12);
     let ask = |id| Request { group: Some(4711), ..request(id, Some(2 * S)) };
@@ -344,7 +347,7 @@
 
 /// Incident ie5ddb3: moving on while the pile already drained overshot and spread the groups.
 #[test]
-fn no_moves_while_the_pile_drains() {
+fn draining_pile_migrates_nothing() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     for id in 0..40 {
         node.place(id);
@@ -362,7 +365,7 @@
 
 /// Incident i118c6b: in overload a node always found a server that it had no news of, and held nobody out.
 #[test]
-fn servers_not_heard_of_are_doubted_while_most_are_piled_up() {
+fn unheard_servers_are_bounded_under_overload() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 8);
     for id in 0..60 {
         node.run_to(node.now + 100 * MS);
@@ -386,7 +389,7 @@
 
 /// Incident ic7944d: retries at server after server kept a store down that all of them share.
 #[test]
-fn sends_are_paced_while_most_fail_wherever_they_go() {
+fn sends_are_paced_while_most_fail() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 50);
     node.carry(0..20, 500 * MS);
     let mut sends = 0;
@@ -404,7 +407,7 @@
 
 /// Guards against a draining server's clients being cut off, and against them coming again all at once.
 #[test]
-fn a_draining_servers_clients_are_moved_bit_by_bit_before_it_leaves() {
+fn draining_server_is_emptied_in_rounds() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 2);
     node.carry(0..20, 50 * MS);
     let there = node.placed_at(ServerId(0));
@@ -421,7 +424,7 @@
 }
 
 #[test]
-fn what_is_believed_of_a_server_is_told_once_for_each_change() {
+fn health_is_reported_once_per_change() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     let only = ServerId(0);
     node.now = 100 * S + 300 * MS;
@@ -454,7 +457,7 @@
 
 /// The operators: a render node was out, paused before, and nothing came there for long after it was put back.
 #[test]
-fn what_is_put_back_by_hand_begins_anew_and_its_turn_is_the_next() {
+fn manual_return_resets_state_and_is_next() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 3);
     let by_hand =
         |state, started| Event::ManualOverride { entries: vec![Entry { started, ..entry(0, state) }] };
@@ -487,7 +490,7 @@
 /// Found on an upgrade day (seed 13478303390): a new process has had returning clients only, so it knew no usual rate, and
 /// after some time-outs sent nothing for ten seconds.
 #[test]
-fn a_node_that_knows_no_usual_rate_still_tries_once_a_second_while_most_fail() {
+fn new_node_tries_once_a_second_while_most_fail() {
     // Two a second for all nodes: of two nodes, one each.
     let mut node = Node::new(Settings { nodes: 2, ..settings(Idempotency::Idempotent) }, 60);
     let ask = |id| Event::Request(Request { again: true, ..request(id, Some(2 * S)) });
@@ -510,7 +513,7 @@
 
 /// An attempt that was out when its server began to drain, and comes up after the drain's last round.
 #[test]
-fn a_connection_that_comes_up_after_the_drains_last_round_is_moved_too() {
+fn late_connection_on_drained_server_is_migrated() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 2);
     let late = node.place(1);
     let draining =
--- a/crates/decision/tests/tier.rs
+++ b/crates/decision/tests/fleet.rs
@@ -175,8 +175,9 @@
     (if at == Micros::MAX { f64::INFINITY } else { at as f64 / 1e6 }, tier.sent.len() as f64 / CLIENTS as f64)
 }
 
+/// At any number of nodes.
 #[test]
-fn a_storm_on_a_shared_store_ends_at_any_number_of_nodes() {
+fn storm_on_shared_store_ends() {
     for nodes in [2, 30, 300] {
         let (seconds, sent) = storm(nodes);
         eprintln!("{nodes} nodes: nine tenths up after {seconds} s, {sent} set-ups a client");
@@ -190,7 +191,7 @@
 /// Found on the vast days (join, seed 3): all servers that were left had just started, and a fleet whose tenants may hold
 /// three times what was open filled them no faster than to what was open, with its clients waiting outside.
 #[test]
-fn cold_servers_fill_as_fast_as_they_can_bear_at_any_number_of_nodes() {
+fn warming_servers_fill_at_their_limit() {
     const WANTED: u64 = 300;
     const MAY_HOLD: f64 = 800.0;
     for (nodes, told) in [(2, false), (100, false), (300, false), (100, true), (300, true)] {
@@ -234,7 +235,7 @@
 }
 
 #[test]
-fn what_nodes_are_told_of_the_tier_holds_back_one_that_has_not_failed_itself() {
+fn fleet_failure_rate_holds_back_healthy_node() {
     let fleet = Settings { nodes: 300, ..settings(Idempotency::Idempotent) };
     let mut node = Node::new(fleet, 10);
     node.place(1);
@@ -254,7 +255,7 @@
 
 /// A process is replaced: all its clients come again within moments, and the store has room.
 #[test]
-fn a_crowd_is_let_through_while_set_ups_are_quick_and_no_longer() {
+fn crowd_passes_while_set_ups_are_quick() {
     let tenants = vec![Tenant { allowance_per_s: 3.0, allowance_open: 0.0 }];
     let mut node = Node::new(Settings { nodes: 2, tenants, ..settings(Idempotency::Idempotent) }, 8);
     let mut placed = 0;
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/invariants.rs
@@ -184,17 +184,17 @@
 }
 
 #[test]
-fn rules_hold_for_safe_requests() {
+fn invariants_hold_for_idempotent_requests() {
     (1..30).for_each(|seed| play(seed, Idempotency::Idempotent));
 }
 
 #[test]
-fn rules_hold_for_unsafe_requests() {
+fn invariants_hold_for_non_idempotent_requests() {
     (1..30).for_each(|seed| play(seed, Idempotency::NotIdempotent));
 }
 
 #[test]
-fn rules_hold_for_keyed_requests() {
+fn invariants_hold_for_keyed_requests() {
     for scope in [Scope::All, Scope::Zone, Scope::Cell] {
         (1..20).for_each(|seed| play(seed, Idempotency::Keyed { scope, window: 700 * MS }));
     }
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn a_set_holds_what_was_put_in_across_words() {
+fn server_set_spans_machine_words() {
     let mut set: ServerSet = [0, 63, 64, 200].map(ServerId).into_iter().collect();
     let held = |set: &ServerSet| (0..300).filter(|n| set.contains(ServerId(*n))).collect::<Vec<_>>();
     assert_eq!(held(&set), [0, 63, 64, 200]);
--- a/crates/decision/tests/list_clock.rs
+++ b/crates/decision/tests/list_clock.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_is_left_of_six_seconds_after_a_silence() {
+fn notifies_within_six_seconds_of_silence() {
     for nodes in [2, 100, 300] {
         for failures in 0..=2 {
             let mut worst = 0;
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn calls_after_a_common_silence_are_spread_over_the_fleet() {
+fn polls_after_common_silence_are_spread() {
     for (nodes, most) in [(2, 2), (100, 50), (300, 60)] {
         for seed in 0..10 {
             let mut calls: Vec<Micros> =
@@ -84,8 +84,9 @@
     }
 }
 
+/// A service that answers and breaks off each time.
 #[test]
-fn a_service_that_answers_and_breaks_off_each_time_is_asked_less_and_less() {
+fn flapping_service_is_polled_with_backoff() {
     let mut node = node(0, 2, 7);
     let (mut now, mut calls, mut out) = (0, 0, Vec::new());
     node.handle(now, Event::ListFailed, &mut out);
@@ -123,7 +124,7 @@
 }
 
 #[test]
-fn what_counts_as_told_from_the_start_is_asked_for_at_once() {
+fn pushed_list_is_polled_at_once() {
     for nodes in [1, 5, 300] {
         for ordinal in 0..nodes {
             let out = start(ordinal, nodes, true);
@@ -133,7 +134,7 @@
 }
 
 #[test]
-fn what_counts_as_told_when_asked_is_asked_for_in_turn_after_a_joint_start() {
+fn requested_list_is_polled_in_turn_after_joint_start() {
     for nodes in [2_u32, 300] {
         let after = |ordinal| match start(ordinal, nodes, false)[..] {
             [Action::Timer { after, .. }] => after,
@@ -146,8 +147,9 @@
     }
 }
 
+/// The first call fails, or is not answered.
 #[test]
-fn a_first_call_that_fails_or_is_not_answered_is_made_again() {
+fn first_poll_is_retried() {
     let settings = Settings { nodes: 5, list_on_request: true, list_pushed: true, ..Settings::default() };
     let mut node = Balancer::new(settings, 3, 0);
     let mut out = Vec::new();
--- a/crates/decision/tests/list_polling.rs
+++ b/crates/decision/tests/list_polling.rs
@@ -136,8 +136,9 @@
     Fault::GivenUp(UNANSWERED_AFTER),
 ];
 
+/// Whatever became of a call, the next one goes out with a second left of the six.
 #[test]
-fn whatever_became_of_a_call_the_next_one_goes_out_with_a_second_left() {
+fn next_poll_leaves_a_second_of_six() {
     let mut worst = Vec::new();
     for (nodes, rate, patience, at_once) in FLEETS {
         for fault in FAULTS {
@@ -161,7 +162,7 @@
 }
 
 #[test]
-fn a_fleet_that_asks_on_does_not_keep_discovery_from_answering() {
+fn polling_fleet_does_not_overload_discovery() {
     for (nodes, rate, patience, at_once) in FLEETS {
         for fault in [Fault::Refused, Fault::Waited(2 * S)] {
             for seed in 0..4 {
--- a/crates/decision/tests/memory.rs
+++ b/crates/decision/tests/memory.rs
@@ -53,7 +53,7 @@
 
 /// One test, since what other tests of the process hold would count.
 #[test]
-fn grows_with_connections_and_with_nodes_but_not_with_their_product() {
+fn memory_grows_with_connections_plus_nodes() {
     let all: [u64; 4] = [1_000, 10_000, 45_455, 90_909];
     let ways =
         [(16, Come::Placed), (16, Come::Open), (90, Come::Open), (1_024, Come::Open), (4_096, Come::Open)];
--- a/crates/decision/tests/words.rs
+++ b/crates/decision/tests/peer_reports.rs
@@ -27,8 +27,9 @@
     beliefs.into_iter().filter(|(_, belief)| still(belief)).map(|(server, _)| server).collect()
 }
 
+/// However often it repeats its report.
 #[test]
-fn one_accuser_alone_is_not_believed_however_often_it_speaks() {
+fn single_peer_cannot_pause_server() {
     let mut node = quiet(8);
     for _ in 0..10 {
         for server in 0..8 {
@@ -38,8 +39,9 @@
     assert_eq!(paused(&node), []);
 }
 
+/// A trial follows.
 #[test]
-fn two_that_agree_bring_a_pause_until_the_next_mark_and_a_trial_after_it() {
+fn two_agreeing_peers_pause_until_next_mark() {
     let mut node = quiet(8);
     say(&mut node, 3, 5, PeerVerdict::Unhealthy);
     say(&mut node, 4, 5, PeerVerdict::Unhealthy);
@@ -52,7 +54,7 @@
 }
 
 #[test]
-fn words_that_are_old_do_not_add_up() {
+fn stale_reports_do_not_add_up() {
     let mut node = quiet(8);
     say(&mut node, 3, 5, PeerVerdict::Unhealthy);
     node.now += 3 * S + 1;
@@ -61,7 +63,7 @@
 }
 
 #[test]
-fn one_accuser_and_own_trouble_are_enough() {
+fn one_report_and_own_failure_suffice() {
     let mut node = quiet(8);
     let at = node.place(1);
     node.end(1, at, Outcome::Full, true);
@@ -72,7 +74,7 @@
 }
 
 #[test]
-fn own_fresh_success_outweighs_any_number_of_words() {
+fn own_recent_success_outweighs_reports() {
     let mut node = quiet(8);
     let at = node.place(1);
     node.begin(1, at);
@@ -83,7 +85,7 @@
 }
 
 #[test]
-fn peers_that_contradict_one_another_bring_no_pause() {
+fn contradicting_peers_do_not_pause() {
     let mut node = quiet(8);
     say(&mut node, 1, 5, PeerVerdict::Healthy);
     say(&mut node, 2, 5, PeerVerdict::Healthy);
@@ -93,7 +95,7 @@
 }
 
 #[test]
-fn words_alone_pause_a_quarter_of_the_fleet_at_most() {
+fn reports_pause_at_most_a_quarter() {
     let mut node = quiet(16);
     for server in 0..16 {
         for from in 1..5 {
@@ -111,7 +113,7 @@
 }
 
 #[test]
-fn what_is_repeated_is_not_believed_again_before_this_node_has_looked() {
+fn repeated_report_needs_own_trial_first() {
     let mut node = quiet(8);
     for round in 0..5 {
         say(&mut node, 1, 5, PeerVerdict::Unhealthy);
@@ -131,8 +133,9 @@
     assert_eq!(paused(&node), [5], "its own look counts");
 }
 
+/// They do not end a pause.
 #[test]
-fn good_words_bring_a_trial_forward_but_do_not_end_a_pause() {
+fn healthy_reports_advance_trial_only() {
     let mut node = quiet(2);
     // Three failures: a pause of several seconds.
     for id in 1..20 {
--- a/crates/decision/tests/quota.rs
+++ b/crates/decision/tests/quota.rs
@@ -6,7 +6,7 @@
 const S: Micros = 1_000_000;
 
 #[test]
-fn even_parts_add_up_to_the_whole_at_any_number_of_nodes() {
+fn even_shares_add_up_to_total() {
     for nodes in [1_u32, 2, 30, 300, 3_000] {
         let sum: f64 = (0..nodes).map(|_| Quota::even(nodes).share_of(0, 60.0)).sum();
         assert!((sum - 60.0).abs() < 1e-6, "{nodes} nodes: {sum}");
@@ -14,8 +14,9 @@
     assert_eq!(Quota::even(0).share_of(0, 60.0), 60.0, "a number that is missing counts as one");
 }
 
+/// No node is starved.
 #[test]
-fn parts_by_demand_stay_near_the_whole_and_never_starve_a_node() {
+fn demand_shares_stay_near_total() {
     // 100 of 300 nodes are there, of which ten have half of the connections.
     let shares = (0..100).map(|node| if node < 10 { 0.05 } else { 0.5 / 90.0 });
     let parts: Vec<f64> = shares
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn what_was_told_lapses_and_nonsense_is_bounded() {
+fn stale_status_lapses_and_invalid_status_is_bounded() {
     let mut part = Quota::even(10);
     part.update(0, FleetStatus { nodes: 2.0, demand_share: 0.5, failure_rate: 0.0 });
     assert_eq!((part.share_of(S, 10.0), part.share_of(9 * S, 10.0)), (5.0, 1.0));
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn a_bucket_gives_its_rate_and_says_when_the_next_is_there() {
+fn token_bucket_keeps_its_rate() {
     let mut bucket = TokenBucket::new(0);
     let mut taken = 0;
     for now in (0..100 * S).step_by(10_000) {
@@ -58,8 +59,9 @@
     assert!(TokenBucket::default().next_token_at(0.0) > 1_000 * S);
 }
 
+/// Also under a partition, where each side hears only itself.
 #[test]
-fn careful_parts_add_up_to_the_whole_at_most_also_of_two_sides_that_hear_only_themselves() {
+fn conservative_shares_never_exceed_total() {
     for (nodes, side) in [(2_u32, 1_u32), (20, 6), (30, 10), (440, 147)] {
         let part = |heard: u32, part: f64| {
             let mut own = Quota::even(nodes);
@@ -75,8 +77,9 @@
     }
 }
 
+/// Even, or what the node has already.
 #[test]
-fn a_careful_part_is_even_or_what_one_has_where_nobody_tells() {
+fn conservative_share_without_status() {
     let mut part = Quota::even(10);
     assert_eq!(
         (part.conservative_share_of(0, 10.0, 0.0), part.conservative_share_of(0, 10.0, 3.0)),
--- a/crates/decision/tests/rulebook.rs
+++ b/crates/decision/tests/routing_rules.rs
@@ -62,8 +62,9 @@
     RoutingVerdict { allowed: only(servers), ..RoutingVerdict::default() }
 }
 
+/// Also while all others are paused.
 #[test]
-fn the_forbidden_gets_nothing_also_while_all_else_is_paused() {
+fn forbidden_server_gets_nothing() {
     let (mut node, told) = under(settings(Idempotency::Idempotent), 6);
     told.say(allow(&[1, 4]));
     for id in 0..40 {
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn with_none_listed_that_it_may_go_to_it_is_answered_early() {
+fn rejects_early_without_allowed_server() {
     let (mut node, told) = under(settings(Idempotency::Idempotent), 3);
     told.say(allow(&[7]));
     let answer = node.ask(1, 500 * MS);
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn what_is_held_is_looked_at_anew() {
+fn queued_request_is_reevaluated() {
     let (mut node, told) = under(settings(Idempotency::Idempotent), 3);
     told.say(allow(&[]));
     assert_eq!(sent(&node.ask(1, 20 * S)), None);
@@ -129,7 +130,7 @@
 }
 
 #[test]
-fn doubt_refuses_at_once_with_a_time_to_come_back() {
+fn uncertain_rules_reject_with_retry_after() {
     let doubt = |after| RoutingVerdict { refuse: Some(after), ..RoutingVerdict::default() };
     let (mut node, told) = under(settings(Idempotency::NotIdempotent), 3);
     told.say(doubt(500 * MS));
@@ -162,7 +163,7 @@
 }
 
 #[test]
-fn a_time_that_is_to_come_is_waited_for_or_refused_early() {
+fn waits_for_not_before_or_rejects_early() {
     let (mut node, told) = under(settings(Idempotency::Idempotent), 3);
     let at = node.now + 400 * MS;
     told.say(RoutingVerdict { not_before: Some(at), ..RoutingVerdict::default() });
@@ -181,7 +182,7 @@
 }
 
 #[test]
-fn the_preferred_come_first_and_are_not_waited_for() {
+fn preferred_servers_come_first_without_waiting() {
     let (mut node, told) = under(settings(Idempotency::Idempotent), 6);
     let wish = |servers: &[u32]| RoutingVerdict { preferred: only(servers), ..RoutingVerdict::default() };
     told.say(wish(&[2, 3]));
@@ -210,7 +211,7 @@
 }
 
 #[test]
-fn attempts_are_bounded_by_the_class_and_the_rule() {
+fn attempts_are_bounded_by_class_and_rule() {
     for (ruled, most) in [(2, 2), (9, 4), (u32::MAX, 4)] {
         let (mut node, told) = under(settings(Idempotency::Idempotent), 9);
         told.say(RoutingVerdict { attempts: ruled, ..RoutingVerdict::default() });
@@ -226,7 +227,7 @@
 }
 
 #[test]
-fn a_group_has_its_homes_among_the_allowed() {
+fn subset_is_within_allowed_servers() {
     let grouped = Settings { groups: true, ..settings(Idempotency::Idempotent) };
     let (mut node, told) = under(grouped, 40);
     told.say(allow(&[11, 30]));
@@ -240,7 +241,7 @@
 }
 
 #[test]
-fn a_pile_is_moved_in_the_order_that_the_rules_ask_for() {
+fn migration_follows_stickiness() {
     let (mut node, told) = under(settings(Idempotency::Idempotent), 1);
     node.carry(0..40, 50 * MS);
     for id in 0..40 {
@@ -353,7 +354,7 @@
     #![proptest_config(ProptestConfig { cases: 96, ..ProptestConfig::default() })]
 
     #[test]
-    fn rules_that_allow_everything_change_nothing(
+    fn permissive_rules_change_nothing(
         steps in proptest::collection::vec(step(), 1..250),
         groups in any::<bool>(),
     ) {
@@ -367,7 +368,7 @@
     }
 
     #[test]
-    fn nothing_ever_goes_where_it_must_not(
+    fn never_sends_to_forbidden_server(
         steps in proptest::collection::vec(step(), 1..250),
         allowed in proptest::collection::btree_set(0_u32..8, 0..5),
         preferred in proptest::collection::btree_set(0_u32..8, 0..5),
--- a/crates/decision/tests/settings.rs
+++ b/crates/decision/tests/settings.rs
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn the_example_of_the_page_is_taken() {
+fn reads_documented_example() {
     let Profile { settings, connect_timeout, reports_latency, .. } = with(&[]).expect("sound");
     assert_eq!((settings.nodes, settings.classes.len(), settings.tenants.len()), (5, 3, 3));
     assert_eq!(settings.classes[2].target, 500_000);
@@ -135,8 +135,9 @@
     assert_eq!((connect_timeout, reports_latency), (250_000, true));
 }
 
+/// With the key, what was found and what is allowed.
 #[test]
-fn what_cannot_be_used_is_refused_with_what_was_found_and_what_is_allowed() {
+fn rejects_unusable_values() {
     let keyed = ("requestClasses.0.effect", Some("keyed"));
     for (key, value, trouble) in [
         ("policyLimits.mostTries", "0", "is below 1: '0', allowed: 1 or more"),
@@ -173,14 +174,14 @@
 }
 
 #[test]
-fn what_is_found_is_shown_in_short() {
+fn error_shows_excerpt_of_value() {
     let long = "x".repeat(5_000);
     let bad = with(&[("step", Some(&long))]).expect_err("no number");
     assert!(bad.problem.len() < 120, "{}", bad.problem);
 }
 
 #[test]
-fn what_a_sound_platform_may_send_is_taken() {
+fn accepts_valid_values() {
     for (key, value) in [
         // Nothing is dropped, and nothing is asked: the class is not keyed.
         ("requestClasses.0.window", "0"),
@@ -216,7 +217,7 @@
 }
 
 #[test]
-fn what_is_left_out_allows_least() {
+fn missing_values_allow_least() {
     let idempotency = |value| ("requestClasses.0.effect", value);
     assert_eq!(class_of(&[idempotency(None)]).idempotency, Idempotency::NotIdempotent);
     let group = |value| [idempotency(Some("keyed")), ("requestClasses.0.group", value)];
--- a/crates/decision/tests/short_times.rs
+++ b/crates/decision/tests/short_deadlines.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_class_of_any_deadline_is_tried_and_its_refusal_leaves_in_time() {
+fn any_deadline_gets_attempt_and_timely_rejection() {
     for deadline in [10 * MS, 40 * MS, 100 * MS, 300 * MS, S, 2 * S] {
         let mut node = Node::new(patience(deadline, 1), 2);
         let told = format!("deadline {} ms", deadline / MS);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn what_is_held_is_answered_before_its_client_gives_up_whatever_its_deadline() {
+fn queued_request_is_answered_before_deadline() {
     for deadline in [40 * MS, 100 * MS, 300 * MS, S, 60 * S] {
         let mut node = Node::new(patience(deadline, 1), 0);
         let gives_up = node.now + deadline;
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn from_a_second_on_the_figures_are_those_of_long_deadlines() {
+fn deadlines_over_a_second_use_full_margins() {
     for deadline in [S, 2 * S, 60 * S] {
         let mut node = Node::new(patience(deadline, 1), 1);
         assert!(sent(&node.ask(1, 60 * MS)).is_some());
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn with_no_target_told_an_attempt_gets_half_of_what_is_left() {
+fn attempt_without_target_gets_half_the_time_left() {
     let untold = Class { target: 0, ..class(Idempotency::Idempotent) };
     let mut node = Node::new(Settings { classes: vec![untold], ..settings(Idempotency::Idempotent) }, 2);
     assert_eq!(sent(&node.ask(1, 600 * MS)).expect("sent").1, 300 * MS);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_held_repeat_is_answered_as_its_window_ends() {
+fn queued_retry_is_answered_at_window_end() {
     for (scope, refusable) in [(Scope::All, true), (Scope::Zone, false), (Scope::Cell, false)] {
         for window in [120 * MS, 380 * MS, 777 * MS] {
             let mut node = Node::new(keyed(scope, window), 1);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_repeat_bound_to_a_cell_is_looked_at_when_that_cell_has_a_chance() {
+fn cell_bound_retry_waits_for_its_cell() {
     // Cells of two: both of the first one are paused, those of the other cells are not.
     let mut node = Node::new(keyed(Scope::Cell, 20 * S), 6);
     node.run_to(100 * S + 100 * MS);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_repeat_keeps_to_the_cell_in_which_it_may_have_run() {
+fn cell_bound_retry_stays_in_its_cell() {
     // The server is put into another cell while the attempt is out: those of its old cell have seen the key.
     let mut node = Node::new(keyed(Scope::Cell, 20 * S), 6);
     let at = sent(&node.ask(1, 30 * S)).expect("sent").0;
--- a/crates/decision/tests/size.rs
+++ b/crates/decision/tests/size.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn each_file_that_decides_stays_printable() {
+fn deciding_files_stay_printable() {
     let files = files_that_decide();
     assert!(files.len() > 1, "{files:?}");
     for path in files {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_interface_is_named_first() {
+fn policy_names_its_interface_first() {
     let text = std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("src/policy.rs")).unwrap();
     assert!(text.lines().next().unwrap().contains("src/interface.rs"));
 }
--- a/crates/decision/tests/cold_fleet.rs
+++ b/crates/decision/tests/slow_start_fleet.rs
@@ -445,26 +445,26 @@
 }
 
 #[test]
-fn two_nodes_push_no_cold_server_over() {
+fn two_nodes_do_not_overload_warming_server() {
     hold(2, seeds(200));
 }
 
 #[test]
-fn twenty_nodes_push_no_cold_server_over() {
+fn twenty_nodes_do_not_overload_warming_server() {
     hold(20, seeds(300));
 }
 
 #[test]
-fn thirty_nodes_push_no_cold_server_over() {
+fn thirty_nodes_do_not_overload_warming_server() {
     hold(30, seeds(300));
 }
 
 #[test]
-fn a_hundred_nodes_push_no_cold_server_over() {
+fn hundred_nodes_do_not_overload_warming_server() {
     hold(100, seeds(100));
 }
 
 #[test]
-fn four_hundred_and_forty_nodes_push_no_cold_server_over() {
+fn four_hundred_forty_nodes_do_not_overload_warming_server() {
     hold(440, seeds(60));
 }
