--- a/crates/cottonnotch/tests/clock_steps.rs
+++ b/crates/cottonnotch/tests/clock_steps.rs
@@ -65,9 +65,9 @@
 }
 
 /// Clients that come together; those that are up stay until they are dropped.
-fn crowd(proxy: &Proxy, count: usize) -> Vec<Peer> {
-    let mut clients: Vec<Peer> = (0..count).map(|_| proxy.open()).collect();
-    clients.iter_mut().for_each(|client| drop(client.hear()));
+fn crowd(proxy: &Proxy, count: usize) -> Vec<ScriptedPeer> {
+    let mut clients: Vec<ScriptedPeer> = (0..count).map(|_| proxy.open()).collect();
+    clients.iter_mut().for_each(|client| drop(client.receive()));
     clients
 }
 
@@ -77,11 +77,11 @@
     let shims = Shims::new();
     let (warm, cold) = (Counting::new(), Counting::new());
     let settings = COLD.replace("WARM_UP", &warm_up.to_string());
-    let proxy = Proxy::knowing_by(shims.command(None), &[warm.member("s0", 0)], &settings);
-    let (mut watch, _) = proxy.discovery.watched();
+    let proxy = Proxy::with_endpoints_by(shims.command(None), &[warm.member("s0", 0)], &settings);
+    let (mut watch, _) = proxy.discovery.accept_watch();
     shims.set(Setting::WallOffset, step);
-    watch.say(&chunk(&list(2, false, &[cold.member("s1", wall_ms(step))])));
-    within(PATIENCE, "the list", || (proxy.figure("known_render_nodes") == Some(2)).then_some(()));
+    watch.send(&chunk(&list(2, false, &[cold.member("s1", wall_ms(step))])));
+    wait_for(TIMEOUT, "the list", || (proxy.metric("known_render_nodes") == Some(2)).then_some(()));
     let first = crowd(&proxy, 40);
     let at_once = cold.came();
     drop(first);
@@ -120,7 +120,7 @@
     let start = |known: &[String]| {
         let mut command = shims.command(None);
         command.env("TMPDIR", folder.path());
-        Proxy::knowing_at(command, address, known, &settings)
+        Proxy::with_endpoints_at(command, address, known, &settings)
     };
     let mut first = start(&[warm.member("s0", 0)]);
     first.kill();
@@ -136,14 +136,17 @@
 fn a_process_replaces_an_earlier_one_though_the_clock_went_back_between_their_starts() {
     let shims = Shims::new();
     let folder = tempfile::tempdir().unwrap();
-    let (address, node) = (free_address(), Scripted::new());
-    let mut old = Proxy::shared_by(shims.command(None), address, folder.path(), Scripted::new(), &[&node]);
+    let (address, node) = (free_address(), ScriptedServer::new());
+    let mut old =
+        Proxy::shared_by(shims.command(None), address, folder.path(), ScriptedServer::new(), &[&node]);
     shims.set(Setting::WallOffset, -HOUR);
-    let new = Proxy::shared_by(shims.command(None), address, folder.path(), Scripted::new(), &[&node]);
-    within(PATIENCE, "the new one's yes", || (new.call("GET", "/status", "").0 == 200).then_some(()));
+    let new = Proxy::shared_by(shims.command(None), address, folder.path(), ScriptedServer::new(), &[&node]);
+    wait_for(TIMEOUT, "the new one's yes", || {
+        (new.admin_request("GET", "/status", "").0 == 200).then_some(())
+    });
     old.terminate();
-    old.logged("the listener is closed");
-    assert!(old.exited().success());
+    old.wait_for_log("the listener is closed");
+    assert!(old.wait_for_exit().success());
     // Nobody but the new one is left to take this client.
     let _client = TcpStream::connect(address).unwrap();
 }
--- a/crates/cottonnotch/tests/configuration.rs
+++ b/crates/cottonnotch/tests/configuration.rs
@@ -176,7 +176,7 @@
 
 #[test]
 fn a_reload_takes_both_files_or_neither() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let files = Files::new("", "[log]\nfilter = \"info\"\n");
     let mut command = program();
     command.arg("--operator").arg(files.operator());
@@ -184,25 +184,26 @@
     let rename = (r#""name":"look""#, r#""name":"edit""#);
     let answer = |class: &str| {
         let mut client = proxy.connect();
-        client.say(&fresh(&OPEN.replace("look", class)));
-        node.called().0.say("UP 1\r\n");
-        client.hear()
+        client.send(&with_fresh_id(&OPEN.replace("look", class)));
+        node.accept_attempt().0.send("UP 1\r\n");
+        client.receive()
     };
     // A sound JSON file and a faulty operator's file.
     files.operate("[log]\nfilter = \"debug\"\nfromat = \"json\"\n");
     proxy.reconfigure(&[rename]);
-    let kept = proxy.logged("configuration kept, the new one is faulty: log.fromat");
+    let kept = proxy.wait_for_log("configuration kept, the new one is faulty: log.fromat");
     assert!(kept.contains("operator.toml, line 3") && kept.contains("key=log.fromat"), "{kept}");
     assert_eq!(answer("look"), "UP 1\r\n", "the old JSON file counts");
     // A sound operator's file and a faulty JSON file.
     files.operate("[log]\nfilter = \"debug\"\nformat = \"json\"\n");
     proxy.reconfigure(&[rename, (r#""mostTries":3"#, r#""mostTries":"many""#)]);
-    let log = proxy.log_until("configuration kept, the new one is faulty: settings.policyLimits.mostTries");
+    let log =
+        proxy.drain_log_until("configuration kept, the new one is faulty: settings.policyLimits.mostTries");
     assert!(log.iter().all(|line| !line.contains("DEBUG")), "{log:?}");
     assert_eq!(answer("look"), "UP 1\r\n", "the old JSON file counts");
     // Both are sound.
     proxy.reconfigure(&[rename]);
-    let log = proxy.log_until("configuration read again");
+    let log = proxy.drain_log_until("configuration read again");
     let debug = log.iter().position(|line| line.contains("DEBUG"));
     assert_eq!(debug, None, "the old filter counts until now: {log:?}");
     assert!(
@@ -210,11 +211,11 @@
         "{log:?}"
     );
     assert_eq!(answer("edit"), "UP 1\r\n", "the new JSON file counts");
-    proxy.logged("DEBUG cottonnotch::net::driver] event Request");
+    proxy.wait_for_log("DEBUG cottonnotch::net::driver] event Request");
     // The operator's file is gone.
     std::fs::remove_file(files.operator()).unwrap();
     proxy.reload();
-    proxy.logged("configuration kept, the new one is faulty: operator's file");
+    proxy.wait_for_log("configuration kept, the new one is faulty: operator's file");
 }
 
 #[test]
@@ -226,20 +227,20 @@
     let proxy = Proxy::by(command, &[], 1024, SETTINGS);
     files.operate("[log]\nfilter = \"error\"\n");
     proxy.reload();
-    proxy.logged("log.filter does not count while RUST_LOG is set, still 'info'");
-    proxy.logged("configuration read again");
+    proxy.wait_for_log("log.filter does not count while RUST_LOG is set, still 'info'");
+    proxy.wait_for_log("configuration read again");
 }
 
 #[test]
 fn a_json_log_has_one_object_a_line_with_the_key_values() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let files = Files::new("", "[log]\nformat = \"json\"\n");
     let mut command = program();
     command.arg("--operator").arg(files.operator());
     let proxy = Proxy::by(command, &[&node], 1024, SETTINGS);
-    let (mut watch, _) = proxy.discovery.watched();
-    watch.say(&chunk(&list(7, false, &[member("s\\\"0", &node, "draining")])));
-    let line = proxy.logged("is Draining");
+    let (mut watch, _) = proxy.discovery.accept_watch();
+    watch.send(&chunk(&list(7, false, &[member("s\\\"0", &node, "draining")])));
+    let line = proxy.wait_for_log("is Draining");
     let value = simd_json::to_owned_value(&mut line.clone().into_bytes()).expect("JSON");
     let text = |key: &str| value.get_str(key).unwrap_or_else(|| panic!("{key} in {line}"));
     assert_eq!((text("level"), text("part")), ("info", "cottonnotch::net::driver"));
@@ -248,18 +249,18 @@
     let fields = value.get("fields").unwrap();
     assert_eq!((fields.get_str("endpoint"), fields.get_u64("revision")), (Some("s\"0"), Some(7)));
     proxy.terminate();
-    let stopping = proxy.logged("asked to stop");
+    let stopping = proxy.wait_for_log("asked to stop");
     assert!(stopping.contains(r#""requests":0"#), "a number stays one: {stopping}");
 }
 
 #[test]
 fn a_text_log_cannot_be_forged_by_what_it_repeats() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let _client = proxy.open();
-    let mut far = node.called().0;
-    far.say("HELLO x=1 \"y\"\x1b[2J\r\n");
-    let line = proxy.logged("endpoint answered an attempt with 'HELLO x=1");
+    let mut far = node.accept_attempt().0;
+    far.send("HELLO x=1 \"y\"\x1b[2J\r\n");
+    let line = proxy.wait_for_log("endpoint answered an attempt with 'HELLO x=1");
     assert!(!line.contains('\x1b'), "{line:?}");
     assert!(line.contains(&format!(" address={} answer=\"HELLO x=1 ", node.address())), "{line}");
 }
--- a/crates/cottonnotch/tests/endings/attempts.rs
+++ b/crates/cottonnotch/tests/endings/attempts.rs
@@ -2,7 +2,7 @@
 //!
 //! Unless a story says so, its attempts have more time than the story: what ends one is what its peers do.
 
-use crate::peers::crowded::Crowded;
+use crate::peers::full_backlog::FullBacklog;
 use crate::peers::*;
 use std::time::{Duration, Instant};
 
@@ -19,23 +19,23 @@
 const UNSAFE: &str = r#""effect":"unsafe""#;
 
 /// A client that waits for so long, in milliseconds.
-fn open_for(proxy: &Proxy, ms: u32) -> Peer {
+fn open_for(proxy: &Proxy, ms: u32) -> ScriptedPeer {
     let mut client = proxy.connect();
-    client.say(&fresh(OPEN).replace("d=2000", &format!("d={ms}")));
+    client.send(&with_fresh_id(OPEN).replace("d=2000", &format!("d={ms}")));
     client
 }
 
-fn open(proxy: &Proxy) -> Peer {
+fn open(proxy: &Proxy) -> ScriptedPeer {
     open_for(proxy, 60_000)
 }
 
 /// A proxy with two render nodes, a client of it, where its attempt is out, and the other render node.
-fn first_attempt(settings: &str) -> (Proxy, [Scripted; 2], Peer, usize, Peer) {
-    let nodes = [Scripted::new(), Scripted::new()];
-    let proxy = Proxy::managed(&[&nodes[0], &nodes[1]], 1024, settings);
+fn first_attempt(settings: &str) -> (Proxy, [ScriptedServer; 2], ScriptedPeer, usize, ScriptedPeer) {
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
+    let proxy = Proxy::with_admin(&[&nodes[0], &nodes[1]], 1024, settings);
     let client = open(&proxy);
-    let (at, mut far) = called_at(&nodes);
-    far.hear();
+    let (at, mut far) = accept_attempt_at(&nodes);
+    far.receive();
     (proxy, nodes, client, at, far)
 }
 
@@ -56,11 +56,14 @@
 fn lines_in_the_same_write_as_the_answer_are_passed_on() {
     let (proxy, _nodes, mut client, _, mut far) = first_attempt(&patient());
     proxy.pause();
-    far.say("UP 1\r\nM 5 x\r\nLOAD 2\r\nM 6");
-    proxy.wake();
-    assert_eq!([client.hear(), client.hear(), client.hear()], ["UP 1\r\n", "M 5 x\r\n", "LOAD 2\r\n"]);
-    far.say(" y\r\n");
-    assert_eq!(client.hear(), "M 6 y\r\n");
+    far.send("UP 1\r\nM 5 x\r\nLOAD 2\r\nM 6");
+    proxy.resume_after_arrival();
+    assert_eq!(
+        [client.receive(), client.receive(), client.receive()],
+        ["UP 1\r\n", "M 5 x\r\n", "LOAD 2\r\n"]
+    );
+    far.send(" y\r\n");
+    assert_eq!(client.receive(), "M 6 y\r\n");
 }
 
 // Guards relay.rs `pass_subchannel`: an end that was read with the answer shows again.
@@ -68,10 +71,10 @@
 fn an_answer_and_the_end_at_once_reach_the_client_as_an_answer_and_an_end() {
     let (proxy, _nodes, mut client, _, mut far) = first_attempt(&patient());
     proxy.pause();
-    far.say("UP 1\r\nBYE\r\n");
+    far.send("UP 1\r\nBYE\r\n");
     drop(far);
-    proxy.wake();
-    assert_eq!(client.rest().unwrap(), "UP 1\r\nBYE\r\n");
+    proxy.resume_after_arrival();
+    assert_eq!(client.receive_rest().unwrap(), "UP 1\r\nBYE\r\n");
 }
 
 // Guards line.rs `fill`, which remembers a reset: the attempt reads it with the answer, the relay would see an end.
@@ -79,10 +82,10 @@
 fn an_answer_and_a_reset_at_once_reach_the_client_as_an_answer_and_a_reset() {
     let (proxy, _nodes, mut client, _, far) = first_attempt(&patient());
     proxy.pause();
-    far.say_and_reset("UP 1\r\nM 5 x\r\n");
-    proxy.wake();
-    assert_eq!([client.hear(), client.hear()], ["UP 1\r\n", "M 5 x\r\n"]);
-    assert_eq!(client.rest().unwrap_err().kind(), std::io::ErrorKind::ConnectionReset);
+    far.send_and_reset("UP 1\r\nM 5 x\r\n");
+    proxy.resume_after_arrival();
+    assert_eq!([client.receive(), client.receive()], ["UP 1\r\n", "M 5 x\r\n"]);
+    assert_eq!(client.receive_rest().unwrap_err().kind(), std::io::ErrorKind::ConnectionReset);
 }
 
 // Guards call_attempt.rs `advance`: no whole line and the end is a reset, and half an answer is none.
@@ -92,19 +95,19 @@
         let (proxy, nodes, mut client, at, mut far) = first_attempt(&patient());
         proxy.pause();
         match reset {
-            true => far.say_and_reset(half),
+            true => far.send_and_reset(half),
             false => {
-                far.say(half);
+                far.send(half);
                 drop(far);
             }
         }
-        proxy.wake();
-        let mut second = nodes[1 - at].called().0;
-        second.say("UP 2\r\n");
-        assert_eq!(client.hear(), "UP 2\r\n", "{half:?}");
-        second.say("BYE\r\n");
+        proxy.resume_after_arrival();
+        let mut second = nodes[1 - at].accept_attempt().0;
+        second.send("UP 2\r\n");
+        assert_eq!(client.receive(), "UP 2\r\n", "{half:?}");
+        second.send("BYE\r\n");
         drop(second);
-        assert_eq!(client.rest().unwrap(), "BYE\r\n", "{half:?}");
+        assert_eq!(client.receive_rest().unwrap(), "BYE\r\n", "{half:?}");
     }
 }
 
@@ -112,23 +115,23 @@
 #[test]
 fn an_answer_without_end_is_given_up_and_nothing_of_it_is_passed_on() {
     let (_proxy, nodes, mut client, at, mut far) = first_attempt(&patient());
-    far.say(&format!("UP {}", "x".repeat(4093)));
-    let mut second = nodes[1 - at].called().0;
+    far.send(&format!("UP {}", "x".repeat(4093)));
+    let mut second = nodes[1 - at].accept_attempt().0;
     // It never ends, and its connection is closed meanwhile.
-    within(PATIENCE, "the attempt is closed", || far.try_say(&"x".repeat(1000)).err());
-    second.say("UP 2\r\nBYE\r\n");
+    wait_for(TIMEOUT, "the attempt is closed", || far.try_send(&"x".repeat(1000)).err());
+    second.send("UP 2\r\nBYE\r\n");
     drop(second);
-    assert_eq!(client.rest().unwrap(), "UP 2\r\nBYE\r\n");
+    assert_eq!(client.receive_rest().unwrap(), "UP 2\r\nBYE\r\n");
 }
 
 // Guards line.rs `take_line`, which leaves half a line where it is.
 #[test]
 fn an_answer_may_come_byte_by_byte() {
     let (_proxy, nodes, mut client, at, mut far) = first_attempt(&patient());
-    far.spell("BUSY 5\r\n");
-    let mut second = nodes[1 - at].called().0;
-    second.spell("UP 77\r\nLOAD 2\r\n");
-    assert_eq!([client.hear(), client.hear()], ["UP 77\r\n", "LOAD 2\r\n"]);
+    far.send_bytewise("BUSY 5\r\n");
+    let mut second = nodes[1 - at].accept_attempt().0;
+    second.send_bytewise("UP 77\r\nLOAD 2\r\n");
+    assert_eq!([client.receive(), client.receive()], ["UP 77\r\n", "LOAD 2\r\n"]);
 }
 
 // Guards rpc.rs `attempt_ended`, which closes the attempt's connection with what it may still hold.
@@ -138,20 +141,20 @@
         ["BUSY\r\nUP 9\r\nM 1 x\r\n", "ERR no\r\nUP 9\r\n", "BUSY 5\r\nBUSY 6\r\n", "MOVE\r\nUP 9\r\n"]
     {
         let (proxy, nodes, mut client, at, mut far) = first_attempt(&patient());
-        far.say(answer);
-        let mut second = nodes[1 - at].called().0;
-        assert_eq!(far.rest().unwrap(), "", "{answer:?}: closed before the next attempt");
-        second.say("UP 2\r\n");
-        assert_eq!(client.hear(), "UP 2\r\n", "{answer:?}");
+        far.send(answer);
+        let mut second = nodes[1 - at].accept_attempt().0;
+        assert_eq!(far.receive_rest().unwrap(), "", "{answer:?}: closed before the next attempt");
+        second.send("UP 2\r\n");
+        assert_eq!(client.receive(), "UP 2\r\n", "{answer:?}");
         let mut other = open(&proxy);
-        let (_, mut third) = called_at(&nodes);
-        third.hear();
-        third.say("UP 3\r\nBYE\r\n");
+        let (_, mut third) = accept_attempt_at(&nodes);
+        third.receive();
+        third.send("UP 3\r\nBYE\r\n");
         drop(third);
-        assert_eq!(other.rest().unwrap(), "UP 3\r\nBYE\r\n", "{answer:?}");
-        second.say("BYE\r\n");
+        assert_eq!(other.receive_rest().unwrap(), "UP 3\r\nBYE\r\n", "{answer:?}");
+        second.send("BYE\r\n");
         drop(second);
-        assert_eq!(client.rest().unwrap(), "BYE\r\n", "{answer:?}");
+        assert_eq!(client.receive_rest().unwrap(), "BYE\r\n", "{answer:?}");
     }
 }
 
@@ -161,17 +164,17 @@
     for second in ["UP 2\r\n", "BUSY 5\r\nERR late\r\n", "BUSY", "ERR late\r"] {
         let (proxy, _nodes, mut client, _, mut far) = first_attempt(&patient());
         proxy.pause();
-        far.say(&format!("UP 1\r\n{second}"));
+        far.send(&format!("UP 1\r\n{second}"));
         drop(far);
-        proxy.wake();
-        assert_eq!(client.rest().unwrap(), "UP 1\r\n", "{second:?}");
+        proxy.resume_after_arrival();
+        assert_eq!(client.receive_rest().unwrap(), "UP 1\r\n", "{second:?}");
     }
     // Cut in two, of which the first is read with a line that the client hears.
     let (_proxy, _nodes, mut client, _, mut far) = first_attempt(&patient());
-    far.say("UP 1\r\nLOAD 2\r\nBU");
-    assert_eq!([client.hear(), client.hear()], ["UP 1\r\n", "LOAD 2\r\n"]);
-    far.say("SY 5\r\nLOAD 3\r\n");
-    assert_eq!(client.hear(), "LOAD 3\r\n");
+    far.send("UP 1\r\nLOAD 2\r\nBU");
+    assert_eq!([client.receive(), client.receive()], ["UP 1\r\n", "LOAD 2\r\n"]);
+    far.send("SY 5\r\nLOAD 3\r\n");
+    assert_eq!(client.receive(), "LOAD 3\r\n");
 }
 
 // Guards relay.rs `is_second_answer`: no client's line is answered by an answer to its first one.
@@ -179,18 +182,18 @@
 fn a_second_answer_is_dropped_though_a_clients_line_is_unanswered() {
     for second in ["UP 2\r\n", "BUSY 5\r\n"] {
         let (_proxy, _nodes, mut client, _, mut far) = first_attempt(&patient());
-        far.say("UP 1\r\n");
-        assert_eq!(client.hear(), "UP 1\r\n");
-        client.say("M 1 x\r\n");
-        assert_eq!(far.hear(), "M 1 x\r\n");
-        far.say(&format!("{second}M 1 x\r\n"));
-        assert_eq!(client.hear(), "M 1 x\r\n");
+        far.send("UP 1\r\n");
+        assert_eq!(client.receive(), "UP 1\r\n");
+        client.send("M 1 x\r\n");
+        assert_eq!(far.receive(), "M 1 x\r\n");
+        far.send(&format!("{second}M 1 x\r\n"));
+        assert_eq!(client.receive(), "M 1 x\r\n");
         // Its own lines come back whatever they say.
-        client.say("M 2 y\r\nBUSY 5\r\nUP 2\r\n");
-        assert_eq!([far.hear(), far.hear(), far.hear()], ["M 2 y\r\n", "BUSY 5\r\n", "UP 2\r\n"]);
-        far.say("M 2 y\r\nBUSY 5\r\nUP 2\r\nBYE\r\n");
+        client.send("M 2 y\r\nBUSY 5\r\nUP 2\r\n");
+        assert_eq!([far.receive(), far.receive(), far.receive()], ["M 2 y\r\n", "BUSY 5\r\n", "UP 2\r\n"]);
+        far.send("M 2 y\r\nBUSY 5\r\nUP 2\r\nBYE\r\n");
         drop(far);
-        assert_eq!(client.rest().unwrap(), "M 2 y\r\nBUSY 5\r\nUP 2\r\nBYE\r\n");
+        assert_eq!(client.receive_rest().unwrap(), "M 2 y\r\nBUSY 5\r\nUP 2\r\nBYE\r\n");
     }
 }
 
@@ -199,40 +202,40 @@
 // Guards rpc.rs `timer` and `attempt_ended`: an attempt whose time is up is closed, and its number is not reused.
 #[test]
 fn an_answer_to_an_attempt_that_was_given_up_reaches_nobody() {
-    let nodes = [Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0], &nodes[1]]);
     let mut client = proxy.open();
-    let (at, mut far) = called_at(&nodes);
-    far.hear();
-    let mut second = nodes[1 - at].called().0;
-    assert_eq!(far.rest().unwrap(), "", "closed when its time was up");
+    let (at, mut far) = accept_attempt_at(&nodes);
+    far.receive();
+    let mut second = nodes[1 - at].accept_attempt().0;
+    assert_eq!(far.receive_rest().unwrap(), "", "closed when its time was up");
     // The first such write is taken by the system, and answered with a reset.
-    far.say("UP 1\r\n");
-    within(PATIENCE, "nobody reads it", || far.try_say("UP 1\r\n").err());
-    second.say("UP 2\r\nBYE\r\n");
+    far.send("UP 1\r\n");
+    wait_for(TIMEOUT, "nobody reads it", || far.try_send("UP 1\r\n").err());
+    second.send("UP 2\r\nBYE\r\n");
     drop(second);
-    assert_eq!(client.rest().unwrap(), "UP 2\r\nBYE\r\n");
+    assert_eq!(client.receive_rest().unwrap(), "UP 2\r\nBYE\r\n");
 }
 
 // Guards reactor.rs `turn` and rpc.rs `timer`: what has come is read before timers, and an outdated timer does nothing.
 #[test]
 fn an_answer_that_is_there_when_its_time_is_up_counts_and_no_second_attempt_is_made() {
-    let nodes = [Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0], &nodes[1]]);
     let mut client = proxy.open();
-    let (at, mut far) = called_at(&nodes);
-    far.hear();
+    let (at, mut far) = accept_attempt_at(&nodes);
+    far.receive();
     proxy.pause();
-    far.say("UP 1\r\n");
+    far.send("UP 1\r\n");
     // The attempt's 300 ms are over in any case.
     std::thread::sleep(Duration::from_millis(400));
-    proxy.wake();
-    assert_eq!(client.hear(), "UP 1\r\n");
-    client.say("M 1 x\r\n");
-    assert_eq!(far.hear(), "M 1 x\r\n");
-    far.say("M 1 x\r\nBYE\r\n");
+    proxy.resume_after_arrival();
+    assert_eq!(client.receive(), "UP 1\r\n");
+    client.send("M 1 x\r\n");
+    assert_eq!(far.receive(), "M 1 x\r\n");
+    far.send("M 1 x\r\nBYE\r\n");
     drop(far);
-    assert_eq!(client.rest().unwrap(), "M 1 x\r\nBYE\r\n");
+    assert_eq!(client.receive_rest().unwrap(), "M 1 x\r\nBYE\r\n");
     assert!(nodes[1 - at].poll().is_none(), "one attempt");
 }
 
@@ -251,13 +254,13 @@
     ] {
         let (_proxy, nodes, mut client, at, mut far) = first_attempt(&effect(&patient(), UNSAFE));
         match reset {
-            true => far.say_and_reset(words),
+            true => far.send_and_reset(words),
             false => {
-                far.say(words);
+                far.send(words);
                 drop(far);
             }
         }
-        let answer = client.rest().unwrap();
+        let answer = client.receive_rest().unwrap();
         assert!(is_failure(&answer), "{words:?}: {answer}");
         assert!(nodes[1 - at].poll().is_none() && nodes[at].poll().is_none(), "{words:?}: one attempt");
     }
@@ -266,14 +269,14 @@
 // Guards call_attempt.rs `overdue`: once the line is written, an attempt without an answer may have run.
 #[test]
 fn an_unsafe_attempt_without_an_answer_is_a_failure_and_tried_nowhere_else() {
-    let nodes = [Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::with(&[&nodes[0], &nodes[1]], 1024, &effect(SETTINGS, UNSAFE));
     let mut client = proxy.open();
-    let (at, mut far) = called_at(&nodes);
-    far.hear();
-    let answer = client.rest().unwrap();
+    let (at, mut far) = accept_attempt_at(&nodes);
+    far.receive();
+    let answer = client.receive_rest().unwrap();
     assert!(is_failure(&answer), "{answer}");
-    assert_eq!(far.rest().unwrap(), "", "and the attempt is closed");
+    assert_eq!(far.receive_rest().unwrap(), "", "and the attempt is closed");
     assert!(nodes[1 - at].poll().is_none() && nodes[at].poll().is_none(), "one attempt");
 }
 
@@ -281,14 +284,14 @@
 #[test]
 fn an_unsafe_attempt_that_was_turned_away_is_tried_elsewhere_and_may_be_refused() {
     let (_proxy, nodes, mut client, at, mut far) = first_attempt(&effect(&patient(), UNSAFE));
-    far.say("BUSY\r\n");
-    nodes[1 - at].called().0.say("UP 2\r\n");
-    assert_eq!(client.hear(), "UP 2\r\n");
-    let node = Scripted::new();
+    far.send("BUSY\r\n");
+    nodes[1 - at].accept_attempt().0.send("UP 2\r\n");
+    assert_eq!(client.receive(), "UP 2\r\n");
+    let node = ScriptedServer::new();
     let proxy = Proxy::with(&[&node], 1024, &effect(&patient(), UNSAFE));
     let mut client = open_for(&proxy, 300);
-    node.called().0.say("BUSY\r\n");
-    let answer = client.rest().unwrap();
+    node.accept_attempt().0.send("BUSY\r\n");
+    let answer = client.receive_rest().unwrap();
     assert!(is_refusal(&answer), "{answer}");
 }
 
@@ -296,9 +299,9 @@
 #[test]
 fn an_unsafe_attempt_that_broke_after_another_was_turned_away_is_a_failure() {
     let (_proxy, nodes, mut client, at, mut far) = first_attempt(&effect(&patient(), UNSAFE));
-    far.say("BUSY\r\n");
-    nodes[1 - at].called().0.reset();
-    let answer = client.rest().unwrap();
+    far.send("BUSY\r\n");
+    nodes[1 - at].accept_attempt().0.reset();
+    let answer = client.receive_rest().unwrap();
     assert!(is_failure(&answer), "{answer}");
     assert!(nodes.iter().all(|node| node.poll().is_none()), "no third attempt");
 }
@@ -306,12 +309,13 @@
 // Guards call_attempt.rs `advance`: a refused connect never ran.
 #[test]
 fn an_unsafe_attempt_that_could_not_connect_is_tried_elsewhere_and_may_be_refused() {
-    let (dead, node) = (Scripted::new(), Scripted::new());
+    let (dead, node) = (ScriptedServer::new(), ScriptedServer::new());
     let proxy = Proxy::with(&[&dead, &node], 1024, &effect(&patient(), UNSAFE));
     let alone = Proxy::with(&[&dead], 1024, &effect(&patient(), UNSAFE));
     drop(dead);
-    let _held: Vec<(Peer, Peer)> = (0..4).map(|_| (open(&proxy), node.called().0)).collect();
-    let answer = open_for(&alone, 300).rest().unwrap();
+    let _held: Vec<(ScriptedPeer, ScriptedPeer)> =
+        (0..4).map(|_| (open(&proxy), node.accept_attempt().0)).collect();
+    let answer = open_for(&alone, 300).receive_rest().unwrap();
     assert!(is_refusal(&answer), "{answer}");
 }
 
@@ -321,9 +325,9 @@
     // The attempt's own time ends first, then that for connecting.
     for (target, connect) in [("100000", "5000000"), ("30000000", "100000")] {
         let settings = effect(SETTINGS, UNSAFE).replace("300000", target).replace("250000", connect);
-        let crowded = Crowded::new();
+        let crowded = FullBacklog::new();
         let proxy = Proxy::with(&[crowded.node()], 1024, &settings);
-        let answer = open_for(&proxy, 300).rest().unwrap();
+        let answer = open_for(&proxy, 300).receive_rest().unwrap();
         assert!(is_refusal(&answer), "{target}, {connect}: {answer}");
         assert!(crowded.poll().is_none());
     }
@@ -335,27 +339,27 @@
     // The system tries to connect again after 1 s; by then, or a second later, the time is over.
     for (target, connect) in [("2000000", "5000000"), ("30000000", "2000000")] {
         let settings = effect(&patient(), UNSAFE).replace("30000000", target).replace("250000", connect);
-        let crowded = Crowded::new();
-        let proxy = Proxy::managed(&[crowded.node()], 1024, &settings);
+        let crowded = FullBacklog::new();
+        let proxy = Proxy::with_admin(&[crowded.node()], 1024, &settings);
         let mut client = open(&proxy);
-        within(PATIENCE, "the attempt is out", || (proxy.figure("in_progress") == Some(1)).then_some(()));
+        wait_for(TIMEOUT, "the attempt is out", || (proxy.metric("in_progress") == Some(1)).then_some(()));
         let begun = Instant::now();
         proxy.pause();
         // There is room now, and the system connects while the proxy stands still.
         let mut late = crowded.accept();
-        within(PATIENCE, "its time is over", || (begun.elapsed() > Duration::from_secs(2)).then_some(()));
-        proxy.wake();
-        assert_eq!(late.rest().unwrap(), "", "{target}, {connect}: no line");
-        let mut far = crowded.called().0;
-        far.say("UP 2\r\n");
-        assert_eq!(client.hear(), "UP 2\r\n", "{target}, {connect}: it never ran, and may be tried again");
+        wait_for(TIMEOUT, "its time is over", || (begun.elapsed() > Duration::from_secs(2)).then_some(()));
+        proxy.resume_after_arrival();
+        assert_eq!(late.receive_rest().unwrap(), "", "{target}, {connect}: no line");
+        let mut far = crowded.accept_attempt().0;
+        far.send("UP 2\r\n");
+        assert_eq!(client.receive(), "UP 2\r\n", "{target}, {connect}: it never ran, and may be tried again");
     }
 }
 
 /// Two zones of two cells each, of two render nodes each.
-fn spread() -> (Vec<Scripted>, Vec<String>) {
-    let nodes: Vec<Scripted> = (0..8).map(|_| Scripted::new()).collect();
-    let place = |(i, node): (usize, &Scripted)| {
+fn spread() -> (Vec<ScriptedServer>, Vec<String>) {
+    let nodes: Vec<ScriptedServer> = (0..8).map(|_| ScriptedServer::new()).collect();
+    let place = |(i, node): (usize, &ScriptedServer)| {
         let zone = if i < 4 { "a" } else { "b" };
         member(&format!("s{i}"), node, "up")
             .replace(r#""locality":"a","cell":0"#, &format!(r#""locality":"{zone}","cell":{}"#, i / 2))
@@ -371,19 +375,19 @@
         let keyed = format!(r#""effect":"keyed","group":"{group}","window":60000000"#);
         let settings = effect(SETTINGS, &keyed).replace(r#""zones":["a"]"#, r#""zones":["a","b"]"#);
         let (nodes, members) = spread();
-        let proxy = Proxy::knowing(&members, &settings);
+        let proxy = Proxy::with_endpoints(&members, &settings);
         let mut client = open(&proxy);
         // No answer in time, then turned away, then broken.
-        let (first, mut silent) = called_at(&nodes);
-        silent.hear();
-        let (second, mut full) = called_at(&nodes);
-        full.hear();
-        assert_eq!(silent.rest().unwrap(), "", "{group}: given up");
-        full.say("BUSY\r\n");
-        let (third, mut broken) = called_at(&nodes);
-        broken.hear();
+        let (first, mut silent) = accept_attempt_at(&nodes);
+        silent.receive();
+        let (second, mut full) = accept_attempt_at(&nodes);
+        full.receive();
+        assert_eq!(silent.receive_rest().unwrap(), "", "{group}: given up");
+        full.send("BUSY\r\n");
+        let (third, mut broken) = accept_attempt_at(&nodes);
+        broken.receive();
         broken.reset();
-        let answer = client.rest().unwrap();
+        let answer = client.receive_rest().unwrap();
         assert!(is_failure(&answer), "{group}: {answer}");
         let tried = [first, second, third];
         assert!(tried.iter().all(|at| at / size == first / size), "{group}: {tried:?}");
@@ -397,12 +401,12 @@
     let keyed = r#""effect":"keyed","group":"all","window":60000000"#;
     let (proxy, nodes, mut client, at, far) = first_attempt(&effect(&patient(), keyed));
     far.reset();
-    let second = nodes[1 - at].called().0;
+    let second = nodes[1 - at].accept_attempt().0;
     second.reset();
-    let (_, mut third) = called_at(&nodes);
-    third.hear();
+    let (_, mut third) = accept_attempt_at(&nodes);
+    third.receive();
     third.reset();
-    let answer = client.rest().unwrap();
+    let answer = client.receive_rest().unwrap();
     assert!(is_refusal(&answer), "{answer}");
     drop(proxy);
 }
@@ -412,14 +416,14 @@
 fn a_keyed_attempt_that_ends_after_its_window_is_not_repeated() {
     for (group, refused) in [("cell", false), ("zone", false), ("all", true)] {
         let keyed = format!(r#""effect":"keyed","group":"{group}","window":200000"#);
-        let nodes = [Scripted::new(), Scripted::new()];
+        let nodes = [ScriptedServer::new(), ScriptedServer::new()];
         let proxy = Proxy::with(&[&nodes[0], &nodes[1]], 1024, &effect(SETTINGS, &keyed));
         let mut client = proxy.open();
-        let (at, mut far) = called_at(&nodes);
-        far.hear();
-        let answer = client.rest().unwrap();
+        let (at, mut far) = accept_attempt_at(&nodes);
+        far.receive();
+        let answer = client.receive_rest().unwrap();
         assert!(if refused { is_refusal(&answer) } else { is_failure(&answer) }, "{group}: {answer}");
-        assert_eq!(far.rest().unwrap(), "", "{group}: closed");
+        assert_eq!(far.receive_rest().unwrap(), "", "{group}: closed");
         assert!(nodes[1 - at].poll().is_none() && nodes[at].poll().is_none(), "{group}: one attempt");
     }
 }
--- a/crates/cottonnotch/tests/endings/claims.rs
+++ b/crates/cottonnotch/tests/endings/claims.rs
@@ -5,62 +5,62 @@
 /// Each of them cost a turn and a set-up for each attempt that it might have had, all for nobody.
 #[test]
 fn clients_gone_right_behind_their_line_take_no_set_ups_from_others() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let tenants = r#""tenants":[{"name":"t","allowancePerS":0.01,"share":1.0}],"balancers":1"#;
     let proxy = Proxy::with(&[&node], 1024, &SETTINGS.replace(r#""balancers":1"#, tenants));
     for begin in ["", "and more of it"] {
         proxy.pause();
-        let mut gone: Vec<Peer> = (0..20).map(|_| proxy.connect()).collect();
-        gone.iter_mut().for_each(|client| client.say(&format!("{}{begin}", fresh(OPEN))));
+        let mut gone: Vec<ScriptedPeer> = (0..20).map(|_| proxy.connect()).collect();
+        gone.iter_mut().for_each(|client| client.send(&format!("{}{begin}", with_fresh_id(OPEN))));
         drop(gone);
-        proxy.wake();
+        proxy.resume_after_arrival();
     }
     let mut sound = proxy.open();
-    let mut far = node.called().0;
-    assert!(far.try_say("UP 1\r\n").is_ok());
-    assert_eq!(sound.hear(), "UP 1\r\n");
+    let mut far = node.accept_attempt().0;
+    assert!(far.try_send("UP 1\r\n").is_ok());
+    assert_eq!(sound.receive(), "UP 1\r\n");
     assert!(node.poll().is_none(), "nobody else was sent on");
 }
 
 /// A client that ends its sending gives up, as the pages have it of attempts; but it is told so.
 #[test]
 fn a_client_that_only_ends_its_sending_has_given_up_and_is_told() {
-    let node = Scripted::new();
-    let proxy = Proxy::managed(&[&node], 1024, SETTINGS);
+    let node = ScriptedServer::new();
+    let proxy = Proxy::with_admin(&[&node], 1024, SETTINGS);
     let mut client = proxy.open();
-    let mut far = node.called().0;
+    let mut far = node.accept_attempt().0;
     client.finish();
-    assert_eq!(client.rest().unwrap(), "ERR the client has ended its sending\r\n");
-    assert_eq!(far.rest().unwrap(), "", "its attempt is closed");
-    assert_eq!(proxy.call("POST", "/maintenance/enter", "s0").0, 200);
+    assert_eq!(client.receive_rest().unwrap(), "ERR the client has ended its sending\r\n");
+    assert_eq!(far.receive_rest().unwrap(), "", "its attempt is closed");
+    assert_eq!(proxy.admin_request("POST", "/maintenance/enter", "s0").0, 200);
     let mut held = proxy.open();
-    within(PATIENCE, "it is held", || (proxy.figure("in_progress")? == 1).then_some(()));
+    wait_for(TIMEOUT, "it is held", || (proxy.metric("in_progress")? == 1).then_some(()));
     held.finish();
-    assert_eq!(held.rest().unwrap(), "ERR the client has ended its sending\r\n");
-    within(PATIENCE, "nothing is owed", || (proxy.figure("in_progress")? == 0).then_some(()));
+    assert_eq!(held.receive_rest().unwrap(), "ERR the client has ended its sending\r\n");
+    wait_for(TIMEOUT, "nothing is owed", || (proxy.metric("in_progress")? == 0).then_some(()));
 }
 
 /// A held client's earlier attempt had ended and been paid for; its set-up was given back when the client left.
 #[test]
 fn a_set_up_that_was_used_is_not_given_back_when_its_client_leaves_later() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let tenants = r#""tenants":[{"name":"t","allowancePerS":0.001,"share":1.0}],"balancers":1"#;
-    let proxy = Proxy::managed(&[&node], 1024, &SETTINGS.replace(r#""balancers":1"#, tenants));
+    let proxy = Proxy::with_admin(&[&node], 1024, &SETTINGS.replace(r#""balancers":1"#, tenants));
     let open = |left: &str| {
         let mut client = proxy.connect();
-        client.say(&fresh(OPEN).replace("d=2000", left));
+        client.send(&with_fresh_id(OPEN).replace("d=2000", left));
         client
     };
     // Two set-ups are there, and the next one comes in minutes.
     for _ in 0..2 {
         let client = open("d=20000");
-        let mut far = node.called().0;
-        far.say("BUSY\r\n");
-        assert_eq!(far.rest().unwrap(), "", "its attempt is over, and it is held");
+        let mut far = node.accept_attempt().0;
+        far.send("BUSY\r\n");
+        assert_eq!(far.receive_rest().unwrap(), "", "its attempt is over, and it is held");
         drop(client);
-        within(PATIENCE, "it is gone", || (proxy.figure("in_progress")? == 0).then_some(()));
+        wait_for(TIMEOUT, "it is gone", || (proxy.metric("in_progress")? == 0).then_some(()));
     }
-    let answer = open("d=6000").rest().unwrap();
+    let answer = open("d=6000").receive_rest().unwrap();
     assert!(answer.starts_with("BUSY"), "{answer}");
     assert!(node.poll().is_none(), "no third set-up");
 }
@@ -69,27 +69,27 @@
 /// It leaves as its attempt fails, and a further one would have been made: the set-up for that is there for others.
 #[test]
 fn a_client_that_leaves_as_its_attempt_fails_takes_no_second_set_up() {
-    let nodes = [Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let tenants = r#""tenants":[{"name":"t","allowancePerS":0.001,"share":1.0}],"balancers":1"#;
     let settings = SETTINGS.replace(r#""balancers":1"#, tenants);
-    let proxy = Proxy::managed(&[&nodes[0], &nodes[1]], 1024, &settings.replace("300000", "8000000"));
+    let proxy = Proxy::with_admin(&[&nodes[0], &nodes[1]], 1024, &settings.replace("300000", "8000000"));
     let open = || {
         let mut client = proxy.connect();
-        client.say(&fresh(OPEN).replace("d=2000", "d=20000"));
+        client.send(&with_fresh_id(OPEN).replace("d=2000", "d=20000"));
         client
     };
     // Two set-ups are there, and the next one comes in minutes.
     let client = open();
-    let (at, mut far) = called_at(&nodes);
-    far.hear();
+    let (at, mut far) = accept_attempt_at(&nodes);
+    far.receive();
     proxy.pause();
-    far.say("BUSY\r\n");
-    proxy.arrived();
+    far.send("BUSY\r\n");
+    proxy.wait_until_arrived();
     drop(client);
-    proxy.wake();
-    within(PATIENCE, "it is gone", || (proxy.figure("in_progress")? == 0).then_some(()));
+    proxy.resume_after_arrival();
+    wait_for(TIMEOUT, "it is gone", || (proxy.metric("in_progress")? == 0).then_some(()));
     let mut sound = open();
-    let (mut far, _) = nodes[1 - at].called();
-    far.say("UP 1\r\n");
-    assert_eq!(sound.hear(), "UP 1\r\n");
+    let (mut far, _) = nodes[1 - at].accept_attempt();
+    far.send("UP 1\r\n");
+    assert_eq!(sound.receive(), "UP 1\r\n");
 }
--- a/crates/cottonnotch/tests/endings/clients.rs
+++ b/crates/cottonnotch/tests/endings/clients.rs
@@ -1,6 +1,6 @@
 //! Clients that leave, end their sending, or send too much, while something is owed to them.
 
-use super::peers::crowded::Crowded;
+use super::peers::full_backlog::FullBacklog;
 use super::peers::*;
 use std::io::ErrorKind;
 use std::time::{Duration, Instant};
@@ -12,97 +12,98 @@
 }
 
 fn line() -> String {
-    fresh(OPEN).replace("d=2000", "d=20000")
+    with_fresh_id(OPEN).replace("d=2000", "d=20000")
 }
 
 /// A client that has asked, and its line's id.
-fn asks(proxy: &Proxy) -> (Peer, u64) {
+fn asks(proxy: &Proxy) -> (ScriptedPeer, u64) {
     let (mut client, line) = (proxy.connect(), line());
-    client.say(&line);
+    client.send(&line);
     (client, id_of(&line))
 }
 
 fn in_progress(proxy: &Proxy, count: u64) {
-    within(PATIENCE, "so many in progress", || (proxy.figure("in_progress") == Some(count)).then_some(()));
+    wait_for(TIMEOUT, "so many in progress", || (proxy.metric("in_progress") == Some(count)).then_some(()));
 }
 
 /// A sound client is served, and its line is the first that has come to any of these nodes: nothing was sent before it.
-fn first_to_come(proxy: &Proxy, nodes: &[Scripted]) -> (Peer, Peer) {
+fn first_to_come(proxy: &Proxy, nodes: &[ScriptedServer]) -> (ScriptedPeer, ScriptedPeer) {
     let (mut client, id) = asks(proxy);
-    let (_, mut far) = called_at(nodes);
-    assert_eq!(id_of(&far.hear()), id, "nothing was sent for those that left");
-    far.say("UP 1\r\n");
-    assert_eq!(client.hear(), "UP 1\r\n");
+    let (_, mut far) = accept_attempt_at(nodes);
+    assert_eq!(id_of(&far.receive()), id, "nothing was sent for those that left");
+    far.send("UP 1\r\n");
+    assert_eq!(client.receive(), "UP 1\r\n");
     (client, far)
 }
 
 /// Both leave, the client first: a render node that ends by itself is paused.
-fn part((client, mut far): (Peer, Peer)) {
+fn part((client, mut far): (ScriptedPeer, ScriptedPeer)) {
     drop(client);
-    assert_eq!(far.rest().unwrap(), "");
+    assert_eq!(far.receive_rest().unwrap(), "");
 }
 
-type Leave = fn(Peer);
+type Leave = fn(ScriptedPeer);
 
 const LEAVINGS: [(&str, Leave); 4] = [
     ("an end", |client| drop(client)),
     ("a reset", |client| client.reset()),
-    ("bytes and an end", |mut client| client.say("M 1 a\r\nM 2")),
+    ("bytes and an end", |mut client| client.send("M 1 a\r\nM 2")),
     ("bytes and a reset", |mut client| {
-        client.say("M 1 a\r\nM 2");
+        client.send("M 1 a\r\nM 2");
         client.reset();
     }),
 ];
 
 #[test]
 fn five_hundred_held_clients_leave_at_once_and_nothing_is_sent_for_them() {
-    let nodes = [Scripted::new()];
-    let proxy = Proxy::managed(&[&nodes[0]], 4096, &patient());
+    let nodes = [ScriptedServer::new()];
+    let proxy = Proxy::with_admin(&[&nodes[0]], 4096, &patient());
     let mut largest = Duration::ZERO;
     for (how, leave) in LEAVINGS {
-        assert_eq!(proxy.call("POST", "/maintenance/enter", "s0").0, 200);
-        let clients: Vec<Peer> = (0..500).map(|_| asks(&proxy).0).collect();
+        assert_eq!(proxy.admin_request("POST", "/maintenance/enter", "s0").0, 200);
+        let clients: Vec<ScriptedPeer> = (0..500).map(|_| asks(&proxy).0).collect();
         in_progress(&proxy, 500);
         proxy.pause();
         clients.into_iter().for_each(leave);
-        let left = proxy.wake();
+        let left = proxy.resume_after_arrival();
         in_progress(&proxy, 0);
         let took = left.elapsed();
         println!("500 held clients left by {how}: none in progress after {} ms", took.as_millis());
         largest = largest.max(took);
-        assert_eq!(proxy.call("POST", "/maintenance/exit", "s0").0, 200);
+        assert_eq!(proxy.admin_request("POST", "/maintenance/exit", "s0").0, 200);
         part(first_to_come(&proxy, &nodes));
         in_progress(&proxy, 0);
     }
     assert!(nodes[0].poll().is_none());
-    assert_eq!(proxy.figure("handled.look.passed"), Some(4));
+    assert_eq!(proxy.metric("handled.look.passed"), Some(4));
     assert!(largest < Duration::from_millis(300), "{largest:?}");
 }
 
 #[test]
 fn held_clients_that_leave_in_the_instant_in_which_they_might_be_sent_on_are_not() {
-    let nodes = [Scripted::new()];
-    let proxy = Proxy::managed(&[&nodes[0]], 4096, &patient());
+    let nodes = [ScriptedServer::new()];
+    let proxy = Proxy::with_admin(&[&nodes[0]], 4096, &patient());
     for (_, leave) in LEAVINGS {
         for call_first in [true, false] {
-            assert_eq!(proxy.call("POST", "/maintenance/enter", "s0").0, 200);
-            let clients: Vec<Peer> = (0..100).map(|_| asks(&proxy).0).collect();
+            assert_eq!(proxy.admin_request("POST", "/maintenance/enter", "s0").0, 200);
+            let clients: Vec<ScriptedPeer> = (0..100).map(|_| asks(&proxy).0).collect();
             in_progress(&proxy, 100);
-            let mut operator = Peer::new(std::net::TcpStream::connect(proxy.mgmt()).unwrap());
-            operator.say("POST /maintenance/exit HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\ns");
+            let mut operator =
+                ScriptedPeer::new(std::net::TcpStream::connect(proxy.admin_address()).unwrap());
+            operator.send("POST /maintenance/exit HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\ns");
             // What was said is read once a later call has been answered.
             in_progress(&proxy, 100);
             proxy.pause();
             if call_first {
-                operator.say("0");
-                proxy.arrived();
+                operator.send("0");
+                proxy.wait_until_arrived();
                 clients.into_iter().for_each(leave);
             } else {
                 clients.into_iter().for_each(leave);
-                proxy.arrived();
-                operator.say("0");
+                proxy.wait_until_arrived();
+                operator.send("0");
             }
-            proxy.wake();
+            proxy.resume_after_arrival();
             assert_eq!(operator.answer().0, 200);
             in_progress(&proxy, 0);
             part(first_to_come(&proxy, &nodes));
@@ -110,54 +111,59 @@
         }
     }
     assert!(nodes[0].poll().is_none());
-    assert_eq!(proxy.figure("skipped_render_nodes"), Some(0));
+    assert_eq!(proxy.metric("skipped_render_nodes"), Some(0));
 }
 
 #[test]
 fn clients_that_leave_while_their_attempts_are_out_end_them_at_once() {
-    let nodes = [Scripted::new()];
-    let proxy = Proxy::managed(&[&nodes[0]], 1024, &patient());
+    let nodes = [ScriptedServer::new()];
+    let proxy = Proxy::with_admin(&[&nodes[0]], 1024, &patient());
     for (_, leave) in LEAVINGS {
-        let pairs: Vec<(Peer, Peer)> = (0..50).map(|_| (asks(&proxy).0, nodes[0].called().0)).collect();
-        let (clients, fars): (Vec<Peer>, Vec<Peer>) = pairs.into_iter().unzip();
+        let pairs: Vec<(ScriptedPeer, ScriptedPeer)> =
+            (0..50).map(|_| (asks(&proxy).0, nodes[0].accept_attempt().0)).collect();
+        let (clients, fars): (Vec<ScriptedPeer>, Vec<ScriptedPeer>) = pairs.into_iter().unzip();
         proxy.pause();
         clients.into_iter().for_each(leave);
-        let left = proxy.wake();
+        let left = proxy.resume_after_arrival();
         for mut far in fars {
-            assert_eq!(far.rest().unwrap(), "", "its connection is closed, and nothing more is said on it");
+            assert_eq!(
+                far.receive_rest().unwrap(),
+                "",
+                "its connection is closed, and nothing more is said on it"
+            );
         }
         assert!(left.elapsed() < Duration::from_secs(4), "not by a time-out: {:?}", left.elapsed());
         in_progress(&proxy, 0);
     }
     assert!(nodes[0].poll().is_none());
-    assert_eq!(proxy.figure("skipped_render_nodes"), Some(0));
+    assert_eq!(proxy.metric("skipped_render_nodes"), Some(0));
 }
 
 /// In one instant the client leaves and its render node answers; whichever is first, nothing more is sent for it.
 #[test]
 fn a_client_that_leaves_in_the_instant_of_its_answer_is_sent_nowhere_else() {
-    let nodes = [Scripted::new(), Scripted::new()];
-    let proxy = Proxy::managed(&[&nodes[0], &nodes[1]], 1024, &patient());
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
+    let proxy = Proxy::with_admin(&[&nodes[0], &nodes[1]], 1024, &patient());
     let mut up = 0;
     for (_, leave) in [LEAVINGS[0], LEAVINGS[1]] {
         for (answer, answer_first) in
             [("UP 1\r\n", true), ("UP 1\r\n", false), ("BUSY\r\n", true), ("BUSY\r\n", false)]
         {
             let client = asks(&proxy).0;
-            let (_, mut far) = called_at(&nodes);
-            far.hear();
+            let (_, mut far) = accept_attempt_at(&nodes);
+            far.receive();
             proxy.pause();
             if answer_first {
-                far.say(answer);
-                proxy.arrived();
+                far.send(answer);
+                proxy.wait_until_arrived();
                 leave(client);
             } else {
                 leave(client);
-                proxy.arrived();
-                far.say(answer);
+                proxy.wait_until_arrived();
+                far.send(answer);
             }
-            proxy.wake();
-            match far.rest() {
+            proxy.resume_after_arrival();
+            match far.receive_rest() {
                 Ok(more) => assert_eq!(more, ""),
                 // The client's was one, or the answer was not read any more.
                 Err(error) => assert_eq!(error.kind(), ErrorKind::ConnectionReset),
@@ -166,7 +172,7 @@
             in_progress(&proxy, 0);
             up += u64::from(answer_first && answer.starts_with("UP"));
             assert_eq!(
-                proxy.figure("handled.look.passed").unwrap_or(0),
+                proxy.metric("handled.look.passed").unwrap_or(0),
                 up,
                 "{answer:?}, first: {answer_first}"
             );
@@ -183,68 +189,68 @@
 #[test]
 fn a_client_that_leaves_before_its_attempt_is_up_takes_the_attempt_with_it() {
     for (_, leave) in [LEAVINGS[0], LEAVINGS[1]] {
-        let node = Crowded::new();
-        let proxy = Proxy::managed(&[node.node()], 1024, &patient());
+        let node = FullBacklog::new();
+        let proxy = Proxy::with_admin(&[node.node()], 1024, &patient());
         let gone = asks(&proxy).0;
         in_progress(&proxy, 1);
         leave(gone);
         in_progress(&proxy, 0);
         let (mut client, id) = asks(&proxy);
         in_progress(&proxy, 1);
-        let (mut far, line) = node.called();
+        let (mut far, line) = node.accept_attempt();
         assert_eq!(id_of(&line), id, "the one that is still there");
-        far.say("UP 1\r\n");
-        assert_eq!(client.hear(), "UP 1\r\n");
+        far.send("UP 1\r\n");
+        assert_eq!(client.receive(), "UP 1\r\n");
         assert!(node.poll().is_none());
     }
 }
 
 #[test]
 fn clients_whose_end_comes_with_their_line_are_sent_nowhere() {
-    let nodes = [Scripted::new()];
-    let proxy = Proxy::managed(&[&nodes[0]], 4096, &patient());
+    let nodes = [ScriptedServer::new()];
+    let proxy = Proxy::with_admin(&[&nodes[0]], 4096, &patient());
     for (_, leave) in LEAVINGS {
         proxy.pause();
         (0..200).for_each(|_| leave(asks(&proxy).0));
         let (mut client, id) = asks(&proxy);
-        proxy.wake();
-        let (mut far, line) = nodes[0].called();
+        proxy.resume_after_arrival();
+        let (mut far, line) = nodes[0].accept_attempt();
         assert_eq!(id_of(&line), id, "nothing was sent for those that left");
-        far.say("UP 1\r\n");
-        assert_eq!(client.hear(), "UP 1\r\n");
+        far.send("UP 1\r\n");
+        assert_eq!(client.receive(), "UP 1\r\n");
         part((client, far));
         in_progress(&proxy, 0);
     }
     assert!(nodes[0].poll().is_none());
-    assert_eq!(proxy.figure("skipped_render_nodes"), Some(0));
+    assert_eq!(proxy.metric("skipped_render_nodes"), Some(0));
 }
 
 /// It is up, and a line has come that it doesn't read: closing over that is a reset, and passes as one.
 #[test]
 fn a_client_that_closes_over_an_unread_line_ends_its_render_nodes_side_by_a_reset() {
-    let node = Scripted::new();
-    let proxy = Proxy::managed(&[&node], 1024, &patient());
-    let (mut client, mut far) = proxy.up(&node);
-    client.say("M 1 a\r\n");
-    assert_eq!(far.hear(), "M 1 a\r\n");
-    far.say("M 1 a\r\nM 2");
-    client.leave_unread();
+    let node = ScriptedServer::new();
+    let proxy = Proxy::with_admin(&[&node], 1024, &patient());
+    let (mut client, mut far) = proxy.establish(&node);
+    client.send("M 1 a\r\n");
+    assert_eq!(far.receive(), "M 1 a\r\n");
+    far.send("M 1 a\r\nM 2");
+    client.wait_for_unread();
     drop(client);
-    assert_eq!(far.rest().unwrap_err().kind(), ErrorKind::ConnectionReset);
+    assert_eq!(far.receive_rest().unwrap_err().kind(), ErrorKind::ConnectionReset);
     in_progress(&proxy, 0);
 }
 
 /// It has ended its sending, which its render node has seen; what it does then passes as well.
 #[test]
 fn a_client_that_resets_after_it_ended_its_sending_ends_its_render_nodes_side_at_once() {
-    let node = Scripted::new();
-    let proxy = Proxy::managed(&[&node], 1024, &patient());
-    let (client, mut far) = proxy.up(&node);
+    let node = ScriptedServer::new();
+    let proxy = Proxy::with_admin(&[&node], 1024, &patient());
+    let (client, mut far) = proxy.establish(&node);
     client.finish();
-    assert_eq!(far.hear(), "");
+    assert_eq!(far.receive(), "");
     let ended = Instant::now();
     client.reset();
-    within(PATIENCE, "its reset", || far.is_broken().then_some(()));
+    wait_for(TIMEOUT, "its reset", || far.is_broken().then_some(()));
     assert!(ended.elapsed() < Duration::from_secs(1), "not by a time-out: {:?}", ended.elapsed());
     in_progress(&proxy, 0);
 }
@@ -252,13 +258,13 @@
 // Guards relay.rs `pass_client`: what is no line any more ends its own connection, and nothing of it is passed on.
 #[test]
 fn a_client_whose_line_has_no_end_is_ended_and_its_render_node_sees_none_of_it() {
-    let node = Scripted::new();
-    let proxy = Proxy::managed(&[&node], 1024, &patient());
-    let (mut client, mut far) = proxy.up(&node);
-    client.say("M 1 a\r\n");
-    assert_eq!(far.hear(), "M 1 a\r\n");
-    client.say(&"x".repeat(5000));
-    assert_eq!(client.rest().unwrap(), "");
-    assert_eq!(far.rest().unwrap(), "");
+    let node = ScriptedServer::new();
+    let proxy = Proxy::with_admin(&[&node], 1024, &patient());
+    let (mut client, mut far) = proxy.establish(&node);
+    client.send("M 1 a\r\n");
+    assert_eq!(far.receive(), "M 1 a\r\n");
+    client.send(&"x".repeat(5000));
+    assert_eq!(client.receive_rest().unwrap(), "");
+    assert_eq!(far.receive_rest().unwrap(), "");
     in_progress(&proxy, 0);
 }
--- a/crates/cottonnotch/tests/endings/gone_clients.rs
+++ b/crates/cottonnotch/tests/endings/gone_clients.rs
@@ -5,7 +5,7 @@
 //! stopped, is taken up before it: with enough of that, an attempt fails, or comes up, in an earlier round than the one that
 //! shows the end.
 
-use super::peers::crowded::Crowded;
+use super::peers::full_backlog::FullBacklog;
 use super::peers::*;
 use std::io::ErrorKind;
 use std::time::{Duration, Instant};
@@ -21,20 +21,20 @@
 }
 
 fn line() -> String {
-    fresh(OPEN).replace("d=2000", "d=120000")
+    with_fresh_id(OPEN).replace("d=2000", "d=120000")
 }
 
-fn asks(proxy: &Proxy) -> (Peer, u64) {
+fn asks(proxy: &Proxy) -> (ScriptedPeer, u64) {
     let (mut client, line) = (proxy.connect(), line());
-    client.say(&line);
+    client.send(&line);
     (client, id_of(&line))
 }
 
 fn in_progress(proxy: &Proxy, count: u64) {
-    within(PATIENCE, "so many in progress", || (proxy.figure("in_progress") == Some(count)).then_some(()));
+    wait_for(TIMEOUT, "so many in progress", || (proxy.metric("in_progress") == Some(count)).then_some(()));
 }
 
-type Leave = fn(Peer);
+type Leave = fn(ScriptedPeer);
 
 /// Whoever ends its sending gives up: the proxy sees that first, whatever comes after it.
 const LEAVINGS: [(&str, Leave); 3] = [
@@ -46,53 +46,53 @@
     }),
 ];
 
-type Fail = fn(Peer);
+type Fail = fn(ScriptedPeer);
 
 const FAILURES: [(&str, Fail); 4] = [
-    ("an error", |mut far| far.say("ERR no\r\n")),
-    ("a refusal", |mut far| far.say("BUSY\r\n")),
+    ("an error", |mut far| far.send("ERR no\r\n")),
+    ("a refusal", |mut far| far.send("BUSY\r\n")),
     ("an end", |far| drop(far)),
     ("a reset", |far| far.reset()),
 ];
 
 /// Clients that rest, as the front's do: whatever they say is one event each, and asks for nothing.
-struct Rest(Vec<Peer>);
+struct Rest(Vec<ScriptedPeer>);
 
 impl Rest {
     fn of(proxy: &Proxy, count: usize) -> Self {
-        let mut clients: Vec<Peer> = (0..count).map(|_| proxy.connect()).collect();
-        clients.iter_mut().for_each(|client| client.say("PING\r\n"));
-        clients.iter_mut().for_each(|client| assert_eq!(client.hear(), "PONG\r\n"));
+        let mut clients: Vec<ScriptedPeer> = (0..count).map(|_| proxy.connect()).collect();
+        clients.iter_mut().for_each(|client| client.send("PING\r\n"));
+        clients.iter_mut().for_each(|client| assert_eq!(client.receive(), "PONG\r\n"));
         Rest(clients)
     }
 
     /// All of them stir: each has begun a line, and the loop is to look at it.
     fn stir(&mut self) {
-        self.0.iter_mut().for_each(|client| client.say("P"));
+        self.0.iter_mut().for_each(|client| client.send("P"));
     }
 }
 
 /// The second of two render nodes is taken out, so that the first gets every first attempt; then it is put back, and is the
 /// only one that a further attempt can go to.
 fn only_the_first(proxy: &Proxy) {
-    assert_eq!(proxy.call("POST", "/maintenance/enter", "s1").0, 200);
+    assert_eq!(proxy.admin_request("POST", "/maintenance/enter", "s1").0, 200);
 }
 
 fn both(proxy: &Proxy) {
-    assert_eq!(proxy.call("POST", "/maintenance/exit", "s1").0, 200);
+    assert_eq!(proxy.admin_request("POST", "/maintenance/exit", "s1").0, 200);
 }
 
 /// A client that asks later is served, and nothing came before it at the second render node.
-fn first_at_the_second(proxy: &Proxy, second: &Scripted) {
-    assert_eq!(proxy.call("POST", "/maintenance/enter", "s0").0, 200);
+fn first_at_the_second(proxy: &Proxy, second: &ScriptedServer) {
+    assert_eq!(proxy.admin_request("POST", "/maintenance/enter", "s0").0, 200);
     let (mut client, id) = asks(proxy);
-    let (mut far, line) = second.called();
+    let (mut far, line) = second.accept_attempt();
     assert_eq!(id_of(&line), id, "nothing began for those that had left");
-    far.say("UP 1\r\n");
-    assert_eq!(client.hear(), "UP 1\r\n");
+    far.send("UP 1\r\n");
+    assert_eq!(client.receive(), "UP 1\r\n");
     drop(client);
-    assert_eq!(far.rest().unwrap(), "");
-    assert_eq!(proxy.call("POST", "/maintenance/exit", "s0").0, 200);
+    assert_eq!(far.receive_rest().unwrap(), "");
+    assert_eq!(proxy.admin_request("POST", "/maintenance/exit", "s0").0, 200);
     in_progress(proxy, 0);
 }
 
@@ -101,19 +101,20 @@
 #[test]
 fn six_hundred_clients_whose_attempts_fail_as_they_leave_have_no_further_ones() {
     for (how, fail) in FAILURES {
-        let nodes = [Scripted::new(), Scripted::new()];
-        let proxy = Proxy::managed(&[&nodes[0], &nodes[1]], SOCKETS, &patient());
+        let nodes = [ScriptedServer::new(), ScriptedServer::new()];
+        let proxy = Proxy::with_admin(&[&nodes[0], &nodes[1]], SOCKETS, &patient());
         only_the_first(&proxy);
-        let pairs: Vec<(Peer, Peer)> = (0..600).map(|_| (asks(&proxy).0, nodes[0].called().0)).collect();
-        let (clients, fars): (Vec<Peer>, Vec<Peer>) = pairs.into_iter().unzip();
+        let pairs: Vec<(ScriptedPeer, ScriptedPeer)> =
+            (0..600).map(|_| (asks(&proxy).0, nodes[0].accept_attempt().0)).collect();
+        let (clients, fars): (Vec<ScriptedPeer>, Vec<ScriptedPeer>) = pairs.into_iter().unzip();
         both(&proxy);
         proxy.pause();
         fars.into_iter().for_each(fail);
-        proxy.arrived();
+        proxy.wait_until_arrived();
         for (client, (_, leave)) in clients.into_iter().zip(LEAVINGS.iter().cycle()) {
             leave(client);
         }
-        proxy.wake();
+        proxy.resume_after_arrival();
         in_progress(&proxy, 0);
         assert!(nodes[1].poll().is_none(), "after {how}, a further attempt began for one that had left");
         assert!(nodes[0].poll().is_none());
@@ -124,21 +125,21 @@
 /// Guards the same: one client's attempt fails, a thousand others stir, then it leaves.
 #[test]
 fn a_client_that_leaves_behind_a_thousand_events_has_no_further_attempt() {
-    let nodes = [Scripted::new(), Scripted::new()];
-    let proxy = Proxy::managed(&[&nodes[0], &nodes[1]], SOCKETS, &patient());
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
+    let proxy = Proxy::with_admin(&[&nodes[0], &nodes[1]], SOCKETS, &patient());
     for ((answer, fail), (how, leave)) in FAILURES.iter().zip(LEAVINGS.iter().cycle()) {
         let mut rest = Rest::of(&proxy, MANY);
         only_the_first(&proxy);
         let client = asks(&proxy).0;
-        let far = nodes[0].called().0;
+        let far = nodes[0].accept_attempt().0;
         both(&proxy);
         proxy.pause();
         fail(far);
-        proxy.arrived();
+        proxy.wait_until_arrived();
         rest.stir();
-        proxy.arrived();
+        proxy.wait_until_arrived();
         leave(client);
-        proxy.wake();
+        proxy.resume_after_arrival();
         in_progress(&proxy, 0);
         assert!(
             nodes[1].poll().is_none(),
@@ -154,8 +155,8 @@
 #[test]
 fn a_client_that_leaves_as_its_connection_is_refused_has_no_further_attempt() {
     for (how, leave) in [LEAVINGS[0], LEAVINGS[1]] {
-        let (crowded, second) = (Crowded::new(), Scripted::new());
-        let proxy = Proxy::managed(&[crowded.node(), &second], SOCKETS, &patient());
+        let (crowded, second) = (FullBacklog::new(), ScriptedServer::new());
+        let proxy = Proxy::with_admin(&[crowded.node(), &second], SOCKETS, &patient());
         let mut rest = Rest::of(&proxy, MANY);
         only_the_first(&proxy);
         let client = asks(&proxy).0;
@@ -164,11 +165,11 @@
         proxy.pause();
         let address = crowded.node().address();
         drop(crowded);
-        proxy.refused(address);
+        proxy.wait_until_refused(address);
         rest.stir();
-        proxy.arrived();
+        proxy.wait_until_arrived();
         leave(client);
-        proxy.wake();
+        proxy.resume_after_arrival();
         in_progress(&proxy, 0);
         assert!(second.poll().is_none(), "a further attempt began for one that left by {how}");
         first_at_the_second(&proxy, &second);
@@ -179,25 +180,25 @@
 #[test]
 fn a_client_that_leaves_as_its_attempt_times_out_has_no_further_attempt() {
     const TARGET: Duration = Duration::from_millis(1500);
-    let nodes = [Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let settings = SETTINGS.replace("\"target\":300000", "\"target\":1500000");
-    let proxy = Proxy::managed(&[&nodes[0], &nodes[1]], SOCKETS, &settings);
+    let proxy = Proxy::with_admin(&[&nodes[0], &nodes[1]], SOCKETS, &settings);
     for (how, leave) in [LEAVINGS[0], LEAVINGS[1]] {
         let mut rest = Rest::of(&proxy, MANY);
         only_the_first(&proxy);
         let client = asks(&proxy).0;
-        let mut far = nodes[0].called().0;
+        let mut far = nodes[0].accept_attempt().0;
         let began = Instant::now();
         both(&proxy);
         proxy.pause();
         rest.stir();
-        proxy.arrived();
+        proxy.wait_until_arrived();
         leave(client);
-        proxy.arrived();
-        within(PATIENCE, "its time", || (began.elapsed() > TARGET).then_some(()));
-        proxy.go_on();
+        proxy.wait_until_arrived();
+        wait_for(TIMEOUT, "its time", || (began.elapsed() > TARGET).then_some(()));
+        proxy.resume();
         in_progress(&proxy, 0);
-        assert_eq!(far.rest().unwrap(), "");
+        assert_eq!(far.receive_rest().unwrap(), "");
         assert!(nodes[1].poll().is_none(), "a further attempt began for one that left by {how}");
         first_at_the_second(&proxy, &nodes[1]);
     }
@@ -208,17 +209,17 @@
 #[test]
 fn the_line_of_a_client_that_has_left_is_not_written_on_a_connection_that_comes_up_late() {
     for (how, leave) in LEAVINGS {
-        let crowded = Crowded::new();
-        let proxy = Proxy::managed(&[crowded.node()], SOCKETS, &patient());
+        let crowded = FullBacklog::new();
+        let proxy = Proxy::with_admin(&[crowded.node()], SOCKETS, &patient());
         let client = asks(&proxy).0;
         in_progress(&proxy, 1);
         proxy.pause();
         // It comes up as the system tries again; the process doesn't know yet.
         let mut far = crowded.accept();
-        proxy.arrived();
+        proxy.wait_until_arrived();
         leave(client);
-        proxy.wake();
-        match far.rest() {
+        proxy.resume_after_arrival();
+        match far.receive_rest() {
             Ok(said) => assert_eq!(said, "", "its line was written after it had left by {how}"),
             Err(error) => assert_eq!(error.kind(), ErrorKind::ConnectionReset),
         }
@@ -229,30 +230,30 @@
 /// Guards clients.rs `reopen`: a connection from before the start is tried again after 200 ms, and its client leaves meanwhile.
 #[test]
 fn a_client_that_leaves_while_its_old_connection_is_to_be_tried_again_has_no_further_attempt() {
-    let node = Scripted::new();
-    let proxy = Proxy::managed(&[&node], SOCKETS, &patient());
+    let node = ScriptedServer::new();
+    let proxy = Proxy::with_admin(&[&node], SOCKETS, &patient());
     for (how, leave) in LEAVINGS {
         let mut rest = Rest::of(&proxy, MANY);
         let mut client = proxy.connect();
-        client.say(&line().replace("g=5c0f", "g=5c0f,at=s0"));
-        let mut far = node.called().0;
+        client.send(&line().replace("g=5c0f", "g=5c0f,at=s0"));
+        let mut far = node.accept_attempt().0;
         loop {
             far.finish();
-            assert_eq!(far.rest().unwrap(), "", "the attempt is over");
+            assert_eq!(far.receive_rest().unwrap(), "", "the attempt is over");
             proxy.pause();
             let Some(next) = node.poll() else { break };
             // The process was stopped too late, and its next try is out.
-            proxy.go_on();
+            proxy.resume();
             far = next;
-            far.hear();
+            far.receive();
         }
         let stopped = Instant::now();
         rest.stir();
-        proxy.arrived();
+        proxy.wait_until_arrived();
         leave(client);
-        proxy.arrived();
-        within(PATIENCE, "its time", || (stopped.elapsed() > Duration::from_millis(250)).then_some(()));
-        proxy.go_on();
+        proxy.wait_until_arrived();
+        wait_for(TIMEOUT, "its time", || (stopped.elapsed() > Duration::from_millis(250)).then_some(()));
+        proxy.resume();
         in_progress(&proxy, 0);
         assert!(node.poll().is_none(), "a further attempt began for one that left by {how}");
     }
@@ -262,28 +263,28 @@
 /// before their ends. Who has waited longest leaves last, and is the first to be sent on.
 #[test]
 fn held_clients_that_leave_behind_a_thousand_events_are_not_sent_as_they_are_released() {
-    let node = Scripted::new();
-    let proxy = Proxy::managed(&[&node], SOCKETS, &patient());
+    let node = ScriptedServer::new();
+    let proxy = Proxy::with_admin(&[&node], SOCKETS, &patient());
     let (mut tried, id) = asks(&proxy);
-    node.called().0.say("BUSY\r\n");
+    node.accept_attempt().0.send("BUSY\r\n");
     // The node is paused, and this is the one trial of it: nobody else is sent until it has ended.
-    let (mut far, line) = node.called();
+    let (mut far, line) = node.accept_attempt();
     assert_eq!(id_of(&line), id);
-    let clients: Vec<Peer> = (0..MANY).map(|_| asks(&proxy).0).collect();
+    let clients: Vec<ScriptedPeer> = (0..MANY).map(|_| asks(&proxy).0).collect();
     in_progress(&proxy, MANY as u64 + 1);
     proxy.pause();
-    far.say("UP 1\r\n");
-    proxy.arrived();
+    far.send("UP 1\r\n");
+    proxy.wait_until_arrived();
     for (client, (_, leave)) in clients.into_iter().rev().zip(LEAVINGS.iter().cycle()) {
         leave(client);
     }
-    proxy.wake();
-    assert_eq!(tried.hear(), "UP 1\r\n");
+    proxy.resume_after_arrival();
+    assert_eq!(tried.receive(), "UP 1\r\n");
     in_progress(&proxy, 1);
     assert!(node.poll().is_none(), "an attempt began for one that had left");
     let (mut client, id) = asks(&proxy);
-    let (mut far, line) = node.called();
+    let (mut far, line) = node.accept_attempt();
     assert_eq!(id_of(&line), id);
-    far.say("UP 1\r\n");
-    assert_eq!(client.hear(), "UP 1\r\n");
+    far.send("UP 1\r\n");
+    assert_eq!(client.receive(), "UP 1\r\n");
 }
--- a/crates/cottonnotch/tests/endings/late_connections.rs
+++ b/crates/cottonnotch/tests/endings/late_connections.rs
@@ -1,6 +1,6 @@
 //! Connections to render nodes that come up after their attempt was given up: these attempts never ran.
 
-use crate::peers::crowded::Crowded;
+use crate::peers::full_backlog::FullBacklog;
 use crate::peers::*;
 
 /// Tries that are ended by nothing but what the story does.
@@ -15,63 +15,66 @@
 fn taken(proxy: &Proxy) {
     let mut front = proxy.connect();
     for _ in 0..2 {
-        front.say("PING\r\n");
-        assert_eq!(front.hear(), "PONG\r\n");
+        front.send("PING\r\n");
+        assert_eq!(front.receive(), "PONG\r\n");
     }
 }
 
 /// The repeat was sent within its window, but came up after it, and would have had an effect of its own.
 #[test]
 fn a_repeat_that_comes_up_after_its_window_gets_no_line() {
-    let (first, crowded) = (Scripted::new(), Crowded::new());
+    let (first, crowded) = (ScriptedServer::new(), FullBacklog::new());
     let keyed = r#""effect":"keyed","group":"all","window":600000"#;
     let proxy = Proxy::with(&[&first], 1024, &patient(SETTINGS).replace(r#""effect":"safe""#, keyed));
-    let (mut watch, _) = proxy.discovery.watched();
+    let (mut watch, _) = proxy.discovery.accept_watch();
     let mut client = proxy.connect();
-    client.say(&fresh(OPEN).replace("d=2000", "d=20000"));
-    let far = first.called().0;
-    watch.say(&chunk(&list(2, false, &[member("s1", crowded.node(), "up")])));
+    client.send(&with_fresh_id(OPEN).replace("d=2000", "d=20000"));
+    let far = first.accept_attempt().0;
+    watch.send(&chunk(&list(2, false, &[member("s1", crowded.node(), "up")])));
     taken(&proxy);
     far.reset();
     // The repeat is out by now, and the system tries again a second after the first time.
     taken(&proxy);
     let mut late = crowded.accept();
-    assert_eq!(late.hear(), "", "the window was over when it came up");
-    assert!(client.rest().unwrap().starts_with("BUSY"), "all of them drop repeats, so it may be refused");
+    assert_eq!(late.receive(), "", "the window was over when it came up");
+    assert!(
+        client.receive_rest().unwrap().starts_with("BUSY"),
+        "all of them drop repeats, so it may be refused"
+    );
 }
 
 /// It went on connecting, and its line would have come after the drain was told.
 #[test]
 fn an_attempt_that_still_connects_is_called_off_when_its_render_node_drains() {
     for phase in ["draining", "removed"] {
-        let (crowded, other) = (Crowded::new(), Scripted::new());
+        let (crowded, other) = (FullBacklog::new(), ScriptedServer::new());
         let proxy = Proxy::with(&[crowded.node()], 1024, &patient(SETTINGS));
-        let (mut watch, _) = proxy.discovery.watched();
+        let (mut watch, _) = proxy.discovery.accept_watch();
         let mut client = proxy.connect();
-        client.say(&fresh(OPEN).replace("d=2000", "d=20000"));
+        client.send(&with_fresh_id(OPEN).replace("d=2000", "d=20000"));
         taken(&proxy);
         let members = [member("s0", crowded.node(), phase), member("s1", &other, "up")];
-        watch.say(&chunk(&list(2, false, &members)));
-        let (mut far, _) = other.called();
-        far.say("UP 1\r\n");
-        assert_eq!(client.hear(), "UP 1\r\n", "{phase}");
+        watch.send(&chunk(&list(2, false, &members)));
+        let (mut far, _) = other.accept_attempt();
+        far.send("UP 1\r\n");
+        assert_eq!(client.receive(), "UP 1\r\n", "{phase}");
     }
 }
 
 /// The render node was told the time that was left when the attempt began, a second before its connection came up.
 #[test]
 fn a_render_node_is_told_the_time_that_is_left_when_the_line_is_written() {
-    let crowded = Crowded::new();
+    let crowded = FullBacklog::new();
     let proxy = Proxy::with(&[crowded.node()], 1024, &patient(SETTINGS));
     let mut client = proxy.connect();
-    client.say(&fresh(OPEN).replace("d=2000", "d=20000"));
+    client.send(&with_fresh_id(OPEN).replace("d=2000", "d=20000"));
     taken(&proxy);
     let mut far = crowded.accept();
-    let line = far.hear();
+    let line = far.receive();
     let told = line.split([' ', ',']).find_map(|word| word.strip_prefix("d=")).expect("d");
     let told: u32 = told.trim().parse().unwrap();
     // The first packet is dropped, and the system sends it again a second later. Half of the time is for another try.
     assert!(told <= 9_300, "told {told} ms of ten seconds, a second after the attempt began");
-    far.say("UP 1\r\n");
-    assert_eq!(client.hear(), "UP 1\r\n");
+    far.send("UP 1\r\n");
+    assert_eq!(client.receive(), "UP 1\r\n");
 }
--- a/crates/cottonnotch/tests/endings/lists.rs
+++ b/crates/cottonnotch/tests/endings/lists.rs
@@ -1,6 +1,6 @@
 //! Watches and lists that end, and what counts as told meanwhile.
 
-use crate::peers::crowded::Crowded;
+use crate::peers::full_backlog::FullBacklog;
 use crate::peers::*;
 use std::process::Command;
 use std::time::{Duration, Instant};
@@ -9,28 +9,28 @@
 const TOLD_AFTER: Duration = Duration::from_secs(6);
 
 /// Two render nodes, of which the proxy knows the first; a client that is up there, and its far end.
-fn served() -> (Proxy, [Scripted; 2], Peer, Peer) {
-    let nodes = [Scripted::new(), Scripted::new()];
+fn served() -> (Proxy, [ScriptedServer; 2], ScriptedPeer, ScriptedPeer) {
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0]]);
-    let (client, far) = proxy.up(&nodes[0]);
+    let (client, far) = proxy.establish(&nodes[0]);
     (proxy, nodes, client, far)
 }
 
 /// The first render node drains, and the second one is up.
-fn drain(revision: u32, nodes: &[Scripted; 2]) -> String {
+fn drain(revision: u32, nodes: &[ScriptedServer; 2]) -> String {
     list(revision, false, &[member("s0", &nodes[0], "draining"), member("s1", &nodes[1], "up")])
 }
 
 /// The drain is obeyed: the client is moved, and what comes after it goes elsewhere.
-fn is_obeyed(proxy: &Proxy, nodes: &[Scripted; 2], mut client: Peer) {
-    assert_eq!(client.rest().unwrap(), "MOVE\r\n");
-    let _held: Vec<(Peer, Peer)> = (0..3).map(|_| proxy.up(&nodes[1])).collect();
+fn is_obeyed(proxy: &Proxy, nodes: &[ScriptedServer; 2], mut client: ScriptedPeer) {
+    assert_eq!(client.receive_rest().unwrap(), "MOVE\r\n");
+    let _held: Vec<(ScriptedPeer, ScriptedPeer)> = (0..3).map(|_| proxy.establish(&nodes[1])).collect();
     assert!(nodes[0].poll().is_none(), "nothing new to what drains");
 }
 
 /// The last good list serves: a client is up where it says.
-fn is_served(proxy: &Proxy, nodes: &[Scripted; 2]) {
-    proxy.up(&nodes[0]);
+fn is_served(proxy: &Proxy, nodes: &[ScriptedServer; 2]) {
+    proxy.establish(&nodes[0]);
     assert!(nodes[1].poll().is_none(), "nothing of a list that was not taken");
 }
 
@@ -41,14 +41,14 @@
 #[test]
 fn a_watch_that_says_nothing_but_its_head_is_opened_anew_and_tells_the_drain() {
     let (proxy, nodes, client, _far) = served();
-    let (_silent, asked) = proxy.discovery.watched();
+    let (_silent, asked) = proxy.discovery.accept_watch();
     let begun = Instant::now();
     assert!(asked.contains("from=1 "), "{asked}");
     is_served(&proxy, &nodes);
-    let (mut watch, asked) = proxy.discovery.watched();
+    let (mut watch, asked) = proxy.discovery.accept_watch();
     assert!(asked.contains("from=1 "), "{asked}");
-    assert!(proxy.logged("watch on discovery lost").contains("it is silent"));
-    watch.say(&chunk(&drain(2, &nodes)));
+    assert!(proxy.wait_for_log("watch on discovery lost").contains("it is silent"));
+    watch.send(&chunk(&drain(2, &nodes)));
     assert!(begun.elapsed() < TOLD_AFTER, "{:?}", begun.elapsed());
     is_obeyed(&proxy, &nodes, client);
 }
@@ -58,13 +58,13 @@
 #[test]
 fn a_call_that_is_never_answered_is_made_anew_and_tells_the_drain() {
     let (proxy, nodes, client, _far) = served();
-    let (_silent, _) = proxy.discovery.called();
+    let (_silent, _) = proxy.discovery.accept_attempt();
     let begun = Instant::now();
     is_served(&proxy, &nodes);
-    let (mut watch, asked) = proxy.discovery.watched();
+    let (mut watch, asked) = proxy.discovery.accept_watch();
     assert!(begun.elapsed() < TOLD_AFTER - Duration::from_secs(1), "{:?}", begun.elapsed());
     assert!(asked.contains("from=1 "), "{asked}");
-    watch.say(&chunk(&drain(2, &nodes)));
+    watch.send(&chunk(&drain(2, &nodes)));
     assert!(begun.elapsed() < TOLD_AFTER, "{:?}", begun.elapsed());
     is_obeyed(&proxy, &nodes, client);
 }
@@ -73,13 +73,13 @@
 #[test]
 fn a_watch_that_was_reset_just_before_a_drain_is_opened_anew_and_tells_it() {
     let (proxy, nodes, client, _far) = served();
-    let (watch, _) = proxy.discovery.watched();
-    watch.say_and_reset(&chunk(&list(4, false, &[])));
-    let lost = proxy.logged("watch on discovery lost");
+    let (watch, _) = proxy.discovery.accept_watch();
+    watch.send_and_reset(&chunk(&list(4, false, &[])));
+    let lost = proxy.wait_for_log("watch on discovery lost");
     assert!(!lost.contains("silent"), "not only once a beat is missed: {lost}");
-    let (mut watch, asked) = proxy.discovery.watched();
+    let (mut watch, asked) = proxy.discovery.accept_watch();
     assert!(asked.contains("from=4 "), "{asked}");
-    watch.say(&chunk(&drain(5, &nodes)));
+    watch.send(&chunk(&drain(5, &nodes)));
     is_obeyed(&proxy, &nodes, client);
 }
 
@@ -88,19 +88,19 @@
 fn a_drain_that_a_watch_told_in_the_moment_of_its_end_is_obeyed() {
     for reset in [true, false] {
         let (proxy, nodes, client, _far) = served();
-        let (mut watch, _) = proxy.discovery.watched();
+        let (mut watch, _) = proxy.discovery.accept_watch();
         proxy.pause();
         let told = chunk(&drain(2, &nodes));
         match reset {
-            true => watch.say_and_reset(&told),
+            true => watch.send_and_reset(&told),
             false => {
-                watch.say(&told);
+                watch.send(&told);
                 drop(watch);
             }
         }
-        proxy.wake();
+        proxy.resume_after_arrival();
         is_obeyed(&proxy, &nodes, client);
-        let (_, asked) = proxy.discovery.watched();
+        let (_, asked) = proxy.discovery.accept_watch();
         assert!(asked.contains("from=2 "), "{asked}");
     }
 }
@@ -110,21 +110,21 @@
 fn a_watch_that_ends_within_an_object_keeps_what_was_whole_and_asks_for_the_rest() {
     for reset in [true, false] {
         let (proxy, nodes, client, _far) = served();
-        let (mut watch, _) = proxy.discovery.watched();
+        let (mut watch, _) = proxy.discovery.accept_watch();
         let (whole, next) = (list(3, false, &[member("s1", &nodes[1], "up")]), drain(4, &nodes));
         let half = format!("{}{:x}\r\n{}", chunk(&whole), next.len() + 1, &next[..next.len() / 2]);
         match reset {
-            true => watch.say_and_reset(&half),
+            true => watch.send_and_reset(&half),
             false => {
-                watch.say(&half);
+                watch.send(&half);
                 drop(watch);
             }
         }
-        let lost = proxy.logged("watch on discovery lost");
+        let lost = proxy.wait_for_log("watch on discovery lost");
         assert!(reset || lost.contains("in the middle of a list"), "{lost}");
-        let (mut watch, asked) = proxy.discovery.watched();
+        let (mut watch, asked) = proxy.discovery.accept_watch();
         assert!(asked.contains("from=3 "), "{asked}");
-        watch.say(&chunk(&next));
+        watch.send(&chunk(&next));
         is_obeyed(&proxy, &nodes, client);
     }
 }
@@ -134,24 +134,24 @@
 fn a_discovery_that_was_down_and_returns_with_a_drain_is_obeyed_at_once() {
     let (proxy, nodes, client, _far) = served();
     for _ in 0..3 {
-        let (mut call, asked) = proxy.discovery.called();
+        let (mut call, asked) = proxy.discovery.accept_attempt();
         assert!(asked.contains("from=1 "), "{asked}");
-        call.say(BUSY);
+        call.send(BUSY);
         is_served(&proxy, &nodes);
     }
-    let (mut call, _) = proxy.discovery.called();
+    let (mut call, _) = proxy.discovery.accept_attempt();
     // An attempt is out as the drain is told; what it becomes is no new attempt.
     let mut late = proxy.open();
-    let first = nodes[0].called().0;
+    let first = nodes[0].accept_attempt().0;
     proxy.pause();
-    call.say(&format!("{HEAD}{}", chunk(&drain(2, &nodes))));
+    call.send(&format!("{HEAD}{}", chunk(&drain(2, &nodes))));
     first.reset();
-    proxy.wake();
+    proxy.resume_after_arrival();
     // From here on nothing comes to the first, not only after the time that there is.
-    let mut second = nodes[1].called().0;
-    second.say("UP 2\r\n");
-    assert_eq!(late.hear(), "UP 2\r\n");
-    let _next = proxy.up(&nodes[1]);
+    let mut second = nodes[1].accept_attempt().0;
+    second.send("UP 2\r\n");
+    assert_eq!(late.receive(), "UP 2\r\n");
+    let _next = proxy.establish(&nodes[1]);
     is_obeyed(&proxy, &nodes, client);
 }
 
@@ -160,10 +160,10 @@
 const CALLED_AGAIN: Duration = Duration::from_millis(5_500);
 
 /// The next call, within that time after the last one went out.
-fn called_again(proxy: &Proxy, begun: Instant) -> Peer {
-    let mut call = within(3 * TOLD_AFTER, "the next call", || proxy.discovery.poll());
+fn called_again(proxy: &Proxy, begun: Instant) -> ScriptedPeer {
+    let mut call = wait_for(3 * TOLD_AFTER, "the next call", || proxy.discovery.poll());
     assert!(begun.elapsed() < CALLED_AGAIN, "{:?}", begun.elapsed());
-    while call.hear() != "\r\n" {}
+    while call.receive() != "\r\n" {}
     call
 }
 
@@ -175,11 +175,11 @@
     let begun = Instant::now();
     for _ in 0..7 {
         let begun = Instant::now();
-        call.say(BUSY);
+        call.send(BUSY);
         call = called_again(&proxy, begun);
     }
     assert!(begun.elapsed() > Duration::from_secs(9), "it is not hammered: {:?}", begun.elapsed());
-    call.say(&format!("{HEAD}{}", chunk(&drain(2, &nodes))));
+    call.send(&format!("{HEAD}{}", chunk(&drain(2, &nodes))));
     is_obeyed(&proxy, &nodes, client);
 }
 
@@ -191,17 +191,17 @@
         let (proxy, nodes, client, _far) = served();
         let mut call = called_again(&proxy, Instant::now());
         let begun = Instant::now();
-        call.say(told);
+        call.send(told);
         let mut bytes = dripping.chars();
-        let mut next = within(3 * TOLD_AFTER, "the next call", || {
+        let mut next = wait_for(3 * TOLD_AFTER, "the next call", || {
             // It may be closed already.
-            let _ = call.try_say(&bytes.next()?.to_string());
+            let _ = call.try_send(&bytes.next()?.to_string());
             std::thread::sleep(Duration::from_millis(300));
             proxy.discovery.poll()
         });
         assert!(begun.elapsed() < CALLED_AGAIN, "{:?}", begun.elapsed());
-        while next.hear() != "\r\n" {}
-        next.say(&format!("{HEAD}{}", chunk(&drain(2, &nodes))));
+        while next.receive() != "\r\n" {}
+        next.send(&format!("{HEAD}{}", chunk(&drain(2, &nodes))));
         is_obeyed(&proxy, &nodes, client);
     }
 }
@@ -214,7 +214,7 @@
     let text = drain(2, &nodes).replacen('{', &format!("{{{}", " ".repeat(40_000)), 1);
     let text = format!("{HEAD}{}", chunk(&text));
     for piece in text.as_bytes().chunks(6_000) {
-        call.say(std::str::from_utf8(piece).unwrap());
+        call.send(std::str::from_utf8(piece).unwrap());
         std::thread::sleep(Duration::from_millis(900));
     }
     is_obeyed(&proxy, &nodes, client);
@@ -225,18 +225,18 @@
 #[test]
 fn idle_clients_that_fill_the_descriptors_do_not_keep_a_discovery_that_returns_from_telling_the_drain() {
     const DESCRIPTORS: u32 = 64;
-    let nodes = [Scripted::new(), Scripted::new()];
-    let proxy = Proxy::by(short_of_descriptors(DESCRIPTORS), &[&nodes[0]], DESCRIPTORS, SETTINGS);
-    let (client, _far) = proxy.up(&nodes[0]);
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
+    let proxy = Proxy::by(with_descriptor_limit(DESCRIPTORS), &[&nodes[0]], DESCRIPTORS, SETTINGS);
+    let (client, _far) = proxy.establish(&nodes[0]);
     let mut call = called_again(&proxy, Instant::now());
-    let crowd: Vec<Peer> = (0..4 * DESCRIPTORS).map(|_| proxy.connect()).collect();
+    let crowd: Vec<ScriptedPeer> = (0..4 * DESCRIPTORS).map(|_| proxy.connect()).collect();
     for _ in 0..3 {
         let begun = Instant::now();
-        call.say(BUSY);
+        call.send(BUSY);
         drop(call);
         call = called_again(&proxy, begun);
     }
-    call.say(&format!("{HEAD}{}", chunk(&drain(2, &nodes))));
+    call.send(&format!("{HEAD}{}", chunk(&drain(2, &nodes))));
     is_obeyed(&proxy, &nodes, client);
     drop(crowd);
 }
@@ -245,25 +245,26 @@
 fn ready_after(proxy: &Proxy) -> Duration {
     let begun = Instant::now();
     let mut client = proxy.connect();
-    client.say("PING\r\n");
-    assert_eq!(client.hear(), "PONG\r\n");
+    client.send("PING\r\n");
+    assert_eq!(client.receive(), "PONG\r\n");
     begun.elapsed()
 }
 
 // Guards driver/mod.rs `start`: readiness waits for the door, and the door for no list where nobody served before.
 #[test]
 fn a_process_that_starts_without_discovery_is_ready_and_serves_at_once_under_a_crowd() {
-    let answers: [fn(&mut Peer); 3] = [|_| {}, |call| call.say(BUSY), |call| call.say("HTTP/1.1 2")];
+    let answers: [fn(&mut ScriptedPeer); 3] =
+        [|_| {}, |call| call.send(BUSY), |call| call.send("HTTP/1.1 2")];
     for answer in answers {
-        let (node, begun) = (Scripted::new(), Instant::now());
+        let (node, begun) = (ScriptedServer::new(), Instant::now());
         let proxy = Proxy::start(&[&node]);
-        let crowd: Vec<Peer> = (0..200).map(|_| proxy.open()).collect();
+        let crowd: Vec<ScriptedPeer> = (0..200).map(|_| proxy.open()).collect();
         let after = ready_after(&proxy);
         assert!(begun.elapsed() < Duration::from_secs(5), "{after:?}");
-        let (mut call, _) = proxy.discovery.called();
+        let (mut call, _) = proxy.discovery.accept_attempt();
         answer(&mut call);
-        let (mut far, line) = node.called();
-        far.say("UP 1\r\n");
+        let (mut far, line) = node.accept_attempt();
+        far.send("UP 1\r\n");
         assert!(line.starts_with("OPEN "), "{line}");
         println!("ready after {after:?}, {} clients before it", crowd.len());
     }
@@ -275,59 +276,59 @@
     let settings = SETTINGS
         .replace("250000", "60000000")
         .replace(r#""target":300000,"deadline":2000000"#, r#""target":60000000,"deadline":180000000"#);
-    let (crowded, other) = (Crowded::new(), Scripted::new());
-    let proxy = Proxy::managed(&[crowded.node()], 1024, &settings);
+    let (crowded, other) = (FullBacklog::new(), ScriptedServer::new());
+    let proxy = Proxy::with_admin(&[crowded.node()], 1024, &settings);
     let mut client = proxy.connect();
-    client.say(&fresh(OPEN).replace("d=2000", "d=180000"));
-    within(PATIENCE, "the attempt is out", || (proxy.figure("in_progress") == Some(1)).then_some(()));
-    let (mut watch, _) = proxy.discovery.watched();
+    client.send(&with_fresh_id(OPEN).replace("d=2000", "d=180000"));
+    wait_for(TIMEOUT, "the attempt is out", || (proxy.metric("in_progress") == Some(1)).then_some(()));
+    let (mut watch, _) = proxy.discovery.accept_watch();
     let members = [member("s0", crowded.node(), "draining"), member("s1", &other, "up")];
-    watch.say(&chunk(&list(2, false, &members)));
-    other.called().0.say("UP 2\r\n");
-    assert_eq!(client.hear(), "UP 2\r\n");
+    watch.send(&chunk(&list(2, false, &members)));
+    other.accept_attempt().0.send("UP 2\r\n");
+    assert_eq!(client.receive(), "UP 2\r\n");
     assert!(crowded.poll().is_none());
 }
 
 // Guards subchannels.rs `watch` and `is_watch`: the old call is closed, and what it said later is not heard.
 #[test]
 fn the_late_answer_of_a_discovery_that_has_moved_does_not_count() {
-    let (old, elsewhere) = (Scripted::new(), Scripted::new());
-    let nodes = [Scripted::new(), Scripted::new()];
+    let (old, elsewhere) = (ScriptedServer::new(), ScriptedServer::new());
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let mut command = Command::new(env!("CARGO_BIN_EXE_cottonnotch"));
     command.env("GW_DISCOVERY", old.address().to_string());
     let proxy = Proxy::by(command, &[&nodes[0]], 1024, SETTINGS);
-    let (client, _far) = proxy.up(&nodes[0]);
-    let (mut call, _) = old.called();
+    let (client, _far) = proxy.establish(&nodes[0]);
+    let (mut call, _) = old.accept_attempt();
     let (here, there) = (proxy.discovery.address().to_string(), elsewhere.address().to_string());
     proxy.reconfigure(&[(&here, &there)]);
-    let (mut watch, asked) = elsewhere.watched();
+    let (mut watch, asked) = elsewhere.accept_watch();
     assert!(asked.contains("from=1 "), "{asked}");
     // It may be closed already.
     let gone = list(90, true, &[member("s9", &nodes[1], "up")]);
-    let _ = call.try_say(&format!("{HEAD}{}", chunk(&gone)));
-    watch.say(&chunk(&list(2, false, &[member("s2", &nodes[0], "removed")])));
-    proxy.logged("endpoint s2 is Removed");
+    let _ = call.try_send(&format!("{HEAD}{}", chunk(&gone)));
+    watch.send(&chunk(&list(2, false, &[member("s2", &nodes[0], "removed")])));
+    proxy.wait_for_log("endpoint s2 is Removed");
     is_served(&proxy, &nodes);
-    watch.say(&chunk(&drain(3, &nodes)));
+    watch.send(&chunk(&drain(3, &nodes)));
     is_obeyed(&proxy, &nodes, client);
 }
 
 // Guards driver/mod.rs `reload`: the new one is asked from the last revision that the old one told.
 #[test]
 fn what_a_discovery_told_in_the_moment_of_its_move_counts_and_is_not_asked_for_again() {
-    let (old, elsewhere) = (Scripted::new(), Scripted::new());
-    let nodes = [Scripted::new(), Scripted::new()];
+    let (old, elsewhere) = (ScriptedServer::new(), ScriptedServer::new());
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let mut command = Command::new(env!("CARGO_BIN_EXE_cottonnotch"));
     command.env("GW_DISCOVERY", old.address().to_string());
     let proxy = Proxy::by(command, &[&nodes[0]], 1024, SETTINGS);
-    let (client, _far) = proxy.up(&nodes[0]);
-    let (mut watch, _) = old.watched();
+    let (client, _far) = proxy.establish(&nodes[0]);
+    let (mut watch, _) = old.accept_watch();
     let (here, there) = (proxy.discovery.address().to_string(), elsewhere.address().to_string());
     proxy.pause();
-    watch.say(&chunk(&drain(9, &nodes)));
+    watch.send(&chunk(&drain(9, &nodes)));
     proxy.reconfigure(&[(&here, &there)]);
-    proxy.wake();
-    let (_watch, asked) = elsewhere.watched();
+    proxy.resume_after_arrival();
+    let (_watch, asked) = elsewhere.accept_watch();
     assert!(asked.contains("from=9 "), "{asked}");
     is_obeyed(&proxy, &nodes, client);
 }
@@ -336,49 +337,49 @@
 #[test]
 fn two_lists_in_one_write_are_both_taken_in_order() {
     let (proxy, nodes, client, _far) = served();
-    let (mut watch, _) = proxy.discovery.watched();
+    let (mut watch, _) = proxy.discovery.accept_watch();
     proxy.pause();
     let (first, second) = (list(2, false, &[member("s0", &nodes[1], "up")]), drain(3, &nodes));
-    watch.say(&format!("{}{}", chunk(&first), chunk(&second)));
+    watch.send(&format!("{}{}", chunk(&first), chunk(&second)));
     drop(watch);
-    proxy.wake();
+    proxy.resume_after_arrival();
     is_obeyed(&proxy, &nodes, client);
-    let (_, asked) = proxy.discovery.watched();
+    let (_, asked) = proxy.discovery.accept_watch();
     assert!(asked.contains("from=3 "), "{asked}");
 }
 
 // Guards subchannels.rs `take`: a new id is another render node, though it is found where the old one was.
 #[test]
 fn a_new_id_at_an_old_address_gets_what_is_new_and_the_old_ids_clients_stay() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
-    let (mut client, mut far) = proxy.up(&node);
+    let (mut client, mut far) = proxy.establish(&node);
     // This one's attempt is out while its render node is replaced.
     let mut between = proxy.open();
-    let mut far_between = node.called().0;
-    let (mut watch, _) = proxy.discovery.watched();
-    watch.say(&chunk(&list(2, false, &[member("s0", &node, "removed"), member("s9", &node, "up")])));
-    proxy.logged("endpoint s0 is Removed");
-    far_between.say("UP 2\r\n");
-    assert_eq!(between.hear(), "UP 2\r\n");
-    let (mut later, mut far_later) = proxy.up(&node);
+    let mut far_between = node.accept_attempt().0;
+    let (mut watch, _) = proxy.discovery.accept_watch();
+    watch.send(&chunk(&list(2, false, &[member("s0", &node, "removed"), member("s9", &node, "up")])));
+    proxy.wait_for_log("endpoint s0 is Removed");
+    far_between.send("UP 2\r\n");
+    assert_eq!(between.receive(), "UP 2\r\n");
+    let (mut later, mut far_later) = proxy.establish(&node);
     for (client, far) in
         [(&mut client, &mut far), (&mut between, &mut far_between), (&mut later, &mut far_later)]
     {
-        client.say("M 1 a\r\n");
-        assert_eq!(far.hear(), "M 1 a\r\n");
-        far.say("M 1 a\r\n");
-        assert_eq!(client.hear(), "M 1 a\r\n");
+        client.send("M 1 a\r\n");
+        assert_eq!(far.receive(), "M 1 a\r\n");
+        far.send("M 1 a\r\n");
+        assert_eq!(client.receive(), "M 1 a\r\n");
     }
     // The new one drains: its own client is moved, and no other.
-    watch.say(&chunk(&list(3, false, &[member("s9", &node, "draining")])));
-    assert_eq!(later.rest().unwrap(), "MOVE\r\n");
-    far.say("BYE\r\n");
+    watch.send(&chunk(&list(3, false, &[member("s9", &node, "draining")])));
+    assert_eq!(later.receive_rest().unwrap(), "MOVE\r\n");
+    far.send("BYE\r\n");
     drop(far);
-    assert_eq!(client.rest().unwrap(), "BYE\r\n");
-    far_between.say("BYE\r\n");
+    assert_eq!(client.receive_rest().unwrap(), "BYE\r\n");
+    far_between.send("BYE\r\n");
     drop(far_between);
-    assert_eq!(between.rest().unwrap(), "BYE\r\n");
+    assert_eq!(between.receive_rest().unwrap(), "BYE\r\n");
 }
 
 /// A chunk that holds just this.
@@ -389,19 +390,19 @@
 /// The piece was taken for a spoilt list: the watch was dropped, and the drain came with the next call's answer.
 #[test]
 fn a_list_that_is_cut_within_a_number_is_waited_for_and_its_drain_obeyed() {
-    let nodes = [Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0]]);
-    let (mut client, _far) = proxy.up(&nodes[0]);
-    let (mut watch, _) = proxy.discovery.watched();
+    let (mut client, _far) = proxy.establish(&nodes[0]);
+    let (mut watch, _) = proxy.discovery.accept_watch();
     let text = list(2, false, &[member("s0", &nodes[0], "draining"), member("s1", &nodes[1], "up")]);
     let cut = text.find("\"size\":1.").unwrap() + "\"size\":1.".len();
-    watch.say(&piece(&text[..cut]));
+    watch.send(&piece(&text[..cut]));
     // By the time that this client is up, the proxy has read what came before it.
-    let (mut later, _far) = proxy.up(&nodes[0]);
-    watch.say(&piece(&text[cut..]));
-    assert_eq!(client.hear(), "MOVE\r\n");
-    assert_eq!(later.hear(), "MOVE\r\n");
-    let _held = (proxy.open(), nodes[1].called());
+    let (mut later, _far) = proxy.establish(&nodes[0]);
+    watch.send(&piece(&text[cut..]));
+    assert_eq!(client.receive(), "MOVE\r\n");
+    assert_eq!(later.receive(), "MOVE\r\n");
+    let _held = (proxy.open(), nodes[1].accept_attempt());
     assert!(proxy.discovery.poll().is_none(), "the watch stands");
     assert!(nodes[0].poll().is_none());
 }
@@ -409,13 +410,14 @@
 /// Only a part had been moved by then; the rest stayed where it was, to be cut off.
 #[test]
 fn what_drains_and_is_removed_at_once_has_all_its_clients_moved() {
-    let nodes = [Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0]]);
-    let mut clients: Vec<(Peer, Peer)> = (0..12).map(|_| proxy.up(&nodes[0])).collect();
-    let (mut watch, _) = proxy.discovery.watched();
+    let mut clients: Vec<(ScriptedPeer, ScriptedPeer)> =
+        (0..12).map(|_| proxy.establish(&nodes[0])).collect();
+    let (mut watch, _) = proxy.discovery.accept_watch();
     let gone = list(3, false, &[member("s0", &nodes[0], "removed")]);
-    watch.say(&format!("{}{}", chunk(&drain(2, &nodes)), chunk(&gone)));
+    watch.send(&format!("{}{}", chunk(&drain(2, &nodes)), chunk(&gone)));
     for (client, _) in &mut clients {
-        assert_eq!(client.rest().unwrap(), "MOVE\r\n");
+        assert_eq!(client.receive_rest().unwrap(), "MOVE\r\n");
     }
 }
--- a/crates/cottonnotch/tests/endings/nodes.rs
+++ b/crates/cottonnotch/tests/endings/nodes.rs
@@ -7,88 +7,88 @@
 use tempfile::TempDir;
 
 /// Render nodes drain from now on; there is no other one.
-fn drains(node: &Scripted) -> String {
+fn drains(node: &ScriptedServer) -> String {
     chunk(&list(2, false, &[member("s0", node, "draining")]))
 }
 
 // Guards relay.rs `pass_subchannel`: what came before the reset is passed on first.
 #[test]
 fn lines_before_a_reset_are_passed_on_whole_and_the_reset_as_a_reset() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
-    let (mut client, far) = proxy.up(&node);
+    let (mut client, far) = proxy.establish(&node);
     proxy.pause();
-    far.say_and_reset("M 1 a\r\nLOAD 2\r\nM 2 b");
-    proxy.wake();
-    assert_eq!([client.hear(), client.hear()], ["M 1 a\r\n", "LOAD 2\r\n"]);
-    assert_eq!(client.rest().unwrap_err().kind(), ErrorKind::ConnectionReset);
+    far.send_and_reset("M 1 a\r\nLOAD 2\r\nM 2 b");
+    proxy.resume_after_arrival();
+    assert_eq!([client.receive(), client.receive()], ["M 1 a\r\n", "LOAD 2\r\n"]);
+    assert_eq!(client.receive_rest().unwrap_err().kind(), ErrorKind::ConnectionReset);
 }
 
 // Guards line.rs `flush`, which remembers a reset: the client's line is written first, and reading shows an end after it.
 #[test]
 fn a_reset_that_a_clients_line_runs_into_is_a_reset_all_the_same() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
-    let (mut client, far) = proxy.up(&node);
+    let (mut client, far) = proxy.establish(&node);
     proxy.pause();
-    client.say("M 1 a\r\n");
-    far.say_and_reset("LOAD 2\r\n");
-    proxy.wake();
-    assert_eq!(client.hear(), "LOAD 2\r\n");
-    assert_eq!(client.rest().unwrap_err().kind(), ErrorKind::ConnectionReset);
+    client.send("M 1 a\r\n");
+    far.send_and_reset("LOAD 2\r\n");
+    proxy.resume_after_arrival();
+    assert_eq!(client.receive(), "LOAD 2\r\n");
+    assert_eq!(client.receive_rest().unwrap_err().kind(), ErrorKind::ConnectionReset);
 }
 
 // Guards relay.rs `pass_subchannel`: a client that cannot be written to has broken off, and is told on as that.
 #[test]
 fn a_clients_reset_that_a_line_runs_into_reaches_the_render_node_as_a_reset() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
-    let (client, mut far) = proxy.up(&node);
+    let (client, mut far) = proxy.establish(&node);
     proxy.pause();
-    far.say("M 1 a\r\n");
-    client.say_and_reset("M 2 b\r\n");
-    proxy.wake();
-    assert_eq!(far.rest().unwrap_err().kind(), ErrorKind::ConnectionReset);
+    far.send("M 1 a\r\n");
+    client.send_and_reset("M 2 b\r\n");
+    proxy.resume_after_arrival();
+    assert_eq!(far.receive_rest().unwrap_err().kind(), ErrorKind::ConnectionReset);
 }
 
 // Guards relay.rs `pass_subchannel`: what comes is passed on unchanged up to the end, also where that is no line.
 #[test]
 fn half_a_line_and_the_end_reach_the_client_as_they_are() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
-    let (mut client, mut far) = proxy.up(&node);
+    let (mut client, mut far) = proxy.establish(&node);
     proxy.pause();
-    far.say("M 1 a\r\nM 2 b");
+    far.send("M 1 a\r\nM 2 b");
     drop(far);
-    proxy.wake();
-    assert_eq!(client.rest().unwrap(), "M 1 a\r\nM 2 b");
+    proxy.resume_after_arrival();
+    assert_eq!(client.receive_rest().unwrap(), "M 1 a\r\nM 2 b");
 }
 
 // Guards relay.rs `pass_subchannel`: half a line is kept back, so that `MOVE` comes between two.
 #[test]
 fn a_client_is_moved_between_two_lines_while_half_a_line_has_come() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
-    let (mut client, mut far) = proxy.up(&node);
-    let (mut watch, _) = proxy.discovery.watched();
+    let (mut client, mut far) = proxy.establish(&node);
+    let (mut watch, _) = proxy.discovery.accept_watch();
     // The half was read with the line before it.
-    far.say("M 1 a\r\nM 2 b");
-    assert_eq!(client.hear(), "M 1 a\r\n");
-    watch.say(&drains(&node));
-    assert_eq!(client.rest().unwrap(), "MOVE\r\n");
-    assert_eq!(far.rest().unwrap(), "", "and the render node's side is closed");
+    far.send("M 1 a\r\nM 2 b");
+    assert_eq!(client.receive(), "M 1 a\r\n");
+    watch.send(&drains(&node));
+    assert_eq!(client.receive_rest().unwrap(), "MOVE\r\n");
+    assert_eq!(far.receive_rest().unwrap(), "", "and the render node's side is closed");
     // The other half comes in the same moment as the drain.
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
-    let (mut client, mut far) = proxy.up(&node);
-    let (mut watch, _) = proxy.discovery.watched();
-    far.say("M 1 a\r\nM 2 b");
-    assert_eq!(client.hear(), "M 1 a\r\n");
+    let (mut client, mut far) = proxy.establish(&node);
+    let (mut watch, _) = proxy.discovery.accept_watch();
+    far.send("M 1 a\r\nM 2 b");
+    assert_eq!(client.receive(), "M 1 a\r\n");
     proxy.pause();
-    watch.say(&drains(&node));
-    far.say(" c\r\nM 3");
-    proxy.wake();
-    assert_eq!(client.rest().unwrap(), "M 2 b c\r\nMOVE\r\n");
+    watch.send(&drains(&node));
+    far.send(" c\r\nM 3");
+    proxy.resume_after_arrival();
+    assert_eq!(client.receive_rest().unwrap(), "M 2 b c\r\nMOVE\r\n");
 }
 
 // Guards relay.rs `pass_subchannel` and rpc.rs `relay`: the render node runs, so its client is moved, not cut off.
@@ -100,16 +100,16 @@
     std::fs::write(&operator, text).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_cottonnotch"));
     command.env("COTTONNOTCH_OPERATOR", operator);
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let mut proxy = Proxy::by(command, &[&node], 1024, SETTINGS);
-    let (mut client, mut far) = proxy.up(&node);
+    let (mut client, mut far) = proxy.establish(&node);
     proxy.pause();
-    far.say(&format!("M 1 a\r\nM 2 {}", "x".repeat(5000)));
-    proxy.wake();
-    assert_eq!(client.rest().unwrap(), "M 1 a\r\nMOVE\r\n");
-    within(PATIENCE, "the render node's side is closed", || far.try_say("x").err());
+    far.send(&format!("M 1 a\r\nM 2 {}", "x".repeat(5000)));
+    proxy.resume_after_arrival();
+    assert_eq!(client.receive_rest().unwrap(), "M 1 a\r\nMOVE\r\n");
+    wait_for(TIMEOUT, "the render node's side is closed", || far.try_send("x").err());
     proxy.terminate();
-    assert!(proxy.exited().success());
+    assert!(proxy.wait_for_exit().success());
     let ended = RotatedSet::open(&records).unwrap().filter_map(|line| match line.content {
         LineContent::Record(record) => match record.event {
             Event::Ended { outcome, .. } => Some(outcome),
@@ -123,10 +123,10 @@
 // Guards line.rs `take_line`: the longest line that the protocol has is one.
 #[test]
 fn a_line_of_just_four_kibibytes_is_passed_on() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
-    let (mut client, mut far) = proxy.up(&node);
+    let (mut client, mut far) = proxy.establish(&node);
     let longest = format!("{}\r\n", "x".repeat(4094));
-    far.say(&format!("{longest}M 2 b\r\n"));
-    assert_eq!([client.hear(), client.hear()], [longest, "M 2 b\r\n".to_owned()]);
+    far.send(&format!("{longest}M 2 b\r\n"));
+    assert_eq!([client.receive(), client.receive()], [longest, "M 2 b\r\n".to_owned()]);
 }
--- a/crates/cottonnotch/tests/endings/shutdown.rs
+++ b/crates/cottonnotch/tests/endings/shutdown.rs
@@ -12,43 +12,43 @@
     settings.replace("\"gain\":1.0}]", &format!("\"gain\":1.0}},{once}]"))
 }
 
-fn asks(proxy: &Proxy, class: &str) -> Peer {
+fn asks(proxy: &Proxy, class: &str) -> ScriptedPeer {
     let mut client = proxy.connect();
-    client.say(&fresh(OPEN).replace("c=look", &format!("c={class}")).replace("d=2000", "d=20000"));
+    client.send(&with_fresh_id(OPEN).replace("c=look", &format!("c={class}")).replace("d=2000", "d=20000"));
     client
 }
 
 /// What each of these hears, and that the proxy ends well.
-fn told(mut proxy: Proxy, clients: &mut [Peer]) -> Vec<String> {
-    let told = clients.iter_mut().map(|client| client.rest().unwrap()).collect();
-    assert!(proxy.exited().success());
+fn told(mut proxy: Proxy, clients: &mut [ScriptedPeer]) -> Vec<String> {
+    let told = clients.iter_mut().map(|client| client.receive_rest().unwrap()).collect();
+    assert!(proxy.wait_for_exit().success());
     told
 }
 
 #[test]
 fn attempts_that_are_out_get_their_final_answer_by_what_they_came_to() {
     for at_once in [false, true] {
-        let node = Scripted::new();
+        let node = ScriptedServer::new();
         let proxy = Proxy::with(&[&node], 1024, &settings());
         let pairs = ["look", "look", "look", "once", "once", "once"].map(|class| {
             let client = asks(&proxy, class);
-            (client, node.called().0)
+            (client, node.accept_attempt().0)
         });
-        let (mut clients, mut fars): (Vec<Peer>, Vec<Peer>) = pairs.into_iter().unzip();
+        let (mut clients, mut fars): (Vec<ScriptedPeer>, Vec<ScriptedPeer>) = pairs.into_iter().unzip();
         if at_once {
             proxy.pause();
         } else {
             proxy.terminate();
-            proxy.logged("asked to stop");
+            proxy.wait_for_log("asked to stop");
         }
         for (far, answer) in fars.iter_mut().zip(["UP 1\r\n", "BUSY\r\n", "", "UP 2\r\n", "BUSY\r\n", ""]) {
-            far.say(answer);
+            far.send(answer);
         }
         fars.remove(5).reset();
         fars.remove(2).reset();
         if at_once {
             proxy.terminate();
-            proxy.wake();
+            proxy.resume_after_arrival();
         }
         let told = told(proxy, &mut clients);
         assert_eq!((&*told[0], &*told[3]), ("UP 1\r\nMOVE\r\n", "UP 2\r\nMOVE\r\n"));
@@ -61,52 +61,52 @@
 
 #[test]
 fn a_move_falls_between_two_lines_also_where_lines_are_half_through() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
-    let mut pairs: Vec<(Peer, Peer)> = (0..10).map(|_| proxy.up(&node)).collect();
+    let mut pairs: Vec<(ScriptedPeer, ScriptedPeer)> = (0..10).map(|_| proxy.establish(&node)).collect();
     proxy.pause();
     for (client, far) in &mut pairs {
-        far.say("LOAD 1\r\nLOAD 2\r\nM 1");
-        client.say("M 2 a\r\nM 3");
+        far.send("LOAD 1\r\nLOAD 2\r\nM 1");
+        client.send("M 2 a\r\nM 3");
     }
     proxy.terminate();
-    proxy.wake();
-    let (mut clients, fars): (Vec<Peer>, Vec<Peer>) = pairs.into_iter().unzip();
+    proxy.resume_after_arrival();
+    let (mut clients, fars): (Vec<ScriptedPeer>, Vec<ScriptedPeer>) = pairs.into_iter().unzip();
     for told in told(proxy, &mut clients) {
         assert_eq!(told, "LOAD 1\r\nLOAD 2\r\nMOVE\r\n");
     }
     for mut far in fars {
-        assert_eq!(far.hear(), "M 2 a\r\n");
-        assert!(!far.try_hear().is_ok_and(|more| !more.is_empty()), "no half line");
+        assert_eq!(far.receive(), "M 2 a\r\n");
+        assert!(!far.try_receive().is_ok_and(|more| !more.is_empty()), "no half line");
     }
 }
 
 #[test]
 fn clients_on_their_way_in_are_served_and_moved() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let mut resting = proxy.connect();
     let mut half = proxy.connect();
-    let line = fresh(OPEN);
+    let line = with_fresh_id(OPEN);
     let (head, tail) = line.split_at(30);
-    half.say(head);
+    half.send(head);
     // Both are in once a later one has been answered.
     let mut later = proxy.connect();
-    later.say("PING\r\n");
-    assert_eq!(later.hear(), "PONG\r\n");
+    later.send("PING\r\n");
+    assert_eq!(later.receive(), "PONG\r\n");
     proxy.pause();
     // In the queue: its handshake is done, and nobody has accepted it.
     let queued = proxy.open();
     let silent = proxy.connect();
     proxy.terminate();
-    proxy.wake();
-    proxy.logged("asked to stop");
-    resting.say(&fresh(OPEN));
-    half.say(tail);
+    proxy.resume_after_arrival();
+    proxy.wait_for_log("asked to stop");
+    resting.send(&with_fresh_id(OPEN));
+    half.send(tail);
     let mut clients = [queued, resting, half, silent];
-    clients[3].say(&fresh(OPEN));
-    let mut fars: Vec<Peer> = clients.iter().map(|_| node.called().0).collect();
-    fars.iter_mut().for_each(|far| far.say("UP 1\r\n"));
+    clients[3].send(&with_fresh_id(OPEN));
+    let mut fars: Vec<ScriptedPeer> = clients.iter().map(|_| node.accept_attempt().0).collect();
+    fars.iter_mut().for_each(|far| far.send("UP 1\r\n"));
     for told in told(proxy, &mut clients) {
         assert_eq!(told, "UP 1\r\nMOVE\r\n");
     }
@@ -115,57 +115,57 @@
 /// The line of one that has said nothing so far crosses the word that it has waited too long, or comes just before.
 #[test]
 fn a_resting_client_is_served_or_told_but_never_sent_on_after_it_was_told() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let mut just = proxy.connect();
     let mut later = proxy.connect();
-    later.say("PING\r\n");
-    assert_eq!(later.hear(), "PONG\r\n");
+    later.send("PING\r\n");
+    assert_eq!(later.receive(), "PONG\r\n");
     proxy.pause();
     // Its time is up before the process goes on, and its line is there.
     std::thread::sleep(Duration::from_millis(1600));
-    just.say(&fresh(OPEN));
-    proxy.wake();
+    just.send(&with_fresh_id(OPEN));
+    proxy.resume_after_arrival();
     // It stays: a render node that ends by itself is paused.
-    let mut far = node.called().0;
-    far.say("UP 1\r\n");
-    assert_eq!(just.hear(), "UP 1\r\n");
+    let mut far = node.accept_attempt().0;
+    far.send("UP 1\r\n");
+    assert_eq!(just.receive(), "UP 1\r\n");
     let mut late = proxy.connect();
-    proxy.logged("client rejected");
-    late.say(&fresh(OPEN));
-    assert_eq!(late.rest().unwrap(), "ERR no first line came\r\n");
-    let (mut next, line) = (proxy.connect(), fresh(OPEN));
-    next.say(&line);
-    assert_eq!(id_of(&node.called().1), id_of(&line), "what came after its word is not sent on");
+    proxy.wait_for_log("client rejected");
+    late.send(&with_fresh_id(OPEN));
+    assert_eq!(late.receive_rest().unwrap(), "ERR no first line came\r\n");
+    let (mut next, line) = (proxy.connect(), with_fresh_id(OPEN));
+    next.send(&line);
+    assert_eq!(id_of(&node.accept_attempt().1), id_of(&line), "what came after its word is not sent on");
 }
 
 #[test]
 fn a_second_sigterm_and_a_new_configuration_change_nothing_about_the_time_there_is() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
-    let pairs: Vec<(Peer, Peer)> = (0..8).map(|_| proxy.up(&node)).collect();
-    let (mut clients, _fars): (Vec<Peer>, Vec<Peer>) = pairs.into_iter().unzip();
+    let pairs: Vec<(ScriptedPeer, ScriptedPeer)> = (0..8).map(|_| proxy.establish(&node)).collect();
+    let (mut clients, _fars): (Vec<ScriptedPeer>, Vec<ScriptedPeer>) = pairs.into_iter().unzip();
     proxy.terminate();
     let began = Instant::now();
-    let mut log = proxy.log_until("asked to stop");
-    assert_eq!(clients.remove(0).rest().unwrap(), "MOVE\r\n");
+    let mut log = proxy.drain_log_until("asked to stop");
+    assert_eq!(clients.remove(0).receive_rest().unwrap(), "MOVE\r\n");
     proxy.terminate();
     proxy.reconfigure(&[("\"deadline\":2000000", "\"deadline\":2900000")]);
-    log.extend(proxy.log_until("configuration read again"));
+    log.extend(proxy.drain_log_until("configuration read again"));
     // One that asks after all that.
     clients.push(proxy.open());
-    let mut far = node.called().0;
-    far.say("UP 2\r\n");
+    let mut far = node.accept_attempt().0;
+    far.send("UP 2\r\n");
     proxy.terminate();
     let last = clients.len() - 1;
     let mut proxy = proxy;
     for (number, client) in clients.iter_mut().enumerate() {
         let told = if number == last { "UP 2\r\nMOVE\r\n" } else { "MOVE\r\n" };
-        assert_eq!(client.rest().unwrap(), told);
+        assert_eq!(client.receive_rest().unwrap(), told);
     }
-    assert!(proxy.exited().success());
+    assert!(proxy.wait_for_exit().success());
     assert!(began.elapsed() < Duration::from_millis(2700), "{:?}", began.elapsed());
-    log.extend(proxy.log_so_far());
+    log.extend(proxy.drain_log());
     assert_eq!(log.iter().filter(|line| line.contains("asked to stop")).count(), 1);
 }
 
@@ -173,22 +173,22 @@
 /// the `MOVE` with it.
 #[test]
 fn a_move_reaches_a_client_that_reads_late_and_sends_on() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
-    let pairs: Vec<(Peer, Peer)> = (0..5).map(|_| proxy.up(&node)).collect();
-    let (mut clients, mut fars): (Vec<Peer>, Vec<Peer>) = pairs.into_iter().unzip();
+    let pairs: Vec<(ScriptedPeer, ScriptedPeer)> = (0..5).map(|_| proxy.establish(&node)).collect();
+    let (mut clients, mut fars): (Vec<ScriptedPeer>, Vec<ScriptedPeer>) = pairs.into_iter().unzip();
     let (lines, more) = ("LOAD 1\r\n".repeat(500), "M 1 x\r\n".repeat(2000));
     proxy.pause();
-    fars.iter_mut().for_each(|far| far.say(&lines));
-    clients.iter_mut().for_each(|client| client.say(&more));
+    fars.iter_mut().for_each(|far| far.send(&lines));
+    clients.iter_mut().for_each(|client| client.send(&more));
     proxy.terminate();
-    proxy.wake();
-    proxy.logged("asked to stop");
+    proxy.resume_after_arrival();
+    proxy.wait_for_log("asked to stop");
     for (client, far) in clients.iter_mut().zip(&mut fars) {
         // Its render node's side has ended: it was moved, and what it says now comes after that.
-        while far.try_hear().is_ok_and(|line| !line.is_empty()) {}
-        client.say(&more);
+        while far.try_receive().is_ok_and(|line| !line.is_empty()) {}
+        client.send(&more);
         client.finish();
-        assert_eq!(client.rest().unwrap(), format!("{lines}MOVE\r\n"));
+        assert_eq!(client.receive_rest().unwrap(), format!("{lines}MOVE\r\n"));
     }
 }
--- a/crates/cottonnotch/tests/file_faults.rs
+++ b/crates/cottonnotch/tests/file_faults.rs
@@ -15,13 +15,13 @@
 const FOR_A_WHILE: Duration = Duration::from_millis(600);
 
 /// A process beside others at that address, whose files in the folder may fail.
-fn beside(shims: &Shims, address: SocketAddr, folder: &Path, nodes: &[&Scripted]) -> Proxy {
-    Proxy::shared_by(shims.command(Some(folder)), address, folder, Scripted::new(), nodes)
+fn beside(shims: &Shims, address: SocketAddr, folder: &Path, nodes: &[&ScriptedServer]) -> Proxy {
+    Proxy::shared_by(shims.command(Some(folder)), address, folder, ScriptedServer::new(), nodes)
 }
 
 fn skips(proxy: &Proxy, nodes: u64) {
-    within(PATIENCE, "the bans to be known", || {
-        (proxy.figure("skipped_render_nodes") == Some(nodes)).then_some(())
+    wait_for(TIMEOUT, "the bans to be known", || {
+        (proxy.metric("skipped_render_nodes") == Some(nodes)).then_some(())
     });
 }
 
@@ -30,10 +30,10 @@
     let shims = Shims::new();
     let folder = tempfile::tempdir().unwrap();
     let address = free_address();
-    let nodes = [Scripted::new(), Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new(), ScriptedServer::new()];
     let known = [&nodes[0], &nodes[1], &nodes[2]];
-    let old = Proxy::shared(address, folder.path(), Scripted::new(), &known);
-    assert_eq!(old.call("POST", "/maintenance/enter", "s0").0, 200);
+    let old = Proxy::shared(address, folder.path(), ScriptedServer::new(), &known);
+    assert_eq!(old.admin_request("POST", "/maintenance/enter", "s0").0, 200);
     shims.set(Setting::FileRead, EIO);
     let new = beside(&shims, address, folder.path(), &known);
     std::thread::sleep(FOR_A_WHILE);
@@ -47,20 +47,20 @@
     let shims = Shims::new();
     let folder = tempfile::tempdir().unwrap();
     let address = free_address();
-    let nodes = [Scripted::new(), Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new(), ScriptedServer::new()];
     let known = [&nodes[0], &nodes[1], &nodes[2]];
     let old = beside(&shims, address, folder.path(), &known);
-    assert_eq!(old.call("POST", "/maintenance/enter", "s0").0, 200);
+    assert_eq!(old.admin_request("POST", "/maintenance/enter", "s0").0, 200);
     let path = maintenance_file(folder.path());
     let saved = std::fs::read(&path).unwrap();
-    assert_eq!(old.call("POST", "/maintenance/enter", "s1").0, 200);
+    assert_eq!(old.admin_request("POST", "/maintenance/enter", "s1").0, 200);
     // An older state comes back in its place, as when two write at once, while nothing can be written.
     shims.set(Setting::FileWrite, ENOSPC);
     std::fs::write(path.with_extension("other"), &saved).unwrap();
     std::fs::rename(path.with_extension("other"), &path).unwrap();
-    within(PATIENCE, "a failed writing", || (shims.count(Setting::FileWrite) > 0).then_some(()));
+    wait_for(TIMEOUT, "a failed writing", || (shims.count(Setting::FileWrite) > 0).then_some(()));
     shims.set(Setting::FileWrite, 0);
-    within(PATIENCE, "both calls on disk", || {
+    wait_for(TIMEOUT, "both calls on disk", || {
         let text = std::fs::read_to_string(&path).unwrap();
         (text.contains(" s0\n") && text.contains(" s1\n")).then_some(())
     });
@@ -70,19 +70,26 @@
 fn a_successor_that_starts_on_a_full_disk_serves_and_takes_over_once_there_is_space() {
     let shims = Shims::new();
     let folder = tempfile::tempdir().unwrap();
-    let (address, node) = (free_address(), Scripted::new());
-    let mut old = Proxy::shared(address, folder.path(), Scripted::new(), &[&node]);
+    let (address, node) = (free_address(), ScriptedServer::new());
+    let mut old = Proxy::shared(address, folder.path(), ScriptedServer::new(), &[&node]);
     shims.set(Setting::FileWrite, ENOSPC);
-    let new = Proxy::begun_by(shims.command(Some(folder.path())), address, folder.path(), Scripted::new());
+    let new = Proxy::start_without_nodes_by(
+        shims.command(Some(folder.path())),
+        address,
+        folder.path(),
+        ScriptedServer::new(),
+    );
     std::thread::sleep(FOR_A_WHILE);
     assert!(shims.count(Setting::FileWrite) > 0);
     shims.set(Setting::FileWrite, 0);
-    let (mut watch, _) = new.discovery.watched();
-    watch.say(&chunk(&list(2, true, &[member("s0", &node, "up")])));
-    within(PATIENCE, "the new one's yes", || (new.call("GET", "/status", "").0 == 200).then_some(()));
+    let (mut watch, _) = new.discovery.accept_watch();
+    watch.send(&chunk(&list(2, true, &[member("s0", &node, "up")])));
+    wait_for(TIMEOUT, "the new one's yes", || {
+        (new.admin_request("GET", "/status", "").0 == 200).then_some(())
+    });
     old.terminate();
-    old.logged("the listener is closed");
-    assert!(old.exited().success());
+    old.wait_for_log("the listener is closed");
+    assert!(old.wait_for_exit().success());
 }
 
 #[test]
@@ -90,20 +97,20 @@
     let shims = Shims::new();
     let folder = tempfile::tempdir().unwrap();
     let address = free_address();
-    let nodes = [Scripted::new(), Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new(), ScriptedServer::new()];
     let known = [&nodes[0], &nodes[1], &nodes[2]];
-    let mut old = Proxy::shared(address, folder.path(), Scripted::new(), &known);
-    assert_eq!(old.call("POST", "/maintenance/enter", "s0").0, 200);
+    let mut old = Proxy::shared(address, folder.path(), ScriptedServer::new(), &known);
+    assert_eq!(old.admin_request("POST", "/maintenance/enter", "s0").0, 200);
     shims.set(Setting::FileRead, EIO);
     let new = beside(&shims, address, folder.path(), &known);
     std::thread::sleep(FOR_A_WHILE);
     // The earlier one is gone before the new one could read what it was told.
     old.kill();
-    let answer = new.call("POST", "/maintenance/enter", "s1");
+    let answer = new.admin_request("POST", "/maintenance/enter", "s1");
     shims.set(Setting::FileRead, 0);
     skips(&new, if answer.0 == 200 { 2 } else { 1 });
     drop(new);
-    let third = Proxy::shared(address, folder.path(), Scripted::new(), &known);
+    let third = Proxy::shared(address, folder.path(), ScriptedServer::new(), &known);
     skips(&third, if answer.0 == 200 { 2 } else { 1 });
 }
 
@@ -111,16 +118,16 @@
 fn a_call_that_cannot_be_synced_is_refused_and_changes_nothing() {
     let shims = Shims::new();
     let folder = tempfile::tempdir().unwrap();
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = beside(&shims, free_address(), folder.path(), &[&node]);
     for setting in [Setting::FileSync, Setting::FileWrite] {
         shims.set(setting, EIO);
-        assert_eq!(proxy.call("POST", "/maintenance/enter", "s0").0, 500, "{setting:?}");
+        assert_eq!(proxy.admin_request("POST", "/maintenance/enter", "s0").0, 500, "{setting:?}");
         assert!(shims.count(setting) > 0, "{setting:?}");
-        assert_eq!(proxy.figure("skipped_render_nodes"), Some(0));
+        assert_eq!(proxy.metric("skipped_render_nodes"), Some(0));
         shims.set(setting, 0);
     }
-    assert_eq!(proxy.call("POST", "/maintenance/enter", "s0").0, 200);
+    assert_eq!(proxy.admin_request("POST", "/maintenance/enter", "s0").0, 200);
     skips(&proxy, 1);
 }
 
@@ -134,13 +141,13 @@
     shims.set(Setting::FileWrite, ENOSPC);
     let mut command = shims.command(Some(folder.path()));
     command.arg("--operator").arg(&operator);
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::by(command, &[&node], 1024, SETTINGS);
-    let _pair = proxy.up(&node);
+    let _pair = proxy.establish(&node);
     assert!(shims.count(Setting::FileWrite) > 0);
     shims.set(Setting::FileWrite, 0);
-    within(PATIENCE, "records", || {
-        let _pair = proxy.up(&node);
+    wait_for(TIMEOUT, "records", || {
+        let _pair = proxy.establish(&node);
         std::fs::metadata(&records).is_ok_and(|found| found.len() > 0).then_some(())
     });
 }
--- a/crates/cottonnotch/tests/golden.rs
+++ b/crates/cottonnotch/tests/golden.rs
@@ -57,8 +57,8 @@
 
 #[test]
 fn calls_and_figures_keep_their_text() {
-    let node = Scripted::new();
-    let proxy = Proxy::managed(&[&node], 1024, SETTINGS);
+    let node = ScriptedServer::new();
+    let proxy = Proxy::with_admin(&[&node], 1024, SETTINGS);
     let calls = [
         ("GET", "/status", ""),
         ("GET", "/status/metrics", ""),
@@ -75,7 +75,7 @@
     ];
     let mut text = String::new();
     for (method, path, body) in calls {
-        let (status, answer) = proxy.call(method, path, body);
+        let (status, answer) = proxy.admin_request(method, path, body);
         text.push_str(&format!("{method} {path} {body}\n{status} {answer}\n"));
     }
     assert_text(&golden_path!("calls.txt"), &text);
--- a/crates/cottonnotch/tests/gossip.rs
+++ b/crates/cottonnotch/tests/gossip.rs
@@ -132,7 +132,7 @@
 
 /// Plays all members until `look` finds something.
 fn until<T>(what: &str, played: &mut [&mut Played], mut look: impl FnMut(&[&mut Played]) -> Option<T>) -> T {
-    within(PATIENCE, what, || {
+    wait_for(TIMEOUT, what, || {
         played.iter_mut().for_each(|one| one.play());
         look(played)
     })
@@ -145,7 +145,7 @@
 }
 
 /// A proxy of a tier with these addresses, the first one its own.
-fn proxy(folder: &TempDir, addresses: &[SocketAddr], operator: &str, nodes: &[&Scripted]) -> Proxy {
+fn proxy(folder: &TempDir, addresses: &[SocketAddr], operator: &str, nodes: &[&ScriptedServer]) -> Proxy {
     let path = folder.path().join("operator.toml");
     std::fs::write(&path, operator).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_cottonnotch"));
@@ -185,11 +185,11 @@
 
 #[test]
 fn peers_hear_what_stands_and_that_it_is_over() {
-    let (folder, at, node) = (TempDir::new().unwrap(), addresses(2), Scripted::new());
+    let (folder, at, node) = (TempDir::new().unwrap(), addresses(2), ScriptedServer::new());
     let proxy = proxy(&folder, &at, BY_ADDRESS, &[&node]);
     let mut peer = Played::by_address(&at, 1);
-    let (client, mut far) = proxy.up(&node);
-    far.say("LOAD 500000\r\n");
+    let (client, mut far) = proxy.establish(&node);
+    far.send("LOAD 500000\r\n");
     let told = until("the standing connection", &mut [&mut peer], |played| {
         played[0].of("s0").filter(|entry| entry.load.micros_per_s() > 0)
     });
@@ -203,17 +203,17 @@
 /// Loads told by a peer are all that shows a crowd: this proxy has one light connection on each render node.
 #[test]
 fn a_crowd_that_only_a_peer_sees_is_left_alone() {
-    let nodes = [Scripted::new(), Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new(), ScriptedServer::new()];
     let (folder, at) = (TempDir::new().unwrap(), addresses(2));
     let proxy = proxy(&folder, &at, BY_ADDRESS, &[&nodes[0], &nodes[1], &nodes[2]]);
     let mut peer = Played::by_address(&at, 1);
     let open = || {
         let mut client = proxy.connect();
-        client.say(&fresh(&OPEN.replace(",g=5c0f", "")));
-        let (at, mut far) = called_at(&nodes);
-        far.hear();
-        far.say("UP 1\r\nLOAD 1000\r\n");
-        assert_eq!((client.hear(), client.hear()), ("UP 1\r\n".to_owned(), "LOAD 1000\r\n".to_owned()));
+        client.send(&with_fresh_id(&OPEN.replace(",g=5c0f", "")));
+        let (at, mut far) = accept_attempt_at(&nodes);
+        far.receive();
+        far.send("UP 1\r\nLOAD 1000\r\n");
+        assert_eq!((client.receive(), client.receive()), ("UP 1\r\n".to_owned(), "LOAD 1000\r\n".to_owned()));
         (at, client, far)
     };
     let first: Vec<_> = (0..3).map(|_| open()).collect();
@@ -234,7 +234,7 @@
 
 #[test]
 fn strangers_and_rubbish_are_not_heard_and_stop_nothing() {
-    let nodes = [Scripted::new(), Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new(), ScriptedServer::new()];
     let (folder, at) = (TempDir::new().unwrap(), addresses(2));
     let proxy = proxy(&folder, &at, BY_ADDRESS, &[&nodes[0], &nodes[1], &nodes[2]]);
     // A stranger that keeps the protocol: only its address gives it away.
@@ -252,36 +252,36 @@
     let placed: Vec<usize> = (0..6)
         .map(|_| {
             let client = proxy.open();
-            let (at, mut far) = called_at(&nodes);
-            far.hear();
-            far.say("UP 1\r\n");
+            let (at, mut far) = accept_attempt_at(&nodes);
+            far.receive();
+            far.send("UP 1\r\n");
             std::mem::forget((client, far));
             at
         })
         .collect();
     assert!((0..3).all(|node| placed.contains(&node)), "all are used: {placed:?}");
     let mut front = proxy.connect();
-    front.say("PING\r\n");
-    assert_eq!(front.hear(), "PONG\r\n");
+    front.send("PING\r\n");
+    assert_eq!(front.receive(), "PONG\r\n");
 }
 
 #[test]
 fn a_proxy_that_stops_says_that_it_leaves() {
-    let (folder, at, node) = (TempDir::new().unwrap(), addresses(2), Scripted::new());
+    let (folder, at, node) = (TempDir::new().unwrap(), addresses(2), ScriptedServer::new());
     let mut proxy = proxy(&folder, &at, BY_ADDRESS, &[&node]);
     let mut peer = Played::by_address(&at, 1);
     until("the proxy", &mut [&mut peer], |played| played[0].states.contains(&State::Alive).then_some(()));
     proxy.terminate();
     until("its farewell", &mut [&mut peer], |played| played[0].states.contains(&State::Left).then_some(()));
-    assert!(proxy.exited().success());
+    assert!(proxy.wait_for_exit().success());
     assert!(!peer.states.contains(&State::Dead), "{:?}", peer.states);
 }
 
 #[test]
 fn keys_change_without_a_gap_and_a_wrong_one_is_not_heard() {
-    let (folder, at, node) = (TempDir::new().unwrap(), addresses(2), Scripted::new());
+    let (folder, at, node) = (TempDir::new().unwrap(), addresses(2), ScriptedServer::new());
     let proxy = proxy(&folder, &at, &shared(folder.path(), &[0]), &[&node]);
-    let _up = proxy.up(&node);
+    let _up = proxy.establish(&node);
     let hears = |peer: &mut Played| {
         peer.heard.clear();
         peer.play();
@@ -304,15 +304,15 @@
     {
         std::fs::write(folder.path().join("operator.toml"), shared(folder.path(), theirs)).unwrap();
         proxy.reload();
-        proxy.logged("configuration read again");
+        proxy.wait_for_log("configuration read again");
         let now = peer.now();
         peer.gossip.handle(now, Input::Keys(shared_keys(ours)));
-        let _more = proxy.up(&node);
+        let _more = proxy.establish(&node);
         assert!(hears(&mut peer), "{theirs:?} {ours:?}");
     }
     let now = peer.now();
     peer.gossip.handle(now, Input::Keys(shared_keys(&[0])));
-    let _more = proxy.up(&node);
+    let _more = proxy.establish(&node);
     assert!(!hears(&mut peer), "the proxy speaks by the new key, which this one does not know");
 }
 
@@ -441,21 +441,21 @@
 
 #[test]
 fn a_keeper_s_sums_keep_clients_off_a_full_node_where_this_proxy_has_nobody() {
-    let nodes = [Scripted::new(), Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new(), ScriptedServer::new()];
     let (folder, at) = (TempDir::new().unwrap(), addresses(tier_without_own_turn().0));
     let mut keepers = Keepers::new(&at, "s1");
     let proxy = proxy(&folder, &at, BY_KEEPER, &[&nodes[0], &nodes[1], &nodes[2]]);
     let mut kept = Vec::new();
-    within(PATIENCE, "rounds without it", || {
+    wait_for(TIMEOUT, "rounds without it", || {
         keepers.play();
         let round: Vec<_> = (0..6)
             .map(|_| {
                 let mut client = proxy.connect();
-                client.say(&fresh(&OPEN.replace(",g=5c0f", "")));
-                let (at, mut far) = called_at(&nodes);
-                far.hear();
-                far.say("UP 1\r\nLOAD 1000\r\n");
-                client.hear();
+                client.send(&with_fresh_id(&OPEN.replace(",g=5c0f", "")));
+                let (at, mut far) = accept_attempt_at(&nodes);
+                far.receive();
+                far.send("UP 1\r\nLOAD 1000\r\n");
+                client.receive();
                 (at, client, far)
             })
             .collect();
@@ -464,7 +464,7 @@
         std::thread::sleep(Duration::from_millis(100));
         avoided.then_some(())
     });
-    within(PATIENCE, "its own report", || {
+    wait_for(TIMEOUT, "its own report", || {
         keepers.play();
         let told =
             |report: &Report| report.totals.connections > 0 && report.entries.iter().any(|e| e.load > 0.0);
@@ -476,17 +476,17 @@
 #[test]
 fn a_silent_keeper_is_asked_again_and_then_another_one() {
     let (members, orders) = tier_without_own_turn();
-    let (folder, at, node) = (TempDir::new().unwrap(), addresses(members), Scripted::new());
+    let (folder, at, node) = (TempDir::new().unwrap(), addresses(members), ScriptedServer::new());
     let mut keepers = Keepers::new(&at, "s9");
     keepers.dead = (0..keepers.ends.len()).collect();
     let proxy = proxy(&folder, &at, BY_KEEPER, &[&node]);
     let mut asked = Vec::new();
-    within(PATIENCE, "the first in order twice, and the next two", || {
+    wait_for(TIMEOUT, "the first in order twice, and the next two", || {
         asked.extend(keepers.play());
         std::thread::sleep(Duration::from_millis(10));
         let times = |member: u32| asked.iter().filter(|place| **place as u32 + 1 == member).count();
         orders.iter().any(|o| times(o[0]) >= 2 && times(o[1]) >= 1 && times(o[2]) >= 1).then_some(())
     });
     // It serves on by what it knows itself.
-    let (_client, _far) = proxy.up(&node);
+    let (_client, _far) = proxy.establish(&node);
 }
--- a/crates/cottonnotch/tests/hard_days.rs
+++ b/crates/cottonnotch/tests/hard_days.rs
@@ -6,127 +6,127 @@
 
 #[test]
 fn a_first_line_may_come_a_byte_at_a_time_and_be_split_inside_its_end() {
-    let node = Scripted::new();
-    let proxy = Proxy::managed(&[&node], 1024, SETTINGS);
+    let node = ScriptedServer::new();
+    let proxy = Proxy::with_admin(&[&node], 1024, SETTINGS);
     let mut client = proxy.connect();
-    let line = fresh(OPEN);
+    let line = with_fresh_id(OPEN);
     for byte in line.chars() {
-        client.say(&byte.to_string());
+        client.send(&byte.to_string());
         std::thread::sleep(Duration::from_millis(1));
     }
-    let (mut far, heard) = node.called();
+    let (mut far, heard) = node.accept_attempt();
     assert_eq!(id_of(&heard), id_of(&line));
-    far.say("UP 1\r");
+    far.send("UP 1\r");
     std::thread::sleep(Duration::from_millis(5));
-    far.say("\nLOAD 2\r");
+    far.send("\nLOAD 2\r");
     std::thread::sleep(Duration::from_millis(5));
-    far.say("\n");
-    assert_eq!((client.hear(), client.hear()), ("UP 1\r\n".to_owned(), "LOAD 2\r\n".to_owned()));
+    far.send("\n");
+    assert_eq!((client.receive(), client.receive()), ("UP 1\r\n".to_owned(), "LOAD 2\r\n".to_owned()));
     for piece in ["M", " 1 x\r", "\nM 2", " y\r\n"] {
-        client.say(piece);
+        client.send(piece);
         std::thread::sleep(Duration::from_millis(2));
     }
-    assert_eq!((far.hear(), far.hear()), ("M 1 x\r\n".to_owned(), "M 2 y\r\n".to_owned()));
+    assert_eq!((far.receive(), far.receive()), ("M 1 x\r\n".to_owned(), "M 2 y\r\n".to_owned()));
     // A line that is split before its end's second byte, and no more for as long as a silent client is borne.
     let mut half = proxy.connect();
-    half.say(fresh(OPEN).trim_end_matches('\n'));
-    assert!(half.rest().unwrap().starts_with("ERR no first line came"));
+    half.send(with_fresh_id(OPEN).trim_end_matches('\n'));
+    assert!(half.receive_rest().unwrap().starts_with("ERR no first line came"));
     assert!(node.poll().is_none(), "half a line is no request");
 }
 
 #[test]
 fn clients_that_go_at_any_stage_leave_nothing_behind() {
-    let node = Scripted::new();
-    let proxy = Proxy::managed(&[&node], 1024, SETTINGS);
+    let node = ScriptedServer::new();
+    let proxy = Proxy::with_admin(&[&node], 1024, SETTINGS);
     let gone =
-        || within(PATIENCE, "none in progress", || (proxy.figure("in_progress") == Some(0)).then_some(()));
+        || wait_for(TIMEOUT, "none in progress", || (proxy.metric("in_progress") == Some(0)).then_some(()));
     // Before the line, and in the middle of it.
     drop(proxy.connect());
     let mut middle = proxy.connect();
-    middle.say("OPEN 12");
+    middle.send("OPEN 12");
     middle.reset();
     // During an attempt: it is closed, and shows nothing of the render node.
     let client = proxy.open();
-    let mut far = node.called().0;
+    let mut far = node.accept_attempt().0;
     drop(client);
-    assert_eq!(far.rest().unwrap(), "");
+    assert_eq!(far.receive_rest().unwrap(), "");
     gone();
-    assert_eq!(proxy.figure("skipped_render_nodes"), Some(0));
+    assert_eq!(proxy.metric("skipped_render_nodes"), Some(0));
     // With lines unanswered, by a reset.
-    let (mut client, mut far) = proxy.up(&node);
-    client.say("M 1 x\r\n");
-    assert_eq!(far.hear(), "M 1 x\r\n");
+    let (mut client, mut far) = proxy.establish(&node);
+    client.send("M 1 x\r\n");
+    assert_eq!(far.receive(), "M 1 x\r\n");
     client.reset();
-    assert!(far.rest().is_err(), "a reset passes as a reset");
+    assert!(far.receive_rest().is_err(), "a reset passes as a reset");
     gone();
     // While held: nothing may be used.
-    let (mut client, _far) = proxy.up(&node);
-    assert_eq!(proxy.call("POST", "/maintenance/enter", "s0").0, 200);
+    let (mut client, _far) = proxy.establish(&node);
+    assert_eq!(proxy.admin_request("POST", "/maintenance/enter", "s0").0, 200);
     let held = proxy.open();
-    within(PATIENCE, "it is held", || (proxy.figure("in_progress")? >= 2).then_some(()));
+    wait_for(TIMEOUT, "it is held", || (proxy.metric("in_progress")? >= 2).then_some(()));
     drop(held);
     // In the middle of a MOVE: told to go, it sends one more line and is gone.
-    assert_eq!(client.hear(), "MOVE\r\n");
-    let _ = client.try_say("M 2 y\r\n");
+    assert_eq!(client.receive(), "MOVE\r\n");
+    let _ = client.try_send("M 2 y\r\n");
     client.reset();
     gone();
     assert!(node.poll().is_none(), "nothing was sent for those that went");
-    assert_eq!(proxy.call("POST", "/maintenance/exit", "s0").0, 200);
-    let (_client, _far) = proxy.up(&node);
-    assert_eq!(proxy.figure("handled.look.passed"), Some(3));
+    assert_eq!(proxy.admin_request("POST", "/maintenance/exit", "s0").0, 200);
+    let (_client, _far) = proxy.establish(&node);
+    assert_eq!(proxy.metric("handled.look.passed"), Some(3));
 }
 
 #[test]
 fn a_reload_in_the_middle_of_a_crowd_drops_nobody() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     // Attempts have time enough: what ends one here must not be its time-out.
     let patient = SETTINGS.replace("\"target\":300000", "\"target\":8000000");
-    let proxy = Proxy::managed(&[&node], 1024, &patient);
-    let mut ups: Vec<(Peer, Peer)> = (0..20).map(|_| proxy.up(&node)).collect();
-    let mut waiting: Vec<(Peer, Peer)> = (0..60)
+    let proxy = Proxy::with_admin(&[&node], 1024, &patient);
+    let mut ups: Vec<(ScriptedPeer, ScriptedPeer)> = (0..20).map(|_| proxy.establish(&node)).collect();
+    let mut waiting: Vec<(ScriptedPeer, ScriptedPeer)> = (0..60)
         .map(|_| {
             let mut client = proxy.connect();
-            client.say(&fresh(OPEN).replace("d=2000", "d=20000"));
-            (client, node.called().0)
+            client.send(&with_fresh_id(OPEN).replace("d=2000", "d=20000"));
+            (client, node.accept_attempt().0)
         })
         .collect();
     for tries in ["2", "1", "5"] {
         proxy.reconfigure(&[(r#""mostTries":3"#, &format!(r#""mostTries":{tries}"#))]);
-        proxy.logged("configuration read again");
+        proxy.wait_for_log("configuration read again");
     }
     for (client, far) in &mut waiting {
-        far.say("UP 1\r\n");
-        assert_eq!(client.hear(), "UP 1\r\n");
+        far.send("UP 1\r\n");
+        assert_eq!(client.receive(), "UP 1\r\n");
     }
     for (client, far) in &mut ups {
-        client.say("M 1 x\r\n");
-        assert_eq!(far.hear(), "M 1 x\r\n");
+        client.send("M 1 x\r\n");
+        assert_eq!(far.receive(), "M 1 x\r\n");
     }
-    assert_eq!((proxy.figure("handled.look.passed"), proxy.figure("loads")), (Some(80), Some(3)));
+    assert_eq!((proxy.metric("handled.look.passed"), proxy.metric("loads")), (Some(80), Some(3)));
 }
 
 #[test]
 fn a_second_answer_is_no_line_of_the_session_and_no_second_final_answer() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let mut client = proxy.open();
-    let mut far = node.called().0;
-    far.say("UP 1\r\nUP 1\r\n");
-    assert_eq!(client.hear(), "UP 1\r\n");
+    let mut far = node.accept_attempt().0;
+    far.send("UP 1\r\nUP 1\r\n");
+    assert_eq!(client.receive(), "UP 1\r\n");
     std::thread::sleep(Duration::from_millis(20));
-    far.say("BUSY 5\r\nLOAD 3\r\nERR late\r\n");
-    assert_eq!(client.hear(), "LOAD 3\r\n");
+    far.send("BUSY 5\r\nLOAD 3\r\nERR late\r\n");
+    assert_eq!(client.receive(), "LOAD 3\r\n");
     // A client's own line comes back whatever it says.
-    client.say("UP a\r\n");
-    assert_eq!(far.hear(), "UP a\r\n");
-    far.say("UP a\r\nBYE\r\n");
+    client.send("UP a\r\n");
+    assert_eq!(far.receive(), "UP a\r\n");
+    far.send("UP a\r\nBYE\r\n");
     drop(far);
-    assert_eq!(client.rest().unwrap(), "UP a\r\nBYE\r\n");
+    assert_eq!(client.receive_rest().unwrap(), "UP a\r\nBYE\r\n");
     // After a refusal the attempt is closed, and the next one's answer is the only one.
     let mut client = proxy.connect();
-    client.say(&fresh(OPEN).replace("d=2000", "d=300"));
-    let mut far = node.called().0;
-    far.say("BUSY\r\nUP 2\r\n");
-    let answer = client.rest().unwrap();
+    client.send(&with_fresh_id(OPEN).replace("d=2000", "d=300"));
+    let mut far = node.accept_attempt().0;
+    far.send("BUSY\r\nUP 2\r\n");
+    let answer = client.receive_rest().unwrap();
     assert!(answer.starts_with("BUSY ") && answer.lines().count() == 1, "{answer}");
 }
--- a/crates/cottonnotch/tests/homes.rs
+++ b/crates/cottonnotch/tests/homes.rs
@@ -158,7 +158,7 @@
     nodes: Nodes,
     links: Links,
     proxies: Vec<Proxy>,
-    clients: Vec<Vec<Peer>>,
+    clients: Vec<Vec<ScriptedPeer>>,
     number: u64,
     _folder: TempDir,
 }
@@ -167,9 +167,9 @@
     /// Six proxies, of which these run without homes by a group's size.
     fn new(without: &[usize]) -> Self {
         let (nodes, links, folder) = (Nodes::new(), Links::new(), TempDir::new().unwrap());
-        let aliases: Vec<Scripted> =
-            nodes.addresses.iter().map(|address| Scripted::alias(*address)).collect();
-        let aliases: Vec<&Scripted> = aliases.iter().collect();
+        let aliases: Vec<ScriptedServer> =
+            nodes.addresses.iter().map(|address| ScriptedServer::alias(*address)).collect();
+        let aliases: Vec<&ScriptedServer> = aliases.iter().collect();
         let start = |me: usize| {
             let path = folder.path().join(format!("operator-{me}.toml"));
             std::fs::write(&path, if without.contains(&me) { WITHOUT } else { WITH }).unwrap();
@@ -182,7 +182,7 @@
                 .replace("\"familyInfo\":{", "\"familyInfo\":{\"groups\":true,");
             let settings =
                 format!("{settings},\"peer_listen\":\"{}\",\"peers\":[{}]", links.own[me], all.join(","));
-            Proxy::managed_by(command, &aliases, 1024, &settings)
+            Proxy::with_admin_by(command, &aliases, 1024, &settings)
         };
         let proxies = (0..MEMBERS).map(start).collect();
         let clients = (0..MEMBERS).map(|_| Vec::new()).collect();
@@ -191,12 +191,12 @@
 
     /// A client of the group comes to this proxy, again and again until it is served.
     fn come(&mut self, proxy: usize) {
-        let client = within(PATIENCE, "a client to be served", || {
+        let client = wait_for(TIMEOUT, "a client to be served", || {
             self.number += 1;
             let id = (proxy as u64) << 32 | self.number;
             let mut client = self.proxies[proxy].connect();
-            client.say(&format!("OPEN {id:016x} 7f3a9c21e0b4d655 c=look,d=2000,g=5c0f\r\n"));
-            client.hear().starts_with("UP").then_some(client)
+            client.send(&format!("OPEN {id:016x} 7f3a9c21e0b4d655 c=look,d=2000,g=5c0f\r\n"));
+            client.receive().starts_with("UP").then_some(client)
         });
         self.clients[proxy].push(client);
     }
@@ -204,7 +204,7 @@
     /// All clients of these proxies go, and as many come again, one at each in turn.
     fn wave(&mut self, proxies: &[usize]) {
         proxies.iter().for_each(|proxy| self.clients[*proxy].clear());
-        within(PATIENCE, "the clients to have gone", || self.nodes.of(proxies).is_empty().then_some(()));
+        wait_for(TIMEOUT, "the clients to have gone", || self.nodes.of(proxies).is_empty().then_some(()));
         for _ in 0..EACH {
             proxies.iter().for_each(|proxy| self.come(*proxy));
         }
@@ -218,8 +218,8 @@
 
     /// Waits until these proxies act on so many homes at least.
     fn told(&self, proxies: &[usize], least: usize) {
-        let most = |proxy: &usize| self.proxies[*proxy].figure("homes.most").unwrap() as usize;
-        within(Duration::from_secs(30), "the homes to be told", || {
+        let most = |proxy: &usize| self.proxies[*proxy].metric("homes.most").unwrap() as usize;
+        wait_for(Duration::from_secs(30), "the homes to be told", || {
             proxies.iter().all(|proxy| most(proxy) >= least).then_some(())
         });
     }
@@ -257,21 +257,21 @@
         tier.assert_spread(&ALL, &format!("round {round} of the faults"));
         std::thread::sleep(Duration::from_secs(2));
     }
-    let told = tier.proxies[still].mgmt();
+    let told = tier.proxies[still].admin_address();
     assert!(TcpStream::connect(told).is_ok(), "its door is open, though nobody answers");
-    tier.proxies[still].go_on();
+    tier.proxies[still].resume();
     tier.links.cut(cut.0, cut.1, false);
     tier.links.cut(cut.1, cut.0, false);
     ALL.iter().for_each(|to| tier.links.cut(mute, *to, false));
     tier.wave(&ALL);
     tier.assert_spread(&ALL, "after the faults");
     let most: BTreeSet<u64> =
-        ALL.iter().filter_map(|proxy| tier.proxies[*proxy].figure("homes.most")).collect();
+        ALL.iter().filter_map(|proxy| tier.proxies[*proxy].metric("homes.most")).collect();
     assert!(most.iter().all(|most| *most as usize <= 2 * NEEDED), "{most:?}");
     let lines: usize = tier
         .proxies
         .iter()
-        .map(|one| one.log_so_far().iter().filter(|line| line.contains("panic")).count())
+        .map(|one| one.drain_log().iter().filter(|line| line.contains("panic")).count())
         .sum();
     assert_eq!(lines, 0);
 }
@@ -306,20 +306,20 @@
     let (_, fullest) = tier.stands(&ALL);
     assert!(fullest < BY_FIVE, "{fullest}");
     for proxy in &without {
-        assert_eq!(tier.proxies[*proxy].figure("homes.most"), None);
+        assert_eq!(tier.proxies[*proxy].metric("homes.most"), None);
     }
-    assert!(with.iter().all(|proxy| tier.proxies[*proxy].figure("homes.told").unwrap() > 0));
+    assert!(with.iter().all(|proxy| tier.proxies[*proxy].metric("homes.told").unwrap() > 0));
     // One of them is asked for homes as keeper, in its turn: it says so once, however many come.
     let asked = || {
         let told = |proxy: &usize| {
             tier.proxies[*proxy]
-                .log_so_far()
+                .drain_log()
                 .into_iter()
                 .filter(|line| line.contains("datagrams of the fleet were dropped"))
         };
         without.iter().map(|proxy| told(proxy).count()).max().filter(|lines| *lines > 0)
     };
     let turn_ends = Duration::from_micros(((turn + 1) as i64 * EPOCH - now) as u64);
-    let lines = within(turn_ends + Duration::from_secs(10), "an older keeper's turn", asked);
+    let lines = wait_for(turn_ends + Duration::from_secs(10), "an older keeper's turn", asked);
     assert!(lines <= 8, "{lines} lines");
 }
--- a/crates/cottonnotch/tests/lists.rs
+++ b/crates/cottonnotch/tests/lists.rs
@@ -20,55 +20,55 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-fn one(revision: u32, node: &Scripted, phase: &str) -> String {
+fn one(revision: u32, node: &ScriptedServer, phase: &str) -> String {
     list(revision, false, &[member("s0", node, phase)])
 }
 
 #[test]
 fn an_indented_list_is_read_wherever_chunks_end() {
-    let nodes = [Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0]]);
-    let (mut client, _far) = proxy.up(&nodes[0]);
-    let (mut watch, _) = proxy.discovery.watched();
+    let (mut client, _far) = proxy.establish(&nodes[0]);
+    let (mut watch, _) = proxy.discovery.accept_watch();
     let text =
         indented(&list(2, false, &[member("s0", &nodes[0], "draining"), member("s1", &nodes[1], "up")]));
     let (head, tail) = text.split_at(text.len() / 2);
-    watch.say(&bare("\r\n"));
-    watch.say(&bare(head));
-    watch.say(&bare(tail));
-    assert_eq!(client.rest().unwrap(), "MOVE\r\n");
+    watch.send(&bare("\r\n"));
+    watch.send(&bare(head));
+    watch.send(&bare(tail));
+    assert_eq!(client.receive_rest().unwrap(), "MOVE\r\n");
     // The next one comes with the last in one chunk.
     let both = format!("{}{}", one(3, &nodes[0], "removed"), indented(&one(4, &nodes[0], "up")));
-    watch.say(&bare(&both));
-    watch.say(&chunk(&list(5, false, &[member("s1", &nodes[1], "removed")])));
-    let _held = (proxy.open(), nodes[0].called());
+    watch.send(&bare(&both));
+    watch.send(&chunk(&list(5, false, &[member("s1", &nodes[1], "removed")])));
+    let _held = (proxy.open(), nodes[0].accept_attempt());
 }
 
 #[test]
 fn a_whole_answer_of_stated_length_is_taken_before_the_next_call() {
-    let nodes = [Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0]]);
-    let (mut call, _) = proxy.discovery.called();
-    while call.hear() != "\r\n" {}
+    let (mut call, _) = proxy.discovery.accept_attempt();
+    while call.receive() != "\r\n" {}
     let body = indented(&list(8, true, &[member("s1", &nodes[1], "up")]));
-    call.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
-    let (_, asked) = proxy.discovery.watched();
+    call.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
+    let (_, asked) = proxy.discovery.accept_watch();
     assert!(asked.contains("from=8 "), "{asked}");
-    let _held = (proxy.open(), nodes[1].called());
+    let _held = (proxy.open(), nodes[1].accept_attempt());
     assert!(nodes[0].poll().is_none());
 }
 
 #[test]
 fn what_the_file_remembers_may_be_indented_too() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let pretty = indented(SETTINGS);
     let proxy = Proxy::with(&[&node], 1024, &pretty);
-    proxy.up(&node);
+    proxy.establish(&node);
 }
 
 #[test]
 fn spoilt_lists_are_dropped_whole_and_the_last_good_one_serves() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let whole = list(9, true, &[member("s9", &node, "up")]);
     let twice = list(9, true, &[member("s9", &node, "up"), member("s9", &node, "draining")]);
     let spoilt = [
@@ -95,72 +95,72 @@
     ];
     for (answer, why) in spoilt {
         let proxy = Proxy::start(&[&node]);
-        let (mut call, _) = proxy.discovery.called();
-        while call.hear() != "\r\n" {}
-        call.say(&answer);
+        let (mut call, _) = proxy.discovery.accept_attempt();
+        while call.receive() != "\r\n" {}
+        call.send(&answer);
         drop(call);
-        let line = proxy.logged("watch on discovery lost");
+        let line = proxy.wait_for_log("watch on discovery lost");
         assert!(line.contains(why), "{why}: {line}");
-        let (_, asked) = proxy.discovery.watched();
+        let (_, asked) = proxy.discovery.accept_watch();
         assert!(asked.contains("from=1 "), "{why}: {asked}");
-        proxy.up(&node);
+        proxy.establish(&node);
     }
 }
 
 #[test]
 fn changes_with_a_lower_revision_are_refused_and_the_whole_list_is_asked_for() {
-    let node = Scripted::new();
-    let proxy = Proxy::managed(&[&node], 1024, SETTINGS);
-    let (mut watch, _) = proxy.discovery.watched();
-    watch.say(&chunk(&list(7, false, &[])));
+    let node = ScriptedServer::new();
+    let proxy = Proxy::with_admin(&[&node], 1024, SETTINGS);
+    let (mut watch, _) = proxy.discovery.accept_watch();
+    watch.send(&chunk(&list(7, false, &[])));
     // Of yesterday: in the meantime the node was put back.
-    watch.say(&chunk(&one(6, &node, "removed")));
-    proxy.logged("changes of revision 6 after 7 rejected");
-    let (mut watch, asked) = proxy.discovery.watched();
+    watch.send(&chunk(&one(6, &node, "removed")));
+    proxy.wait_for_log("changes of revision 6 after 7 rejected");
+    let (mut watch, asked) = proxy.discovery.accept_watch();
     assert!(asked.contains("from=0 "), "{asked}");
-    proxy.up(&node);
-    assert_eq!((proxy.figure("lists_refused"), proxy.figure("lists_back")), (Some(1), Some(0)));
+    proxy.establish(&node);
+    assert_eq!((proxy.metric("lists_refused"), proxy.metric("lists_back")), (Some(1), Some(0)));
     // A whole one is discovery's word, whatever its revision.
-    watch.say(&chunk(&list(5, true, &[member("s0", &node, "up")])));
-    watch.say(&chunk(&list(3, true, &[])));
-    proxy.logged("discovery has gone back from revision 5 to 3");
-    assert_eq!((proxy.figure("lists_refused"), proxy.figure("lists_back")), (Some(1), Some(1)));
-    assert_eq!(proxy.figure("known_render_nodes"), Some(0));
+    watch.send(&chunk(&list(5, true, &[member("s0", &node, "up")])));
+    watch.send(&chunk(&list(3, true, &[])));
+    proxy.wait_for_log("discovery has gone back from revision 5 to 3");
+    assert_eq!((proxy.metric("lists_refused"), proxy.metric("lists_back")), (Some(1), Some(1)));
+    assert_eq!(proxy.metric("known_render_nodes"), Some(0));
 }
 
 #[test]
 fn a_watch_that_stops_within_a_line_is_opened_anew_at_once_and_long_before_six_seconds() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
-    let (mut watch, _) = proxy.discovery.watched();
-    watch.say(&bare("\r\n"));
-    watch.say(&bare(&one(2, &node, "draining")[..30]));
+    let (mut watch, _) = proxy.discovery.accept_watch();
+    watch.send(&bare("\r\n"));
+    watch.send(&bare(&one(2, &node, "draining")[..30]));
     let begun = Instant::now();
     // Busy twice: the third call comes within the time that is left.
     for _ in 0..2 {
-        let (mut call, asked) = proxy.discovery.called();
+        let (mut call, asked) = proxy.discovery.accept_attempt();
         assert!(asked.contains("from=1 "), "half a list was not taken: {asked}");
-        call.say("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+        call.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
     }
-    proxy.discovery.watched();
+    proxy.discovery.accept_watch();
     let took = begun.elapsed();
     assert!(took < Duration::from_millis(5_900), "{took:?}");
     assert!(took > Duration::from_millis(2_500), "beats come every 2 s: {took:?}");
-    proxy.up(&node);
+    proxy.establish(&node);
 }
 
 #[test]
 fn a_call_that_waits_for_its_turn_is_not_given_up_as_a_silent_watch_is() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
-    let (mut call, _) = proxy.discovery.called();
+    let (mut call, _) = proxy.discovery.accept_attempt();
     // A watch would be silent since 2.75 s; a call is given up after 3.5 s, which a sleep as long as that can't be told from.
     std::thread::sleep(Duration::from_millis(3_350));
     assert!(proxy.discovery.poll().is_none(), "no second call");
-    while call.hear() != "\r\n" {}
+    while call.receive() != "\r\n" {}
     let body = one(2, &node, "draining");
-    call.say(&format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk(&body)));
-    proxy.logged("endpoint s0 is Draining");
+    call.send(&format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk(&body)));
+    proxy.wait_for_log("endpoint s0 is Draining");
 }
 
 #[test]
@@ -168,15 +168,15 @@
     let pushed = SETTINGS.replace("on_request", "pushed");
     // Often: a call that is put off by chance comes early now and then.
     for _ in 0..5 {
-        let proxy = Proxy::with(&[&Scripted::new()], 1024, &pushed);
+        let proxy = Proxy::with(&[&ScriptedServer::new()], 1024, &pushed);
         assert!(proxy.discovery.poll().is_some(), "it is called before the proxy says that it listens");
     }
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::with(&[&node], 1024, &pushed);
-    let (mut watch, _) = proxy.discovery.watched();
-    watch.say(&chunk(&one(2, &node, "draining")));
-    proxy.logged("endpoint s0 is Draining");
+    let (mut watch, _) = proxy.discovery.accept_watch();
+    watch.send(&chunk(&one(2, &node, "draining")));
+    proxy.wait_for_log("endpoint s0 is Draining");
     // It falls silent, and is opened anew.
-    let (_, asked) = proxy.discovery.watched();
+    let (_, asked) = proxy.discovery.accept_watch();
     assert!(asked.contains("from=2 "), "{asked}");
 }
--- a/crates/cottonnotch/tests/management.rs
+++ b/crates/cottonnotch/tests/management.rs
@@ -13,46 +13,46 @@
 
 #[test]
 fn the_status_is_yes_only_while_clients_can_be_served() {
-    let node = Scripted::new();
-    let mut proxy = Proxy::managed(&[], 1024, SETTINGS);
-    let (status, why) = proxy.call("GET", "/status", "");
+    let node = ScriptedServer::new();
+    let mut proxy = Proxy::with_admin(&[], 1024, SETTINGS);
+    let (status, why) = proxy.admin_request("GET", "/status", "");
     assert_eq!(status, 503, "{why}");
     assert!(why.contains("no render node"), "{why}");
-    let mut watch = proxy.discovery.watched().0;
-    watch.say(&chunk(&list(2, true, &[member("s0", &node, "up")])));
-    within(PATIENCE, "a yes", || (proxy.call("GET", "/status", "").0 == 200).then_some(()));
-    watch.say(&chunk(&list(3, false, &[member("s0", &node, "draining")])));
-    within(PATIENCE, "a no", || (proxy.call("GET", "/status", "").0 == 503).then_some(()));
-    watch.say(&chunk(&list(4, false, &[member("s0", &node, "up")])));
-    within(PATIENCE, "a yes", || (proxy.call("GET", "/status", "").0 == 200).then_some(()));
+    let mut watch = proxy.discovery.accept_watch().0;
+    watch.send(&chunk(&list(2, true, &[member("s0", &node, "up")])));
+    wait_for(TIMEOUT, "a yes", || (proxy.admin_request("GET", "/status", "").0 == 200).then_some(()));
+    watch.send(&chunk(&list(3, false, &[member("s0", &node, "draining")])));
+    wait_for(TIMEOUT, "a no", || (proxy.admin_request("GET", "/status", "").0 == 503).then_some(()));
+    watch.send(&chunk(&list(4, false, &[member("s0", &node, "up")])));
+    wait_for(TIMEOUT, "a yes", || (proxy.admin_request("GET", "/status", "").0 == 200).then_some(()));
     proxy.terminate();
-    proxy.logged("asked to stop");
-    let (status, why) = proxy.call("GET", "/status", "");
+    proxy.wait_for_log("asked to stop");
+    let (status, why) = proxy.admin_request("GET", "/status", "");
     assert_eq!(status, 503, "{why}");
     assert!(why.contains("shutting down"), "{why}");
-    assert!(proxy.exited().success());
+    assert!(proxy.wait_for_exit().success());
 }
 
 #[test]
 fn a_call_that_is_none_is_told_why() {
-    let node = Scripted::new();
-    let proxy = Proxy::managed(&[&node], 1024, SETTINGS);
-    assert_eq!(proxy.call("GET", "/metrics", "").0, 404);
-    assert_eq!(proxy.call("DELETE", "/status", "").0, 405);
-    assert_eq!(proxy.call("POST", "/status/metrics", "").0, 405);
-    assert_eq!(proxy.call("GET", "/status", &"x".repeat(2000)).0, 413);
+    let node = ScriptedServer::new();
+    let proxy = Proxy::with_admin(&[&node], 1024, SETTINGS);
+    assert_eq!(proxy.admin_request("GET", "/metrics", "").0, 404);
+    assert_eq!(proxy.admin_request("DELETE", "/status", "").0, 405);
+    assert_eq!(proxy.admin_request("POST", "/status/metrics", "").0, 405);
+    assert_eq!(proxy.admin_request("GET", "/status", &"x".repeat(2000)).0, 413);
     for (words, status) in [("OPEN 1 2 c=look\r\n\r\n", 400), ("GET /status HTTP/1.1\r\nA", 400)] {
-        let mut caller = Peer::new(TcpStream::connect(proxy.mgmt()).unwrap());
-        caller.say(words);
+        let mut caller = ScriptedPeer::new(TcpStream::connect(proxy.admin_address()).unwrap());
+        caller.send(words);
         caller.finish();
         assert_eq!(caller.answer().0, status, "{words:?}");
     }
-    let mut caller = Peer::new(TcpStream::connect(proxy.mgmt()).unwrap());
-    caller.say(&format!("GET /{} HTTP/1.1\r\n\r\n", "x".repeat(9000)));
+    let mut caller = ScriptedPeer::new(TcpStream::connect(proxy.admin_address()).unwrap());
+    caller.send(&format!("GET /{} HTTP/1.1\r\n\r\n", "x".repeat(9000)));
     assert_eq!(caller.answer().0, 431);
-    let mut slow = Peer::new(TcpStream::connect(proxy.mgmt()).unwrap());
+    let mut slow = ScriptedPeer::new(TcpStream::connect(proxy.admin_address()).unwrap());
     for byte in "GET /status HTTP/1.1\r\n\r\n".chars() {
-        slow.say(&byte.to_string());
+        slow.send(&byte.to_string());
         std::thread::sleep(Duration::from_millis(2));
     }
     assert_eq!(slow.answer().0, 200, "a byte at a time is a call too");
@@ -60,20 +60,21 @@
 
 #[test]
 fn operators_are_answered_while_clients_and_mute_operators_crowd_in() {
-    let node = Scripted::new();
-    let proxy = Proxy::managed(&[&node], 128, SETTINGS);
+    let node = ScriptedServer::new();
+    let proxy = Proxy::with_admin(&[&node], 128, SETTINGS);
     // Clients hold every descriptor that they can get, and operators that say nothing every place of theirs.
-    let clients: Vec<Peer> = (0..200).map(|_| proxy.open()).collect();
+    let clients: Vec<ScriptedPeer> = (0..200).map(|_| proxy.open()).collect();
     let silent: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(proxy.address()).unwrap()).collect();
-    let mut mute: Vec<Peer> = (0..40).map(|_| Peer::new(TcpStream::connect(proxy.mgmt()).unwrap())).collect();
-    mute.iter_mut().step_by(2).for_each(|caller| caller.say("GET /status HT"));
+    let mut mute: Vec<ScriptedPeer> =
+        (0..40).map(|_| ScriptedPeer::new(TcpStream::connect(proxy.admin_address()).unwrap())).collect();
+    mute.iter_mut().step_by(2).for_each(|caller| caller.send("GET /status HT"));
     let mut worst = Duration::ZERO;
     for _ in 0..30 {
         let began = Instant::now();
-        assert_eq!(proxy.call("GET", "/status", "").0, 200);
-        assert_eq!(proxy.call("GET", "/status/metrics", "").0, 200);
+        assert_eq!(proxy.admin_request("GET", "/status", "").0, 200);
+        assert_eq!(proxy.admin_request("GET", "/status/metrics", "").0, 200);
         worst = worst.max(began.elapsed() / 2);
-        mute.push(Peer::new(TcpStream::connect(proxy.mgmt()).unwrap()));
+        mute.push(ScriptedPeer::new(TcpStream::connect(proxy.admin_address()).unwrap()));
     }
     println!("worst answer in the flood: {worst:?}");
     assert!(worst < Duration::from_secs(1), "{worst:?}");
@@ -82,19 +83,19 @@
 
 #[test]
 fn a_mute_operator_is_told_that_it_is_late_and_one_that_never_reads_is_let_go() {
-    let node = Scripted::new();
-    let proxy = Proxy::managed(&[&node], 1024, SETTINGS);
-    let mut mute = Peer::new(TcpStream::connect(proxy.mgmt()).unwrap());
+    let node = ScriptedServer::new();
+    let proxy = Proxy::with_admin(&[&node], 1024, SETTINGS);
+    let mut mute = ScriptedPeer::new(TcpStream::connect(proxy.admin_address()).unwrap());
     let began = Instant::now();
     assert_eq!(mute.answer().0, 408);
     assert!(began.elapsed() < Duration::from_secs(4), "{:?}", began.elapsed());
-    let mut stays = Peer::new(TcpStream::connect(proxy.mgmt()).unwrap());
-    stays.say("GET /status HTTP/1.1\r\n\r\n");
+    let mut stays = ScriptedPeer::new(TcpStream::connect(proxy.admin_address()).unwrap());
+    stays.send("GET /status HTTP/1.1\r\n\r\n");
     let answered = stays.answer().0;
     assert_eq!(answered, 200);
     // It keeps its side open; the proxy closes it after a while, and what it says then meets a reset.
-    within(PATIENCE, "the end", || {
-        stays.try_say("more\r\n").err().or_else(|| {
+    wait_for(TIMEOUT, "the end", || {
+        stays.try_send("more\r\n").err().or_else(|| {
             std::thread::sleep(Duration::from_millis(50));
             None
         })
@@ -103,9 +104,9 @@
 
 #[test]
 fn figures_are_what_clients_and_render_nodes_counted() {
-    let node = Scripted::new();
-    let proxy = Proxy::managed(&[&node], 1024, TWO_CLASSES);
-    let text = proxy.call("GET", "/status/metrics", "").1;
+    let node = ScriptedServer::new();
+    let proxy = Proxy::with_admin(&[&node], 1024, TWO_CLASSES);
+    let text = proxy.admin_request("GET", "/status/metrics", "").1;
     for zero in [
         "handled.look.passed",
         "handled.look.dropped",
@@ -122,52 +123,52 @@
     assert!(text.contains("svc.known_render_nodes:1|g\n"), "{text}");
 
     // Three are brought up, one of them ends.
-    let ups: Vec<(Peer, Peer)> = (0..3).map(|_| proxy.up(&node)).collect();
-    assert_eq!(proxy.figure("in_progress"), Some(3));
+    let ups: Vec<(ScriptedPeer, ScriptedPeer)> = (0..3).map(|_| proxy.establish(&node)).collect();
+    assert_eq!(proxy.metric("in_progress"), Some(3));
     // One of the other class fails: it may have run, and must not be tried again.
     let mut fails = proxy.connect();
-    fails.say(&fresh(OPEN).replace("c=look", "c=print:a"));
-    let mut far = node.called().0;
-    far.say("ERR no\r\n");
-    assert!(fails.rest().unwrap().starts_with("ERR "));
+    fails.send(&with_fresh_id(OPEN).replace("c=look", "c=print:a"));
+    let mut far = node.accept_attempt().0;
+    far.send("ERR no\r\n");
+    assert!(fails.receive_rest().unwrap().starts_with("ERR "));
     // The render node is paused for its error, and skipped.
-    assert_eq!(proxy.figure("skipped_render_nodes"), Some(1));
+    assert_eq!(proxy.metric("skipped_render_nodes"), Some(1));
     // One is refused early, since it can't wait.
     let mut refused = proxy.connect();
-    refused.say(&fresh(OPEN).replace("d=2000", "d=100"));
-    assert!(refused.rest().unwrap().starts_with("BUSY"));
+    refused.send(&with_fresh_id(OPEN).replace("d=2000", "d=100"));
+    assert!(refused.receive_rest().unwrap().starts_with("BUSY"));
     // One asks for what is not offered, and is no class's.
     let mut stranger = proxy.connect();
-    stranger.say(&fresh(OPEN).replace("c=look", "c=none"));
-    assert!(stranger.rest().unwrap().starts_with("ERR "));
+    stranger.send(&with_fresh_id(OPEN).replace("c=look", "c=none"));
+    assert!(stranger.receive_rest().unwrap().starts_with("ERR "));
 
-    let figures = |names: &[&str]| names.iter().map(|name| proxy.figure(name).unwrap()).collect::<Vec<_>>();
+    let figures = |names: &[&str]| names.iter().map(|name| proxy.metric(name).unwrap()).collect::<Vec<_>>();
     let look = ["handled.look.passed", "handled.look.dropped", "handled.look.bad_gateway"];
     assert_eq!(figures(&look), [3, 1, 0]);
     let print = ["handled.print%3aa.passed", "handled.print%3aa.dropped", "handled.print%3aa.bad_gateway"];
     assert_eq!(figures(&print), [0, 0, 1]);
-    assert_eq!(proxy.figure("upstream_tries"), Some(4), "each attempt that a render node read, and no other");
+    assert_eq!(proxy.metric("upstream_tries"), Some(4), "each attempt that a render node read, and no other");
     drop(ups);
-    within(PATIENCE, "the ends to be counted", || (proxy.figure("in_progress") == Some(0)).then_some(()));
+    wait_for(TIMEOUT, "the ends to be counted", || (proxy.metric("in_progress") == Some(0)).then_some(()));
     assert_eq!(figures(&look), [3, 1, 0], "an end is no second answer");
     proxy.reload();
-    proxy.logged("configuration read again");
+    proxy.wait_for_log("configuration read again");
     proxy.reconfigure(&[("\"settings\"", "\"settinks\"")]);
-    proxy.logged("configuration kept");
-    assert_eq!((proxy.figure("loads"), proxy.figure("load_errors")), (Some(1), Some(1)));
+    proxy.wait_for_log("configuration kept");
+    assert_eq!((proxy.metric("loads"), proxy.metric("load_errors")), (Some(1), Some(1)));
 }
 
 // ---- maintenance ----
 
 /// Which render nodes get the next connections.
-fn places(proxy: &Proxy, nodes: &[Scripted], connections: usize) -> Vec<usize> {
+fn places(proxy: &Proxy, nodes: &[ScriptedServer], connections: usize) -> Vec<usize> {
     let mut at: Vec<usize> = (0..connections)
         .map(|_| {
             let mut client = proxy.open();
-            let (node, mut far) = called_at(nodes);
-            far.hear();
-            far.say("UP 1\r\n");
-            assert_eq!(client.hear(), "UP 1\r\n");
+            let (node, mut far) = accept_attempt_at(nodes);
+            far.receive();
+            far.send("UP 1\r\n");
+            assert_eq!(client.receive(), "UP 1\r\n");
             client.finish();
             node
         })
@@ -179,13 +180,13 @@
 
 #[test]
 fn what_is_out_gets_nothing_whatever_discovery_lists_until_it_is_put_back() {
-    let nodes = [Scripted::new(), Scripted::new()];
-    let proxy = Proxy::managed(&[&nodes[0], &nodes[1]], 1024, SETTINGS);
-    let mut watch = proxy.discovery.watched().0;
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
+    let proxy = Proxy::with_admin(&[&nodes[0], &nodes[1]], 1024, SETTINGS);
+    let mut watch = proxy.discovery.accept_watch().0;
     assert_eq!(places(&proxy, &nodes, 6), [0, 1]);
-    assert_eq!(proxy.call("POST", "/maintenance/enter", "s0").0, 200);
-    assert_eq!(proxy.call("POST", "/maintenance/enter", "s0\n").0, 200, "twice is once");
-    assert_eq!(proxy.figure("skipped_render_nodes"), Some(1));
+    assert_eq!(proxy.admin_request("POST", "/maintenance/enter", "s0").0, 200);
+    assert_eq!(proxy.admin_request("POST", "/maintenance/enter", "s0\n").0, 200, "twice is once");
+    assert_eq!(proxy.metric("skipped_render_nodes"), Some(1));
     assert_eq!(places(&proxy, &nodes, 6), [1]);
     let both = |revision, started: &str| {
         let first =
@@ -200,121 +201,121 @@
         both(6, "1764600000000"),
     ];
     for change in &changes {
-        watch.say(&chunk(change));
+        watch.send(&chunk(change));
         assert_eq!(places(&proxy, &nodes, 4), [1], "after {change}");
     }
     proxy.reload();
-    proxy.logged("configuration read again");
+    proxy.wait_for_log("configuration read again");
     assert_eq!(places(&proxy, &nodes, 4), [1], "after SIGHUP");
-    assert_eq!(proxy.call("POST", "/maintenance/exit", "s0").0, 200, "one call undoes both");
-    assert_eq!(proxy.figure("skipped_render_nodes"), Some(0));
+    assert_eq!(proxy.admin_request("POST", "/maintenance/exit", "s0").0, 200, "one call undoes both");
+    assert_eq!(proxy.metric("skipped_render_nodes"), Some(0));
     assert_eq!(places(&proxy, &nodes, 1), [0], "its turn is the next");
-    assert_eq!(proxy.call("POST", "/maintenance/exit", "s0").0, 200);
+    assert_eq!(proxy.admin_request("POST", "/maintenance/exit", "s0").0, 200);
 }
 
 #[test]
 fn an_unknown_render_node_is_a_no_and_changes_nothing() {
-    let nodes = [Scripted::new(), Scripted::new()];
-    let proxy = Proxy::managed(&[&nodes[0], &nodes[1]], 1024, SETTINGS);
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
+    let proxy = Proxy::with_admin(&[&nodes[0], &nodes[1]], 1024, SETTINGS);
     for call in ["/maintenance/enter", "/maintenance/exit"] {
-        assert_eq!(proxy.call("POST", call, "s9").0, 404);
-        assert_eq!(proxy.call("POST", call, "").0, 400);
-        assert_eq!(proxy.call("GET", call, "s0").0, 405);
+        assert_eq!(proxy.admin_request("POST", call, "s9").0, 404);
+        assert_eq!(proxy.admin_request("POST", call, "").0, 400);
+        assert_eq!(proxy.admin_request("GET", call, "s0").0, 405);
     }
-    assert_eq!(proxy.figure("skipped_render_nodes"), Some(0));
+    assert_eq!(proxy.metric("skipped_render_nodes"), Some(0));
     assert_eq!(places(&proxy, &nodes, 4), [0, 1]);
     // One that discovery has dropped while it was out can be put back.
-    let mut watch = proxy.discovery.watched().0;
-    assert_eq!(proxy.call("POST", "/maintenance/enter", "s0").0, 200);
-    watch.say(&chunk(&list(2, true, &[member("s1", &nodes[1], "up")])));
-    within(PATIENCE, "the list", || (proxy.figure("known_render_nodes") == Some(1)).then_some(()));
-    assert_eq!(proxy.call("POST", "/maintenance/exit", "s0").0, 200);
+    let mut watch = proxy.discovery.accept_watch().0;
+    assert_eq!(proxy.admin_request("POST", "/maintenance/enter", "s0").0, 200);
+    watch.send(&chunk(&list(2, true, &[member("s1", &nodes[1], "up")])));
+    wait_for(TIMEOUT, "the list", || (proxy.metric("known_render_nodes") == Some(1)).then_some(()));
+    assert_eq!(proxy.admin_request("POST", "/maintenance/exit", "s0").0, 200);
     assert_eq!(
-        proxy.call("POST", "/maintenance/enter", "s0").0,
+        proxy.admin_request("POST", "/maintenance/enter", "s0").0,
         200,
         "the call is remembered, so the id is known"
     );
-    assert_eq!(proxy.call("GET", "/status", "").0, 200);
-    assert_eq!(proxy.call("POST", "/maintenance/enter", "s1").0, 200);
-    assert_eq!(proxy.call("GET", "/status", "").0, 503, "nothing is left to place on");
+    assert_eq!(proxy.admin_request("GET", "/status", "").0, 200);
+    assert_eq!(proxy.admin_request("POST", "/maintenance/enter", "s1").0, 200);
+    assert_eq!(proxy.admin_request("GET", "/status", "").0, 503, "nothing is left to place on");
 }
 
 #[test]
 fn clients_of_what_is_taken_out_are_moved_and_what_is_held_goes_elsewhere() {
-    let nodes = [Scripted::new(), Scripted::new()];
-    let proxy = Proxy::managed(&[&nodes[0], &nodes[1]], 1024, SETTINGS);
-    let mut ups: Vec<(Peer, Peer)> = Vec::new();
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
+    let proxy = Proxy::with_admin(&[&nodes[0], &nodes[1]], 1024, SETTINGS);
+    let mut ups: Vec<(ScriptedPeer, ScriptedPeer)> = Vec::new();
     while ups.len() < 4 {
         let mut client = proxy.open();
-        let (node, mut far) = called_at(&nodes);
-        far.hear();
-        far.say("UP 1\r\n");
-        client.hear();
+        let (node, mut far) = accept_attempt_at(&nodes);
+        far.receive();
+        far.send("UP 1\r\n");
+        client.receive();
         if node == 0 {
             ups.push((client, far));
         }
     }
     // One attempt is out at the render node, and is refused there once it is out.
     let mut tried = proxy.open();
-    let (mut node, mut far) = called_at(&nodes);
+    let (mut node, mut far) = accept_attempt_at(&nodes);
     while node != 0 {
-        far.hear();
-        far.say("UP 1\r\n");
+        far.receive();
+        far.send("UP 1\r\n");
         tried = proxy.open();
-        (node, far) = called_at(&nodes);
+        (node, far) = accept_attempt_at(&nodes);
     }
-    far.hear();
-    assert_eq!(proxy.call("POST", "/maintenance/enter", "s0").0, 200);
-    far.say("BUSY\r\n");
-    let mut again = nodes[1].called().0;
-    again.say("UP 2\r\n");
-    assert_eq!(tried.hear(), "UP 2\r\n");
+    far.receive();
+    assert_eq!(proxy.admin_request("POST", "/maintenance/enter", "s0").0, 200);
+    far.send("BUSY\r\n");
+    let mut again = nodes[1].accept_attempt().0;
+    again.send("UP 2\r\n");
+    assert_eq!(tried.receive(), "UP 2\r\n");
     for (client, _far) in &mut ups {
-        assert_eq!(client.rest().unwrap(), "MOVE\r\n", "told to move, and not cut off");
+        assert_eq!(client.receive_rest().unwrap(), "MOVE\r\n", "told to move, and not cut off");
     }
     assert!(nodes[0].poll().is_none());
 }
 
 #[test]
 fn a_render_node_that_failed_before_is_used_at_once_when_it_is_put_back() {
-    let nodes = [Scripted::new(), Scripted::new()];
-    let proxy = Proxy::managed(&[&nodes[0], &nodes[1]], 1024, SETTINGS);
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
+    let proxy = Proxy::with_admin(&[&nodes[0], &nodes[1]], 1024, SETTINGS);
     // It fails once; ends are kept, since one that is dropped would be the other's failure.
     let mut kept = Vec::new();
     let mut failed = false;
     while !failed {
         let mut client = proxy.open();
-        let (node, mut far) = called_at(&nodes);
-        far.hear();
+        let (node, mut far) = accept_attempt_at(&nodes);
+        far.receive();
         failed = node == 0;
         if failed {
-            far = nodes[1].called_after(far);
+            far = nodes[1].accept_attempt_after(far);
         }
-        far.say("UP 1\r\n");
-        assert_eq!(client.hear(), "UP 1\r\n");
+        far.send("UP 1\r\n");
+        assert_eq!(client.receive(), "UP 1\r\n");
         kept.push((client, far));
     }
-    assert_eq!(proxy.figure("skipped_render_nodes"), Some(1), "paused");
-    assert_eq!(proxy.call("POST", "/maintenance/enter", "s0").0, 200);
-    assert_eq!(proxy.figure("skipped_render_nodes"), Some(1), "once, for two reasons");
-    assert_eq!(proxy.call("POST", "/maintenance/exit", "s0").0, 200);
-    assert_eq!(proxy.figure("skipped_render_nodes"), Some(0), "the pause is forgotten");
+    assert_eq!(proxy.metric("skipped_render_nodes"), Some(1), "paused");
+    assert_eq!(proxy.admin_request("POST", "/maintenance/enter", "s0").0, 200);
+    assert_eq!(proxy.metric("skipped_render_nodes"), Some(1), "once, for two reasons");
+    assert_eq!(proxy.admin_request("POST", "/maintenance/exit", "s0").0, 200);
+    assert_eq!(proxy.metric("skipped_render_nodes"), Some(0), "the pause is forgotten");
     assert_eq!(places(&proxy, &nodes, 1), [0]);
 }
 
 /// It was carried out, and its connection ended with nothing said.
 #[test]
 fn a_call_that_is_whole_in_the_instant_of_its_time_out_is_answered() {
-    let node = Scripted::new();
-    let proxy = Proxy::managed(&[&node], 1024, SETTINGS);
-    let mut operator = Peer::new(TcpStream::connect(proxy.mgmt()).unwrap());
-    operator.say("POST /maintenance/enter HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\ns");
+    let node = ScriptedServer::new();
+    let proxy = Proxy::with_admin(&[&node], 1024, SETTINGS);
+    let mut operator = ScriptedPeer::new(TcpStream::connect(proxy.admin_address()).unwrap());
+    operator.send("POST /maintenance/enter HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\ns");
     // The proxy has begun to wait for the rest once it has answered a later one.
-    assert_eq!(proxy.figure("in_progress"), Some(0));
+    assert_eq!(proxy.metric("in_progress"), Some(0));
     proxy.pause();
     std::thread::sleep(Duration::from_millis(2100));
-    operator.say("0");
-    proxy.wake();
-    proxy.logged("taken out by hand");
+    operator.send("0");
+    proxy.resume_after_arrival();
+    proxy.wait_for_log("taken out by hand");
     assert_eq!(operator.answer().0, 200);
 }
