--- a/crates/cottonnotch/tests/peers/mod.rs
+++ b/crates/cottonnotch/tests/peers/mod.rs
@@ -2,7 +2,7 @@
 //! Ports are ephemeral and every wait is bounded.
 #![allow(dead_code, reason = "each file of stories uses its part")]
 
-pub mod crowded;
+pub mod full_backlog;
 pub mod shims;
 use std::collections::{HashMap, HashSet};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -14,10 +14,10 @@
 use std::time::{Duration, Instant};
 
 /// No story waits longer for anything.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+pub const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Waits until `look` finds something; fails the story if it never does.
-pub fn within<T>(time: Duration, what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+pub fn wait_for<T>(time: Duration, what: &str, mut look: impl FnMut() -> Option<T>) -> T {
     let until = Instant::now() + time;
     loop {
         if let Some(found) = look() {
@@ -29,52 +29,52 @@
 }
 
 /// One end of a connection.
-pub struct Peer(BufReader<TcpStream>);
+pub struct ScriptedPeer(BufReader<TcpStream>);
 
-impl Peer {
+impl ScriptedPeer {
     pub fn new(stream: TcpStream) -> Self {
         stream.set_nonblocking(false).unwrap();
         stream.set_nodelay(true).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Peer(BufReader::new(stream))
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
+        ScriptedPeer(BufReader::new(stream))
     }
 
-    pub fn say(&mut self, text: &str) {
+    pub fn send(&mut self, text: &str) {
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
     /// Says it, or tells why that can't be done.
-    pub fn try_say(&mut self, text: &str) -> std::io::Result<()> {
+    pub fn try_send(&mut self, text: &str) -> std::io::Result<()> {
         self.0.get_mut().write_all(text.as_bytes())
     }
 
     /// The next line, or why there is none.
-    pub fn try_hear(&mut self) -> std::io::Result<String> {
+    pub fn try_receive(&mut self) -> std::io::Result<String> {
         let mut line = String::new();
         self.0.read_line(&mut line).map(|_| line)
     }
 
     /// The next line, its end included; empty at the connection's end.
-    pub fn hear(&mut self) -> String {
+    pub fn receive(&mut self) -> String {
         let mut line = String::new();
         self.0.read_line(&mut line).expect("a line or an end in time");
         line
     }
 
     /// Waits until something has come, and leaves it unread.
-    pub fn leave_unread(&self) {
+    pub fn wait_for_unread(&self) {
         assert_eq!(self.0.get_ref().peek(&mut [0]).expect("something in time"), 1);
     }
 
     /// What is left, up to the end; the error if it ends in a reset.
-    pub fn rest(&mut self) -> std::io::Result<String> {
+    pub fn receive_rest(&mut self) -> std::io::Result<String> {
         let mut text = String::new();
         self.0.read_to_string(&mut text).map(|_| text)
     }
 
     /// As an operator: the answer's status code and body, once the connection has ended.
     pub fn answer(&mut self) -> (u16, String) {
-        let text = self.rest().expect("an answer and an end in time");
+        let text = self.receive_rest().expect("an answer and an end in time");
         let (head, body) = text.split_once("\r\n\r\n").expect("a head");
         (head.split(' ').nth(1).unwrap().parse().unwrap(), body.to_owned())
     }
@@ -85,20 +85,20 @@
     }
 
     /// Says it, and ends the connection with a reset at once.
-    pub fn say_and_reset(mut self, text: &str) {
-        self.say(text);
+    pub fn send_and_reset(mut self, text: &str) {
+        self.send(text);
         self.reset();
     }
 
     /// Waits until the other side's process has read all that was said.
-    pub fn is_read(&self) {
+    pub fn wait_until_read(&self) {
         let (here, there) = (self.0.get_ref().local_addr().unwrap(), self.0.get_ref().peer_addr().unwrap());
         let wire = |address: SocketAddr| match address {
             SocketAddr::V4(v4) => format!("{:08X}:{:04X}", u32::from_le_bytes(v4.ip().octets()), v4.port()),
             SocketAddr::V6(_) => panic!("stories are played over IPv4"),
         };
         let (here, there) = (wire(here), wire(there));
-        within(PATIENCE, "all is read", || {
+        wait_for(TIMEOUT, "all is read", || {
             let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
             let words = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
             let mut theirs = words.filter(|words| words[1] == there && words[2] == here);
@@ -107,15 +107,15 @@
     }
 
     /// Says it byte by byte, each once the one before is read.
-    pub fn spell(&mut self, text: &str) {
+    pub fn send_bytewise(&mut self, text: &str) {
         for byte in text.chars() {
-            self.say(&byte.to_string());
-            self.is_read();
+            self.send(&byte.to_string());
+            self.wait_until_read();
         }
     }
 
     /// So much may be sent at once though nobody reads it.
-    pub fn roomy(self, bytes: usize) -> Self {
+    pub fn with_send_buffer(self, bytes: usize) -> Self {
         socket2::SockRef::from(self.0.get_ref()).set_send_buffer_size(bytes).unwrap();
         self
     }
@@ -132,72 +132,72 @@
 }
 
 /// A scripted render node or discovery; or the mere address of one that serves elsewhere.
-pub struct Scripted(TcpListener, Option<SocketAddr>);
+pub struct ScriptedServer(TcpListener, Option<SocketAddr>);
 
-impl Scripted {
+impl ScriptedServer {
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
-        Scripted(listener, None)
+        ScriptedServer(listener, None)
     }
 
     /// One that listens already, without waiting.
     pub fn listening(listener: TcpListener) -> Self {
-        Scripted(listener, None)
+        ScriptedServer(listener, None)
     }
 
     /// Stands for one that serves at this address.
     pub fn alias(address: SocketAddr) -> Self {
-        Scripted(Scripted::new().0, Some(address))
+        ScriptedServer(ScriptedServer::new().0, Some(address))
     }
 
     pub fn address(&self) -> SocketAddr {
         self.1.unwrap_or_else(|| self.0.local_addr().unwrap())
     }
 
-    pub fn poll(&self) -> Option<Peer> {
+    pub fn poll(&self) -> Option<ScriptedPeer> {
         self.poll_from().map(|(peer, _)| peer)
     }
 
     /// With the address from which it comes.
-    pub fn poll_from(&self) -> Option<(Peer, SocketAddr)> {
-        self.0.accept().ok().map(|(stream, from)| (Peer::new(stream), from))
+    pub fn poll_from(&self) -> Option<(ScriptedPeer, SocketAddr)> {
+        self.0.accept().ok().map(|(stream, from)| (ScriptedPeer::new(stream), from))
     }
 
-    pub fn accept(&self) -> Peer {
-        within(PATIENCE, "a connection", || self.poll())
+    pub fn accept(&self) -> ScriptedPeer {
+        wait_for(TIMEOUT, "a connection", || self.poll())
     }
 
     /// Accepts a call attempt and reads its first line.
-    pub fn called(&self) -> (Peer, String) {
+    pub fn accept_attempt(&self) -> (ScriptedPeer, String) {
         let mut peer = self.accept();
-        let line = peer.hear();
+        let line = peer.receive();
         (peer, line)
     }
 
     /// Lets an attempt elsewhere fail, and takes the next one here.
-    pub fn called_after(&self, elsewhere: Peer) -> Peer {
+    pub fn accept_attempt_after(&self, elsewhere: ScriptedPeer) -> ScriptedPeer {
         drop(elsewhere);
-        self.called().0
+        self.accept_attempt().0
     }
 
     /// As discovery: accepts a watch and begins its response; returns what was asked for.
-    pub fn watched(&self) -> (Peer, String) {
-        let (mut peer, request) = self.called();
-        while peer.hear() != "\r\n" {}
-        peer.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    pub fn accept_watch(&self) -> (ScriptedPeer, String) {
+        let (mut peer, request) = self.accept_attempt();
+        while peer.receive() != "\r\n" {}
+        peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         (peer, request)
     }
 }
 
 /// Which of these gets the next connection, and its end there.
-pub fn called_at(nodes: &[Scripted]) -> (usize, Peer) {
-    let poll = |(i, node): (usize, &Scripted)| node.poll().map(|peer| (i, peer));
-    within(PATIENCE, "an attempt", || nodes.iter().enumerate().find_map(poll))
+pub fn accept_attempt_at(nodes: &[ScriptedServer]) -> (usize, ScriptedPeer) {
+    let poll = |(i, node): (usize, &ScriptedServer)| node.poll().map(|peer| (i, peer));
+    wait_for(TIMEOUT, "an attempt", || nodes.iter().enumerate().find_map(poll))
 }
 
 /// The member of a list that a scripted render node is.
-pub fn member(id: &str, node: &Scripted, phase: &str) -> String {
+pub fn member(id: &str, node: &ScriptedServer, phase: &str) -> String {
     let address = node.address();
     format!(
         r#"{{"id":"{id}","host_port":"{address}","locality":"a","cell":0,"phase":"{phase}","size":1.0,"up_since_ms":0}}"#
@@ -233,7 +233,7 @@
 }
 
 /// The line with an id of its own.
-pub fn fresh(line: &str) -> String {
+pub fn with_fresh_id(line: &str) -> String {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     line.replace("9b1f03aa5c7e2d41", &format!("{:016x}", NUMBER.fetch_add(1, Ordering::Relaxed)))
 }
@@ -246,7 +246,7 @@
     config: String,
     path: PathBuf,
     mgmt: Option<SocketAddr>,
-    pub discovery: Scripted,
+    pub discovery: ScriptedServer,
 }
 
 /// The address in a log line, after these words.
@@ -257,7 +257,7 @@
 
 /// All that peers have sent to a process has arrived, also at those of its doors. The system delivers a packet later where
 /// it is busy, and one that was sent after it may be there sooner.
-fn has_arrived(process: u32, doors: &[SocketAddr]) -> bool {
+fn has_all_arrived(process: u32, doors: &[SocketAddr]) -> bool {
     let folder = std::fs::read_dir(format!("/proc/{process}/fd")).unwrap();
     let links = folder.filter_map(|entry| std::fs::read_link(entry.ok()?.path()).ok());
     let own: HashSet<String> = links
@@ -279,10 +279,10 @@
 }
 
 /// An operator's call of any proxy's: the status code, and the body.
-pub fn call(address: SocketAddr, method: &str, path: &str, body: &str) -> (u16, String) {
-    let mut caller = Peer::new(TcpStream::connect(address).unwrap());
+pub fn admin_request(address: SocketAddr, method: &str, path: &str, body: &str) -> (u16, String) {
+    let mut caller = ScriptedPeer::new(TcpStream::connect(address).unwrap());
     let length = body.len();
-    caller.say(&format!("{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n{body}"));
+    caller.send(&format!("{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n{body}"));
     caller.answer()
 }
 
@@ -293,7 +293,7 @@
 }
 
 /// The program, once the system lets it have only so many descriptors.
-pub fn short_of_descriptors(descriptors: u32) -> Command {
+pub fn with_descriptor_limit(descriptors: u32) -> Command {
     let mut command = Command::new("/bin/sh");
     let program = env!("CARGO_BIN_EXE_cottonnotch");
     command.args(["-c", &format!("ulimit -n {descriptors}; exec '{program}'")]);
@@ -315,22 +315,22 @@
 
 impl Proxy {
     /// A proxy that knows these render nodes as `s0`, `s1` ...
-    pub fn start(nodes: &[&Scripted]) -> Self {
+    pub fn start(nodes: &[&ScriptedServer]) -> Self {
         Self::with(nodes, 1024, SETTINGS)
     }
 
-    pub fn with(nodes: &[&Scripted], sockets: u32, settings: &str) -> Self {
+    pub fn with(nodes: &[&ScriptedServer], sockets: u32, settings: &str) -> Self {
         Self::by(Command::new(env!("CARGO_BIN_EXE_cottonnotch")), nodes, sockets, settings)
     }
 
     /// One that operators may call.
-    pub fn managed(nodes: &[&Scripted], sockets: u32, settings: &str) -> Self {
-        Self::managed_by(Command::new(env!("CARGO_BIN_EXE_cottonnotch")), nodes, sockets, settings)
+    pub fn with_admin(nodes: &[&ScriptedServer], sockets: u32, settings: &str) -> Self {
+        Self::with_admin_by(Command::new(env!("CARGO_BIN_EXE_cottonnotch")), nodes, sockets, settings)
     }
 
     /// One that operators may call, started by this command.
-    pub fn managed_by(command: Command, nodes: &[&Scripted], sockets: u32, settings: &str) -> Self {
-        Self::at(command, "127.0.0.1:0", Some("127.0.0.1:0"), Scripted::new(), nodes, sockets, settings)
+    pub fn with_admin_by(command: Command, nodes: &[&ScriptedServer], sockets: u32, settings: &str) -> Self {
+        Self::at(command, "127.0.0.1:0", Some("127.0.0.1:0"), ScriptedServer::new(), nodes, sockets, settings)
     }
 
     /// One that operators may call, at an address and with a discovery that another process may share. Its processes
@@ -338,8 +338,8 @@
     pub fn shared(
         address: SocketAddr,
         folder: &std::path::Path,
-        discovery: Scripted,
-        nodes: &[&Scripted],
+        discovery: ScriptedServer,
+        nodes: &[&ScriptedServer],
     ) -> Self {
         let command = Command::new(env!("CARGO_BIN_EXE_cottonnotch"));
         Self::shared_by(command, address, folder, discovery, nodes)
@@ -350,8 +350,8 @@
         mut command: Command,
         address: SocketAddr,
         folder: &std::path::Path,
-        discovery: Scripted,
-        nodes: &[&Scripted],
+        discovery: ScriptedServer,
+        nodes: &[&ScriptedServer],
     ) -> Self {
         command.env("TMPDIR", folder);
         let listen = address.to_string();
@@ -359,91 +359,100 @@
     }
 
     /// As [`Self::shared`], with no render node to begin with: operators may call it, clients can't connect yet.
-    pub fn shared_and_unready(address: SocketAddr, folder: &std::path::Path) -> Self {
+    pub fn start_without_nodes(address: SocketAddr, folder: &std::path::Path) -> Self {
         let command = Command::new(env!("CARGO_BIN_EXE_cottonnotch"));
-        Self::begun_by(command, address, folder, Scripted::new())
+        Self::start_without_nodes_by(command, address, folder, ScriptedServer::new())
     }
 
-    /// As [`Self::shared_and_unready`], started by this command and with this discovery.
-    pub fn begun_by(
+    /// As [`Self::start_without_nodes`], started by this command and with this discovery.
+    pub fn start_without_nodes_by(
         mut command: Command,
         address: SocketAddr,
         folder: &std::path::Path,
-        discovery: Scripted,
+        discovery: ScriptedServer,
     ) -> Self {
         command.env("TMPDIR", folder);
         let (listen, mgmt) = (address.to_string(), Some("127.0.0.1:0"));
-        Self::begun(command, &listen, mgmt, discovery, &[], 1024, SETTINGS)
+        Self::start_unlistening(command, &listen, mgmt, discovery, &[], 1024, SETTINGS)
     }
 
     /// One that operators may call, with a configuration of its own; no story speaks for its discovery.
     pub fn configured(command: Command, config: String) -> Self {
         let (child, log, path) = launch_by(command, &config);
-        let discovery = Scripted::new();
+        let discovery = ScriptedServer::new();
         let mut proxy =
             Proxy { child, address: discovery.address(), log, config, path, mgmt: None, discovery };
-        proxy.mgmt = Some(address_after(&proxy.logged("operators may call at "), "operators may call at "));
-        proxy.address = address_after(&proxy.logged("listens on "), "listens on ");
+        proxy.mgmt =
+            Some(address_after(&proxy.wait_for_log("operators may call at "), "operators may call at "));
+        proxy.address = address_after(&proxy.wait_for_log("listens on "), "listens on ");
         proxy
     }
 
     /// One that operators may call, that knows these members.
-    pub fn knowing(known: &[String], settings: &str) -> Self {
-        Self::knowing_by(Command::new(env!("CARGO_BIN_EXE_cottonnotch")), known, settings)
+    pub fn with_endpoints(known: &[String], settings: &str) -> Self {
+        Self::with_endpoints_by(Command::new(env!("CARGO_BIN_EXE_cottonnotch")), known, settings)
     }
 
-    /// As [`Self::knowing`], started by this command.
-    pub fn knowing_by(command: Command, known: &[String], settings: &str) -> Self {
-        Self::knowing_at(command, "127.0.0.1:0".parse().unwrap(), known, settings)
+    /// As [`Self::with_endpoints`], started by this command.
+    pub fn with_endpoints_by(command: Command, known: &[String], settings: &str) -> Self {
+        Self::with_endpoints_at(command, "127.0.0.1:0".parse().unwrap(), known, settings)
     }
 
-    /// As [`Self::knowing_by`], at this address.
-    pub fn knowing_at(command: Command, listen: SocketAddr, known: &[String], settings: &str) -> Self {
+    /// As [`Self::with_endpoints_by`], at this address.
+    pub fn with_endpoints_at(command: Command, listen: SocketAddr, known: &[String], settings: &str) -> Self {
         let (listen, mgmt) = (listen.to_string(), Some("127.0.0.1:0"));
-        let mut proxy = Self::begun_with(command, &listen, mgmt, Scripted::new(), known, 1024, settings);
-        proxy.address = address_after(&proxy.logged("listens on "), "listens on ");
+        let mut proxy = Self::start_unlistening_with(
+            command,
+            &listen,
+            mgmt,
+            ScriptedServer::new(),
+            known,
+            1024,
+            settings,
+        );
+        proxy.address = address_after(&proxy.wait_for_log("listens on "), "listens on ");
         proxy
     }
 
     /// One that is started by this command.
-    pub fn by(command: Command, nodes: &[&Scripted], sockets: u32, settings: &str) -> Self {
-        Self::at(command, "127.0.0.1:0", None, Scripted::new(), nodes, sockets, settings)
+    pub fn by(command: Command, nodes: &[&ScriptedServer], sockets: u32, settings: &str) -> Self {
+        Self::at(command, "127.0.0.1:0", None, ScriptedServer::new(), nodes, sockets, settings)
     }
 
     fn at(
         command: Command,
         listen: &str,
         mgmt: Option<&str>,
-        discovery: Scripted,
-        nodes: &[&Scripted],
+        discovery: ScriptedServer,
+        nodes: &[&ScriptedServer],
         sockets: u32,
         settings: &str,
     ) -> Self {
-        let mut proxy = Self::begun(command, listen, mgmt, discovery, nodes, sockets, settings);
-        proxy.address = address_after(&proxy.logged("listens on "), "listens on ");
+        let mut proxy = Self::start_unlistening(command, listen, mgmt, discovery, nodes, sockets, settings);
+        proxy.address = address_after(&proxy.wait_for_log("listens on "), "listens on ");
         proxy
     }
 
     /// One that operators can call, if it is one for that; clients may not be let in yet.
-    fn begun(
+    fn start_unlistening(
         command: Command,
         listen: &str,
         mgmt: Option<&str>,
-        discovery: Scripted,
-        nodes: &[&Scripted],
+        discovery: ScriptedServer,
+        nodes: &[&ScriptedServer],
         sockets: u32,
         settings: &str,
     ) -> Self {
         let known: Vec<String> =
             nodes.iter().enumerate().map(|(i, node)| member(&format!("s{i}"), node, "up")).collect();
-        Self::begun_with(command, listen, mgmt, discovery, &known, sockets, settings)
+        Self::start_unlistening_with(command, listen, mgmt, discovery, &known, sockets, settings)
     }
 
-    fn begun_with(
+    fn start_unlistening_with(
         command: Command,
         listen: &str,
         mgmt: Option<&str>,
-        discovery: Scripted,
+        discovery: ScriptedServer,
         known: &[String],
         sockets: u32,
         settings: &str,
@@ -457,32 +466,32 @@
         let mut proxy = Proxy { child, address: found, log, config, path, mgmt: None, discovery };
         if !mgmt.is_empty() {
             proxy.mgmt =
-                Some(address_after(&proxy.logged("operators may call at "), "operators may call at "));
+                Some(address_after(&proxy.wait_for_log("operators may call at "), "operators may call at "));
         }
         proxy
     }
 
     /// The next log line with this text in it.
-    pub fn logged(&self, text: &str) -> String {
-        within(PATIENCE, text, || self.log.try_recv().ok().filter(|line| line.contains(text)))
+    pub fn wait_for_log(&self, text: &str) -> String {
+        wait_for(TIMEOUT, text, || self.log.try_recv().ok().filter(|line| line.contains(text)))
     }
 
     /// The log since it was last read.
-    pub fn log_so_far(&self) -> Vec<String> {
+    pub fn drain_log(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
 
     /// The log up to the next line with this text in it.
-    pub fn log_until(&self, text: &str) -> Vec<String> {
+    pub fn drain_log_until(&self, text: &str) -> Vec<String> {
         let mut lines: Vec<String> = Vec::new();
         while lines.last().is_none_or(|line| !line.contains(text)) {
-            lines.push(within(PATIENCE, text, || self.log.try_recv().ok()));
+            lines.push(wait_for(TIMEOUT, text, || self.log.try_recv().ok()));
         }
         lines
     }
 
-    pub fn connect(&self) -> Peer {
-        Peer::new(TcpStream::connect(self.address).unwrap())
+    pub fn connect(&self) -> ScriptedPeer {
+        ScriptedPeer::new(TcpStream::connect(self.address).unwrap())
     }
 
     /// Where clients connect.
@@ -491,36 +500,36 @@
     }
 
     /// Where operators call.
-    pub fn mgmt(&self) -> SocketAddr {
+    pub fn admin_address(&self) -> SocketAddr {
         self.mgmt.unwrap()
     }
 
     /// An operator's call: the status code, and the body.
-    pub fn call(&self, method: &str, path: &str, body: &str) -> (u16, String) {
-        call(self.mgmt(), method, path, body)
+    pub fn admin_request(&self, method: &str, path: &str, body: &str) -> (u16, String) {
+        admin_request(self.admin_address(), method, path, body)
     }
 
     /// One of the figures; `None` where there is none of that name.
-    pub fn figure(&self, name: &str) -> Option<u64> {
-        let (status, text) = self.call("GET", "/status/metrics", "");
+    pub fn metric(&self, name: &str) -> Option<u64> {
+        let (status, text) = self.admin_request("GET", "/status/metrics", "");
         assert_eq!(status, 200);
         let value = text.lines().find_map(|line| line.strip_prefix(&format!("svc.{name}:")))?;
         Some(value.split('|').next().unwrap().parse().unwrap())
     }
 
     /// A client that has sent its first line.
-    pub fn open(&self) -> Peer {
+    pub fn open(&self) -> ScriptedPeer {
         let mut client = self.connect();
-        client.say(&fresh(OPEN));
+        client.send(&with_fresh_id(OPEN));
         client
     }
 
     /// A client that is up at this render node, and the render node's end.
-    pub fn up(&self, node: &Scripted) -> (Peer, Peer) {
+    pub fn establish(&self, node: &ScriptedServer) -> (ScriptedPeer, ScriptedPeer) {
         let mut client = self.open();
-        let mut far = node.called().0;
-        far.say("UP 1\r\n");
-        assert_eq!(client.hear(), "UP 1\r\n");
+        let mut far = node.accept_attempt().0;
+        far.send("UP 1\r\n");
+        assert_eq!(client.receive(), "UP 1\r\n");
         (client, far)
     }
 
@@ -549,13 +558,13 @@
     }
 
     /// Puts the first configuration file back, and sends SIGHUP.
-    pub fn restore(&self) {
+    pub fn restore_config(&self) {
         std::fs::write(&self.path, &self.config).unwrap();
         self.reload();
     }
 
     /// Cuts the first configuration file down to so many bytes, and sends SIGHUP.
-    pub fn damage(&self, left: usize) {
+    pub fn truncate_config(&self, left: usize) {
         std::fs::write(&self.path, &self.config[..left]).unwrap();
         self.reload();
     }
@@ -569,21 +578,23 @@
     pub fn pause(&self) {
         self.signal("-STOP");
         let state = || std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
-        within(PATIENCE, "the proxy to stop", || state().contains(") T ").then_some(()));
+        wait_for(TIMEOUT, "the proxy to stop", || state().contains(") T ").then_some(()));
     }
 
     /// Waits until all that was sent to the process is there: what is sent from now on comes after it.
-    pub fn arrived(&self) {
+    pub fn wait_until_arrived(&self) {
         let doors: Vec<SocketAddr> = [Some(self.address), self.mgmt].into_iter().flatten().collect();
-        within(PATIENCE, "bytes and ends to arrive", || has_arrived(self.child.id(), &doors).then_some(()));
+        wait_for(TIMEOUT, "bytes and ends to arrive", || {
+            has_all_arrived(self.child.id(), &doors).then_some(())
+        });
     }
 
     /// Waits until no connection of the process to this address is being made any more: nobody listens there, and the
     /// system tells it when it next tries.
-    pub fn refused(&self, address: SocketAddr) {
+    pub fn wait_until_refused(&self, address: SocketAddr) {
         const SYN_SENT: &str = "02";
         let door = format!(":{:04X}", address.port());
-        within(PATIENCE, "the refusal", || {
+        wait_for(TIMEOUT, "the refusal", || {
             let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
             let words = |line: &str| -> Vec<String> { line.split_whitespace().map(str::to_owned).collect() };
             let is_made = |row: &Vec<String>| row[2].ends_with(&door) && row[3] == SYN_SENT;
@@ -592,15 +603,15 @@
     }
 
     /// The process goes on, once all that was sent to it is there; since when.
-    pub fn wake(&self) -> Instant {
-        self.arrived();
+    pub fn resume_after_arrival(&self) -> Instant {
+        self.wait_until_arrived();
         let since = Instant::now();
-        self.go_on();
+        self.resume();
         since
     }
 
     /// The process goes on, whatever is still on its way.
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
@@ -609,8 +620,8 @@
         assert!(killed.unwrap().success());
     }
 
-    pub fn exited(&mut self) -> ExitStatus {
-        within(PATIENCE, "the proxy to exit", || self.child.try_wait().unwrap())
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        wait_for(TIMEOUT, "the proxy to exit", || self.child.try_wait().unwrap())
     }
 }
 
@@ -621,7 +632,7 @@
         let _ = self.child.wait();
         // A test that fails shows what the proxy said last: no failure without a trace.
         if std::thread::panicking() {
-            self.log_so_far().iter().for_each(|line| eprintln!("proxy: {line}"));
+            self.drain_log().iter().for_each(|line| eprintln!("proxy: {line}"));
         }
     }
 }
--- a/crates/cottonnotch/tests/records.rs
+++ b/crates/cottonnotch/tests/records.rs
@@ -103,78 +103,82 @@
 
 /// False if a second was over where it must not be: what was paused then could be tried again.
 fn records_are_compared() -> bool {
-    let nodes = [Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let folder = Folder::new();
     let mut proxy = Proxy::by(folder.command(), &[&nodes[0]], 1024, SETTINGS);
-    let (mut watch, _) = proxy.discovery.watched();
+    let (mut watch, _) = proxy.discovery.accept_watch();
     let open = |wait: &str| {
-        let line = fresh(&OPEN.replace("2000", wait));
+        let line = with_fresh_id(&OPEN.replace("2000", wait));
         let mut client = proxy.connect();
-        client.say(&line);
+        client.send(&line);
         (client, id_of(&line))
     };
-    within(PATIENCE, "the time", || (50..300).contains(&since_mark()).then_some(()));
+    wait_for(TIMEOUT, "the time", || (50..300).contains(&since_mark()).then_some(()));
     let begun = Instant::now();
     // The only render node refuses one, which is held.
     let (mut first, served) = open("2000");
-    let (mut far, line) = nodes[0].called();
+    let (mut far, line) = nodes[0].accept_attempt();
     assert_eq!(id_of(&line), served);
-    far.say("BUSY\r\n");
-    assert_eq!(far.rest().unwrap(), "");
+    far.send("BUSY\r\n");
+    assert_eq!(far.receive_rest().unwrap(), "");
     // One can't wait for the pause's end.
     let (mut client, refused) = open("100");
-    let answer = client.rest().unwrap();
+    let answer = client.receive_rest().unwrap();
     let wait: u32 = answer.trim_end().strip_prefix("BUSY ").expect(&answer).parse().unwrap();
     // Some are turned away, before they had a request and after.
     let mut client = proxy.connect();
-    client.say("GET / HTTP/1.1\r\n");
-    assert_eq!(client.rest().unwrap(), "ERR the line is not OPEN ID KEY NAMES\r\n");
+    client.send("GET / HTTP/1.1\r\n");
+    assert_eq!(client.receive_rest().unwrap(), "ERR the line is not OPEN ID KEY NAMES\r\n");
     let mut client = proxy.connect();
-    client.say(&fresh(&OPEN.replace("look", "stroll")));
-    assert_eq!(client.rest().unwrap(), "ERR the class is unknown\r\n");
+    client.send(&with_fresh_id(&OPEN.replace("look", "stroll")));
+    assert_eq!(client.receive_rest().unwrap(), "ERR the class is unknown\r\n");
     let (mut client, hasty) = open("2000");
     let is_hasty = |r: &Record| matches!(&r.event, Event::Request { wire_id: Hex(id), .. } if *id == hasty);
-    within(PATIENCE, "its request", || folder.read().0.iter().any(is_hasty).then_some(()));
-    client.say("M 1 a\r\n");
-    assert_eq!(client.rest().unwrap(), "ERR more than one line before the answer\r\n");
+    wait_for(TIMEOUT, "its request", || folder.read().0.iter().any(is_hasty).then_some(()));
+    client.send("M 1 a\r\n");
+    assert_eq!(client.receive_rest().unwrap(), "ERR more than one line before the answer\r\n");
     if begun.elapsed() > Duration::from_millis(700) {
         return false;
     }
     // The one that is held is the trial after the pause, is up, and is served to its end.
-    let (mut far, line) = nodes[0].called();
+    let (mut far, line) = nodes[0].accept_attempt();
     assert_eq!(id_of(&line), served);
-    far.say("UP 1\r\n");
-    assert_eq!(first.hear(), "UP 1\r\n");
-    far.say("BYE\r\n");
+    far.send("UP 1\r\n");
+    assert_eq!(first.receive(), "UP 1\r\n");
+    far.send("BYE\r\n");
     drop(far);
-    assert_eq!(first.rest().unwrap(), "BYE\r\n");
+    assert_eq!(first.receive_rest().unwrap(), "BYE\r\n");
     // One leaves while its attempt is out.
     let (client, left) = open("2000");
-    let (mut far, line) = nodes[0].called();
+    let (mut far, line) = nodes[0].accept_attempt();
     assert_eq!(id_of(&line), left);
     drop(client);
-    assert_eq!(far.rest().unwrap(), "");
+    assert_eq!(far.receive_rest().unwrap(), "");
     // One is moved as its render node drains.
     let (mut client, drained) = open("2000");
-    let mut far = nodes[0].called().0;
-    far.say("UP 2\r\n");
-    assert_eq!(client.hear(), "UP 2\r\n");
-    watch.say(&chunk(&list(2, false, &[member("s0", &nodes[0], "draining"), member("s1", &nodes[1], "up")])));
-    assert_eq!(client.rest().unwrap(), "MOVE\r\n");
+    let mut far = nodes[0].accept_attempt().0;
+    far.send("UP 2\r\n");
+    assert_eq!(client.receive(), "UP 2\r\n");
+    watch.send(&chunk(&list(
+        2,
+        false,
+        &[member("s0", &nodes[0], "draining"), member("s1", &nodes[1], "up")],
+    )));
+    assert_eq!(client.receive_rest().unwrap(), "MOVE\r\n");
     // Both forms of a reload.
     proxy.reconfigure(&[(r#""mostTries":3"#, r#""mostTries":"many""#)]);
-    proxy.logged("configuration kept");
+    proxy.wait_for_log("configuration kept");
     folder.operate("[records]\nflush_ms = 20\n");
     proxy.reconfigure(&[(r#""mostTries":3"#, r#""mostTries":4"#)]);
-    proxy.logged("records cannot change while clients are served");
+    proxy.wait_for_log("records cannot change while clients are served");
     // One is up when the proxy leaves.
     let (mut client, leaving) = open("2000");
-    let mut far = nodes[1].called().0;
-    far.say("UP 3\r\n");
-    assert_eq!(client.hear(), "UP 3\r\n");
+    let mut far = nodes[1].accept_attempt().0;
+    far.send("UP 3\r\n");
+    assert_eq!(client.receive(), "UP 3\r\n");
     proxy.terminate();
-    assert_eq!(client.rest().unwrap(), "MOVE\r\n");
-    assert!(proxy.exited().success());
+    assert_eq!(client.receive_rest().unwrap(), "MOVE\r\n");
+    assert!(proxy.wait_for_exit().success());
 
     let (records, findings) = folder.read();
     assert_eq!(findings, [], "nothing is missing");
@@ -262,20 +266,20 @@
 
 #[test]
 fn a_connection_from_before_the_start_and_a_silent_render_node_are_told() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let folder = Folder::new();
     // With no aim for messages, no delay is noted, and the module moves nobody by itself.
     let settings = SETTINGS.replace("[150000.0]", "[]");
     let proxy = Proxy::by(folder.command(), &[&node], 1024, &settings);
     let mut client = proxy.connect();
-    let line = fresh(&OPEN.replace("g=5c0f", "g=5c0f,at=s0"));
-    client.say(&line);
-    node.called().0.say("BUSY\r\n");
-    let mut far = node.called().0;
-    far.say("UP 1\r\n");
-    assert_eq!(client.hear(), "UP 1\r\n");
-    client.say("M 1 a\r\n");
-    assert_eq!(client.rest().unwrap(), "MOVE\r\n");
+    let line = with_fresh_id(&OPEN.replace("g=5c0f", "g=5c0f,at=s0"));
+    client.send(&line);
+    node.accept_attempt().0.send("BUSY\r\n");
+    let mut far = node.accept_attempt().0;
+    far.send("UP 1\r\n");
+    assert_eq!(client.receive(), "UP 1\r\n");
+    client.send("M 1 a\r\n");
+    assert_eq!(client.receive_rest().unwrap(), "MOVE\r\n");
     let expected = [
         "attempt 0 at s0",
         "attempt 0 Full",
@@ -285,7 +289,7 @@
         "moved from s0, Unresponsive",
         "ended Reset",
     ];
-    let all = within(PATIENCE, "the end", || {
+    let all = wait_for(TIMEOUT, "the end", || {
         let lines = told(&folder.read().0, id_of(&line));
         (lines.len() >= expected.len()).then_some(lines)
     });
@@ -317,20 +321,20 @@
 fn be_rude(proxy: &Proxy, clients: usize) {
     for _ in 0..clients {
         let mut client = proxy.connect();
-        client.say("\r\n");
-        assert!(client.hear().starts_with("ERR "));
+        client.send("\r\n");
+        assert!(client.receive().starts_with("ERR "));
     }
 }
 
 #[test]
 fn each_rude_client_is_recorded_and_costs_no_other_its_place() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let folder = Folder::new();
     let mut proxy = Proxy::by(folder.command(), &[&node], 1024, SETTINGS);
     be_rude(&proxy, 1500);
-    let pair = proxy.up(&node);
+    let pair = proxy.establish(&node);
     proxy.terminate();
-    assert!(proxy.exited().success());
+    assert!(proxy.wait_for_exit().success());
     drop(pair);
     let (records, findings) = folder.read();
     assert_eq!(findings, []);
@@ -340,7 +344,7 @@
 
 #[test]
 fn a_target_that_takes_nothing_loses_records_and_holds_nobody() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let folder = Folder::new();
     folder.operate("[records]\ndescriptor = 3\nqueue_records = 64\nflush_ms = 10\n");
     // A pipe that is open and that nobody reads.
@@ -351,12 +355,12 @@
     let mut proxy = Proxy::by(folder.with_operator(command), &[&node], 1024, SETTINGS);
     // Some 130 bytes each: the pipe holds 64 KiB, and the writer 64 KiB more.
     be_rude(&proxy, 2500);
-    let (mut client, _far) = proxy.up(&node);
+    let (mut client, _far) = proxy.establish(&node);
     let begun = Instant::now();
     proxy.terminate();
-    assert_eq!(client.rest().unwrap(), "MOVE\r\n");
-    let said = proxy.logged("records of this run were lost");
-    assert!(proxy.exited().success());
+    assert_eq!(client.receive_rest().unwrap(), "MOVE\r\n");
+    let said = proxy.wait_for_log("records of this run were lost");
+    assert!(proxy.wait_for_exit().success());
     assert!(begun.elapsed() < Duration::from_millis(2700), "gone before SIGKILL may come");
     let figure = |key: &str| {
         let (_, rest) = said.split_once(key).unwrap();
@@ -368,12 +372,12 @@
 
 #[test]
 fn a_killed_proxy_leaves_whole_lines_and_the_next_one_goes_on_after_them() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let folder = Folder::new();
     let mut proxy = Proxy::by(folder.command(), &[&node], 1024, SETTINGS);
     let is_up = |record: &Record| matches!(record.event, Event::Up { .. });
-    let _pairs: Vec<(Peer, Peer)> = (0..20).map(|_| proxy.up(&node)).collect();
-    within(PATIENCE, "what was flushed", || {
+    let _pairs: Vec<(ScriptedPeer, ScriptedPeer)> = (0..20).map(|_| proxy.establish(&node)).collect();
+    wait_for(TIMEOUT, "what was flushed", || {
         (folder.read().0.iter().filter(|r| is_up(r)).count() == 20).then_some(())
     });
     let before = folder.read().0;
@@ -386,7 +390,7 @@
 
     let mut next = Proxy::by(folder.command(), &[&node], 1024, SETTINGS);
     next.terminate();
-    assert!(next.exited().success());
+    assert!(next.wait_for_exit().success());
     let (records, found) = folder.read();
     assert!(records.starts_with(&killed));
     assert_eq!(found, findings, "nothing more than what the kill left");
--- a/crates/cottonnotch/tests/replacement.rs
+++ b/crates/cottonnotch/tests/replacement.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// A render node that takes whoever comes, and answers each line with itself. It ends with the story's process.
-fn obliging(node: Scripted) -> SocketAddr {
+fn obliging(node: ScriptedServer) -> SocketAddr {
     let address = node.address();
     std::thread::spawn(move || {
         loop {
@@ -18,8 +18,12 @@
                 continue;
             };
             std::thread::spawn(move || {
-                if peer.try_hear().is_ok() && peer.try_say("UP 1\r\n").is_ok() {
-                    while peer.try_hear().is_ok_and(|line| !line.is_empty() && peer.try_say(&line).is_ok()) {}
+                if peer.try_receive().is_ok() && peer.try_send("UP 1\r\n").is_ok() {
+                    while peer
+                        .try_receive()
+                        .is_ok_and(|line| !line.is_empty() && peer.try_send(&line).is_ok())
+                    {
+                    }
                 }
             });
         }
@@ -39,9 +43,9 @@
 
 fn one_client(address: SocketAddr, counts: &Counts) -> std::io::Result<()> {
     let stream = TcpStream::connect(address)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(TIMEOUT))?;
     let mut reader = BufReader::new(stream.try_clone()?);
-    (&stream).write_all(fresh(OPEN).as_bytes())?;
+    (&stream).write_all(with_fresh_id(OPEN).as_bytes())?;
     let mut line = String::new();
     reader.read_line(&mut line)?;
     if line.starts_with("BUSY") {
@@ -74,9 +78,9 @@
 fn clients_that_arrive_throughout_a_replacement_are_all_served_and_none_is_lost_at_the_door() {
     let folder = tempfile::tempdir().unwrap();
     let address = free_address();
-    let node = Scripted::new();
-    let known = Scripted::alias(obliging(node));
-    let mut old = Proxy::shared(address, folder.path(), Scripted::new(), &[&known]);
+    let node = ScriptedServer::new();
+    let known = ScriptedServer::alias(obliging(node));
+    let mut old = Proxy::shared(address, folder.path(), ScriptedServer::new(), &[&known]);
     let (counts, stop) = (Arc::new(Counts::default()), Arc::new(AtomicBool::new(false)));
     let clients: Vec<_> = (0..24)
         .map(|_| {
@@ -93,14 +97,16 @@
     std::thread::sleep(Duration::from_millis(300));
     let mut replaced = 0;
     for _ in 0..2 {
-        let new = Proxy::shared(address, folder.path(), Scripted::new(), &[&known]);
-        within(PATIENCE, "the new one's yes", || (new.call("GET", "/status", "").0 == 200).then_some(()));
-        assert_eq!(old.call("GET", "/status", "").0, 200, "the old one serves still");
+        let new = Proxy::shared(address, folder.path(), ScriptedServer::new(), &[&known]);
+        wait_for(TIMEOUT, "the new one's yes", || {
+            (new.admin_request("GET", "/status", "").0 == 200).then_some(())
+        });
+        assert_eq!(old.admin_request("GET", "/status", "").0, 200, "the old one serves still");
         old.terminate();
-        old.logged("the listener is closed");
-        assert!(old.exited().success());
-        assert_eq!(new.call("GET", "/status", "").0, 200);
-        assert!(new.figure("handled.look.passed").unwrap() > 0, "its own counts begin at 0");
+        old.wait_for_log("the listener is closed");
+        assert!(old.wait_for_exit().success());
+        assert_eq!(new.admin_request("GET", "/status", "").0, 200);
+        assert!(new.metric("handled.look.passed").unwrap() > 0, "its own counts begin at 0");
         (old, replaced) = (new, replaced + 1);
     }
     stop.store(true, Ordering::Relaxed);
@@ -122,60 +128,64 @@
 fn a_ban_called_on_either_process_binds_both_and_outlives_the_first() {
     let folder = tempfile::tempdir().unwrap();
     let address = free_address();
-    let nodes = [Scripted::new(), Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new(), ScriptedServer::new()];
     let known = [&nodes[0], &nodes[1], &nodes[2]];
-    let mut old = Proxy::shared(address, folder.path(), Scripted::new(), &known);
-    assert_eq!(old.call("POST", "/maintenance/enter", "s0").0, 200);
-    let new = Proxy::shared(address, folder.path(), Scripted::new(), &known);
-    assert_eq!(new.figure("skipped_render_nodes"), Some(1), "it has the ban before it serves");
-    assert_eq!(new.call("POST", "/maintenance/enter", "s1").0, 200);
-    within(PATIENCE, "the old one to hear", || (old.figure("skipped_render_nodes") == Some(2)).then_some(()));
-    assert_eq!(old.call("POST", "/maintenance/exit", "s0").0, 200);
-    within(PATIENCE, "the new one to hear", || (new.figure("skipped_render_nodes") == Some(1)).then_some(()));
-    assert_eq!(old.call("POST", "/maintenance/enter", "s0").0, 200);
+    let mut old = Proxy::shared(address, folder.path(), ScriptedServer::new(), &known);
+    assert_eq!(old.admin_request("POST", "/maintenance/enter", "s0").0, 200);
+    let new = Proxy::shared(address, folder.path(), ScriptedServer::new(), &known);
+    assert_eq!(new.metric("skipped_render_nodes"), Some(1), "it has the ban before it serves");
+    assert_eq!(new.admin_request("POST", "/maintenance/enter", "s1").0, 200);
+    wait_for(TIMEOUT, "the old one to hear", || {
+        (old.metric("skipped_render_nodes") == Some(2)).then_some(())
+    });
+    assert_eq!(old.admin_request("POST", "/maintenance/exit", "s0").0, 200);
+    wait_for(TIMEOUT, "the new one to hear", || {
+        (new.metric("skipped_render_nodes") == Some(1)).then_some(())
+    });
+    assert_eq!(old.admin_request("POST", "/maintenance/enter", "s0").0, 200);
     old.terminate();
-    assert!(old.exited().success());
+    assert!(old.wait_for_exit().success());
     for _ in 0..6 {
         let _client = new.open();
-        let (node, mut far) = called_at(&nodes);
-        far.hear();
-        far.say("UP 1\r\n");
+        let (node, mut far) = accept_attempt_at(&nodes);
+        far.receive();
+        far.send("UP 1\r\n");
         assert_eq!(node, 2, "the only one that is in use");
     }
-    assert_eq!(new.call("POST", "/maintenance/exit", "s0").0, 200);
+    assert_eq!(new.admin_request("POST", "/maintenance/exit", "s0").0, 200);
     let _client = new.open();
-    assert_eq!(called_at(&nodes).0, 0);
+    assert_eq!(accept_attempt_at(&nodes).0, 0);
 }
 
 #[test]
 fn a_successor_that_never_gets_ready_or_dies_leaves_the_old_process_serving() {
     let folder = tempfile::tempdir().unwrap();
     let address = free_address();
-    let node = Scripted::new();
-    let mut old = Proxy::shared(address, folder.path(), Scripted::new(), &[&node]);
-    let mut new = Proxy::shared_and_unready(address, folder.path());
-    assert_eq!(new.call("GET", "/status", "").0, 503, "nothing to place on");
-    old.up(&node);
+    let node = ScriptedServer::new();
+    let mut old = Proxy::shared(address, folder.path(), ScriptedServer::new(), &[&node]);
+    let mut new = Proxy::start_without_nodes(address, folder.path());
+    assert_eq!(new.admin_request("GET", "/status", "").0, 503, "nothing to place on");
+    old.establish(&node);
     new.kill();
     // One that was ready, and is killed: its file is left.
-    let mut ready = Proxy::shared(address, folder.path(), Scripted::new(), &[&node]);
-    assert_eq!(ready.call("GET", "/status", "").0, 200);
+    let mut ready = Proxy::shared(address, folder.path(), ScriptedServer::new(), &[&node]);
+    assert_eq!(ready.admin_request("GET", "/status", "").0, 200);
     ready.kill();
-    old.up(&node);
-    assert_eq!(old.call("GET", "/status", "").0, 200);
+    old.establish(&node);
+    assert_eq!(old.admin_request("GET", "/status", "").0, 200);
     // An ordinary shutdown: clients still arrive for a while, and are served.
     old.terminate();
-    old.logged("asked to stop");
+    old.wait_for_log("asked to stop");
     std::thread::sleep(Duration::from_millis(250));
-    old.up(&node);
-    assert!(old.exited().success());
+    old.establish(&node);
+    assert!(old.wait_for_exit().success());
 }
 
 #[test]
 fn a_crashed_processs_files_and_foreign_ones_stop_nobody() {
     let folder = tempfile::tempdir().unwrap();
     let address = free_address();
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let name = |kind: &str| {
         folder.path().join(format!("cottonnotch-{}.{kind}", address.to_string().replace(':', "_")))
     };
@@ -183,14 +193,14 @@
         .unwrap();
     std::fs::write(name("process-99999999999999999.ready"), "rubbish").unwrap();
     std::fs::create_dir(name("process-7.ready")).unwrap();
-    let mut old = Proxy::shared(address, folder.path(), Scripted::new(), &[&node]);
-    assert_eq!(old.figure("skipped_render_nodes"), Some(0), "a torn state is refused whole");
-    old.up(&node);
-    assert_eq!(old.call("POST", "/maintenance/enter", "s0").0, 200, "and replaced by the next call");
+    let mut old = Proxy::shared(address, folder.path(), ScriptedServer::new(), &[&node]);
+    assert_eq!(old.metric("skipped_render_nodes"), Some(0), "a torn state is refused whole");
+    old.establish(&node);
+    assert_eq!(old.admin_request("POST", "/maintenance/enter", "s0").0, 200, "and replaced by the next call");
     old.terminate();
-    assert!(old.exited().success());
-    let again = Proxy::shared(address, folder.path(), Scripted::new(), &[&node]);
-    assert_eq!(again.figure("skipped_render_nodes"), Some(1), "the ban outlives an ordinary restart, too");
+    assert!(old.wait_for_exit().success());
+    let again = Proxy::shared(address, folder.path(), ScriptedServer::new(), &[&node]);
+    assert_eq!(again.metric("skipped_render_nodes"), Some(1), "the ban outlives an ordinary restart, too");
 }
 
 /// What binding there beside a proxy comes to, for one that is ready to share the address.
@@ -202,10 +212,10 @@
 
 #[test]
 fn the_address_is_shared_only_where_processes_can_meet() {
-    let node = Scripted::new();
-    let alone = Proxy::managed(&[&node], 1024, SETTINGS);
+    let node = ScriptedServer::new();
+    let alone = Proxy::with_admin(&[&node], 1024, SETTINGS);
     assert_eq!(beside(alone.address()).unwrap_err().kind(), ErrorKind::AddrInUse);
     let folder = tempfile::tempdir().unwrap();
-    let shared = Proxy::shared(free_address(), folder.path(), Scripted::new(), &[&node]);
+    let shared = Proxy::shared(free_address(), folder.path(), ScriptedServer::new(), &[&node]);
     beside(shared.address()).expect("another process of the same user may listen there");
 }
--- a/crates/cottonnotch/tests/rules.rs
+++ b/crates/cottonnotch/tests/rules.rs
@@ -63,7 +63,7 @@
     }
 
     fn start_with(&self, settings: &str) -> Proxy {
-        Proxy::managed_by(self.command(), &[], 1024, settings)
+        Proxy::with_admin_by(self.command(), &[], 1024, settings)
     }
 }
 
@@ -73,11 +73,11 @@
 }
 
 /// A render node in each of two halls, and what discovery says of them.
-struct Halls([Scripted; 2], RefCell<Vec<(Peer, Peer)>>);
+struct Halls([ScriptedServer; 2], RefCell<Vec<(ScriptedPeer, ScriptedPeer)>>);
 
 impl Halls {
     fn new() -> Self {
-        Halls([Scripted::new(), Scripted::new()], RefCell::default())
+        Halls([ScriptedServer::new(), ScriptedServer::new()], RefCell::default())
     }
 
     fn list(&self) -> String {
@@ -90,22 +90,22 @@
     }
 
     /// Tells a proxy of them; the watch stays open.
-    fn tell(&self, proxy: &Proxy) -> Peer {
+    fn tell(&self, proxy: &Proxy) -> ScriptedPeer {
         self.tell_by(&proxy.discovery)
     }
 
-    fn tell_by(&self, discovery: &Scripted) -> Peer {
-        let (mut watch, _) = discovery.watched();
-        watch.say(&self.list());
+    fn tell_by(&self, discovery: &ScriptedServer) -> ScriptedPeer {
+        let (mut watch, _) = discovery.accept_watch();
+        watch.send(&self.list());
         watch
     }
 
     /// Answers a watch, if one is asked for now.
-    fn tell_whoever_asks(&self, discovery: &Scripted) -> Option<Peer> {
+    fn tell_whoever_asks(&self, discovery: &ScriptedServer) -> Option<ScriptedPeer> {
         let mut watch = discovery.poll()?;
-        while watch.hear() != "\r\n" {}
-        watch.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        watch.say(&self.list());
+        while watch.receive() != "\r\n" {}
+        watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        watch.send(&self.list());
         Some(watch)
     }
 
@@ -114,20 +114,20 @@
         let mut client = proxy.open();
         let poll = || (0..2).find_map(|at| Some((Some(at), Some(self.0[at].poll()?))));
         let busy = Instant::now() + Duration::from_millis(700);
-        let called = within(PATIENCE, "an attempt or a refusal", || {
+        let called = wait_for(TIMEOUT, "an attempt or a refusal", || {
             poll().or_else(|| (Instant::now() > busy).then_some((None, None)))
         });
         match called {
             (Some(at), Some(mut far)) => {
-                far.hear();
-                far.say("UP 1\r\n");
-                assert_eq!(client.hear(), "UP 1\r\n");
+                far.receive();
+                far.send("UP 1\r\n");
+                assert_eq!(client.receive(), "UP 1\r\n");
                 // They stay: a render node that goes first looks as if it had failed.
                 self.1.borrow_mut().push((client, far));
                 Some(at)
             }
             _ => {
-                let answer = client.hear();
+                let answer = client.receive();
                 assert!(answer.starts_with("BUSY"), "{answer}");
                 None
             }
@@ -141,28 +141,28 @@
     place.write(&file(1, &require("a")));
     let proxy = place.start();
     let _watch = halls.tell(&proxy);
-    proxy.logged("rules version 1 is active: 1 rules");
+    proxy.wait_for_log("rules version 1 is active: 1 rules");
     for _ in 0..6 {
         assert_eq!(halls.place(&proxy), Some(0));
     }
     place.write(&file(2, &require("b").replace("place", "palce")));
     proxy.reload();
-    let kept = proxy.logged("rules of consortium are in a conflict");
+    let kept = proxy.wait_for_log("rules of consortium are in a conflict");
     assert!(kept.contains("consortium.toml:") && kept.contains("palce"), "{kept}");
     assert_eq!(halls.place(&proxy), Some(0));
     place.write(&file(2, &require("b")));
     proxy.reload();
-    proxy.logged("rules version 2 is active");
+    proxy.wait_for_log("rules version 2 is active");
     for _ in 0..6 {
         assert_eq!(halls.place(&proxy), Some(1));
     }
     // One revision with two contents counts as neither a new one nor a faulty one.
     place.write(&file(2, &require("a")));
     proxy.reload();
-    proxy.logged("rules of consortium are in a conflict");
+    proxy.wait_for_log("rules of consortium are in a conflict");
     assert_eq!(halls.place(&proxy), Some(1));
-    assert_eq!(proxy.figure("rules.version"), Some(2));
-    assert_eq!(proxy.figure("rules.held_back"), Some(1));
+    assert_eq!(proxy.metric("rules.version"), Some(2));
+    assert_eq!(proxy.metric("rules.held_back"), Some(1));
 }
 
 /// Some proxies that agree, each with files of its own.
@@ -201,9 +201,9 @@
 }
 
 fn counts(proxy: &Proxy, version: u64) {
-    within(PATIENCE, "the version", || {
-        let left = proxy.figure("rules.lease_left_ms")?;
-        let is_it = proxy.figure("rules.version") == Some(version) && proxy.figure("rules.rules") > Some(0);
+    wait_for(TIMEOUT, "the version", || {
+        let left = proxy.metric("rules.lease_left_ms")?;
+        let is_it = proxy.metric("rules.version") == Some(version) && proxy.metric("rules.rules") > Some(0);
         (is_it && left > 0).then_some(())
     });
 }
@@ -213,7 +213,7 @@
     let (cluster, halls) = (Cluster::new(4, ""), Halls::new());
     cluster.places[0].write(&file(1, &require("a")));
     let proxies: Vec<Proxy> = cluster.places.iter().map(Place::start).collect();
-    let _watches: Vec<Peer> = proxies.iter().map(|proxy| halls.tell(proxy)).collect();
+    let _watches: Vec<ScriptedPeer> = proxies.iter().map(|proxy| halls.tell(proxy)).collect();
     for proxy in &proxies {
         counts(proxy, 1);
         assert_eq!(halls.place(proxy), Some(0));
@@ -231,7 +231,7 @@
     for proxy in &proxies {
         counts(proxy, 2);
     }
-    assert!(proxies.iter().filter(|proxy| proxy.figure("rules.leads") == Some(1)).count() == 1);
+    assert!(proxies.iter().filter(|proxy| proxy.metric("rules.leads") == Some(1)).count() == 1);
     assert!(cluster.addresses.len() == 4);
 }
 
@@ -240,7 +240,7 @@
     let (cluster, halls) = (Cluster::new(4, ""), Halls::new());
     cluster.places[0].write(&file(1, &require("a")));
     let proxies: Vec<Proxy> = cluster.places.iter().map(Place::start).collect();
-    let _watches: Vec<Peer> = proxies.iter().map(|proxy| halls.tell(proxy)).collect();
+    let _watches: Vec<ScriptedPeer> = proxies.iter().map(|proxy| halls.tell(proxy)).collect();
     proxies.iter().for_each(|proxy| counts(proxy, 1));
     // The last one does not vote. It is stopped, with clients at its door, while the rules turn round.
     let stopped = &proxies[3];
@@ -248,7 +248,7 @@
         assert!(Command::new("kill").args([name, &stopped.id().to_string()]).status().unwrap().success());
     };
     signal("-STOP");
-    let mut waiting: Vec<Peer> = (0..20).map(|_| stopped.open()).collect();
+    let mut waiting: Vec<ScriptedPeer> = (0..20).map(|_| stopped.open()).collect();
     cluster.places[1].write(&file(2, &require("b")));
     proxies[1].reload();
     proxies[..3].iter().for_each(|proxy| counts(proxy, 2));
@@ -259,14 +259,14 @@
     while Instant::now() < until {
         assert!(halls.0[0].poll().is_none(), "an old must was acted on");
         if let Some(mut far) = halls.0[1].poll() {
-            far.hear();
-            far.say("UP 1\r\n");
+            far.receive();
+            far.send("UP 1\r\n");
             placed += 1;
         }
         std::thread::sleep(Duration::from_millis(1));
     }
     let refused =
-        waiting.iter_mut().filter_map(|client| client.try_hear().ok()).filter(|l| l.starts_with("BUSY"));
+        waiting.iter_mut().filter_map(|client| client.try_receive().ok()).filter(|l| l.starts_with("BUSY"));
     assert_eq!(placed + refused.count(), 20);
     counts(stopped, 2);
     assert_eq!(halls.place(stopped), Some(1));
@@ -277,18 +277,18 @@
     let (cluster, halls) = (Cluster::new(3, ""), Halls::new());
     cluster.places[0].write(&file(1, &require("a")));
     let mut proxies: Vec<Proxy> = cluster.places.iter().map(Place::start).collect();
-    let _watches: Vec<Peer> = proxies.iter().map(|proxy| halls.tell(proxy)).collect();
+    let _watches: Vec<ScriptedPeer> = proxies.iter().map(|proxy| halls.tell(proxy)).collect();
     proxies.iter().for_each(|proxy| counts(proxy, 1));
     // Two of three die at once.
     proxies[1].kill();
     proxies[2].kill();
     let last = &proxies[0];
-    within(PATIENCE, "the lease's end", || (last.figure("rules.lease_left_ms") == Some(0)).then_some(()));
+    wait_for(TIMEOUT, "the lease's end", || (last.metric("rules.lease_left_ms") == Some(0)).then_some(()));
     assert_eq!(halls.place(last), None);
-    assert!(last.figure("rules.refused_in_doubt").unwrap() >= 1);
+    assert!(last.metric("rules.refused_in_doubt").unwrap() >= 1);
     // They come back with what they remember, and no file of their own.
     let again: Vec<Proxy> = cluster.places[1..].iter().map(Place::start).collect();
-    let _more: Vec<Peer> = again.iter().map(|proxy| halls.tell(proxy)).collect();
+    let _more: Vec<ScriptedPeer> = again.iter().map(|proxy| halls.tell(proxy)).collect();
     for proxy in again.iter().chain([last]) {
         counts(proxy, 1);
         assert_eq!(halls.place(proxy), Some(0));
@@ -317,14 +317,14 @@
         r#""gain":1.0},{"name":"edit","effect":"safe","target":300000,"deadline":2000000,"gain":1.0}]"#,
     );
     let proxies: Vec<Proxy> = cluster.places.iter().map(|place| place.start_with(&settings)).collect();
-    let _watches: Vec<Peer> = proxies.iter().map(|proxy| halls.tell(proxy)).collect();
+    let _watches: Vec<ScriptedPeer> = proxies.iter().map(|proxy| halls.tell(proxy)).collect();
     proxies.iter().for_each(|proxy| counts(proxy, 1));
     // Each of two gets a file of its own, and both hear of it at once.
     for (place, name, class) in [(1, "one", "look"), (2, "two", "edit")] {
         write(&cluster.places[place].rules().join("child.toml"), &child(name, class, 2));
         proxies[place].reload();
     }
-    let rules = |proxy: &Proxy| proxy.log_until("is active: 3 rules").len();
+    let rules = |proxy: &Proxy| proxy.drain_log_until("is active: 3 rules").len();
     assert!(proxies.iter().all(|proxy| rules(proxy) > 0));
     proxies.iter().for_each(|proxy| counts(proxy, 3));
 }
@@ -334,19 +334,19 @@
     let (cluster, halls) = (Cluster::new(3, ""), Halls::new());
     cluster.places[0].write(&file(1, &require("a")));
     let meeting = TempDir::new().unwrap();
-    let (shared, discovery) = (free_address(), Scripted::new());
-    let alias = Scripted::alias(discovery.address());
+    let (shared, discovery) = (free_address(), ScriptedServer::new());
+    let alias = ScriptedServer::alias(discovery.address());
     let elder = Proxy::shared_by(cluster.places[0].command(), shared, meeting.path(), discovery, &[]);
     let others: Vec<Proxy> = cluster.places[1..].iter().map(Place::start).collect();
-    let _watches: Vec<Peer> = others.iter().chain([&elder]).map(|proxy| halls.tell(proxy)).collect();
+    let _watches: Vec<ScriptedPeer> = others.iter().chain([&elder]).map(|proxy| halls.tell(proxy)).collect();
     counts(&elder, 1);
     others.iter().for_each(|proxy| counts(proxy, 1));
-    let younger = Proxy::begun_by(cluster.places[0].command(), shared, meeting.path(), alias);
+    let younger = Proxy::start_without_nodes_by(cluster.places[0].command(), shared, meeting.path(), alias);
     // No beats are sent here, so the elder asks again now and then, too.
     let mut watches = Vec::new();
-    within(PATIENCE, "the successor", || {
+    wait_for(TIMEOUT, "the successor", || {
         watches.extend(halls.tell_whoever_asks(&elder.discovery));
-        (younger.call("GET", "/status", "").0 == 200).then_some(())
+        (younger.admin_request("GET", "/status", "").0 == 200).then_some(())
     });
     // Both serve now at one address, by the elder's lease: none is refused, also when it has been renewed a few times.
     for _ in 0..20 {
@@ -355,7 +355,7 @@
     }
     counts(&younger, 1);
     elder.terminate();
-    elder.logged("another process accepts clients");
+    elder.wait_for_log("another process accepts clients");
     counts(&younger, 1);
     // Anew under one name and one memory: the three still agree.
     cluster.places[0].write(&file(2, &require("b")));
@@ -458,17 +458,17 @@
     let section = format!("[records]\nfile = \"{}\"\nflush_ms = 10\n", records.display());
     std::fs::write(cluster.places[0].path("operator.toml"), section + &operator).unwrap();
     let mut proxies: Vec<Proxy> = cluster.places.iter().map(Place::start).collect();
-    let _watches: Vec<Peer> = proxies.iter().map(|proxy| halls.tell(proxy)).collect();
+    let _watches: Vec<ScriptedPeer> = proxies.iter().map(|proxy| halls.tell(proxy)).collect();
     proxies.iter().for_each(|proxy| counts(proxy, 1));
     assert_eq!(halls.place(&proxies[0]), Some(0));
     proxies[1].kill();
     proxies[2].kill();
     let last = &proxies[0];
-    within(PATIENCE, "the lease's end", || (last.figure("rules.lease_left_ms") == Some(0)).then_some(()));
+    wait_for(TIMEOUT, "the lease's end", || (last.metric("rules.lease_left_ms") == Some(0)).then_some(()));
     assert_eq!(halls.place(last), None);
     let by =
         |doubt: bool| format!(r#""ruled":{{"version":1,"rules":["consortium:looks"],"in_doubt":{doubt}}}"#);
-    within(PATIENCE, "the records", || {
+    wait_for(TIMEOUT, "the records", || {
         let text = std::fs::read_to_string(&records).unwrap_or_default();
         let has = |event: &str, by: String| text.lines().any(|l| l.contains(event) && l.contains(&by));
         (has(r#""event":"attempt""#, by(false)) && has(r#""answer":"refused""#, by(true))).then_some(())
@@ -484,7 +484,7 @@
     place.write(&file(1, &require("a")));
     let ruled = place.start();
     let _watch = halls.tell(&ruled);
-    ruled.logged("rules version 1 is active");
+    ruled.wait_for_log("rules version 1 is active");
     assert_eq!(tasks(&ruled), 2, "alone there is a thread that compiles, and no other");
 }
 
@@ -506,24 +506,24 @@
     full.listen(1).unwrap();
     let address = full.local_addr().unwrap().as_socket().unwrap();
     let before = [(); 2].map(|()| TcpStream::connect(address).unwrap());
-    let (mut watch, _) = proxy.discovery.watched();
-    let node = member("sa", &Scripted::alias(address), "up");
-    watch.say(&chunk(&list(7, true, &[node])));
+    let (mut watch, _) = proxy.discovery.accept_watch();
+    let node = member("sa", &ScriptedServer::alias(address), "up");
+    watch.send(&chunk(&list(7, true, &[node])));
     counts(&proxy, 1);
     let mut client = proxy.connect();
-    client.say(&fresh(OPEN).replace("d=2000", "d=9000"));
+    client.send(&with_fresh_id(OPEN).replace("d=2000", "d=9000"));
     std::thread::sleep(Duration::from_millis(500));
     drop(before);
     let listener = TcpListener::from(full);
     (0..2).for_each(|_| drop(listener.accept().unwrap()));
-    let late = Peer::new(listener.accept().unwrap().0).try_hear();
+    let late = ScriptedPeer::new(listener.accept().unwrap().0).try_receive();
     assert!(late.as_ref().is_ok_and(String::is_empty) || late.is_err(), "written after all: {late:?}");
     // It is decided anew, and the look is fresh then.
-    let mut again = Peer::new(listener.accept().unwrap().0);
-    let line = again.hear();
-    assert!(line.starts_with("OPEN "), "{line:?} {:#?}", proxy.log_so_far());
-    again.say("UP 1\r\n");
-    assert_eq!(client.hear(), "UP 1\r\n");
+    let mut again = ScriptedPeer::new(listener.accept().unwrap().0);
+    let line = again.receive();
+    assert!(line.starts_with("OPEN "), "{line:?} {:#?}", proxy.drain_log());
+    again.send("UP 1\r\n");
+    assert_eq!(client.receive(), "UP 1\r\n");
 }
 
 /// The files of `examples/accord`, at addresses that are free.
@@ -557,14 +557,14 @@
         .collect();
     // Fourteen rules of the five namespaces' own, and seven that their delegations come to: none is left out.
     let settled = |proxy: &Proxy| {
-        let figure = |name: &str| proxy.figure(&format!("rules.{name}"));
+        let figure = |name: &str| proxy.metric(&format!("rules.{name}"));
         (figure("held_back") == Some(0) && figure("rules") == Some(21)).then(|| figure("version"))?
     };
-    let versions = within(PATIENCE, "one version at all three, with every house in it", || {
+    let versions = wait_for(TIMEOUT, "one version at all three, with every house in it", || {
         let versions: Option<Vec<u64>> = proxies.iter().map(settled).collect();
         versions.filter(|versions| versions.iter().all(|version| *version == versions[0]))
     });
     assert!(versions[0] > 0);
     // None of them is in doubt.
-    assert!(proxies.iter().all(|proxy| proxy.figure("rules.lease_left_ms") > Some(0)));
+    assert!(proxies.iter().all(|proxy| proxy.metric("rules.lease_left_ms") > Some(0)));
 }
--- a/crates/cottonnotch/tests/sockets.rs
+++ b/crates/cottonnotch/tests/sockets.rs
@@ -8,92 +8,92 @@
 
 #[test]
 fn lines_pass_unchanged_and_an_end_passes_as_an_end() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let mut client = proxy.connect();
     let (head, tail) = OPEN.split_at(9);
-    client.say(head);
+    client.send(head);
     std::thread::sleep(Duration::from_millis(20));
-    client.say(tail);
-    let (mut far, line) = node.called();
+    client.send(tail);
+    let (mut far, line) = node.accept_attempt();
     let (before, after) = line.split_once(",d=").unwrap();
     let (wait, after) = after.split_once(',').unwrap();
     assert_eq!((before, after), ("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=look", "g=5c0f\r\n"));
     assert!((200..=300).contains(&wait.parse::<u32>().unwrap()), "the attempt's own time is told: {wait}");
-    far.say("UP 77\r\nLOAD 1");
-    assert_eq!(client.hear(), "UP 77\r\n");
-    far.say("2.5\r\n");
-    assert_eq!(client.hear(), "LOAD 12.5\r\n");
-    client.say("M 1 abc\r\nM 2 def\r\n");
-    assert_eq!((far.hear(), far.hear()), ("M 1 abc\r\n".to_owned(), "M 2 def\r\n".to_owned()));
-    far.say("M 1 abc\r\nBYE\r\n");
+    far.send("UP 77\r\nLOAD 1");
+    assert_eq!(client.receive(), "UP 77\r\n");
+    far.send("2.5\r\n");
+    assert_eq!(client.receive(), "LOAD 12.5\r\n");
+    client.send("M 1 abc\r\nM 2 def\r\n");
+    assert_eq!((far.receive(), far.receive()), ("M 1 abc\r\n".to_owned(), "M 2 def\r\n".to_owned()));
+    far.send("M 1 abc\r\nBYE\r\n");
     drop(far);
-    assert_eq!(client.rest().unwrap(), "M 1 abc\r\nBYE\r\n");
+    assert_eq!(client.receive_rest().unwrap(), "M 1 abc\r\nBYE\r\n");
 }
 
 #[test]
 fn a_clients_end_reaches_the_render_node_and_its_last_lines_still_come_back() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
-    let (mut client, mut far) = proxy.up(&node);
-    client.say("M 9 x\r\n");
+    let (mut client, mut far) = proxy.establish(&node);
+    client.send("M 9 x\r\n");
     client.finish();
-    assert_eq!(far.rest().unwrap(), "M 9 x\r\n");
-    far.say("M 9 x\r\nBYE\r\n");
+    assert_eq!(far.receive_rest().unwrap(), "M 9 x\r\n");
+    far.send("M 9 x\r\nBYE\r\n");
     drop(far);
-    assert_eq!(client.rest().unwrap(), "M 9 x\r\nBYE\r\n");
+    assert_eq!(client.receive_rest().unwrap(), "M 9 x\r\nBYE\r\n");
 }
 
 #[test]
 fn a_reset_passes_as_a_reset_both_ways() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
-    let (client, mut far) = proxy.up(&node);
+    let (client, mut far) = proxy.establish(&node);
     client.reset();
-    assert_eq!(far.rest().unwrap_err().kind(), ErrorKind::ConnectionReset);
-    let (mut client, far) = proxy.up(&node);
+    assert_eq!(far.receive_rest().unwrap_err().kind(), ErrorKind::ConnectionReset);
+    let (mut client, far) = proxy.establish(&node);
     far.reset();
-    assert_eq!(client.rest().unwrap_err().kind(), ErrorKind::ConnectionReset);
+    assert_eq!(client.receive_rest().unwrap_err().kind(), ErrorKind::ConnectionReset);
 }
 
 #[test]
 fn a_full_render_node_is_left_before_the_next_is_tried() {
-    let nodes = [Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0], &nodes[1]]);
     let mut client = proxy.open();
-    let (first, mut far) = called_at(&nodes);
-    far.hear();
+    let (first, mut far) = accept_attempt_at(&nodes);
+    far.receive();
     assert!(nodes[1 - first].poll().is_none(), "never two attempts out");
-    far.say("BUSY\r\n");
-    let mut second = nodes[1 - first].called().0;
-    assert_eq!(far.rest().unwrap(), "", "the first attempt is closed");
-    second.say("UP 2\r\n");
-    assert_eq!(client.hear(), "UP 2\r\n");
+    far.send("BUSY\r\n");
+    let mut second = nodes[1 - first].accept_attempt().0;
+    assert_eq!(far.receive_rest().unwrap(), "", "the first attempt is closed");
+    second.send("UP 2\r\n");
+    assert_eq!(client.receive(), "UP 2\r\n");
 }
 
 #[test]
 fn a_silent_render_node_is_given_up_for_another_one() {
-    let nodes = [Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0], &nodes[1]]);
     let mut client = proxy.open();
-    let (first, mut far) = called_at(&nodes);
-    far.hear();
-    let mut second = nodes[1 - first].called().0;
-    assert_eq!(far.rest().unwrap(), "", "closed when its time was up");
-    second.say("UP 2\r\n");
-    assert_eq!(client.hear(), "UP 2\r\n");
+    let (first, mut far) = accept_attempt_at(&nodes);
+    far.receive();
+    let mut second = nodes[1 - first].accept_attempt().0;
+    assert_eq!(far.receive_rest().unwrap(), "", "closed when its time was up");
+    second.send("UP 2\r\n");
+    assert_eq!(client.receive(), "UP 2\r\n");
 }
 
 #[test]
 fn what_cannot_be_placed_is_refused_once_with_a_time() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let mut client = proxy.connect();
-    client.say(&OPEN.replace("d=2000", "d=300"));
-    let mut far = node.called().0;
+    client.send(&OPEN.replace("d=2000", "d=300"));
+    let mut far = node.accept_attempt().0;
     let begun = Instant::now();
-    far.say("BUSY\r\n");
-    let answer = client.rest().unwrap();
+    far.send("BUSY\r\n");
+    let answer = client.receive_rest().unwrap();
     let wait = answer.strip_prefix("BUSY ").and_then(|w| w.strip_suffix("\r\n"));
     assert!(wait.is_some_and(|w| (1..=1000).contains(&w.parse::<u32>().unwrap())), "{answer}");
     assert!(begun.elapsed() < Duration::from_millis(350), "by the deadline");
@@ -101,148 +101,154 @@
 
 #[test]
 fn rubbish_costs_one_line_and_nothing_else() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let long = format!("OPEN {}\r\n", "x".repeat(5000));
     for rubbish in ["\r\n", "GET / HTTP/1.1\r\n", "OPEN a b c=look,d=-1\r\n", "OPEN a b d=5\r\n", &long] {
         let mut client = proxy.connect();
-        client.say(rubbish);
-        let answer = client.rest().unwrap();
+        client.send(rubbish);
+        let answer = client.receive_rest().unwrap();
         assert!(answer.starts_with("ERR ") && answer.ends_with("\r\n"), "{rubbish:?}: {answer}");
         assert_eq!(answer.lines().count(), 1, "{rubbish:?}: {answer}");
     }
     let mut front = proxy.connect();
-    front.say("PING\r\nPING\r\n");
-    assert_eq!((front.hear(), front.hear()), ("PONG\r\n".to_owned(), "PONG\r\n".to_owned()));
+    front.send("PING\r\nPING\r\n");
+    assert_eq!((front.receive(), front.receive()), ("PONG\r\n".to_owned(), "PONG\r\n".to_owned()));
     assert!(node.poll().is_none(), "no rubbish is passed on");
 }
 
 #[test]
 fn a_connection_from_before_the_start_goes_back_to_its_render_node() {
-    let nodes = [Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0], &nodes[1]]);
     for _ in 0..3 {
         let mut client = proxy.connect();
-        client.say(&fresh(&OPEN.replace("g=5c0f", "at=s1")));
-        nodes[1].called().0.say("BUSY\r\n");
-        let mut far = nodes[1].called().0;
-        far.say("UP 5\r\n");
-        assert_eq!(client.hear(), "UP 5\r\n", "tried there until it is up");
+        client.send(&with_fresh_id(&OPEN.replace("g=5c0f", "at=s1")));
+        nodes[1].accept_attempt().0.send("BUSY\r\n");
+        let mut far = nodes[1].accept_attempt().0;
+        far.send("UP 5\r\n");
+        assert_eq!(client.receive(), "UP 5\r\n", "tried there until it is up");
     }
     assert!(nodes[0].poll().is_none());
 }
 
 #[test]
 fn a_change_in_pieces_drains_a_render_node_and_moves_its_client() {
-    let nodes = [Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0]]);
-    let (mut client, mut far) = proxy.up(&nodes[0]);
-    let (mut watch, asked) = proxy.discovery.watched();
+    let (mut client, mut far) = proxy.establish(&nodes[0]);
+    let (mut watch, asked) = proxy.discovery.accept_watch();
     assert_eq!(asked, "GET /registry/instances?watch=1&from=1 HTTP/1.1\r\n");
     let members = [member("s0", &nodes[0], "draining"), member("s1", &nodes[1], "up")];
     for piece in chunk(&list(2, false, &members)).as_bytes().chunks(7) {
-        watch.say(std::str::from_utf8(piece).unwrap());
+        watch.send(std::str::from_utf8(piece).unwrap());
         std::thread::sleep(Duration::from_millis(1));
     }
-    assert_eq!(client.rest().unwrap(), "MOVE\r\n", "the client is told before its render node leaves");
-    assert_eq!(far.rest().unwrap(), "");
-    let _held: Vec<(Peer, Peer)> = (0..3).map(|_| (proxy.open(), nodes[1].called().0)).collect();
+    assert_eq!(
+        client.receive_rest().unwrap(),
+        "MOVE\r\n",
+        "the client is told before its render node leaves"
+    );
+    assert_eq!(far.receive_rest().unwrap(), "");
+    let _held: Vec<(ScriptedPeer, ScriptedPeer)> =
+        (0..3).map(|_| (proxy.open(), nodes[1].accept_attempt().0)).collect();
     assert!(nodes[0].poll().is_none(), "nothing new to it");
 }
 
 #[test]
 fn a_bad_list_is_dropped_whole_and_asked_for_again() {
-    let nodes = [Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0]]);
-    let (mut watch, _) = proxy.discovery.watched();
+    let (mut watch, _) = proxy.discovery.accept_watch();
     let half = list(9, true, &[member("s1", &nodes[1], "up"), member("s2", &nodes[1], "asleep")]);
-    watch.say(&chunk(&half));
-    assert!(proxy.logged("watch on discovery lost").contains("'phase'"));
-    let (_, asked) = proxy.discovery.watched();
+    watch.send(&chunk(&half));
+    assert!(proxy.wait_for_log("watch on discovery lost").contains("'phase'"));
+    let (_, asked) = proxy.discovery.accept_watch();
     assert!(asked.contains("from=1 "), "from the last good revision: {asked}");
     let _client = proxy.open();
-    nodes[0].called();
+    nodes[0].accept_attempt();
     assert!(nodes[1].poll().is_none(), "nothing of the bad list was taken");
 }
 
 #[test]
 fn a_silent_watch_is_lost_and_begun_anew() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
-    let (mut watch, _) = proxy.discovery.watched();
-    watch.say(&chunk(&list(4, false, &[])));
-    let again = proxy.discovery.watched().1;
+    let (mut watch, _) = proxy.discovery.accept_watch();
+    watch.send(&chunk(&list(4, false, &[])));
+    let again = proxy.discovery.accept_watch().1;
     assert!(again.contains("from=4 "), "{again}");
 }
 
 #[test]
 fn a_render_node_that_hangs_loses_its_client_within_seven_seconds() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     // With no aim for messages, no delay is noted, and the module moves nobody by itself.
     let proxy = Proxy::with(&[&node], 1024, &SETTINGS.replace("[150000.0]", "[]"));
-    let (mut client, mut far) = proxy.up(&node);
-    client.say("M 1 a\r\n");
+    let (mut client, mut far) = proxy.establish(&node);
+    client.send("M 1 a\r\n");
     let begun = Instant::now();
-    assert_eq!(client.rest().unwrap(), "MOVE\r\n");
+    assert_eq!(client.receive_rest().unwrap(), "MOVE\r\n");
     assert!((4..7).contains(&begun.elapsed().as_secs()), "{:?}", begun.elapsed());
-    assert_eq!(far.hear(), "M 1 a\r\n");
-    assert_eq!(far.hear(), "", "its connection is closed");
+    assert_eq!(far.receive(), "M 1 a\r\n");
+    assert_eq!(far.receive(), "", "its connection is closed");
 }
 
 #[test]
 fn at_the_descriptor_bound_clients_are_turned_away_at_once() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::with(&[&node], 64, SETTINGS);
-    let held: Vec<(Peer, Peer)> = (0..10).map(|_| (proxy.open(), node.called().0)).collect();
-    let mut late: Vec<Peer> = (0..10).map(|_| proxy.open()).collect();
+    let held: Vec<(ScriptedPeer, ScriptedPeer)> =
+        (0..10).map(|_| (proxy.open(), node.accept_attempt().0)).collect();
+    let mut late: Vec<ScriptedPeer> = (0..10).map(|_| proxy.open()).collect();
     let last = late.last_mut().unwrap();
-    assert_eq!(last.hear(), "BUSY 1000\r\n");
+    assert_eq!(last.receive(), "BUSY 1000\r\n");
     drop((held, late));
-    let mut client = within(PATIENCE, "room again", || {
+    let mut client = wait_for(TIMEOUT, "room again", || {
         let mut client = proxy.connect();
-        client.say("PING\r\n");
-        (client.hear() == "PONG\r\n").then_some(client)
+        client.send("PING\r\n");
+        (client.receive() == "PONG\r\n").then_some(client)
     });
-    client.say(OPEN);
-    node.called();
+    client.send(OPEN);
+    node.accept_attempt();
 }
 
 #[test]
 fn the_id_of_an_open_connection_is_turned_away_and_pauses_nobody() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let mut first = proxy.connect();
-    first.say(OPEN);
-    let mut far = node.called().0;
+    first.send(OPEN);
+    let mut far = node.accept_attempt().0;
     for _ in 0..3 {
         let mut other = proxy.connect();
-        other.say(&OPEN.replace("7f3a", "beef"));
-        assert_eq!(other.rest().unwrap(), "ERR the id is open already\r\n");
+        other.send(&OPEN.replace("7f3a", "beef"));
+        assert_eq!(other.receive_rest().unwrap(), "ERR the id is open already\r\n");
     }
-    far.say("UP 1\r\n");
-    assert_eq!(first.hear(), "UP 1\r\n");
+    far.send("UP 1\r\n");
+    assert_eq!(first.receive(), "UP 1\r\n");
     assert!(node.poll().is_none(), "no render node saw it");
-    far.say("BYE\r\n");
+    far.send("BYE\r\n");
     drop(far);
-    assert_eq!(first.rest().unwrap(), "BYE\r\n");
+    assert_eq!(first.receive_rest().unwrap(), "BYE\r\n");
     let mut again = proxy.connect();
-    again.say(OPEN);
-    node.called();
+    again.send(OPEN);
+    node.accept_attempt();
 }
 
 #[test]
 fn commands_at_once_are_an_error_and_their_attempt_is_closed() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let mut client = proxy.connect();
-    client.say(&fresh(OPEN).repeat(300));
-    assert_eq!(client.rest().unwrap(), "ERR more than one line before the answer\r\n");
+    client.send(&with_fresh_id(OPEN).repeat(300));
+    assert_eq!(client.receive_rest().unwrap(), "ERR more than one line before the answer\r\n");
     let mut client = proxy.open();
-    let mut far = node.called().0;
-    client.say("M 1 a\r\n");
-    assert_eq!(client.rest().unwrap(), "ERR more than one line before the answer\r\n");
-    assert_eq!(far.rest().unwrap(), "");
-    proxy.up(&node);
+    let mut far = node.accept_attempt().0;
+    client.send("M 1 a\r\n");
+    assert_eq!(client.receive_rest().unwrap(), "ERR more than one line before the answer\r\n");
+    assert_eq!(far.receive_rest().unwrap(), "");
+    proxy.establish(&node);
 }
 
 #[test]
@@ -250,22 +256,22 @@
     let proxy = Proxy::start(&[]);
     let mut client = proxy.connect();
     for _ in 0..2000 {
-        client.say(&"x".repeat(4000));
+        client.send(&"x".repeat(4000));
     }
-    assert_eq!(client.hear(), "ERR a line of over 4096 bytes\r\n");
+    assert_eq!(client.receive(), "ERR a line of over 4096 bytes\r\n");
 }
 
 #[test]
 fn silent_clients_get_a_word_and_make_room_for_those_that_ask() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let proxy = Proxy::with(&[&node], 128, SETTINGS);
     let begun = Instant::now();
     // Those that ask once and stay are no better.
-    let mut asking: Vec<Peer> = (0..100).map(|_| proxy.connect()).collect();
-    asking.iter_mut().for_each(|peer| peer.say("PING\r\n"));
-    let mut silent: Vec<Peer> = (0..200).map(|_| proxy.connect()).collect();
-    let pairs: Vec<(Peer, Peer)> = (0..5).map(|_| proxy.up(&node)).collect();
-    let told: Vec<String> = silent.iter_mut().map(|peer| peer.rest().unwrap()).collect();
+    let mut asking: Vec<ScriptedPeer> = (0..100).map(|_| proxy.connect()).collect();
+    asking.iter_mut().for_each(|peer| peer.send("PING\r\n"));
+    let mut silent: Vec<ScriptedPeer> = (0..200).map(|_| proxy.connect()).collect();
+    let pairs: Vec<(ScriptedPeer, ScriptedPeer)> = (0..5).map(|_| proxy.establish(&node)).collect();
+    let told: Vec<String> = silent.iter_mut().map(|peer| peer.receive_rest().unwrap()).collect();
     assert!(begun.elapsed() < Duration::from_millis(2500), "{:?}", begun.elapsed());
     assert!(told.iter().all(|word| ["BUSY 1000\r\n", "ERR no first line came\r\n"].contains(&&word[..])));
     drop(pairs);
@@ -273,56 +279,56 @@
 
 #[test]
 fn a_planned_restart_moves_every_client_and_still_serves() {
-    let node = Scripted::new();
+    let node = ScriptedServer::new();
     let mut proxy = Proxy::start(&[&node]);
-    let mut pairs: Vec<(Peer, Peer)> = (0..8).map(|_| proxy.up(&node)).collect();
+    let mut pairs: Vec<(ScriptedPeer, ScriptedPeer)> = (0..8).map(|_| proxy.establish(&node)).collect();
     let begun = Instant::now();
     proxy.terminate();
-    proxy.logged("asked to stop");
+    proxy.wait_for_log("asked to stop");
     let mut late = proxy.open();
-    let mut far = node.called().0;
-    far.say("UP 2\r\n");
-    assert_eq!(late.hear(), "UP 2\r\n", "what arrives is placed");
-    let first = pairs[0].0.rest().unwrap();
+    let mut far = node.accept_attempt().0;
+    far.send("UP 2\r\n");
+    assert_eq!(late.receive(), "UP 2\r\n", "what arrives is placed");
+    let first = pairs[0].0.receive_rest().unwrap();
     assert_eq!(first, "MOVE\r\n");
     let moved = begun.elapsed();
     for (client, _) in &mut pairs[1..] {
-        assert_eq!(client.rest().unwrap(), "MOVE\r\n");
+        assert_eq!(client.receive_rest().unwrap(), "MOVE\r\n");
     }
-    assert_eq!(late.rest().unwrap(), "MOVE\r\n");
+    assert_eq!(late.receive_rest().unwrap(), "MOVE\r\n");
     assert!(begun.elapsed() - moved > Duration::from_secs(1), "spread over the time there is");
-    assert!(proxy.exited().success());
+    assert!(proxy.wait_for_exit().success());
     assert!(begun.elapsed() < Duration::from_millis(2700), "gone before SIGKILL may come");
 }
 
 #[test]
 fn a_new_configuration_moves_the_watch_and_drops_nobody() {
-    let (nodes, elsewhere) = ([Scripted::new(), Scripted::new()], Scripted::new());
+    let (nodes, elsewhere) = ([ScriptedServer::new(), ScriptedServer::new()], ScriptedServer::new());
     let mut command = Command::new(env!("CARGO_BIN_EXE_cottonnotch"));
-    let old = Scripted::new();
+    let old = ScriptedServer::new();
     command.env("GW_DISCOVERY", old.address().to_string());
     let proxy = Proxy::by(command, &[&nodes[0]], 1024, SETTINGS);
-    let (mut client, mut far) = proxy.up(&nodes[0]);
-    let (mut watch, _) = old.watched();
-    watch.say(&chunk(&list(7, false, &[])));
+    let (mut client, mut far) = proxy.establish(&nodes[0]);
+    let (mut watch, _) = old.accept_watch();
+    watch.send(&chunk(&list(7, false, &[])));
     let (here, there) = (proxy.discovery.address().to_string(), elsewhere.address().to_string());
     proxy.reconfigure(&[(&here, &there), (r#""mostTries":3"#, r#""mostTries":"many""#)]);
-    assert!(proxy.logged("configuration kept").contains("settings.policyLimits.mostTries"));
+    assert!(proxy.wait_for_log("configuration kept").contains("settings.policyLimits.mostTries"));
     let begun = Instant::now();
     for _ in 0..3 {
         proxy.reconfigure(&[(&here, &there), (r#""name":"look""#, r#""name":"edit""#)]);
     }
-    let (mut watch, asked) = elsewhere.watched();
+    let (mut watch, asked) = elsewhere.accept_watch();
     assert!(begun.elapsed() < Duration::from_millis(500), "at once");
     assert!(asked.contains("from=7 "), "no change is missed: {asked}");
     let members = [member("s0", &nodes[0], "draining"), member("s1", &nodes[1], "up")];
-    watch.say(&chunk(&list(8, false, &members)));
-    assert_eq!(client.rest().unwrap(), "MOVE\r\n", "not cut off, and the new list counts");
-    assert_eq!(far.rest().unwrap(), "");
-    assert_eq!(proxy.open().hear(), "ERR the class is unknown\r\n", "the new settings count too");
+    watch.send(&chunk(&list(8, false, &members)));
+    assert_eq!(client.receive_rest().unwrap(), "MOVE\r\n", "not cut off, and the new list counts");
+    assert_eq!(far.receive_rest().unwrap(), "");
+    assert_eq!(proxy.open().receive(), "ERR the class is unknown\r\n", "the new settings count too");
     let mut edit = proxy.connect();
-    edit.say(&OPEN.replace("look", "edit"));
-    nodes[1].called();
+    edit.send(&OPEN.replace("look", "edit"));
+    nodes[1].accept_attempt();
 }
 
 #[test]
@@ -341,7 +347,7 @@
         let config = base.replacen(from, to, 1);
         assert_ne!(config, base);
         let (mut child, log) = launch(&config);
-        let code = within(PATIENCE, "the proxy to give up", || child.try_wait().unwrap());
+        let code = wait_for(TIMEOUT, "the proxy to give up", || child.try_wait().unwrap());
         assert_eq!(code.code(), Some(2), "{named}");
         let line = log.iter().next().unwrap();
         assert!(line.contains("cannot start: ") && line.contains(named), "{named}: {line}");
@@ -350,48 +356,52 @@
 
 #[test]
 fn a_dead_render_node_is_left_for_another_at_once() {
-    let (dead, node) = (Scripted::new(), Scripted::new());
+    let (dead, node) = (ScriptedServer::new(), ScriptedServer::new());
     let proxy = Proxy::start(&[&dead, &node]);
     drop(dead);
     let begun = Instant::now();
-    let _held: Vec<(Peer, Peer)> = (0..4).map(|_| (proxy.open(), node.called().0)).collect();
+    let _held: Vec<(ScriptedPeer, ScriptedPeer)> =
+        (0..4).map(|_| (proxy.open(), node.accept_attempt().0)).collect();
     assert!(begun.elapsed() < Duration::from_millis(250), "a refused connection needs no time-out");
 }
 
 /// Loads told are all that shows a crowd: render nodes return lines at once however much is piled up.
 #[test]
 fn a_render_node_whose_connections_are_heavy_gets_no_more() {
-    let nodes = [Scripted::new(), Scripted::new(), Scripted::new()];
+    let nodes = [ScriptedServer::new(), ScriptedServer::new(), ScriptedServer::new()];
     let settings = SETTINGS.replace(r#""balancers""#, r#""weights":"nominal","balancers""#);
     let proxy = Proxy::with(&[&nodes[0], &nodes[1], &nodes[2]], 1024, &settings);
     let open = || {
         let mut client = proxy.connect();
-        client.say(&fresh(&OPEN.replace(",g=5c0f", "")));
-        let (at, far) = called_at(&nodes);
+        client.send(&with_fresh_id(&OPEN.replace(",g=5c0f", "")));
+        let (at, far) = accept_attempt_at(&nodes);
         (client, at, far)
     };
-    let _held: Vec<(Peer, usize, Peer)> = (0..3)
+    let _held: Vec<(ScriptedPeer, usize, ScriptedPeer)> = (0..3)
         .map(|_| {
             let (mut client, at, mut far) = open();
-            far.hear();
-            far.say(if at == 0 { "UP 1\r\nLOAD 800000\r\n" } else { "UP 1\r\nLOAD 1000\r\n" });
-            assert_eq!((client.hear(), client.hear().starts_with("LOAD")), ("UP 1\r\n".to_owned(), true));
+            far.receive();
+            far.send(if at == 0 { "UP 1\r\nLOAD 800000\r\n" } else { "UP 1\r\nLOAD 1000\r\n" });
+            assert_eq!(
+                (client.receive(), client.receive().starts_with("LOAD")),
+                ("UP 1\r\n".to_owned(), true)
+            );
             (client, at, far)
         })
         .collect();
     std::thread::sleep(Duration::from_millis(1300));
-    let later: Vec<(Peer, usize, Peer)> = (0..4).map(|_| open()).collect();
+    let later: Vec<(ScriptedPeer, usize, ScriptedPeer)> = (0..4).map(|_| open()).collect();
     assert!(later.iter().all(|(_, at, _)| *at != 0), "its turns are skipped");
 }
 
 #[test]
 fn a_system_short_of_descriptors_delays_clients_and_stops_nothing() {
-    let node = Scripted::new();
-    let proxy = Proxy::by(short_of_descriptors(24), &[&node], 1024, SETTINGS);
-    let crowd: Vec<Peer> = (0..40).map(|_| proxy.connect()).collect();
-    proxy.logged("cannot accept");
+    let node = ScriptedServer::new();
+    let proxy = Proxy::by(with_descriptor_limit(24), &[&node], 1024, SETTINGS);
+    let crowd: Vec<ScriptedPeer> = (0..40).map(|_| proxy.connect()).collect();
+    proxy.wait_for_log("cannot accept");
     drop(crowd);
     let mut late = proxy.connect();
-    late.say("PING\r\n");
-    assert_eq!(late.hear(), "PONG\r\n");
+    late.send("PING\r\n");
+    assert_eq!(late.receive(), "PONG\r\n");
 }
