--- a/crates/cottonnotch/tests/call_faults.rs
+++ b/crates/cottonnotch/tests/call_faults.rs
@@ -11,8 +11,9 @@
 /// Nine calls of ten.
 const MOSTLY: i64 = 900;
 
+/// A client is served though no option of its socket can be set.
 #[test]
-fn a_client_is_served_though_no_option_of_its_socket_can_be_set() {
+fn serves_client_without_socket_options() {
     let shims = Shims::new();
     let node = ScriptedServer::new();
     let proxy = Proxy::by(shims.command(None), &[&node], 1024, SETTINGS);
@@ -21,8 +22,9 @@
     assert!(shims.count(Setting::SocketOption) > 0);
 }
 
+/// A client whose socket cannot be watched gets an answer not a reset.
 #[test]
-fn a_client_whose_socket_cannot_be_watched_gets_an_answer_not_a_reset() {
+fn answers_client_whose_socket_cannot_be_registered() {
     let shims = Shims::new();
     let node = ScriptedServer::new();
     let proxy = Proxy::by(shims.command(None), &[&node], 1024, SETTINGS);
@@ -37,8 +39,9 @@
     let _pair = proxy.establish(&node);
 }
 
+/// A client whose socket cannot be watched for a moment is served.
 #[test]
-fn a_client_whose_socket_cannot_be_watched_for_a_moment_is_served() {
+fn serves_client_after_transient_registration_failure() {
     let shims = Shims::new();
     let node = ScriptedServer::new();
     let proxy = Proxy::by(shims.command(None), &[&node], 1024, SETTINGS);
@@ -50,8 +53,9 @@
     assert_eq!(client.receive(), "UP 1\r\n");
 }
 
+/// A process starts though system calls fail meanwhile.
 #[test]
-fn a_process_starts_though_calls_fail_as_it_does() {
+fn starts_despite_transient_errors() {
     for setting in [Setting::Socket, Setting::Register, Setting::SocketOption] {
         let shims = Shims::new();
         let node = ScriptedServer::new();
@@ -62,8 +66,9 @@
     }
 }
 
+/// Clients are accepted whatever accept fails with for a moment.
 #[test]
-fn clients_are_accepted_whatever_accept_fails_with_for_a_moment() {
+fn accepts_clients_after_transient_accept_errors() {
     let shims = Shims::new();
     let node = ScriptedServer::new();
     let proxy = Proxy::by(shims.command(None), &[&node], 1024, SETTINGS);
@@ -76,8 +81,9 @@
     assert_eq!(client.receive(), "UP 1\r\n");
 }
 
+/// A request whose attempt cannot begin is rejected in time and nothing is sent.
 #[test]
-fn a_request_whose_attempt_cannot_begin_is_refused_in_time_and_nothing_is_sent() {
+fn rejects_request_whose_attempt_cannot_begin() {
     for setting in [Setting::Socket, Setting::Connect] {
         let shims = Shims::new();
         let node = ScriptedServer::new();
@@ -93,8 +99,9 @@
     }
 }
 
+/// A signal is obeyed though most reads are interrupted.
 #[test]
-fn a_signal_is_obeyed_though_most_reads_are_interrupted() {
+fn obeys_signals_despite_interrupted_reads() {
     for _ in 0..5 {
         let shims = Shims::new();
         let node = ScriptedServer::new();
@@ -106,8 +113,9 @@
     }
 }
 
+/// Lines pass whole though system calls are interrupted and done only in part.
 #[test]
-fn lines_pass_whole_though_calls_are_interrupted_and_do_only_a_part() {
+fn relays_lines_despite_partial_reads_and_writes() {
     let shims = Shims::new();
     let node = ScriptedServer::new();
     let proxy = Proxy::by(shims.command(None), &[&node], 1024, SETTINGS);
@@ -126,8 +134,9 @@
     assert!(shims.count(Setting::Short) > 0);
 }
 
+/// A broken connection at the render node ends its client within a second.
 #[test]
-fn a_broken_connection_at_the_render_node_ends_its_client_within_a_second() {
+fn closes_client_within_a_second_of_broken_endpoint() {
     let shims = Shims::new();
     let node = ScriptedServer::new();
     let proxy = Proxy::by(shims.command(None), &[&node], 1024, SETTINGS);
--- a/crates/cottonnotch/tests/clock_steps.rs
+++ b/crates/cottonnotch/tests/clock_steps.rs
@@ -90,28 +90,31 @@
     (at_once, cold.came() - at_once)
 }
 
+/// A node that starts after a step back by an hour is warming up.
 #[test]
-fn a_node_that_starts_after_a_step_back_by_an_hour_is_cold() {
+fn node_started_after_hour_back_step_warms_up() {
     let (at_once, _) = after_a_step(-HOUR, 9_000_000, Duration::ZERO);
     assert!(at_once <= BEARS, "{at_once} connections at once for a node that bears {BEARS}");
 }
 
+/// A node that starts after a step on by an hour is warming up and warms up in its time.
 #[test]
-fn a_node_that_starts_after_a_step_on_by_an_hour_is_cold_and_warms_up_in_its_time() {
+fn node_started_after_hour_forward_step_warms_up() {
     let (at_once, later) = after_a_step(HOUR, 2_000_000, Duration::from_millis(3_500));
     assert!(at_once <= BEARS, "{at_once} connections at once for a node that bears {BEARS}");
     assert!(later >= 10, "{later} of forty after its warm-up");
 }
 
+/// A node that starts after a step back by seconds is warming up.
 #[test]
-fn a_node_that_starts_after_a_step_back_by_seconds_is_cold() {
+fn node_started_after_seconds_back_step_warms_up() {
     let (at_once, _) = after_a_step(-7_000_000, 9_000_000, Duration::ZERO);
     assert!(at_once <= BEARS, "{at_once} connections at once for a node that bears {BEARS}");
 }
 
 /// A process can't see a step before its start; the one before it at the same address has kept what it saw.
 #[test]
-fn a_node_that_started_just_before_a_step_on_is_cold_to_a_process_that_starts_after_it() {
+fn later_process_sees_node_started_before_step_as_warming_up() {
     let shims = Shims::new();
     let folder = tempfile::tempdir().unwrap();
     let (warm, cold) = (Counting::new(), Counting::new());
@@ -133,7 +136,7 @@
 
 /// Who is the earlier of two processes is no matter of the wall clock.
 #[test]
-fn a_process_replaces_an_earlier_one_though_the_clock_went_back_between_their_starts() {
+fn hot_restart_survives_clock_step_back() {
     let shims = Shims::new();
     let folder = tempfile::tempdir().unwrap();
     let (address, node) = (free_address(), ScriptedServer::new());
--- a/crates/cottonnotch/tests/endings/attempts.rs
+++ b/crates/cottonnotch/tests/endings/attempts.rs
@@ -52,8 +52,9 @@
 // ---- answers that come with more, in pieces, or spoilt ----
 
 // Guards call_attempt.rs `into_link`: what was read with the answer is handed on with the connection.
+/// Lines in the same write as the answer are relayed.
 #[test]
-fn lines_in_the_same_write_as_the_answer_are_passed_on() {
+fn relays_lines_sent_with_answer() {
     let (proxy, _nodes, mut client, _, mut far) = first_attempt(&patient());
     proxy.pause();
     far.send("UP 1\r\nM 5 x\r\nLOAD 2\r\nM 6");
@@ -67,8 +68,9 @@
 }
 
 // Guards relay.rs `pass_subchannel`: an end that was read with the answer shows again.
+/// An answer and the end at once reach the client as an answer and an end.
 #[test]
-fn an_answer_and_the_end_at_once_reach_the_client_as_an_answer_and_an_end() {
+fn relays_answer_and_end_at_once() {
     let (proxy, _nodes, mut client, _, mut far) = first_attempt(&patient());
     proxy.pause();
     far.send("UP 1\r\nBYE\r\n");
@@ -78,8 +80,9 @@
 }
 
 // Guards line.rs `fill`, which remembers a reset: the attempt reads it with the answer, the relay would see an end.
+/// An answer and a reset at once reach the client as an answer and a reset.
 #[test]
-fn an_answer_and_a_reset_at_once_reach_the_client_as_an_answer_and_a_reset() {
+fn relays_answer_and_reset_at_once() {
     let (proxy, _nodes, mut client, _, far) = first_attempt(&patient());
     proxy.pause();
     far.send_and_reset("UP 1\r\nM 5 x\r\n");
@@ -89,8 +92,9 @@
 }
 
 // Guards call_attempt.rs `advance`: no whole line and the end is a reset, and half an answer is none.
+/// Half an answer and the end is a reset and the next attempt answers alone.
 #[test]
-fn half_an_answer_and_the_end_is_a_reset_and_the_next_attempt_answers_alone() {
+fn retries_after_partial_answer() {
     for (half, reset) in [("UP 1", false), ("UP 1\r", true), ("BUSY", false), ("", false), ("", true)] {
         let (proxy, nodes, mut client, at, mut far) = first_attempt(&patient());
         proxy.pause();
@@ -112,8 +116,9 @@
 }
 
 // Guards call_attempt.rs `advance`: what is too long for a line is an error, whatever it begins with.
+/// An answer without end is abandoned and nothing of it is relayed.
 #[test]
-fn an_answer_without_end_is_given_up_and_nothing_of_it_is_passed_on() {
+fn drops_endless_answer() {
     let (_proxy, nodes, mut client, at, mut far) = first_attempt(&patient());
     far.send(&format!("UP {}", "x".repeat(4093)));
     let mut second = nodes[1 - at].accept_attempt().0;
@@ -125,8 +130,9 @@
 }
 
 // Guards line.rs `take_line`, which leaves half a line where it is.
+/// An answer may come byte by byte.
 #[test]
-fn an_answer_may_come_byte_by_byte() {
+fn reads_answer_byte_by_byte() {
     let (_proxy, nodes, mut client, at, mut far) = first_attempt(&patient());
     far.send_bytewise("BUSY 5\r\n");
     let mut second = nodes[1 - at].accept_attempt().0;
@@ -135,8 +141,9 @@
 }
 
 // Guards rpc.rs `attempt_ended`, which closes the attempt's connection with what it may still hold.
+/// What follows a rejection or an error reaches nobody and its connection is not used again.
 #[test]
-fn what_follows_a_refusal_or_an_error_reaches_nobody_and_its_connection_is_not_used_again() {
+fn drops_data_after_rejection() {
     for answer in
         ["BUSY\r\nUP 9\r\nM 1 x\r\n", "ERR no\r\nUP 9\r\n", "BUSY 5\r\nBUSY 6\r\n", "MOVE\r\nUP 9\r\n"]
     {
@@ -159,8 +166,9 @@
 }
 
 // Guards relay.rs `is_second_answer`, also where the end cuts it short.
+/// A second answer just after the first is dropped however it is cut.
 #[test]
-fn a_second_answer_just_after_the_first_is_dropped_however_it_is_cut() {
+fn drops_split_second_answer() {
     for second in ["UP 2\r\n", "BUSY 5\r\nERR late\r\n", "BUSY", "ERR late\r"] {
         let (proxy, _nodes, mut client, _, mut far) = first_attempt(&patient());
         proxy.pause();
@@ -178,8 +186,9 @@
 }
 
 // Guards relay.rs `is_second_answer`: no client's line is answered by an answer to its first one.
+/// A second answer is dropped though a client's line is unanswered.
 #[test]
-fn a_second_answer_is_dropped_though_a_clients_line_is_unanswered() {
+fn drops_second_answer_with_line_unanswered() {
     for second in ["UP 2\r\n", "BUSY 5\r\n"] {
         let (_proxy, _nodes, mut client, _, mut far) = first_attempt(&patient());
         far.send("UP 1\r\n");
@@ -200,8 +209,9 @@
 // ---- answers that come late ----
 
 // Guards rpc.rs `timer` and `attempt_ended`: an attempt whose time is up is closed, and its number is not reused.
+/// An answer to an attempt that was abandoned reaches nobody.
 #[test]
-fn an_answer_to_an_attempt_that_was_given_up_reaches_nobody() {
+fn drops_answer_to_ended_attempt() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0], &nodes[1]]);
     let mut client = proxy.open();
@@ -218,8 +228,9 @@
 }
 
 // Guards reactor.rs `turn` and rpc.rs `timer`: what has come is read before timers, and an outdated timer does nothing.
+/// An answer that is there when its time is up counts and no second attempt is made.
 #[test]
-fn an_answer_that_is_there_when_its_time_is_up_counts_and_no_second_attempt_is_made() {
+fn accepts_answer_at_timeout() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0], &nodes[1]]);
     let mut client = proxy.open();
@@ -242,8 +253,9 @@
 // ---- what may be repeated ----
 
 // Guards interface.rs `Effect::may_repeat` and `may_refuse`: where an attempt may have run, an unsafe class fails.
+/// An unsafe attempt that broke after its last byte is a failure and not retried.
 #[test]
-fn an_unsafe_attempt_that_broke_after_its_last_byte_is_a_failure_and_tried_nowhere_else() {
+fn fails_unsafe_request_after_reset() {
     for (words, reset) in [
         ("", true),
         ("", false),
@@ -267,8 +279,9 @@
 }
 
 // Guards call_attempt.rs `overdue`: once the line is written, an attempt without an answer may have run.
+/// An unsafe attempt without an answer is a failure and not retried.
 #[test]
-fn an_unsafe_attempt_without_an_answer_is_a_failure_and_tried_nowhere_else() {
+fn fails_unsafe_request_after_timeout() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::with(&[&nodes[0], &nodes[1]], 1024, &effect(SETTINGS, UNSAFE));
     let mut client = proxy.open();
@@ -281,8 +294,9 @@
 }
 
 // Guards call_attempt.rs `answer`: `BUSY` says that it never ran, and any class may go on.
+/// An unsafe attempt that was rejected is retried elsewhere and may be rejected.
 #[test]
-fn an_unsafe_attempt_that_was_turned_away_is_tried_elsewhere_and_may_be_refused() {
+fn retries_rejected_unsafe_request() {
     let (_proxy, nodes, mut client, at, mut far) = first_attempt(&effect(&patient(), UNSAFE));
     far.send("BUSY\r\n");
     nodes[1 - at].accept_attempt().0.send("UP 2\r\n");
@@ -296,8 +310,9 @@
 }
 
 // Guards policy.rs `again`: what was turned away once may have run at the next one.
+/// An unsafe attempt that broke after another was rejected is a failure.
 #[test]
-fn an_unsafe_attempt_that_broke_after_another_was_turned_away_is_a_failure() {
+fn fails_unsafe_request_reset_after_rejection() {
     let (_proxy, nodes, mut client, at, mut far) = first_attempt(&effect(&patient(), UNSAFE));
     far.send("BUSY\r\n");
     nodes[1 - at].accept_attempt().0.reset();
@@ -307,8 +322,9 @@
 }
 
 // Guards call_attempt.rs `advance`: a refused connect never ran.
+/// An unsafe attempt that could not connect is retried elsewhere and may be rejected.
 #[test]
-fn an_unsafe_attempt_that_could_not_connect_is_tried_elsewhere_and_may_be_refused() {
+fn retries_unconnected_unsafe_request() {
     let (dead, node) = (ScriptedServer::new(), ScriptedServer::new());
     let proxy = Proxy::with(&[&dead, &node], 1024, &effect(&patient(), UNSAFE));
     let alone = Proxy::with(&[&dead], 1024, &effect(&patient(), UNSAFE));
@@ -320,8 +336,9 @@
 }
 
 // Guards call_attempt.rs `overdue`: while not connected, nothing has run.
+/// An attempt whose time is up while its connect is pending never ran.
 #[test]
-fn an_attempt_whose_time_is_up_while_its_connect_is_pending_never_ran() {
+fn timed_out_connect_never_ran() {
     // The attempt's own time ends first, then that for connecting.
     for (target, connect) in [("100000", "5000000"), ("30000000", "100000")] {
         let settings = effect(SETTINGS, UNSAFE).replace("300000", target).replace("250000", connect);
@@ -334,8 +351,9 @@
 }
 
 // Guards call_attempt.rs `advance`: what comes up when its time is over carries nothing, so that it never ran.
+/// A connection that is established after its time carries nothing.
 #[test]
-fn a_connection_that_comes_up_after_its_time_carries_nothing() {
+fn late_connection_carries_nothing() {
     // The system tries to connect again after 1 s; by then, or a second later, the time is over.
     for (target, connect) in [("2000000", "5000000"), ("30000000", "2000000")] {
         let settings = effect(&patient(), UNSAFE).replace("30000000", target).replace("250000", connect);
@@ -369,8 +387,9 @@
 }
 
 // Guards policy.rs `pick` and `answer`: repeats stay in the group, whose end is a failure where others remain.
+/// An idempotent repeat stays in its cell or zone and then fails.
 #[test]
-fn a_keyed_repeat_stays_in_its_cell_or_zone_and_then_fails() {
+fn idempotent_retry_stays_in_cell_or_zone() {
     for (group, size) in [("cell", 2), ("zone", 4)] {
         let keyed = format!(r#""effect":"keyed","group":"{group}","window":60000000"#);
         let settings = effect(SETTINGS, &keyed).replace(r#""zones":["a"]"#, r#""zones":["a","b"]"#);
@@ -396,8 +415,9 @@
 }
 
 // Guards interface.rs `Effect::may_refuse`: what all drop may be sent anywhere, and refused.
+/// An idempotent repeat that all drop goes anywhere and may be rejected.
 #[test]
-fn a_keyed_repeat_that_all_drop_goes_anywhere_and_may_be_refused() {
+fn idempotent_retry_goes_anywhere_after_drops() {
     let keyed = r#""effect":"keyed","group":"all","window":60000000"#;
     let (proxy, nodes, mut client, at, far) = first_attempt(&effect(&patient(), keyed));
     far.reset();
@@ -412,8 +432,9 @@
 }
 
 // Guards interface.rs `Effect::may_repeat`: the window is counted from the first send.
+/// An idempotent attempt that ends after its window is not repeated.
 #[test]
-fn a_keyed_attempt_that_ends_after_its_window_is_not_repeated() {
+fn no_idempotent_retry_after_window() {
     for (group, refused) in [("cell", false), ("zone", false), ("all", true)] {
         let keyed = format!(r#""effect":"keyed","group":"{group}","window":200000"#);
         let nodes = [ScriptedServer::new(), ScriptedServer::new()];
--- a/crates/cottonnotch/tests/endings/claims.rs
+++ b/crates/cottonnotch/tests/endings/claims.rs
@@ -4,7 +4,7 @@
 
 /// Each of them cost a turn and a set-up for each attempt that it might have had, all for nobody.
 #[test]
-fn clients_gone_right_behind_their_line_take_no_set_ups_from_others() {
+fn clients_gone_with_their_line_use_no_setups() {
     let node = ScriptedServer::new();
     let tenants = r#""tenants":[{"name":"t","allowancePerS":0.01,"share":1.0}],"balancers":1"#;
     let proxy = Proxy::with(&[&node], 1024, &SETTINGS.replace(r#""balancers":1"#, tenants));
@@ -24,7 +24,7 @@
 
 /// A client that ends its sending gives up, as the pages have it of attempts; but it is told so.
 #[test]
-fn a_client_that_only_ends_its_sending_has_given_up_and_is_told() {
+fn half_closed_client_gets_error() {
     let node = ScriptedServer::new();
     let proxy = Proxy::with_admin(&[&node], 1024, SETTINGS);
     let mut client = proxy.open();
@@ -42,7 +42,7 @@
 
 /// A held client's earlier attempt had ended and been paid for; its set-up was given back when the client left.
 #[test]
-fn a_set_up_that_was_used_is_not_given_back_when_its_client_leaves_later() {
+fn used_setup_is_not_returned() {
     let node = ScriptedServer::new();
     let tenants = r#""tenants":[{"name":"t","allowancePerS":0.001,"share":1.0}],"balancers":1"#;
     let proxy = Proxy::with_admin(&[&node], 1024, &SETTINGS.replace(r#""balancers":1"#, tenants));
@@ -68,7 +68,7 @@
 // Guards clients.rs `attempt_ended`, which tells the module of the client's end before its attempt's.
 /// It leaves as its attempt fails, and a further one would have been made: the set-up for that is there for others.
 #[test]
-fn a_client_that_leaves_as_its_attempt_fails_takes_no_second_set_up() {
+fn client_gone_at_failure_uses_no_second_setup() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let tenants = r#""tenants":[{"name":"t","allowancePerS":0.001,"share":1.0}],"balancers":1"#;
     let settings = SETTINGS.replace(r#""balancers":1"#, tenants);
--- a/crates/cottonnotch/tests/endings/clients.rs
+++ b/crates/cottonnotch/tests/endings/clients.rs
@@ -54,8 +54,9 @@
     }),
 ];
 
+/// Five hundred queued clients leave at once and nothing is sent for them.
 #[test]
-fn five_hundred_held_clients_leave_at_once_and_nothing_is_sent_for_them() {
+fn sends_nothing_for_clients_gone_from_queue() {
     let nodes = [ScriptedServer::new()];
     let proxy = Proxy::with_admin(&[&nodes[0]], 4096, &patient());
     let mut largest = Duration::ZERO;
@@ -79,8 +80,9 @@
     assert!(largest < Duration::from_millis(300), "{largest:?}");
 }
 
+/// Queued clients that leave in the instant in which they might be forwarded are not.
 #[test]
-fn held_clients_that_leave_in_the_instant_in_which_they_might_be_sent_on_are_not() {
+fn sends_nothing_for_clients_gone_at_release() {
     let nodes = [ScriptedServer::new()];
     let proxy = Proxy::with_admin(&[&nodes[0]], 4096, &patient());
     for (_, leave) in LEAVINGS {
@@ -114,8 +116,9 @@
     assert_eq!(proxy.metric("skipped_render_nodes"), Some(0));
 }
 
+/// Clients that leave while their attempts are in flight end them at once.
 #[test]
-fn clients_that_leave_while_their_attempts_are_out_end_them_at_once() {
+fn ends_attempts_of_gone_clients() {
     let nodes = [ScriptedServer::new()];
     let proxy = Proxy::with_admin(&[&nodes[0]], 1024, &patient());
     for (_, leave) in LEAVINGS {
@@ -141,7 +144,7 @@
 
 /// In one instant the client leaves and its render node answers; whichever is first, nothing more is sent for it.
 #[test]
-fn a_client_that_leaves_in_the_instant_of_its_answer_is_sent_nowhere_else() {
+fn no_retry_for_client_gone_at_answer() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::with_admin(&[&nodes[0], &nodes[1]], 1024, &patient());
     let mut up = 0;
@@ -187,7 +190,7 @@
 /// The render node's queue is full, so that the attempt doesn't come up. A SYN that was dropped is sent again after a
 /// second: if the attempt of the client that left went on, it would come before that of the one that asked later.
 #[test]
-fn a_client_that_leaves_before_its_attempt_is_up_takes_the_attempt_with_it() {
+fn ends_connecting_attempt_of_gone_client() {
     for (_, leave) in [LEAVINGS[0], LEAVINGS[1]] {
         let node = FullBacklog::new();
         let proxy = Proxy::with_admin(&[node.node()], 1024, &patient());
@@ -205,8 +208,9 @@
     }
 }
 
+/// Clients whose end comes with their line are sent nowhere.
 #[test]
-fn clients_whose_end_comes_with_their_line_are_sent_nowhere() {
+fn sends_nothing_for_clients_closed_with_their_line() {
     let nodes = [ScriptedServer::new()];
     let proxy = Proxy::with_admin(&[&nodes[0]], 4096, &patient());
     for (_, leave) in LEAVINGS {
@@ -227,7 +231,7 @@
 
 /// It is up, and a line has come that it doesn't read: closing over that is a reset, and passes as one.
 #[test]
-fn a_client_that_closes_over_an_unread_line_ends_its_render_nodes_side_by_a_reset() {
+fn relays_reset_of_close_over_unread_line() {
     let node = ScriptedServer::new();
     let proxy = Proxy::with_admin(&[&node], 1024, &patient());
     let (mut client, mut far) = proxy.establish(&node);
@@ -242,7 +246,7 @@
 
 /// It has ended its sending, which its render node has seen; what it does then passes as well.
 #[test]
-fn a_client_that_resets_after_it_ended_its_sending_ends_its_render_nodes_side_at_once() {
+fn relays_reset_after_half_close() {
     let node = ScriptedServer::new();
     let proxy = Proxy::with_admin(&[&node], 1024, &patient());
     let (client, mut far) = proxy.establish(&node);
@@ -256,8 +260,9 @@
 }
 
 // Guards relay.rs `pass_client`: what is no line any more ends its own connection, and nothing of it is passed on.
+/// A client whose line has no end is ended and its render node sees none of it.
 #[test]
-fn a_client_whose_line_has_no_end_is_ended_and_its_render_node_sees_none_of_it() {
+fn closes_client_with_endless_line() {
     let node = ScriptedServer::new();
     let proxy = Proxy::with_admin(&[&node], 1024, &patient());
     let (mut client, mut far) = proxy.establish(&node);
--- a/crates/cottonnotch/tests/endings/floods.rs
+++ b/crates/cottonnotch/tests/endings/floods.rs
@@ -8,8 +8,9 @@
 /// What the system can't take at once waits at the client; a client that goes leaves it to the system, or drops it.
 const MUCH: usize = 100_000;
 
+/// Clients that flood and leave keep no well-behaved client out.
 #[test]
-fn clients_that_send_much_at_once_and_go_keep_no_sound_one_out() {
+fn floods_keep_no_client_out() {
     let node = ScriptedServer::new();
     let settings = SETTINGS.replace("\"target\":300000", "\"target\":8000000");
     let proxy = Proxy::with_admin(&[&node], 4096, &settings);
@@ -59,8 +60,9 @@
     assert_eq!(proxy.metric("skipped_render_nodes"), Some(0));
 }
 
+/// Clients that reconnect at once by the thousand are each answered once.
 #[test]
-fn clients_that_come_again_at_once_by_the_thousand_are_each_answered_once() {
+fn answers_each_reconnecting_client_once() {
     const CROWD: usize = 40;
     const ROUNDS: usize = 25;
     let node = ScriptedServer::new();
@@ -104,7 +106,7 @@
 
 /// Held clients have all descriptors; what comes meanwhile waits in the queue, and is answered in its turn.
 #[test]
-fn with_all_descriptors_held_by_clients_that_are_owed_an_answer_each_gets_its_one() {
+fn answers_every_client_at_descriptor_limit() {
     let node = ScriptedServer::new();
     let proxy = Proxy::with_admin_by(with_descriptor_limit(40), &[&node], 1024, SETTINGS);
     assert_eq!(proxy.admin_request("POST", "/maintenance/enter", "s0").0, 200);
@@ -128,7 +130,7 @@
 
 /// Clients have all descriptors, and attempts can't begin: whoever can't be placed is refused, the others are served.
 #[test]
-fn without_descriptors_for_attempts_clients_are_refused_and_the_rest_is_served() {
+fn rejects_clients_without_attempt_descriptors() {
     let node = ScriptedServer::new();
     let proxy = Proxy::with_admin_by(with_descriptor_limit(40), &[&node], 1024, SETTINGS);
     proxy.pause();
--- a/crates/cottonnotch/tests/endings/gone_clients.rs
+++ b/crates/cottonnotch/tests/endings/gone_clients.rs
@@ -99,7 +99,7 @@
 /// Guards clients.rs `attempt_ended` and `send`, rpc.rs `awaits_answer`: the failures of 600 attempts and some of the ends of
 /// their clients are there in one round, the rest of the ends only in the next.
 #[test]
-fn six_hundred_clients_whose_attempts_fail_as_they_leave_have_no_further_ones() {
+fn no_retry_for_clients_gone_at_failure() {
     for (how, fail) in FAILURES {
         let nodes = [ScriptedServer::new(), ScriptedServer::new()];
         let proxy = Proxy::with_admin(&[&nodes[0], &nodes[1]], SOCKETS, &patient());
@@ -124,7 +124,7 @@
 
 /// Guards the same: one client's attempt fails, a thousand others stir, then it leaves.
 #[test]
-fn a_client_that_leaves_behind_a_thousand_events_has_no_further_attempt() {
+fn no_retry_for_client_gone_behind_queued_events() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::with_admin(&[&nodes[0], &nodes[1]], SOCKETS, &patient());
     for ((answer, fail), (how, leave)) in FAILURES.iter().zip(LEAVINGS.iter().cycle()) {
@@ -153,7 +153,7 @@
 
 /// Guards the same: what fails is that the connection is refused, which is told only as the system tries again.
 #[test]
-fn a_client_that_leaves_as_its_connection_is_refused_has_no_further_attempt() {
+fn no_retry_for_client_gone_at_refused_connection() {
     for (how, leave) in [LEAVINGS[0], LEAVINGS[1]] {
         let (crowded, second) = (FullBacklog::new(), ScriptedServer::new());
         let proxy = Proxy::with_admin(&[crowded.node(), &second], SOCKETS, &patient());
@@ -178,7 +178,7 @@
 
 /// Guards the same: what ends the attempt is its time, which is up while the process stands still.
 #[test]
-fn a_client_that_leaves_as_its_attempt_times_out_has_no_further_attempt() {
+fn no_retry_for_client_gone_at_timeout() {
     const TARGET: Duration = Duration::from_millis(1500);
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let settings = SETTINGS.replace("\"target\":300000", "\"target\":1500000");
@@ -207,7 +207,7 @@
 /// Guards rpc.rs `advance`: the connection comes up a second late, and its client leaves before the loop looks at it. Its line
 /// is not written.
 #[test]
-fn the_line_of_a_client_that_has_left_is_not_written_on_a_connection_that_comes_up_late() {
+fn late_connection_gets_no_line_of_gone_client() {
     for (how, leave) in LEAVINGS {
         let crowded = FullBacklog::new();
         let proxy = Proxy::with_admin(&[crowded.node()], SOCKETS, &patient());
@@ -229,7 +229,7 @@
 
 /// Guards clients.rs `reopen`: a connection from before the start is tried again after 200 ms, and its client leaves meanwhile.
 #[test]
-fn a_client_that_leaves_while_its_old_connection_is_to_be_tried_again_has_no_further_attempt() {
+fn no_reopening_for_gone_client() {
     let node = ScriptedServer::new();
     let proxy = Proxy::with_admin(&[&node], SOCKETS, &patient());
     for (how, leave) in LEAVINGS {
@@ -262,7 +262,7 @@
 /// Guards clients.rs `send`: more are held than the loop takes up at once, and released as a trial goes well, which is read
 /// before their ends. Who has waited longest leaves last, and is the first to be sent on.
 #[test]
-fn held_clients_that_leave_behind_a_thousand_events_are_not_sent_as_they_are_released() {
+fn sends_nothing_for_queued_clients_gone_behind_events() {
     let node = ScriptedServer::new();
     let proxy = Proxy::with_admin(&[&node], SOCKETS, &patient());
     let (mut tried, id) = asks(&proxy);
--- a/crates/cottonnotch/tests/endings/last_answers.rs
+++ b/crates/cottonnotch/tests/endings/last_answers.rs
@@ -4,7 +4,7 @@
 
 /// All were told that trying again is harmless.
 #[test]
-fn what_may_have_run_is_not_refused_at_the_end_of_a_shutdown() {
+fn shutdown_fails_requests_that_may_have_run() {
     let node = ScriptedServer::new();
     // What is told of a class is shorter than what its clients wait, so that attempts are out at the end.
     let class = |name: &str, effect: &str| {
@@ -39,7 +39,7 @@
 
 /// They were told nothing, and what they asked in that moment was lost with the process.
 #[test]
-fn clients_that_rest_until_the_proxys_end_are_told_and_sent_nowhere() {
+fn shutdown_rejects_idle_clients() {
     let node = ScriptedServer::new();
     // The shutdown ends before those that rest have rested too long.
     let settings = SETTINGS.replace(r#""deadline":2000000"#, r#""deadline":300000"#);
--- a/crates/cottonnotch/tests/endings/late_connections.rs
+++ b/crates/cottonnotch/tests/endings/late_connections.rs
@@ -22,7 +22,7 @@
 
 /// The repeat was sent within its window, but came up after it, and would have had an effect of its own.
 #[test]
-fn a_repeat_that_comes_up_after_its_window_gets_no_line() {
+fn late_retry_gets_no_line() {
     let (first, crowded) = (ScriptedServer::new(), FullBacklog::new());
     let keyed = r#""effect":"keyed","group":"all","window":600000"#;
     let proxy = Proxy::with(&[&first], 1024, &patient(SETTINGS).replace(r#""effect":"safe""#, keyed));
@@ -45,7 +45,7 @@
 
 /// It went on connecting, and its line would have come after the drain was told.
 #[test]
-fn an_attempt_that_still_connects_is_called_off_when_its_render_node_drains() {
+fn drain_cancels_connecting_attempt() {
     for phase in ["draining", "removed"] {
         let (crowded, other) = (FullBacklog::new(), ScriptedServer::new());
         let proxy = Proxy::with(&[crowded.node()], 1024, &patient(SETTINGS));
@@ -63,7 +63,7 @@
 
 /// The render node was told the time that was left when the attempt began, a second before its connection came up.
 #[test]
-fn a_render_node_is_told_the_time_that_is_left_when_the_line_is_written() {
+fn forwards_time_left_at_write() {
     let crowded = FullBacklog::new();
     let proxy = Proxy::with(&[crowded.node()], 1024, &patient(SETTINGS));
     let mut client = proxy.connect();
--- a/crates/cottonnotch/tests/endings/lists.rs
+++ b/crates/cottonnotch/tests/endings/lists.rs
@@ -38,8 +38,9 @@
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 // Guards resolver.rs `readable` and `timer`: a response's head is its last word as a beat is.
+/// A watch that says nothing but its head is opened again and reports the drain.
 #[test]
-fn a_watch_that_says_nothing_but_its_head_is_opened_anew_and_tells_the_drain() {
+fn reopens_watch_silent_after_its_head() {
     let (proxy, nodes, client, _far) = served();
     let (_silent, asked) = proxy.discovery.accept_watch();
     let begun = Instant::now();
@@ -55,8 +56,9 @@
 
 // Guards resolver.rs `timer`: a call without any answer is given up too, as a silence and no failure, so that the next one,
 // which may take its time, goes out at once. (It was a failure after 5 s, with a wait behind it.)
+/// A request that is never answered is made again and reports the drain.
 #[test]
-fn a_call_that_is_never_answered_is_made_anew_and_tells_the_drain() {
+fn reopens_unanswered_watch() {
     let (proxy, nodes, client, _far) = served();
     let (_silent, _) = proxy.discovery.accept_attempt();
     let begun = Instant::now();
@@ -70,8 +72,9 @@
 }
 
 // Guards resolver.rs `readable`: a lost watch is reported, and asked for again.
+/// A watch that was reset just before a drain is opened again and reports it.
 #[test]
-fn a_watch_that_was_reset_just_before_a_drain_is_opened_anew_and_tells_it() {
+fn reopens_watch_reset_before_drain() {
     let (proxy, nodes, client, _far) = served();
     let (watch, _) = proxy.discovery.accept_watch();
     watch.send_and_reset(&chunk(&list(4, false, &[])));
@@ -84,8 +87,9 @@
 }
 
 // Guards resolver.rs `readable`: what was written counts as told, so it is taken before the end that came with it.
+/// A drain that a watch reported in the moment of its end is obeyed.
 #[test]
-fn a_drain_that_a_watch_told_in_the_moment_of_its_end_is_obeyed() {
+fn applies_drain_sent_at_end_of_watch() {
     for reset in [true, false] {
         let (proxy, nodes, client, _far) = served();
         let (mut watch, _) = proxy.discovery.accept_watch();
@@ -106,8 +110,9 @@
 }
 
 // Guards resolver.rs `take` and `end`: whole lists count, and half a one is dropped and asked for again.
+/// A watch that ends within an object keeps what was whole and asks for the rest.
 #[test]
-fn a_watch_that_ends_within_an_object_keeps_what_was_whole_and_asks_for_the_rest() {
+fn keeps_complete_lists_of_cut_watch() {
     for reset in [true, false] {
         let (proxy, nodes, client, _far) = served();
         let (mut watch, _) = proxy.discovery.accept_watch();
@@ -130,8 +135,9 @@
 }
 
 // Guards policy.rs `list_failed` and subchannels.rs `take`: the last list serves, and what comes counts at once.
+/// A discovery that was down and returns with a drain is obeyed at once.
 #[test]
-fn a_discovery_that_was_down_and_returns_with_a_drain_is_obeyed_at_once() {
+fn applies_drain_of_returned_discovery_at_once() {
     let (proxy, nodes, client, _far) = served();
     for _ in 0..3 {
         let (mut call, asked) = proxy.discovery.accept_attempt();
@@ -168,8 +174,9 @@
 }
 
 // Guards list_polling.rs `failed`: waits grow, yet no further than the clock of the list lets them. (The seventh was over 8 s.)
+/// After seven refusals in a row the next call is made in time and reports the drain.
 #[test]
-fn after_seven_refusals_in_a_row_the_next_call_is_made_in_time_and_tells_the_drain() {
+fn retries_discovery_after_seven_refusals() {
     let (proxy, nodes, client, _far) = served();
     let mut call = called_again(&proxy, Instant::now());
     let begun = Instant::now();
@@ -184,8 +191,9 @@
 }
 
 // Guards resolver.rs `due` and `take`: bytes that drip are no word. (Each one put the end off, for ever.)
+/// A request whose response drips byte by byte is abandoned and the next one reports the drain.
 #[test]
-fn a_call_of_which_bytes_drip_is_given_up_and_the_next_one_tells_the_drain() {
+fn abandons_dripping_watch() {
     let half = chunk(&format!("{{\"revision\":2,\"complete\":true,\"members\":[{}", " ".repeat(2_000)));
     for (told, dripping) in [("", HEAD), (HEAD, half.as_str())] {
         let (proxy, nodes, client, _far) = served();
@@ -207,8 +215,9 @@
 }
 
 // Guards resolver.rs `take`: a long list that comes slowly is not cut off, or it would be asked for again and again.
+/// A long list that comes slowly is waited for.
 #[test]
-fn a_long_list_that_comes_slowly_is_waited_for() {
+fn waits_for_slow_long_list() {
     let (proxy, nodes, client, _far) = served();
     let mut call = called_again(&proxy, Instant::now());
     let text = drain(2, &nodes).replacen('{', &format!("{{{}", " ".repeat(40_000)), 1);
@@ -222,8 +231,9 @@
 }
 
 // Guards arrivals.rs `has_room`: descriptors are kept for the watch, though idle clients would take them all.
+/// Idle clients that fill the descriptors do not keep a discovery that returns from sending the drain.
 #[test]
-fn idle_clients_that_fill_the_descriptors_do_not_keep_a_discovery_that_returns_from_telling_the_drain() {
+fn idle_clients_leave_descriptor_for_watch() {
     const DESCRIPTORS: u32 = 64;
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::by(with_descriptor_limit(DESCRIPTORS), &[&nodes[0]], DESCRIPTORS, SETTINGS);
@@ -251,8 +261,9 @@
 }
 
 // Guards driver/mod.rs `start`: readiness waits for the door, and the door for no list where nobody served before.
+/// A process that starts without discovery is ready and serves at once under load.
 #[test]
-fn a_process_that_starts_without_discovery_is_ready_and_serves_at_once_under_a_crowd() {
+fn starts_without_discovery_under_load() {
     let answers: [fn(&mut ScriptedPeer); 3] =
         [|_| {}, |call| call.send(BUSY), |call| call.send("HTTP/1.1 2")];
     for answer in answers {
@@ -271,8 +282,9 @@
 }
 
 // Guards clients.rs `call_off_unwritten`: no connection is waited for so long that its line came too late after a drain.
+/// A connection that is still being made at a drain is abandoned.
 #[test]
-fn a_connection_that_is_still_being_made_at_a_drain_is_given_up() {
+fn drain_abandons_pending_connect() {
     let settings = SETTINGS
         .replace("250000", "60000000")
         .replace(r#""target":300000,"deadline":2000000"#, r#""target":60000000,"deadline":180000000"#);
@@ -290,8 +302,9 @@
 }
 
 // Guards subchannels.rs `watch` and `is_watch`: the old call is closed, and what it said later is not heard.
+/// The late answer of a discovery that has moved is ignored.
 #[test]
-fn the_late_answer_of_a_discovery_that_has_moved_does_not_count() {
+fn ignores_late_answer_of_old_discovery() {
     let (old, elsewhere) = (ScriptedServer::new(), ScriptedServer::new());
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let mut command = Command::new(env!("CARGO_BIN_EXE_cottonnotch"));
@@ -314,8 +327,9 @@
 }
 
 // Guards driver/mod.rs `reload`: the new one is asked from the last revision that the old one told.
+/// What a discovery reported in the moment of its move counts and is not requested again.
 #[test]
-fn what_a_discovery_told_in_the_moment_of_its_move_counts_and_is_not_asked_for_again() {
+fn keeps_list_sent_at_discovery_move() {
     let (old, elsewhere) = (ScriptedServer::new(), ScriptedServer::new());
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let mut command = Command::new(env!("CARGO_BIN_EXE_cottonnotch"));
@@ -334,8 +348,9 @@
 }
 
 // Guards resolver.rs `take`: every text that is whole is taken, in order.
+/// Two lists in one write are both taken in order.
 #[test]
-fn two_lists_in_one_write_are_both_taken_in_order() {
+fn applies_two_lists_of_one_write_in_order() {
     let (proxy, nodes, client, _far) = served();
     let (mut watch, _) = proxy.discovery.accept_watch();
     proxy.pause();
@@ -349,8 +364,9 @@
 }
 
 // Guards subchannels.rs `take`: a new id is another render node, though it is found where the old one was.
+/// A new id at an old address gets what is new and the old id's clients stay.
 #[test]
-fn a_new_id_at_an_old_address_gets_what_is_new_and_the_old_ids_clients_stay() {
+fn new_id_at_old_address_gets_new_requests() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let (mut client, mut far) = proxy.establish(&node);
@@ -389,7 +405,7 @@
 
 /// The piece was taken for a spoilt list: the watch was dropped, and the drain came with the next call's answer.
 #[test]
-fn a_list_that_is_cut_within_a_number_is_waited_for_and_its_drain_obeyed() {
+fn waits_for_list_cut_within_number() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0]]);
     let (mut client, _far) = proxy.establish(&nodes[0]);
@@ -409,7 +425,7 @@
 
 /// Only a part had been moved by then; the rest stayed where it was, to be cut off.
 #[test]
-fn what_drains_and_is_removed_at_once_has_all_its_clients_moved() {
+fn removal_of_draining_endpoint_migrates_clients() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0]]);
     let mut clients: Vec<(ScriptedPeer, ScriptedPeer)> =
--- a/crates/cottonnotch/tests/endings/nodes.rs
+++ b/crates/cottonnotch/tests/endings/nodes.rs
@@ -12,8 +12,9 @@
 }
 
 // Guards relay.rs `pass_subchannel`: what came before the reset is passed on first.
+/// Lines before a reset are relayed whole and the reset as a reset.
 #[test]
-fn lines_before_a_reset_are_passed_on_whole_and_the_reset_as_a_reset() {
+fn relays_lines_before_reset() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let (mut client, far) = proxy.establish(&node);
@@ -25,8 +26,9 @@
 }
 
 // Guards line.rs `flush`, which remembers a reset: the client's line is written first, and reading shows an end after it.
+/// A reset that a client's line runs into is a reset all the same.
 #[test]
-fn a_reset_that_a_clients_line_runs_into_is_a_reset_all_the_same() {
+fn relays_reset_met_by_client_line() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let (mut client, far) = proxy.establish(&node);
@@ -39,8 +41,9 @@
 }
 
 // Guards relay.rs `pass_subchannel`: a client that cannot be written to has broken off, and is told on as that.
+/// A client's reset that a line runs into reaches the render node as a reset.
 #[test]
-fn a_clients_reset_that_a_line_runs_into_reaches_the_render_node_as_a_reset() {
+fn relays_client_reset_met_by_line() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let (client, mut far) = proxy.establish(&node);
@@ -52,8 +55,9 @@
 }
 
 // Guards relay.rs `pass_subchannel`: what comes is passed on unchanged up to the end, also where that is no line.
+/// Half a line and the end reach the client as they are.
 #[test]
-fn half_a_line_and_the_end_reach_the_client_as_they_are() {
+fn relays_partial_line_and_end() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let (mut client, mut far) = proxy.establish(&node);
@@ -65,8 +69,9 @@
 }
 
 // Guards relay.rs `pass_subchannel`: half a line is kept back, so that `MOVE` comes between two.
+/// A client is migrated between two lines while half a line has come.
 #[test]
-fn a_client_is_moved_between_two_lines_while_half_a_line_has_come() {
+fn migrates_between_lines() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let (mut client, mut far) = proxy.establish(&node);
@@ -92,8 +97,9 @@
 }
 
 // Guards relay.rs `pass_subchannel` and rpc.rs `relay`: the render node runs, so its client is moved, not cut off.
+/// A line without end migrates the client and counts as a reset.
 #[test]
-fn a_line_without_end_moves_the_client_and_counts_as_a_reset() {
+fn endless_line_migrates_client() {
     let folder = TempDir::new().unwrap();
     let (records, operator) = (folder.path().join("records"), folder.path().join("operator.toml"));
     let text = format!("[records]\nfile = \"{}\"\nflush_ms = 10\n", records.display());
@@ -121,8 +127,9 @@
 }
 
 // Guards line.rs `take_line`: the longest line that the protocol has is one.
+/// A line of just four kibibytes is relayed.
 #[test]
-fn a_line_of_just_four_kibibytes_is_passed_on() {
+fn relays_line_of_four_kibibytes() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let (mut client, mut far) = proxy.establish(&node);
--- a/crates/cottonnotch/tests/endings/shutdown.rs
+++ b/crates/cottonnotch/tests/endings/shutdown.rs
@@ -25,8 +25,9 @@
     told
 }
 
+/// Attempts in flight get their final answer by their outcome.
 #[test]
-fn attempts_that_are_out_get_their_final_answer_by_what_they_came_to() {
+fn shutdown_answers_attempts_in_flight() {
     for at_once in [false, true] {
         let node = ScriptedServer::new();
         let proxy = Proxy::with(&[&node], 1024, &settings());
@@ -59,8 +60,9 @@
     }
 }
 
+/// A MOVE falls between two lines also where lines are half through.
 #[test]
-fn a_move_falls_between_two_lines_also_where_lines_are_half_through() {
+fn move_is_sent_between_lines() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let mut pairs: Vec<(ScriptedPeer, ScriptedPeer)> = (0..10).map(|_| proxy.establish(&node)).collect();
@@ -81,8 +83,9 @@
     }
 }
 
+/// Clients whose handshake has begun are served and migrated.
 #[test]
-fn clients_on_their_way_in_are_served_and_moved() {
+fn shutdown_serves_and_migrates_arriving_clients() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let mut resting = proxy.connect();
@@ -114,7 +117,7 @@
 
 /// The line of one that has said nothing so far crosses the word that it has waited too long, or comes just before.
 #[test]
-fn a_resting_client_is_served_or_told_but_never_sent_on_after_it_was_told() {
+fn idle_client_is_served_or_rejected_once() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let mut just = proxy.connect();
@@ -139,8 +142,9 @@
     assert_eq!(id_of(&node.accept_attempt().1), id_of(&line), "what came after its word is not sent on");
 }
 
+/// A second SIGTERM and a new configuration change nothing about the time there is.
 #[test]
-fn a_second_sigterm_and_a_new_configuration_change_nothing_about_the_time_there_is() {
+fn second_sigterm_and_reload_keep_shutdown_time() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let pairs: Vec<(ScriptedPeer, ScriptedPeer)> = (0..8).map(|_| proxy.establish(&node)).collect();
@@ -172,7 +176,7 @@
 /// Its client has lines that it has not read, and sends on: a close over what it sent would be a reset, which can take
 /// the `MOVE` with it.
 #[test]
-fn a_move_reaches_a_client_that_reads_late_and_sends_on() {
+fn move_reaches_slow_reader() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let pairs: Vec<(ScriptedPeer, ScriptedPeer)> = (0..5).map(|_| proxy.establish(&node)).collect();
--- a/crates/cottonnotch/tests/file_faults.rs
+++ b/crates/cottonnotch/tests/file_faults.rs
@@ -25,8 +25,9 @@
     });
 }
 
+/// Maintenance that cannot be read at the start of a successor counts there as soon as it can.
 #[test]
-fn a_ban_that_cannot_be_read_at_the_start_of_a_successor_counts_there_as_soon_as_it_can() {
+fn successor_applies_maintenance_once_readable() {
     let shims = Shims::new();
     let folder = tempfile::tempdir().unwrap();
     let address = free_address();
@@ -42,8 +43,9 @@
     skips(&new, 1);
 }
 
+/// A merged state that could not be written is written once it can be.
 #[test]
-fn a_merged_state_that_could_not_be_written_is_written_once_it_can_be() {
+fn writes_merged_maintenance_once_writable() {
     let shims = Shims::new();
     let folder = tempfile::tempdir().unwrap();
     let address = free_address();
@@ -66,8 +68,9 @@
     });
 }
 
+/// A successor that starts on a full disk serves and takes over once there is space.
 #[test]
-fn a_successor_that_starts_on_a_full_disk_serves_and_takes_over_once_there_is_space() {
+fn successor_takes_over_once_disk_has_space() {
     let shims = Shims::new();
     let folder = tempfile::tempdir().unwrap();
     let (address, node) = (free_address(), ScriptedServer::new());
@@ -92,8 +95,9 @@
     assert!(old.wait_for_exit().success());
 }
 
+/// An override at a successor that could not read the earlier ones takes none of them back.
 #[test]
-fn a_call_on_a_successor_that_could_not_read_the_earlier_ones_takes_none_of_them_back() {
+fn override_at_successor_keeps_unread_overrides() {
     let shims = Shims::new();
     let folder = tempfile::tempdir().unwrap();
     let address = free_address();
@@ -114,8 +118,9 @@
     skips(&third, if answer.0 == 200 { 2 } else { 1 });
 }
 
+/// An override that cannot be synced is rejected and changes nothing.
 #[test]
-fn a_call_that_cannot_be_synced_is_refused_and_changes_nothing() {
+fn rejects_override_that_cannot_be_synced() {
     let shims = Shims::new();
     let folder = tempfile::tempdir().unwrap();
     let node = ScriptedServer::new();
@@ -131,8 +136,9 @@
     skips(&proxy, 1);
 }
 
+/// A process that starts on a full disk serves and records once there is space.
 #[test]
-fn a_process_that_starts_on_a_full_disk_serves_and_records_once_there_is_space() {
+fn records_once_disk_has_space() {
     let shims = Shims::new();
     let folder = tempfile::tempdir().unwrap();
     let (records, operator) = (folder.path().join("records"), folder.path().join("operator.toml"));
--- a/crates/cottonnotch/tests/golden.rs
+++ b/crates/cottonnotch/tests/golden.rs
@@ -32,8 +32,9 @@
     format!("exit code {code}\n{errors}{}", String::from_utf8(output.stdout).unwrap())
 }
 
+/// Check keeps its text on the deploy files.
 #[test]
-fn check_keeps_its_text_on_the_deploy_files() {
+fn check_text_of_deploy_files_is_unchanged() {
     assert_text(&golden_path!("check_platform.txt"), &check("examples/config.json", "deploy/platform.toml"));
     assert_text(
         &golden_path!("check_cottonnotch.txt"),
@@ -43,7 +44,7 @@
 
 /// With rules, agreed on; the key is made by whoever follows the example, so here it is written first.
 #[test]
-fn check_keeps_its_text_on_the_example_rules() {
+fn check_text_of_example_rules_is_unchanged() {
     let folder = tempfile::tempdir().unwrap();
     let (key, operator) = (folder.path().join("key"), folder.path().join("operator.toml"));
     std::fs::write(&key, "0123456789abcdef".repeat(4)).unwrap();
@@ -55,8 +56,9 @@
     assert_text(&golden_path!("check_rules.txt"), &shown);
 }
 
+/// Admin responses and metrics keep their text.
 #[test]
-fn calls_and_figures_keep_their_text() {
+fn admin_responses_are_unchanged() {
     let node = ScriptedServer::new();
     let proxy = Proxy::with_admin(&[&node], 1024, SETTINGS);
     let calls = [
--- a/crates/cottonnotch/tests/gossip.rs
+++ b/crates/cottonnotch/tests/gossip.rs
@@ -183,8 +183,9 @@
     Keys::load(Strength::Shared, &files, None, 1, 2).unwrap()
 }
 
+/// Peers receive what is established here and its end.
 #[test]
-fn peers_hear_what_stands_and_that_it_is_over() {
+fn gossips_established_connections_and_their_end() {
     let (folder, at, node) = (TempDir::new().unwrap(), addresses(2), ScriptedServer::new());
     let proxy = proxy(&folder, &at, BY_ADDRESS, &[&node]);
     let mut peer = Played::by_address(&at, 1);
@@ -202,7 +203,7 @@
 
 /// Loads told by a peer are all that shows a crowd: this proxy has one light connection on each render node.
 #[test]
-fn a_crowd_that_only_a_peer_sees_is_left_alone() {
+fn avoids_node_that_peers_report_loaded() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new(), ScriptedServer::new()];
     let (folder, at) = (TempDir::new().unwrap(), addresses(2));
     let proxy = proxy(&folder, &at, BY_ADDRESS, &[&nodes[0], &nodes[1], &nodes[2]]);
@@ -232,8 +233,9 @@
     drop(first);
 }
 
+/// Strangers and malformed data are not accepted and stop nothing.
 #[test]
-fn strangers_and_rubbish_are_not_heard_and_stop_nothing() {
+fn ignores_strangers_and_malformed_datagrams() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new(), ScriptedServer::new()];
     let (folder, at) = (TempDir::new().unwrap(), addresses(2));
     let proxy = proxy(&folder, &at, BY_ADDRESS, &[&nodes[0], &nodes[1], &nodes[2]]);
@@ -265,8 +267,9 @@
     assert_eq!(front.receive(), "PONG\r\n");
 }
 
+/// A proxy that stops announces that it leaves.
 #[test]
-fn a_proxy_that_stops_says_that_it_leaves() {
+fn announces_leaving_at_shutdown() {
     let (folder, at, node) = (TempDir::new().unwrap(), addresses(2), ScriptedServer::new());
     let mut proxy = proxy(&folder, &at, BY_ADDRESS, &[&node]);
     let mut peer = Played::by_address(&at, 1);
@@ -277,8 +280,9 @@
     assert!(!peer.states.contains(&State::Dead), "{:?}", peer.states);
 }
 
+/// Keys change without a gap and a wrong one is not accepted.
 #[test]
-fn keys_change_without_a_gap_and_a_wrong_one_is_not_heard() {
+fn rotates_keys_and_ignores_wrong_ones() {
     let (folder, at, node) = (TempDir::new().unwrap(), addresses(2), ScriptedServer::new());
     let proxy = proxy(&folder, &at, &shared(folder.path(), &[0]), &[&node]);
     let _up = proxy.establish(&node);
@@ -316,8 +320,9 @@
     assert!(!hears(&mut peer), "the proxy speaks by the new key, which this one does not know");
 }
 
+/// A faulty section ends the start and names its key.
 #[test]
-fn a_faulty_section_ends_the_start_and_names_its_key() {
+fn faulty_gossip_section_stops_start() {
     let folder = TempDir::new().unwrap();
     let at = addresses(2);
     std::fs::write(folder.path().join("short"), "abc").unwrap();
@@ -439,8 +444,9 @@
     }
 }
 
+/// An aggregator's sums keep clients off a full node where this proxy has nobody.
 #[test]
-fn a_keeper_s_sums_keep_clients_off_a_full_node_where_this_proxy_has_nobody() {
+fn avoids_node_that_aggregator_reports_full() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new(), ScriptedServer::new()];
     let (folder, at) = (TempDir::new().unwrap(), addresses(tier_without_own_turn().0));
     let mut keepers = Keepers::new(&at, "s1");
@@ -473,8 +479,9 @@
     });
 }
 
+/// A silent aggregator is asked again and then another one.
 #[test]
-fn a_silent_keeper_is_asked_again_and_then_another_one() {
+fn fails_over_from_silent_aggregator() {
     let (members, orders) = tier_without_own_turn();
     let (folder, at, node) = (TempDir::new().unwrap(), addresses(members), ScriptedServer::new());
     let mut keepers = Keepers::new(&at, "s9");
--- a/crates/cottonnotch/tests/hard_days.rs
+++ b/crates/cottonnotch/tests/hard_days.rs
@@ -4,8 +4,9 @@
 use peers::*;
 use std::time::Duration;
 
+/// A first line may come a byte at a time and be split inside its end.
 #[test]
-fn a_first_line_may_come_a_byte_at_a_time_and_be_split_inside_its_end() {
+fn reads_first_line_byte_by_byte() {
     let node = ScriptedServer::new();
     let proxy = Proxy::with_admin(&[&node], 1024, SETTINGS);
     let mut client = proxy.connect();
@@ -34,8 +35,9 @@
     assert!(node.poll().is_none(), "half a line is no request");
 }
 
+/// Clients that go at any stage leave nothing behind.
 #[test]
-fn clients_that_go_at_any_stage_leave_nothing_behind() {
+fn leaves_nothing_behind_for_gone_clients() {
     let node = ScriptedServer::new();
     let proxy = Proxy::with_admin(&[&node], 1024, SETTINGS);
     let gone =
@@ -76,8 +78,9 @@
     assert_eq!(proxy.metric("handled.look.passed"), Some(3));
 }
 
+/// A reload under load drops nobody.
 #[test]
-fn a_reload_in_the_middle_of_a_crowd_drops_nobody() {
+fn reload_under_load_drops_nobody() {
     let node = ScriptedServer::new();
     // Attempts have time enough: what ends one here must not be its time-out.
     let patient = SETTINGS.replace("\"target\":300000", "\"target\":8000000");
@@ -105,8 +108,9 @@
     assert_eq!((proxy.metric("handled.look.passed"), proxy.metric("loads")), (Some(80), Some(3)));
 }
 
+/// A second answer is no line of the session and no second final answer.
 #[test]
-fn a_second_answer_is_no_line_of_the_session_and_no_second_final_answer() {
+fn drops_second_answer() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let mut client = proxy.open();
--- a/crates/cottonnotch/tests/homes.rs
+++ b/crates/cottonnotch/tests/homes.rs
@@ -236,8 +236,9 @@
 
 const ALL: [usize; MEMBERS] = [0, 1, 2, 3, 4, 5];
 
+/// A large group outgrows a subset of five endpoints and keeps them through a stop, a cut and a silence.
 #[test]
-fn a_large_group_outgrows_five_homes_and_keeps_them_through_a_stop_a_cut_and_a_mute() {
+fn large_group_keeps_its_subset_through_outages() {
     let mut tier = Tier::new(&[]);
     tier.wave(&ALL);
     tier.told(&ALL, NEEDED - 1);
@@ -278,7 +279,7 @@
 
 /// Half of the tier runs without: as an older program would, it drops what it doesn't know, and its group has five homes.
 #[test]
-fn half_of_the_tier_without_the_keys_serves_on_as_ever() {
+fn proxies_without_keys_keep_serving() {
     // The first two keepers are of those that know homes; the others' turns come as well.
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as i64;
     let epoch = (now / EPOCH) as u64;
--- a/crates/cottonnotch/tests/lists.rs
+++ b/crates/cottonnotch/tests/lists.rs
@@ -24,8 +24,9 @@
     list(revision, false, &[member("s0", node, phase)])
 }
 
+/// An indented list is read wherever chunks end.
 #[test]
-fn an_indented_list_is_read_wherever_chunks_end() {
+fn reads_indented_list_across_chunks() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0]]);
     let (mut client, _far) = proxy.establish(&nodes[0]);
@@ -44,8 +45,9 @@
     let _held = (proxy.open(), nodes[0].accept_attempt());
 }
 
+/// A whole answer of stated length is taken before the next call.
 #[test]
-fn a_whole_answer_of_stated_length_is_taken_before_the_next_call() {
+fn reads_response_with_content_length() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0]]);
     let (mut call, _) = proxy.discovery.accept_attempt();
@@ -58,16 +60,18 @@
     assert!(nodes[0].poll().is_none());
 }
 
+/// What the file remembers may be indented too.
 #[test]
-fn what_the_file_remembers_may_be_indented_too() {
+fn reads_indented_list_of_configuration() {
     let node = ScriptedServer::new();
     let pretty = indented(SETTINGS);
     let proxy = Proxy::with(&[&node], 1024, &pretty);
     proxy.establish(&node);
 }
 
+/// Malformed lists are dropped as a whole and the last good one serves.
 #[test]
-fn spoilt_lists_are_dropped_whole_and_the_last_good_one_serves() {
+fn rejects_malformed_lists_and_keeps_last_one() {
     let node = ScriptedServer::new();
     let whole = list(9, true, &[member("s9", &node, "up")]);
     let twice = list(9, true, &[member("s9", &node, "up"), member("s9", &node, "draining")]);
@@ -107,8 +111,9 @@
     }
 }
 
+/// Changes with a lower revision are rejected and the whole list is requested.
 #[test]
-fn changes_with_a_lower_revision_are_refused_and_the_whole_list_is_asked_for() {
+fn rejects_older_changes_and_requests_complete_list() {
     let node = ScriptedServer::new();
     let proxy = Proxy::with_admin(&[&node], 1024, SETTINGS);
     let (mut watch, _) = proxy.discovery.accept_watch();
@@ -128,8 +133,9 @@
     assert_eq!(proxy.metric("known_render_nodes"), Some(0));
 }
 
+/// A watch that stops within a line is opened again at once and long before six seconds.
 #[test]
-fn a_watch_that_stops_within_a_line_is_opened_anew_at_once_and_long_before_six_seconds() {
+fn reopens_watch_that_ends_within_a_line() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let (mut watch, _) = proxy.discovery.accept_watch();
@@ -149,8 +155,9 @@
     proxy.establish(&node);
 }
 
+/// A request that waits for its turn is not given up as a silent watch is.
 #[test]
-fn a_call_that_waits_for_its_turn_is_not_given_up_as_a_silent_watch_is() {
+fn waits_for_queued_discovery_request() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let (mut call, _) = proxy.discovery.accept_attempt();
@@ -163,8 +170,9 @@
     proxy.wait_for_log("endpoint s0 is Draining");
 }
 
+/// Where lists are pushed a watch is opened all the same.
 #[test]
-fn where_lists_are_pushed_a_watch_is_opened_all_the_same() {
+fn opens_watch_where_lists_are_pushed() {
     let pushed = SETTINGS.replace("on_request", "pushed");
     // Often: a call that is put off by chance comes early now and then.
     for _ in 0..5 {
--- a/crates/cottonnotch/tests/management.rs
+++ b/crates/cottonnotch/tests/management.rs
@@ -11,8 +11,9 @@
     "requestClasses":[{"name":"look","effect":"safe","target":300000,"deadline":2000000,"gain":1.0},
         {"name":"print:a","effect":"unsafe","target":300000,"deadline":2000000,"gain":1.0}]}"#;
 
+/// The status is ready only while clients can be served.
 #[test]
-fn the_status_is_yes_only_while_clients_can_be_served() {
+fn status_is_ready_only_while_serving() {
     let node = ScriptedServer::new();
     let mut proxy = Proxy::with_admin(&[], 1024, SETTINGS);
     let (status, why) = proxy.admin_request("GET", "/status", "");
@@ -33,8 +34,9 @@
     assert!(proxy.wait_for_exit().success());
 }
 
+/// What is no request of ours gets a reason.
 #[test]
-fn a_call_that_is_none_is_told_why() {
+fn explains_bad_admin_requests() {
     let node = ScriptedServer::new();
     let proxy = Proxy::with_admin(&[&node], 1024, SETTINGS);
     assert_eq!(proxy.admin_request("GET", "/metrics", "").0, 404);
@@ -58,8 +60,9 @@
     assert_eq!(slow.answer().0, 200, "a byte at a time is a call too");
 }
 
+/// Operators are answered while clients and silent operators come in by hundreds.
 #[test]
-fn operators_are_answered_while_clients_and_mute_operators_crowd_in() {
+fn answers_admin_requests_under_load() {
     let node = ScriptedServer::new();
     let proxy = Proxy::with_admin(&[&node], 128, SETTINGS);
     // Clients hold every descriptor that they can get, and operators that say nothing every place of theirs.
@@ -81,8 +84,9 @@
     drop((clients, silent));
 }
 
+/// A silent operator is notified that it is late and one that never reads is closed.
 #[test]
-fn a_mute_operator_is_told_that_it_is_late_and_one_that_never_reads_is_let_go() {
+fn closes_silent_admin_connections() {
     let node = ScriptedServer::new();
     let proxy = Proxy::with_admin(&[&node], 1024, SETTINGS);
     let mut mute = ScriptedPeer::new(TcpStream::connect(proxy.admin_address()).unwrap());
@@ -102,8 +106,9 @@
     });
 }
 
+/// Metrics show what clients and render nodes counted.
 #[test]
-fn figures_are_what_clients_and_render_nodes_counted() {
+fn metrics_match_what_peers_counted() {
     let node = ScriptedServer::new();
     let proxy = Proxy::with_admin(&[&node], 1024, TWO_CLASSES);
     let text = proxy.admin_request("GET", "/status/metrics", "").1;
@@ -178,8 +183,9 @@
     at
 }
 
+/// What is out gets nothing whatever discovery lists until it is put back.
 #[test]
-fn what_is_out_gets_nothing_whatever_discovery_lists_until_it_is_put_back() {
+fn node_in_maintenance_gets_nothing() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::with_admin(&[&nodes[0], &nodes[1]], 1024, SETTINGS);
     let mut watch = proxy.discovery.accept_watch().0;
@@ -213,8 +219,9 @@
     assert_eq!(proxy.admin_request("POST", "/maintenance/exit", "s0").0, 200);
 }
 
+/// An unknown render node gets an error and changes nothing.
 #[test]
-fn an_unknown_render_node_is_a_no_and_changes_nothing() {
+fn rejects_maintenance_of_unknown_node() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::with_admin(&[&nodes[0], &nodes[1]], 1024, SETTINGS);
     for call in ["/maintenance/enter", "/maintenance/exit"] {
@@ -240,8 +247,9 @@
     assert_eq!(proxy.admin_request("GET", "/status", "").0, 503, "nothing is left to place on");
 }
 
+/// Clients of what is taken out for maintenance are migrated and what is queued goes elsewhere.
 #[test]
-fn clients_of_what_is_taken_out_are_moved_and_what_is_held_goes_elsewhere() {
+fn maintenance_migrates_clients_and_requeues_requests() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::with_admin(&[&nodes[0], &nodes[1]], 1024, SETTINGS);
     let mut ups: Vec<(ScriptedPeer, ScriptedPeer)> = Vec::new();
@@ -276,8 +284,9 @@
     assert!(nodes[0].poll().is_none());
 }
 
+/// A render node that failed before is used at once when it is put back.
 #[test]
-fn a_render_node_that_failed_before_is_used_at_once_when_it_is_put_back() {
+fn failed_node_is_used_after_maintenance() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::with_admin(&[&nodes[0], &nodes[1]], 1024, SETTINGS);
     // It fails once; ends are kept, since one that is dropped would be the other's failure.
@@ -305,7 +314,7 @@
 
 /// It was carried out, and its connection ended with nothing said.
 #[test]
-fn a_call_that_is_whole_in_the_instant_of_its_time_out_is_answered() {
+fn answers_admin_request_complete_at_timeout() {
     let node = ScriptedServer::new();
     let proxy = Proxy::with_admin(&[&node], 1024, SETTINGS);
     let mut operator = ScriptedPeer::new(TcpStream::connect(proxy.admin_address()).unwrap());
--- a/crates/cottonnotch/tests/peers/full_backlog.rs
+++ b/crates/cottonnotch/tests/peers/full_backlog.rs
@@ -1,14 +1,14 @@
-//! A render node on which no connection comes up for now: its queue is full, and the system drops who comes.
+//! A render node on which no connection is established for now: its backlog is full, and the system drops new ones.
 
 use super::{ScriptedPeer, ScriptedServer, TIMEOUT, wait_for};
 use socket2::{Domain, Socket, Type};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// The listener, and those that fill its queue.
+/// The listener, and the connections that fill its backlog.
 pub struct FullBacklog {
     node: ScriptedServer,
-    crowd: Vec<TcpStream>,
+    fillers: Vec<TcpStream>,
 }
 
 impl FullBacklog {
@@ -18,10 +18,10 @@
         socket.listen(0).unwrap();
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().unwrap();
-        let come = || TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok();
-        let crowd: Vec<TcpStream> = std::iter::from_fn(come).collect();
+        let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok();
+        let fillers: Vec<TcpStream> = std::iter::from_fn(connect).collect();
         listener.set_nonblocking(true).unwrap();
-        FullBacklog { node: ScriptedServer::listening(listener), crowd }
+        FullBacklog { node: ScriptedServer::listening(listener), fillers }
     }
 
     /// For the list.
@@ -29,18 +29,18 @@
         &self.node
     }
 
-    /// Makes room; somebody who is there and not of the crowd. One of that may come up only now, too, so they are told by
+    /// Makes room; a connection that is not a filler. A filler may be established only now, too, so they are told apart by
     /// their addresses.
     pub fn poll(&self) -> Option<ScriptedPeer> {
-        let of_crowd = |from: SocketAddr| self.crowd.iter().any(|one| one.local_addr().unwrap() == from);
+        let is_filler = |from: SocketAddr| self.fillers.iter().any(|one| one.local_addr().unwrap() == from);
         let mut there = std::iter::from_fn(|| self.node.poll_from());
-        there.find(|(_, from)| !of_crowd(*from)).map(|(peer, _)| peer)
+        there.find(|(_, from)| !is_filler(*from)).map(|(peer, _)| peer)
     }
 
-    /// Makes room; the next who is not of the crowd. Who has come in vain comes up when its system next tries, a second
-    /// after the first time.
+    /// Makes room; the next connection that is not a filler. One that was dropped is established when its system next tries,
+    /// a second after the first time.
     pub fn accept(&self) -> ScriptedPeer {
-        wait_for(TIMEOUT, "a connection beside the crowd's", || self.poll())
+        wait_for(TIMEOUT, "a connection beside the fillers", || self.poll())
     }
 
     /// As [`Self::accept`], and its first line.
--- a/crates/cottonnotch/tests/replacement.rs
+++ b/crates/cottonnotch/tests/replacement.rs
@@ -74,8 +74,9 @@
     Ok(())
 }
 
+/// Clients that arrive throughout a hot restart are all served and none is lost.
 #[test]
-fn clients_that_arrive_throughout_a_replacement_are_all_served_and_none_is_lost_at_the_door() {
+fn hot_restart_loses_no_client() {
     let folder = tempfile::tempdir().unwrap();
     let address = free_address();
     let node = ScriptedServer::new();
@@ -124,8 +125,9 @@
     assert!(count(&counts.up) > 100 && count(&counts.moved) > 0);
 }
 
+/// Maintenance set at either process binds both and outlives the first.
 #[test]
-fn a_ban_called_on_either_process_binds_both_and_outlives_the_first() {
+fn maintenance_binds_both_processes() {
     let folder = tempfile::tempdir().unwrap();
     let address = free_address();
     let nodes = [ScriptedServer::new(), ScriptedServer::new(), ScriptedServer::new()];
@@ -157,8 +159,9 @@
     assert_eq!(accept_attempt_at(&nodes).0, 0);
 }
 
+/// A successor that never gets ready or dies leaves the old process serving.
 #[test]
-fn a_successor_that_never_gets_ready_or_dies_leaves_the_old_process_serving() {
+fn failed_successor_leaves_predecessor_serving() {
     let folder = tempfile::tempdir().unwrap();
     let address = free_address();
     let node = ScriptedServer::new();
@@ -181,8 +184,9 @@
     assert!(old.wait_for_exit().success());
 }
 
+/// A crashed process's files and foreign ones stop nobody.
 #[test]
-fn a_crashed_processs_files_and_foreign_ones_stop_nobody() {
+fn ignores_stale_and_foreign_process_files() {
     let folder = tempfile::tempdir().unwrap();
     let address = free_address();
     let node = ScriptedServer::new();
@@ -210,8 +214,9 @@
     socket.bind(&address.into())
 }
 
+/// The address is shared only where processes can meet.
 #[test]
-fn the_address_is_shared_only_where_processes_can_meet() {
+fn shares_address_only_with_shared_folder() {
     let node = ScriptedServer::new();
     let alone = Proxy::with_admin(&[&node], 1024, SETTINGS);
     assert_eq!(beside(alone.address()).unwrap_err().kind(), ErrorKind::AddrInUse);
--- a/crates/cottonnotch/tests/retuning.rs
+++ b/crates/cottonnotch/tests/retuning.rs
@@ -16,8 +16,9 @@
     client
 }
 
+/// Each faulty file is rejected as a whole and its key is named.
 #[test]
-fn each_faulty_file_is_turned_down_whole_and_its_key_is_named() {
+fn rejects_faulty_configuration_and_names_key() {
     let node = ScriptedServer::new();
     let proxy = Proxy::with_admin(&[&node], 1024, TUNED);
     let deadline = r#""deadline":2000000,"gain":1.0},"#;
@@ -74,8 +75,9 @@
     assert_eq!(proxy.metric("loads"), Some(1));
 }
 
+/// What was accepted before keeps its attempts and its effect.
 #[test]
-fn what_was_taken_before_keeps_its_attempts_and_its_effect() {
+fn accepted_requests_keep_their_attempts_and_effect() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::with_admin(&[&nodes[0], &nodes[1]], 1024, TUNED);
     let mut before = open_as(&proxy, "edit");
@@ -102,8 +104,9 @@
     assert!(look.receive_rest().unwrap().starts_with("BUSY"), "refused after its one attempt");
 }
 
+/// A class comes and goes while its connections stay.
 #[test]
-fn a_class_comes_and_goes_while_its_connections_stay() {
+fn class_changes_keep_connections() {
     let node = ScriptedServer::new();
     let proxy = Proxy::with_admin(&[&node], 1024, TUNED);
     let mut client = open_as(&proxy, "edit");
--- a/crates/cottonnotch/tests/sockets.rs
+++ b/crates/cottonnotch/tests/sockets.rs
@@ -6,8 +6,9 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
+/// Lines pass unchanged and an end is relayed as an end.
 #[test]
-fn lines_pass_unchanged_and_an_end_passes_as_an_end() {
+fn relays_lines_and_end_unchanged() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let mut client = proxy.connect();
@@ -31,8 +32,9 @@
     assert_eq!(client.receive_rest().unwrap(), "M 1 abc\r\nBYE\r\n");
 }
 
+/// A client's end reaches the render node and its last lines still come back.
 #[test]
-fn a_clients_end_reaches_the_render_node_and_its_last_lines_still_come_back() {
+fn relays_half_close_and_last_lines() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let (mut client, mut far) = proxy.establish(&node);
@@ -44,8 +46,9 @@
     assert_eq!(client.receive_rest().unwrap(), "M 9 x\r\nBYE\r\n");
 }
 
+/// A reset is relayed as a reset both ways.
 #[test]
-fn a_reset_passes_as_a_reset_both_ways() {
+fn relays_reset_both_ways() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let (client, mut far) = proxy.establish(&node);
@@ -56,8 +59,9 @@
     assert_eq!(client.receive_rest().unwrap_err().kind(), ErrorKind::ConnectionReset);
 }
 
+/// A full render node is left before the next is tried.
 #[test]
-fn a_full_render_node_is_left_before_the_next_is_tried() {
+fn closes_full_endpoint_before_next_attempt() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0], &nodes[1]]);
     let mut client = proxy.open();
@@ -71,8 +75,9 @@
     assert_eq!(client.receive(), "UP 2\r\n");
 }
 
+/// A silent render node is abandoned for another one.
 #[test]
-fn a_silent_render_node_is_given_up_for_another_one() {
+fn retries_after_silent_endpoint() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0], &nodes[1]]);
     let mut client = proxy.open();
@@ -84,8 +89,9 @@
     assert_eq!(client.receive(), "UP 2\r\n");
 }
 
+/// What cannot be placed is rejected once with a time.
 #[test]
-fn what_cannot_be_placed_is_refused_once_with_a_time() {
+fn rejects_once_with_retry_after() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let mut client = proxy.connect();
@@ -99,8 +105,9 @@
     assert!(begun.elapsed() < Duration::from_millis(350), "by the deadline");
 }
 
+/// Malformed data costs one line and nothing else.
 #[test]
-fn rubbish_costs_one_line_and_nothing_else() {
+fn answers_malformed_lines_with_error() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let long = format!("OPEN {}\r\n", "x".repeat(5000));
@@ -117,8 +124,9 @@
     assert!(node.poll().is_none(), "no rubbish is passed on");
 }
 
+/// A connection from before the start goes back to its render node.
 #[test]
-fn a_connection_from_before_the_start_goes_back_to_its_render_node() {
+fn reopens_connection_at_its_endpoint() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0], &nodes[1]]);
     for _ in 0..3 {
@@ -132,8 +140,9 @@
     assert!(nodes[0].poll().is_none());
 }
 
+/// A change in pieces drains a render node and migrates its client.
 #[test]
-fn a_change_in_pieces_drains_a_render_node_and_moves_its_client() {
+fn drains_endpoint_on_change_in_pieces() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0]]);
     let (mut client, mut far) = proxy.establish(&nodes[0]);
@@ -155,8 +164,9 @@
     assert!(nodes[0].poll().is_none(), "nothing new to it");
 }
 
+/// A bad list is dropped as a whole and requested again.
 #[test]
-fn a_bad_list_is_dropped_whole_and_asked_for_again() {
+fn drops_bad_list_and_requests_again() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new()];
     let proxy = Proxy::start(&[&nodes[0]]);
     let (mut watch, _) = proxy.discovery.accept_watch();
@@ -170,8 +180,9 @@
     assert!(nodes[1].poll().is_none(), "nothing of the bad list was taken");
 }
 
+/// A silent watch is lost and opened again.
 #[test]
-fn a_silent_watch_is_lost_and_begun_anew() {
+fn reopens_silent_watch() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let (mut watch, _) = proxy.discovery.accept_watch();
@@ -180,8 +191,9 @@
     assert!(again.contains("from=4 "), "{again}");
 }
 
+/// A render node that hangs loses its client within seven seconds.
 #[test]
-fn a_render_node_that_hangs_loses_its_client_within_seven_seconds() {
+fn migrates_client_from_hanging_endpoint() {
     let node = ScriptedServer::new();
     // With no aim for messages, no delay is noted, and the module moves nobody by itself.
     let proxy = Proxy::with(&[&node], 1024, &SETTINGS.replace("[150000.0]", "[]"));
@@ -194,8 +206,9 @@
     assert_eq!(far.receive(), "", "its connection is closed");
 }
 
+/// At the descriptor bound clients are rejected at once.
 #[test]
-fn at_the_descriptor_bound_clients_are_turned_away_at_once() {
+fn rejects_clients_at_descriptor_limit() {
     let node = ScriptedServer::new();
     let proxy = Proxy::with(&[&node], 64, SETTINGS);
     let held: Vec<(ScriptedPeer, ScriptedPeer)> =
@@ -213,8 +226,9 @@
     node.accept_attempt();
 }
 
+/// The id of an open connection is rejected and pauses nobody.
 #[test]
-fn the_id_of_an_open_connection_is_turned_away_and_pauses_nobody() {
+fn rejects_id_of_open_connection() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let mut first = proxy.connect();
@@ -236,8 +250,9 @@
     node.accept_attempt();
 }
 
+/// Commands at once are an error and their attempt is closed.
 #[test]
-fn commands_at_once_are_an_error_and_their_attempt_is_closed() {
+fn rejects_data_before_answer() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let mut client = proxy.connect();
@@ -251,8 +266,9 @@
     proxy.establish(&node);
 }
 
+/// A line without end gets its error though more is sent.
 #[test]
-fn a_line_without_end_gets_its_error_though_more_is_sent() {
+fn rejects_endless_first_line() {
     let proxy = Proxy::start(&[]);
     let mut client = proxy.connect();
     for _ in 0..2000 {
@@ -261,8 +277,9 @@
     assert_eq!(client.receive(), "ERR a line of over 4096 bytes\r\n");
 }
 
+/// Silent clients get an answer and make room for those that ask.
 #[test]
-fn silent_clients_get_a_word_and_make_room_for_those_that_ask() {
+fn evicts_silent_clients() {
     let node = ScriptedServer::new();
     let proxy = Proxy::with(&[&node], 128, SETTINGS);
     let begun = Instant::now();
@@ -277,8 +294,9 @@
     drop(pairs);
 }
 
+/// A planned restart migrates every client and still serves.
 #[test]
-fn a_planned_restart_moves_every_client_and_still_serves() {
+fn shutdown_migrates_every_client() {
     let node = ScriptedServer::new();
     let mut proxy = Proxy::start(&[&node]);
     let mut pairs: Vec<(ScriptedPeer, ScriptedPeer)> = (0..8).map(|_| proxy.establish(&node)).collect();
@@ -301,8 +319,9 @@
     assert!(begun.elapsed() < Duration::from_millis(2700), "gone before SIGKILL may come");
 }
 
+/// A new configuration moves the watch and drops nobody.
 #[test]
-fn a_new_configuration_moves_the_watch_and_drops_nobody() {
+fn reload_moves_watch_and_drops_nobody() {
     let (nodes, elsewhere) = ([ScriptedServer::new(), ScriptedServer::new()], ScriptedServer::new());
     let mut command = Command::new(env!("CARGO_BIN_EXE_cottonnotch"));
     let old = ScriptedServer::new();
@@ -331,8 +350,9 @@
     nodes[1].accept_attempt();
 }
 
+/// A faulty configuration is named by its key.
 #[test]
-fn a_faulty_configuration_is_named_by_its_key() {
+fn names_key_of_faulty_configuration() {
     let base = format!(r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{SETTINGS}}}"#);
     for (from, to, named) in [
         (r#""listen":"127.0.0.1:0","#, "", "listen is missing"),
@@ -354,8 +374,9 @@
     }
 }
 
+/// A dead render node is left for another at once.
 #[test]
-fn a_dead_render_node_is_left_for_another_at_once() {
+fn retries_at_once_after_refused_connection() {
     let (dead, node) = (ScriptedServer::new(), ScriptedServer::new());
     let proxy = Proxy::start(&[&dead, &node]);
     drop(dead);
@@ -367,7 +388,7 @@
 
 /// Loads told are all that shows a crowd: render nodes return lines at once however much is piled up.
 #[test]
-fn a_render_node_whose_connections_are_heavy_gets_no_more() {
+fn avoids_loaded_endpoint() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new(), ScriptedServer::new()];
     let settings = SETTINGS.replace(r#""balancers""#, r#""weights":"nominal","balancers""#);
     let proxy = Proxy::with(&[&nodes[0], &nodes[1], &nodes[2]], 1024, &settings);
@@ -394,8 +415,9 @@
     assert!(later.iter().all(|(_, at, _)| *at != 0), "its turns are skipped");
 }
 
+/// A system short of descriptors delays clients and stops nothing.
 #[test]
-fn a_system_short_of_descriptors_delays_clients_and_stops_nothing() {
+fn serves_after_descriptor_shortage() {
     let node = ScriptedServer::new();
     let proxy = Proxy::by(with_descriptor_limit(24), &[&node], 1024, SETTINGS);
     let crowd: Vec<ScriptedPeer> = (0..40).map(|_| proxy.connect()).collect();
