--- a/crates/gossip/src/config_tests.rs
+++ b/crates/gossip/src/config_tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn off_unless_said_and_every_fault_names_its_key() {
+fn is_off_by_default_and_errors_name_their_key() {
     assert_eq!(check(""), Ok(None));
     assert_eq!(check("strength = 'address'").unwrap().unwrap().period, 1_000_000);
     assert!(check("strength = 'shared'\nkey_files = ['a', 'b']").unwrap().is_some());
--- a/crates/gossip/src/entry.rs
+++ b/crates/gossip/src/entry.rs
@@ -1,4 +1,4 @@
-//! What a proxy tells of one endpoint.
+//! What a proxy reports of one endpoint.
 
 use std::collections::BTreeMap;
 
@@ -25,8 +25,8 @@
     }
 }
 
-/// The embedder's names by their digests. Two names of one digest are both left out: nothing is told of them, and what
-/// peers tell is not taken. Peers with the same list leave out the same two.
+/// The embedder's names by their digests. Two names of one digest are both left out: nothing is reported of them, and what
+/// peers report is not used. Peers with the same list leave out the same two.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     names: BTreeMap<EndpointDigest, Option<String>>,
@@ -69,7 +69,7 @@
     const MANTISSA: u32 = 11;
     const ONE: u64 = 1 << Self::MANTISSA;
 
-    /// The nearest that can be told; what is beyond 4.4e12 is told as that.
+    /// The nearest that can be expressed; what is beyond 4.4e12 becomes that.
     pub fn from_micros_per_s(micros: u64) -> Self {
         if micros < Self::ONE {
             return Load(micros as u16);
@@ -95,37 +95,37 @@
     }
 }
 
-/// What a proxy met at a endpoint within the last few seconds (4 is a good span): evidence, not a verdict. Counts stay
+/// What a proxy observed at an endpoint within the last few seconds (4 is a good span): evidence, not a verdict. Counts stay
 /// at 255.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Evidence {
-    /// Call attempts refused as full.
+    /// Attempts rejected as full.
     pub full: u8,
-    /// Failed to connect.
+    /// Connections that could not be set up.
     pub failed: u8,
-    /// Timed out.
+    /// Attempts that timed out.
     pub timed_out: u8,
     /// Connections that went silent.
     pub silent: u8,
-    /// Call attempts served; where there is trouble, only those since the newest of it.
+    /// Attempts served; where there are faults, only those since the newest one.
     pub served: u8,
-    /// Age in tenths of a second of the newest trouble, or of the newest served where there is none.
+    /// Age in tenths of a second of the newest fault, or of the newest served attempt where there is none.
     pub age_tenths: u8,
 }
 
 impl Evidence {
-    /// Pieces of trouble.
+    /// The number of faults.
     pub fn faults(&self) -> u32 {
         [self.full, self.failed, self.timed_out, self.silent].into_iter().map(u32::from).sum()
     }
 }
 
-/// What one proxy tells of one endpoint. Replaces what the same proxy told of it before.
+/// What one proxy reports of one endpoint. Replaces what the same proxy reported of it before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// Which one.
     pub endpoint: EndpointDigest,
-    /// The proxy's own connections connections there.
+    /// The proxy's own established connections there.
     pub connections: u32,
     /// Their load, summed.
     pub load: Load,
@@ -136,22 +136,22 @@
 }
 
 impl Entry {
-    /// Nothing to tell of it: also how it is told that there is nothing any more.
+    /// Nothing to report of it: also how a peer learns that there is nothing any more.
     pub fn empty(endpoint: EndpointDigest) -> Self {
         Entry { endpoint, connections: 0, load: Load(0), groups: 0, evidence: Evidence::default() }
     }
 
-    /// Whether it says nothing.
+    /// Whether it reports nothing.
     pub fn is_empty(&self) -> bool {
         *self == Entry::empty(self.endpoint)
     }
 
-    /// How much a peer that heard that one last would be wrong. In units of 1% of a core; one connection counts as much, a
-    /// piece of trouble as eight: it is worth most while it is fresh.
-    pub(crate) fn differs(&self, told: &Entry) -> u64 {
-        let load = self.load.micros_per_s().abs_diff(told.load.micros_per_s()) / 10_000;
-        let trouble = u64::from(self.evidence.faults().saturating_sub(told.evidence.faults()));
-        load + u64::from(self.connections.abs_diff(told.connections)) + 8 * trouble
+    /// How wrong a peer would be that received that one last. In units of 1% of a core; one connection counts as much, a
+    /// fault as eight: it is worth most while it is fresh.
+    pub(crate) fn difference(&self, sent: &Entry) -> u64 {
+        let load = self.load.micros_per_s().abs_diff(sent.load.micros_per_s()) / 10_000;
+        let faults = u64::from(self.evidence.faults().saturating_sub(sent.evidence.faults()));
+        load + u64::from(self.connections.abs_diff(sent.connections)) + 8 * faults
     }
 }
 
--- a/crates/gossip/src/entry_tests.rs
+++ b/crates/gossip/src/entry_tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn names_that_share_a_digest_are_left_out() {
+fn colliding_names_are_left_out() {
     // Found by trying: among 20,000 names about 12 pairs share 24 bits.
     let names: Vec<String> = (0..20_000).map(|n| format!("s-{n}")).collect();
     let mut digests: Vec<_> = names.iter().map(|name| (EndpointDigest::of(name), name)).collect();
@@ -17,10 +17,10 @@
 
 proptest! {
     #[test]
-    fn loads_are_near_and_in_order(one in 0u64..4_000_000_000_000, other in 0u64..4_000_000_000_000) {
-        let told = Load::from_micros_per_s(one);
-        prop_assert!(told.micros_per_s().abs_diff(one) <= one / 4096, "{} told as {}", one, told.micros_per_s());
-        prop_assert_eq!(Load::from_micros_per_s(told.micros_per_s()), told);
-        prop_assert!(one > other || told <= Load::from_micros_per_s(other));
+    fn loads_round_trip_in_order(one in 0u64..4_000_000_000_000, other in 0u64..4_000_000_000_000) {
+        let load = Load::from_micros_per_s(one);
+        prop_assert!(load.micros_per_s().abs_diff(one) <= one / 4096, "{} encoded as {}", one, load.micros_per_s());
+        prop_assert_eq!(Load::from_micros_per_s(load.micros_per_s()), load);
+        prop_assert!(one > other || load <= Load::from_micros_per_s(other));
     }
 }
--- a/crates/gossip/src/incarnation.rs
+++ b/crates/gossip/src/incarnation.rs
@@ -1,16 +1,16 @@
-//! The number by which a member's sayings, and what is said of it, are ordered.
+//! The number that orders what a member says of itself, and what others say of it.
 
-/// A generation may be said to lie this much beyond the known one and still be believed: 34 years of milliseconds. More is a
-/// lie that wants to use the numbers up.
-const PLAUSIBLE: u64 = 1 << 40;
+/// A generation may lie this much beyond the known one and still be believed: 34 years of milliseconds. More is of a faulty
+/// peer, and would use the numbers up.
+const MAX_GENERATION_JUMP: u64 = 1 << 40;
 
 /// A member's incarnation. Compared only with other incarnations of the same member, so it matters to nobody whether
-/// the member's clock is right; only one that went back between two lives matters, and then the others tell it.
+/// the member's clock is right; only a clock that went back between two processes matters, and then the others correct it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Incarnation {
     /// Which process: as the embedder gave it, Unix time in milliseconds at the start. 0: by configuration, not heard.
     pub generation: u64,
-    /// How often this process had to contradict word that it is gone.
+    /// How often this process had to refute that it is gone.
     pub refutations: u16,
 }
 
@@ -28,10 +28,9 @@
         }
     }
 
-    /// Whether word of this incarnation can be true, where that one is known. A member that nobody heard yet may have
-    /// any.
+    /// Whether a report of this incarnation can be true, where that one is known. A member that was never heard may have any.
     pub(crate) fn plausible_after(self, known: Incarnation) -> bool {
-        self.generation < u64::MAX
-            && (known.generation == 0 || self.generation <= known.generation.saturating_add(PLAUSIBLE))
+        let in_reach = self.generation <= known.generation.saturating_add(MAX_GENERATION_JUMP);
+        self.generation < u64::MAX && (known.generation == 0 || in_reach)
     }
 }
--- a/crates/gossip/src/indirect_reports.rs
+++ b/crates/gossip/src/indirect_reports.rs
@@ -1,193 +1,202 @@
-//! What others say of members. Words start questions, never give the answer: nobody is dead or back by hearsay alone.
+//! What others report of members. Reports prompt probes, never give the verdict: nobody is dead or back by indirect reports alone.
 
 use crate::peer::State;
-use crate::wire::{Broadcast, ReportedState, To};
-use crate::{Gossip, Incarnation, Micros, Purpose};
+use crate::probes::ProbeKind;
+use crate::wire::{Broadcast, ReportedState};
+use crate::{Gossip, Incarnation, Micros, Purpose, To};
 
-/// A life of its own that is said to be later than it is, is believed this often at most: a liar would use numbers up.
-const JUMP_EVERY: Micros = 10_000_000;
+/// A later generation of this member's own that others report is believed this often at most: a faulty peer would use the numbers
+/// up.
+const JUMP_INTERVAL: Micros = 10_000_000;
 
-/// A member that all others doubt is asked so often: half of the answers that the ceiling lets it give where nothing is said.
-const BETWEEN_QUESTIONS: Micros = 125_000;
+/// A member that all others suspect is probed so often: half of the answers that the bandwidth limit lets it give where nothing
+/// else is configured.
+const PROMPTED_PROBE_SPACING: Micros = 125_000;
 
 impl Gossip {
-    pub(crate) fn told_of(&mut self, from: u16, broadcast: Broadcast) {
-        let Broadcast { subject, incarnation, state: word } = broadcast;
-        if subject == self.me {
-            return self.told_of_me(incarnation, word);
+    /// Takes what one member reports of another.
+    pub(crate) fn receive_broadcast(&mut self, from: u16, broadcast: Broadcast) {
+        let subject = broadcast.subject;
+        if subject == self.identity.ordinal {
+            return self.receive_report_on_self(broadcast.incarnation, broadcast.state);
         }
-        // A member speaks of itself by speaking.
-        if subject == from || usize::from(subject) >= self.peers.len() {
+        // A member reports on itself by its own datagrams.
+        if subject == from || !self.peers.contains(subject) {
             return;
         }
-        let peer = self.peer_mut(subject);
-        let known = peer.incarnation;
-        // Who never heard it can't say of which incarnation it speaks.
-        let incarnation = if incarnation.generation == 0 { known } else { incarnation };
+        let known = self.peers[subject].incarnation;
+        // A reporter that never heard the subject can't say of which incarnation it speaks.
+        let is_unknown = broadcast.incarnation.generation == 0;
+        let incarnation = if is_unknown { known } else { broadcast.incarnation };
         if incarnation < known || !incarnation.plausible_after(known) {
             return;
         }
-        match word {
-            // Only this raises the number known: an accuser that could would have every contradiction come too late.
-            ReportedState::Alive => {
-                if incarnation > known {
-                    peer.incarnation = incarnation;
-                    peer.alive_tellers.clear();
-                }
-                self.said_alive(from, broadcast, incarnation > known);
-            }
-            ReportedState::Suspect => self.said_suspect(from, subject),
-            ReportedState::Left => self.said_left(from, subject),
+        match broadcast.state {
+            ReportedState::Alive => self.receive_alive(from, broadcast, incarnation > known),
+            ReportedState::Suspect => self.receive_suspect(from, subject),
+            ReportedState::Left => self.receive_left(from, subject),
         }
     }
 
-    /// It contradicted an accusation, or lives anew.
-    fn said_alive(&mut self, from: u16, broadcast: Broadcast, news: bool) {
+    /// The subject refuted a suspicion, or restarted. Only this raises the incarnation known: if suspicions did, every
+    /// refutation would come too late.
+    fn receive_alive(&mut self, from: u16, broadcast: Broadcast, is_newer: bool) {
         let subject = broadcast.subject;
-        let peer = self.peer_mut(subject);
+        let peer = &mut self.peers[subject];
+        if is_newer {
+            peer.incarnation = broadcast.incarnation;
+            peer.reports.clear_alive();
+        }
         let state = peer.state;
-        let by_many = !state.is_active() && peer.said_alive_by(from);
+        // By their reports faulty peers could let the dead come and go: more than those must agree, or it is probed.
+        let is_confirmed = !state.is_active() && peer.reports.add_alive(from);
         match state {
-            State::Alive | State::Suspect if !news => {}
+            State::Alive | State::Suspect if !is_newer => {}
             State::Alive => {
-                peer.contradicted();
-                self.probes.end_unasked(subject);
-                self.broadcasts.put(broadcast);
-            }
-            State::Suspect => {
-                self.gave_sign(subject);
-                self.broadcasts.put(broadcast);
+                peer.discard_reports();
+                self.detector.probes.cancel_waiting(subject);
+                self.dissemination.broadcasts.enqueue(broadcast);
             }
-            // By their words liars could let the dead come and go: more than they must say it, or it is asked itself.
-            State::Dead | State::Left if by_many => {
-                self.gave_sign(subject);
-                self.broadcasts.put(broadcast);
+            State::Suspect => self.accept_alive(broadcast),
+            State::Dead | State::Left if is_confirmed => self.accept_alive(broadcast),
+            State::Dead | State::Left => {
+                self.probe_within(subject, ProbeKind::DirectOnly, self.probe_spread());
             }
-            State::Dead | State::Left => self.probe_within(subject, false, self.spread()),
         }
     }
 
-    /// Whoever says so found it itself: accusations are not passed on by those who only heard them. So is this: it is asked,
-    /// and accused by this member too only if it does not answer.
-    fn said_suspect(&mut self, from: u16, subject: u16) {
+    fn accept_alive(&mut self, broadcast: Broadcast) {
+        self.mark_alive(broadcast.subject);
+        self.dissemination.broadcasts.enqueue(broadcast);
+    }
+
+    /// The reporter found it itself: suspicions are not passed on by members that only heard of them. Nor is this one: the
+    /// subject is probed, and suspected by this member too only if it does not answer.
+    fn receive_suspect(&mut self, from: u16, subject: u16) {
         let (now, silence) = (self.now, self.settings.silence);
-        let peer = self.peer_mut(subject);
-        peer.accused_by(from);
-        // Own fresh hearing outweighs any number of words, while it is fresh.
-        let heard = now - peer.sign < silence;
-        if peer.state != State::Alive || peer.to_ask || !self.heeds(from, subject) {
+        let peer = &mut self.peers[subject];
+        peer.reports.add_accuser(from);
+        // Own fresh datagrams outweigh any number of reports, while they are fresh.
+        let is_fresh = now - peer.last_alive_at < silence;
+        let is_pending = peer.reports.probe_when_silent;
+        if peer.state != State::Alive || is_pending || !self.accepts_prompt(from, subject) {
             return;
         }
-        if heard {
-            self.peer_mut(subject).to_ask = true;
+        if is_fresh {
+            self.peers[subject].reports.probe_when_silent = true;
         } else {
-            self.ask_because_of_word(subject);
+            self.probe_on_report(subject);
         }
     }
 
-    /// It may have left a moment after it was heard last, so that does not contradict this: it is asked itself. But if it
-    /// has answered such a question lately, that does.
-    fn said_left(&mut self, from: u16, subject: u16) {
-        let peer = self.peer_mut(subject);
+    /// The subject may have left a moment after it was heard last, so that does not refute this: it is probed. But if it
+    /// has answered such a probe lately, that does.
+    fn receive_left(&mut self, from: u16, subject: u16) {
+        let peer = &mut self.peers[subject];
         if !peer.state.is_active() {
             return;
         }
-        peer.said_left_by(from);
-        if peer.state == State::Alive && self.heeds(from, subject) {
-            self.ask_because_of_word(subject);
+        peer.reports.add_left(from);
+        if peer.state == State::Alive && self.accepts_prompt(from, subject) {
+            self.probe_on_report(subject);
         }
     }
 
-    /// Whether this member's words move this one to ask that one. Each moves it to so many questions only, and nobody is
-    /// asked again and again: liars could have all ask all, or one, and no answer would come in time.
-    fn heeds(&mut self, from: u16, subject: u16) -> bool {
-        let now = self.now;
-        !self.probes.running(subject) && self.may_ask_by_word(subject) && self.peer_mut(from).heeded.take(now)
+    /// Whether this reporter may prompt a probe of that member. Each prompts only so many, and nobody is probed again and again:
+    /// faulty peers could have all probe all, or one, and no answer would arrive in time.
+    fn accepts_prompt(&mut self, from: u16, subject: u16) -> bool {
+        !self.detector.probes.is_probing(subject)
+            && self.may_be_prompted_to_probe(subject)
+            && self.peers[from].limits.prompted_probes.try_take(self.now)
     }
 
-    fn ask_because_of_word(&mut self, subject: u16) {
-        let now = self.now;
-        self.peer_mut(subject).asked_by_word = Some(now);
-        self.probe_within(subject, true, self.spread());
+    fn probe_on_report(&mut self, subject: u16) {
+        self.peers[subject].prompted_at = Some(self.now);
+        self.probe_within(subject, ProbeKind::WithIndirect, self.probe_spread());
     }
 
-    /// Whether it is long enough that this member asked that one because of others' words. If all do so, it can still
+    /// Whether it is long enough that reports prompted this member to probe that one. If all members do so, it can still
     /// answer.
-    pub(crate) fn may_ask_by_word(&self, subject: u16) -> bool {
-        let interval = self.settings.silence.max(self.peers.len() as Micros * BETWEEN_QUESTIONS);
-        self.peers[usize::from(subject)].asked_by_word.is_none_or(|at| self.now - at >= interval)
+    pub(crate) fn may_be_prompted_to_probe(&self, subject: u16) -> bool {
+        let spacing = self.peers.members() as Micros * PROMPTED_PROBE_SPACING;
+        let interval = self.settings.silence.max(spacing);
+        self.peers[subject].prompted_at.is_none_or(|at| self.now - at >= interval)
     }
 
-    fn told_of_me(&mut self, said: Incarnation, word: ReportedState) {
-        let must_exceed = match word {
-            ReportedState::Alive => said > self.incarnation,
-            ReportedState::Suspect | ReportedState::Left => said >= self.incarnation,
-        };
-        if self.leaving.is_some() || !said.plausible_after(self.incarnation) {
+    fn receive_report_on_self(&mut self, reported: Incarnation, state: ReportedState) {
+        let own = self.identity.incarnation;
+        if self.farewell.is_some() || !reported.plausible_after(own) {
             return;
         }
-        if !must_exceed {
-            if word != ReportedState::Alive && !self.broadcasts.holds(self.me) {
-                self.contradict();
-            }
-            return;
+        let is_superseding = match state {
+            ReportedState::Alive => reported > own,
+            ReportedState::Suspect | ReportedState::Left => reported >= own,
+        };
+        if is_superseding {
+            self.supersede(reported);
+        } else if state != ReportedState::Alive
+            && !self.dissemination.broadcasts.contains(self.identity.ordinal)
+        {
+            self.refute();
         }
-        if said.generation > self.incarnation.generation {
-            if self.jumped.is_some_and(|at| self.now - at < JUMP_EVERY) {
+    }
+
+    /// Takes an incarnation beyond the reported one, and refutes with it.
+    fn supersede(&mut self, reported: Incarnation) {
+        let is_later_generation = reported.generation > self.identity.incarnation.generation;
+        if is_later_generation {
+            if self.identity.jumped_at.is_some_and(|at| self.now - at < JUMP_INTERVAL) {
                 return;
             }
-            self.jumped = Some(self.now);
+            self.identity.jumped_at = Some(self.now);
         }
-        // Beyond another life's number it must be a life of its own, for its counter began anew.
-        self.incarnation = if said.generation > self.incarnation.generation {
-            Incarnation::first(said.generation + 1)
-        } else {
-            said.next()
-        };
-        self.contradict();
+        // Beyond another process's number it must be a generation of its own, for its counter began anew.
+        self.identity.incarnation =
+            if is_later_generation { Incarnation::first(reported.generation + 1) } else { reported.next() };
+        self.refute();
     }
 
-    /// At once, for a suspicion has its time; but a liar can't make this member talk all the time.
-    fn contradict(&mut self) {
-        self.broadcasts.put(Broadcast {
-            subject: self.me,
-            incarnation: self.incarnation,
+    /// Refutes at once, for a suspicion has its time; but a faulty peer can't make this member send all the time.
+    fn refute(&mut self) {
+        self.dissemination.broadcasts.enqueue(Broadcast {
+            subject: self.identity.ordinal,
+            incarnation: self.identity.incarnation,
             state: ReportedState::Alive,
         });
-        if self.contradicted.is_none_or(|at| self.now - at >= self.settings.period) {
-            self.contradicted = Some(self.now);
+        if self.identity.refuted_at.is_none_or(|at| self.now - at >= self.settings.period) {
+            self.identity.refuted_at = Some(self.now);
             for receiver in self.next_receivers() {
                 self.send(To::One(receiver.into()), Purpose::Answer, &[]);
             }
         }
     }
 
-    /// Believes for the present that a member may be gone: it did not answer, directly or through others.
+    /// Believes for the present that a member may be dead: it did not answer, directly or through others.
     pub(crate) fn suspect(&mut self, subject: u16) {
-        let incarnation = self.peers[usize::from(subject)].incarnation;
+        let incarnation = self.peers[subject].incarnation;
         self.set_state(subject, State::Suspect);
-        self.broadcasts.put(Broadcast { subject, incarnation, state: ReportedState::Suspect });
+        let state = ReportedState::Suspect;
+        self.dissemination.broadcasts.enqueue(Broadcast { subject, incarnation, state });
         self.begin_suspicion(subject);
     }
 
-    /// Ends a suspicion for good.
-    pub(crate) fn declare_gone(&mut self, subject: u16) {
-        let peer = &self.peers[usize::from(subject)];
-        let (incarnation, left) = (peer.incarnation, !peer.left_tellers.is_empty());
-        self.set_state(subject, if left { State::Left } else { State::Dead });
-        if left {
-            self.broadcasts.put(Broadcast { subject, incarnation, state: ReportedState::Left });
+    /// Ends a suspicion for good: the member is dead, or has left if any member reports that.
+    pub(crate) fn confirm_gone(&mut self, subject: u16) {
+        let peer = &self.peers[subject];
+        let (incarnation, has_left) = (peer.incarnation, peer.reports.any_left());
+        self.set_state(subject, if has_left { State::Left } else { State::Dead });
+        if has_left {
+            let state = ReportedState::Left;
+            self.dissemination.broadcasts.enqueue(Broadcast { subject, incarnation, state });
         }
     }
 
-    /// A member gave a sign of life, itself or through another.
-    pub(crate) fn gave_sign(&mut self, subject: u16) {
-        let now = self.now;
-        let peer = self.peer_mut(subject);
-        peer.gave_sign(now);
-        self.probes.end(subject);
-        if self.peers[usize::from(subject)].state != State::Alive {
-            self.broadcasts.withdraw(subject);
+    /// A member proved to be alive, itself or through another.
+    pub(crate) fn mark_alive(&mut self, subject: u16) {
+        self.peers[subject].mark_alive(self.now);
+        self.detector.probes.remove(subject);
+        if self.peers[subject].state != State::Alive {
+            self.dissemination.broadcasts.remove(subject);
             self.set_state(subject, State::Alive);
         }
     }
--- a/crates/gossip/src/keys.rs
+++ b/crates/gossip/src/keys.rs
@@ -1,28 +1,28 @@
-//! How a datagram proves who sent it, and to whom.
+//! Proofs of a datagram's sender and receiver.
 
-use crate::wire::To;
+use crate::recipient::To;
 use ed25519_dalek::{Signature, Signer, SigningKey, VerifyingKey};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
 /// Bytes of a key of either kind, written as twice as many hexadecimal digits.
-const KEY: usize = 32;
+const KEY_BYTES: usize = 32;
 /// Bytes of a tag: 128 bits, as strong as the key is against who may try only so many datagrams a second.
-const TAG: usize = 16;
+const TAG_BYTES: usize = 16;
 /// Keys of one use are not keys of another.
 const CONTEXT: &str = "cottonnotch 2026 gossip, shared key of datagrams, version 1";
-/// Stands for "all" where a receiver's ordinal would: no member has it.
-const ALL: u16 = u16::MAX;
+/// In place of a receiver's ordinal for datagrams to all: no member has it.
+const ALL_RECEIVERS: u16 = u16::MAX;
 
 /// How a sender is proven.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Strength {
-    /// By its address alone, for where nobody hands out keys: who can send from a peer's address speaks for it.
+    /// By its address alone, where no keys are handed out: whoever can send from a peer's address can forge its datagrams.
     Address,
-    /// By a tag under a key that all members share: a member that can send from another's address speaks for it.
+    /// By a tag under a key that all members share: a member that can send from another's address can forge its datagrams.
     Shared,
-    /// By a signature: a liar lies in its own name only.
+    /// By a signature: a faulty peer can send in its own name only.
     Signed,
 }
 
@@ -31,7 +31,7 @@
     pub const fn proof_bytes(self) -> usize {
         match self {
             Strength::Address => 0,
-            Strength::Shared => TAG,
+            Strength::Shared => TAG_BYTES,
             Strength::Signed => Signature::BYTE_SIZE,
         }
     }
@@ -43,11 +43,11 @@
 pub enum Keys {
     /// None.
     Address,
-    /// The first is used, both are taken.
+    /// The first signs, both verify.
     Shared(Vec<SharedKey>),
-    /// This proxy's own, and what is taken from each member, by ordinal.
+    /// This proxy's own, and those that verify each member's datagrams, by ordinal.
     Signed {
-        /// Signs.
+        /// This proxy's secret key.
         own: Box<SigningKey>,
         /// One or two for each member.
         public: Vec<Vec<VerifyingKey>>,
@@ -56,7 +56,7 @@
 
 /// A key made for this use from the operator's.
 #[derive(Clone, PartialEq, Eq)]
-pub struct SharedKey([u8; KEY]);
+pub struct SharedKey([u8; KEY_BYTES]);
 
 impl fmt::Debug for Keys {
     /// Never shows a secret.
@@ -111,11 +111,12 @@
     NotMine(usize),
 }
 
-fn hex(text: &[u8]) -> Option<[u8; KEY]> {
+/// The key that 64 hexadecimal digits stand for.
+fn parse_hex(text: &[u8]) -> Option<[u8; KEY_BYTES]> {
     let digit = |c: u8| char::from(c).to_digit(16).map(|digit| digit as u8);
-    let mut key = [0; KEY];
+    let mut key = [0; KEY_BYTES];
     let pairs = text.chunks_exact(2);
-    if text.len() != 2 * KEY {
+    if text.len() != 2 * KEY_BYTES {
         return None;
     }
     for (byte, pair) in key.iter_mut().zip(pairs) {
@@ -140,7 +141,7 @@
         let secrets = key_files
             .iter()
             .enumerate()
-            .map(|(n, text)| hex(text.trim_ascii()).ok_or(KeysError::Secret(n + 1)))
+            .map(|(n, text)| parse_hex(text.trim_ascii()).ok_or(KeysError::Secret(n + 1)))
             .collect::<Result<Vec<_>, _>>()?;
         match (strength, secrets.as_slice(), public_keys) {
             (Strength::Address, [], _) => Ok(Keys::Address),
@@ -154,7 +155,7 @@
             }
             (Strength::Signed, [secret], Some(public)) => {
                 let own = Box::new(SigningKey::from_bytes(secret));
-                let public = public_lines(public)?;
+                let public = parse_public_keys(public)?;
                 if public.len() != members as usize {
                     return Err(KeysError::Lines { lines: public.len(), members: members as usize });
                 }
@@ -169,7 +170,7 @@
 
     /// The public key that belongs to a secret one, in the form of `gossip.public_keys`; `None` if that isn't a key.
     pub fn public_of(key_file: &[u8]) -> Option<String> {
-        let public = SigningKey::from_bytes(&hex(key_file.trim_ascii())?).verifying_key();
+        let public = SigningKey::from_bytes(&parse_hex(key_file.trim_ascii())?).verifying_key();
         Some(public.as_bytes().iter().map(|byte| format!("{byte:02x}")).collect())
     }
 
@@ -182,18 +183,18 @@
         }
     }
 
-    /// Adds the proof. The receiver is proven too, but not sent: a datagram shown to somebody else proves nothing.
+    /// Appends the proof. It covers the receiver too, which is not sent: a datagram replayed to another member proves nothing.
     pub(crate) fn seal(&self, datagram: &mut Vec<u8>, to: To) {
         let to = match to {
             To::One(ordinal) => ordinal as u16,
-            To::All => ALL,
+            To::All => ALL_RECEIVERS,
         };
         match self {
             Keys::Address => {}
             Keys::Shared(keys) => {
                 if let Some(key) = keys.first() {
                     let tag = tag(key, to, datagram);
-                    datagram.extend_from_slice(&tag.as_bytes()[..TAG]);
+                    datagram.extend_from_slice(&tag.as_bytes()[..TAG_BYTES]);
                 }
             }
             Keys::Signed { own, .. } => {
@@ -205,7 +206,7 @@
 
     /// Whether the end of a datagram proves that this sender wrote it for that receiver (`None`: for all).
     pub(crate) fn proves(&self, sender: u16, to: Option<u16>, datagram: &[u8]) -> bool {
-        let to = to.unwrap_or(ALL);
+        let to = to.unwrap_or(ALL_RECEIVERS);
         let Some(length) = datagram.len().checked_sub(self.strength().proof_bytes()) else { return false };
         let (written, proof) = datagram.split_at(length);
         match self {
@@ -214,7 +215,7 @@
                 let tag = tag(key, to, written);
                 // Both ends alike, so that the comparison in constant time is that of the hash's own type.
                 let mut shown = *tag.as_bytes();
-                shown[..TAG].copy_from_slice(proof);
+                shown[..TAG_BYTES].copy_from_slice(proof);
                 tag == blake3::Hash::from_bytes(shown)
             }),
             Keys::Signed { public, .. } => {
@@ -227,13 +228,14 @@
     }
 }
 
-fn public_lines(text: &[u8]) -> Result<Vec<Vec<VerifyingKey>>, KeysError> {
+/// The public keys of each member, one line a member.
+fn parse_public_keys(text: &[u8]) -> Result<Vec<Vec<VerifyingKey>>, KeysError> {
     let mut members = Vec::new();
     for (n, line) in text.trim_ascii().split(|byte| *byte == b'\n').enumerate() {
         let keys = line
             .split(u8::is_ascii_whitespace)
             .filter(|word| !word.is_empty())
-            .map(|word| VerifyingKey::from_bytes(&hex(word)?).ok().filter(|key| !key.is_weak()));
+            .map(|word| VerifyingKey::from_bytes(&parse_hex(word)?).ok().filter(|key| !key.is_weak()));
         match keys.collect::<Option<Vec<_>>>() {
             Some(keys) if (1..=2).contains(&keys.len()) => members.push(keys),
             _ => return Err(KeysError::Line(n + 1)),
@@ -246,6 +248,7 @@
     blake3::keyed_hash(&key.0, &for_receiver(to, written))
 }
 
+/// What a proof covers: the receiver, then the datagram.
 fn for_receiver(to: u16, written: &[u8]) -> Vec<u8> {
     [&to.to_le_bytes(), written].concat()
 }
--- a/crates/gossip/src/keys_tests.rs
+++ b/crates/gossip/src/keys_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn file(byte: u8) -> Vec<u8> {
-    format!("{}\n", format!("{byte:02x}").repeat(KEY)).into_bytes()
+    format!("{}\n", format!("{byte:02x}").repeat(KEY_BYTES)).into_bytes()
 }
 
 fn signed(me: u32) -> Keys {
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn proves_the_sender_and_the_receiver_and_every_byte() {
+fn proof_covers_sender_receiver_and_bytes() {
     let shared = Keys::load(Strength::Shared, &[file(9)], None, 0, 3).unwrap();
     for (keys, binds_sender) in [(shared, false), (signed(1), true)] {
         let mut datagram = b"whatever".to_vec();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn faulty_files_are_named_and_never_shown() {
+fn errors_name_files_and_show_no_secret() {
     let load = |strength, files: &[Vec<u8>], public: Option<&str>| {
         Keys::load(strength, files, public.map(str::as_bytes), 0, 1).map(|keys| keys.strength())
     };
--- a/crates/gossip/src/local_state.rs
+++ b/crates/gossip/src/local_state.rs
@@ -1,103 +1,117 @@
-//! What this proxy tells of its endpoints, and which of it first.
+//! What this proxy reports of its endpoints, and in which order.
 
 use crate::entry::{EndpointDigest, Entry};
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Entries at most: five times the endpoints that the fleet has. Of more, those with the least load are not told.
-pub(crate) const MOST_ENTRIES: usize = 1_024;
-/// A change is told to each member so often at least, and so is that something is no more: at 30% loss one of 37 members
+/// Entries at most: five times the endpoints that the fleet has. Of more, those with the least load are not reported.
+pub(crate) const MAX_ENTRIES: usize = 1_024;
+/// A change is sent to each member so often at least, and so is that an entry became empty: at 30% loss one of 37 members
 /// misses it, until the rotation comes round.
-const TELL_CHANGES: u32 = 3;
+const TRANSMISSIONS_PER_CHANGE: u32 = 3;
 
 #[derive(Debug)]
-struct Mine {
-    now: Entry,
-    told: Entry,
+struct LocalEntry {
+    current: Entry,
+    last_sent: Entry,
     /// How much it changed when it did.
-    weight: u64,
-    /// Rounds in which that is still to be told.
-    untold: u32,
-    /// When it was last told.
-    round: u64,
+    change: u64,
+    /// Rounds in which the change is still to be sent.
+    rounds_left: u32,
+    /// The round in which it was last sent.
+    sent_in_round: u64,
+}
+
+impl LocalEntry {
+    fn new(endpoint: EndpointDigest) -> Self {
+        let empty = Entry::empty(endpoint);
+        LocalEntry { current: empty, last_sent: empty, change: 0, rounds_left: 0, sent_in_round: 0 }
+    }
+
+    /// Reaching all members once takes so many rounds.
+    fn update(&mut self, entry: Entry, rounds: u32) {
+        let change = entry.difference(&self.last_sent);
+        if change > 0 || (entry.is_empty() && !self.current.is_empty()) {
+            self.change = self.change.max(change);
+            self.rounds_left = rounds * TRANSMISSIONS_PER_CHANGE;
+        }
+        self.current = entry;
+    }
+
+    fn mark_sent(&mut self, entry: Entry, round: u64) {
+        self.last_sent = entry;
+        self.sent_in_round = round;
+        self.rounds_left = self.rounds_left.saturating_sub(1);
+        if self.rounds_left == 0 {
+            self.change = 0;
+        }
+    }
 }
 
-/// Own entries.
+/// This proxy's entries.
 #[derive(Debug, Default)]
-pub(crate) struct Own {
-    entries: BTreeMap<EndpointDigest, Mine>,
+pub(crate) struct LocalState {
+    entries: BTreeMap<EndpointDigest, LocalEntry>,
     round: u64,
 }
 
-impl Own {
-    /// The whole present list. Telling all members once takes so many rounds.
-    pub(crate) fn set(&mut self, mut list: Vec<Entry>, rounds: u32) {
-        list.retain(|entry| !entry.is_empty());
-        if list.len() > MOST_ENTRIES {
-            list.sort_by_key(|entry| {
-                std::cmp::Reverse((entry.load, entry.evidence.faults(), entry.connections))
-            });
-            list.truncate(MOST_ENTRIES);
-        }
+impl LocalState {
+    /// Takes the complete present list. Reaching all members once takes so many rounds.
+    pub(crate) fn replace(&mut self, list: Vec<Entry>, rounds: u32) {
         let mut list: BTreeMap<EndpointDigest, Entry> =
-            list.into_iter().map(|entry| (entry.endpoint, entry)).collect();
-        for (endpoint, mine) in &mut self.entries {
-            mine.update(list.remove(endpoint).unwrap_or(Entry::empty(*endpoint)), rounds);
+            heaviest(list).into_iter().map(|entry| (entry.endpoint, entry)).collect();
+        for (endpoint, known) in &mut self.entries {
+            known.update(list.remove(endpoint).unwrap_or(Entry::empty(*endpoint)), rounds);
         }
         for (endpoint, entry) in list {
-            let told = Entry::empty(endpoint);
-            let mut mine = Mine { now: told, told, weight: 0, untold: 0, round: 0 };
-            mine.update(entry, rounds);
-            self.entries.insert(endpoint, mine);
+            let mut added = LocalEntry::new(endpoint);
+            added.update(entry, rounds);
+            self.entries.insert(endpoint, added);
         }
     }
 
-    /// How many there are to tell of.
+    /// Entries that are not empty.
     pub(crate) fn len(&self) -> u32 {
-        self.entries.values().filter(|mine| !mine.now.is_empty()).count() as u32
+        self.entries.values().filter(|entry| !entry.current.is_empty()).count() as u32
     }
 
-    /// All, the most urgent first: one that changed, by how much, then one that was not told for longest, in turn.
-    pub(crate) fn in_order(&self) -> Vec<Entry> {
-        let mut by_weight: Vec<&Mine> = self.entries.values().filter(|mine| mine.untold > 0).collect();
-        let mut by_age: Vec<&Mine> = self.entries.values().collect();
-        by_weight.sort_by_key(|mine| std::cmp::Reverse((mine.weight, std::cmp::Reverse(mine.round))));
-        by_age.sort_by_key(|mine| mine.round);
+    /// All entries, the most urgent first: one that changed, by how much, then one that was not sent for longest, in turn.
+    pub(crate) fn by_urgency(&self) -> Vec<Entry> {
+        let mut by_change: Vec<&LocalEntry> =
+            self.entries.values().filter(|entry| entry.rounds_left > 0).collect();
+        let mut by_age: Vec<&LocalEntry> = self.entries.values().collect();
+        by_change.sort_by_key(|entry| Reverse((entry.change, Reverse(entry.sent_in_round))));
+        by_age.sort_by_key(|entry| entry.sent_in_round);
         // Half by half, so that much change never keeps the rest from coming round.
-        let (mut by_weight, mut by_age) = (by_weight.into_iter(), by_age.into_iter());
+        let (mut by_change, mut by_age) = (by_change.into_iter(), by_age.into_iter());
         let (mut order, mut taken) = (Vec::with_capacity(self.entries.len()), BTreeSet::new());
         while order.len() < self.entries.len() {
-            for next in [&mut by_weight, &mut by_age] {
-                order.extend(next.map(|mine| mine.now).find(|entry| taken.insert(entry.endpoint)));
+            for next in [&mut by_change, &mut by_age] {
+                order.extend(next.map(|entry| entry.current).find(|entry| taken.insert(entry.endpoint)));
             }
         }
         order
     }
 
-    /// These went out in one round.
-    pub(crate) fn told(&mut self, entries: &[Entry]) {
+    /// Notes that these were sent in one round.
+    pub(crate) fn mark_sent(&mut self, sent: &[Entry]) {
         self.round += 1;
-        for entry in entries {
-            let Some(mine) = self.entries.get_mut(&entry.endpoint) else { continue };
-            mine.told = *entry;
-            mine.round = self.round;
-            mine.untold = mine.untold.saturating_sub(1);
-            if mine.untold == 0 {
-                mine.weight = 0;
+        for entry in sent {
+            if let Some(known) = self.entries.get_mut(&entry.endpoint) {
+                known.mark_sent(*entry, self.round);
             }
         }
-        self.entries.retain(|_, mine| mine.untold > 0 || !mine.now.is_empty());
+        self.entries.retain(|_, entry| entry.rounds_left > 0 || !entry.current.is_empty());
     }
 }
 
-impl Mine {
-    fn update(&mut self, entry: Entry, rounds: u32) {
-        let differs = entry.differs(&self.told);
-        if differs > 0 || (entry.is_empty() && !self.now.is_empty()) {
-            self.weight = self.weight.max(differs);
-            self.untold = rounds * TELL_CHANGES;
-        }
-        self.now = entry;
+fn heaviest(mut list: Vec<Entry>) -> Vec<Entry> {
+    list.retain(|entry| !entry.is_empty());
+    if list.len() > MAX_ENTRIES {
+        list.sort_by_key(|entry| Reverse((entry.load, entry.evidence.faults(), entry.connections)));
+        list.truncate(MAX_ENTRIES);
     }
+    list
 }
 
 #[cfg(test)]
--- a/crates/gossip/src/probing.rs
+++ b/crates/gossip/src/probing.rs
@@ -1,291 +1,168 @@
-//! Asking silent members for a sign of life, and how long one that gives none is only suspected.
+//! Probing of silent members, and the suspicions that follow when they don't answer.
 //!
 //! SWIM (Das, Gupta, Motivala 2002) with Lifeguard's health and suspicion (Dadgar, Phillips, Currey 2018), and one rule more:
-//! a member is gone only if this one asked it itself, directly and through others, and got nothing.
+//! a member is dead only if this one probed it itself, directly and through others, and got no answer.
 
-use crate::peer::{MOST_TELLERS, State};
-use crate::wire::{Section, To};
-use crate::{Gossip, Micros, Purpose};
+use crate::peer::State;
+use crate::probes::{Probe, ProbeKind, ProbeStage, Relay};
+use crate::suspicion::{MIN_FAILED_CHECKS, NextStep, Suspicion, SuspicionTimeouts};
+use crate::wire::Section;
+use crate::{Gossip, Micros, Purpose, To};
 use rand::RngExt;
 use rand::seq::IndexedRandom;
-use std::collections::BTreeMap;
 
-/// Members through which one that does not answer is asked (SWIM's and memberlist's k).
-const HELPERS: usize = 3;
+/// Members through which one that does not answer is probed (SWIM's and memberlist's k).
+const INDIRECT_PROBES: usize = 3;
 /// With more suspects than this a partition is likelier than so many deaths: one other is asked for each, and no suspect more
-/// often than it must be, or asking all takes minutes.
-const MANY: usize = 8;
+/// often than it must be, or probing all of them takes minutes.
+const MANY_SUSPECTS: usize = 8;
 /// Longer than any suspicion lasts.
-const NOT_AGAIN: Micros = 1 << 50;
-/// Without confirmation a suspicion lasts this many times the least. Lifeguard has 6; own checks do a part of that here.
-const LONGEST_SUSPICION: i64 = 4;
-/// Checks of its own that must fail before a member is gone: one at 30% loss fails 1 of 9 times though all is well. Of one
-/// that says farewell, so many members tell that nothing more is waited for.
-const CHECKS: u32 = 2;
-/// A member that is gone is asked every so many periods, one of them at a time: a partition that heals is noticed by this.
-const GONE_EVERY: u64 = 3;
-/// Requests of others that wait for an answer: a flood of them takes no more memory.
-const MOST_RELAYS: usize = 64;
+const NEVER: Micros = 1 << 50;
+/// A member that is gone is probed every so many periods, one of them at a time: a partition that heals is noticed by this.
+const GONE_PROBE_PERIODS: u64 = 3;
+/// Suspicions are configured for up to so many members; for more they grow with the logarithm.
+const CONFIGURED_FOR_MEMBERS: u32 = 10;
 
-#[derive(Debug)]
-enum Stage {
-    /// Not asked yet, so that not all ask at once.
-    Waiting,
-    Direct,
-    /// These were asked to ask it.
-    Indirect(Vec<u16>),
-}
-
-#[derive(Debug)]
-struct Probe {
-    nonce: u16,
-    stage: Stage,
-    due: Micros,
-    /// Through others too, if it does not answer.
-    full: bool,
-}
-
-#[derive(Debug)]
-struct Relay {
-    asker: u16,
-    asker_nonce: u16,
-    target: u16,
-    until: Micros,
-}
-
-/// What was asked and waits for an answer.
-#[derive(Debug, Default)]
-pub(crate) struct Probes {
-    nonce: u16,
-    by_target: BTreeMap<u16, Probe>,
-    relays: BTreeMap<u16, Relay>,
-}
-
-impl Probes {
-    fn next_nonce(&mut self) -> u16 {
-        self.nonce = self.nonce.wrapping_add(1);
-        self.nonce
-    }
-
-    /// The member has spoken: nothing is to be asked.
-    pub(crate) fn end(&mut self, target: u16) {
-        self.by_target.remove(&target);
-    }
-
-    /// What made this member ask is void, if it has not asked yet.
-    pub(crate) fn end_unasked(&mut self, target: u16) {
-        if self.by_target.get(&target).is_some_and(|probe| matches!(probe.stage, Stage::Waiting)) {
-            self.by_target.remove(&target);
-        }
-    }
-
-    pub(crate) fn running(&self, target: u16) -> bool {
-        self.by_target.contains_key(&target)
-    }
-
-    pub(crate) fn keep_below(&mut self, members: u16) {
-        self.by_target.retain(|target, _| *target < members);
-        self.relays.retain(|_, relay| relay.asker < members && relay.target < members);
-    }
-
-    pub(crate) fn put_off(&mut self, longer: Micros) {
-        self.by_target.values_mut().for_each(|probe| probe.due += longer);
-    }
-}
-
-/// Since when, and what was tried.
-#[derive(Debug)]
-pub(crate) struct Suspicion {
-    began: Micros,
-    /// Own checks that failed, and when the last did.
-    failures: u32,
-    failed_at: Micros,
-    next_check: Micros,
-}
-
-/// What is to be done about a suspect, and when.
-enum Due {
-    /// Ask it.
-    Check(Micros),
-    /// Believe that it is gone.
-    Gone(Micros),
-}
-
-impl Suspicion {
-    pub(crate) fn put_off(&mut self, longer: Micros) {
-        self.began += longer;
-        self.failed_at += longer;
-        self.next_check += longer;
-    }
-}
-
-/// How long suspicions last: Lifeguard, section IV-C.
-struct Spans {
-    least: Micros,
-    /// Members that could confirm one.
-    able: usize,
-}
-
-impl Spans {
-    /// From the longest towards the least, as so many independent members confirm what this one's own checks found.
-    fn with(&self, accusers: usize) -> Micros {
-        if self.able == 0 {
-            return self.least;
-        }
-        let part = ((accusers.min(self.able) + 1) as f64).ln() / ((self.able + 1) as f64).ln();
-        let longest = self.least * LONGEST_SUSPICION;
-        longest - ((longest - self.least) as f64 * part) as Micros
+impl Gossip {
+    /// How long an answer may take, as far as this member trusts its own timing.
+    fn probe_timeout(&self) -> Micros {
+        self.settings.probe_timeout * self.detector.health.multiplier()
     }
-}
 
-impl Gossip {
-    /// How long an answer may take, as far as this member trusts its own ears.
-    fn patience(&self) -> Micros {
-        self.settings.probe_timeout * self.health.factor()
+    fn suspicion_timeouts(&self) -> SuspicionTimeouts {
+        SuspicionTimeouts::new(self.min_suspicion(), self.alive())
     }
 
-    /// The span of a suspicion from what it depends on for all suspects alike.
-    fn spans(&self) -> Spans {
-        let able = MOST_TELLERS.min((self.alive() as usize).saturating_sub(2));
-        Spans { least: self.least_suspicion(), able }
+    /// The least that a suspicion lasts: grows with the logarithm of the members, as the time does in which a refutation
+    /// reaches all.
+    fn min_suspicion(&self) -> Micros {
+        let members = f64::from(self.alive().max(CONFIGURED_FOR_MEMBERS));
+        (self.settings.suspicion as f64 * members.log10()) as Micros * self.detector.health.multiplier()
     }
 
-    /// The least that a suspicion lasts: grows with the logarithm of the members, as the time does in which a contradiction
-    /// gets round.
-    fn least_suspicion(&self) -> Micros {
-        let members = f64::from(self.alive().max(10));
-        (self.settings.suspicion as f64 * members.log10()) as Micros * self.health.factor()
+    /// Between a check that failed and the next. Few members can afford to go on without a pause.
+    fn check_interval(&self) -> Micros {
+        if self.reaches_all_each_period() { 0 } else { self.settings.period }
     }
 
-    /// What comes next of a suspicion, and when.
-    fn due(&self, subject: u16, suspicion: &Suspicion, spans: &Spans) -> Due {
-        let peer = &self.peers[usize::from(subject)];
-        let span = if peer.left_tellers.len() < MOST_TELLERS { spans.with(peer.accusers.len()) } else { 0 };
-        let end = (suspicion.began + span).max(self.now);
-        if suspicion.failures < CHECKS || suspicion.next_check < end {
-            Due::Check(suspicion.next_check)
-        } else if suspicion.failed_at + spans.least < end {
-            // What failed long ago proves nothing: a partition may have healed since.
-            Due::Check(end)
-        } else {
-            Due::Gone(end)
-        }
+    /// In how long members spread a probe that all of them are prompted to by the same report, so that not all probe at once.
+    pub(crate) fn probe_spread(&self) -> Micros {
+        self.settings.probe_timeout * if self.reaches_all_each_period() { 1 } else { 2 }
     }
 
+    /// When a probe or a suspicion is due next.
     pub(crate) fn next_probe_timeout(&self) -> Option<Micros> {
-        let probes = self.probes.by_target.values().map(|probe| probe.due);
-        let spans = self.spans();
-        let suspicions = self.suspicions.iter().filter_map(|(subject, suspicion)| {
-            match self.due(*subject, suspicion, &spans) {
-                Due::Check(_) if self.probes.running(*subject) => None,
-                Due::Check(at) | Due::Gone(at) => Some(at),
-            }
-        });
-        probes.chain(suspicions).min()
+        let timeouts = self.suspicion_timeouts();
+        let next_step = |(subject, suspicion): (&u16, &Suspicion)| match suspicion.next_step(
+            self.now,
+            &self.peers[*subject],
+            &timeouts,
+        ) {
+            NextStep::Check(_) if self.detector.probes.is_probing(*subject) => None,
+            NextStep::Check(at) | NextStep::Confirm(at) => Some(at),
+        };
+        let suspicions = self.detector.suspicions.iter().filter_map(next_step);
+        self.detector.probes.next_due().into_iter().chain(suspicions).min()
     }
 
-    /// Asks a member for a sign of life, unless that is being done; `full`: through others too.
-    pub(crate) fn probe(&mut self, target: u16, full: bool) {
-        self.probe_within(target, full, 0);
+    /// Probes a member, unless that is being done.
+    pub(crate) fn probe(&mut self, target: u16, kind: ProbeKind) {
+        self.probe_within(target, kind, 0);
     }
 
     /// The same within so long, at random if there are many who may do it at the same time.
-    pub(crate) fn probe_within(&mut self, target: u16, full: bool, within: Micros) {
-        if self.probes.by_target.contains_key(&target) {
+    pub(crate) fn probe_within(&mut self, target: u16, kind: ProbeKind, within: Micros) {
+        if self.detector.probes.is_probing(target) {
             return;
         }
-        let wait = if within > 0 { self.chance.random_range(0..=within) } else { 0 };
-        let nonce = self.probes.next_nonce();
-        self.probes
-            .by_target
-            .insert(target, Probe { nonce, stage: Stage::Waiting, due: self.now + wait, full });
+        let wait = if within > 0 { self.rng.random_range(0..=within) } else { 0 };
+        let nonce = self.detector.probes.next_nonce();
+        let probe = Probe { nonce, stage: ProbeStage::Waiting, due: self.now + wait, kind };
+        self.detector.probes.insert(target, probe);
         if wait == 0 {
-            self.next_stage(target);
+            self.advance_probe(target);
         }
     }
 
-    /// In how long members spread a check that all of them are moved to by the same word, so that not all ask at once.
-    pub(crate) fn spread(&self) -> Micros {
-        self.settings.probe_timeout * if self.few() { 1 } else { 2 }
-    }
-
-    /// After a first check that failed.
+    /// Believes for the present that a member may be dead: it did not answer, directly or through others.
     pub(crate) fn begin_suspicion(&mut self, subject: u16) {
-        let suspicion = Suspicion {
-            began: self.now,
-            failures: 1,
-            failed_at: self.now,
-            next_check: self.now + self.check_every(),
-        };
-        self.suspicions.insert(subject, suspicion);
-    }
-
-    /// Between a check that failed and the next. Few members can afford to go on without a pause.
-    fn check_every(&self) -> Micros {
-        if self.few() { 0 } else { self.settings.period }
+        let suspicion = Suspicion::begin(self.now, self.check_interval());
+        self.detector.suspicions.insert(subject, suspicion);
     }
 
+    /// Advances the probes and suspicions that are due.
     pub(crate) fn run_probes(&mut self) {
-        let due = |(target, probe): (&u16, &Probe)| (probe.due <= self.now).then_some(*target);
-        let due: Vec<u16> = self.probes.by_target.iter().filter_map(due).collect();
-        due.into_iter().for_each(|target| self.next_stage(target));
-        let spans = self.spans();
-        let due =
-            |(subject, suspicion): (&u16, &Suspicion)| (*subject, self.due(*subject, suspicion, &spans));
-        let due: Vec<(u16, Due)> = self.suspicions.iter().map(due).collect();
-        for (subject, due) in due {
-            match due {
-                Due::Gone(at) if at <= self.now => self.declare_gone(subject),
-                Due::Check(at) if at <= self.now => self.probe(subject, true),
+        for target in self.detector.probes.due(self.now) {
+            self.advance_probe(target);
+        }
+        let timeouts = self.suspicion_timeouts();
+        let next_step = |(subject, suspicion): (&u16, &Suspicion)| {
+            (*subject, suspicion.next_step(self.now, &self.peers[*subject], &timeouts))
+        };
+        let next_steps: Vec<(u16, NextStep)> = self.detector.suspicions.iter().map(next_step).collect();
+        for (subject, step) in next_steps {
+            match step {
+                NextStep::Confirm(at) if at <= self.now => self.confirm_gone(subject),
+                NextStep::Check(at) if at <= self.now => self.probe(subject, ProbeKind::WithIndirect),
                 _ => {}
             }
         }
     }
 
-    fn next_stage(&mut self, target: u16) {
-        let patience = self.patience();
-        let Some(mut probe) = self.probes.by_target.remove(&target) else { return };
-        let ping = [Section::Ping { nonce: probe.nonce }];
+    /// Goes on with a probe: a ping, then indirect ones, then the check has failed.
+    fn advance_probe(&mut self, target: u16) {
+        let Some(mut probe) = self.detector.probes.remove(target) else { return };
         match probe.stage {
-            Stage::Waiting => {
-                if self.send(To::One(target.into()), Purpose::Probe, &ping) {
-                    probe.stage = Stage::Direct;
-                    probe.due = self.now + patience;
-                } else {
-                    probe.due = self.later();
-                }
+            ProbeStage::Waiting => self.begin_direct(target, &mut probe),
+            ProbeStage::Direct if probe.kind == ProbeKind::WithIndirect => {
+                self.begin_indirect(target, &mut probe)
+            }
+            ProbeStage::Direct | ProbeStage::Indirect(_) => return self.check_failed(target),
+        }
+        self.detector.probes.insert(target, probe);
+    }
+
+    fn begin_direct(&mut self, target: u16, probe: &mut Probe) {
+        let timeout = self.probe_timeout();
+        if self.send(To::One(target.into()), Purpose::Probe, &[Section::Ping { nonce: probe.nonce }]) {
+            probe.stage = ProbeStage::Direct;
+            probe.due = self.now + timeout;
+        } else {
+            probe.due = self.retry_time();
+        }
+    }
+
+    fn begin_indirect(&mut self, target: u16, probe: &mut Probe) {
+        let timeout = self.probe_timeout();
+        match self.send_indirect_pings(target, probe.nonce) {
+            Some(helpers) => {
+                probe.stage = ProbeStage::Indirect(helpers);
+                probe.due = self.now + 2 * timeout;
             }
-            Stage::Direct if probe.full => match self.ask_others(target, probe.nonce) {
-                Some(helpers) => {
-                    probe.stage = Stage::Indirect(helpers);
-                    probe.due = self.now + 2 * patience;
-                }
-                None => probe.due = self.later(),
-            },
-            Stage::Direct | Stage::Indirect(_) => return self.gave_no_sign(target),
+            None => probe.due = self.retry_time(),
         }
-        self.probes.by_target.insert(target, probe);
     }
 
-    /// When to try again what the ceiling held back. It asked nobody, so it must not count as unanswered: among hundreds that
-    /// made new suspects faster than they could contradict.
-    fn later(&mut self) -> Micros {
+    /// When to retry what the bandwidth limit withheld. It was not sent, so it must not count as unanswered: among hundreds
+    /// of members that made new suspects faster than they could refute.
+    fn retry_time(&mut self) -> Micros {
         let period = self.settings.period;
-        self.now + self.chance.random_range(period / 2..=period)
+        self.now + self.rng.random_range(period / 2..=period)
     }
 
-    /// Asks others to ask it, and once more itself, for one datagram lost is the likeliest cause; whom. `None`: the ceiling
-    /// has no room for that.
-    fn ask_others(&mut self, target: u16, nonce: u16) -> Option<Vec<u16>> {
+    /// Asks others to ping it, and pings once more itself, for one datagram lost is the likeliest cause; returns whom. `None`: the
+    /// bandwidth limit has no room for that.
+    fn send_indirect_pings(&mut self, target: u16, nonce: u16) -> Option<Vec<u16>> {
         let able: Vec<u16> = self
-            .others()
-            .filter(|other| *other != target && self.peers[usize::from(*other)].state == State::Alive)
+            .peers
+            .iter()
+            .filter(|(other, peer)| *other != target && peer.state == State::Alive)
+            .map(|(other, _)| other)
             .collect();
-        let most = if self.suspicions.len() > MANY { 1 } else { HELPERS };
-        let mut helpers: Vec<u16> = able.sample(&mut self.chance, most).copied().collect();
-        // All or nothing: half of it, tried again and again, would leave no room for anything.
-        if !self.ceiling.has_room(self.now, Purpose::Probe, helpers.len() as u64 + 1, 0) {
-            self.counts.withhold(Purpose::Probe);
+        let count = if self.has_many_suspects() { 1 } else { INDIRECT_PROBES };
+        let mut helpers: Vec<u16> = able.sample(&mut self.rng, count).copied().collect();
+        // All or nothing: half of it, retried again and again, would leave no room for anything.
+        if !self.has_bandwidth(Purpose::Probe, helpers.len() as u64 + 1, 0) {
             return None;
         }
         helpers.retain(|helper| {
@@ -295,95 +172,102 @@
         (able.is_empty() || !helpers.is_empty()).then_some(helpers)
     }
 
-    fn gave_no_sign(&mut self, target: u16) {
-        match self.peers[usize::from(target)].state {
+    fn has_many_suspects(&self) -> bool {
+        self.detector.suspicions.len() > MANY_SUSPECTS
+    }
+
+    /// A probe had no answer.
+    fn check_failed(&mut self, target: u16) {
+        match self.peers[target].state {
             State::Alive => self.suspect(target),
-            State::Suspect => {
-                let (few, many) = (self.few(), self.suspicions.len() > MANY);
-                let (every, seldom) = (self.check_every(), self.least_suspicion() / 2);
-                let Some(suspicion) = self.suspicions.get_mut(&target) else { return };
-                suspicion.failures += 1;
-                suspicion.failed_at = self.now;
-                // Enough of them: what may be asked is for others, of whom many may be doubted at once.
-                let wait = match suspicion.failures {
-                    ..CHECKS => every,
-                    _ if few => every,
-                    _ if many => NOT_AGAIN,
-                    _ => seldom,
-                };
-                suspicion.next_check = self.now + wait;
-            }
+            State::Suspect => self.suspect_check_failed(target),
             State::Dead | State::Left => {}
         }
     }
 
-    /// Each period: who was not heard lately is asked; if there are many, only the next of them, since others ask the others.
-    pub(crate) fn ask_the_silent(&mut self) {
-        let most = if self.few() { self.peers.len() } else { 1 };
-        let (peers, spoke_since) = (&self.peers, self.now - self.settings.silence);
-        let silent = |other: u16| {
-            let peer = &peers[usize::from(other)];
-            peer.state == State::Alive && peer.sign <= spoke_since
+    fn suspect_check_failed(&mut self, target: u16) {
+        let (few_members, many_suspects) = (self.reaches_all_each_period(), self.has_many_suspects());
+        let (interval, rare_interval) = (self.check_interval(), self.min_suspicion() / 2);
+        let Some(suspicion) = self.detector.suspicions.get_mut(&target) else { return };
+        suspicion.add_failed_check(self.now);
+        // Enough of them: the bandwidth for probes is for others, of whom many may be suspected at once.
+        let pause = match suspicion.failed_checks {
+            ..MIN_FAILED_CHECKS => interval,
+            _ if few_members => interval,
+            _ if many_suspects => NEVER,
+            _ => rare_interval,
         };
-        let doubted =
-            |other: &u16| peers[usize::from(*other)].to_ask && silent(*other) && self.may_ask_by_word(*other);
-        let doubted: Vec<u16> = self.others().filter(doubted).collect();
-        for target in self.asked.next(most, &mut self.chance, silent) {
-            self.probe(target, true);
+        suspicion.check_at(self.now + pause);
+    }
+
+    /// Each period: members that were not heard lately are probed; among many, only the next of them, since others probe the
+    /// others.
+    pub(crate) fn probe_silent_members(&mut self) {
+        let count = if self.reaches_all_each_period() { self.peers.members() } else { 1 };
+        let accused: Vec<u16> = self.peers.ordinals().filter(|other| self.is_to_be_probed(*other)).collect();
+        let (peers, silent_since) = (&self.peers, self.now - self.settings.silence);
+        let is_silent =
+            |other: u16| peers[other].state == State::Alive && peers[other].last_alive_at <= silent_since;
+        for target in self.detector.rotation.next(count, &mut self.rng, is_silent) {
+            self.probe(target, ProbeKind::WithIndirect);
         }
-        for target in doubted {
-            let now = self.now;
-            self.peer_mut(target).asked_by_word = Some(now);
-            self.probe(target, true);
+        for target in accused {
+            self.peers[target].prompted_at = Some(self.now);
+            self.probe(target, ProbeKind::WithIndirect);
         }
-        if self.periods.is_multiple_of(GONE_EVERY) {
-            let gone: Vec<u16> =
-                self.others().filter(|other| !self.peers[usize::from(*other)].state.is_active()).collect();
-            if let Some(target) = gone.choose(&mut self.chance) {
-                self.probe(*target, false);
-            }
+        if self.schedule.periods.is_multiple_of(GONE_PROBE_PERIODS) {
+            self.probe_gone_member();
+        }
+    }
+
+    /// Whether a member was accused, has fallen silent since, and may be probed for that.
+    fn is_to_be_probed(&self, other: u16) -> bool {
+        let peer = &self.peers[other];
+        peer.reports.probe_when_silent
+            && peer.state == State::Alive
+            && peer.last_alive_at <= self.now - self.settings.silence
+            && self.may_be_prompted_to_probe(other)
+    }
+
+    fn probe_gone_member(&mut self) {
+        let is_gone = |other: &u16| !self.peers[*other].state.is_active();
+        let gone: Vec<u16> = self.peers.ordinals().filter(is_gone).collect();
+        if let Some(target) = gone.choose(&mut self.rng) {
+            self.probe(*target, ProbeKind::DirectOnly);
         }
     }
 
-    pub(crate) fn asked_to_ping(&mut self, asker: u16, asker_nonce: u16, target: u16) {
-        let now = self.now;
-        self.probes.relays.retain(|_, relay| relay.until > now);
-        let known = usize::from(target) < self.peers.len() && target != self.me && target != asker;
-        if known {
+    /// Another member asks to ping this one for it.
+    pub(crate) fn receive_indirect_ping(&mut self, requester: u16, requester_nonce: u16, target: u16) {
+        self.detector.probes.expire_relays(self.now);
+        let is_known = self.peers.contains(target) && target != self.identity.ordinal && target != requester;
+        if is_known {
             // It asks because the target did not answer it.
-            self.peer_mut(target).accused_by(asker);
+            self.peers[target].reports.add_accuser(requester);
         }
-        // One that doubts it too asks for itself: in a partition it would ask for everybody, and get to nothing else.
-        let in_vain = self.suspicions.contains_key(&target);
-        if !known || in_vain || self.probes.relays.len() >= MOST_RELAYS {
+        // A suspect is probed on this member's own behalf: in a partition it would ping for everybody, and get to nothing else.
+        let is_suspect = self.detector.suspicions.contains_key(&target);
+        if !is_known || is_suspect || !self.detector.probes.has_room_for_relay() {
             return;
         }
-        let nonce = self.probes.next_nonce();
-        let until = now + 2 * self.settings.probe_timeout;
-        self.probes.relays.insert(nonce, Relay { asker, asker_nonce, target, until });
+        let expires_at = self.now + 2 * self.settings.probe_timeout;
+        let nonce = self.detector.probes.add_relay(Relay { requester, requester_nonce, target, expires_at });
         self.send(To::One(target.into()), Purpose::Answer, &[Section::Ping { nonce }]);
     }
 
-    pub(crate) fn acknowledged(&mut self, from: u16, nonce: u16) {
-        // The datagram itself was the sign; here only who asked for it.
-        let now = self.now;
-        let Some(relay) = self.probes.relays.get(&nonce).filter(|relay| relay.target == from) else { return };
-        if relay.until > now {
-            let vouch = Section::IndirectAck { nonce: relay.asker_nonce };
-            self.send(To::One(relay.asker.into()), Purpose::Answer, &[vouch]);
+    /// A member answers a ping. The datagram itself proved it alive; here only the member that asked for the ping is answered.
+    pub(crate) fn receive_ack(&mut self, from: u16, nonce: u16) {
+        let Some(relay) = self.detector.probes.remove_relay(from, nonce) else { return };
+        if relay.expires_at > self.now {
+            let ack = Section::IndirectAck { nonce: relay.requester_nonce };
+            self.send(To::One(relay.requester.into()), Purpose::Answer, &[ack]);
         }
-        self.probes.relays.remove(&nonce);
     }
 
-    /// Counts only from who was asked.
-    pub(crate) fn vouched(&mut self, helper: u16, nonce: u16) {
-        let asked = |probe: &Probe| {
-            probe.nonce == nonce
-                && matches!(&probe.stage, Stage::Indirect(helpers) if helpers.contains(&helper))
-        };
-        let target = self.probes.by_target.iter().find(|(_, probe)| asked(probe)).map(|(target, _)| *target);
-        if let Some(target) = target {
-            self.gave_sign(target);
+    /// A helper reports that the member which it was asked to ping has answered. Counts only from members that were asked.
+    pub(crate) fn receive_indirect_ack(&mut self, helper: u16, nonce: u16) {
+        if let Some(target) = self.detector.probes.target_of_indirect(helper, nonce) {
+            self.mark_alive(target);
         }
     }
 }
--- a/crates/gossip/src/receiving.rs
+++ b/crates/gossip/src/receiving.rs
@@ -1,35 +1,47 @@
-//! A datagram that came in. Checked in the order of cost: a flood costs a look-up.
+//! A datagram that arrived. Checked in the order of cost: a flood costs a look-up.
 
-use crate::gossip::Output;
-use crate::peer::{Heard, State};
-use crate::wire::{self, Broadcast, Header, ReportedState, Section, To};
-use crate::{DropReason, Gossip, Purpose};
+use crate::interface::Output;
+use crate::peer::{Peer, Session, State};
+use crate::wire::{self, Broadcast, Header, ReportedState, Section};
+use crate::{DropReason, Gossip, Incarnation, Purpose, To};
+
+/// Whether the sender leaves with this datagram.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Presence {
+    Stays,
+    Leaves,
+}
+
+/// What a datagram says of its sender's process.
+#[derive(Clone, Copy, Debug)]
+struct Contact {
+    /// Nothing was received from the sender before.
+    is_first: bool,
+    /// The process is another one than before.
+    is_new_process: bool,
+    /// The incarnation is newer than the one known.
+    is_newer: bool,
+}
 
 impl Gossip {
-    pub(crate) fn datagram(&mut self, from: Option<u32>, bytes: &[u8]) {
+    /// Takes a datagram from the member with this address.
+    pub(crate) fn receive(&mut self, from: Option<u32>, bytes: &[u8]) {
         self.counts.received += 1;
         self.counts.received_bytes += bytes.len() as u64;
         match self.admit(from, bytes) {
-            Ok((header, parts)) => {
-                // A process that leaves has nothing to say but that.
-                if self.leaving.is_none() {
-                    self.take(header, parts);
+            Ok((header, sections)) => {
+                // A process that leaves has nothing to send but farewells.
+                if self.farewell.is_none() {
+                    self.process(header, sections);
                 }
             }
-            Err(why) => self.counts.drop(why),
+            Err(reason) => self.counts.drop(reason),
         }
     }
 
     /// The datagram's content, if it is one, is new, and is its sender's. A dropped one changes nothing but counts.
     fn admit(&mut self, from: Option<u32>, bytes: &[u8]) -> Result<(Header, Vec<Section>), DropReason> {
-        let from = from.and_then(|from| u16::try_from(from).ok()).ok_or(DropReason::UnknownSender)?;
-        if from == self.me || usize::from(from) >= self.peers.len() {
-            return Err(DropReason::UnknownSender);
-        }
-        let now = self.now;
-        if !self.peer_mut(from).inbound.take(now) || !self.inbound.take(now) {
-            return Err(DropReason::RateLimited);
-        }
+        let from = self.admit_sender(from)?;
         let proof = self.settings.strength.proof_bytes();
         if bytes.len() > wire::LONGEST || bytes.len() <= proof {
             return Err(DropReason::Length);
@@ -40,131 +52,179 @@
             _ => return Err(DropReason::NewerVersion),
         }
         let (header, length) = Header::read(bytes).map_err(|_| DropReason::Malformed)?;
+        self.check_header(from, &header)?;
+        let body = bytes.get(length..bytes.len() - proof).ok_or(DropReason::Length)?;
+        if !self.keys.proves(from, (!header.to_all).then_some(self.identity.ordinal), bytes) {
+            return Err(DropReason::Forged);
+        }
+        let sections = wire::read_sections(body).map_err(|_| DropReason::Malformed)?;
+        Ok((header, sections))
+    }
+
+    /// The sender's ordinal, if it is another member whose datagrams may still be looked at.
+    fn admit_sender(&mut self, from: Option<u32>) -> Result<u16, DropReason> {
+        let from = from.and_then(|from| u16::try_from(from).ok()).ok_or(DropReason::UnknownSender)?;
+        if from == self.identity.ordinal || !self.peers.contains(from) {
+            return Err(DropReason::UnknownSender);
+        }
+        let now = self.now;
+        if !self.peers[from].limits.inbound.try_take(now) || !self.limits.inbound.try_take(now) {
+            return Err(DropReason::RateLimited);
+        }
+        Ok(from)
+    }
+
+    /// Whether the header is this sender's and new, as far as can be told before the proof is checked.
+    fn check_header(&mut self, from: u16, header: &Header) -> Result<(), DropReason> {
         if header.strength != self.settings.strength {
             return Err(DropReason::WrongStrength);
         }
         if header.sender != from {
             return Err(DropReason::WrongSender);
         }
-        if let Some(heard) = self.peers[usize::from(from)].heard {
-            if header.incarnation < heard.incarnation {
-                self.correct(from);
-                return Err(DropReason::Superseded);
-            }
-            // Within a life the counter goes on when the turn does.
-            if header.incarnation.generation == heard.incarnation.generation
-                && !heard.window.fresh(header.counter)
-            {
-                return Err(DropReason::Replayed);
-            }
+        let Some(session) = self.peers[from].session else { return Ok(()) };
+        if header.incarnation < session.incarnation {
+            self.send_correction(from, session.incarnation);
+            return Err(DropReason::Superseded);
         }
-        let body = bytes.get(length..bytes.len() - proof).ok_or(DropReason::Length)?;
-        if !self.keys.proves(from, (!header.to_all).then_some(self.me), bytes) {
-            return Err(DropReason::Forged);
+        // Within a process the counter goes on when it refutes.
+        let same_process = header.incarnation.generation == session.incarnation.generation;
+        if same_process && !session.window.accepts(header.counter) {
+            return Err(DropReason::Replayed);
         }
-        let parts = wire::read_sections(body).map_err(|_| DropReason::Malformed)?;
-        Ok((header, parts))
+        Ok(())
     }
 
-    /// Tells a member that it is known by a newer incarnation than it uses: its clock went back between two lives, and it
-    /// can't be heard before it goes beyond. At most once a period, for this is an answer to what nothing proves.
-    fn correct(&mut self, member: u16) {
+    /// Tells a member that it is known by a newer incarnation than it uses: its clock went back between two processes, and it
+    /// can't be heard before it goes beyond. At most once a period, for this answers a datagram that nothing proves.
+    fn send_correction(&mut self, member: u16, incarnation: Incarnation) {
         let (now, period) = (self.now, self.settings.period);
-        let peer = self.peer_mut(member);
-        if peer.corrected.is_some_and(|at| now - at < period) {
+        let peer = &mut self.peers[member];
+        if peer.corrected_at.is_some_and(|at| now - at < period) {
             return;
         }
-        peer.corrected = Some(now);
-        let Some(heard) = peer.heard else { return };
-        let broadcast =
-            Broadcast { subject: member, incarnation: heard.incarnation, state: ReportedState::Alive };
+        peer.corrected_at = Some(now);
+        let broadcast = Broadcast { subject: member, incarnation, state: ReportedState::Alive };
         self.send(To::One(member.into()), Purpose::Answer, &[Section::Broadcasts(vec![broadcast])]);
     }
 
-    fn take(&mut self, header: Header, parts: Vec<Section>) {
-        let from = header.sender;
-        let leaves = parts.contains(&Section::Leave);
-        if !self.heard(&header, leaves) {
+    /// Processes the content of a fresh, authentic datagram.
+    fn process(&mut self, header: Header, sections: Vec<Section>) {
+        let leaves = sections.contains(&Section::Leave);
+        let presence = if leaves { Presence::Leaves } else { Presence::Stays };
+        if !self.record_contact(&header, presence) {
             return;
         }
-        let now = self.now;
-        for part in parts {
-            let asks = matches!(part, Section::Ping { .. } | Section::IndirectPing { .. });
-            if asks && !self.peer_mut(from).questions.take(now) {
+        for section in sections {
+            let is_request = matches!(section, Section::Ping { .. } | Section::IndirectPing { .. });
+            if is_request && !self.peers[header.sender].limits.requests.try_take(self.now) {
                 self.counts.withhold(Purpose::Answer);
                 continue;
             }
-            match part {
-                Section::Ping { nonce } => {
-                    self.send(To::One(from.into()), Purpose::Answer, &[Section::Ack { nonce }]);
-                }
-                Section::Ack { nonce } => self.acknowledged(from, nonce),
-                Section::IndirectPing { nonce, target } => self.asked_to_ping(from, nonce, target),
-                Section::IndirectAck { nonce } => self.vouched(from, nonce),
-                Section::Leave => {}
-                Section::Broadcasts(broadcasts) => {
-                    broadcasts.into_iter().for_each(|broadcast| self.told_of(from, broadcast))
-                }
-                Section::Digest { total, entries } if !leaves => {
-                    let news = self.peer_mut(from).told.take(header.counter, now, total, &entries);
-                    if !news.is_empty() {
-                        self.output(Output::PeerReport { from: from.into(), entries: news });
-                    }
+            self.process_section(&header, presence, section);
+        }
+    }
+
+    fn process_section(&mut self, header: &Header, presence: Presence, section: Section) {
+        let from = header.sender;
+        match section {
+            Section::Ping { nonce } => {
+                self.send(To::One(from.into()), Purpose::Answer, &[Section::Ack { nonce }]);
+            }
+            Section::Ack { nonce } => self.receive_ack(from, nonce),
+            Section::IndirectPing { nonce, target } => self.receive_indirect_ping(from, nonce, target),
+            Section::IndirectAck { nonce } => self.receive_indirect_ack(from, nonce),
+            Section::Broadcasts(broadcasts) => {
+                broadcasts.into_iter().for_each(|broadcast| self.receive_broadcast(from, broadcast));
+            }
+            Section::Digest { total, entries } if presence == Presence::Stays => {
+                let state = &mut self.peers[from].reported_state;
+                let news = state.merge(header.counter, self.now, total, &entries);
+                if !news.is_empty() {
+                    self.output(Output::PeerReport { from: from.into(), entries: news });
                 }
-                Section::Digest { .. } => {}
             }
+            Section::Leave | Section::Digest { .. } => {}
         }
     }
 
-    /// Notes a fresh, authentic datagram: its sender lives, unless it says farewell, or said so after sending this.
-    fn heard(&mut self, header: &Header, leaves: bool) -> bool {
-        let (now, ordinal) = (self.now, header.sender);
-        let peer = self.peer_mut(ordinal);
-        let news = header.incarnation > peer.incarnation;
-        let (first, new_life) = match peer.heard {
-            None => (true, false),
-            Some(heard) => (false, heard.incarnation.generation != header.incarnation.generation),
-        };
-        if first || new_life {
-            peer.heard = Some(Heard { incarnation: header.incarnation, window: Default::default() });
-            peer.told = Default::default();
-            peer.farewell = None;
-        }
-        if let Some(heard) = &mut peer.heard {
-            heard.incarnation = header.incarnation;
-            heard.window.note(header.counter);
-        }
-        // Before it was heard, a liar could say any number of it.
-        if news || !peer.incarnation.plausible_after(header.incarnation) {
-            peer.incarnation = header.incarnation;
-        }
-        if leaves {
-            peer.farewell = peer.farewell.max(Some(header.counter));
-        } else if peer.farewell.is_some_and(|farewell| header.counter < farewell) {
+    /// Notes a fresh, authentic datagram: its sender is alive, unless it says farewell, or said so after sending this. Whether its
+    /// content counts.
+    fn record_contact(&mut self, header: &Header, presence: Presence) -> bool {
+        let contact = self.peers[header.sender].record_datagram(header);
+        if !self.peers[header.sender].record_presence(header, presence) {
             return false;
-        } else {
-            peer.farewell = None;
         }
+        match presence {
+            Presence::Leaves => self.record_farewell(header.sender),
+            Presence::Stays => self.record_alive(header.sender, contact),
+        }
+        true
+    }
+
+    fn record_farewell(&mut self, ordinal: u16) {
+        let peer = &mut self.peers[ordinal];
+        peer.mark_alive(self.now);
         let (state, incarnation) = (peer.state, peer.incarnation);
-        if leaves {
-            peer.gave_sign(now);
-            self.probes.end(ordinal);
-            if state != State::Left {
-                self.set_state(ordinal, State::Left);
-                self.broadcasts.put(Broadcast { subject: ordinal, incarnation, state: ReportedState::Left });
-            }
-            return true;
+        self.detector.probes.remove(ordinal);
+        if state != State::Left {
+            self.set_state(ordinal, State::Left);
+            let state = ReportedState::Left;
+            self.dissemination.broadcasts.enqueue(Broadcast { subject: ordinal, incarnation, state });
         }
-        if !state.is_active() && !news {
-            // Others may think so too, and believe only a newer incarnation: it is told, so that it contradicts.
+    }
+
+    fn record_alive(&mut self, ordinal: u16, contact: Contact) {
+        let Peer { state, incarnation, .. } = self.peers[ordinal];
+        if !state.is_active() && !contact.is_newer {
+            // Others may believe it gone too, and believe only a newer incarnation: it is told, so that it refutes.
             self.send(To::One(ordinal.into()), Purpose::Answer, &[]);
         }
-        self.gave_sign(ordinal);
-        if state == State::Alive && (first || new_life) {
+        self.mark_alive(ordinal);
+        if state == State::Alive && (contact.is_first || contact.is_new_process) {
             self.output(Output::Member { ordinal: ordinal.into(), state, incarnation });
         }
-        if news && !first {
-            self.broadcasts.put(Broadcast { subject: ordinal, incarnation, state: ReportedState::Alive });
+        if contact.is_newer && !contact.is_first {
+            let state = ReportedState::Alive;
+            self.dissemination.broadcasts.enqueue(Broadcast { subject: ordinal, incarnation, state });
+        }
+    }
+}
+
+impl Peer {
+    /// Notes the incarnation and counter of a fresh, authentic datagram. A new process's reports begin anew.
+    fn record_datagram(&mut self, header: &Header) -> Contact {
+        let contact = Contact {
+            is_first: self.session.is_none(),
+            is_new_process: self
+                .session
+                .is_some_and(|session| session.incarnation.generation != header.incarnation.generation),
+            is_newer: header.incarnation > self.incarnation,
+        };
+        if contact.is_first || contact.is_new_process {
+            self.session = None;
+            self.reported_state = Default::default();
+            self.farewell = None;
+        }
+        let unused = Session { incarnation: header.incarnation, window: Default::default() };
+        let session = self.session.get_or_insert(unused);
+        session.incarnation = header.incarnation;
+        session.window.record(header.counter);
+        // Before it was heard, a faulty peer could report any incarnation of it.
+        if contact.is_newer || !self.incarnation.plausible_after(header.incarnation) {
+            self.incarnation = header.incarnation;
+        }
+        contact
+    }
+
+    /// Notes a farewell, or that it is void; false if the datagram was sent before the farewell.
+    fn record_presence(&mut self, header: &Header, presence: Presence) -> bool {
+        match presence {
+            Presence::Leaves => self.farewell = self.farewell.max(Some(header.counter)),
+            Presence::Stays if self.farewell.is_some_and(|farewell| header.counter < farewell) => {
+                return false;
+            }
+            Presence::Stays => self.farewell = None,
         }
         true
     }
--- a/crates/gossip/src/replay_window.rs
+++ b/crates/gossip/src/replay_window.rs
@@ -5,23 +5,23 @@
 
 /// The newest counter seen, and which of the [`WIDTH`] up to it were.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Window {
+pub(crate) struct ReplayWindow {
     newest: u64,
     /// Bit n: `newest - n` was seen.
     seen: u64,
 }
 
-impl Window {
+impl ReplayWindow {
     /// Whether the counter is new, and not too old to tell.
-    pub(crate) fn fresh(&self, counter: u64) -> bool {
+    pub(crate) fn accepts(&self, counter: u64) -> bool {
         match self.newest.checked_sub(counter) {
             None => true,
             Some(behind) => behind < WIDTH && self.seen & (1 << behind) == 0,
         }
     }
 
-    /// Notes a counter; only after its datagram was found authentic, or a forger could push the window on.
-    pub(crate) fn note(&mut self, counter: u64) {
+    /// Notes a counter; only after its datagram was found authentic, or a forger could move the window on.
+    pub(crate) fn record(&mut self, counter: u64) {
         match self.newest.checked_sub(counter) {
             Some(behind) if behind < WIDTH => self.seen |= 1 << behind,
             Some(_) => {}
--- a/crates/gossip/src/rotation.rs
+++ b/crates/gossip/src/rotation.rs
@@ -1,4 +1,4 @@
-//! Members in a random order, each once before any comes again.
+//! Members in a random order, each once before any is repeated.
 
 use rand::RngExt;
 use rand::seq::SliceRandom;
@@ -7,36 +7,36 @@
 #[derive(Debug, Default)]
 pub(crate) struct Rotation {
     order: Vec<u16>,
-    at: usize,
+    position: usize,
 }
 
 impl Rotation {
     /// Of all members but one.
-    pub(crate) fn new(members: u16, but: u16, chance: &mut impl RngExt) -> Self {
-        let mut order: Vec<u16> = (0..members).filter(|ordinal| *ordinal != but).collect();
-        order.shuffle(chance);
-        Rotation { order, at: 0 }
+    pub(crate) fn new(members: u16, excluded: u16, rng: &mut impl RngExt) -> Self {
+        let mut order: Vec<u16> = (0..members).filter(|ordinal| *ordinal != excluded).collect();
+        order.shuffle(rng);
+        Rotation { order, position: 0 }
     }
 
-    /// The next so many that are wanted; none twice.
+    /// The next `count` selected members at most; none twice.
     pub(crate) fn next(
         &mut self,
-        most: usize,
-        chance: &mut impl RngExt,
-        wanted: impl Fn(u16) -> bool,
+        count: usize,
+        rng: &mut impl RngExt,
+        selected: impl Fn(u16) -> bool,
     ) -> Vec<u16> {
-        let mut taken = Vec::with_capacity(most.min(self.order.len()));
+        let mut taken = Vec::with_capacity(count.min(self.order.len()));
         for _ in 0..self.order.len() {
-            if taken.len() == most {
+            if taken.len() == count {
                 break;
             }
-            if self.at == self.order.len() {
-                self.order.shuffle(chance);
-                self.at = 0;
+            if self.position == self.order.len() {
+                self.order.shuffle(rng);
+                self.position = 0;
             }
-            let next = self.order[self.at];
-            self.at += 1;
-            if wanted(next) && !taken.contains(&next) {
+            let next = self.order[self.position];
+            self.position += 1;
+            if selected(next) && !taken.contains(&next) {
                 taken.push(next);
             }
         }
--- a/crates/gossip/src/sending.rs
+++ b/crates/gossip/src/sending.rs
@@ -1,196 +1,217 @@
-//! What is sent, each period and in between, under the ceiling.
+//! What is sent, each period and in between, within the bandwidth limit.
 
+use crate::broadcast_queue::transmit_limit;
 use crate::config::JITTER;
+use crate::farewell::Farewell;
+use crate::interface::Output;
 use crate::peer::State;
-use crate::wire::{Broadcast, Draft, Header, ReportedState, Section, To};
-use crate::{Entry, Gossip, Micros, Output, Purpose, broadcast_queue};
+use crate::wire::{Broadcast, Draft, ReportedState, Section};
+use crate::{Entry, Gossip, Purpose, To};
 use rand::RngExt;
 use rand::seq::SliceRandom;
 
-/// A farewell is said to each so often, if there is time: at 30% loss one of 37 misses it, and hears it from others.
-const FAREWELLS: u32 = 3;
-/// Between them. A lost datagram and its neighbour are lost together at times.
-const FAREWELL_EVERY: Micros = 100_000;
-
-/// Saying farewell.
-#[derive(Debug)]
-pub(crate) struct Leaving {
-    round: u32,
-    /// Who is still to be told in this round.
-    pending: Vec<u16>,
-    next: Option<Micros>,
-    until: Micros,
-}
-
-impl Leaving {
-    /// When the next is to be told; `None`: over.
-    pub(crate) fn next(&self) -> Option<Micros> {
-        self.next
-    }
+/// Part of a digest: the entries that are left to send, out of so many that there are.
+#[derive(Clone, Copy, Debug)]
+struct DigestPart<'a> {
+    total: u32,
+    entries: &'a [Entry],
 }
 
 impl Gossip {
-    /// A datagram with these sections and what news has room; whether the ceiling let it through.
-    pub(crate) fn send(&mut self, to: To, purpose: Purpose, parts: &[Section]) -> bool {
-        self.datagram_to(to, purpose, parts, None).is_some()
+    /// Sends a datagram with these sections and the broadcasts that there is room for; whether the bandwidth limit let it pass.
+    pub(crate) fn send(&mut self, to: To, purpose: Purpose, sections: &[Section]) -> bool {
+        self.send_datagram(to, purpose, sections, None).is_some()
     }
 
-    /// The same with entries from the first on, out of so many; how many of them fitted.
-    fn datagram_to(
+    /// The same with entries from the first on; how many of them fitted.
+    fn send_datagram(
         &mut self,
         to: To,
         purpose: Purpose,
-        parts: &[Section],
-        digest: Option<(u32, &[Entry])>,
+        sections: &[Section],
+        digest: Option<DigestPart<'_>>,
     ) -> Option<usize> {
         let receiver = match to {
             To::One(ordinal) => Some(ordinal as u16),
             To::All => None,
         };
-        let copies = if receiver.is_some() { 1 } else { self.others().count() as u64 };
-        // Before anything is written: a proxy that has to ask many is at its ceiling for long.
-        if !self.ceiling.has_room(self.now, purpose, copies, 0) {
-            self.counts.withhold(purpose);
+        let copies = if receiver.is_some() { 1 } else { self.peers.ordinals().count() as u64 };
+        // Before anything is written: a proxy that has to probe many is at its limit for long.
+        if !self.has_bandwidth(purpose, copies, 0) {
             return None;
         }
-        let header = Header {
-            strength: self.settings.strength,
-            to_all: receiver.is_none(),
-            sender: self.me,
-            incarnation: self.incarnation,
-            counter: self.counter + 1,
-        };
+        let header = self.identity.next_header(self.settings.strength, receiver.is_none());
         let mut draft = Draft::new(&header, self.settings.datagram_bytes);
-        for part in parts {
-            draft.push(part);
+        for section in sections {
+            draft.push(section);
         }
-        let accusation = receiver.and_then(|receiver| self.accusation(receiver));
-        let mut broadcasts = Vec::from_iter(accusation);
-        broadcasts.extend(self.broadcasts.in_order(receiver));
+        let suspicion = receiver.and_then(|receiver| self.suspicion_for(receiver));
         let room = if digest.is_some() { draft.room() / 2 } else { draft.room() };
-        if !broadcasts.is_empty() {
-            let fitted = draft.broadcasts(&broadcasts, room);
-            broadcasts.truncate(fitted);
-        }
-        let entries = digest.map_or(0, |(of, entries)| draft.entries(of, entries));
+        let broadcasts = self.write_broadcasts(&mut draft, receiver, suspicion, room);
+        let entries = digest.map_or(0, |digest| draft.entries(digest.total, digest.entries));
         let bytes = (draft.written() + self.settings.strength.proof_bytes()) as u64;
-        if !self.ceiling.has_room(self.now, purpose, copies, bytes) {
-            self.counts.withhold(purpose);
+        if !self.has_bandwidth(purpose, copies, bytes) {
             return None;
         }
-        self.ceiling.note(self.now, purpose, copies, bytes);
-        self.counter += 1;
+        self.limits.bandwidth.record(self.now, purpose, copies, bytes);
+        self.identity.count_sent();
         self.counts.sent += copies;
         self.counts.sent_bytes += copies * bytes;
-        // What went to one that may be gone was hardly told.
-        if accusation.is_none() {
-            let limit = broadcast_queue::tellings(self.live_others() + 1, self.settings.fan_out);
-            self.broadcasts.told(&broadcasts, copies as u32, limit);
+        // What went to a member that may be dead hardly counts as transmitted.
+        if suspicion.is_none() {
+            let limit = transmit_limit(self.peers.active() + 1, self.settings.fan_out);
+            self.dissemination.broadcasts.mark_transmitted(&broadcasts, copies as u32, limit);
         }
         let bytes = draft.finish(&self.keys, to);
         self.output(Output::Send { to, bytes });
         Some(entries)
     }
 
-    /// Who is not believed alive is told so with whatever it is sent, so that it can contradict.
-    fn accusation(&self, receiver: u16) -> Option<Broadcast> {
-        let peer = &self.peers[usize::from(receiver)];
-        let state = ReportedState::Suspect;
+    /// Whether the limit lets so many copies of so many bytes pass; counted as withheld if not.
+    pub(crate) fn has_bandwidth(&mut self, purpose: Purpose, copies: u64, bytes: u64) -> bool {
+        let has_room = self.limits.bandwidth.has_room(self.now, purpose, copies, bytes);
+        if !has_room {
+            self.counts.withhold(purpose);
+        }
+        has_room
+    }
+
+    /// Writes the suspicion of the receiver and what is queued, in so many bytes; returns what fitted.
+    fn write_broadcasts(
+        &self,
+        draft: &mut Draft,
+        receiver: Option<u16>,
+        suspicion: Option<Broadcast>,
+        room: usize,
+    ) -> Vec<Broadcast> {
+        let mut broadcasts = Vec::from_iter(suspicion);
+        broadcasts.extend(self.dissemination.broadcasts.pending_for(receiver));
+        if !broadcasts.is_empty() {
+            let fitted = draft.broadcasts(&broadcasts, room);
+            broadcasts.truncate(fitted);
+        }
+        broadcasts
+    }
+
+    /// A member that is not believed alive learns so with whatever it is sent, so that it can refute.
+    fn suspicion_for(&self, receiver: u16) -> Option<Broadcast> {
+        let peer = &self.peers[receiver];
         (peer.state != State::Alive).then_some(Broadcast {
             subject: receiver,
             incarnation: peer.incarnation,
-            state,
+            state: ReportedState::Suspect,
         })
     }
 
-    /// Who gets this member's next round: all that take part if they are few, else the next of them.
+    /// The receivers of this member's next round: all active members if they are few, else the next of them.
     pub(crate) fn next_receivers(&mut self) -> Vec<u16> {
         let (peers, fan_out) = (&self.peers, self.settings.fan_out);
-        self.receivers.next(fan_out, &mut self.chance, |other| peers[usize::from(other)].state.is_active())
+        self.dissemination.rotation.next(fan_out, &mut self.rng, |other| peers[other].state.is_active())
     }
 
-    pub(crate) fn period(&mut self) {
-        self.periods += 1;
+    /// A period is over, another one begins.
+    pub(crate) fn begin_period(&mut self) {
+        self.schedule.periods += 1;
         let jitter = self.settings.period / JITTER;
-        self.next_period = self.now + self.settings.period + self.chance.random_range(-jitter..=jitter);
-        self.judge_own_health();
-        self.ask_the_silent();
-        self.tell_digest();
+        let length = self.settings.period + self.rng.random_range(-jitter..=jitter);
+        self.schedule.next_period = self.now + length;
+        self.update_health();
+        self.probe_silent_members();
+        self.send_digests();
     }
 
-    /// One that hears nobody is likelier cut off itself than all others dead. Of two, neither can tell.
-    fn judge_own_health(&mut self) {
-        let live =
-            self.others().map(|other| &self.peers[usize::from(other)]).filter(|peer| peer.state.is_active());
-        let fresh: Vec<bool> = live.map(|peer| self.now - peer.sign < self.settings.silence).collect();
+    /// A member that hears nobody is likelier cut off itself than all others dead. Of two, neither can tell.
+    fn update_health(&mut self) {
+        let active = self.peers.iter().filter(|(_, peer)| peer.state.is_active());
+        let silence = self.settings.silence;
+        let fresh: Vec<bool> = active.map(|(_, peer)| self.now - peer.last_alive_at < silence).collect();
         if fresh.len() < 2 || fresh.contains(&true) {
-            self.health.well();
+            self.detector.health.recover();
         } else {
-            self.health.doubt();
+            self.detector.health.degrade();
         }
     }
 
-    fn tell_digest(&mut self) {
-        let receivers = self.next_receivers();
-        let to_all = self.settings.multicast && receivers.len() > 1 && receivers.len() == self.live_others();
-        let receivers: Vec<To> = if to_all {
-            vec![To::All]
-        } else {
-            receivers.into_iter().map(|receiver| To::One(receiver.into())).collect()
-        };
-        let (order, of) = (self.own.in_order(), self.own.len());
-        // What each of them was told; sections before the entries differ in length.
-        let mut told_to_each: Option<usize> = None;
+    fn send_digests(&mut self) {
+        let receivers = self.digest_receivers();
+        let entries = self.dissemination.local_state.by_urgency();
+        // Entries that every receiver got; the sections before them differ in length.
+        let mut sent_to_all: Option<usize> = None;
         for to in receivers {
-            let mut told = 0;
-            for part in 0..self.settings.digest_datagrams {
-                // The first goes out even with nothing to tell: it is the beat.
-                if part > 0 && told == order.len() {
-                    break;
-                }
-                match self.datagram_to(to, Purpose::Digest, &[], Some((of, &order[told..]))) {
-                    Some(fitted) => told += fitted,
-                    None => break,
-                }
-            }
-            if told > 0 {
-                told_to_each = Some(told_to_each.map_or(told, |least| least.min(told)));
+            let sent = self.send_digest(to, &entries);
+            if sent > 0 {
+                sent_to_all = Some(sent_to_all.map_or(sent, |least| least.min(sent)));
             }
         }
-        if let Some(told) = told_to_each {
-            self.own.told(&order[..told]);
+        if let Some(sent) = sent_to_all {
+            self.dissemination.local_state.mark_sent(&entries[..sent]);
+        }
+    }
+
+    fn digest_receivers(&mut self) -> Vec<To> {
+        let receivers = self.next_receivers();
+        if self.settings.multicast && receivers.len() > 1 && receivers.len() == self.peers.active() {
+            return vec![To::All];
         }
+        receivers.into_iter().map(|receiver| To::One(receiver.into())).collect()
     }
 
+    /// Sends as many datagrams as a digest may have; how many entries fitted.
+    fn send_digest(&mut self, to: To, entries: &[Entry]) -> usize {
+        let total = self.dissemination.local_state.len();
+        let mut sent = 0;
+        for datagram in 0..self.settings.digest_datagrams {
+            // The first is sent even without entries: it is the heartbeat.
+            if datagram > 0 && sent == entries.len() {
+                break;
+            }
+            let digest = DigestPart { total, entries: &entries[sent..] };
+            match self.send_datagram(to, Purpose::Digest, &[], Some(digest)) {
+                Some(fitted) => sent += fitted,
+                None => break,
+            }
+        }
+        sent
+    }
+
+    /// Begins to leave, for a period at most.
     pub(crate) fn leave(&mut self) {
-        if self.leaving.is_none() {
-            let until = self.now + self.settings.period;
-            self.leaving = Some(Leaving { round: 0, pending: Vec::new(), next: Some(self.now), until });
+        if self.farewell.is_none() {
+            self.farewell = Some(Farewell::begin(self.now, self.settings.period));
         }
     }
 
-    pub(crate) fn run_leaving(&mut self) {
-        let Some(mut leaving) = self.leaving.take() else { return };
-        if leaving.next.is_some_and(|at| at <= self.now) {
-            if leaving.pending.is_empty() && leaving.round < FAREWELLS {
-                leaving.round += 1;
-                leaving.pending =
-                    self.others().filter(|o| self.peers[usize::from(*o)].state.is_active()).collect();
-                leaving.pending.shuffle(&mut self.chance);
-                if self.settings.multicast && self.send(To::All, Purpose::Digest, &[Section::Leave]) {
-                    leaving.pending.clear();
-                }
+    /// Goes on with leaving.
+    pub(crate) fn run_farewell(&mut self) {
+        let Some(mut farewell) = self.farewell.take() else { return };
+        if farewell.is_due(self.now) {
+            if farewell.begin_round() {
+                farewell.pending = self.begin_farewell_round();
             }
-            while let Some(receiver) = leaving.pending.last() {
-                if !self.send(To::One((*receiver).into()), Purpose::Digest, &[Section::Leave]) {
-                    break;
-                }
-                leaving.pending.pop();
+            self.send_farewells(&mut farewell.pending);
+            farewell.schedule_next(self.now);
+        }
+        self.farewell = Some(farewell);
+    }
+
+    /// The members to be sent a farewell one by one in a new round: none if one datagram reached all.
+    fn begin_farewell_round(&mut self) -> Vec<u16> {
+        let mut receivers: Vec<u16> =
+            self.peers.iter().filter(|(_, peer)| peer.state.is_active()).map(|(other, _)| other).collect();
+        receivers.shuffle(&mut self.rng);
+        if self.settings.multicast && self.send(To::All, Purpose::Digest, &[Section::Leave]) {
+            receivers.clear();
+        }
+        receivers
+    }
+
+    /// Sends farewells, the last receiver first, until the bandwidth limit withholds one.
+    fn send_farewells(&mut self, receivers: &mut Vec<u16>) {
+        while let Some(receiver) = receivers.last() {
+            if !self.send(To::One((*receiver).into()), Purpose::Digest, &[Section::Leave]) {
+                break;
             }
-            let over = leaving.pending.is_empty() && leaving.round == FAREWELLS;
-            let next = self.now + FAREWELL_EVERY;
-            leaving.next = (!over && next <= leaving.until).then_some(next);
+            receivers.pop();
         }
-        self.leaving = Some(leaving);
     }
 }
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -20,58 +20,49 @@
 pub(crate) const STRENGTH_BITS: u8 = 0b11;
 pub(crate) const TO_ALL_BIT: u8 = 0b100;
 
-/// Whom a datagram is for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum To {
-    /// One member.
-    One(u32),
-    /// All others, by one datagram that the network copies (`peers_all`).
-    All,
-}
-
 /// What a datagram begins with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
     /// How its sender is proven.
     pub strength: Strength,
-    /// Whether it was sent to all.
+    /// Whether it was sent to all members.
     pub to_all: bool,
     /// The sender's ordinal.
     pub sender: u16,
     /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// Counts the sender's datagrams within a life, from 1.
+    /// Counts the sender's datagrams within a process, from 1.
     pub counter: u64,
 }
 
-/// What one member says of another.
+/// What one member reports of another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Broadcast {
     /// Of whom.
     pub subject: u16,
-    /// Of which incarnation: word of an older one is void.
+    /// Of which incarnation: a report of an older one is void.
     pub incarnation: Incarnation,
-    /// What.
+    /// What it reports.
     pub state: ReportedState,
 }
 
-/// What can be said of a member. "Dead" can't: nobody's word is more than a suspicion.
+/// What can be reported of a member. "Dead" can't: no member's report is more than a suspicion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportedState {
-    /// It lives, and was heard to say so.
+    /// It is alive, and was heard to say so.
     Alive,
-    /// The sender itself could not reach it, directly or through others. Nobody passes that on who only heard it.
+    /// The sender itself could not reach it, directly or through others. Members that only heard of it don't pass it on.
     Suspect,
-    /// It said that it leaves.
+    /// It announced that it leaves.
     Left,
 }
 
-/// A section.
+/// A section of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Section {
-    /// Asks for an [`Section::Ack`] of the same number.
+    /// Asks for a [`Section::Ack`] of the same number.
     Ping {
-        /// The asker's number.
+        /// The sender's number.
         nonce: u16,
     },
     /// Answers a ping.
@@ -79,31 +70,32 @@
         /// That of the ping.
         nonce: u16,
     },
-    /// Asks to ping another member, and to [`Section::IndirectAck`] for it if it answers.
+    /// Asks to ping another member, and for a [`Section::IndirectAck`] if it answers.
     IndirectPing {
-        /// The asker's number.
+        /// The sender's number.
         nonce: u16,
         /// Whom to ping.
         target: u16,
     },
-    /// The member that was asked about has answered.
+    /// The target of an indirect ping has answered.
     IndirectAck {
-        /// That of the request.
+        /// That of the indirect ping.
         nonce: u16,
     },
     /// The sender leaves.
     Leave,
-    /// Said of others.
+    /// Reports of other members.
     Broadcasts(Vec<Broadcast>),
-    /// A part of what the sender tells of its endpoints.
+    /// Some of what the sender reports of its endpoints.
     Digest {
-        /// How many entries it has in all: tells the receiver when it holds some that are no more.
+        /// How many entries it has in all: shows the receiver when it holds some that are no more.
         total: u32,
-        /// Those told here.
+        /// The entries of this datagram.
         entries: Vec<Entry>,
     },
 }
 
+/// The kinds of sections on the wire.
 pub(crate) mod kind {
     pub(crate) const PING: u8 = 1;
     pub(crate) const ACK: u8 = 2;
--- a/crates/gossip/src/wire/tests.rs
+++ b/crates/gossip/src/wire/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::{EndpointDigest, Evidence, Keys, Load};
+use crate::{EndpointDigest, Evidence, Keys, Load, To};
 use proptest::prelude::*;
 
 fn incarnation() -> impl Strategy<Value = Incarnation> {
@@ -49,7 +49,7 @@
     )
 }
 
-fn part() -> impl Strategy<Value = Section> {
+fn section() -> impl Strategy<Value = Section> {
     prop_oneof![
         any::<u16>().prop_map(|nonce| Section::Ping { nonce }),
         any::<u16>().prop_map(|nonce| Section::Ack { nonce }),
@@ -62,9 +62,9 @@
     ]
 }
 
-/// What of a part must come back when only so many items of its list fitted.
-fn cut(part: &Section, fitted: usize) -> Section {
-    match part {
+/// What of a section must come back when only so many items of its list fitted.
+fn truncated(section: &Section, fitted: usize) -> Section {
+    match section {
         Section::Broadcasts(broadcasts) => Section::Broadcasts(broadcasts[..fitted].to_vec()),
         Section::Digest { total, entries } => {
             Section::Digest { total: *total, entries: entries[..fitted].to_vec() }
@@ -75,18 +75,18 @@
 
 proptest! {
     #[test]
-    fn what_is_written_is_read(header in header(), parts in prop::collection::vec(part(), 0..12), most in 96usize..400) {
+    fn datagrams_round_trip(header in header(), sections in prop::collection::vec(section(), 0..12), most in 96usize..400) {
         let mut draft = Draft::new(&header, most);
         let mut wanted = Vec::new();
-        for part in &parts {
+        for section in &sections {
             let before = draft.written();
-            let fitted = match part {
+            let fitted = match section {
                 Section::Broadcasts(broadcasts) => draft.broadcasts(broadcasts, LONGEST),
                 Section::Digest { total, entries } => draft.entries(*total, entries),
-                part => usize::from(draft.push(part)),
+                section => usize::from(draft.push(section)),
             };
             if draft.written() > before {
-                wanted.push(cut(part, fitted));
+                wanted.push(truncated(section, fitted));
             }
         }
         let bytes = draft.finish(&Keys::Address, To::All);
@@ -97,23 +97,23 @@
     }
 
     #[test]
-    fn rubbish_never_panics_and_what_is_read_is_written_the_same(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_never_panic_and_sections_round_trip(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = Header::read(&bytes);
-        let Ok(parts) = read_sections(&bytes) else { return Ok(()) };
+        let Ok(sections) = read_sections(&bytes) else { return Ok(()) };
         let header = Header { strength: Strength::Address, to_all: false, sender: 0, incarnation: Incarnation::default(), counter: 0 };
         let mut draft = Draft::new(&header, LONGEST);
         let begin = draft.written();
-        let fitted = parts.iter().take_while(|part| draft.push(part)).count();
-        prop_assume!(fitted == parts.len());
-        prop_assert_eq!(read_sections(&draft.finish(&Keys::Address, To::All)[begin..]).unwrap(), parts);
+        let fitted = sections.iter().take_while(|section| draft.push(section)).count();
+        prop_assume!(fitted == sections.len());
+        prop_assert_eq!(read_sections(&draft.finish(&Keys::Address, To::All)[begin..]).unwrap(), sections);
     }
 
     #[test]
-    fn nearly_right_sections_never_panic(parts in prop::collection::vec(part(), 1..4), at in 0usize..250, with: u8) {
+    fn corrupted_sections_never_panic(sections in prop::collection::vec(section(), 1..4), at in 0usize..250, with: u8) {
         let header = Header { strength: Strength::Address, to_all: false, sender: 7, incarnation: Incarnation::first(1 << 41), counter: 9 };
         let mut draft = Draft::new(&header, LONGEST);
-        for part in &parts {
-            draft.push(part);
+        for section in &sections {
+            draft.push(section);
         }
         let mut bytes = draft.finish(&Keys::Address, To::All);
         let place = at % bytes.len();
@@ -126,14 +126,14 @@
 }
 
 #[test]
-fn what_a_newer_program_adds_is_skipped() {
+fn skips_unknown_sections_and_fields() {
     // A ping with a field behind its number, a section of an unknown kind, and a leave.
     let bytes = [kind::PING, 4, 1, 2, 77, 77, 200, 3, 9, 9, 9, kind::LEAVE, 0];
     assert_eq!(read_sections(&bytes), Ok(vec![Section::Ping { nonce: 0x0201 }, Section::Leave]));
 }
 
 #[test]
-fn there_is_one_way_to_write_a_number() {
+fn rejects_overlong_numbers() {
     for (bytes, sender) in
         [(vec![5], Ok(5)), (vec![0x85, 0], Err(Malformed)), (vec![0xff, 0xff, 4], Err(Malformed))]
     {
--- a/crates/gossip/src/wire/write.rs
+++ b/crates/gossip/src/wire/write.rs
@@ -1,9 +1,7 @@
 //! To bytes, within a bound.
 
-use super::{
-    Broadcast, Header, LONGEST, ReportedState, STRENGTH_BITS, Section, TO_ALL_BIT, To, VERSION, kind,
-};
-use crate::{Entry, Incarnation, Keys, Strength};
+use super::{Broadcast, Header, LONGEST, ReportedState, STRENGTH_BITS, Section, TO_ALL_BIT, VERSION, kind};
+use crate::{Entry, Incarnation, Keys, Strength, To};
 
 fn number(bytes: &mut Vec<u8>, value: u64) {
     let mut rest = value;
