--- a/crates/gossip/benches/cost.rs
+++ b/crates/gossip/benches/cost.rs
@@ -8,7 +8,7 @@
 use std::hint::black_box;
 
 const S: Micros = 1_000_000;
-const LIFE: u64 = 1_796_000_000_000;
+const GENERATION: u64 = 1_796_000_000_000;
 
 fn key(byte: u8) -> Vec<u8> {
     format!("{byte:02x}").repeat(32).into_bytes()
@@ -27,7 +27,7 @@
 }
 
 fn settings(strength: Strength) -> Settings {
-    // Ceilings out of the way: what is measured is the work that they bound.
+    // Limits out of the way: what is measured is the work that they bound.
     Settings {
         strength,
         datagrams_per_s: 1 << 30,
@@ -48,7 +48,7 @@
 }
 
 fn datagram(strength: Strength, counter: u64) -> Vec<u8> {
-    let incarnation = Incarnation::first(LIFE);
+    let incarnation = Incarnation::first(GENERATION);
     let header = Header { strength, to_all: false, sender: 1, incarnation, counter };
     let mut draft = Draft::new(&header, 256);
     draft.entries(16, &entries(16, counter as u32));
@@ -56,7 +56,7 @@
 }
 
 fn member(strength: Strength, members: u32) -> Gossip {
-    Gossip::new(settings(strength), keys(strength, 0), 0, members, LIFE, 1, 0)
+    Gossip::new(settings(strength), keys(strength, 0), 0, members, GENERATION, 1, 0)
 }
 
 fn receive(c: &mut Criterion) {
@@ -97,8 +97,8 @@
     group.finish();
 }
 
-/// One period of one member: its list told anew, the digests and what else is due sent, and as many digests read as come
-/// from the others. Nobody answers pings here, so among many some tens are doubted at any time: the dear case.
+/// One period of one member: its list replaced, the digests and what else is due sent, and as many digests read as come
+/// from the others. Nobody answers pings here, so among many some tens are suspected at any time: the dear case.
 fn period(c: &mut Criterion) {
     let mut group = c.benchmark_group("period");
     for members in [5u32, 50, 300] {
@@ -118,7 +118,7 @@
                                     strength: Strength::Address,
                                     to_all: false,
                                     sender: sender as u16,
-                                    incarnation: Incarnation::first(LIFE),
+                                    incarnation: Incarnation::first(GENERATION),
                                     counter: counters[sender as usize],
                                 };
                                 let mut draft = Draft::new(&header, 256);
--- a/crates/gossip/src/config.rs
+++ b/crates/gossip/src/config.rs
@@ -5,46 +5,46 @@
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
 
-/// Milliseconds between two digests, where nothing is said: the embedder's view changes about as fast.
+/// Milliseconds between two digests by default: the embedder's view changes about as fast.
 const PERIOD_MS: u32 = 1_000;
-/// Below, beats come closer than datagrams may be apart on a slow path (38 ms, three times); above, nothing told is fresh.
+/// Below, heartbeats come closer than datagrams may be apart on a slow path (38 ms, three times); above, no report is fresh.
 const PERIOD_WITHIN: (u32, u32) = (100, 60_000);
-/// Receivers of a digest each period, where nothing is said: with five proxies, all others.
+/// Receivers of a digest each period by default: with five proxies, all others.
 const FAN_OUT: u32 = 4;
 const FAN_OUT_WITHIN: (u32, u32) = (1, 64);
-/// Datagrams of one digest, where nothing is said: one holds about 18 endpoints.
+/// Datagrams of one digest by default: one holds about 18 endpoints.
 const DIGEST_DATAGRAMS: u32 = 1;
 const DIGEST_DATAGRAMS_WITHIN: (u32, u32) = (1, 16);
-/// Datagrams a second, where nothing is said: four times what quiet needs with hundreds of members, for the days when many
-/// come or go.
+/// Datagrams a second by default: four times what an idle fleet of hundreds of members needs, for the times when many start or
+/// leave.
 const DATAGRAMS_PER_S: u32 = 32;
 const DATAGRAMS_WITHIN: (u32, u32) = (2, 10_000);
-/// Bytes a second, where nothing is said: all those datagrams full.
+/// Bytes a second by default: all those datagrams full.
 const BYTES_PER_S: u32 = DATAGRAMS_PER_S * LONGEST as u32;
 const BYTES_WITHIN: (u32, u32) = (2 * LONGEST as u32, 10_000 * LONGEST as u32);
 /// A signature takes 64 and a header up to 25: below, too little of a datagram is left.
 const DATAGRAM_BYTES_WITHIN: (u32, u32) = (128, LONGEST as u32);
-/// Milliseconds until an answer is late, where nothing is said: there and back at 38 ms each, three times over.
+/// Milliseconds until an answer is late by default: there and back at 38 ms each, three times over.
 const PROBE_TIMEOUT_MS: u32 = 250;
 const PROBE_TIMEOUT_WITHIN: (u32, u32) = (10, 10_000);
-/// Periods without a sign of life until a member is asked for one, where nothing is said: at 30% loss 1 of 37 such spans
-/// has lost three beats in a row, so pings stay rare.
+/// Periods without a datagram until a member is probed by default: at 30% loss 1 of 37 such spans has lost three heartbeats in
+/// a row, so pings stay rare.
 const SILENT_PERIODS: u32 = 3;
 const SILENT_WITHIN: (u32, u32) = (1, 100);
-/// Periods that a suspicion lasts at least for up to ten members, where nothing is said. For more it grows with the
-/// logarithm, as the time does in which a contradiction gets round.
+/// Periods that a suspicion lasts at least for up to ten members by default. For more it grows with the logarithm, as the time
+/// does in which a refutation reaches all.
 const SUSPICION_PERIODS: u32 = 3;
 const SUSPICION_WITHIN: (u32, u32) = (1, 100);
-/// A period is up to this part longer or shorter, so that proxies don't act in step.
+/// A period is longer or shorter by up to one in so many, so that proxies don't act in step.
 pub(crate) const JITTER: i64 = 20;
-/// Digests by configuration leave a quarter of the ceiling to answers and probes.
-const DIGEST_EIGHTHS: u64 = 6;
+/// Eighths of the bandwidth limit that digests may need: the configuration leaves a quarter to answers and probes.
+const MAX_DIGEST_EIGHTHS: u64 = 6;
 
 /// The section as it is written. Off unless `strength` is set.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GossipSection {
-    /// How senders are proven: `address`, `shared` or `signed`. Gossip is off without it.
+    /// How senders prove themselves: `address`, `shared` or `signed`. Gossip is off without it.
     pub strength: Option<Strength>,
     /// Secret keys, each file 64 hexadecimal digits. For `shared` one, or two while keys change; for `signed` this proxy's.
     pub key_files: Vec<PathBuf>,
@@ -56,7 +56,7 @@
     pub fan_out: u32,
     /// Datagrams of one digest to one member each period at most.
     pub digest_datagrams: u32,
-    /// Datagrams sent in any second at most, counted as delivered; as many are looked at from each peer.
+    /// Datagrams sent in any second at most, counted as delivered; as many are processed from each peer.
     pub datagrams_per_s: u32,
     /// Bytes sent in any second at most, counted as delivered.
     pub bytes_per_s: u32,
@@ -64,7 +64,7 @@
     pub datagram_bytes: u32,
     /// Milliseconds until an answer is late.
     pub probe_timeout_ms: u32,
-    /// Periods without a sign of life until a member is asked for one.
+    /// Periods without a datagram until a member is probed.
     pub silent_periods: u32,
     /// Periods that a suspicion lasts at least, for up to ten members.
     pub suspicion_periods: u32,
@@ -92,7 +92,7 @@
 /// A checked section that is on. Times in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How senders are proven; the keys must fit.
+    /// How senders prove themselves; the keys must fit.
     pub strength: Strength,
     /// Between two digests.
     pub period: i64,
@@ -108,7 +108,7 @@
     pub datagram_bytes: usize,
     /// Until an answer is late.
     pub probe_timeout: i64,
-    /// Without a sign of life until a member is asked for one.
+    /// Without a datagram until a member is probed.
     pub silence: i64,
     /// The least suspicion for up to ten members.
     pub suspicion: i64,
@@ -131,12 +131,12 @@
         /// What was given.
         value: u32,
     },
-    /// Digests alone would fill the ceiling.
+    /// Digests alone would use up the bandwidth.
     #[error(
         "gossip.{key} is too low: digests alone (fan_out times digest_datagrams each period_ms) may need {needed}, and get \
          three quarters of it; raise it or lower one of those"
     )]
-    Ceiling {
+    BandwidthTooLow {
         /// The key.
         key: &'static str,
         /// What digests need a second.
@@ -153,9 +153,9 @@
 }
 
 /// In any second: periods are up to a twentieth shorter, and one more may begin within it.
-fn digests_per_s(fan_out: u32, parts: u32, period: i64) -> u64 {
+fn digests_per_s(fan_out: u32, datagrams_per_digest: u32, period: i64) -> u64 {
     let shortest = period - period / JITTER;
-    u64::from(fan_out) * u64::from(parts) * (1_000_000 / shortest + 1) as u64
+    u64::from(fan_out) * u64::from(datagrams_per_digest) * (1_000_000 / shortest + 1) as u64
 }
 
 impl Settings {
@@ -180,19 +180,20 @@
         let micros = |ms: u32| i64::from(ms) * 1_000;
         let period = within("period_ms", self.period_ms, PERIOD_WITHIN)?;
         let fan_out = within("fan_out", self.fan_out, FAN_OUT_WITHIN)?;
-        let parts = within("digest_datagrams", self.digest_datagrams, DIGEST_DATAGRAMS_WITHIN)?;
+        let datagrams_per_digest =
+            within("digest_datagrams", self.digest_datagrams, DIGEST_DATAGRAMS_WITHIN)?;
         let datagrams = within("datagrams_per_s", self.datagrams_per_s, DATAGRAMS_WITHIN)?;
         let bytes = within("bytes_per_s", self.bytes_per_s, BYTES_WITHIN)?;
         let longest = within("datagram_bytes", self.datagram_bytes, DATAGRAM_BYTES_WITHIN)?;
         let probe = within("probe_timeout_ms", self.probe_timeout_ms, PROBE_TIMEOUT_WITHIN)?;
         let silent = within("silent_periods", self.silent_periods, SILENT_WITHIN)?;
         let suspicion = within("suspicion_periods", self.suspicion_periods, SUSPICION_WITHIN)?;
-        let needed = digests_per_s(fan_out, parts, micros(period));
-        for (key, ceiling, needed) in
+        let needed = digests_per_s(fan_out, datagrams_per_digest, micros(period));
+        for (key, limit, needed) in
             [("datagrams_per_s", datagrams, needed), ("bytes_per_s", bytes, needed * u64::from(longest))]
         {
-            if needed * 8 > u64::from(ceiling) * DIGEST_EIGHTHS {
-                return Err(GossipSectionError::Ceiling { key, needed });
+            if needed * 8 > u64::from(limit) * MAX_DIGEST_EIGHTHS {
+                return Err(GossipSectionError::BandwidthTooLow { key, needed });
             }
         }
         self.check_files()?;
@@ -200,7 +201,7 @@
             strength,
             period: micros(period),
             fan_out: fan_out as usize,
-            digest_datagrams: parts,
+            digest_datagrams: datagrams_per_digest,
             datagrams_per_s: datagrams,
             bytes_per_s: bytes,
             datagram_bytes: longest as usize,
--- a/crates/gossip/src/counts.rs
+++ b/crates/gossip/src/counts.rs
@@ -1,11 +1,11 @@
-//! What went out and came in, for records and on-call.
+//! What was sent and received, for records and on-call.
 
-/// Why a datagram that came in was dropped, in the order of the checks.
+/// Why a received datagram was dropped, in the order of the checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DropReason {
     /// From no member's address.
     UnknownSender,
-    /// Beyond what is looked at from one peer, or from all.
+    /// Beyond what is processed of one peer, or of all.
     RateLimited,
     /// Too long, or too short for a header and its proof.
     Length,
@@ -13,9 +13,9 @@
     NewerVersion,
     /// Not of this protocol.
     Malformed,
-    /// Proven in another way than is configured here.
+    /// Of another strength than is configured here.
     WrongStrength,
-    /// In the name of another than its address has.
+    /// The sender's ordinal is not that of its address.
     WrongSender,
     /// Of an incarnation that was superseded.
     Superseded,
@@ -41,14 +41,14 @@
     ];
 }
 
-/// What a datagram was for. Each has its part of the ceiling.
+/// What a datagram is for. Each purpose has its share of the bandwidth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Purpose {
-    /// Digests, which are the beats, and farewells.
+    /// Digests, which are the heartbeats, and farewells.
     Digest,
-    /// Answers, contradictions, asking on another's behalf.
+    /// Answers, refutations, pings on another member's behalf.
     Answer,
-    /// Asking for a sign of life, directly or through others.
+    /// Pings and indirect pings.
     Probe,
 }
 
@@ -59,7 +59,7 @@
     pub sent: u64,
     /// Their bytes.
     pub sent_bytes: u64,
-    /// Datagrams that came in, dropped ones included.
+    /// Datagrams received, dropped ones included.
     pub received: u64,
     /// Their bytes.
     pub received_bytes: u64,
@@ -69,22 +69,22 @@
 
 impl Counts {
     /// Datagrams dropped for this reason.
-    pub fn dropped(&self, why: DropReason) -> u64 {
-        self.dropped[why as usize]
+    pub fn dropped(&self, reason: DropReason) -> u64 {
+        self.dropped[reason as usize]
     }
 
-    /// Datagrams dropped for whatever reason.
+    /// Datagrams dropped for any reason.
     pub fn dropped_in_all(&self) -> u64 {
         self.dropped.iter().sum()
     }
 
-    /// Datagrams that the ceiling kept from being sent.
+    /// Datagrams that the bandwidth limit withheld.
     pub fn withheld(&self, purpose: Purpose) -> u64 {
         self.withheld[purpose as usize]
     }
 
-    pub(crate) fn drop(&mut self, why: DropReason) {
-        self.dropped[why as usize] += 1;
+    pub(crate) fn drop(&mut self, reason: DropReason) {
+        self.dropped[reason as usize] += 1;
     }
 
     pub(crate) fn withhold(&mut self, purpose: Purpose) {
--- a/crates/gossip/src/receiving.rs
+++ b/crates/gossip/src/receiving.rs
@@ -177,7 +177,7 @@
     fn record_alive(&mut self, ordinal: u16, contact: Contact) {
         let Peer { state, incarnation, .. } = self.peers[ordinal];
         if !state.is_active() && !contact.is_newer {
-            // Others may believe it gone too, and believe only a newer incarnation: it is told, so that it refutes.
+            // Others may believe it gone too, and believe only a newer incarnation: it is sent a datagram, so that it refutes.
             self.send(To::One(ordinal.into()), Purpose::Answer, &[]);
         }
         self.mark_alive(ordinal);
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -120,7 +120,7 @@
 
 /// Reads the sections: what follows the header, without the proof at the end.
 pub fn read_sections(bytes: &[u8]) -> Result<Vec<Section>, Malformed> {
-    read::parts(bytes)
+    read::sections(bytes)
 }
 
 #[cfg(test)]
--- a/crates/gossip/src/wire/read.rs
+++ b/crates/gossip/src/wire/read.rs
@@ -1,4 +1,4 @@
-//! From bytes: never panics, never takes more than the datagram has.
+//! Datagrams to messages: never panics, never takes more than the datagram has.
 
 use super::{Broadcast, Header, Malformed, ReportedState, STRENGTH_BITS, Section, TO_ALL_BIT, kind};
 use crate::entry::{EndpointDigest, Entry, Evidence, Load};
@@ -78,12 +78,12 @@
         Ok(entry)
     }
 
-    fn all<T>(&mut self, one: impl Fn(&mut Self) -> Read<T>) -> Read<Vec<T>> {
-        let mut all = Vec::new();
+    fn until_end<T>(&mut self, item: impl Fn(&mut Self) -> Read<T>) -> Read<Vec<T>> {
+        let mut items = Vec::new();
         while !self.0.is_empty() {
-            all.push(one(self)?);
+            items.push(item(self)?);
         }
-        Ok(all)
+        Ok(items)
     }
 }
 
@@ -106,24 +106,24 @@
     Ok((header, bytes.len() - reader.0.len()))
 }
 
-pub(super) fn parts(bytes: &[u8]) -> Read<Vec<Section>> {
-    let (mut reader, mut parts) = (Reader(bytes), Vec::new());
+pub(super) fn sections(bytes: &[u8]) -> Read<Vec<Section>> {
+    let (mut reader, mut sections) = (Reader(bytes), Vec::new());
     while !reader.0.is_empty() {
         let (kind, length) = (reader.byte()?, reader.byte()?);
         // What a newer program writes behind the fields that are known here stays unread.
         let mut content = Reader(reader.bytes(usize::from(length))?);
-        parts.push(match kind {
+        sections.push(match kind {
             kind::PING => Section::Ping { nonce: content.u16()? },
             kind::ACK => Section::Ack { nonce: content.u16()? },
             kind::INDIRECT_PING => Section::IndirectPing { nonce: content.u16()?, target: content.number()? },
             kind::INDIRECT_ACK => Section::IndirectAck { nonce: content.u16()? },
             kind::LEAVE => Section::Leave,
-            kind::BROADCASTS => Section::Broadcasts(content.all(Reader::broadcast)?),
+            kind::BROADCASTS => Section::Broadcasts(content.until_end(Reader::broadcast)?),
             kind::DIGEST => {
-                Section::Digest { total: content.number()?, entries: content.all(Reader::entry)? }
+                Section::Digest { total: content.number()?, entries: content.until_end(Reader::entry)? }
             }
             _ => continue,
         });
     }
-    Ok(parts)
+    Ok(sections)
 }
--- a/crates/gossip/src/wire/write.rs
+++ b/crates/gossip/src/wire/write.rs
@@ -1,4 +1,4 @@
-//! To bytes, within a bound.
+//! Messages to datagrams, within a bound.
 
 use super::{Broadcast, Header, LONGEST, ReportedState, STRENGTH_BITS, Section, TO_ALL_BIT, VERSION, kind};
 use crate::{Entry, Incarnation, Keys, Strength, To};
@@ -53,7 +53,7 @@
     bytes[flags_at] = flags;
 }
 
-/// A datagram that is being written. What does not fit is left out and said so.
+/// A datagram that is being written. What does not fit is left out, and the return value shows it.
 #[derive(Debug)]
 pub struct Draft {
     bytes: Vec<u8>,
@@ -89,8 +89,8 @@
     }
 
     /// Adds a section if it fits; of a list only what fits, see [`Draft::broadcasts`] and [`Draft::entries`].
-    pub fn push(&mut self, part: &Section) -> bool {
-        match part {
+    pub fn push(&mut self, section: &Section) -> bool {
+        match section {
             Section::Ping { nonce } => {
                 self.section(kind::PING, |bytes| bytes.extend_from_slice(&nonce.to_le_bytes()))
             }
@@ -115,8 +115,8 @@
         self.list(kind::BROADCASTS, most, |_| {}, broadcasts, broadcast)
     }
 
-    /// Adds entries from the first on; how many fitted. With none to tell, the section still says so: a proxy without
-    /// connections tells that.
+    /// Adds entries from the first on; how many fitted. Without any the section is still written: a proxy without
+    /// connections reports that.
     pub fn entries(&mut self, of: u32, entries: &[Entry]) -> usize {
         self.list(kind::DIGEST, LONGEST, |bytes| number(bytes, u64::from(of)), entries, entry)
     }
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A whole tier in one process on virtual time from one seed: datagrams are lost, delayed, doubled and overtaken.
+//! A whole fleet in one process on virtual time from one seed: datagrams are lost, delayed, doubled and overtaken.
 #![allow(dead_code)] // Each test binary uses its part.
 
 use cottonnotch_gossip::wire::{Broadcast, Draft, Header, ReportedState, Section};
@@ -21,15 +21,15 @@
 enum Event {
     Arrives { from: Option<u32>, to: u32, bytes: Vec<u8> },
     Wakes(u32),
-    Tells(u32),
+    Reports(u32),
 }
 
 pub struct Network {
     pub loss: f64,
     pub doubled: f64,
     pub delay: (Micros, Micros),
-    /// Members in different parts don't reach one another.
-    pub parts: Vec<u8>,
+    /// Members in different partitions don't reach one another.
+    pub partitions: Vec<u8>,
     /// One way only: from, to.
     pub cut: Vec<(u32, u32)>,
 }
@@ -42,14 +42,14 @@
     /// Everything comes to it later by up to this.
     pub slow: Micros,
     sent: VecDeque<(Micros, u64, u64)>,
-    /// Its last datagrams, for a liar to replay: to whom, what.
-    pub said: VecDeque<(To, Vec<u8>)>,
+    /// Its last datagrams, for a faulty peer to replay: to whom, what.
+    pub recent: VecDeque<(To, Vec<u8>)>,
 }
 
 /// What a member came to believe: when, who, of whom, what.
 pub type Belief = (Micros, u32, u32, State, Incarnation);
 
-pub struct Tier {
+pub struct Fleet {
     pub seed: u64,
     pub chance: ChaCha8Rng,
     pub now: Micros,
@@ -64,9 +64,9 @@
     number: u64,
 }
 
-impl Tier {
+impl Fleet {
     pub fn new(members: u32, seed: u64, settings: Settings) -> Self {
-        Tier::with_keys(members, seed, settings, vec![Keys::Address; members as usize])
+        Fleet::with_keys(members, seed, settings, vec![Keys::Address; members as usize])
     }
 
     pub fn with_keys(members: u32, seed: u64, settings: Settings, keys: Vec<Keys>) -> Self {
@@ -76,9 +76,9 @@
             asleep_until: 0,
             slow: 0,
             sent: VecDeque::new(),
-            said: VecDeque::new(),
+            recent: VecDeque::new(),
         };
-        let mut tier = Tier {
+        let mut fleet = Fleet {
             seed,
             chance: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
@@ -86,7 +86,7 @@
                 loss: 0.0,
                 doubled: 0.0,
                 delay: (MS, 38 * MS),
-                parts: vec![0; members as usize],
+                partitions: vec![0; members as usize],
                 cut: Vec::new(),
             },
             nodes: (0..members).map(|_| node()).collect(),
@@ -98,24 +98,24 @@
             events: BinaryHeap::new(),
             number: 0,
         };
-        (0..members).for_each(|member| tier.start(member, EPOCH));
-        tier
+        (0..members).for_each(|member| fleet.start(member, EPOCH));
+        fleet
     }
 
     pub fn members(&self) -> u32 {
         self.nodes.len() as u32
     }
 
-    pub fn start(&mut self, member: u32, life: u64) {
+    pub fn start(&mut self, member: u32, generation: u64) {
         let (members, seed) = (self.members(), self.chance.random());
         let keys = self.keys[member as usize].clone();
-        let gossip = Gossip::new(self.settings.clone(), keys, member, members, life, seed, self.now);
+        let gossip = Gossip::new(self.settings.clone(), keys, member, members, generation, seed, self.now);
         self.nodes[member as usize].gossip = Some(gossip);
         // A process can't know what the one before it sent.
         self.nodes[member as usize].sent.clear();
         self.after(member);
-        let tells = self.now + self.chance.random_range(0..S);
-        self.push(tells, Event::Tells(member));
+        let reports_at = self.now + self.chance.random_range(0..S);
+        self.push(reports_at, Event::Reports(member));
     }
 
     pub fn kill(&mut self, member: u32) {
@@ -165,13 +165,13 @@
         {
             let Some(Reverse((at, _, event))) = self.events.pop() else { break };
             self.now = at;
-            self.happen(event);
+            self.process(event);
         }
         self.now = until;
     }
 
     /// Runs until it is so; how long that took, `None` if not within the span. Looked at every 50 ms.
-    pub fn run_until(&mut self, within: Micros, so: impl Fn(&Tier) -> bool) -> Option<Micros> {
+    pub fn run_until(&mut self, within: Micros, so: impl Fn(&Fleet) -> bool) -> Option<Micros> {
         let began = self.now;
         while !so(self) {
             if self.now - began >= within {
@@ -187,10 +187,10 @@
         self.events.push(Reverse((at, self.number, event)));
     }
 
-    fn happen(&mut self, event: Event) {
+    fn process(&mut self, event: Event) {
         let member = match event {
             Event::Arrives { to, .. } => to,
-            Event::Wakes(member) | Event::Tells(member) => member,
+            Event::Wakes(member) | Event::Reports(member) => member,
         };
         let node = &self.nodes[member as usize];
         if node.asleep_until > self.now {
@@ -204,11 +204,11 @@
                 self.nodes[member as usize].wakes = Micros::MAX;
                 self.input(member, Input::Tick);
             }
-            Event::Tells(_) if node.gossip.is_none() => {}
-            Event::Tells(_) => {
+            Event::Reports(_) if node.gossip.is_none() => {}
+            Event::Reports(_) => {
                 let entries = (0..self.endpoints).map(|n| self.entry(n)).collect();
                 self.input(member, Input::LocalState(entries));
-                self.push(self.now + S, Event::Tells(member));
+                self.push(self.now + S, Event::Reports(member));
             }
         }
     }
@@ -255,15 +255,15 @@
             To::One(one) => vec![one],
             To::All => (0..self.members()).filter(|other| *other != from).collect(),
         };
-        self.keep_the_ceiling(from, receivers.len() as u64, bytes.len() as u64);
-        let said = &mut self.nodes[from as usize].said;
-        said.push_back((to, bytes.clone()));
-        if said.len() > 64 {
-            said.pop_front();
+        self.check_bandwidth(from, receivers.len() as u64, bytes.len() as u64);
+        let recent = &mut self.nodes[from as usize].recent;
+        recent.push_back((to, bytes.clone()));
+        if recent.len() > 64 {
+            recent.pop_front();
         }
         for to in receivers {
-            let parted = self.network.parts[from as usize] != self.network.parts[to as usize];
-            if parted || self.network.cut.contains(&(from, to)) {
+            let partitioned = self.network.partitions[from as usize] != self.network.partitions[to as usize];
+            if partitioned || self.network.cut.contains(&(from, to)) {
                 continue;
             }
             let copies = 1 + u32::from(self.chance.random_bool(self.network.doubled));
@@ -281,7 +281,7 @@
     }
 
     /// In every second, whatever happens; and no datagram is too long.
-    fn keep_the_ceiling(&mut self, member: u32, copies: u64, bytes: u64) {
+    fn check_bandwidth(&mut self, member: u32, copies: u64, bytes: u64) {
         assert!(bytes <= 256, "seed {}: member {member} sent {bytes} bytes", self.seed);
         let now = self.now;
         let sent = &mut self.nodes[member as usize].sent;
@@ -306,7 +306,7 @@
     incarnation: Incarnation,
     counter: u64,
     to: To,
-    parts: &[Section],
+    sections: &[Section],
 ) -> Vec<u8> {
     let header = Header {
         strength: keys.strength(),
@@ -316,7 +316,7 @@
         counter,
     };
     let mut draft = Draft::new(&header, 256);
-    parts.iter().for_each(|part| assert!(draft.push(part), "{part:?} does not fit"));
+    sections.iter().for_each(|section| assert!(draft.push(section), "{section:?} does not fit"));
     draft.finish(keys, to)
 }
 
--- a/crates/gossip/tests/faulty_peers.rs
+++ b/crates/gossip/tests/faulty_peers.rs
@@ -1,4 +1,4 @@
-//! Who lies, replays, forges, floods, or speaks another language, and what it gets out of it.
+//! Faulty peers: false reports, replays, forgeries, floods and other protocol versions, and what they achieve.
 
 mod common;
 use common::*;
@@ -27,50 +27,56 @@
     Keys::load(Strength::Signed, &[key(own)], Some(lines.join("\n").as_bytes()), me, 5).unwrap()
 }
 
-fn tier(strength: Strength, seed: u64) -> Tier {
+fn fleet(strength: Strength, seed: u64) -> Fleet {
     let keys = (0..5).map(|member| match strength {
         Strength::Address => Keys::Address,
         Strength::Shared => shared(&[7]),
         Strength::Signed => signed(member, member as u8 + 1, None),
     });
-    let mut tier = Tier::with_keys(5, seed, Settings { strength, ..settings() }, keys.collect());
-    tier.run_for(10 * S);
-    tier
+    let mut fleet = Fleet::with_keys(5, seed, Settings { strength, ..settings() }, keys.collect());
+    fleet.run_for(10 * S);
+    fleet
 }
 
 const STRENGTHS: [Strength; 3] = [Strength::Address, Strength::Shared, Strength::Signed];
 
 /// The incarnation by which a member is known to another.
-fn known(tier: &Tier, by: u32, of: u32) -> Incarnation {
-    tier.gossip(by).members().find(|member| member.0 == of).unwrap().2
+fn known(fleet: &Fleet, by: u32, of: u32) -> Incarnation {
+    fleet.gossip(by).members().find(|member| member.0 == of).unwrap().2
 }
 
-/// Liars in place of the last members: each says to each honest one, four times a second, that so many of the other honest
-/// ones are unreachable and have left, by numbers that honest ones would use and by great ones.
-fn slander(tier: &mut Tier, liars: u32, of: u32, seconds: u32) {
-    let members = tier.members();
-    let honest = members - liars;
-    (honest..members).for_each(|liar| tier.kill(liar));
+/// Faulty peers in place of the last members: each reports to each correct one, four times a second, that so many of the other correct
+/// ones are unreachable and have left, by incarnations that correct ones would use and by great ones.
+fn report_falsely(fleet: &mut Fleet, faulty_peers: u32, of: u32, seconds: u32) {
+    let members = fleet.members();
+    let correct = members - faulty_peers;
+    (correct..members).for_each(|faulty| fleet.kill(faulty));
     let mut counter = 1_000_000;
     for _ in 0..seconds * 4 {
-        tier.run_for(250 * MS);
-        for liar in honest..members {
-            for to in 0..honest {
-                for subject in (0..honest.min(of)).filter(|subject| *subject != to) {
-                    let now = known(tier, to, subject);
-                    let said = match tier.chance.random_range(0..4) {
+        fleet.run_for(250 * MS);
+        for faulty in correct..members {
+            for to in 0..correct {
+                for subject in (0..correct.min(of)).filter(|subject| *subject != to) {
+                    let now = known(fleet, to, subject);
+                    let said = match fleet.chance.random_range(0..4) {
                         0 => Incarnation { refutations: now.refutations.saturating_add(3), ..now },
                         1 if to == 0 => Incarnation::first(now.generation + (1 << 39)),
                         _ => now,
                     };
-                    let words = [ReportedState::Suspect, ReportedState::Left];
-                    let broadcasts = words.map(|word| broadcast(subject, said, word)).to_vec();
+                    let states = [ReportedState::Suspect, ReportedState::Left];
+                    let broadcasts = states.map(|state| broadcast(subject, said, state)).to_vec();
                     counter += 1;
-                    let life = Incarnation::first(EPOCH);
+                    let incarnation = Incarnation::first(EPOCH);
                     let one = To::One(to);
-                    let lie =
-                        write(&tier.keys[0], liar, life, counter, one, &[Section::Broadcasts(broadcasts)]);
-                    tier.inject(Some(liar), to, lie);
+                    let datagram = write(
+                        &fleet.keys[0],
+                        faulty,
+                        incarnation,
+                        counter,
+                        one,
+                        &[Section::Broadcasts(broadcasts)],
+                    );
+                    fleet.inject(Some(faulty), to, datagram);
                 }
             }
         }
@@ -78,151 +84,152 @@
 }
 
 #[test]
-fn two_liars_together_cannot_have_a_live_member_believed_gone() {
+fn two_faulty_peers_cannot_kill_a_member() {
     let few = (0..4).map(|seed| (5, 0.0, 5, seed)).chain((4..8).map(|seed| (5, 0.1, 5, seed)));
-    // Of many: all of them, some, one. Liars who have all ask one, or all, must not keep it from answering in time.
+    // Of many: all of them, some, one. Faulty peers that have all probe one, or all, must not keep it from answering in time.
     let many = [(24, 0.02, 24, 8), (100, 0.02, 10, 9), (100, 0.02, 1, 10)];
     for (members, loss, of, seed) in few.chain(many) {
-        let mut tier = Tier::new(members, seed, settings());
-        tier.network.loss = loss;
-        tier.run_for(10 * S);
-        slander(&mut tier, 2, of, if members < 100 { 60 } else { 30 });
-        let honest = members - 2;
+        let mut fleet = Fleet::new(members, seed, settings());
+        fleet.network.loss = loss;
+        fleet.run_for(10 * S);
+        report_falsely(&mut fleet, 2, of, if members < 100 { 60 } else { 30 });
+        let correct = members - 2;
         let gone: Vec<Belief> =
-            tier.beliefs.iter().filter(|b| !b.3.is_active() && b.2 < honest).copied().collect();
+            fleet.beliefs.iter().filter(|b| !b.3.is_active() && b.2 < correct).copied().collect();
         assert_eq!(gone, [], "seed {seed}, {members} members, loss {loss}");
         if loss == 0.0 {
-            let doubted = tier.beliefs.iter().filter(|b| b.3 == State::Suspect && b.2 < honest).count();
-            assert_eq!(doubted, 0, "seed {seed}: own fresh hearing outweighs words");
+            let suspected = fleet.beliefs.iter().filter(|b| b.3 == State::Suspect && b.2 < correct).count();
+            assert_eq!(suspected, 0, "seed {seed}: own fresh datagrams outweigh reports");
         }
-        tier.run_for(10 * S);
-        // Among a hundred at 2% loss somebody is doubted for a moment at any time.
+        fleet.run_for(10 * S);
+        // Among a hundred at 2% loss somebody is suspected for a moment at any time.
         let well = |state: State| if members < 100 { state == State::Alive } else { state.is_active() };
-        for member in 0..honest {
+        for member in 0..correct {
             let sees =
-                (0..honest).filter(|other| *other != member && well(tier.sees(member, *other))).count();
-            assert_eq!(sees, honest as usize - 1, "seed {seed}, {members} members: {member} after the lies");
+                (0..correct).filter(|other| *other != member && well(fleet.sees(member, *other))).count();
+            assert_eq!(sees, correct as usize - 1, "seed {seed}, {members} members: {member} after the lies");
         }
     }
 }
 
 #[test]
-fn nor_one_that_only_a_third_can_reach() {
-    let mut tier = Tier::new(5, 21, settings());
-    tier.run_for(10 * S);
-    tier.network.cut = vec![(0, 1), (1, 0)];
-    slander(&mut tier, 2, 5, 120);
-    let gone: Vec<Belief> = tier.beliefs.iter().filter(|b| !b.3.is_active() && b.2 < 3).copied().collect();
+fn two_faulty_peers_cannot_kill_a_half_reachable_member() {
+    let mut fleet = Fleet::new(5, 21, settings());
+    fleet.run_for(10 * S);
+    fleet.network.cut = vec![(0, 1), (1, 0)];
+    report_falsely(&mut fleet, 2, 5, 120);
+    let gone: Vec<Belief> = fleet.beliefs.iter().filter(|b| !b.3.is_active() && b.2 < 3).copied().collect();
     assert_eq!(gone, [], "seed 21: 2 reaches both");
 }
 
 #[test]
-fn a_liar_cannot_bring_back_the_dead_nor_keep_them() {
-    let mut tier = Tier::new(5, 22, settings());
-    tier.run_for(10 * S);
-    tier.kill(1);
-    tier.run_for(15 * S);
-    assert_eq!(tier.see(1, State::Dead), (4, 4), "seed 22");
-    tier.kill(4);
-    let began = tier.now;
+fn faulty_peer_cannot_revive_the_dead() {
+    let mut fleet = Fleet::new(5, 22, settings());
+    fleet.run_for(10 * S);
+    fleet.kill(1);
+    fleet.run_for(15 * S);
+    assert_eq!(fleet.see(1, State::Dead), (4, 4), "seed 22");
+    fleet.kill(4);
+    let began = fleet.now;
     for refutations in 1..100 {
         let said = Incarnation { generation: EPOCH, refutations };
         for to in [0, 2, 3] {
-            let parts = [Section::Broadcasts(vec![broadcast(1, said, ReportedState::Alive)])];
-            let lie = write(
+            let sections = [Section::Broadcasts(vec![broadcast(1, said, ReportedState::Alive)])];
+            let datagram = write(
                 &Keys::Address,
                 4,
                 Incarnation::first(EPOCH),
                 1_000 + u64::from(refutations),
                 To::One(to),
-                &parts,
+                &sections,
             );
-            tier.inject(Some(4), to, lie);
+            fleet.inject(Some(4), to, datagram);
         }
-        tier.run_for(250 * MS);
+        fleet.run_for(250 * MS);
     }
     let back: Vec<Belief> =
-        tier.beliefs_since(began, State::Alive).into_iter().filter(|b| b.2 == 1).collect();
+        fleet.beliefs_since(began, State::Alive).into_iter().filter(|b| b.2 == 1).collect();
     assert_eq!(back, [], "seed 22");
 }
 
 #[test]
-fn a_liar_cannot_use_up_a_members_numbers() {
-    let mut tier = Tier::new(5, 23, settings());
-    tier.run_for(10 * S);
-    let before = tier.gossip(0).incarnation();
+fn faulty_peer_cannot_exhaust_incarnations() {
+    let mut fleet = Fleet::new(5, 23, settings());
+    fleet.run_for(10 * S);
+    let before = fleet.gossip(0).incarnation();
     for counter in 0..200 {
         let far = Incarnation { generation: u64::MAX - 1 - counter % 2, refutations: u16::MAX };
         let near =
-            Incarnation { generation: tier.gossip(0).incarnation().generation + (1 << 40), refutations: 9 };
-        let words = [far, near].map(|said| broadcast(0, said, ReportedState::Suspect)).to_vec();
+            Incarnation { generation: fleet.gossip(0).incarnation().generation + (1 << 40), refutations: 9 };
+        let broadcasts = [far, near].map(|said| broadcast(0, said, ReportedState::Suspect)).to_vec();
         for to in 0..4 {
-            let parts = [Section::Broadcasts(words.clone())];
-            let lie =
-                write(&Keys::Address, 4, Incarnation::first(EPOCH), 1_000 + counter, To::One(to), &parts);
-            tier.inject(Some(4), to, lie);
+            let sections = [Section::Broadcasts(broadcasts.clone())];
+            let datagram =
+                write(&Keys::Address, 4, Incarnation::first(EPOCH), 1_000 + counter, To::One(to), &sections);
+            fleet.inject(Some(4), to, datagram);
         }
-        tier.run_for(500 * MS);
+        fleet.run_for(500 * MS);
     }
-    let jumps = (tier.gossip(0).incarnation().generation - before.generation) >> 40;
+    let jumps = (fleet.gossip(0).incarnation().generation - before.generation) >> 40;
     assert!(jumps <= 11, "seed 23: {jumps} leaps in 100 s; u64 has room for 16 million");
     assert!(
-        !tier.beliefs.iter().any(|b| b.2 == 0 && !b.3.is_active()),
+        !fleet.beliefs.iter().any(|b| b.2 == 0 && !b.3.is_active()),
         "seed 23: and it is heard all the time"
     );
 }
 
 #[test]
-fn what_was_said_before_is_dropped_when_said_again() {
+fn replayed_datagrams_are_dropped() {
     for (seed, strength) in (30..).zip(STRENGTHS) {
-        let mut tier = tier(strength, seed);
-        let said: Vec<(To, Vec<u8>)> = tier.nodes[1].said.iter().cloned().collect();
-        tier.kill(1);
-        let began = tier.now;
+        let mut fleet = fleet(strength, seed);
+        let said: Vec<(To, Vec<u8>)> = fleet.nodes[1].recent.iter().cloned().collect();
+        fleet.kill(1);
+        let began = fleet.now;
         let mut replayed = 0;
         // To whom it was said, from its own address, again and again; with a proof, to anybody.
-        while tier.now - began < 15 * S {
+        while fleet.now - began < 15 * S {
             for (to, bytes) in &said {
                 let shown = if strength == Strength::Address { *to } else { To::One(0) };
-                tier.inject(Some(1), if let To::One(to) = shown { to } else { 0 }, bytes.clone());
+                fleet.inject(Some(1), if let To::One(to) = shown { to } else { 0 }, bytes.clone());
                 replayed += 1;
             }
-            tier.run_for(2 * S);
+            fleet.run_for(2 * S);
         }
-        let (see, all) = tier.see(1, State::Dead);
+        let (see, all) = fleet.see(1, State::Dead);
         assert_eq!(see, all, "seed {seed}, {strength:?}: {replayed} replays kept nobody alive");
-        // The next life, and the old one's words again.
-        tier.start(1, EPOCH + 100_000);
-        tier.run_for(5 * S);
-        let superseded = tier.gossip(0).counts().dropped(DropReason::Superseded);
+        // The next process, and the old one's datagrams again.
+        fleet.start(1, EPOCH + 100_000);
+        fleet.run_for(5 * S);
+        let superseded = fleet.gossip(0).counts().dropped(DropReason::Superseded);
         for (_, bytes) in said.iter().filter(|(to, _)| *to == To::One(0)) {
-            tier.inject(Some(1), 0, bytes.clone());
+            fleet.inject(Some(1), 0, bytes.clone());
         }
-        tier.run_for(5 * S);
+        fleet.run_for(5 * S);
         assert!(
-            tier.gossip(0).counts().dropped(DropReason::Superseded) > superseded,
+            fleet.gossip(0).counts().dropped(DropReason::Superseded) > superseded,
             "seed {seed}, {strength:?}"
         );
-        assert_eq!(known(&tier, 0, 1).generation, EPOCH + 100_000, "seed {seed}, {strength:?}");
+        assert_eq!(known(&fleet, 0, 1).generation, EPOCH + 100_000, "seed {seed}, {strength:?}");
     }
 }
 
 #[test]
-fn what_is_said_in_anothers_name_is_dropped() {
+fn impersonation_is_dropped() {
     for (seed, strength) in (40..).zip(STRENGTHS) {
-        let mut tier = tier(strength, seed);
-        let liars = tier.keys[3].clone();
-        let farewell =
-            |counter| write(&liars, 1, Incarnation::first(EPOCH), counter, To::One(0), &[Section::Leave]);
+        let mut fleet = fleet(strength, seed);
+        let faulty_peers = fleet.keys[3].clone();
+        let farewell = |counter| {
+            write(&faulty_peers, 1, Incarnation::first(EPOCH), counter, To::One(0), &[Section::Leave])
+        };
         // From its own address: the name does not fit.
-        tier.inject(Some(3), 0, farewell(1_000));
-        tier.run_for(10 * MS);
-        assert_eq!(tier.gossip(0).counts().dropped(DropReason::WrongSender), 1, "seed {seed}, {strength:?}");
-        assert_eq!(tier.sees(0, 1), State::Alive, "seed {seed}, {strength:?}");
+        fleet.inject(Some(3), 0, farewell(1_000));
+        fleet.run_for(10 * MS);
+        assert_eq!(fleet.gossip(0).counts().dropped(DropReason::WrongSender), 1, "seed {seed}, {strength:?}");
+        assert_eq!(fleet.sees(0, 1), State::Alive, "seed {seed}, {strength:?}");
         // From the other's address, which it should not be able to: only a signature helps.
-        tier.inject(Some(1), 0, farewell(1_001));
-        tier.run_for(10 * MS);
-        let (forged, state) = (tier.gossip(0).counts().dropped(DropReason::Forged), tier.sees(0, 1));
+        fleet.inject(Some(1), 0, farewell(1_001));
+        fleet.run_for(10 * MS);
+        let (forged, state) = (fleet.gossip(0).counts().dropped(DropReason::Forged), fleet.sees(0, 1));
         match strength {
             Strength::Signed => assert_eq!((forged, state), (1, State::Alive), "seed {seed}"),
             _ => assert_eq!(
@@ -235,22 +242,22 @@
 }
 
 #[test]
-fn rubbish_costs_nothing_and_is_counted() {
-    let mut tier = tier(Strength::Shared, 50);
-    let good = tier.nodes[1].said.iter().rfind(|(to, _)| *to == To::One(0)).unwrap().1.clone();
-    let newest = tier.gossip(0).freshness(1).unwrap();
-    let mut expect = |what: &str, from: Option<u32>, bytes: &[u8], why: DropReason| {
-        let mut gossip = tier.nodes[0].gossip.take().unwrap();
+fn invalid_datagrams_are_counted_and_unanswered() {
+    let mut fleet = fleet(Strength::Shared, 50);
+    let good = fleet.nodes[1].recent.iter().rfind(|(to, _)| *to == To::One(0)).unwrap().1.clone();
+    let newest = fleet.gossip(0).freshness(1).unwrap();
+    let mut expect = |what: &str, from: Option<u32>, bytes: &[u8], reason: DropReason| {
+        let mut gossip = fleet.nodes[0].gossip.take().unwrap();
         while gossip.poll().is_some() {}
         let before = gossip.counts();
-        gossip.handle(tier.now, Input::Datagram { from, bytes });
+        gossip.handle(fleet.now, Input::Datagram { from, bytes });
         let after = gossip.counts();
-        assert_eq!(after.dropped(why), before.dropped(why) + 1, "{what}");
+        assert_eq!(after.dropped(reason), before.dropped(reason) + 1, "{what}");
         assert_eq!(after.dropped_in_all(), before.dropped_in_all() + 1, "{what}");
         assert_eq!(after.sent, before.sent, "{what} is not answered");
         assert_eq!(gossip.poll(), None, "{what}");
         assert_eq!(gossip.freshness(1).unwrap().1, newest.1, "{what}");
-        tier.nodes[0].gossip = Some(gossip);
+        fleet.nodes[0].gossip = Some(gossip);
     };
     expect("a stranger", None, &good, DropReason::UnknownSender);
     expect("nobody's ordinal", Some(5), &good, DropReason::UnknownSender);
@@ -273,16 +280,16 @@
     expect("changed", Some(1), &changed, DropReason::Forged);
     let strangers = write(&shared(&[8]), 1, Incarnation::first(EPOCH), 5_000, To::One(0), &[Section::Leave]);
     expect("under another key", Some(1), &strangers, DropReason::Forged);
-    // None of these pushed the window on.
-    tier.inject(Some(1), 0, new);
-    let before = tier.gossip(0).counts().sent;
-    tier.run_for(MS);
-    assert_eq!(tier.gossip(0).counts().sent, before + 1, "the ping is answered");
+    // None of these moved the replay window on.
+    fleet.inject(Some(1), 0, new);
+    let before = fleet.gossip(0).counts().sent;
+    fleet.run_for(MS);
+    assert_eq!(fleet.gossip(0).counts().sent, before + 1, "the ping is answered");
 }
 
 #[test]
-fn an_old_programs_peer_beside_a_new_one() {
-    let mut tier = tier(Strength::Address, 60);
+fn newer_programs_datagrams_are_understood() {
+    let mut fleet = fleet(Strength::Address, 60);
     let ping = Section::Ping { nonce: 77 };
     let newer = |counter| {
         let mut bytes = write(
@@ -297,73 +304,73 @@
         bytes.extend([200, 3, 1, 2, 3, 2, 4, 1, 0, 9, 9]);
         bytes
     };
-    let before = tier.gossip(0).counts();
-    tier.inject(Some(1), 0, newer(5_000));
-    tier.run_for(MS);
-    assert_eq!(tier.gossip(0).counts().sent, before.sent + 1, "what is known is answered");
+    let before = fleet.gossip(0).counts();
+    fleet.inject(Some(1), 0, newer(5_000));
+    fleet.run_for(MS);
+    assert_eq!(fleet.gossip(0).counts().sent, before.sent + 1, "what is known is answered");
     let mut version_2 = newer(5_001);
     version_2[0] = 2;
-    tier.inject(Some(1), 0, version_2);
-    tier.run_for(MS);
-    assert_eq!(tier.gossip(0).counts().sent, before.sent + 1, "of another version nothing is");
-    assert_eq!(tier.gossip(0).counts().dropped(DropReason::NewerVersion), 1);
+    fleet.inject(Some(1), 0, version_2);
+    fleet.run_for(MS);
+    assert_eq!(fleet.gossip(0).counts().sent, before.sent + 1, "of another version nothing is");
+    assert_eq!(fleet.gossip(0).counts().dropped(DropReason::NewerVersion), 1);
 }
 
 #[test]
-fn a_flood_from_one_peer_drowns_nobody() {
+fn flood_from_one_peer_harms_no_other() {
     for (seed, strength) in (70..).zip(STRENGTHS) {
-        let mut tier = tier(strength, seed);
-        let began = tier.now;
-        let keys = tier.keys[4].clone();
-        tier.kill(4);
+        let mut fleet = fleet(strength, seed);
+        let began = fleet.now;
+        let keys = fleet.keys[4].clone();
+        fleet.kill(4);
         let mut counter = 10_000;
         for _ in 0..200 {
             for _ in 0..100 {
                 counter += 1;
                 let ask = [Section::Ping { nonce: 1 }, Section::IndirectPing { nonce: 2, target: 1 }];
                 let ping = write(&keys, 4, Incarnation::first(EPOCH), counter, To::One(0), &ask);
-                tier.inject(Some(4), 0, ping);
+                fleet.inject(Some(4), 0, ping);
             }
-            tier.run_for(50 * MS);
+            fleet.run_for(50 * MS);
         }
-        // 20,000 in 10 s: looked at are 32 a second. The ceiling of what is sent is watched by the tier itself.
-        let flood = tier.gossip(0).counts().dropped(DropReason::RateLimited);
+        // 20,000 in 10 s: looked at are 32 a second. The bandwidth limit is checked by the simulation itself.
+        let flood = fleet.gossip(0).counts().dropped(DropReason::RateLimited);
         assert!(flood >= 20_000 - 12 * 32, "seed {seed}, {strength:?}: {flood} dropped");
-        let blamed: Vec<Belief> = tier.beliefs_since(began, State::Dead);
+        let blamed: Vec<Belief> = fleet.beliefs_since(began, State::Dead);
         assert!(blamed.iter().all(|b| b.2 == 4), "seed {seed}, {strength:?}: {blamed:?}");
-        assert!((1..4).all(|other| tier.sees(0, other) == State::Alive), "seed {seed}, {strength:?}");
+        assert!((1..4).all(|other| fleet.sees(0, other) == State::Alive), "seed {seed}, {strength:?}");
     }
 }
 
 #[test]
-fn keys_change_without_a_gap() {
-    let mut tier = tier(Strength::Shared, 80);
-    let began = tier.now;
+fn shared_keys_rotate_without_a_gap() {
+    let mut fleet = fleet(Strength::Shared, 80);
+    let began = fleet.now;
     for step in [&[7, 8][..], &[8, 7], &[8]] {
         for member in 0..5 {
-            tier.input(member, Input::Keys(shared(step)));
-            tier.run_for(1_300 * MS);
+            fleet.input(member, Input::Keys(shared(step)));
+            fleet.run_for(1_300 * MS);
         }
     }
-    assert_eq!(tier.beliefs_since(began, State::Suspect), [], "seed 80");
-    assert!((0..5).all(|member| tier.gossip(member).counts().dropped(DropReason::Forged) == 0), "seed 80");
-    // Who has only the old one is no member.
-    tier.input(2, Input::Keys(shared(&[7])));
-    tier.run_for(20 * S);
-    assert_eq!(tier.see(2, State::Dead).0, 4, "seed 80");
-    assert!(tier.gossip(0).counts().dropped(DropReason::Forged) > 0);
+    assert_eq!(fleet.beliefs_since(began, State::Suspect), [], "seed 80");
+    assert!((0..5).all(|member| fleet.gossip(member).counts().dropped(DropReason::Forged) == 0), "seed 80");
+    // A member that has only the old key is none.
+    fleet.input(2, Input::Keys(shared(&[7])));
+    fleet.run_for(20 * S);
+    assert_eq!(fleet.see(2, State::Dead).0, 4, "seed 80");
+    assert!(fleet.gossip(0).counts().dropped(DropReason::Forged) > 0);
 }
 
 #[test]
-fn one_members_signature_changes_without_a_gap() {
-    let mut tier = tier(Strength::Signed, 81);
-    let began = tier.now;
+fn signing_key_rotates_without_a_gap() {
+    let mut fleet = fleet(Strength::Signed, 81);
+    let began = fleet.now;
     for member in 0..5 {
-        tier.input(member, Input::Keys(signed(member, member as u8 + 1, Some(99))));
-        tier.run_for(1_300 * MS);
+        fleet.input(member, Input::Keys(signed(member, member as u8 + 1, Some(99))));
+        fleet.run_for(1_300 * MS);
     }
-    tier.input(2, Input::Keys(signed(2, 99, Some(99))));
-    tier.run_for(10 * S);
-    assert_eq!(tier.beliefs_since(began, State::Suspect), [], "seed 81");
-    assert!((0..5).all(|member| tier.gossip(member).counts().dropped(DropReason::Forged) == 0), "seed 81");
+    fleet.input(2, Input::Keys(signed(2, 99, Some(99))));
+    fleet.run_for(10 * S);
+    assert_eq!(fleet.beliefs_since(began, State::Suspect), [], "seed 81");
+    assert!((0..5).all(|member| fleet.gossip(member).counts().dropped(DropReason::Forged) == 0), "seed 81");
 }
--- a/crates/gossip/tests/golden.rs
+++ b/crates/gossip/tests/golden.rs
@@ -29,7 +29,7 @@
     ]
 }
 
-fn parts() -> Vec<(&'static str, Section)> {
+fn sections() -> Vec<(&'static str, Section)> {
     let broadcast = |subject, state| Broadcast { subject, incarnation: incarnation(), state };
     let broadcasts = vec![
         broadcast(1, ReportedState::Alive),
@@ -48,23 +48,23 @@
     ]
 }
 
-fn datagram(header: &Header, keys: &Keys, to: To, parts: &[Section]) -> Vec<u8> {
+fn datagram(header: &Header, keys: &Keys, to: To, sections: &[Section]) -> Vec<u8> {
     let mut draft = Draft::new(header, LONGEST);
-    parts.iter().for_each(|part| assert!(draft.push(part)));
+    sections.iter().for_each(|section| assert!(draft.push(section)));
     draft.finish(keys, to)
 }
 
 #[test]
 fn each_section_keeps_its_bytes() {
     let header = header(Strength::Address, false);
-    let made: Vec<_> = parts()
+    let made: Vec<_> = sections()
         .into_iter()
-        .map(|(name, part)| (name, datagram(&header, &Keys::Address, To::One(5), &[part])))
+        .map(|(name, section)| (name, datagram(&header, &Keys::Address, To::One(5), &[section])))
         .collect();
     let golden = assert_bytes(&golden_path!("sections.txt"), &made);
-    for (bytes, (name, part)) in golden.iter().zip(parts()) {
+    for (bytes, (name, section)) in golden.iter().zip(sections()) {
         let (read, length) = Header::read(bytes).unwrap();
-        assert_eq!((read, read_sections(&bytes[length..]).unwrap()), (header, vec![part]), "{name}");
+        assert_eq!((read, read_sections(&bytes[length..]).unwrap()), (header, vec![section]), "{name}");
     }
 }
 
@@ -74,8 +74,8 @@
     let public = Keys::public_of(SECRET.as_bytes()).unwrap();
     let shared = Keys::load(Strength::Shared, &secret, None, 0, 1).unwrap();
     let signed = Keys::load(Strength::Signed, &secret, Some(public.as_bytes()), 0, 1).unwrap();
-    let parts: Vec<_> = parts().into_iter().map(|(_, part)| part).take(5).collect();
-    let make = |keys: &Keys, to| datagram(&header(keys.strength(), to == To::All), keys, to, &parts);
+    let sections: Vec<_> = sections().into_iter().map(|(_, section)| section).take(5).collect();
+    let make = |keys: &Keys, to| datagram(&header(keys.strength(), to == To::All), keys, to, &sections);
     let made = [
         ("address", make(&Keys::Address, To::One(5))),
         ("shared_to_one", make(&shared, To::One(5))),
--- a/crates/gossip/tests/one_member.rs
+++ b/crates/gossip/tests/one_member.rs
@@ -1,4 +1,4 @@
-//! One member by hand, the others played: what a tier of honest members hides, because several guards hold at once.
+//! One member, the others simulated by hand: what a fleet of correct members hides, because several guards hold at once.
 
 mod common;
 use common::*;
@@ -6,8 +6,8 @@
 use cottonnotch_gossip::*;
 use std::collections::BTreeSet;
 
-/// Member 0 of 24, and the counters of those that are played.
-struct Played {
+/// Member 0 of 24, and the counters of those that are simulated.
+struct OneMember {
     gossip: Gossip,
     now: Micros,
     counter: u64,
@@ -20,10 +20,10 @@
     beliefs: Vec<(u32, State)>,
 }
 
-impl Played {
+impl OneMember {
     fn new() -> Self {
         let gossip = Gossip::new(settings(), Keys::Address, 0, 24, EPOCH, 1, 0);
-        Played {
+        OneMember {
             gossip,
             now: 0,
             counter: 0,
@@ -34,29 +34,29 @@
         }
     }
 
-    fn says(&mut self, member: u32, counter: u64, parts: &[Section]) {
-        let bytes = write(&Keys::Address, member, Incarnation::first(EPOCH), counter, To::One(0), parts);
+    fn send_as(&mut self, member: u32, counter: u64, sections: &[Section]) {
+        let bytes = write(&Keys::Address, member, Incarnation::first(EPOCH), counter, To::One(0), sections);
         self.gossip.handle(self.now, Input::Datagram { from: Some(member), bytes: &bytes });
-        self.listen();
+        self.drain();
     }
 
-    fn says_next(&mut self, member: u32, parts: &[Section]) {
+    fn send_next_as(&mut self, member: u32, sections: &[Section]) {
         self.counter += 1;
-        self.says(member, self.counter, parts);
+        self.send_as(member, self.counter, sections);
     }
 
-    fn listen(&mut self) {
+    fn drain(&mut self) {
         while let Some(output) = self.gossip.poll() {
             match output {
                 Output::Member { ordinal, state, .. } => self.beliefs.push((ordinal, state)),
                 Output::Send { to: To::One(to), bytes } => {
                     let length = Header::read(&bytes).unwrap().1;
-                    for part in read_sections(&bytes[length..]).unwrap() {
-                        let Section::Ping { nonce } = part else { continue };
+                    for section in read_sections(&bytes[length..]).unwrap() {
+                        let Section::Ping { nonce } = section else { continue };
                         self.asked.insert(to);
                         self.pings += usize::from(to == 3);
                         if to == 3 && self.answers {
-                            self.says_next(3, &[Section::Ack { nonce }]);
+                            self.send_next_as(3, &[Section::Ack { nonce }]);
                         }
                     }
                 }
@@ -66,20 +66,20 @@
     }
 
     /// Lets time pass, on time.
-    fn pass(&mut self, span: Micros) {
+    fn run_for(&mut self, span: Micros) {
         let until = self.now + span;
         while self.gossip.next_timeout() <= until {
             self.now = self.gossip.next_timeout();
             self.gossip.handle(self.now, Input::Tick);
-            self.listen();
+            self.drain();
         }
         self.now = until;
     }
 
     fn accuse(&mut self, state: ReportedState) {
-        for teller in [1, 2, 5] {
+        for reporter in [1, 2, 5] {
             let broadcast = broadcast(3, Incarnation::first(EPOCH), state);
-            self.says_next(teller, &[Section::Broadcasts(vec![broadcast])]);
+            self.send_next_as(reporter, &[Section::Broadcasts(vec![broadcast])]);
         }
     }
 
@@ -89,126 +89,122 @@
 }
 
 #[test]
-fn who_is_heard_is_not_asked_whatever_is_said() {
-    let mut played = Played::new();
+fn fresh_member_is_not_probed_on_reports() {
+    let mut sim = OneMember::new();
     for _ in 0..40 {
-        played.says_next(3, &[Section::Digest { total: 0, entries: vec![] }]);
-        played.accuse(ReportedState::Suspect);
-        played.pass(250 * MS);
+        sim.send_next_as(3, &[Section::Digest { total: 0, entries: vec![] }]);
+        sim.accuse(ReportedState::Suspect);
+        sim.run_for(250 * MS);
     }
-    assert_eq!((played.pings, played.believed(3)), (0, vec![State::Alive]));
+    assert_eq!((sim.pings, sim.believed(3)), (0, vec![State::Alive]));
 }
 
 #[test]
-fn who_answers_is_not_suspected_whatever_is_said() {
-    let mut played = Played::new();
-    played.says_next(3, &[]);
+fn answering_member_is_not_suspected_on_reports() {
+    let mut sim = OneMember::new();
+    sim.send_next_as(3, &[]);
     for _ in 0..240 {
-        for word in [ReportedState::Suspect, ReportedState::Left] {
-            played.accuse(word);
-            played.pass(125 * MS);
+        for state in [ReportedState::Suspect, ReportedState::Left] {
+            sim.accuse(state);
+            sim.run_for(125 * MS);
         }
     }
-    assert_eq!(played.believed(3), [State::Alive]);
-    assert!(
-        (5..=30).contains(&played.pings),
-        "{} questions in a minute because of 1,440 words",
-        played.pings
-    );
+    assert_eq!(sim.believed(3), [State::Alive]);
+    assert!((5..=30).contains(&sim.pings), "{} probes in a minute because of 1,440 reports", sim.pings);
 }
 
 #[test]
-fn one_that_accuses_all_moves_to_few_questions() {
-    let mut played = Played::new();
-    played.pass(3 * S);
-    played.asked.clear();
+fn accuser_prompts_few_probes() {
+    let mut sim = OneMember::new();
+    sim.run_for(3 * S);
+    sim.asked.clear();
     for subject in 3..24 {
         let broadcast = broadcast(subject, Incarnation::first(EPOCH), ReportedState::Suspect);
-        played.says_next(1, &[Section::Broadcasts(vec![broadcast])]);
+        sim.send_next_as(1, &[Section::Broadcasts(vec![broadcast])]);
     }
-    played.pass(700 * MS);
+    sim.run_for(700 * MS);
     // Two, and one in its turn.
-    assert!((2..=3).contains(&played.asked.len()), "{:?}", played.asked);
+    assert!((2..=3).contains(&sim.asked.len()), "{:?}", sim.asked);
 }
 
 #[test]
-fn what_was_contradicted_moves_to_none() {
-    for contradicted in [false, true] {
-        let mut played = Played::new();
-        played.pass(3 * S);
-        played.says_next(3, &[]);
-        played.accuse(ReportedState::Suspect);
-        if contradicted {
+fn refuted_report_prompts_no_probe() {
+    for refuted in [false, true] {
+        let mut sim = OneMember::new();
+        sim.run_for(3 * S);
+        sim.send_next_as(3, &[]);
+        sim.accuse(ReportedState::Suspect);
+        if refuted {
             let broadcast =
                 broadcast(3, Incarnation { generation: EPOCH, refutations: 1 }, ReportedState::Alive);
-            played.says_next(6, &[Section::Broadcasts(vec![broadcast])]);
+            sim.send_next_as(6, &[Section::Broadcasts(vec![broadcast])]);
         }
-        played.pass(4_500 * MS);
-        assert_eq!(played.pings, usize::from(!contradicted));
+        sim.run_for(4_500 * MS);
+        assert_eq!(sim.pings, usize::from(!refuted));
     }
 }
 
 #[test]
-fn who_asks_much_leaves_answers_for_others_and_all_leave_room_for_beats() {
-    let mut played = Played::new();
-    played.pass(10 * S);
-    let sent = |played: &Played| played.gossip.counts().sent;
+fn requests_leave_bandwidth_for_others_and_heartbeats() {
+    let mut sim = OneMember::new();
+    sim.run_for(10 * S);
+    let sent = |sim: &OneMember| sim.gossip.counts().sent;
     let ping = [Section::Ping { nonce: 9 }];
-    let before = sent(&played);
-    (0..30).for_each(|_| played.says_next(1, &ping));
-    assert_eq!(sent(&played) - before, 4, "the questions of one");
-    played.says_next(2, &ping);
-    assert_eq!(sent(&played) - before, 5, "and one of another");
-    (0..3).flat_map(|_| 4..24).for_each(|member| played.says_next(member, &ping));
-    let answered = sent(&played) - before;
+    let before = sent(&sim);
+    (0..30).for_each(|_| sim.send_next_as(1, &ping));
+    assert_eq!(sent(&sim) - before, 4, "the requests of one");
+    sim.send_next_as(2, &ping);
+    assert_eq!(sent(&sim) - before, 5, "and one of another");
+    (0..3).flat_map(|_| 4..24).for_each(|member| sim.send_next_as(member, &ping));
+    let answered = sent(&sim) - before;
     assert!((10..=16).contains(&answered), "{answered} of 91 answered");
-    let withheld = played.gossip.counts().withheld(Purpose::Digest);
-    played.pass(1_100 * MS);
-    assert_eq!(played.gossip.counts().withheld(Purpose::Digest), withheld);
-    assert!(sent(&played) - before >= answered + 4, "the beats of the same second");
+    let withheld = sim.gossip.counts().withheld(Purpose::Digest);
+    sim.run_for(1_100 * MS);
+    assert_eq!(sim.gossip.counts().withheld(Purpose::Digest), withheld);
+    assert!(sent(&sim) - before >= answered + 4, "the heartbeats of the same second");
 }
 
 #[test]
-fn one_check_that_fails_proves_nothing_whoever_says_farewell_for_it() {
-    let mut played = Played::new();
-    played.says_next(3, &[]);
-    played.answers = false;
-    played.accuse(ReportedState::Left);
-    played.pass(1_500 * MS);
-    assert_eq!(played.believed(3), [State::Alive, State::Suspect]);
-    played.answers = true;
-    played.pass(20 * S);
-    assert_eq!(played.believed(3), [State::Alive, State::Suspect, State::Alive]);
-    played.answers = false;
-    played.pass(20 * S);
-    played.accuse(ReportedState::Left);
-    played.pass(6 * S);
-    assert_eq!(played.believed(3).last(), Some(&State::Left), "and if it fails again, it is believed");
+fn one_failed_check_confirms_no_farewell() {
+    let mut sim = OneMember::new();
+    sim.send_next_as(3, &[]);
+    sim.answers = false;
+    sim.accuse(ReportedState::Left);
+    sim.run_for(1_500 * MS);
+    assert_eq!(sim.believed(3), [State::Alive, State::Suspect]);
+    sim.answers = true;
+    sim.run_for(20 * S);
+    assert_eq!(sim.believed(3), [State::Alive, State::Suspect, State::Alive]);
+    sim.answers = false;
+    sim.run_for(20 * S);
+    sim.accuse(ReportedState::Left);
+    sim.run_for(6 * S);
+    assert_eq!(sim.believed(3).last(), Some(&State::Left), "and if it fails again, it is believed");
 }
 
 #[test]
-fn one_that_slept_reads_what_came_before_it_judges() {
-    let mut played = Played::new();
-    played.says_next(3, &[]);
-    played.answers = false;
-    while played.pings < 2 {
-        played.pass(50 * MS);
+fn stopped_member_reads_before_it_judges() {
+    let mut sim = OneMember::new();
+    sim.send_next_as(3, &[]);
+    sim.answers = false;
+    while sim.pings < 2 {
+        sim.run_for(50 * MS);
     }
     // Asked directly and through others; the answer comes while this one sleeps, and its timer is seen first.
-    played.now += 2 * S;
-    played.gossip.handle(played.now, Input::Tick);
-    played.listen();
-    played.says_next(3, &[]);
-    assert_eq!(played.believed(3), [State::Alive]);
+    sim.now += 2 * S;
+    sim.gossip.handle(sim.now, Input::Tick);
+    sim.drain();
+    sim.send_next_as(3, &[]);
+    assert_eq!(sim.believed(3), [State::Alive]);
 }
 
 #[test]
-fn what_was_said_before_a_farewell_does_not_bring_back() {
-    let mut played = Played::new();
-    played.says(3, 10, &[]);
-    played.says(3, 12, &[Section::Leave]);
-    played.says(3, 11, &[Section::Digest { total: 0, entries: vec![] }]);
-    assert_eq!(played.believed(3), [State::Alive, State::Left]);
-    played.says(3, 13, &[]);
-    assert_eq!(played.believed(3), [State::Alive, State::Left, State::Alive], "what it says after does");
+fn datagram_older_than_farewell_revives_nobody() {
+    let mut sim = OneMember::new();
+    sim.send_as(3, 10, &[]);
+    sim.send_as(3, 12, &[Section::Leave]);
+    sim.send_as(3, 11, &[Section::Digest { total: 0, entries: vec![] }]);
+    assert_eq!(sim.believed(3), [State::Alive, State::Left]);
+    sim.send_as(3, 13, &[]);
+    assert_eq!(sim.believed(3), [State::Alive, State::Left, State::Alive], "what it says after does");
 }
