--- a/crates/consensus/tests/common/chaos.rs
+++ b/crates/consensus/tests/common/chaos.rs
@@ -1,19 +1,19 @@
-//! Random faults, one after another; then everything heals.
+//! Random faults, one after another; then all of them end.
 
-use super::world::{MS, Net, World};
+use super::world::{Disk, MS, Net, World};
 use super::{content, not_for};
 use cottonnotch_consensus::{Mutant, Role, Timing, Topic};
 use rand::RngExt;
 
-/// What may go wrong.
+/// The faults of a run.
 #[derive(Clone, Debug)]
 pub struct Faults {
     pub members: u16,
     pub voters: u16,
     pub drift_ppm: u32,
     pub span: i64,
-    /// Voters that may have no memory at one time.
-    pub forgets: usize,
+    /// Voters that may be without durable state at one time.
+    pub max_recovering: usize,
     pub net: Net,
     pub mutant: Mutant,
 }
@@ -33,13 +33,13 @@
             voters,
             drift_ppm: if seed % 4 == 1 { 100_000 } else { 1_000 },
             span: if members > 50 { 4_000 * MS } else { 12_000 * MS },
-            forgets: usize::from(voters) / 2,
+            max_recovering: usize::from(voters) / 2,
             net: match seed % 5 {
                 0 => Net::default(),
-                1 => Net { most: 30 * MS, loss: 50, doubled: 50, ..Net::default() },
-                2 => Net { most: 80 * MS, loss: 20, doubled: 200, ..Net::default() },
-                3 => Net { most: 5 * MS, loss: 200, doubled: 20, ..Net::default() },
-                _ => Net { most: 10 * MS, loss: 10, doubled: 10, ..Net::default() },
+                1 => Net { most: 30 * MS, loss: 50, duplicated: 50, ..Net::default() },
+                2 => Net { most: 80 * MS, loss: 20, duplicated: 200, ..Net::default() },
+                3 => Net { most: 5 * MS, loss: 200, duplicated: 20, ..Net::default() },
+                _ => Net { most: 10 * MS, loss: 10, duplicated: 10, ..Net::default() },
             },
             mutant: Mutant::Unmodified,
         }
@@ -52,61 +52,61 @@
     }
 }
 
-/// A content drawn at random; half of them contradict a given other.
+/// A random content; half of them are incompatible with a given other.
 pub fn any_content(world: &mut World, id: u16) -> cottonnotch_consensus::ContentHash {
-    let says = [0; 3].map(|_: u8| world.chance.random_range(0..=2));
+    let says = [0; 3].map(|_: u8| world.rng.random_range(0..=2));
     let hash = content(id, says);
-    if world.chance.random_range(0..8) == 0 {
-        let member = world.chance.random_range(0..world.members);
+    if world.rng.random_range(0..8) == 0 {
+        let member = world.rng.random_range(0..world.members);
         return not_for(hash, member);
     }
     hash
 }
 
-/// Runs under faults; the world as it is then, not healed.
-pub fn storm(seed: u64, faults: &Faults) -> World {
+/// Runs under faults; the world as it is then, with the faults still there.
+pub fn run_under_faults(seed: u64, faults: &Faults) -> World {
     let mut world = World::new(seed, faults.members, faults.voters, faults.timing(), faults.mutant);
     world.net = faults.net.clone();
     world.run(2_500 * MS);
     let mut id = 0;
     let end = world.now + faults.span;
     while world.now < end && world.oracle.violation.is_none() {
-        for _ in 0..world.chance.random_range(1..=3) {
-            if world.chance.random_range(0..3) == 0 {
+        for _ in 0..world.rng.random_range(1..=3) {
+            if world.rng.random_range(0..3) == 0 {
                 id += 1;
                 let hash = any_content(&mut world, id);
-                let topic = if world.chance.random_range(0..4) == 0 { Topic::Settings } else { Topic::Rules };
-                let member = world.chance.random_range(0..world.members);
+                let topic = if world.rng.random_range(0..4) == 0 { Topic::Settings } else { Topic::Rules };
+                let member = world.rng.random_range(0..world.members);
                 world.propose(member, topic, hash);
             } else {
                 fault(&mut world, faults);
             }
         }
-        let span = world.chance.random_range(20 * MS..900 * MS);
+        let span = world.rng.random_range(20 * MS..900 * MS);
         world.run(span);
     }
     world
 }
 
-fn forgetful(world: &World) -> usize {
-    let forgot = |&&voter: &&u16| match world.status(voter) {
+fn recovering(world: &World) -> usize {
+    let lost_state = |&&voter: &&u16| match world.status(voter) {
         Some(status) => status.role == Role::Recovering,
         None => world.disks[usize::from(voter)].is_none(),
     };
-    world.voters.iter().filter(forgot).count()
+    world.voters.iter().filter(lost_state).count()
 }
 
 fn fault(world: &mut World, faults: &Faults) {
-    let voter = world.chance.random_range(0..world.voters.len()) as u16;
+    let voter = world.rng.random_range(0..world.voters.len()) as u16;
     let leader = world.leader().unwrap_or(voter);
-    let any = world.chance.random_range(0..world.members);
-    // Faults of the leader are the ones that matter most.
-    let one = match world.chance.random_range(0..4) {
+    let any = world.rng.random_range(0..world.members);
+    // Faults of the leader matter most.
+    let one = match world.rng.random_range(0..4) {
         0 | 1 => leader,
         2 => voter,
         _ => any,
     };
-    match world.chance.random_range(0..15) {
+    match world.rng.random_range(0..15) {
         0 => {
             world.cut.insert((one, any));
         }
@@ -114,15 +114,15 @@
             world.cut_both(one, any);
         }
         2 => {
-            // Hears, but isn't heard; or the other way round.
-            let hears = world.chance.random_range(0..2) == 0;
+            // Receives and can't send, or the other way round.
+            let hears = world.rng.random_range(0..2) == 0;
             for other in 0..world.members {
                 world.cut.insert(if hears { (one, other) } else { (other, one) });
             }
         }
         3 => world.cut_off(one),
         4 => {
-            let side: Vec<bool> = (0..world.members).map(|_| world.chance.random_range(0..2) == 0).collect();
+            let side: Vec<bool> = (0..world.members).map(|_| world.rng.random_range(0..2) == 0).collect();
             for from in 0..world.members {
                 for to in 0..world.members {
                     if side[usize::from(from)] != side[usize::from(to)] {
@@ -132,23 +132,24 @@
             }
         }
         5..7 => world.cut.clear(),
-        7 => world.crash(one, false),
+        7 => world.crash(one, Disk::Kept),
         8 => {
-            let after = world.chance.random_range(0..6);
+            let after = world.rng.random_range(0..6);
             world.crash_midway(one, after);
         }
         9 => {
             let voting = world.voters.contains(&one);
-            if !voting || world.disks[usize::from(one)].is_none() || forgetful(world) < faults.forgets {
-                world.crash(one, true);
-                if world.chance.random_range(0..2) == 0 {
+            if !voting || world.disks[usize::from(one)].is_none() || recovering(world) < faults.max_recovering
+            {
+                world.crash(one, Disk::Lost);
+                if world.rng.random_range(0..2) == 0 {
                     world.restart(one);
                 }
             }
         }
         10 | 11 => world.stop(one),
         12 => {
-            // A new life while the old one is only stopped. Voters' memory has one process at a time, by a lock.
+            // A new incarnation while the old one is only stopped. Voters' state folder is locked by one process.
             if !world.voters.contains(&any) {
                 world.stop(any);
                 world.start(any, None);
@@ -156,7 +157,7 @@
         }
         13 => {
             for process in 0..world.processes.len() {
-                world.go_on(process);
+                world.resume(process);
             }
         }
         _ => {
@@ -167,11 +168,11 @@
     }
 }
 
-/// Everything heals. What was proposed before must be over within `most`, and a new proposal in force everywhere soon after;
-/// how long both took.
-pub fn comes_back(world: &mut World, most: i64) -> Option<(i64, i64)> {
+/// Ends all faults. Earlier proposals must be finished within `most`, and a new one in force everywhere soon after; how long
+/// both took.
+pub fn recover(world: &mut World, most: i64) -> Option<(i64, i64)> {
     world.heal();
-    world.end_old_lives();
+    world.end_old_incarnations();
     let quiet = |world: &World| {
         let nothing_waits = |&process: &usize| world.processes[process].member.status().proposals == 0;
         let state = world.leader().and_then(|leader| world.status(leader)).and_then(|status| status.state);
@@ -186,7 +187,7 @@
     Some((settled, took))
 }
 
-/// What the voters say of themselves, and how the last proposals ended.
+/// The voters' status and the last proposals' outcomes, for a failure's message.
 pub fn report(world: &World) -> String {
     let short = |hash: &cottonnotch_consensus::ContentHash| format!("{:x?}", &hash[..6]);
     let over = world.over.iter().rev().take(9);
--- a/crates/consensus/tests/common/oracle.rs
+++ b/crates/consensus/tests/common/oracle.rs
@@ -1,10 +1,10 @@
-//! What must hold at every instant, seen from outside all clocks.
+//! Checks the invariants at every instant, with a view of all clocks.
 
 use super::contradict;
 use cottonnotch_consensus::{ContentHash, Lease, Topic};
 use std::collections::BTreeMap;
 
-/// One process's right, by true time.
+/// A process's lease, by true time.
 #[derive(Clone, Copy, Debug)]
 struct Acting {
     number: u64,
@@ -18,39 +18,39 @@
     floors: [BTreeMap<usize, u64>; 2],
     named: [BTreeMap<u64, ContentHash>; 2],
     pub violation: Option<String>,
-    /// The greatest number anyone was given a right on.
+    /// The greatest number that any process had a lease on.
     pub greatest: [u64; 2],
-    /// When each process was last without a right it had before, by true time; and for how long in all.
-    doubt_since: [BTreeMap<usize, i64>; 2],
-    pub doubt: [i64; 2],
-    /// When a process first had a right on a number, and when the last one did.
+    /// Since when each process has been without a lease it had before, by true time; and the total time.
+    without_lease_since: [BTreeMap<usize, i64>; 2],
+    pub time_without_lease: [i64; 2],
+    /// When a process first had a lease on a number, and when the last one got it.
     pub first: BTreeMap<(usize, u64), i64>,
     pub last: BTreeMap<(usize, u64), i64>,
 }
 
 impl Oracle {
-    /// A process was given a right, or lost it; `until` by true time.
-    pub fn lease(&mut self, now: i64, process: usize, right: Lease, until: i64) {
-        let at = right.topic as usize;
+    /// A process got a lease, or lost it; `until` by true time.
+    pub fn lease_changed(&mut self, now: i64, process: usize, lease: Lease, until: i64) {
+        let at = lease.topic as usize;
         if let Some(before) = self.acting[at].remove(&process)
             && before.until <= now
         {
-            self.doubt_since[at].insert(process, before.until);
+            self.without_lease_since[at].insert(process, before.until);
         }
-        let Some((number, hash)) = right.version else {
-            self.doubt_since[at].entry(process).or_insert(now);
+        let Some((number, hash)) = lease.version else {
+            self.without_lease_since[at].entry(process).or_insert(now);
             return;
         };
-        if let Some(since) = self.doubt_since[at].remove(&process) {
-            self.doubt[at] += now - since;
+        if let Some(since) = self.without_lease_since[at].remove(&process) {
+            self.time_without_lease[at] += now - since;
         }
         let named = *self.named[at].entry(number).or_insert(hash);
-        self.demand(named == hash, || format!("number {number} of {:?} names two versions", right.topic));
+        self.demand(named == hash, || format!("number {number} of {:?} names two versions", lease.topic));
         let floor = self.floors[at].entry(process).or_insert(0);
         let forward = number >= *floor;
         *floor = number;
         self.demand(forward, || {
-            format!("process {process}: a number of {:?} went back to {number}", right.topic)
+            format!("process {process}: a number of {:?} went back to {number}", lease.topic)
         });
         self.greatest[at] = self.greatest[at].max(number);
         self.first.entry((at, number)).or_insert(now);
@@ -67,7 +67,7 @@
                 self.demand(false, || {
                     format!(
                         "{:?}: process {process} may act on {number} until {until}, process {other} on {} until {}",
-                        right.topic, theirs.number, theirs.until
+                        lease.topic, theirs.number, theirs.until
                     )
                 });
             }
@@ -76,11 +76,11 @@
         self.acting[at].insert(process, mine);
     }
 
-    /// The process is no more.
-    pub fn gone(&mut self, process: usize) {
+    /// The process has ended.
+    pub fn crashed(&mut self, process: usize) {
         for at in 0..2 {
             self.acting[at].remove(&process);
-            self.doubt_since[at].remove(&process);
+            self.without_lease_since[at].remove(&process);
         }
     }
 
@@ -97,8 +97,8 @@
         self.acting[topic as usize].values().filter(|acting| now < acting.until).count()
     }
 
-    pub fn demand(&mut self, holds: bool, what: impl FnOnce() -> String) {
-        if !holds && self.violation.is_none() {
+    pub fn demand(&mut self, lease_holder: bool, what: impl FnOnce() -> String) {
+        if !lease_holder && self.violation.is_none() {
             self.violation = Some(what());
         }
     }
--- a/crates/consensus/tests/common/scenes.rs
+++ b/crates/consensus/tests/common/scenarios.rs
@@ -1,7 +1,7 @@
 //! Cases made by hand, to be sound as the code is, and not with the fault they are made for.
 
 use super::content;
-use super::world::{MS, World};
+use super::world::{Disk, MS, World};
 use cottonnotch_consensus::{ContentHash, Mutant, Timing, Topic};
 use rand::RngExt;
 
@@ -24,7 +24,7 @@
     world.propose(members - 1, Topic::Rules, old());
     let took = world.run_until(3_000 * MS, |world| world.acting_on(Topic::Rules, old()) == everywhere);
     assert!(took.is_some(), "seed {seed}: not in force at first");
-    let span = world.chance.random_range(MS..600 * MS);
+    let span = world.rng.random_range(MS..600 * MS);
     world.run(span);
     let Some(leader) = world.leader() else { panic!("seed {seed}: nobody leads") };
     (world, leader)
@@ -43,7 +43,7 @@
     let others = world.run_until(6_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 4);
     assert!(others.is_some() || world.oracle.violation.is_some(), "seed {seed}: the others didn't go on");
     world.cut_off(leader);
-    world.go_on(process);
+    world.resume(process);
     world.run(3_000 * MS);
     world
 }
@@ -53,7 +53,7 @@
 pub fn a_rival_while_the_leader_is_heard(seed: u64, mutant: Mutant) -> World {
     let (mut world, leader) = acting(seed, 5, 3, mutant);
     let others = other_voters(&world, leader);
-    let rival = others[world.chance.random_range(0..2)];
+    let rival = others[world.rng.random_range(0..2)];
     world.cut_both(leader, rival);
     world.propose(4, Topic::Rules, new());
     world.cut_both(4, leader);
@@ -74,9 +74,9 @@
     world.cut_both(leader, rival);
     world.propose(4, Topic::Rules, new());
     world.cut_both(4, leader);
-    let span = world.chance.random_range(400 * MS..1_500 * MS);
+    let span = world.rng.random_range(400 * MS..1_500 * MS);
     world.run(span);
-    world.crash(voter, false);
+    world.crash(voter, Disk::Kept);
     world.cut_off(leader);
     world.restart(voter);
     world.run(4_000 * MS);
@@ -87,7 +87,7 @@
 pub fn a_lease_of_a_leader_that_died(seed: u64, mutant: Mutant) -> World {
     let (mut world, leader) = acting(seed, 5, 3, mutant);
     world.stop(3);
-    world.crash(leader, false);
+    world.crash(leader, Disk::Kept);
     world.propose(4, Topic::Rules, new());
     world.run(4_000 * MS);
     world
@@ -97,14 +97,14 @@
 pub fn a_voter_forgets_what_it_helped_agree(seed: u64, mutant: Mutant) -> World {
     let (mut world, leader) = acting(seed, 5, 3, mutant);
     let others = other_voters(&world, leader);
-    let (forgetful, ignorant) = (others[0], others[1]);
+    let (recovering, ignorant) = (others[0], others[1]);
     world.cut_off(ignorant);
     world.propose(4, Topic::Rules, new());
     world.run_until(3_000 * MS, |world| world.acting_on(Topic::Rules, new()) >= 4);
-    world.crash(leader, false);
-    world.crash(forgetful, true);
+    world.crash(leader, Disk::Kept);
+    world.crash(recovering, Disk::Lost);
     world.cut.clear();
-    world.restart(forgetful);
+    world.restart(recovering);
     world.run(1_000 * MS);
     world.propose(3, Topic::Rules, content(3, [1, 1, 1]));
     world.run(4_000 * MS);
--- a/crates/consensus/tests/common/time.rs
+++ b/crates/consensus/tests/common/time.rs
@@ -1,12 +1,12 @@
 //! True time, and the clocks that err from it.
 
-use super::world::What;
+use super::world::EventKind;
 
 /// Something due; the earliest is the greatest, as the heap has it.
 pub struct Event {
     pub at: i64,
     pub order: u64,
-    pub what: What,
+    pub what: EventKind,
 }
 
 impl PartialEq for Event {
--- a/crates/consensus/tests/common/world.rs
+++ b/crates/consensus/tests/common/world.rs
@@ -14,24 +14,31 @@
 pub const MS: i64 = 1_000;
 
 #[derive(Debug)]
-pub enum What {
+pub enum EventKind {
     Tick { process: usize, timer: u64 },
     Deliver { from: u16, to: u16, message: Message },
     Input { process: usize, input: Input },
 }
 
-/// A process: one life of a member.
+/// What becomes of the disk of a process that crashes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Disk {
+    Kept,
+    Lost,
+}
+
+/// A process: one incarnation of a member.
 pub struct Process {
     pub ordinal: u16,
     pub member: Member,
     pub clock: Clock,
     pub stopped: bool,
     pub alive: bool,
-    /// Comes to it once it goes on.
+    /// Inputs that arrived while it was stopped.
     queued: Vec<Input>,
     timer: u64,
-    /// Crashes in the midst of its outputs, so many from now.
-    dies_after: Option<u32>,
+    /// It crashes while it carries out its outputs, after so many more.
+    crash_after: Option<u32>,
 }
 
 #[derive(Clone, Debug)]
@@ -40,12 +47,12 @@
     pub most: i64,
     /// In thousandths.
     pub loss: u32,
-    pub doubled: u32,
+    pub duplicated: u32,
 }
 
 impl Default for Net {
     fn default() -> Self {
-        Self { least: MS / 5, most: MS, loss: 0, doubled: 0 }
+        Self { least: MS / 5, most: MS, loss: 0, duplicated: 0 }
     }
 }
 
@@ -59,39 +66,39 @@
 pub struct World {
     pub seed: u64,
     pub now: i64,
-    pub chance: ChaCha8Rng,
+    pub rng: ChaCha8Rng,
     pub timing: Timing,
     pub members: u16,
     pub voters: Vec<u16>,
     pub processes: Vec<Process>,
-    /// By ordinal: its process that hears.
+    /// By ordinal: the process that receives its messages.
     pub at: Vec<Option<usize>>,
-    /// By ordinal: what its disk has.
+    /// By ordinal: the durable state on its disk.
     pub disks: Vec<Option<DurableState>>,
-    /// Members that can't get contents.
+    /// Members that can't fetch contents.
     pub fetch_fails: BTreeSet<u16>,
-    /// By ordinal: contents its disk has.
+    /// By ordinal: the contents on its disk.
     pub contents: Vec<BTreeSet<ContentHash>>,
     pub net: Net,
     pub cut: BTreeSet<(u16, u16)>,
     pub oracle: Oracle,
     pub over: Vec<(u16, Topic, ContentHash, ProposalOutcome)>,
-    pub behind: Vec<(u16, u64)>,
+    pub outdated: Vec<(u16, u64)>,
     pub mutant: Mutant,
     pub traffic: Traffic,
-    /// What each member sent and what it was sent, lost or not.
+    /// Messages from and to each member, lost ones included.
     pub sent: Vec<Traffic>,
-    pub taken: Vec<Traffic>,
-    /// Contents that each member handed out: whom the accord names first is asked first, as the daemon does.
-    pub handed_out: Vec<u64>,
-    /// Times a process's timer came due.
+    pub received: Vec<Traffic>,
+    /// Contents that each member served: the source named first is asked first, as the daemon does.
+    pub served_contents: Vec<u64>,
+    /// How often a process's timer fired.
     pub ticks: u64,
-    /// Whether sizes are counted; costs an encoding a message.
-    pub weigh: bool,
-    /// Clocks err by up to this.
+    /// Whether bytes are counted; that costs an encoding a message.
+    pub count_bytes: bool,
+    /// Clocks' rates are off by up to this, in millionths.
     pub ppm: i64,
     /// How long a member takes to fetch and compile, at most.
-    pub fetching: i64,
+    pub max_fetch: i64,
     events: BinaryHeap<Event>,
     order: u64,
     incarnations: u64,
@@ -113,7 +120,7 @@
         Self {
             seed,
             now: 0,
-            chance: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             timing,
             members,
             voters: (0..voters).collect(),
@@ -126,32 +133,32 @@
             cut: BTreeSet::new(),
             oracle: Oracle::default(),
             over: Vec::new(),
-            behind: Vec::new(),
+            outdated: Vec::new(),
             mutant,
             traffic: Traffic::default(),
             sent: vec![Traffic::default(); members.into()],
-            taken: vec![Traffic::default(); members.into()],
-            handed_out: vec![0; members.into()],
+            received: vec![Traffic::default(); members.into()],
+            served_contents: vec![0; members.into()],
             ticks: 0,
-            weigh: false,
+            count_bytes: false,
             ppm,
-            fetching: 20 * MS,
+            max_fetch: 20 * MS,
             events: BinaryHeap::new(),
             order: 0,
             incarnations: 0,
         }
     }
 
-    /// A new process of this member; the one before, if it still lives, no longer hears.
+    /// Starts a new process of this member; an earlier one, if it still runs, receives nothing any more.
     pub fn start(&mut self, ordinal: u16, durable_state: Option<DurableState>) -> usize {
         self.incarnations += 1;
         let clock = Clock {
-            offset: self.chance.random_range(-1_000_000_000..1_000_000_000),
+            offset: self.rng.random_range(-1_000_000_000..1_000_000_000),
             // The ends of the range are where leases go wrong.
-            ppm: match self.chance.random_range(0..4) {
+            ppm: match self.rng.random_range(0..4) {
                 0 => -self.ppm,
                 1 => self.ppm,
-                _ => self.chance.random_range(-self.ppm..=self.ppm),
+                _ => self.rng.random_range(-self.ppm..=self.ppm),
             },
         };
         let config = Config {
@@ -162,7 +169,7 @@
             incarnation: self.incarnations,
         };
         config.check().unwrap();
-        let mut member = Member::new(config, clock.own(self.now), durable_state, self.chance.random());
+        let mut member = Member::new(config, clock.own(self.now), durable_state, self.rng.random());
         member.mutate(self.mutant);
         let process = self.processes.len();
         self.processes.push(Process {
@@ -174,29 +181,29 @@
             queued: Vec::new(),
             timer: 0,
 
-            dies_after: None,
+            crash_after: None,
         });
         self.at[usize::from(ordinal)] = Some(process);
         self.set_timer(process);
         process
     }
 
-    /// The process ends; what its disk has stays, unless lost too.
-    pub fn crash(&mut self, ordinal: u16, forgets: bool) {
+    /// Ends the process.
+    pub fn crash(&mut self, ordinal: u16, disk: Disk) {
         if let Some(process) = self.at[usize::from(ordinal)].take() {
             self.processes[process].alive = false;
-            self.oracle.gone(process);
+            self.oracle.crashed(process);
         }
-        if forgets {
+        if disk == Disk::Lost {
             self.disks[usize::from(ordinal)] = None;
             self.contents[usize::from(ordinal)].clear();
         }
     }
 
-    /// Ends in the midst of what it does next.
+    /// Ends the process while it carries out its next outputs.
     pub fn crash_midway(&mut self, ordinal: u16, after: u32) {
         if let Some(process) = self.at[usize::from(ordinal)] {
-            self.processes[process].dies_after = Some(after);
+            self.processes[process].crash_after = Some(after);
         }
     }
 
@@ -213,8 +220,8 @@
         }
     }
 
-    /// Goes on, and takes what came meanwhile, in any order its threads may.
-    pub fn go_on(&mut self, process: usize) {
+    /// Resumes a stopped process, which handles the inputs that arrived meanwhile.
+    pub fn resume(&mut self, process: usize) {
         if !self.processes[process].alive || !self.processes[process].stopped {
             return;
         }
@@ -236,7 +243,7 @@
         }
     }
 
-    fn push(&mut self, at: i64, what: What) {
+    fn push(&mut self, at: i64, what: EventKind) {
         self.order += 1;
         self.events.push(Event { at: at.max(self.now), order: self.order, what });
     }
@@ -246,7 +253,7 @@
         one.timer += 1;
         let (timer, at) = (one.timer, one.clock.real(one.member.next_timeout()));
         if at < i64::MAX {
-            self.push(at, What::Tick { process, timer });
+            self.push(at, EventKind::Tick { process, timer });
         }
     }
 
@@ -278,9 +285,9 @@
         one.member.handle(own, input);
         while let Some(output) = self.processes[process].member.poll() {
             let ordinal = self.processes[process].ordinal;
-            match &mut self.processes[process].dies_after {
+            match &mut self.processes[process].crash_after {
                 Some(0) if self.at[usize::from(ordinal)] == Some(process) => {
-                    return self.crash(ordinal, false);
+                    return self.crash(ordinal, Disk::Kept);
                 }
                 Some(left) => *left = left.saturating_sub(1),
                 None => {}
@@ -303,7 +310,7 @@
                     agreeing.last().map_or(Verdict::Incompatible, |&(from, _)| Verdict::Compatible { from })
                 };
                 let at = self.now + 5 * MS;
-                self.push(at, What::Input { process, input: Input::Checked { topic, hash, verdict } });
+                self.push(at, EventKind::Input { process, input: Input::Checked { topic, hash, verdict } });
             }
             Output::Fetch { hash, from, .. } => {
                 let own = self.contents[usize::from(ordinal)].contains(&hash);
@@ -320,71 +327,71 @@
                     return;
                 }
                 if let Some(source) = source.filter(|_| !own) {
-                    self.handed_out[usize::from(source)] += 1;
+                    self.served_contents[usize::from(source)] += 1;
                 }
-                let at = self.now + self.chance.random_range(MS..=self.fetching);
+                let at = self.now + self.rng.random_range(MS..=self.max_fetch);
                 let input = if runs_at(&hash, ordinal) {
                     Input::ContentReady { hash }
                 } else {
                     Input::ContentUnsupported { hash }
                 };
-                self.push(at, What::Input { process, input });
+                self.push(at, EventKind::Input { process, input });
             }
-            Output::LeaseChanged(right) => {
-                let until = self.processes[process].clock.real(right.until);
-                self.oracle.lease(self.now, process, right, until);
+            Output::LeaseChanged(lease) => {
+                let until = self.processes[process].clock.real(lease.until);
+                self.oracle.lease_changed(self.now, process, lease, until);
             }
             Output::ProposalFinished { topic, hash, outcome } => {
                 self.over.push((ordinal, topic, hash, outcome))
             }
-            Output::ListOutdated { revision } => self.behind.push((ordinal, revision)),
+            Output::ListOutdated { revision } => self.outdated.push((ordinal, revision)),
         }
     }
 
     fn transmit(&mut self, from: u16, to: u16, message: Message) {
-        if self.weigh {
+        if self.count_bytes {
             let bytes = postcard::to_allocvec(&message).unwrap();
             assert_eq!(postcard::from_bytes::<Message>(&bytes).unwrap(), message);
             self.traffic.bytes += bytes.len() as u64;
             self.traffic.largest = self.traffic.largest.max(bytes.len());
             self.sent[usize::from(from)].bytes += bytes.len() as u64;
-            self.taken[usize::from(to)].bytes += bytes.len() as u64;
+            self.received[usize::from(to)].bytes += bytes.len() as u64;
         }
         self.traffic.messages += 1;
         self.sent[usize::from(from)].messages += 1;
-        self.taken[usize::from(to)].messages += 1;
-        let copies = if self.chance.random_range(0..1_000) < self.net.doubled { 2 } else { 1 };
+        self.received[usize::from(to)].messages += 1;
+        let copies = if self.rng.random_range(0..1_000) < self.net.duplicated { 2 } else { 1 };
         for _ in 0..copies {
-            if self.cut.contains(&(from, to)) || self.chance.random_range(0..1_000) < self.net.loss {
+            if self.cut.contains(&(from, to)) || self.rng.random_range(0..1_000) < self.net.loss {
                 continue;
             }
-            let delay = self.chance.random_range(self.net.least..=self.net.most);
-            // Now and then one comes very late.
+            let delay = self.rng.random_range(self.net.least..=self.net.most);
+            // Now and then one arrives very late.
             let delay =
-                if self.net.loss > 0 && self.chance.random_range(0..200) == 0 { delay * 50 } else { delay };
-            self.push(self.now + delay, What::Deliver { from, to, message: message.clone() });
+                if self.net.loss > 0 && self.rng.random_range(0..200) == 0 { delay * 50 } else { delay };
+            self.push(self.now + delay, EventKind::Deliver { from, to, message: message.clone() });
         }
     }
 
-    /// Runs on for so long, or to the first violation.
+    /// Runs for this long, or until the first violation.
     pub fn run(&mut self, span: i64) {
         let end = self.now + span;
         while self.oracle.violation.is_none() && self.events.peek().is_some_and(|event| event.at <= end) {
             let Some(event) = self.events.pop() else { break };
             self.now = event.at;
             match event.what {
-                What::Tick { process, timer } => {
+                EventKind::Tick { process, timer } => {
                     if self.processes[process].timer == timer {
                         self.ticks += 1;
                         self.give(process, Input::Tick);
                     }
                 }
-                What::Deliver { from, to, message } => {
+                EventKind::Deliver { from, to, message } => {
                     if let Some(process) = self.at[usize::from(to)] {
                         self.give(process, Input::Message { from, message });
                     }
                 }
-                What::Input { process, input } => {
+                EventKind::Input { process, input } => {
                     if let Input::ContentReady { hash } = &input {
                         let ordinal = usize::from(self.processes[process].ordinal);
                         self.contents[ordinal].insert(*hash);
@@ -396,12 +403,12 @@
         self.now = end;
     }
 
-    /// Runs until it holds, at most so long; how long it took.
-    pub fn run_until(&mut self, most: i64, mut holds: impl FnMut(&World) -> bool) -> Option<i64> {
+    /// Runs until the condition holds, for at most this long; how long it took.
+    pub fn run_until(&mut self, most: i64, mut lease_holder: impl FnMut(&World) -> bool) -> Option<i64> {
         let begin = self.now;
         let step = if self.members > 50 { 10 * MS } else { 2 * MS };
         while self.now < begin + most {
-            if holds(self) {
+            if lease_holder(self) {
                 return Some(self.now - begin);
             }
             if self.oracle.violation.is_some() {
@@ -409,7 +416,7 @@
             }
             self.run(step);
         }
-        holds(self).then_some(self.now - begin)
+        lease_holder(self).then_some(self.now - begin)
     }
 
     pub fn status(&self, ordinal: u16) -> Option<Status> {
@@ -432,38 +439,38 @@
     pub fn acting_on(&self, topic: Topic, hash: ContentHash) -> usize {
         let acts = |process: &&usize| {
             let one = &self.processes[**process];
-            let right = one.member.lease(topic);
-            right.version.is_some_and(|(_, held)| held == hash) && one.clock.own(self.now) < right.until
+            let lease = one.member.lease(topic);
+            lease.version.is_some_and(|(_, held)| held == hash) && one.clock.own(self.now) < lease.until
         };
         self.at.iter().flatten().filter(acts).count()
     }
 
-    /// Everything works again.
+    /// Ends all faults.
     pub fn heal(&mut self) {
         self.cut.clear();
         self.net = Net::default();
         for process in 0..self.processes.len() {
-            self.processes[process].dies_after = None;
-            self.go_on(process);
+            self.processes[process].crash_after = None;
+            self.resume(process);
         }
         for ordinal in 0..self.members {
             self.restart(ordinal);
         }
     }
 
-    /// Processes that a newer life took the place of end.
-    pub fn end_old_lives(&mut self) {
+    /// Ends processes that a newer incarnation of their member replaced.
+    pub fn end_old_incarnations(&mut self) {
         for process in 0..self.processes.len() {
             let ordinal = self.processes[process].ordinal;
             if self.at[usize::from(ordinal)] != Some(process) {
                 self.processes[process].alive = false;
-                self.oracle.gone(process);
+                self.oracle.crashed(process);
             }
         }
     }
 
-    /// Fails the test if the oracle or a member found something broken.
-    pub fn sound(&self) {
+    /// Fails the test if the oracle or a member found an invariant violated.
+    pub fn assert_no_violation(&self) {
         if let Some(violation) = &self.oracle.violation {
             panic!("seed {}, at {} us: {violation}", self.seed, self.now);
         }
--- a/crates/consensus/tests/lists.rs
+++ b/crates/consensus/tests/endpoint_lists.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::world::{MS, World};
+use common::world::{Disk, MS, World};
 use cottonnotch_consensus::{Input, Mutant, Timing};
 
 fn running(seed: u64) -> World {
@@ -12,29 +12,29 @@
 }
 
 #[test]
-fn a_member_that_lags_hears_so_once_a_revision() {
+fn notifies_outdated_member_once_a_revision() {
     let mut world = running(1);
     for member in 0..7 {
         world.input(member, Input::ListReceived { revision: 10 });
     }
     world.run(2_000 * MS);
-    assert_eq!(world.behind, []);
+    assert_eq!(world.outdated, []);
     for member in 0..6 {
         world.input(member, Input::ListReceived { revision: 11 });
     }
     world.run(3_000 * MS);
-    assert_eq!(world.behind, [(6, 11)]);
+    assert_eq!(world.outdated, [(6, 11)]);
     world.input(6, Input::ListReceived { revision: 11 });
     world.input(0, Input::ListReceived { revision: 12 });
     world.run(2_000 * MS);
-    let mut behind = world.behind.split_off(1);
-    behind.sort_unstable();
-    assert_eq!(behind, (1..7).map(|member| (member, 12)).collect::<Vec<_>>());
+    let mut outdated = world.outdated.split_off(1);
+    outdated.sort_unstable();
+    assert_eq!(outdated, (1..7).map(|member| (member, 12)).collect::<Vec<_>>());
 }
 
 /// One member whose revisions begin anew doesn't move the others; a majority does.
 #[test]
-fn revisions_that_begin_anew_count_once_most_members_say_so() {
+fn new_epoch_counts_once_most_members_are_in_it() {
     let mut world = running(2);
     for member in 0..7 {
         world.input(member, Input::ListReceived { revision: 100 });
@@ -42,33 +42,33 @@
     world.run(2_000 * MS);
     world.input(0, Input::ListReceived { revision: 1 });
     world.run(2_000 * MS);
-    assert_eq!(world.behind, [], "one alone was believed");
+    assert_eq!(world.outdated, [], "one alone was believed");
     for member in 1..4 {
         world.input(member, Input::ListReceived { revision: 1 });
     }
     world.run(3_000 * MS);
-    let mut behind = std::mem::take(&mut world.behind);
-    behind.sort_unstable();
-    assert_eq!(behind, [(4, 1), (5, 1), (6, 1)]);
+    let mut outdated = std::mem::take(&mut world.outdated);
+    outdated.sort_unstable();
+    assert_eq!(outdated, [(4, 1), (5, 1), (6, 1)]);
     for member in 4..7 {
         world.input(member, Input::ListReceived { revision: 1 });
     }
     world.run(2_000 * MS);
     // The new epoch goes on as the old one did, also past a change of leader, and for who starts now.
     let leader = world.leader().unwrap();
-    world.crash(leader, false);
+    world.crash(leader, Disk::Kept);
     world.run(3_000 * MS);
     world.restart(leader);
     world.input(leader, Input::ListReceived { revision: 1 });
     world.run(2_000 * MS);
-    assert_eq!(world.behind, []);
+    assert_eq!(world.outdated, []);
     world.input(leader, Input::ListReceived { revision: 2 });
     world.run(3_000 * MS);
-    let mut behind = std::mem::take(&mut world.behind);
-    behind.sort_unstable();
+    let mut outdated = std::mem::take(&mut world.outdated);
+    outdated.sort_unstable();
     assert_eq!(
-        behind,
+        outdated,
         (0..7).filter(|&member| member != leader).map(|member| (member, 2)).collect::<Vec<_>>()
     );
-    world.sound();
+    world.assert_no_violation();
 }
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -1,6 +1,6 @@
-//! All of it, in the small: three voters that act on one version while another that contradicts it is proposed. Either all
-//! orders of messages to a depth, or all courses of faults by the slot. `ACCORD_DEPTH` adds to the depths, `ACCORD_STATES`
-//! says how many states of the first are looked at.
+//! Exhaustive searches of a small cluster: three voters act on one version while an incompatible one is proposed. Either all
+//! orders of messages to a depth, or all schedules of faults by time slots. `ACCORD_DEPTH` adds to the depth of the second,
+//! `ACCORD_STATES` sets how many states the first visits.
 
 mod common;
 
@@ -19,14 +19,14 @@
     member: Member,
     durable_state: Option<DurableState>,
     stopped: bool,
-    /// What came while it was stopped.
+    /// Inputs that arrived while it was stopped.
     queued: Vec<Input>,
-    life: u64,
+    incarnation: u64,
 }
 
-/// Three voters on one clock. Messages wait until they are delivered, in whatever order, or never.
+/// Three voters on one clock. Messages wait until the search delivers them, in any order, or never.
 #[derive(Clone)]
-struct Small {
+struct SmallCluster {
     now: i64,
     nodes: Vec<Node>,
     flight: Vec<(u16, u16, Message)>,
@@ -40,9 +40,9 @@
     std::env::var(name).ok()?.parse().ok()
 }
 
-impl Small {
+impl SmallCluster {
     fn begin(mutant: Mutant) -> Self {
-        let mut small = Self {
+        let mut cluster = Self {
             now: 0,
             nodes: Vec::new(),
             flight: Vec::new(),
@@ -53,16 +53,23 @@
         };
         for at in 0..3 {
             let durable_state = Some(DurableState::initial());
-            let member = small.member(at, 1, durable_state.clone());
-            small.nodes.push(Node { member, durable_state, stopped: false, queued: Vec::new(), life: 1 });
+            let member = cluster.member(at, 1, durable_state.clone());
+            cluster.nodes.push(Node {
+                member,
+                durable_state,
+                stopped: false,
+                queued: Vec::new(),
+                incarnation: 1,
+            });
         }
-        small
+        cluster
     }
 
-    fn member(&self, at: u16, life: u64, durable_state: Option<DurableState>) -> Member {
+    fn member(&self, at: u16, incarnation: u64, durable_state: Option<DurableState>) -> Member {
         let timing = Timing { drift_ppm: 0, ..Timing::default() };
-        let config = Config { ordinal: at, members: 3, voters: vec![0, 1, 2], timing, incarnation: life };
-        let mut member = Member::new(config, self.now, durable_state, u64::from(at) + 10 * life);
+        let config =
+            Config { ordinal: at, members: 3, voters: vec![0, 1, 2], timing, incarnation: incarnation };
+        let mut member = Member::new(config, self.now, durable_state, u64::from(at) + 10 * incarnation);
         member.mutate(self.mutant);
         member
     }
@@ -92,11 +99,11 @@
         }
     }
 
-    fn restart(&mut self, at: usize, forgets: bool) {
-        let durable_state = self.nodes[at].durable_state.clone().filter(|_| !forgets);
-        let life = self.nodes[at].life + 1;
-        let member = self.member(at as u16, life, durable_state.clone());
-        self.nodes[at] = Node { member, durable_state, stopped: false, queued: Vec::new(), life };
+    fn restart(&mut self, at: usize, max_recovering: bool) {
+        let durable_state = self.nodes[at].durable_state.clone().filter(|_| !max_recovering);
+        let incarnation = self.nodes[at].incarnation + 1;
+        let member = self.member(at as u16, incarnation, durable_state.clone());
+        self.nodes[at] = Node { member, durable_state, stopped: false, queued: Vec::new(), incarnation };
     }
 
     fn next_timeout(&self) -> i64 {
@@ -136,14 +143,14 @@
         self.now = end;
     }
 
-    /// Whether all holds at this instant.
+    /// The invariant that is violated at this instant.
     fn broken(&mut self) -> Option<String> {
         for topic in Topic::ALL {
-            let rights: Vec<_> = self.nodes.iter().map(|node| node.member.lease(topic)).collect();
-            let acting: Vec<(u64, ContentHash)> = rights
+            let leases: Vec<_> = self.nodes.iter().map(|node| node.member.lease(topic)).collect();
+            let acting: Vec<(u64, ContentHash)> = leases
                 .iter()
-                .filter(|right| self.now < right.until)
-                .filter_map(|right| right.version)
+                .filter(|lease| self.now < lease.until)
+                .filter_map(|lease| lease.version)
                 .collect();
             for (at, one) in acting.iter().enumerate() {
                 if let Some(other) = acting[at..].iter().find(|other| contradict(&one.1, &other.1)) {
@@ -187,7 +194,7 @@
         flight.hash(&mut hasher);
         for node in &self.nodes {
             format!("{:?}", node.member).hash(&mut hasher);
-            (node.stopped, node.life).hash(&mut hasher);
+            (node.stopped, node.incarnation).hash(&mut hasher);
         }
         hasher.finish()
     }
@@ -199,8 +206,8 @@
 
     fn on(&self, hash: ContentHash) -> usize {
         let acts = |node: &&Node| {
-            let right = node.member.lease(Topic::Rules);
-            right.version.is_some_and(|(_, held)| held == hash) && self.now < right.until
+            let lease = node.member.lease(Topic::Rules);
+            lease.version.is_some_and(|(_, held)| held == hash) && self.now < lease.until
         };
         self.nodes.iter().filter(acts).count()
     }
@@ -215,19 +222,19 @@
 }
 
 /// All three act on the old one.
-fn acting(mutant: Mutant) -> Small {
-    let mut small = Small::begin(mutant);
-    small.run(3_000 * MS, &|_, _| true);
-    small.give(2, Input::Propose { topic: Topic::Rules, hash: old(), size: 9 });
-    small.run(1_000 * MS, &|_, _| true);
-    assert_eq!(small.on(old()), 3);
-    small
+fn acting(mutant: Mutant) -> SmallCluster {
+    let mut cluster = SmallCluster::begin(mutant);
+    cluster.run(3_000 * MS, &|_, _| true);
+    cluster.give(2, Input::Propose { topic: Topic::Rules, hash: old(), size: 9 });
+    cluster.run(1_000 * MS, &|_, _| true);
+    assert_eq!(cluster.on(old()), 3);
+    cluster
 }
 
 /// Every order of deliveries, with messages doubled or never delivered, a restart, and time going on in between: from the
 /// proposal on, and from each of several later points of the change, reached with no fault.
 #[test]
-fn every_order_of_messages_around_a_change() {
+fn searches_message_orders_during_a_change() {
     let starts: Vec<usize> = (0..48).step_by(6).collect();
     let most = env("ACCORD_STATES").unwrap_or(8_000) / starts.len();
     for start in starts {
@@ -249,38 +256,38 @@
 }
 
 /// Breadth first, so that what was looked at is all there is up to some depth; the number of states, and that depth.
-fn orders_from(first: Small, most: usize) -> (usize, usize) {
+fn orders_from(first: SmallCluster, most: usize) -> (usize, usize) {
     let mut seen = HashSet::from([first.key()]);
     let mut queue = VecDeque::from([(first, 0, 1, 1)]);
     let mut whole = None;
-    while let Some((small, depth, doubles, restarts)) = queue.pop_front() {
+    while let Some((cluster, depth, doubles, restarts)) = queue.pop_front() {
         if seen.len() >= most {
             whole.get_or_insert(depth);
             continue;
         }
         let mut next = Vec::new();
-        for at in 0..small.flight.len() {
-            let (from, to, message) = small.flight[at].clone();
-            let mut one = small.clone();
+        for at in 0..cluster.flight.len() {
+            let (from, to, message) = cluster.flight[at].clone();
+            let mut one = cluster.clone();
             one.flight.remove(at);
             let name = format!("{from}>{to} {}", format!("{message:?}").chars().take(24).collect::<String>());
             one.path.push(name.clone());
             one.give(to.into(), Input::Message { from, message: message.clone() });
             next.push((one, doubles, restarts));
             if doubles > 0 {
-                let mut two = small.clone();
+                let mut two = cluster.clone();
                 two.path.push(format!("{name} (stays)"));
                 two.give(to.into(), Input::Message { from, message });
                 next.push((two, doubles - 1, restarts));
             }
         }
-        let mut later = small.clone();
+        let mut later = cluster.clone();
         later.now = later.next_timeout();
         later.path.push(format!("time {}", later.now));
         later.tick_due();
         next.push((later, doubles, restarts));
         for at in 0..if restarts > 0 { 3 } else { 0 } {
-            let mut one = small.clone();
+            let mut one = cluster.clone();
             one.path.push(format!("restart {at}"));
             one.restart(at, false);
             next.push((one, doubles, restarts - 1));
@@ -295,7 +302,7 @@
     (seen.len(), whole.unwrap_or(usize::MAX))
 }
 
-/// What holds during a slot.
+/// The fault during a time slot.
 #[derive(Clone, Copy, Debug)]
 enum Slot {
     Calm,
@@ -304,7 +311,7 @@
     Deaf(u16),
     Stopped(u16),
     Restarted(u16),
-    Forgot(u16),
+    LostState(u16),
 }
 
 impl Slot {
@@ -322,80 +329,82 @@
         all
     }
 
-    fn run(self, small: &mut Small, span: i64) {
-        small.path.push(format!("{self:?}"));
+    fn run(self, cluster: &mut SmallCluster, span: i64) {
+        cluster.path.push(format!("{self:?}"));
         match self {
-            Slot::Restarted(at) => small.restart(at.into(), false),
-            Slot::Forgot(at) => small.restart(at.into(), true),
-            Slot::Stopped(at) => small.nodes[usize::from(at)].stopped = true,
+            Slot::Restarted(at) => cluster.restart(at.into(), false),
+            Slot::LostState(at) => cluster.restart(at.into(), true),
+            Slot::Stopped(at) => cluster.nodes[usize::from(at)].stopped = true,
             _ => {}
         }
-        small.run(span, &|from, to| match self {
+        cluster.run(span, &|from, to| match self {
             Slot::CutOff(at) => from != at && to != at,
             Slot::Mute(at) => from != at,
             Slot::Deaf(at) => to != at,
             _ => true,
         });
         if let Slot::Stopped(at) = self {
-            let node = &mut small.nodes[usize::from(at)];
+            let node = &mut cluster.nodes[usize::from(at)];
             node.stopped = false;
             for input in std::mem::take(&mut node.queued) {
-                small.give(at.into(), input);
-                small.check();
+                cluster.give(at.into(), input);
+                cluster.check();
             }
-            small.give(at.into(), Input::Tick);
-            small.check();
+            cluster.give(at.into(), Input::Tick);
+            cluster.check();
         }
     }
 }
 
-/// Every course of faults, by slots of uneven length; then calm, and the new version must be in force everywhere.
-fn courses(mutant: Mutant, forgets: bool, depth: usize, spans: &[i64]) -> usize {
+/// Runs every schedule of faults, by slots of uneven length; then without faults, and the new version must be in force
+/// everywhere.
+fn run_schedules(mutant: Mutant, max_recovering: bool, depth: usize, spans: &[i64]) -> usize {
     let mut first = acting(mutant);
     let proposer = usize::from((first.leader() + 1) % 3);
     first.give(proposer, Input::Propose { topic: Topic::Rules, hash: new(), size: 9 });
     let mut slots = Slot::all();
-    if forgets {
-        slots.extend((0..3).map(Slot::Forgot));
+    if max_recovering {
+        slots.extend((0..3).map(Slot::LostState));
     }
     let mut stack = vec![(first, 0, false)];
-    let mut courses = 0;
-    while let Some((small, at, forgot)) = stack.pop() {
+    let mut run_schedules = 0;
+    while let Some((cluster, at, lost_state)) = stack.pop() {
         if at == depth {
-            courses += 1;
-            let mut small = small;
+            run_schedules += 1;
+            let mut cluster = cluster;
             // Whoever forgot its proposal with its life, doesn't ask again: anybody may.
-            small.run(6_000 * MS, &|_, _| true);
+            cluster.run(6_000 * MS, &|_, _| true);
             for node in 0..3 {
-                small.give(node, Input::Propose { topic: Topic::Rules, hash: new(), size: 9 });
+                cluster.give(node, Input::Propose { topic: Topic::Rules, hash: new(), size: 9 });
             }
-            small.run(4_000 * MS, &|_, _| true);
-            assert_eq!(small.on(new()), 3, "not in force after {:?}", small.path);
+            cluster.run(4_000 * MS, &|_, _| true);
+            assert_eq!(cluster.on(new()), 3, "not in force after {:?}", cluster.path);
             continue;
         }
         for &slot in &slots {
-            let forgetting = matches!(slot, Slot::Forgot(_));
-            // Two of three that forgot are a majority: then only the operator helps.
-            if forgot && forgetting {
+            let losing_state = matches!(slot, Slot::LostState(_));
+            // Two of three that lost their state are a majority: then only an operator helps.
+            if lost_state && losing_state {
                 continue;
             }
-            let mut next = small.clone();
+            let mut next = cluster.clone();
             slot.run(&mut next, spans[at % spans.len()]);
-            stack.push((next, at + 1, forgot || forgetting));
+            stack.push((next, at + 1, lost_state || losing_state));
         }
     }
-    courses
+    run_schedules
 }
 
+/// Every schedule of faults during a change to an incompatible version keeps the invariants.
 #[test]
-fn every_course_of_faults_around_a_change() {
+fn searches_fault_schedules_during_a_change() {
     let depth = 2 + env("ACCORD_DEPTH").unwrap_or(0);
     let mut count = 0;
     // Short ones end within a phase, long ones outlive an election, or a lease.
     for spans in
         [[3 * MS, 700 * MS, 1_300 * MS], [90 * MS, 1_500 * MS, 400 * MS], [1_000 * MS, 250 * MS, 2_600 * MS]]
     {
-        count += courses(Mutant::Unmodified, true, depth, &spans);
+        count += run_schedules(Mutant::Unmodified, true, depth, &spans);
     }
     println!("{count} courses of {depth} slots");
 }
@@ -403,6 +412,6 @@
 /// The search sees what it is for.
 #[test]
 #[should_panic(expected = "acted on against")]
-fn every_course_of_faults_finds_an_early_effect() {
-    courses(Mutant::EarlyActivation, false, 2, &[3 * MS, 700 * MS]);
+fn search_finds_early_activation() {
+    run_schedules(Mutant::EarlyActivation, false, 2, &[3 * MS, 700 * MS]);
 }
--- a/crates/consensus/tests/quiet.rs
+++ b/crates/consensus/tests/fault_free.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_proposal_comes_in_force_everywhere() {
+fn activates_proposal_at_all_members() {
     for seed in 0..10 {
         let mut world = settled(seed, 7);
         let first = content(1, [1, 0, 0]);
@@ -34,12 +34,12 @@
             ],
             "seed {seed}"
         );
-        world.sound();
+        world.assert_no_violation();
     }
 }
 
 #[test]
-fn what_one_cannot_run_is_dropped_and_what_is_refused_never_starts() {
+fn drops_unsupported_and_rejected_proposals() {
     let mut world = settled(1, 7);
     let bad = not_for(content(1, [1, 0, 0]), 4);
     world.propose(5, Topic::Rules, bad);
@@ -55,5 +55,5 @@
         ]
     );
     assert_eq!(world.oracle.greatest, [0, 0]);
-    world.sound();
+    world.assert_no_violation();
 }
--- a/crates/consensus/tests/hard.rs
+++ b/crates/consensus/tests/fault_scenarios.rs
@@ -1,45 +1,45 @@
-//! Hard cases by name.
+//! Single faults at the worst moments, and what must hold after them.
 
 mod common;
 
-use common::scenes::{self, acting, new, old};
-use common::world::{MS, World};
+use common::scenarios::{self, acting, new, old};
+use common::world::{Disk, MS, World};
 use common::{chaos, content};
 use cottonnotch_consensus::{DurableState, Mutant, ProposalOutcome, Role, Timing, Topic};
 
-const FAITHFUL: Mutant = Mutant::Unmodified;
+const NO_MUTANT: Mutant = Mutant::Unmodified;
 
 #[test]
-fn a_leader_stopped_across_a_change_finds_its_right_over() {
+fn stopped_leader_finds_its_lease_expired() {
     for seed in 0..20 {
-        let world = scenes::leader_stopped_across_a_change(seed, FAITHFUL);
-        world.sound();
+        let world = scenarios::leader_stopped_across_a_change(seed, NO_MUTANT);
+        world.assert_no_violation();
         assert_eq!(world.acting_on(Topic::Rules, old()), 0, "seed {seed}");
     }
 }
 
 #[test]
-fn a_rival_gets_no_vote_while_the_leader_is_heard() {
+fn rejects_rival_while_the_leader_is_heard() {
     for seed in 0..20 {
-        scenes::a_rival_while_the_leader_is_heard(seed, FAITHFUL).sound();
-        scenes::a_voter_restarts_under_a_rival(seed, FAITHFUL).sound();
+        scenarios::a_rival_while_the_leader_is_heard(seed, NO_MUTANT).assert_no_violation();
+        scenarios::a_voter_restarts_under_a_rival(seed, NO_MUTANT).assert_no_violation();
     }
 }
 
 #[test]
-fn what_a_leader_that_died_granted_is_waited_for() {
+fn waits_for_leases_of_a_crashed_leader() {
     for seed in 0..20 {
-        let world = scenes::a_lease_of_a_leader_that_died(seed, FAITHFUL);
-        world.sound();
+        let world = scenarios::a_lease_of_a_leader_that_died(seed, NO_MUTANT);
+        world.assert_no_violation();
         assert_eq!(world.acting_on(Topic::Rules, new()), 3, "seed {seed}");
     }
 }
 
 #[test]
-fn what_a_voter_helped_agree_and_forgot_is_not_undone() {
+fn keeps_committed_state_after_a_voter_lost_it() {
     for seed in 0..20 {
-        let mut world = scenes::a_voter_forgets_what_it_helped_agree(seed, FAITHFUL);
-        world.sound();
+        let mut world = scenarios::a_voter_forgets_what_it_helped_agree(seed, NO_MUTANT);
+        world.assert_no_violation();
         // Only the one that died knows: without it, nothing is decided.
         assert_eq!(world.oracle.greatest[0], 2, "seed {seed}");
         world.heal();
@@ -47,16 +47,16 @@
         let took = world.run_until(8_000 * MS, |world| world.acting_on(Topic::Rules, last) == 5);
         assert!(took.is_some(), "seed {seed}: {}", chaos::report(&world));
         assert_eq!(world.oracle.greatest[0], 3, "seed {seed}");
-        world.sound();
+        world.assert_no_violation();
     }
 }
 
-/// Killed at each of many moments from the proposal to the effect: whatever the phase, the proposal is in force in the end,
-/// as its proposer asks again, and is so once.
+/// The leader is killed at each of many moments between the proposal and the activation: whatever the phase, the proposal is
+/// in force in the end, since its proposer retries, and only once.
 #[test]
-fn a_leader_killed_between_proposal_and_effect_loses_nothing() {
+fn leader_crash_during_a_change_loses_nothing() {
     for (seed, after) in (0..60).map(|step| (step, step as u32 * 2)) {
-        let (mut world, leader) = acting(seed, 5, 3, FAITHFUL);
+        let (mut world, leader) = acting(seed, 5, 3, NO_MUTANT);
         world.crash_midway(leader, after);
         world.propose(4, Topic::Rules, new());
         let rest = |world: &World| world.acting_on(Topic::Rules, new()) >= 4;
@@ -73,18 +73,19 @@
         world.heal();
         world.run(3_000 * MS);
         assert_eq!(world.acting_on(Topic::Rules, new()), 5, "seed {seed}");
-        world.sound();
+        world.assert_no_violation();
     }
 }
 
+/// Without a majority nothing is decided, and all leases expire.
 #[test]
-fn with_a_majority_gone_nothing_is_decided_and_all_leases_end() {
+fn decides_nothing_without_a_majority() {
     for seed in 0..10 {
-        let (mut world, leader) = acting(seed, 7, 3, FAITHFUL);
+        let (mut world, leader) = acting(seed, 7, 3, NO_MUTANT);
         let follower = world.voters.iter().copied().find(|&voter| voter != leader).unwrap_or_default();
-        world.crash(follower, false);
+        world.crash(follower, Disk::Kept);
         let third = 3 - leader - follower;
-        world.crash(third, false);
+        world.crash(third, Disk::Kept);
         world.propose(5, Topic::Rules, new());
         // The leader's authority ends, then the last lease it granted.
         world.run(500 * MS + 1_200 * MS);
@@ -99,37 +100,37 @@
         world.heal();
         let back = world.run_until(5_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 7);
         assert!(back.is_some(), "seed {seed}: not in force once all are back");
-        world.sound();
+        world.assert_no_violation();
     }
 }
 
 #[test]
-fn a_voter_that_hears_but_is_not_heard_harms_nobody() {
+fn tolerates_voter_that_cannot_send() {
     for seed in 0..10 {
-        let (mut world, leader) = acting(seed, 5, 3, FAITHFUL);
+        let (mut world, leader) = acting(seed, 5, 3, NO_MUTANT);
         // First a follower, then the leader itself.
-        for mute in [(leader + 1) % 3, leader] {
+        for silent in [(leader + 1) % 3, leader] {
             let before = world.oracle.greatest[0];
             for other in 0..5 {
-                world.cut.insert((mute, other));
+                world.cut.insert((silent, other));
             }
-            let hash = content(10 + mute, [before as u8 % 2 + 1, 0, 0]);
+            let hash = content(10 + silent, [before as u8 % 2 + 1, 0, 0]);
             world.propose(4, Topic::Rules, hash);
             let took = world.run_until(6_000 * MS, |world| world.acting_on(Topic::Rules, hash) >= 4);
-            assert!(took.is_some(), "seed {seed}: {mute} mute: {}", chaos::report(&world));
+            assert!(took.is_some(), "seed {seed}: {silent} mute: {}", chaos::report(&world));
             world.cut.clear();
             let took = world.run_until(4_000 * MS, |world| world.acting_on(Topic::Rules, hash) == 5);
-            assert!(took.is_some(), "seed {seed}: {mute} heard again: {}", chaos::report(&world));
+            assert!(took.is_some(), "seed {seed}: {silent} heard again: {}", chaos::report(&world));
         }
-        world.sound();
+        world.assert_no_violation();
     }
 }
 
-/// A voter that hears nobody asks for votes in vain, and its term doesn't depose the leader when it hears again.
+/// A voter that receives nothing asks for votes in vain, and its term doesn't depose the leader when it receives again.
 #[test]
-fn a_voter_that_is_heard_but_hears_nobody_does_not_depose_the_leader() {
+fn voter_that_cannot_receive_does_not_depose_the_leader() {
     for seed in 0..10 {
-        let (mut world, leader) = acting(seed, 5, 3, FAITHFUL);
+        let (mut world, leader) = acting(seed, 5, 3, NO_MUTANT);
         let term = world.status(leader).map(|status| status.term);
         let deaf = (leader + 1) % 3;
         for other in 0..5 {
@@ -140,15 +141,15 @@
         world.run(2_000 * MS);
         assert_eq!(world.leader(), Some(leader), "seed {seed}");
         assert_eq!(world.status(leader).map(|status| status.term), term, "seed {seed}");
-        world.sound();
+        world.assert_no_violation();
     }
 }
 
 /// Each voter has lost its neighbours in a ring: with five, each still hears two others and is heard by them.
 #[test]
-fn a_ring_of_cuts_leaves_five_voters_a_leader() {
+fn elects_leader_in_a_ring_of_cuts() {
     for seed in 0..10 {
-        let (mut world, _) = acting(seed, 8, 5, FAITHFUL);
+        let (mut world, _) = acting(seed, 8, 5, NO_MUTANT);
         for voter in 0..5 {
             world.cut_both(voter, (voter + 1) % 5);
         }
@@ -158,15 +159,15 @@
         world.cut.clear();
         let took = world.run_until(5_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 8);
         assert!(took.is_some(), "seed {seed}: {}", chaos::report(&world));
-        world.sound();
+        world.assert_no_violation();
     }
 }
 
 /// With three, cut one way round, no two voters both hear and are heard: nobody leads, all leases end.
 #[test]
-fn a_ring_of_one_way_cuts_leaves_three_voters_nothing() {
+fn elects_no_leader_in_a_ring_of_one_way_cuts() {
     for seed in 0..10 {
-        let (mut world, _) = acting(seed, 5, 3, FAITHFUL);
+        let (mut world, _) = acting(seed, 5, 3, NO_MUTANT);
         for voter in 0..3 {
             world.cut.insert((voter, (voter + 1) % 3));
         }
@@ -176,14 +177,14 @@
         world.cut.clear();
         let took = world.run_until(6_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 5);
         assert!(took.is_some(), "seed {seed}: {}", chaos::report(&world));
-        world.sound();
+        world.assert_no_violation();
     }
 }
 
 #[test]
-fn two_proposals_at_one_moment_come_in_force_one_after_the_other() {
+fn orders_simultaneous_proposals() {
     for seed in 0..20 {
-        let (mut world, _) = acting(seed, 7, 3, FAITHFUL);
+        let (mut world, _) = acting(seed, 7, 3, NO_MUTANT);
         let other = content(3, [0, 1, 0]);
         world.propose(5, Topic::Rules, new());
         world.propose(6, Topic::Rules, other);
@@ -198,74 +199,74 @@
             ]
         );
         assert_eq!(world.oracle.greatest[0], 3, "seed {seed}");
-        world.sound();
+        world.assert_no_violation();
     }
 }
 
-/// A follower that lost its disk abstains, then helps again; the leader dies meanwhile and nothing is forgotten.
+/// A follower that lost its disk abstains, then votes again; the leader crashes meanwhile, and nothing committed is lost.
 #[test]
-fn a_voter_without_memory_learns_before_it_votes() {
+fn voter_without_state_recovers_before_it_votes() {
     for seed in 0..20 {
-        let (mut world, leader) = acting(seed, 5, 3, FAITHFUL);
-        let forgetful = (leader + 1) % 3;
-        world.crash(forgetful, true);
-        world.restart(forgetful);
+        let (mut world, leader) = acting(seed, 5, 3, NO_MUTANT);
+        let recovering = (leader + 1) % 3;
+        world.crash(recovering, Disk::Lost);
+        world.restart(recovering);
         world.propose(4, Topic::Rules, new());
         world.run(1_000 * MS);
-        assert_eq!(world.status(forgetful).map(|status| status.role), Some(Role::Recovering));
-        world.crash(leader, false);
+        assert_eq!(world.status(recovering).map(|status| status.role), Some(Role::Recovering));
+        world.crash(leader, Disk::Kept);
         world.run(4_000 * MS);
-        // One voter of three has a memory: it must not decide with one that has none.
-        assert!(world.leader().is_none(), "seed {seed}: led by a minority that remembers");
+        // One voter of three has durable state: it must not decide with one that has none.
+        assert!(world.leader().is_none(), "seed {seed}: led by a minority with durable state");
         world.restart(leader);
         let took = world.run_until(8_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 5);
         assert!(took.is_some(), "seed {seed}: {}", chaos::report(&world));
-        assert_eq!(world.status(forgetful).map(|status| status.role == Role::Recovering), Some(false));
-        world.sound();
+        assert_eq!(world.status(recovering).map(|status| status.role == Role::Recovering), Some(false));
+        world.assert_no_violation();
     }
 }
 
-/// All memory gone: without the operator's word nothing begins anew.
+/// All durable state is lost: nothing starts without an operator.
 #[test]
-fn a_cluster_that_forgot_everything_waits_for_the_operator() {
-    let mut world = World::empty(1, 5, 3, Timing::default(), FAITHFUL);
+fn cluster_without_any_state_stays_inactive() {
+    let mut world = World::empty(1, 5, 3, Timing::default(), NO_MUTANT);
     for ordinal in 0..5 {
         world.start(ordinal, None);
     }
     world.run(30_000 * MS);
     assert!(world.leader().is_none());
     for ordinal in 0..3 {
-        world.crash(ordinal, true);
+        world.crash(ordinal, Disk::Lost);
         world.start(ordinal, Some(DurableState::initial()));
     }
     world.run(3_000 * MS);
     assert!(world.leader().is_some());
-    world.sound();
+    world.assert_no_violation();
 }
 
-/// The old process of a member is only stopped when a new one takes its place: its lease ends by time, not by the new one's
-/// word, and once it goes on it doesn't act.
+/// The old process of a member is only stopped when a new one replaces it: its lease ends by time, whatever the new one says,
+/// and once it resumes it doesn't act.
 #[test]
-fn an_old_life_that_was_only_stopped_keeps_its_lease_till_it_ends() {
+fn stopped_incarnation_keeps_its_lease_until_expiry() {
     for seed in 0..20 {
-        let (mut world, _) = acting(seed, 5, 3, FAITHFUL);
+        let (mut world, _) = acting(seed, 5, 3, NO_MUTANT);
         let before = world.at[4].unwrap_or_default();
         world.stop(4);
         world.start(4, None);
         world.propose(3, Topic::Rules, new());
         let took = world.run_until(6_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 5);
         assert!(took.is_some_and(|took| took > 300 * MS), "seed {seed}: {took:?}: not waited for");
-        world.go_on(before);
+        world.resume(before);
         world.run(1_000 * MS);
-        world.sound();
+        world.assert_no_violation();
     }
 }
 
-/// A member that can't get the content is left behind, in doubt, and catches up once it can.
+/// A member that can't fetch the content loses its lease, and catches up once it can.
 #[test]
-fn a_member_that_cannot_get_the_content_is_left_behind() {
+fn activates_without_a_member_that_cannot_fetch() {
     for seed in 0..5 {
-        let (mut world, leader) = acting(seed, 7, 3, FAITHFUL);
+        let (mut world, leader) = acting(seed, 7, 3, NO_MUTANT);
         // It hears the leader only, which lets it renew; contents come from nobody.
         world.fetch_fails.insert(5);
         world.propose(6, Topic::Rules, new());
@@ -278,6 +279,6 @@
         let took = world.run_until(3_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 7);
         assert!(took.is_some(), "seed {seed}: didn't catch up");
         assert_eq!(world.leader(), Some(leader));
-        world.sound();
+        world.assert_no_violation();
     }
 }
--- a/crates/consensus/tests/growth.rs
+++ b/crates/consensus/tests/growth.rs
@@ -1,4 +1,4 @@
-//! How the accord's cost grows with the members, by who pays it: a member, a voter that follows, the leader. Without faults, on
+//! How the cost of consensus grows with the members, for a member, a voter that follows, and the leader. Without faults, on
 //! virtual time; bytes are of messages in postcard, without envelope, UDP and IP. `docs/CAPACITY.md` quotes the lines printed.
 //!
 //! By default to 110 members; `ACCORD_GROWTH=full` plays 30 to 440.
@@ -6,8 +6,8 @@
 mod common;
 
 use common::content;
-use common::scenes::{acting, new};
-use common::world::{MS, Traffic, World};
+use common::scenarios::{acting, new};
+use common::world::{Disk, MS, Traffic, World};
 use cottonnotch_consensus::{Mutant, Topic};
 
 /// What the page says of a member that neither leads nor votes, whatever the size.
@@ -30,14 +30,14 @@
     let mut roles = [[0.0; 3]; 3];
     for member in 0..world.members {
         let at = usize::from(member);
-        let (sent, taken) = (world.sent[at], world.taken[at]);
+        let (sent, received) = (world.sent[at], world.received[at]);
         let role = match member {
             _ if member == leader => 0,
             _ if world.voters.contains(&member) => 1,
             _ => 2,
         };
-        let messages = sent.messages + taken.messages - before[at].messages;
-        let bytes = sent.bytes + taken.bytes - before[at].bytes;
+        let messages = sent.messages + received.messages - before[at].messages;
+        let bytes = sent.bytes + received.bytes - before[at].bytes;
         for (sum, add) in roles[role].iter_mut().zip([messages as f64, bytes as f64, 1.0]) {
             *sum += add;
         }
@@ -46,37 +46,38 @@
 }
 
 fn both_ways(world: &World) -> Vec<Traffic> {
-    let both = |(sent, taken): (&Traffic, &Traffic)| Traffic {
-        messages: sent.messages + taken.messages,
-        bytes: sent.bytes + taken.bytes,
+    let both = |(sent, received): (&Traffic, &Traffic)| Traffic {
+        messages: sent.messages + received.messages,
+        bytes: sent.bytes + received.bytes,
         largest: 0,
     };
-    world.sent.iter().zip(&world.taken).map(both).collect()
+    world.sent.iter().zip(&world.received).map(both).collect()
 }
 
-/// A version that agrees with every other, so that only its number is new.
+/// A version that is compatible with every other, so that only its number is new.
 fn version(number: u16) -> [u8; 32] {
     content(100 + number, [0, 0, 0])
 }
 
+/// A member costs the same in a cluster of any size, and the leader as many times that as there are members.
 #[test]
-fn a_member_costs_the_same_at_any_size_and_the_leader_as_many_times_that() {
+fn cost_per_member_is_independent_of_cluster_size() {
     for &members in sizes() {
         let (mut world, leader) = acting(1, members, 3, Mutant::Unmodified);
-        world.weigh = true;
+        world.count_bytes = true;
         let before = both_ways(&world);
         world.run(6_000 * MS);
         assert_eq!(world.leader(), Some(leader), "no election in a quiet time");
-        let [led, follows, holds] = by_role(&world, leader, &before, 6.0);
+        let [led, follower, lease_holder] = by_role(&world, leader, &before, 6.0);
         println!(
             r#"{{"what":"accord idle","members":{members},"leader_messages_per_s":{:.1},"leader_bytes_per_s":{:.0},"voter_messages_per_s":{:.2},"voter_bytes_per_s":{:.0},"member_messages_per_s":{:.2},"member_bytes_per_s":{:.0}}}"#,
-            led[0], led[1], follows[0], follows[1], holds[0], holds[1]
+            led[0], led[1], follower[0], follower[1], lease_holder[0], lease_holder[1]
         );
         assert!(
-            holds[0] < MEMBER_MESSAGES_PER_S && holds[1] < MEMBER_BYTES_PER_S,
+            lease_holder[0] < MEMBER_MESSAGES_PER_S && lease_holder[1] < MEMBER_BYTES_PER_S,
             "{members} members: one has {} messages and {} bytes a second",
-            holds[0],
-            holds[1]
+            lease_holder[0],
+            lease_holder[1]
         );
         let each = f64::from(members);
         assert!(
@@ -86,17 +87,17 @@
             led[0],
             led[1]
         );
-        world.sound();
+        world.assert_no_violation();
     }
 }
 
 #[test]
-fn twenty_changes_within_a_minute_are_each_in_force_everywhere_soon() {
+fn activates_twenty_changes_within_a_minute() {
     for &members in sizes() {
         let (mut world, leader) = acting(2, members, 3, Mutant::Unmodified);
-        world.weigh = true;
+        world.count_bytes = true;
         let everywhere = usize::from(members);
-        let handed = world.handed_out.clone();
+        let handed = world.served_contents.clone();
         let (before, mut times) = (both_ways(&world), Vec::new());
         let began = world.now;
         for number in 0..20 {
@@ -109,9 +110,10 @@
             world.run(3_000 * MS - took);
         }
         let seconds = (world.now - began) as f64 / 1e6;
-        let [led, _, holds] = by_role(&world, leader, &before, seconds);
+        let [led, _, lease_holder] = by_role(&world, leader, &before, seconds);
         times.sort_unstable();
-        let out: Vec<u64> = world.handed_out.iter().zip(&handed).map(|(now, before)| now - before).collect();
+        let out: Vec<u64> =
+            world.served_contents.iter().zip(&handed).map(|(now, before)| now - before).collect();
         let (all, most) = (out.iter().sum::<u64>(), out.iter().max().copied().unwrap_or(0));
         println!(
             r#"{{"what":"accord, 20 changes in a minute","members":{members},"in_force_median_ms":{:.0},"in_force_most_ms":{:.0},"contents_handed_out_a_change":{:.1},"of_these_by_one":{:.1},"leader_bytes_per_s":{:.0},"member_bytes_per_s":{:.0}}}"#,
@@ -120,31 +122,31 @@
             all as f64 / 20.0,
             most as f64 / 20.0,
             led[1],
-            holds[1]
+            lease_holder[1]
         );
         assert!(times[19] < 1_000 * MS, "{members} members: {} us", times[19]);
         assert!(
             all <= 20 * u64::from(members),
             "{members} members: {all} contents handed out for 20 changes"
         );
-        world.sound();
+        world.assert_no_violation();
     }
 }
 
-/// How long a change that contradicts what is in force takes until all that can act on it do, in microseconds.
+/// How long an incompatible change takes until all members that can act on it do, in microseconds.
 fn to_force(members: u16, seed: u64, harm: impl Fn(&mut World, u16) -> u16) -> i64 {
     let (mut world, leader) = acting(seed, members, 3, Mutant::Unmodified);
     let left = usize::from(harm(&mut world, leader));
     let proposer = members - 1;
     world.propose(proposer, Topic::Rules, new());
     let took = world.run_until(10_000 * MS, |world| world.acting_on(Topic::Rules, new()) == left);
-    world.sound();
+    world.assert_no_violation();
     took.unwrap_or_else(|| panic!("{members} members, seed {seed}: not in force"))
 }
 
 /// What a change waits for: nothing, the lease of a member that stopped, the next leader.
 #[test]
-fn a_contradicting_change_is_in_force_everywhere_within_the_stated_time() {
+fn activates_incompatible_change_within_the_stated_time() {
     for &members in sizes() {
         let mut worst = [0; 3];
         for seed in 0..5 {
@@ -154,7 +156,7 @@
                 world.members - 1
             });
             let led = to_force(members, seed, |world, leader| {
-                world.crash(leader, false);
+                world.crash(leader, Disk::Kept);
                 world.members - 1
             });
             worst = [worst[0].max(none), worst[1].max(stopped), worst[2].max(led)];
@@ -169,18 +171,18 @@
 
 /// Half of the members hear nobody of the other half, where all voters are, for a minute.
 #[test]
-fn the_side_without_voters_is_in_doubt_until_the_cut_is_over_and_then_acts_alike_soon() {
+fn partition_without_voters_recovers_after_healing() {
     for &members in sizes() {
         let (mut world, _) = acting(3, members, 3, Mutant::Unmodified);
-        world.weigh = true;
+        world.count_bytes = true;
         let half = members / 2;
         for one in 0..half {
             (half..members).for_each(|other| world.cut_both(one, other));
         }
         let (greater, lesser) = (usize::from(half), usize::from(members - half));
-        let doubt =
+        let without_lease =
             world.run_until(5_000 * MS, |world| world.oracle.acting(Topic::Rules, world.now) == greater);
-        let doubt = doubt.expect("the lesser side's leases end");
+        let without_lease = without_lease.expect("the lesser side's leases end");
         world.propose(0, Topic::Rules, new());
         let force = world.run_until(5_000 * MS, |world| world.acting_on(Topic::Rules, new()) == greater);
         let force = force.expect("the greater side goes on alone");
@@ -189,7 +191,7 @@
         assert_eq!(
             world.oracle.acting(Topic::Rules, world.now),
             greater,
-            "{members} members: no right is left over there"
+            "{members} members: no lease is left over there"
         );
         let after = both_ways(&world);
         let of = |side: std::ops::Range<u16>| {
@@ -204,11 +206,14 @@
         let back = back.expect("all act alike after the cut");
         println!(
             r#"{{"what":"accord, halves cut for a minute","members":{members},"lesser_in_doubt_after_ms":{:.0},"change_in_force_on_the_other_side_ms":{:.0},"lesser_bytes_per_s":{cut:.0},"greater_bytes_per_s":{whole:.0},"all_alike_after_healing_ms":{:.0}}}"#,
-            doubt as f64 / 1e3,
+            without_lease as f64 / 1e3,
             force as f64 / 1e3,
             back as f64 / 1e3
         );
-        assert!(doubt < 1_300 * MS && back < 8_000 * MS, "{members} members: {doubt} us, {back} us");
-        world.sound();
+        assert!(
+            without_lease < 1_300 * MS && back < 8_000 * MS,
+            "{members} members: {without_lease} us, {back} us"
+        );
+        world.assert_no_violation();
     }
 }
--- a/crates/consensus/tests/figures.rs
+++ b/crates/consensus/tests/measurements.rs
@@ -1,10 +1,10 @@
-//! What it costs and how long it takes, without faults or with one; the bounds are what the design note states.
+//! Cost and duration, without faults or with one; the bounds are those of the design note.
 
 mod common;
 
 use common::content;
-use common::scenes::{acting, new};
-use common::world::{MS, Traffic, World};
+use common::scenarios::{acting, new};
+use common::world::{Disk, MS, Traffic, World};
 use cottonnotch_consensus::{Mutant, Timing, Topic};
 
 fn between(before: Traffic, after: Traffic, members: u16, span_us: i64) -> (f64, f64) {
@@ -15,10 +15,10 @@
 }
 
 #[test]
-fn messages_stay_few_and_small() {
+fn bounds_message_count_and_size() {
     for members in [3, 7, 30, 300] {
         let (mut world, _) = acting(1, members, 3, Mutant::Unmodified);
-        world.weigh = true;
+        world.count_bytes = true;
         let (before, ticks) = (world.traffic, world.ticks);
         let idle = if members > 100 { 2_000 * MS } else { 10_000 * MS };
         world.run(idle);
@@ -45,7 +45,7 @@
         );
         assert!(per_member < 30.0, "{members} members: {per_member} messages a member for a change");
         assert!(world.traffic.largest < 1_000);
-        world.sound();
+        world.assert_no_violation();
     }
 }
 
@@ -64,28 +64,28 @@
     let one = |seed: u64| {
         let (mut world, leader) = acting(seed, 7, 3, Mutant::Unmodified);
         let hash = content(2, hash);
-        let gone = match dead {
+        let crashed = match dead {
             Dead::Nobody => None,
             Dead::Follower => Some((leader + 1) % 3),
             Dead::Leader => Some(leader),
         };
-        if let Some(gone) = gone {
-            world.crash(gone, false);
+        if let Some(crashed) = crashed {
+            world.crash(crashed, Disk::Kept);
             if matches!(dead, Dead::Follower) {
                 world.run(2_000 * MS);
             }
         }
         world.propose(6, Topic::Rules, hash);
-        let living = if gone.is_some() { 6 } else { 7 };
+        let living = if crashed.is_some() { 6 } else { 7 };
         let took = world.run_until(10_000 * MS, |world| world.acting_on(Topic::Rules, hash) == living);
-        world.sound();
+        world.assert_no_violation();
         took.unwrap_or_else(|| panic!("seed {seed}: not in force"))
     };
     (0..seeds).map(one).collect()
 }
 
 #[test]
-fn a_proposal_is_in_force_soon() {
+fn bounds_time_to_activation() {
     for (dead, name, most) in [
         (Dead::Nobody, "no fault", 400.0),
         (Dead::Follower, "a follower dead for two seconds", 400.0),
@@ -103,9 +103,9 @@
     }
 }
 
-/// A member is stopped for good at the worst moment: the new version waits for its lease, and no longer.
+/// A member is stopped for good at the worst moment: the new version waits for its lease to expire, and no longer.
 #[test]
-fn a_member_that_stops_holds_a_change_up_for_one_lease() {
+fn stopped_member_delays_a_change_by_one_lease() {
     let mut times = Vec::new();
     for seed in 0..60 {
         let (mut world, _) = acting(seed, 7, 3, Mutant::Unmodified);
@@ -116,31 +116,31 @@
             panic!("seed {seed}: not in force")
         };
         times.push(took);
-        world.sound();
+        world.assert_no_violation();
     }
     let worst = percentile(&mut times, 100);
     println!("a member stopped: {:.0} ms at the median, {worst:.0} at most", percentile(&mut times, 50));
     assert!(worst < 1_600.0);
 }
 
-/// The leader dies: how long members are without a right until the next one grants.
+/// The leader crashes: how long members are without a lease until the next leader grants one.
 #[test]
-fn a_leader_that_dies_leaves_members_in_doubt_for_a_short_time() {
+fn bounds_time_without_lease_after_a_leader_crash() {
     let mut longest = Vec::new();
     for seed in 0..60 {
         let (mut world, leader) = acting(seed, 7, 3, Mutant::Unmodified);
-        world.crash(leader, false);
-        let mut doubt = 0;
+        world.crash(leader, Disk::Kept);
+        let mut time_without_lease = 0;
         for _ in 0..1_500 {
             world.run(2 * MS);
-            doubt += i64::from(world.oracle.acting(Topic::Rules, world.now) < 6) * 2 * MS;
+            time_without_lease += i64::from(world.oracle.acting(Topic::Rules, world.now) < 6) * 2 * MS;
         }
-        longest.push(doubt);
+        longest.push(time_without_lease);
         assert_eq!(world.oracle.acting(Topic::Rules, world.now), 6, "seed {seed}");
-        world.sound();
+        world.assert_no_violation();
     }
     let (half, tail) = (percentile(&mut longest, 50), percentile(&mut longest, 100));
-    let none = longest.iter().filter(|&&doubt| doubt == 0).count();
+    let none = longest.iter().filter(|&&time_without_lease| time_without_lease == 0).count();
     println!(
         "leader dead: some member in doubt {half:.0} ms at the median, {tail:.0} at most; {none} of 60 without any"
     );
@@ -149,11 +149,11 @@
 
 /// Whatever is in it, a message fits in a datagram with room to spare.
 #[test]
-fn the_largest_message_fits() {
+fn largest_message_fits_a_datagram() {
     let mut world = World::new(1, 300, 3, Timing::default(), Mutant::Unmodified);
-    world.weigh = true;
+    world.count_bytes = true;
     world.run(2_500 * MS);
-    // Many proposers on both topics, so that the state remembers as many outcomes as it may.
+    // Many proposers on both topics, so that the state has as many results as it may.
     for at in 0..14 {
         let topic = if at % 2 == 0 { Topic::Rules } else { Topic::Settings };
         world.propose(200 + at, topic, content(at, [1 + (at / 2 % 2) as u8, 0, 0]));
--- a/crates/consensus/tests/mutants.rs
+++ b/crates/consensus/tests/mutants.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::chaos::{Faults, storm};
-use common::scenes;
+use common::chaos::{Faults, run_under_faults};
+use common::scenarios;
 use common::world::{MS, Net, World};
 use cottonnotch_consensus::Mutant;
 
@@ -14,7 +14,7 @@
 fn found(mutant: Mutant, shape: impl Fn(u64) -> Faults) -> (u64, String) {
     for seed in 0..SEEDS {
         let faults = Faults { mutant, ..shape(seed) };
-        if let Some(violation) = storm(seed, &faults).oracle.violation {
+        if let Some(violation) = run_under_faults(seed, &faults).oracle.violation {
             println!("{mutant:?}: seed {seed}: {violation}");
             return (seed, violation);
         }
@@ -30,60 +30,60 @@
 }
 
 fn few(seed: u64) -> Faults {
-    let net = Net { most: 100 * MS, loss: 20, doubled: 100, ..Net::default() };
+    let net = Net { most: 100 * MS, loss: 20, duplicated: 100, ..Net::default() };
     Faults { members: 7, voters: 3, drift_ppm: 1_000, span: 15_000 * MS, net, ..Faults::drawn(seed) }
 }
 
 #[test]
-fn a_lease_counted_from_receipt_is_found() {
+fn finds_lease_counted_from_receipt() {
     found(Mutant::LeaseFromReceipt, few);
 }
 
 #[test]
-fn a_voter_that_forgets_is_found() {
-    found_in(Mutant::SkipRecovery, scenes::a_voter_forgets_what_it_helped_agree);
+fn finds_skipped_recovery() {
+    found_in(Mutant::SkipRecovery, scenarios::a_voter_forgets_what_it_helped_agree);
 }
 
 #[test]
-fn effect_before_old_leases_end_is_found() {
+fn finds_early_activation() {
     found(Mutant::EarlyActivation, few);
 }
 
 #[test]
-fn drift_not_allowed_for_is_found() {
+fn finds_ignored_drift() {
     let shape = |seed| Faults { drift_ppm: 100_000, net: Net::default(), ..few(seed) };
     found(Mutant::IgnoreDrift, shape);
 }
 
 #[test]
-fn a_pause_not_noticed_is_found() {
-    found_in(Mutant::NoAuthorityCheck, scenes::leader_stopped_across_a_change);
+fn finds_missing_authority_check() {
+    found_in(Mutant::NoAuthorityCheck, scenarios::leader_stopped_across_a_change);
 }
 
 #[test]
-fn leases_of_earlier_leaders_not_waited_for_are_found() {
-    found_in(Mutant::SkipHandover, scenes::a_lease_of_a_leader_that_died);
+fn finds_skipped_handover() {
+    found_in(Mutant::SkipHandover, scenarios::a_lease_of_a_leader_that_died);
 }
 
 #[test]
-fn a_voter_that_votes_while_it_hears_a_leader_is_found() {
-    found_in(Mutant::VoteDespiteLeader, scenes::a_rival_while_the_leader_is_heard);
+fn finds_vote_despite_a_leader() {
+    found_in(Mutant::VoteDespiteLeader, scenarios::a_rival_while_the_leader_is_heard);
 }
 
 #[test]
-fn a_voter_that_votes_at_once_after_a_restart_is_found() {
-    found_in(Mutant::VoteAfterRestart, scenes::a_voter_restarts_under_a_rival);
+fn finds_vote_right_after_a_restart() {
+    found_in(Mutant::VoteAfterRestart, scenarios::a_voter_restarts_under_a_rival);
 }
 
 #[test]
-fn a_member_that_takes_back_what_it_released_is_found() {
+fn finds_acceptance_of_revoked_versions() {
     found(Mutant::AcceptRevoked, few);
 }
 
 #[test]
-fn without_a_fault_built_in_nothing_is_found() {
+fn finds_nothing_without_a_mutant() {
     for seed in 0..50 {
-        let world = storm(seed, &few(seed));
-        world.sound();
+        let world = run_under_faults(seed, &few(seed));
+        world.assert_no_violation();
     }
 }
--- a/crates/consensus/tests/storm.rs
+++ b/crates/consensus/tests/random_faults.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::chaos::{Faults, comes_back, storm};
+use common::chaos::{Faults, recover, run_under_faults};
 use common::world::MS;
 
 fn seeds() -> u64 {
@@ -12,7 +12,7 @@
 /// Nobody ever acts against another; and once all is well again, what was proposed before is over in bounded time, and a new
 /// proposal is in force everywhere soon.
 #[test]
-fn nobody_acts_against_another_and_all_comes_back() {
+fn survives_random_faults_and_recovers() {
     let threads = std::thread::available_parallelism().map_or(4, usize::from).min(4) as u64;
     let slowest = std::thread::scope(|scope| {
         let runs: Vec<_> = (0..threads)
@@ -20,11 +20,11 @@
                 scope.spawn(move || {
                     let mut slowest = ((0, 0), 0);
                     for seed in (thread..seeds()).step_by(threads as usize) {
-                        let mut world = storm(seed, &Faults::drawn(seed));
-                        world.sound();
+                        let mut world = run_under_faults(seed, &Faults::drawn(seed));
+                        world.assert_no_violation();
                         let greatest = world.oracle.greatest;
-                        let took = comes_back(&mut world, 60_000 * MS);
-                        world.sound();
+                        let took = recover(&mut world, 60_000 * MS);
+                        world.assert_no_violation();
                         let Some(took) = took else {
                             panic!("seed {seed}: not in force again: {}", common::chaos::report(&world))
                         };
@@ -44,9 +44,9 @@
 #[test]
 fn one_seed() {
     let Some(seed) = std::env::var("ACCORD_SEED").ok().and_then(|text| text.parse().ok()) else { return };
-    let mut world = storm(seed, &Faults::drawn(seed));
-    world.sound();
-    let took = comes_back(&mut world, 60_000 * MS);
+    let mut world = run_under_faults(seed, &Faults::drawn(seed));
+    world.assert_no_violation();
+    let took = recover(&mut world, 60_000 * MS);
     println!("{took:?} {}", common::chaos::report(&world));
-    world.sound();
+    world.assert_no_violation();
 }
--- a/crates/consensus/tests/wire.rs
+++ b/crates/consensus/tests/wire.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn no_message_is_larger_than_a_datagram_holds() {
+fn bounds_encoded_messages() {
     let state = largest_state();
     let revision = StateRevision { term: MOST, seq: MOST };
     let list = ListRevision { epoch: MOST, revision: u64::MAX };
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_state_that_remembers_too_much_is_out_of_bounds() {
+fn rejects_state_with_too_many_results() {
     let mut state = largest_state();
     let one = state.topics[0].results[0];
     state.topics[0].results.push(one);
@@ -204,7 +204,7 @@
 
     /// Whatever comes, from whomever, at whatever time: no panic, no work without end, and time goes on.
     #[test]
-    fn nothing_from_outside_stops_a_member(
+    fn survives_arbitrary_messages(
         inputs in vec((0..300_000i64, 0..7u16, message(), hash(), 0..8u8), 1..60),
         ordinal in 0..5u16,
         remembers in any::<bool>(),
--- a/crates/cottonnotch/tests/consensus/judge.rs
+++ b/crates/cottonnotch/tests/consensus/judge.rs
@@ -218,7 +218,7 @@
     }
 
     #[test]
-    fn the_longest_contradiction_is_found_whatever_the_order_of_the_notes() {
+    fn finds_longest_contradiction_in_any_order() {
         let history = [placed(500, "n", "old"), placed(100, "n", "old"), placed(420, "m", "new")];
         let found = contradiction(&history, in_hall("old"), in_hall("new")).unwrap();
         assert_eq!((found.time, found.first_by_new.at, found.last_by_old.at), (ms(80), ms(420), ms(500)));
@@ -228,7 +228,7 @@
     }
 
     #[test]
-    fn the_longest_overlap_of_versions_is_found_also_of_distant_ones() {
+    fn finds_longest_overlap_of_versions() {
         let good = [(1, placed(10, "n", "a")), (1, placed(50, "n", "a")), (2, placed(51, "n", "b"))];
         assert_eq!(overlap(&good), None);
         let mut bad = good.to_vec();
@@ -238,8 +238,9 @@
         assert_eq!(overlap(&[(4, placed(9, "n", "a")), (7, placed(1, "n", "b"))]).unwrap().time, ms(8));
     }
 
+    /// What both rules allow is no contradiction; what none allows is forbidden.
     #[test]
-    fn what_both_rules_allow_is_no_contradiction_and_what_none_allows_is_forbidden() {
+    fn distinguishes_contradiction_from_forbidden_placement() {
         let both = |placed: &Placed| placed.hall != "c";
         let history = [placed(1, "m", "new"), placed(9, "n", "old"), placed(10, "x", "c")];
         // No placement shows when a rule that only narrows came in force: that is told.
@@ -253,7 +254,7 @@
     }
 
     #[test]
-    fn the_drained_node_gets_nothing_new() {
+    fn finds_placements_after_a_drain() {
         let history = [placed(1, "n", "a"), placed(1900, "n", "a"), placed(2001, "m", "a")];
         assert!(after_drain(&history, "n", ms(900), ms(1000)).is_empty());
         assert_eq!(after_drain(&history, "n", ms(899), ms(1000)), [&history[1]]);
@@ -266,7 +267,7 @@
     }
 
     #[test]
-    fn each_wrong_to_a_client_is_found() {
+    fn finds_every_violation_towards_a_client() {
         let none = BTreeMap::new();
         let good = [
             client(&[Answer::Up], Some(End::InOrder)),
@@ -293,7 +294,7 @@
     }
 
     #[test]
-    fn the_most_that_stood_at_once_is_found() {
+    fn finds_most_concurrent_connections() {
         let stood = |from: u64, until: u64| {
             let answers = vec![(ms(from), Answer::Up)];
             Client { answers, ended: Some((ms(until), End::InOrder)), ..client(&[], None) }
@@ -305,7 +306,7 @@
     }
 
     #[test]
-    fn versions_that_disagree_are_found() {
+    fn finds_disagreeing_versions() {
         let v = |number: u64, hash: &str| (number, hash.to_owned());
         let good = [vec![v(1, "a"), v(2, "b")], vec![v(2, "b"), v(2, "b")]];
         assert_eq!(disagreements(&good), Vec::<String>::new());
--- a/crates/cottonnotch/tests/consensus/link/proofs.rs
+++ b/crates/cottonnotch/tests/consensus/link/proofs.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn each_way_is_cut_for_itself_and_heals() {
+fn directions_are_cut_separately() {
     let (mesh, ends) = two(1);
     mesh.set(0, 1, CUT);
     say(&mesh, &ends, 0, 1);
@@ -46,8 +46,9 @@
     assert_eq!((heard(&ends, 1), heard(&ends, 0)), (vec![6], vec![]));
 }
 
+/// Delays, reordering, duplicates and losses are those that the seed gives.
 #[test]
-fn delays_overtaking_doubles_and_losses_come_as_the_seed_says() {
+fn link_faults_follow_the_seed() {
     let now = Instant::now();
     let run = |seed, faults: Faults| {
         let (mut way, mut chance) = (OnItsWay::default(), Chance::new(seed));
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn tcp_waits_while_cut_and_goes_on_after() {
+fn tcp_stalls_during_a_cut() {
     let (mesh, ends) = two(1);
     mesh.cut(0, 1);
     let mut caller = TcpStream::connect(mesh.known_to(0)[1]).unwrap();
--- a/crates/cottonnotch/tests/consensus/standin/proofs.rs
+++ b/crates/cottonnotch/tests/consensus/standin/proofs.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn clients_note_what_they_are_told() {
+fn clients_record_their_answers() {
     assert_eq!(lived("BUSY 250\r\n"), (vec![Answer::Busy(Some(250))], End::InOrder));
     assert_eq!(lived("BUSY\r\n"), (vec![Answer::Busy(None)], End::InOrder));
     assert_eq!(lived("ERR no\r\n"), (vec![Answer::Failed("ERR no".into())], End::InOrder));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_list_is_told_by_changes_and_a_silent_door_tells_nothing() {
+fn discovery_sends_changes_unless_silenced() {
     let began = Instant::now();
     let discovery = Discovery::new(Ipv4Addr::LOCALHOST, 2);
     let fleet = Fleet::new(Ipv4Addr::LOCALHOST, began, &discovery, &[("s0", "a", "m1"), ("s1", "b", "m2")]);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_render_node_notes_what_arrives() {
+fn render_node_records_arrivals() {
     let began = Instant::now();
     let discovery = Discovery::new(Ipv4Addr::LOCALHOST, 1);
     let fleet = Fleet::new(Ipv4Addr::LOCALHOST, began, &discovery, &[("s0", "a", "m1")]);
--- a/crates/cottonnotch/tests/consensus/stories/changes.rs
+++ b/crates/cottonnotch/tests/consensus/stories/changes.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_change_reaches_all_and_no_request_goes_by_two_rules() {
+fn change_reaches_all_without_contradiction() {
     let tier = Tier::agreed(3, &[0, 1, 2], 1);
     let (before, _) = tier.converges(&tier.all(), 0);
     tier.change(1, "dagger", &keeps_to("dagger", 2, "b"));
@@ -17,8 +17,9 @@
     tier.judged("a", "b");
 }
 
+/// A network that delays, duplicates, loses and reorders datagrams makes a change slower, and does no other harm.
 #[test]
-fn a_shaken_network_delays_doubles_loses_and_reorders_and_nothing_else() {
+fn change_survives_an_unreliable_network() {
     let tier = Tier::agreed(3, &[0, 1, 2], 2);
     let (before, _) = tier.converges(&tier.all(), 0);
     let ms = Duration::from_millis;
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn two_houses_change_at_one_moment_at_two_proxies_and_both_come_in_force() {
+fn activates_simultaneous_changes_of_two_owners() {
     let tier = Tier::agreed(3, &[0, 1, 2], 3);
     let (before, _) = tier.converges(&tier.all(), 0);
     std::thread::scope(|scope| {
@@ -45,8 +46,9 @@
     tier.judged("a", "b");
 }
 
+/// One revision with two contents ends as one of them at all proxies, and the other is reported as a conflict.
 #[test]
-fn one_revision_with_two_contents_ends_as_one_of_them_at_all_and_the_other_is_named() {
+fn one_revision_with_two_contents_is_a_conflict() {
     let tier = Tier::agreed(3, &[0, 1, 2], 4);
     let (before, _) = tier.converges(&tier.all(), 0);
     std::thread::scope(|scope| {
--- a/crates/cottonnotch/tests/consensus/stories/cuts.rs
+++ b/crates/cottonnotch/tests/consensus/stories/cuts.rs
@@ -10,8 +10,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
+/// A proxy that is cut off during a change rejects what is uncertain, and recovers by itself.
 #[test]
-fn one_that_is_cut_off_during_a_change_refuses_in_doubt_and_comes_back_by_itself() {
+fn partitioned_proxy_rejects_and_recovers() {
     let tier = Tier::agreed(5, &[0, 1, 2, 3, 4], 5);
     let (before, _) = tier.converges(&tier.all(), 0);
     let from = tier.now();
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn a_voter_that_hears_and_is_not_heard_stops_nobody_and_acts_on_nothing_old() {
+fn tolerates_voter_that_cannot_send() {
     let tier = Tier::agreed(3, &[0, 1, 2], 6);
     let (before, _) = tier.converges(&tier.all(), 0);
     let mute = tier.leader(&[0, 1, 2]);
@@ -59,8 +60,9 @@
     tier.judged("a", "b");
 }
 
+/// In a ring of cuts each voter sees another majority, and no two proxies act on incompatible versions.
 #[test]
-fn in_a_ring_of_cuts_each_sees_another_majority_and_no_two_act_on_both() {
+fn ring_of_cuts_causes_no_contradiction() {
     let tier = Tier::agreed(5, &[0, 1, 2, 3, 4], 7);
     let (before, _) = tier.converges(&tier.all(), 0);
     (0..5).for_each(|one| tier.mesh.cut(one, (one + 1) % 5));
@@ -74,8 +76,9 @@
     tier.judged("a", "b");
 }
 
+/// A proxy that cannot fetch a content delays the others for no longer than stated.
 #[test]
-fn one_that_cannot_get_the_content_holds_nobody_up_for_longer_than_stated() {
+fn proxy_that_cannot_fetch_delays_nobody() {
     let tier = Tier::agreed(3, &[0, 1, 2], 22);
     let (before, _) = tier.converges(&tier.all(), 0);
     let starved = all_but(&tier, tier.leader(&[0, 1, 2]))[0];
@@ -93,7 +96,7 @@
 }
 
 #[test]
-fn rubbish_at_a_leaders_door_stops_no_change() {
+fn invalid_traffic_at_the_leader_stops_no_change() {
     let tier = Tier::agreed(3, &[0, 1, 2], 23);
     let (before, _) = tier.converges(&tier.all(), 0);
     let door = tier.mesh.own[tier.leader(&[0, 1, 2])];
--- a/crates/cottonnotch/tests/consensus/stories/fleet.rs
+++ b/crates/cottonnotch/tests/consensus/stories/fleet.rs
@@ -10,8 +10,9 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+/// A change that a third of the members cannot run comes in force nowhere until they can.
 #[test]
-fn a_change_that_a_third_cannot_run_comes_in_force_nowhere_until_they_can() {
+fn unsupported_change_waits_for_all_members() {
     let mut played = Vec::new();
     let tier = Tier::agreed_with(6, &[0, 1, 2], 20, |tier| {
         tier.proxies.truncate(4);
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn a_class_that_loses_a_feature_in_use_gets_nothing_more_that_needs_it() {
+fn class_without_a_feature_gets_no_requests_that_need_it() {
     let tier = Tier::agreed(3, &[0, 1, 2], 21);
     let (before, _) = tier.converges(&tier.all(), 0);
     // Counting connections needs nodes that tell them.
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn a_cap_and_a_pace_hold_over_all_proxies_together() {
+fn caps_and_paces_hold_fleet_wide() {
     let tier = Tier::agreed(3, &[0, 1, 2], 25);
     let (before, _) = tier.converges(&tier.all(), 0);
     tier.change(0, "dagger", &keeps_to_and("dagger", 2, "a", "cap = { connections = 7 }"));
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn a_group_is_on_one_node_whichever_proxy_it_comes_to() {
+fn group_has_one_node_at_all_proxies() {
     let tier = Tier::agreed(3, &[0, 1, 2], 26);
     let (before, _) = tier.converges(&tier.all(), 0);
     tier.change(2, "dagger", &keeps_to_and("dagger", 2, "b", "spread = { nodes = 1 }"));
@@ -138,7 +139,7 @@
 }
 
 #[test]
-fn one_whose_watch_is_silent_learns_from_the_others_that_it_is_behind() {
+fn silent_watch_is_noticed_through_other_members() {
     let tier = Tier::agreed(3, &[0, 1, 2], 19);
     tier.discovery.silence(1);
     let watches = tier.discovery.watches(1);
--- a/crates/cottonnotch/tests/consensus/stories/houses.rs
+++ b/crates/cottonnotch/tests/consensus/stories/houses.rs
@@ -35,31 +35,31 @@
 }
 
 #[test]
-fn a_broken_file_of_one_house_stops_no_other() {
+fn invalid_file_holds_back_one_owner() {
     rival_goes_on(14, "namespace = \"consortium/cotton\"\nrevision = 2\n[[rule]\n", "cotton.toml");
 }
 
 #[test]
-fn a_truncated_file_of_one_house_stops_no_other() {
+fn truncated_file_holds_back_one_owner() {
     let whole = avoids("cotton", 2, "a");
     rival_goes_on(15, &whole[..whole.len() - 12], "cotton.toml");
 }
 
 #[test]
-fn a_huge_file_of_one_house_stops_no_other() {
+fn oversized_file_holds_back_one_owner() {
     let huge = format!("{}# {}\n", avoids("cotton", 2, "a"), "x".repeat(3 << 20));
     rival_goes_on(16, &huge, "cotton.toml");
 }
 
 #[test]
-fn a_file_in_conflict_with_a_rivals_stops_no_other_and_the_witness_is_named() {
+fn conflicting_file_holds_back_one_owner() {
     // It speaks of the rival's tenant, which isn't its own.
     let conflicting = avoids("cotton", 2, "a").replace("[\"cotton\"]", "[\"dagger\"]");
     rival_goes_on(17, &conflicting, "rules of consortium/cotton are in a conflict");
 }
 
 #[test]
-fn a_broken_file_of_one_house_does_not_keep_a_proxy_from_starting() {
+fn invalid_file_does_not_prevent_a_start() {
     let mut tier = Tier::agreed(3, &[0, 1, 2], 18);
     tier.kill(2);
     tier.proxies[2].write_rules("cotton.toml", "rubbish = = 1\n");
--- a/crates/cottonnotch/tests/consensus/stories/processes.rs
+++ b/crates/cottonnotch/tests/consensus/stories/processes.rs
@@ -7,8 +7,9 @@
 use crate::tier::Tier;
 use std::time::Duration;
 
+/// A voter whose state folder was removed serves without a lease, and the others go on.
 #[test]
-fn a_voter_whose_folder_is_gone_serves_as_in_doubt_and_the_others_go_on() {
+fn voter_without_its_folder_loses_its_lease() {
     let mut tier = Tier::agreed(3, &[0, 1, 2], 24);
     let (before, _) = tier.converges(&tier.all(), 0);
     let lost = all_but(&tier, tier.leader(&[0, 1, 2]))[0];
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn one_that_stood_still_during_a_change_does_not_go_on_by_the_old_rules() {
+fn stopped_proxy_drops_old_rules_after_a_change() {
     let mut tier = Tier::agreed(3, &[0, 1, 2], 8);
     let (before, _) = tier.converges(&tier.all(), 0);
     let leader = tier.leader(&[0, 1, 2]);
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn a_leader_that_stood_still_during_a_change_leads_and_serves_by_nothing_old() {
+fn stopped_leader_drops_leadership_and_old_rules() {
     let mut tier = Tier::agreed(3, &[0, 1, 2], 9);
     let (before, _) = tier.converges(&tier.all(), 0);
     let leader = tier.leader(&[0, 1, 2]);
@@ -69,8 +70,9 @@
     tier.judged("a", "b");
 }
 
+/// A leader killed between its compatibility check and the activation leaves one version in force.
 #[test]
-fn a_leader_killed_between_its_yes_and_the_effect_leaves_one_version() {
+fn leader_crash_before_activation_leaves_one_version() {
     let mut tier = Tier::agreed(5, &[0, 1, 2, 3, 4], 10);
     let (before, _) = tier.converges(&tier.all(), 0);
     let leader = tier.leader(&tier.all());
@@ -91,8 +93,9 @@
     tier.judged("a", "b");
 }
 
+/// Without a majority nothing changes, and each owner's requests are handled as its policy for uncertainty says.
 #[test]
-fn without_a_majority_nothing_changes_and_houses_are_served_as_they_asked_for() {
+fn without_a_majority_owners_uncertainty_policy_counts() {
     let mut tier = Tier::agreed(5, &[0, 1, 2], 11);
     let (before, _) = tier.converges(&tier.all(), 0);
     tier.kill(1);
@@ -112,7 +115,7 @@
 }
 
 #[test]
-fn all_are_killed_and_come_again_with_what_was_in_force() {
+fn restart_of_all_restores_the_version_in_force() {
     let mut tier = Tier::agreed(3, &[0, 1, 2], 12);
     let (before, _) = tier.converges(&tier.all(), 0);
     tier.change(1, "dagger", &keeps_to("dagger", 2, "b"));
@@ -130,7 +133,7 @@
 }
 
 #[test]
-fn a_voter_that_lost_its_memory_takes_no_part_in_undoing_what_was_agreed() {
+fn voter_without_state_does_not_undo_commits() {
     let mut tier = Tier::agreed(3, &[0, 1, 2], 13);
     let (before, _) = tier.converges(&tier.all(), 0);
     // One voter is away while a version comes in force by the others; then one of those loses its memory.
--- a/crates/cottonnotch/tests/consensus/storm.rs
+++ b/crates/cottonnotch/tests/consensus/storm.rs
@@ -68,12 +68,12 @@
 }
 
 #[test]
-fn a_storm_of_changes_and_faults_leaves_no_two_rules_in_force() {
+fn random_changes_and_faults_cause_no_contradiction() {
     storm(1, 6);
 }
 
 #[test]
-fn another_storm_of_changes_and_faults_leaves_no_two_rules_in_force() {
+fn random_changes_and_faults_of_another_seed_cause_no_contradiction() {
     storm(2, 6);
 }
 
--- a/crates/cottonnotch/tests/consensus/tier.rs
+++ b/crates/cottonnotch/tests/consensus/tier.rs
@@ -148,7 +148,7 @@
 
 /// Without rules the program serves on as ever, and the rig sees what befalls its clients.
 #[test]
-fn the_rig_counts_each_client_of_proxies_that_stand_still_die_and_come_again() {
+fn cluster_accounts_for_every_client() {
     let mut tier = Tier::new(3, 1, |_, _, _| String::new());
     tier.start();
     tier.crowd("cotton");
--- a/crates/cottonnotch/tests/rules.rs
+++ b/crates/cottonnotch/tests/rules.rs
@@ -135,8 +135,9 @@
     }
 }
 
+/// A proxy without others acts on its own files, and takes new ones completely or not at all.
 #[test]
-fn a_proxy_alone_keeps_to_its_own_files_and_takes_new_ones_whole() {
+fn single_proxy_follows_its_own_files() {
     let (place, halls) = (Place::new(""), Halls::new());
     place.write(&file(1, &require("a")));
     let proxy = place.start();
@@ -209,7 +210,7 @@
 }
 
 #[test]
-fn what_one_proxy_is_given_counts_at_all_and_contradictions_never_overlap() {
+fn change_at_one_proxy_reaches_all_without_overlap() {
     let (cluster, halls) = (Cluster::new(4, ""), Halls::new());
     cluster.places[0].write(&file(1, &require("a")));
     let proxies: Vec<Proxy> = cluster.places.iter().map(Place::start).collect();
@@ -236,7 +237,7 @@
 }
 
 #[test]
-fn a_proxy_that_was_stopped_does_not_act_on_old_rules_once() {
+fn stopped_proxy_does_not_act_on_old_rules() {
     let (cluster, halls) = (Cluster::new(4, ""), Halls::new());
     cluster.places[0].write(&file(1, &require("a")));
     let proxies: Vec<Proxy> = cluster.places.iter().map(Place::start).collect();
@@ -272,8 +273,9 @@
     assert_eq!(halls.place(stopped), Some(1));
 }
 
+/// Without a majority requests under requirements are rejected; with one the requirements count again.
 #[test]
-fn without_a_majority_musts_are_refused_and_with_it_they_count_again() {
+fn rejects_requirements_without_a_majority() {
     let (cluster, halls) = (Cluster::new(3, ""), Halls::new());
     cluster.places[0].write(&file(1, &require("a")));
     let mut proxies: Vec<Proxy> = cluster.places.iter().map(Place::start).collect();
@@ -296,7 +298,7 @@
 }
 
 #[test]
-fn proposals_at_one_moment_are_ordered_and_none_is_lost() {
+fn orders_simultaneous_proposals() {
     let (cluster, halls) = (Cluster::new(3, ""), Halls::new());
     let root = |revision: u32| {
         let delegate = |to: &str, class: &str| {
@@ -330,7 +332,7 @@
 }
 
 #[test]
-fn a_successor_takes_the_member_s_part_and_its_memory() {
+fn successor_takes_over_member_and_state() {
     let (cluster, halls) = (Cluster::new(3, ""), Halls::new());
     cluster.places[0].write(&file(1, &require("a")));
     let meeting = TempDir::new().unwrap();
@@ -364,8 +366,9 @@
     others.iter().for_each(|proxy| counts(proxy, 2));
 }
 
+/// Errors in the sections name the key and the line; a sum of spans that is too large is shown.
 #[test]
-fn faults_of_the_sections_name_key_and_line_and_a_sum_that_is_too_large_is_shown() {
+fn section_errors_name_key_and_line() {
     let accord = "[accord]\nlisten = \"127.0.0.1:7400\"\ncluster = \"x\"\nme = 0\nvoters = [0]\nmembers = [\"127.0.0.1:7400\"]\n";
     let with_key = |more: &str| {
         let place = Place::new("");
@@ -423,7 +426,7 @@
 }
 
 #[test]
-fn check_prints_the_book_its_conflicts_and_how_rules_run() {
+fn check_reports_book_conflicts_and_compilation() {
     let place = Place::new("");
     place.write(&file(4, &require("a")));
     let other =
@@ -450,7 +453,7 @@
 }
 
 #[test]
-fn records_say_by_which_rules_a_request_went_or_was_refused() {
+fn records_name_the_rules_of_a_verdict() {
     let (cluster, halls) = (Cluster::new(3, ""), Halls::new());
     cluster.places[0].write(&file(1, &require("a")));
     let records = cluster.places[0].path("records");
@@ -476,7 +479,7 @@
 }
 
 #[test]
-fn without_the_sections_there_is_no_thread_and_no_socket() {
+fn starts_nothing_without_the_sections() {
     let tasks = |proxy: &Proxy| std::fs::read_dir(format!("/proc/{}/task", proxy.id())).unwrap().count();
     let plain = Proxy::start(&[]);
     assert_eq!(tasks(&plain), 1);
@@ -489,7 +492,7 @@
 }
 
 #[test]
-fn a_line_is_not_written_long_after_the_look() {
+fn drops_line_written_too_late_after_the_verdict() {
     let cluster = Cluster::new(1, "");
     let place = &cluster.places[0];
     let operator = std::fs::read_to_string(place.path("operator.toml")).unwrap();
@@ -528,7 +531,7 @@
 
 /// The files of `examples/accord`, at addresses that are free.
 #[test]
-fn the_example_book_of_three_houses_is_in_force_on_three_daemons() {
+fn example_book_is_in_force_on_three_daemons() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let (folder, at) = (TempDir::new().unwrap(), addresses(3));
     let key = folder.path().join("key");
