--- a/crates/records/src/parse.rs
+++ b/crates/records/src/parse.rs
@@ -1,7 +1,8 @@
 //! One line's bytes to a record, or to what is wrong with them.
 
-use crate::reader::Finding;
-use crate::record::{Event, Record, SCHEMA};
+use crate::event::Event;
+use crate::finding::Finding;
+use crate::record::{Record, SCHEMA};
 use crate::sequence::Step;
 use serde::Deserialize;
 use simd_json::OwnedValue;
--- a/crates/records/src/recorder.rs
+++ b/crates/records/src/recorder.rs
@@ -1,7 +1,8 @@
 //! The handle that the proxy's loop holds, and the thread behind it.
 
 use crate::config::{Settings, Target};
-use crate::record::{Event, Name, Reason};
+use crate::event::Event;
+use crate::names::{Name, Reason};
 use crate::sink::sink;
 use crate::writer::{Message, Now, Writer};
 use std::cell::Cell;
--- a/crates/records/src/sequence.rs
+++ b/crates/records/src/sequence.rs
@@ -1,6 +1,6 @@
 //! Follows the `seq` of records from line to line and says where some are missing.
 
-use crate::reader::Finding;
+use crate::finding::Finding;
 
 /// What a line means for the sequence.
 #[derive(Clone, Copy, Debug)]
--- a/crates/records/src/writer.rs
+++ b/crates/records/src/writer.rs
@@ -5,7 +5,8 @@
 //! loses the end of a batch, and a record that comes while nothing can be written joins it. So the lost ones are
 //! always one run that ends before the next line, and one `dropped` line in front of that tells it.
 
-use crate::record::{Event, LONGEST_LINE, Record, SCHEMA};
+use crate::event::Event;
+use crate::record::{LONGEST_LINE, Record, SCHEMA};
 use crate::sink::Sink;
 use std::io;
 
--- a/crates/records/src/writer_tests.rs
+++ b/crates/records/src/writer_tests.rs
@@ -1,5 +1,6 @@
 use super::*;
-use crate::reader::{Finding, LineContent, Reader};
+use crate::finding::Finding;
+use crate::reader::{LineContent, Reader};
 use proptest::prelude::*;
 
 /// Takes at most so many bytes a write; 0: fails.
