--- a/crates/records/benches/cost.rs
+++ b/crates/records/benches/cost.rs
@@ -106,7 +106,7 @@
     let mut on = open(&folder);
     group.bench_function("on: record", |b| b.iter_custom(|setups| on_loop(&on, setups)));
     let counts = on.close(LONG);
-    assert_eq!(counts.lost, 0, "the queue overran, the figure is not of recording");
+    assert_eq!(counts.dropped, 0, "the queue overran, the figure is not of recording");
     let mut text = Vec::with_capacity(1 << 20);
     group.bench_function("line made on the loop instead", |b| {
         b.iter(|| {
@@ -137,7 +137,7 @@
 }
 
 /// All that a core spends on a burst: recorded, made to lines, written to a file.
-fn whole_cost(c: &mut Criterion) {
+fn total_cost(c: &mut Criterion) {
     let names = names();
     let mut group = c.benchmark_group("2000 set-ups (10000 records), until written");
     group.throughput(Throughput::Elements((BURST * SETUP) as u64));
@@ -152,7 +152,7 @@
                 for request in 0..BURST as u64 {
                     setup(&names, request).into_iter().for_each(|event| recorder.record(event));
                 }
-                assert_eq!(recorder.close(LONG).lost, 0);
+                assert_eq!(recorder.close(LONG).dropped, 0);
                 // Its removal is not timed.
                 folder
             },
@@ -193,5 +193,5 @@
     group.finish();
 }
 
-criterion_group!(benches, loop_cost, writer_cost, whole_cost);
+criterion_group!(benches, loop_cost, writer_cost, total_cost);
 criterion_main!(benches);
--- a/crates/records/src/config.rs
+++ b/crates/records/src/config.rs
@@ -4,13 +4,13 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use crate::record::LONGEST_LINE;
+use crate::record::MAX_LINE_BYTES;
 
 /// Bytes of a file where nothing is said. With [`KEEP`] 32 MiB in all: the platform counts files as memory, and
 /// grants 192 MB.
 const MAX_BYTES: u64 = 8 << 20;
 /// A smaller file could not hold the longest line.
-const LEAST_BYTES: u64 = LONGEST_LINE as u64;
+const LEAST_BYTES: u64 = MAX_LINE_BYTES as u64;
 /// Rotated files where nothing is said.
 const KEEP: u32 = 3;
 /// Fewer lose what the last rotation put aside; more are a task for a log collector, and each rotation renames all.
--- a/crates/records/src/endpoint.rs
+++ b/crates/records/src/endpoint.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What the list says of a subchannel.
+/// An endpoint's entry in discovery's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointChange {
     /// The endpoint's name.
@@ -17,31 +17,31 @@
     pub address: Option<SocketAddr>,
 }
 
-/// A subchannel's phase on the list.
+/// An endpoint's phase on the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
     /// Takes new connections.
     Up,
-    /// Completes what it holds.
+    /// Completes the requests that it has.
     Draining,
     /// No longer there.
     #[serde(rename = "gone")]
     Removed,
 }
 
-/// What the proxy believes of a subchannel.
+/// An endpoint's state as the proxy sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum EndpointState {
     /// It may be used.
     Up,
-    /// It kept failing and is left alone for a while.
+    /// It failed repeatedly and is not used for a while (PIP-385).
     Paused {
         /// Until then, Unix time in microseconds.
         until_us: u64,
     },
-    /// After a pause, one attempt tries it.
+    /// After a pause, one attempt tries it (half-open).
     Trial,
     /// It gets nothing new.
     Draining,
--- a/crates/records/src/event.rs
+++ b/crates/records/src/event.rs
@@ -22,13 +22,13 @@
         /// The program's version.
         version: Reason,
     },
-    /// The resolver's list, or a change of it, was taken.
+    /// Discovery's list, or a change of it, was applied.
     List {
         /// The list's version.
         revision: u64,
-        /// All of the list: subchannels that it does not name are gone.
+        /// The list names every endpoint: one that is missing has been removed.
         complete: bool,
-        /// The subchannels of which it tells.
+        /// The endpoints that it names.
         changes: Vec<EndpointChange>,
     },
     /// The proxy's own view of an endpoint has changed.
@@ -49,50 +49,50 @@
         wire_id: Hex,
         /// Its class.
         class: Name,
-        /// Its tenant, if one was told.
+        /// Its tenant, if the client named one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         tenant: Option<Name>,
-        /// How long the client waits, if that was told.
+        /// How long the client waits, if it said so.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         deadline_ms: Option<u32>,
-        /// The group that it shares work with, if one was told.
+        /// The group that it shares work with, if the client named one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         group: Option<Hex>,
         /// The client came again, or marked a repeat.
         #[serde(rename = "again")]
         is_retry: bool,
     },
-    /// A call attempt began.
+    /// An attempt began.
     Attempt {
-        /// Whose.
+        /// The request.
         request: u64,
-        /// From 0, in the order sent.
+        /// Its number, from 0 in the order sent.
         attempt: u32,
         /// The endpoint that it goes to.
         #[serde(rename = "subchannel")]
         endpoint: Name,
         /// It ends as timed out after this; 0: when the client gives up.
         timeout_ms: u32,
-        /// By which rules it may go there, where there are rules.
+        /// The rules by which it may go there, where there are rules.
         #[serde(rename = "ruled", default, skip_serializing_if = "Option::is_none")]
         applied_rules: Option<Box<AppliedRules>>,
     },
-    /// A call attempt ended without `UP`.
+    /// An attempt ended without `UP`.
     AttemptEnded {
-        /// Whose.
+        /// The request.
         request: u64,
-        /// Which.
+        /// The attempt.
         attempt: u32,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
         /// Since it began.
         took_us: u64,
     },
-    /// A call attempt brought `UP`: the connection stands.
+    /// An attempt brought `UP`: the connection is established.
     Up {
-        /// Whose.
+        /// The request.
         request: u64,
-        /// Which.
+        /// The attempt.
         attempt: u32,
         /// The endpoint that it goes to.
         #[serde(rename = "subchannel")]
@@ -102,9 +102,9 @@
     },
     /// The final answer was given.
     Answer {
-        /// Whose.
+        /// The request.
         request: u64,
-        /// Which.
+        /// The answer.
         #[serde(flatten)]
         answer: Answer,
     },
@@ -117,7 +117,7 @@
     },
     /// A client was sent `MOVE`.
     Moved {
-        /// Whose connection.
+        /// The request of the connection.
         request: u64,
         /// The endpoint that served it.
         #[serde(rename = "subchannel")]
@@ -128,27 +128,27 @@
     },
     /// A connection that was up is over.
     Ended {
-        /// Whose.
+        /// The request.
         request: u64,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
     },
     /// The client left before its final answer.
     ClientLeft {
-        /// Whose.
+        /// The request.
         request: u64,
     },
     /// The configuration was read again.
     Reload {
-        /// With what result.
+        /// The result.
         #[serde(flatten)]
         reload: Reload,
     },
-    /// What is believed of another proxy has changed.
+    /// The believed state of another proxy has changed.
     Peer {
         /// Its number in the list of peers.
         peer: u32,
-        /// What is believed.
+        /// The state from now on.
         state: PeerState,
         /// Tells this run of its process from any other, as it says; 0: not heard yet.
         incarnation: u64,
@@ -157,10 +157,10 @@
     Shutdown {},
     /// The last record of an incarnation that ended in order; written by [`Recorder::close`](crate::Recorder::close).
     Stop {},
-    /// Written by the writer alone, in place of records that were lost to a full queue or a failed write. Its `seq`
-    /// is the last lost one's: it stands for `since_seq` up to `seq`.
+    /// Written by the writer alone, in place of records that were dropped by a full queue or a failed write. Its `seq`
+    /// is the last dropped one's: it stands for `since_seq` up to `seq`.
     Dropped {
-        /// How many were lost.
+        /// How many were dropped.
         count: u64,
         /// The first of them.
         since_seq: u64,
--- a/crates/records/src/finding.rs
+++ b/crates/records/src/finding.rs
@@ -1,6 +1,6 @@
 //! What may be wrong with records, or new in them.
 
-use crate::record::LONGEST_LINE;
+use crate::record::MAX_LINE_BYTES;
 
 /// Something wrong, missing or new.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -11,14 +11,14 @@
         /// What there is of it.
         bytes: usize,
     },
-    /// The line is no record.
+    /// The line is not a record.
     #[error("no record: {why}")]
     Malformed {
         /// What the parser says.
         why: String,
     },
-    /// The line is longer than [`LONGEST_LINE`]; it was passed over unread.
-    #[error("the line is longer than {LONGEST_LINE} bytes")]
+    /// The line is longer than [`MAX_LINE_BYTES`]; it was passed over unread.
+    #[error("the line is longer than {MAX_LINE_BYTES} bytes")]
     TooLong,
     /// An event that this reader doesn't know; its record is left out.
     #[error("the event '{event}' is unknown here")]
@@ -26,7 +26,7 @@
         /// Its name.
         event: String,
     },
-    /// A field that this reader doesn't know; the record comes without it. Told once for each.
+    /// A field that this reader doesn't know; the record comes without it. Reported once for each.
     #[error("the field '{field}' of '{event}' is unknown here")]
     UnknownField {
         /// The event.
@@ -34,7 +34,7 @@
         /// The field, with those that it is within.
         field: String,
     },
-    /// From here on, the schema is newer: what is known here may mean something else. Told when it changes.
+    /// From here on, the schema is newer: what is known here may mean something else. Reported when it changes.
     #[error("schema {v} is newer than this reader")]
     NewerSchema {
         /// Its version.
@@ -48,7 +48,7 @@
         /// How many.
         count: u64,
     },
-    /// The first record is not an incarnation's first: what came before is gone, by rotation as a rule.
+    /// The first record is not an incarnation's first: earlier ones were removed, usually by rotation.
     #[error("records before seq {seq} are not here any more")]
     StartsMidSequence {
         /// The first that there is.
--- a/crates/records/src/lib.rs
+++ b/crates/records/src/lib.rs
@@ -27,6 +27,6 @@
 pub use names::{Name, Reason};
 pub use process::{PeerState, Reload};
 pub use reader::{Line, LineContent, Location, Reader, RotatedSet};
-pub use record::{LONGEST_LINE, Record, SCHEMA};
+pub use record::{MAX_LINE_BYTES, Record, SCHEMA};
 pub use recorder::{Counts, Identity, Recorder, RecorderError};
 pub use request::{Answer, AppliedRules, MoveReason, Outcome};
--- a/crates/records/src/parse.rs
+++ b/crates/records/src/parse.rs
@@ -1,4 +1,4 @@
-//! One line's bytes to a record, or to what is wrong with them.
+//! Parses one line's bytes to a record, or to what is wrong with them.
 
 use crate::event::Event;
 use crate::finding::Finding;
@@ -8,14 +8,16 @@
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 
-/// Levels of nesting. Ours are three; more than this is no record, and the parser's own calls nest with it: a line of
+/// Levels of nesting. A record has three; a line with more than this is none, and the parser's own calls nest with it: a line of
 /// nothing but brackets would overflow the stack.
-const DEEPEST: usize = 16;
+const MAX_DEPTH: usize = 16;
 
 /// What was learned from a line.
+#[derive(Default)]
 pub(crate) struct Parsed {
+    /// The record, if the line is one that this reader knows.
     pub record: Option<Record>,
-    /// Its place in the sequence, which is known for some lines that can't be read.
+    /// Its `seq` and step in the sequence, which are known for some lines that can't be read.
     pub step: Option<(u64, Step)>,
     /// The schema, if it is newer than this reader.
     pub newer: Option<u32>,
@@ -31,40 +33,52 @@
     event: String,
 }
 
-/// Reads a line without its end.
+/// Parses a line without its end.
 pub(crate) fn parse(line: &[u8]) -> Parsed {
-    let nothing = |finding| Parsed { record: None, step: None, newer: None, findings: vec![finding] };
     if !is_shallow(line) {
-        return nothing(Finding::Malformed { why: "nested too deeply".to_owned() });
+        return malformed("nested too deeply".to_owned());
     }
-    let newer = |v: u32| Some(v).filter(|v| *v > SCHEMA);
-    // The parser works in place, and each try needs the line as it came.
-    let error = match simd_json::from_slice::<Record>(&mut line.to_vec()) {
-        Ok(record) => {
-            let step = match &record.event {
-                Event::Start { .. } => Step::Start,
-                Event::Dropped { since_seq, .. } => Step::Dropped { since: *since_seq },
-                _ => Step::One,
-            };
-            return Parsed {
-                step: Some((record.seq, step)),
-                newer: newer(record.v),
-                findings: unknown_fields(line, &record),
-                record: Some(record),
-            };
-        }
-        Err(error) => error,
-    };
-    let Ok(Header { v, seq, event }) = simd_json::from_slice(&mut line.to_vec()) else {
-        return nothing(Finding::Malformed { why: error.to_string() });
+    // The parser works in place, and each try needs the line as it is.
+    match simd_json::from_slice::<Record>(&mut line.to_vec()) {
+        Ok(record) => known_record(line, record),
+        Err(error) => match simd_json::from_slice::<Header>(&mut line.to_vec()) {
+            Ok(header) => unreadable_record(header, &error),
+            Err(_) => malformed(error.to_string()),
+        },
+    }
+}
+
+fn malformed(why: String) -> Parsed {
+    Parsed { findings: vec![Finding::Malformed { why }], ..Parsed::default() }
+}
+
+fn known_record(line: &[u8], record: Record) -> Parsed {
+    let step = match &record.event {
+        Event::Start { .. } => Step::Start,
+        Event::Dropped { since_seq, .. } => Step::Dropped { since: *since_seq },
+        _ => Step::One,
     };
+    Parsed {
+        step: Some((record.seq, step)),
+        newer: newer_schema(record.v),
+        findings: unknown_fields(line, &record),
+        record: Some(record),
+    }
+}
+
+/// A line with a record's header and an event that is unknown, or whose fields can't be read.
+fn unreadable_record(Header { v, seq, event }: Header, error: &simd_json::Error) -> Parsed {
     let step = if event == "start" { Step::Start } else { Step::One };
     let finding = if Event::NAMES.contains(&event.as_str()) {
         Finding::Malformed { why: format!("event '{event}' cannot be read: {error}") }
     } else {
         Finding::UnknownEvent { event }
     };
-    Parsed { record: None, step: Some((seq, step)), newer: newer(v), findings: vec![finding] }
+    Parsed { record: None, step: Some((seq, step)), newer: newer_schema(v), findings: vec![finding] }
+}
+
+fn newer_schema(v: u32) -> Option<u32> {
+    Some(v).filter(|v| *v > SCHEMA)
 }
 
 /// Whether brackets nest as in a record.
@@ -79,7 +93,7 @@
             b']' | b'}' if !in_text => depth = depth.saturating_sub(1),
             _ => {}
         }
-        if depth > DEEPEST {
+        if depth > MAX_DEPTH {
             return false;
         }
     }
@@ -96,7 +110,7 @@
     let (Ok(given), Ok(known)) = (given, simd_json::to_owned_value(&mut known)) else { return Vec::new() };
     let mut fields = Vec::new();
     compare(&given, &known, "", &mut fields);
-    // In an order that doesn't hang on how the parser keeps an object.
+    // In an order that doesn't depend on the parser's order of an object's fields.
     fields.sort_unstable();
     fields.dedup();
     let event = known.get_str("event").unwrap_or_default();
--- a/crates/records/src/process.rs
+++ b/crates/records/src/process.rs
@@ -3,14 +3,14 @@
 use crate::names::Reason;
 use serde::{Deserialize, Serialize};
 
-/// What came of reading the configuration again.
+/// The result of reading the configuration again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum Reload {
-    /// The new one counts.
+    /// The new one is in force.
     #[serde(rename = "taken")]
     Applied,
-    /// The new one is faulty, the old one goes on whole.
+    /// The new one is faulty; the old one stays in force whole.
     #[serde(rename = "kept")]
     Rejected {
         /// The fault.
@@ -19,16 +19,16 @@
     },
 }
 
-/// What a proxy is believed to be.
+/// The believed state of a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PeerState {
-    /// It lives.
+    /// It is alive.
     Alive,
-    /// It may be gone; counts as alive.
+    /// It may be dead; counts as alive.
     Suspect,
     /// It does not answer, directly or through others.
     Dead,
-    /// It said that it leaves.
+    /// It announced that it leaves.
     Left,
 }
--- a/crates/records/src/reader.rs
+++ b/crates/records/src/reader.rs
@@ -5,7 +5,7 @@
 
 use crate::finding::Finding;
 use crate::parse::{Parsed, parse};
-use crate::record::{LONGEST_LINE, Record};
+use crate::record::{MAX_LINE_BYTES, Record};
 use crate::sequence::Sequence;
 use crate::sink::{identity, rotated};
 use std::collections::{BTreeSet, VecDeque};
@@ -15,10 +15,10 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Unknown fields that are remembered as told; rubbish could name any number.
-const FIELDS_TOLD: usize = 256;
+/// Unknown fields that are remembered as reported; a malformed file could name any number.
+const MAX_REPORTED_FIELDS: usize = 256;
 
-/// Where a line stands.
+/// The location of a line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Location {
     /// Its file, when a rotated set is read.
@@ -54,34 +54,36 @@
     Finding(Finding),
 }
 
-/// What is remembered from line to line, and from file to file.
+/// State that is carried from line to line, and from file to file.
 #[derive(Default)]
-struct Memory {
+struct ReaderState {
     sequence: Sequence,
     newer: Option<u32>,
-    told: BTreeSet<(String, String)>,
+    reported_fields: BTreeSet<(String, String)>,
 }
 
-impl Memory {
-    /// What a line says, in order.
-    fn digest(&mut self, text: &[u8], is_ended: bool) -> Vec<LineContent> {
+impl ReaderState {
+    /// Findings of a line in their order, then its record.
+    fn interpret(&mut self, text: &[u8], is_ended: bool) -> Vec<LineContent> {
         let Parsed { record, step, newer, mut findings } = parse(text);
-        let cut = !is_ended || (text.first() == Some(&b'{') && text.last() != Some(&b'}'));
-        if step.is_none() && cut {
+        let is_partial = !is_ended || (text.first() == Some(&b'{') && text.last() != Some(&b'}'));
+        if step.is_none() && is_partial {
             findings = vec![Finding::Truncated { bytes: text.len() }];
         }
         findings.retain(|finding| match finding {
-            Finding::UnknownField { event, field } if self.told.len() < FIELDS_TOLD => {
-                self.told.insert((event.clone(), field.clone()))
+            Finding::UnknownField { event, field } if self.reported_fields.len() < MAX_REPORTED_FIELDS => {
+                self.reported_fields.insert((event.clone(), field.clone()))
+            }
+            Finding::UnknownField { event, field } => {
+                !self.reported_fields.contains(&(event.clone(), field.clone()))
             }
-            Finding::UnknownField { event, field } => !self.told.contains(&(event.clone(), field.clone())),
             _ => true,
         });
         if step.is_some() && self.newer != newer {
             self.newer = newer;
             findings.extend(newer.map(|v| Finding::NewerSchema { v }));
         }
-        findings.extend(step.and_then(|(seq, step)| self.sequence.take(seq, step)));
+        findings.extend(step.and_then(|(seq, step)| self.sequence.advance(seq, step)));
         findings.into_iter().map(LineContent::Finding).chain(record.map(LineContent::Record)).collect()
     }
 }
@@ -92,7 +94,7 @@
     file: Option<Arc<Path>>,
     line: u64,
     text: Vec<u8>,
-    memory: Memory,
+    state: ReaderState,
     ready: VecDeque<Line>,
 }
 
@@ -104,62 +106,67 @@
             file: None,
             line: 0,
             text: Vec::new(),
-            memory: Memory::default(),
+            state: ReaderState::default(),
             ready: VecDeque::new(),
         }
     }
 
-    /// Goes on with another source, as if its lines followed.
-    fn go_on(&mut self, source: R, file: Arc<Path>) {
+    /// Continues with another source, as if its lines followed.
+    fn continue_with(&mut self, source: R, file: Arc<Path>) {
         (self.source, self.file, self.line) = (Some(source), Some(file), 0);
     }
 
-    /// Takes one line in; false at the end.
-    fn read(&mut self) -> bool {
-        let Some(source) = &mut self.source else { return false };
-        self.text.clear();
-        let bound = LONGEST_LINE as u64 + 1;
-        let read = source.by_ref().take(bound).read_until(b'\n', &mut self.text);
-        let (contents, more) = match read {
-            Ok(0) => (Vec::new(), false),
-            Err(error) => (vec![LineContent::Finding(Finding::Unreadable { why: error.to_string() })], false),
-            Ok(_) if self.text.len() > LONGEST_LINE => {
-                let ended = self.text.last() == Some(&b'\n');
-                let skipped = if ended { Ok(0) } else { source.skip_until(b'\n') };
-                let unreadable =
-                    skipped.as_ref().err().map(|error| Finding::Unreadable { why: error.to_string() });
-                let findings = [Some(Finding::TooLong), unreadable];
-                (findings.into_iter().flatten().map(LineContent::Finding).collect(), skipped.is_ok())
-            }
-            Ok(_) => {
-                let (text, is_ended) = match self.text.strip_suffix(b"\n") {
-                    Some(text) => (text, true),
-                    None => (self.text.as_slice(), false),
-                };
-                let contents = if text.trim_ascii().is_empty() {
-                    // The writer ends what was cut off with a line end, and that may fall to a new file.
-                    Vec::new()
-                } else {
-                    self.memory.digest(text, is_ended)
-                };
-                (contents, true)
-            }
-        };
+    /// Reads one line; false at the end.
+    fn read_line(&mut self) -> bool {
+        let Some(mut source) = self.source.take() else { return false };
+        let (contents, has_more) = self.read_contents(&mut source);
         self.line += 1;
         let location = Location { file: self.file.clone(), line: self.line };
         self.ready.extend(contents.into_iter().map(|content| Line { location: location.clone(), content }));
-        if !more {
-            self.source = None;
+        self.source = has_more.then_some(source);
+        has_more
+    }
+
+    /// The contents of the source's next line, and whether the source may have another one.
+    fn read_contents(&mut self, source: &mut R) -> (Vec<LineContent>, bool) {
+        self.text.clear();
+        let bound = MAX_LINE_BYTES as u64 + 1;
+        match source.by_ref().take(bound).read_until(b'\n', &mut self.text) {
+            Ok(0) => (Vec::new(), false),
+            Err(error) => (vec![unreadable(&error)], false),
+            Ok(_) if self.text.len() > MAX_LINE_BYTES => self.skip_long_line(source),
+            Ok(_) => (self.interpret_line(), true),
         }
-        more
     }
+
+    /// Passes over the rest of a line that is too long.
+    fn skip_long_line(&self, source: &mut R) -> (Vec<LineContent>, bool) {
+        let is_ended = self.text.last() == Some(&b'\n');
+        let skipped = if is_ended { Ok(0) } else { source.skip_until(b'\n') };
+        let mut contents = vec![LineContent::Finding(Finding::TooLong)];
+        contents.extend(skipped.as_ref().err().map(unreadable));
+        (contents, skipped.is_ok())
+    }
+
+    fn interpret_line(&mut self) -> Vec<LineContent> {
+        let (text, is_ended) = match self.text.strip_suffix(b"\n") {
+            Some(text) => (text, true),
+            None => (self.text.as_slice(), false),
+        };
+        // The writer ends a partial line with a line end, which may fall to a new file.
+        if text.trim_ascii().is_empty() { Vec::new() } else { self.state.interpret(text, is_ended) }
+    }
+}
+
+fn unreadable(error: &io::Error) -> LineContent {
+    LineContent::Finding(Finding::Unreadable { why: error.to_string() })
 }
 
 impl<R: BufRead> Iterator for Reader<R> {
     type Item = Line;
 
     fn next(&mut self) -> Option<Line> {
-        while self.ready.is_empty() && self.read() {}
+        while self.ready.is_empty() && self.read_line() {}
         self.ready.pop_front()
     }
 }
@@ -176,7 +183,7 @@
     /// read once. Fails if none of them is there, or one can't be opened.
     pub fn open(path: &Path) -> io::Result<Self> {
         let mut names = vec![path.to_owned()];
-        names.extend(numbers(path)?.into_iter().map(|number| rotated(path, number)));
+        names.extend(rotated_numbers(path)?.into_iter().map(|number| rotated(path, number)));
         let (mut files, mut seen): (Vec<(Arc<Path>, File)>, _) = (Vec::new(), BTreeSet::new());
         // The newest first: what is rotated in between is met again under its next name, and none is missed.
         for name in names {
@@ -198,7 +205,7 @@
 }
 
 /// The numbers of the rotated files, the newest first, and one more: a rotation may be under way.
-fn numbers(path: &Path) -> io::Result<Vec<u32>> {
+fn rotated_numbers(path: &Path) -> io::Result<Vec<u32>> {
     let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty());
     let name = path.file_name().unwrap_or_default().as_encoded_bytes();
     let mut numbers = BTreeSet::new();
@@ -223,7 +230,7 @@
                 return Some(line);
             }
             let (file, source) = self.files.pop()?;
-            self.reader.go_on(BufReader::new(source), file);
+            self.reader.continue_with(BufReader::new(source), file);
         }
     }
 }
--- a/crates/records/src/record.rs
+++ b/crates/records/src/record.rs
@@ -1,4 +1,4 @@
-//! The schema: what a line says. Units are in the names: `_us` microseconds, `_ms` milliseconds.
+//! A record: one line of the schema. Units are in the names: `_us` microseconds, `_ms` milliseconds.
 //!
 //! Names are shared (`Arc<str>`), since the same few are in nearly every record: the loop pays one addition for a
 //! copy. Reasons are fixed texts of the proxy's (`Cow::Borrowed`) and cost nothing.
@@ -10,9 +10,9 @@
 /// event does not raise it.
 pub const SCHEMA: u32 = 1;
 
-/// Bytes of a line, its end included. Room for a list of some 2,500 subchannels; a reader need not hold more. What
+/// Bytes of a line, its end included. Room for a list of some 2,500 endpoints; a reader need not hold more. What
 /// would be longer is not written, and counted as dropped.
-pub const LONGEST_LINE: usize = 256 * 1024;
+pub const MAX_LINE_BYTES: usize = 256 * 1024;
 
 /// One line.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/records/src/recorder.rs
+++ b/crates/records/src/recorder.rs
@@ -4,7 +4,7 @@
 use crate::event::Event;
 use crate::names::{Name, Reason};
 use crate::sink::sink;
-use crate::writer::{Message, Now, Writer};
+use crate::writer::{EndKind, Message, Now, Writer};
 use std::cell::Cell;
 use std::io;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,10 +15,10 @@
 
 /// A recorder that is dropped without [`Recorder::close`] waits this long for its writer.
 const DROP_WITHIN: Duration = Duration::from_millis(500);
-/// While the writer drains a long queue, it looks at the clocks after so many records.
-const ROUND: usize = 1024;
+/// While the writer drains a long queue, it reads the clocks after so many records.
+const DRAIN_BATCH: usize = 1024;
 
-/// Who records; told by the first record.
+/// Who records, as the first record says.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// The proxy's name.
@@ -29,15 +29,15 @@
     pub version: Reason,
 }
 
-/// Records since the start. `produced = written + lost` once the recorder is closed in time; before, the rest waits.
+/// Records since the start. `produced = written + dropped` once the recorder is closed in time; before, the rest waits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Handed to the recorder, `start` and `stop` included.
     pub produced: u64,
     /// Written to the target.
     pub written: u64,
-    /// Dropped by the full queue or lost by failed writes, as far as the writer has noticed.
-    pub lost: u64,
+    /// Dropped by the full queue or by failed writes, as far as the writer has noticed.
+    pub dropped: u64,
 }
 
 /// Reason records can't begin.
@@ -58,25 +58,25 @@
     Thread(io::Error),
 }
 
-/// Whether an error of a file system may be over in a while: it is full, or its device fails. A path or right that is wrong isn't.
-fn passes(error: &io::Error) -> bool {
+/// Whether a file system's error may pass: it is full, or its device fails. A wrong path or permission does not pass.
+fn is_transient(error: &io::Error) -> bool {
     let is_full = matches!(error.kind(), io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded);
     is_full || error.raw_os_error() == Some(rustix::io::Errno::IO.raw_os_error())
 }
 
-/// How the end is to be.
+/// The recorder's end, as it asks the writer.
 struct End {
-    until: Instant,
+    deadline: Instant,
     produced: u64,
-    in_order: bool,
+    kind: EndKind,
 }
 
-/// What the two sides share beside the queue.
+/// What the loop and the writer's thread share beside the queue.
 #[derive(Default)]
 struct Shared {
     taken: AtomicU64,
     written: AtomicU64,
-    lost: AtomicU64,
+    dropped: AtomicU64,
     end: OnceLock<End>,
 }
 
@@ -90,11 +90,11 @@
     produced: Cell<u64>,
     /// Of those, put into the queue.
     sent: Cell<u64>,
-    /// With so many waiting, the writer is woken.
-    crowd: u64,
+    /// The writer is woken when so many wait.
+    wake_threshold: u64,
     began: Instant,
     shared: Arc<Shared>,
-    writer: Thread,
+    writer_thread: Thread,
     done: Receiver<()>,
 }
 
@@ -113,11 +113,11 @@
         };
         let shared = Arc::new(Shared::default());
         let theirs = Arc::clone(&shared);
-        let hurry = move || theirs.end.get().is_some_and(|end| Instant::now() >= end.until);
-        let mut writer = Writer::new(sink(&settings.target, hurry), format!("{key} '{target}'"));
+        let is_out_of_time = move || theirs.end.get().is_some_and(|end| Instant::now() >= end.deadline);
+        let mut writer = Writer::new(sink(&settings.target, is_out_of_time), format!("{key} '{target}'"));
         match writer.open() {
-            // The writer opens it before each batch, and counts what is lost until then.
-            Err(error) if passes(&error) => {
+            // The writer opens it before each batch, and counts what is dropped until then.
+            Err(error) if is_transient(&error) => {
                 log::warn!(error:%; "records.{key} '{target}' cannot be opened yet: {error}");
             }
             opened => opened.map_err(|error| RecorderError::Target { key, target, error })?,
@@ -127,19 +127,19 @@
         let (finished, done) = sync_channel(1);
         let (began, flush, theirs) = (Instant::now(), settings.flush, Arc::clone(&shared));
         let write = move || {
-            write_all(&mut writer, &incoming, &theirs, began, flush);
+            write_until_end(&mut writer, &incoming, &theirs, began, flush);
             // Nobody waits any more if the time was up.
             let _ = finished.send(());
         };
-        let writer = thread::Builder::new().name("records".to_owned()).spawn(write);
+        let thread = thread::Builder::new().name("records".to_owned()).spawn(write);
         let recorder = Recorder(Some(Running {
             queue,
             produced: Cell::new(0),
             sent: Cell::new(0),
-            crowd: settings.queue_records as u64 / 2,
+            wake_threshold: settings.queue_records as u64 / 2,
             began,
             shared,
-            writer: writer.map_err(RecorderError::Thread)?.thread().clone(),
+            writer_thread: thread.map_err(RecorderError::Thread)?.thread().clone(),
             done,
         }));
         let Identity { name, incarnation, version } = identity;
@@ -176,7 +176,7 @@
     /// Records `stop`, writes what waits, and ends. Waits `within` at most: if the target takes nothing for so long,
     /// the rest is given up. Nothing is recorded afterwards.
     pub fn close(&mut self, within: Duration) -> Counts {
-        self.0.take().map_or_else(Counts::default, |running| running.end(within, true))
+        self.0.take().map_or_else(Counts::default, |running| running.end(within, EndKind::Orderly))
     }
 }
 
@@ -184,7 +184,7 @@
     /// Without `stop`, which tells an end in order from any other.
     fn drop(&mut self) {
         if let Some(running) = self.0.take() {
-            running.end(DROP_WITHIN, false);
+            running.end(DROP_WITHIN, EndKind::Abandoned);
         }
     }
 }
@@ -201,8 +201,8 @@
         // woken, by a system call, for nearly every record.
         // Saturating: the writer may have taken a record before it is counted here.
         let taken = self.shared.taken.load(Ordering::Relaxed);
-        if self.sent.get().saturating_sub(taken) >= self.crowd {
-            self.writer.unpark();
+        if self.sent.get().saturating_sub(taken) >= self.wake_threshold {
+            self.writer_thread.unpark();
         }
     }
 
@@ -210,25 +210,26 @@
         Counts {
             produced: self.produced.get(),
             written: self.shared.written.load(Ordering::Relaxed),
-            lost: self.shared.lost.load(Ordering::Relaxed),
+            dropped: self.shared.dropped.load(Ordering::Relaxed),
         }
     }
 
-    fn end(self, within: Duration, in_order: bool) -> Counts {
-        let until = Instant::now() + within;
-        let _ = self.shared.end.set(End { until, produced: self.produced.get(), in_order });
-        let Running { queue, shared, writer, done, produced, .. } = self;
+    fn end(self, within: Duration, kind: EndKind) -> Counts {
+        let deadline = Instant::now() + within;
+        let _ = self.shared.end.set(End { deadline, produced: self.produced.get(), kind });
+        let Running { queue, shared, writer_thread, done, produced, .. } = self;
         drop(queue);
-        writer.unpark();
+        writer_thread.unpark();
         // After this, a writer that hangs in a system call is left to the end of the process.
         let _ = done.recv_timeout(within);
-        let (written, lost) = (shared.written.load(Ordering::Acquire), shared.lost.load(Ordering::Acquire));
-        Counts { produced: produced.get() + u64::from(in_order), written, lost }
+        let (written, dropped) =
+            (shared.written.load(Ordering::Acquire), shared.dropped.load(Ordering::Acquire));
+        Counts { produced: produced.get() + u64::from(kind == EndKind::Orderly), written, dropped }
     }
 }
 
-/// The writer's life.
-fn write_all(
+/// The writer's thread: drains the queue, writes, and sleeps between two writes, until the recorder ends.
+fn write_until_end(
     writer: &mut Writer<impl crate::sink::Sink>,
     incoming: &Receiver<Message>,
     shared: &Shared,
@@ -238,12 +239,12 @@
     let (mut taken, mut ended) = (0, false);
     while !ended {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64);
-        writer.at(Now { mono_us: began.elapsed().as_micros() as u64, wall_us: wall });
+        writer.set_now(Now { mono_us: began.elapsed().as_micros() as u64, wall_us: wall });
         let mut empty = false;
-        for _ in 0..ROUND {
+        for _ in 0..DRAIN_BATCH {
             match incoming.try_recv() {
                 Ok(message) => {
-                    writer.take(message);
+                    writer.add(message);
                     taken += 1;
                     shared.taken.store(taken, Ordering::Relaxed);
                 }
@@ -255,12 +256,12 @@
             }
         }
         if let Some(end) = shared.end.get().filter(|_| ended) {
-            writer.finish(end.produced, end.in_order);
+            writer.finish(end.produced, end.kind);
         } else if empty {
             writer.flush();
         }
         shared.written.store(writer.written(), Ordering::Release);
-        shared.lost.store(writer.lost(), Ordering::Release);
+        shared.dropped.store(writer.dropped(), Ordering::Release);
         if empty && !ended {
             thread::park_timeout(flush);
         }
--- a/crates/records/src/request.rs
+++ b/crates/records/src/request.rs
@@ -34,9 +34,9 @@
     /// The unavailable status: it never ran, and a retry is harmless.
     #[serde(rename = "refused")]
     Rejected {
-        /// The client may come again after this; 0: nothing was said.
+        /// The client may retry after this; 0: nothing was said.
         retry_after_ms: u32,
-        /// By which rules it was looked at last, where there are rules.
+        /// The rules that were applied last, where there are rules.
         #[serde(rename = "ruled", default, skip_serializing_if = "Option::is_none")]
         applied_rules: Option<Box<AppliedRules>>,
     },
@@ -48,16 +48,16 @@
     },
 }
 
-/// What a request was ruled by.
+/// The routing rules that were applied to a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedRules {
     /// The rules' version; left out where none was known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<u64>,
-    /// The rules that had to hold for it, as `namespace:name`.
+    /// The requirements that applied to it, as `namespace:name`.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub rules: Vec<Name>,
-    /// It was in doubt whether the version is in force. A refusal was for that, unless the rules go on in doubt.
+    /// It was uncertain whether the version is in force. A rejection was for that, unless the rules stay in force then.
     #[serde(rename = "in_doubt")]
     pub version_uncertain: bool,
 }
--- a/crates/records/src/sequence.rs
+++ b/crates/records/src/sequence.rs
@@ -1,25 +1,25 @@
-//! Follows the `seq` of records from line to line and says where some are missing.
+//! Follows the `seq` of records from line to line, and finds where some are missing.
 
 use crate::finding::Finding;
 
-/// What a line means for the sequence.
+/// The kind of step that a line is in the sequence.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Step {
     /// A new incarnation, which counts from 0.
     Start,
-    /// Stands for lost ones from here on.
+    /// Stands for dropped records from here on.
     Dropped { since: u64 },
     /// One record.
     One,
 }
 
-/// Where the sequence stands: the `seq` to come, if any was seen.
+/// The expected `seq`, once one was seen.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Sequence(Option<u64>);
 
 impl Sequence {
-    /// Takes the next line's `seq`.
-    pub fn take(&mut self, seq: u64, step: Step) -> Option<Finding> {
+    /// Advances to the next line's `seq`; a finding if that is not the expected one.
+    pub fn advance(&mut self, seq: u64, step: Step) -> Option<Finding> {
         let found = match step {
             Step::Dropped { since } => since,
             Step::Start | Step::One => seq,
--- a/crates/records/src/sink.rs
+++ b/crates/records/src/sink.rs
@@ -1,4 +1,4 @@
-//! Where lines go: a file that is rotated by size, or an inherited descriptor.
+//! Sinks of lines: a file that is rotated by size, or an inherited descriptor.
 
 use crate::config::Target;
 use rustix::fs::OFlags;
@@ -10,10 +10,10 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// A pipe that is full is tried again after this: its reader is behind, and sooner costs only wake-ups.
-const PIPE_FULL_WAIT: Duration = Duration::from_millis(5);
+/// Between two writes to a full pipe: its reader is behind, and a sooner retry costs only wake-ups.
+const PIPE_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Where the writer writes. Told to [`close`](Sink::close) after an error.
+/// Where the writer writes. The writer calls [`close`](Sink::close) after an error.
 pub(crate) trait Sink {
     /// Before each batch: opens what is not open, or no longer where it was. True if what was there ends within a
     /// line.
@@ -26,15 +26,18 @@
     fn close(&mut self);
 }
 
-/// The sink for a target; `hurry` says whether there is no time left to wait for a pipe's reader.
-pub(crate) fn sink(target: &Target, hurry: impl Fn() -> bool + Send + 'static) -> Box<dyn Sink + Send> {
+/// The sink of a target; `is_out_of_time` says whether there is no time left to wait for a pipe's reader.
+pub(crate) fn sink(
+    target: &Target,
+    is_out_of_time: impl Fn() -> bool + Send + 'static,
+) -> Box<dyn Sink + Send> {
     match target {
         Target::File { path, max_bytes, keep } => {
             let (path, max_bytes, keep) = (path.clone(), *max_bytes, *keep);
             Box::new(RotatedFile { path, max_bytes, keep, open: None })
         }
         Target::Descriptor(number) => {
-            Box::new(Stream { number: *number, file: None, hurry: Box::new(hurry) })
+            Box::new(Stream { number: *number, file: None, is_out_of_time: Box::new(is_out_of_time) })
         }
     }
 }
@@ -74,7 +77,7 @@
     (metadata.dev(), metadata.ino())
 }
 
-/// What `error` means when nothing there is as good as gone.
+/// Whether it was done; a file that is missing already is no error.
 fn unless_missing(done: io::Result<()>) -> io::Result<bool> {
     match done {
         Ok(()) => Ok(true),
@@ -126,10 +129,10 @@
 impl Sink for RotatedFile {
     fn begin(&mut self) -> io::Result<bool> {
         if let Some((file, size)) = &mut self.open {
-            let held = file.metadata()?;
+            let open = file.metadata()?;
             // Somebody else may have rotated it, or cut it short.
-            if fs::metadata(&self.path).is_ok_and(|there| identity(&there) == identity(&held)) {
-                *size = held.len();
+            if fs::metadata(&self.path).is_ok_and(|there| identity(&there) == identity(&open)) {
+                *size = open.len();
                 return Ok(false);
             }
         }
@@ -162,7 +165,7 @@
 struct Stream {
     number: u32,
     file: Option<File>,
-    hurry: Box<dyn Fn() -> bool + Send>,
+    is_out_of_time: Box<dyn Fn() -> bool + Send>,
 }
 
 impl Stream {
@@ -197,8 +200,8 @@
         let file = self.file.as_mut().ok_or(io::ErrorKind::NotConnected)?;
         loop {
             match file.write(bytes) {
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock && !(self.hurry)() => {
-                    std::thread::sleep(PIPE_FULL_WAIT);
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock && !(self.is_out_of_time)() => {
+                    std::thread::sleep(PIPE_RETRY_INTERVAL);
                 }
                 done => return done,
             }
--- a/crates/records/src/writer.rs
+++ b/crates/records/src/writer.rs
@@ -1,21 +1,21 @@
-//! Turns records into lines and lines into writes, and accounts for every one of them: each record handed over
-//! is written, or is among those that a `dropped` line counts. The clock is a parameter.
+//! Turns records into lines and lines into writes, and accounts for every one of them: each record handed over is written,
+//! or is among those that a `dropped` line counts. The clock is a parameter.
 //!
-//! Losses need no counter. Records come with their `seq`, so a gap is what the full queue dropped; a failed write
-//! loses the end of a batch, and a record that comes while nothing can be written joins it. So the lost ones are
-//! always one run that ends before the next line, and one `dropped` line in front of that tells it.
+//! Drops need no counter. Records arrive with their `seq`, so a gap is what the full queue dropped; a failed write drops the
+//! end of a batch, and a record that arrives while nothing can be written joins it. So the dropped records are always one run
+//! that ends before the next line, and one `dropped` line in front of that reports it.
 
 use crate::event::Event;
-use crate::record::{LONGEST_LINE, Record, SCHEMA};
+use crate::record::{MAX_LINE_BYTES, Record, SCHEMA};
 use crate::sink::Sink;
 use std::io;
 
-/// Bytes that are gathered before they are written: a write costs some microseconds, whatever it holds.
-const BATCH: usize = 64 * 1024;
-/// After a failure, in microseconds of the recorder's clock: a full disk is not free sooner.
-const RETRY_AFTER: u64 = 1_000_000;
+/// Bytes of a batch before it is written: a write costs some microseconds, whatever its size.
+const BATCH_BYTES: usize = 64 * 1024;
+/// Between a failed write and its retry, in microseconds of the recorder's clock: a full disk is not free sooner.
+const RETRY_INTERVAL: u64 = 1_000_000;
 
-/// A record as the loop hands it over.
+/// A record as the proxy's loop hands it over.
 #[derive(Debug)]
 pub(crate) struct Message {
     pub seq: u64,
@@ -25,13 +25,22 @@
 
 /// A line in the batch.
 struct Line {
-    /// Where it ends in the batch.
+    /// Its end in the batch, in bytes.
     end: usize,
-    /// The first `seq` that it stands for; more than one if it is `dropped`.
-    since: u64,
+    /// The first `seq` that it stands for: a `dropped` line stands for several.
+    first_seq: u64,
     is_dropped: bool,
 }
 
+/// How an incarnation ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum EndKind {
+    /// By [`Recorder::close`](crate::Recorder::close): the last record is `stop`.
+    Orderly,
+    /// The recorder was dropped: there is no `stop`.
+    Abandoned,
+}
+
 /// The present time on both clocks, in microseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Now {
@@ -39,49 +48,49 @@
     pub wall_us: u64,
 }
 
-/// The writer.
-pub(crate) struct Writer<O> {
-    sink: O,
-    /// How the log calls the target.
+/// The writer of records to one sink.
+pub(crate) struct Writer<S> {
+    sink: S,
+    /// The target's name in the log.
     target: String,
     now: Now,
     batch: Vec<u8>,
     lines: Vec<Line>,
-    /// The `seq` after the last one that was seen, whether written or lost.
-    next: u64,
-    /// The first of the lost ones that no line tells yet.
-    lost_since: Option<u64>,
+    /// The `seq` after the last one that was seen, whether written or dropped.
+    next_seq: u64,
+    /// The first dropped record that no line reports yet.
+    dropped_since: Option<u64>,
     /// What was written last is the beginning of a line.
-    ragged: bool,
-    /// Nothing is tried before this.
+    has_partial_line: bool,
+    /// After a failure: nothing is written before this.
     retry_at: Option<u64>,
     written: u64,
 }
 
-impl<O: Sink> Writer<O> {
-    pub fn new(sink: O, target: String) -> Self {
+impl<S: Sink> Writer<S> {
+    pub fn new(sink: S, target: String) -> Self {
         Writer {
             sink,
             target,
             now: Now::default(),
-            batch: Vec::with_capacity(BATCH + 1024),
+            batch: Vec::with_capacity(BATCH_BYTES + 1024),
             lines: Vec::new(),
-            next: 0,
-            lost_since: None,
-            ragged: false,
+            next_seq: 0,
+            dropped_since: None,
+            has_partial_line: false,
             retry_at: None,
             written: 0,
         }
     }
 
-    /// Opens the target, to learn at once if it cannot be had.
+    /// Opens the target, to learn at once if that fails.
     pub fn open(&mut self) -> io::Result<()> {
-        self.ragged |= self.sink.begin()?;
+        self.has_partial_line |= self.sink.begin()?;
         Ok(())
     }
 
-    /// The present time; what comes is timed by it.
-    pub fn at(&mut self, now: Now) {
+    /// Sets the present time, by which records are timed.
+    pub fn set_now(&mut self, now: Now) {
         self.now = now;
     }
 
@@ -90,66 +99,67 @@
         self.written
     }
 
-    /// Records that were lost so far; exact when the batch is empty.
-    pub fn lost(&self) -> u64 {
+    /// Records dropped so far; exact when the batch is empty.
+    pub fn dropped(&self) -> u64 {
         let waiting = self.lines.iter().filter(|line| !line.is_dropped).count() as u64;
-        self.next - self.written - waiting
+        self.next_seq - self.written - waiting
     }
 
-    /// Takes a record.
-    pub fn take(&mut self, message: Message) {
+    /// Adds a record to the batch, and writes the batch when it is full.
+    pub fn add(&mut self, message: Message) {
         let Message { seq, mono_us, event } = message;
-        self.missed_up_to(seq);
+        self.note_gap(seq);
         if self.retry_at.is_some() {
-            self.next = seq + 1;
-            self.lost_since.get_or_insert(seq);
+            self.next_seq = seq + 1;
+            self.dropped_since.get_or_insert(seq);
             return;
         }
-        self.tell_lost(mono_us);
+        self.push_dropped(mono_us);
         self.push(seq, seq, mono_us, event);
-        if self.batch.len() >= BATCH {
+        if self.batch.len() >= BATCH_BYTES {
             self.flush();
         }
     }
 
-    /// Records before this one that never came were dropped by the full queue.
-    fn missed_up_to(&mut self, seq: u64) {
-        if seq > self.next {
-            self.lost_since.get_or_insert(self.next);
-            self.next = seq;
+    /// Records before this one that never arrived were dropped by the full queue.
+    fn note_gap(&mut self, seq: u64) {
+        if seq > self.next_seq {
+            self.dropped_since.get_or_insert(self.next_seq);
+            self.next_seq = seq;
         }
     }
 
-    fn tell_lost(&mut self, mono_us: u64) {
-        if let Some(since) = self.lost_since.take() {
-            let dropped = Event::Dropped { count: self.next - since, since_seq: since };
-            self.push(self.next - 1, since, mono_us, dropped);
+    /// Adds a `dropped` line, if there are dropped records that no line reports.
+    fn push_dropped(&mut self, mono_us: u64) {
+        if let Some(since) = self.dropped_since.take() {
+            let dropped = Event::Dropped { count: self.next_seq - since, since_seq: since };
+            self.push(self.next_seq - 1, since, mono_us, dropped);
         }
     }
 
-    fn push(&mut self, seq: u64, since: u64, mono_us: u64, event: Event) {
+    fn push(&mut self, seq: u64, first_seq: u64, mono_us: u64, event: Event) {
         let is_dropped = matches!(event, Event::Dropped { .. });
         // By the offset of now: the wall clock is not read for each record.
         let wall_us = self.now.wall_us.saturating_add(mono_us).saturating_sub(self.now.mono_us);
         let begin = self.batch.len();
         let written = Record { v: SCHEMA, seq, wall_us, mono_us, event }.write_line(&mut self.batch);
-        self.next = seq + 1;
-        if written.is_err() || self.batch.len() - begin > LONGEST_LINE {
+        self.next_seq = seq + 1;
+        if written.is_err() || self.batch.len() - begin > MAX_LINE_BYTES {
             self.batch.truncate(begin);
-            self.lost_since.get_or_insert(since);
+            self.dropped_since.get_or_insert(first_seq);
         } else {
-            self.lines.push(Line { end: self.batch.len(), since, is_dropped });
+            self.lines.push(Line { end: self.batch.len(), first_seq, is_dropped });
         }
     }
 
-    /// Writes what is gathered. While the target is in trouble, tries again now and then.
+    /// Writes the batch. After a failure, retries once every [`RETRY_INTERVAL`].
     pub fn flush(&mut self) {
         if let Some(at) = self.retry_at {
             if self.now.mono_us < at {
                 return;
             }
-            // Said at once, even if no record comes for long.
-            self.tell_lost(self.now.mono_us);
+            // Reported at once, even if no record arrives for long.
+            self.push_dropped(self.now.mono_us);
         }
         if self.lines.is_empty() {
             return;
@@ -159,41 +169,49 @@
         let lines = &self.lines[..done];
         self.written += lines.iter().filter(|line| !line.is_dropped).count() as u64;
         match outcome {
-            Ok(()) => {
-                if self.retry_at.take().is_some() {
-                    let lost = self.lost();
-                    log::info!("records go to {} again, {lost} were lost since the start", self.target);
-                }
-            }
-            Err(error) => {
-                self.lost_since = self.lines.get(done).map(|line| line.since).or(self.lost_since);
-                if self.retry_at.is_none() {
-                    log::warn!(
-                        "records cannot be written to {}: {error}; lost ones are counted until they can",
-                        self.target
-                    );
-                }
-                self.retry_at = Some(self.now.mono_us + RETRY_AFTER);
-                self.sink.close();
-            }
+            Ok(()) => self.write_succeeded(),
+            Err(error) => self.write_failed(done, &error),
         }
         self.batch.clear();
         self.lines.clear();
     }
 
-    /// Writes the batch, as many lines at a time as there is room for; `done` counts whole lines.
+    fn write_succeeded(&mut self) {
+        if self.retry_at.take().is_some() {
+            let dropped = self.dropped();
+            log::info!(
+                "records are written to {} again, {dropped} were dropped since the start",
+                self.target
+            );
+        }
+    }
+
+    /// After a failed write, of which the first `done` lines are complete: the others are dropped.
+    fn write_failed(&mut self, done: usize, error: &io::Error) {
+        self.dropped_since = self.lines.get(done).map(|line| line.first_seq).or(self.dropped_since);
+        if self.retry_at.is_none() {
+            log::warn!(
+                "records cannot be written to {}: {error}; they are counted as dropped until they can",
+                self.target
+            );
+        }
+        self.retry_at = Some(self.now.mono_us + RETRY_INTERVAL);
+        self.sink.close();
+    }
+
+    /// Writes the batch, as many lines at a time as there is room for; `done` counts complete lines.
     fn write_out(&mut self, done: &mut usize) -> io::Result<()> {
-        self.ragged |= self.sink.begin()?;
+        self.has_partial_line |= self.sink.begin()?;
         let mut begin = 0;
         while let Some(line) = self.lines.get(*done) {
-            let closing = u64::from(self.ragged);
+            let closing = u64::from(self.has_partial_line);
             let room = self.sink.room((line.end - begin) as u64 + closing)? - closing;
             let fit = |line: &Line| (line.end - begin) as u64 <= room;
             let until = *done + self.lines[*done..].partition_point(fit);
-            if self.ragged {
-                // The rest of a line that was cut is never written: what follows begins a line of its own.
+            if self.has_partial_line {
+                // The rest of a partial line is never written: what follows begins a line of its own.
                 write_some(&mut self.sink, b"\n")?;
-                self.ragged = false;
+                self.has_partial_line = false;
             }
             let end = self.lines[until - 1].end;
             while begin < end {
@@ -201,8 +219,9 @@
                     Ok(written) => begin += written,
                     Err(error) => {
                         let ended = self.lines.partition_point(|line| line.end <= begin);
-                        self.ragged = begin > ended.checked_sub(1).map_or(0, |last| self.lines[last].end);
-                        // A line that lacks nothing but its end is read as a record, so it must not be told as lost.
+                        self.has_partial_line =
+                            begin > ended.checked_sub(1).map_or(0, |last| self.lines[last].end);
+                        // A line that lacks nothing but its end is read as a record, so it must not be counted as dropped.
                         *done = self.lines.partition_point(|line| line.end - 1 <= begin);
                         return Err(error);
                     }
@@ -213,17 +232,17 @@
         Ok(())
     }
 
-    /// The end: `produced` records were handed over or dropped. Says what is missing, adds `stop` if the end is in
-    /// order, and writes all, even if the target was in trouble a moment ago.
-    pub fn finish(&mut self, produced: u64, stop: bool) {
-        self.missed_up_to(produced);
+    /// Writes the rest: `produced` records were handed over or dropped. Reports the dropped ones, adds `stop` to an orderly end,
+    /// and writes the batch, even if a write failed a moment ago.
+    pub fn finish(&mut self, produced: u64, end: EndKind) {
+        self.note_gap(produced);
         let mono_us = self.now.mono_us;
         if self.retry_at.is_some() {
             self.retry_at = Some(mono_us);
         }
-        self.tell_lost(mono_us);
-        if stop {
-            self.push(self.next, self.next, mono_us, Event::Stop {});
+        self.push_dropped(mono_us);
+        if end == EndKind::Orderly {
+            self.push(self.next_seq, self.next_seq, mono_us, Event::Stop {});
         }
         self.flush();
     }
--- a/crates/records/src/writer_tests.rs
+++ b/crates/records/src/writer_tests.rs
@@ -43,8 +43,8 @@
         for (missing, later, flush) in steps {
             seq += missing.saturating_sub(1);
             mono_us += later;
-            writer.at(Now { mono_us, wall_us: mono_us + 5 });
-            writer.take(Message { seq, mono_us, event: Event::ClientLeft { request: seq } });
+            writer.set_now(Now { mono_us, wall_us: mono_us + 5 });
+            writer.add(Message { seq, mono_us, event: Event::ClientLeft { request: seq } });
             seq += 1;
             if flush {
                 writer.flush();
@@ -52,8 +52,8 @@
         }
         let produced = seq + tail;
         writer.sink.script.clear();
-        writer.finish(produced, true);
-        prop_assert_eq!(writer.written() + writer.lost(), produced + 1);
+        writer.finish(produced, EndKind::Orderly);
+        prop_assert_eq!(writer.written() + writer.dropped(), produced + 1);
 
         let (mut expected, mut written, mut dropped, mut stopped) = (0, 0, 0, false);
         for line in Reader::new(&writer.sink.text[..]) {
@@ -78,6 +78,6 @@
             }
         }
         prop_assert!(stopped);
-        prop_assert_eq!((written, dropped), (writer.written(), writer.lost()));
+        prop_assert_eq!((written, dropped), (writer.written(), writer.dropped()));
     }
 }
--- a/crates/records/tests/golden.rs
+++ b/crates/records/tests/golden.rs
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn each_event_keeps_its_line() {
+fn events_keep_their_lines() {
     let events = [process(), lists(), requests(), endings(), answers()].concat();
     let mut bytes = Vec::new();
     for (seq, event) in (0..).zip(&events) {
--- a/crates/records/tests/reading.rs
+++ b/crates/records/tests/reading.rs
@@ -136,7 +136,7 @@
 
 proptest! {
     #[test]
-    fn what_is_written_is_read(events in prop::collection::vec((event(), any::<u64>(), any::<u64>()), 1..30)) {
+    fn reads_what_was_written(events in prop::collection::vec((event(), any::<u64>(), any::<u64>()), 1..30)) {
         let mut written: Vec<Record> = Vec::new();
         for (event, wall_us, mono_us) in events {
             let is_start = matches!(event, Event::Start { .. });
@@ -149,14 +149,14 @@
     }
 
     #[test]
-    fn rubbish_costs_only_its_own_lines(
+    fn malformed_bytes_cost_only_their_lines(
         pieces in prop::collection::vec((any::<prop::sample::Index>(), prop::collection::vec(any::<u8>(), 0..60)), 1..12),
     ) {
         let good = line(0, "request", r#","request":1,"wire_id":"1f","class":"a","again":false"#);
         let mut text = Vec::new();
-        for (at, rubbish) in &pieces {
+        for (at, malformed) in &pieces {
             let (left, right) = good.as_bytes().split_at(at.index(good.len()));
-            text.extend([left, rubbish, right, b"\n", good.as_bytes()].concat());
+            text.extend([left, malformed, right, b"\n", good.as_bytes()].concat());
         }
         let (records, _) = read(&text);
         prop_assert!(records.len() >= pieces.len());
@@ -164,14 +164,14 @@
 }
 
 #[test]
-fn each_trouble_is_named_with_its_line() {
-    let left = |seq| line(seq, "client_left", r#","request":1"#);
-    let long = format!("\"{}\"\n", "x".repeat(2 * LONGEST_LINE));
+fn findings_have_their_line() {
+    let client_left = |seq| line(seq, "client_left", r#","request":1"#);
+    let long = format!("\"{}\"\n", "x".repeat(2 * MAX_LINE_BYTES));
     let deep = format!(r#","request":1,"hue":{}{}"#, "[".repeat(100_000), "]".repeat(100_000));
-    let newer = left(9).replace(r#""v":1"#, r#""v":7"#);
+    let newer = client_left(9).replace(r#""v":1"#, r#""v":7"#);
     let text = [
-        left(4),
-        left(5),
+        client_left(4),
+        client_left(5),
         line(6, "eclipse", r#","of":"moon""#),
         line(7, "client_left", r#","request":1,"hue":{"a":[1]},"none":null"#),
         line(8, "client_left", r#","request":1,"hue":2"#),
@@ -182,15 +182,15 @@
         line(10, "client_left", &deep),
         line(10, "client_left", r#","request":"one""#),
         line(14, "dropped", r#","count":3,"since_seq":12"#),
-        left(3),
+        client_left(3),
         line(
             0,
             "list",
             r#","revision":1,"complete":true,"changes":[{"subchannel":"s","phase":"up","size":1}]"#,
         ),
-        left(4)[..30].to_owned() + "\n",
+        client_left(4)[..30].to_owned() + "\n",
         line(0, "start", r#","name":"n","incarnation":1,"pid":2,"version":"x""#),
-        left(1)[..50].to_owned(),
+        client_left(1)[..50].to_owned(),
     ]
     .concat();
     let (records, findings) = read(text.as_bytes());
@@ -202,7 +202,7 @@
             finding => (line, finding),
         })
         .collect();
-    let rubbish = || Finding::Malformed { why: String::new() };
+    let malformed = || Finding::Malformed { why: String::new() };
     assert_eq!(
         named,
         [
@@ -210,10 +210,10 @@
             (3, Finding::UnknownEvent { event: "eclipse".into() }),
             (4, field("client_left", "hue")),
             (6, Finding::NewerSchema { v: 7 }),
-            (8, rubbish()),
+            (8, malformed()),
             (9, Finding::TooLong),
-            (10, rubbish()),
-            (11, rubbish()),
+            (10, malformed()),
+            (11, malformed()),
             (12, Finding::Gap { since: 11, count: 1 }),
             (13, Finding::SequenceWentBack { expected: 15, found: 3 }),
             (14, field("list", "changes.size")),
@@ -227,7 +227,7 @@
 
 /// The page for readers shows each event by a line that this reader takes without a finding.
 #[test]
-fn the_examples_of_the_page_are_records() {
+fn examples_of_the_page_are_records() {
     let page = include_str!("../../../docs/records.md");
     let examples: Vec<&str> = page.lines().map(str::trim).filter(|line| line.starts_with("{\"v\"")).collect();
     let mut names = BTreeSet::new();
