--- a/crates/decision/tests/peer_reports.rs
+++ b/crates/decision/tests/peer_reports.rs
@@ -5,7 +5,7 @@
 use cottonnotch_decision::*;
 
 fn report(node: &mut Node, from: u32, server: u32, verdict: PeerVerdict) {
-    node.notify(Event::PeerReport { from, server: ServerId(server), verdict: verdict });
+    node.notify(Event::PeerReport { from, server: ServerId(server), verdict });
 }
 
 /// A node that has had nothing from its servers for long, in the middle of a second.
