--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -67,8 +67,7 @@
 
     fn member(&self, at: u16, incarnation: u64, durable_state: Option<DurableState>) -> Member {
         let timing = Timing { drift_ppm: 0, ..Timing::default() };
-        let config =
-            Config { ordinal: at, members: 3, voters: vec![0, 1, 2], timing, incarnation: incarnation };
+        let config = Config { ordinal: at, members: 3, voters: vec![0, 1, 2], timing, incarnation };
         let mut member = Member::new(config, self.now, durable_state, u64::from(at) + 10 * incarnation);
         member.mutate(self.mutant);
         member
--- a/crates/cottonnotch/tests/consensus/tier.rs
+++ b/crates/cottonnotch/tests/consensus/cluster.rs
@@ -1,15 +1,15 @@
-//! A tier of proxies for a story: everything that they need, started.
+//! A cluster of proxies for a scenario, with everything they need.
 
 use crate::judge::{self, Client, Placed};
 use crate::link::Mesh;
 use crate::proxy::Proxy;
-use crate::standin::{Clients, Discovery, Fleet, Habit};
-use crate::{PATIENCE, within};
+use crate::stand_ins::{ClientBehavior, Clients, Discovery, Fleet};
+use crate::{MAX_WAIT, wait_for};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// The render nodes of each story: two in each hall, of two hardware classes.
+/// The render nodes of each scenario: two in each hall, of two hardware classes.
 pub const NODES: [(&str, &str, &str); 6] = [
     ("a0", "a", "m1"),
     ("a1", "a", "m2"),
@@ -28,20 +28,20 @@
 /// The rule is a second; a test's threads are not always on time.
 pub const DRAINED_WITHIN: Duration = Duration::from_secs(2);
 
-/// Proxies, the network between them, and all that they deal with.
-pub struct Tier {
+/// Proxies, the network between them, and the stand-ins around them.
+pub struct TestCluster {
     pub proxies: Vec<Proxy>,
     pub mesh: Mesh,
     pub fleet: Fleet,
     pub discovery: Discovery,
     pub clients: Clients,
     pub began: Instant,
-    /// Proxies that were killed or frozen, since when.
+    /// Proxies that were killed or stopped, and since when.
     pub excused: BTreeMap<usize, Duration>,
     folder: TempDir,
 }
 
-impl Tier {
+impl TestCluster {
     /// Proxies whose operator's file is made by `operator`, from the folder, the mesh and the proxy's number. None runs yet.
     pub fn new(size: usize, seed: u64, operator: impl Fn(&std::path::Path, &Mesh, usize) -> String) -> Self {
         let (folder, began) = (TempDir::new().unwrap(), Instant::now());
@@ -65,7 +65,7 @@
         });
         let proxies = proxies.collect();
         let clients = Clients::new(began);
-        Tier { proxies, mesh, fleet, discovery, clients, began, excused: BTreeMap::new(), folder }
+        TestCluster { proxies, mesh, fleet, discovery, clients, began, excused: BTreeMap::new(), folder }
     }
 
     /// Starts all at once.
@@ -81,13 +81,13 @@
         self.began.elapsed()
     }
 
-    /// Clients of this tenant come to each proxy.
-    pub fn crowd(&self, tenant: &'static str) {
-        (0..self.proxies.len()).for_each(|number| self.come(number, Habit::of(tenant)));
+    /// Starts clients of this tenant at each proxy.
+    pub fn start_clients_everywhere(&self, tenant: &'static str) {
+        (0..self.proxies.len()).for_each(|number| self.start_clients(number, ClientBehavior::of(tenant)));
     }
 
-    pub fn come(&self, number: usize, habit: Habit) {
-        self.clients.come(number, &self.proxies[number].address, habit);
+    pub fn start_clients(&self, number: usize, behavior: ClientBehavior) {
+        self.clients.start_clients(number, &self.proxies[number].address, behavior);
     }
 
     pub fn freeze(&mut self, number: usize) {
@@ -100,7 +100,7 @@
         self.proxies[number].kill();
     }
 
-    /// Its clients may be cut off or wait in vain from now on.
+    /// From now on its clients may be cut off or get no answer.
     fn excuse(&mut self, number: usize) {
         let now = self.now();
         self.excused.entry(number).or_insert(now);
@@ -114,7 +114,7 @@
         from: Duration,
         wanted: impl Fn(&Placed) -> bool,
     ) -> Placed {
-        within(PATIENCE, what, || self.fleet.since(tenant, from).into_iter().find(&wanted))
+        wait_for(MAX_WAIT, what, || self.fleet.since(tenant, from).into_iter().find(&wanted))
     }
 
     /// Waits until as many clients that came to this proxy after that time had an answer of which this holds.
@@ -127,7 +127,7 @@
         wanted: impl Fn(&Client) -> bool,
     ) {
         let counts = |client: &&Client| client.proxy == number && client.sent >= from && wanted(client);
-        within(PATIENCE, what, || {
+        wait_for(MAX_WAIT, what, || {
             (self.clients.so_far().iter().filter(counts).count() >= count).then_some(())
         });
     }
@@ -135,37 +135,38 @@
     /// The end: no more clients come, and none of them was wronged. What became of them.
     pub fn finish(&self) -> Vec<Client> {
         let clients = self.clients.finish();
-        assert_eq!(judge::wronged(&clients, &self.excused), Vec::<String>::new());
+        assert_eq!(judge::violations(&clients, &self.excused), Vec::<String>::new());
         clients
     }
 }
 
-impl Drop for Tier {
+impl Drop for TestCluster {
     fn drop(&mut self) {
         self.clients.stop();
     }
 }
 
-/// Without rules the program serves on as ever, and the rig sees what befalls its clients.
+/// Without rules the daemon serves, and the cluster accounts for each client of proxies that are stopped, killed and
+/// restarted.
 #[test]
 fn cluster_accounts_for_every_client() {
-    let mut tier = Tier::new(3, 1, |_, _, _| String::new());
-    tier.start();
-    tier.crowd("cotton");
-    (0..3).for_each(|number| tier.answered("clients served", number, Duration::ZERO, 5, up));
-    let drained = tier.now();
-    tier.discovery.set_phase("a0", "draining");
-    tier.freeze(1);
-    tier.kill(2);
+    let mut cluster = TestCluster::new(3, 1, |_, _, _| String::new());
+    cluster.start();
+    cluster.start_clients_everywhere("cotton");
+    (0..3).for_each(|number| cluster.answered("clients served", number, Duration::ZERO, 5, up));
+    let drained = cluster.now();
+    cluster.discovery.set_phase("a0", "draining");
+    cluster.freeze(1);
+    cluster.kill(2);
     std::thread::sleep(Duration::from_millis(500));
-    tier.proxies[1].thaw();
-    tier.proxies[2].start();
-    let from = tier.now();
-    (0..3).for_each(|number| tier.answered("clients served again", number, from, 5, up));
-    let clients = tier.finish();
+    cluster.proxies[1].thaw();
+    cluster.proxies[2].start();
+    let from = cluster.now();
+    (0..3).for_each(|number| cluster.answered("clients served again", number, from, 5, up));
+    let clients = cluster.finish();
     // The one that was started anew begins with the list of its configuration.
     let anew = |placed: &Placed| clients.iter().any(|client| client.id == placed.id && client.proxy == 2);
-    let history: Vec<Placed> = tier.fleet.history().into_iter().filter(|placed| !anew(placed)).collect();
+    let history: Vec<Placed> = cluster.fleet.history().into_iter().filter(|placed| !anew(placed)).collect();
     assert_eq!(judge::after_drain(&history, "a0", drained, DRAINED_WITHIN), Vec::<&Placed>::new());
     let cut = |proxy| {
         let cut =
--- a/crates/cottonnotch/tests/consensus/judge.rs
+++ b/crates/cottonnotch/tests/consensus/judge.rs
@@ -1,10 +1,10 @@
-//! The judge of a story. It goes by what arrived at the render nodes, by what the clients heard and by the versions that the
+//! The judge of a scenario. It goes by what arrived at the render nodes, by what the clients heard and by the versions that the
 //! proxies recorded, all on one machine's clock, and shares no code with what it judges.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A request that arrived at a render node. Times count from the story's beginning.
+/// A request that arrived at a render node. Times count from the scenario's beginning.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placed {
     pub at: Duration,
@@ -87,10 +87,10 @@
 pub fn after_drain<'a>(
     history: &'a [Placed],
     node: &str,
-    told: Duration,
+    notified_at: Duration,
     grace: Duration,
 ) -> Vec<&'a Placed> {
-    history.iter().filter(|placed| placed.node == node && placed.at > told + grace).collect()
+    history.iter().filter(|placed| placed.node == node && placed.at > notified_at + grace).collect()
 }
 
 /// What a client heard.
@@ -115,7 +115,7 @@
     GaveUp,
 }
 
-/// One client's story.
+/// One client's scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Client {
     pub id: u64,
@@ -128,31 +128,31 @@
     pub ended: Option<(Duration, End)>,
 }
 
-/// What is wrong with the clients' stories: each request has exactly one final answer, and nobody is cut off without `MOVE`.
+/// What is wrong with the clients' scenarios: each request has exactly one final answer, and nobody is cut off without `MOVE`.
 /// Clients of a proxy that was killed or stopped are excused of being cut off and of giving up, from the first time on.
-pub fn wronged(clients: &[Client], excused: &BTreeMap<usize, Duration>) -> Vec<String> {
-    let mut wrongs = Vec::new();
+pub fn violations(clients: &[Client], excused: &BTreeMap<usize, Duration>) -> Vec<String> {
+    let mut violations = Vec::new();
     for client in clients {
         let (id, proxy) = (client.id, client.proxy);
         if client.answers.len() > 1 {
-            wrongs.push(format!("{id:x} at proxy {proxy} had more than one answer: {client:?}"));
+            violations.push(format!("{id:x} at proxy {proxy} had more than one answer: {client:?}"));
         }
         let Some((at, end)) = client.ended else {
-            wrongs.push(format!("{id:x} at proxy {proxy} has no end: {client:?}"));
+            violations.push(format!("{id:x} at proxy {proxy} has no end: {client:?}"));
             continue;
         };
         let excuse = excused.get(&proxy).is_some_and(|since| at >= *since);
         if matches!(end, End::Cut | End::GaveUp) && !excuse {
-            wrongs.push(format!("{id:x} at proxy {proxy} ended by {end:?}: {client:?}"));
+            violations.push(format!("{id:x} at proxy {proxy} ended by {end:?}: {client:?}"));
         } else if client.answers.is_empty() && !excuse {
-            wrongs.push(format!("{id:x} at proxy {proxy} had no answer: {client:?}"));
+            violations.push(format!("{id:x} at proxy {proxy} had no answer: {client:?}"));
         }
     }
-    wrongs
+    violations
 }
 
 /// The most that stood at one moment, by what the clients saw: from their `UP` to their end.
-pub fn most_standing<'a>(clients: impl Iterator<Item = &'a Client>) -> i64 {
+pub fn max_concurrent<'a>(clients: impl Iterator<Item = &'a Client>) -> i64 {
     let mut changes = Vec::new();
     for client in clients {
         let up = client.answers.iter().find(|(_, answer)| *answer == Answer::Up);
@@ -176,18 +176,18 @@
 /// and none goes back.
 pub fn disagreements(by_proxy: &[Vec<Version>]) -> Vec<String> {
     let mut contents: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
-    let mut wrongs = Vec::new();
+    let mut violations = Vec::new();
     for (proxy, versions) in by_proxy.iter().enumerate() {
         for pair in versions.windows(2).filter(|pair| pair[1].0 < pair[0].0) {
-            wrongs.push(format!("proxy {proxy} went back from {} to {}", pair[0].0, pair[1].0));
+            violations.push(format!("proxy {proxy} went back from {} to {}", pair[0].0, pair[1].0));
         }
         for (number, hash) in versions {
             contents.entry(*number).or_default().insert(hash);
         }
     }
     let two = contents.iter().filter(|(_, hashes)| hashes.len() > 1);
-    wrongs.extend(two.map(|(number, hashes)| format!("version {number} is {hashes:?}")));
-    wrongs
+    violations.extend(two.map(|(number, hashes)| format!("version {number} is {hashes:?}")));
+    violations
 }
 
 /// Whether all of these proxies ended on one version.
@@ -200,7 +200,7 @@
 }
 
 #[cfg(test)]
-mod proofs {
+mod self_tests {
     //! Made-up histories: a bad one is found, a good one passes.
     use super::*;
 
@@ -275,7 +275,7 @@
             client(&[Answer::Busy(Some(5))], Some(End::InOrder)),
             client(&[Answer::Failed("ERR".into())], Some(End::InOrder)),
         ];
-        assert_eq!(wronged(&good, &none), Vec::<String>::new());
+        assert_eq!(violations(&good, &none), Vec::<String>::new());
         let bad = [
             client(&[Answer::Up, Answer::Busy(None)], Some(End::InOrder)),
             client(&[Answer::Up], Some(End::Cut)),
@@ -285,12 +285,12 @@
             client(&[Answer::Up], None),
         ];
         for one in &bad {
-            assert_eq!(wronged(std::slice::from_ref(one), &none).len(), 1, "{one:?}");
+            assert_eq!(violations(std::slice::from_ref(one), &none).len(), 1, "{one:?}");
         }
         // A killed proxy's clients are cut off, but none was so before, and two answers stay two.
-        assert_eq!(wronged(&bad[1..5], &BTreeMap::from([(0, ms(10))])), Vec::<String>::new());
-        assert_eq!(wronged(&bad[1..5], &BTreeMap::from([(0, ms(11))])).len(), 4);
-        assert_eq!(wronged(&bad[..1], &BTreeMap::from([(0, ms(0))])).len(), 1);
+        assert_eq!(violations(&bad[1..5], &BTreeMap::from([(0, ms(10))])), Vec::<String>::new());
+        assert_eq!(violations(&bad[1..5], &BTreeMap::from([(0, ms(11))])).len(), 4);
+        assert_eq!(violations(&bad[..1], &BTreeMap::from([(0, ms(0))])).len(), 1);
     }
 
     #[test]
@@ -300,9 +300,9 @@
             Client { answers, ended: Some((ms(until), End::InOrder)), ..client(&[], None) }
         };
         let clients = [stood(0, 10), stood(5, 20), stood(10, 12), stood(30, 31), client(&[], Some(End::Cut))];
-        assert_eq!(most_standing(clients.iter()), 2);
-        assert_eq!(most_standing([stood(0, 10), stood(9, 20), stood(9, 11)].iter()), 3);
-        assert_eq!(most_standing([].iter()), 0);
+        assert_eq!(max_concurrent(clients.iter()), 2);
+        assert_eq!(max_concurrent([stood(0, 10), stood(9, 20), stood(9, 11)].iter()), 3);
+        assert_eq!(max_concurrent([].iter()), 0);
     }
 
     #[test]
--- a/crates/cottonnotch/tests/consensus/link.rs
+++ b/crates/cottonnotch/tests/consensus/link.rs
@@ -1,10 +1,10 @@
-//! The faulty network between the proxies of a story: a relay for each ordered pair, which the story drives.
+//! The faulty network between the proxies of a scenario: a relay for each ordered pair, which the scenario drives.
 //!
 //! Proxy `i` knows proxy `j` by the address of the link from `i` to `j`. Datagrams pass one way each. Of a TCP connection
 //! over that link, what `i` says keeps to the faults from `i` to `j`, what it hears to those from `j` to `i`.
 
 #[cfg(test)]
-mod proofs;
+mod self_tests;
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -36,11 +36,11 @@
 
 /// Numbers that look random, from a seed.
 #[derive(Debug)]
-pub struct Chance(u64);
+pub struct Rng(u64);
 
-impl Chance {
+impl Rng {
     pub fn new(seed: u64) -> Self {
-        Chance(seed)
+        Rng(seed)
     }
 
     pub fn next(&mut self) -> u64 {
@@ -71,12 +71,12 @@
 
 impl OnItsWay {
     /// Sends a datagram through the faults.
-    fn send(&mut self, now: Instant, bytes: &[u8], faults: &Faults, chance: &mut Chance) {
-        if faults.cut || chance.of_a_thousand(faults.lost) {
+    fn send(&mut self, now: Instant, bytes: &[u8], faults: &Faults, rng: &mut Rng) {
+        if faults.cut || rng.of_a_thousand(faults.lost) {
             return;
         }
-        for _ in 0..1 + u32::from(chance.of_a_thousand(faults.doubled)) {
-            let jitter = Duration::from_micros(chance.below(faults.jitter.as_micros() as u64));
+        for _ in 0..1 + u32::from(rng.of_a_thousand(faults.doubled)) {
+            let jitter = Duration::from_micros(rng.below(faults.jitter.as_micros() as u64));
             self.count += 1;
             self.due.push(Reverse((now + faults.delay + jitter, self.count, bytes.to_vec())));
         }
@@ -97,11 +97,11 @@
     }
 }
 
-/// An address of this story's own on the loopback network: nobody else binds there.
+/// An address of this scenario's own on the loopback network: nobody else binds there.
 pub fn own_ip() -> Ipv4Addr {
-    static STORY: AtomicU8 = AtomicU8::new(1);
-    let (story, process) = (STORY.fetch_add(1, Ordering::Relaxed), std::process::id());
-    Ipv4Addr::new(127, 64 + (process % 64) as u8, (process / 64 % 250) as u8 + 1, story)
+    static CLUSTER: AtomicU8 = AtomicU8::new(1);
+    let (scenario, process) = (CLUSTER.fetch_add(1, Ordering::Relaxed), std::process::id());
+    Ipv4Addr::new(127, 64 + (process % 64) as u8, (process / 64 % 250) as u8 + 1, scenario)
 }
 
 /// A port that is free there for TCP and for UDP, and both sockets.
@@ -122,7 +122,7 @@
     faults: Vec<Mutex<Faults>>,
     /// Datagrams that came in to be relayed, and that went out.
     counts: Vec<(AtomicU64, AtomicU64)>,
-    over: AtomicBool,
+    stopped: AtomicBool,
 }
 
 impl Ways {
@@ -135,14 +135,14 @@
         faults.cut || faults.tcp_cut
     }
 
-    fn over(&self) -> bool {
-        self.over.load(Ordering::Relaxed)
+    fn stopped(&self) -> bool {
+        self.stopped.load(Ordering::Relaxed)
     }
 }
 
-/// All links of a story. They end with it.
+/// All links of a scenario. They end with it.
 pub struct Mesh {
-    /// The story's own address on the loopback network.
+    /// The scenario's own address on the loopback network.
     pub ip: Ipv4Addr,
     ways: Arc<Ways>,
     /// Where each member listens itself.
@@ -165,15 +165,15 @@
             members,
             faults: (0..members * members).map(|_| Mutex::default()).collect(),
             counts: (0..members * members).map(|_| Default::default()).collect(),
-            over: AtomicBool::new(false),
+            stopped: AtomicBool::new(false),
         });
         let mut links = vec![own.clone(); members];
         for (from, known) in links.iter_mut().enumerate() {
             for (to, address) in known.iter_mut().enumerate().filter(|(to, _)| *to != from) {
                 let (udp, tcp) = both_free(ip);
                 let target = std::mem::replace(address, tcp.local_addr().unwrap());
-                let (ways, chance) = (Arc::clone(&ways), Chance::new(seed ^ (from * 64 + to) as u64));
-                std::thread::spawn(move || relay(&ways, (from, to), &udp, &tcp, target, chance));
+                let (ways, rng) = (Arc::clone(&ways), Rng::new(seed ^ (from * 64 + to) as u64));
+                std::thread::spawn(move || relay(&ways, (from, to), &udp, &tcp, target, rng));
             }
         }
         Mesh { ip, ways, own, links }
@@ -228,7 +228,7 @@
 
 impl Drop for Mesh {
     fn drop(&mut self) {
-        self.ways.over.store(true, Ordering::Relaxed);
+        self.ways.stopped.store(true, Ordering::Relaxed);
     }
 }
 
@@ -238,17 +238,17 @@
     udp: &UdpSocket,
     tcp: &TcpListener,
     target: SocketAddr,
-    mut chance: Chance,
+    mut rng: Rng,
 ) {
     let (given, passed) = &ways.counts[from * ways.members + to];
     tcp.set_nonblocking(true).unwrap();
     let (mut on_its_way, mut bytes) = (OnItsWay::default(), [0; 2048]);
-    while !ways.over() {
+    while !ways.stopped() {
         udp.set_read_timeout(Some(on_its_way.wait(Instant::now(), Duration::from_millis(5)))).unwrap();
         // An error can be a former datagram's that found nobody.
         if let Ok((length, _)) = udp.recv_from(&mut bytes) {
             given.fetch_add(1, Ordering::Relaxed);
-            on_its_way.send(Instant::now(), &bytes[..length], &ways.at(from, to), &mut chance);
+            on_its_way.send(Instant::now(), &bytes[..length], &ways.at(from, to), &mut rng);
         }
         for bytes in on_its_way.arrived(Instant::now()) {
             // What is on its way when the link is cut doesn't arrive.
@@ -266,7 +266,7 @@
 /// Relays one TCP connection: it comes up once both ways are open, and then each way keeps to its own faults.
 fn connect(ways: &Arc<Ways>, (from, to): (usize, usize), caller: TcpStream, target: SocketAddr) {
     while ways.stalls_tcp(from, to) || ways.stalls_tcp(to, from) {
-        if ways.over() {
+        if ways.stopped() {
             return;
         }
         std::thread::sleep(Duration::from_millis(2));
@@ -283,14 +283,14 @@
     // Some systems hand on that the listener doesn't block.
     let ready =
         source.set_nonblocking(false).and_then(|()| source.set_read_timeout(Some(Duration::from_millis(20))));
-    while ready.is_ok() && !ways.over() {
+    while ready.is_ok() && !ways.stopped() {
         let length = match source.read(&mut bytes) {
             Ok(length) => length,
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => continue,
             Err(_) => break,
         };
         std::thread::sleep(ways.at(from, to).delay);
-        while ways.stalls_tcp(from, to) && !ways.over() {
+        while ways.stalls_tcp(from, to) && !ways.stopped() {
             std::thread::sleep(Duration::from_millis(2));
         }
         if length == 0 || sink.write_all(&bytes[..length]).is_err() {
--- a/crates/cottonnotch/tests/consensus/link/proofs.rs
+++ b/crates/cottonnotch/tests/consensus/link/self_tests.rs
@@ -1,7 +1,7 @@
 //! The links do as they are told.
 
 use super::*;
-use crate::within;
+use crate::wait_for;
 
 /// Two sockets with a mesh between them: what the first sends to the second, as texts.
 fn two(seed: u64) -> (Mesh, Vec<(UdpSocket, TcpListener)>) {
@@ -51,8 +51,8 @@
 fn link_faults_follow_the_seed() {
     let now = Instant::now();
     let run = |seed, faults: Faults| {
-        let (mut way, mut chance) = (OnItsWay::default(), Chance::new(seed));
-        (0..200).for_each(|i| way.send(now + Duration::from_micros(i), &[i as u8], &faults, &mut chance));
+        let (mut way, mut rng) = (OnItsWay::default(), Rng::new(seed));
+        (0..200).for_each(|i| way.send(now + Duration::from_micros(i), &[i as u8], &faults, &mut rng));
         assert!(way.arrived(now + faults.delay - Duration::from_nanos(1)).is_empty(), "nothing comes early");
         way.arrived(now + Duration::from_secs(9)).concat()
     };
@@ -84,7 +84,7 @@
     std::thread::sleep(Duration::from_millis(60));
     assert!(ends[1].1.accept().is_err(), "none comes up through a cut");
     mesh.heal();
-    let (mut callee, _) = within(Duration::from_secs(5), "the connection", || ends[1].1.accept().ok());
+    let (mut callee, _) = wait_for(Duration::from_secs(5), "the connection", || ends[1].1.accept().ok());
     callee.set_nonblocking(false).unwrap();
     callee.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
     let mut bytes = [0; 3];
--- a/crates/cottonnotch/tests/consensus/main.rs
+++ b/crates/cottonnotch/tests/consensus/main.rs
@@ -1,26 +1,26 @@
-//! Stories of several processes of the program that agree on rules, over a network with faults.
+//! Scenarios of several daemon processes that agree on rules, over a network with faults.
 //!
-//! Each story starts real processes, with a relay between each two of them (`link`), stand-ins of discovery, render nodes and
+//! Each scenario starts real processes, with a relay between each two of them (`link`), stand-ins of discovery, render nodes and
 //! clients (`standin`), and is judged from outside (`judge`): by what arrived where and when, and by what each client heard.
-#![allow(dead_code, reason = "a rig that stories use in parts")]
+#![allow(dead_code, reason = "each scenario uses a part of the rig")]
 
+mod cluster;
 mod judge;
 mod link;
-mod played;
+mod model_member;
 mod proxy;
 mod rules;
-mod standin;
-mod stories;
+mod scenarios;
+mod stand_ins;
 mod storm;
-mod tier;
 
 use std::time::{Duration, Instant};
 
-/// No story waits longer for anything.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// The longest that a scenario waits for anything.
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// Waits until `look` finds something; fails the story if it never does.
-fn within<T>(time: Duration, what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+/// Waits until `look` finds something; fails the test if it doesn't within `time`.
+fn wait_for<T>(time: Duration, what: &str, mut look: impl FnMut() -> Option<T>) -> T {
     let until = Instant::now() + time;
     loop {
         if let Some(found) = look() {
--- a/crates/cottonnotch/tests/consensus/played.rs
+++ b/crates/cottonnotch/tests/consensus/model_member.rs
@@ -1,4 +1,4 @@
-//! A member that the test plays by the accord's own crate, such as a proxy of an older build: it is asked to get new rules
+//! A member that the test runs on the crate of consensus itself by consensus's own crate, such as a proxy of an older build: it is asked to get new rules
 //! ready, and says whether it can.
 
 use crate::link::Mesh;
@@ -9,10 +9,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Ends with the story.
-pub struct Played {
+/// Ends with the scenario.
+pub struct ModelMember {
     can_run: Arc<AtomicBool>,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 /// The envelope: form, cluster, from, to and message, then the proof.
@@ -20,10 +20,10 @@
 const FORM: u16 = 1;
 const CONTEXT: &str = "cottonnotch 2026 accord, shared key of datagrams, version 1";
 
-impl Played {
+impl ModelMember {
     /// Member `me`, which doesn't vote, and can't run what is new until it is told.
     pub fn start(mesh: &Mesh, me: usize, voters: &[usize]) -> Self {
-        let (can_run, over) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicBool::new(false)));
+        let (can_run, stopped) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicBool::new(false)));
         let us = |time: Duration| time.as_micros() as i64;
         let timing = Timing {
             lease: us(LEASE),
@@ -41,7 +41,7 @@
             Config { ordinal: me as u16, members: known.len() as u16, voters, timing, incarnation: 1 };
         let socket = UdpSocket::bind(mesh.own[me]).unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
-        let (able, end) = (Arc::clone(&can_run), Arc::clone(&over));
+        let (able, end) = (Arc::clone(&can_run), Arc::clone(&stopped));
         std::thread::spawn(move || {
             let key = blake3::derive_key(CONTEXT, "0c".repeat(32).as_bytes());
             let digest = blake3::hash(b"story");
@@ -81,7 +81,7 @@
                 }
             }
         });
-        Played { can_run, over }
+        ModelMember { can_run, stopped }
     }
 
     /// From now on it can, or can't, run what is new.
@@ -90,8 +90,8 @@
     }
 }
 
-impl Drop for Played {
+impl Drop for ModelMember {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
     }
 }
--- a/crates/cottonnotch/tests/consensus/proxy.rs
+++ b/crates/cottonnotch/tests/consensus/proxy.rs
@@ -1,7 +1,7 @@
-//! A process of the program, with its files in a folder of the story's.
+//! A daemon process, with its files in a folder of the scenario.
 
 use crate::judge::Version;
-use crate::{PATIENCE, within};
+use crate::{MAX_WAIT, wait_for};
 use rustix::process::{Pid, Signal, kill_process};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -13,9 +13,9 @@
 /// A proxy; its process is killed when it is dropped.
 pub struct Proxy {
     pub folder: PathBuf,
-    /// Where clients come: another address after each start.
+    /// The address for clients; another one after each start.
     pub address: Arc<Mutex<SocketAddr>>,
-    /// Where operators call it: another address after each start.
+    /// The address of the admin server; another one after each start.
     mgmt: Option<SocketAddr>,
     child: Option<Child>,
     /// All lines since the first start.
@@ -23,7 +23,7 @@
 }
 
 impl Proxy {
-    /// One with these files, which is not started yet.
+    /// A proxy with these files, not started yet.
     pub fn new(folder: PathBuf, platform: &str, operator: &str) -> Self {
         std::fs::create_dir_all(folder.join("rules")).unwrap();
         std::fs::write(folder.join("platform.json"), platform).unwrap();
@@ -39,7 +39,7 @@
         command
     }
 
-    /// Starts its process, and doesn't wait for it.
+    /// Starts the process without waiting for it.
     pub fn launch(&mut self) {
         let mut child = self.command().stderr(Stdio::piped()).stdout(Stdio::null()).spawn().unwrap();
         let (lines, log) = (BufReader::new(child.stderr.take().unwrap()), Arc::clone(&self.log));
@@ -49,7 +49,7 @@
         self.child = Some(child);
     }
 
-    /// Starts its process, and waits until clients may come.
+    /// Starts the process and waits until it accepts clients.
     pub fn start(&mut self) {
         let before = self.log().len();
         self.launch();
@@ -62,7 +62,7 @@
         self.mgmt = Some(mgmt);
     }
 
-    /// One of its figures; `None` if it has none of that name, or says nothing.
+    /// One of its figures; `None` if there is none of that name, or no answer.
     pub fn figure(&self, name: &str) -> Option<u64> {
         let mut caller = TcpStream::connect(self.mgmt?).ok()?;
         caller.set_read_timeout(Some(Duration::from_secs(2))).ok()?;
@@ -73,7 +73,7 @@
         value.split('|').next()?.parse().ok()
     }
 
-    /// What `check` says of its files.
+    /// The output of `check` on its files.
     pub fn check(&self) -> Output {
         self.command().arg("check").output().unwrap()
     }
@@ -87,17 +87,17 @@
         kill_process(Pid::from_child(child), signal).unwrap();
     }
 
-    /// It stands still.
+    /// Stops the process (SIGSTOP).
     pub fn freeze(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// It goes on.
+    /// Resumes the process (SIGCONT).
     pub fn thaw(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// It reads its files again.
+    /// Has it reload its files (SIGHUP).
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
@@ -110,15 +110,15 @@
         }
     }
 
-    /// Takes away what it remembers of the accord.
-    pub fn forget(&self) {
+    /// Removes its state folder.
+    pub fn remove_state(&self) {
         let state = self.folder.join("state");
         if state.exists() {
             std::fs::remove_dir_all(state).unwrap();
         }
     }
 
-    /// Puts a file of rules in its folder, whole at once.
+    /// Writes a rule file to its folder, atomically.
     pub fn write_rules(&self, name: &str, text: &str) {
         let path = self.folder.join("rules").join(name);
         let new = path.with_extension("new");
@@ -140,7 +140,7 @@
 
     fn logged_since(&self, line: usize, text: &str) -> String {
         let found = || self.log.lock().unwrap()[line..].iter().find(|line| line.contains(text)).cloned();
-        let until = std::time::Instant::now() + PATIENCE;
+        let until = std::time::Instant::now() + MAX_WAIT;
         loop {
             if let Some(found) = found() {
                 return found;
@@ -160,7 +160,7 @@
         self.logged_since(0, text)
     }
 
-    /// The versions that it put in force, as its log tells; contents are not told there.
+    /// The versions that it acted on, by its log, which doesn't name their contents.
     pub fn versions(&self) -> Vec<Version> {
         let number = |line: &String| {
             let rest = line.split("rules version ").nth(1)?;
@@ -170,8 +170,8 @@
         self.log().iter().filter_map(number).map(|number| (number, String::new())).collect()
     }
 
-    /// The version that it held last, as its folder tells: the file's form, the number, the hash, and the checksum.
-    pub fn held(&self) -> Option<Version> {
+    /// The version that was active last, by its state folder. The file has a format name, the number, the hash and a checksum.
+    pub fn last_active(&self) -> Option<Version> {
         let bytes = std::fs::read(self.folder.join("state/held")).ok()?;
         let body = bytes.get(16..bytes.len().checked_sub(32)?)?;
         let at = body.iter().position(|byte| byte & 0x80 == 0)? + 1;
@@ -188,15 +188,15 @@
 
     /// Waits for a record of which this holds.
     pub fn recorded(&self, what: &str, holds: impl Fn(&simd_json::OwnedValue) -> bool) {
-        within(PATIENCE, what, || self.records().iter().any(&holds).then_some(()));
+        wait_for(MAX_WAIT, what, || self.records().iter().any(&holds).then_some(()));
     }
 }
 
 /// Whole lines only: the last one may be in the writing.
 fn lines_of(path: &Path) -> Vec<simd_json::OwnedValue> {
     let text = std::fs::read_to_string(path).unwrap_or_default();
-    let whole = text.split_inclusive('\n').filter(|line| line.ends_with('\n'));
-    whole.filter_map(|line| simd_json::to_owned_value(&mut line.as_bytes().to_vec()).ok()).collect()
+    let complete = text.split_inclusive('\n').filter(|line| line.ends_with('\n'));
+    complete.filter_map(|line| simd_json::to_owned_value(&mut line.as_bytes().to_vec()).ok()).collect()
 }
 
 impl Drop for Proxy {
--- a/crates/cottonnotch/tests/consensus/rules.rs
+++ b/crates/cottonnotch/tests/consensus/rules.rs
@@ -1,29 +1,29 @@
-//! The files that operators write in these stories, and tiers that have agreed on a first version.
+//! The files that operators write in these scenarios, and clusters that have agreed on a first version.
 
+use crate::cluster::{NODES, TestCluster, up};
 use crate::judge::{self, Placed, Version};
 use crate::link::Mesh;
-use crate::tier::{NODES, Tier, up};
-use crate::{PATIENCE, within};
+use crate::{MAX_WAIT, wait_for};
 use simd_json::prelude::{ValueObjectAccess, ValueObjectAccessAsScalar};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 use std::path::Path;
 use std::time::Duration;
 
-/// The longest time of contradiction that these tiers state ...
+/// The longest time of contradiction that these clusters state ...
 pub const CONTRADICTION: Duration = Duration::from_millis(1500);
 /// ... which has to hold the lease and the time to act.
 pub const LEASE: Duration = Duration::from_millis(900);
 pub const ACT: Duration = Duration::from_millis(300);
-/// What these stories let pass. By design leases of two versions never overlap, and what is left is the time from a look to the
+/// What these scenarios let pass. By design leases of two versions never overlap, and what is left is the time from a look to the
 /// act; and as much again for a test's threads, which note arrivals late on a busy machine.
 pub const PASSES: Duration = ACT.saturating_mul(2);
-/// What a house's clients are told to wait while the version is in doubt.
+/// The Retry-After of an owner's clients while the version is uncertain.
 pub const RETRY_MS: u64 = 310;
-/// What those are told that no must speaks of.
+/// The Retry-After of clients that no requirement selects.
 pub const UNRULED_RETRY_MS: u64 = 520;
 
-/// The operator's file of one member of a tier with these voters.
+/// The operator's file of one member of a cluster with these voters.
 pub fn operator(voters: &[usize]) -> impl Fn(&Path, &Mesh, usize) -> String {
     let voters = voters.to_vec();
     move |folder, mesh, me| {
@@ -50,65 +50,70 @@
     }
 }
 
-/// The consortium's file: each house has its tenant.
+/// The consortium's file: each owner has its tenant.
 pub fn consortium() -> String {
     let mut text = "namespace = \"consortium\"\nrevision = 1\n".to_owned();
-    for house in ["dagger", "cotton"] {
-        writeln!(text, "[[delegate]]\nto = \"consortium/{house}\"\ntenants = [\"{house}\"]").unwrap();
+    for owner in ["dagger", "cotton"] {
+        writeln!(text, "[[delegate]]\nto = \"consortium/{owner}\"\ntenants = [\"{owner}\"]").unwrap();
     }
     text
 }
 
-/// A house's file: its tenant keeps to a hall, and is refused in doubt.
-pub fn keeps_to(house: &str, revision: u64, hall: &str) -> String {
+/// An owner's file: its tenant keeps to a hall, and is rejected while that is uncertain.
+pub fn keeps_to(owner: &str, revision: u64, hall: &str) -> String {
     format!(
-        "namespace = \"consortium/{house}\"\nrevision = {revision}\non_doubt = \"refuse\"\nretry_ms = {RETRY_MS}\n\
-         [[rule]]\nname = \"hall\"\nmust = true\ntenants = [\"{house}\"]\nplace.require = {{ halls = [\"{hall}\"] }}\n"
+        "namespace = \"consortium/{owner}\"\nrevision = {revision}\non_doubt = \"refuse\"\nretry_ms = {RETRY_MS}\n\
+         [[rule]]\nname = \"hall\"\nmust = true\ntenants = [\"{owner}\"]\nplace.require = {{ halls = [\"{hall}\"] }}\n"
     )
 }
 
-/// A house's file: its tenant avoids a hall, also in doubt.
-pub fn avoids(house: &str, revision: u64, hall: &str) -> String {
+/// An owner's file: its tenant avoids a hall, also while that is uncertain.
+pub fn avoids(owner: &str, revision: u64, hall: &str) -> String {
     format!(
-        "namespace = \"consortium/{house}\"\nrevision = {revision}\non_doubt = \"keep\"\n\
-         [[rule]]\nname = \"not-there\"\nmust = true\ntenants = [\"{house}\"]\nplace.avoid = {{ halls = [\"{hall}\"] }}\n"
+        "namespace = \"consortium/{owner}\"\nrevision = {revision}\non_doubt = \"keep\"\n\
+         [[rule]]\nname = \"not-there\"\nmust = true\ntenants = [\"{owner}\"]\nplace.avoid = {{ halls = [\"{hall}\"] }}\n"
     )
 }
 
 /// The same, with one rule more.
-pub fn keeps_to_and(house: &str, revision: u64, hall: &str, more: &str) -> String {
-    let text = keeps_to(house, revision, hall);
-    format!("{text}[[rule]]\nname = \"more\"\nmust = true\ntenants = [\"{house}\"]\n{more}\n")
+pub fn keeps_to_and(owner: &str, revision: u64, hall: &str, more: &str) -> String {
+    let text = keeps_to(owner, revision, hall);
+    format!("{text}[[rule]]\nname = \"more\"\nmust = true\ntenants = [\"{owner}\"]\n{more}\n")
 }
 
 pub fn in_hall(hall: &'static str) -> impl Fn(&Placed) -> bool {
     move |placed| placed.hall == hall
 }
 
-impl Tier {
-    /// A tier that serves by a first version: the house of dagger keeps to hall a, that of cotton avoids hall c. Clients of
+impl TestCluster {
+    /// A cluster that serves by a first version: the owner of dagger keeps to hall a, that of cotton avoids hall c. Clients of
     /// both come to each proxy.
     pub fn agreed(size: usize, voters: &[usize], seed: u64) -> Self {
         Self::agreed_with(size, voters, seed, |_| ())
     }
 
     /// The same, with something done before the proxies start.
-    pub fn agreed_with(size: usize, voters: &[usize], seed: u64, first: impl FnOnce(&mut Tier)) -> Self {
-        let mut tier = Tier::new(size, seed, operator(voters));
-        first(&mut tier);
-        for proxy in &tier.proxies {
+    pub fn agreed_with(
+        size: usize,
+        voters: &[usize],
+        seed: u64,
+        first: impl FnOnce(&mut TestCluster),
+    ) -> Self {
+        let mut cluster = TestCluster::new(size, seed, operator(voters));
+        first(&mut cluster);
+        for proxy in &cluster.proxies {
             proxy.write_rules("consortium.toml", &consortium());
             proxy.write_rules("dagger.toml", &keeps_to("dagger", 1, "a"));
             proxy.write_rules("cotton.toml", &avoids("cotton", 1, "c"));
         }
-        tier.start();
-        tier.crowd("dagger");
-        tier.crowd("cotton");
-        tier.settles(&tier.all(), "dagger", "a");
+        cluster.start();
+        cluster.start_clients_everywhere("dagger");
+        cluster.start_clients_everywhere("cotton");
+        cluster.settles(&cluster.all(), "dagger", "a");
         // Nobody was served before it was known by what rules.
         let ruled = |placed: &&Placed| placed.hall != "a" && placed.tenant == "dagger";
-        assert_eq!(tier.fleet.history().iter().find(ruled), None);
-        tier
+        assert_eq!(cluster.fleet.history().iter().find(ruled), None);
+        cluster
     }
 
     pub fn all(&self) -> Vec<usize> {
@@ -117,14 +122,14 @@
 
     /// Which proxy leads, once one of these says so.
     pub fn leader(&self, among: &[usize]) -> usize {
-        within(PATIENCE, "a leader", || {
+        wait_for(MAX_WAIT, "a leader", || {
             among.iter().copied().find(|proxy| self.proxies[*proxy].figure("rules.leads") == Some(1))
         })
     }
 
-    /// A house's new file at one proxy, which reads it.
-    pub fn change(&self, proxy: usize, house: &str, text: &str) {
-        self.proxies[proxy].write_rules(&format!("{house}.toml"), text);
+    /// An owner's new file at one proxy, which reads it.
+    pub fn change(&self, proxy: usize, owner: &str, text: &str) {
+        self.proxies[proxy].write_rules(&format!("{owner}.toml"), text);
         self.proxies[proxy].reload();
     }
 
@@ -132,7 +137,7 @@
     /// that came since the last one elsewhere.
     pub fn settles(&self, proxies: &[usize], tenant: &str, hall: &str) {
         let what = format!("{tenant} in {hall} at {proxies:?}");
-        within(PATIENCE, &what, || {
+        wait_for(MAX_WAIT, &what, || {
             let halls: BTreeMap<u64, String> =
                 self.fleet.history().into_iter().map(|placed| (placed.id, placed.hall)).collect();
             let clients = self.clients.so_far();
@@ -171,10 +176,12 @@
 
     /// Waits until all of these hold one version, above this number; it.
     pub fn converges(&self, proxies: &[usize], above: u64) -> Version {
-        within(PATIENCE, &format!("one version at {proxies:?} above {above}"), || {
-            let held: Vec<Vec<Version>> =
-                proxies.iter().map(|proxy| self.proxies[*proxy].held().into_iter().collect()).collect();
-            judge::same_end(&held).ok().filter(|(number, _)| *number > above)
+        wait_for(MAX_WAIT, &format!("one version at {proxies:?} above {above}"), || {
+            let last_active: Vec<Vec<Version>> = proxies
+                .iter()
+                .map(|proxy| self.proxies[*proxy].last_active().into_iter().collect())
+                .collect();
+            judge::same_end(&last_active).ok().filter(|(number, _)| *number > above)
         })
     }
 
--- a/crates/cottonnotch/tests/consensus/standin.rs
+++ b/crates/cottonnotch/tests/consensus/stand_ins.rs
@@ -1,13 +1,13 @@
-//! What a story's proxies deal with: discovery, render nodes and clients. All are threads of the test, and all note their
+//! What a scenario's proxies deal with: discovery, render nodes and clients. All are threads of the test, and all note their
 //! times on its one clock.
 
 mod clients;
 mod discovery;
 mod fleet;
 #[cfg(test)]
-mod proofs;
+mod self_tests;
 
-pub use clients::{Clients, Habit};
+pub use clients::{ClientBehavior, Clients};
 pub use discovery::Discovery;
 pub use fleet::{Fleet, Manner};
 use std::net::{Ipv4Addr, TcpListener, TcpStream};
@@ -16,19 +16,23 @@
 use std::time::Duration;
 
 /// How often whoever waits looks.
-const LOOK: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// On the story's own address: clients of a proxy that died go on calling where it was, and must not meet another story there.
+/// On the scenario's own address: clients of a proxy that died go on calling where it was, and must not meet another scenario there.
 fn listener(ip: Ipv4Addr) -> TcpListener {
     let listener = TcpListener::bind((ip, 0)).unwrap();
     listener.set_nonblocking(true).unwrap();
     listener
 }
 
-/// Serves each caller by a thread of its own until the story is over.
-fn each_caller(listener: &TcpListener, over: &AtomicBool, serve: impl Fn(TcpStream) + Send + Sync + 'static) {
+/// Serves each caller by a thread of its own until the scenario is over.
+fn each_caller(
+    listener: &TcpListener,
+    stopped: &AtomicBool,
+    serve: impl Fn(TcpStream) + Send + Sync + 'static,
+) {
     let serve = Arc::new(serve);
-    while !over.load(Ordering::Relaxed) {
+    while !stopped.load(Ordering::Relaxed) {
         match listener.accept() {
             Ok((caller, _)) => {
                 let ready = caller
@@ -40,7 +44,7 @@
                     std::thread::spawn(move || serve(caller));
                 }
             }
-            Err(_) => std::thread::sleep(LOOK),
+            Err(_) => std::thread::sleep(POLL_INTERVAL),
         }
     }
 }
--- a/crates/cottonnotch/tests/consensus/standin/clients.rs
+++ b/crates/cottonnotch/tests/consensus/stand_ins/clients.rs
@@ -1,19 +1,19 @@
 //! Clients, which note what they are told.
 
 use crate::judge::{Answer, Client, End};
-use crate::link::Chance;
+use crate::link::Rng;
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Numbers the clients of all stories.
+/// Numbers the clients of all scenarios.
 static NUMBER: AtomicU64 = AtomicU64::new(1);
 
 /// How clients come to a proxy.
 #[derive(Clone, Debug)]
-pub struct Habit {
+pub struct ClientBehavior {
     pub tenant: &'static str,
     pub group: Option<u64>,
     /// What a client waits for its answer.
@@ -21,48 +21,48 @@
     /// Between two clients.
     pub every: Duration,
     /// How long one stays once it is up.
-    pub stay: Duration,
+    pub stays_for: Duration,
 }
 
-impl Habit {
+impl ClientBehavior {
     pub fn of(tenant: &'static str) -> Self {
         let ms = Duration::from_millis;
-        Habit { tenant, group: None, deadline: ms(2000), every: ms(25), stay: ms(250) }
+        ClientBehavior { tenant, group: None, deadline: ms(2000), every: ms(25), stays_for: ms(250) }
     }
 }
 
-/// The clients of a story, and what became of them.
+/// The clients of a scenario, and what became of them.
 #[derive(Clone)]
 pub struct Clients {
     began: Instant,
-    stories: Arc<Mutex<Vec<Client>>>,
+    finished: Arc<Mutex<Vec<Client>>>,
     stop: Arc<AtomicBool>,
     present: Arc<AtomicUsize>,
 }
 
 impl Clients {
     pub fn new(began: Instant) -> Self {
-        let (stories, stop, present) = Default::default();
-        Clients { began, stories, stop, present }
+        let (finished, stop, present) = Default::default();
+        Clients { began, finished, stop, present }
     }
 
     /// From now on clients come to this proxy, whose address may change with a restart.
-    pub fn come(&self, proxy: usize, address: &Arc<Mutex<SocketAddr>>, habit: Habit) {
+    pub fn start_clients(&self, proxy: usize, address: &Arc<Mutex<SocketAddr>>, behavior: ClientBehavior) {
         let (clients, address) = (self.clone(), Arc::clone(address));
         self.present.fetch_add(1, Ordering::SeqCst);
         std::thread::spawn(move || {
-            let (mut chance, every) = (Chance::new(proxy as u64), habit.every);
+            let (mut rng, every) = (Rng::new(proxy as u64), behavior.every);
             while !clients.stop.load(Ordering::Relaxed) {
-                let (to, habit) = (*address.lock().unwrap(), habit.clone());
+                let (to, behavior) = (*address.lock().unwrap(), behavior.clone());
                 clients.present.fetch_add(1, Ordering::SeqCst);
                 let one = clients.clone();
                 std::thread::spawn(move || {
-                    one.live(proxy, to, &habit);
+                    one.live(proxy, to, &behavior);
                     one.present.fetch_sub(1, Ordering::SeqCst);
                 });
                 // Not in step with anything else.
                 let most = every.as_micros() as u64;
-                std::thread::sleep(Duration::from_micros(most / 2 + chance.below(most)));
+                std::thread::sleep(Duration::from_micros(most / 2 + rng.below(most)));
             }
             clients.present.fetch_sub(1, Ordering::SeqCst);
         });
@@ -81,38 +81,38 @@
     /// No more come; waits until all have gone, and hands over what became of them.
     pub fn finish(&self) -> Vec<Client> {
         self.stop();
-        crate::within(crate::PATIENCE, "the clients to go", || {
+        crate::wait_for(crate::MAX_WAIT, "the clients to go", || {
             (self.present.load(Ordering::SeqCst) == 0).then_some(())
         });
-        self.stories.lock().unwrap().clone()
+        self.finished.lock().unwrap().clone()
     }
 
     /// What became of those so far whose answer has come.
     pub fn so_far(&self) -> Vec<Client> {
-        self.stories.lock().unwrap().clone()
+        self.finished.lock().unwrap().clone()
     }
 
-    /// One client, from its coming to its going. One that finds no door has no story: it was never taken.
-    pub fn live(&self, proxy: usize, to: SocketAddr, habit: &Habit) {
+    /// One client, from its coming to its going. One that finds no door has no scenario: it was never taken.
+    pub fn live(&self, proxy: usize, to: SocketAddr, behavior: &ClientBehavior) {
         let id = NUMBER.fetch_add(1, Ordering::Relaxed);
         let Ok(stream) = TcpStream::connect_timeout(&to, Duration::from_secs(1)) else { return };
-        let group = habit.group.map_or(String::new(), |group| format!(",g={group:016x}"));
-        let (tenant, wait) = (habit.tenant, habit.deadline.as_millis());
+        let group = behavior.group.map_or(String::new(), |group| format!(",g={group:016x}"));
+        let (tenant, wait) = (behavior.tenant, behavior.deadline.as_millis());
         let line = format!("OPEN {id:016x} 7f3a9c21e0b4d655 c=look,t={tenant},d={wait}{group}\r\n");
         let sent = self.began.elapsed();
         if (&stream).write_all(line.as_bytes()).is_err() {
             return;
         }
         let mut client = Client { id, tenant: tenant.into(), proxy, sent, answers: vec![], ended: None };
-        let end = self.hear(&stream, habit, &mut client);
+        let end = self.hear(&stream, behavior, &mut client);
         client.ended = Some((self.began.elapsed(), end));
-        self.stories.lock().unwrap().push(client);
+        self.finished.lock().unwrap().push(client);
     }
 
     /// Hears the answer, and what follows; how it ended.
-    fn hear(&self, stream: &TcpStream, habit: &Habit, client: &mut Client) -> End {
+    fn hear(&self, stream: &TcpStream, behavior: &ClientBehavior, client: &mut Client) -> End {
         // A late answer is one; a proxy that never answers is found out.
-        let patience = habit.deadline + Duration::from_secs(4);
+        let patience = behavior.deadline + Duration::from_secs(4);
         let ready = stream.set_nodelay(true).and_then(|()| stream.set_read_timeout(Some(patience)));
         let Ok(mut reader) = ready.and_then(|()| Ok(BufReader::new(stream.try_clone()?))) else {
             return End::Cut;
@@ -142,7 +142,7 @@
             };
             if let Some(answer) = answer {
                 if answer == Answer::Up {
-                    up_until.get_or_insert(now + habit.stay);
+                    up_until.get_or_insert(now + behavior.stays_for);
                 }
                 client.answers.push((now, answer));
             }
--- a/crates/cottonnotch/tests/consensus/standin/discovery.rs
+++ b/crates/cottonnotch/tests/consensus/stand_ins/discovery.rs
@@ -1,6 +1,6 @@
-//! Discovery, whose list a story changes, and which it silences.
+//! Discovery, whose list a scenario changes, and which it silences.
 
-use super::{LOOK, each_caller, listener};
+use super::{POLL_INTERVAL, each_caller, listener};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -11,7 +11,7 @@
 const BEAT: Duration = Duration::from_secs(2);
 /// A render node as the list has it.
 #[derive(Clone, Debug)]
-pub(super) struct Listed {
+pub(super) struct ListedNode {
     pub(super) id: String,
     pub(super) address: SocketAddr,
     pub(super) hall: String,
@@ -21,9 +21,9 @@
     pub(super) revision: u64,
 }
 
-impl Listed {
+impl ListedNode {
     fn json(&self) -> String {
-        let Listed { id, address, hall, hardware, phase, .. } = self;
+        let ListedNode { id, address, hall, hardware, phase, .. } = self;
         format!(
             r#"{{"id":"{id}","host_port":"{address}","locality":"{hall}","flavor":"{hardware}","cell":0,"phase":"{phase}","size":1.0,"up_since_ms":0}}"#
         )
@@ -34,14 +34,14 @@
 #[derive(Debug, Default)]
 pub(super) struct List {
     revision: u64,
-    pub(super) nodes: Vec<Listed>,
+    pub(super) nodes: Vec<ListedNode>,
 }
 
 impl List {
     fn since(&self, revision: u64) -> String {
         let complete = revision == 0;
         let nodes = self.nodes.iter().filter(|node| complete || node.revision > revision);
-        let nodes: Vec<String> = nodes.map(Listed::json).collect();
+        let nodes: Vec<String> = nodes.map(ListedNode::json).collect();
         format!(r#"{{"revision":{},"complete":{complete},"members":[{}]}}"#, self.revision, nodes.join(","))
     }
 }
@@ -56,29 +56,29 @@
     deaf: AtomicUsize,
 }
 
-/// A discovery with a door for each proxy, so that a story can silence one.
+/// A discovery with a door for each proxy, so that a scenario can silence one.
 pub struct Discovery {
     pub(super) list: Arc<Mutex<List>>,
     doors: Vec<(SocketAddr, Arc<Door>)>,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 impl Discovery {
     pub fn new(ip: Ipv4Addr, doors: usize) -> Self {
-        let (list, over) = (Arc::new(Mutex::new(List::default())), Arc::new(AtomicBool::new(false)));
+        let (list, stopped) = (Arc::new(Mutex::new(List::default())), Arc::new(AtomicBool::new(false)));
         let doors = (0..doors).map(|_| {
             let (listener, door) = (listener(ip), Arc::new(Door::default()));
             let address = listener.local_addr().unwrap();
-            let (list, over, here) = (Arc::clone(&list), Arc::clone(&over), Arc::clone(&door));
+            let (list, stopped, here) = (Arc::clone(&list), Arc::clone(&stopped), Arc::clone(&door));
             std::thread::spawn(move || {
-                each_caller(&listener, &over.clone(), move |caller| {
-                    // Whoever asks is gone, or the story is over.
-                    let _ = serve_list(caller, &list, &here, &over);
+                each_caller(&listener, &stopped.clone(), move |caller| {
+                    // Whoever asks is gone, or the scenario is over.
+                    let _ = serve_list(caller, &list, &here, &stopped);
                 });
             });
             (address, door)
         });
-        Discovery { doors: doors.collect(), list, over }
+        Discovery { doors: doors.collect(), list, stopped }
     }
 
     pub fn door(&self, proxy: usize) -> SocketAddr {
@@ -101,11 +101,11 @@
         self.doors[proxy].1.watches.load(Ordering::Relaxed)
     }
 
-    pub(super) fn add(&self, node: Listed) {
+    pub(super) fn add(&self, node: ListedNode) {
         let mut list = self.list.lock().unwrap();
         list.revision += 1;
         let revision = list.revision;
-        list.nodes.push(Listed { revision, ..node });
+        list.nodes.push(ListedNode { revision, ..node });
     }
 
     /// Changes a node's phase on the list: the revision of that.
@@ -126,11 +126,16 @@
 
 impl Drop for Discovery {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
     }
 }
 
-fn serve_list(caller: TcpStream, list: &Mutex<List>, door: &Door, over: &AtomicBool) -> std::io::Result<()> {
+fn serve_list(
+    caller: TcpStream,
+    list: &Mutex<List>,
+    door: &Door,
+    stopped: &AtomicBool,
+) -> std::io::Result<()> {
     let mut reader = BufReader::new(caller.try_clone()?);
     let (mut request, mut line) = (String::new(), String::new());
     reader.read_line(&mut request)?;
@@ -139,8 +144,8 @@
     }
     let mut out = caller;
     let wait_if = |silent: &dyn Fn() -> bool| {
-        while silent() && !over.load(Ordering::Relaxed) {
-            std::thread::sleep(LOOK);
+        while silent() && !stopped.load(Ordering::Relaxed) {
+            std::thread::sleep(POLL_INTERVAL);
         }
     };
     let shut = || door.shut.load(Ordering::Relaxed);
@@ -149,24 +154,24 @@
         let body = list.lock().unwrap().since(0);
         return write!(out, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     };
-    let mut told: u64 = from.split(' ').next().unwrap_or_default().parse().unwrap_or(0);
+    let mut sent_revision: u64 = from.split(' ').next().unwrap_or_default().parse().unwrap_or(0);
     out.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
     let number = door.watches.fetch_add(1, Ordering::Relaxed);
     let (mut first, mut beat) = (true, Instant::now());
-    while !over.load(Ordering::Relaxed) {
+    while !stopped.load(Ordering::Relaxed) {
         wait_if(&|| shut() || number < door.deaf.load(Ordering::Relaxed));
         let news = {
             let list = list.lock().unwrap();
-            (first || list.revision > told).then(|| (list.since(told), list.revision))
+            (first || list.revision > sent_revision).then(|| (list.since(sent_revision), list.revision))
         };
         let line = match news {
             Some((line, revision)) => {
-                (told, first) = (revision, false);
+                (sent_revision, first) = (revision, false);
                 line
             }
             None if beat.elapsed() >= BEAT => String::new(),
             None => {
-                std::thread::sleep(LOOK);
+                std::thread::sleep(POLL_INTERVAL);
                 continue;
             }
         };
--- a/crates/cottonnotch/tests/consensus/standin/fleet.rs
+++ b/crates/cottonnotch/tests/consensus/stand_ins/fleet.rs
@@ -1,6 +1,6 @@
 //! Render nodes, which note what arrives.
 
-use super::discovery::{Discovery, Listed};
+use super::discovery::{Discovery, ListedNode};
 use super::{each_caller, listener};
 use crate::judge::Placed;
 use std::io::{BufRead, BufReader, Write};
@@ -18,34 +18,34 @@
     Mute,
 }
 
-/// The render nodes of a story, and what arrived at them.
+/// The render nodes of a scenario, and what arrived at them.
 pub struct Fleet {
     began: Instant,
     arrived: Arc<Mutex<Vec<Placed>>>,
     manners: Vec<(String, Arc<Mutex<Manner>>)>,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 impl Fleet {
     /// Nodes with a name, a hall and a hardware class each; they go on the list.
     pub fn new(ip: Ipv4Addr, began: Instant, discovery: &Discovery, nodes: &[(&str, &str, &str)]) -> Self {
-        let (arrived, over) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicBool::new(false)));
+        let (arrived, stopped) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicBool::new(false)));
         let manners = nodes.iter().map(|(id, hall, hardware)| {
             let (listener, manner) = (listener(ip), Arc::new(Mutex::new(Manner::Up)));
             let [id, hall, hardware] = [id, hall, hardware].map(|text| (*text).to_owned());
             let address = listener.local_addr().unwrap();
-            let listed = Listed { id: id.clone(), address, hall, hardware, phase: "up", revision: 0 };
+            let listed = ListedNode { id: id.clone(), address, hall, hardware, phase: "up", revision: 0 };
             discovery.add(listed.clone());
-            let (arrived, over, how) = (Arc::clone(&arrived), Arc::clone(&over), Arc::clone(&manner));
+            let (arrived, stopped, how) = (Arc::clone(&arrived), Arc::clone(&stopped), Arc::clone(&manner));
             std::thread::spawn(move || {
-                each_caller(&listener, &over, move |caller| {
+                each_caller(&listener, &stopped, move |caller| {
                     // The proxy has let go of the connection.
                     let _ = serve_node(caller, began, &listed, &arrived, &how);
                 });
             });
             (id, manner)
         });
-        Fleet { manners: manners.collect(), began, arrived, over }
+        Fleet { manners: manners.collect(), began, arrived, stopped }
     }
 
     pub fn set(&self, node: &str, manner: Manner) {
@@ -64,7 +64,7 @@
         self.arrived.lock().unwrap().iter().filter(|placed| wanted(placed)).cloned().collect()
     }
 
-    /// The story's time.
+    /// The scenario's time.
     pub fn now(&self) -> Duration {
         self.began.elapsed()
     }
@@ -72,14 +72,14 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
     }
 }
 
 fn serve_node(
     caller: TcpStream,
     began: Instant,
-    listed: &Listed,
+    listed: &ListedNode,
     arrived: &Mutex<Vec<Placed>>,
     manner: &Mutex<Manner>,
 ) -> std::io::Result<()> {
@@ -93,7 +93,7 @@
     let id = line.split(' ').nth(1).and_then(|id| u64::from_str_radix(id, 16).ok());
     // A probe, or half a line of a proxy that died.
     let Some(id) = id.filter(|_| line.starts_with("OPEN ") && line.ends_with('\n')) else { return Ok(()) };
-    let Listed { id: node, hall, hardware, .. } = listed.clone();
+    let ListedNode { id: node, hall, hardware, .. } = listed.clone();
     let (tenant, group) = (value("t").unwrap_or_default().to_owned(), value("g"));
     let group = group.and_then(|group| u64::from_str_radix(group, 16).ok());
     let manner = *manner.lock().unwrap();
--- a/crates/cottonnotch/tests/consensus/standin/proofs.rs
+++ b/crates/cottonnotch/tests/consensus/stand_ins/self_tests.rs
@@ -20,7 +20,7 @@
 
 fn lived(words: &'static str) -> (Vec<Answer>, End) {
     let clients = Clients::new(Instant::now());
-    clients.live(0, rude(words), &Habit::of("t"));
+    clients.live(0, rude(words), &ClientBehavior::of("t"));
     let client = clients.finish().pop().unwrap();
     (client.answers.into_iter().map(|(_, answer)| answer).collect(), client.ended.unwrap().1)
 }
@@ -80,17 +80,17 @@
     let fleet = Fleet::new(Ipv4Addr::LOCALHOST, began, &discovery, &[("s0", "a", "m1")]);
     let address = discovery.list.lock().unwrap().nodes[0].address;
     let clients = Clients::new(began);
-    let stay = Duration::from_millis(120);
-    clients.live(0, address, &Habit { group: Some(0x5c), stay, ..Habit::of("t") });
+    let stays_for = Duration::from_millis(120);
+    clients.live(0, address, &ClientBehavior { group: Some(0x5c), stays_for, ..ClientBehavior::of("t") });
     fleet.set("s0", Manner::Busy);
-    clients.live(0, address, &Habit::of("t"));
-    let stories = clients.finish();
-    assert_eq!(stories[0].ended.unwrap().1, End::InOrder);
-    assert_eq!(stories[1].answers[0].1, Answer::Busy(None));
+    clients.live(0, address, &ClientBehavior::of("t"));
+    let finished = clients.finish();
+    assert_eq!(finished[0].ended.unwrap().1, End::InOrder);
+    assert_eq!(finished[1].answers[0].1, Answer::Busy(None));
     let history = fleet.history();
     assert_eq!(history.len(), 1, "what is turned away is not placed");
     let Placed { id, tenant, group, node, hall, hardware, .. } = &history[0];
-    assert_eq!((*id, &**tenant, *group), (stories[0].id, "t", Some(0x5c)));
+    assert_eq!((*id, &**tenant, *group), (finished[0].id, "t", Some(0x5c)));
     assert_eq!((&**node, &**hall, &**hardware), ("s0", "a", "m1"));
     assert_eq!(fleet.since("t", fleet.now()), []);
 }
--- a/crates/cottonnotch/tests/consensus/storm.rs
+++ b/crates/cottonnotch/tests/consensus/storm.rs
@@ -1,9 +1,9 @@
 //! Storms: one change after another while processes and links fail, and the figures that come of it.
 
-use crate::link::{Chance, Faults};
+use crate::cluster::TestCluster;
+use crate::link::{Faults, Rng};
 use crate::rules::{CONTRADICTION, keeps_to};
-use crate::tier::Tier;
-use crate::{PATIENCE, within};
+use crate::{MAX_WAIT, wait_for};
 use std::collections::BTreeSet;
 use std::fmt::Write;
 use std::sync::Mutex;
@@ -19,52 +19,52 @@
 /// The longest contradiction, and how many versions there were.
 fn storm(seed: u64, steps: u64) -> (Duration, usize) {
     println!("seed {seed}");
-    let mut chance = Chance::new(seed);
-    let mut tier = Tier::agreed(5, &[0, 1, 2], seed);
+    let mut rng = Rng::new(seed);
+    let mut cluster = TestCluster::agreed(5, &[0, 1, 2], seed);
     let (mut frozen, mut dead) = (BTreeSet::new(), BTreeSet::new());
     let mut revision = 1;
     for _ in 0..steps {
-        let one = chance.below(5) as usize;
-        match chance.below(8) {
-            0 => tier.mesh.isolate(one),
-            1 => tier.mesh.mute(one),
-            2 => tier.mesh.cut(one, (one + 1 + chance.below(4) as usize) % 5),
-            3 => tier.mesh.set_all(Faults {
-                delay: ms(chance.below(60)),
-                jitter: ms(chance.below(120)),
-                lost: chance.below(300) as u32,
-                doubled: chance.below(300) as u32,
+        let one = rng.below(5) as usize;
+        match rng.below(8) {
+            0 => cluster.mesh.isolate(one),
+            1 => cluster.mesh.mute(one),
+            2 => cluster.mesh.cut(one, (one + 1 + rng.below(4) as usize) % 5),
+            3 => cluster.mesh.set_all(Faults {
+                delay: ms(rng.below(60)),
+                jitter: ms(rng.below(120)),
+                lost: rng.below(300) as u32,
+                doubled: rng.below(300) as u32,
                 ..Faults::default()
             }),
-            4 if !dead.contains(&one) && frozen.insert(one) => tier.freeze(one),
-            5 if !frozen.contains(&one) && dead.insert(one) => tier.kill(one),
-            _ => tier.mesh.heal(),
+            4 if !dead.contains(&one) && frozen.insert(one) => cluster.freeze(one),
+            5 if !frozen.contains(&one) && dead.insert(one) => cluster.kill(one),
+            _ => cluster.mesh.heal(),
         }
-        let to = chance.below(5) as usize;
+        let to = rng.below(5) as usize;
         if !dead.contains(&to) {
             revision += 1;
-            tier.change(to, "dagger", &keeps_to("dagger", revision, HALLS[chance.below(3) as usize]));
+            cluster.change(to, "dagger", &keeps_to("dagger", revision, HALLS[rng.below(3) as usize]));
         }
-        std::thread::sleep(ms(200 + chance.below(900)));
+        std::thread::sleep(ms(200 + rng.below(900)));
         // Not for long: a change needs most voters.
-        if chance.below(2) == 0 {
-            frozen.iter().for_each(|proxy| tier.proxies[*proxy].thaw());
+        if rng.below(2) == 0 {
+            frozen.iter().for_each(|proxy| cluster.proxies[*proxy].thaw());
             frozen.clear();
         }
-        if chance.below(2) == 0 {
-            dead.iter().for_each(|proxy| tier.proxies[*proxy].start());
+        if rng.below(2) == 0 {
+            dead.iter().for_each(|proxy| cluster.proxies[*proxy].start());
             dead.clear();
         }
     }
-    tier.mesh.heal();
-    frozen.iter().for_each(|proxy| tier.proxies[*proxy].thaw());
-    dead.iter().for_each(|proxy| tier.proxies[*proxy].start());
-    let hall = HALLS[chance.below(3) as usize];
-    tier.change(chance.below(5) as usize, "dagger", &keeps_to("dagger", revision + 1, hall));
-    tier.settles(&tier.all(), "dagger", hall);
-    tier.converges(&tier.all(), 0);
-    tier.finish();
-    (tier.judged_by_versions("dagger"), tier.by_version("dagger").len())
+    cluster.mesh.heal();
+    frozen.iter().for_each(|proxy| cluster.proxies[*proxy].thaw());
+    dead.iter().for_each(|proxy| cluster.proxies[*proxy].start());
+    let hall = HALLS[rng.below(3) as usize];
+    cluster.change(rng.below(5) as usize, "dagger", &keeps_to("dagger", revision + 1, hall));
+    cluster.settles(&cluster.all(), "dagger", hall);
+    cluster.converges(&cluster.all(), 0);
+    cluster.finish();
+    (cluster.judged_by_versions("dagger"), cluster.by_version("dagger").len())
 }
 
 #[test]
@@ -93,69 +93,76 @@
 /// decided.
 fn under(kind: &str, seed: u64) -> (Duration, Duration) {
     println!("{kind}, seed {seed}");
-    let mut chance = Chance::new(seed ^ 0x5ca1_ab1e);
-    let mut tier = Tier::agreed(3, &[0, 1, 2], seed);
-    let leader = tier.leader(&[0, 1, 2]);
-    let member = (leader + 1 + chance.below(2) as usize) % 3;
+    let mut rng = Rng::new(seed ^ 0x5ca1_ab1e);
+    let mut cluster = TestCluster::agreed(3, &[0, 1, 2], seed);
+    let leader = cluster.leader(&[0, 1, 2]);
+    let member = (leader + 1 + rng.below(2) as usize) % 3;
     let (one, other) = match kind.split(' ').next() {
         Some("leader") => (leader, member),
         _ => (member, leader),
     };
-    let before = ms(chance.below(700));
-    let fault = |tier: &mut Tier| match kind.split(' ').next_back() {
+    let before = ms(rng.below(700));
+    let fault = |cluster: &mut TestCluster| match kind.split(' ').next_back() {
         Some("network") => {
             let (lost, doubled) = (200, 200);
-            tier.mesh.set_all(Faults { delay: ms(20), jitter: ms(80), lost, doubled, ..Faults::default() });
+            cluster.mesh.set_all(Faults {
+                delay: ms(20),
+                jitter: ms(80),
+                lost,
+                doubled,
+                ..Faults::default()
+            });
         }
-        Some("off") => tier.mesh.isolate(one),
-        Some("heard") => tier.mesh.mute(one),
-        Some("stopped") => tier.freeze(one),
-        Some("killed") => tier.kill(one),
+        Some("off") => cluster.mesh.isolate(one),
+        Some("heard") => cluster.mesh.mute(one),
+        Some("stopped") => cluster.freeze(one),
+        Some("killed") => cluster.kill(one),
         _ => {}
     };
     // Before the change, or in the middle of it.
-    let early = chance.below(2) == 0;
+    let early = rng.below(2) == 0;
     if early {
-        fault(&mut tier);
+        fault(&mut cluster);
         std::thread::sleep(before);
     }
-    tier.change(other, "dagger", &keeps_to("dagger", 2, "b"));
+    cluster.change(other, "dagger", &keeps_to("dagger", 2, "b"));
     if !early {
         std::thread::sleep(before);
-        fault(&mut tier);
+        fault(&mut cluster);
     }
-    std::thread::sleep(ms(chance.below(2_500)));
-    tier.mesh.heal();
+    std::thread::sleep(ms(rng.below(2_500)));
+    cluster.mesh.heal();
     match kind.split(' ').next_back() {
-        Some("stopped") => tier.proxies[one].thaw(),
-        Some("killed") => tier.proxies[one].start(),
+        Some("stopped") => cluster.proxies[one].thaw(),
+        Some("killed") => cluster.proxies[one].start(),
         _ => {}
     }
-    tier.settles(&tier.all(), "dagger", "b");
-    tier.finish();
-    (tier.judged("a", "b"), tier.apart_when_decided("dagger"))
+    cluster.settles(&cluster.all(), "dagger", "b");
+    cluster.finish();
+    (cluster.judged("a", "b"), cluster.apart_when_decided("dagger"))
 }
 
 /// From SIGHUP until the last living proxy has the version: of changes that contradict what is in force, or of such that don't.
 fn to_effect(size: usize, voters: &[usize], dead: bool, contradicting: bool) -> Vec<Duration> {
-    let mut tier = Tier::agreed(size, voters, 1);
+    let mut cluster = TestCluster::agreed(size, voters, 1);
     if dead {
         // A voter that doesn't lead: with the leader an election comes first, which is a matter of its own.
-        let leader = tier.leader(voters);
+        let leader = cluster.leader(voters);
         let dead = voters.iter().copied().find(|voter| *voter != leader).unwrap();
-        tier.kill(dead);
+        cluster.kill(dead);
         std::thread::sleep(2 * CONTRADICTION);
     }
-    let living: Vec<usize> = tier.all().into_iter().filter(|proxy| tier.proxies[*proxy].running()).collect();
-    let newest = |proxy: usize| tier.proxies[proxy].versions().last().map_or(0, |(number, _)| *number);
+    let living: Vec<usize> =
+        cluster.all().into_iter().filter(|proxy| cluster.proxies[*proxy].running()).collect();
+    let newest = |proxy: usize| cluster.proxies[proxy].versions().last().map_or(0, |(number, _)| *number);
     let changes = (0..10).map(|change| {
         let from = living.iter().map(|proxy| newest(*proxy)).max().unwrap();
         std::thread::sleep(ms(300 + 37 * change));
         let began = Instant::now();
         let hall = if contradicting { HALLS[(change as usize + 1) % 2] } else { HALLS[0] };
         let proxy = living[change as usize % living.len()];
-        tier.change(proxy, "dagger", &keeps_to("dagger", change + 2, hall));
-        within(PATIENCE, "the version at all", || {
+        cluster.change(proxy, "dagger", &keeps_to("dagger", change + 2, hall));
+        wait_for(MAX_WAIT, "the version at all", || {
             living.iter().all(|proxy| newest(*proxy) > from).then_some(())
         });
         began.elapsed()
@@ -166,18 +173,19 @@
 /// A proxy's watch falls silent, and a node drains: how long after the others were told it still got new requests, through
 /// that proxy.
 fn silent_watch(seed: u64) -> Duration {
-    let tier = Tier::agreed(3, &[0, 1, 2], seed);
-    tier.discovery.silence(1);
+    let cluster = TestCluster::agreed(3, &[0, 1, 2], seed);
+    cluster.discovery.silence(1);
     std::thread::sleep(ms(100 * (seed % 10)));
-    let told = tier.now();
-    tier.discovery.set_phase("a0", "draining");
+    let drained_at = cluster.now();
+    cluster.discovery.set_phase("a0", "draining");
     std::thread::sleep(ms(6_000));
-    tier.finish();
-    let last = tier.fleet.history().iter().filter(|placed| placed.node == "a0").map(|placed| placed.at).max();
-    last.map_or(Duration::ZERO, |last| last.saturating_sub(told))
+    cluster.finish();
+    let last =
+        cluster.fleet.history().iter().filter(|placed| placed.node == "a0").map(|placed| placed.at).max();
+    last.map_or(Duration::ZERO, |last| last.saturating_sub(drained_at))
 }
 
-fn told(times: &mut [Duration]) -> String {
+fn summary(times: &mut [Duration]) -> String {
     times.sort_unstable();
     let at = |share: usize| times[(times.len() - 1) * share / 100].as_millis();
     format!("median {} ms, longest {} ms", at(50), at(100))
@@ -185,7 +193,7 @@
 
 /// Prints a table; `ACCORD_SEEDS` says how many seeds of each fault.
 #[test]
-#[ignore = "a measurement of minutes: ACCORD_SEEDS=20 cargo test --test accord -- --ignored --nocapture"]
+#[ignore = "a measurement of minutes: ACCORD_SEEDS=20 cargo test --test consensus -- --ignored --nocapture"]
 fn figures() {
     let seeds: u64 = std::env::var("ACCORD_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(2);
     let mut table = String::new();
@@ -195,13 +203,14 @@
             let mut times = to_effect(size, &voters, dead, contradicting);
             let change = if contradicting { "contradicting" } else { "agreeing" };
             let (count, fault) = (voters.len(), if dead { "one voter dead" } else { "no fault" });
-            let told = told(&mut times);
-            writeln!(table, "file to effect, {change}, {size} processes, {count} voters, {fault}: {told}")
+            let summary = summary(&mut times);
+            writeln!(table, "file to effect, {change}, {size} processes, {count} voters, {fault}: {summary}")
                 .unwrap();
         }
     }
     let mut silent: Vec<Duration> = (0..seeds.min(5)).map(silent_watch).collect();
-    writeln!(table, "new requests to a drained node through a silent watch: {}", told(&mut silent)).unwrap();
+    writeln!(table, "new requests to a drained node through a silent watch: {}", summary(&mut silent))
+        .unwrap();
     for kind in KINDS {
         let (next, longest) = (Mutex::new(0..seeds), Mutex::new(Vec::new()));
         std::thread::scope(|scope| {
@@ -218,10 +227,10 @@
         let longest = longest.into_inner().unwrap();
         let most = longest.iter().map(|(arrived, _)| arrived.as_millis()).max().unwrap();
         let decided = longest.iter().map(|(_, decided)| decided.as_millis()).max().unwrap();
-        let over = longest.iter().filter(|(arrived, _)| !arrived.is_zero()).count();
+        let with_overlap = longest.iter().filter(|(arrived, _)| !arrived.is_zero()).count();
         writeln!(
             table,
-            "contradiction, {kind}: longest {most} ms as it arrived, in {over} of {seeds} runs any; {decided} ms as decided"
+            "contradiction, {kind}: longest {most} ms as it arrived, in {with_overlap} of {seeds} runs any; {decided} ms as decided"
         )
         .unwrap();
     }
