--- a/crates/aggregation/src/member.rs
+++ b/crates/aggregation/src/member.rs
@@ -1,24 +1,18 @@
-//! One member: it reports to the aggregator, asks others while that is silent, and is aggregator when it is asked.
+//! One member: it reports to the aggregator, asks others while that is silent, and is aggregator when it is asked. What it does
+//! with datagrams is in `receiving`.
 
 use crate::aggregator::Aggregator;
 use crate::aggregator_order::EPOCH;
 use crate::aggregator_search::{AggregatorSearch, MAX_ANSWER_AGE, NextRound, Stage};
-use crate::group_sums::Recorded;
 use crate::groups::GroupLoad;
 use crate::interface::{Counts, Input, LocalLoad, Outbox, Output};
 use crate::report_interval;
+use crate::report_schedule::ReportSchedule;
 use crate::snapshot::Snapshot;
 use crate::subset_tracker::{FleetEstimate, SubsetTracker};
-use crate::wire::{self, Datagram, FleetSummary, Fragment, GroupReport, Report, SubsetSizes};
-use crate::{AffinitySettings, Micros, Settings};
-use rand::{RngExt, SeedableRng};
-use rand_chacha::ChaCha8Rng;
+use crate::wire::{self, Fragment, GroupReport, Report};
+use crate::{Micros, Settings};
 
-/// A snapshot is replaced by one of fewer members than this share of its own only once it is old: an aggregator that has just
-/// begun has not heard all.
-const MIN_MEMBER_RATIO: f64 = 0.6;
-/// ... which is after so many report intervals.
-const SNAPSHOT_INTERVALS: Micros = 3;
 /// What a snapshot says of intervals and shares counts for so many of the longest intervals.
 const SNAPSHOT_LIFETIME_INTERVALS: Micros = 4;
 /// A member takes its share of all connections to be this much of an even one at least.
@@ -33,51 +27,23 @@
     AdvanceNotice,
 }
 
-/// When reports go out.
-#[derive(Debug)]
-struct ReportSchedule {
-    rng: ChaCha8Rng,
-    /// Of the last report.
-    sequence: u16,
-    /// When the last report went out.
-    sent_at: Micros,
-    /// When the next one is due.
-    next_at: Micros,
-}
-
-impl ReportSchedule {
-    fn new(settings: &Settings, seed: u64, now: Micros) -> Self {
-        let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let next_at = now + rng.random_range(0..=settings.min_report_interval / 4);
-        let sequence = rng.random();
-        ReportSchedule { rng, sequence, sent_at: now, next_at }
-    }
-
-    /// A report goes out now; the next one after this interval, up to this much sooner or later.
-    fn advance(&mut self, now: Micros, interval: Micros, max_jitter: Micros) {
-        let jitter = self.rng.random_range(-max_jitter..=max_jitter);
-        self.sent_at = now;
-        self.next_at = now + interval + jitter;
-    }
-}
-
 /// One member of the fleet.
 #[derive(Debug)]
 pub struct Member {
-    settings: Settings,
-    me: u32,
-    members: u32,
-    now: Micros,
+    pub(crate) settings: Settings,
+    pub(crate) me: u32,
+    pub(crate) members: u32,
+    pub(crate) now: Micros,
     /// Unix time at the time 0 of the clock, microseconds: epochs are the same for all members.
     unix_offset: Micros,
-    search: AggregatorSearch,
-    schedule: ReportSchedule,
-    local: LocalLoad,
-    aggregator: Aggregator,
-    subsets: SubsetTracker,
-    snapshot: Option<Snapshot>,
-    left: bool,
-    outbox: Outbox,
+    pub(crate) search: AggregatorSearch,
+    pub(crate) schedule: ReportSchedule,
+    pub(crate) local: LocalLoad,
+    pub(crate) aggregator: Aggregator,
+    pub(crate) subsets: SubsetTracker,
+    pub(crate) snapshot: Option<Snapshot>,
+    pub(crate) left: bool,
+    pub(crate) outbox: Outbox,
 }
 
 impl Member {
@@ -188,7 +154,7 @@
         }
     }
 
-    fn answer_is_late(&self) -> bool {
+    pub(crate) fn answer_is_late(&self) -> bool {
         self.now - self.schedule.sent_at > MAX_ANSWER_AGE
     }
 
@@ -280,115 +246,6 @@
         })
     }
 
-    fn receive(&mut self, from: Option<u32>, bytes: &[u8]) {
-        let from = from.filter(|from| *from != self.me && *from < self.members && !self.left);
-        let (Some(from), Some(datagram)) = (from, wire::read(bytes)) else {
-            self.outbox.counts.dropped += 1;
-            return;
-        };
-        match datagram {
-            Datagram::Report(report) => self.receive_report(from, report, bytes.len()),
-            Datagram::Summary(summary) => self.receive_summary(from, summary),
-            Datagram::GroupReport(report) => self.receive_group_report(from, report, bytes.len()),
-            Datagram::SubsetSizes(sizes) => self.receive_subset_sizes(from, sizes),
-        }
-    }
-
-    fn receive_report(&mut self, from: u32, report: Report, bytes: usize) {
-        let sequence = report.sequence;
-        let wants_answer = report.fragment.is_last() && !report.advance_notice && !report.leaving;
-        self.aggregator.record_report(self.now, from, bytes, report);
-        if wants_answer {
-            let summary = self.aggregator.summary(&self.settings, self.now);
-            let fragments = wire::write_summary(&FleetSummary { sequence, ..summary });
-            fragments.into_iter().for_each(|bytes| self.outbox.send(from, bytes));
-        }
-    }
-
-    fn receive_group_report(&mut self, from: u32, report: GroupReport, bytes: usize) {
-        let Some(affinity) = self.settings.affinity else {
-            self.outbox.counts.dropped += 1;
-            return;
-        };
-        let sequence = report.sequence;
-        let wants_answer = report.fragment.is_last() && !report.advance_notice;
-        let recorded = self.aggregator.record_groups(&self.settings, self.now, from, bytes, report);
-        self.outbox.counts.dropped += u64::from(recorded == Recorded::Contradictory);
-        if wants_answer {
-            let incomplete = self.aggregator.summary(&self.settings, self.now).incomplete;
-            let sizes = if incomplete { Vec::new() } else { self.compute_subset_sizes(&affinity) };
-            let answer = SubsetSizes { sequence, fragment: Fragment::ONLY, incomplete, sizes };
-            wire::write_subset_sizes(&answer).into_iter().for_each(|bytes| self.outbox.send(from, bytes));
-        }
-    }
-
-    fn compute_subset_sizes(&mut self, affinity: &AffinitySettings) -> Vec<(u64, u32)> {
-        self.aggregator.subset_sizes(&self.settings, affinity, self.now, self.members)
-    }
-
-    /// Whether this answers the last report, in time, and comes from a member that it went to: an earlier aggregator could
-    /// guess the next sequence number.
-    fn is_answer(&mut self, from: u32, sequence: u16) -> bool {
-        let asked = sequence == self.schedule.sequence && self.search.has_asked(from);
-        let late = self.answer_is_late();
-        self.outbox.counts.dropped += u64::from(!asked);
-        self.outbox.counts.late += u64::from(asked && late);
-        asked && !late
-    }
-
-    fn receive_summary(&mut self, from: u32, summary: FleetSummary) {
-        if self.is_answer(from, summary.sequence) && self.search.accept_answer(from) {
-            self.set_aggregator(Some(from));
-            self.apply_summary(summary);
-        }
-    }
-
-    fn receive_subset_sizes(&mut self, from: u32, sizes: SubsetSizes) {
-        if self.is_answer(from, sizes.sequence) && !sizes.incomplete {
-            self.apply_subset_sizes(sizes.sizes, sizes.fragment.is_last());
-        }
-    }
-
-    fn answer_own_report(&mut self) {
-        self.search.end_report();
-        let summary = self.aggregator.summary(&self.settings, self.now);
-        let incomplete = summary.incomplete;
-        self.apply_summary(summary);
-        if let Some(affinity) = self.settings.affinity
-            && !incomplete
-        {
-            let sizes = self.compute_subset_sizes(&affinity);
-            self.apply_subset_sizes(sizes, true);
-        }
-    }
-
-    fn apply_summary(&mut self, summary: FleetSummary) {
-        if summary.incomplete || self.lacks_members(&summary) {
-            return;
-        }
-        let own_connections = self.local.totals.connections;
-        self.snapshot.get_or_insert_default().update(self.now, own_connections, summary);
-        // Where the fleet got more requests, reports come closer at once, not only from the next one on.
-        let latest = self.schedule.sent_at + self.report_interval() * 11 / 10;
-        self.schedule.next_at = self.schedule.next_at.min(latest);
-        self.outbox.push(Output::Snapshot);
-    }
-
-    fn lacks_members(&self, summary: &FleetSummary) -> bool {
-        self.snapshot.as_ref().is_some_and(|snapshot| {
-            f64::from(summary.members) < MIN_MEMBER_RATIO * f64::from(snapshot.members)
-                && self.now - snapshot.received_at < SNAPSHOT_INTERVALS * self.report_interval()
-        })
-    }
-
-    fn apply_subset_sizes(&mut self, sizes: Vec<(u64, u32)>, is_last_fragment: bool) {
-        self.outbox.counts.subset_tables_received += 1;
-        let max_size = self.aggregator.endpoints().count;
-        if self.subsets.apply_answer(self.now, sizes, max_size, is_last_fragment) {
-            self.outbox.push(Output::AffinitySubsets);
-        }
-    }
-
     fn set_group_loads(&mut self, groups: Vec<GroupLoad>) {
         let Some(affinity) = self.settings.affinity else { return };
         let fleet = FleetEstimate {
@@ -414,7 +271,7 @@
         self.snapshot.as_ref().filter(|snapshot| self.now - snapshot.received_at < lifetime)
     }
 
-    fn set_aggregator(&mut self, aggregator: Option<u32>) {
+    pub(crate) fn set_aggregator(&mut self, aggregator: Option<u32>) {
         if self.search.set_aggregator(aggregator) {
             self.outbox.push(Output::Aggregator(aggregator));
         }
