--- a/crates/cottonnotch/src/rules/published_plan_tests.rs
+++ b/crates/cottonnotch/src/rules/published_plan_tests.rs
@@ -1,11 +1,11 @@
 use super::super::lease_file::LeaseRecord;
 use super::*;
 use cottonnotch_routing_rules::Book;
-use cottonnotch_rule_compiler::{Profiles, lower};
+use cottonnotch_rule_compiler::{Profiles, compile};
 use std::sync::atomic::AtomicBool;
 
 fn plan() -> Arc<Plan> {
-    Arc::new(lower(&Book::default(), &Profiles::new()).plan)
+    Arc::new(compile(&Book::default(), &Profiles::new()).plan)
 }
 
 #[test]
--- a/crates/cottonnotch/src/rules/report.rs
+++ b/crates/cottonnotch/src/rules/report.rs
@@ -5,7 +5,7 @@
 use super::settings::RulesSettings;
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_routing_rules::{History, Merged, Rule, RuleKind, Strength, merge};
-use cottonnotch_rule_compiler::lower;
+use cottonnotch_rule_compiler::compile;
 use std::collections::BTreeSet;
 use std::fmt::Write;
 
@@ -53,7 +53,7 @@
             writeln!(text, "held back: {namespace}")?;
         }
     }
-    for row in lower(&book, &settings.profiles).table {
+    for row in compile(&book, &settings.profiles).table {
         writeln!(text, "runs: {row}")?;
     }
     Ok(())
--- a/crates/cottonnotch/src/rules/routing_verdict.rs
+++ b/crates/cottonnotch/src/rules/routing_verdict.rs
@@ -181,7 +181,7 @@
         let version = state.published.read();
         let plan = version.as_ref().map(|published| &*published.plan);
         if let Some(plan) = plan {
-            let rules = plan.look(&state.names.resolve(request));
+            let rules = plan.lookup(&state.names.resolve(request));
             state.evaluation.take_tokens(now, &rules);
         }
         state.add_connection(plan, request, server);
@@ -192,7 +192,7 @@
         let version = state.published.read();
         // Counts without a lease, too: leaving a connection where it is contradicts nobody.
         let plan = &version.as_ref()?.plan;
-        let rules = plan.look(&state.names.resolve(request));
+        let rules = plan.lookup(&state.names.resolve(request));
         match state.evaluation.move_condition(&rules, server)? {
             MoveCondition::Last => Some(Stickiness::MigrateLast),
             MoveCondition::DrainsOnly => Some(Stickiness::UntilDrained),
@@ -211,13 +211,13 @@
             return self.verdict_without_rules(self.uncertainty.before_first);
         };
         self.follow_version(published);
-        let rules = published.plan.look(&self.names.resolve(request));
+        let rules = published.plan.lookup(&self.names.resolve(request));
         let is_uncertain = evaluated_at >= self.published.until(published);
         let names = match self.rule_names {
             RuleNames::Recorded => rules.rule_names().map(Name::from).collect(),
             RuleNames::Omitted => Vec::new(),
         };
-        let policy = rules.on_doubt();
+        let policy = rules.uncertainty_policy();
         let verdict = match (is_uncertain, policy) {
             (false, _) => self.evaluation.evaluate(now, request.group, &rules, Preferences::Apply),
             (true, None) => self.verdict_without_rules(self.uncertainty.unruled),
--- a/crates/cottonnotch/src/rules/routing_verdict_tests.rs
+++ b/crates/cottonnotch/src/rules/routing_verdict_tests.rs
@@ -5,7 +5,7 @@
 use cottonnotch_decision::names::Names;
 use cottonnotch_decision::{Class, ClassId, Idempotency, ServerState, Settings, TenantId, ZoneId};
 use cottonnotch_routing_rules::{History, Inventory, RuleFile, merge};
-use cottonnotch_rule_compiler::{Profile as Hardware, Profiles, lower};
+use cottonnotch_rule_compiler::{Profile as Hardware, Profiles, compile};
 
 use std::collections::BTreeSet;
 
@@ -55,7 +55,7 @@
     let merged = merge(&History::default(), &[RuleFile::new("consortium.toml", text)], &world);
     assert_eq!(merged.conflicts, []);
     let profiles: Profiles = ["x", "y"].map(|class| (class.to_owned(), Hardware::full())).into();
-    Arc::new(lower(&merged.book, &profiles).plan)
+    Arc::new(compile(&merged.book, &profiles).plan)
 }
 
 /// Eight nodes: halls a and b by turns, classes x and y by pairs.
--- a/crates/cottonnotch/src/rules/rule_evaluation.rs
+++ b/crates/cottonnotch/src/rules/rule_evaluation.rs
@@ -6,7 +6,7 @@
 use cottonnotch_decision::quota::{Quota, TokenBucket};
 use cottonnotch_decision::{Micros, RoutingVerdict, ServerId};
 use cottonnotch_routing_rules::{MoveCondition, Node, Request};
-use cottonnotch_rule_compiler::{LimitId, Look, NodeKey, Plan};
+use cottonnotch_rule_compiler::{LimitId, Lookup, NodeKey, Plan};
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -57,7 +57,7 @@
 /// The limits that a request's connection to this server counts towards.
 fn limits(plan: &Plan, nodes: &RenderNodes, request: &Request, server: ServerId) -> Vec<LimitId> {
     let Some(kind) = nodes.kind(server).and_then(|kind| nodes.kinds().get(kind)) else { return Vec::new() };
-    let rules = plan.look(request);
+    let rules = plan.lookup(request);
     let counted = rules.caps().filter(|(_, _, limited)| limited.contains(&node_of(kind)));
     counted.map(|(limit, _, _)| limit).collect()
 }
@@ -94,13 +94,13 @@
     }
 
     /// When a connection may be moved off this server.
-    pub fn move_condition(&self, rules: &Look, server: ServerId) -> Option<MoveCondition> {
+    pub fn move_condition(&self, rules: &Lookup, server: ServerId) -> Option<MoveCondition> {
         let kind = self.nodes.kinds().get(self.nodes.kind(server)?)?;
         rules.move_when_on(&node_of(kind))
     }
 
     /// Takes a token of each rate that the request's connection comes under.
-    pub fn take_tokens(&mut self, now: Micros, rules: &Look) {
+    pub fn take_tokens(&mut self, now: Micros, rules: &Lookup) {
         for (limit, _) in rules.paces() {
             self.buckets.entry(limit).or_insert_with(|| TokenBucket::new(now)).take();
         }
@@ -111,7 +111,7 @@
         &mut self,
         now: Micros,
         group: Option<u64>,
-        rules: &Look,
+        rules: &Lookup,
         preferences: Preferences,
     ) -> RoutingVerdict {
         let allowed = self.allowed_kinds(rules);
@@ -134,7 +134,7 @@
     }
 
     /// The kinds that the rules allow and whose connection limits have room in this proxy's share.
-    fn allowed_kinds(&self, rules: &Look) -> NodeKindSet {
+    fn allowed_kinds(&self, rules: &Lookup) -> NodeKindSet {
         let exhausted: Vec<_> = rules
             .caps()
             .filter(|(limit, total, _)| {
@@ -149,7 +149,7 @@
     }
 
     /// The kinds that the preferences rank first among the allowed ones with ready nodes; `None`: they rank all alike.
-    fn preferred_kinds(&self, rules: &Look, allowed: &NodeKindSet) -> Option<NodeKindSet> {
+    fn preferred_kinds(&self, rules: &Lookup, allowed: &NodeKindSet) -> Option<NodeKindSet> {
         let keys = &self.keys;
         let ranks = || {
             let ready = (0..keys.len()).filter(|kind| allowed.contains(*kind) && self.nodes.is_ready(*kind));
@@ -161,7 +161,7 @@
     }
 
     /// When every rate that the request comes under has a token in this proxy's share; `None`: now.
-    fn next_tokens_at(&mut self, now: Micros, rules: &Look) -> Option<Micros> {
+    fn next_tokens_at(&mut self, now: Micros, rules: &Lookup) -> Option<Micros> {
         let quota = Quota::even(self.proxies);
         let mut not_before = None;
         for (limit, per_s_milli) in rules.paces() {
--- a/crates/cottonnotch/src/rules/version_content.rs
+++ b/crates/cottonnotch/src/rules/version_content.rs
@@ -3,7 +3,7 @@
 
 use cottonnotch_consensus::ContentHash;
 use cottonnotch_routing_rules::{Book, History, Inventory};
-use cottonnotch_rule_compiler::{Plan, Profiles, lower};
+use cottonnotch_rule_compiler::{Plan, Profiles, compile};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -81,7 +81,7 @@
     }
 
     fn with_bytes(self, bytes: Arc<[u8]>) -> VersionContent {
-        let plan = Arc::new(lower(&self.book, &self.profiles).plan);
+        let plan = Arc::new(compile(&self.book, &self.profiles).plan);
         VersionContent { hash: *blake3::hash(&bytes).as_bytes(), bytes, body: self, plan }
     }
 }
--- a/crates/rule-compiler/benches/look.rs
+++ b/crates/rule-compiler/benches/lookup.rs
@@ -1,5 +1,5 @@
-//! What looks, lowering and swaps cost. A plain main that prints ratios, as ratios are what is asked of them; Criterion
-//! measures the single looks.
+//! What lookups, lowering and swaps cost. A plain main that prints ratios, as ratios are what is asked of them; Criterion
+//! measures the single lookups.
 
 use std::collections::BTreeSet;
 use std::hint::black_box;
@@ -12,7 +12,7 @@
     Book, GroupRange, MoveCondition, Node, Owner, PlacementMode, Request, Rule, RuleKind, Selector, Strength,
     UncertaintyPolicy,
 };
-use cottonnotch_rule_compiler::{Plan, Profile, Profiles, contradiction, lower};
+use cottonnotch_rule_compiler::{Plan, Profile, Profiles, compile, contradiction};
 use criterion::Criterion;
 use hdrhistogram::Histogram;
 
@@ -107,12 +107,12 @@
 fn one_look(plan: &Plan, asked: &Asked) -> (bool, u32, Option<u32>) {
     let request = Request { tenant: Some(&asked.tenant), class: &asked.class, group: asked.group };
     let node = Node { hall: &asked.hall, hardware: &asked.hardware };
-    let look = plan.look(&request);
+    let lookup = plan.lookup(&request);
     let key = plan.node_key(&node);
-    (look.allows_key(key), look.rank_key(key), look.attempts())
+    (lookup.allows_key(key), lookup.rank_key(key), lookup.attempts())
 }
 
-/// Nanoseconds of a look with a node's verdict and rank: the least of some rounds, as other work disturbs the rest.
+/// Nanoseconds of a lookup with a node's verdict and rank: the least of some rounds, as other work disturbs the rest.
 fn look_ns(plan: &Plan, asked: &[Asked]) -> f64 {
     let round = || {
         let start = Instant::now();
@@ -138,7 +138,7 @@
     (0..5).map(|_| round()).fold(f64::INFINITY, f64::min)
 }
 
-/// What eight threads see of single looks, with plans swapped below them or not.
+/// What eight threads see of single lookups, with plans swapped below them or not.
 fn shared(plans: &[Arc<Plan>; 2], asked: &[Asked], swaps: bool) -> Histogram<u64> {
     let plan = ArcSwap::new(plans[0].clone());
     let over = AtomicBool::new(false);
@@ -146,7 +146,7 @@
         let mut seen = histogram();
         let mut at = from * 511;
         while !over.load(Ordering::Relaxed) {
-            // Some looks in one reading of the clock, which else is what is measured.
+            // Some lookups in one reading of the clock, which else is what is measured.
             let start = Instant::now();
             for _ in 0..8 {
                 let plan = plan.load();
@@ -182,8 +182,8 @@
     // `cargo test --benches` only sees whether this runs.
     let brief = !std::env::args().any(|arg| arg == "--bench");
     let (small, large) = (book(10, 100), book(if brief { 200 } else { 10_000 }, 100));
-    let plan_small = lower(&small, &profiles()).plan;
-    let plan_large = lower(&large, &profiles()).plan;
+    let plan_small = compile(&small, &profiles()).plan;
+    let plan_large = compile(&large, &profiles()).plan;
     let count = plan_large.rules() as u64;
     let (few, many) = (asked(10), asked(count));
     if brief {
@@ -193,10 +193,10 @@
     // `docs/CAPACITY.md` quotes these.
     for rules in [1_000, 3_000, 10_000, 30_000] {
         let book = book(rules, 100);
-        let plan = lower(&book, &profiles()).plan;
+        let plan = compile(&book, &profiles()).plan;
         println!(
             r#"{{"what":"lower","rules":{rules},"least_ms":{:.2},"plan_bytes":{},"index_bytes":{},"look_ns":{:.0}}}"#,
-            seconds(|| lower(&book, &profiles())) * 1e3,
+            seconds(|| compile(&book, &profiles())) * 1e3,
             plan.to_bytes().len(),
             plan.index_bytes(),
             look_ns(&plan, &asked(rules))
@@ -207,7 +207,7 @@
         "look at 10 rules {ns_small:.0} ns, at {count} {ns_large:.0} ns, ratio {:.2}",
         ns_large / ns_small
     );
-    let heavy = lower(&book(count, 10), &profiles()).plan;
+    let heavy = compile(&book(count, 10), &profiles()).plan;
     let ns_heavy = look_ns(&heavy, &many);
     println!("with a tenth of the rules for all tenants {ns_heavy:.0} ns, ratio {:.2}", ns_heavy / ns_small);
     let bytes = plan_large.to_bytes();
@@ -216,7 +216,7 @@
         bytes.len(),
         plan_large.index_bytes()
     );
-    println!("lower {count}: {:.1} ms", seconds(|| lower(&large, &profiles())) * 1e3);
+    println!("lower {count}: {:.1} ms", seconds(|| compile(&large, &profiles())) * 1e3);
     println!("decode {count}: {:.1} ms", seconds(|| Plan::from_bytes(&bytes)) * 1e3);
 
     // The least that any request gets is halved for all tenants but one by one: every slot changes, and nothing differs.
@@ -236,7 +236,7 @@
         let mut rules = large.rules.clone();
         rules.extend(more);
         rules.sort_by(|a, b| (&a.namespace, &a.name).cmp(&(&b.namespace, &b.name)));
-        lower(&Book { namespaces: large.namespaces.clone(), rules }, &profiles()).plan
+        compile(&Book { namespaces: large.namespaces.clone(), rules }, &profiles()).plan
     };
     let all = || bound("z-all".into(), BTreeSet::new());
     let each = tenants.iter().map(|tenant| bound(format!("z-{tenant}"), [tenant.to_string()].into()));
--- a/crates/rule-compiler/src/bits.rs
+++ b/crates/rule-compiler/src/bits.rs
@@ -66,11 +66,11 @@
         for pair in pairs {
             words[(pair / 64) as usize] |= 1 << (pair % 64);
         }
-        self.of_words(words)
+        self.intern_words(words)
     }
 
     /// The number of the set with these words.
-    pub(crate) fn of_words(&mut self, words: Vec<u64>) -> SetId {
+    pub(crate) fn intern_words(&mut self, words: Vec<u64>) -> SetId {
         if let Some(&id) = self.known.get(words.as_slice()) {
             return id;
         }
--- a/crates/rule-compiler/src/canonical.rs
+++ b/crates/rule-compiler/src/canonical.rs
@@ -1,102 +1,72 @@
-//! What bytes have to be like to be a plan, and how much of them is read at all.
-
-use std::fmt;
-use std::marker::PhantomData;
+//! The canonical form of a plan: which body is the one encoding of its meaning.
 
 use cottonnotch_routing_rules::{GroupRange, UncertaintyPolicy};
-use serde::de::{SeqAccess, Visitor};
-use serde::{Deserialize, Deserializer};
 
-use crate::plan::{BadPlan, Body, Form, Lowrule};
+use crate::plan_body::{Body, CompiledForm, CompiledRule, PlanError};
 
 /// The level that rules need of a build.
-pub(crate) fn needs(rules: &[Lowrule]) -> u16 {
+pub(crate) fn needs(rules: &[CompiledRule]) -> u16 {
     rules.iter().map(|rule| rule.form.needs()).max().unwrap_or(1)
 }
 
-/// Reads a list of bounded length: a rule takes far more room in memory than on the wire.
-pub(crate) fn few<'de, D: Deserializer<'de>, T: Deserialize<'de>, const MOST: usize>(
-    from: D,
-) -> Result<Vec<T>, D::Error> {
-    struct Few<T, const MOST: usize>(PhantomData<T>);
-    impl<'de, T: Deserialize<'de>, const MOST: usize> Visitor<'de> for Few<T, MOST> {
-        type Value = Vec<T>;
-
-        fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-            write!(f, "at most {MOST} entries")
-        }
-
-        fn visit_seq<A: SeqAccess<'de>>(self, mut from: A) -> Result<Vec<T>, A::Error> {
-            let mut entries = Vec::new();
-            while let Some(entry) = from.next_element()? {
-                if entries.len() == MOST {
-                    return Err(serde::de::Error::invalid_length(MOST + 1, &self));
-                }
-                entries.push(entry);
-            }
-            Ok(entries)
-        }
-    }
-    from.deserialize_seq(Few::<T, MOST>(PhantomData))
-}
-
-pub(crate) fn check(body: &Body) -> Result<(), BadPlan> {
+/// Whether a body is as [`compile`](crate::compile()) makes it.
+pub(crate) fn check(body: &Body) -> Result<(), PlanError> {
     if body.needs != needs(&body.rules) {
-        return Err(BadPlan::Canonical("needs"));
+        return Err(PlanError::Canonical("needs"));
     }
     if !body.hardware.is_sorted_by(|a, b| a < b) {
-        return Err(BadPlan::Canonical("hardware"));
+        return Err(PlanError::Canonical("hardware"));
     }
     if !body.rules.is_sorted_by(|a, b| (&a.namespace, &a.name) < (&b.namespace, &b.name)) {
-        return Err(BadPlan::Canonical("rules"));
+        return Err(PlanError::Canonical("rules"));
     }
     body.rules.iter().try_for_each(|rule| check_rule(rule, &body.hardware))
 }
 
-fn check_rule(rule: &Lowrule, hardware: &[String]) -> Result<(), BadPlan> {
+fn check_rule(rule: &CompiledRule, hardware: &[String]) -> Result<(), PlanError> {
     let listed = |places: &[u16], end: usize| {
         places.is_sorted_by(|a, b| a < b) && places.last().is_none_or(|&last| usize::from(last) < end)
     };
     if !listed(&rule.out, hardware.len() + 1) {
-        return Err(BadPlan::Canonical("classes that are out"));
+        return Err(PlanError::Canonical("classes that are out"));
     }
-    if !tidy(&rule.on.groups) {
-        return Err(BadPlan::Canonical("groups"));
+    if !is_normalized(&rule.on.groups) {
+        return Err(PlanError::Canonical("groups"));
     }
-    if rule.form.is_wish() && rule.on_doubt != UncertaintyPolicy::Keep {
-        return Err(BadPlan::Canonical("a wish in doubt"));
+    if rule.form.is_preference() && rule.uncertainty_policy != UncertaintyPolicy::Keep {
+        return Err(PlanError::Canonical("a wish in doubt"));
     }
     let named = rule.form.nodes().map(|nodes| &nodes.hardware);
     if named.is_some_and(|named| named.iter().any(|name| hardware.binary_search(name).is_err())) {
-        return Err(BadPlan::Canonical("classes that aren't listed"));
+        return Err(PlanError::Canonical("classes that aren't listed"));
     }
     match &rule.form {
-        Form::Spread { counted: Some(counted), .. } if counted.nodes.hardware.is_empty() => {
-            Err(BadPlan::Canonical("a spread counted nowhere"))
+        CompiledForm::Spread { counted: Some(counted), .. } if counted.nodes.hardware.is_empty() => {
+            Err(PlanError::Canonical("a spread counted nowhere"))
         }
-        Form::Move { drains_only, .. } if !listed(drains_only, hardware.len()) => {
-            Err(BadPlan::Canonical("classes that drain only"))
+        CompiledForm::Move { drains_only, .. } if !listed(drains_only, hardware.len()) => {
+            Err(PlanError::Canonical("classes that drain only"))
         }
         _ => Ok(()),
     }
 }
 
 /// Whether ranges are sorted, disjoint and not next to each other.
-fn tidy(ranges: &[GroupRange]) -> bool {
+fn is_normalized(ranges: &[GroupRange]) -> bool {
     ranges.iter().all(|range| range.first <= range.last)
         && ranges.windows(2).all(|two| two[0].last.checked_add(1).is_some_and(|next| next < two[1].first))
 }
 
 /// The ranges that mean the same groups, sorted, disjoint and not next to each other.
-pub(crate) fn tidied(ranges: &[GroupRange]) -> Vec<GroupRange> {
+pub(crate) fn normalized(ranges: &[GroupRange]) -> Vec<GroupRange> {
     let mut sorted: Vec<_> = ranges.iter().copied().filter(|range| range.first <= range.last).collect();
     sorted.sort();
-    let mut tidied: Vec<GroupRange> = Vec::with_capacity(sorted.len());
+    let mut normalized: Vec<GroupRange> = Vec::with_capacity(sorted.len());
     for range in sorted {
-        match tidied.last_mut() {
+        match normalized.last_mut() {
             Some(last) if range.first <= last.last.saturating_add(1) => last.last = last.last.max(range.last),
-            _ => tidied.push(range),
+            _ => normalized.push(range),
         }
     }
-    tidied
+    normalized
 }
--- a/crates/rule-compiler/src/contradiction.rs
+++ b/crates/rule-compiler/src/contradiction.rs
@@ -6,10 +6,11 @@
 use cottonnotch_routing_rules::{GroupRange, Node, Request, Selector};
 
 use crate::index::{ANY, Names, Slot};
-use crate::look::{Look, NodeKey};
-use crate::plan::{Form, Lowrule, Plan};
+use crate::lookup::{Lookup, NodeKey};
+use crate::plan::Plan;
+use crate::plan_body::{CompiledForm, CompiledRule};
 
-/// A request and a node on which two plans differ, and a must of each that speaks of it. The name of a must is empty on the
+/// A request and a node on which two plans differ, and a requirement of each that concerns it. The name of a requirement is empty on the
 /// side that has none to show.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Witness {
@@ -29,9 +30,9 @@
     pub new_rule: String,
 }
 
-/// Finds a request that the musts of two plans differ on: a node that one allows and the other forbids, or a bound that
+/// Finds a request that the requirements of two plans differ on: a node that one allows and the other forbids, or a bound that
 /// only one has or that is another. It is symmetric: which of two plans is the newer doesn't matter, as either may be acted
-/// on by a process that the other has left behind. Wishes never contradict.
+/// on by a process that the other has left behind. Preferences never contradict.
 ///
 /// It is exact: requests fall into finitely many cells, which the names and the ends of intervals in either plan bound, and
 /// only cells that a changed must speaks of can differ.
@@ -47,10 +48,10 @@
 /// Where the slots of both plans say different things: by key, the groups, and whether requests without one too.
 type Unequal<'a> = Vec<(Key<'a>, (Vec<GroupRange>, bool))>;
 
-/// How two looks differ.
+/// How two lookups differ.
 enum Difference {
     At(usize),
-    Number(fn(&Form) -> bool),
+    Number(fn(&CompiledForm) -> bool),
 }
 
 struct Search<'a> {
@@ -101,12 +102,12 @@
         Self { old, new, nodes, other_class, alike, hardware }
     }
 
-    /// What the musts are on that only one plan has, or that differ.
+    /// What the requirements are on that only one plan has, or that differ.
     fn changed(&self) -> Vec<&'a Selector> {
-        let musts = |plan: &'a Plan| -> Vec<&'a Lowrule> {
-            plan.body.rules.iter().filter(|rule| !rule.form.is_wish()).collect()
+        let requirements = |plan: &'a Plan| -> Vec<&'a CompiledRule> {
+            plan.body.rules.iter().filter(|rule| !rule.form.is_preference()).collect()
         };
-        let (old, new) = (musts(self.old), musts(self.new));
+        let (old, new) = (requirements(self.old), requirements(self.new));
         let (mut old, mut new) = (old.into_iter().peekable(), new.into_iter().peekable());
         let mut changed = Vec::new();
         loop {
@@ -127,12 +128,13 @@
         }
     }
 
-    /// Whether two musts of one name do the same in both plans, which may list other classes.
-    fn same(&self, a: &Lowrule, b: &Lowrule) -> bool {
+    /// Whether two requirements of one name do the same in both plans, which may list other classes.
+    fn same(&self, a: &CompiledRule, b: &CompiledRule) -> bool {
         let form = match (&a.form, &b.form) {
-            (Form::Move { when: a, drains_only: old }, Form::Move { when: b, drains_only: new }) => {
-                a == b && self.hardware.iter().all(|(a, b)| old.contains(a) == new.contains(b))
-            }
+            (
+                CompiledForm::Move { when: a, drains_only: old },
+                CompiledForm::Move { when: b, drains_only: new },
+            ) => a == b && self.hardware.iter().all(|(a, b)| old.contains(a) == new.contains(b)),
             (a, b) => a == b,
         };
         form && a.on == b.on && self.hardware.iter().all(|(x, y)| a.out.contains(x) == b.out.contains(y))
@@ -158,7 +160,7 @@
         let slots = [self.old, self.new].map(|plan| slot(plan, key));
         let differ = |group: Option<u64>| {
             let [old, new] = [(self.old, slots[0]), (self.new, slots[1])]
-                .map(|(plan, slot)| Look::of_slot(plan, slot, group));
+                .map(|(plan, slot)| Lookup::of_slot(plan, slot, group));
             self.difference(&old, &new).is_some()
         };
         let mut starts: BTreeSet<u64> = BTreeSet::from([0]);
@@ -206,11 +208,11 @@
     }
 
     fn differs(&self, request: &Request) -> Option<Witness> {
-        let (old, new) = (self.old.look(request), self.new.look(request));
+        let (old, new) = (self.old.lookup(request), self.new.lookup(request));
         self.difference(&old, &new).map(|difference| self.witness(request, &old, &new, &difference))
     }
 
-    fn difference(&self, old: &Look, new: &Look) -> Option<Difference> {
+    fn difference(&self, old: &Lookup, new: &Lookup) -> Option<Difference> {
         let differs = |node: &(_, _, NodeKey, NodeKey)| old.allows_key(node.2) != new.allows_key(node.3);
         if !(self.alike && old.allows_as(new))
             && let Some(at) = self.nodes.iter().position(differs)
@@ -218,42 +220,43 @@
             return Some(Difference::At(at));
         }
         if old.attempts() != new.attempts() {
-            return Some(Difference::Number(|form| matches!(form, Form::Attempts(_))));
+            return Some(Difference::Number(|form| matches!(form, CompiledForm::Attempts(_))));
         }
         if old.spread() != new.spread() {
-            return Some(Difference::Number(|form| matches!(form, Form::Spread { .. })));
+            return Some(Difference::Number(|form| matches!(form, CompiledForm::Spread { .. })));
         }
         if sorted(old.paces()) != sorted(new.paces()) {
-            return Some(Difference::Number(|form| matches!(form, Form::Pace(_))));
+            return Some(Difference::Number(|form| matches!(form, CompiledForm::Pace(_))));
         }
         if sorted(old.caps()) != sorted(new.caps()) {
-            let limits =
-                |form: &Form| matches!(form, Form::Cap { .. } | Form::Spread { counted: Some(_), .. });
+            let limits = |form: &CompiledForm| {
+                matches!(form, CompiledForm::Cap { .. } | CompiledForm::Spread { counted: Some(_), .. })
+            };
             return Some(Difference::Number(limits));
         }
-        let moves = |a, b| old.must_move_at(a) != new.must_move_at(b);
+        let moves = |a, b| old.required_move_at(a) != new.required_move_at(b);
         if self.hardware.iter().any(|&(a, b)| moves(a, b)) {
-            return Some(Difference::Number(|form| matches!(form, Form::Move { .. })));
+            return Some(Difference::Number(|form| matches!(form, CompiledForm::Move { .. })));
         }
         None
     }
 
-    fn witness(&self, request: &Request, old: &Look, new: &Look, difference: &Difference) -> Witness {
-        // A number is shown on a node that the musts allow, if they allow any.
+    fn witness(&self, request: &Request, old: &Lookup, new: &Lookup, difference: &Difference) -> Witness {
+        // A number is shown on a node that the requirements allow, if they allow any.
         let allowed = || self.nodes.iter().position(|node| old.allows_key(node.2));
         let at = match difference {
             Difference::At(at) => *at,
             Difference::Number(_) => allowed().unwrap_or(0),
         };
         let (hall, hardware, old_node, new_node) = &self.nodes[at];
-        let rule = |plan: &Plan, look: &Look, node: NodeKey| {
-            let musts: Vec<usize> = look.musts().collect();
-            let speaks = |&&must: &&usize| match difference {
-                Difference::At(_) => !plan.index.allows(must, node.0),
-                Difference::Number(is) => is(&plan.body.rules[must].form),
+        let rule = |plan: &Plan, lookup: &Lookup, node: NodeKey| {
+            let requirements: Vec<usize> = lookup.requirements().collect();
+            let speaks = |&&requirement: &&usize| match difference {
+                Difference::At(_) => !plan.index.allows(requirement, node.0),
+                Difference::Number(is) => is(&plan.body.rules[requirement].form),
             };
-            let must = musts.iter().find(speaks).or(musts.first());
-            must.map_or_else(String::new, |&must| plan.index.ids[must].to_string())
+            let requirement = requirements.iter().find(speaks).or(requirements.first());
+            requirement.map_or_else(String::new, |&requirement| plan.index.ids[requirement].to_string())
         };
         Witness {
             tenant: request.tenant.map(String::from),
--- a/crates/rule-compiler/src/effects.rs
+++ b/crates/rule-compiler/src/effects.rs
@@ -7,30 +7,30 @@
 
 use crate::bits::{SetId, SetsBuilder};
 use crate::groups::NONE;
-use crate::plan::{Form, Lowrule};
+use crate::plan_body::{CompiledForm, CompiledRule};
 
 /// A run of [`Effects::lists`].
-pub(crate) type Run = (u32, u32);
+pub(crate) type Span = (u32, u32);
 
 /// What some rules say together.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Effect {
-    /// The pairs that the musts allow, or [`NONE`]: they allow all.
+    /// The pairs that the requirements allow, or [`NONE`]: they allow all.
     pub allow: SetId,
     pub attempts: Option<u32>,
     pub spread: Option<u32>,
-    pub doubt: Option<UncertaintyPolicy>,
-    /// The musts.
-    pub musts: Run,
+    pub uncertainty_policy: Option<UncertaintyPolicy>,
+    /// The requirements.
+    pub requirements: Span,
     /// Those of them that limit standing connections.
-    pub limits: Run,
+    pub limits: Span,
     /// Those of them that are spreads.
-    pub counted: Run,
-    pub paces: Run,
-    /// Musts and wishes.
-    pub moves: Run,
-    /// Places among all wishes of those that order nodes, the first first.
-    pub wishes: Run,
+    pub counted: Span,
+    pub paces: Span,
+    /// Requirements and preferences.
+    pub moves: Span,
+    /// Places among all preferences of those that order nodes, the first first.
+    pub preferences: Span,
 }
 
 /// Every effect that occurs.
@@ -41,8 +41,8 @@
 }
 
 impl Effects {
-    pub(crate) fn run(&self, run: Run) -> &[u32] {
-        &self.lists[run.0 as usize..][..run.1 as usize]
+    pub(crate) fn span(&self, span: Span) -> &[u32] {
+        &self.lists[span.0 as usize..][..span.1 as usize]
     }
 
     pub(crate) fn bytes(&self) -> usize {
@@ -52,23 +52,23 @@
 
 /// What a rule does by itself, as far as pairs and order go.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Own {
+pub(crate) struct RuleEffect {
     /// The pairs that it allows, or [`NONE`].
     pub allow: SetId,
-    /// Its place among all wishes, or [`NONE`].
+    /// Its place among all preferences, or [`NONE`].
     pub place: u32,
 }
 
 /// The effects while they are built.
 pub(crate) struct EffectsBuilder<'a> {
-    rules: &'a [Lowrule],
-    own: &'a [Own],
-    /// The pairs that each wish is for, by its place.
-    wishes: &'a [SetId],
+    rules: &'a [CompiledRule],
+    own: &'a [RuleEffect],
+    /// The pairs that each preference is for, by its place.
+    preferences: &'a [SetId],
     sets: &'a mut SetsBuilder,
     effects: Effects,
     known: HashMap<Box<[u32]>, u32, FnvBuildHasher>,
-    most_bytes: usize,
+    max_bytes: usize,
 }
 
 /// The lesser of two bounds, either of which may be missing.
@@ -81,13 +81,21 @@
 
 impl<'a> EffectsBuilder<'a> {
     pub(crate) fn new(
-        rules: &'a [Lowrule],
-        own: &'a [Own],
-        wishes: &'a [SetId],
+        rules: &'a [CompiledRule],
+        own: &'a [RuleEffect],
+        preferences: &'a [SetId],
         sets: &'a mut SetsBuilder,
-        most_bytes: usize,
+        max_bytes: usize,
     ) -> Self {
-        Self { rules, own, wishes, sets, effects: Effects::default(), known: HashMap::default(), most_bytes }
+        Self {
+            rules,
+            own,
+            preferences,
+            sets,
+            effects: Effects::default(),
+            known: HashMap::default(),
+            max_bytes,
+        }
     }
 
     /// The effects, unless they take too many bytes; then what was numbered means nothing.
@@ -97,7 +105,7 @@
 
     /// Whether the effects take more bytes than they may.
     pub(crate) fn is_full(&self) -> bool {
-        self.effects.bytes() + self.sets.sets().bytes() > self.most_bytes
+        self.effects.bytes() + self.sets.sets().bytes() > self.max_bytes
     }
 
     /// The number of the effect of these rules, which are sorted.
@@ -110,16 +118,16 @@
             return id;
         }
         let id = self.effects.all.len() as u32;
-        let effect = self.work_out(members);
+        let effect = self.combine(members);
         self.effects.all.push(effect);
         self.known.insert(members.into(), id);
         id
     }
 
-    fn work_out(&mut self, members: &[u32]) -> Effect {
+    fn combine(&mut self, members: &[u32]) -> Effect {
         let rules = self.rules;
         let mut allowed: Option<Vec<u64>> = None;
-        let (mut attempts, mut spread, mut doubt) = (None, None, None);
+        let (mut attempts, mut spread, mut uncertainty_policy) = (None, None, None);
         for &member in members {
             let (rule, own) = (&rules[member as usize], self.own[member as usize]);
             if own.allow != NONE {
@@ -130,37 +138,50 @@
                 }
             }
             match &rule.form {
-                Form::Attempts(most) => attempts = least(attempts, Some(*most)),
-                Form::Spread { nodes, .. } => spread = least(spread, Some(*nodes)),
+                CompiledForm::Attempts(most) => attempts = least(attempts, Some(*most)),
+                CompiledForm::Spread { nodes, .. } => spread = least(spread, Some(*nodes)),
                 _ => {}
             }
-            if !rule.form.is_wish() {
-                doubt = stricter(doubt, Some(rule.on_doubt));
+            if !rule.form.is_preference() {
+                uncertainty_policy = stricter(uncertainty_policy, Some(rule.uncertainty_policy));
             }
         }
-        let allow = allowed.map_or(NONE, |words| self.sets.of_words(words));
+        let allow = allowed.map_or(NONE, |words| self.sets.intern_words(words));
         let form = |&member: &u32| &rules[member as usize].form;
-        let musts = self.list(members, |member| !form(member).is_wish());
+        let requirements = self.list(members, |member| !form(member).is_preference());
         let limits = self.list(members, |member| {
-            matches!(form(member), Form::Cap { .. } | Form::Spread { counted: Some(_), .. })
+            matches!(form(member), CompiledForm::Cap { .. } | CompiledForm::Spread { counted: Some(_), .. })
+        });
+        let counted = self
+            .list(members, |member| matches!(form(member), CompiledForm::Spread { counted: Some(_), .. }));
+        let paces = self.list(members, |member| matches!(form(member), CompiledForm::Pace(_)));
+        let moves = self.list(members, |member| {
+            matches!(form(member), CompiledForm::Move { .. } | CompiledForm::MovePreference(_))
         });
-        let counted =
-            self.list(members, |member| matches!(form(member), Form::Spread { counted: Some(_), .. }));
-        let paces = self.list(members, |member| matches!(form(member), Form::Pace(_)));
-        let moves =
-            self.list(members, |member| matches!(form(member), Form::Move { .. } | Form::WishMove(_)));
         let own = self.own;
-        let ordering = members.iter().filter(|member| matches!(form(member), Form::Wish { .. }));
+        let ordering =
+            members.iter().filter(|member| matches!(form(member), CompiledForm::Preference { .. }));
         let mut places: Vec<u32> = ordering.map(|&member| own[member as usize].place).collect();
         places.sort_unstable();
-        // A wish for the same nodes as one before it tells no two nodes apart.
-        let mut heard = HashSet::with_hasher(FnvBuildHasher::default());
-        places.retain(|&place| heard.insert(self.wishes[place as usize]));
-        let wishes = self.list(&places, |_| true);
-        Effect { allow, attempts, spread, doubt, musts, limits, counted, paces, moves, wishes }
+        // A preference for the same nodes as one before it tells no two nodes apart.
+        let mut is_ordered = HashSet::with_hasher(FnvBuildHasher::default());
+        places.retain(|&place| is_ordered.insert(self.preferences[place as usize]));
+        let preferences = self.list(&places, |_| true);
+        Effect {
+            allow,
+            attempts,
+            spread,
+            uncertainty_policy,
+            requirements,
+            limits,
+            counted,
+            paces,
+            moves,
+            preferences,
+        }
     }
 
-    fn list(&mut self, members: &[u32], which: impl Fn(&u32) -> bool) -> Run {
+    fn list(&mut self, members: &[u32], which: impl Fn(&u32) -> bool) -> Span {
         let start = self.effects.lists.len();
         self.effects.lists.extend(members.iter().filter(|member| which(member)));
         (start as u32, (self.effects.lists.len() - start) as u32)
--- a/crates/rule-compiler/src/groups.rs
+++ b/crates/rule-compiler/src/groups.rs
@@ -63,19 +63,19 @@
         Self { effects: effects.collect(), starts, tree }
     }
 
-    /// Tells the effects that hold for a group, each once.
-    pub(crate) fn each(&self, group: u64, mut tell: impl FnMut(u32)) {
+    /// Visits the effects that hold for a group, each once.
+    pub(crate) fn each(&self, group: u64, mut visit: impl FnMut(u32)) {
         let at = self.starts.partition_point(|&start| start <= group) - 1;
         if !self.tree {
             if self.effects[at] != NONE {
-                tell(self.effects[at]);
+                visit(self.effects[at]);
             }
             return;
         }
         let mut node = at + self.starts.len();
         while node > 0 {
             if self.effects[node] != NONE {
-                tell(self.effects[node]);
+                visit(self.effects[node]);
             }
             node /= 2;
         }
--- a/crates/rule-compiler/src/index.rs
+++ b/crates/rule-compiler/src/index.rs
@@ -10,9 +10,9 @@
 use fnv::FnvBuildHasher;
 
 use crate::bits::{SetId, Sets, SetsBuilder};
-use crate::effects::{Effects, EffectsBuilder, Own};
+use crate::effects::{Effects, EffectsBuilder, RuleEffect};
 use crate::groups::{Groups, NONE};
-use crate::plan::{BadPlan, Body, Form, Lowrule, MAX_PAIRS};
+use crate::plan_body::{Body, CompiledForm, CompiledRule, MAX_PAIRS, PlanError};
 
 /// Any tenant, or any class.
 pub(crate) const ANY: u32 = u32::MAX;
@@ -32,7 +32,7 @@
     pub groups: u32,
 }
 
-/// The slots of one tenant. They lie close to each other, as what a look costs is the memory that it touches.
+/// The slots of one tenant. They lie close to each other, as what a lookup costs is the memory that it touches.
 #[derive(Clone, Copy, Debug)]
 struct Row {
     /// That of any class.
@@ -55,10 +55,10 @@
     pub groups: Vec<Groups>,
     pub effects: Effects,
     pub sets: Sets,
-    /// The pairs that each wish is for, by its place among all.
-    pub wishes: Vec<SetId>,
-    /// By rule: the pairs that a must allows, and a wish's place.
-    pub own: Vec<Own>,
+    /// The pairs that each preference is for, by its place among all.
+    pub preferences: Vec<SetId>,
+    /// By rule: the pairs that a requirement allows, and a preference's place.
+    pub own: Vec<RuleEffect>,
     /// By rule: `namespace:name`.
     pub ids: Vec<Box<str>>,
     /// By rule: its number in limits, the same in every plan.
@@ -71,7 +71,7 @@
 }
 
 impl Index {
-    pub(crate) fn new(body: &Body) -> Result<Self, BadPlan> {
+    pub(crate) fn new(body: &Body) -> Result<Self, PlanError> {
         let rules = &body.rules;
         let tenants = names(rules.iter().flat_map(|rule| &rule.on.tenants));
         let classes = names(rules.iter().flat_map(|rule| &rule.on.classes));
@@ -79,41 +79,24 @@
         let hardware = names(&body.hardware);
         let pairs = (halls.len() + 1) * (hardware.len() + 1);
         if pairs > MAX_PAIRS {
-            return Err(BadPlan::TooLarge("halls and hardware classes"));
+            return Err(PlanError::TooLarge("halls and hardware classes"));
         }
         let mut sets = SetsBuilder::new(pairs as u32);
-        let meant = Meant { halls: &halls, hardware: &hardware };
-        let mut own: Vec<Own> = rules.iter().map(|rule| meant.own(rule, &mut sets)).collect();
-        let mut order: Vec<usize> = (0..rules.len()).filter(|&at| rules[at].form.is_wish()).collect();
-        // Rules are sorted by namespace and name already, and this sort keeps that among equals.
-        order.sort_by_key(|&at| (rules[at].depth, Reverse(rules[at].priority)));
-        let mut wishes = Vec::with_capacity(order.len());
-        for at in order {
-            own[at].place = wishes.len() as u32;
-            wishes.push(std::mem::replace(&mut own[at].allow, NONE));
-        }
+        let numbers = PairNumbers { halls: &halls, hardware: &hardware };
+        let mut own: Vec<RuleEffect> = rules.iter().map(|rule| numbers.own(rule, &mut sets)).collect();
+        let preferences = rank_preferences(rules, &mut own);
         let in_slots = in_slots(rules, &tenants, &classes)?;
-        let mut effects = EffectsBuilder::new(rules, &own, &wishes, &mut sets, MAX_INDEX);
-        let mut rows = vec![EMPTY; tenants.len() + 1];
-        let (mut classed, mut groups) = (Vec::new(), Vec::new());
-        // Sorted by tenant and then by class, any class the last.
+        let mut effects = EffectsBuilder::new(rules, &own, &preferences, &mut sets, MAX_INDEX);
+        let mut slots = SlotTable::new(tenants.len());
         for ((tenant, class), members) in in_slots {
-            let slot = slot(rules, &members, &mut effects, &mut groups);
-            let row = &mut rows[row_of(tenant)];
-            if class == ANY {
-                row.any = slot;
-                continue;
-            }
-            if row.classed.1 == 0 {
-                row.classed.0 = classed.len() as u32;
-            }
-            row.classed.1 += 1;
-            classed.push((class, slot));
+            let slot = slot(rules, &members, &mut effects, &mut slots.groups);
+            slots.push(tenant, class, slot);
         }
+        let SlotTable { rows, classed, groups } = slots;
         let ids = rules.iter().map(|rule| format!("{}:{}", rule.namespace, rule.name).into_boxed_str());
         let ids: Vec<Box<str>> = ids.collect();
         let limits = ids.iter().map(|id| limit(id)).collect();
-        let effects = effects.finish().ok_or(BadPlan::TooLarge("rules that overlap"))?;
+        let effects = effects.finish().ok_or(PlanError::TooLarge("rules that overlap"))?;
         let sets = sets.finish();
         Ok(Self {
             tenants,
@@ -125,7 +108,7 @@
             groups,
             effects,
             sets,
-            wishes,
+            preferences,
             own,
             ids,
             limits,
@@ -139,7 +122,7 @@
         hall * (self.hardware.len() as u32 + 1) + hardware
     }
 
-    /// Whether one must allows a pair.
+    /// Whether one requirement allows a pair.
     pub(crate) fn allows(&self, rule: usize, pair: u32) -> bool {
         self.own[rule].allow == NONE || self.sets.has(self.own[rule].allow, pair)
     }
@@ -167,15 +150,15 @@
     }
 
     /// The slots that a request of this tenant and class is in.
-    pub(crate) fn each_slot(&self, tenant: u32, class: u32, mut tell: impl FnMut(Slot)) {
-        self.slot(ANY, ANY).into_iter().for_each(&mut tell);
+    pub(crate) fn each_slot(&self, tenant: u32, class: u32, mut visit: impl FnMut(Slot)) {
+        self.slot(ANY, ANY).into_iter().for_each(&mut visit);
         if class != ANY {
-            self.slot(ANY, class).into_iter().for_each(&mut tell);
+            self.slot(ANY, class).into_iter().for_each(&mut visit);
         }
         if tenant != ANY {
-            self.slot(tenant, ANY).into_iter().for_each(&mut tell);
+            self.slot(tenant, ANY).into_iter().for_each(&mut visit);
             if class != ANY {
-                self.slot(tenant, class).into_iter().for_each(&mut tell);
+                self.slot(tenant, class).into_iter().for_each(&mut visit);
             }
         }
     }
@@ -192,7 +175,47 @@
         let groups: usize = self.groups.iter().map(|groups| groups.bytes() + size_of::<Groups>()).sum();
         let slots = size_of_val(&*self.rows) + size_of_val(&*self.classed) + groups;
         let ids: usize = self.ids.iter().map(|id| id.len() + 24).sum();
-        names + slots + ids + self.effects.bytes() + self.sets.bytes() + self.wishes.len() * 4
+        names + slots + ids + self.effects.bytes() + self.sets.bytes() + self.preferences.len() * 4
+    }
+}
+
+/// Ranks the preferences, the first first, and takes from each the pairs that it is for.
+fn rank_preferences(rules: &[CompiledRule], own: &mut [RuleEffect]) -> Vec<SetId> {
+    let mut order: Vec<usize> = (0..rules.len()).filter(|&at| rules[at].form.is_preference()).collect();
+    // Rules are sorted by namespace and name already, and this sort keeps that among equals.
+    order.sort_by_key(|&at| (rules[at].depth, Reverse(rules[at].priority)));
+    let mut preferences = Vec::with_capacity(order.len());
+    for at in order {
+        own[at].place = preferences.len() as u32;
+        preferences.push(std::mem::replace(&mut own[at].allow, NONE));
+    }
+    preferences
+}
+
+/// The slots while the index is built.
+struct SlotTable {
+    rows: Vec<Row>,
+    classed: Vec<(u32, Slot)>,
+    groups: Vec<Groups>,
+}
+
+impl SlotTable {
+    fn new(tenants: usize) -> Self {
+        Self { rows: vec![EMPTY; tenants + 1], classed: Vec::new(), groups: Vec::new() }
+    }
+
+    /// Adds a slot. They are added sorted by tenant and then by class, any class the last.
+    fn push(&mut self, tenant: u32, class: u32, slot: Slot) {
+        let row = &mut self.rows[row_of(tenant)];
+        if class == ANY {
+            row.any = slot;
+            return;
+        }
+        if row.classed.1 == 0 {
+            row.classed.0 = self.classed.len() as u32;
+        }
+        row.classed.1 += 1;
+        self.classed.push((class, slot));
     }
 }
 
@@ -202,20 +225,20 @@
     hash.as_bytes().iter().take(8).fold(0, |number, &byte| number << 8 | u64::from(byte))
 }
 
-struct Meant<'a> {
+struct PairNumbers<'a> {
     halls: &'a Names,
     hardware: &'a Names,
 }
 
-impl Meant<'_> {
-    /// The pairs that a rule allows or, for a wish, that it is for.
-    fn own(&self, rule: &Lowrule, sets: &mut SetsBuilder) -> Own {
+impl PairNumbers<'_> {
+    /// The pairs that a rule allows or, for a preference, that it is for.
+    fn own(&self, rule: &CompiledRule, sets: &mut SetsBuilder) -> RuleEffect {
         let (meant, nodes) = match &rule.form {
-            Form::Require(nodes) => (true, Some(nodes)),
-            Form::Avoid(nodes) => (false, Some(nodes)),
-            Form::Wish { avoid, nodes } => (!avoid, Some(nodes)),
-            Form::Shut => return Own { allow: sets.of(std::iter::empty()), place: NONE },
-            _ if rule.out.is_empty() => return Own { allow: NONE, place: NONE },
+            CompiledForm::Require(nodes) => (true, Some(nodes)),
+            CompiledForm::Avoid(nodes) => (false, Some(nodes)),
+            CompiledForm::Preference { avoid, nodes } => (!avoid, Some(nodes)),
+            CompiledForm::RejectAll => return RuleEffect { allow: sets.of(std::iter::empty()), place: NONE },
+            _ if rule.out.is_empty() => return RuleEffect { allow: NONE, place: NONE },
             _ => (true, None),
         };
         let numbers = |set: &BTreeSet<String>, names: &Names| -> Option<Vec<bool>> {
@@ -232,13 +255,13 @@
                 && hardware.as_ref().is_none_or(|hardware| hardware[class as usize]);
             selects_node == meant && !rule.out.contains(&(class as u16))
         });
-        Own { allow: sets.of(pairs), place: NONE }
+        RuleEffect { allow: sets.of(pairs), place: NONE }
     }
 }
 
 type InSlots = BTreeMap<(u32, u32), Vec<u32>>;
 
-fn in_slots(rules: &[Lowrule], tenants: &Names, classes: &Names) -> Result<InSlots, BadPlan> {
+fn in_slots(rules: &[CompiledRule], tenants: &Names, classes: &Names) -> Result<InSlots, PlanError> {
     let mut slots = InSlots::new();
     let mut entries: usize = 0;
     let numbers = |set: &BTreeSet<String>, names: &Names| -> Vec<u32> {
@@ -253,7 +276,7 @@
         entries = entries.saturating_add(more);
         // A rule of very many tenants, classes and intervals at once would take memory out of proportion to its bytes.
         if entries > MAX_ENTRIES {
-            return Err(BadPlan::TooLarge("tenants, classes and groups of rules"));
+            return Err(PlanError::TooLarge("tenants, classes and groups of rules"));
         }
         for &tenant in &tenants {
             for &class in &classes {
@@ -268,7 +291,12 @@
     if tenant == ANY { 0 } else { tenant as usize + 1 }
 }
 
-fn slot(rules: &[Lowrule], members: &[u32], effects: &mut EffectsBuilder, groups: &mut Vec<Groups>) -> Slot {
+fn slot(
+    rules: &[CompiledRule],
+    members: &[u32],
+    effects: &mut EffectsBuilder,
+    groups: &mut Vec<Groups>,
+) -> Slot {
     let groups_of = |&at: &u32| -> &[GroupRange] { &rules[at as usize].on.groups };
     let (plain, grouped): (Vec<u32>, Vec<u32>) = members.iter().partition(|at| groups_of(at).is_empty());
     let plain = if plain.is_empty() { NONE } else { effects.of(&plain) };
--- a/crates/rule-compiler/src/look.rs
+++ b/crates/rule-compiler/src/lookup.rs
@@ -5,13 +5,14 @@
 use crate::effects::{Effect, least};
 use crate::groups::NONE;
 use crate::index::Slot;
-use crate::plan::{Form, NodeSet, Plan};
+use crate::plan::Plan;
+use crate::plan_body::{CompiledForm, NodeSet};
 
 /// Most effects that hold for a request: in each of four slots one without groups, and one for each level of a tree over
 /// less than 2^22 intervals.
-const PARTS: usize = 96;
-/// Most wishes that order one request's nodes: those that go first.
-pub(crate) const WISHES: usize = 31;
+const MAX_EFFECTS: usize = 96;
+/// Most preferences that order one request's nodes: those that go first.
+pub(crate) const MAX_PREFERENCES: usize = 31;
 
 /// A limit that connections count under: a rule's, the same in every plan that has the rule. A spread that is counted has
 /// one for each group.
@@ -29,33 +30,52 @@
 
 /// What a plan says of one request.
 #[derive(Clone, Copy, Debug)]
-pub struct Look<'a> {
+pub struct Lookup<'a> {
     plan: &'a Plan,
     group: Option<u64>,
-    parts: [u32; PARTS],
+    effect_ids: [u32; MAX_EFFECTS],
     len: usize,
-    /// Places of the wishes that order the nodes.
-    wishes: [u32; WISHES],
-    wished: usize,
+    /// Places of the preferences that order the nodes.
+    preferences: [u32; MAX_PREFERENCES],
+    preference_count: usize,
 }
 
-impl<'a> Look<'a> {
+impl Plan {
+    /// The rules of a request.
+    pub fn lookup(&self, request: &Request) -> Lookup<'_> {
+        Lookup::new(self, request)
+    }
+
+    /// Finds a node's hall and class once, for lookups in the same plan.
+    pub fn node_key(&self, node: &Node) -> NodeKey {
+        NodeKey(self.index.pair(node))
+    }
+}
+
+impl<'a> Lookup<'a> {
     fn empty(plan: &'a Plan, group: Option<u64>) -> Self {
-        Self { plan, group, parts: [NONE; PARTS], len: 0, wishes: [NONE; WISHES], wished: 0 }
+        Self {
+            plan,
+            group,
+            effect_ids: [NONE; MAX_EFFECTS],
+            len: 0,
+            preferences: [NONE; MAX_PREFERENCES],
+            preference_count: 0,
+        }
     }
 
     pub(crate) fn new(plan: &'a Plan, request: &Request) -> Self {
-        let mut look = Self::empty(plan, request.group);
+        let mut lookup = Self::empty(plan, request.group);
         let (tenant, class) = plan.index.numbers(request.tenant, request.class);
-        plan.index.each_slot(tenant, class, |slot| look.add_slot(slot));
-        look
+        plan.index.each_slot(tenant, class, |slot| lookup.add_slot(slot));
+        lookup
     }
 
     /// What the rules of one slot say by themselves.
     pub(crate) fn of_slot(plan: &'a Plan, slot: Option<Slot>, group: Option<u64>) -> Self {
-        let mut look = Self::empty(plan, group);
-        slot.into_iter().for_each(|slot| look.add_slot(slot));
-        look
+        let mut lookup = Self::empty(plan, group);
+        slot.into_iter().for_each(|slot| lookup.add_slot(slot));
+        lookup
     }
 
     fn add_slot(&mut self, slot: Slot) {
@@ -68,70 +88,70 @@
     }
 
     fn add(&mut self, effect: u32) {
-        self.parts[self.len] = effect;
+        self.effect_ids[self.len] = effect;
         self.len += 1;
         let effects = &self.plan.index.effects;
-        self.hear(effects.run(effects.all[effect as usize].wishes));
+        self.merge_preferences(effects.span(effects.all[effect as usize].preferences));
     }
 
-    /// Merges sorted places of wishes with those that are there, as far as they are among the first.
-    fn hear(&mut self, run: &[u32]) {
-        if run.first().is_none_or(|first| *first >= self.wishes[WISHES - 1]) {
+    /// Merges sorted places of preferences with those that are there, as far as they are among the first.
+    fn merge_preferences(&mut self, span: &[u32]) {
+        if span.first().is_none_or(|first| *first >= self.preferences[MAX_PREFERENCES - 1]) {
             return;
         }
-        let before = self.wishes;
+        let before = self.preferences;
         let (mut old, mut new) = (0, 0);
         // Past its end, either is at NONE, which is above every place.
-        for place in &mut self.wishes {
-            let (a, b) = (before[old], run.get(new).copied().unwrap_or(NONE));
+        for place in &mut self.preferences {
+            let (a, b) = (before[old], span.get(new).copied().unwrap_or(NONE));
             *place = a.min(b);
             if *place == NONE {
                 break;
             }
             (old, new) = if a < b { (old + 1, new) } else { (old, new + 1) };
-            self.wished = old + new;
+            self.preference_count = old + new;
         }
     }
 
-    pub(crate) fn parts(&self) -> &[u32] {
-        &self.parts[..self.len]
+    pub(crate) fn effect_ids(&self) -> &[u32] {
+        &self.effect_ids[..self.len]
     }
 
     fn effects(&self) -> impl Iterator<Item = &'a Effect> {
         let all = &self.plan.index.effects.all;
-        self.parts().iter().map(move |&part| &all[part as usize])
+        self.effect_ids().iter().map(move |&effect_id| &all[effect_id as usize])
     }
 
-    fn of(&self, run: impl Fn(&Effect) -> (u32, u32)) -> impl Iterator<Item = usize> {
+    fn of(&self, span: impl Fn(&Effect) -> (u32, u32)) -> impl Iterator<Item = usize> {
         let effects = &self.plan.index.effects;
-        self.effects().flat_map(move |effect| effects.run(run(effect))).map(|&at| at as usize)
+        self.effects().flat_map(move |effect| effects.span(span(effect))).map(|&at| at as usize)
     }
 
-    /// Whether the musts allow a node.
+    /// Whether the requirements allow a node.
     pub fn allows(&self, node: &Node) -> bool {
         self.allows_key(self.plan.node_key(node))
     }
 
-    /// Whether the musts allow a node.
+    /// Whether the requirements allow a node.
     pub fn allows_key(&self, node: NodeKey) -> bool {
         let index = &self.plan.index;
-        self.parts().iter().all(|&part| {
-            let allow = index.effects.all[part as usize].allow;
+        self.effect_ids().iter().all(|&effect_id| {
+            let allow = index.effects.all[effect_id as usize].allow;
             allow == NONE || index.sets.has(allow, node.0)
         })
     }
 
-    /// Whether it allows the same pairs as a look at a plan that numbers pairs alike.
-    pub(crate) fn allows_as(&self, other: &Look) -> bool {
-        let word = |look: &Look, at: usize| {
-            let sets = &look.plan.index.sets;
-            let allows = look.effects().map(|effect| effect.allow).filter(|allow| *allow != NONE);
+    /// Whether it allows the same pairs as a lookup at a plan that numbers pairs alike.
+    pub(crate) fn allows_as(&self, other: &Lookup) -> bool {
+        let word = |lookup: &Lookup, at: usize| {
+            let sets = &lookup.plan.index.sets;
+            let allows = lookup.effects().map(|effect| effect.allow).filter(|allow| *allow != NONE);
             allows.fold(sets.full_word(at), |word, allow| word & sets.words(allow)[at])
         };
         (0..self.plan.index.sets.len()).all(|at| word(self, at) == word(other, at))
     }
 
-    /// How far behind the wishes put a node: 0 for one that all of them are for. What the first wish says outweighs what all
+    /// How far behind the preferences put a node: 0 for one that all of them are for. What the first preference says outweighs what all
     /// later ones say.
     pub fn rank(&self, node: &Node) -> u32 {
         self.rank_key(self.plan.node_key(node))
@@ -140,17 +160,17 @@
     /// As [`rank`](Self::rank).
     pub fn rank_key(&self, node: NodeKey) -> u32 {
         let index = &self.plan.index;
-        let wishes = self.wishes[..self.wished].iter();
-        let rank = wishes.fold(0, |rank, &place| {
-            rank << 1 | u32::from(!index.sets.has(index.wishes[place as usize], node.0))
+        let preferences = self.preferences[..self.preference_count].iter();
+        let rank = preferences.fold(0, |rank, &place| {
+            rank << 1 | u32::from(!index.sets.has(index.preferences[place as usize], node.0))
         });
         rank << 1 | u32::from(self.is_far(node))
     }
 
-    /// How many matching wishes don't order the nodes, as more than 31 go before them.
-    pub fn unheard_wishes(&self) -> usize {
-        let all: usize = self.effects().map(|effect| effect.wishes.1 as usize).sum();
-        all - self.wished
+    /// How many matching preferences don't order the nodes, as more than 31 go before them.
+    pub fn ignored_preferences(&self) -> usize {
+        let all: usize = self.effects().map(|effect| effect.preferences.1 as usize).sum();
+        all - self.preference_count
     }
 
     /// Whether a node of a class on which a spread is counted is in another hall than its group's. The few connections that
@@ -167,17 +187,17 @@
             return false;
         }
         self.of(|effect| effect.counted).any(|at| match &self.plan.body.rules[at].form {
-            Form::Spread { counted: Some(counted), .. } => counted.nodes.hardware.contains(class),
+            CompiledForm::Spread { counted: Some(counted), .. } => counted.nodes.hardware.contains(class),
             _ => false,
         })
     }
 
-    /// Most attempts, if a must bounds them.
+    /// Most attempts, if a requirement bounds them.
     pub fn attempts(&self) -> Option<u32> {
         self.effects().fold(None, |most, effect| least(most, effect.attempts))
     }
 
-    /// Most nodes that the connections of the request's group may be on, if a must bounds them.
+    /// Most nodes that the connections of the request's group may be on, if a requirement bounds them.
     pub fn spread(&self) -> Option<u32> {
         self.effects().fold(None, |most, effect| least(most, effect.spread))
     }
@@ -186,7 +206,7 @@
     pub fn paces(&self) -> impl Iterator<Item = (LimitId, u64)> {
         let plan = self.plan;
         self.of(|effect| effect.paces).filter_map(move |at| match plan.body.rules[at].form {
-            Form::Pace(pace) => Some((LimitId { rule: plan.index.limits[at], group: None }, pace)),
+            CompiledForm::Pace(pace) => Some((LimitId { rule: plan.index.limits[at], group: None }, pace)),
             _ => None,
         })
     }
@@ -197,10 +217,10 @@
         self.of(|effect| effect.limits).filter_map(move |at| {
             let rule = plan.index.limits[at];
             match &plan.body.rules[at].form {
-                Form::Cap { connections, nodes } => {
+                CompiledForm::Cap { connections, nodes } => {
                     Some((LimitId { rule, group: None }, *connections, nodes))
                 }
-                Form::Spread { counted: Some(counted), .. } => {
+                CompiledForm::Spread { counted: Some(counted), .. } => {
                     group?;
                     Some((LimitId { rule, group }, u64::from(counted.connections), &counted.nodes))
                 }
@@ -209,61 +229,62 @@
         })
     }
 
-    /// When its connections may be moved, wherever they are: the strictest that a must asks for on any class, or what the
-    /// first wish asks for if no must does.
+    /// When its connections may be moved, wherever they are: the strictest that a requirement asks for on any class, or what the
+    /// first preference asks for if no requirement does.
     pub fn move_when(&self) -> Option<MoveCondition> {
-        self.must_move(|drains_only| !drains_only.is_empty()).or_else(|| self.wished_move(|_| true))
+        self.required_move(|drains_only| !drains_only.is_empty()).or_else(|| self.preferred_move(|_| true))
     }
 
     /// When its connections on a node may be moved.
     pub fn move_when_on(&self, node: &Node) -> Option<MoveCondition> {
         let index = &self.plan.index;
         let class = index.hardware.get(node.hardware).copied().unwrap_or(index.hardware.len() as u32) as u16;
-        self.must_move_at(class).or_else(|| self.wished_move(|out| !out.contains(&class)))
+        self.required_move_at(class).or_else(|| self.preferred_move(|out| !out.contains(&class)))
     }
 
-    /// When its connections on a listed class may be moved, by the musts alone.
-    pub(crate) fn must_move_at(&self, class: u16) -> Option<MoveCondition> {
-        self.must_move(|drains_only| drains_only.contains(&class))
+    /// When its connections on a listed class may be moved, by the requirements alone.
+    pub(crate) fn required_move_at(&self, class: u16) -> Option<MoveCondition> {
+        self.required_move(|drains_only| drains_only.contains(&class))
     }
 
-    fn must_move(&self, strict: impl Fn(&[u16]) -> bool) -> Option<MoveCondition> {
+    fn required_move(&self, strict: impl Fn(&[u16]) -> bool) -> Option<MoveCondition> {
         let rules = &self.plan.body.rules;
-        let must = self.of(|effect| effect.moves).filter_map(|at| match &rules[at].form {
-            Form::Move { drains_only, .. } if strict(drains_only) => Some(MoveCondition::DrainsOnly),
-            Form::Move { when, .. } => Some(*when),
+        let requirement = self.of(|effect| effect.moves).filter_map(|at| match &rules[at].form {
+            CompiledForm::Move { drains_only, .. } if strict(drains_only) => Some(MoveCondition::DrainsOnly),
+            CompiledForm::Move { when, .. } => Some(*when),
             _ => None,
         });
-        must.max()
+        requirement.max()
     }
 
-    fn wished_move(&self, heard: impl Fn(&[u16]) -> bool) -> Option<MoveCondition> {
+    fn preferred_move(&self, is_ordered: impl Fn(&[u16]) -> bool) -> Option<MoveCondition> {
         let (rules, own) = (&self.plan.body.rules, &self.plan.index.own);
-        let wishes = self.of(|effect| effect.moves).filter_map(|at| match &rules[at].form {
-            Form::WishMove(when) if heard(&rules[at].out) => Some((own[at].place, *when)),
+        let preferences = self.of(|effect| effect.moves).filter_map(|at| match &rules[at].form {
+            CompiledForm::MovePreference(when) if is_ordered(&rules[at].out) => Some((own[at].place, *when)),
             _ => None,
         });
-        wishes.min().map(|(_, when)| when)
+        preferences.min().map(|(_, when)| when)
     }
 
-    /// Whether any must speaks of the request.
-    pub fn has_musts(&self) -> bool {
-        self.effects().any(|effect| effect.musts.1 > 0)
+    /// Whether any requirement concerns the request.
+    pub fn has_requirements(&self) -> bool {
+        self.effects().any(|effect| effect.requirements.1 > 0)
     }
 
-    /// What the owners of its musts ask for while the version is in doubt, the strictest. None without musts.
-    pub fn on_doubt(&self) -> Option<UncertaintyPolicy> {
-        self.effects().fold(None, |doubt, effect| stricter(doubt, effect.doubt))
+    /// What the owners of its requirements ask for while the version is uncertain, the strictest. None without requirements.
+    pub fn uncertainty_policy(&self) -> Option<UncertaintyPolicy> {
+        self.effects()
+            .fold(None, |uncertainty_policy, effect| stricter(uncertainty_policy, effect.uncertainty_policy))
     }
 
-    /// The musts that speak of it, as `namespace:name`.
+    /// The requirements that concern it, as `namespace:name`.
     pub fn rule_names(&self) -> impl Iterator<Item = &'a str> {
         let ids = &self.plan.index.ids;
-        self.musts().map(move |at| &*ids[at])
+        self.requirements().map(move |at| &*ids[at])
     }
 
-    pub(crate) fn musts(&self) -> impl Iterator<Item = usize> {
-        self.of(|effect| effect.musts)
+    pub(crate) fn requirements(&self) -> impl Iterator<Item = usize> {
+        self.of(|effect| effect.requirements)
     }
 }
 
--- a/crates/rule-compiler/src/profile.rs
+++ b/crates/rule-compiler/src/profile.rs
@@ -21,10 +21,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Features {
-    /// They tell how many connections they hold.
-    pub tells_loads: bool,
-    /// They tell the delays that they see.
-    pub tells_delays: bool,
+    /// They report how many connections they have.
+    #[serde(rename = "tells-loads")]
+    pub reports_loads: bool,
+    /// They report the latencies that they see.
+    #[serde(rename = "tells-delays")]
+    pub reports_latency: bool,
     /// They can be drained by pieces, so some connections leave before others.
     pub drained_by_pieces: bool,
     /// They keep the connections of a group together, so it is known which nodes a group is on.
@@ -64,8 +66,8 @@
     pub fn full() -> Self {
         Self {
             features: Features {
-                tells_loads: true,
-                tells_delays: true,
+                reports_loads: true,
+                reports_latency: true,
                 drained_by_pieces: true,
                 keeps_groups: true,
                 takes_weights: true,
@@ -79,7 +81,7 @@
 /// The profiles to go by when they change while in use: a class whose features are others than `before`, or that is stated no
 /// more, gets the least profile, as part of its nodes may be of either kind. New budgets and new classes are taken as they
 /// are.
-pub fn in_use(before: &Profiles, now: &Profiles) -> Profiles {
+pub fn effective_profiles(before: &Profiles, now: &Profiles) -> Profiles {
     let mut settled = now.clone();
     for (class, old) in before {
         if now.get(class).is_none_or(|new| new.features != old.features) {
--- a/crates/rule-compiler/src/table.rs
+++ b/crates/rule-compiler/src/table.rs
@@ -1,4 +1,4 @@
-//! Which rule runs how on which class, in words.
+//! The table that explains a plan: which rule runs how on which class, and why.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,29 +8,36 @@
 
 /// How a rule runs on one class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Runs {
+pub enum Execution {
     /// As it is written.
     Exactly,
-    /// In a form that allows less; the words say what is lost.
+    /// In a form that allows less; the reason says what is lost.
     Stricter,
-    /// A must that can't run: the class gets none of the requests that the rule speaks of.
-    NotAtAll,
-    /// A wish that can't run: it doesn't order the nodes of this class.
+    /// A requirement that can't run: the class gets none of the requests that the rule concerns.
+    Unsupported,
+    /// A preference that can't run: it doesn't order the nodes of this class.
     Dropped,
 }
 
-impl fmt::Display for Runs {
+impl Execution {
+    /// The rule doesn't run on the class.
+    pub(crate) fn is_left_out(self) -> bool {
+        matches!(self, Self::Unsupported | Self::Dropped)
+    }
+}
+
+impl fmt::Display for Execution {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.pad(match self {
             Self::Exactly => "exactly",
             Self::Stricter => "stricter",
-            Self::NotAtAll => "not at all",
+            Self::Unsupported => "not at all",
             Self::Dropped => "dropped",
         })
     }
 }
 
-/// One rule on one class. Rules that mean no node of a class have no row for it.
+/// One rule on one class. Rules that select no node of a class have no row for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
     /// The rule, as `namespace:name`.
@@ -38,16 +45,16 @@
     /// The hardware class, or [`UNKNOWN`].
     pub class: Arc<str>,
     /// How it runs.
-    pub runs: Runs,
+    pub execution: Execution,
     /// Why, and what is lost. Empty where it runs exactly.
-    pub words: &'static str,
+    pub reason: &'static str,
 }
 
 impl fmt::Display for Row {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} on {}: {}", self.rule, self.class, self.runs)?;
-        if !self.words.is_empty() {
-            write!(f, ", {}", self.words)?;
+        write!(f, "{} on {}: {}", self.rule, self.class, self.execution)?;
+        if !self.reason.is_empty() {
+            write!(f, ", {}", self.reason)?;
         }
         Ok(())
     }
--- a/crates/rule-compiler/tests/common/mod.rs
+++ b/crates/rule-compiler/tests/common/mod.rs
@@ -100,7 +100,7 @@
     )
 }
 
-fn on_doubt() -> impl Strategy<Value = UncertaintyPolicy> {
+fn uncertainty_policy() -> impl Strategy<Value = UncertaintyPolicy> {
     prop_oneof![
         Just(UncertaintyPolicy::Keep),
         (1..4u32).prop_map(|retry_ms| UncertaintyPolicy::Refuse { retry_ms })
@@ -109,23 +109,24 @@
 
 pub fn book(most: usize) -> impl Strategy<Value = Book> {
     let rules = (0..=most).prop_flat_map(|count| (0..count).map(rule).collect::<Vec<_>>());
-    (rules, [on_doubt(), on_doubt(), on_doubt()]).prop_map(|(rules, doubts)| book_of(rules, &doubts))
+    (rules, [uncertainty_policy(), uncertainty_policy(), uncertainty_policy()])
+        .prop_map(|(rules, doubts)| book_of(rules, &doubts))
 }
 
 pub fn book_of(mut rules: Vec<Rule>, doubts: &[UncertaintyPolicy; 3]) -> Book {
     rules.sort_by(|a, b| (&a.namespace, &a.name).cmp(&(&b.namespace, &b.name)));
-    let owner = |((path, _), on_doubt): (&(&str, u32), &UncertaintyPolicy)| Owner {
+    let owner = |((path, _), uncertainty_policy): (&(&str, u32), &UncertaintyPolicy)| Owner {
         path: path.to_string(),
         revision: 1,
-        on_doubt: *on_doubt,
+        on_doubt: *uncertainty_policy,
     };
     Book { namespaces: OWNERS.iter().zip(doubts).map(owner).collect(), rules }
 }
 
 pub fn profiles() -> impl Strategy<Value = Profiles> {
     let features = any::<[bool; 6]>().prop_map(|f| Features {
-        tells_loads: f[0],
-        tells_delays: f[1],
+        reports_loads: f[0],
+        reports_latency: f[1],
         drained_by_pieces: f[2],
         keeps_groups: f[3],
         takes_weights: f[4],
@@ -147,17 +148,17 @@
     HARDWARE[..PROFILED].iter().map(|name| (name.to_string(), Profile::full())).collect()
 }
 
-pub fn is_must(rule: &Rule) -> bool {
+pub fn is_requirement(rule: &Rule) -> bool {
     rule.strength == Strength::Requirement
 }
 
-pub fn musts<'a>(book: &'a Book, request: &Request<'a>) -> Vec<&'a Rule> {
-    book.rules.iter().filter(|rule| is_must(rule) && rule.on.matches(request)).collect()
+pub fn requirements<'a>(book: &'a Book, request: &Request<'a>) -> Vec<&'a Rule> {
+    book.rules.iter().filter(|rule| is_requirement(rule) && rule.on.matches(request)).collect()
 }
 
-/// Whether the book's musts allow a node.
+/// Whether the book's requirements allow a node.
 pub fn allowed(book: &Book, request: &Request, node: &Node) -> bool {
-    musts(book, request).iter().all(|rule| match &rule.kind {
+    requirements(book, request).iter().all(|rule| match &rule.kind {
         RuleKind::Place { how: PlacementMode::Avoid, halls, hardware } => {
             !selects_node(halls, hardware, node)
         }
@@ -166,23 +167,23 @@
     })
 }
 
-/// What each wish says of a node, the wish that goes first first: whether the node is none that it is for.
+/// What each preference says of a node, the preference that goes first first: whether the node is none that it is for.
 pub fn unwished(book: &Book, request: &Request, node: &Node) -> Vec<bool> {
-    let mut wishes: Vec<&Rule> =
-        book.rules.iter().filter(|rule| !is_must(rule) && rule.on.matches(request)).collect();
-    wishes.sort_by_key(|rule| (rule.depth, Reverse(rule.priority), &rule.namespace, &rule.name));
+    let mut preferences: Vec<&Rule> =
+        book.rules.iter().filter(|rule| !is_requirement(rule) && rule.on.matches(request)).collect();
+    preferences.sort_by_key(|rule| (rule.depth, Reverse(rule.priority), &rule.namespace, &rule.name));
     let says = |rule: &&Rule| match &rule.kind {
         RuleKind::Place { how, halls, hardware } => {
             Some(selects_node(halls, hardware, node) == (*how == PlacementMode::Avoid))
         }
         _ => None,
     };
-    wishes.iter().filter_map(says).collect()
+    preferences.iter().filter_map(says).collect()
 }
 
 /// The least number that a matching must of one kind has.
 pub fn least<T: Ord>(book: &Book, request: &Request, number: impl Fn(&RuleKind) -> Option<T>) -> Option<T> {
-    musts(book, request).iter().filter_map(|rule| number(&rule.kind)).min()
+    requirements(book, request).iter().filter_map(|rule| number(&rule.kind)).min()
 }
 
 pub fn strictest(book: &Book, request: &Request) -> Option<UncertaintyPolicy> {
@@ -191,7 +192,7 @@
         owner.expect("every rule has an owner").on_doubt
     };
     // Of refusals, the one that asks for the longest wait; any refusal before keeping.
-    musts(book, request).iter().map(owner).min_by_key(|doubt| match doubt {
+    requirements(book, request).iter().map(owner).min_by_key(|uncertain| match uncertain {
         UncertaintyPolicy::Refuse { retry_ms } => (0, Reverse(*retry_ms)),
         UncertaintyPolicy::Keep => (1, Reverse(0)),
     })
--- a/crates/rule-compiler/tests/lowering.rs
+++ b/crates/rule-compiler/tests/compile.rs
@@ -9,23 +9,23 @@
     Book, GroupRange, MoveCondition, Node, PlacementMode, Request, RuleKind, UncertaintyPolicy, effective,
     selects_node,
 };
-use cottonnotch_rule_compiler::{Look, Plan, Profiles, Runs, lower};
+use cottonnotch_rule_compiler::{Execution, Lookup, Plan, Profiles, compile};
 use proptest::prelude::*;
 
-/// What has to hold of a look, whatever the profiles.
-fn never_looser(book: &Book, request: &Request, look: &Look) -> Result<(), TestCaseError> {
-    let matching = musts(book, request);
-    prop_assert_eq!(look.has_musts(), !matching.is_empty());
+/// What has to hold of a lookup, whatever the profiles.
+fn never_looser(book: &Book, request: &Request, lookup: &Lookup) -> Result<(), TestCaseError> {
+    let matching = requirements(book, request);
+    prop_assert_eq!(lookup.has_requirements(), !matching.is_empty());
     let names: BTreeSet<String> = matching.iter().map(|rule| id(rule)).collect();
-    prop_assert_eq!(look.rule_names().map(String::from).collect::<BTreeSet<_>>(), names);
-    prop_assert_eq!(look.on_doubt(), strictest(book, request));
+    prop_assert_eq!(lookup.rule_names().map(String::from).collect::<BTreeSet<_>>(), names);
+    prop_assert_eq!(lookup.uncertainty_policy(), strictest(book, request));
     let attempts = |kind: &RuleKind| if let RuleKind::Attempts { most } = kind { Some(*most) } else { None };
-    prop_assert_eq!(look.attempts(), least(book, request, attempts));
+    prop_assert_eq!(lookup.attempts(), least(book, request, attempts));
     let spread = |kind: &RuleKind| if let RuleKind::Spread { nodes } = kind { Some(*nodes) } else { None };
     if let Some(bound) = least(book, request, spread) {
-        prop_assert!(look.spread().is_some_and(|nodes| nodes <= bound));
+        prop_assert!(lookup.spread().is_some_and(|nodes| nodes <= bound));
     }
-    let mut paces: Vec<u64> = look.paces().map(|(_, pace)| pace).collect();
+    let mut paces: Vec<u64> = lookup.paces().map(|(_, pace)| pace).collect();
     paces.sort();
     let pace =
         |kind: &RuleKind| if let RuleKind::Pace { per_s_milli } = kind { Some(*per_s_milli) } else { None };
@@ -33,21 +33,21 @@
     asked.sort();
     prop_assert_eq!(paces, asked);
     for node in nodes() {
-        if !look.allows(&node) {
+        if !lookup.allows(&node) {
             continue;
         }
         prop_assert!(allowed(book, request, &node), "{request:?} may go to {node:?}");
         for rule in &matching {
             match &rule.kind {
                 RuleKind::Cap { connections, halls, hardware } if selects_node(halls, hardware, &node) => {
-                    let held = look.caps().any(|(_, cap, nodes)| {
+                    let held = lookup.caps().any(|(_, cap, nodes)| {
                         cap <= *connections && nodes.halls == *halls && nodes.hardware == *hardware
                     });
                     prop_assert!(held, "{rule:?} isn't held on {node:?}");
                 }
                 RuleKind::Move { when } => {
-                    prop_assert!(look.move_when_on(&node) >= Some(*when));
-                    prop_assert!(look.move_when() >= look.move_when_on(&node));
+                    prop_assert!(lookup.move_when_on(&node) >= Some(*when));
+                    prop_assert!(lookup.move_when() >= lookup.move_when_on(&node));
                 }
                 _ => {}
             }
@@ -58,22 +58,22 @@
 
 /// Puts connections of a group on nodes as long as a plan lets it, seeing only what the classes let be seen: which nodes the
 /// group is on where groups are kept, and how many connections it has where loads are told. Gives how many nodes it is on.
-fn crowd(look: &Look, profiles: &Profiles, wanted: &[(usize, u8)]) -> usize {
+fn crowd(lookup: &Lookup, profiles: &Profiles, wanted: &[(usize, u8)]) -> usize {
     let all: Vec<Node> = nodes().collect();
     let mut on: Vec<(usize, u8)> = Vec::new();
     for &(node, server) in wanted {
         let node = node % all.len();
-        if !look.allows(&all[node]) {
+        if !lookup.allows(&all[node]) {
             continue;
         }
         let mut after = on.clone();
         after.push((node, server));
         let keeps = |node: usize| profiles.get(all[node].hardware).is_some_and(|p| p.features.keeps_groups);
         let seen: BTreeSet<_> = after.iter().filter(|(node, _)| keeps(*node)).collect();
-        let full = look.caps().filter(|(id, _, _)| id.group.is_some()).any(|(_, cap, nodes)| {
+        let full = lookup.caps().filter(|(id, _, _)| id.group.is_some()).any(|(_, cap, nodes)| {
             after.iter().filter(|(node, _)| nodes.contains(&all[*node])).count() as u64 > cap
         });
-        if !full && look.spread().is_none_or(|nodes| seen.len() <= nodes as usize) {
+        if !full && lookup.spread().is_none_or(|nodes| seen.len() <= nodes as usize) {
             on = after;
         }
     }
@@ -85,9 +85,9 @@
 
     #[test]
     fn a_plan_is_never_looser_than_its_book(book in book(10), profiles in profiles()) {
-        let lowered = lower(&book, &profiles);
+        let compiled = compile(&book, &profiles);
         for request in requests() {
-            never_looser(&book, &request, &lowered.plan.look(&request))?;
+            never_looser(&book, &request, &compiled.plan.lookup(&request))?;
         }
     }
 
@@ -103,57 +103,57 @@
             rule
         };
         let book = book_of(spreads.iter().enumerate().map(rule).collect(), &[UncertaintyPolicy::Keep; 3]);
-        let plan = lower(&book, &profiles).plan;
+        let plan = compile(&book, &profiles).plan;
         let bound = spreads.into_iter().min().unwrap_or(0);
         let request = Request { tenant: None, class: "c0", group: Some(3) };
-        prop_assert!(crowd(&plan.look(&request), &profiles, &wanted) <= bound as usize);
+        prop_assert!(crowd(&plan.lookup(&request), &profiles, &wanted) <= bound as usize);
     }
 
     #[test]
     fn full_profiles_lose_nothing(book in book(12)) {
-        let lowered = lower(&book, &full());
-        for row in lowered.table.iter().filter(|row| full().contains_key(&*row.class)) {
-            prop_assert!(row.runs == Runs::Exactly || row.words.starts_with("a number orders nothing"), "{}", row);
+        let compiled = compile(&book, &full());
+        for row in compiled.table.iter().filter(|row| full().contains_key(&*row.class)) {
+            prop_assert!(row.execution == Execution::Exactly || row.reason.starts_with("a number orders nothing"), "{}", row);
         }
         let known: Vec<Node> = nodes().filter(|node| full().contains_key(node.hardware)).collect();
         for request in requests() {
-            let look = lowered.plan.look(&request);
-            never_looser(&book, &request, &look)?;
+            let lookup = compiled.plan.lookup(&request);
+            never_looser(&book, &request, &lookup)?;
             let spread = |kind: &RuleKind| if let RuleKind::Spread { nodes } = kind { Some(*nodes) } else { None };
-            prop_assert_eq!(look.spread(), least(&book, &request, spread));
-            let mut caps: Vec<_> = look.caps().map(|(_, cap, nodes)| (cap, &nodes.halls, &nodes.hardware)).collect();
+            prop_assert_eq!(lookup.spread(), least(&book, &request, spread));
+            let mut caps: Vec<_> = lookup.caps().map(|(_, cap, nodes)| (cap, &nodes.halls, &nodes.hardware)).collect();
             caps.sort();
             let asked = |kind| match kind {
                 RuleKind::Cap { connections, halls, hardware } => Some((connections, halls, hardware)),
                 _ => None,
             };
-            let mut wanted: Vec<_> = musts(&book, &request).iter().filter_map(|rule| asked(rule.kind.clone())).collect();
+            let mut wanted: Vec<_> = requirements(&book, &request).iter().filter_map(|rule| asked(rule.kind.clone())).collect();
             wanted.sort();
             prop_assert_eq!(caps.len(), wanted.len());
             for (cap, wanted) in caps.iter().zip(&wanted) {
                 prop_assert_eq!(*cap, (wanted.0, &wanted.1, &wanted.2));
             }
             let when = |kind: &RuleKind| if let RuleKind::Move { when } = kind { Some(*when) } else { None };
-            let asked: Option<MoveCondition> = musts(&book, &request).iter().filter_map(|rule| when(&rule.kind)).max();
+            let asked: Option<MoveCondition> = requirements(&book, &request).iter().filter_map(|rule| when(&rule.kind)).max();
             if asked.is_some() {
-                prop_assert_eq!(look.move_when(), asked);
+                prop_assert_eq!(lookup.move_when(), asked);
             }
             for node in &known {
-                prop_assert_eq!(look.allows(node), allowed(&book, &request, node), "{:?} on {:?}", request, node);
-                prop_assert_eq!(look.allows(node), look.allows_key(lowered.plan.node_key(node)));
+                prop_assert_eq!(lookup.allows(node), allowed(&book, &request, node), "{:?} on {:?}", request, node);
+                prop_assert_eq!(lookup.allows(node), lookup.allows_key(compiled.plan.node_key(node)));
                 let said = effective(&book, &request, node);
-                prop_assert_eq!(look.allows(node), said.allowed);
-                prop_assert_eq!((look.attempts(), look.spread()), (said.attempts, said.spread));
-                prop_assert_eq!((look.move_when(), look.move_when_on(node)), (said.move_when, said.move_when));
-                prop_assert_eq!((look.has_musts(), look.on_doubt()), (said.has_musts, said.on_doubt));
-                let caps = look.caps().filter(|(_, _, nodes)| nodes.contains(node)).map(|(_, cap, _)| cap);
+                prop_assert_eq!(lookup.allows(node), said.allowed);
+                prop_assert_eq!((lookup.attempts(), lookup.spread()), (said.attempts, said.spread));
+                prop_assert_eq!((lookup.move_when(), lookup.move_when_on(node)), (said.move_when, said.move_when));
+                prop_assert_eq!((lookup.has_requirements(), lookup.uncertainty_policy()), (said.has_musts, said.on_doubt));
+                let caps = lookup.caps().filter(|(_, _, nodes)| nodes.contains(node)).map(|(_, cap, _)| cap);
                 let caps: BTreeSet<u64> = caps.collect();
                 prop_assert_eq!(caps, said.caps.into_iter().map(|(_, cap)| cap).collect::<BTreeSet<_>>());
                 let unwished_by: Vec<bool> = said.wishes.iter().map(|(_, satisfied)| !satisfied).collect();
                 prop_assert_eq!(unwished_by, unwished(&book, &request, node));
                 for other in &known {
                     let order = unwished(&book, &request, node).cmp(&unwished(&book, &request, other));
-                    prop_assert_eq!(look.rank(node).cmp(&look.rank(other)), order);
+                    prop_assert_eq!(lookup.rank(node).cmp(&lookup.rank(other)), order);
                 }
             }
         }
@@ -161,7 +161,7 @@
 
     #[test]
     fn the_order_of_rules_changes_no_byte(book in book(12), profiles in profiles(), seed in any::<u64>()) {
-        let plan = lower(&book, &profiles).plan;
+        let plan = compile(&book, &profiles).plan;
         let mut shuffled = book.clone();
         shuffled.rules.sort_by_key(|rule| (u64::from(rule.line) ^ seed).wrapping_mul(0x9e37_79b9_7f4a_7c15));
         shuffled.namespaces.reverse();
@@ -169,19 +169,19 @@
             rule.line += 7;
             rule.file.push('x');
         }
-        let other = lower(&shuffled, &profiles).plan;
+        let other = compile(&shuffled, &profiles).plan;
         prop_assert_eq!(plan.to_bytes(), other.to_bytes());
         prop_assert_eq!(plan.hash(), other.hash());
     }
 
     #[test]
     fn a_plan_survives_its_bytes(book in book(10), profiles in profiles()) {
-        let plan = lower(&book, &profiles).plan;
+        let plan = compile(&book, &profiles).plan;
         let back = Plan::from_bytes(&plan.to_bytes()).expect("the bytes of a plan are one");
         prop_assert_eq!(back.hash(), plan.hash());
         prop_assert_eq!(back.needs(), plan.needs());
         for request in requests() {
-            let (one, two) = (plan.look(&request), back.look(&request));
+            let (one, two) = (plan.lookup(&request), back.lookup(&request));
             for node in nodes() {
                 prop_assert_eq!((one.allows(&node), one.rank(&node)), (two.allows(&node), two.rank(&node)));
             }
@@ -195,7 +195,7 @@
         profiles in profiles(),
         cuts in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0..3u8), 1..4),
     ) {
-        let mut bytes = lower(&book, &profiles).plan.to_bytes();
+        let mut bytes = compile(&book, &profiles).plan.to_bytes();
         for (at, byte, how) in cuts {
             if bytes.is_empty() {
                 break;
@@ -210,9 +210,9 @@
         if let Ok(plan) = Plan::from_bytes(&bytes) {
             prop_assert_eq!(plan.to_bytes(), bytes);
             for request in requests().step_by(7) {
-                let look = plan.look(&request);
+                let lookup = plan.lookup(&request);
                 for node in nodes() {
-                    let _ = (look.allows(&node), look.rank(&node), look.move_when_on(&node));
+                    let _ = (lookup.allows(&node), lookup.rank(&node), lookup.move_when_on(&node));
                 }
             }
         }
@@ -238,10 +238,10 @@
         ranges in proptest::collection::vec((0..400u64, 0..400u64, 0..3usize, any::<bool>()), 150),
     ) {
         let mut rules = Vec::new();
-        for (number, (first, more, hall, must)) in ranges.into_iter().enumerate() {
-            let mut rule = plain_rule(number, must);
+        for (number, (first, more, hall, requirement)) in ranges.into_iter().enumerate() {
+            let mut rule = plain_rule(number, requirement);
             rule.on.groups = vec![GroupRange { first, last: first + more }];
-            // Many of the musts bound attempts, so that some nodes stay allowed.
+            // Many of the requirements bound attempts, so that some nodes stay allowed.
             rule.kind = match number % 5 {
                 0 => RuleKind::Place {
                     how: PlacementMode::Avoid,
@@ -257,27 +257,27 @@
         everywhere.kind = RuleKind::Attempts { most: 50 };
         rules.push(everywhere);
         let book = book_of(rules, &[UncertaintyPolicy::Keep; 3]);
-        let plan = lower(&book, &full()).plan;
+        let plan = compile(&book, &full()).plan;
         let most = |kind: &RuleKind| if let RuleKind::Attempts { most } = kind { Some(*most) } else { None };
         for group in 0..810 {
             let request = Request { tenant: None, class: "c0", group: Some(group) };
-            let look = plan.look(&request);
-            prop_assert_eq!(look.attempts(), least(&book, &request, most));
-            prop_assert_eq!(look.rule_names().count(), musts(&book, &request).len());
+            let lookup = plan.lookup(&request);
+            prop_assert_eq!(lookup.attempts(), least(&book, &request, most));
+            prop_assert_eq!(lookup.rule_names().count(), requirements(&book, &request).len());
             for node in nodes().filter(|node| full().contains_key(node.hardware)) {
-                prop_assert_eq!(look.allows(&node), allowed(&book, &request, &node));
+                prop_assert_eq!(lookup.allows(&node), allowed(&book, &request, &node));
             }
         }
     }
 }
 
-fn plain_rule(number: usize, must: bool) -> cottonnotch_routing_rules::Rule {
+fn plain_rule(number: usize, requirement: bool) -> cottonnotch_routing_rules::Rule {
     cottonnotch_routing_rules::Rule {
         namespace: "a".into(),
         name: format!("r{number:03}"),
         file: "rules.toml".into(),
         line: 1,
-        strength: if must {
+        strength: if requirement {
             cottonnotch_routing_rules::Strength::Requirement
         } else {
             cottonnotch_routing_rules::Strength::Preference
--- a/crates/rule-compiler/tests/contradiction.rs
+++ b/crates/rule-compiler/tests/contradiction.rs
@@ -9,29 +9,29 @@
     Book, GroupRange, MoveCondition, Node, PlacementMode, Request, Rule, RuleKind, Selector, Strength,
     UncertaintyPolicy,
 };
-use cottonnotch_rule_compiler::{LimitId, Look, NodeSet, Plan, Profile, Profiles, contradiction, lower};
+use cottonnotch_rule_compiler::{LimitId, Lookup, NodeSet, Plan, Profile, Profiles, compile, contradiction};
 use proptest::prelude::*;
 
-/// What musts bound by numbers.
+/// What requirements bound by numbers.
 type Numbers =
     (Option<u32>, Option<u32>, Vec<(LimitId, u64)>, Vec<(LimitId, u64, NodeSet)>, Vec<Option<MoveCondition>>);
 
-fn numbers(look: &Look) -> Numbers {
-    let mut paces: Vec<_> = look.paces().collect();
+fn numbers(lookup: &Lookup) -> Numbers {
+    let mut paces: Vec<_> = lookup.paces().collect();
     paces.sort();
-    let mut caps: Vec<_> = look.caps().map(|(id, cap, nodes)| (id, cap, nodes.clone())).collect();
+    let mut caps: Vec<_> = lookup.caps().map(|(id, cap, nodes)| (id, cap, nodes.clone())).collect();
     caps.sort();
-    // The books of these tests have no wishes for moves, so what a look says of moves is what musts say.
-    let moves = nodes().map(|node| look.move_when_on(&node)).collect();
-    (look.attempts(), look.spread(), paces, caps, moves)
+    // The books of these tests have no preferences for moves, so what a lookup says of moves is what requirements say.
+    let moves = nodes().map(|node| lookup.move_when_on(&node)).collect();
+    (lookup.attempts(), lookup.spread(), paces, caps, moves)
 }
 
 fn differ(old: &Plan, new: &Plan, request: &Request) -> bool {
-    let (old, new) = (old.look(request), new.look(request));
+    let (old, new) = (old.lookup(request), new.lookup(request));
     nodes().any(|node| old.allows(&node) != new.allows(&node)) || numbers(&old) != numbers(&new)
 }
 
-/// A book without wishes for moves.
+/// A book without preferences for moves.
 fn quiet_book(most: usize) -> impl Strategy<Value = Book> {
     book(most).prop_map(|mut book| {
         for rule in &mut book.rules {
@@ -87,7 +87,7 @@
         profiles in profiles(),
         others in proptest::option::weighted(0.2, profiles()),
     ) {
-        let (old, new) = (lower(&old, &profiles).plan, lower(&new, others.as_ref().unwrap_or(&profiles)).plan);
+        let (old, new) = (compile(&old, &profiles).plan, compile(&new, others.as_ref().unwrap_or(&profiles)).plan);
         let found = contradiction(&old, &new);
         let back = contradiction(&new, &old);
         prop_assert_eq!(found.is_some(), back.is_some(), "symmetric");
@@ -98,21 +98,21 @@
         };
         let request = Request { tenant: witness.tenant.as_deref(), class: &witness.class, group: witness.group };
         let node = Node { hall: &witness.hall, hardware: &witness.hardware };
-        let (a, b) = (old.look(&request), new.look(&request));
+        let (a, b) = (old.lookup(&request), new.lookup(&request));
         prop_assert!(a.allows(&node) != b.allows(&node) || numbers(&a) != numbers(&b), "{:?}", witness);
-        for (look, rule) in [(&a, &witness.old_rule), (&b, &witness.new_rule)] {
-            prop_assert!(rule.is_empty() != look.has_musts(), "{:?}", witness);
-            prop_assert!(rule.is_empty() || look.rule_names().any(|name| name == rule), "{:?}", witness);
+        for (lookup, rule) in [(&a, &witness.old_rule), (&b, &witness.new_rule)] {
+            prop_assert!(rule.is_empty() != lookup.has_requirements(), "{:?}", witness);
+            prop_assert!(rule.is_empty() || lookup.rule_names().any(|name| name == rule), "{:?}", witness);
         }
     }
 
     #[test]
     fn wishes_never_contradict(book in book(8), other in book(8), profiles in profiles()) {
-        let wishes = |mut book: Book| {
+        let preferences = |mut book: Book| {
             book.rules.iter_mut().for_each(|rule| rule.strength = Strength::Preference);
             book
         };
-        let (one, two) = (lower(&wishes(book), &profiles).plan, lower(&wishes(other), &profiles).plan);
+        let (one, two) = (compile(&preferences(book), &profiles).plan, compile(&preferences(other), &profiles).plan);
         prop_assert_eq!(contradiction(&one, &two), None);
     }
 }
@@ -136,7 +136,7 @@
 }
 
 fn plan(rules: Vec<Rule>) -> Plan {
-    lower(&book_of(rules, &[UncertaintyPolicy::Keep; 3]), &full()).plan
+    compile(&book_of(rules, &[UncertaintyPolicy::Keep; 3]), &full()).plan
 }
 
 #[test]
@@ -176,7 +176,7 @@
         [("w0".to_string(), Profile::full()), (small.to_string(), none)].into()
     };
     let book = book_of(vec![avoid("one", &["h0"])], &[UncertaintyPolicy::Keep; 3]);
-    let (old, new) = (lower(&book, &profiles("w1")).plan, lower(&book, &profiles("w2")).plan);
+    let (old, new) = (compile(&book, &profiles("w1")).plan, compile(&book, &profiles("w2")).plan);
     let witness = contradiction(&old, &new).expect("w1 is out in one of them only");
     assert_eq!(witness.hardware, "w1");
 }
--- a/crates/rule-compiler/tests/golden.rs
+++ b/crates/rule-compiler/tests/golden.rs
@@ -2,7 +2,7 @@
 
 use cottonnotch_golden::{assert_bytes, assert_text, golden_path};
 use cottonnotch_routing_rules::{Book, History, Inventory, Merged, RuleFile, merge};
-use cottonnotch_rule_compiler::{Budgets, Features, Plan, Profile, Profiles, lower};
+use cottonnotch_rule_compiler::{Budgets, Features, Plan, Profile, Profiles, compile};
 use std::path::Path;
 
 const FILES: [&str; 5] = [
@@ -73,7 +73,7 @@
 
 fn profiles() -> Profiles {
     let some = Profile {
-        features: Features { tells_loads: true, drained_by_pieces: true, ..Features::default() },
+        features: Features { reports_loads: true, drained_by_pieces: true, ..Features::default() },
         budgets: Budgets { rules: 4, selectors: 6, bytes: 700 },
     };
     [("small", Profile::least()), ("large", some), ("vast", Profile::full())]
@@ -84,15 +84,15 @@
 #[test]
 fn book_and_plan_keep_their_bytes() {
     let Merged { book, ledger, conflicts } = merge(&History::default(), &files(), &world());
-    let lowered = lower(&book, &profiles());
+    let compiled = compile(&book, &profiles());
     let encode = |value: postcard::Result<Vec<u8>>| value.unwrap();
     let made = [
         ("world", encode(postcard::to_allocvec(&world()))),
         ("ledger", encode(postcard::to_allocvec(&ledger))),
         ("book", encode(postcard::to_allocvec(&book))),
         ("profiles", encode(postcard::to_allocvec(&profiles()))),
-        ("plan", lowered.plan.to_bytes()),
-        ("plan_hash", lowered.plan.hash().to_vec()),
+        ("plan", compiled.plan.to_bytes()),
+        ("plan_hash", compiled.plan.hash().to_vec()),
     ];
     let golden = assert_bytes(&golden_path!("book_and_plan.txt"), &made);
     assert_eq!(postcard::from_bytes::<Inventory>(&golden[0]).unwrap(), world());
@@ -101,7 +101,7 @@
     assert_eq!(postcard::from_bytes::<Profiles>(&golden[3]).unwrap(), profiles());
     let plan = Plan::from_bytes(&golden[4]).unwrap();
     assert_eq!((plan.to_bytes(), plan.hash().to_vec()), (golden[4].clone(), golden[5].clone()));
-    let table: String = lowered.table.iter().map(|row| format!("{row}\n")).collect();
+    let table: String = compiled.table.iter().map(|row| format!("{row}\n")).collect();
     let conflicts: String = conflicts.iter().map(|conflict| format!("{conflict}\n")).collect();
     assert_text(&golden_path!("table.txt"), &(table + &conflicts));
 }
--- a/crates/rule-compiler/tests/kinds.rs
+++ b/crates/rule-compiler/tests/kinds.rs
@@ -9,7 +9,8 @@
     Book, MoveCondition, Node, PlacementMode, Request, Rule, RuleKind, Selector, Strength, UncertaintyPolicy,
 };
 use cottonnotch_rule_compiler::{
-    BadPlan, Features, Lowered, NodeSet, Plan, Profile, Profiles, Runs, UNKNOWN, contradiction, in_use, lower,
+    Compiled, Execution, Features, NodeSet, Plan, PlanError, Profile, Profiles, UNKNOWN, compile,
+    contradiction, effective_profiles,
 };
 
 const ASKED: Request = Request { tenant: Some("t0"), class: "c0", group: Some(5) };
@@ -28,11 +29,11 @@
     }
 }
 
-fn must(kind: RuleKind) -> Book {
+fn requirement(kind: RuleKind) -> Book {
     book_of(vec![rule("one", Strength::Requirement, kind)], &[UncertaintyPolicy::Keep; 3])
 }
 
-fn wish(kind: RuleKind) -> Book {
+fn preference(kind: RuleKind) -> Book {
     book_of(vec![rule("one", Strength::Preference, kind)], &[UncertaintyPolicy::Keep; 3])
 }
 
@@ -58,72 +59,89 @@
     Node { hall, hardware }
 }
 
-fn runs(lowered: &Lowered, class: &str) -> Option<Runs> {
-    lowered.table.iter().find(|row| &*row.class == class).map(|row| row.runs)
+fn execution(compiled: &Compiled, class: &str) -> Option<Execution> {
+    compiled.table.iter().find(|row| &*row.class == class).map(|row| row.execution)
 }
 
-fn allowed(lowered: &Lowered) -> Vec<&'static str> {
-    let look = lowered.plan.look(&ASKED);
-    ["full", "weak", "never heard of"].into_iter().filter(|class| look.allows(&on("h", class))).collect()
+fn allowed(compiled: &Compiled) -> Vec<&'static str> {
+    let lookup = compiled.plan.lookup(&ASKED);
+    ["full", "weak", "never heard of"].into_iter().filter(|class| lookup.allows(&on("h", class))).collect()
 }
 
-fn caps(lowered: &Lowered) -> Vec<(Option<u64>, u64, BTreeSet<String>)> {
-    lowered.plan.look(&ASKED).caps().map(|(id, cap, nodes)| (id.group, cap, nodes.hardware.clone())).collect()
+fn caps(compiled: &Compiled) -> Vec<(Option<u64>, u64, BTreeSet<String>)> {
+    compiled
+        .plan
+        .lookup(&ASKED)
+        .caps()
+        .map(|(id, cap, nodes)| (id.group, cap, nodes.hardware.clone()))
+        .collect()
 }
 
 #[test]
 fn a_place_runs_exactly_everywhere() {
     for how in [PlacementMode::Require, PlacementMode::Avoid] {
-        let lowered = lower(&must(place(how, &["h"], &[])), &full_and(Features::default()));
+        let compiled = compile(&requirement(place(how, &["h"], &[])), &full_and(Features::default()));
         let meant = how == PlacementMode::Require;
         for class in ["full", "weak", UNKNOWN] {
-            assert_eq!(runs(&lowered, class), Some(Runs::Exactly));
-            assert_eq!(lowered.plan.look(&ASKED).allows(&on("h", class)), meant);
-            assert_eq!(lowered.plan.look(&ASKED).allows(&on("g", class)), !meant);
+            assert_eq!(execution(&compiled, class), Some(Execution::Exactly));
+            assert_eq!(compiled.plan.lookup(&ASKED).allows(&on("h", class)), meant);
+            assert_eq!(compiled.plan.lookup(&ASKED).allows(&on("g", class)), !meant);
         }
     }
 }
 
 #[test]
 fn a_place_that_names_classes_means_no_other() {
-    let lowered = lower(&must(place(PlacementMode::Avoid, &[], &["weak"])), &full_and(Features::default()));
-    assert_eq!(allowed(&lowered), ["full", "never heard of"]);
-    assert_eq!((runs(&lowered, "full"), runs(&lowered, "weak")), (None, Some(Runs::Exactly)));
+    let compiled =
+        compile(&requirement(place(PlacementMode::Avoid, &[], &["weak"])), &full_and(Features::default()));
+    assert_eq!(allowed(&compiled), ["full", "never heard of"]);
+    assert_eq!(
+        (execution(&compiled, "full"), execution(&compiled, "weak")),
+        (None, Some(Execution::Exactly))
+    );
 }
 
 #[test]
 fn a_wish_for_nodes_needs_weights_or_told_delays() {
-    let delays = Features { tells_delays: true, ..Features::default() };
+    let delays = Features { reports_latency: true, ..Features::default() };
     let classes = [("full", Profile::full()), ("delays", with(delays)), ("weak", with(Features::default()))];
-    let lowered = lower(&wish(place(PlacementMode::Prefer, &["h"], &[])), &profiles(&classes));
-    let expected = [("full", Runs::Exactly), ("delays", Runs::Stricter), ("weak", Runs::Dropped)];
+    let compiled = compile(&preference(place(PlacementMode::Prefer, &["h"], &[])), &profiles(&classes));
+    let expected =
+        [("full", Execution::Exactly), ("delays", Execution::Stricter), ("weak", Execution::Dropped)];
     for (class, how) in expected {
-        assert_eq!(runs(&lowered, class), Some(how));
-        let look = lowered.plan.look(&ASKED);
-        assert_eq!(look.rank(&on("h", class)) < look.rank(&on("g", class)), how != Runs::Dropped);
-        assert!(look.allows(&on("g", class)) && !look.has_musts());
+        assert_eq!(execution(&compiled, class), Some(how));
+        let lookup = compiled.plan.lookup(&ASKED);
+        assert_eq!(lookup.rank(&on("h", class)) < lookup.rank(&on("g", class)), how != Execution::Dropped);
+        assert!(lookup.allows(&on("g", class)) && !lookup.has_requirements());
     }
-    assert_eq!((runs(&lowered, UNKNOWN), lowered.dropped), (Some(Runs::Dropped), 1));
+    assert_eq!((execution(&compiled, UNKNOWN), compiled.dropped), (Some(Execution::Dropped), 1));
 }
 
 #[test]
 fn a_cap_is_held_lower_where_only_probes_tell() {
-    let cap = || must(RuleKind::Cap { connections: 10, halls: BTreeSet::new(), hardware: BTreeSet::new() });
-    let lowered = lower(&cap(), &profiles(&[("full", Profile::full())]));
-    assert_eq!(caps(&lowered), [(None, 10, BTreeSet::new())]);
-    assert_eq!((runs(&lowered, UNKNOWN), allowed(&lowered)), (Some(Runs::NotAtAll), vec!["full"]));
+    let cap =
+        || requirement(RuleKind::Cap { connections: 10, halls: BTreeSet::new(), hardware: BTreeSet::new() });
+    let compiled = compile(&cap(), &profiles(&[("full", Profile::full())]));
+    assert_eq!(caps(&compiled), [(None, 10, BTreeSet::new())]);
+    assert_eq!(
+        (execution(&compiled, UNKNOWN), allowed(&compiled)),
+        (Some(Execution::Unsupported), vec!["full"])
+    );
 
     let probes = Features { answers_probes: true, ..Features::default() };
-    let lowered = lower(&cap(), &full_and(probes));
-    assert_eq!(caps(&lowered), [(None, 7, BTreeSet::new())]);
+    let compiled = compile(&cap(), &full_and(probes));
+    assert_eq!(caps(&compiled), [(None, 7, BTreeSet::new())]);
     assert_eq!(
-        (runs(&lowered, "full"), runs(&lowered, "weak")),
-        (Some(Runs::Stricter), Some(Runs::Stricter))
+        (execution(&compiled, "full"), execution(&compiled, "weak")),
+        (Some(Execution::Stricter), Some(Execution::Stricter))
     );
 
-    let lowered = lower(&cap(), &full_and(Features::default()));
-    assert_eq!(caps(&lowered), [(None, 10, BTreeSet::new())]);
-    assert_eq!((runs(&lowered, "weak"), allowed(&lowered)), (Some(Runs::NotAtAll), vec!["full"]));
+    let compiled = compile(&cap(), &full_and(Features::default()));
+    assert_eq!(caps(&compiled), [(None, 10, BTreeSet::new())]);
+    assert_eq!(
+        (execution(&compiled, "weak"), allowed(&compiled)),
+        (Some(Execution::Unsupported), vec!["full"])
+    );
 }
 
 /// A class that is known by probes may hold a third more than is counted, which the lower cap leaves room for.
@@ -132,61 +150,61 @@
     for connections in 0..500u64 {
         let kind = RuleKind::Cap { connections, halls: BTreeSet::new(), hardware: BTreeSet::new() };
         let probes = Features { answers_probes: true, ..Features::default() };
-        let held = caps(&lower(&must(kind), &full_and(probes)))[0].1;
+        let held = caps(&compile(&requirement(kind), &full_and(probes)))[0].1;
         assert!(held * 4 / 3 <= connections && (held + 1) * 4 / 3 >= connections, "{connections} as {held}");
     }
 }
 
 #[test]
 fn a_spread_is_counted_where_groups_are_not_kept() {
-    let loads = Features { tells_loads: true, ..Features::default() };
-    let spread = |nodes| must(RuleKind::Spread { nodes });
-    let lowered = lower(&spread(6), &profiles(&[("full", Profile::full())]));
+    let loads = Features { reports_loads: true, ..Features::default() };
+    let spread = |nodes| requirement(RuleKind::Spread { nodes });
+    let compiled = compile(&spread(6), &profiles(&[("full", Profile::full())]));
     assert_eq!(
-        (lowered.plan.look(&ASKED).spread(), caps(&lowered), lowered.plan.needs()),
+        (compiled.plan.lookup(&ASKED).spread(), caps(&compiled), compiled.plan.needs()),
         (Some(6), vec![], 1)
     );
 
     // Half of the nodes for each sort of class.
-    let lowered = lower(&spread(6), &full_and(loads));
+    let compiled = compile(&spread(6), &full_and(loads));
     let weak: BTreeSet<String> = ["weak".to_string()].into();
-    assert_eq!(lowered.plan.look(&ASKED).spread(), Some(3));
-    assert_eq!((caps(&lowered), lowered.plan.needs()), (vec![(Some(5), 3, weak.clone())], 2));
+    assert_eq!(compiled.plan.lookup(&ASKED).spread(), Some(3));
+    assert_eq!((caps(&compiled), compiled.plan.needs()), (vec![(Some(5), 3, weak.clone())], 2));
     assert_eq!(
-        (runs(&lowered, "full"), runs(&lowered, "weak")),
-        (Some(Runs::Stricter), Some(Runs::Stricter))
+        (execution(&compiled, "full"), execution(&compiled, "weak")),
+        (Some(Execution::Stricter), Some(Execution::Stricter))
     );
 
     // One node has no half, so it goes to the class that keeps groups.
-    let lowered = lower(&spread(1), &full_and(loads));
-    assert_eq!((lowered.plan.look(&ASKED).spread(), allowed(&lowered)), (Some(1), vec!["full"]));
+    let compiled = compile(&spread(1), &full_and(loads));
+    assert_eq!((compiled.plan.lookup(&ASKED).spread(), allowed(&compiled)), (Some(1), vec!["full"]));
 
-    let lowered = lower(&spread(4), &profiles(&[("weak", with(loads))]));
-    assert_eq!((lowered.plan.look(&ASKED).spread(), caps(&lowered)), (Some(4), vec![(Some(5), 4, weak)]));
+    let compiled = compile(&spread(4), &profiles(&[("weak", with(loads))]));
+    assert_eq!((compiled.plan.lookup(&ASKED).spread(), caps(&compiled)), (Some(4), vec![(Some(5), 4, weak)]));
 
-    let lowered = lower(&spread(4), &full_and(Features::default()));
+    let compiled = compile(&spread(4), &full_and(Features::default()));
     assert_eq!(
-        (runs(&lowered, "weak"), runs(&lowered, UNKNOWN)),
-        (Some(Runs::NotAtAll), Some(Runs::NotAtAll))
+        (execution(&compiled, "weak"), execution(&compiled, UNKNOWN)),
+        (Some(Execution::Unsupported), Some(Execution::Unsupported))
     );
-    assert_eq!(allowed(&lowered), ["full"]);
+    assert_eq!(allowed(&compiled), ["full"]);
 }
 
 #[test]
 fn a_counted_spread_prefers_one_hall_for_a_group() {
-    let loads = Features { tells_loads: true, ..Features::default() };
+    let loads = Features { reports_loads: true, ..Features::default() };
     let halls = ["h0", "h1", "h2"];
     let rules = vec![
         rule("halls", Strength::Requirement, place(PlacementMode::Require, &halls, &[])),
         rule("spread", Strength::Requirement, RuleKind::Spread { nodes: 6 }),
     ];
-    let lowered = lower(&book_of(rules, &[UncertaintyPolicy::Keep; 3]), &full_and(loads));
+    let compiled = compile(&book_of(rules, &[UncertaintyPolicy::Keep; 3]), &full_and(loads));
     let mut preferred = BTreeSet::new();
     for group in 0..40 {
-        let look = lowered.plan.look(&Request { group: Some(group), ..ASKED });
-        let near: Vec<_> = halls.iter().filter(|hall| look.rank(&on(hall, "weak")) == 0).collect();
+        let lookup = compiled.plan.lookup(&Request { group: Some(group), ..ASKED });
+        let near: Vec<_> = halls.iter().filter(|hall| lookup.rank(&on(hall, "weak")) == 0).collect();
         assert_eq!(near.len(), 1, "group {group}");
-        assert!(halls.iter().all(|hall| look.rank(&on(hall, "full")) == 0));
+        assert!(halls.iter().all(|hall| lookup.rank(&on(hall, "full")) == 0));
         preferred.insert(*near[0]);
     }
     assert_eq!(preferred.len(), 3, "all halls get some groups");
@@ -198,43 +216,49 @@
         rule("attempts", Strength::Requirement, RuleKind::Attempts { most: 2 }),
         rule("pace", Strength::Requirement, RuleKind::Pace { per_s_milli: 1500 }),
     ];
-    let lowered = lower(&book_of(rules, &[UncertaintyPolicy::Keep; 3]), &full_and(Features::default()));
-    assert!(lowered.table.iter().all(|row| row.runs == Runs::Exactly));
-    assert_eq!(allowed(&lowered), ["full", "weak", "never heard of"]);
-    let look = lowered.plan.look(&ASKED);
-    assert_eq!((look.attempts(), look.paces().map(|(_, pace)| pace).collect()), (Some(2), vec![1500]));
+    let compiled = compile(&book_of(rules, &[UncertaintyPolicy::Keep; 3]), &full_and(Features::default()));
+    assert!(compiled.table.iter().all(|row| row.execution == Execution::Exactly));
+    assert_eq!(allowed(&compiled), ["full", "weak", "never heard of"]);
+    let lookup = compiled.plan.lookup(&ASKED);
+    assert_eq!((lookup.attempts(), lookup.paces().map(|(_, pace)| pace).collect()), (Some(2), vec![1500]));
 }
 
 #[test]
 fn moving_last_needs_draining_by_pieces() {
-    let last = || must(RuleKind::Move { when: MoveCondition::Last });
-    let loads = Features { tells_loads: true, ..Features::default() };
-    let lowered = lower(&last(), &full_and(loads));
-    let look = lowered.plan.look(&ASKED);
-    assert_eq!(look.move_when_on(&on("h", "full")), Some(MoveCondition::Last));
-    assert_eq!(look.move_when_on(&on("h", "weak")), Some(MoveCondition::DrainsOnly));
+    let last = || requirement(RuleKind::Move { when: MoveCondition::Last });
+    let loads = Features { reports_loads: true, ..Features::default() };
+    let compiled = compile(&last(), &full_and(loads));
+    let lookup = compiled.plan.lookup(&ASKED);
+    assert_eq!(lookup.move_when_on(&on("h", "full")), Some(MoveCondition::Last));
+    assert_eq!(lookup.move_when_on(&on("h", "weak")), Some(MoveCondition::DrainsOnly));
     assert_eq!(
-        (look.move_when(), allowed(&lowered)),
+        (lookup.move_when(), allowed(&compiled)),
         (Some(MoveCondition::DrainsOnly), vec!["full", "weak"])
     );
 
-    let lowered = lower(&last(), &full_and(Features::default()));
+    let compiled = compile(&last(), &full_and(Features::default()));
     assert_eq!(
-        (lowered.plan.look(&ASKED).move_when(), allowed(&lowered)),
+        (compiled.plan.lookup(&ASKED).move_when(), allowed(&compiled)),
         (Some(MoveCondition::Last), vec!["full"])
     );
 
-    let lowered =
-        lower(&must(RuleKind::Move { when: MoveCondition::DrainsOnly }), &full_and(Features::default()));
-    assert!(lowered.table.iter().all(|row| row.runs == Runs::Exactly));
+    let compiled = compile(
+        &requirement(RuleKind::Move { when: MoveCondition::DrainsOnly }),
+        &full_and(Features::default()),
+    );
+    assert!(compiled.table.iter().all(|row| row.execution == Execution::Exactly));
 }
 
 #[test]
 fn a_wish_to_move_last_is_dropped_without_pieces() {
-    let lowered = lower(&wish(RuleKind::Move { when: MoveCondition::Last }), &full_and(Features::default()));
-    let look = lowered.plan.look(&ASKED);
-    assert_eq!(look.move_when_on(&on("h", "full")), Some(MoveCondition::Last));
-    assert_eq!((look.move_when_on(&on("h", "weak")), runs(&lowered, "weak")), (None, Some(Runs::Dropped)));
+    let compiled =
+        compile(&preference(RuleKind::Move { when: MoveCondition::Last }), &full_and(Features::default()));
+    let lookup = compiled.plan.lookup(&ASKED);
+    assert_eq!(lookup.move_when_on(&on("h", "full")), Some(MoveCondition::Last));
+    assert_eq!(
+        (lookup.move_when_on(&on("h", "weak")), execution(&compiled, "weak")),
+        (None, Some(Execution::Dropped))
+    );
 }
 
 #[test]
@@ -246,10 +270,10 @@
         RuleKind::Attempts { most: 1 },
     ];
     for kind in kinds {
-        let lowered = lower(&wish(kind), &full_and(Features::default()));
+        let compiled = compile(&preference(kind), &full_and(Features::default()));
         assert_eq!(
-            (lowered.dropped, lowered.plan.rules(), runs(&lowered, "full")),
-            (1, 0, Some(Runs::Dropped))
+            (compiled.dropped, compiled.plan.rules(), execution(&compiled, "full")),
+            (1, 0, Some(Execution::Dropped))
         );
     }
 }
@@ -259,23 +283,23 @@
     let before = full_and(Profile::full().features);
     let mut now = before.clone();
     now.entry("weak".into()).or_default().features.keeps_groups = false;
-    let settled = in_use(&before, &now);
+    let settled = effective_profiles(&before, &now);
     assert_eq!((settled["full"], settled["weak"]), (Profile::full(), Profile::least()));
-    let book = must(RuleKind::Spread { nodes: 4 });
-    assert_eq!(allowed(&lower(&book, &before)), ["full", "weak"]);
-    let lowered = lower(&book, &settled);
-    assert_eq!((allowed(&lowered), lowered.plan.look(&ASKED).spread()), (vec!["full"], Some(4)));
+    let book = requirement(RuleKind::Spread { nodes: 4 });
+    assert_eq!(allowed(&compile(&book, &before)), ["full", "weak"]);
+    let compiled = compile(&book, &settled);
+    assert_eq!((allowed(&compiled), compiled.plan.lookup(&ASKED).spread()), (vec!["full"], Some(4)));
     // Which is a change that can't be acted on beside the other.
-    let witness = contradiction(&lower(&book, &before).plan, &lowered.plan).expect("a class is out");
+    let witness = contradiction(&compile(&book, &before).plan, &compiled.plan).expect("a class is out");
     assert_eq!(witness.hardware, "weak");
     // A class that is stated no more is unknown from then on; a budget changes at will.
-    assert_eq!(in_use(&before, &Profiles::new())["full"], Profile::least());
+    assert_eq!(effective_profiles(&before, &Profiles::new())["full"], Profile::least());
     now.entry("full".into()).or_default().budgets.rules = 3;
-    assert_eq!(in_use(&before, &now)["full"].budgets.rules, 3);
+    assert_eq!(effective_profiles(&before, &now)["full"].budgets.rules, 3);
 }
 
-fn many(wishes: usize, musts: usize) -> Book {
-    let wishes = (0..wishes).map(|number| {
+fn many(preferences: usize, requirements: usize) -> Book {
+    let preferences = (0..preferences).map(|number| {
         let mut rule = rule(
             &format!("w{number}"),
             Strength::Preference,
@@ -284,18 +308,18 @@
         rule.depth = number as u32;
         rule
     });
-    let musts = (0..musts).map(|number| {
+    let requirements = (0..requirements).map(|number| {
         let mut rule = rule(&format!("m{number}"), Strength::Requirement, RuleKind::Attempts { most: 3 });
         rule.on.groups =
             vec![cottonnotch_routing_rules::GroupRange { first: number as u64, last: number as u64 }];
         rule
     });
-    book_of(wishes.chain(musts).collect(), &[UncertaintyPolicy::Keep; 3])
+    book_of(preferences.chain(requirements).collect(), &[UncertaintyPolicy::Keep; 3])
 }
 
-fn how(lowered: &Lowered, name: &str) -> Runs {
-    let row = lowered.table.iter().find(|row| &*row.rule == name && &*row.class == "small");
-    row.expect("a row for each rule").runs
+fn how(compiled: &Compiled, name: &str) -> Execution {
+    let row = compiled.table.iter().find(|row| &*row.rule == name && &*row.class == "small");
+    row.expect("a row for each rule").execution
 }
 
 #[test]
@@ -305,21 +329,30 @@
         change(&mut profile);
         profiles(&[("full", Profile::full()), ("small", profile)])
     };
-    // Three rules: both musts and the wish that goes first.
-    let lowered = lower(&many(3, 2), &budget(|small| small.budgets.rules = 3));
-    let all = ["a:m0", "a:m1", "a:w0", "a:w1", "a:w2"].map(|name| how(&lowered, name));
-    assert_eq!(all, [Runs::Exactly, Runs::Exactly, Runs::Exactly, Runs::Dropped, Runs::Dropped]);
-    assert_eq!(lowered.dropped, 3, "and the class that nobody knows drops all three");
+    // Three rules: both requirements and the preference that goes first.
+    let compiled = compile(&many(3, 2), &budget(|small| small.budgets.rules = 3));
+    let all = ["a:m0", "a:m1", "a:w0", "a:w1", "a:w2"].map(|name| how(&compiled, name));
+    assert_eq!(
+        all,
+        [Execution::Exactly, Execution::Exactly, Execution::Exactly, Execution::Dropped, Execution::Dropped]
+    );
+    assert_eq!(compiled.dropped, 3, "and the class that nobody knows drops all three");
     // One rule: the second must costs the class its requests, and those only.
-    let lowered = lower(&many(3, 2), &budget(|small| small.budgets.rules = 1));
-    assert_eq!((how(&lowered, "a:m1"), how(&lowered, "a:w0")), (Runs::NotAtAll, Runs::Dropped));
-    let goes = |group| lowered.plan.look(&Request { group, ..ASKED }).allows(&on("h", "small"));
+    let compiled = compile(&many(3, 2), &budget(|small| small.budgets.rules = 1));
+    assert_eq!(
+        (how(&compiled, "a:m1"), how(&compiled, "a:w0")),
+        (Execution::Unsupported, Execution::Dropped)
+    );
+    let goes = |group| compiled.plan.lookup(&Request { group, ..ASKED }).allows(&on("h", "small"));
     assert!(goes(Some(0)) && !goes(Some(1)) && goes(Some(2)) && goes(None));
-    // Wishes here have the one selector, musts one each.
-    let lowered = lower(&many(3, 2), &budget(|small| small.budgets.selectors = 2));
-    assert_eq!((how(&lowered, "a:m1"), how(&lowered, "a:w0")), (Runs::Exactly, Runs::Dropped));
-    let lowered = lower(&many(3, 2), &budget(|small| small.budgets.bytes = 0));
-    assert_eq!((how(&lowered, "a:m0"), how(&lowered, "a:w0")), (Runs::NotAtAll, Runs::Dropped));
+    // Preferences here have the one selector, requirements one each.
+    let compiled = compile(&many(3, 2), &budget(|small| small.budgets.selectors = 2));
+    assert_eq!((how(&compiled, "a:m1"), how(&compiled, "a:w0")), (Execution::Exactly, Execution::Dropped));
+    let compiled = compile(&many(3, 2), &budget(|small| small.budgets.bytes = 0));
+    assert_eq!(
+        (how(&compiled, "a:m0"), how(&compiled, "a:w0")),
+        (Execution::Unsupported, Execution::Dropped)
+    );
 }
 
 #[test]
@@ -331,15 +364,16 @@
         rule.on.classes = (0..100).map(|class| format!("c{class}")).collect();
         rules.push(rule);
     }
-    let lowered = lower(&book_of(rules, &[UncertaintyPolicy::Keep; 3]), &full_and(Profile::full().features));
-    assert!(allowed(&lowered).is_empty());
-    assert!(lowered.table.iter().all(|row| row.runs == Runs::NotAtAll));
-    assert_eq!(Plan::from_bytes(&lowered.plan.to_bytes()).as_ref(), Ok(&lowered.plan));
+    let compiled =
+        compile(&book_of(rules, &[UncertaintyPolicy::Keep; 3]), &full_and(Profile::full().features));
+    assert!(allowed(&compiled).is_empty());
+    assert!(compiled.table.iter().all(|row| row.execution == Execution::Unsupported));
+    assert_eq!(Plan::from_bytes(&compiled.plan.to_bytes()).as_ref(), Ok(&compiled.plan));
 }
 
 #[test]
 fn wishes_that_a_plan_does_not_hold_leave_the_musts() {
-    let mut book = must(place(PlacementMode::Avoid, &["g"], &[]));
+    let mut book = requirement(place(PlacementMode::Avoid, &["g"], &[]));
     for number in 0..40 {
         let mut rule =
             rule(&format!("r{number}"), Strength::Preference, place(PlacementMode::Prefer, &["h"], &[]));
@@ -347,19 +381,19 @@
         rule.on.classes = (0..100).map(|class| format!("c{class}")).collect();
         book.rules.push(rule);
     }
-    let lowered = lower(&book, &full_and(Profile::full().features));
-    let look = lowered.plan.look(&ASKED);
-    assert!(look.allows(&on("h", "full")) && !look.allows(&on("g", "full")));
-    assert!((1..40).contains(&lowered.dropped) || lowered.dropped == 40);
-    assert!(lowered.plan.rules() > 1, "as many wishes as it holds are kept");
+    let compiled = compile(&book, &full_and(Profile::full().features));
+    let lookup = compiled.plan.lookup(&ASKED);
+    assert!(lookup.allows(&on("h", "full")) && !lookup.allows(&on("g", "full")));
+    assert!((1..40).contains(&compiled.dropped) || compiled.dropped == 40);
+    assert!(compiled.plan.rules() > 1, "as many wishes as it holds are kept");
 }
 
 #[test]
 fn more_wishes_than_order_a_request_are_counted() {
-    let lowered = lower(&many(40, 0), &profiles(&[("full", Profile::full())]));
-    let look = lowered.plan.look(&ASKED);
-    assert_eq!(look.unheard_wishes(), 9);
-    assert_eq!((look.rank(&on("h", "full")), look.rank(&on("g", "full"))), (0, u32::MAX - 1));
+    let compiled = compile(&many(40, 0), &profiles(&[("full", Profile::full())]));
+    let lookup = compiled.plan.lookup(&ASKED);
+    assert_eq!(lookup.ignored_preferences(), 9);
+    assert_eq!((lookup.rank(&on("h", "full")), lookup.rank(&on("g", "full"))), (0, u32::MAX - 1));
 }
 
 #[test]
@@ -369,32 +403,33 @@
     again.name = "w0-again".into();
     again.depth = 1;
     book.rules.insert(1, again);
-    let lowered = lower(&book, &profiles(&[("full", Profile::full())]));
-    assert_eq!(lowered.plan.look(&ASKED).unheard_wishes(), 0);
+    let compiled = compile(&book, &profiles(&[("full", Profile::full())]));
+    assert_eq!(compiled.plan.lookup(&ASKED).ignored_preferences(), 0);
 }
 
 #[test]
 fn plans_of_other_formats_and_levels_are_refused() {
-    let bytes = lower(&Book::default(), &Profiles::new()).plan.to_bytes();
+    let bytes = compile(&Book::default(), &Profiles::new()).plan.to_bytes();
     let with = |at: usize, byte| {
         let mut bytes = bytes.clone();
         bytes[at] = byte;
         Plan::from_bytes(&bytes)
     };
-    assert_eq!(with(0, 9), Err(BadPlan::Format(9)));
-    assert_eq!(with(1, 9), Err(BadPlan::Needs(9)));
-    assert_eq!(with(1, 2), Err(BadPlan::Canonical("needs")));
-    assert_eq!(Plan::from_bytes(&[]), Err(BadPlan::Decode));
+    assert_eq!(with(0, 9), Err(PlanError::Format(9)));
+    assert_eq!(with(1, 9), Err(PlanError::Needs(9)));
+    assert_eq!(with(1, 2), Err(PlanError::Canonical("needs")));
+    assert_eq!(Plan::from_bytes(&[]), Err(PlanError::Decode));
     let too_many = vec![1; cottonnotch_rule_compiler::MAX_BYTES + 1];
-    assert!(matches!(Plan::from_bytes(&too_many), Err(BadPlan::TooLarge(_))));
+    assert!(matches!(Plan::from_bytes(&too_many), Err(PlanError::TooLarge(_))));
 }
 
 #[test]
 fn limits_keep_their_numbers_from_plan_to_plan() {
-    let cap =
-        |connections| must(RuleKind::Cap { connections, halls: BTreeSet::new(), hardware: BTreeSet::new() });
+    let cap = |connections| {
+        requirement(RuleKind::Cap { connections, halls: BTreeSet::new(), hardware: BTreeSet::new() })
+    };
     let id = |book| {
-        lower(&book, &full_and(Profile::full().features)).plan.look(&ASKED).caps().next().map(|cap| cap.0)
+        compile(&book, &full_and(Profile::full().features)).plan.lookup(&ASKED).caps().next().map(|cap| cap.0)
     };
     assert_eq!(id(cap(3)), id(cap(4)));
     assert!(id(cap(3)).is_some());
@@ -404,7 +439,7 @@
 fn a_profile_is_read_as_stated_and_nothing_else() {
     let text = "features = { tells-loads = true }\nbudgets = { rules = 7 }";
     let profile: Profile = toml::from_str(text).expect("a profile");
-    assert!(profile.features.tells_loads && !profile.features.keeps_groups);
+    assert!(profile.features.reports_loads && !profile.features.keeps_groups);
     assert_eq!((profile.budgets.rules, profile.budgets.bytes), (7, Profile::least().budgets.bytes));
     assert!(toml::from_str::<Profile>("features = { tells-lies = true }").is_err());
     assert!(NodeSet::default().contains(&on("any", "any")));
