--- a/crates/consensus/src/member/activation.rs
+++ b/crates/consensus/src/member/activation.rs
@@ -61,7 +61,7 @@
         }
         if !has_majority {
             if now >= since + 2 * patience {
-                self.drop_pending(topic, pending, ProposalOutcome::ContentUnavailable);
+                self.drop_pending(topic, pending, ProposalOutcome::ContentMissing);
             }
             return;
         }
--- a/crates/consensus/src/member/compatibility.rs
+++ b/crates/consensus/src/member/compatibility.rs
@@ -68,7 +68,7 @@
             return self.reject_proposal(topic, id, ProposalOutcome::Unsupported);
         }
         if self.now >= deadline {
-            return self.reject_proposal(topic, id, ProposalOutcome::ContentUnavailable);
+            return self.reject_proposal(topic, id, ProposalOutcome::ContentMissing);
         }
         if !self.lease_holder.is_available(&hash) {
             if self.now >= last_sent_at + self.config.timing.lease {
--- a/crates/consensus/src/member/content.rs
+++ b/crates/consensus/src/member/content.rs
@@ -35,8 +35,8 @@
     }
 
     pub(super) fn content_ready(&mut self, hash: ContentHash) {
-        self.lease_holder.unsupported.retain(|unsupported| *unsupported != hash);
-        remember(&mut self.lease_holder.available, hash);
+        self.lease_holder.contents.unsupported.retain(|unsupported| *unsupported != hash);
+        remember(&mut self.lease_holder.contents.available, hash);
         self.report_pending_content(hash);
         for topic in Topic::ALL {
             self.activate_offered(topic);
@@ -44,8 +44,8 @@
     }
 
     pub(super) fn content_unsupported(&mut self, hash: ContentHash) {
-        self.lease_holder.available.retain(|available| *available != hash);
-        remember(&mut self.lease_holder.unsupported, hash);
+        self.lease_holder.contents.available.retain(|available| *available != hash);
+        remember(&mut self.lease_holder.contents.unsupported, hash);
         self.report_pending_content(hash);
     }
 
--- a/crates/consensus/src/member/lease_holder.rs
+++ b/crates/consensus/src/member/lease_holder.rs
@@ -13,10 +13,10 @@
     /// Draws the time and the voter of the first request: members that start together don't all ask at once.
     pub(super) fn schedule_first_request(&mut self) {
         let spread = self.rng.random_range(0..=self.config.timing.heartbeat);
-        self.lease_holder.next_request = self.now + spread;
+        self.lease_holder.requests.next_request = self.now + spread;
         let at = self.rng.random_range(0..self.config.voters.len());
         if self.voter.is_none() {
-            self.lease_holder.target = self.config.voters[at];
+            self.lease_holder.requests.target = self.config.voters[at];
         }
     }
 
@@ -51,20 +51,20 @@
     /// Requests the leases when it is time to.
     pub(super) fn tick_lease_holder(&mut self) {
         let now = self.now;
-        if now < self.lease_holder.next_request || now <= self.lease_holder.last_sent {
+        if now < self.lease_holder.requests.next_request || now <= self.lease_holder.requests.last_sent {
             return;
         }
         let retry_after = self.lease_retry_after();
         let jitter = self.rng.random_range(0..=retry_after / 4);
-        let is_early = std::mem::take(&mut self.lease_holder.is_early);
-        if self.lease_holder.unanswered >= 2 && !is_early {
+        let is_early = std::mem::take(&mut self.lease_holder.requests.is_early);
+        if self.lease_holder.requests.unanswered >= 2 && !is_early {
             self.try_next_voter();
         }
         let holder = &mut self.lease_holder;
-        holder.unanswered += u32::from(!is_early);
-        holder.last_sent = now;
-        holder.next_request = now + retry_after + jitter;
-        let to = holder.target;
+        holder.requests.unanswered += u32::from(!is_early);
+        holder.requests.last_sent = now;
+        holder.requests.next_request = now + retry_after + jitter;
+        let to = holder.requests.target;
         let request = self.lease_request();
         self.send(to, Message::LeaseRequest(Box::new(request)));
     }
@@ -73,7 +73,7 @@
     /// soon given up for the next voter.
     fn lease_retry_after(&self) -> Micros {
         let timing = &self.config.timing;
-        let backoff = timing.heartbeat * i64::from(self.lease_holder.unanswered.min(4)) / 4;
+        let backoff = timing.heartbeat * i64::from(self.lease_holder.requests.unanswered.min(4)) / 4;
         (timing.heartbeat * 2).min(timing.lease / 4) + backoff
     }
 
@@ -89,45 +89,49 @@
         };
         LeaseRequest {
             incarnation: self.config.incarnation,
-            sent_at: holder.last_sent,
+            sent_at: holder.requests.last_sent,
             active: by_topic(&|lease| lease.active.map(|(version, _)| version.number)),
             revoked_below: holder.topics.each_ref().map(|lease| lease.revoked_below),
-            ready: by_topic(&|lease| pending_in(lease, &holder.available)),
-            unsupported: by_topic(&|lease| pending_in(lease, &holder.unsupported)),
+            ready: by_topic(&|lease| pending_in(lease, &holder.contents.available)),
+            unsupported: by_topic(&|lease| pending_in(lease, &holder.contents.unsupported)),
             list: self.lists.own,
         }
     }
 
     fn try_next_voter(&mut self) {
         let voters = &self.config.voters;
-        let at = voters.iter().position(|&voter| voter == self.lease_holder.target).unwrap_or(0);
-        self.lease_holder.target = voters[(at + 1) % voters.len()];
-        self.lease_holder.target_is_leader = false;
+        let at = voters.iter().position(|&voter| voter == self.lease_holder.requests.target).unwrap_or(0);
+        self.lease_holder.requests.target = voters[(at + 1) % voters.len()];
+        self.lease_holder.requests.target_is_leader = false;
     }
 
     /// Requests the leases ahead of their time: the leader waits for what the request says.
     pub(super) fn request_lease_now(&mut self) {
-        self.lease_holder.is_early = true;
-        self.lease_holder.next_request = self.now.max(self.lease_holder.last_sent.saturating_add(1));
+        self.lease_holder.requests.is_early = true;
+        self.lease_holder.requests.next_request =
+            self.now.max(self.lease_holder.requests.last_sent.saturating_add(1));
     }
 
     /// A voter that doesn't lead answered the newest request.
     pub(super) fn receive_leader_hint(&mut self, echo: Micros, leader: Option<u16>) {
-        if echo != self.lease_holder.last_sent {
+        if echo != self.lease_holder.requests.last_sent {
             return;
         }
         match leader.filter(|&leader| self.config.is_voter(leader)) {
-            Some(leader) if leader != self.lease_holder.target && !self.lease_holder.followed_hint => {
-                self.lease_holder.followed_hint = true;
-                self.lease_holder.target = leader;
-                self.lease_holder.target_is_leader = false;
+            Some(leader)
+                if leader != self.lease_holder.requests.target
+                    && !self.lease_holder.requests.followed_hint =>
+            {
+                self.lease_holder.requests.followed_hint = true;
+                self.lease_holder.requests.target = leader;
+                self.lease_holder.requests.target_is_leader = false;
                 self.request_lease_now();
             }
             _ => {
-                self.lease_holder.followed_hint = false;
+                self.lease_holder.requests.followed_hint = false;
                 self.try_next_voter();
                 let backoff = self.rng.random_range(1..=self.config.timing.heartbeat);
-                self.lease_holder.next_request = self.now + backoff;
+                self.lease_holder.requests.next_request = self.now + backoff;
             }
         }
     }
@@ -138,15 +142,15 @@
             return self.counters.dropped += 1;
         }
         let holder = &mut self.lease_holder;
-        holder.last_echo = grant.echo;
-        holder.target = from;
-        holder.target_is_leader = true;
-        holder.followed_hint = false;
-        holder.unanswered = 0;
+        holder.requests.last_echo = grant.echo;
+        holder.requests.target = from;
+        holder.requests.target_is_leader = true;
+        holder.requests.followed_hint = false;
+        holder.requests.unanswered = 0;
         self.counters.grants += 1;
         let timing = self.config.timing;
         let jitter = self.rng.random_range(0..=timing.lease / 12);
-        self.lease_holder.next_request = (grant.echo + timing.lease / 3 - jitter).max(self.now + 1);
+        self.lease_holder.requests.next_request = (grant.echo + timing.lease / 3 - jitter).max(self.now + 1);
         self.update_pending(grant.revision, grant.pending, from);
         // Counted from the request: the leader counts from later, and for longer.
         let starts_at = if self.has_mutant(Mutant::LeaseFromReceipt) { self.now } else { grant.echo };
@@ -162,9 +166,9 @@
     /// Whether the grant answers a request of this incarnation, and no newer answer came before.
     fn accepts_grant(&self, grant: &LeaseGrant) -> bool {
         let holder = &self.lease_holder;
-        let is_old = grant.echo <= holder.last_echo || grant.revision < holder.known_revision;
+        let is_old = grant.echo <= holder.requests.last_echo || grant.revision < holder.known_revision;
         grant.incarnation == self.config.incarnation
-            && grant.echo <= holder.last_sent
+            && grant.echo <= holder.requests.last_sent
             && (!is_old || self.has_mutant(Mutant::AcceptRevoked))
     }
 
@@ -187,7 +191,9 @@
         let lease = &mut self.lease_holder.topics[topic.index()];
         let Some((version, until)) = lease.offered else { return };
         let same = lease.active.filter(|(active, _)| active.number == version.number);
-        if (same.is_none() && !self.lease_holder.available.contains(&version.hash)) || until <= self.now {
+        if (same.is_none() && !self.lease_holder.contents.available.contains(&version.hash))
+            || until <= self.now
+        {
             return;
         }
         lease.offered = None;
@@ -209,8 +215,8 @@
         if revision <= self.lease_holder.known_revision {
             return self.counters.dropped += 1;
         }
-        self.lease_holder.target = from;
-        self.lease_holder.unanswered = 0;
+        self.lease_holder.requests.target = from;
+        self.lease_holder.requests.unanswered = 0;
         self.update_pending(revision, pending, from);
         self.request_lease_now();
     }
--- a/crates/consensus/src/member/proposal.rs
+++ b/crates/consensus/src/member/proposal.rs
@@ -57,7 +57,7 @@
             proposal.next_send = self.now + retry_after + jitter;
             let message =
                 Message::Propose { id: proposal.id, topic, hash: proposal.hash, size: proposal.size };
-            let to = self.lease_holder.target;
+            let to = self.lease_holder.requests.target;
             self.send(to, message);
         }
     }
--- a/crates/consensus/src/roles/lease_holder.rs
+++ b/crates/consensus/src/roles/lease_holder.rs
@@ -22,15 +22,15 @@
     pub published: Option<Lease>,
 }
 
-/// A member's leases, and the voter that it requests them from.
+/// A member's requests for leases, and the voter that they go to.
 #[derive(Clone, Debug)]
-pub(crate) struct LeaseHolder {
+pub(crate) struct LeaseRequests {
     /// The voter that requests go to.
     pub target: u16,
     /// The target granted a lease, so it leads.
     pub target_is_leader: bool,
-    /// The newest state that a leader announced.
-    pub known_revision: StateRevision,
+    /// The target was taken from a hint: two voters that point at each other must not send this member to and fro.
+    pub followed_hint: bool,
     pub last_sent: Micros,
     /// The request time of the newest grant.
     pub last_echo: Micros,
@@ -39,48 +39,64 @@
     pub unanswered: u32,
     /// The next request is ahead of its time: that the one before has no answer yet isn't a miss.
     pub is_early: bool,
-    /// The target was taken from a hint: two voters that point at each other must not send this member to and fro.
-    pub followed_hint: bool,
-    pub topics: [TopicLease; 2],
-    /// Contents that are here and compiled, the newest last.
-    pub available: Vec<ContentHash>,
-    /// Contents that this process cannot run, the newest last.
-    pub unsupported: Vec<ContentHash>,
 }
 
-impl LeaseHolder {
-    pub fn new(config: &Config, now: Micros) -> Self {
-        let target = if config.is_voter(config.ordinal) {
-            Some(config.ordinal)
-        } else {
-            config.voters.first().copied()
-        };
+impl LeaseRequests {
+    fn new(config: &Config, now: Micros) -> Self {
+        let own = config.is_voter(config.ordinal).then_some(config.ordinal);
+        let target = own.or_else(|| config.voters.first().copied());
         Self {
             target: target.unwrap_or(config.ordinal),
             target_is_leader: false,
-            known_revision: StateRevision::default(),
+            followed_hint: false,
             last_sent: Micros::MIN,
             last_echo: Micros::MIN,
             next_request: now,
             unanswered: 0,
             is_early: false,
-            followed_hint: false,
+        }
+    }
+}
+
+/// The contents that a member knows, the newest last.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct KnownContents {
+    /// Contents that are here and compiled.
+    pub available: Vec<ContentHash>,
+    /// Contents that this process cannot run.
+    pub unsupported: Vec<ContentHash>,
+}
+
+/// A member's leases.
+#[derive(Clone, Debug)]
+pub(crate) struct LeaseHolder {
+    pub requests: LeaseRequests,
+    /// The newest state that a leader announced.
+    pub known_revision: StateRevision,
+    pub topics: [TopicLease; 2],
+    pub contents: KnownContents,
+}
+
+impl LeaseHolder {
+    pub fn new(config: &Config, now: Micros) -> Self {
+        Self {
+            requests: LeaseRequests::new(config, now),
+            known_revision: StateRevision::default(),
             topics: Default::default(),
-            available: Vec::new(),
-            unsupported: Vec::new(),
+            contents: KnownContents::default(),
         }
     }
 
     pub fn is_available(&self, hash: &ContentHash) -> bool {
-        self.available.contains(hash)
+        self.contents.available.contains(hash)
     }
 
     pub fn is_unsupported(&self, hash: &ContentHash) -> bool {
-        self.unsupported.contains(hash)
+        self.contents.unsupported.contains(hash)
     }
 
     pub fn known_leader(&self) -> Option<u16> {
-        self.target_is_leader.then_some(self.target)
+        self.requests.target_is_leader.then_some(self.requests.target)
     }
 
     pub fn lease(&self, topic: Topic) -> Lease {
@@ -104,6 +120,6 @@
 
     pub fn next_timeout(&self) -> Micros {
         let ends = self.topics.iter().filter_map(|lease| lease.active.map(|(_, until)| until));
-        ends.min().unwrap_or(Micros::MAX).min(self.next_request)
+        ends.min().unwrap_or(Micros::MAX).min(self.requests.next_request)
     }
 }
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -80,7 +80,7 @@
     /// The leader's embedder rejected it, or didn't answer.
     Rejected,
     /// The leader, or most of the voters, couldn't get the content.
-    ContentUnavailable,
+    ContentMissing,
     /// The same process made another proposal before this one was sent, or before its outcome arrived.
     Superseded,
 }
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -10,7 +10,7 @@
     ("in_force", ProposalOutcome::InForce),
     ("cannot_run", ProposalOutcome::Unsupported),
     ("refused", ProposalOutcome::Rejected),
-    ("unfetched", ProposalOutcome::ContentUnavailable),
+    ("unfetched", ProposalOutcome::ContentMissing),
     ("superseded", ProposalOutcome::Superseded),
 ];
 
--- a/crates/cottonnotch/src/rules/compile_worker.rs
+++ b/crates/cottonnotch/src/rules/compile_worker.rs
@@ -5,7 +5,7 @@
 use super::content_fetcher::fetch_content;
 use super::local_overrides::{apply_overrides, has_newer_revision};
 use super::published_plan::PublishedPlan;
-use super::status::StatusBoard;
+use super::status::SharedStatus;
 use super::version_content::{ContentBody, ContentCache, VersionContent, short_hex};
 use cottonnotch_consensus::{ContentHash, Input, Micros, ProposalOutcome, Topic, Verdict};
 use cottonnotch_routing_rules::{Conflict, History, Inventory, Merged, RuleFile, merge};
@@ -80,7 +80,7 @@
 pub struct CompileWorker {
     destination: Destination,
     contents: ContentCache,
-    status: Arc<StatusBoard>,
+    status: Arc<SharedStatus>,
     members: Vec<SocketAddr>,
     local: LocalRules,
     proposal: ProposalState,
@@ -90,7 +90,7 @@
     pub fn new(
         destination: Destination,
         contents: ContentCache,
-        status: Arc<StatusBoard>,
+        status: Arc<SharedStatus>,
         members: Vec<SocketAddr>,
     ) -> Self {
         // Without other members nobody could know of an earlier version.
--- a/crates/cottonnotch/src/rules/consensus_loop.rs
+++ b/crates/cottonnotch/src/rules/consensus_loop.rs
@@ -4,7 +4,7 @@
 use super::clock::Clock;
 use super::compile_job::CompileJob;
 use super::consensus_handle::{ConsensusHandle, WAKE_UP};
-use super::consensus_parts::{MemberSettings, SharedParts};
+use super::consensus_setup::{MemberSettings, SharedState};
 use super::lease_file::{LeaseFile, LeaseRecord};
 use super::state_files::{DURABLE_STATE, LAST_ACTIVE};
 use super::version_content::{VersionContent, short_hex};
@@ -34,7 +34,7 @@
 /// One member with its socket.
 pub struct ConsensusLoop<'a> {
     settings: MemberSettings,
-    shared: SharedParts,
+    shared: SharedState,
     handle: &'a ConsensusHandle,
     socket: UdpSocket,
     member: Member,
@@ -72,7 +72,7 @@
 impl<'a> ConsensusLoop<'a> {
     pub fn new(
         settings: MemberSettings,
-        shared: SharedParts,
+        shared: SharedState,
         handle: &'a ConsensusHandle,
         socket: UdpSocket,
         member: Member,
--- a/crates/cottonnotch/src/rules/consensus_parts.rs
+++ b/crates/cottonnotch/src/rules/consensus_setup.rs
@@ -2,7 +2,7 @@
 
 use super::compile_job::CompileJob;
 use super::published_plan::PublishedPlan;
-use super::status::StatusBoard;
+use super::status::SharedStatus;
 use super::version_content::ContentCache;
 use cottonnotch_consensus::Config;
 use cottonnotch_proxy_core::envelope::EnvelopeKey;
@@ -28,15 +28,15 @@
 
 /// What the consensus thread shares with other threads.
 #[derive(Clone)]
-pub struct SharedParts {
+pub struct SharedState {
     pub contents: ContentCache,
     pub published: Arc<PublishedPlan>,
-    pub status: Arc<StatusBoard>,
+    pub status: Arc<SharedStatus>,
     pub jobs: Sender<CompileJob>,
 }
 
 /// What the consensus thread is started with.
-pub struct ConsensusParts {
+pub struct ConsensusSetup {
     pub member: MemberSettings,
-    pub shared: SharedParts,
+    pub shared: SharedState,
 }
--- a/crates/cottonnotch/src/rules/consensus_thread.rs
+++ b/crates/cottonnotch/src/rules/consensus_thread.rs
@@ -3,7 +3,7 @@
 use super::clock::Clock;
 use super::consensus_handle::ConsensusHandle;
 use super::consensus_loop::ConsensusLoop;
-use super::consensus_parts::{ConsensusParts, MemberSettings, SharedParts};
+use super::consensus_setup::{ConsensusSetup, MemberSettings, SharedState};
 use super::content_server::ContentServer;
 use super::durable_file::StateFolder;
 use super::lease_file::LeaseFile;
@@ -29,13 +29,13 @@
 
 /// Starts the thread. Fails if the address or the folder can't be had and isn't waited for.
 pub fn start(
-    parts: ConsensusParts,
+    setup: ConsensusSetup,
     inputs: (Sender<Input>, Receiver<Input>),
     predecessor: Predecessor,
 ) -> io::Result<ConsensusHandle> {
     let (sender, inputs) = inputs;
-    let handle = ConsensusHandle::new(sender, parts.shared.contents.clone());
-    let resources = match Resources::acquire(&parts) {
+    let handle = ConsensusHandle::new(sender, setup.shared.contents.clone());
+    let resources = match Resources::acquire(&setup) {
         Ok(resources) => Some(resources),
         Err(error) if predecessor == Predecessor::MayRun && is_taken(&error) => {
             log::info!("consensus starts once the predecessor has released its address");
@@ -46,8 +46,8 @@
     let own_handle = handle.clone();
     let thread = std::thread::Builder::new().name("rules-accord".into());
     thread.spawn(move || {
-        let status = Arc::clone(&parts.shared.status);
-        if let Err(error) = run(parts, &own_handle, &inputs, resources) {
+        let status = Arc::clone(&setup.shared.status);
+        if let Err(error) = run(setup, &own_handle, &inputs, resources) {
             log::error!(error:%; "consensus stops in this process, its lease will expire: {error}");
             status.lock().consensus_error = Some(error.to_string());
         }
@@ -68,12 +68,12 @@
 }
 
 impl Resources {
-    fn acquire(parts: &ConsensusParts) -> io::Result<Self> {
-        let MemberSettings { listen, state_folder, .. } = &parts.member;
+    fn acquire(setup: &ConsensusSetup) -> io::Result<Self> {
+        let MemberSettings { listen, state_folder, .. } = &setup.member;
         let socket = UdpSocket::bind(listen).map_err(|error| with_key("accord.listen", error))?;
         let state_folder = state_folder.as_deref().map(StateFolder::open).transpose();
         let state_folder = state_folder.map_err(|error| with_key("accord.state_folder", error))?;
-        let content_server = ContentServer::start(*listen, parts.shared.contents.clone());
+        let content_server = ContentServer::start(*listen, setup.shared.contents.clone());
         let content_server = content_server.map_err(|error| with_key("accord.listen", error))?;
         Ok(Resources { socket, content_server, state_folder })
     }
@@ -85,17 +85,17 @@
 }
 
 fn run(
-    parts: ConsensusParts,
+    setup: ConsensusSetup,
     handle: &ConsensusHandle,
     inputs: &Receiver<Input>,
     resources: Option<Resources>,
 ) -> io::Result<()> {
-    let Some(resources) = wait_for_resources(&parts, handle, resources)? else { return Ok(()) };
+    let Some(resources) = wait_for_resources(&setup, handle, resources)? else { return Ok(()) };
     let Resources { socket, content_server, state_folder } = resources;
     if let Ok(waker) = waker(&socket) {
         handle.set_waker(waker);
     }
-    let ConsensusParts { member: settings, shared } = parts;
+    let ConsensusSetup { member: settings, shared } = setup;
     let member = start_member(&settings, &shared, handle, state_folder.as_ref())?;
     let folder = settings.state_folder.as_deref().filter(|_| state_folder.is_some());
     let lease_file = folder.map(LeaseFile::create).transpose()?;
@@ -109,16 +109,16 @@
 
 /// Retries until the predecessor has released the address and the folder, and follows its lease meanwhile; `None`: stopped.
 fn wait_for_resources(
-    parts: &ConsensusParts,
+    setup: &ConsensusSetup,
     handle: &ConsensusHandle,
     mut acquired: Option<Resources>,
 ) -> io::Result<Option<Resources>> {
     while !handle.is_stopped() {
-        match acquired.take().map_or_else(|| Resources::acquire(parts), Ok) {
+        match acquired.take().map_or_else(|| Resources::acquire(setup), Ok) {
             Ok(resources) => return Ok(Some(resources)),
             Err(error) if is_taken(&error) => {
-                let folder = parts.member.state_folder.as_deref();
-                folder.and_then(|folder| follow_predecessor(folder, &parts.shared));
+                let folder = setup.member.state_folder.as_deref();
+                folder.and_then(|folder| follow_predecessor(folder, &setup.shared));
                 std::thread::sleep(RETRY_AFTER);
             }
             Err(error) => return Err(error),
@@ -130,7 +130,7 @@
 /// The member, with the state that an earlier process left.
 fn start_member(
     settings: &MemberSettings,
-    shared: &SharedParts,
+    shared: &SharedState,
     handle: &ConsensusHandle,
     state_folder: Option<&StateFolder>,
 ) -> io::Result<Member> {
--- a/crates/cottonnotch/src/rules/mod.rs
+++ b/crates/cottonnotch/src/rules/mod.rs
@@ -14,7 +14,7 @@
 mod config;
 mod consensus_handle;
 mod consensus_loop;
-mod consensus_parts;
+mod consensus_setup;
 mod consensus_thread;
 mod content_fetcher;
 mod content_server;
--- a/crates/cottonnotch/src/rules/service.rs
+++ b/crates/cottonnotch/src/rules/service.rs
@@ -5,13 +5,13 @@
 use super::compile_worker::{CompileWorker, Destination};
 use super::config::{ConsensusSettings, UnknownRules};
 use super::consensus_handle::ConsensusHandle;
-use super::consensus_parts::{ConsensusParts, MemberSettings, SharedParts};
+use super::consensus_setup::{ConsensusSetup, MemberSettings, SharedState};
 use super::consensus_thread::{self, Predecessor};
 use super::node_kinds::NodeKind;
 use super::published_plan::PublishedPlan;
 use super::routing_verdict::{RoutingVerdicts, RuleNames, UncertaintySettings, VerdictBasis};
 use super::settings::RulesSettings;
-use super::status::{RulesStatus, StatusBoard};
+use super::status::{RulesStatus, SharedStatus};
 use super::version_content::ContentCache;
 use cottonnotch_consensus::{Config, Input};
 use cottonnotch_decision::settings::Profile;
@@ -33,7 +33,7 @@
     verdicts: RoutingVerdicts,
     settings: RulesSettings,
     published: Arc<PublishedPlan>,
-    status: Arc<StatusBoard>,
+    status: Arc<SharedStatus>,
     jobs: Sender<CompileJob>,
     consensus: Option<ConsensusHandle>,
     /// The longest from a verdict to the write that follows it; `None`: without consensus, any time.
@@ -53,7 +53,7 @@
         has_predecessor: bool,
     ) -> io::Result<Self> {
         let (jobs, job_queue) = channel();
-        let shared = SharedParts {
+        let shared = SharedState {
             contents: ContentCache::default(),
             published: Arc::default(),
             status: Arc::default(),
@@ -64,14 +64,14 @@
             Some((consensus, envelope_key)) => {
                 let predecessor = if has_predecessor { Predecessor::MayRun } else { Predecessor::Absent };
                 let member = member_settings(consensus, envelope_key, seed);
-                let parts = ConsensusParts { member, shared: shared.clone() };
-                Some(consensus_thread::start(parts, channel(), predecessor)?)
+                let setup = ConsensusSetup { member, shared: shared.clone() };
+                Some(consensus_thread::start(setup, channel(), predecessor)?)
             }
         };
         start_worker(&settings, consensus.clone(), &shared, job_queue)?;
         let rule_names = if records_names { RuleNames::Recorded } else { RuleNames::Omitted };
         let uncertainty = uncertainty(&settings);
-        let SharedParts { published, status, jobs, .. } = shared;
+        let SharedState { published, status, jobs, .. } = shared;
         let service = RulesService {
             verdicts: RoutingVerdicts::new(Arc::clone(&published), uncertainty, rule_names, profile),
             act: settings.consensus.as_ref().map(|(consensus, _)| consensus.timing.act),
@@ -255,7 +255,7 @@
 fn start_worker(
     settings: &RulesSettings,
     consensus: Option<ConsensusHandle>,
-    shared: &SharedParts,
+    shared: &SharedState,
     jobs: Receiver<CompileJob>,
 ) -> io::Result<()> {
     let destination = match consensus {
--- a/crates/cottonnotch/src/rules/state_recovery.rs
+++ b/crates/cottonnotch/src/rules/state_recovery.rs
@@ -2,7 +2,7 @@
 //! last; and, while that process still runs, its lease.
 
 use super::consensus_handle::ConsensusHandle;
-use super::consensus_parts::{MemberSettings, SharedParts};
+use super::consensus_setup::{MemberSettings, SharedState};
 use super::durable_file::{self, StateFileError, StateFolder};
 use super::lease_file::{LeaseFile, LeaseRecord};
 use super::state_files::{CONTENT_PREFIX, DURABLE_STATE, LAST_ACTIVE, content_name};
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 /// Acts on the version that the predecessor has a lease on, for as long as it has; `None`: there is nothing new to act on.
-pub fn follow_predecessor(folder: &Path, shared: &SharedParts) -> Option<()> {
+pub fn follow_predecessor(folder: &Path, shared: &SharedState) -> Option<()> {
     let file = LeaseFile::open(folder).ok()?;
     let LeaseRecord { number, hash, .. } = file.read()?;
     if matches!(&*shared.published.read(), Some(p) if (p.number, p.hash) == (number, hash)) {
@@ -30,7 +30,7 @@
 /// Restores what an earlier process left in the state folder; the voter's durable state, if there is one.
 pub fn restore_state(
     settings: &MemberSettings,
-    shared: &SharedParts,
+    shared: &SharedState,
     handle: &ConsensusHandle,
     folder: Option<&StateFolder>,
 ) -> io::Result<Option<DurableState>> {
@@ -57,7 +57,7 @@
     if name == content_name(&content.hash) { Ok(content) } else { Err(StoredContentError::Misnamed) }
 }
 
-fn restore_contents(folder: &StateFolder, shared: &SharedParts, handle: &ConsensusHandle) -> io::Result<()> {
+fn restore_contents(folder: &StateFolder, shared: &SharedState, handle: &ConsensusHandle) -> io::Result<()> {
     for name in folder.list(CONTENT_PREFIX)? {
         match load_content(folder, &name) {
             Ok(content) => {
@@ -77,7 +77,7 @@
 
 /// Publishes the version that was active last without a lease: it is known, for rules that hold while it is uncertain which
 /// version is in force.
-fn restore_last_active(folder: &StateFolder, shared: &SharedParts) {
+fn restore_last_active(folder: &StateFolder, shared: &SharedState) {
     let bytes = folder.load(LAST_ACTIVE).ok().flatten();
     let last = bytes.and_then(|bytes| postcard::from_bytes::<(u64, ContentHash)>(&bytes).ok());
     if shared.published.read().is_none()
--- a/crates/cottonnotch/src/rules/status.rs
+++ b/crates/cottonnotch/src/rules/status.rs
@@ -44,9 +44,9 @@
 
 /// The status, shared between threads.
 #[derive(Debug, Default)]
-pub struct StatusBoard(Mutex<RulesStatus>);
+pub struct SharedStatus(Mutex<RulesStatus>);
 
-impl StatusBoard {
+impl SharedStatus {
     /// The status, to read or to change.
     pub fn lock(&self) -> MutexGuard<'_, RulesStatus> {
         // Nobody panics with it half changed.
--- a/crates/cottonnotch/tests/rules.rs
+++ b/crates/cottonnotch/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Stories of rules: proxies that keep to their owners' rules, alone and in agreement, through reloads, stops and losses.
+//! Proxies that follow their owners' rules, alone and in agreement, through reloads, stops and losses.
 
 mod peers;
 use peers::*;
@@ -25,13 +25,13 @@
 }
 
 /// One proxy's files.
-struct Place {
+struct ProxyFolder {
     folder: TempDir,
 }
 
-impl Place {
+impl ProxyFolder {
     fn new(sections: &str) -> Self {
-        let place = Place { folder: TempDir::new().unwrap() };
+        let place = ProxyFolder { folder: TempDir::new().unwrap() };
         std::fs::create_dir(place.rules()).unwrap();
         let folder = place.rules().display().to_string();
         let operator = format!("[rules]\nfolder = \"{folder}\"\n{sections}");
@@ -72,7 +72,7 @@
     std::fs::write(&new, text).and_then(|()| std::fs::rename(&new, path)).unwrap();
 }
 
-/// A render node in each of two halls, and what discovery says of them.
+/// A render node in each of two halls, and the endpoint list with both.
 struct Halls([ScriptedServer; 2], RefCell<Vec<(ScriptedPeer, ScriptedPeer)>>);
 
 impl Halls {
@@ -89,19 +89,19 @@
         chunk(&list(7, true, &[member(0), member(1)]))
     }
 
-    /// Tells a proxy of them; the watch stays open.
-    fn tell(&self, proxy: &Proxy) -> ScriptedPeer {
-        self.tell_by(&proxy.discovery)
+    /// Sends a proxy the list; the watch stays open.
+    fn send_list(&self, proxy: &Proxy) -> ScriptedPeer {
+        self.send_list_from(&proxy.discovery)
     }
 
-    fn tell_by(&self, discovery: &ScriptedServer) -> ScriptedPeer {
+    fn send_list_from(&self, discovery: &ScriptedServer) -> ScriptedPeer {
         let (mut watch, _) = discovery.accept_watch();
         watch.send(&self.list());
         watch
     }
 
-    /// Answers a watch, if one is asked for now.
-    fn tell_whoever_asks(&self, discovery: &ScriptedServer) -> Option<ScriptedPeer> {
+    /// Answers a watch that is waiting now.
+    fn answer_pending_watch(&self, discovery: &ScriptedServer) -> Option<ScriptedPeer> {
         let mut watch = discovery.poll()?;
         while watch.receive() != "\r\n" {}
         watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -109,7 +109,7 @@
         Some(watch)
     }
 
-    /// Where a new client of this proxy's goes; `None`: it is refused.
+    /// The hall in which a new client of this proxy is served; `None`: it is rejected.
     fn place(&self, proxy: &Proxy) -> Option<usize> {
         let mut client = proxy.open();
         let poll = || (0..2).find_map(|at| Some((Some(at), Some(self.0[at].poll()?))));
@@ -138,10 +138,10 @@
 /// A proxy without others acts on its own files, and takes new ones completely or not at all.
 #[test]
 fn single_proxy_follows_its_own_files() {
-    let (place, halls) = (Place::new(""), Halls::new());
+    let (place, halls) = (ProxyFolder::new(""), Halls::new());
     place.write(&file(1, &require("a")));
     let proxy = place.start();
-    let _watch = halls.tell(&proxy);
+    let _watch = halls.send_list(&proxy);
     proxy.wait_for_log("rules version 1 is active: 1 rules");
     for _ in 0..6 {
         assert_eq!(halls.place(&proxy), Some(0));
@@ -168,7 +168,7 @@
 
 /// Some proxies that agree, each with files of its own.
 struct Cluster {
-    places: Vec<Place>,
+    folders: Vec<ProxyFolder>,
     addresses: Vec<SocketAddr>,
 }
 
@@ -177,7 +177,7 @@
         let addresses = addresses(members);
         let listed: Vec<String> = addresses.iter().map(|address| format!("\"{address}\"")).collect();
         let place = |me: usize| {
-            let place = Place::new("");
+            let place = ProxyFolder::new("");
             let (listen, folder) = (addresses[me], place.folder.path().display());
             let section = format!(
                 "[accord]\nlisten = \"{listen}\"\ncluster = \"story\"\nkey_file = \"{folder}/key\"\nme = {me}\n\
@@ -189,19 +189,19 @@
             std::fs::write(place.path("operator.toml"), operator + &section).unwrap();
             place
         };
-        Cluster { places: (0..members).map(place).collect(), addresses }
+        Cluster { folders: (0..members).map(place).collect(), addresses }
     }
 }
 
-/// An address for each member, in a part of the loopback network for each story: nobody else takes its ports.
+/// An address for each member, in a loopback network of its own for each scenario: nobody else uses its ports.
 fn addresses(members: usize) -> Vec<SocketAddr> {
-    static STORY: AtomicU8 = AtomicU8::new(1);
-    let story = STORY.fetch_add(1, Ordering::Relaxed);
+    static SCENARIO: AtomicU8 = AtomicU8::new(1);
+    let scenario = SCENARIO.fetch_add(1, Ordering::Relaxed);
     let [high, low] = (std::process::id() as u16).to_be_bytes();
-    (0..members as u16).map(|member| ([127, 64 + high % 128, low, story], 7400 + member).into()).collect()
+    (0..members as u16).map(|member| ([127, 64 + high % 128, low, scenario], 7400 + member).into()).collect()
 }
 
-fn counts(proxy: &Proxy, version: u64) {
+fn wait_for_version(proxy: &Proxy, version: u64) {
     wait_for(TIMEOUT, "the version", || {
         let left = proxy.metric("rules.lease_left_ms")?;
         let is_it = proxy.metric("rules.version") == Some(version) && proxy.metric("rules.rules") > Some(0);
@@ -212,25 +212,25 @@
 #[test]
 fn change_at_one_proxy_reaches_all_without_overlap() {
     let (cluster, halls) = (Cluster::new(4, ""), Halls::new());
-    cluster.places[0].write(&file(1, &require("a")));
-    let proxies: Vec<Proxy> = cluster.places.iter().map(Place::start).collect();
-    let _watches: Vec<ScriptedPeer> = proxies.iter().map(|proxy| halls.tell(proxy)).collect();
+    cluster.folders[0].write(&file(1, &require("a")));
+    let proxies: Vec<Proxy> = cluster.folders.iter().map(ProxyFolder::start).collect();
+    let _watches: Vec<ScriptedPeer> = proxies.iter().map(|proxy| halls.send_list(proxy)).collect();
     for proxy in &proxies {
-        counts(proxy, 1);
+        wait_for_version(proxy, 1);
         assert_eq!(halls.place(proxy), Some(0));
     }
     // The third is given a newer file, which contradicts the old one.
-    cluster.places[2].write(&file(2, &require("b")));
+    cluster.folders[2].write(&file(2, &require("b")));
     proxies[2].reload();
     for proxy in &proxies {
-        counts(proxy, 2);
+        wait_for_version(proxy, 2);
         assert_eq!(halls.place(proxy), Some(1));
     }
     // Files that are behind change nothing.
     proxies[0].reload();
     std::thread::sleep(Duration::from_millis(500));
     for proxy in &proxies {
-        counts(proxy, 2);
+        wait_for_version(proxy, 2);
     }
     assert!(proxies.iter().filter(|proxy| proxy.metric("rules.leads") == Some(1)).count() == 1);
     assert!(cluster.addresses.len() == 4);
@@ -239,10 +239,10 @@
 #[test]
 fn stopped_proxy_does_not_act_on_old_rules() {
     let (cluster, halls) = (Cluster::new(4, ""), Halls::new());
-    cluster.places[0].write(&file(1, &require("a")));
-    let proxies: Vec<Proxy> = cluster.places.iter().map(Place::start).collect();
-    let _watches: Vec<ScriptedPeer> = proxies.iter().map(|proxy| halls.tell(proxy)).collect();
-    proxies.iter().for_each(|proxy| counts(proxy, 1));
+    cluster.folders[0].write(&file(1, &require("a")));
+    let proxies: Vec<Proxy> = cluster.folders.iter().map(ProxyFolder::start).collect();
+    let _watches: Vec<ScriptedPeer> = proxies.iter().map(|proxy| halls.send_list(proxy)).collect();
+    proxies.iter().for_each(|proxy| wait_for_version(proxy, 1));
     // The last one does not vote. It is stopped, with clients at its door, while the rules turn round.
     let stopped = &proxies[3];
     let signal = |name: &str| {
@@ -250,9 +250,9 @@
     };
     signal("-STOP");
     let mut waiting: Vec<ScriptedPeer> = (0..20).map(|_| stopped.open()).collect();
-    cluster.places[1].write(&file(2, &require("b")));
+    cluster.folders[1].write(&file(2, &require("b")));
     proxies[1].reload();
-    proxies[..3].iter().for_each(|proxy| counts(proxy, 2));
+    proxies[..3].iter().for_each(|proxy| wait_for_version(proxy, 2));
     signal("-CONT");
     // Each is refused or goes by the new rules: none to hall a.
     let until = Instant::now() + Duration::from_millis(1_500);
@@ -269,7 +269,7 @@
     let refused =
         waiting.iter_mut().filter_map(|client| client.try_receive().ok()).filter(|l| l.starts_with("BUSY"));
     assert_eq!(placed + refused.count(), 20);
-    counts(stopped, 2);
+    wait_for_version(stopped, 2);
     assert_eq!(halls.place(stopped), Some(1));
 }
 
@@ -277,10 +277,10 @@
 #[test]
 fn rejects_requirements_without_a_majority() {
     let (cluster, halls) = (Cluster::new(3, ""), Halls::new());
-    cluster.places[0].write(&file(1, &require("a")));
-    let mut proxies: Vec<Proxy> = cluster.places.iter().map(Place::start).collect();
-    let _watches: Vec<ScriptedPeer> = proxies.iter().map(|proxy| halls.tell(proxy)).collect();
-    proxies.iter().for_each(|proxy| counts(proxy, 1));
+    cluster.folders[0].write(&file(1, &require("a")));
+    let mut proxies: Vec<Proxy> = cluster.folders.iter().map(ProxyFolder::start).collect();
+    let _watches: Vec<ScriptedPeer> = proxies.iter().map(|proxy| halls.send_list(proxy)).collect();
+    proxies.iter().for_each(|proxy| wait_for_version(proxy, 1));
     // Two of three die at once.
     proxies[1].kill();
     proxies[2].kill();
@@ -289,10 +289,10 @@
     assert_eq!(halls.place(last), None);
     assert!(last.metric("rules.refused_in_doubt").unwrap() >= 1);
     // They come back with what they remember, and no file of their own.
-    let again: Vec<Proxy> = cluster.places[1..].iter().map(Place::start).collect();
-    let _more: Vec<ScriptedPeer> = again.iter().map(|proxy| halls.tell(proxy)).collect();
+    let again: Vec<Proxy> = cluster.folders[1..].iter().map(ProxyFolder::start).collect();
+    let _more: Vec<ScriptedPeer> = again.iter().map(|proxy| halls.send_list(proxy)).collect();
     for proxy in again.iter().chain([last]) {
-        counts(proxy, 1);
+        wait_for_version(proxy, 1);
         assert_eq!(halls.place(proxy), Some(0));
     }
 }
@@ -313,66 +313,68 @@
              attempts = {{ most = {revision} }}\n"
         )
     };
-    cluster.places[0].write(&(root(1) + "[[rule]]\nname = \"all\"\nattempts = { most = 9 }\n"));
+    cluster.folders[0].write(&(root(1) + "[[rule]]\nname = \"all\"\nattempts = { most = 9 }\n"));
     let settings = SETTINGS.replace(
         r#""gain":1.0}]"#,
         r#""gain":1.0},{"name":"edit","effect":"safe","target":300000,"deadline":2000000,"gain":1.0}]"#,
     );
-    let proxies: Vec<Proxy> = cluster.places.iter().map(|place| place.start_with(&settings)).collect();
-    let _watches: Vec<ScriptedPeer> = proxies.iter().map(|proxy| halls.tell(proxy)).collect();
-    proxies.iter().for_each(|proxy| counts(proxy, 1));
+    let proxies: Vec<Proxy> = cluster.folders.iter().map(|place| place.start_with(&settings)).collect();
+    let _watches: Vec<ScriptedPeer> = proxies.iter().map(|proxy| halls.send_list(proxy)).collect();
+    proxies.iter().for_each(|proxy| wait_for_version(proxy, 1));
     // Each of two gets a file of its own, and both hear of it at once.
     for (place, name, class) in [(1, "one", "look"), (2, "two", "edit")] {
-        write(&cluster.places[place].rules().join("child.toml"), &child(name, class, 2));
+        write(&cluster.folders[place].rules().join("child.toml"), &child(name, class, 2));
         proxies[place].reload();
     }
     let rules = |proxy: &Proxy| proxy.drain_log_until("is active: 3 rules").len();
     assert!(proxies.iter().all(|proxy| rules(proxy) > 0));
-    proxies.iter().for_each(|proxy| counts(proxy, 3));
+    proxies.iter().for_each(|proxy| wait_for_version(proxy, 3));
 }
 
 #[test]
 fn successor_takes_over_member_and_state() {
     let (cluster, halls) = (Cluster::new(3, ""), Halls::new());
-    cluster.places[0].write(&file(1, &require("a")));
+    cluster.folders[0].write(&file(1, &require("a")));
     let meeting = TempDir::new().unwrap();
     let (shared, discovery) = (free_address(), ScriptedServer::new());
     let alias = ScriptedServer::alias(discovery.address());
-    let elder = Proxy::shared_by(cluster.places[0].command(), shared, meeting.path(), discovery, &[]);
-    let others: Vec<Proxy> = cluster.places[1..].iter().map(Place::start).collect();
-    let _watches: Vec<ScriptedPeer> = others.iter().chain([&elder]).map(|proxy| halls.tell(proxy)).collect();
-    counts(&elder, 1);
-    others.iter().for_each(|proxy| counts(proxy, 1));
-    let younger = Proxy::start_without_nodes_by(cluster.places[0].command(), shared, meeting.path(), alias);
+    let predecessor = Proxy::shared_by(cluster.folders[0].command(), shared, meeting.path(), discovery, &[]);
+    let others: Vec<Proxy> = cluster.folders[1..].iter().map(ProxyFolder::start).collect();
+    let _watches: Vec<ScriptedPeer> =
+        others.iter().chain([&predecessor]).map(|proxy| halls.send_list(proxy)).collect();
+    wait_for_version(&predecessor, 1);
+    others.iter().for_each(|proxy| wait_for_version(proxy, 1));
+    let successor =
+        Proxy::start_without_nodes_by(cluster.folders[0].command(), shared, meeting.path(), alias);
     // No beats are sent here, so the elder asks again now and then, too.
     let mut watches = Vec::new();
     wait_for(TIMEOUT, "the successor", || {
-        watches.extend(halls.tell_whoever_asks(&elder.discovery));
-        (younger.admin_request("GET", "/status", "").0 == 200).then_some(())
+        watches.extend(halls.answer_pending_watch(&predecessor.discovery));
+        (successor.admin_request("GET", "/status", "").0 == 200).then_some(())
     });
     // Both serve now at one address, by the elder's lease: none is refused, also when it has been renewed a few times.
     for _ in 0..20 {
-        assert_eq!(halls.place(&elder), Some(0));
+        assert_eq!(halls.place(&predecessor), Some(0));
         std::thread::sleep(Duration::from_millis(100));
     }
-    counts(&younger, 1);
-    elder.terminate();
-    elder.wait_for_log("another process accepts clients");
-    counts(&younger, 1);
+    wait_for_version(&successor, 1);
+    predecessor.terminate();
+    predecessor.wait_for_log("another process accepts clients");
+    wait_for_version(&successor, 1);
     // Anew under one name and one memory: the three still agree.
-    cluster.places[0].write(&file(2, &require("b")));
-    younger.reload();
-    counts(&younger, 2);
-    others.iter().for_each(|proxy| counts(proxy, 2));
+    cluster.folders[0].write(&file(2, &require("b")));
+    successor.reload();
+    wait_for_version(&successor, 2);
+    others.iter().for_each(|proxy| wait_for_version(proxy, 2));
 }
 
 /// Errors in the sections name the key and the line; a sum of spans that is too large is shown.
 #[test]
 fn section_errors_name_key_and_line() {
-    let accord = "[accord]\nlisten = \"127.0.0.1:7400\"\ncluster = \"x\"\nme = 0\nvoters = [0]\nmembers = [\"127.0.0.1:7400\"]\n";
+    let consensus = "[accord]\nlisten = \"127.0.0.1:7400\"\ncluster = \"x\"\nme = 0\nvoters = [0]\nmembers = [\"127.0.0.1:7400\"]\n";
     let with_key = |more: &str| {
-        let place = Place::new("");
-        format!("{accord}key_file = \"{}\"\n{more}", place.path("key").display())
+        let place = ProxyFolder::new("");
+        format!("{consensus}key_file = \"{}\"\n{more}", place.path("key").display())
     };
     for (sections, said) in [
         (
@@ -384,13 +386,13 @@
             "accord.lese_ms is unknown: 'lese_ms', did you mean 'lease_ms'?",
         ),
         ("[accord]\nme = 3\n".to_owned(), "accord.listen is missing"),
-        (accord.to_owned(), "accord.key_file is missing"),
+        (consensus.to_owned(), "accord.key_file is missing"),
         (
-            accord.replace("me = 0", "me = 1") + "key_file = \"x\"\n",
+            consensus.replace("me = 0", "me = 1") + "key_file = \"x\"\n",
             "accord.me is 1, and accord.members names 1",
         ),
-        (accord.replace("[0]", "[0, 1]") + "key_file = \"x\"\n", "accord.voters cannot be used"),
-        (accord.to_owned() + "key_file = \"/nowhere\"\n", "accord.key_file cannot be read: '/nowhere'"),
+        (consensus.replace("[0]", "[0, 1]") + "key_file = \"x\"\n", "accord.voters cannot be used"),
+        (consensus.to_owned() + "key_file = \"/nowhere\"\n", "accord.key_file cannot be read: '/nowhere'"),
         ("[rules]\nfolder = \"/nowhere\"\n".to_owned(), "rules.folder cannot be read: '/nowhere'"),
         (
             "[[hardware]]\nname = \"x\"\n[[hardware]]\nname = \"x\"\n[rules]\nfolder = \".\"\n".to_owned(),
@@ -427,7 +429,7 @@
 
 #[test]
 fn check_reports_book_conflicts_and_compilation() {
-    let place = Place::new("");
+    let place = ProxyFolder::new("");
     place.write(&file(4, &require("a")));
     let other =
         "namespace = \"consortium/stray\"\nrevision = 1\n[[rule]]\nname = \"x\"\nattempts = { most = 1 }\n";
@@ -455,22 +457,23 @@
 #[test]
 fn records_name_the_rules_of_a_verdict() {
     let (cluster, halls) = (Cluster::new(3, ""), Halls::new());
-    cluster.places[0].write(&file(1, &require("a")));
-    let records = cluster.places[0].path("records");
-    let operator = std::fs::read_to_string(cluster.places[0].path("operator.toml")).unwrap();
+    cluster.folders[0].write(&file(1, &require("a")));
+    let records = cluster.folders[0].path("records");
+    let operator = std::fs::read_to_string(cluster.folders[0].path("operator.toml")).unwrap();
     let section = format!("[records]\nfile = \"{}\"\nflush_ms = 10\n", records.display());
-    std::fs::write(cluster.places[0].path("operator.toml"), section + &operator).unwrap();
-    let mut proxies: Vec<Proxy> = cluster.places.iter().map(Place::start).collect();
-    let _watches: Vec<ScriptedPeer> = proxies.iter().map(|proxy| halls.tell(proxy)).collect();
-    proxies.iter().for_each(|proxy| counts(proxy, 1));
+    std::fs::write(cluster.folders[0].path("operator.toml"), section + &operator).unwrap();
+    let mut proxies: Vec<Proxy> = cluster.folders.iter().map(ProxyFolder::start).collect();
+    let _watches: Vec<ScriptedPeer> = proxies.iter().map(|proxy| halls.send_list(proxy)).collect();
+    proxies.iter().for_each(|proxy| wait_for_version(proxy, 1));
     assert_eq!(halls.place(&proxies[0]), Some(0));
     proxies[1].kill();
     proxies[2].kill();
     let last = &proxies[0];
     wait_for(TIMEOUT, "the lease's end", || (last.metric("rules.lease_left_ms") == Some(0)).then_some(()));
     assert_eq!(halls.place(last), None);
-    let by =
-        |doubt: bool| format!(r#""ruled":{{"version":1,"rules":["consortium:looks"],"in_doubt":{doubt}}}"#);
+    let by = |uncertain: bool| {
+        format!(r#""ruled":{{"version":1,"rules":["consortium:looks"],"in_doubt":{uncertain}}}"#)
+    };
     wait_for(TIMEOUT, "the records", || {
         let text = std::fs::read_to_string(&records).unwrap_or_default();
         let has = |event: &str, by: String| text.lines().any(|l| l.contains(event) && l.contains(&by));
@@ -483,10 +486,10 @@
     let tasks = |proxy: &Proxy| std::fs::read_dir(format!("/proc/{}/task", proxy.id())).unwrap().count();
     let plain = Proxy::start(&[]);
     assert_eq!(tasks(&plain), 1);
-    let (place, halls) = (Place::new(""), Halls::new());
+    let (place, halls) = (ProxyFolder::new(""), Halls::new());
     place.write(&file(1, &require("a")));
     let ruled = place.start();
-    let _watch = halls.tell(&ruled);
+    let _watch = halls.send_list(&ruled);
     ruled.wait_for_log("rules version 1 is active");
     assert_eq!(tasks(&ruled), 2, "alone there is a thread that compiles, and no other");
 }
@@ -494,7 +497,7 @@
 #[test]
 fn drops_line_written_too_late_after_the_verdict() {
     let cluster = Cluster::new(1, "");
-    let place = &cluster.places[0];
+    let place = &cluster.folders[0];
     let operator = std::fs::read_to_string(place.path("operator.toml")).unwrap();
     let alone = operator.replace("voters = [0, 1, 2]", "voters = [0]");
     std::fs::write(place.path("operator.toml"), alone).unwrap();
@@ -512,7 +515,7 @@
     let (mut watch, _) = proxy.discovery.accept_watch();
     let node = member("sa", &ScriptedServer::alias(address), "up");
     watch.send(&chunk(&list(7, true, &[node])));
-    counts(&proxy, 1);
+    wait_for_version(&proxy, 1);
     let mut client = proxy.connect();
     client.send(&with_fresh_id(OPEN).replace("d=2000", "d=9000"));
     std::thread::sleep(Duration::from_millis(500));
