--- a/crates/rule-compiler/benches/lookup.rs
+++ b/crates/rule-compiler/benches/lookup.rs
@@ -104,7 +104,7 @@
     (0..4096).map(one).collect()
 }
 
-fn one_look(plan: &Plan, asked: &Asked) -> (bool, u32, Option<u32>) {
+fn one_lookup(plan: &Plan, asked: &Asked) -> (bool, u32, Option<u32>) {
     let request = Request { tenant: Some(&asked.tenant), class: &asked.class, group: asked.group };
     let node = Node { hall: &asked.hall, hardware: &asked.hardware };
     let lookup = plan.lookup(&request);
@@ -113,11 +113,11 @@
 }
 
 /// Nanoseconds of a lookup with a node's verdict and rank: the least of some rounds, as other work disturbs the rest.
-fn look_ns(plan: &Plan, asked: &[Asked]) -> f64 {
+fn lookup_ns(plan: &Plan, asked: &[Asked]) -> f64 {
     let round = || {
         let start = Instant::now();
         for asked in asked {
-            black_box(one_look(plan, black_box(asked)));
+            black_box(one_lookup(plan, black_box(asked)));
         }
         start.elapsed().as_secs_f64() * 1e9 / asked.len() as f64
     };
@@ -150,7 +150,7 @@
             let start = Instant::now();
             for _ in 0..8 {
                 let plan = plan.load();
-                black_box(one_look(&plan, &asked[at % asked.len()]));
+                black_box(one_lookup(&plan, &asked[at % asked.len()]));
                 at += 1;
             }
             seen.saturating_record(start.elapsed().as_nanos() as u64);
@@ -187,7 +187,7 @@
     let count = plan_large.rules() as u64;
     let (few, many) = (asked(10), asked(count));
     if brief {
-        black_box((one_look(&plan_small, &few[0]), one_look(&plan_large, &many[0])));
+        black_box((one_lookup(&plan_small, &few[0]), one_lookup(&plan_large, &many[0])));
         return;
     }
     // `docs/CAPACITY.md` quotes these.
@@ -199,16 +199,16 @@
             seconds(|| compile(&book, &profiles())) * 1e3,
             plan.to_bytes().len(),
             plan.index_bytes(),
-            look_ns(&plan, &asked(rules))
+            lookup_ns(&plan, &asked(rules))
         );
     }
-    let (ns_small, ns_large) = (look_ns(&plan_small, &few), look_ns(&plan_large, &many));
+    let (ns_small, ns_large) = (lookup_ns(&plan_small, &few), lookup_ns(&plan_large, &many));
     println!(
         "look at 10 rules {ns_small:.0} ns, at {count} {ns_large:.0} ns, ratio {:.2}",
         ns_large / ns_small
     );
     let heavy = compile(&book(count, 10), &profiles()).plan;
-    let ns_heavy = look_ns(&heavy, &many);
+    let ns_heavy = lookup_ns(&heavy, &many);
     println!("with a tenth of the rules for all tenants {ns_heavy:.0} ns, ratio {:.2}", ns_heavy / ns_small);
     let bytes = plan_large.to_bytes();
     println!(
@@ -267,7 +267,7 @@
         criterion.bench_function(name, |bencher| {
             bencher.iter(|| {
                 at += 1;
-                one_look(plan, &asked[at % asked.len()])
+                one_lookup(plan, &asked[at % asked.len()])
             });
         });
     }
--- a/crates/rule-compiler/src/contradiction.rs
+++ b/crates/rule-compiler/src/contradiction.rs
@@ -229,10 +229,7 @@
             return Some(Difference::Number(|form| matches!(form, CompiledForm::Pace(_))));
         }
         if sorted(old.caps()) != sorted(new.caps()) {
-            let limits = |form: &CompiledForm| {
-                matches!(form, CompiledForm::Cap { .. } | CompiledForm::Spread { counted: Some(_), .. })
-            };
-            return Some(Difference::Number(limits));
+            return Some(Difference::Number(CompiledForm::is_connection_limit));
         }
         let moves = |a, b| old.required_move_at(a) != new.required_move_at(b);
         if self.hardware.iter().any(|&(a, b)| moves(a, b)) {
--- a/crates/rule-compiler/src/effects.rs
+++ b/crates/rule-compiler/src/effects.rs
@@ -124,61 +124,52 @@
         id
     }
 
+    /// What these rules say together.
     fn combine(&mut self, members: &[u32]) -> Effect {
         let rules = self.rules;
+        let form = |&member: &u32| &rules[member as usize].form;
+        let member_rules = || members.iter().map(|&member| &rules[member as usize]);
+        let required = || member_rules().filter(|rule| !rule.form.is_preference());
+        Effect {
+            allow: self.allowed_pairs(members),
+            attempts: member_rules().fold(None, |most, rule| least(most, rule.form.attempts())),
+            spread: member_rules().fold(None, |most, rule| least(most, rule.form.spread())),
+            uncertainty_policy: required()
+                .fold(None, |policy, rule| stricter(policy, Some(rule.uncertainty_policy))),
+            requirements: self.list(members, |member| !form(member).is_preference()),
+            limits: self.list(members, |member| form(member).is_connection_limit()),
+            counted: self.list(members, |member| form(member).is_counted_spread()),
+            paces: self.list(members, |member| matches!(form(member), CompiledForm::Pace(_))),
+            moves: self.list(members, |member| form(member).is_move()),
+            preferences: self.ordering_preferences(members),
+        }
+    }
+
+    /// The pairs that all of these rules allow, or [`NONE`]: they allow all.
+    fn allowed_pairs(&mut self, members: &[u32]) -> SetId {
         let mut allowed: Option<Vec<u64>> = None;
-        let (mut attempts, mut spread, mut uncertainty_policy) = (None, None, None);
-        for &member in members {
-            let (rule, own) = (&rules[member as usize], self.own[member as usize]);
-            if own.allow != NONE {
-                let words = self.sets.sets().words(own.allow);
-                match &mut allowed {
-                    Some(allowed) => allowed.iter_mut().zip(words).for_each(|(a, b)| *a &= b),
-                    None => allowed = Some(words.to_vec()),
-                }
-            }
-            match &rule.form {
-                CompiledForm::Attempts(most) => attempts = least(attempts, Some(*most)),
-                CompiledForm::Spread { nodes, .. } => spread = least(spread, Some(*nodes)),
-                _ => {}
-            }
-            if !rule.form.is_preference() {
-                uncertainty_policy = stricter(uncertainty_policy, Some(rule.uncertainty_policy));
+        let allows = members.iter().map(|&member| self.own[member as usize].allow);
+        for allow in allows.filter(|allow| *allow != NONE) {
+            let words = self.sets.sets().words(allow);
+            match &mut allowed {
+                Some(allowed) => allowed.iter_mut().zip(words).for_each(|(a, b)| *a &= b),
+                None => allowed = Some(words.to_vec()),
             }
         }
-        let allow = allowed.map_or(NONE, |words| self.sets.intern_words(words));
-        let form = |&member: &u32| &rules[member as usize].form;
-        let requirements = self.list(members, |member| !form(member).is_preference());
-        let limits = self.list(members, |member| {
-            matches!(form(member), CompiledForm::Cap { .. } | CompiledForm::Spread { counted: Some(_), .. })
-        });
-        let counted = self
-            .list(members, |member| matches!(form(member), CompiledForm::Spread { counted: Some(_), .. }));
-        let paces = self.list(members, |member| matches!(form(member), CompiledForm::Pace(_)));
-        let moves = self.list(members, |member| {
-            matches!(form(member), CompiledForm::Move { .. } | CompiledForm::MovePreference(_))
-        });
-        let own = self.own;
-        let ordering =
-            members.iter().filter(|member| matches!(form(member), CompiledForm::Preference { .. }));
-        let mut places: Vec<u32> = ordering.map(|&member| own[member as usize].place).collect();
+        allowed.map_or(NONE, |words| self.sets.intern_words(words))
+    }
+
+    /// The places of the preferences that order nodes, the first first.
+    fn ordering_preferences(&mut self, members: &[u32]) -> Span {
+        let is_ordering =
+            |&&member: &&u32| matches!(self.rules[member as usize].form, CompiledForm::Preference { .. });
+        let ordering = members.iter().filter(is_ordering);
+        let mut places: Vec<u32> = ordering.map(|&member| self.own[member as usize].place).collect();
         places.sort_unstable();
         // A preference for the same nodes as one before it tells no two nodes apart.
-        let mut is_ordered = HashSet::with_hasher(FnvBuildHasher::default());
-        places.retain(|&place| is_ordered.insert(self.preferences[place as usize]));
-        let preferences = self.list(&places, |_| true);
-        Effect {
-            allow,
-            attempts,
-            spread,
-            uncertainty_policy,
-            requirements,
-            limits,
-            counted,
-            paces,
-            moves,
-            preferences,
-        }
+        let mut seen = HashSet::with_hasher(FnvBuildHasher::default());
+        places.retain(|&place| seen.insert(self.preferences[place as usize]));
+        self.list(&places, |_| true)
     }
 
     fn list(&mut self, members: &[u32], which: impl Fn(&u32) -> bool) -> Span {
--- a/crates/rule-compiler/src/plan_body.rs
+++ b/crates/rule-compiler/src/plan_body.rs
@@ -104,6 +104,37 @@
         matches!(self, Self::Preference { .. } | Self::MovePreference(_))
     }
 
+    /// Most attempts that it allows, if it bounds them.
+    pub(crate) fn attempts(&self) -> Option<u32> {
+        match self {
+            Self::Attempts(most) => Some(*most),
+            _ => None,
+        }
+    }
+
+    /// Most nodes that it allows a group, if it bounds them.
+    pub(crate) fn spread(&self) -> Option<u32> {
+        match self {
+            Self::Spread { nodes, .. } => Some(*nodes),
+            _ => None,
+        }
+    }
+
+    pub(crate) fn is_counted_spread(&self) -> bool {
+        matches!(self, Self::Spread { counted: Some(_), .. })
+    }
+
+    /// It bounds established connections.
+    pub(crate) fn is_connection_limit(&self) -> bool {
+        matches!(self, Self::Cap { .. }) || self.is_counted_spread()
+    }
+
+    /// It says when connections may be migrated.
+    pub(crate) fn is_move(&self) -> bool {
+        matches!(self, Self::Move { .. } | Self::MovePreference(_))
+    }
+
+    /// The level of forms that a build must run to act on it.
     pub(crate) fn needs(&self) -> u16 {
         match self {
             Self::Spread { counted: Some(_), .. } => 2,
--- a/crates/rule-compiler/tests/compile.rs
+++ b/crates/rule-compiler/tests/compile.rs
@@ -84,7 +84,7 @@
     #![proptest_config(ProptestConfig::with_cases(64))]
 
     #[test]
-    fn a_plan_is_never_looser_than_its_book(book in book(10), profiles in profiles()) {
+    fn plan_is_never_looser_than_book(book in book(10), profiles in profiles()) {
         let compiled = compile(&book, &profiles);
         for request in requests() {
             never_looser(&book, &request, &compiled.plan.lookup(&request))?;
@@ -92,7 +92,7 @@
     }
 
     #[test]
-    fn a_spread_holds_whatever_the_classes_let_be_seen(
+    fn spread_holds_on_all_classes(
         spreads in proptest::collection::vec(1..7u32, 1..3),
         profiles in profiles(),
         wanted in proptest::collection::vec((any::<usize>(), 0..3u8), 10..60),
@@ -160,7 +160,7 @@
     }
 
     #[test]
-    fn the_order_of_rules_changes_no_byte(book in book(12), profiles in profiles(), seed in any::<u64>()) {
+    fn rule_order_does_not_change_bytes(book in book(12), profiles in profiles(), seed in any::<u64>()) {
         let plan = compile(&book, &profiles).plan;
         let mut shuffled = book.clone();
         shuffled.rules.sort_by_key(|rule| (u64::from(rule.line) ^ seed).wrapping_mul(0x9e37_79b9_7f4a_7c15));
@@ -175,7 +175,7 @@
     }
 
     #[test]
-    fn a_plan_survives_its_bytes(book in book(10), profiles in profiles()) {
+    fn plan_round_trips(book in book(10), profiles in profiles()) {
         let plan = compile(&book, &profiles).plan;
         let back = Plan::from_bytes(&plan.to_bytes()).expect("the bytes of a plan are one");
         prop_assert_eq!(back.hash(), plan.hash());
@@ -190,7 +190,7 @@
     }
 
     #[test]
-    fn mutated_bytes_are_refused_or_canonical(
+    fn mutated_bytes_are_rejected_or_canonical(
         book in book(6),
         profiles in profiles(),
         cuts in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0..3u8), 1..4),
@@ -219,7 +219,7 @@
     }
 
     #[test]
-    fn any_bytes_are_refused_or_canonical(mut bytes in proptest::collection::vec(any::<u8>(), 0..60), head in any::<bool>()) {
+    fn any_bytes_are_rejected_or_canonical(mut bytes in proptest::collection::vec(any::<u8>(), 0..60), head in any::<bool>()) {
         if head {
             bytes.splice(0..0, [1, 1]);
         }
@@ -234,7 +234,7 @@
 
     /// So many overlapping ranges that the index keeps trees.
     #[test]
-    fn crowded_groups_lose_nothing(
+    fn overlapping_groups_lose_nothing(
         ranges in proptest::collection::vec((0..400u64, 0..400u64, 0..3usize, any::<bool>()), 150),
     ) {
         let mut rules = Vec::new();
--- a/crates/rule-compiler/tests/contradiction.rs
+++ b/crates/rule-compiler/tests/contradiction.rs
@@ -82,7 +82,7 @@
     #![proptest_config(ProptestConfig::with_cases(200))]
 
     #[test]
-    fn contradictions_are_those_that_a_search_finds(
+    fn matches_exhaustive_search(
         (old, new) in neighbours(),
         profiles in profiles(),
         others in proptest::option::weighted(0.2, profiles()),
@@ -107,7 +107,7 @@
     }
 
     #[test]
-    fn wishes_never_contradict(book in book(8), other in book(8), profiles in profiles()) {
+    fn preferences_never_contradict(book in book(8), other in book(8), profiles in profiles()) {
         let preferences = |mut book: Book| {
             book.rules.iter_mut().for_each(|rule| rule.strength = Strength::Preference);
             book
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_rule_split_in_two_contradicts_nothing() {
+fn split_rule_contradicts_nothing() {
     let one = plan(vec![avoid("both", &["h0", "h1"])]);
     let two = plan(vec![avoid("first", &["h0"]), avoid("second", &["h1"])]);
     assert_ne!(one.hash(), two.hash());
@@ -153,7 +153,7 @@
 
 /// What is hidden by another slot's rule on the first groups of a range comes out on the later ones.
 #[test]
-fn a_change_that_is_hidden_on_some_groups_only_is_found_on_the_others() {
+fn change_hidden_on_some_groups_is_found_on_others() {
     let range = |last| vec![GroupRange { first: 0, last }];
     let mut hides = avoid("hides", &["h0"]);
     hides.on.groups = range(5);
--- a/crates/rule-compiler/tests/kinds.rs
+++ b/crates/rule-compiler/tests/kinds.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_place_runs_exactly_everywhere() {
+fn placement_runs_exactly_on_all_classes() {
     for how in [PlacementMode::Require, PlacementMode::Avoid] {
         let compiled = compile(&requirement(place(how, &["h"], &[])), &full_and(Features::default()));
         let meant = how == PlacementMode::Require;
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_place_that_names_classes_means_no_other() {
+fn placement_selects_named_classes_only() {
     let compiled =
         compile(&requirement(place(PlacementMode::Avoid, &[], &["weak"])), &full_and(Features::default()));
     assert_eq!(allowed(&compiled), ["full", "never heard of"]);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_wish_for_nodes_needs_weights_or_told_delays() {
+fn node_preference_needs_weights_or_latencies() {
     let delays = Features { reports_latency: true, ..Features::default() };
     let classes = [("full", Profile::full()), ("delays", with(delays)), ("weak", with(Features::default()))];
     let compiled = compile(&preference(place(PlacementMode::Prefer, &["h"], &[])), &profiles(&classes));
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_cap_is_held_lower_where_only_probes_tell() {
+fn cap_is_lower_where_only_probes_report() {
     let cap =
         || requirement(RuleKind::Cap { connections: 10, halls: BTreeSet::new(), hardware: BTreeSet::new() });
     let compiled = compile(&cap(), &profiles(&[("full", Profile::full())]));
@@ -146,7 +146,7 @@
 
 /// A class that is known by probes may hold a third more than is counted, which the lower cap leaves room for.
 #[test]
-fn the_lower_cap_bounds_what_really_stands() {
+fn lower_cap_bounds_established_connections() {
     for connections in 0..500u64 {
         let kind = RuleKind::Cap { connections, halls: BTreeSet::new(), hardware: BTreeSet::new() };
         let probes = Features { answers_probes: true, ..Features::default() };
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_spread_is_counted_where_groups_are_not_kept() {
+fn spread_is_counted_without_group_affinity() {
     let loads = Features { reports_loads: true, ..Features::default() };
     let spread = |nodes| requirement(RuleKind::Spread { nodes });
     let compiled = compile(&spread(6), &profiles(&[("full", Profile::full())]));
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_counted_spread_prefers_one_hall_for_a_group() {
+fn counted_spread_prefers_one_hall() {
     let loads = Features { reports_loads: true, ..Features::default() };
     let halls = ["h0", "h1", "h2"];
     let rules = vec![
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn paces_and_attempts_need_nothing_of_a_class() {
+fn paces_and_attempts_run_on_all_classes() {
     let rules = vec![
         rule("attempts", Strength::Requirement, RuleKind::Attempts { most: 2 }),
         rule("pace", Strength::Requirement, RuleKind::Pace { per_s_milli: 1500 }),
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn moving_last_needs_draining_by_pieces() {
+fn move_last_needs_partial_draining() {
     let last = || requirement(RuleKind::Move { when: MoveCondition::Last });
     let loads = Features { reports_loads: true, ..Features::default() };
     let compiled = compile(&last(), &full_and(loads));
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn a_wish_to_move_last_is_dropped_without_pieces() {
+fn move_preference_is_dropped_without_partial_draining() {
     let compiled =
         compile(&preference(RuleKind::Move { when: MoveCondition::Last }), &full_and(Features::default()));
     let lookup = compiled.plan.lookup(&ASKED);
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn a_number_as_a_wish_is_dropped_and_counted() {
+fn numeric_preference_is_dropped() {
     let kinds = [
         RuleKind::Cap { connections: 1, halls: BTreeSet::new(), hardware: BTreeSet::new() },
         RuleKind::Spread { nodes: 1 },
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn a_class_that_loses_a_feature_gets_the_least_profile_while_in_use() {
+fn changed_features_fall_back_to_least_profile() {
     let before = full_and(Profile::full().features);
     let mut now = before.clone();
     now.entry("weak".into()).or_default().features.keeps_groups = false;
@@ -323,7 +323,7 @@
 }
 
 #[test]
-fn past_a_budget_the_lowest_wishes_go_first_and_then_musts() {
+fn budget_drops_preferences_before_requirements() {
     let budget = |change: fn(&mut Profile)| {
         let mut profile = Profile::full();
         change(&mut profile);
@@ -356,7 +356,7 @@
 }
 
 #[test]
-fn more_musts_than_a_plan_holds_allow_nothing() {
+fn too_many_requirements_allow_nothing() {
     let mut rules = Vec::new();
     for number in 0..40 {
         let mut rule = rule(&format!("r{number}"), Strength::Requirement, RuleKind::Attempts { most: 3 });
@@ -372,7 +372,7 @@
 }
 
 #[test]
-fn wishes_that_a_plan_does_not_hold_leave_the_musts() {
+fn full_plan_keeps_requirements() {
     let mut book = requirement(place(PlacementMode::Avoid, &["g"], &[]));
     for number in 0..40 {
         let mut rule =
@@ -389,7 +389,7 @@
 }
 
 #[test]
-fn more_wishes_than_order_a_request_are_counted() {
+fn excess_preferences_are_counted() {
     let compiled = compile(&many(40, 0), &profiles(&[("full", Profile::full())]));
     let lookup = compiled.plan.lookup(&ASKED);
     assert_eq!(lookup.ignored_preferences(), 9);
@@ -397,7 +397,7 @@
 }
 
 #[test]
-fn a_wish_for_the_same_nodes_again_costs_no_place() {
+fn duplicate_preference_takes_no_place() {
     let mut book = many(31, 0);
     let mut again = book.rules[0].clone();
     again.name = "w0-again".into();
@@ -408,7 +408,7 @@
 }
 
 #[test]
-fn plans_of_other_formats_and_levels_are_refused() {
+fn rejects_other_formats_and_levels() {
     let bytes = compile(&Book::default(), &Profiles::new()).plan.to_bytes();
     let with = |at: usize, byte| {
         let mut bytes = bytes.clone();
@@ -424,7 +424,7 @@
 }
 
 #[test]
-fn limits_keep_their_numbers_from_plan_to_plan() {
+fn limit_ids_are_stable_across_plans() {
     let cap = |connections| {
         requirement(RuleKind::Cap { connections, halls: BTreeSet::new(), hardware: BTreeSet::new() })
     };
@@ -436,7 +436,7 @@
 }
 
 #[test]
-fn a_profile_is_read_as_stated_and_nothing_else() {
+fn profile_rejects_unknown_keys() {
     let text = "features = { tells-loads = true }\nbudgets = { rules = 7 }";
     let profile: Profile = toml::from_str(text).expect("a profile");
     assert!(profile.features.reports_loads && !profile.features.keeps_groups);
