--- a/crates/cottonnotch/src/command_line.rs
+++ b/crates/cottonnotch/src/command_line.rs
@@ -1,9 +1,9 @@
-//! The command line. With no argument the program serves, as the platform starts it.
+//! The command line. Without an argument the program serves, as the platform starts it.
 
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
 
-/// What comes after the options in `--help`.
+/// The last part of `--help`.
 const ENVIRONMENT: &str = "\
 Environment (what the platform sets; all but GW_CONFIG may stand in that file instead):
   GW_CONFIG     the platform's JSON file: limits, known render nodes, settings
@@ -26,14 +26,14 @@
 #[command(name = "cottonnotch", version, after_help = ENVIRONMENT)]
 pub struct CommandLine {
     /// The operator's TOML file; deploy/cottonnotch.toml shows every setting [default: none, all at defaults]
-    #[arg(long, global = true, value_name = "FILE", env = crate::OPERATOR_VARIABLE, hide_env_values = true)]
+    #[arg(long, global = true, value_name = "FILE", env = crate::config::OPERATOR_VARIABLE, hide_env_values = true)]
     pub operator: Option<PathBuf>,
     /// Serves, where none is given.
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
-/// What is to be done instead of serving.
+/// A command that is run instead of serving.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Reads all that serving would and opens no socket; prints each value with where it came from
--- a/crates/cottonnotch/src/config/effective.rs
+++ b/crates/cottonnotch/src/config/effective.rs
@@ -1,14 +1,14 @@
-//! What `cottonnotch check` prints: each value that counts, and where it came from. The rows are noted where the
-//! values are read, so a default stands in one place only.
+//! The effective configuration, as `cottonnotch check` prints it: each value in force and its source. Rows are noted where the
+//! values are read, so a default is defined in one place only.
 
 use super::json_file::JsonFile;
 use super::operator_file::OperatorFile;
 use std::fmt;
 
-/// Where a value came from.
+/// The source of a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// Nobody said anything.
+    /// No source has it.
     Default,
     /// The command line's argument of this name.
     Argument(&'static str),
@@ -20,17 +20,17 @@
     Operator,
 }
 
-/// One value.
+/// One value with its source.
 #[derive(Debug)]
 pub struct Row {
     /// Its key, by its full path.
     pub key: String,
     /// The value, as text.
     pub value: String,
-    /// Where it came from.
+    /// Its source.
     pub source: Source,
-    /// Nothing asked for it: it has no effect.
-    pub unused: bool,
+    /// No setting of that name exists: it has no effect.
+    pub is_unused: bool,
 }
 
 /// Every value, and the files that they were read from.
@@ -45,17 +45,18 @@
 }
 
 impl Effective {
-    /// Notes a value that counts.
+    /// Notes a value in force.
     pub fn note(&mut self, key: impl Into<String>, value: impl Into<String>, source: Source) {
-        self.rows.push(Row { key: key.into(), value: value.into(), source, unused: false });
+        self.rows.push(Row { key: key.into(), value: value.into(), source, is_unused: false });
     }
 
     /// Notes a value that was given in the platform's file and has no effect.
     pub fn note_unused(&mut self, key: String, value: String) {
-        self.rows.push(Row { key, value, source: Source::Json, unused: true });
+        self.rows.push(Row { key, value, source: Source::Json, is_unused: true });
     }
 
-    fn place(&self, row: &Row) -> String {
+    /// The source as printed, with the line of a file.
+    fn source_text(&self, row: &Row) -> String {
         let in_file = |path: &dyn fmt::Display, line: Option<usize>| match line {
             Some(line) => format!("{path}, line {line}"),
             None => path.to_string(),
@@ -87,8 +88,8 @@
 impl fmt::Display for Effective {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         for row in &self.rows {
-            let unused = if row.unused { ", not used" } else { "" };
-            writeln!(f, "{} = {}  # {}{unused}", row.key, one_line(&row.value), self.place(row))?;
+            let unused = if row.is_unused { ", not used" } else { "" };
+            writeln!(f, "{} = {}  # {}{unused}", row.key, one_line(&row.value), self.source_text(row))?;
         }
         Ok(())
     }
--- a/crates/cottonnotch/src/config/json_file.rs
+++ b/crates/cottonnotch/src/config/json_file.rs
@@ -1,7 +1,7 @@
 //! The platform's JSON file, and on which line of it a key stands. simd-json's values carry no positions, but the
 //! keys of its borrowing values are slices of the text itself, and where such a slice begins is its position.
 
-use super::fault::ConfigError;
+use super::error::ConfigError;
 use simd_json::cow::Cow;
 use simd_json::{BorrowedValue, OwnedValue};
 use std::cell::OnceCell;
@@ -23,11 +23,11 @@
             Ok(text) => text,
             Err(error) => return Err(ConfigError::Unreadable { path, error }),
         };
-        // Parsing writes into its input, and positions are wanted of the text as it is.
+        // Parsing overwrites its input, and positions are those of the original text.
         match simd_json::to_owned_value(&mut text.clone()) {
             Ok(value) => Ok((JsonFile { path, text, lines: OnceCell::new() }, value)),
             Err(error) => {
-                // 0 is also what errors have that know no place.
+                // Errors without a position have 0, too.
                 let line = (error.index() > 0).then(|| Newlines::of(&text).line(error.index()));
                 Err(ConfigError::NotJson { path, line, error })
             }
@@ -36,7 +36,7 @@
 
     /// The line of a key, or of the nearest thing around it that the file has; `None` for the whole file.
     pub fn line(&self, key: &str) -> Option<usize> {
-        let lines = self.lines.get_or_init(|| lines(&self.text));
+        let lines = self.lines.get_or_init(|| key_lines(&self.text));
         let mut key = key;
         loop {
             if let Some(line) = lines.get(key) {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Where lines end.
+/// The positions of line ends.
 struct Newlines(Vec<usize>);
 
 impl Newlines {
@@ -61,14 +61,14 @@
 }
 
 /// The line of each key by its full path; items of lists are `.0`, `.1` ...
-fn lines(text: &[u8]) -> BTreeMap<String, usize> {
+fn key_lines(text: &[u8]) -> BTreeMap<String, usize> {
     let mut found = BTreeMap::new();
     let mut copy = text.to_vec();
     let base = copy.as_ptr().addr();
     if let Ok(value) = simd_json::to_borrowed_value(&mut copy) {
         walk("", &value, &mut |path, key: &str| {
             let at = key.as_ptr().addr().wrapping_sub(base);
-            // Guards against a key that is no slice of the text: it would have a place by chance.
+            // Guards against a key that is no slice of the text: it would have a position by chance.
             if at > 0 && text.get(at - 1) == Some(&b'"') {
                 found.insert(path.to_owned(), at);
             }
--- /dev/null
+++ b/crates/cottonnotch/src/config/json_text.rs
@@ -0,0 +1,13 @@
+//! JSON values as text.
+
+use simd_json::OwnedValue;
+use simd_json::prelude::*;
+
+/// A value as text: a string without quotes, `-` for null.
+pub fn text_of(value: &OwnedValue) -> String {
+    match value.as_str() {
+        Some(text) => text.to_owned(),
+        None if value.is_null() => "-".to_owned(),
+        None => value.encode(),
+    }
+}
--- a/crates/cottonnotch/src/config/operator.rs
+++ b/crates/cottonnotch/src/config/operator.rs
@@ -1,22 +1,46 @@
-//! The operator's file: what is new here and no business of the platform's. One section a subsystem, whose type
-//! lives with what it configures. A new section is a field of [`OperatorConfig`], and a line each in `check` and `succeed`.
+//! The operator's file: everything that is not the platform's. One section a subsystem, whose type is defined in the crate that
+//! it configures. A new section is a field of [`OperatorConfig`], and a line each in `check` and `replacing`.
 
 use super::effective::{Effective, Source};
-use super::fault::ConfigError;
+use super::environment::{OPERATOR_VARIABLE, variable};
+use super::error::ConfigError;
+use super::json_text::text_of;
 use super::operator_file::OperatorFile;
-use crate::OPERATOR_VARIABLE;
-use crate::logging::LogConfig;
-use crate::rules::{ConsensusSection, HardwareSection, RulesSection};
-use cottonnotch_aggregation::FleetSection;
-use cottonnotch_gossip::{GossipSection, Strength};
-use cottonnotch_records::RecordsSection;
+use crate::logging::{LogConfig, LogConfigError};
+use crate::rules::{ConsensusSection, HardwareSection, RulesSection, SectionError};
+use cottonnotch_aggregation::{FleetSection, FleetSectionError};
+use cottonnotch_gossip::{GossipSection, GossipSectionError, Strength};
+use cottonnotch_records::{RecordsSection, RecordsSectionError};
 use serde::{Deserialize, Serialize};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Every section. What the file leaves out has its default, and is then off.
+/// Why the sections can't be used. Each message begins with the key's full path.
+#[derive(Debug, thiserror::Error)]
+pub enum OperatorError {
+    /// `[log]`
+    #[error(transparent)]
+    Log(#[from] LogConfigError),
+    /// `[records]`
+    #[error(transparent)]
+    Records(#[from] RecordsSectionError),
+    /// `[gossip]`
+    #[error(transparent)]
+    Gossip(#[from] GossipSectionError),
+    /// `[fleet]`
+    #[error(transparent)]
+    Fleet(#[from] FleetSectionError),
+    /// `[accord]`
+    #[error(transparent)]
+    Consensus(#[from] SectionError),
+    /// Aggregation's datagrams are not authenticated, while gossip's are to be.
+    #[error("fleet.members_from goes with gossip.strength 'address' only, its datagrams have no proof")]
+    AggregationHasNoProof,
+}
+
+/// Every section. One that the file leaves out has its defaults, with which its subsystem is off.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorConfig {
@@ -43,10 +67,10 @@
     pub fn read(path: Option<&Path>, effective: &mut Effective) -> Result<OperatorConfig, ConfigError> {
         let mut operator = OperatorConfig::default();
         let shown = path.map_or(String::new(), |path| path.display().to_string());
-        effective.note("operator", shown, source(path));
+        effective.note("operator", shown, path_source(path));
         if let Some(path) = path {
             let (file, read) = OperatorFile::read::<OperatorConfig>(path)?;
-            read.check().map_err(|message| file.refuse(&message))?;
+            read.check().map_err(|error| file.reject(&error))?;
             operator = read;
             effective.operator = Some(file);
         }
@@ -55,26 +79,22 @@
         Ok(operator)
     }
 
-    /// What serde can't see: bounds, and keys that don't go together. A message begins with the key's full path.
-    fn check(&self) -> Result<(), String> {
+    /// Checks what serde can't see: bounds, and keys that don't go together.
+    fn check(&self) -> Result<(), OperatorError> {
         self.log.check()?;
-        self.records.check().map_err(|bad| bad.to_string())?;
-        self.gossip.check().map_err(|bad| bad.to_string())?;
-        self.fleet.check().map_err(|bad| bad.to_string())?;
-        self.consensus.check().map_err(|error| error.to_string())?;
-        if self.fleet.members_from.is_some()
-            && !matches!(self.gossip.strength, None | Some(Strength::Address))
-        {
-            return Err(
-                "fleet.members_from goes with gossip.strength 'address' only, its datagrams have no proof"
-                    .into(),
-            );
+        self.records.check()?;
+        self.gossip.check()?;
+        self.fleet.check()?;
+        self.consensus.check()?;
+        let has_proof = !matches!(self.gossip.strength, None | Some(Strength::Address));
+        if self.fleet.members_from.is_some() && has_proof {
+            return Err(OperatorError::AggregationHasNoProof);
         }
         Ok(())
     }
 
-    /// Takes this in place of the `old` one, as far as that is possible while clients are served; says in the
-    /// log what is not. Returns what counts from now on.
+    /// Replaces the `old` one, as far as that is possible while clients are served; the log says what is not. Returns the
+    /// configuration in force from now on.
     pub fn replacing(self, old: &OperatorConfig) -> OperatorConfig {
         if self.records != old.records {
             log::warn!(
@@ -96,7 +116,7 @@
             log::warn!(key = "fleet"; "the fleet view cannot change while clients are served, it goes on as at the start");
         }
         if self.consensus != old.consensus {
-            log::warn!(key = "accord"; "the accord cannot change while clients are served, it goes on as at the start");
+            log::warn!(key = "accord"; "consensus cannot change while clients are served, it goes on as at the start");
         }
         let (log, records, fleet) = (self.log.replacing(&old.log), old.records.clone(), old.fleet.clone());
         let (rules, hardware, consensus) = (self.rules, self.hardware, old.consensus.clone());
@@ -108,7 +128,7 @@
         let mut values = BTreeMap::new();
         // No section holds what JSON can't say; were it so, it would only go unlisted.
         if let Ok(written) = simd_json::serde::to_owned_value(self) {
-            leaves("", &written, &mut values);
+            collect_leaves("", &written, &mut values);
         }
         for (key, value) in values {
             let source = match &effective.operator {
@@ -125,9 +145,9 @@
     }
 }
 
-/// Who named the file.
-fn source(path: Option<&Path>) -> Source {
-    match (path, super::variable(OPERATOR_VARIABLE)) {
+/// The source of the file's path.
+fn path_source(path: Option<&Path>) -> Source {
+    match (path, variable(OPERATOR_VARIABLE)) {
         (None, _) => Source::Default,
         (Some(path), Some(inherited)) if path == Path::new(&inherited) => {
             Source::Environment(OPERATOR_VARIABLE)
@@ -136,16 +156,16 @@
     }
 }
 
-fn leaves(path: &str, value: &OwnedValue, into: &mut BTreeMap<String, String>) {
+fn collect_leaves(path: &str, value: &OwnedValue, leaves: &mut BTreeMap<String, String>) {
     match value.as_object() {
         Some(object) => {
             for (name, value) in object.iter() {
                 let path = if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
-                leaves(&path, value, into);
+                collect_leaves(&path, value, leaves);
             }
         }
         None => {
-            into.insert(path.to_owned(), super::plain(value));
+            leaves.insert(path.to_owned(), text_of(value));
         }
     }
 }
--- a/crates/cottonnotch/src/config/operator_tests.rs
+++ b/crates/cottonnotch/src/config/operator_tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_shipped_file_changes_nothing_and_its_comments_are_accepted() {
+fn shipped_file_has_the_defaults() {
     assert_eq!(toml::from_str::<OperatorConfig>(SHIPPED).unwrap(), OperatorConfig::default());
     let all = uncommented();
     let set: toml::Table = all.parse().unwrap();
@@ -32,7 +32,7 @@
     }
     let signed =
         OperatorConfig { gossip: read.gossip, fleet: read.fleet.clone(), ..OperatorConfig::default() };
-    assert!(signed.check().unwrap_err().starts_with("fleet.members_from"));
+    assert!(signed.check().unwrap_err().to_string().starts_with("fleet.members_from"));
     let fleet = FleetSection { members_from: Some(24), group_homes: Some(64), ..FleetSection::default() };
     assert_eq!(read.fleet, fleet);
     assert_eq!((queue_records, flush_ms), (usual.queue_records, usual.flush_ms));
@@ -45,7 +45,7 @@
         ConsensusSection { listen, cluster, key_file, me, voters, members, state_folder, ..read.consensus };
     assert_eq!(figures, plain, "the shipped figures are the defaults");
     let mut keys = BTreeMap::new();
-    leaves("", &simd_json::serde::to_owned_value(OperatorConfig::default()).unwrap(), &mut keys);
+    collect_leaves("", &simd_json::serde::to_owned_value(OperatorConfig::default()).unwrap(), &mut keys);
     for key in keys.keys() {
         let (section, name) = key.split_once('.').unwrap();
         let found = set.get(section).and_then(|section| section.get(name));
--- /dev/null
+++ b/crates/cottonnotch/src/config/platform_settings.rs
@@ -0,0 +1,133 @@
+//! The key `settings` of the platform's file: checked, flattened, and in the decision module's terms.
+
+use super::effective::Source;
+use super::error::{ConfigError, ValueError};
+use super::json_text::text_of;
+use super::value_reader::ValueReader;
+use cottonnotch_decision::settings::{self, Pairs, Profile};
+use simd_json::OwnedValue;
+use simd_json::prelude::*;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A deadline or timeout is a day at most, in microseconds. No connection is ever established in 0.
+const DURATION: Bounds = Bounds { least: 0.0, most: 86_400e6 };
+/// Nobody needs more attempts.
+const ATTEMPTS: Bounds = Bounds { least: 1.0, most: 1000.0 };
+/// Characters of a value that a message shows.
+const SHOWN_CHARACTERS: usize = 40;
+
+/// The least and greatest value allowed; 0 itself never is.
+#[derive(Clone, Copy, Debug)]
+struct Bounds {
+    least: f64,
+    most: f64,
+}
+
+/// Reads the settings, and notes each with its source.
+pub fn read(reader: &mut ValueReader<'_>) -> Result<(Profile, Pairs), ConfigError> {
+    let (profile, pairs) =
+        parse(reader.json.get("settings")).map_err(|error| reader.error(error, Source::Json))?;
+    note_settings(reader, &pairs);
+    Ok((profile, pairs))
+}
+
+fn parse(settings: Option<&OwnedValue>) -> Result<(Profile, Pairs), ValueError> {
+    let Some(settings) = settings else { return Err(ValueError::Missing { key: "settings" }) };
+    let mut pairs = Pairs::default();
+    flatten("", settings, &mut pairs);
+    let mut profile = settings::read(&pairs)?;
+    check_numbers(settings)?;
+    check_classes(settings)?;
+    if profile.settings.classes.is_empty() {
+        return Err(ValueError::Missing { key: "settings.requestClasses" });
+    }
+    // Whatever the mode: over sockets a list comes by a watch only. A pushed list counts as sent without one, too, from the
+    // first moment: the settings say so, and the decision module opens the watch at once.
+    profile.settings.list_on_request = true;
+    Ok((profile, pairs))
+}
+
+fn note_settings(reader: &mut ValueReader<'_>, pairs: &Pairs) {
+    let lookups = pairs.lookups();
+    for (key, default) in &lookups {
+        let path = format!("settings.{key}");
+        match (default, pairs.0.get(key)) {
+            (None, Some(value)) => reader.effective.note(path, value, Source::Json),
+            (default, _) => {
+                let value = default.as_deref().unwrap_or_default();
+                reader.effective.note(path, value, Source::Default);
+            }
+        }
+    }
+    // Guards against a name that is misspelt and so has no effect: it is ignored, but `check` shows it.
+    let unused: BTreeMap<&String, &String> =
+        pairs.0.iter().filter(|(key, _)| !lookups.contains_key(*key)).collect();
+    for (key, value) in unused {
+        reader.effective.note_unused(format!("settings.{key}"), value.clone());
+    }
+}
+
+/// Attempts and timeouts are numbers above 0, where they are set. Guards against what a default or a clamp would make of
+/// anything else: requests that nobody answers, or that are given up unsent.
+fn check_numbers(settings: &OwnedValue) -> Result<(), ValueError> {
+    for (name, bounds) in [("mostTries", ATTEMPTS), ("connectTimeout", DURATION)] {
+        if let Some(value) = settings.get("policyLimits").and_then(|limits| limits.get(name)) {
+            check_number(value, bounds, || format!("policyLimits.{name}"))?;
+        }
+    }
+    Ok(())
+}
+
+/// Classes have names of their own, and deadlines above 0 where they are set.
+fn check_classes(settings: &OwnedValue) -> Result<(), ValueError> {
+    let classes = settings.get_array("requestClasses").map_or(&[][..], |classes| classes.as_slice());
+    let mut names = BTreeSet::new();
+    for (i, class) in classes.iter().enumerate() {
+        let key = |name: &str| format!("requestClasses.{i}.{name}");
+        if let Some(deadline) = class.get("deadline") {
+            check_number(deadline, DURATION, || key("deadline"))?;
+        }
+        let problem = match class.get_str("name").filter(|name| !name.is_empty()) {
+            None => "is missing or no text".to_owned(),
+            Some(name) if !names.insert(name) => format!("is another class's too: '{name}'"),
+            Some(_) => continue,
+        };
+        return Err(ValueError::Setting { key: key("name"), problem });
+    }
+    Ok(())
+}
+
+/// Checks that a value is a number above 0 and within the bounds.
+fn check_number(value: &OwnedValue, bounds: Bounds, key: impl FnOnce() -> String) -> Result<(), ValueError> {
+    let shown = || text_of(value).chars().take(SHOWN_CHARACTERS).collect::<String>();
+    let Bounds { least, most } = bounds;
+    // A text of digits is not a number either: other readers of this file may read it differently.
+    let problem = match value.cast_f64().filter(|_| value.as_str().is_none()) {
+        None => format!("is not a number: '{}'", shown()),
+        Some(number) if number > 0.0 && number >= least && number <= most => return Ok(()),
+        Some(_) => format!("is not a number above 0, and {most} at most: '{}'", shown()),
+    };
+    Err(ValueError::Setting { key: key(), problem })
+}
+
+/// Flattens nested settings to pairs of a path and a value, the form of the simulator's first message.
+fn flatten(path: &str, value: &OwnedValue, pairs: &mut Pairs) {
+    let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+    if let Some(object) = value.as_object() {
+        for (name, value) in object.iter() {
+            flatten(&below(name), value, pairs);
+        }
+    } else if let Some(list) = value.as_array() {
+        if list.iter().any(|item| item.is_object()) {
+            pairs.0.insert(below("count"), list.len().to_string());
+            for (i, item) in list.iter().enumerate() {
+                flatten(&below(&i.to_string()), item, pairs);
+            }
+        } else {
+            let items: Vec<String> = list.iter().map(text_of).collect();
+            pairs.0.insert(path.to_owned(), items.join(","));
+        }
+    } else {
+        pairs.0.insert(path.to_owned(), text_of(value));
+    }
+}
--- a/crates/cottonnotch/src/config/present_keys.rs
+++ b/crates/cottonnotch/src/config/present_keys.rs
@@ -1,4 +1,4 @@
-//! Which keys a platform's file has, so that a later one can be held against it.
+//! Which keys the platform's file has, so that a later file can be compared with it.
 
 use cottonnotch_decision::settings::Pairs;
 use simd_json::OwnedValue;
@@ -6,13 +6,14 @@
 use std::collections::BTreeSet;
 
 /// Keys beside the settings that the proxy reads.
-const BESIDE: [&str; 9] =
+const TOP_LEVEL: [&str; 9] =
     ["name", "listen", "mgmt", "discovery", "seed", "known", "peers", "peer_listen", "peers_all"];
+/// Keys of `limits` that the proxy reads.
 const LIMITS: [&str; 2] = ["sockets", "memory_mb"];
-/// What only some classes have, by their effect.
-const BY_EFFECT: [&str; 2] = ["window", "group"];
+/// Keys that only some classes have, by their idempotency.
+const CLASS_SPECIFIC: [&str; 2] = ["window", "group"];
 
-/// The keys, by their full paths. Items of lists come and go: of them there are the keys that all have, under `*`.
+/// The keys, by their full paths. Items of lists come and go: of them there are the keys that all items have, under `*`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PresentKeys {
     /// The file.
@@ -20,39 +21,56 @@
     keys: BTreeSet<String>,
 }
 
+/// A key of an item of a list.
+struct ItemKey<'a> {
+    list: &'a str,
+    key: &'a str,
+}
+
 impl PresentKeys {
-    /// What the file has of all that the proxy asks for.
+    /// The keys that the file has, of all that the proxy reads.
     pub fn of(path: String, json: &OwnedValue, settings: &Pairs) -> Self {
-        let has = |value: &OwnedValue, key: &str| value.get(key).is_some_and(|value| !value.is_null());
-        let mut keys: BTreeSet<String> =
-            BESIDE.iter().filter(|key| has(json, key)).map(|key| (*key).to_owned()).collect();
-        if let Some(limits) = json.get("limits") {
-            keys.extend(LIMITS.iter().filter(|key| has(limits, key)).map(|key| format!("limits.{key}")));
-        }
-        let asked = settings.lookups();
-        let given = asked.iter().filter(|(_, default)| default.is_none()).map(|(key, _)| key.as_str());
-        let (listed, plain): (Vec<&str>, Vec<&str>) = given.partition(|key| item(key).is_some());
+        let lookups = settings.lookups();
+        let present = lookups.iter().filter(|(_, default)| default.is_none()).map(|(key, _)| key.as_str());
+        let (of_items, plain): (Vec<&str>, Vec<&str>) = present.partition(|key| item_key(key).is_some());
+        let mut keys: BTreeSet<String> = top_level_keys(json).collect();
         keys.extend(plain.iter().filter(|key| !key.ends_with(".count")).map(|key| format!("settings.{key}")));
-        for (list, key) in listed.iter().filter_map(|key| item(key)).map(|(list, _, key)| (list, key)) {
-            let items: usize =
-                settings.0.get(&format!("{list}.count")).and_then(|n| n.parse().ok()).unwrap_or(0);
-            let all = (0..items).all(|i| settings.0.contains_key(&format!("{list}.{i}.{key}")));
-            if all && !BY_EFFECT.contains(&key) {
-                keys.insert(format!("settings.{list}.*.{key}"));
-            }
-        }
+        let common = of_items.iter().filter_map(|key| item_key(key));
+        let common = common.filter(|item| !CLASS_SPECIFIC.contains(&item.key) && item.all_have(settings));
+        keys.extend(common.map(|ItemKey { list, key }| format!("settings.{list}.*.{key}")));
         PresentKeys { path, keys }
     }
 
     /// A key that an earlier file had and this one hasn't.
-    pub fn lacks(&self, earlier: &PresentKeys) -> Option<String> {
+    pub fn first_missing(&self, earlier: &PresentKeys) -> Option<String> {
         earlier.keys.difference(&self.keys).next().cloned()
     }
 }
 
-/// A key of an item of a list: the list, the item's number, and the key in it.
-fn item(key: &str) -> Option<(&str, usize, &str)> {
-    let mut words = key.splitn(3, '.');
-    let (list, number, rest) = (words.next()?, words.next()?, words.next()?);
-    Some((list, number.parse().ok()?, rest))
+impl ItemKey<'_> {
+    /// Whether all items of the list have the key.
+    fn all_have(&self, settings: &Pairs) -> bool {
+        let ItemKey { list, key } = self;
+        let count = settings.0.get(&format!("{list}.count"));
+        let count: usize = count.and_then(|count| count.parse().ok()).unwrap_or(0);
+        (0..count).all(|i| settings.0.contains_key(&format!("{list}.{i}.{key}")))
+    }
+}
+
+/// The keys outside the settings.
+fn top_level_keys(json: &OwnedValue) -> impl Iterator<Item = String> {
+    let has = |value: &OwnedValue, key: &str| value.get(key).is_some_and(|value| !value.is_null());
+    let top_level = TOP_LEVEL.iter().filter(move |key| has(json, key)).map(|key| (*key).to_owned());
+    let limits = json.get("limits").into_iter().flat_map(move |limits| {
+        LIMITS.iter().filter(move |key| has(limits, key)).map(|key| format!("limits.{key}"))
+    });
+    top_level.chain(limits)
+}
+
+/// Splits the path of an item's key: the list, the item's number, and the key.
+fn item_key(path: &str) -> Option<ItemKey<'_>> {
+    let mut segments = path.splitn(3, '.');
+    let (list, number, key) = (segments.next()?, segments.next()?, segments.next()?);
+    number.parse::<usize>().ok()?;
+    Some(ItemKey { list, key })
 }
--- /dev/null
+++ b/crates/cottonnotch/src/config/value_reader.rs
@@ -0,0 +1,156 @@
+//! Reads single values of the platform's, each with its precedence, checks and source.
+
+use super::effective::{Effective, Source};
+use super::environment::variable;
+use super::error::{ConfigError, ValueError};
+use simd_json::OwnedValue;
+use simd_json::prelude::*;
+use std::net::SocketAddr;
+
+/// What is wrong with a value that must be an address.
+const NOT_AN_ADDRESS: &str = "is not an address and port";
+
+/// Which source wins where both have a value.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Precedence {
+    /// The environment, at the start.
+    Environment,
+    /// The JSON file, on SIGHUP.
+    File,
+}
+
+/// Reads values of the environment and the JSON file, and notes each with its source.
+pub struct ValueReader<'a> {
+    /// The JSON file's contents; an empty object without a file.
+    pub json: &'a OwnedValue,
+    /// Which source wins.
+    pub precedence: Precedence,
+    /// Where each value is noted.
+    pub effective: &'a mut Effective,
+}
+
+impl ValueReader<'_> {
+    /// An error with the place of its value.
+    pub fn error(&self, error: ValueError, source: Source) -> ConfigError {
+        let place = match (source, &self.effective.json) {
+            (Source::Environment(name), _) => format!("environment {name}"),
+            (_, None) => "GW_CONFIG is not set".to_owned(),
+            (_, Some(file)) => match file.line(&error.key()) {
+                Some(line) => format!("{}, line {line}", file.path),
+                None => file.path.clone(),
+            },
+        };
+        ConfigError::Platform { error, place }
+    }
+
+    fn invalid(
+        &self,
+        key: &'static str,
+        problem: &'static str,
+        value: String,
+        source: Source,
+    ) -> ConfigError {
+        self.error(ValueError::Invalid { key, problem, value }, source)
+    }
+
+    /// A text from the environment or the file, noted with its source.
+    pub fn text(
+        &mut self,
+        name: &'static str,
+        key: &'static str,
+        default: Option<&str>,
+    ) -> Result<(String, Source), ConfigError> {
+        let inherited = variable(name);
+        let file_wins = self.precedence == Precedence::File;
+        let written = self.json.get(key).filter(|_| file_wins || inherited.is_none());
+        let (text, source) = match (written, inherited, default) {
+            (Some(value), ..) => match value.as_str() {
+                Some(text) => (text.to_owned(), Source::Json),
+                None => return Err(self.invalid(key, "is not a text", value.encode(), Source::Json)),
+            },
+            (None, Some(text), _) => (text, Source::Environment(name)),
+            (None, None, Some(text)) => (text.to_owned(), Source::Default),
+            (None, None, None) => return Err(self.error(ValueError::Missing { key }, Source::Default)),
+        };
+        self.effective.note(key, &text, source);
+        Ok((text, source))
+    }
+
+    /// A required address.
+    pub fn address(&mut self, name: &'static str, key: &'static str) -> Result<SocketAddr, ConfigError> {
+        let (text, source) = self.text(name, key, None)?;
+        text.parse().map_err(|_| self.invalid(key, NOT_AN_ADDRESS, text, source))
+    }
+
+    /// An address that may be left out or empty.
+    pub fn optional_address(
+        &mut self,
+        name: &'static str,
+        key: &'static str,
+    ) -> Result<Option<SocketAddr>, ConfigError> {
+        let (text, source) = self.text(name, key, Some(""))?;
+        if text.is_empty() {
+            return Ok(None);
+        }
+        text.parse().map(Some).map_err(|_| self.invalid(key, NOT_AN_ADDRESS, text, source))
+    }
+
+    /// An address that only the file can have, and may leave out.
+    pub fn file_address(&mut self, key: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
+        let Some(value) = self.json.get(key) else {
+            self.effective.note(key, "", Source::Default);
+            return Ok(None);
+        };
+        let address = value.as_str().and_then(|text| text.parse().ok());
+        let address: SocketAddr =
+            address.ok_or_else(|| self.invalid(key, NOT_AN_ADDRESS, value.encode(), Source::Json))?;
+        self.effective.note(key, address.to_string(), Source::Json);
+        Ok(Some(address))
+    }
+
+    /// A list of addresses that only the file can have, and may leave out.
+    pub fn file_addresses(&mut self, key: &'static str) -> Result<Vec<SocketAddr>, ConfigError> {
+        let Some(value) = self.json.get(key) else {
+            self.effective.note(key, "", Source::Default);
+            return Ok(Vec::new());
+        };
+        let problem = "is not a list of addresses and ports";
+        let parse = |value: &OwnedValue| value.as_str()?.parse().ok();
+        let addresses: Option<Vec<SocketAddr>> =
+            value.as_array().and_then(|list| list.iter().map(parse).collect());
+        let addresses = addresses.ok_or_else(|| self.invalid(key, problem, value.encode(), Source::Json))?;
+        let shown = addresses.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
+        self.effective.note(key, shown, Source::Json);
+        Ok(addresses)
+    }
+
+    /// A hexadecimal number of 64 bits.
+    pub fn hexadecimal(
+        &mut self,
+        name: &'static str,
+        key: &'static str,
+        default: &str,
+    ) -> Result<u64, ConfigError> {
+        let (text, source) = self.text(name, key, Some(default))?;
+        let problem = "is not a hexadecimal number of 64 bits";
+        u64::from_str_radix(&text, 16).map_err(|_| self.invalid(key, problem, text, source))
+    }
+
+    /// A number in the file's `limits`: `key` is its full path, `name` its last part. `check` takes a value that is sound.
+    pub fn limit<T>(
+        &mut self,
+        key: &'static str,
+        name: &str,
+        default: u64,
+        check: impl FnOnce(&OwnedValue) -> Option<T>,
+        problem: &'static str,
+    ) -> Result<T, ConfigError> {
+        let (value, source) = match self.json.get("limits").and_then(|limits| limits.get(name)) {
+            Some(value) => (value.clone(), Source::Json),
+            None => (OwnedValue::from(default), Source::Default),
+        };
+        let limit = check(&value).ok_or_else(|| self.invalid(key, problem, value.encode(), source))?;
+        self.effective.note(key, value.encode(), source);
+        Ok(limit)
+    }
+}
--- a/crates/cottonnotch/src/logging.rs
+++ b/crates/cottonnotch/src/logging.rs
@@ -1,7 +1,7 @@
 //! The log: lines on standard error, each with a text and key-values. The `log` and `env_logger` crates do it;
-//! here is what the operator may choose, and a logger whose filter can be changed while the program runs.
+//! here are the operator's settings, and a logger that can be replaced while the program runs.
 
-use crate::config::near_miss;
+use crate::spelling::nearest_name;
 use env_logger::fmt::Formatter;
 use env_logger::{Builder, Logger};
 use log::kv::{Error, Key, Source, Value, VisitSource};
@@ -18,14 +18,14 @@
 pub struct LogConfig {
     /// Which lines are written, as in `RUST_LOG`: a level, or `PART=LEVEL`, separated by commas.
     pub filter: String,
-    /// How a line is written.
+    /// The format of a line.
     pub format: LogFormat,
     /// `RUST_LOG`, which wins over the filter.
     #[serde(skip)]
     pub rust_log: Option<String>,
 }
 
-/// How a line is written.
+/// The format of a line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
@@ -36,6 +36,31 @@
     Json,
 }
 
+/// Why the section can't be used. Each message begins with the key.
+#[derive(Debug, thiserror::Error)]
+pub enum LogConfigError {
+    /// A level of the filter.
+    #[error("log.filter has an unknown level: '{level}', {}", suggestion(level))]
+    UnknownLevel {
+        /// The level.
+        level: String,
+    },
+    /// The filter as a whole.
+    #[error("log.filter cannot be used: {0}")]
+    Filter(env_filter::ParseError),
+}
+
+/// The levels of a filter.
+const LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
+
+/// The level that was probably meant, or all of them.
+fn suggestion(level: &str) -> String {
+    match nearest_name(level, &LEVELS) {
+        Some(name) => format!("did you mean '{name}'?"),
+        None => format!("known are {}", LEVELS.join(", ")),
+    }
+}
+
 impl Default for LogConfig {
     fn default() -> Self {
         LogConfig { filter: "info".to_owned(), format: LogFormat::Text, rust_log: None }
@@ -43,33 +68,26 @@
 }
 
 impl LogConfig {
-    /// What counts where no operator's file does: the environment's `RUST_LOG`, or the defaults.
+    /// The configuration without an operator's file: the environment's `RUST_LOG`, or the defaults.
     pub fn from_environment() -> Self {
         LogConfig { rust_log: std::env::var("RUST_LOG").ok(), ..LogConfig::default() }
     }
 
-    /// Refuses a filter that would be taken to mean something else. Guards against a misspelt level: it would
-    /// stand for a part of that name, and everything else would be silent.
-    pub fn check(&self) -> Result<(), String> {
-        const LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
+    /// Rejects a filter that would be read as something else. Guards against a misspelt level: it would be read as a module of
+    /// that name, and everything else would be silent.
+    pub fn check(&self) -> Result<(), LogConfigError> {
         for directive in self.filter.split(',').map(str::trim) {
             let level = directive.rsplit_once('=').map_or(directive, |(_, level)| level);
             if level.parse::<LevelFilter>().is_err() {
-                let meant = match near_miss(level, &LEVELS) {
-                    Some(name) => format!("did you mean '{name}'?"),
-                    None => format!("known are {}", LEVELS.join(", ")),
-                };
-                return Err(format!("log.filter has an unknown level: '{level}', {meant}"));
+                return Err(LogConfigError::UnknownLevel { level: level.to_owned() });
             }
         }
-        match env_filter::Builder::new().try_parse(&self.filter) {
-            Ok(_) => Ok(()),
-            Err(error) => Err(format!("log.filter cannot be used: {error}")),
-        }
+        let filter = env_filter::Builder::new().try_parse(&self.filter).map(drop);
+        filter.map_err(LogConfigError::Filter)
     }
 
-    /// Takes this in place of the `old` one: the filter at once, the form of lines not, since whoever reads the
-    /// log could not tell where it changes. Returns what counts from now on.
+    /// Replaces the `old` one: the filter at once, the format of lines not, since a reader of the log could not see where it
+    /// changes. Returns the configuration in force from now on.
     pub fn replacing(self, old: &LogConfig) -> LogConfig {
         if self.format != old.format {
             let format = old.format;
@@ -110,12 +128,12 @@
     }
 }
 
-/// The program's logger. What is off is stopped by the log crate's own level, before it comes here.
-struct Switched(RwLock<Option<Logger>>);
+/// The program's logger. Lines below the log crate's own level are dropped before they get here.
+struct ReplaceableLogger(RwLock<Option<Logger>>);
 
-static LOGGER: Switched = Switched(RwLock::new(None));
+static LOGGER: ReplaceableLogger = ReplaceableLogger(RwLock::new(None));
 
-impl Log for Switched {
+impl Log for ReplaceableLogger {
     fn enabled(&self, metadata: &Metadata) -> bool {
         let logger = self.0.read().unwrap_or_else(PoisonError::into_inner);
         logger.as_ref().is_some_and(|logger| logger.enabled(metadata))
@@ -131,7 +149,7 @@
     fn flush(&self) {}
 }
 
-/// Logs as told from now on.
+/// Logs by this configuration from now on.
 pub fn install(config: &LogConfig) {
     let logger = config.logger();
     let level = logger.filter();
--- a/crates/cottonnotch/src/main.rs
+++ b/crates/cottonnotch/src/main.rs
@@ -6,6 +6,7 @@
 mod maintenance;
 mod net;
 mod rules;
+mod spelling;
 
 use clap::Parser;
 use command_line::{Command, CommandLine};
@@ -18,10 +19,8 @@
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Names the operator's file where the command line doesn't.
-const OPERATOR_VARIABLE: &str = "COTTONNOTCH_OPERATOR";
-/// The configuration can't be used.
-const FAULTY: u8 = 2;
+/// Exit code of a configuration that can't be used.
+const EXIT_FAULTY: u8 = 2;
 
 fn main() -> ExitCode {
     let CommandLine { operator, command } = CommandLine::parse();
@@ -34,16 +33,16 @@
 fn serve(path: Option<PathBuf>) -> ExitCode {
     let mut effective = Effective::default();
     let operator = OperatorConfig::read(path.as_deref(), &mut effective);
-    // A faulty file is said in the log too, in its usual form.
+    // A faulty file is logged too, in the default format.
     logging::install(operator.as_ref().map_or(&LogConfig::from_environment(), |read| &read.log));
     let config = operator.and_then(|operator| Config::load(operator, &mut effective));
     // Before any socket is opened: an inherited descriptor's number could be given to one.
-    let ready = config.and_then(|config| Ok((recorder(&config, &effective)?, config)));
+    let ready = config.and_then(|config| Ok((open_recorder(&config, &effective)?, config)));
     let (recorder, config) = match ready {
         Ok(ready) => ready,
         Err(error) => {
             log::error!(key = error.key(); "cannot start: {error}");
-            return ExitCode::from(FAULTY);
+            return ExitCode::from(EXIT_FAULTY);
         }
     };
     drop(effective);
@@ -62,10 +61,10 @@
     }
 }
 
-/// Begins the records, if they are on.
-fn recorder(config: &Config, effective: &Effective) -> Result<Recorder, ConfigError> {
+/// Opens the recorder, if records are on.
+fn open_recorder(config: &Config, effective: &Effective) -> Result<Recorder, ConfigError> {
     let Some(file) = &effective.operator else { return Ok(Recorder::off()) };
-    let settings = config.operator.records.check().map_err(|bad| file.refuse(&bad.to_string()))?;
+    let settings = config.operator.records.check().map_err(|error| file.reject(&error))?;
     let Some(settings) = settings else { return Ok(Recorder::off()) };
     let name = config.name.as_str().into();
     // The start's time: no two runs under one name begin in the same microsecond.
@@ -73,20 +72,22 @@
         SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64);
     let version = env!("CARGO_PKG_VERSION").into();
     let recorder = Recorder::open(&settings, Identity { name, incarnation, version });
-    recorder.map_err(|error| {
-        let message = match error {
-            RecorderError::Target { key, target, error } => {
-                format!("records.{key} cannot be written: '{target}': {error}")
-            }
-            RecorderError::Thread(error) => {
-                format!("records cannot begin, the system gives no thread: {error}")
-            }
-        };
-        file.refuse(&message).into()
-    })
+    recorder.map_err(|error| file.reject(&recorder_problem(&error)).into())
 }
 
-/// What the rules come to, if there are any.
+/// A recorder's error as a message that begins with the key.
+fn recorder_problem(error: &RecorderError) -> String {
+    match error {
+        RecorderError::Target { key, target, error } => {
+            format!("records.{key} cannot be written: '{target}': {error}")
+        }
+        RecorderError::Thread(error) => {
+            format!("records cannot begin, the system gives no thread: {error}")
+        }
+    }
+}
+
+/// The report on the rules, if there are any.
 fn rules_report(config: &Config) -> String {
     let Some(settings) = &config.rules else { return String::new() };
     let listed =
@@ -98,19 +99,19 @@
     let mut effective = Effective::default();
     let operator = OperatorConfig::read(path, &mut effective);
     let config = operator.and_then(|operator| Config::load(operator, &mut effective));
-    // Serving goes on without a faulty file; who checks wants to know of it.
+    // Serving continues without a faulty rules file; a check reports it.
     let config =
         config.and_then(|config| match config.rules.as_ref().map(rules::RulesSettings::check_files) {
             Some(Err(bad)) => Err(bad.into()),
             _ => Ok(config),
         });
-    // Whoever reads this may have gone; there is nobody left to tell.
+    // The reader of the output may have closed it; there is nobody left to report that to.
     let written = match &config {
         Ok(config) => write!(std::io::stdout().lock(), "{effective}{}", rules_report(config)),
         Err(error) => writeln!(std::io::stderr().lock(), "faulty configuration: {error}"),
     };
     match (config, written) {
-        (Err(_), _) => ExitCode::from(FAULTY),
+        (Err(_), _) => ExitCode::from(EXIT_FAULTY),
         (Ok(_), Err(_)) => ExitCode::FAILURE,
         (Ok(_), Ok(())) => ExitCode::SUCCESS,
     }
--- a/crates/cottonnotch/src/rules/config.rs
+++ b/crates/cottonnotch/src/rules/config.rs
@@ -52,7 +52,8 @@
 
 /// How this proxy and the others agree on which rules are in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, default)]
+// The text that `check` shows of a value that is no table, word for word.
+#[serde(deny_unknown_fields, default, expecting = "struct AccordSection")]
 pub struct ConsensusSection {
     /// The address for datagrams, and for contents over TCP. Consensus is off unless it is set.
     pub listen: Option<SocketAddr>,
--- a/crates/cottonnotch/src/rules/mod.rs
+++ b/crates/cottonnotch/src/rules/mod.rs
@@ -36,7 +36,7 @@
 mod version_content;
 
 pub use clock::Clock;
-pub use config::{ConsensusSection, HardwareSection, RulesSection};
+pub use config::{ConsensusSection, HardwareSection, RulesSection, SectionError};
 pub use node_kinds::NodeKind;
 pub use report::report;
 pub use routing_verdict::VerdictBasis;
--- a/crates/cottonnotch/src/rules/settings.rs
+++ b/crates/cottonnotch/src/rules/settings.rs
@@ -1,8 +1,7 @@
 //! The settings of the rules, with the files that the sections name.
 
-use super::config::{self, ConsensusSettings, SectionError};
+use super::config::{self, ConsensusSection, ConsensusSettings, HardwareSection, RulesSection, SectionError};
 use super::rules_folder::{FolderError, first_faulty, read_folder};
-use crate::config::OperatorConfig;
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_proxy_core::envelope::EnvelopeKey;
 use cottonnotch_routing_rules::{Inventory, RuleFile, RuleFileError};
@@ -51,16 +50,20 @@
 
 impl RulesSettings {
     /// Reads what the sections name; `None`: they are off.
-    pub fn read(operator: &OperatorConfig) -> Result<Option<Self>, RulesError> {
-        let consensus = operator.consensus.check()?;
-        let profiles = config::profiles(&operator.hardware)?;
-        let folder = &operator.rules.folder;
+    pub fn read(
+        rules: &RulesSection,
+        hardware: &[HardwareSection],
+        consensus: &ConsensusSection,
+    ) -> Result<Option<Self>, RulesError> {
+        let consensus = consensus.check()?;
+        let profiles = config::profiles(hardware)?;
+        let folder = &rules.folder;
         if consensus.is_none() && folder.is_none() {
             return Ok(None);
         }
         let files = folder.as_deref().map(read_folder).transpose()?.unwrap_or_default();
         let consensus = consensus.map(with_key).transpose()?;
-        let (root, connections) = (operator.rules.root.clone(), operator.rules.connections);
+        let (root, connections) = (rules.root.clone(), rules.connections);
         Ok(Some(RulesSettings { files, profiles, consensus, root, connections }))
     }
 
--- a/crates/cottonnotch/tests/configuration.rs
+++ b/crates/cottonnotch/tests/configuration.rs
@@ -24,7 +24,7 @@
     fn new(json: &str, operator: &str) -> Self {
         let files = Files(TempDir::new().unwrap());
         std::fs::write(files.json(), json).unwrap();
-        files.operate(operator);
+        files.write_operator(operator);
         files
     }
 
@@ -36,7 +36,7 @@
         self.0.path().join("operator.toml")
     }
 
-    fn operate(&self, text: &str) {
+    fn write_operator(&self, text: &str) {
         let new = self.0.path().join("new");
         std::fs::write(&new, text).and_then(|()| std::fs::rename(&new, self.operator())).unwrap();
     }
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn check_prints_each_value_with_its_source() {
+fn check_prints_values_with_sources() {
     let files = Files::new(&json(), "\n[log]\nfilter = \"warn\"\n");
     let (code, printed, errors) =
         run(files.command().arg("check").env("GW_NAME", "n\n3").env("GW_DISCOVERY", "127.0.0.1:9"));
@@ -100,13 +100,13 @@
 }
 
 #[test]
-fn each_fault_names_key_file_and_line() {
+fn errors_name_key_file_and_line() {
     let (json_file, operator_file) = ("config.json", "operator.toml");
     let sound = "[log]\nfilter = \"info\"\n";
-    let of_operator = |text: &'static str, said, line| (json(), text, said, operator_file, line);
+    let of_operator = |text: &'static str, message, line| (json(), text, message, operator_file, line);
     let of_json =
-        |from: &str, to: &str, said, line| (json().replacen(from, to, 1), sound, said, json_file, line);
-    for (json, operator, said, file, line) in [
+        |from: &str, to: &str, message, line| (json().replacen(from, to, 1), sound, message, json_file, line);
+    for (json, operator, message, file, line) in [
         of_operator("[log]\n\nfromat = 'json'", "log.fromat is unknown: 'fromat', did you mean 'format'?", 3),
         of_operator("[log]\nxyzzy = 1", "log.xyzzy is unknown: 'xyzzy', known are 'filter', 'format'", 2),
         of_operator("\n\n[logs]", "logs is unknown: 'logs', did you mean 'log'?", 3),
@@ -158,8 +158,8 @@
     ] {
         let files = Files::new(&json, operator);
         let (code, printed, errors) = run(files.command().arg("check"));
-        assert_eq!((code, printed.as_str()), (Some(2), ""), "{said}: {errors}");
-        assert!(errors.contains(&format!("faulty configuration: {said}")), "{said}: {errors}");
+        assert_eq!((code, printed.as_str()), (Some(2), ""), "{message}: {errors}");
+        assert!(errors.contains(&format!("faulty configuration: {message}")), "{message}: {errors}");
         assert!(errors.contains(file) && errors.contains(&format!(", line {line}")), "{line}: {errors}");
         let (code, _, log) = run(&mut files.command());
         let (_, fault) = errors.trim_end().split_once(": ").unwrap();
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_reload_takes_both_files_or_neither() {
+fn reload_applies_both_files_or_neither() {
     let node = ScriptedServer::new();
     let files = Files::new("", "[log]\nfilter = \"info\"\n");
     let mut command = program();
@@ -189,13 +189,13 @@
         client.receive()
     };
     // A sound JSON file and a faulty operator's file.
-    files.operate("[log]\nfilter = \"debug\"\nfromat = \"json\"\n");
+    files.write_operator("[log]\nfilter = \"debug\"\nfromat = \"json\"\n");
     proxy.reconfigure(&[rename]);
     let kept = proxy.wait_for_log("configuration kept, the new one is faulty: log.fromat");
     assert!(kept.contains("operator.toml, line 3") && kept.contains("key=log.fromat"), "{kept}");
     assert_eq!(answer("look"), "UP 1\r\n", "the old JSON file counts");
     // A sound operator's file and a faulty JSON file.
-    files.operate("[log]\nfilter = \"debug\"\nformat = \"json\"\n");
+    files.write_operator("[log]\nfilter = \"debug\"\nformat = \"json\"\n");
     proxy.reconfigure(&[rename, (r#""mostTries":3"#, r#""mostTries":"many""#)]);
     let log =
         proxy.drain_log_until("configuration kept, the new one is faulty: settings.policyLimits.mostTries");
@@ -219,20 +219,20 @@
 }
 
 #[test]
-fn rust_log_wins_over_the_filter_as_long_as_the_process_lives() {
+fn rust_log_overrides_the_filter() {
     let files = Files::new("", "[log]\nfilter = \"off\"\n");
     let mut command = Command::new("env");
     command.args(["RUST_LOG=info", env!("CARGO_BIN_EXE_cottonnotch")]);
     command.env("COTTONNOTCH_OPERATOR", files.operator());
     let proxy = Proxy::by(command, &[], 1024, SETTINGS);
-    files.operate("[log]\nfilter = \"error\"\n");
+    files.write_operator("[log]\nfilter = \"error\"\n");
     proxy.reload();
     proxy.wait_for_log("log.filter does not count while RUST_LOG is set, still 'info'");
     proxy.wait_for_log("configuration read again");
 }
 
 #[test]
-fn a_json_log_has_one_object_a_line_with_the_key_values() {
+fn json_log_has_one_object_a_line() {
     let node = ScriptedServer::new();
     let files = Files::new("", "[log]\nformat = \"json\"\n");
     let mut command = program();
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn a_text_log_cannot_be_forged_by_what_it_repeats() {
+fn text_log_cannot_be_forged() {
     let node = ScriptedServer::new();
     let proxy = Proxy::start(&[&node]);
     let _client = proxy.open();
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn the_command_line_explains_itself() {
+fn help_explains_the_command_line() {
     let (code, printed, _) = run(program().arg("--version"));
     assert_eq!((code, printed), (Some(0), format!("cottonnotch {}\n", env!("CARGO_PKG_VERSION"))));
     let (code, printed, _) = run(program().arg("--help"));
--- a/crates/cottonnotch/tests/records.rs
+++ b/crates/cottonnotch/tests/records.rs
@@ -23,7 +23,7 @@
     /// The program, whose records go to the file, soon.
     fn command(&self) -> Command {
         let records = self.path("records");
-        self.operate(&format!("[records]\nfile = \"{}\"\nflush_ms = 10\n", records.display()));
+        self.write_operator(&format!("[records]\nfile = \"{}\"\nflush_ms = 10\n", records.display()));
         self.with_operator(Command::new(env!("CARGO_BIN_EXE_cottonnotch")))
     }
 
@@ -32,7 +32,7 @@
         command
     }
 
-    fn operate(&self, text: &str) {
+    fn write_operator(&self, text: &str) {
         std::fs::write(self.path("operator.toml"), text).unwrap();
     }
 
@@ -59,7 +59,7 @@
 }
 
 /// What the records say of the request with this id, in order, in the words of this test.
-fn told(records: &[Record], wire_id: u64) -> Vec<String> {
+fn history(records: &[Record], wire_id: u64) -> Vec<String> {
     let number = records.iter().find_map(|record| match &record.event {
         Event::Request { request, wire_id: Hex(id), class, deadline_ms, group, is_retry: false, .. }
             if *id == wire_id =>
@@ -96,9 +96,9 @@
 }
 
 #[test]
-fn records_tell_what_the_peers_saw() {
-    let told = (0..10).any(|_| records_are_compared());
-    assert!(told, "this machine is too slow for the story's first second");
+fn records_match_what_the_peers_saw() {
+    let was_in_time = (0..10).any(|_| records_are_compared());
+    assert!(was_in_time, "this machine is too slow for the test's first second");
 }
 
 /// False if a second was over where it must not be: what was paused then could be tried again.
@@ -132,9 +132,10 @@
     let mut client = proxy.connect();
     client.send(&with_fresh_id(&OPEN.replace("look", "stroll")));
     assert_eq!(client.receive_rest().unwrap(), "ERR the class is unknown\r\n");
-    let (mut client, hasty) = open("2000");
-    let is_hasty = |r: &Record| matches!(&r.event, Event::Request { wire_id: Hex(id), .. } if *id == hasty);
-    wait_for(TIMEOUT, "its request", || folder.read().0.iter().any(is_hasty).then_some(()));
+    let (mut client, impatient) = open("2000");
+    let is_impatient =
+        |r: &Record| matches!(&r.event, Event::Request { wire_id: Hex(id), .. } if *id == impatient);
+    wait_for(TIMEOUT, "its request", || folder.read().0.iter().any(is_impatient).then_some(()));
     client.send("M 1 a\r\n");
     assert_eq!(client.receive_rest().unwrap(), "ERR more than one line before the answer\r\n");
     if begun.elapsed() > Duration::from_millis(700) {
@@ -168,7 +169,7 @@
     // Both forms of a reload.
     proxy.reconfigure(&[(r#""mostTries":3"#, r#""mostTries":"many""#)]);
     proxy.wait_for_log("configuration kept");
-    folder.operate("[records]\nflush_ms = 20\n");
+    folder.write_operator("[records]\nflush_ms = 20\n");
     proxy.reconfigure(&[(r#""mostTries":3"#, r#""mostTries":4"#)]);
     proxy.wait_for_log("records cannot change while clients are served");
     // One is up when the proxy leaves.
@@ -182,8 +183,8 @@
 
     let (records, findings) = folder.read();
     assert_eq!(findings, [], "nothing is missing");
-    let expect = |id, lines: &[String]| assert_eq!(told(&records, id), lines);
-    let served_story = [
+    let expect = |id, lines: &[String]| assert_eq!(history(&records, id), lines);
+    let served_history = [
         "attempt 0 at s0",
         "attempt 0 Full",
         "attempt 1 at s0",
@@ -191,7 +192,7 @@
         "answer Up",
         "ended Served",
     ];
-    expect(served, &served_story.map(str::to_owned));
+    expect(served, &served_history.map(str::to_owned));
     let text = str::to_owned;
     let up = |at: &str| [format!("attempt 0 at {at}"), format!("attempt 0 up at {at}"), text("answer Up")];
     let moved = |at: &str, reason: &str| {
@@ -201,7 +202,7 @@
     expect(leaving, &moved("s1", "ProxyShutdown"));
     expect(refused, &[format!("answer Rejected {{ retry_after_ms: {wait}, applied_rules: None }}")]);
     let why = "more than one line before the answer";
-    expect(hasty, &[format!("answer Failed {{ reason: {why:?} }}")]);
+    expect(impatient, &[format!("answer Failed {{ reason: {why:?} }}")]);
     expect(left, &[text("attempt 0 at s0"), text("attempt 0 Cancelled"), text("left")]);
 
     let count = |is: fn(&Event) -> bool| records.iter().filter(|record| is(&record.event)).count();
@@ -239,16 +240,16 @@
         };
         records.iter().filter_map(of).collect()
     };
-    let told = states("s0");
+    let seen = states("s0");
     let [
         EndpointState::Up,
         EndpointState::Paused { until_us },
         EndpointState::Trial,
         EndpointState::Up,
         EndpointState::Draining,
-    ] = told[..]
+    ] = seen[..]
     else {
-        panic!("{told:?}")
+        panic!("{seen:?}")
     };
     assert_eq!(until_us % 1_000_000, 0, "pauses end at marks");
     assert_eq!(states("s1"), [EndpointState::Up]);
@@ -265,7 +266,7 @@
 }
 
 #[test]
-fn a_connection_from_before_the_start_and_a_silent_render_node_are_told() {
+fn records_reconnection_and_unresponsive_endpoint() {
     let node = ScriptedServer::new();
     let folder = Folder::new();
     // With no aim for messages, no delay is noted, and the module moves nobody by itself.
@@ -290,14 +291,14 @@
         "ended Reset",
     ];
     let all = wait_for(TIMEOUT, "the end", || {
-        let lines = told(&folder.read().0, id_of(&line));
+        let lines = history(&folder.read().0, id_of(&line));
         (lines.len() >= expected.len()).then_some(lines)
     });
     assert_eq!(all, expected);
 }
 
 #[test]
-fn a_target_that_cannot_be_opened_ends_the_start_and_is_named() {
+fn bad_target_prevents_the_start() {
     let config = format!(r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{SETTINGS}}}"#);
     let folder = Folder::new();
     std::fs::write(folder.path("config.json"), config).unwrap();
@@ -307,7 +308,7 @@
         ("file = 'x'\ndescriptor = 3", "records.file and records.descriptor are both set"),
         ("keep = 0", "records.keep is not within 1 to 999: '0'"),
     ] {
-        folder.operate(&format!("[records]\n{set}\n"));
+        folder.write_operator(&format!("[records]\n{set}\n"));
         let mut command = folder.with_operator(Command::new(env!("CARGO_BIN_EXE_cottonnotch")));
         let output = command.env("GW_CONFIG", folder.path("config.json")).output().unwrap();
         let log = String::from_utf8(output.stderr).unwrap();
@@ -317,8 +318,8 @@
     }
 }
 
-/// So many clients send rubbish, one after another, and are told so.
-fn be_rude(proxy: &Proxy, clients: usize) {
+/// So many clients send a malformed line, one after another, and are rejected.
+fn send_malformed(proxy: &Proxy, clients: usize) {
     for _ in 0..clients {
         let mut client = proxy.connect();
         client.send("\r\n");
@@ -327,11 +328,11 @@
 }
 
 #[test]
-fn each_rude_client_is_recorded_and_costs_no_other_its_place() {
+fn rejected_clients_are_recorded() {
     let node = ScriptedServer::new();
     let folder = Folder::new();
     let mut proxy = Proxy::by(folder.command(), &[&node], 1024, SETTINGS);
-    be_rude(&proxy, 1500);
+    send_malformed(&proxy, 1500);
     let pair = proxy.establish(&node);
     proxy.terminate();
     assert!(proxy.wait_for_exit().success());
@@ -343,10 +344,10 @@
 }
 
 #[test]
-fn a_target_that_takes_nothing_loses_records_and_holds_nobody() {
+fn blocked_target_drops_records_only() {
     let node = ScriptedServer::new();
     let folder = Folder::new();
-    folder.operate("[records]\ndescriptor = 3\nqueue_records = 64\nflush_ms = 10\n");
+    folder.write_operator("[records]\ndescriptor = 3\nqueue_records = 64\nflush_ms = 10\n");
     // A pipe that is open and that nobody reads.
     let pipe = folder.path("pipe");
     let mut command = Command::new("/bin/sh");
@@ -354,7 +355,7 @@
     command.args(["-c", &format!("mkfifo '{0}'; exec 3<>'{0}'; exec '{program}'", pipe.display())]);
     let mut proxy = Proxy::by(folder.with_operator(command), &[&node], 1024, SETTINGS);
     // Some 130 bytes each: the pipe holds 64 KiB, and the writer 64 KiB more.
-    be_rude(&proxy, 2500);
+    send_malformed(&proxy, 2500);
     let (mut client, _far) = proxy.establish(&node);
     let begun = Instant::now();
     proxy.terminate();
@@ -366,12 +367,12 @@
         let (_, rest) = said.split_once(key).unwrap();
         rest.split(' ').next().unwrap().parse::<u64>().unwrap()
     };
-    // Beside the rude ones: start, list, belief, four of the one that was up, moved, ended, shutdown, stop.
+    // Beside the rejected ones: start, list, endpoint, four of the one that was up, moved, ended, shutdown, stop.
     assert_eq!(figure(" lost=") + figure(" written="), 2500 + 11, "{said}");
 }
 
 #[test]
-fn a_killed_proxy_leaves_whole_lines_and_the_next_one_goes_on_after_them() {
+fn records_survive_a_kill() {
     let node = ScriptedServer::new();
     let folder = Folder::new();
     let mut proxy = Proxy::by(folder.command(), &[&node], 1024, SETTINGS);
@@ -381,7 +382,7 @@
         (folder.read().0.iter().filter(|r| is_up(r)).count() == 20).then_some(())
     });
     let before = folder.read().0;
-    be_rude(&proxy, 300);
+    send_malformed(&proxy, 300);
     proxy.kill();
     let (killed, findings) = folder.read();
     assert!(killed.starts_with(&before));
