--- a/crates/cottonnotch/src/net/driver/hot_restart.rs
+++ b/crates/cottonnotch/src/net/driver/hot_restart.rs
@@ -14,7 +14,7 @@
 const STARTING: &str = "starting";
 const READY: &str = "ready";
 /// Bytes of the descriptors held.
-const HELD_WIDTH: usize = 8;
+const DESCRIPTORS_WIDTH: usize = 8;
 /// Bytes of the start by the monotonic clock, behind them.
 const BEGAN_WIDTH: usize = 20;
 
@@ -28,7 +28,7 @@
     /// It serves clients.
     pub is_ready: bool,
     /// Descriptors that it holds.
-    pub held: usize,
+    pub descriptors: usize,
 }
 
 /// This process's own file.
@@ -74,7 +74,7 @@
 
     fn write(&self, hidden: &Path, path: &Path) -> io::Result<File> {
         let file = File::create(hidden)?;
-        let text = format!("{:0HELD_WIDTH$}{:0BEGAN_WIDTH$}", 0, self.began);
+        let text = format!("{:0DESCRIPTORS_WIDTH$}{:0BEGAN_WIDTH$}", 0, self.began);
         // Locked and complete before it can be seen by its name: it would be taken for a dead process's.
         file.try_lock()?;
         file.write_all_at(text.as_bytes(), 0)?;
@@ -95,8 +95,8 @@
     }
 
     /// Tells the others how many descriptors this process holds.
-    pub fn publish_descriptors(&self, held: usize) -> io::Result<()> {
-        let text = format!("{:0HELD_WIDTH$}", held.min(99_999_999));
+    pub fn publish_descriptors(&self, descriptors: usize) -> io::Result<()> {
+        let text = format!("{:0DESCRIPTORS_WIDTH$}", descriptors.min(99_999_999));
         self.file_shown.as_ref().map_or(Ok(()), |file_shown| file_shown.file.write_all_at(text.as_bytes(), 0))
     }
 
@@ -132,12 +132,12 @@
                 return Ok(None);
             }
         }
-        let mut bytes = [0; HELD_WIDTH + BEGAN_WIDTH];
+        let mut bytes = [0; DESCRIPTORS_WIDTH + BEGAN_WIDTH];
         let read = file.read_at(&mut bytes, 0)?;
         let text = std::str::from_utf8(&bytes[..read]).unwrap_or_default();
-        let (held, began) = text.split_at_checked(HELD_WIDTH).unwrap_or((text, ""));
-        let (held, began) = (held.parse().unwrap_or(0), began.parse().ok());
-        Ok(Some(SiblingProcess { born, began, is_ready, held }))
+        let (descriptors, began) = text.split_at_checked(DESCRIPTORS_WIDTH).unwrap_or((text, ""));
+        let (descriptors, began) = (descriptors.parse().unwrap_or(0), began.parse().ok());
+        Ok(Some(SiblingProcess { born, began, is_ready, descriptors }))
     }
 
     /// Parses a file's name, if it is one of this proxy's: when its process began, and whether it is ready.
--- a/crates/cottonnotch/src/net/driver/hot_restart_tests.rs
+++ b/crates/cottonnotch/src/net/driver/hot_restart_tests.rs
@@ -19,7 +19,7 @@
     old.publish_descriptors(73).unwrap();
     let seen = new.siblings().unwrap();
     let [predecessor] = &seen[..] else { panic!("{seen:?}") };
-    assert_eq!((predecessor.born, predecessor.is_ready, predecessor.held), (10, true, 73));
+    assert_eq!((predecessor.born, predecessor.is_ready, predecessor.descriptors), (10, true, 73));
     assert!(new.is_older(predecessor));
     new.announce_ready().unwrap();
     new.announce_ready().unwrap();
@@ -40,7 +40,7 @@
     assert!(first.has_successor() && !second.has_successor());
     assert!(second.is_older(&first.seen_by(&second)));
     // An older build's file has its descriptors alone.
-    second.file_shown.as_ref().unwrap().file.set_len(HELD_WIDTH as u64).unwrap();
+    second.file_shown.as_ref().unwrap().file.set_len(DESCRIPTORS_WIDTH as u64).unwrap();
     assert!(!first.has_successor(), "by its name it is the older one");
 }
 
--- a/crates/cottonnotch/src/net/driver/lifecycle.rs
+++ b/crates/cottonnotch/src/net/driver/lifecycle.rs
@@ -118,12 +118,12 @@
                 return self.assumed_predecessor(context.now());
             }
         };
-        context.sibling_descriptors = siblings.iter().map(|sibling| sibling.held).sum();
+        context.sibling_descriptors = siblings.iter().map(|sibling| sibling.descriptors).sum();
         if !siblings.is_empty() {
             // A request holds two, its own object's and the endpoint's; what is beyond objects is some ten.
-            let held = context.reactor.connections() + context.requests + UNCOUNTED_DESCRIPTORS;
+            let descriptors = context.reactor.connections() + context.requests + UNCOUNTED_DESCRIPTORS;
             // What can't be published leaves the other with the number that it read before.
-            let _ = hot_restart.publish_descriptors(held);
+            let _ = hot_restart.publish_descriptors(descriptors);
         }
         let has_older = siblings.iter().any(|sibling| hot_restart.is_older(sibling));
         let predecessor = if has_older { Predecessor::Serving } else { Predecessor::None };
--- a/crates/cottonnotch/src/net/invariant.rs
+++ b/crates/cottonnotch/src/net/invariant.rs
@@ -13,13 +13,13 @@
 /// `invariant!(condition, "what must hold")`: the value of the condition, after asserting or counting it.
 macro_rules! invariant {
     ($condition:expr, $what:literal) => {{
-        let held: bool = $condition;
-        debug_assert!(held, "invariant broken: {}", $what);
-        if !held {
+        let holds: bool = $condition;
+        debug_assert!(holds, "invariant broken: {}", $what);
+        if !holds {
             let count = $crate::net::invariant::count();
             log::error!(invariant = $what, count; "invariant broken ({count} so far): {}", $what);
         }
-        held
+        holds
     }};
 }
 pub(crate) use invariant;
