--- a/crates/decision/src/affinity.rs
+++ b/crates/decision/src/affinity.rs
@@ -1,7 +1,7 @@
 //! The affinity subset of a group: the servers over which its connections rotate, the first ones in an order of its own
 //! that is common to all nodes (rendezvous hashing, Thaler and Ravishankar 1998; by weight, Efraimidis and Spirakis 2006).
-//! A larger subset only adds to the smaller one. Holds the sizes that somebody stated
-//! ([`Event::AffinitySubsets`](crate::Event::AffinitySubsets)), who bounds their number.
+//! A larger subset only adds to the smaller one. Holds the sizes that the embedder stated
+//! ([`Event::AffinitySubsets`](crate::Event::AffinitySubsets)), which bounds their number.
 
 use crate::names::unit;
 use std::collections::BTreeMap;
--- a/crates/decision/src/budget.rs
+++ b/crates/decision/src/budget.rs
@@ -23,7 +23,7 @@
 }
 
 impl FleetTotal {
-    /// A list has come: its ready servers have this weight.
+    /// Records the weight of a new list's ready servers.
     pub(crate) fn record(&mut self, now: Micros, weight: f64) {
         if weight >= self.most || self.is_reduced_for_good(now) {
             (self.most, self.reduced_since) = (weight, None);
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -1,4 +1,4 @@
-//! The whole contract between the decision module and whoever embeds it.
+//! The whole contract between the decision module and its embedder.
 //!
 //! An embedder turns what its node sees into [`Event`]s, hands each to
 //! [`Balancer::handle`](crate::Balancer::handle) with the present time, and carries out the
--- a/crates/decision/src/interface/action.rs
+++ b/crates/decision/src/interface/action.rs
@@ -7,7 +7,7 @@
 pub enum Notification {
     /// A server has been paused after failures, or again after a failed trial.
     PausedFailing,
-    /// A paused server's trial went well.
+    /// A paused server's trial succeeded.
     Recovered,
     /// No server may be used now; requests are queued.
     Queueing,
--- a/crates/decision/src/interface/event.rs
+++ b/crates/decision/src/interface/event.rs
@@ -1,4 +1,4 @@
-//! What an instance is told while it runs.
+//! The events of which an instance is notified while it runs.
 
 use super::{ClassId, Micros, RequestId, ServerId, Settings, TenantId, ZoneId};
 
@@ -82,9 +82,9 @@
 /// What a node met at a server within the last few seconds, as it reports itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerVerdict {
-    /// Attempts went well, and none failed.
+    /// Attempts succeeded, and none failed.
     Healthy,
-    /// Attempts failed to connect, timed out or met silence, and none went well.
+    /// Attempts failed to connect, timed out or met silence, and none succeeded.
     Unhealthy,
     /// Neither, or both.
     Inconclusive,
--- a/crates/decision/src/list_polling.rs
+++ b/crates/decision/src/list_polling.rs
@@ -19,7 +19,7 @@
 /// Longest time from a call that fails to the next. A change counts as notified 6 s after the service had it and could be
 /// reached, whatever became of earlier calls: 2 s are left for the next one to wait for its turn.
 pub const BETWEEN_CALLS: Micros = 4 * SECOND;
-/// A call that brings no complete answer for so long has fallen silent, and whoever made it reports that: with its place in
+/// A call that brings no complete answer for so long has fallen silent, and its caller reports that: with its place in
 /// the spread, the next goes out 5 s after it.
 pub const UNANSWERED_AFTER: Micros = 4 * SECOND;
 /// A call of which nothing at all is reported is given up as lost after this: a long list may take its time.
@@ -99,7 +99,7 @@
         }
     }
 
-    /// A call goes out now. Returns after how long it is given up unless something comes.
+    /// A call goes out now. Returns after how long it is given up unless something arrives.
     pub fn called(&mut self, now: Micros) -> Micros {
         self.called_at = Some(now);
         self.poll_in(now, LOST_AFTER)
@@ -111,7 +111,7 @@
         self.answered_at = self.answered_at.or(Some(now));
     }
 
-    /// The time for a call has come.
+    /// Whether a call is due.
     pub fn is_due(&self, now: Micros) -> bool {
         self.next_poll.is_some_and(|at| at <= now)
     }
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -1,7 +1,7 @@
 //! Types, events and actions: `src/interface.rs`. Every decision is in this file and in its folder: the
 //! server list, the rotation over servers, pauses, retries and rejections.
 //!
-//! The mechanism (PIP-385, adapted; docs/design.md): a server that refused a connection as full, or failed,
+//! The mechanism (PIP-385, adapted; docs/design.md): a server that rejected a connection as full, or failed,
 //! is paused until the next second mark; new connections rotate over the rest; while all are paused they
 //! are queued, and rejected early when they cannot wait. What else is here is an exception to that.
 
--- a/crates/decision/src/policy/balancer.rs
+++ b/crates/decision/src/policy/balancer.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 pub struct Balancer {
     pub(super) settings: Settings,
-    /// What may be done with a request, if somebody has rules for that.
+    /// Evaluates the routing rules; `None`: there are none.
     pub(super) rules: Option<Box<dyn RoutingRules>>,
     pub(super) jitter: Jitter,
     pub(super) servers: Servers,
@@ -121,7 +121,7 @@
         self.settings = settings;
     }
 
-    /// A client's request: counted, unless the client came again, and dispatched.
+    /// A client's request: counted, unless the client came back, and dispatched.
     fn request_arrived(&mut self, now: Micros, request: Request, out: &mut Vec<Action>) {
         if !request.again {
             self.arrivals.record(now);
--- a/crates/decision/src/policy/circuit_breaker.rs
+++ b/crates/decision/src/policy/circuit_breaker.rs
@@ -10,7 +10,7 @@
 /// Why a server is paused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PauseCause {
-    /// It refused a connection as full: paused until the next mark only.
+    /// It rejected a connection as full: paused until the next mark only.
     Overload,
     /// An attempt failed: each further failure doubles the pause.
     Failure,
--- a/crates/decision/src/policy/dispatch.rs
+++ b/crates/decision/src/policy/dispatch.rs
@@ -8,7 +8,7 @@
 
 /// What bounds the next attempt of a request, as its class, its client and the rules have it.
 struct AttemptLimits {
-    /// Time until the client gives up; `None`: not told.
+    /// Time until the client gives up; `None`: not stated.
     left: Option<Micros>,
     /// Less time than this is too little for an attempt.
     shortest_attempt: Micros,
@@ -47,7 +47,7 @@
     }
 
     /// After this the attempt is ended as timed out; 0: when the client gives up. A silent server never
-    /// refuses: the time-out leaves room for a retry.
+    /// rejects: the time-out leaves room for a retry.
     fn timeout(&self, pending: &PendingRequest, settings: &Settings) -> Micros {
         let target = settings.target(pending.class());
         match self.left {
--- a/crates/decision/src/policy/drain.rs
+++ b/crates/decision/src/policy/drain.rs
@@ -1,4 +1,4 @@
-//! How the connections of draining servers are moved: an even part each round, so that clients come again
+//! How the connections of draining servers are moved: an even part each round, so that clients come back
 //! bit by bit.
 
 use super::balancer::{Balancer, DRAIN_ROUND};
--- a/crates/decision/src/policy/latency.rs
+++ b/crates/decision/src/policy/latency.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// Part of its own connections that a node moves off a server for each report of messages over the objective:
-/// more where more has piled up, so that the pile is gone within about [`CLEAR_WITHIN`].
+/// more where more has piled up, so that the pile is cleared within about [`CLEAR_WITHIN`].
 const MOVED_PER_REPORT: f64 = 0.1;
 /// Time in which a pile is cleared, in microseconds.
 const CLEAR_WITHIN: f64 = 2.0 * SECOND as f64;
@@ -14,7 +14,7 @@
 const MAX_MOVED: f64 = 0.25;
 
 impl Balancer {
-    /// Messages at a server take long: work has piled up there, though it refuses nothing. A report comes
+    /// Messages at a server take long: work has piled up there, though it rejects nothing. A report comes
     /// once a second while that lasts, so the pause reaches to the mark after the next report.
     pub(super) fn latency_changed(
         &mut self,
--- a/crates/decision/src/policy/outcomes.rs
+++ b/crates/decision/src/policy/outcomes.rs
@@ -54,7 +54,7 @@
         s.report_health(now, at, out);
     }
 
-    /// An attempt went well: if it was its server's trial, the server is back in the rotation.
+    /// An attempt succeeded: if it was its server's trial, the server is back in the rotation.
     pub(super) fn trial_succeeded(
         &mut self,
         now: Micros,
--- a/crates/decision/src/policy/peer_reports.rs
+++ b/crates/decision/src/policy/peer_reports.rs
@@ -8,7 +8,7 @@
 /// What other nodes reported of a server, and what this node's own success says against it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PeerReports {
-    /// When an attempt of this node's last went well.
+    /// When an attempt of this node's last succeeded.
     last_success: Option<Micros>,
     /// Each node's latest report.
     reports: Vec<Report>,
@@ -29,7 +29,7 @@
 }
 
 impl PeerReports {
-    /// An attempt of this node's own went well.
+    /// An attempt of this node's own succeeded.
     pub(super) fn own_success(&mut self, now: Micros) {
         (self.last_success, self.paused_until) = (Some(now), None);
     }
@@ -54,7 +54,7 @@
     }
 
     /// No pause follows from reports where this node has just had success itself, or was paused on reports
-    /// before: whoever repeats them, this node looks for itself before it believes them again.
+    /// before: before they count again, this node makes an attempt of its own.
     pub(super) fn may_pause(&self, now: Micros) -> bool {
         self.paused_until.is_none() && !self.last_success.is_some_and(|at| is_valid(at, now))
     }
--- a/crates/decision/src/policy/requests.rs
+++ b/crates/decision/src/policy/requests.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Requests {
     pub(super) pending: BTreeMap<RequestId, PendingRequest>,
-    /// Those that wait for a server, in the order in which they came to wait.
+    /// Those that wait for a server, in the order in which they were queued.
     pub(super) queued: Vec<RequestId>,
     /// When the soonest timer for the queue fires.
     pub(super) wake_up: Option<Micros>,
--- a/crates/decision/src/policy/rotation.rs
+++ b/crates/decision/src/policy/rotation.rs
@@ -86,7 +86,7 @@
         let pending = self.requests.pending.get(&id)?;
         let dedup_group = pending.dedup_group(&self.settings);
         // Connections of a group share work: spread over the fleet they would multiply it (ie5ddb3), and in
-        // overload none would be kept out. A group's turns rotate over the servers that come first in an
+        // overload none would be rejected. A group's turns rotate over the servers that come first in an
         // order of its own, common to all nodes; while these are paused it is queued.
         let group = pending.request.group.filter(|_| self.settings.groups && dedup_group.is_none());
         let affinity = group.map(|group| self.affinity(group, verdict));
@@ -137,7 +137,7 @@
         Some(server)
     }
 
-    /// The servers that may take new connections, as far as the list and the rules tell.
+    /// The servers that may take new connections, by the list and the rules.
     pub(super) fn allowed<'a>(&'a self, verdict: &'a RoutingVerdict) -> impl Iterator<Item = &'a Server> {
         let ready = self.servers.ready.iter();
         ready.filter(|id| verdict.allows(**id)).filter_map(|id| self.servers.get(*id))
@@ -190,7 +190,7 @@
 ) -> Option<SetupLimit> {
     let limit = s.setup_limit(settings, now, usual);
     // Most servers with connections of this node are piled up: those of which it hears nothing are
-    // likely so too; tried at server after server, nobody would be kept out (i118c6b).
+    // likely so too; tried at server after server, no request would be rejected (i118c6b).
     let is_unheard = constraints.affinity.is_none() && s.connections.open.is_empty();
     if rotation.mostly_overloaded && limit.is_none() && is_unheard {
         return Some(SetupLimit::at_rate(usual.per_weight * s.listing.weight * UNHEARD));
--- a/crates/decision/src/policy/server.rs
+++ b/crates/decision/src/policy/server.rs
@@ -115,7 +115,7 @@
 }
 
 impl Server {
-    /// It takes new connections, as far as the list tells.
+    /// It takes new connections, by the list.
     pub(super) fn is_ready(&self) -> bool {
         self.listing.state == ServerState::Ready
     }
--- a/crates/decision/src/policy/server_list.rs
+++ b/crates/decision/src/policy/server_list.rs
@@ -24,7 +24,7 @@
             self.first_poll(now, out);
         }
         if full {
-            // What a full list leaves out is gone, and starts anew if it is ever listed again.
+            // What a full list leaves out is removed, and starts anew if it is ever listed again.
             self.servers.iter_mut().for_each(|s| s.listing.state = ServerState::Removed);
         }
         self.apply_entries(now, entries, out);
@@ -88,7 +88,7 @@
             *self.servers.entry(entry.server) = fresh;
         }
         let known = self.servers.entry(entry.server);
-        // What drained and is gone by now has its connections moved all the same.
+        // What drained and is removed by now has its connections moved all the same.
         let deadline = (entry.state == ServerState::Draining).then_some(now + DRAIN_WITHIN);
         let connections = &mut known.connections;
         connections.drain_deadline =
--- a/crates/decision/src/policy/setup_rates.rs
+++ b/crates/decision/src/policy/setup_rates.rs
@@ -9,7 +9,7 @@
 use crate::rules::RoutingVerdict;
 
 /// All nodes together set up at most this multiple of what tenants are allowed a second, but for nodes whose
-/// last set-up was quick: the store that all share goes down under all that come again after a break.
+/// last set-up was quick: the store that all share goes down under all that come back after a break.
 const SETUPS: f64 = 3.0;
 
 impl Server {
--- a/crates/decision/src/quota.rs
+++ b/crates/decision/src/quota.rs
@@ -9,7 +9,7 @@
 
 /// A status of the fleet counts for this long; after that the shares are even again.
 const STATUS_VALID_FOR: Micros = 8_000_000;
-/// However small a node's share of the demand was, it gets this much of an even share: clients may come to it next.
+/// However small a node's share of the demand was, it gets this much of an even share: clients may reach it next.
 const MIN_SHARE_OF_EVEN: f64 = 0.5;
 /// The budget of a warming server is used by half, and conservative shares add up to the total at most: with this, all nodes
 /// together use two thirds of it, and chance has the rest. 2 earns more on the vast days (24 further seeds a kind: the worst third 0.35
--- a/crates/decision/src/settings/pairs.rs
+++ b/crates/decision/src/settings/pairs.rs
@@ -90,7 +90,7 @@
     }
 
     /// One of these words. Guards against a misspelt one, which would be read as something else in silence: unknown keys
-    /// are ignored, but what a known one may say is told in full.
+    /// are ignored, but the error lists the values of a known one in full.
     pub(super) fn word<'a>(
         &'a self,
         key: &str,
--- a/crates/decision/tests/size.rs
+++ b/crates/decision/tests/size.rs
@@ -3,9 +3,9 @@
 use std::path::{Path, PathBuf};
 
 /// Lines that are not blank, in one file.
-const MOST_LINES: usize = 400;
+const MAX_LINES: usize = 400;
 /// Characters of a line.
-const MOST_WIDTH: usize = 110;
+const MAX_WIDTH: usize = 110;
 
 /// `policy.rs` and the files of its folder.
 fn files_that_decide() -> Vec<PathBuf> {
@@ -22,9 +22,9 @@
         let name = path.display();
         let text = std::fs::read_to_string(&path).unwrap();
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-        assert!(lines <= MOST_LINES, "{name} holds {lines} lines that are not blank, {MOST_LINES} at most");
+        assert!(lines <= MAX_LINES, "{name} holds {lines} lines that are not blank, {MAX_LINES} at most");
         for (i, line) in text.lines().enumerate() {
-            assert!(line.chars().count() <= MOST_WIDTH, "{name}, line {}: wider than {MOST_WIDTH}", i + 1);
+            assert!(line.chars().count() <= MAX_WIDTH, "{name}, line {}: wider than {MAX_WIDTH}", i + 1);
         }
         assert!(text.starts_with("//! "), "{name} says first what it is for");
     }
--- a/crates/rule-compiler/src/effects.rs
+++ b/crates/rule-compiler/src/effects.rs
@@ -1,4 +1,4 @@
-//! What a set of rules says together, worked out once for each set that occurs.
+//! The combined effect of a set of rules, computed once for each set that occurs.
 
 use std::collections::{HashMap, HashSet};
 
@@ -12,7 +12,7 @@
 /// A run of [`Effects::lists`].
 pub(crate) type Span = (u32, u32);
 
-/// What some rules say together.
+/// The combined effect of some rules.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Effect {
     /// The pairs that the requirements allow, or [`NONE`]: they allow all.
@@ -124,7 +124,7 @@
         id
     }
 
-    /// What these rules say together.
+    /// The combined effect of these rules.
     fn combine(&mut self, members: &[u32]) -> Effect {
         let rules = self.rules;
         let form = |&member: &u32| &rules[member as usize].form;
--- a/crates/rule-compiler/src/lib.rs
+++ b/crates/rule-compiler/src/lib.rs
@@ -1,8 +1,8 @@
 //! What each hardware class of render node can run of merged routing rules, sans-io: no sockets, no clocks, no chance, no
 //! threads. Its invariants:
 //!
-//! - *Never looser.* Whatever [`compile`] makes of a book, its [`Plan`] allows no node that a requirement of the book forbids, and no
-//!   number of it is above the book's. Where a class can't run a requirement, that class gets none of its requests.
+//! - *Never looser.* Whatever [`compile`] makes of a book, its [`Plan`] allows no node that a requirement of the book
+//!   forbids, and no number of it is above the book's. Where a class can't run a requirement, that class gets none of its requests.
 //! - *The same everywhere.* One book and the same profiles give the same bytes, and so the same hash, on every machine.
 //! - *Any bytes.* [`Plan::from_bytes`] takes whatever comes: it never panics, bounds what it builds, and what it takes is
 //!   the one encoding of that plan.
--- a/crates/rule-compiler/src/lookup.rs
+++ b/crates/rule-compiler/src/lookup.rs
@@ -1,4 +1,4 @@
-//! What a plan says of one request.
+//! Lookup: the rules of a plan that concern one request, and what they allow.
 
 use cottonnotch_routing_rules::{MoveCondition, Node, Request, UncertaintyPolicy, stricter};
 
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeKey(pub(crate) u32);
 
-/// What a plan says of one request.
+/// The rules of a plan that concern one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Lookup<'a> {
     plan: &'a Plan,
@@ -71,7 +71,7 @@
         lookup
     }
 
-    /// What the rules of one slot say by themselves.
+    /// The rules of one slot alone.
     pub(crate) fn of_slot(plan: &'a Plan, slot: Option<Slot>, group: Option<u64>) -> Self {
         let mut lookup = Self::empty(plan, group);
         slot.into_iter().for_each(|slot| lookup.add_slot(slot));
@@ -151,8 +151,8 @@
         (0..self.plan.index.sets.len()).all(|at| word(self, at) == word(other, at))
     }
 
-    /// How far behind the preferences put a node: 0 for one that all of them are for. What the first preference says outweighs what all
-    /// later ones say.
+    /// How far behind the preferences put a node: 0 for one that all of them are for. The first preference outweighs all
+    /// later ones.
     pub fn rank(&self, node: &Node) -> u32 {
         self.rank_key(self.plan.node_key(node))
     }
