--- a/crates/decision/tests/size.rs
+++ b/crates/decision/tests/size.rs
@@ -35,3 +35,18 @@
     let text = std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("src/policy.rs")).unwrap();
     assert!(text.lines().next().unwrap().contains("src/interface.rs"));
 }
+
+/// The operators read the deciding files from the list in `deploy/balancer.toml`.
+#[test]
+fn deploy_file_lists_each_deciding_file() {
+    let text =
+        std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/balancer.toml"));
+    let text = text.unwrap();
+    let policy = text.lines().find(|line| line.starts_with("policy = ")).expect("it has a list of files");
+    let files = files_that_decide();
+    for path in &files {
+        let file = path.strip_prefix(env!("CARGO_MANIFEST_DIR")).unwrap().display();
+        assert!(policy.contains(&format!("\"crates/decision/{file}\"")), "{file} is not listed");
+    }
+    assert_eq!(policy.matches(".rs\"").count(), files.len(), "a listed file is not there");
+}
