--- a/crates/cottonnotch/src/config/platform_settings.rs
+++ b/crates/cottonnotch/src/config/platform_settings.rs
@@ -51,7 +51,7 @@
     let lookups = pairs.lookups();
     for (key, default) in &lookups {
         let path = format!("settings.{key}");
-        match (default, pairs.0.get(key)) {
+        match (default, pairs.values.get(key)) {
             (None, Some(value)) => reader.effective.note(path, value, Source::Json),
             (default, _) => {
                 let value = default.as_deref().unwrap_or_default();
@@ -61,7 +61,7 @@
     }
     // Guards against a name that is misspelt and so has no effect: it is ignored, but `check` shows it.
     let unused: BTreeMap<&String, &String> =
-        pairs.0.iter().filter(|(key, _)| !lookups.contains_key(*key)).collect();
+        pairs.values.iter().filter(|(key, _)| !lookups.contains_key(*key)).collect();
     for (key, value) in unused {
         reader.effective.note_unused(format!("settings.{key}"), value.clone());
     }
@@ -119,15 +119,15 @@
         }
     } else if let Some(list) = value.as_array() {
         if list.iter().any(|item| item.is_object()) {
-            pairs.0.insert(below("count"), list.len().to_string());
+            pairs.values.insert(below("count"), list.len().to_string());
             for (i, item) in list.iter().enumerate() {
                 flatten(&below(&i.to_string()), item, pairs);
             }
         } else {
             let items: Vec<String> = list.iter().map(text_of).collect();
-            pairs.0.insert(path.to_owned(), items.join(","));
+            pairs.values.insert(path.to_owned(), items.join(","));
         }
     } else {
-        pairs.0.insert(path.to_owned(), text_of(value));
+        pairs.values.insert(path.to_owned(), text_of(value));
     }
 }
--- a/crates/cottonnotch/src/config/present_keys.rs
+++ b/crates/cottonnotch/src/config/present_keys.rs
@@ -51,9 +51,9 @@
     /// Whether all items of the list have the key.
     fn all_have(&self, settings: &Pairs) -> bool {
         let ItemKey { list, key } = self;
-        let count = settings.0.get(&format!("{list}.count"));
+        let count = settings.values.get(&format!("{list}.count"));
         let count: usize = count.and_then(|count| count.parse().ok()).unwrap_or(0);
-        (0..count).all(|i| settings.0.contains_key(&format!("{list}.{i}.{key}")))
+        (0..count).all(|i| settings.values.contains_key(&format!("{list}.{i}.{key}")))
     }
 }
 
--- a/crates/decision/src/settings/pairs.rs
+++ b/crates/decision/src/settings/pairs.rs
@@ -39,20 +39,25 @@
 /// Settings as flat pairs of a path and a value: a list of plain values is joined with commas; a list of
 /// objects has its length under `.count` and its items under `.0`, `.1` ...
 #[derive(Debug, Default)]
-pub struct Pairs(pub HashMap<String, String>, RefCell<BTreeMap<String, Option<String>>>);
+pub struct Pairs {
+    /// The values by path.
+    pub values: HashMap<String, String>,
+    /// The keys that were looked up, and the defaults that were taken.
+    lookups: RefCell<BTreeMap<String, Option<String>>>,
+}
 
 impl Pairs {
     /// The keys that [`read`](super::read) looked up: the default that it took, or nothing where the pairs had a value. For
     /// those who check a configuration: a key that is there and was not looked up has no effect.
     pub fn lookups(&self) -> BTreeMap<String, Option<String>> {
-        self.1.borrow().clone()
+        self.lookups.borrow().clone()
     }
 
     /// The value of a key; `default` is only noted.
     fn given(&self, key: &str, default: impl ToString) -> Option<&str> {
-        let text = self.0.get(key).map(String::as_str).filter(|v| !v.is_empty() && *v != "-");
+        let text = self.values.get(key).map(String::as_str).filter(|v| !v.is_empty() && *v != "-");
         let default = text.is_none().then(|| default.to_string());
-        self.1.borrow_mut().insert(key.to_owned(), default);
+        self.lookups.borrow_mut().insert(key.to_owned(), default);
         text
     }
 
--- a/crates/decision/tests/settings.rs
+++ b/crates/decision/tests/settings.rs
@@ -109,12 +109,12 @@
     let mut pairs = Pairs::default();
     for pair in EXAMPLE.split(' ') {
         let (key, value) = pair.split_once('=').expect("a pair");
-        pairs.0.insert(key.to_owned(), value.to_owned());
+        pairs.values.insert(key.to_owned(), value.to_owned());
     }
     for (key, value) in changes {
         match value {
-            Some(value) => pairs.0.insert((*key).to_owned(), (*value).to_owned()),
-            None => pairs.0.remove(*key),
+            Some(value) => pairs.values.insert((*key).to_owned(), (*value).to_owned()),
+            None => pairs.values.remove(*key),
         };
     }
     read(&pairs)
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -108,7 +108,7 @@
     let mut pairs = Pairs::default();
     for pair in text.split('\t').filter(|p| !p.is_empty() && *p != "-") {
         match pair.split_once('=') {
-            Some((key, value)) => pairs.0.insert(key.to_owned(), value.to_owned()),
+            Some((key, value)) => pairs.values.insert(key.to_owned(), value.to_owned()),
             None => return malformed("profileData", format!("has no '=' in '{}'", excerpt(pair))),
         };
     }
