--- a/crates/consensus/tests/common/scenarios.rs
+++ b/crates/consensus/tests/common/scenarios.rs
@@ -1,4 +1,4 @@
-//! Cases made by hand, to be sound as the code is, and not with the fault they are made for.
+//! Scenarios made by hand: they pass as the code is, and fail with the mutant they are made for.
 
 use super::content;
 use super::world::{Disk, MS, World};
@@ -34,8 +34,8 @@
     world.voters.iter().copied().filter(|&voter| voter != but).collect()
 }
 
-/// The leader is stopped; the others change what is in force; it goes on, and hears nobody but itself.
-pub fn leader_stopped_across_a_change(seed: u64, mutant: Mutant) -> World {
+/// The leader is stopped; the others change what is in force; it resumes, cut off from all.
+pub fn leader_stopped_during_a_change(seed: u64, mutant: Mutant) -> World {
     let (mut world, leader) = acting(seed, 5, 3, mutant);
     let process = world.at[usize::from(leader)].unwrap_or_default();
     world.stop(leader);
@@ -48,9 +48,9 @@
     world
 }
 
-/// One voter doesn't hear the leader and asks for votes; whoever votes for it breaks its word to the leader, which is cut
+/// One voter doesn't hear the leader and asks for votes; a voter that votes for it breaks its promise to the leader, which is cut
 /// off then and acts on as long as it may.
-pub fn a_rival_while_the_leader_is_heard(seed: u64, mutant: Mutant) -> World {
+pub fn rival_while_leader_is_heard(seed: u64, mutant: Mutant) -> World {
     let (mut world, leader) = acting(seed, 5, 3, mutant);
     let others = other_voters(&world, leader);
     let rival = others[world.rng.random_range(0..2)];
@@ -58,7 +58,7 @@
     world.propose(4, Topic::Rules, new());
     world.cut_both(4, leader);
     let won = |world: &World| world.status(rival).is_some_and(|status| status.elections_won > 0);
-    // With votes kept, it never wins.
+    // While promises are kept, it never wins.
     if world.run_until(2_000 * MS, won).is_some() {
         world.cut_off(leader);
     }
@@ -66,8 +66,8 @@
     world
 }
 
-/// As before, but the voter keeps its word until it restarts.
-pub fn a_voter_restarts_under_a_rival(seed: u64, mutant: Mutant) -> World {
+/// As before, but the voter keeps its promise until it restarts.
+pub fn voter_restart_under_a_rival(seed: u64, mutant: Mutant) -> World {
     let (mut world, leader) = acting(seed, 5, 3, mutant);
     let others = other_voters(&world, leader);
     let (rival, voter) = (others[0], others[1]);
@@ -83,8 +83,8 @@
     world
 }
 
-/// A member is stopped and the leader dies at that moment: the next leader has never heard of that member's lease.
-pub fn a_lease_of_a_leader_that_died(seed: u64, mutant: Mutant) -> World {
+/// A member is stopped and the leader crashes at that moment: the next leader doesn't know that member's lease.
+pub fn lease_of_a_crashed_leader(seed: u64, mutant: Mutant) -> World {
     let (mut world, leader) = acting(seed, 5, 3, mutant);
     world.stop(3);
     world.crash(leader, Disk::Kept);
@@ -93,8 +93,8 @@
     world
 }
 
-/// A voter loses its disk as soon as it helped agree a change; the other that did dies, and the third never heard of it.
-pub fn a_voter_forgets_what_it_helped_agree(seed: u64, mutant: Mutant) -> World {
+/// A voter loses its disk as soon as it helped commit a change; the other that did crashes, and the third doesn't know of it.
+pub fn voter_loses_committed_state(seed: u64, mutant: Mutant) -> World {
     let (mut world, leader) = acting(seed, 5, 3, mutant);
     let others = other_voters(&world, leader);
     let (recovering, ignorant) = (others[0], others[1]);
--- a/crates/consensus/tests/common/time.rs
+++ b/crates/consensus/tests/common/time.rs
@@ -1,8 +1,8 @@
-//! True time, and the clocks that err from it.
+//! True time, and clocks that deviate from it.
 
 use super::world::EventKind;
 
-/// Something due; the earliest is the greatest, as the heap has it.
+/// An event; the earliest is the greatest, as the heap needs it.
 pub struct Event {
     pub at: i64,
     pub order: u64,
@@ -26,7 +26,7 @@
     }
 }
 
-/// A clock: wrong by a rate, and by an offset.
+/// A clock with an offset and an error of its rate.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     pub offset: i64,
--- a/crates/consensus/tests/common/world.rs
+++ b/crates/consensus/tests/common/world.rs
@@ -1,4 +1,4 @@
-//! The members, their clocks, the links between them.
+//! The simulated members, their clocks and the links between them.
 
 use super::oracle::Oracle;
 use super::time::{Clock, Event};
@@ -154,7 +154,7 @@
         self.incarnations += 1;
         let clock = Clock {
             offset: self.rng.random_range(-1_000_000_000..1_000_000_000),
-            // The ends of the range are where leases go wrong.
+            // The ends of the range are where leases fail.
             ppm: match self.rng.random_range(0..4) {
                 0 => -self.ppm,
                 1 => self.ppm,
--- a/crates/consensus/tests/endpoint_lists.rs
+++ b/crates/consensus/tests/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! The list of members that discovery tells: whoever is told less than others hears so, once.
+//! Endpoint lists: a member whose list is older than that of others is notified, once.
 
 mod common;
 
@@ -32,7 +32,7 @@
     assert_eq!(outdated, (1..7).map(|member| (member, 12)).collect::<Vec<_>>());
 }
 
-/// One member whose revisions begin anew doesn't move the others; a majority does.
+/// One member whose revisions start anew doesn't move the others; a majority does.
 #[test]
 fn new_epoch_counts_once_most_members_are_in_it() {
     let mut world = running(2);
@@ -54,7 +54,7 @@
         world.input(member, Input::ListReceived { revision: 1 });
     }
     world.run(2_000 * MS);
-    // The new epoch goes on as the old one did, also past a change of leader, and for who starts now.
+    // The new epoch works as the old one did, also past a change of leader, and for members that start now.
     let leader = world.leader().unwrap();
     world.crash(leader, Disk::Kept);
     world.run(3_000 * MS);
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -118,7 +118,7 @@
         }
     }
 
-    /// On for so long; messages arrive at once, in order, where `up` lets them.
+    /// Runs for this long; messages arrive at once, in order, where `up` lets them.
     fn run(&mut self, span: i64, up: &dyn Fn(u16, u16) -> bool) {
         let end = self.now + span;
         let mut steps = 0;
@@ -220,7 +220,7 @@
     content(2, [2, 0, 0])
 }
 
-/// All three act on the old one.
+/// A cluster in which all three act on the old version.
 fn acting(mutant: Mutant) -> SmallCluster {
     let mut cluster = SmallCluster::begin(mutant);
     cluster.run(3_000 * MS, &|_, _| true);
@@ -230,7 +230,7 @@
     cluster
 }
 
-/// Every order of deliveries, with messages doubled or never delivered, a restart, and time going on in between: from the
+/// Every order of deliveries, with messages duplicated or lost, a restart, and time passing in between: from the
 /// proposal on, and from each of several later points of the change, reached with no fault.
 #[test]
 fn searches_message_orders_during_a_change() {
@@ -254,7 +254,7 @@
     }
 }
 
-/// Breadth first, so that what was looked at is all there is up to some depth; the number of states, and that depth.
+/// Breadth first, so that up to some depth every state was visited; the number of states, and that depth.
 fn orders_from(first: SmallCluster, most: usize) -> (usize, usize) {
     let mut seen = HashSet::from([first.key()]);
     let mut queue = VecDeque::from([(first, 0, 1, 1)]);
@@ -371,7 +371,7 @@
         if at == depth {
             run_schedules += 1;
             let mut cluster = cluster;
-            // Whoever forgot its proposal with its life, doesn't ask again: anybody may.
+            // A proposer that lost its proposal with its incarnation doesn't retry: any member may propose.
             cluster.run(6_000 * MS, &|_, _| true);
             for node in 0..3 {
                 cluster.give(node, Input::Propose { topic: Topic::Rules, hash: new(), size: 9 });
@@ -408,7 +408,7 @@
     println!("{count} courses of {depth} slots");
 }
 
-/// The search sees what it is for.
+/// The search finds the fault it is made for.
 #[test]
 #[should_panic(expected = "acted on against")]
 fn search_finds_early_activation() {
--- a/crates/consensus/tests/fault_free.rs
+++ b/crates/consensus/tests/fault_free.rs
@@ -1,4 +1,4 @@
-//! With no fault: what is proposed comes in force everywhere, soon.
+//! Without faults: proposals come in force everywhere, soon.
 
 mod common;
 
--- a/crates/consensus/tests/fault_scenarios.rs
+++ b/crates/consensus/tests/fault_scenarios.rs
@@ -12,7 +12,7 @@
 #[test]
 fn stopped_leader_finds_its_lease_expired() {
     for seed in 0..20 {
-        let world = scenarios::leader_stopped_across_a_change(seed, NO_MUTANT);
+        let world = scenarios::leader_stopped_during_a_change(seed, NO_MUTANT);
         world.assert_no_violation();
         assert_eq!(world.acting_on(Topic::Rules, old()), 0, "seed {seed}");
     }
@@ -21,15 +21,15 @@
 #[test]
 fn rejects_rival_while_the_leader_is_heard() {
     for seed in 0..20 {
-        scenarios::a_rival_while_the_leader_is_heard(seed, NO_MUTANT).assert_no_violation();
-        scenarios::a_voter_restarts_under_a_rival(seed, NO_MUTANT).assert_no_violation();
+        scenarios::rival_while_leader_is_heard(seed, NO_MUTANT).assert_no_violation();
+        scenarios::voter_restart_under_a_rival(seed, NO_MUTANT).assert_no_violation();
     }
 }
 
 #[test]
 fn waits_for_leases_of_a_crashed_leader() {
     for seed in 0..20 {
-        let world = scenarios::a_lease_of_a_leader_that_died(seed, NO_MUTANT);
+        let world = scenarios::lease_of_a_crashed_leader(seed, NO_MUTANT);
         world.assert_no_violation();
         assert_eq!(world.acting_on(Topic::Rules, new()), 3, "seed {seed}");
     }
@@ -38,9 +38,9 @@
 #[test]
 fn keeps_committed_state_after_a_voter_lost_it() {
     for seed in 0..20 {
-        let mut world = scenarios::a_voter_forgets_what_it_helped_agree(seed, NO_MUTANT);
+        let mut world = scenarios::voter_loses_committed_state(seed, NO_MUTANT);
         world.assert_no_violation();
-        // Only the one that died knows: without it, nothing is decided.
+        // Only the one that crashed has the state: without it, nothing is decided.
         assert_eq!(world.oracle.greatest[0], 2, "seed {seed}");
         world.heal();
         let last = content(3, [1, 1, 1]);
@@ -145,7 +145,7 @@
     }
 }
 
-/// Each voter has lost its neighbours in a ring: with five, each still hears two others and is heard by them.
+/// Each voter is cut off from its neighbours in a ring: with five, each still reaches two others.
 #[test]
 fn elects_leader_in_a_ring_of_cuts() {
     for seed in 0..10 {
@@ -163,7 +163,7 @@
     }
 }
 
-/// With three, cut one way round, no two voters both hear and are heard: nobody leads, all leases end.
+/// With three voters cut in one direction around a ring, no two reach each other both ways: nobody leads, all leases expire.
 #[test]
 fn elects_no_leader_in_a_ring_of_one_way_cuts() {
     for seed in 0..10 {
@@ -267,7 +267,7 @@
 fn activates_without_a_member_that_cannot_fetch() {
     for seed in 0..5 {
         let (mut world, leader) = acting(seed, 7, 3, NO_MUTANT);
-        // It hears the leader only, which lets it renew; contents come from nobody.
+        // It reaches the leader, so that its lease is renewed, and can't fetch contents from anybody.
         world.fetch_fails.insert(5);
         world.propose(6, Topic::Rules, new());
         let took = world.run_until(5_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 6);
--- a/crates/consensus/tests/growth.rs
+++ b/crates/consensus/tests/growth.rs
@@ -1,7 +1,7 @@
 //! How the cost of consensus grows with the members, for a member, a voter that follows, and the leader. Without faults, on
 //! virtual time; bytes are of messages in postcard, without envelope, UDP and IP. `docs/CAPACITY.md` quotes the lines printed.
 //!
-//! By default to 110 members; `ACCORD_GROWTH=full` plays 30 to 440.
+//! By default up to 110 members; `ACCORD_GROWTH=full` runs 30 to 440.
 
 mod common;
 
@@ -10,10 +10,10 @@
 use common::world::{Disk, MS, Traffic, World};
 use cottonnotch_consensus::{Mutant, Topic};
 
-/// What the page says of a member that neither leads nor votes, whatever the size.
+/// The page's bound for a member that neither leads nor votes, in a cluster of any size.
 const MEMBER_MESSAGES_PER_S: f64 = 6.0;
 const MEMBER_BYTES_PER_S: f64 = 200.0;
-/// ... and of the leader: its rounds to the voters, and so much for each member.
+/// ... and for the leader: its heartbeats to the voters, and this for each member.
 const LEADER_OWN: [f64; 2] = [40.0, 600.0];
 const LEADER_MESSAGES_PER_S: f64 = 5.8;
 const LEADER_BYTES_PER_S: f64 = 200.0;
@@ -25,7 +25,7 @@
     }
 }
 
-/// Messages and bytes both ways of the leader, of the mean voter that follows, and of the mean member that only holds leases.
+/// Messages and bytes both ways of the leader, of the mean follower, and of the mean member that doesn't vote.
 fn by_role(world: &World, leader: u16, before: &[Traffic], seconds: f64) -> [[f64; 2]; 3] {
     let mut roles = [[0.0; 3]; 3];
     for member in 0..world.members {
@@ -169,7 +169,7 @@
     }
 }
 
-/// Half of the members hear nobody of the other half, where all voters are, for a minute.
+/// Half of the members reach nobody of the other half, where all voters are, for a minute.
 #[test]
 fn partition_without_voters_recovers_after_healing() {
     for &members in sizes() {
--- a/crates/consensus/tests/measurements.rs
+++ b/crates/consensus/tests/measurements.rs
@@ -147,7 +147,7 @@
     assert!(tail < 1_000.0);
 }
 
-/// Whatever is in it, a message fits in a datagram with room to spare.
+/// The largest message fits in a datagram with room to spare.
 #[test]
 fn largest_message_fits_a_datagram() {
     let mut world = World::new(1, 300, 3, Timing::default(), Mutant::Unmodified);
--- a/crates/consensus/tests/mutants.rs
+++ b/crates/consensus/tests/mutants.rs
@@ -1,4 +1,4 @@
-//! Faults built in on purpose, each of which the oracle must find: tests that can't fail show nothing.
+//! Faults built in on purpose, each of which the oracle must find: tests that can't fail prove nothing.
 
 mod common;
 
@@ -10,7 +10,7 @@
 /// Seeds tried; each mutant is found within few of them.
 const SEEDS: u64 = 1_000;
 
-/// The first seed on which the oracle finds a member acting against another, or a number gone wrong.
+/// The first seed on which the oracle finds an invariant violated.
 fn found(mutant: Mutant, shape: impl Fn(u64) -> Faults) -> (u64, String) {
     for seed in 0..SEEDS {
         let faults = Faults { mutant, ..shape(seed) };
@@ -22,7 +22,7 @@
     panic!("{mutant:?} was not found within {SEEDS} seeds");
 }
 
-/// The same in a case made for it.
+/// The same in a scenario made for the mutant.
 fn found_in(mutant: Mutant, scene: impl Fn(u64, Mutant) -> World) {
     let found = (0..SEEDS).find_map(|seed| Some((seed, scene(seed, mutant).oracle.violation?)));
     println!("{mutant:?}: {found:?}");
@@ -41,7 +41,7 @@
 
 #[test]
 fn finds_skipped_recovery() {
-    found_in(Mutant::SkipRecovery, scenarios::a_voter_forgets_what_it_helped_agree);
+    found_in(Mutant::SkipRecovery, scenarios::voter_loses_committed_state);
 }
 
 #[test]
@@ -57,22 +57,22 @@
 
 #[test]
 fn finds_missing_authority_check() {
-    found_in(Mutant::NoAuthorityCheck, scenarios::leader_stopped_across_a_change);
+    found_in(Mutant::NoAuthorityCheck, scenarios::leader_stopped_during_a_change);
 }
 
 #[test]
 fn finds_skipped_handover() {
-    found_in(Mutant::SkipHandover, scenarios::a_lease_of_a_leader_that_died);
+    found_in(Mutant::SkipHandover, scenarios::lease_of_a_crashed_leader);
 }
 
 #[test]
 fn finds_vote_despite_a_leader() {
-    found_in(Mutant::VoteDespiteLeader, scenarios::a_rival_while_the_leader_is_heard);
+    found_in(Mutant::VoteDespiteLeader, scenarios::rival_while_leader_is_heard);
 }
 
 #[test]
 fn finds_vote_right_after_a_restart() {
-    found_in(Mutant::VoteAfterRestart, scenarios::a_voter_restarts_under_a_rival);
+    found_in(Mutant::VoteAfterRestart, scenarios::voter_restart_under_a_rival);
 }
 
 #[test]
--- a/crates/consensus/tests/random_faults.rs
+++ b/crates/consensus/tests/random_faults.rs
@@ -1,4 +1,4 @@
-//! Random faults on many seeds; `ACCORD_SEEDS` says how many.
+//! Random faults on many seeds; `ACCORD_SEEDS` sets how many.
 
 mod common;
 
@@ -9,8 +9,8 @@
     std::env::var("ACCORD_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(300)
 }
 
-/// Nobody ever acts against another; and once all is well again, what was proposed before is over in bounded time, and a new
-/// proposal is in force everywhere soon.
+/// No two members act on incompatible versions; once all faults have ended, earlier proposals are finished in bounded time, and
+/// a new one is in force everywhere soon.
 #[test]
 fn survives_random_faults_and_recovers() {
     let threads = std::thread::available_parallelism().map_or(4, usize::from).min(4) as u64;
@@ -40,7 +40,7 @@
     println!("slowest to come back: {slowest:?}");
 }
 
-/// One seed alone, by `ACCORD_SEED`.
+/// One seed alone, set by `ACCORD_SEED`.
 #[test]
 fn one_seed() {
     let Some(seed) = std::env::var("ACCORD_SEED").ok().and_then(|text| text.parse().ok()) else { return };
--- a/crates/consensus/tests/wire.rs
+++ b/crates/consensus/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Messages: how large they get, and that nothing from outside, however wrong, stops a member.
+//! Messages: their size, and that no message from outside stops a member.
 
 use cottonnotch_consensus::{
     Config, DurableState, Input, LeaseGrant, LeaseRequest, ListRevision, Member, Message, Pending, Phase,
@@ -75,7 +75,7 @@
     assert!(!Message::VoteRequest { term: u64::MAX, pre_vote: false, revision }.bounded());
 }
 
-/// Small numbers meet what is there; large ones meet the edges.
+/// Small numbers meet those of the state; large ones meet the bounds.
 fn number() -> impl Strategy<Value = u64> {
     prop_oneof![4 => 0..6u64, 1 => any::<u64>(), 1 => Just(MOST), 1 => Just(u64::MAX)]
 }
@@ -202,7 +202,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever comes, from whomever, at whatever time: no panic, no work without end, and time goes on.
+    /// Any message from any sender at any time: no panic, no endless work, and timeouts advance.
     #[test]
     fn survives_arbitrary_messages(
         inputs in vec((0..300_000i64, 0..7u16, message(), hash(), 0..8u8), 1..60),
@@ -223,7 +223,7 @@
                 4 => Input::ListReceived { revision: step as u64 },
                 _ => Input::Message { from, message },
             };
-            // Forged ones may say what no leader does; what is broken then is counted, and stops tests of the crate only.
+            // Forged messages may say what no leader does; violations they cause are counted, and fail tests of the crate only.
             let _ = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| member.handle(now, input)))
                 .map_err(|panic| {
                     let text = panic.downcast_ref::<String>().cloned().or_else(|| panic.downcast_ref::<&str>().map(|text| (*text).to_string()));
--- a/crates/cottonnotch/tests/consensus/cluster.rs
+++ b/crates/cottonnotch/tests/consensus/cluster.rs
@@ -106,7 +106,7 @@
         self.excused.entry(number).or_insert(now);
     }
 
-    /// Waits until something of this tenant arrived that `wanted` says, after this time.
+    /// Waits until a request of this tenant arrived that satisfies `wanted`, after this time.
     pub fn arrives(
         &self,
         what: &str,
@@ -117,7 +117,7 @@
         wait_for(MAX_WAIT, what, || self.fleet.since(tenant, from).into_iter().find(&wanted))
     }
 
-    /// Waits until as many clients that came to this proxy after that time had an answer of which this holds.
+    /// Waits until as many clients that connected to this proxy after that time had an answer that satisfies `wanted`.
     pub fn answered(
         &self,
         what: &str,
@@ -132,7 +132,7 @@
         });
     }
 
-    /// The end: no more clients come, and none of them was wronged. What became of them.
+    /// Ends the scenario: no more clients start, and none of them was wronged. Their records.
     pub fn finish(&self) -> Vec<Client> {
         let clients = self.clients.finish();
         assert_eq!(judge::violations(&clients, &self.excused), Vec::<String>::new());
@@ -164,7 +164,7 @@
     let from = cluster.now();
     (0..3).for_each(|number| cluster.answered("clients served again", number, from, 5, up));
     let clients = cluster.finish();
-    // The one that was started anew begins with the list of its configuration.
+    // The restarted one begins with the list of its configuration.
     let anew = |placed: &Placed| clients.iter().any(|client| client.id == placed.id && client.proxy == 2);
     let history: Vec<Placed> = cluster.fleet.history().into_iter().filter(|placed| !anew(placed)).collect();
     assert_eq!(judge::after_drain(&history, "a0", drained, DRAINED_WITHIN), Vec::<&Placed>::new());
@@ -176,7 +176,7 @@
     assert!(cut(2) > 0 && cut(0) == 0, "those of the killed one were cut off: {}", cut(2));
 }
 
-/// It was served.
+/// Whether the client was served.
 pub fn up(client: &Client) -> bool {
     client.answers.first().is_some_and(|(_, answer)| *answer == judge::Answer::Up)
 }
--- a/crates/cottonnotch/tests/consensus/judge.rs
+++ b/crates/cottonnotch/tests/consensus/judge.rs
@@ -1,5 +1,5 @@
-//! The judge of a scenario. It goes by what arrived at the render nodes, by what the clients heard and by the versions that the
-//! proxies recorded, all on one machine's clock, and shares no code with what it judges.
+//! The judge of a scenario. It goes by what arrived at the render nodes, by the answers that clients received and by the versions that
+//! the proxies recorded, all on one machine's clock, and shares no code with what it judges.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -26,7 +26,7 @@
     pub last_by_old: Placed,
 }
 
-/// How much later the last placement that only the old rule allows came than the first that only the new one allows. Nothing
+/// How much later than the first placement that only the new rule allows came the last one that only the old rule allows. `None`
 /// if none came later.
 pub fn contradiction(
     history: &[Placed],
@@ -41,7 +41,7 @@
     Some(Contradiction { time, first_by_new, last_by_old })
 }
 
-/// The same for a rule that only narrows, so that no placement shows that it is in force: since when a proxy said that it is.
+/// The same for a rule that only restricts, so that no placement shows that it is in force: counted from when a proxy reported it.
 pub fn after_narrowing(
     history: &[Placed],
     first_by_new: Duration,
@@ -78,12 +78,12 @@
     overlaps.max_by_key(|overlap| overlap.time)
 }
 
-/// What no rule in force allowed.
+/// Placements that no rule in force allowed.
 pub fn forbidden<'a>(history: &'a [Placed], rules: &[&dyn Fn(&Placed) -> bool]) -> Vec<&'a Placed> {
     history.iter().filter(|placed| !rules.iter().any(|allows| allows(placed))).collect()
 }
 
-/// What arrived at a render node too late: later than `grace` after it was told that it drains.
+/// Placements on a render node later than `grace` after proxies were notified that it drains.
 pub fn after_drain<'a>(
     history: &'a [Placed],
     node: &str,
@@ -93,11 +93,11 @@
     history.iter().filter(|placed| placed.node == node && placed.at > notified_at + grace).collect()
 }
 
-/// What a client heard.
+/// A client's answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     Up,
-    /// Refused, with the time after which to come again, if one was told.
+    /// Rejected, with the Retry-After if there was one.
     Busy(Option<u64>),
     /// Any other line.
     Failed(String),
@@ -109,27 +109,27 @@
     /// The client ended it, or the proxy did after a refusal or a failure.
     InOrder,
     Moved,
-    /// The proxy ended it, or let go of it, without an answer that is final.
+    /// The proxy closed it, or lost it, without a final answer.
     Cut,
     /// No answer came for longer than a client waits.
     GaveUp,
 }
 
-/// One client's scenario.
+/// The record of one client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Client {
     pub id: u64,
     pub tenant: String,
-    /// The proxy that it came to.
+    /// The proxy that it connected to.
     pub proxy: usize,
     pub sent: Duration,
-    /// Each answer, and when it came. Lines of a standing connection are none.
+    /// Each answer, and when it arrived. Lines of an established connection are none.
     pub answers: Vec<(Duration, Answer)>,
     pub ended: Option<(Duration, End)>,
 }
 
-/// What is wrong with the clients' scenarios: each request has exactly one final answer, and nobody is cut off without `MOVE`.
-/// Clients of a proxy that was killed or stopped are excused of being cut off and of giving up, from the first time on.
+/// Violations towards clients: each request has exactly one final answer, and nobody is cut off without `MOVE`.
+/// Clients of a proxy that was killed or stopped are excused from being cut off and from giving up, from the first time on.
 pub fn violations(clients: &[Client], excused: &BTreeMap<usize, Duration>) -> Vec<String> {
     let mut violations = Vec::new();
     for client in clients {
@@ -151,7 +151,7 @@
     violations
 }
 
-/// The most that stood at one moment, by what the clients saw: from their `UP` to their end.
+/// The most connections established at one moment, by what the clients saw: from `UP` to the end.
 pub fn max_concurrent<'a>(clients: impl Iterator<Item = &'a Client>) -> i64 {
     let mut changes = Vec::new();
     for client in clients {
@@ -160,7 +160,7 @@
             changes.extend([(*at, 1), (end, -1)]);
         }
     }
-    // One that ends when another begins makes room for it.
+    // A connection that ends when another begins makes room for it.
     changes.sort_unstable();
     let standing = changes.iter().scan(0, |sum, (_, change)| {
         *sum += change;
@@ -172,7 +172,7 @@
 /// A version that a proxy put in force: its number, and its content's hash.
 pub type Version = (u64, String);
 
-/// What is wrong with the versions that the proxies (each one in its own order) put in force: a number is never two contents,
+/// Violations by the versions that the proxies (each in its own order) put in force: a number never names two contents,
 /// and none goes back.
 pub fn disagreements(by_proxy: &[Vec<Version>]) -> Vec<String> {
     let mut contents: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
@@ -201,7 +201,7 @@
 
 #[cfg(test)]
 mod self_tests {
-    //! Made-up histories: a bad one is found, a good one passes.
+    //! Made-up histories: a violation is found, a correct history passes.
     use super::*;
 
     fn ms(time: u64) -> Duration {
@@ -243,7 +243,7 @@
     fn distinguishes_contradiction_from_forbidden_placement() {
         let both = |placed: &Placed| placed.hall != "c";
         let history = [placed(1, "m", "new"), placed(9, "n", "old"), placed(10, "x", "c")];
-        // No placement shows when a rule that only narrows came in force: that is told.
+        // No placement shows when a rule that only restricts came in force: that is passed in.
         assert_eq!(contradiction(&history, both, in_hall("new")), None);
         assert_eq!(after_narrowing(&history, ms(3), both, in_hall("new")), ms(6));
         assert_eq!(after_narrowing(&history, ms(9), both, in_hall("new")), ms(0));
@@ -287,7 +287,7 @@
         for one in &bad {
             assert_eq!(violations(std::slice::from_ref(one), &none).len(), 1, "{one:?}");
         }
-        // A killed proxy's clients are cut off, but none was so before, and two answers stay two.
+        // A killed proxy's clients are cut off, but none was before, and two answers stay two.
         assert_eq!(violations(&bad[1..5], &BTreeMap::from([(0, ms(10))])), Vec::<String>::new());
         assert_eq!(violations(&bad[1..5], &BTreeMap::from([(0, ms(11))])).len(), 4);
         assert_eq!(violations(&bad[..1], &BTreeMap::from([(0, ms(0))])).len(), 1);
--- a/crates/cottonnotch/tests/consensus/link.rs
+++ b/crates/cottonnotch/tests/consensus/link.rs
@@ -1,7 +1,7 @@
 //! The faulty network between the proxies of a scenario: a relay for each ordered pair, which the scenario drives.
 //!
 //! Proxy `i` knows proxy `j` by the address of the link from `i` to `j`. Datagrams pass one way each. Of a TCP connection
-//! over that link, what `i` says keeps to the faults from `i` to `j`, what it hears to those from `j` to `i`.
+//! over that link, what `i` sends has the faults from `i` to `j`, what it receives those from `j` to `i`.
 
 #[cfg(test)]
 mod self_tests;
@@ -14,27 +14,27 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What befalls whatever goes one way.
+/// The faults of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Faults {
     /// Nothing passes.
     pub cut: bool,
     /// No TCP passes.
     pub tcp_cut: bool,
-    /// It comes so much later ...
+    /// The delay of everything ...
     pub delay: Duration,
-    /// ... and by chance up to so much more, each for itself: so later ones overtake.
+    /// ... and a random one on top, drawn for each datagram, so that later ones overtake.
     pub jitter: Duration,
-    /// Of a thousand datagrams so many are lost ...
+    /// Datagrams lost, in thousandths ...
     pub lost: u32,
-    /// ... and so many come twice.
+    /// ... and datagrams duplicated, in thousandths.
     pub doubled: u32,
 }
 
 pub const CUT: Faults =
     Faults { cut: true, tcp_cut: true, delay: Duration::ZERO, jitter: Duration::ZERO, lost: 0, doubled: 0 };
 
-/// Numbers that look random, from a seed.
+/// A pseudo-random generator with a seed.
 #[derive(Debug)]
 pub struct Rng(u64);
 
@@ -52,7 +52,7 @@
         z ^ (z >> 31)
     }
 
-    /// Below this bound.
+    /// A number below this bound.
     pub fn below(&mut self, bound: u64) -> u64 {
         if bound == 0 { 0 } else { self.next() % bound }
     }
@@ -62,7 +62,7 @@
     }
 }
 
-/// What is on its way, by the time at which it arrives.
+/// Datagrams in flight, by their time of arrival.
 #[derive(Debug, Default)]
 struct OnItsWay {
     due: BinaryHeap<Reverse<(Instant, u64, Vec<u8>)>>,
@@ -70,7 +70,7 @@
 }
 
 impl OnItsWay {
-    /// Sends a datagram through the faults.
+    /// Sends a datagram subject to the faults.
     fn send(&mut self, now: Instant, bytes: &[u8], faults: &Faults, rng: &mut Rng) {
         if faults.cut || rng.of_a_thousand(faults.lost) {
             return;
@@ -82,7 +82,7 @@
         }
     }
 
-    /// What has arrived by now, in order.
+    /// The datagrams that have arrived by now, in order.
     fn arrived(&mut self, now: Instant) -> Vec<Vec<u8>> {
         let mut arrived = Vec::new();
         while self.due.peek().is_some_and(|Reverse((due, ..))| *due <= now) {
@@ -97,7 +97,7 @@
     }
 }
 
-/// An address of this scenario's own on the loopback network: nobody else binds there.
+/// A loopback address of this scenario's own: nobody else binds to it.
 pub fn own_ip() -> Ipv4Addr {
     static CLUSTER: AtomicU8 = AtomicU8::new(1);
     let (scenario, process) = (CLUSTER.fetch_add(1, Ordering::Relaxed), std::process::id());
@@ -120,7 +120,7 @@
 struct Ways {
     members: usize,
     faults: Vec<Mutex<Faults>>,
-    /// Datagrams that came in to be relayed, and that went out.
+    /// Datagrams received for relaying, and datagrams relayed.
     counts: Vec<(AtomicU64, AtomicU64)>,
     stopped: AtomicBool,
 }
@@ -140,21 +140,21 @@
     }
 }
 
-/// All links of a scenario. They end with it.
+/// All links of a scenario; they stop when it is dropped.
 pub struct Mesh {
     /// The scenario's own address on the loopback network.
     pub ip: Ipv4Addr,
     ways: Arc<Ways>,
-    /// Where each member listens itself.
+    /// The address each member listens on.
     pub own: Vec<SocketAddr>,
-    /// By what address each member (first) knows each one: its own for itself.
+    /// The address by which each member (first index) knows each other; its own for itself.
     links: Vec<Vec<SocketAddr>>,
 }
 
 impl Mesh {
     pub fn new(members: usize, seed: u64) -> Self {
         let ip = own_ip();
-        // Fixed ports: one that was tried and let go could be held a moment longer by a process that is just being started.
+        // Fixed ports: one that was tried and closed could be held a moment longer by a process that is just being started.
         let own = (0..members).map(|member| SocketAddr::from((ip, 7946 + member as u16))).collect();
         Self::between(own, ip, seed)
     }
@@ -179,7 +179,7 @@
         Mesh { ip, ways, own, links }
     }
 
-    /// The addresses by which this member knows them all.
+    /// The addresses by which this member knows all.
     pub fn known_to(&self, member: usize) -> &[SocketAddr] {
         &self.links[member]
     }
@@ -188,7 +188,7 @@
         *self.ways.faults[from * self.ways.members + to].lock().unwrap() = faults;
     }
 
-    /// Each way between all of them.
+    /// Sets the faults of every direction between all members.
     pub fn set_all(&self, faults: Faults) {
         self.ways.faults.iter().for_each(|way| *way.lock().unwrap() = faults);
     }
@@ -197,29 +197,29 @@
         self.set_all(Faults::default());
     }
 
-    /// Cuts both ways between two.
+    /// Cuts both directions between two members.
     pub fn cut(&self, one: usize, other: usize) {
         self.set(one, other, CUT);
         self.set(other, one, CUT);
     }
 
-    /// Cuts this one off from all.
+    /// Cuts this member off from all.
     pub fn isolate(&self, one: usize) {
         (0..self.ways.members).filter(|other| *other != one).for_each(|other| self.cut(one, other));
     }
 
-    /// It hears all, and is heard by nobody.
+    /// Cuts what this member sends; it still receives.
     pub fn mute(&self, one: usize) {
         (0..self.ways.members).filter(|to| *to != one).for_each(|to| self.set(one, to, CUT));
     }
 
-    /// It gets no content from anybody, and hears all else.
+    /// Cuts this member's TCP, so that it can't fetch contents; datagrams pass.
     pub fn starve(&self, one: usize) {
         let faults = Faults { tcp_cut: true, ..Faults::default() };
         (0..self.ways.members).filter(|other| *other != one).for_each(|other| self.set(one, other, faults));
     }
 
-    /// Datagrams that were given to the link, and that it passed on.
+    /// Datagrams that the link received, and that it relayed.
     pub fn counts(&self, from: usize, to: usize) -> (u64, u64) {
         let (given, passed) = &self.ways.counts[from * self.ways.members + to];
         (given.load(Ordering::Relaxed), passed.load(Ordering::Relaxed))
@@ -245,13 +245,13 @@
     let (mut on_its_way, mut bytes) = (OnItsWay::default(), [0; 2048]);
     while !ways.stopped() {
         udp.set_read_timeout(Some(on_its_way.wait(Instant::now(), Duration::from_millis(5)))).unwrap();
-        // An error can be a former datagram's that found nobody.
+        // An error may stem from an earlier datagram that reached nobody.
         if let Ok((length, _)) = udp.recv_from(&mut bytes) {
             given.fetch_add(1, Ordering::Relaxed);
             on_its_way.send(Instant::now(), &bytes[..length], &ways.at(from, to), &mut rng);
         }
         for bytes in on_its_way.arrived(Instant::now()) {
-            // What is on its way when the link is cut doesn't arrive.
+            // Datagrams in flight when the link is cut don't arrive.
             if !ways.at(from, to).cut && udp.send_to(&bytes, target).is_ok() {
                 passed.fetch_add(1, Ordering::Relaxed);
             }
@@ -263,7 +263,7 @@
     }
 }
 
-/// Relays one TCP connection: it comes up once both ways are open, and then each way keeps to its own faults.
+/// Relays one TCP connection: it is established once both directions are open, and each direction has its own faults.
 fn connect(ways: &Arc<Ways>, (from, to): (usize, usize), caller: TcpStream, target: SocketAddr) {
     while ways.stalls_tcp(from, to) || ways.stalls_tcp(to, from) {
         if ways.stopped() {
@@ -280,7 +280,7 @@
 
 fn pump(ways: &Ways, (from, to): (usize, usize), mut source: TcpStream, mut sink: TcpStream) {
     let mut bytes = [0; 16 * 1024];
-    // Some systems hand on that the listener doesn't block.
+    // On some systems the connection inherits the listener's non-blocking mode.
     let ready =
         source.set_nonblocking(false).and_then(|()| source.set_read_timeout(Some(Duration::from_millis(20))));
     while ready.is_ok() && !ways.stopped() {
@@ -297,6 +297,6 @@
             break;
         }
     }
-    // The other end may have gone first.
+    // The other end may have closed first.
     let _ = sink.shutdown(std::net::Shutdown::Write);
 }
--- a/crates/cottonnotch/tests/consensus/model_member.rs
+++ b/crates/cottonnotch/tests/consensus/model_member.rs
@@ -1,5 +1,5 @@
-//! A member that the test runs on the crate of consensus itself by consensus's own crate, such as a proxy of an older build: it is asked to get new rules
-//! ready, and says whether it can.
+//! A member that the test runs itself, on the crate of consensus, such as a proxy of an older build: it is asked to prepare new
+//! rules, and reports whether it can run them.
 
 use crate::link::Mesh;
 use crate::rules::{ACT, CONTRADICTION, LEASE};
@@ -9,19 +9,19 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Ends with the scenario.
+/// Stops when it is dropped.
 pub struct ModelMember {
     can_run: Arc<AtomicBool>,
     stopped: Arc<AtomicBool>,
 }
 
-/// The envelope: form, cluster, from, to and message, then the proof.
+/// The envelope: format, cluster, sender, receiver and message, then the authentication code.
 type Envelope = (u16, u64, u16, u16, Message);
 const FORM: u16 = 1;
 const CONTEXT: &str = "cottonnotch 2026 accord, shared key of datagrams, version 1";
 
 impl ModelMember {
-    /// Member `me`, which doesn't vote, and can't run what is new until it is told.
+    /// Member `me`, which doesn't vote, and can't run new rules until `set` says so.
     pub fn start(mesh: &Mesh, me: usize, voters: &[usize]) -> Self {
         let (can_run, stopped) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicBool::new(false)));
         let us = |time: Duration| time.as_micros() as i64;
@@ -67,7 +67,7 @@
                             let mut sealed = postcard::to_allocvec(&envelope).unwrap();
                             let proof = blake3::keyed_hash(&key, &sealed);
                             sealed.extend_from_slice(proof.as_bytes());
-                            // Whoever isn't there hears nothing.
+                            // A member that isn't there receives nothing.
                             let _ = socket.send_to(&sealed, known[usize::from(to)]);
                         }
                         Output::Fetch { hash, .. } if able.load(Ordering::Relaxed) => {
@@ -84,7 +84,7 @@
         ModelMember { can_run, stopped }
     }
 
-    /// From now on it can, or can't, run what is new.
+    /// Sets whether it can run new rules.
     pub fn set(&self, can_run: bool) {
         self.can_run.store(can_run, Ordering::Relaxed);
     }
--- a/crates/cottonnotch/tests/consensus/rules.rs
+++ b/crates/cottonnotch/tests/consensus/rules.rs
@@ -10,13 +10,13 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The longest time of contradiction that these clusters state ...
+/// The longest time of contradiction that these clusters promise ...
 pub const CONTRADICTION: Duration = Duration::from_millis(1500);
-/// ... which has to hold the lease and the time to act.
+/// ... which must hold the lease and the time to act.
 pub const LEASE: Duration = Duration::from_millis(900);
 pub const ACT: Duration = Duration::from_millis(300);
-/// What these scenarios let pass. By design leases of two versions never overlap, and what is left is the time from a look to the
-/// act; and as much again for a test's threads, which note arrivals late on a busy machine.
+/// The contradiction that these scenarios tolerate. By design leases of two versions never overlap, and what is left is the time from a
+/// verdict to the write; and as much again for a test's threads, which record arrivals late on a busy machine.
 pub const PASSES: Duration = ACT.saturating_mul(2);
 /// The Retry-After of an owner's clients while the version is uncertain.
 pub const RETRY_MS: u64 = 310;
@@ -110,7 +110,7 @@
         cluster.start_clients_everywhere("dagger");
         cluster.start_clients_everywhere("cotton");
         cluster.settles(&cluster.all(), "dagger", "a");
-        // Nobody was served before it was known by what rules.
+        // Nobody was served before it was known by which rules.
         let ruled = |placed: &&Placed| placed.hall != "a" && placed.tenant == "dagger";
         assert_eq!(cluster.fleet.history().iter().find(ruled), None);
         cluster
@@ -120,21 +120,21 @@
         (0..self.proxies.len()).collect()
     }
 
-    /// Which proxy leads, once one of these says so.
+    /// The proxy that leads, once one of these reports so.
     pub fn leader(&self, among: &[usize]) -> usize {
         wait_for(MAX_WAIT, "a leader", || {
             among.iter().copied().find(|proxy| self.proxies[*proxy].figure("rules.leads") == Some(1))
         })
     }
 
-    /// An owner's new file at one proxy, which reads it.
+    /// Writes an owner's new file at one proxy, and has it reload.
     pub fn change(&self, proxy: usize, owner: &str, text: &str) {
         self.proxies[proxy].write_rules(&format!("{owner}.toml"), text);
         self.proxies[proxy].reload();
     }
 
-    /// Waits until this tenant's clients are served in this hall, and nowhere else, by each of these proxies: several of those
-    /// that came since the last one elsewhere.
+    /// Waits until this tenant's clients are served in this hall, and nowhere else, by each of these proxies: several clients that
+    /// started since the last one was served elsewhere.
     pub fn settles(&self, proxies: &[usize], tenant: &str, hall: &str) {
         let what = format!("{tenant} in {hall} at {proxies:?}");
         wait_for(MAX_WAIT, &what, || {
@@ -153,7 +153,7 @@
         });
     }
 
-    /// Waits until this tenant's clients that come to the proxy from now on are refused, and told when to come again.
+    /// Waits until this tenant's clients that connect to the proxy from now on are rejected with this Retry-After.
     pub fn refuses(&self, proxy: usize, tenant: &str, retry_ms: u64) {
         let busy = |client: &judge::Client| {
             client.tenant == tenant
@@ -163,18 +163,18 @@
         self.answered(&what, proxy, self.now(), 6, busy);
     }
 
-    /// Waits until this tenant's clients that come to the proxy from now on are served.
+    /// Waits until this tenant's clients that connect to the proxy from now on are served.
     pub fn serves(&self, proxy: usize, tenant: &str) {
         let served = |client: &judge::Client| client.tenant == tenant && up(client);
         self.answered(&format!("{tenant} served at {proxy}"), proxy, self.now(), 6, served);
     }
 
-    /// The versions that each proxy put in force, in order, as its log tells; the last one with its content.
+    /// The versions that each proxy put in force, in order, by its log; the last one with its content.
     pub fn versions(&self) -> Vec<Vec<Version>> {
         self.proxies.iter().map(|proxy| proxy.versions()).collect()
     }
 
-    /// Waits until all of these hold one version, above this number; it.
+    /// Waits until all of these act on one version, above this number; that version.
     pub fn converges(&self, proxies: &[usize], above: u64) -> Version {
         wait_for(MAX_WAIT, &format!("one version at {proxies:?} above {above}"), || {
             let last_active: Vec<Vec<Version>> = proxies
@@ -185,8 +185,8 @@
         })
     }
 
-    /// No two placements of dagger's by rules that contradict each other were further apart than stated, none was elsewhere,
-    /// none of cotton's was in the hall that it avoids; versions never went back. The longest time that was seen.
+    /// Checks that no two placements of dagger by incompatible rules were further apart than promised, none was elsewhere,
+    /// none of cotton was in the hall that it avoids, and versions never went back. The longest time between two such placements.
     pub fn judged(&self, old: &'static str, new: &'static str) -> Duration {
         let history = self.fleet.since("dagger", Duration::ZERO);
         let found = judge::contradiction(&history, in_hall(old), in_hall(new));
@@ -196,7 +196,7 @@
         let cotton = self.fleet.since("cotton", Duration::ZERO);
         assert_eq!(judge::forbidden(&cotton, &[&in_hall("a"), &in_hall("b")]), Vec::<&Placed>::new());
         assert_eq!(judge::disagreements(&self.versions()), Vec::<String>::new());
-        // What the proxies say themselves: a version means one hall, whoever goes by it.
+        // By the proxies' records: a version means one hall, whoever acts on it.
         let said = self.by_version("dagger");
         assert!(!said.is_empty() && said.values().all(|halls| halls.len() == 1), "{said:?}");
         let decided = self.apart_when_decided("dagger");
@@ -204,7 +204,7 @@
         time
     }
 
-    /// The halls to which the proxies say that they sent this tenant's requests, by version.
+    /// The halls to which this tenant's requests were sent, by version, from the proxies' records.
     pub fn by_version(&self, tenant: &str) -> BTreeMap<u64, BTreeSet<String>> {
         let mut halls = BTreeMap::<u64, BTreeSet<String>>::new();
         for ((_, node), (version, _)) in self.said(tenant) {
@@ -219,7 +219,7 @@
     pub fn said(&self, tenant: &str) -> BTreeMap<(u64, String), (u64, Duration)> {
         let mut said = BTreeMap::new();
         for proxy in &self.proxies {
-            // Numbers of requests begin anew with each start.
+            // Request numbers start anew with each process.
             let mut asked = BTreeMap::new();
             for record in proxy.records() {
                 let Some(number) = record.get_u64("request") else {
@@ -247,8 +247,8 @@
         said
     }
 
-    /// The longest time between contradicting versions by what the proxies say of themselves: when they decided, not when that
-    /// arrived and was noted. All of them read one clock here.
+    /// The longest time between incompatible versions by the proxies' records: when they decided, not when requests
+    /// arrived and were recorded. All of them read one clock here.
     pub fn apart_when_decided(&self, tenant: &str) -> Duration {
         let decided = self.said(tenant).into_iter().map(|((id, node), (version, at))| {
             let (_, hall, hardware) = NODES.iter().find(|(id, ..)| *id == node).unwrap();
--- a/crates/cottonnotch/tests/consensus/scenarios/changes.rs
+++ b/crates/cottonnotch/tests/consensus/scenarios/changes.rs
@@ -1,4 +1,4 @@
-//! Changes by several operators, over a sound network and a shaken one.
+//! Changes by several operators, over a reliable network and an unreliable one.
 
 use crate::cluster::TestCluster;
 use crate::link::Faults;
@@ -62,7 +62,7 @@
         scope.spawn(|| cluster.change(2, "dagger", &keeps_to("dagger", 2, "c")));
     });
     let (number, hash) = cluster.converges(&cluster.all(), before);
-    // The loser's operator is told, and knows of what.
+    // The losing operator is notified, with the namespace.
     let reported_conflict = |proxy: usize| {
         cluster.proxies[proxy].count_logged("rules of consortium/dagger are in a conflict") > 0
     };
--- a/crates/cottonnotch/tests/consensus/scenarios/cuts.rs
+++ b/crates/cottonnotch/tests/consensus/scenarios/cuts.rs
@@ -1,4 +1,4 @@
-//! Cuts of all kinds, contents that can't be had, and rubbish at the door.
+//! Partitions of all kinds, contents that can't be fetched, and invalid traffic.
 
 use super::{all_but, rejected_while_uncertain};
 use crate::cluster::{DRAINED_WITHIN, TestCluster, up};
@@ -21,10 +21,10 @@
     cluster.change(0, "dagger", &keeps_to("dagger", 2, "b"));
     cluster.settles(&rest, "dagger", "b");
     let (number, _) = cluster.converges(&rest, before);
-    // Its list comes from discovery, as everybody's.
+    // Its endpoint list comes from discovery, as everybody's.
     let drained = cluster.now();
     cluster.discovery.set_phase("b1", "draining");
-    // There, the owner that wants it so is refused; the other goes on by what was known.
+    // There, the owner that wants it so is rejected; the other is served by the last known version.
     cluster.refuses(4, "dagger", RETRY_MS);
     cluster.serves(4, "cotton");
     assert_eq!(cluster.proxies[4].last_active().map(|(number, _)| number), Some(before));
@@ -35,7 +35,7 @@
     cluster.judged("a", "b");
     let history = cluster.fleet.history();
     assert_eq!(judge::after_drain(&history, "b1", drained, DRAINED_WITHIN), Vec::<&Placed>::new());
-    // Those who see one another go on. A machine that is short of time may refuse some, but for no doubt.
+    // Proxies that reach one another go on. A slow machine may reject some, but not for uncertainty.
     let elsewhere = |client: &&Client| client.proxy != 4 && client.tenant == "cotton" && client.sent > from;
     let others: Vec<&Client> = clients.iter().filter(elsewhere).collect();
     assert_eq!(others.iter().filter(|client| rejected_while_uncertain(client)).count(), 0);
@@ -67,7 +67,7 @@
     let (before, _) = cluster.converges(&cluster.all(), 0);
     (0..5).for_each(|one| cluster.mesh.cut(one, (one + 1) % 5));
     cluster.change(1, "dagger", &keeps_to("dagger", 2, "b"));
-    // Whether it comes in force now or after is not said; that no two go by both is.
+    // Whether it comes in force now or later is open; that no two proxies act on both is not.
     std::thread::sleep(3 * CONTRADICTION);
     cluster.mesh.heal();
     cluster.settles(&cluster.all(), "dagger", "b");
@@ -102,14 +102,14 @@
     let door = cluster.mesh.own[cluster.leader(&[0, 1, 2])];
     let (stopped, mut rng) = (AtomicBool::new(false), Rng::new(23));
     std::thread::scope(|scope| {
-        // Datagrams of any bytes and lengths, and connections that say nothing or nonsense.
+        // Datagrams of any bytes and lengths, and connections that send nothing or nonsense.
         scope.spawn(|| {
             let from = UdpSocket::bind((cluster.mesh.ip, 0)).unwrap();
             let mut open = Vec::new();
             while !stopped.load(Ordering::Relaxed) {
                 for _ in 0..20 {
                     let rubbish: Vec<u8> = (0..rng.below(1400)).map(|_| rng.next() as u8).collect();
-                    // It may be more than the door holds.
+                    // The receive buffer may be full.
                     let _ = from.send_to(&rubbish, door);
                 }
                 if open.len() < 100
--- a/crates/cottonnotch/tests/consensus/scenarios/fleet.rs
+++ b/crates/cottonnotch/tests/consensus/scenarios/fleet.rs
@@ -1,4 +1,4 @@
-//! What not everybody can run, numbers of the whole fleet, and the list of render nodes.
+//! Contents that not every member can run, fleet-wide limits, and the endpoint list.
 
 use super::rejected_while_uncertain;
 use crate::cluster::{DRAINED_WITHIN, TestCluster, up};
@@ -26,11 +26,11 @@
     assert!(cluster.fleet.since("dagger", Duration::ZERO).iter().all(in_hall("a")), "nothing changed");
     assert_eq!(cluster.converges(&cluster.all(), 0).0, before);
     (0..4).for_each(|proxy| cluster.serves(proxy, "dagger"));
-    // Another owner's change, which all can run, is not held up.
+    // Another owner's change, which all can run, is not delayed.
     model_member.iter().for_each(|older| older.set(true));
     cluster.change(1, "cotton", &keeps_to("cotton", 2, "b"));
     cluster.settles(&cluster.all(), "cotton", "b");
-    // And the first one once its operator gives it again.
+    // The first one comes in force once its operator writes it again.
     cluster.change(0, "dagger", &keeps_to("dagger", 3, "b"));
     cluster.settles(&cluster.all(), "dagger", "b");
     cluster.finish();
@@ -41,7 +41,7 @@
 fn class_without_a_feature_gets_no_requests_that_need_it() {
     let cluster = TestCluster::agreed(3, &[0, 1, 2], 21);
     let (before, _) = cluster.converges(&cluster.all(), 0);
-    // Counting connections needs nodes that tell them.
+    // Counting connections needs nodes that report them.
     cluster.change(0, "dagger", &keeps_to_and("dagger", 2, "a", "cap = { connections = 90 }"));
     let (counted, _) = cluster.converges(&cluster.all(), before);
     let from = cluster.now();
@@ -49,7 +49,7 @@
     cluster.proxies[2].change_operator("name = \"m2\"\nfeatures.tells-loads = true\n", "name = \"m2\"\n");
     cluster.proxies[2].reload();
     cluster.converges(&cluster.all(), counted);
-    // What is on its way arrives yet; whoever comes from now on is new.
+    // Requests in flight still arrive; clients that start from now on are new.
     let (newest, from) = (Clients::newest(), cluster.now());
     (0..3).for_each(|proxy| cluster.serves(proxy, "dagger"));
     let new = |placed: &Placed| placed.id > newest;
@@ -72,7 +72,7 @@
     cluster.change(1, "cotton", &keeps_to_and("cotton", 2, "b", "pace = { per_s = 12 }"));
     cluster.settles(&cluster.all(), "cotton", "b");
     cluster.converges(&cluster.all(), before + 1);
-    // Those that stood there before go.
+    // Connections established before end.
     std::thread::sleep(Duration::from_millis(1000));
     let from = cluster.now();
     std::thread::sleep(Duration::from_millis(4000));
@@ -88,7 +88,7 @@
     );
     let cotton = cluster.fleet.since("cotton", from);
     let paced = cotton.iter().filter(|placed| placed.at <= until).count() as f64;
-    // A proxy saves two.
+    // A proxy saves two tokens.
     let allowed = 12.0 * (until - from).as_secs_f64() + 3.0 * 2.0;
     assert!(paced <= allowed + 1.0 && paced >= allowed / 3.0, "{paced} of {allowed}");
     cluster.judged("a", "a");
@@ -131,7 +131,7 @@
     served(Duration::ZERO);
     let node = nodes(Duration::ZERO);
     assert_eq!(node.len(), 1, "{node:?}");
-    // Its node drains: it goes to the other one, from all proxies.
+    // Its node drains: all proxies send it to the other one.
     let node = node.into_iter().next().unwrap();
     cluster.discovery.set_phase(&node, "draining");
     std::thread::sleep(DRAINED_WITHIN);
@@ -149,7 +149,7 @@
     let watches = cluster.discovery.watches(1);
     let notified_at = cluster.now();
     cluster.discovery.set_phase("a0", "draining");
-    // It asks again long before a silent watch shows by itself.
+    // It starts a new watch long before the silent one is noticed by itself.
     let asked =
         wait_for(MAX_WAIT, "a new watch", || (cluster.discovery.watches(1) > watches).then(|| cluster.now()));
     assert!(asked - notified_at < Duration::from_millis(3500), "it took {:?}", asked - notified_at);
--- a/crates/cottonnotch/tests/consensus/scenarios/owners.rs
+++ b/crates/cottonnotch/tests/consensus/scenarios/owners.rs
@@ -1,4 +1,4 @@
-//! One owner's faulty file, and its rivals.
+//! One owner's invalid file, and the other owners.
 
 use super::rejected_while_uncertain;
 use crate::cluster::{TestCluster, up};
@@ -6,21 +6,21 @@
 use crate::rules::{PASSES, avoids, in_hall, keeps_to};
 use std::time::Duration;
 
-/// One owner's file is changed to this at one proxy, and the other owner changes its own there and at another.
+/// One owner's file is replaced by this one at one proxy, and another owner changes its own there and elsewhere.
 fn rival_goes_on(seed: u64, broken: &str, named: &str) {
     let cluster = TestCluster::agreed(3, &[0, 1, 2], seed);
     let (before, _) = cluster.converges(&cluster.all(), 0);
     cluster.change(0, "cotton", broken);
     cluster.proxies[0].logged(named);
     let from = cluster.now();
-    // The rival's own change comes in force, also where the broken file lies.
+    // The other owner's change comes in force, also where the invalid file is.
     cluster.change(1, "dagger", &keeps_to("dagger", 2, "b"));
     cluster.settles(&cluster.all(), "dagger", "b");
     cluster.change(0, "dagger", &keeps_to("dagger", 3, "c"));
     cluster.settles(&cluster.all(), "dagger", "c");
     let (number, _) = cluster.converges(&cluster.all(), before);
     assert!(number >= before + 2);
-    // The last good one is in force for the owner itself.
+    // The last valid file is in force for the owner itself.
     let cotton = cluster.fleet.since("cotton", from);
     assert!(cotton.iter().all(|placed| placed.hall != "c") && !cotton.is_empty());
     let clients = cluster.finish();
@@ -53,7 +53,7 @@
 
 #[test]
 fn conflicting_file_holds_back_one_owner() {
-    // It speaks of the rival's tenant, which isn't its own.
+    // It selects the other owner's tenant.
     let conflicting = avoids("cotton", 2, "a").replace("[\"cotton\"]", "[\"dagger\"]");
     rival_goes_on(17, &conflicting, "rules of consortium/cotton are in a conflict");
 }
--- a/crates/cottonnotch/tests/consensus/scenarios/processes.rs
+++ b/crates/cottonnotch/tests/consensus/scenarios/processes.rs
@@ -1,4 +1,4 @@
-//! Processes that stand still, die, come again, or lose what they remembered.
+//! Processes that are stopped, killed, restarted, or lose their state.
 
 use super::all_but;
 use crate::cluster::TestCluster;
@@ -39,7 +39,7 @@
     let rest = all_but(&cluster, frozen);
     cluster.change(rest[0], "dagger", &keeps_to("dagger", 2, "b"));
     cluster.settles(&rest, "dagger", "b");
-    // It goes on, and nobody tells it what has become of its lease: its own clock has to.
+    // It resumes, and nobody tells it that its lease has expired: its own clock must.
     cluster.mesh.isolate(frozen);
     cluster.proxies[frozen].thaw();
     cluster.refuses(frozen, "dagger", RETRY_MS);
@@ -77,7 +77,7 @@
     let (before, _) = cluster.converges(&cluster.all(), 0);
     let leader = cluster.leader(&cluster.all());
     let rest = all_but(&cluster, leader);
-    // The old leases of one that is cut off have to run out first: there is time between the yes and the effect.
+    // The leases of the one that is cut off must expire first: that leaves time between the check and the activation.
     cluster.mesh.isolate(rest[3]);
     cluster.change(rest[0], "dagger", &keeps_to("dagger", 2, "b"));
     cluster.proxies[leader].logged("are incompatible with version");
@@ -124,7 +124,7 @@
     cluster.settles(&cluster.all(), "dagger", "b");
     let last_active = cluster.converges(&cluster.all(), before);
     (0..3).for_each(|proxy| cluster.kill(proxy));
-    // Each folder has another file now: only the one that has the newest says something new, and nothing.
+    // Each folder has another file now: only the newest would change something, and it is in force already.
     let from = cluster.now();
     cluster.start();
     cluster.settles(&cluster.all(), "dagger", "b");
@@ -138,7 +138,7 @@
 fn voter_without_state_does_not_undo_commits() {
     let mut cluster = TestCluster::agreed(3, &[0, 1, 2], 13);
     let (before, _) = cluster.converges(&cluster.all(), 0);
-    // One voter is away while a version comes in force by the others; then one of those loses its memory.
+    // One voter is cut off while the others put a version in force; then one of those loses its state.
     cluster.kill(0);
     cluster.change(1, "dagger", &keeps_to("dagger", 2, "b"));
     cluster.settles(&[1, 2], "dagger", "b");
@@ -149,11 +149,11 @@
     for proxy in [0, 1] {
         cluster.proxies[proxy].change_operator("first_start = true", "first_start = false");
     }
-    // What the killed ones have written arrives yet; whoever comes from now on is new.
+    // Requests in flight of the killed ones still arrive; clients that start from now on are new.
     let newest = Clients::newest();
     cluster.proxies[0].start();
     cluster.proxies[1].start();
-    // The old one and the one that knows nothing: together they must not bring the old version back.
+    // The outdated voter and the one without state: together they must not restore the old version.
     std::thread::sleep(2 * CONTRADICTION);
     let new = |placed: &&Placed| placed.id > newest && placed.tenant == "dagger";
     assert_eq!(cluster.fleet.history().iter().find(new), None, "nobody knows what is in force");
--- a/crates/cottonnotch/tests/consensus/stand_ins.rs
+++ b/crates/cottonnotch/tests/consensus/stand_ins.rs
@@ -1,4 +1,4 @@
-//! What a scenario's proxies deal with: discovery, render nodes and clients. All are threads of the test, and all note their
+//! Stand-ins of discovery, render nodes and clients. All are threads of the test, and all record their
 //! times on its one clock.
 
 mod clients;
@@ -15,17 +15,17 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// How often whoever waits looks.
+/// The interval of polling loops.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// On the scenario's own address: clients of a proxy that died go on calling where it was, and must not meet another scenario there.
+/// On the scenario's own address: clients of a proxy that died keep connecting to it, and must not meet another scenario there.
 fn listener(ip: Ipv4Addr) -> TcpListener {
     let listener = TcpListener::bind((ip, 0)).unwrap();
     listener.set_nonblocking(true).unwrap();
     listener
 }
 
-/// Serves each caller by a thread of its own until the scenario is over.
+/// Serves each connection on a thread of its own until the scenario ends.
 fn each_caller(
     listener: &TcpListener,
     stopped: &AtomicBool,
--- a/crates/cottonnotch/tests/consensus/stand_ins/clients.rs
+++ b/crates/cottonnotch/tests/consensus/stand_ins/clients.rs
@@ -1,4 +1,4 @@
-//! Clients, which note what they are told.
+//! Clients, which record their answers.
 
 use crate::judge::{Answer, Client, End};
 use crate::link::Rng;
@@ -11,16 +11,16 @@
 /// Numbers the clients of all scenarios.
 static NUMBER: AtomicU64 = AtomicU64::new(1);
 
-/// How clients come to a proxy.
+/// The behavior of the clients of a proxy.
 #[derive(Clone, Debug)]
 pub struct ClientBehavior {
     pub tenant: &'static str,
     pub group: Option<u64>,
-    /// What a client waits for its answer.
+    /// How long a client waits for its answer.
     pub deadline: Duration,
     /// Between two clients.
     pub every: Duration,
-    /// How long one stays once it is up.
+    /// How long an established connection is kept.
     pub stays_for: Duration,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// The clients of a scenario, and what became of them.
+/// The clients of a scenario, with their records.
 #[derive(Clone)]
 pub struct Clients {
     began: Instant,
@@ -46,7 +46,7 @@
         Clients { began, finished, stop, present }
     }
 
-    /// From now on clients come to this proxy, whose address may change with a restart.
+    /// Starts clients of this proxy, whose address may change with a restart.
     pub fn start_clients(&self, proxy: usize, address: &Arc<Mutex<SocketAddr>>, behavior: ClientBehavior) {
         let (clients, address) = (self.clone(), Arc::clone(address));
         self.present.fetch_add(1, Ordering::SeqCst);
@@ -60,7 +60,7 @@
                     one.live(proxy, to, &behavior);
                     one.present.fetch_sub(1, Ordering::SeqCst);
                 });
-                // Not in step with anything else.
+                // Jitter, so that clients aren't in step with anything else.
                 let most = every.as_micros() as u64;
                 std::thread::sleep(Duration::from_micros(most / 2 + rng.below(most)));
             }
@@ -68,17 +68,17 @@
         });
     }
 
-    /// Whoever comes later has a greater id.
+    /// The newest id: clients that start later have a greater one.
     pub fn newest() -> u64 {
         NUMBER.load(Ordering::Relaxed)
     }
 
-    /// No more come.
+    /// Starts no more clients.
     pub fn stop(&self) {
         self.stop.store(true, Ordering::Relaxed);
     }
 
-    /// No more come; waits until all have gone, and hands over what became of them.
+    /// Starts no more clients, waits until all have ended, and returns their records.
     pub fn finish(&self) -> Vec<Client> {
         self.stop();
         crate::wait_for(crate::MAX_WAIT, "the clients to go", || {
@@ -87,12 +87,12 @@
         self.finished.lock().unwrap().clone()
     }
 
-    /// What became of those so far whose answer has come.
+    /// The records of the clients that have ended so far.
     pub fn so_far(&self) -> Vec<Client> {
         self.finished.lock().unwrap().clone()
     }
 
-    /// One client, from its coming to its going. One that finds no door has no scenario: it was never taken.
+    /// Runs one client. One that can't connect has no record: it was never accepted.
     pub fn live(&self, proxy: usize, to: SocketAddr, behavior: &ClientBehavior) {
         let id = NUMBER.fetch_add(1, Ordering::Relaxed);
         let Ok(stream) = TcpStream::connect_timeout(&to, Duration::from_secs(1)) else { return };
@@ -109,9 +109,9 @@
         self.finished.lock().unwrap().push(client);
     }
 
-    /// Hears the answer, and what follows; how it ended.
+    /// Reads the answer, and what follows; how the connection ended.
     fn hear(&self, stream: &TcpStream, behavior: &ClientBehavior, client: &mut Client) -> End {
-        // A late answer is one; a proxy that never answers is found out.
+        // A late answer counts; a proxy that never answers is detected.
         let patience = behavior.deadline + Duration::from_secs(4);
         let ready = stream.set_nodelay(true).and_then(|()| stream.set_read_timeout(Some(patience)));
         let Ok(mut reader) = ready.and_then(|()| Ok(BufReader::new(stream.try_clone()?))) else {
@@ -151,7 +151,7 @@
                 Some(_) => {
                     std::thread::sleep(Duration::from_millis(50));
                     said += 1;
-                    // If it was told to move meanwhile, that is read next.
+                    // If the proxy sent `MOVE` meanwhile, that is read next.
                     let _ = (&mut &*stream).write_all(format!("M {said}\r\n").as_bytes());
                 }
                 None => {}
--- a/crates/cottonnotch/tests/consensus/stand_ins/discovery.rs
+++ b/crates/cottonnotch/tests/consensus/stand_ins/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery, whose list a scenario changes, and which it silences.
+//! Discovery, whose list a scenario changes, and which it can silence.
 
 use super::{POLL_INTERVAL, each_caller, listener};
 use std::io::{BufRead, BufReader, Write};
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How often discovery says that nothing has changed.
+/// The interval of discovery's keep-alives.
 const BEAT: Duration = Duration::from_secs(2);
 /// A render node as the list has it.
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
     }
 }
 
-/// The list that all doors of discovery show.
+/// The list that discovery sends to every proxy.
 #[derive(Debug, Default)]
 pub(super) struct List {
     revision: u64,
@@ -46,17 +46,17 @@
     }
 }
 
-/// What one proxy meets.
+/// Discovery as one proxy sees it.
 #[derive(Debug, Default)]
 struct Door {
-    /// Nothing is told here, not even that nothing has changed.
+    /// Nothing is sent, not even keep-alives.
     shut: AtomicBool,
-    /// Watches begun so far, and how many of the first ones are told nothing any more.
+    /// Watches started so far, and how many of the first ones get nothing any more.
     watches: AtomicUsize,
     deaf: AtomicUsize,
 }
 
-/// A discovery with a door for each proxy, so that a scenario can silence one.
+/// Discovery with an address for each proxy, so that a scenario can silence one.
 pub struct Discovery {
     pub(super) list: Arc<Mutex<List>>,
     doors: Vec<(SocketAddr, Arc<Door>)>,
@@ -72,7 +72,7 @@
             let (list, stopped, here) = (Arc::clone(&list), Arc::clone(&stopped), Arc::clone(&door));
             std::thread::spawn(move || {
                 each_caller(&listener, &stopped.clone(), move |caller| {
-                    // Whoever asks is gone, or the scenario is over.
+                    // The connection is closed, or the scenario has ended.
                     let _ = serve_list(caller, &list, &here, &stopped);
                 });
             });
@@ -85,18 +85,18 @@
         self.doors[proxy].0
     }
 
-    /// From now on this proxy is told nothing, not even that nothing has changed; or everything again.
+    /// From now on this proxy is sent nothing, not even keep-alives; or everything again.
     pub fn shut(&self, proxy: usize, shut: bool) {
         self.doors[proxy].1.shut.store(shut, Ordering::Relaxed);
     }
 
-    /// From now on the watches that this proxy has are told nothing; a new one is.
+    /// From now on this proxy's present watches are sent nothing; a new one is.
     pub fn silence(&self, proxy: usize) {
         let door = &self.doors[proxy].1;
         door.deaf.store(door.watches.load(Ordering::Relaxed), Ordering::Relaxed);
     }
 
-    /// The watches that this proxy began so far.
+    /// The watches that this proxy has started so far.
     pub fn watches(&self, proxy: usize) -> usize {
         self.doors[proxy].1.watches.load(Ordering::Relaxed)
     }
@@ -108,7 +108,7 @@
         list.nodes.push(ListedNode { revision, ..node });
     }
 
-    /// Changes a node's phase on the list: the revision of that.
+    /// Changes a node's phase on the list; the revision of the change.
     pub fn set_phase(&self, id: &str, phase: &'static str) -> u64 {
         let mut list = self.list.lock().unwrap();
         list.revision += 1;
@@ -118,7 +118,7 @@
         revision
     }
 
-    /// The whole list as it is, for a proxy's configuration.
+    /// The complete list as it is, for a proxy's configuration.
     pub fn known(&self) -> String {
         self.list.lock().unwrap().since(0)
     }
--- a/crates/cottonnotch/tests/consensus/stand_ins/fleet.rs
+++ b/crates/cottonnotch/tests/consensus/stand_ins/fleet.rs
@@ -1,4 +1,4 @@
-//! Render nodes, which note what arrives.
+//! Render nodes, which record what arrives.
 
 use super::discovery::{Discovery, ListedNode};
 use super::{each_caller, listener};
@@ -14,11 +14,11 @@
 pub enum Manner {
     Up,
     Busy,
-    /// It takes the line and says nothing.
+    /// It reads the line and doesn't answer.
     Mute,
 }
 
-/// The render nodes of a scenario, and what arrived at them.
+/// The render nodes of a scenario, and the requests that arrived at them.
 pub struct Fleet {
     began: Instant,
     arrived: Arc<Mutex<Vec<Placed>>>,
@@ -27,7 +27,7 @@
 }
 
 impl Fleet {
-    /// Nodes with a name, a hall and a hardware class each; they go on the list.
+    /// Nodes with a name, a hall and a hardware class each; they are added to the list.
     pub fn new(ip: Ipv4Addr, began: Instant, discovery: &Discovery, nodes: &[(&str, &str, &str)]) -> Self {
         let (arrived, stopped) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicBool::new(false)));
         let manners = nodes.iter().map(|(id, hall, hardware)| {
@@ -39,7 +39,7 @@
             let (arrived, stopped, how) = (Arc::clone(&arrived), Arc::clone(&stopped), Arc::clone(&manner));
             std::thread::spawn(move || {
                 each_caller(&listener, &stopped, move |caller| {
-                    // The proxy has let go of the connection.
+                    // The proxy has closed the connection.
                     let _ = serve_node(caller, began, &listed, &arrived, &how);
                 });
             });
@@ -53,12 +53,12 @@
         *there.lock().unwrap() = manner;
     }
 
-    /// All that has arrived.
+    /// All arrivals.
     pub fn history(&self) -> Vec<Placed> {
         self.arrived.lock().unwrap().clone()
     }
 
-    /// What arrived for a tenant after this time.
+    /// Arrivals for a tenant after this time.
     pub fn since(&self, tenant: &str, from: Duration) -> Vec<Placed> {
         let wanted = |placed: &Placed| placed.tenant == tenant && placed.at >= from;
         self.arrived.lock().unwrap().iter().filter(|placed| wanted(placed)).cloned().collect()
@@ -91,7 +91,7 @@
         names.split(',').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
     };
     let id = line.split(' ').nth(1).and_then(|id| u64::from_str_radix(id, 16).ok());
-    // A probe, or half a line of a proxy that died.
+    // A health check, or an incomplete line of a proxy that died.
     let Some(id) = id.filter(|_| line.starts_with("OPEN ") && line.ends_with('\n')) else { return Ok(()) };
     let ListedNode { id: node, hall, hardware, .. } = listed.clone();
     let (tenant, group) = (value("t").unwrap_or_default().to_owned(), value("g"));
--- a/crates/cottonnotch/tests/consensus/stand_ins/self_tests.rs
+++ b/crates/cottonnotch/tests/consensus/stand_ins/self_tests.rs
@@ -1,4 +1,4 @@
-//! The stand-ins do as they say.
+//! Tests of the stand-ins themselves.
 
 use super::*;
 use crate::judge::{Answer, End, Placed};
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// A proxy that says these words to whoever comes, and ends.
+/// A proxy that sends this text to each client, and closes.
 fn rude(words: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/cottonnotch/tests/consensus/storm.rs
+++ b/crates/cottonnotch/tests/consensus/storm.rs
@@ -1,4 +1,4 @@
-//! Storms: one change after another while processes and links fail, and the figures that come of it.
+//! Random changes while processes and links fail, and the measurements that come of it.
 
 use crate::cluster::TestCluster;
 use crate::link::{Faults, Rng};
@@ -15,7 +15,7 @@
     Duration::from_millis(time)
 }
 
-/// Changes at any proxy, with faults of any kind, as the seed says; then all is whole again, and all end on the last change.
+/// Changes at any proxy, with any kind of fault, as the seed says; then all faults end, and all proxies end on the last change.
 /// The longest contradiction, and how many versions there were.
 fn storm(seed: u64, steps: u64) -> (Duration, usize) {
     println!("seed {seed}");
@@ -46,7 +46,7 @@
             cluster.change(to, "dagger", &keeps_to("dagger", revision, HALLS[rng.below(3) as usize]));
         }
         std::thread::sleep(ms(200 + rng.below(900)));
-        // Not for long: a change needs most voters.
+        // Not for long: a change needs a majority of the voters.
         if rng.below(2) == 0 {
             frozen.iter().for_each(|proxy| cluster.proxies[*proxy].thaw());
             frozen.clear();
@@ -146,7 +146,7 @@
 fn to_effect(size: usize, voters: &[usize], dead: bool, contradicting: bool) -> Vec<Duration> {
     let mut cluster = TestCluster::agreed(size, voters, 1);
     if dead {
-        // A voter that doesn't lead: with the leader an election comes first, which is a matter of its own.
+        // A voter that doesn't lead: with the leader there would be an election first, which is another measurement.
         let leader = cluster.leader(voters);
         let dead = voters.iter().copied().find(|voter| *voter != leader).unwrap();
         cluster.kill(dead);
@@ -170,7 +170,7 @@
     changes.collect()
 }
 
-/// A proxy's watch falls silent, and a node drains: how long after the others were told it still got new requests, through
+/// A proxy's watch falls silent, and a node drains: how long after the others were notified it still got new requests, through
 /// that proxy.
 fn silent_watch(seed: u64) -> Duration {
     let cluster = TestCluster::agreed(3, &[0, 1, 2], seed);
@@ -197,7 +197,7 @@
 fn figures() {
     let seeds: u64 = std::env::var("ACCORD_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(2);
     let mut table = String::new();
-    // Alone on the machine: they are times.
+    // Alone on the machine, since these are durations.
     for (size, voters) in [(3, vec![0, 1, 2]), (7, vec![0, 1, 2]), (7, vec![0, 1, 2, 3, 4])] {
         for (dead, contradicting) in [(false, true), (false, false), (true, true)] {
             let mut times = to_effect(size, &voters, dead, contradicting);
