--- a/crates/cottonnotch/src/rules/report.rs
+++ b/crates/cottonnotch/src/rules/report.rs
@@ -40,7 +40,11 @@
     let inventory = settings.inventory(profile, listed);
     let Merged { book, ledger, conflicts } = merge(&History::default(), &settings.files, &inventory);
     for owner in &book.namespaces {
-        writeln!(text, "rules: {} revision {}, in doubt: {:?}", owner.path, owner.revision, owner.on_doubt)?;
+        writeln!(
+            text,
+            "rules: {} revision {}, in doubt: {:?}",
+            owner.path, owner.revision, owner.uncertainty_policy
+        )?;
     }
     for rule in &book.rules {
         writeln!(text, "rule: {}", line(rule))?;
--- a/crates/routing-rules/benches/merge.rs
+++ b/crates/routing-rules/benches/merge.rs
@@ -1,4 +1,4 @@
-//! What a merge of 10,000 rules in 300 namespaces costs: whole, and after one file changed.
+//! What a merge of 10,000 rules in 300 namespaces costs: complete, and after one file changed.
 #![allow(missing_docs)]
 
 use std::fmt::Write as _;
@@ -8,10 +8,10 @@
 use cottonnotch_routing_rules::{History, Inventory, Merger, RuleFile, merge};
 use criterion::{Criterion, criterion_group, criterion_main};
 
-const HOUSES: usize = 60;
+const OWNERS: usize = 60;
 /// Sizes at which the growth is shown.
 const SWEEP: [usize; 4] = [6, 20, 60, 180];
-/// Connections for each house: no promise is broken for want of them.
+/// Connections for each owner: no quota is exceeded.
 const ENOUGH: u64 = 1_700;
 const TEAMS: usize = 4;
 const RULES: usize = 33;
@@ -19,13 +19,13 @@
 const HALLS: [&str; 6] = ["north", "south", "east", "west", "annex", "cellar"];
 const HARDWARE: [&str; 4] = ["small", "medium", "large", "vast"];
 
-fn tenant(house: usize, at: usize) -> String {
-    format!("tenant-{house}-{at}")
+fn tenant(owner: usize, at: usize) -> String {
+    format!("tenant-{owner}-{at}")
 }
 
-fn world(houses: usize, connections: u64) -> Inventory {
+fn world(owners: usize, connections: u64) -> Inventory {
     let tenants: Vec<String> =
-        (0..houses).flat_map(|house| (0..TENANTS).map(move |at| tenant(house, at))).collect();
+        (0..owners).flat_map(|owner| (0..TENANTS).map(move |at| tenant(owner, at))).collect();
     let tenants: Vec<&str> = tenants.iter().map(String::as_str).collect();
     Inventory::of(
         "consortium",
@@ -64,27 +64,27 @@
     format!("namespace = \"{path}\"\nowner = \"operators\"\nrevision = {revision}\n\n")
 }
 
-fn team(house: usize, team: usize, revision: usize) -> RuleFile {
-    let path = format!("consortium/house-{house}/team-{team}");
+fn team(owner: usize, team: usize, revision: usize) -> RuleFile {
+    let path = format!("consortium/house-{owner}/team-{team}");
     let mut text = head(&path, revision);
-    let tenants = [tenant(house, team * 2), tenant(house, team * 2 + 1)];
-    rules(&mut text, house + team, revision, &tenants);
+    let tenants = [tenant(owner, team * 2), tenant(owner, team * 2 + 1)];
+    rules(&mut text, owner + team, revision, &tenants);
     RuleFile::new(format!("{path}.toml"), text)
 }
 
-/// The consortium and the namespaces below it, 300 with 60 houses: houses, each with four teams.
-fn files(houses: usize) -> Vec<RuleFile> {
+/// The consortium and the namespaces below it, 300 with 60 owners, each with four teams.
+fn files(owners: usize) -> Vec<RuleFile> {
     let mut root = head("consortium", 1);
     let mut files = Vec::new();
-    for house in 0..houses {
-        let all: Vec<String> = (0..TENANTS).map(|at| tenant(house, at)).collect();
+    for owner in 0..owners {
+        let all: Vec<String> = (0..TENANTS).map(|at| tenant(owner, at)).collect();
         writeln!(
             root,
-            "[[delegate]]\nto = \"house-{house}\"\ntenants = {all:?}\nhalls = {:?}\nconnections = 1600\n",
+            "[[delegate]]\nto = \"house-{owner}\"\ntenants = {all:?}\nhalls = {:?}\nconnections = 1600\n",
             HALLS
         )
         .expect("a string takes all");
-        let path = format!("consortium/house-{house}");
+        let path = format!("consortium/house-{owner}");
         let mut text = head(&path, 1);
         for team in 0..TEAMS {
             writeln!(
@@ -94,13 +94,13 @@
             )
             .expect("a string takes all");
         }
-        rules(&mut text, house, 1, &all);
+        rules(&mut text, owner, 1, &all);
         files.push(RuleFile::new(format!("{path}.toml"), text));
-        files.extend((0..TEAMS).map(|at| team(house, at, 1)));
+        files.extend((0..TEAMS).map(|at| team(owner, at, 1)));
     }
     writeln!(root, "[[rule]]\nname = \"no-cellar\"\nplace.avoid = {{ halls = [\"cellar\"] }}\n")
         .expect("a string takes all");
-    rules(&mut root, 0, 1, &(0..houses).map(|house| tenant(house, 0)).collect::<Vec<_>>());
+    rules(&mut root, 0, 1, &(0..owners).map(|owner| tenant(owner, 0)).collect::<Vec<_>>());
     files.push(RuleFile::new("consortium.toml", root));
     files
 }
@@ -112,10 +112,10 @@
     [all[0], all[all.len() / 2], all.iter().sum::<Duration>() / times]
 }
 
-/// A merge and what comes of it on the wire, at this many houses; `docs/CAPACITY.md` quotes the lines. The content that
+/// A merge and what comes of it on the wire, at this many owners; `docs/CAPACITY.md` quotes the lines. The content that
 /// proxies send one another is the ledger, the book, and what is small beside them.
-fn growth(houses: usize, connections: u64, times: u32) {
-    let (files, world) = (files(houses), world(houses, connections));
+fn growth(owners: usize, connections: u64, times: u32) {
+    let (files, world) = (files(owners), world(owners, connections));
     let merged = merge(&History::default(), &files, &world);
     let [least, median, _] = timed(times, || {
         let start = Instant::now();
@@ -136,10 +136,10 @@
 }
 
 fn bench(criterion: &mut Criterion) {
-    SWEEP.into_iter().for_each(|houses| growth(houses, ENOUGH * houses as u64, 5));
-    // The consortium promises more than there is: all but one house are held back one after another.
+    SWEEP.into_iter().for_each(|owners| growth(owners, ENOUGH * owners as u64, 5));
+    // The consortium promises more than there is: all but one owner are held back one after another.
     growth(180, 100_000, 1);
-    let (files, world) = (files(HOUSES), world(HOUSES, ENOUGH * HOUSES as u64));
+    let (files, world) = (files(OWNERS), world(OWNERS, ENOUGH * OWNERS as u64));
     let first = merge(&History::default(), &files, &world);
     assert!(first.conflicts.is_empty(), "{:?}", first.conflicts.first());
     let (namespaces, rules) = (first.book.namespaces.len(), first.book.rules.len());
@@ -166,15 +166,15 @@
     criterion.bench_function("one changed file", |bench| {
         bench.iter_custom(|times| (0..times).map(|_| one()).sum());
     });
-    let whole = timed(25, || {
+    let full = timed(25, || {
         let start = Instant::now();
         black_box(merge(&History::default(), &files, &world));
         start.elapsed()
     });
     let changed = timed(100, one);
-    for ((name, whole), changed) in ["least", "median", "mean"].iter().zip(whole).zip(changed) {
-        let ratio = whole.as_secs_f64() / changed.as_secs_f64();
-        println!("{name}: whole {whole:?}, one changed file {changed:?}: 1/{ratio:.1} of the whole");
+    for ((name, full), changed) in ["least", "median", "mean"].iter().zip(full).zip(changed) {
+        let ratio = full.as_secs_f64() / changed.as_secs_f64();
+        println!("{name}: whole {full:?}, one changed file {changed:?}: 1/{ratio:.1} of the whole");
     }
 }
 
--- a/crates/routing-rules/src/book.rs
+++ b/crates/routing-rules/src/book.rs
@@ -22,7 +22,8 @@
     /// The revision that is in force.
     pub revision: u64,
     /// What becomes of its requests while the version is in doubt.
-    pub on_doubt: UncertaintyPolicy,
+    #[serde(rename = "on_doubt")]
+    pub uncertainty_policy: UncertaintyPolicy,
 }
 
 /// What becomes of the requests of a namespace's musts while it isn't known which version holds.
--- a/crates/routing-rules/src/cache.rs
+++ b/crates/routing-rules/src/cache.rs
@@ -6,8 +6,8 @@
 use crate::compiled::{Compiled, Read};
 use crate::conflict::Conflict;
 use crate::file::{self, RuleFile, RuleFileError};
-use crate::idle::{self, Children};
-use crate::world::Inventory;
+use crate::ineffective::{self, Children};
+use crate::inventory::Inventory;
 
 #[derive(Debug)]
 struct Kept {
@@ -101,7 +101,8 @@
     pub fn idle(&mut self, of: &Compiled, subtree: [u8; 32], children: &Children) -> &[Conflict] {
         let turn = self.turn;
         let world = &self.world;
-        let kept = self.idle.entry(subtree).or_insert_with(|| (idle::wishes(of, children, world), turn));
+        let kept =
+            self.idle.entry(subtree).or_insert_with(|| (ineffective::preferences(of, children, world), turn));
         kept.1 = turn;
         &kept.0
     }
--- a/crates/routing-rules/src/candidate.rs
+++ b/crates/routing-rules/src/candidate.rs
@@ -7,8 +7,8 @@
 use crate::compiled::Read;
 use crate::conflict::{Conflict, RuleLocation, Witness};
 use crate::file::{RuleFile, RuleFileError};
-use crate::ledger::{Entry, History};
-use crate::world::Inventory;
+use crate::history::{Entry, History};
+use crate::inventory::Inventory;
 
 /// How young a content is; the greater, the younger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/routing-rules/src/check.rs
+++ b/crates/routing-rules/src/chain_conflicts.rs
@@ -5,23 +5,23 @@
 use crate::book::{Node, Request, Rule, RuleKind};
 use crate::compiled::{Compiled, Read, is_child};
 use crate::conflict::{Conflict, RuleLocation, Witness};
-use crate::mask::{Mask, is_must};
+use crate::inventory::Inventory;
+use crate::node_kind_set::{NodeKindSet, is_requirement};
 use crate::scope::{Scope, meeting};
-use crate::world::Inventory;
 
-/// The most requests without a node that are told of one namespace: each is another set of musts.
-const MOST_TOLD: usize = 16;
+/// The most requests without a node that are reported of one namespace: each is another set of requirements.
+const MAX_REPORTED: usize = 16;
 
-/// All that can be told without knowing what lies below the namespace.
+/// All that can be reported without knowing what lies below the namespace.
 pub(crate) fn with_chain(of: &Compiled, world: &Inventory) -> Vec<Conflict> {
     let mut conflicts = Vec::new();
     same_subject(of, world, &mut conflicts);
-    beyond_whole(of, world, &mut conflicts);
+    over_committed(of, world, &mut conflicts);
     no_node(of, world, &mut conflicts);
     conflicts
 }
 
-pub(crate) fn spot(rule: &Rule) -> RuleLocation {
+pub(crate) fn location(rule: &Rule) -> RuleLocation {
     RuleLocation {
         namespace: rule.namespace.clone(),
         file: rule.file.clone(),
@@ -33,20 +33,20 @@
 /// What the namespace speaks of and doesn't own.
 pub(crate) fn not_owned(read: &Read, scope: &Scope, world: &Inventory) -> Vec<Conflict> {
     let mut conflicts = Vec::new();
-    let mut tell = |one: RuleLocation, beyond: Option<(String, Witness)>| {
+    let mut report = |one: RuleLocation, beyond: Option<(String, Witness)>| {
         if let Some((what, witness)) = beyond {
             conflicts.push(Conflict::NotOwned { one, other: scope.spot.clone(), what, witness });
         }
     };
     for rule in &read.file.rules {
-        tell(read.spot(rule.line, &rule.name), scope.rule_beyond(rule, world));
+        report(read.spot(rule.line, &rule.name), scope.rule_beyond(rule, world));
     }
     // One that doesn't count has to be owned as well: it would count once the other claimant is gone.
     let path = read.file.namespace.as_str();
     let given = read.file.delegates.iter().filter(|to| to.handed_to.is_none() && is_child(path, &to.to));
     for delegate in given {
         let name = format!("delegate {}", delegate.to);
-        tell(read.spot(delegate.line, &name), scope.delegate_beyond(delegate, world));
+        report(read.spot(delegate.line, &name), scope.delegate_beyond(delegate, world));
     }
     conflicts
 }
@@ -68,7 +68,7 @@
             others.push(at);
         }
     }
-    let claim = |at: usize| {
+    let claimed_at = |at: usize| {
         let (child, _, given) = &of.grants[at];
         RuleLocation { namespace: child.clone(), ..given.spot.clone() }
     };
@@ -76,12 +76,17 @@
         if let Some(request) = meeting(&of.grants[one].2.on, &of.grants[other].2.on, world) {
             let parent = of.read.spot(of.read.file.line, "");
             let witness = Witness::new(&request, None);
-            conflicts.push(Conflict::SameSubject { one: claim(one), other: claim(other), parent, witness });
+            conflicts.push(Conflict::SameSubject {
+                one: claimed_at(one),
+                other: claimed_at(other),
+                parent,
+                witness,
+            });
         }
     }
 }
 
-fn beyond_whole(of: &Compiled, world: &Inventory, conflicts: &mut Vec<Conflict>) {
+fn over_committed(of: &Compiled, world: &Inventory, conflicts: &mut Vec<Conflict>) {
     let Some(whole) = of.scope.connections else { return };
     let other = of.scope.spot.clone();
     let (mut promised, mut passes, mut parts) = (0_u64, None, Vec::new());
@@ -133,53 +138,55 @@
     points
 }
 
-type Must<'a> = (&'a Rule, &'a Mask);
+type PlacedRequirement<'a> = (&'a Rule, &'a NodeKindSet);
 
-fn allowed(musts: &[Must], world: &Inventory) -> Mask {
-    let mut mask = Mask::all(world);
-    musts.iter().for_each(|(_, nodes)| mask.and(nodes));
+fn allowed(requirements: &[PlacedRequirement], world: &Inventory) -> NodeKindSet {
+    let mut mask = NodeKindSet::all(world);
+    requirements.iter().for_each(|(_, nodes)| mask.and(nodes));
     mask
 }
 
-/// Requests that a must of this namespace takes the last node from. Those that the musts above it leave none are told
+/// Requests that a requirement of this namespace takes the last node from. Those that the requirements above it leave none are reported
 /// there.
 fn no_node(of: &Compiled, world: &Inventory, conflicts: &mut Vec<Conflict>) {
-    if world.nodes.is_empty() || !of.placed.iter().any(|placed| is_must(of.rules[placed.rule].strength)) {
+    if world.nodes.is_empty()
+        || !of.placed.iter().any(|placed| is_requirement(of.rules[placed.rule].strength))
+    {
         return;
     }
     let chain = of.chain();
-    let mut told = BTreeSet::new();
+    let mut reported = BTreeSet::new();
     for tenant in tenants(&of.scope.on.tenants, world) {
-        let of_tenant: Vec<Must> = chain
+        let of_tenant: Vec<PlacedRequirement> = chain
             .iter()
             .flat_map(|namespace| namespace.placed_for(tenant))
-            .filter(|(rule, _)| is_must(rule.strength))
+            .filter(|(rule, _)| is_requirement(rule.strength))
             .collect();
-        // Fewer musts allow more: if all of them leave a node, any request that some of them match has one.
+        // Fewer requirements allow more: if all of them leave a node, any request that some of them match has one.
         if !allowed(&of_tenant, world).is_empty() {
             continue;
         }
         for class in &world.classes {
             let has = |on: &BTreeSet<String>| on.is_empty() || on.contains(class);
-            let of_class: Vec<Must> =
+            let of_class: Vec<PlacedRequirement> =
                 of_tenant.iter().copied().filter(|(rule, _)| has(&rule.on.classes)).collect();
             if !allowed(&of_class, world).is_empty() {
                 continue;
             }
             for group in groups(of_class.iter().map(|(rule, _)| *rule)) {
                 let request = Request { tenant, class, group };
-                let musts: Vec<Must> =
+                let requirements: Vec<PlacedRequirement> =
                     of_class.iter().copied().filter(|(rule, _)| rule.on.matches(&request)).collect();
-                let above: Vec<Must> =
-                    musts.iter().copied().filter(|(rule, _)| rule.depth < of.depth).collect();
-                if !allowed(&musts, world).is_empty() || allowed(&above, world).is_empty() {
+                let above: Vec<PlacedRequirement> =
+                    requirements.iter().copied().filter(|(rule, _)| rule.depth < of.depth).collect();
+                if !allowed(&requirements, world).is_empty() || allowed(&above, world).is_empty() {
                     continue;
                 }
-                let musts = least(musts, world);
-                if told.insert(musts.iter().map(|(rule, _)| spot(rule)).collect::<Vec<_>>()) {
-                    conflicts.push(without_node(&musts, &request, world));
+                let requirements = minimal_subset(requirements, world);
+                if reported.insert(requirements.iter().map(|(rule, _)| location(rule)).collect::<Vec<_>>()) {
+                    conflicts.push(without_node(&requirements, &request, world));
                 }
-                if told.len() >= MOST_TOLD {
+                if reported.len() >= MAX_REPORTED {
                     return;
                 }
             }
@@ -187,27 +194,30 @@
     }
 }
 
-/// Musts that leave no node, of which none can be spared. Those nearer the root are spared first.
-fn least<'a>(mut musts: Vec<Must<'a>>, world: &Inventory) -> Vec<Must<'a>> {
+/// Requirements that leave no node, of which none can be removed. Those nearer the root are removed first.
+fn minimal_subset<'a>(
+    mut requirements: Vec<PlacedRequirement<'a>>,
+    world: &Inventory,
+) -> Vec<PlacedRequirement<'a>> {
     let mut at = 0;
-    while at < musts.len() {
-        let spared = musts.remove(at);
-        if !allowed(&musts, world).is_empty() {
-            musts.insert(at, spared);
+    while at < requirements.len() {
+        let removed = requirements.remove(at);
+        if !allowed(&requirements, world).is_empty() {
+            requirements.insert(at, removed);
             at += 1;
         }
     }
-    musts
+    requirements
 }
 
-fn without_node(musts: &[Must], request: &Request, world: &Inventory) -> Conflict {
-    let all: Vec<RuleLocation> = musts.iter().map(|(rule, _)| spot(rule)).collect();
+fn without_node(requirements: &[PlacedRequirement], request: &Request, world: &Inventory) -> Conflict {
+    let all: Vec<RuleLocation> = requirements.iter().map(|(rule, _)| location(rule)).collect();
     let nobody =
         || RuleLocation { namespace: String::new(), file: String::new(), line: 0, name: String::new() };
     // The deepest of them stands last; without it there is a node, and that is the witness.
     let one = all.last().cloned().unwrap_or_else(nobody);
     let other = all.first().cloned().unwrap_or_else(nobody);
-    let others = &musts[..musts.len().saturating_sub(1)];
+    let others = &requirements[..requirements.len().saturating_sub(1)];
     let node: Option<Node> = allowed(others, world).first().and_then(|at| world.nodes().nth(at));
-    Conflict::NoNode { one, other, musts: all, witness: Witness::new(request, node) }
+    Conflict::NoNode { one, other, requirements: all, witness: Witness::new(request, node) }
 }
--- a/crates/routing-rules/src/checked.rs
+++ b/crates/routing-rules/src/checked.rs
@@ -4,8 +4,8 @@
 
 use crate::book::{PlacementMode, RuleKind, Strength};
 use crate::file::{DeclaredRule, Delegate, MAX_DEPTH, MAX_NAME_BYTES, Reader, RuleFileError};
+use crate::file_schema::{RawDelegate, RawPlace, RawRule};
 use crate::groups;
-use crate::raw::{RawDelegate, RawPlace, RawRule};
 
 pub(crate) fn delegate(
     reader: &Reader,
--- a/crates/routing-rules/src/compiled.rs
+++ b/crates/routing-rules/src/compiled.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 
 use crate::book::{PlacementMode, Rule, RuleKind, Strength};
-use crate::check;
+use crate::chain_conflicts;
 use crate::conflict::{Conflict, RuleLocation};
 use crate::file::{Delegate, NamespaceFile};
-use crate::mask::Mask;
+use crate::inventory::Inventory;
+use crate::node_kind_set::NodeKindSet;
 use crate::scope::Scope;
-use crate::world::Inventory;
 
 /// A file that was read.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
 pub(crate) struct Placed {
     /// Where in `Compiled::rules` it is.
     pub rule: usize,
-    pub nodes: Mask,
+    pub nodes: NodeKindSet,
 }
 
 /// What a child was given: its path, its part of the connections, and what it has.
@@ -126,7 +126,7 @@
         }));
         rules.sort_by(|a, b| a.name.cmp(&b.name));
         // What isn't owned is in conflict as it is; whether it goes with the rest is asked once it is owned.
-        let conflicts = check::not_owned(&read, &scope, world);
+        let conflicts = chain_conflicts::not_owned(&read, &scope, world);
         let unowned: BTreeSet<&str> = conflicts.iter().filter_map(Conflict::rule).collect();
         let unowned_child = |child: &str| unowned.contains(format!("delegate {child}").as_str());
         let unowned_children: BTreeSet<String> =
@@ -138,7 +138,7 @@
         let mut placed = Vec::new();
         let (mut by_tenant, mut any_tenant) = (HashMap::<String, Vec<usize>>::new(), Vec::new());
         for (at, rule) in rules.iter().enumerate() {
-            let Some(nodes) = Mask::satisfying(world, &rule.kind) else { continue };
+            let Some(nodes) = NodeKindSet::satisfying(world, &rule.kind) else { continue };
             if unowned.contains(rule.name.as_str()) || delegation(&rule.name) {
                 continue;
             }
@@ -164,7 +164,7 @@
             unowned_children,
             conflicts,
         };
-        compiled.conflicts.extend(check::with_chain(&compiled, world));
+        compiled.conflicts.extend(chain_conflicts::with_chain(&compiled, world));
         compiled
     }
 
@@ -173,7 +173,7 @@
     }
 
     /// The placements that can match a request of this tenant.
-    pub fn placed_for(&self, tenant: Option<&str>) -> impl Iterator<Item = (&Rule, &Mask)> {
+    pub fn placed_for(&self, tenant: Option<&str>) -> impl Iterator<Item = (&Rule, &NodeKindSet)> {
         let named = tenant.and_then(|tenant| self.by_tenant.get(tenant)).map_or(&[][..], Vec::as_slice);
         self.any_tenant
             .iter()
--- a/crates/routing-rules/src/conflict.rs
+++ b/crates/routing-rules/src/conflict.rs
@@ -188,7 +188,7 @@
         /// The other; the same, if one must is enough.
         other: RuleLocation,
         /// All the musts that it takes: without any of them there is a node.
-        musts: Vec<RuleLocation>,
+        requirements: Vec<RuleLocation>,
         /// The request, and a node that the other must allows or would allow.
         witness: Witness,
     },
@@ -225,7 +225,9 @@
                 let parts = parts.iter().chain([one, promiser, other]);
                 parts.map(|spot| spot.namespace.as_str()).collect()
             }
-            Conflict::NoNode { musts, .. } => musts.iter().map(|spot| spot.namespace.as_str()).collect(),
+            Conflict::NoNode { requirements, .. } => {
+                requirements.iter().map(|spot| spot.namespace.as_str()).collect()
+            }
         };
         all.sort_unstable();
         all.dedup();
--- a/crates/routing-rules/src/effective.rs
+++ b/crates/routing-rules/src/effective.rs
@@ -14,7 +14,7 @@
     pub allowed: bool,
     /// The wishes for nodes that speak of the request, the one that goes first first, and whether the node satisfies
     /// each. Of two nodes the one that satisfies the first wish that tells them apart is wished for more.
-    pub wishes: Vec<(String, bool)>,
+    pub preferences: Vec<(String, bool)>,
     /// Most attempts.
     pub attempts: Option<u32>,
     /// Most standing connections, of the caps that count this node; each is a limit of its own: (rule, connections).
@@ -26,9 +26,9 @@
     /// When its connection may be moved: the strictest must; without one, the wish that goes first.
     pub move_when: Option<MoveCondition>,
     /// Whether any must speaks of the request.
-    pub has_musts: bool,
+    pub has_requirements: bool,
     /// What the strictest owner of these musts asks for in doubt.
-    pub on_doubt: Option<UncertaintyPolicy>,
+    pub uncertainty_policy: Option<UncertaintyPolicy>,
 }
 
 /// What the book says of a request on a node.
@@ -36,14 +36,15 @@
     let mut of = Effective { allowed: true, ..Effective::default() };
     let mut rules: Vec<&Rule> = book.rules.iter().filter(|rule| rule.on.matches(request)).collect();
     rules.sort_by(|a, b| a.preference_order().cmp(&b.preference_order()));
-    let mut move_wish = None;
+    let mut move_preference = None;
     for rule in rules {
         let id = format!("{}:{}", rule.namespace, rule.name);
         let must = rule.strength == Strength::Requirement;
         if must {
-            of.has_musts = true;
+            of.has_requirements = true;
             let owner = book.namespaces.iter().find(|owner| owner.path == rule.namespace);
-            of.on_doubt = stricter(of.on_doubt, owner.map(|owner| owner.on_doubt));
+            of.uncertainty_policy =
+                stricter(of.uncertainty_policy, owner.map(|owner| owner.uncertainty_policy));
         }
         match &rule.kind {
             RuleKind::Place { how, halls, hardware } => {
@@ -51,7 +52,7 @@
                 if must {
                     of.allowed &= satisfied;
                 } else {
-                    of.wishes.push((id, satisfied));
+                    of.preferences.push((id, satisfied));
                 }
             }
             RuleKind::Cap { connections, halls, hardware } if must && selects_node(halls, hardware, node) => {
@@ -61,11 +62,11 @@
             RuleKind::Pace { per_s_milli } if must => of.paces.push((id, *per_s_milli)),
             RuleKind::Attempts { most } if must => of.attempts = least(of.attempts, *most),
             RuleKind::Move { when } if must => of.move_when = of.move_when.max(Some(*when)),
-            RuleKind::Move { when } => move_wish = move_wish.or(Some(*when)),
+            RuleKind::Move { when } => move_preference = move_preference.or(Some(*when)),
             _ => {}
         }
     }
-    of.move_when = of.move_when.or(move_wish);
+    of.move_when = of.move_when.or(move_preference);
     of
 }
 
--- a/crates/routing-rules/src/pass.rs
+++ b/crates/routing-rules/src/evaluation_round.rs
@@ -8,12 +8,12 @@
 use crate::compiled::{Compiled, Read, is_child, parent_of};
 use crate::conflict::{Conflict, Witness};
 use crate::file::Delegate;
-use crate::idle::Children;
-use crate::world::Inventory;
+use crate::ineffective::Children;
+use crate::inventory::Inventory;
 
 /// What one look found.
 #[derive(Debug, Default)]
-pub(crate) struct Pass {
+pub(crate) struct EvaluationRound {
     pub active: BTreeMap<String, Arc<Compiled>>,
     pub conflicts: Vec<Conflict>,
     /// Those that a parent in force keeps on their last good revision, and that parent.
@@ -31,14 +31,14 @@
     Under(Arc<Compiled>, &'a Delegate),
 }
 
-impl Pass {
+impl EvaluationRound {
     pub fn run(
         candidates: &BTreeMap<String, Candidate>,
         void: &BTreeSet<String>,
         world: &Inventory,
         cache: &mut Cache,
-    ) -> Pass {
-        let mut pass = Pass::default();
+    ) -> EvaluationRound {
+        let mut pass = EvaluationRound::default();
         let mut later = BTreeSet::new();
         // A parent sorts before its children.
         for (path, candidate) in candidates {
@@ -84,7 +84,7 @@
             pass.active.insert(path.clone(), compiled);
         }
         pass.strangers(world);
-        pass.idle_wishes(cache);
+        pass.find_ineffective_preferences(cache);
         pass.conflicts.sort();
         pass
     }
@@ -128,7 +128,7 @@
         self.conflicts.extend(found);
     }
 
-    fn idle_wishes(&mut self, cache: &mut Cache) {
+    fn find_ineffective_preferences(&mut self, cache: &mut Cache) {
         let mut children = Children::new();
         let mut digests = BTreeMap::<&str, blake3::Hasher>::new();
         // Children sort after their parents, so backwards each is whole before its parent asks for it.
--- a/crates/routing-rules/src/file.rs
+++ b/crates/routing-rules/src/file.rs
@@ -6,7 +6,7 @@
 
 use crate::book::{GroupRange, RuleKind, Strength, UncertaintyPolicy};
 use crate::checked::{bad_path, delegate, rule};
-use crate::raw::{Doubt, Raw};
+use crate::file_schema::{FileSchema, OnDoubtSchema};
 
 /// The largest file that is read, in bytes.
 pub const MAX_FILE_BYTES: usize = 1 << 20;
@@ -59,7 +59,7 @@
     /// The revision; each content has its own.
     pub revision: u64,
     /// What becomes of its requests while the version is in doubt.
-    pub on_doubt: UncertaintyPolicy,
+    pub uncertainty_policy: UncertaintyPolicy,
     /// What it leaves to its children, in the file's order.
     pub delegates: Vec<Delegate>,
     /// Its rules, in the file's order.
@@ -155,11 +155,11 @@
     let newlines = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n').map(|(at, _)| at + 1);
     let starts = std::iter::once(0).chain(newlines).collect();
     let reader = Reader { file: name, text, starts };
-    let raw: Raw = toml::from_str(text).map_err(|error| reader.parser(&error))?;
+    let raw: FileSchema = toml::from_str(text).map_err(|error| reader.parser(&error))?;
     checked(&reader, raw)
 }
 
-fn checked(reader: &Reader, raw: Raw) -> Result<NamespaceFile, RuleFileError> {
+fn checked(reader: &Reader, raw: FileSchema) -> Result<NamespaceFile, RuleFileError> {
     let line = reader.line(raw.namespace.span().start);
     let namespace = raw.namespace.into_inner();
     if let Some(why) = bad_path(&namespace) {
@@ -176,13 +176,13 @@
             return Err(reader.bad(line, "rules", why));
         }
     }
-    let on_doubt = match (raw.on_doubt, raw.retry_ms) {
-        (Doubt::Keep, None) => UncertaintyPolicy::Keep,
-        (Doubt::Keep, Some(retry)) => {
+    let uncertainty_policy = match (raw.on_doubt, raw.retry_ms) {
+        (OnDoubtSchema::Keep, None) => UncertaintyPolicy::Keep,
+        (OnDoubtSchema::Keep, Some(retry)) => {
             let line = reader.line(retry.span().start);
             return Err(reader.bad(line, "retry_ms", "only goes with on_doubt = \"refuse\""));
         }
-        (Doubt::Refuse, retry) => {
+        (OnDoubtSchema::Refuse, retry) => {
             UncertaintyPolicy::Refuse { retry_ms: retry.map_or(DEFAULT_RETRY_MS, Spanned::into_inner) }
         }
     };
@@ -213,7 +213,7 @@
         rules.push(rule);
     }
     let revision = raw.revision.into_inner();
-    Ok(NamespaceFile { namespace, line, owner: raw.owner, revision, on_doubt, delegates, rules })
+    Ok(NamespaceFile { namespace, line, owner: raw.owner, revision, uncertainty_policy, delegates, rules })
 }
 
 /// The delay told to a refused client where the file states none.
--- a/crates/routing-rules/src/raw.rs
+++ b/crates/routing-rules/src/file_schema.rs
@@ -10,13 +10,13 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(crate) struct Raw {
+pub(crate) struct FileSchema {
     pub namespace: Spanned<String>,
     #[serde(default)]
     pub owner: String,
     pub revision: Spanned<u64>,
     #[serde(default)]
-    pub on_doubt: Doubt,
+    pub on_doubt: OnDoubtSchema,
     pub retry_ms: Option<Spanned<u32>>,
     pub rules: Option<Spanned<usize>>,
     #[serde(default)]
@@ -27,7 +27,7 @@
 
 #[derive(Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) enum Doubt {
+pub(crate) enum OnDoubtSchema {
     Refuse,
     #[default]
     Keep,
--- /dev/null
+++ b/crates/routing-rules/src/ineffective.rs
@@ -0,0 +1,126 @@
+//! Preferences that can never take effect: this needs the requirements of the whole chain above and of all that lies below.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use crate::book::{Request, Rule};
+use crate::chain_conflicts::{groups, location, tenants};
+use crate::compiled::Compiled;
+use crate::conflict::{Conflict, Witness};
+use crate::inventory::Inventory;
+use crate::node_kind_set::{NodeKindSet, is_requirement};
+
+/// The namespaces in force by their parents.
+pub(crate) type Children = BTreeMap<String, Vec<Arc<Compiled>>>;
+
+type Placement<'a> = (&'a Rule, &'a NodeKindSet);
+
+/// The preferences of a namespace that can never take effect.
+pub(crate) fn preferences(of: &Compiled, children: &Children, world: &Inventory) -> Vec<Conflict> {
+    let chain = of.chain();
+    let preferences = of.placed.iter().map(|placed| (&of.rules[placed.rule], &placed.nodes));
+    let preferences = preferences.filter(|(rule, _)| !is_requirement(rule.strength));
+    preferences.filter_map(|preference| ineffective(of, preference, &chain, children, world)).collect()
+}
+
+fn ineffective(
+    of: &Compiled,
+    preference: Placement,
+    chain: &[&Compiled],
+    children: &Children,
+    world: &Inventory,
+) -> Option<Conflict> {
+    // What stands against it differs by request. The deepest is reported, since what lies nearer the root isn't enough.
+    let mut reported: Option<(Request, Option<&Rule>)> = None;
+    for tenant in tenants(&preference.0.on.tenants, world) {
+        let mut matching: Vec<Placement> = Vec::new();
+        matching.extend(chain.iter().flat_map(|namespace| namespace.placed_for(tenant)));
+        below(of, tenant, children, &mut matching);
+        matching.retain(|(rule, _)| {
+            is_requirement(rule.strength) || rule.preference_order() < preference.0.preference_order()
+        });
+        for class in &world.classes {
+            if !preference.0.on.classes.is_empty() && !preference.0.on.classes.contains(class) {
+                continue;
+            }
+            let of_class = |rule: &&Rule| rule.on.classes.is_empty() || rule.on.classes.contains(class);
+            let rules = matching.iter().map(|(rule, _)| *rule).filter(of_class);
+            for group in groups(rules.chain([preference.0])) {
+                let request = Request { tenant, class, group };
+                if !preference.0.on.matches(&request) {
+                    continue;
+                }
+                let matching = matching.iter().copied().filter(|(rule, _)| rule.on.matches(&request));
+                let rule = match opposition(preference, matching.collect(), world) {
+                    Opposition::Nothing => return None,
+                    Opposition::Rule(rule) => Some(rule),
+                    Opposition::Itself => None,
+                };
+                let depth = |rule: Option<&Rule>| rule.map(|rule| rule.depth);
+                if reported.is_none_or(|(_, before)| depth(before) < depth(rule)) {
+                    reported = Some((request, rule));
+                }
+            }
+        }
+    }
+    let (request, other) = reported.unwrap_or_else(|| (world.sample(&preference.0.on), None));
+    let node = preference.1.first().and_then(|at| world.nodes().nth(at));
+    let one = location(preference.0);
+    let other = other.map_or_else(|| one.clone(), location);
+    Some(Conflict::IneffectivePreference { one, other, witness: Witness::new(&request, node) })
+}
+
+/// The requirements of the namespaces below that can match the tenant.
+fn below<'a>(of: &Compiled, tenant: Option<&str>, children: &'a Children, matching: &mut Vec<Placement<'a>>) {
+    for child in children.get(of.path()).into_iter().flatten() {
+        let tenants = &child.scope.on.tenants;
+        if tenants.is_empty() || tenant.is_some_and(|tenant| tenants.contains(tenant)) {
+            matching.extend(child.placed_for(tenant).filter(|(rule, _)| is_requirement(rule.strength)));
+            below(child, tenant, children, matching);
+        }
+    }
+}
+
+enum Opposition<'a> {
+    Nothing,
+    Rule(&'a Rule),
+    Itself,
+}
+
+/// What stands against a preference on one request. It takes effect if a node that satisfies it is allowed and is not behind
+/// each node that doesn't: behind as the preferences before it order them.
+fn opposition<'a>(preference: Placement, matching: Vec<Placement<'a>>, world: &Inventory) -> Opposition<'a> {
+    let (requirements, mut preferences): (Vec<_>, Vec<_>) =
+        matching.into_iter().partition(|(rule, _)| is_requirement(rule.strength));
+    let mut satisfying = preference.1.clone();
+    let mut others = NodeKindSet::all(world);
+    others.without(preference.1);
+    if satisfying.is_empty() {
+        return Opposition::Itself;
+    }
+    for (rule, nodes) in &requirements {
+        satisfying.and(nodes);
+        others.and(nodes);
+        if satisfying.is_empty() {
+            return Opposition::Rule(rule);
+        }
+    }
+    if others.is_empty() {
+        return Opposition::Nothing;
+    }
+    preferences.sort_by(|a, b| a.0.preference_order().cmp(&b.0.preference_order()));
+    for (rule, nodes) in preferences {
+        let (mut preferred, mut others_left) = (satisfying.clone(), others.clone());
+        preferred.and(nodes);
+        others_left.without(nodes);
+        match (preferred.is_empty(), others_left.is_empty()) {
+            // Some satisfying node goes before some other: the preferences agree.
+            (false, false) => return Opposition::Nothing,
+            // Only nodes that this preference leaves alike are left undistinguished.
+            (true, true) => return Opposition::Rule(rule),
+            (true, false) => others = others_left,
+            (false, true) => satisfying = preferred,
+        }
+    }
+    Opposition::Nothing
+}
--- a/crates/routing-rules/src/lib.rs
+++ b/crates/routing-rules/src/lib.rs
@@ -8,24 +8,24 @@
 mod book;
 mod cache;
 mod candidate;
-mod check;
+mod chain_conflicts;
 mod checked;
 mod compiled;
 mod conflict;
 mod effective;
+mod evaluation_round;
 mod file;
+mod file_schema;
 mod groups;
-mod idle;
-mod ledger;
-mod mask;
+mod history;
+mod ineffective;
+mod inventory;
 mod merge;
+mod newest_first;
+mod node_kind_set;
 mod outcome;
-mod pass;
-mod raw;
 mod scope;
 mod state;
-mod world;
-mod youngest;
 
 pub use book::{
     Book, GroupRange, MoveCondition, Node, Owner, PlacementMode, Request, Rule, RuleKind, Selector, Strength,
@@ -37,7 +37,7 @@
     DeclaredRule, Delegate, MAX_DEPTH, MAX_FILE_BYTES, MAX_ITEMS, MAX_NAME_BYTES, NamespaceFile, RuleFile,
     RuleFileError, read,
 };
-pub use ledger::{Entry, GoodRevision, History};
+pub use history::{Entry, GoodRevision, History};
+pub use inventory::Inventory;
 pub use merge::{Merged, Merger, check, merge};
 pub use state::{State, StateEvent, StateName};
-pub use world::Inventory;
--- a/crates/routing-rules/src/merge.rs
+++ b/crates/routing-rules/src/merge.rs
@@ -8,12 +8,12 @@
 use crate::candidate::{self, Candidate};
 use crate::compiled::Compiled;
 use crate::conflict::Conflict;
+use crate::evaluation_round::EvaluationRound;
 use crate::file::RuleFile;
-use crate::ledger::History;
+use crate::history::History;
+use crate::inventory::Inventory;
+use crate::newest_first::Ages;
 use crate::outcome::{self, Outcome};
-use crate::pass::Pass;
-use crate::world::Inventory;
-use crate::youngest::Ages;
 
 /// What came of a merge.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -37,7 +37,8 @@
     let mut cache = Cache::default();
     cache.begin(world);
     let taken = candidate::take(last, files, world, &mut cache);
-    let mut conflicts = Pass::run(&taken.candidates, &BTreeSet::new(), world, &mut cache).conflicts;
+    let mut conflicts =
+        EvaluationRound::run(&taken.candidates, &BTreeSet::new(), world, &mut cache).conflicts;
     conflicts.extend(taken.conflicts);
     conflicts.sort();
     conflicts
@@ -139,8 +140,8 @@
 }
 
 impl Tried {
-    fn run(&self, world: &Inventory, cache: &mut Cache) -> Pass {
-        Pass::run(&self.candidates, &self.void, world, cache)
+    fn run(&self, world: &Inventory, cache: &mut Cache) -> EvaluationRound {
+        EvaluationRound::run(&self.candidates, &self.void, world, cache)
     }
 
     fn hold(&mut self, culprit: &str, why: &Conflict) {
@@ -165,7 +166,7 @@
         void_before: &BTreeSet<String>,
         world: &Inventory,
         cache: &mut Cache,
-    ) -> Option<(Tried, Pass)> {
+    ) -> Option<(Tried, EvaluationRound)> {
         let mut more = self.clone();
         let was_void = more.void.remove(path);
         if let Some(candidate) = asked.get(path) {
@@ -190,7 +191,7 @@
     let owner = |(path, of): (&String, &Arc<Compiled>)| Owner {
         path: path.clone(),
         revision: of.read.file.revision,
-        on_doubt: of.read.file.on_doubt,
+        uncertainty_policy: of.read.file.uncertainty_policy,
     };
     let namespaces = active.iter().map(owner).collect();
     let mut rules = Vec::with_capacity(active.values().map(|of| of.rules.len()).sum());
--- a/crates/routing-rules/src/mask.rs
+++ b/crates/routing-rules/src/node_kind_set.rs
@@ -1,20 +1,20 @@
 //! Sets of the world's kinds of node, as bits.
 
 use crate::book::{PlacementMode, RuleKind, Strength, selects_node};
-use crate::world::Inventory;
+use crate::inventory::Inventory;
 
 /// A set of the world's kinds of node, by their order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Mask(Vec<u64>);
+pub(crate) struct NodeKindSet(Vec<u64>);
 
-impl Mask {
+impl NodeKindSet {
     /// All kinds of node.
-    pub fn all(world: &Inventory) -> Mask {
-        Mask::of(world, |_| true)
+    pub fn all(world: &Inventory) -> NodeKindSet {
+        NodeKindSet::of(world, |_| true)
     }
 
-    pub fn of(world: &Inventory, mut has: impl FnMut(&crate::book::Node) -> bool) -> Mask {
-        let mut mask = Mask(vec![0; world.nodes.len().div_ceil(64)]);
+    pub fn of(world: &Inventory, mut has: impl FnMut(&crate::book::Node) -> bool) -> NodeKindSet {
+        let mut mask = NodeKindSet(vec![0; world.nodes.len().div_ceil(64)]);
         for (at, node) in world.nodes().enumerate() {
             mask.0[at / 64] |= u64::from(has(&node)) << (at % 64);
         }
@@ -22,20 +22,22 @@
     }
 
     /// The nodes that satisfy a placement: those meant, or those not meant if it avoids.
-    pub fn satisfying(world: &Inventory, kind: &RuleKind) -> Option<Mask> {
+    pub fn satisfying(world: &Inventory, kind: &RuleKind) -> Option<NodeKindSet> {
         let RuleKind::Place { how, halls, hardware } = kind else { return None };
-        Some(Mask::of(world, |node| selects_node(halls, hardware, node) != (*how == PlacementMode::Avoid)))
+        Some(NodeKindSet::of(world, |node| {
+            selects_node(halls, hardware, node) != (*how == PlacementMode::Avoid)
+        }))
     }
 
     pub fn is_empty(&self) -> bool {
         self.0.iter().all(|word| *word == 0)
     }
 
-    pub fn and(&mut self, other: &Mask) {
+    pub fn and(&mut self, other: &NodeKindSet) {
         self.0.iter_mut().zip(&other.0).for_each(|(a, b)| *a &= b);
     }
 
-    pub fn without(&mut self, other: &Mask) {
+    pub fn without(&mut self, other: &NodeKindSet) {
         self.0.iter_mut().zip(&other.0).for_each(|(a, b)| *a &= !b);
     }
 
@@ -46,6 +48,6 @@
 }
 
 /// Whether a rule's strength is must.
-pub(crate) fn is_must(strength: Strength) -> bool {
+pub(crate) fn is_requirement(strength: Strength) -> bool {
     strength == Strength::Requirement
 }
--- a/crates/routing-rules/src/outcome.rs
+++ b/crates/routing-rules/src/outcome.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeSet;
 
 use crate::candidate::{Taken, digest};
-use crate::ledger::{Entry, GoodRevision, History};
-use crate::pass::Pass;
+use crate::evaluation_round::EvaluationRound;
+use crate::history::{Entry, GoodRevision, History};
 use crate::state::{State, StateEvent, StateName};
 
 /// What a merge came to.
 pub(crate) struct Outcome<'a> {
-    pub pass: &'a Pass,
+    pub pass: &'a EvaluationRound,
     pub taken: &'a Taken,
 }
 
--- a/crates/routing-rules/src/scope.rs
+++ b/crates/routing-rules/src/scope.rs
@@ -6,7 +6,7 @@
 use crate::conflict::{RuleLocation, Witness};
 use crate::file::{DeclaredRule, Delegate};
 use crate::groups;
-use crate::world::Inventory;
+use crate::inventory::Inventory;
 
 /// What a namespace was given. Empty sets mean any.
 #[derive(Clone, Debug)]
--- a/crates/routing-rules/tests/common/mod.rs
+++ b/crates/routing-rules/tests/common/mod.rs
@@ -13,10 +13,10 @@
 pub const HALLS: [&str; 2] = ["h0", "h1"];
 pub const HARDWARE: [&str; 2] = ["w0", "w1"];
 pub const GROUPS: u64 = 4;
-pub const WHOLE: u64 = 100;
+pub const FLEET_CONNECTIONS: u64 = 100;
 
 pub fn world() -> Inventory {
-    Inventory::of("r", &TENANTS, &CLASSES, &HALLS, &HARDWARE, WHOLE)
+    Inventory::of("r", &TENANTS, &CLASSES, &HALLS, &HARDWARE, FLEET_CONNECTIONS)
 }
 
 /// Each request of the universe; one group beyond those that files name stands for all others.
--- a/crates/routing-rules/tests/common/oracle.rs
+++ b/crates/routing-rules/tests/common/oracle.rs
@@ -7,7 +7,7 @@
 use cottonnotch_routing_rules::{Node, Request};
 
 use crate::common::{
-    CLASSES, HALLS, HARDWARE, Names, Nodes, On, Spec, TENANTS, WHOLE, What, nodes, requests,
+    CLASSES, FLEET_CONNECTIONS, HALLS, HARDWARE, Names, Nodes, On, Spec, TENANTS, What, nodes, requests,
 };
 
 /// What a namespace has, and what it does with it.
@@ -56,13 +56,13 @@
     pub orphans: BTreeSet<String>,
     pub not_owned: BTreeSet<(String, String)>,
     pub same_subject: BTreeSet<(String, String)>,
-    pub beyond_parts: BTreeSet<String>,
+    pub over_committed: BTreeSet<String>,
     pub beyond_caps: BTreeSet<(String, String)>,
     pub no_node: BTreeSet<String>,
     pub idle: BTreeSet<(String, String)>,
 }
 
-fn must_allows(what: &What, node: &Node) -> bool {
+fn requirement_allows(what: &What, node: &Node) -> bool {
     match what {
         What::Require(of) => means(of, node),
         What::Avoid(of) => !means(of, node),
@@ -88,7 +88,7 @@
     let mut placed = BTreeMap::<String, Placed>::new();
     for spec in universe {
         let (on, held, whole, depth) = match spec.path.rsplit_once('/') {
-            None => (On::default(), Nodes::default(), WHOLE, 0),
+            None => (On::default(), Nodes::default(), FLEET_CONNECTIONS, 0),
             Some((parent, name)) => {
                 let above = placed.get(parent);
                 let parent_spec = universe.iter().find(|spec| spec.path == parent);
@@ -151,7 +151,7 @@
             }
         }
         if spec.grants.iter().filter_map(|grant| grant.connections).sum::<u64>() > whole {
-            found.beyond_parts.insert(spec.path.clone());
+            found.over_committed.insert(spec.path.clone());
         }
         // What isn't owned is asked no further.
         rules.retain(|(name, ..)| !unowned.contains(name));
@@ -167,7 +167,7 @@
 fn no_node(path: &str, of: &Placed, placed: &BTreeMap<String, Placed>, found: &mut Found) {
     for request in requests() {
         let leaves = |deepest: usize| {
-            let musts: Vec<&What> = placed
+            let requirements: Vec<&What> = placed
                 .iter()
                 .filter(|(other, above)| {
                     above.depth <= deepest && related(path, other) && above.depth <= of.depth
@@ -176,7 +176,9 @@
                 .filter(|(_, on, ..)| speaks(on, &request))
                 .map(|(.., what)| what)
                 .collect();
-            nodes().iter().any(|node| musts.iter().all(|must| must_allows(must, node)))
+            nodes()
+                .iter()
+                .any(|node| requirements.iter().all(|requirement| requirement_allows(requirement, node)))
         };
         let above = of.depth.checked_sub(1).is_none_or(leaves);
         if above && !leaves(of.depth) {
@@ -207,11 +209,13 @@
                 (of.0, of.1, of.2.as_str(), of.3.as_str()) < order
             };
             let nodes = nodes();
-            let allowed: Vec<&Node> =
-                nodes.iter().filter(|node| met.iter().all(|(_, what)| must_allows(what, node))).collect();
+            let allowed: Vec<&Node> = nodes
+                .iter()
+                .filter(|node| met.iter().all(|(_, what)| requirement_allows(what, node)))
+                .collect();
             let rank = |node: &Node| -> Vec<bool> {
-                let wishes = met.iter().filter(|(order, _)| before(order));
-                wishes.filter_map(|(_, what)| satisfied(what, node)).map(|yes| !yes).collect()
+                let preferences = met.iter().filter(|(order, _)| before(order));
+                preferences.filter_map(|(_, what)| satisfied(what, node)).map(|yes| !yes).collect()
             };
             let (yes, no): (Vec<&Node>, Vec<&Node>) =
                 allowed.into_iter().partition(|node| satisfied(what, node) == Some(true));
--- a/crates/routing-rules/tests/conflicts.rs
+++ b/crates/routing-rules/tests/conflicts.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn siblings_that_claim_one_subject() {
+fn finds_siblings_with_one_subject() {
     let body = "[[delegate]]\nto = \"a\"\ntenants = [\"t0\", \"t1\"]\n[[delegate]]\nto = \"b\"\ntenants = [\"t1\"]\n";
     let merged = fresh(&[file("r", 1, body), file("r/a", 1, ""), file("r/b", 1, "")]);
     let Conflict::SameSubject { one, other, witness, .. } = only(&merged) else {
@@ -75,14 +75,14 @@
 }
 
 #[test]
-fn siblings_apart_by_group_or_class_claim_nothing_of_each_other() {
+fn accepts_siblings_apart_by_group_or_class() {
     let body = "[[delegate]]\nto = \"a\"\ntenants = [\"t0\"]\ngroups = [\"0x10-0x1f\"]\n\
                 [[delegate]]\nto = \"b\"\ntenants = [\"t0\"]\ngroups = [[32, 47], \"ff\"]\n";
     assert_eq!(fresh(&[file("r", 1, body)]).conflicts, []);
 }
 
 #[test]
-fn a_parent_that_newly_promises_one_subject_twice_is_held_back_and_its_children_go_on() {
+fn holds_back_a_parent_that_delegates_a_subject_twice() {
     let first = fresh(&[root(), file("r/a", 1, ""), file("r/b", 1, "")]);
     assert_eq!(first.conflicts, []);
     let body = ROOT.replace("[\"t1\"]", "[\"t0\", \"t1\"]");
@@ -94,32 +94,35 @@
 }
 
 #[test]
-fn musts_that_leave_a_request_no_node() {
+fn finds_requirements_that_leave_no_node() {
     let parent =
         format!("{ROOT}[[rule]]\nname = \"north\"\nclasses = [\"c0\"]\nplace.require.halls = [\"h0\"]\n");
     let child = "[[rule]]\nname = \"south\"\nplace.require.halls = [\"h1\"]\n";
     let merged = fresh(&[file("r", 1, &parent), file("r/a", 1, child), file("r/b", 1, "")]);
-    let Conflict::NoNode { one, other, musts, witness } = only(&merged) else {
+    let Conflict::NoNode { one, other, requirements, witness } = only(&merged) else {
         panic!("{:?}", merged.conflicts)
     };
     assert_eq!((one.namespace.as_str(), one.name.as_str(), one.line), ("r/a", "south", 4));
     assert_eq!((other.namespace.as_str(), other.name.as_str()), ("r", "north"));
-    assert_eq!((musts.len(), witness.tenant.as_deref(), witness.class.as_str()), (2, Some("t0"), "c0"));
+    assert_eq!(
+        (requirements.len(), witness.tenant.as_deref(), witness.class.as_str()),
+        (2, Some("t0"), "c0")
+    );
     assert_eq!(in_force(&merged), [("r", 1), ("r/b", 1)]);
 }
 
 #[test]
-fn three_musts_of_which_any_two_leave_a_node() {
+fn finds_three_requirements_that_leave_no_node() {
     let parent = format!("{ROOT}[[rule]]\nname = \"north\"\nplace.require.halls = [\"h0\"]\n");
     let child = "[[rule]]\nname = \"one\"\nplace.avoid = { halls = [\"h0\"], hardware = [\"w0\"] }\n\
                  [[rule]]\nname = \"other\"\nplace.avoid = { halls = [\"h0\"], hardware = [\"w1\"] }\n";
     let merged = fresh(&[file("r", 1, &parent), file("r/a", 1, child)]);
-    let Conflict::NoNode { musts, .. } = only(&merged) else { panic!("{:?}", merged.conflicts) };
-    assert_eq!(musts.len(), 3);
+    let Conflict::NoNode { requirements, .. } = only(&merged) else { panic!("{:?}", merged.conflicts) };
+    assert_eq!(requirements.len(), 3);
 }
 
 #[test]
-fn parts_promised_beyond_the_whole() {
+fn finds_overcommitted_quotas() {
     let body = ROOT.replace("connections = 50", "connections = 51");
     let merged = fresh(&[file("r", 1, &body), file("r/a", 1, ""), file("r/b", 1, "")]);
     let Conflict::OverCommitted { promised: 102, whole: 100, parts, .. } = only(&merged) else {
@@ -130,14 +133,14 @@
 }
 
 #[test]
-fn a_cap_beyond_the_part_of_its_namespace() {
+fn finds_a_cap_beyond_the_quota() {
     let merged = fresh(&[root(), file("r/a", 1, "[[rule]]\nname = \"much\"\ncap.connections = 51\n")]);
     assert!(matches!(only(&merged), Conflict::OverCommitted { promised: 51, whole: 50, .. }));
     assert_eq!(in_force(&merged), [("r", 1)]);
 }
 
 #[test]
-fn a_wish_that_can_never_take_effect() {
+fn finds_an_ineffective_preference() {
     let parent = format!("{ROOT}[[rule]]\nname = \"not-south\"\nplace.avoid.halls = [\"h1\"]\n");
     let child = "[[rule]]\nname = \"south\"\nplace.prefer.halls = [\"h1\"]\n";
     let merged = fresh(&[file("r", 1, &parent), file("r/a", 1, child)]);
@@ -150,7 +153,7 @@
 }
 
 #[test]
-fn a_second_choice_after_a_first_is_no_idle_wish_but_the_opposite_of_a_wish_above_is() {
+fn accepts_a_second_choice_but_not_the_opposite_of_a_preference_above() {
     let child = |wish: &str| format!("[[rule]]\nname = \"w\"\n{wish}\n");
     let parent = format!("{ROOT}[[rule]]\nname = \"w\"\nplace.prefer.halls = [\"h0\"]\n");
     let files = |wish: &str| [file("r", 1, &parent), file("r/a", 1, &child(wish))];
@@ -161,7 +164,7 @@
 }
 
 #[test]
-fn a_wish_of_the_parent_that_the_childs_musts_leave_no_room_for() {
+fn finds_a_preference_that_child_requirements_defeat() {
     let parent = format!("{ROOT}[[rule]]\nname = \"w\"\ntenants = [\"t0\"]\nplace.prefer.halls = [\"h0\"]\n");
     let child = "[[rule]]\nname = \"m\"\nplace.require.halls = [\"h1\"]\n";
     let merged = fresh(&[file("r", 1, &parent), file("r/a", 1, child)]);
@@ -187,7 +190,7 @@
 }
 
 #[test]
-fn a_delegation_to_a_stranger_is_held_against_who_made_it() {
+fn holds_back_the_delegator_to_a_stranger() {
     let merged = fresh(&[root(), file("r/a", 1, "[[delegate]]\nto = \"r/b\"\n"), file("r/b", 1, "")]);
     assert!(matches!(only(&merged), Conflict::NotItsChild { .. }));
     assert_eq!(in_force(&merged), [("r", 1), ("r/b", 1)]);
@@ -234,7 +237,7 @@
 }
 
 #[test]
-fn an_older_revision_is_refused_even_after_the_file_was_gone() {
+fn rejects_an_older_revision_after_removal() {
     let first = fresh(&[root(), file("r/a", 3, "")]);
     for ledger in [&first.ledger, &merge(&first.ledger, &[root()], &world()).ledger] {
         let merged = merge(ledger, &[root(), file("r/a", 2, "")], &world());
@@ -245,7 +248,7 @@
 }
 
 #[test]
-fn what_is_held_back_for_one_that_is_held_back_itself_comes_in() {
+fn readmits_what_conflicted_only_with_held_back_content() {
     // `b` conflicts with the root's must; `x` only with `b`'s wish for what `b` isn't let do.
     let parent =
         format!("{ROOT}[[rule]]\nname = \"north\"\ntenants = [\"t1\"]\nplace.require.hardware = [\"w0\"]\n");
@@ -284,7 +287,7 @@
 }
 
 #[test]
-fn a_held_back_content_does_not_hold_back_what_comes_after_it() {
+fn held_back_content_does_not_hold_back_later_content() {
     let parent =
         format!("{ROOT}[[rule]]\nname = \"w0\"\ntenants = [\"t0\"]\nplace.require.hardware = [\"w0\"]\n");
     let bad = file("r/a", 2, "[[rule]]\nname = \"w1\"\nplace.require.hardware = [\"w1\"]\n");
--- a/crates/routing-rules/tests/examples.rs
+++ b/crates/routing-rules/tests/examples.rs
@@ -45,9 +45,9 @@
     // Edições A keeps out of the east, its team with it, and the team's wish for the south counts for its own tenant.
     assert!(!ask(Some("edicoes-a-opera"), "proof", None, "east", "large").allowed);
     let opera = ask(Some("edicoes-a-opera"), "proof", Some(0x123), "south", "large");
-    assert_eq!(opera.wishes, [("consortium/edicoes-a/opera:opera-in-the-south".to_owned(), true)]);
+    assert_eq!(opera.preferences, [("consortium/edicoes-a/opera:opera-in-the-south".to_owned(), true)]);
     assert_eq!((opera.spread, opera.move_when), (Some(3), Some(MoveCondition::DrainsOnly)));
-    assert_eq!(opera.on_doubt, Some(UncertaintyPolicy::Refuse { retry_ms: 2_000 }));
+    assert_eq!(opera.uncertainty_policy, Some(UncertaintyPolicy::Refuse { retry_ms: 2_000 }));
     // The least number of attempts counts.
     assert_eq!(ask(Some("verlag-b"), "proof", None, "east", "large").attempts, Some(2));
     assert_eq!(ask(Some("edicoes-a"), "proof", None, "north", "large").attempts, Some(4));
--- a/crates/routing-rules/tests/files.rs
+++ b/crates/routing-rules/tests/files.rs
@@ -20,7 +20,10 @@
                 [[delegate]]\nto = \"x\"\ngroups = [\"0x10-0x1f\", [32, 33], 7, \"ffffffffffffffff\"]\n\n\
                 [[rule]]\nname = \"one\"\npace.per_s = 2.5\n\n[[rule]]\nname = \"two\"\nmove = \"drains-only\"\nstrength = \"wish\"\n";
     let content = read(&file("r/a", 9, body)).expect("it is whole");
-    assert_eq!((content.revision, content.on_doubt), (9, UncertaintyPolicy::Refuse { retry_ms: 250 }));
+    assert_eq!(
+        (content.revision, content.uncertainty_policy),
+        (9, UncertaintyPolicy::Refuse { retry_ms: 250 })
+    );
     assert_eq!((content.delegates[0].to.as_str(), content.delegates[0].line), ("r/a/x", 8));
     let groups: Vec<(u64, u64)> = content.delegates[0].groups.iter().map(|g| (g.first, g.last)).collect();
     assert_eq!(groups, [(7, 7), (0x10, 0x21), (u64::MAX, u64::MAX)]);
@@ -30,7 +33,7 @@
 }
 
 #[test]
-fn errors_tell_the_line_and_the_key() {
+fn errors_name_line_and_key() {
     assert_eq!(error("on_dubt = \"keep\"\n").0, 4);
     assert_eq!(error("on_dubt = \"keep\"\n").1, "on_dubt");
     assert!(error("[[rule]]\nname = \"m\"\natempts.most = 2\n").2.contains("unknown field"));
--- a/crates/routing-rules/tests/oracle.rs
+++ b/crates/routing-rules/tests/oracle.rs
@@ -33,7 +33,7 @@
                 found.beyond_caps.insert((one.namespace.clone(), one.name.clone()));
             }
             Conflict::OverCommitted { promiser, .. } => {
-                found.beyond_parts.insert(promiser.namespace.clone());
+                found.over_committed.insert(promiser.namespace.clone());
             }
             Conflict::NoNode { one, .. } => {
                 found.no_node.insert(one.namespace.clone());
@@ -53,9 +53,9 @@
     let request = witness.request();
     let spec = |path: &str| universe.iter().find(|spec| spec.path == path).expect("it has a file");
     match conflict {
-        Conflict::NoNode { musts, .. } => {
+        Conflict::NoNode { requirements, .. } => {
             let rules: Vec<_> =
-                musts.iter().map(|spot| rule_of(universe, &spot.namespace, &spot.name)).collect();
+                requirements.iter().map(|spot| rule_of(universe, &spot.namespace, &spot.name)).collect();
             prop_assert!(rules.iter().all(|(on, _)| oracle::speaks(on, &request)), "{conflict}");
             let allowed = |skip: Option<usize>, node: &cottonnotch_routing_rules::Node| {
                 rules.iter().enumerate().all(|(at, (_, what))| Some(at) == skip || allows(what, node))
@@ -110,7 +110,7 @@
     (grant.on.clone(), common::What::Require(grant.nodes.clone()))
 }
 
-/// No request that a must speaks of is without a node, whatever namespaces the musts are of.
+/// No request that a requirement speaks of is without a node, whatever namespaces the requirements are of.
 fn each_request_has_a_node(book: &Book) -> Result<(), TestCaseError> {
     for request in requests() {
         let some = nodes().iter().any(|node| effective(book, &request, node).allowed);
@@ -157,7 +157,7 @@
         prop_assert_eq!(&found.no_node, &BTreeSet::new());
         prop_assert_eq!(&found.orphans, &BTreeSet::new());
         prop_assert_eq!(&found.same_subject, &BTreeSet::new());
-        prop_assert_eq!(&found.beyond_parts, &BTreeSet::new());
+        prop_assert_eq!(&found.over_committed, &BTreeSet::new());
         // Each that isn't in force is held back, and a conflict names it or what lies above it and is void.
         for spec in universe.iter().filter(|spec| !in_force.contains(spec.path.as_str())) {
             let state = &merged.ledger.namespaces[&spec.path].state;
@@ -191,7 +191,7 @@
     }
 
     #[test]
-    fn a_parents_musts_hold_below_it(universe in any_universe()) {
+    fn parent_requirements_hold_below(universe in any_universe()) {
         let merged = merge(&History::default(), &files(&universe), &world());
         for request in requests() {
             for node in nodes() {
@@ -212,16 +212,16 @@
             }
         }
         // The root's own rules are all in force, whatever stands below: of two that conflict the deeper is the younger.
-        // What it holds against itself alone, a child's musts may settle, so that is left out.
+        // What it holds against itself alone, a child's requirements may settle, so that is left out.
         let alone = merge(&History::default(), &files(&universe[..1]), &world());
         let own = |book: &Book| {
             let own = book.rules.iter().filter(|rule| rule.namespace == "r" && rule.name.starts_with("rule-"));
             own.cloned().collect::<Vec<_>>()
         };
-        let root_held = check(&History::default(), &files(&universe), &world())
+        let root_held_back = check(&History::default(), &files(&universe), &world())
             .iter()
             .any(|conflict| conflict.namespaces() == ["r"]);
-        if !root_held && alone.book.namespaces.len() == 1 {
+        if !root_held_back && alone.book.namespaces.len() == 1 {
             prop_assert_eq!(own(&merged.book), own(&alone.book));
         }
     }
@@ -268,7 +268,7 @@
             found.orphans.len(),
             found.not_owned.len(),
             found.same_subject.len(),
-            found.beyond_parts.len(),
+            found.over_committed.len(),
             found.beyond_caps.len(),
             found.no_node.len(),
             found.idle.len(),
--- a/crates/rule-compiler/benches/lookup.rs
+++ b/crates/rule-compiler/benches/lookup.rs
@@ -75,8 +75,8 @@
     };
     let mut rules: Vec<Rule> = (0..count).map(rule).collect();
     rules.sort_by(|a, b| (&a.namespace, &a.name).cmp(&(&b.namespace, &b.name)));
-    let on_doubt = UncertaintyPolicy::Refuse { retry_ms: 500 };
-    let namespaces = paths.map(|path| Owner { path: path.into(), revision: 1, on_doubt });
+    let uncertainty_policy = UncertaintyPolicy::Refuse { retry_ms: 500 };
+    let namespaces = paths.map(|path| Owner { path: path.into(), revision: 1, uncertainty_policy });
     Book { namespaces: namespaces.into(), rules }
 }
 
--- a/crates/rule-compiler/src/compile.rs
+++ b/crates/rule-compiler/src/compile.rs
@@ -50,7 +50,7 @@
 /// the requirements alone are too many, nothing is allowed.
 fn fit_plan(book: &Book, forms: &mut [RuleForms], order: &[usize], hardware: &[String]) -> Plan {
     let policies: Policies =
-        book.namespaces.iter().map(|owner| (owner.path.as_str(), owner.on_doubt)).collect();
+        book.namespaces.iter().map(|owner| (owner.path.as_str(), owner.uncertainty_policy)).collect();
     let preferences = order.iter().filter(|&&at| is_preference(&book.rules[at])).count();
     let requirements = order.len() - preferences;
     let mut included = preferences;
--- a/crates/rule-compiler/tests/common/mod.rs
+++ b/crates/rule-compiler/tests/common/mod.rs
@@ -118,7 +118,7 @@
     let owner = |((path, _), uncertainty_policy): (&(&str, u32), &UncertaintyPolicy)| Owner {
         path: path.to_string(),
         revision: 1,
-        on_doubt: *uncertainty_policy,
+        uncertainty_policy: *uncertainty_policy,
     };
     Book { namespaces: OWNERS.iter().zip(doubts).map(owner).collect(), rules }
 }
@@ -189,7 +189,7 @@
 pub fn strictest(book: &Book, request: &Request) -> Option<UncertaintyPolicy> {
     let owner = |rule: &&Rule| {
         let owner = book.namespaces.iter().find(|owner| owner.path == rule.namespace);
-        owner.expect("every rule has an owner").on_doubt
+        owner.expect("every rule has an owner").uncertainty_policy
     };
     // Of refusals, the one that asks for the longest wait; any refusal before keeping.
     requirements(book, request).iter().map(owner).min_by_key(|uncertain| match uncertain {
--- a/crates/rule-compiler/tests/compile.rs
+++ b/crates/rule-compiler/tests/compile.rs
@@ -145,11 +145,11 @@
                 prop_assert_eq!(lookup.allows(node), said.allowed);
                 prop_assert_eq!((lookup.attempts(), lookup.spread()), (said.attempts, said.spread));
                 prop_assert_eq!((lookup.move_when(), lookup.move_when_on(node)), (said.move_when, said.move_when));
-                prop_assert_eq!((lookup.has_requirements(), lookup.uncertainty_policy()), (said.has_musts, said.on_doubt));
+                prop_assert_eq!((lookup.has_requirements(), lookup.uncertainty_policy()), (said.has_requirements, said.uncertainty_policy));
                 let caps = lookup.caps().filter(|(_, _, nodes)| nodes.contains(node)).map(|(_, cap, _)| cap);
                 let caps: BTreeSet<u64> = caps.collect();
                 prop_assert_eq!(caps, said.caps.into_iter().map(|(_, cap)| cap).collect::<BTreeSet<_>>());
-                let unwished_by: Vec<bool> = said.wishes.iter().map(|(_, satisfied)| !satisfied).collect();
+                let unwished_by: Vec<bool> = said.preferences.iter().map(|(_, satisfied)| !satisfied).collect();
                 prop_assert_eq!(unwished_by, unwished(&book, &request, node));
                 for other in &known {
                     let order = unwished(&book, &request, node).cmp(&unwished(&book, &request, other));
