--- a/crates/consensus/tests/common/oracle.rs
+++ b/crates/consensus/tests/common/oracle.rs
@@ -77,7 +77,7 @@
     }
 
     /// The process has ended.
-    pub fn crashed(&mut self, process: usize) {
+    pub fn remove_process(&mut self, process: usize) {
         for at in 0..2 {
             self.acting[at].remove(&process);
             self.without_lease_since[at].remove(&process);
@@ -97,8 +97,8 @@
         self.acting[topic as usize].values().filter(|acting| now < acting.until).count()
     }
 
-    pub fn demand(&mut self, lease_holder: bool, what: impl FnOnce() -> String) {
-        if !lease_holder && self.violation.is_none() {
+    pub fn demand(&mut self, holds: bool, what: impl FnOnce() -> String) {
+        if !holds && self.violation.is_none() {
             self.violation = Some(what());
         }
     }
--- a/crates/consensus/tests/common/world.rs
+++ b/crates/consensus/tests/common/world.rs
@@ -192,7 +192,7 @@
     pub fn crash(&mut self, ordinal: u16, disk: Disk) {
         if let Some(process) = self.at[usize::from(ordinal)].take() {
             self.processes[process].alive = false;
-            self.oracle.crashed(process);
+            self.oracle.remove_process(process);
         }
         if disk == Disk::Lost {
             self.disks[usize::from(ordinal)] = None;
@@ -404,11 +404,11 @@
     }
 
     /// Runs until the condition holds, for at most this long; how long it took.
-    pub fn run_until(&mut self, most: i64, mut lease_holder: impl FnMut(&World) -> bool) -> Option<i64> {
+    pub fn run_until(&mut self, most: i64, mut condition: impl FnMut(&World) -> bool) -> Option<i64> {
         let begin = self.now;
         let step = if self.members > 50 { 10 * MS } else { 2 * MS };
         while self.now < begin + most {
-            if lease_holder(self) {
+            if condition(self) {
                 return Some(self.now - begin);
             }
             if self.oracle.violation.is_some() {
@@ -416,7 +416,7 @@
             }
             self.run(step);
         }
-        lease_holder(self).then_some(self.now - begin)
+        condition(self).then_some(self.now - begin)
     }
 
     pub fn status(&self, ordinal: u16) -> Option<Status> {
@@ -440,7 +440,7 @@
         let acts = |process: &&usize| {
             let one = &self.processes[**process];
             let lease = one.member.lease(topic);
-            lease.version.is_some_and(|(_, held)| held == hash) && one.clock.own(self.now) < lease.until
+            lease.version.is_some_and(|(_, content)| content == hash) && one.clock.own(self.now) < lease.until
         };
         self.at.iter().flatten().filter(acts).count()
     }
@@ -464,7 +464,7 @@
             let ordinal = self.processes[process].ordinal;
             if self.at[usize::from(ordinal)] != Some(process) {
                 self.processes[process].alive = false;
-                self.oracle.crashed(process);
+                self.oracle.remove_process(process);
             }
         }
     }
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -4,6 +4,7 @@
 
 mod common;
 
+use common::world::Disk;
 use common::{content, contradict};
 use cottonnotch_consensus::{
     Config, ContentHash, DurableState, Input, Member, Message, Mutant, Output, Role, Timing, Topic, Verdict,
@@ -98,8 +99,8 @@
         }
     }
 
-    fn restart(&mut self, at: usize, max_recovering: bool) {
-        let durable_state = self.nodes[at].durable_state.clone().filter(|_| !max_recovering);
+    fn restart(&mut self, at: usize, disk: Disk) {
+        let durable_state = self.nodes[at].durable_state.clone().filter(|_| disk == Disk::Kept);
         let incarnation = self.nodes[at].incarnation + 1;
         let member = self.member(at as u16, incarnation, durable_state.clone());
         self.nodes[at] = Node { member, durable_state, stopped: false, queued: Vec::new(), incarnation };
@@ -206,7 +207,7 @@
     fn on(&self, hash: ContentHash) -> usize {
         let acts = |node: &&Node| {
             let lease = node.member.lease(Topic::Rules);
-            lease.version.is_some_and(|(_, held)| held == hash) && self.now < lease.until
+            lease.version.is_some_and(|(_, content)| content == hash) && self.now < lease.until
         };
         self.nodes.iter().filter(acts).count()
     }
@@ -288,7 +289,7 @@
         for at in 0..if restarts > 0 { 3 } else { 0 } {
             let mut one = cluster.clone();
             one.path.push(format!("restart {at}"));
-            one.restart(at, false);
+            one.restart(at, Disk::Kept);
             next.push((one, doubles, restarts - 1));
         }
         for (mut one, doubles, restarts) in next {
@@ -331,8 +332,8 @@
     fn run(self, cluster: &mut SmallCluster, span: i64) {
         cluster.path.push(format!("{self:?}"));
         match self {
-            Slot::Restarted(at) => cluster.restart(at.into(), false),
-            Slot::LostState(at) => cluster.restart(at.into(), true),
+            Slot::Restarted(at) => cluster.restart(at.into(), Disk::Kept),
+            Slot::LostState(at) => cluster.restart(at.into(), Disk::Lost),
             Slot::Stopped(at) => cluster.nodes[usize::from(at)].stopped = true,
             _ => {}
         }
@@ -355,14 +356,21 @@
     }
 }
 
+/// Whether schedules contain voters that restart without their state.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum LostState {
+    Tried,
+    Skipped,
+}
+
 /// Runs every schedule of faults, by slots of uneven length; then without faults, and the new version must be in force
 /// everywhere.
-fn run_schedules(mutant: Mutant, max_recovering: bool, depth: usize, spans: &[i64]) -> usize {
+fn run_schedules(mutant: Mutant, loses_state: LostState, depth: usize, spans: &[i64]) -> usize {
     let mut first = acting(mutant);
     let proposer = usize::from((first.leader() + 1) % 3);
     first.give(proposer, Input::Propose { topic: Topic::Rules, hash: new(), size: 9 });
     let mut slots = Slot::all();
-    if max_recovering {
+    if loses_state == LostState::Tried {
         slots.extend((0..3).map(Slot::LostState));
     }
     let mut stack = vec![(first, 0, false)];
@@ -403,7 +411,7 @@
     for spans in
         [[3 * MS, 700 * MS, 1_300 * MS], [90 * MS, 1_500 * MS, 400 * MS], [1_000 * MS, 250 * MS, 2_600 * MS]]
     {
-        count += run_schedules(Mutant::Unmodified, true, depth, &spans);
+        count += run_schedules(Mutant::Unmodified, LostState::Tried, depth, &spans);
     }
     println!("{count} courses of {depth} slots");
 }
@@ -412,5 +420,5 @@
 #[test]
 #[should_panic(expected = "acted on against")]
 fn search_finds_early_activation() {
-    run_schedules(Mutant::EarlyActivation, false, 2, &[3 * MS, 700 * MS]);
+    run_schedules(Mutant::EarlyActivation, LostState::Skipped, 2, &[3 * MS, 700 * MS]);
 }
--- a/crates/consensus/tests/growth.rs
+++ b/crates/consensus/tests/growth.rs
@@ -68,16 +68,16 @@
         let before = both_ways(&world);
         world.run(6_000 * MS);
         assert_eq!(world.leader(), Some(leader), "no election in a quiet time");
-        let [led, follower, lease_holder] = by_role(&world, leader, &before, 6.0);
+        let [led, follower, member] = by_role(&world, leader, &before, 6.0);
         println!(
             r#"{{"what":"accord idle","members":{members},"leader_messages_per_s":{:.1},"leader_bytes_per_s":{:.0},"voter_messages_per_s":{:.2},"voter_bytes_per_s":{:.0},"member_messages_per_s":{:.2},"member_bytes_per_s":{:.0}}}"#,
-            led[0], led[1], follower[0], follower[1], lease_holder[0], lease_holder[1]
+            led[0], led[1], follower[0], follower[1], member[0], member[1]
         );
         assert!(
-            lease_holder[0] < MEMBER_MESSAGES_PER_S && lease_holder[1] < MEMBER_BYTES_PER_S,
+            member[0] < MEMBER_MESSAGES_PER_S && member[1] < MEMBER_BYTES_PER_S,
             "{members} members: one has {} messages and {} bytes a second",
-            lease_holder[0],
-            lease_holder[1]
+            member[0],
+            member[1]
         );
         let each = f64::from(members);
         assert!(
@@ -110,7 +110,7 @@
             world.run(3_000 * MS - took);
         }
         let seconds = (world.now - began) as f64 / 1e6;
-        let [led, _, lease_holder] = by_role(&world, leader, &before, seconds);
+        let [led, _, member] = by_role(&world, leader, &before, seconds);
         times.sort_unstable();
         let out: Vec<u64> =
             world.served_contents.iter().zip(&handed).map(|(now, before)| now - before).collect();
@@ -122,7 +122,7 @@
             all as f64 / 20.0,
             most as f64 / 20.0,
             led[1],
-            lease_holder[1]
+            member[1]
         );
         assert!(times[19] < 1_000 * MS, "{members} members: {} us", times[19]);
         assert!(
