--- a/crates/decision/src/list_polling.rs
+++ b/crates/decision/src/list_polling.rs
@@ -64,13 +64,13 @@
     /// Guards against all nodes calling a small service at once after a joint start: a second at least, as a start is
     /// noisy anyway and the copy serves meanwhile.
     pub fn started(&mut self, now: Micros, chance: f64) -> Micros {
-        self.poll_in(now, random_part(self.spread().max(SECOND), chance))
+        self.poll_in(now, random_share(self.spread().max(SECOND), chance))
     }
 
     /// The subscription has fallen silent: no failure of the service, so it is polled at once, at this node's place in
     /// the time over which the fleet spreads its calls. Returns after how long; `chance` is 0 to 1.
     pub fn fell_silent(&mut self, now: Micros, chance: f64) -> Micros {
-        self.poll_in(now, random_part(self.spread(), chance))
+        self.poll_in(now, random_share(self.spread(), chance))
     }
 
     /// A call failed or the subscription broke; `chance` is 0 to 1. Returns after how long the next call is made, and
@@ -93,9 +93,9 @@
         let doublings = (self.consecutive_failures - 1).min(MAX_DOUBLINGS);
         let wait = (BACKOFF << doublings).max(self.spread());
         if wait + wait / 2 <= longest {
-            wait / 2 + random_part(wait, chance)
+            wait / 2 + random_share(wait, chance)
         } else {
-            longest / 3 * 2 + random_part(longest / 3, chance)
+            longest / 3 * 2 + random_share(longest / 3, chance)
         }
     }
 
@@ -123,6 +123,6 @@
 }
 
 /// A random part of a span, never 0; `chance` is 0 to 1.
-fn random_part(span: Micros, chance: f64) -> Micros {
+fn random_share(span: Micros, chance: f64) -> Micros {
     (span as f64 * chance) as Micros + 1
 }
--- a/crates/decision/src/policy/latency.rs
+++ b/crates/decision/src/policy/latency.rs
@@ -35,8 +35,8 @@
         if latency < objective / 2 || is_falling {
             return;
         }
-        let part = (MOVED_PER_REPORT + latency as f64 / CLEAR_WITHIN).min(MAX_MOVED);
-        let count = (s.connections.open.len() as f64 * part + chance) as usize;
+        let fraction = (MOVED_PER_REPORT + latency as f64 / CLEAR_WITHIN).min(MAX_MOVED);
+        let count = (s.connections.open.len() as f64 * fraction + chance) as usize;
         self.migrate_least_valued(now, at, count, out);
     }
 
--- a/crates/decision/src/policy/outcomes.rs
+++ b/crates/decision/src/policy/outcomes.rs
@@ -10,7 +10,7 @@
 const QUORUM: usize = 2;
 /// Reports alone keep no more than this part of the servers paused at a time: as many as are known to die
 /// together (24%). However many nodes lie, the rest is used, and what is paused is tried at the next mark.
-const MAX_PAUSED_PART: f64 = 0.25;
+const MAX_PAUSED_FRACTION: f64 = 0.25;
 
 impl Balancer {
     /// Draws from an outcome what it shows of the server.
@@ -108,6 +108,6 @@
 
     fn may_pause_another_on_reports(&self, now: Micros) -> bool {
         let paused = self.servers.iter().filter(|s| s.peer_reports.is_paused(now)).count();
-        paused as f64 + 1.0 <= self.servers.ready.len() as f64 * MAX_PAUSED_PART
+        paused as f64 + 1.0 <= self.servers.ready.len() as f64 * MAX_PAUSED_FRACTION
     }
 }
--- a/crates/decision/src/settings/pairs.rs
+++ b/crates/decision/src/settings/pairs.rs
@@ -90,23 +90,23 @@
     }
 
     pub(super) fn flag(&self, key: &str) -> Result<bool, InvalidSetting> {
-        let word = self.word(key, "false", &["true", "false", "1", "0"])?;
-        Ok(matches!(word, "true" | "1"))
+        let value = self.one_of(key, "false", &["true", "false", "1", "0"])?;
+        Ok(matches!(value, "true" | "1"))
     }
 
-    /// One of these words. Guards against a misspelt one, which would be read as something else in silence: unknown keys
+    /// One of the allowed values. Guards against a misspelt one, which would be read as something else in silence: unknown keys
     /// are ignored, but the error lists the values of a known one in full.
-    pub(super) fn word<'a>(
+    pub(super) fn one_of<'a>(
         &'a self,
         key: &str,
         default: &'a str,
-        words: &[&str],
+        allowed: &[&str],
     ) -> Result<&'a str, InvalidSetting> {
-        let word = self.given(key, default).unwrap_or(default);
-        if words.contains(&word) {
-            return Ok(word);
+        let value = self.given(key, default).unwrap_or(default);
+        if allowed.contains(&value) {
+            return Ok(value);
         }
-        Err(InvalidSetting::new(key, "has an unknown value", word, &words.join(", ")))
+        Err(InvalidSetting::new(key, "has an unknown value", value, &allowed.join(", ")))
     }
 
     /// A list of numbers of 0 or more; what is left out of it is 0.
--- a/crates/decision/src/settings/read.rs
+++ b/crates/decision/src/settings/read.rs
@@ -57,11 +57,11 @@
 }
 
 fn read_idempotency(pairs: &Pairs, key: impl Fn(&str) -> String) -> Result<Idempotency, InvalidSetting> {
-    Ok(match pairs.word(&key("effect"), "unsafe", &["safe", "keyed", "unsafe"])? {
+    Ok(match pairs.one_of(&key("effect"), "unsafe", &["safe", "keyed", "unsafe"])? {
         "safe" => Idempotency::Idempotent,
         "keyed" => {
             // Left out, it is what allows least.
-            let scope = match pairs.word(&key("group"), "cell", &["all", "zone", "cell"])? {
+            let scope = match pairs.one_of(&key("group"), "cell", &["all", "zone", "cell"])? {
                 "all" => Scope::All,
                 "zone" => Scope::Zone,
                 _ => Scope::Cell,
--- a/crates/decision/tests/any_settings/checker.rs
+++ b/crates/decision/tests/any_settings/checker.rs
@@ -7,7 +7,7 @@
 
 /// The rules, each of which has a mutant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rule {
+pub enum Invariant {
     /// Each request that was taken gets one final answer, and in time.
     Answered,
     /// No request has two attempts out.
@@ -30,8 +30,8 @@
 #[derive(Clone, Debug)]
 #[allow(dead_code)]
 pub struct Violation {
-    pub rule: Rule,
-    pub told: String,
+    pub rule: Invariant,
+    pub detail: String,
 }
 
 /// The figures that it judges by.
@@ -74,13 +74,13 @@
 struct ServerRecord {
     locality: (ZoneId, u32),
     /// When it was notified as draining or removed.
-    told: Option<Micros>,
+    withdrawn_at: Option<Micros>,
 }
 
 #[derive(Debug)]
 pub struct Checker {
     figures: Figures,
-    asked: BTreeMap<RequestId, RequestState>,
+    requests: BTreeMap<RequestId, RequestState>,
     servers: BTreeMap<ServerId, ServerRecord>,
     shutdown: Option<Micros>,
     pub violations: Vec<Violation>,
@@ -88,50 +88,51 @@
 
 impl Checker {
     pub fn new(figures: Figures) -> Self {
-        let (asked, servers) = (BTreeMap::new(), BTreeMap::new());
-        Checker { figures, asked, servers, shutdown: None, violations: Vec::new() }
+        let (requests, servers) = (BTreeMap::new(), BTreeMap::new());
+        Checker { figures, requests, servers, shutdown: None, violations: Vec::new() }
     }
 
-    fn broken(&mut self, rule: Rule, told: String) {
-        self.violations.push(Violation { rule, told });
+    fn broken(&mut self, rule: Invariant, detail: String) {
+        self.violations.push(Violation { rule, detail });
     }
 
     // ---- what the node is notified of ----
 
     pub fn list(&mut self, now: Micros, full: bool, entries: &[Entry]) {
         if full {
-            self.servers.values_mut().for_each(|known| known.told = known.told.or(Some(now)));
+            self.servers.values_mut().for_each(|known| known.withdrawn_at = known.withdrawn_at.or(Some(now)));
         }
         for entry in entries {
             let known = self.servers.entry(entry.server).or_default();
             known.locality = (entry.zone, entry.cell);
-            known.told = if entry.state == ServerState::Ready { None } else { known.told.or(Some(now)) };
+            known.withdrawn_at =
+                if entry.state == ServerState::Ready { None } else { known.withdrawn_at.or(Some(now)) };
         }
     }
 
     pub fn request(&mut self, now: Micros, request: &Request, class: &Class) {
         let deadline = request.left.map(|left| now.saturating_add(left));
         let (idempotency, max_attempts) = (class.idempotency, class.attempts);
-        let asked = RequestState { idempotency, max_attempts, deadline, attempts: Vec::new(), over: None };
-        self.asked.insert(request.id, asked);
+        let state = RequestState { idempotency, max_attempts, deadline, attempts: Vec::new(), over: None };
+        self.requests.insert(request.id, state);
     }
 
     /// It is up from before the start: its attempt is made.
     pub fn open(&mut self, now: Micros, id: RequestId) {
-        if let Some(asked) = self.asked.get_mut(&id) {
-            asked.attempts.push(Attempt {
+        if let Some(state) = self.requests.get_mut(&id) {
+            state.attempts.push(Attempt {
                 locality: Default::default(),
                 sent: now,
                 written: Some(now),
                 outcome: None,
             });
-            asked.over = Some("it is up");
+            state.over = Some("it is up");
         }
     }
 
     pub fn client_closed(&mut self, id: RequestId) {
-        if let Some(asked) = self.asked.get_mut(&id) {
-            asked.over = asked.over.or(Some("its client left"));
+        if let Some(state) = self.requests.get_mut(&id) {
+            state.over = state.over.or(Some("its client left"));
         }
     }
 
@@ -142,28 +143,29 @@
     // ---- what becomes of attempts ----
 
     pub fn written(&mut self, now: Micros, id: RequestId, number: usize) {
-        let Some(asked) = self.asked.get_mut(&id) else { return };
-        asked.attempts[number].written = Some(now);
-        let (attempts, idempotency) = (asked.attempts.clone(), asked.idempotency);
+        let Some(state) = self.requests.get_mut(&id) else { return };
+        state.attempts[number].written = Some(now);
+        let (attempts, idempotency) = (state.attempts.clone(), state.idempotency);
         let Idempotency::Keyed { window, .. } = idempotency else { return };
         for earlier in attempts[..number].iter().filter(|earlier| earlier.may_have_run()) {
             if now >= earlier.sent + window {
                 let after = now - earlier.sent;
-                let told = format!("{id:?}: written {after} us after one that may have run, window {window}");
-                return self.broken(Rule::NoEffectTwice, told);
+                let detail =
+                    format!("{id:?}: written {after} us after one that may have run, window {window}");
+                return self.broken(Invariant::NoEffectTwice, detail);
             }
         }
     }
 
     pub fn established(&mut self, id: RequestId) {
-        if let Some(asked) = self.asked.get_mut(&id) {
-            asked.over = asked.over.or(Some("it is up"));
+        if let Some(state) = self.requests.get_mut(&id) {
+            state.over = state.over.or(Some("it is up"));
         }
     }
 
     pub fn ended(&mut self, id: RequestId, number: usize, outcome: Outcome) {
-        if let Some(asked) = self.asked.get_mut(&id) {
-            asked.attempts[number].outcome = Some(outcome);
+        if let Some(state) = self.requests.get_mut(&id) {
+            state.attempts[number].outcome = Some(outcome);
         }
     }
 
@@ -181,77 +183,84 @@
     fn send(&mut self, now: Micros, id: RequestId, server: ServerId) {
         let known = self.servers.get(&server).copied();
         if self.shutdown.is_some() {
-            self.broken(Rule::ShuttingDown, format!("{id:?} is sent at {now}, though the node ends"));
+            self.broken(Invariant::ShuttingDown, format!("{id:?} is sent at {now}, though the node ends"));
         }
         let grace = self.figures.grace;
-        let late = known.is_none_or(|known| known.told.is_some_and(|told| now > told + grace));
+        let late = known.is_none_or(|known| known.withdrawn_at.is_some_and(|detail| now > detail + grace));
         if late {
-            let told = format!("{id:?} is sent to {server:?} at {now}, grace {grace}: {known:?}");
-            self.broken(Rule::Draining, told);
+            let detail = format!("{id:?} is sent to {server:?} at {now}, grace {grace}: {known:?}");
+            self.broken(Invariant::Draining, detail);
         }
-        let sent = self.asked.get(&id).map_or(0, |asked| asked.attempts.len());
+        let sent = self.requests.get(&id).map_or(0, |state| state.attempts.len());
         if let Some(ruling) = self.figures.verdicts.map(|verdicts| verdicts.verdict(now, id)) {
             let early = ruling.not_before.is_some_and(|at| now < at);
             let spent = sent >= ruling.attempts as usize;
             if early || spent || ruling.refuse.is_some() || !ruling.allows(server) {
-                let told = format!("{id:?} is sent to {server:?} at {now} after {sent} others: {ruling:?}");
-                self.broken(Rule::RulesObeyed, told);
+                let detail = format!("{id:?} is sent to {server:?} at {now} after {sent} others: {ruling:?}");
+                self.broken(Invariant::RulesObeyed, detail);
             }
         }
-        let Some(asked) = self.asked.get_mut(&id) else {
-            return self.broken(Rule::Answered, format!("{id:?} is sent, but was never asked for"));
+        let Some(state) = self.requests.get_mut(&id) else {
+            return self.broken(Invariant::Answered, format!("{id:?} is sent, but was never asked for"));
         };
         let locality = known.unwrap_or_default().locality;
-        let earlier = asked.attempts.clone();
-        asked.attempts.push(Attempt { locality, sent: now, written: None, outcome: None });
-        let (idempotency, max_attempts, over) = (asked.idempotency, asked.max_attempts, asked.over);
+        let earlier = state.attempts.clone();
+        state.attempts.push(Attempt { locality, sent: now, written: None, outcome: None });
+        let (idempotency, max_attempts, over) = (state.idempotency, state.max_attempts, state.over);
         if let Some(why) = over {
-            let rule = if why == "its client left" { Rule::ClientClosed } else { Rule::Answered };
+            let rule = if why == "its client left" { Invariant::ClientClosed } else { Invariant::Answered };
             self.broken(rule, format!("{id:?} is sent at {now}, but {why}"));
         }
         if earlier.len() >= max_attempts as usize {
-            self.broken(Rule::Attempts, format!("{id:?}: attempt {} of {max_attempts}", earlier.len() + 1));
+            self.broken(
+                Invariant::Attempts,
+                format!("{id:?}: attempt {} of {max_attempts}", earlier.len() + 1),
+            );
         }
         if earlier.iter().any(|attempt| attempt.outcome.is_none()) {
-            self.broken(Rule::OneOut, format!("{id:?}: two attempts out at {now}: {earlier:?}"));
+            self.broken(Invariant::OneOut, format!("{id:?}: two attempts out at {now}: {earlier:?}"));
         }
         for first in earlier.iter().filter(|attempt| attempt.may_have_run()) {
             let harmless = match idempotency {
                 Idempotency::Idempotent => true,
                 Idempotency::NotIdempotent => false,
                 Idempotency::Keyed { scope, window } => {
-                    let seen = match scope {
+                    let counts = match scope {
                         Scope::All => true,
                         Scope::Zone => first.locality.0 == locality.0,
                         Scope::Cell => first.locality.1 == locality.1,
                     };
-                    seen && now < first.sent + window
+                    counts && now < first.sent + window
                 }
             };
             if !harmless {
-                let told = format!("{id:?}, {idempotency:?}: sent to {locality:?} at {now} after {first:?}");
-                return self.broken(Rule::NoEffectTwice, told);
+                let detail =
+                    format!("{id:?}, {idempotency:?}: sent to {locality:?} at {now} after {first:?}");
+                return self.broken(Invariant::NoEffectTwice, detail);
             }
         }
     }
 
     fn answer(&mut self, now: Micros, id: RequestId, refusal: bool) {
-        let Some(asked) = self.asked.get_mut(&id) else {
-            return self.broken(Rule::Answered, format!("{id:?} is answered, but was never asked for"));
+        let Some(state) = self.requests.get_mut(&id) else {
+            return self.broken(Invariant::Answered, format!("{id:?} is answered, but was never asked for"));
         };
-        let over = asked.over.replace("it is answered");
-        let (idempotency, deadline, attempts) = (asked.idempotency, asked.deadline, asked.attempts.clone());
+        let over = state.over.replace("it is answered");
+        let (idempotency, deadline, attempts) = (state.idempotency, state.deadline, state.attempts.clone());
         if let Some(why) = over {
-            self.broken(Rule::Answered, format!("{id:?} is answered at {now}, but {why}"));
+            self.broken(Invariant::Answered, format!("{id:?} is answered at {now}, but {why}"));
         }
         if let Some(late) = deadline.map(|at| now - at).filter(|late| *late > self.figures.slack) {
-            self.broken(Rule::Answered, format!("{id:?} is answered {late} us after its deadline"));
+            self.broken(Invariant::Answered, format!("{id:?} is answered {late} us after its deadline"));
         }
         let may_have_run = attempts.iter().any(Attempt::may_have_run);
         let fair =
             matches!(idempotency, Idempotency::Idempotent | Idempotency::Keyed { scope: Scope::All, .. });
         if refusal && may_have_run && !fair {
-            self.broken(Rule::NoEffectTwice, format!("{id:?}, {idempotency:?}: refused after {attempts:?}"));
+            self.broken(
+                Invariant::NoEffectTwice,
+                format!("{id:?}, {idempotency:?}: refused after {attempts:?}"),
+            );
         }
     }
 
@@ -261,27 +270,32 @@
     pub fn passed(&mut self, now: Micros) {
         let slack = self.figures.slack;
         let mut broken = Vec::new();
-        for (id, asked) in self.asked.iter_mut().filter(|(_, asked)| asked.over.is_none()) {
-            let out = asked.attempts.iter().any(|attempt| attempt.outcome.is_none());
-            if let Some(at) = asked.deadline.filter(|at| now > at.saturating_add(slack)) {
-                broken
-                    .push((Rule::Answered, format!("{id:?} has no answer at {now}, its deadline was {at}")));
-                asked.over = Some("it is lost");
+        for (id, state) in self.requests.iter_mut().filter(|(_, state)| state.over.is_none()) {
+            let out = state.attempts.iter().any(|attempt| attempt.outcome.is_none());
+            if let Some(at) = state.deadline.filter(|at| now > at.saturating_add(slack)) {
+                broken.push((
+                    Invariant::Answered,
+                    format!("{id:?} has no answer at {now}, its deadline was {at}"),
+                ));
+                state.over = Some("it is lost");
             } else if self.shutdown.is_some_and(|at| now > at) && !out {
-                broken.push((Rule::ShuttingDown, format!("{id:?} is held at {now}, though the node ends")));
-                asked.over = Some("it is lost");
+                broken.push((
+                    Invariant::ShuttingDown,
+                    format!("{id:?} is held at {now}, though the node ends"),
+                ));
+                state.over = Some("it is lost");
             }
         }
-        broken.into_iter().for_each(|(rule, told)| self.broken(rule, told));
+        broken.into_iter().for_each(|(rule, detail)| self.broken(rule, detail));
         // What is over and has nothing out may still be answered again: it is kept, though not looked at.
     }
 
     /// The play is over, and there was time for everything.
     pub fn end(&mut self) {
         let owed: Vec<RequestId> =
-            self.asked.iter().filter(|(_, asked)| asked.over.is_none()).map(|(id, _)| *id).collect();
+            self.requests.iter().filter(|(_, state)| state.over.is_none()).map(|(id, _)| *id).collect();
         for id in owed {
-            self.broken(Rule::Answered, format!("{id:?} was never answered"));
+            self.broken(Invariant::Answered, format!("{id:?} was never answered"));
         }
     }
 }
--- a/crates/decision/tests/any_settings/main.rs
+++ b/crates/decision/tests/any_settings/main.rs
@@ -6,11 +6,11 @@
 mod simulation;
 mod strategies;
 
-use checker::Rule;
+use checker::Invariant;
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, TestRng, TestRunner};
-use simulation::{Seen, play};
+use simulation::{Counts, play};
 use std::collections::BTreeSet;
 use strategies::{Plan, plan};
 
@@ -40,22 +40,22 @@
 /// Guards against simulations in which nothing happens that the invariants are about.
 #[test]
 fn simulations_exercise_each_invariant() {
-    let mut all = Seen::default();
+    let mut all = Counts::default();
     for plan in plans(plays(200)) {
-        let (seen, violations) = play(&plan, None);
+        let (counts, violations) = play(&plan, None);
         assert!(violations.is_empty(), "seed {}: {violations:#?} in {plan:#?}", plan.seed);
-        all.sent += seen.sent;
-        all.retries_after_a_run += seen.retries_after_a_run;
-        all.suppressed_writes += seen.suppressed_writes;
-        all.up += seen.up;
-        all.rejected += seen.rejected;
-        all.failed += seen.failed;
-        all.left += seen.left;
-        all.answered_at_shutdown += seen.answered_at_shutdown;
-        all.drains += seen.drains;
+        all.sent += counts.sent;
+        all.retries_after_a_run += counts.retries_after_a_run;
+        all.suppressed_writes += counts.suppressed_writes;
+        all.up += counts.up;
+        all.rejected += counts.rejected;
+        all.failed += counts.failed;
+        all.left += counts.left;
+        all.answered_at_shutdown += counts.answered_at_shutdown;
+        all.drains += counts.drains;
     }
     println!("{all:?}");
-    let Seen { sent, retries_after_a_run, suppressed_writes, up, rejected, failed, left, .. } = all;
+    let Counts { sent, retries_after_a_run, suppressed_writes, up, rejected, failed, left, .. } = all;
     let often = [sent, retries_after_a_run, up, rejected, failed, left, all.drains];
     assert!(often.iter().all(|count| *count >= 100), "{all:?}");
     assert!(suppressed_writes >= 3 && all.answered_at_shutdown >= 20, "{all:?}");
@@ -66,7 +66,7 @@
 fn checker_detects_each_mutant() {
     let plans = plans(plays(150));
     for (mutant, rule) in mutants::ALL {
-        let named: BTreeSet<Rule> = (plans.iter())
+        let named: BTreeSet<Invariant> = (plans.iter())
             .flat_map(|plan| play(plan, Some(mutant)).1)
             .map(|violation| violation.rule)
             .collect();
--- a/crates/decision/tests/any_settings/mutants.rs
+++ b/crates/decision/tests/any_settings/mutants.rs
@@ -1,6 +1,6 @@
 //! Nodes that are wrong in one way each: a wrapper alters what the module hears or does. The checker has to name the invariant.
 
-use crate::checker::Rule;
+use crate::checker::Invariant;
 use cottonnotch_decision::*;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -22,22 +22,22 @@
     QueuesAtShutdown,
 }
 
-pub const ALL: [(Mutant, Rule); 15] = [
-    (Mutant::DropsAnswers, Rule::Answered),
-    (Mutant::AnswersTwice, Rule::Answered),
-    (Mutant::IgnoresWakeUp, Rule::Answered),
-    (Mutant::SendsTwice, Rule::OneOut),
-    (Mutant::MakesExtraAttempt, Rule::Attempts),
-    (Mutant::TakesErrorsForRejections, Rule::NoEffectTwice),
-    (Mutant::ForgetsTheWindow, Rule::NoEffectTwice),
-    (Mutant::ForgetsTheScope, Rule::NoEffectTwice),
-    (Mutant::IgnoresWriteDeadline, Rule::NoEffectTwice),
-    (Mutant::RejectsWhatFailed, Rule::NoEffectTwice),
-    (Mutant::MissesDrains, Rule::Draining),
-    (Mutant::MissesVerdicts, Rule::RulesObeyed),
-    (Mutant::MissesClosedClients, Rule::ClientClosed),
-    (Mutant::MissesShutdown, Rule::ShuttingDown),
-    (Mutant::QueuesAtShutdown, Rule::ShuttingDown),
+pub const ALL: [(Mutant, Invariant); 15] = [
+    (Mutant::DropsAnswers, Invariant::Answered),
+    (Mutant::AnswersTwice, Invariant::Answered),
+    (Mutant::IgnoresWakeUp, Invariant::Answered),
+    (Mutant::SendsTwice, Invariant::OneOut),
+    (Mutant::MakesExtraAttempt, Invariant::Attempts),
+    (Mutant::TakesErrorsForRejections, Invariant::NoEffectTwice),
+    (Mutant::ForgetsTheWindow, Invariant::NoEffectTwice),
+    (Mutant::ForgetsTheScope, Invariant::NoEffectTwice),
+    (Mutant::IgnoresWriteDeadline, Invariant::NoEffectTwice),
+    (Mutant::RejectsWhatFailed, Invariant::NoEffectTwice),
+    (Mutant::MissesDrains, Invariant::Draining),
+    (Mutant::MissesVerdicts, Invariant::RulesObeyed),
+    (Mutant::MissesClosedClients, Invariant::ClientClosed),
+    (Mutant::MissesShutdown, Invariant::ShuttingDown),
+    (Mutant::QueuesAtShutdown, Invariant::ShuttingDown),
 ];
 
 impl Mutant {
--- a/crates/decision/tests/any_settings/simulation.rs
+++ b/crates/decision/tests/any_settings/simulation.rs
@@ -17,7 +17,7 @@
 
 /// What was seen in a play, to know that plays show what they are to show.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Seen {
+pub struct Counts {
     pub sent: usize,
     pub retries_after_a_run: usize,
     pub suppressed_writes: usize,
@@ -86,11 +86,11 @@
     clients: BTreeMap<RequestId, Client>,
     subscribed: bool,
     ends: bool,
-    seen: Seen,
+    counts: Counts,
 }
 
 /// Plays a plan to its end.
-pub fn play(plan: &Plan, mutant: Option<Mutant>) -> (Seen, Vec<Violation>) {
+pub fn play(plan: &Plan, mutant: Option<Mutant>) -> (Counts, Vec<Violation>) {
     let settings = mutant.map_or(plan.settings.clone(), |mutant| mutant.settings(plan.settings.clone()));
     let verdicts = plan.under_rules.then_some(RandomVerdicts { seed: plan.seed, servers: plan.servers });
     let figures = Figures { slack: SLACK, grace: plan.grace, verdicts };
@@ -112,7 +112,7 @@
         clients: BTreeMap::new(),
         subscribed: !plan.settings.list_on_request,
         ends: false,
-        seen: Seen::default(),
+        counts: Counts::default(),
     };
     simulation.begin();
     while let Some(((at, _), event)) = simulation.agenda.pop_first() {
@@ -126,7 +126,7 @@
         simulation.apply(event);
     }
     simulation.checker.end();
-    (simulation.seen, simulation.checker.violations)
+    (simulation.counts, simulation.checker.violations)
 }
 
 impl Simulation<'_> {
@@ -218,7 +218,7 @@
             SimEvent::ClientCloses(id) => {
                 if self.clients.get(&id).is_some_and(|client| !client.up) {
                     // It may cross the answer.
-                    self.seen.left += 1;
+                    self.counts.left += 1;
                     self.clients.entry(id).and_modify(|client| client.over = true);
                     self.checker.client_closed(id);
                     self.notify(Event::ClientClosed(id));
@@ -231,7 +231,7 @@
                     return self.end(id, number, server, Outcome::Cancelled);
                 }
                 client.up = true;
-                self.seen.up += 1;
+                self.counts.up += 1;
                 self.checker.established(id);
                 let (attempt, elapsed) = (number as u32, self.now - sent);
                 self.notify(Event::Established { request: id, attempt, server, elapsed });
@@ -265,9 +265,10 @@
             SimEvent::ShuttingDown => {
                 self.ends = true;
                 self.checker.shutdown(self.now);
-                let before = (self.seen.rejected, self.seen.failed);
+                let before = (self.counts.rejected, self.counts.failed);
                 self.notify(Event::ShuttingDown);
-                self.seen.answered_at_shutdown += self.seen.rejected + self.seen.failed - before.0 - before.1;
+                self.counts.answered_at_shutdown +=
+                    self.counts.rejected + self.counts.failed - before.0 - before.1;
             }
         }
     }
@@ -327,7 +328,7 @@
         let number = self.below(self.servers.len() as u64) as usize;
         let anew = self.entry(number as u32);
         let state = [ServerState::Ready, ServerState::Draining, ServerState::Removed][self.below(3) as usize];
-        self.seen.drains += usize::from(state != ServerState::Ready);
+        self.counts.drains += usize::from(state != ServerState::Ready);
         // What starts anew may be put into another cell.
         let entry = match state {
             ServerState::Ready => anew,
@@ -409,11 +410,11 @@
         match action {
             Action::Send { request, server, timeout, before } => self.send(request, server, timeout, before),
             Action::Reject { request, .. } => {
-                self.seen.rejected += 1;
+                self.counts.rejected += 1;
                 self.clients.entry(request).and_modify(|client| client.over = true);
             }
             Action::Fail { request, .. } => {
-                self.seen.failed += 1;
+                self.counts.failed += 1;
                 self.clients.entry(request).and_modify(|client| client.over = true);
             }
             Action::Timer { after, token } => {
@@ -439,8 +440,8 @@
         let Some(client) = self.clients.get_mut(&id) else { return };
         let number = client.attempts;
         client.attempts += 1;
-        self.seen.sent += 1;
-        self.seen.retries_after_a_run += usize::from(client.may_have_run);
+        self.counts.sent += 1;
+        self.counts.retries_after_a_run += usize::from(client.may_have_run);
         // Without a time-out, when the client gives up; without either, never.
         let told = if timeout > 0 { now.saturating_add(timeout) } else { Micros::MAX };
         let limit = told.min(client.deadline.unwrap_or(Micros::MAX));
@@ -451,7 +452,7 @@
             return self.at(up, end(Outcome::ConnectFailed));
         }
         if up >= limit.min(closes) {
-            self.seen.suppressed_writes += usize::from(closes < limit);
+            self.counts.suppressed_writes += usize::from(closes < limit);
             let never = if self.chance(50) { Outcome::NotSent } else { Outcome::ConnectFailed };
             let outcome = if closes < limit { never } else { Outcome::TimedOut };
             return if limit.min(closes) < Micros::MAX {
--- a/crates/decision/tests/balancer.rs
+++ b/crates/decision/tests/balancer.rs
@@ -96,7 +96,7 @@
     let server = node.place(1);
     node.end(1, server, Outcome::Full, true);
     assert!(sent(&node.ask(2, 2 * S)).is_none());
-    assert!(!refused(&node.done));
+    assert!(!rejected(&node.done));
     let later = node.run_to(102 * S + 300 * MS);
     assert!(sent(&later).is_some(), "held work leaves as the pause lapses: {later:?}");
 }
@@ -117,8 +117,8 @@
 #[test]
 fn rejects_after_one_pause_without_deadline() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 0);
-    assert!(!refused(&node.notify(Event::Request(request(1, None)))));
-    assert!(refused(&node.run_to(103 * S)));
+    assert!(!rejected(&node.notify(Event::Request(request(1, None)))));
+    assert!(rejected(&node.run_to(103 * S)));
 }
 
 #[test]
@@ -126,7 +126,7 @@
     let mut node = Node::new(Settings::default(), 0);
     node.ask(1, 1500 * MS);
     node.run_to(102 * S);
-    assert!(failed(&node.done) || refused(&node.done));
+    assert!(failed(&node.done) || rejected(&node.done));
 }
 
 /// Once an attempt of it may have run.
@@ -136,7 +136,7 @@
     let server = node.place(1);
     let (server, _) = sent(&node.end(1, server, Outcome::ConnectFailed, false)).expect("never ran: again");
     let end = node.end(1, server, Outcome::Error, false);
-    assert!(sent(&end).is_none() && failed(&end) && !refused(&end), "{end:?}");
+    assert!(sent(&end).is_none() && failed(&end) && !rejected(&end), "{end:?}");
 }
 
 #[test]
@@ -158,7 +158,7 @@
     let mut node = Node::new(settings(keyed(Scope::All)), 2);
     let at = node.place(1);
     node.now += 700 * MS;
-    assert!(refused(&node.end(1, at, Outcome::TimedOut, false)), "with all in the group a refusal is fair");
+    assert!(rejected(&node.end(1, at, Outcome::TimedOut, false)), "with all in the group a refusal is fair");
 }
 
 #[test]
@@ -201,7 +201,7 @@
         server = sent(&node.end(1, server, Outcome::ConnectFailed, false)).unwrap().0;
     }
     let end = node.end(1, server, Outcome::ConnectFailed, false);
-    assert!(sent(&end).is_none() && refused(&end));
+    assert!(sent(&end).is_none() && rejected(&end));
 }
 
 #[test]
@@ -213,7 +213,7 @@
     node.notify(Event::ClientClosed(RequestId(2)));
     node.done.clear();
     node.run_to(110 * S);
-    assert!(sent(&node.done).is_none() && !refused(&node.done));
+    assert!(sent(&node.done).is_none() && !rejected(&node.done));
 }
 
 #[test]
@@ -260,9 +260,9 @@
 fn reconnect_storm_does_not_overload_warming_server() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 4);
     node.carry(0..40, 250 * MS);
-    let mut cold = entry(9, ServerState::Ready);
-    cold.started = Some(node.now);
-    node.notify(Event::List { full: false, copy: false, entries: vec![cold] });
+    let mut warming = entry(9, ServerState::Ready);
+    warming.started = Some(node.now);
+    node.notify(Event::List { full: false, copy: false, entries: vec![warming] });
     let mut storm = 0;
     for id in 1000..1400 {
         node.run_to(node.now + 2 * MS);
@@ -334,12 +334,12 @@
     let ask = |id| Request { group: Some(4711), ..request(id, Some(2 * S)) };
     node.carry(100..160, 100 * MS);
     let (first, _) = sent(&node.notify(Event::Request(ask(1)))).unwrap();
-    let mut homes = vec![first];
-    while let Some((next, _)) = sent(&node.end(1, homes[homes.len() - 1], Outcome::Full, false)) {
-        assert!(!homes.contains(&next), "another home of the group's");
-        homes.push(next);
+    let mut members = vec![first];
+    while let Some((next, _)) = sent(&node.end(1, members[members.len() - 1], Outcome::Full, false)) {
+        assert!(!members.contains(&next), "another home of the group's");
+        members.push(next);
     }
-    assert_eq!(homes.len(), 5, "held, not spread");
+    assert_eq!(members.len(), 5, "held, not spread");
     assert!(sent(&node.notify(Event::Request(ask(2)))).is_none());
     let later = node.now + 2 * S;
     assert!(sent(&node.run_to(later)).is_some(), "released as a pause lapses");
@@ -353,14 +353,14 @@
         node.place(id);
         node.begin(id, ServerId(0));
     }
-    let mut moves = |delay| {
+    let mut migrated = |delay| {
         node.now += S;
         let note = Event::LatencyUpdate { server: ServerId(0), latency: delay };
         node.notify(note).iter().filter(|a| matches!(a, Action::Migrate(_))).count()
     };
-    assert!(moves(500 * MS) > 0);
-    assert_eq!(moves(300 * MS), 0);
-    assert!(moves(290 * MS) > 0, "it falls too slowly");
+    assert!(migrated(500 * MS) > 0);
+    assert_eq!(migrated(300 * MS), 0);
+    assert!(migrated(290 * MS) > 0, "it falls too slowly");
 }
 
 /// Incident i118c6b: in overload a node always found a server of which it knew nothing, and kept nobody out.
@@ -413,12 +413,12 @@
     let there = node.placed_at(ServerId(0));
     assert!(there.len() >= 8, "{there:?}");
     let draining = Event::List { full: false, copy: false, entries: vec![entry(0, ServerState::Draining)] };
-    let mut moved = moves(&node.notify(draining));
+    let mut moved = migrated(&node.notify(draining));
     assert!(moved.len() <= 1, "not at once: {moved:?}");
     let notified = node.now;
-    moved.extend(moves(&node.run_to(notified + S)));
+    moved.extend(migrated(&node.run_to(notified + S)));
     assert!((2..there.len()).contains(&moved.len()), "spread over the time: {moved:?}");
-    moved.extend(moves(&node.run_to(notified + 2 * S + 200 * MS)));
+    moved.extend(migrated(&node.run_to(notified + 2 * S + 200 * MS)));
     moved.sort_unstable();
     assert_eq!(moved, there, "each is told to move, once, and no other server's");
 }
@@ -520,7 +520,7 @@
         Event::List { full: false, copy: false, entries: vec![entry(late.0, ServerState::Draining)] };
     node.notify(draining);
     node.run_to(node.now + 3 * S);
-    let mut moved = moves(&node.begin(1, late));
-    moved.extend(moves(&node.run_to(node.now + S)));
+    let mut moved = migrated(&node.begin(1, late));
+    moved.extend(migrated(&node.run_to(node.now + S)));
     assert_eq!(moved, [1]);
 }
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -141,7 +141,7 @@
     })
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
@@ -149,7 +149,7 @@
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
-pub fn moves(actions: &[Action]) -> Vec<u64> {
+pub fn migrated(actions: &[Action]) -> Vec<u64> {
     let moved = |a: &Action| if let Action::Migrate(request) = a { Some(request.0) } else { None };
     actions.iter().filter_map(moved).collect()
 }
--- a/crates/decision/tests/routing_rules.rs
+++ b/crates/decision/tests/routing_rules.rs
@@ -83,7 +83,7 @@
     let later = node.run_to(node.now + 2 * S);
     let to = sent(&later).map(|(server, _)| server);
     assert!(
-        refused(&queued) || refused(&later) || to.is_some_and(|to| [1, 4].contains(&to.0)),
+        rejected(&queued) || rejected(&later) || to.is_some_and(|to| [1, 4].contains(&to.0)),
         "{queued:?} {later:?}"
     );
     assert_eq!(
@@ -97,10 +97,10 @@
     let (mut node, rules) = under(settings(Idempotency::Idempotent), 3);
     rules.set(allow(&[7]));
     let answer = node.ask(1, 500 * MS);
-    assert!(refused(&answer), "what cannot wait for a pause is refused at once: {answer:?}");
+    assert!(rejected(&answer), "what cannot wait for a pause is refused at once: {answer:?}");
     node.ask(2, 3 * S);
     let later = node.run_to(node.now + 4 * S);
-    assert!(refused(&later) && sent(&later).is_none(), "{later:?}");
+    assert!(rejected(&later) && sent(&later).is_none(), "{later:?}");
 }
 
 #[test]
@@ -116,7 +116,7 @@
     assert_eq!(sent(&node.notify(Event::RulesChanged)).map(|(server, _)| server), Some(ServerId(2)));
     // One that was queued under the old rules, and is rejected under new ones.
     rules.set(allow(&[]));
-    assert!(!refused(&node.ask(2, 20 * S)));
+    assert!(!rejected(&node.ask(2, 20 * S)));
     rules.set(RoutingVerdict { refuse: Some(700 * MS), ..RoutingVerdict::default() });
     let answer = node.notify(Event::RulesChanged);
     assert!(
@@ -159,7 +159,7 @@
     let at = node.place(3);
     rules.set(uncertain(500 * MS));
     let answer = node.end(3, at, Outcome::TimedOut, false);
-    assert!(failed(&answer) && !refused(&answer) && sent(&answer).is_none(), "{answer:?}");
+    assert!(failed(&answer) && !rejected(&answer) && sent(&answer).is_none(), "{answer:?}");
 }
 
 #[test]
@@ -222,7 +222,7 @@
             last = node.end(1, at, Outcome::Full, false);
         }
         assert_eq!(tries, most);
-        assert!(refused(&last), "{last:?}");
+        assert!(rejected(&last), "{last:?}");
     }
 }
 
@@ -245,13 +245,14 @@
     let (mut node, rules) = under(settings(Idempotency::Idempotent), 1);
     node.carry(0..40, 50 * MS);
     for id in 0..40 {
-        let stay = [None, Some(Stickiness::MigrateLast), Some(Stickiness::UntilDrained)][id as usize % 3];
-        rules.0.borrow_mut().sticky.extend(stay.map(|stay| (RequestId(id), stay)));
+        let stickiness =
+            [None, Some(Stickiness::MigrateLast), Some(Stickiness::UntilDrained)][id as usize % 3];
+        rules.0.borrow_mut().sticky.extend(stickiness.map(|stickiness| (RequestId(id), stickiness)));
     }
     let mut moved = Vec::new();
     for _ in 0..60 {
         node.run_to(node.now + S);
-        moved.extend(moves(&node.notify(Event::LatencyUpdate { server: ServerId(0), latency: 400 * MS })));
+        moved.extend(migrated(&node.notify(Event::LatencyUpdate { server: ServerId(0), latency: 400 * MS })));
     }
     let first_last = moved.iter().position(|id| id % 3 == 1).expect("in the end those go too");
     assert!(
@@ -260,7 +261,7 @@
     assert_eq!(moved.len(), 27, "all but those that stay until it drains");
     node.notify(Event::List { full: false, copy: false, entries: vec![entry(0, ServerState::Draining)] });
     node.run_to(node.now + 5 * S);
-    assert_eq!(moves(&node.done).len(), 40, "and those when it does");
+    assert_eq!(migrated(&node.done).len(), 40, "and those when it does");
 }
 
 /// One thing that happens, in terms that hold for any state.
--- a/crates/decision/tests/short_deadlines.rs
+++ b/crates/decision/tests/short_deadlines.rs
@@ -26,7 +26,7 @@
         let gives_up = node.now + deadline / 2;
         node.end(1, second, Outcome::Full, false);
         node.run_to(gives_up - 1);
-        assert!(refused(&node.done), "{told}: no answer in time");
+        assert!(rejected(&node.done), "{told}: no answer in time");
     }
 }
 
@@ -37,7 +37,7 @@
         let gives_up = node.now + deadline;
         node.ask(1, deadline);
         node.run_to(gives_up - deadline.min(S) / 100);
-        assert!(refused(&node.done), "deadline {} ms", deadline / MS);
+        assert!(rejected(&node.done), "deadline {} ms", deadline / MS);
     }
 }
 
@@ -47,7 +47,7 @@
         let mut node = Node::new(patience(deadline, 1), 1);
         assert!(sent(&node.ask(1, 60 * MS)).is_some());
         assert!(
-            refused(&node.ask(2, 60 * MS - 1)),
+            rejected(&node.ask(2, 60 * MS - 1)),
             "a later try of a patient client, which brings too little"
         );
     }
@@ -78,11 +78,11 @@
             assert!(sent(&node.end(1, at, Outcome::Reset, false)).is_none(), "paused, nothing else is there");
             node.run_to(begun + window - 1);
             assert!(
-                !refused(&node.done) && !failed(&node.done),
+                !rejected(&node.done) && !failed(&node.done),
                 "{scope:?} {window}: it may still be repeated"
             );
             node.run_to(begun + window + MS);
-            let answered = if refusable { refused(&node.done) } else { failed(&node.done) };
+            let answered = if refusable { rejected(&node.done) } else { failed(&node.done) };
             assert!(answered, "{scope:?}, window {} ms: held beyond its end", window / MS);
         }
     }
--- a/crates/decision/tests/slow_start_fleet.rs
+++ b/crates/decision/tests/slow_start_fleet.rs
@@ -341,13 +341,13 @@
         let is_half = self.plan.status_mode == StatusMode::Half;
         for node in (0..count).filter(|node| !is_half || node % 2 == 0) {
             let (members, connections) = sums[side(node)];
-            let tier = FleetStatus {
+            let status = FleetStatus {
                 nodes: members,
                 demand_share: self.connections[node] / connections.max(1.0),
                 failure_rate: 0.0,
             };
             if self.nodes[node].is_some() {
-                self.notify(node, now, Event::Fleet(tier));
+                self.notify(node, now, Event::Fleet(status));
             }
         }
         self.counted.iter_mut().for_each(|counted| *counted *= 0.7);
--- a/crates/rule-compiler/tests/common/mod.rs
+++ b/crates/rule-compiler/tests/common/mod.rs
@@ -53,13 +53,13 @@
 fn groups() -> impl Strategy<Value = Vec<GroupRange>> {
     let some = vec(range(), 1..3).prop_map(|mut ranges| {
         ranges.sort();
-        let mut kept: Vec<GroupRange> = Vec::new();
+        let mut included: Vec<GroupRange> = Vec::new();
         for range in ranges {
-            if kept.last().is_none_or(|last| last.last < range.first) {
-                kept.push(range);
+            if included.last().is_none_or(|last| last.last < range.first) {
+                included.push(range);
             }
         }
-        kept
+        included
     });
     prop_oneof![Just(Vec::new()), some]
 }
--- a/crates/rule-compiler/tests/compile.rs
+++ b/crates/rule-compiler/tests/compile.rs
@@ -40,10 +40,10 @@
         for rule in &matching {
             match &rule.kind {
                 RuleKind::Cap { connections, halls, hardware } if selects_node(halls, hardware, &node) => {
-                    let held = lookup.caps().any(|(_, cap, nodes)| {
+                    let assigned = lookup.caps().any(|(_, cap, nodes)| {
                         cap <= *connections && nodes.halls == *halls && nodes.hardware == *hardware
                     });
-                    prop_assert!(held, "{rule:?} isn't held on {node:?}");
+                    prop_assert!(assigned, "{rule:?} isn't held on {node:?}");
                 }
                 RuleKind::Move { when } => {
                     prop_assert!(lookup.move_when_on(&node) >= Some(*when));
