--- a/crates/cottonnotch/src/net/driver/acceptor.rs
+++ b/crates/cottonnotch/src/net/driver/acceptor.rs
@@ -1,8 +1,10 @@
 //! The acceptor: clients are accepted, and those that have sent no request yet are evicted where descriptors run short.
 
-use super::context::{ACCEPT_CLIENTS, Context, LOG_TARGET};
+use super::context::{ACCEPT_CLIENTS, Context};
+use super::log_target::LOG_TARGET;
 use super::unregistered_clients::UnregisteredClients;
 use crate::net::client_connection::ClientConnection;
+use crate::net::final_answer::FULL_RETRY_AFTER;
 use crate::net::management::admin_server::MAX_ADMIN_CONNECTIONS;
 use crate::net::network_event::NetworkEvent;
 use cottonnotch_decision::Micros;
@@ -32,8 +34,6 @@
 const CLOSE_AFTER: Micros = 5_000;
 /// It closes all the same after this, though some are left for whom there is no capacity.
 const CLOSE_AT_LATEST: Micros = 1_500_000;
-/// The Retry-After of a client for which there is no descriptor.
-pub const FULL_RETRY_AFTER: Micros = 1_000_000;
 
 /// What a descriptor is needed for.
 #[derive(Clone, Copy, Debug)]
--- a/crates/cottonnotch/src/net/driver/audit.rs
+++ b/crates/cottonnotch/src/net/driver/audit.rs
@@ -1,7 +1,7 @@
 //! The audit of requests: the guard checks every step against the rules, each close, retry and rejection is counted by its
 //! reason, and each change of a request's state is in the log (`debug`) under its id.
 
-use super::context::LOG_TARGET;
+use super::log_target::LOG_TARGET;
 use super::request_table::TrackedRequest;
 use cottonnotch_decision::{Entry, Micros, Outcome, RejectionReason, Request, RequestId, ServerId, Settings};
 use cottonnotch_proxy_core::{FinalAnswer, Guard, GuardResult, ListScope, Violation};
@@ -178,7 +178,7 @@
         }
     }
 
-    pub(super) fn count(&mut self, step: Step, reason: &'static str) {
+    pub fn count(&mut self, step: Step, reason: &'static str) {
         *self.reasons.entry((step, reason)).or_default() += 1;
     }
 }
@@ -212,7 +212,7 @@
     }
 }
 
-pub(super) fn outcome_name(outcome: Outcome) -> &'static str {
+pub fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "served",
         Outcome::Error => "error",
@@ -225,7 +225,7 @@
     }
 }
 
-pub(super) fn rejection_name(reason: RejectionReason) -> &'static str {
+pub fn rejection_name(reason: RejectionReason) -> &'static str {
     match reason {
         RejectionReason::ShuttingDown => "leaving",
         RejectionReason::AttemptsExhausted => "attempts_spent",
--- a/crates/cottonnotch/src/net/driver/clients/admission.rs
+++ b/crates/cottonnotch/src/net/driver/clients/admission.rs
@@ -3,11 +3,13 @@
 use super::Clients;
 use crate::config::Config;
 use crate::net::connection_request::ConnectionRequest;
-use crate::net::driver::acceptor::{Acceptor, FULL_RETRY_AFTER};
-use crate::net::driver::context::{Context, LOG_TARGET};
+use crate::net::driver::acceptor::Acceptor;
+use crate::net::driver::context::Context;
 use crate::net::driver::endpoints::Endpoints;
+use crate::net::driver::log_target::LOG_TARGET;
 use crate::net::driver::message_latency::MessageLatency;
 use crate::net::driver::request_table::{Stage, TrackedRequest};
+use crate::net::final_answer::FULL_RETRY_AFTER;
 use crate::net::request_error::RequestError;
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_decision::{ClassId, Event, Request, RequestId, TenantId};
--- a/crates/cottonnotch/src/net/driver/context.rs
+++ b/crates/cottonnotch/src/net/driver/context.rs
@@ -2,6 +2,7 @@
 
 use super::audit::Audit;
 use super::clock_file::ClockFile;
+use super::log_target::LOG_TARGET;
 use super::records::Records;
 use crate::config::Config;
 use crate::net::client_protocol::ClientProtocol;
@@ -27,9 +28,6 @@
 /// Other processes of this proxy are looked at.
 pub const POLL_SIBLINGS: u32 = TICK + 6;
 
-/// The driver's part in the log, whichever of its files writes the line: filters and collectors know it by this.
-pub const LOG_TARGET: &str = "cottonnotch::net::driver";
-
 /// Two readings of the loop's clock around one of the wall clock are no further apart than this, or the sample is void.
 const MAX_SAMPLE_TIME: Micros = 10_000;
 
--- a/crates/cottonnotch/src/net/driver/decisions.rs
+++ b/crates/cottonnotch/src/net/driver/decisions.rs
@@ -2,7 +2,7 @@
 
 use super::Driver;
 use super::clients::AttemptPlan;
-use super::context::LOG_TARGET;
+use super::log_target::LOG_TARGET;
 use cottonnotch_decision::{Action, Event, Micros, Notification, ServerId};
 
 impl Driver {
--- a/crates/cottonnotch/src/net/driver/dispatch.rs
+++ b/crates/cottonnotch/src/net/driver/dispatch.rs
@@ -2,8 +2,9 @@
 //! module.
 
 use super::Driver;
-use super::context::{self, LOG_TARGET};
+use super::context;
 use super::endpoints::UpdateSource;
+use super::log_target::LOG_TARGET;
 use crate::net::network_event::{ClientEvent, NetworkEvent};
 use crate::rules::RulesService;
 use cottonnotch_decision::Event;
--- a/crates/cottonnotch/src/net/driver/endpoints.rs
+++ b/crates/cottonnotch/src/net/driver/endpoints.rs
@@ -1,7 +1,8 @@
 //! The endpoints: the render nodes that discovery has listed, the watch on discovery, and the operators' overrides.
 
-use super::context::{Context, LOG_TARGET};
+use super::context::Context;
 use super::endpoint::{Endpoint, Incarnation};
+use super::log_target::LOG_TARGET;
 use super::message_latency::MessageLatency;
 use crate::maintenance::Maintenance;
 use crate::net::discovery_client::DiscoveryWatch;
--- a/crates/cottonnotch/src/net/driver/hot_restart.rs
+++ b/crates/cottonnotch/src/net/driver/hot_restart.rs
@@ -144,8 +144,8 @@
     fn parse_name(&self, path: &Path) -> Option<(Micros, bool)> {
         let prefix = self.prefix.file_name()?.to_str()?;
         let name = path.file_name()?.to_str()?.strip_prefix(prefix)?.strip_prefix('-')?;
-        let (born, word) = name.split_once('.')?;
-        let is_ready = match word {
+        let (born, state) = name.split_once('.')?;
+        let is_ready = match state {
             READY => true,
             STARTING => false,
             _ => return None,
@@ -184,9 +184,9 @@
     }
 }
 
-fn file_path(prefix: &Path, born: Micros, word: &str) -> PathBuf {
+fn file_path(prefix: &Path, born: Micros, state: &str) -> PathBuf {
     let mut name = prefix.as_os_str().to_owned();
-    name.push(format!("-{born}.{word}"));
+    name.push(format!("-{born}.{state}"));
     PathBuf::from(name)
 }
 
--- a/crates/cottonnotch/src/net/driver/lifecycle.rs
+++ b/crates/cottonnotch/src/net/driver/lifecycle.rs
@@ -1,7 +1,8 @@
 //! The state of the process: its place among other processes of the proxy, its configuration, and its shutdown.
 
-use super::context::{Context, DRAIN_ROUND, LOG_TARGET};
+use super::context::{Context, DRAIN_ROUND};
 use super::hot_restart::HotRestart;
+use super::log_target::LOG_TARGET;
 use super::management::shared_file;
 use super::message_latency::MessageLatency;
 use super::request_table::RequestTable;
--- a/crates/cottonnotch/src/net/driver/management.rs
+++ b/crates/cottonnotch/src/net/driver/management.rs
@@ -1,8 +1,9 @@
 //! The operators' address as the driver has it: connections are accepted, requests get responses, and maintenance by hand
 //! is stored for the other processes of this proxy.
 
-use super::context::{ACCEPT_ADMINS, Context, LOG_TARGET, POLL_SIBLINGS};
+use super::context::{ACCEPT_ADMINS, Context, POLL_SIBLINGS};
 use super::endpoints::Endpoints;
+use super::log_target::LOG_TARGET;
 use super::maintenance_file::{MaintenanceFile, MaintenanceFileError, POLL_INTERVAL};
 use super::message_latency::MessageLatency;
 use crate::maintenance::Maintenance;
--- a/crates/cottonnotch/src/net/driver/peers.rs
+++ b/crates/cottonnotch/src/net/driver/peers.rs
@@ -1,9 +1,10 @@
 //! The other proxies of the fleet: a small fleet gossips, a large one aggregates load reports, and which of them it is, is
 //! settled at the start. Here are the socket, the timer and the log of that; the rest is in `cottonnotch_proxy_core`.
 
-use super::context::{Context, LOG_TARGET, PEERS};
+use super::context::{Context, PEERS};
 use super::endpoints::Endpoints;
 use super::lifecycle::Predecessor;
+use super::log_target::LOG_TARGET;
 use super::message_latency::MessageLatency;
 use crate::config::GossipConfig;
 use crate::net::datagrams::Datagrams;
--- a/crates/cottonnotch/src/net/driver/process.rs
+++ b/crates/cottonnotch/src/net/driver/process.rs
@@ -1,8 +1,9 @@
 //! The life of the process: listening, hot restart, a new configuration, and the shutdown.
 
 use super::Driver;
-use super::context::{Context, LOG_TARGET};
+use super::context::Context;
 use super::lifecycle::{DrainRound, Predecessor, Reloaded};
+use super::log_target::LOG_TARGET;
 use super::peers::{PeerInputs, Peers};
 use crate::rules::RulesService;
 use cottonnotch_decision::Event;
--- a/crates/cottonnotch/src/net/driver/transient_errors.rs
+++ b/crates/cottonnotch/src/net/driver/transient_errors.rs
@@ -1,6 +1,6 @@
 //! Transient errors of the system: for want of memory, buffers or descriptors. A process that starts retries after them.
 
-use super::context::LOG_TARGET;
+use super::log_target::LOG_TARGET;
 use rustix::io::Errno;
 use std::io;
 use std::time::Duration;
--- a/crates/cottonnotch/src/net/driver/unregistered_clients.rs
+++ b/crates/cottonnotch/src/net/driver/unregistered_clients.rs
@@ -1,8 +1,7 @@
 //! Accepted clients whose sockets could not be registered with the poll, for want of memory. They are owed an answer like
 //! any other: registration is tried again, and where that goes on failing they are rejected.
 
-use super::acceptor::FULL_RETRY_AFTER;
-use crate::net::final_answer::busy_line;
+use crate::net::final_answer::{FULL_RETRY_AFTER, busy_line};
 use cottonnotch_decision::Micros;
 use mio::net::TcpStream;
 use std::collections::VecDeque;
@@ -85,8 +84,8 @@
     /// Tells the client to come again; `None` if it is gone.
     fn answer(mut self, now: Micros) -> Option<UnregisteredClient> {
         // The socket is new and empty: so short a line fits.
-        let told = self.stream.write_all(busy_line(FULL_RETRY_AFTER).as_bytes());
-        told.and_then(|()| self.stream.shutdown(Shutdown::Write)).ok()?;
+        let sent = self.stream.write_all(busy_line(FULL_RETRY_AFTER).as_bytes());
+        sent.and_then(|()| self.stream.shutdown(Shutdown::Write)).ok()?;
         self.since = now;
         Some(self)
     }
--- a/crates/cottonnotch/src/net/final_answer.rs
+++ b/crates/cottonnotch/src/net/final_answer.rs
@@ -3,6 +3,8 @@
 use cottonnotch_decision::Micros;
 use std::fmt::Display;
 
+/// The Retry-After of a client for which there is no descriptor.
+pub const FULL_RETRY_AFTER: Micros = 1_000_000;
 /// Sent to a client that is migrated: it comes back by itself.
 pub const MOVE: &str = "MOVE\r\n";
 
--- a/crates/cottonnotch/tests/clock_steps.rs
+++ b/crates/cottonnotch/tests/clock_steps.rs
@@ -12,7 +12,7 @@
 
 const HOUR: i64 = 3_600_000_000;
 /// Two render nodes share 40 connections that fill them in 9 s. Cold, one bears 3 times 0.3 of that: 4 in a window of 2 s.
-const COLD: &str = r#"{"balancers":1,"ordinal":0,"zones":["a"],"zone":"a","registryMode":"on_request",
+const WARMING_UP: &str = r#"{"balancers":1,"ordinal":0,"zones":["a"],"zone":"a","registryMode":"on_request",
     "policyLimits":{"mostTries":3,"connectTimeout":250000,"retryAfter":true,"maxRetryAfter":1000000},
     "familyInfo":{"messageAim":[150000.0],"tenantQuotaConnections":[40.0]},
     "tenants":[{"name":"t","share":1.0,"allowancePerS":1000.0}],
@@ -21,17 +21,17 @@
 /// The standing test's bound for 4 in a window: N + 3 x root of N + 3.
 const BEARS: usize = 13;
 
-/// A render node that brings up whoever comes, and counts them. It ends with the test's process.
-struct Counting {
+/// A render node that accepts and counts every connection. It ends with the test's process.
+struct CountingNode {
     address: SocketAddr,
-    came: Arc<AtomicUsize>,
+    accepted: Arc<AtomicUsize>,
 }
 
-impl Counting {
+impl CountingNode {
     fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (address, came) = (listener.local_addr().unwrap(), Arc::new(AtomicUsize::new(0)));
-        let counted = Arc::clone(&came);
+        let (address, accepted) = (listener.local_addr().unwrap(), Arc::new(AtomicUsize::new(0)));
+        let counted = Arc::clone(&accepted);
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let mut stream = stream.unwrap();
@@ -42,11 +42,11 @@
                 });
             }
         });
-        Counting { address, came }
+        CountingNode { address, accepted }
     }
 
-    fn came(&self) -> usize {
-        self.came.load(Ordering::SeqCst)
+    fn accepted(&self) -> usize {
+        self.accepted.load(Ordering::SeqCst)
     }
 
     /// As a list has it; it started at that Unix time, in milliseconds, or long ago.
@@ -75,19 +75,19 @@
 /// stepped: how many of forty clients the new one gets, at once and when `wait` has passed.
 fn after_a_step(step: i64, warm_up: i64, wait: Duration) -> (usize, usize) {
     let shims = Shims::new();
-    let (warm, cold) = (Counting::new(), Counting::new());
-    let settings = COLD.replace("WARM_UP", &warm_up.to_string());
+    let (warm, cold) = (CountingNode::new(), CountingNode::new());
+    let settings = WARMING_UP.replace("WARM_UP", &warm_up.to_string());
     let proxy = Proxy::with_endpoints_by(shims.command(None), &[warm.member("s0", 0)], &settings);
     let (mut watch, _) = proxy.discovery.accept_watch();
     shims.set(Setting::WallOffset, step);
     watch.send(&chunk(&list(2, false, &[cold.member("s1", wall_ms(step))])));
     wait_for(TIMEOUT, "the list", || (proxy.metric("known_render_nodes") == Some(2)).then_some(()));
     let first = crowd(&proxy, 40);
-    let at_once = cold.came();
+    let at_once = cold.accepted();
     drop(first);
     std::thread::sleep(wait);
     let _second = crowd(&proxy, 40);
-    (at_once, cold.came() - at_once)
+    (at_once, cold.accepted() - at_once)
 }
 
 /// A node that starts after a step back by an hour is warming up.
@@ -117,8 +117,8 @@
 fn later_process_sees_node_started_before_step_as_warming_up() {
     let shims = Shims::new();
     let folder = tempfile::tempdir().unwrap();
-    let (warm, cold) = (Counting::new(), Counting::new());
-    let settings = COLD.replace("WARM_UP", "9000000");
+    let (warm, cold) = (CountingNode::new(), CountingNode::new());
+    let settings = WARMING_UP.replace("WARM_UP", "9000000");
     let address = free_address();
     let start = |known: &[String]| {
         let mut command = shims.command(None);
@@ -131,7 +131,7 @@
     shims.set(Setting::WallOffset, HOUR);
     let second = start(&[warm.member("s0", 0), cold.member("s1", started)]);
     let _clients = crowd(&second, 40);
-    assert!(cold.came() <= BEARS, "{} connections for a node that bears {BEARS}", cold.came());
+    assert!(cold.accepted() <= BEARS, "{} connections for a node that bears {BEARS}", cold.accepted());
 }
 
 /// Who is the earlier of two processes is no matter of the wall clock.
--- a/crates/cottonnotch/tests/endings/attempts.rs
+++ b/crates/cottonnotch/tests/endings/attempts.rs
@@ -329,7 +329,7 @@
     let proxy = Proxy::with(&[&dead, &node], 1024, &effect(&patient(), UNSAFE));
     let alone = Proxy::with(&[&dead], 1024, &effect(&patient(), UNSAFE));
     drop(dead);
-    let _held: Vec<(ScriptedPeer, ScriptedPeer)> =
+    let _open_peers: Vec<(ScriptedPeer, ScriptedPeer)> =
         (0..4).map(|_| (open(&proxy), node.accept_attempt().0)).collect();
     let answer = open_for(&alone, 300).receive_rest().unwrap();
     assert!(is_refusal(&answer), "{answer}");
--- a/crates/cottonnotch/tests/endings/lists.rs
+++ b/crates/cottonnotch/tests/endings/lists.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 /// What the silence of a watch, or of a call that waits, may cost: from then on what it missed counts as told.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
+const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
 
 /// Two render nodes, of which the proxy knows the first; a client that is up there, and its far end.
 fn served() -> (Proxy, [ScriptedServer; 2], ScriptedPeer, ScriptedPeer) {
@@ -50,7 +50,7 @@
     assert!(asked.contains("from=1 "), "{asked}");
     assert!(proxy.wait_for_log("watch on discovery lost").contains("it is silent"));
     watch.send(&chunk(&drain(2, &nodes)));
-    assert!(begun.elapsed() < TOLD_AFTER, "{:?}", begun.elapsed());
+    assert!(begun.elapsed() < NOTIFIED_AFTER, "{:?}", begun.elapsed());
     is_obeyed(&proxy, &nodes, client);
 }
 
@@ -64,10 +64,10 @@
     let begun = Instant::now();
     is_served(&proxy, &nodes);
     let (mut watch, asked) = proxy.discovery.accept_watch();
-    assert!(begun.elapsed() < TOLD_AFTER - Duration::from_secs(1), "{:?}", begun.elapsed());
+    assert!(begun.elapsed() < NOTIFIED_AFTER - Duration::from_secs(1), "{:?}", begun.elapsed());
     assert!(asked.contains("from=1 "), "{asked}");
     watch.send(&chunk(&drain(2, &nodes)));
-    assert!(begun.elapsed() < TOLD_AFTER, "{:?}", begun.elapsed());
+    assert!(begun.elapsed() < NOTIFIED_AFTER, "{:?}", begun.elapsed());
     is_obeyed(&proxy, &nodes, client);
 }
 
@@ -167,7 +167,7 @@
 
 /// The next call, within that time after the last one went out.
 fn called_again(proxy: &Proxy, begun: Instant) -> ScriptedPeer {
-    let mut call = wait_for(3 * TOLD_AFTER, "the next call", || proxy.discovery.poll());
+    let mut call = wait_for(3 * NOTIFIED_AFTER, "the next call", || proxy.discovery.poll());
     assert!(begun.elapsed() < CALLED_AGAIN, "{:?}", begun.elapsed());
     while call.receive() != "\r\n" {}
     call
@@ -201,7 +201,7 @@
         let begun = Instant::now();
         call.send(told);
         let mut bytes = dripping.chars();
-        let mut next = wait_for(3 * TOLD_AFTER, "the next call", || {
+        let mut next = wait_for(3 * NOTIFIED_AFTER, "the next call", || {
             // It may be closed already.
             let _ = call.try_send(&bytes.next()?.to_string());
             std::thread::sleep(Duration::from_millis(300));
--- a/crates/cottonnotch/tests/gossip.rs
+++ b/crates/cottonnotch/tests/gossip.rs
@@ -22,27 +22,27 @@
 
 /// An address for each member; the first one is the proxy's. A part of the loopback network for each story.
 fn addresses(members: u8) -> Vec<SocketAddr> {
-    static STORY: AtomicU8 = AtomicU8::new(1);
-    let (story, process) = (STORY.fetch_add(1, Ordering::Relaxed), std::process::id());
+    static SCENARIO: AtomicU8 = AtomicU8::new(1);
+    let (story, process) = (SCENARIO.fetch_add(1, Ordering::Relaxed), std::process::id());
     let at = |member| Ipv4Addr::new(127, 8, story, (process % 120) as u8 * 2 + 1 + member % 2);
     (0..members).map(|member| SocketAddr::from((at(member), 7946 + u16::from(member)))).collect()
 }
 
 /// A member that a story plays.
-struct Played {
+struct SimulatedPeer {
     gossip: Gossip,
     socket: UdpSocket,
     addresses: Vec<SocketAddr>,
     began: Instant,
     own: Vec<Entry>,
     told: Instant,
-    /// What it heard of the proxy's subchannels, the newest of each.
-    heard: Vec<Entry>,
+    /// What it received of the proxy's subchannels, the newest of each.
+    received: Vec<Entry>,
     states: Vec<State>,
     datagrams: Vec<usize>,
 }
 
-impl Played {
+impl SimulatedPeer {
     fn new(addresses: &[SocketAddr], me: u32, strength: Strength, keys: Keys) -> Self {
         let files = ["a".into()].into_iter().take(usize::from(strength != Strength::Address)).collect();
         let section =
@@ -53,15 +53,15 @@
         let socket = UdpSocket::bind(addresses[me as usize]).unwrap();
         socket.set_nonblocking(true).unwrap();
         let (began, own) = (Instant::now(), Vec::new());
-        let (heard, states, datagrams) = (Vec::new(), Vec::new(), Vec::new());
-        Played {
+        let (received, states, datagrams) = (Vec::new(), Vec::new(), Vec::new());
+        SimulatedPeer {
             gossip,
             socket,
             addresses: addresses.to_vec(),
             began,
             own,
             told: began,
-            heard,
+            received,
             states,
             datagrams,
         }
@@ -75,7 +75,7 @@
         self.began.elapsed().as_micros() as i64
     }
 
-    /// One round: hears, tells, sends.
+    /// One round: hears, report, sends.
     fn play(&mut self) {
         let mut bytes = [0; 512];
         while let Ok((length, from)) = self.socket.recv_from(&mut bytes) {
@@ -101,13 +101,13 @@
                     }) else {
                         continue;
                     };
-                    // Whoever is not there hears nothing.
+                    // A peer that is not there receives nothing.
                     let _ = self.socket.send_to(&bytes, to);
                 }
                 Output::PeerReport { from: 0, entries } => {
                     for entry in entries {
-                        self.heard.retain(|old| old.endpoint != entry.endpoint);
-                        self.heard.push(entry);
+                        self.received.retain(|old| old.endpoint != entry.endpoint);
+                        self.received.push(entry);
                     }
                 }
                 Output::Member { ordinal: 0, state, .. } => self.states.push(state),
@@ -117,10 +117,10 @@
     }
 
     fn of(&self, name: &str) -> Option<Entry> {
-        self.heard.iter().find(|entry| entry.endpoint == EndpointDigest::of(name)).copied()
+        self.received.iter().find(|entry| entry.endpoint == EndpointDigest::of(name)).copied()
     }
 
-    fn tells(&mut self, name: &str, load: u64, evidence: Evidence) {
+    fn report(&mut self, name: &str, load: u64, evidence: Evidence) {
         let load = Load::from_micros_per_s(load);
         let standing = u32::from(load != Load::default());
         let entry =
@@ -130,21 +130,25 @@
     }
 }
 
-/// Plays all members until `look` finds something.
-fn until<T>(what: &str, played: &mut [&mut Played], mut look: impl FnMut(&[&mut Played]) -> Option<T>) -> T {
+/// Runs all members until `look` finds something.
+fn until<T>(
+    what: &str,
+    simulated: &mut [&mut SimulatedPeer],
+    mut look: impl FnMut(&[&mut SimulatedPeer]) -> Option<T>,
+) -> T {
     wait_for(TIMEOUT, what, || {
-        played.iter_mut().for_each(|one| one.play());
-        look(played)
+        simulated.iter_mut().for_each(|one| one.play());
+        look(simulated)
     })
 }
 
-/// Plays them for a while.
-fn play_for(time: Duration, played: &mut [&mut Played]) {
+/// Runs them for a while.
+fn play_for(time: Duration, simulated: &mut [&mut SimulatedPeer]) {
     let begun = Instant::now();
-    until("the time to pass", played, |_| (begun.elapsed() >= time).then_some(()));
+    until("the time to pass", simulated, |_| (begun.elapsed() >= time).then_some(()));
 }
 
-/// A proxy of a tier with these addresses, the first one its own.
+/// A proxy of a fleet with these addresses, the first one its own.
 fn proxy(folder: &TempDir, addresses: &[SocketAddr], operator: &str, nodes: &[&ScriptedServer]) -> Proxy {
     let path = folder.path().join("operator.toml");
     std::fs::write(&path, operator).unwrap();
@@ -153,7 +157,7 @@
     Proxy::by(command, nodes, 1024, &settings(addresses))
 }
 
-/// The settings, and what else the platform tells of the tier.
+/// The settings, and what else the platform report of the tier.
 fn settings(addresses: &[SocketAddr]) -> String {
     let members = addresses.len();
     let all: Vec<String> = addresses.iter().map(|address| format!("\"{address}\"")).collect();
@@ -188,16 +192,18 @@
 fn gossips_established_connections_and_their_end() {
     let (folder, at, node) = (TempDir::new().unwrap(), addresses(2), ScriptedServer::new());
     let proxy = proxy(&folder, &at, BY_ADDRESS, &[&node]);
-    let mut peer = Played::by_address(&at, 1);
+    let mut peer = SimulatedPeer::by_address(&at, 1);
     let (client, mut far) = proxy.establish(&node);
     far.send("LOAD 500000\r\n");
-    let told = until("the standing connection", &mut [&mut peer], |played| {
-        played[0].of("s0").filter(|entry| entry.load.micros_per_s() > 0)
+    let told = until("the standing connection", &mut [&mut peer], |simulated| {
+        simulated[0].of("s0").filter(|entry| entry.load.micros_per_s() > 0)
     });
     assert_eq!((told.connections, told.groups.count_ones()), (1, 1));
     assert!(told.load.micros_per_s().abs_diff(500_000) < 500, "{told:?}");
     drop((client, far));
-    until("its end", &mut [&mut peer], |played| played[0].of("s0").filter(|entry| entry.connections == 0));
+    until("its end", &mut [&mut peer], |simulated| {
+        simulated[0].of("s0").filter(|entry| entry.connections == 0)
+    });
     assert!(peer.datagrams.iter().all(|length| *length <= 256), "{:?}", peer.datagrams);
 }
 
@@ -207,7 +213,7 @@
     let nodes = [ScriptedServer::new(), ScriptedServer::new(), ScriptedServer::new()];
     let (folder, at) = (TempDir::new().unwrap(), addresses(2));
     let proxy = proxy(&folder, &at, BY_ADDRESS, &[&nodes[0], &nodes[1], &nodes[2]]);
-    let mut peer = Played::by_address(&at, 1);
+    let mut peer = SimulatedPeer::by_address(&at, 1);
     let open = || {
         let mut client = proxy.connect();
         client.send(&with_fresh_id(&OPEN.replace(",g=5c0f", "")));
@@ -218,9 +224,9 @@
         (at, client, far)
     };
     let first: Vec<_> = (0..3).map(|_| open()).collect();
-    peer.tells("s1", 3_000_000, Evidence::default());
-    peer.tells("s0", 1_000, Evidence::default());
-    peer.tells("s2", 1_000, Evidence::default());
+    peer.report("s1", 3_000_000, Evidence::default());
+    peer.report("s0", 1_000, Evidence::default());
+    peer.report("s2", 1_000, Evidence::default());
     // It takes a datagram and a look once a second, whenever these come.
     let mut kept = Vec::new();
     until("a round without it", &mut [&mut peer], |_| {
@@ -242,9 +248,9 @@
     // A stranger that keeps the protocol: only its address gives it away.
     let mut elsewhere = at.clone();
     elsewhere[1] = addresses(2)[1];
-    let mut stranger = Played::by_address(&elsewhere, 1);
+    let mut stranger = SimulatedPeer::by_address(&elsewhere, 1);
     for name in ["s0", "s1", "s2"] {
-        stranger.tells(name, 9_000_000, Evidence { failed: 9, ..Evidence::default() });
+        stranger.report(name, 9_000_000, Evidence { failed: 9, ..Evidence::default() });
     }
     let known = UdpSocket::bind(at[1]).unwrap();
     for length in [0, 1, 20, 255, 256, 257, 500] {
@@ -272,10 +278,14 @@
 fn announces_leaving_at_shutdown() {
     let (folder, at, node) = (TempDir::new().unwrap(), addresses(2), ScriptedServer::new());
     let mut proxy = proxy(&folder, &at, BY_ADDRESS, &[&node]);
-    let mut peer = Played::by_address(&at, 1);
-    until("the proxy", &mut [&mut peer], |played| played[0].states.contains(&State::Alive).then_some(()));
+    let mut peer = SimulatedPeer::by_address(&at, 1);
+    until("the proxy", &mut [&mut peer], |simulated| {
+        simulated[0].states.contains(&State::Alive).then_some(())
+    });
     proxy.terminate();
-    until("its farewell", &mut [&mut peer], |played| played[0].states.contains(&State::Left).then_some(()));
+    until("its farewell", &mut [&mut peer], |simulated| {
+        simulated[0].states.contains(&State::Left).then_some(())
+    });
     assert!(proxy.wait_for_exit().success());
     assert!(!peer.states.contains(&State::Dead), "{:?}", peer.states);
 }
@@ -286,10 +296,10 @@
     let (folder, at, node) = (TempDir::new().unwrap(), addresses(2), ScriptedServer::new());
     let proxy = proxy(&folder, &at, &shared(folder.path(), &[0]), &[&node]);
     let _up = proxy.establish(&node);
-    let hears = |peer: &mut Played| {
-        peer.heard.clear();
+    let hears = |peer: &mut SimulatedPeer| {
+        peer.received.clear();
         peer.play();
-        peer.heard.clear();
+        peer.received.clear();
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_millis(2500) {
             peer.play();
@@ -300,8 +310,8 @@
         }
         false
     };
-    let mut peer = Played::new(&at, 1, Strength::Shared, shared_keys(&[0]));
-    until("the first key", &mut [&mut peer], |played| played[0].of("s0"));
+    let mut peer = SimulatedPeer::new(&at, 1, Strength::Shared, shared_keys(&[0]));
+    until("the first key", &mut [&mut peer], |simulated| simulated[0].of("s0"));
     // The new one is added as second, then put first, then the old one goes: both sides hear all the while.
     for (theirs, ours) in
         [([0, 1].as_slice(), [0].as_slice()), (&[0, 1], &[0, 1]), (&[1, 0], &[0, 1]), (&[1, 0], &[1, 0])]
@@ -362,11 +372,12 @@
 
 // ---- the fleet view ----
 
-const BY_KEEPER: &str = "[gossip]\nstrength = \"address\"\n[fleet]\nmembers_from = 4\nperiod_ms = 200\n";
+const WITH_AGGREGATOR: &str =
+    "[gossip]\nstrength = \"address\"\n[fleet]\nmembers_from = 4\nperiod_ms = 200\n";
 
 /// A tier in which this proxy, number 0, is far from being keeper for as long as a story lasts: the order follows from Unix time.
 /// In some epochs it is near in tiers of any size, and a later one is waited for.
-fn tier_without_own_turn() -> (u8, Vec<Vec<u32>>) {
+fn fleet_without_own_turn() -> (u8, Vec<Vec<u32>>) {
     let far = |order: &Vec<u32>| order.iter().position(|member| *member == 0).is_none_or(|place| place > 2);
     for _ in 0..20 {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as i64;
@@ -383,7 +394,7 @@
 }
 
 /// The other members' ends, each of which answers as a keeper would: `full` is the render node that all others have filled.
-struct Keepers {
+struct Aggregators {
     ends: Vec<UdpSocket>,
     full: &'static str,
     reports: Vec<Report>,
@@ -391,14 +402,14 @@
     dead: Vec<usize>,
 }
 
-impl Keepers {
+impl Aggregators {
     fn new(addresses: &[SocketAddr], full: &'static str) -> Self {
         let bind = |address: &SocketAddr| {
             let socket = UdpSocket::bind(address).unwrap();
             socket.set_nonblocking(true).unwrap();
             socket
         };
-        Keepers {
+        Aggregators {
             ends: addresses[1..].iter().map(bind).collect(),
             full,
             reports: Vec::new(),
@@ -448,12 +459,12 @@
 #[test]
 fn avoids_node_that_aggregator_reports_full() {
     let nodes = [ScriptedServer::new(), ScriptedServer::new(), ScriptedServer::new()];
-    let (folder, at) = (TempDir::new().unwrap(), addresses(tier_without_own_turn().0));
-    let mut keepers = Keepers::new(&at, "s1");
-    let proxy = proxy(&folder, &at, BY_KEEPER, &[&nodes[0], &nodes[1], &nodes[2]]);
+    let (folder, at) = (TempDir::new().unwrap(), addresses(fleet_without_own_turn().0));
+    let mut aggregators = Aggregators::new(&at, "s1");
+    let proxy = proxy(&folder, &at, WITH_AGGREGATOR, &[&nodes[0], &nodes[1], &nodes[2]]);
     let mut kept = Vec::new();
     wait_for(TIMEOUT, "rounds without it", || {
-        keepers.play();
+        aggregators.play();
         let round: Vec<_> = (0..6)
             .map(|_| {
                 let mut client = proxy.connect();
@@ -471,25 +482,25 @@
         avoided.then_some(())
     });
     wait_for(TIMEOUT, "its own report", || {
-        keepers.play();
+        aggregators.play();
         let told =
             |report: &Report| report.totals.connections > 0 && report.entries.iter().any(|e| e.load > 0.0);
         std::thread::sleep(Duration::from_millis(20));
-        keepers.reports.iter().any(told).then_some(())
+        aggregators.reports.iter().any(told).then_some(())
     });
 }
 
 /// A silent aggregator is asked again and then another one.
 #[test]
 fn fails_over_from_silent_aggregator() {
-    let (members, orders) = tier_without_own_turn();
+    let (members, orders) = fleet_without_own_turn();
     let (folder, at, node) = (TempDir::new().unwrap(), addresses(members), ScriptedServer::new());
-    let mut keepers = Keepers::new(&at, "s9");
-    keepers.dead = (0..keepers.ends.len()).collect();
-    let proxy = proxy(&folder, &at, BY_KEEPER, &[&node]);
+    let mut aggregators = Aggregators::new(&at, "s9");
+    aggregators.dead = (0..aggregators.ends.len()).collect();
+    let proxy = proxy(&folder, &at, WITH_AGGREGATOR, &[&node]);
     let mut asked = Vec::new();
     wait_for(TIMEOUT, "the first in order twice, and the next two", || {
-        asked.extend(keepers.play());
+        asked.extend(aggregators.play());
         std::thread::sleep(Duration::from_millis(10));
         let times = |member: u32| asked.iter().filter(|place| **place as u32 + 1 == member).count();
         orders.iter().any(|o| times(o[0]) >= 2 && times(o[1]) >= 1 && times(o[2]) >= 1).then_some(())
--- a/crates/cottonnotch/tests/homes.rs
+++ b/crates/cottonnotch/tests/homes.rs
@@ -123,16 +123,16 @@
                     (from, to, socket)
                 });
                 for (here, there) in [(0, 1), (1, 0)] {
-                    let (from, to, inlet) = ends[here].clone();
-                    let outlet = Arc::clone(&ends[there].2);
+                    let (from, to, receiver) = ends[here].clone();
+                    let sender = Arc::clone(&ends[there].2);
                     let (cut, over, target) = (Arc::clone(&cut), Arc::clone(&over), own[to]);
                     std::thread::spawn(move || {
                         let mut bytes = [0; 512];
                         while !over.load(Ordering::Relaxed) {
-                            // What nobody hears is lost.
-                            let Ok((length, _)) = inlet.recv_from(&mut bytes) else { continue };
+                            // What nobody receives is lost.
+                            let Ok((length, _)) = receiver.recv_from(&mut bytes) else { continue };
                             if !cut[&(from, to)].load(Ordering::Relaxed) {
-                                let _ = outlet.send_to(&bytes[..length], target);
+                                let _ = sender.send_to(&bytes[..length], target);
                             }
                         }
                     });
@@ -154,7 +154,7 @@
     }
 }
 
-struct Tier {
+struct Fleet {
     nodes: Nodes,
     links: Links,
     proxies: Vec<Proxy>,
@@ -163,8 +163,8 @@
     _folder: TempDir,
 }
 
-impl Tier {
-    /// Six proxies, of which these run without homes by a group's size.
+impl Fleet {
+    /// Six proxies, of which these run without affinity subsets by a group's size.
     fn new(without: &[usize]) -> Self {
         let (nodes, links, folder) = (Nodes::new(), Links::new(), TempDir::new().unwrap());
         let aliases: Vec<ScriptedServer> =
@@ -186,11 +186,11 @@
         };
         let proxies = (0..MEMBERS).map(start).collect();
         let clients = (0..MEMBERS).map(|_| Vec::new()).collect();
-        Tier { nodes, links, proxies, clients, number: 0, _folder: folder }
+        Fleet { nodes, links, proxies, clients, number: 0, _folder: folder }
     }
 
-    /// A client of the group comes to this proxy, again and again until it is served.
-    fn come(&mut self, proxy: usize) {
+    /// Connects a client of the group to this proxy, again and again until it is served.
+    fn connect_client(&mut self, proxy: usize) {
         let client = wait_for(TIMEOUT, "a client to be served", || {
             self.number += 1;
             let id = (proxy as u64) << 32 | self.number;
@@ -201,32 +201,32 @@
         self.clients[proxy].push(client);
     }
 
-    /// All clients of these proxies go, and as many come again, one at each in turn.
-    fn wave(&mut self, proxies: &[usize]) {
+    /// Closes all clients of these proxies, and connects as many again, one at each in turn.
+    fn reconnect_all(&mut self, proxies: &[usize]) {
         proxies.iter().for_each(|proxy| self.clients[*proxy].clear());
         wait_for(TIMEOUT, "the clients to have gone", || self.nodes.of(proxies).is_empty().then_some(()));
         for _ in 0..EACH {
-            proxies.iter().for_each(|proxy| self.come(*proxy));
+            proxies.iter().for_each(|proxy| self.connect_client(*proxy));
         }
     }
 
-    /// How many nodes hold connections of these proxies, and how many stand at the fullest.
-    fn stands(&self, proxies: &[usize]) -> (usize, usize) {
+    /// How many nodes have connections of these proxies, and how many connections the fullest has.
+    fn spread(&self, proxies: &[usize]) -> (usize, usize) {
         let of = self.nodes.of(proxies);
         (of.len(), of.into_iter().max().unwrap_or(0))
     }
 
-    /// Waits until these proxies act on so many homes at least.
-    fn told(&self, proxies: &[usize], least: usize) {
+    /// Waits until these proxies use a subset of at least this many endpoints.
+    fn wait_for_subset(&self, proxies: &[usize], least: usize) {
         let most = |proxy: &usize| self.proxies[*proxy].metric("homes.most").unwrap() as usize;
-        wait_for(Duration::from_secs(30), "the homes to be told", || {
+        wait_for(Duration::from_secs(30), "the subset to grow", || {
             proxies.iter().all(|proxy| most(proxy) >= least).then_some(())
         });
     }
 
-    /// These proxies' connections stand on about as many nodes as are needed, none of which has much more than its part.
+    /// These proxies' connections stand on about as many nodes as are needed, none of which has much more than its share.
     fn assert_spread(&self, proxies: &[usize], what: &str) {
-        let (nodes, fullest) = self.stands(proxies);
+        let (nodes, fullest) = self.spread(proxies);
         let all = proxies.len() * EACH;
         eprintln!("{what}: {all} connections on {nodes} nodes, {fullest} at the fullest");
         assert!((NEEDED - 1..=NODES).contains(&nodes), "{what}: on {nodes} nodes");
@@ -239,37 +239,37 @@
 /// A large group outgrows a subset of five endpoints and keeps them through a stop, a cut and a silence.
 #[test]
 fn large_group_keeps_its_subset_through_outages() {
-    let mut tier = Tier::new(&[]);
-    tier.wave(&ALL);
-    tier.told(&ALL, NEEDED - 1);
-    tier.wave(&ALL);
-    tier.assert_spread(&ALL, "all hear one another");
+    let mut fleet = Fleet::new(&[]);
+    fleet.reconnect_all(&ALL);
+    fleet.wait_for_subset(&ALL, NEEDED - 1);
+    fleet.reconnect_all(&ALL);
+    fleet.assert_spread(&ALL, "all hear one another");
 
     // One stands still, two don't hear each other, one hears and isn't heard.
     let (still, cut, mute) = (1, (2, 3), 4);
-    tier.proxies[still].pause();
-    tier.links.cut(cut.0, cut.1, true);
-    tier.links.cut(cut.1, cut.0, true);
-    ALL.iter().for_each(|to| tier.links.cut(mute, *to, *to != mute));
+    fleet.proxies[still].pause();
+    fleet.links.cut(cut.0, cut.1, true);
+    fleet.links.cut(cut.1, cut.0, true);
+    ALL.iter().for_each(|to| fleet.links.cut(mute, *to, *to != mute));
     let rest = [0, 2, 3, 4, 5];
     for round in 0..3 {
-        tier.wave(&rest);
+        fleet.reconnect_all(&rest);
         // The clients of the one that stands still are where they were.
-        tier.assert_spread(&ALL, &format!("round {round} of the faults"));
+        fleet.assert_spread(&ALL, &format!("round {round} of the faults"));
         std::thread::sleep(Duration::from_secs(2));
     }
-    let told = tier.proxies[still].admin_address();
+    let told = fleet.proxies[still].admin_address();
     assert!(TcpStream::connect(told).is_ok(), "its door is open, though nobody answers");
-    tier.proxies[still].resume();
-    tier.links.cut(cut.0, cut.1, false);
-    tier.links.cut(cut.1, cut.0, false);
-    ALL.iter().for_each(|to| tier.links.cut(mute, *to, false));
-    tier.wave(&ALL);
-    tier.assert_spread(&ALL, "after the faults");
+    fleet.proxies[still].resume();
+    fleet.links.cut(cut.0, cut.1, false);
+    fleet.links.cut(cut.1, cut.0, false);
+    ALL.iter().for_each(|to| fleet.links.cut(mute, *to, false));
+    fleet.reconnect_all(&ALL);
+    fleet.assert_spread(&ALL, "after the faults");
     let most: BTreeSet<u64> =
-        ALL.iter().filter_map(|proxy| tier.proxies[*proxy].metric("homes.most")).collect();
+        ALL.iter().filter_map(|proxy| fleet.proxies[*proxy].metric("homes.most")).collect();
     assert!(most.iter().all(|most| *most as usize <= 2 * NEEDED), "{most:?}");
-    let lines: usize = tier
+    let lines: usize = fleet
         .proxies
         .iter()
         .map(|one| one.drain_log().iter().filter(|line| line.contains("panic")).count())
@@ -277,7 +277,7 @@
     assert_eq!(lines, 0);
 }
 
-/// Half of the tier runs without: as an older program would, it drops what it doesn't know, and its group has five homes.
+/// Half of the fleet runs without: as an older program would, it drops what it doesn't know, and its group has five homes.
 #[test]
 fn proxies_without_keys_keep_serving() {
     // The first two keepers are of those that know homes; the others' turns come as well.
@@ -292,28 +292,28 @@
     let mut others = ALL.into_iter().filter(|member| !taken(member));
     let with: Vec<usize> = on_duty.iter().copied().chain(others.by_ref().take(3 - on_duty.len())).collect();
     let without: Vec<usize> = others.chain([keeper(&turn)]).collect();
-    let mut tier = Tier::new(&without);
-    tier.wave(&ALL);
-    tier.told(&with, NEEDED - 1);
-    tier.wave(&ALL);
-    let (nodes, fullest) = tier.stands(&with);
+    let mut fleet = Fleet::new(&without);
+    fleet.reconnect_all(&ALL);
+    fleet.wait_for_subset(&with, NEEDED - 1);
+    fleet.reconnect_all(&ALL);
+    let (nodes, fullest) = fleet.spread(&with);
     assert!(
         nodes >= NEEDED - 1 && fullest <= with.len() * EACH / 10 + 2,
         "{nodes} nodes, {fullest} at the fullest"
     );
-    let (nodes, fullest) = tier.stands(&without);
+    let (nodes, fullest) = fleet.spread(&without);
     assert_eq!(nodes, 5, "{fullest} at the fullest of {nodes}");
     // Rather than all at five nodes.
-    let (_, fullest) = tier.stands(&ALL);
+    let (_, fullest) = fleet.spread(&ALL);
     assert!(fullest < BY_FIVE, "{fullest}");
     for proxy in &without {
-        assert_eq!(tier.proxies[*proxy].metric("homes.most"), None);
+        assert_eq!(fleet.proxies[*proxy].metric("homes.most"), None);
     }
-    assert!(with.iter().all(|proxy| tier.proxies[*proxy].metric("homes.told").unwrap() > 0));
+    assert!(with.iter().all(|proxy| fleet.proxies[*proxy].metric("homes.told").unwrap() > 0));
     // One of them is asked for homes as keeper, in its turn: it says so once, however many come.
     let asked = || {
         let told = |proxy: &usize| {
-            tier.proxies[*proxy]
+            fleet.proxies[*proxy]
                 .drain_log()
                 .into_iter()
                 .filter(|line| line.contains("datagrams of the fleet were dropped"))
