--- a/crates/cottonnotch/tests/gossip.rs
+++ b/crates/cottonnotch/tests/gossip.rs
@@ -9,7 +9,7 @@
 };
 use peers::*;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -509,19 +509,13 @@
     let (_client, _far) = proxy.establish(&node);
 }
 
-/// The environment variable with the path of an earlier build of the program.
-const EARLIER_BUILD: &str = "COTTONNOTCH_EARLIER_BUILD";
-
 /// Three proxies, the second of an earlier build whose binary the environment names: by their records each finds the others alive,
 /// with shared keys too, and the earlier one's leave is understood.
 #[test]
 fn two_builds_gossip() {
-    let Some(earlier) = std::env::var_os(EARLIER_BUILD) else {
-        println!("skipped: {EARLIER_BUILD} names no earlier build");
-        return;
-    };
+    let Some(earlier) = earlier_build() else { return };
     for strength in ["address", "shared"] {
-        let (folder, addresses, node) = (TempDir::new().unwrap(), addresses(3), Scripted::new());
+        let (folder, addresses, node) = (TempDir::new().unwrap(), addresses(3), ScriptedServer::new());
         let key = folder.path().join("key");
         std::fs::write(&key, SHARED[0]).unwrap();
         let keys = if strength == "shared" {
@@ -537,7 +531,7 @@
                 records(me).display()
             );
             std::fs::write(&operator, text).unwrap();
-            let this_build = std::ffi::OsString::from(env!("CARGO_BIN_EXE_cottonnotch"));
+            let this_build = PathBuf::from(env!("CARGO_BIN_EXE_cottonnotch"));
             let mut command = Command::new(if me == 1 { &earlier } else { &this_build });
             command.env("COTTONNOTCH_OPERATOR", operator);
             let peers: Vec<String> = addresses.iter().map(|address| format!("\"{address}\"")).collect();
@@ -546,7 +540,7 @@
                 .replace("\"ordinal\":0", &format!("\"ordinal\":{me}"));
             let settings =
                 format!("{settings},\"peer_listen\":\"{}\",\"peers\":[{}]", addresses[me], peers.join(","));
-            Proxy::managed_by(command, &[&node], 1024, &settings)
+            Proxy::with_admin_by(command, &[&node], 1024, &settings)
         };
         let proxies: Vec<Proxy> = (0..3).map(start).collect();
         let recorded = |me: usize, peer: usize, state: &str| {
@@ -556,11 +550,11 @@
         };
         let pairs = (0..3).flat_map(|me| (0..3).map(move |peer| (me, peer))).filter(|(me, peer)| me != peer);
         for (me, peer) in pairs {
-            within(PATIENCE, &format!("{peer} alive at {me}"), || recorded(me, peer, "alive").then_some(()));
+            wait_for(TIMEOUT, &format!("{peer} alive at {me}"), || recorded(me, peer, "alive").then_some(()));
         }
         proxies[1].terminate();
         for me in [0, 2] {
-            within(PATIENCE, &format!("the leave of 1 at {me}"), || recorded(me, 1, "left").then_some(()));
+            wait_for(TIMEOUT, &format!("the leave of 1 at {me}"), || recorded(me, 1, "left").then_some(()));
         }
         assert!(
             ![0, 2].iter().any(|me| recorded(*me, 2 - me, "dead")),
--- a/crates/cottonnotch/tests/homes.rs
+++ b/crates/cottonnotch/tests/homes.rs
@@ -331,17 +331,11 @@
     assert!(lines <= 8, "{lines} lines");
 }
 
-/// The environment variable with the path of an earlier build of the program.
-const EARLIER_BUILD: &str = "COTTONNOTCH_EARLIER_BUILD";
-
 /// Every second proxy is of an earlier build, whose binary the environment names. In the epoch of an aggregator of each build all
 /// proxies get subset sizes anew, know that the group is large, and drop no datagram of the other build.
 #[test]
 fn two_builds_aggregate_together() {
-    let Some(earlier) = std::env::var_os(EARLIER_BUILD).map(PathBuf::from) else {
-        println!("skipped: {EARLIER_BUILD} names no earlier build");
-        return;
-    };
+    let Some(earlier) = earlier_build() else { return };
     let is_earlier = |member: usize| member % 2 == 1;
     let this_build = PathBuf::from(env!("CARGO_BIN_EXE_cottonnotch"));
     let build = |member| if is_earlier(member) { earlier.clone() } else { this_build.clone() };
@@ -351,21 +345,21 @@
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as i64;
         aggregator_order((now / EPOCH) as u64, MEMBERS as u32)[0] as usize
     };
-    let received = || ALL.map(|proxy| tier.proxies[proxy].figure("homes.told").unwrap());
+    let received = || ALL.map(|proxy| tier.proxies[proxy].metric("homes.told").unwrap());
     for of_earlier in [false, true] {
         // The builds' turns: an epoch is 20 s, and which member's comes is drawn from its number.
         let patience = 12 * Duration::from_micros(EPOCH as u64);
-        within(patience, "an aggregator of that build", || {
+        wait_for(patience, "an aggregator of that build", || {
             (is_earlier(aggregator()) == of_earlier).then_some(())
         });
         let before = received();
-        within(PATIENCE, "sizes at all proxies", || {
+        wait_for(TIMEOUT, "sizes at all proxies", || {
             received().iter().zip(before).all(|(now, before)| *now >= before + 3).then_some(())
         });
         tier.told(&ALL, NEEDED - 1);
         assert_eq!(is_earlier(aggregator()), of_earlier, "the epoch ended meanwhile");
     }
     for proxy in ALL {
-        assert_eq!(tier.proxies[proxy].figure("homes.dropped"), Some(0), "proxy {proxy} dropped datagrams");
+        assert_eq!(tier.proxies[proxy].metric("homes.dropped"), Some(0), "proxy {proxy} dropped datagrams");
     }
 }
--- a/crates/cottonnotch/tests/peers/mod.rs
+++ b/crates/cottonnotch/tests/peers/mod.rs
@@ -12,11 +12,24 @@
 pub use process::*;
 pub use proxy::Proxy;
 pub use scripted::*;
+use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
 /// No test waits longer for anything.
 pub const TIMEOUT: Duration = Duration::from_secs(10);
 
+/// The environment variable with the path of an earlier build of the program.
+const EARLIER_BUILD: &str = "COTTONNOTCH_EARLIER_BUILD";
+
+/// An earlier build, for tests of two builds side by side; says so where there is none.
+pub fn earlier_build() -> Option<PathBuf> {
+    let build = std::env::var_os(EARLIER_BUILD).map(PathBuf::from);
+    if build.is_none() {
+        println!("skipped: {EARLIER_BUILD} names no earlier build");
+    }
+    build
+}
+
 /// Waits until `look` finds something; fails the test if it never does.
 pub fn wait_for<T>(time: Duration, what: &str, mut look: impl FnMut() -> Option<T>) -> T {
     let until = Instant::now() + time;
