--- a/crates/decision/src/policy/circuit_breaker.rs
+++ b/crates/decision/src/policy/circuit_breaker.rs
@@ -85,7 +85,10 @@
     /// Opens the way for a trial if a pause has lapsed by now; whether one has.
     pub(super) fn half_open_if_lapsed(&mut self) -> bool {
         let has_lapsed = self.paused_until.take().is_some();
-        self.half_open |= has_lapsed;
+        // A branch, not `|=`: with that, release builds of rustc 1.95 set the flag though nothing was taken.
+        if has_lapsed {
+            self.half_open = true;
+        }
         has_lapsed
     }
 
