--- a/crates/cottonnotch/tests/homes.rs
+++ b/crates/cottonnotch/tests/homes.rs
@@ -339,13 +339,13 @@
     let is_earlier = |member: usize| member % 2 == 1;
     let this_build = PathBuf::from(env!("CARGO_BIN_EXE_cottonnotch"));
     let build = |member| if is_earlier(member) { earlier.clone() } else { this_build.clone() };
-    let mut tier = Tier::of_builds(&[], &build);
-    tier.wave(&ALL);
+    let mut fleet = Fleet::of_builds(&[], &build);
+    fleet.reconnect_all(&ALL);
     let aggregator = || {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as i64;
         aggregator_order((now / EPOCH) as u64, MEMBERS as u32)[0] as usize
     };
-    let received = || ALL.map(|proxy| tier.proxies[proxy].metric("homes.told").unwrap());
+    let received = || ALL.map(|proxy| fleet.proxies[proxy].metric("homes.told").unwrap());
     for of_earlier in [false, true] {
         // The builds' turns: an epoch is 20 s, and which member's comes is drawn from its number.
         let patience = 12 * Duration::from_micros(EPOCH as u64);
@@ -356,10 +356,10 @@
         wait_for(TIMEOUT, "sizes at all proxies", || {
             received().iter().zip(before).all(|(now, before)| *now >= before + 3).then_some(())
         });
-        tier.told(&ALL, NEEDED - 1);
+        fleet.wait_for_subset(&ALL, NEEDED - 1);
         assert_eq!(is_earlier(aggregator()), of_earlier, "the epoch ended meanwhile");
     }
     for proxy in ALL {
-        assert_eq!(tier.proxies[proxy].metric("homes.dropped"), Some(0), "proxy {proxy} dropped datagrams");
+        assert_eq!(fleet.proxies[proxy].metric("homes.dropped"), Some(0), "proxy {proxy} dropped datagrams");
     }
 }
