--- a/crates/cottonnotch/src/rules/compile_worker.rs
+++ b/crates/cottonnotch/src/rules/compile_worker.rs
@@ -209,18 +209,18 @@
         let nothing = History::default();
         let last = base.map_or(&nothing, |base| &base.body.history);
         let files = apply_overrides(last, &self.local.files);
-        let Merged { book, ledger, conflicts, .. } = merge(last, &files, &inventory);
+        let Merged { book, history, conflicts, .. } = merge(last, &files, &inventory);
         self.report_conflicts(&conflicts);
         let new_profiles =
             self.local.profiles_changed && base.is_some_and(|base| base.body.profiles != self.local.profiles);
-        if base.is_some() && !has_newer_revision(last, &ledger) && !new_profiles {
+        if base.is_some() && !has_newer_revision(last, &history) && !new_profiles {
             return None;
         }
         let profiles = match base {
             Some(base) if !self.local.profiles_changed => base.body.profiles.clone(),
             _ => self.local.profiles.clone(),
         };
-        Some(ContentBody::new(base.map(|base| base.hash), ledger, book, profiles, inventory))
+        Some(ContentBody::new(base.map(|base| base.hash), history, book, profiles, inventory))
     }
 
     /// Sends a content of this process where it is put in force.
--- a/crates/cottonnotch/src/rules/golden_tests.rs
+++ b/crates/cottonnotch/src/rules/golden_tests.rs
@@ -24,9 +24,9 @@
 fn content() -> ContentBody {
     let world = Inventory::of("consortium", &["a"], &["print"], &["north"], &["small", "large"], 100);
     let files = [RuleFile::new("consortium.toml", FILE)];
-    let Merged { book, ledger, .. } = merge(&History::default(), &files, &world);
+    let Merged { book, history, .. } = merge(&History::default(), &files, &world);
     let profiles = Profiles::from([("large".to_owned(), Profile::full())]);
-    ContentBody::new(Some([7; 32]), ledger, book, profiles, world)
+    ContentBody::new(Some([7; 32]), history, book, profiles, world)
 }
 
 #[test]
--- a/crates/cottonnotch/src/rules/local_overrides_tests.rs
+++ b/crates/cottonnotch/src/rules/local_overrides_tests.rs
@@ -14,7 +14,7 @@
 fn merged(last: &History, own: &[RuleFile]) -> (History, usize) {
     let inventory = Inventory::of("c", &["t"], &["look"], &["a"], &["x"], 100);
     let merged = merge(last, &apply_overrides(last, own), &inventory);
-    (merged.ledger, merged.conflicts.len())
+    (merged.history, merged.conflicts.len())
 }
 
 #[test]
--- a/crates/cottonnotch/src/rules/report.rs
+++ b/crates/cottonnotch/src/rules/report.rs
@@ -38,7 +38,7 @@
         return writeln!(text, "rules: known names no render node, so rules cannot be judged here");
     }
     let inventory = settings.inventory(profile, listed);
-    let Merged { book, ledger, conflicts } = merge(&History::default(), &settings.files, &inventory);
+    let Merged { book, history, conflicts } = merge(&History::default(), &settings.files, &inventory);
     for owner in &book.namespaces {
         writeln!(
             text,
@@ -52,7 +52,7 @@
     for conflict in &conflicts {
         writeln!(text, "conflict: {conflict}")?;
     }
-    for (namespace, entry) in &ledger.namespaces {
+    for (namespace, entry) in &history.namespaces {
         if entry.in_force.is_none() {
             writeln!(text, "held back: {namespace}")?;
         }
--- a/crates/routing-rules/benches/merge.rs
+++ b/crates/routing-rules/benches/merge.rs
@@ -123,7 +123,7 @@
         start.elapsed()
     });
     let text: usize = files.iter().map(|file| file.text.len()).sum();
-    let ledger = postcard::to_allocvec(&merged.ledger).expect("a ledger has a form").len();
+    let ledger = postcard::to_allocvec(&merged.history).expect("a ledger has a form").len();
     let book = postcard::to_allocvec(&merged.book).expect("a book has a form").len();
     println!(
         r#"{{"what":"merge","namespaces":{},"rules":{},"conflicts":{},"text_bytes":{text},"ledger_bytes":{ledger},"book_bytes":{book},"least_ms":{:.2},"median_ms":{:.2}}}"#,
@@ -151,16 +151,16 @@
     // Two revisions of one team's file in turn; each merge finds one changed file against what it remembers.
     let mut changed = files.clone();
     let mut merger = Merger::default();
-    let mut ledger = merger.merge(&History::default(), &files, &world).ledger;
+    let mut history = merger.merge(&History::default(), &files, &world).history;
     let mut revision = 1;
     let mut one = || {
         revision += 1;
         changed[3] = team(0, 2, revision);
         let start = Instant::now();
-        let merged = merger.merge(&ledger, &changed, &world);
+        let merged = merger.merge(&history, &changed, &world);
         let took = start.elapsed();
         assert!(merged.conflicts.is_empty(), "{:?}", merged.conflicts.first());
-        ledger = merged.ledger;
+        history = merged.history;
         took
     };
     criterion.bench_function("one changed file", |bench| {
--- a/crates/routing-rules/src/cache.rs
+++ b/crates/routing-rules/src/cache.rs
@@ -3,11 +3,13 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
+use crate::compilation::compile;
 use crate::compiled::{Compiled, Read};
 use crate::conflict::Conflict;
-use crate::file::{self, RuleFile, RuleFileError};
+use crate::file::{RuleFile, RuleFileError};
 use crate::ineffective::{self, Children};
 use crate::inventory::Inventory;
+use crate::parsing;
 
 #[derive(Debug)]
 struct Kept {
@@ -55,7 +57,7 @@
             kept.turn = turn;
             return kept.outcome.clone();
         }
-        let outcome = file::read(file).map(|content| {
+        let outcome = parsing::read(file).map(|content| {
             // A file that reads is UTF-8; nothing is lost here.
             let text = String::from_utf8_lossy(&file.text);
             Arc::new(Read::new(content, file.path_on_disk.clone(), Arc::from(text.as_ref())))
@@ -92,7 +94,7 @@
             *used = self.turn;
             return compiled.clone();
         }
-        let compiled = Arc::new(Compiled::new(key, parent.cloned(), read.clone(), void, &self.world));
+        let compiled = Arc::new(compile(key, parent.cloned(), read.clone(), void, &self.world));
         self.compiled.insert(key, (compiled.clone(), self.turn));
         compiled
     }
--- a/crates/routing-rules/src/chain_conflicts.rs
+++ b/crates/routing-rules/src/chain_conflicts.rs
@@ -150,7 +150,7 @@
 /// there.
 fn no_node(of: &Compiled, world: &Inventory, conflicts: &mut Vec<Conflict>) {
     if world.nodes.is_empty()
-        || !of.placed.iter().any(|placed| is_requirement(of.rules[placed.rule].strength))
+        || !of.placements.all.iter().any(|placed| is_requirement(of.rules[placed.rule].strength))
     {
         return;
     }
--- a/crates/routing-rules/src/compiled.rs
+++ b/crates/routing-rules/src/compiled.rs
@@ -3,11 +3,9 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-use crate::book::{PlacementMode, Rule, RuleKind, Strength};
-use crate::chain_conflicts;
+use crate::book::Rule;
 use crate::conflict::{Conflict, RuleLocation};
 use crate::file::{Delegate, NamespaceFile};
-use crate::inventory::Inventory;
 use crate::node_kind_set::NodeKindSet;
 use crate::scope::Scope;
 
@@ -51,6 +49,36 @@
     pub nodes: NodeKindSet,
 }
 
+/// The placements of a namespace, indexed by tenant.
+#[derive(Debug, Default)]
+pub(crate) struct Placements {
+    pub all: Vec<Placed>,
+    /// Positions in `all` of those that name a tenant.
+    by_tenant: HashMap<String, Vec<usize>>,
+    /// Positions in `all` of those for any tenant.
+    any_tenant: Vec<usize>,
+}
+
+impl Placements {
+    /// Adds the placement of a rule at this position.
+    pub fn push(&mut self, position: usize, rule: &Rule, nodes: NodeKindSet) {
+        let at = self.all.len();
+        if rule.on.tenants.is_empty() {
+            self.any_tenant.push(at);
+        }
+        for tenant in &rule.on.tenants {
+            self.by_tenant.entry(tenant.clone()).or_default().push(at);
+        }
+        self.all.push(Placed { rule: position, nodes });
+    }
+
+    /// The placements that can match a request of this tenant.
+    fn matching(&self, tenant: Option<&str>) -> impl Iterator<Item = &Placed> {
+        let named = tenant.and_then(|tenant| self.by_tenant.get(tenant)).map_or(&[][..], Vec::as_slice);
+        self.any_tenant.iter().chain(named).map(|at| &self.all[*at])
+    }
+}
+
 /// What a child was given: its path, its part of the connections, and what it has.
 pub(crate) type Grant = (String, Option<u64>, Scope);
 
@@ -67,11 +95,7 @@
     pub grants: Vec<Grant>,
     /// By name.
     pub rules: Vec<Rule>,
-    pub placed: Vec<Placed>,
-    /// Which of `placed` speak of a tenant by name.
-    by_tenant: HashMap<String, Vec<usize>>,
-    /// Which of `placed` speak of any tenant.
-    any_tenant: Vec<usize>,
+    pub placements: Placements,
     /// The children that it gives what it doesn't have itself.
     pub unowned_children: BTreeSet<String>,
     /// The conflicts of its own with the chain above it, and among its delegations.
@@ -92,94 +116,13 @@
         *hasher.finalize().as_bytes()
     }
 
-    pub fn new(
-        key: [u8; 32],
-        parent: Option<Arc<Compiled>>,
-        read: Arc<Read>,
-        void: &[&str],
-        world: &Inventory,
-    ) -> Compiled {
-        let path = read.file.namespace.as_str();
-        let scope = match &parent {
-            None => Scope::root(world),
-            Some(above) => match above.grants.binary_search_by(|(child, ..)| child.as_str().cmp(path)) {
-                Ok(at) => above.grants[at].2.clone(),
-                Err(_) => above.scope.clone(),
-            },
-        };
-        let depth = parent.as_ref().map_or(0, |parent| parent.depth + 1);
-        let mut grants = Vec::new();
-        for delegate in &read.file.delegates {
-            let counts = delegate.handed_to.is_none()
-                && is_child(path, &delegate.to)
-                && !void.contains(&delegate.to.as_str());
-            if counts {
-                let spot = read.spot(delegate.line, &format!("delegate.{}", last_segment(&delegate.to)));
-                grants.push((delegate.to.clone(), delegate.connections, scope.child(delegate, spot)));
-            }
-        }
-        grants.sort_by(|a, b| a.0.cmp(&b.0));
-        let mut rules = own_rules(&read, &scope, depth);
-        rules.extend(grants.iter().flat_map(|(child, part, given)| {
-            let delegate = read.delegate(child);
-            delegate.map(|delegate| delegated(&read, delegate, *part, given, depth)).unwrap_or_default()
-        }));
-        rules.sort_by(|a, b| a.name.cmp(&b.name));
-        // What isn't owned is in conflict as it is; whether it goes with the rest is asked once it is owned.
-        let conflicts = chain_conflicts::not_owned(&read, &scope, world);
-        let unowned: BTreeSet<&str> = conflicts.iter().filter_map(Conflict::rule).collect();
-        let unowned_child = |child: &str| unowned.contains(format!("delegate {child}").as_str());
-        let unowned_children: BTreeSet<String> =
-            grants.iter().map(|(child, ..)| child.clone()).filter(|child| unowned_child(child)).collect();
-        let delegation = |name: &str| {
-            let of = |child: &String| name.starts_with(&format!("delegate.{}.", last_segment(child)));
-            unowned_children.iter().any(of)
-        };
-        let mut placed = Vec::new();
-        let (mut by_tenant, mut any_tenant) = (HashMap::<String, Vec<usize>>::new(), Vec::new());
-        for (at, rule) in rules.iter().enumerate() {
-            let Some(nodes) = NodeKindSet::satisfying(world, &rule.kind) else { continue };
-            if unowned.contains(rule.name.as_str()) || delegation(&rule.name) {
-                continue;
-            }
-            if rule.on.tenants.is_empty() {
-                any_tenant.push(placed.len());
-            }
-            for tenant in &rule.on.tenants {
-                by_tenant.entry(tenant.clone()).or_default().push(placed.len());
-            }
-            placed.push(Placed { rule: at, nodes });
-        }
-        let mut compiled = Compiled {
-            key,
-            read,
-            parent,
-            depth,
-            scope,
-            grants,
-            rules,
-            placed,
-            by_tenant,
-            any_tenant,
-            unowned_children,
-            conflicts,
-        };
-        compiled.conflicts.extend(chain_conflicts::with_chain(&compiled, world));
-        compiled
-    }
-
     pub fn path(&self) -> &str {
         &self.read.file.namespace
     }
 
-    /// The placements that can match a request of this tenant.
+    /// The placements that can match a request of this tenant, with their rules.
     pub fn placed_for(&self, tenant: Option<&str>) -> impl Iterator<Item = (&Rule, &NodeKindSet)> {
-        let named = tenant.and_then(|tenant| self.by_tenant.get(tenant)).map_or(&[][..], Vec::as_slice);
-        self.any_tenant
-            .iter()
-            .chain(named)
-            .map(|at| &self.placed[*at])
-            .map(|placed| (&self.rules[placed.rule], &placed.nodes))
+        self.placements.matching(tenant).map(|placed| (&self.rules[placed.rule], &placed.nodes))
     }
 
     /// This namespace and those above it, from the root down.
@@ -200,48 +143,3 @@
 pub(crate) fn parent_of(path: &str) -> Option<&str> {
     path.rsplit_once('/').map(|(parent, _)| parent)
 }
-
-fn last_segment(path: &str) -> &str {
-    path.rsplit('/').next().unwrap_or(path)
-}
-
-fn own_rules(read: &Read, scope: &Scope, depth: u32) -> Vec<Rule> {
-    let rule = |stated: &crate::file::DeclaredRule| Rule {
-        namespace: read.file.namespace.clone(),
-        name: stated.name.clone(),
-        file: read.path_on_disk.clone(),
-        line: stated.line,
-        strength: stated.strength,
-        priority: stated.priority,
-        depth,
-        on: scope.narrow(&stated.tenants, &stated.classes, &stated.groups),
-        kind: stated.kind.clone(),
-    };
-    read.file.rules.iter().map(rule).collect()
-}
-
-/// The musts that a delegation stands for: the child uses only the nodes and connections that it was given. They are the
-/// parent's, so that they hold whether the child has a file or not.
-fn delegated(read: &Read, to: &Delegate, part: Option<u64>, given: &Scope, depth: u32) -> Vec<Rule> {
-    let rule = |what: &str, kind: RuleKind| Rule {
-        namespace: read.file.namespace.clone(),
-        name: format!("delegate.{}.{what}", last_segment(&to.to)),
-        file: read.path_on_disk.clone(),
-        line: to.line,
-        strength: Strength::Requirement,
-        priority: 0,
-        depth,
-        on: given.on.clone(),
-        kind,
-    };
-    let mut rules = Vec::new();
-    if !to.halls.is_empty() || !to.hardware.is_empty() {
-        let (halls, hardware) = (to.halls.clone(), to.hardware.clone());
-        rules.push(rule("nodes", RuleKind::Place { how: PlacementMode::Require, halls, hardware }));
-    }
-    if let Some(connections) = part {
-        let (halls, hardware) = Default::default();
-        rules.push(rule("connections", RuleKind::Cap { connections, halls, hardware }));
-    }
-    rules
-}
--- a/crates/routing-rules/src/evaluation_round.rs
+++ b/crates/routing-rules/src/evaluation_round.rs
@@ -1,4 +1,4 @@
-//! One look at the candidates together: which are in force, and all that conflicts.
+//! One evaluation of the candidates together: which are in force, and all conflicts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use crate::ineffective::Children;
 use crate::inventory::Inventory;
 
-/// What one look found.
+/// What one evaluation found.
 #[derive(Debug, Default)]
 pub(crate) struct EvaluationRound {
     pub active: BTreeMap<String, Arc<Compiled>>,
@@ -22,79 +22,91 @@
     pub handed: BTreeMap<String, String>,
 }
 
-/// How a namespace stands with its parent.
-enum Stand<'a> {
+/// A namespace's relation to its parent.
+enum Relation<'a> {
     Root,
     /// Its parent is in conflict itself, or void: nothing is said of it until that is settled.
-    Later,
+    Deferred,
     Orphan,
     Under(Arc<Compiled>, &'a Delegate),
 }
 
 impl EvaluationRound {
+    /// Evaluates the candidates together; `void` are the namespaces whose delegations don't count.
     pub fn run(
         candidates: &BTreeMap<String, Candidate>,
         void: &BTreeSet<String>,
         world: &Inventory,
         cache: &mut Cache,
     ) -> EvaluationRound {
-        let mut pass = EvaluationRound::default();
-        let mut later = BTreeSet::new();
+        let mut round = EvaluationRound::default();
+        let mut deferred = BTreeSet::new();
         // A parent sorts before its children.
         for (path, candidate) in candidates {
-            let Some(mut read) = candidate.read() else { continue };
             // What is void has nothing, and so has what lies below it.
-            if void.contains(path) {
-                later.insert(path.as_str());
-                continue;
+            if candidate.read().is_some() && void.contains(path) {
+                deferred.insert(path.as_str());
+            } else if let Some((parent, read)) = round.admit(path, candidate, &mut deferred, world) {
+                let void: Vec<&str> =
+                    void.iter().map(String::as_str).filter(|child| is_child(path, child)).collect();
+                let compiled = cache.compiled(parent.as_ref(), read, &void);
+                round.activate(path, read, compiled);
             }
-            let above = parent_of(path).and_then(|parent| pass.active.get(parent)).cloned();
-            let parent = match stand(path, above.as_ref(), &later, world) {
-                Stand::Root => None,
-                Stand::Later => {
-                    later.insert(path.as_str());
-                    continue;
-                }
-                Stand::Orphan => {
-                    later.insert(path.as_str());
-                    pass.conflicts.push(orphan(read, above.as_deref(), world));
-                    continue;
-                }
-                Stand::Under(parent, delegate) => {
-                    if delegate.handed_to.is_some() {
-                        continue;
-                    }
-                    if delegate.frozen {
-                        pass.frozen.insert(path.clone(), parent.path().to_owned());
-                        let Some((good, _)) = &candidate.good else { continue };
-                        read = good;
-                    }
-                    Some(parent)
-                }
-            };
-            let void: Vec<&str> =
-                void.iter().map(String::as_str).filter(|child| is_child(path, child)).collect();
-            let compiled = cache.compiled(parent.as_ref(), read, &void);
-            pass.conflicts.extend(compiled.conflicts.iter().cloned());
-            for delegate in &read.file.delegates {
-                if let Some(to) = &delegate.handed_to {
-                    pass.handed.insert(delegate.to.clone(), to.clone());
-                }
+        }
+        round.find_foreign_delegations(world);
+        round.find_ineffective_preferences(cache);
+        round.conflicts.sort();
+        round
+    }
+
+    /// The content of a candidate that can be in force, and its parent. A candidate that can't be is deferred, in conflict,
+    /// frozen or handed over.
+    fn admit<'a>(
+        &mut self,
+        path: &'a str,
+        candidate: &'a Candidate,
+        deferred: &mut BTreeSet<&'a str>,
+        world: &Inventory,
+    ) -> Option<(Option<Arc<Compiled>>, &'a Arc<Read>)> {
+        let read = candidate.read()?;
+        let above = parent_of(path).and_then(|parent| self.active.get(parent)).cloned();
+        match relation(path, above.as_ref(), deferred, world) {
+            Relation::Root => Some((None, read)),
+            Relation::Deferred => {
+                deferred.insert(path);
+                None
+            }
+            Relation::Orphan => {
+                deferred.insert(path);
+                self.conflicts.push(orphan(read, above.as_deref(), world));
+                None
+            }
+            Relation::Under(_, delegate) if delegate.handed_to.is_some() => None,
+            Relation::Under(parent, delegate) if delegate.frozen => {
+                self.frozen.insert(path.to_owned(), parent.path().to_owned());
+                candidate.good.as_ref().map(|(good, _)| (Some(parent), good))
+            }
+            Relation::Under(parent, _) => Some((Some(parent), read)),
+        }
+    }
+
+    /// Takes a compiled content into force.
+    fn activate(&mut self, path: &str, read: &Read, compiled: Arc<Compiled>) {
+        self.conflicts.extend(compiled.conflicts.iter().cloned());
+        for delegate in &read.file.delegates {
+            if let Some(to) = &delegate.handed_to {
+                self.handed.insert(delegate.to.clone(), to.clone());
             }
-            pass.active.insert(path.clone(), compiled);
         }
-        pass.strangers(world);
-        pass.find_ineffective_preferences(cache);
-        pass.conflicts.sort();
-        pass
+        self.active.insert(path.to_owned(), compiled);
     }
 
     /// Delegations to others than children: in a circle, or to no purpose.
-    fn strangers(&mut self, world: &Inventory) {
+    fn find_foreign_delegations(&mut self, world: &Inventory) {
         let mut edges = Vec::new();
         for (path, of) in &self.active {
-            let strange = of.read.file.delegates.iter().filter(|delegate| !is_child(path, &delegate.to));
-            edges.extend(strange.map(|delegate| (path.as_str(), delegate, of)));
+            let foreign = of.read.file.delegates.iter().filter(|delegate| !is_child(path, &delegate.to));
+            edges.extend(foreign.map(|delegate| (path.as_str(), delegate, of)));
         }
         let under = |path: &str, above: &str| {
             path.strip_prefix(above).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
@@ -106,7 +118,7 @@
             let other = target.map_or(nowhere(&delegate.to), |to| to.read.spot(to.read.file.line, ""));
             let on = of.scope.narrow(&delegate.tenants, &delegate.classes, &delegate.groups);
             let witness = Witness::new(&world.sample(&on), None);
-            // A namespace leads to all below it, and by its strange delegations elsewhere.
+            // A namespace leads to all below it, and by its foreign delegations elsewhere.
             let mut reached = BTreeSet::from([delegate.to.as_str()]);
             loop {
                 let before = reached.len();
@@ -131,7 +143,7 @@
     fn find_ineffective_preferences(&mut self, cache: &mut Cache) {
         let mut children = Children::new();
         let mut digests = BTreeMap::<&str, blake3::Hasher>::new();
-        // Children sort after their parents, so backwards each is whole before its parent asks for it.
+        // Children sort after their parents, so backwards each is complete before its parent asks for it.
         for (path, of) in self.active.iter().rev() {
             let mut hasher = digests.remove(path.as_str()).unwrap_or_default();
             hasher.update(&of.key);
@@ -145,23 +157,23 @@
     }
 }
 
-fn stand<'a>(
+fn relation<'a>(
     path: &str,
     above: Option<&'a Arc<Compiled>>,
-    later: &BTreeSet<&str>,
+    deferred: &BTreeSet<&str>,
     world: &Inventory,
-) -> Stand<'a> {
+) -> Relation<'a> {
     let Some(parent) = parent_of(path) else {
-        return if path == world.root { Stand::Root } else { Stand::Orphan };
+        return if path == world.root { Relation::Root } else { Relation::Orphan };
     };
-    if later.contains(parent) {
-        return Stand::Later;
+    if deferred.contains(parent) {
+        return Relation::Deferred;
     }
     match above.and_then(|above| Some((above, above.read.delegate(path)?))) {
         // Nothing is said of what it was given until its parent has that itself.
-        Some((above, _)) if above.unowned_children.contains(path) => Stand::Later,
-        Some((above, delegate)) => Stand::Under(above.clone(), delegate),
-        None => Stand::Orphan,
+        Some((above, _)) if above.unowned_children.contains(path) => Relation::Deferred,
+        Some((above, delegate)) => Relation::Under(above.clone(), delegate),
+        None => Relation::Orphan,
     }
 }
 
--- a/crates/routing-rules/src/groups.rs
+++ b/crates/routing-rules/src/groups.rs
@@ -14,8 +14,19 @@
     Pair([u64; 2]),
 }
 
+/// Why a range is rejected.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub(crate) enum GroupError {
+    #[error("{last:#x} comes before {first:#x}")]
+    Reversed { first: u64, last: u64 },
+    #[error("{0:?} is no group in hex")]
+    NotHex(String),
+    #[error("{0:?} is more than 64 bits")]
+    TooLarge(String),
+}
+
 /// Sorted, disjoint and as few as can be.
-pub(crate) fn normal(stated: &[GroupText]) -> Result<Vec<GroupRange>, String> {
+pub(crate) fn normal(stated: &[GroupText]) -> Result<Vec<GroupRange>, GroupError> {
     let mut ranges = stated.iter().map(range).collect::<Result<Vec<_>, _>>()?;
     ranges.sort_unstable();
     let mut normal: Vec<GroupRange> = Vec::with_capacity(ranges.len());
@@ -28,7 +39,7 @@
     Ok(normal)
 }
 
-fn range(stated: &GroupText) -> Result<GroupRange, String> {
+fn range(stated: &GroupText) -> Result<GroupRange, GroupError> {
     let (first, last) = match stated {
         GroupText::One(group) => (*group, *group),
         GroupText::Pair([first, last]) => (*first, *last),
@@ -38,19 +49,19 @@
         },
     };
     if last < first {
-        return Err(format!("{last:#x} comes before {first:#x}"));
+        return Err(GroupError::Reversed { first, last });
     }
     Ok(GroupRange { first, last })
 }
 
 /// Hex with or without `0x`: requests state groups so.
-fn number(text: &str) -> Result<u64, String> {
+fn number(text: &str) -> Result<u64, GroupError> {
     let digits = text.trim();
     let digits = digits.strip_prefix("0x").unwrap_or(digits);
     if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-        return Err(format!("{text:?} is no group in hex"));
+        return Err(GroupError::NotHex(text.to_owned()));
     }
-    u64::from_str_radix(digits, 16).map_err(|_| format!("{text:?} is more than 64 bits"))
+    u64::from_str_radix(digits, 16).map_err(|_| GroupError::TooLarge(text.to_owned()))
 }
 
 /// What both have. Empty means nothing here: the caller minds that an empty set in a selector means any.
--- a/crates/routing-rules/src/ineffective.rs
+++ b/crates/routing-rules/src/ineffective.rs
@@ -18,7 +18,7 @@
 /// The preferences of a namespace that can never take effect.
 pub(crate) fn preferences(of: &Compiled, children: &Children, world: &Inventory) -> Vec<Conflict> {
     let chain = of.chain();
-    let preferences = of.placed.iter().map(|placed| (&of.rules[placed.rule], &placed.nodes));
+    let preferences = of.placements.all.iter().map(|placed| (&of.rules[placed.rule], &placed.nodes));
     let preferences = preferences.filter(|(rule, _)| !is_requirement(rule.strength));
     preferences.filter_map(|preference| ineffective(of, preference, &chain, children, world)).collect()
 }
--- a/crates/routing-rules/src/lib.rs
+++ b/crates/routing-rules/src/lib.rs
@@ -9,12 +9,13 @@
 mod cache;
 mod candidate;
 mod chain_conflicts;
-mod checked;
+mod compilation;
 mod compiled;
 mod conflict;
 mod effective;
 mod evaluation_round;
 mod file;
+mod file_checks;
 mod file_schema;
 mod groups;
 mod history;
@@ -24,7 +25,9 @@
 mod newest_first;
 mod node_kind_set;
 mod outcome;
+mod parsing;
 mod scope;
+mod source_text;
 mod state;
 
 pub use book::{
@@ -35,9 +38,10 @@
 pub use effective::{Effective, effective, stricter};
 pub use file::{
     DeclaredRule, Delegate, MAX_DEPTH, MAX_FILE_BYTES, MAX_ITEMS, MAX_NAME_BYTES, NamespaceFile, RuleFile,
-    RuleFileError, read,
+    RuleFileError,
 };
 pub use history::{Entry, GoodRevision, History};
 pub use inventory::Inventory;
 pub use merge::{Merged, Merger, check, merge};
+pub use parsing::read;
 pub use state::{State, StateEvent, StateName};
--- a/crates/routing-rules/src/merge.rs
+++ b/crates/routing-rules/src/merge.rs
@@ -21,7 +21,7 @@
     /// The book in force.
     pub book: Book,
     /// What to remember.
-    pub ledger: History,
+    pub history: History,
     /// What held namespaces back.
     pub conflicts: Vec<Conflict>,
 }
@@ -58,14 +58,14 @@
     /// See [`merge`].
     pub fn merge(&mut self, last: &History, files: &[RuleFile], world: &Inventory) -> Merged {
         self.cache.begin(world);
-        let mut merged = self.round(last, files, world);
+        let mut merged = self.merge_once(last, files, world);
         // What came in makes others the younger, so that the same files might come to another book next time. The book
         // that stays is told at once. Nearly always it is the first.
         for _ in 0..MOST_ROUNDS {
             if merged.conflicts.is_empty() {
                 break;
             }
-            let next = self.round(&merged.ledger, files, world);
+            let next = self.merge_once(&merged.history, files, world);
             if next.book == merged.book {
                 break;
             }
@@ -75,7 +75,7 @@
         merged
     }
 
-    fn round(&mut self, last: &History, files: &[RuleFile], world: &Inventory) -> Merged {
+    fn merge_once(&mut self, last: &History, files: &[RuleFile], world: &Inventory) -> Merged {
         let mut taken = candidate::take(last, files, world, &mut self.cache);
         let mut tried = Tried { candidates: std::mem::take(&mut taken.candidates), void: BTreeSet::new() };
         let asked = tried.candidates.clone();
@@ -83,12 +83,12 @@
             last.namespaces.iter().filter(|(_, entry)| entry.void).map(|(path, _)| path.clone()).collect();
         let mut held = Vec::new();
         // Each turn moves one namespace down a step, from new to good to out, or voids one delegation: it ends.
-        let mut pass = loop {
-            let pass = tried.run(world, &mut self.cache);
+        let mut round = loop {
+            let round = tried.run(world, &mut self.cache);
             let ages = Ages { candidates: &tried.candidates, void: &void };
-            let Some((culprit, why)) = ages.choose(&pass.conflicts) else { break pass };
+            let Some((culprit, why)) = ages.choose(&round.conflicts) else { break round };
             tried.hold(&culprit, &why);
-            held.push(Held { culprit, why, conflicts: pass.conflicts });
+            held.push(Held { culprit, why, conflicts: round.conflicts });
         };
         // What was held back for the sake of one that is now held back itself may come in after all, oldest first.
         let ages = Ages { candidates: &asked, void: &void };
@@ -99,7 +99,7 @@
             let before = out.len();
             out.retain(|path| match tried.with(path, &asked, &void, world, &mut self.cache) {
                 Some((more, with_it)) => {
-                    (tried, pass) = (more, with_it);
+                    (tried, round) = (more, with_it);
                     false
                 }
                 None => true,
@@ -118,9 +118,9 @@
             taken.held.entry(culprit.clone()).or_insert((why.to_string(), other));
             conflicts.extend(all.into_iter().filter(|of| of.namespaces().contains(&culprit.as_str())));
         }
-        let ledger = outcome::ledger(last, &Outcome { pass: &pass, taken: &taken });
-        let book = book(&pass.active);
-        Merged { book, ledger, conflicts: conflicts.into_iter().collect() }
+        let history = outcome::history(last, &Outcome { round: &round, taken: &taken });
+        let book = book(&round.active);
+        Merged { book, history, conflicts: conflicts.into_iter().collect() }
     }
 }
 
@@ -176,9 +176,9 @@
             more.void.clear();
         }
         loop {
-            let pass = more.run(world, cache);
+            let round = more.run(world, cache);
             let ages = Ages { candidates: &more.candidates, void: void_before };
-            let Some((culprit, why)) = ages.choose(&pass.conflicts) else { return Some((more, pass)) };
+            let Some((culprit, why)) = ages.choose(&round.conflicts) else { return Some((more, round)) };
             let as_before = why.voids(&culprit) && self.void.contains(&culprit) && !was_void;
             if !as_before || !more.void.insert(culprit) {
                 return None;
--- a/crates/routing-rules/src/outcome.rs
+++ b/crates/routing-rules/src/outcome.rs
@@ -1,20 +1,22 @@
-//! What is remembered after a merge.
+//! The history after a merge.
 
 use std::collections::BTreeSet;
+use std::sync::Arc;
 
-use crate::candidate::{Taken, digest};
+use crate::candidate::{Candidate, Taken, digest};
+use crate::compiled::{Compiled, Read};
 use crate::evaluation_round::EvaluationRound;
 use crate::history::{Entry, GoodRevision, History};
 use crate::state::{State, StateEvent, StateName};
 
-/// What a merge came to.
+/// The outcome of a merge.
 pub(crate) struct Outcome<'a> {
-    pub pass: &'a EvaluationRound,
+    pub round: &'a EvaluationRound,
     pub taken: &'a Taken,
 }
 
-/// The ledger after the merge. It is the old one if nothing changed, so that merging the same again changes nothing.
-pub(crate) fn ledger(last: &History, outcome: &Outcome) -> History {
+/// The history after the merge. It is the old one if nothing changed, so that merging the same again changes nothing.
+pub(crate) fn history(last: &History, outcome: &Outcome) -> History {
     let step = last.step.saturating_add(1);
     let mut next = History { step, ..History::default() };
     let taken = outcome.taken;
@@ -28,63 +30,85 @@
 }
 
 fn entry(path: &str, before: Option<&Entry>, outcome: &Outcome, step: u64) -> Entry {
-    let Outcome { pass, taken } = outcome;
-    let active = pass.active.get(path);
-    let candidate = taken.candidates.get(path);
-    // Below a void delegation nothing conflicts, and nothing is in force.
-    let below_void = || {
-        let void = taken
-            .void
-            .iter()
-            .find(|void| path.strip_prefix(void.as_str()).is_some_and(|r| r.starts_with('/')))?;
-        (candidate.is_some() || taken.newest.contains_key(path))
-            .then(|| (format!("the delegation to {void} doesn't count"), Some(void.clone())))
+    let Outcome { round, taken } = outcome;
+    let active = round.active.get(path);
+    let held_back = taken.held.get(path).cloned().or_else(|| below_void(path, taken));
+    let event = event(path, outcome, held_back.is_some());
+    let state = state(path, before, event, outcome, held_back.clone(), step);
+    let good = match active {
+        Some(active) => Some(good_revision(active, taken.candidates.get(path), step)),
+        None => before.and_then(|entry| entry.good.clone()),
     };
-    let held = taken.held.get(path).cloned().or_else(below_void);
-    let event = if pass.handed.contains_key(path) {
+    // What the file says and isn't in force stays the newest until it changes.
+    let is_other = |read: &&Arc<Read>| active.is_none_or(|active| active.read.hash != read.hash);
+    let refused = taken.newest.get(path).filter(|read| held_back.is_some() && is_other(read));
+    let in_force = active.map(|active| active.read.file.revision);
+    let void = taken.void.contains(path);
+    Entry { state, in_force, good, refused: refused.map(|read| digest(read)), void }
+}
+
+/// Why a namespace is held back, and by whom.
+type HeldBack = (String, Option<String>);
+
+/// Below a void delegation nothing conflicts, and nothing is in force.
+fn below_void(path: &str, taken: &Taken) -> Option<HeldBack> {
+    let is_below =
+        |void: &&String| path.strip_prefix(void.as_str()).is_some_and(|rest| rest.starts_with('/'));
+    let void = taken.void.iter().find(is_below)?;
+    let has_content = taken.candidates.contains_key(path) || taken.newest.contains_key(path);
+    has_content.then(|| (format!("the delegation to {void} doesn't count"), Some(void.clone())))
+}
+
+/// What the merge found of a namespace.
+fn event(path: &str, Outcome { round, taken }: &Outcome, is_held_back: bool) -> StateEvent {
+    if round.handed.contains_key(path) {
         StateEvent::HandOver
-    } else if pass.frozen.contains_key(path) {
+    } else if round.frozen.contains_key(path) {
         StateEvent::Freeze
     } else if taken.refused.iter().any(|refused| refused == path) {
         StateEvent::Refused
-    } else if held.is_some() {
+    } else if is_held_back {
         StateEvent::Conflict
-    } else if active.is_some() {
+    } else if round.active.contains_key(path) {
         StateEvent::Taken
     } else {
         StateEvent::Gone
-    };
+    }
+}
+
+/// The state that the event leads to. It lasts since the step at which it began.
+fn state(
+    path: &str,
+    before: Option<&Entry>,
+    event: StateEvent,
+    Outcome { round, .. }: &Outcome,
+    held_back: Option<HeldBack>,
+    step: u64,
+) -> State {
     let old = before.map(|entry| &entry.state);
     let name = old.map_or(StateName::Absent, State::name).next(event);
     let same = old.filter(|state| state.name() == name);
     let since = same.and_then(State::since).unwrap_or(step);
-    let state = match name {
+    match name {
         StateName::Absent => State::Absent,
         StateName::Good => State::Good,
-        StateName::Frozen => State::Frozen { since, by: pass.frozen.get(path).cloned().unwrap_or_default() },
+        StateName::Frozen => State::Frozen { since, by: round.frozen.get(path).cloned().unwrap_or_default() },
         StateName::HandedOver => {
-            State::HandedOver { since, to: pass.handed.get(path).cloned().unwrap_or_default() }
+            State::HandedOver { since, to: round.handed.get(path).cloned().unwrap_or_default() }
         }
         StateName::HeldBack => {
-            let (why, by) = held.clone().unwrap_or_default();
-            let same = matches!(same, Some(State::HeldBack { why: old, .. }) if *old == why);
-            State::HeldBack { since: if same { since } else { step }, why, by }
+            let (why, by) = held_back.unwrap_or_default();
+            let is_same = matches!(same, Some(State::HeldBack { why: old, .. }) if *old == why);
+            State::HeldBack { since: if is_same { since } else { step }, why, by }
         }
-    };
-    let mut good = before.and_then(|entry| entry.good.clone());
-    if let Some(active) = active {
-        let read = &active.read;
-        let text = read.text.clone();
-        let revision = read.file.revision;
-        let old = candidate.and_then(|candidate| candidate.good.as_ref());
-        let taken = old.filter(|(old, _)| old.hash == read.hash).map_or(step, |(_, taken)| *taken);
-        good = Some(GoodRevision { file: read.path_on_disk.clone(), revision, text, taken });
     }
-    // What the file says and isn't in force stays the youngest until it changes.
-    let newest = taken.newest.get(path);
-    let refused =
-        newest.filter(|read| held.is_some() && active.is_none_or(|active| active.read.hash != read.hash));
-    let in_force = active.map(|active| active.read.file.revision);
-    let void = taken.void.contains(path);
-    Entry { state, in_force, good, refused: refused.map(|read| digest(read)), void }
+}
+
+/// The content in force; it was taken at the step at which it came in force first.
+fn good_revision(active: &Compiled, candidate: Option<&Candidate>, step: u64) -> GoodRevision {
+    let read = &active.read;
+    let known = candidate.and_then(|candidate| candidate.good.as_ref());
+    let taken = known.filter(|(known, _)| known.hash == read.hash).map_or(step, |(_, taken)| *taken);
+    let (file, revision) = (read.path_on_disk.clone(), read.file.revision);
+    GoodRevision { file, revision, text: read.text.clone(), taken }
 }
--- a/crates/routing-rules/tests/conflicts.rs
+++ b/crates/routing-rules/tests/conflicts.rs
@@ -35,7 +35,7 @@
 }
 
 fn state<'a>(merged: &'a Merged, path: &str) -> &'a State {
-    &merged.ledger.namespaces[path].state
+    &merged.history.namespaces[path].state
 }
 
 #[test]
@@ -87,7 +87,7 @@
     assert_eq!(first.conflicts, []);
     let body = ROOT.replace("[\"t1\"]", "[\"t0\", \"t1\"]");
     let files = [file("r", 2, &body), file("r/a", 1, ""), file("r/b", 2, "")];
-    let merged = merge(&first.ledger, &files, &world());
+    let merged = merge(&first.history, &files, &world());
     assert!(matches!(only(&merged), Conflict::SameSubject { .. }));
     assert_eq!(in_force(&merged), [("r", 1), ("r/a", 1), ("r/b", 2)]);
     assert!(matches!(state(&merged, "r"), State::HeldBack { since: 2, .. }));
@@ -213,7 +213,7 @@
     let first = fresh(&[root(), file("r/a", 1, ""), file("r/b", 1, "")]);
     let without = "[[delegate]]\nto = \"b\"\ntenants = [\"t1\"]\n";
     let merged =
-        merge(&first.ledger, &[file("r", 2, without), file("r/a", 1, ""), file("r/b", 1, "")], &world());
+        merge(&first.history, &[file("r", 2, without), file("r/a", 1, ""), file("r/b", 1, "")], &world());
     assert_eq!(in_force(&merged), [("r", 2), ("r/b", 1)]);
 }
 
@@ -222,7 +222,7 @@
     let (one, mut other) =
         (file("r/a", 1, ""), file("r/a", 1, "[[rule]]\nname = \"m\"\nattempts.most = 2\n"));
     let first = fresh(&[root(), one.clone()]);
-    let merged = merge(&first.ledger, &[root(), other.clone()], &world());
+    let merged = merge(&first.history, &[root(), other.clone()], &world());
     assert!(matches!(only(&merged), Conflict::TwoContents { revision: 1, .. }));
     assert_eq!(merged.book, first.book);
     other.path_on_disk = "rules/copy.toml".to_owned();
@@ -239,8 +239,8 @@
 #[test]
 fn rejects_an_older_revision_after_removal() {
     let first = fresh(&[root(), file("r/a", 3, "")]);
-    for ledger in [&first.ledger, &merge(&first.ledger, &[root()], &world()).ledger] {
-        let merged = merge(ledger, &[root(), file("r/a", 2, "")], &world());
+    for history in [&first.history, &merge(&first.history, &[root()], &world()).history] {
+        let merged = merge(history, &[root(), file("r/a", 2, "")], &world());
         assert!(matches!(only(&merged), Conflict::OldRevision { stated: 2, last: 3, .. }));
         assert!(only(&merged).to_string().contains("give the old text a new revision"));
         assert_eq!(in_force(&merged), [("r", 1), ("r/a", 3)]);
@@ -256,7 +256,7 @@
     let good = fresh(&[file("r", 1, &parent), file("r/b", 1, "[[delegate]]\nto = \"x\"\n")]);
     let team = "[[rule]]\nname = \"w\"\nplace.prefer.hardware = [\"w0\"]\n";
     let files = [file("r", 1, &parent), file("r/b", 2, house), file("r/b/x", 1, team)];
-    let merged = merge(&good.ledger, &files, &world());
+    let merged = merge(&good.history, &files, &world());
     assert_eq!(in_force(&merged), [("r", 1), ("r/b", 1), ("r/b/x", 1)], "{:?}", merged.conflicts);
 }
 
@@ -264,12 +264,12 @@
 fn a_frozen_child_stays_and_a_thawed_one_catches_up() {
     let first = fresh(&[root(), file("r/a", 1, "")]);
     let frozen = file("r", 2, &ROOT.replacen("to = \"a\"", "to = \"a\"\nfrozen = true", 1));
-    let merged = merge(&first.ledger, &[frozen.clone(), file("r/a", 2, "")], &world());
+    let merged = merge(&first.history, &[frozen.clone(), file("r/a", 2, "")], &world());
     assert_eq!(in_force(&merged), [("r", 2), ("r/a", 1)]);
     assert!(matches!(state(&merged, "r/a"), State::Frozen { since: 2, by } if by == "r"));
-    let gone = merge(&merged.ledger, &[frozen], &world());
+    let gone = merge(&merged.history, &[frozen], &world());
     assert_eq!(in_force(&gone), [("r", 2), ("r/a", 1)]);
-    let thawed = merge(&gone.ledger, &[file("r", 3, ROOT), file("r/a", 2, "")], &world());
+    let thawed = merge(&gone.history, &[file("r", 3, ROOT), file("r/a", 2, "")], &world());
     assert_eq!(in_force(&thawed), [("r", 3), ("r/a", 2)]);
     assert_eq!(*state(&thawed, "r/a"), State::Good);
 }
@@ -280,7 +280,7 @@
     let body = "[[delegate]]\nto = \"a\"\nhanded_to = \"b\"\ntenants = [\"t0\"]\n\
                 [[delegate]]\nto = \"b\"\ntenants = [\"t0\", \"t1\"]\n";
     let files = [file("r", 2, body), file("r/a", 2, ""), file("r/b", 1, "")];
-    let merged = merge(&first.ledger, &files, &world());
+    let merged = merge(&first.history, &files, &world());
     assert_eq!(merged.conflicts, []);
     assert_eq!(in_force(&merged), [("r", 2), ("r/b", 1)]);
     assert!(matches!(state(&merged, "r/a"), State::HandedOver { to, .. } if to == "r/b"));
@@ -292,19 +292,19 @@
         format!("{ROOT}[[rule]]\nname = \"w0\"\ntenants = [\"t0\"]\nplace.require.hardware = [\"w0\"]\n");
     let bad = file("r/a", 2, "[[rule]]\nname = \"w1\"\nplace.require.hardware = [\"w1\"]\n");
     let first = fresh(&[file("r", 1, &parent), file("r/a", 1, "")]);
-    let held = merge(&first.ledger, &[file("r", 1, &parent), bad.clone()], &world());
+    let held = merge(&first.history, &[file("r", 1, &parent), bad.clone()], &world());
     assert_eq!(in_force(&held), [("r", 1), ("r/a", 1)]);
-    let next = merge(&held.ledger, &[file("r", 2, &parent), bad.clone()], &world());
+    let next = merge(&held.history, &[file("r", 2, &parent), bad.clone()], &world());
     assert_eq!(in_force(&next), [("r", 2), ("r/a", 1)]);
     // Once what stood against it is gone, it comes in by itself.
-    let freed = merge(&next.ledger, &[file("r", 3, ROOT), bad], &world());
+    let freed = merge(&next.history, &[file("r", 3, ROOT), bad], &world());
     assert_eq!(in_force(&freed), [("r", 3), ("r/a", 2)]);
 }
 
 #[test]
 fn a_merger_that_remembers_gives_what_a_fresh_one_gives() {
     let mut merger = Merger::default();
-    let mut ledger = History::default();
+    let mut history = History::default();
     let wish = "[[rule]]\nname = \"w\"\nplace.prefer.halls = [\"h1\"]\n";
     let must = "[[rule]]\nname = \"m\"\nplace.require.halls = [\"h0\"]\n";
     let steps: [&[RuleFile]; 6] = [
@@ -316,8 +316,8 @@
         &[file("r", 3, ""), file("r/a", 3, wish)],
     ];
     for files in steps {
-        let merged = merger.merge(&ledger, files, &world());
-        assert_eq!(merged, merge(&ledger, files, &world()));
-        ledger = merged.ledger;
+        let merged = merger.merge(&history, files, &world());
+        assert_eq!(merged, merge(&history, files, &world()));
+        history = merged.history;
     }
 }
--- a/crates/routing-rules/tests/examples.rs
+++ b/crates/routing-rules/tests/examples.rs
@@ -34,7 +34,7 @@
     let merged = merge(&History::default(), &files(), &world());
     assert_eq!(merged.conflicts, []);
     assert_eq!(merged.book.namespaces.len(), 5);
-    assert!(merged.ledger.namespaces.values().all(|entry| entry.state == State::Good));
+    assert!(merged.history.namespaces.values().all(|entry| entry.state == State::Good));
     let ask = |tenant, class, group, hall, hardware| {
         effective(&merged.book, &Request { tenant, class, group }, &Node { hall, hardware })
     };
--- a/crates/routing-rules/tests/files.rs
+++ b/crates/routing-rules/tests/files.rs
@@ -104,10 +104,10 @@
     let good = [file("r", 1, body), file("r/a", 1, ""), file("r/b", 1, "")];
     let first = merge(&History::default(), &good, &world());
     let broken = RuleFile::new("rules/r/a.toml", "namespace = \n");
-    let merged = merge(&first.ledger, &[good[0].clone(), broken.clone(), file("r/b", 2, "")], &world());
+    let merged = merge(&first.history, &[good[0].clone(), broken.clone(), file("r/b", 2, "")], &world());
     let revisions: Vec<u64> = merged.book.namespaces.iter().map(|owner| owner.revision).collect();
     assert_eq!(revisions, [1, 1, 2]);
-    let state = &merged.ledger.namespaces["r/a"].state;
+    let state = &merged.history.namespaces["r/a"].state;
     assert!(
         matches!(state, State::HeldBack { since: 2, why, by: None }
         if why.starts_with("rules/r/a.toml:1: namespace")),
@@ -115,7 +115,7 @@
     );
     // The name it was last read under counts as well, and one that is nobody's holds nobody back.
     let anyone = RuleFile::new("nobody.toml", "namespace = \n");
-    let merged = merge(&first.ledger, &[good.as_slice(), &[anyone]].concat(), &world());
+    let merged = merge(&first.history, &[good.as_slice(), &[anyone]].concat(), &world());
     assert_eq!(merged.book, first.book);
     assert!(matches!(&merged.conflicts[..], [Conflict::Broken { namespace: None, .. }]));
     // The first start: the file's place tells whose it is.
@@ -123,7 +123,7 @@
     assert!(
         matches!(&merged.conflicts[..], [Conflict::Broken { namespace: Some(path), .. }] if path == "r/a")
     );
-    assert!(matches!(merged.ledger.namespaces["r/a"].state, State::HeldBack { .. }));
+    assert!(matches!(merged.history.namespaces["r/a"].state, State::HeldBack { .. }));
 }
 
 fn anything() -> impl Strategy<Value = Vec<u8>> {
@@ -154,12 +154,12 @@
         // The last good state, then one file overwritten by anything.
         let good = files(&universe);
         let first = merge(&History::default(), &good, &world());
-        let settled = merge(&first.ledger, &good, &world());
+        let settled = merge(&first.history, &good, &world());
         let mut bad = good.clone();
         let at = at % bad.len();
         bad[at].text = bytes;
         let path = &universe[at].path;
-        let merged = merge(&first.ledger, &bad, &world());
+        let merged = merge(&first.history, &bad, &world());
         if read(&bad[at]).is_err() {
             // What was out may come in now that it is alone; nothing that was in force changes or goes.
             for rule in &settled.book.rules {
--- a/crates/routing-rules/tests/oracle.rs
+++ b/crates/routing-rules/tests/oracle.rs
@@ -148,7 +148,7 @@
             let path = spec.path.clone();
             spec.grants.retain(|grant| {
                 let child = format!("{path}/{}", grant.to);
-                in_force.contains(child.as_str()) || !merged.ledger.namespaces.contains_key(&child)
+                in_force.contains(child.as_str()) || !merged.history.namespaces.contains_key(&child)
             });
         }
         let found = oracle::conflicts(&left);
@@ -160,9 +160,9 @@
         prop_assert_eq!(&found.over_committed, &BTreeSet::new());
         // Each that isn't in force is held back, and a conflict names it or what lies above it and is void.
         for spec in universe.iter().filter(|spec| !in_force.contains(spec.path.as_str())) {
-            let state = &merged.ledger.namespaces[&spec.path].state;
+            let state = &merged.history.namespaces[&spec.path].state;
             prop_assert!(matches!(state, State::HeldBack { .. }), "{}: {state:?}", spec.path);
-            let above = merged.ledger.namespaces.iter().filter(|(_, entry)| entry.void);
+            let above = merged.history.namespaces.iter().filter(|(_, entry)| entry.void);
             let mut above = above.map(|(path, _)| path).filter(|path| spec.path.starts_with(&format!("{path}/")));
             let named = |path: &String| merged.conflicts.iter().any(|of| of.namespaces().contains(&path.as_str()));
             prop_assert!(named(&spec.path) || above.any(named), "{} is out, unnamed", spec.path);
@@ -181,13 +181,13 @@
         let merged = merge(&History::default(), &sorted, &world());
         prop_assert_eq!(&merged, &merge(&History::default(), &shuffled, &world()));
         let bytes = toml::to_string(&merged.book).expect("a book is written");
-        let again = merge(&merged.ledger, &shuffled, &world());
+        let again = merge(&merged.history, &shuffled, &world());
         prop_assert_eq!(&again.book, &merged.book);
         prop_assert_eq!(bytes, toml::to_string(&again.book).expect("a book is written"));
-        let third = merge(&again.ledger, &sorted, &world());
+        let third = merge(&again.history, &sorted, &world());
         prop_assert_eq!(&third, &again);
-        let ledger = toml::to_string(&merged.ledger).expect("a ledger is written");
-        prop_assert_eq!(toml::from_str::<History>(&ledger).expect("and read"), merged.ledger);
+        let text = toml::to_string(&merged.history).expect("a ledger is written");
+        prop_assert_eq!(toml::from_str::<History>(&text).expect("and read"), merged.history);
     }
 
     #[test]
@@ -227,12 +227,12 @@
     }
 
     #[test]
-    fn file_by_file_over_time_a_merger_that_remembers_gives_what_a_fresh_one_gives(
-        history in proptest::collection::vec((any_universe(), 0..4_u8), 2..4),
+    fn cached_merges_equal_fresh_merges(
+        steps in proptest::collection::vec((any_universe(), 0..4_u8), 2..4),
     ) {
         let mut merger = Merger::default();
-        let mut ledger = History::default();
-        for (step, (mut universe, hall)) in history.into_iter().enumerate() {
+        let mut history = History::default();
+        for (step, (mut universe, hall)) in steps.into_iter().enumerate() {
             // Mostly newer revisions; now and then an old one, or the same with another content.
             for spec in &mut universe {
                 spec.revision += step as u64;
@@ -242,23 +242,23 @@
             if hall == 0 {
                 world.nodes.retain(|(hall, _)| hall == "h1");
             }
-            let merged = merger.merge(&ledger, &files(&universe), &world);
-            prop_assert_eq!(&merged, &merge(&ledger, &files(&universe), &world));
+            let merged = merger.merge(&history, &files(&universe), &world);
+            prop_assert_eq!(&merged, &merge(&history, &files(&universe), &world));
             for request in requests() {
                 let mut real = world.nodes();
                 prop_assert!(real.any(|node| effective(&merged.book, &request, &node).allowed), "{request:?}");
             }
-            let again = merger.merge(&merged.ledger, &files(&universe), &world);
+            let again = merger.merge(&merged.history, &files(&universe), &world);
             prop_assert_eq!(&again.book, &merged.book);
-            prop_assert_eq!(&merge(&again.ledger, &files(&universe), &world), &again);
-            ledger = again.ledger;
+            prop_assert_eq!(&merge(&again.history, &files(&universe), &world), &again);
+            history = again.history;
         }
     }
 }
 
 /// Were the universes without conflicts of a kind, the comparison would tell nothing of it.
 #[test]
-fn the_universes_have_conflicts_of_each_kind_and_many_have_none() {
+fn universes_have_conflicts_of_each_kind() {
     let mut runner = proptest::test_runner::TestRunner::deterministic();
     let (mut sum, mut none) = ([0_usize; 7], 0);
     for _ in 0..400 {
--- a/crates/rule-compiler/tests/golden.rs
+++ b/crates/rule-compiler/tests/golden.rs
@@ -83,12 +83,12 @@
 
 #[test]
 fn book_and_plan_keep_their_bytes() {
-    let Merged { book, ledger, conflicts } = merge(&History::default(), &files(), &world());
+    let Merged { book, history, conflicts } = merge(&History::default(), &files(), &world());
     let compiled = compile(&book, &profiles());
     let encode = |value: postcard::Result<Vec<u8>>| value.unwrap();
     let made = [
         ("world", encode(postcard::to_allocvec(&world()))),
-        ("ledger", encode(postcard::to_allocvec(&ledger))),
+        ("ledger", encode(postcard::to_allocvec(&history))),
         ("book", encode(postcard::to_allocvec(&book))),
         ("profiles", encode(postcard::to_allocvec(&profiles()))),
         ("plan", compiled.plan.to_bytes()),
@@ -96,7 +96,7 @@
     ];
     let golden = assert_bytes(&golden_path!("book_and_plan.txt"), &made);
     assert_eq!(postcard::from_bytes::<Inventory>(&golden[0]).unwrap(), world());
-    assert_eq!(postcard::from_bytes::<History>(&golden[1]).unwrap(), ledger);
+    assert_eq!(postcard::from_bytes::<History>(&golden[1]).unwrap(), history);
     assert_eq!(postcard::from_bytes::<Book>(&golden[2]).unwrap(), book);
     assert_eq!(postcard::from_bytes::<Profiles>(&golden[3]).unwrap(), profiles());
     let plan = Plan::from_bytes(&golden[4]).unwrap();
