--- a/crates/cottonnotch/src/main.rs
+++ b/crates/cottonnotch/src/main.rs
@@ -1,4 +1,4 @@
-//! The proxy: real sockets around the decision module. See the README for how the parts fit.
+//! The proxy: real sockets around the decision module. See `docs/ARCHITECTURE.md` for how the parts fit.
 
 mod command_line;
 mod config;
