--- a/crates/aggregation/benches/homes.rs
+++ b/crates/aggregation/benches/homes.rs
@@ -3,12 +3,12 @@
 //!
 //! `cargo bench --locked -p cottonnotch-aggregation --bench homes`; `-- 440` for one size.
 
-#[path = "../tests/played/mod.rs"]
-mod played;
+#[path = "../tests/simulation/mod.rs"]
+mod simulation;
 
-use played::*;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
+use simulation::*;
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use std::alloc::System;
 
@@ -56,7 +56,7 @@
          \"fullest_of_its_size\": {:.3}, \"period_s\": {:.1}, \"bytes_per_s_mean\": {:.0}, \"bytes_per_s_most_in_a_minute\": {:.0}, \
          \"core_mean\": {:.5}, \"core_most_in_a_minute\": {:.5}, \"memory_each\": {}}}",
         groups.unwrap_or(0),
-        sim.needs(1),
+        sim.required_size(1),
         sim.fullest(1),
         period as f64 / 1e6,
         mean(&spent),
--- a/crates/aggregation/src/aggregation.rs
+++ b/crates/aggregation/src/aggregation.rs
@@ -25,7 +25,7 @@
 }
 
 impl Aggregation {
-    /// Takes a report's datagram of so many bytes.
+    /// Takes one fragment of a report; `bytes` is the size of its datagram.
     pub fn record(&mut self, now: Micros, from: u32, bytes: usize, report: Report) {
         self.expire(now);
         self.first_report_at.get_or_insert(now);
--- a/crates/aggregation/src/aggregator.rs
+++ b/crates/aggregation/src/aggregator.rs
@@ -28,7 +28,7 @@
         EndpointPool { count: count as u32, mean_capacity: total / count.max(1) as f64 }
     }
 
-    /// Takes a report's datagram of so many bytes; those of its own cost none.
+    /// Takes one fragment of a report; `bytes` is the size of its datagram, 0 for this member's own report.
     pub(crate) fn record_report(&mut self, now: Micros, from: u32, bytes: usize, report: Report) {
         if report.leaving {
             self.group_reports.remove(from);
@@ -36,7 +36,7 @@
         self.load_reports.record(now, from, bytes, report);
     }
 
-    /// Takes a group report's datagram of so many bytes; those of its own cost none.
+    /// Takes one fragment of a group report; `bytes` is the size of its datagram, 0 for this member's own report.
     pub(crate) fn record_groups(
         &mut self,
         settings: &Settings,
@@ -60,7 +60,7 @@
         self.load_reports.summary(settings, now, |endpoint| capacities.get(&endpoint).copied())
     }
 
-    /// The groups whose affinity subset needs more than five endpoints, among so many configured members.
+    /// The groups whose affinity subset needs more than five endpoints, and how many.
     pub(crate) fn subset_sizes(
         &mut self,
         settings: &Settings,
--- a/crates/aggregation/src/aggregator_search.rs
+++ b/crates/aggregation/src/aggregator_search.rs
@@ -10,14 +10,14 @@
 /// Intervals without an answer of the first in order until its deputy is asked first. Guards against members that follow the
 /// deputy after two lost datagrams: the sums would fall apart, half here and half there.
 const SILENT_INTERVALS: u32 = 2;
-/// ... and even then the first is asked in every so many reports: it may be back.
+/// Even then every third report goes to the first in order: it may be back.
 const RETRY_FIRST_EVERY: u16 = 3;
 /// Rounds of asking before a member waits for its next interval, and doubles that.
 const MAX_ROUNDS: u32 = 6;
 /// After all rounds, and half a second for the way, an answer is none: this process was stopped meanwhile, and what it finds in
 /// its socket is as old as that.
 pub(crate) const MAX_ANSWER_AGE: Micros = (MAX_ROUNDS as Micros + 2) * ANSWER_TIMEOUT;
-/// The backoff of reports doubles so many times at most.
+/// Doublings of the report interval at most, while no report is answered.
 const MAX_DOUBLINGS: u32 = 3;
 
 /// How far the last report has come.
@@ -62,7 +62,7 @@
 }
 
 impl AggregatorSearch {
-    /// Begins in this epoch, among so many members.
+    /// Begins in this epoch; `members` is the size of the fleet.
     pub(crate) fn new(epoch: u64, members: u32) -> Self {
         AggregatorSearch {
             epoch,
--- a/crates/aggregation/src/config.rs
+++ b/crates/aggregation/src/config.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetSection {
-    /// A fleet of so many proxies or more aggregates reports, in place of gossip.
+    /// The number of proxies from which on a fleet aggregates reports, in place of gossip.
     pub members_from: Option<u32>,
     /// Bandwidth limit of the fleet: full datagrams (256 bytes) sent for each request that arrives at any of its proxies.
     pub datagrams_per_request: f64,
@@ -66,7 +66,7 @@
     pub target_utilization: f64,
     /// Within this time a subset shrinks by half at most.
     pub shrink_hold: i64,
-    /// The last answer counts for so long.
+    /// How long the last answer counts.
     pub retention: i64,
 }
 
--- a/crates/aggregation/src/fleet_sums.rs
+++ b/crates/aggregation/src/fleet_sums.rs
@@ -9,7 +9,7 @@
 /// Load that each group adds to each endpoint which holds any of it, in mean connection loads: the platform's figure,
 /// which no setting carries.
 pub(crate) const GROUP_COST: f64 = 3.0;
-/// No report counts for more than so many times what 19 of 20 report. Guards against faulty members: what one or two
+/// The limit of what one report counts for, as a multiple of what 19 of 20 report. Guards against faulty members: what one or two
 /// of 40 report doesn't move this mark, and clients never arrive as unevenly.
 pub(crate) const MAX_OVER_USUAL: f64 = 2.0;
 /// ... and this much, in connections, where most members have none.
@@ -127,7 +127,7 @@
         self.add_entries(report, factor, limits.connections as usize);
     }
 
-    /// A member with so many connections has no more groups than that.
+    /// A member has no more groups than connections.
     fn add_entries(&mut self, report: &MemberReport, factor: f64, max_groups: usize) {
         let mut groups_left = max_groups;
         for entry in report.current_entries() {
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Whether so many proxies on an endpoint of this capacity are far more than usual.
+    /// Whether this number of proxies is far more than usual for an endpoint of this capacity.
     fn is_exceeded(&self, proxies: u32, capacity: f64) -> bool {
         proxies >= MIN_AGREEING
             && f64::from(proxies) / capacity.max(1.0) > CROWDED * self.proxies / self.capacity.max(1.0)
--- a/crates/aggregation/src/group_sums.rs
+++ b/crates/aggregation/src/group_sums.rs
@@ -114,7 +114,7 @@
 }
 
 impl GroupSums {
-    /// Takes a datagram of so many bytes. The same fragment of a report again changes nothing, so a member has two reports here at
+    /// Takes one fragment of a report; `bytes` is the size of its datagram. The same fragment of a report again changes nothing, so a member has two reports here at
     /// most.
     pub fn record(
         &mut self,
@@ -213,7 +213,7 @@
     }
 }
 
-/// The sum of one group's loads in ascending order, each limited by what 19 of 20 of so many members have.
+/// The sum of one group's loads in ascending order, each limited by what 19 of 20 members have.
 fn limited_sum(loads: &[(u64, f64)], members: usize, mean_load: f64) -> f64 {
     let rank = (members * 19 / 20).saturating_sub(1);
     // Members that don't name the group have nothing of it.
--- a/crates/aggregation/src/member.rs
+++ b/crates/aggregation/src/member.rs
@@ -13,7 +13,7 @@
 use crate::wire::{self, Fragment, GroupReport, Report};
 use crate::{Micros, Settings};
 
-/// What a snapshot says of intervals and shares counts for so many of the longest intervals.
+/// How long a snapshot's report interval and connection share count, in multiples of the longest interval.
 const SNAPSHOT_LIFETIME_INTERVALS: Micros = 4;
 /// A member takes its share of all connections to be this much of an even one at least.
 const MIN_OF_EVEN_SHARE: f64 = 0.5;
@@ -47,7 +47,7 @@
 }
 
 impl Member {
-    /// A member among so many, numbered from 0; `unix` is Unix time in microseconds at `now`.
+    /// A member with the ordinal `me`, of a fleet of `members`, numbered from 0; `unix` is Unix time in microseconds at `now`.
     pub fn new(settings: Settings, me: u32, members: u32, seed: u64, now: Micros, unix: Micros) -> Self {
         let unix_offset = unix - now;
         Member {
--- a/crates/aggregation/src/member_report.rs
+++ b/crates/aggregation/src/member_report.rs
@@ -5,7 +5,7 @@
 use crate::wire::{EndpointDigest, Entry, Fragment, Report, Totals};
 use std::collections::BTreeSet;
 
-/// A report counts for so many halves of the time to its sender's next one: two may be lost.
+/// The lifetime of a report, in halves of the time to its sender's next one: two reports may be lost.
 pub(crate) const LIFETIME_HALF_INTERVALS: i64 = 5;
 /// No report says that the next one is due sooner than this.
 pub(crate) const MIN_NEXT_REPORT_IN: Micros = 200_000;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Takes one fragment, in a datagram of so many bytes.
+    /// Takes one fragment; `bytes` is the size of its datagram.
     pub(crate) fn add_fragment(&mut self, now: Micros, bytes: usize, report: Report) {
         let lifetime = LIFETIME_HALF_INTERVALS * report.next_report_in.max(MIN_NEXT_REPORT_IN) / 2;
         self.expires_at = now + lifetime;
--- a/crates/aggregation/src/receiving.rs
+++ b/crates/aggregation/src/receiving.rs
@@ -8,7 +8,7 @@
 /// A snapshot is replaced by one of fewer members than this share of its own only once it is old: an aggregator that has just
 /// begun has not heard all.
 const MIN_MEMBER_RATIO: f64 = 0.6;
-/// ... which is after so many report intervals.
+/// The age, in report intervals, from which a snapshot is old in that sense.
 const SNAPSHOT_INTERVALS: Micros = 3;
 
 impl Member {
--- a/crates/aggregation/src/subset_tracker.rs
+++ b/crates/aggregation/src/subset_tracker.rs
@@ -6,10 +6,10 @@
 use crate::groups::{GroupLoad, heaviest};
 use crate::{AffinitySettings, Micros};
 
-/// A group that needs five endpoints has so many times this load at each member on the mean; a member that has less has nothing to
-/// report of it.
+/// A member reports a group from this fraction of an even share on of the load that needs five endpoints: one in four. Less is
+/// not worth its bytes.
 const WORTH_REPORTING: f64 = 4.0;
-/// From so many connections of its own a member without answers estimates a group's load: off by a fifth or so.
+/// Connections of its own from which a member without answers estimates a group's load: off by a fifth or so.
 const MIN_SAMPLE: u32 = 30;
 
 /// What a member knows of the fleet when it sizes subsets itself.
--- a/crates/aggregation/src/wire/scale.rs
+++ b/crates/aggregation/src/wire/scale.rs
@@ -43,7 +43,7 @@
     (span.max(0) / TENTH_OF_A_SECOND).min(Micros::from(u32::MAX)) as u32
 }
 
-/// The span of so many tenths of a second.
+/// A span from tenths of a second.
 pub(super) fn decode_tenths(tenths: u32) -> Micros {
     Micros::from(tenths) * TENTH_OF_A_SECOND
 }
--- a/crates/aggregation/tests/affinity_subsets.rs
+++ b/crates/aggregation/tests/affinity_subsets.rs
@@ -1,10 +1,10 @@
 //! Affinity subsets by a group's load, in fleets with faults: loss, delay, stops, restarts, cuts, members that aren't heard, older
 //! programs, strangers and faulty members.
 
-mod played;
+mod simulation;
 use cottonnotch_aggregation::wire::{self, Datagram, Fragment, GroupReport, SubsetSizes};
 use cottonnotch_aggregation::*;
-use played::*;
+use simulation::*;
 
 const LARGE: u64 = 0xfeed_f00d_dead_beef;
 const SMALL: u64 = 77;
@@ -29,7 +29,7 @@
 /// Subsets are large enough everywhere; no more than so many times what is needed at most members.
 fn assert_within(sim: &Sim, what: &str, times: f64) {
     let (least, middle, most) = sim.spread(LARGE);
-    let needs = sim.needs(LARGE);
+    let needs = sim.required_size(LARGE);
     eprintln!(
         "seed {}, {} members, {what}: {least} to {most}, middle {middle}, needs {needs}",
         sim.seed, sim.scale.members
@@ -55,7 +55,7 @@
 fn subset_grows_fast_and_shrinks_slowly() {
     let mut sim = fleet(5, 60, 20, settings(Some(64), 60, 30));
     sim.run_for(20 * S);
-    let before = sim.needs(LARGE);
+    let before = sim.required_size(LARGE);
     sim.clients(LARGE, 6_000);
     sim.run_for(15 * S);
     assert_right(&sim, "15 s after it grew six times");
@@ -124,7 +124,7 @@
         sim.start(member);
     }
     sim.run_for(200 * S);
-    let needs = sim.needs(LARGE);
+    let needs = sim.required_size(LARGE);
     for member in 0..120 {
         let size = sim.subset_size(member, LARGE);
         if member % 2 == 0 {
@@ -156,7 +156,7 @@
     sim.mute[4] = true;
     for _ in 0..12 {
         sim.run_for(20 * S);
-        let (size, needs) = (sim.subset_size(4, LARGE), sim.needs(LARGE));
+        let (size, needs) = (sim.subset_size(4, LARGE), sim.required_size(LARGE));
         assert!(size >= before * 7 / 10 && size <= needs * 2, "{size}, {before} before, needs {needs}");
     }
     // Its clients leave: by its own count there is nothing.
@@ -188,7 +188,7 @@
         sim.clients(LARGE, 40_000);
         sim.run_for(30 * S);
         let counts = sim.members[7].as_ref().unwrap().counts();
-        sim.go_on(member);
+        sim.resume(member);
         let after = sim.members[7].as_ref().unwrap().counts();
         late += after.late - counts.late;
         let accepted = after.subset_tables_received - counts.subset_tables_received;
@@ -196,7 +196,7 @@
         assert!(sim.subset_size(member, LARGE) >= before, "seed {seed}");
         sim.run_for(10 * S);
         assert!(
-            sim.subset_size(member, LARGE) >= sim.needs(LARGE) * 8 / 10,
+            sim.subset_size(member, LARGE) >= sim.required_size(LARGE) * 8 / 10,
             "seed {seed}: it goes on with the others"
         );
     }
--- a/crates/aggregation/tests/played/mod.rs
+++ b/crates/aggregation/tests/simulation/mod.rs
@@ -110,7 +110,7 @@
     }
 
     /// The endpoints that all need together, by the same formula as a plain one.
-    pub fn needs(&self, group: u64) -> u32 {
+    pub fn required_size(&self, group: u64) -> u32 {
         let Scale { load, size, nodes, .. } = self.scale;
         let room = 0.25 * size - (3.0 * load).min(0.125 * size);
         let endpoints = (f64::from(self.count(group)) * load / room).ceil() as u32;
@@ -139,7 +139,7 @@
     }
 
     /// It goes on, and finds what came meanwhile.
-    pub fn go_on(&mut self, member: u32) {
+    pub fn resume(&mut self, member: u32) {
         for (from, bytes) in self.stopped[member as usize].take().into_iter().flatten() {
             self.input(member, Input::Datagram { from: Some(from), bytes: &bytes });
         }
--- a/crates/gossip/src/bandwidth_limit.rs
+++ b/crates/gossip/src/bandwidth_limit.rs
@@ -68,7 +68,7 @@
         BandwidthLimit { total, by_purpose: [total, half, half], last_second: VecDeque::new() }
     }
 
-    /// Whether so many copies of so many bytes may be sent.
+    /// Whether a datagram of this size may be sent in this number of copies.
     pub(crate) fn has_room(&mut self, now: Micros, purpose: Purpose, copies: u64, bytes: u64) -> bool {
         self.expire(now);
         let bytes = copies * bytes;
--- a/crates/gossip/src/broadcast_queue.rs
+++ b/crates/gossip/src/broadcast_queue.rs
@@ -44,7 +44,7 @@
         pending.into_iter().map(|queued| queued.broadcast).collect()
     }
 
-    /// Notes that these were sent in so many copies; one that reached the limit is done.
+    /// Notes that these were sent in this number of copies; one that reached the limit is done.
     pub(crate) fn mark_transmitted(&mut self, broadcasts: &[Broadcast], copies: u32, limit: u32) {
         for broadcast in broadcasts {
             let Some(queued) = self.by_subject.get_mut(&broadcast.subject) else { continue };
@@ -56,7 +56,8 @@
     }
 }
 
-/// How often a broadcast is transmitted among so many members, of whom so many get each digest. Among few each hears it twice.
+/// How often a broadcast is transmitted in a fleet of `members`, of whom `fan_out` get each digest. Among few each hears it
+/// twice.
 pub(crate) fn transmit_limit(members: usize, fan_out: usize) -> u32 {
     let logarithm = ((members + 1) as f64).log10().ceil() as u32;
     (RETRANSMIT_MULTIPLIER * logarithm).max(2 * fan_out.min(members.saturating_sub(1)) as u32)
--- a/crates/gossip/src/config.rs
+++ b/crates/gossip/src/config.rs
@@ -35,7 +35,7 @@
 /// does in which a refutation reaches all.
 const SUSPICION_PERIODS: u32 = 3;
 const SUSPICION_WITHIN: (u32, u32) = (1, 100);
-/// A period is longer or shorter by up to one in so many, so that proxies don't act in step.
+/// A period is longer or shorter by up to this fraction of it, one in twenty, so that proxies don't act in step.
 pub(crate) const JITTER: i64 = 20;
 /// Eighths of the bandwidth limit that digests may need: the configuration leaves a quarter to answers and probes.
 const MAX_DIGEST_EIGHTHS: u64 = 6;
--- a/crates/gossip/src/farewell.rs
+++ b/crates/gossip/src/farewell.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 
-/// A farewell is sent to each member so often, if there is time: at 30% loss one of 37 misses it, and hears it from others.
+/// Rounds of farewells, if there is time: at 30% loss one of 37 misses it, and hears it from others.
 const ROUNDS: u32 = 3;
 /// Between two rounds, in microseconds. A lost datagram and its neighbour are lost together at times.
 const ROUND_INTERVAL: Micros = 100_000;
--- a/crates/gossip/src/gossip.rs
+++ b/crates/gossip/src/gossip.rs
@@ -85,7 +85,7 @@
 }
 
 impl Gossip {
-    /// A member among so many, numbered from 0. `generation` distinguishes this process from earlier ones of the same ordinal:
+    /// A member with the ordinal `me`, of a fleet of `members`, numbered from 0. `generation` distinguishes this process from earlier ones of the same ordinal:
     /// Unix time in milliseconds at its start. The keys must be of the settings' strength.
     pub fn new(
         settings: Settings,
--- a/crates/gossip/src/indirect_reports.rs
+++ b/crates/gossip/src/indirect_reports.rs
@@ -9,8 +9,8 @@
 /// up.
 const JUMP_INTERVAL: Micros = 10_000_000;
 
-/// A member that all others suspect is probed so often: half of the answers that the bandwidth limit lets it give where nothing
-/// else is configured.
+/// Between two probes of a member that all others suspect: half of the answers that the bandwidth limit lets it give by
+/// default.
 const PROMPTED_PROBE_SPACING: Micros = 125_000;
 
 impl Gossip {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Whether this reporter may prompt a probe of that member. Each prompts only so many, and nobody is probed again and again:
+    /// Whether this reporter may prompt a probe of that member. Each prompts few of them, and nobody is probed again and again:
     /// faulty peers could have all probe all, or one, and no answer would arrive in time.
     fn accepts_prompt(&mut self, from: u16, subject: u16) -> bool {
         !self.detector.probes.is_probing(subject)
--- a/crates/gossip/src/keys.rs
+++ b/crates/gossip/src/keys.rs
@@ -7,7 +7,7 @@
 
 /// Bytes of a key of either kind, written as twice as many hexadecimal digits.
 const KEY_BYTES: usize = 32;
-/// Bytes of a tag: 128 bits, as strong as the key is against who may try only so many datagrams a second.
+/// Bytes of a tag: 128 bits, as strong as the key is where few datagrams a second can be tried.
 const TAG_BYTES: usize = 16;
 /// Keys of one use are not keys of another.
 const CONTEXT: &str = "cottonnotch 2026 gossip, shared key of datagrams, version 1";
--- a/crates/gossip/src/local_state.rs
+++ b/crates/gossip/src/local_state.rs
@@ -6,7 +6,7 @@
 
 /// Entries at most: five times the endpoints that the fleet has. Of more, those with the least load are not reported.
 pub(crate) const MAX_ENTRIES: usize = 1_024;
-/// A change is sent to each member so often at least, and so is that an entry became empty: at 30% loss one of 37 members
+/// Times that a change is sent to each member at least, also that an entry became empty: at 30% loss one of 37 members
 /// misses it, until the rotation comes round.
 const TRANSMISSIONS_PER_CHANGE: u32 = 3;
 
@@ -28,7 +28,7 @@
         LocalEntry { current: empty, last_sent: empty, change: 0, rounds_left: 0, sent_in_round: 0 }
     }
 
-    /// Reaching all members once takes so many rounds.
+    /// Takes the present entry; `rounds` is what it takes to reach all members once.
     fn update(&mut self, entry: Entry, rounds: u32) {
         let change = entry.difference(&self.last_sent);
         if change > 0 || (entry.is_empty() && !self.current.is_empty()) {
@@ -56,7 +56,7 @@
 }
 
 impl LocalState {
-    /// Takes the complete present list. Reaching all members once takes so many rounds.
+    /// Takes the complete present list; `rounds` is what it takes to reach all members once.
     pub(crate) fn replace(&mut self, list: Vec<Entry>, rounds: u32) {
         let mut list: BTreeMap<EndpointDigest, Entry> =
             heaviest(list).into_iter().map(|entry| (entry.endpoint, entry)).collect();
--- a/crates/gossip/src/peer.rs
+++ b/crates/gossip/src/peer.rs
@@ -88,7 +88,7 @@
         !self.left.is_empty()
     }
 
-    /// Whether so many report that it left that nothing more is waited for.
+    /// Whether enough members report that it left to stop waiting.
     pub(crate) fn left_is_certain(&self) -> bool {
         self.left.len() >= MAX_REPORTERS
     }
@@ -134,7 +134,7 @@
 }
 
 impl Peer {
-    /// A member that was not heard yet, of which so many datagrams a second are looked at.
+    /// A member that was not heard yet; `datagrams_per_s` of its datagrams are processed.
     pub(crate) fn new(now: Micros, datagrams_per_s: u32) -> Self {
         Peer {
             state: State::Alive,
--- a/crates/gossip/src/peer_state.rs
+++ b/crates/gossip/src/peer_state.rs
@@ -5,7 +5,7 @@
 use crate::local_state::MAX_ENTRIES;
 use std::collections::BTreeMap;
 
-/// Entries that the peer reported as empty are kept so that a late datagram does not bring them back; so many at most.
+/// Empty entries at most. They are kept so that a late datagram does not bring back what the peer no longer has.
 const MAX_EMPTY: usize = 64;
 
 #[derive(Clone, Copy, Debug)]
@@ -66,7 +66,7 @@
         is_newer
     }
 
-    /// Drops the oldest beyond so many.
+    /// Drops the oldest beyond the limit.
     fn trim(&mut self, kind: EntryKind, limit: usize) {
         let is_of_kind = |entry: &Entry| entry.is_empty() == (kind == EntryKind::Empty);
         let mut by_age: Vec<(u64, EndpointDigest)> = self
--- a/crates/gossip/src/probing.rs
+++ b/crates/gossip/src/probing.rs
@@ -13,14 +13,14 @@
 
 /// Members through which one that does not answer is probed (SWIM's and memberlist's k).
 const INDIRECT_PROBES: usize = 3;
-/// With more suspects than this a partition is likelier than so many deaths: one other is asked for each, and no suspect more
+/// With more suspects than this a partition is likelier than that many deaths: one other is asked for each, and no suspect more
 /// often than it must be, or probing all of them takes minutes.
 const MANY_SUSPECTS: usize = 8;
 /// Longer than any suspicion lasts.
 const NEVER: Micros = 1 << 50;
-/// A member that is gone is probed every so many periods, one of them at a time: a partition that heals is noticed by this.
+/// Periods between two probes of dead or left members, one of them at a time: a partition that heals is noticed by this.
 const GONE_PROBE_PERIODS: u64 = 3;
-/// Suspicions are configured for up to so many members; for more they grow with the logarithm.
+/// Members for which suspicions last as configured; for more they grow with the logarithm.
 const CONFIGURED_FOR_MEMBERS: u32 = 10;
 
 impl Gossip {
@@ -70,7 +70,7 @@
         self.probe_within(target, kind, 0);
     }
 
-    /// The same within so long, at random if there are many who may do it at the same time.
+    /// Probes a member after a random wait of up to `within`, where many members may do so at the same time.
     pub(crate) fn probe_within(&mut self, target: u16, kind: ProbeKind, within: Micros) {
         if self.detector.probes.is_probing(target) {
             return;
--- a/crates/gossip/src/sending.rs
+++ b/crates/gossip/src/sending.rs
@@ -10,7 +10,7 @@
 use rand::RngExt;
 use rand::seq::SliceRandom;
 
-/// Part of a digest: the entries that are left to send, out of so many that there are.
+/// Part of a digest: the entries that are left to send, and how many there are in all.
 #[derive(Clone, Copy, Debug)]
 struct DigestPart<'a> {
     total: u32,
@@ -67,7 +67,7 @@
         Some(entries)
     }
 
-    /// Whether the limit lets so many copies of so many bytes pass; counted as withheld if not.
+    /// Whether the limit lets a datagram of this size pass in this number of copies; counted as withheld if not.
     pub(crate) fn has_bandwidth(&mut self, purpose: Purpose, copies: u64, bytes: u64) -> bool {
         let has_room = self.limits.bandwidth.has_room(self.now, purpose, copies, bytes);
         if !has_room {
@@ -76,7 +76,7 @@
         has_room
     }
 
-    /// Writes the suspicion of the receiver and what is queued, in so many bytes; returns what fitted.
+    /// Writes the suspicion of the receiver and what is queued, in `room` bytes; returns what fitted.
     fn write_broadcasts(
         &self,
         draft: &mut Draft,
--- a/crates/gossip/src/suspicion.rs
+++ b/crates/gossip/src/suspicion.rs
@@ -78,13 +78,13 @@
 }
 
 impl SuspicionTimeouts {
-    /// Of at least this much, among so many active members.
+    /// `min` is the least time-out; the number of active members limits how many can confirm a suspicion.
     pub(crate) fn new(min: Micros, active_members: u32) -> Self {
         let max_confirmations = MAX_REPORTERS.min((active_members as usize).saturating_sub(2));
         SuspicionTimeouts { min, max_confirmations }
     }
 
-    /// From the longest towards the least, as so many independent members confirm what this one's own checks found.
+    /// From the longest towards the least, the more independent members confirm what this one's own checks found.
     fn confirmed_by(&self, accusers: usize) -> Micros {
         if self.max_confirmations == 0 {
             return self.min;
--- a/crates/gossip/src/token_bucket.rs
+++ b/crates/gossip/src/token_bucket.rs
@@ -14,7 +14,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket of so many tokens a second.
+    /// A full bucket that gets `per_s` tokens a second.
     pub(crate) fn new(per_s: u32, now: Micros) -> Self {
         let per_s = i64::from(per_s);
         TokenBucket { per_s, level: per_s * SECOND, filled_at: now }
--- a/crates/gossip/src/wire/tests.rs
+++ b/crates/gossip/src/wire/tests.rs
@@ -62,7 +62,7 @@
     ]
 }
 
-/// What of a section must come back when only so many items of its list fitted.
+/// What of a section must come back when only the first items of its list fitted.
 fn truncated(section: &Section, fitted: usize) -> Section {
     match section {
         Section::Broadcasts(broadcasts) => Section::Broadcasts(broadcasts[..fitted].to_vec()),
--- a/crates/gossip/src/wire/write.rs
+++ b/crates/gossip/src/wire/write.rs
@@ -62,7 +62,7 @@
 }
 
 impl Draft {
-    /// Begins a datagram of at most so many bytes, its proof included; never more than [`LONGEST`].
+    /// Begins a datagram of at most `most` bytes, its proof included; never more than [`LONGEST`].
     pub fn new(header: &Header, most: usize) -> Self {
         let mut bytes = Vec::with_capacity(LONGEST);
         let strength = match header.strength {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Adds broadcasts from the first on, in a section of at most so many bytes; how many fitted.
+    /// Adds broadcasts from the first on, in a section of at most `most` bytes; how many fitted.
     pub fn broadcasts(&mut self, broadcasts: &[Broadcast], most: usize) -> usize {
         self.list(kind::BROADCASTS, most, |_| {}, broadcasts, broadcast)
     }
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -140,14 +140,14 @@
         self.push(at, Event::Arrives { from, to, bytes });
     }
 
-    pub fn sees(&self, member: u32, of: u32) -> State {
+    pub fn state_seen_by(&self, member: u32, of: u32) -> State {
         self.gossip(member).members().find(|(ordinal, ..)| *ordinal == of).expect("a member").1
     }
 
     /// Those that run and believe the member to be in that state, out of those that run.
-    pub fn see(&self, of: u32, state: State) -> (usize, usize) {
+    pub fn count_believing(&self, of: u32, state: State) -> (usize, usize) {
         let running: Vec<u32> = self.running().filter(|member| *member != of).collect();
-        (running.iter().filter(|member| self.sees(**member, of) == state).count(), running.len())
+        (running.iter().filter(|member| self.state_seen_by(**member, of) == state).count(), running.len())
     }
 
     pub fn running(&self) -> impl Iterator<Item = u32> {
--- a/crates/gossip/tests/faulty_peers.rs
+++ b/crates/gossip/tests/faulty_peers.rs
@@ -105,8 +105,9 @@
         // Among a hundred at 2% loss somebody is suspected for a moment at any time.
         let well = |state: State| if members < 100 { state == State::Alive } else { state.is_active() };
         for member in 0..correct {
-            let sees =
-                (0..correct).filter(|other| *other != member && well(fleet.sees(member, *other))).count();
+            let sees = (0..correct)
+                .filter(|other| *other != member && well(fleet.state_seen_by(member, *other)))
+                .count();
             assert_eq!(sees, correct as usize - 1, "seed {seed}, {members} members: {member} after the lies");
         }
     }
@@ -128,7 +129,7 @@
     fleet.run_for(10 * S);
     fleet.kill(1);
     fleet.run_for(15 * S);
-    assert_eq!(fleet.see(1, State::Dead), (4, 4), "seed 22");
+    assert_eq!(fleet.count_believing(1, State::Dead), (4, 4), "seed 22");
     fleet.kill(4);
     let began = fleet.now;
     for refutations in 1..100 {
@@ -195,7 +196,7 @@
             }
             fleet.run_for(2 * S);
         }
-        let (see, all) = fleet.see(1, State::Dead);
+        let (see, all) = fleet.count_believing(1, State::Dead);
         assert_eq!(see, all, "seed {seed}, {strength:?}: {replayed} replays kept nobody alive");
         // The next process, and the old one's datagrams again.
         fleet.start(1, EPOCH + 100_000);
@@ -225,11 +226,12 @@
         fleet.inject(Some(3), 0, farewell(1_000));
         fleet.run_for(10 * MS);
         assert_eq!(fleet.gossip(0).counts().dropped(DropReason::WrongSender), 1, "seed {seed}, {strength:?}");
-        assert_eq!(fleet.sees(0, 1), State::Alive, "seed {seed}, {strength:?}");
+        assert_eq!(fleet.state_seen_by(0, 1), State::Alive, "seed {seed}, {strength:?}");
         // From the other's address, which it should not be able to: only a signature helps.
         fleet.inject(Some(1), 0, farewell(1_001));
         fleet.run_for(10 * MS);
-        let (forged, state) = (fleet.gossip(0).counts().dropped(DropReason::Forged), fleet.sees(0, 1));
+        let (forged, state) =
+            (fleet.gossip(0).counts().dropped(DropReason::Forged), fleet.state_seen_by(0, 1));
         match strength {
             Strength::Signed => assert_eq!((forged, state), (1, State::Alive), "seed {seed}"),
             _ => assert_eq!(
@@ -338,7 +340,10 @@
         assert!(flood >= 20_000 - 12 * 32, "seed {seed}, {strength:?}: {flood} dropped");
         let blamed: Vec<Belief> = fleet.beliefs_since(began, State::Dead);
         assert!(blamed.iter().all(|b| b.2 == 4), "seed {seed}, {strength:?}: {blamed:?}");
-        assert!((1..4).all(|other| fleet.sees(0, other) == State::Alive), "seed {seed}, {strength:?}");
+        assert!(
+            (1..4).all(|other| fleet.state_seen_by(0, other) == State::Alive),
+            "seed {seed}, {strength:?}"
+        );
     }
 }
 
@@ -357,7 +362,7 @@
     // A member that has only the old key is none.
     fleet.input(2, Input::Keys(shared(&[7])));
     fleet.run_for(20 * S);
-    assert_eq!(fleet.see(2, State::Dead).0, 4, "seed 80");
+    assert_eq!(fleet.count_believing(2, State::Dead).0, 4, "seed 80");
     assert!(fleet.gossip(0).counts().dropped(DropReason::Forged) > 0);
 }
 
--- a/crates/gossip/tests/membership.rs
+++ b/crates/gossip/tests/membership.rs
@@ -25,12 +25,12 @@
             let (killed, began) = (seed as u32 % members, fleet.now);
             fleet.kill(killed);
             let took = fleet.run_until(90 * S, |fleet| {
-                let (see, all) = fleet.see(killed, State::Dead);
+                let (see, all) = fleet.count_believing(killed, State::Dead);
                 see == all
             });
-            last.push(
-                took.unwrap_or_else(|| panic!("seed {seed}: {:?} see it", fleet.see(killed, State::Dead))),
-            );
+            last.push(took.unwrap_or_else(|| {
+                panic!("seed {seed}: {:?} see it", fleet.count_believing(killed, State::Dead))
+            }));
             let dead = fleet.beliefs_since(began, State::Dead);
             assert!(dead.iter().all(|belief| belief.2 == killed), "seed {seed}: {dead:?}");
             first.push(dead[0].0 - began);
@@ -170,8 +170,11 @@
         fleet.input(1, Input::Leave);
         let ready = fleet.run_until(5 * S, |fleet| fleet.gossip(1).has_left()).expect("it may go");
         fleet.kill(1);
-        let more = fleet.run_until(60 * S, |fleet| fleet.see(1, State::Left).0 == members as usize - 1);
-        let more = more.unwrap_or_else(|| panic!("seed 11, {members}: {:?} know", fleet.see(1, State::Left)));
+        let more =
+            fleet.run_until(60 * S, |fleet| fleet.count_believing(1, State::Left).0 == members as usize - 1);
+        let more = more.unwrap_or_else(|| {
+            panic!("seed 11, {members}: {:?} know", fleet.count_believing(1, State::Left))
+        });
         let left = fleet.beliefs_since(began, State::Left);
         let direct = left.iter().filter(|belief| belief.0 <= began + S).count();
         println!(
@@ -186,7 +189,8 @@
         assert_eq!(back, [], "seed 11, {members} members: what it said before its farewell came after");
         // It restarts as another process, at once.
         fleet.start(1, EPOCH + 60_000);
-        let back = fleet.run_until(60 * S, |fleet| fleet.see(1, State::Alive).0 == members as usize - 1);
+        let back =
+            fleet.run_until(60 * S, |fleet| fleet.count_believing(1, State::Alive).0 == members as usize - 1);
         println!(
             "{members} members: all know that it is back after {:.1} s",
             back.expect("back") as f64 / S as f64
