--- a/crates/routing-rules/src/book.rs
+++ b/crates/routing-rules/src/book.rs
@@ -14,28 +14,28 @@
     pub rules: Vec<Rule>,
 }
 
-/// A namespace that is in force, and what its rules ask for where it isn't known which version holds.
+/// A namespace that is in force, and its policy while the version in force is uncertain.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Owner {
     /// The namespace's path, such as `consortium/house-a/team`.
     pub path: String,
     /// The revision that is in force.
     pub revision: u64,
-    /// What becomes of its requests while the version is in doubt.
+    /// What happens to its requests while the version in force is uncertain.
     #[serde(rename = "on_doubt")]
     pub uncertainty_policy: UncertaintyPolicy,
 }
 
-/// What becomes of the requests of a namespace's musts while it isn't known which version holds.
+/// What happens to requests under a namespace's requirements while the version in force is uncertain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum UncertaintyPolicy {
-    /// They are refused, and told when to come again.
+    /// They are rejected, with a Retry-After.
     Refuse {
-        /// The delay that a refused client is told.
+        /// The Retry-After of a rejected client, in milliseconds.
         retry_ms: u32,
     },
-    /// They go by the version known last.
+    /// They follow the last known version.
     #[default]
     Keep,
 }
@@ -51,13 +51,13 @@
     pub file: String,
     /// The line of the file that the rule starts on, from 1.
     pub line: u32,
-    /// Whether it must hold.
+    /// Whether it is required.
     pub strength: Strength,
-    /// Which of two wishes of one depth goes first: the higher.
+    /// Which of two preferences of one depth goes first: the higher.
     pub priority: i32,
     /// How many namespaces stand above its own.
     pub depth: u32,
-    /// Which requests it speaks of.
+    /// The requests that it applies to.
     pub on: Selector,
     /// What it asks for.
     pub kind: RuleKind,
@@ -67,15 +67,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Strength {
-    /// It holds, whatever it costs.
+    /// It always holds.
     #[serde(rename = "must")]
     Requirement,
-    /// It orders what the musts allow.
+    /// It orders what the requirements allow.
     #[serde(rename = "wish")]
     Preference,
 }
 
-/// Which requests a rule speaks of. An empty set means any; a request without a tenant or a group matches only an empty set
+/// The requests that a rule applies to. An empty set means any; a request without a tenant or a group matches only an empty set
 /// there.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Selector {
@@ -88,7 +88,7 @@
 }
 
 impl Selector {
-    /// Whether the rule speaks of this request.
+    /// Whether the rule applies to this request.
     pub fn matches(&self, request: &Request) -> bool {
         (self.tenants.is_empty() || request.tenant.is_some_and(|tenant| self.tenants.contains(tenant)))
             && (self.classes.is_empty() || self.classes.contains(request.class))
@@ -124,7 +124,7 @@
         /// The hardware classes.
         hardware: BTreeSet<String>,
     },
-    /// Most standing connections over the whole fleet, on the nodes meant as in [`RuleKind::Place`].
+    /// Most established connections over the whole fleet, on the nodes meant as in [`RuleKind::Place`].
     Cap {
         /// Most connections.
         connections: u64,
--- a/crates/routing-rules/src/cache.rs
+++ b/crates/routing-rules/src/cache.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crate::compilation::compile;
-use crate::compiled::{Compiled, Read};
+use crate::compiled::{Compiled, ParsedFile};
 use crate::conflict::Conflict;
 use crate::file::{RuleFile, RuleFileError};
 use crate::ineffective::{self, Children};
@@ -12,9 +12,9 @@
 use crate::parsing;
 
 #[derive(Debug)]
-struct Kept {
+struct CachedFile {
     text: Vec<u8>,
-    outcome: Result<Arc<Read>, RuleFileError>,
+    outcome: Result<Arc<ParsedFile>, RuleFileError>,
     turn: u64,
 }
 
@@ -22,71 +22,71 @@
 #[derive(Debug, Default)]
 pub(crate) struct Cache {
     /// By the file's name; a name has several texts while a file isn't taken.
-    files: HashMap<String, Vec<Kept>>,
+    files: HashMap<String, Vec<CachedFile>>,
     compiled: HashMap<[u8; 32], (Arc<Compiled>, u64)>,
-    idle: HashMap<[u8; 32], (Vec<Conflict>, u64)>,
-    world: Inventory,
+    ineffective: HashMap<[u8; 32], (Vec<Conflict>, u64)>,
+    inventory: Inventory,
     turn: u64,
 }
 
 impl Cache {
-    /// Begins a merge. In another world nothing that was checked holds.
-    pub fn begin(&mut self, world: &Inventory) {
+    /// Begins a merge. In another inventory nothing that was checked holds.
+    pub fn begin(&mut self, inventory: &Inventory) {
         self.turn += 1;
-        if self.world != *world {
-            self.world = world.clone();
+        if self.inventory != *inventory {
+            self.inventory = inventory.clone();
             self.compiled.clear();
-            self.idle.clear();
+            self.ineffective.clear();
         }
     }
 
     /// Ends a merge: what it had no use for goes.
     pub fn end(&mut self) {
         let turn = self.turn;
-        self.files.retain(|_, kept| {
-            kept.retain(|kept| kept.turn == turn);
-            !kept.is_empty()
+        self.files.retain(|_, cached| {
+            cached.retain(|cached| cached.turn == turn);
+            !cached.is_empty()
         });
         self.compiled.retain(|_, (_, used)| *used == turn);
-        self.idle.retain(|_, (_, used)| *used == turn);
+        self.ineffective.retain(|_, (_, used)| *used == turn);
     }
 
-    pub fn read(&mut self, file: &RuleFile) -> Result<Arc<Read>, RuleFileError> {
+    pub fn read(&mut self, file: &RuleFile) -> Result<Arc<ParsedFile>, RuleFileError> {
         let turn = self.turn;
-        if let Some(kept) = self.find(&file.path_on_disk, &file.text) {
-            kept.turn = turn;
-            return kept.outcome.clone();
+        if let Some(cached) = self.find(&file.path_on_disk, &file.text) {
+            cached.turn = turn;
+            return cached.outcome.clone();
         }
         let outcome = parsing::read(file).map(|content| {
             // A file that reads is UTF-8; nothing is lost here.
             let text = String::from_utf8_lossy(&file.text);
-            Arc::new(Read::new(content, file.path_on_disk.clone(), Arc::from(text.as_ref())))
+            Arc::new(ParsedFile::new(content, file.path_on_disk.clone(), Arc::from(text.as_ref())))
         });
-        let kept = Kept { text: file.text.clone(), outcome: outcome.clone(), turn };
-        self.files.entry(file.path_on_disk.clone()).or_default().push(kept);
+        let cached = CachedFile { text: file.text.clone(), outcome: outcome.clone(), turn };
+        self.files.entry(file.path_on_disk.clone()).or_default().push(cached);
         outcome
     }
 
     /// Reads a good content again.
-    pub fn reread(&mut self, path_on_disk: &str, text: &Arc<str>) -> Option<Arc<Read>> {
+    pub fn reread(&mut self, path_on_disk: &str, text: &Arc<str>) -> Option<Arc<ParsedFile>> {
         let turn = self.turn;
         match self.find(path_on_disk, text.as_bytes()) {
-            Some(kept) => {
-                kept.turn = turn;
-                kept.outcome.clone().ok()
+            Some(cached) => {
+                cached.turn = turn;
+                cached.outcome.clone().ok()
             }
             None => self.read(&RuleFile::new(path_on_disk, text.as_bytes())).ok(),
         }
     }
 
-    fn find(&mut self, path_on_disk: &str, text: &[u8]) -> Option<&mut Kept> {
-        self.files.get_mut(path_on_disk)?.iter_mut().find(|kept| kept.text == text)
+    fn find(&mut self, path_on_disk: &str, text: &[u8]) -> Option<&mut CachedFile> {
+        self.files.get_mut(path_on_disk)?.iter_mut().find(|cached| cached.text == text)
     }
 
     pub fn compiled(
         &mut self,
         parent: Option<&Arc<Compiled>>,
-        read: &Arc<Read>,
+        read: &Arc<ParsedFile>,
         void: &[&str],
     ) -> Arc<Compiled> {
         let key = Compiled::key(parent.map(Arc::as_ref), read, void);
@@ -94,18 +94,20 @@
             *used = self.turn;
             return compiled.clone();
         }
-        let compiled = Arc::new(compile(key, parent.cloned(), read.clone(), void, &self.world));
+        let compiled = Arc::new(compile(key, parent.cloned(), read.clone(), void, &self.inventory));
         self.compiled.insert(key, (compiled.clone(), self.turn));
         compiled
     }
 
-    /// The idle wishes of a namespace; `subtree` is a digest of it, all above it and all below it.
-    pub fn idle(&mut self, of: &Compiled, subtree: [u8; 32], children: &Children) -> &[Conflict] {
+    /// The ineffective preferences of a namespace; `subtree` is a digest of it, all above it and all below it.
+    pub fn ineffective(&mut self, of: &Compiled, subtree: [u8; 32], children: &Children) -> &[Conflict] {
         let turn = self.turn;
-        let world = &self.world;
-        let kept =
-            self.idle.entry(subtree).or_insert_with(|| (ineffective::preferences(of, children, world), turn));
-        kept.1 = turn;
-        &kept.0
+        let inventory = &self.inventory;
+        let cached = self
+            .ineffective
+            .entry(subtree)
+            .or_insert_with(|| (ineffective::preferences(of, children, inventory), turn));
+        cached.1 = turn;
+        &cached.0
     }
 }
--- a/crates/routing-rules/src/candidate.rs
+++ b/crates/routing-rules/src/candidate.rs
@@ -4,13 +4,13 @@
 use std::sync::Arc;
 
 use crate::cache::Cache;
-use crate::compiled::Read;
+use crate::compiled::ParsedFile;
 use crate::conflict::{Conflict, RuleLocation, Witness};
 use crate::file::{RuleFile, RuleFileError};
 use crate::history::{Entry, History};
 use crate::inventory::Inventory;
 
-/// How young a content is; the greater, the younger.
+/// How new a content is; the greater, the newer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Age {
     /// It is in force since that step.
@@ -18,7 +18,7 @@
     /// It came with this merge.
     New,
     /// It was held back before: what comes after doesn't suffer from it.
-    HeldBefore,
+    HeldBackBefore,
     /// There is none.
     Absent,
     /// Its delegation didn't count before.
@@ -29,23 +29,23 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
     /// The file's content, if it isn't the good one.
-    pub new: Option<Arc<Read>>,
+    pub new: Option<Arc<ParsedFile>>,
     /// The last good content, and the step it was taken at.
-    pub good: Option<(Arc<Read>, u64)>,
+    pub good: Option<(Arc<ParsedFile>, u64)>,
     /// The digest of the content that was held back before.
     refused: Option<String>,
 }
 
 impl Candidate {
     /// The content that is tried.
-    pub fn read(&self) -> Option<&Arc<Read>> {
+    pub fn read(&self) -> Option<&Arc<ParsedFile>> {
         self.new.as_ref().or(self.good.as_ref().map(|(read, _)| read))
     }
 
     pub fn age(&self) -> Age {
         let Some(read) = self.read() else { return Age::Absent };
         if self.refused.as_deref() == Some(&digest(read)) {
-            return Age::HeldBefore;
+            return Age::HeldBackBefore;
         }
         match (&self.new, &self.good) {
             (None, Some((_, taken))) => Age::Good(*taken),
@@ -53,26 +53,26 @@
         }
     }
 
-    pub fn can_step_down(&self) -> bool {
+    pub fn has_fallback(&self) -> bool {
         self.new.is_some() && self.good.is_some()
     }
 
     /// Goes back from the new content to the good one; false if there is none to go back to.
-    pub fn step_down(&mut self) -> bool {
+    pub fn fall_back(&mut self) -> bool {
         self.new.take().is_some() && self.good.is_some()
     }
 }
 
-pub(crate) fn digest(read: &Read) -> String {
+pub(crate) fn digest(read: &ParsedFile) -> String {
     blake3::Hash::from(read.hash).to_hex().to_string()
 }
 
 /// What the files come to before they are compared.
 #[derive(Debug, Default)]
-pub(crate) struct Taken {
+pub(crate) struct CandidateSet {
     pub candidates: BTreeMap<String, Candidate>,
     /// The newest content of each namespace that has a file that reads.
-    pub newest: BTreeMap<String, Arc<Read>>,
+    pub newest: BTreeMap<String, Arc<ParsedFile>>,
     /// Those whose file can't be taken by itself, or that were held back for a conflict: why, and by whom.
     pub held: BTreeMap<String, (String, Option<String>)>,
     /// The namespaces of `held` whose file was refused by itself.
@@ -83,13 +83,18 @@
 }
 
 /// Reads the files and finds each namespace's contents.
-pub(crate) fn take(last: &History, files: &[RuleFile], world: &Inventory, cache: &mut Cache) -> Taken {
-    let mut taken = Taken::default();
+pub(crate) fn gather(
+    last: &History,
+    files: &[RuleFile],
+    inventory: &Inventory,
+    cache: &mut Cache,
+) -> CandidateSet {
+    let mut taken = CandidateSet::default();
     let mut files: Vec<&RuleFile> = files.iter().collect();
     files.sort_unstable();
     files.dedup();
     let mut broken = Vec::new();
-    let mut by_namespace = BTreeMap::<String, Vec<Arc<Read>>>::new();
+    let mut by_namespace = BTreeMap::<String, Vec<Arc<ParsedFile>>>::new();
     for file in files {
         match cache.read(file) {
             Ok(read) => by_namespace.entry(read.file.namespace.clone()).or_default().push(read),
@@ -98,10 +103,10 @@
     }
     for (path, reads) in by_namespace {
         let entry = last.namespaces.get(&path);
-        let refusal = newest(&reads, world).and_then(|read| {
+        let refusal = newest(&reads, inventory).and_then(|read| {
             taken.newest.insert(path.clone(), read.clone());
             match entry.and_then(|entry| good(entry, cache)) {
-                Some((good, _)) => fits(&read, &good, world).map(|()| read),
+                Some((good, _)) => fits(&read, &good, inventory).map(|()| read),
                 None => Ok(read),
             }
         });
@@ -115,7 +120,7 @@
         candidate(&mut taken, &path, new, entry, cache);
     }
     for error in broken {
-        let path = whose(&error, last, &taken, world);
+        let path = whose(&error, last, &taken, inventory);
         let conflict = Conflict::Broken { namespace: path.clone(), error };
         match path {
             Some(path) => {
@@ -134,13 +139,13 @@
     taken
 }
 
-fn frozen(path: &str, taken: &Taken) -> bool {
+fn frozen(path: &str, taken: &CandidateSet) -> bool {
     let parent = crate::compiled::parent_of(path).and_then(|parent| taken.candidates.get(parent));
     let delegate = parent.and_then(Candidate::read).and_then(|read| read.delegate(path));
     delegate.is_some_and(|delegate| delegate.frozen)
 }
 
-fn refuse(taken: &mut Taken, path: &str, conflict: Conflict) {
+fn refuse(taken: &mut CandidateSet, path: &str, conflict: Conflict) {
     let other = conflict.namespaces().into_iter().find(|other| *other != path).map(str::to_owned);
     taken.held.entry(path.to_owned()).or_insert((conflict.to_string(), other));
     taken.refused.push(path.to_owned());
@@ -148,9 +153,9 @@
 }
 
 fn candidate(
-    taken: &mut Taken,
+    taken: &mut CandidateSet,
     path: &str,
-    new: Option<Arc<Read>>,
+    new: Option<Arc<ParsedFile>>,
     entry: Option<&Entry>,
     cache: &mut Cache,
 ) {
@@ -170,13 +175,13 @@
 }
 
 /// The last good content. One that doesn't read any more, by a newer program say, is none.
-fn good(entry: &Entry, cache: &mut Cache) -> Option<(Arc<Read>, u64)> {
+fn good(entry: &Entry, cache: &mut Cache) -> Option<(Arc<ParsedFile>, u64)> {
     let good = entry.good.as_ref()?;
     Some((cache.reread(&good.file, &good.text)?, good.taken))
 }
 
 /// The newest of a namespace's files; two of the newest revision have to be the same.
-fn newest(reads: &[Arc<Read>], world: &Inventory) -> Result<Arc<Read>, Box<Conflict>> {
+fn newest(reads: &[Arc<ParsedFile>], inventory: &Inventory) -> Result<Arc<ParsedFile>, Box<Conflict>> {
     let revision = reads.iter().map(|read| read.file.revision).max().unwrap_or_default();
     let mut newest = reads.iter().filter(|read| read.file.revision == revision);
     // The files are sorted by path, so the first is the same whatever their order was.
@@ -186,48 +191,53 @@
         return Err(Box::new(Conflict::Broken { namespace: None, error }));
     };
     match newest.find(|read| read.hash != first.hash) {
-        Some(other) => Err(Box::new(two_contents(first, other, world))),
+        Some(other) => Err(Box::new(two_contents(first, other, inventory))),
         None => Ok(first.clone()),
     }
 }
 
-fn fits(read: &Read, good: &Read, world: &Inventory) -> Result<(), Box<Conflict>> {
+fn fits(read: &ParsedFile, good: &ParsedFile, inventory: &Inventory) -> Result<(), Box<Conflict>> {
     if read.file.revision < good.file.revision {
         return Err(Box::new(Conflict::OldRevision {
-            one: read.spot(read.file.line, ""),
+            one: read.location(read.file.line, ""),
             stated: read.file.revision,
             last: good.file.revision,
         }));
     }
     if read.file.revision == good.file.revision && read.hash != good.hash {
-        return Err(Box::new(two_contents(read, good, world)));
+        return Err(Box::new(two_contents(read, good, inventory)));
     }
     Ok(())
 }
 
 /// The witness is a request of the first rule that only one of the contents has, else of any rule.
-fn two_contents(one: &Read, other: &Read, world: &Inventory) -> Conflict {
+fn two_contents(one: &ParsedFile, other: &ParsedFile, inventory: &Inventory) -> Conflict {
     let differs = one.file.rules.iter().find(|rule| !other.file.rules.contains(rule));
     let differs = differs.or(other.file.rules.iter().find(|rule| !one.file.rules.contains(rule)));
     Conflict::TwoContents {
-        one: one.spot(one.file.line, ""),
-        other: other.spot(other.file.line, ""),
+        one: one.location(one.file.line, ""),
+        other: other.location(other.file.line, ""),
         revision: one.file.revision,
-        witness: sample(differs, world),
+        witness: sample(differs, inventory),
     }
 }
 
-pub(crate) fn sample(rule: Option<&crate::file::DeclaredRule>, world: &Inventory) -> Witness {
+pub(crate) fn sample(rule: Option<&crate::file::DeclaredRule>, inventory: &Inventory) -> Witness {
     let (tenants, classes, groups) = rule
         .map(|rule| (rule.tenants.clone(), rule.classes.clone(), rule.groups.clone()))
         .unwrap_or_default();
     let on = crate::book::Selector { tenants, classes, groups };
-    Witness::new(&world.sample(&on), None)
+    Witness::new(&inventory.sample(&on), None)
 }
 
 /// The namespace that a broken file stands for: the one last read from it, or the one that its path names. A namespace
 /// that another file speaks for has nothing to fear from it.
-fn whose(error: &RuleFileError, last: &History, taken: &Taken, world: &Inventory) -> Option<String> {
+fn whose(
+    error: &RuleFileError,
+    last: &History,
+    taken: &CandidateSet,
+    inventory: &Inventory,
+) -> Option<String> {
     let free = |path: &&String| !taken.newest.contains_key(*path);
     let read_from = |entry: &Entry| entry.good.as_ref().is_some_and(|good| good.file == error.file);
     let by_file = last.namespaces.iter().filter(|(_, entry)| read_from(entry)).map(|(path, _)| path);
@@ -237,7 +247,7 @@
     let stem = error.file.strip_suffix(".toml").unwrap_or(&error.file);
     let delegated =
         taken.candidates.values().filter_map(Candidate::read).flat_map(|read| &read.file.delegates);
-    let known = last.namespaces.keys().chain(delegated.map(|delegate| &delegate.to)).chain([&world.root]);
+    let known = last.namespaces.keys().chain(delegated.map(|delegate| &delegate.to)).chain([&inventory.root]);
     let names = |path: &&String| {
         stem.strip_suffix(path.as_str()).is_some_and(|dir| dir.is_empty() || dir.ends_with('/'))
     };
--- a/crates/routing-rules/src/chain_conflicts.rs
+++ b/crates/routing-rules/src/chain_conflicts.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::book::{Node, Request, Rule, RuleKind};
-use crate::compiled::{Compiled, Read, is_child};
+use crate::compiled::{Compiled, ParsedFile, is_child};
 use crate::conflict::{Conflict, RuleLocation, Witness};
 use crate::inventory::Inventory;
 use crate::node_kind_set::{NodeKindSet, is_requirement};
@@ -13,11 +13,11 @@
 const MAX_REPORTED: usize = 16;
 
 /// All that can be reported without knowing what lies below the namespace.
-pub(crate) fn with_chain(of: &Compiled, world: &Inventory) -> Vec<Conflict> {
+pub(crate) fn with_chain(of: &Compiled, inventory: &Inventory) -> Vec<Conflict> {
     let mut conflicts = Vec::new();
-    same_subject(of, world, &mut conflicts);
-    over_committed(of, world, &mut conflicts);
-    no_node(of, world, &mut conflicts);
+    same_subject(of, inventory, &mut conflicts);
+    over_committed(of, inventory, &mut conflicts);
+    no_node(of, inventory, &mut conflicts);
     conflicts
 }
 
@@ -31,28 +31,28 @@
 }
 
 /// What the namespace speaks of and doesn't own.
-pub(crate) fn not_owned(read: &Read, scope: &Scope, world: &Inventory) -> Vec<Conflict> {
+pub(crate) fn not_owned(read: &ParsedFile, scope: &Scope, inventory: &Inventory) -> Vec<Conflict> {
     let mut conflicts = Vec::new();
     let mut report = |one: RuleLocation, beyond: Option<(String, Witness)>| {
         if let Some((what, witness)) = beyond {
-            conflicts.push(Conflict::NotOwned { one, other: scope.spot.clone(), what, witness });
+            conflicts.push(Conflict::NotOwned { one, other: scope.location.clone(), what, witness });
         }
     };
     for rule in &read.file.rules {
-        report(read.spot(rule.line, &rule.name), scope.rule_beyond(rule, world));
+        report(read.location(rule.line, &rule.name), scope.rule_beyond(rule, inventory));
     }
     // One that doesn't count has to be owned as well: it would count once the other claimant is gone.
     let path = read.file.namespace.as_str();
     let given = read.file.delegates.iter().filter(|to| to.handed_to.is_none() && is_child(path, &to.to));
     for delegate in given {
         let name = format!("delegate {}", delegate.to);
-        report(read.spot(delegate.line, &name), scope.delegate_beyond(delegate, world));
+        report(read.location(delegate.line, &name), scope.delegate_beyond(delegate, inventory));
     }
     conflicts
 }
 
 /// Only children that share a tenant, or of which one has any tenant, are compared.
-fn same_subject(of: &Compiled, world: &Inventory, conflicts: &mut Vec<Conflict>) {
+fn same_subject(of: &Compiled, inventory: &Inventory, conflicts: &mut Vec<Conflict>) {
     let mut by_tenant = BTreeMap::<&str, Vec<usize>>::new();
     let mut any_tenant = Vec::new();
     let mut pairs = BTreeSet::new();
@@ -70,11 +70,11 @@
     }
     let claimed_at = |at: usize| {
         let (child, _, given) = &of.grants[at];
-        RuleLocation { namespace: child.clone(), ..given.spot.clone() }
+        RuleLocation { namespace: child.clone(), ..given.location.clone() }
     };
     for (one, other) in pairs {
-        if let Some(request) = meeting(&of.grants[one].2.on, &of.grants[other].2.on, world) {
-            let parent = of.read.spot(of.read.file.line, "");
+        if let Some(request) = meeting(&of.grants[one].2.on, &of.grants[other].2.on, inventory) {
+            let parent = of.read.location(of.read.file.line, "");
             let witness = Witness::new(&request, None);
             conflicts.push(Conflict::SameSubject {
                 one: claimed_at(one),
@@ -86,30 +86,30 @@
     }
 }
 
-fn over_committed(of: &Compiled, world: &Inventory, conflicts: &mut Vec<Conflict>) {
+fn over_committed(of: &Compiled, inventory: &Inventory, conflicts: &mut Vec<Conflict>) {
     let Some(whole) = of.scope.connections else { return };
-    let other = of.scope.spot.clone();
+    let other = of.scope.location.clone();
     let (mut promised, mut passes, mut parts) = (0_u64, None, Vec::new());
     for (child, part, given) in &of.grants {
         let Some(part) = part else { continue };
         promised = promised.saturating_add(*part);
-        let spot = RuleLocation { namespace: child.clone(), ..given.spot.clone() };
+        let location = RuleLocation { namespace: child.clone(), ..given.location.clone() };
         if promised > whole && passes.is_none() {
-            passes = Some((spot.clone(), Witness::new(&world.sample(&given.on), None)));
+            passes = Some((location.clone(), Witness::new(&inventory.sample(&given.on), None)));
         }
-        parts.push(spot);
+        parts.push(location);
     }
     if let Some((one, witness)) = passes {
-        let promiser = of.read.spot(of.read.file.line, "");
+        let promiser = of.read.location(of.read.file.line, "");
         let other = other.clone();
         conflicts.push(Conflict::OverCommitted { one, promiser, other, parts, promised, whole, witness });
     }
     for rule in &of.read.file.rules {
         let RuleKind::Cap { connections, .. } = rule.kind else { continue };
         if connections > whole {
-            let one = of.read.spot(rule.line, &rule.name);
+            let one = of.read.location(rule.line, &rule.name);
             let on = of.scope.narrow(&rule.tenants, &rule.classes, &rule.groups);
-            let witness = Witness::new(&world.sample(&on), None);
+            let witness = Witness::new(&inventory.sample(&on), None);
             let (promiser, parts, other) = (one.clone(), Vec::new(), other.clone());
             let promised = connections;
             conflicts.push(Conflict::OverCommitted { one, promiser, other, parts, promised, whole, witness });
@@ -120,10 +120,10 @@
 /// The tenants of the requests that can come and that the sets, empty for any, match.
 pub(crate) fn tenants<'a>(
     named: &'a BTreeSet<String>,
-    world: &'a Inventory,
+    inventory: &'a Inventory,
 ) -> impl Iterator<Item = Option<&'a str>> {
     let any = named.is_empty();
-    let all = world.tenants.iter().filter(move |tenant| any || named.contains(*tenant));
+    let all = inventory.tenants.iter().filter(move |tenant| any || named.contains(*tenant));
     // A request need not name a tenant, but then only a rule for any tenant matches it.
     any.then_some(None).into_iter().chain(all.map(|tenant| Some(tenant.as_str())))
 }
@@ -140,37 +140,37 @@
 
 type PlacedRequirement<'a> = (&'a Rule, &'a NodeKindSet);
 
-fn allowed(requirements: &[PlacedRequirement], world: &Inventory) -> NodeKindSet {
-    let mut mask = NodeKindSet::all(world);
+fn allowed(requirements: &[PlacedRequirement], inventory: &Inventory) -> NodeKindSet {
+    let mut mask = NodeKindSet::all(inventory);
     requirements.iter().for_each(|(_, nodes)| mask.and(nodes));
     mask
 }
 
 /// Requests that a requirement of this namespace takes the last node from. Those that the requirements above it leave none are reported
 /// there.
-fn no_node(of: &Compiled, world: &Inventory, conflicts: &mut Vec<Conflict>) {
-    if world.nodes.is_empty()
+fn no_node(of: &Compiled, inventory: &Inventory, conflicts: &mut Vec<Conflict>) {
+    if inventory.nodes.is_empty()
         || !of.placements.all.iter().any(|placed| is_requirement(of.rules[placed.rule].strength))
     {
         return;
     }
     let chain = of.chain();
     let mut reported = BTreeSet::new();
-    for tenant in tenants(&of.scope.on.tenants, world) {
+    for tenant in tenants(&of.scope.on.tenants, inventory) {
         let of_tenant: Vec<PlacedRequirement> = chain
             .iter()
             .flat_map(|namespace| namespace.placed_for(tenant))
             .filter(|(rule, _)| is_requirement(rule.strength))
             .collect();
         // Fewer requirements allow more: if all of them leave a node, any request that some of them match has one.
-        if !allowed(&of_tenant, world).is_empty() {
+        if !allowed(&of_tenant, inventory).is_empty() {
             continue;
         }
-        for class in &world.classes {
+        for class in &inventory.classes {
             let has = |on: &BTreeSet<String>| on.is_empty() || on.contains(class);
             let of_class: Vec<PlacedRequirement> =
                 of_tenant.iter().copied().filter(|(rule, _)| has(&rule.on.classes)).collect();
-            if !allowed(&of_class, world).is_empty() {
+            if !allowed(&of_class, inventory).is_empty() {
                 continue;
             }
             for group in groups(of_class.iter().map(|(rule, _)| *rule)) {
@@ -179,12 +179,12 @@
                     of_class.iter().copied().filter(|(rule, _)| rule.on.matches(&request)).collect();
                 let above: Vec<PlacedRequirement> =
                     requirements.iter().copied().filter(|(rule, _)| rule.depth < of.depth).collect();
-                if !allowed(&requirements, world).is_empty() || allowed(&above, world).is_empty() {
+                if !allowed(&requirements, inventory).is_empty() || allowed(&above, inventory).is_empty() {
                     continue;
                 }
-                let requirements = minimal_subset(requirements, world);
+                let requirements = minimal_subset(requirements, inventory);
                 if reported.insert(requirements.iter().map(|(rule, _)| location(rule)).collect::<Vec<_>>()) {
-                    conflicts.push(without_node(&requirements, &request, world));
+                    conflicts.push(without_node(&requirements, &request, inventory));
                 }
                 if reported.len() >= MAX_REPORTED {
                     return;
@@ -197,12 +197,12 @@
 /// Requirements that leave no node, of which none can be removed. Those nearer the root are removed first.
 fn minimal_subset<'a>(
     mut requirements: Vec<PlacedRequirement<'a>>,
-    world: &Inventory,
+    inventory: &Inventory,
 ) -> Vec<PlacedRequirement<'a>> {
     let mut at = 0;
     while at < requirements.len() {
         let removed = requirements.remove(at);
-        if !allowed(&requirements, world).is_empty() {
+        if !allowed(&requirements, inventory).is_empty() {
             requirements.insert(at, removed);
             at += 1;
         }
@@ -210,7 +210,7 @@
     requirements
 }
 
-fn without_node(requirements: &[PlacedRequirement], request: &Request, world: &Inventory) -> Conflict {
+fn without_node(requirements: &[PlacedRequirement], request: &Request, inventory: &Inventory) -> Conflict {
     let all: Vec<RuleLocation> = requirements.iter().map(|(rule, _)| location(rule)).collect();
     let nobody =
         || RuleLocation { namespace: String::new(), file: String::new(), line: 0, name: String::new() };
@@ -218,6 +218,6 @@
     let one = all.last().cloned().unwrap_or_else(nobody);
     let other = all.first().cloned().unwrap_or_else(nobody);
     let others = &requirements[..requirements.len().saturating_sub(1)];
-    let node: Option<Node> = allowed(others, world).first().and_then(|at| world.nodes().nth(at));
+    let node: Option<Node> = allowed(others, inventory).first().and_then(|at| inventory.nodes().nth(at));
     Conflict::NoNode { one, other, requirements: all, witness: Witness::new(request, node) }
 }
--- a/crates/routing-rules/src/compilation.rs
+++ b/crates/routing-rules/src/compilation.rs
@@ -5,7 +5,7 @@
 
 use crate::book::{PlacementMode, Rule, RuleKind, Strength};
 use crate::chain_conflicts;
-use crate::compiled::{Compiled, Grant, Placements, Read, is_child};
+use crate::compiled::{Compiled, Grant, ParsedFile, Placements, is_child};
 use crate::conflict::Conflict;
 use crate::file::{DeclaredRule, Delegate};
 use crate::inventory::Inventory;
@@ -16,28 +16,28 @@
 pub(crate) fn compile(
     key: [u8; 32],
     parent: Option<Arc<Compiled>>,
-    read: Arc<Read>,
+    read: Arc<ParsedFile>,
     void: &[&str],
-    world: &Inventory,
+    inventory: &Inventory,
 ) -> Compiled {
-    let scope = scope_under(parent.as_deref(), &read.file.namespace, world);
+    let scope = scope_under(parent.as_deref(), &read.file.namespace, inventory);
     let depth = parent.as_ref().map_or(0, |parent| parent.depth + 1);
     let grants = grants(&read, &scope, void);
     let rules = rules(&read, &scope, &grants, depth);
     // What isn't owned is in conflict as it is; whether it agrees with the rest is asked once it is owned.
-    let conflicts = chain_conflicts::not_owned(&read, &scope, world);
+    let conflicts = chain_conflicts::not_owned(&read, &scope, inventory);
     let unowned = Unowned::of(&conflicts, &grants);
-    let placements = placements(&rules, &unowned, world);
+    let placements = placements(&rules, &unowned, inventory);
     let unowned_children = unowned.children;
     let mut compiled =
         Compiled { key, read, parent, depth, scope, grants, rules, placements, unowned_children, conflicts };
-    compiled.conflicts.extend(chain_conflicts::with_chain(&compiled, world));
+    compiled.conflicts.extend(chain_conflicts::with_chain(&compiled, inventory));
     compiled
 }
 
 /// What the parent gave a namespace; the root has everything.
-fn scope_under(parent: Option<&Compiled>, path: &str, world: &Inventory) -> Scope {
-    let Some(parent) = parent else { return Scope::root(world) };
+fn scope_under(parent: Option<&Compiled>, path: &str, inventory: &Inventory) -> Scope {
+    let Some(parent) = parent else { return Scope::root(inventory) };
     match parent.grants.binary_search_by(|(child, ..)| child.as_str().cmp(path)) {
         Ok(at) => parent.grants[at].2.clone(),
         Err(_) => parent.scope.clone(),
@@ -45,14 +45,14 @@
 }
 
 /// What the namespace gives its children, as far as it counts; by child.
-fn grants(read: &Read, scope: &Scope, void: &[&str]) -> Vec<Grant> {
+fn grants(read: &ParsedFile, scope: &Scope, void: &[&str]) -> Vec<Grant> {
     let path = read.file.namespace.as_str();
     let counts = |delegate: &&Delegate| {
         delegate.handed_to.is_none() && is_child(path, &delegate.to) && !void.contains(&delegate.to.as_str())
     };
     let grant = |delegate: &Delegate| {
-        let spot = read.spot(delegate.line, &format!("delegate.{}", last_segment(&delegate.to)));
-        (delegate.to.clone(), delegate.connections, scope.child(delegate, spot))
+        let location = read.location(delegate.line, &format!("delegate.{}", last_segment(&delegate.to)));
+        (delegate.to.clone(), delegate.connections, scope.child(delegate, location))
     };
     let mut grants: Vec<Grant> = read.file.delegates.iter().filter(counts).map(grant).collect();
     grants.sort_by(|a, b| a.0.cmp(&b.0));
@@ -60,7 +60,7 @@
 }
 
 /// The namespace's own rules and those that its delegations stand for; by name.
-fn rules(read: &Read, scope: &Scope, grants: &[Grant], depth: u32) -> Vec<Rule> {
+fn rules(read: &ParsedFile, scope: &Scope, grants: &[Grant], depth: u32) -> Vec<Rule> {
     let mut rules = own_rules(read, scope, depth);
     for (child, quota, given) in grants {
         if let Some(delegate) = read.delegate(child) {
@@ -93,10 +93,10 @@
     }
 }
 
-fn placements(rules: &[Rule], unowned: &Unowned<'_>, world: &Inventory) -> Placements {
+fn placements(rules: &[Rule], unowned: &Unowned<'_>, inventory: &Inventory) -> Placements {
     let mut placements = Placements::default();
     for (position, rule) in rules.iter().enumerate() {
-        let Some(nodes) = NodeKindSet::satisfying(world, &rule.kind) else { continue };
+        let Some(nodes) = NodeKindSet::satisfying(inventory, &rule.kind) else { continue };
         if !unowned.contains(&rule.name) {
             placements.push(position, rule, nodes);
         }
@@ -108,7 +108,7 @@
     path.rsplit('/').next().unwrap_or(path)
 }
 
-fn own_rules(read: &Read, scope: &Scope, depth: u32) -> Vec<Rule> {
+fn own_rules(read: &ParsedFile, scope: &Scope, depth: u32) -> Vec<Rule> {
     let rule = |stated: &DeclaredRule| Rule {
         namespace: read.file.namespace.clone(),
         name: stated.name.clone(),
@@ -125,7 +125,13 @@
 
 /// The requirements that a delegation stands for: the child uses only the nodes and connections that it was given. They are the
 /// parent's, so that they hold whether the child has a file or not.
-fn delegated_rules(read: &Read, to: &Delegate, quota: Option<u64>, given: &Scope, depth: u32) -> Vec<Rule> {
+fn delegated_rules(
+    read: &ParsedFile,
+    to: &Delegate,
+    quota: Option<u64>,
+    given: &Scope,
+    depth: u32,
+) -> Vec<Rule> {
     let rule = |what: &str, kind: RuleKind| Rule {
         namespace: read.file.namespace.clone(),
         name: format!("delegate.{}.{what}", last_segment(&to.to)),
--- a/crates/routing-rules/src/compiled.rs
+++ b/crates/routing-rules/src/compiled.rs
@@ -11,7 +11,7 @@
 
 /// A file that was read.
 #[derive(Debug)]
-pub(crate) struct Read {
+pub(crate) struct ParsedFile {
     pub file: NamespaceFile,
     pub path_on_disk: String,
     pub text: Arc<str>,
@@ -20,18 +20,18 @@
     pub children: HashMap<String, usize>,
 }
 
-impl Read {
-    pub fn new(file: NamespaceFile, path_on_disk: String, text: Arc<str>) -> Read {
+impl ParsedFile {
+    pub fn new(file: NamespaceFile, path_on_disk: String, text: Arc<str>) -> ParsedFile {
         let children = file.delegates.iter().enumerate().map(|(at, d)| (d.to.clone(), at)).collect();
         let hash = *blake3::hash(text.as_bytes()).as_bytes();
-        Read { file, path_on_disk, text, hash, children }
+        ParsedFile { file, path_on_disk, text, hash, children }
     }
 
     pub fn delegate(&self, child: &str) -> Option<&Delegate> {
         self.children.get(child).and_then(|at| self.file.delegates.get(*at))
     }
 
-    pub fn spot(&self, line: u32, name: &str) -> RuleLocation {
+    pub fn location(&self, line: u32, name: &str) -> RuleLocation {
         RuleLocation {
             namespace: self.file.namespace.clone(),
             file: self.path_on_disk.clone(),
@@ -41,7 +41,7 @@
     }
 }
 
-/// A placement: a must that allows nodes, or a wish that some nodes satisfy.
+/// A placement: a requirement that allows nodes, or a preference that some nodes satisfy.
 #[derive(Debug)]
 pub(crate) struct Placed {
     /// Where in `Compiled::rules` it is.
@@ -82,12 +82,12 @@
 /// What a child was given: its path, its part of the connections, and what it has.
 pub(crate) type Grant = (String, Option<u64>, Scope);
 
-/// A namespace under one chain of parents. It depends on nothing but the chain's contents and the world.
+/// A namespace under one chain of parents. It depends on nothing but the chain's contents and the inventory.
 #[derive(Debug)]
 pub(crate) struct Compiled {
     /// A digest of all that it depends on.
     pub key: [u8; 32],
-    pub read: Arc<Read>,
+    pub read: Arc<ParsedFile>,
     pub parent: Option<Arc<Compiled>>,
     pub depth: u32,
     pub scope: Scope,
@@ -104,7 +104,7 @@
 
 impl Compiled {
     /// The digest for a content under a parent; `void` are the children whose delegations don't count.
-    pub fn key(parent: Option<&Compiled>, read: &Read, void: &[&str]) -> [u8; 32] {
+    pub fn key(parent: Option<&Compiled>, read: &ParsedFile, void: &[&str]) -> [u8; 32] {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&parent.map_or([0; 32], |parent| parent.key));
         hasher.update(&read.hash);
--- a/crates/routing-rules/src/conflict.rs
+++ b/crates/routing-rules/src/conflict.rs
@@ -180,14 +180,14 @@
         /// A request that has a part.
         witness: Witness,
     },
-    /// Musts leave a request no node.
+    /// Requirements leave a request no node.
     #[error("{one} and {other} leave no node to {witness}")]
     NoNode {
-        /// The deepest of the musts.
+        /// The deepest of the requirements.
         one: RuleLocation,
         /// The other; the same, if one must is enough.
         other: RuleLocation,
-        /// All the musts that it takes: without any of them there is a node.
+        /// All the requirements that it takes: without any of them there is a node.
         requirements: Vec<RuleLocation>,
         /// The request, and a node that the other must allows or would allow.
         witness: Witness,
@@ -223,10 +223,10 @@
             }
             Conflict::OverCommitted { one, promiser, other, parts, .. } => {
                 let parts = parts.iter().chain([one, promiser, other]);
-                parts.map(|spot| spot.namespace.as_str()).collect()
+                parts.map(|location| location.namespace.as_str()).collect()
             }
             Conflict::NoNode { requirements, .. } => {
-                requirements.iter().map(|spot| spot.namespace.as_str()).collect()
+                requirements.iter().map(|location| location.namespace.as_str()).collect()
             }
         };
         all.sort_unstable();
@@ -239,7 +239,7 @@
         match self {
             Conflict::SameSubject { one, other, .. } => vec![&one.namespace, &other.namespace],
             Conflict::OverCommitted { parts, .. } => {
-                parts.iter().map(|spot| spot.namespace.as_str()).collect()
+                parts.iter().map(|location| location.namespace.as_str()).collect()
             }
             _ => Vec::new(),
         }
--- a/crates/routing-rules/src/effective.rs
+++ b/crates/routing-rules/src/effective.rs
@@ -12,12 +12,12 @@
 pub struct Effective {
     /// Whether the request may go to the node.
     pub allowed: bool,
-    /// The wishes for nodes that speak of the request, the one that goes first first, and whether the node satisfies
+    /// The preferences for nodes that speak of the request, the one that goes first first, and whether the node satisfies
     /// each. Of two nodes the one that satisfies the first wish that tells them apart is wished for more.
     pub preferences: Vec<(String, bool)>,
     /// Most attempts.
     pub attempts: Option<u32>,
-    /// Most standing connections, of the caps that count this node; each is a limit of its own: (rule, connections).
+    /// Most established connections, of the caps that count this node; each is a limit of its own: (rule, connections).
     pub caps: Vec<(String, u64)>,
     /// Most set-ups a second, in thousandths; each is a limit of its own: (rule, thousandths).
     pub paces: Vec<(String, u64)>,
@@ -27,7 +27,7 @@
     pub move_when: Option<MoveCondition>,
     /// Whether any must speaks of the request.
     pub has_requirements: bool,
-    /// What the strictest owner of these musts asks for in doubt.
+    /// What the strictest owner of these requirements asks for in doubt.
     pub uncertainty_policy: Option<UncertaintyPolicy>,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl Rule {
-    /// What orders wishes: that nearer the root goes first, then that of the higher priority, then by namespace and name.
+    /// What orders preferences: that nearer the root goes first, then that of the higher priority, then by namespace and name.
     pub fn preference_order(&self) -> (u32, Reverse<i32>, &str, &str) {
         (self.depth, Reverse(self.priority), &self.namespace, &self.name)
     }
--- a/crates/routing-rules/src/evaluation_round.rs
+++ b/crates/routing-rules/src/evaluation_round.rs
@@ -5,7 +5,7 @@
 
 use crate::cache::Cache;
 use crate::candidate::{Candidate, nowhere, sample};
-use crate::compiled::{Compiled, Read, is_child, parent_of};
+use crate::compiled::{Compiled, ParsedFile, is_child, parent_of};
 use crate::conflict::{Conflict, Witness};
 use crate::file::Delegate;
 use crate::ineffective::Children;
@@ -36,7 +36,7 @@
     pub fn run(
         candidates: &BTreeMap<String, Candidate>,
         void: &BTreeSet<String>,
-        world: &Inventory,
+        inventory: &Inventory,
         cache: &mut Cache,
     ) -> EvaluationRound {
         let mut round = EvaluationRound::default();
@@ -46,14 +46,14 @@
             // What is void has nothing, and so has what lies below it.
             if candidate.read().is_some() && void.contains(path) {
                 deferred.insert(path.as_str());
-            } else if let Some((parent, read)) = round.admit(path, candidate, &mut deferred, world) {
+            } else if let Some((parent, read)) = round.admit(path, candidate, &mut deferred, inventory) {
                 let void: Vec<&str> =
                     void.iter().map(String::as_str).filter(|child| is_child(path, child)).collect();
                 let compiled = cache.compiled(parent.as_ref(), read, &void);
                 round.activate(path, read, compiled);
             }
         }
-        round.find_foreign_delegations(world);
+        round.find_foreign_delegations(inventory);
         round.find_ineffective_preferences(cache);
         round.conflicts.sort();
         round
@@ -66,11 +66,11 @@
         path: &'a str,
         candidate: &'a Candidate,
         deferred: &mut BTreeSet<&'a str>,
-        world: &Inventory,
-    ) -> Option<(Option<Arc<Compiled>>, &'a Arc<Read>)> {
+        inventory: &Inventory,
+    ) -> Option<(Option<Arc<Compiled>>, &'a Arc<ParsedFile>)> {
         let read = candidate.read()?;
         let above = parent_of(path).and_then(|parent| self.active.get(parent)).cloned();
-        match relation(path, above.as_ref(), deferred, world) {
+        match relation(path, above.as_ref(), deferred, inventory) {
             Relation::Root => Some((None, read)),
             Relation::Deferred => {
                 deferred.insert(path);
@@ -78,7 +78,7 @@
             }
             Relation::Orphan => {
                 deferred.insert(path);
-                self.conflicts.push(orphan(read, above.as_deref(), world));
+                self.conflicts.push(orphan(read, above.as_deref(), inventory));
                 None
             }
             Relation::Under(_, delegate) if delegate.handed_to.is_some() => None,
@@ -91,7 +91,7 @@
     }
 
     /// Takes a compiled content into force.
-    fn activate(&mut self, path: &str, read: &Read, compiled: Arc<Compiled>) {
+    fn activate(&mut self, path: &str, read: &ParsedFile, compiled: Arc<Compiled>) {
         self.conflicts.extend(compiled.conflicts.iter().cloned());
         for delegate in &read.file.delegates {
             if let Some(to) = &delegate.handed_to {
@@ -102,7 +102,7 @@
     }
 
     /// Delegations to others than children: in a circle, or to no purpose.
-    fn find_foreign_delegations(&mut self, world: &Inventory) {
+    fn find_foreign_delegations(&mut self, inventory: &Inventory) {
         let mut edges = Vec::new();
         for (path, of) in &self.active {
             let foreign = of.read.file.delegates.iter().filter(|delegate| !is_child(path, &delegate.to));
@@ -113,11 +113,11 @@
         };
         let mut found = Vec::new();
         for (from, delegate, of) in &edges {
-            let one = of.read.spot(delegate.line, &format!("delegate {}", delegate.to));
+            let one = of.read.location(delegate.line, &format!("delegate {}", delegate.to));
             let target = self.active.get(&delegate.to);
-            let other = target.map_or(nowhere(&delegate.to), |to| to.read.spot(to.read.file.line, ""));
+            let other = target.map_or(nowhere(&delegate.to), |to| to.read.location(to.read.file.line, ""));
             let on = of.scope.narrow(&delegate.tenants, &delegate.classes, &delegate.groups);
-            let witness = Witness::new(&world.sample(&on), None);
+            let witness = Witness::new(&inventory.sample(&on), None);
             // A namespace leads to all below it, and by its foreign delegations elsewhere.
             let mut reached = BTreeSet::from([delegate.to.as_str()]);
             loop {
@@ -152,7 +152,7 @@
                 digests.entry(parent).or_default().update(&digest);
                 children.entry(parent.to_owned()).or_default().push(of.clone());
             }
-            self.conflicts.extend_from_slice(cache.idle(of, digest, &children));
+            self.conflicts.extend_from_slice(cache.ineffective(of, digest, &children));
         }
     }
 }
@@ -161,10 +161,10 @@
     path: &str,
     above: Option<&'a Arc<Compiled>>,
     deferred: &BTreeSet<&str>,
-    world: &Inventory,
+    inventory: &Inventory,
 ) -> Relation<'a> {
     let Some(parent) = parent_of(path) else {
-        return if path == world.root { Relation::Root } else { Relation::Orphan };
+        return if path == inventory.root { Relation::Root } else { Relation::Orphan };
     };
     if deferred.contains(parent) {
         return Relation::Deferred;
@@ -177,12 +177,12 @@
     }
 }
 
-fn orphan(read: &Read, above: Option<&Compiled>, world: &Inventory) -> Conflict {
+fn orphan(read: &ParsedFile, above: Option<&Compiled>, inventory: &Inventory) -> Conflict {
     let path = &read.file.namespace;
     let other = match above {
-        Some(above) => above.read.spot(above.read.file.line, ""),
-        None => nowhere(parent_of(path).unwrap_or(&world.root)),
+        Some(above) => above.read.location(above.read.file.line, ""),
+        None => nowhere(parent_of(path).unwrap_or(&inventory.root)),
     };
-    let one = read.spot(read.file.line, "");
-    Conflict::Orphan { one, other, witness: sample(read.file.rules.first(), world) }
+    let one = read.location(read.file.line, "");
+    Conflict::Orphan { one, other, witness: sample(read.file.rules.first(), inventory) }
 }
--- a/crates/routing-rules/src/file.rs
+++ b/crates/routing-rules/src/file.rs
@@ -54,7 +54,7 @@
     pub owner: String,
     /// The revision; each content has its own.
     pub revision: u64,
-    /// What becomes of its requests while the version is in doubt.
+    /// What happens to its requests while the version in force is uncertain.
     pub uncertainty_policy: UncertaintyPolicy,
     /// What it leaves to its children, in the file's order.
     pub delegates: Vec<Delegate>,
@@ -94,9 +94,9 @@
     pub name: String,
     /// The line it starts on.
     pub line: u32,
-    /// Whether it must hold.
+    /// Whether it is required.
     pub strength: Strength,
-    /// Which of two wishes of one depth goes first.
+    /// Which of two preferences of one depth goes first.
     pub priority: i32,
     /// The tenants it names.
     pub tenants: BTreeSet<String>,
--- a/crates/routing-rules/src/history.rs
+++ b/crates/routing-rules/src/history.rs
@@ -27,7 +27,7 @@
     pub in_force: Option<u64>,
     /// The last content that was in force. It stays when the file goes, so that an older revision can't return.
     pub good: Option<GoodRevision>,
-    /// The digest of the content that is held back: it stays younger than whatever comes after.
+    /// The digest of the content that is held back: it stays newer than whatever comes after.
     pub refused: Option<String>,
     /// Whether what its parent delegates to it doesn't count, since it was promised beyond what there is, or twice.
     #[serde(default)]
--- a/crates/routing-rules/src/ineffective.rs
+++ b/crates/routing-rules/src/ineffective.rs
@@ -16,11 +16,11 @@
 type Placement<'a> = (&'a Rule, &'a NodeKindSet);
 
 /// The preferences of a namespace that can never take effect.
-pub(crate) fn preferences(of: &Compiled, children: &Children, world: &Inventory) -> Vec<Conflict> {
+pub(crate) fn preferences(of: &Compiled, children: &Children, inventory: &Inventory) -> Vec<Conflict> {
     let chain = of.chain();
     let preferences = of.placements.all.iter().map(|placed| (&of.rules[placed.rule], &placed.nodes));
     let preferences = preferences.filter(|(rule, _)| !is_requirement(rule.strength));
-    preferences.filter_map(|preference| ineffective(of, preference, &chain, children, world)).collect()
+    preferences.filter_map(|preference| ineffective(of, preference, &chain, children, inventory)).collect()
 }
 
 fn ineffective(
@@ -28,18 +28,18 @@
     preference: Placement,
     chain: &[&Compiled],
     children: &Children,
-    world: &Inventory,
+    inventory: &Inventory,
 ) -> Option<Conflict> {
     // What stands against it differs by request. The deepest is reported, since what lies nearer the root isn't enough.
     let mut reported: Option<(Request, Option<&Rule>)> = None;
-    for tenant in tenants(&preference.0.on.tenants, world) {
+    for tenant in tenants(&preference.0.on.tenants, inventory) {
         let mut matching: Vec<Placement> = Vec::new();
         matching.extend(chain.iter().flat_map(|namespace| namespace.placed_for(tenant)));
         below(of, tenant, children, &mut matching);
         matching.retain(|(rule, _)| {
             is_requirement(rule.strength) || rule.preference_order() < preference.0.preference_order()
         });
-        for class in &world.classes {
+        for class in &inventory.classes {
             if !preference.0.on.classes.is_empty() && !preference.0.on.classes.contains(class) {
                 continue;
             }
@@ -51,7 +51,7 @@
                     continue;
                 }
                 let matching = matching.iter().copied().filter(|(rule, _)| rule.on.matches(&request));
-                let rule = match opposition(preference, matching.collect(), world) {
+                let rule = match opposition(preference, matching.collect(), inventory) {
                     Opposition::Nothing => return None,
                     Opposition::Rule(rule) => Some(rule),
                     Opposition::Itself => None,
@@ -63,8 +63,8 @@
             }
         }
     }
-    let (request, other) = reported.unwrap_or_else(|| (world.sample(&preference.0.on), None));
-    let node = preference.1.first().and_then(|at| world.nodes().nth(at));
+    let (request, other) = reported.unwrap_or_else(|| (inventory.sample(&preference.0.on), None));
+    let node = preference.1.first().and_then(|at| inventory.nodes().nth(at));
     let one = location(preference.0);
     let other = other.map_or_else(|| one.clone(), location);
     Some(Conflict::IneffectivePreference { one, other, witness: Witness::new(&request, node) })
@@ -89,11 +89,15 @@
 
 /// What stands against a preference on one request. It takes effect if a node that satisfies it is allowed and is not behind
 /// each node that doesn't: behind as the preferences before it order them.
-fn opposition<'a>(preference: Placement, matching: Vec<Placement<'a>>, world: &Inventory) -> Opposition<'a> {
+fn opposition<'a>(
+    preference: Placement,
+    matching: Vec<Placement<'a>>,
+    inventory: &Inventory,
+) -> Opposition<'a> {
     let (requirements, mut preferences): (Vec<_>, Vec<_>) =
         matching.into_iter().partition(|(rule, _)| is_requirement(rule.strength));
     let mut satisfying = preference.1.clone();
-    let mut others = NodeKindSet::all(world);
+    let mut others = NodeKindSet::all(inventory);
     others.without(preference.1);
     if satisfying.is_empty() {
         return Opposition::Itself;
--- a/crates/routing-rules/src/inventory.rs
+++ b/crates/routing-rules/src/inventory.rs
@@ -1,4 +1,4 @@
-//! The world that rules are merged for: what exists, and so what requests there can be.
+//! The inventory that rules are merged for: what exists, and so what requests there can be.
 
 use std::collections::BTreeSet;
 
@@ -23,7 +23,7 @@
 }
 
 impl Inventory {
-    /// A world in which each hall has nodes of each hardware class.
+    /// A inventory in which each hall has nodes of each hardware class.
     pub fn of(
         root: &str,
         tenants: &[&str],
--- a/crates/routing-rules/src/lib.rs
+++ b/crates/routing-rules/src/lib.rs
@@ -1,9 +1,9 @@
-//! Rules that houses and their teams own, merged into one book, sans-io: a pure function of a set of files, a ledger and a
-//! world, with no files read, no sockets, no clocks and no chance.
+//! Routing rules of many owners and their teams, merged into one book, sans-io: a pure function of a set of files, a history and
+//! an inventory, with no files read, no sockets, no clocks and no chance.
 //!
-//! The invariants: the book is the same whatever the order of the files; a must of a namespace holds for every namespace
-//! below it; a file that can't be taken holds back its own namespace and changes nothing else; rules that conflict are
-//! found here, each with a witness, and never met at run time. `docs/design/rulebook.md` says why it is built so.
+//! The invariants: the book is the same whatever the order of the files; a requirement of a namespace holds for every namespace
+//! below it; a file that is rejected holds back its own namespace and changes nothing else; rules that conflict are found here,
+//! each with a witness, and never met at run time. `docs/design/rulebook.md` has the reasons.
 
 mod book;
 mod cache;
--- a/crates/routing-rules/src/merge.rs
+++ b/crates/routing-rules/src/merge.rs
@@ -1,4 +1,4 @@
-//! The merge: candidates are taken, conflicts found, and the youngest held back, until none conflicts.
+//! The merge: candidates are gathered, conflicts found, and the newest held back, until none conflict.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use crate::file::RuleFile;
 use crate::history::History;
 use crate::inventory::Inventory;
-use crate::newest_first::Ages;
+use crate::newest_first::Recency;
 use crate::outcome::{self, Outcome};
 
 /// What came of a merge.
@@ -27,18 +27,18 @@
 }
 
 /// Merges the files into one book. The outcome depends on nothing but what is given here, and not on the files' order.
-pub fn merge(last: &History, files: &[RuleFile], world: &Inventory) -> Merged {
-    Merger::default().merge(last, files, world)
+pub fn merge(last: &History, files: &[RuleFile], inventory: &Inventory) -> Merged {
+    Merger::default().merge(last, files, inventory)
 }
 
 /// All that conflicts if the newest content of each namespace is taken as it is, before any is held back: what an operator
 /// asks before files are put in place.
-pub fn check(last: &History, files: &[RuleFile], world: &Inventory) -> Vec<Conflict> {
+pub fn check(last: &History, files: &[RuleFile], inventory: &Inventory) -> Vec<Conflict> {
     let mut cache = Cache::default();
-    cache.begin(world);
-    let taken = candidate::take(last, files, world, &mut cache);
+    cache.begin(inventory);
+    let taken = candidate::gather(last, files, inventory, &mut cache);
     let mut conflicts =
-        EvaluationRound::run(&taken.candidates, &BTreeSet::new(), world, &mut cache).conflicts;
+        EvaluationRound::run(&taken.candidates, &BTreeSet::new(), inventory, &mut cache).conflicts;
     conflicts.extend(taken.conflicts);
     conflicts.sort();
     conflicts
@@ -56,16 +56,16 @@
 
 impl Merger {
     /// See [`merge`].
-    pub fn merge(&mut self, last: &History, files: &[RuleFile], world: &Inventory) -> Merged {
-        self.cache.begin(world);
-        let mut merged = self.merge_once(last, files, world);
-        // What came in makes others the younger, so that the same files might come to another book next time. The book
+    pub fn merge(&mut self, last: &History, files: &[RuleFile], inventory: &Inventory) -> Merged {
+        self.cache.begin(inventory);
+        let mut merged = self.merge_once(last, files, inventory);
+        // What came in makes others newer in comparison, so that the same files might come to another book next time. The book
         // that stays is told at once. Nearly always it is the first.
         for _ in 0..MOST_ROUNDS {
             if merged.conflicts.is_empty() {
                 break;
             }
-            let next = self.merge_once(&merged.history, files, world);
+            let next = self.merge_once(&merged.history, files, inventory);
             if next.book == merged.book {
                 break;
             }
@@ -75,31 +75,32 @@
         merged
     }
 
-    fn merge_once(&mut self, last: &History, files: &[RuleFile], world: &Inventory) -> Merged {
-        let mut taken = candidate::take(last, files, world, &mut self.cache);
-        let mut tried = Tried { candidates: std::mem::take(&mut taken.candidates), void: BTreeSet::new() };
-        let asked = tried.candidates.clone();
+    fn merge_once(&mut self, last: &History, files: &[RuleFile], inventory: &Inventory) -> Merged {
+        let mut taken = candidate::gather(last, files, inventory, &mut self.cache);
+        let mut selection =
+            Selection { candidates: std::mem::take(&mut taken.candidates), void: BTreeSet::new() };
+        let asked = selection.candidates.clone();
         let void =
             last.namespaces.iter().filter(|(_, entry)| entry.void).map(|(path, _)| path.clone()).collect();
         let mut held = Vec::new();
         // Each turn moves one namespace down a step, from new to good to out, or voids one delegation: it ends.
         let mut round = loop {
-            let round = tried.run(world, &mut self.cache);
-            let ages = Ages { candidates: &tried.candidates, void: &void };
-            let Some((culprit, why)) = ages.choose(&round.conflicts) else { break round };
-            tried.hold(&culprit, &why);
-            held.push(Held { culprit, why, conflicts: round.conflicts });
+            let round = selection.run(inventory, &mut self.cache);
+            let recency = Recency { candidates: &selection.candidates, void: &void };
+            let Some((namespace, why)) = recency.choose(&round.conflicts) else { break round };
+            selection.hold(&namespace, &why);
+            held.push(HoldBack { namespace, why, conflicts: round.conflicts });
         };
         // What was held back for the sake of one that is now held back itself may come in after all, oldest first.
-        let ages = Ages { candidates: &asked, void: &void };
-        let mut out: Vec<String> = held.iter().map(|held| held.culprit.clone()).collect();
-        out.sort_by_cached_key(|path| ages.of(path));
+        let recency = Recency { candidates: &asked, void: &void };
+        let mut out: Vec<String> = held.iter().map(|held| held.namespace.clone()).collect();
+        out.sort_by_cached_key(|path| recency.of(path));
         out.dedup();
         loop {
             let before = out.len();
-            out.retain(|path| match tried.with(path, &asked, &void, world, &mut self.cache) {
+            out.retain(|path| match selection.with(path, &asked, &void, inventory, &mut self.cache) {
                 Some((more, with_it)) => {
-                    (tried, round) = (more, with_it);
+                    (selection, round) = (more, with_it);
                     false
                 }
                 None => true,
@@ -109,14 +110,14 @@
                 break;
             }
         }
-        held.retain(|held| out.contains(&held.culprit));
-        taken.void = tried.void;
-        taken.candidates = tried.candidates;
+        held.retain(|held| out.contains(&held.namespace));
+        taken.void = selection.void;
+        taken.candidates = selection.candidates;
         let mut conflicts: BTreeSet<Conflict> = std::mem::take(&mut taken.conflicts).into_iter().collect();
-        for Held { culprit, why, conflicts: all } in held {
-            let other = why.namespaces().into_iter().find(|path| *path != culprit).map(str::to_owned);
-            taken.held.entry(culprit.clone()).or_insert((why.to_string(), other));
-            conflicts.extend(all.into_iter().filter(|of| of.namespaces().contains(&culprit.as_str())));
+        for HoldBack { namespace, why, conflicts: all } in held {
+            let other = why.namespaces().into_iter().find(|path| *path != namespace).map(str::to_owned);
+            taken.held.entry(namespace.clone()).or_insert((why.to_string(), other));
+            conflicts.extend(all.into_iter().filter(|of| of.namespaces().contains(&namespace.as_str())));
         }
         let history = outcome::history(last, &Outcome { round: &round, taken: &taken });
         let book = book(&round.active);
@@ -126,33 +127,33 @@
 
 /// What is tried together.
 #[derive(Clone)]
-struct Tried {
+struct Selection {
     candidates: BTreeMap<String, Candidate>,
     /// The children whose delegations don't count.
     void: BTreeSet<String>,
 }
 
 /// One turn: who was held back, for which conflict, and all conflicts there were.
-struct Held {
-    culprit: String,
+struct HoldBack {
+    namespace: String,
     why: Conflict,
     conflicts: Vec<Conflict>,
 }
 
-impl Tried {
-    fn run(&self, world: &Inventory, cache: &mut Cache) -> EvaluationRound {
-        EvaluationRound::run(&self.candidates, &self.void, world, cache)
+impl Selection {
+    fn run(&self, inventory: &Inventory, cache: &mut Cache) -> EvaluationRound {
+        EvaluationRound::run(&self.candidates, &self.void, inventory, cache)
     }
 
-    fn hold(&mut self, culprit: &str, why: &Conflict) {
-        if why.voids(culprit) {
-            self.void.insert(culprit.to_owned());
+    fn hold(&mut self, namespace: &str, why: &Conflict) {
+        if why.voids(namespace) {
+            self.void.insert(namespace.to_owned());
             return;
         }
-        if let Some(candidate) = self.candidates.get_mut(culprit)
-            && !candidate.step_down()
+        if let Some(candidate) = self.candidates.get_mut(namespace)
+            && !candidate.fall_back()
         {
-            self.candidates.remove(culprit);
+            self.candidates.remove(namespace);
         }
         // Delegations are void for what other contents say: which of them is asked anew where one of these changed.
         self.void.clear();
@@ -164,9 +165,9 @@
         path: &str,
         asked: &BTreeMap<String, Candidate>,
         void_before: &BTreeSet<String>,
-        world: &Inventory,
+        inventory: &Inventory,
         cache: &mut Cache,
-    ) -> Option<(Tried, EvaluationRound)> {
+    ) -> Option<(Selection, EvaluationRound)> {
         let mut more = self.clone();
         let was_void = more.void.remove(path);
         if let Some(candidate) = asked.get(path) {
@@ -176,11 +177,11 @@
             more.void.clear();
         }
         loop {
-            let round = more.run(world, cache);
-            let ages = Ages { candidates: &more.candidates, void: void_before };
-            let Some((culprit, why)) = ages.choose(&round.conflicts) else { return Some((more, round)) };
-            let as_before = why.voids(&culprit) && self.void.contains(&culprit) && !was_void;
-            if !as_before || !more.void.insert(culprit) {
+            let round = more.run(inventory, cache);
+            let recency = Recency { candidates: &more.candidates, void: void_before };
+            let Some((namespace, why)) = recency.choose(&round.conflicts) else { return Some((more, round)) };
+            let as_before = why.voids(&namespace) && self.void.contains(&namespace) && !was_void;
+            if !as_before || !more.void.insert(namespace) {
                 return None;
             }
         }
--- a/crates/routing-rules/src/newest_first.rs
+++ b/crates/routing-rules/src/newest_first.rs
@@ -1,23 +1,23 @@
-//! Which namespace of a conflict is held back: the youngest.
+//! Which namespace of a conflict is held back: the newest.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::candidate::{Age, Candidate};
 use crate::conflict::Conflict;
 
-/// What tells how young a namespace is.
-pub(crate) struct Ages<'a> {
+/// What tells how new a namespace is.
+pub(crate) struct Recency<'a> {
     pub candidates: &'a BTreeMap<String, Candidate>,
     /// Those whose delegation didn't count before.
     pub void: &'a BTreeSet<String>,
 }
 
-/// Compares as young: of two that came at once the deeper is the younger; of two of one depth, the later by path.
-type Young = (Age, usize, String);
+/// Compares as new: of two that came at once the deeper is the newer; of two of one depth, the later by path.
+type Newness = (Age, usize, String);
 
-impl Ages<'_> {
-    /// How young a namespace is.
-    pub fn of(&self, path: &str) -> Young {
+impl Recency<'_> {
+    /// How new a namespace is.
+    pub fn of(&self, path: &str) -> Newness {
         let age = if self.void.contains(path) {
             // A delegation that didn't count doesn't come to count because the other claimant's file is changed.
             Age::Void
@@ -27,29 +27,28 @@
         (age, path.matches('/').count(), path.to_owned())
     }
 
-    /// The youngest namespace of any conflict, and the first conflict that it is held back for.
+    /// The newest namespace of any conflict, and the first conflict that it is held back for.
     pub fn choose(&self, conflicts: &[Conflict]) -> Option<(String, Conflict)> {
-        let culprits = conflicts.iter().filter_map(|conflict| {
-            let culprit = self.culprit(conflict)?;
-            Some((self.of(&culprit), culprit, conflict))
+        let candidates = conflicts.iter().filter_map(|conflict| {
+            let held_back = self.held_back(conflict)?;
+            Some((self.of(&held_back), held_back, conflict))
         });
-        let (_, culprit, conflict) = culprits.max_by(|a, b| a.0.cmp(&b.0).then_with(|| b.2.cmp(a.2)))?;
-        Some((culprit, conflict.clone()))
+        let (_, held_back, conflict) = candidates.max_by(|a, b| a.0.cmp(&b.0).then_with(|| b.2.cmp(a.2)))?;
+        Some((held_back, conflict.clone()))
     }
 
     /// The namespace of a conflict that is held back.
-    fn culprit(&self, conflict: &Conflict) -> Option<String> {
+    fn held_back(&self, conflict: &Conflict) -> Option<String> {
         let all = conflict.namespaces();
         let children = conflict.promised_children();
-        let youngest =
-            |paths: Vec<&str>| paths.into_iter().max_by_key(|path| self.of(path)).map(str::to_owned);
+        let newest = |paths: Vec<&str>| paths.into_iter().max_by_key(|path| self.of(path)).map(str::to_owned);
         if children.is_empty() {
-            return youngest(all.into_iter().filter(|path| self.candidates.contains_key(*path)).collect());
+            return newest(all.into_iter().filter(|path| self.candidates.contains_key(*path)).collect());
         }
-        // A delegation is as young as the content it stands in: if the youngest of those who promise has a good content
+        // A delegation is as new as the content it stands in: if the newest of those who promise has a good content
         // to go back to, it does so before a child pays for its new one.
         let promisers = all.into_iter().filter(|path| !children.contains(path)).collect();
-        let can_step_down = |path: &String| self.candidates.get(path).is_some_and(Candidate::can_step_down);
-        youngest(promisers).filter(can_step_down).or_else(|| youngest(children.clone()))
+        let has_fallback = |path: &String| self.candidates.get(path).is_some_and(Candidate::has_fallback);
+        newest(promisers).filter(has_fallback).or_else(|| newest(children.clone()))
     }
 }
--- a/crates/routing-rules/src/node_kind_set.rs
+++ b/crates/routing-rules/src/node_kind_set.rs
@@ -1,30 +1,30 @@
-//! Sets of the world's kinds of node, as bits.
+//! Sets of the inventory's kinds of node, as bits.
 
 use crate::book::{PlacementMode, RuleKind, Strength, selects_node};
 use crate::inventory::Inventory;
 
-/// A set of the world's kinds of node, by their order.
+/// A set of the inventory's kinds of node, by their order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct NodeKindSet(Vec<u64>);
 
 impl NodeKindSet {
     /// All kinds of node.
-    pub fn all(world: &Inventory) -> NodeKindSet {
-        NodeKindSet::of(world, |_| true)
+    pub fn all(inventory: &Inventory) -> NodeKindSet {
+        NodeKindSet::of(inventory, |_| true)
     }
 
-    pub fn of(world: &Inventory, mut has: impl FnMut(&crate::book::Node) -> bool) -> NodeKindSet {
-        let mut mask = NodeKindSet(vec![0; world.nodes.len().div_ceil(64)]);
-        for (at, node) in world.nodes().enumerate() {
+    pub fn of(inventory: &Inventory, mut has: impl FnMut(&crate::book::Node) -> bool) -> NodeKindSet {
+        let mut mask = NodeKindSet(vec![0; inventory.nodes.len().div_ceil(64)]);
+        for (at, node) in inventory.nodes().enumerate() {
             mask.0[at / 64] |= u64::from(has(&node)) << (at % 64);
         }
         mask
     }
 
     /// The nodes that satisfy a placement: those meant, or those not meant if it avoids.
-    pub fn satisfying(world: &Inventory, kind: &RuleKind) -> Option<NodeKindSet> {
+    pub fn satisfying(inventory: &Inventory, kind: &RuleKind) -> Option<NodeKindSet> {
         let RuleKind::Place { how, halls, hardware } = kind else { return None };
-        Some(NodeKindSet::of(world, |node| {
+        Some(NodeKindSet::of(inventory, |node| {
             selects_node(halls, hardware, node) != (*how == PlacementMode::Avoid)
         }))
     }
--- a/crates/routing-rules/src/outcome.rs
+++ b/crates/routing-rules/src/outcome.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use crate::candidate::{Candidate, Taken, digest};
-use crate::compiled::{Compiled, Read};
+use crate::candidate::{Candidate, CandidateSet, digest};
+use crate::compiled::{Compiled, ParsedFile};
 use crate::evaluation_round::EvaluationRound;
 use crate::history::{Entry, GoodRevision, History};
 use crate::state::{State, StateEvent, StateName};
@@ -12,7 +12,7 @@
 /// The outcome of a merge.
 pub(crate) struct Outcome<'a> {
     pub round: &'a EvaluationRound,
-    pub taken: &'a Taken,
+    pub taken: &'a CandidateSet,
 }
 
 /// The history after the merge. It is the old one if nothing changed, so that merging the same again changes nothing.
@@ -40,7 +40,7 @@
         None => before.and_then(|entry| entry.good.clone()),
     };
     // What the file says and isn't in force stays the newest until it changes.
-    let is_other = |read: &&Arc<Read>| active.is_none_or(|active| active.read.hash != read.hash);
+    let is_other = |read: &&Arc<ParsedFile>| active.is_none_or(|active| active.read.hash != read.hash);
     let refused = taken.newest.get(path).filter(|read| held_back.is_some() && is_other(read));
     let in_force = active.map(|active| active.read.file.revision);
     let void = taken.void.contains(path);
@@ -51,7 +51,7 @@
 type HeldBack = (String, Option<String>);
 
 /// Below a void delegation nothing conflicts, and nothing is in force.
-fn below_void(path: &str, taken: &Taken) -> Option<HeldBack> {
+fn below_void(path: &str, taken: &CandidateSet) -> Option<HeldBack> {
     let is_below =
         |void: &&String| path.strip_prefix(void.as_str()).is_some_and(|rest| rest.starts_with('/'));
     let void = taken.void.iter().find(is_below)?;
--- a/crates/routing-rules/src/scope.rs
+++ b/crates/routing-rules/src/scope.rs
@@ -17,19 +17,19 @@
     /// Its part of the connections, or that of the nearest above it that has one.
     pub connections: Option<u64>,
     /// Where it was given.
-    pub spot: RuleLocation,
+    pub location: RuleLocation,
 }
 
 impl Scope {
     /// The root's: everything.
-    pub fn root(world: &Inventory) -> Scope {
+    pub fn root(inventory: &Inventory) -> Scope {
         Scope {
             on: Selector::default(),
             halls: BTreeSet::new(),
             hardware: BTreeSet::new(),
-            connections: Some(world.connections),
-            spot: RuleLocation {
-                namespace: world.root.clone(),
+            connections: Some(inventory.connections),
+            location: RuleLocation {
+                namespace: inventory.root.clone(),
                 file: String::new(),
                 line: 0,
                 name: "world".to_owned(),
@@ -38,13 +38,13 @@
     }
 
     /// A child's, out of its parent's. It may be more than the parent has: that is found as a conflict.
-    pub fn child(&self, delegate: &Delegate, spot: RuleLocation) -> Scope {
+    pub fn child(&self, delegate: &Delegate, location: RuleLocation) -> Scope {
         Scope {
             on: self.narrow(&delegate.tenants, &delegate.classes, &delegate.groups),
             halls: or(&delegate.halls, &self.halls),
             hardware: or(&delegate.hardware, &self.hardware),
             connections: delegate.connections.or(self.connections),
-            spot,
+            location,
         }
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// What a rule names that the namespace wasn't given, and a witness.
-    pub fn rule_beyond(&self, rule: &DeclaredRule, world: &Inventory) -> Option<(String, Witness)> {
+    pub fn rule_beyond(&self, rule: &DeclaredRule, inventory: &Inventory) -> Option<(String, Witness)> {
         let none = BTreeSet::new();
         let (halls, hardware) = match &rule.kind {
             RuleKind::Place { halls, hardware, .. } | RuleKind::Cap { halls, hardware, .. } => {
@@ -72,12 +72,12 @@
             }
             _ => (&none, &none),
         };
-        self.beyond(&rule.tenants, &rule.classes, &rule.groups, halls, hardware, world)
+        self.beyond(&rule.tenants, &rule.classes, &rule.groups, halls, hardware, inventory)
     }
 
     /// What a delegation names that the namespace wasn't given, and a witness.
-    pub fn delegate_beyond(&self, to: &Delegate, world: &Inventory) -> Option<(String, Witness)> {
-        self.beyond(&to.tenants, &to.classes, &to.groups, &to.halls, &to.hardware, world)
+    pub fn delegate_beyond(&self, to: &Delegate, inventory: &Inventory) -> Option<(String, Witness)> {
+        self.beyond(&to.tenants, &to.classes, &to.groups, &to.halls, &to.hardware, inventory)
     }
 
     fn beyond(
@@ -87,10 +87,10 @@
         groups: &[GroupRange],
         halls: &BTreeSet<String>,
         hardware: &BTreeSet<String>,
-        world: &Inventory,
+        inventory: &Inventory,
     ) -> Option<(String, Witness)> {
         let on = self.narrow(tenants, classes, groups);
-        let sample = world.sample(&on);
+        let sample = inventory.sample(&on);
         let told = |what: &str, name: &str, request: Request| {
             Some((format!("{what} {name}"), Witness::new(&request, None)))
         };
@@ -110,14 +110,14 @@
             Some((format!("{what} {name}"), Witness::new(&sample, Some(node))))
         };
         if let Some(hall) = lacks(halls, &self.halls) {
-            let class = world
+            let class = inventory
                 .nodes()
                 .find(|node| node.hall == hall && (hardware.is_empty() || hardware.contains(node.hardware)));
             let class = class.map(|node| node.hardware).or(hardware.first().map(String::as_str));
             return node("hall", hall, hall, class.unwrap_or_default());
         }
         if let Some(class) = lacks(hardware, &self.hardware) {
-            let hall = world
+            let hall = inventory
                 .nodes()
                 .find(|node| node.hardware == class && (halls.is_empty() || halls.contains(node.hall)));
             let hall = hall.map(|node| node.hall).or(halls.first().map(String::as_str));
@@ -143,21 +143,21 @@
 pub(crate) fn meeting<'a>(
     one: &'a Selector,
     other: &'a Selector,
-    world: &'a Inventory,
+    inventory: &'a Inventory,
 ) -> Option<Request<'a>> {
     let tenant = match (one.tenants.is_empty(), other.tenants.is_empty()) {
         (true, true) => None,
-        (true, false) => Some(other.tenants.iter().find(|t| world.tenants.contains(*t))?),
-        (false, true) => Some(one.tenants.iter().find(|t| world.tenants.contains(*t))?),
+        (true, false) => Some(other.tenants.iter().find(|t| inventory.tenants.contains(*t))?),
+        (false, true) => Some(one.tenants.iter().find(|t| inventory.tenants.contains(*t))?),
         (false, false) => {
-            Some(one.tenants.iter().find(|t| other.tenants.contains(*t) && world.tenants.contains(*t))?)
+            Some(one.tenants.iter().find(|t| other.tenants.contains(*t) && inventory.tenants.contains(*t))?)
         }
     };
     let in_both = |class: &&String| {
         (one.classes.is_empty() || one.classes.contains(*class))
             && (other.classes.is_empty() || other.classes.contains(*class))
     };
-    let class = world.classes.iter().find(in_both)?;
+    let class = inventory.classes.iter().find(in_both)?;
     let group = match (one.groups.first(), other.groups.first()) {
         (None, None) => None,
         (Some(range), None) | (None, Some(range)) => Some(range.first),
