--- a/crates/cottonnotch/src/net/attempt.rs
+++ b/crates/cottonnotch/src/net/attempt.rs
@@ -37,7 +37,7 @@
 pub struct Attempt {
     address: SocketAddr,
     link: LineStream,
-    /// Goes out once the connection is up, with the time that is left then.
+    /// Sent once the connection is established, with the time that is left then.
     line: OpenLine,
     phase: Phase,
     /// That the line is written was reported.
@@ -148,7 +148,7 @@
             || self.write_deadline.is_some_and(|deadline| now >= deadline)
     }
 
-    /// The render node is told how long the proxy waits from now on: the connection may have been long in coming up.
+    /// The render node is told how long the proxy waits from now on: the connection may have taken long to establish.
     fn begin_writing(&mut self, now: Micros) {
         let left = self.deadline.map(|deadline| deadline - now);
         self.link.push(&self.line.forwarded(left));
@@ -165,7 +165,7 @@
         self.phase == Phase::Waiting
     }
 
-    /// Ends the attempt if its time is up.
+    /// The outcome of the attempt if its time is over.
     pub fn overdue(&self, now: Micros) -> Option<Outcome> {
         if self.deadline.is_some_and(|deadline| deadline <= now) {
             // While not even connected, nothing can have run.
@@ -176,7 +176,7 @@
         connect_timed_out.then_some(Outcome::ConnectFailed)
     }
 
-    /// The connection, once it is up.
+    /// The connection, once it is established.
     pub fn into_link(self) -> LineStream {
         self.link
     }
--- a/crates/cottonnotch/src/net/driver/audit.rs
+++ b/crates/cottonnotch/src/net/driver/audit.rs
@@ -42,6 +42,7 @@
 }
 
 impl Audit {
+    /// An audit against these settings.
     pub fn new(settings: Settings) -> Self {
         Audit { guard: Guard::new(settings), reasons: BTreeMap::new() }
     }
@@ -178,6 +179,7 @@
         }
     }
 
+    /// Counts a step under its reason.
     pub fn count(&mut self, step: Step, reason: &'static str) {
         *self.reasons.entry((step, reason)).or_default() += 1;
     }
@@ -212,6 +214,7 @@
     }
 }
 
+/// An outcome as part of a metric's key.
 pub fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "served",
@@ -225,6 +228,7 @@
     }
 }
 
+/// A rejection's reason as part of a metric's key.
 pub fn rejection_name(reason: RejectionReason) -> &'static str {
     match reason {
         RejectionReason::ShuttingDown => "leaving",
--- a/crates/cottonnotch/src/net/driver/message_latency.rs
+++ b/crates/cottonnotch/src/net/driver/message_latency.rs
@@ -65,7 +65,7 @@
         self.delays.connection_closed(tracked.id);
     }
 
-    /// An endpoint has reported a figure on this connection: its load, or a delay.
+    /// An endpoint has reported a number on this connection: its load, or a latency.
     pub fn handle_load_report(
         &mut self,
         now: Micros,
--- a/crates/cottonnotch/src/net/driver/mod.rs
+++ b/crates/cottonnotch/src/net/driver/mod.rs
@@ -1,12 +1,11 @@
-//! Between the sockets and the decisions: turns network events into the module's events and carries out its
-//! actions in order. Here the network's terms (endpoint, request, attempt) meet the module's (server,
-//! request, send); nothing is decided.
+//! The driver, between the sockets and the decision module: turns network events into the module's events and carries
+//! out its actions in order. Here the network's terms (endpoint, attempt, client) meet the module's (server, send,
+//! request); nothing is decided.
 //!
-//! This file is the core: it hands each network event to the part that translates it, each event to the module, and
-//! each action to the part that carries it out. A request's way: a front reads a client's line and tells its
-//! `ConnectionRequest` ([`Driver::take`]), [`clients`] makes an event of it, the module answers with an action
-//! ([`Driver::settle`]), [`clients`] asks the front for an attempt ([`Driver::act`]), and once that is up the
-//! front relays.
+//! The path of a request: a client's connection reads its line and reports a
+//! [`ConnectionRequest`](super::connection_request::ConnectionRequest); [`dispatch`] hands it to [`clients`], which
+//! makes an event of it; [`decisions`] hands that to the module and carries out the action that answers it; [`clients`]
+//! starts an attempt on the client's connection, and once an endpoint has accepted it, the connection relays.
 
 mod acceptor;
 mod admin;
@@ -51,10 +50,10 @@
 use std::io;
 use std::time::Duration;
 
-/// The records' writer is waited for so long at the end: a shutdown is over 150 ms before SIGKILL may come.
+/// At the end the records' writer is waited for this long: a shutdown is over 150 ms before SIGKILL may come.
 const RECORDS_CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Everything that one proxy holds.
+/// One proxy: the decision module, and the parts that turn network events into its events.
 pub struct Driver {
     context: Context,
     balancer: Balancer,
--- a/crates/cottonnotch/src/net/driver/records.rs
+++ b/crates/cottonnotch/src/net/driver/records.rs
@@ -1,6 +1,6 @@
-//! What happens here, for the program's records (`docs/records.md`) and for the figures (`docs/ops/status.md`): the
-//! module's terms become the schema's. One note of an ending feeds both. While records are off, each call costs a
-//! comparison and at most a count.
+//! Events of this proxy, for the program's records (`docs/records.md`) and for the metrics (`docs/ops/status.md`): the
+//! decision module's terms become the schema's. One call for an ending feeds both. While records are off, each call costs
+//! a comparison and at most a count.
 
 use super::request_table::TrackedRequest;
 use crate::net::management::metrics::Metrics;
@@ -26,6 +26,7 @@
 }
 
 impl Records {
+    /// Records by this recorder, in the names of these settings.
     pub fn new(recorder: Recorder, profile: &Profile) -> Self {
         let mut records =
             Records { recorder, metrics: Metrics::default(), classes: Vec::new(), tenants: Vec::new() };
@@ -65,6 +66,7 @@
         });
     }
 
+    /// The decision module rates an endpoint anew.
     pub fn endpoint_health(&self, endpoint: impl FnOnce() -> Name, health: ServerHealth) {
         self.recorder.record_with(|| Event::Endpoint {
             endpoint: endpoint(),
@@ -78,6 +80,7 @@
         });
     }
 
+    /// A request was accepted.
     pub fn request(&self, request: &Request, wire_id: u64) {
         self.recorder.record_with(|| {
             let name = |names: &[Name], number: u16| names.get(usize::from(number)).cloned();
@@ -93,6 +96,7 @@
         });
     }
 
+    /// An attempt begins, under these rules if there are any.
     pub fn attempt(
         &self,
         RequestId(request): RequestId,
@@ -110,6 +114,7 @@
         });
     }
 
+    /// An attempt has ended without a connection, this long after it began.
     pub fn attempt_ended(&self, RequestId(request): RequestId, attempt: u32, outcome: Outcome, took: Micros) {
         self.recorder.record_with(|| Event::AttemptEnded {
             request,
@@ -132,6 +137,7 @@
         self.recorder.record_with(|| Event::Answer { request, answer: Answer::Up });
     }
 
+    /// Final answer: a rejection, under these rules if there are any.
     pub fn rejected(
         &mut self,
         tracked: &TrackedRequest,
@@ -147,6 +153,7 @@
         self.recorder.record_with(|| Event::Answer { request, answer: answer() });
     }
 
+    /// Final answer: an error.
     pub fn failed(&mut self, tracked: &TrackedRequest, reason: &dyn Display) {
         self.metrics.failed(tracked.class);
         let request = tracked.id.0;
@@ -176,6 +183,7 @@
         self.recorder.record_with(|| Event::ClientRejected { reason: reason() });
     }
 
+    /// An established connection is migrated.
     pub fn migrated(
         &self,
         RequestId(request): RequestId,
@@ -185,10 +193,12 @@
         self.recorder.record_with(|| Event::Moved { request, endpoint: endpoint(), reason });
     }
 
+    /// An established connection has ended.
     pub fn ended(&self, RequestId(request): RequestId, outcome: Outcome) {
         self.recorder.record_with(|| Event::Ended { request, outcome: outcome_of(outcome) });
     }
 
+    /// A client left before its answer.
     pub fn client_left(&self, RequestId(request): RequestId) {
         self.recorder.record_with(|| Event::ClientLeft { request });
     }
@@ -221,6 +231,7 @@
         self.recorder.record_with(|| Event::Reload { reload: reload() });
     }
 
+    /// Another proxy is in this state now.
     pub fn peer(&self, peer: u32, state: State, incarnation: u64) {
         self.recorder.record_with(|| {
             let state = match state {
@@ -233,6 +244,7 @@
         });
     }
 
+    /// The process was asked to stop.
     pub fn shutdown(&self) {
         self.recorder.record_with(|| Event::Shutdown {});
     }
--- a/crates/cottonnotch/src/net/management/admin_server.rs
+++ b/crates/cottonnotch/src/net/management/admin_server.rs
@@ -51,7 +51,7 @@
         self.listener.local_addr()
     }
 
-    /// Callers wait to be let in.
+    /// Operators wait to be accepted.
     pub fn on_connections_waiting(&mut self, reactor: &mut Reactor<dyn Object>) {
         // While a timer runs, a new connection is no reason to try sooner.
         if !self.is_timer_set {
