--- a/crates/routing-rules/src/candidate.rs
+++ b/crates/routing-rules/src/candidate.rs
@@ -89,7 +89,28 @@
     inventory: &Inventory,
     cache: &mut Cache,
 ) -> CandidateSet {
-    let mut taken = CandidateSet::default();
+    let mut set = CandidateSet::default();
+    let (by_namespace, broken) = read_files(files, cache);
+    for (path, reads) in by_namespace {
+        add_readable(&mut set, &path, &reads, last, inventory, cache);
+    }
+    for error in broken {
+        add_broken(&mut set, error, last, inventory, cache);
+    }
+    // What its parent froze stays though its file was removed; whether it is frozen is only known once the parent is read.
+    for (path, entry) in &last.namespaces {
+        if !set.candidates.contains_key(path) && entry.good.is_some() && frozen(path, &set) {
+            candidate(&mut set, path, None, Some(entry), cache);
+        }
+    }
+    set
+}
+
+/// The files that can be read, by namespace, and the errors of the others; whatever the order of the files.
+fn read_files(
+    files: &[RuleFile],
+    cache: &mut Cache,
+) -> (BTreeMap<String, Vec<Arc<ParsedFile>>>, Vec<RuleFileError>) {
     let mut files: Vec<&RuleFile> = files.iter().collect();
     files.sort_unstable();
     files.dedup();
@@ -101,42 +122,53 @@
             Err(error) => broken.push(error),
         }
     }
-    for (path, reads) in by_namespace {
-        let entry = last.namespaces.get(&path);
-        let refusal = newest(&reads, inventory).and_then(|read| {
-            taken.newest.insert(path.clone(), read.clone());
-            match entry.and_then(|entry| good(entry, cache)) {
-                Some((good, _)) => fits(&read, &good, inventory).map(|()| read),
-                None => Ok(read),
-            }
-        });
-        let new = match refusal {
-            Ok(read) => Some(read),
-            Err(conflict) => {
-                refuse(&mut taken, &path, *conflict);
-                None
-            }
-        };
-        candidate(&mut taken, &path, new, entry, cache);
-    }
-    for error in broken {
-        let path = whose(&error, last, &taken, inventory);
-        let conflict = Conflict::Broken { namespace: path.clone(), error };
-        match path {
-            Some(path) => {
-                refuse(&mut taken, &path, conflict);
-                candidate(&mut taken, &path, None, last.namespaces.get(&path), cache);
-            }
-            None => taken.conflicts.push(conflict),
+    (by_namespace, broken)
+}
+
+/// Adds a namespace by its files: the newest of them, unless it is refused.
+fn add_readable(
+    set: &mut CandidateSet,
+    path: &str,
+    reads: &[Arc<ParsedFile>],
+    last: &History,
+    inventory: &Inventory,
+    cache: &mut Cache,
+) {
+    let entry = last.namespaces.get(path);
+    let checked = newest(reads, inventory).and_then(|read| {
+        set.newest.insert(path.to_owned(), read.clone());
+        match entry.and_then(|entry| good(entry, cache)) {
+            Some((good, _)) => fits(&read, &good, inventory).map(|()| read),
+            None => Ok(read),
         }
-    }
-    // What its parent froze stays though its file is gone; whether it is frozen is only known once the parent is read.
-    for (path, entry) in &last.namespaces {
-        if !taken.candidates.contains_key(path) && entry.good.is_some() && frozen(path, &taken) {
-            candidate(&mut taken, path, None, Some(entry), cache);
+    });
+    let new = match checked {
+        Ok(read) => Some(read),
+        Err(conflict) => {
+            refuse(set, path, *conflict);
+            None
+        }
+    };
+    candidate(set, path, new, entry, cache);
+}
+
+/// Adds the conflict of a file that can't be read, and the last good content of its namespace, if that is known.
+fn add_broken(
+    set: &mut CandidateSet,
+    error: RuleFileError,
+    last: &History,
+    inventory: &Inventory,
+    cache: &mut Cache,
+) {
+    let path = whose(&error, last, set, inventory);
+    let conflict = Conflict::Broken { namespace: path.clone(), error };
+    match path {
+        Some(path) => {
+            refuse(set, &path, conflict);
+            candidate(set, &path, None, last.namespaces.get(&path), cache);
         }
+        None => set.conflicts.push(conflict),
     }
-    taken
 }
 
 fn frozen(path: &str, taken: &CandidateSet) -> bool {
--- a/crates/routing-rules/src/chain_conflicts.rs
+++ b/crates/routing-rules/src/chain_conflicts.rs
@@ -87,32 +87,40 @@
 }
 
 fn over_committed(of: &Compiled, inventory: &Inventory, conflicts: &mut Vec<Conflict>) {
-    let Some(whole) = of.scope.connections else { return };
+    let Some(total) = of.scope.connections else { return };
     let other = of.scope.location.clone();
-    let (mut promised, mut passes, mut parts) = (0_u64, None, Vec::new());
-    for (child, part, given) in &of.grants {
-        let Some(part) = part else { continue };
-        promised = promised.saturating_add(*part);
+    let (mut promised, mut passes, mut quotas) = (0_u64, None, Vec::new());
+    for (child, quota, given) in &of.grants {
+        let Some(quota) = quota else { continue };
+        promised = promised.saturating_add(*quota);
         let location = RuleLocation { namespace: child.clone(), ..given.location.clone() };
-        if promised > whole && passes.is_none() {
+        if promised > total && passes.is_none() {
             passes = Some((location.clone(), Witness::new(&inventory.sample(&given.on), None)));
         }
-        parts.push(location);
+        quotas.push(location);
     }
     if let Some((one, witness)) = passes {
         let promiser = of.read.location(of.read.file.line, "");
         let other = other.clone();
-        conflicts.push(Conflict::OverCommitted { one, promiser, other, parts, promised, whole, witness });
+        conflicts.push(Conflict::OverCommitted { one, promiser, other, quotas, promised, total, witness });
     }
     for rule in &of.read.file.rules {
         let RuleKind::Cap { connections, .. } = rule.kind else { continue };
-        if connections > whole {
+        if connections > total {
             let one = of.read.location(rule.line, &rule.name);
             let on = of.scope.narrow(&rule.tenants, &rule.classes, &rule.groups);
             let witness = Witness::new(&inventory.sample(&on), None);
-            let (promiser, parts, other) = (one.clone(), Vec::new(), other.clone());
+            let (promiser, quotas, other) = (one.clone(), Vec::new(), other.clone());
             let promised = connections;
-            conflicts.push(Conflict::OverCommitted { one, promiser, other, parts, promised, whole, witness });
+            conflicts.push(Conflict::OverCommitted {
+                one,
+                promiser,
+                other,
+                quotas,
+                promised,
+                total,
+                witness,
+            });
         }
     }
 }
--- a/crates/routing-rules/src/conflict.rs
+++ b/crates/routing-rules/src/conflict.rs
@@ -163,20 +163,20 @@
         witness: Witness,
     },
     /// More connections are promised than there are.
-    #[error("{one}: {promised} connections are promised of {whole} that {other} has; e.g. {witness}")]
+    #[error("{one}: {promised} connections are promised of {total} that {other} has; e.g. {witness}")]
     OverCommitted {
-        /// The delegation that passes the whole, or the cap above it.
+        /// The delegation that passes the total, or the cap above it.
         one: RuleLocation,
         /// Who promises them.
         promiser: RuleLocation,
-        /// What the parts are of.
+        /// What the quotas are of.
         other: RuleLocation,
-        /// The children that have parts, where they have them; a cap is alone.
-        parts: Vec<RuleLocation>,
+        /// The children that have quotas, where they have them; a cap is alone.
+        quotas: Vec<RuleLocation>,
         /// What is promised in all.
         promised: u64,
         /// What there is.
-        whole: u64,
+        total: u64,
         /// A request that has a part.
         witness: Witness,
     },
@@ -221,9 +221,9 @@
             Conflict::SameSubject { one, other, parent, .. } => {
                 vec![&one.namespace, &other.namespace, &parent.namespace]
             }
-            Conflict::OverCommitted { one, promiser, other, parts, .. } => {
-                let parts = parts.iter().chain([one, promiser, other]);
-                parts.map(|location| location.namespace.as_str()).collect()
+            Conflict::OverCommitted { one, promiser, other, quotas, .. } => {
+                let quotas = quotas.iter().chain([one, promiser, other]);
+                quotas.map(|location| location.namespace.as_str()).collect()
             }
             Conflict::NoNode { requirements, .. } => {
                 requirements.iter().map(|location| location.namespace.as_str()).collect()
@@ -238,8 +238,8 @@
     pub(crate) fn promised_children(&self) -> Vec<&str> {
         match self {
             Conflict::SameSubject { one, other, .. } => vec![&one.namespace, &other.namespace],
-            Conflict::OverCommitted { parts, .. } => {
-                parts.iter().map(|location| location.namespace.as_str()).collect()
+            Conflict::OverCommitted { quotas, .. } => {
+                quotas.iter().map(|location| location.namespace.as_str()).collect()
             }
             _ => Vec::new(),
         }
--- a/crates/routing-rules/src/effective.rs
+++ b/crates/routing-rules/src/effective.rs
@@ -39,8 +39,8 @@
     let mut move_preference = None;
     for rule in rules {
         let id = format!("{}:{}", rule.namespace, rule.name);
-        let must = rule.strength == Strength::Requirement;
-        if must {
+        let is_required = rule.strength == Strength::Requirement;
+        if is_required {
             of.has_requirements = true;
             let owner = book.namespaces.iter().find(|owner| owner.path == rule.namespace);
             of.uncertainty_policy =
@@ -49,19 +49,21 @@
         match &rule.kind {
             RuleKind::Place { how, halls, hardware } => {
                 let satisfied = selects_node(halls, hardware, node) != (*how == PlacementMode::Avoid);
-                if must {
+                if is_required {
                     of.allowed &= satisfied;
                 } else {
                     of.preferences.push((id, satisfied));
                 }
             }
-            RuleKind::Cap { connections, halls, hardware } if must && selects_node(halls, hardware, node) => {
+            RuleKind::Cap { connections, halls, hardware }
+                if is_required && selects_node(halls, hardware, node) =>
+            {
                 of.caps.push((id, *connections));
             }
-            RuleKind::Spread { nodes } if must => of.spread = least(of.spread, *nodes),
-            RuleKind::Pace { per_s_milli } if must => of.paces.push((id, *per_s_milli)),
-            RuleKind::Attempts { most } if must => of.attempts = least(of.attempts, *most),
-            RuleKind::Move { when } if must => of.move_when = of.move_when.max(Some(*when)),
+            RuleKind::Spread { nodes } if is_required => of.spread = least(of.spread, *nodes),
+            RuleKind::Pace { per_s_milli } if is_required => of.paces.push((id, *per_s_milli)),
+            RuleKind::Attempts { most } if is_required => of.attempts = least(of.attempts, *most),
+            RuleKind::Move { when } if is_required => of.move_when = of.move_when.max(Some(*when)),
             RuleKind::Move { when } => move_preference = move_preference.or(Some(*when)),
             _ => {}
         }
--- a/crates/routing-rules/src/scope.rs
+++ b/crates/routing-rules/src/scope.rs
@@ -91,19 +91,19 @@
     ) -> Option<(String, Witness)> {
         let on = self.narrow(tenants, classes, groups);
         let sample = inventory.sample(&on);
-        let told = |what: &str, name: &str, request: Request| {
+        let found = |what: &str, name: &str, request: Request| {
             Some((format!("{what} {name}"), Witness::new(&request, None)))
         };
         if let Some(tenant) = lacks(tenants, &self.on.tenants) {
-            return told("tenant", tenant, Request { tenant: Some(tenant), ..sample });
+            return found("tenant", tenant, Request { tenant: Some(tenant), ..sample });
         }
         if let Some(class) = lacks(classes, &self.on.classes) {
-            return told("class", class, Request { class, ..sample });
+            return found("class", class, Request { class, ..sample });
         }
         if !self.on.groups.is_empty()
             && let Some(group) = groups::lacks(groups, &self.on.groups)
         {
-            return told("group", &format!("{group:#x}"), Request { group: Some(group), ..sample });
+            return found("group", &format!("{group:#x}"), Request { group: Some(group), ..sample });
         }
         let node = |what: &str, name: &str, hall: &str, class: &str| {
             let node = crate::book::Node { hall, hardware: class };
--- a/crates/routing-rules/tests/conflicts.rs
+++ b/crates/routing-rules/tests/conflicts.rs
@@ -125,17 +125,17 @@
 fn finds_overcommitted_quotas() {
     let body = ROOT.replace("connections = 50", "connections = 51");
     let merged = fresh(&[file("r", 1, &body), file("r/a", 1, ""), file("r/b", 1, "")]);
-    let Conflict::OverCommitted { promised: 102, whole: 100, parts, .. } = only(&merged) else {
+    let Conflict::OverCommitted { promised: 102, total: 100, quotas, .. } = only(&merged) else {
         panic!("{:?}", merged.conflicts)
     };
-    assert_eq!(parts.len(), 2);
+    assert_eq!(quotas.len(), 2);
     assert_eq!(in_force(&merged), [("r", 1), ("r/a", 1)]);
 }
 
 #[test]
 fn finds_a_cap_beyond_the_quota() {
     let merged = fresh(&[root(), file("r/a", 1, "[[rule]]\nname = \"much\"\ncap.connections = 51\n")]);
-    assert!(matches!(only(&merged), Conflict::OverCommitted { promised: 51, whole: 50, .. }));
+    assert!(matches!(only(&merged), Conflict::OverCommitted { promised: 51, total: 50, .. }));
     assert_eq!(in_force(&merged), [("r", 1)]);
 }
 
--- a/crates/routing-rules/tests/oracle.rs
+++ b/crates/routing-rules/tests/oracle.rs
@@ -29,7 +29,7 @@
             Conflict::SameSubject { one, other, .. } => {
                 found.same_subject.insert((one.namespace.clone(), other.namespace.clone()));
             }
-            Conflict::OverCommitted { one, parts, .. } if parts.is_empty() => {
+            Conflict::OverCommitted { one, quotas, .. } if quotas.is_empty() => {
                 found.beyond_caps.insert((one.namespace.clone(), one.name.clone()));
             }
             Conflict::OverCommitted { promiser, .. } => {
