--- a/crates/kit/src/judge/answers.rs
+++ b/crates/kit/src/judge/answers.rs
@@ -1,9 +1,9 @@
 //! Rules on what a client reads: one final answer, in time, and none invented.
 
-use super::checks::Check;
+use super::deferred_checks::Check;
 use super::millis;
 use super::processes::EXIT_NOTICE;
-use super::requests::{Asked, Gone, Ledger, Request, Room};
+use super::request_table::{Asked, Gone, Ledger, Request, Room};
 use super::rule::Rule;
 use super::seconds;
 use crate::observation::{Answer, End, Left, NodeAnswer, RequestId};
--- a/crates/kit/src/judge/attempts.rs
+++ b/crates/kit/src/judge/attempts.rs
@@ -1,11 +1,11 @@
 //! Rules on what a render node gets: one attempt at a time, not too many, nothing after a drain, no line of the
 //! proxy's own making.
 
-use super::checks::Check;
-use super::desk::Subject;
-use super::requests::{Ledger, Room, Try};
+use super::deferred_checks::Check;
+use super::list_knowledge::Told;
+use super::request_table::{Ledger, Room, Try};
 use super::rule::Rule;
-use super::told::Told;
+use super::rule_output::Subject;
 use super::{millis, seconds};
 use crate::observation::{Answer, Attempt, NodeAnswer, Over, RequestId};
 use crate::plan::{ProxyId, SessionId};
--- a/crates/kit/src/judge/connections.rs
+++ b/crates/kit/src/judge/connections.rs
@@ -1,7 +1,7 @@
 //! Rules on connections that stand: not cut, lines passed on, the end passed on, silence noticed.
 
-use super::checks::Check;
-use super::requests::{Gone, Ledger, Request, Room};
+use super::deferred_checks::Check;
+use super::request_table::{Gone, Ledger, Request, Room};
 use super::rule::Rule;
 use super::{millis, seconds};
 use crate::observation::{Answer, Attempt, End, Over, RequestId};
--- a/crates/kit/src/judge/rude.rs
+++ b/crates/kit/src/judge/misbehaving_clients.rs
@@ -1,8 +1,8 @@
 //! Rude clients, and what they explain of other findings.
 
-use super::checks::Check;
-use super::desk::{Desk, Subject};
+use super::deferred_checks::Check;
 use super::rule::Rule;
+use super::rule_output::{Desk, Subject};
 use super::seconds;
 use crate::observation::{RequestId, RudeEnd, Seen};
 use crate::plan::{Plan, ProxyId, RudeKind};
--- a/crates/kit/src/judge/mod.rs
+++ b/crates/kit/src/judge/mod.rs
@@ -3,21 +3,21 @@
 
 mod answers;
 mod attempts;
-mod checks;
-mod cold;
 mod connections;
-mod crossing;
-mod desk;
+mod deferred_checks;
 mod figures;
-mod fleet;
 mod latency;
 mod lateness;
+mod lines_in_transit;
+mod list_knowledge;
+mod misbehaving_clients;
+mod node_states;
 mod processes;
-mod requests;
-mod rude;
+mod request_table;
 mod rule;
+mod rule_output;
 mod service;
-mod told;
+mod slow_start;
 mod verdict;
 
 pub use figures::{Answers, Figures, ProxyFigures, Second};
@@ -31,16 +31,16 @@
 use crate::plan::Plan;
 use crate::time::Micros;
 use attempts::Arrival;
-use checks::Check;
-use cold::ColdNodes;
-use desk::{Desk, Subject};
+use deferred_checks::Check;
 use figures::Counts;
-use fleet::{Fleet, Turned};
+use list_knowledge::Told;
+use misbehaving_clients::RudeClients;
+use node_states::{Fleet, Turned};
 use processes::Processes;
-use requests::{Asked, Ledger, Room};
-use rude::RudeClients;
+use request_table::{Asked, Ledger, Room};
+use rule_output::{Desk, Subject};
+use slow_start::ColdNodes;
 use std::sync::Arc;
-use told::Told;
 
 /// The longest datagram, in bytes (PROTOCOL, "Between proxies").
 const DATAGRAM_MAX: u32 = 256;
--- a/crates/kit/src/judge/processes.rs
+++ b/crates/kit/src/judge/processes.rs
@@ -1,8 +1,8 @@
 //! The proxies' processes: each start is a life of its own, and what a death forgives.
 
-use super::checks::Check;
-use super::desk::{Desk, Subject};
+use super::deferred_checks::Check;
 use super::rule::Rule;
+use super::rule_output::{Desk, Subject};
 use super::seconds;
 use crate::observation::{Seen, Signal};
 use crate::plan::{ProxyId, Rules};
--- a/crates/kit/src/judge/requests.rs
+++ b/crates/kit/src/judge/request_table.rs
@@ -1,12 +1,12 @@
 //! The requests that clients have put and are not done with: their attempts, answers and connections.
 
-use super::checks::Check;
-use super::crossing::Crossing;
-use super::desk::{Desk, Subject};
-use super::fleet::Fleet;
+use super::deferred_checks::Check;
+use super::lines_in_transit::Crossing;
+use super::misbehaving_clients::RudeClients;
+use super::node_states::Fleet;
 use super::processes::{LifeId, Processes};
-use super::rude::RudeClients;
 use super::rule::Rule;
+use super::rule_output::{Desk, Subject};
 use crate::observation::{Answer, Attempt, End, Left, NodeAnswer, Over, RequestId};
 use crate::plan::{NodeId, ProxyId, Rules, SessionId};
 use crate::time::{Micros, S};
--- a/crates/kit/src/judge/desk.rs
+++ b/crates/kit/src/judge/rule_output.rs
@@ -1,6 +1,6 @@
 //! Where findings are written down, with what was seen around them.
 
-use super::checks::Checks;
+use super::deferred_checks::Checks;
 use super::rule::Rule;
 use crate::observation::{Attempt, Observation, RequestId, Seen};
 use crate::plan::{NodeId, ProxyId, SessionId};
--- a/crates/kit/src/judge/cold.rs
+++ b/crates/kit/src/judge/slow_start.rs
@@ -1,9 +1,9 @@
 //! What cold render nodes are sent, by all proxies together.
 
-use super::desk::{Desk, Subject};
+use super::list_knowledge::Told;
 use super::rule::Rule;
+use super::rule_output::{Desk, Subject};
 use super::seconds;
-use super::told::Told;
 use crate::observation::{Cold, Seen};
 use crate::plan::{NodeId, ProxyId, Rules};
 use crate::time::Micros;
--- a/crates/kit/src/judge/verdict.rs
+++ b/crates/kit/src/judge/verdict.rs
@@ -1,9 +1,9 @@
 //! What the judge has found.
 
-use super::desk::{Desk, Found};
 use super::figures::Figures;
 use super::lateness::Lateness;
 use super::rule::Rule;
+use super::rule_output::{Desk, Found};
 use crate::plan::Plan;
 use crate::time::Micros;
 use serde::Serialize;
