--- a/crates/kit/src/compare.rs
+++ b/crates/kit/src/compare.rs
@@ -128,7 +128,8 @@
                 void += 1;
                 continue;
             };
-            let broken = |run: &Run| run.verdict.broken().map(|rule| rule.name().to_owned()).collect();
+            let broken =
+                |run: &Run| run.verdict.violated_rules().map(|rule| rule.name().to_owned()).collect();
             let pair = Pair {
                 scenario: scenario.body.name.clone(),
                 seed: *seed,
--- a/crates/kit/src/judge/answers.rs
+++ b/crates/kit/src/judge/answers.rs
@@ -1,176 +1,196 @@
 //! Rules on what a client reads: one final answer, in time, and none invented.
 
-use super::deferred_checks::Check;
-use super::millis;
-use super::processes::EXIT_NOTICE;
-use super::request_table::{Asked, Gone, Ledger, Request, Room};
+use super::deferred_checks::DeferredCheck;
+use super::processes::EXIT_NOTICE_DELAY;
+use super::request_table::{ClientEnd, Request, RequestTable, RuleContext, Submission};
 use super::rule::Rule;
-use super::seconds;
+use super::units::{format_millis, format_seconds};
 use crate::observation::{Answer, End, Left, NodeAnswer, RequestId};
 use crate::time::{MS, Micros};
 
 /// What a client does and reads within this time of each other has no order: it gives up while the answer is on its
 /// way, and reads what has come.
-const SAME_MOMENT: Micros = MS;
+const SIMULTANEOUS: Micros = MS;
 
-impl Ledger {
-    pub fn asked(&mut self, id: RequestId, asked: Asked) {
+impl RequestTable {
+    pub fn record_submission(&mut self, id: RequestId, submission: Submission) {
         // A render node may have noted its attempt first.
-        self.requests.entry(id).or_default().asked.get_or_insert(asked);
+        self.requests.entry(id).or_default().submission.get_or_insert(submission);
     }
 
-    pub fn answered(&mut self, at: Micros, id: RequestId, answer: &Answer, room: &mut Room) {
+    pub fn record_answer(&mut self, at: Micros, id: RequestId, answer: &Answer, context: &mut RuleContext) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if let Some((first, kind)) = &request.answer {
-            let what =
-                format!("a second answer, {}, after {} at {}", words(answer), words(kind), seconds(*first));
-            return self.accuse(at, Rule::OneFinalAnswer, id, what, room.desk);
+            let description = format!(
+                "a second answer, {}, after {} at {}",
+                describe_answer(answer),
+                describe_answer(kind),
+                format_seconds(*first)
+            );
+            return self.report_violation(at, Rule::OneFinalAnswer, id, description, context.output);
         }
         request.answer = Some((at, answer.clone()));
-        let overdue = request.asked.is_some_and(|a| at > limit(&a, room));
+        let overdue = request.submission.is_some_and(|a| at > answer_deadline(&a, context));
         if let Answer::Up(receipt) = answer {
-            if !self.connect(at, id, *receipt, room) {
-                room.desk.checks.add(at + room.rules.grace, Check::Receipt(id));
+            if !self.match_receipt(at, id, *receipt, context) {
+                context.output.defer(at + context.rules.grace, DeferredCheck::Receipt(id));
             }
         } else {
-            self.client_done(at, id, room.desk);
+            self.client_finished(at, id, context.output);
         }
         if overdue {
-            room.desk.checks.add(at + SAME_MOMENT, Check::Late(id));
+            context.output.defer(at + SIMULTANEOUS, DeferredCheck::LateAnswer(id));
         }
     }
 
     /// Puts together what the client read and what a render node gave; false if none gave it yet.
-    pub fn connect(&mut self, at: Micros, id: RequestId, receipt: u64, room: &mut Room) -> bool {
+    pub fn match_receipt(
+        &mut self,
+        at: Micros,
+        id: RequestId,
+        receipt: u64,
+        context: &mut RuleContext,
+    ) -> bool {
         let Some(request) = self.requests.get_mut(&id) else { return false };
-        let Some(up) = request.tries.iter().position(|t| t.answer == Some(NodeAnswer::Up(receipt))) else {
+        let Some(up) = request.attempts.iter().position(|t| t.answer == Some(NodeAnswer::Up(receipt))) else {
             return false;
         };
-        request.up = Some(up);
-        let (node, over) = (request.tries[up].attempt.node, request.tries[up].over);
-        if request.gone.is_none() {
-            self.stands_at(id, node);
+        request.serving = Some(up);
+        let (node, over) = (request.attempts[up].attempt.node, request.attempts[up].ended);
+        if request.client_end.is_none() {
+            self.add_established(id, node);
             if over.is_some() {
-                room.desk.checks.add(at + room.rules.ended_within + room.rules.grace, Check::Ended(id));
+                context.output.defer(
+                    at + context.rules.ended_within + context.rules.grace,
+                    DeferredCheck::EndedConnection(id),
+                );
             }
         }
         true
     }
 
     /// The time in which the render node could have noted what it gave is over.
-    pub fn receipt_due(&mut self, at: Micros, id: RequestId, room: &mut Room) {
-        let Some(request) = self.requests.get(&id).filter(|r| r.up.is_none()) else { return };
+    pub fn check_receipt(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
+        let Some(request) = self.requests.get(&id).filter(|r| r.serving.is_none()) else { return };
         let Some((read, Answer::Up(receipt))) = request.answer else { return };
         let whose = match self.receipts.get(&receipt).and_then(|a| self.by_attempt.get(a)) {
             Some(other) => format!("a render node gave it for request {:016x}", other.0),
             None => "no render node gave it".to_owned(),
         };
-        let what = format!("read UP {receipt:016x} at {}; {whose}", seconds(read));
-        self.accuse(at, Rule::InventedAnswer, id, what, room.desk);
+        let description = format!("read UP {receipt:016x} at {}; {whose}", format_seconds(read));
+        self.report_violation(at, Rule::InventedAnswer, id, description, context.output);
     }
 
-    pub fn late_due(&mut self, at: Micros, id: RequestId, room: &mut Room) {
+    pub fn check_late_answer(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id) else { return };
-        let (Some(asked), Some((read, _))) = (request.asked, &request.answer) else { return };
-        if matches!(request.gone, Some((left, Gone::Left(_))) if (left - read).abs() <= SAME_MOMENT) {
+        let (Some(submission), Some((read, _))) = (request.submission, &request.answer) else { return };
+        if matches!(request.client_end, Some((left, ClientEnd::ByClient(_))) if (left - read).abs() <= SIMULTANEOUS)
+        {
             return;
         }
-        let what = format!(
+        let description = format!(
             "answered at {}, {} ms after its last moment at {}",
-            seconds(*read),
-            millis(read - limit(&asked, room)),
-            seconds(limit(&asked, room))
+            format_seconds(*read),
+            format_millis(read - answer_deadline(&submission, context)),
+            format_seconds(answer_deadline(&submission, context))
         );
-        self.accuse(at, Rule::OneFinalAnswer, id, what, room.desk);
+        self.report_violation(at, Rule::OneFinalAnswer, id, description, context.output);
     }
 
     /// The proxy ended the client's connection.
-    pub fn ended(&mut self, at: Micros, id: RequestId, how: End, room: &mut Room) {
-        let Some(request) = self.requests.get_mut(&id).filter(|r| r.gone.is_none()) else { return };
-        request.gone = Some((at, Gone::Ended(how)));
+    pub fn record_proxy_close(&mut self, at: Micros, id: RequestId, how: End, context: &mut RuleContext) {
+        let Some(request) = self.requests.get_mut(&id).filter(|r| r.client_end.is_none()) else { return };
+        request.client_end = Some((at, ClientEnd::ByProxy(how)));
         if let Some(up) = request.connection() {
-            let steady = room.fleet.steady_since(up.proxy, up.attempt.node);
-            request.steady_at_end = steady.is_some_and(|since| since <= at - room.rules.grace);
+            let steady = context.node_states.responsive_since(up.proxy, up.attempt.node);
+            request.responsive_at_end = steady.is_some_and(|since| since <= at - context.rules.grace);
         }
         match &request.answer {
-            None => room.desk.checks.add(at + EXIT_NOTICE, Check::Lost(id)),
+            None => context.output.defer(at + EXIT_NOTICE_DELAY, DeferredCheck::MissingAnswer(id)),
             Some((_, Answer::Up(_))) if request.moved.is_none() => {
-                room.desk.checks.add(at + EXIT_NOTICE, Check::Cut(id));
+                context.output.defer(at + EXIT_NOTICE_DELAY, DeferredCheck::CutConnection(id));
             }
             Some(_) => {}
         }
-        self.client_done(at, id, room.desk);
+        self.client_finished(at, id, context.output);
     }
 
     /// The client ended it.
-    pub fn left(&mut self, at: Micros, id: RequestId, why: Left, room: &mut Room) {
+    pub fn record_client_close(&mut self, at: Micros, id: RequestId, why: Left, context: &mut RuleContext) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        if let Some((ended, Gone::Ended(_))) = request.gone {
+        if let Some((ended, ClientEnd::ByProxy(_))) = request.client_end {
             // Its own end was on its way when the proxy's came.
-            if why == Left::Done && at - ended <= room.rules.grace {
-                request.gone = Some((ended, Gone::Left(why)));
+            if why == Left::Done && at - ended <= context.rules.grace {
+                request.client_end = Some((ended, ClientEnd::ByClient(why)));
             }
             return;
         }
-        request.gone = Some((at, Gone::Left(why)));
-        if request.answer.is_none() && request.asked.is_some_and(|a| at >= limit(&a, room)) {
-            room.desk.checks.add(at + SAME_MOMENT, Check::Lost(id));
+        request.client_end = Some((at, ClientEnd::ByClient(why)));
+        if request.answer.is_none() && request.submission.is_some_and(|a| at >= answer_deadline(&a, context))
+        {
+            context.output.defer(at + SIMULTANEOUS, DeferredCheck::MissingAnswer(id));
         }
-        self.client_done(at, id, room.desk);
+        self.client_finished(at, id, context.output);
     }
 
     /// A request ended without an answer: by the proxy, or by a client that had waited its time.
-    pub fn lost_due(&mut self, at: Micros, id: RequestId, room: &mut Room) {
+    pub fn check_missing_answer(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         if let Some(request) = self.requests.get(&id).filter(|r| r.answer.is_none())
-            && let Some(what) = loss(request, room)
+            && let Some(description) = describe_loss(request, context)
         {
-            self.accuse(at, Rule::OneFinalAnswer, id, what, room.desk);
+            self.report_violation(at, Rule::OneFinalAnswer, id, description, context.output);
         }
     }
 
     /// The run is over at `at`: judges what was owed by then.
-    pub fn finish(&mut self, at: Micros, room: &mut Room) {
+    pub fn finish(&mut self, at: Micros, context: &mut RuleContext) {
         let waiting = |r: &Request| {
-            r.answer.is_none() && r.gone.is_none() && r.asked.is_some_and(|a| limit(&a, room) < at)
+            r.answer.is_none()
+                && r.client_end.is_none()
+                && r.submission.is_some_and(|a| answer_deadline(&a, context) < at)
         };
         let mut waiting: Vec<RequestId> =
             self.requests.iter().filter(|(_, r)| waiting(r)).map(|(id, _)| *id).collect();
         waiting.sort_unstable();
-        waiting.into_iter().for_each(|id| self.lost_due(at, id, room));
+        waiting.into_iter().for_each(|id| self.check_missing_answer(at, id, context));
     }
 }
 
 /// The last moment for an answer.
-fn limit(asked: &Asked, room: &Room) -> Micros {
-    asked.deadline + room.rules.answer_slack + room.rules.grace
+fn answer_deadline(submission: &Submission, context: &RuleContext) -> Micros {
+    submission.deadline + context.rules.answer_slack + context.rules.grace
 }
 
 /// What was lost, unless the death of the proxy forgives it.
-fn loss(request: &Request, room: &Room) -> Option<String> {
-    let asked = request.asked?;
-    let last = limit(&asked, room);
-    let (broken, what) = match request.gone {
-        Some((at, Gone::Ended(how))) => {
+fn describe_loss(request: &Request, context: &RuleContext) -> Option<String> {
+    let submission = request.submission?;
+    let last = answer_deadline(&submission, context);
+    let (broken, description) = match request.client_end {
+        Some((at, ClientEnd::ByProxy(how))) => {
             let how = if how == End::Closed { "closed" } else { "reset" };
-            (at, format!("the proxy {how} the connection at {} without an answer", seconds(at)))
+            (at, format!("the proxy {how} the connection at {} without an answer", format_seconds(at)))
         }
-        Some((at, Gone::Left(_))) => {
-            (last, format!("the client gave up at {} without an answer", seconds(at)))
+        Some((at, ClientEnd::ByClient(_))) => {
+            (last, format!("the client gave up at {} without an answer", format_seconds(at)))
         }
         None => (last, "no answer came".to_owned()),
     };
-    if room.processes.forgives(asked.life, asked.at, broken) {
+    if context.processes.excuses(submission.incarnation, submission.at, broken) {
         return None;
     }
-    Some(format!("taken at {}, one answer was owed by {}: {what}", seconds(asked.at), seconds(last)))
+    Some(format!(
+        "taken at {}, one answer was owed by {}: {description}",
+        format_seconds(submission.at),
+        format_seconds(last)
+    ))
 }
 
 /// An answer, for a person.
-fn words(answer: &Answer) -> String {
+fn describe_answer(answer: &Answer) -> String {
     match answer {
         Answer::Up(receipt) => format!("UP {receipt:016x}"),
         Answer::Busy(0) => "BUSY".to_owned(),
-        Answer::Busy(wait) => format!("BUSY {}", millis(*wait)),
+        Answer::Busy(wait) => format!("BUSY {}", format_millis(*wait)),
         Answer::Failed(line) => format!("'{}'", line.chars().take(60).collect::<String>().escape_debug()),
     }
 }
--- a/crates/kit/src/judge/deferred_checks.rs
+++ b/crates/kit/src/judge/deferred_checks.rs
@@ -1,6 +1,6 @@
 //! What is to be looked at again when its time has come.
 
-use super::processes::LifeId;
+use super::processes::IncarnationId;
 use crate::observation::{Attempt, RequestId};
 use crate::plan::ProxyId;
 use crate::time::Micros;
@@ -9,50 +9,50 @@
 
 /// A question that is answered by what has been seen until a moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Check {
+pub(super) enum DeferredCheck {
     /// Has the render node noted the receipt that the client read?
     Receipt(RequestId),
     /// Was the late answer read in the moment in which the client gave up?
-    Late(RequestId),
+    LateAnswer(RequestId),
     /// Is a request that ended without an answer lost?
-    Lost(RequestId),
+    MissingAnswer(RequestId),
     /// Are an attempt (by its place) and an earlier one both still out?
-    Overlap(RequestId, u32),
+    OverlappingAttempts(RequestId, u32),
     /// Has a client put this request to the proxy that sent it on? Since when that is asked.
-    Unknown(RequestId, Attempt, ProxyId, Micros),
+    UnknownRequest(RequestId, Attempt, ProxyId, Micros),
     /// Had the render node ended the connection that the proxy ended?
-    Cut(RequestId),
+    CutConnection(RequestId),
     /// Has the line reached the render node?
-    LineUp(RequestId, u32),
+    LineToNode(RequestId, u32),
     /// Has it reached the client?
-    LineDown(RequestId, u32),
+    LineToClient(RequestId, u32),
     /// Is a connection still kept that its render node ended?
-    Ended(RequestId),
+    EndedConnection(RequestId),
     /// Is one still kept whose line was not returned?
-    Silent(RequestId, u32),
+    SilentConnection(RequestId, u32),
     /// Nothing is asked of it any more.
-    LetGo(RequestId),
+    ForgetRequest(RequestId),
     /// Was the rude client dealt with?
-    Rude(u32),
+    MisbehavingClient(u32),
     /// Has the proxy left?
-    Stayed(LifeId),
+    ShutdownDeadline(IncarnationId),
 }
 
 /// All of them, by time; those of one moment in the order in which they were added.
 #[derive(Debug, Default)]
-pub(super) struct Checks {
-    heap: BinaryHeap<Reverse<(Micros, u64, Check)>>,
+pub(super) struct DeferredChecks {
+    heap: BinaryHeap<Reverse<(Micros, u64, DeferredCheck)>>,
     added: u64,
 }
 
-impl Checks {
-    pub fn add(&mut self, due: Micros, check: Check) {
+impl DeferredChecks {
+    pub fn add(&mut self, due: Micros, check: DeferredCheck) {
         self.added += 1;
         self.heap.push(Reverse((due, self.added, check)));
     }
 
     /// The next one that is due before this time. What is seen at the very time of a check still counts for it.
-    pub fn next_before(&mut self, time: Micros) -> Option<(Micros, Check)> {
+    pub fn next_before(&mut self, time: Micros) -> Option<(Micros, DeferredCheck)> {
         let Reverse((due, ..)) = self.heap.peek()?;
         if *due >= time {
             return None;
--- a/crates/kit/src/judge/figures.rs
+++ b/crates/kit/src/judge/figures.rs
@@ -1,7 +1,7 @@
 //! The figures of a run: service, answers, moves, latencies, datagrams.
 
 use super::latency::{Histograms, Latencies};
-use super::service::{Service, Sums};
+use super::service::{Service, ServiceSums};
 use crate::observation::{Answer, End, Seen};
 use crate::plan::{Plan, SessionId};
 use crate::time::Micros;
@@ -42,7 +42,7 @@
 }
 
 impl ProxyFigures {
-    fn sent(&mut self, at: Micros, bytes: u64) {
+    fn record_datagram(&mut self, at: Micros, bytes: u64) {
         self.datagrams += 1;
         self.bytes += bytes;
         self.recent.push_back((at, bytes));
@@ -108,7 +108,7 @@
 
 /// What the latest request of a session has come to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Latest {
+enum LatestRequest {
     #[default]
     None,
     Open,
@@ -117,43 +117,43 @@
 
 /// Counts as the run goes on.
 #[derive(Debug)]
-pub(super) struct Counts {
+pub(super) struct FigureCounters {
     plan: std::sync::Arc<Plan>,
-    sums: Sums,
+    service_sums: ServiceSums,
     setups: Histograms,
     messages: Histograms,
-    latest: Vec<Latest>,
+    latest: Vec<LatestRequest>,
     figures: Figures,
 }
 
-impl Counts {
+impl FigureCounters {
     pub fn new(plan: &std::sync::Arc<Plan>) -> Self {
         let proxies = plan.proxies.iter();
         let proxies = proxies.map(|p| ProxyFigures { proxy: p.name.clone(), ..ProxyFigures::default() });
         let figures =
             Figures { proxies: proxies.collect(), measured_from: plan.measured_from, ..Figures::default() };
-        Counts {
-            sums: Sums::new(plan),
+        FigureCounters {
+            service_sums: ServiceSums::new(plan),
             setups: Histograms::new(plan.classes.len()),
             messages: Histograms::new(plan.classes.len()),
-            latest: vec![Latest::None; plan.sessions.len()],
+            latest: vec![LatestRequest::None; plan.sessions.len()],
             figures,
             plan: plan.clone(),
         }
     }
 
-    pub fn see(&mut self, at: Micros, seen: &Seen) {
+    pub fn observe(&mut self, at: Micros, seen: &Seen) {
         let measured = at >= self.plan.measured_from;
         match *seen {
-            Seen::Wanted { session, until, .. } => self.sums.wanted(at, session, until),
-            Seen::Served { session, from, well } => self.sums.served(at, session, from, well),
+            Seen::Wanted { session, until, .. } => self.service_sums.wanted(at, session, until),
+            Seen::Served { session, from, well } => self.service_sums.served(at, session, from, well),
             Seen::MessageTook { class, took } if measured => self.messages.add(class, took),
             Seen::SetupTook { class, took } if measured => self.setups.add(class, took),
             Seen::Asked { session, proxy, .. } => {
                 self.figures.requests += 1;
                 if let Some(latest) = self.latest.get_mut(session.0 as usize) {
-                    self.figures.retries += u64::from(*latest == Latest::Open);
-                    *latest = Latest::Open;
+                    self.figures.retries += u64::from(*latest == LatestRequest::Open);
+                    *latest = LatestRequest::Open;
                 }
                 if let Some(figures) = self.figures.proxies.get_mut(usize::from(proxy.0)) {
                     figures.requests += 1;
@@ -165,7 +165,7 @@
             Seen::Attempt { .. } => self.figures.attempts += 1,
             Seen::Datagram { from, bytes, .. } => {
                 if let Some(figures) = self.figures.proxies.get_mut(usize::from(from.0)) {
-                    figures.sent(at, u64::from(bytes));
+                    figures.record_datagram(at, u64::from(bytes));
                 }
             }
             _ => {}
@@ -173,12 +173,12 @@
     }
 
     /// A request has got its first answer.
-    pub fn answered(&mut self, session: SessionId, answer: &Answer) {
+    pub fn record_answer(&mut self, session: SessionId, answer: &Answer) {
         match answer {
             Answer::Up(_) => {
                 self.figures.answers.up += 1;
                 if let Some(latest) = self.latest.get_mut(session.0 as usize) {
-                    *latest = Latest::Up;
+                    *latest = LatestRequest::Up;
                 }
             }
             Answer::Busy(_) => self.figures.answers.busy += 1,
@@ -188,12 +188,12 @@
 
     /// The run is over.
     pub fn finish(self, at: Micros) -> Figures {
-        let Counts { plan, sums, setups, messages, mut figures, .. } = self;
+        let FigureCounters { plan, service_sums, setups, messages, mut figures, .. } = self;
         let Answers { up, busy, failed, .. } = figures.answers;
         figures.answers.unanswered = figures.requests.saturating_sub(up + busy + failed);
         figures.attempts_per_request =
             (figures.requests > 0).then(|| figures.attempts as f64 / figures.requests as f64);
-        figures.service = sums.finish(at, &plan);
+        figures.service = service_sums.finish(at, &plan);
         let classes = plan.classes.iter().enumerate();
         figures.latencies = classes
             .map(|(i, class)| Latencies {
--- a/crates/kit/src/judge/lateness.rs
+++ b/crates/kit/src/judge/lateness.rs
@@ -5,11 +5,11 @@
 
 /// A stand-in that ran once this late could have put off a line or an end by a fourth of the shortest limit (1 s),
 /// five times the grace: what it noted proves nothing.
-const MOST: Micros = 250 * MS;
+const MAX_LATENESS: Micros = 250 * MS;
 /// Lag beyond this is counted: below, the grace of 50 ms covers it twice over.
-const LATE: Micros = 20 * MS;
+const LATE_SAMPLE: Micros = 20 * MS;
 /// Up to this part of the samples may be later than that: a scheduler's hiccups, not a kit short of a core.
-const LATE_PART: f64 = 0.01;
+const MAX_LATE_RATIO: f64 = 0.01;
 
 /// How late the stand-ins ran.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
@@ -23,27 +23,27 @@
 }
 
 impl Lateness {
-    pub(super) fn see(&mut self, late: Micros) {
+    pub(super) fn observe(&mut self, late: Micros) {
         self.samples += 1;
-        self.late += u64::from(late > LATE);
+        self.late += u64::from(late > LATE_SAMPLE);
         self.most = self.most.max(late);
     }
 
     /// Why the run is void, if it is.
-    pub fn void(&self) -> Option<String> {
-        let part = self.late as f64 / self.samples.max(1) as f64;
-        if self.most > MOST {
+    pub fn void_reason(&self) -> Option<String> {
+        let late_ratio = self.late as f64 / self.samples.max(1) as f64;
+        if self.most > MAX_LATENESS {
             return Some(format!(
                 "the kit itself ran {} ms late; {} ms are borne",
                 self.most / MS,
-                MOST / MS
+                MAX_LATENESS / MS
             ));
         }
-        (part > LATE_PART).then(|| {
+        (late_ratio > MAX_LATE_RATIO).then(|| {
             format!(
                 "the kit itself ran over {} ms late in {:.1}% of {} samples; 1% is borne",
-                LATE / MS,
-                100.0 * part,
+                LATE_SAMPLE / MS,
+                100.0 * late_ratio,
                 self.samples
             )
         })
--- a/crates/kit/src/judge/list_knowledge.rs
+++ b/crates/kit/src/judge/list_knowledge.rs
@@ -1,14 +1,14 @@
-//! What each proxy was told of the list, or counts as having been told.
+//! What each proxy knows of the endpoint list: changes delivered to it, and changes presumed known after a time limit.
 
 use crate::observation::{Phase, Seen};
 use crate::plan::{NodeId, ProxyId, Rules};
 use crate::time::Micros;
 
-/// After a failed call, a proxy may go this many times as long without asking (WIRE, `rules.askWithin`).
-const AFTER_FAILURE: Micros = 4;
+/// After a failed poll, the poll interval may be this many times as long (WIRE, `rules.askWithin`).
+const POLL_FAILURE_FACTOR: Micros = 4;
 
-/// What the list says of a render node, and since when; a render node that drains and is then removed has been
-/// away since it drained.
+/// State of a render node in the list, and since when. A render node that drains and is then removed has been
+/// unavailable since it drained.
 #[derive(Clone, Copy, Debug)]
 struct Listing {
     up: bool,
@@ -17,203 +17,216 @@
 
 /// What one proxy knows of one render node.
 #[derive(Clone, Copy, Debug, Default)]
-struct Knowledge {
-    /// Told that it drains or is gone, and not that it is back.
-    away: Option<Micros>,
-    /// Told last that it takes connections.
-    up: Option<Micros>,
+struct NodeKnowledge {
+    /// When the proxy learned that the node drains or is removed; none once it learned that the node is back.
+    unavailable_since: Option<Micros>,
+    /// When the proxy last learned that the node accepts connections.
+    available_at: Option<Micros>,
 }
 
+/// What one proxy knows, by the places of the render nodes.
 #[derive(Clone, Debug)]
-struct Ear {
-    knows: Vec<Knowledge>,
+struct ProxyKnowledge {
+    nodes: Vec<NodeKnowledge>,
     started: Micros,
-    /// Its first watch since its start has been answered.
+    /// The first watch since the process start has been answered.
     watched: bool,
-    /// Since when it has neither a watch nor asked; and whether a call has failed since.
+    /// Since when the proxy has had neither a watch nor a poll answered, and whether a poll has failed since.
     unwatched: Option<Micros>,
-    failed: bool,
+    poll_failed: bool,
 }
 
-/// All proxies' knowledge of the list.
+/// What all proxies know of the list.
 #[derive(Debug)]
-pub(super) struct Told {
+pub(super) struct ListKnowledge {
     list: Vec<Option<Listing>>,
-    ears: Vec<Ear>,
-    /// Since when discovery can be reached, if it can; and when it last could not.
+    proxies: Vec<ProxyKnowledge>,
+    /// Since when discovery has been reachable, if it is; and the start of the last outage.
     reachable: Option<Micros>,
-    lost: Option<Micros>,
+    last_outage: Option<Micros>,
     told_within: Micros,
     ask_within: Micros,
 }
 
-impl Told {
+impl ListKnowledge {
     pub fn new(nodes: usize, proxies: usize, rules: &Rules) -> Self {
-        let ear = Ear {
-            knows: vec![Knowledge::default(); nodes],
+        let unknown = ProxyKnowledge {
+            nodes: vec![NodeKnowledge::default(); nodes],
             started: 0,
             watched: false,
             unwatched: Some(0),
-            failed: false,
+            poll_failed: false,
         };
-        Told {
+        ListKnowledge {
             list: vec![None; nodes],
-            ears: vec![ear; proxies],
+            proxies: vec![unknown; proxies],
             reachable: Some(0),
-            lost: None,
+            last_outage: None,
             told_within: rules.told_within,
             ask_within: rules.ask_within,
         }
     }
 
-    pub fn see(&mut self, at: Micros, seen: &Seen) {
+    pub fn observe(&mut self, at: Micros, seen: &Seen) {
         match *seen {
-            Seen::Listed { node, phase } => self.listed(at, node, phase),
+            Seen::Listed { node, phase } => self.record_listing(at, node, phase),
             Seen::Told { proxy, node, phase } => {
-                if let Some(knows) = self.knows(proxy, node) {
-                    knows.learn(at, phase == Phase::Up);
+                if let Some(knowledge) = self.node_knowledge(proxy, node) {
+                    knowledge.record(at, phase == Phase::Up);
                 }
             }
-            Seen::Watching { proxy, on } => self.watching(at, proxy, on),
-            Seen::ListCall { proxy, answered } => self.called(at, proxy, answered),
+            Seen::Watching { proxy, on } => self.record_watch(at, proxy, on),
+            Seen::ListCall { proxy, answered } => self.record_poll(at, proxy, answered),
             Seen::DiscoveryUp { up } => {
-                // What counted as told by now stays told; for the rest the clock begins anew.
-                (0..self.ears.len()).for_each(|ear| self.settle(at, ear));
+                // Changes presumed known by now stay known; for the others the time limit starts again.
+                (0..self.proxies.len()).for_each(|proxy_index| self.apply_presumed(at, proxy_index));
                 match up {
                     true => self.reachable = self.reachable.or(Some(at)),
-                    false => (self.reachable, self.lost) = (None, Some(at)),
+                    false => (self.reachable, self.last_outage) = (None, Some(at)),
                 }
             }
             Seen::ProxyStarted { proxy, .. } => {
-                if let Some(ear) = self.ears.get_mut(usize::from(proxy.0)) {
-                    ear.knows.fill(Knowledge::default());
-                    (ear.started, ear.watched, ear.unwatched, ear.failed) = (at, false, Some(at), false);
+                if let Some(knowledge) = self.proxies.get_mut(usize::from(proxy.0)) {
+                    knowledge.restart(at);
                 }
             }
             _ => {}
         }
     }
 
-    fn listed(&mut self, at: Micros, node: NodeId, phase: Phase) {
-        let n = usize::from(node.0);
-        if n >= self.list.len() {
+    fn record_listing(&mut self, at: Micros, node: NodeId, phase: Phase) {
+        let node_index = usize::from(node.0);
+        if node_index >= self.list.len() {
             return;
         }
-        (0..self.ears.len()).for_each(|ear| self.settle_node(at, ear, n));
+        (0..self.proxies.len())
+            .for_each(|proxy_index| self.apply_presumed_to_node(at, proxy_index, node_index));
         let up = phase == Phase::Up;
-        match &mut self.list[n] {
+        match &mut self.list[node_index] {
             Some(listing) if !up && !listing.up => {}
             listing => *listing = Some(Listing { up, since: at }),
         }
     }
 
-    fn watching(&mut self, at: Micros, proxy: ProxyId, on: bool) {
-        let e = usize::from(proxy.0);
-        if e >= self.ears.len() {
+    fn record_watch(&mut self, at: Micros, proxy: ProxyId, on: bool) {
+        let proxy_index = usize::from(proxy.0);
+        if proxy_index >= self.proxies.len() {
             return;
         }
-        self.settle(at, e);
-        let ear = &mut self.ears[e];
+        self.apply_presumed(at, proxy_index);
+        let knowledge = &mut self.proxies[proxy_index];
         if !on {
-            ear.unwatched = ear.unwatched.or(Some(at));
+            knowledge.unwatched = knowledge.unwatched.or(Some(at));
             return;
         }
-        (ear.unwatched, ear.failed) = (None, false);
-        // The first answer of a life holds all that there is to know; the changes of a later one are noted.
-        if !std::mem::replace(&mut ear.watched, true) {
-            ear.learn_all(at, &self.list);
+        (knowledge.unwatched, knowledge.poll_failed) = (None, false);
+        // The first answer to a process is the complete list; later watches report each change separately.
+        if !std::mem::replace(&mut knowledge.watched, true) {
+            knowledge.record_list(at, &self.list);
         }
     }
 
-    fn called(&mut self, at: Micros, proxy: ProxyId, answered: bool) {
-        let e = usize::from(proxy.0);
-        if e >= self.ears.len() {
+    fn record_poll(&mut self, at: Micros, proxy: ProxyId, answered: bool) {
+        let proxy_index = usize::from(proxy.0);
+        if proxy_index >= self.proxies.len() {
             return;
         }
-        self.settle(at, e);
-        let ear = &mut self.ears[e];
+        self.apply_presumed(at, proxy_index);
+        let knowledge = &mut self.proxies[proxy_index];
         if answered {
-            ear.learn_all(at, &self.list);
-            (ear.unwatched, ear.failed) = (ear.unwatched.map(|_| at), false);
+            knowledge.record_list(at, &self.list);
+            (knowledge.unwatched, knowledge.poll_failed) = (knowledge.unwatched.map(|_| at), false);
         } else {
-            ear.failed = true;
+            knowledge.poll_failed = true;
         }
     }
 
-    fn knows(&mut self, proxy: ProxyId, node: NodeId) -> Option<&mut Knowledge> {
-        self.ears.get_mut(usize::from(proxy.0))?.knows.get_mut(usize::from(node.0))
+    fn node_knowledge(&mut self, proxy: ProxyId, node: NodeId) -> Option<&mut NodeKnowledge> {
+        self.proxies.get_mut(usize::from(proxy.0))?.nodes.get_mut(usize::from(node.0))
     }
 
-    /// When a change that was listed at `since` counts as told to a proxy that it has not reached.
-    fn counts_from(&self, ear: &Ear, since: Micros) -> Option<Micros> {
-        let reached = self.reachable.map(|up| since.max(up).max(ear.started) + self.told_within);
-        let unasked = ear.unwatched.map(|off| {
-            // A call that found discovery gone can't be seen, so one is taken as made.
-            let failed =
-                self.reachable.is_none_or(|up| up > off) || self.lost.is_some_and(|lost| lost >= off);
-            since.max(off + self.ask_within * if failed { AFTER_FAILURE } else { 1 })
+    /// When a change listed at `since` is presumed known to a proxy that it was not delivered to.
+    fn presumed_at(&self, knowledge: &ProxyKnowledge, since: Micros) -> Option<Micros> {
+        let by_delivery = self.reachable.map(|up| since.max(up).max(knowledge.started) + self.told_within);
+        let by_polling = knowledge.unwatched.map(|off| {
+            // A poll during an outage can't be observed, so one is assumed.
+            let poll_failed = self.reachable.is_none_or(|up| up > off)
+                || self.last_outage.is_some_and(|last_outage| last_outage >= off);
+            since.max(off + self.ask_within * if poll_failed { POLL_FAILURE_FACTOR } else { 1 })
         });
-        reached.into_iter().chain(unasked).min()
+        by_delivery.into_iter().chain(by_polling).min()
     }
 
-    fn settle(&mut self, at: Micros, ear: usize) {
-        (0..self.list.len()).for_each(|node| self.settle_node(at, ear, node));
+    /// Records all changes that are presumed known to the proxy by now.
+    fn apply_presumed(&mut self, at: Micros, proxy_index: usize) {
+        (0..self.list.len()).for_each(|node| self.apply_presumed_to_node(at, proxy_index, node));
     }
 
-    /// Writes down what counts as told by now, before that which it follows from changes.
-    fn settle_node(&mut self, at: Micros, ear: usize, node: usize) {
+    /// Records a change that is presumed known by now, before the state that the presumption depends on changes.
+    fn apply_presumed_to_node(&mut self, at: Micros, proxy_index: usize, node: usize) {
         let Some(listing) = self.list[node] else { return };
-        let known = self.ears[ear].knows[node];
-        if let Some(when) = self.counts_from(&self.ears[ear], listing.since).filter(|when| *when <= at) {
-            let newer = known.up.is_none_or(|told| told < listing.since);
-            if !listing.up || newer {
-                self.ears[ear].knows[node].learn(when, listing.up);
+        let known = self.proxies[proxy_index].nodes[node];
+        if let Some(presumed) =
+            self.presumed_at(&self.proxies[proxy_index], listing.since).filter(|presumed| *presumed <= at)
+        {
+            let is_newer = known.available_at.is_none_or(|known| known < listing.since);
+            if !listing.up || is_newer {
+                self.proxies[proxy_index].nodes[node].record(presumed, listing.up);
             }
         }
     }
 
-    /// Since when the proxy has been told, by this time, that the render node drains or is gone.
-    pub fn away(&mut self, at: Micros, proxy: ProxyId, node: NodeId) -> Option<Micros> {
-        let (e, n) = (usize::from(proxy.0), usize::from(node.0));
-        if e >= self.ears.len() || n >= self.list.len() {
+    /// Since when the proxy has known that the render node drains or is removed; none if it does not know at `at`.
+    pub fn unavailable_since(&mut self, at: Micros, proxy: ProxyId, node: NodeId) -> Option<Micros> {
+        let (proxy_index, node_index) = (usize::from(proxy.0), usize::from(node.0));
+        if proxy_index >= self.proxies.len() || node_index >= self.list.len() {
             return None;
         }
-        self.settle_node(at, e, n);
-        self.ears[e].knows[n].away
+        self.apply_presumed_to_node(at, proxy_index, node_index);
+        self.proxies[proxy_index].nodes[node_index].unavailable_since
     }
 
-    /// Whether the proxy has been told, by this time, of a start of the render node at `started`.
-    pub fn knows_start(&mut self, at: Micros, proxy: ProxyId, node: NodeId, started: Micros) -> bool {
-        let (e, n) = (usize::from(proxy.0), usize::from(node.0));
-        if e >= self.ears.len() || n >= self.list.len() {
+    /// Whether the proxy knows at `at` of the start of the render node at `started`.
+    pub fn knows_of_start(&mut self, at: Micros, proxy: ProxyId, node: NodeId, started: Micros) -> bool {
+        let (proxy_index, node_index) = (usize::from(proxy.0), usize::from(node.0));
+        if proxy_index >= self.proxies.len() || node_index >= self.list.len() {
             return false;
         }
-        // A listing from before the start says nothing of it.
-        if self.list[n].is_some_and(|l| l.since >= started) {
-            self.settle_node(at, e, n);
+        // A listing older than the start does not announce it.
+        if self.list[node_index].is_some_and(|l| l.since >= started) {
+            self.apply_presumed_to_node(at, proxy_index, node_index);
         }
-        self.ears[e].knows[n].up.is_some_and(|up| up >= started)
+        self.proxies[proxy_index].nodes[node_index].available_at.is_some_and(|up| up >= started)
     }
 }
 
-impl Ear {
-    /// The whole list was written to it.
-    fn learn_all(&mut self, at: Micros, list: &[Option<Listing>]) {
-        for (knows, listing) in self.knows.iter_mut().zip(list) {
+impl ProxyKnowledge {
+    /// A new process knows nothing.
+    fn restart(&mut self, at: Micros) {
+        self.nodes.fill(NodeKnowledge::default());
+        self.started = at;
+        self.watched = false;
+        self.unwatched = Some(at);
+        self.poll_failed = false;
+    }
+
+    /// Records a complete list.
+    fn record_list(&mut self, at: Micros, list: &[Option<Listing>]) {
+        for (knowledge, listing) in self.nodes.iter_mut().zip(list) {
             if let Some(listing) = listing {
-                knows.learn(at, listing.up);
+                knowledge.record(at, listing.up);
             }
         }
     }
 }
 
-impl Knowledge {
-    fn learn(&mut self, at: Micros, up: bool) {
+impl NodeKnowledge {
+    fn record(&mut self, at: Micros, up: bool) {
         if up {
-            self.away = None;
-            self.up = Some(self.up.map_or(at, |told| told.max(at)));
+            self.unavailable_since = None;
+            self.available_at = Some(self.available_at.map_or(at, |known| known.max(at)));
         } else {
-            self.away = Some(self.away.map_or(at, |told| told.min(at)));
+            self.unavailable_since = Some(self.unavailable_since.map_or(at, |known| known.min(at)));
         }
     }
 }
--- a/crates/kit/src/judge/misbehaving_clients.rs
+++ b/crates/kit/src/judge/misbehaving_clients.rs
@@ -1,9 +1,9 @@
 //! Rude clients, and what they explain of other findings.
 
-use super::deferred_checks::Check;
+use super::deferred_checks::DeferredCheck;
 use super::rule::Rule;
-use super::rule_output::{Desk, Subject};
-use super::seconds;
+use super::rule_output::{RuleOutput, Subject};
+use super::units::format_seconds;
 use crate::observation::{RequestId, RudeEnd, Seen};
 use crate::plan::{Plan, ProxyId, RudeKind};
 use crate::time::{MS, Micros};
@@ -11,104 +11,115 @@
 use std::collections::BTreeMap;
 
 /// What a rude client set off at a render node is noted at most this long after the rude client was dealt with.
-const AFTERMATH: Micros = 100 * MS;
+const THEFT_EFFECT_WINDOW: Micros = 100 * MS;
 
 #[derive(Clone, Copy, Debug)]
-struct Open {
+struct OpenClient {
     proxy: ProxyId,
     by: Micros,
-    thief: bool,
+    steals_id: bool,
 }
 
 /// What one proxy has of them.
 #[derive(Clone, Copy, Debug, Default)]
-struct AtProxy {
-    thieves: u32,
-    last_thief: Option<Micros>,
+struct ClientsAtProxy {
+    open_id_thieves: u32,
+    last_id_theft: Option<Micros>,
 }
 
 /// All of them.
 #[derive(Debug)]
-pub(super) struct RudeClients {
-    open: BTreeMap<u32, Open>,
-    asked: FnvHashSet<(RequestId, ProxyId)>,
-    proxies: Vec<AtProxy>,
+pub(super) struct MisbehavingClients {
+    open: BTreeMap<u32, OpenClient>,
+    sent_requests: FnvHashSet<(RequestId, ProxyId)>,
+    proxies: Vec<ClientsAtProxy>,
     kinds: Vec<RudeKind>,
     grace: Micros,
 }
 
-impl RudeClients {
+impl MisbehavingClients {
     pub fn new(plan: &Plan) -> Self {
-        RudeClients {
+        MisbehavingClients {
             open: BTreeMap::new(),
-            asked: FnvHashSet::default(),
-            proxies: vec![AtProxy::default(); plan.proxies.len()],
+            sent_requests: FnvHashSet::default(),
+            proxies: vec![ClientsAtProxy::default(); plan.proxies.len()],
             kinds: plan.rude.iter().map(|rude| rude.kind).collect(),
             grace: plan.rules.grace,
         }
     }
 
-    pub fn see(&mut self, at: Micros, seen: &Seen, desk: &mut Desk) {
+    pub fn observe(&mut self, at: Micros, seen: &Seen, output: &mut RuleOutput) {
         match *seen {
             Seen::RudeCame { rude, proxy, by } => {
-                let thief = self.kinds.get(rude as usize) == Some(&RudeKind::StolenId);
-                self.open.insert(rude, Open { proxy, by, thief });
+                let steals_id = self.kinds.get(rude as usize) == Some(&RudeKind::StolenId);
+                self.open.insert(rude, OpenClient { proxy, by, steals_id });
                 if let Some(at_proxy) = self.proxies.get_mut(usize::from(proxy.0)) {
-                    at_proxy.thieves += u32::from(thief);
+                    at_proxy.open_id_thieves += u32::from(steals_id);
                 }
-                desk.checks.add(by + self.grace, Check::Rude(rude));
+                output.defer(by + self.grace, DeferredCheck::MisbehavingClient(rude));
             }
             Seen::RudeAsked { request, proxy, .. } => {
-                self.asked.insert((request, proxy));
+                self.sent_requests.insert((request, proxy));
             }
             Seen::RudeOver { rude, how } => {
                 let Some(open) = self.close(at, rude) else { return };
                 if how == RudeEnd::Served {
-                    let what = "it was served; an error or a close was owed".to_owned();
-                    desk.accuse(at, Rule::RudeServed, subject(rude, open.proxy), what);
+                    let description = "it was served; an error or a close was owed".to_owned();
+                    output.report_violation(
+                        at,
+                        Rule::MisbehavingClientServed,
+                        subject(rude, open.proxy),
+                        description,
+                    );
                 }
             }
             _ => {}
         }
     }
 
-    fn close(&mut self, at: Micros, rude: u32) -> Option<Open> {
+    fn close(&mut self, at: Micros, rude: u32) -> Option<OpenClient> {
         let open = self.open.remove(&rude)?;
         if let Some(at_proxy) = self.proxies.get_mut(usize::from(open.proxy.0))
-            && open.thief
+            && open.steals_id
         {
-            at_proxy.thieves -= 1;
-            at_proxy.last_thief = Some(at);
+            at_proxy.open_id_thieves -= 1;
+            at_proxy.last_id_theft = Some(at);
         }
         Some(open)
     }
 
     /// Its time is up.
-    pub fn due(&mut self, at: Micros, rude: u32, desk: &mut Desk) {
+    pub fn check_deadline(&mut self, at: Micros, rude: u32, output: &mut RuleOutput) {
         // One that comes again and again has a later time by now.
         if self.open.get(&rude).is_some_and(|open| open.by + self.grace > at) {
             return;
         }
         if let Some(open) = self.close(at, rude) {
-            let what = format!(
+            let description = format!(
                 "an error or a close was owed by {}, and none had come {} later",
-                seconds(open.by),
-                seconds(self.grace)
+                format_seconds(open.by),
+                format_seconds(self.grace)
+            );
+            output.report_violation(
+                at,
+                Rule::MisbehavingClientUnanswered,
+                subject(rude, open.proxy),
+                description,
             );
-            desk.accuse(at, Rule::RudeUnanswered, subject(rude, open.proxy), what);
         }
     }
 
     /// Whether an attempt with the id of an answered request may be that of a rude client, who stole the id.
-    pub fn thief_at(&self, at: Micros, proxy: ProxyId) -> bool {
-        self.proxies
-            .get(usize::from(proxy.0))
-            .is_some_and(|p| p.thieves > 0 || p.last_thief.is_some_and(|last| at - last <= AFTERMATH))
+    pub fn may_carry_stolen_id(&self, at: Micros, proxy: ProxyId) -> bool {
+        self.proxies.get(usize::from(proxy.0)).is_some_and(|at_proxy| {
+            at_proxy.open_id_thieves > 0
+                || at_proxy.last_id_theft.is_some_and(|last| at - last <= THEFT_EFFECT_WINDOW)
+        })
     }
 
     /// Whether a rude client has put a request with that id to this proxy.
-    pub fn has_asked(&self, request: RequestId, proxy: ProxyId) -> bool {
-        self.asked.contains(&(request, proxy))
+    pub fn has_sent(&self, request: RequestId, proxy: ProxyId) -> bool {
+        self.sent_requests.contains(&(request, proxy))
     }
 }
 
--- a/crates/kit/src/judge/mod.rs
+++ b/crates/kit/src/judge/mod.rs
@@ -18,6 +18,7 @@
 mod rule_output;
 mod service;
 mod slow_start;
+mod units;
 mod verdict;
 
 pub use figures::{Answers, Figures, ProxyFigures, Second};
@@ -25,39 +26,36 @@
 pub use lateness::Lateness;
 pub use rule::Rule;
 pub use service::{Ratios, Service};
-pub use verdict::{Finding, Outcome, Unreached, Verdict};
+pub use verdict::{Finding, MissedDemand, Outcome, Verdict};
 
 use crate::observation::{Observation, Seen};
 use crate::plan::Plan;
 use crate::time::Micros;
 use attempts::Arrival;
-use deferred_checks::Check;
-use figures::Counts;
-use list_knowledge::Told;
-use misbehaving_clients::RudeClients;
-use node_states::{Fleet, Turned};
-use processes::Processes;
-use request_table::{Asked, Ledger, Room};
-use rule_output::{Desk, Subject};
-use slow_start::ColdNodes;
+use deferred_checks::DeferredCheck;
+use figures::FigureCounters;
+use list_knowledge::ListKnowledge;
+use misbehaving_clients::MisbehavingClients;
+use node_states::{NodeStates, ProcessChanged};
+use processes::ProxyProcesses;
+use request_table::{RequestTable, RuleContext, Submission};
+use rule_output::{MAX_DATAGRAM_BYTES, RuleOutput, Subject};
+use slow_start::WarmingNodes;
 use std::sync::Arc;
 
-/// The longest datagram, in bytes (PROTOCOL, "Between proxies").
-const DATAGRAM_MAX: u32 = 256;
-
 /// Judges one run.
 #[derive(Debug)]
 pub struct Judge {
     plan: Arc<Plan>,
-    fleet: Fleet,
-    processes: Processes,
-    told: Told,
-    cold: ColdNodes,
-    rude: RudeClients,
-    ledger: Ledger,
-    counts: Counts,
+    node_states: NodeStates,
+    processes: ProxyProcesses,
+    list_knowledge: ListKnowledge,
+    warming_nodes: WarmingNodes,
+    misbehaving_clients: MisbehavingClients,
+    table: RequestTable,
+    counters: FigureCounters,
     lateness: Lateness,
-    desk: Desk,
+    output: RuleOutput,
     now: Micros,
 }
 
@@ -66,15 +64,15 @@
     pub fn new(plan: Arc<Plan>) -> Self {
         let (nodes, proxies) = (plan.nodes.len(), plan.proxies.len());
         Judge {
-            fleet: Fleet::new(nodes),
-            processes: Processes::new(proxies, &plan.rules),
-            told: Told::new(nodes, proxies, &plan.rules),
-            cold: ColdNodes::new(nodes, &plan.rules),
-            rude: RudeClients::new(&plan),
-            ledger: Ledger::new(nodes),
-            counts: Counts::new(&plan),
+            node_states: NodeStates::new(nodes),
+            processes: ProxyProcesses::new(proxies, &plan.rules),
+            list_knowledge: ListKnowledge::new(nodes, proxies, &plan.rules),
+            warming_nodes: WarmingNodes::new(nodes, &plan.rules),
+            misbehaving_clients: MisbehavingClients::new(&plan),
+            table: RequestTable::new(nodes),
+            counters: FigureCounters::new(&plan),
             lateness: Lateness::default(),
-            desk: Desk::default(),
+            output: RuleOutput::default(),
             now: 0,
             plan,
         }
@@ -82,138 +80,144 @@
 
     /// Takes in the next observation. Their times never fall; one that does counts as seen now. What comes after
     /// the plan's end is not judged.
-    pub fn see(&mut self, observation: &Observation) {
+    pub fn observe(&mut self, observation: &Observation) {
         if observation.at > self.plan.ends {
             return;
         }
         if let Seen::Lag { late } = observation.seen {
-            return self.lateness.see(late);
+            return self.lateness.observe(late);
         }
         let at = observation.at.max(self.now);
         self.advance(at);
-        self.desk.remember(observation);
-        self.counts.see(at, &observation.seen);
-        self.told.see(at, &observation.seen);
-        self.processes.see(at, &observation.seen, &mut self.desk);
-        self.rude.see(at, &observation.seen, &mut self.desk);
-        self.cold.see(at, &observation.seen, &mut self.told, &mut self.desk);
+        self.output.remember(observation);
+        self.counters.observe(at, &observation.seen);
+        self.list_knowledge.observe(at, &observation.seen);
+        self.processes.observe(at, &observation.seen, &mut self.output);
+        self.misbehaving_clients.observe(at, &observation.seen, &mut self.output);
+        self.warming_nodes.observe(at, &observation.seen, &mut self.list_knowledge, &mut self.output);
         if let Seen::Answered { request, answer } = &observation.seen
-            && let Some(asked) = self.ledger.unanswered(*request)
+            && let Some(submission) = self.table.unanswered(*request)
         {
-            self.counts.answered(asked.session, answer);
+            self.counters.record_answer(submission.session, answer);
         }
-        let turned = self.fleet.see(at, &observation.seen);
-        self.requests(at, &observation.seen, turned);
+        let process_changed = self.node_states.observe(at, &observation.seen);
+        self.apply(at, &observation.seen, process_changed);
     }
 
     /// The run is over at `now`, as planned or before. What was owed by then is judged, and nothing else.
     pub fn finish(mut self, now: Micros) -> Verdict {
         let end = now.min(self.plan.ends).max(self.now);
         self.advance(end);
-        let (ledger, mut room, _) = self.parts();
-        ledger.finish(end, &mut room);
-        let figures = self.counts.finish(end);
-        Verdict::new(&self.plan, end, self.lateness, self.desk, figures)
+        let (table, mut context, _) = self.split();
+        table.finish(end, &mut context);
+        let figures = self.counters.finish(end);
+        Verdict::new(&self.plan, end, self.lateness, self.output, figures)
     }
 
     fn advance(&mut self, to: Micros) {
         self.now = to;
-        while let Some((due, check)) = self.desk.checks.next_before(to) {
-            self.check(due, check);
+        while let Some((due, check)) = self.output.checks.next_before(to) {
+            self.run_check(due, check);
         }
     }
 
-    fn parts(&mut self) -> (&mut Ledger, Room<'_>, &mut Told) {
-        let room = Room {
+    fn split(&mut self) -> (&mut RequestTable, RuleContext<'_>, &mut ListKnowledge) {
+        let context = RuleContext {
             rules: &self.plan.rules,
-            fleet: &self.fleet,
+            node_states: &self.node_states,
             processes: &self.processes,
-            rude: &mut self.rude,
-            desk: &mut self.desk,
+            misbehaving_clients: &mut self.misbehaving_clients,
+            output: &mut self.output,
         };
-        (&mut self.ledger, room, &mut self.told)
+        (&mut self.table, context, &mut self.list_knowledge)
     }
 
-    fn requests(&mut self, at: Micros, seen: &Seen, turned: Option<Turned>) {
-        let (ledger, mut room, told) = self.parts();
-        let room = &mut room;
-        if let Some(Turned(node)) = turned {
-            ledger.turned(at, node, room);
+    fn apply(&mut self, at: Micros, seen: &Seen, process_changed: Option<ProcessChanged>) {
+        let (table, mut context, list_knowledge) = self.split();
+        let context = &mut context;
+        if let Some(ProcessChanged(node)) = process_changed {
+            table.process_changed(at, node, context);
         }
         match seen {
             Seen::Asked { request, session, proxy, deadline } => {
-                let life = room.processes.current(*proxy);
-                ledger.asked(*request, Asked { at, session: *session, life, deadline: *deadline });
+                let incarnation = context.processes.current(*proxy);
+                table.record_submission(
+                    *request,
+                    Submission { at, session: *session, incarnation, deadline: *deadline },
+                );
             }
-            Seen::Answered { request, answer } => ledger.answered(at, *request, answer, room),
-            Seen::Moved { request } => ledger.moved(at, *request, room),
-            Seen::Ended { request, how } => ledger.ended(at, *request, *how, room),
-            Seen::Left { request, why } => ledger.left(at, *request, *why, room),
-            Seen::LineSent { request, line } => ledger.line_sent(at, *request, *line, room),
-            Seen::LineBack { request, line } => ledger.line_back(*request, *line),
+            Seen::Answered { request, answer } => table.record_answer(at, *request, answer, context),
+            Seen::Moved { request } => table.record_move(at, *request, context),
+            Seen::Ended { request, how } => table.record_proxy_close(at, *request, *how, context),
+            Seen::Left { request, why } => table.record_client_close(at, *request, *why, context),
+            Seen::LineSent { request, line } => table.record_line_sent(at, *request, *line, context),
+            Seen::LineBack { request, line } => table.record_line_back(*request, *line),
             Seen::Attempt { attempt, request, session, proxy, first_byte } => {
                 let (attempt, request, session) = (*attempt, *request, *session);
                 let (proxy, first_byte) = (*proxy, *first_byte);
-                ledger.attempted(at, Arrival { attempt, request, session, proxy, first_byte }, told, room);
+                table.record_attempt(
+                    at,
+                    Arrival { attempt, request, session, proxy, first_byte },
+                    list_knowledge,
+                    context,
+                );
+            }
+            Seen::AttemptAnswered { attempt, answer } => {
+                table.record_attempt_answer(at, *attempt, *answer, context)
             }
-            Seen::AttemptAnswered { attempt, answer } => ledger.attempt_answered(at, *attempt, *answer, room),
-            Seen::AttemptOver { attempt, over } => ledger.attempt_over(at, *attempt, *over, room),
-            Seen::LineAtNode { attempt, line } => ledger.line_at_node(*attempt, *line),
-            Seen::LineReturned { attempt, line } => ledger.line_returned(at, *attempt, *line, room),
+            Seen::AttemptOver { attempt, over } => table.record_attempt_end(at, *attempt, *over, context),
+            Seen::LineAtNode { attempt, line } => table.record_line_at_node(*attempt, *line),
+            Seen::LineReturned { attempt, line } => table.record_line_returned(at, *attempt, *line, context),
             Seen::BadFirstLine { node, proxy, line } => {
                 let line: String = line.chars().take(120).collect();
                 let subject = Subject { node: Some(*node), proxy: Some(*proxy), ..Subject::default() };
-                let what = format!("'{}' is no line of a client's", line.escape_debug());
-                room.desk.accuse(at, Rule::BadFirstLine, subject, what);
+                let description = format!("'{}' is no line of a client's", line.escape_debug());
+                context.output.report_violation(at, Rule::BadFirstLine, subject, description);
             }
             Seen::Garbled { request, line } => {
                 let subject = Subject { request: Some(*request), ..Subject::default() };
                 let line: String = line.chars().take(120).collect();
-                let what = format!("the client read '{}', which no render node sent", line.escape_debug());
-                room.desk.accuse(at, Rule::LineChanged, subject, what);
+                let description =
+                    format!("the client read '{}', which no render node sent", line.escape_debug());
+                context.output.report_violation(at, Rule::LineChanged, subject, description);
             }
-            Seen::Datagram { from, to, bytes } if *bytes > DATAGRAM_MAX => {
+            Seen::Datagram { from, to, bytes } if *bytes > MAX_DATAGRAM_BYTES => {
                 let subject = Subject { proxy: Some(*from), ..Subject::default() };
-                let what = format!("{bytes} bytes to proxy {}, at most {DATAGRAM_MAX} are allowed", to.0);
-                room.desk.accuse(at, Rule::OversizedDatagram, subject, what);
+                let description =
+                    format!("{bytes} bytes to proxy {}, at most {MAX_DATAGRAM_BYTES} are allowed", to.0);
+                context.output.report_violation(at, Rule::OversizedDatagram, subject, description);
             }
             _ => {}
         }
     }
 
-    fn check(&mut self, at: Micros, check: Check) {
+    fn run_check(&mut self, at: Micros, check: DeferredCheck) {
         match check {
-            Check::Rude(rude) => return self.rude.due(at, rude, &mut self.desk),
-            Check::Stayed(life) => return self.processes.stays(at, life, &mut self.desk),
+            DeferredCheck::MisbehavingClient(misbehaving_clients) => {
+                return self.misbehaving_clients.check_deadline(at, misbehaving_clients, &mut self.output);
+            }
+            DeferredCheck::ShutdownDeadline(incarnation) => {
+                return self.processes.check_shutdown(at, incarnation, &mut self.output);
+            }
             _ => {}
         }
-        let (ledger, mut room, _) = self.parts();
-        let room = &mut room;
+        let (table, mut context, _) = self.split();
+        let context = &mut context;
         match check {
-            Check::Receipt(id) => ledger.receipt_due(at, id, room),
-            Check::Late(id) => ledger.late_due(at, id, room),
-            Check::Lost(id) => ledger.lost_due(at, id, room),
-            Check::Overlap(id, place) => ledger.overlap_due(at, id, place, room),
-            Check::Unknown(id, attempt, proxy, since) => {
-                ledger.unknown_due(at, (id, attempt, proxy, since), room);
+            DeferredCheck::Receipt(id) => table.check_receipt(at, id, context),
+            DeferredCheck::LateAnswer(id) => table.check_late_answer(at, id, context),
+            DeferredCheck::MissingAnswer(id) => table.check_missing_answer(at, id, context),
+            DeferredCheck::OverlappingAttempts(id, place) => table.check_overlap(at, id, place, context),
+            DeferredCheck::UnknownRequest(id, attempt, proxy, since) => {
+                table.check_unknown_request(at, (id, attempt, proxy, since), context);
             }
-            Check::Cut(id) => ledger.cut_due(at, id, room),
-            Check::LineUp(id, line) => ledger.line_up_due(at, id, line, room),
-            Check::LineDown(id, line) => ledger.line_down_due(at, id, line, room),
-            Check::Ended(id) => ledger.ended_due(at, id, room),
-            Check::Silent(id, line) => ledger.silent_due(at, id, line, room),
-            Check::LetGo(id) => ledger.let_go(id),
-            Check::Rude(_) | Check::Stayed(_) => {}
+            DeferredCheck::CutConnection(id) => table.check_cut(at, id, context),
+            DeferredCheck::LineToNode(id, line) => table.check_line_to_node(at, id, line, context),
+            DeferredCheck::LineToClient(id, line) => table.check_line_to_client(at, id, line, context),
+            DeferredCheck::EndedConnection(id) => table.check_ended(at, id, context),
+            DeferredCheck::SilentConnection(id, line) => table.check_silent(at, id, line, context),
+            DeferredCheck::ForgetRequest(id) => table.forget(id),
+            DeferredCheck::MisbehavingClient(_) | DeferredCheck::ShutdownDeadline(_) => {}
         }
     }
 }
-
-/// A time of the run, for a person.
-fn seconds(time: Micros) -> String {
-    format!("{:.3} s", time as f64 / 1e6)
-}
-
-/// A span in milliseconds, for a person.
-fn millis(span: Micros) -> String {
-    format!("{:.0}", span as f64 / 1e3)
-}
--- a/crates/kit/src/judge/node_states.rs
+++ b/crates/kit/src/judge/node_states.rs
@@ -13,12 +13,12 @@
     /// Counts its processes: what an earlier one held is gone.
     generation: u32,
     /// When the latest process ended or began.
-    turned: Option<Micros>,
+    process_changed: Option<Micros>,
 }
 
 /// All render nodes.
 #[derive(Debug)]
-pub(super) struct Fleet {
+pub(super) struct NodeStates {
     nodes: Vec<NodeState>,
     /// Cut links and those that were cut: whether it is whole, and since when.
     links: BTreeMap<(ProxyId, NodeId), (bool, Micros)>,
@@ -26,28 +26,32 @@
 
 /// A new process, or none: what stood at the render node is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Turned(pub NodeId);
+pub(super) struct ProcessChanged(pub NodeId);
 
-impl Fleet {
+impl NodeStates {
     pub fn new(nodes: usize) -> Self {
-        let fresh =
-            NodeState { condition: Condition::Sound, since: Micros::MIN, generation: 0, turned: None };
-        Fleet { nodes: vec![fresh; nodes], links: BTreeMap::new() }
+        let initial = NodeState {
+            condition: Condition::Sound,
+            since: Micros::MIN,
+            generation: 0,
+            process_changed: None,
+        };
+        NodeStates { nodes: vec![initial; nodes], links: BTreeMap::new() }
     }
 
     /// Takes in what changes a render node. Says so when this has ended, in a way that proxies can see, what stood
     /// there: a machine that had vanished resets nothing before it is back.
-    pub fn see(&mut self, at: Micros, seen: &Seen) -> Option<Turned> {
+    pub fn observe(&mut self, at: Micros, seen: &Seen) -> Option<ProcessChanged> {
         match *seen {
             Seen::Started { node, .. } => {
-                self.turn(at, node);
-                self.condition(at, node, Condition::Sound);
-                Some(Turned(node))
+                self.advance_generation(at, node);
+                self.set_condition(at, node, Condition::Sound);
+                Some(ProcessChanged(node))
             }
-            Seen::Fell { node } => self.down(at, node),
-            Seen::Condition { node, condition: Condition::Down } => self.down(at, node),
+            Seen::Fell { node } => self.mark_down(at, node),
+            Seen::Condition { node, condition: Condition::Down } => self.mark_down(at, node),
             Seen::Condition { node, condition } => {
-                self.condition(at, node, condition);
+                self.set_condition(at, node, condition);
                 None
             }
             Seen::Reach { proxy, node, on } => {
@@ -58,26 +62,26 @@
         }
     }
 
-    fn down(&mut self, at: Micros, node: NodeId) -> Option<Turned> {
+    fn mark_down(&mut self, at: Micros, node: NodeId) -> Option<ProcessChanged> {
         let silent = self.state(node).is_some_and(|s| s.condition == Condition::Vanished);
-        self.turn(at, node);
+        self.advance_generation(at, node);
         if silent {
             return None;
         }
-        self.condition(at, node, Condition::Down);
-        Some(Turned(node))
+        self.set_condition(at, node, Condition::Down);
+        Some(ProcessChanged(node))
     }
 
-    fn turn(&mut self, at: Micros, node: NodeId) {
+    fn advance_generation(&mut self, at: Micros, node: NodeId) {
         if let Some(state) = self.nodes.get_mut(usize::from(node.0)) {
             state.generation += 1;
-            state.turned = Some(at);
+            state.process_changed = Some(at);
         }
     }
 
-    fn condition(&mut self, at: Micros, node: NodeId, condition: Condition) {
+    fn set_condition(&mut self, at: Micros, node: NodeId, condition: Condition) {
         if let Some(state) = self.nodes.get_mut(usize::from(node.0)) {
-            if returns(state.condition) != returns(condition) {
+            if returns_lines(state.condition) != returns_lines(condition) {
                 state.since = at;
             }
             state.condition = condition;
@@ -94,19 +98,19 @@
     }
 
     /// When its latest process began or ended, if one did.
-    pub fn turned(&self, node: NodeId) -> Option<Micros> {
-        self.state(node).and_then(|s| s.turned)
+    pub fn process_changed(&self, node: NodeId) -> Option<Micros> {
+        self.state(node).and_then(|s| s.process_changed)
     }
 
     /// Whether a word can pass between the two now: the machine is there and the link is whole.
-    pub fn heard(&self, proxy: ProxyId, node: NodeId) -> bool {
+    pub fn can_communicate(&self, proxy: ProxyId, node: NodeId) -> bool {
         self.state(node).is_some_and(|s| s.condition != Condition::Vanished)
-            && self.links.get(&(proxy, node)).is_none_or(|(whole, _)| *whole)
+            && self.links.get(&(proxy, node)).is_none_or(|(connected, _)| *connected)
     }
 
     /// Since when the render node reads and returns this proxy's lines without a break; none while it doesn't.
-    pub fn steady_since(&self, proxy: ProxyId, node: NodeId) -> Option<Micros> {
-        let state = self.state(node).filter(|s| returns(s.condition))?;
+    pub fn responsive_since(&self, proxy: ProxyId, node: NodeId) -> Option<Micros> {
+        let state = self.state(node).filter(|s| returns_lines(s.condition))?;
         match self.links.get(&(proxy, node)) {
             None => Some(state.since),
             Some((true, since)) => Some(state.since.max(*since)),
@@ -118,12 +122,13 @@
     /// does, or is down.
     pub fn silent_since(&self, proxy: ProxyId, node: NodeId) -> Option<Micros> {
         let state = self.state(node).filter(|s| s.condition != Condition::Down)?;
-        let link = self.links.get(&(proxy, node)).and_then(|(whole, since)| (!whole).then_some(*since));
-        (!returns(state.condition)).then_some(state.since).into_iter().chain(link).min()
+        let link =
+            self.links.get(&(proxy, node)).and_then(|(connected, since)| (!connected).then_some(*since));
+        (!returns_lines(state.condition)).then_some(state.since).into_iter().chain(link).min()
     }
 }
 
 /// Whether connections that stand there get their lines back.
-fn returns(condition: Condition) -> bool {
+fn returns_lines(condition: Condition) -> bool {
     matches!(condition, Condition::Sound | Condition::Rubbish)
 }
--- a/crates/kit/src/judge/processes.rs
+++ b/crates/kit/src/judge/processes.rs
@@ -1,26 +1,26 @@
 //! The proxies' processes: each start is a life of its own, and what a death forgives.
 
-use super::deferred_checks::Check;
+use super::deferred_checks::DeferredCheck;
 use super::rule::Rule;
-use super::rule_output::{Desk, Subject};
-use super::seconds;
+use super::rule_output::{RuleOutput, Subject};
+use super::units::format_seconds;
 use crate::observation::{Seen, Signal};
 use crate::plan::{ProxyId, Rules};
 use crate::time::{MS, Micros};
 
 /// An exit is noted at most this long after the process ended: the runner looks after its children every few
 /// milliseconds, and what a client sees of a crash (a reset) can be noted before the exit is.
-pub(super) const EXIT_NOTICE: Micros = 200 * MS;
+pub(super) const EXIT_NOTICE_DELAY: Micros = 200 * MS;
 
 /// One life of a proxy, from its start to its exit.
 #[derive(Clone, Copy, Debug, Default)]
-struct Life {
+struct Incarnation {
     /// The kit killed it, not because it had stayed.
     killed: Option<Micros>,
     terminated: Option<Micros>,
     reloaded: Option<Micros>,
     /// It was still there when its time to leave was over.
-    stayed: Option<Micros>,
+    overran_shutdown: Option<Micros>,
     exited: Option<Micros>,
     /// It exited by itself, not having been told to stop.
     crashed: Option<Micros>,
@@ -28,114 +28,143 @@
 
 /// Which life of a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct LifeId(pub ProxyId, u32);
+pub(super) struct IncarnationId(pub ProxyId, u32);
 
 /// All proxies.
 #[derive(Debug)]
-pub(super) struct Processes {
-    lives: Vec<Vec<Life>>,
+pub(super) struct ProxyProcesses {
+    incarnations: Vec<Vec<Incarnation>>,
     term_to_kill: Micros,
     grace: Micros,
 }
 
-impl Processes {
+impl ProxyProcesses {
     pub fn new(proxies: usize, rules: &Rules) -> Self {
         // A first life, for what is seen before its start was noted.
-        let lives = vec![vec![Life::default()]; proxies];
-        Processes { lives, term_to_kill: rules.term_to_kill, grace: rules.grace }
+        let incarnations = vec![vec![Incarnation::default()]; proxies];
+        ProxyProcesses { incarnations, term_to_kill: rules.term_to_kill, grace: rules.grace }
     }
 
     /// The life that runs, or ran last.
-    pub fn current(&self, proxy: ProxyId) -> LifeId {
-        let lives = self.lives.get(usize::from(proxy.0)).map_or(1, Vec::len);
-        LifeId(proxy, (lives - 1) as u32)
+    pub fn current(&self, proxy: ProxyId) -> IncarnationId {
+        let incarnations = self.incarnations.get(usize::from(proxy.0)).map_or(1, Vec::len);
+        IncarnationId(proxy, (incarnations - 1) as u32)
     }
 
-    fn life(&self, id: LifeId) -> Option<&Life> {
-        self.lives.get(usize::from(id.0.0))?.get(id.1 as usize)
+    fn incarnation(&self, id: IncarnationId) -> Option<&Incarnation> {
+        self.incarnations.get(usize::from(id.0.0))?.get(id.1 as usize)
     }
 
     /// Whether it still runs, and nobody has put it to death.
-    pub fn alive(&self, id: LifeId) -> bool {
-        self.life(id).is_some_and(|l| l.killed.is_none() && l.exited.is_none())
+    pub fn alive(&self, id: IncarnationId) -> bool {
+        self.incarnation(id).is_some_and(|run| run.killed.is_none() && run.exited.is_none())
     }
 
     /// Whether a request that was taken at `asked` and broken at `broken` (its connection ended, or its time was
     /// up) is down to the death of its proxy: it was held when the kit killed the process, or when the process
     /// crashed or stayed, which is a break of its own. Nothing else is forgiven after SIGTERM.
-    pub fn forgives(&self, id: LifeId, asked: Micros, broken: Micros) -> bool {
-        let Some(life) = self.life(id) else { return false };
-        let (from, death) = match (life.killed.or(life.stayed), life.crashed) {
-            (Some(killed), _) => (killed, life.exited.map_or(killed, |x| x.min(killed + EXIT_NOTICE))),
-            (None, Some(crashed)) => (crashed - EXIT_NOTICE, crashed),
+    pub fn excuses(&self, id: IncarnationId, submitted: Micros, broken: Micros) -> bool {
+        let Some(incarnation) = self.incarnation(id) else { return false };
+        let (from, ended) = match (incarnation.killed.or(incarnation.overran_shutdown), incarnation.crashed) {
+            (Some(killed), _) => {
+                (killed, incarnation.exited.map_or(killed, |exited| exited.min(killed + EXIT_NOTICE_DELAY)))
+            }
+            (None, Some(crashed)) => (crashed - EXIT_NOTICE_DELAY, crashed),
             (None, None) => return false,
         };
         // A last byte can be written to a connection that the machine took in before the process died, and be
         // noted after its death; `grace` is the margin for that.
-        broken >= from && asked <= death + self.grace
+        broken >= from && submitted <= ended + self.grace
     }
 
-    pub fn see(&mut self, at: Micros, seen: &Seen, desk: &mut Desk) {
+    pub fn observe(&mut self, at: Micros, seen: &Seen, output: &mut RuleOutput) {
         match *seen {
             Seen::ProxyStarted { proxy, .. } => {
-                if let Some(lives) = self.lives.get_mut(usize::from(proxy.0)) {
-                    lives.push(Life::default());
+                if let Some(incarnations) = self.incarnations.get_mut(usize::from(proxy.0)) {
+                    incarnations.push(Incarnation::default());
                 }
             }
-            Seen::ProxySignalled { proxy, signal } => self.signalled(at, proxy, signal, desk),
-            Seen::ProxyExited { proxy, code } => self.exited(at, proxy, code, desk),
+            Seen::ProxySignalled { proxy, signal } => self.record_signal(at, proxy, signal, output),
+            Seen::ProxyExited { proxy, code } => self.record_exit(at, proxy, code, output),
             _ => {}
         }
     }
 
-    fn latest(&mut self, proxy: ProxyId) -> Option<&mut Life> {
-        self.lives.get_mut(usize::from(proxy.0))?.last_mut()
+    fn latest(&mut self, proxy: ProxyId) -> Option<&mut Incarnation> {
+        self.incarnations.get_mut(usize::from(proxy.0))?.last_mut()
     }
 
-    fn signalled(&mut self, at: Micros, proxy: ProxyId, signal: Signal, desk: &mut Desk) {
+    fn record_signal(&mut self, at: Micros, proxy: ProxyId, signal: Signal, output: &mut RuleOutput) {
         let (id, limit) = (self.current(proxy), self.term_to_kill);
-        let Some(life) = self.latest(proxy) else { return };
+        let Some(incarnation) = self.latest(proxy) else { return };
         match signal {
-            Signal::Reload => life.reloaded = Some(at),
+            Signal::Reload => incarnation.reloaded = Some(at),
             Signal::Terminate => {
-                life.terminated.get_or_insert(at);
-                desk.checks.add(at + limit, Check::Stayed(id));
+                incarnation.terminated.get_or_insert(at);
+                output.defer(at + limit, DeferredCheck::ShutdownDeadline(id));
+            }
+            Signal::Kill if incarnation.terminated.is_some_and(|t| at - t >= limit) => {
+                self.check_shutdown(at, id, output)
             }
-            Signal::Kill if life.terminated.is_some_and(|t| at - t >= limit) => self.stays(at, id, desk),
-            Signal::Kill => life.killed = Some(at),
+            Signal::Kill => incarnation.killed = Some(at),
         }
     }
 
     /// Its time to leave is over.
-    pub fn stays(&mut self, at: Micros, id: LifeId, desk: &mut Desk) {
+    pub fn check_shutdown(&mut self, at: Micros, id: IncarnationId, output: &mut RuleOutput) {
         let limit = self.term_to_kill;
-        let life = self.lives.get_mut(usize::from(id.0.0)).and_then(|lives| lives.get_mut(id.1 as usize));
-        let Some(life) = life.filter(|l| l.exited.is_none() && l.killed.is_none() && l.stayed.is_none())
+        let incarnation = self
+            .incarnations
+            .get_mut(usize::from(id.0.0))
+            .and_then(|incarnations| incarnations.get_mut(id.1 as usize));
+        let Some(incarnation) = incarnation
+            .filter(|run| run.exited.is_none() && run.killed.is_none() && run.overran_shutdown.is_none())
         else {
             return;
         };
-        life.stayed = Some(at);
-        let told = life.terminated.unwrap_or(at);
-        let what = format!("told to stop at {}, still there {} later", seconds(told), seconds(limit));
-        desk.accuse(at, Rule::ProxyStayed, Subject { proxy: Some(id.0), ..Subject::default() }, what);
+        incarnation.overran_shutdown = Some(at);
+        let terminated = incarnation.terminated.unwrap_or(at);
+        let description = format!(
+            "told to stop at {}, still there {} later",
+            format_seconds(terminated),
+            format_seconds(limit)
+        );
+        output.report_violation(
+            at,
+            Rule::ShutdownOverrun,
+            Subject { proxy: Some(id.0), ..Subject::default() },
+            description,
+        );
     }
 
-    fn exited(&mut self, at: Micros, proxy: ProxyId, code: Option<i32>, desk: &mut Desk) {
-        let Some(life) = self.latest(proxy) else { return };
-        if life.exited.replace(at).is_some() || life.killed.is_some() || life.stayed.is_some() {
+    fn record_exit(&mut self, at: Micros, proxy: ProxyId, code: Option<i32>, output: &mut RuleOutput) {
+        let Some(incarnation) = self.latest(proxy) else { return };
+        if incarnation.exited.replace(at).is_some()
+            || incarnation.killed.is_some()
+            || incarnation.overran_shutdown.is_some()
+        {
             return;
         }
         let how = code.map_or("by a signal".to_owned(), |code| format!("with code {code}"));
-        let what = match life.terminated {
+        let description = match incarnation.terminated {
             Some(_) if code == Some(0) => return,
-            Some(told) => format!("exited {how}, told to stop at {}; 0 was owed", seconds(told)),
+            Some(terminated) => {
+                format!("exited {how}, told to stop at {}; 0 was owed", format_seconds(terminated))
+            }
             None => {
-                life.crashed = Some(at);
-                let after =
-                    life.reloaded.map(|r| format!("; reloaded at {}", seconds(r))).unwrap_or_default();
+                incarnation.crashed = Some(at);
+                let after = incarnation
+                    .reloaded
+                    .map(|r| format!("; reloaded at {}", format_seconds(r)))
+                    .unwrap_or_default();
                 format!("exited {how}, and nobody had told it to{after}")
             }
         };
-        desk.accuse(at, Rule::ProxyCrashed, Subject { proxy: Some(proxy), ..Subject::default() }, what);
+        output.report_violation(
+            at,
+            Rule::ProxyCrashed,
+            Subject { proxy: Some(proxy), ..Subject::default() },
+            description,
+        );
     }
 }
--- a/crates/kit/src/judge/rule.rs
+++ b/crates/kit/src/judge/rule.rs
@@ -17,27 +17,27 @@
     /// WIRE, rule 3.
     SendAfterDrain,
     /// WIRE, rule 4.
-    ColdBudget,
+    SlowStartBudget,
     /// PROTOCOL: cutting a connection off while its render node still answers.
     CutWithoutMove,
     /// PROTOCOL: holding back a line.
-    LineHeld,
+    LineDelayed,
     /// PROTOCOL: lines pass both ways unchanged.
     LineChanged,
     /// PROTOCOL, "Figures".
-    EndedKept,
+    EndedConnectionKept,
     /// PROTOCOL, "Figures".
-    SilentKept,
+    SilentConnectionKept,
     /// The rude clients of the bench's page.
-    RudeUnanswered,
+    MisbehavingClientUnanswered,
     /// The same.
-    RudeServed,
+    MisbehavingClientServed,
     /// PROTOCOL, "Proxies to render nodes".
     BadFirstLine,
     /// DEPLOY: a program that exits has crashed.
     ProxyCrashed,
     /// PROTOCOL: what is still there at SIGKILL.
-    ProxyStayed,
+    ShutdownOverrun,
     /// PROTOCOL, "Between proxies".
     OversizedDatagram,
 }
@@ -50,17 +50,17 @@
         Rule::TwoAttempts,
         Rule::TooManyAttempts,
         Rule::SendAfterDrain,
-        Rule::ColdBudget,
+        Rule::SlowStartBudget,
         Rule::CutWithoutMove,
-        Rule::LineHeld,
+        Rule::LineDelayed,
         Rule::LineChanged,
-        Rule::EndedKept,
-        Rule::SilentKept,
-        Rule::RudeUnanswered,
-        Rule::RudeServed,
+        Rule::EndedConnectionKept,
+        Rule::SilentConnectionKept,
+        Rule::MisbehavingClientUnanswered,
+        Rule::MisbehavingClientServed,
         Rule::BadFirstLine,
         Rule::ProxyCrashed,
-        Rule::ProxyStayed,
+        Rule::ShutdownOverrun,
         Rule::OversizedDatagram,
     ];
 
@@ -72,17 +72,17 @@
             Rule::TwoAttempts => "two-attempts",
             Rule::TooManyAttempts => "too-many-attempts",
             Rule::SendAfterDrain => "send-after-drain",
-            Rule::ColdBudget => "cold-budget",
+            Rule::SlowStartBudget => "cold-budget",
             Rule::CutWithoutMove => "cut-without-move",
-            Rule::LineHeld => "line-held",
+            Rule::LineDelayed => "line-held",
             Rule::LineChanged => "line-changed",
-            Rule::EndedKept => "ended-kept",
-            Rule::SilentKept => "silent-kept",
-            Rule::RudeUnanswered => "rude-unanswered",
-            Rule::RudeServed => "rude-served",
+            Rule::EndedConnectionKept => "ended-kept",
+            Rule::SilentConnectionKept => "silent-kept",
+            Rule::MisbehavingClientUnanswered => "rude-unanswered",
+            Rule::MisbehavingClientServed => "rude-served",
             Rule::BadFirstLine => "bad-first-line",
             Rule::ProxyCrashed => "proxy-crashed",
-            Rule::ProxyStayed => "proxy-stayed",
+            Rule::ShutdownOverrun => "proxy-stayed",
             Rule::OversizedDatagram => "oversized-datagram",
         }
     }
@@ -99,19 +99,21 @@
             Rule::TwoAttempts => "A request never has two attempts out together.",
             Rule::TooManyAttempts => "A request gets no more attempts than the settings allow.",
             Rule::SendAfterDrain => "Nothing new goes to a render node once its drain or removal was told.",
-            Rule::ColdBudget => "All proxies together send a cold render node no more than it bears.",
+            Rule::SlowStartBudget => "All proxies together send a cold render node no more than it bears.",
             Rule::CutWithoutMove => "No connection is cut without MOVE while its render node still answers.",
-            Rule::LineHeld => "No line is held back.",
+            Rule::LineDelayed => "No line is held back.",
             Rule::LineChanged => "Lines pass both ways unchanged, in order, and none is made up.",
-            Rule::EndedKept => "A connection that its render node has ended is ended or moved soon.",
-            Rule::SilentKept => "A connection that returns nothing is ended or moved in time.",
-            Rule::RudeUnanswered => "A rude client gets an error or a close in time.",
-            Rule::RudeServed => "A rude client is not served.",
+            Rule::EndedConnectionKept => {
+                "A connection that its render node has ended is ended or moved soon."
+            }
+            Rule::SilentConnectionKept => "A connection that returns nothing is ended or moved in time.",
+            Rule::MisbehavingClientUnanswered => "A rude client gets an error or a close in time.",
+            Rule::MisbehavingClientServed => "A rude client is not served.",
             Rule::BadFirstLine => {
                 "A first line that a render node gets is one that a client put to that proxy."
             }
             Rule::ProxyCrashed => "A proxy runs until it is told to stop, and then exits with code 0.",
-            Rule::ProxyStayed => "A proxy that was told to stop is gone in time.",
+            Rule::ShutdownOverrun => "A proxy that was told to stop is gone in time.",
             Rule::OversizedDatagram => "A datagram between proxies has at most 256 bytes.",
         }
     }
--- a/crates/kit/src/judge/service.rs
+++ b/crates/kit/src/judge/service.rs
@@ -1,4 +1,5 @@
-//! Connection seconds: those asked for and those well served, each second of the run, to the microsecond.
+//! Connection seconds that were requested and that were well served, for each second of the run, summed exactly in
+//! microseconds.
 
 use crate::plan::{Plan, SessionId};
 use crate::time::{Micros, S};
@@ -6,12 +7,12 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// The worst window is this many seconds long.
-const WINDOW: usize = 10;
-/// Parts of the mix (BRIEF, "Weights of service").
-const MIX: [f64; 4] = [0.3, 0.3, 0.3, 0.1];
+/// Length of the worst window, in seconds.
+const WINDOW_SECONDS: usize = 10;
+/// Weights of the mixed figure (BRIEF, "Weights of service").
+const MIX_WEIGHTS: [f64; 4] = [0.3, 0.3, 0.3, 0.1];
 
-/// Parts of the service; none where nothing was asked for.
+/// Service ratios, 0 to 1; none where nothing was requested.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Ratios {
     /// The whole measured run.
@@ -32,94 +33,94 @@
     pub mix: Option<f64>,
 }
 
-/// Worth asked for and well served in each second from the start of the measured part.
+/// Weighted connection seconds in each second from the start of the measured part.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Service {
-    /// Asked for.
+    /// Requested.
     pub wanted: Vec<f64>,
     /// Well served.
     pub well: Vec<f64>,
-    /// What follows from them.
+    /// The ratios computed from them.
     pub ratios: Ratios,
 }
 
-/// What one session asks for, and until when its service is counted.
+/// The time in which one session requests a connection, and up to when its service has been counted.
 #[derive(Clone, Copy, Debug)]
-struct Wish {
+struct Demand {
     from: Micros,
     until: Micros,
     counted: Micros,
 }
 
-/// Sums up as the run goes on.
+/// Incremental sums over the run.
 #[derive(Debug)]
-pub(super) struct Sums {
+pub(super) struct ServiceSums {
     from: Micros,
     ends: Micros,
-    worth: Vec<f64>,
+    weights: Vec<f64>,
     quotas: Vec<f64>,
     /// Class and tenant of each session, as one number.
     cells: Vec<usize>,
-    wishes: Vec<Option<Wish>>,
-    /// How many sessions of each cell want a connection now; when they cease; how far that is summed up.
-    live: Vec<i64>,
-    ceasing: BinaryHeap<Reverse<(Micros, usize)>>,
+    demands: Vec<Option<Demand>>,
+    /// How many sessions of each cell request a connection now, when they end, and up to when that is summed.
+    active: Vec<i64>,
+    endings: BinaryHeap<Reverse<(Micros, usize)>>,
     summed: Micros,
     /// For each second and cell, in microseconds.
     wanted: Vec<i64>,
     well: Vec<i64>,
-    /// For each second and tenant: worth asked for within its share, in microseconds times worth.
-    within: Vec<f64>,
+    /// For each second and tenant: weighted microseconds requested within the tenant's quota.
+    within_quota: Vec<f64>,
 }
 
-impl Sums {
+impl ServiceSums {
     pub fn new(plan: &Plan) -> Self {
         let (classes, tenants) = (plan.classes.len().max(1), plan.tenants.len().max(1));
         let seconds = usize::try_from((plan.ends - plan.measured_from + S - 1) / S).unwrap_or(0);
         let cell = |class: u8, tenant: u8| {
             usize::from(class).min(classes - 1) + classes * usize::from(tenant).min(tenants - 1)
         };
-        let mut worth: Vec<f64> = plan.classes.iter().map(|c| c.worth).collect();
-        worth.resize(classes, 1.0);
+        let mut weights: Vec<f64> = plan.classes.iter().map(|c| c.worth).collect();
+        weights.resize(classes, 1.0);
         let mut quotas: Vec<f64> = plan.tenants.iter().map(|t| t.quota_connections).collect();
         quotas.resize(tenants, 0.0);
-        Sums {
+        ServiceSums {
             from: plan.measured_from,
             ends: plan.ends,
-            worth,
+            weights,
             quotas,
             cells: plan.sessions.iter().map(|s| cell(s.class, s.tenant)).collect(),
-            wishes: vec![None; plan.sessions.len()],
-            live: vec![0; classes * tenants],
-            ceasing: BinaryHeap::new(),
+            demands: vec![None; plan.sessions.len()],
+            active: vec![0; classes * tenants],
+            endings: BinaryHeap::new(),
             summed: plan.measured_from,
             wanted: vec![0; classes * tenants * seconds],
             well: vec![0; classes * tenants * seconds],
-            within: vec![0.0; tenants * seconds],
+            within_quota: vec![0.0; tenants * seconds],
         }
     }
 
-    /// A session wants a connection from now on. One that is not the plan's, or wished before, changes nothing.
+    /// A session requests a connection from now on. An unknown session, or a second request, changes nothing.
     pub fn wanted(&mut self, at: Micros, session: SessionId, until: Micros) {
         self.sum_to(at);
-        let Some(wish @ None) = self.wishes.get_mut(session.0 as usize) else { return };
-        *wish = Some(Wish { from: at, until, counted: at });
+        let Some(demand @ None) = self.demands.get_mut(session.0 as usize) else { return };
+        *demand = Some(Demand { from: at, until, counted: at });
         let cell = self.cells[session.0 as usize];
         if until > at {
-            self.live[cell] += 1;
-            self.ceasing.push(Reverse((until, cell)));
+            self.active[cell] += 1;
+            self.endings.push(Reverse((until, cell)));
         }
     }
 
-    /// A span of a session's is over. What it did not ask for, and what is counted already, is left out.
+    /// A span of a session is over. Time that the session did not request, or that is already counted, is ignored.
     pub fn served(&mut self, at: Micros, session: SessionId, from: Micros, well: bool) {
-        let Some(Some(wish)) = self.wishes.get_mut(session.0 as usize) else { return };
-        let (from, to) = (from.max(wish.from).max(wish.counted), at.min(wish.until));
-        wish.counted = wish.counted.max(to);
+        let Some(Some(demand)) = self.demands.get_mut(session.0 as usize) else { return };
+        let (from, to) = (from.max(demand.from).max(demand.counted), at.min(demand.until));
+        demand.counted = demand.counted.max(to);
         if well {
             let cell = self.cells[session.0 as usize];
-            let (start, cells) = (self.from, self.live.len());
-            for (second, span) in pieces(start, from, to.min(self.ends)) {
+            let (start, cells) = (self.from, self.active.len());
+            for (second, span) in split_by_second(start, from, to.min(self.ends)) {
                 if let Some(sum) = self.well.get_mut(second * cells + cell) {
                     *sum += span;
                 }
@@ -129,95 +130,97 @@
 
     fn sum_to(&mut self, at: Micros) {
         while let Some(&Reverse((until, cell))) =
-            self.ceasing.peek().filter(|Reverse((until, _))| *until <= at)
+            self.endings.peek().filter(|Reverse((until, _))| *until <= at)
         {
-            self.sum_evenly(until);
-            self.live[cell] -= 1;
-            self.ceasing.pop();
+            self.sum_constant(until);
+            self.active[cell] -= 1;
+            self.endings.pop();
         }
-        self.sum_evenly(at);
+        self.sum_constant(at);
     }
 
-    /// As long as nobody comes or goes.
-    fn sum_evenly(&mut self, to: Micros) {
+    /// Sums up to `to`, with a constant number of active sessions.
+    fn sum_constant(&mut self, to: Micros) {
         let to = to.min(self.ends);
         if to <= self.summed {
             return;
         }
-        let (classes, cells, tenants) = (self.worth.len(), self.live.len(), self.quotas.len());
-        for (second, span) in pieces(self.from, self.summed, to) {
-            for (cell, live) in self.live.iter().enumerate() {
-                self.wanted[second * cells + cell] += live * span;
+        let (classes, cells, tenants) = (self.weights.len(), self.active.len(), self.quotas.len());
+        for (second, span) in split_by_second(self.from, self.summed, to) {
+            for (cell, active) in self.active.iter().enumerate() {
+                self.wanted[second * cells + cell] += active * span;
             }
             for (tenant, quota) in self.quotas.iter().enumerate() {
-                let live = &self.live[tenant * classes..(tenant + 1) * classes];
-                let worth: f64 = live.iter().zip(&self.worth).map(|(n, worth)| *n as f64 * worth).sum();
-                let count = live.iter().sum::<i64>() as f64;
-                // A quota of 0 is none.
+                let active = &self.active[tenant * classes..(tenant + 1) * classes];
+                let weight: f64 =
+                    active.iter().zip(&self.weights).map(|(count, weight)| *count as f64 * weight).sum();
+                let count = active.iter().sum::<i64>() as f64;
+                // A quota of 0 means no quota.
                 let share = if *quota > 0.0 && count > *quota { quota / count } else { 1.0 };
-                self.within[second * tenants + tenant] += worth * share * span as f64;
+                self.within_quota[second * tenants + tenant] += weight * share * span as f64;
             }
         }
         self.summed = to;
     }
 
-    /// The run is over.
+    /// Ends the sums at `at` and computes the ratios.
     pub fn finish(mut self, at: Micros, plan: &Plan) -> Service {
         self.sum_to(at);
         let seconds = usize::try_from((at.min(self.ends) - self.from + S - 1) / S).unwrap_or(0);
         let (wanted, well) = (self.by_second(&self.wanted, seconds), self.by_second(&self.well, seconds));
         let mut ratios = Ratios { whole: ratio(wanted.iter().sum(), well.iter().sum()), ..Ratios::default() };
-        let size = WINDOW.min(seconds.max(1));
+        let size = WINDOW_SECONDS.min(seconds.max(1));
         let windows = wanted.windows(size).zip(well.windows(size)).enumerate();
         for (second, (wanted, well)) in windows {
-            if worse(&mut ratios.worst_window, ratio(wanted.iter().sum(), well.iter().sum())) {
+            if replace_if_worse(&mut ratios.worst_window, ratio(wanted.iter().sum(), well.iter().sum())) {
                 ratios.worst_window_from = self.from + second as Micros * S;
             }
         }
-        let classes = self.worth.len();
+        let classes = self.weights.len();
         for class in 0..classes {
             let sum = |cells: &[i64]| cells.iter().skip(class).step_by(classes).sum::<i64>() as f64;
-            if worse(&mut ratios.worst_class, ratio(sum(&self.wanted), sum(&self.well))) {
+            if replace_if_worse(&mut ratios.worst_class, ratio(sum(&self.wanted), sum(&self.well))) {
                 ratios.worst_class_name = plan.classes.get(class).map(|c| c.name.clone()).unwrap_or_default();
             }
         }
         for tenant in 0..self.quotas.len() {
-            if worse(&mut ratios.worst_tenant, self.within_share(tenant)) {
+            if replace_if_worse(&mut ratios.worst_tenant, self.within_share(tenant)) {
                 ratios.worst_tenant_name =
                     plan.tenants.get(tenant).map(|t| t.name.clone()).unwrap_or_default();
             }
         }
         let parts = [ratios.whole, ratios.worst_window, ratios.worst_class, ratios.worst_tenant];
-        ratios.mix = MIX.iter().zip(parts).map(|(weight, part)| Some(weight * part?)).sum();
+        ratios.mix = MIX_WEIGHTS.iter().zip(parts).map(|(weight, part)| Some(weight * part?)).sum();
         Service { wanted, well, ratios }
     }
 
-    /// Worth of each second.
+    /// Weighted connection seconds of each second.
     fn by_second(&self, sums: &[i64], seconds: usize) -> Vec<f64> {
-        let classes = self.worth.len();
-        let worth = |cells: &[i64]| -> f64 {
-            cells.iter().enumerate().map(|(cell, sum)| *sum as f64 / 1e6 * self.worth[cell % classes]).sum()
+        let classes = self.weights.len();
+        let weighted = |cells: &[i64]| -> f64 {
+            cells.iter().enumerate().map(|(cell, sum)| *sum as f64 / 1e6 * self.weights[cell % classes]).sum()
         };
-        sums.chunks(self.live.len()).take(seconds).map(worth).collect()
+        sums.chunks(self.active.len()).take(seconds).map(weighted).collect()
     }
 
-    /// A tenant's service: in each second, no more is asked for, and no more counts, than is within its share.
+    /// A tenant's service: in each second at most the demand within its quota is requested, and at most that counts.
     fn within_share(&self, tenant: usize) -> Option<f64> {
-        let (classes, cells, tenants) = (self.worth.len(), self.live.len(), self.quotas.len());
+        let (classes, cells, tenants) = (self.weights.len(), self.active.len(), self.quotas.len());
         let (mut wanted, mut well) = (0.0, 0.0);
         for (second, sums) in self.well.chunks(cells).enumerate() {
-            let within = self.within[second * tenants + tenant];
+            let within_quota = self.within_quota[second * tenants + tenant];
             let served = &sums[tenant * classes..(tenant + 1) * classes];
-            let served: f64 = served.iter().zip(&self.worth).map(|(sum, worth)| *sum as f64 * worth).sum();
-            wanted += within;
-            well += served.min(within);
+            let served: f64 =
+                served.iter().zip(&self.weights).map(|(sum, weight)| *sum as f64 * weight).sum();
+            wanted += within_quota;
+            well += served.min(within_quota);
         }
         ratio(wanted, well)
     }
 }
 
-/// A span cut at the seconds since `start`; what lies before that is left out.
-fn pieces(start: Micros, from: Micros, to: Micros) -> impl Iterator<Item = (usize, Micros)> {
+/// Splits a span at whole seconds since `start`; the part before `start` is ignored.
+fn split_by_second(start: Micros, from: Micros, to: Micros) -> impl Iterator<Item = (usize, Micros)> {
     let mut at = from.max(start);
     std::iter::from_fn(move || {
         if at >= to {
@@ -235,8 +238,8 @@
     (wanted > 0.0).then(|| well / wanted)
 }
 
-/// Takes the worse of two.
-fn worse(worst: &mut Option<f64>, other: Option<f64>) -> bool {
+/// Replaces `worst` if `other` is worse; says whether it did.
+fn replace_if_worse(worst: &mut Option<f64>, other: Option<f64>) -> bool {
     let is = other.is_some_and(|other| worst.is_none_or(|worst| other < worst));
     if is {
         *worst = other;
--- a/crates/kit/src/judge/slow_start.rs
+++ b/crates/kit/src/judge/slow_start.rs
@@ -1,126 +1,152 @@
-//! What cold render nodes are sent, by all proxies together.
+//! The load that all proxies together send to render nodes in slow start.
 
-use super::list_knowledge::Told;
+use super::list_knowledge::ListKnowledge;
 use super::rule::Rule;
-use super::rule_output::{Desk, Subject};
-use super::seconds;
+use super::rule_output::{RuleOutput, Subject};
+use super::units::format_seconds;
 use crate::observation::{Cold, Seen};
 use crate::plan::{NodeId, ProxyId, Rules};
 use crate::time::Micros;
 use std::collections::VecDeque;
 
-/// Attempts beyond the budget that a window may hold, for chance: budgets are small (some ten attempts), proxies
-/// don't see one another, and the way to a render node shifts an attempt into a neighbouring window.
-const SLACK: f64 = 4.0;
+/// Attempts above the budget that a window may hold: budgets are small (about ten attempts), proxies don't coordinate,
+/// and network latency shifts an attempt into a neighbouring window.
+const CHANCE_ALLOWANCE: f64 = 4.0;
 
-/// A render node that is not warm yet.
+/// A render node that is still warming up.
 #[derive(Debug)]
-struct Warming {
+struct WarmingNode {
     started: Micros,
     cold: Cold,
-    /// Arrivals of the latest window, and whether their proxy had been told of the start.
+    /// Attempts of the latest window, and whether their proxy had been notified of the start.
     window: VecDeque<(Micros, bool)>,
-    told: usize,
-    /// One finding for each start: falling over is what an overrun budget leads to.
-    blamed: bool,
+    /// How many of these proxies had been.
+    notified: usize,
+    /// A violation is reported once for each start: an overload follows from the exceeded budget.
+    reported: bool,
 }
 
-/// All of them.
+/// Render nodes in slow start, by place.
 #[derive(Debug)]
-pub(super) struct ColdNodes {
-    nodes: Vec<Option<Warming>>,
-    multiple: f64,
-    span: Micros,
+pub(super) struct WarmingNodes {
+    nodes: Vec<Option<WarmingNode>>,
+    budget_multiple: f64,
+    window_length: Micros,
 }
 
-impl ColdNodes {
+impl WarmingNodes {
     pub fn new(nodes: usize, rules: &Rules) -> Self {
         let nodes = (0..nodes).map(|_| None).collect();
-        ColdNodes { nodes, multiple: rules.fall_multiple, span: rules.fall_window }
+        WarmingNodes { nodes, budget_multiple: rules.fall_multiple, window_length: rules.fall_window }
     }
 
-    pub fn see(&mut self, at: Micros, seen: &Seen, told: &mut Told, desk: &mut Desk) {
+    pub fn observe(
+        &mut self,
+        at: Micros,
+        seen: &Seen,
+        list_knowledge: &mut ListKnowledge,
+        output: &mut RuleOutput,
+    ) {
         match *seen {
             Seen::Started { node, cold } => {
                 if let Some(slot) = self.nodes.get_mut(usize::from(node.0)) {
                     *slot = cold.map(|cold| {
                         let window = VecDeque::new();
-                        Warming { started: at, cold, window, told: 0, blamed: false }
+                        WarmingNode { started: at, cold, window, notified: 0, reported: false }
                     });
                 }
             }
-            Seen::Attempt { attempt, proxy, .. } => self.arrived(at, attempt.node, proxy, told, desk),
-            Seen::Fell { node } => self.fell(at, node, desk),
+            Seen::Attempt { attempt, proxy, .. } => {
+                self.record_attempt(at, attempt.node, proxy, list_knowledge, output)
+            }
+            Seen::Fell { node } => self.record_overload(at, node, output),
             _ => {}
         }
     }
 
-    fn arrived(&mut self, at: Micros, node: NodeId, proxy: ProxyId, told: &mut Told, desk: &mut Desk) {
-        let (multiple, span) = (self.multiple, self.span);
+    fn record_attempt(
+        &mut self,
+        at: Micros,
+        node: NodeId,
+        proxy: ProxyId,
+        list_knowledge: &mut ListKnowledge,
+        output: &mut RuleOutput,
+    ) {
+        let (budget_multiple, window_length) = (self.budget_multiple, self.window_length);
         let Some(slot) = self.nodes.get_mut(usize::from(node.0)) else { return };
         let Some(warming) = slot else { return };
         if at - warming.started >= warming.cold.warm_up {
             *slot = None;
             return;
         }
-        let knew = told.knows_start(at, proxy, node, warming.started);
-        warming.take(at, span, Some(knew));
-        let budget = multiple * warming.cold.joins_per_s * warming.share(at) * (span as f64 / 1e6);
-        let came = warming.window.len();
-        if came as f64 > budget + SLACK && warming.knowingly() && !warming.blamed {
-            warming.blamed = true;
-            let what = format!(
-                "{came} attempts within {}, {} of them by proxies that were told of its start at {}; it bears \
-                 {budget:.1} (and {SLACK} for chance), being at {:.0}% of {:.1} a second",
-                seconds(span),
-                warming.told,
-                seconds(warming.started),
-                100.0 * warming.share(at),
+        let was_notified = list_knowledge.knows_of_start(at, proxy, node, warming.started);
+        warming.advance_window(at, window_length, Some(was_notified));
+        let budget = budget_multiple
+            * warming.cold.joins_per_s
+            * warming.capacity_share(at)
+            * (window_length as f64 / 1e6);
+        let arrivals = warming.window.len();
+        if arrivals as f64 > budget + CHANCE_ALLOWANCE && warming.mostly_notified() && !warming.reported {
+            warming.reported = true;
+            let description = format!(
+                "{arrivals} attempts within {}, {} of them by proxies that were told of its start at {}; it bears \
+                 {budget:.1} (and {CHANCE_ALLOWANCE} for chance), being at {:.0}% of {:.1} a second",
+                format_seconds(window_length),
+                warming.notified,
+                format_seconds(warming.started),
+                100.0 * warming.capacity_share(at),
                 warming.cold.joins_per_s
             );
             let subject = Subject { node: Some(node), proxy: Some(proxy), ..Subject::default() };
-            desk.accuse(at, Rule::ColdBudget, subject, what);
+            output.report_violation(at, Rule::SlowStartBudget, subject, description);
         }
     }
 
-    fn fell(&mut self, at: Micros, node: NodeId, desk: &mut Desk) {
+    fn record_overload(&mut self, at: Micros, node: NodeId, output: &mut RuleOutput) {
         let Some(slot) = self.nodes.get_mut(usize::from(node.0)) else { return };
         let Some(mut warming) = slot.take() else { return };
-        warming.take(at, self.span, None);
-        if warming.knowingly() && !warming.blamed {
-            let what = format!(
+        warming.advance_window(at, self.window_length, None);
+        if warming.mostly_notified() && !warming.reported {
+            let description = format!(
                 "fell over with {} attempts within {}, {} of them by proxies that were told of its start at {}",
                 warming.window.len(),
-                seconds(self.span),
-                warming.told,
-                seconds(warming.started)
+                format_seconds(self.window_length),
+                warming.notified,
+                format_seconds(warming.started)
+            );
+            output.report_violation(
+                at,
+                Rule::SlowStartBudget,
+                Subject { node: Some(node), ..Subject::default() },
+                description,
             );
-            desk.accuse(at, Rule::ColdBudget, Subject { node: Some(node), ..Subject::default() }, what);
         }
     }
 }
 
-impl Warming {
-    /// Moves the window on to this time, with an arrival in it or none.
-    fn take(&mut self, at: Micros, span: Micros, knew: Option<bool>) {
-        while let Some((_, knew)) = self.window.front().filter(|(then, _)| *then <= at - span) {
-            self.told -= usize::from(*knew);
+impl WarmingNode {
+    /// Advances the window to `at`, and records an attempt if there is one.
+    fn advance_window(&mut self, at: Micros, window_length: Micros, was_notified: Option<bool>) {
+        while let Some((_, was_notified)) =
+            self.window.front().filter(|(then, _)| *then <= at - window_length)
+        {
+            self.notified -= usize::from(*was_notified);
             self.window.pop_front();
         }
-        if let Some(knew) = knew {
-            self.window.push_back((at, knew));
-            self.told += usize::from(knew);
+        if let Some(was_notified) = was_notified {
+            self.window.push_back((at, was_notified));
+            self.notified += usize::from(was_notified);
         }
     }
 
-    /// Part of its capacity that it has.
-    fn share(&self, at: Micros) -> f64 {
-        let part = (at - self.started) as f64 / self.cold.warm_up.max(1) as f64;
-        self.cold.from + (1.0 - self.cold.from) * part.clamp(0.0, 1.0)
+    /// Share of the full capacity that is available at `at`.
+    fn capacity_share(&self, at: Micros) -> f64 {
+        let progress = (at - self.started) as f64 / self.cold.warm_up.max(1) as f64;
+        self.cold.from + (1.0 - self.cold.from) * progress.clamp(0.0, 1.0)
     }
 
-    /// Two thirds of what came were sent by proxies that were told of its start; else it is nobody's fault.
-    fn knowingly(&self) -> bool {
-        !self.window.is_empty() && 3 * self.told >= 2 * self.window.len()
+    /// Whether at least two thirds of the attempts came from proxies that knew of the start; otherwise no proxy is to blame.
+    fn mostly_notified(&self) -> bool {
+        !self.window.is_empty() && 3 * self.notified >= 2 * self.window.len()
     }
 }
--- a/crates/kit/src/judge/verdict.rs
+++ b/crates/kit/src/judge/verdict.rs
@@ -3,7 +3,7 @@
 use super::figures::Figures;
 use super::lateness::Lateness;
 use super::rule::Rule;
-use super::rule_output::{Desk, Found};
+use super::rule_output::{RuleOutput, Violation};
 use crate::plan::Plan;
 use crate::time::Micros;
 use serde::Serialize;
@@ -40,14 +40,16 @@
     /// The proxy's name.
     pub proxy: Option<String>,
     /// What was owed, what came, and when.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
     /// What was seen of the same request, and of the state of its render node and proxy, a little before and after.
-    pub around: Vec<String>,
+    #[serde(rename = "around")]
+    pub surrounding_events: Vec<String>,
 }
 
 /// A demand that was not reached.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Unreached {
+pub struct MissedDemand {
     /// Which: `service`, `worst_window`, or `datagram_bytes_per_s`, which is a bound from above.
     pub demand: &'static str,
     /// What was demanded.
@@ -70,11 +72,13 @@
     /// Why it is void.
     pub void: Option<String>,
     /// How often each rule was broken; those that were kept are left out.
-    pub breaks: BTreeMap<Rule, u64>,
+    #[serde(rename = "breaks")]
+    pub violations: BTreeMap<Rule, u64>,
     /// The first ten breaks of each rule, in the order in which they were found.
     pub findings: Vec<Finding>,
     /// Demands that were not reached.
-    pub unreached: Vec<Unreached>,
+    #[serde(rename = "unreached")]
+    pub missed_demands: Vec<MissedDemand>,
     /// How late the kit ran.
     pub lateness: Lateness,
     /// The figures.
@@ -82,22 +86,28 @@
 }
 
 impl Verdict {
-    pub(super) fn new(plan: &Plan, end: Micros, lateness: Lateness, desk: Desk, figures: Figures) -> Self {
+    pub(super) fn new(
+        plan: &Plan,
+        end: Micros,
+        lateness: Lateness,
+        output: RuleOutput,
+        figures: Figures,
+    ) -> Self {
         let ratios = &figures.service.ratios;
         let demands = [
             ("service", plan.demands.service, ratios.whole),
             ("worst_window", plan.demands.worst_window, ratios.worst_window),
         ];
-        let unreached: Vec<Unreached> = demands
+        let missed_demands: Vec<MissedDemand> = demands
             .into_iter()
             .filter(|(_, demanded, reached)| *demanded > 0.0 && reached.is_none_or(|r| r < *demanded))
-            .map(|(demand, demanded, reached)| Unreached { demand, demanded, reached })
+            .map(|(demand, demanded, reached)| MissedDemand { demand, demanded, reached })
             .chain(too_many_bytes(plan, &figures))
             .collect();
-        let void = lateness.void();
+        let void = lateness.void_reason();
         let outcome = match &void {
             Some(_) => Outcome::Void,
-            None if desk.counts.is_empty() && unreached.is_empty() => Outcome::Passed,
+            None if output.counts.is_empty() && missed_demands.is_empty() => Outcome::Passed,
             None => Outcome::Failed,
         };
         Verdict {
@@ -106,9 +116,9 @@
             judged_to: end,
             outcome,
             void,
-            breaks: desk.counts,
-            findings: desk.found.into_iter().map(|found| finding(plan, found)).collect(),
-            unreached,
+            violations: output.counts,
+            findings: output.violations.into_iter().map(|violation| finding(plan, violation)).collect(),
+            missed_demands,
             lateness,
             figures,
         }
@@ -130,38 +140,42 @@
     }
 
     /// Rules that were broken.
-    pub fn broken(&self) -> impl Iterator<Item = Rule> {
-        self.breaks.keys().copied()
+    pub fn violated_rules(&self) -> impl Iterator<Item = Rule> {
+        self.violations.keys().copied()
     }
 
     /// How often the rule was broken.
-    pub fn broke(&self, rule: Rule) -> u64 {
-        self.breaks.get(&rule).copied().unwrap_or(0)
+    pub fn violation_count(&self, rule: Rule) -> u64 {
+        self.violations.get(&rule).copied().unwrap_or(0)
     }
 }
 
 /// The proxy that sent most in a second, if that was more than is allowed.
-fn too_many_bytes(plan: &Plan, figures: &Figures) -> Option<Unreached> {
+fn too_many_bytes(plan: &Plan, figures: &Figures) -> Option<MissedDemand> {
     let most = figures.proxies.iter().map(|proxy| proxy.most_bytes_in_a_second).max()?;
     let allowed = plan.demands.datagram_bytes_per_s;
     let (demanded, reached) = (allowed as f64, Some(most as f64));
-    (allowed > 0 && most > allowed).then_some(Unreached { demand: "datagram_bytes_per_s", demanded, reached })
+    (allowed > 0 && most > allowed).then_some(MissedDemand {
+        demand: "datagram_bytes_per_s",
+        demanded,
+        reached,
+    })
 }
 
-fn finding(plan: &Plan, found: Found) -> Finding {
-    let subject = found.subject;
+fn finding(plan: &Plan, violation: Violation) -> Finding {
+    let subject = violation.subject;
     let node = |i: u16| plan.nodes.get(usize::from(i)).map_or_else(|| i.to_string(), |n| n.name.clone());
     let proxy = |i: u16| plan.proxies.get(usize::from(i)).map_or_else(|| i.to_string(), |p| p.name.clone());
     Finding {
-        rule: found.rule,
-        at: found.at,
+        rule: violation.rule,
+        at: violation.at,
         request: subject.request.map(|r| format!("{:016x}", r.0)),
         session: subject.session.map(|s| s.0),
         rude: subject.rude,
         node: subject.node.map(|n| node(n.0)),
         proxy: subject.proxy.map(|p| proxy(p.0)),
-        what: found.what,
-        around: found.around.iter().map(ToString::to_string).collect(),
+        description: violation.description,
+        surrounding_events: violation.surrounding_events.iter().map(ToString::to_string).collect(),
     }
 }
 
@@ -183,18 +197,18 @@
         if let Some(proxy) = &self.proxy {
             write!(f, ", proxy {proxy}")?;
         }
-        writeln!(f, ":\n    {}", self.what)?;
-        self.around.iter().try_for_each(|line| writeln!(f, "      | {line}"))
+        writeln!(f, ":\n    {}", self.description)?;
+        self.surrounding_events.iter().try_for_each(|line| writeln!(f, "      | {line}"))
     }
 }
 
 /// A part of 1, or a dash.
-struct Part(Option<f64>);
+struct Ratio(Option<f64>);
 
-impl fmt::Display for Part {
+impl fmt::Display for Ratio {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
-            Some(part) => write!(f, "{part:.3}"),
+            Some(ratio) => write!(f, "{ratio:.3}"),
             None => f.write_str("-"),
         }
     }
@@ -213,12 +227,15 @@
         if let Some(why) = &self.void {
             writeln!(f, "{why}: the run proves nothing; free the machine, or rehearse something smaller")?;
         }
-        for (rule, count) in &self.breaks {
+        for (rule, count) in &self.violations {
             writeln!(f, "\nBROKEN {rule}, {count} times. {}", rule.meaning())?;
-            self.findings.iter().filter(|found| found.rule == *rule).try_for_each(|found| found.fmt(f))?;
+            self.findings
+                .iter()
+                .filter(|violation| violation.rule == *rule)
+                .try_for_each(|violation| violation.fmt(f))?;
         }
-        for Unreached { demand, demanded, reached } in &self.unreached {
-            writeln!(f, "\nNOT REACHED {demand}: {demanded:.3} was demanded, {} came", Part(*reached))?;
+        for MissedDemand { demand, demanded, reached } in &self.missed_demands {
+            writeln!(f, "\nNOT REACHED {demand}: {demanded:.3} was demanded, {} came", Ratio(*reached))?;
         }
         writeln!(f)?;
         self.figures.fmt(f)
@@ -231,13 +248,13 @@
         writeln!(
             f,
             "service {}: whole run {}, worst 10 s {} (from {:.0} s), worst class {} ({}), worst tenant {} ({})",
-            Part(r.mix),
-            Part(r.whole),
-            Part(r.worst_window),
+            Ratio(r.mix),
+            Ratio(r.whole),
+            Ratio(r.worst_window),
             r.worst_window_from as f64 / 1e6,
-            Part(r.worst_class),
+            Ratio(r.worst_class),
             r.worst_class_name,
-            Part(r.worst_tenant),
+            Ratio(r.worst_tenant),
             r.worst_tenant_name
         )?;
         let a = &self.answers;
@@ -251,7 +268,7 @@
             a.failed,
             a.unanswered,
             self.unreached,
-            Part(self.attempts_per_request)
+            Ratio(self.attempts_per_request)
         )?;
         writeln!(f, "moves {}, resets seen by clients {}", self.moves, self.resets)?;
         for class in &self.latencies {
--- a/crates/kit/src/prove.rs
+++ b/crates/kit/src/prove.rs
@@ -45,16 +45,16 @@
         Fault::InventedUp => Rule::InventedAnswer,
         Fault::SecondAttempt => Rule::TwoAttempts,
         Fault::SendsToDrained => Rule::SendAfterDrain,
-        Fault::FloodsCold => Rule::ColdBudget,
+        Fault::FloodsCold => Rule::SlowStartBudget,
         Fault::CutsWithoutMove => Rule::CutWithoutMove,
-        Fault::HoldsLine => Rule::LineHeld,
-        Fault::KeepsEnded => Rule::EndedKept,
-        Fault::KeepsSilent => Rule::SilentKept,
+        Fault::HoldsLine => Rule::LineDelayed,
+        Fault::KeepsEnded => Rule::EndedConnectionKept,
+        Fault::KeepsSilent => Rule::SilentConnectionKept,
         Fault::BadFirstLine => Rule::BadFirstLine,
-        Fault::IgnoresRude => Rule::RudeUnanswered,
-        Fault::ServesRude => Rule::RudeServed,
+        Fault::IgnoresRude => Rule::MisbehavingClientUnanswered,
+        Fault::ServesRude => Rule::MisbehavingClientServed,
         Fault::Crashes => Rule::ProxyCrashed,
-        Fault::Stays => Rule::ProxyStayed,
+        Fault::Stays => Rule::ShutdownOverrun,
         Fault::TooManyAttempts => Rule::TooManyAttempts,
         Fault::BigDatagram => Rule::OversizedDatagram,
     }
@@ -64,7 +64,7 @@
     /// The judge found the fault's rule broken and no other; none for an honest proxy.
     pub fn holds(&self) -> bool {
         let expected: Vec<Rule> = self.fault.map(rule).into_iter().collect();
-        !self.verdict.is_void() && self.verdict.broken().collect::<Vec<_>>() == expected
+        !self.verdict.is_void() && self.verdict.violated_rules().collect::<Vec<_>>() == expected
     }
 }
 
@@ -72,7 +72,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let name = self.fault.map_or("honest".to_owned(), |fault| fault.to_string());
         let broken: Vec<String> =
-            self.verdict.breaks.iter().map(|(rule, count)| format!("{rule} {count} times")).collect();
+            self.verdict.violations.iter().map(|(rule, count)| format!("{rule} {count} times")).collect();
         let said = match (self.verdict.is_void(), broken.is_empty()) {
             (true, _) => "void: the machine was too busy".to_owned(),
             (false, true) => "no rule broken".to_owned(),
--- a/crates/kit/src/rehearse.rs
+++ b/crates/kit/src/rehearse.rs
@@ -142,7 +142,7 @@
 pub fn judge(plan: &Arc<Plan>, observations: &[Observation], ended: Micros) -> Verdict {
     let mut judge = Judge::new(Arc::clone(plan));
     for observation in observations.iter().take_while(|observation| observation.at <= ended) {
-        judge.see(observation);
+        judge.observe(observation);
     }
     judge.finish(ended)
 }
--- a/crates/kit/tests/judge/figures.rs
+++ b/crates/kit/tests/judge/figures.rs
@@ -147,7 +147,7 @@
         (100, 50, 90, 100)
     );
     // Nothing was asked for, so the demand is not reached.
-    assert_eq!((verdict.outcome, verdict.unreached.len()), (Outcome::Failed, 1));
+    assert_eq!((verdict.outcome, verdict.missed_demands.len()), (Outcome::Failed, 1));
     let json = simd_json::to_string(&verdict).unwrap();
     for part in [r#""outcome":"failed""#, r#""breaks":{"one-final-answer":1}"#, r#""demand":"service""#] {
         assert!(json.contains(part), "no {part} in {json}");
--- a/crates/kit/tests/judge/load.rs
+++ b/crates/kit/tests/judge/load.rs
@@ -66,7 +66,7 @@
     for n in 0..steps {
         let trace = step(n, &mut standing).sorted();
         let began = Instant::now();
-        trace.iter().for_each(|o| judge.see(o));
+        trace.iter().for_each(|o| judge.observe(o));
         took += began.elapsed();
         seen += trace.len();
     }
--- a/crates/kit/tests/judge/model.rs
+++ b/crates/kit/tests/judge/model.rs
@@ -238,7 +238,7 @@
             let (w, at) = (c.w.again(7, DRAIN.0), c.up - 4.99);
             out.attempt(at, w).node_says(at + 0.1, w, NodeAnswer::Busy);
         }
-        Rule::ColdBudget => {
+        Rule::SlowStartBudget => {
             for i in 0..40 {
                 out.refused(DEATH.1 + 9500.0 + f64::from(i), who(500 + i as u64, 0, DEATH.0));
             }
@@ -248,24 +248,24 @@
             out = t.without(client_end(c.w));
             out.ended(c.end, c.w);
         }
-        Rule::LineHeld => {
+        Rule::LineDelayed => {
             let c = any(&|c| c.lines > 1 && c.end < KILL.1 && usable(c.w.attempt.node.0, c.end))?;
             out = t.without(
                 |s| matches!(s, Seen::LineBack { request, line } if *request == c.w.request && *line + 2 == c.lines),
             );
         }
-        Rule::EndedKept => {
+        Rule::EndedConnectionKept => {
             let c = any(&|c| c.fate == Fate::NodeDied)?;
             out = t.without(client_end(c.w));
             out.ended(DEATH.1 + 1060.0, c.w);
         }
-        Rule::SilentKept => {
+        Rule::SilentConnectionKept => {
             let c = any(&|c| c.fate == Fate::NodeHung && c.w.proxy.0 != KILL.0)?;
             out = t.without(client_end(c.w));
             out = out.without(|s| matches!(s, Seen::AttemptOver { attempt, .. } if *attempt == c.w.attempt));
         }
-        Rule::RudeUnanswered => out = t.without(|s| matches!(s, Seen::RudeOver { rude: 0, .. })),
-        Rule::RudeServed => {
+        Rule::MisbehavingClientUnanswered => out = t.without(|s| matches!(s, Seen::RudeOver { rude: 0, .. })),
+        Rule::MisbehavingClientServed => {
             out = t.without(|s| matches!(s, Seen::RudeOver { rude: 2, .. }));
             out.rude_over(6500.0, 2, RudeEnd::Served);
         }
@@ -277,7 +277,7 @@
         Rule::ProxyCrashed => {
             out = t.without(|s| matches!(s, Seen::ProxySignalled { signal: Signal::Kill, .. }))
         }
-        Rule::ProxyStayed => {
+        Rule::ShutdownOverrun => {
             out.signal(55_000.0, 0, Signal::Terminate);
         }
         Rule::LineChanged => {
@@ -309,7 +309,7 @@
         for rule in Rule::ALL {
             let Some(trace) = spoil(&run, rule, &mut rng) else { continue };
             let verdict = judge(&trace);
-            let broken: Vec<Rule> = verdict.breaks.keys().copied().collect();
+            let broken: Vec<Rule> = verdict.violations.keys().copied().collect();
             prop_assert_eq!(broken, vec![rule], "seed {}, {}: {}", seed, rule, verdict);
         }
     }
--- a/crates/kit/tests/judge/rules.rs
+++ b/crates/kit/tests/judge/rules.rs
@@ -151,7 +151,7 @@
         trace
     };
     passes(&flood(16, true));
-    breaks(Rule::ColdBudget, &flood(18, true));
+    breaks(Rule::SlowStartBudget, &flood(18, true));
     // Nobody's fault, if more than a third came from a proxy that was not told.
     passes(&flood(18, false));
     let mixed = |n: u64| {
@@ -161,12 +161,12 @@
         }
         trace
     };
-    breaks(Rule::ColdBudget, &mixed(9));
+    breaks(Rule::SlowStartBudget, &mixed(9));
     passes(&mixed(13));
     // Falling is a break of its own when no window is over, and the same one when it is.
     let fell = |trace: Trace| trace.with(1300.0, Seen::Fell { node: NodeId(3) });
-    breaks(Rule::ColdBudget, &fell(flood(9, true)));
-    breaks(Rule::ColdBudget, &fell(flood(30, true)));
+    breaks(Rule::SlowStartBudget, &fell(flood(9, true)));
+    breaks(Rule::SlowStartBudget, &fell(flood(30, true)));
     passes(&fell(flood(9, false)));
 }
 
@@ -201,11 +201,11 @@
     let (good, w) = standing();
     let at_node = |s: &Seen| matches!(s, Seen::LineAtNode { line: 4, .. });
     let back = |s: &Seen| matches!(s, Seen::LineBack { line: 4, .. });
-    breaks(Rule::LineHeld, &good.without(at_node));
-    breaks(Rule::LineHeld, &good.without(back));
+    breaks(Rule::LineDelayed, &good.without(at_node));
+    breaks(Rule::LineDelayed, &good.without(back));
     passes(&good.without(back).with(11_040.0, Seen::LineBack { request: w.request, line: 4 }));
     breaks(
-        Rule::LineHeld,
+        Rule::LineDelayed,
         &good.without(back).with(11_060.0, Seen::LineBack { request: w.request, line: 4 }),
     );
     // Noted by the render node before the client has noted that it sent it.
@@ -222,16 +222,19 @@
     let open = good.without(is_end);
     for over in [Over::Bye, Over::Move, Over::Cut] {
         passes(open.clone().over(20_000.0, w, over).ended(21_040.0, w));
-        breaks(Rule::EndedKept, open.clone().over(20_000.0, w, over).ended(21_060.0, w));
+        breaks(Rule::EndedConnectionKept, open.clone().over(20_000.0, w, over).ended(21_060.0, w));
     }
     passes(open.clone().over(20_000.0, w, Over::Cut).moved(21_040.0, w));
-    breaks(Rule::EndedKept, open.clone().condition(20_000.0, 0, Condition::Down).ended(21_060.0, w));
+    breaks(
+        Rule::EndedConnectionKept,
+        open.clone().condition(20_000.0, 0, Condition::Down).ended(21_060.0, w),
+    );
     // A machine that is gone says nothing, until it is back.
     let mut gone = open.clone();
     gone.condition(20_000.0, 0, Condition::Vanished).cold_start(23_000.0, 0);
     passes(gone.clone().ended(24_000.0, w));
     passes(gone.clone().condition(20_100.0, 0, Condition::Down).ended(24_000.0, w));
-    breaks(Rule::EndedKept, &gone);
+    breaks(Rule::EndedConnectionKept, &gone);
 }
 
 #[test]
@@ -241,8 +244,8 @@
     for condition in [Condition::Hung, Condition::Vanished] {
         let mut hung = open.clone();
         hung.condition(20_000.0, 0, condition).add(21_000.0, Seen::LineSent { request: w.request, line: 50 });
-        breaks(Rule::SilentKept, &hung);
-        breaks(Rule::SilentKept, hung.clone().ended(28_060.0, w));
+        breaks(Rule::SilentConnectionKept, &hung);
+        breaks(Rule::SilentConnectionKept, hung.clone().ended(28_060.0, w));
         passes(hung.clone().ended(28_040.0, w));
         passes(hung.clone().moved(28_040.0, w));
         // A line that was late before the silence began: the clock runs from there.
@@ -250,7 +253,7 @@
         late.add(19_000.0, Seen::LineSent { request: w.request, line: 50 }).condition(23_000.0, 0, condition);
         late.add(19_000.0, Seen::LineAtNode { attempt: w.attempt, line: 50 });
         passes(late.clone().ended(30_040.0, w));
-        breaks(Rule::SilentKept, &late);
+        breaks(Rule::SilentConnectionKept, &late);
         // It came to itself in time, and returns the line.
         let mut back = hung.clone();
         back.add(26_000.0, Seen::LineReturned { attempt: w.attempt, line: 50 });
@@ -266,9 +269,9 @@
     good.rude(1000.0, 0, 0).rude_over(3040.0, 0, RudeEnd::Error);
     passes(&good);
     let open = good.without(|s| matches!(s, Seen::RudeOver { .. }));
-    breaks(Rule::RudeUnanswered, &open);
-    breaks(Rule::RudeUnanswered, open.clone().rude_over(3060.0, 0, RudeEnd::Closed));
-    breaks(Rule::RudeServed, open.clone().rude_over(1500.0, 0, RudeEnd::Served));
+    breaks(Rule::MisbehavingClientUnanswered, &open);
+    breaks(Rule::MisbehavingClientUnanswered, open.clone().rude_over(3060.0, 0, RudeEnd::Closed));
+    breaks(Rule::MisbehavingClientServed, open.clone().rude_over(1500.0, 0, RudeEnd::Served));
     // Served by a render node: the first line there is part of the same fault, for an unheard id and a stolen one.
     let (stray, (mut standing, w)) = (who(77, 0, 2), standing());
     let mut served = Trace::default();
@@ -276,9 +279,9 @@
     served.rude(1000.0, 2, 0).add(1000.1, asks);
     served.attempt(1001.0, stray).node_says(1009.0, stray, NodeAnswer::Up(5));
     passes(served.clone().rude_over(1900.0, 2, RudeEnd::Error));
-    breaks(Rule::RudeServed, served.rude_over(1900.0, 2, RudeEnd::Served));
+    breaks(Rule::MisbehavingClientServed, served.rude_over(1900.0, 2, RudeEnd::Served));
     standing.rude(5000.0, 1, 0).attempt(5001.0, w.again(1, 2));
-    breaks(Rule::RudeServed, standing.rude_over(5005.0, 1, RudeEnd::Served));
+    breaks(Rule::MisbehavingClientServed, standing.rude_over(5005.0, 1, RudeEnd::Served));
 }
 
 #[test]
@@ -323,17 +326,24 @@
     passes(good.clone().signal(30_000.0, 0, Signal::Terminate).exited(31_000.0, 0, Some(0)));
     let mut leaving = good.clone();
     leaving.signal(30_000.0, 0, Signal::Terminate);
-    breaks(Rule::ProxyStayed, &leaving);
-    breaks(Rule::ProxyStayed, leaving.clone().signal(33_700.0, 0, Signal::Kill).exited(33_701.0, 0, None));
+    breaks(Rule::ShutdownOverrun, &leaving);
+    breaks(
+        Rule::ShutdownOverrun,
+        leaving.clone().signal(33_700.0, 0, Signal::Kill).exited(33_701.0, 0, None),
+    );
     passes(leaving.clone().exited(33_600.0, 0, Some(0)));
     // What it still holds then goes with it: one fault, one rule. What it cut before is a fault of its own.
     let (mut held, w) = standing();
     held = held.without(is_end);
     held.signal(10_000.0, 0, Signal::Terminate).signal(13_760.0, 0, Signal::Kill).exited(13_761.0, 0, None);
-    breaks(Rule::ProxyStayed, held.clone().ended(13_761.0, w).over(13_762.0, w, Over::ByProxy));
+    breaks(Rule::ShutdownOverrun, held.clone().ended(13_761.0, w).over(13_762.0, w, Over::ByProxy));
     let mut both = held;
     let verdict = judge(both.ended(13_000.0, w).over(13_001.0, w, Over::ByProxy));
-    assert_eq!((verdict.broke(Rule::ProxyStayed), verdict.broke(Rule::CutWithoutMove)), (1, 1), "{verdict}");
+    assert_eq!(
+        (verdict.violation_count(Rule::ShutdownOverrun), verdict.violation_count(Rule::CutWithoutMove)),
+        (1, 1),
+        "{verdict}"
+    );
     // After SIGTERM nothing is excused.
     let mut left = ended(&good, 5000.0);
     breaks(Rule::CutWithoutMove, left.signal(4000.0, 0, Signal::Terminate).exited(5001.0, 0, Some(0)));
--- a/crates/kit/tests/judge/stage.rs
+++ b/crates/kit/tests/judge/stage.rs
@@ -116,7 +116,7 @@
 
 pub fn judge_to(plan: &Plan, trace: &Trace, end_ms: i64) -> Verdict {
     let mut judge = Judge::new(Arc::new(plan.clone()));
-    trace.sorted().iter().for_each(|o| judge.see(o));
+    trace.sorted().iter().for_each(|o| judge.observe(o));
     judge.finish(end_ms * MS)
 }
 
@@ -135,7 +135,11 @@
 pub fn breaks(rule: Rule, trace: &Trace) -> Verdict {
     let verdict = judge(trace);
     assert_eq!(verdict.outcome, Outcome::Failed, "{rule} was to be broken: {verdict}");
-    assert_eq!(verdict.breaks.iter().map(|(r, n)| (*r, *n)).collect::<Vec<_>>(), [(rule, 1)], "{verdict}");
+    assert_eq!(
+        verdict.violations.iter().map(|(r, n)| (*r, *n)).collect::<Vec<_>>(),
+        [(rule, 1)],
+        "{verdict}"
+    );
     verdict
 }
 
