--- a/crates/kit/src/judge/answers.rs
+++ b/crates/kit/src/judge/answers.rs
@@ -1,4 +1,4 @@
-//! Rules on what a client reads: one final answer, in time, and none invented.
+//! Rules on the answers that clients read: exactly one final answer, by its deadline, from a render node.
 
 use super::deferred_checks::DeferredCheck;
 use super::processes::EXIT_NOTICE_DELAY;
@@ -8,8 +8,8 @@
 use crate::observation::{Answer, End, Left, NodeAnswer, RequestId};
 use crate::time::{MS, Micros};
 
-/// What a client does and reads within this time of each other has no order: it gives up while the answer is on its
-/// way, and reads what has come.
+/// A client's close and its answer within this time of each other have no order: it can give up while the answer is in
+/// transit and still read it.
 const SIMULTANEOUS: Micros = MS;
 
 impl RequestTable {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Puts together what the client read and what a render node gave; false if none gave it yet.
+    /// Matches the receipt that the client read with the attempt that was given it; false if none was yet.
     pub fn match_receipt(
         &mut self,
         at: Micros,
@@ -69,7 +69,7 @@
         true
     }
 
-    /// The time in which the render node could have noted what it gave is over.
+    /// A render node's observation of the receipt would have arrived by now.
     pub fn check_receipt(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id).filter(|r| r.serving.is_none()) else { return };
         let Some((read, Answer::Up(receipt))) = request.answer else { return };
@@ -97,7 +97,7 @@
         self.report_violation(at, Rule::OneFinalAnswer, id, description, context.output);
     }
 
-    /// The proxy ended the client's connection.
+    /// Records that the proxy ended the client's connection.
     pub fn record_proxy_close(&mut self, at: Micros, id: RequestId, how: End, context: &mut RuleContext) {
         let Some(request) = self.requests.get_mut(&id).filter(|r| r.client_end.is_none()) else { return };
         request.client_end = Some((at, ClientEnd::ByProxy(how)));
@@ -115,11 +115,11 @@
         self.client_finished(at, id, context.output);
     }
 
-    /// The client ended it.
+    /// Records that the client ended its connection.
     pub fn record_client_close(&mut self, at: Micros, id: RequestId, why: Left, context: &mut RuleContext) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if let Some((ended, ClientEnd::ByProxy(_))) = request.client_end {
-            // Its own end was on its way when the proxy's came.
+            // The client's close was in transit when the proxy's arrived.
             if why == Left::Done && at - ended <= context.rules.grace {
                 request.client_end = Some((ended, ClientEnd::ByClient(why)));
             }
@@ -133,7 +133,7 @@
         self.client_finished(at, id, context.output);
     }
 
-    /// A request ended without an answer: by the proxy, or by a client that had waited its time.
+    /// A request ended without an answer: by the proxy, or by a client whose deadline had passed.
     pub fn check_missing_answer(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         if let Some(request) = self.requests.get(&id).filter(|r| r.answer.is_none())
             && let Some(description) = describe_loss(request, context)
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The run is over at `at`: judges what was owed by then.
+    /// Ends the run at `at`: judges the answers that were due by then.
     pub fn finish(&mut self, at: Micros, context: &mut RuleContext) {
         let waiting = |r: &Request| {
             r.answer.is_none()
@@ -156,12 +156,12 @@
     }
 }
 
-/// The last moment for an answer.
+/// The latest time at which an answer is accepted.
 fn answer_deadline(submission: &Submission, context: &RuleContext) -> Micros {
     submission.deadline + context.rules.answer_slack + context.rules.grace
 }
 
-/// What was lost, unless the death of the proxy forgives it.
+/// Describes a missing answer, unless the end of the proxy's process excuses it.
 fn describe_loss(request: &Request, context: &RuleContext) -> Option<String> {
     let submission = request.submission?;
     let last = answer_deadline(&submission, context);
@@ -185,7 +185,7 @@
     ))
 }
 
-/// An answer, for a person.
+/// An answer as text.
 fn describe_answer(answer: &Answer) -> String {
     match answer {
         Answer::Up(receipt) => format!("UP {receipt:016x}"),
--- a/crates/kit/src/judge/attempts.rs
+++ b/crates/kit/src/judge/attempts.rs
@@ -1,17 +1,17 @@
-//! Rules on what a render node gets: one attempt at a time, not too many, nothing after a drain, no line of the
-//! proxy's own making.
+//! Rules on the attempts that render nodes receive: one at a time, a bounded number, none after a drain, and each for a
+//! request that a client sent.
 
 use super::deferred_checks::DeferredCheck;
 use super::list_knowledge::ListKnowledge;
 use super::request_table::{AttemptRecord, RequestTable, RuleContext};
 use super::rule::Rule;
-use super::rule_output::Subject;
+use super::subject::Subject;
 use super::units::{format_millis, format_seconds};
 use crate::observation::{Answer, Attempt, NodeAnswer, Over, RequestId};
 use crate::plan::{ProxyId, SessionId};
 use crate::time::Micros;
 
-/// An attempt, as it arrived.
+/// An attempt as the render node received it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Arrival {
     pub attempt: Attempt,
@@ -22,6 +22,8 @@
 }
 
 impl RequestTable {
+    /// Records an attempt and checks it against the rules on attempts. One that does not belong to its request is
+    /// reported, or left to a deferred check, and not recorded.
     pub fn record_attempt(
         &mut self,
         at: Micros,
@@ -29,31 +31,46 @@
         list_knowledge: &mut ListKnowledge,
         context: &mut RuleContext,
     ) {
-        let Arrival { attempt, request: id, session, proxy, first_byte } = arrival;
+        if !self.belongs_to_request(at, arrival, context) {
+            return;
+        }
+        let index = self.add_attempt(at, arrival, context);
+        self.check_order(at, arrival, index, context);
+        self.check_attempt_count(at, arrival.request, index, context);
+        self.check_drained_node(at, arrival, list_knowledge, context);
+    }
+
+    /// Whether the attempt is one of its request: put to the same proxy, or to none yet, and with the session's key.
+    fn belongs_to_request(&mut self, at: Micros, arrival: Arrival, context: &mut RuleContext) -> bool {
+        let Arrival { attempt, request: id, session, proxy, .. } = arrival;
         let request = self.requests.entry(id).or_default();
-        let known = request.submission.map(|a| a.incarnation.0 == proxy);
-        if known == Some(true)
+        let same_proxy = request.submission.map(|submission| submission.incarnation.proxy == proxy);
+        if same_proxy == Some(true)
             && request.answer.is_some()
             && context.misbehaving_clients.may_carry_stolen_id(at, proxy)
         {
-            return;
+            return false;
         }
-        if known != Some(true) {
-            context
-                .output
-                .defer(at + context.rules.grace, DeferredCheck::UnknownRequest(id, attempt, proxy, at));
+        if same_proxy != Some(true) {
+            let check = DeferredCheck::UnknownRequest(id, attempt, proxy, at);
+            context.output.defer(at + context.rules.grace, check);
         }
-        if known == Some(false) {
-            // Another proxy's request has no part in it.
-            return;
+        if same_proxy == Some(false) {
+            return false;
         }
         if request.submission.is_some_and(|submission| session != Some(submission.session)) {
             let description = format!("at {}, with a key that is not its session's", format_seconds(at));
             self.report_violation(at, Rule::BadFirstLine, id, description, context.output);
-            return;
+            return false;
         }
+        true
+    }
+
+    /// Adds the attempt to its request; returns its index.
+    fn add_attempt(&mut self, at: Micros, arrival: Arrival, context: &mut RuleContext) -> usize {
+        let Arrival { attempt, request: id, proxy, .. } = arrival;
         let generation = context.node_states.generation(attempt.node);
-        let overlapping = request.attempts.iter().any(|t| t.is_in_flight(context.node_states));
+        let request = self.requests.entry(id).or_default();
         let index = request.attempts.len();
         request.attempts.push(AttemptRecord {
             attempt,
@@ -65,10 +82,16 @@
             ended: None,
         });
         self.by_attempt.insert(attempt, id);
-        if overlapping {
-            context
-                .output
-                .defer(at + context.rules.grace, DeferredCheck::OverlappingAttempts(id, index as u32));
+        index
+    }
+
+    /// An attempt may neither overlap an earlier one nor follow a final answer other than `UP`.
+    fn check_order(&mut self, at: Micros, arrival: Arrival, index: usize, context: &mut RuleContext) {
+        let Arrival { request: id, first_byte, .. } = arrival;
+        let Some(request) = self.requests.get(&id) else { return };
+        if request.attempts[..index].iter().any(|earlier| earlier.is_in_flight(context.node_states)) {
+            let check = DeferredCheck::OverlappingAttempts(id, index as u32);
+            context.output.defer(at + context.rules.grace, check);
         } else if let Some((read, Answer::Busy(_) | Answer::Failed(_))) = request.answer
             && first_byte > read + context.rules.grace
         {
@@ -79,28 +102,40 @@
             );
             self.report_violation(at, Rule::OneFinalAnswer, id, description, context.output);
         }
+    }
+
+    fn check_attempt_count(&mut self, at: Micros, id: RequestId, index: usize, context: &mut RuleContext) {
         if index as u32 >= context.rules.attempts {
             let description =
                 format!("attempt {}, at most {} are allowed", index + 1, context.rules.attempts);
             self.report_violation(at, Rule::TooManyAttempts, id, description, context.output);
         }
+    }
+
+    /// Nothing new goes to a render node that the proxy knows to drain or to be removed.
+    fn check_drained_node(
+        &mut self,
+        at: Micros,
+        arrival: Arrival,
+        list_knowledge: &mut ListKnowledge,
+        context: &mut RuleContext,
+    ) {
+        let Arrival { attempt, request: id, proxy, first_byte, .. } = arrival;
         let limit = context.rules.stop_within + context.rules.grace;
-        if let Some(since) = list_knowledge
-            .unavailable_since(at, proxy, attempt.node)
-            .filter(|since| first_byte > since + limit)
-        {
-            let description = format!(
-                "first byte at {}, {} ms after the proxy was told at {} that the render node drains or is gone; {} ms \
-                 are allowed",
-                format_seconds(first_byte),
-                format_millis(first_byte - since),
-                format_seconds(since),
-                format_millis(limit)
-            );
-            self.report_violation(at, Rule::SendAfterDrain, id, description, context.output);
-        }
+        let unavailable_since = list_knowledge.unavailable_since(at, proxy, attempt.node);
+        let Some(since) = unavailable_since.filter(|since| first_byte > since + limit) else { return };
+        let description = format!(
+            "first byte at {}, {} ms after the proxy was told at {} that the render node drains or is gone; {} ms \
+             are allowed",
+            format_seconds(first_byte),
+            format_millis(first_byte - since),
+            format_seconds(since),
+            format_millis(limit)
+        );
+        self.report_violation(at, Rule::SendAfterDrain, id, description, context.output);
     }
 
+    /// Records a render node's answer to an attempt.
     pub fn record_attempt_answer(
         &mut self,
         at: Micros,
@@ -109,10 +144,10 @@
         context: &mut RuleContext,
     ) {
         let Some((id, request, index)) = self.find_attempt(attempt) else { return };
-        let this = &mut request.attempts[index];
-        this.answer = Some(answer);
+        let record = &mut request.attempts[index];
+        record.answer = Some(answer);
         match answer {
-            NodeAnswer::Busy | NodeAnswer::Error => this.rejected_at = Some(at),
+            NodeAnswer::Busy | NodeAnswer::Error => record.rejected_at = Some(at),
             NodeAnswer::Up(receipt) => {
                 let read = matches!(request.answer, Some((_, Answer::Up(r))) if r == receipt);
                 let waiting = read && request.serving.is_none();
@@ -124,6 +159,7 @@
         }
     }
 
+    /// Records the end of an attempt or of the connection that it opened.
     pub fn record_attempt_end(
         &mut self,
         at: Micros,
@@ -143,7 +179,7 @@
         {
             return;
         }
-        // The client's own end may be on its way, and passed on to the render node first.
+        // The client may have ended the connection, and the render node observed it first.
         let check = if over == Over::ByProxy {
             DeferredCheck::CutConnection(id)
         } else {
@@ -152,7 +188,7 @@
         context.output.defer(at + context.rules.ended_within + context.rules.grace, check);
     }
 
-    /// An attempt arrived while an earlier one was out; whoever ended one of them has noted it by now.
+    /// An attempt arrived while an earlier one was in flight; an end of either has been observed by now.
     pub fn check_overlap(&mut self, at: Micros, id: RequestId, index: u32, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id) else { return };
         let Some(later) =
@@ -177,7 +213,7 @@
         self.report_violation(at, Rule::TwoAttempts, id, description, context.output);
     }
 
-    /// A client's word on this request has been noted by now, if there was one.
+    /// A client's submission of this request has been observed by now, if there was one.
     pub fn check_unknown_request(
         &mut self,
         at: Micros,
@@ -185,7 +221,7 @@
         context: &mut RuleContext,
     ) {
         let submission = self.requests.get(&id).and_then(|r| r.submission);
-        if submission.is_some_and(|a| a.incarnation.0 == proxy) {
+        if submission.is_some_and(|a| a.incarnation.proxy == proxy) {
             return;
         }
         if !context.misbehaving_clients.has_sent(id, proxy) {
--- a/crates/kit/src/judge/connections.rs
+++ b/crates/kit/src/judge/connections.rs
@@ -1,4 +1,4 @@
-//! Rules on connections that stand: not cut, lines passed on, the end passed on, silence noticed.
+//! Rules on established connections: not cut, lines forwarded in time, ends forwarded, silence detected.
 
 use super::deferred_checks::DeferredCheck;
 use super::request_table::{ClientEnd, Request, RequestTable, RuleContext};
@@ -15,7 +15,7 @@
         self.client_finished(at, id, context.output);
     }
 
-    /// All that stood at a render node was ended there.
+    /// The render node's process changed, which ended all its established connections.
     pub fn process_changed(&mut self, at: Micros, node: NodeId, context: &mut RuleContext) {
         for id in self.established_at(node) {
             let Some(request) = self.requests.get_mut(&id) else { continue };
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The proxy ended the client's connection a little ago, and whoever saw the cause has noted it.
+    /// The proxy ended the client's connection; the observation of a cause has arrived by now.
     pub fn check_cut(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.is_established() {
@@ -69,7 +69,7 @@
         self.report_violation(at, Rule::CutWithoutMove, id, description, context.output);
     }
 
-    /// The proxy ended the render node's side, and the client still has its own.
+    /// The proxy ended the render node's side while the client's side is still open.
     fn check_half_closed(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id) else { return };
         let (Some(submission), Some(up)) = (request.submission, request.connection()) else { return };
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The client sent a line.
+    /// Records a line that the client sent, and defers the checks of its delivery and return.
     pub fn record_line_sent(&mut self, at: Micros, id: RequestId, line: u32, context: &mut RuleContext) {
         let Some(request) = self.requests.get_mut(&id).filter(|r| r.is_established()) else { return };
         if request.to_node.record_departure(line, at) {
@@ -168,7 +168,7 @@
         self.report_violation(at, Rule::LineDelayed, id, description, context.output);
     }
 
-    /// Its render node ended it.
+    /// The render node ended the connection `ended_within` ago.
     pub fn check_ended(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id).filter(|r| r.is_established()) else { return };
         let (Some(submission), Some(up)) = (request.submission, request.connection()) else { return };
--- a/crates/kit/src/judge/deferred_checks.rs
+++ b/crates/kit/src/judge/deferred_checks.rs
@@ -1,44 +1,44 @@
-//! What is to be looked at again when its time has come.
+//! Checks that run at a later time of the run.
 
-use super::processes::IncarnationId;
+use super::incarnation::IncarnationId;
 use crate::observation::{Attempt, RequestId};
 use crate::plan::ProxyId;
 use crate::time::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// A question that is answered by what has been seen until a moment.
+/// A check of what has been observed up to its due time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum DeferredCheck {
-    /// Has the render node noted the receipt that the client read?
+    /// Was the receipt that the client read given by a render node?
     Receipt(RequestId),
-    /// Was the late answer read in the moment in which the client gave up?
+    /// Was the late answer read at the time at which the client gave up?
     LateAnswer(RequestId),
-    /// Is a request that ended without an answer lost?
+    /// Is a request that ended without an answer excused?
     MissingAnswer(RequestId),
-    /// Are an attempt (by its place) and an earlier one both still out?
+    /// Are an attempt (by its index) and an earlier one both still in flight?
     OverlappingAttempts(RequestId, u32),
-    /// Has a client put this request to the proxy that sent it on? Since when that is asked.
+    /// Has a client sent this request to the proxy that forwarded it? With the time of the attempt.
     UnknownRequest(RequestId, Attempt, ProxyId, Micros),
     /// Had the render node ended the connection that the proxy ended?
     CutConnection(RequestId),
     /// Has the line reached the render node?
     LineToNode(RequestId, u32),
-    /// Has it reached the client?
+    /// Has the line reached the client?
     LineToClient(RequestId, u32),
-    /// Is a connection still kept that its render node ended?
+    /// Is a connection that its render node ended still open?
     EndedConnection(RequestId),
-    /// Is one still kept whose line was not returned?
+    /// Is a connection whose line was not returned still open?
     SilentConnection(RequestId, u32),
-    /// Nothing is asked of it any more.
+    /// The request can be removed.
     ForgetRequest(RequestId),
-    /// Was the rude client dealt with?
+    /// Was the misbehaving client answered?
     MisbehavingClient(u32),
-    /// Has the proxy left?
+    /// Has the proxy exited?
     ShutdownDeadline(IncarnationId),
 }
 
-/// All of them, by time; those of one moment in the order in which they were added.
+/// Pending checks, by due time; those of one time in the order in which they were added.
 #[derive(Debug, Default)]
 pub(super) struct DeferredChecks {
     heap: BinaryHeap<Reverse<(Micros, u64, DeferredCheck)>>,
@@ -51,7 +51,7 @@
         self.heap.push(Reverse((due, self.added, check)));
     }
 
-    /// The next one that is due before this time. What is seen at the very time of a check still counts for it.
+    /// Removes the next check that is due before `time`. Observations at the due time itself still count for the check.
     pub fn next_before(&mut self, time: Micros) -> Option<(Micros, DeferredCheck)> {
         let Reverse((due, ..)) = self.heap.peek()?;
         if *due >= time {
--- a/crates/kit/src/judge/lateness.rs
+++ b/crates/kit/src/judge/lateness.rs
@@ -1,4 +1,4 @@
-//! Whether the kit itself ran late: then nothing that was seen can be held against a proxy.
+//! Whether the kit itself ran late: then no observation proves a violation.
 
 use crate::time::{MS, Micros};
 use serde::Serialize;
--- a/crates/kit/src/judge/lines_in_transit.rs
+++ b/crates/kit/src/judge/lines_in_transit.rs
@@ -1,8 +1,8 @@
-//! Lines on their way from one end to the other.
+//! Lines in transit from one end of a connection to the other.
 
 use crate::time::Micros;
 
-/// Lines by number. Both ends note them, on threads of their own, so an arrival can be noted before the departure.
+/// Lines by number. The two ends are observed on separate threads, so an arrival can precede its departure.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LinesInTransit {
     in_transit: Vec<(u32, Micros)>,
@@ -10,7 +10,7 @@
 }
 
 impl LinesInTransit {
-    /// A line has left; false if it has arrived already.
+    /// Records that a line was sent; false if it has already arrived.
     pub fn record_departure(&mut self, line: u32, at: Micros) -> bool {
         if let Some(place) = self.arrived_early.iter().position(|number| *number == line) {
             self.arrived_early.swap_remove(place);
@@ -20,17 +20,17 @@
         true
     }
 
-    /// It has arrived.
+    /// Records that a line arrived.
     pub fn record_arrival(&mut self, line: u32) {
         match self.in_transit.iter().position(|(number, _)| *number == line) {
             Some(place) => drop(self.in_transit.swap_remove(place)),
-            // A render node that runs wild could fill it; no client is ahead by more.
+            // Bounded, since a faulty render node could fill it; no client is further ahead.
             None if self.arrived_early.len() < 64 => self.arrived_early.push(line),
             None => {}
         }
     }
 
-    /// When it left, if it is still on its way.
+    /// When the line was sent, if it is still in transit.
     pub fn departed_at(&self, line: u32) -> Option<Micros> {
         self.in_transit.iter().find(|(number, _)| *number == line).map(|(_, at)| *at)
     }
--- a/crates/kit/src/judge/misbehaving_clients.rs
+++ b/crates/kit/src/judge/misbehaving_clients.rs
@@ -1,8 +1,9 @@
-//! Rude clients, and what they explain of other findings.
+//! Clients that break the protocol on purpose, and the requests at render nodes that they explain.
 
 use super::deferred_checks::DeferredCheck;
 use super::rule::Rule;
-use super::rule_output::{RuleOutput, Subject};
+use super::rule_output::RuleOutput;
+use super::subject::Subject;
 use super::units::format_seconds;
 use crate::observation::{RequestId, RudeEnd, Seen};
 use crate::plan::{Plan, ProxyId, RudeKind};
@@ -10,7 +11,7 @@
 use fnv::FnvHashSet;
 use std::collections::BTreeMap;
 
-/// What a rude client set off at a render node is noted at most this long after the rude client was dealt with.
+/// An attempt caused by a misbehaving client is observed at most this long after that client was answered.
 const THEFT_EFFECT_WINDOW: Micros = 100 * MS;
 
 #[derive(Clone, Copy, Debug)]
@@ -20,14 +21,14 @@
     steals_id: bool,
 }
 
-/// What one proxy has of them.
+/// The misbehaving clients of one proxy.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClientsAtProxy {
     open_id_thieves: u32,
     last_id_theft: Option<Micros>,
 }
 
-/// All of them.
+/// All misbehaving clients of the run.
 #[derive(Debug)]
 pub(super) struct MisbehavingClients {
     open: BTreeMap<u32, OpenClient>,
@@ -88,9 +89,9 @@
         Some(open)
     }
 
-    /// Its time is up.
+    /// The time limit for an answer to the client has passed.
     pub fn check_deadline(&mut self, at: Micros, rude: u32, output: &mut RuleOutput) {
-        // One that comes again and again has a later time by now.
+        // A client that reconnects repeatedly has a later limit by now.
         if self.open.get(&rude).is_some_and(|open| open.by + self.grace > at) {
             return;
         }
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Whether an attempt with the id of an answered request may be that of a rude client, who stole the id.
+    /// Whether an attempt with the id of an answered request may be that of a client that stole the id.
     pub fn may_carry_stolen_id(&self, at: Micros, proxy: ProxyId) -> bool {
         self.proxies.get(usize::from(proxy.0)).is_some_and(|at_proxy| {
             at_proxy.open_id_thieves > 0
@@ -117,7 +118,7 @@
         })
     }
 
-    /// Whether a rude client has put a request with that id to this proxy.
+    /// Whether a misbehaving client has sent a request with that id to this proxy.
     pub fn has_sent(&self, request: RequestId, proxy: ProxyId) -> bool {
         self.sent_requests.contains(&(request, proxy))
     }
--- a/crates/kit/src/judge/mod.rs
+++ b/crates/kit/src/judge/mod.rs
@@ -1,11 +1,12 @@
-//! The judge of a run: sans-io and deterministic. It is fed what the stand-ins saw, in the order of their times, and
-//! the plan; never a proxy's own words, and no clock. See `docs/design/judge.md`.
+//! The judge of a run: sans-io and deterministic. Its input is the plan and the observations of the emulated clients,
+//! render nodes and discovery, in order of time; never a proxy's own output, and no clock. See `docs/design/judge.md`.
 
 mod answers;
 mod attempts;
 mod connections;
 mod deferred_checks;
 mod figures;
+mod incarnation;
 mod latency;
 mod lateness;
 mod lines_in_transit;
@@ -13,11 +14,13 @@
 mod misbehaving_clients;
 mod node_states;
 mod processes;
+mod report;
 mod request_table;
 mod rule;
 mod rule_output;
 mod service;
 mod slow_start;
+mod subject;
 mod units;
 mod verdict;
 
@@ -39,9 +42,10 @@
 use node_states::{NodeStates, ProcessChanged};
 use processes::ProxyProcesses;
 use request_table::{RequestTable, RuleContext, Submission};
-use rule_output::{MAX_DATAGRAM_BYTES, RuleOutput, Subject};
+use rule_output::RuleOutput;
 use slow_start::WarmingNodes;
 use std::sync::Arc;
+use subject::MAX_DATAGRAM_BYTES;
 
 /// Judges one run.
 #[derive(Debug)]
@@ -78,8 +82,8 @@
         }
     }
 
-    /// Takes in the next observation. Their times never fall; one that does counts as seen now. What comes after
-    /// the plan's end is not judged.
+    /// Processes the next observation. Times never decrease; an earlier time counts as the latest one. Observations
+    /// after the end of the plan are ignored.
     pub fn observe(&mut self, observation: &Observation) {
         if observation.at > self.plan.ends {
             return;
@@ -104,7 +108,7 @@
         self.apply(at, &observation.seen, process_changed);
     }
 
-    /// The run is over at `now`, as planned or before. What was owed by then is judged, and nothing else.
+    /// Ends the run at `now`, as planned or earlier, and judges what was due by then.
     pub fn finish(mut self, now: Micros) -> Verdict {
         let end = now.min(self.plan.ends).max(self.now);
         self.advance(end);
@@ -114,6 +118,7 @@
         Verdict::new(&self.plan, end, self.lateness, self.output, figures)
     }
 
+    /// Runs the checks that are due before `to`.
     fn advance(&mut self, to: Micros) {
         self.now = to;
         while let Some((due, check)) = self.output.checks.next_before(to) {
@@ -121,6 +126,7 @@
         }
     }
 
+    /// The request table, and what its rules need, as separate borrows.
     fn split(&mut self) -> (&mut RequestTable, RuleContext<'_>, &mut ListKnowledge) {
         let context = RuleContext {
             rules: &self.plan.rules,
@@ -132,6 +138,7 @@
         (&mut self.table, context, &mut self.list_knowledge)
     }
 
+    /// Applies the observation to the request table.
     fn apply(&mut self, at: Micros, seen: &Seen, process_changed: Option<ProcessChanged>) {
         let (table, mut context, list_knowledge) = self.split();
         let context = &mut context;
@@ -153,14 +160,14 @@
             Seen::LineSent { request, line } => table.record_line_sent(at, *request, *line, context),
             Seen::LineBack { request, line } => table.record_line_back(*request, *line),
             Seen::Attempt { attempt, request, session, proxy, first_byte } => {
-                let (attempt, request, session) = (*attempt, *request, *session);
-                let (proxy, first_byte) = (*proxy, *first_byte);
-                table.record_attempt(
-                    at,
-                    Arrival { attempt, request, session, proxy, first_byte },
-                    list_knowledge,
-                    context,
-                );
+                let arrival = Arrival {
+                    attempt: *attempt,
+                    request: *request,
+                    session: *session,
+                    proxy: *proxy,
+                    first_byte: *first_byte,
+                };
+                table.record_attempt(at, arrival, list_knowledge, context);
             }
             Seen::AttemptAnswered { attempt, answer } => {
                 table.record_attempt_answer(at, *attempt, *answer, context)
@@ -169,23 +176,11 @@
             Seen::LineAtNode { attempt, line } => table.record_line_at_node(*attempt, *line),
             Seen::LineReturned { attempt, line } => table.record_line_returned(at, *attempt, *line, context),
             Seen::BadFirstLine { node, proxy, line } => {
-                let line: String = line.chars().take(120).collect();
-                let subject = Subject { node: Some(*node), proxy: Some(*proxy), ..Subject::default() };
-                let description = format!("'{}' is no line of a client's", line.escape_debug());
-                context.output.report_violation(at, Rule::BadFirstLine, subject, description);
-            }
-            Seen::Garbled { request, line } => {
-                let subject = Subject { request: Some(*request), ..Subject::default() };
-                let line: String = line.chars().take(120).collect();
-                let description =
-                    format!("the client read '{}', which no render node sent", line.escape_debug());
-                context.output.report_violation(at, Rule::LineChanged, subject, description);
+                context.output.bad_first_line(at, *node, *proxy, line)
             }
+            Seen::Garbled { request, line } => context.output.changed_line(at, *request, line),
             Seen::Datagram { from, to, bytes } if *bytes > MAX_DATAGRAM_BYTES => {
-                let subject = Subject { proxy: Some(*from), ..Subject::default() };
-                let description =
-                    format!("{bytes} bytes to proxy {}, at most {MAX_DATAGRAM_BYTES} are allowed", to.0);
-                context.output.report_violation(at, Rule::OversizedDatagram, subject, description);
+                context.output.oversized_datagram(at, *from, *to, *bytes);
             }
             _ => {}
         }
@@ -193,8 +188,8 @@
 
     fn run_check(&mut self, at: Micros, check: DeferredCheck) {
         match check {
-            DeferredCheck::MisbehavingClient(misbehaving_clients) => {
-                return self.misbehaving_clients.check_deadline(at, misbehaving_clients, &mut self.output);
+            DeferredCheck::MisbehavingClient(client) => {
+                return self.misbehaving_clients.check_deadline(at, client, &mut self.output);
             }
             DeferredCheck::ShutdownDeadline(incarnation) => {
                 return self.processes.check_shutdown(at, incarnation, &mut self.output);
@@ -207,7 +202,7 @@
             DeferredCheck::Receipt(id) => table.check_receipt(at, id, context),
             DeferredCheck::LateAnswer(id) => table.check_late_answer(at, id, context),
             DeferredCheck::MissingAnswer(id) => table.check_missing_answer(at, id, context),
-            DeferredCheck::OverlappingAttempts(id, place) => table.check_overlap(at, id, place, context),
+            DeferredCheck::OverlappingAttempts(id, index) => table.check_overlap(at, id, index, context),
             DeferredCheck::UnknownRequest(id, attempt, proxy, since) => {
                 table.check_unknown_request(at, (id, attempt, proxy, since), context);
             }
--- a/crates/kit/src/judge/node_states.rs
+++ b/crates/kit/src/judge/node_states.rs
@@ -1,4 +1,4 @@
-//! What the render nodes are able to do, and whether a proxy can reach them.
+//! The conditions of render nodes and their reachability from each proxy.
 
 use crate::observation::{Condition, Seen};
 use crate::plan::{NodeId, ProxyId};
@@ -8,23 +8,23 @@
 #[derive(Clone, Copy, Debug)]
 struct NodeState {
     condition: Condition,
-    /// Since when it returns lines, or does not.
+    /// Since when the node has returned lines, or has not.
     since: Micros,
-    /// Counts its processes: what an earlier one held is gone.
+    /// Number of the process; a new process has none of the earlier one's connections.
     generation: u32,
     /// When the latest process ended or began.
     process_changed: Option<Micros>,
 }
 
-/// All render nodes.
+/// The states of all render nodes, and the links to them.
 #[derive(Debug)]
 pub(super) struct NodeStates {
     nodes: Vec<NodeState>,
-    /// Cut links and those that were cut: whether it is whole, and since when.
+    /// Links that are or were cut: whether the link is connected, and since when.
     links: BTreeMap<(ProxyId, NodeId), (bool, Micros)>,
 }
 
-/// A new process, or none: what stood at the render node is over.
+/// The render node has a new process or none, so its connections have ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ProcessChanged(pub NodeId);
 
@@ -39,8 +39,8 @@
         NodeStates { nodes: vec![initial; nodes], links: BTreeMap::new() }
     }
 
-    /// Takes in what changes a render node. Says so when this has ended, in a way that proxies can see, what stood
-    /// there: a machine that had vanished resets nothing before it is back.
+    /// Records a change of a render node. Returns it if it ended the node's connections in a way that proxies can
+    /// observe: a machine that has vanished resets nothing before it is back.
     pub fn observe(&mut self, at: Micros, seen: &Seen) -> Option<ProcessChanged> {
         match *seen {
             Seen::Started { node, .. } => {
@@ -102,7 +102,7 @@
         self.state(node).and_then(|s| s.process_changed)
     }
 
-    /// Whether a word can pass between the two now: the machine is there and the link is whole.
+    /// Whether the two can communicate now: the machine is up and the link is connected.
     pub fn can_communicate(&self, proxy: ProxyId, node: NodeId) -> bool {
         self.state(node).is_some_and(|s| s.condition != Condition::Vanished)
             && self.links.get(&(proxy, node)).is_none_or(|(connected, _)| *connected)
--- a/crates/kit/src/judge/processes.rs
+++ b/crates/kit/src/judge/processes.rs
@@ -1,36 +1,34 @@
-//! The proxies' processes: each start is a life of its own, and what a death forgives.
+//! The proxies' processes: each start is an incarnation of its own, whose end may excuse broken requests.
 
 use super::deferred_checks::DeferredCheck;
+use super::incarnation::IncarnationId;
 use super::rule::Rule;
-use super::rule_output::{RuleOutput, Subject};
+use super::rule_output::RuleOutput;
+use super::subject::Subject;
 use super::units::format_seconds;
 use crate::observation::{Seen, Signal};
 use crate::plan::{ProxyId, Rules};
 use crate::time::{MS, Micros};
 
-/// An exit is noted at most this long after the process ended: the runner looks after its children every few
-/// milliseconds, and what a client sees of a crash (a reset) can be noted before the exit is.
+/// The longest delay between the end of a process and the observation of its exit: the runner polls its children every
+/// few milliseconds, so a client's observation of a crash (a reset) can precede it.
 pub(super) const EXIT_NOTICE_DELAY: Micros = 200 * MS;
 
-/// One life of a proxy, from its start to its exit.
+/// One process of a proxy, from its start to its exit.
 #[derive(Clone, Copy, Debug, Default)]
 struct Incarnation {
-    /// The kit killed it, not because it had stayed.
+    /// The kit sent SIGKILL, other than for an overrun shutdown.
     killed: Option<Micros>,
     terminated: Option<Micros>,
     reloaded: Option<Micros>,
-    /// It was still there when its time to leave was over.
+    /// It still ran at the end of its shutdown deadline.
     overran_shutdown: Option<Micros>,
     exited: Option<Micros>,
-    /// It exited by itself, not having been told to stop.
+    /// It exited without a signal to stop.
     crashed: Option<Micros>,
 }
 
-/// Which life of a proxy.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct IncarnationId(pub ProxyId, u32);
-
-/// All proxies.
+/// The processes of all proxies.
 #[derive(Debug)]
 pub(super) struct ProxyProcesses {
     incarnations: Vec<Vec<Incarnation>>,
@@ -40,29 +38,29 @@
 
 impl ProxyProcesses {
     pub fn new(proxies: usize, rules: &Rules) -> Self {
-        // A first life, for what is seen before its start was noted.
+        // A first incarnation, for observations that precede that of its start.
         let incarnations = vec![vec![Incarnation::default()]; proxies];
         ProxyProcesses { incarnations, term_to_kill: rules.term_to_kill, grace: rules.grace }
     }
 
-    /// The life that runs, or ran last.
+    /// The incarnation that runs, or ran last.
     pub fn current(&self, proxy: ProxyId) -> IncarnationId {
         let incarnations = self.incarnations.get(usize::from(proxy.0)).map_or(1, Vec::len);
-        IncarnationId(proxy, (incarnations - 1) as u32)
+        IncarnationId { proxy, serial: (incarnations - 1) as u32 }
     }
 
     fn incarnation(&self, id: IncarnationId) -> Option<&Incarnation> {
-        self.incarnations.get(usize::from(id.0.0))?.get(id.1 as usize)
+        self.incarnations.get(usize::from(id.proxy.0))?.get(id.serial as usize)
     }
 
-    /// Whether it still runs, and nobody has put it to death.
+    /// Whether it still runs and was not sent SIGKILL.
     pub fn alive(&self, id: IncarnationId) -> bool {
         self.incarnation(id).is_some_and(|run| run.killed.is_none() && run.exited.is_none())
     }
 
-    /// Whether a request that was taken at `asked` and broken at `broken` (its connection ended, or its time was
-    /// up) is down to the death of its proxy: it was held when the kit killed the process, or when the process
-    /// crashed or stayed, which is a break of its own. Nothing else is forgiven after SIGTERM.
+    /// Whether the end of the process excuses a request submitted at `submitted` and broken at `broken` (its connection
+    /// ended or its deadline passed): it was in flight when the kit sent SIGKILL, or when the process crashed or
+    /// overran its shutdown, which is a violation of its own. After SIGTERM nothing else is excused.
     pub fn excuses(&self, id: IncarnationId, submitted: Micros, broken: Micros) -> bool {
         let Some(incarnation) = self.incarnation(id) else { return false };
         let (from, ended) = match (incarnation.killed.or(incarnation.overran_shutdown), incarnation.crashed) {
@@ -72,8 +70,8 @@
             (None, Some(crashed)) => (crashed - EXIT_NOTICE_DELAY, crashed),
             (None, None) => return false,
         };
-        // A last byte can be written to a connection that the machine took in before the process died, and be
-        // noted after its death; `grace` is the margin for that.
+        // A last byte can be written to a connection that the kernel accepted before the process ended, and be
+        // observed after the end; `grace` is the margin for that.
         broken >= from && submitted <= ended + self.grace
     }
 
@@ -110,13 +108,13 @@
         }
     }
 
-    /// Its time to leave is over.
+    /// The shutdown deadline has passed.
     pub fn check_shutdown(&mut self, at: Micros, id: IncarnationId, output: &mut RuleOutput) {
         let limit = self.term_to_kill;
         let incarnation = self
             .incarnations
-            .get_mut(usize::from(id.0.0))
-            .and_then(|incarnations| incarnations.get_mut(id.1 as usize));
+            .get_mut(usize::from(id.proxy.0))
+            .and_then(|incarnations| incarnations.get_mut(id.serial as usize));
         let Some(incarnation) = incarnation
             .filter(|run| run.exited.is_none() && run.killed.is_none() && run.overran_shutdown.is_none())
         else {
@@ -132,7 +130,7 @@
         output.report_violation(
             at,
             Rule::ShutdownOverrun,
-            Subject { proxy: Some(id.0), ..Subject::default() },
+            Subject { proxy: Some(id.proxy), ..Subject::default() },
             description,
         );
     }
--- /dev/null
+++ b/crates/kit/src/judge/report.rs
@@ -0,0 +1,142 @@
+//! Verdicts and figures as text for the terminal.
+
+use super::figures::Figures;
+use super::verdict::{Finding, MissedDemand, Outcome, Verdict};
+use std::fmt;
+
+impl fmt::Display for Finding {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "  {:.6} s", self.at as f64 / 1e6)?;
+        if let Some(request) = &self.request {
+            write!(f, ", request {request}")?;
+        }
+        if let Some(session) = self.session {
+            write!(f, ", session {session}")?;
+        }
+        if let Some(rude) = self.rude {
+            write!(f, ", rude client {rude}")?;
+        }
+        if let Some(node) = &self.node {
+            write!(f, ", render node {node}")?;
+        }
+        if let Some(proxy) = &self.proxy {
+            write!(f, ", proxy {proxy}")?;
+        }
+        writeln!(f, ":\n    {}", self.description)?;
+        self.surrounding_events.iter().try_for_each(|line| writeln!(f, "      | {line}"))
+    }
+}
+
+/// A ratio from 0 to 1, or a dash.
+struct Ratio(Option<f64>);
+
+impl fmt::Display for Ratio {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self.0 {
+            Some(ratio) => write!(f, "{ratio:.3}"),
+            None => f.write_str("-"),
+        }
+    }
+}
+
+impl fmt::Display for Verdict {
+    /// The outcome, each violated rule with its first findings, and the figures.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let outcome = match self.outcome {
+            Outcome::Passed => "PASSED",
+            Outcome::Failed => "FAILED",
+            Outcome::Void => "VOID",
+        };
+        let to = self.judged_to as f64 / 1e6;
+        writeln!(f, "{outcome}  {}, seed {}, judged to {to:.1} s", self.scenario, self.seed)?;
+        if let Some(why) = &self.void {
+            writeln!(f, "{why}: the run proves nothing; free the machine, or rehearse something smaller")?;
+        }
+        for (rule, count) in &self.violations {
+            writeln!(f, "\nBROKEN {rule}, {count} times. {}", rule.meaning())?;
+            self.findings
+                .iter()
+                .filter(|violation| violation.rule == *rule)
+                .try_for_each(|violation| violation.fmt(f))?;
+        }
+        for MissedDemand { demand, demanded, reached } in &self.missed_demands {
+            writeln!(f, "\nNOT REACHED {demand}: {demanded:.3} was demanded, {} came", Ratio(*reached))?;
+        }
+        writeln!(f)?;
+        self.figures.fmt(f)
+    }
+}
+
+impl fmt::Display for Figures {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.write_service(f)?;
+        self.write_counts(f)?;
+        self.write_latencies(f)?;
+        self.write_proxies(f)
+    }
+}
+
+impl Figures {
+    fn write_service(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let ratios = &self.service.ratios;
+        writeln!(
+            f,
+            "service {}: whole run {}, worst 10 s {} (from {:.0} s), worst class {} ({}), worst tenant {} ({})",
+            Ratio(ratios.mix),
+            Ratio(ratios.whole),
+            Ratio(ratios.worst_window),
+            ratios.worst_window_from as f64 / 1e6,
+            Ratio(ratios.worst_class),
+            ratios.worst_class_name,
+            Ratio(ratios.worst_tenant),
+            ratios.worst_tenant_name
+        )
+    }
+
+    fn write_counts(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let answers = &self.answers;
+        writeln!(
+            f,
+            "requests {} ({} retries): up {}, busy {}, failed {}, unanswered {}; unreached {}; attempts per request {}",
+            self.requests,
+            self.retries,
+            answers.up,
+            answers.busy,
+            answers.failed,
+            answers.unanswered,
+            self.unreached,
+            Ratio(self.attempts_per_request)
+        )?;
+        writeln!(f, "moves {}, resets seen by clients {}", self.moves, self.resets)
+    }
+
+    fn write_latencies(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for class in &self.latencies {
+            for (name, latency) in [("set-up", &class.setup), ("message", &class.message)] {
+                let millis = |micros: u64| micros as f64 / 1e3;
+                writeln!(
+                    f,
+                    "{} {name} ms: half {:.1}, 90% {:.1}, 99% {:.1}, longest {:.1} ({} measured)",
+                    class.class,
+                    millis(latency.p50),
+                    millis(latency.p90),
+                    millis(latency.p99),
+                    millis(latency.max),
+                    latency.count
+                )?;
+            }
+        }
+        Ok(())
+    }
+
+    fn write_proxies(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for proxy in &self.proxies {
+            writeln!(
+                f,
+                "proxy {}: requests {}, datagrams {}, {} bytes, at most {} in a second",
+                proxy.proxy, proxy.requests, proxy.datagrams, proxy.bytes, proxy.most_bytes_in_a_second
+            )?;
+        }
+        Ok(())
+    }
+}
--- a/crates/kit/src/judge/request_table.rs
+++ b/crates/kit/src/judge/request_table.rs
@@ -1,23 +1,25 @@
-//! The requests that clients have put and are not done with: their attempts, answers and connections.
+//! The requests that clients have sent, until shortly after their end: attempts, answers and connections.
 
 use super::deferred_checks::DeferredCheck;
+use super::incarnation::IncarnationId;
 use super::lines_in_transit::LinesInTransit;
 use super::misbehaving_clients::MisbehavingClients;
 use super::node_states::NodeStates;
-use super::processes::{IncarnationId, ProxyProcesses};
+use super::processes::ProxyProcesses;
 use super::rule::Rule;
-use super::rule_output::{RuleOutput, Subject};
+use super::rule_output::RuleOutput;
+use super::subject::Subject;
 use crate::observation::{Answer, Attempt, End, Left, NodeAnswer, Over, RequestId};
 use crate::plan::{NodeId, ProxyId, Rules, SessionId};
 use crate::time::{Micros, S};
 use fnv::FnvHashMap;
 use std::collections::BTreeSet;
 
-/// A request is kept this long after its client is done with it, for attempts that are still out: longer than any
-/// attempt of a class of requests takes.
+/// A request is retained this long after its client's end, for attempts still in flight: longer than any class's attempt
+/// takes.
 const RETENTION: Micros = 10 * S;
 
-/// How a request was put.
+/// How a request was submitted.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Submission {
     pub at: Micros,
@@ -26,7 +28,7 @@
     pub deadline: Micros,
 }
 
-/// How the client's connection is over.
+/// How the client's connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClientEnd {
     ByClient(Left),
@@ -42,14 +44,13 @@
     /// The render node's process that got it.
     pub generation: u32,
     pub answer: Option<NodeAnswer>,
-    /// When it was turned away or failed.
+    /// When it was rejected or failed.
     pub rejected_at: Option<Micros>,
     pub ended: Option<(Micros, Over)>,
 }
 
 impl AttemptRecord {
-    /// Whether it is still out, for all that can be seen: what a dead process or a machine out of reach has of it
-    /// can't be seen to end.
+    /// Whether it is in flight as far as can be observed: its end at a dead process or an unreachable machine can't be.
     pub fn is_in_flight(&self, node_states: &NodeStates) -> bool {
         self.rejected_at.is_none()
             && self.ended.is_none()
@@ -58,7 +59,7 @@
     }
 }
 
-/// One request, and the connection that comes of it.
+/// One request, and the connection that it opens.
 #[derive(Debug, Default)]
 pub(super) struct Request {
     pub submission: Option<Submission>,
@@ -69,13 +70,13 @@
     pub serving: Option<usize>,
     pub moved: Option<Micros>,
     pub client_end: Option<(Micros, ClientEnd)>,
-    /// Since when its render node returned lines, when the proxy ended the connection.
+    /// When the proxy ended the connection, the render node had returned lines for at least the grace time.
     pub responsive_at_end: bool,
-    /// Lines on their way to the render node, on their way back, and not returned yet.
+    /// Lines in transit to the render node, in transit back, and not returned yet.
     pub to_node: LinesInTransit,
     pub to_client: LinesInTransit,
     pub unreturned: LinesInTransit,
-    /// One finding for each request: what follows from it is no fault of its own.
+    /// A violation was reported; only the first of a request counts, since others follow from it.
     pub reported: bool,
 }
 
@@ -85,7 +86,7 @@
         self.serving.and_then(|serving| self.attempts.get(serving))
     }
 
-    /// The client still has its connection, and nothing has told it to go.
+    /// The client's connection is open and it was not asked to move.
     pub fn is_established(&self) -> bool {
         self.client_end.is_none() && self.moved.is_none()
     }
@@ -96,14 +97,14 @@
             request: Some(id),
             session: self.submission.map(|a| a.session),
             node: last.map(|t| t.attempt.node),
-            proxy: self.submission.map(|a| a.incarnation.0).or(last.map(|t| t.proxy)),
+            proxy: self.submission.map(|a| a.incarnation.proxy).or(last.map(|t| t.proxy)),
             rude: None,
             attempts: self.attempts.iter().map(|t| t.attempt).collect(),
         }
     }
 }
 
-/// What rules on requests look up, and where they write.
+/// The state that rules on requests read, and their output.
 pub(super) struct RuleContext<'a> {
     pub rules: &'a Rules,
     pub node_states: &'a NodeStates,
@@ -119,7 +120,7 @@
     pub by_attempt: FnvHashMap<Attempt, RequestId>,
     /// Which attempt got a receipt.
     pub receipts: FnvHashMap<u64, Attempt>,
-    /// Connections that stand at each render node.
+    /// Established connections at each render node.
     established: Vec<BTreeSet<RequestId>>,
 }
 
@@ -133,12 +134,12 @@
         }
     }
 
-    /// How a request was put that has got no answer.
+    /// The submission of a request that has no answer yet.
     pub fn unanswered(&self, id: RequestId) -> Option<Submission> {
         self.requests.get(&id).filter(|r| r.answer.is_none())?.submission
     }
 
-    /// A request breaks a rule; only the first break of each is one.
+    /// Reports a violation by a request; only the first of each request counts.
     pub fn report_violation(
         &mut self,
         at: Micros,
@@ -153,7 +154,7 @@
         }
     }
 
-    /// The attempt's request, and its place among the tries.
+    /// The request of an attempt, and the attempt's index in it.
     pub fn find_attempt(&mut self, attempt: Attempt) -> Option<(RequestId, &mut Request, usize)> {
         let id = *self.by_attempt.get(&attempt)?;
         let request = self.requests.get_mut(&id)?;
@@ -161,19 +162,19 @@
         Some((id, request, index))
     }
 
-    /// Its connection stands at that render node.
+    /// Adds an established connection at a render node.
     pub fn add_established(&mut self, id: RequestId, node: NodeId) {
         if let Some(established) = self.established.get_mut(usize::from(node.0)) {
             established.insert(id);
         }
     }
 
-    /// What stands at a render node.
+    /// The established connections at a render node.
     pub fn established_at(&self, node: NodeId) -> Vec<RequestId> {
         self.established.get(usize::from(node.0)).map(|s| s.iter().copied().collect()).unwrap_or_default()
     }
 
-    /// The client has got what it gets, or has gone.
+    /// The client needs nothing further from the request: removes its connection, and the request after the retention time.
     pub fn client_finished(&mut self, at: Micros, id: RequestId, output: &mut RuleOutput) {
         if let Some(node) = self.requests.get(&id).and_then(|r| r.connection()).map(|t| t.attempt.node)
             && let Some(established) = self.established.get_mut(usize::from(node.0))
@@ -183,7 +184,7 @@
         output.defer(at + RETENTION, DeferredCheck::ForgetRequest(id));
     }
 
-    /// Nothing is asked of it any more.
+    /// Removes a request and its attempts.
     pub fn forget(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         for t in &request.attempts {
--- a/crates/kit/src/judge/rule_output.rs
+++ b/crates/kit/src/judge/rule_output.rs
@@ -1,110 +1,45 @@
-//! Where findings are written down, with what was seen around them.
+//! The output of the rules: violations with the observations around them, and deferred checks.
 
 use super::deferred_checks::{DeferredCheck, DeferredChecks};
 use super::rule::Rule;
-use crate::observation::{Attempt, Observation, RequestId, Seen};
-use crate::plan::{NodeId, ProxyId, SessionId};
+use super::subject::{MAX_DATAGRAM_BYTES, Relation, Subject};
+use crate::observation::{Observation, RequestId};
+use crate::plan::{NodeId, ProxyId};
 use crate::time::{Micros, S};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The longest datagram, in bytes (PROTOCOL, "Between proxies").
-pub(super) const MAX_DATAGRAM_BYTES: u32 = 256;
-/// Findings that are kept whole for each rule; the rest are counted. Ten show whether they are of one kind.
+/// Violations that are kept in full for each rule; further ones are only counted. Ten show whether they have one cause.
 pub(super) const DETAILED_PER_RULE: usize = 10;
-/// Observations kept for the events around a finding: at 5 proxies and 8,000 standing connections about 8,000 come
-/// each second, and the longest that a finding takes to be found is 7 s. About 5 MB.
+/// Observations kept for the events around a violation: 5 proxies with 8,000 established connections give about 8,000
+/// a second, and the longest delay until a violation is detected is 7 s. About 5 MB.
 const RECENT_OBSERVATIONS: usize = 65_536;
-/// Events shown around a finding: of the request itself; of its render node and its proxy; and afterwards.
+/// Events listed with a violation: of the request itself, of its render node and proxy, and following it.
 const DIRECT_EVENTS: usize = 8;
 const RELATED_EVENTS: usize = 4;
 const FOLLOWING_EVENTS: usize = 3;
-/// Nothing from longer before is shown, and nothing later after.
+/// The time before and after a violation from which events are listed.
 const CONTEXT_BEFORE: Micros = 15 * S;
 const CONTEXT_AFTER: Micros = S;
 
-/// Whom a finding is about, as far as that is known.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub(super) struct Subject {
-    pub request: Option<RequestId>,
-    pub session: Option<SessionId>,
-    pub node: Option<NodeId>,
-    pub proxy: Option<ProxyId>,
-    pub rude: Option<u32>,
-    /// The request's attempts.
-    pub attempts: Vec<Attempt>,
-}
-
-/// How close an observation is to a subject.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Relation {
-    /// It is about the very request, or what else is blamed.
-    Direct,
-    /// It is about the state of its render node or its proxy.
-    Related,
-    Unrelated,
-}
-
-impl Subject {
-    fn relation(&self, seen: &Seen) -> Relation {
-        let direct = |is: bool| if is { Relation::Direct } else { Relation::Unrelated };
-        let related = |is: bool| if is { Relation::Related } else { Relation::Unrelated };
-        let (node, proxy) = (self.node, self.proxy);
-        match seen {
-            Seen::Asked { request, .. }
-            | Seen::Answered { request, .. }
-            | Seen::Moved { request }
-            | Seen::Ended { request, .. }
-            | Seen::Left { request, .. }
-            | Seen::LineSent { request, .. }
-            | Seen::LineBack { request, .. } => direct(self.request == Some(*request)),
-            // Where no request is blamed (a cold render node), each attempt there is part of it.
-            Seen::Attempt { attempt, request, .. } => {
-                direct(self.request.map_or(node == Some(attempt.node), |direct| direct == *request))
-            }
-            Seen::AttemptAnswered { attempt, .. }
-            | Seen::AttemptOver { attempt, .. }
-            | Seen::LineAtNode { attempt, .. }
-            | Seen::LineReturned { attempt, .. } => direct(self.attempts.contains(attempt)),
-            Seen::RudeCame { rude, .. } | Seen::RudeOver { rude, .. } => direct(self.rude == Some(*rude)),
-            Seen::BadFirstLine { proxy: p, .. } => direct(self.request.is_none() && proxy == Some(*p)),
-            Seen::Datagram { from, bytes, .. } => direct(*bytes > MAX_DATAGRAM_BYTES && proxy == Some(*from)),
-            Seen::Started { node: n, .. }
-            | Seen::Condition { node: n, .. }
-            | Seen::Fell { node: n }
-            | Seen::Listed { node: n, .. } => related(node == Some(*n)),
-            Seen::Told { proxy: p, node: n, .. } => {
-                related(node == Some(*n) && proxy.is_none_or(|direct| direct == *p))
-            }
-            Seen::Reach { proxy: p, node: n, .. } => related(node == Some(*n) && proxy == Some(*p)),
-            Seen::Watching { proxy: p, .. }
-            | Seen::ProxyStarted { proxy: p, .. }
-            | Seen::ProxySignalled { proxy: p, .. }
-            | Seen::ProxyExited { proxy: p, .. } => related(proxy == Some(*p)),
-            Seen::DiscoveryUp { .. } | Seen::Mark { .. } => Relation::Related,
-            _ => Relation::Unrelated,
-        }
-    }
-}
-
-/// A broken rule, as it was found.
+/// A violation of a rule, with the numbers of the plan.
 #[derive(Clone, Debug)]
 pub(super) struct Violation {
     pub at: Micros,
     pub rule: Rule,
     pub subject: Subject,
     pub description: String,
-    /// In the order of time.
+    /// In order of time.
     pub surrounding_events: Vec<Observation>,
 }
 
-/// Findings and checks: all that a rule puts out.
+/// Violations and deferred checks: everything that a rule emits.
 #[derive(Debug, Default)]
 pub(super) struct RuleOutput {
     pub checks: DeferredChecks,
     pub counts: BTreeMap<Rule, u64>,
     pub violations: Vec<Violation>,
     recent: VecDeque<Observation>,
-    /// Findings whose aftermath is still collected: which, how many more, and until when.
+    /// Violations whose following events are still collected: index, remaining events, and the end of the collection.
     collecting: Vec<(usize, usize, Micros)>,
 }
 
@@ -114,7 +49,7 @@
         self.checks.add(due, check);
     }
 
-    /// A rule is broken.
+    /// Records a violation with the events before it.
     pub fn report_violation(&mut self, at: Micros, rule: Rule, subject: Subject, description: String) {
         let count = self.counts.entry(rule).or_default();
         *count += 1;
@@ -127,6 +62,7 @@
         self.violations.push(Violation { at, rule, subject, description, surrounding_events });
     }
 
+    /// The latest events that concern the subject, in order of time.
     fn events_before(&self, at: Micros, subject: &Subject) -> Vec<Observation> {
         let (mut direct, mut related) = (DIRECT_EVENTS, RELATED_EVENTS);
         let mut surrounding_events = Vec::new();
@@ -148,7 +84,7 @@
         surrounding_events
     }
 
-    /// Keeps what was seen for findings to come, and for those that were just made.
+    /// Keeps an observation for later violations, and adds it to those whose following events are still collected.
     pub fn remember(&mut self, observation: &Observation) {
         if !self.collecting.is_empty() {
             let violations = &mut self.violations;
@@ -168,4 +104,32 @@
         }
         self.recent.push_back(observation.clone());
     }
+
+    /// A render node received a first line that no client sends in this form.
+    pub fn bad_first_line(&mut self, at: Micros, node: NodeId, proxy: ProxyId, line: &str) {
+        let subject = Subject { node: Some(node), proxy: Some(proxy), ..Subject::default() };
+        let description = format!("'{}' is no line of a client's", excerpt(line).escape_debug());
+        self.report_violation(at, Rule::BadFirstLine, subject, description);
+    }
+
+    /// A client read a line that no render node sent.
+    pub fn changed_line(&mut self, at: Micros, request: RequestId, line: &str) {
+        let subject = Subject { request: Some(request), ..Subject::default() };
+        let description =
+            format!("the client read '{}', which no render node sent", excerpt(line).escape_debug());
+        self.report_violation(at, Rule::LineChanged, subject, description);
+    }
+
+    /// A proxy sent a datagram above [`MAX_DATAGRAM_BYTES`].
+    pub fn oversized_datagram(&mut self, at: Micros, from: ProxyId, to: ProxyId, bytes: u32) {
+        let subject = Subject { proxy: Some(from), ..Subject::default() };
+        let description =
+            format!("{bytes} bytes to proxy {}, at most {MAX_DATAGRAM_BYTES} are allowed", to.0);
+        self.report_violation(at, Rule::OversizedDatagram, subject, description);
+    }
+}
+
+/// The first characters of a line, for a description.
+fn excerpt(line: &str) -> String {
+    line.chars().take(120).collect()
 }
--- a/crates/kit/src/judge/slow_start.rs
+++ b/crates/kit/src/judge/slow_start.rs
@@ -2,7 +2,8 @@
 
 use super::list_knowledge::ListKnowledge;
 use super::rule::Rule;
-use super::rule_output::{RuleOutput, Subject};
+use super::rule_output::RuleOutput;
+use super::subject::Subject;
 use super::units::format_seconds;
 use crate::observation::{Cold, Seen};
 use crate::plan::{NodeId, ProxyId, Rules};
--- /dev/null
+++ b/crates/kit/src/judge/subject.rs
@@ -0,0 +1,73 @@
+//! The parties that a violation concerns, and which observations belong to them.
+
+use crate::observation::{Attempt, RequestId, Seen};
+use crate::plan::{NodeId, ProxyId, SessionId};
+
+/// The longest datagram, in bytes (PROTOCOL, "Between proxies").
+pub(super) const MAX_DATAGRAM_BYTES: u32 = 256;
+
+/// The parties that a violation concerns, as far as they are known.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub(super) struct Subject {
+    pub request: Option<RequestId>,
+    pub session: Option<SessionId>,
+    pub node: Option<NodeId>,
+    pub proxy: Option<ProxyId>,
+    /// The misbehaving client, by its place in the plan.
+    pub rude: Option<u32>,
+    /// The request's attempts.
+    pub attempts: Vec<Attempt>,
+}
+
+/// How an observation relates to a subject.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Relation {
+    /// It concerns the request itself, or whatever else violates the rule.
+    Direct,
+    /// It concerns the state of the render node or proxy.
+    Related,
+    Unrelated,
+}
+
+impl Subject {
+    /// How an observation relates to the subject.
+    pub fn relation(&self, seen: &Seen) -> Relation {
+        let direct = |is: bool| if is { Relation::Direct } else { Relation::Unrelated };
+        let related = |is: bool| if is { Relation::Related } else { Relation::Unrelated };
+        let (node, proxy) = (self.node, self.proxy);
+        match seen {
+            Seen::Asked { request, .. }
+            | Seen::Answered { request, .. }
+            | Seen::Moved { request }
+            | Seen::Ended { request, .. }
+            | Seen::Left { request, .. }
+            | Seen::LineSent { request, .. }
+            | Seen::LineBack { request, .. } => direct(self.request == Some(*request)),
+            // A violation without a request (slow start) concerns every attempt at the render node.
+            Seen::Attempt { attempt, request, .. } => {
+                direct(self.request.map_or(node == Some(attempt.node), |own| own == *request))
+            }
+            Seen::AttemptAnswered { attempt, .. }
+            | Seen::AttemptOver { attempt, .. }
+            | Seen::LineAtNode { attempt, .. }
+            | Seen::LineReturned { attempt, .. } => direct(self.attempts.contains(attempt)),
+            Seen::RudeCame { rude, .. } | Seen::RudeOver { rude, .. } => direct(self.rude == Some(*rude)),
+            Seen::BadFirstLine { proxy: p, .. } => direct(self.request.is_none() && proxy == Some(*p)),
+            Seen::Datagram { from, bytes, .. } => direct(*bytes > MAX_DATAGRAM_BYTES && proxy == Some(*from)),
+            Seen::Started { node: n, .. }
+            | Seen::Condition { node: n, .. }
+            | Seen::Fell { node: n }
+            | Seen::Listed { node: n, .. } => related(node == Some(*n)),
+            Seen::Told { proxy: p, node: n, .. } => {
+                related(node == Some(*n) && proxy.is_none_or(|own| own == *p))
+            }
+            Seen::Reach { proxy: p, node: n, .. } => related(node == Some(*n) && proxy == Some(*p)),
+            Seen::Watching { proxy: p, .. }
+            | Seen::ProxyStarted { proxy: p, .. }
+            | Seen::ProxySignalled { proxy: p, .. }
+            | Seen::ProxyExited { proxy: p, .. } => related(proxy == Some(*p)),
+            Seen::DiscoveryUp { .. } | Seen::Mark { .. } => Relation::Related,
+            _ => Relation::Unrelated,
+        }
+    }
+}
--- a/crates/kit/src/judge/verdict.rs
+++ b/crates/kit/src/judge/verdict.rs
@@ -1,4 +1,4 @@
-//! What the judge has found.
+//! The verdict on a run: outcome, findings, missed demands and figures.
 
 use super::figures::Figures;
 use super::lateness::Lateness;
@@ -8,7 +8,6 @@
 use crate::time::Micros;
 use serde::Serialize;
 use std::collections::BTreeMap;
-use std::fmt;
 
 /// How a run came out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -178,121 +177,3 @@
         surrounding_events: violation.surrounding_events.iter().map(ToString::to_string).collect(),
     }
 }
-
-impl fmt::Display for Finding {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "  {:.6} s", self.at as f64 / 1e6)?;
-        if let Some(request) = &self.request {
-            write!(f, ", request {request}")?;
-        }
-        if let Some(session) = self.session {
-            write!(f, ", session {session}")?;
-        }
-        if let Some(rude) = self.rude {
-            write!(f, ", rude client {rude}")?;
-        }
-        if let Some(node) = &self.node {
-            write!(f, ", render node {node}")?;
-        }
-        if let Some(proxy) = &self.proxy {
-            write!(f, ", proxy {proxy}")?;
-        }
-        writeln!(f, ":\n    {}", self.description)?;
-        self.surrounding_events.iter().try_for_each(|line| writeln!(f, "      | {line}"))
-    }
-}
-
-/// A part of 1, or a dash.
-struct Ratio(Option<f64>);
-
-impl fmt::Display for Ratio {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.0 {
-            Some(ratio) => write!(f, "{ratio:.3}"),
-            None => f.write_str("-"),
-        }
-    }
-}
-
-impl fmt::Display for Verdict {
-    /// For a person: how it came out, each broken rule with its first findings, and the figures.
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let outcome = match self.outcome {
-            Outcome::Passed => "PASSED",
-            Outcome::Failed => "FAILED",
-            Outcome::Void => "VOID",
-        };
-        let to = self.judged_to as f64 / 1e6;
-        writeln!(f, "{outcome}  {}, seed {}, judged to {to:.1} s", self.scenario, self.seed)?;
-        if let Some(why) = &self.void {
-            writeln!(f, "{why}: the run proves nothing; free the machine, or rehearse something smaller")?;
-        }
-        for (rule, count) in &self.violations {
-            writeln!(f, "\nBROKEN {rule}, {count} times. {}", rule.meaning())?;
-            self.findings
-                .iter()
-                .filter(|violation| violation.rule == *rule)
-                .try_for_each(|violation| violation.fmt(f))?;
-        }
-        for MissedDemand { demand, demanded, reached } in &self.missed_demands {
-            writeln!(f, "\nNOT REACHED {demand}: {demanded:.3} was demanded, {} came", Ratio(*reached))?;
-        }
-        writeln!(f)?;
-        self.figures.fmt(f)
-    }
-}
-
-impl fmt::Display for Figures {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let r = &self.service.ratios;
-        writeln!(
-            f,
-            "service {}: whole run {}, worst 10 s {} (from {:.0} s), worst class {} ({}), worst tenant {} ({})",
-            Ratio(r.mix),
-            Ratio(r.whole),
-            Ratio(r.worst_window),
-            r.worst_window_from as f64 / 1e6,
-            Ratio(r.worst_class),
-            r.worst_class_name,
-            Ratio(r.worst_tenant),
-            r.worst_tenant_name
-        )?;
-        let a = &self.answers;
-        writeln!(
-            f,
-            "requests {} ({} retries): up {}, busy {}, failed {}, unanswered {}; unreached {}; attempts per request {}",
-            self.requests,
-            self.retries,
-            a.up,
-            a.busy,
-            a.failed,
-            a.unanswered,
-            self.unreached,
-            Ratio(self.attempts_per_request)
-        )?;
-        writeln!(f, "moves {}, resets seen by clients {}", self.moves, self.resets)?;
-        for class in &self.latencies {
-            for (name, l) in [("set-up", &class.setup), ("message", &class.message)] {
-                let ms = |us: u64| us as f64 / 1e3;
-                writeln!(
-                    f,
-                    "{} {name} ms: half {:.1}, 90% {:.1}, 99% {:.1}, longest {:.1} ({} measured)",
-                    class.class,
-                    ms(l.p50),
-                    ms(l.p90),
-                    ms(l.p99),
-                    ms(l.max),
-                    l.count
-                )?;
-            }
-        }
-        for p in &self.proxies {
-            writeln!(
-                f,
-                "proxy {}: requests {}, datagrams {}, {} bytes, at most {} in a second",
-                p.proxy, p.requests, p.datagrams, p.bytes, p.most_bytes_in_a_second
-            )?;
-        }
-        Ok(())
-    }
-}
