--- a/crates/kit/src/bad_proxy/lists.rs
+++ b/crates/kit/src/bad_proxy/lists.rs
@@ -1,6 +1,6 @@
 //! Discovery's lists, as `PROTOCOL` has them.
 
-use crate::observation::Phase;
+use crate::plan::Phase;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
--- a/crates/kit/src/bad_proxy/roster.rs
+++ b/crates/kit/src/bad_proxy/roster.rs
@@ -2,7 +2,7 @@
 //! time, since starts are told so.
 
 use super::lists::List;
-use crate::observation::Phase;
+use crate::plan::Phase;
 use crate::time::{MS, Micros, S};
 use std::net::SocketAddr;
 
--- a/crates/kit/src/emulator/discovery_connection.rs
+++ b/crates/kit/src/emulator/discovery_connection.rs
@@ -1,8 +1,8 @@
 //! A proxy's connection to discovery: requests by httparse, answers whole or in chunks.
 
 use crate::model::discovery::Call;
-use crate::observation::Phase;
 use crate::plan::NodeId;
+use crate::plan::Phase;
 use crate::time::{MS, Micros};
 use cottonnotch_reactor::line::{Fill, LineStream};
 use cottonnotch_reactor::listener::Listener;
--- a/crates/kit/src/emulator/discovery_list.rs
+++ b/crates/kit/src/emulator/discovery_list.rs
@@ -2,7 +2,7 @@
 
 use crate::addresses::Addresses;
 use crate::model::registry::{Registry, Update};
-use crate::observation::Phase;
+use crate::plan::Phase;
 use crate::plan::{Plan, ProxyId};
 use crate::time::RunClock;
 
--- a/crates/kit/src/emulator/discovery_tests.rs
+++ b/crates/kit/src/emulator/discovery_tests.rs
@@ -1,7 +1,8 @@
 use super::discovery_list::known;
 use super::testing::{Peer, Run, Stage};
 use crate::model::testing::plan;
-use crate::observation::{Phase, Seen};
+use crate::observation::Seen;
+use crate::plan::Phase;
 use crate::plan::{DiscoveryChange, NodeChange, NodeId, ProxyId, What};
 use crate::time::{MS, Micros, S};
 use simd_json::OwnedValue;
--- a/crates/kit/src/judge/list_knowledge.rs
+++ b/crates/kit/src/judge/list_knowledge.rs
@@ -1,6 +1,7 @@
 //! What each proxy knows of the endpoint list: changes delivered to it, and changes presumed known after a time limit.
 
-use crate::observation::{Phase, Seen};
+use crate::observation::Seen;
+use crate::plan::Phase;
 use crate::plan::{NodeId, ProxyId, Rules};
 use crate::time::Micros;
 
--- a/crates/kit/src/model/discovery.rs
+++ b/crates/kit/src/model/discovery.rs
@@ -2,7 +2,7 @@
 //! faults.
 
 use super::registry::{Registry, Update};
-use crate::observation::Phase;
+use crate::plan::Phase;
 use crate::plan::{DiscoveryChange, NodeId, Plan};
 use crate::time::{MS, Micros, S};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/kit/src/model/registry.rs
+++ b/crates/kit/src/model/registry.rs
@@ -1,6 +1,6 @@
 //! The list of render nodes and its versions.
 
-use crate::observation::Phase;
+use crate::plan::Phase;
 use crate::plan::{NodeId, Plan};
 use crate::time::Micros;
 use std::collections::BTreeMap;
--- a/crates/kit/src/observation.rs
+++ b/crates/kit/src/observation.rs
@@ -3,7 +3,7 @@
 //! The judge is fed these and nothing else, in the order of their times; no word of a proxy's is among them.
 //! A stand-in notes what it did or saw at the moment at which it did or saw it, on the one clock of the run.
 
-use crate::plan::{NodeId, ProxyId, SessionId};
+use crate::plan::{NodeId, Phase, ProxyId, SessionId};
 use crate::time::Micros;
 use std::fmt;
 
@@ -120,18 +120,6 @@
     pub warm_up: Micros,
 }
 
-/// What the list says of a render node.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Phase {
-    /// Takes new connections.
-    Up,
-    /// Completes what it holds, accepts nothing new.
-    Draining,
-    /// Gone.
-    Removed,
-}
-
 /// What the kit did to a proxy's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
--- a/crates/kit/src/plan.rs
+++ b/crates/kit/src/plan.rs
@@ -3,7 +3,12 @@
 //! The same scenario and seed give the same plan to the microsecond; nothing that happens in a run changes it.
 //! Stand-ins share it by reference and look up what concerns them.
 
-use crate::observation::Phase;
+mod rules;
+mod timeline;
+
+pub use rules::{Demands, Rules};
+pub use timeline::{DiscoveryChange, Happening, NetworkChange, NodeChange, Phase, ProxyChange, What};
+
 use crate::time::Micros;
 use fnv::FnvHasher;
 use std::fmt::{self, Write};
@@ -267,112 +272,6 @@
     Silent,
 }
 
-/// Something of the timeline.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Happening {
-    /// When.
-    pub at: Micros,
-    /// What.
-    pub what: What,
-}
-
-/// What happens.
-#[derive(Clone, Debug, PartialEq)]
-#[allow(missing_docs)] // Each variant's sentence names its fields.
-pub enum What {
-    /// To a render node.
-    Node(NodeId, NodeChange),
-    /// Discovery learns this of a render node.
-    Listed(NodeId, Phase),
-    /// To discovery.
-    Discovery(DiscoveryChange),
-    /// To a proxy.
-    Proxy(ProxyId, ProxyChange),
-    /// Each session that stands drops its connection with this chance (decided by the session's own seed and this
-    /// one), and comes again after a wait of up to `back_within`.
-    Drop { share: f64, back_within: Micros, seed: u64 },
-    /// To the network.
-    Network(NetworkChange),
-    /// Words for the log and the judge's report.
-    Mark(String),
-}
-
-/// What happens to a render node.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum NodeChange {
-    /// It takes nothing new and sends its clients away bit by bit within this time.
-    Drain {
-        /// From now.
-        within: Micros,
-    },
-    /// Its process ends at once: connections are reset, new ones refused.
-    Kill,
-    /// Its machine is gone without a word.
-    Vanish,
-    /// It accepts and never replies.
-    Hang,
-    /// It answers rubbish to new connections.
-    Rubbish,
-    /// It does everything so many times slower; 1 for as usual.
-    Slow(f64),
-    /// Its process starts, cold. After `Vanish`, its old connections are reset.
-    Start,
-    /// It does as usual again, without having been restarted (after `Hang`, `Rubbish`, or a short `Vanish`).
-    Recover,
-}
-
-/// What happens to discovery.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum DiscoveryChange {
-    /// Gone: connections end, new ones are refused.
-    Down,
-    /// Each call is answered 503.
-    Unavailable,
-    /// Each call, and each open watch, is reset.
-    Resetting,
-    /// Calls and watches are kept open and nothing is said, not even beats.
-    Silent,
-    /// The next change is written in pieces of a few bytes with pauses between.
-    InPieces,
-    /// The next watch gets the whole list, as if its version were too old.
-    Gap,
-    /// The next change comes as a list that cannot be read, once, to each watch.
-    BadList,
-    /// It listens at another address; the old one takes nothing new and closes what is open after 1.5 s. The
-    /// proxies' files are replaced and each gets SIGHUP.
-    MoveAway,
-    /// As usual.
-    Restore,
-}
-
-/// What happens to a proxy.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum ProxyChange {
-    /// SIGKILL.
-    Kill,
-    /// SIGTERM; SIGKILL when the time for leaving is over.
-    Terminate,
-    /// Started again, under its name and addresses.
-    Start,
-    /// Its files are written anew, without a change that counts, and it gets SIGHUP.
-    Reload,
-}
-
-/// What happens to the network.
-#[derive(Clone, Debug, PartialEq)]
-pub enum NetworkChange {
-    /// This part of the datagrams between proxies is lost.
-    Loss(f64),
-    /// No datagram passes between a proxy of the one set and one outside it.
-    Part(Vec<ProxyId>),
-    /// All pass again.
-    Join,
-    /// The proxy can't reach these render nodes: what is open is silent, what is new never comes up.
-    CutOff(ProxyId, Vec<NodeId>),
-    /// It can again.
-    Reach(ProxyId),
-}
-
 /// How clients behave.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Habits {
@@ -429,51 +328,3 @@
     /// That each render node is loaded with many times what it can do by its connections.
     AllCrowded,
 }
-
-/// The figures of the rules.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
-    /// A final answer may come this long after the client's time is up.
-    pub answer_slack: Micros,
-    /// New work to a render node that drains or is gone ends within this time of being told.
-    pub stop_within: Micros,
-    /// A proxy without a watch counts as told after this (four times this after a failed call).
-    pub ask_within: Micros,
-    /// What discovery has to tell counts as told after this while it can be reached, whether it arrived or not.
-    pub told_within: Micros,
-    /// A cold render node bears this multiple of what it can do at that moment ...
-    pub fall_multiple: f64,
-    /// ... within any window of this length.
-    pub fall_window: Micros,
-    /// What proxies are told of cold render nodes: each begins at this part of its capacity or more ...
-    pub cold_from: f64,
-    /// ... and is warm within this.
-    pub warm_up: Micros,
-    /// No line may be held back for longer.
-    pub line_held: Micros,
-    /// A connection that its render node has ended is ended or moved within this.
-    pub ended_within: Micros,
-    /// One that returns nothing from a running render node, within this.
-    pub silent_within: Micros,
-    /// Most attempts for a request.
-    pub attempts: u32,
-    /// A call attempt that is not connected by then could not connect.
-    pub connect_timeout: Micros,
-    /// The longest wait that a `BUSY` may ask for.
-    pub retry_after_max: Micros,
-    /// On the sockets each time limit is this much longer.
-    pub grace: Micros,
-    /// A proxy told to stop is killed this long afterwards.
-    pub term_to_kill: Micros,
-}
-
-/// What the run must reach, beside keeping every rule. Parts of 1.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Demands {
-    /// Service of the whole run.
-    pub service: f64,
-    /// Service of the worst 10 s.
-    pub worst_window: f64,
-    /// Bytes of datagrams that a proxy may send in any second, as delivered; 0: nothing is demanded.
-    pub datagram_bytes_per_s: u64,
-}
--- /dev/null
+++ b/crates/kit/src/plan/timeline.rs
@@ -0,0 +1,122 @@
+//! What happens in a run, and when.
+
+use super::{NodeId, ProxyId};
+use crate::time::Micros;
+
+/// Something of the timeline.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Happening {
+    /// When.
+    pub at: Micros,
+    /// What.
+    pub what: What,
+}
+
+/// What happens.
+#[derive(Clone, Debug, PartialEq)]
+#[allow(missing_docs)] // Each variant's sentence names its fields.
+pub enum What {
+    /// To a render node.
+    Node(NodeId, NodeChange),
+    /// Discovery learns this of a render node.
+    Listed(NodeId, Phase),
+    /// To discovery.
+    Discovery(DiscoveryChange),
+    /// To a proxy.
+    Proxy(ProxyId, ProxyChange),
+    /// Each session that stands drops its connection with this chance (decided by the session's own seed and this
+    /// one), and comes again after a wait of up to `back_within`.
+    Drop { share: f64, back_within: Micros, seed: u64 },
+    /// To the network.
+    Network(NetworkChange),
+    /// Words for the log and the judge's report.
+    Mark(String),
+}
+
+/// What happens to a render node.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum NodeChange {
+    /// It takes nothing new and sends its clients away bit by bit within this time.
+    Drain {
+        /// From now.
+        within: Micros,
+    },
+    /// Its process ends at once: connections are reset, new ones refused.
+    Kill,
+    /// Its machine is gone without a word.
+    Vanish,
+    /// It accepts and never replies.
+    Hang,
+    /// It answers rubbish to new connections.
+    Rubbish,
+    /// It does everything so many times slower; 1 for as usual.
+    Slow(f64),
+    /// Its process starts, cold. After `Vanish`, its old connections are reset.
+    Start,
+    /// It does as usual again, without having been restarted (after `Hang`, `Rubbish`, or a short `Vanish`).
+    Recover,
+}
+
+/// What happens to discovery.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum DiscoveryChange {
+    /// Gone: connections end, new ones are refused.
+    Down,
+    /// Each call is answered 503.
+    Unavailable,
+    /// Each call, and each open watch, is reset.
+    Resetting,
+    /// Calls and watches are kept open and nothing is said, not even beats.
+    Silent,
+    /// The next change is written in pieces of a few bytes with pauses between.
+    InPieces,
+    /// The next watch gets the whole list, as if its version were too old.
+    Gap,
+    /// The next change comes as a list that cannot be read, once, to each watch.
+    BadList,
+    /// It listens at another address; the old one takes nothing new and closes what is open after 1.5 s. The
+    /// proxies' files are replaced and each gets SIGHUP.
+    MoveAway,
+    /// As usual.
+    Restore,
+}
+
+/// What happens to a proxy.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum ProxyChange {
+    /// SIGKILL.
+    Kill,
+    /// SIGTERM; SIGKILL when the time for leaving is over.
+    Terminate,
+    /// Started again, under its name and addresses.
+    Start,
+    /// Its files are written anew, without a change that counts, and it gets SIGHUP.
+    Reload,
+}
+
+/// What happens to the network.
+#[derive(Clone, Debug, PartialEq)]
+pub enum NetworkChange {
+    /// This part of the datagrams between proxies is lost.
+    Loss(f64),
+    /// No datagram passes between a proxy of the one set and one outside it.
+    Part(Vec<ProxyId>),
+    /// All pass again.
+    Join,
+    /// The proxy can't reach these render nodes: what is open is silent, what is new never comes up.
+    CutOff(ProxyId, Vec<NodeId>),
+    /// It can again.
+    Reach(ProxyId),
+}
+
+/// What the list says of a render node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum Phase {
+    /// Takes new connections.
+    Up,
+    /// Completes what it holds, accepts nothing new.
+    Draining,
+    /// Gone.
+    Removed,
+}
--- a/crates/kit/src/scenario/draw/faults.rs
+++ b/crates/kit/src/scenario/draw/faults.rs
@@ -2,7 +2,7 @@
 
 use super::Draw;
 use super::listing::{Truth, entries};
-use crate::observation::Phase;
+use crate::plan::Phase;
 use crate::plan::{
     DiscoveryChange, Happening, NetworkChange, NodeChange, NodeId, ProxyChange, ProxyId, What,
 };
--- a/crates/kit/src/scenario/draw/listing.rs
+++ b/crates/kit/src/scenario/draw/listing.rs
@@ -1,7 +1,7 @@
 //! What discovery learns of a render node, from what really happens to it: late, and never what is over by
 //! then.
 
-use crate::observation::Phase;
+use crate::plan::Phase;
 use crate::time::{MS, Micros};
 
 /// Something that happened to a render node and that discovery may learn.
--- a/crates/kit/tests/judge/model.rs
+++ b/crates/kit/tests/judge/model.rs
@@ -3,9 +3,8 @@
 
 use crate::stage::{Trace, Who, judge, who};
 use cottonnotch_kit::judge::{Outcome, Rule};
-use cottonnotch_kit::observation::{
-    Answer, Condition, End, Left, NodeAnswer, Over, Phase, RudeEnd, Seen, Signal,
-};
+use cottonnotch_kit::observation::{Answer, Condition, End, Left, NodeAnswer, Over, RudeEnd, Seen, Signal};
+use cottonnotch_kit::plan::Phase;
 use cottonnotch_kit::plan::{NodeId, ProxyId};
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng, seq::IndexedRandom};
--- a/crates/kit/tests/judge/rules.rs
+++ b/crates/kit/tests/judge/rules.rs
@@ -2,9 +2,8 @@
 
 use crate::stage::{Trace, Who, breaks, judge, passes, standing, who};
 use cottonnotch_kit::judge::Rule;
-use cottonnotch_kit::observation::{
-    Answer, Condition, End, Left, NodeAnswer, Over, Phase, RudeEnd, Seen, Signal,
-};
+use cottonnotch_kit::observation::{Answer, Condition, End, Left, NodeAnswer, Over, RudeEnd, Seen, Signal};
+use cottonnotch_kit::plan::Phase;
 use cottonnotch_kit::plan::{NodeId, ProxyId, SessionId};
 
 fn is_end(seen: &Seen) -> bool {
--- a/crates/kit/tests/judge/stage.rs
+++ b/crates/kit/tests/judge/stage.rs
@@ -2,9 +2,10 @@
 
 use cottonnotch_kit::judge::{Judge, Outcome, Rule, Verdict};
 use cottonnotch_kit::observation::{
-    Answer, Attempt, Cold, Condition, End, Left, NodeAnswer, Observation, Over, Phase, RequestId, RudeEnd,
-    Seen, Signal,
+    Answer, Attempt, Cold, Condition, End, Left, NodeAnswer, Observation, Over, RequestId, RudeEnd, Seen,
+    Signal,
 };
+use cottonnotch_kit::plan::Phase;
 use cottonnotch_kit::plan::{
     Class, Demands, Front, Habits, Network, Node, NodeId, Plan, Proxy, ProxyId, Rude, RudeKind, Rules,
     Session, SessionId, Tenant,
--- a/crates/kit/tests/scenarios.rs
+++ b/crates/kit/tests/scenarios.rs
@@ -1,6 +1,6 @@
 //! Scenarios as shipped and as written by hand: what is drawn from them.
 
-use cottonnotch_kit::observation::Phase;
+use cottonnotch_kit::plan::Phase;
 use cottonnotch_kit::plan::{NodeChange, NodeId, Plan, ProxyChange, ProxyId, What};
 use cottonnotch_kit::scenario::Scenario;
 use cottonnotch_kit::settings::settings;
