--- a/crates/kit/tests/judge/figures.rs
+++ b/crates/kit/tests/judge/figures.rs
@@ -1,6 +1,6 @@
 //! Figures against a plain oracle that looks at every millisecond.
 
-use crate::stage::{ENDS, Trace, judge_to, plan, standing};
+use crate::fixtures::{ENDS, Trace, established, judge_to, plan};
 use cottonnotch_kit::judge::Outcome;
 use cottonnotch_kit::observation::{Answer, Seen};
 use cottonnotch_kit::plan::{Plan, SessionId};
@@ -8,9 +8,9 @@
 use proptest::prelude::*;
 
 /// What one session asks for, and the spans in which it was served: from, to, well. In milliseconds.
-type Story = (i64, i64, Vec<(i64, i64, bool)>);
+type SessionDemand = (i64, i64, Vec<(i64, i64, bool)>);
 
-fn story() -> impl Strategy<Value = Story> {
+fn session_demand() -> impl Strategy<Value = SessionDemand> {
     (0i64..14_000, 0i64..9_000, prop::collection::vec((0i64..3000, 1i64..3000, any::<bool>()), 0..8))
         .prop_map(|(from, life, spans)| {
             let mut at = from;
@@ -26,13 +26,13 @@
 /// Worth asked for and well served, as sums over milliseconds `from..to` for sessions that `counts` picks.
 fn sums(
     plan: &Plan,
-    stories: &[Story],
+    demands: &[SessionDemand],
     (from, to): (i64, i64),
     counts: impl Fn(usize) -> bool,
 ) -> (f64, f64) {
     let (mut wanted, mut well) = (0.0, 0.0);
     for ms in from..to {
-        for (i, (begins, ends, spans)) in stories.iter().enumerate().filter(|(i, _)| counts(*i)) {
+        for (i, (begins, ends, spans)) in demands.iter().enumerate().filter(|(i, _)| counts(*i)) {
             let worth = plan.classes[usize::from(plan.sessions[i].class)].worth;
             if *begins <= ms && ms < *ends {
                 wanted += worth;
@@ -45,19 +45,19 @@
 }
 
 /// The tenant's, second by second within its share.
-fn within_share(plan: &Plan, stories: &[Story], tenant: u8, (from, to): (i64, i64)) -> (f64, f64) {
+fn within_share(plan: &Plan, demands: &[SessionDemand], tenant: u8, (from, to): (i64, i64)) -> (f64, f64) {
     let quota = plan.tenants[usize::from(tenant)].quota_connections;
     let of = |i: usize| plan.sessions[i].tenant == tenant;
     let (mut all_wanted, mut all_well) = (0.0, 0.0);
     for second in (from..to).step_by(1000) {
         let mut within = 0.0;
         for ms in second..(second + 1000).min(to) {
-            let live = |(i, s): &(usize, &Story)| of(*i) && s.0 <= ms && ms < s.1;
-            let count = stories.iter().enumerate().filter(live).count() as f64;
-            within += sums(plan, stories, (ms, ms + 1), of).0 * (quota / count.max(quota));
+            let live = |(i, s): &(usize, &SessionDemand)| of(*i) && s.0 <= ms && ms < s.1;
+            let count = demands.iter().enumerate().filter(live).count() as f64;
+            within += sums(plan, demands, (ms, ms + 1), of).0 * (quota / count.max(quota));
         }
         all_wanted += within;
-        all_well += sums(plan, stories, (second, (second + 1000).min(to)), of).1.min(within);
+        all_well += sums(plan, demands, (second, (second + 1000).min(to)), of).1.min(within);
     }
     (all_wanted, all_well)
 }
@@ -77,11 +77,11 @@
     #![proptest_config(ProptestConfig { cases: 40, failure_persistence: None, ..Default::default() })]
 
     #[test]
-    fn service_is_as_the_oracle_reckons(stories in prop::collection::vec(story(), 0..9), end in 3000i64..22_000) {
-        let mut plan = plan(stories.len());
+    fn service_matches_oracle(demands in prop::collection::vec(session_demand(), 0..9), end in 3000i64..22_000) {
+        let mut plan = plan(demands.len());
         (plan.measured_from, plan.ends) = (2500 * MS, 18_700 * MS);
         let mut trace = Trace::default();
-        for (i, (from, until, spans)) in stories.iter().enumerate() {
+        for (i, (from, until, spans)) in demands.iter().enumerate() {
             let (session, s) = (SessionId(i as u32), &plan.sessions[i]);
             let wanted = Seen::Wanted { session, class: s.class, tenant: s.tenant, until: until * MS };
             trace.add(*from as f64, wanted);
@@ -92,30 +92,30 @@
         // A span that is not over is not counted, so the run ends between spans.
         let to = end.min(18_700);
         trace.0.retain(|(at, _)| *at <= to as f64);
-        let cut = |(from, until, spans): &Story| {
+        let cut = |(from, until, spans): &SessionDemand| {
             (*from, *until.min(&to), spans.iter().copied().filter(|(_, end, _)| *end <= to).collect())
         };
-        let stories: Vec<Story> = stories.iter().map(cut).collect();
+        let demands: Vec<SessionDemand> = demands.iter().map(cut).collect();
         let verdict = judge_to(&plan, &trace, end);
         let ratios = &verdict.figures.service.ratios;
         let measured = (2500, to);
-        let whole = sums(&plan, &stories, measured, |_| true);
+        let whole = sums(&plan, &demands, measured, |_| true);
         prop_assert!(close(ratios.whole, least([whole].into_iter())), "whole: {ratios:?} {whole:?}");
         let total: f64 = verdict.figures.time_line().map(|s| s.wanted).sum();
         prop_assert!((total - whole.0 / 1e3).abs() < 1e-6, "wanted {total} {whole:?}");
         let seconds = (to - 2500 + 999) / 1000;
         let windows = (0..=(seconds - 10).max(0)).map(|i| 2500 + i * 1000);
-        let windows = windows.map(|from| sums(&plan, &stories, (from, (from + 10_000).min(to)), |_| true));
+        let windows = windows.map(|from| sums(&plan, &demands, (from, (from + 10_000).min(to)), |_| true));
         prop_assert!(close(ratios.worst_window, least(windows)), "window: {ratios:?}");
-        let classes = (0..2u8).map(|c| sums(&plan, &stories, measured, |i| plan.sessions[i].class == c));
+        let classes = (0..2u8).map(|c| sums(&plan, &demands, measured, |i| plan.sessions[i].class == c));
         prop_assert!(close(ratios.worst_class, least(classes)), "class: {ratios:?}");
-        let tenants = (0..2u8).map(|t| within_share(&plan, &stories, t, measured));
+        let tenants = (0..2u8).map(|t| within_share(&plan, &demands, t, measured));
         prop_assert!(close(ratios.worst_tenant, least(tenants)), "tenant: {ratios:?}");
     }
 }
 
 #[test]
-fn no_second_counts_twice() {
+fn counts_each_second_once() {
     let (mut trace, session) = (Trace::default(), SessionId(0));
     trace.add(1000.0, Seen::Wanted { session, class: 0, tenant: 0, until: 5000 * MS });
     for (from, to) in [(0, 2000), (1000, 2000), (1500, 3000), (4500, 9000)] {
@@ -126,11 +126,11 @@
 }
 
 #[test]
-fn counts_are_as_the_story_tells() {
-    let (mut trace, w) = standing();
-    trace.refused(30_000.0, crate::stage::who(2, 1, 0));
-    let again = crate::stage::Who { session: SessionId(2), ..crate::stage::who(3, 1, 0) };
-    trace.refused(30_100.0, again).answered(1012.0, w, Answer::Busy(0));
+fn counts_match_trace() {
+    let (mut trace, w) = established();
+    trace.rejected(30_000.0, crate::fixtures::exchange(2, 1, 0));
+    let again = crate::fixtures::Exchange { session: SessionId(2), ..crate::fixtures::exchange(3, 1, 0) };
+    trace.rejected(30_100.0, again).answered(1012.0, w, Answer::Busy(0));
     trace.add(5.0, Seen::Unreached { session: SessionId(1), proxy: w.proxy });
     for took in 1..=100 {
         trace.add(1000.0, Seen::MessageTook { class: 1, took: took * MS });
--- a/crates/kit/tests/judge/stage.rs
+++ b/crates/kit/tests/judge/fixtures.rs
@@ -1,4 +1,4 @@
-//! A small plan, and traces of what stand-ins would see, told as stories. Times are in milliseconds.
+//! A small plan, and traces of observations built step by step. Times are in milliseconds.
 
 use cottonnotch_kit::judge::{Judge, Outcome, Rule, Verdict};
 use cottonnotch_kit::observation::{
@@ -126,14 +126,14 @@
 }
 
 #[track_caller]
-pub fn passes(trace: &Trace) {
+pub fn assert_passes(trace: &Trace) {
     let verdict = judge(trace);
     assert_eq!(verdict.outcome, Outcome::Passed, "{verdict}");
 }
 
-/// This rule is broken, once, and no other.
+/// Exactly one violation is found, of this rule.
 #[track_caller]
-pub fn breaks(rule: Rule, trace: &Trace) -> Verdict {
+pub fn assert_violates(rule: Rule, trace: &Trace) -> Verdict {
     let verdict = judge(trace);
     assert_eq!(verdict.outcome, Outcome::Failed, "{rule} was to be broken: {verdict}");
     assert_eq!(
@@ -144,18 +144,18 @@
     verdict
 }
 
-/// Who has a connection: everything about it is named by these.
+/// The ids of one request and its connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Who {
+pub struct Exchange {
     pub request: RequestId,
     pub session: SessionId,
     pub proxy: ProxyId,
     pub attempt: Attempt,
 }
 
-pub fn who(request: u64, proxy: u16, node: u16) -> Who {
+pub fn exchange(request: u64, proxy: u16, node: u16) -> Exchange {
     let attempt = Attempt { node: NodeId(node), serial: request as u32 * 10 };
-    Who {
+    Exchange {
         request: RequestId(request),
         session: SessionId(request as u32 % 50),
         proxy: ProxyId(proxy),
@@ -163,29 +163,29 @@
     }
 }
 
-impl Who {
+impl Exchange {
     pub fn receipt(&self) -> u64 {
         1_000_000 + self.request.0
     }
 
-    /// The same request's attempt number `n` at another render node.
-    pub fn again(&self, n: u32, node: u16) -> Who {
-        Who { attempt: Attempt { node: NodeId(node), serial: self.attempt.serial + n }, ..*self }
+    /// The same request with its attempt number `n` at another render node.
+    pub fn with_attempt(&self, n: u32, node: u16) -> Exchange {
+        Exchange { attempt: Attempt { node: NodeId(node), serial: self.attempt.serial + n }, ..*self }
     }
 }
 
-/// A connection that stands from 1 s to 20 s, with a line each 2 s.
-pub fn standing() -> (Trace, Who) {
-    let (mut trace, w) = (Trace::default(), who(1, 0, 0));
+/// A connection that is established from 1 s to 20 s, with a line each 2 s.
+pub fn established() -> (Trace, Exchange) {
+    let (mut trace, w) = (Trace::default(), exchange(1, 0, 0));
     trace.up(1000.0, w);
     for n in 0..9 {
-        trace.line(2000.0 + 2000.0 * f64::from(n), w, n);
+        trace.line_round_trip(2000.0 + 2000.0 * f64::from(n), w, n);
     }
-    trace.done(20_000.0, w);
+    trace.client_done(20_000.0, w);
     (trace, w)
 }
 
-/// What was seen, with times in milliseconds.
+/// Observations, with times in milliseconds.
 #[derive(Clone, Debug, Default)]
 pub struct Trace(pub Vec<(f64, Seen)>);
 
@@ -215,12 +215,12 @@
         trace
     }
 
-    pub fn asked(&mut self, at: f64, w: Who) -> &mut Self {
+    pub fn submitted(&mut self, at: f64, w: Exchange) -> &mut Self {
         let deadline = (at * 1e3) as i64 + S;
         self.add(at, Seen::Asked { request: w.request, session: w.session, proxy: w.proxy, deadline })
     }
 
-    pub fn attempt(&mut self, at: f64, w: Who) -> &mut Self {
+    pub fn attempt(&mut self, at: f64, w: Exchange) -> &mut Self {
         let first_byte = (at * 1e3) as i64 - 100;
         self.add(
             at,
@@ -234,60 +234,62 @@
         )
     }
 
-    pub fn node_says(&mut self, at: f64, w: Who, answer: NodeAnswer) -> &mut Self {
+    pub fn node_answers(&mut self, at: f64, w: Exchange, answer: NodeAnswer) -> &mut Self {
         self.add(at, Seen::AttemptAnswered { attempt: w.attempt, answer })
     }
 
-    pub fn over(&mut self, at: f64, w: Who, over: Over) -> &mut Self {
+    pub fn attempt_ended(&mut self, at: f64, w: Exchange, over: Over) -> &mut Self {
         self.add(at, Seen::AttemptOver { attempt: w.attempt, over })
     }
 
-    pub fn answered(&mut self, at: f64, w: Who, answer: Answer) -> &mut Self {
+    pub fn answered(&mut self, at: f64, w: Exchange, answer: Answer) -> &mut Self {
         self.add(at, Seen::Answered { request: w.request, answer })
     }
 
-    pub fn ended(&mut self, at: f64, w: Who) -> &mut Self {
+    pub fn proxy_closed(&mut self, at: f64, w: Exchange) -> &mut Self {
         self.add(at, Seen::Ended { request: w.request, how: End::Closed })
     }
 
-    pub fn moved(&mut self, at: f64, w: Who) -> &mut Self {
+    pub fn moved(&mut self, at: f64, w: Exchange) -> &mut Self {
         self.add(at, Seen::Moved { request: w.request })
     }
 
-    pub fn left(&mut self, at: f64, w: Who, why: Left) -> &mut Self {
+    pub fn client_closed(&mut self, at: f64, w: Exchange, why: Left) -> &mut Self {
         self.add(at, Seen::Left { request: w.request, why })
     }
 
-    /// Put, sent on and refused by the render node and by the proxy.
-    pub fn refused(&mut self, at: f64, w: Who) -> &mut Self {
-        self.asked(at, w).attempt(at + 1.0, w).node_says(at + 2.0, w, NodeAnswer::Busy);
-        self.over(at + 2.0, w, Over::Cut).answered(at + 3.0, w, Answer::Busy(0)).ended(at + 3.0, w)
+    /// A request that the render node and then the proxy reject.
+    pub fn rejected(&mut self, at: f64, w: Exchange) -> &mut Self {
+        self.submitted(at, w).attempt(at + 1.0, w).node_answers(at + 2.0, w, NodeAnswer::Busy);
+        self.attempt_ended(at + 2.0, w, Over::Cut)
+            .answered(at + 3.0, w, Answer::Busy(0))
+            .proxy_closed(at + 3.0, w)
     }
 
-    /// Put, sent on, and up 10 ms later.
-    pub fn up(&mut self, at: f64, w: Who) -> &mut Self {
-        self.asked(at, w).attempt(at + 1.0, w).node_says(at + 9.0, w, NodeAnswer::Up(w.receipt()));
+    /// A request that is answered `UP` 10 ms later.
+    pub fn up(&mut self, at: f64, w: Exchange) -> &mut Self {
+        self.submitted(at, w).attempt(at + 1.0, w).node_answers(at + 9.0, w, NodeAnswer::Up(w.receipt()));
         self.answered(at + 10.0, w, Answer::Up(w.receipt()))
     }
 
-    /// One line, there and back.
-    pub fn line(&mut self, at: f64, w: Who, line: u32) -> &mut Self {
+    /// One line, delivered and returned.
+    pub fn line_round_trip(&mut self, at: f64, w: Exchange, line: u32) -> &mut Self {
         self.add(at, Seen::LineSent { request: w.request, line });
         self.add(at + 0.3, Seen::LineAtNode { attempt: w.attempt, line });
         self.add(at + 1.0, Seen::LineReturned { attempt: w.attempt, line });
         self.add(at + 1.3, Seen::LineBack { request: w.request, line })
     }
 
-    /// The client is done.
-    pub fn done(&mut self, at: f64, w: Who) -> &mut Self {
-        self.over(at, w, Over::ByProxy).left(at + 0.5, w, Left::Done)
+    /// The client ends its connection in order.
+    pub fn client_done(&mut self, at: f64, w: Exchange) -> &mut Self {
+        self.attempt_ended(at, w, Over::ByProxy).client_closed(at + 0.5, w, Left::Done)
     }
 
     pub fn listed(&mut self, at: f64, node: u16, phase: Phase) -> &mut Self {
         self.add(at, Seen::Listed { node: NodeId(node), phase })
     }
 
-    pub fn told(&mut self, at: f64, proxy: u16, node: u16, phase: Phase) -> &mut Self {
+    pub fn notified(&mut self, at: f64, proxy: u16, node: u16, phase: Phase) -> &mut Self {
         self.add(at, Seen::Told { proxy: ProxyId(proxy), node: NodeId(node), phase })
     }
 
@@ -299,7 +301,7 @@
         self.add(at, Seen::Condition { node: NodeId(node), condition })
     }
 
-    pub fn cold_start(&mut self, at: f64, node: u16) -> &mut Self {
+    pub fn slow_start(&mut self, at: f64, node: u16) -> &mut Self {
         let cold = Cold { joins_per_s: 5.0, from: 0.4, warm_up: 10 * S };
         self.add(at, Seen::Started { node: NodeId(node), cold: Some(cold) })
     }
@@ -316,12 +318,12 @@
         self.add(at, Seen::ProxyExited { proxy: ProxyId(proxy), code })
     }
 
-    pub fn rude(&mut self, at: f64, rude: u32, proxy: u16) -> &mut Self {
+    pub fn misbehaving_client(&mut self, at: f64, rude: u32, proxy: u16) -> &mut Self {
         let by = (at * 1e3) as i64 + 2 * S;
         self.add(at, Seen::RudeCame { rude, proxy: ProxyId(proxy), by })
     }
 
-    pub fn rude_over(&mut self, at: f64, rude: u32, how: RudeEnd) -> &mut Self {
+    pub fn misbehaving_client_answered(&mut self, at: f64, rude: u32, how: RudeEnd) -> &mut Self {
         self.add(at, Seen::RudeOver { rude, how })
     }
 }
--- a/crates/kit/tests/judge/main.rs
+++ b/crates/kit/tests/judge/main.rs
@@ -1,8 +1,8 @@
-//! The judge is proved by breaking what it checks: scripted traces for each rule, a model of healthy runs with one
-//! fault put in, and figures against a plain oracle.
+//! Tests of the judge: scripted traces for each rule, generated healthy runs with one injected fault, and figures
+//! against a plain oracle.
 
 mod figures;
-mod load;
+mod fixtures;
 mod model;
 mod rules;
-mod stage;
+mod throughput;
--- a/crates/kit/tests/judge/model.rs
+++ b/crates/kit/tests/judge/model.rs
@@ -1,7 +1,7 @@
 //! A small model of healthy runs: sessions, attempts, moves, a drain, a dead and a hung render node, a killed proxy.
 //! Every one passes; with one fault put in, it fails by that fault's rule and no other.
 
-use crate::stage::{Trace, Who, judge, who};
+use crate::fixtures::{Exchange, Trace, exchange, judge};
 use cottonnotch_kit::judge::{Outcome, Rule};
 use cottonnotch_kit::observation::{Answer, Condition, End, Left, NodeAnswer, Over, RudeEnd, Seen, Signal};
 use cottonnotch_kit::plan::Phase;
@@ -18,7 +18,7 @@
 
 /// How a connection came to its end.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
+enum EndCause {
     Done,
     Drained,
     NodeDied,
@@ -28,12 +28,12 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Connection {
-    w: Who,
-    tries: u32,
+    w: Exchange,
+    attempt_count: u32,
     up: f64,
     /// When its client's side was over, or told to go.
     end: f64,
-    fate: Fate,
+    cause: EndCause,
     lines: u32,
 }
 
@@ -41,7 +41,7 @@
 struct Run {
     trace: Trace,
     connections: Vec<Connection>,
-    refused: Vec<(Who, f64)>,
+    refused: Vec<(Exchange, f64)>,
 }
 
 /// A render node that takes connections of a proxy that knows what it was told.
@@ -59,12 +59,12 @@
     let t = &mut run.trace;
     for proxy in 0..2 {
         t.started(0.0, proxy).watching(100.0, proxy, true);
-        t.told(DRAIN.1 + rng.random_range(100.0..500.0), proxy, DRAIN.0, Phase::Draining);
-        t.told(DEATH.1 + rng.random_range(1000.0..3000.0), proxy, DEATH.0, Phase::Removed);
-        t.told(DEATH.1 + 8600.0, proxy, DEATH.0, Phase::Up);
+        t.notified(DRAIN.1 + rng.random_range(100.0..500.0), proxy, DRAIN.0, Phase::Draining);
+        t.notified(DEATH.1 + rng.random_range(1000.0..3000.0), proxy, DEATH.0, Phase::Removed);
+        t.notified(DEATH.1 + 8600.0, proxy, DEATH.0, Phase::Up);
     }
     t.listed(DRAIN.1, DRAIN.0, Phase::Draining).listed(DEATH.1 + 900.0, DEATH.0, Phase::Removed);
-    t.condition(DEATH.1, DEATH.0, Condition::Down).cold_start(DEATH.1 + 8000.0, DEATH.0);
+    t.condition(DEATH.1, DEATH.0, Condition::Down).slow_start(DEATH.1 + 8000.0, DEATH.0);
     t.listed(DEATH.1 + 8500.0, DEATH.0, Phase::Up);
     t.condition(HANG.1, HANG.0, Condition::Hung).condition(HANG.2, HANG.0, Condition::Sound);
     t.signal(20_000.0, 0, Signal::Reload).signal(KILL.1, KILL.0, Signal::Kill).exited(
@@ -73,8 +73,16 @@
         None,
     );
     t.started(KILL.1 + 2000.0, KILL.0).watching(KILL.1 + 2500.0, KILL.0, true);
-    t.rude(5000.0, 0, 0).rude_over(5000.0 + rng.random_range(1.0..2040.0), 0, RudeEnd::Error);
-    t.rude(6000.0, 2, 1).rude_over(6000.0 + rng.random_range(1.0..2040.0), 2, RudeEnd::Closed);
+    t.misbehaving_client(5000.0, 0, 0).misbehaving_client_answered(
+        5000.0 + rng.random_range(1.0..2040.0),
+        0,
+        RudeEnd::Error,
+    );
+    t.misbehaving_client(6000.0, 2, 1).misbehaving_client_answered(
+        6000.0 + rng.random_range(1.0..2040.0),
+        2,
+        RudeEnd::Closed,
+    );
     for at in 0..59 {
         t.add(f64::from(at) * 1000.0, Seen::Lag { late: rng.random_range(0..5000) });
         t.add(f64::from(at) * 1000.0, Seen::Datagram { from: ProxyId(0), to: ProxyId(1), bytes: 256 });
@@ -96,18 +104,18 @@
 
 /// One request: up to two attempts that come to nothing, then an answer, or none for a client who leaves.
 fn session(run: &mut Run, rng: &mut ChaCha8Rng, at: f64, request: u64, proxy: u16) {
-    let first = who(request, proxy, 0);
-    run.trace.asked(at, first);
+    let first = exchange(request, proxy, 0);
+    run.trace.submitted(at, first);
     let (mut now, failures) = (at + 1.0, rng.random_range(0..3));
     for n in 0..failures {
-        let w = first.again(n, pick(rng, now));
+        let w = first.with_attempt(n, pick(rng, now));
         run.trace.attempt(now, w);
         let took = rng.random_range(1.0..250.0);
         if rng.random() {
-            run.trace.node_says(now + took, w, NodeAnswer::Busy).over(now + took, w, Over::Cut);
+            run.trace.node_answers(now + took, w, NodeAnswer::Busy).attempt_ended(now + took, w, Over::Cut);
         } else {
             // The proxy stops waiting; the render node notes that late.
-            run.trace.over(now + took + rng.random_range(0.0..40.0), w, Over::ByProxy);
+            run.trace.attempt_ended(now + took + rng.random_range(0.0..40.0), w, Over::ByProxy);
         }
         now += took + 0.2;
     }
@@ -115,89 +123,96 @@
         0 => {
             // It gives up as the answer comes, in either order.
             let last = at + 1060.0;
-            run.trace.left(last, first, Left::GaveUp);
+            run.trace.client_closed(last, first, Left::GaveUp);
             run.trace.answered(last + rng.random_range(-0.9..0.9), first, Answer::Busy(0));
         }
         1 => {
-            run.trace.left(at + rng.random_range(600.0..900.0), first, Left::Impatient);
+            run.trace.client_closed(at + rng.random_range(600.0..900.0), first, Left::Impatient);
         }
         2 => {
             let last = at + rng.random_range(600.0..1050.0);
-            run.trace.answered(last, first, Answer::Busy(20_000)).ended(last + 0.3, first);
-            run.refused.push((first.again(failures, 0), at));
+            run.trace.answered(last, first, Answer::Busy(20_000)).proxy_closed(last + 0.3, first);
+            run.refused.push((first.with_attempt(failures, 0), at));
         }
         _ => {
             let node = pick(rng, now);
-            connection(run, rng, now, first.again(failures, node), failures + 1);
+            connection(run, rng, now, first.with_attempt(failures, node), failures + 1);
         }
     }
 }
 
-fn connection(run: &mut Run, rng: &mut ChaCha8Rng, at: f64, w: Who, tries: u32) {
+fn connection(run: &mut Run, rng: &mut ChaCha8Rng, at: f64, w: Exchange, attempt_count: u32) {
     let up = at + rng.random_range(5.0..40.0);
     let t = &mut run.trace;
-    t.attempt(at, w).node_says(up, w, NodeAnswer::Up(w.receipt()));
+    t.attempt(at, w).node_answers(up, w, NodeAnswer::Up(w.receipt()));
     // Read, as the two threads tell it, a little before or after it was given.
     t.answered(up + rng.random_range(-5.0..5.0), w, Answer::Up(w.receipt()));
     let done = up + rng.random_range(1500.0..20_000.0);
     let node = w.attempt.node.0;
     let fates = [
-        (Fate::Done, done),
-        (Fate::Drained, if node == DRAIN.0 { DRAIN.1 + rng.random_range(1500.0..3000.0) } else { f64::MAX }),
-        (Fate::NodeDied, if node == DEATH.0 && up < DEATH.1 { DEATH.1 } else { f64::MAX }),
-        (Fate::NodeHung, if node == HANG.0 && up < HANG.1 { HANG.1 } else { f64::MAX }),
-        (Fate::ProxyKilled, if w.proxy.0 == KILL.0 && up < KILL.1 { KILL.1 } else { f64::MAX }),
+        (EndCause::Done, done),
+        (
+            EndCause::Drained,
+            if node == DRAIN.0 { DRAIN.1 + rng.random_range(1500.0..3000.0) } else { f64::MAX },
+        ),
+        (EndCause::NodeDied, if node == DEATH.0 && up < DEATH.1 { DEATH.1 } else { f64::MAX }),
+        (EndCause::NodeHung, if node == HANG.0 && up < HANG.1 { HANG.1 } else { f64::MAX }),
+        (EndCause::ProxyKilled, if w.proxy.0 == KILL.0 && up < KILL.1 { KILL.1 } else { f64::MAX }),
     ];
-    let (fate, when) = fates.into_iter().min_by(|a, b| a.1.total_cmp(&b.1)).unwrap();
+    let (cause, when) = fates.into_iter().min_by(|a, b| a.1.total_cmp(&b.1)).unwrap();
     let (mut sent, mut lines) = (up + rng.random_range(10.0..2000.0), 0);
     while sent < when - 20.0 {
-        t.line(sent, w, lines);
+        t.line_round_trip(sent, w, lines);
         (sent, lines) = (sent + 2000.0, lines + 1);
     }
     let mut end = when;
-    match fate {
-        Fate::Done => {
-            t.done(end, w);
+    match cause {
+        EndCause::Done => {
+            t.client_done(end, w);
         }
-        Fate::Drained if rng.random() => {
-            t.moved(end, w).over(end + 1.0, w, Over::ByProxy).ended(end + 1.0, w);
+        EndCause::Drained if rng.random() => {
+            t.moved(end, w).attempt_ended(end + 1.0, w, Over::ByProxy).proxy_closed(end + 1.0, w);
         }
-        Fate::Drained => {
-            t.over(when, w, Over::Move);
+        EndCause::Drained => {
+            t.attempt_ended(when, w, Over::Move);
             end = when + rng.random_range(0.0..900.0);
-            t.moved(end, w).ended(end, w);
+            t.moved(end, w).proxy_closed(end, w);
         }
-        Fate::NodeDied => {
+        EndCause::NodeDied => {
             end = when + rng.random_range(0.0..1000.0);
-            t.ended(end, w);
+            t.proxy_closed(end, w);
         }
-        Fate::NodeHung => {
+        EndCause::NodeHung => {
             // A little after the hang, for the line that may be on its way.
             sent = sent.max(when + 1.0);
             t.add(sent, Seen::LineSent { request: w.request, line: lines });
             end = sent + rng.random_range(0.0..7000.0);
             let killed = w.proxy.0 == KILL.0 && end >= KILL.1;
             end = if killed { KILL.1 + 5.0 } else { end };
-            t.ended(end, w).over(end + 1.0, w, Over::ByProxy);
+            t.proxy_closed(end, w).attempt_ended(end + 1.0, w, Over::ByProxy);
         }
-        Fate::ProxyKilled => {
+        EndCause::ProxyKilled => {
             end = when + rng.random_range(1.0..20.0);
-            t.add(end, Seen::Ended { request: w.request, how: End::Reset }).over(end, w, Over::ByProxy);
+            t.add(end, Seen::Ended { request: w.request, how: End::Reset }).attempt_ended(
+                end,
+                w,
+                Over::ByProxy,
+            );
         }
     }
-    run.connections.push(Connection { w, tries, up, end, fate, lines });
+    run.connections.push(Connection { w, attempt_count, up, end, cause, lines });
 }
 
 /// Puts the fault in where it fits, if it fits anywhere.
-fn spoil(run: &Run, rule: Rule, rng: &mut ChaCha8Rng) -> Option<Trace> {
+fn inject_fault(run: &Run, rule: Rule, rng: &mut ChaCha8Rng) -> Option<Trace> {
     let t = &run.trace;
     let mut any = |fits: &dyn Fn(&Connection) -> bool| {
         let fitting: Vec<Connection> = run.connections.iter().copied().filter(|c| fits(c)).collect();
         fitting.choose(rng).copied()
     };
     let answers =
-        |w: Who| move |s: &Seen| matches!(s, Seen::Answered { request, .. } if *request == w.request);
-    let client_end = |w: Who| {
+        |w: Exchange| move |s: &Seen| matches!(s, Seen::Answered { request, .. } if *request == w.request);
+    let client_end = |w: Exchange| {
         move |s: &Seen| match s {
             Seen::Ended { request, .. } | Seen::Left { request, .. } | Seen::Moved { request } => {
                 *request == w.request
@@ -220,32 +235,41 @@
             out.answered(c.up + 6.0, c.w, Answer::Up(1));
         }
         Rule::TwoAttempts => {
-            let c = any(&|c| c.tries < 3 && c.up + 600.0 < c.end)?;
-            out.attempt(c.up + 10.0, c.w.again(7, 0)).over(c.up + 300.0, c.w.again(7, 0), Over::ByProxy);
+            let c = any(&|c| c.attempt_count < 3 && c.up + 600.0 < c.end)?;
+            out.attempt(c.up + 10.0, c.w.with_attempt(7, 0)).attempt_ended(
+                c.up + 300.0,
+                c.w.with_attempt(7, 0),
+                Over::ByProxy,
+            );
         }
         Rule::TooManyAttempts => {
             let (w, at) = *run.refused.first()?;
             for n in 4..8 {
                 let at = at + 0.1 * f64::from(n);
-                out.attempt(at, w.again(n, 0)).node_says(at + 0.05, w.again(n, 0), NodeAnswer::Busy);
+                out.attempt(at, w.with_attempt(n, 0)).node_answers(
+                    at + 0.05,
+                    w.with_attempt(n, 0),
+                    NodeAnswer::Busy,
+                );
             }
         }
         Rule::SendAfterDrain => {
             // Not by a proxy that has just been started again: it knows only what its first watch told it.
             let anew = |c: &Connection| c.w.proxy.0 == KILL.0 && c.up > KILL.1 && c.up < KILL.1 + 3600.0;
-            let c = any(&|c| c.tries < 3 && c.up > DRAIN.1 + 2600.0 && c.up + 300.0 < c.end && !anew(c))?;
-            let (w, at) = (c.w.again(7, DRAIN.0), c.up - 4.99);
-            out.attempt(at, w).node_says(at + 0.1, w, NodeAnswer::Busy);
+            let c =
+                any(&|c| c.attempt_count < 3 && c.up > DRAIN.1 + 2600.0 && c.up + 300.0 < c.end && !anew(c))?;
+            let (w, at) = (c.w.with_attempt(7, DRAIN.0), c.up - 4.99);
+            out.attempt(at, w).node_answers(at + 0.1, w, NodeAnswer::Busy);
         }
         Rule::SlowStartBudget => {
             for i in 0..40 {
-                out.refused(DEATH.1 + 9500.0 + f64::from(i), who(500 + i as u64, 0, DEATH.0));
+                out.rejected(DEATH.1 + 9500.0 + f64::from(i), exchange(500 + i as u64, 0, DEATH.0));
             }
         }
         Rule::CutWithoutMove => {
-            let c = any(&|c| c.fate == Fate::Done && steady(c) && c.end < 59_000.0)?;
+            let c = any(&|c| c.cause == EndCause::Done && steady(c) && c.end < 59_000.0)?;
             out = t.without(client_end(c.w));
-            out.ended(c.end, c.w);
+            out.proxy_closed(c.end, c.w);
         }
         Rule::LineDelayed => {
             let c = any(&|c| c.lines > 1 && c.end < KILL.1 && usable(c.w.attempt.node.0, c.end))?;
@@ -254,19 +278,19 @@
             );
         }
         Rule::EndedConnectionKept => {
-            let c = any(&|c| c.fate == Fate::NodeDied)?;
+            let c = any(&|c| c.cause == EndCause::NodeDied)?;
             out = t.without(client_end(c.w));
-            out.ended(DEATH.1 + 1060.0, c.w);
+            out.proxy_closed(DEATH.1 + 1060.0, c.w);
         }
         Rule::SilentConnectionKept => {
-            let c = any(&|c| c.fate == Fate::NodeHung && c.w.proxy.0 != KILL.0)?;
+            let c = any(&|c| c.cause == EndCause::NodeHung && c.w.proxy.0 != KILL.0)?;
             out = t.without(client_end(c.w));
             out = out.without(|s| matches!(s, Seen::AttemptOver { attempt, .. } if *attempt == c.w.attempt));
         }
         Rule::MisbehavingClientUnanswered => out = t.without(|s| matches!(s, Seen::RudeOver { rude: 0, .. })),
         Rule::MisbehavingClientServed => {
             out = t.without(|s| matches!(s, Seen::RudeOver { rude: 2, .. }));
-            out.rude_over(6500.0, 2, RudeEnd::Served);
+            out.misbehaving_client_answered(6500.0, 2, RudeEnd::Served);
         }
         Rule::BadFirstLine => {
             let line = "OPEN".to_owned();
@@ -300,13 +324,13 @@
     #![proptest_config(ProptestConfig { cases: cases(), failure_persistence: None, ..Default::default() })]
 
     #[test]
-    fn healthy_runs_pass_and_each_fault_breaks_its_own_rule(seed in any::<u64>()) {
+    fn healthy_runs_pass_and_faults_break_their_rule(seed in any::<u64>()) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let run = run(&mut rng);
         let verdict = judge(&run.trace);
         prop_assert_eq!(verdict.outcome, Outcome::Passed, "seed {}: {}", seed, verdict);
         for rule in Rule::ALL {
-            let Some(trace) = spoil(&run, rule, &mut rng) else { continue };
+            let Some(trace) = inject_fault(&run, rule, &mut rng) else { continue };
             let verdict = judge(&trace);
             let broken: Vec<Rule> = verdict.violations.keys().copied().collect();
             prop_assert_eq!(broken, vec![rule], "seed {}, {}: {}", seed, rule, verdict);
@@ -315,12 +339,12 @@
 }
 
 #[test]
-fn each_fault_fits_somewhere() {
+fn every_fault_is_applicable() {
     for rule in Rule::ALL {
         let fits = |seed| {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
             let run = run(&mut rng);
-            spoil(&run, rule, &mut rng).is_some()
+            inject_fault(&run, rule, &mut rng).is_some()
         };
         assert!((0..20).any(fits), "{rule} was never tried");
     }
--- a/crates/kit/tests/judge/load.rs
+++ b/crates/kit/tests/judge/throughput.rs
@@ -1,6 +1,6 @@
 //! How long the judge takes: `cargo test --release -p cottonnotch-kit --test judge -- --ignored --nocapture`.
 
-use crate::stage::{Trace, Who, plan};
+use crate::fixtures::{Exchange, Trace, plan};
 use cottonnotch_kit::judge::{Judge, Outcome};
 use cottonnotch_kit::observation::{Attempt, RequestId, Seen};
 use cottonnotch_kit::plan::{NodeId, Plan, ProxyId, SessionId};
@@ -22,49 +22,49 @@
     plan
 }
 
-fn who(i: usize) -> Who {
+fn exchange(i: usize) -> Exchange {
     let attempt = Attempt { node: NodeId((i % NODES) as u16), serial: i as u32 };
     let (request, session) = (RequestId(i as u64), SessionId(i as u32));
-    Who { request, session, proxy: ProxyId((i % PROXIES) as u16), attempt }
+    Exchange { request, session, proxy: ProxyId((i % PROXIES) as u16), attempt }
 }
 
 /// Two seconds: some connections end, as many come up, and each of the others sends a line.
-fn step(n: usize, standing: &mut Vec<(Who, u32)>) -> Trace {
+fn step(n: usize, established: &mut Vec<(Exchange, u32)>) -> Trace {
     let (mut trace, from) = (Trace::default(), n as f64 * 2000.0);
     let first = if n == 0 { 0 } else { CONNECTIONS + (n - 1) * CHURN };
     if n > 0 {
-        standing.drain(..CHURN).enumerate().for_each(|(i, (w, _))| {
-            trace.done(from + i as f64, w);
+        established.drain(..CHURN).enumerate().for_each(|(i, (w, _))| {
+            trace.client_done(from + i as f64, w);
         });
     }
-    let spread = 1900.0 / standing.len().max(1) as f64;
-    for (i, (w, line)) in standing.iter_mut().enumerate() {
+    let spread = 1900.0 / established.len().max(1) as f64;
+    for (i, (w, line)) in established.iter_mut().enumerate() {
         let at = from + i as f64 * spread;
-        trace.line(at, *w, *line);
+        trace.line_round_trip(at, *w, *line);
         let served = Seen::Served { session: w.session, from: (at * 1e3) as i64 - 2 * S, well: true };
         trace.add(at + 1.4, served).add(at + 1.4, Seen::MessageTook { class: 0, took: 1400 });
         *line += 1;
     }
     let new = if n == 0 { CONNECTIONS } else { CHURN };
     for i in first..first + new {
-        let (w, at) = (who(i), from + (i - first) as f64 * 1900.0 / new as f64);
+        let (w, at) = (exchange(i), from + (i - first) as f64 * 1900.0 / new as f64);
         let until = (n as i64 * 2 + 45) * S;
         trace.add(at, Seen::Wanted { session: w.session, class: 0, tenant: 0, until }).up(at, w);
-        standing.push((w, 0));
+        established.push((w, 0));
     }
     trace
 }
 
 #[test]
 #[ignore = "measures, for release builds"]
-fn a_million_observations_take_seconds() {
+fn judges_million_observations_in_seconds() {
     // 25,000 observations a second of the run or so.
     let steps = std::env::var("JUDGE_STEPS").ok().and_then(|n| n.parse().ok()).unwrap_or(21);
     let plan = fleet(steps);
-    let (mut standing, mut judge) = (Vec::new(), Judge::new(Arc::new(plan.clone())));
+    let (mut established, mut judge) = (Vec::new(), Judge::new(Arc::new(plan.clone())));
     let (mut seen, mut took) = (0usize, Duration::ZERO);
     for n in 0..steps {
-        let trace = step(n, &mut standing).sorted();
+        let trace = step(n, &mut established).sorted();
         let began = Instant::now();
         trace.iter().for_each(|o| judge.observe(o));
         took += began.elapsed();
