--- a/crates/scale/src/bounds.rs
+++ b/crates/scale/src/bounds.rs
@@ -1,20 +1,7 @@
 //! What figures may grow with, and how fast at most: the one table that the tests hold and that `docs/CAPACITY.md` quotes.
 
-use crate::figures::Line;
-use crate::fit::fit;
-
-/// What is made larger while all else stays.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Axis {
-    /// Proxies.
-    Members,
-    /// Render nodes.
-    Nodes,
-    /// Pairs of group and node.
-    Pairs,
-    /// Connections of each proxy.
-    Connections,
-}
+use crate::fit::{Axis, fit};
+use crate::run_result::Line;
 
 /// A bound on a slope: one more of the axis may add so much to the figure.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/scale/src/calibrate.rs
+++ b/crates/scale/src/calibrate.rs
@@ -1,12 +1,12 @@
 //! Hollow against real: the same tier with some, all or none of its members real daemons, all counted by one relay.
 
 use crate::discovery::Discovery;
-use crate::figures::Spread;
+use crate::member_threads::{Span, Tier};
 use crate::real::{Daemon, Nodes, node};
 use crate::relay::{Relay, Through};
+use crate::run_result::Spread;
 use crate::shape::{LOAD, Shape};
 use crate::sockets::address;
-use crate::tier::{Span, Tier};
 use serde::{Deserialize, Serialize};
 use std::io;
 use std::path::{Path, PathBuf};
--- a/crates/scale/src/agreement.rs
+++ b/crates/scale/src/consensus_member.rs
@@ -1,6 +1,6 @@
 //! A hollow proxy's member of the accord: what the daemon's thread and worker do for theirs, without contents.
 
-use crate::hollow::{Due, Wish};
+use crate::interface::{Due, Wish};
 use crate::records::What;
 use crate::shape::Shape;
 use cottonnotch_consensus::{ContentHash, DurableState, Member, Output as Wanted, Timing, Topic};
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -1,10 +1,22 @@
 //! Lines fitted through runs: least squares, with the spread of the slope and the residuals.
 
-use crate::bounds::Axis;
-use crate::figures::Line;
+use crate::run_result::Line;
 use linregress::{FormulaRegressionBuilder, RegressionDataBuilder};
 use serde::{Deserialize, Serialize};
 
+/// What is made larger while all else stays.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Axis {
+    /// Proxies.
+    Members,
+    /// Render nodes.
+    Nodes,
+    /// Pairs of group and node.
+    Pairs,
+    /// Connections of each proxy.
+    Connections,
+}
+
 /// A line through some runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
--- /dev/null
+++ b/crates/scale/src/fleet.rs
@@ -0,0 +1,132 @@
+//! A tier of hollow proxies on sockets, from its start to its figures: threads with their members, what happens meanwhile, and
+//! what is made of what they tell.
+
+use crate::counters::Counts;
+use crate::discovery::Discovery;
+use crate::hollow::View;
+use crate::judge::judge;
+use crate::member_threads::{Span, Told, begin};
+use crate::records::{Record, What};
+use crate::run_result::{Line, Spread, fill};
+use crate::shape::Shape;
+use crate::sockets::address;
+use crate::watch;
+use cottonnotch_decision::Micros;
+use std::collections::{BTreeMap, BTreeSet};
+use std::io;
+use std::time::{Duration, Instant};
+
+/// The list's revisions: as all know it at the start, and as it is told later, without a zone.
+const FIRST: u64 = 1;
+const CHANGED: u64 = 2;
+/// Nodes that are used by less are not told.
+const LEAST_USE: f64 = cottonnotch_aggregation::wire::MIN_REPORTED_UTILIZATION;
+
+/// Plays a tier of this shape; `heap` tells the bytes that the process has allocated.
+pub fn play(shape: &Shape, span: Span, heap: impl Fn() -> usize) -> io::Result<Line> {
+    let began = Instant::now();
+    let list = shape.list(FIRST, None);
+    let list_bytes = list.len() as f64;
+    let known = watch::read(list.clone().into_bytes()).ok_or(io::ErrorKind::InvalidData)?;
+    let discovery = Discovery::start(address(60_000, 0), FIRST, list)?;
+    let empty = heap();
+    let members: Vec<u32> = (0..shape.members).collect();
+    let (run, receiver) = begin(shape, span, &members, discovery.address(), known, false)?;
+    run.steps[0].wait();
+    let hollow = heap();
+    run.steps[1].wait();
+    run.steps[2].wait();
+    let open = heap();
+    let connected = Instant::now();
+    std::thread::sleep(Duration::from_secs_f64(span.warm_up + span.window));
+    let warm = heap();
+    let resident = resident();
+    std::thread::sleep(Duration::from_millis(300));
+    let changed = run.clock.now();
+    discovery.tell(CHANGED, shape.list(CHANGED, Some(0)));
+    let told: Vec<Told> = receiver.iter().collect::<io::Result<_>>()?;
+    debug_assert!(connected.elapsed().as_secs_f64() > span.window);
+    let mut line = Line {
+        shape: shape.clone(),
+        world: "sockets".into(),
+        seconds: span.window,
+        list_bytes,
+        resident,
+        heap_bytes: (hollow - empty + warm.saturating_sub(open)) as f64 / f64::from(shape.members),
+        heap_bytes_connection: (open - hollow) as f64
+            / (f64::from(shape.members) * f64::from(shape.connections)).max(1.0),
+        ..Line::default()
+    };
+    line.fault = span.fault;
+    let mut records: Vec<Record> = told.iter().flat_map(|told| told.records.iter().cloned()).collect();
+    records.sort_by_key(|record| record.at);
+    // The list that is told at the end loses a zone.
+    line.verdict = judge(&records, changed);
+    count(&mut line, &told);
+    lists(&mut line, &told, changed);
+    views(&mut line, &told);
+    line.took_s = began.elapsed().as_secs_f64();
+    Ok(line)
+}
+
+fn count(line: &mut Line, told: &[Told]) {
+    let counts: Vec<(u32, Counts)> = told.iter().flat_map(|told| told.counts.iter().copied()).collect();
+    let cpu: Duration = told.iter().map(|told| told.cpu).sum();
+    line.cpu_us = cpu.as_secs_f64() * 1e6 / counts.len() as f64 / line.seconds;
+    let leaders: BTreeSet<u32> = told.iter().flat_map(|told| told.leaders.iter().copied()).collect();
+    fill(line, &counts, &leaders);
+}
+
+fn lists(line: &mut Line, told: &[Told], changed: Micros) {
+    let stopped =
+        told.iter().flat_map(|told| &told.records).filter(|record| record.what == What::Ended).count();
+    let records = told.iter().flat_map(|told| &told.records);
+    let taken = records.filter_map(|record| match record.what {
+        What::Listed { revision: CHANGED, .. } => Some((record.at - changed) as f64 / 1e6),
+        _ => None,
+    });
+    let taken = taken.collect::<Vec<f64>>();
+    let all = taken.len() + stopped == line.shape.members as usize;
+    let spread = Spread::of(taken);
+    // Below zero: not all have taken it.
+    line.list_all_s = if all { spread.max } else { -1.0 };
+    line.list_mean_s = spread.mean;
+}
+
+fn views(line: &mut Line, told: &[Told]) {
+    let mut truth: BTreeMap<u32, (f64, BTreeSet<u32>)> = BTreeMap::new();
+    let mut pairs = 0;
+    for (node, (load, groups)) in told.iter().flat_map(|told| &told.standing).flatten() {
+        pairs += groups.len();
+        let (sum, all) = truth.entry(*node).or_default();
+        *sum += load;
+        all.extend(groups);
+    }
+    line.own_pairs = pairs as f64 / f64::from(line.shape.members);
+    let used =
+        truth.into_iter().map(|(node, (load, groups))| (node, line.shape.used_with(load, groups.len())));
+    let used: BTreeMap<u32, f64> = used.filter(|(_, used)| *used >= LEAST_USE).collect();
+    let views: Vec<_> = told.iter().flat_map(|told| told.views.iter().flatten()).collect();
+    if views.is_empty() {
+        return;
+    }
+    let mean = |figure: &dyn Fn(&View) -> f64| {
+        views.iter().map(|view| figure(view)).sum::<f64>() / views.len() as f64
+    };
+    let all = used.len().max(1) as f64;
+    line.view_members = mean(&|(members, ..)| f64::from(*members));
+    line.period_s = mean(&|(_, period, _)| *period as f64 / 1e6);
+    line.view_named =
+        mean(&|(.., view)| used.keys().filter(|node| view.contains_key(node)).count() as f64 / all);
+    line.view_error = mean(&|(.., view)| {
+        let error = |(node, used): (&u32, &f64)| (view.get(node).copied().unwrap_or(0.0) - used).abs();
+        used.iter().map(error).sum::<f64>() / all
+    });
+}
+
+/// Resident bytes of this process.
+fn resident() -> u64 {
+    let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
+    let pages: u64 = text.split(' ').nth(1).and_then(|pages| pages.parse().ok()).unwrap_or(0);
+    pages * rustix::param::page_size() as u64
+}
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -4,13 +4,14 @@
 //! `cottonnotch-proxy-core`. Its connections are synthetic: drawn from the seed, set up after a fixed time, none ever fails. What it
 //! holds grows with its connections, the nodes, the groups and the members, never with a product of two.
 
-use crate::agreement::{Accord, accord, hash_of};
-use crate::figures::Counts;
+use crate::consensus_member::{Accord, accord, hash_of};
+use crate::counters::Counts;
+use crate::interface::{Due, Happening, Part, Wish};
 use crate::nodes::Nodes;
 use crate::records::What;
 use crate::shape::{HOMES, Shape, mixed};
 use cottonnotch_aggregation::FleetSection;
-use cottonnotch_consensus::{ContentHash, DurableState, Input as Told, Topic, Verdict};
+use cottonnotch_consensus::{DurableState, Input as Told, Topic, Verdict};
 use cottonnotch_decision::{
     Action, Balancer, ClassId, Event, Micros, Outcome, Request, RequestId, ServerId, Settings,
 };
@@ -23,7 +24,6 @@
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
-use std::net::SocketAddr;
 
 const MS: Micros = 1_000;
 /// A set-up at a node takes so long.
@@ -32,107 +32,6 @@
 const COMES: Micros = 50 * MS;
 /// Bytes of a content, as proposals tell; nothing of that size goes over the wire here.
 const CONTENT: u32 = 64 * 1024;
-/// What happened to it.
-#[derive(Clone, Debug)]
-pub enum Happening<'a> {
-    /// A datagram of the fleet view or of gossip has come.
-    Datagram {
-        /// From there.
-        from: SocketAddr,
-        /// Its bytes.
-        bytes: &'a [u8],
-    },
-    /// A datagram of the accord has come.
-    Accord {
-        /// Its bytes.
-        bytes: &'a [u8],
-    },
-    /// Discovery has told a list, in a text of so many bytes.
-    Listed {
-        /// The list.
-        result: &'a EndpointUpdate,
-        /// Bytes of the text.
-        bytes: usize,
-    },
-    /// The watch on discovery is lost.
-    ListLost {
-        /// It said nothing where a beat was due.
-        silent: bool,
-    },
-    /// The operator wants this content in force.
-    Propose {
-        /// Which.
-        content: u32,
-        /// Contents of different kinds contradict each other.
-        kind: u8,
-    },
-    /// [`Hollow::next_timeout`] has come; one thing that is due is done.
-    Time,
-}
-
-/// What it wants done.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Wish {
-    /// Send a datagram of the fleet view or of gossip.
-    Datagram {
-        /// There.
-        to: SocketAddr,
-        /// These bytes.
-        bytes: Vec<u8>,
-    },
-    /// Send a datagram of the accord.
-    Accord {
-        /// To this member.
-        to: u16,
-        /// These bytes.
-        bytes: Vec<u8>,
-    },
-    /// Begin a watch on discovery from this revision, in place of the last one.
-    Watch {
-        /// The last one taken.
-        from: u64,
-    },
-    /// For the records.
-    Record(What),
-}
-
-/// What comes later.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Due {
-    Second,
-    First,
-    Arrival,
-    Module(u32),
-    Up { request: u64, attempt: u32, server: u32 },
-    Checked { hash: ContentHash, agrees_from: Option<u64> },
-    Have { hash: ContentHash },
-}
-
-/// What a proxy's time goes to.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
-    /// The fleet view or gossip.
-    Peers,
-    /// The accord.
-    Accord,
-    /// What comes once a second.
-    Second,
-    /// The module: set-ups and their ends.
-    Setups,
-}
-
-impl Part {
-    /// Its account.
-    pub fn of(self, counts: &mut Counts) -> &mut u64 {
-        match self {
-            Part::Peers => &mut counts.peers_ns,
-            Part::Accord => &mut counts.accord_ns,
-            Part::Second => &mut counts.second_ns,
-            Part::Setups => &mut counts.setups_ns,
-        }
-    }
-}
-
 /// A connection that is up.
 #[derive(Clone, Copy, Debug)]
 struct Open {
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -5,24 +5,30 @@
 //! on links in memory and virtual time, where an hour's cut or hundreds of members in a test take seconds. [`judge`] reads
 //! [`records`] only and shares nothing with what made them. `docs/design/scale.md` says what hollow members skip.
 
-mod agreement;
 pub mod bounds;
 pub mod calibrate;
+mod consensus_member;
+pub mod counters;
 pub mod discovery;
-pub mod faults;
-pub mod figures;
+pub mod fault;
+pub mod fault_scenarios;
 pub mod fit;
+pub mod fleet;
 pub mod hollow;
+pub mod interface;
 pub mod judge;
+pub mod member_threads;
 pub mod nodes;
 pub mod real;
 pub mod records;
 pub mod relay;
+pub mod run_result;
 pub mod shape;
 pub mod sockets;
-pub mod tier;
 pub mod virtual_time;
 pub mod watch;
+pub mod worker;
 
-pub use hollow::{Happening, Hollow, Wish};
+pub use hollow::Hollow;
+pub use interface::{Happening, Wish};
 pub use shape::Shape;
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -2,11 +2,12 @@
 
 use cap::Cap;
 use clap::{Parser, Subcommand, ValueEnum};
-use cottonnotch_scale::bounds::Axis;
-use cottonnotch_scale::faults::{self, Fault};
-use cottonnotch_scale::figures::Line;
-use cottonnotch_scale::tier::{self, Span};
-use cottonnotch_scale::{Shape, calibrate, fit};
+use cottonnotch_scale::fault::Fault;
+use cottonnotch_scale::fit::{self, Axis};
+use cottonnotch_scale::member_threads::Span;
+use cottonnotch_scale::run_result::Line;
+use cottonnotch_scale::{Shape, calibrate};
+use cottonnotch_scale::{fault_scenarios, fleet};
 use std::alloc::System;
 use std::io::{self, Write};
 use std::path::PathBuf;
@@ -144,10 +145,10 @@
 
 fn run(what: What) -> io::Result<()> {
     match what {
-        What::Point { shape, span } => say(&tier::play(&shape, span, || HEAP.allocated())?),
+        What::Point { shape, span } => say(&fleet::play(&shape, span, || HEAP.allocated())?),
         What::Faults { fault, shape } => {
             let all = if fault.is_empty() { Fault::ALL.to_vec() } else { fault };
-            all.into_iter().try_for_each(|fault| say(&faults::play(&shape, fault)))
+            all.into_iter().try_for_each(|fault| say(&fault_scenarios::play(&shape, fault)))
         }
         What::Calibrate { program, size, span } => {
             let sizes = if size.is_empty() { vec![3, 10, 30] } else { size };
--- a/crates/scale/src/relay.rs
+++ b/crates/scale/src/relay.rs
@@ -1,7 +1,7 @@
 //! What goes between members, counted on its way: each member knows the others by the relay's sockets, so that real and hollow ones
 //! are counted by the same eyes.
 
-use crate::figures::Traffic;
+use crate::counters::Traffic;
 use crate::sockets::{ACCORD_PORT, PEERS_PORT, RELAYED, address};
 use cottonnotch_reactor::{Clock, Connection, Half, Key, Reactor};
 use mio::net::UdpSocket;
--- a/crates/scale/src/virtual_time.rs
+++ b/crates/scale/src/virtual_time.rs
@@ -1,11 +1,13 @@
 //! Hollow proxies on virtual time, linked in memory: deterministic from one seed, with regions that can be cut, members that stop
 //! and restart, and lists that change. Discovery is reached by all at any time; a watch is told a list after a moment.
 
-use crate::figures::{Counts, Line};
-use crate::hollow::{Happening, Hollow, Place, Wish};
+use crate::counters::Counts;
+use crate::fault::{MS, S};
+use crate::hollow::{Hollow, Place};
+use crate::interface::{Happening, Wish};
 use crate::records::{Record, What};
+use crate::run_result::{Line, fill};
 use crate::shape::{Shape, mixed};
-use crate::tier::fill;
 use cottonnotch_consensus::DurableState;
 use cottonnotch_decision::Micros;
 use cottonnotch_decision::names::unit;
@@ -14,10 +16,6 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// A millisecond.
-pub const MS: Micros = 1_000;
-/// A second.
-pub const S: Micros = 1_000 * MS;
 /// Any date; not at the beginning of an epoch of the fleet view's.
 const UNIX: Micros = 1_796_000_000 * S + 7 * S;
 /// Ways between two members: within a region, and between the two; up to half as long again.
--- a/crates/scale/tests/bad_days.rs
+++ b/crates/scale/tests/bad_days.rs
@@ -1,7 +1,8 @@
 //! Bad days at a small size on virtual time, judged from records alone; and the judge itself, with what it is there to find.
 
 use cottonnotch_scale::Shape;
-use cottonnotch_scale::faults::{Fault, play};
+use cottonnotch_scale::fault::Fault;
+use cottonnotch_scale::fault_scenarios::play;
 use cottonnotch_scale::judge::judge;
 use cottonnotch_scale::records::{Record, What};
 
--- a/crates/scale/tests/slopes.rs
+++ b/crates/scale/tests/slopes.rs
@@ -3,10 +3,11 @@
 
 use cap::Cap;
 use cottonnotch_scale::Shape;
-use cottonnotch_scale::bounds::{Axis, BOUNDS, broken};
-use cottonnotch_scale::figures::{Line, Spread};
-use cottonnotch_scale::fit::figure;
-use cottonnotch_scale::virtual_time::{S, measure};
+use cottonnotch_scale::bounds::{BOUNDS, broken};
+use cottonnotch_scale::fault::S;
+use cottonnotch_scale::fit::{Axis, figure};
+use cottonnotch_scale::run_result::{Line, Spread};
+use cottonnotch_scale::virtual_time::measure;
 use std::alloc::System;
 
 #[global_allocator]
