--- a/crates/scale/src/bounds.rs
+++ b/crates/scale/src/bounds.rs
@@ -1,7 +1,7 @@
 //! What figures may grow with, and how fast at most: the one table that the tests hold and that `docs/CAPACITY.md` quotes.
 
 use crate::fit::{Axis, fit};
-use crate::run_result::Line;
+use crate::run_result::RunResult;
 
 /// A bound on a slope: one more of the axis may add so much to the figure.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -39,7 +39,7 @@
 ];
 
 /// Which bounds are broken along this axis, in words; [`None`] where a figure can't be fitted.
-pub fn broken(lines: &[Line], axis: Axis) -> Option<Vec<String>> {
+pub fn broken(lines: &[RunResult], axis: Axis) -> Option<Vec<String>> {
     let bounds = BOUNDS.iter().filter(|bound| bound.axis == axis);
     let fits = bounds.map(|bound| Some((bound, fit(lines, bound.figure, axis)?)));
     let fits: Vec<_> = fits.collect::<Option<_>>()?;
--- a/crates/scale/src/calibrate.rs
+++ b/crates/scale/src/calibrate.rs
@@ -1,7 +1,7 @@
 //! Hollow against real: the same tier with some, all or none of its members real daemons, all counted by one relay.
 
 use crate::discovery::Discovery;
-use crate::member_threads::{Span, Tier};
+use crate::member_threads::{HollowFleet, RunOptions};
 use crate::real::{Daemon, Nodes, node};
 use crate::relay::{Relay, Through};
 use crate::run_result::Spread;
@@ -22,9 +22,11 @@
     /// Their bytes.
     pub peers_bytes: f64,
     /// Datagrams of the accord, both ways.
-    pub accord_messages: f64,
+    #[serde(rename = "accord_messages")]
+    pub consensus_messages: f64,
     /// Their bytes.
-    pub accord_bytes: f64,
+    #[serde(rename = "accord_bytes")]
+    pub consensus_bytes: f64,
     /// Processor time in microseconds: of the daemon's process; of the threads that run hollow ones.
     pub cpu_us: f64,
     /// Resident bytes of a daemon; heap bytes of a hollow one.
@@ -61,7 +63,7 @@
     real: u32,
     program: &Path,
     folder: &Path,
-    span: Span,
+    span: RunOptions,
     heap: impl Fn() -> usize,
 ) -> io::Result<Calibration> {
     let list = list(shape);
@@ -72,7 +74,7 @@
     let daemons = (0..real).map(|me| Daemon::start(program, at(me), shape, me, discovery.address(), &list));
     let daemons: Vec<Daemon> = daemons.collect::<io::Result<_>>()?;
     let empty = heap();
-    let tier = Tier::start(shape, span, (real..shape.members).collect(), discovery.address(), &list)?;
+    let tier = HollowFleet::start(shape, span, (real..shape.members).collect(), discovery.address(), &list)?;
     std::thread::sleep(Duration::from_secs_f64(span.warm_up));
     let spent = |daemons: &[Daemon]| daemons.iter().map(Daemon::spent).collect::<io::Result<Vec<_>>>();
     let (before, cpu) = (relay.counts(), spent(&daemons)?);
@@ -114,8 +116,8 @@
         members: side.len() as u32,
         peers_messages: mean(&|t| t[0][0].messages + t[0][1].messages),
         peers_bytes: mean(&|t| t[0][0].bytes + t[0][1].bytes),
-        accord_messages: mean(&|t| t[1][0].messages + t[1][1].messages),
-        accord_bytes: mean(&|t| t[1][0].bytes + t[1][1].bytes),
+        consensus_messages: mean(&|t| t[1][0].messages + t[1][1].messages),
+        consensus_bytes: mean(&|t| t[1][0].bytes + t[1][1].bytes),
         ..Side::default()
     }
 }
--- a/crates/scale/src/consensus_member.rs
+++ b/crates/scale/src/consensus_member.rs
@@ -1,9 +1,9 @@
 //! A hollow proxy's member of the accord: what the daemon's thread and worker do for theirs, without contents.
 
-use crate::interface::{Due, Wish};
-use crate::records::What;
+use crate::interface::{HollowOutput, ScheduledEvent};
+use crate::records::MemberEvent;
 use crate::shape::Shape;
-use cottonnotch_consensus::{ContentHash, DurableState, Member, Output as Wanted, Timing, Topic};
+use cottonnotch_consensus::{ContentHash, DurableState, Member, Output as ConsensusOutput, Timing, Topic};
 use cottonnotch_decision::Micros;
 use cottonnotch_proxy_core::MemberDriver;
 use cottonnotch_proxy_core::envelope::EnvelopeKey;
@@ -23,14 +23,14 @@
 const CLUSTER: &str = "hollow";
 
 /// Its member of the accord, by a clock that begins with the process, as the daemon's accord has one: times go over the wire.
-pub(crate) struct Accord {
+pub(crate) struct ConsensusMember {
     pub began: Micros,
     pub member: Member,
-    pub seal: EnvelopeKey,
-    pub memory: Option<DurableState>,
+    pub envelope_key: EnvelopeKey,
+    pub durable_state: Option<DurableState>,
     /// What has come of the member's outputs, to be taken up by the proxy.
-    pub later: Vec<(Micros, Due)>,
-    pub out: VecDeque<Wish>,
+    pub scheduled: Vec<(Micros, ScheduledEvent)>,
+    pub out: VecDeque<HollowOutput>,
 }
 
 /// A content's hash: its number, and its kind.
@@ -47,7 +47,7 @@
     (u32::from_le_bytes([hash[0], hash[1], hash[2], hash[3]]), hash[4])
 }
 
-impl MemberDriver for Accord {
+impl MemberDriver for ConsensusMember {
     type Member = Member;
     type Error = Infallible;
 
@@ -55,63 +55,69 @@
         &mut self.member
     }
 
-    fn execute(&mut self, now: Micros, output: Wanted) -> Result<(), Infallible> {
+    fn execute(&mut self, now: Micros, output: ConsensusOutput) -> Result<(), Infallible> {
         match output {
-            Wanted::Send { to, message } => {
-                if let Ok(bytes) = self.seal.seal(to, message) {
-                    self.out.push_back(Wish::Accord { to, bytes });
+            ConsensusOutput::Send { to, message } => {
+                if let Ok(bytes) = self.envelope_key.seal(to, message) {
+                    self.out.push_back(HollowOutput::ConsensusDatagram { to, bytes });
                 }
             }
-            Wanted::Save(memory) => self.memory = Some(memory),
-            Wanted::Check { hash, against, .. } => {
+            ConsensusOutput::Save(durable_state) => self.durable_state = Some(durable_state),
+            ConsensusOutput::Check { hash, against, .. } => {
                 let kind = content_of(&hash).1;
                 let alike = against.iter().rev().take_while(|(_, other)| content_of(other).1 == kind);
-                let agrees_from = alike.last().map(|(number, _)| *number);
-                self.later.push((self.began + now + CHECK, Due::Checked { hash, agrees_from }));
+                let compatible_from = alike.last().map(|(number, _)| *number);
+                self.scheduled.push((
+                    self.began + now + CHECK,
+                    ScheduledEvent::CompatibilityChecked { hash, compatible_from },
+                ));
             }
-            Wanted::Fetch { hash, .. } => self.later.push((self.began + now + FETCH, Due::Have { hash })),
-            Wanted::LeaseChanged(right) if right.topic == Topic::Rules => {
+            ConsensusOutput::Fetch { hash, .. } => {
+                self.scheduled.push((self.began + now + FETCH, ScheduledEvent::ContentReady { hash }))
+            }
+            ConsensusOutput::LeaseChanged(right) if right.topic == Topic::Rules => {
                 let version = right.version.map(|(number, hash)| (number, content_of(&hash).0));
                 let kind = right.version.map_or(0, |(_, hash)| content_of(&hash).1);
                 let until = self.began.saturating_add(right.until);
-                self.record(What::May { version, kind, until });
+                self.record(MemberEvent::LeaseChanged { version, kind, until });
             }
-            Wanted::ProposalFinished { hash, outcome, .. } => {
+            ConsensusOutput::ProposalFinished { hash, outcome, .. } => {
                 let in_force = outcome == cottonnotch_consensus::ProposalOutcome::InForce;
-                self.record(What::Over { content: content_of(&hash).0, in_force });
+                self.record(MemberEvent::ProposalFinished { content: content_of(&hash).0, in_force });
             }
-            Wanted::LeaseChanged(_) | Wanted::ListOutdated { .. } => {}
+            ConsensusOutput::LeaseChanged(_) | ConsensusOutput::ListOutdated { .. } => {}
         }
         Ok(())
     }
 }
 
-impl Accord {
+impl ConsensusMember {
     /// When its time comes next, by the proxy's clock.
     pub fn next_timeout(&self) -> Micros {
         self.began.saturating_add(self.member.next_timeout())
     }
 
-    fn record(&mut self, what: What) {
-        self.out.push_back(Wish::Record(what));
+    fn record(&mut self, event: MemberEvent) {
+        self.out.push_back(HollowOutput::Record(event));
     }
 }
 
 /// Its member, if the tier has an accord.
-pub(crate) fn accord(
+pub(crate) fn start_consensus(
     shape: &Shape,
     me: u32,
-    memory: Option<DurableState>,
-    is_first: bool,
+    durable_state: Option<DurableState>,
+    starts_with_fleet: bool,
     now: Micros,
     seed: u64,
-) -> Option<Accord> {
+) -> Option<ConsensusMember> {
     if shape.voters == 0 {
         return None;
     }
     let voters = shape.voters();
     let me_there = u16::try_from(me).ok()?;
-    let memory = memory.or_else(|| (is_first && voters.contains(&me_there)).then(DurableState::initial));
+    let durable_state = durable_state
+        .or_else(|| (starts_with_fleet && voters.contains(&me_there)).then(DurableState::initial));
     let config = cottonnotch_consensus::Config {
         ordinal: me_there,
         members: u16::try_from(shape.members).ok()?,
@@ -120,12 +126,12 @@
         incarnation: now.max(1) as u64,
     };
     config.check().ok()?;
-    Some(Accord {
+    Some(ConsensusMember {
         began: now - STARTED,
-        member: Member::new(config, STARTED, memory.clone(), seed),
-        seal: EnvelopeKey::new(KEY, CLUSTER, me_there)?,
-        memory,
-        later: Vec::new(),
+        member: Member::new(config, STARTED, durable_state.clone(), seed),
+        envelope_key: EnvelopeKey::new(KEY, CLUSTER, me_there)?,
+        durable_state,
+        scheduled: Vec::new(),
         out: VecDeque::new(),
     })
 }
--- a/crates/scale/src/counters.rs
+++ b/crates/scale/src/counters.rs
@@ -37,9 +37,11 @@
     /// Fleet view or gossip, received.
     pub peers_in: Traffic,
     /// Accord, sent.
-    pub accord_out: Traffic,
+    #[serde(rename = "accord_out")]
+    pub consensus_out: Traffic,
     /// Accord, received.
-    pub accord_in: Traffic,
+    #[serde(rename = "accord_in")]
+    pub consensus_in: Traffic,
     /// List bytes read.
     pub list_bytes: u64,
     /// Calls for the list.
@@ -53,7 +55,8 @@
     /// Processor time in nanoseconds: the fleet view or gossip.
     pub peers_ns: u64,
     /// ... the accord.
-    pub accord_ns: u64,
+    #[serde(rename = "accord_ns")]
+    pub consensus_ns: u64,
     /// ... lists: reading them, and the module's taking them.
     pub list_ns: u64,
     /// ... the module, for set-ups and their ends.
@@ -68,15 +71,15 @@
         Counts {
             peers_out: self.peers_out.since(before.peers_out),
             peers_in: self.peers_in.since(before.peers_in),
-            accord_out: self.accord_out.since(before.accord_out),
-            accord_in: self.accord_in.since(before.accord_in),
+            consensus_out: self.consensus_out.since(before.consensus_out),
+            consensus_in: self.consensus_in.since(before.consensus_in),
             list_bytes: self.list_bytes - before.list_bytes,
             list_calls: self.list_calls - before.list_calls,
             setups: self.setups - before.setups,
             moves: self.moves - before.moves,
             refused: self.refused - before.refused,
             peers_ns: self.peers_ns - before.peers_ns,
-            accord_ns: self.accord_ns - before.accord_ns,
+            consensus_ns: self.consensus_ns - before.consensus_ns,
             list_ns: self.list_ns - before.list_ns,
             setups_ns: self.setups_ns - before.setups_ns,
             second_ns: self.second_ns - before.second_ns,
@@ -88,15 +91,15 @@
         Counts {
             peers_out: self.peers_out.and(other.peers_out),
             peers_in: self.peers_in.and(other.peers_in),
-            accord_out: self.accord_out.and(other.accord_out),
-            accord_in: self.accord_in.and(other.accord_in),
+            consensus_out: self.consensus_out.and(other.consensus_out),
+            consensus_in: self.consensus_in.and(other.consensus_in),
             list_bytes: self.list_bytes + other.list_bytes,
             list_calls: self.list_calls + other.list_calls,
             setups: self.setups + other.setups,
             moves: self.moves + other.moves,
             refused: self.refused + other.refused,
             peers_ns: self.peers_ns + other.peers_ns,
-            accord_ns: self.accord_ns + other.accord_ns,
+            consensus_ns: self.consensus_ns + other.consensus_ns,
             list_ns: self.list_ns + other.list_ns,
             setups_ns: self.setups_ns + other.setups_ns,
             second_ns: self.second_ns + other.second_ns,
@@ -105,13 +108,13 @@
 
     /// Control datagrams and their bytes, both ways.
     pub fn control(&self) -> Traffic {
-        let all = [self.peers_out, self.peers_in, self.accord_out, self.accord_in];
+        let all = [self.peers_out, self.peers_in, self.consensus_out, self.consensus_in];
         let sum = |figure: fn(&Traffic) -> u64| all.iter().map(figure).sum();
         Traffic { messages: sum(|traffic| traffic.messages), bytes: sum(|traffic| traffic.bytes) }
     }
 
     /// Processor time of control.
     pub fn control_ns(&self) -> u64 {
-        self.peers_ns + self.accord_ns + self.list_ns + self.second_ns
+        self.peers_ns + self.consensus_ns + self.list_ns + self.second_ns
     }
 }
--- a/crates/scale/src/discovery.rs
+++ b/crates/scale/src/discovery.rs
@@ -14,11 +14,11 @@
 use std::thread::JoinHandle;
 
 /// Between two beats: 2 s, as discovery's.
-const BEAT: i64 = 2_000_000;
+const HEARTBEAT_INTERVAL: i64 = 2_000_000;
 /// The list is looked at so often.
-const LOOK: i64 = 10_000;
-const TIMER_BEAT: u32 = 1;
-const TIMER_LOOK: u32 = 2;
+const POLL_INTERVAL: i64 = 10_000;
+const TIMER_HEARTBEAT: u32 = 1;
+const TIMER_POLL: u32 = 2;
 
 /// The stand-in; ends when dropped.
 pub struct Discovery {
@@ -31,8 +31,8 @@
 enum Report {
     Timer(u32),
     Acceptable,
-    Called(Key),
-    Gone(Key),
+    WatchRequested(Key),
+    Closed(Key),
 }
 
 impl cottonnotch_reactor::Report for Report {
@@ -52,7 +52,7 @@
 struct Watcher {
     key: Key,
     stream: LineStream,
-    called: bool,
+    requested: bool,
     done: bool,
 }
 
@@ -70,9 +70,9 @@
         let fill = self.stream.fill();
         let head = self.stream.take_rest();
         // A request of a few lines comes in one piece; whatever else comes is of no interest.
-        if !self.called && head.windows(4).any(|end| end == b"\r\n\r\n") {
-            self.called = true;
-            io.report(Report::Called(self.key));
+        if !self.requested && head.windows(4).any(|end| end == b"\r\n\r\n") {
+            self.requested = true;
+            io.report(Report::WatchRequested(self.key));
         }
         match fill {
             Fill::Blocked => {}
@@ -92,7 +92,7 @@
     }
 
     fn closed(&mut self, io: &mut Io) {
-        io.report(Report::Gone(self.key));
+        io.report(Report::Closed(self.key));
     }
 }
 
@@ -132,7 +132,7 @@
     }
 
     /// It tells this list from now on.
-    pub fn tell(&self, revision: u64, list: String) {
+    pub fn publish(&self, revision: u64, list: String) {
         *self.list.lock().unwrap_or_else(PoisonError::into_inner) = (revision, list);
     }
 }
@@ -171,8 +171,8 @@
     let mut watchers: BTreeSet<Key> = BTreeSet::new();
     let mut told = list.lock().unwrap_or_else(PoisonError::into_inner).0;
     let now = reactor.io.now();
-    reactor.io.owner_timer(now + BEAT, TIMER_BEAT);
-    reactor.io.owner_timer(now + LOOK, TIMER_LOOK);
+    reactor.io.owner_timer(now + HEARTBEAT_INTERVAL, TIMER_HEARTBEAT);
+    reactor.io.owner_timer(now + POLL_INTERVAL, TIMER_POLL);
     while !stop.load(Ordering::Acquire) {
         reactor.turn()?;
         while let Some(report) = reactor.io.reports.pop_front() {
@@ -182,26 +182,26 @@
                         Ok((stream, _)) => {
                             reactor.insert(|key, io| {
                                 let stream = LineStream::accepted(stream, io, key)?;
-                                Ok(Box::new(Watcher { key, stream, called: false, done: false }))
+                                Ok(Box::new(Watcher { key, stream, requested: false, done: false }))
                             })?;
                         }
                         Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                         Err(_) => {}
                     }
                 },
-                Report::Called(key) => {
+                Report::WatchRequested(key) => {
                     watchers.insert(key);
                     let (_, text) = list.lock().unwrap_or_else(PoisonError::into_inner).clone();
                     let head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
                     let bytes = [head.as_bytes().to_vec(), chunk(&text)].concat();
                     reactor.with(key, |watcher, _| watcher.write(&bytes));
                 }
-                Report::Gone(key) => {
+                Report::Closed(key) => {
                     watchers.remove(&key);
                 }
-                Report::Timer(TIMER_BEAT) => {
+                Report::Timer(TIMER_HEARTBEAT) => {
                     let now = reactor.io.now();
-                    reactor.io.owner_timer(now + BEAT, TIMER_BEAT);
+                    reactor.io.owner_timer(now + HEARTBEAT_INTERVAL, TIMER_HEARTBEAT);
                     let beat = chunk(&format!(r#"{{"revision":{told},"complete":false,"members":[]}}"#));
                     for key in &watchers {
                         reactor.with(*key, |watcher, _| watcher.write(&beat));
@@ -209,7 +209,7 @@
                 }
                 Report::Timer(_) => {
                     let now = reactor.io.now();
-                    reactor.io.owner_timer(now + LOOK, TIMER_LOOK);
+                    reactor.io.owner_timer(now + POLL_INTERVAL, TIMER_POLL);
                     let (revision, text) = {
                         let list = list.lock().unwrap_or_else(PoisonError::into_inner);
                         if list.0 == told { continue } else { list.clone() }
--- a/crates/scale/src/fault.rs
+++ b/crates/scale/src/fault.rs
@@ -47,7 +47,7 @@
 
 /// What is done at a time, where a fault is played on sockets.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Act {
+pub enum FaultAction {
     /// This member's process ends, without a word.
     Stop(u32),
     /// This member is told to put a content in force; contents of different kinds contradict each other.
@@ -62,14 +62,14 @@
 }
 
 /// The acts of a fault, with their times from its beginning; `None`: sockets can't play it.
-pub fn acts(shape: &Shape, fault: Fault) -> Option<Vec<(Micros, Act)>> {
-    let propose = |member, content: u32| Act::Propose { member, content, kind: (content % 2) as u8 };
+pub fn fault_actions(shape: &Shape, fault: Fault) -> Option<Vec<(Micros, FaultAction)>> {
+    let propose = |member, content: u32| FaultAction::Propose { member, content, kind: (content % 2) as u8 };
     match fault {
         Fault::Quiet => Some(vec![(0, propose(shape.members / 2, 2))]),
         Fault::Zone | Fault::FarZone => {
             let zone = if fault == Fault::Zone { 1 } else { ZONES - 1 };
             let gone = (0..shape.members).filter(|member| shape.zone(*member) == zone);
-            let stops = gone.map(|member| (0, Act::Stop(member)));
+            let stops = gone.map(|member| (0, FaultAction::Stop(member)));
             Some(stops.chain([(100 * MS, propose(0, 2))]).collect())
         }
         Fault::Changes => {
--- a/crates/scale/src/fault_scenarios.rs
+++ b/crates/scale/src/fault_scenarios.rs
@@ -4,14 +4,14 @@
 use crate::fault::{Fault, MS, S};
 use crate::judge::{Verdict, judge};
 use crate::shape::{Shape, ZONES};
-use crate::virtual_time::World;
+use crate::virtual_time::VirtualFleet;
 use cottonnotch_decision::Micros;
 use rustix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
 
 /// What a play showed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Played {
+pub struct FaultResult {
     /// What happened.
     pub fault: Fault,
     /// The sizes.
@@ -42,25 +42,25 @@
 }
 
 /// Plays one.
-pub fn play(shape: &Shape, fault: Fault) -> Played {
+pub fn play(shape: &Shape, fault: Fault) -> FaultResult {
     let real = cpu();
-    let mut world = World::new(shape);
+    let mut world = VirtualFleet::new(shape);
     world.run(20 * S);
     // The first content: without one there is nothing to contradict.
     world.propose(1, 1, 1);
     world.run(15 * S);
-    let (from, before, began) = (world.now, sums(&mut world), cpu());
+    let (from, before, began) = (world.now, total_counters(&mut world), cpu());
     script(&mut world, shape, fault);
     let seconds = (world.now - from) as f64 / 1e6;
     let cpu_us = (cpu() - began) * 1e6 / seconds / f64::from(shape.members);
-    let after = sums(&mut world);
+    let after = total_counters(&mut world);
     let counts = after.iter().zip(&before).map(|(after, before)| after.since(before));
     let bytes: Vec<f64> = counts.map(|counts| counts.control().bytes as f64 / seconds).collect();
     let refused = after.iter().map(|counts| counts.refused).sum();
     let running = world.running();
-    let views = running.iter().filter_map(|member| world.member(*member)?.view());
+    let views = running.iter().filter_map(|member| world.member(*member)?.fleet_view());
     let views: Vec<f64> = views.map(|(members, ..)| f64::from(members)).collect();
-    Played {
+    FaultResult {
         fault,
         shape: shape.clone(),
         seconds,
@@ -75,17 +75,17 @@
     }
 }
 
-fn sums(world: &mut World) -> Vec<Counts> {
+fn total_counters(world: &mut VirtualFleet) -> Vec<Counts> {
     let sum = |lives: Vec<Counts>| lives.into_iter().fold(Counts::default(), |sum, life| sum.and(&life));
     world.counts().into_iter().map(|(_, lives)| sum(lives)).collect()
 }
 
 /// Each content is of another kind than the one before.
-fn propose(world: &mut World, member: u32, content: u32) {
+fn propose(world: &mut VirtualFleet, member: u32, content: u32) {
     world.propose(member, content, (content % 2) as u8);
 }
 
-fn script(world: &mut World, shape: &Shape, fault: Fault) {
+fn script(world: &mut VirtualFleet, shape: &Shape, fault: Fault) {
     let members = shape.members;
     match fault {
         Fault::Quiet => {
@@ -106,12 +106,12 @@
         }
         Fault::Regions | Fault::RegionsBriefly => {
             let step = if fault == Fault::Regions { 600 * S } else { 150 * S };
-            world.cut = true;
+            world.regions_cut = true;
             for content in 2..8 {
                 propose(world, 0, content);
                 world.run(step);
             }
-            world.cut = false;
+            world.regions_cut = false;
             world.run(20 * S);
             propose(world, 3, 8);
             world.run(30 * S);
@@ -136,9 +136,9 @@
             world.run(30 * S);
         }
         Fault::List => {
-            world.tell_list(2, Some(0));
+            world.publish_endpoints(2, Some(0));
             world.run(30 * S);
-            world.tell_list(3, None);
+            world.publish_endpoints(3, None);
             world.run(30 * S);
         }
         Fault::Changes => {
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -1,6 +1,6 @@
 //! Lines fitted through runs: least squares, with the spread of the slope and the residuals.
 
-use crate::run_result::Line;
+use crate::run_result::RunResult;
 use linregress::{FormulaRegressionBuilder, RegressionDataBuilder};
 use serde::{Deserialize, Serialize};
 
@@ -43,7 +43,7 @@
 }
 
 /// The sizes along an axis.
-pub fn size(line: &Line, axis: Axis) -> f64 {
+pub fn size(line: &RunResult, axis: Axis) -> f64 {
     match axis {
         Axis::Members => f64::from(line.shape.members),
         Axis::Nodes => f64::from(line.shape.nodes),
@@ -53,13 +53,13 @@
 }
 
 /// A figure by its name, as `bytes_out.mean`.
-pub fn figure(line: &Line, name: &str) -> Option<f64> {
+pub fn figure(line: &RunResult, name: &str) -> Option<f64> {
     let value = serde_json::to_value(line).ok()?;
     name.split('.').try_fold(&value, |value, key| value.get(key))?.as_f64()
 }
 
 /// Fits a figure along an axis; `None` with fewer than three sizes.
-pub fn fit(lines: &[Line], name: &str, axis: Axis) -> Option<Fit> {
+pub fn fit(lines: &[RunResult], name: &str, axis: Axis) -> Option<Fit> {
     let sizes: Vec<f64> = lines.iter().map(|line| size(line, axis)).collect();
     let measured: Vec<f64> = lines.iter().map(|line| figure(line, name)).collect::<Option<_>>()?;
     if sizes.len() < 3 {
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -3,11 +3,11 @@
 
 use crate::counters::Counts;
 use crate::discovery::Discovery;
-use crate::hollow::View;
+use crate::hollow::FleetView;
 use crate::judge::judge;
-use crate::member_threads::{Span, Told, begin};
-use crate::records::{Record, What};
-use crate::run_result::{Line, Spread, fill};
+use crate::member_threads::{RunOptions, ThreadReport, begin};
+use crate::records::{MemberEvent, Record};
+use crate::run_result::{RunResult, Spread, fill};
 use crate::shape::Shape;
 use crate::sockets::address;
 use crate::watch;
@@ -23,11 +23,11 @@
 const LEAST_USE: f64 = cottonnotch_aggregation::wire::MIN_REPORTED_UTILIZATION;
 
 /// Plays a tier of this shape; `heap` tells the bytes that the process has allocated.
-pub fn play(shape: &Shape, span: Span, heap: impl Fn() -> usize) -> io::Result<Line> {
+pub fn play(shape: &Shape, span: RunOptions, heap: impl Fn() -> usize) -> io::Result<RunResult> {
     let began = Instant::now();
     let list = shape.list(FIRST, None);
     let list_bytes = list.len() as f64;
-    let known = watch::read(list.clone().into_bytes()).ok_or(io::ErrorKind::InvalidData)?;
+    let known = watch::parse_endpoints(list.clone().into_bytes()).ok_or(io::ErrorKind::InvalidData)?;
     let discovery = Discovery::start(address(60_000, 0), FIRST, list)?;
     let empty = heap();
     let members: Vec<u32> = (0..shape.members).collect();
@@ -43,10 +43,10 @@
     let resident = resident();
     std::thread::sleep(Duration::from_millis(300));
     let changed = run.clock.now();
-    discovery.tell(CHANGED, shape.list(CHANGED, Some(0)));
-    let told: Vec<Told> = receiver.iter().collect::<io::Result<_>>()?;
+    discovery.publish(CHANGED, shape.list(CHANGED, Some(0)));
+    let told: Vec<ThreadReport> = receiver.iter().collect::<io::Result<_>>()?;
     debug_assert!(connected.elapsed().as_secs_f64() > span.window);
-    let mut line = Line {
+    let mut line = RunResult {
         shape: shape.clone(),
         world: "sockets".into(),
         seconds: span.window,
@@ -55,7 +55,7 @@
         heap_bytes: (hollow - empty + warm.saturating_sub(open)) as f64 / f64::from(shape.members),
         heap_bytes_connection: (open - hollow) as f64
             / (f64::from(shape.members) * f64::from(shape.connections)).max(1.0),
-        ..Line::default()
+        ..RunResult::default()
     };
     line.fault = span.fault;
     let mut records: Vec<Record> = told.iter().flat_map(|told| told.records.iter().cloned()).collect();
@@ -69,7 +69,7 @@
     Ok(line)
 }
 
-fn count(line: &mut Line, told: &[Told]) {
+fn count(line: &mut RunResult, told: &[ThreadReport]) {
     let counts: Vec<(u32, Counts)> = told.iter().flat_map(|told| told.counts.iter().copied()).collect();
     let cpu: Duration = told.iter().map(|told| told.cpu).sum();
     line.cpu_us = cpu.as_secs_f64() * 1e6 / counts.len() as f64 / line.seconds;
@@ -77,12 +77,15 @@
     fill(line, &counts, &leaders);
 }
 
-fn lists(line: &mut Line, told: &[Told], changed: Micros) {
-    let stopped =
-        told.iter().flat_map(|told| &told.records).filter(|record| record.what == What::Ended).count();
+fn lists(line: &mut RunResult, told: &[ThreadReport], changed: Micros) {
+    let stopped = told
+        .iter()
+        .flat_map(|told| &told.records)
+        .filter(|record| record.event == MemberEvent::Stopped)
+        .count();
     let records = told.iter().flat_map(|told| &told.records);
-    let taken = records.filter_map(|record| match record.what {
-        What::Listed { revision: CHANGED, .. } => Some((record.at - changed) as f64 / 1e6),
+    let taken = records.filter_map(|record| match record.event {
+        MemberEvent::EndpointsReceived { revision: CHANGED, .. } => Some((record.at - changed) as f64 / 1e6),
         _ => None,
     });
     let taken = taken.collect::<Vec<f64>>();
@@ -93,24 +96,25 @@
     line.list_mean_s = spread.mean;
 }
 
-fn views(line: &mut Line, told: &[Told]) {
+fn views(line: &mut RunResult, told: &[ThreadReport]) {
     let mut truth: BTreeMap<u32, (f64, BTreeSet<u32>)> = BTreeMap::new();
     let mut pairs = 0;
-    for (node, (load, groups)) in told.iter().flat_map(|told| &told.standing).flatten() {
+    for (node, (load, groups)) in told.iter().flat_map(|told| &told.node_loads).flatten() {
         pairs += groups.len();
         let (sum, all) = truth.entry(*node).or_default();
         *sum += load;
         all.extend(groups);
     }
     line.own_pairs = pairs as f64 / f64::from(line.shape.members);
-    let used =
-        truth.into_iter().map(|(node, (load, groups))| (node, line.shape.used_with(load, groups.len())));
+    let used = truth
+        .into_iter()
+        .map(|(node, (load, groups))| (node, line.shape.utilization_with(load, groups.len())));
     let used: BTreeMap<u32, f64> = used.filter(|(_, used)| *used >= LEAST_USE).collect();
     let views: Vec<_> = told.iter().flat_map(|told| told.views.iter().flatten()).collect();
     if views.is_empty() {
         return;
     }
-    let mean = |figure: &dyn Fn(&View) -> f64| {
+    let mean = |figure: &dyn Fn(&FleetView) -> f64| {
         views.iter().map(|view| figure(view)).sum::<f64>() / views.len() as f64
     };
     let all = used.len().max(1) as f64;
--- a/crates/scale/src/interface.rs
+++ b/crates/scale/src/interface.rs
@@ -1,35 +1,35 @@
 //! What a hollow proxy is handed and what it asks for, and its accounts of processor time.
 
 use crate::counters::Counts;
-use crate::records::What;
+use crate::records::MemberEvent;
 use cottonnotch_consensus::ContentHash;
 use cottonnotch_proxy_core::EndpointUpdate;
 use std::net::SocketAddr;
 
 /// What happened to it.
 #[derive(Clone, Debug)]
-pub enum Happening<'a> {
+pub enum HollowInput<'a> {
     /// A datagram of the fleet view or of gossip has come.
-    Datagram {
+    PeerDatagram {
         /// From there.
         from: SocketAddr,
         /// Its bytes.
         bytes: &'a [u8],
     },
     /// A datagram of the accord has come.
-    Accord {
+    ConsensusDatagram {
         /// Its bytes.
         bytes: &'a [u8],
     },
     /// Discovery has told a list, in a text of so many bytes.
-    Listed {
+    EndpointUpdate {
         /// The list.
-        result: &'a EndpointUpdate,
+        update: &'a EndpointUpdate,
         /// Bytes of the text.
         bytes: usize,
     },
     /// The watch on discovery is lost.
-    ListLost {
+    WatchLost {
         /// It said nothing where a beat was due.
         silent: bool,
     },
@@ -41,68 +41,68 @@
         kind: u8,
     },
     /// [`Hollow::next_timeout`] has come; one thing that is due is done.
-    Time,
+    Timeout,
 }
 
 /// What it wants done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Wish {
+pub enum HollowOutput {
     /// Send a datagram of the fleet view or of gossip.
-    Datagram {
+    PeerDatagram {
         /// There.
         to: SocketAddr,
         /// These bytes.
         bytes: Vec<u8>,
     },
     /// Send a datagram of the accord.
-    Accord {
+    ConsensusDatagram {
         /// To this member.
         to: u16,
         /// These bytes.
         bytes: Vec<u8>,
     },
     /// Begin a watch on discovery from this revision, in place of the last one.
-    Watch {
+    StartWatch {
         /// The last one taken.
         from: u64,
     },
     /// For the records.
-    Record(What),
+    Record(MemberEvent),
 }
 
 /// What comes later.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Due {
-    Second,
-    First,
+pub(crate) enum ScheduledEvent {
+    EverySecond,
+    InitialRequest,
     Arrival,
-    Module(u32),
-    Up { request: u64, attempt: u32, server: u32 },
-    Checked { hash: ContentHash, agrees_from: Option<u64> },
-    Have { hash: ContentHash },
+    DecisionTimer(u32),
+    ConnectionSetUp { request: u64, attempt: u32, server: u32 },
+    CompatibilityChecked { hash: ContentHash, compatible_from: Option<u64> },
+    ContentReady { hash: ContentHash },
 }
 
 /// What a proxy's time goes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum CpuAccount {
     /// The fleet view or gossip.
     Peers,
     /// The accord.
-    Accord,
+    Consensus,
     /// What comes once a second.
-    Second,
+    EverySecond,
     /// The module: set-ups and their ends.
     Setups,
 }
 
-impl Part {
+impl CpuAccount {
     /// Its account.
-    pub fn of(self, counts: &mut Counts) -> &mut u64 {
+    pub fn nanoseconds_in(self, counts: &mut Counts) -> &mut u64 {
         match self {
-            Part::Peers => &mut counts.peers_ns,
-            Part::Accord => &mut counts.accord_ns,
-            Part::Second => &mut counts.second_ns,
-            Part::Setups => &mut counts.setups_ns,
+            CpuAccount::Peers => &mut counts.peers_ns,
+            CpuAccount::Consensus => &mut counts.consensus_ns,
+            CpuAccount::EverySecond => &mut counts.second_ns,
+            CpuAccount::Setups => &mut counts.setups_ns,
         }
     }
 }
--- a/crates/scale/src/judge.rs
+++ b/crates/scale/src/judge.rs
@@ -1,6 +1,6 @@
 //! What a run's records say, judged from outside: nothing here knows how a proxy, the accord or the fleet view works.
 
-use crate::records::{Record, What};
+use crate::records::{MemberEvent, Record};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -26,7 +26,8 @@
     /// Times that a running member was believed dead by another.
     pub wrongly_dead: u32,
     /// Times that a member found no keeper of the fleet's view.
-    pub without_keeper: u32,
+    #[serde(rename = "without_keeper")]
+    pub without_aggregator: u32,
     /// The longest time without a new view of the fleet at a running member.
     pub longest_view_gap_s: f64,
     /// The longest time from a list's first taking to the last running member's.
@@ -35,23 +36,23 @@
 
 /// From when to when, of a member.
 #[derive(Clone, Copy, Debug)]
-struct Span {
+struct Interval {
     from: i64,
     to: i64,
 }
 
 /// A member's time, from its records.
 #[derive(Debug, Default)]
-struct Story {
+struct MemberHistory {
     /// When its process ran.
-    lives: Vec<Span>,
+    lives: Vec<Interval>,
     /// When it might act, on which number, content and kind.
-    acts: Vec<(Span, u64, u32, u8)>,
+    acts: Vec<(Interval, u64, u32, u8)>,
     views: Vec<i64>,
     lists: BTreeMap<u64, i64>,
 }
 
-impl Story {
+impl MemberHistory {
     fn runs_at(&self, at: i64) -> bool {
         self.lives.iter().any(|life| life.from <= at && at < life.to)
     }
@@ -65,78 +66,85 @@
         if let Some(life) = self.lives.last_mut() {
             life.to = life.to.min(at);
         }
-        if let Some((span, ..)) = self.acts.last_mut() {
-            span.to = span.to.min(at);
+        if let Some((interval, ..)) = self.acts.last_mut() {
+            interval.to = interval.to.min(at);
         }
     }
 }
 
 /// Judges records in the order of their times, up to the time `end`.
 pub fn judge(records: &[Record], end: i64) -> Verdict {
-    let stories = stories(records, end);
+    let histories = histories(records, end);
     let mut verdict = Verdict::default();
-    in_force(records, &stories, end, &mut verdict);
-    verdict.longest_contradiction_s = contradiction(&stories) as f64 / 1e6;
-    without(&stories, &mut verdict);
+    in_force(records, &histories, end, &mut verdict);
+    verdict.longest_contradiction_s = contradiction(&histories) as f64 / 1e6;
+    without(&histories, &mut verdict);
     for record in records {
-        match record.what {
-            What::Dead { of, is: true } => {
-                verdict.wrongly_dead += u32::from(stories.get(&of).is_some_and(|s| s.runs_at(record.at)));
+        match record.event {
+            MemberEvent::LivenessChanged { of, is_dead: true } => {
+                verdict.wrongly_dead += u32::from(histories.get(&of).is_some_and(|s| s.runs_at(record.at)));
             }
-            What::Keeper(None) => verdict.without_keeper += 1,
+            MemberEvent::AggregatorChanged(None) => verdict.without_aggregator += 1,
             _ => {}
         }
     }
-    verdict.longest_view_gap_s = stories.values().map(view_gap).max().unwrap_or(0) as f64 / 1e6;
-    verdict.longest_list_s = lists(&stories) as f64 / 1e6;
+    verdict.longest_view_gap_s = histories.values().map(view_gap).max().unwrap_or(0) as f64 / 1e6;
+    verdict.longest_list_s = lists(&histories) as f64 / 1e6;
     verdict
 }
 
-fn stories(records: &[Record], end: i64) -> BTreeMap<u32, Story> {
-    let mut stories: BTreeMap<u32, Story> = BTreeMap::new();
-    for Record { at, member, what } in records {
-        let story = stories.entry(*member).or_default();
-        match what {
-            What::Began => story.lives.push(Span { from: *at, to: end }),
-            What::Ended => story.end(*at),
-            What::May { version, kind, until } => {
+fn histories(records: &[Record], end: i64) -> BTreeMap<u32, MemberHistory> {
+    let mut histories: BTreeMap<u32, MemberHistory> = BTreeMap::new();
+    for Record { at, member, event } in records {
+        let history = histories.entry(*member).or_default();
+        match event {
+            MemberEvent::Started => history.lives.push(Interval { from: *at, to: end }),
+            MemberEvent::Stopped => history.end(*at),
+            MemberEvent::LeaseChanged { version, kind, until } => {
                 // What it may do now takes the place of what it might before.
-                if let Some((span, ..)) = story.acts.last_mut() {
-                    span.to = span.to.min(*at);
+                if let Some((interval, ..)) = history.acts.last_mut() {
+                    interval.to = interval.to.min(*at);
                 }
                 if let Some((number, content)) = version {
-                    story.acts.push((Span { from: *at, to: (*until).min(end) }, *number, *content, *kind));
+                    history.acts.push((
+                        Interval { from: *at, to: (*until).min(end) },
+                        *number,
+                        *content,
+                        *kind,
+                    ));
                 }
             }
-            What::View { .. } => story.views.push(*at),
-            What::Listed { revision, .. } => {
-                story.lists.entry(*revision).or_insert(*at);
+            MemberEvent::SnapshotReceived { .. } => history.views.push(*at),
+            MemberEvent::EndpointsReceived { revision, .. } => {
+                history.lists.entry(*revision).or_insert(*at);
             }
             _ => {}
         }
     }
-    stories
+    histories
 }
 
-fn in_force(records: &[Record], stories: &BTreeMap<u32, Story>, end: i64, verdict: &mut Verdict) {
-    let numbers: BTreeMap<u32, u64> = stories
+fn in_force(records: &[Record], histories: &BTreeMap<u32, MemberHistory>, end: i64, verdict: &mut Verdict) {
+    let numbers: BTreeMap<u32, u64> = histories
         .values()
-        .flat_map(|story| story.acts.iter().map(|(_, number, content, _)| (*content, *number)))
+        .flat_map(|history| history.acts.iter().map(|(_, number, content, _)| (*content, *number)))
         .collect();
     let mut times = Vec::new();
-    for Record { at, what, .. } in records {
-        let What::Proposed { content } = what else { continue };
+    for Record { at, event, .. } in records {
+        let MemberEvent::Proposed { content } = event else { continue };
         verdict.proposed += 1;
         let Some(number) = numbers.get(content) else {
             verdict.superseded += 1;
             continue;
         };
-        let first = |story: &Story| {
-            let acts = story.acts.iter().filter(|(span, theirs, ..)| span.to > *at && theirs >= number);
-            acts.map(|(span, ..)| span.from.max(*at)).min()
+        let first = |history: &MemberHistory| {
+            let acts =
+                history.acts.iter().filter(|(interval, theirs, ..)| interval.to > *at && theirs >= number);
+            acts.map(|(interval, ..)| interval.from.max(*at)).min()
         };
         // Those that ran all the time from the call to the end: who came later has what is in force from the start.
-        let there: Vec<&Story> = stories.values().filter(|story| story.runs_through(*at, end - 1)).collect();
+        let there: Vec<&MemberHistory> =
+            histories.values().filter(|history| history.runs_through(*at, end - 1)).collect();
         let firsts: Option<Vec<i64>> = there.into_iter().map(first).collect();
         if let Some(last) = firsts.and_then(|firsts| firsts.into_iter().max()) {
             times.push((last - at) as f64 / 1e6);
@@ -148,12 +156,12 @@
 }
 
 /// The longest time in which two kinds were acted on at once.
-fn contradiction(stories: &BTreeMap<u32, Story>) -> i64 {
+fn contradiction(histories: &BTreeMap<u32, MemberHistory>) -> i64 {
     let mut edges: Vec<(i64, i32, u8)> = Vec::new();
-    for (span, _, _, kind) in stories.values().flat_map(|story| &story.acts) {
-        if span.from < span.to {
-            edges.push((span.from, 1, *kind));
-            edges.push((span.to, -1, *kind));
+    for (interval, _, _, kind) in histories.values().flat_map(|history| &history.acts) {
+        if interval.from < interval.to {
+            edges.push((interval.from, 1, *kind));
+            edges.push((interval.to, -1, *kind));
         }
     }
     // Ends before beginnings of the same instant: at its end a right is over.
@@ -175,24 +183,28 @@
     longest
 }
 
-fn without(stories: &BTreeMap<u32, Story>, verdict: &mut Verdict) {
+fn without(histories: &BTreeMap<u32, MemberHistory>, verdict: &mut Verdict) {
     const FIRST: i64 = 10_000_000;
     const LONG: i64 = 5_000_000;
-    if stories.values().all(|story| story.acts.is_empty()) {
+    if histories.values().all(|history| history.acts.is_empty()) {
         return;
     }
-    for story in stories.values() {
+    for history in histories.values() {
         let mut longest = 0;
-        for (nth, life) in story.lives.iter().enumerate() {
-            let acts =
-                || story.acts.iter().filter(|(span, ..)| span.from >= life.from && span.from < life.to);
+        for (nth, life) in history.lives.iter().enumerate() {
+            let acts = || {
+                history
+                    .acts
+                    .iter()
+                    .filter(|(interval, ..)| interval.from >= life.from && interval.from < life.to)
+            };
             // At the start of the tier there is nothing to act on, for as long as nobody called for anything.
-            let began = acts().next().map_or(life.to, |(span, ..)| span.from);
+            let began = acts().next().map_or(life.to, |(interval, ..)| interval.from);
             let mut covered = if nth == 0 { began } else { life.from + FIRST };
             let within = acts();
-            for (span, ..) in within {
-                longest = longest.max(span.from - covered);
-                covered = covered.max(span.to);
+            for (interval, ..) in within {
+                longest = longest.max(interval.from - covered);
+                covered = covered.max(interval.to);
             }
             longest = longest.max(life.to - covered);
         }
@@ -201,11 +213,11 @@
     }
 }
 
-fn view_gap(story: &Story) -> i64 {
+fn view_gap(history: &MemberHistory) -> i64 {
     let mut longest = 0;
-    for life in &story.lives {
+    for life in &history.lives {
         let within: Vec<i64> =
-            story.views.iter().copied().filter(|at| (life.from..life.to).contains(at)).collect();
+            history.views.iter().copied().filter(|at| (life.from..life.to).contains(at)).collect();
         let Some(first) = within.first() else { continue };
         let ends = within.iter().skip(1).chain([&life.to]);
         let gaps = std::iter::once(first).chain(&within[1..]).zip(ends);
@@ -214,10 +226,11 @@
     longest
 }
 
-fn lists(stories: &BTreeMap<u32, Story>) -> i64 {
-    let revisions: BTreeSet<u64> = stories.values().flat_map(|story| story.lists.keys().copied()).collect();
+fn lists(histories: &BTreeMap<u32, MemberHistory>) -> i64 {
+    let revisions: BTreeSet<u64> =
+        histories.values().flat_map(|history| history.lists.keys().copied()).collect();
     let spread = |revision: u64| {
-        let taken: Vec<i64> = stories.values().filter_map(|s| s.lists.get(&revision).copied()).collect();
+        let taken: Vec<i64> = histories.values().filter_map(|s| s.lists.get(&revision).copied()).collect();
         Some(taken.iter().max()? - taken.iter().min()?)
     };
     // Revision 1 is the one that all begin with, whenever that is.
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -30,5 +30,5 @@
 pub mod worker;
 
 pub use hollow::Hollow;
-pub use interface::{Happening, Wish};
+pub use interface::{HollowInput, HollowOutput};
 pub use shape::Shape;
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -4,8 +4,8 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use cottonnotch_scale::fault::Fault;
 use cottonnotch_scale::fit::{self, Axis};
-use cottonnotch_scale::member_threads::Span;
-use cottonnotch_scale::run_result::Line;
+use cottonnotch_scale::member_threads::RunOptions;
+use cottonnotch_scale::run_result::RunResult;
 use cottonnotch_scale::{Shape, calibrate};
 use cottonnotch_scale::{fault_scenarios, fleet};
 use std::alloc::System;
@@ -21,17 +21,17 @@
 #[command(about = "Hollow proxies: what a tier of a given size costs. Prints JSON lines")]
 struct Cli {
     #[command(subcommand)]
-    what: What,
+    mode: Mode,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Mode {
     /// One tier on loopback sockets in real time.
     Point {
         #[command(flatten)]
         shape: Shape,
         #[command(flatten)]
-        span: Span,
+        span: RunOptions,
     },
     /// Tiers of growing sizes on sockets, each in a process of its own, and the lines fitted through them.
     Sweep {
@@ -39,7 +39,7 @@
         #[arg(long, value_enum)]
         axis: Vec<Swept>,
         #[command(flatten)]
-        span: Span,
+        span: RunOptions,
     },
     /// Hollow against real: 3, 10 and 30 members, all hollow, all real, and half of each.
     Calibrate {
@@ -50,7 +50,7 @@
         #[arg(long)]
         size: Vec<u32>,
         #[command(flatten)]
-        span: Span,
+        span: RunOptions,
     },
     /// Faults on virtual time, judged from records.
     Faults {
@@ -127,7 +127,7 @@
 ];
 
 fn main() -> ExitCode {
-    match run(Cli::parse().what) {
+    match run(Cli::parse().mode) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("cottonnotch-scale: {error}");
@@ -136,21 +136,21 @@
     }
 }
 
-fn say(line: &impl serde::Serialize) -> io::Result<()> {
+fn print_json_line(line: &impl serde::Serialize) -> io::Result<()> {
     let mut out = io::stdout().lock();
     serde_json::to_writer(&mut out, line).map_err(io::Error::other)?;
     out.write_all(b"\n")?;
     out.flush()
 }
 
-fn run(what: What) -> io::Result<()> {
-    match what {
-        What::Point { shape, span } => say(&fleet::play(&shape, span, || HEAP.allocated())?),
-        What::Faults { fault, shape } => {
+fn run(mode: Mode) -> io::Result<()> {
+    match mode {
+        Mode::Point { shape, span } => print_json_line(&fleet::play(&shape, span, || HEAP.allocated())?),
+        Mode::Faults { fault, shape } => {
             let all = if fault.is_empty() { Fault::ALL.to_vec() } else { fault };
-            all.into_iter().try_for_each(|fault| say(&fault_scenarios::play(&shape, fault)))
+            all.into_iter().try_for_each(|fault| print_json_line(&fault_scenarios::play(&shape, fault)))
         }
-        What::Calibrate { program, size, span } => {
+        Mode::Calibrate { program, size, span } => {
             let sizes = if size.is_empty() { vec![3, 10, 30] } else { size };
             for members in sizes {
                 let shape = Shape {
@@ -164,18 +164,18 @@
                 for real in [0, members, members / 2] {
                     let folder = tempfile::tempdir()?;
                     let heap = || HEAP.allocated();
-                    say(&calibrate::play(&shape, real, &program, folder.path(), span, heap)?)?;
+                    print_json_line(&calibrate::play(&shape, real, &program, folder.path(), span, heap)?)?;
                 }
             }
             Ok(())
         }
-        What::Sweep { axis, span } => {
+        Mode::Sweep { axis, span } => {
             let all = if axis.is_empty() { Swept::ALL.to_vec() } else { axis };
             for swept in all {
-                let lines: Vec<Line> =
+                let lines: Vec<RunResult> =
                     swept.shapes().iter().map(|shape| point(shape, span)).collect::<io::Result<_>>()?;
                 for name in FIGURES {
-                    fit::fit(&lines, name, swept.axis()).iter().try_for_each(say)?;
+                    fit::fit(&lines, name, swept.axis()).iter().try_for_each(print_json_line)?;
                 }
             }
             Ok(())
@@ -184,31 +184,31 @@
 }
 
 /// A tier in a process of its own: what an earlier one has left on the heap is no part of it.
-fn point(shape: &Shape, span: Span) -> io::Result<Line> {
+fn point(shape: &Shape, span: RunOptions) -> io::Result<RunResult> {
     let Shape {
         members,
         nodes,
         pairs,
         connections,
         setups,
-        used,
+        utilization,
         members_from,
-        aim_ms,
+        latency_objective_ms,
         group_homes,
         voters,
         seed,
     } = shape;
-    let Span { warm_up, window, threads, fault: _ } = span;
+    let RunOptions { warm_up, window, threads, fault: _ } = span;
     let arguments = format!(
         "point --members {members} --nodes {nodes} --pairs {pairs} --connections {connections} --setups {setups} \
-         --used {used} --members-from {members_from} --aim-ms {aim_ms} --group-homes {group_homes} --voters {voters} --seed {seed} --warm-up {warm_up} \
+         --used {utilization} --members-from {members_from} --aim-ms {latency_objective_ms} --group-homes {group_homes} --voters {voters} --seed {seed} --warm-up {warm_up} \
          --window {window} --threads {threads}"
     );
     let output = Command::new(std::env::current_exe()?).args(arguments.split_whitespace()).output()?;
     if !output.status.success() {
         return Err(io::Error::other(format!("{arguments}: {}", String::from_utf8_lossy(&output.stderr))));
     }
-    let line: Line = serde_json::from_slice(&output.stdout).map_err(io::Error::other)?;
-    say(&line)?;
+    let line: RunResult = serde_json::from_slice(&output.stdout).map_err(io::Error::other)?;
+    print_json_line(&line)?;
     Ok(line)
 }
--- a/crates/scale/src/member_threads.rs
+++ b/crates/scale/src/member_threads.rs
@@ -1,13 +1,13 @@
 //! Threads that run the hollow members on sockets.
 
 use crate::counters::Counts;
-use crate::fault::{Act, Fault, acts};
-use crate::hollow::{Hollow, Place, Standing, View};
-use crate::records::{Record, What};
+use crate::fault::{Fault, FaultAction, fault_actions};
+use crate::hollow::{FleetView, Hollow, MemberSetup, NodeLoads};
+use crate::records::{MemberEvent, Record};
 use crate::shape::Shape;
-use crate::sockets::{ACCORD_PORT, Datagrams, Object, PEERS_PORT, RELAYED, address};
+use crate::sockets::{CONSENSUS_PORT, Datagrams, Object, PEERS_PORT, RELAY_PORT_OFFSET, address};
 use crate::watch;
-use crate::worker::{Seat, Worker, thread_time};
+use crate::worker::{HostedMember, Worker, thread_time};
 use cottonnotch_decision::Micros;
 use cottonnotch_proxy_core::{EndpointUpdate, Roster, WakeUpTimer};
 use cottonnotch_reactor::{Clock, Reactor};
@@ -23,7 +23,7 @@
 
 /// How long is waited and measured.
 #[derive(Clone, Copy, Debug, clap::Args)]
-pub struct Span {
+pub struct RunOptions {
     /// Seconds from the start until it is measured.
     #[arg(long, default_value_t = 8.0)]
     pub warm_up: f64,
@@ -39,13 +39,13 @@
 }
 
 /// What a thread tells of its members.
-pub(crate) struct Told {
+pub(crate) struct ThreadReport {
     /// Of each member in the time that was measured.
     pub counts: Vec<(u32, Counts)>,
     pub leaders: BTreeSet<u32>,
     pub cpu: Duration,
-    pub standing: Vec<Standing>,
-    pub views: Vec<Option<View>>,
+    pub node_loads: Vec<NodeLoads>,
+    pub views: Vec<Option<FleetView>>,
     pub records: Vec<Record>,
     /// Set-ups since the start.
     served: u64,
@@ -54,19 +54,19 @@
 /// What all threads share of a run.
 pub(crate) struct Run {
     shape: Shape,
-    span: Span,
+    span: RunOptions,
     known: EndpointUpdate,
     roster: Roster,
     discovery: SocketAddr,
     pub clock: Clock,
     /// Members know one another by the relay's ends, and all connections are asked for through the module.
     relayed: bool,
-    acts: Vec<(Micros, Act)>,
+    fault_actions: Vec<(Micros, FaultAction)>,
     /// All are there; connections may be opened; all may begin.
     pub steps: [Barrier; 3],
 }
 
-fn work(run: &Run, members: Vec<u32>) -> io::Result<Told> {
+fn work(run: &Run, members: Vec<u32>) -> io::Result<ThreadReport> {
     let (shape, span) = (&run.shape, run.span);
     let mut reactor = Reactor::<dyn Object>::new(run.clock)?;
     // As large as the daemon's default.
@@ -78,35 +78,39 @@
             let at = address(member, port);
             reactor.insert(|key, io| Ok(Box::new(Datagrams::bind(at, seat, accord, key, io)?)))
         };
-        let (peers, accord) = (open(false, PEERS_PORT)?, open(true, ACCORD_PORT)?);
-        let place = Place {
+        let (peers, accord) = (open(false, PEERS_PORT)?, open(true, CONSENSUS_PORT)?);
+        let place = MemberSetup {
             shape: shape.clone(),
             me: member,
             roster: run.roster.clone(),
-            life: (now / 1_000) as u64,
-            is_first: true,
-            memory: None,
+            incarnation: (now / 1_000) as u64,
+            starts_with_fleet: true,
+            durable_state: None,
         };
         let hollow = Hollow::start(place, &run.known, now);
-        records.push(Record { at: now, member, what: What::Began });
-        seats.push(Seat {
+        records.push(Record { at: now, member, event: MemberEvent::Started });
+        seats.push(HostedMember {
             member,
             hollow,
             peers,
             accord,
             watch: None,
-            alarm: WakeUpTimer::default(),
+            wake_up_timer: WakeUpTimer::default(),
             stopped: false,
         });
     }
-    let accord_port = ACCORD_PORT + if run.relayed { RELAYED } else { 0 };
-    let mut worker = Worker { reactor, seats, discovery: run.discovery, accord_port, records };
+    let consensus_port = CONSENSUS_PORT + if run.relayed { RELAY_PORT_OFFSET } else { 0 };
+    let mut worker = Worker { reactor, seats, discovery: run.discovery, consensus_port, records };
     run.steps[0].wait();
     // The main thread weighs the heap between two steps.
     run.steps[1].wait();
     let now = worker.reactor.io.now();
     for seat in &mut worker.seats {
-        if run.relayed { seat.hollow.come_all(now) } else { seat.hollow.open_all(now) }
+        if run.relayed {
+            seat.hollow.schedule_initial_requests(now)
+        } else {
+            seat.hollow.open_connections(now)
+        }
     }
     run.steps[2].wait();
     let began = worker.reactor.io.now();
@@ -115,12 +119,12 @@
     }
     // A version is in force before it is measured: leases are what the accord costs.
     worker.run_until(began + (span.warm_up * 0.4 * 1e6) as Micros)?;
-    worker.act(Act::Propose { member: 1, content: 1, kind: 1 })?;
+    worker.act(FaultAction::Propose { member: 1, content: 1, kind: 1 })?;
     let from = began + (span.warm_up * 1e6) as Micros;
     worker.run_until(from)?;
     let (before, cpu) = (worker.counts(), thread_time());
     let until = from + (span.window * 1e6) as Micros;
-    for (at, act) in &run.acts {
+    for (at, act) in &run.fault_actions {
         worker.run_until((from + at).min(until))?;
         worker.act(*act)?;
     }
@@ -130,35 +134,37 @@
     let counts =
         before.iter().zip(&after).map(|((member, before), (_, after))| (*member, after.since(before)));
     let counts = counts.collect();
-    let leaders = worker.seats.iter().filter(|seat| seat.hollow.leads()).map(|seat| seat.member).collect();
+    let leaders =
+        worker.seats.iter().filter(|seat| seat.hollow.is_leader()).map(|seat| seat.member).collect();
     let running = || worker.seats.iter().filter(|seat| !seat.stopped);
-    let standing = running().map(|seat| seat.hollow.standing()).collect();
-    let views = running().map(|seat| seat.hollow.view()).collect();
+    let node_loads = running().map(|seat| seat.hollow.node_loads()).collect();
+    let views = running().map(|seat| seat.hollow.fleet_view()).collect();
     let served = after.iter().map(|(_, counts)| counts.setups).sum();
     if run.relayed {
-        return Ok(Told { counts, leaders, cpu, standing, views, records: worker.records, served });
+        return Ok(ThreadReport { counts, leaders, cpu, node_loads, views, records: worker.records, served });
     }
     // The list that is told now loses a zone, while all goes on.
     worker.run_until(from + ((span.window + LIST) * 1e6) as Micros)?;
-    Ok(Told { counts, leaders, cpu, standing, views, records: worker.records, served })
+    Ok(ThreadReport { counts, leaders, cpu, node_loads, views, records: worker.records, served })
 }
 
-pub(crate) type Reply = io::Result<Told>;
+pub(crate) type Reply = io::Result<ThreadReport>;
 
 /// Threads with these members; they wait at the steps.
 pub(crate) fn begin(
     shape: &Shape,
-    span: Span,
+    span: RunOptions,
     members: &[u32],
     discovery: SocketAddr,
     known: EndpointUpdate,
     relayed: bool,
 ) -> io::Result<(Arc<Run>, Receiver<Reply>)> {
-    let port = PEERS_PORT + if relayed { RELAYED } else { 0 };
+    let port = PEERS_PORT + if relayed { RELAY_PORT_OFFSET } else { 0 };
     let addresses: Vec<SocketAddr> = (0..shape.members).map(|member| address(member, port)).collect();
     let threads = span.threads.min(members.len());
-    let acts = span.fault.map_or(Some(Vec::new()), |fault| acts(shape, fault));
-    let acts = acts.ok_or_else(|| io::Error::other("sockets can't play this fault, virtual time can"))?;
+    let fault_actions = span.fault.map_or(Some(Vec::new()), |fault| fault_actions(shape, fault));
+    let fault_actions =
+        fault_actions.ok_or_else(|| io::Error::other("sockets can't play this fault, virtual time can"))?;
     let barrier = || Barrier::new(threads + 1);
     let run = Arc::new(Run {
         shape: shape.clone(),
@@ -168,7 +174,7 @@
         discovery,
         clock: Clock::unix(),
         relayed,
-        acts,
+        fault_actions,
         steps: [barrier(), barrier(), barrier()],
     });
     let (sender, receiver): (Sender<Reply>, Receiver<Reply>) = channel();
@@ -186,30 +192,30 @@
 }
 
 /// Hollow members of a tier that a relay joins with others.
-pub struct Tier {
+pub struct HollowFleet {
     receiver: Receiver<Reply>,
 }
 
-impl Tier {
+impl HollowFleet {
     /// These members begin now.
     pub fn start(
         shape: &Shape,
-        span: Span,
+        span: RunOptions,
         members: Vec<u32>,
         discovery: SocketAddr,
         list: &str,
     ) -> io::Result<Self> {
-        let known = watch::read(list.as_bytes().to_vec()).ok_or(io::ErrorKind::InvalidData)?;
+        let known = watch::parse_endpoints(list.as_bytes().to_vec()).ok_or(io::ErrorKind::InvalidData)?;
         let (run, receiver) = begin(shape, span, &members, discovery, known, true)?;
         for step in &run.steps {
             step.wait();
         }
-        Ok(Tier { receiver })
+        Ok(HollowFleet { receiver })
     }
 
     /// Once they have ended: processor time in the window, and set-ups since the start.
     pub fn end(self) -> io::Result<(Duration, u64)> {
-        let told: Vec<Told> = self.receiver.iter().collect::<io::Result<_>>()?;
+        let told: Vec<ThreadReport> = self.receiver.iter().collect::<io::Result<_>>()?;
         Ok((told.iter().map(|told| told.cpu).sum(), told.iter().map(|told| told.served).sum()))
     }
 }
--- a/crates/scale/src/nodes.rs
+++ b/crates/scale/src/nodes.rs
@@ -15,19 +15,24 @@
 
 impl Nodes {
     /// Takes a list; what the module is to hear.
-    pub fn take(&mut self, delays: &mut MessageLatencies, result: &EndpointUpdate, copy: bool) -> Event {
-        self.revision = result.revision;
-        let mut entries = Vec::with_capacity(result.endpoints.len());
-        for member in &result.endpoints {
+    pub fn apply_update(
+        &mut self,
+        latencies: &mut MessageLatencies,
+        update: &EndpointUpdate,
+        copy: bool,
+    ) -> Event {
+        self.revision = update.revision;
+        let mut entries = Vec::with_capacity(update.endpoints.len());
+        for member in &update.endpoints {
             let number = self.names.intern(&member.id);
             let is_new = self.started.len() <= number as usize;
             if is_new {
                 self.started.push(member.up_since);
             }
             let before = std::mem::replace(&mut self.started[number as usize], member.up_since);
-            delays.endpoint_listed(ServerId(number), member.weight);
+            latencies.endpoint_listed(ServerId(number), member.weight);
             if !is_new && before != member.up_since {
-                delays.process_restarted(ServerId(number));
+                latencies.process_restarted(ServerId(number));
             }
             entries.push(Entry {
                 server: ServerId(number),
@@ -39,7 +44,7 @@
                 weight: member.weight,
             });
         }
-        Event::List { full: result.complete, copy, entries }
+        Event::List { full: update.complete, copy, entries }
     }
 
     /// The last revision taken.
--- a/crates/scale/src/real.rs
+++ b/crates/scale/src/real.rs
@@ -1,7 +1,7 @@
 //! Real daemons for the calibration: processes of the program, stand-in render nodes, and clients that come and go.
 
 use crate::shape::{Shape, ZONES};
-use crate::sockets::{ACCORD_PORT, PEERS_PORT, RELAYED, address};
+use crate::sockets::{CONSENSUS_PORT, PEERS_PORT, RELAY_PORT_OFFSET, address};
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
@@ -90,9 +90,9 @@
     addresses.map(|address| format!("\"{address}\"")).collect::<Vec<_>>().join(", ")
 }
 
-fn platform(shape: &Shape, me: u32, discovery: SocketAddr, list: &str) -> String {
+fn platform_config(shape: &Shape, me: u32, discovery: SocketAddr, list: &str) -> String {
     let zones: Vec<String> = (0..ZONES).map(|zone| format!("\"z{zone}\"")).collect();
-    let peers = quoted((0..shape.members).map(|member| address(member, PEERS_PORT + RELAYED)));
+    let peers = quoted((0..shape.members).map(|member| address(member, PEERS_PORT + RELAY_PORT_OFFSET)));
     format!(
         r#"{{"name":"p{me}","listen":"{}","discovery":"{discovery}","seed":"{me}","limits":{{"sockets":1024}},
         "peer_listen":"{}","peers":[{peers}],"known":{list},
@@ -109,13 +109,14 @@
     )
 }
 
-fn operator(shape: &Shape, me: u32, folder: &Path) -> String {
-    let members = quoted((0..shape.members).map(|member| address(member, ACCORD_PORT + RELAYED)));
+fn operator_config(shape: &Shape, me: u32, folder: &Path) -> String {
+    let members =
+        quoted((0..shape.members).map(|member| address(member, CONSENSUS_PORT + RELAY_PORT_OFFSET)));
     let accord = format!(
         "[rules]\nfolder = \"{}\"\nconnections = 100000\n[accord]\nlisten = \"{}\"\ncluster = \"hollow\"\nme = {me}\n\
          key_file = \"{}\"\nvoters = {:?}\nmembers = [{members}]\nfirst_start = true\nbefore_first = \"serve\"\n",
         folder.join("rules").display(),
-        address(me, ACCORD_PORT),
+        address(me, CONSENSUS_PORT),
         folder.join("key").display(),
         shape.voters(),
     );
@@ -143,8 +144,8 @@
         std::fs::create_dir_all(folder.join("rules"))?;
         std::fs::write(folder.join("key"), KEY)?;
         std::fs::write(folder.join("rules/consortium.toml"), "namespace = \"consortium\"\nrevision = 1\n")?;
-        std::fs::write(folder.join("platform.json"), platform(shape, me, discovery, list))?;
-        std::fs::write(folder.join("operator.toml"), operator(shape, me, &folder))?;
+        std::fs::write(folder.join("platform.json"), platform_config(shape, me, discovery, list))?;
+        std::fs::write(folder.join("operator.toml"), operator_config(shape, me, &folder))?;
         let log = std::fs::File::create(folder.join("log"))?;
         let child = Command::new(program)
             .arg("--operator")
@@ -212,14 +213,16 @@
         }
         number += 1;
         let group = crate::shape::mixed(u64::from(me) << 32 | number, shape.seed) % u64::from(shape.groups());
-        if let Some(stream) = come(door, u64::from(me) << 32 | number, crate::hollow::digest(group as u32)) {
+        if let Some(stream) =
+            open_client(door, u64::from(me) << 32 | number, crate::hollow::digest(group as u32))
+        {
             served.fetch_add(1, Ordering::Relaxed);
             up.push_back(stream);
         }
     }
 }
 
-fn come(door: SocketAddr, id: u64, group: u64) -> Option<TcpStream> {
+fn open_client(door: SocketAddr, id: u64, group: u64) -> Option<TcpStream> {
     let mut stream = TcpStream::connect(door).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(2))).ok()?;
     let line = format!("OPEN {id:016x} {id:016x} c=look,d=2000,g={group:x}\r\n");
--- a/crates/scale/src/records.rs
+++ b/crates/scale/src/records.rs
@@ -1,65 +1,75 @@
-//! What is recorded of a run: plain figures, for whoever judges it.
+//! The record of a run: what happened at which member and when, in plain figures, for whoever judges it.
 
 use serde::{Deserialize, Serialize};
 
 /// Something that happened at a member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// When, in microseconds of a clock that all share.
+    /// Time in microseconds of a clock that all members share.
     pub at: i64,
-    /// Where.
+    /// Ordinal of the member.
     pub member: u32,
-    /// What.
-    pub what: What,
+    /// What happened.
+    #[serde(rename = "what")]
+    pub event: MemberEvent,
 }
 
-/// What happened.
+/// An event at a member. The serialized names are those of earlier records.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum What {
-    /// Its process has begun.
-    Began,
-    /// Its process has ended, without a word.
-    Ended,
-    /// From now on it may act on this version, up to a time; or on none.
-    May {
-        /// Number and content; `None`: none.
+pub enum MemberEvent {
+    /// Its process has started.
+    #[serde(rename = "Began")]
+    Started,
+    /// Its process has stopped, without notifying anybody.
+    #[serde(rename = "Ended")]
+    Stopped,
+    /// It holds a lease on this version from now on, or on none.
+    #[serde(rename = "May")]
+    LeaseChanged {
+        /// Number and content of the version; `None`: it holds no lease.
         version: Option<(u64, u32)>,
-        /// Which contents contradict one another: those of another kind.
+        /// Kind of the content; contents of different kinds are incompatible.
         kind: u8,
-        /// Own clock.
+        /// Expiry, by the member's own clock.
         until: i64,
     },
-    /// It was told to put a content in force.
+    /// An operator has proposed a content at this member.
     Proposed {
-        /// Which.
+        /// The content.
         content: u32,
     },
-    /// Its proposal is over.
-    Over {
-        /// Of this content.
+    /// Its proposal has finished.
+    #[serde(rename = "Over")]
+    ProposalFinished {
+        /// The proposed content.
         content: u32,
-        /// It is in force.
+        /// Whether the content is in force.
         in_force: bool,
     },
-    /// It has a view of so many members.
-    View {
-        /// Members whose reports are in it.
+    /// It has received a fleet snapshot.
+    #[serde(rename = "View")]
+    SnapshotReceived {
+        /// Members whose reports the snapshot sums up.
         members: u32,
     },
-    /// It asks this member for the fleet's view; `None`: none answered it.
-    Keeper(Option<u32>),
-    /// It believes that another one is dead (or not any more).
-    Dead {
-        /// Which.
+    /// It requests snapshots from this aggregator; `None`: no aggregator has answered.
+    #[serde(rename = "Keeper")]
+    AggregatorChanged(Option<u32>),
+    /// Its verdict on the liveness of another member has changed.
+    #[serde(rename = "Dead")]
+    LivenessChanged {
+        /// The other member.
         of: u32,
-        /// It is believed dead.
-        is: bool,
+        /// Whether the other member is considered dead.
+        #[serde(rename = "is")]
+        is_dead: bool,
     },
-    /// It has taken this list.
-    Listed {
-        /// Its revision.
+    /// It has applied an endpoint list.
+    #[serde(rename = "Listed")]
+    EndpointsReceived {
+        /// Revision of the list.
         revision: u64,
-        /// Nodes in it.
+        /// Nodes in the list.
         nodes: u32,
     },
 }
--- a/crates/scale/src/relay.rs
+++ b/crates/scale/src/relay.rs
@@ -2,7 +2,7 @@
 //! are counted by the same eyes.
 
 use crate::counters::Traffic;
-use crate::sockets::{ACCORD_PORT, PEERS_PORT, RELAYED, address};
+use crate::sockets::{CONSENSUS_PORT, PEERS_PORT, RELAY_PORT_OFFSET, address};
 use cottonnotch_reactor::{Clock, Connection, Half, Key, Reactor};
 use mio::net::UdpSocket;
 use std::collections::BTreeMap;
@@ -65,11 +65,11 @@
         let mut reactor = Reactor::<End>::new(Clock::unix())?;
         let mut ends: Vec<Key> = Vec::new();
         let mut ways = BTreeMap::new();
-        for (kind, port) in [PEERS_PORT, ACCORD_PORT].into_iter().enumerate() {
+        for (kind, port) in [PEERS_PORT, CONSENSUS_PORT].into_iter().enumerate() {
             for member in 0..members {
                 let at = ends.len();
                 ends.push(reactor.insert(|key, io| {
-                    let mut socket = UdpSocket::bind(address(member, port + RELAYED))?;
+                    let mut socket = UdpSocket::bind(address(member, port + RELAY_PORT_OFFSET))?;
                     io.register_reader(&mut socket, key)?;
                     Ok(Box::new(End { socket, at }))
                 })?);
@@ -92,7 +92,7 @@
                         counts[sender][kind][0].add(bytes.len());
                         counts[to][kind][1].add(bytes.len());
                     }
-                    let port = if kind == 0 { PEERS_PORT } else { ACCORD_PORT };
+                    let port = if kind == 0 { PEERS_PORT } else { CONSENSUS_PORT };
                     let there = address(to as u32, port);
                     // It comes from the sender's own end here: by that it is known.
                     reactor.with(ends[kind * members + sender], |end, _| {
--- a/crates/scale/src/run_result.rs
+++ b/crates/scale/src/run_result.rs
@@ -29,7 +29,7 @@
 
 /// What a run measured; figures by member and second unless said otherwise.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct RunResult {
     /// The sizes.
     pub shape: Shape,
     /// "sockets" (real time) or "virtual".
@@ -47,7 +47,8 @@
     /// Of these, bytes of the fleet view or gossip, both ways.
     pub peers_bytes: Spread,
     /// ... and of the accord.
-    pub accord_bytes: Spread,
+    #[serde(rename = "accord_bytes")]
+    pub consensus_bytes: Spread,
     /// The busiest of the voters: accord bytes both ways (the leader's).
     pub leader_bytes: f64,
     /// ... and its messages.
@@ -57,7 +58,8 @@
     /// Attributed to a member while it was driven, its sends included and its reads not: fleet view or gossip.
     pub cpu_peers_us: Spread,
     /// ... accord.
-    pub cpu_accord_us: Spread,
+    #[serde(rename = "cpu_accord_us")]
+    pub cpu_consensus_us: Spread,
     /// ... lists.
     pub cpu_list_us: Spread,
     /// ... once a second.
@@ -80,7 +82,7 @@
     pub list_bytes: f64,
     /// Seconds from the moment a changed list is told until the last member has taken it; the mean member's.
     pub list_all_s: f64,
-    /// See [`Line::list_all_s`].
+    /// See [`RunResult::list_all_s`].
     pub list_mean_s: f64,
     /// Members in the view of the mean member, of all.
     pub view_members: f64,
@@ -103,20 +105,20 @@
 }
 
 /// The figures that follow from members' counts in the line's time.
-pub fn fill(line: &mut Line, counts: &[(u32, Counts)], leaders: &BTreeSet<u32>) {
+pub fn fill(line: &mut RunResult, counts: &[(u32, Counts)], leaders: &BTreeSet<u32>) {
     let seconds = line.seconds;
     let spread = |figure: &dyn Fn(&Counts) -> f64| {
         Spread::of(counts.iter().map(|(_, counts)| figure(counts) / seconds))
     };
     let us = |ns: u64| ns as f64 / 1e3;
-    line.messages_out = spread(&|c| (c.peers_out.messages + c.accord_out.messages) as f64);
-    line.messages_in = spread(&|c| (c.peers_in.messages + c.accord_in.messages) as f64);
-    line.bytes_out = spread(&|c| (c.peers_out.bytes + c.accord_out.bytes) as f64);
-    line.bytes_in = spread(&|c| (c.peers_in.bytes + c.accord_in.bytes) as f64);
+    line.messages_out = spread(&|c| (c.peers_out.messages + c.consensus_out.messages) as f64);
+    line.messages_in = spread(&|c| (c.peers_in.messages + c.consensus_in.messages) as f64);
+    line.bytes_out = spread(&|c| (c.peers_out.bytes + c.consensus_out.bytes) as f64);
+    line.bytes_in = spread(&|c| (c.peers_in.bytes + c.consensus_in.bytes) as f64);
     line.peers_bytes = spread(&|c| (c.peers_out.bytes + c.peers_in.bytes) as f64);
-    line.accord_bytes = spread(&|c| (c.accord_out.bytes + c.accord_in.bytes) as f64);
+    line.consensus_bytes = spread(&|c| (c.consensus_out.bytes + c.consensus_in.bytes) as f64);
     line.cpu_peers_us = spread(&|c| us(c.peers_ns));
-    line.cpu_accord_us = spread(&|c| us(c.accord_ns));
+    line.cpu_consensus_us = spread(&|c| us(c.consensus_ns));
     line.cpu_list_us = spread(&|c| us(c.list_ns));
     line.cpu_second_us = spread(&|c| us(c.second_ns));
     let leading = counts.iter().filter(|(member, _)| leaders.contains(member));
@@ -124,8 +126,8 @@
     let of_leader = |figure: &dyn Fn(&Counts) -> u64| {
         leading.iter().map(|counts| figure(counts) as f64 / seconds).fold(0.0, f64::max)
     };
-    line.leader_bytes = of_leader(&|c| c.accord_out.bytes + c.accord_in.bytes);
-    line.leader_messages = of_leader(&|c| c.accord_out.messages + c.accord_in.messages);
+    line.leader_bytes = of_leader(&|c| c.consensus_out.bytes + c.consensus_in.bytes);
+    line.leader_messages = of_leader(&|c| c.consensus_out.messages + c.consensus_in.messages);
     let sum = |figure: &dyn Fn(&Counts) -> u64| counts.iter().map(|(_, c)| figure(c)).sum::<u64>() as f64;
     line.setups = sum(&|c| c.setups);
     line.moves = sum(&|c| c.moves);
--- a/crates/scale/src/shape.rs
+++ b/crates/scale/src/shape.rs
@@ -34,15 +34,16 @@
     #[arg(long, default_value_t = 2.0)]
     pub setups: f64,
     /// Mean load of a node over its size.
-    #[arg(long, default_value_t = 0.55)]
-    pub used: f64,
+    #[arg(long = "used", value_name = "USED", default_value_t = 0.55)]
+    #[serde(rename = "used")]
+    pub utilization: f64,
     /// Tiers of so many members or more have a fleet view, smaller ones gossip.
     #[arg(long, default_value_t = 24)]
     pub members_from: u32,
     /// Wanted time of a message, milliseconds; 0: none, and no estimate of delays is noted or moves connections.
-    #[arg(long, default_value_t = 0)]
-    #[serde(default)]
-    pub aim_ms: u32,
+    #[arg(long = "aim-ms", value_name = "AIM_MS", default_value_t = 0)]
+    #[serde(rename = "aim_ms", default)]
+    pub latency_objective_ms: u32,
     /// Heaviest groups that a member reports to the keeper, which works out their homes; 0: homes by a group's size are off.
     #[arg(long, default_value_t = 0)]
     #[serde(default)]
@@ -63,9 +64,9 @@
             pairs: 4_000,
             connections: 1_000,
             setups: 2.0,
-            used: 0.55,
+            utilization: 0.55,
             members_from: 24,
-            aim_ms: 0,
+            latency_objective_ms: 0,
             group_homes: 0,
             voters: 3,
             seed: 1,
@@ -103,11 +104,11 @@
     pub fn size(&self) -> f64 {
         let connections = f64::from(self.members) * f64::from(self.connections);
         let load = LOAD * (connections + GROUP_COST * f64::from(self.groups() * HOMES));
-        load / (f64::from(self.nodes) * self.used.max(0.01) * 1e6)
+        load / (f64::from(self.nodes) * self.utilization.max(0.01) * 1e6)
     }
 
     /// What a node has over its size, with that load of its connections and that many groups.
-    pub fn used_with(&self, load: f64, groups: usize) -> f64 {
+    pub fn utilization_with(&self, load: f64, groups: usize) -> f64 {
         (load + GROUP_COST * LOAD * groups as f64) / (self.size() * 1e6)
     }
 
@@ -132,7 +133,7 @@
         let class = Class {
             target: 300 * MS,
             deadline: 2_000 * MS,
-            message_latency_objective: Micros::from(self.aim_ms) * MS,
+            message_latency_objective: Micros::from(self.latency_objective_ms) * MS,
             attempts: 3,
             idempotency: Idempotency::Idempotent,
             priority_weight: 1.0,
--- a/crates/scale/src/sockets.rs
+++ b/crates/scale/src/sockets.rs
@@ -7,16 +7,16 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// Read in one turn before others have theirs, as the daemon does.
-const AT_ONCE: usize = 32;
+const MAX_READS_PER_TURN: usize = 32;
 /// The longest datagrams of the two kinds, and one byte that shows a longer one.
-const LONGEST_OF_PEERS: usize = 256;
-const LONGEST_OF_ACCORD: usize = 1_200;
+const MAX_PEER_DATAGRAM: usize = 256;
+const MAX_CONSENSUS_DATAGRAM: usize = 1_200;
 /// Ports of the members; each has an address of its own.
 pub const PEERS_PORT: u16 = 7_946;
 /// See [`PEERS_PORT`].
-pub const ACCORD_PORT: u16 = 7_947;
+pub const CONSENSUS_PORT: u16 = 7_947;
 /// A relay's ends have ports that are so much higher.
-pub const RELAYED: u16 = 1_000;
+pub const RELAY_PORT_OFFSET: u16 = 1_000;
 /// What objects on the loop have to tell.
 pub enum Report {
     /// A timer of the worker's.
@@ -85,10 +85,10 @@
 
     fn readable(&mut self, io: &mut Io, leg: Half) {
         let (seat, accord) = (self.seat, self.accord);
-        let longest = if accord { LONGEST_OF_ACCORD } else { LONGEST_OF_PEERS };
-        let mut bytes = [0; LONGEST_OF_ACCORD + 1];
+        let longest = if accord { MAX_CONSENSUS_DATAGRAM } else { MAX_PEER_DATAGRAM };
+        let mut bytes = [0; MAX_CONSENSUS_DATAGRAM + 1];
         let mut heard = Vec::new();
-        for _ in 0..AT_ONCE {
+        for _ in 0..MAX_READS_PER_TURN {
             match self.socket.recv_from(&mut bytes[..=longest]) {
                 Ok((length, from)) => heard.push((from, bytes[..length].to_vec())),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
--- a/crates/scale/src/watch.rs
+++ b/crates/scale/src/watch.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 
 /// As the daemon's.
-const UNANSWERED: Micros = 4_000_000;
+const RESPONSE_TIMEOUT: Micros = 4_000_000;
 
 /// One watch of one member.
 pub struct Watch {
@@ -21,8 +21,8 @@
     stream: LineStream,
     connected: bool,
     response: StreamedResponse,
-    texts: JsonStream,
-    heard: Micros,
+    json_stream: JsonStream,
+    last_received: Micros,
     answered: bool,
     lost: bool,
 }
@@ -36,43 +36,43 @@
              Accept: application/json\r\n\r\n"
         );
         stream.push(request.as_bytes());
-        let heard = io.now();
-        io.timer(heard + UNANSWERED, key, 0);
-        let (response, texts) = (StreamedResponse::new(), JsonStream::new());
+        let last_received = io.now();
+        io.timer(last_received + RESPONSE_TIMEOUT, key, 0);
+        let (response, json_stream) = (StreamedResponse::new(), JsonStream::new());
         Ok(Watch {
             seat,
             key,
             stream,
             connected: false,
             response,
-            texts,
-            heard,
+            json_stream,
+            last_received,
             answered: false,
             lost: false,
         })
     }
 
-    fn lose(&mut self, io: &mut Io, silent: bool) {
+    fn report_lost(&mut self, io: &mut Io, silent: bool) {
         if !std::mem::replace(&mut self.lost, true) {
             io.report(Report::ListLost { seat: self.seat, watch: self.key, silent });
         }
     }
 
-    fn take(&mut self, io: &mut Io, bytes: &[u8]) {
-        let (mut body, mut texts) = (Vec::new(), Vec::new());
-        let goes_on = self.response.feed(bytes, &mut body).is_ok();
-        let whole = self.texts.feed(&body, &mut texts).is_ok();
-        for text in texts {
+    fn parse_response(&mut self, io: &mut Io, bytes: &[u8]) {
+        let (mut body, mut json_stream) = (Vec::new(), Vec::new());
+        let response_is_valid = self.response.feed(bytes, &mut body).is_ok();
+        let json_is_valid = self.json_stream.feed(&body, &mut json_stream).is_ok();
+        for text in json_stream {
             io.report(Report::Listed { seat: self.seat, watch: self.key, text });
         }
-        if !goes_on || !whole {
-            self.lose(io, false);
+        if !response_is_valid || !json_is_valid {
+            self.report_lost(io, false);
         }
     }
 }
 
 /// A list's text as the daemon reads it; `None`: it can't be read, and counts as a failed call.
-pub fn read(mut text: Vec<u8>) -> Option<EndpointUpdate> {
+pub fn parse_endpoints(mut text: Vec<u8>) -> Option<EndpointUpdate> {
     EndpointUpdate::parse(&mut text).ok()
 }
 
@@ -83,17 +83,17 @@
         let fill = self.stream.fill();
         let bytes = self.stream.take_rest();
         if !bytes.is_empty() {
-            self.heard = io.now();
+            self.last_received = io.now();
             if !std::mem::replace(&mut self.answered, true) {
-                io.timer(self.heard + WATCH_SILENT_AFTER, self.key, 0);
+                io.timer(self.last_received + WATCH_SILENT_AFTER, self.key, 0);
             }
-            self.take(io, &bytes);
+            self.parse_response(io, &bytes);
         }
         match fill {
             Fill::Blocked => {}
             Fill::More => io.call_again(self.key, Half::Near),
-            Fill::Ended => self.lose(io, false),
-            Fill::Broken(_) if self.connected => self.lose(io, false),
+            Fill::Ended => self.report_lost(io, false),
+            Fill::Broken(_) if self.connected => self.report_lost(io, false),
             Fill::Broken(_) => {}
         }
     }
@@ -102,20 +102,20 @@
         if !self.connected {
             match self.stream.connected() {
                 Ok(connected) => self.connected = connected,
-                Err(_) => return self.lose(io, false),
+                Err(_) => return self.report_lost(io, false),
             }
         }
         if self.connected && self.stream.flush().is_err() {
-            self.lose(io, false);
+            self.report_lost(io, false);
         }
     }
 
     fn timer(&mut self, io: &mut Io, _: u32) {
-        let due = self.heard + if self.answered { WATCH_SILENT_AFTER } else { UNANSWERED };
+        let due = self.last_received + if self.answered { WATCH_SILENT_AFTER } else { RESPONSE_TIMEOUT };
         if due > io.now() {
             io.timer(due, self.key, 0);
         } else {
-            self.lose(io, true);
+            self.report_lost(io, true);
         }
     }
 
--- a/crates/scale/src/worker.rs
+++ b/crates/scale/src/worker.rs
@@ -1,10 +1,10 @@
 //! A thread's members on sockets.
 
 use crate::counters::Counts;
-use crate::fault::Act;
+use crate::fault::FaultAction;
 use crate::hollow::Hollow;
-use crate::interface::{Happening, Wish};
-use crate::records::{Record, What};
+use crate::interface::{HollowInput, HollowOutput};
+use crate::records::{MemberEvent, Record};
 use crate::sockets::{Object, Report, address};
 use crate::watch::{self, Watch};
 use cottonnotch_decision::Micros;
@@ -16,13 +16,13 @@
 use std::time::Duration;
 
 /// A member on the loop.
-pub(crate) struct Seat {
+pub(crate) struct HostedMember {
     pub member: u32,
     pub hollow: Hollow,
     pub peers: Key,
     pub accord: Key,
     pub watch: Option<Key>,
-    pub alarm: WakeUpTimer,
+    pub wake_up_timer: WakeUpTimer,
     /// Its process has ended.
     pub stopped: bool,
 }
@@ -36,10 +36,10 @@
 /// A thread's part of the members.
 pub(crate) struct Worker {
     pub reactor: Reactor<dyn Object>,
-    pub seats: Vec<Seat>,
+    pub seats: Vec<HostedMember>,
     pub discovery: SocketAddr,
     /// Where the others' ends of the accord are.
-    pub accord_port: u16,
+    pub consensus_port: u16,
     pub records: Vec<Record>,
 }
 
@@ -49,39 +49,41 @@
             Report::Timer(seat) => {
                 let seat = seat as usize;
                 let Some(there) = self.seats.get_mut(seat) else { return Ok(()) };
-                there.alarm.fired();
+                there.wake_up_timer.fired();
                 return self.wake(seat);
             }
             Report::Datagrams { seat, accord: false, heard } => {
                 for (from, bytes) in &heard {
-                    let happening = Happening::Datagram { from: *from, bytes };
-                    self.drive(seat, happening, |counts| &mut counts.peers_ns)?;
+                    let input = HollowInput::PeerDatagram { from: *from, bytes };
+                    self.drive(seat, input, |counts| &mut counts.peers_ns)?;
                 }
                 seat
             }
             Report::Datagrams { seat, accord: true, heard } => {
                 for (_, bytes) in &heard {
-                    self.drive(seat, Happening::Accord { bytes }, |counts| &mut counts.accord_ns)?;
+                    self.drive(seat, HollowInput::ConsensusDatagram { bytes }, |counts| {
+                        &mut counts.consensus_ns
+                    })?;
                 }
                 seat
             }
             Report::Listed { seat, watch, text } => {
                 if self.seats[seat].watch == Some(watch) {
                     let (began, bytes) = (thread_time(), text.len());
-                    let result = watch::read(text);
+                    let result = watch::parse_endpoints(text);
                     *self.ns(seat) += (thread_time() - began).as_nanos() as u64;
-                    let happening = match &result {
-                        Some(result) => Happening::Listed { result, bytes },
-                        None => Happening::ListLost { silent: false },
+                    let input = match &result {
+                        Some(result) => HollowInput::EndpointUpdate { update: result, bytes },
+                        None => HollowInput::WatchLost { silent: false },
                     };
-                    self.drive(seat, happening, |counts| &mut counts.list_ns)?;
+                    self.drive(seat, input, |counts| &mut counts.list_ns)?;
                 }
                 seat
             }
             Report::ListLost { seat, watch, silent } => {
                 if self.seats[seat].watch == Some(watch) {
                     self.seats[seat].watch = None;
-                    self.drive(seat, Happening::ListLost { silent }, |counts| &mut counts.list_ns)?;
+                    self.drive(seat, HollowInput::WatchLost { silent }, |counts| &mut counts.list_ns)?;
                 }
                 seat
             }
@@ -94,8 +96,8 @@
     pub fn wake(&mut self, seat: usize) -> io::Result<()> {
         let now = self.reactor.io.now();
         while !self.seats[seat].stopped && self.seats[seat].hollow.next_timeout() <= now {
-            let part = self.seats[seat].hollow.next_part();
-            self.drive(seat, Happening::Time, move |counts| part.of(counts))?;
+            let account = self.seats[seat].hollow.next_cpu_account();
+            self.drive(seat, HollowInput::Timeout, move |counts| account.nanoseconds_in(counts))?;
         }
         self.arm(seat);
         Ok(())
@@ -107,7 +109,7 @@
         if there.stopped {
             return;
         }
-        if let Some(after) = there.alarm.arm(now, there.hollow.next_timeout()) {
+        if let Some(after) = there.wake_up_timer.arm(now, there.hollow.next_timeout()) {
             self.reactor.io.owner_timer(now + after, seat as u32);
         }
     }
@@ -120,7 +122,7 @@
     fn drive(
         &mut self,
         seat: usize,
-        happening: Happening<'_>,
+        input: HollowInput<'_>,
         account: impl Fn(&mut Counts) -> &mut u64,
     ) -> io::Result<()> {
         if self.seats[seat].stopped {
@@ -129,17 +131,17 @@
         let began = thread_time();
         let now = self.reactor.io.now();
         let there = &mut self.seats[seat];
-        there.hollow.handle(now, happening);
-        while let Some(wish) = there.hollow.poll() {
-            match wish {
-                Wish::Datagram { to, bytes } => {
+        there.hollow.handle(now, input);
+        while let Some(output) = there.hollow.poll() {
+            match output {
+                HollowOutput::PeerDatagram { to, bytes } => {
                     self.reactor.with(there.peers, |socket, _| socket.send(to, &bytes));
                 }
-                Wish::Accord { to, bytes } => {
-                    let to = address(u32::from(to), self.accord_port);
+                HollowOutput::ConsensusDatagram { to, bytes } => {
+                    let to = address(u32::from(to), self.consensus_port);
                     self.reactor.with(there.accord, |socket, _| socket.send(to, &bytes));
                 }
-                Wish::Watch { from } => {
+                HollowOutput::StartWatch { from } => {
                     if let Some(old) = there.watch.take() {
                         self.reactor.remove(old);
                     }
@@ -149,8 +151,8 @@
                         .insert(|key, io| Ok(Box::new(Watch::start(seat, discovery, from, key, io)?)))?;
                     there.watch = Some(watch);
                 }
-                Wish::Record(what) => {
-                    self.records.push(Record { at: now, member: there.member, what });
+                HollowOutput::Record(event) => {
+                    self.records.push(Record { at: now, member: there.member, event });
                 }
             }
         }
@@ -171,21 +173,21 @@
     }
 
     /// Does it, if the member that it speaks of is here.
-    pub fn act(&mut self, act: Act) -> io::Result<()> {
-        let (Act::Stop(member) | Act::Propose { member, .. }) = act;
+    pub fn act(&mut self, act: FaultAction) -> io::Result<()> {
+        let (FaultAction::Stop(member) | FaultAction::Propose { member, .. }) = act;
         let Some(seat) = self.seats.iter().position(|seat| seat.member == member) else { return Ok(()) };
         match act {
-            Act::Stop(_) => {
+            FaultAction::Stop(_) => {
                 let there = &mut self.seats[seat];
                 there.stopped = true;
                 let keys = [Some(there.peers), Some(there.accord), there.watch.take()];
                 keys.into_iter().flatten().for_each(|key| self.reactor.remove(key));
                 let at = self.reactor.io.now();
-                self.records.push(Record { at, member, what: What::Ended });
+                self.records.push(Record { at, member, event: MemberEvent::Stopped });
             }
-            Act::Propose { content, kind, .. } => {
-                let happening = Happening::Propose { content, kind };
-                self.drive(seat, happening, |counts| &mut counts.accord_ns)?;
+            FaultAction::Propose { content, kind, .. } => {
+                let input = HollowInput::Propose { content, kind };
+                self.drive(seat, input, |counts| &mut counts.consensus_ns)?;
                 self.arm(seat);
             }
         }
--- a/crates/scale/tests/bad_days.rs
+++ b/crates/scale/tests/bad_days.rs
@@ -4,7 +4,7 @@
 use cottonnotch_scale::fault::Fault;
 use cottonnotch_scale::fault_scenarios::play;
 use cottonnotch_scale::judge::judge;
-use cottonnotch_scale::records::{Record, What};
+use cottonnotch_scale::records::{MemberEvent, Record};
 
 fn small() -> Shape {
     Shape { members: 36, nodes: 90, pairs: 300, connections: 10, setups: 0.2, ..Shape::default() }
@@ -45,17 +45,21 @@
 }
 
 fn may(at: i64, member: u32, number: u64, kind: u8, until: i64) -> Record {
-    Record { at, member, what: What::May { version: Some((number, number as u32)), kind, until } }
+    Record {
+        at,
+        member,
+        event: MemberEvent::LeaseChanged { version: Some((number, number as u32)), kind, until },
+    }
 }
 
 fn began(member: u32) -> Record {
-    Record { at: 0, member, what: What::Began }
+    Record { at: 0, member, event: MemberEvent::Started }
 }
 
 #[test]
 fn the_judge_finds_two_kinds_at_once_and_a_content_that_not_all_have() {
     const S: i64 = 1_000_000;
-    let proposed = Record { at: S, member: 0, what: What::Proposed { content: 2 } };
+    let proposed = Record { at: S, member: 0, event: MemberEvent::Proposed { content: 2 } };
     let records = [
         began(0),
         began(1),
@@ -71,7 +75,7 @@
     let verdict = judge(&records[..6], 10 * S);
     assert_eq!((verdict.everywhere, verdict.longest_contradiction_s), (0, 7.0));
     // A member that has ended acts no more.
-    let ended = Record { at: 3 * S, member: 1, what: What::Ended };
+    let ended = Record { at: 3 * S, member: 1, event: MemberEvent::Stopped };
     let verdict = judge(&[&records[..6], &[ended]].concat(), 10 * S);
     assert_eq!((verdict.everywhere, verdict.longest_contradiction_s), (1, 1.0));
 }
@@ -79,14 +83,14 @@
 #[test]
 fn the_judge_finds_who_is_given_up_wrongly_and_who_may_act_on_nothing() {
     const S: i64 = 1_000_000;
-    let dead = |at, of| Record { at, member: 0, what: What::Dead { of, is: true } };
+    let dead = |at, of| Record { at, member: 0, event: MemberEvent::LivenessChanged { of, is_dead: true } };
     let records = [
         began(0),
         began(1),
         may(0, 0, 1, 1, 40 * S),
         may(0, 1, 1, 1, 15 * S),
         dead(S, 1),
-        Record { at: 20 * S, member: 1, what: What::Ended },
+        Record { at: 20 * S, member: 1, event: MemberEvent::Stopped },
         dead(21 * S, 1),
     ];
     let verdict = judge(&records, 40 * S);
--- a/crates/scale/tests/slopes.rs
+++ b/crates/scale/tests/slopes.rs
@@ -6,7 +6,7 @@
 use cottonnotch_scale::bounds::{BOUNDS, broken};
 use cottonnotch_scale::fault::S;
 use cottonnotch_scale::fit::{Axis, figure};
-use cottonnotch_scale::run_result::{Line, Spread};
+use cottonnotch_scale::run_result::{RunResult, Spread};
 use cottonnotch_scale::virtual_time::measure;
 use std::alloc::System;
 
@@ -29,7 +29,7 @@
 fn no_slope_is_over_its_bound() {
     for axis in [Axis::Members, Axis::Nodes, Axis::Pairs] {
         let play = |shape: &Shape| measure(shape, 12 * S, 20 * S, || HEAP.allocated());
-        let lines: Vec<Line> = shapes(axis).iter().map(play).collect();
+        let lines: Vec<RunResult> = shapes(axis).iter().map(play).collect();
         for bound in BOUNDS.iter().filter(|bound| bound.axis == axis) {
             let measured: Vec<f64> = lines.iter().filter_map(|line| figure(line, bound.figure)).collect();
             println!("{} along {axis:?}: {measured:?}", bound.figure);
@@ -43,7 +43,11 @@
 fn a_figure_that_grows_with_all_members_breaks_its_bound() {
     let line = |members: u32| {
         let messages = Spread { mean: f64::from(members), max: f64::from(members) };
-        Line { shape: Shape { members, ..Shape::default() }, messages_out: messages, ..Line::default() }
+        RunResult {
+            shape: Shape { members, ..Shape::default() },
+            messages_out: messages,
+            ..RunResult::default()
+        }
     };
     let found = broken(&[30, 60, 120].map(line), Axis::Members).expect("lines that can be fitted");
     assert!(matches!(&found[..], [one] if one.starts_with("messages_out.mean along Members")), "{found:?}");
