--- a/crates/scale/src/calibrate.rs
+++ b/crates/scale/src/calibrate.rs
@@ -74,7 +74,7 @@
     let daemons = (0..real).map(|me| Daemon::start(program, at(me), shape, me, discovery.address(), &list));
     let daemons: Vec<Daemon> = daemons.collect::<io::Result<_>>()?;
     let empty = heap();
-    let tier = HollowFleet::start(shape, span, (real..shape.members).collect(), discovery.address(), &list)?;
+    let fleet = HollowFleet::start(shape, span, (real..shape.members).collect(), discovery.address(), &list)?;
     std::thread::sleep(Duration::from_secs_f64(span.warm_up));
     let spent = |daemons: &[Daemon]| daemons.iter().map(Daemon::spent).collect::<io::Result<Vec<_>>>();
     let (before, cpu) = (relay.counts(), spent(&daemons)?);
@@ -82,7 +82,7 @@
     let (after, cpu_after) = (relay.counts(), spent(&daemons)?);
     let memory = heap().saturating_sub(empty) as f64;
     let served: u64 = daemons.iter().map(Daemon::served).sum();
-    let (hollow_cpu, hollow_served) = tier.end()?;
+    let (hollow_cpu, hollow_served) = fleet.finish()?;
     let through: Vec<Through> = before.iter().zip(&after).map(since).collect();
     let (theirs, ours) = through.split_at(real as usize);
     let mut sides = [theirs, ours].map(|side| of(side, span.window));
--- a/crates/scale/src/consensus_member.rs
+++ b/crates/scale/src/consensus_member.rs
@@ -1,4 +1,4 @@
-//! A hollow proxy's member of the accord: what the daemon's thread and worker do for theirs, without contents.
+//! A hollow proxy's consensus member: what the daemon's consensus thread and compile worker do for theirs, without contents.
 
 use crate::interface::{HollowOutput, ScheduledEvent};
 use crate::records::MemberEvent;
@@ -11,34 +11,34 @@
 use std::convert::Infallible;
 
 const MS: Micros = 1_000;
-/// What the accord's clock reads at the start; a machine that has run for a day.
+/// Reading of the consensus clock at the start: a machine that has run for a day.
 const STARTED: Micros = 86_400_000_000;
-/// The worker's answer to a check, and a content's way here with its compiling. Not measured: the daemon does both on another
-/// thread, and brings contents over TCP.
+/// Duration of a compatibility check, and of fetching and compiling a content. Not measured: the daemon does both on another
+/// thread, and fetches contents over TCP.
 const CHECK: Micros = MS;
 const FETCH: Micros = 20 * MS;
-/// The accord's key, the same at all members.
+/// Key of the consensus datagrams, the same at all members.
 const KEY: &[u8] = b"00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 /// The cluster's name.
 const CLUSTER: &str = "hollow";
 
-/// Its member of the accord, by a clock that begins with the process, as the daemon's accord has one: times go over the wire.
+/// The consensus member. Its clock begins with the process, as the daemon's does: times go over the wire.
 pub(crate) struct ConsensusMember {
     pub began: Micros,
     pub member: Member,
     pub envelope_key: EnvelopeKey,
     pub durable_state: Option<DurableState>,
-    /// What has come of the member's outputs, to be taken up by the proxy.
+    /// Events that follow from the member's outputs, for the proxy to schedule.
     pub scheduled: Vec<(Micros, ScheduledEvent)>,
-    pub out: VecDeque<HollowOutput>,
+    pub outputs: VecDeque<HollowOutput>,
 }
 
-/// A content's hash: its number, and its kind.
+/// Hash of a content: its number and its kind.
 pub(crate) fn hash_of(content: u32, kind: u8) -> ContentHash {
     let mut hash = ContentHash::default();
     hash[..4].copy_from_slice(&content.to_le_bytes());
     hash[4] = kind;
-    // All zeros would be no content.
+    // A hash of zeros stands for no content.
     hash[31] = 1;
     hash
 }
@@ -59,14 +59,14 @@
         match output {
             ConsensusOutput::Send { to, message } => {
                 if let Ok(bytes) = self.envelope_key.seal(to, message) {
-                    self.out.push_back(HollowOutput::ConsensusDatagram { to, bytes });
+                    self.outputs.push_back(HollowOutput::ConsensusDatagram { to, bytes });
                 }
             }
             ConsensusOutput::Save(durable_state) => self.durable_state = Some(durable_state),
             ConsensusOutput::Check { hash, against, .. } => {
                 let kind = content_of(&hash).1;
-                let alike = against.iter().rev().take_while(|(_, other)| content_of(other).1 == kind);
-                let compatible_from = alike.last().map(|(number, _)| *number);
+                let compatible = against.iter().rev().take_while(|(_, other)| content_of(other).1 == kind);
+                let compatible_from = compatible.last().map(|(number, _)| *number);
                 self.scheduled.push((
                     self.began + now + CHECK,
                     ScheduledEvent::CompatibilityChecked { hash, compatible_from },
@@ -75,10 +75,10 @@
             ConsensusOutput::Fetch { hash, .. } => {
                 self.scheduled.push((self.began + now + FETCH, ScheduledEvent::ContentReady { hash }))
             }
-            ConsensusOutput::LeaseChanged(right) if right.topic == Topic::Rules => {
-                let version = right.version.map(|(number, hash)| (number, content_of(&hash).0));
-                let kind = right.version.map_or(0, |(_, hash)| content_of(&hash).1);
-                let until = self.began.saturating_add(right.until);
+            ConsensusOutput::LeaseChanged(lease) if lease.topic == Topic::Rules => {
+                let version = lease.version.map(|(number, hash)| (number, content_of(&hash).0));
+                let kind = lease.version.map_or(0, |(_, hash)| content_of(&hash).1);
+                let until = self.began.saturating_add(lease.until);
                 self.record(MemberEvent::LeaseChanged { version, kind, until });
             }
             ConsensusOutput::ProposalFinished { hash, outcome, .. } => {
@@ -92,20 +92,20 @@
 }
 
 impl ConsensusMember {
-    /// When its time comes next, by the proxy's clock.
+    /// The next timeout, by the proxy's clock.
     pub fn next_timeout(&self) -> Micros {
         self.began.saturating_add(self.member.next_timeout())
     }
 
     fn record(&mut self, event: MemberEvent) {
-        self.out.push_back(HollowOutput::Record(event));
+        self.outputs.push_back(HollowOutput::Record(event));
     }
 }
 
-/// Its member, if the tier has an accord.
+/// Starts the member; `None` in a fleet without consensus.
 pub(crate) fn start_consensus(
     shape: &Shape,
-    me: u32,
+    member: u32,
     durable_state: Option<DurableState>,
     starts_with_fleet: bool,
     now: Micros,
@@ -115,11 +115,11 @@
         return None;
     }
     let voters = shape.voters();
-    let me_there = u16::try_from(me).ok()?;
+    let ordinal = u16::try_from(member).ok()?;
     let durable_state = durable_state
-        .or_else(|| (starts_with_fleet && voters.contains(&me_there)).then(DurableState::initial));
+        .or_else(|| (starts_with_fleet && voters.contains(&ordinal)).then(DurableState::initial));
     let config = cottonnotch_consensus::Config {
-        ordinal: me_there,
+        ordinal: ordinal,
         members: u16::try_from(shape.members).ok()?,
         voters,
         timing: Timing::default(),
@@ -129,9 +129,9 @@
     Some(ConsensusMember {
         began: now - STARTED,
         member: Member::new(config, STARTED, durable_state.clone(), seed),
-        envelope_key: EnvelopeKey::new(KEY, CLUSTER, me_there)?,
+        envelope_key: EnvelopeKey::new(KEY, CLUSTER, ordinal)?,
         durable_state,
         scheduled: Vec::new(),
-        out: VecDeque::new(),
+        outputs: VecDeque::new(),
     })
 }
--- a/crates/scale/src/discovery.rs
+++ b/crates/scale/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in of discovery on a thread of its own: the whole list to whoever watches, beats, and a new list when it is told one.
+//! A stand-in for discovery on a thread of its own: it sends the complete list to each watch, heartbeats, and each new list.
 
 use cottonnotch_reactor::line::{Fill, LineStream};
 use cottonnotch_reactor::listener::Listener;
@@ -13,14 +13,14 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread::JoinHandle;
 
-/// Between two beats: 2 s, as discovery's.
+/// Interval between two heartbeats: 2 s, as discovery's.
 const HEARTBEAT_INTERVAL: i64 = 2_000_000;
-/// The list is looked at so often.
+/// Interval at which the published list is checked for a change.
 const POLL_INTERVAL: i64 = 10_000;
 const TIMER_HEARTBEAT: u32 = 1;
 const TIMER_POLL: u32 = 2;
 
-/// The stand-in; ends when dropped.
+/// The stand-in; its thread stops when it is dropped.
 pub struct Discovery {
     address: SocketAddr,
     list: Arc<Mutex<(u64, String)>>,
@@ -69,7 +69,7 @@
     fn readable(&mut self, io: &mut Io, _: Half) {
         let fill = self.stream.fill();
         let head = self.stream.take_rest();
-        // A request of a few lines comes in one piece; whatever else comes is of no interest.
+        // A request of a few lines arrives in one piece; further bytes are ignored.
         if !self.requested && head.windows(4).any(|end| end == b"\r\n\r\n") {
             self.requested = true;
             io.report(Report::WatchRequested(self.key));
@@ -101,37 +101,36 @@
 }
 
 impl Discovery {
-    /// Listens at this address, and tells this list.
+    /// Listens at this address and publishes this list. Fails if the address cannot be bound.
     pub fn start(address: SocketAddr, revision: u64, list: String) -> io::Result<Self> {
         let list = Arc::new(Mutex::new((revision, list)));
         let stop = Arc::new(AtomicBool::new(false));
-        let (told, heard): (Sender<io::Result<SocketAddr>>, Receiver<_>) = channel();
+        let (bound_sender, bound): (Sender<io::Result<SocketAddr>>, Receiver<_>) = channel();
         let (shared, stops) = (Arc::clone(&list), Arc::clone(&stop));
         let thread = std::thread::Builder::new().name("discovery".into()).spawn(move || {
-            let started = begin(address);
-            let (mut reactor, listener) = match started {
-                Ok((reactor, listener, at)) => {
-                    // Nobody waits for it any more only if the start was given up.
-                    let _ = told.send(Ok(at));
-                    (reactor, listener)
+            let mut server = match Server::bind(address, shared, stops) {
+                Ok((server, bound)) => {
+                    // Nobody receives it only if the start was given up.
+                    let _ = bound_sender.send(Ok(bound));
+                    server
                 }
                 Err(error) => {
-                    let _ = told.send(Err(error));
+                    let _ = bound_sender.send(Err(error));
                     return Ok(());
                 }
             };
-            serve(&mut reactor, &listener, &shared, &stops)
+            server.serve()
         })?;
-        let address = heard.recv().map_err(io::Error::other)??;
+        let address = bound.recv().map_err(io::Error::other)??;
         Ok(Discovery { address, list, stop, thread: Some(thread) })
     }
 
-    /// Where it listens.
+    /// The address it listens at.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// It tells this list from now on.
+    /// Publishes this list from now on.
     pub fn publish(&self, revision: u64, list: String) {
         *self.list.lock().unwrap_or_else(PoisonError::into_inner) = (revision, list);
     }
@@ -141,87 +140,123 @@
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Release);
         if let Some(thread) = self.thread.take() {
-            // What failed there was told by what the members saw.
+            // A failure of the thread shows in what the members received.
             let _ = thread.join();
         }
     }
 }
 
-type Begun = (Reactor<dyn Object>, Rc<TcpListener>, SocketAddr);
-
-fn begin(address: SocketAddr) -> io::Result<Begun> {
-    let mut reactor = Reactor::<dyn Object>::new(Clock::unix())?;
-    let mut shared = None;
-    reactor.insert(|key, io| {
-        let (listener, socket) = Listener::bind(address, |_| Report::Acceptable, key, io)?;
-        shared = Some(socket);
-        Ok(Box::new(listener))
-    })?;
-    let listener = shared.ok_or(io::ErrorKind::NotConnected)?;
-    let at = listener.local_addr()?;
-    Ok((reactor, listener, at))
+/// The thread's side: its sockets and those who watch.
+struct Server {
+    reactor: Reactor<dyn Object>,
+    listener: Rc<TcpListener>,
+    list: Arc<Mutex<(u64, String)>>,
+    stop: Arc<AtomicBool>,
+    watchers: BTreeSet<Key>,
+    /// Revision that the watchers have received.
+    published: u64,
 }
 
-fn serve(
-    reactor: &mut Reactor<dyn Object>,
-    listener: &TcpListener,
-    list: &Mutex<(u64, String)>,
-    stop: &AtomicBool,
-) -> io::Result<()> {
-    let mut watchers: BTreeSet<Key> = BTreeSet::new();
-    let mut told = list.lock().unwrap_or_else(PoisonError::into_inner).0;
-    let now = reactor.io.now();
-    reactor.io.owner_timer(now + HEARTBEAT_INTERVAL, TIMER_HEARTBEAT);
-    reactor.io.owner_timer(now + POLL_INTERVAL, TIMER_POLL);
-    while !stop.load(Ordering::Acquire) {
-        reactor.turn()?;
-        while let Some(report) = reactor.io.reports.pop_front() {
-            match report {
-                Report::Acceptable => loop {
-                    match listener.accept() {
-                        Ok((stream, _)) => {
-                            reactor.insert(|key, io| {
-                                let stream = LineStream::accepted(stream, io, key)?;
-                                Ok(Box::new(Watcher { key, stream, requested: false, done: false }))
-                            })?;
-                        }
-                        Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                        Err(_) => {}
-                    }
-                },
-                Report::WatchRequested(key) => {
-                    watchers.insert(key);
-                    let (_, text) = list.lock().unwrap_or_else(PoisonError::into_inner).clone();
-                    let head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
-                    let bytes = [head.as_bytes().to_vec(), chunk(&text)].concat();
-                    reactor.with(key, |watcher, _| watcher.write(&bytes));
-                }
-                Report::Closed(key) => {
-                    watchers.remove(&key);
-                }
-                Report::Timer(TIMER_HEARTBEAT) => {
-                    let now = reactor.io.now();
-                    reactor.io.owner_timer(now + HEARTBEAT_INTERVAL, TIMER_HEARTBEAT);
-                    let beat = chunk(&format!(r#"{{"revision":{told},"complete":false,"members":[]}}"#));
-                    for key in &watchers {
-                        reactor.with(*key, |watcher, _| watcher.write(&beat));
-                    }
-                }
-                Report::Timer(_) => {
-                    let now = reactor.io.now();
-                    reactor.io.owner_timer(now + POLL_INTERVAL, TIMER_POLL);
-                    let (revision, text) = {
-                        let list = list.lock().unwrap_or_else(PoisonError::into_inner);
-                        if list.0 == told { continue } else { list.clone() }
-                    };
-                    told = revision;
-                    let bytes = chunk(&text);
-                    for key in &watchers {
-                        reactor.with(*key, |watcher, _| watcher.write(&bytes));
-                    }
+impl Server {
+    /// The server and the address that it is bound to.
+    fn bind(
+        address: SocketAddr,
+        list: Arc<Mutex<(u64, String)>>,
+        stop: Arc<AtomicBool>,
+    ) -> io::Result<(Self, SocketAddr)> {
+        let mut reactor = Reactor::<dyn Object>::new(Clock::unix())?;
+        let mut shared = None;
+        reactor.insert(|key, io| {
+            let (listener, socket) = Listener::bind(address, |_| Report::Acceptable, key, io)?;
+            shared = Some(socket);
+            Ok(Box::new(listener))
+        })?;
+        let listener = shared.ok_or(io::ErrorKind::NotConnected)?;
+        let bound = listener.local_addr()?;
+        let published = list.lock().unwrap_or_else(PoisonError::into_inner).0;
+        Ok((Server { reactor, listener, list, stop, watchers: BTreeSet::new(), published }, bound))
+    }
+
+    fn serve(&mut self) -> io::Result<()> {
+        self.arm(HEARTBEAT_INTERVAL, TIMER_HEARTBEAT);
+        self.arm(POLL_INTERVAL, TIMER_POLL);
+        while !self.stop.load(Ordering::Acquire) {
+            self.reactor.turn()?;
+            while let Some(report) = self.reactor.io.reports.pop_front() {
+                self.handle(report)?;
+            }
+        }
+        Ok(())
+    }
+
+    fn handle(&mut self, report: Report) -> io::Result<()> {
+        match report {
+            Report::Acceptable => self.accept_all()?,
+            Report::WatchRequested(key) => self.answer(key),
+            Report::Closed(key) => {
+                self.watchers.remove(&key);
+            }
+            Report::Timer(TIMER_HEARTBEAT) => {
+                self.arm(HEARTBEAT_INTERVAL, TIMER_HEARTBEAT);
+                self.send_heartbeat();
+            }
+            Report::Timer(_) => {
+                self.arm(POLL_INTERVAL, TIMER_POLL);
+                self.send_changed_list();
+            }
+        }
+        Ok(())
+    }
+
+    fn arm(&mut self, after: i64, timer: u32) {
+        let now = self.reactor.io.now();
+        self.reactor.io.owner_timer(now + after, timer);
+    }
+
+    fn accept_all(&mut self) -> io::Result<()> {
+        loop {
+            match self.listener.accept() {
+                Ok((stream, _)) => {
+                    self.reactor.insert(|key, io| {
+                        let stream = LineStream::accepted(stream, io, key)?;
+                        Ok(Box::new(Watcher { key, stream, requested: false, done: false }))
+                    })?;
                 }
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
+                Err(_) => {}
             }
         }
     }
-    Ok(())
+
+    fn answer(&mut self, key: Key) {
+        const HEAD: &str =
+            "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
+        self.watchers.insert(key);
+        let (_, text) = self.list.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let bytes = [HEAD.as_bytes().to_vec(), chunk(&text)].concat();
+        self.reactor.with(key, |watcher, _| watcher.write(&bytes));
+    }
+
+    fn send_heartbeat(&mut self) {
+        let revision = self.published;
+        self.send_to_watchers(&chunk(&format!(r#"{{"revision":{revision},"complete":false,"members":[]}}"#)));
+    }
+
+    fn send_changed_list(&mut self) {
+        let (revision, text) = {
+            let list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
+            if list.0 == self.published {
+                return;
+            }
+            list.clone()
+        };
+        self.published = revision;
+        self.send_to_watchers(&chunk(&text));
+    }
+
+    fn send_to_watchers(&mut self, bytes: &[u8]) {
+        for key in &self.watchers {
+            self.reactor.with(*key, |watcher, _| watcher.write(bytes));
+        }
+    }
 }
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -5,7 +5,7 @@
 use crate::discovery::Discovery;
 use crate::hollow::FleetView;
 use crate::judge::judge;
-use crate::member_threads::{RunOptions, ThreadReport, begin};
+use crate::member_threads::{RunOptions, ThreadReport, Topology, start_threads};
 use crate::records::{MemberEvent, Record};
 use crate::run_result::{RunResult, Spread, fill};
 use crate::shape::Shape;
@@ -16,14 +16,14 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// The list's revisions: as all know it at the start, and as it is told later, without a zone.
+/// The list's revisions: as all know it at the start, and as it is reports later, without a zone.
 const FIRST: u64 = 1;
 const CHANGED: u64 = 2;
-/// Nodes that are used by less are not told.
+/// Nodes that are used by less are not reports.
 const LEAST_USE: f64 = cottonnotch_aggregation::wire::MIN_REPORTED_UTILIZATION;
 
 /// Plays a tier of this shape; `heap` tells the bytes that the process has allocated.
-pub fn play(shape: &Shape, span: RunOptions, heap: impl Fn() -> usize) -> io::Result<RunResult> {
+pub fn play(shape: &Shape, options: RunOptions, heap: impl Fn() -> usize) -> io::Result<RunResult> {
     let began = Instant::now();
     let list = shape.list(FIRST, None);
     let list_bytes = list.len() as f64;
@@ -31,25 +31,26 @@
     let discovery = Discovery::start(address(60_000, 0), FIRST, list)?;
     let empty = heap();
     let members: Vec<u32> = (0..shape.members).collect();
-    let (run, receiver) = begin(shape, span, &members, discovery.address(), known, false)?;
+    let (run, receiver) =
+        start_threads(shape, options, &members, discovery.address(), known, Topology::Direct)?;
     run.steps[0].wait();
     let hollow = heap();
     run.steps[1].wait();
     run.steps[2].wait();
     let open = heap();
     let connected = Instant::now();
-    std::thread::sleep(Duration::from_secs_f64(span.warm_up + span.window));
+    std::thread::sleep(Duration::from_secs_f64(options.warm_up + options.window));
     let warm = heap();
     let resident = resident();
     std::thread::sleep(Duration::from_millis(300));
     let changed = run.clock.now();
     discovery.publish(CHANGED, shape.list(CHANGED, Some(0)));
-    let told: Vec<ThreadReport> = receiver.iter().collect::<io::Result<_>>()?;
-    debug_assert!(connected.elapsed().as_secs_f64() > span.window);
+    let reports: Vec<ThreadReport> = receiver.iter().collect::<io::Result<_>>()?;
+    debug_assert!(connected.elapsed().as_secs_f64() > options.window);
     let mut line = RunResult {
         shape: shape.clone(),
         world: "sockets".into(),
-        seconds: span.window,
+        seconds: options.window,
         list_bytes,
         resident,
         heap_bytes: (hollow - empty + warm.saturating_sub(open)) as f64 / f64::from(shape.members),
@@ -57,33 +58,34 @@
             / (f64::from(shape.members) * f64::from(shape.connections)).max(1.0),
         ..RunResult::default()
     };
-    line.fault = span.fault;
-    let mut records: Vec<Record> = told.iter().flat_map(|told| told.records.iter().cloned()).collect();
+    line.fault = options.fault;
+    let mut records: Vec<Record> = reports.iter().flat_map(|report| report.records.iter().cloned()).collect();
     records.sort_by_key(|record| record.at);
-    // The list that is told at the end loses a zone.
+    // The list that is reports at the end loses a zone.
     line.verdict = judge(&records, changed);
-    count(&mut line, &told);
-    lists(&mut line, &told, changed);
-    views(&mut line, &told);
+    count(&mut line, &reports);
+    lists(&mut line, &reports, changed);
+    views(&mut line, &reports);
     line.took_s = began.elapsed().as_secs_f64();
     Ok(line)
 }
 
-fn count(line: &mut RunResult, told: &[ThreadReport]) {
-    let counts: Vec<(u32, Counts)> = told.iter().flat_map(|told| told.counts.iter().copied()).collect();
-    let cpu: Duration = told.iter().map(|told| told.cpu).sum();
+fn count(line: &mut RunResult, reports: &[ThreadReport]) {
+    let counts: Vec<(u32, Counts)> =
+        reports.iter().flat_map(|report| report.counts.iter().copied()).collect();
+    let cpu: Duration = reports.iter().map(|report| report.cpu).sum();
     line.cpu_us = cpu.as_secs_f64() * 1e6 / counts.len() as f64 / line.seconds;
-    let leaders: BTreeSet<u32> = told.iter().flat_map(|told| told.leaders.iter().copied()).collect();
+    let leaders: BTreeSet<u32> = reports.iter().flat_map(|report| report.leaders.iter().copied()).collect();
     fill(line, &counts, &leaders);
 }
 
-fn lists(line: &mut RunResult, told: &[ThreadReport], changed: Micros) {
-    let stopped = told
+fn lists(line: &mut RunResult, reports: &[ThreadReport], changed: Micros) {
+    let stopped = reports
         .iter()
-        .flat_map(|told| &told.records)
+        .flat_map(|report| &report.records)
         .filter(|record| record.event == MemberEvent::Stopped)
         .count();
-    let records = told.iter().flat_map(|told| &told.records);
+    let records = reports.iter().flat_map(|report| &report.records);
     let taken = records.filter_map(|record| match record.event {
         MemberEvent::EndpointsReceived { revision: CHANGED, .. } => Some((record.at - changed) as f64 / 1e6),
         _ => None,
@@ -96,10 +98,10 @@
     line.list_mean_s = spread.mean;
 }
 
-fn views(line: &mut RunResult, told: &[ThreadReport]) {
+fn views(line: &mut RunResult, reports: &[ThreadReport]) {
     let mut truth: BTreeMap<u32, (f64, BTreeSet<u32>)> = BTreeMap::new();
     let mut pairs = 0;
-    for (node, (load, groups)) in told.iter().flat_map(|told| &told.node_loads).flatten() {
+    for (node, (load, groups)) in reports.iter().flat_map(|report| &report.node_loads).flatten() {
         pairs += groups.len();
         let (sum, all) = truth.entry(*node).or_default();
         *sum += load;
@@ -110,7 +112,7 @@
         .into_iter()
         .map(|(node, (load, groups))| (node, line.shape.utilization_with(load, groups.len())));
     let used: BTreeMap<u32, f64> = used.filter(|(_, used)| *used >= LEAST_USE).collect();
-    let views: Vec<_> = told.iter().flat_map(|told| told.views.iter().flatten()).collect();
+    let views: Vec<_> = reports.iter().flat_map(|report| report.views.iter().flatten()).collect();
     if views.is_empty() {
         return;
     }
@@ -118,11 +120,12 @@
         views.iter().map(|view| figure(view)).sum::<f64>() / views.len() as f64
     };
     let all = used.len().max(1) as f64;
-    line.view_members = mean(&|(members, ..)| f64::from(*members));
-    line.period_s = mean(&|(_, period, _)| *period as f64 / 1e6);
-    line.view_named =
-        mean(&|(.., view)| used.keys().filter(|node| view.contains_key(node)).count() as f64 / all);
-    line.view_error = mean(&|(.., view)| {
+    line.view_members = mean(&|view| f64::from(view.members));
+    line.period_s = mean(&|view| view.report_interval as f64 / 1e6);
+    line.view_named = mean(&|FleetView { utilization: view, .. }| {
+        used.keys().filter(|node| view.contains_key(node)).count() as f64 / all
+    });
+    line.view_error = mean(&|FleetView { utilization: view, .. }| {
         let error = |(node, used): (&u32, &f64)| (view.get(node).copied().unwrap_or(0.0) - used).abs();
         used.iter().map(error).sum::<f64>() / all
     });
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -1,377 +1,281 @@
-//! One hollow proxy, sans-io: fully deterministic, no sockets, no clocks, no chance but that from one seed.
+//! One hollow proxy, sans-io: fully deterministic, without sockets, clocks or randomness but that of one seed.
 //!
-//! Its module, its member of the fleet view or of gossip and its member of the accord are the program's own, driven by
-//! `cottonnotch-proxy-core`. Its connections are synthetic: drawn from the seed, set up after a fixed time, none ever fails. What it
-//! holds grows with its connections, the nodes, the groups and the members, never with a product of two.
+//! Its decision module, its member of the aggregation or of gossip and its consensus member are the program's own, driven by
+//! `cottonnotch-proxy-core`; its connections are synthetic. Its memory grows with its connections, the nodes, the groups and
+//! the members, never with a product of two.
 
+use crate::connections::{NodeLoads, OpenConnection, RequestOrigin, SyntheticConnections, group_digest};
 use crate::consensus_member::{ConsensusMember, hash_of, start_consensus};
 use crate::counters::Counts;
 use crate::interface::{CpuAccount, HollowInput, HollowOutput, ScheduledEvent};
 use crate::nodes::Nodes;
+use crate::peers_member::start_peers;
 use crate::records::MemberEvent;
-use crate::shape::{HOMES, Shape, mixed};
-use cottonnotch_aggregation::FleetSection;
+use crate::schedule::Schedule;
+use crate::shape::{Shape, mixed};
 use cottonnotch_consensus::{DurableState, Input as ConsensusInput, Topic, Verdict};
-use cottonnotch_decision::{
-    Action, Balancer, ClassId, Event, Micros, Outcome, Request, RequestId, ServerId, Settings,
-};
-use cottonnotch_gossip::{Gossip, GossipSection, Keys, State, Strength};
+use cottonnotch_decision::{Action, Balancer, Event, Micros, Outcome, RequestId, ServerId, Settings};
+use cottonnotch_gossip::State;
 use cottonnotch_proxy_core::{
     EndpointUpdate, Input, LatencyReport, LocalState, MemberDriver, MessageLatencies, Output, Peers,
     REPORT_INTERVAL, Roster,
 };
-use rand::{RngExt, SeedableRng};
-use rand_chacha::ChaCha8Rng;
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
+use std::collections::{BTreeMap, VecDeque};
 
 const MS: Micros = 1_000;
-/// A set-up at a node takes so long.
+/// Time to set up a connection at a node.
 const SETUP: Micros = 5 * MS;
-/// Between two of the first connections, where they are asked for.
+/// Interval between two of the initial connections, where they are requested through the decision module.
 const INITIAL_REQUEST_INTERVAL: Micros = 50 * MS;
-/// Bytes of a content, as proposals tell; nothing of that size goes over the wire here.
+/// Size of a content as proposals state it; nothing of that size is sent here.
 const CONTENT_BYTES: u32 = 64 * 1024;
-/// A connection that is up.
-#[derive(Clone, Copy, Debug)]
-struct OpenConnection {
-    request: RequestId,
-    server: ServerId,
-    group: u32,
-}
-
-/// A request that is owed an answer.
-#[derive(Clone, Copy, Debug)]
-struct PendingRequest {
-    group: u32,
-    attempts: u32,
-}
 
-/// What it is in a tier: its number, all addresses, and what is the same for all.
+/// What a hollow proxy starts from: its place in the fleet, and what is the same for all members.
 #[derive(Clone, Debug)]
 pub struct MemberSetup {
-    /// The sizes.
+    /// Sizes of the fleet.
     pub shape: Shape,
-    /// Its number.
-    pub me: u32,
-    /// All members' addresses, by number.
+    /// Ordinal of the member.
+    pub ordinal: u32,
+    /// Addresses of all members, by ordinal.
     pub roster: Roster,
-    /// Life of its process: Unix time in milliseconds at its start.
+    /// Incarnation of the process: Unix time in milliseconds at its start.
     pub incarnation: u64,
-    /// It begins with the whole tier, and not in a tier that runs.
+    /// Whether the whole fleet starts with it; otherwise it joins a running one.
     pub starts_with_fleet: bool,
-    /// What a voter had on disk; `None`: nothing.
+    /// Durable state that a voter finds on disk; `None`: there is none.
     pub durable_state: Option<DurableState>,
 }
 
-/// Load and groups of connections by node, by the shape's numbers.
-pub type NodeLoads = BTreeMap<u32, (f64, BTreeSet<u32>)>;
-
-/// What a member was told of all: members in its view, the time between two reports, and use by node.
-pub type FleetView = (u32, Micros, BTreeMap<u32, f64>);
+/// The fleet as a member's last snapshot shows it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct FleetView {
+    /// Members whose reports are summed up.
+    pub members: u32,
+    /// Interval between two reports of a member.
+    pub report_interval: Micros,
+    /// Utilization by node, by the shape's numbers.
+    pub utilization: BTreeMap<u32, f64>,
+}
 
 /// A hollow proxy.
 pub struct Hollow {
     shape: Shape,
-    me: u32,
     settings: Settings,
-    rng: ChaCha8Rng,
     balancer: Balancer,
     latencies: MessageLatencies,
     nodes: Nodes,
     peers: Option<Peers>,
     consensus: Option<ConsensusMember>,
-    open: Vec<OpenConnection>,
-    pending_requests: BTreeMap<RequestId, PendingRequest>,
-    next_request: u64,
-    scheduled: BinaryHeap<Reverse<(Micros, u64, ScheduledEvent)>>,
-    number: u64,
+    connections: SyntheticConnections,
+    schedule: Schedule,
+    /// Events that the decision module has not handled yet.
     pending: VecDeque<Event>,
-    out: VecDeque<HollowOutput>,
+    outputs: VecDeque<HollowOutput>,
     counts: Counts,
 }
 
 impl Hollow {
-    /// A process that starts now, with the list that its configuration remembers.
-    pub fn start(place: MemberSetup, known: &EndpointUpdate, now: Micros) -> Self {
-        let MemberSetup { shape, me, roster, incarnation, starts_with_fleet, durable_state } = place;
-        let seed = mixed(shape.seed, u64::from(me)) ^ incarnation;
-        let settings = shape.settings(me);
-        let consensus = start_consensus(&shape, me, durable_state, starts_with_fleet, now, seed);
-        let peers = peers(&shape, me, roster, incarnation, now, seed);
+    /// Starts a process with the endpoint list that its configuration remembers.
+    pub fn start(setup: MemberSetup, known: &EndpointUpdate, now: Micros) -> Self {
+        let MemberSetup { shape, ordinal, roster, incarnation, starts_with_fleet, durable_state } = setup;
+        let seed = mixed(shape.seed, u64::from(ordinal)) ^ incarnation;
+        let settings = shape.settings(ordinal);
+        let deadline = settings.classes.first().map(|class| class.deadline);
         let mut hollow = Hollow {
             balancer: Balancer::new(settings.clone(), seed, now),
             latencies: MessageLatencies::new((&settings).into()),
-            rng: ChaCha8Rng::seed_from_u64(seed),
             nodes: Nodes::default(),
-            open: Vec::new(),
-            pending_requests: BTreeMap::new(),
-            next_request: u64::from(me) << 40 | (incarnation & 0xff_ffff) << 16,
-            scheduled: BinaryHeap::new(),
-            number: 0,
+            peers: start_peers(&shape, ordinal, roster, incarnation, now, seed),
+            consensus: start_consensus(&shape, ordinal, durable_state, starts_with_fleet, now, seed),
+            connections: SyntheticConnections::new(shape.clone(), ordinal, incarnation, seed, deadline),
+            schedule: Schedule::default(),
             pending: VecDeque::new(),
-            out: VecDeque::new(),
+            outputs: VecDeque::new(),
             counts: Counts::default(),
             shape,
-            me,
             settings,
-            peers,
-            consensus,
         };
-        // Not all members of a joint start tick in one instant.
-        let first = hollow.rng.random_range(0..REPORT_INTERVAL);
-        hollow.schedule(now + first, ScheduledEvent::EverySecond);
-        hollow.next_arrival(now);
+        let phase = hollow.connections.draw_tick_phase();
+        hollow.schedule.add(now + phase, ScheduledEvent::EverySecond);
+        hollow.schedule_arrival(now);
         let event = hollow.nodes.apply_update(&mut hollow.latencies, known, true);
         hollow.notify_decision(now, event);
         hollow
     }
 
-    /// Its connections are up from here on, as if set up before.
+    /// Opens all connections at once, as if they had been set up before.
     pub fn open_connections(&mut self, now: Micros) {
         for _ in 0..self.shape.connections {
-            let group = self.draw_group();
-            let home = self.shape.home(group, self.rng.random_range(0..HOMES));
-            let Some(server) = self.nodes.number(home) else { continue };
-            let request = self.request(group, false);
+            let group = self.connections.draw_group();
+            let node = self.connections.draw_node(group);
+            let Some(server) = self.nodes.number(node) else { continue };
+            let request = self.connections.new_request(group, RequestOrigin::Client);
             let id = request.id;
             self.notify_decision(now, Event::Open { request, server });
-            self.up(now, id, server, group, None);
+            self.add_connection(now, OpenConnection { request: id, server, group }, None);
         }
-        self.open.shrink_to_fit();
+        self.connections.shrink_to_fit();
     }
 
-    /// Its connections are asked for through the module, one after another.
+    /// Requests all connections through the decision module, one after another.
     pub fn schedule_initial_requests(&mut self, now: Micros) {
-        for nth in 0..self.shape.connections {
-            self.schedule(now + Micros::from(nth) * INITIAL_REQUEST_INTERVAL, ScheduledEvent::InitialRequest);
-        }
-    }
-
-    fn draw_group(&mut self) -> u32 {
-        self.rng.random_range(0..self.shape.groups())
-    }
-
-    fn request(&mut self, group: u32, again: bool) -> Request {
-        self.next_request += 1;
-        Request {
-            id: RequestId(self.next_request),
-            class: ClassId(0),
-            tenant: None,
-            left: self.settings.classes.first().map(|class| class.deadline),
-            load_hint: None,
-            group: Some(digest(group)),
-            again,
+        for index in 0..self.shape.connections {
+            let at = now + Micros::from(index) * INITIAL_REQUEST_INTERVAL;
+            self.schedule.add(at, ScheduledEvent::InitialRequest);
         }
     }
 
-    fn up(&mut self, now: Micros, request: RequestId, server: ServerId, group: u32, setup: Option<Micros>) {
-        self.latencies.connection_opened(now, request, server, Some(digest(group)), setup);
-        self.latencies.load_changed(request, self.shape.load(self.me, request.0));
-        self.open.push(OpenConnection { request, server, group });
-    }
-
-    fn next_arrival(&mut self, now: Micros) {
-        if self.shape.setups > 0.0 {
-            // Open load: exponential times between two, whatever became of the last one.
-            let unit: f64 = self.rng.random_range(1e-9..1.0);
-            let after = -unit.ln() / self.shape.setups * 1e6;
-            self.schedule(now + after as Micros, ScheduledEvent::Arrival);
-        }
+    /// When [`HollowInput::Timeout`] is due, unless another input comes first.
+    pub fn next_timeout(&self) -> Micros {
+        self.schedule.next_timeout().min(self.peers_timeout()).min(self.consensus_timeout())
     }
 
-    fn schedule(&mut self, at: Micros, event: ScheduledEvent) {
-        self.number += 1;
-        self.scheduled.push(Reverse((at, self.number, event)));
+    fn peers_timeout(&self) -> Micros {
+        self.peers.as_ref().map_or(Micros::MAX, Peers::next_timeout)
     }
 
-    /// When [`HollowInput::Timeout`] is due, unless something else happens first.
-    pub fn next_timeout(&self) -> Micros {
-        let own = self.scheduled.peek().map_or(Micros::MAX, |Reverse((at, ..))| *at);
-        let peers = self.peers.as_ref().map_or(Micros::MAX, Peers::next_timeout);
-        let consensus = self.consensus.as_ref().map_or(Micros::MAX, ConsensusMember::next_timeout);
-        own.min(peers).min(consensus)
+    fn consensus_timeout(&self) -> Micros {
+        self.consensus.as_ref().map_or(Micros::MAX, ConsensusMember::next_timeout)
     }
 
-    /// The next thing that it wants done, if any.
+    /// The next output, if any.
     pub fn poll(&mut self) -> Option<HollowOutput> {
-        self.out.pop_front()
+        self.outputs.pop_front()
     }
 
-    /// What it counted so far. Who drives it adds what only he knows: processor time.
+    /// The counters. The caller adds the processor time, which it alone knows.
     pub fn counts(&mut self) -> &mut Counts {
         &mut self.counts
     }
 
-    /// What a voter has on disk.
+    /// The durable state of a voter.
     pub fn durable_state(&self) -> Option<DurableState> {
         self.consensus.as_ref().and_then(|consensus| consensus.durable_state.clone())
     }
 
-    /// It leads the accord.
+    /// Whether it is the consensus leader.
     pub fn is_leader(&self) -> bool {
-        let is_leader = |consensus: &ConsensusMember| {
-            consensus.member.status().role == cottonnotch_consensus::Role::Leader
-        };
-        self.consensus.as_ref().is_some_and(is_leader)
+        let role = |consensus: &ConsensusMember| consensus.member.status().role;
+        self.consensus.as_ref().map(role) == Some(cottonnotch_consensus::Role::Leader)
     }
 
-    /// The last list taken.
+    /// Revision of the last endpoint list applied.
     pub fn revision(&self) -> u64 {
         self.nodes.revision()
     }
 
     /// Load and groups of its connections by node, by the shape's numbers.
     pub fn node_loads(&self) -> NodeLoads {
-        let mut all = NodeLoads::new();
-        for OpenConnection { request, server, group } in &self.open {
-            let Some(node) = self.nodes.place(*server) else { continue };
-            let (load, groups) = all.entry(node).or_default();
-            *load += self.shape.load(self.me, request.0);
-            groups.insert(*group);
-        }
-        all
+        self.connections.node_loads(&self.nodes)
     }
 
-    /// What it was told of all: members in its view, the time between two reports, and use by node.
+    /// The fleet as its last snapshot shows it; `None` without a snapshot.
     pub fn fleet_view(&self) -> Option<FleetView> {
         let member = self.peers.as_ref()?.aggregation_member()?;
-        let fleet_view = member.snapshot()?;
-        let named: BTreeMap<u32, f64> =
-            fleet_view.endpoints().map(|(node, told)| (node.0, told.utilization)).collect();
-        let by_place = (0..self.shape.nodes).filter_map(|place| {
-            let digest = cottonnotch_gossip::EndpointDigest::of(&format!("n{place}"));
-            named.get(&digest.bits()).map(|used| (place, *used))
+        let snapshot = member.snapshot()?;
+        let by_digest: BTreeMap<u32, f64> =
+            snapshot.endpoints().map(|(node, load)| (node.0, load.utilization)).collect();
+        let by_node = (0..self.shape.nodes).filter_map(|node| {
+            let digest = cottonnotch_gossip::EndpointDigest::of(&format!("n{node}"));
+            by_digest.get(&digest.bits()).map(|utilization| (node, *utilization))
         });
-        Some((fleet_view.members, member.report_interval(), by_place.collect()))
+        Some(FleetView {
+            members: snapshot.members,
+            report_interval: member.report_interval(),
+            utilization: by_node.collect(),
+        })
     }
 
-    /// Takes what happened; then [`Hollow::poll`] until it gives nothing.
+    /// Handles an input; the caller then calls [`Hollow::poll`] until it returns `None`.
     pub fn handle(&mut self, now: Micros, input: HollowInput<'_>) {
         match input {
             HollowInput::PeerDatagram { from, bytes } => {
                 self.counts.peers_in.add(bytes.len());
                 self.drive_peers(now, Input::Datagram { from, bytes });
             }
-            HollowInput::ConsensusDatagram { bytes } => {
-                self.counts.consensus_in.add(bytes.len());
-                let Some(consensus) = &mut self.consensus else { return };
-                if let Ok((from, message)) = consensus.envelope_key.open(bytes) {
-                    let Ok(()) = consensus
-                        .handle_input(now - consensus.began, ConsensusInput::Message { from, message });
-                    self.collect_consensus_output();
-                }
-            }
-            HollowInput::EndpointUpdate { update, bytes } => {
-                self.counts.list_bytes += bytes as u64;
-                // A beat is a list of changes that names none.
-                let nodes = update.endpoints.len() as u32;
-                if update.complete {
-                    self.out.push_back(HollowOutput::Record(MemberEvent::EndpointsReceived {
-                        revision: update.revision,
-                        nodes,
-                    }));
-                }
-                let event = self.nodes.apply_update(&mut self.latencies, update, false);
-                self.notify_decision(now, event);
-                self.drive_consensus(now, ConsensusInput::ListReceived { revision: update.revision });
-            }
+            HollowInput::ConsensusDatagram { bytes } => self.handle_consensus_datagram(now, bytes),
+            HollowInput::EndpointUpdate { update, bytes } => self.handle_update(now, update, bytes),
             HollowInput::WatchLost { silent: true } => self.notify_decision(now, Event::ListSilent),
             HollowInput::WatchLost { silent: false } => self.notify_decision(now, Event::ListFailed),
             HollowInput::Propose { content, kind } => {
-                self.out.push_back(HollowOutput::Record(MemberEvent::Proposed { content }));
+                self.outputs.push_back(HollowOutput::Record(MemberEvent::Proposed { content }));
                 let hash = hash_of(content, kind);
-                self.drive_consensus(
-                    now,
-                    ConsensusInput::Propose { topic: Topic::Rules, hash, size: CONTENT_BYTES },
-                );
+                let input = ConsensusInput::Propose { topic: Topic::Rules, hash, size: CONTENT_BYTES };
+                self.drive_consensus(now, input);
             }
             HollowInput::Timeout => self.handle_timeout(now),
         }
     }
 
-    /// What is due first is part of this.
+    fn handle_consensus_datagram(&mut self, now: Micros, bytes: &[u8]) {
+        self.counts.consensus_in.add(bytes.len());
+        let Some(consensus) = &self.consensus else { return };
+        if let Ok((from, message)) = consensus.envelope_key.open(bytes) {
+            self.drive_consensus(now, ConsensusInput::Message { from, message });
+        }
+    }
+
+    fn handle_update(&mut self, now: Micros, update: &EndpointUpdate, bytes: usize) {
+        self.counts.list_bytes += bytes as u64;
+        let (revision, nodes) = (update.revision, update.endpoints.len() as u32);
+        // A heartbeat is an incomplete list without endpoints.
+        if update.complete {
+            self.outputs.push_back(HollowOutput::Record(MemberEvent::EndpointsReceived { revision, nodes }));
+        }
+        let event = self.nodes.apply_update(&mut self.latencies, update, false);
+        self.notify_decision(now, event);
+        self.drive_consensus(now, ConsensusInput::ListReceived { revision });
+    }
+
+    /// The account that the processor time of the next timeout goes to.
     pub fn next_cpu_account(&self) -> CpuAccount {
-        let peers = self.peers.as_ref().map_or(Micros::MAX, Peers::next_timeout);
-        let consensus = self.consensus.as_ref().map_or(Micros::MAX, ConsensusMember::next_timeout);
-        let own = self.scheduled.peek().map(|Reverse((at, _, event))| (*at, event));
-        match own {
-            Some((at, event)) if at <= peers.min(consensus) => match event {
-                ScheduledEvent::EverySecond => CpuAccount::EverySecond,
-                ScheduledEvent::InitialRequest
-                | ScheduledEvent::Arrival
-                | ScheduledEvent::DecisionTimer(_)
-                | ScheduledEvent::ConnectionSetUp { .. } => CpuAccount::Setups,
-                ScheduledEvent::CompatibilityChecked { .. } | ScheduledEvent::ContentReady { .. } => {
-                    CpuAccount::Consensus
-                }
-            },
+        let (peers, consensus) = (self.peers_timeout(), self.consensus_timeout());
+        match self.schedule.peek() {
+            Some((at, event)) if at <= peers.min(consensus) => event.cpu_account(),
             _ if peers <= consensus => CpuAccount::Peers,
             _ => CpuAccount::Consensus,
         }
     }
 
-    /// One thing that is due; whoever drives it comes again while there is another.
+    /// Handles one thing that is due; the caller repeats it while there is another.
     fn handle_timeout(&mut self, now: Micros) {
         if self.next_timeout() > now {
             return;
         }
         match self.next_cpu_account() {
-            CpuAccount::EverySecond | CpuAccount::Setups => self.run_next_scheduled(now),
+            CpuAccount::EverySecond | CpuAccount::Setups => self.handle_next_scheduled(now),
             CpuAccount::Peers => self.drive_peers(now, Input::Tick),
             CpuAccount::Consensus => {
-                self.run_next_scheduled(now);
+                self.handle_next_scheduled(now);
                 if let Some(consensus) = &mut self.consensus {
                     let Ok(()) = consensus.handle_timeout(now - consensus.began);
-                    self.collect_consensus_output();
+                    self.collect_consensus_outputs();
                 }
             }
         }
     }
 
-    fn run_next_scheduled(&mut self, now: Micros) {
-        if self.scheduled.peek().is_some_and(|Reverse((at, ..))| *at <= now)
-            && let Some(Reverse((_, _, event))) = self.scheduled.pop()
-        {
-            self.run_scheduled(now, event);
+    fn handle_next_scheduled(&mut self, now: Micros) {
+        if let Some(event) = self.schedule.pop_due(now) {
+            self.handle_scheduled(now, event);
         }
     }
 
-    fn run_scheduled(&mut self, now: Micros, event: ScheduledEvent) {
+    fn handle_scheduled(&mut self, now: Micros, event: ScheduledEvent) {
         match event {
-            ScheduledEvent::EverySecond => {
-                self.schedule(now + REPORT_INTERVAL, ScheduledEvent::EverySecond);
-                self.drive_peers(now, Input::EverySecond);
-                for LatencyReport { server, latency: delay } in self.latencies.due_reports(now) {
-                    self.notify_decision(now, Event::LatencyUpdate { server, latency: delay });
-                }
-            }
-            ScheduledEvent::InitialRequest => {
-                let group = self.draw_group();
-                self.send_request(now, group, false);
-            }
+            ScheduledEvent::EverySecond => self.handle_second(now),
+            ScheduledEvent::InitialRequest => self.send_client_request(now),
             ScheduledEvent::Arrival => {
-                self.next_arrival(now);
-                // As many go as come, once there are as many as there should be.
-                if self.open.len() as u32 >= self.shape.connections && !self.open.is_empty() {
-                    let gone = self.rng.random_range(0..self.open.len());
-                    let OpenConnection { request, server, .. } = self.open.swap_remove(gone);
-                    self.ended(now, request, server);
+                self.schedule_arrival(now);
+                if let Some(replaced) = self.connections.take_replaced() {
+                    self.close_connection(now, replaced);
                 }
-                let group = self.draw_group();
-                self.send_request(now, group, false);
+                self.send_client_request(now);
             }
             ScheduledEvent::DecisionTimer(token) => self.notify_decision(now, Event::Timer(token)),
             ScheduledEvent::ConnectionSetUp { request, attempt, server } => {
-                let (request, server) = (RequestId(request), ServerId(server));
-                if let Some(PendingRequest { group, .. }) = self.pending_requests.remove(&request) {
-                    self.counts.setups += 1;
-                    self.up(now, request, server, group, Some(SETUP));
-                    self.notify_decision(
-                        now,
-                        Event::Established { request, attempt, server, elapsed: SETUP },
-                    );
-                }
+                self.establish(now, RequestId(request), attempt, ServerId(server));
             }
             ScheduledEvent::CompatibilityChecked { hash, compatible_from } => {
                 let verdict =
@@ -379,23 +283,54 @@
                 self.drive_consensus(now, ConsensusInput::Checked { topic: Topic::Rules, hash, verdict });
             }
             ScheduledEvent::ContentReady { hash } => {
-                self.drive_consensus(now, ConsensusInput::ContentReady { hash })
+                self.drive_consensus(now, ConsensusInput::ContentReady { hash });
             }
         }
     }
 
-    fn send_request(&mut self, now: Micros, group: u32, again: bool) {
-        let request = self.request(group, again);
-        self.pending_requests.insert(request.id, PendingRequest { group, attempts: 0 });
+    fn handle_second(&mut self, now: Micros) {
+        self.schedule.add(now + REPORT_INTERVAL, ScheduledEvent::EverySecond);
+        self.drive_peers(now, Input::EverySecond);
+        for LatencyReport { server, latency } in self.latencies.due_reports(now) {
+            self.notify_decision(now, Event::LatencyUpdate { server, latency });
+        }
+    }
+
+    fn schedule_arrival(&mut self, now: Micros) {
+        if let Some(delay) = self.connections.draw_time_to_arrival() {
+            self.schedule.add(now + delay, ScheduledEvent::Arrival);
+        }
+    }
+
+    fn send_client_request(&mut self, now: Micros) {
+        let group = self.connections.draw_group();
+        let request = self.connections.new_pending_request(group, RequestOrigin::Client);
         self.notify_decision(now, Event::Request(request));
     }
 
-    fn ended(&mut self, now: Micros, request: RequestId, server: ServerId) {
+    fn establish(&mut self, now: Micros, request: RequestId, attempt: u32, server: ServerId) {
+        let Some(pending) = self.connections.take_pending(request) else { return };
+        self.counts.setups += 1;
+        self.add_connection(now, OpenConnection { request, server, group: pending.group }, Some(SETUP));
+        self.notify_decision(now, Event::Established { request, attempt, server, elapsed: SETUP });
+    }
+
+    fn add_connection(&mut self, now: Micros, connection: OpenConnection, setup: Option<Micros>) {
+        let OpenConnection { request, server, group } = connection;
+        self.latencies.connection_opened(now, request, server, Some(group_digest(group)), setup);
+        let load = self.connections.add_open(connection);
+        self.latencies.load_changed(request, load);
+    }
+
+    fn close_connection(&mut self, now: Micros, connection: OpenConnection) {
+        self.queue_connection_end(connection);
+        self.run_decision(now);
+    }
+
+    fn queue_connection_end(&mut self, OpenConnection { request, server, .. }: OpenConnection) {
         self.latencies.connection_closed(request);
-        self.notify_decision(
-            now,
-            Event::Ended { request, attempt: 0, server, outcome: Outcome::Served, last: true },
-        );
+        let (outcome, last) = (Outcome::Served, true);
+        self.pending.push_back(Event::Ended { request, attempt: 0, server, outcome, last });
     }
 
     fn drive_peers(&mut self, now: Micros, input: Input<'_>) {
@@ -404,35 +339,31 @@
             latencies: &mut self.latencies,
             servers: &self.nodes,
             settings: &self.settings,
-            requests: self.open.len() + self.pending_requests.len(),
+            requests: self.connections.count(),
             // This clock is Unix time, and is never stepped.
             unix: now,
         };
         peers.handle(now, input, &mut local);
         while let Some(output) = peers.poll() {
-            match output {
+            let record = match output {
                 Output::Send { to, bytes } => {
                     self.counts.peers_out.add(bytes.len());
-                    self.out.push_back(HollowOutput::PeerDatagram { to, bytes });
+                    self.outputs.push_back(HollowOutput::PeerDatagram { to, bytes });
+                    continue;
                 }
                 Output::Event(event) => {
-                    if let Event::Fleet(tier) = &event {
-                        let members = tier.nodes as u32;
-                        self.out.push_back(HollowOutput::Record(MemberEvent::SnapshotReceived { members }));
-                    }
+                    let members =
+                        if let Event::Fleet(fleet) = &event { Some(fleet.nodes as u32) } else { None };
                     self.pending.push_back(event);
+                    let Some(members) = members else { continue };
+                    MemberEvent::SnapshotReceived { members }
                 }
                 Output::Member { ordinal, state, .. } => {
-                    let is_dead = matches!(state, State::Dead);
-                    self.out.push_back(HollowOutput::Record(MemberEvent::LivenessChanged {
-                        of: ordinal,
-                        is_dead,
-                    }));
+                    MemberEvent::LivenessChanged { of: ordinal, is_dead: matches!(state, State::Dead) }
                 }
-                Output::Aggregator(keeper) => {
-                    self.out.push_back(HollowOutput::Record(MemberEvent::AggregatorChanged(keeper)))
-                }
-            }
+                Output::Aggregator(aggregator) => MemberEvent::AggregatorChanged(aggregator),
+            };
+            self.outputs.push_back(HollowOutput::Record(record));
         }
         self.run_decision(now);
     }
@@ -440,19 +371,19 @@
     fn drive_consensus(&mut self, now: Micros, input: ConsensusInput) {
         let Some(consensus) = &mut self.consensus else { return };
         let Ok(()) = consensus.handle_input(now - consensus.began, input);
-        self.collect_consensus_output();
+        self.collect_consensus_outputs();
     }
 
-    fn collect_consensus_output(&mut self) {
+    fn collect_consensus_outputs(&mut self) {
         let Some(consensus) = &mut self.consensus else { return };
-        let sent = consensus.out.iter().filter_map(|output| match output {
-            HollowOutput::ConsensusDatagram { bytes, .. } => Some(bytes.len()),
-            _ => None,
-        });
-        sent.for_each(|bytes| self.counts.consensus_out.add(bytes));
-        self.out.append(&mut consensus.out);
-        for (at, run_scheduled) in std::mem::take(&mut consensus.scheduled) {
-            self.schedule(at, run_scheduled);
+        for output in consensus.outputs.drain(..) {
+            if let HollowOutput::ConsensusDatagram { bytes, .. } = &output {
+                self.counts.consensus_out.add(bytes.len());
+            }
+            self.outputs.push_back(output);
+        }
+        for (at, event) in consensus.scheduled.drain(..) {
+            self.schedule.add(at, event);
         }
     }
 
@@ -461,7 +392,7 @@
         self.run_decision(now);
     }
 
-    /// Hands the module what is pending, and what comes of its own actions; as the driver does.
+    /// Hands the decision module the pending events, and those that follow from its own actions; as the daemon's driver does.
     fn run_decision(&mut self, now: Micros) {
         let mut actions = Vec::new();
         while let Some(event) = self.pending.pop_front() {
@@ -478,57 +409,33 @@
     fn execute_action(&mut self, now: Micros, action: Action) {
         match action {
             Action::Send { request, server, .. } => {
-                let Some(pending_requests) = self.pending_requests.get_mut(&request) else { return };
-                let attempt = pending_requests.attempts;
-                pending_requests.attempts += 1;
+                let Some(attempt) = self.connections.next_attempt(request) else { return };
                 let (request, server) = (request.0, server.0);
-                self.schedule(now + SETUP, ScheduledEvent::ConnectionSetUp { request, attempt, server });
+                self.schedule.add(now + SETUP, ScheduledEvent::ConnectionSetUp { request, attempt, server });
             }
             Action::Reject { request, .. } | Action::Fail { request, .. } => {
-                self.pending_requests.remove(&request);
+                self.connections.take_pending(request);
                 self.counts.refused += 1;
             }
-            Action::Migrate(request) => {
-                let Some(at) = self.open.iter().position(|open| open.request == request) else { return };
-                let OpenConnection { request, server, group } = self.open.swap_remove(at);
-                self.counts.moves += 1;
-                self.latencies.connection_closed(request);
-                let (outcome, last) = (Outcome::Served, true);
-                self.pending.push_back(Event::Ended { request, attempt: 0, server, outcome, last });
-                let again = self.request(group, true);
-                self.pending_requests.insert(again.id, PendingRequest { group, attempts: 0 });
-                self.pending.push_back(Event::Request(again));
-            }
+            Action::Migrate(request) => self.migrate(request),
             Action::WatchList => {
                 self.counts.list_calls += 1;
-                self.out.push_back(HollowOutput::StartWatch { from: self.nodes.revision() });
+                self.outputs.push_back(HollowOutput::StartWatch { from: self.nodes.revision() });
             }
             Action::Probe(server) => self.pending.push_back(Event::Probed { server, report: None }),
             Action::Timer { after, token } => {
-                self.schedule(now + after, ScheduledEvent::DecisionTimer(token))
+                self.schedule.add(now + after, ScheduledEvent::DecisionTimer(token));
             }
             Action::Log { .. } | Action::HealthChanged { .. } => {}
         }
     }
-}
 
-/// A group as the wire names it.
-pub fn digest(group: u32) -> u64 {
-    mixed(u64::from(group), 0x67)
-}
-
-fn peers(shape: &Shape, me: u32, roster: Roster, incarnation: u64, now: Micros, seed: u64) -> Option<Peers> {
-    if shape.members >= shape.members_from {
-        let group_homes = (shape.group_homes > 0).then_some(shape.group_homes);
-        let section =
-            FleetSection { members_from: Some(shape.members_from), group_homes, ..FleetSection::default() };
-        let settings = section.check().ok()??;
-        let member = cottonnotch_aggregation::Member::new(settings, me, shape.members, seed, now, now);
-        return Some(Peers::with_aggregation(member, roster));
-    }
-    let section = GossipSection { strength: Some(Strength::Address), ..GossipSection::default() };
-    let settings = section.check().ok()??;
-    let strength = settings.strength;
-    let gossip = Gossip::new(settings, Keys::Address, me, shape.members, incarnation, seed, now);
-    Some(Peers::with_gossip(gossip, strength, roster))
+    /// Ends a connection and requests another one for its client.
+    fn migrate(&mut self, request: RequestId) {
+        let Some(connection) = self.connections.take_open(request) else { return };
+        self.counts.moves += 1;
+        self.queue_connection_end(connection);
+        let request = self.connections.new_pending_request(connection.group, RequestOrigin::Migration);
+        self.pending.push_back(Event::Request(request));
+    }
 }
--- a/crates/scale/src/interface.rs
+++ b/crates/scale/src/interface.rs
@@ -1,4 +1,4 @@
-//! What a hollow proxy is handed and what it asks for, and its accounts of processor time.
+//! Inputs and outputs of a hollow proxy, the events that it schedules, and its accounts of processor time.
 
 use crate::counters::Counts;
 use crate::records::MemberEvent;
@@ -6,97 +6,121 @@
 use cottonnotch_proxy_core::EndpointUpdate;
 use std::net::SocketAddr;
 
-/// What happened to it.
+/// An input of a hollow proxy.
 #[derive(Clone, Debug)]
 pub enum HollowInput<'a> {
-    /// A datagram of the fleet view or of gossip has come.
+    /// A datagram of the aggregation or of gossip was received.
     PeerDatagram {
-        /// From there.
+        /// Address of the sender.
         from: SocketAddr,
-        /// Its bytes.
+        /// The datagram.
         bytes: &'a [u8],
     },
-    /// A datagram of the accord has come.
+    /// A datagram of the consensus was received.
     ConsensusDatagram {
-        /// Its bytes.
+        /// The datagram.
         bytes: &'a [u8],
     },
-    /// Discovery has told a list, in a text of so many bytes.
+    /// Discovery has sent an endpoint list.
     EndpointUpdate {
         /// The list.
         update: &'a EndpointUpdate,
-        /// Bytes of the text.
+        /// Length of its text.
         bytes: usize,
     },
     /// The watch on discovery is lost.
     WatchLost {
-        /// It said nothing where a beat was due.
+        /// Whether a heartbeat was overdue; otherwise the connection or the response has failed.
         silent: bool,
     },
-    /// The operator wants this content in force.
+    /// The operator proposes a content.
     Propose {
-        /// Which.
+        /// Number of the content.
         content: u32,
-        /// Contents of different kinds contradict each other.
+        /// Kind of the content; contents of different kinds are incompatible.
         kind: u8,
     },
-    /// [`Hollow::next_timeout`] has come; one thing that is due is done.
+    /// [`crate::Hollow::next_timeout`] is due; one thing that is due is handled.
     Timeout,
 }
 
-/// What it wants done.
+/// An output of a hollow proxy, for the caller to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HollowOutput {
-    /// Send a datagram of the fleet view or of gossip.
+    /// Send a datagram of the aggregation or of gossip.
     PeerDatagram {
-        /// There.
+        /// Address of the receiver.
         to: SocketAddr,
-        /// These bytes.
+        /// The datagram.
         bytes: Vec<u8>,
     },
-    /// Send a datagram of the accord.
+    /// Send a datagram of the consensus.
     ConsensusDatagram {
-        /// To this member.
+        /// Ordinal of the receiver.
         to: u16,
-        /// These bytes.
+        /// The datagram.
         bytes: Vec<u8>,
     },
-    /// Begin a watch on discovery from this revision, in place of the last one.
+    /// Start a watch on discovery in place of the last one.
     StartWatch {
-        /// The last one taken.
+        /// The last revision that was applied.
         from: u64,
     },
-    /// For the records.
+    /// Add to the run's record.
     Record(MemberEvent),
 }
 
-/// What comes later.
+/// An event that a hollow proxy has scheduled for itself. Events of the same time and number do not exist, so the derived order
+/// decides nothing.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ScheduledEvent {
+    /// The tick of every second.
     EverySecond,
+    /// One of the initial connections is requested.
     InitialRequest,
+    /// A client arrives.
     Arrival,
+    /// A timer of the decision module, by its token.
     DecisionTimer(u32),
+    /// An attempt has set up its connection.
     ConnectionSetUp { request: u64, attempt: u32, server: u32 },
+    /// A content was checked; `None`: it is compatible with no version.
     CompatibilityChecked { hash: ContentHash, compatible_from: Option<u64> },
+    /// A content was fetched.
     ContentReady { hash: ContentHash },
 }
 
-/// What a proxy's time goes to.
+impl ScheduledEvent {
+    /// The account that the processor time of this event goes to.
+    pub fn cpu_account(&self) -> CpuAccount {
+        match self {
+            ScheduledEvent::EverySecond => CpuAccount::EverySecond,
+            ScheduledEvent::InitialRequest
+            | ScheduledEvent::Arrival
+            | ScheduledEvent::DecisionTimer(_)
+            | ScheduledEvent::ConnectionSetUp { .. } => CpuAccount::Setups,
+            ScheduledEvent::CompatibilityChecked { .. } | ScheduledEvent::ContentReady { .. } => {
+                CpuAccount::Consensus
+            }
+        }
+    }
+}
+
+/// An account of a hollow proxy's processor time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CpuAccount {
-    /// The fleet view or gossip.
+    /// The aggregation or gossip.
     Peers,
-    /// The accord.
+    /// The consensus.
     Consensus,
-    /// What comes once a second.
+    /// The tick of every second.
     EverySecond,
-    /// The module: set-ups and their ends.
+    /// The decision module: set-ups and their ends.
     Setups,
 }
 
 impl CpuAccount {
-    /// Its account.
+    /// The counter of this account.
     pub fn nanoseconds_in(self, counts: &mut Counts) -> &mut u64 {
         match self {
             CpuAccount::Peers => &mut counts.peers_ns,
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -7,6 +7,7 @@
 
 pub mod bounds;
 pub mod calibrate;
+mod connections;
 mod consensus_member;
 pub mod counters;
 pub mod discovery;
@@ -19,10 +20,12 @@
 pub mod judge;
 pub mod member_threads;
 pub mod nodes;
+mod peers_member;
 pub mod real;
 pub mod records;
 pub mod relay;
 pub mod run_result;
+mod schedule;
 pub mod shape;
 pub mod sockets;
 pub mod virtual_time;
--- a/crates/scale/src/real.rs
+++ b/crates/scale/src/real.rs
@@ -214,7 +214,7 @@
         number += 1;
         let group = crate::shape::mixed(u64::from(me) << 32 | number, shape.seed) % u64::from(shape.groups());
         if let Some(stream) =
-            open_client(door, u64::from(me) << 32 | number, crate::hollow::digest(group as u32))
+            open_client(door, u64::from(me) << 32 | number, crate::connections::group_digest(group as u32))
         {
             served.fetch_add(1, Ordering::Relaxed);
             up.push_back(stream);
--- a/crates/scale/src/virtual_time.rs
+++ b/crates/scale/src/virtual_time.rs
@@ -115,7 +115,7 @@
         seat.incarnation += 1;
         let place = MemberSetup {
             shape: self.shape.clone(),
-            me: member,
+            ordinal: member,
             roster: self.roster.clone(),
             incarnation: (self.now / MS) as u64,
             starts_with_fleet,
--- a/crates/scale/src/watch.rs
+++ b/crates/scale/src/watch.rs
@@ -1,4 +1,4 @@
-//! A watch on discovery, as the daemon's: one HTTP answer without end, JSON texts in it, silence when a beat is late.
+//! A watch on discovery, as the daemon's: one endless HTTP response with JSON texts, lost when a heartbeat is overdue.
 
 use crate::sockets::{Io, Object, Report};
 use cottonnotch_decision::Micros;
@@ -11,12 +11,12 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// As the daemon's.
+/// Time to the first byte of the response, as in the daemon.
 const RESPONSE_TIMEOUT: Micros = 4_000_000;
 
-/// One watch of one member.
+/// A watch of a member.
 pub struct Watch {
-    seat: usize,
+    member: usize,
     key: Key,
     stream: LineStream,
     connected: bool,
@@ -28,8 +28,8 @@
 }
 
 impl Watch {
-    /// Asks for the changes after a revision.
-    pub fn start(seat: usize, discovery: SocketAddr, from: u64, key: Key, io: &mut Io) -> io::Result<Self> {
+    /// Requests the changes after a revision. Fails if no socket can be opened.
+    pub fn start(member: usize, discovery: SocketAddr, from: u64, key: Key, io: &mut Io) -> io::Result<Self> {
         let mut stream = LineStream::connect(discovery, io, key, Half::Near)?;
         let request = format!(
             "GET /registry/instances?watch=1&from={from} HTTP/1.1\r\nHost: {discovery}\r\n\
@@ -40,7 +40,7 @@
         io.timer(last_received + RESPONSE_TIMEOUT, key, 0);
         let (response, json_stream) = (StreamedResponse::new(), JsonStream::new());
         Ok(Watch {
-            seat,
+            member,
             key,
             stream,
             connected: false,
@@ -54,7 +54,7 @@
 
     fn report_lost(&mut self, io: &mut Io, silent: bool) {
         if !std::mem::replace(&mut self.lost, true) {
-            io.report(Report::ListLost { seat: self.seat, watch: self.key, silent });
+            io.report(Report::WatchLost { member: self.member, watch: self.key, silent });
         }
     }
 
@@ -63,7 +63,7 @@
         let response_is_valid = self.response.feed(bytes, &mut body).is_ok();
         let json_is_valid = self.json_stream.feed(&body, &mut json_stream).is_ok();
         for text in json_stream {
-            io.report(Report::Listed { seat: self.seat, watch: self.key, text });
+            io.report(Report::EndpointUpdate { member: self.member, watch: self.key, text });
         }
         if !response_is_valid || !json_is_valid {
             self.report_lost(io, false);
@@ -71,7 +71,7 @@
     }
 }
 
-/// A list's text as the daemon reads it; `None`: it can't be read, and counts as a failed call.
+/// Parses a list as the daemon does; `None`: it is malformed, and counts as a failed request.
 pub fn parse_endpoints(mut text: Vec<u8>) -> Option<EndpointUpdate> {
     EndpointUpdate::parse(&mut text).ok()
 }
