--- a/crates/scale/src/calibrate.rs
+++ b/crates/scale/src/calibrate.rs
@@ -1,9 +1,9 @@
-//! Hollow against real: the same tier with some, all or none of its members real daemons, all counted by one relay.
+//! Calibration of hollow proxies: the same fleet with some, all or none of its members real daemons, all measured by one relay.
 
 use crate::discovery::Discovery;
 use crate::member_threads::{HollowFleet, RunOptions};
 use crate::real::{Daemon, Nodes, node};
-use crate::relay::{Relay, Through};
+use crate::relay::{MemberTraffic, Relay};
 use crate::run_result::Spread;
 use crate::shape::{LOAD, Shape};
 use crate::sockets::address;
@@ -12,43 +12,43 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Figures of some members; a second and member.
+/// Figures of the real or of the hollow members, a second and member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Side {
-    /// How many.
+    /// Number of members.
     pub members: u32,
-    /// Datagrams of the fleet view or gossip, both ways.
+    /// Datagrams of the aggregation or gossip, both directions.
     pub peers_messages: f64,
     /// Their bytes.
     pub peers_bytes: f64,
-    /// Datagrams of the accord, both ways.
+    /// Datagrams of the consensus, both directions.
     #[serde(rename = "accord_messages")]
     pub consensus_messages: f64,
     /// Their bytes.
     #[serde(rename = "accord_bytes")]
     pub consensus_bytes: f64,
-    /// Processor time in microseconds: of the daemon's process; of the threads that run hollow ones.
+    /// Processor time in microseconds: of a daemon's process, or of the threads that run hollow members.
     pub cpu_us: f64,
-    /// Resident bytes of a daemon; heap bytes of a hollow one.
+    /// Memory in bytes: resident of a daemon, heap of a hollow member.
     pub memory: f64,
     /// Clients served since the start.
     pub served: f64,
 }
 
-/// A tier that was played.
+/// Result of a run. It is printed as a line of JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Calibration {
-    /// The sizes.
+    /// Sizes of the fleet.
     pub shape: Shape,
     /// Seconds that were measured.
     pub seconds: f64,
-    /// The real ones: the lowest numbers.
+    /// The real members: those with the lowest ordinals.
     pub real: Side,
-    /// The hollow ones.
+    /// The hollow members.
     pub hollow: Side,
 }
 
-/// The list with the stand-in nodes' addresses.
+/// The endpoint list with the addresses of the stand-in nodes.
 fn list(shape: &Shape) -> String {
     let text = shape.list(1, None);
     (0..shape.nodes).rev().fold(text, |text, number| {
@@ -57,13 +57,13 @@
     })
 }
 
-/// Plays a tier of which the first `real` members are daemons of this program. 250 nodes at most.
+/// Runs a fleet whose first `real` members are processes of `program`, of 250 nodes at most. `heap` returns the allocated bytes.
 pub fn play(
     shape: &Shape,
     real: u32,
     program: &Path,
     folder: &Path,
-    span: RunOptions,
+    options: RunOptions,
     heap: impl Fn() -> usize,
 ) -> io::Result<Calibration> {
     let list = list(shape);
@@ -74,19 +74,20 @@
     let daemons = (0..real).map(|me| Daemon::start(program, at(me), shape, me, discovery.address(), &list));
     let daemons: Vec<Daemon> = daemons.collect::<io::Result<_>>()?;
     let empty = heap();
-    let fleet = HollowFleet::start(shape, span, (real..shape.members).collect(), discovery.address(), &list)?;
-    std::thread::sleep(Duration::from_secs_f64(span.warm_up));
+    let fleet =
+        HollowFleet::start(shape, options, (real..shape.members).collect(), discovery.address(), &list)?;
+    std::thread::sleep(Duration::from_secs_f64(options.warm_up));
     let spent = |daemons: &[Daemon]| daemons.iter().map(Daemon::spent).collect::<io::Result<Vec<_>>>();
     let (before, cpu) = (relay.counts(), spent(&daemons)?);
-    std::thread::sleep(Duration::from_secs_f64(span.window));
+    std::thread::sleep(Duration::from_secs_f64(options.window));
     let (after, cpu_after) = (relay.counts(), spent(&daemons)?);
     let memory = heap().saturating_sub(empty) as f64;
     let served: u64 = daemons.iter().map(Daemon::served).sum();
     let (hollow_cpu, hollow_served) = fleet.finish()?;
-    let through: Vec<Through> = before.iter().zip(&after).map(since).collect();
-    let (theirs, ours) = through.split_at(real as usize);
-    let mut sides = [theirs, ours].map(|side| of(side, span.window));
-    let seconds = span.window;
+    let through: Vec<MemberTraffic> = before.iter().zip(&after).map(traffic_since).collect();
+    let (real_traffic, hollow_traffic) = through.split_at(real as usize);
+    let mut sides = [real_traffic, hollow_traffic].map(|members| mean_traffic(members, options.window));
+    let seconds = options.window;
     if real > 0 {
         let count = f64::from(real);
         let spent: f64 = cpu.iter().zip(&cpu_after).map(|(before, after)| after.0 - before.0).sum();
@@ -104,16 +105,16 @@
     Ok(Calibration { shape: shape.clone(), seconds, real, hollow })
 }
 
-fn since((before, after): (&Through, &Through)) -> Through {
+fn traffic_since((before, after): (&MemberTraffic, &MemberTraffic)) -> MemberTraffic {
     [0, 1].map(|kind| [0, 1].map(|way| after[kind][way].since(before[kind][way])))
 }
 
-fn of(side: &[Through], seconds: f64) -> Side {
-    let mean = |figure: &dyn Fn(&Through) -> u64| {
-        Spread::of(side.iter().map(|through| figure(through) as f64 / seconds)).mean
+fn mean_traffic(members: &[MemberTraffic], seconds: f64) -> Side {
+    let mean = |figure: &dyn Fn(&MemberTraffic) -> u64| {
+        Spread::of(members.iter().map(|through| figure(through) as f64 / seconds)).mean
     };
     Side {
-        members: side.len() as u32,
+        members: members.len() as u32,
         peers_messages: mean(&|t| t[0][0].messages + t[0][1].messages),
         peers_bytes: mean(&|t| t[0][0].bytes + t[0][1].bytes),
         consensus_messages: mean(&|t| t[1][0].messages + t[1][1].messages),
--- a/crates/scale/src/connections.rs
+++ b/crates/scale/src/connections.rs
@@ -1,7 +1,7 @@
 //! The synthetic connections of a hollow proxy: drawn from its seed, set up after a fixed time, none ever fails.
 
 use crate::nodes::Nodes;
-use crate::shape::{HOMES, Shape, mixed};
+use crate::shape::{SUBSET_SIZE, Shape, mixed};
 use cottonnotch_decision::{ClassId, Micros, Request, RequestId, ServerId};
 use cottonnotch_proxy_core::REPORT_INTERVAL;
 use rand::{RngExt, SeedableRng};
@@ -72,8 +72,8 @@
 
     /// Draws one of the group's nodes.
     pub fn draw_node(&mut self, group: u32) -> u32 {
-        let place = self.rng.random_range(0..HOMES);
-        self.shape.home(group, place)
+        let place = self.rng.random_range(0..SUBSET_SIZE);
+        self.shape.subset_node(group, place)
     }
 
     /// Draws the time to the next arrival; `None`: nothing arrives.
--- a/crates/scale/src/consensus_member.rs
+++ b/crates/scale/src/consensus_member.rs
@@ -119,7 +119,7 @@
     let durable_state = durable_state
         .or_else(|| (starts_with_fleet && voters.contains(&ordinal)).then(DurableState::initial));
     let config = cottonnotch_consensus::Config {
-        ordinal: ordinal,
+        ordinal,
         members: u16::try_from(shape.members).ok()?,
         voters,
         timing: Timing::default(),
--- a/crates/scale/src/counters.rs
+++ b/crates/scale/src/counters.rs
@@ -1,8 +1,8 @@
-//! What is counted of a member.
+//! Counters of a member.
 
 use serde::{Deserialize, Serialize};
 
-/// Messages and their bytes, one way.
+/// Datagrams and their bytes in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Traffic {
     /// Datagrams.
@@ -12,61 +12,61 @@
 }
 
 impl Traffic {
-    /// One more.
+    /// Counts a datagram.
     pub fn add(&mut self, bytes: usize) {
         self.messages += 1;
         self.bytes += bytes as u64;
     }
 
-    /// Both together.
+    /// The sum.
     pub fn and(self, other: Traffic) -> Traffic {
         Traffic { messages: self.messages + other.messages, bytes: self.bytes + other.bytes }
     }
 
-    /// Since that time.
+    /// The difference to an earlier reading.
     pub fn since(self, before: Traffic) -> Traffic {
         Traffic { messages: self.messages - before.messages, bytes: self.bytes - before.bytes }
     }
 }
 
-/// What one member did.
+/// Counters of one member since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Fleet view or gossip, sent.
+    /// Aggregation or gossip, sent.
     pub peers_out: Traffic,
-    /// Fleet view or gossip, received.
+    /// Aggregation or gossip, received.
     pub peers_in: Traffic,
-    /// Accord, sent.
+    /// Consensus, sent.
     #[serde(rename = "accord_out")]
     pub consensus_out: Traffic,
-    /// Accord, received.
+    /// Consensus, received.
     #[serde(rename = "accord_in")]
     pub consensus_in: Traffic,
-    /// List bytes read.
+    /// Bytes of endpoint lists received.
     pub list_bytes: u64,
-    /// Calls for the list.
+    /// Watches requested.
     pub list_calls: u64,
     /// Connections set up.
     pub setups: u64,
-    /// Connections that the module moved.
+    /// Connections that the decision module has migrated.
     pub moves: u64,
-    /// Requests refused or failed.
+    /// Requests rejected or failed.
     pub refused: u64,
-    /// Processor time in nanoseconds: the fleet view or gossip.
+    /// Processor time in nanoseconds: aggregation or gossip.
     pub peers_ns: u64,
-    /// ... the accord.
+    /// ... consensus.
     #[serde(rename = "accord_ns")]
     pub consensus_ns: u64,
-    /// ... lists: reading them, and the module's taking them.
+    /// ... endpoint lists: parsing them, and the decision module's handling of them.
     pub list_ns: u64,
-    /// ... the module, for set-ups and their ends.
+    /// ... the decision module, for set-ups and ends of connections.
     pub setups_ns: u64,
-    /// ... what comes once a second.
+    /// ... the tick of every second.
     pub second_ns: u64,
 }
 
 impl Counts {
-    /// Since that time.
+    /// The difference to an earlier reading.
     pub fn since(&self, before: &Counts) -> Counts {
         Counts {
             peers_out: self.peers_out.since(before.peers_out),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Both together.
+    /// The sum.
     pub fn and(&self, other: &Counts) -> Counts {
         Counts {
             peers_out: self.peers_out.and(other.peers_out),
@@ -106,14 +106,14 @@
         }
     }
 
-    /// Control datagrams and their bytes, both ways.
+    /// Control datagrams and their bytes in both directions.
     pub fn control(&self) -> Traffic {
         let all = [self.peers_out, self.peers_in, self.consensus_out, self.consensus_in];
         let sum = |figure: fn(&Traffic) -> u64| all.iter().map(figure).sum();
         Traffic { messages: sum(|traffic| traffic.messages), bytes: sum(|traffic| traffic.bytes) }
     }
 
-    /// Processor time of control.
+    /// Processor time of the control traffic in nanoseconds.
     pub fn control_ns(&self) -> u64 {
         self.peers_ns + self.consensus_ns + self.list_ns + self.second_ns
     }
--- a/crates/scale/src/fault.rs
+++ b/crates/scale/src/fault.rs
@@ -1,4 +1,4 @@
-//! The faults that a run can play, and what each does on sockets.
+//! The faults that a run can inject, and the actions of each on sockets.
 
 use crate::shape::{Shape, ZONES};
 use cottonnotch_decision::Micros;
@@ -9,30 +9,30 @@
 /// A second.
 pub const S: Micros = 1_000 * MS;
 
-/// What happens.
+/// A fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// Nothing, but a change of configuration.
+    /// No fault, one change of configuration.
     Quiet,
-    /// A zone's members end at once; one of the voters is among them.
+    /// All members of a zone stop at once, a voter among them.
     Zone,
-    /// A zone's members end at once; no voter is among them.
+    /// All members of a zone stop at once, no voter among them.
     FarZone,
-    /// The two regions don't hear each other for an hour, with a change every ten minutes; the voters are all in the first.
+    /// The two regions are partitioned for an hour, with a change every ten minutes; all voters are in the first.
     Regions,
-    /// The same for a quarter of an hour, with a change every 150 s: hundreds of members in a few minutes' time.
+    /// The same for a quarter of an hour, with a change every 150 s: hundreds of members take a few minutes of real time.
     RegionsBriefly,
-    /// 160 members restart one after another within four minutes, each 2 s down.
+    /// 160 members restart one after another within four minutes, each down for 1.5 s.
     Restarts,
-    /// The list loses a zone's nodes, and has them again half a minute later.
+    /// The endpoint list loses the nodes of a zone for half a minute.
     List,
-    /// 20 changes of configuration within a minute, each contradicting the one before, at any members.
+    /// 20 changes of configuration within a minute, each incompatible with the one before, at changing members.
     Changes,
 }
 
 impl Fault {
-    /// All of them.
+    /// All faults.
     pub const ALL: [Fault; 8] = [
         Fault::Quiet,
         Fault::Zone,
@@ -45,31 +45,31 @@
     ];
 }
 
-/// What is done at a time, where a fault is played on sockets.
+/// An action of a fault on sockets.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultAction {
-    /// This member's process ends, without a word.
+    /// This member's process stops, without notifying anybody.
     Stop(u32),
-    /// This member is told to put a content in force; contents of different kinds contradict each other.
+    /// The operator proposes a content at this member; contents of different kinds are incompatible.
     Propose {
-        /// Which member.
+        /// Ordinal of the member.
         member: u32,
-        /// Which content.
+        /// Number of the content.
         content: u32,
-        /// Its kind.
+        /// Kind of the content.
         kind: u8,
     },
 }
 
-/// The acts of a fault, with their times from its beginning; `None`: sockets can't play it.
+/// The actions of a fault and their times from its start; `None`: the fault is available on virtual time only.
 pub fn fault_actions(shape: &Shape, fault: Fault) -> Option<Vec<(Micros, FaultAction)>> {
     let propose = |member, content: u32| FaultAction::Propose { member, content, kind: (content % 2) as u8 };
     match fault {
         Fault::Quiet => Some(vec![(0, propose(shape.members / 2, 2))]),
         Fault::Zone | Fault::FarZone => {
             let zone = if fault == Fault::Zone { 1 } else { ZONES - 1 };
-            let gone = (0..shape.members).filter(|member| shape.zone(*member) == zone);
-            let stops = gone.map(|member| (0, FaultAction::Stop(member)));
+            let members = (0..shape.members).filter(|member| shape.zone(*member) == zone);
+            let stops = members.map(|member| (0, FaultAction::Stop(member)));
             Some(stops.chain([(100 * MS, propose(0, 2))]).collect())
         }
         Fault::Changes => {
--- a/crates/scale/src/fault_scenarios.rs
+++ b/crates/scale/src/fault_scenarios.rs
@@ -76,7 +76,7 @@
 }
 
 fn total_counters(fleet: &mut VirtualFleet) -> Vec<Counts> {
-    let sum = |lives: Vec<Counts>| lives.into_iter().fold(Counts::default(), |sum, life| sum.and(&life));
+    let sum = |runs: Vec<Counts>| runs.into_iter().fold(Counts::default(), |sum, run| sum.and(&run));
     fleet.counts().into_iter().map(|(_, lives)| sum(lives)).collect()
 }
 
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -1,10 +1,10 @@
-//! Lines fitted through runs: least squares, with the spread of the slope and the residuals.
+//! Linear regression of figures over a size (least squares), with the error of the slope and the residuals.
 
 use crate::run_result::RunResult;
 use linregress::{FormulaRegressionBuilder, RegressionDataBuilder};
 use serde::{Deserialize, Serialize};
 
-/// What is made larger while all else stays.
+/// A size that a sweep varies while all others stay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Axis {
     /// Proxies.
@@ -17,20 +17,20 @@
     Connections,
 }
 
-/// A line through some runs.
+/// A line fitted through runs. It is printed as a line of JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
-    /// What was fitted.
+    /// Name of the figure.
     pub figure: String,
-    /// Along this.
+    /// The axis.
     pub axis: String,
     /// Sizes that were swept.
     pub sizes: Vec<f64>,
-    /// What was measured there.
+    /// The figure at each size.
     pub measured: Vec<f64>,
-    /// At size 0.
+    /// The figure at size 0.
     pub intercept: f64,
-    /// For one more.
+    /// Growth of the figure for one more of the axis.
     pub slope: f64,
     /// Standard error of the slope.
     pub slope_error: f64,
@@ -42,7 +42,7 @@
     pub square_share: f64,
 }
 
-/// The sizes along an axis.
+/// The size of a run along an axis.
 pub fn size(line: &RunResult, axis: Axis) -> f64 {
     match axis {
         Axis::Members => f64::from(line.shape.members),
@@ -52,7 +52,7 @@
     }
 }
 
-/// A figure by its name, as `bytes_out.mean`.
+/// A figure by its name, such as `bytes_out.mean`; `None`: there is none of this name.
 pub fn figure(line: &RunResult, name: &str) -> Option<f64> {
     let value = serde_json::to_value(line).ok()?;
     name.split('.').try_fold(&value, |value, key| value.get(key))?.as_f64()
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -1,13 +1,12 @@
-//! A tier of hollow proxies on sockets, from its start to its figures: threads with their members, what happens meanwhile, and
-//! what is made of what they tell.
+//! A fleet of hollow proxies on sockets, from its start to its figures, which follow from the reports of its threads.
 
 use crate::counters::Counts;
 use crate::discovery::Discovery;
-use crate::hollow::FleetView;
 use crate::judge::judge;
 use crate::member_threads::{RunOptions, ThreadReport, Topology, start_threads};
+use crate::peers_member::FleetView;
 use crate::records::{MemberEvent, Record};
-use crate::run_result::{RunResult, Spread, fill};
+use crate::run_result::{RunResult, Spread, add_counters};
 use crate::shape::Shape;
 use crate::sockets::address;
 use crate::watch;
@@ -16,13 +15,13 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// The list's revisions: as all know it at the start, and as it is reports later, without a zone.
+/// Revisions of the endpoint list: the one of the start, and the one published later without a zone.
 const FIRST: u64 = 1;
 const CHANGED: u64 = 2;
-/// Nodes that are used by less are not reports.
-const LEAST_USE: f64 = cottonnotch_aggregation::wire::MIN_REPORTED_UTILIZATION;
+/// Nodes of a lower utilization are not reported.
+const MIN_UTILIZATION: f64 = cottonnotch_aggregation::wire::MIN_REPORTED_UTILIZATION;
 
-/// Plays a tier of this shape; `heap` tells the bytes that the process has allocated.
+/// Runs and measures a fleet of this shape; `heap` returns the bytes that the process has allocated.
 pub fn play(shape: &Shape, options: RunOptions, heap: impl Fn() -> usize) -> io::Result<RunResult> {
     let began = Instant::now();
     let list = shape.list(FIRST, None);
@@ -61,25 +60,25 @@
     line.fault = options.fault;
     let mut records: Vec<Record> = reports.iter().flat_map(|report| report.records.iter().cloned()).collect();
     records.sort_by_key(|record| record.at);
-    // The list that is reports at the end loses a zone.
+    // Judged until the list changes: the one published at the end loses a zone.
     line.verdict = judge(&records, changed);
-    count(&mut line, &reports);
-    lists(&mut line, &reports, changed);
-    views(&mut line, &reports);
+    add_counts(&mut line, &reports);
+    add_list_times(&mut line, &reports, changed);
+    add_view_errors(&mut line, &reports);
     line.took_s = began.elapsed().as_secs_f64();
     Ok(line)
 }
 
-fn count(line: &mut RunResult, reports: &[ThreadReport]) {
+fn add_counts(line: &mut RunResult, reports: &[ThreadReport]) {
     let counts: Vec<(u32, Counts)> =
         reports.iter().flat_map(|report| report.counts.iter().copied()).collect();
     let cpu: Duration = reports.iter().map(|report| report.cpu).sum();
     line.cpu_us = cpu.as_secs_f64() * 1e6 / counts.len() as f64 / line.seconds;
     let leaders: BTreeSet<u32> = reports.iter().flat_map(|report| report.leaders.iter().copied()).collect();
-    fill(line, &counts, &leaders);
+    add_counters(line, &counts, &leaders);
 }
 
-fn lists(line: &mut RunResult, reports: &[ThreadReport], changed: Micros) {
+fn add_list_times(line: &mut RunResult, reports: &[ThreadReport], changed: Micros) {
     let stopped = reports
         .iter()
         .flat_map(|report| &report.records)
@@ -93,12 +92,12 @@
     let taken = taken.collect::<Vec<f64>>();
     let all = taken.len() + stopped == line.shape.members as usize;
     let spread = Spread::of(taken);
-    // Below zero: not all have taken it.
+    // Below zero: not all have applied it.
     line.list_all_s = if all { spread.max } else { -1.0 };
     line.list_mean_s = spread.mean;
 }
 
-fn views(line: &mut RunResult, reports: &[ThreadReport]) {
+fn add_view_errors(line: &mut RunResult, reports: &[ThreadReport]) {
     let mut truth: BTreeMap<u32, (f64, BTreeSet<u32>)> = BTreeMap::new();
     let mut pairs = 0;
     for (node, (load, groups)) in reports.iter().flat_map(|report| &report.node_loads).flatten() {
@@ -111,7 +110,7 @@
     let used = truth
         .into_iter()
         .map(|(node, (load, groups))| (node, line.shape.utilization_with(load, groups.len())));
-    let used: BTreeMap<u32, f64> = used.filter(|(_, used)| *used >= LEAST_USE).collect();
+    let used: BTreeMap<u32, f64> = used.filter(|(_, used)| *used >= MIN_UTILIZATION).collect();
     let views: Vec<_> = reports.iter().flat_map(|report| report.views.iter().flatten()).collect();
     if views.is_empty() {
         return;
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -7,9 +7,9 @@
 use crate::connections::{NodeLoads, OpenConnection, RequestOrigin, SyntheticConnections, group_digest};
 use crate::consensus_member::{ConsensusMember, hash_of, start_consensus};
 use crate::counters::Counts;
-use crate::interface::{CpuAccount, HollowInput, HollowOutput, ScheduledEvent};
+use crate::interface::{CpuAccount, HollowInput, HollowOutput, MemberSetup, ScheduledEvent};
 use crate::nodes::Nodes;
-use crate::peers_member::start_peers;
+use crate::peers_member::{FleetView, fleet_view, start_peers};
 use crate::records::MemberEvent;
 use crate::schedule::Schedule;
 use crate::shape::{Shape, mixed};
@@ -18,9 +18,9 @@
 use cottonnotch_gossip::State;
 use cottonnotch_proxy_core::{
     EndpointUpdate, Input, LatencyReport, LocalState, MemberDriver, MessageLatencies, Output, Peers,
-    REPORT_INTERVAL, Roster,
+    REPORT_INTERVAL,
 };
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::VecDeque;
 
 const MS: Micros = 1_000;
 /// Time to set up a connection at a node.
@@ -30,34 +30,6 @@
 /// Size of a content as proposals state it; nothing of that size is sent here.
 const CONTENT_BYTES: u32 = 64 * 1024;
 
-/// What a hollow proxy starts from: its place in the fleet, and what is the same for all members.
-#[derive(Clone, Debug)]
-pub struct MemberSetup {
-    /// Sizes of the fleet.
-    pub shape: Shape,
-    /// Ordinal of the member.
-    pub ordinal: u32,
-    /// Addresses of all members, by ordinal.
-    pub roster: Roster,
-    /// Incarnation of the process: Unix time in milliseconds at its start.
-    pub incarnation: u64,
-    /// Whether the whole fleet starts with it; otherwise it joins a running one.
-    pub starts_with_fleet: bool,
-    /// Durable state that a voter finds on disk; `None`: there is none.
-    pub durable_state: Option<DurableState>,
-}
-
-/// The fleet as a member's last snapshot shows it.
-#[derive(Clone, Debug, PartialEq)]
-pub struct FleetView {
-    /// Members whose reports are summed up.
-    pub members: u32,
-    /// Interval between two reports of a member.
-    pub report_interval: Micros,
-    /// Utilization by node, by the shape's numbers.
-    pub utilization: BTreeMap<u32, f64>,
-}
-
 /// A hollow proxy.
 pub struct Hollow {
     shape: Shape,
@@ -172,19 +144,7 @@
 
     /// The fleet as its last snapshot shows it; `None` without a snapshot.
     pub fn fleet_view(&self) -> Option<FleetView> {
-        let member = self.peers.as_ref()?.aggregation_member()?;
-        let snapshot = member.snapshot()?;
-        let by_digest: BTreeMap<u32, f64> =
-            snapshot.endpoints().map(|(node, load)| (node.0, load.utilization)).collect();
-        let by_node = (0..self.shape.nodes).filter_map(|node| {
-            let digest = cottonnotch_gossip::EndpointDigest::of(&format!("n{node}"));
-            by_digest.get(&digest.bits()).map(|utilization| (node, *utilization))
-        });
-        Some(FleetView {
-            members: snapshot.members,
-            report_interval: member.report_interval(),
-            utilization: by_node.collect(),
-        })
+        fleet_view(self.peers.as_ref()?, self.shape.nodes)
     }
 
     /// Handles an input; the caller then calls [`Hollow::poll`] until it returns `None`.
@@ -269,7 +229,8 @@
             ScheduledEvent::Arrival => {
                 self.schedule_arrival(now);
                 if let Some(replaced) = self.connections.take_replaced() {
-                    self.close_connection(now, replaced);
+                    self.queue_connection_end(replaced);
+                    self.run_decision(now);
                 }
                 self.send_client_request(now);
             }
@@ -322,11 +283,6 @@
         self.latencies.load_changed(request, load);
     }
 
-    fn close_connection(&mut self, now: Micros, connection: OpenConnection) {
-        self.queue_connection_end(connection);
-        self.run_decision(now);
-    }
-
     fn queue_connection_end(&mut self, OpenConnection { request, server, .. }: OpenConnection) {
         self.latencies.connection_closed(request);
         let (outcome, last) = (Outcome::Served, true);
--- a/crates/scale/src/interface.rs
+++ b/crates/scale/src/interface.rs
@@ -2,10 +2,28 @@
 
 use crate::counters::Counts;
 use crate::records::MemberEvent;
-use cottonnotch_consensus::ContentHash;
-use cottonnotch_proxy_core::EndpointUpdate;
+use crate::shape::Shape;
+use cottonnotch_consensus::{ContentHash, DurableState};
+use cottonnotch_proxy_core::{EndpointUpdate, Roster};
 use std::net::SocketAddr;
 
+/// What a hollow proxy starts from: its place in the fleet, and what is the same for all members.
+#[derive(Clone, Debug)]
+pub struct MemberSetup {
+    /// Sizes of the fleet.
+    pub shape: Shape,
+    /// Ordinal of the member.
+    pub ordinal: u32,
+    /// Addresses of all members, by ordinal.
+    pub roster: Roster,
+    /// Incarnation of the process: Unix time in milliseconds at its start.
+    pub incarnation: u64,
+    /// Whether the whole fleet starts with it; otherwise it joins a running one.
+    pub starts_with_fleet: bool,
+    /// Durable state that a voter finds on disk; `None`: there is none.
+    pub durable_state: Option<DurableState>,
+}
+
 /// An input of a hollow proxy.
 #[derive(Clone, Debug)]
 pub enum HollowInput<'a> {
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,9 +1,9 @@
-//! Hollow proxies: the program's own sans-io members (decision, fleet view or gossip, accord, list calls), wired by
+//! Hollow proxies: the program's own sans-io members (decision, aggregation or gossip, consensus, watches), wired by
 //! `cottonnotch-proxy-core` as the daemon wires them, with synthetic connections in place of clients and render nodes.
 //!
 //! [`Hollow`] itself is sans-io; [`sockets`] runs many in one process on real loopback sockets and real time, [`virtual_time`]
-//! on links in memory and virtual time, where an hour's cut or hundreds of members in a test take seconds. [`judge`] reads
-//! [`records`] only and shares nothing with what made them. `docs/design/scale.md` says what hollow members skip.
+//! on links in memory and virtual time, where an hour's partition or hundreds of members in a test take seconds. [`judge`] reads
+//! [`records`] only and shares nothing with their source. `docs/design/scale.md` lists what hollow members leave out.
 
 pub mod bounds;
 pub mod calibrate;
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -13,12 +13,12 @@
 use std::path::PathBuf;
 use std::process::{Command, ExitCode};
 
-/// Counts what is allocated.
+/// Counts the allocated bytes.
 #[global_allocator]
 static HEAP: Cap<System> = Cap::new(System, usize::MAX);
 
 #[derive(Parser)]
-#[command(about = "Hollow proxies: what a tier of a given size costs. Prints JSON lines")]
+#[command(about = "Hollow proxies: what a fleet of a given size costs. Prints JSON lines")]
 struct Cli {
     #[command(subcommand)]
     mode: Mode,
@@ -26,20 +26,20 @@
 
 #[derive(Subcommand)]
 enum Mode {
-    /// One tier on loopback sockets in real time.
+    /// One fleet on loopback sockets in real time.
     Point {
         #[command(flatten)]
         shape: Shape,
         #[command(flatten)]
-        span: RunOptions,
+        options: RunOptions,
     },
-    /// Tiers of growing sizes on sockets, each in a process of its own, and the lines fitted through them.
+    /// Fleets of growing sizes on sockets, each in a process of its own, and the lines fitted through them.
     Sweep {
-        /// What is made larger; all if none is named.
+        /// The size that grows; all if none is named.
         #[arg(long, value_enum)]
-        axis: Vec<Swept>,
+        axis: Vec<SweptAxis>,
         #[command(flatten)]
-        span: RunOptions,
+        options: RunOptions,
     },
     /// Hollow against real: 3, 10 and 30 members, all hollow, all real, and half of each.
     Calibrate {
@@ -50,11 +50,11 @@
         #[arg(long)]
         size: Vec<u32>,
         #[command(flatten)]
-        span: RunOptions,
+        options: RunOptions,
     },
     /// Faults on virtual time, judged from records.
     Faults {
-        /// Which; all if none is named.
+        /// The fault; all if none is named.
         #[arg(long, value_enum)]
         fault: Vec<Fault>,
         #[command(flatten)]
@@ -62,39 +62,42 @@
     },
 }
 
-/// What a sweep makes larger.
+/// The size that a sweep varies, as an argument.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-enum Swept {
+enum SweptAxis {
     Members,
     Nodes,
     Pairs,
     Connections,
 }
 
-impl Swept {
-    const ALL: [Swept; 4] = [Swept::Members, Swept::Nodes, Swept::Pairs, Swept::Connections];
+impl SweptAxis {
+    const ALL: [SweptAxis; 4] =
+        [SweptAxis::Members, SweptAxis::Nodes, SweptAxis::Pairs, SweptAxis::Connections];
 
     fn axis(self) -> Axis {
         match self {
-            Swept::Members => Axis::Members,
-            Swept::Nodes => Axis::Nodes,
-            Swept::Pairs => Axis::Pairs,
-            Swept::Connections => Axis::Connections,
+            SweptAxis::Members => Axis::Members,
+            SweptAxis::Nodes => Axis::Nodes,
+            SweptAxis::Pairs => Axis::Pairs,
+            SweptAxis::Connections => Axis::Connections,
         }
     }
 
-    /// The tiers, around one in the middle; connections of a whole tier are bounded by this machine's memory.
+    /// The fleets of the sweep, around one in the middle; the connections of a fleet are bounded by the machine's memory.
     fn shapes(self) -> Vec<Shape> {
         let base = Shape::default;
         match self {
-            Swept::Members => {
+            SweptAxis::Members => {
                 [30, 60, 110, 220, 440, 880].map(|members| Shape { members, ..base() }).to_vec()
             }
-            Swept::Nodes => [90, 256, 1_024, 2_048, 4_096].map(|nodes| Shape { nodes, ..base() }).to_vec(),
-            Swept::Pairs => {
+            SweptAxis::Nodes => {
+                [90, 256, 1_024, 2_048, 4_096].map(|nodes| Shape { nodes, ..base() }).to_vec()
+            }
+            SweptAxis::Pairs => {
                 [1_000, 4_000, 16_000, 62_000].map(|pairs| Shape { pairs, nodes: 1_024, ..base() }).to_vec()
             }
-            Swept::Connections => [1_000, 8_000, 30_000, 91_000]
+            SweptAxis::Connections => [1_000, 8_000, 30_000, 91_000]
                 .map(|connections| Shape { connections, members: 30, ..base() })
                 .to_vec(),
         }
@@ -145,12 +148,14 @@
 
 fn run(mode: Mode) -> io::Result<()> {
     match mode {
-        Mode::Point { shape, span } => print_json_line(&fleet::play(&shape, span, || HEAP.allocated())?),
+        Mode::Point { shape, options } => {
+            print_json_line(&fleet::play(&shape, options, || HEAP.allocated())?)
+        }
         Mode::Faults { fault, shape } => {
             let all = if fault.is_empty() { Fault::ALL.to_vec() } else { fault };
             all.into_iter().try_for_each(|fault| print_json_line(&fault_scenarios::play(&shape, fault)))
         }
-        Mode::Calibrate { program, size, span } => {
+        Mode::Calibrate { program, size, options } => {
             let sizes = if size.is_empty() { vec![3, 10, 30] } else { size };
             for members in sizes {
                 let shape = Shape {
@@ -164,16 +169,19 @@
                 for real in [0, members, members / 2] {
                     let folder = tempfile::tempdir()?;
                     let heap = || HEAP.allocated();
-                    print_json_line(&calibrate::play(&shape, real, &program, folder.path(), span, heap)?)?;
+                    print_json_line(&calibrate::play(&shape, real, &program, folder.path(), options, heap)?)?;
                 }
             }
             Ok(())
         }
-        Mode::Sweep { axis, span } => {
-            let all = if axis.is_empty() { Swept::ALL.to_vec() } else { axis };
+        Mode::Sweep { axis, options } => {
+            let all = if axis.is_empty() { SweptAxis::ALL.to_vec() } else { axis };
             for swept in all {
-                let lines: Vec<RunResult> =
-                    swept.shapes().iter().map(|shape| point(shape, span)).collect::<io::Result<_>>()?;
+                let lines: Vec<RunResult> = swept
+                    .shapes()
+                    .iter()
+                    .map(|shape| measure_in_process(shape, options))
+                    .collect::<io::Result<_>>()?;
                 for name in FIGURES {
                     fit::fit(&lines, name, swept.axis()).iter().try_for_each(print_json_line)?;
                 }
@@ -183,8 +191,8 @@
     }
 }
 
-/// A tier in a process of its own: what an earlier one has left on the heap is no part of it.
-fn point(shape: &Shape, span: RunOptions) -> io::Result<RunResult> {
+/// Measures a fleet in a process of its own: the heap that an earlier one has left does not count.
+fn measure_in_process(shape: &Shape, options: RunOptions) -> io::Result<RunResult> {
     let Shape {
         members,
         nodes,
@@ -198,7 +206,7 @@
         voters,
         seed,
     } = shape;
-    let RunOptions { warm_up, window, threads, fault: _ } = span;
+    let RunOptions { warm_up, window, threads, fault: _ } = options;
     let arguments = format!(
         "point --members {members} --nodes {nodes} --pairs {pairs} --connections {connections} --setups {setups} \
          --used {utilization} --members-from {members_from} --aim-ms {latency_objective_ms} --group-homes {group_homes} --voters {voters} --seed {seed} --warm-up {warm_up} \
--- a/crates/scale/src/member_threads.rs
+++ b/crates/scale/src/member_threads.rs
@@ -3,7 +3,9 @@
 use crate::connections::NodeLoads;
 use crate::counters::Counts;
 use crate::fault::{Fault, FaultAction, fault_actions};
-use crate::hollow::{FleetView, Hollow, MemberSetup};
+use crate::hollow::Hollow;
+use crate::interface::MemberSetup;
+use crate::peers_member::FleetView;
 use crate::records::{MemberEvent, Record};
 use crate::shape::Shape;
 use crate::sockets::{
--- a/crates/scale/src/nodes.rs
+++ b/crates/scale/src/nodes.rs
@@ -4,7 +4,7 @@
 use cottonnotch_decision::{Entry, Event, Micros, ServerId, ZoneId};
 use cottonnotch_proxy_core::{EndpointUpdate, MessageLatencies, Servers};
 
-/// All that were ever listed. Grows with the number of nodes.
+/// All nodes that were ever listed. Its memory grows with their number.
 #[derive(Debug, Default)]
 pub struct Nodes {
     names: Names,
@@ -14,7 +14,7 @@
 }
 
 impl Nodes {
-    /// Takes a list; what the module is to hear.
+    /// Applies an endpoint list; the event for the decision module. `copy`: the list is a cached one.
     pub fn apply_update(
         &mut self,
         latencies: &mut MessageLatencies,
@@ -47,17 +47,17 @@
         Event::List { full: update.complete, copy, entries }
     }
 
-    /// The last revision taken.
+    /// The last revision applied.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The number of a node by its place in the shape.
+    /// The decision module's number of a node of the shape; `None`: it was never listed.
     pub fn number(&self, node: u32) -> Option<ServerId> {
         self.names.find(&format!("n{node}")).map(ServerId)
     }
 
-    /// A node's place in the shape.
+    /// The shape's number of a node.
     pub fn place(&self, server: ServerId) -> Option<u32> {
         self.names.name(server.0).strip_prefix('n')?.parse().ok()
     }
--- a/crates/scale/src/real.rs
+++ b/crates/scale/src/real.rs
@@ -1,4 +1,4 @@
-//! Real daemons for the calibration: processes of the program, stand-in render nodes, and clients that come and go.
+//! Real daemons for the calibration: processes of the program, stand-in render nodes, and clients that connect and disconnect.
 
 use crate::shape::{Shape, ZONES};
 use crate::sockets::{CONSENSUS_PORT, PEERS_PORT, RELAY_PORT_OFFSET, address};
@@ -11,26 +11,26 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Where a daemon's clients come in.
+/// Port of a daemon's client listener.
 const CLIENTS_PORT: u16 = 8_100;
-/// The stand-in nodes' addresses follow the members'.
+/// First number of the stand-in nodes' addresses, beyond the members'.
 const NODES_FROM: u32 = 61_000;
 const NODES_PORT: u16 = 9_100;
 const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 
-/// Where a stand-in node listens.
+/// Address of a stand-in node.
 pub fn node(number: u32) -> SocketAddr {
     address(NODES_FROM + number, NODES_PORT)
 }
 
-/// Render nodes that take each connection and tell its load.
+/// Stand-in render nodes that accept each connection and report its load.
 pub struct Nodes {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Nodes {
-    /// So many.
+    /// Starts `count` nodes; each connection has this load. Fails if an address cannot be bound.
     pub fn start(count: u32, load: f64) -> io::Result<Self> {
         let stop = Arc::new(AtomicBool::new(false));
         let mut threads = Vec::new();
@@ -51,7 +51,7 @@
             std::thread::sleep(Duration::from_millis(2));
             continue;
         };
-        // A connection whose line does not come, or can't be answered, is nobody's.
+        // A connection without a request line, or that cannot be answered, is dropped.
         if let Some(stream) = answer(stream, load) {
             up.push(stream);
         }
@@ -112,7 +112,7 @@
 fn operator_config(shape: &Shape, me: u32, folder: &Path) -> String {
     let members =
         quoted((0..shape.members).map(|member| address(member, CONSENSUS_PORT + RELAY_PORT_OFFSET)));
-    let accord = format!(
+    let consensus = format!(
         "[rules]\nfolder = \"{}\"\nconnections = 100000\n[accord]\nlisten = \"{}\"\ncluster = \"hollow\"\nme = {me}\n\
          key_file = \"{}\"\nvoters = {:?}\nmembers = [{members}]\nfirst_start = true\nbefore_first = \"serve\"\n",
         folder.join("rules").display(),
@@ -120,13 +120,13 @@
         folder.join("key").display(),
         shape.voters(),
     );
-    let accord = if shape.voters == 0 { "" } else { &accord };
+    let consensus = if shape.voters == 0 { "" } else { &consensus };
     let homes = match shape.group_homes {
         0 => String::new(),
         groups => format!("group_homes = {groups}\n"),
     };
     format!(
-        "[fleet]\nmembers_from = {}\n{homes}[gossip]\nstrength = \"address\"\n{accord}",
+        "[fleet]\nmembers_from = {}\n{homes}[gossip]\nstrength = \"address\"\n{consensus}",
         shape.members_from
     )
 }
@@ -172,7 +172,7 @@
         let process = self.child.id();
         let mut nanoseconds = 0;
         for task in std::fs::read_dir(format!("/proc/{process}/task"))? {
-            // A thread may end while one looks.
+            // A thread may end meanwhile.
             let text = std::fs::read_to_string(task?.path().join("schedstat")).unwrap_or_default();
             nanoseconds += text.split(' ').next().and_then(|ran| ran.parse::<u64>().ok()).unwrap_or(0);
         }
@@ -195,7 +195,7 @@
     }
 }
 
-/// Clients come until there are as many as the shape says, then one goes and one comes at the shape's rate.
+/// Clients connect until there are as many as the shape says; then one is replaced at the shape's rate.
 fn clients(shape: &Shape, me: u32, stop: &AtomicBool, served: &AtomicU64) {
     let door = address(me, CLIENTS_PORT);
     let (began, mut up, mut number) = (Instant::now(), std::collections::VecDeque::new(), 0_u64);
--- a/crates/scale/src/relay.rs
+++ b/crates/scale/src/relay.rs
@@ -1,5 +1,5 @@
-//! What goes between members, counted on its way: each member knows the others by the relay's sockets, so that real and hollow ones
-//! are counted by the same eyes.
+//! Relays and counts the datagrams between members: each member knows the others by the relay's sockets, so that real and hollow
+//! ones are counted alike.
 
 use crate::counters::Traffic;
 use crate::sockets::{CONSENSUS_PORT, PEERS_PORT, RELAY_PORT_OFFSET, address};
@@ -12,19 +12,19 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread::JoinHandle;
 
-/// Of one member: sent and received, of the fleet view or gossip, then of the accord.
-pub type Through = [[Traffic; 2]; 2];
+/// Traffic of a member: sent and received, of the aggregation or gossip, then of the consensus.
+pub type MemberTraffic = [[Traffic; 2]; 2];
 
-/// The relay; ends when dropped.
+/// The relay; its thread stops when it is dropped.
 pub struct Relay {
-    counts: Arc<Mutex<Vec<Through>>>,
+    counts: Arc<Mutex<Vec<MemberTraffic>>>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<io::Result<()>>>,
 }
 
 enum Report {
     Timer,
-    Heard { at: usize, bytes: Vec<u8>, from: SocketAddr },
+    Received { at: usize, bytes: Vec<u8>, from: SocketAddr },
 }
 
 impl cottonnotch_reactor::Report for Report {
@@ -33,18 +33,18 @@
     }
 }
 
-struct End {
+struct RelaySocket {
     socket: UdpSocket,
     at: usize,
 }
 
-impl Connection for End {
+impl Connection for RelaySocket {
     type Report = Report;
 
     fn readable(&mut self, io: &mut cottonnotch_reactor::Io<Report>, _: Half) {
         let mut bytes = [0; 1_500];
         while let Ok((length, from)) = self.socket.recv_from(&mut bytes) {
-            io.report(Report::Heard { at: self.at, bytes: bytes[..length].to_vec(), from });
+            io.report(Report::Received { at: self.at, bytes: bytes[..length].to_vec(), from });
         }
     }
 
@@ -58,11 +58,11 @@
 }
 
 impl Relay {
-    /// Between so many members.
+    /// Starts a relay between this many members. Fails if an address cannot be bound.
     pub fn start(members: u32) -> io::Result<Self> {
-        let counts = Arc::new(Mutex::new(vec![Through::default(); members as usize]));
+        let counts = Arc::new(Mutex::new(vec![MemberTraffic::default(); members as usize]));
         let stop = Arc::new(AtomicBool::new(false));
-        let mut reactor = Reactor::<End>::new(Clock::unix())?;
+        let mut reactor = Reactor::<RelaySocket>::new(Clock::unix())?;
         let mut ends: Vec<Key> = Vec::new();
         let mut ways = BTreeMap::new();
         for (kind, port) in [PEERS_PORT, CONSENSUS_PORT].into_iter().enumerate() {
@@ -71,7 +71,7 @@
                 ends.push(reactor.insert(|key, io| {
                     let mut socket = UdpSocket::bind(address(member, port + RELAY_PORT_OFFSET))?;
                     io.register_reader(&mut socket, key)?;
-                    Ok(Box::new(End { socket, at }))
+                    Ok(Box::new(RelaySocket { socket, at }))
                 })?);
                 ways.insert(address(member, port), (kind, member as usize));
             }
@@ -84,7 +84,7 @@
                 reactor.io.owner_timer(now + 50_000, 0);
                 reactor.turn()?;
                 while let Some(report) = reactor.io.reports.pop_front() {
-                    let Report::Heard { at, bytes, from } = report else { continue };
+                    let Report::Received { at, bytes, from } = report else { continue };
                     let Some((kind, sender)) = ways.get(&from).copied() else { continue };
                     let to = at % members;
                     {
@@ -94,7 +94,7 @@
                     }
                     let port = if kind == 0 { PEERS_PORT } else { CONSENSUS_PORT };
                     let there = address(to as u32, port);
-                    // It comes from the sender's own end here: by that it is known.
+                    // Sent from the sender's socket here: by its address the receiver knows it.
                     reactor.with(ends[kind * members + sender], |end, _| {
                         let _ = end.socket.send_to(&bytes, there);
                     });
@@ -105,8 +105,8 @@
         Ok(Relay { counts, stop, thread: Some(thread) })
     }
 
-    /// What has gone through.
-    pub fn counts(&self) -> Vec<Through> {
+    /// The traffic so far, by member.
+    pub fn counts(&self) -> Vec<MemberTraffic> {
         self.counts.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
@@ -115,7 +115,7 @@
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Release);
         if let Some(thread) = self.thread.take() {
-            // What failed there shows in what was counted.
+            // A failure of the thread shows in its counters.
             let _ = thread.join();
         }
     }
--- a/crates/scale/src/run_result.rs
+++ b/crates/scale/src/run_result.rs
@@ -1,4 +1,4 @@
-//! The line that a run gives.
+//! The result of a run, printed as a line of JSON.
 
 use crate::counters::Counts;
 use crate::fault::Fault;
@@ -7,17 +7,17 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Mean over all members, and the most of one.
+/// Mean and maximum over all members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Spread {
-    /// Over all members.
+    /// Mean over all members.
     pub mean: f64,
-    /// The most of one.
+    /// The highest of a member.
     pub max: f64,
 }
 
 impl Spread {
-    /// Of these.
+    /// The spread of these figures.
     pub fn of(all: impl IntoIterator<Item = f64>) -> Spread {
         let (mut sum, mut count, mut max) = (0.0, 0.0, 0.0_f64);
         for one in all {
@@ -27,14 +27,14 @@
     }
 }
 
-/// What a run measured; figures by member and second unless said otherwise.
+/// The figures of a run; a member and second unless said otherwise.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RunResult {
-    /// The sizes.
+    /// Sizes of the fleet.
     pub shape: Shape,
     /// "sockets" (real time) or "virtual".
     pub world: String,
-    /// How long was measured.
+    /// Seconds of the measurement.
     pub seconds: f64,
     /// Control datagrams sent.
     pub messages_out: Spread,
@@ -44,68 +44,68 @@
     pub bytes_out: Spread,
     /// ... received.
     pub bytes_in: Spread,
-    /// Of these, bytes of the fleet view or gossip, both ways.
+    /// Of these, bytes of the aggregation or gossip in both directions.
     pub peers_bytes: Spread,
-    /// ... and of the accord.
+    /// ... and of the consensus.
     #[serde(rename = "accord_bytes")]
     pub consensus_bytes: Spread,
-    /// The busiest of the voters: accord bytes both ways (the leader's).
+    /// Consensus bytes of the leader in both directions.
     pub leader_bytes: f64,
     /// ... and its messages.
     pub leader_messages: f64,
     /// Processor time in microseconds: of the threads that run the members, by all of them.
     pub cpu_us: f64,
-    /// Attributed to a member while it was driven, its sends included and its reads not: fleet view or gossip.
+    /// Processor time of a member while it is driven, with its sends and without its reads: aggregation or gossip.
     pub cpu_peers_us: Spread,
-    /// ... accord.
+    /// ... consensus.
     #[serde(rename = "cpu_accord_us")]
     pub cpu_consensus_us: Spread,
-    /// ... lists.
+    /// ... endpoint lists.
     pub cpu_list_us: Spread,
-    /// ... once a second.
+    /// ... tick of every second.
     pub cpu_second_us: Spread,
     /// ... set-ups: microseconds for one, not by second.
     pub setup_us: f64,
     /// Set-ups.
     pub setups: f64,
-    /// Connections that the module moved.
+    /// Connections that the decision module has migrated.
     pub moves: f64,
-    /// Refused or failed.
+    /// Requests rejected or failed.
     pub refused: f64,
-    /// Heap bytes a member: without connections.
+    /// Heap bytes of a member without its connections.
     pub heap_bytes: f64,
     /// ... for each connection.
     pub heap_bytes_connection: f64,
     /// Resident bytes of the whole process.
     pub resident: u64,
-    /// Bytes of the list, as a call brings it.
+    /// Bytes of the endpoint list.
     pub list_bytes: f64,
-    /// Seconds from the moment a changed list is told until the last member has taken it; the mean member's.
+    /// Seconds from the publication of a changed list until the last member has applied it; below 0: not all have.
     pub list_all_s: f64,
-    /// See [`RunResult::list_all_s`].
+    /// ... until the mean member has applied it.
     pub list_mean_s: f64,
-    /// Members in the view of the mean member, of all.
+    /// Members in a member's snapshot, mean.
     pub view_members: f64,
-    /// Nodes that the mean view names, of those that are used by more than the least that is told.
+    /// Share of the nodes above the least reported utilization that a snapshot names, mean.
     pub view_named: f64,
-    /// Mean error of a node's use as told, over those that are used by more than the least.
+    /// Mean error of a node's utilization in snapshots, over the nodes above the least reported one.
     pub view_error: f64,
     /// Pairs of group and node among a member's own connections, mean.
     pub own_pairs: f64,
-    /// Entries of a member's last report that went out, of those it had. 1: nothing was cut off.
+    /// Seconds between two reports of a member, mean.
     pub period_s: f64,
-    /// What happened in the time that was measured, if anything.
+    /// The fault during the measurement, if any.
     #[serde(default)]
     pub fault: Option<Fault>,
-    /// What the records say of it.
+    /// The verdict on the records.
     #[serde(default)]
     pub verdict: Verdict,
-    /// Time that the run took in all.
+    /// Seconds that the run took in all.
     pub took_s: f64,
 }
 
-/// The figures that follow from members' counts in the line's time.
-pub fn fill(line: &mut RunResult, counts: &[(u32, Counts)], leaders: &BTreeSet<u32>) {
+/// Sets the figures that follow from the members' counters over the measurement.
+pub fn add_counters(line: &mut RunResult, counts: &[(u32, Counts)], leaders: &BTreeSet<u32>) {
     let seconds = line.seconds;
     let spread = |figure: &dyn Fn(&Counts) -> f64| {
         Spread::of(counts.iter().map(|(_, counts)| figure(counts) / seconds))
--- a/crates/scale/src/shape.rs
+++ b/crates/scale/src/shape.rs
@@ -1,21 +1,21 @@
-//! How large a tier is, and the synthetic connections that follow from that and a seed.
+//! The sizes of a fleet, and the synthetic connections that follow from them and a seed.
 
 use cottonnotch_decision::names::unit;
 use cottonnotch_decision::{Class, Idempotency, Micros, Settings, ZoneId};
 use serde::{Deserialize, Serialize};
 
-/// Servers that a group's connections go to, as the module chooses them today.
-pub const HOMES: u32 = 5;
+/// Size of a group's affinity subset, as the decision module chooses it today.
+pub const SUBSET_SIZE: u32 = 5;
 /// Mean load of a connection, work in microseconds a second.
 pub const LOAD: f64 = 20_000.0;
-/// A group costs a node that holds any of it as much as so many connections; as the fleet's keeper reckons.
+/// A group costs a node that holds any of it as much as so many connections; as the aggregator weighs it.
 const GROUP_COST: f64 = 3.0;
-/// Zones of the whole, and how many of them make a region.
+/// Number of zones.
 pub const ZONES: u32 = 6;
-/// The first half of the zones is one region.
+/// Zones of the first region; the others are the second.
 pub const ZONES_OF_A_REGION: u32 = 3;
 
-/// A tier's sizes.
+/// The sizes of a fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, clap::Args)]
 pub struct Shape {
     /// Proxies.
@@ -33,25 +33,25 @@
     /// Set-ups a second at each proxy.
     #[arg(long, default_value_t = 2.0)]
     pub setups: f64,
-    /// Mean load of a node over its size.
+    /// Mean utilization of a node: its load over its size.
     #[arg(long = "used", value_name = "USED", default_value_t = 0.55)]
     #[serde(rename = "used")]
     pub utilization: f64,
-    /// Tiers of so many members or more have a fleet view, smaller ones gossip.
+    /// Fleets of this many members or more have an aggregation, smaller ones gossip.
     #[arg(long, default_value_t = 24)]
     pub members_from: u32,
-    /// Wanted time of a message, milliseconds; 0: none, and no estimate of delays is noted or moves connections.
+    /// Latency objective of messages in milliseconds; 0: none, and no latency estimate migrates connections.
     #[arg(long = "aim-ms", value_name = "AIM_MS", default_value_t = 0)]
     #[serde(rename = "aim_ms", default)]
     pub latency_objective_ms: u32,
-    /// Heaviest groups that a member reports to the keeper, which works out their homes; 0: homes by a group's size are off.
+    /// Heaviest groups that a member reports to the aggregator, which sizes their subsets; 0: subsets do not follow a group's size.
     #[arg(long, default_value_t = 0)]
     #[serde(default)]
     pub group_homes: u32,
-    /// Members of the accord that vote; 0: there is no accord.
+    /// Voters of the consensus; 0: there is no consensus.
     #[arg(long, default_value_t = 3)]
     pub voters: u16,
-    /// All chance follows from it.
+    /// Seed of all random draws.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Two numbers as one that looks random.
+/// A hash of two numbers.
 pub fn mixed(a: u64, b: u64) -> u64 {
     // Finaliser of splitmix64 (Steele and others 2014).
     let mut z = a.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ b.wrapping_mul(0xd134_2543_de82_ef95);
@@ -84,13 +84,13 @@
 }
 
 impl Shape {
-    /// Groups there are.
+    /// Number of groups.
     pub fn groups(&self) -> u32 {
-        (self.pairs / HOMES).max(1)
+        (self.pairs / SUBSET_SIZE).max(1)
     }
 
-    /// The node that is a group's home, of [`HOMES`].
-    pub fn home(&self, group: u32, place: u32) -> u32 {
+    /// A node of a group's subset, by its index below [`SUBSET_SIZE`].
+    pub fn subset_node(&self, group: u32, place: u32) -> u32 {
         (mixed(self.seed ^ 0x686f_6d65, u64::from(group) << 8 | u64::from(place)) % u64::from(self.nodes))
             as u32
     }
@@ -103,16 +103,16 @@
     /// A node's listed size, in cores of standard speed.
     pub fn size(&self) -> f64 {
         let connections = f64::from(self.members) * f64::from(self.connections);
-        let load = LOAD * (connections + GROUP_COST * f64::from(self.groups() * HOMES));
+        let load = LOAD * (connections + GROUP_COST * f64::from(self.groups() * SUBSET_SIZE));
         load / (f64::from(self.nodes) * self.utilization.max(0.01) * 1e6)
     }
 
-    /// What a node has over its size, with that load of its connections and that many groups.
+    /// Utilization of a node with this load of its connections and this many groups.
     pub fn utilization_with(&self, load: f64, groups: usize) -> f64 {
         (load + GROUP_COST * LOAD * groups as f64) / (self.size() * 1e6)
     }
 
-    /// The zone of a member; also the list's name of it.
+    /// The zone of a member.
     pub fn zone(&self, member: u32) -> u32 {
         member % ZONES
     }
@@ -127,7 +127,7 @@
         (0..self.voters).collect()
     }
 
-    /// The module's settings at a member.
+    /// The decision module's settings at a member.
     pub fn settings(&self, member: u32) -> Settings {
         const MS: Micros = 1_000;
         let class = Class {
@@ -158,7 +158,7 @@
         }
     }
 
-    /// The list of render nodes as discovery tells it; `without` leaves out a zone's.
+    /// The endpoint list as discovery publishes it, but for the nodes of the zone `without`.
     pub fn list(&self, revision: u64, without: Option<u32>) -> String {
         let size = self.size();
         let member = |node: &u32| {
--- a/crates/scale/src/virtual_time.rs
+++ b/crates/scale/src/virtual_time.rs
@@ -1,12 +1,12 @@
-//! Hollow proxies on virtual time, linked in memory: deterministic from one seed, with regions that can be cut, members that stop
-//! and restart, and lists that change. Discovery is reached by all at any time; a watch is told a list after a moment.
+//! Hollow proxies on virtual time, linked in memory: deterministic from one seed, with regions that can be partitioned, members
+//! that stop and restart, and endpoint lists that change. Discovery is always reachable; a watch receives a list after a delay.
 
 use crate::counters::Counts;
 use crate::fault::{MS, S};
-use crate::hollow::{Hollow, MemberSetup};
-use crate::interface::{HollowInput, HollowOutput};
+use crate::hollow::Hollow;
+use crate::interface::{HollowInput, HollowOutput, MemberSetup};
 use crate::records::{MemberEvent, Record};
-use crate::run_result::{RunResult, fill};
+use crate::run_result::{RunResult, add_counters};
 use crate::shape::{Shape, mixed};
 use cottonnotch_consensus::DurableState;
 use cottonnotch_decision::Micros;
@@ -16,14 +16,14 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Any date; not at the beginning of an epoch of the fleet view's.
+/// Unix time at the start: any date that is not the start of an aggregation epoch.
 const START: Micros = 1_796_000_000 * S + 7 * S;
-/// Ways between two members: within a region, and between the two; up to half as long again.
+/// Delays between two members, within a region and between the two; jitter adds up to half.
 const DELAY_WITHIN_REGION: Micros = 500;
 const DELAY_BETWEEN_REGIONS: Micros = 38 * MS;
-/// Until a watch is told a list.
+/// Delay until a watch receives a list.
 const UPDATE_DELAY: Micros = 20 * MS;
-/// Lives are told apart by this many bits of a timer.
+/// Incarnations of a member stay below this many bits.
 const INCARNATION_BITS: u64 = 20;
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -39,20 +39,20 @@
     incarnation: u64,
     wake_up_at: Micros,
     durable_state: Option<DurableState>,
-    /// Of lives that have ended.
+    /// Counters of incarnations that have stopped.
     before: Vec<Counts>,
 }
 
-/// The tier and its links.
+/// A fleet and its links.
 pub struct VirtualFleet {
     shape: Shape,
     /// The present time; Unix time, as the proxies' clocks.
     pub now: Micros,
-    /// The two regions don't hear each other.
+    /// Whether the two regions are partitioned.
     pub regions_cut: bool,
-    /// Part of all datagrams that is lost, 0 to 1.
+    /// Share of all datagrams that is lost, 0 to 1.
     pub loss: f64,
-    /// What was recorded.
+    /// The records so far.
     pub records: Vec<Record>,
     seats: Vec<HostedMember>,
     deliveries: BinaryHeap<Reverse<(Micros, u64, Delivery)>>,
@@ -74,7 +74,7 @@
 }
 
 impl VirtualFleet {
-    /// All members begin within a second, their connections open.
+    /// Starts all members at once, with open connections.
     pub fn new(shape: &Shape) -> Self {
         let addresses: Vec<SocketAddr> = (0..shape.members).map(address).collect();
         let by_address = addresses.iter().copied().zip(0..).collect();
@@ -131,7 +131,7 @@
         self.execute_outputs(member);
     }
 
-    /// A member's process ends without a word.
+    /// Stops a member's process, which notifies nobody.
     pub fn stop(&mut self, member: u32) {
         let seat = &mut self.seats[member as usize];
         if let Some(mut hollow) = seat.hollow.take() {
@@ -141,7 +141,7 @@
         }
     }
 
-    /// It begins again, with what its disk holds and no connections.
+    /// Restarts a member with its durable state and without connections.
     pub fn restart(&mut self, member: u32) {
         self.stop(member);
         self.start_member(member, false);
@@ -152,12 +152,12 @@
         (0..self.shape.members).filter(|member| self.seats[*member as usize].hollow.is_some()).collect()
     }
 
-    /// The operator calls for a content at this member; contents of different kinds contradict each other.
+    /// The operator proposes a content at this member; contents of different kinds are incompatible.
     pub fn propose(&mut self, member: u32, content: u32, kind: u8) {
         self.deliver_input(member, HollowInput::Propose { content, kind });
     }
 
-    /// Discovery tells another list from now on, without a zone's nodes or with all.
+    /// Discovery publishes another list, with all nodes but those of the zone `without`.
     pub fn publish_endpoints(&mut self, revision: u64, without: Option<u32>) {
         self.list = list(&self.shape, revision, without);
         for member in self.running() {
@@ -166,12 +166,12 @@
         }
     }
 
-    /// A member that runs.
+    /// A member; `None`: it does not run.
     pub fn member(&mut self, member: u32) -> Option<&mut Hollow> {
         self.seats[member as usize].hollow.as_mut()
     }
 
-    /// What each member has counted, all its lives together.
+    /// The counters of each member, by incarnation.
     pub fn counts(&mut self) -> Vec<(u32, Vec<Counts>)> {
         let of = |(member, seat): (usize, &mut HostedMember)| {
             let now = seat.hollow.as_mut().map(|hollow| *hollow.counts());
@@ -180,7 +180,7 @@
         self.seats.iter_mut().enumerate().map(of).collect()
     }
 
-    /// Runs for so long.
+    /// Runs for this long.
     pub fn run(&mut self, span: Micros) {
         let until = self.now + span;
         while self.deliveries.peek().is_some_and(|Reverse((at, ..))| *at <= until) {
@@ -285,8 +285,8 @@
     }
 }
 
-/// Plays a quiet tier: so long until it is measured, and so long while it is. Processor time is none of its figures; `heap`
-/// tells the bytes that are allocated.
+/// Measures a quiet fleet over `window` after `warm_up`. Processor time is not among its figures; `heap` returns the allocated
+/// bytes.
 pub fn measure(shape: &Shape, warm_up: Micros, window: Micros, heap: impl Fn() -> usize) -> RunResult {
     let empty = heap();
     let mut world = VirtualFleet::new(shape);
@@ -311,6 +311,6 @@
         heap_bytes: heap().saturating_sub(empty) as f64 / f64::from(shape.members),
         ..RunResult::default()
     };
-    fill(&mut line, &counts, &leaders);
+    add_counters(&mut line, &counts, &leaders);
     line
 }
--- a/crates/scale/tests/slopes.rs
+++ b/crates/scale/tests/slopes.rs
@@ -1,9 +1,9 @@
-//! What a member sends, hears and holds grows no faster than stated, in members, nodes and pairs. On virtual time, from one seed:
-//! judged by counts, not by time.
+//! A member's traffic and memory grow no faster than their bounds with members, nodes and pairs. On virtual time, from one seed:
+//! counts are compared, not times.
 
 use cap::Cap;
 use cottonnotch_scale::Shape;
-use cottonnotch_scale::bounds::{BOUNDS, broken};
+use cottonnotch_scale::bounds::{BOUNDS, exceeded_bounds};
 use cottonnotch_scale::fault::S;
 use cottonnotch_scale::fit::{Axis, figure};
 use cottonnotch_scale::run_result::{RunResult, Spread};
@@ -24,9 +24,9 @@
     }
 }
 
-/// One test plays: the heap is the whole process's.
+/// One test alone measures: the heap is the whole process's.
 #[test]
-fn no_slope_is_over_its_bound() {
+fn slopes_do_not_exceed_bounds() {
     for axis in [Axis::Members, Axis::Nodes, Axis::Pairs] {
         let play = |shape: &Shape| measure(shape, 12 * S, 20 * S, || HEAP.allocated());
         let lines: Vec<RunResult> = shapes(axis).iter().map(play).collect();
@@ -34,13 +34,13 @@
             let measured: Vec<f64> = lines.iter().filter_map(|line| figure(line, bound.figure)).collect();
             println!("{} along {axis:?}: {measured:?}", bound.figure);
         }
-        assert_eq!(broken(&lines, axis), Some(Vec::new()), "seed {}", lines[0].shape.seed);
+        assert_eq!(exceeded_bounds(&lines, axis), Some(Vec::new()), "seed {}", lines[0].shape.seed);
     }
 }
 
-/// Each member tells each other one: what no member may send.
+/// Each member sends to each other one, which the bounds exclude.
 #[test]
-fn a_figure_that_grows_with_all_members_breaks_its_bound() {
+fn rejects_all_to_all_traffic() {
     let line = |members: u32| {
         let messages = Spread { mean: f64::from(members), max: f64::from(members) };
         RunResult {
@@ -49,6 +49,6 @@
             ..RunResult::default()
         }
     };
-    let found = broken(&[30, 60, 120].map(line), Axis::Members).expect("lines that can be fitted");
+    let found = exceeded_bounds(&[30, 60, 120].map(line), Axis::Members).expect("lines that can be fitted");
     assert!(matches!(&found[..], [one] if one.starts_with("messages_out.mean along Members")), "{found:?}");
 }
