--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,8 +1,8 @@
-//! Plays soak runs, seed by seed, and says which broke a rule.
+//! Executes soak runs seed by seed, and prints which of them broke a rule.
 
 use clap::Parser;
-use cottonnotch_soak::draw::{Size, draw};
-use cottonnotch_soak::play::{Programs, Soaked, play};
+use cottonnotch_soak::generator::{Size, generate};
+use cottonnotch_soak::runner::{Programs, SoakResult, run_soak};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -45,7 +45,7 @@
 }
 
 impl CommandLine {
-    /// How many runs did not pass.
+    /// Executes all runs; the number of those that did not pass.
     fn run(self) -> Result<u64, Box<dyn std::error::Error>> {
         let own = std::env::current_exe()?;
         let beside = |name: &str| own.with_file_name(name);
@@ -59,36 +59,36 @@
         for seed in self.seed..self.seed + self.seeds {
             let folder = self.logs.join(format!("seed-{seed}"));
             std::fs::create_dir_all(&folder)?;
-            let drawn = draw(seed, size)?;
-            std::fs::write(folder.join("scenario.toml"), &drawn.text)?;
-            println!("seed {seed}: {}", describe(&drawn.text));
-            drawn.course.changes().iter().filter(|change| change.at > 0).for_each(|change| {
+            let generated = generate(seed, size)?;
+            std::fs::write(folder.join("scenario.toml"), &generated.scenario)?;
+            println!("seed {seed}: {}", describe_faults(&generated.scenario));
+            generated.shim_schedule.changes().iter().filter(|change| change.at > 0).for_each(|change| {
                 println!("  {:>7.3} s {:?} = {}", change.at as f64 / 1e6, change.setting, change.value);
             });
-            let soaked = play(drawn, &programs, &folder)?;
-            failed += u64::from(!soaked.passed());
-            report(seed, &soaked, &folder);
+            let result = run_soak(generated, &programs, &folder)?;
+            failed += u64::from(!result.passed());
+            print_result(seed, &result, &folder);
         }
         Ok(failed)
     }
 }
 
 /// The faults of a scenario in one line.
-fn describe(text: &str) -> String {
+fn describe_faults(scenario: &str) -> String {
     let wanted = |line: &&str| ["count", "at_s", "kind", "change"].iter().any(|key| line.starts_with(key));
-    text.lines().filter(wanted).collect::<Vec<_>>().join(", ")
+    scenario.lines().filter(wanted).collect::<Vec<_>>().join(", ")
 }
 
-fn report(seed: u64, soaked: &Soaked, folder: &Path) {
-    let word = if soaked.passed() { "passed" } else { "NOT PASSED" };
-    let injected: Vec<String> = (soaked.injected.iter())
+fn print_result(seed: u64, result: &SoakResult, folder: &Path) {
+    let status = if result.passed() { "passed" } else { "NOT PASSED" };
+    let injected: Vec<String> = (result.injected.iter())
         .filter(|(_, count)| *count > 0)
         .map(|(setting, count)| format!("{setting:?} {count}"))
         .collect();
-    println!("seed {seed}: {word}; calls changed: {}", injected.join(", "));
-    if !soaked.passed() {
-        println!("{}", soaked.verdict);
-        soaked.accusations.iter().for_each(|line| println!("  {line}"));
+    println!("seed {seed}: {status}; calls changed: {}", injected.join(", "));
+    if !result.passed() {
+        println!("{}", result.verdict);
+        result.findings.iter().for_each(|line| println!("  {line}"));
         println!("  logs in {}", folder.display());
     }
 }
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/runner.rs
@@ -1,7 +1,7 @@
-//! One run: the daemons under their shims, and what came of it.
+//! One run: the daemons under their shims, and its result.
 
-use crate::draw::Drawn;
-use crate::logs::accusations;
+use crate::generator::GeneratedRun;
+use crate::log_findings::log_findings;
 use cottonnotch_kit::judge::Verdict;
 use cottonnotch_kit::processes::Daemon;
 use cottonnotch_kit::rehearse::{self, CannotRun, Setup};
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 
-/// Sets variables and becomes another program: so the shims are loaded into the daemon alone.
+/// Sets variables and executes another program: so the shims are loaded into the daemon alone.
 const ENV: &str = "/usr/bin/env";
 
 /// The programs of a run.
@@ -20,55 +20,55 @@
 pub struct Programs {
     /// The daemon.
     pub daemon: PathBuf,
-    /// The shims' shared library.
+    /// Shared library of the shims.
     pub shims: PathBuf,
-    /// The operator's file, if one is to be given.
+    /// The operator's file, if any.
     pub operator: Option<PathBuf>,
 }
 
-/// Why there was no run.
+/// Why a run was not possible.
 #[derive(Debug, thiserror::Error)]
-pub enum CannotSoak {
-    /// A program is not there.
+pub enum SoakError {
+    /// A program does not exist.
     #[error("{0} is missing: build it first (cargo build --release)")]
     Missing(PathBuf),
-    /// The run's own files.
+    /// A file of the run cannot be read or written.
     #[error("a file of the run: {0}")]
     File(#[from] io::Error),
-    /// The kit.
+    /// The kit cannot run the plan.
     #[error(transparent)]
     Kit(#[from] CannotRun),
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Debug)]
-pub struct Soaked {
-    /// By the kit's judge, from outside.
+pub struct SoakResult {
+    /// Verdict of the kit's judge, from outside.
     pub verdict: Verdict,
-    /// By the daemons' own guards and logs.
-    pub accusations: Vec<String>,
-    /// How often the shims made calls fail, by what was set.
+    /// Findings of the daemons' own guards and logs.
+    pub findings: Vec<String>,
+    /// Number of calls that the shims have changed, by setting.
     pub injected: Vec<(Setting, i64)>,
 }
 
-impl Soaked {
-    /// No rule was broken, as far as anybody saw, and the run proves something.
+impl SoakResult {
+    /// Whether the run is valid and no rule was broken.
     pub fn passed(&self) -> bool {
-        self.verdict.passed() && self.accusations.is_empty()
+        self.verdict.passed() && self.findings.is_empty()
     }
 }
 
 impl Programs {
-    /// Checks that they are there.
-    pub fn check(&self) -> Result<(), CannotSoak> {
+    /// Checks that all files exist.
+    pub fn check(&self) -> Result<(), SoakError> {
         let needed = [Some(&self.daemon), Some(&self.shims), self.operator.as_ref()];
         match needed.into_iter().flatten().find(|path| !path.is_file()) {
-            Some(missing) => Err(CannotSoak::Missing(missing.clone())),
+            Some(missing) => Err(SoakError::Missing(missing.clone())),
             None => Ok(()),
         }
     }
 
-    fn under(&self, control: &Path) -> Daemon {
+    fn daemon_with_shims(&self, control: &Path) -> Daemon {
         let variable = |name: &str, path: &Path| {
             let mut text = OsString::from(format!("{name}="));
             text.push(path);
@@ -86,28 +86,32 @@
     }
 }
 
-/// Plays a run; configurations and logs stay in `folder`.
-pub fn play(drawn: Drawn, programs: &Programs, folder: &Path) -> Result<Soaked, CannotSoak> {
+/// Executes a run; configurations and logs stay in `folder`. Fails if it cannot start or its files cannot be used.
+pub fn run_soak(
+    generated: GeneratedRun,
+    programs: &Programs,
+    folder: &Path,
+) -> Result<SoakResult, SoakError> {
     programs.check()?;
     std::fs::create_dir_all(folder)?;
     let control = Control::create(&folder.join("shims"))?;
     let setup = Setup {
-        daemon: programs.under(control.path()),
+        daemon: programs.daemon_with_shims(control.path()),
         keep: Some(folder.to_owned()),
         interrupted: Arc::new(AtomicBool::new(false)),
     };
-    let (mut course, mut trouble) = (drawn.course, None);
-    let run = rehearse::run(drawn.plan, &setup, |_, board| {
-        if let Err(error) = course.advance(board.clock.now(), &control) {
-            trouble = Some(error);
+    let (mut shim_schedule, mut shim_error) = (generated.shim_schedule, None);
+    let run = rehearse::run(generated.plan, &setup, |_, board| {
+        if let Err(error) = shim_schedule.apply_due(board.clock.now(), &control) {
+            shim_error = Some(error);
         }
     })?;
-    if let Some(error) = trouble {
+    if let Some(error) = shim_error {
         return Err(error.into());
     }
     let mut injected = Vec::new();
     for setting in Setting::ALL {
         injected.push((setting, control.count(setting)?));
     }
-    Ok(Soaked { verdict: run.verdict, accusations: accusations(folder)?, injected })
+    Ok(SoakResult { verdict: run.verdict, findings: log_findings(folder)?, injected })
 }
