--- a/crates/cottonnotch/tests/endings/late_connections.rs
+++ b/crates/cottonnotch/tests/endings/late_connections.rs
@@ -35,6 +35,7 @@
     far.reset();
     // The repeat is out by now, and the system tries again a second after the first time.
     taken(&proxy);
+    proxy.wait_until_dropped(crowded.node().address());
     let mut late = crowded.accept();
     assert_eq!(late.receive(), "", "the window was over when it came up");
     assert!(
@@ -69,6 +70,7 @@
     let mut client = proxy.connect();
     client.send(&with_fresh_id(OPEN).replace("d=2000", "d=20000"));
     taken(&proxy);
+    proxy.wait_until_dropped(crowded.node().address());
     let mut far = crowded.accept();
     let line = far.receive();
     let told = line.split([' ', ',']).find_map(|word| word.strip_prefix("d=")).expect("d");
--- a/crates/cottonnotch/tests/peers/proxy.rs
+++ b/crates/cottonnotch/tests/peers/proxy.rs
@@ -311,6 +311,23 @@
         });
     }
 
+    /// Waits until a connection of the process to this address has been dropped by a full backlog: it is still being made a fifth of
+    /// a second after its first packet, and the system tries again a second after that packet. Without this, a packet that a busy
+    /// machine delivers late could meet room that was made for the second try.
+    pub fn wait_until_dropped(&self, address: SocketAddr) {
+        const SYN_SENT: &str = "02";
+        /// Hundredths of a second that are left of the second when a fifth of it is over.
+        const LEFT: u32 = 80;
+        let suffix = format!(":{:04X}", address.port());
+        wait_for(TIMEOUT, "a dropped connection", || {
+            let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
+            let mut rows = table.lines().skip(1).map(|line| line.split_whitespace().collect::<Vec<_>>());
+            let until_retry = |row: &Vec<&str>| u32::from_str_radix(row[5].split(':').nth(1)?, 16).ok();
+            let is_dropped = |row: &Vec<&str>| until_retry(row).is_some_and(|left| left <= LEFT);
+            rows.any(|row| row[2].ends_with(&suffix) && row[3] == SYN_SENT && is_dropped(&row)).then_some(())
+        });
+    }
+
     /// The process goes on, once all that was sent to it is there; since when.
     pub fn resume_after_arrival(&self) -> Instant {
         self.wait_until_arrived();
