--- a/crates/cottonnotch/tests/endings/lists.rs
+++ b/crates/cottonnotch/tests/endings/lists.rs
@@ -146,8 +146,10 @@
         is_served(&proxy, &nodes);
     }
     let (mut call, _) = proxy.discovery.accept_attempt();
-    // An attempt is out as the drain is told; what it becomes is no new attempt.
-    let mut late = proxy.open();
+    // An attempt is out as the drain is told; what it becomes is no new attempt. The client waits for longer than the process may
+    // stand still on a busy machine.
+    let mut late = proxy.connect();
+    late.send(&with_fresh_id(OPEN).replace("d=2000", "d=20000"));
     let first = nodes[0].accept_attempt().0;
     proxy.pause();
     call.send(&format!("{HEAD}{}", chunk(&drain(2, &nodes))));
