--- a/crates/aggregation/benches/homes.rs
+++ b/crates/aggregation/benches/homes.rs
@@ -2,6 +2,12 @@
 //! sizes fall as 1 over their rank, the largest of a million connections. Without and with, one JSON line each.
 //!
 //! `cargo bench --locked -p cottonnotch-aggregation --bench homes`; `-- 440` for one size.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 #[path = "../tests/simulation/mod.rs"]
 mod simulation;
--- a/crates/aggregation/tests/affinity_subsets.rs
+++ b/crates/aggregation/tests/affinity_subsets.rs
@@ -1,5 +1,11 @@
 //! Affinity subsets by a group's load, in fleets with faults: loss, delay, stops, restarts, cuts, members that aren't heard, older
 //! programs, strangers and faulty members.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod simulation;
 use cottonnotch_aggregation::wire::{self, Datagram, Fragment, GroupReport, SubsetSizes};
--- a/crates/aggregation/tests/fleet.rs
+++ b/crates/aggregation/tests/fleet.rs
@@ -1,5 +1,11 @@
 //! A whole fleet in one process on virtual time from one seed: datagrams are lost and late, members restart, partitions are cut
 //! off. What is measured is how far the told sums are from the true ones, and what that costs.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_aggregation::wire::{EndpointSummary, Fragment, Totals};
 use cottonnotch_aggregation::*;
--- a/crates/aggregation/tests/golden.rs
+++ b/crates/aggregation/tests/golden.rs
@@ -1,4 +1,10 @@
 //! Datagrams of the fleet snapshot keep the bytes that earlier builds gave them.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_aggregation::wire::{
     Datagram, EndpointSummary, FleetSummary, Fragment, GroupReport, Report, SubsetSizes, Totals, encode_load,
--- a/crates/aggregation/tests/stopped.rs
+++ b/crates/aggregation/tests/stopped.rs
@@ -1,4 +1,10 @@
 //! A member that was stopped while it asked: what it finds in its socket is as old as that, and it asks anew at once.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_aggregation::{FleetSection, Input, Member, Micros, Output, Settings, aggregator_order};
 
--- a/crates/aggregation/tests/wall_clock.rs
+++ b/crates/aggregation/tests/wall_clock.rs
@@ -1,4 +1,10 @@
 //! The wall clock is stepped: epochs, on which all members must agree, follow it; no other time does.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_aggregation::{
     EPOCH, FleetSection, Input, Member, Micros, Output, Settings, aggregator_order,
--- a/crates/consensus/tests/config.rs
+++ b/crates/consensus/tests/config.rs
@@ -1,4 +1,10 @@
 //! Checks of the configured spans and voters.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_consensus::{Config, ConfigError, Timing};
 
--- a/crates/consensus/tests/endpoint_lists.rs
+++ b/crates/consensus/tests/endpoint_lists.rs
@@ -1,4 +1,10 @@
 //! Endpoint lists: a member whose list is older than that of others is notified, once.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -1,6 +1,12 @@
 //! Exhaustive searches of a small cluster: three voters act on one version while an incompatible one is proposed. Either all
 //! orders of messages to a depth, or all schedules of faults by time slots. `ACCORD_DEPTH` adds to the depth of the second,
 //! `ACCORD_STATES` sets how many states the first visits.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 
--- a/crates/consensus/tests/fault_free.rs
+++ b/crates/consensus/tests/fault_free.rs
@@ -1,4 +1,10 @@
 //! Without faults: proposals come in force everywhere, soon.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 
--- a/crates/consensus/tests/fault_scenarios.rs
+++ b/crates/consensus/tests/fault_scenarios.rs
@@ -1,4 +1,10 @@
 //! Single faults at the worst moments, and what must hold after them.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -1,4 +1,10 @@
 //! Messages and durable state keep the bytes that earlier builds gave them.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_consensus::{
     DurableState, LeaseGrant, LeaseRequest, ListRevision, Message, Pending, Phase, ProposalId,
--- a/crates/consensus/tests/growth.rs
+++ b/crates/consensus/tests/growth.rs
@@ -2,6 +2,12 @@
 //! virtual time; bytes are of messages in postcard, without envelope, UDP and IP. `docs/CAPACITY.md` quotes the lines printed.
 //!
 //! By default up to 110 members; `ACCORD_GROWTH=full` runs 30 to 440.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 
--- a/crates/consensus/tests/measurements.rs
+++ b/crates/consensus/tests/measurements.rs
@@ -1,4 +1,10 @@
 //! Cost and duration, without faults or with one; the bounds are those of the design note.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 
--- a/crates/consensus/tests/mutants.rs
+++ b/crates/consensus/tests/mutants.rs
@@ -1,4 +1,10 @@
 //! Faults built in on purpose, each of which the oracle must find: tests that can't fail prove nothing.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 
--- a/crates/consensus/tests/random_faults.rs
+++ b/crates/consensus/tests/random_faults.rs
@@ -1,4 +1,10 @@
 //! Random faults on many seeds; `ACCORD_SEEDS` sets how many.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 
--- a/crates/consensus/tests/wire.rs
+++ b/crates/consensus/tests/wire.rs
@@ -1,4 +1,10 @@
 //! Messages: their size, and that no message from outside stops a member.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_consensus::{
     Config, DurableState, Input, LeaseGrant, LeaseRequest, ListRevision, Member, Message, Pending, Phase,
--- a/crates/cottonnotch/tests/call_faults.rs
+++ b/crates/cottonnotch/tests/call_faults.rs
@@ -1,4 +1,10 @@
 //! System calls that fail for a moment, as Linux documents: no request is lost, no signal is missed.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod peers;
 use cottonnotch_shim_control::Setting;
--- a/crates/cottonnotch/tests/clock_steps.rs
+++ b/crates/cottonnotch/tests/clock_steps.rs
@@ -1,4 +1,10 @@
 //! The wall clock is stepped while a proxy runs: ages, budgets and the order of processes go by real time.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod peers;
 use cottonnotch_shim_control::Setting;
--- a/crates/cottonnotch/tests/configuration.rs
+++ b/crates/cottonnotch/tests/configuration.rs
@@ -1,4 +1,10 @@
 //! The command line, both configuration files, and the log's forms, as an operator meets them.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod peers;
 use peers::*;
--- a/crates/cottonnotch/tests/consensus/main.rs
+++ b/crates/cottonnotch/tests/consensus/main.rs
@@ -2,6 +2,12 @@
 //!
 //! Each scenario starts real processes, with a relay between each two of them (`link`), stand-ins of discovery, render nodes and
 //! clients (`standin`), and is judged from outside (`judge`): by what arrived where and when, and by what each client heard.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 #![allow(dead_code, reason = "each scenario uses a part of the rig")]
 
 mod cluster;
--- a/crates/cottonnotch/tests/file_faults.rs
+++ b/crates/cottonnotch/tests/file_faults.rs
@@ -1,4 +1,10 @@
 //! Files that fail for a while: what an operator was told is still owed, and a process that starts serves.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod peers;
 use cottonnotch_shim_control::Setting;
--- a/crates/cottonnotch/tests/golden.rs
+++ b/crates/cottonnotch/tests/golden.rs
@@ -1,4 +1,10 @@
 //! What operators are shown keeps the text that earlier builds gave it: `check`, `/status`, `/maintenance` and the figures.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod peers;
 use cottonnotch_golden::{assert_text, golden_path};
--- a/crates/cottonnotch/tests/gossip.rs
+++ b/crates/cottonnotch/tests/gossip.rs
@@ -1,5 +1,11 @@
 //! Stories of gossip and of the fleet view on sockets: the real proxy, whose peers this file plays with the protocols' own
 //! crates.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod peers;
 use cottonnotch_aggregation::wire::{self, Datagram, FleetSummary, Report, Totals};
--- a/crates/cottonnotch/tests/hard_days.rs
+++ b/crates/cottonnotch/tests/hard_days.rs
@@ -1,4 +1,10 @@
 //! Stories of hard days: first lines in pieces, and clients that go at every stage.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod peers;
 use peers::*;
--- a/crates/cottonnotch/tests/homes.rs
+++ b/crates/cottonnotch/tests/homes.rs
@@ -1,5 +1,11 @@
 //! Stories of homes by a group's size: several real processes, a relay between each two of them that a story cuts, and stand-ins
 //! of render nodes. They are judged from outside: by where the connections of one large group stand.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod peers;
 use cottonnotch_aggregation::{EPOCH, aggregator_order};
--- a/crates/cottonnotch/tests/lists.rs
+++ b/crates/cottonnotch/tests/lists.rs
@@ -1,4 +1,10 @@
 //! Stories of lists: in which forms they come, how they are spoilt, and how a watch falls silent.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod peers;
 use peers::*;
--- a/crates/cottonnotch/tests/management.rs
+++ b/crates/cottonnotch/tests/management.rs
@@ -1,4 +1,10 @@
 //! Stories of operators: what they are told, whatever else goes on.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod peers;
 use peers::*;
--- a/crates/cottonnotch/tests/records.rs
+++ b/crates/cottonnotch/tests/records.rs
@@ -1,4 +1,10 @@
 //! The proxy's records, read back by their reader and compared with what the peers saw.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod peers;
 use cottonnotch_records::*;
--- a/crates/cottonnotch/tests/replacement.rs
+++ b/crates/cottonnotch/tests/replacement.rs
@@ -1,4 +1,10 @@
 //! Stories of two processes of one proxy: one takes over from the other under load.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod peers;
 use peers::*;
--- a/crates/cottonnotch/tests/retuning.rs
+++ b/crates/cottonnotch/tests/retuning.rs
@@ -1,4 +1,10 @@
 //! Stories of SIGHUP with other settings: whole or not at all, and what was taken before keeps its rules.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod peers;
 use peers::*;
--- a/crates/cottonnotch/tests/rules.rs
+++ b/crates/cottonnotch/tests/rules.rs
@@ -1,4 +1,10 @@
 //! Proxies that follow their owners' rules, alone and in agreement, through reloads, stops and losses.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod peers;
 use peers::*;
--- a/crates/cottonnotch/tests/sockets.rs
+++ b/crates/cottonnotch/tests/sockets.rs
@@ -1,4 +1,10 @@
 //! Stories over loopback sockets: the real program between scripted clients, render nodes and discovery.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod peers;
 use peers::*;
--- a/crates/decision/benches/affinity.rs
+++ b/crates/decision/benches/affinity.rs
@@ -2,6 +2,12 @@
 //! connections, with a subset of five and with as many as the load needs. Then what a placement costs. One JSON line a case.
 //!
 //! `cargo bench --locked -p cottonnotch-decision --bench affinity`; `-- --members 440 --group 1000000` for the whole.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_decision::*;
 use std::time::Instant;
--- a/crates/decision/benches/growth.rs
+++ b/crates/decision/benches/growth.rs
@@ -2,6 +2,12 @@
 //!
 //! A plain main that prints a line of JSON a point, beside Criterion's figures for the single placement: what is asked is how
 //! the cost grows, and a wake of thousands is too long for Criterion's loop.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 #![allow(missing_docs)]
 
 use cottonnotch_decision::*;
--- a/crates/decision/tests/affinity.rs
+++ b/crates/decision/tests/affinity.rs
@@ -1,5 +1,11 @@
 //! Affinity subsets by a group's size: the size stated for a group decides over how many servers its connections rotate, and
 //! nothing else.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 use common::*;
--- a/crates/decision/tests/any_settings/main.rs
+++ b/crates/decision/tests/any_settings/main.rs
@@ -1,4 +1,10 @@
 //! Any settings, any troubles: what a node does keeps the rules. Plays on virtual time, checked from outside.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod checker;
 mod mutants;
--- a/crates/decision/tests/balancer.rs
+++ b/crates/decision/tests/balancer.rs
@@ -1,4 +1,10 @@
 //! Scripted events: the mechanism, the rules, and one test for each failure found.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 use common::*;
--- a/crates/decision/tests/fleet.rs
+++ b/crates/decision/tests/fleet.rs
@@ -1,5 +1,11 @@
 //! Many nodes that share one store for their set-ups: it takes so many a second, first come first served, and works also
 //! for attempts that were given up meanwhile. Each node keeps to its quota, or they keep it down.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 use common::*;
--- a/crates/decision/tests/invariants.rs
+++ b/crates/decision/tests/invariants.rs
@@ -1,4 +1,10 @@
 //! Property tests of the rules: seeded random worlds, legal and illegal events.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 use common::*;
--- a/crates/decision/tests/list_clock.rs
+++ b/crates/decision/tests/list_clock.rs
@@ -1,5 +1,11 @@
 //! The list's clock on virtual time: how much of the six seconds after a watch's last word is left when a new watch has
 //! answered. Discovery's calls fail after 50 ms, and a call that goes well has answered after 50 ms.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_decision::list_polling::WATCH_SILENT_AFTER;
 use cottonnotch_decision::*;
--- a/crates/decision/tests/list_polling.rs
+++ b/crates/decision/tests/list_polling.rs
@@ -1,6 +1,12 @@
 //! Calls for lists on virtual time, of a whole fleet against a discovery that answers one after another at a rate it bears.
 //! What became of a call, whatever it was, must not put off the next one: a change counts as notified 6 s after discovery had
 //! it and could be reached.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_decision::list_polling::{UNANSWERED_AFTER, WATCH_SILENT_AFTER};
 use cottonnotch_decision::*;
--- a/crates/decision/tests/memory.rs
+++ b/crates/decision/tests/memory.rs
@@ -1,5 +1,11 @@
 //! What the decisions of one node hold, in bytes of heap, by standing connections and by render nodes: it grows with each of
 //! the two alone, never with their product. `docs/CAPACITY.md` quotes the slopes; a test fails when one grows past that.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 
--- a/crates/decision/tests/peer_reports.rs
+++ b/crates/decision/tests/peer_reports.rs
@@ -1,4 +1,10 @@
 //! What other nodes say of a server: evidence that confirms, never an order.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 use common::*;
--- a/crates/decision/tests/quota.rs
+++ b/crates/decision/tests/quota.rs
@@ -1,4 +1,10 @@
 //! Parts of what belongs to all nodes together.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_decision::quota::{Quota, TokenBucket};
 use cottonnotch_decision::{FleetStatus, Micros};
--- a/crates/decision/tests/routing_rules.rs
+++ b/crates/decision/tests/routing_rules.rs
@@ -1,5 +1,11 @@
 //! The module under rules: what is forbidden gets nothing, each dispatch asks anew, and a rulebook that allows all
 //! changes nothing.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 
--- a/crates/decision/tests/settings.rs
+++ b/crates/decision/tests/settings.rs
@@ -1,4 +1,10 @@
 //! Settings as the platform sends them: what is accepted, and what is rejected with its key, what was found and what is allowed.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_decision::settings::{InvalidSetting, Pairs, Profile, read};
 use cottonnotch_decision::*;
--- a/crates/decision/tests/short_deadlines.rs
+++ b/crates/decision/tests/short_deadlines.rs
@@ -1,4 +1,10 @@
 //! Deadlines of some ten milliseconds, targets that are not stated, and windows that end while a request is queued.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 use common::*;
--- a/crates/decision/tests/size.rs
+++ b/crates/decision/tests/size.rs
@@ -1,4 +1,10 @@
 //! The files that decide are printed and kept in the on-call folder: each stays short and narrow, and says first what it is for.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use std::path::{Path, PathBuf};
 
--- a/crates/decision/tests/slow_start_fleet.rs
+++ b/crates/decision/tests/slow_start_fleet.rs
@@ -2,6 +2,12 @@
 //! connections within the settings' window, N being what the settings allow it then. Nodes join without a view, die and are
 //! believed alive, receive their shares or not, late, or by two sides that don't hear each other; servers join, and come back
 //! cold after a drain or a crash; clients come in a burst.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 use common::*;
--- a/crates/golden/src/lib.rs
+++ b/crates/golden/src/lib.rs
@@ -3,6 +3,8 @@
 //! A test makes the same output again and holds it equal. With the environment variable `UPDATE_GOLDEN` set, the files are
 //! written instead; that is only right for an intended change of format. Test support: no crate of the product depends on it.
 
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by a panic")]
+
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
--- a/crates/gossip/benches/cost.rs
+++ b/crates/gossip/benches/cost.rs
@@ -1,5 +1,11 @@
 //! What gossip costs a proxy: reading a datagram by each strength, dropping one that is not worth reading, and a whole
 //! period with few and many members and endpoints.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 #![allow(missing_docs)]
 
 use cottonnotch_gossip::wire::{Draft, Header};
--- a/crates/gossip/tests/faulty_peers.rs
+++ b/crates/gossip/tests/faulty_peers.rs
@@ -1,4 +1,10 @@
 //! Faulty peers: false reports, replays, forgeries, floods and other protocol versions, and what they achieve.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 use common::*;
--- a/crates/gossip/tests/golden.rs
+++ b/crates/gossip/tests/golden.rs
@@ -1,4 +1,10 @@
 //! Datagrams keep the bytes that earlier builds gave them, with each kind of proof.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_golden::{assert_bytes, golden_path};
 use cottonnotch_gossip::wire::{Broadcast, Draft, Header, LONGEST, ReportedState, Section, read_sections};
--- a/crates/gossip/tests/membership.rs
+++ b/crates/gossip/tests/membership.rs
@@ -1,4 +1,10 @@
 //! Membership: killed, partitioned, restarted, slow and leaving members, among few and many, on a bad network.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 use common::*;
--- a/crates/gossip/tests/one_member.rs
+++ b/crates/gossip/tests/one_member.rs
@@ -1,4 +1,10 @@
 //! One member, the others simulated by hand: what a fleet of correct members hides, because several guards hold at once.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 use common::*;
--- a/crates/kit/tests/bad_proxy.rs
+++ b/crates/kit/tests/bad_proxy.rs
@@ -1,4 +1,10 @@
 //! The bad proxy on the wire: without a fault it keeps the rules, and each fault is really shown.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod rig;
 
--- a/crates/kit/tests/commands.rs
+++ b/crates/kit/tests/commands.rs
@@ -1,5 +1,11 @@
 //! The kit as its user runs it: exit codes, plain words, and nothing left behind. These run beside the proxy's program,
 //! which `cargo test` builds for the whole workspace.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::io::Read;
--- a/crates/kit/tests/faulty_scenarios.rs
+++ b/crates/kit/tests/faulty_scenarios.rs
@@ -1,4 +1,10 @@
 //! Whatever is wrong with a scenario is told with the file, the line, the key, and what to do.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_kit::scenario::Scenario;
 use std::path::Path;
--- a/crates/kit/tests/scenarios.rs
+++ b/crates/kit/tests/scenarios.rs
@@ -1,4 +1,10 @@
 //! Scenarios as shipped and as written by hand: what is drawn from them.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_kit::plan::Phase;
 use cottonnotch_kit::plan::{NodeChange, NodeId, Plan, ProxyChange, ProxyId, What};
--- a/crates/proxy-core/benches/growth.rs
+++ b/crates/proxy-core/benches/growth.rs
@@ -1,5 +1,11 @@
 //! What a list costs by its length, and what a proxy's once-a-second work costs by its connections and by render nodes. A line
 //! of JSON a point; `docs/CAPACITY.md` quotes them.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 #![allow(missing_docs)]
 
 use cottonnotch_decision::{Micros, RequestId, ServerId};
--- a/crates/proxy-core/tests/golden.rs
+++ b/crates/proxy-core/tests/golden.rs
@@ -1,4 +1,10 @@
 //! Envelopes keep the bytes that earlier builds gave them.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_consensus::Message;
 use cottonnotch_golden::{assert_bytes, golden_path};
--- a/crates/proxy-core/tests/growth.rs
+++ b/crates/proxy-core/tests/growth.rs
@@ -1,5 +1,11 @@
 //! What a proxy keeps of its connections' loads and of a list, in bytes of heap: so much for each, whatever there is of the
 //! other. `docs/CAPACITY.md` quotes the slopes; a test fails when one grows past that.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_decision::{Micros, RequestId, ServerId};
 use cottonnotch_proxy_core::{EndpointUpdate, LatencySettings, MessageLatencies};
--- a/crates/proxy-core/tests/guard.rs
+++ b/crates/proxy-core/tests/guard.rs
@@ -1,4 +1,10 @@
 //! Each rule of the guard, kept and broken.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_decision::*;
 use cottonnotch_proxy_core::{FinalAnswer, Guard, ListScope, Violation};
--- a/crates/proxy-core/tests/wall_clock.rs
+++ b/crates/proxy-core/tests/wall_clock.rs
@@ -1,4 +1,10 @@
 //! Unix times told before, around and after steps of the wall clock.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_decision::Micros;
 use cottonnotch_proxy_core::{ClockOffset, WallClock};
--- a/crates/reactor/tests/http_server.rs
+++ b/crates/reactor/tests/http_server.rs
@@ -1,4 +1,10 @@
 //! A call's framing: however it is split, and whatever it is.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_reactor::http_server::{BadRequest, MAX_BODY, Request, RequestReader, response};
 use proptest::prelude::*;
--- a/crates/reactor/tests/line.rs
+++ b/crates/reactor/tests/line.rs
@@ -1,4 +1,10 @@
 //! How a connection ended, whoever came upon it first: a write, a read, or a read after those.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_reactor::line::{Fill, LineStream};
 use cottonnotch_reactor::{Clock, Connection, Half, Io, Key, Reactor, Report};
--- a/crates/reactor/tests/listener.rs
+++ b/crates/reactor/tests/listener.rs
@@ -1,4 +1,10 @@
 //! A listener that is about to be closed.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_reactor::listener::reject_new_connections;
 use mio::net::TcpListener;
--- a/crates/records/benches/cost.rs
+++ b/crates/records/benches/cost.rs
@@ -1,5 +1,11 @@
 //! What records cost: the loop for each call, the writer for each line, and both together with lines made on the
 //! writer's thread or on the loop. Run the last group on one core (`taskset -c N`), as the proxy is.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 #![allow(missing_docs)]
 
 use cottonnotch_records::*;
--- a/crates/records/tests/golden.rs
+++ b/crates/records/tests/golden.rs
@@ -1,4 +1,10 @@
 //! A record of each event and each reason keeps the line that earlier builds wrote.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_golden::{assert_text, golden_path};
 use cottonnotch_records::{
--- a/crates/records/tests/reading.rs
+++ b/crates/records/tests/reading.rs
@@ -1,4 +1,10 @@
 //! The schema and the reader: what is written is read, and nothing that a file can hold stops the reader.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_records::*;
 use proptest::prelude::*;
--- a/crates/records/tests/writing.rs
+++ b/crates/records/tests/writing.rs
@@ -1,4 +1,10 @@
 //! The writer against real files and descriptors, read back by the reader.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_records::*;
 use std::fs::{self, OpenOptions};
--- a/crates/routing-rules/benches/merge.rs
+++ b/crates/routing-rules/benches/merge.rs
@@ -1,4 +1,10 @@
 //! What a merge of 10,000 rules in 300 namespaces costs: complete, and after one file changed.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 #![allow(missing_docs)]
 
 use std::fmt::Write as _;
@@ -80,8 +86,7 @@
         let all: Vec<String> = (0..TENANTS).map(|at| tenant(owner, at)).collect();
         writeln!(
             root,
-            "[[delegate]]\nto = \"house-{owner}\"\ntenants = {all:?}\nhalls = {:?}\nconnections = 1600\n",
-            HALLS
+            "[[delegate]]\nto = \"house-{owner}\"\ntenants = {all:?}\nhalls = {HALLS:?}\nconnections = 1600\n"
         )
         .expect("a string takes all");
         let path = format!("consortium/house-{owner}");
--- a/crates/routing-rules/tests/conflicts.rs
+++ b/crates/routing-rules/tests/conflicts.rs
@@ -1,4 +1,10 @@
 //! Each kind of conflict by name: who is held back, what the message tells, and what goes on.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 
--- a/crates/routing-rules/tests/examples.rs
+++ b/crates/routing-rules/tests/examples.rs
@@ -1,4 +1,10 @@
 //! The example rules merge without a conflict, and mean what their comments say.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use std::path::Path;
 
--- a/crates/routing-rules/tests/files.rs
+++ b/crates/routing-rules/tests/files.rs
@@ -1,4 +1,10 @@
 //! Files that can't be taken: where the error points, and that nothing else changes.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 
--- a/crates/routing-rules/tests/oracle.rs
+++ b/crates/routing-rules/tests/oracle.rs
@@ -1,4 +1,10 @@
 //! Conflicts and merges over small universes, against brute force.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 #[path = "common/oracle.rs"]
--- a/crates/routing-rules/tests/table.rs
+++ b/crates/routing-rules/tests/table.rs
@@ -1,4 +1,10 @@
 //! The table of states in the design document is the table in the code.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use std::path::Path;
 
--- a/crates/rule-compiler/benches/lookup.rs
+++ b/crates/rule-compiler/benches/lookup.rs
@@ -1,5 +1,11 @@
 //! What lookups, lowering and swaps cost. A plain main that prints ratios, as ratios are what is asked of them; Criterion
 //! measures the single lookups.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use std::collections::BTreeSet;
 use std::hint::black_box;
--- a/crates/rule-compiler/tests/compile.rs
+++ b/crates/rule-compiler/tests/compile.rs
@@ -1,4 +1,10 @@
 //! What a plan says against a plain reading of the book.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 
--- a/crates/rule-compiler/tests/golden.rs
+++ b/crates/rule-compiler/tests/golden.rs
@@ -1,4 +1,10 @@
 //! The book and the plan of the example rules keep the bytes that earlier builds gave them: proxies vote on their hashes.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_golden::{assert_bytes, assert_text, golden_path};
 use cottonnotch_routing_rules::{Book, History, Inventory, Merged, RuleFile, merge};
--- a/crates/rule-compiler/tests/kinds.rs
+++ b/crates/rule-compiler/tests/kinds.rs
@@ -1,4 +1,10 @@
 //! Each kind of rule on a full, a weak, an unknown class and on one that loses a feature; and the budgets.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 mod common;
 
--- a/crates/scale/tests/fault_scenarios.rs
+++ b/crates/scale/tests/fault_scenarios.rs
@@ -1,4 +1,10 @@
 //! Fault scenarios of a small fleet on virtual time, judged from records alone; and the judge itself.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_scale::Shape;
 use cottonnotch_scale::fault::Fault;
--- a/crates/scale/tests/slopes.rs
+++ b/crates/scale/tests/slopes.rs
@@ -1,5 +1,11 @@
 //! A member's traffic and memory grow no faster than their bounds with members, nodes and pairs. On virtual time, from one seed:
 //! counts are compared, not times.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cap::Cap;
 use cottonnotch_scale::Shape;
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -1,4 +1,10 @@
 //! The adapter on the bench's wire: transcripts, malformed ones among them.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use std::io::Write;
 use std::process::{Command, Stdio};
--- a/crates/soak/tests/soak.rs
+++ b/crates/soak/tests/soak.rs
@@ -1,4 +1,10 @@
 //! The short soak, in CI: fixed seeds, six to eight daemons each, judged from outside and inside.
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    reason = "a test panics, and reads from top to bottom"
+)]
 
 use cottonnotch_soak::generator::{Size, generate};
 use cottonnotch_soak::runner::{Programs, run_soak};
