--- a/crates/scale/src/fault.rs
+++ b/crates/scale/src/fault.rs
@@ -23,7 +23,7 @@
     Regions,
     /// The same for a quarter of an hour, with a change every 150 s: hundreds of members take a few minutes of real time.
     RegionsBriefly,
-    /// 160 members restart one after another within four minutes, each down for 1.5 s.
+    /// 160 members restart one after another within four minutes, each down for 3 s.
     Restarts,
     /// The endpoint list loses the nodes of a zone for half a minute.
     List,
