--- a/crates/kit/src/cli/demo.rs
+++ b/crates/kit/src/cli/demo.rs
@@ -43,11 +43,11 @@
         let (mut line, mut printed, mut mark) = (Progress::default(), Instant::now(), 0);
         let run = rehearse::run(plan, &setup, |plan, board| {
             let now = board.clock.now();
-            while let Some(happening) = plan.timeline.get(mark).filter(|happening| happening.at <= now) {
+            while let Some(event) = plan.timeline.get(mark).filter(|event| event.at <= now) {
                 mark += 1;
-                if let cottonnotch_kit::plan::What::Mark(text) = &happening.what {
+                if let cottonnotch_kit::plan::TimelineChange::Mark(text) = &event.change {
                     clear_if(watched);
-                    println!("{:>5.1} s  {text}", happening.at as f64 / S as f64);
+                    println!("{:>5.1} s  {text}", event.at as f64 / S as f64);
                 }
             }
             if watched {
--- a/crates/kit/src/cli/show.rs
+++ b/crates/kit/src/cli/show.rs
@@ -3,7 +3,7 @@
 use super::Ended;
 use super::rehearse::scenarios;
 use clap::Args;
-use cottonnotch_kit::plan::What;
+use cottonnotch_kit::plan::TimelineChange;
 use cottonnotch_kit::rehearse;
 use cottonnotch_kit::time::S;
 use std::path::PathBuf;
@@ -39,10 +39,10 @@
                 plan.sessions.len(),
                 plan.rude.len(),
             );
-            for happening in &plan.timeline {
-                let at = happening.at as f64 / S as f64;
-                match &happening.what {
-                    What::Mark(text) => println!("  {at:>9.3} s  {text}"),
+            for event in &plan.timeline {
+                let at = event.at as f64 / S as f64;
+                match &event.change {
+                    TimelineChange::Mark(text) => println!("  {at:>9.3} s  {text}"),
                     what if self.all => println!("  {at:>9.3} s    {what:?}"),
                     _ => {}
                 }
--- a/crates/kit/src/conductor.rs
+++ b/crates/kit/src/conductor.rs
@@ -5,7 +5,7 @@
 use crate::emulator::discovery_list;
 use crate::notes::Notes;
 use crate::observation::{Observation, Seen, Signal};
-use crate::plan::{DiscoveryChange, Happening, Plan, ProxyChange, ProxyId, What};
+use crate::plan::{DiscoveryChange, Plan, ProxyChange, ProxyId, TimelineChange, TimelineEvent};
 use crate::processes::{Daemon, Process, ProcessError, Usage, usage};
 use crate::settings;
 use crate::time::Micros;
@@ -170,19 +170,19 @@
     /// A look at the clock and at the processes; to be called every [`LOOK`].
     pub fn look(&mut self) -> Result<(), ConductError> {
         let now = self.board.clock.now();
-        while let Some(Happening { at, what }) =
+        while let Some(TimelineEvent { at, change: what }) =
             self.plan.timeline.get(self.next).cloned().filter(|h| h.at <= now)
         {
             self.next += 1;
             match what {
-                What::Proxy(id, change) => self.change(id, change)?,
-                What::Discovery(DiscoveryChange::MoveAway) => {
+                TimelineChange::Proxy(id, change) => self.change(id, change)?,
+                TimelineChange::Discovery(DiscoveryChange::MoveAway) => {
                     self.discovery_moves += 1;
                     for id in self.ids() {
                         self.reload(id)?;
                     }
                 }
-                What::Mark(text) => self.notes.note(at, Seen::Mark { text }),
+                TimelineChange::Mark(text) => self.notes.note(at, Seen::Mark { text }),
                 _ => {}
             }
         }
--- a/crates/kit/src/emulator/clients.rs
+++ b/crates/kit/src/emulator/clients.rs
@@ -5,8 +5,8 @@
 use crate::board::{Board, Live};
 use crate::model::client::{Input, Output, Session};
 use crate::notes::Notes;
-use crate::observation::{Answer, End, Observation, Seen};
-use crate::plan::{Plan, SessionId, What};
+use crate::observation::{Answer, Observation, ProxyClose, Seen};
+use crate::plan::{Plan, SessionId, TimelineChange};
 use crate::time::{MS, Micros};
 use cottonnotch_reactor::line::{Fill, LineStream, TooLong, trim_end};
 use cottonnotch_reactor::{Connection, Half, Io, Key, Reactor, Report};
@@ -164,8 +164,8 @@
         match fill {
             Fill::Blocked => {}
             Fill::More => io.call_again(self.key, leg),
-            Fill::Ended => self.step(io, Input::Ended(End::Closed)),
-            Fill::Broken(_) => self.step(io, Input::Ended(End::Reset)),
+            Fill::Ended => self.step(io, Input::Ended(ProxyClose::Closed)),
+            Fill::Broken(_) => self.step(io, Input::Ended(ProxyClose::Reset)),
         }
     }
 
@@ -351,10 +351,10 @@
 
     fn timeline(&mut self) {
         let shared = Rc::clone(&self.shared);
-        while let Some(happening) = shared.plan.timeline.get(self.happened) {
-            if let What::Drop { share, back_within, seed } = happening.what {
-                if happening.at > self.reactor.io.now() {
-                    return self.reactor.io.owner_timer(happening.at, TIMELINE);
+        while let Some(event) = shared.plan.timeline.get(self.happened) {
+            if let TimelineChange::Drop { share, back_within, seed } = event.change {
+                if event.at > self.reactor.io.now() {
+                    return self.reactor.io.owner_timer(event.at, TIMELINE);
                 }
                 self.each(Input::Drop { share, back_within, seed });
             }
--- a/crates/kit/src/emulator/discovery.rs
+++ b/crates/kit/src/emulator/discovery.rs
@@ -9,7 +9,7 @@
 use crate::model::registry::{Registry, Update};
 use crate::notes::{Notes, merge};
 use crate::observation::{Observation, Seen};
-use crate::plan::{NodeChange, NodeId, Plan, ProxyId, What};
+use crate::plan::{NodeChange, NodeId, Plan, ProxyId, TimelineChange};
 use crate::time::{MS, Micros, RunClock};
 use cottonnotch_reactor::listener::Listener;
 use cottonnotch_reactor::{Io, Key, Reactor};
@@ -156,19 +156,19 @@
 
     fn timeline(&mut self, now: Micros) -> io::Result<()> {
         let plan = self.plan;
-        while let Some(happening) = plan.timeline.get(self.next) {
-            if happening.at > now {
-                self.reactor.io.owner_timer(happening.at, TIMELINE);
+        while let Some(event) = plan.timeline.get(self.next) {
+            if event.at > now {
+                self.reactor.io.owner_timer(event.at, TIMELINE);
                 break;
             }
             self.next += 1;
-            match happening.what {
-                What::Node(node, NodeChange::Start) => drop(self.started.insert(node, happening.at)),
-                What::Listed(node, phase) => {
+            match event.change {
+                TimelineChange::Node(node, NodeChange::Start) => drop(self.started.insert(node, event.at)),
+                TimelineChange::Listed(node, phase) => {
                     self.note(Seen::Listed { node, phase });
                     self.model(Input::Listed(node, phase, self.started.get(&node).copied()))?;
                 }
-                What::Discovery(change) => self.model(Input::Change(change))?,
+                TimelineChange::Discovery(change) => self.model(Input::Change(change))?,
                 _ => {}
             }
         }
--- a/crates/kit/src/emulator/discovery_tests.rs
+++ b/crates/kit/src/emulator/discovery_tests.rs
@@ -3,7 +3,7 @@
 use crate::model::testing::plan;
 use crate::observation::Seen;
 use crate::plan::Phase;
-use crate::plan::{DiscoveryChange, NodeChange, NodeId, ProxyId, What};
+use crate::plan::{DiscoveryChange, NodeChange, NodeId, ProxyId, TimelineChange};
 use crate::time::{MS, Micros, S};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
@@ -13,18 +13,18 @@
 const P1: ProxyId = ProxyId(1);
 const QUIET: Duration = Duration::from_millis(300);
 
-fn stage(happenings: Vec<(Micros, What)>) -> Stage {
+fn stage(happenings: Vec<(Micros, TimelineChange)>) -> Stage {
     let mut plan = plan(3, 2, 0);
     plan.nodes[2].from_start = false;
     Stage::new(plan, happenings, RUN)
 }
 
-fn fault(change: DiscoveryChange) -> What {
-    What::Discovery(change)
+fn fault(change: DiscoveryChange) -> TimelineChange {
+    TimelineChange::Discovery(change)
 }
 
-fn listed(node: u16, phase: Phase) -> What {
-    What::Listed(NodeId(node), phase)
+fn listed(node: u16, phase: Phase) -> TimelineChange {
+    TimelineChange::Listed(NodeId(node), phase)
 }
 
 fn call(stage: &Stage, moves: u16, query: &str) -> Peer {
@@ -110,7 +110,7 @@
 
 #[test]
 fn a_watch_tells_changes_and_beats() {
-    let start = What::Node(NodeId(2), NodeChange::Start);
+    let start = TimelineChange::Node(NodeId(2), NodeChange::Start);
     let stage = stage(vec![
         (0, start),
         (MS, listed(2, Phase::Up)),
--- a/crates/kit/src/emulator/liar.rs
+++ b/crates/kit/src/emulator/liar.rs
@@ -2,7 +2,7 @@
 //!
 //! It speaks by the gossip crate, which is the protocol's; what proxies make of its words is theirs.
 
-use crate::plan::{Lie, Plan, ProxyId};
+use crate::plan::{FalseReport, Plan, ProxyId};
 use crate::time::{MS, Micros, S};
 use cottonnotch_gossip::{
     EndpointDigest, Entry, Evidence, Gossip, GossipSection, Input, Keys, Load, Output, Settings, Strength, To,
@@ -23,14 +23,14 @@
 #[derive(Debug)]
 pub(super) struct Liar {
     gossip: Gossip,
-    lie: Lie,
+    lie: FalseReport,
     next: Micros,
     members: u16,
 }
 
 impl Liar {
     /// A member with that number; `unix_ms` is its start.
-    pub fn new(plan: &Plan, ordinal: ProxyId, lie: Lie, unix_ms: u64, now: Micros) -> Self {
+    pub fn new(plan: &Plan, ordinal: ProxyId, lie: FalseReport, unix_ms: u64, now: Micros) -> Self {
         let section = GossipSection { strength: Some(Strength::Address), ..GossipSection::default() };
         let settings = section.check().ok().flatten();
         let Some(settings) = settings else { unreachable!("the section's own defaults are sound") };
@@ -63,13 +63,13 @@
         let entry = |node: &crate::plan::Node| {
             let empty = Entry::empty(EndpointDigest::of(&node.name));
             match self.lie {
-                Lie::Nothing => empty,
-                Lie::AllUnwell => {
+                FalseReport::Nothing => empty,
+                FalseReport::AllUnwell => {
                     let evidence =
                         Evidence { failed: FAILURES, age_tenths: AGE_TENTHS, ..Evidence::default() };
                     Entry { evidence, ..empty }
                 }
-                Lie::AllCrowded => {
+                FalseReport::AllCrowded => {
                     let load = Load::from_micros_per_s((CROWDED * node.capacity * 1e6) as u64);
                     Entry { connections: CLAIMED, load, ..empty }
                 }
--- a/crates/kit/src/emulator/network.rs
+++ b/crates/kit/src/emulator/network.rs
@@ -7,7 +7,7 @@
 use crate::board::Board;
 use crate::notes::Notes;
 use crate::observation::{Observation, Seen};
-use crate::plan::{NetworkChange, Plan, ProxyId, What};
+use crate::plan::{NetworkChange, Plan, ProxyId, TimelineChange};
 use crate::time::Micros;
 use cottonnotch_reactor::{Connection, Half, Io, Key, Reactor, Report};
 use mio::net::UdpSocket;
@@ -173,9 +173,9 @@
         for (liar, said) in said {
             said.into_iter().for_each(|(to, bytes)| self.carry(liar, to, &bytes));
         }
-        while let Some(happening) = self.plan.timeline.get(self.next).filter(|h| h.at <= now) {
+        while let Some(event) = self.plan.timeline.get(self.next).filter(|h| h.at <= now) {
             self.next += 1;
-            let What::Network(change) = &happening.what else { continue };
+            let TimelineChange::Network(change) = &event.change else { continue };
             match change {
                 NetworkChange::Loss(loss) => self.loss = *loss,
                 NetworkChange::Part(apart) => self.apart = Some(apart.iter().copied().collect()),
--- a/crates/kit/src/emulator/nodes.rs
+++ b/crates/kit/src/emulator/nodes.rs
@@ -11,7 +11,7 @@
 use crate::model::node::{Input, NodeModel, Output};
 use crate::notes::{Notes, merge};
 use crate::observation::{Condition, NodeAnswer, Observation, Seen};
-use crate::plan::{NetworkChange, NodeChange, NodeId, Plan, ProxyId, What};
+use crate::plan::{NetworkChange, NodeChange, NodeId, Plan, ProxyId, TimelineChange};
 use crate::time::{MS, Micros};
 use cottonnotch_reactor::{Key, Reactor};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -221,18 +221,18 @@
 
     fn timeline(&mut self, now: Micros) -> io::Result<()> {
         let plan = self.plan;
-        while let Some(happening) = plan.timeline.get(self.next) {
-            if happening.at > now {
-                self.reactor.io.owner_timer(happening.at, TIMELINE);
+        while let Some(event) = plan.timeline.get(self.next) {
+            if event.at > now {
+                self.reactor.io.owner_timer(event.at, TIMELINE);
                 break;
             }
             self.next += 1;
-            match &happening.what {
-                What::Node(node, change) => {
+            match &event.change {
+                TimelineChange::Node(node, change) => {
                     let of_ours = self.members.iter().position(|member| member.id == *node);
                     of_ours.map_or(Ok(()), |i| self.change(i, *change))?;
                 }
-                What::Network(NetworkChange::CutOff(proxy, nodes)) => {
+                TimelineChange::Network(NetworkChange::CutOff(proxy, nodes)) => {
                     for i in 0..self.members.len() {
                         if nodes.contains(&self.members[i].id) {
                             self.members[i].cut_off.insert(*proxy);
@@ -241,7 +241,7 @@
                         }
                     }
                 }
-                What::Network(NetworkChange::Reach(proxy)) => {
+                TimelineChange::Network(NetworkChange::Reach(proxy)) => {
                     for i in 0..self.members.len() {
                         if self.members[i].cut_off.remove(proxy) {
                             self.reach(i, *proxy, true);
--- a/crates/kit/src/emulator/nodes_talk.rs
+++ b/crates/kit/src/emulator/nodes_talk.rs
@@ -5,7 +5,7 @@
 use super::nodes_connection::{NodeConnection, Party, Report};
 use crate::model::first_line::Said;
 use crate::model::node::{Input, Opened, Output};
-use crate::observation::{Attempt, NodeAnswer, Over, Seen};
+use crate::observation::{Attempt, AttemptEnd, NodeAnswer, Seen};
 use crate::plan::ProxyId;
 use crate::time::Micros;
 use cottonnotch_reactor::{Io, Key};
@@ -72,9 +72,9 @@
                 self.connection(key, |c, _| c.say(&line));
                 number.into_iter().for_each(|line| self.note(Seen::LineReturned { attempt, line }));
             }
-            Output::Bye(_) => self.last_word(key, b"BYE\r\n", Over::Bye),
-            Output::Move(_) => self.last_word(key, b"MOVE\r\n", Over::Move),
-            Output::Close(_) => self.last_word(key, b"", Over::ByProxy),
+            Output::Bye(_) => self.last_word(key, b"BYE\r\n", AttemptEnd::Bye),
+            Output::Move(_) => self.last_word(key, b"MOVE\r\n", AttemptEnd::Move),
+            Output::Close(_) => self.last_word(key, b"", AttemptEnd::ByProxy),
             Output::Reset(_) | Output::Fell => self.cut(key),
         }
     }
@@ -82,22 +82,22 @@
     pub(super) fn last_answer(&mut self, key: Key, attempt: Attempt, answer: NodeAnswer, word: &[u8]) {
         self.connection(key, |c, io| c.say_last(word, io));
         self.note(Seen::AttemptAnswered { attempt, answer });
-        self.over(key, self.now(), Over::Cut);
+        self.over(key, self.now(), AttemptEnd::Cut);
     }
 
-    pub(super) fn last_word(&mut self, key: Key, word: &[u8], over: Over) {
+    pub(super) fn last_word(&mut self, key: Key, word: &[u8], over: AttemptEnd) {
         self.connection(key, |c, io| c.say_last(word, io));
         self.over(key, self.now(), over);
     }
 
     /// Resets a connection.
     pub(super) fn cut(&mut self, key: Key) {
-        self.over(key, self.now(), Over::Cut);
+        self.over(key, self.now(), AttemptEnd::Cut);
         self.connection(key, |c, _| c.reset());
     }
 
     /// Notes an attempt's end, the first one only: a proxy that ended its sending still gets its `BYE`.
-    pub(super) fn over(&mut self, key: Key, at: Micros, over: Over) {
+    pub(super) fn over(&mut self, key: Key, at: Micros, over: AttemptEnd) {
         let Some(place) = self.places.get_mut(&key) else { return };
         let Some(serial) = place.serial.filter(|_| !place.over) else { return };
         place.over = true;
@@ -201,7 +201,7 @@
         let Some(place) = self.places.get(&key) else { return };
         match (place.node, place.serial) {
             (i, Some(serial)) => {
-                self.over(key, at, Over::ByProxy);
+                self.over(key, at, AttemptEnd::ByProxy);
                 self.model(i, Input::Ended(serial));
             }
             (_, None) => self.connection(key, |c, io| c.say_last(b"", io)),
@@ -209,7 +209,7 @@
     }
 
     pub(super) fn gone(&mut self, key: Key, at: Micros) {
-        self.over(key, at, Over::ByProxy);
+        self.over(key, at, AttemptEnd::ByProxy);
         let Some(place) = self.places.remove(&key) else { return };
         let member = &mut self.members[place.node];
         member.connections.remove(&key);
--- a/crates/kit/src/emulator/nodes_tests.rs
+++ b/crates/kit/src/emulator/nodes_tests.rs
@@ -1,7 +1,7 @@
 use super::testing::{PATIENCE, Peer, Run, Stage};
 use crate::model::testing::{first_line, plan};
-use crate::observation::{Attempt, Condition, NodeAnswer, Over, RequestId, Seen};
-use crate::plan::{NetworkChange, NodeChange, NodeId, Plan, ProxyId, What};
+use crate::observation::{Attempt, AttemptEnd, Condition, NodeAnswer, RequestId, Seen};
+use crate::plan::{NetworkChange, NodeChange, NodeId, Plan, ProxyId, TimelineChange};
 use crate::time::{MS, Micros, S};
 use std::net::TcpStream;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 const QUIET: Duration = Duration::from_millis(300);
 
 fn stage(plan: Plan, changes: &[(Micros, NodeChange)]) -> Stage {
-    let happenings = changes.iter().map(|(at, change)| (*at, What::Node(N0, *change))).collect();
+    let happenings = changes.iter().map(|(at, change)| (*at, TimelineChange::Node(N0, *change))).collect();
     Stage::new(plan, happenings, RUN)
 }
 
@@ -58,7 +58,7 @@
     notes.iter().filter_map(of).collect()
 }
 
-fn overs(notes: &[Seen]) -> Vec<(u32, Over)> {
+fn overs(notes: &[Seen]) -> Vec<(u32, AttemptEnd)> {
     let of = |seen: &Seen| match seen {
         Seen::AttemptOver { attempt, over } => Some((attempt.serial, *over)),
         _ => None,
@@ -96,7 +96,7 @@
                 .map(|seen| notes.iter().position(|s| *s == seen).unwrap());
         assert!(came < back);
     }
-    assert_eq!(overs(&notes), [(0, Over::ByProxy)]);
+    assert_eq!(overs(&notes), [(0, AttemptEnd::ByProxy)]);
 }
 
 #[test]
@@ -123,7 +123,7 @@
     assert!(matches!(&bad[..], [Seen::BadFirstLine { line, .. }, _] if line == "HELLO"), "{bad:?}");
     let mut overs = overs(&notes);
     overs.sort_by_key(|(serial, _)| *serial);
-    assert_eq!(overs, [(0, Over::ByProxy), (1, Over::Cut), (2, Over::ByProxy)]);
+    assert_eq!(overs, [(0, AttemptEnd::ByProxy), (1, AttemptEnd::Cut), (2, AttemptEnd::ByProxy)]);
 }
 
 #[test]
@@ -149,7 +149,7 @@
     let slow = took(20);
     // Twenty draws each; 4 times as slow and more crowded besides.
     assert!(slow > 2 * usual, "{usual:?} and {slow:?}");
-    assert_eq!(overs(&stage.notes())[0], (2, Over::Cut));
+    assert_eq!(overs(&stage.notes())[0], (2, AttemptEnd::Cut));
 }
 
 #[test]
@@ -164,7 +164,7 @@
     peers.iter_mut().for_each(|peer| assert_eq!(peer.rest().unwrap(), "MOVE\r\n"));
     let after = stage.board.clock.now() - super::testing::CUE;
     assert!(after < 2 * S, "{after}");
-    let moved = overs(&stage.notes()).into_iter().filter(|(_, over)| *over == Over::Move).count();
+    let moved = overs(&stage.notes()).into_iter().filter(|(_, over)| *over == AttemptEnd::Move).count();
     assert_eq!(moved, 5);
 }
 
@@ -181,7 +181,7 @@
     up(&stage, 1, 2);
     let notes = stage.notes();
     assert_eq!(conditions(&notes), [Condition::Sound, Condition::Down, Condition::Sound]);
-    assert_eq!(overs(&notes)[..2], [(0, Over::Cut), (1, Over::Cut)]);
+    assert_eq!(overs(&notes)[..2], [(0, AttemptEnd::Cut), (1, AttemptEnd::Cut)]);
     let cold =
         |seen: &&Seen| matches!(seen, Seen::Started { cold: Some(cold), .. } if cold.joins_per_s == 4.0);
     assert_eq!(notes.iter().filter(cold).count(), 1);
@@ -214,13 +214,13 @@
     assert!(peer.is_silent_for(QUIET));
     assert_eq!(peer.rest().unwrap_err().kind(), std::io::ErrorKind::ConnectionReset);
     up(&stage, 0, 1);
-    assert_eq!(overs(&stage.notes())[0], (0, Over::Cut));
+    assert_eq!(overs(&stage.notes())[0], (0, AttemptEnd::Cut));
 }
 
 #[test]
 fn cut_off_it_is_silent_for_one_proxy_only() {
-    let cut = What::Network(NetworkChange::CutOff(ProxyId(1), vec![N0]));
-    let happenings = vec![(0, cut), (1200 * MS, What::Network(NetworkChange::Reach(ProxyId(1))))];
+    let cut = TimelineChange::Network(NetworkChange::CutOff(ProxyId(1), vec![N0]));
+    let happenings = vec![(0, cut), (1200 * MS, TimelineChange::Network(NetworkChange::Reach(ProxyId(1))))];
     let stage = Stage::new(plan(1, 2, 4), happenings, RUN);
     let mut peers = [up(&stage, 0, 0), up(&stage, 1, 1)];
     stage.set();
--- a/crates/kit/src/emulator/rude.rs
+++ b/crates/kit/src/emulator/rude.rs
@@ -1,12 +1,12 @@
-//! Clients that go beyond the usual ([`RudeKind`]): each comes at its time to an admitted proxy and does its worst as
+//! Clients that go beyond the usual ([`Misbehavior`]): each comes at its time to an admitted proxy and does its worst as
 //! fast as the socket takes it, reading all the while. It is owed an error or a close within a few seconds.
 
 use super::rude_script::{Script, script};
 use crate::addresses::Addresses;
 use crate::board::Board;
 use crate::notes::Notes;
-use crate::observation::{Observation, RudeEnd, Seen};
-use crate::plan::{Plan, ProxyId, RudeKind};
+use crate::observation::{MisbehaviorOutcome, Observation, Seen};
+use crate::plan::{Misbehavior, Plan, ProxyId};
 use crate::time::{MS, Micros, S};
 use cottonnotch_reactor::line::{Fill, LineStream, TooLong};
 use cottonnotch_reactor::{Connection, Half, Io, Key, Reactor, Report};
@@ -52,7 +52,7 @@
 struct Rude {
     key: Key,
     place: u32,
-    kind: RudeKind,
+    kind: Misbehavior,
     seed: u64,
     proxy: ProxyId,
     shared: Rc<Shared>,
@@ -69,7 +69,7 @@
 impl Rude {
     fn connected(&mut self, io: &mut Io<Told>) {
         self.connected = true;
-        let owed = if self.kind == RudeKind::Huge { OWED_WITHIN_HUGE } else { OWED_WITHIN };
+        let owed = if self.kind == Misbehavior::Huge { OWED_WITHIN_HUGE } else { OWED_WITHIN };
         let now = io.now();
         self.by = now + owed;
         io.report(Told::Note(now, Seen::RudeCame { rude: self.place, proxy: self.proxy, by: self.by }));
@@ -102,10 +102,10 @@
         }
     }
 
-    fn over(&mut self, io: &mut Io<Told>, how: RudeEnd) {
+    fn over(&mut self, io: &mut Io<Told>, how: MisbehaviorOutcome) {
         io.report(Told::Note(io.now(), Seen::RudeOver { rude: self.place, how }));
-        let turned_away = how != RudeEnd::Served;
-        self.done = !(self.kind == RudeKind::AgainAtOnce && turned_away && io.now() < self.again_until);
+        let turned_away = how != MisbehaviorOutcome::Served;
+        self.done = !(self.kind == Misbehavior::AgainAtOnce && turned_away && io.now() < self.again_until);
         if !self.done {
             self.come_again(io);
         }
@@ -134,14 +134,14 @@
         }
         let fill = self.link.fill();
         match self.link.take_line() {
-            Ok(Some(line)) if line.starts_with(b"UP ") => return self.over(io, RudeEnd::Served),
-            Ok(Some(_)) | Err(TooLong) => return self.over(io, RudeEnd::Error),
+            Ok(Some(line)) if line.starts_with(b"UP ") => return self.over(io, MisbehaviorOutcome::Served),
+            Ok(Some(_)) | Err(TooLong) => return self.over(io, MisbehaviorOutcome::Error),
             Ok(None) => {}
         }
         match fill {
             Fill::Blocked => self.say(io),
             Fill::More => io.call_again(self.key, leg),
-            Fill::Ended | Fill::Broken(_) => self.over(io, RudeEnd::Closed),
+            Fill::Ended | Fill::Broken(_) => self.over(io, MisbehaviorOutcome::Closed),
         }
     }
 
@@ -204,8 +204,11 @@
 }
 
 fn come(reactor: &mut Reactor<Rude>, shared: &Rc<Shared>, place: u32) {
-    let Some(&crate::plan::Rude { kind, seed, .. }) = shared.plan.rude.get(place as usize) else { return };
-    let stolen = (kind == RudeKind::StolenId).then(|| shared.board.an_open_id());
+    let Some(&crate::plan::MisbehavingClient { kind, seed, .. }) = shared.plan.rude.get(place as usize)
+    else {
+        return;
+    };
+    let stolen = (kind == Misbehavior::StolenId).then(|| shared.board.an_open_id());
     let admitted = |proxy: &ProxyId| shared.board.is_admitted(*proxy);
     let proxies: Vec<ProxyId> = (0..shared.plan.proxies.len() as u16).map(ProxyId).filter(admitted).collect();
     let proxy = match stolen {
--- a/crates/kit/src/emulator/rude_script.rs
+++ b/crates/kit/src/emulator/rude_script.rs
@@ -2,7 +2,7 @@
 
 use crate::model::client::words::request_id;
 use crate::observation::RequestId;
-use crate::plan::{Plan, RudeKind};
+use crate::plan::{Misbehavior, Plan};
 use cottonnotch_reactor::line::LineStream;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -66,7 +66,7 @@
 /// What the rude client at that place of the plan says on that visit. Ids are no other client's, but for a stolen one.
 pub(super) fn script(
     plan: &Plan,
-    kind: RudeKind,
+    kind: Misbehavior,
     seed: u64,
     place: u32,
     visit: u32,
@@ -82,38 +82,38 @@
         format!("OPEN {id:016x} {key:016x} c={class},t={tenant},d={wait},g={key:016x}\r\n")
     };
     match kind {
-        RudeKind::Garbage => {
+        Misbehavior::Garbage => {
             let mut bytes: Vec<u8> = (0..GARBAGE).map(|_| rng.random_range(0x80..=0xff)).collect();
             bytes.extend_from_slice(b"\r\n");
             Script::once(bytes)
         }
-        RudeKind::Endless => Script::once("OPEN ").then(vec![b'x'; PIECE], usize::MAX),
-        RudeKind::Huge => {
+        Misbehavior::Endless => Script::once("OPEN ").then(vec![b'x'; PIECE], usize::MAX),
+        Misbehavior::Huge => {
             let head = format!("OPEN {:016x} {key:016x} c={class},t={tenant},d=1000,g=", id(visit));
             Script::once(head)
                 .then(vec![b'7'; PIECE], HUGE.div_ceil(PIECE))
                 .then(b"\r\n".to_vec(), 1)
                 .asking([id(visit)])
         }
-        RudeKind::NoSuchClass | RudeKind::AgainAtOnce => {
+        Misbehavior::NoSuchClass | Misbehavior::AgainAtOnce => {
             Script::once(open(id(visit), "no-such-class", "1000")).asking([id(visit)])
         }
-        RudeKind::BadDeadline => {
+        Misbehavior::BadDeadline => {
             let waits = ["soon", "-5", "99999999999999999999999999", ""];
             Script::once(open(id(visit), class, waits[rng.random_range(0..waits.len())])).asking([id(visit)])
         }
-        RudeKind::NoId => {
+        Misbehavior::NoId => {
             Script::once(format!("OPEN {key:016x} c={class},t={tenant},d=1000,g={key:016x}\r\n"))
         }
-        RudeKind::StolenId => Script::once(open(stolen.map_or(id(visit), |id| id.0), class, "1000")),
-        RudeKind::Half => {
+        Misbehavior::StolenId => Script::once(open(stolen.map_or(id(visit), |id| id.0), class, "1000")),
+        Misbehavior::Half => {
             let whole = open(id(visit), class, "1000");
             Script { finishes: true, ..Script::once(&whole.as_bytes()[..whole.len() / 2]) }
         }
-        RudeKind::ManyCommands => {
+        Misbehavior::ManyCommands => {
             let words = (0..COMMANDS).map(|number| open(id(number), class, "1000")).collect::<String>();
             Script::once(words).asking((0..COMMANDS).map(id))
         }
-        RudeKind::Silent => Script { pieces: VecDeque::new(), finishes: false, ids: Vec::new() },
+        Misbehavior::Silent => Script { pieces: VecDeque::new(), finishes: false, ids: Vec::new() },
     }
 }
--- a/crates/kit/src/emulator/testing.rs
+++ b/crates/kit/src/emulator/testing.rs
@@ -3,7 +3,7 @@
 use crate::addresses::Addresses;
 use crate::board::Board;
 use crate::observation::{Observation, Seen};
-use crate::plan::{Happening, Plan, What};
+use crate::plan::{Plan, TimelineChange, TimelineEvent};
 use crate::time::Micros;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -27,9 +27,11 @@
 
 impl Stage {
     /// Happenings come in order, each so many microseconds after the cue.
-    pub fn new(mut plan: Plan, happenings: Vec<(Micros, What)>, run: Run) -> Self {
-        plan.timeline =
-            happenings.into_iter().map(|(after, what)| Happening { at: CUE + after, what }).collect();
+    pub fn new(mut plan: Plan, happenings: Vec<(Micros, TimelineChange)>, run: Run) -> Self {
+        plan.timeline = happenings
+            .into_iter()
+            .map(|(after, what)| TimelineEvent { at: CUE + after, change: what })
+            .collect();
         let (plan, addresses) = (Arc::new(plan), Arc::new(Addresses::take(150).unwrap()));
         let board = Arc::new(Board::new(&plan, 0));
         let given = (Arc::clone(&plan), Arc::clone(&addresses), Arc::clone(&board));
--- a/crates/kit/src/emulator/tests_of_clients.rs
+++ b/crates/kit/src/emulator/tests_of_clients.rs
@@ -3,8 +3,8 @@
 use super::{clients, front, rude};
 use crate::addresses::Addresses;
 use crate::board::Board;
-use crate::observation::{Observation, RequestId, RudeEnd, Seen};
-use crate::plan::{Happening, Plan, ProxyId, Rude, RudeKind, What};
+use crate::observation::{MisbehaviorOutcome, Observation, RequestId, Seen};
+use crate::plan::{MisbehavingClient, Misbehavior, Plan, ProxyId, TimelineChange, TimelineEvent};
 use crate::testing::{plan, session};
 use crate::time::{MS, Micros, S};
 use std::collections::BTreeMap;
@@ -233,7 +233,10 @@
     let mut plan = one_try(30 * S);
     // The first one that finds it up.
     plan.timeline = (1..100)
-        .map(|n| Happening { at: n * 100 * MS, what: What::Drop { share: 1.0, back_within: 0, seed: 1 } })
+        .map(|n| TimelineEvent {
+            at: n * 100 * MS,
+            change: TimelineChange::Drop { share: 1.0, back_within: 0, seed: 1 },
+        })
         .collect();
     let (mut run, listener) = Run::begin(plan, all_clients);
     let mut peer = Peer::accept(&listener);
@@ -353,18 +356,18 @@
     assert!(last.at - answered >= 300 * MS, "not before the notice: {notes:?}");
 }
 
-const KINDS: [RudeKind; 11] = [
-    RudeKind::Garbage,
-    RudeKind::Endless,
-    RudeKind::Huge,
-    RudeKind::NoSuchClass,
-    RudeKind::BadDeadline,
-    RudeKind::NoId,
-    RudeKind::StolenId,
-    RudeKind::Half,
-    RudeKind::ManyCommands,
-    RudeKind::AgainAtOnce,
-    RudeKind::Silent,
+const KINDS: [Misbehavior; 11] = [
+    Misbehavior::Garbage,
+    Misbehavior::Endless,
+    Misbehavior::Huge,
+    Misbehavior::NoSuchClass,
+    Misbehavior::BadDeadline,
+    Misbehavior::NoId,
+    Misbehavior::StolenId,
+    Misbehavior::Half,
+    Misbehavior::ManyCommands,
+    Misbehavior::AgainAtOnce,
+    Misbehavior::Silent,
 ];
 
 /// Reads a line, or so much, or what comes before a silence; then says its answer, if any, and closes.
@@ -394,26 +397,29 @@
 
 #[test]
 fn rude_clients_that_get_an_error() {
-    rude_clients_get("ERR no\r\n", RudeEnd::Error);
+    rude_clients_get("ERR no\r\n", MisbehaviorOutcome::Error);
 }
 
 #[test]
 fn rude_clients_that_are_closed() {
-    rude_clients_get("", RudeEnd::Closed);
+    rude_clients_get("", MisbehaviorOutcome::Closed);
 }
 
 #[test]
 fn rude_clients_that_are_served() {
-    rude_clients_get("UP 1f\r\n", RudeEnd::Served);
+    rude_clients_get("UP 1f\r\n", MisbehaviorOutcome::Served);
 }
 
-fn rude_clients_get(answer: &'static str, end: RudeEnd) {
+fn rude_clients_get(answer: &'static str, end: MisbehaviorOutcome) {
     let mut of = plan(&[0], vec![]);
-    of.rude =
-        KINDS.iter().enumerate().map(|(i, kind)| Rude { arrives: 0, kind: *kind, seed: i as u64 }).collect();
+    of.rude = KINDS
+        .iter()
+        .enumerate()
+        .map(|(i, kind)| MisbehavingClient { arrives: 0, kind: *kind, seed: i as u64 })
+        .collect();
     let (mut run, listener) = Run::begin(of, rude::run);
     listener.set_nonblocking(true).unwrap();
-    let most = if end == RudeEnd::Served { 61_000_000 } else { 4096 };
+    let most = if end == MisbehaviorOutcome::Served { 61_000_000 } else { 4096 };
     let mut guests = Vec::new();
     let mut quiet_since = Instant::now();
     // Longer than the one that comes again at once goes on doing so.
@@ -434,7 +440,7 @@
     for Observation { at, seen } in notes {
         match seen {
             Seen::RudeCame { rude, by, .. } => {
-                assert!(by - at == if KINDS[rude as usize] == RudeKind::Huge { 6 * S } else { 3 * S });
+                assert!(by - at == if KINDS[rude as usize] == Misbehavior::Huge { 6 * S } else { 3 * S });
                 owed.insert(rude, by);
                 visits.entry(rude).or_default().0 += 1;
             }
@@ -449,7 +455,7 @@
     for (place, kind) in KINDS.iter().enumerate() {
         let (came, over) = visits.get(&(place as u32)).copied().unwrap_or_default();
         assert!(came >= 1 && came == over, "{kind:?} came {came} times, dealt with {over} times");
-        let again = *kind == RudeKind::AgainAtOnce && end != RudeEnd::Served;
+        let again = *kind == Misbehavior::AgainAtOnce && end != MisbehaviorOutcome::Served;
         assert_eq!(came > 1, again, "{kind:?}");
     }
     let said = |what: &str| heard.iter().any(|(start, _)| String::from_utf8_lossy(start).contains(what));
@@ -458,7 +464,7 @@
         heard.iter().any(|(start, _)| start.is_empty())
             && heard.iter().any(|(start, _)| start.contains(&0xff))
     );
-    if end == RudeEnd::Served {
+    if end == MisbehaviorOutcome::Served {
         let long = heard.iter().filter(|(_, total)| *total >= 60_000_000).count();
         assert_eq!(long, 2, "the huge value and the endless line");
     }
--- a/crates/kit/src/judge/answers.rs
+++ b/crates/kit/src/judge/answers.rs
@@ -5,7 +5,7 @@
 use super::request_table::{ClientEnd, Request, RequestTable, RuleContext, Submission};
 use super::rule::Rule;
 use super::units::{format_millis, format_seconds};
-use crate::observation::{Answer, End, Left, NodeAnswer, RequestId};
+use crate::observation::{Answer, ClientClose, NodeAnswer, ProxyClose, RequestId};
 use crate::time::{MS, Micros};
 
 /// A client's close and its answer within this time of each other have no order: it can give up while the answer is in
@@ -98,7 +98,13 @@
     }
 
     /// Records that the proxy ended the client's connection.
-    pub fn record_proxy_close(&mut self, at: Micros, id: RequestId, how: End, context: &mut RuleContext) {
+    pub fn record_proxy_close(
+        &mut self,
+        at: Micros,
+        id: RequestId,
+        how: ProxyClose,
+        context: &mut RuleContext,
+    ) {
         let Some(request) = self.requests.get_mut(&id).filter(|r| r.client_end.is_none()) else { return };
         request.client_end = Some((at, ClientEnd::ByProxy(how)));
         if let Some(up) = request.connection() {
@@ -116,11 +122,17 @@
     }
 
     /// Records that the client ended its connection.
-    pub fn record_client_close(&mut self, at: Micros, id: RequestId, why: Left, context: &mut RuleContext) {
+    pub fn record_client_close(
+        &mut self,
+        at: Micros,
+        id: RequestId,
+        why: ClientClose,
+        context: &mut RuleContext,
+    ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if let Some((ended, ClientEnd::ByProxy(_))) = request.client_end {
             // The client's close was in transit when the proxy's arrived.
-            if why == Left::Done && at - ended <= context.rules.grace {
+            if why == ClientClose::Done && at - ended <= context.rules.grace {
                 request.client_end = Some((ended, ClientEnd::ByClient(why)));
             }
             return;
@@ -167,7 +179,7 @@
     let last = answer_deadline(&submission, context);
     let (broken, description) = match request.client_end {
         Some((at, ClientEnd::ByProxy(how))) => {
-            let how = if how == End::Closed { "closed" } else { "reset" };
+            let how = if how == ProxyClose::Closed { "closed" } else { "reset" };
             (at, format!("the proxy {how} the connection at {} without an answer", format_seconds(at)))
         }
         Some((at, ClientEnd::ByClient(_))) => {
--- a/crates/kit/src/judge/attempts.rs
+++ b/crates/kit/src/judge/attempts.rs
@@ -7,7 +7,7 @@
 use super::rule::Rule;
 use super::subject::Subject;
 use super::units::{format_millis, format_seconds};
-use crate::observation::{Answer, Attempt, NodeAnswer, Over, RequestId};
+use crate::observation::{Answer, Attempt, AttemptEnd, NodeAnswer, RequestId};
 use crate::plan::{ProxyId, SessionId};
 use crate::time::Micros;
 
@@ -164,7 +164,7 @@
         &mut self,
         at: Micros,
         attempt: Attempt,
-        over: Over,
+        over: AttemptEnd,
         context: &mut RuleContext,
     ) {
         let Some((id, request, index)) = self.find_attempt(attempt) else { return };
@@ -180,7 +180,7 @@
             return;
         }
         // The client may have ended the connection, and the render node observed it first.
-        let check = if over == Over::ByProxy {
+        let check = if over == AttemptEnd::ByProxy {
             DeferredCheck::CutConnection(id)
         } else {
             DeferredCheck::EndedConnection(id)
--- a/crates/kit/src/judge/connections.rs
+++ b/crates/kit/src/judge/connections.rs
@@ -4,7 +4,7 @@
 use super::request_table::{ClientEnd, Request, RequestTable, RuleContext};
 use super::rule::Rule;
 use super::units::{format_millis, format_seconds};
-use crate::observation::{Answer, Attempt, End, Over, RequestId};
+use crate::observation::{Answer, Attempt, AttemptEnd, ProxyClose, RequestId};
 use crate::plan::NodeId;
 use crate::time::Micros;
 
@@ -21,7 +21,7 @@
             let Some(request) = self.requests.get_mut(&id) else { continue };
             let Some(attempt) = request.serving.and_then(|up| request.attempts.get_mut(up)) else { continue };
             if attempt.ended.is_none() && context.node_states.can_communicate(attempt.proxy, node) {
-                attempt.ended = Some((at, Over::Cut));
+                attempt.ended = Some((at, AttemptEnd::Cut));
                 context.output.defer(
                     at + context.rules.ended_within + context.rules.grace,
                     DeferredCheck::EndedConnection(id),
@@ -42,7 +42,7 @@
         let Some((ended, ClientEnd::ByProxy(how))) = request.client_end else { return };
         let (Some(submission), Some(up)) = (request.submission, request.connection()) else { return };
         let by = ended + context.rules.grace;
-        let by_node = up.ended.is_some_and(|(over, who)| who != Over::ByProxy && over <= by);
+        let by_node = up.ended.is_some_and(|(over, who)| who != AttemptEnd::ByProxy && over <= by);
         let process_changed = context.node_states.generation(up.attempt.node) != up.generation
             && context
                 .node_states
@@ -56,7 +56,7 @@
             return;
         }
         let read = request.answer.as_ref().map_or(submission.at, |(read, _)| *read);
-        let how = if how == End::Closed { "closed" } else { "reset" };
+        let how = if how == ProxyClose::Closed { "closed" } else { "reset" };
         let side = match up.ended {
             Some((over, _)) => format!("ended its side at {}", format_seconds(over)),
             None => "kept its side".to_owned(),
@@ -73,7 +73,7 @@
     fn check_half_closed(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id) else { return };
         let (Some(submission), Some(up)) = (request.submission, request.connection()) else { return };
-        let Some((over, Over::ByProxy)) = up.ended else { return };
+        let Some((over, AttemptEnd::ByProxy)) = up.ended else { return };
         let steady = context
             .node_states
             .responsive_since(up.proxy, up.attempt.node)
@@ -179,16 +179,16 @@
             return;
         }
         let how = match how {
-            Over::Bye => "with BYE",
-            Over::Move => "with MOVE",
-            Over::Cut | Over::ByProxy => "without a word",
+            AttemptEnd::Bye => "with BYE",
+            AttemptEnd::Move => "with MOVE",
+            AttemptEnd::Cut | AttemptEnd::ByProxy => "without a word",
         };
         let description = format!(
             "the render node ended it at {} {how}; the client's side still stands {} ms later, unmoved",
             format_seconds(over),
             format_millis(at - over)
         );
-        self.report_violation(at, Rule::EndedConnectionKept, id, description, context.output);
+        self.report_violation(at, Rule::EndedConnectionOpen, id, description, context.output);
     }
 
     /// A line was sent `silent_within` ago.
@@ -212,7 +212,7 @@
             format_seconds(silent),
             format_millis(at - sent)
         );
-        self.report_violation(at, Rule::SilentConnectionKept, id, description, context.output);
+        self.report_violation(at, Rule::SilentConnectionOpen, id, description, context.output);
     }
 }
 
--- a/crates/kit/src/judge/figures.rs
+++ b/crates/kit/src/judge/figures.rs
@@ -2,7 +2,7 @@
 
 use super::latency::{Histograms, Latencies};
 use super::service::{Service, ServiceSums};
-use crate::observation::{Answer, End, Seen};
+use crate::observation::{Answer, ProxyClose, Seen};
 use crate::plan::{Plan, SessionId};
 use crate::time::Micros;
 use serde::Serialize;
@@ -161,7 +161,7 @@
             }
             Seen::Unreached { .. } => self.figures.unreached += 1,
             Seen::Moved { .. } => self.figures.moves += 1,
-            Seen::Ended { how: End::Reset, .. } => self.figures.resets += 1,
+            Seen::Ended { how: ProxyClose::Reset, .. } => self.figures.resets += 1,
             Seen::Attempt { .. } => self.figures.attempts += 1,
             Seen::Datagram { from, bytes, .. } => {
                 if let Some(figures) = self.figures.proxies.get_mut(usize::from(from.0)) {
--- a/crates/kit/src/judge/misbehaving_clients.rs
+++ b/crates/kit/src/judge/misbehaving_clients.rs
@@ -5,8 +5,8 @@
 use super::rule_output::RuleOutput;
 use super::subject::Subject;
 use super::units::format_seconds;
-use crate::observation::{RequestId, RudeEnd, Seen};
-use crate::plan::{Plan, ProxyId, RudeKind};
+use crate::observation::{MisbehaviorOutcome, RequestId, Seen};
+use crate::plan::{Misbehavior, Plan, ProxyId};
 use crate::time::{MS, Micros};
 use fnv::FnvHashSet;
 use std::collections::BTreeMap;
@@ -34,7 +34,7 @@
     open: BTreeMap<u32, OpenClient>,
     sent_requests: FnvHashSet<(RequestId, ProxyId)>,
     proxies: Vec<ClientsAtProxy>,
-    kinds: Vec<RudeKind>,
+    kinds: Vec<Misbehavior>,
     grace: Micros,
 }
 
@@ -52,7 +52,7 @@
     pub fn observe(&mut self, at: Micros, seen: &Seen, output: &mut RuleOutput) {
         match *seen {
             Seen::RudeCame { rude, proxy, by } => {
-                let steals_id = self.kinds.get(rude as usize) == Some(&RudeKind::StolenId);
+                let steals_id = self.kinds.get(rude as usize) == Some(&Misbehavior::StolenId);
                 self.open.insert(rude, OpenClient { proxy, by, steals_id });
                 if let Some(at_proxy) = self.proxies.get_mut(usize::from(proxy.0)) {
                     at_proxy.open_id_thieves += u32::from(steals_id);
@@ -64,7 +64,7 @@
             }
             Seen::RudeOver { rude, how } => {
                 let Some(open) = self.close(at, rude) else { return };
-                if how == RudeEnd::Served {
+                if how == MisbehaviorOutcome::Served {
                     let description = "it was served; an error or a close was owed".to_owned();
                     output.report_violation(
                         at,
--- a/crates/kit/src/judge/request_table.rs
+++ b/crates/kit/src/judge/request_table.rs
@@ -9,7 +9,7 @@
 use super::rule::Rule;
 use super::rule_output::RuleOutput;
 use super::subject::Subject;
-use crate::observation::{Answer, Attempt, End, Left, NodeAnswer, Over, RequestId};
+use crate::observation::{Answer, Attempt, AttemptEnd, ClientClose, NodeAnswer, ProxyClose, RequestId};
 use crate::plan::{NodeId, ProxyId, Rules, SessionId};
 use crate::time::{Micros, S};
 use fnv::FnvHashMap;
@@ -31,8 +31,8 @@
 /// How the client's connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClientEnd {
-    ByClient(Left),
-    ByProxy(End),
+    ByClient(ClientClose),
+    ByProxy(ProxyClose),
 }
 
 /// One attempt.
@@ -46,7 +46,7 @@
     pub answer: Option<NodeAnswer>,
     /// When it was rejected or failed.
     pub rejected_at: Option<Micros>,
-    pub ended: Option<(Micros, Over)>,
+    pub ended: Option<(Micros, AttemptEnd)>,
 }
 
 impl AttemptRecord {
--- a/crates/kit/src/judge/rule.rs
+++ b/crates/kit/src/judge/rule.rs
@@ -25,9 +25,9 @@
     /// PROTOCOL: lines pass both ways unchanged.
     LineChanged,
     /// PROTOCOL, "Figures".
-    EndedConnectionKept,
+    EndedConnectionOpen,
     /// PROTOCOL, "Figures".
-    SilentConnectionKept,
+    SilentConnectionOpen,
     /// The rude clients of the bench's page.
     MisbehavingClientUnanswered,
     /// The same.
@@ -54,8 +54,8 @@
         Rule::CutWithoutMove,
         Rule::LineDelayed,
         Rule::LineChanged,
-        Rule::EndedConnectionKept,
-        Rule::SilentConnectionKept,
+        Rule::EndedConnectionOpen,
+        Rule::SilentConnectionOpen,
         Rule::MisbehavingClientUnanswered,
         Rule::MisbehavingClientServed,
         Rule::BadFirstLine,
@@ -76,8 +76,8 @@
             Rule::CutWithoutMove => "cut-without-move",
             Rule::LineDelayed => "line-held",
             Rule::LineChanged => "line-changed",
-            Rule::EndedConnectionKept => "ended-kept",
-            Rule::SilentConnectionKept => "silent-kept",
+            Rule::EndedConnectionOpen => "ended-kept",
+            Rule::SilentConnectionOpen => "silent-kept",
             Rule::MisbehavingClientUnanswered => "rude-unanswered",
             Rule::MisbehavingClientServed => "rude-served",
             Rule::BadFirstLine => "bad-first-line",
@@ -103,10 +103,10 @@
             Rule::CutWithoutMove => "No connection is cut without MOVE while its render node still answers.",
             Rule::LineDelayed => "No line is held back.",
             Rule::LineChanged => "Lines pass both ways unchanged, in order, and none is made up.",
-            Rule::EndedConnectionKept => {
+            Rule::EndedConnectionOpen => {
                 "A connection that its render node has ended is ended or moved soon."
             }
-            Rule::SilentConnectionKept => "A connection that returns nothing is ended or moved in time.",
+            Rule::SilentConnectionOpen => "A connection that returns nothing is ended or moved in time.",
             Rule::MisbehavingClientUnanswered => "A rude client gets an error or a close in time.",
             Rule::MisbehavingClientServed => "A rude client is not served.",
             Rule::BadFirstLine => {
--- a/crates/kit/src/judge/slow_start.rs
+++ b/crates/kit/src/judge/slow_start.rs
@@ -5,7 +5,7 @@
 use super::rule_output::RuleOutput;
 use super::subject::Subject;
 use super::units::format_seconds;
-use crate::observation::{Cold, Seen};
+use crate::observation::{Seen, SlowStart};
 use crate::plan::{NodeId, ProxyId, Rules};
 use crate::time::Micros;
 use std::collections::VecDeque;
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 struct WarmingNode {
     started: Micros,
-    cold: Cold,
+    cold: SlowStart,
     /// Attempts of the latest window, and whether their proxy had been notified of the start.
     window: VecDeque<(Micros, bool)>,
     /// How many of these proxies had been.
--- a/crates/kit/src/load/generator.rs
+++ b/crates/kit/src/load/generator.rs
@@ -163,7 +163,7 @@
     /// A connection is up.
     Up,
     /// A connection is over.
-    Over,
+    AttemptEnd,
 }
 
 impl Report for Told {
@@ -303,7 +303,7 @@
 
     fn closed(&mut self, io: &mut Io<Told>) {
         self.stream.reset();
-        io.report(Told::Over);
+        io.report(Told::AttemptEnd);
     }
 }
 
@@ -378,7 +378,7 @@
                     self.done.in_time += u64::from(now <= self.over);
                 }
                 Told::Up => self.up += 1,
-                Told::Over => self.open -= 1,
+                Told::AttemptEnd => self.open -= 1,
             }
         }
         Ok(())
--- a/crates/kit/src/model/client.rs
+++ b/crates/kit/src/model/client.rs
@@ -12,7 +12,7 @@
 mod tries;
 pub(crate) mod words;
 
-use crate::observation::{End, Left, Observation, RequestId, Seen};
+use crate::observation::{ClientClose, Observation, ProxyClose, RequestId, Seen};
 use crate::plan::{Plan, ProxyId, Session as Planned, SessionId};
 use crate::time::{MS, Micros, S};
 use standing::Standing;
@@ -39,7 +39,7 @@
     /// A line was read; without its end.
     Line(&'a [u8]),
     /// The proxy has ended the connection.
-    Ended(End),
+    Ended(ProxyClose),
     /// The timeline's [`crate::plan::What::Drop`].
     Drop { share: f64, back_within: Micros, seed: u64 },
     /// The run is over.
@@ -110,7 +110,7 @@
     },
     Up(Box<Standing>),
     Finishing(Box<Standing>, Micros),
-    Over,
+    AttemptEnd,
 }
 
 /// A session, from its arrival to its end.
@@ -191,7 +191,7 @@
 
     /// Nothing more will come of it.
     pub fn is_over(&self) -> bool {
-        matches!(self.state, State::Over)
+        matches!(self.state, State::AttemptEnd)
     }
 
     /// When it wants [`Input::Due`]; none once it is over.
@@ -203,7 +203,7 @@
             State::Lingering { until, next, .. } => Some(*until.min(&next.due)),
             State::Up(standing) => Some(standing.next_timeout().min(self.until)),
             State::Finishing(_, until) => Some(*until),
-            State::Over => None,
+            State::AttemptEnd => None,
         }
     }
 
@@ -234,10 +234,10 @@
                 if self.has_time(next) {
                     self.begin_try(next, admitted, out);
                 } else if now >= self.until {
-                    self.state = State::Over;
+                    self.state = State::AttemptEnd;
                 }
             }
-            State::Waiting(_) if now >= self.until => self.state = State::Over,
+            State::Waiting(_) if now >= self.until => self.state = State::AttemptEnd,
             State::Connecting(of) | State::Opening(of, _) if now >= of.gives_up => {
                 out.push(Output::Close);
                 self.unreached(now, out);
@@ -246,7 +246,7 @@
                 let (request, deadline) = (of.request, *deadline);
                 let next = self.after_failure(deadline, 0);
                 if self.planned().patience < 1.0 {
-                    self.leave(now, request, Left::Impatient, next, out);
+                    self.leave(now, request, ClientClose::Impatient, next, out);
                 } else {
                     let rules = &self.plan.rules;
                     let until = deadline + rules.answer_slack + rules.grace + LATE_MARGIN;
@@ -258,7 +258,7 @@
             State::Lingering { request, why, until, next } if now >= (*until).min(next.due) => {
                 let (request, why, next) = (*request, *why, *next);
                 if why == Why::Late {
-                    note(out, now, Seen::Left { request, why: Left::GaveUp });
+                    note(out, now, Seen::Left { request, why: ClientClose::GaveUp });
                 }
                 out.push(Output::Close);
                 self.state = State::Waiting(next);
@@ -266,14 +266,14 @@
             State::Up(_) => self.due_up(now, out),
             State::Finishing(_, until) if now >= *until => {
                 out.push(Output::Close);
-                self.state = State::Over;
+                self.state = State::AttemptEnd;
             }
             _ => {}
         }
     }
 
     fn due_up(&mut self, now: Micros, out: Out) {
-        let State::Up(mut standing) = std::mem::replace(&mut self.state, State::Over) else { return };
+        let State::Up(mut standing) = std::mem::replace(&mut self.state, State::AttemptEnd) else { return };
         standing.note_late(now, out);
         while let Some(line) = standing.due_line(now, out) {
             out.push(Output::Send(line));
@@ -283,7 +283,7 @@
             return;
         }
         standing.end(now, out);
-        note(out, now, Seen::Left { request: standing.whose.request, why: Left::Done });
+        note(out, now, Seen::Left { request: standing.whose.request, why: ClientClose::Done });
         out.push(Output::Finish);
         self.state = State::Finishing(standing, now + REST_WITHIN);
     }
--- a/crates/kit/src/model/client/endings.rs
+++ b/crates/kit/src/model/client/endings.rs
@@ -2,19 +2,19 @@
 
 use super::words::{Draw, draw};
 use super::{Next, Out, Output, Session, State, Why, note};
-use crate::observation::{End, Left, RequestId, Seen};
+use crate::observation::{ClientClose, ProxyClose, RequestId, Seen};
 use crate::time::Micros;
 use rand::RngExt;
 
 impl Session {
     /// Ends the connection itself, without having been served.
-    pub(super) fn leave(&mut self, now: Micros, request: RequestId, why: Left, next: Next, out: Out) {
+    pub(super) fn leave(&mut self, now: Micros, request: RequestId, why: ClientClose, next: Next, out: Out) {
         note(out, now, Seen::Left { request, why });
         out.push(Output::Close);
         self.state = State::Waiting(next);
     }
 
-    pub(super) fn ended(&mut self, now: Micros, how: End, out: Out) {
+    pub(super) fn ended(&mut self, now: Micros, how: ProxyClose, out: Out) {
         match &mut self.state {
             // Before the first line's end nothing was put to the proxy.
             State::Connecting(_) | State::Opening(..) => {
@@ -43,9 +43,9 @@
             }
             State::Finishing(..) => {
                 out.push(Output::Close);
-                self.state = State::Over;
+                self.state = State::AttemptEnd;
             }
-            State::Waiting(_) | State::Over => {}
+            State::Waiting(_) | State::AttemptEnd => {}
         }
     }
 
@@ -59,26 +59,26 @@
         let due = now + chance.random_range(0..=back_within.max(0));
         let request = standing.whose.request;
         standing.end(now, out);
-        note(out, now, Seen::Left { request, why: Left::Dropped });
+        note(out, now, Seen::Left { request, why: ClientClose::Dropped });
         out.push(Output::Reset);
         self.again = true;
         self.state = State::Waiting(Next { due, fresh: true });
     }
 
     pub(super) fn stop(&mut self, now: Micros, out: Out) {
-        match std::mem::replace(&mut self.state, State::Over) {
+        match std::mem::replace(&mut self.state, State::AttemptEnd) {
             State::Up(mut standing) => {
                 standing.end(now, out);
-                note(out, now, Seen::Left { request: standing.whose.request, why: Left::Done });
+                note(out, now, Seen::Left { request: standing.whose.request, why: ClientClose::Done });
             }
             State::Asked { of, deadline } => {
-                let why = if now < deadline { Left::Impatient } else { Left::GaveUp };
+                let why = if now < deadline { ClientClose::Impatient } else { ClientClose::GaveUp };
                 note(out, now, Seen::Left { request: of.request, why });
             }
             State::Lingering { request, why: Why::Late, .. } => {
-                note(out, now, Seen::Left { request, why: Left::GaveUp });
+                note(out, now, Seen::Left { request, why: ClientClose::GaveUp });
             }
-            State::Waiting(_) | State::Over => return,
+            State::Waiting(_) | State::AttemptEnd => return,
             _ => {}
         }
         out.push(Output::Close);
--- a/crates/kit/src/model/client/reading.rs
+++ b/crates/kit/src/model/client/reading.rs
@@ -3,7 +3,7 @@
 use super::standing::{Returned, Standing, Whose};
 use super::words::{Draw, answer, draw, is_load, kept, looks_like_answer};
 use super::{Out, Session, State, Try, Why, note};
-use crate::observation::{Answer, Left, Seen};
+use crate::observation::{Answer, ClientClose, Seen};
 use crate::time::{MS, Micros, S};
 use rand::RngExt;
 
@@ -25,7 +25,7 @@
             State::Lingering { request, why: Why::Late, next, .. } => {
                 let (request, next) = (*request, *next);
                 note(out, now, Seen::Answered { request, answer: answer(line) });
-                self.leave(now, request, Left::GaveUp, next, out);
+                self.leave(now, request, ClientClose::GaveUp, next, out);
             }
             State::Lingering { request, why, .. } => match why {
                 _ if looks_like_answer(line) => {
--- a/crates/kit/src/model/cold.rs
+++ b/crates/kit/src/model/cold.rs
@@ -1,7 +1,7 @@
 //! What a cold render node bears, and when it falls over.
 
 use super::pile::{Ramp, seconds};
-use crate::observation::Cold;
+use crate::observation::SlowStart;
 use crate::plan::{Node, Rules};
 use crate::time::Micros;
 use std::collections::VecDeque;
@@ -16,8 +16,8 @@
 }
 
 /// What the observations say of a node that starts cold.
-pub fn figures(node: &Node) -> Cold {
-    Cold { joins_per_s: joins_per_s(node), from: node.cold_from, warm_up: node.warm_up }
+pub fn figures(node: &Node) -> SlowStart {
+    SlowStart { joins_per_s: joins_per_s(node), from: node.cold_from, warm_up: node.warm_up }
 }
 
 /// The arrivals of one warm-up. Each counts, whatever it is answered.
--- a/crates/kit/src/observation.rs
+++ b/crates/kit/src/observation.rs
@@ -50,7 +50,7 @@
 
 /// How a client's connection ended, when the proxy ended it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum ProxyClose {
     /// In order.
     Closed,
     /// By a reset.
@@ -59,7 +59,7 @@
 
 /// Why a client ended its connection itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Left {
+pub enum ClientClose {
     /// Its time was up (and a little more, in which a late answer would have been seen) without an answer.
     GaveUp,
     /// It lost patience before its time was up.
@@ -83,7 +83,7 @@
 
 /// Who ended an attempt (or the connection that came of it), and how.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Over {
+pub enum AttemptEnd {
     /// The proxy closed it or ended its sending.
     ByProxy,
     /// The render node, with `BYE`.
@@ -110,8 +110,8 @@
 }
 
 /// How a cold render node warms up, and what it bears meanwhile.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
+#[derive(Clone, Copy, PartialEq)]
+pub struct SlowStart {
     /// New connections a second that a warm one like it bears: those that fill it within `warm_up`.
     pub joins_per_s: f64,
     /// Part of its capacity with which it begins; rises evenly to 1.
@@ -120,6 +120,18 @@
     pub warm_up: Micros,
 }
 
+impl fmt::Debug for SlowStart {
+    /// Reports list observations as this text, so its names stay as they were first published.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let SlowStart { joins_per_s, from, warm_up } = self;
+        f.debug_struct("Cold")
+            .field("joins_per_s", joins_per_s)
+            .field("from", from)
+            .field("warm_up", warm_up)
+            .finish()
+    }
+}
+
 /// What the kit did to a proxy's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
@@ -133,7 +145,7 @@
 
 /// How a rude client was dealt with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RudeEnd {
+pub enum MisbehaviorOutcome {
     /// `ERR` or `BUSY`.
     Error,
     /// Closed without a word.
@@ -162,9 +174,9 @@
     /// that came out of its turn; its first bytes, as text.
     Garbled { request: RequestId, line: String },
     /// The proxy ended the connection.
-    Ended { request: RequestId, how: End },
+    Ended { request: RequestId, how: ProxyClose },
     /// The client ended it.
-    Left { request: RequestId, why: Left },
+    Left { request: RequestId, why: ClientClose },
     /// The client sent its line number `line` (from 0).
     LineSent { request: RequestId, line: u32 },
     /// Its line came back.
@@ -182,11 +194,11 @@
     /// It is about to put a request with an id of its own, among whatever else it says.
     RudeAsked { rude: u32, request: RequestId, proxy: ProxyId },
     /// It was dealt with.
-    RudeOver { rude: u32, how: RudeEnd },
+    RudeOver { rude: u32, how: MisbehaviorOutcome },
 
     // -- render nodes --
     /// The process runs (again); `cold` unless it was warm from the start.
-    Started { node: NodeId, cold: Option<Cold> },
+    Started { node: NodeId, cold: Option<SlowStart> },
     /// What it can do from now on.
     Condition { node: NodeId, condition: Condition },
     /// It was pushed over: too much came while it was cold. It stays down.
@@ -204,7 +216,7 @@
     /// The attempt was answered.
     AttemptAnswered { attempt: Attempt, answer: NodeAnswer },
     /// The attempt, or the connection that came of it, is over.
-    AttemptOver { attempt: Attempt, over: Over },
+    AttemptOver { attempt: Attempt, over: AttemptEnd },
     /// A client's line has arrived.
     LineAtNode { attempt: Attempt, line: u32 },
     /// It was returned.
--- a/crates/kit/src/plan.rs
+++ b/crates/kit/src/plan.rs
@@ -7,7 +7,9 @@
 mod timeline;
 
 pub use rules::{Demands, Rules};
-pub use timeline::{DiscoveryChange, Happening, NetworkChange, NodeChange, Phase, ProxyChange, What};
+pub use timeline::{
+    DiscoveryChange, NetworkChange, NodeChange, Phase, ProxyChange, TimelineChange, TimelineEvent,
+};
 
 use crate::time::Micros;
 use fnv::FnvHasher;
@@ -50,9 +52,9 @@
     /// Sessions, in the order of their arrival.
     pub sessions: Vec<Session>,
     /// Rude clients, in the order of their arrival.
-    pub rude: Vec<Rude>,
+    pub rude: Vec<MisbehavingClient>,
     /// What happens, in order.
-    pub timeline: Vec<Happening>,
+    pub timeline: Vec<TimelineEvent>,
     /// How clients behave.
     pub habits: Habits,
     /// How the front behaves.
@@ -234,20 +236,28 @@
 }
 
 /// A client that goes beyond the usual.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Rude {
+#[derive(Clone, PartialEq)]
+pub struct MisbehavingClient {
     /// When it connects.
     pub arrives: Micros,
     /// What it does.
-    pub kind: RudeKind,
+    pub kind: Misbehavior,
     /// For what it draws itself.
     pub seed: u64,
 }
 
+impl fmt::Debug for MisbehavingClient {
+    /// The plan's digest is taken over this text, so its names stay as they were first published.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let MisbehavingClient { arrives, kind, seed } = self;
+        f.debug_struct("Rude").field("arrives", arrives).field("kind", kind).field("seed", seed).finish()
+    }
+}
+
 /// What a rude client does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum RudeKind {
+pub enum Misbehavior {
     /// Bytes that are no text.
     Garbage,
     /// A line without end.
@@ -314,13 +324,13 @@
     /// Datagrams are allowed at all.
     pub datagrams: bool,
     /// Members of the tier that serve no client and say this; they stand behind the proxies in the list of peers.
-    pub liars: Vec<Lie>,
+    pub liars: Vec<FalseReport>,
 }
 
 /// What a member of the tier says though it isn't so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Lie {
+pub enum FalseReport {
     /// Nothing: it is there and tells nothing. The control of the others.
     Nothing,
     /// That each render node fails to connect.
--- a/crates/kit/src/plan/timeline.rs
+++ b/crates/kit/src/plan/timeline.rs
@@ -2,20 +2,28 @@
 
 use super::{NodeId, ProxyId};
 use crate::time::Micros;
+use std::fmt;
 
-/// Something of the timeline.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Happening {
-    /// When.
+/// One scheduled event.
+#[derive(Clone, PartialEq)]
+pub struct TimelineEvent {
+    /// When it happens.
     pub at: Micros,
-    /// What.
-    pub what: What,
+    /// What changes.
+    pub change: TimelineChange,
+}
+
+impl fmt::Debug for TimelineEvent {
+    /// The plan's digest is taken over this text, so its names stay as they were first published.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Happening").field("at", &self.at).field("what", &self.change).finish()
+    }
 }
 
 /// What happens.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)] // Each variant's sentence names its fields.
-pub enum What {
+pub enum TimelineChange {
     /// To a render node.
     Node(NodeId, NodeChange),
     /// Discovery learns this of a render node.
--- a/crates/kit/src/scenario/draw/clients.rs
+++ b/crates/kit/src/scenario/draw/clients.rs
@@ -2,7 +2,7 @@
 
 use super::Draw;
 use super::faults::LoadCourse;
-use crate::plan::{Rude, RudeKind, Session};
+use crate::plan::{MisbehavingClient, Misbehavior, Session};
 use crate::scenario::Scenario;
 use crate::scenario::fault::Kind;
 use crate::scenario::format::Shape;
@@ -288,7 +288,7 @@
 }
 
 /// Rude clients, in the order of their arrival.
-pub(super) fn rude(draw: &Draw<'_>, scenario: &Scenario) -> Vec<Rude> {
+pub(super) fn rude(draw: &Draw<'_>, scenario: &Scenario) -> Vec<MisbehavingClient> {
     let mut all = Vec::new();
     let end = draw.body.seconds;
     if let Some(rude) = &draw.body.rude {
@@ -307,9 +307,9 @@
     draw: &Draw<'_>,
     name: &str,
     per_s: f64,
-    kinds: &[RudeKind],
+    kinds: &[Misbehavior],
     span: std::ops::Range<f64>,
-    all: &mut Vec<Rude>,
+    all: &mut Vec<MisbehavingClient>,
 ) {
     let mut chance = draw.chance.of(name);
     let mut at = span.start;
@@ -320,7 +320,7 @@
             return;
         }
         let kind = kinds[chance.random_range(0..kinds.len())];
-        all.push(Rude { arrives: draw.from + micros(at), kind, seed: chance.random() });
+        all.push(MisbehavingClient { arrives: draw.from + micros(at), kind, seed: chance.random() });
     }
 }
 
--- a/crates/kit/src/scenario/draw/faults.rs
+++ b/crates/kit/src/scenario/draw/faults.rs
@@ -4,7 +4,7 @@
 use super::listing::{Truth, entries};
 use crate::plan::Phase;
 use crate::plan::{
-    DiscoveryChange, Happening, NetworkChange, NodeChange, NodeId, ProxyChange, ProxyId, What,
+    DiscoveryChange, NetworkChange, NodeChange, NodeId, ProxyChange, ProxyId, TimelineChange, TimelineEvent,
 };
 use crate::scenario::Scenario;
 use crate::scenario::fault::{
@@ -51,7 +51,7 @@
 
 /// What the faults make of a run.
 pub(super) struct Course {
-    pub timeline: Vec<Happening>,
+    pub timeline: Vec<TimelineEvent>,
     pub load: LoadCourse,
 }
 
@@ -96,7 +96,7 @@
 
 struct Writer<'a> {
     draw: &'a Draw<'a>,
-    events: Vec<Happening>,
+    events: Vec<TimelineEvent>,
     truths: BTreeMap<u16, Vec<Truth>>,
     load: LoadCourse,
     /// The next spare node.
@@ -104,16 +104,16 @@
 }
 
 impl Writer<'_> {
-    fn push(&mut self, at: Micros, what: What) {
-        self.events.push(Happening { at, what });
+    fn push(&mut self, at: Micros, what: TimelineChange) {
+        self.events.push(TimelineEvent { at, change: what });
     }
 
     fn mark(&mut self, at: Micros, words: String) {
-        self.push(at, What::Mark(words));
+        self.push(at, TimelineChange::Mark(words));
     }
 
     fn node(&mut self, at: Micros, node: u16, change: NodeChange) {
-        self.push(at, What::Node(NodeId(node), change));
+        self.push(at, TimelineChange::Node(NodeId(node), change));
     }
 
     fn truth(&mut self, node: u16, at: Micros, phase: Phase, fresh: bool, notice: Micros) {
@@ -180,7 +180,7 @@
                     at,
                     format!("{:.0}% of the clients drop and come again within {back_s:.1} s", share * 100.0),
                 );
-                self.push(at, What::Drop { share, back_within, seed: chance.random() });
+                self.push(at, TimelineChange::Drop { share, back_within, seed: chance.random() });
             }
             Kind::Surge(surge) => {
                 self.mark(at, format!("arrivals are {} times the usual for {} s", surge.load, surge.for_s));
@@ -196,11 +196,11 @@
             Kind::Discovery(discovery) => {
                 let change = discovery.change.change();
                 self.mark(at, format!("discovery: {}", words(change)));
-                self.push(at, What::Discovery(change));
+                self.push(at, TimelineChange::Discovery(change));
                 if let Some(lasts) = discovery.for_s {
                     let over = at + micros(lasts);
                     self.mark(over, "discovery is as usual again".to_owned());
-                    self.push(over, What::Discovery(DiscoveryChange::Restore));
+                    self.push(over, TimelineChange::Discovery(DiscoveryChange::Restore));
                 }
             }
             Kind::Proxy(proxy) => self.proxy(at, proxy, proxies),
@@ -335,9 +335,9 @@
         let again = fault.for_s.or((fault.change == ProxyKind::Restart).then_some(PROXY_AGAIN_S));
         self.mark(at, format!("{what}: {who}"));
         for proxy in proxies.iter().copied().map(ProxyId) {
-            self.push(at, What::Proxy(proxy, change));
+            self.push(at, TimelineChange::Proxy(proxy, change));
             if let Some(away) = again {
-                self.push(ended + micros(away), What::Proxy(proxy, ProxyChange::Start));
+                self.push(ended + micros(away), TimelineChange::Proxy(proxy, ProxyChange::Start));
             }
         }
         if let Some(away) = again {
@@ -373,13 +373,13 @@
         };
         self.mark(at, words);
         for change in begin {
-            self.push(at, What::Network(change));
+            self.push(at, TimelineChange::Network(change));
         }
         if let Some(lasts) = fault.for_s {
             let over = at + micros(lasts);
             self.mark(over, "the network is as usual again".to_owned());
             for change in end {
-                self.push(over, What::Network(change));
+                self.push(over, TimelineChange::Network(change));
             }
         }
     }
@@ -389,7 +389,7 @@
             truths.sort_by_key(|truth| truth.at);
             let up_at_start = node < self.draw.body.fleet.nodes;
             for (at, phase) in entries(&truths, up_at_start) {
-                self.push(at, What::Listed(NodeId(node), phase));
+                self.push(at, TimelineChange::Listed(NodeId(node), phase));
             }
         }
         let mut timeline = self.events;
--- a/crates/kit/src/scenario/fault/mod.rs
+++ b/crates/kit/src/scenario/fault/mod.rs
@@ -7,7 +7,7 @@
 
 use super::format::Rude;
 use super::range::{Range, Span};
-use crate::plan::{DiscoveryChange, RudeKind};
+use crate::plan::{DiscoveryChange, Misbehavior};
 use serde::Deserialize;
 
 /// A fault.
@@ -406,7 +406,7 @@
     pub for_s: f64,
     /// What they do.
     #[serde(default = "Rude::every_kind")]
-    pub kinds: Vec<RudeKind>,
+    pub kinds: Vec<Misbehavior>,
 }
 
 impl Fault {
--- a/crates/kit/src/scenario/format/fleet.rs
+++ b/crates/kit/src/scenario/format/fleet.rs
@@ -1,6 +1,6 @@
 //! The sections about machines.
 
-use crate::plan::Lie;
+use crate::plan::FalseReport;
 use crate::scenario::range::{Range, Span};
 use serde::Deserialize;
 
@@ -110,7 +110,7 @@
     /// Memory of each.
     pub memory_mb: u32,
     /// Further members of the tier, who serve nobody and lie to the proxies: `nothing`, `all-unwell`, `all-crowded`.
-    pub liars: Vec<Lie>,
+    pub liars: Vec<FalseReport>,
 }
 
 impl Default for Proxies {
--- a/crates/kit/src/scenario/format/mod.rs
+++ b/crates/kit/src/scenario/format/mod.rs
@@ -8,7 +8,7 @@
 pub use load::{Class, Groups, Load, Shape, Tenant};
 
 use super::range::{Range, Span};
-use crate::plan::RudeKind;
+use crate::plan::Misbehavior;
 use serde::Deserialize;
 
 /// All of a file but its faults.
@@ -119,7 +119,7 @@
     pub per_s: f64,
     /// What they do; drawn evenly.
     #[serde(default = "Rude::every_kind")]
-    pub kinds: Vec<RudeKind>,
+    pub kinds: Vec<Misbehavior>,
     /// They come from here ...
     #[serde(default)]
     pub from_s: f64,
@@ -130,8 +130,8 @@
 
 impl Rude {
     /// All that are known.
-    pub(super) fn every_kind() -> Vec<RudeKind> {
-        use RudeKind::*;
+    pub(super) fn every_kind() -> Vec<Misbehavior> {
+        use Misbehavior::*;
         vec![
             Garbage,
             Endless,
--- a/crates/kit/tests/judge/fixtures.rs
+++ b/crates/kit/tests/judge/fixtures.rs
@@ -2,13 +2,13 @@
 
 use cottonnotch_kit::judge::{Judge, Outcome, Rule, Verdict};
 use cottonnotch_kit::observation::{
-    Answer, Attempt, Cold, Condition, End, Left, NodeAnswer, Observation, Over, RequestId, RudeEnd, Seen,
-    Signal,
+    Answer, Attempt, AttemptEnd, ClientClose, Condition, MisbehaviorOutcome, NodeAnswer, Observation,
+    ProxyClose, RequestId, Seen, Signal, SlowStart,
 };
 use cottonnotch_kit::plan::Phase;
 use cottonnotch_kit::plan::{
-    Class, Demands, Front, Habits, Network, Node, NodeId, Plan, Proxy, ProxyId, Rude, RudeKind, Rules,
-    Session, SessionId, Tenant,
+    Class, Demands, Front, Habits, MisbehavingClient, Misbehavior, Network, Node, NodeId, Plan, Proxy,
+    ProxyId, Rules, Session, SessionId, Tenant,
 };
 use cottonnotch_kit::time::{MS, S};
 use std::sync::Arc;
@@ -61,7 +61,7 @@
         patience: 1.0,
         seed: i as u64,
     };
-    let kinds = [RudeKind::Silent, RudeKind::StolenId, RudeKind::NoSuchClass];
+    let kinds = [Misbehavior::Silent, Misbehavior::StolenId, Misbehavior::NoSuchClass];
     Plan {
         name: "stage".into(),
         seed: 7,
@@ -73,7 +73,7 @@
         nodes: (0..6).map(node).collect(),
         proxies: (0..2).map(proxy).collect(),
         sessions: (0..sessions).map(session).collect(),
-        rude: kinds.map(|kind| Rude { arrives: 0, kind, seed: 1 }).into(),
+        rude: kinds.map(|kind| MisbehavingClient { arrives: 0, kind, seed: 1 }).into(),
         timeline: vec![],
         habits: Habits {
             line_every: 2 * S,
@@ -238,7 +238,7 @@
         self.add(at, Seen::AttemptAnswered { attempt: w.attempt, answer })
     }
 
-    pub fn attempt_ended(&mut self, at: f64, w: Exchange, over: Over) -> &mut Self {
+    pub fn attempt_ended(&mut self, at: f64, w: Exchange, over: AttemptEnd) -> &mut Self {
         self.add(at, Seen::AttemptOver { attempt: w.attempt, over })
     }
 
@@ -247,21 +247,21 @@
     }
 
     pub fn proxy_closed(&mut self, at: f64, w: Exchange) -> &mut Self {
-        self.add(at, Seen::Ended { request: w.request, how: End::Closed })
+        self.add(at, Seen::Ended { request: w.request, how: ProxyClose::Closed })
     }
 
     pub fn moved(&mut self, at: f64, w: Exchange) -> &mut Self {
         self.add(at, Seen::Moved { request: w.request })
     }
 
-    pub fn client_closed(&mut self, at: f64, w: Exchange, why: Left) -> &mut Self {
+    pub fn client_closed(&mut self, at: f64, w: Exchange, why: ClientClose) -> &mut Self {
         self.add(at, Seen::Left { request: w.request, why })
     }
 
     /// A request that the render node and then the proxy reject.
     pub fn rejected(&mut self, at: f64, w: Exchange) -> &mut Self {
         self.submitted(at, w).attempt(at + 1.0, w).node_answers(at + 2.0, w, NodeAnswer::Busy);
-        self.attempt_ended(at + 2.0, w, Over::Cut)
+        self.attempt_ended(at + 2.0, w, AttemptEnd::Cut)
             .answered(at + 3.0, w, Answer::Busy(0))
             .proxy_closed(at + 3.0, w)
     }
@@ -282,7 +282,7 @@
 
     /// The client ends its connection in order.
     pub fn client_done(&mut self, at: f64, w: Exchange) -> &mut Self {
-        self.attempt_ended(at, w, Over::ByProxy).client_closed(at + 0.5, w, Left::Done)
+        self.attempt_ended(at, w, AttemptEnd::ByProxy).client_closed(at + 0.5, w, ClientClose::Done)
     }
 
     pub fn listed(&mut self, at: f64, node: u16, phase: Phase) -> &mut Self {
@@ -302,7 +302,7 @@
     }
 
     pub fn slow_start(&mut self, at: f64, node: u16) -> &mut Self {
-        let cold = Cold { joins_per_s: 5.0, from: 0.4, warm_up: 10 * S };
+        let cold = SlowStart { joins_per_s: 5.0, from: 0.4, warm_up: 10 * S };
         self.add(at, Seen::Started { node: NodeId(node), cold: Some(cold) })
     }
 
@@ -323,7 +323,7 @@
         self.add(at, Seen::RudeCame { rude, proxy: ProxyId(proxy), by })
     }
 
-    pub fn misbehaving_client_answered(&mut self, at: f64, rude: u32, how: RudeEnd) -> &mut Self {
+    pub fn misbehaving_client_answered(&mut self, at: f64, rude: u32, how: MisbehaviorOutcome) -> &mut Self {
         self.add(at, Seen::RudeOver { rude, how })
     }
 }
--- a/crates/kit/tests/judge/model.rs
+++ b/crates/kit/tests/judge/model.rs
@@ -3,7 +3,9 @@
 
 use crate::fixtures::{Exchange, Trace, exchange, judge};
 use cottonnotch_kit::judge::{Outcome, Rule};
-use cottonnotch_kit::observation::{Answer, Condition, End, Left, NodeAnswer, Over, RudeEnd, Seen, Signal};
+use cottonnotch_kit::observation::{
+    Answer, AttemptEnd, ClientClose, Condition, MisbehaviorOutcome, NodeAnswer, ProxyClose, Seen, Signal,
+};
 use cottonnotch_kit::plan::Phase;
 use cottonnotch_kit::plan::{NodeId, ProxyId};
 use proptest::prelude::*;
@@ -76,12 +78,12 @@
     t.misbehaving_client(5000.0, 0, 0).misbehaving_client_answered(
         5000.0 + rng.random_range(1.0..2040.0),
         0,
-        RudeEnd::Error,
+        MisbehaviorOutcome::Error,
     );
     t.misbehaving_client(6000.0, 2, 1).misbehaving_client_answered(
         6000.0 + rng.random_range(1.0..2040.0),
         2,
-        RudeEnd::Closed,
+        MisbehaviorOutcome::Closed,
     );
     for at in 0..59 {
         t.add(f64::from(at) * 1000.0, Seen::Lag { late: rng.random_range(0..5000) });
@@ -112,10 +114,14 @@
         run.trace.attempt(now, w);
         let took = rng.random_range(1.0..250.0);
         if rng.random() {
-            run.trace.node_answers(now + took, w, NodeAnswer::Busy).attempt_ended(now + took, w, Over::Cut);
+            run.trace.node_answers(now + took, w, NodeAnswer::Busy).attempt_ended(
+                now + took,
+                w,
+                AttemptEnd::Cut,
+            );
         } else {
             // The proxy stops waiting; the render node notes that late.
-            run.trace.attempt_ended(now + took + rng.random_range(0.0..40.0), w, Over::ByProxy);
+            run.trace.attempt_ended(now + took + rng.random_range(0.0..40.0), w, AttemptEnd::ByProxy);
         }
         now += took + 0.2;
     }
@@ -123,11 +129,11 @@
         0 => {
             // It gives up as the answer comes, in either order.
             let last = at + 1060.0;
-            run.trace.client_closed(last, first, Left::GaveUp);
+            run.trace.client_closed(last, first, ClientClose::GaveUp);
             run.trace.answered(last + rng.random_range(-0.9..0.9), first, Answer::Busy(0));
         }
         1 => {
-            run.trace.client_closed(at + rng.random_range(600.0..900.0), first, Left::Impatient);
+            run.trace.client_closed(at + rng.random_range(600.0..900.0), first, ClientClose::Impatient);
         }
         2 => {
             let last = at + rng.random_range(600.0..1050.0);
@@ -171,10 +177,10 @@
             t.client_done(end, w);
         }
         EndCause::Drained if rng.random() => {
-            t.moved(end, w).attempt_ended(end + 1.0, w, Over::ByProxy).proxy_closed(end + 1.0, w);
+            t.moved(end, w).attempt_ended(end + 1.0, w, AttemptEnd::ByProxy).proxy_closed(end + 1.0, w);
         }
         EndCause::Drained => {
-            t.attempt_ended(when, w, Over::Move);
+            t.attempt_ended(when, w, AttemptEnd::Move);
             end = when + rng.random_range(0.0..900.0);
             t.moved(end, w).proxy_closed(end, w);
         }
@@ -189,14 +195,14 @@
             end = sent + rng.random_range(0.0..7000.0);
             let killed = w.proxy.0 == KILL.0 && end >= KILL.1;
             end = if killed { KILL.1 + 5.0 } else { end };
-            t.proxy_closed(end, w).attempt_ended(end + 1.0, w, Over::ByProxy);
+            t.proxy_closed(end, w).attempt_ended(end + 1.0, w, AttemptEnd::ByProxy);
         }
         EndCause::ProxyKilled => {
             end = when + rng.random_range(1.0..20.0);
-            t.add(end, Seen::Ended { request: w.request, how: End::Reset }).attempt_ended(
+            t.add(end, Seen::Ended { request: w.request, how: ProxyClose::Reset }).attempt_ended(
                 end,
                 w,
-                Over::ByProxy,
+                AttemptEnd::ByProxy,
             );
         }
     }
@@ -239,7 +245,7 @@
             out.attempt(c.up + 10.0, c.w.with_attempt(7, 0)).attempt_ended(
                 c.up + 300.0,
                 c.w.with_attempt(7, 0),
-                Over::ByProxy,
+                AttemptEnd::ByProxy,
             );
         }
         Rule::TooManyAttempts => {
@@ -277,12 +283,12 @@
                 |s| matches!(s, Seen::LineBack { request, line } if *request == c.w.request && *line + 2 == c.lines),
             );
         }
-        Rule::EndedConnectionKept => {
+        Rule::EndedConnectionOpen => {
             let c = any(&|c| c.cause == EndCause::NodeDied)?;
             out = t.without(client_end(c.w));
             out.proxy_closed(DEATH.1 + 1060.0, c.w);
         }
-        Rule::SilentConnectionKept => {
+        Rule::SilentConnectionOpen => {
             let c = any(&|c| c.cause == EndCause::NodeHung && c.w.proxy.0 != KILL.0)?;
             out = t.without(client_end(c.w));
             out = out.without(|s| matches!(s, Seen::AttemptOver { attempt, .. } if *attempt == c.w.attempt));
@@ -290,7 +296,7 @@
         Rule::MisbehavingClientUnanswered => out = t.without(|s| matches!(s, Seen::RudeOver { rude: 0, .. })),
         Rule::MisbehavingClientServed => {
             out = t.without(|s| matches!(s, Seen::RudeOver { rude: 2, .. }));
-            out.misbehaving_client_answered(6500.0, 2, RudeEnd::Served);
+            out.misbehaving_client_answered(6500.0, 2, MisbehaviorOutcome::Served);
         }
         Rule::BadFirstLine => {
             let line = "OPEN".to_owned();
--- a/crates/kit/tests/judge/rules.rs
+++ b/crates/kit/tests/judge/rules.rs
@@ -2,7 +2,9 @@
 
 use crate::fixtures::{Exchange, Trace, assert_passes, assert_violates, established, exchange, judge};
 use cottonnotch_kit::judge::Rule;
-use cottonnotch_kit::observation::{Answer, Condition, End, Left, NodeAnswer, Over, RudeEnd, Seen, Signal};
+use cottonnotch_kit::observation::{
+    Answer, AttemptEnd, ClientClose, Condition, MisbehaviorOutcome, NodeAnswer, ProxyClose, Seen, Signal,
+};
 use cottonnotch_kit::plan::Phase;
 use cottonnotch_kit::plan::{NodeId, ProxyId, SessionId};
 
@@ -28,7 +30,7 @@
     assert_violates(Rule::OneFinalAnswer, &unanswered);
     let silent = unanswered.without(|s| matches!(s, Seen::Ended { .. }));
     assert_violates(Rule::OneFinalAnswer, &silent);
-    assert_violates(Rule::OneFinalAnswer, silent.clone().client_closed(2070.0, w, Left::GaveUp));
+    assert_violates(Rule::OneFinalAnswer, silent.clone().client_closed(2070.0, w, ClientClose::GaveUp));
     // Late, and still at work after the answer.
     assert_violates(Rule::OneFinalAnswer, silent.clone().answered(2060.0, w, Answer::Busy(0)));
     assert_passes(silent.clone().answered(2057.9, w, Answer::Busy(0)));
@@ -62,13 +64,13 @@
     let copy = w.with_attempt(1, 1);
     assert_violates(
         Rule::TwoAttempts,
-        good.clone().attempt(1005.0, copy).attempt_ended(1200.0, copy, Over::ByProxy),
+        good.clone().attempt(1005.0, copy).attempt_ended(1200.0, copy, AttemptEnd::ByProxy),
     );
     // Ended before, and noted 40 ms late by another thread.
-    assert_passes(good.clone().attempt(970.0, copy).attempt_ended(1040.0, copy, Over::ByProxy));
+    assert_passes(good.clone().attempt(970.0, copy).attempt_ended(1040.0, copy, AttemptEnd::ByProxy));
     assert_violates(
         Rule::TwoAttempts,
-        good.clone().attempt(970.0, copy).attempt_ended(1060.0, copy, Over::ByProxy),
+        good.clone().attempt(970.0, copy).attempt_ended(1060.0, copy, AttemptEnd::ByProxy),
     );
     // At a machine that has vanished nothing can be seen to end.
     let mut vanished = good.clone();
@@ -193,24 +195,27 @@
     let mut cut = open.clone();
     assert_violates(
         Rule::CutWithoutMove,
-        cut.proxy_closed(20_000.0, w).attempt_ended(20_001.0, w, Over::ByProxy),
+        cut.proxy_closed(20_000.0, w).attempt_ended(20_001.0, w, AttemptEnd::ByProxy),
     );
     assert_passes(cut.clone().moved(19_999.0, w));
-    assert_violates(Rule::CutWithoutMove, cut.clone().client_closed(20_002.0, w, Left::Dropped));
-    assert_passes(cut.clone().client_closed(20_002.0, w, Left::Done));
+    assert_violates(Rule::CutWithoutMove, cut.clone().client_closed(20_002.0, w, ClientClose::Dropped));
+    assert_passes(cut.clone().client_closed(20_002.0, w, ClientClose::Done));
     // Only the render node's side is ended; the client's own end may follow it.
-    assert_violates(Rule::CutWithoutMove, open.clone().attempt_ended(20_000.0, w, Over::ByProxy));
-    assert_passes(open.clone().attempt_ended(20_000.0, w, Over::ByProxy).client_closed(
+    assert_violates(Rule::CutWithoutMove, open.clone().attempt_ended(20_000.0, w, AttemptEnd::ByProxy));
+    assert_passes(open.clone().attempt_ended(20_000.0, w, AttemptEnd::ByProxy).client_closed(
         21_000.0,
         w,
-        Left::Done,
+        ClientClose::Done,
     ));
     // Moved: the render node's thread noted its side's end before the client's noted the word.
     assert_passes(
-        open.clone().attempt_ended(20_000.0, w, Over::ByProxy).moved(20_000.1, w).proxy_closed(20_000.2, w),
+        open.clone()
+            .attempt_ended(20_000.0, w, AttemptEnd::ByProxy)
+            .moved(20_000.1, w)
+            .proxy_closed(20_000.2, w),
     );
     // The render node ended it (noted 30 ms late), died, or did not answer.
-    assert_passes(open.clone().proxy_closed(20_000.0, w).attempt_ended(20_030.0, w, Over::Bye));
+    assert_passes(open.clone().proxy_closed(20_000.0, w).attempt_ended(20_030.0, w, AttemptEnd::Bye));
     assert_passes(open.clone().proxy_closed(20_000.0, w).condition(20_030.0, 0, Condition::Down));
     assert_passes(cut.clone().condition(19_500.0, 0, Condition::Hung));
     // Silent once, and sound for long.
@@ -236,25 +241,25 @@
     // Noted by the render node before the client has noted that it sent it.
     assert_passes(&good.without(at_node).with(9999.9, Seen::LineAtNode { attempt: w.attempt, line: 4 }));
     // One end is gone, or the render node doesn't read.
-    assert_passes(good.without(is_end).without(at_node).client_closed(10_900.0, w, Left::Dropped));
+    assert_passes(good.without(is_end).without(at_node).client_closed(10_900.0, w, ClientClose::Dropped));
     let mut hung = good.without(at_node);
     assert_passes(hung.condition(10_500.0, 0, Condition::Hung).condition(13_000.0, 0, Condition::Sound));
 }
 
 #[test]
-fn ended_connection_kept() {
+fn ended_connection_open() {
     let (good, w) = established();
     let open = good.without(is_end);
-    for over in [Over::Bye, Over::Move, Over::Cut] {
+    for over in [AttemptEnd::Bye, AttemptEnd::Move, AttemptEnd::Cut] {
         assert_passes(open.clone().attempt_ended(20_000.0, w, over).proxy_closed(21_040.0, w));
         assert_violates(
-            Rule::EndedConnectionKept,
+            Rule::EndedConnectionOpen,
             open.clone().attempt_ended(20_000.0, w, over).proxy_closed(21_060.0, w),
         );
     }
-    assert_passes(open.clone().attempt_ended(20_000.0, w, Over::Cut).moved(21_040.0, w));
+    assert_passes(open.clone().attempt_ended(20_000.0, w, AttemptEnd::Cut).moved(21_040.0, w));
     assert_violates(
-        Rule::EndedConnectionKept,
+        Rule::EndedConnectionOpen,
         open.clone().condition(20_000.0, 0, Condition::Down).proxy_closed(21_060.0, w),
     );
     // A machine that is gone says nothing, until it is back.
@@ -262,18 +267,18 @@
     gone.condition(20_000.0, 0, Condition::Vanished).slow_start(23_000.0, 0);
     assert_passes(gone.clone().proxy_closed(24_000.0, w));
     assert_passes(gone.clone().condition(20_100.0, 0, Condition::Down).proxy_closed(24_000.0, w));
-    assert_violates(Rule::EndedConnectionKept, &gone);
+    assert_violates(Rule::EndedConnectionOpen, &gone);
 }
 
 #[test]
-fn silent_connection_kept() {
+fn silent_connection_open() {
     let (good, w) = established();
     let open = good.without(is_end);
     for condition in [Condition::Hung, Condition::Vanished] {
         let mut hung = open.clone();
         hung.condition(20_000.0, 0, condition).add(21_000.0, Seen::LineSent { request: w.request, line: 50 });
-        assert_violates(Rule::SilentConnectionKept, &hung);
-        assert_violates(Rule::SilentConnectionKept, hung.clone().proxy_closed(28_060.0, w));
+        assert_violates(Rule::SilentConnectionOpen, &hung);
+        assert_violates(Rule::SilentConnectionOpen, hung.clone().proxy_closed(28_060.0, w));
         assert_passes(hung.clone().proxy_closed(28_040.0, w));
         assert_passes(hung.clone().moved(28_040.0, w));
         // A line that was late before the silence began: the clock runs from there.
@@ -281,7 +286,7 @@
         late.add(19_000.0, Seen::LineSent { request: w.request, line: 50 }).condition(23_000.0, 0, condition);
         late.add(19_000.0, Seen::LineAtNode { attempt: w.attempt, line: 50 });
         assert_passes(late.clone().proxy_closed(30_040.0, w));
-        assert_violates(Rule::SilentConnectionKept, &late);
+        assert_violates(Rule::SilentConnectionOpen, &late);
         // It came to itself in time, and returns the line.
         let mut back = hung.clone();
         back.add(26_000.0, Seen::LineReturned { attempt: w.attempt, line: 50 });
@@ -294,17 +299,17 @@
 #[test]
 fn misbehaving_clients() {
     let mut good = Trace::default();
-    good.misbehaving_client(1000.0, 0, 0).misbehaving_client_answered(3040.0, 0, RudeEnd::Error);
+    good.misbehaving_client(1000.0, 0, 0).misbehaving_client_answered(3040.0, 0, MisbehaviorOutcome::Error);
     assert_passes(&good);
     let open = good.without(|s| matches!(s, Seen::RudeOver { .. }));
     assert_violates(Rule::MisbehavingClientUnanswered, &open);
     assert_violates(
         Rule::MisbehavingClientUnanswered,
-        open.clone().misbehaving_client_answered(3060.0, 0, RudeEnd::Closed),
+        open.clone().misbehaving_client_answered(3060.0, 0, MisbehaviorOutcome::Closed),
     );
     assert_violates(
         Rule::MisbehavingClientServed,
-        open.clone().misbehaving_client_answered(1500.0, 0, RudeEnd::Served),
+        open.clone().misbehaving_client_answered(1500.0, 0, MisbehaviorOutcome::Served),
     );
     // Served by a render node: the first line there is part of the same fault, for an unheard id and a stolen one.
     let (stray, (mut established, w)) = (exchange(77, 0, 2), established());
@@ -312,15 +317,15 @@
     let asks = Seen::RudeAsked { rude: 2, request: stray.request, proxy: stray.proxy };
     served.misbehaving_client(1000.0, 2, 0).add(1000.1, asks);
     served.attempt(1001.0, stray).node_answers(1009.0, stray, NodeAnswer::Up(5));
-    assert_passes(served.clone().misbehaving_client_answered(1900.0, 2, RudeEnd::Error));
+    assert_passes(served.clone().misbehaving_client_answered(1900.0, 2, MisbehaviorOutcome::Error));
     assert_violates(
         Rule::MisbehavingClientServed,
-        served.misbehaving_client_answered(1900.0, 2, RudeEnd::Served),
+        served.misbehaving_client_answered(1900.0, 2, MisbehaviorOutcome::Served),
     );
     established.misbehaving_client(5000.0, 1, 0).attempt(5001.0, w.with_attempt(1, 2));
     assert_violates(
         Rule::MisbehavingClientServed,
-        established.misbehaving_client_answered(5005.0, 1, RudeEnd::Served),
+        established.misbehaving_client_answered(5005.0, 1, MisbehaviorOutcome::Served),
     );
 }
 
@@ -359,7 +364,7 @@
 fn processes() {
     let (good, w) = established();
     let closed_at = |t: &Trace, at| {
-        t.without(is_end).clone().attempt_ended(at, w, Over::ByProxy).proxy_closed(at, w).clone()
+        t.without(is_end).clone().attempt_ended(at, w, AttemptEnd::ByProxy).proxy_closed(at, w).clone()
     };
     // A crash takes its connections with it, which is one fault.
     assert_violates(Rule::ProxyCrashed, closed_at(&good, 5000.0).exited(5100.0, 0, Some(101)));
@@ -389,10 +394,10 @@
         .exited(13_761.0, 0, None);
     assert_violates(
         Rule::ShutdownOverrun,
-        in_flight.clone().proxy_closed(13_761.0, w).attempt_ended(13_762.0, w, Over::ByProxy),
+        in_flight.clone().proxy_closed(13_761.0, w).attempt_ended(13_762.0, w, AttemptEnd::ByProxy),
     );
     let mut both = in_flight;
-    let verdict = judge(both.proxy_closed(13_000.0, w).attempt_ended(13_001.0, w, Over::ByProxy));
+    let verdict = judge(both.proxy_closed(13_000.0, w).attempt_ended(13_001.0, w, AttemptEnd::ByProxy));
     assert_eq!(
         (verdict.violation_count(Rule::ShutdownOverrun), verdict.violation_count(Rule::CutWithoutMove)),
         (1, 1),
@@ -422,7 +427,7 @@
     let (in_flight, late, next, other) =
         (exchange(2, 0, 1), exchange(3, 0, 1), exchange(4, 0, 1), exchange(5, 1, 1));
     let reset = |trace: &mut Trace, at: f64, w: Exchange| {
-        trace.add(at, Seen::Ended { request: w.request, how: End::Reset });
+        trace.add(at, Seen::Ended { request: w.request, how: ProxyClose::Reset });
     };
     reset(&mut killed, 5005.0, w);
     killed.submitted(4990.0, in_flight).submitted(5060.0, late);
@@ -443,7 +448,7 @@
     // Its time was up before the kill, and the client found out afterwards.
     assert_violates(
         Rule::OneFinalAnswer,
-        killed.clone().submitted(3900.0, next).client_closed(5010.0, next, Left::GaveUp),
+        killed.clone().submitted(3900.0, next).client_closed(5010.0, next, ClientClose::GaveUp),
     );
     // Cut before the signal, and on another proxy.
     let mut cut = killed.clone();
@@ -457,17 +462,29 @@
     let w = exchange(1, 0, 0);
     let mut open = Trace::default();
     open.submitted(1000.0, w);
-    assert_passes(open.clone().client_closed(1500.0, w, Left::Impatient));
-    assert_passes(open.clone().client_closed(1500.0, w, Left::Dropped));
-    assert_passes(open.clone().client_closed(2000.0, w, Left::GaveUp));
-    assert_violates(Rule::OneFinalAnswer, open.clone().client_closed(2060.0, w, Left::GaveUp));
+    assert_passes(open.clone().client_closed(1500.0, w, ClientClose::Impatient));
+    assert_passes(open.clone().client_closed(1500.0, w, ClientClose::Dropped));
+    assert_passes(open.clone().client_closed(2000.0, w, ClientClose::GaveUp));
+    assert_violates(Rule::OneFinalAnswer, open.clone().client_closed(2060.0, w, ClientClose::GaveUp));
     // In the same millisecond as the answer, whichever is noted first.
-    assert_passes(open.clone().client_closed(2060.0, w, Left::GaveUp).answered(2060.4, w, Answer::Busy(0)));
-    assert_passes(open.clone().answered(2060.0, w, Answer::Busy(0)).client_closed(2060.4, w, Left::GaveUp));
-    assert_passes(open.clone().answered(2060.0, w, Answer::Busy(0)).client_closed(2060.0, w, Left::GaveUp));
+    assert_passes(open.clone().client_closed(2060.0, w, ClientClose::GaveUp).answered(
+        2060.4,
+        w,
+        Answer::Busy(0),
+    ));
+    assert_passes(open.clone().answered(2060.0, w, Answer::Busy(0)).client_closed(
+        2060.4,
+        w,
+        ClientClose::GaveUp,
+    ));
+    assert_passes(open.clone().answered(2060.0, w, Answer::Busy(0)).client_closed(
+        2060.0,
+        w,
+        ClientClose::GaveUp,
+    ));
     assert_violates(
         Rule::OneFinalAnswer,
-        open.clone().answered(2060.0, w, Answer::Busy(0)).client_closed(2064.0, w, Left::GaveUp),
+        open.clone().answered(2060.0, w, Answer::Busy(0)).client_closed(2064.0, w, ClientClose::GaveUp),
     );
 }
 
@@ -480,7 +497,7 @@
     let mut established = Trace::default();
     established
         .up(50_000.0, w)
-        .attempt_ended(59_500.0, w, Over::Cut)
+        .attempt_ended(59_500.0, w, AttemptEnd::Cut)
         .add(59_600.0, Seen::LineSent { request: w.request, line: 0 });
     assert_passes(established.misbehaving_client(58_500.0, 0, 0));
     open.submitted(58_000.0, exchange(2, 0, 0));
--- a/crates/kit/tests/scenarios.rs
+++ b/crates/kit/tests/scenarios.rs
@@ -7,7 +7,7 @@
 )]
 
 use cottonnotch_kit::plan::Phase;
-use cottonnotch_kit::plan::{NodeChange, NodeId, Plan, ProxyChange, ProxyId, What};
+use cottonnotch_kit::plan::{NodeChange, NodeId, Plan, ProxyChange, ProxyId, TimelineChange};
 use cottonnotch_kit::scenario::Scenario;
 use cottonnotch_kit::settings::settings;
 use cottonnotch_kit::time::{MS, Micros, S};
@@ -71,11 +71,11 @@
     let mut last: BTreeMap<NodeId, (Micros, NodeChange)> = BTreeMap::new();
     let mut listed: BTreeMap<NodeId, Phase> = BTreeMap::new();
     let mut drains: BTreeSet<NodeId> = BTreeSet::new();
-    for happening in &plan.timeline {
-        match &happening.what {
-            What::Node(node, change) => {
+    for event in &plan.timeline {
+        match &event.change {
+            TimelineChange::Node(node, change) => {
                 let runs = &mut running[usize::from(node.0)];
-                last.insert(*node, (happening.at, *change));
+                last.insert(*node, (event.at, *change));
                 match change {
                     NodeChange::Kill | NodeChange::Vanish if !*runs => fail("gone twice"),
                     NodeChange::Start if *runs => fail("started while it runs"),
@@ -83,9 +83,9 @@
                     NodeChange::Start | NodeChange::Recover => *runs = true,
                     NodeChange::Drain { within } => {
                         drains.insert(*node);
-                        let over = happening.at + within;
+                        let over = event.at + within;
                         let goes = plan.timeline.iter().any(|it| {
-                            it.what == What::Node(*node, NodeChange::Kill)
+                            it.change == TimelineChange::Node(*node, NodeChange::Kill)
                                 && (over + 1..over + S).contains(&it.at)
                         });
                         if !goes && over + S < plan.ends {
@@ -95,15 +95,17 @@
                     _ => {}
                 }
             }
-            What::Listed(node, phase) => {
+            TimelineChange::Listed(node, phase) => {
                 let at_start =
                     if plan.nodes[usize::from(node.0)].from_start { Phase::Up } else { Phase::Removed };
                 let before = listed.insert(*node, *phase).unwrap_or(at_start);
                 let drained = drains.remove(node);
                 if *phase == Phase::Removed && drained && before != Phase::Draining {
                     // Only a node that runs again by then may miss its drain on the list.
-                    let again =
-                        plan.timeline.iter().any(|it| it.what == What::Node(*node, NodeChange::Start));
+                    let again = plan
+                        .timeline
+                        .iter()
+                        .any(|it| it.change == TimelineChange::Node(*node, NodeChange::Start));
                     if !again {
                         fail("removed after a drain that was never listed");
                     }
@@ -127,8 +129,8 @@
 
 fn proxies_are_consistent(plan: &Plan, fail: &dyn Fn(&str)) {
     let mut running = vec![true; plan.proxies.len()];
-    for happening in &plan.timeline {
-        let What::Proxy(proxy, change) = happening.what else { continue };
+    for event in &plan.timeline {
+        let TimelineChange::Proxy(proxy, change) = event.change else { continue };
         let runs = &mut running[usize::from(proxy.0)];
         match change {
             ProxyChange::Start if *runs => fail("a proxy started while it runs"),
@@ -179,7 +181,10 @@
     assert_eq!((&plain.sessions, &plain.nodes, &plain.habits), (&more.sessions, &more.nodes, &more.habits));
     assert_eq!(killed.sessions, plain.sessions);
     let of_nodes = |plan: &Plan| -> Vec<_> {
-        let all = plan.timeline.iter().filter(|it| matches!(it.what, What::Node(..) | What::Listed(..)));
+        let all = plan
+            .timeline
+            .iter()
+            .filter(|it| matches!(it.change, TimelineChange::Node(..) | TimelineChange::Listed(..)));
         all.cloned().collect()
     };
     assert!(of_nodes(&killed).len() >= 12);
@@ -241,8 +246,8 @@
 fn a_proxy_comes_back_after_it_is_surely_gone() {
     let restart = "[[fault]]\nat_s = 5\nkind = \"proxy\"\nchange = \"restart\"\nnames = [\"proxy-1\"]\n";
     let plan = read(&format!("{PLAIN}{restart}")).draw(1);
-    let proxies = plan.timeline.iter().filter_map(|it| match it.what {
-        What::Proxy(proxy, change) => Some((proxy.0, change, it.at - plan.measured_from)),
+    let proxies = plan.timeline.iter().filter_map(|it| match it.change {
+        TimelineChange::Proxy(proxy, change) => Some((proxy.0, change, it.at - plan.measured_from)),
         _ => None,
     });
     let expected = [(1, ProxyChange::Terminate, 5 * S), (1, ProxyChange::Start, 5 * S + 3900 * MS)];
