--- a/crates/kit/src/observation.rs
+++ b/crates/kit/src/observation.rs
@@ -1,39 +1,39 @@
-//! What the stand-ins saw: clients, render nodes, discovery, the front, and the kit's own hand on the processes.
+//! Observations by the emulated clients, render nodes, discovery and front, and by the runner of the proxies' processes.
 //!
-//! The judge is fed these and nothing else, in the order of their times; no word of a proxy's is among them.
-//! A stand-in notes what it did or saw at the moment at which it did or saw it, on the one clock of the run.
+//! They are the judge's only input, in order of time; none comes from a proxy. Each is recorded at the time of the
+//! event, on the one clock of the run. Reports list observations by their `Debug` text, so the names of [`Seen`]'s
+//! variants and fields are part of the output.
 
 use crate::plan::{NodeId, Phase, ProxyId, SessionId};
 use crate::time::Micros;
 use std::fmt;
 
-/// One thing seen.
+/// One observation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
-    /// When, on the run's clock.
+    /// Time on the run's clock, in microseconds.
     pub at: Micros,
-    /// What.
+    /// The event.
     pub seen: Seen,
 }
 
-/// The id that a client put into its first line; fresh for each try, so it names one request for good, and the
-/// proxy that it was put to.
+/// The id in a client's first line. Each attempt of a client has a new one, so it identifies one request and its proxy.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
 impl fmt::Debug for RequestId {
-    /// As on the wire, so that it can be looked for in a proxy's log.
+    /// As on the wire, so that it can be found in a proxy's log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
 }
 
-/// One attempt at one render node: the render node's own count of the first lines that it was sent.
+/// One attempt at one render node, by the render node's count of the first lines that it received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Attempt {
-    /// Where.
+    /// The render node.
     pub node: NodeId,
-    /// Which; never given twice by a render node, restarts included.
+    /// Serial number, unique for a render node across its restarts.
     pub serial: u32,
 }
 
@@ -42,7 +42,7 @@
 pub enum Answer {
     /// `UP RECEIPT`.
     Up(u64),
-    /// `BUSY` or `BUSY MS`; the time to wait, 0 if none was told.
+    /// `BUSY` or `BUSY MS`; the wait in microseconds, 0 if none was given.
     Busy(Micros),
     /// Any other line.
     Failed(String),
@@ -51,7 +51,7 @@
 /// How a client's connection ended, when the proxy ended it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProxyClose {
-    /// In order.
+    /// By an orderly close.
     Closed,
     /// By a reset.
     Reset,
@@ -60,28 +60,28 @@
 /// Why a client ended its connection itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientClose {
-    /// Its time was up (and a little more, in which a late answer would have been seen) without an answer.
+    /// The deadline, and a margin in which a late answer would have been read, passed without an answer.
     GaveUp,
-    /// It lost patience before its time was up.
+    /// It gave up before the deadline.
     Impatient,
-    /// It was made to drop its connection by a fault of the scenario.
+    /// A fault of the scenario made it drop the connection.
     Dropped,
-    /// Its session is over; it ended its sending and the rest was awaited.
+    /// Its session is over: it ended its sending and read the rest.
     Done,
 }
 
-/// What a render node answered an attempt.
+/// A render node's answer to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeAnswer {
-    /// `UP` with this receipt, which no other attempt gets.
+    /// `UP` with this receipt, unique to the attempt.
     Up(u64),
-    /// `BUSY`: never ran.
+    /// `BUSY`: the request was not run.
     Busy,
-    /// `ERR`, or rubbish.
+    /// `ERR`, or an unreadable answer.
     Error,
 }
 
-/// Who ended an attempt (or the connection that came of it), and how.
+/// How an attempt, or the connection that it opened, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
     /// The proxy closed it or ended its sending.
@@ -90,33 +90,33 @@
     Bye,
     /// The render node, with `MOVE`.
     Move,
-    /// The render node without a word: it died, shed the connection, or closed after `BUSY` or `ERR`.
+    /// The render node, without a line: it died, shed the connection, or closed after `BUSY` or `ERR`.
     Cut,
 }
 
-/// What a render node is able to do from now on.
+/// The condition of a render node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
     /// Accepts, answers and returns lines.
     Sound,
-    /// Accepts and never replies; lines are not returned.
+    /// Accepts connections and never replies; lines are not returned.
     Hung,
-    /// Its machine is gone or cut off: silence, and new connections never come up.
+    /// Its machine is down or cut off: established connections are silent and new ones are never accepted.
     Vanished,
-    /// Answers rubbish to new connections; those that stand are sound.
+    /// Answers new connections with unreadable bytes; established ones work.
     Rubbish,
     /// No process: connections were reset, new ones are refused.
     Down,
 }
 
-/// How a cold render node warms up, and what it bears meanwhile.
+/// Slow start of a render node: how it warms up, and its capacity meanwhile.
 #[derive(Clone, Copy, PartialEq)]
 pub struct SlowStart {
-    /// New connections a second that a warm one like it bears: those that fill it within `warm_up`.
+    /// New connections a second that it takes when warm: those that fill it within `warm_up`.
     pub joins_per_s: f64,
-    /// Part of its capacity with which it begins; rises evenly to 1.
+    /// Share of its capacity at the start; rises linearly to 1.
     pub from: f64,
-    /// After which it is warm.
+    /// Duration of the warm-up, in microseconds.
     pub warm_up: Micros,
 }
 
@@ -132,7 +132,7 @@
     }
 }
 
-/// What the kit did to a proxy's process.
+/// A signal that the kit sent to a proxy's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// SIGKILL.
@@ -143,18 +143,18 @@
     Reload,
 }
 
-/// How a rude client was dealt with.
+/// How a proxy handled a misbehaving client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MisbehaviorOutcome {
     /// `ERR` or `BUSY`.
     Error,
-    /// Closed without a word.
+    /// Closed without an answer.
     Closed,
     /// Served, as if its request had run.
     Served,
 }
 
-/// What was seen.
+/// An observed event.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)] // Each variant's sentence names its fields.
 pub enum Seen {
--- a/crates/kit/src/plan.rs
+++ b/crates/kit/src/plan.rs
@@ -1,7 +1,8 @@
-//! A run as it was drawn: everything that a scenario and a seed decide before anything starts.
+//! The plan of a run: everything that a scenario and a seed determine before the run starts.
 //!
-//! The same scenario and seed give the same plan to the microsecond; nothing that happens in a run changes it.
-//! Stand-ins share it by reference and look up what concerns them.
+//! The same scenario and seed give the same plan to the microsecond, and nothing in a run changes it. The emulated
+//! clients, render nodes and discovery share it by reference. [`Plan::digest`] is taken over the `Debug` text, so the
+//! names of types, fields and variants printed there stay.
 
 mod rules;
 mod timeline;
@@ -235,7 +236,7 @@
     }
 }
 
-/// A client that goes beyond the usual.
+/// A client that breaks the protocol on purpose.
 #[derive(Clone, PartialEq)]
 pub struct MisbehavingClient {
     /// When it connects.
@@ -254,7 +255,7 @@
     }
 }
 
-/// What a rude client does.
+/// How a misbehaving client breaks the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Misbehavior {
@@ -327,7 +328,7 @@
     pub liars: Vec<FalseReport>,
 }
 
-/// What a member of the tier says though it isn't so.
+/// A false report that a faulty peer sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FalseReport {
--- a/crates/kit/src/plan/timeline.rs
+++ b/crates/kit/src/plan/timeline.rs
@@ -1,4 +1,4 @@
-//! What happens in a run, and when.
+//! The scheduled events of a run.
 
 use super::{NodeId, ProxyId};
 use crate::time::Micros;
@@ -20,7 +20,7 @@
     }
 }
 
-/// What happens.
+/// A scheduled change.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)] // Each variant's sentence names its fields.
 pub enum TimelineChange {
@@ -37,11 +37,11 @@
     Drop { share: f64, back_within: Micros, seed: u64 },
     /// To the network.
     Network(NetworkChange),
-    /// Words for the log and the judge's report.
+    /// A text for the log and the judge's report.
     Mark(String),
 }
 
-/// What happens to a render node.
+/// A change of a render node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeChange {
     /// It takes nothing new and sends its clients away bit by bit within this time.
@@ -65,7 +65,7 @@
     Recover,
 }
 
-/// What happens to discovery.
+/// A change of discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiscoveryChange {
     /// Gone: connections end, new ones are refused.
@@ -89,7 +89,7 @@
     Restore,
 }
 
-/// What happens to a proxy.
+/// A change of a proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProxyChange {
     /// SIGKILL.
@@ -102,7 +102,7 @@
     Reload,
 }
 
-/// What happens to the network.
+/// A change of the network.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NetworkChange {
     /// This part of the datagrams between proxies is lost.
@@ -117,14 +117,14 @@
     Reach(ProxyId),
 }
 
-/// What the list says of a render node.
+/// State of a render node in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
     /// Takes new connections.
     Up,
-    /// Completes what it holds, accepts nothing new.
+    /// Completes its connections, accepts no new ones.
     Draining,
-    /// Gone.
+    /// No longer in the list.
     Removed,
 }
