--- a/crates/kit/src/judge/lateness.rs
+++ b/crates/kit/src/judge/lateness.rs
@@ -3,15 +3,15 @@
 use crate::time::{MS, Micros};
 use serde::Serialize;
 
-/// A stand-in that ran once this late could have put off a line or an end by a fourth of the shortest limit (1 s),
-/// five times the grace: what it noted proves nothing.
+/// An emulator that once ran this late could have delayed a line or an end by a fourth of the shortest limit (1 s), five
+/// times the grace: its observations prove nothing.
 const MAX_LATENESS: Micros = 250 * MS;
 /// Lag beyond this is counted: below, the grace of 50 ms covers it twice over.
 const LATE_SAMPLE: Micros = 20 * MS;
 /// Up to this part of the samples may be later than that: a scheduler's hiccups, not a kit short of a core.
 const MAX_LATE_RATIO: f64 = 0.01;
 
-/// How late the stand-ins ran.
+/// How late the emulators ran.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Lateness {
     /// Samples taken.
--- a/crates/kit/src/judge/rule.rs
+++ b/crates/kit/src/judge/rule.rs
@@ -28,7 +28,7 @@
     EndedConnectionOpen,
     /// PROTOCOL, "Figures".
     SilentConnectionOpen,
-    /// The rude clients of the bench's page.
+    /// BENCH: clients that break the protocol get an error or a close.
     MisbehavingClientUnanswered,
     /// The same.
     MisbehavingClientServed,
--- a/crates/kit/src/judge/slow_start.rs
+++ b/crates/kit/src/judge/slow_start.rs
@@ -146,7 +146,7 @@
         self.cold.from + (1.0 - self.cold.from) * progress.clamp(0.0, 1.0)
     }
 
-    /// Whether at least two thirds of the attempts came from proxies that knew of the start; otherwise no proxy is to blame.
+    /// Whether at least two thirds of the attempts came from proxies that knew of the start; otherwise none is at fault.
     fn mostly_notified(&self) -> bool {
         !self.window.is_empty() && 3 * self.notified >= 2 * self.window.len()
     }
--- a/crates/kit/src/judge/verdict.rs
+++ b/crates/kit/src/judge/verdict.rs
@@ -21,7 +21,7 @@
     Void,
 }
 
-/// A broken rule: which, when, by whom, and what was owed.
+/// A violation: the rule, the time, the parties, and what was required.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Finding {
     /// The rule.
@@ -32,13 +32,13 @@
     pub request: Option<String>,
     /// The session's number.
     pub session: Option<u32>,
-    /// The rude client's number.
+    /// The misbehaving client's number.
     pub rude: Option<u32>,
     /// The render node's name.
     pub node: Option<String>,
     /// The proxy's name.
     pub proxy: Option<String>,
-    /// What was owed, what came, and when.
+    /// What was required, what was observed, and when.
     #[serde(rename = "what")]
     pub description: String,
     /// What was seen of the same request, and of the state of its render node and proxy, a little before and after.
--- a/crates/kit/src/plan.rs
+++ b/crates/kit/src/plan.rs
@@ -36,7 +36,7 @@
     pub name: String,
     /// From which everything was drawn.
     pub seed: u64,
-    /// Service is measured from here on: before, the standing sessions come up.
+    /// Start of the measured part; before it the initial sessions are established.
     pub measured_from: Micros,
     /// No session is wanted, and nothing is judged, after this.
     pub ends: Micros,
@@ -80,7 +80,7 @@
 }
 
 impl Plan {
-    /// A number for the whole plan, for a run to print: equal plans have the same. FNV-1a over the plan as text, in
+    /// A digest of the plan, for a run to print: equal plans have the same. FNV-1a over the plan as text, in
     /// which each number is written in the shortest form that reads back the same.
     pub fn digest(&self) -> u64 {
         struct Sink(FnvHasher);
@@ -316,7 +316,7 @@
 /// What holds between the parties.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Network {
-    /// One way between proxies and render nodes of one zone, and of two; added by the render node's stand-in.
+    /// One way between proxies and render nodes of one zone, and of two; added by the emulated render node.
     pub node_ms: (f64, f64),
     /// One way of a datagram between proxies: least and most.
     pub datagram: (Micros, Micros),
--- a/crates/kit/src/plan/rules.rs
+++ b/crates/kit/src/plan/rules.rs
@@ -7,21 +7,21 @@
 pub struct Rules {
     /// A final answer may come this long after the client's time is up.
     pub answer_slack: Micros,
-    /// New work to a render node that drains or is gone ends within this time of being told.
+    /// A proxy stops sending new requests to a draining or removed render node within this time of its notification.
     pub stop_within: Micros,
-    /// A proxy without a watch counts as told after this (four times this after a failed call).
+    /// A proxy without a watch is presumed notified after this (four times this after a failed poll).
     pub ask_within: Micros,
-    /// What discovery has to tell counts as told after this while it can be reached, whether it arrived or not.
+    /// While discovery is reachable, a change is presumed known after this, whether it was delivered or not.
     pub told_within: Micros,
-    /// A cold render node bears this multiple of what it can do at that moment ...
+    /// A render node in slow start takes this multiple of its capacity at that moment ...
     pub fall_multiple: f64,
     /// ... within any window of this length.
     pub fall_window: Micros,
-    /// What proxies are told of cold render nodes: each begins at this part of its capacity or more ...
+    /// Slow start as advertised to proxies: a render node starts at this share of its capacity or more ...
     pub cold_from: f64,
     /// ... and is warm within this.
     pub warm_up: Micros,
-    /// No line may be held back for longer.
+    /// The longest delay of a line in a proxy.
     pub line_held: Micros,
     /// A connection that its render node has ended is ended or moved within this.
     pub ended_within: Micros,
@@ -35,14 +35,14 @@
     pub retry_after_max: Micros,
     /// On the sockets each time limit is this much longer.
     pub grace: Micros,
-    /// A proxy told to stop is killed this long afterwards.
+    /// Time from SIGTERM to SIGKILL of a proxy.
     pub term_to_kill: Micros,
 }
 
 /// What the run must reach, beside keeping every rule. Parts of 1.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Demands {
-    /// Service of the whole run.
+    /// Service of the complete run.
     pub service: f64,
     /// Service of the worst 10 s.
     pub worst_window: f64,
--- a/crates/kit/src/plan/timeline.rs
+++ b/crates/kit/src/plan/timeline.rs
@@ -51,7 +51,7 @@
     },
     /// Its process ends at once: connections are reset, new ones refused.
     Kill,
-    /// Its machine is gone without a word.
+    /// Its machine disappears without closing connections.
     Vanish,
     /// It accepts and never replies.
     Hang,
@@ -59,7 +59,7 @@
     Rubbish,
     /// It does everything so many times slower; 1 for as usual.
     Slow(f64),
-    /// Its process starts, cold. After `Vanish`, its old connections are reset.
+    /// Its process starts, in slow start. After `Vanish`, its old connections are reset.
     Start,
     /// It does as usual again, without having been restarted (after `Hang`, `Rubbish`, or a short `Vanish`).
     Recover,
@@ -78,7 +78,7 @@
     Silent,
     /// The next change is written in pieces of a few bytes with pauses between.
     InPieces,
-    /// The next watch gets the whole list, as if its version were too old.
+    /// The next watch gets the complete list, as if its version were too old.
     Gap,
     /// The next change comes as a list that cannot be read, once, to each watch.
     BadList,
