--- a/crates/cottonnotch/src/net/management/admin_server.rs
+++ b/crates/cottonnotch/src/net/management/admin_server.rs
@@ -33,7 +33,7 @@
 }
 
 impl AdminServer {
-    /// Listens there. Fails as the system's calls do. `timer` is the owner's for [`Self::accept_again`].
+    /// Listens there. Fails as the system's calls do. `timer` is the owner's for [`Self::on_accept_timer`].
     pub fn open(reactor: &mut Reactor<dyn Object>, address: SocketAddr, timer: u32) -> io::Result<Self> {
         let mut shared = None;
         reactor.insert(|key, io| {
--- a/crates/kit/src/lib.rs
+++ b/crates/kit/src/lib.rs
@@ -1,5 +1,7 @@
 //! The rehearsal kit: stand-in render nodes, discovery, front and clients around real proxies, faults from a scenario,
 //! and a judge that is fed only by what the stand-ins saw. See `docs/design/kit.md`.
+// Left from before the workspace's lints: docs/ROADMAP.md lists the functions.
+#![allow(clippy::too_many_lines)]
 
 pub mod addresses;
 pub mod bad_proxy;
--- a/crates/kit/src/main.rs
+++ b/crates/kit/src/main.rs
@@ -1,4 +1,6 @@
 //! The command line of the rehearsal kit.
+// Left from before the workspace's lints: docs/ROADMAP.md lists the functions.
+#![allow(clippy::too_many_lines)]
 
 mod cli;
 
--- a/crates/kit/src/model/client.rs
+++ b/crates/kit/src/model/client.rs
@@ -40,7 +40,7 @@
     Line(&'a [u8]),
     /// The proxy has ended the connection.
     Ended(ProxyClose),
-    /// The timeline's [`crate::plan::What::Drop`].
+    /// The timeline's [`TimelineChange::Drop`](crate::plan::TimelineChange::Drop).
     Drop { share: f64, back_within: Micros, seed: u64 },
     /// The run is over.
     Stop,
--- a/crates/proxy-core/src/peer_loads.rs
+++ b/crates/proxy-core/src/peer_loads.rs
@@ -24,7 +24,7 @@
 pub struct EstablishedLoad {
     /// Load in microseconds of work a second.
     pub load: f64,
-    /// The groups: one bit of 32 for each ([`group_bit`]), joined.
+    /// The groups: one bit of 32 for each (`group_bit`), joined.
     pub groups: u32,
 }
 
