--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -109,7 +109,7 @@
     pub pending: Option<Pending>,
     /// The greatest number given so far.
     pub last_number: u64,
-    /// Outcomes of proposals, the newest last; one an incarnation, at most [`MAX_RESULTS`].
+    /// Outcomes of proposals, the newest last; one an incarnation, at most `MAX_RESULTS`.
     pub results: Vec<ProposalResult>,
 }
 
