--- a/crates/cottonnotch/tests/endings/lists.rs
+++ b/crates/cottonnotch/tests/endings/lists.rs
@@ -134,6 +134,9 @@
     }
 }
 
+/// The retry follows within the time that the class's clients have, counted from when the process goes on.
+const RETRIED_WITHIN: Duration = Duration::from_secs(2);
+
 // Guards policy.rs `list_failed` and subchannels.rs `take`: the last list serves, and what comes counts at once.
 /// A discovery that was down and returns with a drain is obeyed at once.
 #[test]
@@ -154,9 +157,10 @@
     proxy.pause();
     call.send(&format!("{HEAD}{}", chunk(&drain(2, &nodes))));
     first.reset();
-    proxy.resume_after_arrival();
+    let resumed = proxy.resume_after_arrival();
     // From here on nothing comes to the first, not only after the time that there is.
     let mut second = nodes[1].accept_attempt().0;
+    assert!(resumed.elapsed() < RETRIED_WITHIN, "{:?}", resumed.elapsed());
     second.send("UP 2\r\n");
     assert_eq!(late.receive(), "UP 2\r\n");
     let _next = proxy.establish(&nodes[1]);
