--- a/crates/cottonnotch/src/net/driver/acceptor.rs
+++ b/crates/cottonnotch/src/net/driver/acceptor.rs
@@ -1,4 +1,4 @@
-//! The acceptor: clients are accepted, and those that have sent no request yet are evicted where descriptors run short.
+//! Accepts clients, and evicts clients that have not sent a request when descriptors run short.
 
 use super::context::{ACCEPT_CLIENTS, Context};
 use super::log_target::LOG_TARGET;
@@ -17,55 +17,61 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Descriptors reserved for what is no request: the listener, the watch, the poll, standard streams, signals, and
-/// clients that are rejected for want of capacity.
+/// Descriptors reserved for purposes other than requests: the listener, the watch, the poll, standard streams,
+/// signals, and clients that are rejected for lack of capacity.
 const RESERVED_SOCKETS: usize = 32;
-/// One part in this many of the descriptors is not given to clients that have sent no request yet ...
+/// The fraction `1 / RESERVED_SHARE_FOR_ATTEMPTS` of the descriptors is kept from clients that have not sent a
+/// request.
 const RESERVED_SHARE_FOR_ATTEMPTS: usize = 4;
-/// ... but this many connections are always admitted, the proxy's own few objects included.
+/// New clients are admitted in spite of that reserve while fewer connections than this are open without a request.
+/// The count includes the proxy's own few reactor objects.
 const ALWAYS_ADMITTED: usize = 14;
-/// Accepted in one turn before others have theirs.
+/// Maximum number of clients accepted in one iteration of the event loop, so that other events are handled in
+/// between.
 const ACCEPT_BATCH: usize = 32;
-/// Wait before accepting again when there is no descriptor left.
+/// Delay before accepting again when no descriptor is free.
 const ACCEPT_RETRY_AFTER: Micros = 20_000;
-/// No client is evicted sooner than this after it connected: a usual one has sent its line by then.
+/// Minimum age of a connection before it may be evicted: a normal client has sent its line by then.
 const EVICTABLE_AFTER: Micros = 100_000;
-/// A listener that closes stays open for clients whose handshake has begun: on one machine that takes microseconds.
+/// A closing listener stays open this long for clients whose handshake has begun. A handshake on one machine takes
+/// microseconds.
 const CLOSE_AFTER: Micros = 5_000;
-/// It closes all the same after this, though some are left for whom there is no capacity.
+/// A closing listener is closed after this time even if clients remain for which there is no capacity.
 const CLOSE_AT_LATEST: Micros = 1_500_000;
 
-/// What a descriptor is needed for.
+/// The purpose for which a descriptor is needed.
 #[derive(Clone, Copy, Debug)]
 enum SocketUse {
-    /// One more client.
+    /// The connection of one more client.
     Client,
-    /// The endpoint's side of one more request.
+    /// The connection to the endpoint for one more request.
     Endpoint,
 }
 
-/// The listener for clients.
+/// The listening socket for clients.
 struct ClientListener {
     listener: Rc<TcpListener>,
     key: Key,
-    /// When it began to close, if it does.
+    /// When the listener began to close, or `None` if it is not closing.
     closing: Option<Micros>,
 }
 
-/// Accepts clients.
+/// Accepts clients and tracks those that may be evicted.
 #[derive(Default)]
 pub struct Acceptor {
     client_listener: Option<ClientListener>,
-    /// Accepting goes on by a timer.
+    /// Whether a timer is set that resumes accepting.
     is_timer_set: bool,
-    /// Clients in the order in which they connected, until they are evicted or closed: the first of them are candidates
-    /// for eviction, which spares those that have sent a request.
+    /// Accepted clients in the order in which they connected, until they are evicted or closed. Eviction tries the
+    /// oldest first and spares clients that have sent a request.
     accepted_clients: VecDeque<(Micros, Key)>,
     unregistered: UnregisteredClients,
 }
 
 impl Acceptor {
-    /// Listens for clients; the address. Fails as the system calls do.
+    /// Starts to listen for clients and returns the bound address.
+    ///
+    /// Returns the system's error if the listener cannot be set up.
     pub fn listen(&mut self, context: &mut Context, binding: Binding) -> io::Result<SocketAddr> {
         let (address, mut shared) = (context.config.listen, None);
         let key = context.reactor.insert(|key, io| {
@@ -80,25 +86,27 @@
         Ok(address)
     }
 
-    /// Clients are accepted.
+    /// Whether the listener is open.
     pub fn is_listening(&self) -> bool {
         self.client_listener.is_some()
     }
 
-    /// Another process accepts clients from now on: those whose handshake has begun here still are, then the listener closes.
+    /// Begins to close the listener because another process accepts clients from now on. Clients whose handshake with
+    /// this process has begun are still accepted first.
     pub fn begin_close(&mut self, context: &mut Context, requests: usize) {
         let Some(open) = self.client_listener.as_mut().filter(|listener| listener.closing.is_none()) else {
             return;
         };
         open.closing = Some(context.now());
         if let Err(error) = reject_new_connections(&open.listener) {
-            // Those who connect between the last accept and the close are reset.
+            // The listener still accepts new connections then, and those that arrive between the last accept and the
+            // close are reset.
             log::warn!(target: LOG_TARGET, error:%; "new connections cannot be refused before the listener closes: {error}");
         }
         self.on_clients_waiting(context, requests);
     }
 
-    /// No client is left that waits to be accepted: a listener that closes is closed, if it has had its time.
+    /// Closes a closing listener whose backlog is empty, or sets a timer if `CLOSE_AFTER` has not passed yet.
     fn on_backlog_empty(&mut self, context: &mut Context) {
         let Some(closing) = self.client_listener.as_ref().and_then(|listener| listener.closing) else {
             return;
@@ -117,21 +125,22 @@
         }
     }
 
-    /// Clients wait to be accepted; this many requests are in progress.
+    /// Accepts clients that are waiting in the backlog; `requests` is the number of requests in progress.
     pub fn on_clients_waiting(&mut self, context: &mut Context, requests: usize) {
-        // While a timer runs, a new client is no reason to try sooner, nor for a second timer.
+        // While a timer is set, a new client causes neither an earlier attempt nor a second timer.
         if !self.is_timer_set {
             self.accept(context, requests);
         }
     }
 
-    /// The timer is due.
+    /// Resumes accepting when the timer fires.
     pub fn on_accept_timer(&mut self, context: &mut Context, requests: usize) {
         self.is_timer_set = false;
         self.accept(context, requests);
     }
 
-    /// Puts an accepted client on the loop. Fails if its socket can't be registered now.
+    /// Registers an accepted client with the event loop. Returns the socket with the error if it cannot be registered
+    /// now.
     fn admit(&mut self, context: &mut Context, stream: TcpStream) -> Result<(), RegistrationError> {
         let mut given_back = None;
         let inserted = context.reactor.insert(|key, io| match LineStream::accepted(stream, io, key) {
@@ -148,7 +157,7 @@
         given_back.map_or(Ok(()), Err)
     }
 
-    /// Tries again to register clients' sockets, and answers clients that have waited too long.
+    /// Retries the registration of clients' sockets, and rejects clients whose registration has failed for too long.
     fn retry_unregistered(&mut self, context: &mut Context) {
         while let Some((stream, since)) = self.unregistered.pop() {
             if let Err(RegistrationError { stream, .. }) = self.admit(context, stream) {
@@ -195,8 +204,8 @@
                 }
                 Err(error) if is_transient(&error) => {}
                 Err(error) => {
-                    // Guards against EMFILE: the edge is reported once, so without this timer the waiting
-                    // clients would never be accepted.
+                    // Handles EMFILE: readiness is edge-triggered and reported once, so without this timer the
+                    // waiting clients would never be accepted.
                     let (connections, sockets) = (context.reactor.connections(), context.config.sockets);
                     log::error!(target: LOG_TARGET, connections, sockets, error:%; "cannot accept: {error}");
                     return self.accept_after(context, ACCEPT_RETRY_AFTER);
@@ -211,13 +220,13 @@
         context.set_timer(wait, ACCEPT_CLIENTS);
     }
 
-    /// Evicts clients that have sent no request until there is a descriptor for the endpoint's side of one more request;
-    /// false if there is none.
+    /// Evicts clients that have not sent a request until a descriptor is free for the connection to an endpoint.
+    /// Returns false if none can be freed.
     pub fn make_room_for_attempt(&mut self, context: &mut Context, requests: usize) -> bool {
         self.make_room(context, requests, SocketUse::Endpoint)
     }
 
-    /// The proxy shuts down: idle clients are rejected, or a line that comes when the process has ended would be lost.
+    /// Rejects idle clients when the proxy shuts down: a line that arrives after the process has ended would be lost.
     pub fn reject_idle_clients(&mut self, context: &mut Context) {
         self.unregistered.answer_all(context.now());
         for (_, key) in self.accepted_clients.drain(..) {
@@ -227,8 +236,9 @@
         }
     }
 
-    /// Guards against clients that connect by hundreds and send nothing, or stay when they were answered: they would hold
-    /// the descriptors of others.
+    /// Evicts idle clients until a descriptor is free; returns false if none can be freed. Without this, clients that
+    /// connect by the hundreds and send nothing, or stay connected after their answer, would use up the descriptors
+    /// of other clients.
     fn make_room(&mut self, context: &mut Context, requests: usize, socket_use: SocketUse) -> bool {
         while !has_descriptor(context, requests, self.unregistered.len(), socket_use) {
             let now = context.now();
@@ -245,18 +255,20 @@
     }
 }
 
-/// Whether there is a descriptor for this. From clients, a share is reserved for the endpoints' sides of requests; if
-/// requests have all of it, a few clients are admitted to be rejected.
+/// Whether a descriptor is free for this purpose. A share of the descriptors is kept from clients for the connections
+/// to endpoints. If requests use that share up, a few clients are still admitted so that they can be rejected.
 fn has_descriptor(context: &Context, requests: usize, unregistered: usize, socket_use: SocketUse) -> bool {
     let (connections, sockets) = (context.reactor.connections() + unregistered, context.config.sockets);
-    // A request counts two: the client's, which is among the connections, and the endpoint's.
-    // Operators' connections are reserved whether they are there or not: a flood of clients must not take them.
+    // A request uses two descriptors: the client's, which is included in `connections`, and the endpoint's.
+    // Descriptors for operators are reserved whether or not operators are connected, so that a flood of clients
+    // cannot use them up.
     let reserved =
         RESERVED_SOCKETS + if context.config.mgmt.is_some() { MAX_ADMIN_CONNECTIONS + 1 } else { 0 };
     let free = sockets.saturating_sub(reserved + connections + requests + context.sibling_descriptors);
     match socket_use {
         SocketUse::Endpoint => free > 0,
-        // Requests whose clients have just left may still be counted, and are no connections any more.
+        // The subtraction saturates because requests whose clients have just left may still be counted while their
+        // connections are not.
         SocketUse::Client => {
             free > sockets / RESERVED_SHARE_FOR_ATTEMPTS
                 || connections.saturating_sub(requests) < ALWAYS_ADMITTED
@@ -264,7 +276,7 @@
     }
 }
 
-/// The client was gone before it was accepted, or a signal came.
+/// Whether the client disconnected before it was accepted, or a signal interrupted the call.
 fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::ConnectionAborted | io::ErrorKind::Interrupted)
 }
--- a/crates/cottonnotch/src/net/driver/admin.rs
+++ b/crates/cottonnotch/src/net/driver/admin.rs
@@ -1,4 +1,4 @@
-//! Requests of operators: status, metrics, and maintenance by hand.
+//! Handles operators' requests: status, metrics and manual maintenance.
 
 use super::Driver;
 use super::management::{MaintenanceAction, status_response};
@@ -8,7 +8,7 @@
 use cottonnotch_reactor::Key;
 
 impl Driver {
-    /// Responds in this turn of the loop.
+    /// Handles an operator's request and responds in the same iteration of the event loop.
     pub(super) fn handle_admin_request(&mut self, admin: Key, request: &AdminRequest) {
         let response = match request {
             AdminRequest::Status => self.status(),
@@ -19,7 +19,8 @@
         self.management.respond(&mut self.context, admin, &response);
     }
 
-    /// Whether this process is ready to serve; if it is, an earlier one may stop.
+    /// Reports whether this process is ready to serve. If it is, the process announces this, so that its predecessor
+    /// may stop.
     fn status(&mut self) -> AdminResponse {
         let not_ready_reason = self.not_ready_reason();
         if not_ready_reason.is_none() {
@@ -41,7 +42,8 @@
         AdminResponse::ok(self.context.records.metrics().text(gauges, audit))
     }
 
-    /// Responds once the override is in force: what is queued or is to be tried again has gone elsewhere.
+    /// Applies a manual override and responds once the override is in force. By then, queued requests and retries
+    /// have been directed to other endpoints.
     fn set_maintenance(&mut self, id: &str, action: MaintenanceAction) -> AdminResponse {
         let (context, latency, endpoints) = (&mut self.context, &mut self.latency, &mut self.endpoints);
         let (response, events) = self.management.set_maintenance(context, latency, endpoints, id, action);
@@ -50,14 +52,14 @@
         response
     }
 
-    /// Takes over what operators have set at another process of this proxy.
+    /// Applies overrides that operators have set at another process of this proxy.
     pub(super) fn sync_maintenance(&mut self) {
         let event = self.management.sync(&mut self.context, &mut self.latency, &mut self.endpoints);
         self.handle_event(event);
         self.clients.cancel_unwritten_attempts(&mut self.context, &self.endpoints);
     }
 
-    /// Why this process is not ready to serve, if it isn't.
+    /// The reason why this process is not ready to serve, or `None` if it is ready.
     fn not_ready_reason(&self) -> Option<&'static str> {
         if self.lifecycle.is_shutting_down() {
             Some("it is shutting down")
--- a/crates/cottonnotch/src/net/driver/audit.rs
+++ b/crates/cottonnotch/src/net/driver/audit.rs
@@ -1,5 +1,5 @@
-//! The audit of requests: the guard checks every step against the rules, each close, retry and rejection is counted by its
-//! reason, and each change of a request's state is in the log (`debug`) under its id.
+//! Audits requests: the guard checks every step against the rules, each close, retry and rejection is counted by its
+//! reason, and each change of a request's state is logged at `debug` level under the request's id.
 
 use super::log_target::LOG_TARGET;
 use super::request_table::TrackedRequest;
@@ -9,21 +9,21 @@
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
 
-/// A step whose reasons are counted.
+/// A step that is counted by reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Step {
-    /// An established connection has ended, or was ended with `MOVE`.
+    /// An established connection ended, or the proxy ended it with `MOVE`.
     Closed,
-    /// An attempt follows one that ended for this reason.
+    /// An attempt follows an earlier one; the reason is the outcome of the earlier one.
     Retried,
-    /// Rejected: harmless to repeat.
+    /// The request was rejected, and the client may safely repeat it.
     Rejected,
-    /// Answered with an error.
+    /// The request was answered with an error.
     Failed,
 }
 
 impl Step {
-    /// Part of a metric's key.
+    /// The step's part of a metric's key.
     fn name(self) -> &'static str {
         match self {
             Step::Closed => "closed",
@@ -34,7 +34,7 @@
     }
 }
 
-/// The guard of this proxy, and the counts by reason.
+/// The guard of this proxy and the counts by step and reason.
 #[derive(Debug, Default)]
 pub struct Audit {
     guard: Guard,
@@ -42,17 +42,17 @@
 }
 
 impl Audit {
-    /// An audit against these settings.
+    /// Creates an audit that checks against these settings.
     pub fn new(settings: Settings) -> Self {
         Audit { guard: Guard::new(settings), reasons: BTreeMap::new() }
     }
 
-    /// The settings have changed.
+    /// Applies changed settings.
     pub fn configure(&mut self, settings: Settings) {
         self.guard.configure(settings);
     }
 
-    /// Each metric with its value: violations by kind, then steps by reason.
+    /// All metrics with their values: violations by kind, then steps by reason.
     pub fn metrics(&self) -> impl Iterator<Item = (String, u64)> {
         let violations = self.guard.violations().iter();
         let violations = violations.map(|(kind, count)| (format!("violations.{}", kind.name()), count));
@@ -60,7 +60,7 @@
         violations.chain(reasons.map(|((step, reason), count)| (format!("{}.{reason}", step.name()), *count)))
     }
 
-    /// The decision module is about to get these entries of the server list.
+    /// Shows the guard entries of the server list before the decision module receives them.
     pub fn listed(&mut self, now: Micros, full: bool, entries: &[Entry]) {
         let scope = if full { ListScope::Complete } else { ListScope::Changes };
         self.guard.listed(now, scope, entries);
@@ -68,19 +68,20 @@
 
     // ---- the steps of a request ----
 
-    /// It was accepted.
+    /// Records that a request was accepted.
     pub fn requested(&mut self, now: Micros, request: &Request, wire_id: u64) {
         self.guard.requested(now, request);
         state(request.id, wire_id, format_args!("owed an answer, {:?} us left", request.left));
     }
 
-    /// It was open before the start and is established again.
+    /// Records that a connection which was open before this process started is established again.
     pub fn reopened(&mut self, request: &Request, wire_id: u64) {
         self.guard.reestablished(request);
         state(request.id, wire_id, "up again");
     }
 
-    /// Whether an attempt may be sent: false if that would break a rule of ours.
+    /// Whether an attempt may be sent. Returns false if the attempt would be a violation that only this proxy can
+    /// have caused.
     pub fn may_send(&mut self, now: Micros, tracked: &TrackedRequest, server: ServerId) -> bool {
         let checked = self.guard.check_attempt(now, tracked.id, server);
         let may = !matches!(checked, Err(violation) if !violation.may_have_external_cause());
@@ -96,34 +97,34 @@
         may
     }
 
-    /// The last byte of the attempt's line is written.
+    /// Records that the last byte of the attempt's line was written.
     pub fn attempt_written(&mut self, now: Micros, tracked: &TrackedRequest) {
         report(self.guard.attempt_written(now, tracked.id), tracked);
     }
 
-    /// The attempt has ended without a connection.
+    /// Records that the attempt ended without establishing a connection.
     pub fn attempt_ended(&mut self, tracked: &TrackedRequest, outcome: Outcome) {
         self.guard.attempt_ended(tracked.id, outcome);
         state(tracked.id, tracked.wire_id, format_args!("attempt ended, {}", outcome_name(outcome)));
     }
 
-    /// The attempt has established the connection.
+    /// Records that the attempt established the connection.
     pub fn established(&mut self, now: Micros, tracked: &TrackedRequest) {
         report(self.guard.established(now, tracked.id), tracked);
         state(tracked.id, tracked.wire_id, "up");
     }
 
-    /// Rejected by the decision module.
+    /// Records that the decision module rejected the request.
     pub fn rejected(&mut self, now: Micros, tracked: &TrackedRequest, reason: RejectionReason) {
         self.answered(now, tracked, FinalAnswer::Rejected, rejection_name(reason));
     }
 
-    /// Failed by the decision module.
+    /// Records that the decision module failed the request.
     pub fn failed(&mut self, now: Micros, tracked: &TrackedRequest, reason: RejectionReason) {
         self.answered(now, tracked, FinalAnswer::Failed, rejection_name(reason));
     }
 
-    /// Answered with an error for what its client did.
+    /// Records that the request was answered with an error because of something that its client did.
     pub fn client_rejected(&mut self, now: Micros, tracked: &TrackedRequest) {
         self.answered(now, tracked, FinalAnswer::Failed, "client");
     }
@@ -135,13 +136,13 @@
         state(tracked.id, tracked.wire_id, format_args!("{}: {reason}", step.name()));
     }
 
-    /// Its client left before the answer.
+    /// Records that the client left before it was answered.
     pub fn client_left(&mut self, tracked: &TrackedRequest) {
         self.guard.client_left(tracked.id);
         state(tracked.id, tracked.wire_id, "its client has left");
     }
 
-    /// An established connection is migrated.
+    /// Records that an established connection is migrated.
     pub fn migrated(&mut self, tracked: &TrackedRequest, reason: MoveReason) {
         let reason = match reason {
             MoveReason::PolicyRequest => "moved_asked",
@@ -152,7 +153,7 @@
         self.closed(tracked, reason);
     }
 
-    /// An established connection has ended.
+    /// Records that an established connection ended.
     pub fn ended(&mut self, tracked: &TrackedRequest, outcome: Outcome) {
         self.closed(tracked, outcome_name(outcome));
     }
@@ -163,29 +164,29 @@
         state(tracked.id, tracked.wire_id, format_args!("closed: {reason}"));
     }
 
-    // ---- time ----
+    // ---- deadlines ----
 
-    /// Once a second: reports requests that have had no answer in their time.
+    /// Reports requests that were not answered before their deadline. Called once a second.
     pub fn report_overdue(&mut self, now: Micros) {
         for request in self.guard.overdue(now) {
             unanswered(request, "in its time");
         }
     }
 
-    /// The process ends: reports requests that are still without an answer.
+    /// Reports requests that are still unanswered when the process ends.
     pub fn finish(&mut self) {
         for request in self.guard.finish() {
             unanswered(request, "before the process ends");
         }
     }
 
-    /// Counts a step under its reason.
+    /// Counts a step by its reason.
     pub fn count(&mut self, step: Step, reason: &'static str) {
         *self.reasons.entry((step, reason)).or_default() += 1;
     }
 }
 
-/// Logs a broken rule; a debug build stops there, unless somebody else may have caused it.
+/// Logs a violation. In debug builds, panics unless another party may have caused the violation.
 fn report(checked: GuardResult, tracked: &TrackedRequest) {
     let Err(violation) = checked else { return };
     let (kind, request) = (violation.name(), tracked.id.0);
@@ -205,7 +206,7 @@
     log::debug!(target: LOG_TARGET, request, wire_id:% = HexId(wire_id); "request {request}: {state}");
 }
 
-/// An id as it is on the wire.
+/// Formats an id as it is written on the wire.
 struct HexId(u64);
 
 impl Display for HexId {
@@ -214,7 +215,7 @@
     }
 }
 
-/// An outcome as part of a metric's key.
+/// An outcome's part of a metric's key.
 pub fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "served",
@@ -228,7 +229,7 @@
     }
 }
 
-/// A rejection's reason as part of a metric's key.
+/// A rejection reason's part of a metric's key.
 pub fn rejection_name(reason: RejectionReason) -> &'static str {
     match reason {
         RejectionReason::ShuttingDown => "leaving",
--- a/crates/cottonnotch/src/net/driver/clients/admission.rs
+++ b/crates/cottonnotch/src/net/driver/clients/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of requests: a valid one is tracked and handed to the decision module, another one gets its error at once.
+//! Admission of requests: a valid request is tracked and handed to the decision module, an invalid one is answered
+//! with an error at once.
 
 use super::Clients;
 use crate::config::Config;
@@ -16,8 +17,8 @@
 use cottonnotch_reactor::Key;
 
 impl Clients {
-    /// A client requests a connection: the event for the decision module, unless the client is answered here or its
-    /// connection is only reopened.
+    /// Handles a client's request for a connection. Returns the event for the decision module, or `None` if the
+    /// client is answered here or its connection is only reopened.
     pub fn handle_connection_request(
         &mut self,
         context: &mut Context,
@@ -37,13 +38,14 @@
         let request = to_request(&context.config.profile, self.requests.new_id(), &asked)?;
         context.records.request(&request, asked.id);
         if !context.is_awaiting_answer(key) {
-            // It left, or sent too much, right behind its line: the report of that finds no request. Guards the attempts
-            // and set-ups of others: the module would try for it again and again, each time for nothing.
+            // The client left, or sent more than its line, before the request was tracked, so the report of this will
+            // find no request. If the module received such a request, it would retry it repeatedly and use up
+            // attempts and set-ups of other requests.
             context.records.client_left(request.id);
             return None;
         }
         let tracked = TrackedRequest::new(request.id, u32::from(request.class.0), asked.id, asked.group);
-        // One that names an endpoint which is not known is a new connection like any other.
+        // A request that names an unknown endpoint is treated as a new connection.
         match asked.current_endpoint.and_then(|name| endpoints.find(&name)) {
             None => {
                 context.audit.requested(context.now(), &request, tracked.wire_id);
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Why a client is answered without an attempt, if a line of it must not reach an endpoint.
+    /// The error with which a client is answered without an attempt, or `None` if its request may go to an endpoint.
     fn validate(&self, config: &Config, asked: &ConnectionRequest) -> Option<RequestError> {
         let Profile { tenants, settings, .. } = &config.profile;
         let is_unknown = |tenant: &String| !settings.tenants.is_empty() && tenants.find(tenant).is_none();
@@ -88,7 +90,8 @@
         context.with_client(key, |client, io| client.fail(io, error));
     }
 
-    /// Guards against running out of descriptors: a client that waited unanswered would not come again.
+    /// Rejects a client because the proxy has run out of descriptors. A client that is left waiting without an answer
+    /// would not come back.
     fn reject_for_sockets(&mut self, context: &mut Context, key: Key, asked: &ConnectionRequest) {
         if let Some(more) = self.socket_shortage_log.due(context.now()) {
             let (requests, sockets) = (self.requests.len(), context.config.sockets);
@@ -102,7 +105,8 @@
         context.with_client(key, |client, io| client.reject(io, FULL_RETRY_AFTER));
     }
 
-    /// A client was rejected with an error; if it had a request already, that was its answer.
+    /// Handles a client that was rejected with an error. If the client had a request already, the error was its
+    /// answer.
     pub fn handle_rejected(
         &mut self,
         context: &mut Context,
@@ -128,7 +132,7 @@
     }
 }
 
-/// The request in the settings' numbers; `None` if its class has none.
+/// Converts a request to the numbers that the settings assign. Returns `None` if the class has no number.
 fn to_request(profile: &Profile, id: RequestId, asked: &ConnectionRequest) -> Option<Request> {
     let class = profile.class(&asked.class)?;
     let tenant = asked.tenant.as_ref().and_then(|tenant| profile.tenants.find(tenant));
--- a/crates/cottonnotch/src/net/driver/clients/attempts.rs
+++ b/crates/cottonnotch/src/net/driver/clients/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of requests: how they begin, are cancelled and end.
+//! Starts, cancels and ends the attempts of requests.
 
 use super::Clients;
 use crate::net::client_protocol::{AttemptParameters, CancelScope};
@@ -10,22 +10,24 @@
 use cottonnotch_decision::{Event, Micros, Outcome, RequestId, ServerId};
 use cottonnotch_reactor::Key;
 
-/// A connection that was open before the start is tried again after this, until its client gives up.
+/// Interval between the attempts to reopen a connection that was open before this process started. They are repeated
+/// until the client gives up.
 const REOPEN_AFTER: Micros = 200_000;
 
-/// Where an attempt goes, and its times, as the decision module has it.
+/// The endpoint and the time limits of an attempt, as the decision module chose them.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptPlan {
-    /// Where it goes.
+    /// The endpoint.
     pub server: ServerId,
-    /// It ends as timed out after this; 0: when the client gives up.
+    /// Time after which the attempt ends as timed out. 0 means no time-out: the attempt lasts until the client gives
+    /// up.
     pub timeout: Micros,
-    /// Its first line is written before this or not at all.
+    /// The first line is either written before this time or not at all.
     pub write_deadline: Option<Micros>,
 }
 
 impl Clients {
-    /// Makes an attempt for a request; an event if it can't even begin.
+    /// Starts an attempt for a request. Returns an event if the attempt could not be started.
     pub fn start_attempt(
         &mut self,
         context: &mut Context,
@@ -42,7 +44,7 @@
         let (server, attempt) = (plan.server, tracked.attempts);
         tracked.latest_attempt = Some((server, attempt));
         if !context.is_awaiting_answer(key) {
-            // It has left, which is reported and ends this attempt too.
+            // The client has left. The report of this ends the attempt too.
             tracked.attempts += 1;
             return None;
         }
@@ -55,7 +57,7 @@
         (!has_begun).then_some(not_sent)
     }
 
-    /// The last byte of an attempt's first line was written.
+    /// Records that the last byte of an attempt's first line was written.
     pub fn handle_attempt_written(&self, context: &mut Context, key: Key) {
         context.records.attempt_written();
         if let Some(tracked) = self.requests.get(key) {
@@ -63,7 +65,8 @@
         }
     }
 
-    /// An attempt has ended without a connection: that, and before it that its client is gone, if it is.
+    /// Handles an attempt that ended without a connection. Returns the event of the ended attempt, preceded by the
+    /// event that the client is gone, if it is.
     pub fn handle_attempt_ended(
         &mut self,
         context: &mut Context,
@@ -79,13 +82,14 @@
         let Some((server, attempt)) = tracked.latest_attempt else { return [None, None] };
         let request = tracked.id;
         let ended = Event::Ended { request, attempt, server, outcome, last: false };
-        // A client that left is reported, and its request removed then. The module hears of it first: no queue place, set-up
-        // or budget of others' is used for an attempt that is not made.
+        // A client that left is reported later, and its request is removed then. The module must learn of the
+        // departure before the end of the attempt: otherwise it would use a queue place, set-up or budget of other
+        // requests for an attempt that is not made.
         let client_closed = (!context.is_awaiting_answer(key)).then_some(Event::ClientClosed(request));
         [client_closed, Some(ended)]
     }
 
-    /// An attempt's endpoint accepted the connection.
+    /// Handles an attempt whose endpoint accepted the connection.
     pub fn handle_established(
         &mut self,
         context: &mut Context,
@@ -112,7 +116,7 @@
         Some(event)
     }
 
-    /// Cancels attempts whose line is not written yet and whose endpoint may get nothing new any more.
+    /// Cancels attempts whose line is not written yet and whose endpoint may no longer receive new requests.
     pub fn cancel_unwritten_attempts(&self, context: &mut Context, endpoints: &Endpoints) {
         for (key, server) in self.requests.attempted() {
             if !endpoints.is_ready(server) {
@@ -121,12 +125,12 @@
         }
     }
 
-    // ---- connections from before the start ----
+    // ---- connections that were open before the start ----
 
-    /// Takes a connection that was open before the start back to its endpoint.
+    /// Starts an attempt to reconnect a client to the endpoint that it was connected to before this process started.
     pub(super) fn reopen(&mut self, context: &mut Context, endpoints: &Endpoints, key: Key) {
         if !context.is_awaiting_answer(key) {
-            // It has left, which is reported.
+            // The client has left, which is reported separately.
             return;
         }
         let Some(tracked) = self.requests.get_mut(key) else { return };
@@ -142,7 +146,7 @@
         context.set_timer(REOPEN_AFTER, REOPEN);
     }
 
-    /// The timer for that is due.
+    /// Retries all connections that wait to be reopened. Called when the `REOPEN` timer fires.
     pub fn reopen_all(&mut self, context: &mut Context, endpoints: &Endpoints) {
         for key in std::mem::take(&mut self.reopening) {
             self.reopen(context, endpoints, key);
@@ -150,7 +154,7 @@
     }
 }
 
-/// Makes an attempt; false if it could not even begin.
+/// Starts an attempt; returns false if it could not be started.
 fn begin_attempt(
     context: &mut Context,
     endpoints: &Endpoints,
@@ -180,7 +184,7 @@
     begun == Some(true)
 }
 
-/// Notes that the attempt in flight is over, if there is one.
+/// Records the end of the attempt in flight, if there is one.
 pub(super) fn end_attempt(context: &mut Context, tracked: &mut TrackedRequest, outcome: Outcome) {
     if let Some(began) = tracked.attempt_began.take() {
         context.audit.attempt_ended(tracked, outcome);
--- a/crates/cottonnotch/src/net/driver/clients/endings.rs
+++ b/crates/cottonnotch/src/net/driver/clients/endings.rs
@@ -1,4 +1,4 @@
-//! How requests and their connections end.
+//! Ends requests and connections: final answers, clients that leave, migration and shutdown.
 
 use super::Clients;
 use super::attempts::end_attempt;
@@ -17,7 +17,7 @@
 impl Clients {
     // ---- final answers ----
 
-    /// Gives the final answer that the decision module has chosen: a rejection.
+    /// Rejects a request, as the decision module has chosen.
     pub fn reject(
         &mut self,
         context: &mut Context,
@@ -35,7 +35,7 @@
         context.rules.iter().for_each(|rules| rules.forget_request(request));
     }
 
-    /// Gives the final answer that the decision module has chosen: a failure.
+    /// Fails a request, as the decision module has chosen.
     pub fn fail(
         &mut self,
         context: &mut Context,
@@ -52,7 +52,7 @@
         context.rules.iter().for_each(|rules| rules.forget_request(request));
     }
 
-    /// `None`: no answer was given.
+    /// Sends the final answer and removes the request. Returns `None` if no answer was sent.
     fn give_final_answer(
         &mut self,
         context: &mut Context,
@@ -62,12 +62,12 @@
     ) -> Option<TrackedRequest> {
         let key = self.requests.key(request);
         invariant!(key.is_some(), "a final answer is given once, to a request that is owed one");
-        // A client that left or was rejected is removed when the report of that has its turn.
+        // If the client left or was rejected, the request is removed when the report of that is handled.
         let answered = key.filter(|key| context.with_client(*key, answer) == Some(true));
         answered.and_then(|key| self.remove(latency, key))
     }
 
-    /// The client was rejected with an error before its request had an answer.
+    /// Ends a request whose client was rejected with an error before it was answered.
     pub(super) fn end_rejected(
         &self,
         context: &mut Context,
@@ -82,7 +82,8 @@
         client_gone_events(tracked, Outcome::Cancelled)
     }
 
-    /// A client left before its answer: that, and the end of its attempt.
+    /// Handles a client that left before it was answered. Returns the events that the client is gone and that its
+    /// attempt ended.
     pub fn handle_client_left(
         &mut self,
         context: &mut Context,
@@ -91,7 +92,8 @@
         outcome: Outcome,
     ) -> [Option<Event>; 2] {
         let Some(mut tracked) = self.remove(latency, key) else { return [None, None] };
-        // A request that is queued has had its attempts: what they used must not be given back.
+        // A queued request has no attempt in flight, but may have had earlier ones. `Cancelled` keeps the module from
+        // refunding what they used.
         let outcome = if tracked.attempt_began.is_some() { outcome } else { Outcome::Cancelled };
         end_attempt(context, &mut tracked, outcome);
         context.audit.client_left(&tracked);
@@ -101,7 +103,7 @@
 
     // ---- established connections ----
 
-    /// Why the decision module migrates a request.
+    /// The reason for which the decision module migrates a request.
     pub fn migration_reason(&self, endpoints: &Endpoints, request: RequestId) -> MoveReason {
         let key = self.requests.key(request);
         let latest_attempt = key.and_then(|key| self.requests.get(key)?.latest_attempt);
@@ -109,7 +111,7 @@
         if is_draining { MoveReason::Draining } else { MoveReason::PolicyRequest }
     }
 
-    /// Migrates a client, if it is established; the event of how its connection ended.
+    /// Migrates a client if its connection is established. Returns the event that the connection ended.
     pub fn migrate(
         &mut self,
         context: &mut Context,
@@ -131,7 +133,7 @@
         Some(Event::Ended { request, attempt, server, outcome, last: true })
     }
 
-    /// A client was migrated since its endpoint had stopped answering.
+    /// Records that a client was migrated because its endpoint stopped answering.
     pub fn record_silent_endpoint(&self, context: &Context, endpoints: &Endpoints, key: Key) {
         if let Some(TrackedRequest { id, latest_attempt: Some((server, _)), .. }) = self.requests.get(key) {
             let name = || endpoints.shared_name(*server);
@@ -139,7 +141,7 @@
         }
     }
 
-    /// An established connection has ended.
+    /// Handles the end of an established connection.
     pub fn handle_connection_ended(
         &mut self,
         context: &mut Context,
@@ -156,8 +158,9 @@
 
     // ---- shutdown ----
 
-    /// The proxy shuts down: every attempt in flight is cancelled, and the decision module answers by what may have run.
-    /// Connections from before the start are unknown to it, and go back to their endpoint by another proxy.
+    /// Cancels every attempt in flight when the proxy shuts down. The decision module then answers each request
+    /// according to whether it may have run. The module does not know the connections that were open before the
+    /// start; these are rejected, and their clients return to the same endpoint through another proxy.
     pub fn cancel_all_attempts(&mut self, context: &mut Context, latency: &mut MessageLatency) {
         let in_flight: Vec<Key> = self.requests.attempted().map(|(key, _)| key).collect();
         for key in in_flight {
@@ -175,8 +178,8 @@
     }
 }
 
-/// The events of a request whose client is gone: that, and the end of its latest attempt, which is reported in any case,
-/// or a trial attempt would count as in flight for ever.
+/// The events of a request whose client is gone: that the client closed, and that its latest attempt ended. The end
+/// of the attempt is reported even if it ended before; otherwise a trial attempt would count as in flight forever.
 fn client_gone_events(tracked: TrackedRequest, outcome: Outcome) -> [Option<Event>; 2] {
     if let Stage::Reopening(_) = tracked.stage {
         return [None, None];
--- a/crates/cottonnotch/src/net/driver/clients/mod.rs
+++ b/crates/cottonnotch/src/net/driver/clients/mod.rs
@@ -1,5 +1,5 @@
-//! Clients and their requests: what clients report becomes events of the decision module, and its actions on requests
-//! are carried out on the clients' connections.
+//! Clients and their requests: turns what clients report into events of the decision module, and carries out the
+//! module's actions on the clients' connections.
 
 mod admission;
 mod attempts;
@@ -12,11 +12,11 @@
 use cottonnotch_reactor::Key;
 use cottonnotch_reactor::rate_limited_log::RateLimitedLog;
 
-/// Clients that have sent a request.
+/// The clients that have sent a request.
 #[derive(Default)]
 pub struct Clients {
     requests: RequestTable,
-    /// Connections from before the start that wait for another attempt to reopen them.
+    /// Connections that were open before this process started and wait for another attempt to reopen them.
     reopening: Vec<Key>,
     socket_shortage_log: RateLimitedLog,
     rejection_log: RateLimitedLog,
@@ -28,7 +28,7 @@
         &self.requests
     }
 
-    /// How many requests are in progress.
+    /// The number of requests in progress.
     pub fn in_progress(&self) -> usize {
         self.requests.len()
     }
--- a/crates/cottonnotch/src/net/driver/clock_file.rs
+++ b/crates/cottonnotch/src/net/driver/clock_file.rs
@@ -1,8 +1,9 @@
-//! What a process has seen of the wall clock, stored for the next one at the same address: a step before a process began
-//! can't be seen by itself, and a render node that started just before it would count as an hour old.
+//! Stores the steps of the wall clock that a process has observed for the next process at the same address. A process
+//! cannot detect a step that happened before it started; without the file, a render node that started just before a
+//! step of an hour would be treated as an hour old.
 //!
-//! The file is small and replaced as a whole. It counts within one boot of the machine, whose monotonic clock it is in;
-//! what can't be read or is of another boot counts as none.
+//! The file is small and replaced as a whole. Its times are those of the machine's monotonic clock, so it is valid
+//! only until the machine reboots. A file that cannot be read or is from another boot is ignored.
 
 use super::machine_clock::machine_now;
 use cottonnotch_decision::Micros;
@@ -12,38 +13,38 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The first word. Another version's file is left alone: it may mean something else.
+/// The first line of the file. A file with another format version is ignored.
 const FORMAT: &str = "cottonnotch-clock-1";
-/// Tells one boot of the machine from another.
+/// The file that holds the id of the machine's current boot.
 const BOOT: &str = "/proc/sys/kernel/random/boot_id";
-/// No file is longer.
+/// Maximum size of the file in bytes.
 const MAX_BYTES: u64 = 4096;
 
-/// The file, if there is a folder for it.
+/// The clock file, if there is a folder for it.
 #[derive(Debug)]
 pub struct ClockFile {
     path: Option<PathBuf>,
     boot: String,
-    /// The loop's clock less the machine's monotonic one.
+    /// Offset of the event loop's clock from the machine's monotonic clock.
     shift: Micros,
 }
 
 impl ClockFile {
-    /// In this file; `now` is the loop's clock.
+    /// Stores the history at `path`; `now` is the time of the event loop's clock.
     pub fn at(path: Option<PathBuf>, now: Micros) -> Self {
-        // Without it nothing can be stored.
+        // Without a boot id, nothing can be stored.
         let boot = fs::read_to_string(BOOT).map(|id| id.trim().to_owned()).unwrap_or_default();
         let path = path.filter(|_| !boot.is_empty());
         ClockFile { path, boot, shift: now - machine_now() }
     }
 
-    /// A file of this boot, for tests that hold its text equal.
+    /// Creates a clock file with a fixed boot id, for tests that compare the file's text.
     #[cfg(test)]
     pub fn of_boot(path: PathBuf, boot: &str, shift: Micros) -> Self {
         ClockFile { path: Some(path), boot: boot.to_owned(), shift }
     }
 
-    /// The wall clock as earlier processes and this one have seen it.
+    /// Creates the wall clock from the history that earlier processes stored and the present time.
     pub fn load(&self, now: Micros, unix: Micros) -> WallClock {
         let eras = self.path.as_deref().and_then(|path| self.read(path)).unwrap_or_default();
         WallClock::with_history(eras, now, unix)
@@ -72,12 +73,14 @@
         Some(ClockOffset { offset: offset - self.shift, from, seen: seen + self.shift })
     }
 
-    /// Stores what is known now. Fails as the system calls do; what was stored before stands then.
+    /// Stores the offsets of the wall clock that are known now.
+    ///
+    /// Returns the system's error if that fails; the previous file stays in place then.
     pub fn save(&self, clock: &WallClock) -> io::Result<()> {
         let Some(path) = self.path.as_deref() else { return Ok(()) };
         let mut body = format!("{FORMAT}\n{}", self.boot);
         for ClockOffset { offset, from, seen } in clock.offsets() {
-            // Times of the machine's monotonic clock are never negative: that stands for none.
+            // Times of the machine's monotonic clock are never negative, so -1 stands for an absent time.
             let from = from.map_or(-1, |from| (from - self.shift).max(0));
             body.push_str(&format!("\n{} {from} {}", offset + self.shift, seen - self.shift));
         }
@@ -85,7 +88,7 @@
         let text = format!("{body}\n{:016x}\n", digest(&body));
         let saved = fs::write(&new, text).and_then(|()| fs::rename(&new, path));
         if saved.is_err() {
-            // What was begun is no use to anybody.
+            // Removes the incomplete file.
             let _ = fs::remove_file(&new);
         }
         saved
--- a/crates/cottonnotch/src/net/driver/context.rs
+++ b/crates/cottonnotch/src/net/driver/context.rs
@@ -1,4 +1,4 @@
-//! What every part of the driver uses: the loop, the configuration, the clocks, and the records.
+//! State that all parts of the driver share: the event loop, the configuration, the clocks and the records.
 
 use super::audit::Audit;
 use super::clock_file::ClockFile;
@@ -13,53 +13,56 @@
 use cottonnotch_proxy_core::WallClock;
 use cottonnotch_reactor::{Clock, Key, Reactor};
 
-/// The first of the driver's timers, every second: the decision module's tokens are below it.
+/// Timer that fires every second, and the lowest timer number of the driver: the decision module's tokens are
+/// smaller.
 pub const TICK: u32 = 1 << 16;
-/// The next round of a shutdown is due.
+/// Timer for the next round of a shutdown.
 pub const DRAIN_ROUND: u32 = TICK + 1;
-/// Connections from before the start are tried again.
+/// Timer for the next attempt to reopen connections that were open before the start.
 pub const REOPEN: u32 = TICK + 2;
-/// Accepting clients goes on.
+/// Timer to resume accepting clients.
 pub const ACCEPT_CLIENTS: u32 = TICK + 3;
-/// The peers' member has something to do.
+/// Timer of the peers' member.
 pub const PEERS: u32 = TICK + 4;
-/// Accepting operators goes on.
+/// Timer to resume accepting operators' connections.
 pub const ACCEPT_ADMINS: u32 = TICK + 5;
-/// Other processes of this proxy are looked at.
+/// Timer to look for other processes of this proxy.
 pub const POLL_SIBLINGS: u32 = TICK + 6;
 
-/// Two readings of the loop's clock around one of the wall clock are no further apart than this, or the sample is void.
+/// A sample of the wall clock is discarded if the readings of the event loop's clock before and after it are further
+/// apart than this.
 const MAX_SAMPLE_TIME: Micros = 10_000;
 
-/// The loop, the configuration and the records.
+/// The shared state of the driver's parts.
 pub struct Context {
     /// The event loop.
     pub reactor: Reactor<dyn Object>,
-    /// The configuration that counts now.
+    /// The current configuration.
     pub config: Config,
     /// Records and metrics.
     pub records: Records,
-    /// Checks and counts what is done with each request.
+    /// Checks and counts each step of a request.
     pub audit: Audit,
-    /// The machine's wall clock beside the loop's.
+    /// The machine's wall clock in relation to the event loop's clock.
     pub wall_clock: WallClock,
-    /// Where that is stored for the next process.
+    /// Stores the wall clock's history for the next process.
     pub clock_file: ClockFile,
-    /// The rules, if there are any.
+    /// The rules, or `None` if none are configured.
     pub rules: Option<RulesService>,
-    /// Descriptors that other processes of this proxy hold: the limit is for all of them.
+    /// Descriptors held by other processes of this proxy: all its processes share one limit.
     pub sibling_descriptors: usize,
-    /// Requests in progress, as of the last poll of the other processes.
+    /// Requests in progress when the other processes were last polled.
     pub requests: usize,
 }
 
 impl Context {
-    /// The present time.
+    /// The current time of the event loop's clock.
     pub fn now(&self) -> Micros {
         self.reactor.io.now()
     }
 
-    /// Reads the wall clock. A reading during which the process stood still says nothing, and is left to the next one.
+    /// Samples the wall clock. A sample that took too long is discarded, because the process may have been suspended
+    /// during it.
     pub fn observe_wall_clock(&mut self) {
         let before = self.now();
         let unix = Clock::wall_now();
@@ -70,14 +73,14 @@
         }
     }
 
-    /// Stores what is known of the wall clock for the next process.
+    /// Stores the wall clock's history for the next process.
     pub fn save_wall_clock(&self) {
         if let Err(error) = self.clock_file.save(&self.wall_clock) {
             log::info!(target: LOG_TARGET, error:%; "what was seen of the wall clock cannot be stored: {error}");
         }
     }
 
-    /// Reports the timer after this time.
+    /// Sets a timer that fires after this time.
     pub fn set_timer(&mut self, after: Micros, timer: u32) {
         let now = self.now();
         self.reactor.io.owner_timer(now + after, timer);
@@ -92,7 +95,8 @@
         self.reactor.with(key, |object, io| object.client().map(|client| use_client(client, io))).flatten()
     }
 
-    /// Whether the client still waits for its answer and no attempt is in flight; a client that has left is reported.
+    /// Whether the client still waits for its answer and has no attempt in flight. A client that has left is
+    /// reported.
     pub fn is_awaiting_answer(&mut self, key: Key) -> bool {
         self.with_client(key, |client, io| client.is_awaiting_answer(io)) == Some(true)
     }
--- a/crates/cottonnotch/src/net/driver/decisions.rs
+++ b/crates/cottonnotch/src/net/driver/decisions.rs
@@ -1,4 +1,4 @@
-//! The decision module: events go in, and its actions are carried out in order.
+//! Hands events to the decision module and carries out its actions in order.
 
 use super::Driver;
 use super::clients::AttemptPlan;
@@ -6,19 +6,19 @@
 use cottonnotch_decision::{Action, Event, Micros, Notification, ServerId};
 
 impl Driver {
-    /// Hands these events to the decision module, in order.
+    /// Hands events to the decision module, in order.
     pub(super) fn handle_events(&mut self, events: Vec<Event>) {
         self.pending.extend(events);
         self.process_pending();
     }
 
-    /// Hands an event to the decision module, if there is one.
+    /// Hands an event, if there is one, to the decision module.
     pub(super) fn handle_event(&mut self, event: Option<Event>) {
         self.pending.extend(event);
         self.process_pending();
     }
 
-    /// Hands the decision module what is pending, and what comes of its own actions.
+    /// Hands the pending events to the decision module, including those that its own actions cause.
     pub(super) fn process_pending(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.pending.pop_front() {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Shows the guard what the module is about to get of servers and settings.
+    /// Shows the guard the server entries and settings that the module is about to receive.
     fn audit_event(&mut self, now: Micros, event: &Event) {
         let audit = &mut self.context.audit;
         match event {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Carries out an action; what comes of it at once is pending.
+    /// Carries out an action and queues the event that it causes at once, if any.
     fn execute(&mut self, now: Micros, action: Action) {
         let (context, latency) = (&mut self.context, &mut self.latency);
         let event = match action {
@@ -67,7 +67,7 @@
                 self.clients.migrate(context, latency, &self.endpoints, request, reason)
             }
             Action::WatchList => self.endpoints.watch(context),
-            // No health check is made: the module asks for none.
+            // Health checks are not implemented: the module does not request any.
             Action::Probe(server) => Some(Event::Probed { server, report: None }),
             Action::Timer { after, token } => {
                 context.reactor.io.owner_timer(now + after, token);
--- a/crates/cottonnotch/src/net/driver/dispatch.rs
+++ b/crates/cottonnotch/src/net/driver/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch of network events: each is handed to the part that it concerns, and what that makes of it to the decision
+//! Dispatches network events: each goes to the part that handles it, and the resulting events go to the decision
 //! module.
 
 use super::Driver;
@@ -87,7 +87,7 @@
                 return;
             }
         };
-        // One after the other: what comes of the first is carried out before the second is handed over.
+        // The effects of the first event are carried out before the second event is handed over.
         for event in events {
             self.handle_event(event);
         }
@@ -107,15 +107,15 @@
     pub(super) fn apply_endpoint_update(&mut self, update: EndpointUpdate, source: UpdateSource) {
         let event = self.endpoints.apply_update(&mut self.context, &mut self.latency, update, source);
         self.handle_event(Some(event));
-        // After the decision module knows: what is cancelled now goes elsewhere.
+        // Must follow the update of the decision module, so that it sends the cancelled requests to other endpoints.
         self.clients.cancel_unwritten_attempts(&mut self.context, &self.endpoints);
     }
 
-    /// Once a second.
+    /// Performs the periodic work. Called once a second.
     fn tick(&mut self) {
         self.context.observe_wall_clock();
         self.context.audit.report_overdue(self.context.now());
-        // What is queued may be allowed now, or forbidden.
+        // The rules may now allow or forbid queued requests.
         let rules_event = self.context.rules.as_mut().and_then(RulesService::tick);
         self.handle_event(rules_event);
         self.refresh_stale_list();
@@ -125,8 +125,8 @@
         self.handle_events(events);
     }
 
-    /// Asks discovery again if other proxies have a newer list. Guards against a watch that is open and silent: it would
-    /// show by itself only after several heartbeats, and drained nodes be used until then.
+    /// Requests the list from discovery again if other proxies have a newer revision. A watch that is open but silent
+    /// would be detected only after several heartbeats, and drained nodes would be used until then.
     fn refresh_stale_list(&mut self) {
         let revision = self.endpoints.revision();
         let newer = self.context.rules.as_ref().and_then(|rules| rules.newer_list_revision(revision));
@@ -135,7 +135,8 @@
                 target: LOG_TARGET, revision;
                 "other proxies have list {newer} of discovery, this proxy has {revision} and asks again"
             );
-            // As after a silence: the module spreads the requests of all proxies that learnt of it in one moment.
+            // `ListSilent` makes the module spread the requests to discovery over time, since all proxies may learn
+            // of the newer list at the same moment.
             self.handle_event(Some(Event::ListSilent));
         }
     }
--- a/crates/cottonnotch/src/net/driver/endpoint.rs
+++ b/crates/cottonnotch/src/net/driver/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint: a render node, as discovery lists it and the decision module rates it.
+//! One endpoint: a render node as listed by discovery and rated by the decision module.
 
 use crate::maintenance::Maintenance;
 use cottonnotch_decision::names::digest;
@@ -7,41 +7,42 @@
 use cottonnotch_records::Name;
 use std::net::SocketAddr;
 
-/// A render node.
+/// A render node and what is known of it.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// Its id in discovery's lists.
+    /// The node's id in discovery's lists.
     pub name: Name,
-    /// As discovery lists it.
+    /// The state in which discovery lists the node.
     pub state: ServerState,
-    /// Where it listens, if that was ever listed.
+    /// The address at which the node listens, if one was ever listed.
     pub address: Option<SocketAddr>,
-    /// When its process started, by the loop's clock: worked out when discovery first listed it.
+    /// When the node's process started, by the event loop's clock. Converted from Unix time once, when discovery
+    /// first listed the start.
     pub started: Option<Micros>,
-    /// Its hall.
+    /// The hall that the node is in.
     pub zone: ZoneId,
-    /// Its hardware class, as discovery names it.
+    /// The node's hardware class, as discovery names it.
     pub flavor: Box<str>,
-    /// Its size beside other endpoints'.
+    /// The node's capacity relative to other endpoints.
     pub weight: f64,
-    /// How the decision module last rated it.
+    /// The decision module's latest rating.
     pub health: ServerHealth,
-    /// When its process started, as discovery lists it in Unix time.
+    /// When the node's process started, in Unix time as listed by discovery.
     up_since: Option<Micros>,
     cell: u32,
 }
 
-/// Whether a list shows another process behind an endpoint than before.
+/// Whether an update shows a different process behind an endpoint than before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Incarnation {
-    /// The same process, as far as its start tells.
+    /// The listed start time is unchanged, so the process is taken to be the same.
     Same,
-    /// A new process.
+    /// The listed start time differs: a new process.
     New,
 }
 
 impl Endpoint {
-    /// An endpoint that is not listed yet.
+    /// Creates an endpoint that is not listed yet.
     pub fn new(name: Name) -> Self {
         Endpoint {
             name,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Takes over what discovery lists; `to_loop_time` converts a start from Unix time.
+    /// Applies an entry of discovery's list; `to_loop_time` converts Unix time to the event loop's clock.
     pub fn apply(
         &mut self,
         listed: EndpointEntry,
@@ -77,12 +78,12 @@
         Incarnation::New
     }
 
-    /// It is in discovery's list.
+    /// Whether discovery lists the endpoint.
     pub fn is_listed(&self) -> bool {
         self.state != ServerState::Removed
     }
 
-    /// Its entry for the decision module: as listed, under the operators' overrides.
+    /// The endpoint's entry for the decision module: the listed state with the operators' overrides applied.
     pub fn entry(&self, server: ServerId, overrides: &Maintenance) -> Entry {
         let (state, started) = overrides.apply(&self.name, self.state, self.started);
         let (digest, zone, cell, weight) = (digest(&self.name), self.zone, self.cell, self.weight);
--- a/crates/cottonnotch/src/net/driver/endpoints.rs
+++ b/crates/cottonnotch/src/net/driver/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints: the render nodes that discovery has listed, the watch on discovery, and the operators' overrides.
+//! The endpoints: the render nodes listed by discovery, the watch on discovery, and the operators' overrides.
 
 use super::context::Context;
 use super::endpoint::{Endpoint, Incarnation};
@@ -16,28 +16,28 @@
 use cottonnotch_records::Name;
 use std::net::SocketAddr;
 
-/// Where an endpoint update comes from.
+/// The origin of an endpoint update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateSource {
-    /// The list that came with the configuration, possibly outdated.
+    /// The list that came with the configuration and may be outdated.
     Remembered,
-    /// Discovery.
+    /// Discovery's own list.
     Discovery,
 }
 
 /// All endpoints that were ever listed.
 #[derive(Debug, Default)]
 pub struct Endpoints {
-    /// Their ids: the numbers are the decision module's servers, and are never given anew.
+    /// The endpoints' ids. Their numbers are the decision module's server ids and are never reused.
     names: Names,
     known: Vec<Endpoint>,
     watch: Option<Key>,
     revision: u64,
-    /// The operators' overrides as they are stored: in Unix time.
+    /// The operators' overrides as stored, in Unix time.
     manual_overrides: Maintenance,
-    /// The same by the loop's clock, converted when each override was first known.
+    /// The same overrides by the event loop's clock, converted when each override first became known.
     effective_overrides: Maintenance,
-    /// Discovery has sent a list; before, there is what the configuration remembers.
+    /// Whether discovery has sent a list. Before that, the list from the configuration is used.
     is_confirmed: bool,
     watch_loss_log: RateLimitedLog,
 }
@@ -45,9 +45,11 @@
 impl Endpoints {
     // ---- updates ----
 
-    /// Applies an update; the event for the decision module. Revisions count up. A complete list with a lower one is
-    /// accepted all the same: discovery was restored from an older state, and what it lists now counts. Changes with a
-    /// lower one say nothing of what was changed since: they are rejected, and the complete list is requested.
+    /// Applies an update and returns the event for the decision module.
+    ///
+    /// Revisions normally increase. A complete list with a lower revision is accepted: discovery was restored from an
+    /// older state, and its current list applies. Changes with a lower revision are rejected and the complete list is
+    /// requested, because such changes do not tell what else differs.
     pub fn apply_update(
         &mut self,
         context: &mut Context,
@@ -56,7 +58,8 @@
         source: UpdateSource,
     ) -> Event {
         let EndpointUpdate { revision, complete, endpoints } = update;
-        // Before starts are converted: the wall clock may have been stepped since the last second.
+        // Must precede the conversion of start times: the wall clock may have been stepped since its last sample, up
+        // to a second ago.
         context.observe_wall_clock();
         if revision < self.revision {
             if !complete {
@@ -109,10 +112,10 @@
         now: Micros,
         listed: EndpointEntry,
     ) -> Entry {
-        // Numbers are never given anew: an endpoint that restarts or moves keeps its number.
+        // Numbers are never reused: an endpoint that restarts or moves keeps its number.
         let number = self.names.intern(&listed.id);
         if self.known.len() <= number as usize {
-            // Numbers are given in order, so the new one's place is the next.
+            // Numbers are assigned in order, so a new number is always the next index.
             self.known.push(Endpoint::new(listed.id.as_str().into()));
         }
         let server = ServerId(number);
@@ -136,7 +139,7 @@
         }
     }
 
-    /// Gives the rules what they have to know of these: halls and hardware classes, and which may be used.
+    /// Passes the entries to the rules: the nodes' halls and hardware classes, and which nodes may be used.
     fn update_rules(&self, context: &Context, full: bool, entries: &[Entry]) {
         let Some(rules) = &context.rules else { return };
         let profile = &context.config.profile;
@@ -168,13 +171,14 @@
         &self.manual_overrides
     }
 
-    /// A render node of this id is listed now, or an override of it is remembered.
+    /// Whether a render node with this id is listed now or has a stored override.
     pub fn is_known(&self, id: &str) -> bool {
         let listed = self.names.find(id).and_then(|number| self.known.get(number as usize));
         listed.is_some_and(Endpoint::is_listed) || self.manual_overrides.contains(id)
     }
 
-    /// Replaces the overrides; these ids are concerned. An event, if any of them was ever listed.
+    /// Replaces the overrides; `ids` are the nodes whose override changed. Returns an event if any of those nodes was
+    /// ever listed.
     pub fn set_overrides(
         &mut self,
         context: &mut Context,
@@ -195,7 +199,7 @@
             let Some(number) = self.names.find(id) else { continue };
             let Some(endpoint) = self.known.get(number as usize) else { continue };
             let server = ServerId(number);
-            // What was seen of it before says nothing of the process that comes back.
+            // Earlier measurements do not apply to the process that comes back after maintenance.
             let incarnation = if is_out { Incarnation::Same } else { Incarnation::New };
             latency.update_endpoint(server, endpoint.weight, incarnation);
             entries.push(endpoint.entry(server, &self.effective_overrides));
@@ -207,7 +211,7 @@
 
     // ---- the watch on discovery ----
 
-    /// Begins a watch from the last revision accepted, in place of the old one. An event if that fails.
+    /// Starts a watch from the last accepted revision and closes the old watch. Returns an event if that fails.
     pub fn watch(&mut self, context: &mut Context) -> Option<Event> {
         if let Some(old) = self.watch.take() {
             context.reactor.remove(old);
@@ -226,7 +230,7 @@
         }
     }
 
-    /// A watch is lost; an event if it was the current one.
+    /// Handles the loss of a watch. Returns an event if the watch was the current one.
     pub fn handle_watch_lost(
         &mut self,
         context: &mut Context,
@@ -252,46 +256,47 @@
         })
     }
 
-    /// It is the current watch: what another one reports is outdated.
+    /// Whether this is the current watch. Reports of any other watch are outdated.
     pub fn is_watch(&self, watch: Key) -> bool {
         self.watch == Some(watch)
     }
 
-    // ---- questions ----
+    // ---- queries ----
 
-    /// The last revision accepted.
+    /// The last accepted revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Its id in discovery's lists.
+    /// The endpoint's id in discovery's lists.
     pub fn name(&self, server: ServerId) -> &str {
         self.names.name(server.0)
     }
 
-    /// Its id, shared.
+    /// The endpoint's id as a shared string.
     pub fn shared_name(&self, server: ServerId) -> Name {
         self.known_at(server).map_or_else(|| "-".into(), |endpoint| Name::clone(&endpoint.name))
     }
 
-    /// The decision module rates it so from now on.
+    /// Stores the decision module's new rating of an endpoint.
     pub fn set_health(&mut self, server: ServerId, health: ServerHealth) {
         self.known.get_mut(server.0 as usize).into_iter().for_each(|endpoint| endpoint.health = health);
     }
 
-    /// Discovery has sent a list.
+    /// Whether discovery has sent a list.
     pub fn is_confirmed(&self) -> bool {
         self.is_confirmed
     }
 
-    /// Some endpoint may get new requests, as far as lists tell.
+    /// Whether the lists and the operators allow new requests to at least one endpoint.
     pub fn has_usable_endpoint(&self) -> bool {
         self.known.iter().any(|endpoint| {
             endpoint.state == ServerState::Ready && !self.manual_overrides.is_out(&endpoint.name)
         })
     }
 
-    /// How many are listed, and how many of these get nothing new now though discovery says that they may.
+    /// The number of listed endpoints, and how many of them receive no new requests because they are paused or taken
+    /// out by an operator.
     pub fn gauges(&self, now: Micros) -> (usize, usize) {
         let paused =
             |endpoint: &Endpoint| matches!(endpoint.health, ServerHealth::Paused { until } if until > now);
@@ -300,26 +305,26 @@
         (listed().count(), listed().filter(skipped).count())
     }
 
-    /// It may get new requests, as far as the list and the operators tell.
+    /// Whether the list and the operators allow new requests to this endpoint.
     pub fn is_ready(&self, server: ServerId) -> bool {
         self.known_at(server).is_some_and(|endpoint| {
             endpoint.entry(server, &self.effective_overrides).state == ServerState::Ready
         })
     }
 
-    /// The list, or the operators, say that it drains.
+    /// Whether the list or the operators mark this endpoint as draining.
     pub fn is_draining(&self, server: ServerId) -> bool {
         self.known_at(server).is_some_and(|endpoint| {
             endpoint.entry(server, &self.effective_overrides).state == ServerState::Draining
         })
     }
 
-    /// The endpoint of this id, if it was ever listed.
+    /// The endpoint with this id, if it was ever listed.
     pub fn find(&self, name: &str) -> Option<ServerId> {
         self.names.find(name).map(ServerId)
     }
 
-    /// Where it listens, if that is known.
+    /// The address at which the endpoint listens, if known.
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
         self.known_at(server).and_then(|endpoint| endpoint.address)
     }
--- a/crates/cottonnotch/src/net/driver/golden_tests.rs
+++ b/crates/cottonnotch/src/net/driver/golden_tests.rs
@@ -1,4 +1,5 @@
-//! The files in `TMPDIR`, the metrics and the reasons keep the bytes that earlier builds gave them.
+//! Golden tests: the files in `TMPDIR`, the metrics and the reasons must stay byte for byte as earlier builds wrote
+//! them.
 
 use super::audit::{Audit, Step, outcome_name, rejection_name};
 use super::clock_file::ClockFile;
@@ -56,7 +57,7 @@
     assert_eq!((second.offset, second.from), (1_764_003_600_000_000, Some(9_500_000)));
 }
 
-/// Names of files, and their texts but for the monotonic time of the start.
+/// Compares the names and the contents of the process files, except for the monotonic start time.
 #[test]
 fn process_file_keeps_names_and_format() {
     let folder = tempfile::tempdir().unwrap();
@@ -102,7 +103,7 @@
     }
 }
 
-/// A connection that was open before the start.
+/// A connection that was open before this process started.
 fn open_connection() -> Request {
     let (tenant, left, load_hint, group) = (None, None, None, None);
     Request { id: RequestId(1), class: ClassId(0), tenant, left, load_hint, group, again: false }
--- a/crates/cottonnotch/src/net/driver/hot_restart.rs
+++ b/crates/cottonnotch/src/net/driver/hot_restart.rs
@@ -1,8 +1,10 @@
-//! Hot restart: a process of this proxy starts while another one serves. Each shows itself by a file in the folder that
-//! they share, and proves by a lock on it that it lives: the system releases a lock when its process ends, however it ends.
-//! A file's name has when its process began, in Unix time, and whether it is ready; its content has two numbers of fixed
-//! width: descriptors held, and when its process began by the machine's monotonic clock, which settles which is older though
-//! the wall clock be stepped between two starts. Other files are left alone.
+//! Hot restart: a process of this proxy starts while another one serves.
+//!
+//! Each process publishes a file in the folder that they share, and holds a lock on it while it is alive: the system
+//! releases the lock when the process ends, for whatever reason. The file's name contains the start time of the
+//! process in Unix time and whether the process is ready. The content is two numbers of fixed width: the descriptors
+//! held, and the start time by the machine's monotonic clock. The monotonic time determines which process is older
+//! even if the wall clock was stepped between the two starts. Other files in the folder are not touched.
 
 use super::machine_clock::machine_now;
 use cottonnotch_decision::Micros;
@@ -13,50 +15,52 @@
 
 const STARTING: &str = "starting";
 const READY: &str = "ready";
-/// Bytes of the descriptors held.
+/// Width of the number of descriptors, in bytes.
 const DESCRIPTORS_WIDTH: usize = 8;
-/// Bytes of the start by the monotonic clock, behind them.
+/// Width of the monotonic start time, which follows the number of descriptors, in bytes.
 const BEGAN_WIDTH: usize = 20;
 
-/// Another process of this proxy, which lives.
+/// Another process of this proxy that is alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SiblingProcess {
-    /// When it began, in microseconds of Unix time.
+    /// When the process started, in microseconds of Unix time.
     pub born: Micros,
-    /// When it began by the machine's monotonic clock; `None`: an older build, which doesn't say.
+    /// When the process started, by the machine's monotonic clock. `None` if the process is of an older build, which
+    /// does not write this time.
     pub began: Option<Micros>,
-    /// It serves clients.
+    /// Whether the process serves clients.
     pub is_ready: bool,
-    /// Descriptors that it holds.
+    /// Descriptors that the process holds.
     pub descriptors: usize,
 }
 
-/// This process's own file.
+/// The file of this process.
 #[derive(Debug)]
 struct ProcessFile {
     file: File,
     path: PathBuf,
 }
 
-/// This process among those of its proxy.
+/// This process among the processes of its proxy.
 #[derive(Debug)]
 pub struct HotRestart {
-    /// What the names of all of them begin with, the folder included.
+    /// Folder and common prefix of the names of all process files.
     prefix: PathBuf,
     born: Micros,
     began: Micros,
     is_ready: bool,
-    /// `None`: the file could not be written yet.
+    /// The published file, or `None` if it could not be written yet.
     file_shown: Option<ProcessFile>,
 }
 
 impl HotRestart {
-    /// A process that starts; the others don't see it before [`Self::show`].
+    /// Creates the state of a starting process. Other processes do not see it before [`Self::show`].
     pub fn new(prefix: PathBuf, born: Micros) -> Self {
         HotRestart { prefix, born, began: machine_now(), is_ready: false, file_shown: None }
     }
 
-    /// Shows this process, if it isn't shown yet. Fails where the folder can't be written to; it may be tried again.
+    /// Publishes the file of this process, if that has not been done yet. Fails if the folder cannot be written to;
+    /// the caller may retry.
     pub fn show(&mut self) -> io::Result<()> {
         if self.file_shown.is_some() {
             return Ok(());
@@ -65,7 +69,7 @@
         let path = file_path(&self.prefix, self.born, if self.is_ready { READY } else { STARTING });
         let file_shown = self.write(&hidden, &path);
         if file_shown.is_err() {
-            // What was begun is no use to anybody.
+            // Removes the incomplete file.
             let _ = fs::remove_file(&hidden);
         }
         self.file_shown = Some(ProcessFile { file: file_shown?, path });
@@ -75,14 +79,16 @@
     fn write(&self, hidden: &Path, path: &Path) -> io::Result<File> {
         let file = File::create(hidden)?;
         let text = format!("{:0DESCRIPTORS_WIDTH$}{:0BEGAN_WIDTH$}", 0, self.began);
-        // Locked and complete before it can be seen by its name: it would be taken for a dead process's.
+        // The file must be locked and complete before it gets its final name: others would take an unlocked file for
+        // that of a dead process.
         file.try_lock()?;
         file.write_all_at(text.as_bytes(), 0)?;
         fs::rename(hidden, path)?;
         Ok(file)
     }
 
-    /// Shows that this process serves clients. Fails as [`Self::show`], and is to be tried again then.
+    /// Announces that this process serves clients. Fails in the same cases as [`Self::show`] and is to be retried
+    /// then.
     pub fn announce_ready(&mut self) -> io::Result<()> {
         self.is_ready = true;
         self.show()?;
@@ -94,14 +100,14 @@
         Ok(())
     }
 
-    /// Tells the others how many descriptors this process holds.
+    /// Publishes how many descriptors this process holds.
     pub fn publish_descriptors(&self, descriptors: usize) -> io::Result<()> {
         let text = format!("{:0DESCRIPTORS_WIDTH$}", descriptors.min(99_999_999));
         self.file_shown.as_ref().map_or(Ok(()), |file_shown| file_shown.file.write_all_at(text.as_bytes(), 0))
     }
 
-    /// The other processes that live. Files of those that have ended are removed. Fails where that can't be seen now: some
-    /// may live.
+    /// Returns the other processes that are alive, and removes the files of those that have ended. Fails if the files
+    /// cannot be examined now, since some processes may be alive.
     pub fn siblings(&self) -> io::Result<Vec<SiblingProcess>> {
         let folder = self.prefix.parent().unwrap_or(Path::new("."));
         let own = self.file_shown.as_ref().map(|file_shown| file_shown.path.as_path());
@@ -117,7 +123,7 @@
 
     fn sibling(&self, path: &Path) -> io::Result<Option<SiblingProcess>> {
         let Some((born, is_ready)) = self.parse_name(path) else { return Ok(None) };
-        // Guards against what is no plain file: a pipe of that name would hold up the loop.
+        // Skips anything that is not a regular file: opening a pipe with such a name would block the event loop.
         let Some(metadata) = ignore_not_found(fs::symlink_metadata(path))? else { return Ok(None) };
         if !metadata.is_file() {
             return Ok(None);
@@ -127,7 +133,7 @@
             Err(TryLockError::WouldBlock) => {}
             Err(TryLockError::Error(error)) => return Err(error),
             Ok(()) => {
-                // Its process has ended. If it can't be removed, it is found dead again.
+                // The process has ended. If its file cannot be removed now, the next call tries again.
                 let _ = fs::remove_file(path);
                 return Ok(None);
             }
@@ -140,7 +146,8 @@
         Ok(Some(SiblingProcess { born, began, is_ready, descriptors }))
     }
 
-    /// Parses a file's name, if it is one of this proxy's: when its process began, and whether it is ready.
+    /// Parses the name of a process file of this proxy: the start time of the process, and whether the process is
+    /// ready. Returns `None` for other names.
     fn parse_name(&self, path: &Path) -> Option<(Micros, bool)> {
         let prefix = self.prefix.file_name()?.to_str()?;
         let name = path.file_name()?.to_str()?.strip_prefix(prefix)?.strip_prefix('-')?;
@@ -153,7 +160,7 @@
         Some((born.parse().ok()?, is_ready))
     }
 
-    /// Whether another process began before this one.
+    /// Whether the other process started before this one.
     pub fn is_older(&self, sibling: &SiblingProcess) -> bool {
         match sibling.began {
             Some(began) => (began, sibling.born) < (self.began, self.born),
@@ -161,14 +168,14 @@
         }
     }
 
-    /// Whether a process that began later serves clients, as far as that can be seen now.
+    /// Whether a process that started later serves clients. Returns false if that cannot be determined now.
     pub fn has_successor(&self) -> bool {
         let siblings = self.siblings().unwrap_or_default();
         siblings.iter().any(|sibling| !self.is_older(sibling) && sibling.is_ready)
     }
 }
 
-/// A file that was removed meanwhile is none.
+/// Treats a file that was removed in the meantime as absent.
 fn ignore_not_found<T>(found: io::Result<T>) -> io::Result<Option<T>> {
     match found {
         Ok(found) => Ok(Some(found)),
@@ -179,7 +186,7 @@
 
 impl Drop for HotRestart {
     fn drop(&mut self) {
-        // The lock ends with the process in any case; this only tidies up.
+        // The system releases the lock in any case; removing the file only cleans up the folder.
         let _ = self.file_shown.as_ref().map(|file_shown| fs::remove_file(&file_shown.path));
     }
 }
--- a/crates/cottonnotch/src/net/driver/hot_restart_tests.rs
+++ b/crates/cottonnotch/src/net/driver/hot_restart_tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A process that has shown itself.
+/// Creates a process that has published its file.
 fn started_process(prefix: &Path, born: Micros) -> HotRestart {
     let mut hot_restart = HotRestart::new(prefix.to_owned(), born);
     hot_restart.show().unwrap();
@@ -34,18 +34,18 @@
     let folder = tempfile::tempdir().unwrap();
     let prefix = folder.path().join("cottonnotch-a_1.process");
     let first = started_process(&prefix, 20);
-    // The wall clock went back.
+    // The second process has the lower Unix start time, as after a backward step of the wall clock.
     let mut second = started_process(&prefix, 10);
     second.announce_ready().unwrap();
     assert!(first.has_successor() && !second.has_successor());
     assert!(second.is_older(&first.seen_by(&second)));
-    // An older build's file has its descriptors alone.
+    // A file of an older build contains only the number of descriptors.
     second.file_shown.as_ref().unwrap().file.set_len(DESCRIPTORS_WIDTH as u64).unwrap();
     assert!(!first.has_successor(), "by its name it is the older one");
 }
 
 impl HotRestart {
-    /// This one, as that other one sees it.
+    /// This process as the other process sees it.
     fn seen_by(&self, sibling: &HotRestart) -> SiblingProcess {
         sibling.siblings().unwrap().into_iter().find(|seen| seen.born == self.born).unwrap()
     }
--- a/crates/cottonnotch/src/net/driver/lifecycle.rs
+++ b/crates/cottonnotch/src/net/driver/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The state of the process: its place among other processes of the proxy, its configuration, and its shutdown.
+//! The state of the process: hot restart, reload of the configuration, and shutdown.
 
 use super::context::{Context, DRAIN_ROUND};
 use super::hot_restart::HotRestart;
@@ -14,48 +14,49 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Reads the whole configuration anew, from both files.
+/// Reads the whole configuration again, from both files.
 pub type ReadConfig = Box<dyn Fn() -> Result<Config, ConfigError>>;
 
-/// Discovery is waited for so long at a start beside an earlier process, which goes on serving meanwhile.
+/// How long a process that starts beside a predecessor waits for discovery. The predecessor serves in the meantime.
 const TAKEOVER_TIMEOUT: Micros = 2_000_000;
-/// Descriptors beside those of objects and of endpoints' sides: standard streams, the poll, signals' other ends.
+/// Descriptors other than those of reactor objects and of connections to endpoints: standard streams, the poll, and
+/// the other ends of the signal pipes.
 const UNCOUNTED_DESCRIPTORS: usize = 10;
 
-/// A configuration that was applied.
+/// The result of applying a new configuration.
 pub struct Reloaded {
-    /// For the decision module.
+    /// The event with the new settings, for the decision module.
     pub event: Event,
-    /// Discovery has another address now.
+    /// Whether discovery's address has changed.
     pub discovery_moved: bool,
 }
 
-/// A round of the shutdown.
+/// One round of the shutdown.
 pub struct DrainRound {
-    /// To be migrated now.
+    /// Requests to be migrated in this round.
     pub migrating: Vec<RequestId>,
-    /// What is left afterwards is ended.
+    /// Whether this is the last round, after which all remaining requests are ended.
     pub is_last: bool,
 }
 
-/// Whether an earlier process of this proxy serves.
+/// Whether an earlier process of this proxy serves clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Predecessor {
-    /// There is none, or it has stopped.
+    /// There is no earlier process, or it has stopped.
     None,
-    /// It accepts clients, and this process takes them over.
+    /// The earlier process accepts clients, and this process takes them over.
     Serving,
 }
 
-/// The state of the process.
+/// The state of the process: hot restart, configuration and shutdown.
 pub struct Lifecycle {
-    /// Where clients connect, also where the system chose the port.
+    /// The address at which clients connect, with the port that the system chose if none was configured.
     address: SocketAddr,
     read_config: ReadConfig,
     shutdown: Option<Shutdown>,
-    /// This process among others of its proxy, where they can meet.
+    /// Finds other processes of this proxy. `None` if no operators' address or no shared folder is configured.
     hot_restart: Option<HotRestart>,
-    /// As last seen; `None`: that could not be seen yet.
+    /// The result of the last successful search for a predecessor, or `None` before the first one.
     predecessor: Option<Predecessor>,
     hidden_log: RateLimitedLog,
     /// When this process started.
@@ -63,7 +64,8 @@
 }
 
 impl Lifecycle {
-    /// A process that starts. Others of its proxy are looked for only where operators can say when it is to take over.
+    /// Creates the state of a starting process. It looks for other processes of its proxy only if an operators'
+    /// address is configured: operators' status requests tell when it may take over.
     pub fn new(context: &Context, read_config: ReadConfig) -> Self {
         let began = context.now();
         let path = context.config.mgmt.and_then(|_| shared_file(context.config.listen, "process"));
@@ -82,12 +84,13 @@
         lifecycle
     }
 
-    /// Clients may connect at this address.
+    /// Sets the address at which clients connect.
     pub fn set_address(&mut self, address: SocketAddr) {
         self.address = address;
     }
 
-    /// Shows this process to the others, if it isn't shown yet: the folder may be full for a while.
+    /// Publishes this process's file, if that has not been done yet. This may fail for a while, for example because
+    /// the folder is full.
     fn show(&mut self, now: Micros) {
         if let Some(Err(error)) = self.hot_restart.as_mut().map(HotRestart::show) {
             self.log_hidden(now, &error);
@@ -103,12 +106,12 @@
         }
     }
 
-    /// Another process may find this one, now or once it can be shown.
+    /// Whether another process can find this one, now or once its file is published.
     pub fn can_hot_restart(&self) -> bool {
         self.hot_restart.is_some()
     }
 
-    /// Looks for other processes of this proxy, and tells them how many descriptors this one holds.
+    /// Looks for other processes of this proxy, and publishes how many descriptors this one holds.
     pub fn find_predecessor(&mut self, context: &mut Context) -> Predecessor {
         self.show(context.now());
         let Some(hot_restart) = &self.hot_restart else { return Predecessor::None };
@@ -121,9 +124,10 @@
         };
         context.sibling_descriptors = siblings.iter().map(|sibling| sibling.descriptors).sum();
         if !siblings.is_empty() {
-            // A request holds two, its own object's and the endpoint's; what is beyond objects is some ten.
+            // Each request uses two descriptors: one of its own object, which is among the connections, and one of
+            // the endpoint's connection.
             let descriptors = context.reactor.connections() + context.requests + UNCOUNTED_DESCRIPTORS;
-            // What can't be published leaves the other with the number that it read before.
+            // If publishing fails, the other process uses the last number that it read.
             let _ = hot_restart.publish_descriptors(descriptors);
         }
         let has_older = siblings.iter().any(|sibling| hot_restart.is_older(sibling));
@@ -132,32 +136,33 @@
         predecessor
     }
 
-    /// While the others can't be seen: as last seen, or one is assumed until its time to show itself is over.
+    /// The predecessor to assume while the other processes cannot be examined: the last result, or before the first
+    /// one a serving predecessor until `TAKEOVER_TIMEOUT` has passed.
     fn assumed_predecessor(&self, now: Micros) -> Predecessor {
         let assumed =
             if now - self.began < TAKEOVER_TIMEOUT { Predecessor::Serving } else { Predecessor::None };
         self.predecessor.unwrap_or(assumed)
     }
 
-    /// Whether clients of an earlier process are to be taken over: the list is discovery's own and manual overrides are
-    /// known (`is_informed`), or both have had their time.
+    /// Whether this process may take over the clients of its predecessor. `is_informed` means that discovery has sent
+    /// its list and the manual overrides are loaded; otherwise the timeout for both must have passed.
     pub fn can_take_over(&self, now: Micros, is_informed: bool) -> bool {
         is_informed || now - self.began >= TAKEOVER_TIMEOUT
     }
 
-    /// This process serves: an earlier one may stop.
+    /// Announces that this process serves clients, so that its predecessor may stop.
     pub fn announce_ready(&mut self) {
         if let Some(Err(error)) = self.hot_restart.as_mut().map(HotRestart::announce_ready) {
             log::warn!(target: LOG_TARGET, error:%; "an earlier process cannot be told that this one serves: {error}");
         }
     }
 
-    /// A later process serves clients.
+    /// Whether a later process serves clients.
     pub fn has_successor(&self) -> bool {
         self.hot_restart.as_ref().is_some_and(HotRestart::has_successor)
     }
 
-    /// Applies a new configuration as a whole, or keeps the old one. No connection is touched.
+    /// Applies a new configuration as a whole, or keeps the old one. Connections are not affected.
     pub fn reload(&self, context: &mut Context, latency: &mut MessageLatency) -> Option<Reloaded> {
         let read = (self.read_config)().and_then(|new| new.check_replaces(&context.config).map(|()| new));
         let new = match read {
@@ -191,7 +196,7 @@
         Some(Reloaded { event, discovery_moved })
     }
 
-    /// Says which changes don't count before the next start.
+    /// Logs the changes that take effect only after a restart.
     fn log_unchangeable(&self, old: &Config, new: &Config) {
         if new.listen != old.listen {
             log::warn!(
@@ -213,7 +218,7 @@
         }
     }
 
-    /// The process was asked to stop; false if that goes on already.
+    /// Begins the shutdown. Returns false if it has already begun.
     pub fn terminate(&mut self, context: &Context, requests: &RequestTable) -> bool {
         if self.shutdown.is_some() {
             return false;
@@ -221,7 +226,7 @@
         let now = context.now();
         let Profile { settings, withdrawn, .. } = &context.config.profile;
         let offered = (0..).zip(&settings.classes).filter(|(number, _)| !withdrawn.contains(number));
-        // Of the classes that are offered: who sends SIGKILL knows no others.
+        // Withdrawn classes do not count: the supervisor, which sends SIGKILL, knows only the offered classes.
         let longest = offered.map(|(_, class)| class.deadline).max();
         let (requests, up) = (requests.len(), requests.established().count());
         log::info!(target: LOG_TARGET, requests, up; "asked to stop: clients are migrated");
@@ -230,7 +235,8 @@
         true
     }
 
-    /// The next round of a shutdown, if one goes on; sets the timer of the one after.
+    /// Computes the next round of the shutdown and sets the timer for the following one. Returns `None` if no
+    /// shutdown is in progress.
     pub fn next_round(&mut self, context: &mut Context, requests: &RequestTable) -> Option<DrainRound> {
         let now = context.now();
         let shutdown = self.shutdown.as_mut()?;
@@ -240,12 +246,12 @@
         Some(DrainRound { migrating, is_last: shutdown.is_last(now) })
     }
 
-    /// A shutdown goes on.
+    /// Whether a shutdown is in progress.
     pub fn is_shutting_down(&self) -> bool {
         self.shutdown.is_some()
     }
 
-    /// A shutdown is over.
+    /// Whether the shutdown is complete.
     pub fn is_over(&self, now: Micros) -> bool {
         self.shutdown.is_some_and(|shutdown| shutdown.is_over(now))
     }
@@ -259,7 +265,7 @@
     }
 }
 
-/// The new configuration, but for what can't change while clients are served.
+/// The new configuration, with the old values of everything that cannot change while clients are served.
 fn merge_config(old: &Config, new: Config) -> Config {
     Config {
         listen: old.listen,
--- a/crates/cottonnotch/src/net/driver/log_target.rs
+++ b/crates/cottonnotch/src/net/driver/log_target.rs
@@ -1,4 +1,4 @@
-//! The driver's name in the log.
+//! The driver's log target.
 
-/// The driver's part in the log, whichever of its files writes the line: filters and collectors know it by this.
+/// Log target of all files of the driver. Log filters and collectors match this name.
 pub const LOG_TARGET: &str = "cottonnotch::net::driver";
--- a/crates/cottonnotch/src/net/driver/maintenance_file.rs
+++ b/crates/cottonnotch/src/net/driver/maintenance_file.rs
@@ -1,5 +1,5 @@
-//! The file in which manual overrides outlive the process: both processes of a hot restart read and write it, and each
-//! takes over what operators have set at the other.
+//! The file that stores manual overrides beyond the life of a process. Both processes of a hot restart read and write
+//! it, and each applies the overrides that operators set at the other.
 
 use crate::maintenance::{MAX_BYTES, Maintenance, MaintenanceDecodeError, decode, encode};
 use cottonnotch_decision::Micros;
@@ -8,61 +8,61 @@
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
-/// The file is polled this often. An override set at one process binds the other within it, well under the second that
-/// a request has.
+/// How often the file is polled. An override set at one process takes effect at the other within this time, well
+/// below the one second that a request has.
 pub const POLL_INTERVAL: Micros = 100_000;
 
-/// Tells one writing of a file from another, without reading it.
+/// Identifies a version of the file by its modification time and inode, without reading it.
 type FileStamp = (Option<SystemTime>, u64);
 
-/// Why the file can't be taken over.
+/// Why the stored overrides cannot be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum MaintenanceFileError {
-    /// Its content is faulty.
+    /// The content is invalid.
     #[error(transparent)]
     Invalid(#[from] MaintenanceDecodeError),
-    /// It can't be read now.
+    /// The file cannot be read now.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// The file, if overrides are stored.
+/// The maintenance file, if overrides are stored.
 #[derive(Debug, Default)]
 pub struct MaintenanceFile {
     path: Option<PathBuf>,
-    /// What was read, or written, last.
+    /// The version that was last read or written.
     seen: Option<FileStamp>,
-    /// It was polled, and read if it was there.
+    /// Whether the file was polled successfully and, if present, read.
     is_known: bool,
-    /// What is there now is less than this process knows, and could not be written yet.
+    /// Whether the file lacks overrides that this process knows and could not write yet.
     is_behind: bool,
-    /// The file is there, and its folder could not be synced yet.
+    /// Whether the file was replaced and its folder could not be synced yet.
     is_unsynced: bool,
 }
 
 impl MaintenanceFile {
-    /// Overrides are stored in this file; without one, they end with the process.
+    /// Stores overrides at `path`. Without a path, overrides end with the process.
     pub fn at(path: Option<PathBuf>) -> Self {
         MaintenanceFile { path, ..MaintenanceFile::default() }
     }
 
-    /// What is stored was read, or there is nothing.
+    /// Whether the stored overrides have been read, or none are stored.
     pub fn is_known(&self) -> bool {
         self.path.is_none() || self.is_known
     }
 
-    /// There is a file: overrides outlive the process.
+    /// Whether overrides are stored in a file and thus outlive the process.
     pub fn is_persistent(&self) -> bool {
         self.path.is_some()
     }
 
-    /// What is stored is less than what this process knows: it is to be saved again.
+    /// Whether the file lacks overrides that this process knows and must be saved again.
     pub fn is_behind(&self) -> bool {
         self.is_behind
     }
 
-    /// What another process has written since the last poll or write, if anything. What can't be read now is polled again;
-    /// a faulty state is reported once.
+    /// Returns what another process has written since the last poll or write, if anything. A file that cannot be read
+    /// now is polled again; an invalid one is reported once.
     pub fn read_changes(&mut self) -> Option<Result<Maintenance, MaintenanceFileError>> {
         let path = self.path.as_deref()?;
         let stamp = match stamp(path) {
@@ -81,12 +81,13 @@
         found
     }
 
-    /// What could not be saved is to be saved as soon as it can be.
+    /// Marks the file as outdated, so that it is saved again as soon as possible.
     pub fn mark_behind(&mut self) {
         self.is_behind = true;
     }
 
-    /// Syncs the folder, if that failed before: until then a new name may be lost with the machine, not with the process.
+    /// Syncs the folder if that failed before. Until the folder is synced, a new file name survives the end of the
+    /// process but may be lost if the machine fails.
     pub fn sync_folder(&mut self) -> io::Result<()> {
         let folder = self.path.as_deref().and_then(Path::parent).filter(|_| self.is_unsynced);
         if let Some(folder) = folder {
@@ -96,26 +97,26 @@
         Ok(())
     }
 
-    /// Writes the state in place of what is there, all of it or nothing: it is on the disk when this returns well.
+    /// Replaces the file with this state atomically. The content is on the disk when this returns `Ok`.
     pub fn save(&mut self, state: &Maintenance) -> io::Result<()> {
         let Some(path) = self.path.as_deref() else { return Ok(()) };
-        // A name that no other process writes to, so that what is renamed is whole.
+        // No other process writes to this temporary name, so the renamed file is always complete.
         let new = path.with_extension(format!("{}.new", std::process::id()));
         let written = write_synced(&new, encode(state).as_bytes()).and_then(|()| fs::rename(&new, path));
         if let Err(error) = written {
-            // What was begun is no use to anybody.
+            // Removes the incomplete file.
             let _ = fs::remove_file(&new);
             return Err(error);
         }
         self.seen = stamp(path).ok();
         (self.is_behind, self.is_unsynced) = (false, true);
-        // The name stands, and a later look tries again.
+        // The file is in place, and a later poll retries the sync.
         let _ = self.sync_folder();
         Ok(())
     }
 }
 
-/// A name must never stand for bytes that aren't on the disk yet.
+/// Writes and syncs a file, so that a rename never exposes a name whose bytes are not on the disk yet.
 fn write_synced(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let mut file = File::create(path)?;
     file.write_all(bytes)?;
@@ -130,7 +131,7 @@
 }
 
 fn read(path: &Path) -> Result<Maintenance, MaintenanceFileError> {
-    // Guards against what is no plain file: a pipe of that name would hold up the loop.
+    // Rejects anything that is not a regular file: opening a pipe with this name would block the event loop.
     if !fs::symlink_metadata(path)?.is_file() {
         return Err(MaintenanceDecodeError::InvalidFormat.into());
     }
--- a/crates/cottonnotch/src/net/driver/management.rs
+++ b/crates/cottonnotch/src/net/driver/management.rs
@@ -1,5 +1,5 @@
-//! The operators' address as the driver has it: connections are accepted, requests get responses, and maintenance by hand
-//! is stored for the other processes of this proxy.
+//! The driver's side of the operators' address: accepts connections, sends responses, and stores manual maintenance
+//! for the other processes of this proxy.
 
 use super::context::{ACCEPT_ADMINS, Context, POLL_SIBLINGS};
 use super::endpoints::Endpoints;
@@ -16,19 +16,19 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Processes share their state in this folder, where the environment names one.
+/// Environment variable that names the folder in which the processes share state.
 const STATE_FOLDER_VARIABLE: &str = "TMPDIR";
 
 /// What an operator does with a render node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MaintenanceAction {
-    /// Takes it out of use.
+    /// Takes the node out of use.
     Enter,
-    /// Puts it back in use.
+    /// Puts the node back in use.
     Exit,
 }
 
-/// The admin server, if there is one, and the stored maintenance.
+/// The admin server, if one is configured, and the stored maintenance.
 pub struct Management {
     admin_server: Option<AdminServer>,
     file: MaintenanceFile,
@@ -36,8 +36,9 @@
     write_failure_log: RateLimitedLog,
 }
 
-/// The file in which a proxy's processes share something: named by the address that they share, so that proxies on one machine don't
-/// read each other's. `None`: nowhere, since no folder is named, or the system gives each an address of its own.
+/// The path of a file that the processes of one proxy share. The name contains the listen address, so that proxies on
+/// one machine do not read each other's files. Returns `None` if no folder is named, or if the system assigns the
+/// port and each process has an address of its own.
 pub fn shared_file(listen: SocketAddr, kind: &str) -> Option<PathBuf> {
     let folder = std::env::var_os(STATE_FOLDER_VARIABLE).filter(|folder| !folder.is_empty())?;
     let address = listen.to_string().replace([':', '[', ']', '%'], "_");
@@ -45,13 +46,13 @@
 }
 
 impl Management {
-    /// Opens the operators' address, if one is configured. Fails if it can't be had.
+    /// Opens the operators' address, if one is configured. Fails if the address cannot be bound.
     pub fn start(context: &mut Context) -> io::Result<Self> {
         let Some(address) = context.config.mgmt else {
             return Ok(Management::new(None, MaintenanceFile::default()));
         };
         let admin_server = AdminServer::open(&mut context.reactor, address, ACCEPT_ADMINS)?;
-        // No key-values: scripts take the last word as the address.
+        // This line has no key-values: scripts take its last word as the address.
         log::info!(target: LOG_TARGET, "operators may call at {}", admin_server.address()?);
         let file = MaintenanceFile::at(shared_file(context.config.listen, "maintenance"));
         if !file.is_persistent() {
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Takes over what operators have set at another process of this proxy, and sets the timer of the next poll. An event,
-    /// if that changes something.
+    /// Applies overrides that operators have set at another process of this proxy, and sets the timer of the next
+    /// poll. Returns an event if that changes an endpoint.
     pub fn sync(
         &mut self,
         context: &mut Context,
@@ -90,7 +91,8 @@
         }
     }
 
-    /// Takes over what is stored, if that is new, and writes what is missing there. Fails if it can't be read, now or ever.
+    /// Merges the stored overrides, if the file has changed, and saves overrides that the file lacks. Fails if the
+    /// file cannot be read or is invalid.
     fn take_over(
         &mut self,
         context: &mut Context,
@@ -100,7 +102,8 @@
         let theirs = self.file.read_changes().transpose()?;
         let mut merged = endpoints.manual_overrides().clone();
         let changed = theirs.as_ref().map_or_else(Vec::new, |theirs| merged.merge(theirs));
-        // Guards against two that write at once: who finds something missing writes it again, until it is there.
+        // Two processes may write at the same time: a process that finds its overrides missing writes them again
+        // until they are stored.
         if theirs.is_some_and(|theirs| merged != theirs) || self.file.is_behind() {
             self.save(context.now(), &merged);
         }
@@ -121,7 +124,8 @@
         }
     }
 
-    /// An operator takes a render node out, or puts it back: the response, and events if that changes anything.
+    /// Takes a render node out or puts it back, at an operator's request. Returns the response, and events if an
+    /// endpoint changed.
     pub fn set_maintenance(
         &mut self,
         context: &mut Context,
@@ -130,7 +134,7 @@
         id: &str,
         action: MaintenanceAction,
     ) -> (AdminResponse, Vec<Event>) {
-        // What is stored first: what this process writes replaces what is there, which it must know.
+        // Reads the file first: saving replaces its content, so the process must know that content.
         let taken_over = match self.take_over(context, latency, endpoints) {
             Err(MaintenanceFileError::Io(error)) => {
                 let text = format!("nothing was done, earlier calls cannot be read: {error}\n");
@@ -162,7 +166,7 @@
             MaintenanceAction::Exit => (false, "in use"),
         };
         let done = AdminResponse::ok(format!("{id} is {state_name}\n"));
-        // Of the wall clock: another process, or a later one, reads it.
+        // Override times are wall-clock times, because other and later processes read them.
         context.observe_wall_clock();
         let now = context.wall_clock.unix(context.now());
         let mut state = endpoints.manual_overrides().clone();
@@ -174,7 +178,8 @@
             return (done, None);
         }
         state.remove_expired(now);
-        // The yes is a promise that outlives this process; where it can't be kept, nothing is done.
+        // The response promises that the override outlives this process. If the override cannot be stored, nothing is
+        // changed.
         if let Err(error) = self.file.save(&state) {
             log::error!(target: LOG_TARGET, error:%; "maintenance by hand cannot be stored: {error}");
             return (AdminResponse::failed(format!("nothing was done, it cannot be kept: {error}\n")), None);
@@ -182,19 +187,19 @@
         (done, endpoints.set_overrides(context, latency, state, &[id.to_owned()]))
     }
 
-    /// What operators have set at earlier processes is known here, as far as it is stored.
+    /// Whether the overrides stored by earlier processes have been read.
     pub fn has_maintenance(&self) -> bool {
         self.admin_server.is_none() || self.file.is_known()
     }
 
-    /// Operators wait to be accepted.
+    /// Accepts waiting operators' connections.
     pub fn on_admins_waiting(&mut self, context: &mut Context) {
         self.admin_server
             .iter_mut()
             .for_each(|admin_server| admin_server.on_connections_waiting(&mut context.reactor));
     }
 
-    /// The timer for that is due.
+    /// Resumes accepting when the timer fires.
     pub fn on_accept_timer(&mut self, context: &mut Context) {
         self.admin_server
             .iter_mut()
@@ -207,7 +212,7 @@
     }
 }
 
-/// The response to a request for the status.
+/// The response to a status request.
 pub fn status_response(not_ready_reason: Option<&str>) -> AdminResponse {
     match not_ready_reason {
         Some(reason) => AdminResponse::unavailable(format!("not ready: {reason}\n")),
--- a/crates/cottonnotch/src/net/driver/message_latency.rs
+++ b/crates/cottonnotch/src/net/driver/message_latency.rs
@@ -1,4 +1,4 @@
-//! Latency and load of messages on established connections, and the reports of them that the decision module gets.
+//! Tracks latency and load of messages on established connections, and creates the reports for the decision module.
 
 use super::context::{Context, TICK};
 use super::endpoint::Incarnation;
@@ -11,14 +11,14 @@
 pub struct MessageLatency {
     delays: MessageLatencies,
     lines: LoadLines,
-    /// `LOAD` lines may report latencies, too.
+    /// Whether `LOAD` lines may report latencies as well as loads.
     reports_latency: bool,
-    /// Groups are kept together, so their connections are counted.
+    /// Whether groups are kept together, so that connections are counted by group.
     groups: bool,
 }
 
 impl MessageLatency {
-    /// Nothing seen yet. Sets the timer of the first [`Self::tick`].
+    /// Starts without measurements and sets the timer of the first [`Self::tick`].
     pub fn start(context: &mut Context) -> Self {
         context.set_timer(REPORT_INTERVAL, TICK);
         let Profile { settings, reports_latency, .. } = &context.config.profile;
@@ -27,14 +27,15 @@
         MessageLatency { delays, lines: LoadLines::default(), reports_latency, groups }
     }
 
-    /// The settings have changed.
+    /// Applies changed settings.
     pub fn configure(&mut self, Profile { settings, reports_latency, .. }: &Profile) {
         self.reports_latency = *reports_latency;
         self.delays.configure(settings.into());
         self.groups = settings.groups;
     }
 
-    /// An endpoint is listed, with its weight; what is known of an earlier process is dropped.
+    /// Updates the weight of a listed endpoint. If its process is new, drops what was measured of the earlier
+    /// process.
     pub fn update_endpoint(&mut self, server: ServerId, weight: f64, incarnation: Incarnation) {
         self.delays.endpoint_listed(server, weight);
         if incarnation == Incarnation::New {
@@ -43,12 +44,12 @@
         }
     }
 
-    /// Established connections by endpoint, and what the other proxies report of theirs.
+    /// Latencies and established connections by endpoint, including the other proxies' reports.
     pub fn delays(&mut self) -> &mut MessageLatencies {
         &mut self.delays
     }
 
-    /// A connection is established; `setup` is how long that took, if it was measured.
+    /// Records that a connection is established; `setup` is the duration of the set-up, if it was measured.
     pub fn connection_opened(
         &mut self,
         now: Micros,
@@ -60,12 +61,12 @@
         self.delays.connection_opened(now, tracked.id, server, group, setup);
     }
 
-    /// A request is over, established or not.
+    /// Records that a request is over, whether or not it was established.
     pub fn remove_request(&mut self, tracked: &TrackedRequest) {
         self.delays.connection_closed(tracked.id);
     }
 
-    /// An endpoint has reported a number on this connection: its load, or a latency.
+    /// Handles a value that an endpoint reported on this connection: a load or a latency.
     pub fn handle_load_report(
         &mut self,
         now: Micros,
@@ -92,20 +93,21 @@
         Event::LoadUpdate { request, load }
     }
 
-    /// A client's line was answered after this long, or is unanswered for that long by now.
+    /// Records the delay of a client's line: the time until its answer, or its waiting time so far if it is
+    /// unanswered.
     pub fn record(&mut self, now: Micros, tracked: &TrackedRequest, delay: Micros) {
         if let Some((server, _)) = tracked.latest_attempt {
             self.delays.round_trip_measured(now, server, delay);
         }
     }
 
-    /// The reports that are due; sets the timer of the next tick.
+    /// Returns the reports that are due, and sets the timer of the next tick.
     pub fn tick(&mut self, context: &mut Context, requests: &RequestTable) -> Vec<Event> {
         let now = context.now();
         context.set_timer(REPORT_INTERVAL, TICK);
         for (key, _) in requests.established() {
             let waited = context.with_client(key, |client, _| client.oldest_unanswered(now)).flatten();
-            // A line that is still unanswered shows a delay as well as a late reply does.
+            // An unanswered line counts with its waiting time: it indicates latency just as a late reply does.
             if let (Some(waited), Some(tracked)) = (waited, requests.get(key)) {
                 self.record(context.now(), tracked, waited);
             }
--- a/crates/cottonnotch/src/net/driver/mod.rs
+++ b/crates/cottonnotch/src/net/driver/mod.rs
@@ -1,11 +1,11 @@
-//! The driver, between the sockets and the decision module: turns network events into the module's events and carries
-//! out its actions in order. Here the network's terms (endpoint, attempt, client) meet the module's (server, send,
-//! request); nothing is decided.
+//! The driver connects the sockets to the decision module: it turns network events into the module's events and
+//! carries out the module's actions in order. It translates between the network's terms (endpoint, attempt, client)
+//! and the module's terms (server, send, request), and makes no decisions itself.
 //!
-//! The path of a request: a client's connection reads its line and reports a
-//! [`ConnectionRequest`](super::connection_request::ConnectionRequest); [`dispatch`] hands it to [`clients`], which
-//! makes an event of it; [`decisions`] hands that to the module and carries out the action that answers it; [`clients`]
-//! starts an attempt on the client's connection, and once an endpoint has accepted it, the connection relays.
+//! The path of a request: a client's connection reads the client's line and reports a
+//! [`ConnectionRequest`](super::connection_request::ConnectionRequest). [`dispatch`] hands it to [`clients`], which
+//! creates an event. [`decisions`] hands the event to the module and carries out the resulting action. [`clients`]
+//! then starts an attempt on the client's connection, and the connection relays once an endpoint has accepted it.
 
 mod acceptor;
 mod admin;
@@ -50,10 +50,10 @@
 use std::io;
 use std::time::Duration;
 
-/// At the end the records' writer is waited for this long: a shutdown is over 150 ms before SIGKILL may come.
+/// Time limit for flushing the records at exit: the shutdown ends 150 ms before the earliest SIGKILL.
 const RECORDS_CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// One proxy: the decision module, and the parts that turn network events into its events.
+/// One proxy: the decision module and the parts that turn network events into its events.
 pub struct Driver {
     context: Context,
     balancer: Balancer,
@@ -70,7 +70,7 @@
 }
 
 impl Driver {
-    /// Serves until a shutdown is over. Records end with it.
+    /// Runs the event loop until a shutdown is complete, then closes the records.
     pub fn run(&mut self) -> io::Result<()> {
         loop {
             self.context.reactor.turn()?;
@@ -87,7 +87,7 @@
     fn close_records(&mut self) {
         self.context.audit.finish();
         let counts = self.context.records.close(RECORDS_CLOSE_TIMEOUT);
-        // What was not written in time is lost as well, though nobody counted it.
+        // Records that were not written in time are lost too, although the recorder does not count them as lost.
         let lost = counts.produced.saturating_sub(counts.written);
         if lost > 0 {
             let written = counts.written;
--- a/crates/cottonnotch/src/net/driver/peers.rs
+++ b/crates/cottonnotch/src/net/driver/peers.rs
@@ -1,5 +1,6 @@
-//! The other proxies of the fleet: a small fleet gossips, a large one aggregates load reports, and which of them it is, is
-//! settled at the start. Here are the socket, the timer and the log of that; the rest is in `cottonnotch_proxy_core`.
+//! The other proxies of the fleet. A small fleet gossips and a large one aggregates load reports; the choice is made
+//! at the start. This module has the socket, the timer and the logging; the protocols are in
+//! `cottonnotch_proxy_core`.
 
 use super::context::{Context, PEERS};
 use super::endpoints::Endpoints;
@@ -19,25 +20,25 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The fleet, as far as this proxy takes part in it.
+/// This proxy's part in the fleet.
 pub struct Peers {
     member: Option<Member>,
-    /// Another process of this proxy has the address; binding it is tried again.
+    /// Whether another process of this proxy holds the address, so that binding is retried.
     waits_for_address: bool,
 }
 
-/// This proxy as a member, with its socket.
+/// This proxy as a member of the fleet, with its socket.
 struct Member {
     peers: cottonnotch_proxy_core::Peers,
     socket: Key,
     wake_up_timer: WakeUpTimer,
-    /// Datagrams that the member had dropped when that was last logged.
+    /// Number of dropped datagrams when they were last logged.
     logged_drops: u64,
     drop_log: RateLimitedLog,
 }
 
 impl Member {
-    /// Opens the socket, if the platform gave it one. Fails if its address can't be had.
+    /// Opens the socket, if an address for it is configured. Fails if the address cannot be bound.
     fn start(context: &mut Context) -> io::Result<Option<Self>> {
         match fleet_settings(context) {
             Some(settings) => Member::start_aggregation(context, settings),
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Logs how many datagrams the member has dropped, if any since the last time.
+    /// Logs how many datagrams the member has dropped since the last log line, if any.
     fn log_dropped(&mut self, now: Micros) {
         let Some(counts) = self.peers.aggregation_member().map(cottonnotch_aggregation::Member::counts)
         else {
@@ -114,7 +115,7 @@
         self.peers.handle(context.now(), input, &mut local);
     }
 
-    /// Carries out what came of the inputs; the events are for the decision module.
+    /// Carries out the member's outputs and returns the events for the decision module.
     fn carry_out(&mut self, context: &mut Context) -> Vec<Event> {
         let mut events = Vec::new();
         while let Some(output) = self.peers.poll() {
@@ -152,15 +153,15 @@
 pub struct PeerInputs<'a> {
     /// Latencies and loads of this proxy's connections.
     pub latency: &'a mut MessageLatency,
-    /// The endpoints.
+    /// The endpoints that discovery has listed.
     pub endpoints: &'a Endpoints,
-    /// Requests in progress.
+    /// The number of requests in progress.
     pub requests: usize,
 }
 
 impl Peers {
-    /// Opens the socket, if this proxy is to exchange datagrams with others. Fails if its address can't be had, unless a
-    /// predecessor may have it still: then binding is tried again by [`Self::retry`].
+    /// Opens the socket, if this proxy exchanges datagrams with others. Fails if the address cannot be bound, unless
+    /// a predecessor may still hold it: in that case [`Self::retry`] binds it later.
     pub fn start(context: &mut Context, predecessor: Predecessor) -> io::Result<Self> {
         let waits_for_address = predecessor == Predecessor::Serving;
         match Member::start(context) {
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Tries again for the address that another process had.
+    /// Retries to bind the address if another process held it.
     pub fn retry(&mut self, context: &mut Context) {
         if self.waits_for_address
             && let Ok(member) = Member::start(context)
@@ -182,8 +183,8 @@
         }
     }
 
-    /// Another process of this proxy takes this one's place, under the same number: no leave message, which would mark both
-    /// as gone.
+    /// Releases the socket for a successor of this proxy. No leave message is sent: the successor has the same member
+    /// number, and the message would mark both processes as gone.
     pub fn hand_over(&mut self, context: &mut Context) {
         self.waits_for_address = false;
         if let Some(member) = self.member.take() {
@@ -191,13 +192,13 @@
         }
     }
 
-    /// A new configuration was applied: keys may have changed.
+    /// Applies a new configuration, whose keys may have changed.
     pub fn reload(&mut self, context: &mut Context, mut proxy: PeerInputs<'_>) -> Vec<Event> {
         let keys = context.config.gossip.as_ref().map(|gossiping| gossiping.keys.clone());
         keys.map_or_else(Vec::new, |keys| self.handle_inputs(context, &mut proxy, [Input::Keys(keys)]))
     }
 
-    /// Affinity subsets by a group's size, where they are on.
+    /// Metrics of the affinity subsets, or `None` if they are off.
     pub fn affinity_metrics(&self) -> Option<AffinityMetrics> {
         let member =
             self.member.as_ref()?.peers.aggregation_member().filter(|member| member.wants_groups())?;
@@ -212,19 +213,19 @@
         })
     }
 
-    /// An event that the decision module is about to get, for the member's own observations.
+    /// Lets the member observe an event that the decision module is about to receive.
     pub fn observe_event(&mut self, now: Micros, event: &Event) {
         self.member.iter_mut().for_each(|member| member.peers.observe(now, event));
     }
 
-    /// Once a second: what this proxy has to report.
+    /// Sends this proxy's reports. Called once a second.
     pub fn tick(&mut self, context: &mut Context, mut proxy: PeerInputs<'_>) -> Vec<Event> {
         let events = self.handle_inputs(context, &mut proxy, [Input::EverySecond]);
         self.member.iter_mut().for_each(|member| member.log_dropped(context.now()));
         events
     }
 
-    /// Datagrams have come.
+    /// Handles received datagrams.
     pub fn handle_datagrams(
         &mut self,
         context: &mut Context,
@@ -235,13 +236,13 @@
         self.handle_inputs(context, &mut proxy, inputs)
     }
 
-    /// The timer is due; it may be outdated.
+    /// Handles the wake-up timer, which may be outdated.
     pub fn on_timer(&mut self, context: &mut Context, mut proxy: PeerInputs<'_>) -> Vec<Event> {
         self.member.iter_mut().for_each(|member| member.wake_up_timer.fired());
         self.handle_inputs(context, &mut proxy, [Input::Tick])
     }
 
-    /// The proxy shuts down, its clients have been migrated: the others count it no more.
+    /// Tells the other proxies to stop counting this one. Called at shutdown after the clients have been migrated.
     pub fn leave(&mut self, context: &mut Context, mut proxy: PeerInputs<'_>) {
         self.handle_inputs(context, &mut proxy, [Input::Leave]);
     }
@@ -258,9 +259,9 @@
     }
 }
 
-/// The settings of aggregation, if the operator wants it for a fleet of this size.
+/// The settings of aggregation, if it is configured for a fleet of this size.
 fn fleet_settings(context: &Context) -> Option<Settings> {
-    // The section was checked when it was read.
+    // The section was validated when it was read.
     let settings = context.config.operator.fleet.check().ok().flatten()?;
     (context.config.peer_addresses.peers.len() as u64 >= u64::from(settings.members_from)).then_some(settings)
 }
@@ -273,7 +274,7 @@
     context.reactor.insert(|key, io| Ok(Box::new(Datagrams::bind(listen, key, io)?)))
 }
 
-/// Sends a datagram from that socket; what can't be sent is lost.
+/// Sends a datagram from this socket. A datagram that cannot be sent is lost.
 fn send(context: &mut Context, socket: Key, to: SocketAddr, bytes: &[u8]) {
     let send = |object: &mut dyn Object| object.datagrams().is_some_and(|socket| socket.send(to, bytes));
     context.reactor.with(socket, |object, _| send(object));
--- a/crates/cottonnotch/src/net/driver/process.rs
+++ b/crates/cottonnotch/src/net/driver/process.rs
@@ -1,4 +1,4 @@
-//! The life of the process: listening, hot restart, a new configuration, and the shutdown.
+//! The life cycle of the process: listening, hot restart, reload and shutdown.
 
 use super::Driver;
 use super::context::Context;
@@ -14,7 +14,8 @@
 impl Driver {
     // ---- hot restart ----
 
-    /// Looks at what other processes of this proxy have done, and takes clients over from one or hands them over.
+    /// Looks for other processes of this proxy, and takes over clients from a predecessor or hands them to a
+    /// successor.
     pub(super) fn poll_siblings(&mut self) {
         self.sync_maintenance();
         self.context.requests = self.clients.in_progress();
@@ -26,7 +27,7 @@
             && (predecessor == Predecessor::None || self.can_take_over())
             && let Err(error) = self.listen()
         {
-            // It is tried again at the next poll; the earlier process goes on.
+            // The next poll retries; the predecessor keeps serving.
             self.log_listen_failure(&error);
         }
     }
@@ -41,18 +42,19 @@
         }
     }
 
-    /// Accepts clients from now on.
+    /// Starts to accept clients.
     pub(super) fn listen(&mut self) -> io::Result<()> {
-        // Alone where no other process could find this one: a second one by mistake is to fail.
+        // The binding is exclusive if no other process can find this one: a second process started by mistake must
+        // fail.
         let binding = if self.lifecycle.can_hot_restart() { Binding::Shared } else { Binding::Exclusive };
         let address = self.acceptor.listen(&mut self.context, binding)?;
         self.lifecycle.set_address(address);
-        // No key-values: scripts take the last word as the address.
+        // This line has no key-values: scripts take its last word as the address.
         log::info!(target: LOG_TARGET, "{} listens on {address}", self.context.config.name);
         Ok(())
     }
 
-    /// If a successor accepts clients, this process stops doing so.
+    /// Stops accepting clients if a successor accepts them.
     fn hand_over_listener(&mut self) {
         if self.acceptor.is_listening() && self.lifecycle.has_successor() {
             self.acceptor.begin_close(&mut self.context, self.clients.in_progress());
@@ -66,7 +68,7 @@
         self.endpoints.has_usable_endpoint() && self.lifecycle.can_take_over(self.context.now(), is_informed)
     }
 
-    // ---- a new configuration ----
+    // ---- reload ----
 
     pub(super) fn reload(&mut self) {
         let reloaded = self.lifecycle.reload(&mut self.context, &mut self.latency);
@@ -75,8 +77,9 @@
         let events = self.with_peers(|peers, context, inputs| peers.reload(context, inputs));
         self.handle_events(events);
         if discovery_moved {
-            // At once, and from the last revision accepted: the old address may have sent its last already.
-            // That its watch ends is no failure; the module hears only of the new one's.
+            // The watch starts at once and from the last accepted revision, because the old address may already have
+            // sent its last update. The end of the old watch is not a failure, so the module is told only about the
+            // new watch.
             let event = self.endpoints.watch(&mut self.context);
             self.handle_event(event);
         }
@@ -91,7 +94,7 @@
         }
     }
 
-    /// Migrates the next share of the clients; in the last round, ends what is left.
+    /// Migrates the next share of the clients. The last round ends all remaining requests.
     pub(super) fn drain_round(&mut self) {
         let round = self.lifecycle.next_round(&mut self.context, self.clients.requests());
         let Some(DrainRound { migrating, is_last }) = round else { return };
@@ -106,7 +109,8 @@
         }
     }
 
-    /// In each round up to the end: clients may still come.
+    /// Ends all remaining requests. Called in every round from the last one until the exit, because clients may still
+    /// connect.
     fn end_remaining(&mut self) {
         self.with_peers(|peers, context, inputs| peers.leave(context, inputs));
         self.handle_event(Some(Event::ShuttingDown));
@@ -116,7 +120,7 @@
 
     // ---- peers ----
 
-    /// Calls `use_peers` with what the peers' member works on.
+    /// Calls `use_peers` with the inputs of the peers' member.
     pub(super) fn with_peers<T>(
         &mut self,
         use_peers: impl FnOnce(&mut Peers, &mut Context, PeerInputs<'_>) -> T,
--- a/crates/cottonnotch/src/net/driver/records.rs
+++ b/crates/cottonnotch/src/net/driver/records.rs
@@ -1,6 +1,6 @@
-//! Events of this proxy, for the program's records (`docs/records.md`) and for the metrics (`docs/ops/status.md`): the
-//! decision module's terms become the schema's. One call for an ending feeds both. While records are off, each call costs
-//! a comparison and at most a count.
+//! Converts events of this proxy to the program's records (`docs/records.md`) and metrics (`docs/ops/status.md`), in
+//! the terms of the record schema. One call for the end of a request feeds both. While records are off, each call
+//! costs a comparison and at most a count.
 
 use super::request_table::TrackedRequest;
 use crate::net::management::metrics::Metrics;
@@ -17,7 +17,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The records, and the names that the settings' numbers stand for: made once, since most records have one.
+/// The recorder, the metrics, and the names of classes and tenants. The names are created once because most records
+/// contain one.
 pub struct Records {
     recorder: Recorder,
     metrics: Metrics,
@@ -26,7 +27,7 @@
 }
 
 impl Records {
-    /// Records by this recorder, in the names of these settings.
+    /// Creates records that go to this recorder and use the names in this profile.
     pub fn new(recorder: Recorder, profile: &Profile) -> Self {
         let mut records =
             Records { recorder, metrics: Metrics::default(), classes: Vec::new(), tenants: Vec::new() };
@@ -34,19 +35,19 @@
         records
     }
 
-    /// The settings have changed.
+    /// Applies changed settings.
     pub fn configure(&mut self, Profile { settings, classes, tenants, .. }: &Profile) {
         self.classes = (0..settings.classes.len()).map(|i| classes.name(i as u32).into()).collect();
         self.metrics.set_classes((0..settings.classes.len()).map(|i| classes.name(i as u32)));
         self.tenants = (0..settings.tenants.len()).map(|i| tenants.name(i as u32).into()).collect();
     }
 
-    /// The counts so far.
+    /// The current metrics.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// A list, or changes of it, was taken; each entry with its name and address.
+    /// Records a list or changes of a list; each entry comes with its name and address.
     pub fn endpoint_list<'a>(
         &self,
         revision: u64,
@@ -66,7 +67,7 @@
         });
     }
 
-    /// The decision module rates an endpoint anew.
+    /// Records the decision module's new rating of an endpoint.
     pub fn endpoint_health(&self, endpoint: impl FnOnce() -> Name, health: ServerHealth) {
         self.recorder.record_with(|| Event::Endpoint {
             endpoint: endpoint(),
@@ -80,7 +81,7 @@
         });
     }
 
-    /// A request was accepted.
+    /// Records that a request was accepted.
     pub fn request(&self, request: &Request, wire_id: u64) {
         self.recorder.record_with(|| {
             let name = |names: &[Name], number: u16| names.get(usize::from(number)).cloned();
@@ -96,7 +97,7 @@
         });
     }
 
-    /// An attempt begins, under these rules if there are any.
+    /// Records that an attempt begins, with the rules that applied, if any.
     pub fn attempt(
         &self,
         RequestId(request): RequestId,
@@ -114,7 +115,7 @@
         });
     }
 
-    /// An attempt has ended without a connection, this long after it began.
+    /// Records that an attempt ended without a connection; `took` is its duration.
     pub fn attempt_ended(&self, RequestId(request): RequestId, attempt: u32, outcome: Outcome, took: Micros) {
         self.recorder.record_with(|| Event::AttemptEnded {
             request,
@@ -124,7 +125,7 @@
         });
     }
 
-    /// An attempt brought `UP`, which is the final answer.
+    /// Records that an attempt was answered with `UP`, which is the final answer.
     pub fn established(&mut self, tracked: &TrackedRequest, endpoint: impl FnOnce() -> Name, took: Micros) {
         self.metrics.served(tracked.class);
         let (request, attempt) = (tracked.id.0, tracked.latest_attempt_number());
@@ -137,7 +138,7 @@
         self.recorder.record_with(|| Event::Answer { request, answer: Answer::Up });
     }
 
-    /// Final answer: a rejection, under these rules if there are any.
+    /// Records a rejection as the final answer, with the rules that applied, if any.
     pub fn rejected(
         &mut self,
         tracked: &TrackedRequest,
@@ -153,7 +154,7 @@
         self.recorder.record_with(|| Event::Answer { request, answer: answer() });
     }
 
-    /// Final answer: an error.
+    /// Records an error as the final answer.
     pub fn failed(&mut self, tracked: &TrackedRequest, reason: &dyn Display) {
         self.metrics.failed(tracked.class);
         let request = tracked.id.0;
@@ -161,29 +162,31 @@
         self.recorder.record_with(|| Event::Answer { request, answer: answer() });
     }
 
-    /// The last byte of an attempt's first line was written.
+    /// Counts an attempt whose first line was completely written.
     pub fn attempt_written(&mut self) {
         self.metrics.attempt_written();
     }
 
-    /// A client of this class, if it is one of the settings', got an error before it had a request.
+    /// Records an error sent to a client before it had a request; `class` is `None` if the settings do not have the
+    /// class.
     pub fn rejected_as_invalid(&mut self, class: Option<u32>, reason: impl FnOnce() -> Reason) {
         class.into_iter().for_each(|class| self.metrics.failed(class));
         self.client_rejected(reason);
     }
 
-    /// A client of this class got a rejection before it had a request.
+    /// Records a rejection of a client before it had a request; `class` is `None` if the settings do not have the
+    /// class.
     pub fn rejected_for_sockets(&mut self, class: Option<u32>, reason: impl FnOnce() -> Reason) {
         class.into_iter().for_each(|class| self.metrics.rejected(class));
         self.client_rejected(reason);
     }
 
-    /// A client got an error or a rejection, and had no request.
+    /// Records an error or a rejection sent to a client that had no request.
     pub fn client_rejected(&self, reason: impl FnOnce() -> Reason) {
         self.recorder.record_with(|| Event::ClientRejected { reason: reason() });
     }
 
-    /// An established connection is migrated.
+    /// Records that an established connection is migrated.
     pub fn migrated(
         &self,
         RequestId(request): RequestId,
@@ -193,45 +196,45 @@
         self.recorder.record_with(|| Event::Moved { request, endpoint: endpoint(), reason });
     }
 
-    /// An established connection has ended.
+    /// Records that an established connection ended.
     pub fn ended(&self, RequestId(request): RequestId, outcome: Outcome) {
         self.recorder.record_with(|| Event::Ended { request, outcome: outcome_of(outcome) });
     }
 
-    /// A client left before its answer.
+    /// Records that a client left before it was answered.
     pub fn client_left(&self, RequestId(request): RequestId) {
         self.recorder.record_with(|| Event::ClientLeft { request });
     }
 
-    /// The watch on discovery is lost, or a call for it failed.
+    /// Counts that the watch on discovery was lost or could not be started.
     pub fn watch_lost(&mut self) {
         self.metrics.watch_lost();
     }
 
-    /// A list came with a lower revision than the last one, and was accepted.
+    /// Counts a list that was accepted although its revision is lower than the last one.
     pub fn older_list_accepted(&mut self) {
         self.metrics.older_list_accepted();
     }
 
-    /// Changes came with a lower revision than the last one, and were rejected.
+    /// Counts changes that were rejected because their revision is lower than the last one.
     pub fn older_list_rejected(&mut self) {
         self.metrics.older_list_rejected();
     }
 
-    /// A new configuration counts.
+    /// Records that a new configuration was applied.
     pub fn reload_applied(&mut self) {
         self.metrics.configuration_applied();
         self.recorder.record_with(|| Event::Reload { reload: Reload::Applied });
     }
 
-    /// A new configuration is faulty.
+    /// Records that a new configuration was rejected.
     pub fn reload_rejected(&mut self, reason: &dyn Display) {
         self.metrics.configuration_rejected();
         let reload = || Reload::Rejected { reason: reason.to_string().into() };
         self.recorder.record_with(|| Event::Reload { reload: reload() });
     }
 
-    /// Another proxy is in this state now.
+    /// Records the new state of another proxy.
     pub fn peer(&self, peer: u32, state: State, incarnation: u64) {
         self.recorder.record_with(|| {
             let state = match state {
@@ -244,12 +247,12 @@
         });
     }
 
-    /// The process was asked to stop.
+    /// Records that the process was asked to stop.
     pub fn shutdown(&self) {
         self.recorder.record_with(|| Event::Shutdown {});
     }
 
-    /// The last of them; waits so long at most for the writer.
+    /// Closes the records and waits at most `within` for the writer.
     pub fn close(&mut self, within: Duration) -> Counts {
         self.recorder.close(within)
     }
@@ -264,7 +267,7 @@
     time.try_into().unwrap_or(0)
 }
 
-/// As on the wire: rounded up, so that only nothing is 0.
+/// Converts to milliseconds as on the wire: rounded up, so that only a time of zero (or below) becomes 0.
 fn millis(time: Micros) -> u32 {
     micros(time).div_ceil(1000).try_into().unwrap_or(u32::MAX)
 }
--- a/crates/cottonnotch/src/net/driver/request_table.rs
+++ b/crates/cottonnotch/src/net/driver/request_table.rs
@@ -4,31 +4,31 @@
 use cottonnotch_reactor::Key;
 use std::collections::{BTreeMap, HashSet};
 
-/// A client's request as the driver knows it.
+/// The driver's state of a client's request.
 #[derive(Debug)]
 pub struct TrackedRequest {
-    /// Its number in the decision module.
+    /// The request's id in the decision module.
     pub id: RequestId,
-    /// Its class, by the settings' number.
+    /// The number that the settings assign to the request's class.
     pub class: u32,
-    /// Its id on the wire.
+    /// The request's id on the wire.
     pub wire_id: u64,
-    /// Where its latest attempt went, and that attempt's number.
+    /// The endpoint of the latest attempt, and the attempt's number.
     pub latest_attempt: Option<(ServerId, u32)>,
-    /// Attempts made so far.
+    /// The number of attempts made so far.
     pub attempts: u32,
-    /// While an attempt is in flight: when it began.
+    /// When the attempt in flight began, or `None` if no attempt is in flight.
     pub attempt_began: Option<Micros>,
     /// The group whose requests share endpoints.
     pub group: Option<u64>,
-    /// How far it is.
+    /// The stage that the request has reached.
     pub stage: Stage,
-    /// How the attempt before ended, if there was one.
+    /// The outcome of the previous attempt, if there was one.
     pub last_outcome: Option<Outcome>,
 }
 
 impl TrackedRequest {
-    /// A request without an attempt.
+    /// Creates a request without attempts.
     pub fn new(id: RequestId, class: u32, wire_id: u64, group: Option<u64>) -> Self {
         let (latest_attempt, attempt_began, last_outcome) = (None, None, None);
         TrackedRequest {
@@ -44,24 +44,26 @@
         }
     }
 
-    /// The latest attempt's number among all that were made, those that reopen a connection too.
+    /// The number of the latest attempt, counting all attempts including those that reopen a connection.
     pub fn latest_attempt_number(&self) -> u32 {
         self.attempts.saturating_sub(1)
     }
 }
 
-/// How far it is.
+/// The stage of a request.
 #[derive(Debug, PartialEq)]
 pub enum Stage {
-    /// One final answer is owed.
+    /// The client is owed a final answer.
     AwaitingAnswer,
-    /// Open before the start: it goes to one endpoint, and the decision module hears of it when it is established.
+    /// The connection was open before this process started and is to be reopened at the same endpoint. The decision
+    /// module learns of the request once the connection is established.
     Reopening(Box<Request>),
     /// The connection is established.
     Established,
 }
 
-/// All requests, found by their object on the loop, by the module's number, or by their id on the wire.
+/// All requests, indexed by the key of the client's connection, by the decision module's id, and by the id on the
+/// wire.
 #[derive(Debug, Default)]
 pub struct RequestTable {
     by_key: BTreeMap<Key, TrackedRequest>,
@@ -71,13 +73,13 @@
 }
 
 impl RequestTable {
-    /// A number that no request had before.
+    /// Returns an id that no earlier request had.
     pub fn new_id(&mut self) -> RequestId {
         self.last_id += 1;
         RequestId(self.last_id)
     }
 
-    /// Adds a request; its number and its id on the wire are no other one's.
+    /// Adds a request. No other request in the table may have the same id or the same id on the wire.
     pub fn insert(&mut self, key: Key, tracked: TrackedRequest) {
         self.keys.insert(tracked.id, key);
         self.wire_ids.insert(tracked.wire_id);
@@ -92,45 +94,45 @@
         Some(tracked)
     }
 
-    /// The request of this object.
+    /// The request of the client connection with this key.
     pub fn get(&self, key: Key) -> Option<&TrackedRequest> {
         self.by_key.get(&key)
     }
 
-    /// The request of this object, to be changed.
+    /// Mutable access to the request of the client connection with this key.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut TrackedRequest> {
         self.by_key.get_mut(&key)
     }
 
-    /// The request's object on the loop, unless it is over.
+    /// The key of the request's client connection, or `None` if the request is over.
     pub fn key(&self, request: RequestId) -> Option<Key> {
         self.keys.get(&request).copied()
     }
 
-    /// A request has this id on the wire.
+    /// Whether a request has this id on the wire.
     pub fn has_wire_id(&self, wire_id: u64) -> bool {
         self.wire_ids.contains(&wire_id)
     }
 
-    /// How many there are.
+    /// The number of requests.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Those whose attempt is in flight, and where it goes.
+    /// The requests with an attempt in flight, and the attempts' endpoints.
     pub fn attempted(&self) -> impl Iterator<Item = (Key, ServerId)> {
         let in_flight = self.by_key.iter().filter(|(_, tracked)| tracked.attempt_began.is_some());
         in_flight.filter_map(|(key, tracked)| Some((*key, tracked.latest_attempt?.0)))
     }
 
-    /// Those that were open before the start and are not established again.
+    /// The requests that were open before this process started and are not established again yet.
     pub fn reopening(&self) -> Vec<Key> {
         let reopening =
             self.by_key.iter().filter(|(_, tracked)| matches!(tracked.stage, Stage::Reopening(_)));
         reopening.map(|(key, _)| *key).collect()
     }
 
-    /// Those that are established.
+    /// The requests whose connection is established.
     pub fn established(&self) -> impl Iterator<Item = (Key, RequestId)> {
         let established = self.by_key.iter().filter(|(_, tracked)| tracked.stage == Stage::Established);
         established.map(|(key, tracked)| (*key, tracked.id))
--- a/crates/cottonnotch/src/net/driver/shutdown.rs
+++ b/crates/cottonnotch/src/net/driver/shutdown.rs
@@ -1,18 +1,19 @@
-//! Shutdown after SIGTERM: clients go on being served, and established ones are migrated, spread over the time there
-//! is, so that the other proxies do not get them as a storm.
+//! Shutdown after SIGTERM: the proxy keeps serving clients and migrates the established ones, spread over the
+//! available time so that they do not reach the other proxies in a burst.
 
 use cottonnotch_decision::Micros;
 
-/// SIGKILL comes no earlier than the longest deadline (this much, where it is longer) ...
+/// SIGKILL follows SIGTERM no earlier than the longest deadline of a class plus `KILL_AFTER`. Longer deadlines
+/// count as this much.
 const LONGEST_DEADLINE: Micros = 3_000_000;
-/// ... and this much after SIGTERM.
+/// Time between the longest deadline and the earliest SIGKILL.
 const KILL_AFTER: Micros = 700_000;
-/// Reserved for the last answers to be written and read.
+/// Time reserved before SIGKILL for writing and reading the last answers.
 const RESERVE: Micros = 300_000;
-/// Between two rounds of migration.
+/// Interval between rounds of migration.
 pub const ROUND_INTERVAL: Micros = 25_000;
 
-/// A shutdown that has begun.
+/// A shutdown in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct Shutdown {
     began: Micros,
@@ -21,15 +22,16 @@
 }
 
 impl Shutdown {
-    /// A shutdown that begins now; SIGKILL may come after the longest deadline of a class.
+    /// Begins a shutdown now; `longest_deadline` is the longest deadline of any class, which bounds the time until
+    /// SIGKILL from below.
     pub fn begin(now: Micros, longest_deadline: Micros) -> Self {
         let time = longest_deadline.clamp(0, LONGEST_DEADLINE) + KILL_AFTER - RESERVE;
         Shutdown { began: now, until: now + time, migrated: 0 }
     }
 
-    /// How many of the established connections are to be migrated in this round, so that as large a share of all has
-    /// been migrated as of the time has passed: all of them in the last. Guards against rounding up, which would migrate
-    /// a few connections at one a round, within the first tenth of the time.
+    /// The number of established connections to migrate in this round. The share migrated so far follows the share of
+    /// the time that has passed, and the last round migrates all that remain. The quota is cumulative: rounding up in
+    /// every round would migrate a few connections at one per round, all within the first tenth of the time.
     pub fn quota(&mut self, now: Micros, established: usize) -> usize {
         let passed = (now + ROUND_INTERVAL - self.began) as f64 / (self.until - self.began).max(1) as f64;
         let due = (self.migrated + established) as f64 * passed.min(1.0);
@@ -38,12 +40,12 @@
         quota
     }
 
-    /// Time is up: what is still owed an answer is rejected.
+    /// Whether this is the last round, in which requests that are still owed an answer are rejected.
     pub fn is_last(&self, now: Micros) -> bool {
         now + ROUND_INTERVAL >= self.until
     }
 
-    /// The process may exit: the last answers have been read, or never will be.
+    /// Whether the process may exit: by now the last answers have been read or never will be.
     pub fn is_over(&self, now: Micros) -> bool {
         now >= self.until + RESERVE / 2
     }
--- a/crates/cottonnotch/src/net/driver/startup.rs
+++ b/crates/cottonnotch/src/net/driver/startup.rs
@@ -1,4 +1,4 @@
-//! Starting the driver: the sockets, the files, and the parts in their order.
+//! Starts the driver: opens the sockets and files, and creates the parts in order.
 
 use super::Driver;
 use super::acceptor::Acceptor;
@@ -27,8 +27,9 @@
 use std::io;
 
 impl Driver {
-    /// Opens the sockets and starts the decision module. `read_config` gets the configuration anew on SIGHUP. Fails as the
-    /// system calls do, after those errors that pass were waited for.
+    /// Opens the sockets and starts the decision module. `read_config` reads the configuration again on SIGHUP.
+    ///
+    /// Returns the system's error if a step fails. Transient errors are retried first.
     pub fn start(config: Config, recorder: Recorder, read_config: ReadConfig) -> io::Result<Self> {
         let reactor = start_reactor(&config)?;
         let mut balancer = Balancer::new(config.profile.settings.clone(), config.seed, reactor.io.now());
@@ -56,7 +57,7 @@
             no_endpoint_log: RateLimitedLog::default(),
             listen_failure_log: RateLimitedLog::default(),
         };
-        // Before the first list: nothing must go to an endpoint in maintenance.
+        // Must precede the first list: no request may go to an endpoint in maintenance.
         driver.sync_maintenance();
         driver.apply_endpoint_update(initial_endpoints, UpdateSource::Remembered);
         match predecessor {
@@ -69,11 +70,11 @@
     }
 }
 
-/// The loop, with the process's signals on it.
+/// Creates the event loop and registers the process's signals with it.
 fn start_reactor(config: &Config) -> io::Result<Reactor<dyn Object>> {
     let mut reactor = retry_transient("poll", || Reactor::<dyn Object>::new(Clock::unix()))?;
     reactor.io.buffer_bound = config.buffer_bound;
-    // Guards against the system's own answer to a signal, which is to end the process.
+    // Without these handlers, the signals' default action would end the process.
     let signals: [(i32, fn() -> NetworkEvent); 2] =
         [(SIGTERM, || NetworkEvent::Terminate), (SIGHUP, || NetworkEvent::Reload)];
     for (signal, network_event) in signals {
@@ -102,7 +103,7 @@
     }
 }
 
-/// The rules, if there are any. Fails where their consensus thread can't be started.
+/// Starts the rules, if they are configured. Fails if the thread that runs their consensus cannot be started.
 fn start_rules(
     context: &Context,
     records_on: bool,
--- a/crates/cottonnotch/src/net/driver/unregistered_clients.rs
+++ b/crates/cottonnotch/src/net/driver/unregistered_clients.rs
@@ -1,5 +1,5 @@
-//! Accepted clients whose sockets could not be registered with the poll, for want of memory. They are owed an answer like
-//! any other: registration is tried again, and where that goes on failing they are rejected.
+//! Accepted clients whose sockets could not be registered with the poll for lack of memory. Like every client, they
+//! are owed an answer: registration is retried, and clients for which it keeps failing are rejected.
 
 use crate::net::final_answer::{FULL_RETRY_AFTER, busy_line};
 use cottonnotch_decision::Micros;
@@ -8,11 +8,12 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::Shutdown;
 
-/// Registration is tried again for this long. A client waits for its answer at least as long as this and a second more.
+/// How long registration is retried. Clients wait for an answer at least a second longer than this.
 const RETRY_FOR: Micros = 500_000;
-/// After its answer a client is given this long to read it: a close over unread bytes would take it along.
+/// Time that a client has to read its answer before the socket is closed. Closing a socket with unread input resets
+/// the connection and would discard the answer.
 const LINGER: Micros = 1_000_000;
-/// Clients that may wait; one more is rejected at once.
+/// Maximum number of waiting clients. A client in excess of it causes the oldest one to be rejected at once.
 const MAX_WAITING: usize = 256;
 
 /// A client whose socket is not registered.
@@ -22,42 +23,43 @@
     since: Micros,
 }
 
-/// All such clients, oldest first.
+/// All clients with unregistered sockets, oldest first.
 #[derive(Debug, Default)]
 pub struct UnregisteredClients {
     waiting: VecDeque<UnregisteredClient>,
-    /// Those that have had their answer.
+    /// Clients that have been answered and may not have read their answer yet.
     answered: VecDeque<UnregisteredClient>,
 }
 
 impl UnregisteredClients {
-    /// Adds a client that was accepted at this time.
+    /// Adds a client that was accepted at time `since`.
     pub fn push(&mut self, stream: TcpStream, since: Micros) {
         self.waiting.push_back(UnregisteredClient { stream, since });
     }
 
-    /// Whether a client is left.
+    /// Whether any client is left, waiting or answered.
     pub fn has_any(&self) -> bool {
         !self.waiting.is_empty() || !self.answered.is_empty()
     }
 
-    /// Descriptors that they hold.
+    /// The number of descriptors that these clients hold.
     pub fn len(&self) -> usize {
         self.waiting.len() + self.answered.len()
     }
 
-    /// Removes the one that has waited longest, for another try; [`Self::push_front`] takes it back if that fails.
+    /// Removes the client that has waited longest, for another try. If the try fails, [`Self::push_front`] puts the
+    /// client back.
     pub fn pop(&mut self) -> Option<(TcpStream, Micros)> {
         self.waiting.pop_front().map(|client| (client.stream, client.since))
     }
 
-    /// Takes back the one that was tried in vain.
+    /// Puts back the client whose registration failed again.
     pub fn push_front(&mut self, stream: TcpStream, since: Micros) {
         self.waiting.push_front(UnregisteredClient { stream, since });
     }
 
-    /// Answers those that have waited too long, or are too many, and closes those that have read their answer. Returns how
-    /// many were answered.
+    /// Rejects clients that have waited too long or exceed `MAX_WAITING`, and closes answered clients that have
+    /// read their answer. Returns the number of clients that were rejected.
     pub fn give_up(&mut self, now: Micros) -> usize {
         let mut given_up = 0;
         while let Some(first) = self.waiting.front()
@@ -71,7 +73,7 @@
         given_up
     }
 
-    /// The process ends: all that wait are answered.
+    /// Rejects all waiting clients when the process ends. Returns their number.
     pub fn answer_all(&mut self, now: Micros) -> usize {
         let count = self.waiting.len();
         let answered = self.waiting.drain(..).filter_map(|client| client.answer(now));
@@ -81,16 +83,16 @@
 }
 
 impl UnregisteredClient {
-    /// Tells the client to come again; `None` if it is gone.
+    /// Tells the client to retry later. Returns `None` if the client is gone.
     fn answer(mut self, now: Micros) -> Option<UnregisteredClient> {
-        // The socket is new and empty: so short a line fits.
+        // The socket is new and its send buffer empty, so the short line fits.
         let sent = self.stream.write_all(busy_line(FULL_RETRY_AFTER).as_bytes());
         sent.and_then(|()| self.stream.shutdown(Shutdown::Write)).ok()?;
         self.since = now;
         Some(self)
     }
 
-    /// Reads away what has come; false once the client has closed.
+    /// Discards received input. Returns false once the client has closed the connection.
     fn is_reading(&mut self) -> bool {
         let mut bytes = [0; 4096];
         loop {
