--- a/crates/cottonnotch/src/net/driver/context.rs
+++ b/crates/cottonnotch/src/net/driver/context.rs
@@ -68,7 +68,7 @@
         let unix = Clock::wall_now();
         let now = self.now();
         if now - before <= MAX_SAMPLE_TIME && self.wall_clock.observe(now, unix) {
-            log::warn!(target: LOG_TARGET, unix; "the wall clock was stepped; times go on by the monotonic clock");
+            log::warn!(target: LOG_TARGET, unix; "the wall clock was stepped; times continue by the monotonic clock");
             self.save_wall_clock();
         }
     }
--- a/crates/cottonnotch/src/net/driver/hot_restart_tests.rs
+++ b/crates/cottonnotch/src/net/driver/hot_restart_tests.rs
@@ -15,7 +15,7 @@
     old.announce_ready().unwrap();
     assert!(old.siblings().unwrap().is_empty() && !old.has_successor());
     let mut new = started_process(&prefix, 20);
-    assert!(!old.has_successor(), "it only starts");
+    assert!(!old.has_successor(), "the new process is not ready yet");
     old.publish_descriptors(73).unwrap();
     let seen = new.siblings().unwrap();
     let [predecessor] = &seen[..] else { panic!("{seen:?}") };
@@ -26,7 +26,7 @@
     assert!(old.has_successor() && !new.has_successor());
     drop(new);
     assert!(!old.has_successor());
-    assert_eq!(fs::read_dir(folder.path()).unwrap().count(), 1, "its file is gone");
+    assert_eq!(fs::read_dir(folder.path()).unwrap().count(), 1, "only the old process's file is left");
 }
 
 #[test]
@@ -41,7 +41,7 @@
     assert!(second.is_older(&first.seen_by(&second)));
     // A file of an older build contains only the number of descriptors.
     second.file_shown.as_ref().unwrap().file.set_len(DESCRIPTORS_WIDTH as u64).unwrap();
-    assert!(!first.has_successor(), "by its name it is the older one");
+    assert!(!first.has_successor(), "without a monotonic time, the Unix time in the name counts");
 }
 
 impl HotRestart {
@@ -56,13 +56,16 @@
     let folder = tempfile::tempdir().unwrap();
     let prefix = folder.path().join("later").join("cottonnotch-a_1.process");
     let mut me = HotRestart::new(prefix.clone(), 10);
-    assert!(me.show().is_err() && me.announce_ready().is_err(), "there is no folder");
-    assert!(me.siblings().is_err() && !me.has_successor(), "nor can it be told who is there");
+    assert!(me.show().is_err() && me.announce_ready().is_err(), "the folder does not exist");
+    assert!(me.siblings().is_err() && !me.has_successor(), "other processes cannot be listed either");
     fs::create_dir(folder.path().join("later")).unwrap();
     assert!(me.siblings().unwrap().is_empty());
     me.show().unwrap();
     let sibling = started_process(&prefix, 20);
-    assert!(sibling.siblings().unwrap()[0].is_ready, "what could not be said before is said now");
+    assert!(
+        sibling.siblings().unwrap()[0].is_ready,
+        "the earlier announcement takes effect once the file can be written"
+    );
 }
 
 #[test]
@@ -84,5 +87,5 @@
     fs::create_dir(folder.path().join("cottonnotch-a_1.process-50.ready")).unwrap();
     assert!(me.siblings().unwrap().is_empty());
     let left = fs::read_dir(folder.path()).unwrap().count();
-    assert_eq!(left, foreign.len() + 2, "what is foreign, the folder, and this process's own");
+    assert_eq!(left, foreign.len() + 2, "the foreign files, the folder and this process's own file");
 }
--- a/crates/cottonnotch/src/net/driver/maintenance_file_tests.rs
+++ b/crates/cottonnotch/src/net/driver/maintenance_file_tests.rs
@@ -9,13 +9,13 @@
 #[test]
 fn reads_what_another_process_wrote_once() {
     let (_folder, mut one, mut other) = two();
-    assert!(one.read_changes().is_none(), "nothing is there");
+    assert!(one.read_changes().is_none(), "the file does not exist yet");
     let mut state = Maintenance::default();
     state.enter(5, "s1");
     one.save(&state).unwrap();
-    assert!(one.read_changes().is_none(), "its own writing is no news");
+    assert!(one.read_changes().is_none(), "a process does not read back its own write");
     assert_eq!(other.read_changes().unwrap().unwrap(), state);
-    assert!(other.read_changes().is_none(), "told once");
+    assert!(other.read_changes().is_none(), "a change is returned once");
 }
 
 #[test]
@@ -32,9 +32,9 @@
         assert!(one.read_changes().is_none());
     }
     fs::create_dir(&path).unwrap();
-    assert!(one.read_changes().unwrap().is_err(), "no file at all");
-    assert!(other.save(&state).is_err(), "and nothing can be written over it");
-    assert!(fs::read_dir(folder.path()).unwrap().count() == 1, "nothing is left lying about");
+    assert!(one.read_changes().unwrap().is_err(), "a folder is not a maintenance file");
+    assert!(other.save(&state).is_err(), "a folder cannot be replaced by the file");
+    assert!(fs::read_dir(folder.path()).unwrap().count() == 1, "no temporary file is left");
     fs::remove_dir(&path).unwrap();
     other.save(&state).unwrap();
     assert_eq!(one.read_changes().unwrap().unwrap(), state);
--- a/crates/cottonnotch/src/net/driver/startup.rs
+++ b/crates/cottonnotch/src/net/driver/startup.rs
@@ -45,8 +45,10 @@
         }
         let mut driver = Driver {
             latency: MessageLatency::start(&mut context),
-            peers: retry_transient("hear other proxies", || Peers::start(&mut context, predecessor))?,
-            management: retry_transient("hear operators", || Management::start(&mut context))?,
+            peers: retry_transient("open the socket for other proxies", || {
+                Peers::start(&mut context, predecessor)
+            })?,
+            management: retry_transient("open the operators' address", || Management::start(&mut context))?,
             context,
             balancer,
             pending: VecDeque::new(),
@@ -78,7 +80,7 @@
     let signals: [(i32, fn() -> NetworkEvent); 2] =
         [(SIGTERM, || NetworkEvent::Terminate), (SIGHUP, || NetworkEvent::Reload)];
     for (signal, network_event) in signals {
-        retry_transient("hear signals", || {
+        retry_transient("register signal handlers", || {
             reactor.insert(|key, io| Ok(Box::new(Signals::register(signal, network_event, key, io)?)))
         })?;
     }
