--- a/crates/cottonnotch/src/net/driver/acceptor.rs
+++ b/crates/cottonnotch/src/net/driver/acceptor.rs
@@ -1,6 +1,6 @@
 //! Accepts clients, and evicts clients that have not sent a request when descriptors run short.
 
-use super::context::{ACCEPT_CLIENTS, Context};
+use super::context::{ACCEPT_CLIENTS_TIMER, Context};
 use super::log_target::LOG_TARGET;
 use super::unregistered_clients::UnregisteredClients;
 use crate::net::client_connection::ClientConnection;
@@ -20,24 +20,24 @@
 /// Descriptors reserved for purposes other than requests: the listener, the watch, the poll, standard streams,
 /// signals, and clients that are rejected for lack of capacity.
 const RESERVED_SOCKETS: usize = 32;
-/// The fraction `1 / RESERVED_SHARE_FOR_ATTEMPTS` of the descriptors is kept from clients that have not sent a
+/// The fraction `1 / ATTEMPT_RESERVE_DIVISOR` of the descriptors is kept from clients that have not sent a
 /// request.
-const RESERVED_SHARE_FOR_ATTEMPTS: usize = 4;
+const ATTEMPT_RESERVE_DIVISOR: usize = 4;
 /// New clients are admitted in spite of that reserve while fewer connections than this are open without a request.
 /// The count includes the proxy's own few reactor objects.
-const ALWAYS_ADMITTED: usize = 14;
+const MIN_ADMITTED_CONNECTIONS: usize = 14;
 /// Maximum number of clients accepted in one iteration of the event loop, so that other events are handled in
 /// between.
 const ACCEPT_BATCH: usize = 32;
 /// Delay before accepting again when no descriptor is free.
-const ACCEPT_RETRY_AFTER: Micros = 20_000;
+const ACCEPT_RETRY_DELAY: Micros = 20_000;
 /// Minimum age of a connection before it may be evicted: a normal client has sent its line by then.
-const EVICTABLE_AFTER: Micros = 100_000;
+const MIN_AGE_FOR_EVICTION: Micros = 100_000;
 /// A closing listener stays open this long for clients whose handshake has begun. A handshake on one machine takes
 /// microseconds.
-const CLOSE_AFTER: Micros = 5_000;
+const LISTENER_CLOSE_DELAY: Micros = 5_000;
 /// A closing listener is closed after this time even if clients remain for which there is no capacity.
-const CLOSE_AT_LATEST: Micros = 1_500_000;
+const LISTENER_CLOSE_TIMEOUT: Micros = 1_500_000;
 
 /// The purpose for which a descriptor is needed.
 #[derive(Clone, Copy, Debug)]
@@ -53,7 +53,7 @@
     listener: Rc<TcpListener>,
     key: Key,
     /// When the listener began to close, or `None` if it is not closing.
-    closing: Option<Micros>,
+    closing_since: Option<Micros>,
 }
 
 /// Accepts clients and tracks those that may be evicted.
@@ -73,16 +73,16 @@
     ///
     /// Returns the system's error if the listener cannot be set up.
     pub fn listen(&mut self, context: &mut Context, binding: Binding) -> io::Result<SocketAddr> {
-        let (address, mut shared) = (context.config.listen, None);
+        let (address, mut shared_listener) = (context.config.listen, None);
         let key = context.reactor.insert(|key, io| {
             let (listener, socket) =
                 Listener::bind_with(binding, address, |_| NetworkEvent::ClientsWaiting, key, io)?;
-            shared = Some(socket);
+            shared_listener = Some(socket);
             Ok(Box::new(listener))
         })?;
-        let listener = shared.ok_or(io::ErrorKind::NotConnected)?;
+        let listener = shared_listener.ok_or(io::ErrorKind::NotConnected)?;
         let address = listener.local_addr()?;
-        self.client_listener = Some(ClientListener { listener, key, closing: None });
+        self.client_listener = Some(ClientListener { listener, key, closing_since: None });
         Ok(address)
     }
 
@@ -94,11 +94,13 @@
     /// Begins to close the listener because another process accepts clients from now on. Clients whose handshake with
     /// this process has begun are still accepted first.
     pub fn begin_close(&mut self, context: &mut Context, requests: usize) {
-        let Some(open) = self.client_listener.as_mut().filter(|listener| listener.closing.is_none()) else {
+        let Some(client_listener) =
+            self.client_listener.as_mut().filter(|listener| listener.closing_since.is_none())
+        else {
             return;
         };
-        open.closing = Some(context.now());
-        if let Err(error) = reject_new_connections(&open.listener) {
+        client_listener.closing_since = Some(context.now());
+        if let Err(error) = reject_new_connections(&client_listener.listener) {
             // The listener still accepts new connections then, and those that arrive between the last accept and the
             // close are reset.
             log::warn!(target: LOG_TARGET, error:%; "new connections cannot be refused before the listener closes: {error}");
@@ -106,14 +108,15 @@
         self.on_clients_waiting(context, requests);
     }
 
-    /// Closes a closing listener whose backlog is empty, or sets a timer if `CLOSE_AFTER` has not passed yet.
+    /// Closes a closing listener whose backlog is empty, or sets a timer if `LISTENER_CLOSE_DELAY` has not passed yet.
     fn on_backlog_empty(&mut self, context: &mut Context) {
-        let Some(closing) = self.client_listener.as_ref().and_then(|listener| listener.closing) else {
+        let Some(closing_since) = self.client_listener.as_ref().and_then(|listener| listener.closing_since)
+        else {
             return;
         };
-        let open_for = CLOSE_AFTER - (context.now() - closing);
-        if open_for > 0 {
-            return self.accept_after(context, open_for);
+        let remaining = LISTENER_CLOSE_DELAY - (context.now() - closing_since);
+        if remaining > 0 {
+            return self.accept_after(context, remaining);
         }
         self.close_listener(context);
     }
@@ -141,60 +144,60 @@
 
     /// Registers an accepted client with the event loop. Returns the socket with the error if it cannot be registered
     /// now.
-    fn admit(&mut self, context: &mut Context, stream: TcpStream) -> Result<(), RegistrationError> {
-        let mut given_back = None;
+    fn register_client(&mut self, context: &mut Context, stream: TcpStream) -> Result<(), RegistrationError> {
+        let mut registration_error = None;
         let inserted = context.reactor.insert(|key, io| match LineStream::accepted(stream, io, key) {
             Ok(client) => Ok(Box::new(ClientConnection::accepted(client, key, io))),
-            Err(unwatched) => {
-                let kind = unwatched.error.kind();
-                given_back = Some(unwatched);
+            Err(failure) => {
+                let kind = failure.error.kind();
+                registration_error = Some(failure);
                 Err(kind.into())
             }
         });
         if let Ok(key) = inserted {
             self.accepted_clients.push_back((context.now(), key));
         }
-        given_back.map_or(Ok(()), Err)
+        registration_error.map_or(Ok(()), Err)
     }
 
     /// Retries the registration of clients' sockets, and rejects clients whose registration has failed for too long.
     fn retry_unregistered(&mut self, context: &mut Context) {
         while let Some((stream, since)) = self.unregistered.pop() {
-            if let Err(RegistrationError { stream, .. }) = self.admit(context, stream) {
+            if let Err(RegistrationError { stream, .. }) = self.register_client(context, stream) {
                 self.unregistered.push_front(stream, since);
                 break;
             }
         }
-        for _ in 0..self.unregistered.give_up(context.now()) {
+        for _ in 0..self.unregistered.reject_expired(context.now()) {
             context.records.client_rejected(|| "its socket could not be watched".into());
         }
         if self.unregistered.has_any() && !self.is_timer_set {
-            self.accept_after(context, ACCEPT_RETRY_AFTER);
+            self.accept_after(context, ACCEPT_RETRY_DELAY);
         }
     }
 
     fn accept(&mut self, context: &mut Context, requests: usize) {
-        self.accept_waiting(context, requests);
+        self.accept_from_backlog(context, requests);
         self.retry_unregistered(context);
     }
 
-    fn accept_waiting(&mut self, context: &mut Context, requests: usize) {
+    fn accept_from_backlog(&mut self, context: &mut Context, requests: usize) {
         let now = context.now();
         let Some(client_listener) = &self.client_listener else { return };
         let listener = Rc::clone(&client_listener.listener);
-        if client_listener.closing.is_some_and(|since| now - since > CLOSE_AT_LATEST) {
+        if client_listener.closing_since.is_some_and(|since| now - since > LISTENER_CLOSE_TIMEOUT) {
             return self.close_listener(context);
         }
         if self.accepted_clients.len() > 2 * context.config.sockets {
             self.accepted_clients.retain(|(_, key)| context.reactor.contains(*key));
         }
         for _ in 0..ACCEPT_BATCH {
-            if !self.make_room(context, requests, SocketUse::Client) {
-                return self.accept_after(context, ACCEPT_RETRY_AFTER);
+            if !self.ensure_descriptor(context, requests, SocketUse::Client) {
+                return self.accept_after(context, ACCEPT_RETRY_DELAY);
             }
             match listener.accept() {
                 Ok((stream, _)) => {
-                    if let Err(RegistrationError { stream, error }) = self.admit(context, stream) {
+                    if let Err(RegistrationError { stream, error }) = self.register_client(context, stream) {
                         log::warn!(target: LOG_TARGET, error:%; "a client's socket cannot be registered yet: {error}");
                         self.unregistered.push(stream, now);
                     }
@@ -202,13 +205,13 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     return self.on_backlog_empty(context);
                 }
-                Err(error) if is_transient(&error) => {}
+                Err(error) if is_transient_accept_error(&error) => {}
                 Err(error) => {
                     // Handles EMFILE: readiness is edge-triggered and reported once, so without this timer the
                     // waiting clients would never be accepted.
                     let (connections, sockets) = (context.reactor.connections(), context.config.sockets);
                     log::error!(target: LOG_TARGET, connections, sockets, error:%; "cannot accept: {error}");
-                    return self.accept_after(context, ACCEPT_RETRY_AFTER);
+                    return self.accept_after(context, ACCEPT_RETRY_DELAY);
                 }
             }
         }
@@ -217,18 +220,18 @@
 
     fn accept_after(&mut self, context: &mut Context, wait: Micros) {
         self.is_timer_set = true;
-        context.set_timer(wait, ACCEPT_CLIENTS);
+        context.set_timer(wait, ACCEPT_CLIENTS_TIMER);
     }
 
     /// Evicts clients that have not sent a request until a descriptor is free for the connection to an endpoint.
     /// Returns false if none can be freed.
-    pub fn make_room_for_attempt(&mut self, context: &mut Context, requests: usize) -> bool {
-        self.make_room(context, requests, SocketUse::Endpoint)
+    pub fn ensure_descriptor_for_attempt(&mut self, context: &mut Context, requests: usize) -> bool {
+        self.ensure_descriptor(context, requests, SocketUse::Endpoint)
     }
 
     /// Rejects idle clients when the proxy shuts down: a line that arrives after the process has ended would be lost.
     pub fn reject_idle_clients(&mut self, context: &mut Context) {
-        self.unregistered.answer_all(context.now());
+        self.unregistered.reject_all(context.now());
         for (_, key) in self.accepted_clients.drain(..) {
             if context.with_client(key, |client, io| client.reject_idle(io, 0)) == Some(true) {
                 context.records.client_rejected(|| "the proxy leaves, and it had said nothing".into());
@@ -239,11 +242,11 @@
     /// Evicts idle clients until a descriptor is free; returns false if none can be freed. Without this, clients that
     /// connect by the hundreds and send nothing, or stay connected after their answer, would use up the descriptors
     /// of other clients.
-    fn make_room(&mut self, context: &mut Context, requests: usize, socket_use: SocketUse) -> bool {
-        while !has_descriptor(context, requests, self.unregistered.len(), socket_use) {
+    fn ensure_descriptor(&mut self, context: &mut Context, requests: usize, socket_use: SocketUse) -> bool {
+        while !has_free_descriptor(context, requests, self.unregistered.len(), socket_use) {
             let now = context.now();
-            let Some((at, key)) = self.accepted_clients.front().copied() else { return false };
-            if at + EVICTABLE_AFTER > now {
+            let Some((accepted_at, key)) = self.accepted_clients.front().copied() else { return false };
+            if accepted_at + MIN_AGE_FOR_EVICTION > now {
                 return false;
             }
             self.accepted_clients.pop_front();
@@ -257,7 +260,12 @@
 
 /// Whether a descriptor is free for this purpose. A share of the descriptors is kept from clients for the connections
 /// to endpoints. If requests use that share up, a few clients are still admitted so that they can be rejected.
-fn has_descriptor(context: &Context, requests: usize, unregistered: usize, socket_use: SocketUse) -> bool {
+fn has_free_descriptor(
+    context: &Context,
+    requests: usize,
+    unregistered: usize,
+    socket_use: SocketUse,
+) -> bool {
     let (connections, sockets) = (context.reactor.connections() + unregistered, context.config.sockets);
     // A request uses two descriptors: the client's, which is included in `connections`, and the endpoint's.
     // Descriptors for operators are reserved whether or not operators are connected, so that a flood of clients
@@ -270,13 +278,13 @@
         // The subtraction saturates because requests whose clients have just left may still be counted while their
         // connections are not.
         SocketUse::Client => {
-            free > sockets / RESERVED_SHARE_FOR_ATTEMPTS
-                || connections.saturating_sub(requests) < ALWAYS_ADMITTED
+            free > sockets / ATTEMPT_RESERVE_DIVISOR
+                || connections.saturating_sub(requests) < MIN_ADMITTED_CONNECTIONS
         }
     }
 }
 
 /// Whether the client disconnected before it was accepted, or a signal interrupted the call.
-fn is_transient(error: &io::Error) -> bool {
+fn is_transient_accept_error(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::ConnectionAborted | io::ErrorKind::Interrupted)
 }
--- a/crates/cottonnotch/src/net/driver/audit.rs
+++ b/crates/cottonnotch/src/net/driver/audit.rs
@@ -71,47 +71,51 @@
     /// Records that a request was accepted.
     pub fn requested(&mut self, now: Micros, request: &Request, wire_id: u64) {
         self.guard.requested(now, request);
-        state(request.id, wire_id, format_args!("owed an answer, {:?} us left", request.left));
+        log_state_change(request.id, wire_id, format_args!("owed an answer, {:?} us left", request.left));
     }
 
     /// Records that a connection which was open before this process started is established again.
     pub fn reopened(&mut self, request: &Request, wire_id: u64) {
         self.guard.reestablished(request);
-        state(request.id, wire_id, "up again");
+        log_state_change(request.id, wire_id, "up again");
     }
 
     /// Whether an attempt may be sent. Returns false if the attempt would be a violation that only this proxy can
     /// have caused.
     pub fn may_send(&mut self, now: Micros, tracked: &TrackedRequest, server: ServerId) -> bool {
         let checked = self.guard.check_attempt(now, tracked.id, server);
-        let may = !matches!(checked, Err(violation) if !violation.may_have_external_cause());
-        report(checked, tracked);
-        if let Some(before) = tracked.last_outcome {
-            self.count(Step::Retried, outcome_name(before));
+        let is_allowed = !matches!(checked, Err(violation) if !violation.may_have_external_cause());
+        report_violation(checked, tracked);
+        if let Some(previous) = tracked.last_outcome {
+            self.count(Step::Retried, outcome_name(previous));
         }
-        state(
+        log_state_change(
             tracked.id,
             tracked.wire_id,
             format_args!("attempt {} to server {}", tracked.attempts, server.0),
         );
-        may
+        is_allowed
     }
 
     /// Records that the last byte of the attempt's line was written.
     pub fn attempt_written(&mut self, now: Micros, tracked: &TrackedRequest) {
-        report(self.guard.attempt_written(now, tracked.id), tracked);
+        report_violation(self.guard.attempt_written(now, tracked.id), tracked);
     }
 
     /// Records that the attempt ended without establishing a connection.
     pub fn attempt_ended(&mut self, tracked: &TrackedRequest, outcome: Outcome) {
         self.guard.attempt_ended(tracked.id, outcome);
-        state(tracked.id, tracked.wire_id, format_args!("attempt ended, {}", outcome_name(outcome)));
+        log_state_change(
+            tracked.id,
+            tracked.wire_id,
+            format_args!("attempt ended, {}", outcome_name(outcome)),
+        );
     }
 
     /// Records that the attempt established the connection.
     pub fn established(&mut self, now: Micros, tracked: &TrackedRequest) {
-        report(self.guard.established(now, tracked.id), tracked);
-        state(tracked.id, tracked.wire_id, "up");
+        report_violation(self.guard.established(now, tracked.id), tracked);
+        log_state_change(tracked.id, tracked.wire_id, "up");
     }
 
     /// Records that the decision module rejected the request.
@@ -130,16 +134,16 @@
     }
 
     fn answered(&mut self, now: Micros, tracked: &TrackedRequest, answer: FinalAnswer, reason: &'static str) {
-        report(self.guard.answered(now, tracked.id, answer), tracked);
+        report_violation(self.guard.answered(now, tracked.id, answer), tracked);
         let step = if answer == FinalAnswer::Rejected { Step::Rejected } else { Step::Failed };
         self.count(step, reason);
-        state(tracked.id, tracked.wire_id, format_args!("{}: {reason}", step.name()));
+        log_state_change(tracked.id, tracked.wire_id, format_args!("{}: {reason}", step.name()));
     }
 
     /// Records that the client left before it was answered.
     pub fn client_left(&mut self, tracked: &TrackedRequest) {
         self.guard.client_left(tracked.id);
-        state(tracked.id, tracked.wire_id, "its client has left");
+        log_state_change(tracked.id, tracked.wire_id, "its client has left");
     }
 
     /// Records that an established connection is migrated.
@@ -159,9 +163,9 @@
     }
 
     fn closed(&mut self, tracked: &TrackedRequest, reason: &'static str) {
-        report(self.guard.closed(tracked.id), tracked);
+        report_violation(self.guard.closed(tracked.id), tracked);
         self.count(Step::Closed, reason);
-        state(tracked.id, tracked.wire_id, format_args!("closed: {reason}"));
+        log_state_change(tracked.id, tracked.wire_id, format_args!("closed: {reason}"));
     }
 
     // ---- deadlines ----
@@ -169,14 +173,14 @@
     /// Reports requests that were not answered before their deadline. Called once a second.
     pub fn report_overdue(&mut self, now: Micros) {
         for request in self.guard.overdue(now) {
-            unanswered(request, "in its time");
+            log_unanswered(request, "in its time");
         }
     }
 
     /// Reports requests that are still unanswered when the process ends.
     pub fn finish(&mut self) {
         for request in self.guard.finish() {
-            unanswered(request, "before the process ends");
+            log_unanswered(request, "before the process ends");
         }
     }
 
@@ -187,7 +191,7 @@
 }
 
 /// Logs a violation. In debug builds, panics unless another party may have caused the violation.
-fn report(checked: GuardResult, tracked: &TrackedRequest) {
+fn report_violation(checked: GuardResult, tracked: &TrackedRequest) {
     let Err(violation) = checked else { return };
     let (kind, request) = (violation.name(), tracked.id.0);
     log::error!(
@@ -197,12 +201,12 @@
     debug_assert!(violation.may_have_external_cause(), "rule violation {kind}: {tracked:?}");
 }
 
-fn unanswered(RequestId(request): RequestId, when: &str) {
+fn log_unanswered(RequestId(request): RequestId, when: &str) {
     let kind = Violation::Unanswered.name();
     log::error!(target: LOG_TARGET, kind, request; "rule violation {kind}: request {request} had no answer {when}");
 }
 
-fn state(RequestId(request): RequestId, wire_id: u64, state: impl Display) {
+fn log_state_change(RequestId(request): RequestId, wire_id: u64, state: impl Display) {
     log::debug!(target: LOG_TARGET, request, wire_id:% = HexId(wire_id); "request {request}: {state}");
 }
 
--- a/crates/cottonnotch/src/net/driver/clients/admission.rs
+++ b/crates/cottonnotch/src/net/driver/clients/admission.rs
@@ -25,18 +25,18 @@
         acceptor: &mut Acceptor,
         endpoints: &Endpoints,
         key: Key,
-        asked: ConnectionRequest,
+        connection_request: ConnectionRequest,
     ) -> Option<Event> {
-        if let Some(error) = self.validate(&context.config, &asked) {
-            self.reject_invalid(context, key, &asked, &error);
+        if let Some(error) = self.validate(&context.config, &connection_request) {
+            self.reject_invalid(context, key, &connection_request, &error);
             return None;
         }
-        if !acceptor.make_room_for_attempt(context, self.requests.len()) {
-            self.reject_for_sockets(context, key, &asked);
+        if !acceptor.ensure_descriptor_for_attempt(context, self.requests.len()) {
+            self.reject_for_sockets(context, key, &connection_request);
             return None;
         }
-        let request = to_request(&context.config.profile, self.requests.new_id(), &asked)?;
-        context.records.request(&request, asked.id);
+        let request = to_request(&context.config.profile, self.requests.next_id(), &connection_request)?;
+        context.records.request(&request, connection_request.id);
         if !context.is_awaiting_answer(key) {
             // The client left, or sent more than its line, before the request was tracked, so the report of this will
             // find no request. If the module received such a request, it would retry it repeatedly and use up
@@ -44,9 +44,14 @@
             context.records.client_left(request.id);
             return None;
         }
-        let tracked = TrackedRequest::new(request.id, u32::from(request.class.0), asked.id, asked.group);
+        let tracked = TrackedRequest::new(
+            request.id,
+            u32::from(request.class.0),
+            connection_request.id,
+            connection_request.group,
+        );
         // A request that names an unknown endpoint is treated as a new connection.
-        match asked.current_endpoint.and_then(|name| endpoints.find(&name)) {
+        match connection_request.current_endpoint.and_then(|name| endpoints.find(&name)) {
             None => {
                 context.audit.requested(context.now(), &request, tracked.wire_id);
                 self.requests.insert(key, tracked);
@@ -63,14 +68,14 @@
     }
 
     /// The error with which a client is answered without an attempt, or `None` if its request may go to an endpoint.
-    fn validate(&self, config: &Config, asked: &ConnectionRequest) -> Option<RequestError> {
+    fn validate(&self, config: &Config, connection_request: &ConnectionRequest) -> Option<RequestError> {
         let Profile { tenants, settings, .. } = &config.profile;
         let is_unknown = |tenant: &String| !settings.tenants.is_empty() && tenants.find(tenant).is_none();
-        if config.profile.class(&asked.class).is_none() {
+        if config.profile.class(&connection_request.class).is_none() {
             Some(RequestError::UnknownClass)
-        } else if asked.tenant.as_ref().is_some_and(is_unknown) {
+        } else if connection_request.tenant.as_ref().is_some_and(is_unknown) {
             Some(RequestError::UnknownTenant)
-        } else if self.requests.has_wire_id(asked.id) {
+        } else if self.requests.has_wire_id(connection_request.id) {
             Some(RequestError::IdOpen)
         } else {
             None
@@ -81,18 +86,23 @@
         &mut self,
         context: &mut Context,
         key: Key,
-        asked: &ConnectionRequest,
+        connection_request: &ConnectionRequest,
         error: &RequestError,
     ) {
         self.log_rejection(context, error);
-        let class = context.config.profile.classes.find(&asked.class);
+        let class = context.config.profile.classes.find(&connection_request.class);
         context.records.rejected_as_invalid(class, || error.to_string().into());
         context.with_client(key, |client, io| client.fail(io, error));
     }
 
     /// Rejects a client because the proxy has run out of descriptors. A client that is left waiting without an answer
     /// would not come back.
-    fn reject_for_sockets(&mut self, context: &mut Context, key: Key, asked: &ConnectionRequest) {
+    fn reject_for_sockets(
+        &mut self,
+        context: &mut Context,
+        key: Key,
+        connection_request: &ConnectionRequest,
+    ) {
         if let Some(more) = self.socket_shortage_log.due(context.now()) {
             let (requests, sockets) = (self.requests.len(), context.config.sockets);
             log::warn!(
@@ -100,7 +110,7 @@
                 "out of sockets, a client is rejected ({more} more since)"
             );
         }
-        let class = context.config.profile.classes.find(&asked.class);
+        let class = context.config.profile.classes.find(&connection_request.class);
         context.records.rejected_for_sockets(class, || "out of sockets".into());
         context.with_client(key, |client, io| client.reject(io, FULL_RETRY_AFTER));
     }
@@ -133,16 +143,16 @@
 }
 
 /// Converts a request to the numbers that the settings assign. Returns `None` if the class has no number.
-fn to_request(profile: &Profile, id: RequestId, asked: &ConnectionRequest) -> Option<Request> {
-    let class = profile.class(&asked.class)?;
-    let tenant = asked.tenant.as_ref().and_then(|tenant| profile.tenants.find(tenant));
+fn to_request(profile: &Profile, id: RequestId, connection_request: &ConnectionRequest) -> Option<Request> {
+    let class = profile.class(&connection_request.class)?;
+    let tenant = connection_request.tenant.as_ref().and_then(|tenant| profile.tenants.find(tenant));
     Some(Request {
         id,
         class: ClassId(class as u16),
         tenant: tenant.map(|tenant| TenantId(tenant as u16)),
-        left: asked.time_left,
-        load_hint: asked.load_hint,
-        group: asked.group,
-        again: asked.is_repeat,
+        left: connection_request.time_left,
+        load_hint: connection_request.load_hint,
+        group: connection_request.group,
+        again: connection_request.is_repeat,
     })
 }
--- a/crates/cottonnotch/src/net/driver/clients/attempts.rs
+++ b/crates/cottonnotch/src/net/driver/clients/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::Clients;
 use crate::net::client_protocol::{AttemptParameters, CancelScope};
-use crate::net::driver::context::{Context, REOPEN};
+use crate::net::driver::context::{Context, REOPEN_TIMER};
 use crate::net::driver::endpoints::Endpoints;
 use crate::net::driver::message_latency::MessageLatency;
 use crate::net::driver::request_table::{Stage, TrackedRequest};
@@ -12,7 +12,7 @@
 
 /// Interval between the attempts to reopen a connection that was open before this process started. They are repeated
 /// until the client gives up.
-const REOPEN_AFTER: Micros = 200_000;
+const REOPEN_DELAY: Micros = 200_000;
 
 /// The endpoint and the time limits of an attempt, as the decision module chose them.
 #[derive(Clone, Copy, Debug)]
@@ -76,7 +76,7 @@
         let Some(tracked) = self.requests.get_mut(key) else { return [None, None] };
         end_attempt(context, tracked, outcome);
         if let Stage::Reopening(_) = tracked.stage {
-            self.reopen_later(context, key);
+            self.schedule_reopen(context, key);
             return [None, None];
         }
         let Some((server, attempt)) = tracked.latest_attempt else { return [None, None] };
@@ -118,7 +118,7 @@
 
     /// Cancels attempts whose line is not written yet and whose endpoint may no longer receive new requests.
     pub fn cancel_unwritten_attempts(&self, context: &mut Context, endpoints: &Endpoints) {
-        for (key, server) in self.requests.attempted() {
+        for (key, server) in self.requests.in_flight() {
             if !endpoints.is_ready(server) {
                 context.with_client(key, |client, io| client.cancel_attempt(io, CancelScope::UnwrittenOnly));
             }
@@ -137,16 +137,16 @@
         let Some((server, _)) = tracked.latest_attempt else { return };
         let plan = AttemptPlan { server, timeout: 0, write_deadline: None };
         if !begin_attempt(context, endpoints, key, tracked, plan) {
-            self.reopen_later(context, key);
+            self.schedule_reopen(context, key);
         }
     }
 
-    fn reopen_later(&mut self, context: &mut Context, key: Key) {
+    fn schedule_reopen(&mut self, context: &mut Context, key: Key) {
         self.reopening.push(key);
-        context.set_timer(REOPEN_AFTER, REOPEN);
+        context.set_timer(REOPEN_DELAY, REOPEN_TIMER);
     }
 
-    /// Retries all connections that wait to be reopened. Called when the `REOPEN` timer fires.
+    /// Retries all connections that wait to be reopened. Called when `REOPEN_TIMER` fires.
     pub fn reopen_all(&mut self, context: &mut Context, endpoints: &Endpoints) {
         for key in std::mem::take(&mut self.reopening) {
             self.reopen(context, endpoints, key);
@@ -164,9 +164,9 @@
 ) -> bool {
     tracked.attempts += 1;
     tracked.attempt_began = Some(context.now());
-    let verdict = || context.rules.as_ref()?.basis(tracked.id);
+    let basis = || context.rules.as_ref()?.basis(tracked.id);
     let name = || endpoints.shared_name(server);
-    context.records.attempt(tracked.id, tracked.latest_attempt_number(), name, timeout, verdict);
+    context.records.attempt(tracked.id, tracked.latest_attempt_number(), name, timeout, basis);
     let connect_timeout = context.config.profile.connect_timeout;
     let rules_write_deadline = context.rules.as_ref().and_then(|rules| rules.write_deadline(tracked.id));
     let parameters = endpoints.address(server).map(|address| AttemptParameters {
--- a/crates/cottonnotch/src/net/driver/clients/endings.rs
+++ b/crates/cottonnotch/src/net/driver/clients/endings.rs
@@ -27,7 +27,7 @@
         reason: RejectionReason,
     ) {
         let reject = |client: &mut dyn ClientProtocol, io: &mut Io| client.reject(io, retry_after);
-        if let Some(tracked) = self.give_final_answer(context, latency, request, reject) {
+        if let Some(tracked) = self.send_final_answer(context, latency, request, reject) {
             context.audit.rejected(context.reactor.io.now(), &tracked, reason);
             let Context { records, rules, .. } = context;
             records.rejected(&tracked, retry_after, || rules.as_ref()?.basis(request));
@@ -45,7 +45,7 @@
     ) {
         let text = &"no attempt went well";
         let fail = |client: &mut dyn ClientProtocol, io: &mut Io| client.fail(io, text);
-        if let Some(tracked) = self.give_final_answer(context, latency, request, fail) {
+        if let Some(tracked) = self.send_final_answer(context, latency, request, fail) {
             context.audit.failed(context.reactor.io.now(), &tracked, reason);
             context.records.failed(&tracked, text);
         }
@@ -53,7 +53,7 @@
     }
 
     /// Sends the final answer and removes the request. Returns `None` if no answer was sent.
-    fn give_final_answer(
+    fn send_final_answer(
         &mut self,
         context: &mut Context,
         latency: &mut MessageLatency,
@@ -162,7 +162,7 @@
     /// according to whether it may have run. The module does not know the connections that were open before the
     /// start; these are rejected, and their clients return to the same endpoint through another proxy.
     pub fn cancel_all_attempts(&mut self, context: &mut Context, latency: &mut MessageLatency) {
-        let in_flight: Vec<Key> = self.requests.attempted().map(|(key, _)| key).collect();
+        let in_flight: Vec<Key> = self.requests.in_flight().map(|(key, _)| key).collect();
         for key in in_flight {
             context.with_client(key, |client, io| client.cancel_attempt(io, CancelScope::AnyAttempt));
         }
--- a/crates/cottonnotch/src/net/driver/context.rs
+++ b/crates/cottonnotch/src/net/driver/context.rs
@@ -15,23 +15,23 @@
 
 /// Timer that fires every second, and the lowest timer number of the driver: the decision module's tokens are
 /// smaller.
-pub const TICK: u32 = 1 << 16;
+pub const TICK_TIMER: u32 = 1 << 16;
 /// Timer for the next round of a shutdown.
-pub const DRAIN_ROUND: u32 = TICK + 1;
+pub const DRAIN_ROUND_TIMER: u32 = TICK_TIMER + 1;
 /// Timer for the next attempt to reopen connections that were open before the start.
-pub const REOPEN: u32 = TICK + 2;
+pub const REOPEN_TIMER: u32 = TICK_TIMER + 2;
 /// Timer to resume accepting clients.
-pub const ACCEPT_CLIENTS: u32 = TICK + 3;
+pub const ACCEPT_CLIENTS_TIMER: u32 = TICK_TIMER + 3;
 /// Timer of the peers' member.
-pub const PEERS: u32 = TICK + 4;
+pub const PEERS_TIMER: u32 = TICK_TIMER + 4;
 /// Timer to resume accepting operators' connections.
-pub const ACCEPT_ADMINS: u32 = TICK + 5;
+pub const ACCEPT_ADMINS_TIMER: u32 = TICK_TIMER + 5;
 /// Timer to look for other processes of this proxy.
-pub const POLL_SIBLINGS: u32 = TICK + 6;
+pub const POLL_SIBLINGS_TIMER: u32 = TICK_TIMER + 6;
 
 /// A sample of the wall clock is discarded if the readings of the event loop's clock before and after it are further
 /// apart than this.
-const MAX_SAMPLE_TIME: Micros = 10_000;
+const MAX_SAMPLE_DURATION: Micros = 10_000;
 
 /// The shared state of the driver's parts.
 pub struct Context {
@@ -52,7 +52,7 @@
     /// Descriptors held by other processes of this proxy: all its processes share one limit.
     pub sibling_descriptors: usize,
     /// Requests in progress when the other processes were last polled.
-    pub requests: usize,
+    pub requests_in_progress: usize,
 }
 
 impl Context {
@@ -67,7 +67,7 @@
         let before = self.now();
         let unix = Clock::wall_now();
         let now = self.now();
-        if now - before <= MAX_SAMPLE_TIME && self.wall_clock.observe(now, unix) {
+        if now - before <= MAX_SAMPLE_DURATION && self.wall_clock.observe(now, unix) {
             log::warn!(target: LOG_TARGET, unix; "the wall clock was stepped; times continue by the monotonic clock");
             self.save_wall_clock();
         }
--- a/crates/cottonnotch/src/net/driver/decisions.rs
+++ b/crates/cottonnotch/src/net/driver/decisions.rs
@@ -66,7 +66,7 @@
                 let reason = self.clients.migration_reason(&self.endpoints, request);
                 self.clients.migrate(context, latency, &self.endpoints, request, reason)
             }
-            Action::WatchList => self.endpoints.watch(context),
+            Action::WatchList => self.endpoints.start_watch(context),
             // Health checks are not implemented: the module does not request any.
             Action::Probe(server) => Some(Event::Probed { server, report: None }),
             Action::Timer { after, token } => {
@@ -79,14 +79,14 @@
                 None
             }
             Action::Log { notification, server } => {
-                self.log(now, notification, server);
+                self.log_notification(now, notification, server);
                 None
             }
         };
         self.pending.extend(event);
     }
 
-    fn log(&mut self, now: Micros, notification: Notification, server: Option<ServerId>) {
+    fn log_notification(&mut self, now: Micros, notification: Notification, server: Option<ServerId>) {
         if notification == Notification::Queueing && self.no_endpoint_log.due(now).is_none() {
             return;
         }
--- a/crates/cottonnotch/src/net/driver/dispatch.rs
+++ b/crates/cottonnotch/src/net/driver/dispatch.rs
@@ -24,7 +24,7 @@
             NetworkEvent::AdminRequested(admin, request) => self.handle_admin_request(admin, &request),
             NetworkEvent::Datagrams(received) => self.handle_datagrams(&received),
             NetworkEvent::EndpointUpdate { watch, update } => {
-                if self.endpoints.is_watch(watch) {
+                if self.endpoints.is_current_watch(watch) {
                     self.apply_endpoint_update(update, UpdateSource::Discovery);
                 }
             }
@@ -41,13 +41,15 @@
     fn dispatch_timer(&mut self, timer: u32) {
         let context = &mut self.context;
         match timer {
-            context::TICK => self.tick(),
-            context::DRAIN_ROUND => self.drain_round(),
-            context::REOPEN => self.clients.reopen_all(context, &self.endpoints),
-            context::ACCEPT_CLIENTS => self.acceptor.on_accept_timer(context, self.clients.in_progress()),
-            context::ACCEPT_ADMINS => self.management.on_accept_timer(context),
-            context::PEERS => self.handle_peers_timer(),
-            context::POLL_SIBLINGS => self.poll_siblings(),
+            context::TICK_TIMER => self.tick(),
+            context::DRAIN_ROUND_TIMER => self.drain_round(),
+            context::REOPEN_TIMER => self.clients.reopen_all(context, &self.endpoints),
+            context::ACCEPT_CLIENTS_TIMER => {
+                self.acceptor.on_accept_timer(context, self.clients.in_progress())
+            }
+            context::ACCEPT_ADMINS_TIMER => self.management.on_accept_timer(context),
+            context::PEERS_TIMER => self.handle_peers_timer(),
+            context::POLL_SIBLINGS_TIMER => self.poll_siblings(),
             token => self.handle_event(Some(Event::Timer(token))),
         }
     }
--- a/crates/cottonnotch/src/net/driver/endpoint.rs
+++ b/crates/cottonnotch/src/net/driver/endpoint.rs
@@ -22,13 +22,13 @@
     /// The hall that the node is in.
     pub zone: ZoneId,
     /// The node's hardware class, as discovery names it.
-    pub flavor: Box<str>,
+    pub hardware_class: Box<str>,
     /// The node's capacity relative to other endpoints.
     pub weight: f64,
     /// The decision module's latest rating.
     pub health: ServerHealth,
     /// When the node's process started, in Unix time as listed by discovery.
-    up_since: Option<Micros>,
+    started_unix: Option<Micros>,
     cell: u32,
 }
 
@@ -50,10 +50,10 @@
             address: None,
             started: None,
             zone: ZoneId::default(),
-            flavor: Box::default(),
+            hardware_class: Box::default(),
             weight: 1.0,
             health: ServerHealth::default(),
-            up_since: None,
+            started_unix: None,
             cell: 0,
         }
     }
@@ -67,11 +67,11 @@
     ) -> Incarnation {
         (self.state, self.zone) = (listed.state, zone);
         (self.cell, self.weight) = (listed.cell, listed.weight);
-        if *self.flavor != *listed.flavor {
-            self.flavor = listed.flavor.into();
+        if *self.hardware_class != *listed.flavor {
+            self.hardware_class = listed.flavor.into();
         }
         self.address = listed.address.or(self.address);
-        if std::mem::replace(&mut self.up_since, listed.up_since) == listed.up_since {
+        if std::mem::replace(&mut self.started_unix, listed.up_since) == listed.up_since {
             return Incarnation::Same;
         }
         self.started = listed.up_since.map(to_loop_time);
--- a/crates/cottonnotch/src/net/driver/endpoints.rs
+++ b/crates/cottonnotch/src/net/driver/endpoints.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateSource {
     /// The list that came with the configuration and may be outdated.
-    Remembered,
+    Configuration,
     /// Discovery's own list.
     Discovery,
 }
@@ -30,7 +30,7 @@
 pub struct Endpoints {
     /// The endpoints' ids. Their numbers are the decision module's server ids and are never reused.
     names: Names,
-    known: Vec<Endpoint>,
+    endpoints: Vec<Endpoint>,
     watch: Option<Key>,
     revision: u64,
     /// The operators' overrides as stored, in Unix time.
@@ -38,7 +38,7 @@
     /// The same overrides by the event loop's clock, converted when each override first became known.
     effective_overrides: Maintenance,
     /// Whether discovery has sent a list. Before that, the list from the configuration is used.
-    is_confirmed: bool,
+    has_discovery_list: bool,
     watch_loss_log: RateLimitedLog,
 }
 
@@ -68,18 +68,18 @@
             self.accept_older_list(context, revision);
         }
         self.revision = revision;
-        self.is_confirmed |= source == UpdateSource::Discovery;
+        self.has_discovery_list |= source == UpdateSource::Discovery;
         if complete {
-            self.known.iter_mut().for_each(|endpoint| endpoint.state = ServerState::Removed);
+            self.endpoints.iter_mut().for_each(|endpoint| endpoint.state = ServerState::Removed);
         }
         let now = context.now();
         let listed = endpoints.into_iter();
         let entries: Vec<Entry> =
             listed.map(|listed| self.apply_entry(context, latency, now, listed)).collect();
-        self.record(context, complete, &entries);
+        self.record_update(context, complete, &entries);
         self.update_rules(context, complete, &entries);
         self.log_update(complete, &entries);
-        Event::List { full: complete, copy: source == UpdateSource::Remembered, entries }
+        Event::List { full: complete, copy: source == UpdateSource::Configuration, entries }
     }
 
     fn reject_older_changes(&mut self, context: &mut Context, revision: u64) -> Event {
@@ -114,14 +114,14 @@
     ) -> Entry {
         // Numbers are never reused: an endpoint that restarts or moves keeps its number.
         let number = self.names.intern(&listed.id);
-        if self.known.len() <= number as usize {
+        if self.endpoints.len() <= number as usize {
             // Numbers are assigned in order, so a new number is always the next index.
-            self.known.push(Endpoint::new(listed.id.as_str().into()));
+            self.endpoints.push(Endpoint::new(listed.id.as_str().into()));
         }
         let server = ServerId(number);
         let weight = listed.weight;
         let zone = ZoneId(context.config.profile.zones.intern(&listed.zone) as u16);
-        let endpoint = &mut self.known[number as usize];
+        let endpoint = &mut self.endpoints[number as usize];
         let incarnation = endpoint.apply(listed, zone, |unix| context.wall_clock.to_monotonic(now, unix));
         latency.update_endpoint(server, weight, incarnation);
         endpoint.entry(server, &self.effective_overrides)
@@ -144,21 +144,21 @@
         let Some(rules) = &context.rules else { return };
         let profile = &context.config.profile;
         let kind_of = |server: ServerId| {
-            let endpoint = self.known_at(server);
-            let (zone, flavor) =
-                endpoint.map_or((ZoneId::default(), ""), |endpoint| (endpoint.zone, &*endpoint.flavor));
-            NodeKind { hall: profile.zones.name(u32::from(zone.0)).into(), hardware: flavor.into() }
+            let endpoint = self.get(server);
+            let (zone, hardware_class) = endpoint
+                .map_or((ZoneId::default(), ""), |endpoint| (endpoint.zone, &*endpoint.hardware_class));
+            NodeKind { hall: profile.zones.name(u32::from(zone.0)).into(), hardware: hardware_class.into() }
         };
         rules.update_endpoints(profile, self.revision, full, entries, kind_of);
     }
 
-    fn known_at(&self, server: ServerId) -> Option<&Endpoint> {
-        self.known.get(server.0 as usize)
+    fn get(&self, server: ServerId) -> Option<&Endpoint> {
+        self.endpoints.get(server.0 as usize)
     }
 
-    fn record(&self, context: &Context, full: bool, entries: &[Entry]) {
+    fn record_update(&self, context: &Context, full: bool, entries: &[Entry]) {
         let named = entries.iter().map(|entry| {
-            let endpoint = &self.known[entry.server.0 as usize];
+            let endpoint = &self.endpoints[entry.server.0 as usize];
             (entry, Name::clone(&endpoint.name), endpoint.address)
         });
         context.records.endpoint_list(self.revision, full, named);
@@ -173,7 +173,7 @@
 
     /// Whether a render node with this id is listed now or has a stored override.
     pub fn is_known(&self, id: &str) -> bool {
-        let listed = self.names.find(id).and_then(|number| self.known.get(number as usize));
+        let listed = self.names.find(id).and_then(|number| self.endpoints.get(number as usize));
         listed.is_some_and(Endpoint::is_listed) || self.manual_overrides.contains(id)
     }
 
@@ -197,14 +197,14 @@
             let change = if is_out { "taken out" } else { "put back" };
             log::info!(target: LOG_TARGET, endpoint = id.as_str(); "endpoint {id} {change} by hand");
             let Some(number) = self.names.find(id) else { continue };
-            let Some(endpoint) = self.known.get(number as usize) else { continue };
+            let Some(endpoint) = self.endpoints.get(number as usize) else { continue };
             let server = ServerId(number);
             // Earlier measurements do not apply to the process that comes back after maintenance.
             let incarnation = if is_out { Incarnation::Same } else { Incarnation::New };
             latency.update_endpoint(server, endpoint.weight, incarnation);
             entries.push(endpoint.entry(server, &self.effective_overrides));
         }
-        self.record(context, false, &entries);
+        self.record_update(context, false, &entries);
         self.update_rules(context, false, &entries);
         (!entries.is_empty()).then_some(Event::ManualOverride { entries })
     }
@@ -212,7 +212,7 @@
     // ---- the watch on discovery ----
 
     /// Starts a watch from the last accepted revision and closes the old watch. Returns an event if that fails.
-    pub fn watch(&mut self, context: &mut Context) -> Option<Event> {
+    pub fn start_watch(&mut self, context: &mut Context) -> Option<Event> {
         if let Some(old) = self.watch.take() {
             context.reactor.remove(old);
         }
@@ -238,7 +238,7 @@
         loss: WatchLoss,
         reason: &str,
     ) -> Option<Event> {
-        if !self.is_watch(watch) {
+        if !self.is_current_watch(watch) {
             return None;
         }
         let (discovery, revision) = (context.config.discovery, self.revision);
@@ -257,7 +257,7 @@
     }
 
     /// Whether this is the current watch. Reports of any other watch are outdated.
-    pub fn is_watch(&self, watch: Key) -> bool {
+    pub fn is_current_watch(&self, watch: Key) -> bool {
         self.watch == Some(watch)
     }
 
@@ -275,22 +275,22 @@
 
     /// The endpoint's id as a shared string.
     pub fn shared_name(&self, server: ServerId) -> Name {
-        self.known_at(server).map_or_else(|| "-".into(), |endpoint| Name::clone(&endpoint.name))
+        self.get(server).map_or_else(|| "-".into(), |endpoint| Name::clone(&endpoint.name))
     }
 
     /// Stores the decision module's new rating of an endpoint.
     pub fn set_health(&mut self, server: ServerId, health: ServerHealth) {
-        self.known.get_mut(server.0 as usize).into_iter().for_each(|endpoint| endpoint.health = health);
+        self.endpoints.get_mut(server.0 as usize).into_iter().for_each(|endpoint| endpoint.health = health);
     }
 
     /// Whether discovery has sent a list.
-    pub fn is_confirmed(&self) -> bool {
-        self.is_confirmed
+    pub fn has_discovery_list(&self) -> bool {
+        self.has_discovery_list
     }
 
     /// Whether the lists and the operators allow new requests to at least one endpoint.
     pub fn has_usable_endpoint(&self) -> bool {
-        self.known.iter().any(|endpoint| {
+        self.endpoints.iter().any(|endpoint| {
             endpoint.state == ServerState::Ready && !self.manual_overrides.is_out(&endpoint.name)
         })
     }
@@ -301,20 +301,20 @@
         let paused =
             |endpoint: &Endpoint| matches!(endpoint.health, ServerHealth::Paused { until } if until > now);
         let skipped = |endpoint: &&Endpoint| paused(endpoint) || self.manual_overrides.is_out(&endpoint.name);
-        let listed = || self.known.iter().filter(|endpoint| endpoint.is_listed());
+        let listed = || self.endpoints.iter().filter(|endpoint| endpoint.is_listed());
         (listed().count(), listed().filter(skipped).count())
     }
 
     /// Whether the list and the operators allow new requests to this endpoint.
     pub fn is_ready(&self, server: ServerId) -> bool {
-        self.known_at(server).is_some_and(|endpoint| {
+        self.get(server).is_some_and(|endpoint| {
             endpoint.entry(server, &self.effective_overrides).state == ServerState::Ready
         })
     }
 
     /// Whether the list or the operators mark this endpoint as draining.
     pub fn is_draining(&self, server: ServerId) -> bool {
-        self.known_at(server).is_some_and(|endpoint| {
+        self.get(server).is_some_and(|endpoint| {
             endpoint.entry(server, &self.effective_overrides).state == ServerState::Draining
         })
     }
@@ -326,7 +326,7 @@
 
     /// The address at which the endpoint listens, if known.
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
-        self.known_at(server).and_then(|endpoint| endpoint.address)
+        self.get(server).and_then(|endpoint| endpoint.address)
     }
 }
 
@@ -340,6 +340,6 @@
     }
 
     fn started(&self, server: ServerId) -> Option<Micros> {
-        self.known_at(server).and_then(|endpoint| endpoint.started)
+        self.get(server).and_then(|endpoint| endpoint.started)
     }
 }
--- a/crates/cottonnotch/src/net/driver/golden_tests.rs
+++ b/crates/cottonnotch/src/net/driver/golden_tests.rs
@@ -31,7 +31,8 @@
             ManualOverride { set_at: 1_764_000_000_000_009, is_out: false, out_since: 1_764_000_000_000_001 },
         ),
     ];
-    let state = Maintenance::from_overrides(overrides.map(|(id, mark)| (id.to_owned(), mark)));
+    let state =
+        Maintenance::from_overrides(overrides.map(|(id, manual_override)| (id.to_owned(), manual_override)));
     let path = golden_path!("maintenance.txt");
     assert_text(&path, &encode(&state));
     assert_eq!(decode(&std::fs::read(path).unwrap()), Ok(state));
@@ -41,12 +42,12 @@
 fn clock_file_keeps_its_text() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("cottonnotch-127.0.0.1_8000.clock");
-    let file = ClockFile::of_boot(path.clone(), "00000000-1111-2222-3333-444444444444", -5_000_000);
-    let eras = vec![
+    let file = ClockFile::with_boot_id(path.clone(), "00000000-1111-2222-3333-444444444444", -5_000_000);
+    let offsets = vec![
         ClockOffset { offset: 1_764_000_000_000_000, from: None, seen: 10_000_000 },
         ClockOffset { offset: 1_764_003_600_000_000, from: Some(9_500_000), seen: 20_000_000 },
     ];
-    let clock = WallClock::with_history(eras, 21_000_000, 1_764_003_621_000_000);
+    let clock = WallClock::with_history(offsets, 21_000_000, 1_764_003_621_000_000);
     file.save(&clock).unwrap();
     let golden = golden_path!("clock.txt");
     assert_text(&golden, &std::fs::read_to_string(&path).unwrap());
@@ -63,22 +64,22 @@
     let folder = tempfile::tempdir().unwrap();
     let prefix = folder.path().join("cottonnotch-127.0.0.1_8000.process");
     let mut text = String::new();
-    let mut note = || {
+    let mut append_files = || {
         for entry in std::fs::read_dir(folder.path()).unwrap() {
             let path = entry.unwrap().path();
             let content = std::fs::read_to_string(&path).unwrap();
-            let (held, began) = content.split_at(8);
-            assert!(began.bytes().all(|byte| byte.is_ascii_digit()));
+            let (descriptors, started) = content.split_at(8);
+            assert!(started.bytes().all(|byte| byte.is_ascii_digit()));
             let name = path.file_name().unwrap().to_str().unwrap();
-            writeln!(text, "{name} {held} and {} digits", began.len()).unwrap();
+            writeln!(text, "{name} {descriptors} and {} digits", started.len()).unwrap();
         }
     };
     let mut process = HotRestart::new(prefix, 1_764_000_000_000_000);
-    process.show().unwrap();
-    note();
+    process.publish().unwrap();
+    append_files();
     process.announce_ready().unwrap();
     process.publish_descriptors(73).unwrap();
-    note();
+    append_files();
     assert_text(&golden_path!("process.txt"), &text);
 }
 
@@ -141,16 +142,16 @@
         audit.count(Step::Retried, outcome_name(outcome));
         audit.count(Step::Closed, outcome_name(outcome));
     }
-    for why in REJECTION_REASONS {
-        audit.count(Step::Rejected, rejection_name(why));
-        audit.count(Step::Failed, rejection_name(why));
+    for reason in REJECTION_REASONS {
+        audit.count(Step::Rejected, rejection_name(reason));
+        audit.count(Step::Failed, rejection_name(reason));
     }
     let tracked = TrackedRequest::new(RequestId(1), 0, 1, None);
-    for why in
+    for reason in
         [MoveReason::PolicyRequest, MoveReason::Draining, MoveReason::Unresponsive, MoveReason::ProxyShutdown]
     {
         audit.reopened(&open_connection(), tracked.wire_id);
-        audit.migrated(&tracked, why);
+        audit.migrated(&tracked, reason);
     }
     assert_text(&golden_path!("figures.txt"), &metrics.text(gauges, audit.metrics()));
 }
--- a/crates/cottonnotch/src/net/driver/hot_restart.rs
+++ b/crates/cottonnotch/src/net/driver/hot_restart.rs
@@ -18,16 +18,16 @@
 /// Width of the number of descriptors, in bytes.
 const DESCRIPTORS_WIDTH: usize = 8;
 /// Width of the monotonic start time, which follows the number of descriptors, in bytes.
-const BEGAN_WIDTH: usize = 20;
+const START_WIDTH: usize = 20;
 
 /// Another process of this proxy that is alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SiblingProcess {
     /// When the process started, in microseconds of Unix time.
-    pub born: Micros,
+    pub started_unix: Micros,
     /// When the process started, by the machine's monotonic clock. `None` if the process is of an older build, which
     /// does not write this time.
-    pub began: Option<Micros>,
+    pub started_monotonic: Option<Micros>,
     /// Whether the process serves clients.
     pub is_ready: bool,
     /// Descriptors that the process holds.
@@ -46,56 +46,65 @@
 pub struct HotRestart {
     /// Folder and common prefix of the names of all process files.
     prefix: PathBuf,
-    born: Micros,
-    began: Micros,
+    started_unix: Micros,
+    started_monotonic: Micros,
     is_ready: bool,
     /// The published file, or `None` if it could not be written yet.
-    file_shown: Option<ProcessFile>,
+    published_file: Option<ProcessFile>,
 }
 
 impl HotRestart {
-    /// Creates the state of a starting process. Other processes do not see it before [`Self::show`].
-    pub fn new(prefix: PathBuf, born: Micros) -> Self {
-        HotRestart { prefix, born, began: machine_now(), is_ready: false, file_shown: None }
+    /// Creates the state of a starting process. Other processes do not see it before [`Self::publish`].
+    pub fn new(prefix: PathBuf, started_unix: Micros) -> Self {
+        HotRestart {
+            prefix,
+            started_unix,
+            started_monotonic: machine_now(),
+            is_ready: false,
+            published_file: None,
+        }
     }
 
     /// Publishes the file of this process, if that has not been done yet. Fails if the folder cannot be written to;
     /// the caller may retry.
-    pub fn show(&mut self) -> io::Result<()> {
-        if self.file_shown.is_some() {
+    pub fn publish(&mut self) -> io::Result<()> {
+        if self.published_file.is_some() {
             return Ok(());
         }
-        let hidden = self.prefix.with_extension(format!("{}-{}.new", std::process::id(), self.born));
-        let path = file_path(&self.prefix, self.born, if self.is_ready { READY } else { STARTING });
-        let file_shown = self.write(&hidden, &path);
-        if file_shown.is_err() {
+        let temporary_path =
+            self.prefix.with_extension(format!("{}-{}.new", std::process::id(), self.started_unix));
+        let path = file_path(&self.prefix, self.started_unix, if self.is_ready { READY } else { STARTING });
+        let published_file = self.write(&temporary_path, &path);
+        if published_file.is_err() {
             // Removes the incomplete file.
-            let _ = fs::remove_file(&hidden);
+            let _ = fs::remove_file(&temporary_path);
         }
-        self.file_shown = Some(ProcessFile { file: file_shown?, path });
+        self.published_file = Some(ProcessFile { file: published_file?, path });
         Ok(())
     }
 
-    fn write(&self, hidden: &Path, path: &Path) -> io::Result<File> {
-        let file = File::create(hidden)?;
-        let text = format!("{:0DESCRIPTORS_WIDTH$}{:0BEGAN_WIDTH$}", 0, self.began);
+    fn write(&self, temporary_path: &Path, path: &Path) -> io::Result<File> {
+        let file = File::create(temporary_path)?;
+        let text = format!("{:0DESCRIPTORS_WIDTH$}{:0START_WIDTH$}", 0, self.started_monotonic);
         // The file must be locked and complete before it gets its final name: others would take an unlocked file for
         // that of a dead process.
         file.try_lock()?;
         file.write_all_at(text.as_bytes(), 0)?;
-        fs::rename(hidden, path)?;
+        fs::rename(temporary_path, path)?;
         Ok(file)
     }
 
-    /// Announces that this process serves clients. Fails in the same cases as [`Self::show`] and is to be retried
+    /// Announces that this process serves clients. Fails in the same cases as [`Self::publish`] and is to be retried
     /// then.
     pub fn announce_ready(&mut self) -> io::Result<()> {
         self.is_ready = true;
-        self.show()?;
-        let ready = file_path(&self.prefix, self.born, READY);
-        if let Some(file_shown) = self.file_shown.as_mut().filter(|file_shown| file_shown.path != ready) {
-            fs::rename(&file_shown.path, &ready)?;
-            file_shown.path = ready;
+        self.publish()?;
+        let ready = file_path(&self.prefix, self.started_unix, READY);
+        if let Some(published_file) =
+            self.published_file.as_mut().filter(|published_file| published_file.path != ready)
+        {
+            fs::rename(&published_file.path, &ready)?;
+            published_file.path = ready;
         }
         Ok(())
     }
@@ -103,14 +112,16 @@
     /// Publishes how many descriptors this process holds.
     pub fn publish_descriptors(&self, descriptors: usize) -> io::Result<()> {
         let text = format!("{:0DESCRIPTORS_WIDTH$}", descriptors.min(99_999_999));
-        self.file_shown.as_ref().map_or(Ok(()), |file_shown| file_shown.file.write_all_at(text.as_bytes(), 0))
+        self.published_file
+            .as_ref()
+            .map_or(Ok(()), |published_file| published_file.file.write_all_at(text.as_bytes(), 0))
     }
 
     /// Returns the other processes that are alive, and removes the files of those that have ended. Fails if the files
     /// cannot be examined now, since some processes may be alive.
     pub fn siblings(&self) -> io::Result<Vec<SiblingProcess>> {
         let folder = self.prefix.parent().unwrap_or(Path::new("."));
-        let own = self.file_shown.as_ref().map(|file_shown| file_shown.path.as_path());
+        let own = self.published_file.as_ref().map(|published_file| published_file.path.as_path());
         let mut siblings = Vec::new();
         for entry in fs::read_dir(folder)? {
             let path = entry?.path();
@@ -122,7 +133,7 @@
     }
 
     fn sibling(&self, path: &Path) -> io::Result<Option<SiblingProcess>> {
-        let Some((born, is_ready)) = self.parse_name(path) else { return Ok(None) };
+        let Some((started_unix, is_ready)) = self.parse_name(path) else { return Ok(None) };
         // Skips anything that is not a regular file: opening a pipe with such a name would block the event loop.
         let Some(metadata) = ignore_not_found(fs::symlink_metadata(path))? else { return Ok(None) };
         if !metadata.is_file() {
@@ -138,12 +149,13 @@
                 return Ok(None);
             }
         }
-        let mut bytes = [0; DESCRIPTORS_WIDTH + BEGAN_WIDTH];
+        let mut bytes = [0; DESCRIPTORS_WIDTH + START_WIDTH];
         let read = file.read_at(&mut bytes, 0)?;
         let text = std::str::from_utf8(&bytes[..read]).unwrap_or_default();
-        let (descriptors, began) = text.split_at_checked(DESCRIPTORS_WIDTH).unwrap_or((text, ""));
-        let (descriptors, began) = (descriptors.parse().unwrap_or(0), began.parse().ok());
-        Ok(Some(SiblingProcess { born, began, is_ready, descriptors }))
+        let (descriptors, started_monotonic) = text.split_at_checked(DESCRIPTORS_WIDTH).unwrap_or((text, ""));
+        let (descriptors, started_monotonic) =
+            (descriptors.parse().unwrap_or(0), started_monotonic.parse().ok());
+        Ok(Some(SiblingProcess { started_unix, started_monotonic, is_ready, descriptors }))
     }
 
     /// Parses the name of a process file of this proxy: the start time of the process, and whether the process is
@@ -151,20 +163,22 @@
     fn parse_name(&self, path: &Path) -> Option<(Micros, bool)> {
         let prefix = self.prefix.file_name()?.to_str()?;
         let name = path.file_name()?.to_str()?.strip_prefix(prefix)?.strip_prefix('-')?;
-        let (born, state) = name.split_once('.')?;
+        let (started_unix, state) = name.split_once('.')?;
         let is_ready = match state {
             READY => true,
             STARTING => false,
             _ => return None,
         };
-        Some((born.parse().ok()?, is_ready))
+        Some((started_unix.parse().ok()?, is_ready))
     }
 
     /// Whether the other process started before this one.
     pub fn is_older(&self, sibling: &SiblingProcess) -> bool {
-        match sibling.began {
-            Some(began) => (began, sibling.born) < (self.began, self.born),
-            None => sibling.born < self.born,
+        match sibling.started_monotonic {
+            Some(started_monotonic) => {
+                (started_monotonic, sibling.started_unix) < (self.started_monotonic, self.started_unix)
+            }
+            None => sibling.started_unix < self.started_unix,
         }
     }
 
@@ -187,7 +201,7 @@
 impl Drop for HotRestart {
     fn drop(&mut self) {
         // The system releases the lock in any case; removing the file only cleans up the folder.
-        let _ = self.file_shown.as_ref().map(|file_shown| fs::remove_file(&file_shown.path));
+        let _ = self.published_file.as_ref().map(|published_file| fs::remove_file(&published_file.path));
     }
 }
 
--- a/crates/cottonnotch/src/net/driver/hot_restart_tests.rs
+++ b/crates/cottonnotch/src/net/driver/hot_restart_tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 /// Creates a process that has published its file.
-fn started_process(prefix: &Path, born: Micros) -> HotRestart {
-    let mut hot_restart = HotRestart::new(prefix.to_owned(), born);
-    hot_restart.show().unwrap();
+fn started_process(prefix: &Path, started_unix: Micros) -> HotRestart {
+    let mut hot_restart = HotRestart::new(prefix.to_owned(), started_unix);
+    hot_restart.publish().unwrap();
     hot_restart
 }
 
@@ -19,7 +19,7 @@
     old.publish_descriptors(73).unwrap();
     let seen = new.siblings().unwrap();
     let [predecessor] = &seen[..] else { panic!("{seen:?}") };
-    assert_eq!((predecessor.born, predecessor.is_ready, predecessor.descriptors), (10, true, 73));
+    assert_eq!((predecessor.started_unix, predecessor.is_ready, predecessor.descriptors), (10, true, 73));
     assert!(new.is_older(predecessor));
     new.announce_ready().unwrap();
     new.announce_ready().unwrap();
@@ -40,27 +40,27 @@
     assert!(first.has_successor() && !second.has_successor());
     assert!(second.is_older(&first.seen_by(&second)));
     // A file of an older build contains only the number of descriptors.
-    second.file_shown.as_ref().unwrap().file.set_len(DESCRIPTORS_WIDTH as u64).unwrap();
+    second.published_file.as_ref().unwrap().file.set_len(DESCRIPTORS_WIDTH as u64).unwrap();
     assert!(!first.has_successor(), "without a monotonic time, the Unix time in the name counts");
 }
 
 impl HotRestart {
     /// This process as the other process sees it.
     fn seen_by(&self, sibling: &HotRestart) -> SiblingProcess {
-        sibling.siblings().unwrap().into_iter().find(|seen| seen.born == self.born).unwrap()
+        sibling.siblings().unwrap().into_iter().find(|seen| seen.started_unix == self.started_unix).unwrap()
     }
 }
 
 #[test]
-fn retries_showing_itself() {
+fn retries_publishing_its_file() {
     let folder = tempfile::tempdir().unwrap();
     let prefix = folder.path().join("later").join("cottonnotch-a_1.process");
     let mut me = HotRestart::new(prefix.clone(), 10);
-    assert!(me.show().is_err() && me.announce_ready().is_err(), "the folder does not exist");
+    assert!(me.publish().is_err() && me.announce_ready().is_err(), "the folder does not exist");
     assert!(me.siblings().is_err() && !me.has_successor(), "other processes cannot be listed either");
     fs::create_dir(folder.path().join("later")).unwrap();
     assert!(me.siblings().unwrap().is_empty());
-    me.show().unwrap();
+    me.publish().unwrap();
     let sibling = started_process(&prefix, 20);
     assert!(
         sibling.siblings().unwrap()[0].is_ready,
--- a/crates/cottonnotch/src/net/driver/lifecycle.rs
+++ b/crates/cottonnotch/src/net/driver/lifecycle.rs
@@ -1,9 +1,9 @@
 //! The state of the process: hot restart, reload of the configuration, and shutdown.
 
-use super::context::{Context, DRAIN_ROUND};
+use super::context::{Context, DRAIN_ROUND_TIMER};
 use super::hot_restart::HotRestart;
 use super::log_target::LOG_TARGET;
-use super::management::shared_file;
+use super::management::shared_file_path;
 use super::message_latency::MessageLatency;
 use super::request_table::RequestTable;
 use super::shutdown::{self, Shutdown};
@@ -58,29 +58,29 @@
     hot_restart: Option<HotRestart>,
     /// The result of the last successful search for a predecessor, or `None` before the first one.
     predecessor: Option<Predecessor>,
-    hidden_log: RateLimitedLog,
+    hot_restart_failure_log: RateLimitedLog,
     /// When this process started.
-    began: Micros,
+    started_at: Micros,
 }
 
 impl Lifecycle {
     /// Creates the state of a starting process. It looks for other processes of its proxy only if an operators'
     /// address is configured: operators' status requests tell when it may take over.
     pub fn new(context: &Context, read_config: ReadConfig) -> Self {
-        let began = context.now();
-        let path = context.config.mgmt.and_then(|_| shared_file(context.config.listen, "process"));
-        let hot_restart = path.map(|path| HotRestart::new(path, began));
-        let (shutdown, hidden_log) = (None, RateLimitedLog::default());
+        let started_at = context.now();
+        let path = context.config.mgmt.and_then(|_| shared_file_path(context.config.listen, "process"));
+        let hot_restart = path.map(|path| HotRestart::new(path, started_at));
+        let (shutdown, hot_restart_failure_log) = (None, RateLimitedLog::default());
         let mut lifecycle = Lifecycle {
             address: context.config.listen,
             read_config,
             shutdown,
             hot_restart,
             predecessor: None,
-            hidden_log,
-            began,
+            hot_restart_failure_log,
+            started_at,
         };
-        lifecycle.show(began);
+        lifecycle.publish_process_file(started_at);
         lifecycle
     }
 
@@ -91,14 +91,14 @@
 
     /// Publishes this process's file, if that has not been done yet. This may fail for a while, for example because
     /// the folder is full.
-    fn show(&mut self, now: Micros) {
-        if let Some(Err(error)) = self.hot_restart.as_mut().map(HotRestart::show) {
-            self.log_hidden(now, &error);
+    fn publish_process_file(&mut self, now: Micros) {
+        if let Some(Err(error)) = self.hot_restart.as_mut().map(HotRestart::publish) {
+            self.log_hot_restart_failure(now, &error);
         }
     }
 
-    fn log_hidden(&mut self, now: Micros, error: &io::Error) {
-        if let Some(left_out) = self.hidden_log.due(now) {
+    fn log_hot_restart_failure(&mut self, now: Micros, error: &io::Error) {
+        if let Some(left_out) = self.hot_restart_failure_log.due(now) {
             log::warn!(
                 target: LOG_TARGET, error:%, left_out;
                 "this process cannot show itself to others of its proxy, or not see them, and retries: {error}"
@@ -113,12 +113,12 @@
 
     /// Looks for other processes of this proxy, and publishes how many descriptors this one holds.
     pub fn find_predecessor(&mut self, context: &mut Context) -> Predecessor {
-        self.show(context.now());
+        self.publish_process_file(context.now());
         let Some(hot_restart) = &self.hot_restart else { return Predecessor::None };
         let siblings = match hot_restart.siblings() {
             Ok(siblings) => siblings,
             Err(error) => {
-                self.log_hidden(context.now(), &error);
+                self.log_hot_restart_failure(context.now(), &error);
                 return self.assumed_predecessor(context.now());
             }
         };
@@ -126,12 +126,13 @@
         if !siblings.is_empty() {
             // Each request uses two descriptors: one of its own object, which is among the connections, and one of
             // the endpoint's connection.
-            let descriptors = context.reactor.connections() + context.requests + UNCOUNTED_DESCRIPTORS;
+            let descriptors =
+                context.reactor.connections() + context.requests_in_progress + UNCOUNTED_DESCRIPTORS;
             // If publishing fails, the other process uses the last number that it read.
             let _ = hot_restart.publish_descriptors(descriptors);
         }
-        let has_older = siblings.iter().any(|sibling| hot_restart.is_older(sibling));
-        let predecessor = if has_older { Predecessor::Serving } else { Predecessor::None };
+        let has_predecessor = siblings.iter().any(|sibling| hot_restart.is_older(sibling));
+        let predecessor = if has_predecessor { Predecessor::Serving } else { Predecessor::None };
         self.predecessor = Some(predecessor);
         predecessor
     }
@@ -140,14 +141,14 @@
     /// one a serving predecessor until `TAKEOVER_TIMEOUT` has passed.
     fn assumed_predecessor(&self, now: Micros) -> Predecessor {
         let assumed =
-            if now - self.began < TAKEOVER_TIMEOUT { Predecessor::Serving } else { Predecessor::None };
+            if now - self.started_at < TAKEOVER_TIMEOUT { Predecessor::Serving } else { Predecessor::None };
         self.predecessor.unwrap_or(assumed)
     }
 
     /// Whether this process may take over the clients of its predecessor. `is_informed` means that discovery has sent
     /// its list and the manual overrides are loaded; otherwise the timeout for both must have passed.
     pub fn can_take_over(&self, now: Micros, is_informed: bool) -> bool {
-        is_informed || now - self.began >= TAKEOVER_TIMEOUT
+        is_informed || now - self.started_at >= TAKEOVER_TIMEOUT
     }
 
     /// Announces that this process serves clients, so that its predecessor may stop.
@@ -176,7 +177,7 @@
                 return None;
             }
         };
-        self.log_unchangeable(&context.config, &new);
+        self.log_ignored_changes(&context.config, &new);
         let operator = new.operator.replacing(&context.config.operator);
         let new = Config { operator, ..new };
         log::info!(
@@ -197,7 +198,7 @@
     }
 
     /// Logs the changes that take effect only after a restart.
-    fn log_unchangeable(&self, old: &Config, new: &Config) {
+    fn log_ignored_changes(&self, old: &Config, new: &Config) {
         if new.listen != old.listen {
             log::warn!(
                 target: LOG_TARGET, key = "listen", address:% = self.address;
@@ -227,20 +228,20 @@
         let Profile { settings, withdrawn, .. } = &context.config.profile;
         let offered = (0..).zip(&settings.classes).filter(|(number, _)| !withdrawn.contains(number));
         // Withdrawn classes do not count: the supervisor, which sends SIGKILL, knows only the offered classes.
-        let longest = offered.map(|(_, class)| class.deadline).max();
+        let longest_deadline = offered.map(|(_, class)| class.deadline).max();
         let (requests, up) = (requests.len(), requests.established().count());
         log::info!(target: LOG_TARGET, requests, up; "asked to stop: clients are migrated");
         context.records.shutdown();
-        self.shutdown = Some(Shutdown::begin(now, longest.unwrap_or(0)));
+        self.shutdown = Some(Shutdown::begin(now, longest_deadline.unwrap_or(0)));
         true
     }
 
     /// Computes the next round of the shutdown and sets the timer for the following one. Returns `None` if no
     /// shutdown is in progress.
-    pub fn next_round(&mut self, context: &mut Context, requests: &RequestTable) -> Option<DrainRound> {
+    pub fn next_drain_round(&mut self, context: &mut Context, requests: &RequestTable) -> Option<DrainRound> {
         let now = context.now();
         let shutdown = self.shutdown.as_mut()?;
-        context.set_timer(shutdown::ROUND_INTERVAL, DRAIN_ROUND);
+        context.set_timer(shutdown::ROUND_INTERVAL, DRAIN_ROUND_TIMER);
         let mut migrating: Vec<RequestId> = requests.established().map(|(_, id)| id).collect();
         migrating.truncate(shutdown.quota(now, migrating.len()));
         Some(DrainRound { migrating, is_last: shutdown.is_last(now) })
--- a/crates/cottonnotch/src/net/driver/maintenance_file.rs
+++ b/crates/cottonnotch/src/net/driver/maintenance_file.rs
@@ -31,24 +31,24 @@
 pub struct MaintenanceFile {
     path: Option<PathBuf>,
     /// The version that was last read or written.
-    seen: Option<FileStamp>,
+    last_stamp: Option<FileStamp>,
     /// Whether the file was polled successfully and, if present, read.
-    is_known: bool,
+    is_loaded: bool,
     /// Whether the file lacks overrides that this process knows and could not write yet.
-    is_behind: bool,
+    needs_save: bool,
     /// Whether the file was replaced and its folder could not be synced yet.
-    is_unsynced: bool,
+    needs_folder_sync: bool,
 }
 
 impl MaintenanceFile {
     /// Stores overrides at `path`. Without a path, overrides end with the process.
-    pub fn at(path: Option<PathBuf>) -> Self {
+    pub fn new(path: Option<PathBuf>) -> Self {
         MaintenanceFile { path, ..MaintenanceFile::default() }
     }
 
     /// Whether the stored overrides have been read, or none are stored.
-    pub fn is_known(&self) -> bool {
-        self.path.is_none() || self.is_known
+    pub fn is_loaded(&self) -> bool {
+        self.path.is_none() || self.is_loaded
     }
 
     /// Whether overrides are stored in a file and thus outlive the process.
@@ -57,43 +57,43 @@
     }
 
     /// Whether the file lacks overrides that this process knows and must be saved again.
-    pub fn is_behind(&self) -> bool {
-        self.is_behind
+    pub fn needs_save(&self) -> bool {
+        self.needs_save
     }
 
     /// Returns what another process has written since the last poll or write, if anything. A file that cannot be read
     /// now is polled again; an invalid one is reported once.
     pub fn read_changes(&mut self) -> Option<Result<Maintenance, MaintenanceFileError>> {
         let path = self.path.as_deref()?;
-        let stamp = match stamp(path) {
+        let stamp = match file_stamp(path) {
             Ok(stamp) => Some(stamp),
             Err(error) if error.kind() == io::ErrorKind::NotFound => None,
             Err(error) => return Some(Err(error.into())),
         };
-        if stamp == self.seen {
-            self.is_known = true;
+        if stamp == self.last_stamp {
+            self.is_loaded = true;
             return None;
         }
-        let found = stamp.map(|_| read(path));
-        if !matches!(found, Some(Err(MaintenanceFileError::Io(_)))) {
-            (self.seen, self.is_known) = (stamp, true);
+        let result = stamp.map(|_| read(path));
+        if !matches!(result, Some(Err(MaintenanceFileError::Io(_)))) {
+            (self.last_stamp, self.is_loaded) = (stamp, true);
         }
-        found
+        result
     }
 
     /// Marks the file as outdated, so that it is saved again as soon as possible.
-    pub fn mark_behind(&mut self) {
-        self.is_behind = true;
+    pub fn mark_unsaved(&mut self) {
+        self.needs_save = true;
     }
 
     /// Syncs the folder if that failed before. Until the folder is synced, a new file name survives the end of the
     /// process but may be lost if the machine fails.
     pub fn sync_folder(&mut self) -> io::Result<()> {
-        let folder = self.path.as_deref().and_then(Path::parent).filter(|_| self.is_unsynced);
+        let folder = self.path.as_deref().and_then(Path::parent).filter(|_| self.needs_folder_sync);
         if let Some(folder) = folder {
             File::open(folder)?.sync_all()?;
         }
-        self.is_unsynced = false;
+        self.needs_folder_sync = false;
         Ok(())
     }
 
@@ -101,15 +101,16 @@
     pub fn save(&mut self, state: &Maintenance) -> io::Result<()> {
         let Some(path) = self.path.as_deref() else { return Ok(()) };
         // No other process writes to this temporary name, so the renamed file is always complete.
-        let new = path.with_extension(format!("{}.new", std::process::id()));
-        let written = write_synced(&new, encode(state).as_bytes()).and_then(|()| fs::rename(&new, path));
+        let temporary_path = path.with_extension(format!("{}.new", std::process::id()));
+        let written = write_synced(&temporary_path, encode(state).as_bytes())
+            .and_then(|()| fs::rename(&temporary_path, path));
         if let Err(error) = written {
             // Removes the incomplete file.
-            let _ = fs::remove_file(&new);
+            let _ = fs::remove_file(&temporary_path);
             return Err(error);
         }
-        self.seen = stamp(path).ok();
-        (self.is_behind, self.is_unsynced) = (false, true);
+        self.last_stamp = file_stamp(path).ok();
+        (self.needs_save, self.needs_folder_sync) = (false, true);
         // The file is in place, and a later poll retries the sync.
         let _ = self.sync_folder();
         Ok(())
@@ -123,11 +124,11 @@
     file.sync_all()
 }
 
-fn stamp(path: &Path) -> io::Result<FileStamp> {
+fn file_stamp(path: &Path) -> io::Result<FileStamp> {
     let metadata = fs::symlink_metadata(path)?;
     #[cfg(unix)]
-    let place = std::os::unix::fs::MetadataExt::ino(&metadata);
-    Ok((metadata.modified().ok(), place))
+    let inode = std::os::unix::fs::MetadataExt::ino(&metadata);
+    Ok((metadata.modified().ok(), inode))
 }
 
 fn read(path: &Path) -> Result<Maintenance, MaintenanceFileError> {
--- a/crates/cottonnotch/src/net/driver/maintenance_file_tests.rs
+++ b/crates/cottonnotch/src/net/driver/maintenance_file_tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-fn two() -> (tempfile::TempDir, MaintenanceFile, MaintenanceFile) {
+fn two_processes() -> (tempfile::TempDir, MaintenanceFile, MaintenanceFile) {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("x.maintenance");
-    (folder, MaintenanceFile::at(Some(path.clone())), MaintenanceFile::at(Some(path)))
+    (folder, MaintenanceFile::new(Some(path.clone())), MaintenanceFile::new(Some(path)))
 }
 
 #[test]
 fn reads_what_another_process_wrote_once() {
-    let (_folder, mut one, mut other) = two();
+    let (_folder, mut one, mut other) = two_processes();
     assert!(one.read_changes().is_none(), "the file does not exist yet");
     let mut state = Maintenance::default();
     state.enter(5, "s1");
@@ -20,14 +20,14 @@
 
 #[test]
 fn rejects_torn_file_and_reads_the_next_one() {
-    let (folder, mut one, mut other) = two();
+    let (folder, mut one, mut other) = two_processes();
     let path = folder.path().join("x.maintenance");
     let mut state = Maintenance::default();
     state.enter(5, "s1");
     let text = encode(&state);
-    for foreign in [&b""[..], b"{}", &text.as_bytes()[..text.len() / 2], &[0xff; 700_000]] {
-        fs::write(&path, foreign).unwrap();
-        assert!(one.read_changes().unwrap().is_err(), "{} bytes", foreign.len());
+    for invalid in [&b""[..], b"{}", &text.as_bytes()[..text.len() / 2], &[0xff; 700_000]] {
+        fs::write(&path, invalid).unwrap();
+        assert!(one.read_changes().unwrap().is_err(), "{} bytes", invalid.len());
         fs::remove_file(&path).unwrap();
         assert!(one.read_changes().is_none());
     }
--- a/crates/cottonnotch/src/net/driver/management.rs
+++ b/crates/cottonnotch/src/net/driver/management.rs
@@ -1,7 +1,7 @@
 //! The driver's side of the operators' address: accepts connections, sends responses, and stores manual maintenance
 //! for the other processes of this proxy.
 
-use super::context::{ACCEPT_ADMINS, Context, POLL_SIBLINGS};
+use super::context::{ACCEPT_ADMINS_TIMER, Context, POLL_SIBLINGS_TIMER};
 use super::endpoints::Endpoints;
 use super::log_target::LOG_TARGET;
 use super::maintenance_file::{MaintenanceFile, MaintenanceFileError, POLL_INTERVAL};
@@ -39,7 +39,7 @@
 /// The path of a file that the processes of one proxy share. The name contains the listen address, so that proxies on
 /// one machine do not read each other's files. Returns `None` if no folder is named, or if the system assigns the
 /// port and each process has an address of its own.
-pub fn shared_file(listen: SocketAddr, kind: &str) -> Option<PathBuf> {
+pub fn shared_file_path(listen: SocketAddr, kind: &str) -> Option<PathBuf> {
     let folder = std::env::var_os(STATE_FOLDER_VARIABLE).filter(|folder| !folder.is_empty())?;
     let address = listen.to_string().replace([':', '[', ']', '%'], "_");
     (listen.port() != 0).then(|| PathBuf::from(folder).join(format!("cottonnotch-{address}.{kind}")))
@@ -51,10 +51,10 @@
         let Some(address) = context.config.mgmt else {
             return Ok(Management::new(None, MaintenanceFile::default()));
         };
-        let admin_server = AdminServer::open(&mut context.reactor, address, ACCEPT_ADMINS)?;
+        let admin_server = AdminServer::open(&mut context.reactor, address, ACCEPT_ADMINS_TIMER)?;
         // This line has no key-values: scripts take its last word as the address.
         log::info!(target: LOG_TARGET, "operators may call at {}", admin_server.address()?);
-        let file = MaintenanceFile::at(shared_file(context.config.listen, "maintenance"));
+        let file = MaintenanceFile::new(shared_file_path(context.config.listen, "maintenance"));
         if !file.is_persistent() {
             log::warn!(target: LOG_TARGET, "maintenance by hand ends with this process: {STATE_FOLDER_VARIABLE} names no folder, or listen no port");
         }
@@ -79,8 +79,8 @@
         endpoints: &mut Endpoints,
     ) -> Option<Event> {
         self.admin_server.as_ref()?;
-        context.set_timer(POLL_INTERVAL, POLL_SIBLINGS);
-        match self.take_over(context, latency, endpoints) {
+        context.set_timer(POLL_INTERVAL, POLL_SIBLINGS_TIMER);
+        match self.merge_stored(context, latency, endpoints) {
             Ok(event) => event,
             Err(error) => {
                 if let Some(left_out) = self.read_failure_log.due(context.now()) {
@@ -93,18 +93,18 @@
 
     /// Merges the stored overrides, if the file has changed, and saves overrides that the file lacks. Fails if the
     /// file cannot be read or is invalid.
-    fn take_over(
+    fn merge_stored(
         &mut self,
         context: &mut Context,
         latency: &mut MessageLatency,
         endpoints: &mut Endpoints,
     ) -> Result<Option<Event>, MaintenanceFileError> {
-        let theirs = self.file.read_changes().transpose()?;
+        let stored = self.file.read_changes().transpose()?;
         let mut merged = endpoints.manual_overrides().clone();
-        let changed = theirs.as_ref().map_or_else(Vec::new, |theirs| merged.merge(theirs));
+        let changed = stored.as_ref().map_or_else(Vec::new, |stored| merged.merge(stored));
         // Two processes may write at the same time: a process that finds its overrides missing writes them again
         // until they are stored.
-        if theirs.is_some_and(|theirs| merged != theirs) || self.file.is_behind() {
+        if stored.is_some_and(|stored| merged != stored) || self.file.needs_save() {
             self.save(context.now(), &merged);
         }
         if self.file.sync_folder().is_err() {
@@ -118,7 +118,7 @@
 
     fn save(&mut self, now: Micros, state: &Maintenance) {
         let Err(error) = self.file.save(state) else { return };
-        self.file.mark_behind();
+        self.file.mark_unsaved();
         if let Some(left_out) = self.write_failure_log.due(now) {
             log::error!(target: LOG_TARGET, error:%, left_out; "maintenance by hand cannot be stored yet: {error}");
         }
@@ -135,7 +135,7 @@
         action: MaintenanceAction,
     ) -> (AdminResponse, Vec<Event>) {
         // Reads the file first: saving replaces its content, so the process must know that content.
-        let taken_over = match self.take_over(context, latency, endpoints) {
+        let merge_event = match self.merge_stored(context, latency, endpoints) {
             Err(MaintenanceFileError::Io(error)) => {
                 let text = format!("nothing was done, earlier calls cannot be read: {error}\n");
                 return (AdminResponse::failed(text), Vec::new());
@@ -147,7 +147,7 @@
             Ok(event) => event,
         };
         let (response, event) = self.apply_override(context, latency, endpoints, id, action);
-        (response, taken_over.into_iter().chain(event).collect())
+        (response, merge_event.into_iter().chain(event).collect())
     }
 
     fn apply_override(
@@ -165,7 +165,7 @@
             MaintenanceAction::Enter => (true, "out"),
             MaintenanceAction::Exit => (false, "in use"),
         };
-        let done = AdminResponse::ok(format!("{id} is {state_name}\n"));
+        let response = AdminResponse::ok(format!("{id} is {state_name}\n"));
         // Override times are wall-clock times, because other and later processes read them.
         context.observe_wall_clock();
         let now = context.wall_clock.unix(context.now());
@@ -175,7 +175,7 @@
             return (AdminResponse::failed("too many render nodes are out\n"), None);
         }
         if !changed {
-            return (done, None);
+            return (response, None);
         }
         state.remove_expired(now);
         // The response promises that the override outlives this process. If the override cannot be stored, nothing is
@@ -184,12 +184,12 @@
             log::error!(target: LOG_TARGET, error:%; "maintenance by hand cannot be stored: {error}");
             return (AdminResponse::failed(format!("nothing was done, it cannot be kept: {error}\n")), None);
         }
-        (done, endpoints.set_overrides(context, latency, state, &[id.to_owned()]))
+        (response, endpoints.set_overrides(context, latency, state, &[id.to_owned()]))
     }
 
     /// Whether the overrides stored by earlier processes have been read.
-    pub fn has_maintenance(&self) -> bool {
-        self.admin_server.is_none() || self.file.is_known()
+    pub fn is_maintenance_loaded(&self) -> bool {
+        self.admin_server.is_none() || self.file.is_loaded()
     }
 
     /// Accepts waiting operators' connections.
--- a/crates/cottonnotch/src/net/driver/peers.rs
+++ b/crates/cottonnotch/src/net/driver/peers.rs
@@ -2,7 +2,7 @@
 //! at the start. This module has the socket, the timer and the logging; the protocols are in
 //! `cottonnotch_proxy_core`.
 
-use super::context::{Context, PEERS};
+use super::context::{Context, PEERS_TIMER};
 use super::endpoints::Endpoints;
 use super::lifecycle::Predecessor;
 use super::log_target::LOG_TARGET;
@@ -40,7 +40,7 @@
 impl Member {
     /// Opens the socket, if an address for it is configured. Fails if the address cannot be bound.
     fn start(context: &mut Context) -> io::Result<Option<Self>> {
-        match fleet_settings(context) {
+        match aggregation_settings(context) {
             Some(settings) => Member::start_aggregation(context, settings),
             None => Member::start_gossip(context),
         }
@@ -64,7 +64,7 @@
     }
 
     fn start_gossip(context: &mut Context) -> io::Result<Option<Self>> {
-        let Some(GossipConfig { settings, keys, incarnation: life }) = context.config.gossip.clone() else {
+        let Some(GossipConfig { settings, keys, incarnation }) = context.config.gossip.clone() else {
             return Ok(None);
         };
         let Some(listen) = context.config.peer_addresses.listen else { return Ok(None) };
@@ -72,7 +72,7 @@
             (context.config.profile.settings.ordinal, context.config.peer_addresses.peers.len() as u32);
         let socket = bind_socket(context, listen)?;
         let (seed, now, strength) = (context.config.seed, context.now(), settings.strength);
-        let gossip = Gossip::new(settings, keys, me, members, life, seed, now);
+        let gossip = Gossip::new(settings, keys, me, members, incarnation, seed, now);
         log::info!(target: LOG_TARGET, peers = members, listen:%; "gossip with {} other proxies", members.saturating_sub(1));
         let peers = cottonnotch_proxy_core::Peers::with_gossip(gossip, strength, roster(context));
         Ok(Some(Member::new(context, peers, socket)))
@@ -87,7 +87,7 @@
 
     fn arm(&mut self, context: &mut Context) {
         if let Some(after) = self.wake_up_timer.arm(context.now(), self.peers.next_timeout()) {
-            context.set_timer(after, PEERS);
+            context.set_timer(after, PEERS_TIMER);
         }
     }
 
@@ -104,19 +104,19 @@
         }
     }
 
-    fn handle(&mut self, context: &Context, proxy: &mut PeerInputs<'_>, input: Input<'_>) {
+    fn handle(&mut self, context: &Context, peer_inputs: &mut PeerInputs<'_>, input: Input<'_>) {
         let mut local = LocalState {
-            latencies: proxy.latency.delays(),
-            servers: proxy.endpoints,
+            latencies: peer_inputs.latency.latencies(),
+            servers: peer_inputs.endpoints,
             settings: &context.config.profile.settings,
-            requests: proxy.requests,
+            requests: peer_inputs.requests,
             unix: context.wall_clock.unix(context.now()),
         };
         self.peers.handle(context.now(), input, &mut local);
     }
 
     /// Carries out the member's outputs and returns the events for the decision module.
-    fn carry_out(&mut self, context: &mut Context) -> Vec<Event> {
+    fn process_outputs(&mut self, context: &mut Context) -> Vec<Event> {
         let mut events = Vec::new();
         while let Some(output) = self.peers.poll() {
             match output {
@@ -131,10 +131,10 @@
                     }
                     events.push(event);
                 }
-                Output::Member { ordinal, state, incarnation: life } => {
+                Output::Member { ordinal, state, incarnation } => {
                     let name = state_name(state);
                     log::info!(target: LOG_TARGET, peer = ordinal, state = name; "proxy {ordinal} is {name}");
-                    context.records.peer(ordinal, state, life);
+                    context.records.peer(ordinal, state, incarnation);
                 }
                 Output::Aggregator(Some(aggregator)) => {
                     log::debug!(target: LOG_TARGET, aggregator; "proxy {aggregator} aggregates the fleet's reports");
@@ -161,7 +161,7 @@
 
 impl Peers {
     /// Opens the socket, if this proxy exchanges datagrams with others. Fails if the address cannot be bound, unless
-    /// a predecessor may still hold it: in that case [`Self::retry`] binds it later.
+    /// a predecessor may still hold it: in that case [`Self::retry_start`] binds it later.
     pub fn start(context: &mut Context, predecessor: Predecessor) -> io::Result<Self> {
         let waits_for_address = predecessor == Predecessor::Serving;
         match Member::start(context) {
@@ -175,7 +175,7 @@
     }
 
     /// Retries to bind the address if another process held it.
-    pub fn retry(&mut self, context: &mut Context) {
+    pub fn retry_start(&mut self, context: &mut Context) {
         if self.waits_for_address
             && let Ok(member) = Member::start(context)
         {
@@ -193,9 +193,9 @@
     }
 
     /// Applies a new configuration, whose keys may have changed.
-    pub fn reload(&mut self, context: &mut Context, mut proxy: PeerInputs<'_>) -> Vec<Event> {
-        let keys = context.config.gossip.as_ref().map(|gossiping| gossiping.keys.clone());
-        keys.map_or_else(Vec::new, |keys| self.handle_inputs(context, &mut proxy, [Input::Keys(keys)]))
+    pub fn reload(&mut self, context: &mut Context, mut peer_inputs: PeerInputs<'_>) -> Vec<Event> {
+        let keys = context.config.gossip.as_ref().map(|gossip| gossip.keys.clone());
+        keys.map_or_else(Vec::new, |keys| self.handle_inputs(context, &mut peer_inputs, [Input::Keys(keys)]))
     }
 
     /// Metrics of the affinity subsets, or `None` if they are off.
@@ -219,8 +219,8 @@
     }
 
     /// Sends this proxy's reports. Called once a second.
-    pub fn tick(&mut self, context: &mut Context, mut proxy: PeerInputs<'_>) -> Vec<Event> {
-        let events = self.handle_inputs(context, &mut proxy, [Input::EverySecond]);
+    pub fn tick(&mut self, context: &mut Context, mut peer_inputs: PeerInputs<'_>) -> Vec<Event> {
+        let events = self.handle_inputs(context, &mut peer_inputs, [Input::EverySecond]);
         self.member.iter_mut().for_each(|member| member.log_dropped(context.now()));
         events
     }
@@ -229,38 +229,38 @@
     pub fn handle_datagrams(
         &mut self,
         context: &mut Context,
-        mut proxy: PeerInputs<'_>,
+        mut peer_inputs: PeerInputs<'_>,
         received: &[(SocketAddr, Vec<u8>)],
     ) -> Vec<Event> {
         let inputs = received.iter().map(|(from, bytes)| Input::Datagram { from: *from, bytes });
-        self.handle_inputs(context, &mut proxy, inputs)
+        self.handle_inputs(context, &mut peer_inputs, inputs)
     }
 
     /// Handles the wake-up timer, which may be outdated.
-    pub fn on_timer(&mut self, context: &mut Context, mut proxy: PeerInputs<'_>) -> Vec<Event> {
+    pub fn on_timer(&mut self, context: &mut Context, mut peer_inputs: PeerInputs<'_>) -> Vec<Event> {
         self.member.iter_mut().for_each(|member| member.wake_up_timer.fired());
-        self.handle_inputs(context, &mut proxy, [Input::Tick])
+        self.handle_inputs(context, &mut peer_inputs, [Input::Tick])
     }
 
     /// Tells the other proxies to stop counting this one. Called at shutdown after the clients have been migrated.
-    pub fn leave(&mut self, context: &mut Context, mut proxy: PeerInputs<'_>) {
-        self.handle_inputs(context, &mut proxy, [Input::Leave]);
+    pub fn leave(&mut self, context: &mut Context, mut peer_inputs: PeerInputs<'_>) {
+        self.handle_inputs(context, &mut peer_inputs, [Input::Leave]);
     }
 
     fn handle_inputs<'a>(
         &mut self,
         context: &mut Context,
-        proxy: &mut PeerInputs<'_>,
+        peer_inputs: &mut PeerInputs<'_>,
         inputs: impl IntoIterator<Item = Input<'a>>,
     ) -> Vec<Event> {
         let Some(member) = &mut self.member else { return Vec::new() };
-        inputs.into_iter().for_each(|input| member.handle(context, proxy, input));
-        member.carry_out(context)
+        inputs.into_iter().for_each(|input| member.handle(context, peer_inputs, input));
+        member.process_outputs(context)
     }
 }
 
 /// The settings of aggregation, if it is configured for a fleet of this size.
-fn fleet_settings(context: &Context) -> Option<Settings> {
+fn aggregation_settings(context: &Context) -> Option<Settings> {
     // The section was validated when it was read.
     let settings = context.config.operator.fleet.check().ok().flatten()?;
     (context.config.peer_addresses.peers.len() as u64 >= u64::from(settings.members_from)).then_some(settings)
--- a/crates/cottonnotch/src/net/driver/process.rs
+++ b/crates/cottonnotch/src/net/driver/process.rs
@@ -18,9 +18,9 @@
     /// successor.
     pub(super) fn poll_siblings(&mut self) {
         self.sync_maintenance();
-        self.context.requests = self.clients.in_progress();
+        self.context.requests_in_progress = self.clients.in_progress();
         let predecessor = self.lifecycle.find_predecessor(&mut self.context);
-        self.peers.retry(&mut self.context);
+        self.peers.retry_start(&mut self.context);
         if self.lifecycle.is_shutting_down() {
             self.hand_over_listener();
         } else if !self.acceptor.is_listening()
@@ -64,7 +64,7 @@
     }
 
     fn can_take_over(&self) -> bool {
-        let is_informed = self.endpoints.is_confirmed() && self.management.has_maintenance();
+        let is_informed = self.endpoints.has_discovery_list() && self.management.is_maintenance_loaded();
         self.endpoints.has_usable_endpoint() && self.lifecycle.can_take_over(self.context.now(), is_informed)
     }
 
@@ -80,7 +80,7 @@
             // The watch starts at once and from the last accepted revision, because the old address may already have
             // sent its last update. The end of the old watch is not a failure, so the module is told only about the
             // new watch.
-            let event = self.endpoints.watch(&mut self.context);
+            let event = self.endpoints.start_watch(&mut self.context);
             self.handle_event(event);
         }
     }
@@ -96,7 +96,7 @@
 
     /// Migrates the next share of the clients. The last round ends all remaining requests.
     pub(super) fn drain_round(&mut self) {
-        let round = self.lifecycle.next_round(&mut self.context, self.clients.requests());
+        let round = self.lifecycle.next_drain_round(&mut self.context, self.clients.requests());
         let Some(DrainRound { migrating, is_last }) = round else { return };
         for request in migrating {
             let (context, latency, endpoints) = (&mut self.context, &mut self.latency, &self.endpoints);
--- a/crates/cottonnotch/src/net/driver/records.rs
+++ b/crates/cottonnotch/src/net/driver/records.rs
@@ -73,7 +73,9 @@
             endpoint: endpoint(),
             state: match health {
                 ServerHealth::Up => schema::EndpointState::Up,
-                ServerHealth::Paused { until } => schema::EndpointState::Paused { until_us: micros(until) },
+                ServerHealth::Paused { until } => {
+                    schema::EndpointState::Paused { until_us: to_micros(until) }
+                }
                 ServerHealth::Trial => schema::EndpointState::Trial,
                 ServerHealth::Draining => schema::EndpointState::Draining,
                 ServerHealth::Unlisted => schema::EndpointState::Removed,
@@ -90,7 +92,7 @@
                 wire_id: schema::Hex(wire_id),
                 class: name(&self.classes, request.class.0).unwrap_or_else(|| "-".into()),
                 tenant: request.tenant.and_then(|tenant| name(&self.tenants, tenant.0)),
-                deadline_ms: request.left.map(millis),
+                deadline_ms: request.left.map(to_millis),
                 group: request.group.map(schema::Hex),
                 is_retry: request.again,
             }
@@ -110,30 +112,41 @@
             request,
             attempt,
             endpoint: endpoint(),
-            timeout_ms: millis(timeout),
+            timeout_ms: to_millis(timeout),
             applied_rules: basis().map(applied_rules),
         });
     }
 
-    /// Records that an attempt ended without a connection; `took` is its duration.
-    pub fn attempt_ended(&self, RequestId(request): RequestId, attempt: u32, outcome: Outcome, took: Micros) {
+    /// Records that an attempt ended without a connection; `elapsed` is its duration.
+    pub fn attempt_ended(
+        &self,
+        RequestId(request): RequestId,
+        attempt: u32,
+        outcome: Outcome,
+        elapsed: Micros,
+    ) {
         self.recorder.record_with(|| Event::AttemptEnded {
             request,
             attempt,
-            outcome: outcome_of(outcome),
-            took_us: micros(took),
+            outcome: to_schema_outcome(outcome),
+            took_us: to_micros(elapsed),
         });
     }
 
     /// Records that an attempt was answered with `UP`, which is the final answer.
-    pub fn established(&mut self, tracked: &TrackedRequest, endpoint: impl FnOnce() -> Name, took: Micros) {
+    pub fn established(
+        &mut self,
+        tracked: &TrackedRequest,
+        endpoint: impl FnOnce() -> Name,
+        elapsed: Micros,
+    ) {
         self.metrics.served(tracked.class);
         let (request, attempt) = (tracked.id.0, tracked.latest_attempt_number());
         self.recorder.record_with(|| Event::Up {
             request,
             attempt,
             endpoint: endpoint(),
-            took_us: micros(took),
+            took_us: to_micros(elapsed),
         });
         self.recorder.record_with(|| Event::Answer { request, answer: Answer::Up });
     }
@@ -148,7 +161,7 @@
         self.metrics.rejected(tracked.class);
         let request = tracked.id.0;
         let answer = || Answer::Rejected {
-            retry_after_ms: millis(retry_after),
+            retry_after_ms: to_millis(retry_after),
             applied_rules: basis().map(applied_rules),
         };
         self.recorder.record_with(|| Event::Answer { request, answer: answer() });
@@ -198,7 +211,7 @@
 
     /// Records that an established connection ended.
     pub fn ended(&self, RequestId(request): RequestId, outcome: Outcome) {
-        self.recorder.record_with(|| Event::Ended { request, outcome: outcome_of(outcome) });
+        self.recorder.record_with(|| Event::Ended { request, outcome: to_schema_outcome(outcome) });
     }
 
     /// Records that a client left before it was answered.
@@ -263,16 +276,16 @@
     Box::new(AppliedRules { version, rules, version_uncertain })
 }
 
-fn micros(time: Micros) -> u64 {
+fn to_micros(time: Micros) -> u64 {
     time.try_into().unwrap_or(0)
 }
 
 /// Converts to milliseconds as on the wire: rounded up, so that only a time of zero (or below) becomes 0.
-fn millis(time: Micros) -> u32 {
-    micros(time).div_ceil(1000).try_into().unwrap_or(u32::MAX)
+fn to_millis(time: Micros) -> u32 {
+    to_micros(time).div_ceil(1000).try_into().unwrap_or(u32::MAX)
 }
 
-fn outcome_of(outcome: Outcome) -> schema::Outcome {
+fn to_schema_outcome(outcome: Outcome) -> schema::Outcome {
     match outcome {
         Outcome::Served => schema::Outcome::Served,
         Outcome::Error => schema::Outcome::Error,
--- a/crates/cottonnotch/src/net/driver/request_table.rs
+++ b/crates/cottonnotch/src/net/driver/request_table.rs
@@ -74,7 +74,7 @@
 
 impl RequestTable {
     /// Returns an id that no earlier request had.
-    pub fn new_id(&mut self) -> RequestId {
+    pub fn next_id(&mut self) -> RequestId {
         self.last_id += 1;
         RequestId(self.last_id)
     }
@@ -120,9 +120,9 @@
     }
 
     /// The requests with an attempt in flight, and the attempts' endpoints.
-    pub fn attempted(&self) -> impl Iterator<Item = (Key, ServerId)> {
-        let in_flight = self.by_key.iter().filter(|(_, tracked)| tracked.attempt_began.is_some());
-        in_flight.filter_map(|(key, tracked)| Some((*key, tracked.latest_attempt?.0)))
+    pub fn in_flight(&self) -> impl Iterator<Item = (Key, ServerId)> {
+        let with_attempt = self.by_key.iter().filter(|(_, tracked)| tracked.attempt_began.is_some());
+        with_attempt.filter_map(|(key, tracked)| Some((*key, tracked.latest_attempt?.0)))
     }
 
     /// The requests that were open before this process started and are not established again yet.
--- a/crates/cottonnotch/src/net/driver/startup.rs
+++ b/crates/cottonnotch/src/net/driver/startup.rs
@@ -9,7 +9,7 @@
 use super::endpoints::{Endpoints, UpdateSource};
 use super::lifecycle::{Lifecycle, Predecessor, ReadConfig};
 use super::log_target::LOG_TARGET;
-use super::management::{Management, shared_file};
+use super::management::{Management, shared_file_path};
 use super::message_latency::MessageLatency;
 use super::peers::Peers;
 use super::records::Records;
@@ -61,7 +61,7 @@
         };
         // Must precede the first list: no request may go to an endpoint in maintenance.
         driver.sync_maintenance();
-        driver.apply_endpoint_update(initial_endpoints, UpdateSource::Remembered);
+        driver.apply_endpoint_update(initial_endpoints, UpdateSource::Configuration);
         match predecessor {
             Predecessor::Serving => {
                 log::info!(target: LOG_TARGET, "an earlier process serves, clients are accepted once the list is there")
@@ -90,7 +90,7 @@
 fn create_context(reactor: Reactor<dyn Object>, config: Config, recorder: Recorder) -> Context {
     let records = Records::new(recorder, &config.profile);
     let audit = Audit::new(config.profile.settings.clone());
-    let clock_file = ClockFile::at(shared_file(config.listen, "clock"), reactor.io.now());
+    let clock_file = ClockFile::new(shared_file_path(config.listen, "clock"), reactor.io.now());
     let wall_clock = clock_file.load(reactor.io.now(), Clock::wall_now());
     Context {
         reactor,
@@ -101,7 +101,7 @@
         clock_file,
         rules: None,
         sibling_descriptors: 0,
-        requests: 0,
+        requests_in_progress: 0,
     }
 }
 
--- a/crates/cottonnotch/src/net/driver/transient_errors.rs
+++ b/crates/cottonnotch/src/net/driver/transient_errors.rs
@@ -6,16 +6,16 @@
 use std::time::Duration;
 
 /// Delay between two tries.
-const RETRY_AFTER: Duration = Duration::from_millis(20);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Number of tries before the error is final. They take 2 s of the 6 s within which a process has to be ready.
 const MAX_TRIES: u32 = 100;
 /// The errors that may disappear on their own.
-const TRANSIENT: [Errno; 6] =
+const TRANSIENT_ERRORS: [Errno; 6] =
     [Errno::NOMEM, Errno::NOBUFS, Errno::NFILE, Errno::MFILE, Errno::INTR, Errno::AGAIN];
 
 /// Whether the same call may succeed a moment later.
 fn is_transient(error: &io::Error) -> bool {
-    Errno::from_io_error(error).is_some_and(|error| TRANSIENT.contains(&error))
+    Errno::from_io_error(error).is_some_and(|error| TRANSIENT_ERRORS.contains(&error))
 }
 
 /// Repeats the call until it succeeds, fails with an error that is not transient, or has failed `MAX_TRIES` times.
@@ -25,7 +25,7 @@
         match call() {
             Err(error) if is_transient(&error) => {
                 log::warn!(target: LOG_TARGET, error:%; "cannot {operation} yet: {error}");
-                std::thread::sleep(RETRY_AFTER);
+                std::thread::sleep(RETRY_DELAY);
             }
             other => return other,
         }
--- a/crates/cottonnotch/src/net/driver/unregistered_clients.rs
+++ b/crates/cottonnotch/src/net/driver/unregistered_clients.rs
@@ -9,10 +9,10 @@
 use std::net::Shutdown;
 
 /// How long registration is retried. Clients wait for an answer at least a second longer than this.
-const RETRY_FOR: Micros = 500_000;
+const REGISTRATION_TIMEOUT: Micros = 500_000;
 /// Time that a client has to read its answer before the socket is closed. Closing a socket with unread input resets
 /// the connection and would discard the answer.
-const LINGER: Micros = 1_000_000;
+const LINGER_TIMEOUT: Micros = 1_000_000;
 /// Maximum number of waiting clients. A client in excess of it causes the oldest one to be rejected at once.
 const MAX_WAITING: usize = 256;
 
@@ -60,23 +60,23 @@
 
     /// Rejects clients that have waited too long or exceed `MAX_WAITING`, and closes answered clients that have
     /// read their answer. Returns the number of clients that were rejected.
-    pub fn give_up(&mut self, now: Micros) -> usize {
-        let mut given_up = 0;
+    pub fn reject_expired(&mut self, now: Micros) -> usize {
+        let mut rejected = 0;
         while let Some(first) = self.waiting.front()
-            && (now - first.since >= RETRY_FOR || self.waiting.len() > MAX_WAITING)
+            && (now - first.since >= REGISTRATION_TIMEOUT || self.waiting.len() > MAX_WAITING)
             && let Some(client) = self.waiting.pop_front()
         {
-            given_up += 1;
-            self.answered.extend(client.answer(now));
+            rejected += 1;
+            self.answered.extend(client.reject(now));
         }
-        self.answered.retain_mut(|client| now - client.since < LINGER && client.is_reading());
-        given_up
+        self.answered.retain_mut(|client| now - client.since < LINGER_TIMEOUT && client.discard_input());
+        rejected
     }
 
     /// Rejects all waiting clients when the process ends. Returns their number.
-    pub fn answer_all(&mut self, now: Micros) -> usize {
+    pub fn reject_all(&mut self, now: Micros) -> usize {
         let count = self.waiting.len();
-        let answered = self.waiting.drain(..).filter_map(|client| client.answer(now));
+        let answered = self.waiting.drain(..).filter_map(|client| client.reject(now));
         self.answered.extend(answered);
         count
     }
@@ -84,7 +84,7 @@
 
 impl UnregisteredClient {
     /// Tells the client to retry later. Returns `None` if the client is gone.
-    fn answer(mut self, now: Micros) -> Option<UnregisteredClient> {
+    fn reject(mut self, now: Micros) -> Option<UnregisteredClient> {
         // The socket is new and its send buffer empty, so the short line fits.
         let sent = self.stream.write_all(busy_line(FULL_RETRY_AFTER).as_bytes());
         sent.and_then(|()| self.stream.shutdown(Shutdown::Write)).ok()?;
@@ -93,7 +93,7 @@
     }
 
     /// Discards received input. Returns false once the client has closed the connection.
-    fn is_reading(&mut self) -> bool {
+    fn discard_input(&mut self) -> bool {
         let mut bytes = [0; 4096];
         loop {
             match self.stream.read(&mut bytes) {
