--- a/crates/cottonnotch/src/net/driver/acceptor.rs
+++ b/crates/cottonnotch/src/net/driver/acceptor.rs
@@ -20,8 +20,8 @@
 /// Descriptors reserved for purposes other than requests: the listener, the watch, the poll, standard streams,
 /// signals, and clients that are rejected for lack of capacity.
 const RESERVED_SOCKETS: usize = 32;
-/// The fraction `1 / ATTEMPT_RESERVE_DIVISOR` of the descriptors is kept from clients that have not sent a
-/// request.
+/// One part in `ATTEMPT_RESERVE_DIVISOR` of the descriptors is reserved for connections to endpoints and not given to
+/// new clients.
 const ATTEMPT_RESERVE_DIVISOR: usize = 4;
 /// New clients are admitted in spite of that reserve while fewer connections than this are open without a request.
 /// The count includes the proxy's own few reactor objects.
@@ -258,8 +258,8 @@
     }
 }
 
-/// Whether a descriptor is free for this purpose. A share of the descriptors is kept from clients for the connections
-/// to endpoints. If requests use that share up, a few clients are still admitted so that they can be rejected.
+/// Whether a descriptor is free for this use. A share of the descriptors is reserved for connections to endpoints. If
+/// requests use that share up, a few clients are still admitted so that they can be rejected.
 fn has_free_descriptor(
     context: &Context,
     requests: usize,
--- a/crates/cottonnotch/src/net/driver/clock_file.rs
+++ b/crates/cottonnotch/src/net/driver/clock_file.rs
@@ -1,4 +1,4 @@
-//! Stores the steps of the wall clock that a process has observed for the next process at the same address. A process
+//! Stores the wall-clock steps that a process has observed, for the next process at the same address. A process
 //! cannot detect a step that happened before it started; without the file, a render node that started just before a
 //! step of an hour would be treated as an hour old.
 //!
@@ -73,9 +73,9 @@
         Some(ClockOffset { offset: offset - self.loop_offset, from, seen: seen + self.loop_offset })
     }
 
-    /// Stores the offsets of the wall clock that are known now.
+    /// Stores the known offsets of the wall clock.
     ///
-    /// Returns the system's error if that fails; the previous file stays in place then.
+    /// Returns the system's error if that fails; the previous file then stays in place.
     pub fn save(&self, clock: &WallClock) -> io::Result<()> {
         let Some(path) = self.path.as_deref() else { return Ok(()) };
         let mut body = format!("{FORMAT}\n{}", self.boot_id);
--- a/crates/cottonnotch/src/net/driver/endpoint.rs
+++ b/crates/cottonnotch/src/net/driver/endpoint.rs
@@ -7,7 +7,7 @@
 use cottonnotch_records::Name;
 use std::net::SocketAddr;
 
-/// A render node and what is known of it.
+/// The driver's state of a render node.
 #[derive(Debug)]
 pub struct Endpoint {
     /// The node's id in discovery's lists.
@@ -29,6 +29,7 @@
     pub health: ServerHealth,
     /// When the node's process started, in Unix time as listed by discovery.
     started_unix: Option<Micros>,
+    /// The cell: a small group of nodes that share which idempotency keys they have seen.
     cell: u32,
 }
 
--- a/crates/cottonnotch/src/net/driver/maintenance_file.rs
+++ b/crates/cottonnotch/src/net/driver/maintenance_file.rs
@@ -9,7 +9,7 @@
 use std::time::SystemTime;
 
 /// How often the file is polled. An override set at one process takes effect at the other within this time, well
-/// below the one second that a request has.
+/// within the one second that a request has to be answered.
 pub const POLL_INTERVAL: Micros = 100_000;
 
 /// Identifies a version of the file by its modification time and inode, without reading it.
--- a/crates/cottonnotch/src/net/driver/unregistered_clients.rs
+++ b/crates/cottonnotch/src/net/driver/unregistered_clients.rs
@@ -20,6 +20,7 @@
 #[derive(Debug)]
 struct UnregisteredClient {
     stream: TcpStream,
+    /// When the client was accepted, or when it was answered if it has been.
     since: Micros,
 }
 
