--- a/crates/cottonnotch/src/net/driver/decisions.rs
+++ b/crates/cottonnotch/src/net/driver/decisions.rs
@@ -8,20 +8,20 @@
 impl Driver {
     /// Hands events to the decision module, in order.
     pub(super) fn handle_events(&mut self, events: Vec<Event>) {
-        self.pending.extend(events);
-        self.process_pending();
+        self.pending_events.extend(events);
+        self.process_pending_events();
     }
 
     /// Hands an event, if there is one, to the decision module.
     pub(super) fn handle_event(&mut self, event: Option<Event>) {
-        self.pending.extend(event);
-        self.process_pending();
+        self.pending_events.extend(event);
+        self.process_pending_events();
     }
 
     /// Hands the pending events to the decision module, including those that its own actions cause.
-    pub(super) fn process_pending(&mut self) {
+    pub(super) fn process_pending_events(&mut self) {
         let mut actions = Vec::new();
-        while let Some(event) = self.pending.pop_front() {
+        while let Some(event) = self.pending_events.pop_front() {
             let now = self.context.now();
             log::debug!(target: LOG_TARGET, "event {event:?}");
             self.peers.observe_event(now, &event);
@@ -83,7 +83,7 @@
                 None
             }
         };
-        self.pending.extend(event);
+        self.pending_events.extend(event);
     }
 
     fn log_notification(&mut self, now: Micros, notification: Notification, server: Option<ServerId>) {
--- a/crates/cottonnotch/src/net/driver/mod.rs
+++ b/crates/cottonnotch/src/net/driver/mod.rs
@@ -57,7 +57,7 @@
 pub struct Driver {
     context: Context,
     balancer: Balancer,
-    pending: VecDeque<Event>,
+    pending_events: VecDeque<Event>,
     acceptor: Acceptor,
     clients: Clients,
     latency: MessageLatency,
--- a/crates/cottonnotch/src/net/driver/process.rs
+++ b/crates/cottonnotch/src/net/driver/process.rs
@@ -101,9 +101,9 @@
         for request in migrating {
             let (context, latency, endpoints) = (&mut self.context, &mut self.latency, &self.endpoints);
             let ended = self.clients.migrate(context, latency, endpoints, request, MoveReason::ProxyShutdown);
-            self.pending.extend(ended);
+            self.pending_events.extend(ended);
         }
-        self.process_pending();
+        self.process_pending_events();
         if is_last {
             self.end_remaining();
         }
--- a/crates/cottonnotch/src/net/driver/startup.rs
+++ b/crates/cottonnotch/src/net/driver/startup.rs
@@ -51,7 +51,7 @@
             management: retry_transient("open the operators' address", || Management::start(&mut context))?,
             context,
             balancer,
-            pending: VecDeque::new(),
+            pending_events: VecDeque::new(),
             acceptor: Acceptor::default(),
             clients: Clients::default(),
             endpoints: Endpoints::default(),
