--- a/crates/cottonnotch/src/net/driver/endpoint.rs
+++ b/crates/cottonnotch/src/net/driver/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint: a render node, as discovery lists it and the decision module rates it.
+//! One endpoint: a render node as listed by discovery and rated by the decision module.
 
 use crate::maintenance::Maintenance;
 use cottonnotch_decision::names::digest;
@@ -7,41 +7,43 @@
 use cottonnotch_records::Name;
 use std::net::SocketAddr;
 
-/// A render node.
+/// The driver's state of a render node.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// Its id in discovery's lists.
+    /// The node's id in discovery's lists.
     pub name: Name,
-    /// As discovery lists it.
+    /// The state in which discovery lists the node.
     pub state: ServerState,
-    /// Where it listens, if that was ever listed.
+    /// The address at which the node listens, if one was ever listed.
     pub address: Option<SocketAddr>,
-    /// When its process started, by the loop's clock: worked out when discovery first listed it.
+    /// When the node's process started, by the event loop's clock. Converted from Unix time once, when discovery
+    /// first listed the start.
     pub started: Option<Micros>,
-    /// Its hall.
+    /// The hall that the node is in.
     pub zone: ZoneId,
-    /// Its hardware class, as discovery names it.
-    pub flavor: Box<str>,
-    /// Its size beside other endpoints'.
+    /// The node's hardware class, as discovery names it.
+    pub hardware_class: Box<str>,
+    /// The node's capacity relative to other endpoints.
     pub weight: f64,
-    /// How the decision module last rated it.
+    /// The decision module's latest rating.
     pub health: ServerHealth,
-    /// When its process started, as discovery lists it in Unix time.
-    up_since: Option<Micros>,
+    /// When the node's process started, in Unix time as listed by discovery.
+    started_unix: Option<Micros>,
+    /// The cell: a small group of nodes that share which idempotency keys they have seen.
     cell: u32,
 }
 
-/// Whether a list shows another process behind an endpoint than before.
+/// Whether an update shows a different process behind an endpoint than before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Incarnation {
-    /// The same process, as far as its start tells.
+    /// The listed start time is unchanged, so the process is taken to be the same.
     Same,
-    /// A new process.
+    /// The listed start time differs: a new process.
     New,
 }
 
 impl Endpoint {
-    /// An endpoint that is not listed yet.
+    /// Creates an endpoint that is not listed yet.
     pub fn new(name: Name) -> Self {
         Endpoint {
             name,
@@ -49,15 +51,15 @@
             address: None,
             started: None,
             zone: ZoneId::default(),
-            flavor: Box::default(),
+            hardware_class: Box::default(),
             weight: 1.0,
             health: ServerHealth::default(),
-            up_since: None,
+            started_unix: None,
             cell: 0,
         }
     }
 
-    /// Takes over what discovery lists; `to_loop_time` converts a start from Unix time.
+    /// Applies an entry of discovery's list; `to_loop_time` converts Unix time to the event loop's clock.
     pub fn apply(
         &mut self,
         listed: EndpointEntry,
@@ -66,23 +68,23 @@
     ) -> Incarnation {
         (self.state, self.zone) = (listed.state, zone);
         (self.cell, self.weight) = (listed.cell, listed.weight);
-        if *self.flavor != *listed.flavor {
-            self.flavor = listed.flavor.into();
+        if *self.hardware_class != *listed.flavor {
+            self.hardware_class = listed.flavor.into();
         }
         self.address = listed.address.or(self.address);
-        if std::mem::replace(&mut self.up_since, listed.up_since) == listed.up_since {
+        if std::mem::replace(&mut self.started_unix, listed.up_since) == listed.up_since {
             return Incarnation::Same;
         }
         self.started = listed.up_since.map(to_loop_time);
         Incarnation::New
     }
 
-    /// It is in discovery's list.
+    /// Whether discovery lists the endpoint.
     pub fn is_listed(&self) -> bool {
         self.state != ServerState::Removed
     }
 
-    /// Its entry for the decision module: as listed, under the operators' overrides.
+    /// The endpoint's entry for the decision module: the listed state with the operators' overrides applied.
     pub fn entry(&self, server: ServerId, overrides: &Maintenance) -> Entry {
         let (state, started) = overrides.apply(&self.name, self.state, self.started);
         let (digest, zone, cell, weight) = (digest(&self.name), self.zone, self.cell, self.weight);
--- a/crates/cottonnotch/src/net/driver/endpoints.rs
+++ b/crates/cottonnotch/src/net/driver/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints: the render nodes that discovery has listed, the watch on discovery, and the operators' overrides.
+//! The endpoints: the render nodes listed by discovery, the watch on discovery, and the operators' overrides.
 
 use super::context::Context;
 use super::endpoint::{Endpoint, Incarnation};
@@ -16,38 +16,40 @@
 use cottonnotch_records::Name;
 use std::net::SocketAddr;
 
-/// Where an endpoint update comes from.
+/// The origin of an endpoint update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateSource {
-    /// The list that came with the configuration, possibly outdated.
-    Remembered,
-    /// Discovery.
+    /// The list that came with the configuration and may be outdated.
+    Configuration,
+    /// Discovery's own list.
     Discovery,
 }
 
 /// All endpoints that were ever listed.
 #[derive(Debug, Default)]
 pub struct Endpoints {
-    /// Their ids: the numbers are the decision module's servers, and are never given anew.
+    /// The endpoints' ids. Their numbers are the decision module's server ids and are never reused.
     names: Names,
-    known: Vec<Endpoint>,
+    endpoints: Vec<Endpoint>,
     watch: Option<Key>,
     revision: u64,
-    /// The operators' overrides as they are stored: in Unix time.
+    /// The operators' overrides as stored, in Unix time.
     manual_overrides: Maintenance,
-    /// The same by the loop's clock, converted when each override was first known.
+    /// The same overrides by the event loop's clock, converted when each override first became known.
     effective_overrides: Maintenance,
-    /// Discovery has sent a list; before, there is what the configuration remembers.
-    is_confirmed: bool,
+    /// Whether discovery has sent a list. Before that, the list from the configuration is used.
+    has_discovery_list: bool,
     watch_loss_log: RateLimitedLog,
 }
 
 impl Endpoints {
     // ---- updates ----
 
-    /// Applies an update; the event for the decision module. Revisions count up. A complete list with a lower one is
-    /// accepted all the same: discovery was restored from an older state, and what it lists now counts. Changes with a
-    /// lower one say nothing of what was changed since: they are rejected, and the complete list is requested.
+    /// Applies an update and returns the event for the decision module.
+    ///
+    /// Revisions normally increase. A complete list with a lower revision is accepted: discovery was restored from an
+    /// older state, and its current list applies. Changes with a lower revision are rejected and the complete list is
+    /// requested, because such changes do not tell what else differs.
     pub fn apply_update(
         &mut self,
         context: &mut Context,
@@ -56,7 +58,8 @@
         source: UpdateSource,
     ) -> Event {
         let EndpointUpdate { revision, complete, endpoints } = update;
-        // Before starts are converted: the wall clock may have been stepped since the last second.
+        // Must precede the conversion of start times: the wall clock may have been stepped since its last sample, up
+        // to a second ago.
         context.observe_wall_clock();
         if revision < self.revision {
             if !complete {
@@ -65,18 +68,18 @@
             self.accept_older_list(context, revision);
         }
         self.revision = revision;
-        self.is_confirmed |= source == UpdateSource::Discovery;
+        self.has_discovery_list |= source == UpdateSource::Discovery;
         if complete {
-            self.known.iter_mut().for_each(|endpoint| endpoint.state = ServerState::Removed);
+            self.endpoints.iter_mut().for_each(|endpoint| endpoint.state = ServerState::Removed);
         }
         let now = context.now();
         let listed = endpoints.into_iter();
         let entries: Vec<Entry> =
             listed.map(|listed| self.apply_entry(context, latency, now, listed)).collect();
-        self.record(context, complete, &entries);
+        self.record_update(context, complete, &entries);
         self.update_rules(context, complete, &entries);
         self.log_update(complete, &entries);
-        Event::List { full: complete, copy: source == UpdateSource::Remembered, entries }
+        Event::List { full: complete, copy: source == UpdateSource::Configuration, entries }
     }
 
     fn reject_older_changes(&mut self, context: &mut Context, revision: u64) -> Event {
@@ -109,16 +112,16 @@
         now: Micros,
         listed: EndpointEntry,
     ) -> Entry {
-        // Numbers are never given anew: an endpoint that restarts or moves keeps its number.
+        // Numbers are never reused: an endpoint that restarts or moves keeps its number.
         let number = self.names.intern(&listed.id);
-        if self.known.len() <= number as usize {
-            // Numbers are given in order, so the new one's place is the next.
-            self.known.push(Endpoint::new(listed.id.as_str().into()));
+        if self.endpoints.len() <= number as usize {
+            // Numbers are assigned in order, so a new number is always the next index.
+            self.endpoints.push(Endpoint::new(listed.id.as_str().into()));
         }
         let server = ServerId(number);
         let weight = listed.weight;
         let zone = ZoneId(context.config.profile.zones.intern(&listed.zone) as u16);
-        let endpoint = &mut self.known[number as usize];
+        let endpoint = &mut self.endpoints[number as usize];
         let incarnation = endpoint.apply(listed, zone, |unix| context.wall_clock.to_monotonic(now, unix));
         latency.update_endpoint(server, weight, incarnation);
         endpoint.entry(server, &self.effective_overrides)
@@ -136,26 +139,26 @@
         }
     }
 
-    /// Gives the rules what they have to know of these: halls and hardware classes, and which may be used.
+    /// Passes the entries to the rules: the nodes' halls and hardware classes, and which nodes may be used.
     fn update_rules(&self, context: &Context, full: bool, entries: &[Entry]) {
         let Some(rules) = &context.rules else { return };
         let profile = &context.config.profile;
         let kind_of = |server: ServerId| {
-            let endpoint = self.known_at(server);
-            let (zone, flavor) =
-                endpoint.map_or((ZoneId::default(), ""), |endpoint| (endpoint.zone, &*endpoint.flavor));
-            NodeKind { hall: profile.zones.name(u32::from(zone.0)).into(), hardware: flavor.into() }
+            let endpoint = self.get(server);
+            let (zone, hardware_class) = endpoint
+                .map_or((ZoneId::default(), ""), |endpoint| (endpoint.zone, &*endpoint.hardware_class));
+            NodeKind { hall: profile.zones.name(u32::from(zone.0)).into(), hardware: hardware_class.into() }
         };
         rules.update_endpoints(profile, self.revision, full, entries, kind_of);
     }
 
-    fn known_at(&self, server: ServerId) -> Option<&Endpoint> {
-        self.known.get(server.0 as usize)
+    fn get(&self, server: ServerId) -> Option<&Endpoint> {
+        self.endpoints.get(server.0 as usize)
     }
 
-    fn record(&self, context: &Context, full: bool, entries: &[Entry]) {
+    fn record_update(&self, context: &Context, full: bool, entries: &[Entry]) {
         let named = entries.iter().map(|entry| {
-            let endpoint = &self.known[entry.server.0 as usize];
+            let endpoint = &self.endpoints[entry.server.0 as usize];
             (entry, Name::clone(&endpoint.name), endpoint.address)
         });
         context.records.endpoint_list(self.revision, full, named);
@@ -168,13 +171,14 @@
         &self.manual_overrides
     }
 
-    /// A render node of this id is listed now, or an override of it is remembered.
+    /// Whether a render node with this id is listed now or has a stored override.
     pub fn is_known(&self, id: &str) -> bool {
-        let listed = self.names.find(id).and_then(|number| self.known.get(number as usize));
+        let listed = self.names.find(id).and_then(|number| self.endpoints.get(number as usize));
         listed.is_some_and(Endpoint::is_listed) || self.manual_overrides.contains(id)
     }
 
-    /// Replaces the overrides; these ids are concerned. An event, if any of them was ever listed.
+    /// Replaces the overrides; `ids` are the nodes whose override changed. Returns an event if any of those nodes was
+    /// ever listed.
     pub fn set_overrides(
         &mut self,
         context: &mut Context,
@@ -193,22 +197,22 @@
             let change = if is_out { "taken out" } else { "put back" };
             log::info!(target: LOG_TARGET, endpoint = id.as_str(); "endpoint {id} {change} by hand");
             let Some(number) = self.names.find(id) else { continue };
-            let Some(endpoint) = self.known.get(number as usize) else { continue };
+            let Some(endpoint) = self.endpoints.get(number as usize) else { continue };
             let server = ServerId(number);
-            // What was seen of it before says nothing of the process that comes back.
+            // Earlier measurements do not apply to the process that comes back after maintenance.
             let incarnation = if is_out { Incarnation::Same } else { Incarnation::New };
             latency.update_endpoint(server, endpoint.weight, incarnation);
             entries.push(endpoint.entry(server, &self.effective_overrides));
         }
-        self.record(context, false, &entries);
+        self.record_update(context, false, &entries);
         self.update_rules(context, false, &entries);
         (!entries.is_empty()).then_some(Event::ManualOverride { entries })
     }
 
     // ---- the watch on discovery ----
 
-    /// Begins a watch from the last revision accepted, in place of the old one. An event if that fails.
-    pub fn watch(&mut self, context: &mut Context) -> Option<Event> {
+    /// Starts a watch from the last accepted revision and closes the old watch. Returns an event if that fails.
+    pub fn start_watch(&mut self, context: &mut Context) -> Option<Event> {
         if let Some(old) = self.watch.take() {
             context.reactor.remove(old);
         }
@@ -226,7 +230,7 @@
         }
     }
 
-    /// A watch is lost; an event if it was the current one.
+    /// Handles the loss of a watch. Returns an event if the watch was the current one.
     pub fn handle_watch_lost(
         &mut self,
         context: &mut Context,
@@ -234,7 +238,7 @@
         loss: WatchLoss,
         reason: &str,
     ) -> Option<Event> {
-        if !self.is_watch(watch) {
+        if !self.is_current_watch(watch) {
             return None;
         }
         let (discovery, revision) = (context.config.discovery, self.revision);
@@ -252,76 +256,77 @@
         })
     }
 
-    /// It is the current watch: what another one reports is outdated.
-    pub fn is_watch(&self, watch: Key) -> bool {
+    /// Whether this is the current watch. Reports of any other watch are outdated.
+    pub fn is_current_watch(&self, watch: Key) -> bool {
         self.watch == Some(watch)
     }
 
-    // ---- questions ----
+    // ---- queries ----
 
-    /// The last revision accepted.
+    /// The last accepted revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Its id in discovery's lists.
+    /// The endpoint's id in discovery's lists.
     pub fn name(&self, server: ServerId) -> &str {
         self.names.name(server.0)
     }
 
-    /// Its id, shared.
+    /// The endpoint's id as a shared string.
     pub fn shared_name(&self, server: ServerId) -> Name {
-        self.known_at(server).map_or_else(|| "-".into(), |endpoint| Name::clone(&endpoint.name))
+        self.get(server).map_or_else(|| "-".into(), |endpoint| Name::clone(&endpoint.name))
     }
 
-    /// The decision module rates it so from now on.
+    /// Stores the decision module's new rating of an endpoint.
     pub fn set_health(&mut self, server: ServerId, health: ServerHealth) {
-        self.known.get_mut(server.0 as usize).into_iter().for_each(|endpoint| endpoint.health = health);
+        self.endpoints.get_mut(server.0 as usize).into_iter().for_each(|endpoint| endpoint.health = health);
     }
 
-    /// Discovery has sent a list.
-    pub fn is_confirmed(&self) -> bool {
-        self.is_confirmed
+    /// Whether discovery has sent a list.
+    pub fn has_discovery_list(&self) -> bool {
+        self.has_discovery_list
     }
 
-    /// Some endpoint may get new requests, as far as lists tell.
+    /// Whether the lists and the operators allow new requests to at least one endpoint.
     pub fn has_usable_endpoint(&self) -> bool {
-        self.known.iter().any(|endpoint| {
+        self.endpoints.iter().any(|endpoint| {
             endpoint.state == ServerState::Ready && !self.manual_overrides.is_out(&endpoint.name)
         })
     }
 
-    /// How many are listed, and how many of these get nothing new now though discovery says that they may.
+    /// The number of listed endpoints, and how many of them receive no new requests because they are paused or taken
+    /// out by an operator.
     pub fn gauges(&self, now: Micros) -> (usize, usize) {
         let paused =
             |endpoint: &Endpoint| matches!(endpoint.health, ServerHealth::Paused { until } if until > now);
         let skipped = |endpoint: &&Endpoint| paused(endpoint) || self.manual_overrides.is_out(&endpoint.name);
-        let listed = || self.known.iter().filter(|endpoint| endpoint.is_listed());
+        let listed = || self.endpoints.iter().filter(|endpoint| endpoint.is_listed());
         (listed().count(), listed().filter(skipped).count())
     }
 
-    /// It may get new requests, as far as the list and the operators tell.
+    /// Whether the list and the operators allow new requests to this endpoint.
     pub fn is_ready(&self, server: ServerId) -> bool {
-        self.known_at(server).is_some_and(|endpoint| {
+        self.get(server).is_some_and(|endpoint| {
             endpoint.entry(server, &self.effective_overrides).state == ServerState::Ready
         })
     }
 
-    /// The list, or the operators, say that it drains.
+    /// Whether the list or the operators mark this endpoint as draining.
     pub fn is_draining(&self, server: ServerId) -> bool {
-        self.known_at(server).is_some_and(|endpoint| {
+        self.get(server).is_some_and(|endpoint| {
             endpoint.entry(server, &self.effective_overrides).state == ServerState::Draining
         })
     }
 
-    /// The endpoint of this id, if it was ever listed.
+    /// The endpoint with this id, if it was ever listed.
     pub fn find(&self, name: &str) -> Option<ServerId> {
         self.names.find(name).map(ServerId)
     }
 
-    /// Where it listens, if that is known.
+    /// The address at which the endpoint listens, if known.
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
-        self.known_at(server).and_then(|endpoint| endpoint.address)
+        self.get(server).and_then(|endpoint| endpoint.address)
     }
 }
 
@@ -335,6 +340,6 @@
     }
 
     fn started(&self, server: ServerId) -> Option<Micros> {
-        self.known_at(server).and_then(|endpoint| endpoint.started)
+        self.get(server).and_then(|endpoint| endpoint.started)
     }
 }
--- a/crates/cottonnotch/src/net/driver/startup.rs
+++ b/crates/cottonnotch/src/net/driver/startup.rs
@@ -1,4 +1,4 @@
-//! Starting the driver: the sockets, the files, and the parts in their order.
+//! Starts the driver: opens the sockets and files, and creates the parts in order.
 
 use super::Driver;
 use super::acceptor::Acceptor;
@@ -9,7 +9,7 @@
 use super::endpoints::{Endpoints, UpdateSource};
 use super::lifecycle::{Lifecycle, Predecessor, ReadConfig};
 use super::log_target::LOG_TARGET;
-use super::management::{Management, shared_file};
+use super::management::{Management, shared_file_path};
 use super::message_latency::MessageLatency;
 use super::peers::Peers;
 use super::records::Records;
@@ -27,8 +27,9 @@
 use std::io;
 
 impl Driver {
-    /// Opens the sockets and starts the decision module. `read_config` gets the configuration anew on SIGHUP. Fails as the
-    /// system calls do, after those errors that pass were waited for.
+    /// Opens the sockets and starts the decision module. `read_config` reads the configuration again on SIGHUP.
+    ///
+    /// Returns the system's error if a step fails. Transient errors are retried first.
     pub fn start(config: Config, recorder: Recorder, read_config: ReadConfig) -> io::Result<Self> {
         let reactor = start_reactor(&config)?;
         let mut balancer = Balancer::new(config.profile.settings.clone(), config.seed, reactor.io.now());
@@ -44,11 +45,13 @@
         }
         let mut driver = Driver {
             latency: MessageLatency::start(&mut context),
-            peers: retry_transient("hear other proxies", || Peers::start(&mut context, predecessor))?,
-            management: retry_transient("hear operators", || Management::start(&mut context))?,
+            peers: retry_transient("open the socket for other proxies", || {
+                Peers::start(&mut context, predecessor)
+            })?,
+            management: retry_transient("open the operators' address", || Management::start(&mut context))?,
             context,
             balancer,
-            pending: VecDeque::new(),
+            pending_events: VecDeque::new(),
             acceptor: Acceptor::default(),
             clients: Clients::default(),
             endpoints: Endpoints::default(),
@@ -56,9 +59,9 @@
             no_endpoint_log: RateLimitedLog::default(),
             listen_failure_log: RateLimitedLog::default(),
         };
-        // Before the first list: nothing must go to an endpoint in maintenance.
+        // Must precede the first list: no request may go to an endpoint in maintenance.
         driver.sync_maintenance();
-        driver.apply_endpoint_update(initial_endpoints, UpdateSource::Remembered);
+        driver.apply_endpoint_update(initial_endpoints, UpdateSource::Configuration);
         match predecessor {
             Predecessor::Serving => {
                 log::info!(target: LOG_TARGET, "an earlier process serves, clients are accepted once the list is there")
@@ -69,15 +72,15 @@
     }
 }
 
-/// The loop, with the process's signals on it.
+/// Creates the event loop and registers the process's signals with it.
 fn start_reactor(config: &Config) -> io::Result<Reactor<dyn Object>> {
     let mut reactor = retry_transient("poll", || Reactor::<dyn Object>::new(Clock::unix()))?;
     reactor.io.buffer_bound = config.buffer_bound;
-    // Guards against the system's own answer to a signal, which is to end the process.
+    // Without these handlers, the signals' default action would end the process.
     let signals: [(i32, fn() -> NetworkEvent); 2] =
         [(SIGTERM, || NetworkEvent::Terminate), (SIGHUP, || NetworkEvent::Reload)];
     for (signal, network_event) in signals {
-        retry_transient("hear signals", || {
+        retry_transient("register signal handlers", || {
             reactor.insert(|key, io| Ok(Box::new(Signals::register(signal, network_event, key, io)?)))
         })?;
     }
@@ -87,7 +90,7 @@
 fn create_context(reactor: Reactor<dyn Object>, config: Config, recorder: Recorder) -> Context {
     let records = Records::new(recorder, &config.profile);
     let audit = Audit::new(config.profile.settings.clone());
-    let clock_file = ClockFile::at(shared_file(config.listen, "clock"), reactor.io.now());
+    let clock_file = ClockFile::new(shared_file_path(config.listen, "clock"), reactor.io.now());
     let wall_clock = clock_file.load(reactor.io.now(), Clock::wall_now());
     Context {
         reactor,
@@ -98,11 +101,11 @@
         clock_file,
         rules: None,
         sibling_descriptors: 0,
-        requests: 0,
+        requests_in_progress: 0,
     }
 }
 
-/// The rules, if there are any. Fails where their consensus thread can't be started.
+/// Starts the rules, if they are configured. Fails if the thread that runs their consensus cannot be started.
 fn start_rules(
     context: &Context,
     records_on: bool,
