--- a/crates/cottonnotch/src/rules/compile_job.rs
+++ b/crates/cottonnotch/src/rules/compile_job.rs
@@ -1,22 +1,22 @@
-//! The jobs of the compile worker.
+//! The jobs that other threads send to the compile worker.
 
 use cottonnotch_consensus::{ContentHash, ProposalOutcome};
 use cottonnotch_routing_rules::{Inventory, RuleFile};
 use cottonnotch_rule_compiler::Profiles;
 
-/// A job, or news that may lead to a proposal.
+/// A task for the compile worker, or a change after which the worker may have to propose a new version.
 #[derive(Debug)]
 pub enum CompileJob {
-    /// Fetch a content from one of these members.
+    /// Fetch the content with this hash from one of the members `from`.
     Fetch { hash: ContentHash, size: u32, from: Vec<u16> },
-    /// Compare a content with these versions; the last one is in force.
+    /// Compare a content with the versions in `against`, the last of which is in force.
     Check { hash: ContentHash, against: Vec<(u64, ContentHash)> },
-    /// A proposal of this process is finished.
+    /// A proposal of this process has ended with this outcome.
     ProposalFinished { hash: ContentHash, outcome: ProposalOutcome },
-    /// The version this process acts on, and whether none has ever been in force.
+    /// The version that this process acts on has changed. `nothing_in_force` is true if the cluster has never had a version.
     ActiveVersion { hash: Option<ContentHash>, nothing_in_force: bool },
-    /// This proxy's rule files, and what each hardware class can run.
+    /// This proxy's rule files, and the profile of each hardware class.
     LocalFiles { files: Vec<RuleFile>, profiles: Profiles },
-    /// What rules can refer to.
+    /// The tenants, classes and render nodes that rules can refer to.
     Inventory(Inventory),
 }
--- a/crates/cottonnotch/src/rules/compile_worker.rs
+++ b/crates/cottonnotch/src/rules/compile_worker.rs
@@ -1,4 +1,5 @@
-//! The thread that makes, fetches, compiles and compares contents, so that neither the event loop nor consensus waits for it.
+//! The worker thread that merges rule files into contents, and fetches, compiles and compares contents. Neither the event loop
+//! nor the consensus thread waits for these slow tasks.
 
 use super::compile_job::CompileJob;
 use super::consensus_handle::ConsensusHandle;
@@ -16,32 +17,32 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant};
 
-/// After a proposal ended, the local files are merged again this much later, onto whatever is in force then.
+/// The delay between the end of a proposal and the next merge of the local files with the version in force.
 const REPROPOSE_AFTER: Duration = Duration::from_millis(400);
-/// Where no version has ever been in force and this proxy has no files, it proposes an empty book after this: another proxy
-/// may have files.
+/// How long a proxy without rule files waits before it proposes an empty book as the first version of the cluster. The delay
+/// gives proxies that have rule files time to propose theirs.
 const EMPTY_BOOK_AFTER: Duration = Duration::from_secs(10);
 
-/// Where this process's own contents go.
+/// The receiver of the contents that this process creates.
 pub enum Destination {
-    /// They are proposed to the other members.
+    /// Contents are proposed to the other members.
     Consensus(ConsensusHandle),
-    /// There are no other members: they are in force at once, in this process.
+    /// Consensus is off. Contents come into force in this process at once.
     Local {
         published: Arc<PublishedPlan>,
-        /// The number of the version published last.
+        /// The number of the most recently published version.
         number: u64,
     },
 }
 
-/// What this proxy's own configuration says.
+/// The rule inputs from this proxy's own configuration and endpoint list.
 #[derive(Default)]
 struct LocalRules {
     files: Vec<RuleFile>,
     profiles: Profiles,
-    /// The profiles changed while rules were in use, and that wasn't proposed yet.
+    /// The profiles changed while rules were in use, and no version with the new profiles has been proposed yet.
     profiles_changed: bool,
-    /// `None` before the first endpoint list.
+    /// The inventory; `None` until the first endpoint list arrives.
     inventory: Option<Inventory>,
 }
 
@@ -50,20 +51,20 @@
 struct ProposalState {
     /// The version that this process acts on.
     active: Option<ContentHash>,
-    /// Since when it is known that no version has ever been in force.
+    /// When this process learned that the cluster has never had a version; `None` if the cluster has one or this is unknown.
     nothing_in_force_since: Option<Instant>,
-    /// The content that is proposed.
+    /// The content whose proposal is still in progress.
     outstanding: Option<ContentHash>,
-    /// A content that some member cannot run. It isn't proposed again.
+    /// A content that some member cannot run, and which is therefore not proposed again.
     unsupported: Option<ContentHash>,
-    /// When the local files are merged again.
+    /// When the local files are merged again and proposed if they change the version in force.
     retry_at: Option<Instant>,
 }
 
-/// What a proposal is made on top of.
+/// The version that a proposal is based on.
 enum Base {
     Version(Arc<VersionContent>),
-    /// No version has ever been in force.
+    /// The cluster has never had a version.
     Nothing,
 }
 
@@ -76,7 +77,7 @@
     }
 }
 
-/// The state of the thread.
+/// The state of the worker thread.
 pub struct CompileWorker {
     destination: Destination,
     contents: ContentCache,
@@ -93,14 +94,14 @@
         status: Arc<SharedStatus>,
         members: Vec<SocketAddr>,
     ) -> Self {
-        // Without other members nobody could know of an earlier version.
+        // Without consensus no other member can have an earlier version.
         let is_alone = matches!(destination, Destination::Local { .. });
         let nothing_in_force_since = is_alone.then(Instant::now);
         let proposal = ProposalState { nothing_in_force_since, ..ProposalState::default() };
         CompileWorker { destination, contents, status, members, local: LocalRules::default(), proposal }
     }
 
-    /// Does jobs until nobody is left to send one.
+    /// Handles jobs until every sender has been dropped.
     pub fn run(mut self, jobs: &Receiver<CompileJob>) {
         loop {
             let wait = self.proposal.retry_at.map(|at| at.saturating_duration_since(Instant::now()));
@@ -168,7 +169,7 @@
         self.proposal.retry_at = Some(self.proposal.retry_at.map_or(at, |earlier| earlier.min(at)));
     }
 
-    /// Proposes this proxy's files on top of the version in force, if they change it.
+    /// Merges this proxy's files with the version in force, and proposes the result if it differs.
     fn propose(&mut self) {
         let Some(inventory) = self.local.inventory.clone() else { return };
         if self.proposal.outstanding.is_some() {
@@ -186,12 +187,14 @@
         }
     }
 
-    /// What a proposal can be made on top of now; `None`: it isn't known, or not here, or waits for other proxies' files.
+    /// The version that a proposal can be based on now. Returns `None` if the version in force is unknown, if its content is
+    /// not in the cache, or if this proxy has no files and still waits for the proposals of other proxies.
     fn base(&mut self) -> Option<Base> {
         if let Some(hash) = self.proposal.active {
             return self.contents.get(&hash).map(Base::Version);
         }
-        // Without a lease and with versions that were in force, a proposal would be made on top of an outdated one.
+        // A process without a lease in a cluster that has versions cannot propose: its proposal could be based on an outdated
+        // version.
         let since = self.proposal.nothing_in_force_since?;
         let wait = EMPTY_BOOK_AFTER.saturating_sub(since.elapsed());
         if self.local.files.is_empty() && !wait.is_zero() {
@@ -201,7 +204,8 @@
         Some(Base::Nothing)
     }
 
-    /// Merges the local files into the base; `None`: that changes nothing.
+    /// Merges the local files with the base version. Returns `None` if the result has neither a newer revision nor new
+    /// profiles.
     fn merge_files(&self, base: Option<&VersionContent>, mut inventory: Inventory) -> Option<ContentBody> {
         if let Some(base) = base {
             extend_inventory(&mut inventory, &base.body.inventory);
@@ -223,7 +227,7 @@
         Some(ContentBody::new(base.map(|base| base.hash), history, book, profiles, inventory))
     }
 
-    /// Sends a content of this process where it is put in force.
+    /// Proposes a content of this process, or puts it into force at once if consensus is off.
     fn publish(&mut self, content: Arc<VersionContent>) {
         let (hash, size) = (content.hash, content.bytes.len() as u32);
         match &mut self.destination {
@@ -258,7 +262,7 @@
         }
     }
 
-    /// Reports the namespaces that are held back, with the reason, and logs each when that changes.
+    /// Stores the held-back namespaces with their reasons in the status, and logs each namespace whose reason is new.
     fn report_conflicts(&self, conflicts: &[Conflict]) {
         let mut held_back = BTreeMap::new();
         for conflict in conflicts {
@@ -274,16 +278,16 @@
         }
     }
 
-    /// Compares a content with the versions that some member may act on.
+    /// Compares a content with the versions that some member may still act on.
     fn check(&self, hash: &ContentHash, against: &[(u64, ContentHash)]) -> Verdict {
         let Some(new) = self.contents.get(hash) else { return Verdict::Rejected };
-        // Made on top of another version, it would undo what has come in force since.
+        // A content with another base would undo the changes that have come into force since.
         if new.body.base != against.last().map(|(_, hash)| *hash) {
             return Verdict::Rejected;
         }
         let mut compatible_from = None;
         for (number, old) in against.iter().rev() {
-            // A version that isn't here counts as incompatible.
+            // A version whose content is not in the cache counts as incompatible.
             let Some(old) = self.contents.get(old) else { break };
             if let Some(witness) = contradiction(&old.plan, &new.plan) {
                 log::info!("rules {} are incompatible with version {number}: {witness:?}", short_hex(hash));
@@ -294,7 +298,8 @@
         compatible_from.map_or(Verdict::Incompatible, |from| Verdict::Compatible { from })
     }
 
-    /// Fetches a content for this member, if it isn't here. Where nobody has it, consensus requests it again.
+    /// Fetches a content from other members unless the cache has it. If no member has the content, consensus requests it again
+    /// later.
     fn fetch(&mut self, hash: ContentHash, size: u32, from: &[u16]) {
         if self.contents.get(&hash).is_some() {
             return self.send(Input::ContentReady { hash });
@@ -314,14 +319,15 @@
     }
 }
 
-/// Adds what other proxies know: this one may not have seen a hall yet, and would hold back the rules that name it.
+/// Adds the names that other proxies know to the inventory. This proxy may not have seen a render node of some hall yet, and
+/// would otherwise hold back the rules that name that hall.
 fn extend_inventory(inventory: &mut Inventory, known: &Inventory) {
     inventory.nodes.extend(known.nodes.iter().cloned());
     inventory.tenants.extend(known.tenants.iter().cloned());
     inventory.classes.extend(known.classes.iter().cloned());
 }
 
-/// The namespaces a conflict holds back; the file's name where its namespace can't be read.
+/// The namespaces that a conflict holds back. Returns the file's name if the namespace cannot be read from the file.
 fn conflicting_namespaces(conflict: &Conflict) -> Vec<&str> {
     match conflict {
         Conflict::Broken { namespace: None, error } => vec![&*error.file],
--- a/crates/cottonnotch/src/rules/config.rs
+++ b/crates/cottonnotch/src/rules/config.rs
@@ -1,5 +1,5 @@
-//! The sections `[rules]`, `[[hardware]]` and `[accord]` of the operator's file. All are off unless set. Their keys are the
-//! operators': `[accord]` configures consensus.
+//! The sections `[rules]`, `[[hardware]]` and `[accord]` of the operator's file. Each is inactive unless it is configured.
+//! `[accord]` configures consensus; operators' files use that name, so it cannot change.
 
 use cottonnotch_consensus::{Config, ConfigError, Timing};
 use cottonnotch_rule_compiler::{Budgets, Features, Profile, Profiles};
@@ -8,15 +8,16 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Where this proxy's rules come from.
+/// The section `[rules]`: the source of this proxy's rule files, and fleet-wide values that rules refer to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RulesSection {
-    /// The folder with the namespaces' files, `*.toml`. They are read at the start and on SIGHUP.
+    /// The folder with the namespaces' files, `*.toml`. The files are read at the start and on SIGHUP.
     pub folder: Option<PathBuf>,
-    /// The path of the namespace that owns everything, and delegates to the others.
+    /// The path of the root namespace, which owns everything and delegates to other namespaces.
     pub root: String,
-    /// The connections of the whole fleet, of which namespaces have quotas. 0: what the settings' tenants may hold open.
+    /// The total number of connections of the fleet, from which namespaces get their quotas. 0 means the sum of the tenants'
+    /// connection allowances in the settings.
     pub connections: u64,
 }
 
@@ -26,72 +27,73 @@
     }
 }
 
-/// What the render nodes of one hardware class can run.
+/// A section `[[hardware]]`: the capabilities of the render nodes of one hardware class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HardwareSection {
-    /// The class, as discovery's `flavor` names it.
+    /// The class, as in the field `flavor` of discovery.
     pub name: String,
-    /// What its nodes can do.
+    /// The features that its render nodes support.
     #[serde(default)]
     pub features: Features,
-    /// How many rules they can hold.
+    /// How many rules its render nodes can hold.
     #[serde(default)]
     pub budgets: Budgets,
 }
 
-/// What happens to a request while this process knows of no rule to follow.
+/// The handling of a request for which this process knows no rule that applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UnknownRules {
-    /// It is rejected, with a Retry-After.
+    /// Reject the request with a Retry-After.
     Refuse,
-    /// It is served as without rules.
+    /// Serve the request without restrictions.
     Serve,
 }
 
-/// How this proxy and the others agree on which rules are in force.
+/// The section `[accord]`: how the proxies agree on the rules that are in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-// The text that `check` shows of a value that is no table, word for word.
+// `check` shows this text, word for word, if the value is not a table.
 #[serde(deny_unknown_fields, default, expecting = "struct AccordSection")]
 pub struct ConsensusSection {
-    /// The address for datagrams, and for contents over TCP. Consensus is off unless it is set.
+    /// The address for datagrams (UDP) and for contents (TCP). Consensus is off unless this key is set.
     pub listen: Option<SocketAddr>,
-    /// The cluster's name, the same at all members.
+    /// The name of the cluster, equal at all members.
     pub cluster: Option<String>,
-    /// The file with the key that authenticates members: 64 hexadecimal digits.
+    /// The file with the key that authenticates members, as 64 hexadecimal digits.
     pub key_file: Option<PathBuf>,
     /// This member's ordinal, from 0.
     pub me: Option<u16>,
-    /// The ordinals of the members that vote: an odd number of them.
+    /// The ordinals of the voters. Their number must be odd.
     pub voters: Vec<u16>,
-    /// The address by which this proxy reaches each member, this one included, by ordinal.
+    /// The addresses of all members, including this one, by ordinal.
     pub members: Vec<SocketAddr>,
-    /// The folder for the state that outlives the process.
+    /// The folder for durable state.
     pub state_folder: Option<PathBuf>,
-    /// The cluster starts for the first time: a voter without durable state never had any.
+    /// Whether the cluster starts for the first time. A voter without durable state then starts with the initial state, instead
+    /// of recovering its state from other voters.
     pub first_start: bool,
-    /// No two processes act on incompatible rules for longer.
+    /// The longest time for which two processes may act on incompatible rules.
     pub contradiction_ms: u32,
-    /// How long a process may act on a version after it requested the lease.
+    /// How long a process may act on a version, from the time at which it requested the lease.
     pub lease_ms: u32,
-    /// Between two heartbeats of the leader.
+    /// The interval between two heartbeats of the leader.
     pub heartbeat_ms: u32,
-    /// How long a voter waits for a leader at least ...
+    /// The minimum election timeout.
     pub election_least_ms: u32,
-    /// ... and at most.
+    /// The maximum election timeout.
     pub election_most_ms: u32,
-    /// How far clocks' rates may be off, in millionths.
+    /// The maximum clock drift, in parts per million.
     pub drift_ppm: u32,
-    /// The longest from a look at the lease to the act under it.
+    /// The longest time between the check of the lease and the action that depends on it.
     pub act_ms: u32,
-    /// How long members may take to prepare new rules.
+    /// How long members may take to prepare a new version.
     pub prepare_ms: u32,
-    /// For requests before this process knows which rules are in force.
+    /// The handling of requests until this process knows any version of the rules.
     pub before_first: UnknownRules,
-    /// While the lease is expired: for requests that no requirement selects.
+    /// The handling of requests that no requirement selects, while the lease is expired.
     pub unruled_on_doubt: UnknownRules,
-    /// The Retry-After of requests rejected for either.
+    /// The Retry-After of requests that `before_first` or `unruled_on_doubt` rejects.
     pub retry_ms: u32,
 }
 
@@ -121,12 +123,12 @@
     }
 }
 
-/// What consensus needs of the configuration, checked.
+/// The validated settings of consensus.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConsensusSettings {
-    /// The address for datagrams, and for contents over TCP.
+    /// The address for datagrams (UDP) and for contents (TCP).
     pub listen: SocketAddr,
-    /// The cluster's name.
+    /// The name of the cluster.
     pub cluster: String,
     /// The file with the key that authenticates members.
     pub key_file: PathBuf,
@@ -136,36 +138,36 @@
     pub voters: Vec<u16>,
     /// The members' addresses, by ordinal.
     pub members: Vec<SocketAddr>,
-    /// The folder for the state that outlives the process.
+    /// The folder for durable state.
     pub state_folder: Option<PathBuf>,
-    /// The cluster starts for the first time.
+    /// Whether the cluster starts for the first time.
     pub first_start: bool,
-    /// The spans of the protocol.
+    /// The time limits of the protocol.
     pub timing: Timing,
-    /// For requests before any version is known.
+    /// The handling of requests until any version is known.
     pub before_first: UnknownRules,
-    /// For requests that no requirement selects, while the lease is expired.
+    /// The handling of requests that no requirement selects, while the lease is expired.
     pub unruled_on_doubt: UnknownRules,
-    /// The Retry-After of requests rejected for either.
+    /// The Retry-After of requests that `before_first` or `unruled_on_doubt` rejects.
     pub retry: Duration,
 }
 
-/// Why a section can't be used. Each message begins with the key's full path.
+/// Why a section is invalid. Each message begins with the full path of the key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SectionError {
-    /// Keys of `[accord]` are set, and consensus is off.
+    /// `listen` is missing although other keys of `[accord]` are set.
     #[error("accord.listen is missing, and other keys of the section are set")]
     ListenMissing,
-    /// Consensus is on, and this key is missing.
+    /// A key that consensus requires is missing.
     #[error("accord.{0} is missing, and accord.listen is set")]
     KeyMissing(&'static str),
-    /// The port was left to the system.
+    /// `listen` has port 0. The datagrams' and the contents' sockets would get different ports from the system.
     #[error("accord.listen needs a port: datagrams and contents go to the same number")]
     NoPort,
-    /// Ordinals have 16 bits.
+    /// There are more members than 16-bit ordinals.
     #[error("accord.members names {0} proxies, which is too many")]
     TooManyMembers(usize),
-    /// This member isn't one of the members.
+    /// This member's ordinal is not below the number of members.
     #[error("accord.me is {me}, and accord.members names {members} proxies")]
     NotAMember {
         /// This member's ordinal.
@@ -173,32 +175,32 @@
         /// The number of members.
         members: u16,
     },
-    /// The spans add up to more than was promised.
+    /// The configured times add up to more than `contradiction_ms`.
     #[error("accord.contradiction_ms cannot be kept: {sum}")]
     Contradiction {
-        /// The spans, as a sum.
+        /// The sum that exceeds `contradiction_ms`, written out.
         sum: String,
     },
-    /// A key has a value that consensus can't use.
+    /// A key has an invalid value.
     #[error("accord.{key} cannot be used: {source}")]
     Unusable {
-        /// The key.
+        /// The name of the key.
         key: String,
-        /// Why.
+        /// The reason.
         source: ConfigError,
     },
-    /// A hardware class has two sections.
+    /// Two sections describe the same hardware class.
     #[error("hardware.{index}.name is there twice: '{name}'")]
     ClassTwice {
-        /// The second section's place.
+        /// The index of the second section.
         index: usize,
-        /// The class.
+        /// The name of the class.
         name: String,
     },
 }
 
 impl ConsensusSection {
-    /// The settings of consensus; `None`: it is off.
+    /// Validates the section. Returns `None` if consensus is off.
     pub fn check(&self) -> Result<Option<ConsensusSettings>, SectionError> {
         let timing = self.timing();
         timing.check().map_err(|error| self.timing_error(error))?;
@@ -245,7 +247,7 @@
         config.check().map_err(|source| SectionError::Unusable { key: "voters".into(), source })
     }
 
-    /// The spans of the protocol, in microseconds.
+    /// The time limits of the protocol, in microseconds.
     pub fn timing(&self) -> Timing {
         let us = |ms: u32| i64::from(ms) * 1_000;
         Timing {
@@ -260,7 +262,7 @@
         }
     }
 
-    /// Names the key by which a fault of the spans is best corrected.
+    /// Converts an error of the time limits to one that names the key that the operator should correct.
     fn timing_error(&self, source: ConfigError) -> SectionError {
         let key = match &source {
             ConfigError::Contradiction { .. } => return SectionError::Contradiction { sum: self.sum() },
@@ -272,7 +274,7 @@
         SectionError::Unusable { key, source }
     }
 
-    /// How long two processes may act on incompatible rules, as a sum.
+    /// Writes out the sum that bounds how long two processes can act on incompatible rules.
     pub fn sum(&self) -> String {
         let (lease, act, drift) = (self.lease_ms, self.act_ms, self.drift_ppm);
         let slow = (u64::from(lease) * u64::from(drift)).div_ceil(1_000_000);
@@ -283,7 +285,7 @@
     }
 }
 
-/// The profiles by class; a class that is named twice is an error.
+/// The profiles by hardware class. Fails if two sections name the same class.
 pub fn profiles(hardware: &[HardwareSection]) -> Result<Profiles, SectionError> {
     let mut profiles = Profiles::new();
     for (index, HardwareSection { name, features, budgets }) in hardware.iter().enumerate() {
--- a/crates/cottonnotch/src/rules/consensus_handle.rs
+++ b/crates/cottonnotch/src/rules/consensus_handle.rs
@@ -1,4 +1,4 @@
-//! The handle by which other threads reach the consensus thread.
+//! The handle through which other threads communicate with the consensus thread.
 
 use super::durable_file::StateFolder;
 use super::state_files::content_name;
@@ -9,10 +9,10 @@
 use std::sync::mpsc::Sender;
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 
-/// The datagram that ends the thread's wait. It is no message: those are longer.
+/// The datagram that wakes up the consensus thread. Messages are longer, so it cannot be mistaken for one.
 pub const WAKE_UP: &[u8] = &[0];
 
-/// A handle of the consensus thread. Clones are handles of the same thread.
+/// A handle to the consensus thread. Clones refer to the same thread.
 #[derive(Clone)]
 pub struct ConsensusHandle {
     inputs: Sender<Input>,
@@ -23,7 +23,7 @@
 }
 
 impl ConsensusHandle {
-    /// A handle that sends inputs into this channel. The thread adds its waker and its state folder once it has them.
+    /// Creates a handle that sends inputs to this channel. The thread sets the waker and the state folder when it has them.
     pub fn new(inputs: Sender<Input>, contents: ContentCache) -> Self {
         ConsensusHandle {
             inputs,
@@ -34,33 +34,34 @@
         }
     }
 
-    /// Sends the member an input.
+    /// Sends an input to the member.
     pub fn send(&self, input: Input) {
-        // An error means that the thread has ended, and with it the member.
+        // Sending fails only after the thread has ended; nobody needs the input then.
         let _ = self.inputs.send(input);
         self.wake();
     }
 
-    /// Sets the socket whose datagrams reach the thread's socket.
+    /// Sets the socket that sends wake-up datagrams to the thread's socket.
     pub fn set_waker(&self, waker: UdpSocket) {
-        // Set once, by the thread's start.
+        // Only the start of the thread calls this, so the waker is never set twice.
         let _ = self.waker.set(waker);
     }
 
     fn wake(&self) {
         if let Some(waker) = self.waker.get() {
-            // A lost datagram costs a second: the thread wakes up by itself then.
+            // If the datagram is lost, the thread still wakes up within a second, when its receive timeout ends.
             let _ = waker.send(WAKE_UP);
         }
     }
 
-    /// The state folder, if the thread has one.
+    /// Locks and returns the state folder; `None` if the thread has none.
     pub fn state_folder(&self) -> MutexGuard<'_, Option<StateFolder>> {
-        // Nobody panics with it half changed.
+        // No holder of the lock leaves a partial change behind when it panics, so a poisoned lock is safe to use.
         self.state_folder.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Stores a content, in the state folder too if there is one, and removes those it evicts from the cache.
+    /// Stores a content in the cache, and in the state folder if there is one. Contents that the cache evicts are removed from
+    /// the folder.
     pub fn store(&self, content: Arc<VersionContent>) {
         let (hash, bytes) = (content.hash, Arc::clone(&content.bytes));
         let evicted = self.contents.insert(content);
@@ -70,17 +71,17 @@
             log::error!(error:%; "rules {} cannot be stored: {error}", short_hex(&hash));
         }
         for hash in evicted {
-            // What can't be removed is found at the next start, and removed then.
+            // A file that remains is loaded at the next start like the other contents.
             let _ = folder.remove(&content_name(&hash));
         }
     }
 
-    /// Whether the thread should end.
+    /// Whether the thread has been told to stop.
     pub fn is_stopped(&self) -> bool {
         self.is_stopped.load(Ordering::Acquire)
     }
 
-    /// Ends the thread: another process takes over as this member.
+    /// Stops the thread, so that another process can take over as this member.
     pub fn stop(&self) {
         self.is_stopped.store(true, Ordering::Release);
         self.wake();
--- a/crates/cottonnotch/src/rules/consensus_loop.rs
+++ b/crates/cottonnotch/src/rules/consensus_loop.rs
@@ -1,5 +1,5 @@
-//! The loop of the consensus thread: it receives datagrams, keeps the member's timeouts, and carries out the member's outputs
-//! in their order.
+//! The loop of the consensus thread. The loop receives datagrams, handles the member's timeouts, and executes the member's
+//! outputs in order.
 
 use super::clock::Clock;
 use super::compile_job::CompileJob;
@@ -18,27 +18,28 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 
-/// A socket whose read failed at once is not read again before this.
+/// The delay after a failed read of the socket. Without the delay, a read that keeps failing at once would spin.
 const PAUSE_AFTER_ERROR: Duration = Duration::from_millis(10);
-/// The shortest and the longest wait for a datagram, in microseconds. A command may come without its wake-up.
+/// The minimum and maximum wait for a datagram, in microseconds. The maximum bounds the delay of an input whose wake-up
+/// datagram was lost.
 const WAIT: (Micros, Micros) = (1_000, 1_000_000);
 
-/// What the worker knows of the active version.
+/// The active version as last reported to the compile worker.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct ReportedVersion {
     active: Option<ContentHash>,
-    /// No version has ever been in force, and there is a leader who would know.
+    /// Whether the cluster has never had a version. True only while there is a leader, which would know of one.
     nothing_in_force: bool,
 }
 
-/// One member with its socket.
+/// A consensus member with its socket and the state that it shares with other threads.
 pub struct ConsensusLoop<'a> {
     settings: MemberSettings,
     shared: SharedState,
     handle: &'a ConsensusHandle,
     socket: UdpSocket,
     member: Member,
-    /// Where a successor reads this process's lease.
+    /// The file from which a successor reads this process's lease.
     lease_file: Option<LeaseFile>,
     reported: Option<ReportedVersion>,
 }
@@ -81,7 +82,7 @@
         ConsensusLoop { settings, shared, handle, socket, member, lease_file, reported: None }
     }
 
-    /// Runs until it is stopped, or until something fails that the protocol depends on.
+    /// Runs until the thread is told to stop, or until a write fails that the protocol depends on.
     pub fn run(&mut self, inputs: &Receiver<Input>) -> io::Result<()> {
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Waits for a datagram until the member's next timeout.
+    /// Waits for a datagram, at most until the member's next timeout.
     fn receive(&mut self, buffer: &mut [u8]) -> io::Result<()> {
         let wait = (self.member.next_timeout() - Clock.now()).clamp(WAIT.0, WAIT.1);
         self.socket.set_read_timeout(Some(Duration::from_micros(wait as u64)))?;
@@ -105,7 +106,7 @@
             Ok((length, _)) if buffer[..length] == *WAKE_UP => {}
             Ok((length, _)) => self.receive_datagram(&buffer[..length])?,
             Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
-            // An earlier datagram could not be delivered, or worse.
+            // Typically an ICMP error: an earlier datagram could not be delivered.
             Err(_) => std::thread::sleep(PAUSE_AFTER_ERROR),
         }
         Ok(())
@@ -123,7 +124,7 @@
     }
 
     fn request(&self, job: CompileJob) {
-        // The worker ends with the process only.
+        // The worker runs until the process ends, so sending does not fail.
         let _ = self.shared.jobs.send(job);
     }
 
@@ -139,14 +140,15 @@
         }
     }
 
-    /// Makes the durable state durable. Unless that succeeds, nothing that depends on it may be sent: the thread ends.
+    /// Saves the durable state to disk. On an error the thread ends, because messages that depend on unsaved state must not be
+    /// sent.
     fn save(&self, durable_state: &DurableState) -> io::Result<()> {
         let Some(folder) = &*self.handle.state_folder() else { return Ok(()) };
         let bytes = postcard::to_allocvec(durable_state).map_err(io::Error::other)?;
         folder.save(DURABLE_STATE, &bytes)
     }
 
-    /// Publishes a changed lease to the requests, in the lease file first.
+    /// Writes a changed lease to the lease file, and then publishes the lease to the event loop.
     fn publish(&mut self, lease: Lease) -> io::Result<()> {
         if lease.topic != Topic::Rules {
             return Ok(());
@@ -156,7 +158,7 @@
             self.log_revoked();
             return Ok(());
         };
-        // It was granted since its content is here.
+        // A version is granted only after its content has arrived, so the content is normally in the cache.
         let Some(content) = self.shared.contents.get(&hash) else {
             self.revoke()?;
             log::error!("rules {} are granted, but their content is missing", short_hex(&hash));
@@ -178,7 +180,7 @@
         Ok(())
     }
 
-    /// Stores which version was active last, for the next start.
+    /// Logs the activation of a version, and stores the version in the state folder for the next start.
     fn record_activation(&self, number: u64, content: &VersionContent) {
         let rules = content.body.book.rules.len();
         log::info!(version = number; "rules version {number} is active: {rules} rules");
@@ -190,7 +192,8 @@
         }
     }
 
-    /// Logs why nothing may be acted on now. At each change to an incompatible version that is so for a moment, and no fault.
+    /// Logs why this process has no valid lease. A change to an incompatible version revokes the lease for a moment, which is
+    /// normal operation and no fault.
     fn log_revoked(&self) {
         let newest = self.member.status().topic(Topic::Rules).newest;
         match self.shared.published.read().as_ref().map(|published| published.number) {
@@ -201,13 +204,13 @@
         }
     }
 
-    /// Writes the lease for a successor that waits to take over. Unless that succeeds, nothing later may be carried out: other
-    /// members would hear that nobody acts on a revoked version any more.
+    /// Writes the lease for a successor that waits to take over. On an error no later output may be executed: it could tell
+    /// other members that nobody acts on a revoked version any more, while the successor still reads the old lease.
     fn write_lease(&self, record: LeaseRecord) -> io::Result<()> {
         self.lease_file.as_ref().map_or(Ok(()), |file| file.write(record))
     }
 
-    /// Reports the member's status to operators, and the active version to the worker.
+    /// Updates the operators' status, and tells the compile worker when the active version has changed.
     fn report_status(&mut self) {
         let member = self.member.status();
         let topic = member.topic(Topic::Rules);
--- a/crates/cottonnotch/src/rules/consensus_setup.rs
+++ b/crates/cottonnotch/src/rules/consensus_setup.rs
@@ -1,4 +1,4 @@
-//! What the consensus thread is started with.
+//! The inputs of the start of the consensus thread.
 
 use super::compile_job::CompileJob;
 use super::published_plan::PublishedPlan;
@@ -11,22 +11,23 @@
 use std::sync::Arc;
 use std::sync::mpsc::Sender;
 
-/// The member's place in the cluster, from the configuration.
+/// The member's own settings and its view of the cluster, from the configuration.
 pub struct MemberSettings {
-    /// Datagrams, and contents over TCP, are received here.
+    /// The address for datagrams (UDP) and for contents (TCP).
     pub listen: SocketAddr,
     /// The members' addresses, by ordinal.
     pub members: Vec<SocketAddr>,
-    /// Authenticates datagrams.
+    /// The key that authenticates datagrams.
     pub envelope_key: EnvelopeKey,
     pub state_folder: Option<PathBuf>,
-    /// The cluster starts for the first time: a voter without durable state never had any.
+    /// Whether the cluster starts for the first time. A voter without durable state then starts with the initial state, instead
+    /// of recovering its state from other voters.
     pub first_start: bool,
     pub config: Config,
     pub seed: u64,
 }
 
-/// What the consensus thread shares with other threads.
+/// The state that the consensus thread shares with other threads.
 #[derive(Clone)]
 pub struct SharedState {
     pub contents: ContentCache,
@@ -35,7 +36,7 @@
     pub jobs: Sender<CompileJob>,
 }
 
-/// What the consensus thread is started with.
+/// The complete input of the consensus thread's start.
 pub struct ConsensusSetup {
     pub member: MemberSettings,
     pub shared: SharedState,
--- a/crates/cottonnotch/src/rules/consensus_thread.rs
+++ b/crates/cottonnotch/src/rules/consensus_thread.rs
@@ -1,4 +1,5 @@
-//! The start of the consensus thread: it takes, or waits for, its address and its state folder, and restores its state.
+//! The start of the consensus thread. The thread acquires its address and state folder, restores its state, and runs the loop.
+//! If a predecessor still holds the address or the folder, the thread waits for them.
 
 use super::clock::Clock;
 use super::consensus_handle::ConsensusHandle;
@@ -15,19 +16,19 @@
 use std::sync::mpsc::{Receiver, Sender};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// While another process of this proxy has the address or the folder, they are tried again after this.
+/// The interval between two attempts to acquire the address and the folder while another process of this proxy holds them.
 const RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Whether another process of this proxy may still have the address and the state folder.
+/// Whether an earlier process of this proxy may still hold the address and the state folder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Predecessor {
-    /// There is none: what is taken is an error.
+    /// There is no such process. An address or folder in use is an error.
     Absent,
-    /// There may be one: what is taken is waited for.
+    /// There may be such a process. The thread waits for an address or folder in use.
     MayRun,
 }
 
-/// Starts the thread. Fails if the address or the folder can't be had and isn't waited for.
+/// Starts the thread. Fails if the address or the folder cannot be acquired, unless a predecessor may still hold them.
 pub fn start(
     setup: ConsensusSetup,
     inputs: (Sender<Input>, Receiver<Input>),
@@ -55,12 +56,12 @@
     Ok(handle)
 }
 
-/// Whether another process has what was asked for.
+/// Whether the error means that another process holds the address or the folder.
 fn is_taken(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::AddrInUse | io::ErrorKind::WouldBlock)
 }
 
-/// What only one process of a member can have.
+/// The resources that only one process of a member can hold at a time.
 struct Resources {
     socket: UdpSocket,
     content_server: ContentServer,
@@ -79,7 +80,8 @@
     }
 }
 
-/// Names the configuration's key in an error; not in one that is waited for, which shows nobody its text.
+/// Adds the configuration key to an error's message. An error for a resource in use is returned unchanged: `is_taken` has to
+/// recognize it, and nobody sees its text.
 fn with_key(key: &str, error: io::Error) -> io::Error {
     if is_taken(&error) { error } else { io::Error::new(error.kind(), format!("{key}: {error}")) }
 }
@@ -101,13 +103,14 @@
     let lease_file = folder.map(LeaseFile::create).transpose()?;
     *handle.state_folder() = state_folder;
     let result = ConsensusLoop::new(settings, shared, handle, socket, member, lease_file).run(inputs);
-    // Granted leases expire by themselves. The address and the folder are free for the next process.
+    // Releases the address and the folder for the next process. The granted leases expire by themselves.
     content_server.stop();
     *handle.state_folder() = None;
     result
 }
 
-/// Retries until the predecessor has released the address and the folder, and follows its lease meanwhile; `None`: stopped.
+/// Retries until the predecessor has released the address and the folder, and follows the predecessor's lease meanwhile.
+/// Returns `None` if the thread is told to stop.
 fn wait_for_resources(
     setup: &ConsensusSetup,
     handle: &ConsensusHandle,
@@ -127,7 +130,7 @@
     Ok(None)
 }
 
-/// The member, with the state that an earlier process left.
+/// Creates the member from the state that an earlier process left.
 fn start_member(
     settings: &MemberSettings,
     shared: &SharedState,
@@ -140,12 +143,12 @@
     Ok(Member::new(config, now, durable_state, settings.seed ^ incarnation()))
 }
 
-/// Never given twice to this member: the time of the start, in microseconds.
+/// The incarnation of this start: the current time in microseconds, so that no two starts of a member have the same one.
 fn incarnation() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
 }
 
-/// A socket whose datagrams reach this one.
+/// Creates a socket that is connected to the given socket.
 fn waker(socket: &UdpSocket) -> io::Result<UdpSocket> {
     let mut to = socket.local_addr()?;
     match to {
--- a/crates/cottonnotch/src/rules/content_fetcher.rs
+++ b/crates/cottonnotch/src/rules/content_fetcher.rs
@@ -1,4 +1,4 @@
-//! Fetching of contents from other members.
+//! Fetches contents from other members.
 
 use super::content_server::content_url;
 use super::version_content::short_hex;
@@ -6,12 +6,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a member has to accept the connection.
+/// The timeout for connecting to a member.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a member has for the complete answer.
+/// The timeout for the complete request, including the response body.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Fetches the content from the first of these members that has it; `None`: none of them has.
+/// Fetches the content from the first member that returns bytes with the right hash. Returns `None` if no member does.
 pub fn fetch_content(
     members: impl Iterator<Item = SocketAddr>,
     hash: &ContentHash,
@@ -37,7 +37,7 @@
     None
 }
 
-/// Reads one byte more than announced at most: that shows that there is more.
+/// Reads at most one byte more than the announced size. That byte is enough to detect a longer body.
 fn get(
     client: &ureq::Agent,
     member: SocketAddr,
--- a/crates/cottonnotch/src/rules/content_server.rs
+++ b/crates/cottonnotch/src/rules/content_server.rs
@@ -1,5 +1,5 @@
-//! Serves contents to other members: `GET /content/HEX`. Whoever fetches one checks its hash, so the answer needs no
-//! authentication.
+//! The HTTP server that sends contents to other members: `GET /content/HEX`. The client checks the hash of a content, so the
+//! response needs no authentication.
 
 use super::version_content::{ContentCache, hex};
 use cottonnotch_consensus::ContentHash;
@@ -8,12 +8,12 @@
 use std::sync::Arc;
 use tiny_http::{Method, Response, Server};
 
-/// The server, running on a thread of its own.
+/// The server, which runs on a separate thread.
 #[derive(Clone)]
 pub struct ContentServer(Arc<Server>);
 
 impl ContentServer {
-    /// Binds the address and serves until stopped.
+    /// Binds the address and starts the thread, which serves until [`Self::stop`].
     pub fn start(listen: SocketAddr, contents: ContentCache) -> io::Result<Self> {
         let server = Server::http(listen).map_err(|error| match error.downcast::<io::Error>() {
             Ok(error) => *error,
@@ -32,12 +32,12 @@
 }
 
 fn serve(server: &Server, contents: &ContentCache) {
-    // Ends when the server is unblocked.
+    // `recv` fails once the server is unblocked.
     while let Ok(request) = server.recv() {
         let requested = request.url().strip_prefix("/content/").and_then(parse_hash);
         let found =
             requested.filter(|_| *request.method() == Method::Get).and_then(|hash| contents.get(&hash));
-        // The connection may be closed by now.
+        // The client may have closed the connection; nobody needs the response then.
         let _ = match found {
             Some(content) => request.respond(Response::from_data(content.bytes.to_vec())),
             None => request.respond(Response::empty(404)),
@@ -45,7 +45,7 @@
     }
 }
 
-/// The URL of a content at a member.
+/// The URL of a content on a member's server.
 pub fn content_url(member: SocketAddr, hash: &ContentHash) -> String {
     format!("http://{member}/content/{}", hex(hash))
 }
--- a/crates/cottonnotch/src/rules/durable_file.rs
+++ b/crates/cottonnotch/src/rules/durable_file.rs
@@ -1,37 +1,38 @@
-//! Files that outlive the process: each is replaced atomically and carries a checksum.
+//! Files with durable state. Each file is replaced atomically and ends with a checksum.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// The first bytes of each file: the format's name. A file of another format is rejected: its bytes may mean something else.
+/// The first bytes of each file, which identify the format. A file of another format is rejected, since its bytes may have
+/// another meaning.
 const MAGIC: &[u8; 16] = b"cottonnotch-st 1";
-/// The checksum's bytes, at the end of the file.
+/// The length of the checksum at the end of the file.
 const CHECKSUM_BYTES: usize = 32;
-/// The longest file, in bytes.
+/// The maximum length of a file, in bytes.
 const MAX_FILE_BYTES: u64 = 32 << 20;
 
-/// The folder with a member's state, locked by this process.
+/// The folder with a member's durable state, locked by this process.
 #[derive(Debug)]
 pub struct StateFolder {
     folder: PathBuf,
-    /// Locked for as long as the process lives: two processes of one member would promise different things.
+    /// Holds the lock of the folder. Two processes that ran as one member could make contradictory promises to other members.
     _lock: File,
 }
 
-/// Why a file can't be used.
+/// Why a file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum StateFileError {
-    /// It can't be read.
+    /// Reading the file failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// It is torn, foreign, or of another version.
+    /// The file is truncated or corrupt, has another format, or exceeds the maximum length.
     #[error("it is torn, foreign, or of another version")]
     Damaged,
 }
 
 impl StateFolder {
-    /// Opens the folder, creating it if necessary. Fails with `WouldBlock` while another process has it locked.
+    /// Opens and locks the folder, and creates it if necessary. Fails with `WouldBlock` while another process holds the lock.
     pub fn open(folder: &Path) -> io::Result<Self> {
         std::fs::create_dir_all(folder)?;
         let lock = OpenOptions::new().create(true).truncate(false).write(true).open(folder.join("lock"))?;
@@ -42,26 +43,26 @@
         }
     }
 
-    /// The content of the file of this name; `None`: there is none.
+    /// Reads the content of the file with this name. Returns `None` if there is no such file.
     pub fn load(&self, name: &str) -> Result<Option<Vec<u8>>, StateFileError> {
         load(&self.folder, name)
     }
 
-    /// Replaces the file of this name. Once this succeeds, the new content survives any crash; if it fails or the machine
-    /// stops, the old content is still there.
+    /// Replaces the file with this name. After success the new content survives any crash. After a failure or a crash of the
+    /// machine, the file has the old content or the new one, never a mixture.
     pub fn save(&self, name: &str, content: &[u8]) -> io::Result<()> {
         let temporary = self.folder.join(format!("{name}.new"));
         let mut file = File::create(&temporary)?;
         file.write_all(MAGIC)?;
         file.write_all(content)?;
         file.write_all(blake3::hash(content).as_bytes())?;
-        // In this order: the name must never refer to bytes that aren't durable yet.
+        // The sync precedes the rename, because the name must never refer to bytes that are not on disk yet.
         file.sync_all()?;
         std::fs::rename(&temporary, self.folder.join(name))?;
         File::open(&self.folder)?.sync_all()
     }
 
-    /// The names of files that begin with this prefix, sorted.
+    /// The sorted names of the files whose names begin with this prefix. Temporary files of [`Self::save`] are left out.
     pub fn list(&self, prefix: &str) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in std::fs::read_dir(&self.folder)? {
@@ -76,13 +77,14 @@
         Ok(names)
     }
 
-    /// Removes the file of this name.
+    /// Removes the file with this name.
     pub fn remove(&self, name: &str) -> io::Result<()> {
         std::fs::remove_file(self.folder.join(name))
     }
 }
 
-/// The content of a file in a folder that another process may have locked; `None`: there is none.
+/// Reads the content of a file without locking the folder, which another process may have locked. Returns `None` if there is no
+/// such file.
 pub fn load(folder: &Path, name: &str) -> Result<Option<Vec<u8>>, StateFileError> {
     let path = folder.join(name);
     match std::fs::metadata(&path) {
--- a/crates/cottonnotch/src/rules/durable_file_tests.rs
+++ b/crates/cottonnotch/src/rules/durable_file_tests.rs
@@ -20,7 +20,7 @@
         std::fs::write(&path, &sound[..at]).unwrap();
         assert!(matches!(state.load("memory"), Err(StateFileError::Damaged)), "cut at {at}");
     }
-    // A crash before the rename leaves the old one.
+    // A crash before the rename leaves the old content in place.
     std::fs::write(&path, &sound).unwrap();
     std::fs::write(folder.path().join("memory.new"), b"half").unwrap();
     assert_eq!(state.load("memory").unwrap().unwrap(), b"two");
--- a/crates/cottonnotch/src/rules/established_connections.rs
+++ b/crates/cottonnotch/src/rules/established_connections.rs
@@ -1,10 +1,10 @@
-//! This proxy's established connections, counted by the limits they come under.
+//! This proxy's established connections, with a count for each connection limit.
 
 use cottonnotch_decision::{Request, RequestId, ServerId};
 use cottonnotch_rule_compiler::LimitId;
 use std::collections::HashMap;
 
-/// A connection, or an attempt that may become one.
+/// A connection, or an attempt that may become a connection.
 #[derive(Debug)]
 struct Established {
     request: Request,
@@ -12,7 +12,8 @@
     limits: Vec<LimitId>,
 }
 
-/// The established connections. Grows with them and with the plan's limits.
+/// The established connections and the counts by limit. The size is bounded by the number of connections and of the plan's
+/// limits.
 #[derive(Debug, Default)]
 pub struct EstablishedConnections {
     connections: HashMap<RequestId, Established>,
@@ -20,14 +21,14 @@
 }
 
 impl EstablishedConnections {
-    /// Adds a request's connection, which counts towards these limits; it replaces the request's earlier one.
+    /// Adds a request's connection, which counts towards these limits. An earlier connection of the request is replaced.
     pub fn insert(&mut self, request: &Request, server: ServerId, limits: Vec<LimitId>) {
         self.remove(request.id);
         count(&mut self.counts, &limits);
         self.connections.insert(request.id, Established { request: request.clone(), server, limits });
     }
 
-    /// Removes a request's connection, if it has one.
+    /// Removes the connection of a request. Does nothing if the request has none.
     pub fn remove(&mut self, request: RequestId) {
         let Some(connection) = self.connections.remove(&request) else { return };
         for limit in connection.limits {
@@ -40,12 +41,12 @@
         }
     }
 
-    /// The connections that count towards this limit.
+    /// The number of connections that count towards this limit.
     pub fn count(&self, limit: LimitId) -> u64 {
         self.counts.get(&limit).copied().unwrap_or(0)
     }
 
-    /// Counts all connections anew, towards the limits that `limits` gives each.
+    /// Recomputes all counts. `limits` returns the limits that a connection of the request to the server counts towards.
     pub fn recount(&mut self, limits: impl Fn(&Request, ServerId) -> Vec<LimitId>) {
         self.counts.clear();
         for connection in self.connections.values_mut() {
--- a/crates/cottonnotch/src/rules/golden_tests.rs
+++ b/crates/cottonnotch/src/rules/golden_tests.rs
@@ -1,4 +1,5 @@
-//! What a member keeps on disk, and the contents that go to others, keep the bytes that earlier builds gave them.
+//! The files of a state folder and the encoded contents must keep the byte format of earlier builds. A change would make a new
+//! build reject the state on disk and the contents of members that run an earlier build.
 
 use super::durable_file::{StateFolder, load};
 use super::lease_file::{LeaseFile, LeaseRecord};
--- a/crates/cottonnotch/src/rules/lease_file.rs
+++ b/crates/cottonnotch/src/rules/lease_file.rs
@@ -1,6 +1,7 @@
-//! The lease of a member in a file of its state folder. A successor can't request leases before the earlier process has
-//! released its address, and acts under this lease until then: both processes are one member with one clock and one lease.
-//! A revoked lease is revoked here first, so a reader looks at the file each time it acts.
+//! The file in the state folder with a member's current lease. A successor process cannot request leases until its predecessor
+//! has released the address, so it acts under the predecessor's lease until then. This is safe because both processes are the
+//! same member with the same clock. A revocation is written to the file before it takes effect anywhere else, so the successor
+//! reads the file before each action.
 
 use super::state_files::LEASE;
 use cottonnotch_consensus::{ContentHash, Micros};
@@ -9,21 +10,21 @@
 use std::os::unix::fs::FileExt;
 use std::path::Path;
 
-/// Number, hash and end.
+/// The length of a record: number, hash and expiry time.
 const RECORD_BYTES: usize = 8 + 32 + 8;
-/// A checksum follows, since a reader may meet half a write.
+/// The length of the file. A checksum follows the record, because a reader may see a partial write.
 const FILE_BYTES: usize = RECORD_BYTES + 8;
 
-/// The file, open.
+/// The opened lease file.
 #[derive(Debug)]
 pub struct LeaseFile(File);
 
-/// What the file says.
+/// The lease in the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseRecord {
     /// The version's number.
     pub number: u64,
-    /// Its content's hash.
+    /// The hash of the version's content.
     pub hash: ContentHash,
     /// When the lease expires, by [`Clock`](super::clock::Clock).
     pub until: Micros,
@@ -35,18 +36,18 @@
 }
 
 impl LeaseFile {
-    /// Opens the file for writing, by the process that is the member.
+    /// Opens or creates the file for writing. Used by the process that runs the member.
     pub fn create(folder: &Path) -> io::Result<Self> {
         let mut options = OpenOptions::new();
         options.create(true).truncate(false).read(true).write(true).open(folder.join(LEASE)).map(LeaseFile)
     }
 
-    /// Opens the file for reading, by a successor.
+    /// Opens the file for reading. Used by a successor.
     pub fn open(folder: &Path) -> io::Result<Self> {
         File::open(folder.join(LEASE)).map(LeaseFile)
     }
 
-    /// Replaces the lease.
+    /// Overwrites the lease.
     pub fn write(&self, lease: LeaseRecord) -> io::Result<()> {
         let mut bytes = [0; FILE_BYTES];
         bytes[..8].copy_from_slice(&lease.number.to_le_bytes());
@@ -57,9 +58,9 @@
         self.0.write_all_at(&bytes, 0)
     }
 
-    /// The lease as it is now; `None`: it can't be read.
+    /// Reads the current lease. Returns `None` if the file is incomplete or corrupt.
     pub fn read(&self) -> Option<LeaseRecord> {
-        // A second attempt, if the first met half a write.
+        // Retries once, since the first read may have seen a partial write.
         (0..2).find_map(|_| {
             let mut bytes = [0; FILE_BYTES];
             self.0.read_exact_at(&mut bytes, 0).ok()?;
--- a/crates/cottonnotch/src/rules/local_overrides.rs
+++ b/crates/cottonnotch/src/rules/local_overrides.rs
@@ -1,23 +1,24 @@
-//! This proxy's own rule files on top of those in force. Folders differ from proxy to proxy, and none has to have all files.
+//! Combines this proxy's own rule files with those in force. Proxies have different folders, and no proxy needs all files.
 
 use cottonnotch_routing_rules::{History, RuleFile, read};
 use std::collections::BTreeMap;
 
-/// The files to merge: those in force, with this proxy's in place of those with an older revision.
+/// Returns the files to merge: the files in force, where this proxy's own files replace those that are not newer.
 pub fn apply_overrides(last: &History, own: &[RuleFile]) -> Vec<RuleFile> {
     let mut files = files_in_force(last);
     let mut extra = Vec::new();
     for file in own {
-        // The merge reports what is wrong with it, and continues with the valid file of that name.
+        // An invalid file replaces the valid file of the same name here. The merge reports the error and continues to use the
+        // last valid revision.
         let Ok(namespace_file) = read(file) else {
             files.retain(|_, (_, valid)| valid.path_on_disk != file.path_on_disk);
             extra.push(file.clone());
             continue;
         };
         match files.get(&namespace_file.namespace) {
-            // This proxy's folder is outdated.
+            // This proxy's file is older than the file in force.
             Some((revision, _)) if *revision > namespace_file.revision => {}
-            // Two files of one folder have the same namespace: the merge gets both, and finds the conflict.
+            // Two files of this proxy's folder have the same namespace. The merge gets both and reports the conflict.
             Some((_, other)) if own.contains(other) => extra.push(file.clone()),
             _ => {
                 files.insert(namespace_file.namespace, (namespace_file.revision, file.clone()));
@@ -27,7 +28,7 @@
     files.into_values().map(|(_, file)| file).chain(extra).collect()
 }
 
-/// The last valid files, with their revisions, by namespace.
+/// The last valid file of each namespace, with its revision.
 fn files_in_force(last: &History) -> BTreeMap<String, (u64, RuleFile)> {
     let valid =
         last.namespaces.iter().filter_map(|(namespace, entry)| Some((namespace, entry.good.as_ref()?)));
@@ -39,8 +40,8 @@
         .collect()
 }
 
-/// Whether some namespace has a newer revision than before. Revisions only increase, so proxies whose folders or inventories
-/// differ can't replace one another's versions for ever.
+/// Whether some namespace has a newer revision than before. Only such a change is proposed. Revisions only increase, so proxies
+/// with different folders or inventories cannot replace each other's versions endlessly.
 pub fn has_newer_revision(last: &History, new: &History) -> bool {
     new.namespaces.iter().any(|(namespace, entry)| {
         let before = last.namespaces.get(namespace).and_then(|entry| entry.good.as_ref());
--- a/crates/cottonnotch/src/rules/local_overrides_tests.rs
+++ b/crates/cottonnotch/src/rules/local_overrides_tests.rs
@@ -21,12 +21,12 @@
 fn only_newer_files_override() {
     let (first, conflicts) = merged(&History::default(), &[file("c", 3, 5), file("c/one", 1, 4)]);
     assert!(conflicts == 0 && has_newer_revision(&History::default(), &first));
-    // A proxy that has the child's newer file only.
+    // A proxy that has only the newer file of the child namespace.
     let (second, conflicts) = merged(&first, &[file("c/one", 2, 3)]);
     assert!(conflicts == 0 && has_newer_revision(&first, &second) && !has_newer_revision(&second, &first));
     let revision = |of: &History, namespace: &str| of.namespaces[namespace].in_force;
     assert_eq!((revision(&second, "c"), revision(&second, "c/one")), (Some(3), Some(2)));
-    // One whose folder is behind, and one that has nothing.
+    // A proxy with an outdated folder, and a proxy without any files.
     for own in [vec![file("c", 2, 9), file("c/one", 1, 4)], Vec::new()] {
         let (same, conflicts) = merged(&second, &own);
         assert!(conflicts == 0 && !has_newer_revision(&second, &same));
--- a/crates/cottonnotch/src/rules/mod.rs
+++ b/crates/cottonnotch/src/rules/mod.rs
@@ -1,12 +1,12 @@
-//! The daemon's routing rules: which requests may go to which render nodes, as their owners wrote it down. Files are merged to a
-//! book (`cottonnotch-routing-rules`), the book is compiled to a plan (`cottonnotch-rule-compiler`), and the proxies agree on which
-//! plan is in force (`cottonnotch-consensus`). This module connects those crates with threads, sockets and disks.
-//! `docs/ops/rules.md` is the operator's side.
+//! The daemon's routing rules define which requests may go to which render nodes. Namespace owners write the rules in files.
+//! `cottonnotch-routing-rules` merges the files into a book, `cottonnotch-rule-compiler` compiles the book to a plan, and
+//! `cottonnotch-consensus` makes the proxies agree on the plan that is in force. This module connects these crates to threads,
+//! sockets and the disk. `docs/ops/rules.md` describes the rules for operators.
 //!
-//! The event loop waits for none of it. Threads of their own run consensus ([`consensus_thread`]), compile and compare contents
-//! ([`compile_worker`]) and serve them to other members ([`content_server`]). They publish the version in force
-//! ([`published_plan`]), and each dispatch looks at that and at the clock ([`routing_verdict`]). Without the sections `[rules]`
-//! and `[accord]` none of it exists.
+//! The event loop never waits for the rules. Separate threads run consensus ([`consensus_thread`]), compile and compare
+//! contents ([`compile_worker`]) and serve contents to other members ([`content_server`]). They publish the active version
+//! ([`published_plan`]). Each dispatch reads the published version and checks its lease against the clock
+//! ([`routing_verdict`]). The module is inactive unless `[rules]` or `[accord]` is configured.
 
 mod clock;
 mod compile_job;
--- a/crates/cottonnotch/src/rules/node_kinds.rs
+++ b/crates/cottonnotch/src/rules/node_kinds.rs
@@ -1,26 +1,26 @@
-//! The render nodes by kind: hall and hardware class. There are few kinds. Rules are evaluated by kind; the set of nodes of some
-//! kinds is built once for each endpoint list.
+//! The render nodes, grouped by kind: hall and hardware class. A fleet has few kinds, so rules are evaluated for each kind
+//! instead of each node. The set of nodes of given kinds is cached until the next update of the endpoint list.
 
 use cottonnotch_decision::names::unit;
 use cottonnotch_decision::{Entry, ServerId, ServerSet, ServerState};
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A hall and a hardware class.
+/// A kind of render node: a hall and a hardware class.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct NodeKind {
-    /// The hall: discovery's `locality`.
+    /// The hall, from the field `locality` of discovery.
     pub hall: Box<str>,
-    /// The hardware class: discovery's `flavor`.
+    /// The hardware class, from the field `flavor` of discovery.
     pub hardware: Box<str>,
 }
 
-/// A set of kinds, a bit each.
+/// A set of kinds, as a bit set over their indexes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct NodeKindSet(Vec<u64>);
 
 impl NodeKindSet {
-    /// The kinds below `count` for which `contains`.
+    /// The set of those kinds below `count` for which `contains` returns true.
     pub fn of(count: usize, mut contains: impl FnMut(usize) -> bool) -> Self {
         let mut words = vec![0_u64; count.div_ceil(64)];
         for kind in 0..count {
@@ -40,24 +40,24 @@
 #[derive(Clone, Debug)]
 struct Node {
     kind: u16,
-    /// It accepts new connections, as far as the list says.
+    /// Whether the node accepts new connections, according to the endpoint list.
     is_ready: bool,
     digest: u64,
     weight: f64,
 }
 
-/// The render nodes that were ever listed, by kind. Grows with them.
+/// All render nodes that were ever in an endpoint list, with their kinds. Nodes and kinds are never removed.
 #[derive(Debug, Default)]
 pub struct RenderNodes {
     nodes: Vec<Option<Node>>,
     kinds: Vec<NodeKind>,
-    /// Ready nodes of each kind.
+    /// The number of ready nodes of each kind.
     ready: Vec<usize>,
     sets: HashMap<NodeKindSet, Arc<ServerSet>>,
 }
 
 impl RenderNodes {
-    /// Updates the listed nodes; a `full` list replaces the one before. `kind_of` gives each node's kind.
+    /// Updates the nodes from an endpoint list. A `full` list replaces the previous one. `kind_of` returns the kind of a node.
     pub fn update(&mut self, full: bool, entries: &[Entry], kind_of: impl Fn(ServerId) -> NodeKind) {
         if full {
             self.nodes.iter_mut().flatten().for_each(|node| node.is_ready = false);
@@ -85,27 +85,27 @@
             self.kinds.push(kind);
             self.kinds.len() - 1
         });
-        // Nobody has so many halls and classes; beyond, the last number stands for several.
+        // No fleet has more than 65,536 kinds. If one had, the excess kinds would share the last index.
         u16::try_from(place).unwrap_or(u16::MAX)
     }
 
-    /// The kinds, by number.
+    /// All kinds, by index.
     pub fn kinds(&self) -> &[NodeKind] {
         &self.kinds
     }
 
-    /// Whether some node of the kind accepts new connections.
+    /// Whether at least one node of the kind accepts new connections.
     pub fn is_ready(&self, kind: usize) -> bool {
         self.ready.get(kind).is_some_and(|count| *count > 0)
     }
 
-    /// The kind of a node.
+    /// The kind index of a node; `None` if the node was never listed.
     pub fn kind(&self, server: ServerId) -> Option<usize> {
         let node = self.nodes.get(server.0 as usize)?.as_ref()?;
         Some(usize::from(node.kind))
     }
 
-    /// All nodes of these kinds, ready or not.
+    /// The set of all nodes of these kinds, whether or not they are ready.
     pub fn set(&mut self, kinds: &NodeKindSet) -> Arc<ServerSet> {
         if let Some(set) = self.sets.get(kinds) {
             return Arc::clone(set);
@@ -118,8 +118,8 @@
         set
     }
 
-    /// The group's first `size` ready nodes of these kinds, by weighted rendezvous hashing: the same at every proxy with the same
-    /// list, and the same order as that of the decision module's affinity subsets.
+    /// The group's first `size` ready nodes of these kinds by weighted rendezvous hashing. All proxies with the same endpoint
+    /// list compute the same subset. The order equals that of the decision module's affinity subsets.
     pub fn affinity_subset(&self, kinds: &NodeKindSet, group: u64, size: usize) -> ServerSet {
         let rank = |node: &Node| {
             unit(node.digest ^ group.wrapping_mul(0x9e37_79b9_7f4a_7c15)).powf(1.0 / node.weight)
--- a/crates/cottonnotch/src/rules/node_kinds_tests.rs
+++ b/crates/cottonnotch/src/rules/node_kinds_tests.rs
@@ -11,7 +11,7 @@
     Entry { server: ServerId(server), digest, state, zone, cell: 0, started: None, weight: 1.0 }
 }
 
-/// Ten nodes in three halls, of two classes.
+/// Ten nodes in three halls and two hardware classes.
 fn render_nodes() -> RenderNodes {
     let mut nodes = RenderNodes::default();
     let entries: Vec<Entry> = (0..10).map(|server| entry(server, ServerState::Ready)).collect();
@@ -31,7 +31,7 @@
     let numbers = |set: &ServerSet| (0..20).filter(|n| set.contains(ServerId(*n))).collect::<Vec<_>>();
     assert_eq!(numbers(&nodes.set(&in_hall_a)), [0, 3, 6, 9]);
     assert!(Arc::ptr_eq(&nodes.set(&in_hall_a), &nodes.set(&in_hall_a)), "it is built once");
-    // One moves to another hall, one is new.
+    // Node 3 moves to another hall, and node 14 is new.
     let change = [entry(3, ServerState::Ready), entry(14, ServerState::Draining)];
     nodes.update(false, &change, |server| kind(if server.0 == 3 { "b" } else { "a" }, "x"));
     let in_hall_a = in_a(&nodes);
--- a/crates/cottonnotch/src/rules/published_plan.rs
+++ b/crates/cottonnotch/src/rules/published_plan.rs
@@ -1,5 +1,5 @@
-//! The version that requests follow, published by the consensus thread to the event loop. Readers take no lock: they read
-//! the version, then the end of its lease, and the two always belong together.
+//! The version that requests follow, published by the consensus thread for the event loop. Readers take no lock. A reader loads
+//! the version and then the lease expiry time stored in it, so the two always belong together.
 
 use super::lease_file::LeaseFile;
 use arc_swap::{ArcSwapOption, Guard};
@@ -8,49 +8,49 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, Ordering};
 
-/// A version that was active here, and may still be.
+/// A version that was active in this process, and may still be.
 #[derive(Debug)]
 pub struct PublishedVersion {
-    /// Its plan.
+    /// The compiled plan.
     pub plan: Arc<Plan>,
-    /// Its number; counted by this process alone where there is no consensus.
+    /// The version's number. Without consensus, this process numbers its versions itself.
     pub number: u64,
-    /// Its content's hash.
+    /// The hash of the version's content.
     pub hash: ContentHash,
-    /// Acting on it is forbidden from this time on, by [`Clock`](super::clock::Clock).
+    /// The expiry time of the lease, by [`Clock`](super::clock::Clock). From then on, this process must not act on the version.
     until: AtomicI64,
 }
 
 impl PublishedVersion {
-    /// A version with the end of its lease.
+    /// Creates a version whose lease expires at `until`.
     pub fn new(plan: Arc<Plan>, number: u64, hash: ContentHash, until: Micros) -> Self {
         PublishedVersion { plan, number, hash, until: AtomicI64::new(until) }
     }
 
-    /// The end of its lease.
+    /// The expiry time of the lease.
     pub fn until(&self) -> Micros {
         self.until.load(Ordering::Acquire)
     }
 }
 
-/// The version that this process acts on. Written by one thread.
+/// The version that this process acts on. Only one thread writes it.
 #[derive(Debug, Default)]
 pub struct PublishedPlan {
     current: ArcSwapOption<PublishedVersion>,
-    /// While an earlier process is the member: the file with its lease.
+    /// The predecessor's lease file, while this process acts under the predecessor's lease.
     predecessor_lease: ArcSwapOption<LeaseFile>,
 }
 
-/// A version that is being read; it stays as it is meanwhile.
+/// A guard that keeps a version alive while it is being read.
 pub type VersionGuard = Guard<Option<Arc<PublishedVersion>>>;
 
 impl PublishedPlan {
-    /// The version, if there ever was one. Its lease may have expired.
+    /// The version; `None` if none was ever published. Its lease may have expired.
     pub fn read(&self) -> VersionGuard {
         self.current.load()
     }
 
-    /// When it is forbidden to act on the version that was read.
+    /// The time from which acting on the version is forbidden. Reads the predecessor's lease file while there is one.
     pub fn until(&self, published: &PublishedVersion) -> Micros {
         match &*self.predecessor_lease.load() {
             None => published.until(),
@@ -63,14 +63,14 @@
         }
     }
 
-    /// Publishes the version that the predecessor acts on, for as long as its lease file says so.
+    /// Publishes the version that the predecessor acts on. The predecessor's lease file determines how long it is valid.
     pub fn follow_predecessor(&self, plan: &Arc<Plan>, number: u64, hash: ContentHash, file: LeaseFile) {
         self.predecessor_lease.store(Some(Arc::new(file)));
         let published = PublishedVersion::new(Arc::clone(plan), number, hash, Micros::MIN);
         self.current.store(Some(Arc::new(published)));
     }
 
-    /// Publishes a granted version, or extends its lease.
+    /// Publishes a granted version, or extends the lease if the version is already published.
     pub fn grant(&self, plan: &Arc<Plan>, number: u64, hash: ContentHash, until: Micros) {
         let current = self.current.load();
         match &*current {
@@ -78,7 +78,7 @@
                 same.until.store(until, Ordering::Release);
             }
             _ => {
-                // The end belongs to the version: nobody may read the old version with the new lease.
+                // The expiry time is stored in the version, so no reader can combine the old version with the new lease.
                 self.revoke();
                 let published = PublishedVersion::new(Arc::clone(plan), number, hash, until);
                 self.current.store(Some(Arc::new(published)));
@@ -87,7 +87,8 @@
         self.predecessor_lease.store(None);
     }
 
-    /// Ends the lease now. The version stays known, for rules that hold while it is uncertain which one is in force.
+    /// Ends the lease now. The version remains readable, because some rules apply even while it is uncertain which version is
+    /// in force.
     pub fn revoke(&self) {
         if let Some(current) = &*self.current.load() {
             current.until.store(Micros::MIN, Ordering::Release);
--- a/crates/cottonnotch/src/rules/published_plan_tests.rs
+++ b/crates/cottonnotch/src/rules/published_plan_tests.rs
@@ -11,7 +11,8 @@
 #[test]
 fn never_reads_a_version_with_the_lease_of_another() {
     let (published_plan, plan, over) = (PublishedPlan::default(), plan(), AtomicBool::new(false));
-    // Version N is granted until times N * 1000 and the 500 after it, and never else.
+    // Each lease of version N expires between N * 1000 and N * 1000 + 500. An expiry time outside this range would belong to
+    // another version.
     std::thread::scope(|scope| {
         let readers: Vec<_> = (0..3)
             .map(|_| {
--- a/crates/cottonnotch/src/rules/report.rs
+++ b/crates/cottonnotch/src/rules/report.rs
@@ -1,5 +1,5 @@
-//! What `cottonnotch check` reports on the rules: the merged book, conflicts, how each rule runs on each hardware class, and how
-//! long two processes may differ.
+//! The report of `cottonnotch check` on the rules: the merged book, the conflicts, how each rule runs on each hardware class,
+//! and how long two processes can act on different rules.
 
 use super::config::ConsensusSection;
 use super::settings::RulesSettings;
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::fmt::Write;
 
-/// The report on rules as they are configured, with render nodes of these kinds (hall and hardware class).
+/// The report on the configured rules. `listed` has the kinds (hall and hardware class) of the known render nodes.
 pub fn report(
     settings: &RulesSettings,
     section: &ConsensusSection,
@@ -17,7 +17,7 @@
     listed: BTreeSet<(String, String)>,
 ) -> String {
     let mut text = String::from("\n");
-    // Writing to a string can't fail.
+    // Writing to a string cannot fail.
     let _ = write_report(&mut text, settings, section, profile, listed);
     text
 }
--- a/crates/cottonnotch/src/rules/routing_verdict.rs
+++ b/crates/cottonnotch/src/rules/routing_verdict.rs
@@ -1,6 +1,6 @@
-//! The routing verdict on each request, for the decision module: from the version that is published now, the lease as it is
-//! now, and this proxy's share of fleet-wide limits. Nothing here waits for a lock or another process; a process that is about
-//! to take over reads its predecessor's lease from a file until it has its own.
+//! Computes the routing verdict on each request for the decision module, from the published version, the current lease and this
+//! proxy's share of fleet-wide limits. This code never waits for a lock or for another process. A successor process reads its
+//! predecessor's lease from a file until it has a lease of its own.
 
 use super::clock::Clock;
 use super::config::UnknownRules;
@@ -20,38 +20,38 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// What happens to requests while it is uncertain which rules are in force.
+/// The handling of requests while it is uncertain which rules are in force.
 #[derive(Clone, Copy, Debug)]
 pub struct UncertaintySettings {
-    /// Before any version is known.
+    /// The handling of all requests until any version is known.
     pub before_first: UnknownRules,
-    /// While the lease is expired, for requests that no requirement selects.
+    /// The handling of requests that no requirement selects, while the lease is expired.
     pub unruled: UnknownRules,
-    /// The Retry-After of those that are rejected for it.
+    /// The Retry-After of requests that these settings reject.
     pub retry: Micros,
 }
 
-/// Whether verdicts name the rules they follow, for the records.
+/// Whether the basis of a verdict lists rule names, for the records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RuleNames {
     Recorded,
     Omitted,
 }
 
-/// What a request's last verdict was based on.
+/// The basis of a request's last verdict.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VerdictBasis {
-    /// The version; `None`: none was known.
+    /// The number of the version; `None` if no version was known.
     pub version: Option<u64>,
-    /// The requirements that select the request, if names are recorded.
+    /// The names of the requirements that select the request; empty unless names are recorded.
     pub rules: Vec<Name>,
-    /// It was uncertain whether the version is in force.
+    /// Whether it was uncertain that the version is in force.
     pub is_uncertain: bool,
-    /// When the lease was looked at, by [`Clock`].
+    /// When the lease was checked, by [`Clock`].
     pub evaluated_at: Micros,
 }
 
-/// The routing rules, as the event loop has them. Clones share the state.
+/// The routing rules in the event loop. Clones share the state.
 #[derive(Clone, Debug)]
 pub struct RoutingVerdicts(Rc<RefCell<State>>);
 
@@ -61,14 +61,14 @@
     uncertainty: UncertaintySettings,
     rule_names: RuleNames,
     names: RequestNames,
-    /// The version that the evaluation is set to.
+    /// The version that `evaluation` was last set to; `None` forces the next verdict to set it.
     version: Option<(u64, ContentHash)>,
     evaluation: RuleEvaluation,
     basis: HashMap<RequestId, VerdictBasis>,
     rejected_while_uncertain: u64,
 }
 
-/// The names that rules have for the numbers in a request.
+/// The names of the classes and tenants, by the numbers that requests carry.
 #[derive(Debug, Default)]
 struct RequestNames {
     classes: Vec<Name>,
@@ -76,7 +76,7 @@
 }
 
 impl RequestNames {
-    /// The request in the rules' terms.
+    /// Translates a request to the names that rules use.
     fn resolve(&self, request: &Request) -> cottonnotch_routing_rules::Request<'_> {
         fn name(names: &[Name], number: u16) -> Option<&str> {
             names.get(usize::from(number)).map(|name| &**name)
@@ -90,7 +90,7 @@
 }
 
 impl RoutingVerdicts {
-    /// Verdicts by what is published.
+    /// Creates the verdicts for the published version.
     pub fn new(
         published: Arc<PublishedPlan>,
         uncertainty: UncertaintySettings,
@@ -112,7 +112,7 @@
         verdicts
     }
 
-    /// Follows changed settings.
+    /// Applies changed settings.
     pub fn set_profile(&self, Profile { settings, classes, tenants, .. }: &Profile) {
         let mut state = self.0.borrow_mut();
         state.names = RequestNames {
@@ -122,15 +122,15 @@
         state.evaluation.set_proxies(settings.nodes, settings.ordinal);
     }
 
-    /// Follows an update of the endpoint list.
+    /// Applies an update of the endpoint list.
     pub fn update_endpoints(&self, full: bool, entries: &[Entry], kind_of: impl Fn(ServerId) -> NodeKind) {
         let mut state = self.0.borrow_mut();
         state.evaluation.nodes.update(full, entries, kind_of);
-        // Keys and counts are by node kind: the next verdict computes them anew.
+        // Keys and counts depend on the node kinds, so the next verdict has to recompute them.
         state.version = None;
     }
 
-    /// The kinds of render node that were ever listed.
+    /// All kinds of render node that were ever listed.
     pub fn kinds(&self) -> Vec<NodeKind> {
         self.0.borrow().evaluation.nodes.kinds().to_vec()
     }
@@ -144,27 +144,27 @@
         state.add_connection(plan, request, server);
     }
 
-    /// The request's attempt, or its connection, has ended.
+    /// Removes the request's attempt or connection from the counts after its end.
     pub fn remove_connection(&self, request: RequestId) {
         self.0.borrow_mut().evaluation.connections.remove(request);
     }
 
-    /// Forgets the request: nothing more will be asked of it.
+    /// Removes the request's verdict basis, once nobody will query it any more.
     pub fn forget(&self, request: RequestId) {
         self.0.borrow_mut().basis.remove(&request);
     }
 
-    /// What the request's last verdict was based on.
+    /// The basis of the request's last verdict.
     pub fn basis(&self, request: RequestId) -> Option<VerdictBasis> {
         self.0.borrow().basis.get(&request).cloned()
     }
 
-    /// When the lease was looked at for that verdict.
+    /// When the lease was checked for the request's last verdict.
     pub fn evaluated_at(&self, request: RequestId) -> Option<Micros> {
         self.0.borrow().basis.get(&request).map(|basis| basis.evaluated_at)
     }
 
-    /// Requests rejected since it was uncertain which rules are in force.
+    /// The number of requests rejected because it was uncertain which rules are in force.
     pub fn rejected_while_uncertain(&self) -> u64 {
         self.0.borrow().rejected_while_uncertain
     }
@@ -190,7 +190,8 @@
     fn stickiness(&mut self, _: Micros, request: &Request, server: ServerId) -> Option<Stickiness> {
         let state = self.0.borrow();
         let version = state.published.read();
-        // Counts without a lease, too: leaving a connection where it is contradicts nobody.
+        // The rules on moves apply even without a valid lease, since keeping a connection in place cannot contradict other
+        // proxies.
         let plan = &version.as_ref()?.plan;
         let rules = plan.lookup(&state.names.resolve(request));
         match state.evaluation.move_condition(&rules, server)? {
@@ -203,7 +204,7 @@
 impl State {
     fn evaluate(&mut self, now: Micros, request: &Request) -> RoutingVerdict {
         let version = self.published.read();
-        // After the version is read: a process that was stopped in between finds the lease expired.
+        // The clock is read after the version. A process that was suspended in between thus finds the lease expired.
         let evaluated_at = Clock.now();
         let Some(published) = version.as_ref() else {
             let basis = VerdictBasis { version: None, rules: Vec::new(), is_uncertain: true, evaluated_at };
@@ -234,7 +235,7 @@
         verdict
     }
 
-    /// The verdict on a request that no known rule decides.
+    /// The verdict on a request for which no rule is known.
     fn verdict_without_rules(&mut self, policy: UnknownRules) -> RoutingVerdict {
         match policy {
             UnknownRules::Serve => RoutingVerdict::default(),
@@ -247,7 +248,7 @@
         RoutingVerdict { refuse: Some(retry_after), ..RoutingVerdict::default() }
     }
 
-    /// Sets the evaluation to another version, or to another endpoint list.
+    /// Updates the evaluation after a change of the version or of the endpoint list.
     fn follow_version(&mut self, published: &PublishedVersion) {
         let version = Some((published.number, published.hash));
         if self.version == version {
--- a/crates/cottonnotch/src/rules/routing_verdict_tests.rs
+++ b/crates/cottonnotch/src/rules/routing_verdict_tests.rs
@@ -1,4 +1,4 @@
-//! RoutingVerdicts from real files, over all that the decisions may ask.
+//! Tests of the routing verdicts for compiled rule files: every query that the decision module makes.
 
 use super::*;
 use crate::rules::clock::Clock;
@@ -46,7 +46,7 @@
     }
 }
 
-/// The plan of one namespace's file, with these rules.
+/// Compiles the plan of a single namespace with these rules.
 fn plan(rules: &str) -> Arc<Plan> {
     let text =
         format!("namespace = \"consortium\"\nrevision = 1\non_doubt = \"refuse\"\nretry_ms = 250\n{rules}");
@@ -58,7 +58,7 @@
     Arc::new(compile(&merged.book, &profiles).plan)
 }
 
-/// Eight nodes: halls a and b by turns, classes x and y by pairs.
+/// Sends a full endpoint list with these servers. Halls a and b alternate, hardware classes x and y alternate in pairs.
 fn list(verdicts: &RoutingVerdicts, proxies: impl Iterator<Item = u32>) {
     let entry = |server: u32| Entry {
         server: ServerId(server),
@@ -141,7 +141,7 @@
         BTreeSet::from(["consortium:edits", "consortium:north"].map(Name::from))
     );
     assert_eq!(verdicts.evaluate(0, &request(4, 1, Some(1), None)).allowed.map(|_| ()), Some(()));
-    // A wish for what isn't there puts nothing before another.
+    // A preference for hardware that no listed node has ranks all nodes alike.
     list(&verdicts, [0, 1, 4, 5].into_iter());
     assert_eq!(verdicts.evaluate(0, &request(5, 0, None, None)).preferred, None);
 }
@@ -161,9 +161,9 @@
             verdicts.record_attempt(0, &limited, ServerId(to));
         }
         taken += at_a;
-        // Others are not counted, and are not held back.
+        // Requests of another class are neither counted nor limited.
         assert_eq!(verdicts.evaluate(0, &request(50, 1, None, None)).allowed, None);
-        // One leaves: there is room for one, also under a new version and a new list.
+        // After one connection ends, exactly one more is allowed, even under a new version and a new endpoint list.
         verdicts.remove_connection(RequestId(0));
         published.grant(&plan(cap), 2, [2; 32], Micros::MAX);
         list(&verdicts, 0..8);
@@ -241,7 +241,7 @@
     );
     assert!(verdicts.basis(north.id).unwrap().is_uncertain);
     assert_eq!(verdicts.rejected_while_uncertain(), 1);
-    // The lease is over by the clock alone, without a word from anybody.
+    // The lease expires by the clock alone, without a revocation.
     published.grant(&plan(rules), 1, [1; 32], Clock.now() + 30_000);
     assert_eq!(allowed(&verdicts.evaluate(0, &north)), [0, 2, 4, 6]);
     std::thread::sleep(std::time::Duration::from_millis(40));
@@ -261,7 +261,7 @@
     assert_eq!(keep.basis(other.id).unwrap().version, None);
 }
 
-/// Prints what a verdict costs; `cargo test --release -- --ignored --nocapture measures_verdict_cost`.
+/// Prints the time that a verdict takes. Run with `cargo test --release -- --ignored --nocapture measures_verdict_cost`.
 #[test]
 #[ignore = "a measurement"]
 fn measures_verdict_cost() {
--- a/crates/cottonnotch/src/rules/rule_evaluation.rs
+++ b/crates/cottonnotch/src/rules/rule_evaluation.rs
@@ -1,5 +1,5 @@
-//! From the compiled rules of a request to its routing verdict: the nodes that are allowed, those that are preferred, and this
-//! proxy's share of fleet-wide limits and rates.
+//! Evaluates the compiled rules of a request to its routing verdict: the allowed nodes, the preferred nodes, and this proxy's
+//! share of fleet-wide limits and rates.
 
 use super::established_connections::EstablishedConnections;
 use super::node_kinds::{NodeKind, NodeKindSet, RenderNodes};
@@ -10,22 +10,22 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Whether preferences count. They don't while it is uncertain whether their version is in force.
+/// Whether a verdict takes preferences into account. They are ignored while it is uncertain that their version is in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Preferences {
     Apply,
     Ignore,
 }
 
-/// What verdicts are evaluated from, besides the plan.
+/// The state that verdicts are evaluated from, in addition to the plan.
 #[derive(Debug)]
 pub struct RuleEvaluation {
-    /// The number of proxies, and this one's ordinal: fleet-wide limits are shared among them.
+    /// The number of proxies, among which fleet-wide limits are divided. `ordinal` is this proxy's position among them.
     proxies: u32,
     ordinal: u32,
     pub nodes: RenderNodes,
     pub connections: EstablishedConnections,
-    /// The plan's keys of the node kinds.
+    /// The plan's key of each node kind.
     keys: Vec<NodeKey>,
     buckets: HashMap<LimitId, TokenBucket>,
 }
@@ -44,7 +44,7 @@
     }
 }
 
-/// One proxy's share of a number. The shares of all proxies add up to it exactly.
+/// One proxy's share of a total. The shares of all proxies add up to exactly the total.
 fn share(total: u64, proxies: u32, ordinal: u32) -> u64 {
     let (proxies, ordinal) = (u64::from(proxies.max(1)), u64::from(ordinal));
     total / proxies + u64::from(ordinal < total % proxies)
@@ -54,7 +54,7 @@
     Node { hall: &kind.hall, hardware: &kind.hardware }
 }
 
-/// The limits that a request's connection to this server counts towards.
+/// The limits that a connection of the request to this server counts towards.
 fn limits(plan: &Plan, nodes: &RenderNodes, request: &Request, server: ServerId) -> Vec<LimitId> {
     let Some(kind) = nodes.kind(server).and_then(|kind| nodes.kinds().get(kind)) else { return Vec::new() };
     let rules = plan.lookup(request);
@@ -63,12 +63,12 @@
 }
 
 impl RuleEvaluation {
-    /// Sets the number of proxies and this one's ordinal.
+    /// Sets the number of proxies and this proxy's ordinal.
     pub fn set_proxies(&mut self, proxies: u32, ordinal: u32) {
         (self.proxies, self.ordinal) = (proxies.max(1), ordinal);
     }
 
-    /// Follows another plan, or another endpoint list: everything by node kind and by limit is computed anew.
+    /// Recomputes everything that depends on node kinds and limits, after a change of the plan or of the endpoint list.
     pub fn set_plan<'a>(
         &mut self,
         plan: &Plan,
@@ -77,11 +77,11 @@
         let RuleEvaluation { nodes, connections, .. } = self;
         self.keys = nodes.kinds().iter().map(|kind| plan.node_key(&node_of(kind))).collect();
         connections.recount(|request, server| limits(plan, nodes, &request_of(request), server));
-        // Tokens owed or saved are lost with the limits; a rate is kept again within a second or two.
+        // Clearing the buckets loses owed and saved tokens. Each rate is correct again within a second or two.
         self.buckets.clear();
     }
 
-    /// Counts the request's connection to this server from now on.
+    /// Adds the request's connection to this server to the counts.
     pub fn add_connection(
         &mut self,
         plan: Option<&Plan>,
@@ -93,20 +93,21 @@
         self.connections.insert(request, server, limits);
     }
 
-    /// When a connection may be moved off this server.
+    /// The condition under which a connection may be moved away from this server. Returns `None` if no rule restricts moves or
+    /// the server is unknown.
     pub fn move_condition(&self, rules: &Lookup, server: ServerId) -> Option<MoveCondition> {
         let kind = self.nodes.kinds().get(self.nodes.kind(server)?)?;
         rules.move_when_on(&node_of(kind))
     }
 
-    /// Takes a token of each rate that the request's connection comes under.
+    /// Takes a token from each rate limit that applies to the request.
     pub fn take_tokens(&mut self, now: Micros, rules: &Lookup) {
         for (limit, _) in rules.paces() {
             self.buckets.entry(limit).or_insert_with(|| TokenBucket::new(now)).take();
         }
     }
 
-    /// The verdict that the rules come to now.
+    /// Evaluates the rules to a verdict.
     pub fn evaluate(
         &mut self,
         now: Micros,
@@ -133,7 +134,7 @@
         verdict
     }
 
-    /// The kinds that the rules allow and whose connection limits have room in this proxy's share.
+    /// The kinds that the rules allow and for which this proxy's share of no connection limit is exhausted.
     fn allowed_kinds(&self, rules: &Lookup) -> NodeKindSet {
         let exhausted: Vec<_> = rules
             .caps()
@@ -148,7 +149,7 @@
         })
     }
 
-    /// The kinds that the preferences rank first among the allowed ones with ready nodes; `None`: they rank all alike.
+    /// The kinds that the preferences rank first among the allowed kinds with ready nodes. Returns `None` if all rank alike.
     fn preferred_kinds(&self, rules: &Lookup, allowed: &NodeKindSet) -> Option<NodeKindSet> {
         let keys = &self.keys;
         let ranks = || {
@@ -160,7 +161,7 @@
         differs.then(|| NodeKindSet::of(keys.len(), |kind| rules.rank_key(keys[kind]) == best))
     }
 
-    /// When every rate that the request comes under has a token in this proxy's share; `None`: now.
+    /// The earliest time at which every applicable rate limit has a token in this proxy's share. Returns `None` if that is now.
     fn next_tokens_at(&mut self, now: Micros, rules: &Lookup) -> Option<Micros> {
         let quota = Quota::even(self.proxies);
         let mut not_before = None;
@@ -168,7 +169,7 @@
             let per_s = quota.share_of(now, per_s_milli as f64 / 1e3);
             let bucket = self.buckets.entry(limit).or_insert_with(|| TokenBucket::new(now));
             if !bucket.refill(now, per_s) {
-                // Less than a microsecond short is short still.
+                // The shortage may be less than a microsecond, which would round to now; the time has to be later than now.
                 let next = bucket.next_token_at(per_s).max(now + 1);
                 not_before = not_before.max(Some(next));
             }
--- a/crates/cottonnotch/src/rules/service.rs
+++ b/crates/cottonnotch/src/rules/service.rs
@@ -1,4 +1,4 @@
-//! The rules as the driver has them: it reports events and asks for verdicts.
+//! The driver's interface to the rules. The driver reports events to it and requests verdicts from it.
 
 use super::clock::Clock;
 use super::compile_job::CompileJob;
@@ -21,14 +21,15 @@
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-/// The Retry-After without consensus: the default of `accord.retry_ms`.
+/// The Retry-After without consensus, in microseconds. Equals the default of `accord.retry_ms`.
 const RETRY_WITHOUT_CONSENSUS: Micros = 500_000;
-/// Discovery sends a list to one proxy after another: one that hasn't got it after so long won't get it.
+/// After this many microseconds, a list that another member has is considered lost. Discovery sends a list to one proxy after
+/// another, so proxies receive it at slightly different times.
 const LIST_OVERDUE_AFTER: Micros = 300_000;
-/// Between two requests for the newer list.
+/// The interval between two requests for a newer list, in microseconds.
 const LIST_RETRY_AFTER: Micros = 2_000_000;
 
-/// The rules, with the threads behind them.
+/// The routing rules, with the handles of the threads that maintain them.
 pub struct RulesService {
     verdicts: RoutingVerdicts,
     settings: RulesSettings,
@@ -36,15 +37,18 @@
     status: Arc<SharedStatus>,
     jobs: Sender<CompileJob>,
     consensus: Option<ConsensusHandle>,
-    /// The longest from a verdict to the write that follows it; `None`: without consensus, any time.
+    /// The maximum time between a verdict and the write of the request that depends on it. `None` without consensus, where the
+    /// time is unlimited.
     act: Option<Micros>,
-    /// The version that queued requests were last evaluated by, and whether its lease was valid.
+    /// The version at the last [`Self::tick`], and whether its lease was valid. Queued requests are evaluated again when this
+    /// changes.
     announced: Option<(u64, bool)>,
 }
 
 impl RulesService {
-    /// Starts the threads. Fails if an address or a folder can't be had; if `has_predecessor`, an earlier process of this proxy
-    /// may have it still, and it is waited for. `records_names`: the records name the rules.
+    /// Starts the threads. Fails if an address or a folder cannot be acquired. With `has_predecessor`, an earlier process of
+    /// this proxy may still hold them, and the consensus thread waits for their release. With `records_names`, the records list
+    /// the names of the rules.
     pub fn start(
         settings: RulesSettings,
         profile: &Profile,
@@ -92,16 +96,16 @@
     }
 
     fn request(&self, job: CompileJob) {
-        // The worker ends with the process.
+        // The worker runs until the process ends, so sending does not fail.
         let _ = self.jobs.send(job);
     }
 
-    /// The rules as the decision module asks them.
+    /// The routing verdicts for the decision module.
     pub fn verdicts(&self) -> &RoutingVerdicts {
         &self.verdicts
     }
 
-    /// Follows a changed configuration. Of consensus nothing changes.
+    /// Applies a changed configuration. The settings of consensus stay as they were at the start.
     pub fn reload(&mut self, settings: Option<RulesSettings>, profile: &Profile) {
         self.verdicts.set_profile(profile);
         let Some(settings) = settings else {
@@ -117,13 +121,13 @@
     fn send_inventory(&self, profile: &Profile) {
         let named = |kind: NodeKind| (kind.hall.into_string(), kind.hardware.into_string());
         let nodes: std::collections::BTreeSet<_> = self.verdicts.kinds().into_iter().map(named).collect();
-        // Without any node no rule can be compiled.
+        // Without any known node the rules cannot be compiled.
         if !nodes.is_empty() {
             self.request(CompileJob::Inventory(self.settings.inventory(profile, nodes)));
         }
     }
 
-    /// Follows an update of the endpoint list, or of operators' overrides of it.
+    /// Applies an update of the endpoint list, or of the operators' overrides of the list.
     pub fn update_endpoints(
         &self,
         profile: &Profile,
@@ -143,8 +147,8 @@
         }
     }
 
-    /// The revision of a list that other members have had for longer than discovery's updates are apart, if this proxy's list is
-    /// older. Reported again after a while, for as long as that is so.
+    /// The revision of a newer endpoint list that other members have and that is overdue here. Returns the revision again after
+    /// an interval, until this proxy has received the list. `revision` is that of this proxy's list.
     pub fn newer_list_revision(&self, revision: u64) -> Option<u64> {
         let mut status = self.status.lock();
         let (newer, since) = status.newer_list.as_mut()?;
@@ -156,7 +160,7 @@
         Some(*newer)
     }
 
-    /// Follows an event that the decision module is about to handle, as far as it changes established connections.
+    /// Updates the established connections for an event that the decision module is about to handle.
     pub fn observe_event(&self, event: &Event) {
         match event {
             Event::Open { request, server } => self.verdicts.add_connection(request, *server),
@@ -171,18 +175,19 @@
         }
     }
 
-    /// Forgets a request that was answered, or needs no answer.
+    /// Removes the state of a request that was answered, or that needs no answer any more.
     pub fn forget_request(&self, request: RequestId) {
         self.verdicts.remove_connection(request);
         self.verdicts.forget(request);
     }
 
-    /// The request's first line must be written before this time, by [`Clock`], or not at all.
+    /// The time, by [`Clock`], before which the request's first line must be written. A later write could follow rules whose
+    /// lease expired longer ago than `accord.contradiction_ms` allows. Returns `None` if there is no limit.
     pub fn write_deadline(&self, request: RequestId) -> Option<Micros> {
         Some(self.verdicts.evaluated_at(request)?.saturating_add(self.act?))
     }
 
-    /// Once a second: an event if queued requests must be evaluated anew.
+    /// Called once a second. Returns an event if queued requests must be evaluated again.
     pub fn tick(&mut self) -> Option<Event> {
         let now = Clock.now();
         let version = self.published.read();
@@ -193,12 +198,12 @@
         (std::mem::replace(&mut self.announced, state) != state).then_some(Event::RulesChanged)
     }
 
-    /// Ends consensus in this process: a successor takes over as the member.
+    /// Stops consensus in this process, so that a successor can take over as the member.
     pub fn stop_consensus(&mut self) {
         self.consensus.iter().for_each(ConsensusHandle::stop);
     }
 
-    /// What the request's last verdict was based on.
+    /// The basis of the request's last verdict.
     pub fn basis(&self, request: RequestId) -> Option<VerdictBasis> {
         self.verdicts.basis(request)
     }
@@ -210,7 +215,7 @@
             (status.version, status.until) = (Some(published.number), self.published.until(published));
             status.rules = published.plan.rules() as u64;
         }
-        // Rounded up: 0 means that it has expired.
+        // Rounded up, so that 0 means that the lease has expired.
         let left = status.until.saturating_sub(Clock.now());
         status.lease_left_ms = u64::try_from(left).map_or(0, |left| left.div_ceil(1_000));
         status.rejected_while_uncertain = self.verdicts.rejected_while_uncertain();
@@ -230,7 +235,7 @@
             members: consensus.members.len() as u16,
             voters: consensus.voters.clone(),
             timing: consensus.timing,
-            // Each start has its own: the thread sets it.
+            // The consensus thread sets the incarnation when it starts the member.
             incarnation: 0,
         },
         seed,
--- a/crates/cottonnotch/src/rules/settings.rs
+++ b/crates/cottonnotch/src/rules/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the rules, with the files that the sections name.
+//! The validated settings of the rules, including the contents of the files that the sections name.
 
 use super::config::{self, ConsensusSection, ConsensusSettings, HardwareSection, RulesSection, SectionError};
 use super::rules_folder::{FolderError, first_faulty, read_folder};
@@ -8,40 +8,40 @@
 use cottonnotch_rule_compiler::Profiles;
 use std::collections::BTreeSet;
 
-/// Everything that the rules need of the configuration.
+/// The settings of the rules.
 #[derive(Clone, Debug)]
 pub struct RulesSettings {
-    /// The namespaces' files.
+    /// The rule files of the namespaces.
     pub files: Vec<RuleFile>,
-    /// What each hardware class can run.
+    /// The profile of each hardware class.
     pub profiles: Profiles,
-    /// How the proxies agree on versions; `None`: this process acts on its own files alone.
+    /// The settings of consensus and the members' key. `None` if consensus is off and this process acts on its own files alone.
     pub consensus: Option<(ConsensusSettings, EnvelopeKey)>,
     root: String,
     connections: u64,
 }
 
-/// Why the rules can't be used as they are configured. Each message begins with the key's full path.
+/// Why the configuration of the rules is invalid. Each message begins with the full path of the key.
 #[derive(Debug, thiserror::Error)]
 pub enum RulesError {
-    /// A section.
+    /// A section is invalid.
     #[error(transparent)]
     Section(#[from] SectionError),
-    /// The folder.
+    /// The folder cannot be read.
     #[error(transparent)]
     Folder(#[from] FolderError),
-    /// A file in it.
+    /// A file in the folder is invalid.
     #[error("rules.folder has a faulty file: {0}")]
     File(#[from] RuleFileError),
-    /// The key.
+    /// The key file cannot be read.
     #[error("accord.key_file cannot be read: '{path}': {error}")]
     UnreadableKey {
-        /// The file.
+        /// The path of the key file.
         path: String,
-        /// Why.
+        /// The cause.
         error: std::io::Error,
     },
-    /// What it holds.
+    /// The key file with this path does not hold a valid key.
     #[error(
         "accord.key_file does not hold 64 hexadecimal digits and nothing else (`openssl rand -hex 32` makes a key): '{0}'"
     )]
@@ -49,7 +49,7 @@
 }
 
 impl RulesSettings {
-    /// Reads what the sections name; `None`: they are off.
+    /// Validates the sections and reads the files that they name. Returns `None` if the rules are off.
     pub fn read(
         rules: &RulesSection,
         hardware: &[HardwareSection],
@@ -67,12 +67,12 @@
         Ok(Some(RulesSettings { files, profiles, consensus, root, connections }))
     }
 
-    /// Whether every file is valid.
+    /// Fails if any rule file is invalid.
     pub fn check_files(&self) -> Result<(), RulesError> {
         first_faulty(&self.files).map_or(Ok(()), |error| Err(error.into()))
     }
 
-    /// What rules can refer to, with render nodes of these kinds.
+    /// The inventory of the names that rules can refer to. `nodes` has the kinds (hall and hardware class) of the render nodes.
     pub fn inventory(&self, profile: &Profile, nodes: BTreeSet<(String, String)>) -> Inventory {
         let Profile { settings, classes, tenants, .. } = profile;
         let stated = settings.allowance_open();
@@ -91,7 +91,7 @@
     }
 }
 
-/// Reads the key that authenticates members.
+/// Adds the key that authenticates members, read from the key file.
 fn with_key(settings: ConsensusSettings) -> Result<(ConsensusSettings, EnvelopeKey), RulesError> {
     let path = settings.key_file.display().to_string();
     let text = match std::fs::read(&settings.key_file) {
--- a/crates/cottonnotch/src/rules/state_recovery.rs
+++ b/crates/cottonnotch/src/rules/state_recovery.rs
@@ -1,5 +1,5 @@
-//! What a process takes over from an earlier one of the same member: durable state, contents and the version that was active
-//! last; and, while that process still runs, its lease.
+//! Recovery of the state that an earlier process of the same member left: durable state, contents and the version that was
+//! active last. While the earlier process still runs, the new process follows its lease.
 
 use super::consensus_handle::ConsensusHandle;
 use super::consensus_setup::{MemberSettings, SharedState};
@@ -12,7 +12,8 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Acts on the version that the predecessor has a lease on, for as long as it has; `None`: there is nothing new to act on.
+/// Publishes the version of the predecessor's lease file, which stays valid for as long as the predecessor holds its lease.
+/// Returns `None` if the version is already published, or if the lease or its content cannot be read.
 pub fn follow_predecessor(folder: &Path, shared: &SharedState) -> Option<()> {
     let file = LeaseFile::open(folder).ok()?;
     let LeaseRecord { number, hash, .. } = file.read()?;
@@ -27,7 +28,7 @@
     Some(())
 }
 
-/// Restores what an earlier process left in the state folder; the voter's durable state, if there is one.
+/// Restores the contents and the last active version from the state folder. Returns the voter's durable state, if there is one.
 pub fn restore_state(
     settings: &MemberSettings,
     shared: &SharedState,
@@ -41,7 +42,7 @@
     Ok(restore_durable_state(folder, initial))
 }
 
-/// Why a stored content can't be used.
+/// Why a stored content cannot be used.
 #[derive(Debug, thiserror::Error)]
 enum StoredContentError {
     #[error(transparent)]
@@ -66,7 +67,7 @@
                 handle.send(Input::ContentReady { hash });
             }
             Err(error) => {
-                // It is fetched again if it is needed.
+                // The member fetches the content again if it needs it.
                 log::warn!("stored rules '{name}' cannot be used and are removed: {error}");
                 let _ = folder.remove(&name);
             }
@@ -75,7 +76,7 @@
     Ok(())
 }
 
-/// Publishes the version that was active last without a lease: it is known, for rules that hold while it is uncertain which
+/// Publishes the version that was active last, with an expired lease, because some rules apply even while it is uncertain which
 /// version is in force.
 fn restore_last_active(folder: &StateFolder, shared: &SharedState) {
     let bytes = folder.load(LAST_ACTIVE).ok().flatten();
--- a/crates/cottonnotch/src/rules/status.rs
+++ b/crates/cottonnotch/src/rules/status.rs
@@ -1,5 +1,5 @@
-//! The status of the rules for operators: the version, the lease, namespaces held back. Written by the rules' threads, read on
-//! request by the admin server; no client's request looks at it.
+//! The status of the rules for operators: the version, the lease and the held-back namespaces. The rules' threads write the
+//! status, and the admin server reads it on request. The handling of client requests does not depend on it.
 
 use cottonnotch_consensus::{Micros, Role};
 use std::collections::BTreeMap;
@@ -8,37 +8,38 @@
 /// The status of the rules.
 #[derive(Clone, Debug, Default)]
 pub struct RulesStatus {
-    /// The version that this process acts on, or acted on last.
+    /// The number of the version that this process acts on, or last acted on.
     pub version: Option<u64>,
-    /// The number of its rules.
+    /// The number of rules in that version.
     pub rules: u64,
-    /// When its lease expires, or expired.
+    /// The time at which the lease on that version expires or expired.
     pub until: Micros,
-    /// What is left of the lease when the status is read, in milliseconds, rounded up.
+    /// The remaining time of the lease when the status is read, in milliseconds, rounded up.
     pub lease_left_ms: u64,
-    /// The newest version known.
+    /// The number of the newest known version.
     pub newest: u64,
-    /// The role among the voters.
+    /// This member's role among the voters.
     pub role: Role,
-    /// The leader, as far as it is known.
+    /// The ordinal of the leader; `None` if it is unknown.
     pub leader: Option<u16>,
-    /// The greatest term known.
+    /// The highest known term.
     pub term: u64,
-    /// Leader: members that requested a lease recently; 0 elsewhere.
+    /// At the leader, the number of members that requested a lease recently; 0 at other members.
     pub live_members: u32,
-    /// Namespaces that are held back on their last valid revision, with the reason.
+    /// The namespaces that are held back on their last valid revision, each with the reason.
     pub held_back: BTreeMap<String, String>,
-    /// Requests rejected since it was uncertain which rules are in force.
+    /// The number of requests rejected because it was uncertain which rules are in force.
     pub rejected_while_uncertain: u64,
-    /// Datagrams dropped since they could not be authenticated or decoded.
+    /// The number of datagrams dropped because they could not be authenticated or decoded.
     pub invalid_datagrams: u64,
-    /// Datagrams that could not be sent.
+    /// The number of datagrams that could not be sent.
     pub unsent_datagrams: u64,
-    /// Invariants found violated.
+    /// The number of detected invariant violations.
     pub invariant_violations: u64,
-    /// The revision of an endpoint list newer than this proxy's that other members have, and when this proxy heard of it.
+    /// The revision of an endpoint list that other members have and that is newer than this proxy's list, and when this proxy
+    /// learned of it.
     pub newer_list: Option<(u64, Micros)>,
-    /// Why the consensus thread ended, if it did.
+    /// The error that ended the consensus thread; `None` if there was no error.
     pub consensus_error: Option<String>,
 }
 
@@ -47,9 +48,9 @@
 pub struct SharedStatus(Mutex<RulesStatus>);
 
 impl SharedStatus {
-    /// The status, to read or to change.
+    /// Locks the status for reading or changing.
     pub fn lock(&self) -> MutexGuard<'_, RulesStatus> {
-        // Nobody panics with it half changed.
+        // No holder of the lock leaves a partial change behind when it panics, so a poisoned lock is safe to use.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/cottonnotch/src/rules/version_content.rs
+++ b/crates/cottonnotch/src/rules/version_content.rs
@@ -1,5 +1,5 @@
-//! The content of a version of the rules, and the plan that it compiles to. All members get the same bytes, so that all
-//! compile the same book by the same profiles to the same plan.
+//! The content of a version of the rules, and its compiled plan. All members receive the same bytes, so all of them compile the
+//! same book with the same profiles to the same plan.
 
 use cottonnotch_consensus::ContentHash;
 use cottonnotch_routing_rules::{Book, History, Inventory};
@@ -9,58 +9,58 @@
 use std::fmt::Write;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The format of the bytes. Another one can't be run here.
+/// The number of the encoding. Contents with another number are rejected.
 const FORMAT: u16 = 1;
-/// The largest content, in bytes.
+/// The maximum size of an encoded content, in bytes.
 pub const MAX_CONTENT_BYTES: usize = 16 << 20;
-/// Contents in the cache: those in force or pending, and earlier ones to compare with.
+/// The maximum number of cached contents: those in force or pending, and earlier ones that new contents are compared with.
 const MAX_CACHED: usize = 12;
 
-/// What a version consists of, as all members have it. Encoded by the order of the fields, which must not change.
+/// The parts of a content, equal at all members. The encoding depends on the order of the fields, which must not change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ContentBody {
     format: u16,
-    /// The version in force that it was made on top of; it is good for no other.
+    /// The version in force that this content is based on. Members reject the content if another version is in force.
     pub base: Option<ContentHash>,
-    /// Each namespace's state and last valid file.
+    /// The state and the last valid file of each namespace.
     pub history: History,
-    /// The rules that the files merge to.
+    /// The rules that result from merging the files.
     pub book: Book,
-    /// What each hardware class can run.
+    /// The profile of each hardware class.
     pub profiles: Profiles,
-    /// What rules can refer to, as far as any proposer knew.
+    /// The names that rules can refer to, as known to this proposer and the proposers of earlier versions.
     pub inventory: Inventory,
 }
 
-/// Why bytes are no content that this build can run.
+/// Why this build cannot use some bytes as a content.
 #[derive(Debug, thiserror::Error)]
 pub enum ContentError {
-    /// They are of another build's format.
+    /// The bytes have the format of another build.
     #[error("it is of form {0}, and this build runs {FORMAT}")]
     Format(u16),
-    /// They can't be decoded.
+    /// The bytes cannot be decoded.
     #[error("it cannot be read: {0}")]
     Unreadable(#[from] postcard::Error),
-    /// There are too many.
+    /// The content exceeds [`MAX_CONTENT_BYTES`].
     #[error("it is larger than {MAX_CONTENT_BYTES} bytes")]
     TooLarge,
 }
 
-/// A content that this process can act on.
+/// A decoded and compiled content.
 #[derive(Debug)]
 pub struct VersionContent {
-    /// The hash of the bytes.
+    /// The hash of `bytes`.
     pub hash: ContentHash,
-    /// The encoded body, as members exchange it.
+    /// The encoded body, as exchanged between members.
     pub bytes: Arc<[u8]>,
     /// The decoded body.
     pub body: ContentBody,
-    /// The plan that it compiles to.
+    /// The compiled plan.
     pub plan: Arc<Plan>,
 }
 
 impl ContentBody {
-    /// A body made on top of the version `base`.
+    /// Creates a body that is based on the version `base`.
     pub fn new(
         base: Option<ContentHash>,
         history: History,
@@ -71,7 +71,7 @@
         ContentBody { format: FORMAT, base, history, book, profiles, inventory }
     }
 
-    /// Encodes and compiles it.
+    /// Encodes and compiles the body.
     pub fn compile(self) -> Result<VersionContent, ContentError> {
         let bytes = postcard::to_allocvec(&self)?;
         if bytes.len() > MAX_CONTENT_BYTES {
@@ -87,12 +87,12 @@
 }
 
 impl VersionContent {
-    /// Decodes and compiles what another member encoded, or this one earlier.
+    /// Decodes and compiles a content that another member or an earlier process has encoded.
     pub fn decode(bytes: Vec<u8>) -> Result<Self, ContentError> {
         if bytes.len() > MAX_CONTENT_BYTES {
             return Err(ContentError::TooLarge);
         }
-        // Another format may be laid out differently from here on.
+        // The number comes first in every format. The bytes after it may have another layout in another format.
         let (format, _) = postcard::take_from_bytes::<u16>(&bytes)?;
         if format != FORMAT {
             return Err(ContentError::Format(format));
@@ -102,30 +102,31 @@
     }
 }
 
-/// A hash in hexadecimal digits.
+/// Formats a hash in hexadecimal digits.
 pub fn hex(hash: &ContentHash) -> String {
     hash.iter().fold(String::with_capacity(64), |mut text, byte| {
-        // Writing to a string can't fail.
+        // Writing to a string cannot fail.
         let _ = write!(text, "{byte:02x}");
         text
     })
 }
 
-/// The digits of a hash that log lines show.
+/// Formats the first digits of a hash, for log lines.
 pub fn short_hex(hash: &ContentHash) -> String {
     let mut text = hex(hash);
     text.truncate(12);
     text
 }
 
-/// The contents that this process has, by hash; the least recently used are evicted. Clones share the contents.
+/// The contents that this process has, by hash. The cache evicts the least recently used content. Clones share the contents.
 #[derive(Clone, Debug, Default)]
 pub struct ContentCache(Arc<Mutex<CachedContents>>);
 
 #[derive(Debug, Default)]
 struct CachedContents {
-    /// With the use that was made of each last.
+    /// Each content with the value of `uses` at its last use.
     contents: BTreeMap<ContentHash, (u64, Arc<VersionContent>)>,
+    /// The number of uses of any content so far.
     uses: u64,
 }
 
@@ -142,11 +143,11 @@
 
 impl ContentCache {
     fn lock(&self) -> MutexGuard<'_, CachedContents> {
-        // Nobody panics with it half changed.
+        // No holder of the lock leaves a partial change behind when it panics, so a poisoned lock is safe to use.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The content of this hash.
+    /// The content with this hash. Counts as a use of the content.
     pub fn get(&self, hash: &ContentHash) -> Option<Arc<VersionContent>> {
         let mut cached = self.lock();
         let this_use = cached.next_use();
@@ -155,7 +156,7 @@
         Some(Arc::clone(content))
     }
 
-    /// Inserts a content. Returns the hashes of those that were evicted for it.
+    /// Inserts a content. Returns the hashes of the contents that were evicted to make room.
     pub fn insert(&self, content: Arc<VersionContent>) -> Vec<ContentHash> {
         let mut cached = self.lock();
         let this_use = cached.next_use();
@@ -169,7 +170,7 @@
         evicted
     }
 
-    /// How many contents there are.
+    /// The number of cached contents.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.lock().contents.len()
