--- a/crates/cottonnotch/src/rules/config.rs
+++ b/crates/cottonnotch/src/rules/config.rs
@@ -156,16 +156,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SectionError {
     /// `listen` is missing although other keys of `[accord]` are set.
-    #[error("accord.listen is missing, and other keys of the section are set")]
+    #[error("accord.listen is missing, but other keys of the section are set")]
     ListenMissing,
     /// A key that consensus requires is missing.
-    #[error("accord.{0} is missing, and accord.listen is set")]
+    #[error("accord.{0} is missing, but accord.listen is set")]
     KeyMissing(&'static str),
     /// `listen` has port 0. The datagrams' and the contents' sockets would get different ports from the system.
-    #[error("accord.listen needs a port: datagrams and contents go to the same number")]
+    #[error("accord.listen needs a fixed port: datagrams and contents use the same port number")]
     NoPort,
     /// There are more members than 16-bit ordinals.
-    #[error("accord.members names {0} proxies, which is too many")]
+    #[error("accord.members names {0} proxies, the maximum is 65535")]
     TooManyMembers(usize),
     /// This member's ordinal is not below the number of members.
     #[error("accord.me is {me}, and accord.members names {members} proxies")]
--- a/crates/cottonnotch/src/rules/durable_file.rs
+++ b/crates/cottonnotch/src/rules/durable_file.rs
@@ -27,7 +27,7 @@
     #[error("{0}")]
     Io(#[from] io::Error),
     /// The file is truncated or corrupt, has another format, or exceeds the maximum length.
-    #[error("it is torn, foreign, or of another version")]
+    #[error("the file is truncated, corrupt, too long or of another format")]
     Damaged,
 }
 
--- a/crates/cottonnotch/src/rules/lease_file_tests.rs
+++ b/crates/cottonnotch/src/rules/lease_file_tests.rs
@@ -6,7 +6,7 @@
     assert!(LeaseFile::open(folder.path()).is_err());
     let own = LeaseFile::create(folder.path()).unwrap();
     let theirs = LeaseFile::open(folder.path()).unwrap();
-    assert_eq!(theirs.read(), None, "nothing was written yet");
+    assert_eq!(theirs.read(), None, "no lease has been written yet");
     for until in [1, Micros::MIN, Micros::MAX] {
         let lease = LeaseRecord { number: 7, hash: [3; 32], until };
         own.write(lease).unwrap();
--- a/crates/cottonnotch/src/rules/local_overrides_tests.rs
+++ b/crates/cottonnotch/src/rules/local_overrides_tests.rs
@@ -53,5 +53,5 @@
     assert_eq!(second.namespaces["c"].good, first.namespaces["c"].good);
     let other = RuleFile::new("again.toml", file("c", 4, 7).text);
     let (_, conflicts) = merged(&first, &[file("c", 4, 6), other]);
-    assert!(conflicts > 0, "two files of one folder");
+    assert!(conflicts > 0, "two files of one folder have the same namespace");
 }
--- a/crates/cottonnotch/src/rules/node_kinds_tests.rs
+++ b/crates/cottonnotch/src/rules/node_kinds_tests.rs
@@ -30,7 +30,7 @@
     let in_hall_a = in_a(&nodes);
     let numbers = |set: &ServerSet| (0..20).filter(|n| set.contains(ServerId(*n))).collect::<Vec<_>>();
     assert_eq!(numbers(&nodes.set(&in_hall_a)), [0, 3, 6, 9]);
-    assert!(Arc::ptr_eq(&nodes.set(&in_hall_a), &nodes.set(&in_hall_a)), "it is built once");
+    assert!(Arc::ptr_eq(&nodes.set(&in_hall_a), &nodes.set(&in_hall_a)), "the set is cached");
     // Node 3 moves to another hall, and node 14 is new.
     let change = [entry(3, ServerState::Ready), entry(14, ServerState::Draining)];
     nodes.update(false, &change, |server| kind(if server.0 == 3 { "b" } else { "a" }, "x"));
@@ -60,5 +60,9 @@
         assert_eq!((0..10).filter(|n| subset.contains(ServerId(*n))).count(), 2);
         (0..10).map(ServerId).filter(|n| subset.contains(*n)).for_each(|n| used.insert(n));
     }
-    assert_eq!((0..10).filter(|n| used.contains(ServerId(*n))).count(), 10, "groups differ");
+    assert_eq!(
+        (0..10).filter(|n| used.contains(ServerId(*n))).count(),
+        10,
+        "the subsets of all groups together cover all nodes"
+    );
 }
--- a/crates/cottonnotch/src/rules/published_plan_tests.rs
+++ b/crates/cottonnotch/src/rules/published_plan_tests.rs
@@ -22,7 +22,7 @@
                         let reading = published_plan.read();
                         let Some(published) = &*reading else { continue };
                         let (number, until) = (published.number, published.until());
-                        assert!(number >= seen.0, "versions never go back");
+                        assert!(number >= seen.0, "version numbers never decrease");
                         let range = number as i64 * 1_000..number as i64 * 1_000 + 500;
                         assert!(until == Micros::MIN || range.contains(&until), "{number} {until}");
                         seen = (number, seen.1 + 1);
@@ -59,7 +59,7 @@
     write(3, 2_000);
     assert_eq!(until(), 2_000);
     write(4, 3_000);
-    assert_eq!(until(), Micros::MIN, "the other one goes by another version now");
+    assert_eq!(until(), Micros::MIN, "the predecessor acts on another version");
     write(3, Micros::MIN);
     assert_eq!(until(), Micros::MIN);
     published_plan.grant(&plan(), 3, [3; 32], 5_000);
--- a/crates/cottonnotch/src/rules/routing_verdict_tests.rs
+++ b/crates/cottonnotch/src/rules/routing_verdict_tests.rs
@@ -173,7 +173,7 @@
         assert_eq!(allowed(&verdicts.evaluate(0, &request(61, 0, None, None))), [1, 3, 5, 7]);
         verdicts.add_connection(&request(62, 0, None, None), ServerId(2));
     }
-    assert_eq!(taken, 5, "three proxies together");
+    assert_eq!(taken, 5, "the three proxies together keep the limit");
 }
 
 #[test]
@@ -197,7 +197,7 @@
             Some(next) => assert!(next > now && next <= now + S / 2 + 1),
         }
     }
-    assert!((118..=123).contains(&sent), "two a second for a minute, and what was saved: {sent}");
+    assert!((118..=123).contains(&sent), "2 per second for a minute, plus saved tokens: {sent}");
     assert_eq!(verdicts.evaluate(60 * S, &request(0, 1, None, None)).not_before, None);
 }
 
@@ -215,7 +215,7 @@
     assert_eq!(
         allowed(&verdicts.evaluate(0, &request(3, 0, Some(1), Some(77)))),
         subset,
-        "the same for all of it"
+        "all requests of a group get the same subset"
     );
     assert_eq!(
         verdicts.stickiness(0, &request(4, 0, Some(0), None), ServerId(0)),
@@ -233,11 +233,11 @@
     let (north, other) = (request(1, 0, Some(0), None), request(2, 0, None, None));
     assert!(verdicts.evaluate(0, &north).preferred.is_some());
     published.revoke();
-    assert_eq!(verdicts.evaluate(0, &north), refused(250_000), "as the namespace says");
+    assert_eq!(verdicts.evaluate(0, &north), refused(250_000), "the Retry-After of the namespace");
     assert_eq!(
         verdicts.evaluate(0, &other),
         RoutingVerdict::default(),
-        "no must speaks of it, and wishes are dropped"
+        "no requirement selects the request, and preferences are ignored"
     );
     assert!(verdicts.basis(north.id).unwrap().is_uncertain);
     assert_eq!(verdicts.rejected_while_uncertain(), 1);
@@ -249,7 +249,11 @@
 
     let (mut verdicts, published) = verdicts_of(1, 0, rules, UnknownRules::Refuse);
     published.revoke();
-    assert_eq!(verdicts.evaluate(0, &other), refused(500_000), "the operator wants it so");
+    assert_eq!(
+        verdicts.evaluate(0, &other),
+        refused(500_000),
+        "the operator's unruled_on_doubt rejects the request"
+    );
 
     let keep = RoutingVerdicts::new(
         Arc::default(),
@@ -257,13 +261,13 @@
         RuleNames::Omitted,
         &profile(1, 0),
     );
-    assert_eq!(keep.clone().evaluate(0, &other), refused(S), "nothing is known yet");
+    assert_eq!(keep.clone().evaluate(0, &other), refused(S), "no version is known yet");
     assert_eq!(keep.basis(other.id).unwrap().version, None);
 }
 
 /// Prints the time that a verdict takes. Run with `cargo test --release -- --ignored --nocapture measures_verdict_cost`.
 #[test]
-#[ignore = "a measurement"]
+#[ignore = "a measurement, run by hand"]
 fn measures_verdict_cost() {
     let rules: String = (0..60)
         .map(|n| format!("[[rule]]\nname = \"r{n}\"\ntenants = [\"{}\"]\ngroups = [[{n}, {}]]\nplace = {{ avoid = {{ halls = [\"b\"], hardware = [\"y\"] }} }}\n", ["north", "south"][n % 2], n + 100))
@@ -275,5 +279,5 @@
         let limited = request(id % 64, 0, Some((id % 2) as u16), Some(id % 160));
         std::hint::black_box(verdicts.evaluate(0, &limited));
     }
-    println!("{:?} a verdict", began.elapsed() / rounds as u32);
+    println!("{:?} per verdict", began.elapsed() / rounds as u32);
 }
--- a/crates/cottonnotch/src/rules/rules_folder_tests.rs
+++ b/crates/cottonnotch/src/rules/rules_folder_tests.rs
@@ -16,6 +16,6 @@
     assert_eq!(names, ["broken.toml", "good.toml", "huge.toml", "odd.toml"]);
     assert_eq!(files[2].text.len(), MAX_FILE_BYTES + 1);
     assert_eq!(first_faulty(&files).unwrap().file, "broken.toml");
-    assert!(first_faulty(&files[2..3]).is_some(), "it is too large");
+    assert!(first_faulty(&files[2..3]).is_some(), "the file is too large");
     assert!(read_folder(Path::new("/nowhere/at/all")).is_err());
 }
--- a/crates/cottonnotch/src/rules/state_recovery.rs
+++ b/crates/cottonnotch/src/rules/state_recovery.rs
@@ -49,7 +49,7 @@
     File(#[from] StateFileError),
     #[error(transparent)]
     Content(#[from] ContentError),
-    #[error("it is not the content of its name")]
+    #[error("the hash of the content differs from that in the file name")]
     Misnamed,
 }
 
--- a/crates/cottonnotch/src/rules/version_content.rs
+++ b/crates/cottonnotch/src/rules/version_content.rs
@@ -36,13 +36,13 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ContentError {
     /// The bytes have the format of another build.
-    #[error("it is of form {0}, and this build runs {FORMAT}")]
+    #[error("the content is of format {0}, and this build reads {FORMAT}")]
     Format(u16),
     /// The bytes cannot be decoded.
-    #[error("it cannot be read: {0}")]
+    #[error("the content cannot be decoded: {0}")]
     Unreadable(#[from] postcard::Error),
     /// The content exceeds [`MAX_CONTENT_BYTES`].
-    #[error("it is larger than {MAX_CONTENT_BYTES} bytes")]
+    #[error("the content is larger than {MAX_CONTENT_BYTES} bytes")]
     TooLarge,
 }
 
