--- a/crates/cottonnotch/src/rules/compile_job.rs
+++ b/crates/cottonnotch/src/rules/compile_job.rs
@@ -13,8 +13,8 @@
     Check { hash: ContentHash, against: Vec<(u64, ContentHash)> },
     /// A proposal of this process has ended with this outcome.
     ProposalFinished { hash: ContentHash, outcome: ProposalOutcome },
-    /// The version that this process acts on has changed. `nothing_in_force` is true if the cluster has never had a version.
-    ActiveVersion { hash: Option<ContentHash>, nothing_in_force: bool },
+    /// The version that this process acts on has changed. `cluster_has_no_version` is true if the cluster never had a version.
+    ActiveVersion { hash: Option<ContentHash>, cluster_has_no_version: bool },
     /// This proxy's rule files, and the profile of each hardware class.
     LocalFiles { files: Vec<RuleFile>, profiles: Profiles },
     /// The tenants, classes and render nodes that rules can refer to.
--- a/crates/cottonnotch/src/rules/compile_worker.rs
+++ b/crates/cottonnotch/src/rules/compile_worker.rs
@@ -18,10 +18,10 @@
 use std::time::{Duration, Instant};
 
 /// The delay between the end of a proposal and the next merge of the local files with the version in force.
-const REPROPOSE_AFTER: Duration = Duration::from_millis(400);
+const REPROPOSE_DELAY: Duration = Duration::from_millis(400);
 /// How long a proxy without rule files waits before it proposes an empty book as the first version of the cluster. The delay
 /// gives proxies that have rule files time to propose theirs.
-const EMPTY_BOOK_AFTER: Duration = Duration::from_secs(10);
+const EMPTY_BOOK_DELAY: Duration = Duration::from_secs(10);
 
 /// The receiver of the contents that this process creates.
 pub enum Destination {
@@ -52,7 +52,7 @@
     /// The version that this process acts on.
     active: Option<ContentHash>,
     /// When this process learned that the cluster has never had a version; `None` if the cluster has one or this is unknown.
-    nothing_in_force_since: Option<Instant>,
+    cluster_has_no_version_since: Option<Instant>,
     /// The content whose proposal is still in progress.
     outstanding: Option<ContentHash>,
     /// A content that some member cannot run, and which is therefore not proposed again.
@@ -62,17 +62,17 @@
 }
 
 /// The version that a proposal is based on.
-enum Base {
+enum ProposalBase {
     Version(Arc<VersionContent>),
     /// The cluster has never had a version.
-    Nothing,
+    Empty,
 }
 
-impl Base {
+impl ProposalBase {
     fn version(&self) -> Option<&VersionContent> {
         match self {
-            Base::Version(content) => Some(content),
-            Base::Nothing => None,
+            ProposalBase::Version(content) => Some(content),
+            ProposalBase::Empty => None,
         }
     }
 }
@@ -95,9 +95,9 @@
         members: Vec<SocketAddr>,
     ) -> Self {
         // Without consensus no other member can have an earlier version.
-        let is_alone = matches!(destination, Destination::Local { .. });
-        let nothing_in_force_since = is_alone.then(Instant::now);
-        let proposal = ProposalState { nothing_in_force_since, ..ProposalState::default() };
+        let is_local = matches!(destination, Destination::Local { .. });
+        let cluster_has_no_version_since = is_local.then(Instant::now);
+        let proposal = ProposalState { cluster_has_no_version_since, ..ProposalState::default() };
         CompileWorker { destination, contents, status, members, local: LocalRules::default(), proposal }
     }
 
@@ -111,7 +111,7 @@
             };
             match job {
                 Err(RecvTimeoutError::Disconnected) => return,
-                Ok(job) => self.do_job(job),
+                Ok(job) => self.handle_job(job),
                 Err(RecvTimeoutError::Timeout) => {
                     self.proposal.retry_at = None;
                     self.propose();
@@ -120,7 +120,7 @@
         }
     }
 
-    fn do_job(&mut self, job: CompileJob) {
+    fn handle_job(&mut self, job: CompileJob) {
         match job {
             CompileJob::Fetch { hash, size, from } => self.fetch(hash, size, &from),
             CompileJob::Check { hash, against } => {
@@ -129,11 +129,11 @@
                 self.send(Input::Checked { topic: Topic::Rules, hash, verdict });
             }
             CompileJob::ProposalFinished { hash, outcome } => self.finish_proposal(hash, outcome),
-            CompileJob::ActiveVersion { hash, nothing_in_force } => {
-                let since = self.proposal.nothing_in_force_since;
+            CompileJob::ActiveVersion { hash, cluster_has_no_version } => {
+                let since = self.proposal.cluster_has_no_version_since;
                 self.proposal.active = hash;
-                self.proposal.nothing_in_force_since =
-                    nothing_in_force.then(|| since.unwrap_or_else(Instant::now));
+                self.proposal.cluster_has_no_version_since =
+                    cluster_has_no_version.then(|| since.unwrap_or_else(Instant::now));
                 self.propose();
             }
             CompileJob::LocalFiles { files, profiles } => {
@@ -161,10 +161,10 @@
             }
             outcome => log::info!("rules {name} are merged again, their proposal ended: {outcome:?}"),
         }
-        self.propose_after(REPROPOSE_AFTER);
+        self.schedule_proposal(REPROPOSE_DELAY);
     }
 
-    fn propose_after(&mut self, wait: Duration) {
+    fn schedule_proposal(&mut self, wait: Duration) {
         let at = Instant::now() + wait;
         self.proposal.retry_at = Some(self.proposal.retry_at.map_or(at, |earlier| earlier.min(at)));
     }
@@ -175,7 +175,7 @@
         if self.proposal.outstanding.is_some() {
             return;
         }
-        let Some(base) = self.base() else { return };
+        let Some(base) = self.proposal_base() else { return };
         let Some(body) = self.merge_files(base.version(), inventory) else { return };
         let content = match body.compile() {
             Ok(content) => Arc::new(content),
@@ -189,19 +189,19 @@
 
     /// The version that a proposal can be based on now. Returns `None` if the version in force is unknown, if its content is
     /// not in the cache, or if this proxy has no files and still waits for the proposals of other proxies.
-    fn base(&mut self) -> Option<Base> {
+    fn proposal_base(&mut self) -> Option<ProposalBase> {
         if let Some(hash) = self.proposal.active {
-            return self.contents.get(&hash).map(Base::Version);
+            return self.contents.get(&hash).map(ProposalBase::Version);
         }
         // A process without a lease in a cluster that has versions cannot propose: its proposal could be based on an outdated
         // version.
-        let since = self.proposal.nothing_in_force_since?;
-        let wait = EMPTY_BOOK_AFTER.saturating_sub(since.elapsed());
+        let since = self.proposal.cluster_has_no_version_since?;
+        let wait = EMPTY_BOOK_DELAY.saturating_sub(since.elapsed());
         if self.local.files.is_empty() && !wait.is_zero() {
-            self.propose_after(wait);
+            self.schedule_proposal(wait);
             return None;
         }
-        Some(Base::Nothing)
+        Some(ProposalBase::Empty)
     }
 
     /// Merges the local files with the base version. Returns `None` if the result has neither a newer revision nor new
@@ -210,14 +210,14 @@
         if let Some(base) = base {
             extend_inventory(&mut inventory, &base.body.inventory);
         }
-        let nothing = History::default();
-        let last = base.map_or(&nothing, |base| &base.body.history);
-        let files = apply_overrides(last, &self.local.files);
-        let Merged { book, history, conflicts, .. } = merge(last, &files, &inventory);
+        let empty_history = History::default();
+        let base_history = base.map_or(&empty_history, |base| &base.body.history);
+        let files = apply_overrides(base_history, &self.local.files);
+        let Merged { book, history, conflicts, .. } = merge(base_history, &files, &inventory);
         self.report_conflicts(&conflicts);
         let new_profiles =
             self.local.profiles_changed && base.is_some_and(|base| base.body.profiles != self.local.profiles);
-        if base.is_some() && !has_newer_revision(last, &history) && !new_profiles {
+        if base.is_some() && !has_newer_revision(base_history, &history) && !new_profiles {
             return None;
         }
         let profiles = match base {
@@ -244,7 +244,7 @@
                 log::info!(version = *number; "rules version {number} is active: {rules} rules");
                 self.contents.insert(content);
                 self.proposal.active = Some(hash);
-                self.proposal.nothing_in_force_since = None;
+                self.proposal.cluster_has_no_version_since = None;
             }
         }
     }
@@ -270,9 +270,9 @@
                 held_back.insert(namespace.to_owned(), conflict.to_string());
             }
         }
-        let before = std::mem::replace(&mut self.status.lock().held_back, held_back.clone());
+        let previous = std::mem::replace(&mut self.status.lock().held_back, held_back.clone());
         for (namespace, reason) in &held_back {
-            if before.get(namespace) != Some(reason) {
+            if previous.get(namespace) != Some(reason) {
                 log::warn!(namespace = namespace.as_str(); "rules of {namespace} are in a conflict: {reason}");
             }
         }
@@ -321,10 +321,10 @@
 
 /// Adds the names that other proxies know to the inventory. This proxy may not have seen a render node of some hall yet, and
 /// would otherwise hold back the rules that name that hall.
-fn extend_inventory(inventory: &mut Inventory, known: &Inventory) {
-    inventory.nodes.extend(known.nodes.iter().cloned());
-    inventory.tenants.extend(known.tenants.iter().cloned());
-    inventory.classes.extend(known.classes.iter().cloned());
+fn extend_inventory(inventory: &mut Inventory, other: &Inventory) {
+    inventory.nodes.extend(other.nodes.iter().cloned());
+    inventory.tenants.extend(other.tenants.iter().cloned());
+    inventory.classes.extend(other.classes.iter().cloned());
 }
 
 /// The namespaces that a conflict holds back. Returns the file's name if the namespace cannot be read from the file.
--- a/crates/cottonnotch/src/rules/config.rs
+++ b/crates/cottonnotch/src/rules/config.rs
@@ -163,15 +163,15 @@
     KeyMissing(&'static str),
     /// `listen` has port 0. The datagrams' and the contents' sockets would get different ports from the system.
     #[error("accord.listen needs a fixed port: datagrams and contents use the same port number")]
-    NoPort,
+    PortMissing,
     /// There are more members than 16-bit ordinals.
     #[error("accord.members names {0} proxies, the maximum is 65535")]
     TooManyMembers(usize),
     /// This member's ordinal is not below the number of members.
-    #[error("accord.me is {me}, and accord.members names {members} proxies")]
+    #[error("accord.me is {ordinal}, and accord.members names {members} proxies")]
     NotAMember {
         /// This member's ordinal.
-        me: u16,
+        ordinal: u16,
         /// The number of members.
         members: u16,
     },
@@ -183,7 +183,7 @@
     },
     /// A key has an invalid value.
     #[error("accord.{key} cannot be used: {source}")]
-    Unusable {
+    InvalidValue {
         /// The name of the key.
         key: String,
         /// The reason.
@@ -191,7 +191,7 @@
     },
     /// Two sections describe the same hardware class.
     #[error("hardware.{index}.name is there twice: '{name}'")]
-    ClassTwice {
+    DuplicateClass {
         /// The index of the second section.
         index: usize,
         /// The name of the class.
@@ -212,7 +212,7 @@
         };
         let settings = self.settings(listen, timing)?;
         if listen.port() == 0 {
-            return Err(SectionError::NoPort);
+            return Err(SectionError::PortMissing);
         }
         self.check_members(settings.ordinal, timing)?;
         Ok(Some(settings))
@@ -241,46 +241,48 @@
         let count = self.members.len();
         let members = u16::try_from(count).map_err(|_| SectionError::TooManyMembers(count))?;
         if ordinal >= members {
-            return Err(SectionError::NotAMember { me: ordinal, members });
+            return Err(SectionError::NotAMember { ordinal, members });
         }
         let config = Config { ordinal, members, voters: self.voters.clone(), timing, incarnation: 0 };
-        config.check().map_err(|source| SectionError::Unusable { key: "voters".into(), source })
+        config.check().map_err(|source| SectionError::InvalidValue { key: "voters".into(), source })
     }
 
     /// The time limits of the protocol, in microseconds.
     pub fn timing(&self) -> Timing {
-        let us = |ms: u32| i64::from(ms) * 1_000;
+        let to_us = |ms: u32| i64::from(ms) * 1_000;
         Timing {
-            lease: us(self.lease_ms),
-            heartbeat: us(self.heartbeat_ms),
-            election_timeout_min: us(self.election_least_ms),
-            election_timeout_max: us(self.election_most_ms),
+            lease: to_us(self.lease_ms),
+            heartbeat: to_us(self.heartbeat_ms),
+            election_timeout_min: to_us(self.election_least_ms),
+            election_timeout_max: to_us(self.election_most_ms),
             drift_ppm: self.drift_ppm,
-            act: us(self.act_ms),
-            prepare: us(self.prepare_ms),
-            contradiction: us(self.contradiction_ms),
+            act: to_us(self.act_ms),
+            prepare: to_us(self.prepare_ms),
+            contradiction: to_us(self.contradiction_ms),
         }
     }
 
     /// Converts an error of the time limits to one that names the key that the operator should correct.
     fn timing_error(&self, source: ConfigError) -> SectionError {
         let key = match &source {
-            ConfigError::Contradiction { .. } => return SectionError::Contradiction { sum: self.sum() },
+            ConfigError::Contradiction { .. } => {
+                return SectionError::Contradiction { sum: self.contradiction_sum() };
+            }
             ConfigError::Election { .. } => "election_least_ms".to_owned(),
             ConfigError::Span { name, .. } => format!("{name}_ms"),
             ConfigError::Drift(_) => "drift_ppm".to_owned(),
             ConfigError::Voters(_) | ConfigError::UnknownMember { .. } => "voters".to_owned(),
         };
-        SectionError::Unusable { key, source }
+        SectionError::InvalidValue { key, source }
     }
 
     /// Writes out the sum that bounds how long two processes can act on incompatible rules.
-    pub fn sum(&self) -> String {
+    pub fn contradiction_sum(&self) -> String {
         let (lease, act, drift) = (self.lease_ms, self.act_ms, self.drift_ppm);
-        let slow = (u64::from(lease) * u64::from(drift)).div_ceil(1_000_000);
-        let (sum, most) = (u64::from(lease) + slow + u64::from(act), self.contradiction_ms);
+        let drift_ms = (u64::from(lease) * u64::from(drift)).div_ceil(1_000_000);
+        let (sum, limit) = (u64::from(lease) + drift_ms + u64::from(act), self.contradiction_ms);
         format!(
-            "lease_ms {lease} + {slow} (drift_ppm {drift}) + act_ms {act} = {sum} ms of contradiction_ms {most}"
+            "lease_ms {lease} + {drift_ms} (drift_ppm {drift}) + act_ms {act} = {sum} ms of contradiction_ms {limit}"
         )
     }
 }
@@ -291,7 +293,7 @@
     for (index, HardwareSection { name, features, budgets }) in hardware.iter().enumerate() {
         let profile = Profile { features: *features, budgets: *budgets };
         if profiles.insert(name.clone(), profile).is_some() {
-            return Err(SectionError::ClassTwice { index, name: name.clone() });
+            return Err(SectionError::DuplicateClass { index, name: name.clone() });
         }
     }
     Ok(profiles)
--- a/crates/cottonnotch/src/rules/consensus_loop.rs
+++ b/crates/cottonnotch/src/rules/consensus_loop.rs
@@ -22,14 +22,14 @@
 const PAUSE_AFTER_ERROR: Duration = Duration::from_millis(10);
 /// The minimum and maximum wait for a datagram, in microseconds. The maximum bounds the delay of an input whose wake-up
 /// datagram was lost.
-const WAIT: (Micros, Micros) = (1_000, 1_000_000);
+const RECEIVE_WAIT_US: (Micros, Micros) = (1_000, 1_000_000);
 
 /// The active version as last reported to the compile worker.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct ReportedVersion {
     active: Option<ContentHash>,
     /// Whether the cluster has never had a version. True only while there is a leader, which would know of one.
-    nothing_in_force: bool,
+    cluster_has_no_version: bool,
 }
 
 /// A consensus member with its socket and the state that it shares with other threads.
@@ -41,7 +41,7 @@
     member: Member,
     /// The file from which a successor reads this process's lease.
     lease_file: Option<LeaseFile>,
-    reported: Option<ReportedVersion>,
+    last_reported: Option<ReportedVersion>,
 }
 
 impl MemberDriver for ConsensusLoop<'_> {
@@ -56,11 +56,11 @@
         match output {
             Output::Send { to, message } => self.send(to, message),
             Output::Save(durable_state) => self.save(&durable_state)?,
-            Output::Check { hash, against, .. } => self.request(CompileJob::Check { hash, against }),
-            Output::Fetch { hash, size, from, .. } => self.request(CompileJob::Fetch { hash, size, from }),
-            Output::LeaseChanged(lease) => self.publish(lease)?,
+            Output::Check { hash, against, .. } => self.send_job(CompileJob::Check { hash, against }),
+            Output::Fetch { hash, size, from, .. } => self.send_job(CompileJob::Fetch { hash, size, from }),
+            Output::LeaseChanged(lease) => self.publish_lease(lease)?,
             Output::ProposalFinished { hash, outcome, .. } => {
-                self.request(CompileJob::ProposalFinished { hash, outcome });
+                self.send_job(CompileJob::ProposalFinished { hash, outcome });
             }
             Output::ListOutdated { revision } => {
                 self.shared.status.lock().newer_list = Some((revision, Clock.now()));
@@ -79,7 +79,7 @@
         member: Member,
         lease_file: Option<LeaseFile>,
     ) -> Self {
-        ConsensusLoop { settings, shared, handle, socket, member, lease_file, reported: None }
+        ConsensusLoop { settings, shared, handle, socket, member, lease_file, last_reported: None }
     }
 
     /// Runs until the thread is told to stop, or until a write fails that the protocol depends on.
@@ -100,7 +100,7 @@
 
     /// Waits for a datagram, at most until the member's next timeout.
     fn receive(&mut self, buffer: &mut [u8]) -> io::Result<()> {
-        let wait = (self.member.next_timeout() - Clock.now()).clamp(WAIT.0, WAIT.1);
+        let wait = (self.member.next_timeout() - Clock.now()).clamp(RECEIVE_WAIT_US.0, RECEIVE_WAIT_US.1);
         self.socket.set_read_timeout(Some(Duration::from_micros(wait as u64)))?;
         match self.socket.recv_from(buffer) {
             Ok((length, _)) if buffer[..length] == *WAKE_UP => {}
@@ -123,7 +123,7 @@
         }
     }
 
-    fn request(&self, job: CompileJob) {
+    fn send_job(&self, job: CompileJob) {
         // The worker runs until the process ends, so sending does not fail.
         let _ = self.shared.jobs.send(job);
     }
@@ -149,7 +149,7 @@
     }
 
     /// Writes a changed lease to the lease file, and then publishes the lease to the event loop.
-    fn publish(&mut self, lease: Lease) -> io::Result<()> {
+    fn publish_lease(&mut self, lease: Lease) -> io::Result<()> {
         if lease.topic != Topic::Rules {
             return Ok(());
         }
@@ -215,7 +215,7 @@
         let member = self.member.status();
         let topic = member.topic(Topic::Rules);
         let active = topic.active.map(|version| version.hash);
-        let nothing_in_force = topic.newest == 0 && active.is_none() && member.leader.is_some();
+        let cluster_has_no_version = topic.newest == 0 && active.is_none() && member.leader.is_some();
         {
             let mut status = self.shared.status.lock();
             status.version = topic.active.map(|version| version.number).or(status.version);
@@ -225,10 +225,10 @@
             status.live_members = member.live_members;
             status.invariant_violations = member.invariant_violations;
         }
-        let report = ReportedVersion { active, nothing_in_force };
-        if self.reported != Some(report) {
-            self.reported = Some(report);
-            self.request(CompileJob::ActiveVersion { hash: active, nothing_in_force });
+        let report = ReportedVersion { active, cluster_has_no_version };
+        if self.last_reported != Some(report) {
+            self.last_reported = Some(report);
+            self.send_job(CompileJob::ActiveVersion { hash: active, cluster_has_no_version });
         }
     }
 }
--- a/crates/cottonnotch/src/rules/consensus_thread.rs
+++ b/crates/cottonnotch/src/rules/consensus_thread.rs
@@ -17,7 +17,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// The interval between two attempts to acquire the address and the folder while another process of this proxy holds them.
-const RETRY_AFTER: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Whether an earlier process of this proxy may still hold the address and the state folder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,17 +38,17 @@
     let handle = ConsensusHandle::new(sender, setup.shared.contents.clone());
     let resources = match Resources::acquire(&setup) {
         Ok(resources) => Some(resources),
-        Err(error) if predecessor == Predecessor::MayRun && is_taken(&error) => {
+        Err(error) if predecessor == Predecessor::MayRun && is_in_use(&error) => {
             log::info!("consensus starts once the predecessor has released its address");
             None
         }
         Err(error) => return Err(error),
     };
-    let own_handle = handle.clone();
+    let thread_handle = handle.clone();
     let thread = std::thread::Builder::new().name("rules-accord".into());
     thread.spawn(move || {
         let status = Arc::clone(&setup.shared.status);
-        if let Err(error) = run(setup, &own_handle, &inputs, resources) {
+        if let Err(error) = run(setup, &thread_handle, &inputs, resources) {
             log::error!(error:%; "consensus stops in this process, its lease will expire: {error}");
             status.lock().consensus_error = Some(error.to_string());
         }
@@ -57,7 +57,7 @@
 }
 
 /// Whether the error means that another process holds the address or the folder.
-fn is_taken(error: &io::Error) -> bool {
+fn is_in_use(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::AddrInUse | io::ErrorKind::WouldBlock)
 }
 
@@ -71,19 +71,19 @@
 impl Resources {
     fn acquire(setup: &ConsensusSetup) -> io::Result<Self> {
         let MemberSettings { listen, state_folder, .. } = &setup.member;
-        let socket = UdpSocket::bind(listen).map_err(|error| with_key("accord.listen", error))?;
+        let socket = UdpSocket::bind(listen).map_err(|error| add_key_to_error("accord.listen", error))?;
         let state_folder = state_folder.as_deref().map(StateFolder::open).transpose();
-        let state_folder = state_folder.map_err(|error| with_key("accord.state_folder", error))?;
+        let state_folder = state_folder.map_err(|error| add_key_to_error("accord.state_folder", error))?;
         let content_server = ContentServer::start(*listen, setup.shared.contents.clone());
-        let content_server = content_server.map_err(|error| with_key("accord.listen", error))?;
+        let content_server = content_server.map_err(|error| add_key_to_error("accord.listen", error))?;
         Ok(Resources { socket, content_server, state_folder })
     }
 }
 
-/// Adds the configuration key to an error's message. An error for a resource in use is returned unchanged: `is_taken` has to
+/// Adds the configuration key to an error's message. An error for a resource in use is returned unchanged: `is_in_use` has to
 /// recognize it, and nobody sees its text.
-fn with_key(key: &str, error: io::Error) -> io::Error {
-    if is_taken(&error) { error } else { io::Error::new(error.kind(), format!("{key}: {error}")) }
+fn add_key_to_error(key: &str, error: io::Error) -> io::Error {
+    if is_in_use(&error) { error } else { io::Error::new(error.kind(), format!("{key}: {error}")) }
 }
 
 fn run(
@@ -119,10 +119,10 @@
     while !handle.is_stopped() {
         match acquired.take().map_or_else(|| Resources::acquire(setup), Ok) {
             Ok(resources) => return Ok(Some(resources)),
-            Err(error) if is_taken(&error) => {
+            Err(error) if is_in_use(&error) => {
                 let folder = setup.member.state_folder.as_deref();
                 folder.and_then(|folder| follow_predecessor(folder, &setup.shared));
-                std::thread::sleep(RETRY_AFTER);
+                std::thread::sleep(RETRY_INTERVAL);
             }
             Err(error) => return Err(error),
         }
@@ -150,14 +150,14 @@
 
 /// Creates a socket that is connected to the given socket.
 fn waker(socket: &UdpSocket) -> io::Result<UdpSocket> {
-    let mut to = socket.local_addr()?;
-    match to {
-        SocketAddr::V4(v4) if v4.ip().is_unspecified() => to.set_ip(Ipv4Addr::LOCALHOST.into()),
-        SocketAddr::V6(v6) if v6.ip().is_unspecified() => to.set_ip(Ipv6Addr::LOCALHOST.into()),
+    let mut address = socket.local_addr()?;
+    match address {
+        SocketAddr::V4(v4) if v4.ip().is_unspecified() => address.set_ip(Ipv4Addr::LOCALHOST.into()),
+        SocketAddr::V6(v6) if v6.ip().is_unspecified() => address.set_ip(Ipv6Addr::LOCALHOST.into()),
         _ => {}
     }
-    let waker = UdpSocket::bind((to.ip(), 0))?;
-    waker.connect(to)?;
+    let waker = UdpSocket::bind((address.ip(), 0))?;
+    waker.connect(address)?;
     waker.set_nonblocking(true)?;
     Ok(waker)
 }
--- a/crates/cottonnotch/src/rules/content_fetcher.rs
+++ b/crates/cottonnotch/src/rules/content_fetcher.rs
@@ -44,6 +44,6 @@
     hash: &ContentHash,
     size: u32,
 ) -> Result<Vec<u8>, ureq::Error> {
-    let mut answer = client.get(content_url(member, hash)).call()?;
-    answer.body_mut().with_config().limit(u64::from(size).saturating_add(1)).read_to_vec()
+    let mut response = client.get(content_url(member, hash)).call()?;
+    response.body_mut().with_config().limit(u64::from(size).saturating_add(1)).read_to_vec()
 }
--- a/crates/cottonnotch/src/rules/durable_file.rs
+++ b/crates/cottonnotch/src/rules/durable_file.rs
@@ -90,7 +90,7 @@
     match std::fs::metadata(&path) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
         Err(error) => return Err(error.into()),
-        Ok(meta) if meta.len() > MAX_FILE_BYTES => return Err(StateFileError::Damaged),
+        Ok(metadata) if metadata.len() > MAX_FILE_BYTES => return Err(StateFileError::Damaged),
         Ok(_) => {}
     }
     let bytes = std::fs::read(path)?;
--- a/crates/cottonnotch/src/rules/durable_file_tests.rs
+++ b/crates/cottonnotch/src/rules/durable_file_tests.rs
@@ -11,17 +11,17 @@
     assert_eq!(state.load("memory").unwrap().unwrap(), b"two");
     assert_eq!(state.list("content-").unwrap(), ["content-aa"]);
     let path = folder.path().join("memory");
-    let sound = std::fs::read(&path).unwrap();
-    for at in 0..sound.len() {
-        let mut torn = sound.clone();
-        torn[at] ^= 1;
-        std::fs::write(&path, &torn).unwrap();
-        assert!(matches!(state.load("memory"), Err(StateFileError::Damaged)), "byte {at}");
-        std::fs::write(&path, &sound[..at]).unwrap();
-        assert!(matches!(state.load("memory"), Err(StateFileError::Damaged)), "cut at {at}");
+    let intact = std::fs::read(&path).unwrap();
+    for offset in 0..intact.len() {
+        let mut damaged = intact.clone();
+        damaged[offset] ^= 1;
+        std::fs::write(&path, &damaged).unwrap();
+        assert!(matches!(state.load("memory"), Err(StateFileError::Damaged)), "byte {offset}");
+        std::fs::write(&path, &intact[..offset]).unwrap();
+        assert!(matches!(state.load("memory"), Err(StateFileError::Damaged)), "cut at {offset}");
     }
     // A crash before the rename leaves the old content in place.
-    std::fs::write(&path, &sound).unwrap();
+    std::fs::write(&path, &intact).unwrap();
     std::fs::write(folder.path().join("memory.new"), b"half").unwrap();
     assert_eq!(state.load("memory").unwrap().unwrap(), b"two");
 }
--- a/crates/cottonnotch/src/rules/established_connections.rs
+++ b/crates/cottonnotch/src/rules/established_connections.rs
@@ -6,7 +6,7 @@
 
 /// A connection, or an attempt that may become a connection.
 #[derive(Debug)]
-struct Established {
+struct EstablishedConnection {
     request: Request,
     server: ServerId,
     limits: Vec<LimitId>,
@@ -16,7 +16,7 @@
 /// limits.
 #[derive(Debug, Default)]
 pub struct EstablishedConnections {
-    connections: HashMap<RequestId, Established>,
+    connections: HashMap<RequestId, EstablishedConnection>,
     counts: HashMap<LimitId, u64>,
 }
 
@@ -24,8 +24,9 @@
     /// Adds a request's connection, which counts towards these limits. An earlier connection of the request is replaced.
     pub fn insert(&mut self, request: &Request, server: ServerId, limits: Vec<LimitId>) {
         self.remove(request.id);
-        count(&mut self.counts, &limits);
-        self.connections.insert(request.id, Established { request: request.clone(), server, limits });
+        increment_counts(&mut self.counts, &limits);
+        self.connections
+            .insert(request.id, EstablishedConnection { request: request.clone(), server, limits });
     }
 
     /// Removes the connection of a request. Does nothing if the request has none.
@@ -51,12 +52,12 @@
         self.counts.clear();
         for connection in self.connections.values_mut() {
             connection.limits = limits(&connection.request, connection.server);
-            count(&mut self.counts, &connection.limits);
+            increment_counts(&mut self.counts, &connection.limits);
         }
     }
 }
 
-fn count(counts: &mut HashMap<LimitId, u64>, limits: &[LimitId]) {
+fn increment_counts(counts: &mut HashMap<LimitId, u64>, limits: &[LimitId]) {
     for limit in limits {
         *counts.entry(*limit).or_default() += 1;
     }
--- a/crates/cottonnotch/src/rules/node_kinds.rs
+++ b/crates/cottonnotch/src/rules/node_kinds.rs
@@ -21,7 +21,7 @@
 
 impl NodeKindSet {
     /// The set of those kinds below `count` for which `contains` returns true.
-    pub fn of(count: usize, mut contains: impl FnMut(usize) -> bool) -> Self {
+    pub fn from_fn(count: usize, mut contains: impl FnMut(usize) -> bool) -> Self {
         let mut words = vec![0_u64; count.div_ceil(64)];
         for kind in 0..count {
             if contains(kind) {
@@ -52,8 +52,8 @@
     nodes: Vec<Option<Node>>,
     kinds: Vec<NodeKind>,
     /// The number of ready nodes of each kind.
-    ready: Vec<usize>,
-    sets: HashMap<NodeKindSet, Arc<ServerSet>>,
+    ready_counts: Vec<usize>,
+    node_sets: HashMap<NodeKindSet, Arc<ServerSet>>,
 }
 
 impl RenderNodes {
@@ -63,30 +63,30 @@
             self.nodes.iter_mut().flatten().for_each(|node| node.is_ready = false);
         }
         for entry in entries {
-            let place = entry.server.0 as usize;
-            if self.nodes.len() <= place {
-                self.nodes.resize(place + 1, None);
+            let index = entry.server.0 as usize;
+            if self.nodes.len() <= index {
+                self.nodes.resize(index + 1, None);
             }
             let kind = self.intern(kind_of(entry.server));
             let is_ready = entry.state == ServerState::Ready;
             let weight = if entry.weight.is_finite() && entry.weight > 0.0 { entry.weight } else { 1.0 };
-            self.nodes[place] = Some(Node { kind, is_ready, digest: entry.digest, weight });
+            self.nodes[index] = Some(Node { kind, is_ready, digest: entry.digest, weight });
         }
-        self.sets.clear();
-        self.ready = vec![0; self.kinds.len()];
+        self.node_sets.clear();
+        self.ready_counts = vec![0; self.kinds.len()];
         for node in self.nodes.iter().flatten().filter(|node| node.is_ready) {
-            self.ready[usize::from(node.kind)] += 1;
+            self.ready_counts[usize::from(node.kind)] += 1;
         }
     }
 
     fn intern(&mut self, kind: NodeKind) -> u16 {
-        let known = self.kinds.iter().position(|known| *known == kind);
-        let place = known.unwrap_or_else(|| {
+        let existing = self.kinds.iter().position(|existing| *existing == kind);
+        let index = existing.unwrap_or_else(|| {
             self.kinds.push(kind);
             self.kinds.len() - 1
         });
         // No fleet has more than 65,536 kinds. If one had, the excess kinds would share the last index.
-        u16::try_from(place).unwrap_or(u16::MAX)
+        u16::try_from(index).unwrap_or(u16::MAX)
     }
 
     /// All kinds, by index.
@@ -96,7 +96,7 @@
 
     /// Whether at least one node of the kind accepts new connections.
     pub fn is_ready(&self, kind: usize) -> bool {
-        self.ready.get(kind).is_some_and(|count| *count > 0)
+        self.ready_counts.get(kind).is_some_and(|count| *count > 0)
     }
 
     /// The kind index of a node; `None` if the node was never listed.
@@ -106,15 +106,15 @@
     }
 
     /// The set of all nodes of these kinds, whether or not they are ready.
-    pub fn set(&mut self, kinds: &NodeKindSet) -> Arc<ServerSet> {
-        if let Some(set) = self.sets.get(kinds) {
+    pub fn node_set(&mut self, kinds: &NodeKindSet) -> Arc<ServerSet> {
+        if let Some(set) = self.node_sets.get(kinds) {
             return Arc::clone(set);
         }
         let numbered = (0..).map(ServerId).zip(&self.nodes);
         let of_kind = |node: &Node| kinds.contains(usize::from(node.kind));
         let selected = numbered.filter(|(_, node)| node.as_ref().is_some_and(of_kind));
         let set: Arc<ServerSet> = Arc::new(selected.map(|(server, _)| server).collect());
-        self.sets.insert(kinds.clone(), Arc::clone(&set));
+        self.node_sets.insert(kinds.clone(), Arc::clone(&set));
         set
     }
 
--- a/crates/cottonnotch/src/rules/published_plan_tests.rs
+++ b/crates/cottonnotch/src/rules/published_plan_tests.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn never_reads_a_version_with_the_lease_of_another() {
-    let (published_plan, plan, over) = (PublishedPlan::default(), plan(), AtomicBool::new(false));
+    let (published_plan, plan, done) = (PublishedPlan::default(), plan(), AtomicBool::new(false));
     // Each lease of version N expires between N * 1000 and N * 1000 + 500. An expiry time outside this range would belong to
     // another version.
     std::thread::scope(|scope| {
@@ -18,7 +18,7 @@
             .map(|_| {
                 scope.spawn(|| {
                     let mut seen = (0, 0);
-                    while !over.load(Ordering::Relaxed) {
+                    while !done.load(Ordering::Relaxed) {
                         let reading = published_plan.read();
                         let Some(published) = &*reading else { continue };
                         let (number, until) = (published.number, published.until());
@@ -32,14 +32,14 @@
             })
             .collect();
         for number in 1..2_000_u64 {
-            for more in 0..5 {
-                published_plan.grant(&plan, number, [number as u8; 32], number as i64 * 1_000 + more);
+            for extension in 0..5 {
+                published_plan.grant(&plan, number, [number as u8; 32], number as i64 * 1_000 + extension);
             }
             if number % 7 == 0 {
                 published_plan.revoke();
             }
         }
-        over.store(true, Ordering::Relaxed);
+        done.store(true, Ordering::Relaxed);
         for reader in readers {
             reader.join().unwrap();
         }
@@ -49,9 +49,9 @@
 #[test]
 fn follows_the_predecessor_until_a_grant() {
     let folder = tempfile::tempdir().unwrap();
-    let own = LeaseFile::create(folder.path()).unwrap();
+    let own_file = LeaseFile::create(folder.path()).unwrap();
     let published_plan = PublishedPlan::default();
-    let write = |number, until| own.write(LeaseRecord { number, hash: [3; 32], until }).unwrap();
+    let write = |number, until| own_file.write(LeaseRecord { number, hash: [3; 32], until }).unwrap();
     let until = || published_plan.until(published_plan.read().as_ref().unwrap());
     write(3, 1_000);
     published_plan.follow_predecessor(&plan(), 3, [3; 32], LeaseFile::open(folder.path()).unwrap());
--- a/crates/cottonnotch/src/rules/report.rs
+++ b/crates/cottonnotch/src/rules/report.rs
@@ -30,7 +30,7 @@
     listed: BTreeSet<(String, String)>,
 ) -> std::fmt::Result {
     if settings.consensus.is_some() {
-        writeln!(text, "rules: two processes differ for at most {}", section.sum())?;
+        writeln!(text, "rules: two processes differ for at most {}", section.contradiction_sum())?;
     } else {
         writeln!(text, "rules: agreed with no other process, accord.listen is not set")?;
     }
@@ -47,7 +47,7 @@
         )?;
     }
     for rule in &book.rules {
-        writeln!(text, "rule: {}", line(rule))?;
+        writeln!(text, "rule: {}", format_rule(rule))?;
     }
     for conflict in &conflicts {
         writeln!(text, "conflict: {conflict}")?;
@@ -63,7 +63,7 @@
     Ok(())
 }
 
-fn line(rule: &Rule) -> String {
+fn format_rule(rule: &Rule) -> String {
     let strength = match rule.strength {
         Strength::Requirement => "must",
         Strength::Preference => "wish",
@@ -74,10 +74,11 @@
     };
     let mut on = names("tenants", &rule.on.tenants) + &names("classes", &rule.on.classes);
     if !rule.on.groups.is_empty() {
-        let range = |of: &cottonnotch_routing_rules::GroupRange| format!("{:#x}..{:#x}", of.first, of.last);
-        on += &format!(" groups {}", rule.on.groups.iter().map(range).collect::<Vec<_>>().join(","));
+        let format_range =
+            |of: &cottonnotch_routing_rules::GroupRange| format!("{:#x}..{:#x}", of.first, of.last);
+        on += &format!(" groups {}", rule.on.groups.iter().map(format_range).collect::<Vec<_>>().join(","));
     }
-    let asks = match &rule.kind {
+    let effect = match &rule.kind {
         RuleKind::Place { how, halls, hardware } => {
             format!("{how:?}{}{}", names("halls", halls), names("hardware", hardware)).to_lowercase()
         }
@@ -90,5 +91,8 @@
         RuleKind::Move { when } => format!("move {when:?}").to_lowercase(),
     };
     let on = if on.is_empty() { " all".to_owned() } else { on };
-    format!("{}:{} {strength} on{on}: {asks} ({}, line {})", rule.namespace, rule.name, rule.file, rule.line)
+    format!(
+        "{}:{} {strength} on{on}: {effect} ({}, line {})",
+        rule.namespace, rule.name, rule.file, rule.line
+    )
 }
--- a/crates/cottonnotch/src/rules/routing_verdict.rs
+++ b/crates/cottonnotch/src/rules/routing_verdict.rs
@@ -26,7 +26,7 @@
     /// The handling of all requests until any version is known.
     pub before_first: UnknownRules,
     /// The handling of requests that no requirement selects, while the lease is expired.
-    pub unruled: UnknownRules,
+    pub without_requirement: UnknownRules,
     /// The Retry-After of requests that these settings reject.
     pub retry: Micros,
 }
@@ -53,10 +53,10 @@
 
 /// The routing rules in the event loop. Clones share the state.
 #[derive(Clone, Debug)]
-pub struct RoutingVerdicts(Rc<RefCell<State>>);
+pub struct RoutingVerdicts(Rc<RefCell<VerdictState>>);
 
 #[derive(Debug)]
-struct State {
+struct VerdictState {
     published: Arc<PublishedPlan>,
     uncertainty: UncertaintySettings,
     rule_names: RuleNames,
@@ -97,7 +97,7 @@
         rule_names: RuleNames,
         profile: &Profile,
     ) -> Self {
-        let state = State {
+        let state = VerdictState {
             published,
             uncertainty,
             rule_names,
@@ -201,7 +201,7 @@
     }
 }
 
-impl State {
+impl VerdictState {
     fn evaluate(&mut self, now: Micros, request: &Request) -> RoutingVerdict {
         let version = self.published.read();
         // The clock is read after the version. A process that was suspended in between thus finds the lease expired.
@@ -221,7 +221,7 @@
         let policy = rules.uncertainty_policy();
         let verdict = match (is_uncertain, policy) {
             (false, _) => self.evaluation.evaluate(now, request.group, &rules, Preferences::Apply),
-            (true, None) => self.verdict_without_rules(self.uncertainty.unruled),
+            (true, None) => self.verdict_without_rules(self.uncertainty.without_requirement),
             (true, Some(UncertaintyPolicy::Refuse { retry_ms })) => {
                 self.reject(Micros::from(retry_ms) * 1_000)
             }
--- a/crates/cottonnotch/src/rules/routing_verdict_tests.rs
+++ b/crates/cottonnotch/src/rules/routing_verdict_tests.rs
@@ -5,16 +5,16 @@
 use cottonnotch_decision::names::Names;
 use cottonnotch_decision::{Class, ClassId, Idempotency, ServerState, Settings, TenantId, ZoneId};
 use cottonnotch_routing_rules::{History, Inventory, RuleFile, merge};
-use cottonnotch_rule_compiler::{Profile as Hardware, Profiles, compile};
+use cottonnotch_rule_compiler::{Profile as HardwareProfile, Profiles, compile};
 
 use std::collections::BTreeSet;
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 
 fn profile(proxies: u32, ordinal: u32) -> Profile {
     let class = Class {
-        target: S,
-        deadline: S,
+        target: SECOND,
+        deadline: SECOND,
         message_latency_objective: 0,
         attempts: 3,
         idempotency: Idempotency::Idempotent,
@@ -41,7 +41,7 @@
         tenants: names(["north", "south"]),
         withdrawn: Default::default(),
         zones: Names::default(),
-        connect_timeout: S,
+        connect_timeout: SECOND,
         reports_latency: false,
     }
 }
@@ -50,16 +50,16 @@
 fn plan(rules: &str) -> Arc<Plan> {
     let text =
         format!("namespace = \"consortium\"\nrevision = 1\non_doubt = \"refuse\"\nretry_ms = 250\n{rules}");
-    let world =
+    let inventory =
         Inventory::of("consortium", &["north", "south"], &["look", "edit"], &["a", "b"], &["x", "y"], 1_000);
-    let merged = merge(&History::default(), &[RuleFile::new("consortium.toml", text)], &world);
+    let merged = merge(&History::default(), &[RuleFile::new("consortium.toml", text)], &inventory);
     assert_eq!(merged.conflicts, []);
-    let profiles: Profiles = ["x", "y"].map(|class| (class.to_owned(), Hardware::full())).into();
+    let profiles: Profiles = ["x", "y"].map(|class| (class.to_owned(), HardwareProfile::full())).into();
     Arc::new(compile(&merged.book, &profiles).plan)
 }
 
 /// Sends a full endpoint list with these servers. Halls a and b alternate, hardware classes x and y alternate in pairs.
-fn list(verdicts: &RoutingVerdicts, proxies: impl Iterator<Item = u32>) {
+fn update_list(verdicts: &RoutingVerdicts, servers: impl Iterator<Item = u32>) {
     let entry = |server: u32| Entry {
         server: ServerId(server),
         digest: u64::from(server + 1).wrapping_mul(0x5851_f42d_4c95_7f2d),
@@ -69,7 +69,7 @@
         started: None,
         weight: 1.0,
     };
-    let entries: Vec<Entry> = proxies.map(entry).collect();
+    let entries: Vec<Entry> = servers.map(entry).collect();
     verdicts.update_endpoints(true, &entries, |server| NodeKind {
         hall: ["a", "b"][server.0 as usize % 2].into(),
         hardware: ["x", "y"][server.0 as usize / 2 % 2].into(),
@@ -80,17 +80,18 @@
     proxies: u32,
     ordinal: u32,
     rules: &str,
-    unruled: UnknownRules,
+    without_requirement: UnknownRules,
 ) -> (RoutingVerdicts, Arc<PublishedPlan>) {
     let published = Arc::new(PublishedPlan::default());
-    let uncertainty = UncertaintySettings { before_first: UnknownRules::Refuse, unruled, retry: 500_000 };
+    let uncertainty =
+        UncertaintySettings { before_first: UnknownRules::Refuse, without_requirement, retry: 500_000 };
     let verdicts = RoutingVerdicts::new(
         Arc::clone(&published),
         uncertainty,
         RuleNames::Recorded,
         &profile(proxies, ordinal),
     );
-    list(&verdicts, 0..8);
+    update_list(&verdicts, 0..8);
     published.grant(&plan(rules), 1, [1; 32], Micros::MAX);
     (verdicts, published)
 }
@@ -130,8 +131,9 @@
     assert_eq!((look.allowed.clone(), first_choice(&look)), (None, vec![2, 3, 6, 7]));
     let north = verdicts.evaluate(0, &request(2, 0, Some(0), None));
     assert_eq!(allowed(&north), [0, 2, 4, 6]);
-    let wished: Vec<u32> = first_choice(&north).into_iter().filter(|s| allowed(&north).contains(s)).collect();
-    assert_eq!(wished, [2, 6]);
+    let preferred: Vec<u32> =
+        first_choice(&north).into_iter().filter(|s| allowed(&north).contains(s)).collect();
+    assert_eq!(preferred, [2, 6]);
     let both = verdicts.evaluate(0, &request(3, 1, Some(0), None));
     assert_eq!((allowed(&both), &both.preferred), (vec![0, 4], &None));
     let basis = verdicts.basis(RequestId(3)).unwrap();
@@ -142,38 +144,38 @@
     );
     assert_eq!(verdicts.evaluate(0, &request(4, 1, Some(1), None)).allowed.map(|_| ()), Some(()));
     // A preference for hardware that no listed node has ranks all nodes alike.
-    list(&verdicts, [0, 1, 4, 5].into_iter());
+    update_list(&verdicts, [0, 1, 4, 5].into_iter());
     assert_eq!(verdicts.evaluate(0, &request(5, 0, None, None)).preferred, None);
 }
 
 #[test]
 fn cap_counts_attempts_and_connections_of_all_proxies() {
     let cap = "[[rule]]\nname = \"cap\"\nclasses = [\"look\"]\ncap = { connections = 5, halls = [\"a\"] }\n";
-    let mut taken = 0;
+    let mut total = 0;
     for ordinal in 0..3 {
         let (mut verdicts, published) = verdicts_of(3, ordinal, cap, UnknownRules::Serve);
-        let mut at_a = 0;
+        let mut in_hall_a = 0;
         for id in 0..20 {
-            let limited = request(id, 0, None, None);
-            let verdict = verdicts.evaluate(0, &limited);
+            let attempt = request(id, 0, None, None);
+            let verdict = verdicts.evaluate(0, &attempt);
             let to = allowed(&verdict)[0];
-            at_a += u32::from(to.is_multiple_of(2));
-            verdicts.record_attempt(0, &limited, ServerId(to));
+            in_hall_a += u32::from(to.is_multiple_of(2));
+            verdicts.record_attempt(0, &attempt, ServerId(to));
         }
-        taken += at_a;
+        total += in_hall_a;
         // Requests of another class are neither counted nor limited.
         assert_eq!(verdicts.evaluate(0, &request(50, 1, None, None)).allowed, None);
         // After one connection ends, exactly one more is allowed, even under a new version and a new endpoint list.
         verdicts.remove_connection(RequestId(0));
         published.grant(&plan(cap), 2, [2; 32], Micros::MAX);
-        list(&verdicts, 0..8);
-        let limited = request(60, 0, None, None);
-        assert_eq!(allowed(&verdicts.evaluate(0, &limited)).len(), 8);
-        verdicts.record_attempt(0, &limited, ServerId(0));
+        update_list(&verdicts, 0..8);
+        let attempt = request(60, 0, None, None);
+        assert_eq!(allowed(&verdicts.evaluate(0, &attempt)).len(), 8);
+        verdicts.record_attempt(0, &attempt, ServerId(0));
         assert_eq!(allowed(&verdicts.evaluate(0, &request(61, 0, None, None))), [1, 3, 5, 7]);
         verdicts.add_connection(&request(62, 0, None, None), ServerId(2));
     }
-    assert_eq!(taken, 5, "the three proxies together keep the limit");
+    assert_eq!(total, 5, "the three proxies together keep the limit");
 }
 
 #[test]
@@ -185,20 +187,20 @@
         UnknownRules::Serve,
     );
     let (mut sent, mut id) = (0, 0);
-    for now in (0..60 * S).step_by(50_000) {
+    for now in (0..60 * SECOND).step_by(50_000) {
         id += 1;
-        let limited = request(id, 0, None, None);
-        match verdicts.evaluate(now, &limited).not_before {
+        let attempt = request(id, 0, None, None);
+        match verdicts.evaluate(now, &attempt).not_before {
             None => {
-                verdicts.record_attempt(now, &limited, ServerId(0));
-                verdicts.remove_connection(limited.id);
+                verdicts.record_attempt(now, &attempt, ServerId(0));
+                verdicts.remove_connection(attempt.id);
                 sent += 1;
             }
-            Some(next) => assert!(next > now && next <= now + S / 2 + 1),
+            Some(next) => assert!(next > now && next <= now + SECOND / 2 + 1),
         }
     }
     assert!((118..=123).contains(&sent), "2 per second for a minute, plus saved tokens: {sent}");
-    assert_eq!(verdicts.evaluate(60 * S, &request(0, 1, None, None)).not_before, None);
+    assert_eq!(verdicts.evaluate(60 * SECOND, &request(0, 1, None, None)).not_before, None);
 }
 
 #[test]
@@ -228,12 +230,12 @@
 fn uncertainty_follows_owners_and_operators() {
     let rules = "[[rule]]\nname = \"north\"\ntenants = [\"north\"]\nplace = { require = { halls = [\"a\"] } }\n\
          [[rule]]\nname = \"near\"\nplace = { prefer = { hardware = [\"y\"] } }\n";
-    let refused = |after| RoutingVerdict { refuse: Some(after), ..RoutingVerdict::default() };
+    let rejected = |after| RoutingVerdict { refuse: Some(after), ..RoutingVerdict::default() };
     let (mut verdicts, published) = verdicts(rules);
     let (north, other) = (request(1, 0, Some(0), None), request(2, 0, None, None));
     assert!(verdicts.evaluate(0, &north).preferred.is_some());
     published.revoke();
-    assert_eq!(verdicts.evaluate(0, &north), refused(250_000), "the Retry-After of the namespace");
+    assert_eq!(verdicts.evaluate(0, &north), rejected(250_000), "the Retry-After of the namespace");
     assert_eq!(
         verdicts.evaluate(0, &other),
         RoutingVerdict::default(),
@@ -245,24 +247,28 @@
     published.grant(&plan(rules), 1, [1; 32], Clock.now() + 30_000);
     assert_eq!(allowed(&verdicts.evaluate(0, &north)), [0, 2, 4, 6]);
     std::thread::sleep(std::time::Duration::from_millis(40));
-    assert_eq!(verdicts.evaluate(0, &north), refused(250_000));
+    assert_eq!(verdicts.evaluate(0, &north), rejected(250_000));
 
     let (mut verdicts, published) = verdicts_of(1, 0, rules, UnknownRules::Refuse);
     published.revoke();
     assert_eq!(
         verdicts.evaluate(0, &other),
-        refused(500_000),
+        rejected(500_000),
         "the operator's unruled_on_doubt rejects the request"
     );
 
-    let keep = RoutingVerdicts::new(
+    let without_version = RoutingVerdicts::new(
         Arc::default(),
-        UncertaintySettings { before_first: UnknownRules::Refuse, unruled: UnknownRules::Serve, retry: S },
+        UncertaintySettings {
+            before_first: UnknownRules::Refuse,
+            without_requirement: UnknownRules::Serve,
+            retry: SECOND,
+        },
         RuleNames::Omitted,
         &profile(1, 0),
     );
-    assert_eq!(keep.clone().evaluate(0, &other), refused(S), "no version is known yet");
-    assert_eq!(keep.basis(other.id).unwrap().version, None);
+    assert_eq!(without_version.clone().evaluate(0, &other), rejected(SECOND), "no version is known yet");
+    assert_eq!(without_version.basis(other.id).unwrap().version, None);
 }
 
 /// Prints the time that a verdict takes. Run with `cargo test --release -- --ignored --nocapture measures_verdict_cost`.
@@ -276,8 +282,8 @@
     let began = std::time::Instant::now();
     let rounds = 200_000;
     for id in 0..rounds {
-        let limited = request(id % 64, 0, Some((id % 2) as u16), Some(id % 160));
-        std::hint::black_box(verdicts.evaluate(0, &limited));
+        let attempt = request(id % 64, 0, Some((id % 2) as u16), Some(id % 160));
+        std::hint::black_box(verdicts.evaluate(0, &attempt));
     }
     println!("{:?} per verdict", began.elapsed() / rounds as u32);
 }
--- a/crates/cottonnotch/src/rules/rule_evaluation.rs
+++ b/crates/cottonnotch/src/rules/rule_evaluation.rs
@@ -26,8 +26,8 @@
     pub nodes: RenderNodes,
     pub connections: EstablishedConnections,
     /// The plan's key of each node kind.
-    keys: Vec<NodeKey>,
-    buckets: HashMap<LimitId, TokenBucket>,
+    kind_keys: Vec<NodeKey>,
+    token_buckets: HashMap<LimitId, TokenBucket>,
 }
 
 impl Default for RuleEvaluation {
@@ -38,27 +38,27 @@
             ordinal: 0,
             nodes,
             connections,
-            keys: Vec::new(),
-            buckets: HashMap::new(),
+            kind_keys: Vec::new(),
+            token_buckets: HashMap::new(),
         }
     }
 }
 
 /// One proxy's share of a total. The shares of all proxies add up to exactly the total.
-fn share(total: u64, proxies: u32, ordinal: u32) -> u64 {
+fn share_of_total(total: u64, proxies: u32, ordinal: u32) -> u64 {
     let (proxies, ordinal) = (u64::from(proxies.max(1)), u64::from(ordinal));
     total / proxies + u64::from(ordinal < total % proxies)
 }
 
-fn node_of(kind: &NodeKind) -> Node<'_> {
+fn rule_node(kind: &NodeKind) -> Node<'_> {
     Node { hall: &kind.hall, hardware: &kind.hardware }
 }
 
 /// The limits that a connection of the request to this server counts towards.
-fn limits(plan: &Plan, nodes: &RenderNodes, request: &Request, server: ServerId) -> Vec<LimitId> {
+fn connection_limits(plan: &Plan, nodes: &RenderNodes, request: &Request, server: ServerId) -> Vec<LimitId> {
     let Some(kind) = nodes.kind(server).and_then(|kind| nodes.kinds().get(kind)) else { return Vec::new() };
     let rules = plan.lookup(request);
-    let counted = rules.caps().filter(|(_, _, limited)| limited.contains(&node_of(kind)));
+    let counted = rules.caps().filter(|(_, _, limited)| limited.contains(&rule_node(kind)));
     counted.map(|(limit, _, _)| limit).collect()
 }
 
@@ -75,10 +75,10 @@
         request_of: impl Fn(&cottonnotch_decision::Request) -> Request<'a>,
     ) {
         let RuleEvaluation { nodes, connections, .. } = self;
-        self.keys = nodes.kinds().iter().map(|kind| plan.node_key(&node_of(kind))).collect();
-        connections.recount(|request, server| limits(plan, nodes, &request_of(request), server));
+        self.kind_keys = nodes.kinds().iter().map(|kind| plan.node_key(&rule_node(kind))).collect();
+        connections.recount(|request, server| connection_limits(plan, nodes, &request_of(request), server));
         // Clearing the buckets loses owed and saved tokens. Each rate is correct again within a second or two.
-        self.buckets.clear();
+        self.token_buckets.clear();
     }
 
     /// Adds the request's connection to this server to the counts.
@@ -89,7 +89,8 @@
         rule_request: &Request,
         server: ServerId,
     ) {
-        let limits = plan.map(|plan| limits(plan, &self.nodes, rule_request, server)).unwrap_or_default();
+        let limits =
+            plan.map(|plan| connection_limits(plan, &self.nodes, rule_request, server)).unwrap_or_default();
         self.connections.insert(request, server, limits);
     }
 
@@ -97,13 +98,13 @@
     /// the server is unknown.
     pub fn move_condition(&self, rules: &Lookup, server: ServerId) -> Option<MoveCondition> {
         let kind = self.nodes.kinds().get(self.nodes.kind(server)?)?;
-        rules.move_when_on(&node_of(kind))
+        rules.move_when_on(&rule_node(kind))
     }
 
     /// Takes a token from each rate limit that applies to the request.
     pub fn take_tokens(&mut self, now: Micros, rules: &Lookup) {
         for (limit, _) in rules.paces() {
-            self.buckets.entry(limit).or_insert_with(|| TokenBucket::new(now)).take();
+            self.token_buckets.entry(limit).or_insert_with(|| TokenBucket::new(now)).take();
         }
     }
 
@@ -120,10 +121,10 @@
             Preferences::Apply => self.preferred_kinds(rules, &allowed),
             Preferences::Ignore => None,
         };
-        let allows_all = (0..self.keys.len()).all(|kind| allowed.contains(kind));
+        let allows_all = (0..self.kind_keys.len()).all(|kind| allowed.contains(kind));
         let mut verdict = RoutingVerdict {
-            allowed: (!allows_all).then(|| self.nodes.set(&allowed)),
-            preferred: preferred.map(|kinds| self.nodes.set(&kinds)),
+            allowed: (!allows_all).then(|| self.nodes.node_set(&allowed)),
+            preferred: preferred.map(|kinds| self.nodes.node_set(&kinds)),
             attempts: rules.attempts().unwrap_or(u32::MAX),
             ..RoutingVerdict::default()
         };
@@ -139,26 +140,27 @@
         let exhausted: Vec<_> = rules
             .caps()
             .filter(|(limit, total, _)| {
-                self.connections.count(*limit) >= share(*total, self.proxies, self.ordinal)
+                self.connections.count(*limit) >= share_of_total(*total, self.proxies, self.ordinal)
             })
             .collect();
         let is_exhausted =
-            |kind: &NodeKind| exhausted.iter().any(|(_, _, nodes)| nodes.contains(&node_of(kind)));
-        NodeKindSet::of(self.keys.len(), |kind| {
-            rules.allows_key(self.keys[kind]) && !self.nodes.kinds().get(kind).is_some_and(is_exhausted)
+            |kind: &NodeKind| exhausted.iter().any(|(_, _, nodes)| nodes.contains(&rule_node(kind)));
+        NodeKindSet::from_fn(self.kind_keys.len(), |kind| {
+            rules.allows_key(self.kind_keys[kind]) && !self.nodes.kinds().get(kind).is_some_and(is_exhausted)
         })
     }
 
     /// The kinds that the preferences rank first among the allowed kinds with ready nodes. Returns `None` if all rank alike.
     fn preferred_kinds(&self, rules: &Lookup, allowed: &NodeKindSet) -> Option<NodeKindSet> {
-        let keys = &self.keys;
+        let kind_keys = &self.kind_keys;
         let ranks = || {
-            let ready = (0..keys.len()).filter(|kind| allowed.contains(*kind) && self.nodes.is_ready(*kind));
-            ready.map(|kind| rules.rank_key(keys[kind]))
+            let ready =
+                (0..kind_keys.len()).filter(|kind| allowed.contains(*kind) && self.nodes.is_ready(*kind));
+            ready.map(|kind| rules.rank_key(kind_keys[kind]))
         };
         let best = ranks().min()?;
         let differs = ranks().any(|rank| rank != best);
-        differs.then(|| NodeKindSet::of(keys.len(), |kind| rules.rank_key(keys[kind]) == best))
+        differs.then(|| NodeKindSet::from_fn(kind_keys.len(), |kind| rules.rank_key(kind_keys[kind]) == best))
     }
 
     /// The earliest time at which every applicable rate limit has a token in this proxy's share. Returns `None` if that is now.
@@ -167,7 +169,7 @@
         let mut not_before = None;
         for (limit, per_s_milli) in rules.paces() {
             let per_s = quota.share_of(now, per_s_milli as f64 / 1e3);
-            let bucket = self.buckets.entry(limit).or_insert_with(|| TokenBucket::new(now));
+            let bucket = self.token_buckets.entry(limit).or_insert_with(|| TokenBucket::new(now));
             if !bucket.refill(now, per_s) {
                 // The shortage may be less than a microsecond, which would round to now; the time has to be later than now.
                 let next = bucket.next_token_at(per_s).max(now + 1);
--- a/crates/cottonnotch/src/rules/rules_folder.rs
+++ b/crates/cottonnotch/src/rules/rules_folder.rs
@@ -18,10 +18,10 @@
 
 /// Reads every `*.toml` file in the folder. A file that cannot be read is returned empty.
 pub fn read_folder(folder: &Path) -> Result<Vec<RuleFile>, FolderError> {
-    let unreadable = |error| FolderError { path: folder.display().to_string(), error };
+    let folder_error = |error| FolderError { path: folder.display().to_string(), error };
     let mut files = Vec::new();
-    for entry in std::fs::read_dir(folder).map_err(unreadable)? {
-        let path = entry.map_err(unreadable)?.path();
+    for entry in std::fs::read_dir(folder).map_err(folder_error)? {
+        let path = entry.map_err(folder_error)?.path();
         let Some(name) = path.file_name().and_then(|name| name.to_str()) else { continue };
         // Names that begin with a dot are temporary files of editors and copying tools, and may be incomplete.
         if !name.ends_with(".toml") || name.starts_with('.') {
@@ -48,7 +48,7 @@
 
 /// The error of the first invalid file. `cottonnotch check` reports it, so that operators can correct a file before they
 /// deploy it.
-pub fn first_faulty(files: &[RuleFile]) -> Option<RuleFileError> {
+pub fn first_invalid(files: &[RuleFile]) -> Option<RuleFileError> {
     files.iter().find_map(|file| read(file).err())
 }
 
--- a/crates/cottonnotch/src/rules/service.rs
+++ b/crates/cottonnotch/src/rules/service.rs
@@ -25,9 +25,9 @@
 const RETRY_WITHOUT_CONSENSUS: Micros = 500_000;
 /// After this many microseconds, a list that another member has is considered lost. Discovery sends a list to one proxy after
 /// another, so proxies receive it at slightly different times.
-const LIST_OVERDUE_AFTER: Micros = 300_000;
+const LIST_OVERDUE_DELAY: Micros = 300_000;
 /// The interval between two requests for a newer list, in microseconds.
-const LIST_RETRY_AFTER: Micros = 2_000_000;
+const LIST_RETRY_INTERVAL: Micros = 2_000_000;
 
 /// The routing rules, with the handles of the threads that maintain them.
 pub struct RulesService {
@@ -39,10 +39,10 @@
     consensus: Option<ConsensusHandle>,
     /// The maximum time between a verdict and the write of the request that depends on it. `None` without consensus, where the
     /// time is unlimited.
-    act: Option<Micros>,
+    max_write_delay: Option<Micros>,
     /// The version at the last [`Self::tick`], and whether its lease was valid. Queued requests are evaluated again when this
     /// changes.
-    announced: Option<(u64, bool)>,
+    last_tick_state: Option<(u64, bool)>,
 }
 
 impl RulesService {
@@ -74,17 +74,17 @@
         };
         start_worker(&settings, consensus.clone(), &shared, job_queue)?;
         let rule_names = if records_names { RuleNames::Recorded } else { RuleNames::Omitted };
-        let uncertainty = uncertainty(&settings);
+        let uncertainty = uncertainty_settings(&settings);
         let SharedState { published, status, jobs, .. } = shared;
         let service = RulesService {
             verdicts: RoutingVerdicts::new(Arc::clone(&published), uncertainty, rule_names, profile),
-            act: settings.consensus.as_ref().map(|(consensus, _)| consensus.timing.act),
+            max_write_delay: settings.consensus.as_ref().map(|(consensus, _)| consensus.timing.act),
             settings,
             published,
             status,
             jobs,
             consensus,
-            announced: None,
+            last_tick_state: None,
         };
         service.send_local_files();
         Ok(service)
@@ -92,10 +92,10 @@
 
     fn send_local_files(&self) {
         let (files, profiles) = (self.settings.files.clone(), self.settings.profiles.clone());
-        self.request(CompileJob::LocalFiles { files, profiles });
+        self.send_job(CompileJob::LocalFiles { files, profiles });
     }
 
-    fn request(&self, job: CompileJob) {
+    fn send_job(&self, job: CompileJob) {
         // The worker runs until the process ends, so sending does not fail.
         let _ = self.jobs.send(job);
     }
@@ -119,11 +119,12 @@
     }
 
     fn send_inventory(&self, profile: &Profile) {
-        let named = |kind: NodeKind| (kind.hall.into_string(), kind.hardware.into_string());
-        let nodes: std::collections::BTreeSet<_> = self.verdicts.kinds().into_iter().map(named).collect();
+        let kind_names = |kind: NodeKind| (kind.hall.into_string(), kind.hardware.into_string());
+        let nodes: std::collections::BTreeSet<_> =
+            self.verdicts.kinds().into_iter().map(kind_names).collect();
         // Without any known node the rules cannot be compiled.
         if !nodes.is_empty() {
-            self.request(CompileJob::Inventory(self.settings.inventory(profile, nodes)));
+            self.send_job(CompileJob::Inventory(self.settings.inventory(profile, nodes)));
         }
     }
 
@@ -153,10 +154,10 @@
         let mut status = self.status.lock();
         let (newer, since) = status.newer_list.as_mut()?;
         let now = Clock.now();
-        if *newer <= revision || now - *since < LIST_OVERDUE_AFTER {
+        if *newer <= revision || now - *since < LIST_OVERDUE_DELAY {
             return None;
         }
-        *since = now + LIST_RETRY_AFTER;
+        *since = now + LIST_RETRY_INTERVAL;
         Some(*newer)
     }
 
@@ -184,7 +185,7 @@
     /// The time, by [`Clock`], before which the request's first line must be written. A later write could follow rules whose
     /// lease expired longer ago than `accord.contradiction_ms` allows. Returns `None` if there is no limit.
     pub fn write_deadline(&self, request: RequestId) -> Option<Micros> {
-        Some(self.verdicts.evaluated_at(request)?.saturating_add(self.act?))
+        Some(self.verdicts.evaluated_at(request)?.saturating_add(self.max_write_delay?))
     }
 
     /// Called once a second. Returns an event if queued requests must be evaluated again.
@@ -192,10 +193,10 @@
         let now = Clock.now();
         let version = self.published.read();
         let state = version.as_ref().map(|published| {
-            let is_leased = now < self.published.until(published);
-            (published.number, is_leased)
+            let is_lease_valid = now < self.published.until(published);
+            (published.number, is_lease_valid)
         });
-        (std::mem::replace(&mut self.announced, state) != state).then_some(Event::RulesChanged)
+        (std::mem::replace(&mut self.last_tick_state, state) != state).then_some(Event::RulesChanged)
     }
 
     /// Stops consensus in this process, so that a successor can take over as the member.
@@ -216,8 +217,8 @@
             status.rules = published.plan.rules() as u64;
         }
         // Rounded up, so that 0 means that the lease has expired.
-        let left = status.until.saturating_sub(Clock.now());
-        status.lease_left_ms = u64::try_from(left).map_or(0, |left| left.div_ceil(1_000));
+        let remaining = status.until.saturating_sub(Clock.now());
+        status.lease_left_ms = u64::try_from(remaining).map_or(0, |remaining| remaining.div_ceil(1_000));
         status.rejected_while_uncertain = self.verdicts.rejected_while_uncertain();
         status
     }
@@ -242,16 +243,16 @@
     }
 }
 
-fn uncertainty(settings: &RulesSettings) -> UncertaintySettings {
+fn uncertainty_settings(settings: &RulesSettings) -> UncertaintySettings {
     match &settings.consensus {
         None => UncertaintySettings {
             before_first: UnknownRules::Refuse,
-            unruled: UnknownRules::Serve,
+            without_requirement: UnknownRules::Serve,
             retry: RETRY_WITHOUT_CONSENSUS,
         },
         Some((consensus, _)) => UncertaintySettings {
             before_first: consensus.before_first,
-            unruled: consensus.unruled_on_doubt,
+            without_requirement: consensus.unruled_on_doubt,
             retry: consensus.retry.as_micros() as Micros,
         },
     }
--- a/crates/cottonnotch/src/rules/settings.rs
+++ b/crates/cottonnotch/src/rules/settings.rs
@@ -1,7 +1,7 @@
 //! The validated settings of the rules, including the contents of the files that the sections name.
 
 use super::config::{self, ConsensusSection, ConsensusSettings, HardwareSection, RulesSection, SectionError};
-use super::rules_folder::{FolderError, first_faulty, read_folder};
+use super::rules_folder::{FolderError, first_invalid, read_folder};
 use cottonnotch_decision::settings::Profile;
 use cottonnotch_proxy_core::envelope::EnvelopeKey;
 use cottonnotch_routing_rules::{Inventory, RuleFile, RuleFileError};
@@ -62,22 +62,22 @@
             return Ok(None);
         }
         let files = folder.as_deref().map(read_folder).transpose()?.unwrap_or_default();
-        let consensus = consensus.map(with_key).transpose()?;
+        let consensus = consensus.map(load_key).transpose()?;
         let (root, connections) = (rules.root.clone(), rules.connections);
         Ok(Some(RulesSettings { files, profiles, consensus, root, connections }))
     }
 
     /// Fails if any rule file is invalid.
     pub fn check_files(&self) -> Result<(), RulesError> {
-        first_faulty(&self.files).map_or(Ok(()), |error| Err(error.into()))
+        first_invalid(&self.files).map_or(Ok(()), |error| Err(error.into()))
     }
 
     /// The inventory of the names that rules can refer to. `nodes` has the kinds (hall and hardware class) of the render nodes.
     pub fn inventory(&self, profile: &Profile, nodes: BTreeSet<(String, String)>) -> Inventory {
         let Profile { settings, classes, tenants, .. } = profile;
-        let stated = settings.allowance_open();
+        let tenant_allowance = settings.allowance_open();
         let connections = match self.connections {
-            0 if stated >= 1.0 => stated as u64,
+            0 if tenant_allowance >= 1.0 => tenant_allowance as u64,
             0 => u64::MAX,
             connections => connections,
         };
@@ -92,7 +92,7 @@
 }
 
 /// Adds the key that authenticates members, read from the key file.
-fn with_key(settings: ConsensusSettings) -> Result<(ConsensusSettings, EnvelopeKey), RulesError> {
+fn load_key(settings: ConsensusSettings) -> Result<(ConsensusSettings, EnvelopeKey), RulesError> {
     let path = settings.key_file.display().to_string();
     let text = match std::fs::read(&settings.key_file) {
         Ok(text) => text,
--- a/crates/cottonnotch/src/rules/version_content.rs
+++ b/crates/cottonnotch/src/rules/version_content.rs
@@ -124,16 +124,16 @@
 
 #[derive(Debug, Default)]
 struct CachedContents {
-    /// Each content with the value of `uses` at its last use.
+    /// Each content with the value of `use_counter` at its last use.
     contents: BTreeMap<ContentHash, (u64, Arc<VersionContent>)>,
     /// The number of uses of any content so far.
-    uses: u64,
+    use_counter: u64,
 }
 
 impl CachedContents {
     fn next_use(&mut self) -> u64 {
-        self.uses += 1;
-        self.uses
+        self.use_counter += 1;
+        self.use_counter
     }
 
     fn least_recently_used(&self) -> Option<ContentHash> {
--- a/crates/cottonnotch/src/rules/version_content_tests.rs
+++ b/crates/cottonnotch/src/rules/version_content_tests.rs
@@ -9,12 +9,12 @@
 
 #[test]
 fn decodes_exactly_what_was_encoded() {
-    let made = compiled(3);
-    let read = VersionContent::decode(made.bytes.to_vec()).unwrap();
-    assert_eq!((read.hash, &read.body), (made.hash, &made.body));
-    assert_eq!(read.plan.hash(), made.plan.hash());
-    for cut in 0..made.bytes.len() {
-        assert!(VersionContent::decode(made.bytes[..cut].to_vec()).is_err(), "cut at {cut}");
+    let encoded = compiled(3);
+    let decoded = VersionContent::decode(encoded.bytes.to_vec()).unwrap();
+    assert_eq!((decoded.hash, &decoded.body), (encoded.hash, &encoded.body));
+    assert_eq!(decoded.plan.hash(), encoded.plan.hash());
+    for cut in 0..encoded.bytes.len() {
+        assert!(VersionContent::decode(encoded.bytes[..cut].to_vec()).is_err(), "cut at {cut}");
     }
     let newer = postcard::to_allocvec(&(FORMAT + 1, 0_u64)).unwrap();
     assert!(matches!(VersionContent::decode(newer), Err(ContentError::Format(_))));
