--- a/crates/cottonnotch/src/rules/published_plan.rs
+++ b/crates/cottonnotch/src/rules/published_plan.rs
@@ -18,18 +18,18 @@
     /// The hash of the version's content.
     pub hash: ContentHash,
     /// The expiry time of the lease, by [`Clock`](super::clock::Clock). From then on, this process must not act on the version.
-    until: AtomicI64,
+    valid_until: AtomicI64,
 }
 
 impl PublishedVersion {
     /// Creates a version whose lease expires at `until`.
     pub fn new(plan: Arc<Plan>, number: u64, hash: ContentHash, until: Micros) -> Self {
-        PublishedVersion { plan, number, hash, until: AtomicI64::new(until) }
+        PublishedVersion { plan, number, hash, valid_until: AtomicI64::new(until) }
     }
 
     /// The expiry time of the lease.
-    pub fn until(&self) -> Micros {
-        self.until.load(Ordering::Acquire)
+    pub fn valid_until(&self) -> Micros {
+        self.valid_until.load(Ordering::Acquire)
     }
 }
 
@@ -51,9 +51,9 @@
     }
 
     /// The time from which acting on the version is forbidden. Reads the predecessor's lease file while there is one.
-    pub fn until(&self, published: &PublishedVersion) -> Micros {
+    pub fn valid_until(&self, published: &PublishedVersion) -> Micros {
         match &*self.predecessor_lease.load() {
-            None => published.until(),
+            None => published.valid_until(),
             Some(file) => match file.read() {
                 Some(lease) if (lease.number, lease.hash) == (published.number, published.hash) => {
                     lease.until
@@ -75,7 +75,7 @@
         let current = self.current.load();
         match &*current {
             Some(same) if (same.number, same.hash) == (number, hash) => {
-                same.until.store(until, Ordering::Release);
+                same.valid_until.store(until, Ordering::Release);
             }
             _ => {
                 // The expiry time is stored in the version, so no reader can combine the old version with the new lease.
@@ -91,7 +91,7 @@
     /// in force.
     pub fn revoke(&self) {
         if let Some(current) = &*self.current.load() {
-            current.until.store(Micros::MIN, Ordering::Release);
+            current.valid_until.store(Micros::MIN, Ordering::Release);
         }
         self.predecessor_lease.store(None);
     }
--- a/crates/cottonnotch/src/rules/published_plan_tests.rs
+++ b/crates/cottonnotch/src/rules/published_plan_tests.rs
@@ -21,7 +21,7 @@
                     while !done.load(Ordering::Relaxed) {
                         let reading = published_plan.read();
                         let Some(published) = &*reading else { continue };
-                        let (number, until) = (published.number, published.until());
+                        let (number, until) = (published.number, published.valid_until());
                         assert!(number >= seen.0, "version numbers never decrease");
                         let range = number as i64 * 1_000..number as i64 * 1_000 + 500;
                         assert!(until == Micros::MIN || range.contains(&until), "{number} {until}");
@@ -52,7 +52,7 @@
     let own_file = LeaseFile::create(folder.path()).unwrap();
     let published_plan = PublishedPlan::default();
     let write = |number, until| own_file.write(LeaseRecord { number, hash: [3; 32], until }).unwrap();
-    let until = || published_plan.until(published_plan.read().as_ref().unwrap());
+    let until = || published_plan.valid_until(published_plan.read().as_ref().unwrap());
     write(3, 1_000);
     published_plan.follow_predecessor(&plan(), 3, [3; 32], LeaseFile::open(folder.path()).unwrap());
     assert_eq!(until(), 1_000);
@@ -75,10 +75,10 @@
     published_plan.grant(&plan(), 3, [3; 32], 1_000);
     let reading = published_plan.read();
     let published = reading.as_ref().unwrap();
-    assert_eq!(published_plan.until(published), 1_000);
+    assert_eq!(published_plan.valid_until(published), 1_000);
     published_plan.revoke();
-    assert_eq!(published_plan.until(published), Micros::MIN);
+    assert_eq!(published_plan.valid_until(published), Micros::MIN);
     assert_eq!(published_plan.read().as_ref().unwrap().number, 3);
     published_plan.grant(&plan(), 3, [3; 32], 2_000);
-    assert_eq!(published_plan.read().as_ref().unwrap().until(), 2_000);
+    assert_eq!(published_plan.read().as_ref().unwrap().valid_until(), 2_000);
 }
--- a/crates/cottonnotch/src/rules/routing_verdict.rs
+++ b/crates/cottonnotch/src/rules/routing_verdict.rs
@@ -213,7 +213,7 @@
         };
         self.follow_version(published);
         let rules = published.plan.lookup(&self.names.resolve(request));
-        let is_uncertain = evaluated_at >= self.published.until(published);
+        let is_uncertain = evaluated_at >= self.published.valid_until(published);
         let names = match self.rule_names {
             RuleNames::Recorded => rules.rule_names().map(Name::from).collect(),
             RuleNames::Omitted => Vec::new(),
--- a/crates/cottonnotch/src/rules/service.rs
+++ b/crates/cottonnotch/src/rules/service.rs
@@ -193,7 +193,7 @@
         let now = Clock.now();
         let version = self.published.read();
         let state = version.as_ref().map(|published| {
-            let is_lease_valid = now < self.published.until(published);
+            let is_lease_valid = now < self.published.valid_until(published);
             (published.number, is_lease_valid)
         });
         (std::mem::replace(&mut self.last_tick_state, state) != state).then_some(Event::RulesChanged)
@@ -213,7 +213,7 @@
     pub fn status(&self) -> RulesStatus {
         let mut status = self.status.lock().clone();
         if let Some(published) = &*self.published.read() {
-            (status.version, status.until) = (Some(published.number), self.published.until(published));
+            (status.version, status.until) = (Some(published.number), self.published.valid_until(published));
             status.rules = published.plan.rules() as u64;
         }
         // Rounded up, so that 0 means that the lease has expired.
