--- a/crates/cottonnotch/src/net/driver/golden_tests.rs
+++ b/crates/cottonnotch/src/net/driver/golden_tests.rs
@@ -84,9 +84,9 @@
 fn rules_status() -> RulesStatus {
     RulesStatus {
         version: Some(7),
-        rules: 8,
+        rule_count: 8,
         lease_left_ms: 900,
-        newest: 9,
+        newest_version: 9,
         role: Role::Leader,
         leader: Some(1),
         term: 3,
--- a/crates/cottonnotch/src/net/management/metrics.rs
+++ b/crates/cottonnotch/src/net/management/metrics.rs
@@ -169,8 +169,8 @@
 fn write_rules(rules: &RulesStatus, text: &mut MetricsText) {
     let version = rules.version.unwrap_or(0);
     text.gauge("rules.version", version);
-    text.gauge("rules.rules", rules.rules);
-    text.gauge("rules.lag", rules.newest.saturating_sub(version));
+    text.gauge("rules.rules", rules.rule_count);
+    text.gauge("rules.lag", rules.newest_version.saturating_sub(version));
     text.gauge("rules.lease_left_ms", rules.lease_left_ms);
     text.gauge("rules.held_back", rules.held_back.len() as u64);
     text.gauge("rules.term", rules.term);
--- a/crates/cottonnotch/src/rules/consensus_loop.rs
+++ b/crates/cottonnotch/src/rules/consensus_loop.rs
@@ -219,8 +219,8 @@
         {
             let mut status = self.shared.status.lock();
             status.version = topic.active.map(|version| version.number).or(status.version);
-            status.until = topic.until;
-            status.newest = topic.newest.max(status.newest);
+            status.lease_until = topic.until;
+            status.newest_version = topic.newest.max(status.newest_version);
             (status.role, status.leader, status.term) = (member.role, member.leader, member.term);
             status.live_members = member.live_members;
             status.invariant_violations = member.invariant_violations;
--- a/crates/cottonnotch/src/rules/service.rs
+++ b/crates/cottonnotch/src/rules/service.rs
@@ -213,11 +213,12 @@
     pub fn status(&self) -> RulesStatus {
         let mut status = self.status.lock().clone();
         if let Some(published) = &*self.published.read() {
-            (status.version, status.until) = (Some(published.number), self.published.valid_until(published));
-            status.rules = published.plan.rules() as u64;
+            (status.version, status.lease_until) =
+                (Some(published.number), self.published.valid_until(published));
+            status.rule_count = published.plan.rules() as u64;
         }
         // Rounded up, so that 0 means that the lease has expired.
-        let remaining = status.until.saturating_sub(Clock.now());
+        let remaining = status.lease_until.saturating_sub(Clock.now());
         status.lease_left_ms = u64::try_from(remaining).map_or(0, |remaining| remaining.div_ceil(1_000));
         status.rejected_while_uncertain = self.verdicts.rejected_while_uncertain();
         status
--- a/crates/cottonnotch/src/rules/status.rs
+++ b/crates/cottonnotch/src/rules/status.rs
@@ -11,13 +11,13 @@
     /// The number of the version that this process acts on, or last acted on.
     pub version: Option<u64>,
     /// The number of rules in that version.
-    pub rules: u64,
+    pub rule_count: u64,
     /// The time at which the lease on that version expires or expired.
-    pub until: Micros,
+    pub lease_until: Micros,
     /// The remaining time of the lease when the status is read, in milliseconds, rounded up.
     pub lease_left_ms: u64,
     /// The number of the newest known version.
-    pub newest: u64,
+    pub newest_version: u64,
     /// This member's role among the voters.
     pub role: Role,
     /// The ordinal of the leader; `None` if it is unknown.
