--- a/crates/cottonnotch/src/rules/consensus_loop.rs
+++ b/crates/cottonnotch/src/rules/consensus_loop.rs
@@ -1,5 +1,5 @@
-//! The loop of the consensus thread: it receives datagrams, keeps the member's timeouts, and carries out the member's outputs
-//! in their order.
+//! The loop of the consensus thread. The loop receives datagrams, handles the member's timeouts, and executes the member's
+//! outputs in order.
 
 use super::clock::Clock;
 use super::compile_job::CompileJob;
@@ -18,29 +18,30 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 
-/// A socket whose read failed at once is not read again before this.
+/// The delay after a failed read of the socket. Without the delay, a read that keeps failing at once would spin.
 const PAUSE_AFTER_ERROR: Duration = Duration::from_millis(10);
-/// The shortest and the longest wait for a datagram, in microseconds. A command may come without its wake-up.
-const WAIT: (Micros, Micros) = (1_000, 1_000_000);
+/// The minimum and maximum wait for a datagram, in microseconds. The maximum bounds the delay of an input whose wake-up
+/// datagram was lost.
+const RECEIVE_WAIT_US: (Micros, Micros) = (1_000, 1_000_000);
 
-/// What the worker knows of the active version.
+/// The active version as last reported to the compile worker.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct ReportedVersion {
     active: Option<ContentHash>,
-    /// No version has ever been in force, and there is a leader who would know.
-    nothing_in_force: bool,
+    /// Whether the cluster has never had a version. True only while there is a leader, which would know of one.
+    cluster_has_no_version: bool,
 }
 
-/// One member with its socket.
+/// A consensus member with its socket and the state that it shares with other threads.
 pub struct ConsensusLoop<'a> {
     settings: MemberSettings,
     shared: SharedState,
     handle: &'a ConsensusHandle,
     socket: UdpSocket,
     member: Member,
-    /// Where a successor reads this process's lease.
+    /// The file from which a successor reads this process's lease.
     lease_file: Option<LeaseFile>,
-    reported: Option<ReportedVersion>,
+    last_reported: Option<ReportedVersion>,
 }
 
 impl MemberDriver for ConsensusLoop<'_> {
@@ -55,11 +56,11 @@
         match output {
             Output::Send { to, message } => self.send(to, message),
             Output::Save(durable_state) => self.save(&durable_state)?,
-            Output::Check { hash, against, .. } => self.request(CompileJob::Check { hash, against }),
-            Output::Fetch { hash, size, from, .. } => self.request(CompileJob::Fetch { hash, size, from }),
-            Output::LeaseChanged(lease) => self.publish(lease)?,
+            Output::Check { hash, against, .. } => self.send_job(CompileJob::Check { hash, against }),
+            Output::Fetch { hash, size, from, .. } => self.send_job(CompileJob::Fetch { hash, size, from }),
+            Output::LeaseChanged(lease) => self.publish_lease(lease)?,
             Output::ProposalFinished { hash, outcome, .. } => {
-                self.request(CompileJob::ProposalFinished { hash, outcome });
+                self.send_job(CompileJob::ProposalFinished { hash, outcome });
             }
             Output::ListOutdated { revision } => {
                 self.shared.status.lock().newer_list = Some((revision, Clock.now()));
@@ -78,10 +79,10 @@
         member: Member,
         lease_file: Option<LeaseFile>,
     ) -> Self {
-        ConsensusLoop { settings, shared, handle, socket, member, lease_file, reported: None }
+        ConsensusLoop { settings, shared, handle, socket, member, lease_file, last_reported: None }
     }
 
-    /// Runs until it is stopped, or until something fails that the protocol depends on.
+    /// Runs until the thread is told to stop, or until a write fails that the protocol depends on.
     pub fn run(&mut self, inputs: &Receiver<Input>) -> io::Result<()> {
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
@@ -97,15 +98,15 @@
         }
     }
 
-    /// Waits for a datagram until the member's next timeout.
+    /// Waits for a datagram, at most until the member's next timeout.
     fn receive(&mut self, buffer: &mut [u8]) -> io::Result<()> {
-        let wait = (self.member.next_timeout() - Clock.now()).clamp(WAIT.0, WAIT.1);
+        let wait = (self.member.next_timeout() - Clock.now()).clamp(RECEIVE_WAIT_US.0, RECEIVE_WAIT_US.1);
         self.socket.set_read_timeout(Some(Duration::from_micros(wait as u64)))?;
         match self.socket.recv_from(buffer) {
             Ok((length, _)) if buffer[..length] == *WAKE_UP => {}
             Ok((length, _)) => self.receive_datagram(&buffer[..length])?,
             Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
-            // An earlier datagram could not be delivered, or worse.
+            // Typically an ICMP error: an earlier datagram could not be delivered.
             Err(_) => std::thread::sleep(PAUSE_AFTER_ERROR),
         }
         Ok(())
@@ -122,8 +123,8 @@
         }
     }
 
-    fn request(&self, job: CompileJob) {
-        // The worker ends with the process only.
+    fn send_job(&self, job: CompileJob) {
+        // The worker runs until the process ends, so sending does not fail.
         let _ = self.shared.jobs.send(job);
     }
 
@@ -139,15 +140,16 @@
         }
     }
 
-    /// Makes the durable state durable. Unless that succeeds, nothing that depends on it may be sent: the thread ends.
+    /// Saves the durable state to disk. On an error the thread ends, because messages that depend on unsaved state must not be
+    /// sent.
     fn save(&self, durable_state: &DurableState) -> io::Result<()> {
         let Some(folder) = &*self.handle.state_folder() else { return Ok(()) };
         let bytes = postcard::to_allocvec(durable_state).map_err(io::Error::other)?;
         folder.save(DURABLE_STATE, &bytes)
     }
 
-    /// Publishes a changed lease to the requests, in the lease file first.
-    fn publish(&mut self, lease: Lease) -> io::Result<()> {
+    /// Writes a changed lease to the lease file, and then publishes the lease to the event loop.
+    fn publish_lease(&mut self, lease: Lease) -> io::Result<()> {
         if lease.topic != Topic::Rules {
             return Ok(());
         }
@@ -156,7 +158,7 @@
             self.log_revoked();
             return Ok(());
         };
-        // It was granted since its content is here.
+        // A version is granted only after its content has arrived, so the content is normally in the cache.
         let Some(content) = self.shared.contents.get(&hash) else {
             self.revoke()?;
             log::error!("rules {} are granted, but their content is missing", short_hex(&hash));
@@ -178,7 +180,7 @@
         Ok(())
     }
 
-    /// Stores which version was active last, for the next start.
+    /// Logs the activation of a version, and stores the version in the state folder for the next start.
     fn record_activation(&self, number: u64, content: &VersionContent) {
         let rules = content.body.book.rules.len();
         log::info!(version = number; "rules version {number} is active: {rules} rules");
@@ -190,7 +192,8 @@
         }
     }
 
-    /// Logs why nothing may be acted on now. At each change to an incompatible version that is so for a moment, and no fault.
+    /// Logs why this process has no valid lease. A change to an incompatible version revokes the lease for a moment, which is
+    /// normal operation and no fault.
     fn log_revoked(&self) {
         let newest = self.member.status().topic(Topic::Rules).newest;
         match self.shared.published.read().as_ref().map(|published| published.number) {
@@ -201,31 +204,31 @@
         }
     }
 
-    /// Writes the lease for a successor that waits to take over. Unless that succeeds, nothing later may be carried out: other
-    /// members would hear that nobody acts on a revoked version any more.
+    /// Writes the lease for a successor that waits to take over. On an error no later output may be executed: it could tell
+    /// other members that nobody acts on a revoked version any more, while the successor still reads the old lease.
     fn write_lease(&self, record: LeaseRecord) -> io::Result<()> {
         self.lease_file.as_ref().map_or(Ok(()), |file| file.write(record))
     }
 
-    /// Reports the member's status to operators, and the active version to the worker.
+    /// Updates the operators' status, and tells the compile worker when the active version has changed.
     fn report_status(&mut self) {
         let member = self.member.status();
         let topic = member.topic(Topic::Rules);
         let active = topic.active.map(|version| version.hash);
-        let nothing_in_force = topic.newest == 0 && active.is_none() && member.leader.is_some();
+        let cluster_has_no_version = topic.newest == 0 && active.is_none() && member.leader.is_some();
         {
             let mut status = self.shared.status.lock();
             status.version = topic.active.map(|version| version.number).or(status.version);
-            status.until = topic.until;
-            status.newest = topic.newest.max(status.newest);
+            status.lease_until = topic.until;
+            status.newest_version = topic.newest.max(status.newest_version);
             (status.role, status.leader, status.term) = (member.role, member.leader, member.term);
             status.live_members = member.live_members;
             status.invariant_violations = member.invariant_violations;
         }
-        let report = ReportedVersion { active, nothing_in_force };
-        if self.reported != Some(report) {
-            self.reported = Some(report);
-            self.request(CompileJob::ActiveVersion { hash: active, nothing_in_force });
+        let report = ReportedVersion { active, cluster_has_no_version };
+        if self.last_reported != Some(report) {
+            self.last_reported = Some(report);
+            self.send_job(CompileJob::ActiveVersion { hash: active, cluster_has_no_version });
         }
     }
 }
