--- a/crates/decision/src/budget.rs
+++ b/crates/decision/src/budget.rs
@@ -1,29 +1,31 @@
-//! New connections that a server may get from this node while it warms up or was overloaded lately: how fast, and what
-//! is saved of them.
+//! Limits on the rate at which this node opens new connections to a server that is warming up, or that was
+//! overloaded or failed recently, and the token buckets that enforce these limits.
 
 use crate::interface::{Micros, SECOND, Settings};
 
-/// After a pause a server takes new connections at its usual rate, rising by as much each second; after this time it is
-/// bounded no more.
+/// Length of the ramp after a server was overloaded or failed. The limit starts at the server's usual rate,
+/// rises by that rate each second, and is lifted after this time.
 const RECOVERY_RAMP: Micros = 10 * SECOND;
-/// Part of a warming server's budget that is used; the rest is for chance and for the nodes' unequal shares.
+/// Fraction of a warming server's budget that the nodes use. The rest absorbs random variation and the
+/// unequal shares of the nodes.
 const WARM_UP_BUDGET_USED: f64 = 0.5;
 
-/// Servers that are out are counted on for so long: processes that die together are back after half a minute at most, by the
-/// operators' brief. Chosen: twice that. After it the list is what there is, or a fleet that was made smaller would fill slowly for ever.
+/// How long servers that left the list still count towards the weight of the fleet. Processes that die
+/// together are back after half a minute at most, according to the operators; this is twice as long.
+/// Without this end, a fleet that was made smaller would fill slowly forever.
 const COUNTED_ON_FOR: Micros = 60 * SECOND;
 
-/// The weight of all servers, those included that were listed lately and are out.
+/// The total weight of the servers, including those that left the list recently.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FleetTotal {
     most: f64,
     current: f64,
-    /// Since when there is less than the most.
+    /// Since when `current` is below `most`; `None` if it is not.
     reduced_since: Option<Micros>,
 }
 
 impl FleetTotal {
-    /// Records the weight of a new list's ready servers.
+    /// Records the total weight of the ready servers after a change of the list.
     pub(crate) fn record(&mut self, now: Micros, weight: f64) {
         if weight >= self.most || self.is_reduced_for_good(now) {
             (self.most, self.reduced_since) = (weight, None);
@@ -33,7 +35,7 @@
         self.current = weight;
     }
 
-    /// What a budget for the whole fleet is spread over.
+    /// Returns the weight over which a budget of the whole fleet is distributed.
     pub(crate) fn weight(&self, now: Micros) -> f64 {
         if self.is_reduced_for_good(now) { self.current } else { self.most }
     }
@@ -43,26 +45,29 @@
     }
 }
 
-/// New connections a second that a server of weight 1 gets from this node.
+/// Rates of new connections from this node to a server of weight 1, per second.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct UsualRates {
-    /// Usually.
+    /// The average rate.
     pub(crate) per_weight: f64,
-    /// To be full after its warm-up.
+    /// The rate at which the server fills up within its warm-up.
     pub(crate) fill: f64,
 }
 
-/// A bound on new connections to one server. Guards against bursts: after a reconnect storm the turns of a warming server
-/// alone would push it over, and trials by many nodes keep a full server full. Each node keeps to its share of the usual.
+/// A limit on the rate of new connections to one server. It prevents bursts: after a reconnect storm, the
+/// turns of a warming server alone would overload it, and trials by many nodes would keep a full server
+/// full. Each node keeps to its share of the usual rate.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SetupLimit {
     per_s: f64,
-    /// Of a warming server: what one window of the settings ([`Settings::overload_window`]) brings.
+    /// For a warming server: the tokens that accrue in one [`Settings::overload_window`]. `None` if tokens
+    /// do not expire.
     per_window: Option<f64>,
 }
 
 impl SetupLimit {
-    /// The limit on a server of that weight that started then and was last overloaded then; `None`: there is none.
+    /// Returns the limit for a server of this weight that started at `started` and was last overloaded or
+    /// failed at `overloaded_at`; `None` if its rate is not limited.
     pub(crate) fn of(
         settings: &Settings,
         now: Micros,
@@ -78,25 +83,27 @@
         let recovering = since.map(|since| usual.per_weight * (1.0 + since as f64 / SECOND as f64));
         let rate = warming.unwrap_or(f64::INFINITY).min(recovering.unwrap_or(f64::INFINITY));
         let per_s = rate * weight;
-        // Without a window nothing lapses; and none is shorter than what timers tell apart.
+        // Without a configured window, tokens do not expire. A window below 100 ms is treated as 100 ms,
+        // because timers are no finer than that.
         let window_s = settings.overload_window.max(SECOND / 10) as f64 / SECOND as f64;
         let per_window = warming.filter(|_| settings.overload_window > 0).map(|_| per_s * window_s);
         per_s.is_finite().then_some(SetupLimit { per_s, per_window })
     }
 
-    /// A bare rate, on a server that is warm.
+    /// Returns a limit of `per_s` connections per second for a server that is not warming up.
     pub(crate) fn at_rate(per_s: f64) -> SetupLimit {
         SetupLimit { per_s, per_window: None }
     }
 
-    /// How long until so many tokens have become a whole one.
+    /// Returns the time until `tokens` reaches one whole token.
     fn time_to_token(self, tokens: f64) -> Micros {
         ((1.0 - tokens).max(0.0) * SECOND as f64 / self.per_s.max(1e-6)) as Micros
     }
 
-    /// The tokens after so much more time. A budget that many nodes have a small share of each is not saved for longer than
-    /// a window: else a crowd that comes after a quiet time finds all of them with one to spend. What lapses comes again in
-    /// its turn.
+    /// Returns the number of tokens after `passed` more microseconds. If the node gets less than one token
+    /// per window, a whole token expires one window after it became whole. Otherwise every node would have
+    /// a token to spend when many clients arrive after a quiet time. The next token accrues as if the
+    /// expired one had been spent.
     fn refilled(self, tokens: f64, passed: Micros) -> f64 {
         let tokens = tokens + self.per_s * passed.max(0) as f64 / SECOND as f64;
         match self.per_window {
@@ -109,7 +116,7 @@
     }
 }
 
-/// What is saved of a server's [`SetupLimit`]: a new connection costs one token.
+/// Token bucket that enforces a server's [`SetupLimit`]. Each new connection costs one token.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct SetupBudget {
     tokens: f64,
@@ -121,7 +128,8 @@
         SetupBudget { tokens, refilled_at: now }
     }
 
-    /// Adds what the limit allowed since the last time; without a limit the tokens stay as they are.
+    /// Adds the tokens that `limit` allowed since the last refill. Without a limit the number of tokens
+    /// does not change.
     pub(crate) fn refill(&mut self, limit: Option<SetupLimit>, now: Micros) {
         if let Some(limit) = limit {
             self.tokens = limit.refilled(self.tokens, now - self.refilled_at);
@@ -133,12 +141,12 @@
         self.tokens >= 1.0
     }
 
-    /// Spends a token, or what there is of one.
+    /// Spends one token, or the remaining fraction of one.
     pub(crate) fn spend(&mut self) {
         self.tokens = (self.tokens - 1.0).max(0.0);
     }
 
-    /// When there will be a token under this limit.
+    /// Returns when the next whole token is available under `limit`.
     pub(crate) fn next_token_at(&self, limit: Option<SetupLimit>) -> Micros {
         let short = limit.map_or(0, |limit| limit.time_to_token(self.tokens));
         self.refilled_at.saturating_add(short)
--- a/crates/decision/src/budget_tests.rs
+++ b/crates/decision/src/budget_tests.rs
@@ -12,7 +12,7 @@
     }
 }
 
-/// Servers that are out are counted on for a while, and not for ever.
+/// Servers that left the list count towards the weight of the fleet for a minute and no longer.
 #[test]
 fn fleet_total_counts_lost_servers_for_a_minute() {
     let mut total = FleetTotal::default();
@@ -21,20 +21,21 @@
     total.record(2 * S, 8.0);
     assert_eq!(total.weight(2 * S), 16.0);
     total.record(30 * S, 16.0);
-    assert_eq!(total.weight(200 * S), 16.0, "all are back");
+    assert_eq!(total.weight(200 * S), 16.0, "all servers are back");
     total.record(200 * S, 8.0);
     assert_eq!(
         (total.weight(259 * S), total.weight(260 * S)),
         (16.0, 8.0),
-        "made smaller, and no list since"
+        "lost servers stop counting after a minute, also without a new list"
     );
     total.record(300 * S, 6.0);
     assert_eq!(total.weight(300 * S), 6.0);
     total.record(301 * S, 5.0);
-    assert_eq!(total.weight(301 * S), 6.0, "the next one that is out");
+    assert_eq!(total.weight(301 * S), 6.0, "a server that is lost later counts again");
 }
 
-/// A file that names no window for the rule has warming servers filled as before, and short ones don't shut them out.
+/// A warming server still gets connections if the settings state no overload window, or one shorter than
+/// the timers can resolve.
 #[test]
 fn short_or_missing_window_admits_connections_to_warming_server() {
     for window in [0, 1, S / 100, S] {
@@ -43,13 +44,13 @@
         let (mut budget, mut taken) = (SetupBudget::new(0.0, 0), 0);
         for step in 1..160_i64 {
             let now = step * S / 20;
-            assert!(limit(now).is_some(), "it warms up");
+            assert!(limit(now).is_some(), "the server is still warming up");
             budget.refill(limit(now), now);
             if budget.has_token() {
                 budget.spend();
                 taken += 1;
             }
         }
-        assert!(taken >= 1, "a window of {window} us: {taken}");
+        assert!(taken >= 1, "{taken} connections with a window of {window} us");
     }
 }
--- a/crates/decision/src/pending_request.rs
+++ b/crates/decision/src/pending_request.rs
@@ -1,18 +1,19 @@
-//! What a node knows of one request, and what its class makes of that. Nothing is decided here.
+//! The state of one request, and the limits on it that follow from its class. No decisions are made here.
 
 use crate::interface::{Idempotency, Micros, Outcome, Request, Scope, ServerId, Settings, ZoneId};
 
-/// A client that waits no longer than this leaves less time for answers and attempts. One that states no time waits so long.
+/// The client wait for which the two times below are stated. They shrink in proportion for clients that
+/// wait less. A client that states no wait is assumed to wait this long.
 const SECOND: Micros = 1_000_000;
-/// Of a second that a client waits: an answer leaves so long before it gives up ...
+/// Time between the answer to a client and the moment the client gives up.
 const ANSWER_MARGIN: Micros = 30_000;
-/// ... and an attempt that leaves less than this is not made.
+/// The least time that must be left for an attempt to be made.
 const SHORTEST_ATTEMPT: Micros = 60_000;
 
 /// A server's zone and cell.
 pub(crate) type Locality = (ZoneId, u32);
 
-/// The servers that drop the repeats of a request.
+/// The servers that recognise and drop repeats of one keyed request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DedupGroup {
     scope: Scope,
@@ -20,26 +21,27 @@
 }
 
 impl DedupGroup {
-    /// A server there is one of them.
+    /// Whether a server at this locality belongs to the group.
     pub(crate) fn contains(self, locality: Locality) -> bool {
         !self.scope.separates(locality, self.locality)
     }
 }
 
-/// A request to which something is owed, or the connection that was made of it.
+/// A request that is still owed an answer, or the connection that it became.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingRequest {
-    /// As the client made it; the load as updated since.
+    /// The request as the client sent it, except that the load is kept up to date.
     pub(crate) request: Request,
     pub(crate) deadline: Option<Micros>,
     arrived: Micros,
     pub(crate) attempts_sent: u32,
-    /// Where an attempt or the connection is; `None`: nowhere at the moment.
+    /// The server of the current attempt or connection; `None` while the request has neither.
     pub(crate) server: Option<ServerId>,
     pub(crate) tried: Vec<ServerId>,
-    /// The last attempt: where its server was when it was sent, and when that was. A server may come back elsewhere.
+    /// Locality of the last attempt's server at the time of sending, and that time. The locality is stored
+    /// here because a server may come back at another one.
     last_attempt: Option<(Locality, Micros)>,
-    /// The first attempt that may have run.
+    /// Locality and send time of the first attempt that may have run.
     pub(crate) may_have_run: Option<(Locality, Micros)>,
 }
 
@@ -57,7 +59,8 @@
         }
     }
 
-    /// A connection that already runs on that server, as attempt 0.
+    /// Creates the state of a connection that was already open on `server` before this instance started.
+    /// The connection counts as attempt 0.
     pub(crate) fn adopted(request: Request, now: Micros, server: ServerId, locality: Locality) -> Self {
         PendingRequest {
             attempts_sent: 1,
@@ -67,7 +70,7 @@
         }
     }
 
-    /// An attempt goes out to that server, which is there.
+    /// Records that an attempt was sent to `server`, which is at `locality`.
     pub(crate) fn attempt_sent(&mut self, now: Micros, server: ServerId, locality: Option<Locality>) {
         self.attempts_sent += 1;
         self.server = Some(server);
@@ -75,7 +78,7 @@
         self.tried.push(server);
     }
 
-    /// The attempt that was out has ended without an answer for the client.
+    /// Records that the current attempt ended without an answer for the client.
     pub(crate) fn attempt_ended(&mut self, outcome: Outcome) {
         self.server = None;
         if !outcome.never_ran() {
@@ -83,46 +86,49 @@
         }
     }
 
-    /// Its class, by the settings' number.
+    /// Returns the index of the request's class in [`Settings::classes`].
     pub(crate) fn class(&self) -> usize {
         usize::from(self.request.class.0)
     }
 
-    /// Priority weight for the load that it brings.
+    /// Returns the priority weight of the request for each unit of its load.
     pub(crate) fn value(&self, settings: &Settings) -> f64 {
         let weight = settings.classes.get(self.class()).map_or(1.0, |c| c.priority_weight);
         let load = if settings.weight_by_work { 1.0 } else { self.request.load_hint.unwrap_or(1.0) };
         weight / load.max(1e-9)
     }
 
-    /// A figure for clients that wait a second, scaled to this one. Guards against classes of a tenth of that, which would
-    /// never be tried.
+    /// Scales a time that holds for clients that wait [`SECOND`] or more to the wait of this client.
+    /// Without scaling, requests of a class whose deadline is a tenth of that would never be attempted.
     fn scaled_to_wait(&self, settings: &Settings, for_a_second: Micros) -> Micros {
         let stated = settings.classes.get(self.class()).map(|c| c.deadline).filter(|deadline| *deadline > 0);
         let wait = stated.or(self.request.left).unwrap_or(SECOND).clamp(0, SECOND);
         for_a_second * wait / SECOND
     }
 
-    /// An attempt that leaves less time than this is not made.
+    /// Returns the least time with which an attempt of this request is made.
     pub(crate) fn shortest_attempt(&self, settings: &Settings) -> Micros {
         self.scaled_to_wait(settings, SHORTEST_ATTEMPT)
     }
 
-    /// Until when it may be queued. With no time stated, a request waits for one pause.
+    /// Returns until when the request may be queued. A request without a deadline waits for the length of
+    /// one pause.
     pub(crate) fn queue_until(&self, settings: &Settings) -> Micros {
         let Some(deadline) = self.deadline else { return self.arrived.saturating_add(SECOND) };
-        // A timer fires with the next batch.
+        // Timers fire only with the next batch of events, which is up to one `step` later.
         let margin = self.scaled_to_wait(settings, ANSWER_MARGIN).max(settings.step.min(ANSWER_MARGIN));
         deadline.saturating_sub(margin + self.shortest_attempt(settings))
     }
 
-    /// Until when a repeat has no effect; `None`: without end, or nothing has run.
+    /// Returns the time until which a repeat has no effect; `None` if there is no such limit or no attempt
+    /// may have run.
     pub(crate) fn repeat_until(&self, settings: &Settings) -> Option<Micros> {
         let idempotency = settings.idempotency(self.class());
         self.may_have_run.and_then(|(_, sent)| idempotency.repeat_until(sent))
     }
 
-    /// The servers that drop its repeats, if an attempt may have run.
+    /// Returns the servers that drop repeats of this request; `None` if the request is not keyed or no
+    /// attempt may have run.
     pub(crate) fn dedup_group(&self, settings: &Settings) -> Option<DedupGroup> {
         let Idempotency::Keyed { scope, .. } = settings.idempotency(self.class()) else { return None };
         self.may_have_run.map(|(locality, _)| DedupGroup { scope, locality })
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -1,9 +1,11 @@
-//! Types, events and actions: `src/interface.rs`. Every decision is in this file and in its folder: the
-//! server list, the rotation over servers, pauses, retries and rejections.
+//! Types, events and actions are defined in `src/interface.rs`. The decisions themselves are made in the
+//! modules below: the server list, the rotation over servers, pauses, retries and rejections.
 //!
-//! The mechanism (PIP-385, adapted; docs/design.md): a server that rejected a connection as full, or failed,
-//! is paused until the next second mark; new connections rotate over the rest; while all are paused they
-//! are queued, and rejected early when they cannot wait. What else is here is an exception to that.
+//! The basic mechanism is that of PIP-385, adapted (see docs/design.md). A server that rejected a
+//! connection as full, or failed, is paused until the next full second of the clock. New connections rotate
+//! over the other servers. While all servers are paused, new connections are queued; those that cannot wait
+//! for the end of a pause are rejected early. All other rules in these modules are exceptions to this
+//! mechanism.
 
 mod arrivals;
 mod balancer;
--- a/crates/decision/src/policy/arrivals.rs
+++ b/crates/decision/src/policy/arrivals.rs
@@ -1,11 +1,11 @@
-//! How fast requests arrive at this node, and how fast it may set up connections of its own.
+//! The rate at which requests arrive at this node, and the pacing of the connections that the node sets up.
 
 use crate::interface::{Micros, SECOND};
 use crate::quota::TokenBucket;
 
-/// Arrivals are averaged over about this many seconds.
+/// Time constant of the average of arrivals, in seconds.
 const RATE_MEMORY_S: f64 = 20.0;
-/// A set-up counts for one part in so many of the failure ratio.
+/// Each set-up counts for one part in this many of the failure ratio.
 const FAILURE_MEMORY: f64 = 8.0;
 
 /// An exponentially decaying count of arrivals.
@@ -28,23 +28,24 @@
         self.counted_at = now;
     }
 
-    /// Arrivals a second, corrected for a node that has not yet run as long as the average remembers.
+    /// Returns the arrivals per second. The result is corrected for a node that has not yet run as long as
+    /// the average reaches back.
     pub(super) fn per_s(&self, now: Micros) -> f64 {
         let age_s = (now - self.started_at).max(SECOND) as f64 / SECOND as f64;
         self.decayed_count / (RATE_MEMORY_S * (1.0 - (-age_s / RATE_MEMORY_S).exp()))
     }
 }
 
-/// How the latest set-ups went, and what that leaves for the next ones.
+/// The results of the latest set-ups, and the limits on further set-ups that follow from them.
 #[derive(Debug, Default)]
 pub(super) struct SetupPacing {
-    /// Part of the latest set-ups that failed or timed out, 0 to 1.
+    /// Fraction of the latest set-ups that failed or timed out, from 0 to 1.
     pub(super) failure_ratio: f64,
-    /// Until then nothing is sent while most set-ups fail.
+    /// While most set-ups fail, no set-up is sent before this time.
     pub(super) next_send: Micros,
-    /// Set-ups that this node may send.
+    /// Token bucket of the set-ups that this node may send.
     pub(super) tokens: TokenBucket,
-    /// When a set-up was last quick, if none has been slow since.
+    /// When the last set-up succeeded; `None` if it was slow or failed.
     last_quick: Option<Micros>,
 }
 
@@ -63,7 +64,7 @@
         self.failure_ratio += (1.0 - self.failure_ratio) / FAILURE_MEMORY;
     }
 
-    /// The last set-up was quick, and that within the last second.
+    /// Whether the last set-up succeeded quickly, and less than a second ago.
     pub(super) fn is_quick(&self, now: Micros) -> bool {
         self.last_quick.is_some_and(|at| now - at < SECOND)
     }
--- a/crates/decision/src/policy/balancer.rs
+++ b/crates/decision/src/policy/balancer.rs
@@ -1,4 +1,5 @@
-//! The state of one node's decisions, and which method answers which event.
+//! The balancer: the state of one node's decisions, and the dispatch of events to the methods that handle
+//! them.
 
 use super::arrivals::{ArrivalRate, SetupPacing};
 use super::requests::Requests;
@@ -12,38 +13,40 @@
 use crate::quota::Quota;
 use crate::rules::RoutingRules;
 
-/// Timer: queued requests may be tried again.
+/// Timer token: dispatch the queued requests again.
 pub(super) const WAKE_UP: u32 = 0;
-/// Timer: the server list is to be polled.
+/// Timer token: poll the server list.
 pub(super) const POLL_LIST: u32 = 1;
-/// Timer: the next round of moving connections off draining servers.
+/// Timer token: start the next round of migrating connections off draining servers.
 pub(super) const DRAIN_ROUND: u32 = 2;
 
-/// The decisions of one node. Each field holds the state of one concern.
+/// Makes the decisions of one node. Each field holds the state of one concern.
 #[derive(Debug, Default)]
 pub struct Balancer {
     pub(super) settings: Settings,
-    /// Evaluates the routing rules; `None`: there are none.
+    /// Evaluates the routing rules; `None` if the node has no rules.
     pub(super) rules: Option<Box<dyn RoutingRules>>,
     pub(super) jitter: Jitter,
     pub(super) servers: Servers,
     pub(super) requests: Requests,
     pub(super) rotation: Rotation,
-    /// When the next round of moving connections off draining servers is due.
+    /// When the next round of migrating connections off draining servers is due; `None` if none is
+    /// scheduled.
     pub(super) next_drain_round: Option<Micros>,
     pub(super) list_poller: ListPoller,
     pub(super) arrivals: ArrivalRate,
     pub(super) setups: SetupPacing,
-    /// How many servers the connections of an affinity group rotate over.
+    /// The stated sizes of the affinity subsets.
     pub(super) subsets: AffinitySubsets,
-    /// This node's share of what all nodes have together.
+    /// This node's share of the limits that hold for all nodes together.
     pub(super) quota: Quota,
-    /// The node shuts down: nothing is sent any more, what is owed is answered.
+    /// The node is shutting down: it sends nothing more, and answers the requests that are still owed an
+    /// answer.
     pub(super) shutting_down: bool,
 }
 
 impl Balancer {
-    /// A node's decisions from `now` on. `seed` feeds its jitter.
+    /// Creates the state of a node that starts at `now`. `seed` initialises the node's jitter.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         Balancer {
             quota: Quota::even(settings.nodes),
@@ -56,13 +59,13 @@
         }
     }
 
-    /// The same under rules, which are evaluated before each send.
+    /// Adds routing rules, which are evaluated before each send.
     pub fn with_rules(self, rules: Box<dyn RoutingRules>) -> Self {
         Balancer { rules: Some(rules), ..self }
     }
 
-    /// Takes one event and appends the actions that follow from it to `out`, in the order in which they are
-    /// due.
+    /// Handles one event and appends the resulting actions to `out`, in the order in which the embedder
+    /// must carry them out.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::List { full, copy, entries } => self.list_received(now, full, copy, entries, out),
@@ -101,7 +104,8 @@
         }
     }
 
-    /// Acts on a timer that is still wanted; one that was set before a sooner one of its kind is not.
+    /// Handles a timer. A timer is ignored if a sooner one of the same kind was set after it and has done
+    /// its work.
     fn timer_fired(&mut self, now: Micros, token: u32, out: &mut Vec<Action>) {
         let is_due = |at: Option<Micros>| at.is_some_and(|at| at <= now);
         match token {
@@ -121,7 +125,7 @@
         self.settings = settings;
     }
 
-    /// A client's request: counted, unless the client came back, and dispatched.
+    /// Dispatches a client's request. The request counts as an arrival unless the client came back.
     fn request_arrived(&mut self, now: Micros, request: Request, out: &mut Vec<Action>) {
         if !request.again {
             self.arrivals.record(now);
@@ -131,7 +135,7 @@
         self.dispatch(now, id, out);
     }
 
-    /// A connection that was open before this instance started.
+    /// Takes over a connection that was open before this instance started.
     fn adopt_open_connection(
         &mut self,
         now: Micros,
@@ -174,15 +178,15 @@
     }
 }
 
-/// The node's own random numbers. Each draw moves the sequence on, so the order of draws is part of the
-/// behaviour.
+/// Random number generator of this node. Each draw advances the sequence, so the order of draws is part of
+/// the behaviour.
 #[derive(Debug, Default)]
 pub(super) struct Jitter {
     state: u64,
 }
 
 impl Jitter {
-    /// The next number, from 0 to 1.
+    /// Returns the next random number, from 0 to 1.
     pub(super) fn draw(&mut self) -> f64 {
         self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         unit(self.state)
--- a/crates/decision/src/policy/circuit_breaker.rs
+++ b/crates/decision/src/policy/circuit_breaker.rs
@@ -1,43 +1,44 @@
-//! When a server is paused, for how long, and the trial that ends a pause.
+//! The pauses of one server: their start, their length, and the trial that ends them.
 
 use crate::interface::{Micros, RequestId, SECOND};
 
-/// Each further failure doubles the pause, up to 2^5 s: a dead server is tried about twice a minute.
+/// Most doublings of a pause by repeated failures. At 2^5 s, a dead server is tried about twice a minute.
 const MAX_DOUBLINGS: u32 = 5;
-/// One failure is forgotten for each such time without another.
+/// One recorded failure is forgotten for each period of this length without another failure.
 const FORGET_AFTER: Micros = 20 * SECOND;
 
 /// Why a server is paused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PauseCause {
-    /// It rejected a connection as full: paused until the next mark only.
+    /// The server rejected a connection as full. The pause ends at the next full second.
     Overload,
-    /// An attempt failed: each further failure doubles the pause.
+    /// An attempt failed. Each further failure doubles the pause.
     Failure,
 }
 
-/// What a pause means for the log.
+/// What the caller logs about a pause that has begun.
 pub(super) struct Failures {
-    /// It is the second failure in a row.
+    /// The pause follows the second failure in a row.
     pub(super) is_second: bool,
 }
 
-/// What the end of a pause by a good trial means for the log.
+/// What the caller logs about a pause that a successful trial has ended.
 pub(super) struct Recovery {
     /// The server had failed more than once in a row.
     pub(super) had_failed_often: bool,
 }
 
-/// Pauses, and the trial that ends one (closed, open and half-open, as a circuit breaker's).
+/// Circuit breaker of one server: closed, open (the server is paused) or half-open (the next request is a
+/// trial).
 #[derive(Clone, Debug, Default)]
 pub(super) struct CircuitBreaker {
     pub(super) paused_until: Option<Micros>,
-    /// The pause has lapsed and the next turn is a trial.
+    /// The pause has ended, and the request that takes the server's next turn is a trial.
     pub(super) half_open: bool,
-    /// The request that is out as a trial.
+    /// The request whose attempt is the trial; `None` if no trial is in progress.
     pub(super) trial: Option<RequestId>,
     consecutive_failures: u32,
-    /// When it last gave reason for a pause.
+    /// When the server last gave a reason for a pause.
     pub(super) overloaded_at: Option<Micros>,
 }
 
@@ -46,13 +47,17 @@
         self.paused_until.is_some_and(|until| until > now)
     }
 
-    /// Another request is out as the trial.
+    /// Whether the server is half-open and its trial is in progress.
     pub(super) fn is_on_trial(&self) -> bool {
         self.half_open && self.trial.is_some()
     }
 
-    /// Pauses until the next second mark; after failures and failed trials, longer each time. `None` where
-    /// the attempt was sent before the pause, or broken by the same blow: no news.
+    /// Pauses the server until the next full second, or for longer with each further failure or failed
+    /// trial.
+    ///
+    /// Returns `None`, and changes nothing, if the server is already paused and `by` is not its trial. Such
+    /// an attempt was sent before the pause or was broken by the fault that caused it, and says nothing
+    /// new.
     pub(super) fn trip(&mut self, now: Micros, by: RequestId, cause: PauseCause) -> Option<Failures> {
         let was_trial = self.trial == Some(by);
         if !was_trial && self.is_paused(now) {
@@ -71,7 +76,7 @@
         Some(Failures { is_second })
     }
 
-    /// Pauses until then at least.
+    /// Pauses the server until `until` or later.
     pub(super) fn overloaded(&mut self, now: Micros, until: Micros) {
         self.overloaded_at = Some(now);
         self.paused_until = self.paused_until.max(Some(until));
@@ -82,29 +87,32 @@
         self.consecutive_failures = self.consecutive_failures.saturating_sub(forgotten.clamp(0, 64) as u32);
     }
 
-    /// Opens the way for a trial if a pause has lapsed by now; whether one has.
+    /// Ends a pause that is set and makes the server half-open. Returns whether a pause was set. The caller
+    /// makes sure that the pause has run out.
     pub(super) fn half_open_if_lapsed(&mut self) -> bool {
         let has_lapsed = self.paused_until.take().is_some();
-        // A branch, not `|=`: with that, release builds of rustc 1.95 set the flag though nothing was taken.
+        // This is a branch because with `|=`, release builds of rustc 1.95 set the flag even if no pause
+        // was set.
         if has_lapsed {
             self.half_open = true;
         }
         has_lapsed
     }
 
-    /// The trial ended without showing anything: the server stays half-open.
+    /// Ends the trial `by` without a result. The server stays half-open.
     pub(super) fn abandon_trial(&mut self, by: RequestId) {
         self.trial = self.trial.filter(|trial| *trial != by);
     }
 
-    /// Ends the pause for good if `by` was the trial.
+    /// Closes the circuit breaker if `by` was the trial; returns `None` otherwise.
     pub(super) fn close_after_trial(&mut self, by: RequestId) -> Option<Recovery> {
         if self.trial != Some(by) {
             return None;
         }
         (self.trial, self.half_open) = (None, false);
         let had_failed_often = self.consecutive_failures > 1;
-        // Half is forgiven, not all: a server that fails most requests passes a trial now and then.
+        // Only half of the failures are forgotten: a server that fails most requests still passes a trial
+        // now and then.
         self.consecutive_failures /= 2;
         Some(Recovery { had_failed_often })
     }
--- a/crates/decision/src/policy/dispatch.rs
+++ b/crates/decision/src/policy/dispatch.rs
@@ -1,22 +1,21 @@
-//! What becomes of a request: an attempt on the next server, a place in the queue, a retry, or a final
-//! answer.
+//! Dispatch of requests: an attempt on the next server, a place in the queue, a retry, or the final answer.
 
 use super::balancer::{Balancer, WAKE_UP};
 use crate::interface::*;
 use crate::pending_request::{DedupGroup, PendingRequest};
 use crate::rules::RoutingVerdict;
 
-/// What bounds the next attempt of a request, as its class, its client and the rules have it.
+/// Limits on the next attempt of a request, which follow from its class, its client and the routing rules.
 struct AttemptLimits {
-    /// Time until the client gives up; `None`: not stated.
+    /// Time until the client gives up; `None` if the client does not state any.
     left: Option<Micros>,
-    /// Less time than this is too little for an attempt.
+    /// The least time with which an attempt is made.
     shortest_attempt: Micros,
-    /// Until when it may be queued.
+    /// Until when the request may be queued.
     queue_until: Micros,
-    /// Until when a repeat has no effect; `None`: without end, or nothing has run.
+    /// Until when a repeat has no effect; `None` if there is no such limit or no attempt may have run.
     repeat_until: Option<Micros>,
-    /// The servers that drop its repeats, if an attempt may have run.
+    /// The servers that drop repeats of the request; `None` if any server may get it.
     dedup_group: Option<DedupGroup>,
     max_attempts: u32,
 }
@@ -33,21 +32,22 @@
         }
     }
 
-    /// Why no further attempt is made, wherever it went.
+    /// Returns the reason why no server may get a further attempt; `None` if one may.
     fn rejection(&self, pending: &PendingRequest, now: Micros) -> Option<RejectionReason> {
         if pending.attempts_sent >= self.max_attempts {
             Some(RejectionReason::AttemptsExhausted)
         } else if self.left.is_some_and(|left| left < self.shortest_attempt) {
             Some(RejectionReason::DeadlineTooClose)
         } else {
-            // No effect twice: also what was queued meanwhile is repeated only within its window.
+            // A request must not take effect twice, so a repeat that was queued is also sent only within
+            // the idempotency window.
             let is_over = self.repeat_until.is_some_and(|end| end <= now);
             is_over.then_some(RejectionReason::IdempotencyWindowOver)
         }
     }
 
-    /// After this the attempt is ended as timed out; 0: when the client gives up. A silent server never
-    /// rejects: the time-out leaves room for a retry.
+    /// Returns the time after which the attempt is ended as timed out; 0 means when the client gives up. A
+    /// server that does not answer never rejects an attempt, so the time-out leaves time for a retry.
     fn timeout(&self, pending: &PendingRequest, settings: &Settings) -> Micros {
         let target = settings.target(pending.class());
         match self.left {
@@ -86,7 +86,8 @@
         match server {
             Some(server) => self.send(now, id, server, &limits, out),
             None => {
-                // What waits for its dedup group is answered as its window ends.
+                // A request that only its dedup group may repeat is answered when its idempotency window
+                // ends.
                 let window_end = limits.repeat_until.unwrap_or(Micros::MAX);
                 let next_chance = self.next_chance(now, &verdict, limits.dedup_group);
                 let until = next_chance.max(not_before).min(window_end);
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Sends an attempt to the server that was picked.
+    /// Sends an attempt to the selected server.
     fn send(
         &mut self,
         now: Micros,
@@ -113,12 +114,13 @@
         if let Some(s) = self.servers.get_mut(server) {
             s.report_health(now, server, out);
         }
-        // What comes up late is not written after its window.
+        // The embedder writes nothing on a connection that is established after the idempotency window
+        // ends.
         out.push(Action::Send { request: id, server, timeout, before: limits.repeat_until });
     }
 
-    /// Queues a request until a server may take it; one that cannot wait so long is rejected at once, as the
-    /// paper's send time-outs shorter than the pause left.
+    /// Queues a request until `until`, when a server may take it. A request that cannot wait until then is
+    /// rejected at once, as PIP-385 does with send time-outs that are shorter than the rest of the pause.
     fn queue(
         &mut self,
         now: Micros,
@@ -140,7 +142,8 @@
         }
     }
 
-    /// The final answer to what cannot be placed: a rejection where that may be said, else a failure.
+    /// Gives the final answer to a request that no server gets: a rejection if a retry by the client is
+    /// safe, else a failure.
     fn answer(
         &mut self,
         now: Micros,
@@ -162,7 +165,7 @@
         self.finish(id);
     }
 
-    /// An attempt has ended and the request is still owed an answer.
+    /// Dispatches a request again after an attempt that ended without an answer for the client.
     pub(super) fn retry(
         &mut self,
         now: Micros,
@@ -177,14 +180,14 @@
         self.dispatch(now, id, out);
     }
 
-    /// Dispatches anew all that is queued; what still finds no server is queued again.
+    /// Dispatches all queued requests again. Requests that still find no server return to the queue.
     pub(super) fn dispatch_queued(&mut self, now: Micros, out: &mut Vec<Action>) {
         for id in std::mem::take(&mut self.requests.queued) {
             self.dispatch(now, id, out);
         }
     }
 
-    /// Nothing more is owed: forgets the request, in the queue and among its server's connections.
+    /// Forgets a request that is owed nothing more, also in the queue and among its server's connections.
     pub(super) fn finish(&mut self, id: RequestId) {
         let server = self.requests.pending.remove(&id).and_then(|pending| pending.server);
         if let Some(s) = server.and_then(|server| self.servers.get_mut(server)) {
--- a/crates/decision/src/policy/drain.rs
+++ b/crates/decision/src/policy/drain.rs
@@ -1,25 +1,26 @@
-//! How the connections of draining servers are moved: an even part each round, so that clients come back
-//! bit by bit.
+//! Migration of connections off draining servers. Each round migrates an even part of them, so that the
+//! clients reconnect gradually.
 
 use super::balancer::{Balancer, DRAIN_ROUND};
 use crate::interface::{Action, Micros, SECOND, ServerId};
 
-/// A draining server's connections are moved within this time: what stays is cut off. New ones
-/// (`rules.stopSendingWithin`) end at once.
+/// Time in which the connections of a draining server are migrated; the server cuts off those that remain.
+/// New connections to the server stop at once (`rules.stopSendingWithin`).
 pub(super) const DRAIN_WITHIN: Micros = 2 * SECOND;
-/// Time from one round to the next.
+/// Time from one round of migrations to the next.
 const ROUND: Micros = SECOND / 10;
 
 impl Balancer {
-    /// A connection came up at a server that drains. Guards against one that comes after the last round:
-    /// nobody would move it, and the server's end would cut it off.
+    /// Migrates a connection that was established on a draining server. After the last round nothing else
+    /// would migrate the connection, and the end of the server would cut it off.
     pub(super) fn drain_late_connection(&mut self, now: Micros, at: ServerId, out: &mut Vec<Action>) {
         if self.servers.get(at).is_some_and(|s| s.connections.drain_deadline.is_some()) {
             self.drain(now, out);
         }
     }
 
-    /// Moves an even part of what is left on each draining server, unless the next round is still to come.
+    /// Migrates an even part of the remaining connections off each draining server, unless the next round
+    /// is not due yet.
     pub(super) fn drain(&mut self, now: Micros, out: &mut Vec<Action>) {
         if self.next_drain_round.is_some_and(|at| at > now) {
             return;
--- a/crates/decision/src/policy/latency.rs
+++ b/crates/decision/src/policy/latency.rs
@@ -1,21 +1,23 @@
-//! What the latency of messages shows of a server, and how connections are moved off one where work piles up.
+//! Message latency as a sign of a server's backlog, and the migration of connections off such a server.
 
 use super::balancer::Balancer;
 use crate::interface::*;
 use crate::rules::Stickiness;
 use std::collections::BTreeMap;
 
-/// Part of its own connections that a node moves off a server for each report of messages over the objective:
-/// more where more has piled up, so that the pile is cleared within about [`CLEAR_WITHIN`].
+/// Fraction of a node's connections to a server that the node migrates for each report of messages over the
+/// latency objective. The fraction grows with the latency, so that the backlog is cleared within about
+/// [`CLEAR_WITHIN`].
 const MOVED_PER_REPORT: f64 = 0.1;
-/// Time in which a pile is cleared, in microseconds.
+/// Time in which a backlog is cleared, in microseconds.
 const CLEAR_WITHIN: f64 = 2.0 * SECOND as f64;
-/// Most that one report moves, as a part of the node's connections there.
+/// Largest fraction of a node's connections to a server that one report migrates.
 const MAX_MOVED: f64 = 0.25;
 
 impl Balancer {
-    /// Messages at a server take long: work has piled up there, though it rejects nothing. A report comes
-    /// once a second while that lasts, so the pause reaches to the mark after the next report.
+    /// Handles a report of a server's message latency. High latency means that the server has a backlog,
+    /// although it rejects nothing. Reports come once a second while the latency is high, so the pause
+    /// lasts until the full second after the next report.
     pub(super) fn latency_changed(
         &mut self,
         now: Micros,
@@ -31,7 +33,8 @@
         s.latency.slow_at = Some(now);
         s.breaker.overloaded(now, ((now + SECOND) / SECOND + 1) * SECOND);
         s.report_health(now, at, out);
-        // A pile that drains is left to (ie5ddb3).
+        // A backlog that is shrinking clears without migrations; further ones overshot and spread the
+        // groups over the fleet (incident ie5ddb3).
         if latency < objective / 2 || is_falling {
             return;
         }
@@ -40,8 +43,9 @@
         self.migrate_least_valued(now, at, count, out);
     }
 
-    /// Moves up to `count` of this node's connections off a server, least worth for their load first. Load
-    /// lasts: what is there would earn nothing for minutes.
+    /// Migrates up to `count` of this node's connections off a server, starting with those of the lowest
+    /// priority weight for their load. The backlog lasts: connections that stay on the server would earn
+    /// nothing for minutes.
     fn migrate_least_valued(&mut self, now: Micros, at: ServerId, count: usize, out: &mut Vec<Action>) {
         let (pending, settings) = (&self.requests.pending, &self.settings);
         let Some(s) = self.servers.get_mut(at) else { return };
--- a/crates/decision/src/policy/outcomes.rs
+++ b/crates/decision/src/policy/outcomes.rs
@@ -1,19 +1,21 @@
-//! What the outcomes of attempts and other nodes' reports show of a server: a pause, the end of one, or
-//! nothing.
+//! Evaluation of attempt outcomes and of other nodes' reports: whether they start or end the pause of a
+//! server.
 
 use super::balancer::Balancer;
 use super::circuit_breaker::PauseCause;
 use super::peer_reports::is_valid;
 use crate::interface::*;
 
-/// So many nodes must agree, or one and own experience: one alone may itself be cut off.
+/// Number of nodes that must agree before a report has an effect. This node's own experience counts as one
+/// of them. A single node may itself be cut off.
 const QUORUM: usize = 2;
-/// Reports alone keep no more than this part of the servers paused at a time: as many as are known to die
-/// together (24%). However many nodes lie, the rest is used, and what is paused is tried at the next mark.
+/// Largest fraction of the servers that reports alone may keep paused at a time: as many as are known to
+/// die together (24%). However many nodes report falsely, the other servers stay in use, and the paused
+/// ones are tried at the next full second.
 const MAX_PAUSED_FRACTION: f64 = 0.25;
 
 impl Balancer {
-    /// Draws from an outcome what it shows of the server.
+    /// Updates the state of a server from the outcome of an attempt.
     pub(super) fn record_outcome(
         &mut self,
         now: Micros,
@@ -28,10 +30,12 @@
                 self.setups.failed();
                 self.pause(now, at, id, PauseCause::Failure, out);
             }
-            // A reset of an established connection too: the server is lost, or sheds what it cannot carry.
+            // This includes the reset of an established connection: the server is lost, or sheds load that
+            // it cannot carry.
             Outcome::ConnectFailed | Outcome::Reset => self.pause(now, at, id, PauseCause::Failure, out),
             Outcome::Served => self.trial_succeeded(now, at, id, out),
-            // Shows nothing: a trial leaves the server half-open. A set-up that was not used is for others.
+            // These outcomes say nothing about the server, so a trial leaves it half-open. The token of a
+            // set-up that was not sent is returned for other requests.
             Outcome::Cancelled | Outcome::NotSent => {
                 if outcome == Outcome::NotSent {
                     self.setups.tokens.give_back();
@@ -43,7 +47,7 @@
         }
     }
 
-    /// Pauses a server; after the second failure in a row the log says so.
+    /// Pauses a server, and logs the second failure in a row.
     fn pause(&mut self, now: Micros, at: ServerId, by: RequestId, cause: PauseCause, out: &mut Vec<Action>) {
         let Some(s) = self.servers.get_mut(at) else { return };
         let Some(failures) = s.breaker.trip(now, by, cause) else { return };
@@ -54,7 +58,8 @@
         s.report_health(now, at, out);
     }
 
-    /// An attempt succeeded: if it was its server's trial, the server is back in the rotation.
+    /// Handles a successful attempt. If the attempt was the trial of its server, the server returns to the
+    /// rotation.
     pub(super) fn trial_succeeded(
         &mut self,
         now: Micros,
@@ -71,8 +76,9 @@
         self.dispatch_queued(now, out);
     }
 
-    /// Weighs another node's report of a server together with the other nodes' and this node's own
-    /// experience. It is evidence, no order: it brings a pause or a trial forward where it is confirmed.
+    /// Handles another node's report of a server, together with the other nodes' reports and this node's
+    /// own experience. A report is evidence, not a command: if it is confirmed, it pauses the server or
+    /// brings the trial forward.
     pub(super) fn peer_reported(
         &mut self,
         now: Micros,
@@ -97,7 +103,8 @@
                 s.breaker.paused_until = Some(next_mark);
                 s.peer_reports.paused_until = Some(next_mark);
             }
-            // Others are served there: the trial need not wait for a pause that grew with each failure.
+            // Other nodes are served there, so the trial need not wait for a pause that grew with each
+            // failure.
             PeerVerdict::Healthy if is_paused && unhealthy == 0 && healthy >= QUORUM => {
                 s.breaker.paused_until = s.breaker.paused_until.min(Some(next_mark));
             }
--- a/crates/decision/src/policy/peer_reports.rs
+++ b/crates/decision/src/policy/peer_reports.rs
@@ -1,18 +1,20 @@
-//! What other nodes reported of a server, and for how long that counts.
+//! Other nodes' reports of a server, and how long they count.
 
 use crate::interface::{Micros, PeerVerdict, SECOND};
 
-/// Another node's report counts for this long, and own good experience outweighs any for as long.
+/// How long another node's report counts. A success of this node's own outweighs all reports for the same
+/// time.
 const REPORT_VALID_FOR: Micros = 3 * SECOND;
 
-/// What other nodes reported of a server, and what this node's own success says against it.
+/// Other nodes' reports of a server, and this node's own successes, which outweigh them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PeerReports {
-    /// When an attempt of this node's last succeeded.
+    /// When an attempt of this node last succeeded.
     last_success: Option<Micros>,
-    /// Each node's latest report.
+    /// The latest report of each node.
     reports: Vec<Report>,
-    /// Paused on peer reports alone until then; forgotten with the next experience of this node's own.
+    /// End of a pause that rests on reports alone; reset by this node's next own experience with the
+    /// server.
     pub(super) paused_until: Option<Micros>,
 }
 
@@ -23,18 +25,19 @@
     at: Micros,
 }
 
-/// What was met then still counts.
+/// Whether an observation made at `at` still counts at `now`.
 pub(super) fn is_valid(at: Micros, now: Micros) -> bool {
     now - at <= REPORT_VALID_FOR
 }
 
 impl PeerReports {
-    /// An attempt of this node's own succeeded.
+    /// Records that an attempt of this node succeeded.
     pub(super) fn own_success(&mut self, now: Micros) {
         (self.last_success, self.paused_until) = (Some(now), None);
     }
 
-    /// This node has met trouble of its own: whatever pauses the server now is no peer's report.
+    /// Records that this node has paused the server from its own experience, so the pause no longer rests
+    /// on reports alone.
     pub(super) fn forget_pause(&mut self) {
         self.paused_until = None;
     }
@@ -43,7 +46,8 @@
         self.paused_until.is_some_and(|until| until > now)
     }
 
-    /// Replaces the sender's earlier report; drops those that are too old to count.
+    /// Stores a report in place of the sender's earlier one, and drops all reports that are too old to
+    /// count.
     pub(super) fn record(&mut self, now: Micros, from: u32, verdict: PeerVerdict) {
         self.reports.retain(|report| report.from != from && is_valid(report.at, now));
         self.reports.push(Report { from, verdict, at: now });
@@ -53,8 +57,8 @@
         self.reports.iter().filter(|report| report.verdict == verdict).count()
     }
 
-    /// No pause follows from reports where this node has just had success itself, or was paused on reports
-    /// before: before they count again, this node makes an attempt of its own.
+    /// Whether reports may pause the server. They may not if this node has recently had a success itself.
+    /// They also may not if they paused the server before and this node has made no attempt since.
     pub(super) fn may_pause(&self, now: Micros) -> bool {
         self.paused_until.is_none() && !self.last_success.is_some_and(|at| is_valid(at, now))
     }
--- a/crates/decision/src/policy/requests.rs
+++ b/crates/decision/src/policy/requests.rs
@@ -1,16 +1,16 @@
-//! The requests of one node, and which of them are queued.
+//! The requests of one node, and the queue of those that wait for a server.
 
 use crate::interface::*;
 use crate::pending_request::PendingRequest;
 use std::collections::BTreeMap;
 
-/// The requests to which something is owed, and the connections that were made of them.
+/// The requests that are still owed an answer, and the connections that requests became.
 #[derive(Debug, Default)]
 pub(super) struct Requests {
     pub(super) pending: BTreeMap<RequestId, PendingRequest>,
-    /// Those that wait for a server, in the order in which they were queued.
+    /// Requests that wait for a server, in the order in which they were queued.
     pub(super) queued: Vec<RequestId>,
-    /// When the soonest timer for the queue fires.
+    /// When the next timer for the queue fires; `None` if none is set.
     pub(super) wake_up: Option<Micros>,
 }
 
--- a/crates/decision/src/policy/rotation.rs
+++ b/crates/decision/src/policy/rotation.rs
@@ -1,4 +1,4 @@
-//! Which server is next: the rotation over servers that may take a request.
+//! Selection of the next server: the rotation over the servers that may take a request.
 
 use super::balancer::Balancer;
 use super::server::{Server, Servers};
@@ -9,24 +9,26 @@
 use crate::pending_request::DedupGroup;
 use crate::rules::RoutingVerdict;
 
-/// While most set-ups fail, a node keeps to its usual rate, or to its share of so many for all, if more.
+/// Set-ups per second that all nodes together may send while most set-ups fail. A node keeps to its share
+/// of this, or to its usual rate if that is more.
 const LEAST_PACE: f64 = 2.0;
-/// Multiple of the usual rate for servers not heard of while most others are piled up.
+/// Limit on the rate of new connections to servers that this node has no news of, while most others are
+/// overloaded; as a fraction of the usual rate.
 const UNHEARD: f64 = 0.1;
-/// A server counts as piled up for this long after a report of slow messages.
+/// How long a server counts as overloaded after a report of slow messages.
 const SLOW_FOR: Micros = 3 * SECOND;
 
-/// What a request asks of its server.
+/// The conditions under which a server may take a request.
 struct Constraints<'a> {
     verdict: &'a RoutingVerdict,
-    /// The servers that drop its repeats, if an attempt may have run.
+    /// The servers that drop repeats of the request; `None` if any server may get it.
     dedup_group: Option<DedupGroup>,
     affinity: Option<Affinity>,
-    /// The servers that it was sent to before come last.
+    /// Servers that the request was sent to before. They come last.
     tried: &'a [ServerId],
 }
 
-/// The subset of servers that the connections of one group rotate over: those with the highest scores.
+/// The servers over which the connections of one group rotate: those with the highest scores.
 struct Affinity {
     group: u64,
     least_score: f64,
@@ -38,17 +40,18 @@
     }
 }
 
-/// What decides between servers, least first: tried before, not preferred, when the next turn is due.
+/// Sort key of the candidates, lowest first: tried before, not preferred, virtual time of the next turn.
 type TurnKey = (bool, bool, f64);
 
-/// The server of the turn that is due first, and what the search for it met.
+/// The candidate whose turn is due first, and what the search for it found out about the other servers.
 struct Selection {
     best: Option<(TurnKey, ServerId)>,
-    /// The first turn that is due among all that may take the request, tried or not: whether it is second
-    /// choice, and when it is due. What is preferred takes turns of its own: the rest would else fall
-    /// behind, and then get all.
+    /// The earliest turn of all servers that may take the request, tried or not: whether the server is
+    /// second choice, and when its turn is due. Preferred servers count first, so virtual time follows
+    /// their turns. Otherwise the turns of the other servers would fall behind, and these servers would
+    /// later get all requests.
     first_due: (bool, f64),
-    /// Servers of which this node hears, and those of them that are piled up.
+    /// Number of servers that this node has recent news of, and number of those that are overloaded.
     heard: u32,
     overloaded: u32,
 }
@@ -78,16 +81,18 @@
 }
 
 impl Balancer {
-    /// The unpaused server whose turn is due first, if any; takes its turn.
+    /// Returns the unpaused server whose turn is due first, and takes that turn; `None` if no server may
+    /// take the request now.
     pub(super) fn pick(&mut self, now: Micros, id: RequestId, verdict: &RoutingVerdict) -> Option<ServerId> {
         if !self.may_set_up(now) {
             return None;
         }
         let pending = self.requests.pending.get(&id)?;
         let dedup_group = pending.dedup_group(&self.settings);
-        // Connections of a group share work: spread over the fleet they would multiply it (ie5ddb3), and in
-        // overload none would be rejected. A group's turns rotate over the servers that come first in an
-        // order of its own, common to all nodes; while these are paused it is queued.
+        // Connections of a group share work on a server. If they were spread over the fleet, they would
+        // multiply that work (incident ie5ddb3), and under overload none of them would be rejected. The
+        // connections therefore rotate over the group's affinity subset, which is the same on all nodes.
+        // While all servers of the subset are paused, the request is queued.
         let group = pending.request.group.filter(|_| self.settings.groups && dedup_group.is_none());
         let affinity = group.map(|group| self.affinity(group, verdict));
         let constraints = Constraints { verdict, dedup_group, affinity, tried: &pending.tried };
@@ -100,8 +105,8 @@
         self.take_turn(id, server, selection.first_due.1)
     }
 
-    /// This node may set up a connection now. Failures wherever one turns point at something shared: more
-    /// tries keep it down (ic7944d).
+    /// Whether this node may set up a connection now. Failures on many servers point to a shared
+    /// dependency, which further attempts would keep down (incident ic7944d).
     fn may_set_up(&mut self, now: Micros) -> bool {
         let is_down = self.quota.failure_ratio(now, self.setups.failure_ratio) > 0.5;
         if is_down && now < self.setups.next_send {
@@ -117,7 +122,8 @@
         Affinity { group, least_score }
     }
 
-    /// Counts the set-up that is about to be sent, and bounds the next one in case most fail.
+    /// Counts the set-up that is about to be sent, and sets when the next one may be sent if most set-ups
+    /// fail.
     fn pace_set_ups(&mut self, now: Micros, usual: UsualRates) {
         let own_rate = usual.per_weight * self.servers.ready_weight;
         let rate = own_rate.max(self.quota.share_of(now, LEAST_PACE));
@@ -125,7 +131,8 @@
         self.setups.next_send = now + (SECOND as f64 / rate) as Micros;
     }
 
-    /// Moves the rotation on to the turn that was due first, and gives the server its next turn.
+    /// Advances virtual time to the turn that was due first, and schedules the next turn of the selected
+    /// server.
     fn take_turn(&mut self, id: RequestId, server: ServerId, first_due: f64) -> Option<ServerId> {
         let virtual_time = self.rotation.virtual_time.max(first_due);
         self.rotation.virtual_time = virtual_time;
@@ -137,14 +144,15 @@
         Some(server)
     }
 
-    /// The servers that may take new connections, by the list and the rules.
+    /// Returns the servers that may take new connections according to the list and the routing rules.
     pub(super) fn allowed<'a>(&'a self, verdict: &'a RoutingVerdict) -> impl Iterator<Item = &'a Server> {
         let ready = self.servers.ready.iter();
         ready.filter(|id| verdict.allows(**id)).filter_map(|id| self.servers.get(*id))
     }
 }
 
-/// Looks at each ready server: reopens it if its pause has lapsed, fills its budget, and compares its turn.
+/// Examines each ready server: makes it half-open if its pause has ended, refills its budget, and compares
+/// its turn with the earliest so far.
 fn select(
     servers: &mut Servers,
     settings: &Settings,
@@ -171,8 +179,8 @@
     selection
 }
 
-/// Where a pause has lapsed, the trial comes at this node's own place in the order, so that the nodes do
-/// not all reopen the server at one second mark.
+/// Makes a server half-open if its pause has ended. The trial comes at this node's own position in the
+/// rotation order, so that the nodes do not all try the server at the same full second.
 fn reopen_if_lapsed(s: &mut Server, rotation: &Rotation) {
     if s.breaker.half_open_if_lapsed() {
         let trial_due = rotation.virtual_time + s.turn.ring_position / s.listing.weight;
@@ -189,8 +197,9 @@
     constraints: &Constraints,
 ) -> Option<SetupLimit> {
     let limit = s.setup_limit(settings, now, usual);
-    // Most servers with connections of this node are piled up: those of which it hears nothing are
-    // likely so too; tried at server after server, no request would be rejected (i118c6b).
+    // Most servers that hold connections of this node are overloaded, so servers without news are likely to
+    // be overloaded as well. If each request tried one such server after another, no request would be
+    // rejected (incident i118c6b).
     let is_unheard = constraints.affinity.is_none() && s.connections.open.is_empty();
     if rotation.mostly_overloaded && limit.is_none() && is_unheard {
         return Some(SetupLimit::at_rate(usual.per_weight * s.listing.weight * UNHEARD));
--- a/crates/decision/src/policy/server.rs
+++ b/crates/decision/src/policy/server.rs
@@ -1,5 +1,4 @@
-//! What a node knows of its servers: the list's entry, the circuit breaker, the budget of set-ups, the
-//! connections.
+//! The servers as one node sees them: list entry, circuit breaker, set-up budget and connections.
 
 use super::circuit_breaker::CircuitBreaker;
 use super::peer_reports::PeerReports;
@@ -8,15 +7,15 @@
 use crate::interface::*;
 use crate::pending_request::Locality;
 
-/// All servers that were ever listed, by number.
+/// All servers that were ever listed, indexed by number.
 #[derive(Debug, Default)]
 pub(super) struct Servers {
     all: Vec<Server>,
-    /// Those that the list has take new connections, in the order of their numbers.
+    /// Servers that take new connections according to the list, in the order of their numbers.
     pub(super) ready: Vec<ServerId>,
-    /// The weight of those together.
+    /// Total weight of the ready servers.
     pub(super) ready_weight: f64,
-    /// The weight of the fleet, servers that are out for a while included.
+    /// Total weight of the fleet, including servers that left the list recently.
     pub(super) fleet_total: FleetTotal,
 }
 
@@ -29,7 +28,7 @@
         self.all.get_mut(id.0 as usize)
     }
 
-    /// The server of this number, made if there was none.
+    /// Returns the server with this number; creates the server if it does not exist.
     pub(super) fn entry(&mut self, id: ServerId) -> &mut Server {
         let index = id.0 as usize;
         if index >= self.all.len() {
@@ -46,7 +45,7 @@
         self.all.iter_mut()
     }
 
-    /// Works out anew, after a change of the list, which servers are ready and what they weigh.
+    /// Recomputes, after a change of the list, which servers are ready and their total weight.
     pub(super) fn update_ready(&mut self, now: Micros) {
         let ids = (0..self.all.len() as u32).map(ServerId);
         self.ready = ids.filter(|id| self.get(*id).is_some_and(Server::is_ready)).collect();
@@ -54,7 +53,7 @@
         self.fleet_total.record(now, self.ready_weight);
     }
 
-    /// Reports each server's health that has changed.
+    /// Reports the health of each server whose health has changed.
     pub(super) fn report_health(&mut self, now: Micros, out: &mut Vec<Action>) {
         for (number, s) in self.all.iter_mut().enumerate() {
             s.report_health(now, ServerId(number as u32), out);
@@ -62,14 +61,15 @@
     }
 }
 
-/// One server, as this node sees it. Each field holds the state of one concern.
+/// One server as this node sees it. Each field holds the state of one concern.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Server {
     pub(super) listing: Listing,
     pub(super) turn: Turn,
     pub(super) breaker: CircuitBreaker,
     pub(super) latency: Latency,
-    /// New connections that it may get while it warms up, was overloaded lately, or is not heard of.
+    /// Token bucket of new connections. It applies while the server is warming up, after it was overloaded
+    /// or failed, and while it has sent no news and most others are overloaded.
     pub(super) budget: SetupBudget,
     pub(super) connections: Connections,
     pub(super) peer_reports: PeerReports,
@@ -77,16 +77,16 @@
     pub(super) reported: ServerHealth,
 }
 
-/// What the server list says.
+/// The server's entry in the server list.
 #[derive(Clone, Debug)]
 pub(super) struct Listing {
     pub(super) state: ServerState,
-    /// Its zone and cell.
+    /// The server's zone and cell.
     pub(super) locality: Locality,
-    /// Its size beside other servers'; 0 until it is first listed.
+    /// Size relative to the other servers; 0 until the server is first listed.
     pub(super) weight: f64,
     pub(super) started: Option<Micros>,
-    /// A digest of its name, the same at every node.
+    /// Digest of the server's name, the same on every node.
     pub(super) digest: u64,
 }
 
@@ -97,30 +97,30 @@
     }
 }
 
-/// The latest report of how long messages take.
+/// Message latency of a server according to its latest report.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Latency {
     pub(super) last: Micros,
-    /// When it was last so long that work has piled up.
+    /// When the latency was last so high that the server must have a backlog.
     pub(super) slow_at: Option<Micros>,
 }
 
 /// This node's connections to a server.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Connections {
-    /// The established ones.
+    /// The established connections.
     pub(super) open: Vec<RequestId>,
-    /// When they are to have left, where the server drains.
+    /// When the last connections are migrated, if the server drains.
     pub(super) drain_deadline: Option<Micros>,
 }
 
 impl Server {
-    /// It takes new connections, by the list.
+    /// Whether the server takes new connections according to the list.
     pub(super) fn is_ready(&self) -> bool {
         self.listing.state == ServerState::Ready
     }
 
-    /// Reports this server's health, if that has changed.
+    /// Reports this server's health if it has changed.
     pub(super) fn report_health(&mut self, now: Micros, id: ServerId, out: &mut Vec<Action>) {
         let health = self.health(now);
         if std::mem::replace(&mut self.reported, health) != health {
--- a/crates/decision/src/policy/server_list.rs
+++ b/crates/decision/src/policy/server_list.rs
@@ -1,4 +1,4 @@
-//! The server list: what an update makes of each server, and when the list is polled.
+//! The server list: how an update changes the state of each server, and when the list is polled.
 
 use super::balancer::{Balancer, POLL_LIST};
 use super::drain::DRAIN_WITHIN;
@@ -9,7 +9,7 @@
 use crate::names::unit;
 
 impl Balancer {
-    /// An update of the list, or the copy of it that came with the start.
+    /// Handles an update of the list, or the copy of the list that the node had at its start.
     pub(super) fn list_received(
         &mut self,
         now: Micros,
@@ -24,13 +24,15 @@
             self.first_poll(now, out);
         }
         if full {
-            // What a full list leaves out is removed, and starts anew if it is ever listed again.
+            // Servers that are absent from a full list are removed. A server that is listed again after a
+            // restart begins with fresh state.
             self.servers.iter_mut().for_each(|s| s.listing.state = ServerState::Removed);
         }
         self.apply_entries(now, entries, out);
     }
 
-    /// The first poll after the start: at once where the list counts as pushed, else in this node's turn.
+    /// Schedules the first poll after the start: at once if changes of the list count as notified from the
+    /// start, else after a random delay, since all nodes may start together.
     fn first_poll(&mut self, now: Micros, out: &mut Vec<Action>) {
         if self.settings.list_pushed {
             return self.poll_list(now, out);
@@ -39,14 +41,14 @@
         set_poll_timer(self.list_poller.started(now, chance), out);
     }
 
-    /// Asks for the list now.
+    /// Polls the list now.
     pub(super) fn poll_list(&mut self, now: Micros, out: &mut Vec<Action>) {
         out.push(Action::WatchList);
         set_poll_timer(self.list_poller.called(now), out);
     }
 
-    /// A poll failed or the subscription broke. Backs off with jitter: a failing list service is not
-    /// hammered by all nodes in step.
+    /// Handles a failed poll or a broken subscription. The backoff has jitter, so that the nodes do not all
+    /// poll a failing list service at the same time.
     pub(super) fn list_failed(&mut self, now: Micros, out: &mut Vec<Action>) {
         let chance = self.jitter.draw();
         let (after, is_unreachable) = self.list_poller.failed(now, chance);
@@ -56,13 +58,14 @@
         set_poll_timer(after, out);
     }
 
-    /// The subscription has said nothing for too long.
+    /// Handles a subscription that has sent nothing for too long.
     pub(super) fn list_silent(&mut self, now: Micros, out: &mut Vec<Action>) {
         let chance = self.jitter.draw();
         set_poll_timer(self.list_poller.fell_silent(now, chance), out);
     }
 
-    /// Applies entries of the list, or what operators laid over it, and all that follows from the change.
+    /// Applies entries of the list or of an operator's override, and everything that follows from the
+    /// change.
     pub(super) fn apply_entries(&mut self, now: Micros, entries: Vec<Entry>, out: &mut Vec<Action>) {
         for entry in entries {
             self.apply_entry(now, entry);
@@ -76,9 +79,11 @@
     fn apply_entry(&mut self, now: Micros, entry: Entry) {
         let weight = self.weight_of(&entry);
         let known = self.servers.entry(entry.server);
-        // Put back after a drain: its first turn is the next, or it would wait for one at a quiet hour.
+        // A server that is put back after a drain gets the next turn. At low traffic, it would otherwise
+        // wait long for its turn.
         let is_back = known.connections.drain_deadline.is_some() && entry.state == ServerState::Ready;
-        // New, or a new incarnation of the process: what was known of the old one no longer counts.
+        // The server is new or a new incarnation of its process, so the state of an earlier one no longer
+        // applies.
         if known.listing.weight == 0.0 || known.listing.started != entry.started || is_back {
             let (open, reported) = (std::mem::take(&mut known.connections.open), known.reported);
             let connections = Connections { open, drain_deadline: None };
@@ -88,7 +93,7 @@
             *self.servers.entry(entry.server) = fresh;
         }
         let known = self.servers.entry(entry.server);
-        // What drained and is removed by now has its connections moved all the same.
+        // The connections of a draining server are migrated even if the server has been removed meanwhile.
         let deadline = (entry.state == ServerState::Draining).then_some(now + DRAIN_WITHIN);
         let connections = &mut known.connections;
         connections.drain_deadline =
@@ -103,10 +108,11 @@
         if is_weighted { entry.weight } else { 1.0 }
     }
 
-    /// Where a new server enters the rotation, and the budget that it starts with.
+    /// Returns where a new server enters the rotation, and the budget with which it starts.
     ///
-    /// All nodes share one hashed order and enter it at phases ordinal/nodes: rotations that walk in step
-    /// would otherwise put every node's next connection on the same server.
+    /// All nodes use one hashed order of the servers, and each node enters it at its own phase,
+    /// ordinal/nodes. If the rotations ran in step, the next connections of all nodes would go to the same
+    /// server.
     fn first_turn(&self, now: Micros, entry: &Entry, weight: f64, is_back: bool) -> (Turn, SetupBudget) {
         let phase = f64::from(self.settings.ordinal) / f64::from(self.settings.nodes.max(1));
         let ring_position = (unit(entry.digest) - phase).rem_euclid(1.0);
--- a/crates/decision/src/policy/setup_rates.rs
+++ b/crates/decision/src/policy/setup_rates.rs
@@ -1,5 +1,5 @@
-//! How many connections this node sets up: what is usual, what a server's slow start bears, what the fleet
-//! allows.
+//! Rates at which this node sets up connections: the usual rate, the limit during a server's slow start,
+//! and this node's share of the limit on the fleet.
 
 use super::balancer::Balancer;
 use super::server::Server;
@@ -8,12 +8,13 @@
 use crate::pending_request::DedupGroup;
 use crate::rules::RoutingVerdict;
 
-/// All nodes together set up at most this multiple of what tenants are allowed a second, but for nodes whose
-/// last set-up was quick: the store that all share goes down under all that come back after a break.
+/// Limit on the set-ups of all nodes together, as a multiple of the tenants' allowance per second. A node
+/// whose last set-up was quick is exempt. Without the limit, the clients that reconnect after an outage
+/// would bring down the store that all servers share.
 const SETUPS: f64 = 3.0;
 
 impl Server {
-    /// The bound on new connections that this node gives the server, if there is one.
+    /// Returns the limit on this node's new connections to the server; `None` if there is no limit.
     pub(super) fn setup_limit(
         &self,
         settings: &Settings,
@@ -26,11 +27,15 @@
 }
 
 impl Balancer {
-    /// New connections a second that a server of weight 1 usually gets from this node, and that would fill it
-    /// to the others' level, or to what tenants may hold, within its warm-up: a fleet a third full has room.
+    /// Returns this node's rates of new connections to a server of weight 1, per second: the usual rate,
+    /// and the rate that fills the server within its warm-up. Full is the level of the other servers, or
+    /// the level that the tenants' allowance permits, because a fleet that is a third full has room for
+    /// more.
     pub(super) fn usual_rates(&self, now: Micros) -> UsualRates {
         let rate = self.arrivals.per_s(now);
-        // What waits shows no room, and servers that are out leave the rest no more.
+        // Queued requests do not show that there is room, so with an allowance only open connections count.
+        // The remaining servers get no larger share when others leave the list, since the total weight
+        // still includes those.
         let allowed = self.settings.allowance_open();
         let open: usize = self.servers.iter().map(|s| s.connections.open.len()).sum();
         let own = if allowed > 0.0 { open } else { self.requests.pending.len() } as f64;
@@ -43,7 +48,8 @@
         }
     }
 
-    /// The fleet's status has changed. What has passed by now brought to budgets what the old share was.
+    /// Handles a new status of the fleet. The time that has passed by now still refills the budgets at the
+    /// rate of the old share.
     pub(super) fn fleet_status_changed(&mut self, now: Micros, status: FleetStatus) {
         let usual = self.usual_rates(now);
         for s in self.servers.iter_mut() {
@@ -53,15 +59,16 @@
         self.quota.update(now, status);
     }
 
-    /// Set-ups a second that this node may send. In a large fleet, whose status is known, its own last one
-    /// says little.
+    /// Returns how many set-ups per second this node may send; infinite if they are not limited. In a large
+    /// fleet, whose status is known, the speed of this node's last set-up says little.
     pub(super) fn setups_per_s(&self, now: Micros) -> f64 {
         let is_quick = self.quota.fleet(now).is_none() && self.setups.is_quick(now);
         let allowed = self.settings.allowance_per_s().filter(|_| !is_quick);
         allowed.map_or(f64::INFINITY, |allowed| self.quota.share_of(now, SETUPS * allowed))
     }
 
-    /// When some server may next be tried: its pause has lapsed and its budget is there.
+    /// Returns when a server may next be tried, which is when its pause has ended and its budget has a
+    /// token.
     pub(super) fn next_chance(
         &self,
         now: Micros,
--- a/crates/decision/src/policy/turns.rs
+++ b/crates/decision/src/policy/turns.rs
@@ -1,19 +1,19 @@
-//! Turns in the rotation: weighted fair queueing of servers in a virtual time of its own.
+//! The rotation's turns: weighted fair queueing of the servers in virtual time.
 
-/// The rotation's own state: weighted fair queueing over servers.
+/// State of the rotation as a whole.
 #[derive(Debug, Default)]
 pub(super) struct Rotation {
-    /// Virtual time: no turn that is given out from now on was due before it.
+    /// Virtual time. No turn that is selected from now on was due before it.
     pub(super) virtual_time: f64,
-    /// Most of the servers heard of lately are piled up.
+    /// Most of the servers that this node has recent news of are overloaded.
     pub(super) mostly_overloaded: bool,
 }
 
-/// A server's turn in the rotation, which is weighted fair queueing in a virtual time of its own.
+/// A server's turn in the rotation.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Turn {
-    /// Place in the common hashed order, 0 to 1, counted from this node's phase.
+    /// Position in the hashed order that all nodes use, from 0 to 1, relative to this node's phase.
     pub(super) ring_position: f64,
-    /// When its next turn is due, in virtual time.
+    /// Virtual time at which the server's next turn is due.
     pub(super) next_due: f64,
 }
