--- a/crates/decision/tests/affinity.rs
+++ b/crates/decision/tests/affinity.rs
@@ -1,5 +1,5 @@
-//! Affinity subsets by a group's size: the size stated for a group decides over how many servers its connections rotate, and
-//! nothing else.
+//! The size of affinity subsets: the size that is stated for a group determines over how many servers the
+//! group's connections rotate, and nothing else.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -24,7 +24,7 @@
     Node::new(Settings { ordinal, nodes, groups: true, ..settings(Idempotency::Idempotent) }, servers)
 }
 
-/// Where so many connections of a group go.
+/// Sends and establishes connections with these ids, and counts them by server.
 fn places(
     node: &mut Node,
     group: impl Into<Option<u64>> + Copy,
@@ -37,7 +37,7 @@
             Action::Send { server, .. } => Some(*server),
             _ => None,
         });
-        let server = server.expect("it is placed");
+        let server = server.expect("the request is sent to a server");
         node.begin(id, server);
         *places.entry(server.0).or_insert(0) += 1;
     }
@@ -56,21 +56,25 @@
     one.notify(Event::AffinitySubsets(vec![(GROUP, 17)]));
     let more = members(&mut one, GROUP, 1_000);
     assert_eq!(more.len(), 17);
-    assert!(more.is_superset(&five), "more homes only add to those that were");
+    assert!(more.is_superset(&five), "a larger subset keeps its earlier members");
     let other = members(&mut node(5, 8, 90), GROUP, 0);
-    assert_eq!(other, five, "a node that wasn't told: the first of the same order");
-    assert_eq!(members(&mut one, GROUP + 1, 2_000).len(), MIN_SUBSET_SIZE, "another group has what it had");
+    assert_eq!(other, five, "a node that knows no size uses the first servers of the same order");
+    assert_eq!(members(&mut one, GROUP + 1, 2_000).len(), MIN_SUBSET_SIZE, "another group keeps its size");
     one.notify(Event::AffinitySubsets(vec![]));
-    assert_eq!(members(&mut one, GROUP, 3_000), five, "what is told of no more has five again");
+    assert_eq!(
+        members(&mut one, GROUP, 3_000),
+        five,
+        "a group that is no longer named has the minimum size again"
+    );
 }
 
-/// No fewer than five servers, and no more than there are.
+/// A subset has no fewer than five servers, and no more than there are.
 #[test]
 fn subset_size_is_bounded() {
     let mut one = node(0, 1, 12);
     for (size, are) in [(0, 5), (1, 5), (5, 5), (6, 6), (12, 12), (13, 12), (u32::MAX, 12)] {
         one.notify(Event::AffinitySubsets(vec![(GROUP, size)]));
-        assert_eq!(members(&mut one, GROUP, u64::from(size) * 1_000).len(), are, "told {size}");
+        assert_eq!(members(&mut one, GROUP, u64::from(size) * 1_000).len(), are, "stated size {size}");
     }
     let mut few = node(0, 1, 3);
     few.notify(Event::AffinitySubsets(vec![(GROUP, 9)]));
@@ -79,7 +83,8 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
-    /// The plain oracle: servers sorted by a score of the group and the server, of which the first are taken.
+    /// Compares the subset with a plain oracle: the servers are sorted by a score of the group and the
+    /// server, and the first ones are taken.
     #[test]
     fn subset_matches_sorted_oracle(group: u64, servers in 1..40_u32, size in 0..60_u32) {
         let score = |server: &u32| {
@@ -106,11 +111,11 @@
     one.notify(Event::List { full: false, copy: false, entries });
     let after = members(&mut one, GROUP, 1_000);
     assert!(!after.contains(&removed) && after.len() == 20);
-    assert_eq!(after.intersection(&before).count(), 19, "the others stay");
+    assert_eq!(after.intersection(&before).count(), 19, "the other members stay");
 }
 
-/// A server that started just now takes its budget and no more, however many subsets it belongs to: as much as where nothing has a
-/// group.
+/// A server that has just started gets no more connections than its budget allows, however many subsets it
+/// belongs to, and no more than it gets where connections have no group.
 #[test]
 fn warming_member_keeps_its_budget() {
     let warming = 3;
@@ -130,11 +135,15 @@
         sent
     };
     let (grouped, alone) = (sent_to_warming(Some(GROUP)), sent_to_warming(None));
-    assert!(grouped > 0 && grouped <= alone, "{grouped} and {alone} of 1,200 to the cold one");
-    assert!(grouped < 1_200 / 40, "an even part");
+    assert!(
+        grouped > 0 && grouped <= alone,
+        "of 1,200 connections, {grouped} with and {alone} without a group went to the warming server"
+    );
+    assert!(grouped < 1_200 / 40, "the warming server gets less than an even part");
 }
 
-/// A repeat of what may have run goes where repeats are dropped, whether that is in the subset or not.
+/// A retry of a request that may have run goes to a server that drops repeats of it, whether or not that
+/// server belongs to the subset.
 #[test]
 fn keyed_retry_stays_in_its_zone() {
     let keyed = Idempotency::Keyed { scope: Scope::Zone, window: 10 * S };
@@ -149,7 +158,7 @@
         let again = one.end(id, *at, Outcome::Reset, false);
         for action in again {
             if let Action::Send { server, .. } = action {
-                assert_eq!(server.0 % 2, at.0 % 2, "another zone may run it twice");
+                assert_eq!(server.0 % 2, at.0 % 2, "a server of another zone could run the request twice");
             }
         }
         one.run_to(one.now + 2 * S);
--- a/crates/decision/tests/balancer.rs
+++ b/crates/decision/tests/balancer.rs
@@ -1,4 +1,5 @@
-//! Scripted events: the mechanism, the rules, and one test for each failure found.
+//! Scripted sequences of events: the basic mechanism, the rules, and one regression test for each failure
+//! that was found.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -18,7 +19,7 @@
     let mut sorted = first.clone();
     sorted.sort_unstable();
     assert_eq!(sorted, [0, 1, 2, 3, 4]);
-    assert_eq!(first, second, "the same order each round");
+    assert_eq!(first, second, "the order is the same in each round");
 }
 
 #[test]
@@ -40,16 +41,17 @@
         })
         .collect();
     let distinct: std::collections::BTreeSet<_> = first.iter().collect();
-    assert!(distinct.len() >= 4, "first turns pile up: {first:?}");
+    assert!(distinct.len() >= 4, "too many nodes start with the same server: {first:?}");
 }
 
-/// The request goes on to another server at once.
+/// The request is sent to another server at once.
 #[test]
 fn full_server_is_paused_until_second_mark() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 2);
     node.now = 100 * S + 300 * MS;
     let full = node.place(1);
-    let (other, _) = sent(&node.end(1, full, Outcome::Full, false)).expect("tried elsewhere at once");
+    let (other, _) = sent(&node.end(1, full, Outcome::Full, false))
+        .expect("the request is sent to another server at once");
     assert_ne!(full, other);
     for id in 2..8 {
         assert_eq!(node.place(id), other, "a paused server is skipped");
@@ -59,7 +61,7 @@
         node.now += 100 * MS;
         node.place(id) == full
     });
-    assert!(again, "the pause lapses at the mark");
+    assert!(again, "the pause ends at the full second");
 }
 
 #[test]
@@ -69,7 +71,7 @@
     node.end(1, bad, Outcome::ConnectFailed, false);
     node.run_to(103 * S);
     let to_bad = (10..60).filter(|id| node.place(*id) == bad).count();
-    assert_eq!(to_bad, 1, "half-open: one attempt until its outcome");
+    assert_eq!(to_bad, 1, "a half-open server gets one attempt until its outcome is known");
 }
 
 #[test]
@@ -80,7 +82,7 @@
         let from = node.now;
         while sent(&node.ask(id * 1000 + waits.len() as u64, 90 * MS)).is_none() {
             node.run_to(node.now + 100 * MS);
-            assert!(node.now < from + 60 * S, "never tried again");
+            assert!(node.now < from + 60 * S, "the server is never tried again");
             waits.push(0);
         }
         waits.push(node.now - from);
@@ -94,7 +96,7 @@
     assert!(waits.len() == 3 && waits[0] < waits[1] && waits[1] < waits[2], "{waits:?}");
 }
 
-/// Queued requests are sent when a pause lapses.
+/// Queued requests are sent when a pause ends.
 #[test]
 fn queues_while_all_servers_are_paused() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 1);
@@ -104,7 +106,7 @@
     assert!(sent(&node.ask(2, 2 * S)).is_none());
     assert!(!rejected(&node.done));
     let later = node.run_to(102 * S + 300 * MS);
-    assert!(sent(&later).is_some(), "held work leaves as the pause lapses: {later:?}");
+    assert!(sent(&later).is_some(), "the queued request is sent when the pause ends: {later:?}");
 }
 
 #[test]
@@ -116,7 +118,7 @@
     let now = node.ask(2, 300 * MS);
     assert!(
         now.iter().any(|a| matches!(a, Action::Reject { retry_after, .. } if *retry_after > 0)),
-        "the mark is beyond its patience: {now:?}"
+        "the pause ends after the client gives up: {now:?}"
     );
 }
 
@@ -135,12 +137,13 @@
     assert!(failed(&node.done) || rejected(&node.done));
 }
 
-/// Once an attempt of it may have run.
+/// A non-idempotent request is retried only while no attempt may have run.
 #[test]
 fn non_idempotent_request_is_not_retried() {
     let mut node = Node::new(settings(Idempotency::NotIdempotent), 3);
     let server = node.place(1);
-    let (server, _) = sent(&node.end(1, server, Outcome::ConnectFailed, false)).expect("never ran: again");
+    let (server, _) = sent(&node.end(1, server, Outcome::ConnectFailed, false))
+        .expect("an attempt that never ran is retried");
     let end = node.end(1, server, Outcome::Error, false);
     assert!(sent(&end).is_none() && failed(&end) && !rejected(&end), "{end:?}");
 }
@@ -150,21 +153,26 @@
     let keyed = |scope| Idempotency::Keyed { scope, window: 600 * MS };
     let mut node = Node::new(settings(keyed(Scope::Zone)), 6);
     let at = node.place(1);
-    let (next, _) = sent(&node.end(1, at, Outcome::TimedOut, false)).expect("repeats are dropped there");
+    let (next, _) =
+        sent(&node.end(1, at, Outcome::TimedOut, false)).expect("a server in the zone drops repeats");
     assert_eq!(at.0 % 2, next.0 % 2, "same zone");
     node.now += 700 * MS;
     let end = node.end(1, next, Outcome::TimedOut, false);
-    assert!(sent(&end).is_none() && failed(&end), "past the window: {end:?}");
+    assert!(sent(&end).is_none() && failed(&end), "the idempotency window is over: {end:?}");
 
     let mut node = Node::new(settings(keyed(Scope::Cell)), 6);
     let at = node.place(1);
-    let (next, _) = sent(&node.end(1, at, Outcome::Reset, false)).expect("repeats are dropped there");
+    let (next, _) =
+        sent(&node.end(1, at, Outcome::Reset, false)).expect("a server in the cell drops repeats");
     assert_eq!(at.0 / 2, next.0 / 2, "same cell");
 
     let mut node = Node::new(settings(keyed(Scope::All)), 2);
     let at = node.place(1);
     node.now += 700 * MS;
-    assert!(rejected(&node.end(1, at, Outcome::TimedOut, false)), "with all in the group a refusal is fair");
+    assert!(
+        rejected(&node.end(1, at, Outcome::TimedOut, false)),
+        "a rejection is allowed where all servers drop repeats"
+    );
 }
 
 #[test]
@@ -175,7 +183,11 @@
     let entries = vec![entry(0, ServerState::Draining), entry(1, ServerState::Ready)];
     node.notify(Event::List { full: true, copy: false, entries });
     for id in 0..10 {
-        assert_eq!(node.place(id), ServerId(1), "0 drains, 2 is absent from the full list");
+        assert_eq!(
+            node.place(id),
+            ServerId(1),
+            "server 0 is draining, and server 2 is absent from the full list"
+        );
     }
 }
 
@@ -233,15 +245,16 @@
             node.notify(Event::ListFailed);
         }
     }
-    // The operators' term: a change counts as notified 6 s after discovery had it, whatever is allowed after a failed call. So waits
-    // grow to two thirds of 4 s and chance, and no further.
+    // The operators' rule is that a change counts as notified 6 s after discovery had it, whatever wait is
+    // allowed after a failed call. So the waits grow to between two thirds of 4 s and 4 s, at random, and
+    // no further.
     assert!(asked.len() >= 15 && asked.len() <= 22, "{} calls in a minute", asked.len());
     let waits: Vec<Micros> = asked.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(waits[0] >= S / 4 && waits[0] < S, "{waits:?}");
     assert!(waits[3..].iter().all(|wait| *wait > 2_600 * MS && *wait <= 4_020 * MS), "{waits:?}");
 }
 
-/// Found on nachhoeren big-2: servers that shed were kept full by the trials of many nodes.
+/// Trials by many nodes kept servers that shed load full (found on nachhoeren big-2).
 #[test]
 fn recovering_server_is_bounded_to_usual_rate() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 4);
@@ -258,10 +271,13 @@
             taken += usize::from(at == overloaded_at);
         }
     }
-    assert!((1..=6).contains(&taken), "{taken} of 200 in a second went to the lately paused server");
+    assert!(
+        (1..=6).contains(&taken),
+        "{taken} of 200 requests in a second went to the recently paused server"
+    );
 }
 
-/// Found on the rough days: a storm of returning clients filled servers that had just started.
+/// Clients that returned in a storm filled servers that had just started (found on the rough days).
 #[test]
 fn reconnect_storm_does_not_overload_warming_server() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 4);
@@ -275,10 +291,11 @@
         let again = Request { again: true, ..request(id, Some(2 * S)) };
         storm += usize::from(sent(&node.notify(Event::Request(again))).is_some_and(|s| s.0 == ServerId(9)));
     }
-    assert!(storm <= 3, "{storm} of 400 returning clients sent to a cold server within a second");
+    assert!(storm <= 3, "{storm} of 400 returning clients were sent to a warming server within a second");
 }
 
-/// Found on casa rough-1 and oslo overload: a server piled up past the aim earns nothing for anyone on it.
+/// A server whose backlog exceeds the latency objective earns nothing for any of its connections (found on
+/// casa rough-1 and oslo overload).
 #[test]
 fn slow_messages_pause_and_migrate_a_part() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 2);
@@ -291,13 +308,16 @@
     let mild = node.notify(note(40 * MS));
     assert!(!mild.iter().any(|a| matches!(a, Action::Migrate(_))));
     for id in 100..110 {
-        assert_eq!(node.place(id), ServerId(1), "paused by the note");
+        assert_eq!(node.place(id), ServerId(1), "the latency report pauses the server");
     }
     let moved = node.notify(note(150 * MS)).iter().filter(|a| matches!(a, Action::Migrate(_))).count();
-    assert!((6..=8).contains(&moved), "{moved} of 40 moved: a tenth and the pile over two seconds");
+    assert!(
+        (6..=8).contains(&moved),
+        "{moved} of 40 migrated, instead of a tenth plus the latency over two seconds"
+    );
 }
 
-/// Found on nachhoeren rough-1: one blow that breaks many connections counted as many failures.
+/// One fault that broke many connections counted as many failures (found on nachhoeren rough-1).
 #[test]
 fn failures_during_pause_count_once() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 1);
@@ -309,10 +329,13 @@
         node.end(id, ServerId(0), Outcome::Reset, true);
     }
     node.ask(100, 2 * S);
-    assert!(sent(&node.run_to(102 * S + 500 * MS)).is_some(), "paused for one second mark, not for thirty");
+    assert!(
+        sent(&node.run_to(102 * S + 500 * MS)).is_some(),
+        "the pause is that of one failure, not of thirty"
+    );
 }
 
-/// Incident ie5ddb3: groups spread over the fleet multiplied its work.
+/// Groups whose connections were spread over the fleet multiplied its work (incident ie5ddb3).
 #[test]
 fn group_rotates_over_common_subset() {
     let places = |ordinal, groups| {
@@ -327,12 +350,17 @@
         turns
     };
     let one = places(0, true);
-    assert_eq!(one.values().copied().collect::<Vec<i32>>(), [3; 5], "turns rotate over its homes: {one:?}");
-    assert!((1..8).all(|node| places(node, true) == one), "all nodes choose alike");
-    assert_eq!(places(0, false).len(), 12, "where groups share nothing, turns rotate over all");
+    assert_eq!(
+        one.values().copied().collect::<Vec<i32>>(),
+        [3; 5],
+        "the connections rotate over the group's subset: {one:?}"
+    );
+    assert!((1..8).all(|node| places(node, true) == one), "all nodes use the same subset");
+    assert_eq!(places(0, false).len(), 12, "where groups share no work, connections rotate over all servers");
 }
 
-/// Found on nachhoeren big-2: in overload each group found some server that its node had no news of.
+/// Under overload, each group was sent to some server of which its node had no news (found on nachhoeren
+/// big-2).
 #[test]
 fn group_queues_while_its_subset_is_paused() {
     let classes = vec![Class { attempts: 9, ..class(Idempotency::Idempotent) }];
@@ -342,16 +370,17 @@
     let (first, _) = sent(&node.notify(Event::Request(ask(1)))).unwrap();
     let mut members = vec![first];
     while let Some((next, _)) = sent(&node.end(1, members[members.len() - 1], Outcome::Full, false)) {
-        assert!(!members.contains(&next), "another home of the group's");
+        assert!(!members.contains(&next), "the next attempt goes to another member of the subset");
         members.push(next);
     }
-    assert_eq!(members.len(), 5, "held, not spread");
+    assert_eq!(members.len(), 5, "the request is queued once all members are paused");
     assert!(sent(&node.notify(Event::Request(ask(2)))).is_none());
     let later = node.now + 2 * S;
-    assert!(sent(&node.run_to(later)).is_some(), "released as a pause lapses");
+    assert!(sent(&node.run_to(later)).is_some(), "a queued request is sent when a pause ends");
 }
 
-/// Incident ie5ddb3: moving on while the pile already drained overshot and spread the groups.
+/// Migrating connections while the backlog was already shrinking overshot and spread the groups over the
+/// fleet (incident ie5ddb3).
 #[test]
 fn draining_pile_migrates_nothing() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 1);
@@ -366,10 +395,11 @@
     };
     assert!(migrated(500 * MS) > 0);
     assert_eq!(migrated(300 * MS), 0);
-    assert!(migrated(290 * MS) > 0, "it falls too slowly");
+    assert!(migrated(290 * MS) > 0, "the latency falls too slowly");
 }
 
-/// Incident i118c6b: in overload a node always found a server of which it knew nothing, and kept nobody out.
+/// Under overload, a node always found a server of which it knew nothing, and rejected no request (incident
+/// i118c6b).
 #[test]
 fn unheard_servers_are_bounded_under_overload() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 8);
@@ -388,12 +418,12 @@
         let ids = from..from + 50;
         ids.filter(|id| sent(&node.notify(Event::Request(request(*id, Some(2 * S))))).is_some()).count()
     };
-    tried(1000); // the first look finds out
+    tried(1000); // The first selection notices that most servers are overloaded.
     let more = tried(2000);
-    assert!(more <= 3, "{more} of 50 sent to servers that the node has no news of");
+    assert!(more <= 3, "{more} of 50 requests were sent to servers that the node has no news of");
 }
 
-/// Incident ic7944d: retries at server after server kept a store down that all of them share.
+/// Retries at one server after another kept a store down that all of the servers share (incident ic7944d).
 #[test]
 fn sends_are_paced_while_most_fail() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 50);
@@ -408,10 +438,10 @@
             actions = node.end(id, at, Outcome::Error, false);
         }
     }
-    assert!((3..=20).contains(&sends), "{sends} attempts in two seconds at 2 a second usual");
+    assert!((3..=20).contains(&sends), "{sends} attempts in two seconds, at a usual rate of 2 a second");
 }
 
-/// Guards against a draining server's clients being cut off, and against them coming again all at once.
+/// A draining server must not cut off its clients, and the clients must not all come back at once.
 #[test]
 fn draining_server_is_emptied_in_rounds() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 2);
@@ -420,13 +450,16 @@
     assert!(there.len() >= 8, "{there:?}");
     let draining = Event::List { full: false, copy: false, entries: vec![entry(0, ServerState::Draining)] };
     let mut moved = migrated(&node.notify(draining));
-    assert!(moved.len() <= 1, "not at once: {moved:?}");
+    assert!(moved.len() <= 1, "the connections are not all migrated at once: {moved:?}");
     let notified = node.now;
     moved.extend(migrated(&node.run_to(notified + S)));
-    assert!((2..there.len()).contains(&moved.len()), "spread over the time: {moved:?}");
+    assert!(
+        (2..there.len()).contains(&moved.len()),
+        "the migrations are spread over the drain time: {moved:?}"
+    );
     moved.extend(migrated(&node.run_to(notified + 2 * S + 200 * MS)));
     moved.sort_unstable();
-    assert_eq!(moved, there, "each is told to move, once, and no other server's");
+    assert_eq!(moved, there, "each connection is migrated once, and none of another server's");
 }
 
 #[test]
@@ -438,11 +471,11 @@
         node.place(id);
     }
     node.end(1, only, Outcome::Full, false);
-    // Broken by the same blow.
+    // The same fault broke this connection, so its failure changes nothing.
     node.end(2, only, Outcome::Reset, true);
     node.notify(Event::LatencyUpdate { server: only, latency: S });
     node.run_to(103 * S);
-    // Held until then, it is the trial.
+    // Request 1 was queued until the pause ended, and is the trial.
     node.begin(1, only);
     for state in [ServerState::Ready, ServerState::Draining, ServerState::Draining, ServerState::Removed] {
         node.notify(Event::List { full: false, copy: false, entries: vec![entry(0, state)] });
@@ -461,7 +494,8 @@
     assert_eq!(notified.collect::<Vec<_>>(), expected.map(|health| (only, health)));
 }
 
-/// The operators: a render node was out, paused before, and nothing came there for long after it was put back.
+/// An operator had taken out a render node that was paused; after the node was put back, it got no
+/// connections for a long time.
 #[test]
 fn manual_return_resets_state_and_is_next() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 3);
@@ -482,26 +516,26 @@
     for id in 300..330 {
         node.run_to(node.now + 100 * MS);
         let at = node.place(id);
-        assert_ne!(at, ServerId(0), "it is out");
+        assert_ne!(at, ServerId(0), "the server is draining");
         node.begin(id, at);
     }
     let started = Some(node.now);
     node.notify(by_hand(ServerState::Ready, started));
-    assert_eq!(node.place(400), ServerId(0), "no pause, and no wait for its place in the rotation");
+    assert_eq!(node.place(400), ServerId(0), "the server is not paused and gets the next turn");
     node.begin(400, ServerId(0));
     let burst: Vec<ServerId> = (401..411).map(|id| node.place(id)).collect();
-    assert!(!burst.contains(&ServerId(0)), "cold, so its budget is spent: {burst:?}");
+    assert!(!burst.contains(&ServerId(0)), "the server is warming up and its budget is spent: {burst:?}");
 }
 
-/// Found on an upgrade day (seed 13478303390): a new process has had returning clients only, so it knew no usual rate, and
-/// after some time-outs sent nothing for ten seconds.
+/// A new process had received only returning clients and therefore knew no usual rate; after some time-outs
+/// it sent nothing for ten seconds (found on an upgrade day, seed 13478303390).
 #[test]
 fn new_node_tries_once_a_second_while_most_fail() {
-    // Two a second for all nodes: of two nodes, one each.
+    // The limit is two set-ups a second for all nodes, which is one for each of two nodes.
     let mut node = Node::new(Settings { nodes: 2, ..settings(Idempotency::Idempotent) }, 60);
     let ask = |id| Event::Request(Request { again: true, ..request(id, Some(2 * S)) });
     for id in 0..6 {
-        let (at, _) = sent(&node.notify(ask(id))).expect("nothing has failed enough yet");
+        let (at, _) = sent(&node.notify(ask(id))).expect("too few set-ups have failed for a limit");
         node.end(id, at, Outcome::TimedOut, true);
     }
     let mut tried = 0;
@@ -514,10 +548,11 @@
         tried += 1;
         node.end(id, at, Outcome::TimedOut, true);
     }
-    assert!((8..=11).contains(&tried), "about once a second in ten seconds: {tried}");
+    assert!((8..=11).contains(&tried), "{tried} attempts in ten seconds, instead of about one a second");
 }
 
-/// An attempt that was out when its server began to drain, and comes up after the drain's last round.
+/// An attempt was in progress when its server began to drain, and is established after the last round of
+/// the drain.
 #[test]
 fn late_connection_on_drained_server_is_migrated() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 2);
--- a/crates/decision/tests/invariants.rs
+++ b/crates/decision/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Property tests of the rules: seeded random worlds, legal and illegal events.
+//! Property tests of the rules, on random sequences of valid and invalid events from fixed seeds.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -39,7 +39,7 @@
     may_have_run: Option<(ServerId, Micros)>,
 }
 
-/// Plays one random world and checks every action against the rules as the wire words them.
+/// Runs one random sequence of events, and checks every action against the rules of the interface.
 fn play(seed: u64, idempotency: Idempotency) {
     let mut rng = Rng(seed);
     let mut node = Node::new(settings(idempotency), 6);
@@ -50,7 +50,7 @@
     let mut next_id = 1;
     for _ in 0..3000 {
         let at = node.now + rng.next(60) as Micros * MS;
-        // One timer at a time, so that each action is checked at its own moment.
+        // One timer fires at a time, so that each action is checked at the time at which it was taken.
         loop {
             let due = node.timers.iter().map(|t| t.0).min().unwrap_or(at).min(at);
             let mut actions = node.run_to(due.max(node.now));
@@ -113,7 +113,8 @@
             },
         };
         check(&mut node, &mut actions, &mut open, &mut over, &mut answers, &listed, idempotency);
-        // Attempts end by the client's patience at the latest, as the wire's cut time-outs do.
+        // Attempts end at the client's deadline at the latest, as the interface's limited time-outs
+        // require.
         let due: Vec<u64> = open
             .iter()
             .filter(|(_, o)| !o.begun && o.out.is_some() && o.deadline <= node.now)
@@ -125,14 +126,14 @@
             entry.may_have_run.get_or_insert((server, sent));
             let mut actions = node.end(id, server, Outcome::TimedOut, false);
             check(&mut node, &mut actions, &mut open, &mut over, &mut answers, &listed, idempotency);
-            assert!(!open.contains_key(&id), "a time-out at the deadline is answered at once");
+            assert!(!open.contains_key(&id), "a request that times out at its deadline is answered at once");
         }
         for (id, entry) in &open {
             let waiting = entry.out.is_none() && !entry.begun;
-            assert!(!waiting || node.now <= entry.deadline, "request {id} was held past its time");
+            assert!(!waiting || node.now <= entry.deadline, "request {id} was queued past its deadline");
         }
     }
-    assert!(answers > 100, "the world is lively: {answers} answers");
+    assert!(answers > 100, "the sequence leads to enough answers: {answers}");
 }
 
 fn check(
@@ -147,17 +148,23 @@
     for action in actions.drain(..) {
         match action {
             Action::Send { request, server, timeout, .. } => {
-                assert!(!over.contains(&request.0), "sent for a request that is over");
-                let entry = open.get_mut(&request.0).expect("sent for a known request");
-                assert!(entry.out.is_none() && !entry.begun, "two attempts out");
+                assert!(!over.contains(&request.0), "an attempt was sent for a request that is over");
+                let entry = open.get_mut(&request.0).expect("attempts are sent only for known requests");
+                assert!(entry.out.is_none() && !entry.begun, "two attempts of one request at a time");
                 assert!(timeout >= 0 && node.now + timeout <= entry.deadline);
-                assert_eq!(listed.get(&server.0), Some(&ServerState::Ready), "sent to a server not ready");
+                assert_eq!(
+                    listed.get(&server.0),
+                    Some(&ServerState::Ready),
+                    "the attempt was sent to a server that is not ready"
+                );
                 entry.sends += 1;
                 assert!(entry.sends <= 4);
                 match (idempotency, entry.may_have_run) {
-                    (Idempotency::NotIdempotent, Some(_)) => panic!("unsafe request repeated"),
+                    (Idempotency::NotIdempotent, Some(_)) => {
+                        panic!("a request that is not idempotent was repeated")
+                    }
                     (Idempotency::Keyed { scope, window }, Some((at, sent))) => {
-                        assert!(node.now - sent < window, "repeated past the window");
+                        assert!(node.now - sent < window, "repeated after the idempotency window");
                         assert!(scope != Scope::Zone || at.0 % 2 == server.0 % 2, "repeated in another zone");
                         assert!(scope != Scope::Cell || at.0 / 2 == server.0 / 2, "repeated in another cell");
                     }
@@ -174,7 +181,7 @@
                     Idempotency::Keyed { scope, .. } => scope == Scope::All || !ran,
                     Idempotency::NotIdempotent => !ran,
                 };
-                assert!(fair, "refused although it may have run");
+                assert!(fair, "rejected although an attempt may have run");
                 over.insert(request.0);
                 *answers += 1;
             }
@@ -206,7 +213,7 @@
     }
 }
 
-/// Unknown ids, repeated ends, strange numbers, a standing clock: never a panic.
+/// Unknown ids, repeated ends, extreme numbers and a clock that stands still never cause a panic.
 #[test]
 fn no_sequence_of_events_panics() {
     for seed in 1..40 {
--- a/crates/decision/tests/memory.rs
+++ b/crates/decision/tests/memory.rs
@@ -1,5 +1,6 @@
-//! What the decisions of one node hold, in bytes of heap, by standing connections and by render nodes: it grows with each of
-//! the two alone, never with their product. `docs/CAPACITY.md` quotes the slopes; a test fails when one grows past that.
+//! Heap use of one balancer, by the number of standing connections and of render nodes. It grows with each
+//! of the two numbers, never with their product. `docs/CAPACITY.md` quotes the bytes for each, and a test
+//! fails when they grow past the limits here.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -17,20 +18,21 @@
 #[global_allocator]
 static HEAP: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Bytes for each standing connection: its pending request, its place in the tree and in its server's list.
+/// Most bytes for each standing connection: its pending request, and its entries in the tree of requests
+/// and in the list of its server's connections.
 const A_CONNECTION: f64 = 400.0;
-/// Bytes for each render node.
+/// Most bytes for each render node.
 const A_NODE: f64 = 400.0;
 
-/// How connections are made: placed one after another, or all reported as open, which is quicker with thousands of nodes
-/// and leaves out the list of servers that were tried.
+/// How connections come about: placed by the balancer one after another, or reported as already open. The
+/// latter is quicker with thousands of nodes, and leaves out the list of servers that were tried.
 #[derive(Clone, Copy, PartialEq)]
 enum Origin {
     Placed,
     Open,
 }
 
-/// Bytes that are allocated with so many render nodes and connections that stand.
+/// Returns the bytes that a balancer with this many render nodes and standing connections has allocated.
 fn allocated_bytes(nodes: u32, connections: u64, origin: Origin) -> f64 {
     let region = Region::new(HEAP);
     let mut balancer = Balancer::new(settings(Idempotency::Idempotent), 7, 100 * S);
@@ -47,7 +49,7 @@
         }
         let request_id = request.id;
         balancer.handle(100 * S, Event::Request(request), &mut out);
-        let server = sent(&out).expect("all may be used").0;
+        let server = sent(&out).expect("all servers may be used").0;
         let established = Event::Established { request: request_id, attempt: 0, server, elapsed: 1_000 };
         balancer.handle(100 * S, established, &mut out);
     }
@@ -57,7 +59,7 @@
     change.bytes_allocated as f64 - change.bytes_deallocated as f64
 }
 
-/// One test, since what other tests of the process hold would count.
+/// This file has only one test, because allocations of other tests in the process would be counted too.
 #[test]
 fn memory_grows_with_connections_plus_nodes() {
     let all: [u64; 4] = [1_000, 10_000, 45_455, 90_909];
@@ -88,11 +90,15 @@
         );
         assert!(each < A_NODE, "{nodes} nodes: {each} bytes a node");
     }
-    // Both at once cost what each costs alone, but for the lists of connections, which double as they grow.
+    // Both at once cost as much as each alone, except that the lists of connections double in size as they
+    // grow.
     let (nodes, connections) =
         (allocated_bytes(4_096, 0, Origin::Open), allocated_bytes(16, 90_909, Origin::Open));
     let both = allocated_bytes(4_096, 90_909, Origin::Open);
     let ratio = both / (nodes + connections);
     println!(r#"{{"what":"decision heap, both over the sum of each","ratio":{ratio:.3}}}"#);
-    assert!(ratio < 1.25, "{both} bytes of both, {nodes} and {connections} of each alone");
+    assert!(
+        ratio < 1.25,
+        "{both} bytes with both, {nodes} with nodes alone and {connections} with connections alone"
+    );
 }
--- a/crates/decision/tests/peer_reports.rs
+++ b/crates/decision/tests/peer_reports.rs
@@ -1,4 +1,4 @@
-//! What other nodes say of a server: evidence that confirms, never an order.
+//! Other nodes' reports of a server: a report is evidence that confirms other evidence, never a command.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -14,7 +14,7 @@
     node.notify(Event::PeerReport { from, server: ServerId(server), verdict });
 }
 
-/// A node that has had nothing from its servers for long, in the middle of a second.
+/// Creates a node that has no recent outcomes from its servers, in the middle of a second.
 fn quiet(servers: u32) -> Node {
     let mut node = Node::new(settings(Idempotency::Idempotent), servers);
     node.now = 200 * S + 300 * MS;
@@ -33,7 +33,7 @@
     beliefs.into_iter().filter(|(_, belief)| still(belief)).map(|(server, _)| server).collect()
 }
 
-/// However often it repeats its report.
+/// A single peer cannot pause a server, however often it repeats its report.
 #[test]
 fn single_peer_cannot_pause_server() {
     let mut node = quiet(8);
@@ -45,7 +45,7 @@
     assert_eq!(paused(&node), []);
 }
 
-/// A trial follows.
+/// After the pause, the server gets one trial.
 #[test]
 fn two_agreeing_peers_pause_until_next_mark() {
     let mut node = quiet(8);
@@ -56,7 +56,7 @@
     assert!(!placed.contains(&5), "{placed:?}");
     node.run_to(201 * S);
     let placed: Vec<u32> = (20..36).map(|id| node.place(id).0).collect();
-    assert_eq!(placed.iter().filter(|at| **at == 5).count(), 1, "one trial: {placed:?}");
+    assert_eq!(placed.iter().filter(|at| **at == 5).count(), 1, "the server gets one trial: {placed:?}");
 }
 
 #[test]
@@ -109,7 +109,7 @@
         }
     }
     assert_eq!(paused(&node).len(), 4);
-    // Three, where a quarter is less than one: words alone never take the last servers.
+    // With three servers, a quarter is less than one server, so reports alone pause none.
     let mut few = quiet(3);
     for server in 0..3 {
         report(&mut few, 1, server, PeerVerdict::Unhealthy);
@@ -136,14 +136,14 @@
         }
     };
     node.end(id, at, Outcome::ConnectFailed, true);
-    assert_eq!(paused(&node), [5], "its own look counts");
+    assert_eq!(paused(&node), [5], "the node's own failed trial counts");
 }
 
-/// They do not end a pause.
+/// Healthy reports do not end a pause.
 #[test]
 fn healthy_reports_advance_trial_only() {
     let mut node = quiet(2);
-    // Three failures: a pause of several seconds.
+    // Three failures lead to a pause of several seconds.
     for id in 1..20 {
         node.run_to(node.now + 700 * MS);
         if let Some((at, _)) = sent(&node.ask(id, 2 * S)) {
@@ -161,7 +161,11 @@
     };
     assert!(until(&node).unwrap() > node.now + 2 * S);
     report(&mut node, 1, 1, PeerVerdict::Healthy);
-    assert!(until(&node).unwrap() > node.now + 2 * S, "one is not enough");
+    assert!(until(&node).unwrap() > node.now + 2 * S, "one report is not enough");
     report(&mut node, 2, 1, PeerVerdict::Healthy);
-    assert_eq!(until(&node).unwrap(), (node.now / S + 1) * S, "tried at the next mark, not before");
+    assert_eq!(
+        until(&node).unwrap(),
+        (node.now / S + 1) * S,
+        "the server is tried at the next full second, not before"
+    );
 }
--- a/crates/decision/tests/short_deadlines.rs
+++ b/crates/decision/tests/short_deadlines.rs
@@ -1,4 +1,5 @@
-//! Deadlines of some ten milliseconds, targets that are not stated, and windows that end while a request is queued.
+//! Deadlines of tens of milliseconds, classes without a target, and idempotency windows that end while a
+//! request is queued.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -10,7 +11,7 @@
 use common::*;
 use cottonnotch_decision::*;
 
-/// Clients that wait so long, where a server answers within a fifth of it.
+/// Settings with `classes` classes of this deadline, and a target of half of it.
 fn patience(deadline: Micros, classes: usize) -> Settings {
     let short = Class { target: deadline / 2, deadline, ..class(Idempotency::Idempotent) };
     Settings { classes: vec![short; classes], ..settings(Idempotency::Idempotent) }
@@ -21,14 +22,16 @@
     for deadline in [10 * MS, 40 * MS, 100 * MS, 300 * MS, S, 2 * S] {
         let mut node = Node::new(patience(deadline, 1), 2);
         let told = format!("deadline {} ms", deadline / MS);
-        let (first, timeout) = sent(&node.ask(1, deadline)).unwrap_or_else(|| panic!("{told}: never tried"));
+        let (first, timeout) =
+            sent(&node.ask(1, deadline)).unwrap_or_else(|| panic!("{told}: no attempt was made"));
         assert!((1..=deadline / 2).contains(&timeout), "{told}: time-out {timeout}");
-        // Half its time is gone, and the other server is healthy.
+        // Half of the client's time has passed, and the other server is healthy.
         node.run_to(node.now + deadline / 2);
         let (second, _) = sent(&node.end(1, first, Outcome::TimedOut, false))
-            .unwrap_or_else(|| panic!("{told}: no second try with half of its time left"));
+            .unwrap_or_else(|| panic!("{told}: no second attempt with half of the time left"));
         assert_ne!(first, second, "{told}");
-        // The second is full; nothing else is there, so it is answered, and before the client gives up.
+        // The second server is full and there is no other, so the request is answered before the client
+        // gives up.
         let gives_up = node.now + deadline / 2;
         node.end(1, second, Outcome::Full, false);
         node.run_to(gives_up - 1);
@@ -52,10 +55,7 @@
     for deadline in [S, 2 * S, 60 * S] {
         let mut node = Node::new(patience(deadline, 1), 1);
         assert!(sent(&node.ask(1, 60 * MS)).is_some());
-        assert!(
-            rejected(&node.ask(2, 60 * MS - 1)),
-            "a later try of a patient client, which brings too little"
-        );
+        assert!(rejected(&node.ask(2, 60 * MS - 1)), "too little time is left for an attempt");
     }
 }
 
@@ -81,41 +81,48 @@
             let begun = node.now;
             let at = sent(&node.ask(1, 30 * S)).expect("sent").0;
             node.run_to(begun + 20 * MS);
-            assert!(sent(&node.end(1, at, Outcome::Reset, false)).is_none(), "paused, nothing else is there");
+            assert!(sent(&node.end(1, at, Outcome::Reset, false)).is_none(), "the only server is paused");
             node.run_to(begun + window - 1);
             assert!(
                 !rejected(&node.done) && !failed(&node.done),
-                "{scope:?} {window}: it may still be repeated"
+                "{scope:?}, window {window} us: the request was answered while a repeat was still allowed"
             );
             node.run_to(begun + window + MS);
             let answered = if refusable { rejected(&node.done) } else { failed(&node.done) };
-            assert!(answered, "{scope:?}, window {} ms: held beyond its end", window / MS);
+            assert!(
+                answered,
+                "{scope:?}, window {} ms: the request was queued beyond the window's end",
+                window / MS
+            );
         }
     }
 }
 
 #[test]
 fn cell_bound_retry_waits_for_its_cell() {
-    // Cells of two: both of the first one are paused, those of the other cells are not.
+    // Each cell has two servers. Both servers of the first cell are paused, and those of the other cells
+    // are not.
     let mut node = Node::new(keyed(Scope::Cell, 20 * S), 6);
     node.run_to(100 * S + 100 * MS);
     let first = sent(&node.ask(1, 30 * S)).expect("sent").0;
-    let second = sent(&node.end(1, first, Outcome::Reset, false)).expect("the other one of its cell").0;
+    let second =
+        sent(&node.end(1, first, Outcome::Reset, false)).expect("the cell's other server gets the retry").0;
     assert_eq!(first.0 / 2, second.0 / 2);
     let looks = node.timers.len();
-    assert!(sent(&node.end(1, second, Outcome::Full, false)).is_none(), "held");
+    assert!(sent(&node.end(1, second, Outcome::Full, false)).is_none(), "the request is queued");
     let set = node.timers[looks..].iter().map(|(at, _)| *at).min();
-    assert!(set >= Some(101 * S), "not several times before the pauses lapse: {set:?}");
+    assert!(set >= Some(101 * S), "the queue is not tried again before the pauses end: {set:?}");
 }
 
 #[test]
 fn cell_bound_retry_stays_in_its_cell() {
-    // The server is put into another cell while the attempt is out: those of its old cell have seen the key.
+    // The server moves to another cell while the attempt is in progress. The servers of its old cell have
+    // seen the request's key.
     let mut node = Node::new(keyed(Scope::Cell, 20 * S), 6);
     let at = sent(&node.ask(1, 30 * S)).expect("sent").0;
     let moved =
         Entry { cell: (at.0 / 2 + 1) % 3, started: Some(node.now), ..entry(at.0, ServerState::Ready) };
     node.notify(Event::List { full: false, copy: false, entries: vec![moved] });
-    let next = sent(&node.end(1, at, Outcome::Reset, false)).expect("its cell has another server").0;
+    let next = sent(&node.end(1, at, Outcome::Reset, false)).expect("the old cell has another server").0;
     assert_eq!((at.0 / 2, next != at), (next.0 / 2, true), "from {at:?} to {next:?}");
 }
