--- a/crates/decision/src/affinity.rs
+++ b/crates/decision/src/affinity.rs
@@ -29,7 +29,7 @@
 
     /// Returns the lowest [`score`] in a group's subset, given the scores of all candidate servers; 0 if
     /// there are fewer candidates than the subset may have.
-    pub(crate) fn least_score(&self, group: u64, scores: impl Iterator<Item = f64>) -> f64 {
+    pub(crate) fn min_score(&self, group: u64, scores: impl Iterator<Item = f64>) -> f64 {
         let (mut scores, size) = (scores.collect::<Vec<f64>>(), self.size(group));
         if scores.len() < size {
             return 0.0;
--- a/crates/decision/src/budget.rs
+++ b/crates/decision/src/budget.rs
@@ -13,22 +13,22 @@
 /// How long servers that left the list still count towards the weight of the fleet. Processes that die
 /// together are back after half a minute at most, according to the operators; this is twice as long.
 /// Without this end, a fleet that was made smaller would fill slowly forever.
-const COUNTED_ON_FOR: Micros = 60 * SECOND;
+const LOST_SERVERS_COUNT_FOR: Micros = 60 * SECOND;
 
 /// The total weight of the servers, including those that left the list recently.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FleetTotal {
-    most: f64,
+    highest: f64,
     current: f64,
-    /// Since when `current` is below `most`; `None` if it is not.
+    /// Since when `current` is below `highest`; `None` if it is not.
     reduced_since: Option<Micros>,
 }
 
 impl FleetTotal {
     /// Records the total weight of the ready servers after a change of the list.
     pub(crate) fn record(&mut self, now: Micros, weight: f64) {
-        if weight >= self.most || self.is_reduced_for_good(now) {
-            (self.most, self.reduced_since) = (weight, None);
+        if weight >= self.highest || self.is_reduction_permanent(now) {
+            (self.highest, self.reduced_since) = (weight, None);
         } else {
             self.reduced_since = self.reduced_since.or(Some(now));
         }
@@ -37,11 +37,11 @@
 
     /// Returns the weight over which a budget of the whole fleet is distributed.
     pub(crate) fn weight(&self, now: Micros) -> f64 {
-        if self.is_reduced_for_good(now) { self.current } else { self.most }
+        if self.is_reduction_permanent(now) { self.current } else { self.highest }
     }
 
-    fn is_reduced_for_good(&self, now: Micros) -> bool {
-        self.reduced_since.is_some_and(|since| now - since >= COUNTED_ON_FOR)
+    fn is_reduction_permanent(&self, now: Micros) -> bool {
+        self.reduced_since.is_some_and(|since| now - since >= LOST_SERVERS_COUNT_FOR)
     }
 }
 
@@ -67,26 +67,27 @@
 
 impl SetupLimit {
     /// Returns the limit for a server of this weight that started at `started` and was last overloaded or
-    /// failed at `overloaded_at`; `None` if its rate is not limited.
+    /// failed at `last_tripped_at`; `None` if its rate is not limited.
     pub(crate) fn of(
         settings: &Settings,
         now: Micros,
         usual: UsualRates,
         weight: f64,
         started: Option<Micros>,
-        overloaded_at: Option<Micros>,
+        last_tripped_at: Option<Micros>,
     ) -> Option<SetupLimit> {
-        let share = started.map_or(1.0, |at| settings.share_at(now.saturating_sub(at)));
-        let warming = (share < 1.0)
-            .then_some(share * settings.overload_multiple.max(1.0) * WARM_UP_BUDGET_USED * usual.fill);
-        let since = overloaded_at.map(|at| (now - at).max(0)).filter(|since| *since < RECOVERY_RAMP);
-        let recovering = since.map(|since| usual.per_weight * (1.0 + since as f64 / SECOND as f64));
-        let rate = warming.unwrap_or(f64::INFINITY).min(recovering.unwrap_or(f64::INFINITY));
+        let capacity_share = started.map_or(1.0, |at| settings.share_at(now.saturating_sub(at)));
+        let warm_up_rate = (capacity_share < 1.0).then_some(
+            capacity_share * settings.overload_multiple.max(1.0) * WARM_UP_BUDGET_USED * usual.fill,
+        );
+        let elapsed = last_tripped_at.map(|at| (now - at).max(0)).filter(|elapsed| *elapsed < RECOVERY_RAMP);
+        let recovery_rate = elapsed.map(|elapsed| usual.per_weight * (1.0 + elapsed as f64 / SECOND as f64));
+        let rate = warm_up_rate.unwrap_or(f64::INFINITY).min(recovery_rate.unwrap_or(f64::INFINITY));
         let per_s = rate * weight;
         // Without a configured window, tokens do not expire. A window below 100 ms is treated as 100 ms,
         // because timers are no finer than that.
         let window_s = settings.overload_window.max(SECOND / 10) as f64 / SECOND as f64;
-        let per_window = warming.filter(|_| settings.overload_window > 0).map(|_| per_s * window_s);
+        let per_window = warm_up_rate.filter(|_| settings.overload_window > 0).map(|_| per_s * window_s);
         per_s.is_finite().then_some(SetupLimit { per_s, per_window })
     }
 
@@ -108,8 +109,8 @@
         let tokens = tokens + self.per_s * passed.max(0) as f64 / SECOND as f64;
         match self.per_window {
             Some(per_window) if per_window < 1.0 && tokens >= 1.0 => {
-                let turn = tokens.fract();
-                if turn < per_window { 1.0 + turn } else { turn }
+                let fraction = tokens.fract();
+                if fraction < per_window { 1.0 + fraction } else { fraction }
             }
             _ => tokens.min(1.0),
         }
@@ -148,8 +149,8 @@
 
     /// Returns when the next whole token is available under `limit`.
     pub(crate) fn next_token_at(&self, limit: Option<SetupLimit>) -> Micros {
-        let short = limit.map_or(0, |limit| limit.time_to_token(self.tokens));
-        self.refilled_at.saturating_add(short)
+        let wait = limit.map_or(0, |limit| limit.time_to_token(self.tokens));
+        self.refilled_at.saturating_add(wait)
     }
 }
 
--- a/crates/decision/src/pending_request.rs
+++ b/crates/decision/src/pending_request.rs
@@ -4,11 +4,11 @@
 
 /// The client wait for which the two times below are stated. They shrink in proportion for clients that
 /// wait less. A client that states no wait is assumed to wait this long.
-const SECOND: Micros = 1_000_000;
+const REFERENCE_WAIT: Micros = 1_000_000;
 /// Time between the answer to a client and the moment the client gives up.
 const ANSWER_MARGIN: Micros = 30_000;
 /// The least time that must be left for an attempt to be made.
-const SHORTEST_ATTEMPT: Micros = 60_000;
+const MIN_ATTEMPT_TIME: Micros = 60_000;
 
 /// A server's zone and cell.
 pub(crate) type Locality = (ZoneId, u32);
@@ -33,7 +33,7 @@
     /// The request as the client sent it, except that the load is kept up to date.
     pub(crate) request: Request,
     pub(crate) deadline: Option<Micros>,
-    arrived: Micros,
+    arrived_at: Micros,
     pub(crate) attempts_sent: u32,
     /// The server of the current attempt or connection; `None` while the request has neither.
     pub(crate) server: Option<ServerId>,
@@ -50,7 +50,7 @@
         PendingRequest {
             deadline: request.left.map(|left| now.saturating_add(left)),
             request,
-            arrived: now,
+            arrived_at: now,
             attempts_sent: 0,
             server: None,
             tried: Vec::new(),
@@ -87,34 +87,35 @@
     }
 
     /// Returns the index of the request's class in [`Settings::classes`].
-    pub(crate) fn class(&self) -> usize {
+    pub(crate) fn class_index(&self) -> usize {
         usize::from(self.request.class.0)
     }
 
     /// Returns the priority weight of the request for each unit of its load.
-    pub(crate) fn value(&self, settings: &Settings) -> f64 {
-        let weight = settings.classes.get(self.class()).map_or(1.0, |c| c.priority_weight);
+    pub(crate) fn weight_per_load(&self, settings: &Settings) -> f64 {
+        let weight = settings.classes.get(self.class_index()).map_or(1.0, |c| c.priority_weight);
         let load = if settings.weight_by_work { 1.0 } else { self.request.load_hint.unwrap_or(1.0) };
         weight / load.max(1e-9)
     }
 
-    /// Scales a time that holds for clients that wait [`SECOND`] or more to the wait of this client.
+    /// Scales a time that holds for clients that wait [`REFERENCE_WAIT`] or more to the wait of this client.
     /// Without scaling, requests of a class whose deadline is a tenth of that would never be attempted.
-    fn scaled_to_wait(&self, settings: &Settings, for_a_second: Micros) -> Micros {
-        let stated = settings.classes.get(self.class()).map(|c| c.deadline).filter(|deadline| *deadline > 0);
-        let wait = stated.or(self.request.left).unwrap_or(SECOND).clamp(0, SECOND);
-        for_a_second * wait / SECOND
+    fn scaled_to_wait(&self, settings: &Settings, at_reference_wait: Micros) -> Micros {
+        let stated_wait =
+            settings.classes.get(self.class_index()).map(|c| c.deadline).filter(|deadline| *deadline > 0);
+        let wait = stated_wait.or(self.request.left).unwrap_or(REFERENCE_WAIT).clamp(0, REFERENCE_WAIT);
+        at_reference_wait * wait / REFERENCE_WAIT
     }
 
     /// Returns the least time with which an attempt of this request is made.
     pub(crate) fn shortest_attempt(&self, settings: &Settings) -> Micros {
-        self.scaled_to_wait(settings, SHORTEST_ATTEMPT)
+        self.scaled_to_wait(settings, MIN_ATTEMPT_TIME)
     }
 
     /// Returns until when the request may be queued. A request without a deadline waits for the length of
     /// one pause.
     pub(crate) fn queue_until(&self, settings: &Settings) -> Micros {
-        let Some(deadline) = self.deadline else { return self.arrived.saturating_add(SECOND) };
+        let Some(deadline) = self.deadline else { return self.arrived_at.saturating_add(REFERENCE_WAIT) };
         // Timers fire only with the next batch of events, which is up to one `step` later.
         let margin = self.scaled_to_wait(settings, ANSWER_MARGIN).max(settings.step.min(ANSWER_MARGIN));
         deadline.saturating_sub(margin + self.shortest_attempt(settings))
@@ -123,14 +124,14 @@
     /// Returns the time until which a repeat has no effect; `None` if there is no such limit or no attempt
     /// may have run.
     pub(crate) fn repeat_until(&self, settings: &Settings) -> Option<Micros> {
-        let idempotency = settings.idempotency(self.class());
+        let idempotency = settings.idempotency(self.class_index());
         self.may_have_run.and_then(|(_, sent)| idempotency.repeat_until(sent))
     }
 
     /// Returns the servers that drop repeats of this request; `None` if the request is not keyed or no
     /// attempt may have run.
     pub(crate) fn dedup_group(&self, settings: &Settings) -> Option<DedupGroup> {
-        let Idempotency::Keyed { scope, .. } = settings.idempotency(self.class()) else { return None };
+        let Idempotency::Keyed { scope, .. } = settings.idempotency(self.class_index()) else { return None };
         self.may_have_run.map(|(locality, _)| DedupGroup { scope, locality })
     }
 }
--- a/crates/decision/src/policy/arrivals.rs
+++ b/crates/decision/src/policy/arrivals.rs
@@ -4,9 +4,9 @@
 use crate::quota::TokenBucket;
 
 /// Time constant of the average of arrivals, in seconds.
-const RATE_MEMORY_S: f64 = 20.0;
+const RATE_TIME_CONSTANT_S: f64 = 20.0;
 /// Each set-up counts for one part in this many of the failure ratio.
-const FAILURE_MEMORY: f64 = 8.0;
+const FAILURE_AVERAGE_LENGTH: f64 = 8.0;
 
 /// An exponentially decaying count of arrivals.
 #[derive(Debug, Default)]
@@ -24,7 +24,7 @@
     /// Counts one arrival.
     pub(super) fn record(&mut self, now: Micros) {
         let seconds = (now - self.counted_at).max(0) as f64 / SECOND as f64;
-        self.decayed_count = self.decayed_count * (-seconds / RATE_MEMORY_S).exp() + 1.0;
+        self.decayed_count = self.decayed_count * (-seconds / RATE_TIME_CONSTANT_S).exp() + 1.0;
         self.counted_at = now;
     }
 
@@ -32,7 +32,7 @@
     /// the average reaches back.
     pub(super) fn per_s(&self, now: Micros) -> f64 {
         let age_s = (now - self.started_at).max(SECOND) as f64 / SECOND as f64;
-        self.decayed_count / (RATE_MEMORY_S * (1.0 - (-age_s / RATE_MEMORY_S).exp()))
+        self.decayed_count / (RATE_TIME_CONSTANT_S * (1.0 - (-age_s / RATE_TIME_CONSTANT_S).exp()))
     }
 }
 
@@ -42,11 +42,11 @@
     /// Fraction of the latest set-ups that failed or timed out, from 0 to 1.
     pub(super) failure_ratio: f64,
     /// While most set-ups fail, no set-up is sent before this time.
-    pub(super) next_send: Micros,
+    pub(super) next_send_at: Micros,
     /// Token bucket of the set-ups that this node may send.
     pub(super) tokens: TokenBucket,
     /// When the last set-up succeeded; `None` if it was slow or failed.
-    last_quick: Option<Micros>,
+    last_quick_at: Option<Micros>,
 }
 
 impl SetupPacing {
@@ -54,18 +54,18 @@
         SetupPacing { tokens: TokenBucket::new(now), ..SetupPacing::default() }
     }
 
-    pub(super) fn succeeded(&mut self, now: Micros, is_quick: bool) {
-        self.last_quick = is_quick.then_some(now);
-        self.failure_ratio -= self.failure_ratio / FAILURE_MEMORY;
+    pub(super) fn record_success(&mut self, now: Micros, is_quick: bool) {
+        self.last_quick_at = is_quick.then_some(now);
+        self.failure_ratio -= self.failure_ratio / FAILURE_AVERAGE_LENGTH;
     }
 
-    pub(super) fn failed(&mut self) {
-        self.last_quick = None;
-        self.failure_ratio += (1.0 - self.failure_ratio) / FAILURE_MEMORY;
+    pub(super) fn record_failure(&mut self) {
+        self.last_quick_at = None;
+        self.failure_ratio += (1.0 - self.failure_ratio) / FAILURE_AVERAGE_LENGTH;
     }
 
     /// Whether the last set-up succeeded quickly, and less than a second ago.
-    pub(super) fn is_quick(&self, now: Micros) -> bool {
-        self.last_quick.is_some_and(|at| now - at < SECOND)
+    pub(super) fn was_recently_quick(&self, now: Micros) -> bool {
+        self.last_quick_at.is_some_and(|at| now - at < SECOND)
     }
 }
--- a/crates/decision/src/policy/balancer.rs
+++ b/crates/decision/src/policy/balancer.rs
@@ -32,12 +32,12 @@
     pub(super) rotation: Rotation,
     /// When the next round of migrating connections off draining servers is due; `None` if none is
     /// scheduled.
-    pub(super) next_drain_round: Option<Micros>,
+    pub(super) next_drain_round_at: Option<Micros>,
     pub(super) list_poller: ListPoller,
     pub(super) arrivals: ArrivalRate,
     pub(super) setups: SetupPacing,
     /// The stated sizes of the affinity subsets.
-    pub(super) subsets: AffinitySubsets,
+    pub(super) affinity_subsets: AffinitySubsets,
     /// This node's share of the limits that hold for all nodes together.
     pub(super) quota: Quota,
     /// The node is shutting down: it sends nothing more, and answers the requests that are still owed an
@@ -91,7 +91,7 @@
             Event::Timer(token) => self.timer_fired(now, token, out),
             Event::Settings(settings) => self.replace_settings(*settings),
             Event::Fleet(status) => self.fleet_status_changed(now, status),
-            Event::AffinitySubsets(sizes) => self.subsets.set(sizes),
+            Event::AffinitySubsets(sizes) => self.affinity_subsets.set(sizes),
             Event::RulesChanged => self.dispatch_queued(now, out),
             Event::ShuttingDown => {
                 self.shutting_down = true;
@@ -109,12 +109,12 @@
     fn timer_fired(&mut self, now: Micros, token: u32, out: &mut Vec<Action>) {
         let is_due = |at: Option<Micros>| at.is_some_and(|at| at <= now);
         match token {
-            WAKE_UP if is_due(self.requests.wake_up) => {
-                self.requests.wake_up = None;
+            WAKE_UP if is_due(self.requests.wake_up_at) => {
+                self.requests.wake_up_at = None;
                 self.dispatch_queued(now, out);
             }
             POLL_LIST if self.list_poller.is_due(now) => self.poll_list(now, out),
-            DRAIN_ROUND if is_due(self.next_drain_round) => self.drain(now, out),
+            DRAIN_ROUND if is_due(self.next_drain_round_at) => self.drain(now, out),
             _ => {}
         }
     }
@@ -160,9 +160,9 @@
         out: &mut Vec<Action>,
     ) {
         self.add_connection(request, server);
-        self.setups.succeeded(now, elapsed <= self.settings.quick());
+        self.setups.record_success(now, elapsed <= self.settings.quick());
         if let Some(s) = self.servers.get_mut(server) {
-            s.peer_reports.own_success(now);
+            s.peer_reports.record_own_success(now);
         }
         self.trial_succeeded(now, server, request, out);
         self.drain_late_connection(now, server, out);
--- a/crates/decision/src/policy/circuit_breaker.rs
+++ b/crates/decision/src/policy/circuit_breaker.rs
@@ -17,15 +17,15 @@
 }
 
 /// What the caller logs about a pause that has begun.
-pub(super) struct Failures {
+pub(super) struct Trip {
     /// The pause follows the second failure in a row.
-    pub(super) is_second: bool,
+    pub(super) is_second_failure: bool,
 }
 
 /// What the caller logs about a pause that a successful trial has ended.
 pub(super) struct Recovery {
     /// The server had failed more than once in a row.
-    pub(super) had_failed_often: bool,
+    pub(super) had_failed_repeatedly: bool,
 }
 
 /// Circuit breaker of one server: closed, open (the server is paused) or half-open (the next request is a
@@ -39,7 +39,7 @@
     pub(super) trial: Option<RequestId>,
     consecutive_failures: u32,
     /// When the server last gave a reason for a pause.
-    pub(super) overloaded_at: Option<Micros>,
+    pub(super) last_tripped_at: Option<Micros>,
 }
 
 impl CircuitBreaker {
@@ -55,35 +55,35 @@
     /// Pauses the server until the next full second, or for longer with each further failure or failed
     /// trial.
     ///
-    /// Returns `None`, and changes nothing, if the server is already paused and `by` is not its trial. Such
-    /// an attempt was sent before the pause or was broken by the fault that caused it, and says nothing
-    /// new.
-    pub(super) fn trip(&mut self, now: Micros, by: RequestId, cause: PauseCause) -> Option<Failures> {
-        let was_trial = self.trial == Some(by);
+    /// Returns `None`, and changes nothing, if the server is already paused and `request` is not its trial.
+    /// Such an attempt was sent before the pause or was broken by the fault that caused it, and says
+    /// nothing new.
+    pub(super) fn trip(&mut self, now: Micros, request: RequestId, cause: PauseCause) -> Option<Trip> {
+        let was_trial = self.trial == Some(request);
         if !was_trial && self.is_paused(now) {
             return None;
         }
         self.forget_old_failures(now);
         let mut until = (now / SECOND + 1) * SECOND;
-        let mut is_second = false;
+        let mut is_second_failure = false;
         if cause == PauseCause::Failure || was_trial {
             until += ((1 << self.consecutive_failures.min(MAX_DOUBLINGS)) - 1) * SECOND;
             self.consecutive_failures += 1;
-            is_second = self.consecutive_failures == 2;
+            is_second_failure = self.consecutive_failures == 2;
         }
         self.trial = None;
-        self.overloaded(now, until);
-        Some(Failures { is_second })
+        self.trip_until(now, until);
+        Some(Trip { is_second_failure })
     }
 
     /// Pauses the server until `until` or later.
-    pub(super) fn overloaded(&mut self, now: Micros, until: Micros) {
-        self.overloaded_at = Some(now);
+    pub(super) fn trip_until(&mut self, now: Micros, until: Micros) {
+        self.last_tripped_at = Some(now);
         self.paused_until = self.paused_until.max(Some(until));
     }
 
     fn forget_old_failures(&mut self, now: Micros) {
-        let forgotten = self.overloaded_at.map_or(0, |since| (now - since) / FORGET_AFTER);
+        let forgotten = self.last_tripped_at.map_or(0, |since| (now - since) / FORGET_AFTER);
         self.consecutive_failures = self.consecutive_failures.saturating_sub(forgotten.clamp(0, 64) as u32);
     }
 
@@ -99,21 +99,21 @@
         has_lapsed
     }
 
-    /// Ends the trial `by` without a result. The server stays half-open.
-    pub(super) fn abandon_trial(&mut self, by: RequestId) {
-        self.trial = self.trial.filter(|trial| *trial != by);
+    /// Ends the trial `request` without a result. The server stays half-open.
+    pub(super) fn abandon_trial(&mut self, request: RequestId) {
+        self.trial = self.trial.filter(|trial| *trial != request);
     }
 
-    /// Closes the circuit breaker if `by` was the trial; returns `None` otherwise.
-    pub(super) fn close_after_trial(&mut self, by: RequestId) -> Option<Recovery> {
-        if self.trial != Some(by) {
+    /// Closes the circuit breaker if `request` was the trial; returns `None` otherwise.
+    pub(super) fn close_after_trial(&mut self, request: RequestId) -> Option<Recovery> {
+        if self.trial != Some(request) {
             return None;
         }
         (self.trial, self.half_open) = (None, false);
-        let had_failed_often = self.consecutive_failures > 1;
+        let had_failed_repeatedly = self.consecutive_failures > 1;
         // Only half of the failures are forgotten: a server that fails most requests still passes a trial
         // now and then.
         self.consecutive_failures /= 2;
-        Some(Recovery { had_failed_often })
+        Some(Recovery { had_failed_repeatedly })
     }
 }
--- a/crates/decision/src/policy/dispatch.rs
+++ b/crates/decision/src/policy/dispatch.rs
@@ -8,7 +8,7 @@
 /// Limits on the next attempt of a request, which follow from its class, its client and the routing rules.
 struct AttemptLimits {
     /// Time until the client gives up; `None` if the client does not state any.
-    left: Option<Micros>,
+    time_left: Option<Micros>,
     /// The least time with which an attempt is made.
     shortest_attempt: Micros,
     /// Until when the request may be queued.
@@ -23,12 +23,12 @@
 impl AttemptLimits {
     fn of(pending: &PendingRequest, verdict: &RoutingVerdict, settings: &Settings, now: Micros) -> Self {
         AttemptLimits {
-            left: pending.deadline.map(|at| at.saturating_sub(now)),
+            time_left: pending.deadline.map(|at| at.saturating_sub(now)),
             shortest_attempt: pending.shortest_attempt(settings),
             queue_until: pending.queue_until(settings),
             repeat_until: pending.repeat_until(settings),
             dedup_group: pending.dedup_group(settings),
-            max_attempts: settings.attempts(pending.class()).min(verdict.attempts),
+            max_attempts: settings.attempts(pending.class_index()).min(verdict.attempts),
         }
     }
 
@@ -36,7 +36,7 @@
     fn rejection(&self, pending: &PendingRequest, now: Micros) -> Option<RejectionReason> {
         if pending.attempts_sent >= self.max_attempts {
             Some(RejectionReason::AttemptsExhausted)
-        } else if self.left.is_some_and(|left| left < self.shortest_attempt) {
+        } else if self.time_left.is_some_and(|left| left < self.shortest_attempt) {
             Some(RejectionReason::DeadlineTooClose)
         } else {
             // A request must not take effect twice, so a repeat that was queued is also sent only within
@@ -49,8 +49,8 @@
     /// Returns the time after which the attempt is ended as timed out; 0 means when the client gives up. A
     /// server that does not answer never rejects an attempt, so the time-out leaves time for a retry.
     fn timeout(&self, pending: &PendingRequest, settings: &Settings) -> Micros {
-        let target = settings.target(pending.class());
-        match self.left {
+        let target = settings.target(pending.class_index());
+        match self.time_left {
             Some(left) if pending.attempts_sent + 1 < self.max_attempts => {
                 target.unwrap_or(left).min(left / 2)
             }
@@ -75,7 +75,7 @@
             limits.rejection(pending, now)
         };
         if let Some(reason) = rejection {
-            let retry_at = self.next_chance(now, &verdict, limits.dedup_group);
+            let retry_at = self.next_attempt_at(now, &verdict, limits.dedup_group);
             return self.answer(now, id, retry_at, reason, out);
         }
         if let Some(after) = verdict.refuse {
@@ -89,8 +89,8 @@
                 // A request that only its dedup group may repeat is answered when its idempotency window
                 // ends.
                 let window_end = limits.repeat_until.unwrap_or(Micros::MAX);
-                let next_chance = self.next_chance(now, &verdict, limits.dedup_group);
-                let until = next_chance.max(not_before).min(window_end);
+                let next_attempt_at = self.next_attempt_at(now, &verdict, limits.dedup_group);
+                let until = next_attempt_at.max(not_before).min(window_end);
                 self.queue(now, id, until, &limits, out);
             }
         }
@@ -136,8 +136,8 @@
             out.push(Action::Log { notification: Notification::Queueing, server: None });
         }
         self.requests.queued.push(id);
-        if self.requests.wake_up.is_none_or(|set| until < set) {
-            self.requests.wake_up = Some(until);
+        if self.requests.wake_up_at.is_none_or(|set| until < set) {
+            self.requests.wake_up_at = Some(until);
             out.push(Action::Timer { after: until - now, token: WAKE_UP });
         }
     }
@@ -154,9 +154,9 @@
     ) {
         let Some(pending) = self.requests.pending.get(&id) else { return };
         let may_reject =
-            pending.may_have_run.is_none() || self.settings.idempotency(pending.class()).may_reject();
-        let longest = if self.settings.retry_after { self.settings.max_retry_after } else { 0 };
-        let retry_after = (retry_at - now).min(longest);
+            pending.may_have_run.is_none() || self.settings.idempotency(pending.class_index()).may_reject();
+        let max_retry_after = if self.settings.retry_after { self.settings.max_retry_after } else { 0 };
+        let retry_after = (retry_at - now).min(max_retry_after);
         out.push(if may_reject {
             Action::Reject { request: id, retry_after, reason }
         } else {
@@ -170,12 +170,12 @@
         &mut self,
         now: Micros,
         id: RequestId,
-        at: ServerId,
+        server: ServerId,
         outcome: Outcome,
         out: &mut Vec<Action>,
     ) {
         let pending = self.requests.pending.get_mut(&id);
-        let Some(pending) = pending.filter(|pending| pending.server == Some(at)) else { return };
+        let Some(pending) = pending.filter(|pending| pending.server == Some(server)) else { return };
         pending.attempt_ended(outcome);
         self.dispatch(now, id, out);
     }
--- a/crates/decision/src/policy/outcomes.rs
+++ b/crates/decision/src/policy/outcomes.rs
@@ -19,28 +19,28 @@
     pub(super) fn record_outcome(
         &mut self,
         now: Micros,
-        at: ServerId,
+        server: ServerId,
         id: RequestId,
         outcome: Outcome,
         out: &mut Vec<Action>,
     ) {
         match outcome {
-            Outcome::Full => self.pause(now, at, id, PauseCause::Overload, out),
+            Outcome::Full => self.pause(now, server, id, PauseCause::Overload, out),
             Outcome::Error | Outcome::TimedOut => {
-                self.setups.failed();
-                self.pause(now, at, id, PauseCause::Failure, out);
+                self.setups.record_failure();
+                self.pause(now, server, id, PauseCause::Failure, out);
             }
             // This includes the reset of an established connection: the server is lost, or sheds load that
             // it cannot carry.
-            Outcome::ConnectFailed | Outcome::Reset => self.pause(now, at, id, PauseCause::Failure, out),
-            Outcome::Served => self.trial_succeeded(now, at, id, out),
+            Outcome::ConnectFailed | Outcome::Reset => self.pause(now, server, id, PauseCause::Failure, out),
+            Outcome::Served => self.trial_succeeded(now, server, id, out),
             // These outcomes say nothing about the server, so a trial leaves it half-open. The token of a
             // set-up that was not sent is returned for other requests.
             Outcome::Cancelled | Outcome::NotSent => {
                 if outcome == Outcome::NotSent {
                     self.setups.tokens.give_back();
                 }
-                if let Some(s) = self.servers.get_mut(at) {
+                if let Some(s) = self.servers.get_mut(server) {
                     s.breaker.abandon_trial(id);
                 }
             }
@@ -48,14 +48,21 @@
     }
 
     /// Pauses a server, and logs the second failure in a row.
-    fn pause(&mut self, now: Micros, at: ServerId, by: RequestId, cause: PauseCause, out: &mut Vec<Action>) {
-        let Some(s) = self.servers.get_mut(at) else { return };
-        let Some(failures) = s.breaker.trip(now, by, cause) else { return };
-        if failures.is_second {
-            out.push(Action::Log { notification: Notification::PausedFailing, server: Some(at) });
+    fn pause(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        request: RequestId,
+        cause: PauseCause,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(s) = self.servers.get_mut(server) else { return };
+        let Some(trip) = s.breaker.trip(now, request, cause) else { return };
+        if trip.is_second_failure {
+            out.push(Action::Log { notification: Notification::PausedFailing, server: Some(server) });
         }
         s.peer_reports.forget_pause();
-        s.report_health(now, at, out);
+        s.report_health(now, server, out);
     }
 
     /// Handles a successful attempt. If the attempt was the trial of its server, the server returns to the
@@ -63,16 +70,16 @@
     pub(super) fn trial_succeeded(
         &mut self,
         now: Micros,
-        at: ServerId,
-        by: RequestId,
+        server: ServerId,
+        request: RequestId,
         out: &mut Vec<Action>,
     ) {
-        let Some(s) = self.servers.get_mut(at) else { return };
-        let Some(recovery) = s.breaker.close_after_trial(by) else { return };
-        if recovery.had_failed_often {
-            out.push(Action::Log { notification: Notification::Recovered, server: Some(at) });
+        let Some(s) = self.servers.get_mut(server) else { return };
+        let Some(recovery) = s.breaker.close_after_trial(request) else { return };
+        if recovery.had_failed_repeatedly {
+            out.push(Action::Log { notification: Notification::Recovered, server: Some(server) });
         }
-        s.report_health(now, at, out);
+        s.report_health(now, server, out);
         self.dispatch_queued(now, out);
     }
 
@@ -83,34 +90,34 @@
         &mut self,
         now: Micros,
         from: u32,
-        at: ServerId,
+        server: ServerId,
         verdict: PeerVerdict,
         out: &mut Vec<Action>,
     ) {
-        let has_room = self.may_pause_another_on_reports(now);
-        let next_mark = (now / SECOND + 1) * SECOND;
-        let Some(s) = self.servers.get_mut(at).filter(|s| s.is_ready()) else { return };
+        let may_pause_another = self.may_pause_another_on_reports(now);
+        let next_full_second = (now / SECOND + 1) * SECOND;
+        let Some(s) = self.servers.get_mut(server).filter(|s| s.is_ready()) else { return };
         s.peer_reports.record(now, from, verdict);
         let healthy = s.peer_reports.count(PeerVerdict::Healthy);
         let unhealthy = s.peer_reports.count(PeerVerdict::Unhealthy);
-        let own_evidence = s.breaker.overloaded_at.is_some_and(|at| is_valid(at, now));
-        let is_agreed = unhealthy > healthy && unhealthy + usize::from(own_evidence) >= QUORUM;
+        let has_own_evidence = s.breaker.last_tripped_at.is_some_and(|at| is_valid(at, now));
+        let is_confirmed = unhealthy > healthy && unhealthy + usize::from(has_own_evidence) >= QUORUM;
         let is_paused = s.breaker.is_paused(now);
         match verdict {
             PeerVerdict::Unhealthy
-                if is_agreed && !is_paused && has_room && s.peer_reports.may_pause(now) =>
+                if is_confirmed && !is_paused && may_pause_another && s.peer_reports.may_pause(now) =>
             {
-                s.breaker.paused_until = Some(next_mark);
-                s.peer_reports.paused_until = Some(next_mark);
+                s.breaker.paused_until = Some(next_full_second);
+                s.peer_reports.paused_until = Some(next_full_second);
             }
             // Other nodes are served there, so the trial need not wait for a pause that grew with each
             // failure.
             PeerVerdict::Healthy if is_paused && unhealthy == 0 && healthy >= QUORUM => {
-                s.breaker.paused_until = s.breaker.paused_until.min(Some(next_mark));
+                s.breaker.paused_until = s.breaker.paused_until.min(Some(next_full_second));
             }
             _ => {}
         }
-        s.report_health(now, at, out);
+        s.report_health(now, server, out);
     }
 
     fn may_pause_another_on_reports(&self, now: Micros) -> bool {
--- a/crates/decision/src/policy/peer_reports.rs
+++ b/crates/decision/src/policy/peer_reports.rs
@@ -32,7 +32,7 @@
 
 impl PeerReports {
     /// Records that an attempt of this node succeeded.
-    pub(super) fn own_success(&mut self, now: Micros) {
+    pub(super) fn record_own_success(&mut self, now: Micros) {
         (self.last_success, self.paused_until) = (Some(now), None);
     }
 
--- a/crates/decision/src/policy/requests.rs
+++ b/crates/decision/src/policy/requests.rs
@@ -11,7 +11,7 @@
     /// Requests that wait for a server, in the order in which they were queued.
     pub(super) queued: Vec<RequestId>,
     /// When the next timer for the queue fires; `None` if none is set.
-    pub(super) wake_up: Option<Micros>,
+    pub(super) wake_up_at: Option<Micros>,
 }
 
 impl Requests {
--- a/crates/decision/src/policy/rotation.rs
+++ b/crates/decision/src/policy/rotation.rs
@@ -14,9 +14,9 @@
 const LEAST_PACE: f64 = 2.0;
 /// Limit on the rate of new connections to servers that this node has no news of, while most others are
 /// overloaded; as a fraction of the usual rate.
-const UNHEARD: f64 = 0.1;
+const UNOBSERVED_RATE_FACTOR: f64 = 0.1;
 /// How long a server counts as overloaded after a report of slow messages.
-const SLOW_FOR: Micros = 3 * SECOND;
+const SLOW_REPORT_VALID_FOR: Micros = 3 * SECOND;
 
 /// The conditions under which a server may take a request.
 struct Constraints<'a> {
@@ -31,12 +31,12 @@
 /// The servers over which the connections of one group rotate: those with the highest scores.
 struct Affinity {
     group: u64,
-    least_score: f64,
+    min_score: f64,
 }
 
 impl Affinity {
     fn contains(&self, s: &Server) -> bool {
-        affinity::score(self.group, s.listing.digest, s.listing.weight) >= self.least_score
+        affinity::score(self.group, s.listing.digest, s.listing.weight) >= self.min_score
     }
 }
 
@@ -52,18 +52,18 @@
     /// later get all requests.
     first_due: (bool, f64),
     /// Number of servers that this node has recent news of, and number of those that are overloaded.
-    heard: u32,
+    observed: u32,
     overloaded: u32,
 }
 
 impl Selection {
     fn new() -> Self {
-        Selection { best: None, first_due: (true, f64::INFINITY), heard: 0, overloaded: 0 }
+        Selection { best: None, first_due: (true, f64::INFINITY), observed: 0, overloaded: 0 }
     }
 
     fn count(&mut self, s: &Server, now: Micros) {
-        let is_slow = s.latency.slow_at.is_some_and(|at| now - at < SLOW_FOR);
-        self.heard += u32::from(is_slow || !s.connections.open.is_empty());
+        let is_slow = s.latency.slow_at.is_some_and(|at| now - at < SLOW_REPORT_VALID_FOR);
+        self.observed += u32::from(is_slow || !s.connections.open.is_empty());
         self.overloaded += u32::from(is_slow);
     }
 
@@ -74,7 +74,7 @@
             self.first_due = due;
         }
         let key = (constraints.tried.contains(&id), is_second_choice, s.turn.next_due);
-        if self.best.is_none_or(|(least, _)| key < least) {
+        if self.best.is_none_or(|(best, _)| key < best) {
             self.best = Some((key, id));
         }
     }
@@ -97,19 +97,20 @@
         let affinity = group.map(|group| self.affinity(group, verdict));
         let constraints = Constraints { verdict, dedup_group, affinity, tried: &pending.tried };
         let usual = self.usual_rates(now);
-        let selection = select(&mut self.servers, &self.settings, &self.rotation, now, usual, &constraints);
+        let selection =
+            select_candidate(&mut self.servers, &self.settings, &self.rotation, now, usual, &constraints);
         self.rotation.mostly_overloaded =
-            2 * selection.overloaded > selection.heard && self.quota.fleet(now).is_none();
+            2 * selection.overloaded > selection.observed && self.quota.fleet(now).is_none();
         let (_, server) = selection.best?;
-        self.pace_set_ups(now, usual);
+        self.pace_setups(now, usual);
         self.take_turn(id, server, selection.first_due.1)
     }
 
     /// Whether this node may set up a connection now. Failures on many servers point to a shared
     /// dependency, which further attempts would keep down (incident ic7944d).
     fn may_set_up(&mut self, now: Micros) -> bool {
-        let is_down = self.quota.failure_ratio(now, self.setups.failure_ratio) > 0.5;
-        if is_down && now < self.setups.next_send {
+        let mostly_failing = self.quota.failure_ratio(now, self.setups.failure_ratio) > 0.5;
+        if mostly_failing && now < self.setups.next_send_at {
             return false;
         }
         let per_s = self.setups_per_s(now);
@@ -118,17 +119,17 @@
 
     fn affinity(&self, group: u64, verdict: &RoutingVerdict) -> Affinity {
         let score = |s: &Server| affinity::score(group, s.listing.digest, s.listing.weight);
-        let least_score = self.subsets.least_score(group, self.allowed(verdict).map(score));
-        Affinity { group, least_score }
+        let min_score = self.affinity_subsets.min_score(group, self.allowed(verdict).map(score));
+        Affinity { group, min_score }
     }
 
     /// Counts the set-up that is about to be sent, and sets when the next one may be sent if most set-ups
     /// fail.
-    fn pace_set_ups(&mut self, now: Micros, usual: UsualRates) {
+    fn pace_setups(&mut self, now: Micros, usual: UsualRates) {
         let own_rate = usual.per_weight * self.servers.ready_weight;
         let rate = own_rate.max(self.quota.share_of(now, LEAST_PACE));
         self.setups.tokens.take();
-        self.setups.next_send = now + (SECOND as f64 / rate) as Micros;
+        self.setups.next_send_at = now + (SECOND as f64 / rate) as Micros;
     }
 
     /// Advances virtual time to the turn that was due first, and schedules the next turn of the selected
@@ -153,7 +154,7 @@
 
 /// Examines each ready server: makes it half-open if its pause has ended, refills its budget, and compares
 /// its turn with the earliest so far.
-fn select(
+fn select_candidate(
     servers: &mut Servers,
     settings: &Settings,
     rotation: &Rotation,
@@ -169,10 +170,10 @@
         if s.breaker.is_paused(now) {
             continue;
         }
-        reopen_if_lapsed(s, rotation);
+        schedule_trial_if_lapsed(s, rotation);
         let limit = setup_limit(s, settings, rotation, now, usual, constraints);
         s.budget.refill(limit, now);
-        if may_take(id, s, limit, constraints) {
+        if may_take_request(id, s, limit, constraints) {
             selection.offer(id, s, constraints);
         }
     }
@@ -181,7 +182,7 @@
 
 /// Makes a server half-open if its pause has ended. The trial comes at this node's own position in the
 /// rotation order, so that the nodes do not all try the server at the same full second.
-fn reopen_if_lapsed(s: &mut Server, rotation: &Rotation) {
+fn schedule_trial_if_lapsed(s: &mut Server, rotation: &Rotation) {
     if s.breaker.half_open_if_lapsed() {
         let trial_due = rotation.virtual_time + s.turn.ring_position / s.listing.weight;
         s.turn.next_due = s.turn.next_due.max(trial_due);
@@ -200,14 +201,14 @@
     // Most servers that hold connections of this node are overloaded, so servers without news are likely to
     // be overloaded as well. If each request tried one such server after another, no request would be
     // rejected (incident i118c6b).
-    let is_unheard = constraints.affinity.is_none() && s.connections.open.is_empty();
-    if rotation.mostly_overloaded && limit.is_none() && is_unheard {
-        return Some(SetupLimit::at_rate(usual.per_weight * s.listing.weight * UNHEARD));
+    let is_unobserved = constraints.affinity.is_none() && s.connections.open.is_empty();
+    if rotation.mostly_overloaded && limit.is_none() && is_unobserved {
+        return Some(SetupLimit::at_rate(usual.per_weight * s.listing.weight * UNOBSERVED_RATE_FACTOR));
     }
     limit
 }
 
-fn may_take(id: ServerId, s: &Server, limit: Option<SetupLimit>, constraints: &Constraints) -> bool {
+fn may_take_request(id: ServerId, s: &Server, limit: Option<SetupLimit>, constraints: &Constraints) -> bool {
     constraints.dedup_group.is_none_or(|group| group.contains(s.listing.locality))
         && constraints.verdict.allows(id)
         && !s.breaker.is_on_trial()
--- a/crates/decision/src/policy/server.rs
+++ b/crates/decision/src/policy/server.rs
@@ -29,7 +29,7 @@
     }
 
     /// Returns the server with this number; creates the server if it does not exist.
-    pub(super) fn entry(&mut self, id: ServerId) -> &mut Server {
+    pub(super) fn get_or_create(&mut self, id: ServerId) -> &mut Server {
         let index = id.0 as usize;
         if index >= self.all.len() {
             self.all.resize_with(index + 1, Server::default);
@@ -74,7 +74,7 @@
     pub(super) connections: Connections,
     pub(super) peer_reports: PeerReports,
     /// The health that was reported last.
-    pub(super) reported: ServerHealth,
+    pub(super) reported_health: ServerHealth,
 }
 
 /// The server's entry in the server list.
@@ -100,7 +100,7 @@
 /// Message latency of a server according to its latest report.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Latency {
-    pub(super) last: Micros,
+    pub(super) latest: Micros,
     /// When the latency was last so high that the server must have a backlog.
     pub(super) slow_at: Option<Micros>,
 }
@@ -123,7 +123,7 @@
     /// Reports this server's health if it has changed.
     pub(super) fn report_health(&mut self, now: Micros, id: ServerId, out: &mut Vec<Action>) {
         let health = self.health(now);
-        if std::mem::replace(&mut self.reported, health) != health {
+        if std::mem::replace(&mut self.reported_health, health) != health {
             out.push(Action::HealthChanged { server: id, health });
         }
     }
--- a/crates/decision/src/policy/server_list.rs
+++ b/crates/decision/src/policy/server_list.rs
@@ -1,7 +1,7 @@
 //! The server list: how an update changes the state of each server, and when the list is polled.
 
 use super::balancer::{Balancer, POLL_LIST};
-use super::drain::DRAIN_WITHIN;
+use super::drain::DRAIN_PERIOD;
 use super::server::{Connections, Listing, Server};
 use super::turns::Turn;
 use crate::budget::SetupBudget;
@@ -78,23 +78,24 @@
 
     fn apply_entry(&mut self, now: Micros, entry: Entry) {
         let weight = self.weight_of(&entry);
-        let known = self.servers.entry(entry.server);
+        let known = self.servers.get_or_create(entry.server);
         // A server that is put back after a drain gets the next turn. At low traffic, it would otherwise
         // wait long for its turn.
         let is_back = known.connections.drain_deadline.is_some() && entry.state == ServerState::Ready;
         // The server is new or a new incarnation of its process, so the state of an earlier one no longer
         // applies.
         if known.listing.weight == 0.0 || known.listing.started != entry.started || is_back {
-            let (open, reported) = (std::mem::take(&mut known.connections.open), known.reported);
+            let (open, reported_health) =
+                (std::mem::take(&mut known.connections.open), known.reported_health);
             let connections = Connections { open, drain_deadline: None };
             let (turn, budget) = self.first_turn(now, &entry, weight, is_back);
             let listing = Listing { digest: entry.digest, ..Listing::default() };
-            let fresh = Server { listing, turn, budget, connections, reported, ..Server::default() };
-            *self.servers.entry(entry.server) = fresh;
+            let fresh = Server { listing, turn, budget, connections, reported_health, ..Server::default() };
+            *self.servers.get_or_create(entry.server) = fresh;
         }
-        let known = self.servers.entry(entry.server);
+        let known = self.servers.get_or_create(entry.server);
         // The connections of a draining server are migrated even if the server has been removed meanwhile.
-        let deadline = (entry.state == ServerState::Draining).then_some(now + DRAIN_WITHIN);
+        let deadline = (entry.state == ServerState::Draining).then_some(now + DRAIN_PERIOD);
         let connections = &mut known.connections;
         connections.drain_deadline =
             connections.drain_deadline.or(deadline).filter(|_| entry.state != ServerState::Ready);
--- a/crates/decision/src/policy/setup_rates.rs
+++ b/crates/decision/src/policy/setup_rates.rs
@@ -22,7 +22,7 @@
         usual: UsualRates,
     ) -> Option<SetupLimit> {
         let (weight, started) = (self.listing.weight, self.listing.started);
-        SetupLimit::of(settings, now, usual, weight, started, self.breaker.overloaded_at)
+        SetupLimit::of(settings, now, usual, weight, started, self.breaker.last_tripped_at)
     }
 }
 
@@ -38,9 +38,10 @@
         // still includes those.
         let allowed = self.settings.allowance_open();
         let open: usize = self.servers.iter().map(|s| s.connections.open.len()).sum();
-        let own = if allowed > 0.0 { open } else { self.requests.pending.len() } as f64;
-        let full = self.quota.conservative_share_of(now, allowed, own) * self.quota.idle_factor(now);
-        let fill = full * SECOND as f64 / self.settings.slow_start_window.max(SECOND) as f64;
+        let own_count = if allowed > 0.0 { open } else { self.requests.pending.len() } as f64;
+        let full_level =
+            self.quota.conservative_share_of(now, allowed, own_count) * self.quota.idle_factor(now);
+        let fill = full_level * SECOND as f64 / self.settings.slow_start_window.max(SECOND) as f64;
         let fill = if allowed > 0.0 { fill } else { fill.max(rate) };
         UsualRates {
             per_weight: rate / self.servers.ready_weight.max(1e-9),
@@ -62,26 +63,27 @@
     /// Returns how many set-ups per second this node may send; infinite if they are not limited. In a large
     /// fleet, whose status is known, the speed of this node's last set-up says little.
     pub(super) fn setups_per_s(&self, now: Micros) -> f64 {
-        let is_quick = self.quota.fleet(now).is_none() && self.setups.is_quick(now);
+        let is_quick = self.quota.fleet(now).is_none() && self.setups.was_recently_quick(now);
         let allowed = self.settings.allowance_per_s().filter(|_| !is_quick);
         allowed.map_or(f64::INFINITY, |allowed| self.quota.share_of(now, SETUPS * allowed))
     }
 
     /// Returns when a server may next be tried, which is when its pause has ended and its budget has a
     /// token.
-    pub(super) fn next_chance(
+    pub(super) fn next_attempt_at(
         &self,
         now: Micros,
         verdict: &RoutingVerdict,
         dedup_group: Option<DedupGroup>,
     ) -> Micros {
         let usual = self.usual_rates(now);
-        let chance = |s: &Server| {
+        let next_try = |s: &Server| {
             let limit = s.setup_limit(&self.settings, now, usual);
             s.breaker.paused_until.unwrap_or(now).max(s.budget.next_token_at(limit))
         };
-        let is_within = |s: &&Server| dedup_group.is_none_or(|group| group.contains(s.listing.locality));
-        let soonest = self.allowed(verdict).filter(is_within).map(chance).min();
+        let is_in_dedup_group =
+            |s: &&Server| dedup_group.is_none_or(|group| group.contains(s.listing.locality));
+        let soonest = self.allowed(verdict).filter(is_in_dedup_group).map(next_try).min();
         let setups = self.setups.tokens.next_token_at(self.setups_per_s(now));
         soonest.unwrap_or(now + SECOND).max(setups).clamp(now + SECOND / 20, now + SECOND)
     }
