--- a/crates/decision/src/policy/rotation.rs
+++ b/crates/decision/src/policy/rotation.rs
@@ -47,8 +47,8 @@
 struct Selection {
     best: Option<(TurnKey, ServerId)>,
     /// The earliest turn of all servers that may take the request, tried or not: whether the server is
-    /// second choice, and when its turn is due. Preferred servers count first, so virtual time follows
-    /// their turns. Otherwise the turns of the other servers would fall behind, and these servers would
+    /// second choice, and when its turn is due. Preferred servers, if any, come first, so that virtual time
+    /// follows their turns. If it followed the turns of the other servers, these would fall behind and
     /// later get all requests.
     first_due: (bool, f64),
     /// Number of servers that this node has recent news of, and number of those that are overloaded.
--- a/crates/decision/src/policy/setup_rates.rs
+++ b/crates/decision/src/policy/setup_rates.rs
@@ -28,9 +28,9 @@
 
 impl Balancer {
     /// Returns this node's rates of new connections to a server of weight 1, per second: the usual rate,
-    /// and the rate that fills the server within its warm-up. Full is the level of the other servers, or
-    /// the level that the tenants' allowance permits, because a fleet that is a third full has room for
-    /// more.
+    /// and the rate that fills the server within its warm-up. Without an allowance, a server is full at the
+    /// level of the other servers. With one, it is full at the level that tenants may hold, because a fleet
+    /// that is a third full has room for more.
     pub(super) fn usual_rates(&self, now: Micros) -> UsualRates {
         let rate = self.arrivals.per_s(now);
         // Queued requests do not show that there is room, so with an allowance only open connections count.
