--- a/crates/decision/tests/balancer.rs
+++ b/crates/decision/tests/balancer.rs
@@ -25,11 +25,11 @@
 #[test]
 fn rotation_follows_weights() {
     let mut node = Node::new(Settings { weighted: true, ..settings(Idempotency::Idempotent) }, 0);
-    let mut big = entry(0, ServerState::Ready);
-    big.weight = 3.0;
-    node.notify(Event::List { full: true, copy: false, entries: vec![big, entry(1, ServerState::Ready)] });
-    let big_turns = (0..40).filter(|i| node.place(*i) == ServerId(0)).count();
-    assert!((29..=31).contains(&big_turns), "{big_turns} of 40 turns for a server three times as large");
+    let mut large = entry(0, ServerState::Ready);
+    large.weight = 3.0;
+    node.notify(Event::List { full: true, copy: false, entries: vec![large, entry(1, ServerState::Ready)] });
+    let large_turns = (0..40).filter(|i| node.place(*i) == ServerId(0)).count();
+    assert!((29..=31).contains(&large_turns), "{large_turns} of 40 turns for a server three times as large");
 }
 
 #[test]
@@ -57,21 +57,21 @@
         assert_eq!(node.place(id), other, "a paused server is skipped");
     }
     node.now = 101 * S;
-    let again = (10..40).any(|id| {
+    let reached_again = (10..40).any(|id| {
         node.now += 100 * MS;
         node.place(id) == full
     });
-    assert!(again, "the pause ends at the full second");
+    assert!(reached_again, "the pause ends at the full second");
 }
 
 #[test]
 fn lapsed_pause_allows_one_trial() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 2);
-    let bad = node.place(1);
-    node.end(1, bad, Outcome::ConnectFailed, false);
+    let failing = node.place(1);
+    node.end(1, failing, Outcome::ConnectFailed, false);
     node.run_to(103 * S);
-    let to_bad = (10..60).filter(|id| node.place(*id) == bad).count();
-    assert_eq!(to_bad, 1, "a half-open server gets one attempt until its outcome is known");
+    let to_failing = (10..60).filter(|id| node.place(*id) == failing).count();
+    assert_eq!(to_failing, 1, "a half-open server gets one attempt until its outcome is known");
 }
 
 #[test]
@@ -237,19 +237,19 @@
 #[test]
 fn failing_list_service_is_polled_with_backoff() {
     let mut node = Node::new(Settings { list_on_request: true, ..settings(Idempotency::Idempotent) }, 1);
-    let mut asked = Vec::new();
+    let mut polls = Vec::new();
     while node.now < 160 * S {
         let at = node.now + 10 * MS;
         if node.run_to(at).contains(&Action::WatchList) {
-            asked.push(at);
+            polls.push(at);
             node.notify(Event::ListFailed);
         }
     }
     // The operators' rule is that a change counts as notified 6 s after discovery had it, whatever wait is
     // allowed after a failed call. So the waits grow to between two thirds of 4 s and 4 s, at random, and
     // no further.
-    assert!(asked.len() >= 15 && asked.len() <= 22, "{} calls in a minute", asked.len());
-    let waits: Vec<Micros> = asked.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    assert!(polls.len() >= 15 && polls.len() <= 22, "{} calls in a minute", polls.len());
+    let waits: Vec<Micros> = polls.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(waits[0] >= S / 4 && waits[0] < S, "{waits:?}");
     assert!(waits[3..].iter().all(|wait| *wait > 2_600 * MS && *wait <= 4_020 * MS), "{waits:?}");
 }
@@ -265,8 +265,8 @@
     let mut taken = 0;
     for id in 1000..1200 {
         node.run_to(node.now + 5 * MS);
-        let again = Request { again: true, ..request(id, Some(2 * S)) };
-        if let Some((at, _)) = sent(&node.notify(Event::Request(again))) {
+        let returning = Request { again: true, ..request(id, Some(2 * S)) };
+        if let Some((at, _)) = sent(&node.notify(Event::Request(returning))) {
             node.begin(id, at);
             taken += usize::from(at == overloaded_at);
         }
@@ -285,13 +285,17 @@
     let mut warming = entry(9, ServerState::Ready);
     warming.started = Some(node.now);
     node.notify(Event::List { full: false, copy: false, entries: vec![warming] });
-    let mut storm = 0;
+    let mut sent_to_warming = 0;
     for id in 1000..1400 {
         node.run_to(node.now + 2 * MS);
-        let again = Request { again: true, ..request(id, Some(2 * S)) };
-        storm += usize::from(sent(&node.notify(Event::Request(again))).is_some_and(|s| s.0 == ServerId(9)));
+        let returning = Request { again: true, ..request(id, Some(2 * S)) };
+        sent_to_warming +=
+            usize::from(sent(&node.notify(Event::Request(returning))).is_some_and(|s| s.0 == ServerId(9)));
     }
-    assert!(storm <= 3, "{storm} of 400 returning clients were sent to a warming server within a second");
+    assert!(
+        sent_to_warming <= 3,
+        "{sent_to_warming} of 400 returning clients were sent to a warming server within a second"
+    );
 }
 
 /// A server whose backlog exceeds the latency objective earns nothing for any of its connections (found on
@@ -304,13 +308,14 @@
         node.begin(id, at);
     }
     let slow = ServerId(0);
-    let note = |delay| Event::LatencyUpdate { server: slow, latency: delay };
-    let mild = node.notify(note(40 * MS));
+    let latency_report = |delay| Event::LatencyUpdate { server: slow, latency: delay };
+    let mild = node.notify(latency_report(40 * MS));
     assert!(!mild.iter().any(|a| matches!(a, Action::Migrate(_))));
     for id in 100..110 {
         assert_eq!(node.place(id), ServerId(1), "the latency report pauses the server");
     }
-    let moved = node.notify(note(150 * MS)).iter().filter(|a| matches!(a, Action::Migrate(_))).count();
+    let moved =
+        node.notify(latency_report(150 * MS)).iter().filter(|a| matches!(a, Action::Migrate(_))).count();
     assert!(
         (6..=8).contains(&moved),
         "{moved} of 40 migrated, instead of a tenth plus the latency over two seconds"
@@ -390,8 +395,8 @@
     }
     let mut migrated = |delay| {
         node.now += S;
-        let note = Event::LatencyUpdate { server: ServerId(0), latency: delay };
-        node.notify(note).iter().filter(|a| matches!(a, Action::Migrate(_))).count()
+        let latency_report = Event::LatencyUpdate { server: ServerId(0), latency: delay };
+        node.notify(latency_report).iter().filter(|a| matches!(a, Action::Migrate(_))).count()
     };
     assert!(migrated(500 * MS) > 0);
     assert_eq!(migrated(300 * MS), 0);
@@ -431,8 +436,8 @@
     let mut sends = 0;
     for id in 1000..1100 {
         node.run_to(node.now + 20 * MS);
-        let again = Request { again: true, ..request(id, Some(2 * S)) };
-        let mut actions = node.notify(Event::Request(again));
+        let returning = Request { again: true, ..request(id, Some(2 * S)) };
+        let mut actions = node.notify(Event::Request(returning));
         while let Some((at, _)) = sent(&actions) {
             sends += 1;
             actions = node.end(id, at, Outcome::Error, false);
@@ -446,20 +451,20 @@
 fn draining_server_is_emptied_in_rounds() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 2);
     node.carry(0..20, 50 * MS);
-    let there = node.placed_at(ServerId(0));
-    assert!(there.len() >= 8, "{there:?}");
+    let on_draining_server = node.placed_at(ServerId(0));
+    assert!(on_draining_server.len() >= 8, "{on_draining_server:?}");
     let draining = Event::List { full: false, copy: false, entries: vec![entry(0, ServerState::Draining)] };
     let mut moved = migrated(&node.notify(draining));
     assert!(moved.len() <= 1, "the connections are not all migrated at once: {moved:?}");
     let notified = node.now;
     moved.extend(migrated(&node.run_to(notified + S)));
     assert!(
-        (2..there.len()).contains(&moved.len()),
+        (2..on_draining_server.len()).contains(&moved.len()),
         "the migrations are spread over the drain time: {moved:?}"
     );
     moved.extend(migrated(&node.run_to(notified + 2 * S + 200 * MS)));
     moved.sort_unstable();
-    assert_eq!(moved, there, "each connection is migrated once, and none of another server's");
+    assert_eq!(moved, on_draining_server, "each connection is migrated once, and none of another server's");
 }
 
 #[test]
@@ -499,7 +504,7 @@
 #[test]
 fn manual_return_resets_state_and_is_next() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 3);
-    let by_hand =
+    let manual_override =
         |state, started| Event::ManualOverride { entries: vec![Entry { started, ..entry(0, state) }] };
     node.carry(100..130, 100 * MS);
     let mut id = 200;
@@ -512,7 +517,7 @@
         id += 1;
     }
     node.end(id, ServerId(0), Outcome::ConnectFailed, false);
-    node.notify(by_hand(ServerState::Draining, None));
+    node.notify(manual_override(ServerState::Draining, None));
     for id in 300..330 {
         node.run_to(node.now + 100 * MS);
         let at = node.place(id);
@@ -520,7 +525,7 @@
         node.begin(id, at);
     }
     let started = Some(node.now);
-    node.notify(by_hand(ServerState::Ready, started));
+    node.notify(manual_override(ServerState::Ready, started));
     assert_eq!(node.place(400), ServerId(0), "the server is not paused and gets the next turn");
     node.begin(400, ServerId(0));
     let burst: Vec<ServerId> = (401..411).map(|id| node.place(id)).collect();
--- a/crates/decision/tests/invariants.rs
+++ b/crates/decision/tests/invariants.rs
@@ -31,21 +31,21 @@
     Outcome::NotSent,
 ];
 
-struct Open {
+struct TrackedRequest {
     deadline: Micros,
-    out: Option<(ServerId, Micros)>,
-    begun: bool,
+    attempt: Option<(ServerId, Micros)>,
+    established: bool,
     sends: u32,
     may_have_run: Option<(ServerId, Micros)>,
 }
 
 /// Runs one random sequence of events, and checks every action against the rules of the interface.
-fn play(seed: u64, idempotency: Idempotency) {
+fn run_sequence(seed: u64, idempotency: Idempotency) {
     let mut rng = Rng(seed);
     let mut node = Node::new(settings(idempotency), 6);
     let mut listed: BTreeMap<u32, ServerState> = (0..6).map(|s| (s, ServerState::Ready)).collect();
-    let mut open: BTreeMap<u64, Open> = BTreeMap::new();
-    let mut over: BTreeSet<u64> = BTreeSet::new();
+    let mut open: BTreeMap<u64, TrackedRequest> = BTreeMap::new();
+    let mut finished: BTreeSet<u64> = BTreeSet::new();
     let mut answers = 0;
     let mut next_id = 1;
     for _ in 0..3000 {
@@ -54,20 +54,29 @@
         loop {
             let due = node.timers.iter().map(|t| t.0).min().unwrap_or(at).min(at);
             let mut actions = node.run_to(due.max(node.now));
-            check(&mut node, &mut actions, &mut open, &mut over, &mut answers, &listed, idempotency);
+            check(&mut node, &mut actions, &mut open, &mut finished, &mut answers, &listed, idempotency);
             if due == at {
                 break;
             }
         }
-        let pick = rng.next(open.len() as u64) as usize;
-        let chosen = open.keys().nth(pick).copied();
+        let index = rng.next(open.len() as u64) as usize;
+        let chosen = open.keys().nth(index).copied();
         let mut actions = match rng.next(12) {
             0..=3 => {
                 let id = next_id;
                 next_id += 1;
                 let left = 200 * MS + rng.next(2000) as Micros * MS;
                 let deadline = node.now + left;
-                open.insert(id, Open { deadline, out: None, begun: false, sends: 0, may_have_run: None });
+                open.insert(
+                    id,
+                    TrackedRequest {
+                        deadline,
+                        attempt: None,
+                        established: false,
+                        sends: 0,
+                        may_have_run: None,
+                    },
+                );
                 node.ask(id, left)
             }
             4 => {
@@ -79,57 +88,57 @@
                 changed.started = (rng.next(2) == 0).then_some(node.now);
                 node.notify(Event::List { full: false, copy: false, entries: vec![changed] })
             }
-            5 => match chosen.filter(|id| open[id].out.is_none()) {
+            5 => match chosen.filter(|id| open[id].attempt.is_none()) {
                 Some(id) => {
                     open.remove(&id);
-                    over.insert(id);
+                    finished.insert(id);
                     node.notify(Event::ClientClosed(RequestId(id)))
                 }
                 None => vec![],
             },
-            6..=7 => match chosen.and_then(|id| Some((id, open[&id].out?))) {
-                Some((id, (server, _))) if !open[&id].begun => {
-                    open.get_mut(&id).unwrap().begun = true;
+            6..=7 => match chosen.and_then(|id| Some((id, open[&id].attempt?))) {
+                Some((id, (server, _))) if !open[&id].established => {
+                    open.get_mut(&id).unwrap().established = true;
                     node.begin(id, server)
                 }
                 _ => vec![],
             },
-            _ => match chosen.and_then(|id| Some((id, open[&id].out?))) {
+            _ => match chosen.and_then(|id| Some((id, open[&id].attempt?))) {
                 Some((id, (server, sent))) => {
                     let entry = open.get_mut(&id).unwrap();
                     let outcome = OUTCOMES[rng.next(8) as usize];
-                    let last = entry.begun || outcome == Outcome::Served;
-                    entry.out = None;
+                    let last = entry.established || outcome == Outcome::Served;
+                    entry.attempt = None;
                     if !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent) {
                         entry.may_have_run.get_or_insert((server, sent));
                     }
                     if last {
                         open.remove(&id);
-                        over.insert(id);
+                        finished.insert(id);
                     }
                     node.end(id, server, outcome, last)
                 }
                 None => vec![],
             },
         };
-        check(&mut node, &mut actions, &mut open, &mut over, &mut answers, &listed, idempotency);
+        check(&mut node, &mut actions, &mut open, &mut finished, &mut answers, &listed, idempotency);
         // Attempts end at the client's deadline at the latest, as the interface's limited time-outs
         // require.
         let due: Vec<u64> = open
             .iter()
-            .filter(|(_, o)| !o.begun && o.out.is_some() && o.deadline <= node.now)
+            .filter(|(_, o)| !o.established && o.attempt.is_some() && o.deadline <= node.now)
             .map(|(id, _)| *id)
             .collect();
         for id in due {
             let entry = open.get_mut(&id).unwrap();
-            let (server, sent) = entry.out.take().unwrap();
+            let (server, sent) = entry.attempt.take().unwrap();
             entry.may_have_run.get_or_insert((server, sent));
             let mut actions = node.end(id, server, Outcome::TimedOut, false);
-            check(&mut node, &mut actions, &mut open, &mut over, &mut answers, &listed, idempotency);
+            check(&mut node, &mut actions, &mut open, &mut finished, &mut answers, &listed, idempotency);
             assert!(!open.contains_key(&id), "a request that times out at its deadline is answered at once");
         }
         for (id, entry) in &open {
-            let waiting = entry.out.is_none() && !entry.begun;
+            let waiting = entry.attempt.is_none() && !entry.established;
             assert!(!waiting || node.now <= entry.deadline, "request {id} was queued past its deadline");
         }
     }
@@ -139,8 +148,8 @@
 fn check(
     node: &mut Node,
     actions: &mut Vec<Action>,
-    open: &mut BTreeMap<u64, Open>,
-    over: &mut BTreeSet<u64>,
+    open: &mut BTreeMap<u64, TrackedRequest>,
+    finished: &mut BTreeSet<u64>,
     answers: &mut u32,
     listed: &BTreeMap<u32, ServerState>,
     idempotency: Idempotency,
@@ -148,9 +157,12 @@
     for action in actions.drain(..) {
         match action {
             Action::Send { request, server, timeout, .. } => {
-                assert!(!over.contains(&request.0), "an attempt was sent for a request that is over");
+                assert!(!finished.contains(&request.0), "an attempt was sent for a request that is over");
                 let entry = open.get_mut(&request.0).expect("attempts are sent only for known requests");
-                assert!(entry.out.is_none() && !entry.begun, "two attempts of one request at a time");
+                assert!(
+                    entry.attempt.is_none() && !entry.established,
+                    "two attempts of one request at a time"
+                );
                 assert!(timeout >= 0 && node.now + timeout <= entry.deadline);
                 assert_eq!(
                     listed.get(&server.0),
@@ -170,24 +182,24 @@
                     }
                     _ => {}
                 }
-                entry.out = Some((server, node.now));
+                entry.attempt = Some((server, node.now));
             }
             Action::Reject { request, retry_after, .. } => {
                 let entry = open.remove(&request.0).expect("one answer for a known request");
-                assert!(retry_after >= 0 && entry.out.is_none());
-                let ran = entry.may_have_run.is_some();
-                let fair = match idempotency {
+                assert!(retry_after >= 0 && entry.attempt.is_none());
+                let may_have_run = entry.may_have_run.is_some();
+                let may_reject = match idempotency {
                     Idempotency::Idempotent => true,
-                    Idempotency::Keyed { scope, .. } => scope == Scope::All || !ran,
-                    Idempotency::NotIdempotent => !ran,
+                    Idempotency::Keyed { scope, .. } => scope == Scope::All || !may_have_run,
+                    Idempotency::NotIdempotent => !may_have_run,
                 };
-                assert!(fair, "rejected although an attempt may have run");
-                over.insert(request.0);
+                assert!(may_reject, "rejected although an attempt may have run");
+                finished.insert(request.0);
                 *answers += 1;
             }
             Action::Fail { request, .. } => {
                 open.remove(&request.0).expect("one answer for a known request");
-                over.insert(request.0);
+                finished.insert(request.0);
                 *answers += 1;
             }
             Action::Timer { after, .. } => assert!(after > 0),
@@ -198,18 +210,18 @@
 
 #[test]
 fn invariants_hold_for_idempotent_requests() {
-    (1..30).for_each(|seed| play(seed, Idempotency::Idempotent));
+    (1..30).for_each(|seed| run_sequence(seed, Idempotency::Idempotent));
 }
 
 #[test]
 fn invariants_hold_for_non_idempotent_requests() {
-    (1..30).for_each(|seed| play(seed, Idempotency::NotIdempotent));
+    (1..30).for_each(|seed| run_sequence(seed, Idempotency::NotIdempotent));
 }
 
 #[test]
 fn invariants_hold_for_keyed_requests() {
     for scope in [Scope::All, Scope::Zone, Scope::Cell] {
-        (1..20).for_each(|seed| play(seed, Idempotency::Keyed { scope, window: 700 * MS }));
+        (1..20).for_each(|seed| run_sequence(seed, Idempotency::Keyed { scope, window: 700 * MS }));
     }
 }
 
@@ -226,30 +238,30 @@
             let id = RequestId(rng.next(40));
             let server = ServerId(rng.next(9) as u32);
             let attempt = rng.next(3) as u32;
-            let odd = [0, -1, 1, Micros::MAX, Micros::MIN, 900 * MS][rng.next(6) as usize];
-            let figure = [0.0, -1.0, f64::MAX, f64::NAN, 5e4][rng.next(5) as usize];
-            let mut wanted = request(id.0, (rng.next(3) > 0).then_some(odd));
-            wanted.class = ClassId(rng.next(3) as u16);
-            wanted.tenant = Some(TenantId(rng.next(3) as u16));
-            wanted.load_hint = Some(figure);
+            let extreme_time = [0, -1, 1, Micros::MAX, Micros::MIN, 900 * MS][rng.next(6) as usize];
+            let extreme_value = [0.0, -1.0, f64::MAX, f64::NAN, 5e4][rng.next(5) as usize];
+            let mut any_request = request(id.0, (rng.next(3) > 0).then_some(extreme_time));
+            any_request.class = ClassId(rng.next(3) as u16);
+            any_request.tenant = Some(TenantId(rng.next(3) as u16));
+            any_request.load_hint = Some(extreme_value);
             let event = match rng.next(12) {
-                0..=2 => Event::Request(wanted),
-                3 => Event::Open { request: wanted, server },
-                4 => Event::Established { request: id, attempt, server, elapsed: odd },
+                0..=2 => Event::Request(any_request),
+                3 => Event::Open { request: any_request, server },
+                4 => Event::Established { request: id, attempt, server, elapsed: extreme_time },
                 5 => {
                     let outcome = OUTCOMES[rng.next(8) as usize];
                     Event::Ended { request: id, attempt, server, outcome, last: rng.next(2) == 0 }
                 }
-                6 => Event::LoadUpdate { request: id, load: figure },
-                7 => Event::LatencyUpdate { server, latency: odd },
+                6 => Event::LoadUpdate { request: id, load: extreme_value },
+                7 => Event::LatencyUpdate { server, latency: extreme_time },
                 8 => Event::ClientClosed(id),
                 9 => {
-                    let report = Some(vec![figure; rng.next(4) as usize]).filter(|_| rng.next(2) == 0);
+                    let report = Some(vec![extreme_value; rng.next(4) as usize]).filter(|_| rng.next(2) == 0);
                     Event::Probed { server, report }
                 }
                 10 => {
                     let mut e = entry(server.0, ServerState::Ready);
-                    (e.started, e.weight) = (Some(odd), figure);
+                    (e.started, e.weight) = (Some(extreme_time), extreme_value);
                     Event::List { full: rng.next(2) == 0, copy: false, entries: vec![e] }
                 }
                 _ if rng.next(2) == 0 => Event::ListFailed,
--- a/crates/decision/tests/memory.rs
+++ b/crates/decision/tests/memory.rs
@@ -20,9 +20,9 @@
 
 /// Most bytes for each standing connection: its pending request, and its entries in the tree of requests
 /// and in the list of its server's connections.
-const A_CONNECTION: f64 = 400.0;
+const MAX_BYTES_PER_CONNECTION: f64 = 400.0;
 /// Most bytes for each render node.
-const A_NODE: f64 = 400.0;
+const MAX_BYTES_PER_NODE: f64 = 400.0;
 
 /// How connections come about: placed by the balancer one after another, or reported as already open. The
 /// latter is quicker with thousands of nodes, and leaves out the list of servers that were tried.
@@ -62,7 +62,7 @@
 /// This file has only one test, because allocations of other tests in the process would be counted too.
 #[test]
 fn memory_grows_with_connections_plus_nodes() {
-    let all: [u64; 4] = [1_000, 10_000, 45_455, 90_909];
+    let connection_counts: [u64; 4] = [1_000, 10_000, 45_455, 90_909];
     let cases = [
         (16, Origin::Placed),
         (16, Origin::Open),
@@ -72,23 +72,26 @@
     ];
     for (nodes, origin) in cases {
         let empty = allocated_bytes(nodes, 0, origin);
-        for connections in all {
+        for connections in connection_counts {
             let bytes = allocated_bytes(nodes, connections, origin);
-            let each = (bytes - empty) / connections as f64;
+            let bytes_each = (bytes - empty) / connections as f64;
             let placed = origin == Origin::Placed;
             println!(
-                r#"{{"what":"decision heap","nodes":{nodes},"placed":{placed},"connections":{connections},"bytes":{bytes:.0},"bytes_a_connection":{each:.1}}}"#
+                r#"{{"what":"decision heap","nodes":{nodes},"placed":{placed},"connections":{connections},"bytes":{bytes:.0},"bytes_a_connection":{bytes_each:.1}}}"#
+            );
+            assert!(
+                bytes_each < MAX_BYTES_PER_CONNECTION,
+                "{nodes} nodes, {connections}: {bytes_each} bytes a connection"
             );
-            assert!(each < A_CONNECTION, "{nodes} nodes, {connections}: {each} bytes a connection");
         }
     }
     for nodes in [90_u32, 1_024, 4_096] {
         let bytes = allocated_bytes(nodes, 0, Origin::Open);
-        let each = bytes / f64::from(nodes);
+        let bytes_each = bytes / f64::from(nodes);
         println!(
-            r#"{{"what":"decision heap","nodes":{nodes},"connections":0,"bytes":{bytes:.0},"bytes_a_node":{each:.1}}}"#
+            r#"{{"what":"decision heap","nodes":{nodes},"connections":0,"bytes":{bytes:.0},"bytes_a_node":{bytes_each:.1}}}"#
         );
-        assert!(each < A_NODE, "{nodes} nodes: {each} bytes a node");
+        assert!(bytes_each < MAX_BYTES_PER_NODE, "{nodes} nodes: {bytes_each} bytes a node");
     }
     // Both at once cost as much as each alone, except that the lists of connections double in size as they
     // grow.
--- a/crates/decision/tests/peer_reports.rs
+++ b/crates/decision/tests/peer_reports.rs
@@ -15,28 +15,28 @@
 }
 
 /// Creates a node that has no recent outcomes from its servers, in the middle of a second.
-fn quiet(servers: u32) -> Node {
+fn quiet_node(servers: u32) -> Node {
     let mut node = Node::new(settings(Idempotency::Idempotent), servers);
     node.now = 200 * S + 300 * MS;
     node
 }
 
 fn paused(node: &Node) -> Vec<u32> {
-    let mut beliefs = std::collections::BTreeMap::new();
+    let mut health_by_server = std::collections::BTreeMap::new();
     for action in &node.done {
-        if let Action::HealthChanged { server, health: belief } = action {
-            beliefs.insert(server.0, *belief);
+        if let Action::HealthChanged { server, health } = action {
+            health_by_server.insert(server.0, *health);
         }
     }
     let now = node.now;
-    let still = |b: &ServerHealth| matches!(b, ServerHealth::Paused { until } if *until > now);
-    beliefs.into_iter().filter(|(_, belief)| still(belief)).map(|(server, _)| server).collect()
+    let is_paused = |health: &ServerHealth| matches!(health, ServerHealth::Paused { until } if *until > now);
+    health_by_server.into_iter().filter(|(_, health)| is_paused(health)).map(|(server, _)| server).collect()
 }
 
 /// A single peer cannot pause a server, however often it repeats its report.
 #[test]
 fn single_peer_cannot_pause_server() {
-    let mut node = quiet(8);
+    let mut node = quiet_node(8);
     for _ in 0..10 {
         for server in 0..8 {
             report(&mut node, 3, server, PeerVerdict::Unhealthy);
@@ -48,7 +48,7 @@
 /// After the pause, the server gets one trial.
 #[test]
 fn two_agreeing_peers_pause_until_next_mark() {
-    let mut node = quiet(8);
+    let mut node = quiet_node(8);
     report(&mut node, 3, 5, PeerVerdict::Unhealthy);
     report(&mut node, 4, 5, PeerVerdict::Unhealthy);
     assert_eq!(paused(&node), [5]);
@@ -61,7 +61,7 @@
 
 #[test]
 fn stale_reports_do_not_add_up() {
-    let mut node = quiet(8);
+    let mut node = quiet_node(8);
     report(&mut node, 3, 5, PeerVerdict::Unhealthy);
     node.now += 3 * S + 1;
     report(&mut node, 4, 5, PeerVerdict::Unhealthy);
@@ -70,7 +70,7 @@
 
 #[test]
 fn one_report_and_own_failure_suffice() {
-    let mut node = quiet(8);
+    let mut node = quiet_node(8);
     let at = node.place(1);
     node.end(1, at, Outcome::Full, true);
     node.now = 201 * S + 10 * MS;
@@ -81,7 +81,7 @@
 
 #[test]
 fn own_recent_success_outweighs_reports() {
-    let mut node = quiet(8);
+    let mut node = quiet_node(8);
     let at = node.place(1);
     node.begin(1, at);
     for from in 1..200 {
@@ -92,7 +92,7 @@
 
 #[test]
 fn contradicting_peers_do_not_pause() {
-    let mut node = quiet(8);
+    let mut node = quiet_node(8);
     report(&mut node, 1, 5, PeerVerdict::Healthy);
     report(&mut node, 2, 5, PeerVerdict::Healthy);
     report(&mut node, 3, 5, PeerVerdict::Unhealthy);
@@ -102,7 +102,7 @@
 
 #[test]
 fn reports_pause_at_most_a_quarter() {
-    let mut node = quiet(16);
+    let mut node = quiet_node(16);
     for server in 0..16 {
         for from in 1..5 {
             report(&mut node, from, server, PeerVerdict::Unhealthy);
@@ -110,17 +110,17 @@
     }
     assert_eq!(paused(&node).len(), 4);
     // With three servers, a quarter is less than one server, so reports alone pause none.
-    let mut few = quiet(3);
+    let mut small_fleet = quiet_node(3);
     for server in 0..3 {
-        report(&mut few, 1, server, PeerVerdict::Unhealthy);
-        report(&mut few, 2, server, PeerVerdict::Unhealthy);
+        report(&mut small_fleet, 1, server, PeerVerdict::Unhealthy);
+        report(&mut small_fleet, 2, server, PeerVerdict::Unhealthy);
     }
-    assert_eq!(paused(&few), []);
+    assert_eq!(paused(&small_fleet), []);
 }
 
 #[test]
 fn repeated_report_needs_own_trial_first() {
-    let mut node = quiet(8);
+    let mut node = quiet_node(8);
     for round in 0..5 {
         report(&mut node, 1, 5, PeerVerdict::Unhealthy);
         report(&mut node, 2, 5, PeerVerdict::Unhealthy);
@@ -142,7 +142,7 @@
 /// Healthy reports do not end a pause.
 #[test]
 fn healthy_reports_advance_trial_only() {
-    let mut node = quiet(2);
+    let mut node = quiet_node(2);
     // Three failures lead to a pause of several seconds.
     for id in 1..20 {
         node.run_to(node.now + 700 * MS);
--- a/crates/decision/tests/short_deadlines.rs
+++ b/crates/decision/tests/short_deadlines.rs
@@ -12,7 +12,7 @@
 use cottonnotch_decision::*;
 
 /// Settings with `classes` classes of this deadline, and a target of half of it.
-fn patience(deadline: Micros, classes: usize) -> Settings {
+fn settings_with_deadline(deadline: Micros, classes: usize) -> Settings {
     let short = Class { target: deadline / 2, deadline, ..class(Idempotency::Idempotent) };
     Settings { classes: vec![short; classes], ..settings(Idempotency::Idempotent) }
 }
@@ -20,29 +20,29 @@
 #[test]
 fn any_deadline_gets_attempt_and_timely_rejection() {
     for deadline in [10 * MS, 40 * MS, 100 * MS, 300 * MS, S, 2 * S] {
-        let mut node = Node::new(patience(deadline, 1), 2);
-        let told = format!("deadline {} ms", deadline / MS);
+        let mut node = Node::new(settings_with_deadline(deadline, 1), 2);
+        let context = format!("deadline {} ms", deadline / MS);
         let (first, timeout) =
-            sent(&node.ask(1, deadline)).unwrap_or_else(|| panic!("{told}: no attempt was made"));
-        assert!((1..=deadline / 2).contains(&timeout), "{told}: time-out {timeout}");
+            sent(&node.ask(1, deadline)).unwrap_or_else(|| panic!("{context}: no attempt was made"));
+        assert!((1..=deadline / 2).contains(&timeout), "{context}: time-out {timeout}");
         // Half of the client's time has passed, and the other server is healthy.
         node.run_to(node.now + deadline / 2);
         let (second, _) = sent(&node.end(1, first, Outcome::TimedOut, false))
-            .unwrap_or_else(|| panic!("{told}: no second attempt with half of the time left"));
-        assert_ne!(first, second, "{told}");
+            .unwrap_or_else(|| panic!("{context}: no second attempt with half of the time left"));
+        assert_ne!(first, second, "{context}");
         // The second server is full and there is no other, so the request is answered before the client
         // gives up.
         let gives_up = node.now + deadline / 2;
         node.end(1, second, Outcome::Full, false);
         node.run_to(gives_up - 1);
-        assert!(rejected(&node.done), "{told}: no answer in time");
+        assert!(rejected(&node.done), "{context}: no answer in time");
     }
 }
 
 #[test]
 fn queued_request_is_answered_before_deadline() {
     for deadline in [40 * MS, 100 * MS, 300 * MS, S, 60 * S] {
-        let mut node = Node::new(patience(deadline, 1), 0);
+        let mut node = Node::new(settings_with_deadline(deadline, 1), 0);
         let gives_up = node.now + deadline;
         node.ask(1, deadline);
         node.run_to(gives_up - deadline.min(S) / 100);
@@ -53,7 +53,7 @@
 #[test]
 fn deadlines_over_a_second_use_full_margins() {
     for deadline in [S, 2 * S, 60 * S] {
-        let mut node = Node::new(patience(deadline, 1), 1);
+        let mut node = Node::new(settings_with_deadline(deadline, 1), 1);
         assert!(sent(&node.ask(1, 60 * MS)).is_some());
         assert!(rejected(&node.ask(2, 60 * MS - 1)), "too little time is left for an attempt");
     }
@@ -61,8 +61,9 @@
 
 #[test]
 fn attempt_without_target_gets_half_the_time_left() {
-    let untold = Class { target: 0, ..class(Idempotency::Idempotent) };
-    let mut node = Node::new(Settings { classes: vec![untold], ..settings(Idempotency::Idempotent) }, 2);
+    let without_target = Class { target: 0, ..class(Idempotency::Idempotent) };
+    let mut node =
+        Node::new(Settings { classes: vec![without_target], ..settings(Idempotency::Idempotent) }, 2);
     assert_eq!(sent(&node.ask(1, 600 * MS)).expect("sent").1, 300 * MS);
     let unbounded = sent(&node.notify(Event::Request(request(2, None)))).expect("sent");
     assert_eq!(unbounded.1, S);
@@ -75,20 +76,20 @@
 
 #[test]
 fn queued_retry_is_answered_at_window_end() {
-    for (scope, refusable) in [(Scope::All, true), (Scope::Zone, false), (Scope::Cell, false)] {
+    for (scope, rejectable) in [(Scope::All, true), (Scope::Zone, false), (Scope::Cell, false)] {
         for window in [120 * MS, 380 * MS, 777 * MS] {
             let mut node = Node::new(keyed(scope, window), 1);
-            let begun = node.now;
+            let started_at = node.now;
             let at = sent(&node.ask(1, 30 * S)).expect("sent").0;
-            node.run_to(begun + 20 * MS);
+            node.run_to(started_at + 20 * MS);
             assert!(sent(&node.end(1, at, Outcome::Reset, false)).is_none(), "the only server is paused");
-            node.run_to(begun + window - 1);
+            node.run_to(started_at + window - 1);
             assert!(
                 !rejected(&node.done) && !failed(&node.done),
                 "{scope:?}, window {window} us: the request was answered while a repeat was still allowed"
             );
-            node.run_to(begun + window + MS);
-            let answered = if refusable { rejected(&node.done) } else { failed(&node.done) };
+            node.run_to(started_at + window + MS);
+            let answered = if rejectable { rejected(&node.done) } else { failed(&node.done) };
             assert!(
                 answered,
                 "{scope:?}, window {} ms: the request was queued beyond the window's end",
@@ -108,10 +109,13 @@
     let second =
         sent(&node.end(1, first, Outcome::Reset, false)).expect("the cell's other server gets the retry").0;
     assert_eq!(first.0 / 2, second.0 / 2);
-    let looks = node.timers.len();
+    let earlier_timers = node.timers.len();
     assert!(sent(&node.end(1, second, Outcome::Full, false)).is_none(), "the request is queued");
-    let set = node.timers[looks..].iter().map(|(at, _)| *at).min();
-    assert!(set >= Some(101 * S), "the queue is not tried again before the pauses end: {set:?}");
+    let next_timer = node.timers[earlier_timers..].iter().map(|(at, _)| *at).min();
+    assert!(
+        next_timer >= Some(101 * S),
+        "the queue is not tried again before the pauses end: {next_timer:?}"
+    );
 }
 
 #[test]
