--- a/crates/decision/src/pending_request.rs
+++ b/crates/decision/src/pending_request.rs
@@ -98,8 +98,8 @@
         weight / load.max(1e-9)
     }
 
-    /// Scales a time that holds for clients that wait [`REFERENCE_WAIT`] or more to the wait of this client.
-    /// Without scaling, requests of a class whose deadline is a tenth of that would never be attempted.
+    /// Scales a time that is stated for [`REFERENCE_WAIT`] down to the wait of this client. Without
+    /// scaling, requests of a class whose deadline is a tenth of that would never be attempted.
     fn scaled_to_wait(&self, settings: &Settings, at_reference_wait: Micros) -> Micros {
         let stated_wait =
             settings.classes.get(self.class_index()).map(|c| c.deadline).filter(|deadline| *deadline > 0);
--- a/crates/decision/src/policy/arrivals.rs
+++ b/crates/decision/src/policy/arrivals.rs
@@ -5,7 +5,7 @@
 
 /// Time constant of the average of arrivals, in seconds.
 const RATE_TIME_CONSTANT_S: f64 = 20.0;
-/// Each set-up counts for one part in this many of the failure ratio.
+/// Length of the moving average of failures, in set-ups: each set-up has a weight of one part in this many.
 const FAILURE_AVERAGE_LENGTH: f64 = 8.0;
 
 /// An exponentially decaying count of arrivals.
--- a/crates/decision/src/policy/dispatch.rs
+++ b/crates/decision/src/policy/dispatch.rs
@@ -187,7 +187,8 @@
         }
     }
 
-    /// Forgets a request that is owed nothing more, also in the queue and among its server's connections.
+    /// Forgets a request whose client is owed nothing more. Removes it from the queue and from its server's
+    /// connections.
     pub(super) fn finish(&mut self, id: RequestId) {
         let server = self.requests.pending.remove(&id).and_then(|pending| pending.server);
         if let Some(s) = server.and_then(|server| self.servers.get_mut(server)) {
--- a/crates/decision/src/policy/latency.rs
+++ b/crates/decision/src/policy/latency.rs
@@ -5,8 +5,8 @@
 use crate::rules::Stickiness;
 use std::collections::BTreeMap;
 
-/// Fraction of a node's connections to a server that the node migrates for each report of messages over the
-/// latency objective. The fraction grows with the latency, so that the backlog is cleared within about
+/// Fraction of a node's connections to a server that the node migrates for each report of slow messages.
+/// The latency adds to this fraction, so that a larger backlog is also cleared within about
 /// [`CLEAR_WITHIN_US`].
 const MOVED_PER_REPORT: f64 = 0.1;
 /// Time in which a backlog is cleared, in microseconds.
--- a/crates/decision/src/policy/outcomes.rs
+++ b/crates/decision/src/policy/outcomes.rs
@@ -7,7 +7,7 @@
 use crate::interface::*;
 
 /// Number of nodes that must agree before a report has an effect. This node's own experience counts as one
-/// of them. A single node may itself be cut off.
+/// of them. One node alone is not enough, because it may itself be cut off.
 const QUORUM: usize = 2;
 /// Largest fraction of the servers that reports alone may keep paused at a time: as many as are known to
 /// die together (24%). However many nodes report falsely, the other servers stay in use, and the paused
@@ -83,9 +83,9 @@
         self.dispatch_queued(now, out);
     }
 
-    /// Handles another node's report of a server, together with the other nodes' reports and this node's
-    /// own experience. A report is evidence, not a command: if it is confirmed, it pauses the server or
-    /// brings the trial forward.
+    /// Weighs another node's report of a server together with the other nodes' reports and this node's own
+    /// experience. A report is evidence, not a command: if it is confirmed, it pauses the server or brings
+    /// the trial forward.
     pub(super) fn peer_reported(
         &mut self,
         now: Micros,
--- a/crates/decision/src/policy/server.rs
+++ b/crates/decision/src/policy/server.rs
@@ -69,7 +69,7 @@
     pub(super) breaker: CircuitBreaker,
     pub(super) latency: Latency,
     /// Token bucket of new connections. It applies while the server is warming up, after it was overloaded
-    /// or failed, and while it has sent no news and most others are overloaded.
+    /// or failed, and while this node has no news of it and most other servers are overloaded.
     pub(super) budget: SetupBudget,
     pub(super) connections: Connections,
     pub(super) peer_reports: PeerReports,
@@ -110,7 +110,7 @@
 pub(super) struct Connections {
     /// The established connections.
     pub(super) open: Vec<RequestId>,
-    /// When the last connections are migrated, if the server drains.
+    /// When the last connections are migrated, if the server drains; `None` if it does not.
     pub(super) drain_deadline: Option<Micros>,
 }
 
