--- a/crates/decision/tests/balancer.rs
+++ b/crates/decision/tests/balancer.rs
@@ -343,7 +343,7 @@
 /// Groups whose connections were spread over the fleet multiplied its work (incident ie5ddb3).
 #[test]
 fn group_rotates_over_common_subset() {
-    let places = |ordinal, groups| {
+    let turns_by_server = |ordinal, groups| {
         let mut node =
             Node::new(Settings { ordinal, nodes: 8, groups, ..settings(Idempotency::Idempotent) }, 12);
         let mut turns = std::collections::BTreeMap::new();
@@ -354,14 +354,18 @@
         }
         turns
     };
-    let one = places(0, true);
+    let first_node = turns_by_server(0, true);
     assert_eq!(
-        one.values().copied().collect::<Vec<i32>>(),
+        first_node.values().copied().collect::<Vec<i32>>(),
         [3; 5],
-        "the connections rotate over the group's subset: {one:?}"
+        "the connections rotate over the group's subset: {first_node:?}"
+    );
+    assert!((1..8).all(|node| turns_by_server(node, true) == first_node), "all nodes use the same subset");
+    assert_eq!(
+        turns_by_server(0, false).len(),
+        12,
+        "where groups share no work, connections rotate over all servers"
     );
-    assert!((1..8).all(|node| places(node, true) == one), "all nodes use the same subset");
-    assert_eq!(places(0, false).len(), 12, "where groups share no work, connections rotate over all servers");
 }
 
 /// Under overload, each group was sent to some server of which its node had no news (found on nachhoeren
--- a/crates/decision/tests/memory.rs
+++ b/crates/decision/tests/memory.rs
@@ -93,8 +93,8 @@
         );
         assert!(bytes_each < MAX_BYTES_PER_NODE, "{nodes} nodes: {bytes_each} bytes a node");
     }
-    // Both at once cost as much as each alone, except that the lists of connections double in size as they
-    // grow.
+    // Both at once cost as much as the sum of each alone, except that the lists of connections double in
+    // size as they grow.
     let (nodes, connections) =
         (allocated_bytes(4_096, 0, Origin::Open), allocated_bytes(16, 90_909, Origin::Open));
     let both = allocated_bytes(4_096, 90_909, Origin::Open);
