--- a/crates/kit/src/judge/answers.rs
+++ b/crates/kit/src/judge/answers.rs
@@ -1,4 +1,5 @@
-//! Rules on the answers that clients read: exactly one final answer, by its deadline, from a render node.
+//! Rules on the answers that clients read: a request gets exactly one final answer by its deadline, and an `UP` answer
+//! comes from a render node.
 
 use super::deferred_checks::DeferredCheck;
 use super::processes::EXIT_NOTICE_DELAY;
@@ -8,13 +9,13 @@
 use crate::observation::{Answer, ClientClose, NodeAnswer, ProxyClose, RequestId};
 use crate::time::{MS, Micros};
 
-/// A client's close and its answer within this time of each other have no order: it can give up while the answer is in
-/// transit and still read it.
+/// The order of a client's close and of its answer is not significant within this time: the client can give up while
+/// the answer is in transit and still read the answer.
 const SIMULTANEOUS: Micros = MS;
 
 impl RequestTable {
     pub fn record_submission(&mut self, id: RequestId, submission: Submission) {
-        // A render node may have noted its attempt first.
+        // The observation of the first attempt can precede this one: a render node's thread records it.
         self.requests.entry(id).or_default().submission.get_or_insert(submission);
     }
 
@@ -43,7 +44,8 @@
         }
     }
 
-    /// Matches the receipt that the client read with the attempt that was given it; false if none was yet.
+    /// Matches the receipt that the client read with the attempt that the render node answered with it. Returns false
+    /// if no render node has been observed to issue the receipt yet.
     pub fn match_receipt(
         &mut self,
         at: Micros,
@@ -69,18 +71,20 @@
         true
     }
 
-    /// A render node's observation of the receipt would have arrived by now.
+    /// Reports an `UP` answer whose receipt no render node issued for this request. Runs after the grace time, in which
+    /// a late observation of the render node arrives.
     pub fn check_receipt(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id).filter(|r| r.serving.is_none()) else { return };
         let Some((read, Answer::Up(receipt))) = request.answer else { return };
         let whose = match self.receipts.get(&receipt).and_then(|a| self.by_attempt.get(a)) {
-            Some(other) => format!("a render node gave it for request {:016x}", other.0),
-            None => "no render node gave it".to_owned(),
+            Some(other) => format!("a render node issued it for request {:016x}", other.0),
+            None => "no render node issued it".to_owned(),
         };
         let description = format!("read UP {receipt:016x} at {}; {whose}", format_seconds(read));
         self.report_violation(at, Rule::InventedAnswer, id, description, context.output);
     }
 
+    /// Reports an answer after the deadline, unless the client closed the connection at about the same time.
     pub fn check_late_answer(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id) else { return };
         let (Some(submission), Some((read, _))) = (request.submission, &request.answer) else { return };
@@ -89,7 +93,7 @@
             return;
         }
         let description = format!(
-            "answered at {}, {} ms after its last moment at {}",
+            "answered at {}, {} ms after the latest accepted time {}",
             format_seconds(*read),
             format_millis(read - answer_deadline(&submission, context)),
             format_seconds(answer_deadline(&submission, context))
@@ -131,7 +135,7 @@
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if let Some((ended, ClientEnd::ByProxy(_))) = request.client_end {
-            // The client's close was in transit when the proxy's arrived.
+            // The client closed the connection before the proxy's close reached it.
             if why == ClientClose::Done && at - ended <= context.rules.grace {
                 request.client_end = Some((ended, ClientEnd::ByClient(why)));
             }
@@ -145,7 +149,8 @@
         self.client_finished(at, id, context.output);
     }
 
-    /// A request ended without an answer: by the proxy, or by a client whose deadline had passed.
+    /// Reports a request that ended without an answer: the proxy closed the connection, or the client gave up after the
+    /// deadline.
     pub fn check_missing_answer(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         if let Some(request) = self.requests.get(&id).filter(|r| r.answer.is_none())
             && let Some(description) = describe_loss(request, context)
@@ -154,7 +159,7 @@
         }
     }
 
-    /// Ends the run at `at`: judges the answers that were due by then.
+    /// Ends the run at `at`: reports unanswered open requests whose deadline has passed.
     pub fn finish(&mut self, at: Micros, context: &mut RuleContext) {
         let waiting = |r: &Request| {
             r.answer.is_none()
@@ -185,19 +190,19 @@
         Some((at, ClientEnd::ByClient(_))) => {
             (last, format!("the client gave up at {} without an answer", format_seconds(at)))
         }
-        None => (last, "no answer came".to_owned()),
+        None => (last, "no answer arrived".to_owned()),
     };
     if context.processes.excuses(submission.incarnation, submission.at, broken) {
         return None;
     }
     Some(format!(
-        "taken at {}, one answer was owed by {}: {description}",
+        "submitted at {}, an answer was due by {}: {description}",
         format_seconds(submission.at),
         format_seconds(last)
     ))
 }
 
-/// An answer as text.
+/// Formats an answer as on the wire, with other lines shortened and quoted.
 fn describe_answer(answer: &Answer) -> String {
     match answer {
         Answer::Up(receipt) => format!("UP {receipt:016x}"),
--- a/crates/kit/src/judge/attempts.rs
+++ b/crates/kit/src/judge/attempts.rs
@@ -1,5 +1,5 @@
-//! Rules on the attempts that render nodes receive: one at a time, a bounded number, none after a drain, and each for a
-//! request that a client sent.
+//! Rules on the attempts that render nodes receive: a request has one attempt at a time and a limited number of them, a
+//! draining or removed render node gets none, and each attempt belongs to a request that a client sent.
 
 use super::deferred_checks::DeferredCheck;
 use super::list_knowledge::ListKnowledge;
@@ -11,7 +11,7 @@
 use crate::plan::{ProxyId, SessionId};
 use crate::time::Micros;
 
-/// An attempt as the render node received it.
+/// An attempt as a render node received it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Arrival {
     pub attempt: Attempt,
@@ -22,8 +22,8 @@
 }
 
 impl RequestTable {
-    /// Records an attempt and checks it against the rules on attempts. One that does not belong to its request is
-    /// reported, or left to a deferred check, and not recorded.
+    /// Records an attempt and checks it against the rules on attempts. An attempt that does not belong to its request
+    /// is not recorded: it is reported now or by a deferred check.
     pub fn record_attempt(
         &mut self,
         at: Micros,
@@ -40,7 +40,8 @@
         self.check_drained_node(at, arrival, list_knowledge, context);
     }
 
-    /// Whether the attempt is one of its request: put to the same proxy, or to none yet, and with the session's key.
+    /// Whether the attempt belongs to its request: the client submitted the request to the same proxy, or its
+    /// submission has not been observed yet, and the attempt carries the session's key.
     fn belongs_to_request(&mut self, at: Micros, arrival: Arrival, context: &mut RuleContext) -> bool {
         let Arrival { attempt, request: id, session, proxy, .. } = arrival;
         let request = self.requests.entry(id).or_default();
@@ -85,7 +86,7 @@
         index
     }
 
-    /// An attempt may neither overlap an earlier one nor follow a final answer other than `UP`.
+    /// Checks that the attempt neither overlaps an earlier one nor follows a final answer other than `UP`.
     fn check_order(&mut self, at: Micros, arrival: Arrival, index: usize, context: &mut RuleContext) {
         let Arrival { request: id, first_byte, .. } = arrival;
         let Some(request) = self.requests.get(&id) else { return };
@@ -104,6 +105,7 @@
         }
     }
 
+    /// Checks that the request has no more attempts than allowed.
     fn check_attempt_count(&mut self, at: Micros, id: RequestId, index: usize, context: &mut RuleContext) {
         if index as u32 >= context.rules.attempts {
             let description =
@@ -112,7 +114,8 @@
         }
     }
 
-    /// Nothing new goes to a render node that the proxy knows to drain or to be removed.
+    /// Checks that the attempt does not go to a render node that the proxy has known to be draining or removed for
+    /// longer than the limit.
     fn check_drained_node(
         &mut self,
         at: Micros,
@@ -125,8 +128,8 @@
         let unavailable_since = list_knowledge.unavailable_since(at, proxy, attempt.node);
         let Some(since) = unavailable_since.filter(|since| first_byte > since + limit) else { return };
         let description = format!(
-            "first byte at {}, {} ms after the proxy was told at {} that the render node drains or is gone; {} ms \
-             are allowed",
+            "first byte at {}, {} ms after the proxy learned at {} that the render node is draining or removed; \
+             {} ms are allowed",
             format_seconds(first_byte),
             format_millis(first_byte - since),
             format_seconds(since),
@@ -179,7 +182,7 @@
         {
             return;
         }
-        // The client may have ended the connection, and the render node observed it first.
+        // If the client ended the connection, the render node's observation can precede the client's own.
         let check = if over == AttemptEnd::ByProxy {
             DeferredCheck::CutConnection(id)
         } else {
@@ -188,7 +191,8 @@
         context.output.defer(at + context.rules.ended_within + context.rules.grace, check);
     }
 
-    /// An attempt arrived while an earlier one was in flight; an end of either has been observed by now.
+    /// Reports an attempt that overlaps an earlier one. Runs after the grace time, in which a late observation of
+    /// either end arrives.
     pub fn check_overlap(&mut self, at: Micros, id: RequestId, index: u32, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id) else { return };
         let Some(later) =
@@ -202,8 +206,8 @@
             return;
         };
         let description = format!(
-            "an attempt at render node {} at {}, while that of {} at render node {} is out, for over {} ms (numbers as in \
-             the plan)",
+            "an attempt at render node {} at {}, while the attempt of {} at render node {} is in flight, for over {} ms \
+             (render nodes by their index in the plan)",
             later.attempt.node.0,
             format_seconds(later.at),
             format_seconds(earlier.at),
@@ -213,7 +217,8 @@
         self.report_violation(at, Rule::TwoAttempts, id, description, context.output);
     }
 
-    /// A client's submission of this request has been observed by now, if there was one.
+    /// Reports an attempt whose request no client sent to this proxy. Runs after the grace time, in which a late
+    /// observation of the submission arrives.
     pub fn check_unknown_request(
         &mut self,
         at: Micros,
@@ -232,7 +237,7 @@
                 ..Subject::default()
             };
             let description =
-                format!("at {}, with an id that no client has put to this proxy", format_seconds(since));
+                format!("at {}, with an id that no client has sent to this proxy", format_seconds(since));
             context.output.report_violation(at, Rule::BadFirstLine, subject, description);
         }
         if submission.is_none() {
--- a/crates/kit/src/judge/connections.rs
+++ b/crates/kit/src/judge/connections.rs
@@ -1,4 +1,5 @@
-//! Rules on established connections: not cut, lines forwarded in time, ends forwarded, silence detected.
+//! Rules on established connections: the proxy does not cut them, forwards lines in time, forwards the render node's
+//! end of a connection, and detects a silent render node.
 
 use super::deferred_checks::DeferredCheck;
 use super::request_table::{ClientEnd, Request, RequestTable, RuleContext};
@@ -9,13 +10,14 @@
 use crate::time::Micros;
 
 impl RequestTable {
+    /// Records that the client read a `MOVE` line.
     pub fn record_move(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.moved.get_or_insert(at);
         self.client_finished(at, id, context.output);
     }
 
-    /// The render node's process changed, which ended all its established connections.
+    /// Records that the render node's process ended or was replaced, which ended all its established connections.
     pub fn process_changed(&mut self, at: Micros, node: NodeId, context: &mut RuleContext) {
         for id in self.established_at(node) {
             let Some(request) = self.requests.get_mut(&id) else { continue };
@@ -30,7 +32,8 @@
         }
     }
 
-    /// The proxy ended the client's connection; the observation of a cause has arrived by now.
+    /// Reports a connection that the proxy ended without a cause that permits it. Runs after a delay in which a late
+    /// observation of such a cause arrives.
     pub fn check_cut(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.is_established() {
@@ -58,18 +61,18 @@
         let read = request.answer.as_ref().map_or(submission.at, |(read, _)| *read);
         let how = if how == ProxyClose::Closed { "closed" } else { "reset" };
         let side = match up.ended {
-            Some((over, _)) => format!("ended its side at {}", format_seconds(over)),
-            None => "kept its side".to_owned(),
+            Some((over, _)) => format!("ended the render node's side at {}", format_seconds(over)),
+            None => "kept the render node's side open".to_owned(),
         };
         let description = format!(
-            "up since {}, {how} at {} without MOVE; the proxy {side}, and the render node still answered",
+            "established since {}, {how} at {} without MOVE; the proxy {side}, and the render node still responded",
             format_seconds(read),
             format_seconds(ended)
         );
         self.report_violation(at, Rule::CutWithoutMove, id, description, context.output);
     }
 
-    /// The proxy ended the render node's side while the client's side is still open.
+    /// Reports a connection whose render node's side the proxy ended while the client's side is still open.
     fn check_half_closed(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id) else { return };
         let (Some(submission), Some(up)) = (request.submission, request.connection()) else { return };
@@ -80,7 +83,7 @@
             .is_some_and(|since| since <= over);
         if steady && context.processes.alive(submission.incarnation) {
             let description = format!(
-                "the proxy ended the render node's side at {} and keeps the client's {} ms later, without MOVE",
+                "the proxy ended the render node's side at {}; the client's side is still open {} ms later, without MOVE",
                 format_seconds(over),
                 format_millis(at - over)
             );
@@ -105,12 +108,14 @@
         }
     }
 
+    /// Records that a client's line reached the render node.
     pub fn record_line_at_node(&mut self, attempt: Attempt, line: u32) {
         if let Some((_, request, _)) = self.find_attempt(attempt) {
             request.to_node.record_arrival(line);
         }
     }
 
+    /// Records a line that the render node returned, and defers the check of its delivery to the client.
     pub fn record_line_returned(
         &mut self,
         at: Micros,
@@ -128,12 +133,14 @@
         }
     }
 
+    /// Records that a returned line reached the client.
     pub fn record_line_back(&mut self, id: RequestId, line: u32) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.to_client.record_arrival(line);
         }
     }
 
+    /// Reports a line that has not reached the render node.
     pub fn check_line_to_node(&mut self, at: Micros, id: RequestId, line: u32, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id) else { return };
         if let Some(sent) = request.to_node.departed_at(line)
@@ -148,6 +155,7 @@
         }
     }
 
+    /// Reports a returned line that has not reached the client.
     pub fn check_line_to_client(&mut self, at: Micros, id: RequestId, line: u32, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id) else { return };
         if let Some(sent) = request.to_client.departed_at(line)
@@ -164,11 +172,12 @@
 
     fn report_delayed_line(&mut self, at: Micros, id: RequestId, line: String, context: &mut RuleContext) {
         let limit = format_millis(context.rules.line_held + context.rules.grace);
-        let description = format!("{line}has not reached the other end {limit} ms later; both ends stand");
+        let description = format!("{line}has not reached the other end {limit} ms later; both ends are open");
         self.report_violation(at, Rule::LineDelayed, id, description, context.output);
     }
 
-    /// The render node ended the connection `ended_within` ago.
+    /// Reports a connection that is still open [`Rules::ended_within`](crate::plan::Rules) after its render node ended
+    /// it.
     pub fn check_ended(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id).filter(|r| r.is_established()) else { return };
         let (Some(submission), Some(up)) = (request.submission, request.connection()) else { return };
@@ -181,17 +190,18 @@
         let how = match how {
             AttemptEnd::Bye => "with BYE",
             AttemptEnd::Move => "with MOVE",
-            AttemptEnd::Cut | AttemptEnd::ByProxy => "without a word",
+            AttemptEnd::Cut | AttemptEnd::ByProxy => "without BYE or MOVE",
         };
         let description = format!(
-            "the render node ended it at {} {how}; the client's side still stands {} ms later, unmoved",
+            "the render node ended it at {} {how}; the client's side is still open {} ms later, without MOVE",
             format_seconds(over),
             format_millis(at - over)
         );
         self.report_violation(at, Rule::EndedConnectionOpen, id, description, context.output);
     }
 
-    /// A line was sent `silent_within` ago.
+    /// Reports a connection that is still open although its render node has been silent for
+    /// [`Rules::silent_within`](crate::plan::Rules) and did not return the line.
     pub fn check_silent(&mut self, at: Micros, id: RequestId, line: u32, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id).filter(|r| r.is_established()) else { return };
         let Some(sent) = request.unreturned.departed_at(line) else { return };
@@ -200,14 +210,14 @@
             return;
         }
         let Some(silent) = context.node_states.silent_since(up.proxy, up.attempt.node) else { return };
-        // The line may have been late for another cause before the silence began.
+        // A line that was sent before the silence began: the time limit starts with the silence.
         let due = silent.max(sent) + context.rules.silent_within + context.rules.grace;
         if due > at {
             return context.output.defer(due, DeferredCheck::SilentConnection(id, line));
         }
         let description = format!(
-            "line {line}, sent at {}, was not returned by a render node that is silent since {}; the client's side \
-             still stands {} ms later, unmoved",
+            "line {line}, sent at {}, was not returned by a render node that has been silent since {}; the client's \
+             side is still open {} ms later, without MOVE",
             format_seconds(sent),
             format_seconds(silent),
             format_millis(at - sent)
@@ -216,7 +226,8 @@
     }
 }
 
-/// Whether all that a line needed was there since it was sent: both ends, and a proxy that runs.
+/// Whether the line could be delivered at all times since it was sent: both ends were open, the proxy was running, and
+/// the render node responded to the proxy.
 fn can_deliver(request: &Request, sent: Micros, context: &RuleContext) -> bool {
     let (Some(submission), Some(up)) = (request.submission, request.connection()) else { return false };
     request.is_established()
--- a/crates/kit/src/judge/figures.rs
+++ b/crates/kit/src/judge/figures.rs
@@ -1,4 +1,4 @@
-//! The figures of a run: service, answers, moves, latencies, datagrams.
+//! Statistics of a run: service, answers, moves, latencies and datagrams.
 
 use super::latency::{Histograms, Latencies};
 use super::service::{Service, ServiceSums};
@@ -8,35 +8,36 @@
 use serde::Serialize;
 use std::collections::VecDeque;
 
-/// Answers to requests, by kind; second answers left out.
+/// Number of answers to requests, by kind. Only the first answer of a request counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Answers {
-    /// `UP`.
+    /// Answers `UP`.
     pub up: u64,
-    /// `BUSY`.
+    /// Answers `BUSY`.
     pub busy: u64,
-    /// Any other.
+    /// Any other answer line.
     pub failed: u64,
-    /// Requests that were over without one, or are open at the end.
+    /// Requests that ended without an answer, or still wait for one at the end of the run.
     pub unanswered: u64,
 }
 
-/// What one proxy did.
+/// Statistics of one proxy.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ProxyFigures {
-    /// Its name.
+    /// Name of the proxy.
     pub proxy: String,
-    /// Requests put to it.
+    /// Requests that clients sent to the proxy.
     pub requests: u64,
-    /// Datagrams that it sent, one for each receiver.
+    /// Datagrams that the proxy sent, counted once for each receiver.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Bytes of these datagrams.
     pub bytes: u64,
-    /// Most bytes of them in any second.
+    /// Largest number of datagram bytes in any one second.
     pub most_bytes_in_a_second: u64,
-    /// Those of the last second.
+    /// Datagrams of the last second: time and bytes.
     #[serde(skip)]
     recent: VecDeque<(Micros, u64)>,
+    /// Sum of the bytes in `recent`.
     #[serde(skip)]
     recent_bytes: u64,
 }
@@ -54,48 +55,48 @@
     }
 }
 
-/// One second of the measured part, for plots: worth of connection seconds.
+/// Service in one second of the measured part, for plots, in weighted connection seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Second {
-    /// When it began.
+    /// Start of the second.
     pub from: Micros,
-    /// Asked for.
+    /// Connection seconds that sessions requested.
     pub wanted: f64,
-    /// Well served.
+    /// Connection seconds that were well served.
     pub well: f64,
 }
 
-/// The figures of a run. Counts are of the whole run; service and latencies are of its measured part.
+/// Statistics of a run. Counts cover the whole run; service and latencies cover its measured part.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Figures {
-    /// Service over time, and its parts.
+    /// Service in each second, and the service ratios.
     pub service: Service,
-    /// Requests put to proxies.
+    /// Requests that clients sent to proxies.
     pub requests: u64,
     /// Answers by kind.
     pub answers: Answers,
-    /// Requests of a session whose request before got no `UP`.
+    /// Requests of a session whose previous request got no `UP`.
     pub retries: u64,
     /// Attempts at render nodes.
     pub attempts: u64,
-    /// For each request; none without requests.
+    /// Mean number of attempts for each request; `None` if there were no requests.
     pub attempts_per_request: Option<f64>,
     /// `MOVE` lines that clients read.
     pub moves: u64,
     /// Connections that clients saw reset.
     pub resets: u64,
-    /// Tries that reached no proxy.
+    /// Client connection attempts that reached no proxy.
     pub unreached: u64,
     /// Set-up and message latency by class.
     pub latencies: Vec<Latencies>,
-    /// By proxy.
+    /// Statistics of each proxy.
     pub proxies: Vec<ProxyFigures>,
-    /// When the measured part began.
+    /// Start of the measured part.
     pub measured_from: Micros,
 }
 
 impl Figures {
-    /// The measured part by seconds, for plots.
+    /// Service in each second of the measured part, for plots.
     pub fn time_line(&self) -> impl Iterator<Item = Second> + '_ {
         let seconds = self.service.wanted.iter().zip(&self.service.well).enumerate();
         seconds.map(|(i, (wanted, well))| Second {
@@ -106,16 +107,19 @@
     }
 }
 
-/// What the latest request of a session has come to.
+/// State of a session's latest request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum LatestRequest {
+    /// The session has sent no request.
     #[default]
     None,
+    /// The request has not been answered `UP`.
     Open,
+    /// The request was answered `UP`.
     Up,
 }
 
-/// Counts as the run goes on.
+/// Collects the statistics while the run proceeds.
 #[derive(Debug)]
 pub(super) struct FigureCounters {
     plan: std::sync::Arc<Plan>,
@@ -172,7 +176,7 @@
         }
     }
 
-    /// A request has got its first answer.
+    /// Counts the first answer of a request.
     pub fn record_answer(&mut self, session: SessionId, answer: &Answer) {
         match answer {
             Answer::Up(_) => {
@@ -186,7 +190,7 @@
         }
     }
 
-    /// The run is over.
+    /// Ends the run at `at` and computes the final statistics.
     pub fn finish(self, at: Micros) -> Figures {
         let FigureCounters { plan, service_sums, setups, messages, mut figures, .. } = self;
         let Answers { up, busy, failed, .. } = figures.answers;
--- a/crates/kit/src/judge/latency.rs
+++ b/crates/kit/src/judge/latency.rs
@@ -1,39 +1,40 @@
-//! How long set-ups and messages took, from when the client was due.
+//! Latency of set-ups and messages, measured from the time at which the client was due to start them.
 
 use crate::time::Micros;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Longer ones count as an hour, which no run lasts; in microseconds. Three digits cost 100 KB a histogram.
+/// Longer latencies are recorded as this value, one hour in microseconds; no run lasts that long. With three
+/// significant digits a histogram takes 100 KB.
 const LONGEST: u64 = 3_600_000_000;
 
-/// Latency of one class, in microseconds.
+/// Latency distribution of one class, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Latency {
-    /// How many were measured.
+    /// Number of samples.
     pub count: u64,
-    /// Their mean.
+    /// Mean.
     pub mean: f64,
-    /// Half were faster.
+    /// Median.
     pub p50: u64,
-    /// 90% were faster.
+    /// 90th percentile.
     pub p90: u64,
-    /// 99% were faster.
+    /// 99th percentile.
     pub p99: u64,
-    /// 99.9% were faster.
+    /// 99.9th percentile.
     pub p999: u64,
-    /// The longest.
+    /// Maximum.
     pub max: u64,
 }
 
-/// Set-ups and messages of one class.
+/// Latencies of one class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Latencies {
-    /// The class's name.
+    /// Name of the class.
     pub class: String,
-    /// Until a session was up, since the try was due.
+    /// Time from when a client's connection attempt was due until its session was established.
     pub setup: Latency,
-    /// Until a message was back, since the client was due to send it.
+    /// Time from when the client was due to send a message until the message was returned.
     pub message: Latency,
 }
 
@@ -43,7 +44,7 @@
 
 impl Histograms {
     pub fn new(classes: usize) -> Self {
-        // The bounds are valid, so each is made.
+        // The bounds are valid, so no construction fails.
         Histograms((0..classes).filter_map(|_| Histogram::new_with_bounds(1, LONGEST, 3).ok()).collect())
     }
 
--- a/crates/kit/src/judge/lateness.rs
+++ b/crates/kit/src/judge/lateness.rs
@@ -1,24 +1,25 @@
-//! Whether the kit itself ran late: then no observation proves a violation.
+//! Detects that the kit itself ran late. The observations of such a run prove no violation.
 
 use crate::time::{MS, Micros};
 use serde::Serialize;
 
-/// An emulator that once ran this late could have delayed a line or an end by a fourth of the shortest limit (1 s), five
-/// times the grace: its observations prove nothing.
+/// A larger lag makes the run void: the emulator itself could have delayed a line or the end of a connection by a
+/// fourth of the shortest limit (1 s), which is five times the grace time.
 const MAX_LATENESS: Micros = 250 * MS;
-/// Lag beyond this is counted: below, the grace of 50 ms covers it twice over.
+/// Larger lags are counted as late. The grace time of 50 ms is more than twice this.
 const LATE_SAMPLE: Micros = 20 * MS;
-/// Up to this part of the samples may be later than that: a scheduler's hiccups, not a kit short of a core.
+/// Largest share of late samples in a valid run. A smaller share comes from scheduling delays; a larger one means that
+/// the kit lacks CPU time.
 const MAX_LATE_RATIO: f64 = 0.01;
 
-/// How late the emulators ran.
+/// Lag of the emulators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Lateness {
-    /// Samples taken.
+    /// Number of samples.
     pub samples: u64,
-    /// Those over 20 ms.
+    /// Number of samples over 20 ms.
     pub late: u64,
-    /// The latest, in microseconds.
+    /// Largest lag, in microseconds.
     pub most: Micros,
 }
 
@@ -29,19 +30,19 @@
         self.most = self.most.max(late);
     }
 
-    /// Why the run is void, if it is.
+    /// The reason why the run is void; `None` if it is valid.
     pub fn void_reason(&self) -> Option<String> {
         let late_ratio = self.late as f64 / self.samples.max(1) as f64;
         if self.most > MAX_LATENESS {
             return Some(format!(
-                "the kit itself ran {} ms late; {} ms are borne",
+                "the kit itself ran {} ms late; {} ms are allowed",
                 self.most / MS,
                 MAX_LATENESS / MS
             ));
         }
         (late_ratio > MAX_LATE_RATIO).then(|| {
             format!(
-                "the kit itself ran over {} ms late in {:.1}% of {} samples; 1% is borne",
+                "the kit itself ran over {} ms late in {:.1}% of {} samples; 1% is allowed",
                 LATE_SAMPLE / MS,
                 100.0 * late_ratio,
                 self.samples
--- a/crates/kit/src/judge/lines_in_transit.rs
+++ b/crates/kit/src/judge/lines_in_transit.rs
@@ -1,8 +1,9 @@
-//! Lines in transit from one end of a connection to the other.
+//! Tracks the lines in transit from one end of a connection to the other.
 
 use crate::time::Micros;
 
-/// Lines by number. The two ends are observed on separate threads, so an arrival can precede its departure.
+/// Lines in transit in one direction, by line number. The two ends are observed on separate threads, so the observation
+/// of a line's arrival can precede that of its departure.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LinesInTransit {
     in_transit: Vec<(u32, Micros)>,
@@ -10,7 +11,7 @@
 }
 
 impl LinesInTransit {
-    /// Records that a line was sent; false if it has already arrived.
+    /// Records that a line was sent. Returns false if the line has already arrived.
     pub fn record_departure(&mut self, line: u32, at: Micros) -> bool {
         if let Some(place) = self.arrived_early.iter().position(|number| *number == line) {
             self.arrived_early.swap_remove(place);
@@ -24,7 +25,8 @@
     pub fn record_arrival(&mut self, line: u32) {
         match self.in_transit.iter().position(|(number, _)| *number == line) {
             Some(place) => drop(self.in_transit.swap_remove(place)),
-            // Bounded, since a faulty render node could fill it; no client is further ahead.
+            // The limit bounds the memory if a faulty render node returns lines that were never sent. No client sends
+            // this many lines ahead.
             None if self.arrived_early.len() < 64 => self.arrived_early.push(line),
             None => {}
         }
--- a/crates/kit/src/judge/list_knowledge.rs
+++ b/crates/kit/src/judge/list_knowledge.rs
@@ -1,15 +1,16 @@
-//! What each proxy knows of the endpoint list: changes delivered to it, and changes presumed known after a time limit.
+//! Tracks what each proxy knows of the endpoint list: changes that were delivered to it, and changes that are presumed
+//! known after a time limit.
 
 use crate::observation::Seen;
 use crate::plan::Phase;
 use crate::plan::{NodeId, ProxyId, Rules};
 use crate::time::Micros;
 
-/// After a failed poll, the poll interval may be this many times as long (WIRE, `rules.askWithin`).
+/// After a failed poll, the poll interval may grow by this factor (WIRE, `rules.askWithin`).
 const POLL_FAILURE_FACTOR: Micros = 4;
 
-/// State of a render node in the list, and since when. A render node that drains and is then removed has been
-/// unavailable since it drained.
+/// State of a render node in the list, and when it entered the state. Draining and removed are one state: a render node
+/// that is removed after a drain has been unavailable since the drain.
 #[derive(Clone, Copy, Debug)]
 struct Listing {
     up: bool,
@@ -19,31 +20,38 @@
 /// What one proxy knows of one render node.
 #[derive(Clone, Copy, Debug, Default)]
 struct NodeKnowledge {
-    /// When the proxy learned that the node drains or is removed; none once it learned that the node is back.
+    /// When the proxy learned that the node is draining or removed; `None` if it has not learned so, or
+    /// has learned since that the node is back.
     unavailable_since: Option<Micros>,
     /// When the proxy last learned that the node accepts connections.
     available_at: Option<Micros>,
 }
 
-/// What one proxy knows, by the places of the render nodes.
+/// What one proxy knows of the list.
 #[derive(Clone, Debug)]
 struct ProxyKnowledge {
+    /// Knowledge of each render node, by its index in the plan.
     nodes: Vec<NodeKnowledge>,
+    /// When the proxy's process started.
     started: Micros,
-    /// The first watch since the process start has been answered.
+    /// Whether a watch has been answered since the process started.
     watched: bool,
-    /// Since when the proxy has had neither a watch nor a poll answered, and whether a poll has failed since.
+    /// While the proxy has no watch: when the process started, the watch ended or a poll was last answered, whichever
+    /// is latest. `None` while the proxy has a watch.
     unwatched: Option<Micros>,
+    /// Whether a poll has failed since `unwatched`.
     poll_failed: bool,
 }
 
-/// What all proxies know of the list.
+/// The endpoint list, and what each proxy knows of it.
 #[derive(Debug)]
 pub(super) struct ListKnowledge {
+    /// The latest state of each render node, by its index in the plan; `None` until its state first changes in the run.
     list: Vec<Option<Listing>>,
     proxies: Vec<ProxyKnowledge>,
-    /// Since when discovery has been reachable, if it is; and the start of the last outage.
+    /// Since when discovery has been reachable; `None` during an outage.
     reachable: Option<Micros>,
+    /// Start of the last outage.
     last_outage: Option<Micros>,
     told_within: Micros,
     ask_within: Micros,
@@ -79,7 +87,7 @@
             Seen::Watching { proxy, on } => self.record_watch(at, proxy, on),
             Seen::ListCall { proxy, answered } => self.record_poll(at, proxy, answered),
             Seen::DiscoveryUp { up } => {
-                // Changes presumed known by now stay known; for the others the time limit starts again.
+                // Changes that are presumed known by now stay known. For the others the time limit starts again.
                 (0..self.proxies.len()).for_each(|proxy_index| self.apply_presumed(at, proxy_index));
                 match up {
                     true => self.reachable = self.reachable.or(Some(at)),
@@ -121,7 +129,7 @@
             return;
         }
         (knowledge.unwatched, knowledge.poll_failed) = (None, false);
-        // The first answer to a process is the complete list; later watches report each change separately.
+        // The first watch of a process starts with the complete list; later ones report each change separately.
         if !std::mem::replace(&mut knowledge.watched, true) {
             knowledge.record_list(at, &self.list);
         }
@@ -150,7 +158,7 @@
     fn presumed_at(&self, knowledge: &ProxyKnowledge, since: Micros) -> Option<Micros> {
         let by_delivery = self.reachable.map(|up| since.max(up).max(knowledge.started) + self.told_within);
         let by_polling = knowledge.unwatched.map(|off| {
-            // A poll during an outage can't be observed, so one is assumed.
+            // A failed poll during an outage can't be observed, so one is assumed.
             let poll_failed = self.reachable.is_none_or(|up| up > off)
                 || self.last_outage.is_some_and(|last_outage| last_outage >= off);
             since.max(off + self.ask_within * if poll_failed { POLL_FAILURE_FACTOR } else { 1 })
@@ -163,7 +171,8 @@
         (0..self.list.len()).for_each(|node| self.apply_presumed_to_node(at, proxy_index, node));
     }
 
-    /// Records a change that is presumed known by now, before the state that the presumption depends on changes.
+    /// Records the render node's latest change if it is presumed known by now. Callers run this before they change the
+    /// state that the presumption depends on.
     fn apply_presumed_to_node(&mut self, at: Micros, proxy_index: usize, node: usize) {
         let Some(listing) = self.list[node] else { return };
         let known = self.proxies[proxy_index].nodes[node];
@@ -177,7 +186,7 @@
         }
     }
 
-    /// Since when the proxy has known that the render node drains or is removed; none if it does not know at `at`.
+    /// Since when the proxy has known that the render node is draining or removed; `None` if it does not know at `at`.
     pub fn unavailable_since(&mut self, at: Micros, proxy: ProxyId, node: NodeId) -> Option<Micros> {
         let (proxy_index, node_index) = (usize::from(proxy.0), usize::from(node.0));
         if proxy_index >= self.proxies.len() || node_index >= self.list.len() {
@@ -187,7 +196,7 @@
         self.proxies[proxy_index].nodes[node_index].unavailable_since
     }
 
-    /// Whether the proxy knows at `at` of the start of the render node at `started`.
+    /// Whether the proxy knows at `at` that the render node started at `started`.
     pub fn knows_of_start(&mut self, at: Micros, proxy: ProxyId, node: NodeId, started: Micros) -> bool {
         let (proxy_index, node_index) = (usize::from(proxy.0), usize::from(node.0));
         if proxy_index >= self.proxies.len() || node_index >= self.list.len() {
@@ -202,7 +211,7 @@
 }
 
 impl ProxyKnowledge {
-    /// A new process knows nothing.
+    /// Clears the knowledge for a new process.
     fn restart(&mut self, at: Micros) {
         self.nodes.fill(NodeKnowledge::default());
         self.started = at;
--- a/crates/kit/src/judge/misbehaving_clients.rs
+++ b/crates/kit/src/judge/misbehaving_clients.rs
@@ -1,4 +1,5 @@
-//! Clients that break the protocol on purpose, and the requests at render nodes that they explain.
+//! Rules on clients that break the protocol on purpose. Tracks their requests, so that a resulting attempt at a render
+//! node is not reported as a fault of its own.
 
 use super::deferred_checks::DeferredCheck;
 use super::rule::Rule;
@@ -11,13 +12,16 @@
 use fnv::FnvHashSet;
 use std::collections::BTreeMap;
 
-/// An attempt caused by a misbehaving client is observed at most this long after that client was answered.
+/// An attempt with a stolen id is observed at most this long after the client that stole the id was answered.
 const THEFT_EFFECT_WINDOW: Micros = 100 * MS;
 
+/// A misbehaving client that has not been answered yet.
 #[derive(Clone, Copy, Debug)]
 struct OpenClient {
     proxy: ProxyId,
+    /// Deadline of the proxy's error or close.
     by: Micros,
+    /// The client uses the id of another client's open request.
     steals_id: bool,
 }
 
@@ -31,9 +35,12 @@
 /// All misbehaving clients of the run.
 #[derive(Debug)]
 pub(super) struct MisbehavingClients {
+    /// Unanswered clients, by their index in the plan.
     open: BTreeMap<u32, OpenClient>,
+    /// Requests with an id of their own that misbehaving clients sent.
     sent_requests: FnvHashSet<(RequestId, ProxyId)>,
     proxies: Vec<ClientsAtProxy>,
+    /// How each client misbehaves, by its index in the plan.
     kinds: Vec<Misbehavior>,
     grace: Micros,
 }
@@ -65,7 +72,7 @@
             Seen::RudeOver { rude, how } => {
                 let Some(open) = self.close(at, rude) else { return };
                 if how == MisbehaviorOutcome::Served {
-                    let description = "it was served; an error or a close was owed".to_owned();
+                    let description = "the client was served; an error or a close was required".to_owned();
                     output.report_violation(
                         at,
                         Rule::MisbehavingClientServed,
@@ -89,15 +96,15 @@
         Some(open)
     }
 
-    /// The time limit for an answer to the client has passed.
+    /// Reports a client that has not been answered by its deadline.
     pub fn check_deadline(&mut self, at: Micros, rude: u32, output: &mut RuleOutput) {
-        // A client that reconnects repeatedly has a later limit by now.
+        // A client that has reconnected has a later deadline.
         if self.open.get(&rude).is_some_and(|open| open.by + self.grace > at) {
             return;
         }
         if let Some(open) = self.close(at, rude) {
             let description = format!(
-                "an error or a close was owed by {}, and none had come {} later",
+                "an error or a close was due by {}, and none was observed {} later",
                 format_seconds(open.by),
                 format_seconds(self.grace)
             );
@@ -110,7 +117,7 @@
         }
     }
 
-    /// Whether an attempt with the id of an answered request may be that of a client that stole the id.
+    /// Whether an attempt with the id of an answered request may come from a client that stole the id.
     pub fn may_carry_stolen_id(&self, at: Micros, proxy: ProxyId) -> bool {
         self.proxies.get(usize::from(proxy.0)).is_some_and(|at_proxy| {
             at_proxy.open_id_thieves > 0
@@ -118,7 +125,7 @@
         })
     }
 
-    /// Whether a misbehaving client has sent a request with that id to this proxy.
+    /// Whether a misbehaving client has sent a request with this id to the proxy.
     pub fn has_sent(&self, request: RequestId, proxy: ProxyId) -> bool {
         self.sent_requests.contains(&(request, proxy))
     }
--- a/crates/kit/src/judge/mod.rs
+++ b/crates/kit/src/judge/mod.rs
@@ -1,5 +1,6 @@
 //! The judge of a run: sans-io and deterministic. Its input is the plan and the observations of the emulated clients,
-//! render nodes and discovery, in order of time; never a proxy's own output, and no clock. See `docs/design/judge.md`.
+//! render nodes and discovery, in order of time. It uses neither a proxy's own output nor a clock. See
+//! `docs/design/judge.md`.
 
 mod answers;
 mod attempts;
@@ -47,7 +48,7 @@
 use std::sync::Arc;
 use subject::MAX_DATAGRAM_BYTES;
 
-/// Judges one run.
+/// Checks the observations of one run against the rules, and collects the run's statistics.
 #[derive(Debug)]
 pub struct Judge {
     plan: Arc<Plan>,
@@ -64,7 +65,7 @@
 }
 
 impl Judge {
-    /// A judge for a run of this plan that begins at 0.
+    /// Creates a judge for a run of this plan that starts at time 0.
     pub fn new(plan: Arc<Plan>) -> Self {
         let (nodes, proxies) = (plan.nodes.len(), plan.proxies.len());
         Judge {
@@ -82,8 +83,8 @@
         }
     }
 
-    /// Processes the next observation. Times never decrease; an earlier time counts as the latest one. Observations
-    /// after the end of the plan are ignored.
+    /// Processes the next observation. An observation with an earlier time than the previous one is processed at the
+    /// previous one's time. Observations after the end of the plan are ignored.
     pub fn observe(&mut self, observation: &Observation) {
         if observation.at > self.plan.ends {
             return;
@@ -108,7 +109,7 @@
         self.apply(at, &observation.seen, process_changed);
     }
 
-    /// Ends the run at `now`, as planned or earlier, and judges what was due by then.
+    /// Ends the run at `now`, as planned or earlier, and judges the obligations that were due by then.
     pub fn finish(mut self, now: Micros) -> Verdict {
         let end = now.min(self.plan.ends).max(self.now);
         self.advance(end);
@@ -126,7 +127,7 @@
         }
     }
 
-    /// The request table, and what its rules need, as separate borrows.
+    /// Borrows the request table and the state that its rules need separately.
     fn split(&mut self) -> (&mut RequestTable, RuleContext<'_>, &mut ListKnowledge) {
         let context = RuleContext {
             rules: &self.plan.rules,
@@ -186,6 +187,7 @@
         }
     }
 
+    /// Runs a deferred check that is due at `at`.
     fn run_check(&mut self, at: Micros, check: DeferredCheck) {
         match check {
             DeferredCheck::MisbehavingClient(client) => {
--- a/crates/kit/src/judge/node_states.rs
+++ b/crates/kit/src/judge/node_states.rs
@@ -1,18 +1,19 @@
-//! The conditions of render nodes and their reachability from each proxy.
+//! Tracks the condition of each render node and its reachability from each proxy.
 
 use crate::observation::{Condition, Seen};
 use crate::plan::{NodeId, ProxyId};
 use crate::time::Micros;
 use std::collections::BTreeMap;
 
+/// State of one render node.
 #[derive(Clone, Copy, Debug)]
 struct NodeState {
     condition: Condition,
-    /// Since when the node has returned lines, or has not.
+    /// When the node last began or stopped to return lines.
     since: Micros,
-    /// Number of the process; a new process has none of the earlier one's connections.
+    /// Number of process starts and ends. A connection of an earlier generation has ended with its process.
     generation: u32,
-    /// When the latest process ended or began.
+    /// When the generation last changed; `None` in the first generation.
     process_changed: Option<Micros>,
 }
 
@@ -20,11 +21,11 @@
 #[derive(Debug)]
 pub(super) struct NodeStates {
     nodes: Vec<NodeState>,
-    /// Links that are or were cut: whether the link is connected, and since when.
+    /// Links that have been cut in the run: whether the link is connected now, and since when.
     links: BTreeMap<(ProxyId, NodeId), (bool, Micros)>,
 }
 
-/// The render node has a new process or none, so its connections have ended.
+/// The render node's process ended or was replaced, so its connections have ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ProcessChanged(pub NodeId);
 
@@ -39,8 +40,8 @@
         NodeStates { nodes: vec![initial; nodes], links: BTreeMap::new() }
     }
 
-    /// Records a change of a render node. Returns it if it ended the node's connections in a way that proxies can
-    /// observe: a machine that has vanished resets nothing before it is back.
+    /// Records a change of a render node. Returns the change if it ended the node's connections and proxies can observe
+    /// that. They can't while the machine has vanished: it resets no connection before it is back.
     pub fn observe(&mut self, at: Micros, seen: &Seen) -> Option<ProcessChanged> {
         match *seen {
             Seen::Started { node, .. } => {
@@ -62,6 +63,7 @@
         }
     }
 
+    /// Records that the render node's process ended.
     fn mark_down(&mut self, at: Micros, node: NodeId) -> Option<ProcessChanged> {
         let silent = self.state(node).is_some_and(|s| s.condition == Condition::Vanished);
         self.advance_generation(at, node);
@@ -92,23 +94,23 @@
         self.nodes.get(usize::from(node.0))
     }
 
-    /// Which process of the render node runs now.
+    /// The current generation of the render node; a process start or end begins a new one.
     pub fn generation(&self, node: NodeId) -> u32 {
         self.state(node).map_or(0, |s| s.generation)
     }
 
-    /// When its latest process began or ended, if one did.
+    /// When the render node's process last started or ended; `None` if it never did in the run.
     pub fn process_changed(&self, node: NodeId) -> Option<Micros> {
         self.state(node).and_then(|s| s.process_changed)
     }
 
-    /// Whether the two can communicate now: the machine is up and the link is connected.
+    /// Whether the proxy and the render node's machine can exchange packets now.
     pub fn can_communicate(&self, proxy: ProxyId, node: NodeId) -> bool {
         self.state(node).is_some_and(|s| s.condition != Condition::Vanished)
             && self.links.get(&(proxy, node)).is_none_or(|(connected, _)| *connected)
     }
 
-    /// Since when the render node reads and returns this proxy's lines without a break; none while it doesn't.
+    /// Since when the render node has returned this proxy's lines without interruption; `None` if it doesn't now.
     pub fn responsive_since(&self, proxy: ProxyId, node: NodeId) -> Option<Micros> {
         let state = self.state(node).filter(|s| returns_lines(s.condition))?;
         match self.links.get(&(proxy, node)) {
@@ -118,8 +120,8 @@
         }
     }
 
-    /// Since when the render node runs for all that can be seen and returns nothing to this proxy; none while it
-    /// does, or is down.
+    /// Since when the render node has been silent towards this proxy: it returns no lines, and the proxy can't observe
+    /// that its process is down. `None` while it returns lines or is known to be down.
     pub fn silent_since(&self, proxy: ProxyId, node: NodeId) -> Option<Micros> {
         let state = self.state(node).filter(|s| s.condition != Condition::Down)?;
         let link =
@@ -128,7 +130,7 @@
     }
 }
 
-/// Whether connections that stand there get their lines back.
+/// Whether a render node in this condition returns the lines of established connections.
 fn returns_lines(condition: Condition) -> bool {
     matches!(condition, Condition::Sound | Condition::Rubbish)
 }
--- a/crates/kit/src/judge/processes.rs
+++ b/crates/kit/src/judge/processes.rs
@@ -1,4 +1,5 @@
-//! The proxies' processes: each start is an incarnation of its own, whose end may excuse broken requests.
+//! Tracks the processes of the proxies. Each start is a new incarnation; its end can excuse the requests that were
+//! broken by it.
 
 use super::deferred_checks::DeferredCheck;
 use super::incarnation::IncarnationId;
@@ -17,20 +18,24 @@
 /// One process of a proxy, from its start to its exit.
 #[derive(Clone, Copy, Debug, Default)]
 struct Incarnation {
-    /// The kit sent SIGKILL, other than for an overrun shutdown.
+    /// When the kit sent SIGKILL, except for SIGKILL after an overrun shutdown.
     killed: Option<Micros>,
+    /// When the kit first sent SIGTERM.
     terminated: Option<Micros>,
+    /// When the kit last sent SIGHUP.
     reloaded: Option<Micros>,
-    /// It still ran at the end of its shutdown deadline.
+    /// When the process was found to run after its shutdown deadline.
     overran_shutdown: Option<Micros>,
+    /// When the exit was observed.
     exited: Option<Micros>,
-    /// It exited without a signal to stop.
+    /// When the process exited, if the kit had sent it neither SIGTERM nor SIGKILL.
     crashed: Option<Micros>,
 }
 
 /// The processes of all proxies.
 #[derive(Debug)]
 pub(super) struct ProxyProcesses {
+    /// For each proxy, its processes in the order of their starts.
     incarnations: Vec<Vec<Incarnation>>,
     term_to_kill: Micros,
     grace: Micros,
@@ -38,12 +43,12 @@
 
 impl ProxyProcesses {
     pub fn new(proxies: usize, rules: &Rules) -> Self {
-        // A first incarnation, for observations that precede that of its start.
+        // Incarnation 0 of each proxy takes the observations that precede the first start.
         let incarnations = vec![vec![Incarnation::default()]; proxies];
         ProxyProcesses { incarnations, term_to_kill: rules.term_to_kill, grace: rules.grace }
     }
 
-    /// The incarnation that runs, or ran last.
+    /// The latest incarnation of the proxy, whether it still runs or not.
     pub fn current(&self, proxy: ProxyId) -> IncarnationId {
         let incarnations = self.incarnations.get(usize::from(proxy.0)).map_or(1, Vec::len);
         IncarnationId { proxy, serial: (incarnations - 1) as u32 }
@@ -53,14 +58,14 @@
         self.incarnations.get(usize::from(id.proxy.0))?.get(id.serial as usize)
     }
 
-    /// Whether it still runs and was not sent SIGKILL.
+    /// Whether the process still runs and the kit has not sent it SIGKILL.
     pub fn alive(&self, id: IncarnationId) -> bool {
         self.incarnation(id).is_some_and(|run| run.killed.is_none() && run.exited.is_none())
     }
 
-    /// Whether the end of the process excuses a request submitted at `submitted` and broken at `broken` (its connection
-    /// ended or its deadline passed): it was in flight when the kit sent SIGKILL, or when the process crashed or
-    /// overran its shutdown, which is a violation of its own. After SIGTERM nothing else is excused.
+    /// Whether the end of the process excuses a request that was submitted at `submitted` and broken at `broken` (its
+    /// connection ended or its deadline passed). A request is excused if it was in flight when the kit sent SIGKILL, or
+    /// when the process crashed or overran its shutdown, which are violations of their own. SIGTERM excuses nothing.
     pub fn excuses(&self, id: IncarnationId, submitted: Micros, broken: Micros) -> bool {
         let Some(incarnation) = self.incarnation(id) else { return false };
         let (from, ended) = match (incarnation.killed.or(incarnation.overran_shutdown), incarnation.crashed) {
@@ -70,8 +75,8 @@
             (None, Some(crashed)) => (crashed - EXIT_NOTICE_DELAY, crashed),
             (None, None) => return false,
         };
-        // A last byte can be written to a connection that the kernel accepted before the process ended, and be
-        // observed after the end; `grace` is the margin for that.
+        // A client can write to a connection that the kernel accepted before the process ended, and the write can be
+        // observed after the end. The grace time covers this delay.
         broken >= from && submitted <= ended + self.grace
     }
 
@@ -88,6 +93,7 @@
         }
     }
 
+    /// The latest incarnation of the proxy.
     fn latest(&mut self, proxy: ProxyId) -> Option<&mut Incarnation> {
         self.incarnations.get_mut(usize::from(proxy.0))?.last_mut()
     }
@@ -108,7 +114,7 @@
         }
     }
 
-    /// The shutdown deadline has passed.
+    /// Reports a process that still runs at its shutdown deadline.
     pub fn check_shutdown(&mut self, at: Micros, id: IncarnationId, output: &mut RuleOutput) {
         let limit = self.term_to_kill;
         let incarnation = self
@@ -123,7 +129,7 @@
         incarnation.overran_shutdown = Some(at);
         let terminated = incarnation.terminated.unwrap_or(at);
         let description = format!(
-            "told to stop at {}, still there {} later",
+            "SIGTERM was sent at {}; the process still ran {} later",
             format_seconds(terminated),
             format_seconds(limit)
         );
@@ -147,15 +153,18 @@
         let description = match incarnation.terminated {
             Some(_) if code == Some(0) => return,
             Some(terminated) => {
-                format!("exited {how}, told to stop at {}; 0 was owed", format_seconds(terminated))
+                format!(
+                    "exited {how} after SIGTERM at {}; exit code 0 was required",
+                    format_seconds(terminated)
+                )
             }
             None => {
                 incarnation.crashed = Some(at);
                 let after = incarnation
                     .reloaded
-                    .map(|r| format!("; reloaded at {}", format_seconds(r)))
+                    .map(|r| format!("; SIGHUP was sent at {}", format_seconds(r)))
                     .unwrap_or_default();
-                format!("exited {how}, and nobody had told it to{after}")
+                format!("exited {how} without SIGTERM or SIGKILL from the kit{after}")
             }
         };
         output.report_violation(
--- a/crates/kit/src/judge/report.rs
+++ b/crates/kit/src/judge/report.rs
@@ -1,4 +1,4 @@
-//! Verdicts and figures as text for the terminal.
+//! Formats verdicts and statistics as text for the terminal.
 
 use super::figures::Figures;
 use super::verdict::{Finding, MissedDemand, Outcome, Verdict};
@@ -14,7 +14,7 @@
             write!(f, ", session {session}")?;
         }
         if let Some(rude) = self.rude {
-            write!(f, ", rude client {rude}")?;
+            write!(f, ", misbehaving client {rude}")?;
         }
         if let Some(node) = &self.node {
             write!(f, ", render node {node}")?;
@@ -27,7 +27,7 @@
     }
 }
 
-/// A ratio from 0 to 1, or a dash.
+/// Formats a ratio, or a dash if there is none.
 struct Ratio(Option<f64>);
 
 impl fmt::Display for Ratio {
@@ -40,7 +40,7 @@
 }
 
 impl fmt::Display for Verdict {
-    /// The outcome, each violated rule with its first findings, and the figures.
+    /// Writes the outcome, each violated rule with its first findings, the missed demands and the statistics.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let outcome = match self.outcome {
             Outcome::Passed => "PASSED",
@@ -50,7 +50,10 @@
         let to = self.judged_to as f64 / 1e6;
         writeln!(f, "{outcome}  {}, seed {}, judged to {to:.1} s", self.scenario, self.seed)?;
         if let Some(why) = &self.void {
-            writeln!(f, "{why}: the run proves nothing; free the machine, or rehearse something smaller")?;
+            writeln!(
+                f,
+                "{why}: the run proves nothing; reduce the load of the machine, or rehearse a smaller scenario"
+            )?;
         }
         for (rule, count) in &self.violations {
             writeln!(f, "\nBROKEN {rule}, {count} times. {}", rule.meaning())?;
@@ -60,7 +63,11 @@
                 .try_for_each(|violation| violation.fmt(f))?;
         }
         for MissedDemand { demand, demanded, reached } in &self.missed_demands {
-            writeln!(f, "\nNOT REACHED {demand}: {demanded:.3} was demanded, {} came", Ratio(*reached))?;
+            writeln!(
+                f,
+                "\nNOT REACHED {demand}: {demanded:.3} was demanded, {} was measured",
+                Ratio(*reached)
+            )?;
         }
         writeln!(f)?;
         self.figures.fmt(f)
@@ -116,7 +123,7 @@
                 let millis = |micros: u64| micros as f64 / 1e3;
                 writeln!(
                     f,
-                    "{} {name} ms: half {:.1}, 90% {:.1}, 99% {:.1}, longest {:.1} ({} measured)",
+                    "{} {name} ms: median {:.1}, 90% {:.1}, 99% {:.1}, max {:.1} ({} samples)",
                     class.class,
                     millis(latency.p50),
                     millis(latency.p90),
@@ -133,7 +140,7 @@
         for proxy in &self.proxies {
             writeln!(
                 f,
-                "proxy {}: requests {}, datagrams {}, {} bytes, at most {} in a second",
+                "proxy {}: requests {}, datagrams {}, {} bytes, at most {} bytes in a second",
                 proxy.proxy, proxy.requests, proxy.datagrams, proxy.bytes, proxy.most_bytes_in_a_second
             )?;
         }
--- a/crates/kit/src/judge/request_table.rs
+++ b/crates/kit/src/judge/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests that clients have sent, until shortly after their end: attempts, answers and connections.
+//! The table of requests with their attempts, answers and connections, kept until shortly after their end.
 
 use super::deferred_checks::DeferredCheck;
 use super::incarnation::IncarnationId;
@@ -15,16 +15,18 @@
 use fnv::FnvHashMap;
 use std::collections::BTreeSet;
 
-/// A request is retained this long after its client's end, for attempts still in flight: longer than any class's attempt
-/// takes.
+/// A request is retained this long after its client has finished, because observations of its attempts can still
+/// arrive. No attempt of any class takes longer.
 const RETENTION: Micros = 10 * S;
 
-/// How a request was submitted.
+/// Submission of a request by a client.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Submission {
     pub at: Micros,
     pub session: SessionId,
+    /// The process of the proxy that received the request.
     pub incarnation: IncarnationId,
+    /// Until when the client waits for an answer.
     pub deadline: Micros,
 }
 
@@ -35,22 +37,25 @@
     ByProxy(ProxyClose),
 }
 
-/// One attempt.
+/// An attempt of a request, and its outcome so far.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptRecord {
     pub attempt: Attempt,
     pub proxy: ProxyId,
+    /// When the first line's last byte reached the render node.
     pub at: Micros,
-    /// The render node's process that got it.
+    /// Generation of the render node at this time (see [`NodeStates::generation`]).
     pub generation: u32,
     pub answer: Option<NodeAnswer>,
-    /// When it was rejected or failed.
+    /// When the render node answered other than `UP`.
     pub rejected_at: Option<Micros>,
+    /// When and how the attempt, or the connection that it opened, ended.
     pub ended: Option<(Micros, AttemptEnd)>,
 }
 
 impl AttemptRecord {
-    /// Whether it is in flight as far as can be observed: its end at a dead process or an unreachable machine can't be.
+    /// Whether the attempt is in flight. An attempt at an ended process or an unreachable machine counts as ended,
+    /// since its end can't be observed there.
     pub fn is_in_flight(&self, node_states: &NodeStates) -> bool {
         self.rejected_at.is_none()
             && self.ended.is_none()
@@ -59,34 +64,39 @@
     }
 }
 
-/// One request, and the connection that it opens.
+/// A request, and the connection that it opens.
 #[derive(Debug, Default)]
 pub(super) struct Request {
     pub submission: Option<Submission>,
     /// The first answer, and when it was read.
     pub answer: Option<(Micros, Answer)>,
     pub attempts: Vec<AttemptRecord>,
-    /// The attempt that became its connection.
+    /// Index of the attempt whose `UP` the client read; its connection serves the client.
     pub serving: Option<usize>,
+    /// When the client read `MOVE`.
     pub moved: Option<Micros>,
+    /// When and how the client's connection ended.
     pub client_end: Option<(Micros, ClientEnd)>,
-    /// When the proxy ended the connection, the render node had returned lines for at least the grace time.
+    /// Whether the render node had returned lines for at least the grace time when the proxy ended the connection.
     pub responsive_at_end: bool,
-    /// Lines in transit to the render node, in transit back, and not returned yet.
+    /// Lines from the client that have not reached the render node.
     pub to_node: LinesInTransit,
+    /// Lines that the render node returned and that have not reached the client.
     pub to_client: LinesInTransit,
+    /// Lines from the client that the render node has not returned.
     pub unreturned: LinesInTransit,
-    /// A violation was reported; only the first of a request counts, since others follow from it.
+    /// Whether a violation of the request was reported. Further ones are consequences of the first and are not
+    /// reported.
     pub reported: bool,
 }
 
 impl Request {
-    /// The attempt that became its connection, while the client has it.
+    /// The attempt whose connection serves, or served, the client.
     pub fn connection(&self) -> Option<&AttemptRecord> {
         self.serving.and_then(|serving| self.attempts.get(serving))
     }
 
-    /// The client's connection is open and it was not asked to move.
+    /// Whether the client's connection is open and the client has not read `MOVE`.
     pub fn is_established(&self) -> bool {
         self.client_end.is_none() && self.moved.is_none()
     }
@@ -104,7 +114,7 @@
     }
 }
 
-/// The state that rules on requests read, and their output.
+/// The state that the rules on requests use, and their output.
 pub(super) struct RuleContext<'a> {
     pub rules: &'a Rules,
     pub node_states: &'a NodeStates,
@@ -113,14 +123,14 @@
     pub output: &'a mut RuleOutput,
 }
 
-/// All requests.
+/// All requests of the run that have not been removed.
 #[derive(Debug)]
 pub(super) struct RequestTable {
     pub requests: FnvHashMap<RequestId, Request>,
     pub by_attempt: FnvHashMap<Attempt, RequestId>,
-    /// Which attempt got a receipt.
+    /// The attempt that a render node answered with the receipt.
     pub receipts: FnvHashMap<u64, Attempt>,
-    /// Established connections at each render node.
+    /// Requests with an established connection at each render node.
     established: Vec<BTreeSet<RequestId>>,
 }
 
@@ -139,7 +149,7 @@
         self.requests.get(&id).filter(|r| r.answer.is_none())?.submission
     }
 
-    /// Reports a violation by a request; only the first of each request counts.
+    /// Reports a violation of a request. Only the first violation of each request is reported.
     pub fn report_violation(
         &mut self,
         at: Micros,
@@ -162,19 +172,20 @@
         Some((id, request, index))
     }
 
-    /// Adds an established connection at a render node.
+    /// Adds the request's connection to those established at the render node.
     pub fn add_established(&mut self, id: RequestId, node: NodeId) {
         if let Some(established) = self.established.get_mut(usize::from(node.0)) {
             established.insert(id);
         }
     }
 
-    /// The established connections at a render node.
+    /// The requests with an established connection at the render node.
     pub fn established_at(&self, node: NodeId) -> Vec<RequestId> {
         self.established.get(usize::from(node.0)).map(|s| s.iter().copied().collect()).unwrap_or_default()
     }
 
-    /// The client needs nothing further from the request: removes its connection, and the request after the retention time.
+    /// Records that the client has finished with the request: removes its connection now, and the request after the
+    /// retention time.
     pub fn client_finished(&mut self, at: Micros, id: RequestId, output: &mut RuleOutput) {
         if let Some(node) = self.requests.get(&id).and_then(|r| r.connection()).map(|t| t.attempt.node)
             && let Some(established) = self.established.get_mut(usize::from(node.0))
--- a/crates/kit/src/judge/rule.rs
+++ b/crates/kit/src/judge/rule.rs
@@ -3,14 +3,15 @@
 use serde::{Serialize, Serializer};
 use std::fmt;
 
-/// A rule, as a proxy can break it. Sources: PROTOCOL "The rules on sockets" and "Figures", WIRE "RULES", DEPLOY.
+/// A rule that a proxy can violate. The comment of each names its source: PROTOCOL ("The rules on sockets" and
+/// "Figures"), WIRE ("RULES"), BENCH or DEPLOY.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Rule {
     /// WIRE, rule 1.
     OneFinalAnswer,
-    /// PROTOCOL: serving with anything that no render node made for the request.
+    /// PROTOCOL: serving with output that no render node made for the request.
     InventedAnswer,
-    /// WIRE, rule 2, where no parallel tries are allowed.
+    /// WIRE, rule 2, where no parallel attempts are allowed.
     TwoAttempts,
     /// WIRE, `policyLimits.mostTries`.
     TooManyAttempts,
@@ -18,32 +19,32 @@
     SendAfterDrain,
     /// WIRE, rule 4.
     SlowStartBudget,
-    /// PROTOCOL: cutting a connection off while its render node still answers.
+    /// PROTOCOL: cutting a connection while its render node still responds.
     CutWithoutMove,
-    /// PROTOCOL: holding back a line.
+    /// PROTOCOL: delaying a line.
     LineDelayed,
     /// PROTOCOL: lines pass both ways unchanged.
     LineChanged,
-    /// PROTOCOL, "Figures".
+    /// PROTOCOL, "Figures": time limit after a render node ended a connection.
     EndedConnectionOpen,
-    /// PROTOCOL, "Figures".
+    /// PROTOCOL, "Figures": time limit after a render node became silent.
     SilentConnectionOpen,
     /// BENCH: clients that break the protocol get an error or a close.
     MisbehavingClientUnanswered,
-    /// The same.
+    /// BENCH: clients that break the protocol are not served.
     MisbehavingClientServed,
     /// PROTOCOL, "Proxies to render nodes".
     BadFirstLine,
-    /// DEPLOY: a program that exits has crashed.
+    /// DEPLOY: a process that exits without a signal to stop has crashed.
     ProxyCrashed,
-    /// PROTOCOL: what is still there at SIGKILL.
+    /// PROTOCOL: a process that still runs at its shutdown deadline, when SIGKILL is sent.
     ShutdownOverrun,
     /// PROTOCOL, "Between proxies".
     OversizedDatagram,
 }
 
 impl Rule {
-    /// All of them, in the order of a report.
+    /// All rules, in the order in which reports list them.
     pub const ALL: [Rule; 17] = [
         Rule::OneFinalAnswer,
         Rule::InventedAnswer,
@@ -64,7 +65,7 @@
         Rule::OversizedDatagram,
     ];
 
-    /// Its name in reports.
+    /// The rule's name in reports.
     pub fn name(self) -> &'static str {
         match self {
             Rule::OneFinalAnswer => "one-final-answer",
@@ -87,33 +88,41 @@
         }
     }
 
-    /// What it asks of a proxy, in one sentence.
+    /// The requirement on a proxy, in one sentence for reports.
     pub fn meaning(self) -> &'static str {
         match self {
             Rule::OneFinalAnswer => {
-                "Each request that a proxy has taken gets exactly one final answer, in time."
+                "Each request that a proxy has accepted gets exactly one final answer, in time."
             }
             Rule::InventedAnswer => {
-                "An UP that a client reads is one that a render node gave for this very request."
+                "An UP that a client reads was issued by a render node for the same request."
             }
-            Rule::TwoAttempts => "A request never has two attempts out together.",
+            Rule::TwoAttempts => "A request never has two attempts in flight at the same time.",
             Rule::TooManyAttempts => "A request gets no more attempts than the settings allow.",
-            Rule::SendAfterDrain => "Nothing new goes to a render node once its drain or removal was told.",
-            Rule::SlowStartBudget => "All proxies together send a cold render node no more than it bears.",
-            Rule::CutWithoutMove => "No connection is cut without MOVE while its render node still answers.",
-            Rule::LineDelayed => "No line is held back.",
-            Rule::LineChanged => "Lines pass both ways unchanged, in order, and none is made up.",
+            Rule::SendAfterDrain => {
+                "A render node gets no new attempts from a proxy that knows of its drain or removal."
+            }
+            Rule::SlowStartBudget => {
+                "All proxies together send a render node in slow start no more attempts than its budget."
+            }
+            Rule::CutWithoutMove => "No connection is cut without MOVE while its render node still responds.",
+            Rule::LineDelayed => "No line is delayed beyond the limit.",
+            Rule::LineChanged => {
+                "Lines are forwarded in both directions unchanged and in order, and none is invented."
+            }
             Rule::EndedConnectionOpen => {
-                "A connection that its render node has ended is ended or moved soon."
+                "A connection that its render node has ended is ended or moved in time."
+            }
+            Rule::SilentConnectionOpen => {
+                "A connection whose render node is silent is ended or moved in time."
             }
-            Rule::SilentConnectionOpen => "A connection that returns nothing is ended or moved in time.",
-            Rule::MisbehavingClientUnanswered => "A rude client gets an error or a close in time.",
-            Rule::MisbehavingClientServed => "A rude client is not served.",
+            Rule::MisbehavingClientUnanswered => "A misbehaving client gets an error or a close in time.",
+            Rule::MisbehavingClientServed => "A misbehaving client is not served.",
             Rule::BadFirstLine => {
-                "A first line that a render node gets is one that a client put to that proxy."
+                "Each first line that a render node receives was sent by a client to the same proxy."
             }
-            Rule::ProxyCrashed => "A proxy runs until it is told to stop, and then exits with code 0.",
-            Rule::ShutdownOverrun => "A proxy that was told to stop is gone in time.",
+            Rule::ProxyCrashed => "A proxy runs until it gets SIGTERM, and then exits with code 0.",
+            Rule::ShutdownOverrun => "A proxy exits in time after SIGTERM.",
             Rule::OversizedDatagram => "A datagram between proxies has at most 256 bytes.",
         }
     }
--- a/crates/kit/src/judge/rule_output.rs
+++ b/crates/kit/src/judge/rule_output.rs
@@ -1,4 +1,4 @@
-//! The output of the rules: violations with the observations around them, and deferred checks.
+//! Collects the output of the rules: violations with their surrounding observations, and deferred checks.
 
 use super::deferred_checks::{DeferredCheck, DeferredChecks};
 use super::rule::Rule;
@@ -8,43 +8,51 @@
 use crate::time::{Micros, S};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Violations that are kept in full for each rule; further ones are only counted. Ten show whether they have one cause.
+/// Violations that are kept in full for each rule; further ones are only counted. Ten are enough to see whether the
+/// violations have a common cause.
 pub(super) const DETAILED_PER_RULE: usize = 10;
-/// Observations kept for the events around a violation: 5 proxies with 8,000 established connections give about 8,000
-/// a second, and the longest delay until a violation is detected is 7 s. About 5 MB.
+/// Observations that are kept for the events before a violation. 5 proxies with 8,000 established connections generate
+/// about 8,000 observations a second, and a violation is detected up to 7 s after its cause. They take about 5 MB.
 const RECENT_OBSERVATIONS: usize = 65_536;
-/// Events listed with a violation: of the request itself, of its render node and proxy, and following it.
+/// Events of the request itself that are listed with a violation.
 const DIRECT_EVENTS: usize = 8;
+/// Events of the render node and proxy that are listed with a violation.
 const RELATED_EVENTS: usize = 4;
+/// Events after the violation that are listed with it.
 const FOLLOWING_EVENTS: usize = 3;
-/// The time before and after a violation from which events are listed.
+/// Events older than this at the time of the violation are not listed.
 const CONTEXT_BEFORE: Micros = 15 * S;
+/// Events are collected for this long after a violation was reported.
 const CONTEXT_AFTER: Micros = S;
 
-/// A violation of a rule, with the numbers of the plan.
+/// A violation of a rule. The subject has the indices of the plan, not yet the names.
 #[derive(Clone, Debug)]
 pub(super) struct Violation {
     pub at: Micros,
     pub rule: Rule,
     pub subject: Subject,
     pub description: String,
-    /// In order of time.
+    /// Observations that concern the subject, in order of time.
     pub surrounding_events: Vec<Observation>,
 }
 
-/// Violations and deferred checks: everything that a rule emits.
+/// Receives the violations and deferred checks that the rules emit.
 #[derive(Debug, Default)]
 pub(super) struct RuleOutput {
     pub checks: DeferredChecks,
+    /// Number of violations of each rule.
     pub counts: BTreeMap<Rule, u64>,
+    /// The first violations of each rule, in the order in which they were found.
     pub violations: Vec<Violation>,
+    /// The latest observations.
     recent: VecDeque<Observation>,
-    /// Violations whose following events are still collected: index, remaining events, and the end of the collection.
+    /// Violations whose following events are still collected: index, number of events still to collect, and the time at
+    /// which the collection ends.
     collecting: Vec<(usize, usize, Micros)>,
 }
 
 impl RuleOutput {
-    /// Runs a check once the run has passed `due`.
+    /// Schedules a check to run once the run has passed `due`.
     pub fn defer(&mut self, due: Micros, check: DeferredCheck) {
         self.checks.add(due, check);
     }
@@ -84,7 +92,8 @@
         surrounding_events
     }
 
-    /// Keeps an observation for later violations, and adds it to those whose following events are still collected.
+    /// Keeps an observation for later violations, and adds it to earlier ones whose following events are still
+    /// collected.
     pub fn remember(&mut self, observation: &Observation) {
         if !self.collecting.is_empty() {
             let violations = &mut self.violations;
@@ -105,14 +114,14 @@
         self.recent.push_back(observation.clone());
     }
 
-    /// A render node received a first line that no client sends in this form.
+    /// Reports a first line at a render node that no client sent in this form.
     pub fn bad_first_line(&mut self, at: Micros, node: NodeId, proxy: ProxyId, line: &str) {
         let subject = Subject { node: Some(node), proxy: Some(proxy), ..Subject::default() };
-        let description = format!("'{}' is no line of a client's", excerpt(line).escape_debug());
+        let description = format!("'{}' is not a line that a client sent", excerpt(line).escape_debug());
         self.report_violation(at, Rule::BadFirstLine, subject, description);
     }
 
-    /// A client read a line that no render node sent.
+    /// Reports a line that a client read and no render node sent.
     pub fn changed_line(&mut self, at: Micros, request: RequestId, line: &str) {
         let subject = Subject { request: Some(request), ..Subject::default() };
         let description =
@@ -120,7 +129,7 @@
         self.report_violation(at, Rule::LineChanged, subject, description);
     }
 
-    /// A proxy sent a datagram above [`MAX_DATAGRAM_BYTES`].
+    /// Reports a datagram of more than [`MAX_DATAGRAM_BYTES`].
     pub fn oversized_datagram(&mut self, at: Micros, from: ProxyId, to: ProxyId, bytes: u32) {
         let subject = Subject { proxy: Some(from), ..Subject::default() };
         let description =
@@ -129,7 +138,7 @@
     }
 }
 
-/// The first characters of a line, for a description.
+/// The first 120 characters of a line, for a description.
 fn excerpt(line: &str) -> String {
     line.chars().take(120).collect()
 }
--- a/crates/kit/src/judge/service.rs
+++ b/crates/kit/src/judge/service.rs
@@ -1,5 +1,5 @@
-//! Connection seconds that were requested and that were well served, for each second of the run, summed exactly in
-//! microseconds.
+//! Sums the connection seconds that were requested and those that were well served, for each second of the run. The
+//! sums are exact, in integer microseconds.
 
 use crate::plan::{Plan, SessionId};
 use crate::time::{Micros, S};
@@ -7,69 +7,81 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Length of the worst window, in seconds.
+/// Length of the sliding window for the worst window's ratio.
 const WINDOW_SECONDS: usize = 10;
-/// Weights of the mixed figure (BRIEF, "Weights of service").
+/// Weights of the whole run, the worst window, the worst class and the worst tenant in [`Ratios::mix`] (BRIEF, "Weights
+/// of service").
 const MIX_WEIGHTS: [f64; 4] = [0.3, 0.3, 0.3, 0.1];
 
-/// Service ratios, 0 to 1; none where nothing was requested.
+/// Service ratios from 0 to 1: well-served connection seconds over requested ones, weighted by class. A ratio is `None`
+/// if nothing was requested.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Ratios {
-    /// The whole measured run.
+    /// Ratio of the whole measured part.
     pub whole: Option<f64>,
-    /// The worst 10 s, sliding by 1 s; the whole run if it is shorter.
+    /// Lowest ratio of a window of 10 s that slides by 1 s; the ratio of the whole measured part if that is shorter.
     pub worst_window: Option<f64>,
-    /// When that began.
+    /// Start of the worst window.
     pub worst_window_from: Micros,
-    /// The worst class, and its name.
+    /// Lowest ratio of a class.
     pub worst_class: Option<f64>,
-    /// The same.
+    /// Name of the class with the lowest ratio.
     pub worst_class_name: String,
-    /// The worst tenant within its share, and its name.
+    /// Lowest ratio of a tenant; demand above the tenant's quota does not count.
     pub worst_tenant: Option<f64>,
-    /// The same.
+    /// Name of the tenant with the lowest ratio.
     pub worst_tenant_name: String,
-    /// 0.3, 0.3, 0.3 and 0.1 of these.
+    /// Weighted mean of the four ratios above, with weights 0.3, 0.3, 0.3 and 0.1.
     pub mix: Option<f64>,
 }
 
-/// Weighted connection seconds in each second from the start of the measured part.
+/// Service in each second from the start of the measured part, in weighted connection seconds, and its ratios.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Service {
-    /// Requested.
+    /// Connection seconds that sessions requested.
     pub wanted: Vec<f64>,
-    /// Well served.
+    /// Connection seconds that were well served.
     pub well: Vec<f64>,
-    /// The ratios computed from them.
+    /// Ratios of well-served to requested connection seconds.
     pub ratios: Ratios,
 }
 
-/// The time in which one session requests a connection, and up to when its service has been counted.
+/// The time in which one session requests a connection.
 #[derive(Clone, Copy, Debug)]
 struct Demand {
     from: Micros,
     until: Micros,
+    /// Up to when the session's service has been counted.
     counted: Micros,
 }
 
-/// Incremental sums over the run.
+/// Sums that are updated as the run proceeds. A cell is a pair of a class and a tenant, numbered
+/// `class + classes * tenant`.
 #[derive(Debug)]
 pub(super) struct ServiceSums {
+    /// Start of the measured part.
     from: Micros,
+    /// End of the run.
     ends: Micros,
+    /// Weight of each class.
     weights: Vec<f64>,
+    /// Connection quota of each tenant; 0 means no quota.
     quotas: Vec<f64>,
-    /// Class and tenant of each session, as one number.
+    /// The cell of each session.
     cells: Vec<usize>,
+    /// The demand of each session; `None` until the session requests a connection.
     demands: Vec<Option<Demand>>,
-    /// How many sessions of each cell request a connection now, when they end, and up to when that is summed.
+    /// Number of sessions of each cell that request a connection at `summed`.
     active: Vec<i64>,
+    /// When the demand of each active session ends, with the session's cell.
     endings: BinaryHeap<Reverse<(Micros, usize)>>,
+    /// Up to when the requested time has been summed.
     summed: Micros,
-    /// For each second and cell, in microseconds.
+    /// Requested microseconds in each second and cell.
     wanted: Vec<i64>,
+    /// Well-served microseconds in each second and cell.
     well: Vec<i64>,
-    /// For each second and tenant: weighted microseconds requested within the tenant's quota.
+    /// Weighted microseconds that were requested within the tenant's quota, in each second and tenant.
     within_quota: Vec<f64>,
 }
 
@@ -100,7 +112,8 @@
         }
     }
 
-    /// A session requests a connection from now on. An unknown session, or a second request, changes nothing.
+    /// Records that a session requests a connection from `at` until `until`. An unknown session and a second request of
+    /// a session are ignored.
     pub fn wanted(&mut self, at: Micros, session: SessionId, until: Micros) {
         self.sum_to(at);
         let Some(demand @ None) = self.demands.get_mut(session.0 as usize) else { return };
@@ -112,7 +125,8 @@
         }
     }
 
-    /// A span of a session is over. Time that the session did not request, or that is already counted, is ignored.
+    /// Records a session's span from `from` to `at`, and whether the session was well served. Time that the session did
+    /// not request, or that has been counted already, is ignored.
     pub fn served(&mut self, at: Micros, session: SessionId, from: Micros, well: bool) {
         let Some(Some(demand)) = self.demands.get_mut(session.0 as usize) else { return };
         let (from, to) = (from.max(demand.from).max(demand.counted), at.min(demand.until));
@@ -128,6 +142,7 @@
         }
     }
 
+    /// Sums the requested time up to `at`.
     fn sum_to(&mut self, at: Micros) {
         while let Some(&Reverse((until, cell))) =
             self.endings.peek().filter(|Reverse((until, _))| *until <= at)
@@ -139,7 +154,7 @@
         self.sum_constant(at);
     }
 
-    /// Sums up to `to`, with a constant number of active sessions.
+    /// Sums the requested time up to `to`, until when the number of active sessions does not change.
     fn sum_constant(&mut self, to: Micros) {
         let to = to.min(self.ends);
         if to <= self.summed {
@@ -155,7 +170,6 @@
                 let weight: f64 =
                     active.iter().zip(&self.weights).map(|(count, weight)| *count as f64 * weight).sum();
                 let count = active.iter().sum::<i64>() as f64;
-                // A quota of 0 means no quota.
                 let share = if *quota > 0.0 && count > *quota { quota / count } else { 1.0 };
                 self.within_quota[second * tenants + tenant] += weight * share * span as f64;
             }
@@ -194,7 +208,7 @@
         Service { wanted, well, ratios }
     }
 
-    /// Weighted connection seconds of each second.
+    /// Converts sums by second and cell into the weighted connection seconds of each second.
     fn by_second(&self, sums: &[i64], seconds: usize) -> Vec<f64> {
         let classes = self.weights.len();
         let weighted = |cells: &[i64]| -> f64 {
@@ -203,7 +217,8 @@
         sums.chunks(self.active.len()).take(seconds).map(weighted).collect()
     }
 
-    /// A tenant's service: in each second at most the demand within its quota is requested, and at most that counts.
+    /// The tenant's ratio of well-served to requested time within its quota. In each second both the requested and the
+    /// well-served time are limited to the demand within the quota.
     fn within_share(&self, tenant: usize) -> Option<f64> {
         let (classes, cells, tenants) = (self.weights.len(), self.active.len(), self.quotas.len());
         let (mut wanted, mut well) = (0.0, 0.0);
@@ -219,7 +234,8 @@
     }
 }
 
-/// Splits a span at whole seconds since `start`; the part before `start` is ignored.
+/// Splits a span at whole seconds after `start`, and yields the number of the second and the length of each part. The
+/// part before `start` is ignored.
 fn split_by_second(start: Micros, from: Micros, to: Micros) -> impl Iterator<Item = (usize, Micros)> {
     let mut at = from.max(start);
     std::iter::from_fn(move || {
@@ -238,7 +254,7 @@
     (wanted > 0.0).then(|| well / wanted)
 }
 
-/// Replaces `worst` if `other` is worse; says whether it did.
+/// Replaces `worst` by `other` if that is lower or `worst` is `None`; returns whether it did.
 fn replace_if_worse(worst: &mut Option<f64>, other: Option<f64>) -> bool {
     let is = other.is_some_and(|other| worst.is_none_or(|worst| other < worst));
     if is {
--- a/crates/kit/src/judge/slow_start.rs
+++ b/crates/kit/src/judge/slow_start.rs
@@ -1,4 +1,4 @@
-//! The load that all proxies together send to render nodes in slow start.
+//! Checks the load that all proxies together send to a render node in slow start.
 
 use super::list_knowledge::ListKnowledge;
 use super::rule::Rule;
@@ -10,8 +10,8 @@
 use crate::time::Micros;
 use std::collections::VecDeque;
 
-/// Attempts above the budget that a window may hold: budgets are small (about ten attempts), proxies don't coordinate,
-/// and network latency shifts an attempt into a neighbouring window.
+/// Number of attempts by which a window may exceed the budget. Budgets are small (about ten attempts), proxies don't
+/// coordinate, and network latency can shift an attempt into a neighbouring window.
 const CHANCE_ALLOWANCE: f64 = 4.0;
 
 /// A render node that is still warming up.
@@ -19,15 +19,16 @@
 struct WarmingNode {
     started: Micros,
     cold: SlowStart,
-    /// Attempts of the latest window, and whether their proxy had been notified of the start.
+    /// Times of the attempts in the latest window, and whether the proxy of each had been notified of the start.
     window: VecDeque<(Micros, bool)>,
-    /// How many of these proxies had been.
+    /// Number of attempts in the window whose proxy had been notified.
     notified: usize,
-    /// A violation is reported once for each start: an overload follows from the exceeded budget.
+    /// Whether a violation was reported. Each start has at most one: an overload is a consequence of the exceeded
+    /// budget.
     reported: bool,
 }
 
-/// Render nodes in slow start, by place.
+/// Render nodes in slow start, by their index in the plan.
 #[derive(Debug)]
 pub(super) struct WarmingNodes {
     nodes: Vec<Option<WarmingNode>>,
@@ -90,8 +91,8 @@
         if arrivals as f64 > budget + CHANCE_ALLOWANCE && warming.mostly_notified() && !warming.reported {
             warming.reported = true;
             let description = format!(
-                "{arrivals} attempts within {}, {} of them by proxies that were told of its start at {}; it bears \
-                 {budget:.1} (and {CHANCE_ALLOWANCE} for chance), being at {:.0}% of {:.1} a second",
+                "{arrivals} attempts within {}, {} of them by proxies that knew of its start at {}; the budget is \
+                 {budget:.1} (and {CHANCE_ALLOWANCE} for chance) at {:.0}% of {:.1} attempts a second",
                 format_seconds(window_length),
                 warming.notified,
                 format_seconds(warming.started),
@@ -109,7 +110,7 @@
         warming.advance_window(at, self.window_length, None);
         if warming.mostly_notified() && !warming.reported {
             let description = format!(
-                "fell over with {} attempts within {}, {} of them by proxies that were told of its start at {}",
+                "overloaded by {} attempts within {}, {} of them by proxies that knew of its start at {}",
                 warming.window.len(),
                 format_seconds(self.window_length),
                 warming.notified,
@@ -126,7 +127,7 @@
 }
 
 impl WarmingNode {
-    /// Advances the window to `at`, and records an attempt if there is one.
+    /// Advances the window to `at`, and adds an attempt at this time if `was_notified` is given.
     fn advance_window(&mut self, at: Micros, window_length: Micros, was_notified: Option<bool>) {
         while let Some((_, was_notified)) =
             self.window.front().filter(|(then, _)| *then <= at - window_length)
@@ -140,13 +141,14 @@
         }
     }
 
-    /// Share of the full capacity that is available at `at`.
+    /// Share of the full capacity that the render node has at `at`.
     fn capacity_share(&self, at: Micros) -> f64 {
         let progress = (at - self.started) as f64 / self.cold.warm_up.max(1) as f64;
         self.cold.from + (1.0 - self.cold.from) * progress.clamp(0.0, 1.0)
     }
 
-    /// Whether at least two thirds of the attempts came from proxies that knew of the start; otherwise none is at fault.
+    /// Whether at least two thirds of the attempts came from proxies that had been notified of the start. Otherwise no
+    /// proxy is at fault.
     fn mostly_notified(&self) -> bool {
         !self.window.is_empty() && 3 * self.notified >= 2 * self.window.len()
     }
--- a/crates/kit/src/judge/subject.rs
+++ b/crates/kit/src/judge/subject.rs
@@ -1,4 +1,4 @@
-//! The parties that a violation concerns, and which observations belong to them.
+//! Identifies the parties that a violation concerns, and selects the observations that relate to them.
 
 use crate::observation::{Attempt, RequestId, Seen};
 use crate::plan::{NodeId, ProxyId, SessionId};
@@ -13,19 +13,20 @@
     pub session: Option<SessionId>,
     pub node: Option<NodeId>,
     pub proxy: Option<ProxyId>,
-    /// The misbehaving client, by its place in the plan.
+    /// The misbehaving client, by its index in the plan.
     pub rude: Option<u32>,
-    /// The request's attempts.
+    /// Attempts of the request.
     pub attempts: Vec<Attempt>,
 }
 
 /// How an observation relates to a subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Relation {
-    /// It concerns the request itself, or whatever else violates the rule.
+    /// The observation concerns the request itself, or the party that violates a rule without a request.
     Direct,
-    /// It concerns the state of the render node or proxy.
+    /// The observation concerns the state of the render node, the proxy, discovery or the scenario.
     Related,
+    /// The observation does not concern the subject.
     Unrelated,
 }
 
--- a/crates/kit/src/judge/verdict.rs
+++ b/crates/kit/src/judge/verdict.rs
@@ -1,4 +1,4 @@
-//! The verdict on a run: outcome, findings, missed demands and figures.
+//! The verdict on a run: outcome, findings, missed demands and statistics.
 
 use super::figures::Figures;
 use super::lateness::Lateness;
@@ -9,39 +9,40 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// How a run came out.
+/// Outcome of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Every rule was kept and every demand reached.
+    /// No rule was violated and every demand was reached.
     Passed,
-    /// A rule was broken or a demand not reached.
+    /// A rule was violated or a demand was not reached.
     Failed,
     /// The kit itself ran late, so the run proves nothing.
     Void,
 }
 
-/// A violation: the rule, the time, the parties, and what was required.
+/// A violation for the report: the rule, the time, the parties, and a description.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Finding {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// When it was broken, or when that was certain; microseconds since the run began.
+    /// When the violation occurred or became certain, in microseconds since the start of the run.
     pub at: Micros,
-    /// The request's id, as on the wire.
+    /// Id of the request, formatted as on the wire.
     pub request: Option<String>,
-    /// The session's number.
+    /// Index of the session in the plan.
     pub session: Option<u32>,
-    /// The misbehaving client's number.
+    /// Index of the misbehaving client in the plan.
     pub rude: Option<u32>,
-    /// The render node's name.
+    /// Name of the render node.
     pub node: Option<String>,
-    /// The proxy's name.
+    /// Name of the proxy.
     pub proxy: Option<String>,
-    /// What was required, what was observed, and when.
+    /// What was required, and what was observed at which time.
     #[serde(rename = "what")]
     pub description: String,
-    /// What was seen of the same request, and of the state of its render node and proxy, a little before and after.
+    /// Observations of the same request, and of the state of its render node and proxy, shortly before and after the
+    /// violation.
     #[serde(rename = "around")]
     pub surrounding_events: Vec<String>,
 }
@@ -49,38 +50,38 @@
 /// A demand that was not reached.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct MissedDemand {
-    /// Which: `service`, `worst_window`, or `datagram_bytes_per_s`, which is a bound from above.
+    /// Name of the demand: `service`, `worst_window`, or `datagram_bytes_per_s`, which is an upper limit.
     pub demand: &'static str,
-    /// What was demanded.
+    /// The demanded value.
     pub demanded: f64,
-    /// What was reached; none if nothing was asked for, which proves nothing.
+    /// The measured value; `None` if no service was requested, so that the demand can't be shown to be reached.
     pub reached: Option<f64>,
 }
 
 /// The verdict on a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Verdict {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The plan's seed.
+    /// Seed of the plan.
     pub seed: u64,
-    /// Until when it was judged.
+    /// Time up to which the run was judged.
     pub judged_to: Micros,
-    /// How it came out.
+    /// Outcome of the run.
     pub outcome: Outcome,
-    /// Why it is void.
+    /// The reason why the run is void; `None` if it is valid.
     pub void: Option<String>,
-    /// How often each rule was broken; those that were kept are left out.
+    /// Number of violations of each violated rule.
     #[serde(rename = "breaks")]
     pub violations: BTreeMap<Rule, u64>,
-    /// The first ten breaks of each rule, in the order in which they were found.
+    /// The first ten violations of each rule, in the order in which they were found.
     pub findings: Vec<Finding>,
     /// Demands that were not reached.
     #[serde(rename = "unreached")]
     pub missed_demands: Vec<MissedDemand>,
-    /// How late the kit ran.
+    /// Lag of the kit.
     pub lateness: Lateness,
-    /// The figures.
+    /// Statistics of the run.
     pub figures: Figures,
 }
 
@@ -123,33 +124,33 @@
         }
     }
 
-    /// Every rule was kept and every demand reached.
+    /// Whether no rule was violated and every demand was reached.
     pub fn passed(&self) -> bool {
         self.outcome == Outcome::Passed
     }
 
-    /// The run proves nothing.
+    /// Whether the kit ran late, so that the run proves nothing.
     pub fn is_void(&self) -> bool {
         self.outcome == Outcome::Void
     }
 
-    /// The one figure of the run: the mix of the service ratios; 0 if nothing was asked for.
+    /// The weighted mean of the service ratios, which rates the run as a whole; 0 if no service was requested.
     pub fn service(&self) -> f64 {
         self.figures.service.ratios.mix.unwrap_or(0.0)
     }
 
-    /// Rules that were broken.
+    /// The violated rules.
     pub fn violated_rules(&self) -> impl Iterator<Item = Rule> {
         self.violations.keys().copied()
     }
 
-    /// How often the rule was broken.
+    /// Number of violations of the rule.
     pub fn violation_count(&self, rule: Rule) -> u64 {
         self.violations.get(&rule).copied().unwrap_or(0)
     }
 }
 
-/// The proxy that sent most in a second, if that was more than is allowed.
+/// The missed demand of the proxy that sent the most datagram bytes in a second, if that is more than allowed.
 fn too_many_bytes(plan: &Plan, figures: &Figures) -> Option<MissedDemand> {
     let most = figures.proxies.iter().map(|proxy| proxy.most_bytes_in_a_second).max()?;
     let allowed = plan.demands.datagram_bytes_per_s;
@@ -161,6 +162,7 @@
     })
 }
 
+/// Converts a violation for the report, with the names of the plan instead of indices.
 fn finding(plan: &Plan, violation: Violation) -> Finding {
     let subject = violation.subject;
     let node = |i: u16| plan.nodes.get(usize::from(i)).map_or_else(|| i.to_string(), |n| n.name.clone());
--- a/crates/kit/src/observation.rs
+++ b/crates/kit/src/observation.rs
@@ -1,7 +1,8 @@
-//! Observations by the emulated clients, render nodes, discovery and front, and by the runner of the proxies' processes.
+//! Observations by the emulated clients, render nodes, discovery and front, and by the runner of the proxies'
+//! processes.
 //!
 //! They are the judge's only input, in order of time; none comes from a proxy. Each is recorded at the time of the
-//! event, on the one clock of the run. Reports list observations by their `Debug` text, so the names of [`Seen`]'s
+//! event, and all use the same clock. Reports list observations by their `Debug` text, so the names of [`Seen`]'s
 //! variants and fields are part of the output.
 
 use crate::plan::{NodeId, Phase, ProxyId, SessionId};
@@ -11,24 +12,25 @@
 /// One observation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
-    /// Time on the run's clock, in microseconds.
+    /// Time on the clock of the run, in microseconds.
     pub at: Micros,
     /// The event.
     pub seen: Seen,
 }
 
-/// The id in a client's first line. Each attempt of a client has a new one, so it identifies one request and its proxy.
+/// The id in a client's first line. Each request that a client sends has a new id, so the id identifies one request and
+/// its proxy.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
 impl fmt::Debug for RequestId {
-    /// As on the wire, so that it can be found in a proxy's log.
+    /// Formats the id as on the wire, so that it can be found in a proxy's log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
 }
 
-/// One attempt at one render node, by the render node's count of the first lines that it received.
+/// Identifies one attempt at one render node by the render node's count of the first lines that it has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Attempt {
     /// The render node.
@@ -42,18 +44,18 @@
 pub enum Answer {
     /// `UP RECEIPT`.
     Up(u64),
-    /// `BUSY` or `BUSY MS`; the wait in microseconds, 0 if none was given.
+    /// `BUSY` or `BUSY MS`, with the wait in microseconds; 0 if the answer has none.
     Busy(Micros),
     /// Any other line.
     Failed(String),
 }
 
-/// How a client's connection ended, when the proxy ended it.
+/// How the proxy ended a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProxyClose {
-    /// By an orderly close.
+    /// With an orderly close.
     Closed,
-    /// By a reset.
+    /// With a reset.
     Reset,
 }
 
@@ -62,11 +64,11 @@
 pub enum ClientClose {
     /// The deadline, and a margin in which a late answer would have been read, passed without an answer.
     GaveUp,
-    /// It gave up before the deadline.
+    /// The client gave up before the deadline.
     Impatient,
-    /// A fault of the scenario made it drop the connection.
+    /// An event of the scenario's timeline made the client drop the connection.
     Dropped,
-    /// Its session is over: it ended its sending and read the rest.
+    /// The session is over: the client closed its sending side and read the remaining lines.
     Done,
 }
 
@@ -75,7 +77,7 @@
 pub enum NodeAnswer {
     /// `UP` with this receipt, unique to the attempt.
     Up(u64),
-    /// `BUSY`: the request was not run.
+    /// `BUSY`: the render node did not run the request.
     Busy,
     /// `ERR`, or an unreadable answer.
     Error,
@@ -84,44 +86,45 @@
 /// How an attempt, or the connection that it opened, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The proxy closed it or ended its sending.
+    /// The proxy closed the connection or its sending side.
     ByProxy,
-    /// The render node, with `BYE`.
+    /// The render node ended the connection with `BYE`.
     Bye,
-    /// The render node, with `MOVE`.
+    /// The render node ended the connection with `MOVE`.
     Move,
-    /// The render node, without a line: it died, shed the connection, or closed after `BUSY` or `ERR`.
+    /// The render node ended the connection without `BYE` or `MOVE`: its process ended, it shed the connection, or it
+    /// closed after `BUSY` or `ERR`.
     Cut,
 }
 
 /// The condition of a render node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// Accepts, answers and returns lines.
+    /// Accepts connections, answers requests and returns lines.
     Sound,
-    /// Accepts connections and never replies; lines are not returned.
+    /// Accepts connections but neither answers requests nor returns lines.
     Hung,
-    /// Its machine is down or cut off: established connections are silent and new ones are never accepted.
+    /// The machine is down or disconnected: established connections are silent, and new ones are never accepted.
     Vanished,
-    /// Answers new connections with unreadable bytes; established ones work.
+    /// Answers new connections with unreadable bytes; established connections work.
     Rubbish,
-    /// No process: connections were reset, new ones are refused.
+    /// No process runs: established connections were reset, and new ones are refused.
     Down,
 }
 
-/// Slow start of a render node: how it warms up, and its capacity meanwhile.
+/// Slow start of a render node: duration of the warm-up, and the capacity during it.
 #[derive(Clone, Copy, PartialEq)]
 pub struct SlowStart {
-    /// New connections a second that it takes when warm: those that fill it within `warm_up`.
+    /// New connections a second that the render node accepts when it is warm. This rate fills it within `warm_up`.
     pub joins_per_s: f64,
-    /// Share of its capacity at the start; rises linearly to 1.
+    /// Share of the full capacity at the start; it rises linearly to 1.
     pub from: f64,
     /// Duration of the warm-up, in microseconds.
     pub warm_up: Micros,
 }
 
 impl fmt::Debug for SlowStart {
-    /// Reports list observations as this text, so its names stay as they were first published.
+    /// Formats the names that reports have used from the start, since reports list observations as this text.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let SlowStart { joins_per_s, from, warm_up } = self;
         f.debug_struct("Cold")
@@ -139,71 +142,72 @@
     Kill,
     /// SIGTERM.
     Terminate,
-    /// SIGHUP, after its files were replaced.
+    /// SIGHUP, after the proxy's files were replaced.
     Reload,
 }
 
 /// How a proxy handled a misbehaving client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MisbehaviorOutcome {
-    /// `ERR` or `BUSY`.
+    /// The proxy answered `ERR` or `BUSY`.
     Error,
-    /// Closed without an answer.
+    /// The proxy closed the connection without an answer.
     Closed,
-    /// Served, as if its request had run.
+    /// The proxy served the client like one with a valid request.
     Served,
 }
 
 /// An observed event.
 #[derive(Clone, Debug, PartialEq)]
-#[allow(missing_docs)] // Each variant's sentence names its fields.
+#[allow(missing_docs)] // The comment of each variant explains its fields.
 pub enum Seen {
-    // -- clients --
-    /// A session wants a connection from now until `until`, whoever serves it.
+    // -- observed by clients --
+    /// A session requests a connection from now until `until`, from any proxy.
     Wanted { session: SessionId, class: u8, tenant: u8, until: Micros },
-    /// The last byte of a first line was written to a connection that the proxy's machine had accepted: the
-    /// proxy has taken the request. The client waits for the answer until `deadline`.
+    /// The client wrote the last byte of a first line to a connection that the proxy's machine had accepted, so the
+    /// proxy has accepted the request. The client waits for the answer until `deadline`.
     Asked { request: RequestId, session: SessionId, proxy: ProxyId, deadline: Micros },
     /// The proxy could not be reached, or broke the connection before the last byte was written.
     Unreached { session: SessionId, proxy: ProxyId },
-    /// An answer line was read. A second one is noted like the first.
+    /// The client read an answer line. A second answer to the same request is recorded in the same way.
     Answered { request: RequestId, answer: Answer },
-    /// A `MOVE` line was read.
+    /// The client read a `MOVE` line.
     Moved { request: RequestId },
-    /// A line was read that neither is an answer nor one that a client or render node sent on this connection, or
-    /// that came out of its turn; its first bytes, as text.
+    /// The client read a line that is neither an answer nor a line that the client or the render node sent on this
+    /// connection, or a line out of order. `line` has its first bytes as text.
     Garbled { request: RequestId, line: String },
-    /// The proxy ended the connection.
+    /// The proxy ended the client's connection.
     Ended { request: RequestId, how: ProxyClose },
-    /// The client ended it.
+    /// The client ended its connection.
     Left { request: RequestId, why: ClientClose },
     /// The client sent its line number `line` (from 0).
     LineSent { request: RequestId, line: u32 },
-    /// Its line came back.
+    /// The client's line number `line` was returned to the client.
     LineBack { request: RequestId, line: u32 },
-    /// Connection seconds of a session from `from` until the time of this note, and whether they were well served:
-    /// the connection stood and its message came back within the class's aim. What no such span covers was not
-    /// served. Known, and so taken down, only up to that aim later.
+    /// Connection seconds of a session from `from` until the time of this observation, and whether they were well
+    /// served: the connection was established and its message was returned within the class's `message_aim`. Time that
+    /// no such span covers was not served. The result is known, and so recorded, up to `message_aim` later.
     Served { session: SessionId, from: Micros, well: bool },
-    /// A message came back this long after the client was due to send it.
+    /// A message was returned `took` after the client was due to send it.
     MessageTook { class: u8, took: Micros },
-    /// A session was up this long after the try was due.
+    /// A session was established `took` after the client's connection attempt was due.
     SetupTook { class: u8, took: Micros },
-    /// A rude client has connected; it is owed an error or a close until `by`.
+    /// A misbehaving client has connected. The proxy must answer it with an error or a close by the time `by`.
     RudeCame { rude: u32, proxy: ProxyId, by: Micros },
-    /// It is about to put a request with an id of its own, among whatever else it says.
+    /// The misbehaving client is about to send a request with an id of its own, perhaps among other bytes.
     RudeAsked { rude: u32, request: RequestId, proxy: ProxyId },
-    /// It was dealt with.
+    /// The proxy answered the misbehaving client, or closed its connection.
     RudeOver { rude: u32, how: MisbehaviorOutcome },
 
-    // -- render nodes --
-    /// The process runs (again); `cold` unless it was warm from the start.
+    // -- observed by render nodes --
+    /// The process has started or restarted. `cold` describes its slow start; `None` if it was warm from the start.
     Started { node: NodeId, cold: Option<SlowStart> },
-    /// What it can do from now on.
+    /// The condition of the render node from now on.
     Condition { node: NodeId, condition: Condition },
-    /// It was pushed over: too much came while it was cold. It stays down.
+    /// The render node failed from overload during its slow start, and stays down.
     Fell { node: NodeId },
-    /// A first line's last byte has arrived; its first one arrived at `first_byte`. `session` is the one that has its key.
+    /// The last byte of a first line has arrived; its first byte arrived at `first_byte`. `session` is the session
+    /// whose key the line carries; `None` if no session has this key.
     Attempt {
         attempt: Attempt,
         request: RequestId,
@@ -211,51 +215,51 @@
         proxy: ProxyId,
         first_byte: Micros,
     },
-    /// A first line that no client sent in this form (but for `d`).
+    /// A first line has arrived that no client sent in this form, apart from its field `d`.
     BadFirstLine { node: NodeId, proxy: ProxyId, line: String },
-    /// The attempt was answered.
+    /// The render node answered the attempt.
     AttemptAnswered { attempt: Attempt, answer: NodeAnswer },
-    /// The attempt, or the connection that came of it, is over.
+    /// The attempt, or the connection that it opened, has ended.
     AttemptOver { attempt: Attempt, over: AttemptEnd },
-    /// A client's line has arrived.
+    /// A client's line has arrived at the render node.
     LineAtNode { attempt: Attempt, line: u32 },
-    /// It was returned.
+    /// The render node returned a client's line.
     LineReturned { attempt: Attempt, line: u32 },
 
-    /// The network between a proxy and a render node is cut, or whole again.
+    /// The link between a proxy and a render node was cut, or connected again (`on`).
     Reach { proxy: ProxyId, node: NodeId, on: bool },
 
-    // -- discovery --
-    /// The list has changed.
+    // -- observed by discovery --
+    /// The endpoint list has changed: the render node is now in state `phase`.
     Listed { node: NodeId, phase: Phase },
-    /// The change was written to the proxy's watch.
+    /// Discovery wrote this change to the proxy's watch.
     Told { proxy: ProxyId, node: NodeId, phase: Phase },
-    /// A proxy's watch was answered, or has ended.
+    /// A proxy's watch was answered (`on`) or has ended.
     Watching { proxy: ProxyId, on: bool },
-    /// A call of a proxy's for the whole list was answered, or has failed.
+    /// A proxy's poll of the complete list was answered or has failed.
     ListCall { proxy: ProxyId, answered: bool },
-    /// Discovery can be reached by all, or by none.
+    /// Discovery is now reachable by all proxies (`up`) or by none.
     DiscoveryUp { up: bool },
 
-    // -- the front, and the kit's own hand --
-    /// The front gives the proxy new clients, or no more.
+    // -- observed by the front, the runner and the network emulator --
+    /// The front began (`on`) or stopped to send new clients to the proxy.
     Admitted { proxy: ProxyId, on: bool },
-    /// The process was started; `pid` names it.
+    /// The runner started the proxy's process, with process id `pid`.
     ProxyStarted { proxy: ProxyId, pid: u32 },
-    /// About to be sent.
+    /// The runner is about to send the signal to the proxy's process.
     ProxySignalled { proxy: ProxyId, signal: Signal },
-    /// The process is gone; its exit code, if it had one.
+    /// The proxy's process has exited. `code` is `None` if a signal ended it.
     ProxyExited { proxy: ProxyId, code: Option<i32> },
-    /// A proxy sent a datagram of so many bytes to another one.
+    /// A proxy sent a datagram to another one.
     Datagram { from: ProxyId, to: ProxyId, bytes: u32 },
-    /// Something of the scenario's timeline, in words.
+    /// The description of an event of the scenario's timeline.
     Mark { text: String },
-    /// A stand-in ran this late.
+    /// An emulator ran late by this time.
     Lag { late: Micros },
 }
 
 impl fmt::Display for Observation {
-    /// For a person: the time in seconds and what was seen.
+    /// Formats the time in seconds and the `Debug` text of the event.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:>10.6} s  {:?}", self.at as f64 / 1e6, self.seen)
     }
--- a/crates/kit/src/plan.rs
+++ b/crates/kit/src/plan.rs
@@ -1,8 +1,8 @@
 //! The plan of a run: everything that a scenario and a seed determine before the run starts.
 //!
-//! The same scenario and seed give the same plan to the microsecond, and nothing in a run changes it. The emulated
-//! clients, render nodes and discovery share it by reference. [`Plan::digest`] is taken over the `Debug` text, so the
-//! names of types, fields and variants printed there stay.
+//! The same scenario and seed give the same plan to the microsecond, and a run never changes its plan. The emulated
+//! clients, render nodes and discovery share it by reference. [`Plan::digest`] is computed from the `Debug` text, so
+//! the names of the types, fields and variants in that text must not change.
 
 mod rules;
 mod timeline;
@@ -17,28 +17,28 @@
 use std::fmt::{self, Write};
 use std::hash::Hasher;
 
-/// A render node, by its place in [`Plan::nodes`].
+/// Identifies a render node by its index in [`Plan::nodes`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct NodeId(pub u16);
 
-/// A proxy, by its place in [`Plan::proxies`]; its `ordinal` in the settings.
+/// Identifies a proxy by its index in [`Plan::proxies`], which is its `ordinal` in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ProxyId(pub u16);
 
-/// A session, by its place in [`Plan::sessions`].
+/// Identifies a session by its index in [`Plan::sessions`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SessionId(pub u32);
 
-/// A run.
+/// The plan of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub name: String,
-    /// From which everything was drawn.
+    /// Seed from which all random values of the plan were drawn.
     pub seed: u64,
-    /// Start of the measured part; before it the initial sessions are established.
+    /// Start of the measured part. The initial sessions are established before it.
     pub measured_from: Micros,
-    /// No session is wanted, and nothing is judged, after this.
+    /// End of the run. No session requests a connection, and nothing is judged, after it.
     pub ends: Micros,
     /// Names of the zones.
     pub zones: Vec<String>,
@@ -52,36 +52,36 @@
     pub proxies: Vec<Proxy>,
     /// Sessions, in the order of their arrival.
     pub sessions: Vec<Session>,
-    /// Rude clients, in the order of their arrival.
+    /// Misbehaving clients, in the order of their arrival.
     pub rude: Vec<MisbehavingClient>,
-    /// What happens, in order.
+    /// Scheduled events, in order of time.
     pub timeline: Vec<TimelineEvent>,
-    /// How clients behave.
+    /// Behavior of the clients.
     pub habits: Habits,
-    /// How the front behaves.
+    /// Behavior of the front.
     pub front: Front,
-    /// What holds between the parties.
+    /// Properties of the network.
     pub network: Network,
-    /// The figures of the rules, for the settings and the judge.
+    /// Limits of the rules, for the settings and the judge.
     pub rules: Rules,
-    /// What the run must reach, beside keeping every rule.
+    /// Measured values that the run must reach, besides following every rule.
     pub demands: Demands,
-    /// How the machine's wall clock is stepped, in order; the run's own clock never is.
+    /// Steps of the wall clock, in order of time. The clock of the run is never stepped.
     pub wall_steps: Vec<WallStep>,
 }
 
 /// A step of the wall clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WallStep {
-    /// When.
+    /// Time of the step.
     pub at: Micros,
-    /// By how much, in microseconds; negative: back.
+    /// Size of the step in microseconds; negative if the clock is set back.
     pub by: Micros,
 }
 
 impl Plan {
-    /// A digest of the plan, for a run to print: equal plans have the same. FNV-1a over the plan as text, in
-    /// which each number is written in the shortest form that reads back the same.
+    /// A digest of the plan, which runs print: equal plans have equal digests. It is FNV-1a over the `Debug` text, in
+    /// which each number is written in the shortest form that parses to the same value.
     pub fn digest(&self) -> u64 {
         struct Sink(FnvHasher);
         impl Write for Sink {
@@ -91,7 +91,7 @@
             }
         }
         let mut sink = Sink(FnvHasher::default());
-        // The sink takes everything.
+        // The sink never returns an error.
         let _ = write!(sink, "{self:?}");
         sink.0.finish()
     }
@@ -100,136 +100,137 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// A set-up within this time is wanted.
+    /// Target time of a set-up.
     pub setup_aim: Micros,
     /// How long a client waits for `UP`.
     pub deadline: Micros,
-    /// A message within this time is well served.
+    /// Target time of a message. A message that is returned within it counts as well served.
     pub message_aim: Micros,
-    /// Worth of a well-served second.
+    /// Weight of a connection second in the service ratios.
     pub worth: f64,
 }
 
 /// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Its part of the service.
+    /// The tenant's share of the service.
     pub share: f64,
-    /// Open connections within its share, over all proxies.
+    /// Quota of open connections over all proxies.
     pub quota_connections: f64,
-    /// New connections a second within its share, over all proxies.
+    /// Quota of new connections a second over all proxies.
     pub quota_per_s: f64,
 }
 
-/// A render node. Work is counted in seconds of a core of standard speed.
+/// A render node. Work is measured in seconds of a core of standard speed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
-    /// Its id on the list.
+    /// Id of the render node in the endpoint list.
     pub name: String,
-    /// Its zone, by place.
+    /// Index of the zone.
     pub zone: u16,
-    /// Its cell.
+    /// Number of the cell.
     pub cell: u32,
-    /// Its kind's name.
+    /// Name of the render node's kind in the scenario.
     pub kind: String,
-    /// Its registered size: cores times the kind's usual speed.
+    /// Registered size: cores times the usual speed of the kind.
     pub size: f64,
-    /// What it really does: work a second, warm and alone.
+    /// Actual capacity: work a second when the render node is warm and runs nothing else.
     pub capacity: f64,
-    /// Connections whose mean load fills one unit of capacity.
+    /// Number of connections whose mean load uses one unit of capacity.
     pub connections_per_unit: f64,
-    /// Established connections that it bears at most; beyond, new ones are turned away.
+    /// Maximum number of established connections; the render node rejects further ones.
     pub connections_max: u32,
-    /// Set-ups that it takes in at once; beyond, new ones are turned away.
+    /// Maximum number of simultaneous set-ups; the render node rejects further ones.
     pub setups_max: u32,
     /// Work of one set-up.
     pub setup_work: f64,
-    /// Time that a set-up takes beside its work: the call to the session store.
+    /// Time that a set-up takes in addition to its work, for the call to the session store.
     pub setup_wait: Micros,
-    /// Each group of which it holds any costs so many mean connection loads.
+    /// Cost of each group that has a session on the render node, in mean connection loads.
     pub group_cost: f64,
-    /// Time of a message on an idle render node.
+    /// Time to process a message on an idle render node.
     pub message: Micros,
-    /// How unevenly messages come: the factor by which waiting grows with use.
+    /// Burstiness of the messages: the factor by which the waiting time grows with utilization.
     pub bursty: f64,
-    /// It sheds connections when more than this is piled up.
+    /// Longest backlog of work; the render node sheds connections beyond it.
     pub buffer: Micros,
-    /// Cold, it begins at this part of its capacity ...
+    /// Share of the capacity at the beginning of slow start.
     pub cold_from: f64,
-    /// ... and is warm after this.
+    /// Duration of slow start.
     pub warm_up: Micros,
-    /// It is on the list from the start, and warm.
+    /// Whether the render node is warm and in the endpoint list from the start of the run.
     pub from_start: bool,
-    /// For what it draws itself (lengths of messages).
+    /// Seed of the render node's own random values (lengths of messages).
     pub seed: u64,
 }
 
 /// A proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Proxy {
-    /// Its name.
+    /// Name of the proxy.
     pub name: String,
-    /// Its zone, by place.
+    /// Index of the zone.
     pub zone: u16,
-    /// Its `limits.sockets`.
+    /// The setting `limits.sockets`.
     pub sockets: u32,
-    /// Its `limits.memory_mb`.
+    /// The setting `limits.memory_mb`.
     pub memory_mb: u32,
-    /// Its seed.
+    /// Seed of the proxy's own random values.
     pub seed: u64,
 }
 
-/// A session: what one client wants, however many connections it takes.
+/// A session: one client's demand for a connection, which it may meet by several connections in succession.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Session {
-    /// When it comes.
+    /// When the session begins to request a connection.
     pub arrives: Micros,
-    /// How long it wants a connection.
+    /// How long the session requests a connection.
     pub life: Micros,
-    /// Its class, by place.
+    /// Index of the class.
     pub class: u8,
-    /// Its tenant, by place.
+    /// Index of the tenant.
     pub tenant: u8,
-    /// Its zone, by place: the front keeps clients to the proxies of their zone where it can.
+    /// Index of the zone. The front sends clients to proxies of their zone if it can.
     pub zone: u16,
-    /// The key that its first lines carry; no other session's.
+    /// The key in the session's first lines; unique to the session.
     pub key: u64,
-    /// The group that it shares work with.
+    /// The group of sessions with which this session shares work.
     pub group: u64,
-    /// Its load over time: from each moment since its arrival, work a second. Never empty, begins at 0.
+    /// Load over time: pairs of a time since the arrival and the load from then on, in work a second. It is never
+    /// empty, and the first time is 0.
     pub loads: Vec<(Micros, f64)>,
-    /// It gives up a try after this part of the deadline (1 for most).
+    /// Share of the deadline after which the client gives up a request; 1 for most clients.
     pub patience: f64,
-    /// For what it draws itself (waits, phases of its lines, ids).
+    /// Seed of the client's own random values (waits, phases of its lines, ids).
     pub seed: u64,
 }
 
 impl Plan {
-    /// Members of the tier: proxies, and liars behind them.
+    /// Number of members: the proxies, and the faulty peers that follow them in the list of peers.
     pub fn members(&self) -> u16 {
         (self.proxies.len() + self.network.liars.len()) as u16
     }
 }
 
 impl Plan {
-    /// How far the wall clock is off at that time of the run, by all its steps so far.
+    /// Offset of the wall clock at time `at` of the run: the sum of its steps so far.
     pub fn wall_offset(&self, at: Micros) -> Micros {
         self.wall_steps.iter().filter(|step| step.at <= at).map(|step| step.by).sum()
     }
 }
 
 impl Session {
-    /// Its load this long after it came.
+    /// The load at the time `since` after the arrival.
     pub fn load_at(&self, since: Micros) -> f64 {
         let i = self.loads.partition_point(|(from, _)| *from <= since);
         self.loads.get(i.saturating_sub(1)).map_or(0.0, |(_, load)| *load)
     }
 
-    /// When its load changes next.
+    /// When the load changes next after `since`, as a time since the arrival; `None` if it does not change again.
     pub fn next_change(&self, since: Micros) -> Option<Micros> {
         let i = self.loads.partition_point(|(from, _)| *from <= since);
         self.loads.get(i).map(|(from, _)| *from)
@@ -239,16 +240,16 @@
 /// A client that breaks the protocol on purpose.
 #[derive(Clone, PartialEq)]
 pub struct MisbehavingClient {
-    /// When it connects.
+    /// When the client connects.
     pub arrives: Micros,
-    /// What it does.
+    /// How the client breaks the protocol.
     pub kind: Misbehavior,
-    /// For what it draws itself.
+    /// Seed of the client's own random values.
     pub seed: u64,
 }
 
 impl fmt::Debug for MisbehavingClient {
-    /// The plan's digest is taken over this text, so its names stay as they were first published.
+    /// Formats the names that plans have used from the start, since the plan's digest is computed from this text.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let MisbehavingClient { arrives, kind, seed } = self;
         f.debug_struct("Rude").field("arrives", arrives).field("kind", kind).field("seed", seed).finish()
@@ -259,72 +260,74 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Misbehavior {
-    /// Bytes that are no text.
+    /// Sends bytes that are not text.
     Garbage,
-    /// A line without end.
+    /// Sends a line that never ends.
     Endless,
-    /// A first line with a value of 60 MB.
+    /// Sends a first line with a value of 60 MB.
     Huge,
-    /// A class that does not exist.
+    /// Sends a class that does not exist.
     NoSuchClass,
-    /// A deadline that is no number, negative, or beyond all numbers.
+    /// Sends a deadline that is not a number, is negative or is out of range.
     BadDeadline,
-    /// No id.
+    /// Sends a first line without an id.
     NoId,
-    /// The id of another client's open request.
+    /// Sends the id of another client's open request.
     StolenId,
-    /// Half a command and a close.
+    /// Sends half a command and closes the connection.
     Half,
-    /// Hundreds of commands at once.
+    /// Sends hundreds of commands at once.
     ManyCommands,
-    /// The same again as soon as it is turned away.
+    /// Repeats its request as soon as it is rejected.
     AgainAtOnce,
-    /// Connects and says nothing.
+    /// Connects and sends nothing.
     Silent,
 }
 
-/// How clients behave.
+/// Behavior of the clients.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Habits {
-    /// Between two lines of a client.
+    /// Interval between two lines of a client.
     pub line_every: Micros,
-    /// Tries for one wish, the first one included, before a long wait.
+    /// Number of connection attempts in a row, including the first, before the long wait `sulk`.
     pub tries: u32,
-    /// Wait before a further try.
+    /// Wait before a further attempt in the row.
     pub backoff: Micros,
-    /// Wait after all tries of a wish failed, before the next wish; doubles up to 2^4 times this.
+    /// Wait after all attempts of a row failed. It doubles with each failed row, up to 2^4 times this value.
     pub sulk: Micros,
-    /// This part of the clients follows the time in `BUSY MS`.
+    /// Share of the clients that follow the wait in `BUSY MS`.
     pub honour: f64,
-    /// After a break or a move, a client comes again within these bounds.
+    /// Bounds of the wait after which a client reconnects when its connection broke or was moved.
     pub rejoin: (Micros, Micros),
-    /// Clients mark repeats with `r=1`.
+    /// Whether clients mark retries with `r=1`.
     pub marks_retry: bool,
 }
 
-/// How the front behaves.
+/// Behavior of the front.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Front {
-    /// Between two `PING`s to each proxy.
+    /// Interval between two `PING`s to each proxy.
     pub every: Micros,
-    /// A proxy that has not answered for this long gets no more clients.
+    /// A proxy that has not answered for this long gets no new clients.
     pub notice: Micros,
-    /// After SIGTERM, clients keep arriving for this long.
+    /// For this long after SIGTERM a proxy still gets new clients.
     pub leaves_after: Micros,
 }
 
-/// What holds between the parties.
+/// Properties of the network.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Network {
-    /// One way between proxies and render nodes of one zone, and of two; added by the emulated render node.
+    /// One-way delay in milliseconds between a proxy and a render node of the same zone, and of different zones. The
+    /// emulated render node adds it.
     pub node_ms: (f64, f64),
-    /// One way of a datagram between proxies: least and most.
+    /// Minimum and maximum one-way delay of a datagram between proxies.
     pub datagram: (Micros, Micros),
-    /// Part of the datagrams that is lost.
+    /// Share of the datagrams that is lost.
     pub loss: f64,
-    /// Datagrams are allowed at all.
+    /// Whether datagrams between proxies are allowed.
     pub datagrams: bool,
-    /// Members of the tier that serve no client and say this; they stand behind the proxies in the list of peers.
+    /// Faulty members that serve no clients, with the report that each sends. They follow the proxies in the list of
+    /// peers.
     pub liars: Vec<FalseReport>,
 }
 
@@ -332,10 +335,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FalseReport {
-    /// Nothing: it is there and tells nothing. The control of the others.
+    /// The peer is a member but reports nothing. This is the control for the other values.
     Nothing,
-    /// That each render node fails to connect.
+    /// Reports that connections to each render node fail.
     AllUnwell,
-    /// That each render node is loaded with many times what it can do by its connections.
+    /// Reports that the peer's connections load each render node with many times its capacity.
     AllCrowded,
 }
--- a/crates/kit/src/plan/rules.rs
+++ b/crates/kit/src/plan/rules.rs
@@ -1,51 +1,52 @@
-//! The limits that a run is judged by, and the figures that it must reach.
+//! The limits by which a run is judged, and the values that it must reach.
 
 use crate::time::Micros;
 
-/// The figures of the rules.
+/// Limits of the rules.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// A final answer may come this long after the client's time is up.
+    /// A final answer may arrive this long after the client's deadline.
     pub answer_slack: Micros,
     /// A proxy stops sending new requests to a draining or removed render node within this time of its notification.
     pub stop_within: Micros,
-    /// A proxy without a watch is presumed notified after this (four times this after a failed poll).
+    /// A proxy without a watch is presumed to know a change after this time, or after four times as long if a poll
+    /// failed.
     pub ask_within: Micros,
-    /// While discovery is reachable, a change is presumed known after this, whether it was delivered or not.
+    /// While discovery is reachable, a proxy is presumed to know a change after this time even if it was not delivered.
     pub told_within: Micros,
-    /// A render node in slow start takes this multiple of its capacity at that moment ...
+    /// A render node in slow start bears new connections up to this multiple of its current capacity for them.
     pub fall_multiple: f64,
-    /// ... within any window of this length.
+    /// Length of the window over which the new connections are counted for `fall_multiple`.
     pub fall_window: Micros,
-    /// Slow start as advertised to proxies: a render node starts at this share of its capacity or more ...
+    /// Minimum share of the capacity at which a render node begins slow start, as advertised to proxies.
     pub cold_from: f64,
-    /// ... and is warm within this.
+    /// Maximum duration of slow start, as advertised to proxies.
     pub warm_up: Micros,
-    /// The longest delay of a line in a proxy.
+    /// Maximum delay of a line in a proxy.
     pub line_held: Micros,
-    /// A connection that its render node has ended is ended or moved within this.
+    /// Time within which the proxy ends or moves a connection that its render node has ended.
     pub ended_within: Micros,
-    /// One that returns nothing from a running render node, within this.
+    /// Time within which the proxy ends or moves a connection whose render node runs but returns nothing.
     pub silent_within: Micros,
-    /// Most attempts for a request.
+    /// Maximum number of attempts for a request.
     pub attempts: u32,
-    /// A call attempt that is not connected by then could not connect.
+    /// An attempt whose connection is not established within this time has failed to connect.
     pub connect_timeout: Micros,
-    /// The longest wait that a `BUSY` may ask for.
+    /// Maximum wait in a `BUSY` answer.
     pub retry_after_max: Micros,
-    /// On the sockets each time limit is this much longer.
+    /// The judge extends each time limit by this, since it observes the events at the sockets.
     pub grace: Micros,
     /// Time from SIGTERM to SIGKILL of a proxy.
     pub term_to_kill: Micros,
 }
 
-/// What the run must reach, beside keeping every rule. Parts of 1.
+/// Values that a run must reach, besides following every rule. Service is a ratio from 0 to 1.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Demands {
-    /// Service of the complete run.
+    /// Minimum service ratio of the whole run; 0 means no demand.
     pub service: f64,
-    /// Service of the worst 10 s.
+    /// Minimum service ratio of the worst 10 s; 0 means no demand.
     pub worst_window: f64,
-    /// Bytes of datagrams that a proxy may send in any second, as delivered; 0: nothing is demanded.
+    /// Maximum datagram bytes that a proxy may send in any second, as delivered; 0 means no limit.
     pub datagram_bytes_per_s: u64,
 }
--- a/crates/kit/src/plan/timeline.rs
+++ b/crates/kit/src/plan/timeline.rs
@@ -7,14 +7,14 @@
 /// One scheduled event.
 #[derive(Clone, PartialEq)]
 pub struct TimelineEvent {
-    /// When it happens.
+    /// Time of the event.
     pub at: Micros,
-    /// What changes.
+    /// The change that takes effect.
     pub change: TimelineChange,
 }
 
 impl fmt::Debug for TimelineEvent {
-    /// The plan's digest is taken over this text, so its names stay as they were first published.
+    /// Formats the names that plans have used from the start, since the plan's digest is computed from this text.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Happening").field("at", &self.at).field("what", &self.change).finish()
     }
@@ -22,20 +22,20 @@
 
 /// A scheduled change.
 #[derive(Clone, Debug, PartialEq)]
-#[allow(missing_docs)] // Each variant's sentence names its fields.
+#[allow(missing_docs)] // The comment of each variant explains its fields.
 pub enum TimelineChange {
-    /// To a render node.
+    /// Changes a render node.
     Node(NodeId, NodeChange),
-    /// Discovery learns this of a render node.
+    /// Changes the state of a render node in the endpoint list.
     Listed(NodeId, Phase),
-    /// To discovery.
+    /// Changes discovery.
     Discovery(DiscoveryChange),
-    /// To a proxy.
+    /// Changes a proxy.
     Proxy(ProxyId, ProxyChange),
-    /// Each session that stands drops its connection with this chance (decided by the session's own seed and this
-    /// one), and comes again after a wait of up to `back_within`.
+    /// Each established session drops its connection with probability `share`, and reconnects after a wait of up to
+    /// `back_within`. The session's own seed and `seed` determine the choice.
     Drop { share: f64, back_within: Micros, seed: u64 },
-    /// To the network.
+    /// Changes the network.
     Network(NetworkChange),
     /// A text for the log and the judge's report.
     Mark(String),
@@ -44,76 +44,76 @@
 /// A change of a render node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeChange {
-    /// It takes nothing new and sends its clients away bit by bit within this time.
+    /// The render node accepts no new connections and gradually moves its clients away within `within`.
     Drain {
-        /// From now.
+        /// Duration of the drain.
         within: Micros,
     },
-    /// Its process ends at once: connections are reset, new ones refused.
+    /// The process ends at once: connections are reset, and new ones are refused.
     Kill,
-    /// Its machine disappears without closing connections.
+    /// The machine disappears without closing connections.
     Vanish,
-    /// It accepts and never replies.
+    /// The render node accepts connections and never replies.
     Hang,
-    /// It answers rubbish to new connections.
+    /// The render node answers new connections with unreadable bytes.
     Rubbish,
-    /// It does everything so many times slower; 1 for as usual.
+    /// The render node becomes slower by this factor; 1 is the normal speed.
     Slow(f64),
-    /// Its process starts, in slow start. After `Vanish`, its old connections are reset.
+    /// The process starts, in slow start. After `Vanish`, the old connections are reset.
     Start,
-    /// It does as usual again, without having been restarted (after `Hang`, `Rubbish`, or a short `Vanish`).
+    /// The render node works normally again without a restart, after `Hang`, `Rubbish` or a short `Vanish`.
     Recover,
 }
 
 /// A change of discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiscoveryChange {
-    /// Gone: connections end, new ones are refused.
+    /// Discovery is down: connections end, and new ones are refused.
     Down,
-    /// Each call is answered 503.
+    /// Discovery answers each call with status 503.
     Unavailable,
-    /// Each call, and each open watch, is reset.
+    /// Discovery resets each call and each open watch.
     Resetting,
-    /// Calls and watches are kept open and nothing is said, not even beats.
+    /// Discovery keeps calls and watches open and sends nothing, not even heartbeats.
     Silent,
-    /// The next change is written in pieces of a few bytes with pauses between.
+    /// Discovery writes the next change in pieces of a few bytes, with pauses between them.
     InPieces,
-    /// The next watch gets the complete list, as if its version were too old.
+    /// Discovery answers the next watch with the complete list, as if the proxy's version were too old.
     Gap,
-    /// The next change comes as a list that cannot be read, once, to each watch.
+    /// Discovery sends the next change to each watch as an unreadable list, once.
     BadList,
-    /// It listens at another address; the old one takes nothing new and closes what is open after 1.5 s. The
-    /// proxies' files are replaced and each gets SIGHUP.
+    /// Discovery listens at another address. The old address accepts no new connections and closes the open ones after
+    /// 1.5 s. The proxies' files are replaced, and each proxy gets SIGHUP.
     MoveAway,
-    /// As usual.
+    /// Discovery works normally again.
     Restore,
 }
 
 /// A change of a proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProxyChange {
-    /// SIGKILL.
+    /// The proxy gets SIGKILL.
     Kill,
-    /// SIGTERM; SIGKILL when the time for leaving is over.
+    /// The proxy gets SIGTERM, and SIGKILL at the shutdown deadline.
     Terminate,
-    /// Started again, under its name and addresses.
+    /// The proxy is started again, with the same name and addresses.
     Start,
-    /// Its files are written anew, without a change that counts, and it gets SIGHUP.
+    /// The proxy's files are rewritten without a relevant change, and it gets SIGHUP.
     Reload,
 }
 
 /// A change of the network.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NetworkChange {
-    /// This part of the datagrams between proxies is lost.
+    /// This share of the datagrams between proxies is lost.
     Loss(f64),
-    /// No datagram passes between a proxy of the one set and one outside it.
+    /// Datagrams between a proxy of this set and one outside it are lost.
     Part(Vec<ProxyId>),
-    /// All pass again.
+    /// Ends the partition of `Part`.
     Join,
-    /// The proxy can't reach these render nodes: what is open is silent, what is new never comes up.
+    /// The proxy can't reach these render nodes: open connections are silent, and new ones are never established.
     CutOff(ProxyId, Vec<NodeId>),
-    /// It can again.
+    /// The proxy can reach all render nodes again.
     Reach(ProxyId),
 }
 
@@ -121,10 +121,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Takes new connections.
+    /// The render node accepts new connections.
     Up,
-    /// Completes its connections, accepts no new ones.
+    /// The render node completes its connections and accepts no new ones.
     Draining,
-    /// No longer in the list.
+    /// The render node is no longer in the list.
     Removed,
 }
