--- a/crates/kit/tests/judge/figures.rs
+++ b/crates/kit/tests/judge/figures.rs
@@ -1,4 +1,4 @@
-//! Figures against a plain oracle that looks at every millisecond.
+//! Compares the statistics with a simple oracle that evaluates every millisecond.
 
 use crate::fixtures::{ENDS, Trace, established, judge_to, plan};
 use cottonnotch_kit::judge::Outcome;
@@ -7,7 +7,8 @@
 use cottonnotch_kit::time::MS;
 use proptest::prelude::*;
 
-/// What one session asks for, and the spans in which it was served: from, to, well. In milliseconds.
+/// The demand of one session, in milliseconds: start, end, and the spans in which it was served (start, end, and
+/// whether it was well served).
 type SessionDemand = (i64, i64, Vec<(i64, i64, bool)>);
 
 fn session_demand() -> impl Strategy<Value = SessionDemand> {
@@ -23,7 +24,8 @@
         })
 }
 
-/// Worth asked for and well served, as sums over milliseconds `from..to` for sessions that `counts` picks.
+/// Weighted time that was requested and that was well served in the milliseconds `from..to`, for the sessions that
+/// `counts` selects.
 fn sums(
     plan: &Plan,
     demands: &[SessionDemand],
@@ -44,7 +46,7 @@
     (wanted, well)
 }
 
-/// The tenant's, second by second within its share.
+/// The tenant's requested and well-served time, each limited in every second to the demand within the tenant's quota.
 fn within_share(plan: &Plan, demands: &[SessionDemand], tenant: u8, (from, to): (i64, i64)) -> (f64, f64) {
     let quota = plan.tenants[usize::from(tenant)].quota_connections;
     let of = |i: usize| plan.sessions[i].tenant == tenant;
@@ -89,7 +91,7 @@
                 trace.add(*to as f64, Seen::Served { session, from: from * MS, well: *well });
             }
         }
-        // A span that is not over is not counted, so the run ends between spans.
+        // A span that has not ended is not observed, so the spans that reach beyond the end are dropped.
         let to = end.min(18_700);
         trace.0.retain(|(at, _)| *at <= to as f64);
         let cut = |(from, until, spans): &SessionDemand| {
@@ -146,7 +148,7 @@
         (message.count, message.p50 / 1000, message.p90 / 1000, message.max / 1000),
         (100, 50, 90, 100)
     );
-    // Nothing was asked for, so the demand is not reached.
+    // No service was requested, so the demand is not reached.
     assert_eq!((verdict.outcome, verdict.missed_demands.len()), (Outcome::Failed, 1));
     let json = simd_json::to_string(&verdict).unwrap();
     for part in [r#""outcome":"failed""#, r#""breaks":{"one-final-answer":1}"#, r#""demand":"service""#] {
--- a/crates/kit/tests/judge/fixtures.rs
+++ b/crates/kit/tests/judge/fixtures.rs
@@ -1,4 +1,4 @@
-//! A small plan, and traces of observations built step by step. Times are in milliseconds.
+//! A small plan, and a builder for traces of observations. Times are in milliseconds.
 
 use cottonnotch_kit::judge::{Judge, Outcome, Rule, Verdict};
 use cottonnotch_kit::observation::{
@@ -13,7 +13,7 @@
 use cottonnotch_kit::time::{MS, S};
 use std::sync::Arc;
 
-/// The part of the run in which everything happens, in milliseconds.
+/// End of the run, in milliseconds.
 pub const ENDS: i64 = 60_000;
 
 pub fn plan(sessions: usize) -> Plan {
@@ -131,11 +131,11 @@
     assert_eq!(verdict.outcome, Outcome::Passed, "{verdict}");
 }
 
-/// Exactly one violation is found, of this rule.
+/// Asserts that the judge finds exactly one violation, of this rule.
 #[track_caller]
 pub fn assert_violates(rule: Rule, trace: &Trace) -> Verdict {
     let verdict = judge(trace);
-    assert_eq!(verdict.outcome, Outcome::Failed, "{rule} was to be broken: {verdict}");
+    assert_eq!(verdict.outcome, Outcome::Failed, "expected a violation of {rule}: {verdict}");
     assert_eq!(
         verdict.violations.iter().map(|(r, n)| (*r, *n)).collect::<Vec<_>>(),
         [(rule, 1)],
@@ -168,13 +168,13 @@
         1_000_000 + self.request.0
     }
 
-    /// The same request with its attempt number `n` at another render node.
+    /// The same request with attempt number `n`, at the given render node.
     pub fn with_attempt(&self, n: u32, node: u16) -> Exchange {
         Exchange { attempt: Attempt { node: NodeId(node), serial: self.attempt.serial + n }, ..*self }
     }
 }
 
-/// A connection that is established from 1 s to 20 s, with a line each 2 s.
+/// A trace of a connection that is established from 1 s to 20 s, with a line every 2 s.
 pub fn established() -> (Trace, Exchange) {
     let (mut trace, w) = (Trace::default(), exchange(1, 0, 0));
     trace.up(1000.0, w);
@@ -185,7 +185,7 @@
     (trace, w)
 }
 
-/// Observations, with times in milliseconds.
+/// Observations with their times in milliseconds, not sorted.
 #[derive(Clone, Debug, Default)]
 pub struct Trace(pub Vec<(f64, Seen)>);
 
@@ -258,7 +258,7 @@
         self.add(at, Seen::Left { request: w.request, why })
     }
 
-    /// A request that the render node and then the proxy reject.
+    /// Adds a request that the render node and then the proxy reject.
     pub fn rejected(&mut self, at: f64, w: Exchange) -> &mut Self {
         self.submitted(at, w).attempt(at + 1.0, w).node_answers(at + 2.0, w, NodeAnswer::Busy);
         self.attempt_ended(at + 2.0, w, AttemptEnd::Cut)
@@ -266,13 +266,13 @@
             .proxy_closed(at + 3.0, w)
     }
 
-    /// A request that is answered `UP` 10 ms later.
+    /// Adds a request that is answered `UP` after 10 ms.
     pub fn up(&mut self, at: f64, w: Exchange) -> &mut Self {
         self.submitted(at, w).attempt(at + 1.0, w).node_answers(at + 9.0, w, NodeAnswer::Up(w.receipt()));
         self.answered(at + 10.0, w, Answer::Up(w.receipt()))
     }
 
-    /// One line, delivered and returned.
+    /// Adds a line that is delivered and returned.
     pub fn line_round_trip(&mut self, at: f64, w: Exchange, line: u32) -> &mut Self {
         self.add(at, Seen::LineSent { request: w.request, line });
         self.add(at + 0.3, Seen::LineAtNode { attempt: w.attempt, line });
@@ -280,7 +280,7 @@
         self.add(at + 1.3, Seen::LineBack { request: w.request, line })
     }
 
-    /// The client ends its connection in order.
+    /// Adds the client's orderly close of its connection.
     pub fn client_done(&mut self, at: f64, w: Exchange) -> &mut Self {
         self.attempt_ended(at, w, AttemptEnd::ByProxy).client_closed(at + 0.5, w, ClientClose::Done)
     }
--- a/crates/kit/tests/judge/main.rs
+++ b/crates/kit/tests/judge/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the judge: scripted traces for each rule, generated healthy runs with one injected fault, and figures
-//! against a plain oracle.
+//! Tests of the judge: scripted traces for each rule, generated fault-free runs with one injected fault, and a
+//! comparison of the statistics with a simple oracle.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
--- a/crates/kit/tests/judge/model.rs
+++ b/crates/kit/tests/judge/model.rs
@@ -1,5 +1,5 @@
-//! A small model of healthy runs: sessions, attempts, moves, a drain, a dead and a hung render node, a killed proxy.
-//! Every one passes; with one fault put in, it fails by that fault's rule and no other.
+//! Generates runs without a proxy fault: sessions, attempts, moves, a drain, a failed and a hung render node, and a
+//! killed proxy. Each run passes; with one injected fault it violates that fault's rule and no other.
 
 use crate::fixtures::{Exchange, Trace, exchange, judge};
 use cottonnotch_kit::judge::{Outcome, Rule};
@@ -12,13 +12,13 @@
 use rand::{RngExt, SeedableRng, seq::IndexedRandom};
 use rand_chacha::ChaCha8Rng;
 
-/// What happens to render nodes and to proxy 1, in milliseconds.
+/// Scheduled events of render nodes and of proxy 1: index, and times in milliseconds.
 const DRAIN: (u16, f64) = (3, 15_000.0);
 const DEATH: (u16, f64) = (4, 25_000.0);
 const HANG: (u16, f64, f64) = (5, 35_000.0, 50_000.0);
 const KILL: (u16, f64) = (1, 40_000.0);
 
-/// How a connection came to its end.
+/// Why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum EndCause {
     Done,
@@ -33,7 +33,7 @@
     w: Exchange,
     attempt_count: u32,
     up: f64,
-    /// When its client's side was over, or told to go.
+    /// When the client's side ended, or the client read `MOVE`.
     end: f64,
     cause: EndCause,
     lines: u32,
@@ -46,7 +46,7 @@
     refused: Vec<(Exchange, f64)>,
 }
 
-/// A render node that takes connections of a proxy that knows what it was told.
+/// Whether a proxy that follows its notifications can connect to the render node.
 fn usable(node: u16, at: f64) -> bool {
     match node {
         3 => at < DRAIN.1 + 1200.0,
@@ -91,7 +91,8 @@
     }
     for request in 1..=rng.random_range(40..80) {
         let at = rng.random_range(500.0..57_000.0);
-        // It takes no requests while it is down, and a set-up that is cut short has a test of its own.
+        // Proxy 1 gets no requests while it is down, nor shortly before: another test covers a set-up that the kill
+        // interrupts.
         let down = at > KILL.1 - 1100.0 && at < KILL.1 + 2600.0;
         let proxy = if down { 0 } else { rng.random_range(0..2) };
         session(&mut run, rng, at, request, proxy);
@@ -104,7 +105,7 @@
     *nodes.choose(rng).unwrap()
 }
 
-/// One request: up to two attempts that come to nothing, then an answer, or none for a client who leaves.
+/// Adds one request: up to two failed attempts, then an answer, or none for a client that leaves.
 fn session(run: &mut Run, rng: &mut ChaCha8Rng, at: f64, request: u64, proxy: u16) {
     let first = exchange(request, proxy, 0);
     run.trace.submitted(at, first);
@@ -120,14 +121,14 @@
                 AttemptEnd::Cut,
             );
         } else {
-            // The proxy stops waiting; the render node notes that late.
+            // The proxy stops waiting, and the render node observes that late.
             run.trace.attempt_ended(now + took + rng.random_range(0.0..40.0), w, AttemptEnd::ByProxy);
         }
         now += took + 0.2;
     }
     match rng.random_range(0..10) {
         0 => {
-            // It gives up as the answer comes, in either order.
+            // The client gives up at about the time of the answer, in either order.
             let last = at + 1060.0;
             run.trace.client_closed(last, first, ClientClose::GaveUp);
             run.trace.answered(last + rng.random_range(-0.9..0.9), first, Answer::Busy(0));
@@ -151,7 +152,7 @@
     let up = at + rng.random_range(5.0..40.0);
     let t = &mut run.trace;
     t.attempt(at, w).node_answers(up, w, NodeAnswer::Up(w.receipt()));
-    // Read, as the two threads tell it, a little before or after it was given.
+    // Separate threads observe the client and the render node, so the answer can seem to be read before it was issued.
     t.answered(up + rng.random_range(-5.0..5.0), w, Answer::Up(w.receipt()));
     let done = up + rng.random_range(1500.0..20_000.0);
     let node = w.attempt.node.0;
@@ -189,7 +190,7 @@
             t.proxy_closed(end, w);
         }
         EndCause::NodeHung => {
-            // A little after the hang, for the line that may be on its way.
+            // A line that is due just before the hang is sent just after it, so that it is not in transit at the hang.
             sent = sent.max(when + 1.0);
             t.add(sent, Seen::LineSent { request: w.request, line: lines });
             end = sent + rng.random_range(0.0..7000.0);
@@ -209,7 +210,7 @@
     run.connections.push(Connection { w, attempt_count, up, end, cause, lines });
 }
 
-/// Puts the fault in where it fits, if it fits anywhere.
+/// Returns the run's trace with a fault that violates the rule; `None` if the run has no place for the fault.
 fn inject_fault(run: &Run, rule: Rule, rng: &mut ChaCha8Rng) -> Option<Trace> {
     let t = &run.trace;
     let mut any = |fits: &dyn Fn(&Connection) -> bool| {
@@ -260,7 +261,7 @@
             }
         }
         Rule::SendAfterDrain => {
-            // Not by a proxy that has just been started again: it knows only what its first watch told it.
+            // A proxy that has just restarted is excluded: it learns of the drain only with its first watch.
             let anew = |c: &Connection| c.w.proxy.0 == KILL.0 && c.up > KILL.1 && c.up < KILL.1 + 3600.0;
             let c =
                 any(&|c| c.attempt_count < 3 && c.up > DRAIN.1 + 2600.0 && c.up + 300.0 < c.end && !anew(c))?;
@@ -302,7 +303,7 @@
             let line = "OPEN".to_owned();
             out.add(7000.0, Seen::BadFirstLine { node: NodeId(0), proxy: ProxyId(0), line });
         }
-        // Nobody killed it: all that it held goes with it.
+        // Without the SIGKILL the exit is a crash, which also excuses the requests in flight.
         Rule::ProxyCrashed => {
             out = t.without(|s| matches!(s, Seen::ProxySignalled { signal: Signal::Kill, .. }))
         }
@@ -311,7 +312,7 @@
         }
         Rule::LineChanged => {
             let c = any(&|c| c.end > c.up + 300.0)?;
-            let line = "no line of its own".to_owned();
+            let line = "not a line of this connection".to_owned();
             out.add(c.up + 9.0, Seen::Garbled { request: c.w.request, line });
         }
         Rule::OversizedDatagram => {
@@ -321,7 +322,7 @@
     Some(out)
 }
 
-/// Runs of the model, each of which is judged 18 times; `PROPTEST_CASES` sets more.
+/// Number of generated runs, each of which is judged up to 18 times. `PROPTEST_CASES` overrides it.
 fn cases() -> u32 {
     std::env::var("PROPTEST_CASES").ok().and_then(|n| n.parse().ok()).unwrap_or(30)
 }
@@ -352,6 +353,6 @@
             let run = run(&mut rng);
             inject_fault(&run, rule, &mut rng).is_some()
         };
-        assert!((0..20).any(fits), "{rule} was never tried");
+        assert!((0..20).any(fits), "no run has a place for a violation of {rule}");
     }
 }
--- a/crates/kit/tests/judge/rules.rs
+++ b/crates/kit/tests/judge/rules.rs
@@ -1,4 +1,4 @@
-//! For each rule a trace that breaks it and only it, and the same trace without the fault, which passes.
+//! For each rule, traces that violate this rule only, and the same traces without the fault, which pass.
 
 use crate::fixtures::{Exchange, Trace, assert_passes, assert_violates, established, exchange, judge};
 use cottonnotch_kit::judge::Rule;
@@ -25,13 +25,13 @@
     let mut refused = Trace::default();
     refused.rejected(1000.0, w);
     assert_passes(&refused);
-    // Dropped: closed, or kept until the client gave up, or until the end of the run.
+    // No answer: the proxy closes the connection, or keeps it open until the client gives up or the run ends.
     let unanswered = refused.without(|s| matches!(s, Seen::Answered { .. }));
     assert_violates(Rule::OneFinalAnswer, &unanswered);
     let silent = unanswered.without(|s| matches!(s, Seen::Ended { .. }));
     assert_violates(Rule::OneFinalAnswer, &silent);
     assert_violates(Rule::OneFinalAnswer, silent.clone().client_closed(2070.0, w, ClientClose::GaveUp));
-    // Late, and still at work after the answer.
+    // A late answer, an answer within the slack, and an attempt after the final answer.
     assert_violates(Rule::OneFinalAnswer, silent.clone().answered(2060.0, w, Answer::Busy(0)));
     assert_passes(silent.clone().answered(2057.9, w, Answer::Busy(0)));
     let more = w.with_attempt(1, 1);
@@ -47,14 +47,14 @@
     let other = exchange(2, 0, 1);
     let forged = good.without(|s| matches!(s, Seen::Answered { .. }));
     assert_violates(Rule::InventedAnswer, forged.clone().answered(1010.0, w, Answer::Up(99)));
-    // Another request's, and one that the render node gave only later.
+    // The receipt of another request, and a receipt that the render node issues too late.
     let mut two = forged.clone();
     two.up(900.0, other).client_done(9000.0, other).answered(1010.0, w, Answer::Up(other.receipt()));
     assert_violates(Rule::InventedAnswer, &two);
     let says = |s: &Seen| matches!(s, Seen::AttemptAnswered { .. });
     let early = forged.without(says).clone().answered(1010.0, w, Answer::Up(w.receipt())).clone();
     assert_violates(Rule::InventedAnswer, early.clone().node_answers(1070.0, w, NodeAnswer::Up(w.receipt())));
-    // Noted late by the render node's thread.
+    // The render node's observation is late but within the grace time.
     assert_passes(early.clone().node_answers(1050.0, w, NodeAnswer::Up(w.receipt())));
 }
 
@@ -66,13 +66,13 @@
         Rule::TwoAttempts,
         good.clone().attempt(1005.0, copy).attempt_ended(1200.0, copy, AttemptEnd::ByProxy),
     );
-    // Ended before, and noted 40 ms late by another thread.
+    // The earlier attempt's end is observed 40 ms late, within the grace time, and then beyond it.
     assert_passes(good.clone().attempt(970.0, copy).attempt_ended(1040.0, copy, AttemptEnd::ByProxy));
     assert_violates(
         Rule::TwoAttempts,
         good.clone().attempt(970.0, copy).attempt_ended(1060.0, copy, AttemptEnd::ByProxy),
     );
-    // At a machine that has vanished nothing can be seen to end.
+    // The end of an attempt can't be observed at a vanished machine.
     let mut vanished = good.clone();
     vanished.attempt(950.0, copy).condition(960.0, 1, Condition::Vanished);
     assert_passes(&vanished);
@@ -102,7 +102,7 @@
     assert_passes(&drain(2048.0, Phase::Draining));
     assert_violates(Rule::SendAfterDrain, &drain(2060.0, Phase::Draining));
     assert_violates(Rule::SendAfterDrain, &drain(2060.0, Phase::Removed));
-    // Another proxy was told nothing; then this one is told that it is back.
+    // A proxy that was not notified may send; so may one that was notified that the render node is back.
     let mut other = drain(100.0, Phase::Draining);
     other.watching(0.0, 1, true).rejected(2060.0, exchange(2, 1, 0));
     assert_passes(&other);
@@ -112,7 +112,7 @@
         0,
         Phase::Up,
     ));
-    // Not told at all: counts as told after 6 s in which discovery can be reached.
+    // Without a notification the change is presumed known after 6 s in which discovery is reachable.
     let not_notified = |at: f64| {
         let mut trace = drain(at, Phase::Draining).without(|s| matches!(s, Seen::Told { .. }));
         trace.watching(500.0, 0, true);
@@ -120,7 +120,7 @@
     };
     assert_passes(&not_notified(7900.0));
     assert_violates(Rule::SendAfterDrain, &not_notified(8000.0));
-    // What counted as told stays so when discovery goes.
+    // A change that was presumed known stays known when discovery becomes unreachable.
     assert_violates(
         Rule::SendAfterDrain,
         &not_notified(8000.0).with(7000.0, Seen::DiscoveryUp { up: false }),
@@ -134,7 +134,8 @@
 
 #[test]
 fn unwatched_proxy_is_presumed_notified() {
-    // Discovery is gone, so nothing else counts: 10 s without a watch, but 40 s as calls will have failed.
+    // Discovery is unreachable, so only the time without a watch counts: 40 s instead of 10 s, since polls are assumed
+    // to have failed.
     let at = |at: f64| {
         let mut trace = Trace::default();
         trace.watching(0.0, 0, true).watching(100.0, 0, false).add(200.0, Seen::DiscoveryUp { up: false });
@@ -143,7 +144,7 @@
     };
     assert_passes(&at(41_100.0));
     assert_violates(Rule::SendAfterDrain, &at(41_200.0));
-    // A new life knows only what its first watch told it.
+    // A restarted proxy knows only the list of its first watch.
     let mut anew = Trace::default();
     anew.watching(0.0, 0, true).listed(900.0, 0, Phase::Removed).notified(1000.0, 0, 0, Phase::Removed);
     anew.signal(3000.0, 0, Signal::Kill).exited(3001.0, 0, None).started(3500.0, 0);
@@ -155,7 +156,7 @@
 
 #[test]
 fn slow_start_budget() {
-    // It bears 3 x 5 x 0.4 x 2 = 12 within the first 2 s, and 4 for chance.
+    // The budget of the first 2 s is 3 x 5 x 0.4 x 2 = 12 attempts, and 4 for chance.
     let flood = |n: u64, notified: bool| {
         let mut trace = Trace::default();
         trace.watching(0.0, 0, true).watching(0.0, 1, true).condition(500.0, 3, Condition::Down);
@@ -170,7 +171,7 @@
     };
     assert_passes(&flood(16, true));
     assert_violates(Rule::SlowStartBudget, &flood(18, true));
-    // Nobody's fault, if more than a third came from a proxy that was not told.
+    // No proxy is at fault if more than a third of the attempts came from a proxy that was not notified.
     assert_passes(&flood(18, false));
     let mixed = |n: u64| {
         let mut trace = flood(20, true);
@@ -181,7 +182,7 @@
     };
     assert_violates(Rule::SlowStartBudget, &mixed(9));
     assert_passes(&mixed(13));
-    // Falling is a break of its own when no window is over, and the same one when it is.
+    // An overload without an exceeded budget is a violation; with an exceeded budget it is part of the same violation.
     let fell = |trace: Trace| trace.with(1300.0, Seen::Fell { node: NodeId(3) });
     assert_violates(Rule::SlowStartBudget, &fell(flood(9, true)));
     assert_violates(Rule::SlowStartBudget, &fell(flood(30, true)));
@@ -200,29 +201,29 @@
     assert_passes(cut.clone().moved(19_999.0, w));
     assert_violates(Rule::CutWithoutMove, cut.clone().client_closed(20_002.0, w, ClientClose::Dropped));
     assert_passes(cut.clone().client_closed(20_002.0, w, ClientClose::Done));
-    // Only the render node's side is ended; the client's own end may follow it.
+    // The proxy ends only the render node's side. That is permitted if the client's own close follows.
     assert_violates(Rule::CutWithoutMove, open.clone().attempt_ended(20_000.0, w, AttemptEnd::ByProxy));
     assert_passes(open.clone().attempt_ended(20_000.0, w, AttemptEnd::ByProxy).client_closed(
         21_000.0,
         w,
         ClientClose::Done,
     ));
-    // Moved: the render node's thread noted its side's end before the client's noted the word.
+    // The connection was moved; the end of the render node's side is observed before the client's `MOVE`.
     assert_passes(
         open.clone()
             .attempt_ended(20_000.0, w, AttemptEnd::ByProxy)
             .moved(20_000.1, w)
             .proxy_closed(20_000.2, w),
     );
-    // The render node ended it (noted 30 ms late), died, or did not answer.
+    // The render node ended the connection (observed 30 ms late), its process ended, or it hung.
     assert_passes(open.clone().proxy_closed(20_000.0, w).attempt_ended(20_030.0, w, AttemptEnd::Bye));
     assert_passes(open.clone().proxy_closed(20_000.0, w).condition(20_030.0, 0, Condition::Down));
     assert_passes(cut.clone().condition(19_500.0, 0, Condition::Hung));
-    // Silent once, and sound for long.
+    // The render node hung, but had recovered long before the cut.
     let mut again = cut.clone();
     again.condition(18_500.0, 0, Condition::Hung).condition(18_600.0, 0, Condition::Sound);
     assert_violates(Rule::CutWithoutMove, &again);
-    // Cut off from this one proxy.
+    // The link between this proxy and the render node was cut.
     assert_passes(&cut.with(19_000.0, Seen::Reach { proxy: ProxyId(0), node: NodeId(0), on: false }));
 }
 
@@ -238,9 +239,9 @@
         Rule::LineDelayed,
         &good.without(back).with(11_060.0, Seen::LineBack { request: w.request, line: 4 }),
     );
-    // Noted by the render node before the client has noted that it sent it.
+    // The line's arrival is observed before its departure.
     assert_passes(&good.without(at_node).with(9999.9, Seen::LineAtNode { attempt: w.attempt, line: 4 }));
-    // One end is gone, or the render node doesn't read.
+    // The client has closed the connection, or the render node does not read.
     assert_passes(good.without(is_end).without(at_node).client_closed(10_900.0, w, ClientClose::Dropped));
     let mut hung = good.without(at_node);
     assert_passes(hung.condition(10_500.0, 0, Condition::Hung).condition(13_000.0, 0, Condition::Sound));
@@ -262,7 +263,7 @@
         Rule::EndedConnectionOpen,
         open.clone().condition(20_000.0, 0, Condition::Down).proxy_closed(21_060.0, w),
     );
-    // A machine that is gone says nothing, until it is back.
+    // A vanished machine resets no connection until it is back.
     let mut gone = open.clone();
     gone.condition(20_000.0, 0, Condition::Vanished).slow_start(23_000.0, 0);
     assert_passes(gone.clone().proxy_closed(24_000.0, w));
@@ -281,13 +282,13 @@
         assert_violates(Rule::SilentConnectionOpen, hung.clone().proxy_closed(28_060.0, w));
         assert_passes(hung.clone().proxy_closed(28_040.0, w));
         assert_passes(hung.clone().moved(28_040.0, w));
-        // A line that was late before the silence began: the clock runs from there.
+        // A line was sent before the silence began: the time limit starts with the silence.
         let mut late = open.clone();
         late.add(19_000.0, Seen::LineSent { request: w.request, line: 50 }).condition(23_000.0, 0, condition);
         late.add(19_000.0, Seen::LineAtNode { attempt: w.attempt, line: 50 });
         assert_passes(late.clone().proxy_closed(30_040.0, w));
         assert_violates(Rule::SilentConnectionOpen, &late);
-        // It came to itself in time, and returns the line.
+        // The render node recovers in time and returns the line.
         let mut back = hung.clone();
         back.add(26_000.0, Seen::LineReturned { attempt: w.attempt, line: 50 });
         back.add(26_001.0, Seen::LineBack { request: w.request, line: 50 });
@@ -311,7 +312,7 @@
         Rule::MisbehavingClientServed,
         open.clone().misbehaving_client_answered(1500.0, 0, MisbehaviorOutcome::Served),
     );
-    // Served by a render node: the first line there is part of the same fault, for an unheard id and a stolen one.
+    // A render node serves the client: its first line there, with a new id or a stolen one, is part of the same fault.
     let (stray, (mut established, w)) = (exchange(77, 0, 2), established());
     let mut served = Trace::default();
     let asks = Seen::RudeAsked { rude: 2, request: stray.request, proxy: stray.proxy };
@@ -342,12 +343,12 @@
         Rule::BadFirstLine,
         good.clone().attempt(5000.0, stray).node_answers(5001.0, stray, NodeAnswer::Busy),
     );
-    // Another proxy's request.
+    // The client sent the request to another proxy.
     assert_violates(
         Rule::BadFirstLine,
         good.clone().attempt(1005.0, Exchange { proxy: ProxyId(1), ..w.with_attempt(1, 2) }),
     );
-    // The id is right and the key is another session's, or nobody's.
+    // The id is correct, and the key belongs to another session or to none.
     for session in [Some(SessionId(40)), None] {
         let at = |s: &Seen| matches!(s, Seen::Attempt { .. });
         let mut changed = good.without(at);
@@ -355,7 +356,7 @@
         changed.add(1000.5, Seen::Attempt { attempt, request, session, proxy, first_byte: 1_000_400 });
         assert_violates(Rule::BadFirstLine, &changed);
     }
-    // Noted by the render node before the client has noted that it asked.
+    // The attempt is observed before the submission.
     let mut early = good.without(|s| matches!(s, Seen::Asked { .. }));
     assert_passes(early.submitted(1020.0, w));
 }
@@ -366,7 +367,7 @@
     let closed_at = |t: &Trace, at| {
         t.without(is_end).clone().attempt_ended(at, w, AttemptEnd::ByProxy).proxy_closed(at, w).clone()
     };
-    // A crash takes its connections with it, which is one fault.
+    // A crash ends the connections of the proxy, which is part of the same fault.
     assert_violates(Rule::ProxyCrashed, closed_at(&good, 5000.0).exited(5100.0, 0, Some(101)));
     assert_violates(
         Rule::ProxyCrashed,
@@ -385,7 +386,7 @@
         draining.clone().signal(33_700.0, 0, Signal::Kill).exited(33_701.0, 0, None),
     );
     assert_passes(draining.clone().exited(33_600.0, 0, Some(0)));
-    // What it still holds then goes with it: one fault, one rule. What it cut before is a fault of its own.
+    // The end of the connections at SIGKILL is part of the overrun; a cut before SIGKILL is a violation of its own.
     let (mut in_flight, w) = established();
     in_flight = in_flight.without(is_end);
     in_flight
@@ -434,7 +435,8 @@
     reset(&mut killed, 5006.0, in_flight);
     reset(&mut killed, 5061.0, late);
     assert_passes(&killed);
-    // Lost before the signal, on another proxy, in the next life, or taken long after the death.
+    // Not excused: requests that were lost before the signal, on another proxy, in the next incarnation, or submitted
+    // long after the exit.
     let lost = |asked: f64, ended: f64, w: Exchange| {
         let mut trace = killed.clone();
         trace.submitted(asked, w);
@@ -445,12 +447,12 @@
     lost(4990.0, 5006.0, other);
     lost(8100.0, 8106.0, next);
     lost(5200.0, 5206.0, next);
-    // Its time was up before the kill, and the client found out afterwards.
+    // The deadline had passed before the kill, and the client gave up afterwards.
     assert_violates(
         Rule::OneFinalAnswer,
         killed.clone().submitted(3900.0, next).client_closed(5010.0, next, ClientClose::GaveUp),
     );
-    // Cut before the signal, and on another proxy.
+    // Not excused: connections that were cut before the signal, or on another proxy.
     let mut cut = killed.clone();
     assert_violates(Rule::CutWithoutMove, cut.up(2000.0, next).proxy_closed(4999.0, next));
     let mut cut = killed.clone();
@@ -466,7 +468,7 @@
     assert_passes(open.clone().client_closed(1500.0, w, ClientClose::Dropped));
     assert_passes(open.clone().client_closed(2000.0, w, ClientClose::GaveUp));
     assert_violates(Rule::OneFinalAnswer, open.clone().client_closed(2060.0, w, ClientClose::GaveUp));
-    // In the same millisecond as the answer, whichever is noted first.
+    // The client gives up within a millisecond of the answer, whichever is observed first.
     assert_passes(open.clone().client_closed(2060.0, w, ClientClose::GaveUp).answered(
         2060.4,
         w,
@@ -502,7 +504,7 @@
     assert_passes(established.misbehaving_client(58_500.0, 0, 0));
     open.submitted(58_000.0, exchange(2, 0, 0));
     assert_violates(Rule::OneFinalAnswer, &open);
-    // What comes after the plan's end is not judged.
+    // Observations after the end of the plan are not judged.
     established.proxy_closed(60_500.0, w).exited(60_600.0, 0, Some(9));
     assert_passes(&established);
 }
--- a/crates/kit/tests/judge/throughput.rs
+++ b/crates/kit/tests/judge/throughput.rs
@@ -1,4 +1,4 @@
-//! How long the judge takes: `cargo test --release -p cottonnotch-kit --test judge -- --ignored --nocapture`.
+//! Measures the judge's throughput: `cargo test --release -p cottonnotch-kit --test judge -- --ignored --nocapture`.
 
 use crate::fixtures::{Exchange, Trace, plan};
 use cottonnotch_kit::judge::{Judge, Outcome};
@@ -11,7 +11,7 @@
 const CONNECTIONS: usize = 8000;
 const NODES: usize = 200;
 const PROXIES: usize = 5;
-/// Of the connections, so many end and come again in each step of 2 s, as with lives of 45 s.
+/// Connections that end and are replaced in each step of 2 s. This gives connections a lifetime of 45 s.
 const CHURN: usize = CONNECTIONS * 2 / 45;
 
 fn fleet(steps: usize) -> Plan {
@@ -28,7 +28,7 @@
     Exchange { request, session, proxy: ProxyId((i % PROXIES) as u16), attempt }
 }
 
-/// Two seconds: some connections end, as many come up, and each of the others sends a line.
+/// The observations of 2 s: some connections end, as many are established, and each of the others sends a line.
 fn step(n: usize, established: &mut Vec<(Exchange, u32)>) -> Trace {
     let (mut trace, from) = (Trace::default(), n as f64 * 2000.0);
     let first = if n == 0 { 0 } else { CONNECTIONS + (n - 1) * CHURN };
@@ -56,9 +56,9 @@
 }
 
 #[test]
-#[ignore = "measures, for release builds"]
+#[ignore = "measurement, for release builds"]
 fn judges_million_observations_in_seconds() {
-    // 25,000 observations a second of the run or so.
+    // A second of the run has about 25,000 observations.
     let steps = std::env::var("JUDGE_STEPS").ok().and_then(|n| n.parse().ok()).unwrap_or(21);
     let plan = fleet(steps);
     let (mut established, mut judge) = (Vec::new(), Judge::new(Arc::new(plan.clone())));
