--- a/crates/kit/src/judge/answers.rs
+++ b/crates/kit/src/judge/answers.rs
@@ -11,7 +11,7 @@
 
 /// The order of a client's close and of its answer is not significant within this time: the client can give up while
 /// the answer is in transit and still read the answer.
-const SIMULTANEOUS: Micros = MS;
+const SIMULTANEITY_TOLERANCE: Micros = MS;
 
 impl RequestTable {
     pub fn record_submission(&mut self, id: RequestId, submission: Submission) {
@@ -21,17 +21,17 @@
 
     pub fn record_answer(&mut self, at: Micros, id: RequestId, answer: &Answer, context: &mut RuleContext) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        if let Some((first, kind)) = &request.answer {
+        if let Some((first_at, first)) = &request.answer {
             let description = format!(
                 "a second answer, {}, after {} at {}",
                 describe_answer(answer),
-                describe_answer(kind),
-                format_seconds(*first)
+                describe_answer(first),
+                format_seconds(*first_at)
             );
             return self.report_violation(at, Rule::OneFinalAnswer, id, description, context.output);
         }
         request.answer = Some((at, answer.clone()));
-        let overdue = request.submission.is_some_and(|a| at > answer_deadline(&a, context));
+        let overdue = request.submission.is_some_and(|submission| at > answer_deadline(&submission, context));
         if let Answer::Up(receipt) = answer {
             if !self.match_receipt(at, id, *receipt, context) {
                 context.output.defer(at + context.rules.grace, DeferredCheck::Receipt(id));
@@ -40,7 +40,7 @@
             self.client_finished(at, id, context.output);
         }
         if overdue {
-            context.output.defer(at + SIMULTANEOUS, DeferredCheck::LateAnswer(id));
+            context.output.defer(at + SIMULTANEITY_TOLERANCE, DeferredCheck::LateAnswer(id));
         }
     }
 
@@ -54,14 +54,16 @@
         context: &mut RuleContext,
     ) -> bool {
         let Some(request) = self.requests.get_mut(&id) else { return false };
-        let Some(up) = request.attempts.iter().position(|t| t.answer == Some(NodeAnswer::Up(receipt))) else {
+        let Some(index) =
+            request.attempts.iter().position(|record| record.answer == Some(NodeAnswer::Up(receipt)))
+        else {
             return false;
         };
-        request.serving = Some(up);
-        let (node, over) = (request.attempts[up].attempt.node, request.attempts[up].ended);
+        request.serving = Some(index);
+        let (node, ended) = (request.attempts[index].attempt.node, request.attempts[index].ended);
         if request.client_end.is_none() {
             self.add_established(id, node);
-            if over.is_some() {
+            if ended.is_some() {
                 context.output.defer(
                     at + context.rules.ended_within + context.rules.grace,
                     DeferredCheck::EndedConnection(id),
@@ -74,28 +76,32 @@
     /// Reports an `UP` answer whose receipt no render node issued for this request. Runs after the grace time, in which
     /// a late observation of the render node arrives.
     pub fn check_receipt(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
-        let Some(request) = self.requests.get(&id).filter(|r| r.serving.is_none()) else { return };
-        let Some((read, Answer::Up(receipt))) = request.answer else { return };
-        let whose = match self.receipts.get(&receipt).and_then(|a| self.by_attempt.get(a)) {
+        let Some(request) = self.requests.get(&id).filter(|request| request.serving.is_none()) else {
+            return;
+        };
+        let Some((read_at, Answer::Up(receipt))) = request.answer else { return };
+        let issuer = match self.receipts.get(&receipt).and_then(|attempt| self.by_attempt.get(attempt)) {
             Some(other) => format!("a render node issued it for request {:016x}", other.0),
             None => "no render node issued it".to_owned(),
         };
-        let description = format!("read UP {receipt:016x} at {}; {whose}", format_seconds(read));
+        let description = format!("read UP {receipt:016x} at {}; {issuer}", format_seconds(read_at));
         self.report_violation(at, Rule::InventedAnswer, id, description, context.output);
     }
 
     /// Reports an answer after the deadline, unless the client closed the connection at about the same time.
     pub fn check_late_answer(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id) else { return };
-        let (Some(submission), Some((read, _))) = (request.submission, &request.answer) else { return };
-        if matches!(request.client_end, Some((left, ClientEnd::ByClient(_))) if (left - read).abs() <= SIMULTANEOUS)
-        {
+        let (Some(submission), Some((read_at, _))) = (request.submission, &request.answer) else { return };
+        if matches!(
+            request.client_end,
+            Some((left_at, ClientEnd::ByClient(_))) if (left_at - read_at).abs() <= SIMULTANEITY_TOLERANCE
+        ) {
             return;
         }
         let description = format!(
             "answered at {}, {} ms after the latest accepted time {}",
-            format_seconds(*read),
-            format_millis(read - answer_deadline(&submission, context)),
+            format_seconds(*read_at),
+            format_millis(read_at - answer_deadline(&submission, context)),
             format_seconds(answer_deadline(&submission, context))
         );
         self.report_violation(at, Rule::OneFinalAnswer, id, description, context.output);
@@ -111,13 +117,14 @@
     ) {
         let Some(request) = self.requests.get_mut(&id).filter(|r| r.client_end.is_none()) else { return };
         request.client_end = Some((at, ClientEnd::ByProxy(how)));
-        if let Some(up) = request.connection() {
-            let steady = context.node_states.responsive_since(up.proxy, up.attempt.node);
-            request.responsive_at_end = steady.is_some_and(|since| since <= at - context.rules.grace);
+        if let Some(serving) = request.serving_attempt() {
+            let responsive_since = context.node_states.responsive_since(serving.proxy, serving.attempt.node);
+            request.responsive_at_end =
+                responsive_since.is_some_and(|since| since <= at - context.rules.grace);
         }
         match &request.answer {
             None => context.output.defer(at + EXIT_NOTICE_DELAY, DeferredCheck::MissingAnswer(id)),
-            Some((_, Answer::Up(_))) if request.moved.is_none() => {
+            Some((_, Answer::Up(_))) if request.moved_at.is_none() => {
                 context.output.defer(at + EXIT_NOTICE_DELAY, DeferredCheck::CutConnection(id));
             }
             Some(_) => {}
@@ -134,17 +141,18 @@
         context: &mut RuleContext,
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        if let Some((ended, ClientEnd::ByProxy(_))) = request.client_end {
+        if let Some((ended_at, ClientEnd::ByProxy(_))) = request.client_end {
             // The client closed the connection before the proxy's close reached it.
-            if why == ClientClose::Done && at - ended <= context.rules.grace {
-                request.client_end = Some((ended, ClientEnd::ByClient(why)));
+            if why == ClientClose::Done && at - ended_at <= context.rules.grace {
+                request.client_end = Some((ended_at, ClientEnd::ByClient(why)));
             }
             return;
         }
         request.client_end = Some((at, ClientEnd::ByClient(why)));
-        if request.answer.is_none() && request.submission.is_some_and(|a| at >= answer_deadline(&a, context))
+        if request.answer.is_none()
+            && request.submission.is_some_and(|submission| at >= answer_deadline(&submission, context))
         {
-            context.output.defer(at + SIMULTANEOUS, DeferredCheck::MissingAnswer(id));
+            context.output.defer(at + SIMULTANEITY_TOLERANCE, DeferredCheck::MissingAnswer(id));
         }
         self.client_finished(at, id, context.output);
     }
@@ -153,7 +161,7 @@
     /// deadline.
     pub fn check_missing_answer(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         if let Some(request) = self.requests.get(&id).filter(|r| r.answer.is_none())
-            && let Some(description) = describe_loss(request, context)
+            && let Some(description) = describe_missing_answer(request, context)
         {
             self.report_violation(at, Rule::OneFinalAnswer, id, description, context.output);
         }
@@ -161,15 +169,15 @@
 
     /// Ends the run at `at`: reports unanswered open requests whose deadline has passed.
     pub fn finish(&mut self, at: Micros, context: &mut RuleContext) {
-        let waiting = |r: &Request| {
-            r.answer.is_none()
-                && r.client_end.is_none()
-                && r.submission.is_some_and(|a| answer_deadline(&a, context) < at)
+        let is_overdue = |request: &Request| {
+            request.answer.is_none()
+                && request.client_end.is_none()
+                && request.submission.is_some_and(|submission| answer_deadline(&submission, context) < at)
         };
-        let mut waiting: Vec<RequestId> =
-            self.requests.iter().filter(|(_, r)| waiting(r)).map(|(id, _)| *id).collect();
-        waiting.sort_unstable();
-        waiting.into_iter().for_each(|id| self.check_missing_answer(at, id, context));
+        let mut overdue: Vec<RequestId> =
+            self.requests.iter().filter(|(_, request)| is_overdue(request)).map(|(id, _)| *id).collect();
+        overdue.sort_unstable();
+        overdue.into_iter().for_each(|id| self.check_missing_answer(at, id, context));
     }
 }
 
@@ -179,26 +187,26 @@
 }
 
 /// Describes a missing answer, unless the end of the proxy's process excuses it.
-fn describe_loss(request: &Request, context: &RuleContext) -> Option<String> {
+fn describe_missing_answer(request: &Request, context: &RuleContext) -> Option<String> {
     let submission = request.submission?;
-    let last = answer_deadline(&submission, context);
-    let (broken, description) = match request.client_end {
+    let deadline = answer_deadline(&submission, context);
+    let (broken_at, description) = match request.client_end {
         Some((at, ClientEnd::ByProxy(how))) => {
-            let how = if how == ProxyClose::Closed { "closed" } else { "reset" };
-            (at, format!("the proxy {how} the connection at {} without an answer", format_seconds(at)))
+            let verb = if how == ProxyClose::Closed { "closed" } else { "reset" };
+            (at, format!("the proxy {verb} the connection at {} without an answer", format_seconds(at)))
         }
         Some((at, ClientEnd::ByClient(_))) => {
-            (last, format!("the client gave up at {} without an answer", format_seconds(at)))
+            (deadline, format!("the client gave up at {} without an answer", format_seconds(at)))
         }
-        None => (last, "no answer arrived".to_owned()),
+        None => (deadline, "no answer arrived".to_owned()),
     };
-    if context.processes.excuses(submission.incarnation, submission.at, broken) {
+    if context.processes.excuses_request(submission.incarnation, submission.at, broken_at) {
         return None;
     }
     Some(format!(
         "submitted at {}, an answer was due by {}: {description}",
         format_seconds(submission.at),
-        format_seconds(last)
+        format_seconds(deadline)
     ))
 }
 
--- a/crates/kit/src/judge/attempts.rs
+++ b/crates/kit/src/judge/attempts.rs
@@ -93,13 +93,13 @@
         if request.attempts[..index].iter().any(|earlier| earlier.is_in_flight(context.node_states)) {
             let check = DeferredCheck::OverlappingAttempts(id, index as u32);
             context.output.defer(at + context.rules.grace, check);
-        } else if let Some((read, Answer::Busy(_) | Answer::Failed(_))) = request.answer
-            && first_byte > read + context.rules.grace
+        } else if let Some((read_at, Answer::Busy(_) | Answer::Failed(_))) = request.answer
+            && first_byte > read_at + context.rules.grace
         {
             let description = format!(
                 "sent on at {}, after its final answer at {}",
                 format_seconds(first_byte),
-                format_seconds(read)
+                format_seconds(read_at)
             );
             self.report_violation(at, Rule::OneFinalAnswer, id, description, context.output);
         }
@@ -152,10 +152,10 @@
         match answer {
             NodeAnswer::Busy | NodeAnswer::Error => record.rejected_at = Some(at),
             NodeAnswer::Up(receipt) => {
-                let read = matches!(request.answer, Some((_, Answer::Up(r))) if r == receipt);
-                let waiting = read && request.serving.is_none();
+                let client_read_it = matches!(request.answer, Some((_, Answer::Up(r))) if r == receipt);
+                let unmatched = client_read_it && request.serving.is_none();
                 self.receipts.insert(receipt, attempt);
-                if waiting {
+                if unmatched {
                     self.match_receipt(at, id, receipt, context);
                 }
             }
@@ -167,14 +167,14 @@
         &mut self,
         at: Micros,
         attempt: Attempt,
-        over: AttemptEnd,
+        end: AttemptEnd,
         context: &mut RuleContext,
     ) {
         let Some((id, request, index)) = self.find_attempt(attempt) else { return };
         if request.attempts[index].ended.is_some() {
             return;
         }
-        request.attempts[index].ended = Some((at, over));
+        request.attempts[index].ended = Some((at, end));
         let proxy = request.attempts[index].proxy;
         if request.serving != Some(index)
             || !request.is_established()
@@ -183,7 +183,7 @@
             return;
         }
         // If the client ended the connection, the render node's observation can precede the client's own.
-        let check = if over == AttemptEnd::ByProxy {
+        let check = if end == AttemptEnd::ByProxy {
             DeferredCheck::CutConnection(id)
         } else {
             DeferredCheck::EndedConnection(id)
@@ -196,18 +196,18 @@
     pub fn check_overlap(&mut self, at: Micros, id: RequestId, index: u32, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id) else { return };
         let Some(later) =
-            request.attempts.get(index as usize).filter(|t| t.is_in_flight(context.node_states))
+            request.attempts.get(index as usize).filter(|record| record.is_in_flight(context.node_states))
         else {
             return;
         };
         let Some(earlier) =
-            request.attempts[..index as usize].iter().find(|t| t.is_in_flight(context.node_states))
+            request.attempts[..index as usize].iter().find(|record| record.is_in_flight(context.node_states))
         else {
             return;
         };
         let description = format!(
-            "an attempt at render node {} at {}, while the attempt of {} at render node {} is in flight, for over {} ms \
-             (render nodes by their index in the plan)",
+            "an attempt at render node {} at {}, while the attempt of {} at render node {} is in flight, for over {} \
+             ms (render nodes by their index in the plan)",
             later.attempt.node.0,
             format_seconds(later.at),
             format_seconds(earlier.at),
@@ -222,11 +222,11 @@
     pub fn check_unknown_request(
         &mut self,
         at: Micros,
-        (id, attempt, proxy, since): (RequestId, Attempt, ProxyId, Micros),
+        (id, attempt, proxy, arrived_at): (RequestId, Attempt, ProxyId, Micros),
         context: &mut RuleContext,
     ) {
-        let submission = self.requests.get(&id).and_then(|r| r.submission);
-        if submission.is_some_and(|a| a.incarnation.proxy == proxy) {
+        let submission = self.requests.get(&id).and_then(|request| request.submission);
+        if submission.is_some_and(|submission| submission.incarnation.proxy == proxy) {
             return;
         }
         if !context.misbehaving_clients.has_sent(id, proxy) {
@@ -236,8 +236,10 @@
                 proxy: Some(proxy),
                 ..Subject::default()
             };
-            let description =
-                format!("at {}, with an id that no client has sent to this proxy", format_seconds(since));
+            let description = format!(
+                "at {}, with an id that no client has sent to this proxy",
+                format_seconds(arrived_at)
+            );
             context.output.report_violation(at, Rule::BadFirstLine, subject, description);
         }
         if submission.is_none() {
--- a/crates/kit/src/judge/connections.rs
+++ b/crates/kit/src/judge/connections.rs
@@ -13,7 +13,7 @@
     /// Records that the client read a `MOVE` line.
     pub fn record_move(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        request.moved.get_or_insert(at);
+        request.moved_at.get_or_insert(at);
         self.client_finished(at, id, context.output);
     }
 
@@ -21,7 +21,9 @@
     pub fn process_changed(&mut self, at: Micros, node: NodeId, context: &mut RuleContext) {
         for id in self.established_at(node) {
             let Some(request) = self.requests.get_mut(&id) else { continue };
-            let Some(attempt) = request.serving.and_then(|up| request.attempts.get_mut(up)) else { continue };
+            let Some(attempt) = request.serving.and_then(|index| request.attempts.get_mut(index)) else {
+                continue;
+            };
             if attempt.ended.is_none() && context.node_states.can_communicate(attempt.proxy, node) {
                 attempt.ended = Some((at, AttemptEnd::Cut));
                 context.output.defer(
@@ -39,35 +41,42 @@
         if request.is_established() {
             return self.check_half_closed(at, id, context);
         }
-        if request.moved.is_some() {
+        if request.moved_at.is_some() {
             return;
         }
-        let Some((ended, ClientEnd::ByProxy(how))) = request.client_end else { return };
-        let (Some(submission), Some(up)) = (request.submission, request.connection()) else { return };
-        let by = ended + context.rules.grace;
-        let by_node = up.ended.is_some_and(|(over, who)| who != AttemptEnd::ByProxy && over <= by);
-        let process_changed = context.node_states.generation(up.attempt.node) != up.generation
+        let Some((ended_at, ClientEnd::ByProxy(close))) = request.client_end else { return };
+        let (Some(submission), Some(serving)) = (request.submission, request.serving_attempt()) else {
+            return;
+        };
+        let latest_cause = ended_at + context.rules.grace;
+        let ended_by_node = serving
+            .ended
+            .is_some_and(|(node_ended_at, end)| end != AttemptEnd::ByProxy && node_ended_at <= latest_cause);
+        let process_changed = context.node_states.generation(serving.attempt.node) != serving.generation
             && context
                 .node_states
-                .process_changed(up.attempt.node)
-                .is_some_and(|process_changed| process_changed <= by);
-        if by_node
+                .process_changed_at(serving.attempt.node)
+                .is_some_and(|changed_at| changed_at <= latest_cause);
+        if ended_by_node
             || process_changed
             || !request.responsive_at_end
-            || context.processes.excuses(submission.incarnation, submission.at, ended)
+            || context.processes.excuses_request(submission.incarnation, submission.at, ended_at)
         {
             return;
         }
-        let read = request.answer.as_ref().map_or(submission.at, |(read, _)| *read);
-        let how = if how == ProxyClose::Closed { "closed" } else { "reset" };
-        let side = match up.ended {
-            Some((over, _)) => format!("ended the render node's side at {}", format_seconds(over)),
+        let read_at = request.answer.as_ref().map_or(submission.at, |(read_at, _)| *read_at);
+        let verb = if close == ProxyClose::Closed { "closed" } else { "reset" };
+        let node_side = match serving.ended {
+            Some((node_ended_at, _)) => {
+                format!("ended the render node's side at {}", format_seconds(node_ended_at))
+            }
             None => "kept the render node's side open".to_owned(),
         };
         let description = format!(
-            "established since {}, {how} at {} without MOVE; the proxy {side}, and the render node still responded",
-            format_seconds(read),
-            format_seconds(ended)
+            "established since {}, {verb} at {} without MOVE; the proxy {node_side}, and the render \
+             node still responded",
+            format_seconds(read_at),
+            format_seconds(ended_at)
         );
         self.report_violation(at, Rule::CutWithoutMove, id, description, context.output);
     }
@@ -75,17 +84,20 @@
     /// Reports a connection whose render node's side the proxy ended while the client's side is still open.
     fn check_half_closed(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id) else { return };
-        let (Some(submission), Some(up)) = (request.submission, request.connection()) else { return };
-        let Some((over, AttemptEnd::ByProxy)) = up.ended else { return };
-        let steady = context
+        let (Some(submission), Some(serving)) = (request.submission, request.serving_attempt()) else {
+            return;
+        };
+        let Some((ended_at, AttemptEnd::ByProxy)) = serving.ended else { return };
+        let responsive = context
             .node_states
-            .responsive_since(up.proxy, up.attempt.node)
-            .is_some_and(|since| since <= over);
-        if steady && context.processes.alive(submission.incarnation) {
+            .responsive_since(serving.proxy, serving.attempt.node)
+            .is_some_and(|since| since <= ended_at);
+        if responsive && context.processes.is_running(submission.incarnation) {
             let description = format!(
-                "the proxy ended the render node's side at {}; the client's side is still open {} ms later, without MOVE",
-                format_seconds(over),
-                format_millis(at - over)
+                "the proxy ended the render node's side at {}; the client's side is still open {} ms \
+                 later, without MOVE",
+                format_seconds(ended_at),
+                format_millis(at - ended_at)
             );
             self.report_violation(at, Rule::CutWithoutMove, id, description, context.output);
         }
@@ -143,13 +155,13 @@
     /// Reports a line that has not reached the render node.
     pub fn check_line_to_node(&mut self, at: Micros, id: RequestId, line: u32, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id) else { return };
-        if let Some(sent) = request.to_node.departed_at(line)
-            && can_deliver(request, sent, context)
+        if let Some(sent_at) = request.to_node.departed_at(line)
+            && can_deliver(request, sent_at, context)
         {
             self.report_delayed_line(
                 at,
                 id,
-                format!("line {line}, sent by the client at {}, ", format_seconds(sent)),
+                format!("line {line}, sent by the client at {}, ", format_seconds(sent_at)),
                 context,
             );
         }
@@ -158,13 +170,13 @@
     /// Reports a returned line that has not reached the client.
     pub fn check_line_to_client(&mut self, at: Micros, id: RequestId, line: u32, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id) else { return };
-        if let Some(sent) = request.to_client.departed_at(line)
-            && can_deliver(request, sent, context)
+        if let Some(sent_at) = request.to_client.departed_at(line)
+            && can_deliver(request, sent_at, context)
         {
             self.report_delayed_line(
                 at,
                 id,
-                format!("line {line}, returned by the render node at {}, ", format_seconds(sent)),
+                format!("line {line}, returned by the render node at {}, ", format_seconds(sent_at)),
                 context,
             );
         }
@@ -180,22 +192,24 @@
     /// it.
     pub fn check_ended(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id).filter(|r| r.is_established()) else { return };
-        let (Some(submission), Some(up)) = (request.submission, request.connection()) else { return };
-        let Some((over, how)) = up.ended else { return };
-        if !context.processes.alive(submission.incarnation)
-            || !context.node_states.can_communicate(up.proxy, up.attempt.node)
+        let (Some(submission), Some(serving)) = (request.submission, request.serving_attempt()) else {
+            return;
+        };
+        let Some((ended_at, end)) = serving.ended else { return };
+        if !context.processes.is_running(submission.incarnation)
+            || !context.node_states.can_communicate(serving.proxy, serving.attempt.node)
         {
             return;
         }
-        let how = match how {
+        let how = match end {
             AttemptEnd::Bye => "with BYE",
             AttemptEnd::Move => "with MOVE",
             AttemptEnd::Cut | AttemptEnd::ByProxy => "without BYE or MOVE",
         };
         let description = format!(
             "the render node ended it at {} {how}; the client's side is still open {} ms later, without MOVE",
-            format_seconds(over),
-            format_millis(at - over)
+            format_seconds(ended_at),
+            format_millis(at - ended_at)
         );
         self.report_violation(at, Rule::EndedConnectionOpen, id, description, context.output);
     }
@@ -204,23 +218,27 @@
     /// [`Rules::silent_within`](crate::plan::Rules) and did not return the line.
     pub fn check_silent(&mut self, at: Micros, id: RequestId, line: u32, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id).filter(|r| r.is_established()) else { return };
-        let Some(sent) = request.unreturned.departed_at(line) else { return };
-        let (Some(submission), Some(up)) = (request.submission, request.connection()) else { return };
-        if up.ended.is_some() || !context.processes.alive(submission.incarnation) {
+        let Some(sent_at) = request.unreturned.departed_at(line) else { return };
+        let (Some(submission), Some(serving)) = (request.submission, request.serving_attempt()) else {
+            return;
+        };
+        if serving.ended.is_some() || !context.processes.is_running(submission.incarnation) {
             return;
         }
-        let Some(silent) = context.node_states.silent_since(up.proxy, up.attempt.node) else { return };
+        let Some(silent_since) = context.node_states.silent_since(serving.proxy, serving.attempt.node) else {
+            return;
+        };
         // A line that was sent before the silence began: the time limit starts with the silence.
-        let due = silent.max(sent) + context.rules.silent_within + context.rules.grace;
+        let due = silent_since.max(sent_at) + context.rules.silent_within + context.rules.grace;
         if due > at {
             return context.output.defer(due, DeferredCheck::SilentConnection(id, line));
         }
         let description = format!(
             "line {line}, sent at {}, was not returned by a render node that has been silent since {}; the client's \
              side is still open {} ms later, without MOVE",
-            format_seconds(sent),
-            format_seconds(silent),
-            format_millis(at - sent)
+            format_seconds(sent_at),
+            format_seconds(silent_since),
+            format_millis(at - sent_at)
         );
         self.report_violation(at, Rule::SilentConnectionOpen, id, description, context.output);
     }
@@ -228,12 +246,17 @@
 
 /// Whether the line could be delivered at all times since it was sent: both ends were open, the proxy was running, and
 /// the render node responded to the proxy.
-fn can_deliver(request: &Request, sent: Micros, context: &RuleContext) -> bool {
-    let (Some(submission), Some(up)) = (request.submission, request.connection()) else { return false };
+fn can_deliver(request: &Request, sent_at: Micros, context: &RuleContext) -> bool {
+    let (Some(submission), Some(serving)) = (request.submission, request.serving_attempt()) else {
+        return false;
+    };
     request.is_established()
         && matches!(request.answer, Some((_, Answer::Up(_))))
-        && up.ended.is_none()
-        && context.node_states.generation(up.attempt.node) == up.generation
-        && context.processes.alive(submission.incarnation)
-        && context.node_states.responsive_since(up.proxy, up.attempt.node).is_some_and(|since| since <= sent)
+        && serving.ended.is_none()
+        && context.node_states.generation(serving.attempt.node) == serving.generation
+        && context.processes.is_running(submission.incarnation)
+        && context
+            .node_states
+            .responsive_since(serving.proxy, serving.attempt.node)
+            .is_some_and(|since| since <= sent_at)
 }
--- a/crates/kit/src/judge/figures.rs
+++ b/crates/kit/src/judge/figures.rs
@@ -97,7 +97,7 @@
 
 impl Figures {
     /// Service in each second of the measured part, for plots.
-    pub fn time_line(&self) -> impl Iterator<Item = Second> + '_ {
+    pub fn service_by_second(&self) -> impl Iterator<Item = Second> + '_ {
         let seconds = self.service.wanted.iter().zip(&self.service.well).enumerate();
         seconds.map(|(i, (wanted, well))| Second {
             from: self.measured_from + i as Micros * crate::time::S,
@@ -149,8 +149,8 @@
     pub fn observe(&mut self, at: Micros, seen: &Seen) {
         let measured = at >= self.plan.measured_from;
         match *seen {
-            Seen::Wanted { session, until, .. } => self.service_sums.wanted(at, session, until),
-            Seen::Served { session, from, well } => self.service_sums.served(at, session, from, well),
+            Seen::Wanted { session, until, .. } => self.service_sums.record_demand(at, session, until),
+            Seen::Served { session, from, well } => self.service_sums.record_span(at, session, from, well),
             Seen::MessageTook { class, took } if measured => self.messages.add(class, took),
             Seen::SetupTook { class, took } if measured => self.setups.add(class, took),
             Seen::Asked { session, proxy, .. } => {
--- a/crates/kit/src/judge/latency.rs
+++ b/crates/kit/src/judge/latency.rs
@@ -6,7 +6,7 @@
 
 /// Longer latencies are recorded as this value, one hour in microseconds; no run lasts that long. With three
 /// significant digits a histogram takes 100 KB.
-const LONGEST: u64 = 3_600_000_000;
+const MAX_LATENCY_MICROS: u64 = 3_600_000_000;
 
 /// Latency distribution of one class, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
@@ -45,12 +45,14 @@
 impl Histograms {
     pub fn new(classes: usize) -> Self {
         // The bounds are valid, so no construction fails.
-        Histograms((0..classes).filter_map(|_| Histogram::new_with_bounds(1, LONGEST, 3).ok()).collect())
+        Histograms(
+            (0..classes).filter_map(|_| Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, 3).ok()).collect(),
+        )
     }
 
-    pub fn add(&mut self, class: u8, took: Micros) {
+    pub fn add(&mut self, class: u8, latency: Micros) {
         if let Some(histogram) = self.0.get_mut(usize::from(class)) {
-            histogram.saturating_record(u64::try_from(took).unwrap_or(0));
+            histogram.saturating_record(u64::try_from(latency).unwrap_or(0));
         }
     }
 
--- a/crates/kit/src/judge/lines_in_transit.rs
+++ b/crates/kit/src/judge/lines_in_transit.rs
@@ -13,8 +13,8 @@
 impl LinesInTransit {
     /// Records that a line was sent. Returns false if the line has already arrived.
     pub fn record_departure(&mut self, line: u32, at: Micros) -> bool {
-        if let Some(place) = self.arrived_early.iter().position(|number| *number == line) {
-            self.arrived_early.swap_remove(place);
+        if let Some(index) = self.arrived_early.iter().position(|number| *number == line) {
+            self.arrived_early.swap_remove(index);
             return false;
         }
         self.in_transit.push((line, at));
@@ -24,7 +24,7 @@
     /// Records that a line arrived.
     pub fn record_arrival(&mut self, line: u32) {
         match self.in_transit.iter().position(|(number, _)| *number == line) {
-            Some(place) => drop(self.in_transit.swap_remove(place)),
+            Some(index) => drop(self.in_transit.swap_remove(index)),
             // The limit bounds the memory if a faulty render node returns lines that were never sent. No client sends
             // this many lines ahead.
             None if self.arrived_early.len() < 64 => self.arrived_early.push(line),
--- a/crates/kit/src/judge/list_knowledge.rs
+++ b/crates/kit/src/judge/list_knowledge.rs
@@ -13,7 +13,7 @@
 /// that is removed after a drain has been unavailable since the drain.
 #[derive(Clone, Copy, Debug)]
 struct Listing {
-    up: bool,
+    available: bool,
     since: Micros,
 }
 
@@ -33,13 +33,13 @@
     /// Knowledge of each render node, by its index in the plan.
     nodes: Vec<NodeKnowledge>,
     /// When the proxy's process started.
-    started: Micros,
+    started_at: Micros,
     /// Whether a watch has been answered since the process started.
-    watched: bool,
+    watch_answered: bool,
     /// While the proxy has no watch: when the process started, the watch ended or a poll was last answered, whichever
     /// is latest. `None` while the proxy has a watch.
-    unwatched: Option<Micros>,
-    /// Whether a poll has failed since `unwatched`.
+    unwatched_since: Option<Micros>,
+    /// Whether a poll has failed since `unwatched_since`.
     poll_failed: bool,
 }
 
@@ -50,29 +50,29 @@
     list: Vec<Option<Listing>>,
     proxies: Vec<ProxyKnowledge>,
     /// Since when discovery has been reachable; `None` during an outage.
-    reachable: Option<Micros>,
+    reachable_since: Option<Micros>,
     /// Start of the last outage.
-    last_outage: Option<Micros>,
-    told_within: Micros,
-    ask_within: Micros,
+    last_outage_start: Option<Micros>,
+    delivery_limit: Micros,
+    polling_limit: Micros,
 }
 
 impl ListKnowledge {
     pub fn new(nodes: usize, proxies: usize, rules: &Rules) -> Self {
-        let unknown = ProxyKnowledge {
+        let initial = ProxyKnowledge {
             nodes: vec![NodeKnowledge::default(); nodes],
-            started: 0,
-            watched: false,
-            unwatched: Some(0),
+            started_at: 0,
+            watch_answered: false,
+            unwatched_since: Some(0),
             poll_failed: false,
         };
         ListKnowledge {
             list: vec![None; nodes],
-            proxies: vec![unknown; proxies],
-            reachable: Some(0),
-            last_outage: None,
-            told_within: rules.told_within,
-            ask_within: rules.ask_within,
+            proxies: vec![initial; proxies],
+            reachable_since: Some(0),
+            last_outage_start: None,
+            delivery_limit: rules.told_within,
+            polling_limit: rules.ask_within,
         }
     }
 
@@ -90,8 +90,8 @@
                 // Changes that are presumed known by now stay known. For the others the time limit starts again.
                 (0..self.proxies.len()).for_each(|proxy_index| self.apply_presumed(at, proxy_index));
                 match up {
-                    true => self.reachable = self.reachable.or(Some(at)),
-                    false => (self.reachable, self.last_outage) = (None, Some(at)),
+                    true => self.reachable_since = self.reachable_since.or(Some(at)),
+                    false => (self.reachable_since, self.last_outage_start) = (None, Some(at)),
                 }
             }
             Seen::ProxyStarted { proxy, .. } => {
@@ -110,27 +110,27 @@
         }
         (0..self.proxies.len())
             .for_each(|proxy_index| self.apply_presumed_to_node(at, proxy_index, node_index));
-        let up = phase == Phase::Up;
+        let available = phase == Phase::Up;
         match &mut self.list[node_index] {
-            Some(listing) if !up && !listing.up => {}
-            listing => *listing = Some(Listing { up, since: at }),
+            Some(listing) if !available && !listing.available => {}
+            listing => *listing = Some(Listing { available, since: at }),
         }
     }
 
-    fn record_watch(&mut self, at: Micros, proxy: ProxyId, on: bool) {
+    fn record_watch(&mut self, at: Micros, proxy: ProxyId, active: bool) {
         let proxy_index = usize::from(proxy.0);
         if proxy_index >= self.proxies.len() {
             return;
         }
         self.apply_presumed(at, proxy_index);
         let knowledge = &mut self.proxies[proxy_index];
-        if !on {
-            knowledge.unwatched = knowledge.unwatched.or(Some(at));
+        if !active {
+            knowledge.unwatched_since = knowledge.unwatched_since.or(Some(at));
             return;
         }
-        (knowledge.unwatched, knowledge.poll_failed) = (None, false);
+        (knowledge.unwatched_since, knowledge.poll_failed) = (None, false);
         // The first watch of a process starts with the complete list; later ones report each change separately.
-        if !std::mem::replace(&mut knowledge.watched, true) {
+        if !std::mem::replace(&mut knowledge.watch_answered, true) {
             knowledge.record_list(at, &self.list);
         }
     }
@@ -144,7 +144,8 @@
         let knowledge = &mut self.proxies[proxy_index];
         if answered {
             knowledge.record_list(at, &self.list);
-            (knowledge.unwatched, knowledge.poll_failed) = (knowledge.unwatched.map(|_| at), false);
+            (knowledge.unwatched_since, knowledge.poll_failed) =
+                (knowledge.unwatched_since.map(|_| at), false);
         } else {
             knowledge.poll_failed = true;
         }
@@ -156,12 +157,16 @@
 
     /// When a change listed at `since` is presumed known to a proxy that it was not delivered to.
     fn presumed_at(&self, knowledge: &ProxyKnowledge, since: Micros) -> Option<Micros> {
-        let by_delivery = self.reachable.map(|up| since.max(up).max(knowledge.started) + self.told_within);
-        let by_polling = knowledge.unwatched.map(|off| {
+        let by_delivery = self.reachable_since.map(|reachable_since| {
+            since.max(reachable_since).max(knowledge.started_at) + self.delivery_limit
+        });
+        let by_polling = knowledge.unwatched_since.map(|unwatched_since| {
             // A failed poll during an outage can't be observed, so one is assumed.
-            let poll_failed = self.reachable.is_none_or(|up| up > off)
-                || self.last_outage.is_some_and(|last_outage| last_outage >= off);
-            since.max(off + self.ask_within * if poll_failed { POLL_FAILURE_FACTOR } else { 1 })
+            let poll_failed =
+                self.reachable_since.is_none_or(|reachable_since| reachable_since > unwatched_since)
+                    || self.last_outage_start.is_some_and(|outage_start| outage_start >= unwatched_since);
+            since
+                .max(unwatched_since + self.polling_limit * if poll_failed { POLL_FAILURE_FACTOR } else { 1 })
         });
         by_delivery.into_iter().chain(by_polling).min()
     }
@@ -180,8 +185,8 @@
             self.presumed_at(&self.proxies[proxy_index], listing.since).filter(|presumed| *presumed <= at)
         {
             let is_newer = known.available_at.is_none_or(|known| known < listing.since);
-            if !listing.up || is_newer {
-                self.proxies[proxy_index].nodes[node].record(presumed, listing.up);
+            if !listing.available || is_newer {
+                self.proxies[proxy_index].nodes[node].record(presumed, listing.available);
             }
         }
     }
@@ -197,16 +202,18 @@
     }
 
     /// Whether the proxy knows at `at` that the render node started at `started`.
-    pub fn knows_of_start(&mut self, at: Micros, proxy: ProxyId, node: NodeId, started: Micros) -> bool {
+    pub fn knows_of_start(&mut self, at: Micros, proxy: ProxyId, node: NodeId, started_at: Micros) -> bool {
         let (proxy_index, node_index) = (usize::from(proxy.0), usize::from(node.0));
         if proxy_index >= self.proxies.len() || node_index >= self.list.len() {
             return false;
         }
         // A listing older than the start does not announce it.
-        if self.list[node_index].is_some_and(|l| l.since >= started) {
+        if self.list[node_index].is_some_and(|listing| listing.since >= started_at) {
             self.apply_presumed_to_node(at, proxy_index, node_index);
         }
-        self.proxies[proxy_index].nodes[node_index].available_at.is_some_and(|up| up >= started)
+        self.proxies[proxy_index].nodes[node_index]
+            .available_at
+            .is_some_and(|available_at| available_at >= started_at)
     }
 }
 
@@ -214,9 +221,9 @@
     /// Clears the knowledge for a new process.
     fn restart(&mut self, at: Micros) {
         self.nodes.fill(NodeKnowledge::default());
-        self.started = at;
-        self.watched = false;
-        self.unwatched = Some(at);
+        self.started_at = at;
+        self.watch_answered = false;
+        self.unwatched_since = Some(at);
         self.poll_failed = false;
     }
 
@@ -224,15 +231,15 @@
     fn record_list(&mut self, at: Micros, list: &[Option<Listing>]) {
         for (knowledge, listing) in self.nodes.iter_mut().zip(list) {
             if let Some(listing) = listing {
-                knowledge.record(at, listing.up);
+                knowledge.record(at, listing.available);
             }
         }
     }
 }
 
 impl NodeKnowledge {
-    fn record(&mut self, at: Micros, up: bool) {
-        if up {
+    fn record(&mut self, at: Micros, available: bool) {
+        if available {
             self.unavailable_since = None;
             self.available_at = Some(self.available_at.map_or(at, |known| known.max(at)));
         } else {
--- a/crates/kit/src/judge/misbehaving_clients.rs
+++ b/crates/kit/src/judge/misbehaving_clients.rs
@@ -13,30 +13,30 @@
 use std::collections::BTreeMap;
 
 /// An attempt with a stolen id is observed at most this long after the client that stole the id was answered.
-const THEFT_EFFECT_WINDOW: Micros = 100 * MS;
+const STOLEN_ID_WINDOW: Micros = 100 * MS;
 
 /// A misbehaving client that has not been answered yet.
 #[derive(Clone, Copy, Debug)]
-struct OpenClient {
+struct UnansweredClient {
     proxy: ProxyId,
     /// Deadline of the proxy's error or close.
-    by: Micros,
+    deadline: Micros,
     /// The client uses the id of another client's open request.
-    steals_id: bool,
+    uses_stolen_id: bool,
 }
 
 /// The misbehaving clients of one proxy.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClientsAtProxy {
-    open_id_thieves: u32,
-    last_id_theft: Option<Micros>,
+    unanswered_with_stolen_id: u32,
+    last_stolen_id_answered: Option<Micros>,
 }
 
 /// All misbehaving clients of the run.
 #[derive(Debug)]
 pub(super) struct MisbehavingClients {
     /// Unanswered clients, by their index in the plan.
-    open: BTreeMap<u32, OpenClient>,
+    unanswered: BTreeMap<u32, UnansweredClient>,
     /// Requests with an id of their own that misbehaving clients sent.
     sent_requests: FnvHashSet<(RequestId, ProxyId)>,
     proxies: Vec<ClientsAtProxy>,
@@ -48,10 +48,10 @@
 impl MisbehavingClients {
     pub fn new(plan: &Plan) -> Self {
         MisbehavingClients {
-            open: BTreeMap::new(),
+            unanswered: BTreeMap::new(),
             sent_requests: FnvHashSet::default(),
             proxies: vec![ClientsAtProxy::default(); plan.proxies.len()],
-            kinds: plan.rude.iter().map(|rude| rude.kind).collect(),
+            kinds: plan.rude.iter().map(|client| client.kind).collect(),
             grace: plan.rules.grace,
         }
     }
@@ -59,10 +59,10 @@
     pub fn observe(&mut self, at: Micros, seen: &Seen, output: &mut RuleOutput) {
         match *seen {
             Seen::RudeCame { rude, proxy, by } => {
-                let steals_id = self.kinds.get(rude as usize) == Some(&Misbehavior::StolenId);
-                self.open.insert(rude, OpenClient { proxy, by, steals_id });
+                let uses_stolen_id = self.kinds.get(rude as usize) == Some(&Misbehavior::StolenId);
+                self.unanswered.insert(rude, UnansweredClient { proxy, deadline: by, uses_stolen_id });
                 if let Some(at_proxy) = self.proxies.get_mut(usize::from(proxy.0)) {
-                    at_proxy.open_id_thieves += u32::from(steals_id);
+                    at_proxy.unanswered_with_stolen_id += u32::from(uses_stolen_id);
                 }
                 output.defer(by + self.grace, DeferredCheck::MisbehavingClient(rude));
             }
@@ -70,13 +70,13 @@
                 self.sent_requests.insert((request, proxy));
             }
             Seen::RudeOver { rude, how } => {
-                let Some(open) = self.close(at, rude) else { return };
+                let Some(client) = self.mark_answered(at, rude) else { return };
                 if how == MisbehaviorOutcome::Served {
                     let description = "the client was served; an error or a close was required".to_owned();
                     output.report_violation(
                         at,
                         Rule::MisbehavingClientServed,
-                        subject(rude, open.proxy),
+                        subject(rude, client.proxy),
                         description,
                     );
                 }
@@ -85,33 +85,33 @@
         }
     }
 
-    fn close(&mut self, at: Micros, rude: u32) -> Option<OpenClient> {
-        let open = self.open.remove(&rude)?;
-        if let Some(at_proxy) = self.proxies.get_mut(usize::from(open.proxy.0))
-            && open.steals_id
+    fn mark_answered(&mut self, at: Micros, index: u32) -> Option<UnansweredClient> {
+        let client = self.unanswered.remove(&index)?;
+        if let Some(at_proxy) = self.proxies.get_mut(usize::from(client.proxy.0))
+            && client.uses_stolen_id
         {
-            at_proxy.open_id_thieves -= 1;
-            at_proxy.last_id_theft = Some(at);
+            at_proxy.unanswered_with_stolen_id -= 1;
+            at_proxy.last_stolen_id_answered = Some(at);
         }
-        Some(open)
+        Some(client)
     }
 
     /// Reports a client that has not been answered by its deadline.
-    pub fn check_deadline(&mut self, at: Micros, rude: u32, output: &mut RuleOutput) {
+    pub fn check_deadline(&mut self, at: Micros, index: u32, output: &mut RuleOutput) {
         // A client that has reconnected has a later deadline.
-        if self.open.get(&rude).is_some_and(|open| open.by + self.grace > at) {
+        if self.unanswered.get(&index).is_some_and(|client| client.deadline + self.grace > at) {
             return;
         }
-        if let Some(open) = self.close(at, rude) {
+        if let Some(client) = self.mark_answered(at, index) {
             let description = format!(
                 "an error or a close was due by {}, and none was observed {} later",
-                format_seconds(open.by),
+                format_seconds(client.deadline),
                 format_seconds(self.grace)
             );
             output.report_violation(
                 at,
                 Rule::MisbehavingClientUnanswered,
-                subject(rude, open.proxy),
+                subject(index, client.proxy),
                 description,
             );
         }
@@ -120,8 +120,8 @@
     /// Whether an attempt with the id of an answered request may come from a client that stole the id.
     pub fn may_carry_stolen_id(&self, at: Micros, proxy: ProxyId) -> bool {
         self.proxies.get(usize::from(proxy.0)).is_some_and(|at_proxy| {
-            at_proxy.open_id_thieves > 0
-                || at_proxy.last_id_theft.is_some_and(|last| at - last <= THEFT_EFFECT_WINDOW)
+            at_proxy.unanswered_with_stolen_id > 0
+                || at_proxy.last_stolen_id_answered.is_some_and(|last| at - last <= STOLEN_ID_WINDOW)
         })
     }
 
@@ -131,6 +131,6 @@
     }
 }
 
-fn subject(rude: u32, proxy: ProxyId) -> Subject {
-    Subject { rude: Some(rude), proxy: Some(proxy), ..Subject::default() }
+fn subject(index: u32, proxy: ProxyId) -> Subject {
+    Subject { misbehaving_client: Some(index), proxy: Some(proxy), ..Subject::default() }
 }
--- a/crates/kit/src/judge/mod.rs
+++ b/crates/kit/src/judge/mod.rs
@@ -94,7 +94,7 @@
         }
         let at = observation.at.max(self.now);
         self.advance(at);
-        self.output.remember(observation);
+        self.output.record_observation(observation);
         self.counters.observe(at, &observation.seen);
         self.list_knowledge.observe(at, &observation.seen);
         self.processes.observe(at, &observation.seen, &mut self.output);
@@ -177,11 +177,11 @@
             Seen::LineAtNode { attempt, line } => table.record_line_at_node(*attempt, *line),
             Seen::LineReturned { attempt, line } => table.record_line_returned(at, *attempt, *line, context),
             Seen::BadFirstLine { node, proxy, line } => {
-                context.output.bad_first_line(at, *node, *proxy, line)
+                context.output.report_bad_first_line(at, *node, *proxy, line)
             }
-            Seen::Garbled { request, line } => context.output.changed_line(at, *request, line),
+            Seen::Garbled { request, line } => context.output.report_changed_line(at, *request, line),
             Seen::Datagram { from, to, bytes } if *bytes > MAX_DATAGRAM_BYTES => {
-                context.output.oversized_datagram(at, *from, *to, *bytes);
+                context.output.report_oversized_datagram(at, *from, *to, *bytes);
             }
             _ => {}
         }
--- a/crates/kit/src/judge/node_states.rs
+++ b/crates/kit/src/judge/node_states.rs
@@ -10,11 +10,11 @@
 struct NodeState {
     condition: Condition,
     /// When the node last began or stopped to return lines.
-    since: Micros,
+    lines_changed_at: Micros,
     /// Number of process starts and ends. A connection of an earlier generation has ended with its process.
     generation: u32,
     /// When the generation last changed; `None` in the first generation.
-    process_changed: Option<Micros>,
+    process_changed_at: Option<Micros>,
 }
 
 /// The states of all render nodes, and the links to them.
@@ -33,9 +33,9 @@
     pub fn new(nodes: usize) -> Self {
         let initial = NodeState {
             condition: Condition::Sound,
-            since: Micros::MIN,
+            lines_changed_at: Micros::MIN,
             generation: 0,
-            process_changed: None,
+            process_changed_at: None,
         };
         NodeStates { nodes: vec![initial; nodes], links: BTreeMap::new() }
     }
@@ -65,9 +65,9 @@
 
     /// Records that the render node's process ended.
     fn mark_down(&mut self, at: Micros, node: NodeId) -> Option<ProcessChanged> {
-        let silent = self.state(node).is_some_and(|s| s.condition == Condition::Vanished);
+        let vanished = self.state(node).is_some_and(|state| state.condition == Condition::Vanished);
         self.advance_generation(at, node);
-        if silent {
+        if vanished {
             return None;
         }
         self.set_condition(at, node, Condition::Down);
@@ -77,14 +77,14 @@
     fn advance_generation(&mut self, at: Micros, node: NodeId) {
         if let Some(state) = self.nodes.get_mut(usize::from(node.0)) {
             state.generation += 1;
-            state.process_changed = Some(at);
+            state.process_changed_at = Some(at);
         }
     }
 
     fn set_condition(&mut self, at: Micros, node: NodeId, condition: Condition) {
         if let Some(state) = self.nodes.get_mut(usize::from(node.0)) {
             if returns_lines(state.condition) != returns_lines(condition) {
-                state.since = at;
+                state.lines_changed_at = at;
             }
             state.condition = condition;
         }
@@ -96,26 +96,26 @@
 
     /// The current generation of the render node; a process start or end begins a new one.
     pub fn generation(&self, node: NodeId) -> u32 {
-        self.state(node).map_or(0, |s| s.generation)
+        self.state(node).map_or(0, |state| state.generation)
     }
 
     /// When the render node's process last started or ended; `None` if it never did in the run.
-    pub fn process_changed(&self, node: NodeId) -> Option<Micros> {
-        self.state(node).and_then(|s| s.process_changed)
+    pub fn process_changed_at(&self, node: NodeId) -> Option<Micros> {
+        self.state(node).and_then(|state| state.process_changed_at)
     }
 
     /// Whether the proxy and the render node's machine can exchange packets now.
     pub fn can_communicate(&self, proxy: ProxyId, node: NodeId) -> bool {
-        self.state(node).is_some_and(|s| s.condition != Condition::Vanished)
+        self.state(node).is_some_and(|state| state.condition != Condition::Vanished)
             && self.links.get(&(proxy, node)).is_none_or(|(connected, _)| *connected)
     }
 
     /// Since when the render node has returned this proxy's lines without interruption; `None` if it doesn't now.
     pub fn responsive_since(&self, proxy: ProxyId, node: NodeId) -> Option<Micros> {
-        let state = self.state(node).filter(|s| returns_lines(s.condition))?;
+        let state = self.state(node).filter(|state| returns_lines(state.condition))?;
         match self.links.get(&(proxy, node)) {
-            None => Some(state.since),
-            Some((true, since)) => Some(state.since.max(*since)),
+            None => Some(state.lines_changed_at),
+            Some((true, since)) => Some(state.lines_changed_at.max(*since)),
             Some((false, _)) => None,
         }
     }
@@ -123,10 +123,10 @@
     /// Since when the render node has been silent towards this proxy: it returns no lines, and the proxy can't observe
     /// that its process is down. `None` while it returns lines or is known to be down.
     pub fn silent_since(&self, proxy: ProxyId, node: NodeId) -> Option<Micros> {
-        let state = self.state(node).filter(|s| s.condition != Condition::Down)?;
-        let link =
+        let state = self.state(node).filter(|state| state.condition != Condition::Down)?;
+        let link_cut =
             self.links.get(&(proxy, node)).and_then(|(connected, since)| (!connected).then_some(*since));
-        (!returns_lines(state.condition)).then_some(state.since).into_iter().chain(link).min()
+        (!returns_lines(state.condition)).then_some(state.lines_changed_at).into_iter().chain(link_cut).min()
     }
 }
 
--- a/crates/kit/src/judge/report.rs
+++ b/crates/kit/src/judge/report.rs
@@ -56,7 +56,7 @@
             )?;
         }
         for (rule, count) in &self.violations {
-            writeln!(f, "\nBROKEN {rule}, {count} times. {}", rule.meaning())?;
+            writeln!(f, "\nBROKEN {rule}, {count} times. {}", rule.requirement())?;
             self.findings
                 .iter()
                 .filter(|violation| violation.rule == *rule)
--- a/crates/kit/src/judge/request_table.rs
+++ b/crates/kit/src/judge/request_table.rs
@@ -17,7 +17,7 @@
 
 /// A request is retained this long after its client has finished, because observations of its attempts can still
 /// arrive. No attempt of any class takes longer.
-const RETENTION: Micros = 10 * S;
+const REQUEST_RETENTION: Micros = 10 * S;
 
 /// Submission of a request by a client.
 #[derive(Clone, Copy, Debug)]
@@ -74,7 +74,7 @@
     /// Index of the attempt whose `UP` the client read; its connection serves the client.
     pub serving: Option<usize>,
     /// When the client read `MOVE`.
-    pub moved: Option<Micros>,
+    pub moved_at: Option<Micros>,
     /// When and how the client's connection ended.
     pub client_end: Option<(Micros, ClientEnd)>,
     /// Whether the render node had returned lines for at least the grace time when the proxy ended the connection.
@@ -92,24 +92,27 @@
 
 impl Request {
     /// The attempt whose connection serves, or served, the client.
-    pub fn connection(&self) -> Option<&AttemptRecord> {
-        self.serving.and_then(|serving| self.attempts.get(serving))
+    pub fn serving_attempt(&self) -> Option<&AttemptRecord> {
+        self.serving.and_then(|index| self.attempts.get(index))
     }
 
     /// Whether the client's connection is open and the client has not read `MOVE`.
     pub fn is_established(&self) -> bool {
-        self.client_end.is_none() && self.moved.is_none()
+        self.client_end.is_none() && self.moved_at.is_none()
     }
 
     fn subject(&self, id: RequestId) -> Subject {
-        let last = self.connection().or(self.attempts.last());
+        let last = self.serving_attempt().or(self.attempts.last());
         Subject {
             request: Some(id),
-            session: self.submission.map(|a| a.session),
-            node: last.map(|t| t.attempt.node),
-            proxy: self.submission.map(|a| a.incarnation.proxy).or(last.map(|t| t.proxy)),
-            rude: None,
-            attempts: self.attempts.iter().map(|t| t.attempt).collect(),
+            session: self.submission.map(|submission| submission.session),
+            node: last.map(|record| record.attempt.node),
+            proxy: self
+                .submission
+                .map(|submission| submission.incarnation.proxy)
+                .or(last.map(|record| record.proxy)),
+            misbehaving_client: None,
+            attempts: self.attempts.iter().map(|record| record.attempt).collect(),
         }
     }
 }
@@ -168,7 +171,7 @@
     pub fn find_attempt(&mut self, attempt: Attempt) -> Option<(RequestId, &mut Request, usize)> {
         let id = *self.by_attempt.get(&attempt)?;
         let request = self.requests.get_mut(&id)?;
-        let index = request.attempts.iter().position(|t| t.attempt == attempt)?;
+        let index = request.attempts.iter().position(|record| record.attempt == attempt)?;
         Some((id, request, index))
     }
 
@@ -181,26 +184,33 @@
 
     /// The requests with an established connection at the render node.
     pub fn established_at(&self, node: NodeId) -> Vec<RequestId> {
-        self.established.get(usize::from(node.0)).map(|s| s.iter().copied().collect()).unwrap_or_default()
+        self.established
+            .get(usize::from(node.0))
+            .map(|requests| requests.iter().copied().collect())
+            .unwrap_or_default()
     }
 
     /// Records that the client has finished with the request: removes its connection now, and the request after the
     /// retention time.
     pub fn client_finished(&mut self, at: Micros, id: RequestId, output: &mut RuleOutput) {
-        if let Some(node) = self.requests.get(&id).and_then(|r| r.connection()).map(|t| t.attempt.node)
+        if let Some(node) = self
+            .requests
+            .get(&id)
+            .and_then(|request| request.serving_attempt())
+            .map(|record| record.attempt.node)
             && let Some(established) = self.established.get_mut(usize::from(node.0))
         {
             established.remove(&id);
         }
-        output.defer(at + RETENTION, DeferredCheck::ForgetRequest(id));
+        output.defer(at + REQUEST_RETENTION, DeferredCheck::ForgetRequest(id));
     }
 
     /// Removes a request and its attempts.
     pub fn forget(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
-        for t in &request.attempts {
-            self.by_attempt.remove(&t.attempt);
-            if let Some(NodeAnswer::Up(receipt)) = t.answer {
+        for record in &request.attempts {
+            self.by_attempt.remove(&record.attempt);
+            if let Some(NodeAnswer::Up(receipt)) = record.answer {
                 self.receipts.remove(&receipt);
             }
         }
--- a/crates/kit/src/judge/rule.rs
+++ b/crates/kit/src/judge/rule.rs
@@ -89,7 +89,7 @@
     }
 
     /// The requirement on a proxy, in one sentence for reports.
-    pub fn meaning(self) -> &'static str {
+    pub fn requirement(self) -> &'static str {
         match self {
             Rule::OneFinalAnswer => {
                 "Each request that a proxy has accepted gets exactly one final answer, in time."
--- a/crates/kit/src/judge/rule_output.rs
+++ b/crates/kit/src/judge/rule_output.rs
@@ -48,7 +48,7 @@
     recent: VecDeque<Observation>,
     /// Violations whose following events are still collected: index, number of events still to collect, and the time at
     /// which the collection ends.
-    collecting: Vec<(usize, usize, Micros)>,
+    collecting_following: Vec<(usize, usize, Micros)>,
 }
 
 impl RuleOutput {
@@ -66,25 +66,25 @@
         }
         let surrounding_events = self.events_before(at, &subject);
         let now = self.recent.back().map_or(at, |o| o.at);
-        self.collecting.push((self.violations.len(), FOLLOWING_EVENTS, now + CONTEXT_AFTER));
+        self.collecting_following.push((self.violations.len(), FOLLOWING_EVENTS, now + CONTEXT_AFTER));
         self.violations.push(Violation { at, rule, subject, description, surrounding_events });
     }
 
     /// The latest events that concern the subject, in order of time.
     fn events_before(&self, at: Micros, subject: &Subject) -> Vec<Observation> {
-        let (mut direct, mut related) = (DIRECT_EVENTS, RELATED_EVENTS);
+        let (mut direct_left, mut related_left) = (DIRECT_EVENTS, RELATED_EVENTS);
         let mut surrounding_events = Vec::new();
         for observation in self.recent.iter().rev().take_while(|o| o.at >= at - CONTEXT_BEFORE) {
             let remaining = match subject.relation(&observation.seen) {
-                Relation::Direct => &mut direct,
-                Relation::Related => &mut related,
+                Relation::Direct => &mut direct_left,
+                Relation::Related => &mut related_left,
                 Relation::Unrelated => continue,
             };
             if *remaining > 0 {
                 *remaining -= 1;
                 surrounding_events.push(observation.clone());
             }
-            if direct == 0 && related == 0 {
+            if direct_left == 0 && related_left == 0 {
                 break;
             }
         }
@@ -94,10 +94,10 @@
 
     /// Keeps an observation for later violations, and adds it to earlier ones whose following events are still
     /// collected.
-    pub fn remember(&mut self, observation: &Observation) {
-        if !self.collecting.is_empty() {
+    pub fn record_observation(&mut self, observation: &Observation) {
+        if !self.collecting_following.is_empty() {
             let violations = &mut self.violations;
-            self.collecting.retain_mut(|(index, remaining, until)| {
+            self.collecting_following.retain_mut(|(index, remaining, until)| {
                 let Some(violation) = violations.get_mut(*index).filter(|_| observation.at <= *until) else {
                     return false;
                 };
@@ -115,14 +115,14 @@
     }
 
     /// Reports a first line at a render node that no client sent in this form.
-    pub fn bad_first_line(&mut self, at: Micros, node: NodeId, proxy: ProxyId, line: &str) {
+    pub fn report_bad_first_line(&mut self, at: Micros, node: NodeId, proxy: ProxyId, line: &str) {
         let subject = Subject { node: Some(node), proxy: Some(proxy), ..Subject::default() };
         let description = format!("'{}' is not a line that a client sent", excerpt(line).escape_debug());
         self.report_violation(at, Rule::BadFirstLine, subject, description);
     }
 
     /// Reports a line that a client read and no render node sent.
-    pub fn changed_line(&mut self, at: Micros, request: RequestId, line: &str) {
+    pub fn report_changed_line(&mut self, at: Micros, request: RequestId, line: &str) {
         let subject = Subject { request: Some(request), ..Subject::default() };
         let description =
             format!("the client read '{}', which no render node sent", excerpt(line).escape_debug());
@@ -130,7 +130,7 @@
     }
 
     /// Reports a datagram of more than [`MAX_DATAGRAM_BYTES`].
-    pub fn oversized_datagram(&mut self, at: Micros, from: ProxyId, to: ProxyId, bytes: u32) {
+    pub fn report_oversized_datagram(&mut self, at: Micros, from: ProxyId, to: ProxyId, bytes: u32) {
         let subject = Subject { proxy: Some(from), ..Subject::default() };
         let description =
             format!("{bytes} bytes to proxy {}, at most {MAX_DATAGRAM_BYTES} are allowed", to.0);
--- a/crates/kit/src/judge/service.rs
+++ b/crates/kit/src/judge/service.rs
@@ -52,7 +52,7 @@
     from: Micros,
     until: Micros,
     /// Up to when the session's service has been counted.
-    counted: Micros,
+    counted_to: Micros,
 }
 
 /// Sums that are updated as the run proceeds. A cell is a pair of a class and a tenant, numbered
@@ -60,9 +60,9 @@
 #[derive(Debug)]
 pub(super) struct ServiceSums {
     /// Start of the measured part.
-    from: Micros,
+    measured_from: Micros,
     /// End of the run.
-    ends: Micros,
+    run_end: Micros,
     /// Weight of each class.
     weights: Vec<f64>,
     /// Connection quota of each tenant; 0 means no quota.
@@ -71,16 +71,16 @@
     cells: Vec<usize>,
     /// The demand of each session; `None` until the session requests a connection.
     demands: Vec<Option<Demand>>,
-    /// Number of sessions of each cell that request a connection at `summed`.
+    /// Number of sessions of each cell that request a connection at `summed_to`.
     active: Vec<i64>,
     /// When the demand of each active session ends, with the session's cell.
-    endings: BinaryHeap<Reverse<(Micros, usize)>>,
+    demand_ends: BinaryHeap<Reverse<(Micros, usize)>>,
     /// Up to when the requested time has been summed.
-    summed: Micros,
+    summed_to: Micros,
     /// Requested microseconds in each second and cell.
-    wanted: Vec<i64>,
+    requested: Vec<i64>,
     /// Well-served microseconds in each second and cell.
-    well: Vec<i64>,
+    well_served: Vec<i64>,
     /// Weighted microseconds that were requested within the tenant's quota, in each second and tenant.
     within_quota: Vec<f64>,
 }
@@ -97,45 +97,45 @@
         let mut quotas: Vec<f64> = plan.tenants.iter().map(|t| t.quota_connections).collect();
         quotas.resize(tenants, 0.0);
         ServiceSums {
-            from: plan.measured_from,
-            ends: plan.ends,
+            measured_from: plan.measured_from,
+            run_end: plan.ends,
             weights,
             quotas,
             cells: plan.sessions.iter().map(|s| cell(s.class, s.tenant)).collect(),
             demands: vec![None; plan.sessions.len()],
             active: vec![0; classes * tenants],
-            endings: BinaryHeap::new(),
-            summed: plan.measured_from,
-            wanted: vec![0; classes * tenants * seconds],
-            well: vec![0; classes * tenants * seconds],
+            demand_ends: BinaryHeap::new(),
+            summed_to: plan.measured_from,
+            requested: vec![0; classes * tenants * seconds],
+            well_served: vec![0; classes * tenants * seconds],
             within_quota: vec![0.0; tenants * seconds],
         }
     }
 
     /// Records that a session requests a connection from `at` until `until`. An unknown session and a second request of
     /// a session are ignored.
-    pub fn wanted(&mut self, at: Micros, session: SessionId, until: Micros) {
+    pub fn record_demand(&mut self, at: Micros, session: SessionId, until: Micros) {
         self.sum_to(at);
         let Some(demand @ None) = self.demands.get_mut(session.0 as usize) else { return };
-        *demand = Some(Demand { from: at, until, counted: at });
+        *demand = Some(Demand { from: at, until, counted_to: at });
         let cell = self.cells[session.0 as usize];
         if until > at {
             self.active[cell] += 1;
-            self.endings.push(Reverse((until, cell)));
+            self.demand_ends.push(Reverse((until, cell)));
         }
     }
 
     /// Records a session's span from `from` to `at`, and whether the session was well served. Time that the session did
     /// not request, or that has been counted already, is ignored.
-    pub fn served(&mut self, at: Micros, session: SessionId, from: Micros, well: bool) {
+    pub fn record_span(&mut self, at: Micros, session: SessionId, from: Micros, well: bool) {
         let Some(Some(demand)) = self.demands.get_mut(session.0 as usize) else { return };
-        let (from, to) = (from.max(demand.from).max(demand.counted), at.min(demand.until));
-        demand.counted = demand.counted.max(to);
+        let (from, to) = (from.max(demand.from).max(demand.counted_to), at.min(demand.until));
+        demand.counted_to = demand.counted_to.max(to);
         if well {
             let cell = self.cells[session.0 as usize];
-            let (start, cells) = (self.from, self.active.len());
-            for (second, span) in split_by_second(start, from, to.min(self.ends)) {
-                if let Some(sum) = self.well.get_mut(second * cells + cell) {
+            let (start, cells) = (self.measured_from, self.active.len());
+            for (second, span) in split_by_second(start, from, to.min(self.run_end)) {
+                if let Some(sum) = self.well_served.get_mut(second * cells + cell) {
                     *sum += span;
                 }
             }
@@ -145,25 +145,25 @@
     /// Sums the requested time up to `at`.
     fn sum_to(&mut self, at: Micros) {
         while let Some(&Reverse((until, cell))) =
-            self.endings.peek().filter(|Reverse((until, _))| *until <= at)
+            self.demand_ends.peek().filter(|Reverse((until, _))| *until <= at)
         {
-            self.sum_constant(until);
+            self.sum_interval(until);
             self.active[cell] -= 1;
-            self.endings.pop();
+            self.demand_ends.pop();
         }
-        self.sum_constant(at);
+        self.sum_interval(at);
     }
 
     /// Sums the requested time up to `to`, until when the number of active sessions does not change.
-    fn sum_constant(&mut self, to: Micros) {
-        let to = to.min(self.ends);
-        if to <= self.summed {
+    fn sum_interval(&mut self, to: Micros) {
+        let to = to.min(self.run_end);
+        if to <= self.summed_to {
             return;
         }
         let (classes, cells, tenants) = (self.weights.len(), self.active.len(), self.quotas.len());
-        for (second, span) in split_by_second(self.from, self.summed, to) {
+        for (second, span) in split_by_second(self.measured_from, self.summed_to, to) {
             for (cell, active) in self.active.iter().enumerate() {
-                self.wanted[second * cells + cell] += active * span;
+                self.requested[second * cells + cell] += active * span;
             }
             for (tenant, quota) in self.quotas.iter().enumerate() {
                 let active = &self.active[tenant * classes..(tenant + 1) * classes];
@@ -174,31 +174,33 @@
                 self.within_quota[second * tenants + tenant] += weight * share * span as f64;
             }
         }
-        self.summed = to;
+        self.summed_to = to;
     }
 
     /// Ends the sums at `at` and computes the ratios.
     pub fn finish(mut self, at: Micros, plan: &Plan) -> Service {
         self.sum_to(at);
-        let seconds = usize::try_from((at.min(self.ends) - self.from + S - 1) / S).unwrap_or(0);
-        let (wanted, well) = (self.by_second(&self.wanted, seconds), self.by_second(&self.well, seconds));
+        let seconds = usize::try_from((at.min(self.run_end) - self.measured_from + S - 1) / S).unwrap_or(0);
+        let (wanted, well) =
+            (self.by_second(&self.requested, seconds), self.by_second(&self.well_served, seconds));
         let mut ratios = Ratios { whole: ratio(wanted.iter().sum(), well.iter().sum()), ..Ratios::default() };
         let size = WINDOW_SECONDS.min(seconds.max(1));
         let windows = wanted.windows(size).zip(well.windows(size)).enumerate();
         for (second, (wanted, well)) in windows {
             if replace_if_worse(&mut ratios.worst_window, ratio(wanted.iter().sum(), well.iter().sum())) {
-                ratios.worst_window_from = self.from + second as Micros * S;
+                ratios.worst_window_from = self.measured_from + second as Micros * S;
             }
         }
         let classes = self.weights.len();
         for class in 0..classes {
             let sum = |cells: &[i64]| cells.iter().skip(class).step_by(classes).sum::<i64>() as f64;
-            if replace_if_worse(&mut ratios.worst_class, ratio(sum(&self.wanted), sum(&self.well))) {
+            if replace_if_worse(&mut ratios.worst_class, ratio(sum(&self.requested), sum(&self.well_served)))
+            {
                 ratios.worst_class_name = plan.classes.get(class).map(|c| c.name.clone()).unwrap_or_default();
             }
         }
         for tenant in 0..self.quotas.len() {
-            if replace_if_worse(&mut ratios.worst_tenant, self.within_share(tenant)) {
+            if replace_if_worse(&mut ratios.worst_tenant, self.ratio_within_quota(tenant)) {
                 ratios.worst_tenant_name =
                     plan.tenants.get(tenant).map(|t| t.name.clone()).unwrap_or_default();
             }
@@ -219,18 +221,18 @@
 
     /// The tenant's ratio of well-served to requested time within its quota. In each second both the requested and the
     /// well-served time are limited to the demand within the quota.
-    fn within_share(&self, tenant: usize) -> Option<f64> {
+    fn ratio_within_quota(&self, tenant: usize) -> Option<f64> {
         let (classes, cells, tenants) = (self.weights.len(), self.active.len(), self.quotas.len());
-        let (mut wanted, mut well) = (0.0, 0.0);
-        for (second, sums) in self.well.chunks(cells).enumerate() {
+        let (mut requested, mut well_served) = (0.0, 0.0);
+        for (second, sums) in self.well_served.chunks(cells).enumerate() {
             let within_quota = self.within_quota[second * tenants + tenant];
             let served = &sums[tenant * classes..(tenant + 1) * classes];
             let served: f64 =
                 served.iter().zip(&self.weights).map(|(sum, weight)| *sum as f64 * weight).sum();
-            wanted += within_quota;
-            well += served.min(within_quota);
+            requested += within_quota;
+            well_served += served.min(within_quota);
         }
-        ratio(wanted, well)
+        ratio(requested, well_served)
     }
 }
 
@@ -250,15 +252,15 @@
     })
 }
 
-fn ratio(wanted: f64, well: f64) -> Option<f64> {
-    (wanted > 0.0).then(|| well / wanted)
+fn ratio(requested: f64, well_served: f64) -> Option<f64> {
+    (requested > 0.0).then(|| well_served / requested)
 }
 
 /// Replaces `worst` by `other` if that is lower or `worst` is `None`; returns whether it did.
 fn replace_if_worse(worst: &mut Option<f64>, other: Option<f64>) -> bool {
-    let is = other.is_some_and(|other| worst.is_none_or(|worst| other < worst));
-    if is {
+    let is_worse = other.is_some_and(|other| worst.is_none_or(|worst| other < worst));
+    if is_worse {
         *worst = other;
     }
-    is
+    is_worse
 }
--- a/crates/kit/src/judge/slow_start.rs
+++ b/crates/kit/src/judge/slow_start.rs
@@ -17,12 +17,12 @@
 /// A render node that is still warming up.
 #[derive(Debug)]
 struct WarmingNode {
-    started: Micros,
-    cold: SlowStart,
+    started_at: Micros,
+    slow_start: SlowStart,
     /// Times of the attempts in the latest window, and whether the proxy of each had been notified of the start.
     window: VecDeque<(Micros, bool)>,
     /// Number of attempts in the window whose proxy had been notified.
-    notified: usize,
+    notified_count: usize,
     /// Whether a violation was reported. Each start has at most one: an overload is a consequence of the exceeded
     /// budget.
     reported: bool,
@@ -54,7 +54,13 @@
                 if let Some(slot) = self.nodes.get_mut(usize::from(node.0)) {
                     *slot = cold.map(|cold| {
                         let window = VecDeque::new();
-                        WarmingNode { started: at, cold, window, notified: 0, reported: false }
+                        WarmingNode {
+                            started_at: at,
+                            slow_start: cold,
+                            window,
+                            notified_count: 0,
+                            reported: false,
+                        }
                     });
                 }
             }
@@ -77,14 +83,14 @@
         let (budget_multiple, window_length) = (self.budget_multiple, self.window_length);
         let Some(slot) = self.nodes.get_mut(usize::from(node.0)) else { return };
         let Some(warming) = slot else { return };
-        if at - warming.started >= warming.cold.warm_up {
+        if at - warming.started_at >= warming.slow_start.warm_up {
             *slot = None;
             return;
         }
-        let was_notified = list_knowledge.knows_of_start(at, proxy, node, warming.started);
+        let was_notified = list_knowledge.knows_of_start(at, proxy, node, warming.started_at);
         warming.advance_window(at, window_length, Some(was_notified));
         let budget = budget_multiple
-            * warming.cold.joins_per_s
+            * warming.slow_start.joins_per_s
             * warming.capacity_share(at)
             * (window_length as f64 / 1e6);
         let arrivals = warming.window.len();
@@ -94,10 +100,10 @@
                 "{arrivals} attempts within {}, {} of them by proxies that knew of its start at {}; the budget is \
                  {budget:.1} (and {CHANCE_ALLOWANCE} for chance) at {:.0}% of {:.1} attempts a second",
                 format_seconds(window_length),
-                warming.notified,
-                format_seconds(warming.started),
+                warming.notified_count,
+                format_seconds(warming.started_at),
                 100.0 * warming.capacity_share(at),
-                warming.cold.joins_per_s
+                warming.slow_start.joins_per_s
             );
             let subject = Subject { node: Some(node), proxy: Some(proxy), ..Subject::default() };
             output.report_violation(at, Rule::SlowStartBudget, subject, description);
@@ -113,8 +119,8 @@
                 "overloaded by {} attempts within {}, {} of them by proxies that knew of its start at {}",
                 warming.window.len(),
                 format_seconds(self.window_length),
-                warming.notified,
-                format_seconds(warming.started)
+                warming.notified_count,
+                format_seconds(warming.started_at)
             );
             output.report_violation(
                 at,
@@ -132,24 +138,24 @@
         while let Some((_, was_notified)) =
             self.window.front().filter(|(then, _)| *then <= at - window_length)
         {
-            self.notified -= usize::from(*was_notified);
+            self.notified_count -= usize::from(*was_notified);
             self.window.pop_front();
         }
         if let Some(was_notified) = was_notified {
             self.window.push_back((at, was_notified));
-            self.notified += usize::from(was_notified);
+            self.notified_count += usize::from(was_notified);
         }
     }
 
     /// Share of the full capacity that the render node has at `at`.
     fn capacity_share(&self, at: Micros) -> f64 {
-        let progress = (at - self.started) as f64 / self.cold.warm_up.max(1) as f64;
-        self.cold.from + (1.0 - self.cold.from) * progress.clamp(0.0, 1.0)
+        let progress = (at - self.started_at) as f64 / self.slow_start.warm_up.max(1) as f64;
+        self.slow_start.from + (1.0 - self.slow_start.from) * progress.clamp(0.0, 1.0)
     }
 
     /// Whether at least two thirds of the attempts came from proxies that had been notified of the start. Otherwise no
     /// proxy is at fault.
     fn mostly_notified(&self) -> bool {
-        !self.window.is_empty() && 3 * self.notified >= 2 * self.window.len()
+        !self.window.is_empty() && 3 * self.notified_count >= 2 * self.window.len()
     }
 }
--- a/crates/kit/src/judge/subject.rs
+++ b/crates/kit/src/judge/subject.rs
@@ -14,7 +14,7 @@
     pub node: Option<NodeId>,
     pub proxy: Option<ProxyId>,
     /// The misbehaving client, by its index in the plan.
-    pub rude: Option<u32>,
+    pub misbehaving_client: Option<u32>,
     /// Attempts of the request.
     pub attempts: Vec<Attempt>,
 }
@@ -33,8 +33,8 @@
 impl Subject {
     /// How an observation relates to the subject.
     pub fn relation(&self, seen: &Seen) -> Relation {
-        let direct = |is: bool| if is { Relation::Direct } else { Relation::Unrelated };
-        let related = |is: bool| if is { Relation::Related } else { Relation::Unrelated };
+        let direct = |matches: bool| if matches { Relation::Direct } else { Relation::Unrelated };
+        let related = |matches: bool| if matches { Relation::Related } else { Relation::Unrelated };
         let (node, proxy) = (self.node, self.proxy);
         match seen {
             Seen::Asked { request, .. }
@@ -52,7 +52,9 @@
             | Seen::AttemptOver { attempt, .. }
             | Seen::LineAtNode { attempt, .. }
             | Seen::LineReturned { attempt, .. } => direct(self.attempts.contains(attempt)),
-            Seen::RudeCame { rude, .. } | Seen::RudeOver { rude, .. } => direct(self.rude == Some(*rude)),
+            Seen::RudeCame { rude, .. } | Seen::RudeOver { rude, .. } => {
+                direct(self.misbehaving_client == Some(*rude))
+            }
             Seen::BadFirstLine { proxy: p, .. } => direct(self.request.is_none() && proxy == Some(*p)),
             Seen::Datagram { from, bytes, .. } => direct(*bytes > MAX_DATAGRAM_BYTES && proxy == Some(*from)),
             Seen::Started { node: n, .. }
--- a/crates/kit/src/judge/verdict.rs
+++ b/crates/kit/src/judge/verdict.rs
@@ -102,7 +102,7 @@
             .into_iter()
             .filter(|(_, demanded, reached)| *demanded > 0.0 && reached.is_none_or(|r| r < *demanded))
             .map(|(demand, demanded, reached)| MissedDemand { demand, demanded, reached })
-            .chain(too_many_bytes(plan, &figures))
+            .chain(exceeded_datagram_limit(plan, &figures))
             .collect();
         let void = lateness.void_reason();
         let outcome = match &void {
@@ -151,11 +151,11 @@
 }
 
 /// The missed demand of the proxy that sent the most datagram bytes in a second, if that is more than allowed.
-fn too_many_bytes(plan: &Plan, figures: &Figures) -> Option<MissedDemand> {
-    let most = figures.proxies.iter().map(|proxy| proxy.most_bytes_in_a_second).max()?;
+fn exceeded_datagram_limit(plan: &Plan, figures: &Figures) -> Option<MissedDemand> {
+    let largest = figures.proxies.iter().map(|proxy| proxy.most_bytes_in_a_second).max()?;
     let allowed = plan.demands.datagram_bytes_per_s;
-    let (demanded, reached) = (allowed as f64, Some(most as f64));
-    (allowed > 0 && most > allowed).then_some(MissedDemand {
+    let (demanded, reached) = (allowed as f64, Some(largest as f64));
+    (allowed > 0 && largest > allowed).then_some(MissedDemand {
         demand: "datagram_bytes_per_s",
         demanded,
         reached,
@@ -165,16 +165,19 @@
 /// Converts a violation for the report, with the names of the plan instead of indices.
 fn finding(plan: &Plan, violation: Violation) -> Finding {
     let subject = violation.subject;
-    let node = |i: u16| plan.nodes.get(usize::from(i)).map_or_else(|| i.to_string(), |n| n.name.clone());
-    let proxy = |i: u16| plan.proxies.get(usize::from(i)).map_or_else(|| i.to_string(), |p| p.name.clone());
+    let node_name =
+        |index: u16| plan.nodes.get(usize::from(index)).map_or_else(|| index.to_string(), |n| n.name.clone());
+    let proxy_name = |index: u16| {
+        plan.proxies.get(usize::from(index)).map_or_else(|| index.to_string(), |p| p.name.clone())
+    };
     Finding {
         rule: violation.rule,
         at: violation.at,
-        request: subject.request.map(|r| format!("{:016x}", r.0)),
-        session: subject.session.map(|s| s.0),
-        rude: subject.rude,
-        node: subject.node.map(|n| node(n.0)),
-        proxy: subject.proxy.map(|p| proxy(p.0)),
+        request: subject.request.map(|request| format!("{:016x}", request.0)),
+        session: subject.session.map(|session| session.0),
+        rude: subject.misbehaving_client,
+        node: subject.node.map(|id| node_name(id.0)),
+        proxy: subject.proxy.map(|id| proxy_name(id.0)),
         description: violation.description,
         surrounding_events: violation.surrounding_events.iter().map(ToString::to_string).collect(),
     }
--- a/crates/kit/tests/judge/figures.rs
+++ b/crates/kit/tests/judge/figures.rs
@@ -103,7 +103,7 @@
         let measured = (2500, to);
         let whole = sums(&plan, &demands, measured, |_| true);
         prop_assert!(close(ratios.whole, least([whole].into_iter())), "whole: {ratios:?} {whole:?}");
-        let total: f64 = verdict.figures.time_line().map(|s| s.wanted).sum();
+        let total: f64 = verdict.figures.service_by_second().map(|s| s.wanted).sum();
         prop_assert!((total - whole.0 / 1e3).abs() < 1e-6, "wanted {total} {whole:?}");
         let seconds = (to - 2500 + 999) / 1000;
         let windows = (0..=(seconds - 10).max(0)).map(|i| 2500 + i * 1000);
