--- a/crates/kit/src/judge/answers.rs
+++ b/crates/kit/src/judge/answers.rs
@@ -15,7 +15,7 @@
 
 impl RequestTable {
     pub fn record_submission(&mut self, id: RequestId, submission: Submission) {
-        // The observation of the first attempt can precede this one: a render node's thread records it.
+        // An entry can exist: a render node's thread can record an attempt before the client's thread records this.
         self.requests.entry(id).or_default().submission.get_or_insert(submission);
     }
 
@@ -142,7 +142,7 @@
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if let Some((ended_at, ClientEnd::ByProxy(_))) = request.client_end {
-            // The client closed the connection before the proxy's close reached it.
+            // The closes of the two sides crossed in transit.
             if why == ClientClose::Done && at - ended_at <= context.rules.grace {
                 request.client_end = Some((ended_at, ClientEnd::ByClient(why)));
             }
--- a/crates/kit/src/judge/list_knowledge.rs
+++ b/crates/kit/src/judge/list_knowledge.rs
@@ -20,8 +20,8 @@
 /// What one proxy knows of one render node.
 #[derive(Clone, Copy, Debug, Default)]
 struct NodeKnowledge {
-    /// When the proxy learned that the node is draining or removed; `None` if it has not learned so, or
-    /// has learned since that the node is back.
+    /// When the proxy learned that the node is draining or removed; `None` before it learns that and after it learns
+    /// that the node is back.
     unavailable_since: Option<Micros>,
     /// When the proxy last learned that the node accepts connections.
     available_at: Option<Micros>,
@@ -36,8 +36,8 @@
     started_at: Micros,
     /// Whether a watch has been answered since the process started.
     watch_answered: bool,
-    /// While the proxy has no watch: when the process started, the watch ended or a poll was last answered, whichever
-    /// is latest. `None` while the proxy has a watch.
+    /// While the proxy has no watch: the latest time at which the process started, the watch ended or a poll was
+    /// answered. `None` while the proxy has a watch.
     unwatched_since: Option<Micros>,
     /// Whether a poll has failed since `unwatched_since`.
     poll_failed: bool,
@@ -201,7 +201,7 @@
         self.proxies[proxy_index].nodes[node_index].unavailable_since
     }
 
-    /// Whether the proxy knows at `at` that the render node started at `started`.
+    /// Whether the proxy knows at `at` that the render node started at `started_at`.
     pub fn knows_of_start(&mut self, at: Micros, proxy: ProxyId, node: NodeId, started_at: Micros) -> bool {
         let (proxy_index, node_index) = (usize::from(proxy.0), usize::from(node.0));
         if proxy_index >= self.proxies.len() || node_index >= self.list.len() {
