--- a/crates/kit/src/conductor.rs
+++ b/crates/kit/src/conductor.rs
@@ -312,7 +312,7 @@
             seed: format!("{seed:016x}"),
             limits: Limits { cores: 1.0, memory_mb: proxy.memory_mb, sockets: proxy.sockets },
             peer_listen: addresses.peer(id).to_string(),
-            peers: (0..plan.members()).map(|of| addresses.relay(ProxyId(of), id).to_string()).collect(),
+            peers: (0..plan.member_count()).map(|of| addresses.relay(ProxyId(of), id).to_string()).collect(),
             peers_all: addresses.relay_to_all(id).to_string(),
             known: self.known(id)?,
             settings: settings::settings(plan, id),
--- a/crates/kit/src/emulator/discovery_list.rs
+++ b/crates/kit/src/emulator/discovery_list.rs
@@ -49,7 +49,7 @@
             cell: node.cell,
             phase: entry.phase,
             size: node.size,
-            up_since_ms: entry.since.map_or(0, |at| clock.unix_ms(at + plan.wall_offset(at))),
+            up_since_ms: entry.since.map_or(0, |at| clock.unix_ms(at + plan.wall_clock_offset(at))),
         })
     });
     let list = List { revision: update.revision, complete: update.complete, members: members.collect() };
--- a/crates/kit/src/emulator/liar.rs
+++ b/crates/kit/src/emulator/liar.rs
@@ -35,7 +35,7 @@
         let settings = section.check().ok().flatten();
         let Some(settings) = settings else { unreachable!("the section's own defaults are sound") };
         let settings = Settings { multicast: false, ..settings };
-        let members = plan.members();
+        let members = plan.member_count();
         let (me, seed) = (u32::from(ordinal.0), plan.seed ^ u64::from(ordinal.0) << 40);
         let gossip = Gossip::new(settings, Keys::Address, me, members.into(), unix_ms, seed, now);
         Liar { gossip, lie, next: now + 500 * MS, members }
--- a/crates/kit/src/emulator/network.rs
+++ b/crates/kit/src/emulator/network.rs
@@ -142,7 +142,7 @@
     fn bind(&mut self) -> io::Result<()> {
         let proxies: Vec<ProxyId> = (0..self.plan.proxies.len() as u16).map(ProxyId).collect();
         for seen_by in &proxies {
-            for of in (0..self.plan.members()).map(|of| Some(ProxyId(of))).chain([None]) {
+            for of in (0..self.plan.member_count()).map(|of| Some(ProxyId(of))).chain([None]) {
                 let address = match of {
                     Some(of) => self.addresses.relay(of, *seen_by),
                     None => self.addresses.relay_to_all(*seen_by),
@@ -187,7 +187,7 @@
     }
 
     fn came(&mut self, from: ProxyId, to: Option<ProxyId>, bytes: &[u8]) {
-        let all = (0..self.plan.members()).map(ProxyId);
+        let all = (0..self.plan.member_count()).map(ProxyId);
         let receivers: Vec<ProxyId> = match to {
             Some(to) => vec![to],
             None => all.filter(|to| *to != from).collect(),
--- a/crates/kit/src/model/node/attempts.rs
+++ b/crates/kit/src/model/node/attempts.rs
@@ -97,7 +97,7 @@
     pub(super) fn load_of(&self, session: SessionId, now: Micros) -> (i64, Option<Micros>) {
         let Some(session) = self.plan.sessions.get(session.0 as usize) else { return (0, None) };
         let since = now - session.arrives;
-        let next = session.next_change(since).map(|change| session.arrives + change);
+        let next = session.next_load_change(since).map(|change| session.arrives + change);
         ((session.load_at(since) * 1e9).round() as i64, next)
     }
 
--- a/crates/kit/src/plan.rs
+++ b/crates/kit/src/plan.rs
@@ -211,14 +211,14 @@
 
 impl Plan {
     /// Number of members: the proxies, and the faulty peers that follow them in the list of peers.
-    pub fn members(&self) -> u16 {
+    pub fn member_count(&self) -> u16 {
         (self.proxies.len() + self.network.liars.len()) as u16
     }
 }
 
 impl Plan {
     /// Offset of the wall clock at time `at` of the run: the sum of its steps so far.
-    pub fn wall_offset(&self, at: Micros) -> Micros {
+    pub fn wall_clock_offset(&self, at: Micros) -> Micros {
         self.wall_steps.iter().filter(|step| step.at <= at).map(|step| step.by).sum()
     }
 }
@@ -231,7 +231,7 @@
     }
 
     /// When the load changes next after `since`, as a time since the arrival; `None` if it does not change again.
-    pub fn next_change(&self, since: Micros) -> Option<Micros> {
+    pub fn next_load_change(&self, since: Micros) -> Option<Micros> {
         let i = self.loads.partition_point(|(from, _)| *from <= since);
         self.loads.get(i).map(|(from, _)| *from)
     }
--- a/crates/kit/src/settings.rs
+++ b/crates/kit/src/settings.rs
@@ -48,7 +48,7 @@
     let quotas: Vec<f64> = plan.tenants.iter().map(|tenant| tenant.quota_connections).collect();
     json!({
         "ordinal": proxy.0,
-        "balancers": plan.members(),
+        "balancers": plan.member_count(),
         "tier": 0,
         "tiers": ["render-fleet"],
         "zone": zone.map_or("", String::as_str),
--- a/crates/soak/src/generator.rs
+++ b/crates/soak/src/generator.rs
@@ -87,7 +87,7 @@
     if rng.random_bool(0.5) {
         plan.wall_steps = wall_steps(&mut rng, plan.measured_from);
         changes.extend(plan.wall_steps.iter().map(|step| {
-            let value = plan.wall_offset(step.at);
+            let value = plan.wall_clock_offset(step.at);
             ShimChange { at: step.at, setting: Setting::WallOffset, value }
         }));
     }
