--- a/crates/kit/src/plan.rs
+++ b/crates/kit/src/plan.rs
@@ -289,11 +289,11 @@
 pub struct Habits {
     /// Interval between two lines of a client.
     pub line_every: Micros,
-    /// Number of connection attempts in a row, including the first, before the long wait `sulk`.
+    /// Number of attempts in a series, including the first. The wait `sulk` follows a series that failed.
     pub tries: u32,
-    /// Wait before a further attempt in the row.
+    /// Wait before a further attempt in a series.
     pub backoff: Micros,
-    /// Wait after all attempts of a row failed. It doubles with each failed row, up to 2^4 times this value.
+    /// Wait after all attempts of a series failed. It doubles with each failed series, up to 2^4 times this value.
     pub sulk: Micros,
     /// Share of the clients that follow the wait in `BUSY MS`.
     pub honour: f64,
--- a/crates/kit/tests/judge/figures.rs
+++ b/crates/kit/tests/judge/figures.rs
@@ -25,8 +25,8 @@
 }
 
 /// Weighted time that was requested and that was well served in the milliseconds `from..to`, for the sessions that
-/// `counts` selects.
-fn sums(
+/// `is_counted` selects.
+fn service_sums(
     plan: &Plan,
     demands: &[SessionDemand],
     (from, to): (i64, i64),
@@ -61,10 +61,10 @@
         for ms in second..(second + 1000).min(to) {
             let active = |(i, s): &(usize, &SessionDemand)| of_tenant(*i) && s.0 <= ms && ms < s.1;
             let count = demands.iter().enumerate().filter(active).count() as f64;
-            within += sums(plan, demands, (ms, ms + 1), of_tenant).0 * (quota / count.max(quota));
+            within += service_sums(plan, demands, (ms, ms + 1), of_tenant).0 * (quota / count.max(quota));
         }
         total_wanted += within;
-        total_well += sums(plan, demands, (second, (second + 1000).min(to)), of_tenant).1.min(within);
+        total_well += service_sums(plan, demands, (second, (second + 1000).min(to)), of_tenant).1.min(within);
     }
     (total_wanted, total_well)
 }
@@ -106,15 +106,15 @@
         let verdict = judge_to(&plan, &trace, end);
         let ratios = &verdict.figures.service.ratios;
         let measured = (2500, to);
-        let whole = sums(&plan, &demands, measured, |_| true);
+        let whole = service_sums(&plan, &demands, measured, |_| true);
         prop_assert!(approx_eq(ratios.whole, lowest_ratio([whole].into_iter())), "whole: {ratios:?} {whole:?}");
         let total: f64 = verdict.figures.service_by_second().map(|s| s.wanted).sum();
         prop_assert!((total - whole.0 / 1e3).abs() < 1e-6, "wanted {total} {whole:?}");
         let seconds = (to - 2500 + 999) / 1000;
         let windows = (0..=(seconds - 10).max(0)).map(|i| 2500 + i * 1000);
-        let windows = windows.map(|from| sums(&plan, &demands, (from, (from + 10_000).min(to)), |_| true));
+        let windows = windows.map(|from| service_sums(&plan, &demands, (from, (from + 10_000).min(to)), |_| true));
         prop_assert!(approx_eq(ratios.worst_window, lowest_ratio(windows)), "window: {ratios:?}");
-        let classes = (0..2u8).map(|c| sums(&plan, &demands, measured, |i| plan.sessions[i].class == c));
+        let classes = (0..2u8).map(|c| service_sums(&plan, &demands, measured, |i| plan.sessions[i].class == c));
         prop_assert!(approx_eq(ratios.worst_class, lowest_ratio(classes)), "class: {ratios:?}");
         let tenants = (0..2u8).map(|t| limited_to_quota(&plan, &demands, t, measured));
         prop_assert!(approx_eq(ratios.worst_tenant, lowest_ratio(tenants)), "tenant: {ratios:?}");
--- a/crates/kit/tests/judge/model.rs
+++ b/crates/kit/tests/judge/model.rs
@@ -56,7 +56,7 @@
     }
 }
 
-fn run(rng: &mut ChaCha8Rng) -> Run {
+fn generate_run(rng: &mut ChaCha8Rng) -> Run {
     let mut run = Run::default();
     let t = &mut run.trace;
     for proxy in 0..2 {
@@ -100,7 +100,7 @@
         // interrupts.
         let down = at > KILL.1 - 1100.0 && at < KILL.1 + 2600.0;
         let proxy = if down { 0 } else { rng.random_range(0..2) };
-        session(&mut run, rng, at, request, proxy);
+        add_request(&mut run, rng, at, request, proxy);
     }
     run
 }
@@ -111,7 +111,7 @@
 }
 
 /// Adds one request: up to two failed attempts, then an answer, or none for a client that leaves.
-fn session(run: &mut Run, rng: &mut ChaCha8Rng, at: f64, request: u64, proxy: u16) {
+fn add_request(run: &mut Run, rng: &mut ChaCha8Rng, at: f64, request: u64, proxy: u16) {
     let first = request_ids(request, proxy, 0);
     run.trace.submitted(at, first);
     let (mut now, failures) = (at + 1.0, rng.random_range(0..3));
@@ -148,12 +148,12 @@
         }
         _ => {
             let node = choose_node(rng, now);
-            connection(run, rng, now, first.with_attempt(failures, node), failures + 1);
+            add_connection(run, rng, now, first.with_attempt(failures, node), failures + 1);
         }
     }
 }
 
-fn connection(run: &mut Run, rng: &mut ChaCha8Rng, at: f64, ids: RequestIds, attempt_count: u32) {
+fn add_connection(run: &mut Run, rng: &mut ChaCha8Rng, at: f64, ids: RequestIds, attempt_count: u32) {
     let up = at + rng.random_range(5.0..40.0);
     let t = &mut run.trace;
     t.attempt(at, ids).node_answers(up, ids, NodeAnswer::Up(ids.receipt()));
@@ -349,7 +349,7 @@
     #[test]
     fn healthy_runs_pass_and_faults_break_their_rule(seed in any::<u64>()) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let run = run(&mut rng);
+        let run = generate_run(&mut rng);
         let verdict = judge(&run.trace);
         prop_assert_eq!(verdict.outcome, Outcome::Passed, "seed {}: {}", seed, verdict);
         for rule in Rule::ALL {
@@ -366,7 +366,7 @@
     for rule in Rule::ALL {
         let is_applicable = |seed| {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
-            let run = run(&mut rng);
+            let run = generate_run(&mut rng);
             inject_fault(&run, rule, &mut rng).is_some()
         };
         assert!((0..20).any(is_applicable), "no run has a place for a violation of {rule}");
--- a/crates/kit/tests/judge/throughput.rs
+++ b/crates/kit/tests/judge/throughput.rs
@@ -14,7 +14,7 @@
 /// Connections that end and are replaced in each step of 2 s. This gives connections a lifetime of 45 s.
 const CHURN: usize = CONNECTIONS * 2 / 45;
 
-fn fleet(steps: usize) -> Plan {
+fn fleet_plan(steps: usize) -> Plan {
     let mut plan = plan(CONNECTIONS + steps * CHURN);
     plan.nodes = plan.nodes.iter().cycle().take(NODES).cloned().collect();
     plan.proxies = plan.proxies.iter().cycle().take(PROXIES).cloned().collect();
@@ -29,7 +29,7 @@
 }
 
 /// The observations of 2 s: some connections end, as many are established, and each of the others sends a line.
-fn step(n: usize, established: &mut Vec<(RequestIds, u32)>) -> Trace {
+fn trace_of_step(n: usize, established: &mut Vec<(RequestIds, u32)>) -> Trace {
     let (mut trace, from) = (Trace::default(), n as f64 * 2000.0);
     let first = if n == 0 { 0 } else { CONNECTIONS + (n - 1) * CHURN };
     if n > 0 {
@@ -60,11 +60,11 @@
 fn judges_million_observations_in_seconds() {
     // A second of the run has about 25,000 observations.
     let steps = std::env::var("JUDGE_STEPS").ok().and_then(|n| n.parse().ok()).unwrap_or(21);
-    let plan = fleet(steps);
+    let plan = fleet_plan(steps);
     let (mut established, mut judge) = (Vec::new(), Judge::new(Arc::new(plan.clone())));
     let (mut observed, mut elapsed) = (0usize, Duration::ZERO);
     for n in 0..steps {
-        let trace = step(n, &mut established).sorted();
+        let trace = trace_of_step(n, &mut established).sorted();
         let started = Instant::now();
         trace.iter().for_each(|o| judge.observe(o));
         elapsed += started.elapsed();
