--- a/crates/kit/src/judge/report.rs
+++ b/crates/kit/src/judge/report.rs
@@ -47,12 +47,12 @@
             Outcome::Failed => "FAILED",
             Outcome::Void => "VOID",
         };
-        let to = self.judged_to as f64 / 1e6;
-        writeln!(f, "{outcome}  {}, seed {}, judged to {to:.1} s", self.scenario, self.seed)?;
-        if let Some(why) = &self.void {
+        let judged_to = self.judged_to as f64 / 1e6;
+        writeln!(f, "{outcome}  {}, seed {}, judged to {judged_to:.1} s", self.scenario, self.seed)?;
+        if let Some(reason) = &self.void {
             writeln!(
                 f,
-                "{why}: the run proves nothing; reduce the load of the machine, or rehearse a smaller scenario"
+                "{reason}: the run proves nothing; reduce the load of the machine, or rehearse a smaller scenario"
             )?;
         }
         for (rule, count) in &self.violations {
