--- a/crates/kit/src/judge/connections.rs
+++ b/crates/kit/src/judge/connections.rs
@@ -1,4 +1,5 @@
-//! Rules on established connections: not cut, lines forwarded in time, ends forwarded, silence detected.
+//! Rules on established connections: the proxy does not cut them, forwards lines in time, forwards the render node's
+//! end of a connection, and detects a silent render node.
 
 use super::deferred_checks::DeferredCheck;
 use super::request_table::{ClientEnd, Request, RequestTable, RuleContext};
@@ -9,17 +10,20 @@
 use crate::time::Micros;
 
 impl RequestTable {
+    /// Records that the client read a `MOVE` line.
     pub fn record_move(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        request.moved.get_or_insert(at);
+        request.moved_at.get_or_insert(at);
         self.client_finished(at, id, context.output);
     }
 
-    /// The render node's process changed, which ended all its established connections.
+    /// Records that the render node's process ended or was replaced, which ended all its established connections.
     pub fn process_changed(&mut self, at: Micros, node: NodeId, context: &mut RuleContext) {
         for id in self.established_at(node) {
             let Some(request) = self.requests.get_mut(&id) else { continue };
-            let Some(attempt) = request.serving.and_then(|up| request.attempts.get_mut(up)) else { continue };
+            let Some(attempt) = request.serving.and_then(|index| request.attempts.get_mut(index)) else {
+                continue;
+            };
             if attempt.ended.is_none() && context.node_states.can_communicate(attempt.proxy, node) {
                 attempt.ended = Some((at, AttemptEnd::Cut));
                 context.output.defer(
@@ -30,59 +34,70 @@
         }
     }
 
-    /// The proxy ended the client's connection; the observation of a cause has arrived by now.
+    /// Reports a connection that the proxy ended without a cause that permits it. Runs after a delay in which a late
+    /// observation of such a cause arrives.
     pub fn check_cut(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.is_established() {
             return self.check_half_closed(at, id, context);
         }
-        if request.moved.is_some() {
+        if request.moved_at.is_some() {
             return;
         }
-        let Some((ended, ClientEnd::ByProxy(how))) = request.client_end else { return };
-        let (Some(submission), Some(up)) = (request.submission, request.connection()) else { return };
-        let by = ended + context.rules.grace;
-        let by_node = up.ended.is_some_and(|(over, who)| who != AttemptEnd::ByProxy && over <= by);
-        let process_changed = context.node_states.generation(up.attempt.node) != up.generation
+        let Some((ended_at, ClientEnd::ByProxy(close))) = request.client_end else { return };
+        let (Some(submission), Some(serving)) = (request.submission, request.serving_attempt()) else {
+            return;
+        };
+        let latest_cause = ended_at + context.rules.grace;
+        let ended_by_node = serving
+            .ended
+            .is_some_and(|(node_ended_at, end)| end != AttemptEnd::ByProxy && node_ended_at <= latest_cause);
+        let process_changed = context.node_states.generation(serving.attempt.node) != serving.generation
             && context
                 .node_states
-                .process_changed(up.attempt.node)
-                .is_some_and(|process_changed| process_changed <= by);
-        if by_node
+                .process_changed_at(serving.attempt.node)
+                .is_some_and(|changed_at| changed_at <= latest_cause);
+        if ended_by_node
             || process_changed
             || !request.responsive_at_end
-            || context.processes.excuses(submission.incarnation, submission.at, ended)
+            || context.processes.excuses_request(submission.incarnation, submission.at, ended_at)
         {
             return;
         }
-        let read = request.answer.as_ref().map_or(submission.at, |(read, _)| *read);
-        let how = if how == ProxyClose::Closed { "closed" } else { "reset" };
-        let side = match up.ended {
-            Some((over, _)) => format!("ended its side at {}", format_seconds(over)),
-            None => "kept its side".to_owned(),
+        let read_at = request.answer.as_ref().map_or(submission.at, |(read_at, _)| *read_at);
+        let verb = if close == ProxyClose::Closed { "closed" } else { "reset" };
+        let node_side = match serving.ended {
+            Some((node_ended_at, _)) => {
+                format!("ended the render node's side at {}", format_seconds(node_ended_at))
+            }
+            None => "kept the render node's side open".to_owned(),
         };
         let description = format!(
-            "up since {}, {how} at {} without MOVE; the proxy {side}, and the render node still answered",
-            format_seconds(read),
-            format_seconds(ended)
+            "established since {}, {verb} at {} without MOVE; the proxy {node_side}, and the render \
+             node still responded",
+            format_seconds(read_at),
+            format_seconds(ended_at)
         );
         self.report_violation(at, Rule::CutWithoutMove, id, description, context.output);
     }
 
-    /// The proxy ended the render node's side while the client's side is still open.
+    /// Reports a connection whose render node's side the proxy ended while the client's side is still open.
     fn check_half_closed(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id) else { return };
-        let (Some(submission), Some(up)) = (request.submission, request.connection()) else { return };
-        let Some((over, AttemptEnd::ByProxy)) = up.ended else { return };
-        let steady = context
+        let (Some(submission), Some(serving)) = (request.submission, request.serving_attempt()) else {
+            return;
+        };
+        let Some((ended_at, AttemptEnd::ByProxy)) = serving.ended else { return };
+        let responsive = context
             .node_states
-            .responsive_since(up.proxy, up.attempt.node)
-            .is_some_and(|since| since <= over);
-        if steady && context.processes.alive(submission.incarnation) {
+            .responsive_since(serving.proxy, serving.attempt.node)
+            .is_some_and(|since| since <= ended_at);
+        if responsive && context.processes.is_running(submission.incarnation) {
             let description = format!(
-                "the proxy ended the render node's side at {} and keeps the client's {} ms later, without MOVE",
-                format_seconds(over),
-                format_millis(at - over)
+                "the proxy ended the render node's side at {}; the client's side is still open {} ms \
+                 later, without MOVE",
+                format_seconds(ended_at),
+                format_millis(at - ended_at)
             );
             self.report_violation(at, Rule::CutWithoutMove, id, description, context.output);
         }
@@ -105,12 +120,14 @@
         }
     }
 
+    /// Records that a client's line reached the render node.
     pub fn record_line_at_node(&mut self, attempt: Attempt, line: u32) {
         if let Some((_, request, _)) = self.find_attempt(attempt) {
             request.to_node.record_arrival(line);
         }
     }
 
+    /// Records a line that the render node returned, and defers the check of its delivery to the client.
     pub fn record_line_returned(
         &mut self,
         at: Micros,
@@ -128,35 +145,38 @@
         }
     }
 
+    /// Records that a returned line reached the client.
     pub fn record_line_back(&mut self, id: RequestId, line: u32) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.to_client.record_arrival(line);
         }
     }
 
+    /// Reports a line that has not reached the render node.
     pub fn check_line_to_node(&mut self, at: Micros, id: RequestId, line: u32, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id) else { return };
-        if let Some(sent) = request.to_node.departed_at(line)
-            && can_deliver(request, sent, context)
+        if let Some(sent_at) = request.to_node.departed_at(line)
+            && can_deliver(request, sent_at, context)
         {
             self.report_delayed_line(
                 at,
                 id,
-                format!("line {line}, sent by the client at {}, ", format_seconds(sent)),
+                format!("line {line}, sent by the client at {}, ", format_seconds(sent_at)),
                 context,
             );
         }
     }
 
+    /// Reports a returned line that has not reached the client.
     pub fn check_line_to_client(&mut self, at: Micros, id: RequestId, line: u32, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id) else { return };
-        if let Some(sent) = request.to_client.departed_at(line)
-            && can_deliver(request, sent, context)
+        if let Some(sent_at) = request.to_client.departed_at(line)
+            && can_deliver(request, sent_at, context)
         {
             self.report_delayed_line(
                 at,
                 id,
-                format!("line {line}, returned by the render node at {}, ", format_seconds(sent)),
+                format!("line {line}, returned by the render node at {}, ", format_seconds(sent_at)),
                 context,
             );
         }
@@ -164,65 +184,79 @@
 
     fn report_delayed_line(&mut self, at: Micros, id: RequestId, line: String, context: &mut RuleContext) {
         let limit = format_millis(context.rules.line_held + context.rules.grace);
-        let description = format!("{line}has not reached the other end {limit} ms later; both ends stand");
+        let description = format!("{line}has not reached the other end {limit} ms later; both ends are open");
         self.report_violation(at, Rule::LineDelayed, id, description, context.output);
     }
 
-    /// The render node ended the connection `ended_within` ago.
+    /// Reports a connection that is still open [`Rules::ended_within`](crate::plan::Rules) after its render node ended
+    /// it.
     pub fn check_ended(&mut self, at: Micros, id: RequestId, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id).filter(|r| r.is_established()) else { return };
-        let (Some(submission), Some(up)) = (request.submission, request.connection()) else { return };
-        let Some((over, how)) = up.ended else { return };
-        if !context.processes.alive(submission.incarnation)
-            || !context.node_states.can_communicate(up.proxy, up.attempt.node)
+        let (Some(submission), Some(serving)) = (request.submission, request.serving_attempt()) else {
+            return;
+        };
+        let Some((ended_at, end)) = serving.ended else { return };
+        if !context.processes.is_running(submission.incarnation)
+            || !context.node_states.can_communicate(serving.proxy, serving.attempt.node)
         {
             return;
         }
-        let how = match how {
+        let how = match end {
             AttemptEnd::Bye => "with BYE",
             AttemptEnd::Move => "with MOVE",
-            AttemptEnd::Cut | AttemptEnd::ByProxy => "without a word",
+            AttemptEnd::Cut | AttemptEnd::ByProxy => "without BYE or MOVE",
         };
         let description = format!(
-            "the render node ended it at {} {how}; the client's side still stands {} ms later, unmoved",
-            format_seconds(over),
-            format_millis(at - over)
+            "the render node ended it at {} {how}; the client's side is still open {} ms later, without MOVE",
+            format_seconds(ended_at),
+            format_millis(at - ended_at)
         );
         self.report_violation(at, Rule::EndedConnectionOpen, id, description, context.output);
     }
 
-    /// A line was sent `silent_within` ago.
+    /// Reports a connection that is still open although its render node has been silent for
+    /// [`Rules::silent_within`](crate::plan::Rules) and did not return the line.
     pub fn check_silent(&mut self, at: Micros, id: RequestId, line: u32, context: &mut RuleContext) {
         let Some(request) = self.requests.get(&id).filter(|r| r.is_established()) else { return };
-        let Some(sent) = request.unreturned.departed_at(line) else { return };
-        let (Some(submission), Some(up)) = (request.submission, request.connection()) else { return };
-        if up.ended.is_some() || !context.processes.alive(submission.incarnation) {
+        let Some(sent_at) = request.unreturned.departed_at(line) else { return };
+        let (Some(submission), Some(serving)) = (request.submission, request.serving_attempt()) else {
+            return;
+        };
+        if serving.ended.is_some() || !context.processes.is_running(submission.incarnation) {
             return;
         }
-        let Some(silent) = context.node_states.silent_since(up.proxy, up.attempt.node) else { return };
-        // The line may have been late for another cause before the silence began.
-        let due = silent.max(sent) + context.rules.silent_within + context.rules.grace;
+        let Some(silent_since) = context.node_states.silent_since(serving.proxy, serving.attempt.node) else {
+            return;
+        };
+        // A line that was sent before the silence began: the time limit starts with the silence.
+        let due = silent_since.max(sent_at) + context.rules.silent_within + context.rules.grace;
         if due > at {
             return context.output.defer(due, DeferredCheck::SilentConnection(id, line));
         }
         let description = format!(
-            "line {line}, sent at {}, was not returned by a render node that is silent since {}; the client's side \
-             still stands {} ms later, unmoved",
-            format_seconds(sent),
-            format_seconds(silent),
-            format_millis(at - sent)
+            "line {line}, sent at {}, was not returned by a render node that has been silent since {}; the client's \
+             side is still open {} ms later, without MOVE",
+            format_seconds(sent_at),
+            format_seconds(silent_since),
+            format_millis(at - sent_at)
         );
         self.report_violation(at, Rule::SilentConnectionOpen, id, description, context.output);
     }
 }
 
-/// Whether all that a line needed was there since it was sent: both ends, and a proxy that runs.
-fn can_deliver(request: &Request, sent: Micros, context: &RuleContext) -> bool {
-    let (Some(submission), Some(up)) = (request.submission, request.connection()) else { return false };
+/// Whether the line could be delivered at all times since it was sent: both ends were open, the proxy was running, and
+/// the render node responded to the proxy.
+fn can_deliver(request: &Request, sent_at: Micros, context: &RuleContext) -> bool {
+    let (Some(submission), Some(serving)) = (request.submission, request.serving_attempt()) else {
+        return false;
+    };
     request.is_established()
         && matches!(request.answer, Some((_, Answer::Up(_))))
-        && up.ended.is_none()
-        && context.node_states.generation(up.attempt.node) == up.generation
-        && context.processes.alive(submission.incarnation)
-        && context.node_states.responsive_since(up.proxy, up.attempt.node).is_some_and(|since| since <= sent)
+        && serving.ended.is_none()
+        && context.node_states.generation(serving.attempt.node) == serving.generation
+        && context.processes.is_running(submission.incarnation)
+        && context
+            .node_states
+            .responsive_since(serving.proxy, serving.attempt.node)
+            .is_some_and(|since| since <= sent_at)
 }
