--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -1,52 +1,55 @@
-//! The cluster's members and voters, and the spans of the protocol.
+//! The configuration of a member: the cluster's members and voters, and the durations that the protocol uses.
 
 use crate::Micros;
 use crate::clock_drift::lengthen;
 use serde::{Deserialize, Serialize};
 
-/// The most voters: more would only make each change slower.
+/// The largest number of voters. More voters would only make each change slower.
 const MAX_VOTERS: usize = 9;
-/// The longest span that can be configured.
+/// The upper limit of each configured duration.
 const HOUR: Micros = 3_600_000_000;
-/// Drift that is too large for a lease to be worth anything.
+/// The configured drift must be below this: with more drift, leases would not be useful.
 const MAX_DRIFT_PPM: u32 = 200_000;
 
-/// This process's place in the cluster.
+/// The configuration of one member.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// This member's ordinal.
+    /// The ordinal of this member.
     pub ordinal: u16,
-    /// The number of members; ordinals are below it.
+    /// The number of members; their ordinals are 0 to `members - 1`.
     pub members: u16,
-    /// The voters' ordinals: an odd number of them, the same at all members.
+    /// The ordinals of the voters. Their count is odd, and all members must be configured with the same voters.
     pub voters: Vec<u16>,
-    /// The same at all members.
+    /// The durations of the protocol. All members must be configured with the same values.
     pub timing: Timing,
-    /// Identifies this start of the process; never used twice by this member.
+    /// Identifies this run of the process. A member must use a new value at each start.
     pub incarnation: u64,
 }
 
-/// The spans of the protocol, in microseconds. The same at all members.
+/// The durations of the protocol in microseconds, and the limit on clock drift. All members must be configured with the
+/// same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Timing {
-    /// How long a member may act on a version after it requested the lease.
+    /// How long a lease lasts, counted from when the member sent the request.
     pub lease: Micros,
-    /// Between two heartbeats of the leader.
+    /// The interval between two heartbeats of the leader.
     pub heartbeat: Micros,
-    /// For so long after a heartbeat a voter votes for no other candidate.
+    /// After a heartbeat, a voter votes for no other candidate for this long.
     #[serde(rename = "election_least")]
     pub election_timeout_min: Micros,
-    /// The longest that a voter waits for a leader, or for votes.
+    /// The longest time that a voter waits for a heartbeat before it starts an election, or for votes before it starts
+    /// the next one.
     #[serde(rename = "election_most")]
     pub election_timeout_max: Micros,
-    /// How far clocks' rates may be off, in millionths.
+    /// The largest error of a clock's rate, in parts per million.
     pub drift_ppm: u32,
-    /// The longest from a look at the lease to the act under it.
+    /// The longest time between a check of the lease and the end of the action that relies on the check.
     pub act: Micros,
-    /// How long members may take to prepare a new version before the change goes on without them.
+    /// How long members may take to prepare a pending version. After that, the change continues without the members
+    /// that aren't ready.
     pub prepare: Micros,
-    /// What operators are promised: no two members act on incompatible versions for longer.
+    /// The guarantee to operators: two members act on incompatible versions for at most this long.
     pub contradiction: Micros,
 }
 
@@ -65,60 +68,60 @@
     }
 }
 
-/// Why a configuration can't be used.
+/// The reason why a configuration is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// The spans don't keep [`Timing::contradiction`].
+    /// A lease and an action together may take longer than [`Timing::contradiction`].
     #[error(
         "lease {lease} us with drift {drift_ppm} ppm is {leased} us, and act {act} us: {sum} us in all, more than \
          contradiction {contradiction} us"
     )]
     Contradiction {
-        /// As configured.
+        /// The configured [`Timing::lease`].
         lease: Micros,
-        /// As configured.
+        /// The configured [`Timing::drift_ppm`].
         drift_ppm: u32,
-        /// The lease by the slowest clock.
+        /// The duration of the lease by the slowest clock.
         leased: Micros,
-        /// As configured.
+        /// The configured [`Timing::act`].
         act: Micros,
-        /// `leased` and `act` together.
+        /// The sum of `leased` and `act`.
         sum: Micros,
-        /// As configured.
+        /// The configured [`Timing::contradiction`].
         contradiction: Micros,
     },
-    /// The spans leave no room for elections.
+    /// The heartbeat interval and the election time-outs don't fit together.
     #[error(
         "heartbeat {heartbeat} us, election_least {min} us, election_most {max} us: each must be above zero, least at least three heartbeats, most above least by a tenth"
     )]
     Election {
-        /// As configured.
+        /// The configured [`Timing::heartbeat`].
         heartbeat: Micros,
-        /// [`Timing::election_timeout_min`], as configured.
+        /// The configured [`Timing::election_timeout_min`].
         min: Micros,
-        /// [`Timing::election_timeout_max`], as configured.
+        /// The configured [`Timing::election_timeout_max`].
         max: Micros,
     },
-    /// A span is too short, or longer than an hour.
+    /// A duration is too short, or longer than an hour.
     #[error("{name} is {value} us; it must be from {min} to 3,600,000,000")]
     Span {
-        /// The span's key.
+        /// The name of the setting.
         name: &'static str,
-        /// As configured.
+        /// The configured value.
         value: Micros,
-        /// The shortest it can be.
+        /// The smallest value that is accepted.
         min: Micros,
     },
-    /// The clocks are too bad for leases.
+    /// The configured drift is too large for leases to be useful.
     #[error("drift {0} ppm; it must be below 200,000")]
     Drift(u32),
-    /// These voters can't be a majority of one another.
+    /// The number of voters is even, zero or above the limit, or a voter is listed twice.
     #[error("voters {0:?}: an odd number of different ones is needed, at most {MAX_VOTERS}")]
     Voters(Vec<u16>),
-    /// This member, or a voter, isn't a member of the cluster.
+    /// The ordinal of this member or of a voter is not below the number of members.
     #[error("member {ordinal} of {members} there are")]
     UnknownMember {
-        /// Its ordinal.
+        /// The unknown ordinal.
         ordinal: u16,
         /// The number of members.
         members: u16,
@@ -126,7 +129,7 @@
 }
 
 impl Timing {
-    /// Whether every span is in its range and together they keep [`Timing::contradiction`].
+    /// Checks that every value is in its range, and that the values together keep [`Timing::contradiction`].
     pub fn check(&self) -> Result<(), ConfigError> {
         self.check_ranges()?;
         self.check_election()?;
@@ -134,7 +137,7 @@
     }
 
     fn check_ranges(&self) -> Result<(), ConfigError> {
-        // Operators' keys, whatever the fields are called.
+        // These are the names of the settings, which differ from the names of some fields.
         let spans = [
             ("lease", self.lease, 1_000),
             ("heartbeat", self.heartbeat, 1),
@@ -179,7 +182,7 @@
 }
 
 impl Config {
-    /// Whether the spans can be used, and the voters are an odd number of different members.
+    /// Checks the timing, and that the voters are an odd number of distinct members.
     pub fn check(&self) -> Result<(), ConfigError> {
         self.timing.check()?;
         let count = self.voters.len();
@@ -200,7 +203,7 @@
         self.voters.contains(&ordinal)
     }
 
-    /// The number of voters that makes a majority.
+    /// Returns the smallest number of voters that is a majority.
     pub(crate) fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
--- a/crates/consensus/src/io.rs
+++ b/crates/consensus/src/io.rs
@@ -1,4 +1,4 @@
-//! A member's inputs and outputs.
+//! The inputs and outputs of a member.
 
 use crate::message::Message;
 use crate::state::{DurableState, ProposalOutcome, Topic};
@@ -7,17 +7,17 @@
 /// An event that the embedder hands to a member.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// [`crate::Member::next_timeout`] has passed.
+    /// The time that [`crate::Member::next_timeout`] returned has come.
     Tick,
-    /// A message arrived. The embedder has authenticated its sender.
+    /// A message arrived. The embedder has authenticated the sender.
     Message {
-        /// The sender's ordinal.
+        /// The ordinal of the sender.
         from: u16,
         /// The message.
         message: Message,
     },
-    /// Put this content in force. It is here and compiled, as after [`Input::ContentReady`]. Answered by one
-    /// [`Output::ProposalFinished`].
+    /// This process proposes to put a content in force. As with [`Input::ContentReady`], the content must be available
+    /// locally and compiled. The member answers with one [`Output::ProposalFinished`].
     Propose {
         /// The topic.
         topic: Topic,
@@ -26,71 +26,74 @@
         /// The content's size in bytes.
         size: u32,
     },
-    /// Answer to [`Output::Check`].
+    /// The answer to [`Output::Check`].
     Checked {
-        /// As in the request.
+        /// The topic of the request.
         topic: Topic,
-        /// As in the request.
+        /// The content hash of the request.
         hash: ContentHash,
-        /// The embedder's answer.
+        /// The result of the compatibility check.
         verdict: Verdict,
     },
-    /// The content is here and compiled. Also unasked, as for contents that are on disk at the start.
+    /// The content is available locally and compiled. The embedder also sends this without a request, for example for
+    /// contents that are on disk at the start.
     ContentReady {
         /// The content's hash.
         hash: ContentHash,
     },
-    /// The content is here, and this process can't run it. Holds until the process ends or a [`Input::ContentReady`] follows.
+    /// The content is available locally, but this process can't run it. This remains valid until the process ends or an
+    /// [`Input::ContentReady`] for the same content follows.
     ContentUnsupported {
         /// The content's hash.
         hash: ContentHash,
     },
-    /// Discovery sent a list of endpoints.
+    /// Discovery sent an endpoint list.
     ListReceived {
-        /// The list's revision.
+        /// The revision of the list.
         revision: u64,
     },
 }
 
-/// The answer of the leader's embedder to a compatibility check.
+/// The result of a compatibility check by the leader's embedder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Verdict {
-    /// Compatible with all versions it was compared with, from this number on.
+    /// The content is compatible with every compared version whose number is at least `from`.
     Compatible {
-        /// The least such number.
+        /// The smallest number of a compatible version.
         from: u64,
     },
-    /// Incompatible with the version in force.
+    /// The content is incompatible with the version in force.
     Incompatible,
-    /// Not to be put in force.
+    /// The content must not be put in force.
     Rejected,
 }
 
-/// What the embedder must carry out, in this order.
+/// An action that the embedder must carry out. Outputs must be carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
-#[allow(clippy::large_enum_variant)] // Queued a few at a time; a box each would cost more than it saves.
+#[allow(clippy::large_enum_variant)] // Few outputs are queued at a time; boxing the large variants would cost more than it saves.
 pub enum Output {
-    /// Send this message. It may be lost.
+    /// Send this message. The message may be lost.
     Send {
-        /// The receiver's ordinal.
+        /// The ordinal of the receiver.
         to: u16,
         /// The message.
         message: Message,
     },
-    /// Make this durable before any later output is carried out. If that fails, the process must end.
+    /// Make this state durable before carrying out any later output. If saving fails, the process must end.
     Save(DurableState),
-    /// Compare this content with these versions. Answer with [`Input::Checked`].
+    /// Check whether this content is compatible with these versions, and answer with [`Input::Checked`].
     Check {
         /// The topic.
         topic: Topic,
-        /// The content's hash; the content is here.
+        /// The hash of the content, which is available locally.
         hash: ContentHash,
-        /// Versions that some member may act on, in the order of their numbers; the last one is in force. Their contents may
-        /// not be here; one that can't be had counts as incompatible.
+        /// The versions that some member may act on, in ascending order of their numbers. The last one is in force.
+        /// Some of their contents may not be available locally; a version whose content can't be fetched counts as
+        /// incompatible.
         against: Vec<(u64, ContentHash)>,
     },
-    /// Get the content, compile it, answer with [`Input::ContentReady`] or [`Input::ContentUnsupported`]. Requested again
-    /// for as long as it is needed.
+    /// Fetch the content, compile it, and answer with [`Input::ContentReady`] or [`Input::ContentUnsupported`]. The
+    /// member repeats this request for as long as it needs the content.
     Fetch {
         /// The topic.
         topic: Topic,
@@ -98,12 +101,12 @@
         hash: ContentHash,
         /// The content's size in bytes.
         size: u32,
-        /// Members that may have it, the likeliest first.
+        /// The members that may have the content, the most likely one first.
         from: Vec<u16>,
     },
-    /// The version that this process may act on changed, or its lease was extended.
+    /// The version that this process may act on has changed, or its lease was extended.
     LeaseChanged(Lease),
-    /// A proposal of this process is finished.
+    /// A proposal of this process has finished.
     ProposalFinished {
         /// The topic.
         topic: Topic,
@@ -112,20 +115,21 @@
         /// How the proposal ended.
         outcome: ProposalOutcome,
     },
-    /// Discovery sent a newer endpoint list to other members.
+    /// Discovery has sent a newer endpoint list to other members than to this one.
     ListOutdated {
-        /// That list's revision.
+        /// The revision of the newer list.
         revision: u64,
     },
 }
 
-/// The version that this process may act on, and until when.
+/// The version that this process may act on, and the time at which this permission ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
     /// The topic.
     pub topic: Topic,
-    /// Number and content; `None`: the process may act on nothing.
+    /// The number and the content hash of the version. `None` means that the process may not act on any version.
     pub version: Option<(u64, ContentHash)>,
-    /// By the process's own clock: acting at this time or later is forbidden.
+    /// The end of the lease by the clock of this process. At this time or later, the process must not act on the
+    /// version.
     pub until: Micros,
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,22 +1,24 @@
-//! Agreement among a few voters on which version of the rules each member may act on. Sans-io and deterministic: no sockets,
-//! no clocks, no threads, and no random numbers but those from one seed. [`Member`] has `handle(now, input)`,
-//! `poll() -> output` and `next_timeout()`.
+//! Agreement among a few voters on the version of the rules that each member may act on. The crate is sans-io and
+//! deterministic: it uses no sockets, clocks or threads, and all random numbers come from one seed. [`Member`] has
+//! `handle(now, input)`, `poll() -> output` and `next_timeout()`.
 //!
-//! A few members, the voters, replicate one small [`State`]: per [`Topic`] the version in force and the pending one. All
-//! members, voters included, act on a version only under a [`Lease`] that the voters' leader granted. Contents stay with the
-//! embedder; here a version is a hash, a number, and the least number it is compatible with. Invariants, checked in tests by
-//! an oracle that sees all clocks, and as far as one member can see them counted in [`Status::invariant_violations`]:
+//! A few members, the voters, replicate one small [`State`], which holds the version in force and the pending version
+//! of each [`Topic`]. All members, including the voters, act on a version only under a [`Lease`] that the leader of the
+//! voters granted. The embedder stores the contents; in this crate, a version consists of a hash, a number, and the
+//! smallest number that the version is compatible with. The following invariants are checked in tests by an oracle that
+//! sees all clocks. Violations that a single member can detect are counted in [`Status::invariant_violations`]:
 //!
-//! - at no instant may two members act (own clock before [`Lease::until`]) on incompatible versions;
-//! - a number names one version for ever; numbers never go back, neither at a member nor in the state;
-//! - a version that was in force, committed by a majority, is followed by greater numbers only;
-//! - a process that was stopped, for however long, finds its lease expired by its own clock.
+//! - at no instant may two members act (that is, have a clock before [`Lease::until`]) on incompatible versions;
+//! - a number always identifies the same version, and numbers never decrease, neither at a member nor in the state;
+//! - a version that a majority committed as in force is only followed by versions with greater numbers;
+//! - a process that was stopped for any length of time finds its lease expired by its own clock.
 //!
-//! The embedder guarantees: clocks whose rates err by at most [`Timing::drift_ppm`] and that go on while the process is
-//! stopped or the machine sleeps; a new [`Config::incarnation`] at each start; [`Output`]s carried out in their order, with
-//! [`Output::Save`] durable and [`Output::LeaseChanged`] in effect before any later one; one process at a time with one
-//! [`DurableState`] (a lock on its file); contents stored on disk while they are in force or pending; authenticated messages;
-//! [`Message::bounded`] checked on each decoded message. `docs/design/consensus.md` has the reasons for the design.
+//! The embedder must guarantee the following. The rates of clocks err by at most [`Timing::drift_ppm`], and clocks
+//! continue while the process is stopped or the machine sleeps. Each start uses a new [`Config::incarnation`].
+//! [`Output`]s are carried out in their order: [`Output::Save`] is durable and [`Output::LeaseChanged`] has taken
+//! effect before any later output. Only one process at a time uses a [`DurableState`] (by a lock on its file). Contents
+//! that are in force or pending are stored on disk. Messages are authenticated, and [`Message::bounded`] is checked on
+//! each decoded message. `docs/design/consensus.md` explains the design.
 
 mod clock_drift;
 mod config;
@@ -43,8 +45,9 @@
 };
 pub use status::{Role, Status, TopicStatus};
 
-/// A point in time or a span, in microseconds of the process's own monotonic clock. Never compared between machines.
+/// A point in time or a duration, in microseconds of the monotonic clock of the process. Points in time of different
+/// machines are never compared.
 pub type Micros = i64;
 
-/// The embedder's digest of a version's content.
+/// The digest of a version's content, computed by the embedder.
 pub type ContentHash = [u8; 32];
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,88 +1,88 @@
-//! The messages of the protocol. No message grows with the number of members.
+//! The messages of the protocol. The size of a message doesn't depend on the number of members.
 //!
-//! Encoded by the order of variants and fields: that order must not change.
+//! The encoding depends on the order of variants and fields. This order must not change.
 
 use crate::list_revision::ListRevision;
 use crate::state::{MAX_RESULTS, Pending, ProposalId, ProposalOutcome, State, StateRevision, Topic, Version};
 use crate::{ContentHash, Micros};
 use serde::{Deserialize, Serialize};
 
-/// One datagram's content; below 1,000 bytes as postcard encodes it.
+/// The content of one datagram, which is below 1,000 bytes when encoded with postcard.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Candidate to voters.
+    /// A candidate requests the votes of the other voters.
     VoteRequest {
         /// The term that the candidate would lead.
         term: u64,
-        /// A pre-vote: the answer binds nobody.
+        /// Whether this is a pre-vote, whose answer doesn't bind the voter.
         pre_vote: bool,
         /// The revision of the candidate's state.
         revision: StateRevision,
     },
-    /// Voter to candidate.
+    /// A voter answers a vote request.
     VoteResponse {
-        /// The term voted in; if not granted, the voter's.
+        /// If the vote was granted, the term of the vote; otherwise, the current term of the voter.
         term: u64,
-        /// As in the request.
+        /// Whether the request was for a pre-vote.
         pre_vote: bool,
         /// Whether the voter votes for the candidate.
         granted: bool,
     },
-    /// Leader to voters.
+    /// The leader sends a heartbeat to the other voters.
     Heartbeat {
         /// The leader's term.
         term: u64,
-        /// When the leader sent it, by its clock.
+        /// When the leader sent the heartbeat, by its own clock.
         round: Micros,
         /// The revision of the leader's state.
         revision: StateRevision,
-        /// The state, for a voter that isn't known to have it.
+        /// The state of the leader, sent until the voter has acknowledged this revision.
         state: Option<Box<State>>,
     },
-    /// Voter to leader.
+    /// A voter acknowledges a heartbeat.
     HeartbeatAck {
         /// The voter's term.
         term: u64,
-        /// As in the heartbeat.
+        /// The `round` of the heartbeat.
         round: Micros,
         /// The revision of the voter's state.
         revision: StateRevision,
     },
-    /// A voter that lost its durable state to the other voters.
+    /// A voter that lost its durable state asks the other voters for their state.
     RecoveryRequest {
-        /// Tells answers to this request from answers to earlier ones.
+        /// Distinguishes answers to this request from answers to earlier requests.
         nonce: u64,
     },
-    /// The answer to a voter that recovers.
+    /// A voter answers a recovery request.
     RecoveryResponse {
-        /// As in the request.
+        /// The nonce of the request.
         nonce: u64,
-        /// The greatest term known.
+        /// The greatest term that the answering voter knows.
         term: u64,
         /// The revision of `state`.
         revision: StateRevision,
-        /// The newest state accepted.
+        /// The newest state that the answering voter accepted.
         state: Box<State>,
     },
-    /// Member to leader.
+    /// A member requests leases from the leader.
     LeaseRequest(Box<LeaseRequest>),
-    /// Leader to member.
+    /// The leader grants leases to a member.
     LeaseGrant(Box<LeaseGrant>),
-    /// A voter that doesn't lead to a member that requested a lease.
+    /// A voter that doesn't lead answers a lease request.
     LeaderHint {
-        /// The request's time, as sent.
+        /// The `sent_at` of the request.
         echo: Micros,
-        /// Who leads, as far as the voter knows.
+        /// The ordinal of the leader, as far as the voter knows.
         leader: Option<u16>,
     },
-    /// Leader to members, unasked: the state changed, renew now.
+    /// The leader tells members that the state changed and that they should renew their leases now.
     Announce {
         /// The revision of the new state.
         revision: StateRevision,
-        /// The pending versions, by topic.
+        /// The pending version of each topic.
         pending: [Option<Pending>; 2],
     },
-    /// Proposer to leader; retried until the outcome arrives.
+    /// A proposer sends a proposal to the leader, and repeats it until the outcome arrives.
     Propose {
         /// Identifies the proposal.
         id: ProposalId,
@@ -93,52 +93,53 @@
         /// The content's size in bytes.
         size: u32,
     },
-    /// Leader to proposer.
+    /// The leader tells a proposer the outcome of its proposal.
     ProposalFinished {
         /// Identifies the proposal.
         id: ProposalId,
-        /// How it ended.
+        /// How the proposal ended.
         outcome: ProposalOutcome,
     },
 }
 
-/// A member's request for leases, with what the leader must know of the member.
+/// A member's request for leases, with the information about the member that the leader needs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// The member's incarnation.
+    /// The incarnation of the member.
     pub incarnation: u64,
-    /// By the member's clock, greater than in any request before. The lease counts from here.
+    /// The time of sending by the member's clock, greater than in every earlier request. The lease is counted from this
+    /// time.
     pub sent_at: Micros,
-    /// The number that the member acts on, by topic.
+    /// For each topic, the number of the version that the member acts on.
     pub active: [Option<u64>; 2],
-    /// The member never again acts on a number below, by topic.
+    /// For each topic, the number below which the member will never act on a version again.
     pub revoked_below: [u64; 2],
-    /// The pending number that the member is ready to run, by topic.
+    /// For each topic, the number of the pending version if the member is ready to run it.
     pub ready: [Option<u64>; 2],
-    /// The pending number that the member cannot run, by topic.
+    /// For each topic, the number of the pending version if the member can't run it.
     pub unsupported: [Option<u64>; 2],
-    /// The newest endpoint list that discovery sent to the member.
+    /// The revision of the newest endpoint list that discovery sent to the member.
     pub list: ListRevision,
 }
 
 /// The leader's answer to a [`LeaseRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The request's incarnation.
+    /// The incarnation in the request.
     pub incarnation: u64,
-    /// The request's time, as sent.
+    /// The `sent_at` of the request.
     pub echo: Micros,
     /// The revision of the state that the leases are granted from.
     pub revision: StateRevision,
-    /// The version that the member may act on, by topic.
+    /// For each topic, the version that the member may act on.
     pub versions: [Option<Version>; 2],
-    /// The pending version, by topic.
+    /// The pending version of each topic.
     pub pending: [Option<Pending>; 2],
-    /// The newest endpoint list that discovery sent to any member.
+    /// The revision of the newest endpoint list that discovery sent to any member.
     pub list: ListRevision,
 }
 
-/// Numbers, terms and times from outside must be below this, so that sums with them can't overflow.
+/// Numbers, terms and times in received messages must be below this limit, so that sums with them can't overflow.
 const MAX_VALUE: u64 = 1 << 60;
 
 fn is_bounded(number: u64) -> bool {
@@ -187,8 +188,8 @@
 }
 
 impl Message {
-    /// Whether a decoded message keeps the bounds that decoding itself doesn't check. A message that doesn't must be
-    /// dropped; [`crate::Member::handle`] does so too.
+    /// Checks the limits that decoding itself doesn't check. A message that exceeds a limit must be dropped;
+    /// [`crate::Member::handle`] also drops it.
     pub fn bounded(&self) -> bool {
         match self {
             Message::VoteRequest { term, revision, .. } => is_bounded(*term) && revision.bounded(),
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Whether one voter sends it to another.
+    /// Whether the message is sent by one voter to another.
     pub(crate) fn is_among_voters(&self) -> bool {
         matches!(
             self,
@@ -230,7 +231,7 @@
         )
     }
 
-    /// Whether only voters send it.
+    /// Whether the message may only be sent by a voter.
     pub(crate) fn is_from_voter(&self) -> bool {
         self.is_among_voters()
             || matches!(
--- a/crates/consensus/src/mutant.rs
+++ b/crates/consensus/src/mutant.rs
@@ -1,27 +1,27 @@
-//! Faults built in on purpose: the tests must find each of them.
+//! Deliberate faults in the protocol, each of which the tests must detect.
 
-/// A built-in fault.
+/// A deliberate fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(dead_code)]
 pub enum Mutant {
-    /// No fault.
+    /// No fault is built in.
     Unmodified,
-    /// A member counts its lease from when the grant arrived, not from when it sent the request.
+    /// A member counts its lease from the arrival of the grant instead of from the sending of the request.
     LeaseFromReceipt,
-    /// A voter without durable state starts with an empty one at once.
+    /// A voter without durable state starts with an empty state and skips recovery.
     SkipRecovery,
-    /// The leader doesn't wait for leases on incompatible versions to end.
+    /// The leader activates a version without waiting for leases on incompatible versions to end.
     EarlyActivation,
-    /// Nobody allows for clock drift.
+    /// Members don't allow for clock drift.
     IgnoreDrift,
-    /// A leader doesn't look at its clock before it acts.
+    /// A leader acts without checking that its authority is still valid.
     NoAuthorityCheck,
-    /// A new leader doesn't wait for leases that earlier leaders granted.
+    /// A new leader doesn't wait for leases of earlier leaders to expire.
     SkipHandover,
-    /// A voter votes although it hears from a leader.
+    /// A voter votes for another candidate while it hears from a leader.
     VoteDespiteLeader,
-    /// A voter that restarts with its durable state votes at once.
+    /// A voter that restarts with its durable state votes immediately.
     VoteAfterRestart,
-    /// A member accepts grants of versions that were revoked.
+    /// A member accepts grants of revoked versions.
     AcceptRevoked,
 }
--- a/crates/consensus/src/roles/candidate.rs
+++ b/crates/consensus/src/roles/candidate.rs
@@ -1,4 +1,4 @@
-//! A candidate's count of votes.
+//! The votes that a candidate has received.
 
 use std::collections::BTreeSet;
 
@@ -7,8 +7,8 @@
 pub(crate) struct Candidacy {
     /// The term that the candidate would lead.
     pub term: u64,
-    /// A pre-vote: it changes no term, and the answers bind nobody.
+    /// Whether this is a pre-vote, which changes no term and whose answers don't bind the voters.
     pub pre_vote: bool,
-    /// Voters that granted their vote, the candidate included.
+    /// The voters that granted their vote, including the candidate itself.
     pub votes: BTreeSet<u16>,
 }
--- a/crates/consensus/src/roles/endpoint_lists.rs
+++ b/crates/consensus/src/roles/endpoint_lists.rs
@@ -1,8 +1,8 @@
-//! A member's progress with the endpoint list.
+//! The revisions of endpoint lists that a member knows.
 
 use crate::ListRevision;
 
-/// Which endpoint list a member has, and which newer one it reported to the embedder.
+/// The revision of the member's own endpoint list, and of the newer list that the embedder was notified of.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ListProgress {
     /// The newest list that discovery sent to this member.
--- a/crates/consensus/src/roles/leader.rs
+++ b/crates/consensus/src/roles/leader.rs
@@ -1,23 +1,24 @@
-//! What a leader knows during one term.
+//! The data that a leader keeps during its term.
 
 use super::change::TopicChange;
 use super::lease_grants::LeaseGrants;
 use crate::{ListRevision, Micros, State, StateRevision};
 use std::collections::BTreeMap;
 
-/// A leader's data, for one term.
+/// The data of a leader. It is discarded at the end of its term.
 #[derive(Clone, Debug)]
 pub(crate) struct Leader {
     pub elected_at: Micros,
-    /// By voter: the newest heartbeat it acknowledged, by the leader's clock, and the revision of the state it had then.
+    /// For each voter, when the leader sent the newest heartbeat that the voter acknowledged, and the revision of the
+    /// voter's state at the acknowledgement.
     pub acks: BTreeMap<u16, (Micros, StateRevision)>,
     pub next_heartbeat: Micros,
-    /// A majority has the state that this leader wrote last.
+    /// Whether a majority has the state that this leader wrote last.
     pub is_committed: bool,
-    /// The newest state committed in this term.
+    /// The newest state that was committed in this term.
     pub committed: Option<(StateRevision, State)>,
     pub grants: LeaseGrants,
-    /// By topic.
+    /// The change of each topic.
     pub changes: [TopicChange; 2],
     /// The newest endpoint list that members have.
     pub list: ListRevision,
--- a/crates/consensus/src/roles/lease_grants.rs
+++ b/crates/consensus/src/roles/lease_grants.rs
@@ -1,4 +1,4 @@
-//! The leases that a leader granted. Grows with the members' live incarnations.
+//! The leases that a leader granted. The size of this data is proportional to the number of live incarnations.
 
 use crate::{ContentHash, LeaseRequest, ListRevision, Micros, Topic, Version};
 use std::collections::BTreeMap;
@@ -8,29 +8,29 @@
 pub(crate) struct GrantedLease {
     pub number: u64,
     pub hash: ContentHash,
-    /// By the leader's clock; the member's lease ended before, wherever its clock stands.
+    /// When the lease expires by the leader's clock. The lease has always ended earlier by the member's clock.
     pub expires_at: Micros,
 }
 
-/// One incarnation of a member, as its last lease request described it.
+/// One incarnation of a member, as described by its last lease request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MemberLeases {
-    /// The member's clock in its last request.
+    /// The `sent_at` of the last request, by the member's clock.
     pub last_sent: Option<Micros>,
-    /// The leader's clock when that request arrived.
+    /// When the last request arrived, by the leader's clock.
     pub seen_at: Micros,
-    /// The numbers the member acts on, by topic.
+    /// For each topic, the number of the version that the member acts on.
     pub active: [Option<u64>; 2],
-    /// The pending numbers it is ready to run.
+    /// For each topic, the number of the pending version if the member is ready to run it.
     pub ready: [Option<u64>; 2],
-    /// The pending numbers it cannot run.
+    /// For each topic, the number of the pending version if the member can't run it.
     pub unsupported: [Option<u64>; 2],
     pub list: ListRevision,
     pub leases: [Vec<GrantedLease>; 2],
 }
 
 impl MemberLeases {
-    /// Notes what a newer request says of the member.
+    /// Updates the data of the member from a newer request.
     pub fn update(&mut self, now: Micros, request: &LeaseRequest) {
         self.last_sent = Some(request.sent_at);
         self.seen_at = now;
@@ -40,7 +40,7 @@
         self.list = request.list;
     }
 
-    /// Extends the lease on this version, or adds one.
+    /// Extends the lease on this version, or adds a lease if there is none.
     pub fn extend(&mut self, topic: Topic, version: &Version, expires_at: Micros) {
         let leases = &mut self.leases[topic.index()];
         match leases.iter_mut().find(|lease| lease.number == version.number) {
@@ -50,15 +50,17 @@
     }
 }
 
-/// All leases that this leader granted, by member and incarnation. An incarnation ends by time only: its process may just
-/// be stopped, whatever a newer one of the same member says.
+/// All leases that this leader granted, by member and incarnation. An incarnation ends only when its leases expire and
+/// it sends no more requests. A request of a newer incarnation of the same member doesn't end it, because the older
+/// process may only be stopped and may resume.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LeaseGrants {
     pub members: BTreeMap<(u16, u64), MemberLeases>,
 }
 
 impl LeaseGrants {
-    /// Incarnations whose last request is younger than a lease.
+    /// Returns the incarnations whose last request is not older than the duration of a lease, with their members'
+    /// ordinals.
     pub fn live(&self, now: Micros, lease: Micros) -> impl Iterator<Item = (u16, &MemberLeases)> {
         self.members
             .iter()
@@ -66,12 +68,13 @@
             .map(|(&(ordinal, _), member)| (ordinal, member))
     }
 
-    /// When the last unexpired lease on a version below `number` expires; `None`: there is none.
+    /// Returns when the last unexpired lease on a version below `number` expires. `None` means that there is no such
+    /// lease.
     pub fn last_expiry_below(&self, topic: Topic, number: u64, now: Micros) -> Option<Micros> {
         self.unexpired(topic, now).filter(|lease| lease.number < number).map(|lease| lease.expires_at).max()
     }
 
-    /// Versions with an unexpired lease, in the order of their numbers.
+    /// Returns the versions that have an unexpired lease, in ascending order of their numbers.
     pub fn leased_versions(&self, topic: Topic, now: Micros) -> BTreeMap<u64, ContentHash> {
         self.unexpired(topic, now).map(|lease| (lease.number, lease.hash)).collect()
     }
@@ -83,7 +86,7 @@
             .filter(move |lease| now < lease.expires_at)
     }
 
-    /// Live members, counted by the number they act on; 0 stands for none.
+    /// Returns the number of live members by the version number that they act on. 0 stands for no version.
     pub fn members_by_version(&self, topic: Topic, now: Micros, lease: Micros) -> Vec<(u64, u32)> {
         let mut counts = BTreeMap::new();
         for (_, member) in self.live(now, lease) {
--- a/crates/consensus/src/roles/lease_holder.rs
+++ b/crates/consensus/src/roles/lease_holder.rs
@@ -1,43 +1,45 @@
-//! A member's own leases, and its requests for them.
+//! The leases that a member holds, and its requests for them.
 
 use crate::state::Pending;
 use crate::status::TopicStatus;
 use crate::{Config, ContentHash, Lease, Micros, StateRevision, Topic, Version};
 
-/// The lease on one topic.
+/// The lease on the version of one topic.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TopicLease {
-    /// The version this process may act on, and until when.
+    /// The version that this process may act on, and when its lease ends.
     pub active: Option<(Version, Micros)>,
-    /// A granted version whose content isn't here yet, and until when.
+    /// A granted version whose content isn't available yet, and when its lease ends.
     pub offered: Option<(Version, Micros)>,
-    /// Versions below are never acted on again: a greater one was active.
+    /// The greatest number that this process has acted on. The process never acts on a smaller number again.
     pub floor: u64,
-    /// Versions below are never acted on again: they were revoked.
+    /// Versions with smaller numbers were revoked. The process never acts on them again.
     pub revoked_below: u64,
     pub pending: Option<Pending>,
-    /// The contents that the embedder was asked for, the newest first, and when.
+    /// The contents that the embedder was asked to fetch, and when it was asked; the newest first.
     pub requested_contents: Vec<(ContentHash, Micros)>,
     /// The lease that the embedder was last notified of.
     pub published: Option<Lease>,
 }
 
-/// A member's requests for leases, and the voter that they go to.
+/// The state of a member's lease requests, and the voter that receives them.
 #[derive(Clone, Debug)]
 pub(crate) struct LeaseRequests {
-    /// The voter that requests go to.
+    /// The voter that requests are sent to.
     pub target: u16,
-    /// The target granted a lease, so it leads.
+    /// Whether the target has granted a lease, so that it is known to lead.
     pub target_is_leader: bool,
-    /// The target was taken from a hint: two voters that point at each other must not send this member to and fro.
+    /// Whether the target was taken from a hint. The next hint is then ignored, so that two voters that name each other
+    /// as the leader don't make this member alternate between them.
     pub followed_hint: bool,
     pub last_sent: Micros,
-    /// The request time of the newest grant.
+    /// The `sent_at` of the request that the newest grant answers.
     pub last_echo: Micros,
     pub next_request: Micros,
-    /// Requests since the last answer.
+    /// The number of requests since the last answer.
     pub unanswered: u32,
-    /// The next request is ahead of its time: that the one before has no answer yet isn't a miss.
+    /// Whether the next request is sent earlier than scheduled. The previous request may then still be answered, so the
+    /// early request isn't counted as unanswered.
     pub is_early: bool,
 }
 
@@ -61,17 +63,17 @@
 /// The contents that a member knows, the newest last.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KnownContents {
-    /// Contents that are here and compiled.
+    /// The contents that are available locally and compiled.
     pub available: Vec<ContentHash>,
-    /// Contents that this process cannot run.
+    /// The contents that this process can't run.
     pub unsupported: Vec<ContentHash>,
 }
 
-/// A member's leases.
+/// The leases of a member on all topics.
 #[derive(Clone, Debug)]
 pub(crate) struct LeaseHolder {
     pub requests: LeaseRequests,
-    /// The newest state that a leader announced.
+    /// The revision of the newest state that a leader announced or granted leases from.
     pub known_revision: StateRevision,
     pub topics: [TopicLease; 2],
     pub contents: KnownContents,
--- a/crates/consensus/src/roles/mod.rs
+++ b/crates/consensus/src/roles/mod.rs
@@ -1,4 +1,4 @@
-//! The data that a member keeps for each role it plays. The steps of the protocol are methods of [`crate::Member`].
+//! The data that a member keeps for each of its roles. The steps of the protocol are methods of [`crate::Member`].
 
 pub(crate) mod candidate;
 pub(crate) mod change;
--- a/crates/consensus/src/roles/proposer.rs
+++ b/crates/consensus/src/roles/proposer.rs
@@ -1,4 +1,4 @@
-//! The proposals of this process that aren't finished.
+//! The unfinished proposals of this process.
 
 use crate::state::ProposalId;
 use crate::{ContentHash, Micros, Topic};
@@ -10,11 +10,11 @@
     pub topic: Topic,
     pub hash: ContentHash,
     pub size: u32,
-    /// When it is sent to the leader (again).
+    /// When the proposal is next sent to the leader.
     pub next_send: Micros,
 }
 
-/// The unfinished proposals: of each topic the first is sent, and at most one more waits for it.
+/// The unfinished proposals. For each topic, the first proposal is being sent, and at most one more waits for it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Proposer {
     /// The serial number of the last proposal of this incarnation.
@@ -27,7 +27,7 @@
         self.proposals.len() as u32
     }
 
-    /// The place of the proposal of this topic that is being sent.
+    /// Returns the index of this topic's first proposal, which is being sent.
     pub fn first(&self, topic: Topic) -> Option<usize> {
         self.proposals.iter().position(|proposal| proposal.topic == topic)
     }
--- a/crates/consensus/src/roles/recovery.rs
+++ b/crates/consensus/src/roles/recovery.rs
@@ -1,4 +1,4 @@
-//! What a voter without durable state keeps while it recovers.
+//! The data of a voter that recovers from the loss of its durable state.
 
 use crate::clock_drift::lengthen;
 use crate::{Config, Micros, State, StateRevision};
@@ -7,12 +7,13 @@
 /// The recovery of a voter that lost its durable state (Viewstamped Replication Revisited, section 4.3).
 #[derive(Clone, Debug)]
 pub(crate) struct Recovery {
-    /// When to ask the other voters (again). Not before the votes this voter may have given are counted or void, the
-    /// heartbeats it may have acknowledged are stale, and the leases it may have granted have expired.
+    /// When to send the next request to the other voters. The first request is sent only after every vote that this
+    /// voter may have given has been counted or become void, every heartbeat that it may have acknowledged is stale,
+    /// and every lease that it may have granted has expired.
     pub next_request: Micros,
-    /// Identifies the request, once it was sent.
+    /// The nonce of the request, once a request was sent.
     pub nonce: Option<u64>,
-    /// By voter: its term, and its state with the revision.
+    /// For each voter that answered: its term, the revision of its state, and its state.
     pub answers: BTreeMap<u16, (u64, StateRevision, State)>,
 }
 
--- a/crates/consensus/src/roles/voter.rs
+++ b/crates/consensus/src/roles/voter.rs
@@ -1,4 +1,4 @@
-//! What a voter keeps, whatever its role among the voters is.
+//! The data that a voter keeps in every role.
 
 use super::candidate::Candidacy;
 use super::leader::Leader;
@@ -6,13 +6,14 @@
 use crate::status::Role;
 use crate::{Config, DurableState, Micros};
 
-/// The part of a member that votes.
+/// The voter's part of a member.
 #[derive(Clone, Debug)]
 pub(crate) struct Voter {
     pub durable_state: DurableState,
-    /// When it last heard from a leader of its term, or started. It votes for no other candidate for a while after.
+    /// When the voter last heard from a leader of its term, or started. For some time after this, the voter votes for
+    /// no other candidate.
     pub leader_heard_at: Micros,
-    /// When it becomes a candidate, unless it hears from a leader before.
+    /// When the voter becomes a candidate, unless it hears from a leader earlier.
     pub election_deadline: Micros,
     pub known_leader: Option<u16>,
     pub recovery: Option<Recovery>,
@@ -21,8 +22,9 @@
 }
 
 impl Voter {
-    /// A voter that starts. With its durable state it continues as if it had just heard from a leader: it may have, before
-    /// it restarted, and that leader counts on its vote. Without, it recovers first.
+    /// Creates a voter that starts. A voter with durable state behaves as if it had just heard from a leader: it may
+    /// have acknowledged a heartbeat before the restart, and that leader relies on its promise. A voter without durable
+    /// state recovers first.
     pub fn new(
         now: Micros,
         durable_state: Option<DurableState>,
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Whether an election may begin by time alone.
+    /// Whether the time to start an election has come.
     pub fn is_election_due(&self, now: Micros) -> bool {
         self.recovery.is_none() && self.leadership.is_none() && now >= self.election_deadline
     }
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -1,14 +1,15 @@
-//! The state that the voters replicate, and what a voter must keep across restarts.
+//! The state that the voters replicate, and the state that a voter must keep across restarts.
 //!
-//! Encoded by the order of fields and variants, on the wire and on disk: that order must not change.
+//! The encoding, both in messages and on disk, depends on the order of fields and variants. This order must not change.
 
 use crate::ContentHash;
 use serde::{Deserialize, Serialize};
 
-/// Outcomes of proposals that the state keeps, a topic: so many proposers at one time can be told apart from retries.
+/// The number of proposal outcomes that the state keeps for each topic. Retries of that many concurrent proposers are
+/// recognized.
 pub(crate) const MAX_RESULTS: usize = 6;
 
-/// What a version is of. Topics are independent of one another.
+/// The kind of content that a version belongs to. Topics are independent of one another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Topic {
     /// The routing rules.
@@ -18,7 +19,7 @@
 }
 
 impl Topic {
-    /// All topics, in order.
+    /// All topics, in the order of their index.
     pub const ALL: [Topic; 2] = [Topic::Rules, Topic::Settings];
 
     pub(crate) fn index(self) -> usize {
@@ -26,36 +27,37 @@
     }
 }
 
-/// A version: a content, named by its hash, with its place in the order.
+/// A version: a content, identified by its hash, with a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// Its place in the topic's order; never given twice.
+    /// The position in the topic's sequence of versions. A number is never reused.
     pub number: u64,
-    /// The hash of its content.
+    /// The hash of the content.
     pub hash: ContentHash,
     /// The content's size in bytes.
     pub size: u32,
-    /// It is compatible with all earlier versions from this number on; with none, if this is its own number.
+    /// The version is compatible with the earlier versions from this number on. If this equals `number`, the version is
+    /// compatible with no earlier version.
     pub compatible_from: u64,
 }
 
-/// The progress of a pending version.
+/// The phase of a pending version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Phase {
-    /// Members fetch the content and report whether they can run it. The version may still be dropped.
+    /// Members fetch the content and report whether they can run it. The change can still be abandoned.
     Prepare,
-    /// Members give up leases on incompatible versions. The version will be in force.
+    /// Members give up their leases on incompatible versions. The change can no longer be abandoned.
     Revoke,
 }
 
-/// Identifies a proposal, so that retries of it are recognized.
+/// Identifies a proposal, so that its retries are recognized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ProposalId {
-    /// The proposer's ordinal.
+    /// The ordinal of the proposer.
     pub member: u16,
-    /// The proposer's incarnation.
+    /// The incarnation of the proposer.
     pub incarnation: u64,
-    /// Counts the proposals of that incarnation.
+    /// The number of the proposal among those of the incarnation.
     pub serial: u32,
 }
 
@@ -64,24 +66,24 @@
 pub struct Pending {
     /// The version.
     pub version: Version,
-    /// Its progress.
+    /// The phase of the change.
     pub phase: Phase,
-    /// The proposal it came from; that proposer has the content.
+    /// The proposal that the version came from. Its proposer has the content.
     pub proposal: ProposalId,
 }
 
 /// How a proposal ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ProposalOutcome {
-    /// Its content is in force.
+    /// The content of the proposal is in force.
     InForce,
-    /// A live member cannot run the content.
+    /// A live member can't run the content.
     Unsupported,
-    /// The leader's embedder rejected it, or didn't answer.
+    /// The leader's embedder rejected the proposal or didn't answer.
     Rejected,
-    /// The leader, or most of the voters, couldn't get the content.
+    /// The leader or a majority of the voters couldn't get the content.
     ContentMissing,
-    /// The same process made another proposal before this one was sent, or before its outcome arrived.
+    /// The same process made a newer proposal, before this one was sent or before its outcome arrived.
     Superseded,
 }
 
@@ -90,7 +92,7 @@
 pub struct ProposalResult {
     /// The proposal.
     pub proposal: ProposalId,
-    /// How it ended.
+    /// How the proposal ended.
     pub outcome: ProposalOutcome,
 }
 
@@ -100,21 +102,21 @@
     }
 }
 
-/// The state of one topic.
+/// The versions and proposal outcomes of one topic.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TopicState {
     /// The version that leases are granted on.
     pub in_force: Option<Version>,
     /// The version that is to be in force next.
     pub pending: Option<Pending>,
-    /// The greatest number given so far.
+    /// The greatest number assigned so far.
     pub last_number: u64,
-    /// Outcomes of proposals, the newest last; one an incarnation, at most `MAX_RESULTS`.
+    /// The outcomes of proposals, the newest last: one for each incarnation, at most `MAX_RESULTS`.
     pub results: Vec<ProposalResult>,
 }
 
 impl TopicState {
-    /// Records how a proposal ended, in place of an earlier one of the same incarnation.
+    /// Records how a proposal ended, and removes the earlier outcome of the same incarnation.
     pub(crate) fn record_outcome(&mut self, proposal: ProposalId, outcome: ProposalOutcome) {
         self.results.retain(|result| !result.is_of_proposer(&proposal));
         if self.results.len() >= MAX_RESULTS {
@@ -123,7 +125,8 @@
         self.results.push(ProposalResult { proposal, outcome });
     }
 
-    /// How the proposal ended; `None`: it is unfinished, or its outcome was dropped for newer ones.
+    /// Returns how the proposal ended. `None` means that the proposal is unfinished, or that newer outcomes displaced
+    /// its outcome.
     pub(crate) fn outcome_of(&self, proposal: &ProposalId) -> Option<ProposalOutcome> {
         let newest = self.results.iter().find(|result| result.is_of_proposer(proposal))?;
         match newest.proposal.serial.cmp(&proposal.serial) {
@@ -133,7 +136,7 @@
         }
     }
 
-    /// Whether this may replace `earlier`: numbers don't go back, and one number names one version.
+    /// Whether this state may replace `earlier`: numbers don't decrease, and one number identifies one version.
     fn may_follow(&self, earlier: &TopicState) -> bool {
         let in_force_follows = match (&self.in_force, &earlier.in_force) {
             (Some(new), Some(old)) => new.number > old.number || new == old,
@@ -149,15 +152,15 @@
     }
 }
 
-/// Everything the voters agree on. Replicated complete: a log compacted into its last entry.
+/// The state that the voters agree on. Instead of a log, the voters replicate the complete state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct State {
-    /// By [`Topic`], in order.
+    /// The state of each [`Topic`], in the order of [`Topic::ALL`].
     pub topics: [TopicState; 2],
 }
 
 impl State {
-    /// The state of one topic.
+    /// Returns the state of one topic.
     pub fn topic(&self, topic: Topic) -> &TopicState {
         &self.topics[topic.index()]
     }
@@ -166,43 +169,45 @@
         &mut self.topics[topic.index()]
     }
 
-    /// The pending versions, by topic.
+    /// Returns the pending version of each topic.
     pub(crate) fn pending(&self) -> [Option<Pending>; 2] {
         self.topics.each_ref().map(|topic| topic.pending)
     }
 
-    /// Whether this may replace `earlier`.
+    /// Whether this state may replace `earlier`.
     pub(crate) fn may_follow(&self, earlier: &State) -> bool {
         self.topics.iter().zip(&earlier.topics).all(|(new, old)| new.may_follow(old))
     }
 }
 
-/// Orders states: by the term of the leader that wrote a state, then by a count that goes on from term to term.
+/// The revision of a state. Revisions are ordered by the term of the leader that wrote the state, then by `seq`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StateRevision {
     /// The term of the leader that wrote the state.
     pub term: u64,
-    /// Counts the states written.
+    /// The number of states written so far. The count continues across terms.
     pub seq: u64,
 }
 
-/// What a voter must keep across restarts. [`crate::Member::new`] says what a voter does that lost it.
+/// The state that a voter must keep across restarts. [`crate::Member::new`] describes what a voter does if this state
+/// was lost.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DurableState {
-    /// The greatest term known. The voter votes for candidates of this one only.
+    /// The greatest known term. The voter votes only for candidates of this term.
     pub term: u64,
-    /// The ordinal it voted for in `term`.
+    /// The ordinal of the candidate that the voter voted for in `term`.
     pub voted: Option<u16>,
     /// The revision of `state`.
     pub revision: StateRevision,
-    /// The newest state accepted.
+    /// The newest accepted state.
     pub state: State,
 }
 
 impl DurableState {
-    /// For the very first start of a cluster, on an operator's word. Never after a loss: a voter that starts with it may vote
-    /// a second time in a term, or for a candidate that doesn't know what is in force. If all voters start with it a second
-    /// time, all members must restart: those that run on accept no number below what they had.
+    /// Returns the state for the very first start of a cluster, which an operator must request. A voter that lost its
+    /// state must not start with this one: it could vote a second time in a term, or vote for a candidate that doesn't
+    /// know the version in force. If all voters start with the initial state a second time, all members must restart,
+    /// because running members accept no number below their current one.
     pub fn initial() -> Self {
         Self { term: 0, voted: None, revision: StateRevision::default(), state: State::default() }
     }
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -1,74 +1,75 @@
-//! A member's view of itself and of the cluster, for operators.
+//! The status of a member and its view of the cluster, for operators.
 
 use crate::Micros;
 use crate::state::{State, StateRevision, Topic, Version};
 
-/// A member's role among the voters.
+/// The role of a member among the voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Role {
-    /// Not a voter.
+    /// The member is not a voter.
     #[default]
     Member,
-    /// Lost its durable state: abstains until what it may have promised is over and the other voters sent theirs.
+    /// The voter lost its durable state. It abstains until every promise it may have made has expired and the other
+    /// voters have sent their state.
     Recovering,
-    /// Votes, and follows a leader.
+    /// The voter votes and follows a leader.
     Follower,
-    /// Asks for votes.
+    /// The voter requests votes.
     Candidate,
-    /// Leads.
+    /// The voter leads.
     Leader,
 }
 
 /// The status of one topic.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TopicStatus {
-    /// The version this member has a lease on; the lease may have expired.
+    /// The version that this member has a lease on. The lease may have expired.
     pub active: Option<Version>,
-    /// When the lease expires, by the member's own clock.
+    /// When the lease expires, by the clock of the member.
     pub until: Micros,
-    /// The greatest number known to be in force or pending.
+    /// The greatest known number of a version in force or pending.
     pub newest: u64,
-    /// Leader: live members by the number they act on; 0 stands for none.
+    /// Only at the leader: the number of live members by the version number that they act on. 0 stands for no version.
     pub members_by_version: Vec<(u64, u32)>,
 }
 
-/// A member's status.
+/// The status of a member.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Status {
-    /// Its role.
+    /// The role of this member.
     pub role: Role,
-    /// The greatest term it knows of.
+    /// The greatest term that this member knows.
     pub term: u64,
-    /// Who leads, as far as it knows.
+    /// The ordinal of the leader, as far as this member knows.
     pub leader: Option<u16>,
-    /// Leader: until when it may act as one, by its own clock.
+    /// Only at the leader: until when this member may act as the leader, by its own clock.
     pub authority_until: Option<Micros>,
-    /// Voter: the revision of its state.
+    /// Only at a voter: the revision of its state.
     pub revision: StateRevision,
-    /// Voter: its state; the last write may not be committed yet.
+    /// Only at a voter: its state. The last write may not be committed yet.
     pub state: Option<State>,
-    /// By topic.
+    /// The status of each topic.
     pub topics: [TopicStatus; 2],
-    /// Leader: incarnations that requested a lease within the last lease's time.
+    /// Only at the leader: the number of incarnations that requested a lease within the last duration of a lease.
     pub live_members: u32,
-    /// Unfinished proposals of this process.
+    /// The number of unfinished proposals of this process.
     pub proposals: u32,
-    /// Elections started here.
+    /// The number of elections that this process started.
     pub elections: u64,
-    /// Elections won here.
+    /// The number of elections that this process won.
     pub elections_won: u64,
-    /// Times this process stopped leading.
+    /// The number of times that this process stopped leading.
     pub leaderships_lost: u64,
-    /// Lease grants accepted.
+    /// The number of accepted lease grants.
     pub grants: u64,
-    /// Messages dropped: outdated, from the wrong sender, or out of bounds.
+    /// The number of dropped messages: outdated, from the wrong sender, or out of bounds.
     pub dropped: u64,
-    /// Invariants found violated. Always 0 unless this code, a clock or a disk is at fault.
+    /// The number of detected invariant violations. A value above 0 means that this code, a clock or a disk is faulty.
     pub invariant_violations: u64,
 }
 
 impl Status {
-    /// The status of one topic.
+    /// Returns the status of one topic.
     pub fn topic(&self, topic: Topic) -> &TopicStatus {
         &self.topics[topic.index()]
     }
