--- a/crates/consensus/src/io.rs
+++ b/crates/consensus/src/io.rs
@@ -70,7 +70,8 @@
 
 /// An action that the embedder must carry out. Outputs must be carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
-#[allow(clippy::large_enum_variant)] // Few outputs are queued at a time; boxing the large variants would cost more than it saves.
+// Few outputs are queued at a time; boxing the large variants would cost more than it saves.
+#[allow(clippy::large_enum_variant)]
 pub enum Output {
     /// Send this message. The message may be lost.
     Send {
--- a/crates/consensus/src/member/activation.rs
+++ b/crates/consensus/src/member/activation.rs
@@ -1,4 +1,5 @@
-//! How a pending version comes in force: prepared by the members, leases on incompatible versions revoked, then activated.
+//! The steps that put a pending version in force: members prepare it, leases on incompatible versions are revoked, then
+//! it is activated.
 
 use crate::mutant::Mutant;
 use crate::roles::leader::Leader;
@@ -7,7 +8,7 @@
 use std::collections::BTreeSet;
 
 impl Member {
-    /// When the topic's change can go on by time alone.
+    /// Returns when the change of this topic can next advance without another input.
     pub(super) fn change_timeout(&self, leader: &Leader, topic: Topic) -> Micros {
         let Some((_, state)) = leader.committed.as_ref().filter(|_| leader.is_committed) else {
             return Micros::MAX;
@@ -20,19 +21,21 @@
         let prepared = change.preparing_since.map_or(Micros::MAX, |(_, since)| since + patience);
         let soon = self.now + self.config.timing.heartbeat;
         match pending.phase {
-            // Leases of members that ended expire, and with them the wait for these members.
+            // The leases of members whose processes have ended expire, and the change then no longer waits for these
+            // members.
             Phase::Prepare if prepared > self.now => prepared.min(soon),
             Phase::Prepare => soon,
             Phase::Revoke => self.incompatible_until(leader, topic, &pending).unwrap_or(Micros::MAX),
         }
     }
 
-    /// When the last lease on a version that the pending one is incompatible with expires; `None`: there is none.
+    /// Returns when the last lease on a version that is incompatible with the pending one expires. `None` means that
+    /// there is no such lease.
     fn incompatible_until(&self, leader: &Leader, topic: Topic, pending: &Pending) -> Option<Micros> {
         leader.grants.last_expiry_below(topic, pending.version.compatible_from, self.now)
     }
 
-    /// Leader: takes the topic's change as far as it can go now.
+    /// Leader: advances the change of this topic as far as possible.
     pub(super) fn advance_change(&mut self, topic: Topic) {
         let Some(state) = self.settled_state() else { return };
         match state.topic(topic).pending {
@@ -44,8 +47,8 @@
         }
     }
 
-    /// Waits until the members are ready for the version, for a limited time, and a majority of the voters has its content:
-    /// whoever is elected next must have it.
+    /// Waits, for a limited time, until all members are ready for the version. The change continues only if a majority
+    /// of the voters has the content, because the next leader must have it.
     fn advance_prepare(&mut self, topic: Topic, pending: Pending) {
         let now = self.now;
         let (number, patience) = (pending.version.number, self.config.timing.prepare);
@@ -75,8 +78,8 @@
         })
     }
 
-    /// Whether all live members are ready. Not known before every lease of an earlier leader has expired: until then a live
-    /// member may not have asked this one.
+    /// Whether all live members are ready. This is unknown until every lease of an earlier leader has expired, because
+    /// a live member may not have sent a request to this leader yet.
     fn is_ready_at_all_members(&self, topic: Topic, number: u64) -> bool {
         let (at, lease) = (topic.index(), self.granted_span());
         self.earlier_leases_expired()
@@ -97,7 +100,8 @@
         ready_voters.len() >= self.config.majority()
     }
 
-    /// Activates the version at once if nobody can act on a version that it is incompatible with; else revokes those first.
+    /// Activates the version if no member can act on an incompatible version; otherwise starts to revoke the leases on
+    /// incompatible versions.
     fn finish_prepare(&mut self, topic: Topic, pending: Pending) {
         let Some(leader) = self.leader() else { return };
         let has_incompatible = self.incompatible_until(leader, topic, &pending).is_some();
@@ -121,8 +125,9 @@
         self.write_state(state);
     }
 
-    /// Waits until no lease on an incompatible version is left. None is granted since this phase was committed; once those
-    /// granted before are given up by their holders or have expired, nobody can act on one.
+    /// Waits until no lease on an incompatible version is left. No such lease has been granted since this phase was
+    /// committed. Once the members have given up the earlier ones or the earlier ones have expired, no member can act
+    /// on an incompatible version.
     fn advance_revoke(&mut self, topic: Topic, pending: Pending) {
         let Some(leader) = self.leader() else { return };
         let has_incompatible = self.incompatible_until(leader, topic, &pending).is_some();
@@ -140,14 +145,15 @@
         self.write_state(state);
     }
 
-    /// A state was committed: announces it to the members it concerns, and proposals' outcomes to their proposers.
+    /// Announces a newly committed state to the members that it affects, and the outcomes of proposals to their
+    /// proposers.
     pub(super) fn announce_state(&mut self, before: Option<State>) {
         let Some(leader) = self.leader() else { return };
         let Some((revision, state)) = leader.committed.clone() else { return };
         let pending = state.pending();
         let mut last = None;
         for member in self.members_to_notify(leader, before.as_ref(), &state) {
-            // Two incarnations of one member get one announcement.
+            // Two incarnations of the same member receive only one announcement.
             if last.replace(member) != Some(member) {
                 self.send(member, Message::Announce { revision, pending });
             }
@@ -157,7 +163,7 @@
         }
     }
 
-    /// All members, if this leader is new to them; the live ones, if a version changed.
+    /// Returns all members if this is the leader's first committed state, and the live members if a version changed.
     fn members_to_notify(&self, leader: &Leader, before: Option<&State>, state: &State) -> Vec<u16> {
         let versions = |state: &State| state.topics.each_ref().map(|topic| (topic.in_force, topic.pending));
         let lease = self.granted_span();
--- a/crates/consensus/src/member/compatibility.rs
+++ b/crates/consensus/src/member/compatibility.rs
@@ -1,17 +1,17 @@
-//! The compatibility check: the leader fetches a proposal's content, has the embedder compare it with the versions that
-//! somebody may act on, and gives it a number.
+//! The compatibility check: the leader fetches the content of a proposal, asks the embedder to compare it with the
+//! versions that some member may act on, and assigns a number to it.
 
 use crate::roles::change::{CompatibilityCheck, QueuedProposal};
 use crate::state::{Pending, Phase, ProposalId};
 use crate::{ContentHash, Member, Micros, Output, ProposalOutcome, Topic, Verdict, Version};
 
 impl Member {
-    /// When the content of the proposal must be here and compared; after that it is rejected.
+    /// Returns when the check fails if the content isn't available and compared by then.
     pub(super) fn check_deadline(&self, check: &CompatibilityCheck) -> Micros {
         check.started_at + 2 * self.config.timing.prepare
     }
 
-    /// When the check can go on by time alone.
+    /// Returns when the check can next advance without another input.
     pub(super) fn check_timeout(&self, check: &CompatibilityCheck) -> Micros {
         let deadline = self.check_deadline(check);
         match check.against {
@@ -20,25 +20,25 @@
         }
     }
 
-    /// Goes on with the proposal that is being checked, or with the first of the queue.
+    /// Continues the current check, or starts to check the first proposal of the queue.
     pub(super) fn advance_check(&mut self, topic: Topic) {
         let Some(check) = self.current_check(topic) else { return };
         if self.is_settled(topic, &check.proposal) {
-            // Its proposer hears of the outcome when it sends the proposal again.
+            // The proposer receives the outcome when it sends the proposal again.
             return self.end_check(topic);
         }
         match (&check.against, check.verdict) {
             (None, _) => self.start_check(topic, check),
             (Some(_), Some(verdict)) => self.finish_check(topic, check, verdict),
             (Some(_), None) if self.now >= self.check_deadline(&check) => {
-                // The embedder doesn't answer: the queue must not stand still for ever.
+                // The embedder doesn't answer, and the queue must not be blocked forever.
                 self.reject_proposal(topic, check.proposal.id, ProposalOutcome::Rejected);
             }
             (Some(_), None) => {}
         }
     }
 
-    /// The check under way; of the queue's first proposal, if there is none.
+    /// Returns the current check. If there is none, starts one for the first proposal of the queue.
     fn current_check(&mut self, topic: Topic) -> Option<CompatibilityCheck> {
         let now = self.now;
         let change = &mut self.leader_mut()?.changes[topic.index()];
@@ -51,7 +51,7 @@
         change.check.clone()
     }
 
-    /// Whether the proposal has an outcome by now, or its content came in force while it was queued.
+    /// Whether the proposal already has an outcome, or its content came in force while the proposal was queued.
     fn is_settled(&self, topic: Topic, proposal: &QueuedProposal) -> bool {
         self.settled_state().is_some_and(|state| {
             let current = state.topic(topic);
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Fetches the content, then asks the embedder for its verdict.
+    /// Fetches the content if it isn't available, then asks the embedder for its verdict.
     fn start_check(&mut self, topic: Topic, check: CompatibilityCheck) {
         let deadline = self.check_deadline(&check);
         let QueuedProposal { id, hash, size, last_sent_at } = check.proposal;
@@ -72,7 +72,8 @@
         }
         if !self.lease_holder.is_available(&hash) {
             if self.now >= last_sent_at + self.config.timing.lease {
-                // Its proposer ended, and the content with it; if it comes back, it sends the proposal again.
+                // The proposer has ended, so its content can't be fetched. If the process returns, it sends the
+                // proposal again.
                 self.end_check(topic);
                 return self.advance_check(topic);
             }
@@ -86,8 +87,8 @@
         self.outputs.push_back(Output::Check { topic, hash, against });
     }
 
-    /// Versions that some member may act on, in the order of their numbers; the last one is in force. Before the leases of
-    /// earlier leaders have expired only that one is known.
+    /// Returns the versions that some member may act on, in ascending order of their numbers. The last one is in force.
+    /// Until the leases of earlier leaders have expired, only the version in force is known.
     fn versions_in_use(&self, topic: Topic) -> Vec<(u64, ContentHash)> {
         let mut versions = match self.leader() {
             Some(leader) if self.earlier_leases_expired() => leader.grants.leased_versions(topic, self.now),
@@ -98,7 +99,7 @@
         versions.into_iter().collect()
     }
 
-    /// Makes the proposal the topic's pending version.
+    /// Applies the verdict: makes the proposal the pending version of the topic, or rejects it.
     fn finish_check(&mut self, topic: Topic, check: CompatibilityCheck, verdict: Verdict) {
         let QueuedProposal { id, hash, size, .. } = check.proposal;
         let Some(mut state) = self.settled_state().cloned() else { return };
@@ -107,7 +108,7 @@
         let compatible_from = match verdict {
             Verdict::Rejected => return self.reject_proposal(topic, id, ProposalOutcome::Rejected),
             Verdict::Incompatible => number,
-            // Only numbers that were compared count, whatever the embedder answered.
+            // `compatible_from` must be a number that was compared, even if the embedder answered with another number.
             Verdict::Compatible { from } => {
                 let mut compared = check.against.unwrap_or_default().into_iter().map(|(number, _)| number);
                 compared.find(|&compared| compared >= from).unwrap_or(number)
@@ -126,7 +127,8 @@
         }
     }
 
-    /// Ends a proposal that has no number yet. Written to the state, so that it stays ended under the next leader.
+    /// Ends a proposal that has no number yet. The outcome is written to the state, so that the next leader doesn't
+    /// start the proposal again.
     fn reject_proposal(&mut self, topic: Topic, id: ProposalId, outcome: ProposalOutcome) {
         self.end_check(topic);
         let Some(mut state) = self.settled_state().cloned() else { return };
--- a/crates/consensus/src/member/content.rs
+++ b/crates/consensus/src/member/content.rs
@@ -1,12 +1,12 @@
-//! Which contents are available here, and requests to the embedder for those that aren't.
+//! The contents that are available locally, and requests to the embedder to fetch the others.
 
 use crate::{ContentHash, Member, Output, Topic};
 
-/// Contents that a member remembers as available, as unsupported, or as requested for a topic.
+/// The limit of each list of contents: available ones, unsupported ones, and ones requested for a topic.
 const MAX_CONTENTS: usize = 32;
 
 impl Member {
-    /// Asks the embedder to fetch a content; once within a lease's time, since it may be slow.
+    /// Asks the embedder to fetch a content, at most once within the duration of a lease, because fetching may be slow.
     pub(super) fn fetch_content(&mut self, topic: Topic, hash: ContentHash, size: u32, from: Vec<u16>) {
         if self.lease_holder.is_available(&hash) || self.lease_holder.is_unsupported(&hash) {
             return;
@@ -23,7 +23,8 @@
         self.outputs.push_back(Output::Fetch { topic, hash, size, from });
     }
 
-    /// Members that may have a content: the given ones, then the voters, each once and without this member.
+    /// Returns the members that may have a content: the given members, then the voters, without duplicates and without
+    /// this member.
     fn content_sources(&self, first: Vec<u16>) -> Vec<u16> {
         let mut sources: Vec<u16> = Vec::new();
         for member in first.into_iter().chain(self.config.voters.iter().copied()) {
@@ -49,7 +50,8 @@
         self.report_pending_content(hash);
     }
 
-    /// The leader waits for members' readiness: it is told at once about a content that is pending.
+    /// Sends a lease request immediately if the content is pending, because the leader waits for members to become
+    /// ready.
     fn report_pending_content(&mut self, hash: ContentHash) {
         let is_pending = self
             .lease_holder
@@ -62,7 +64,7 @@
     }
 }
 
-/// Adds a content as the newest; the oldest is dropped at the limit.
+/// Adds a content as the newest, and removes the oldest one if the list is full.
 fn remember(contents: &mut Vec<ContentHash>, hash: ContentHash) {
     contents.retain(|other| *other != hash);
     if contents.len() >= MAX_CONTENTS {
--- a/crates/consensus/src/member/election.rs
+++ b/crates/consensus/src/member/election.rs
@@ -1,5 +1,5 @@
-//! Elections as in Raft, with a pre-vote ahead of each (Ongaro's thesis, section 9.6), so that a voter that was cut off
-//! doesn't raise the term.
+//! Elections as in Raft, each preceded by a pre-vote (Ongaro's thesis, section 9.6), so that a voter that was
+//! disconnected doesn't raise the term.
 
 use crate::mutant::Mutant;
 use crate::roles::candidate::Candidacy;
@@ -10,29 +10,30 @@
 use std::collections::BTreeSet;
 
 impl Member {
-    /// Draws when to become a candidate, unless a leader is heard before. Never while the leader heard last may count on
-    /// this voter.
+    /// Draws the time at which this voter becomes a candidate unless it hears from a leader earlier. The time is never
+    /// before the end of the promise that the last heard leader relies on.
     pub(super) fn draw_election_deadline(&mut self) -> Micros {
         let min = self.lengthen(self.config.timing.election_timeout_min);
         let max = self.config.timing.election_timeout_max.max(min + 1);
         self.now + self.rng.random_range(min..=max)
     }
 
-    /// A candidacy ends by the candidate's clock, too: votes that wait in a queue meanwhile are for a term it then leaves.
+    /// Starts an election when it is due. This also ends a running candidacy: the candidate starts again in a new term,
+    /// and votes that are still queued for the old term no longer count.
     pub(super) fn tick_election(&mut self) {
         if self.voter.as_ref().is_some_and(|voter| voter.is_election_due(self.now)) {
             self.start_pre_vote();
         }
     }
 
-    /// Asks whether a majority would vote for this voter.
+    /// Starts a pre-vote, which asks whether a majority would vote for this voter.
     fn start_pre_vote(&mut self) {
         let Some(term) = self.begin_candidacy() else { return };
         let votes = BTreeSet::from([self.config.ordinal]);
         self.request_votes(Candidacy { term, pre_vote: true, votes });
     }
 
-    /// Asks for votes, after a majority granted the pre-vote.
+    /// Starts an election, after a majority granted the pre-vote.
     fn start_election(&mut self) {
         let ordinal = self.config.ordinal;
         let Some(term) = self.begin_candidacy() else { return };
@@ -44,7 +45,8 @@
         self.request_votes(Candidacy { term, pre_vote: false, votes: BTreeSet::from([ordinal]) });
     }
 
-    /// Forgets the leader and draws the time of the next attempt; the term to be elected in.
+    /// Clears the known leader, draws the time of the next election, and returns the term in which the candidate wants
+    /// to be elected.
     fn begin_candidacy(&mut self) -> Option<u64> {
         let deadline = self.draw_election_deadline();
         let voter = self.voter.as_mut()?;
@@ -71,7 +73,7 @@
         if candidacy.pre_vote { self.start_election() } else { self.become_leader() }
     }
 
-    /// Whether a leader may still count on this voter to vote for no other.
+    /// Whether a leader may still rely on this voter's promise not to vote for another candidate.
     fn is_bound_to_leader(&self, voter: &Voter) -> bool {
         if self.has_mutant(Mutant::VoteDespiteLeader) {
             return false;
@@ -122,7 +124,7 @@
             return;
         }
         if !granted {
-            // Only a greater term is news, and only a candidate needs it.
+            // Only a candidate needs to adopt a greater term.
             if term > voter.durable_state.term && voter.candidacy.is_some() {
                 self.adopt_term(term, None);
                 self.save_durable_state();
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Follows in a greater term. The caller saves the durable state.
+    /// Becomes a follower in a greater term. The caller must save the durable state.
     pub(super) fn adopt_term(&mut self, term: u64, leader: Option<u16>) {
         let deadline = self.draw_election_deadline();
         let Some(voter) = &mut self.voter else { return };
@@ -156,7 +158,8 @@
         self.check_invariant(is_greater, "a term was to go back");
     }
 
-    /// Leads from now on: writes the state it has anew, in its own term, and relies on nothing before a majority has it.
+    /// Becomes the leader: rewrites its state with a revision of its own term, and doesn't use the state until a
+    /// majority has it.
     fn become_leader(&mut self) {
         let (now, ordinal) = (self.now, self.config.ordinal);
         let Some(voter) = &mut self.voter else { return };
--- a/crates/consensus/src/member/endpoint_list.rs
+++ b/crates/consensus/src/member/endpoint_list.rs
@@ -1,10 +1,10 @@
-//! Comparison of the members' endpoint lists: a member whose list is older than that of others is notified.
+//! Comparison of the members' endpoint lists: a member whose list is older than that of another member is notified.
 
 use crate::{ListRevision, Member, Output};
 
 impl Member {
-    /// Discovery sent a list. A revision below the one before starts another epoch, as far as this member knows; the leader
-    /// accepts that epoch once enough members are in it.
+    /// Handles an endpoint list from discovery. If the revision is below the previous one, this member assumes a new
+    /// epoch; the leader accepts the epoch once enough members are in it.
     pub(super) fn list_received(&mut self, revision: u64) {
         let own = &mut self.lists.own;
         if revision < own.revision {
@@ -13,11 +13,12 @@
         own.revision = revision;
     }
 
-    /// The leader reported the newest list that members have.
+    /// Handles the leader's report of the newest list that members have.
     pub(super) fn newest_list_reported(&mut self, newest: ListRevision) {
         let lists = &mut self.lists;
         if newest.epoch > lists.own.epoch && newest.revision >= lists.own.revision {
-            // This member started since, or has less than the new epoch had at once: its list can't be of an older epoch.
+            // The member's own list can't belong to an older epoch. The member didn't count the new epoch because it
+            // started later, or because the first revision of the new epoch wasn't below its previous one.
             lists.own.epoch = newest.epoch;
         }
         if newest > lists.own && newest > lists.notified {
@@ -26,8 +27,8 @@
         }
     }
 
-    /// Leader: finds the newest list of the live members. A new epoch counts once more than half of them are in it or in a
-    /// later one.
+    /// Leader: finds the newest list of the live members. A new epoch is accepted once more than half of them are in it
+    /// or in a later one.
     pub(super) fn update_newest_list(&mut self) {
         let (now, lease) = (self.now, self.granted_span());
         let Some(leader) = self.leader_mut() else { return };
--- a/crates/consensus/src/member/leader.rs
+++ b/crates/consensus/src/member/leader.rs
@@ -1,11 +1,13 @@
-//! The leader's heartbeats, what voters acknowledge, and until when the leader has authority.
+//! The leader's heartbeats and their acknowledgements, the time until which the leader has authority, and the commit of
+//! its state.
 
 use crate::mutant::Mutant;
 use crate::roles::leader::Leader;
 use crate::{Member, Message, Micros, State, StateRevision, Topic};
 
 impl Member {
-    /// When the leader sent the newest heartbeat that a majority acknowledged; it counts as one of them itself.
+    /// Returns when the leader sent the newest heartbeat that a majority acknowledged. The leader itself counts as one
+    /// voter of the majority.
     fn newest_quorum_round(&self, leader: &Leader) -> Option<Micros> {
         let needed = self.config.majority() - 1;
         if needed == 0 {
@@ -16,13 +18,13 @@
         rounds.get(needed - 1).copied()
     }
 
-    /// Until when no other voter can be elected: the voters that acknowledged that heartbeat promised so, from when they
-    /// received it, which is later than it was sent.
+    /// Returns until when no other voter can be elected. The voters that acknowledged the heartbeat promised to vote
+    /// for no other candidate for some time after receiving it, which is later than the leader sent it.
     pub(super) fn authority_until(&self, leader: &Leader) -> Option<Micros> {
         Some(self.newest_quorum_round(leader)? + self.shorten(self.config.timing.election_timeout_min))
     }
 
-    /// Whether this process leads at this instant, by its own clock.
+    /// Whether this process is the leader at this instant, by its own clock.
     pub(super) fn has_authority(&self) -> bool {
         let Some(leader) = self.leader() else { return false };
         self.has_mutant(Mutant::NoAuthorityCheck)
@@ -37,19 +39,20 @@
         self.voter.as_ref()?.leadership.as_deref()
     }
 
-    /// The committed state, if this process leads at this instant and no write waits to be committed.
+    /// Returns the committed state if this process leads at this instant and has no uncommitted write.
     pub(super) fn settled_state(&self) -> Option<&State> {
         let leader = self.leader()?;
         let (_, state) = leader.committed.as_ref()?;
         (leader.is_committed && self.has_authority()).then_some(state)
     }
 
-    /// When every lease that an earlier leader granted has expired: all were granted before this one was elected.
+    /// Returns when every lease of an earlier leader has expired. All these leases were granted before this leader was
+    /// elected.
     fn earlier_leases_expire_at(&self, leader: &Leader) -> Micros {
         leader.elected_at + self.granted_span()
     }
 
-    /// Whether every lease that an earlier leader granted has expired.
+    /// Whether every lease of an earlier leader has expired.
     pub(super) fn earlier_leases_expired(&self) -> bool {
         self.leader().is_some_and(|leader| {
             self.has_mutant(Mutant::SkipHandover) || self.now >= self.earlier_leases_expire_at(leader)
@@ -66,7 +69,7 @@
         leader.next_heartbeat.min(handover).min(change.unwrap_or(Micros::MAX).max(self.now + 1))
     }
 
-    /// Sends a heartbeat to the other voters; with the state to those that aren't known to have it.
+    /// Sends a heartbeat to the other voters. The state is included for voters that haven't acknowledged this revision.
     pub(super) fn send_heartbeat(&mut self) {
         let (now, interval) = (self.now, self.config.timing.heartbeat);
         let Some(voter) = &mut self.voter else { return };
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Writes the next state; nothing relies on it before a majority has it.
+    /// Writes the next state. The state isn't used until a majority has it.
     pub(super) fn write_state(&mut self, state: State) {
         let Some(voter) = &mut self.voter else { return };
         let may_follow = state.may_follow(&voter.durable_state.state);
@@ -113,7 +116,7 @@
         let now = self.now;
         let Some(voter) = &mut self.voter else { return };
         if voter.recovery.is_some() {
-            // No acknowledgement: the state it lost may have been newer than the one it has now.
+            // A recovering voter must not acknowledge: the state that it lost may have been newer than its current one.
             voter.known_leader = Some(from);
             voter.leader_heard_at = now;
             return;
@@ -167,7 +170,8 @@
         let Some(leader) = &mut voter.leadership else { return };
         let is_newest = leader.acks.get(&from).is_none_or(|&(before, _)| round >= before);
         if term == own_term && is_newest && round <= now && round >= leader.elected_at {
-            // Replaces the voter's earlier acknowledgement, never adds to it: it may have lost its durable state since.
+            // The new acknowledgement replaces the earlier one: the voter may have lost its durable state in between,
+            // so an earlier, greater revision must not count any more.
             leader.acks.insert(from, (round, revision));
         } else {
             self.counters.dropped += 1;
@@ -192,7 +196,8 @@
         }
     }
 
-    /// Follows again: no majority acknowledges this leader, and as long as it leads, others may wait for it in vain.
+    /// Becomes a follower, because no majority acknowledges this leader and other voters may otherwise wait for it in
+    /// vain.
     fn step_down(&mut self) {
         let deadline = self.draw_election_deadline();
         let Some(voter) = &mut self.voter else { return };
@@ -209,8 +214,9 @@
         }
     }
 
-    /// Commits the state once a majority has it. Only recent acknowledgements count: a voter that lost its durable state
-    /// abstains for longer than they stay recent, then learns from a majority of the others what was committed with its help.
+    /// Commits the state once a majority has it. Only recent acknowledgements count. A voter that lost its durable
+    /// state abstains until its earlier acknowledgements are no longer recent. It then learns from a majority of the
+    /// other voters which state was committed with its help.
     fn commit_if_majority(&mut self) {
         let (now, window) = (self.now, self.config.timing.election_timeout_max);
         let Some(voter) = &mut self.voter else { return };
--- a/crates/consensus/src/member/lease_grants.rs
+++ b/crates/consensus/src/member/lease_grants.rs
@@ -1,11 +1,11 @@
-//! The leader's answer to a lease request.
+//! The answers of the leader and of the other voters to a lease request.
 
 use crate::roles::lease_grants::MemberLeases;
 use crate::state::Phase;
 use crate::{LeaseGrant, LeaseRequest, Member, Message, Micros, State, Topic, TopicState, Version};
 
 impl Member {
-    /// Voter: grants leases on the versions in force, if it leads; points to the leader otherwise.
+    /// Voter: grants leases on the versions in force if it leads; otherwise names the leader.
     pub(super) fn receive_lease_request(&mut self, from: u16, request: &LeaseRequest) {
         if self.voter.is_none() {
             return self.counters.dropped += 1;
@@ -34,7 +34,8 @@
         self.send(from, Message::LeaseGrant(Box::new(grant)));
     }
 
-    /// Names the leader to a member, if it was heard recently. A leader without a committed state answers nothing.
+    /// Sends a hint with the leader, if this voter heard from the leader recently. A leader without a committed state
+    /// sends no answer.
     fn hint_at_leader(&mut self, to: u16, echo: Micros) {
         let Some(voter) = &self.voter else { return };
         if voter.leadership.is_some() {
@@ -47,7 +48,8 @@
     }
 }
 
-/// Extends the member's leases on the versions in force, unless they are being revoked; those versions, by topic.
+/// Extends the member's leases on the versions in force, except versions that are being revoked. Returns the granted
+/// versions by topic.
 fn grant_versions(
     member: &mut MemberLeases,
     request: &LeaseRequest,
@@ -58,7 +60,7 @@
     for topic in Topic::ALL {
         let at = topic.index();
         let revoked_below = request.revoked_below[at];
-        // The member acts on nothing below, and accepts no such grant that may be under way.
+        // The member doesn't act on versions below this number, and rejects grants of them that are still in transit.
         member.leases[at].retain(|lease| lease.number >= revoked_below);
         let Some(version) = state.topic(topic).in_force else { continue };
         if is_being_revoked(state.topic(topic), &version) || version.number < revoked_below {
@@ -70,7 +72,7 @@
     versions
 }
 
-/// Whether the pending version is incompatible with this one, and waits for its leases to end.
+/// Whether the pending version is incompatible with this one and waits for its leases to end.
 fn is_being_revoked(topic: &TopicState, version: &Version) -> bool {
     topic.pending.is_some_and(|pending| {
         pending.phase == Phase::Revoke && version.number < pending.version.compatible_from
--- a/crates/consensus/src/member/lease_holder.rs
+++ b/crates/consensus/src/member/lease_holder.rs
@@ -1,4 +1,5 @@
-//! A member's leases: requested and counted by its own clock from when it sent the request, dropped at once when revoked.
+//! The leases of a member. A lease is counted by the member's own clock from when the member sent the request, and is
+//! dropped immediately when the version is revoked.
 
 use crate::mutant::Mutant;
 use crate::roles::lease_holder::TopicLease;
@@ -10,7 +11,8 @@
 use rand::RngExt;
 
 impl Member {
-    /// Draws the time and the voter of the first request: members that start together don't all ask at once.
+    /// Draws the time and the receiver of the first request, so that members that start together don't all send
+    /// requests at the same time.
     pub(super) fn schedule_first_request(&mut self) {
         let spread = self.rng.random_range(0..=self.config.timing.heartbeat);
         self.lease_holder.requests.next_request = self.now + spread;
@@ -26,7 +28,7 @@
         let published = &mut self.lease_holder.topics[topic.index()].published;
         let before = published.map(|lease| lease.version);
         let lease = match lease.version {
-            // Whatever was published before ends now, at the latest.
+            // The previously published lease has ended: at its own end, or now if that is earlier.
             None => Lease { until: published.map_or(now, |before| before.until.min(now)), ..lease },
             Some(_) => lease,
         };
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Requests the leases when it is time to.
+    /// Sends a lease request if one is due.
     pub(super) fn tick_lease_holder(&mut self) {
         let now = self.now;
         if now < self.lease_holder.requests.next_request || now <= self.lease_holder.requests.last_sent {
@@ -69,15 +71,15 @@
         self.send(to, Message::LeaseRequest(Box::new(request)));
     }
 
-    /// How long to wait for an answer: so that a lost message costs little of the lease's time, and a leader that died is
-    /// soon given up for the next voter.
+    /// Returns how long to wait for an answer. The time is short, so that a lost message costs little of the lease's
+    /// duration and the member soon moves on from a failed leader to the next voter.
     fn lease_retry_after(&self) -> Micros {
         let timing = &self.config.timing;
         let backoff = timing.heartbeat * i64::from(self.lease_holder.requests.unanswered.min(4)) / 4;
         (timing.heartbeat * 2).min(timing.lease / 4) + backoff
     }
 
-    /// The request that goes out now.
+    /// Builds the request that is sent now.
     fn lease_request(&self) -> LeaseRequest {
         let holder = &self.lease_holder;
         let by_topic = |of: &dyn Fn(&TopicLease) -> Option<u64>| holder.topics.each_ref().map(of);
@@ -105,14 +107,14 @@
         self.lease_holder.requests.target_is_leader = false;
     }
 
-    /// Requests the leases ahead of their time: the leader waits for what the request says.
+    /// Schedules a request for the current time, because the leader waits for the information in it.
     pub(super) fn request_lease_now(&mut self) {
         self.lease_holder.requests.is_early = true;
         self.lease_holder.requests.next_request =
             self.now.max(self.lease_holder.requests.last_sent.saturating_add(1));
     }
 
-    /// A voter that doesn't lead answered the newest request.
+    /// Handles the answer of a voter that doesn't lead, if it belongs to the newest request.
     pub(super) fn receive_leader_hint(&mut self, echo: Micros, leader: Option<u16>) {
         if echo != self.lease_holder.requests.last_sent {
             return;
@@ -136,7 +138,7 @@
         }
     }
 
-    /// The leader answered.
+    /// Handles a lease grant of the leader.
     pub(super) fn receive_lease_grant(&mut self, from: u16, grant: &LeaseGrant) {
         if !self.accepts_grant(grant) {
             return self.counters.dropped += 1;
@@ -152,7 +154,7 @@
         let jitter = self.rng.random_range(0..=timing.lease / 12);
         self.lease_holder.requests.next_request = (grant.echo + timing.lease / 3 - jitter).max(self.now + 1);
         self.update_pending(grant.revision, grant.pending, from);
-        // Counted from the request: the leader counts from later, and for longer.
+        // The lease is counted from the sending of the request. The leader counts from a later time and for longer.
         let starts_at = if self.has_mutant(Mutant::LeaseFromReceipt) { self.now } else { grant.echo };
         let until = starts_at + self.shorten(timing.lease);
         for topic in Topic::ALL {
@@ -163,7 +165,7 @@
         self.newest_list_reported(grant.list);
     }
 
-    /// Whether the grant answers a request of this incarnation, and no newer answer came before.
+    /// Whether the grant answers a request of this incarnation, and no newer answer arrived before.
     fn accepts_grant(&self, grant: &LeaseGrant) -> bool {
         let holder = &self.lease_holder;
         let is_old = grant.echo <= holder.requests.last_echo || grant.revision < holder.known_revision;
@@ -172,7 +174,7 @@
             && (!is_old || self.has_mutant(Mutant::AcceptRevoked))
     }
 
-    /// Starts or extends a granted lease; fetches the content first if it isn't here.
+    /// Starts or extends a granted lease. If the content isn't available, requests it and starts the lease later.
     fn offer_lease(&mut self, topic: Topic, version: Version, until: Micros, leader: u16) {
         let accepts_revoked = self.has_mutant(Mutant::AcceptRevoked);
         let lease = &mut self.lease_holder.topics[topic.index()];
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Acts on the offered version, once its content is here.
+    /// Starts to act on the offered version if its content is available.
     pub(super) fn activate_offered(&mut self, topic: Topic) {
         let lease = &mut self.lease_holder.topics[topic.index()];
         let Some((version, until)) = lease.offered else { return };
@@ -205,7 +207,7 @@
         self.publish_lease(topic);
     }
 
-    /// The leader announced, unasked, that the state changed.
+    /// Handles the leader's announcement that the state changed.
     pub(super) fn receive_announcement(
         &mut self,
         from: u16,
@@ -221,7 +223,7 @@
         self.request_lease_now();
     }
 
-    /// Follows the pending versions: fetches their contents, and drops the leases that they revoke.
+    /// Updates the pending versions: fetches their contents, and drops the leases that they revoke.
     fn update_pending(&mut self, revision: StateRevision, pending: [Option<Pending>; 2], leader: u16) {
         if revision < self.lease_holder.known_revision {
             return;
@@ -238,8 +240,8 @@
         }
     }
 
-    /// Drops versions that are incompatible with one that will be in force for sure, never accepts them again, and tells the
-    /// leader at once.
+    /// Drops the lease on a version below `number` and rejects such versions from now on, because an incompatible
+    /// version will certainly come in force. Tells the leader immediately.
     fn revoke_below(&mut self, topic: Topic, number: u64) {
         let lease = &mut self.lease_holder.topics[topic.index()];
         if lease.revoked_below >= number {
--- a/crates/consensus/src/member/mod.rs
+++ b/crates/consensus/src/member/mod.rs
@@ -1,4 +1,4 @@
-//! One member: its inputs, its outputs, its clock. The steps of the protocol are in the files below.
+//! One member: its inputs, its outputs and its clock. The submodules contain the steps of the protocol.
 
 mod activation;
 mod compatibility;
@@ -24,7 +24,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
 
-/// Counters since the process started; [`Status`] says what each means.
+/// Counters since the start of the process. [`Status`] documents the meaning of each.
 #[derive(Clone, Debug, Default)]
 struct Counters {
     elections: u64,
@@ -35,7 +35,7 @@
     invariant_violations: u64,
 }
 
-/// One member of the cluster; also a voter, if the configuration says so.
+/// One member of the cluster, which is also a voter if the configuration lists it as one.
 #[derive(Clone, Debug)]
 pub struct Member {
     config: Config,
@@ -43,7 +43,7 @@
     now: Micros,
     rng: ChaCha8Rng,
     outputs: VecDeque<Output>,
-    /// Messages of this process to itself, as when the leader renews its own lease.
+    /// Messages of this process to itself, for example when the leader renews its own lease.
     loopback: VecDeque<Message>,
     voter: Option<Voter>,
     lease_holder: LeaseHolder,
@@ -55,10 +55,11 @@
 }
 
 impl Member {
-    /// A member that starts now. `durable_state` is what it last saved; members that don't vote need none. A voter without
-    /// it, lost or never there, abstains: it waits until whatever it may have promised is over, then asks the other voters
-    /// for their state. Give [`DurableState::initial`] at the very first start of a cluster only. The configuration must
-    /// have passed [`Config::check`].
+    /// Creates a member that starts now. `durable_state` is the state that the member saved last; members that don't
+    /// vote need none. A voter without durable state, whether it was lost or never existed, abstains: it waits until
+    /// every promise that it may have made has expired, then asks the other voters for their state.
+    /// [`DurableState::initial`] must only be used at the very first start of a cluster. The configuration must have
+    /// passed [`Config::check`].
     pub fn new(config: Config, now: Micros, durable_state: Option<DurableState>, seed: u64) -> Self {
         let mut member = Self {
             now,
@@ -82,7 +83,7 @@
         member
     }
 
-    /// Builds a fault in. For tests.
+    /// Builds a fault in, for tests.
     #[cfg(feature = "mutants")]
     #[doc(hidden)]
     pub fn mutate(&mut self, mutant: Mutant) {
@@ -98,23 +99,24 @@
         }
     }
 
-    /// Whether the fault is built in. Never outside of tests.
+    /// Whether the fault is built in. Only tests build faults in.
     #[cfg(feature = "mutants")]
     fn has_mutant(&self, mutant: Mutant) -> bool {
         self.mutant == mutant
     }
 
-    /// Whether the fault is built in. Never outside of tests.
+    /// Whether the fault is built in. Only tests build faults in.
     #[cfg(not(feature = "mutants"))]
     fn has_mutant(&self, _: Mutant) -> bool {
         false
     }
 
-    /// Handles an input that arrived at `now`, by the process's monotonic clock. A time before that of an earlier input
-    /// counts as the earlier one's.
+    /// Handles an input that arrived at `now`, by the process's monotonic clock. If `now` is before the time of an
+    /// earlier input, the earlier input's time is used.
     pub fn handle(&mut self, now: Micros, input: Input) {
         self.now = self.now.max(now);
-        // Expiry comes first: after a stop, nothing may be done under a lease that ran out meanwhile.
+        // Leases expire before the input is handled: a process that was stopped must not act under a lease that expired
+        // meanwhile.
         self.tick();
         match input {
             Input::Tick => {}
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Does what is due by the clock, or has become possible.
+    /// Performs all steps that are due by the clock or that have become possible.
     fn tick(&mut self) {
         self.expire_leases();
         self.tick_recovery();
@@ -173,7 +175,7 @@
         }
     }
 
-    /// Whether the message keeps the bounds and may come from this sender.
+    /// Whether the message is within the bounds and may come from this sender.
     fn accepts(&self, from: u16, message: &Message) -> bool {
         let among_voters = message.is_among_voters();
         from < self.config.members
@@ -182,18 +184,19 @@
             && (!among_voters || (self.voter.is_some() && from != self.config.ordinal))
     }
 
-    /// When [`Input::Tick`] is due, unless another input comes before.
+    /// Returns when [`Input::Tick`] is due, unless another input comes earlier.
     pub fn next_timeout(&self) -> Micros {
         let voter = self.voter.as_ref().map_or(Micros::MAX, |voter| self.voter_timeout(voter));
         voter.min(self.lease_holder.next_timeout()).min(self.proposer.next_timeout())
     }
 
-    /// The next output, to be carried out before the one after it.
+    /// Returns the next output. The embedder must carry it out before the one after it.
     pub fn poll(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// The lease on this topic as of the last input. Compare its `until` with the clock before each use.
+    /// Returns the lease on this topic as of the last input. The caller must compare its `until` with the clock before
+    /// each use.
     pub fn lease(&self, topic: Topic) -> Lease {
         self.lease_holder.lease(topic)
     }
@@ -215,9 +218,9 @@
         }
     }
 
-    /// Checks an invariant: a violation fails tests, and is counted in programs.
+    /// Checks an invariant. A violation panics in builds with debug assertions, and is counted in other builds.
     fn check_invariant(&mut self, holds: bool, invariant: &str) {
-        // Mutants violate invariants on purpose; the oracle of the tests judges those.
+        // Mutants violate invariants deliberately; the oracle of the tests detects these violations.
         let is_unmodified = self.has_mutant(Mutant::Unmodified) || cfg!(not(feature = "mutants"));
         debug_assert!(holds || !is_unmodified, "{invariant}");
         if !holds {
@@ -229,22 +232,23 @@
         if self.has_mutant(Mutant::IgnoreDrift) { 0 } else { self.config.timing.drift_ppm }
     }
 
-    /// See [`lengthen`]; by the configured drift.
+    /// Calls [`lengthen`] with the configured drift.
     fn lengthen(&self, span: Micros) -> Micros {
         lengthen(span, self.drift_ppm())
     }
 
-    /// See [`shorten`]; by the configured drift.
+    /// Calls [`shorten`] with the configured drift.
     fn shorten(&self, span: Micros) -> Micros {
         shorten(span, self.drift_ppm())
     }
 
-    /// A granted lease's span by the granter's clock: it covers the holder's, however far the two clocks drift.
+    /// Returns how long the leader counts a granted lease by its own clock. This covers the member's lease even if the
+    /// two clocks drift apart by the configured maximum.
     fn granted_span(&self) -> Micros {
         self.lengthen(self.config.timing.lease)
     }
 
-    /// This member's view of itself and of the cluster.
+    /// Returns the status of this member and its view of the cluster.
     pub fn status(&self) -> Status {
         let mut status = Status {
             term: self.lease_holder.known_revision.term,
--- a/crates/consensus/src/member/proposal.rs
+++ b/crates/consensus/src/member/proposal.rs
@@ -1,4 +1,5 @@
-//! Proposals: the proposer sends one a topic until it is finished, the leader queues what it receives.
+//! Proposals: the proposer sends one proposal for each topic until it is finished, and the leader queues the proposals
+//! that it receives.
 
 use crate::roles::change::{CompatibilityCheck, QueuedProposal};
 use crate::roles::proposer::OwnProposal;
@@ -6,7 +7,8 @@
 use crate::{ContentHash, Member, Message, Output, ProposalOutcome, Topic, Verdict};
 use rand::RngExt;
 
-/// Proposals that wait at the leader, a topic. One beyond is dropped, and its proposer sends it again.
+/// The limit of the leader's queue for each topic. A proposal beyond the limit is dropped, and its proposer sends it
+/// again.
 const MAX_QUEUED: usize = 8;
 
 impl Member {
@@ -15,7 +17,7 @@
         self.content_ready(hash);
         let proposals = &self.proposer.proposals;
         if proposals.iter().any(|proposal| proposal.topic == topic && proposal.hash == hash) {
-            // It is proposed already; one outcome answers both.
+            // The content is already proposed. One outcome answers both proposals.
             return;
         }
         self.supersede_unsent(topic);
@@ -28,7 +30,8 @@
         self.proposer.proposals.push(OwnProposal { id, topic, hash, size, next_send: self.now });
     }
 
-    /// Ends the topic's proposals that weren't sent yet: the new one would replace them as soon as they were in force.
+    /// Ends the proposals of this topic that haven't been sent yet, because the new proposal would replace them as soon
+    /// as they were in force.
     fn supersede_unsent(&mut self, topic: Topic) {
         let first = self.proposer.first(topic);
         let mut at = 0;
@@ -44,7 +47,7 @@
         });
     }
 
-    /// Sends each topic's first proposal to the leader when it is time to.
+    /// Sends the first proposal of each topic to the leader if it is due.
     pub(super) fn tick_proposer(&mut self) {
         let retry_after = self.config.timing.heartbeat * 2;
         for topic in Topic::ALL {
@@ -80,7 +83,7 @@
         if id.member != from {
             return self.counters.dropped += 1;
         }
-        // Only what is committed may be answered.
+        // Answers must be based on the committed state only.
         let Some(state) = self.settled_state() else { return };
         let current = state.topic(topic);
         if let Some(outcome) = current.outcome_of(&id) {
@@ -105,14 +108,14 @@
         }
     }
 
-    /// Leader: notes the embedder's verdict on the proposal that it was asked about.
+    /// Leader: stores the embedder's verdict on the proposal that is being checked.
     pub(super) fn check_finished(&mut self, topic: Topic, hash: ContentHash, answer: Verdict) {
         let Some(leader) = self.leader_mut() else { return };
         if let Some(CompatibilityCheck { proposal, against: Some(_), verdict: verdict @ None, .. }) =
             &mut leader.changes[topic.index()].check
             && proposal.hash == hash
         {
-            // Used once no other write waits to be committed.
+            // The verdict is applied once there is no uncommitted write.
             *verdict = Some(answer);
         }
     }
--- a/crates/consensus/src/member/recovery.rs
+++ b/crates/consensus/src/member/recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery of a voter that lost its durable state: it abstains until whatever it may have promised is over, then takes over
-//! the newest state that a majority of the other voters has.
+//! Recovery of a voter that lost its durable state. The voter abstains until every promise that it may have made has
+//! expired, then takes over the newest state among those of a majority of voters other than itself.
 
 use crate::{DurableState, Member, Message, Micros, State, StateRevision};
 use rand::RngExt;
@@ -17,11 +17,12 @@
             return;
         }
         recovery.next_request = now + retry_after + jitter;
-        // Retries carry the same nonce: the answer to any of them came after the wait.
+        // Retries use the same nonce, because all of them are sent after the waiting time and every answer to them is
+        // valid.
         let nonce = *recovery.nonce.get_or_insert(new_nonce);
         self.send_to_other_voters(&Message::RecoveryRequest { nonce });
         if self.config.voters.len() == 1 {
-            // A single voter has nobody to ask; only an operator can start it anew.
+            // A single voter has no other voter to ask. Only an operator can start it with a new state.
             self.counters.dropped += 1;
         }
     }
@@ -35,8 +36,8 @@
         self.send(from, Message::RecoveryResponse { nonce, term, revision, state: Box::new(state) });
     }
 
-    /// Counts an answer. A majority of all voters, without this one, has seen every term that it voted in and every state
-    /// that it helped to commit.
+    /// Handles an answer. Answers are needed from as many other voters as make a majority of all voters: together they
+    /// know every term that this voter voted in and every state that it helped to commit.
     pub(super) fn receive_recovery_response(
         &mut self,
         from: u16,
@@ -45,7 +46,8 @@
         revision: StateRevision,
         state: State,
     ) {
-        // Drawn ahead of every check, so that the sequence of random numbers depends on the messages alone.
+        // The deadline is drawn before every check, so that the sequence of random numbers depends only on the
+        // messages.
         let deadline = self.draw_election_deadline();
         let majority = self.config.majority();
         let Some(recovery) = self.voter.as_mut().and_then(|voter| voter.recovery.as_mut()) else { return };
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Takes over the greatest term and the newest state among the answers.
+    /// Takes over the greatest term and the newest state of the answers.
     fn finish_recovery(&mut self, election_deadline: Micros) {
         let (now, ordinal) = (self.now, self.config.ordinal);
         let Some(voter) = &mut self.voter else { return };
@@ -66,7 +68,8 @@
         let term = recovery.answers.values().map(|&(term, ..)| term).max().unwrap_or(0);
         let newest = recovery.answers.values().max_by_key(|(_, revision, _)| *revision);
         let Some((_, revision, state)) = newest.cloned() else { return };
-        // As if it had voted for itself in this term: it doesn't know whom it did vote for.
+        // The voter doesn't know which candidate it voted for in this term. It records a vote for itself, so that it
+        // votes for no other candidate.
         voter.durable_state = DurableState { term, voted: Some(ordinal), revision, state };
         voter.recovery = None;
         voter.leader_heard_at = now;
--- a/crates/consensus/src/member/voter.rs
+++ b/crates/consensus/src/member/voter.rs
@@ -1,10 +1,11 @@
-//! What voters do in every role: they save their durable state ahead of what they send, and wait.
+//! The steps that voters take in every role: saving their durable state before sending messages that depend on it, and
+//! computing the next time-out.
 
 use crate::roles::voter::Voter;
 use crate::{Member, Micros, Output};
 
 impl Member {
-    /// Saves the voter's durable state, ahead of whatever is sent next.
+    /// Saves the durable state of the voter before any message that is sent later.
     pub(super) fn save_durable_state(&mut self) {
         if let Some(voter) = &self.voter {
             self.outputs.push_back(Output::Save(voter.durable_state.clone()));
--- a/crates/consensus/tests/common/chaos.rs
+++ b/crates/consensus/tests/common/chaos.rs
@@ -1,25 +1,25 @@
-//! Random faults, one after another; then all of them end.
+//! Random faults in sequence, followed by a recovery phase without faults.
 
 use super::world::{Disk, MS, Net, World};
 use super::{content, not_for};
 use cottonnotch_consensus::{Mutant, Role, Timing, Topic};
 use rand::RngExt;
 
-/// The faults of a run.
+/// The parameters of a run with random faults.
 #[derive(Clone, Debug)]
 pub struct Faults {
     pub members: u16,
     pub voters: u16,
     pub drift_ppm: u32,
     pub span: i64,
-    /// Voters that may be without durable state at one time.
+    /// The number of voters that may be without durable state at the same time.
     pub max_recovering: usize,
     pub net: Net,
     pub mutant: Mutant,
 }
 
 impl Faults {
-    /// Drawn from the seed: mostly few members, now and then many.
+    /// Derives the parameters from the seed. Most runs have few members; some have many.
     pub fn drawn(seed: u64) -> Self {
         let members = match seed % 50 {
             0 => 300,
@@ -52,7 +52,8 @@
     }
 }
 
-/// A random content; half of them are incompatible with a given other.
+/// Returns a random content with three random answers. About half of these contents are incompatible with a given other
+/// one. Every eighth content, on average, can't run at one member.
 pub fn any_content(world: &mut World, id: u16) -> cottonnotch_consensus::ContentHash {
     let says = [0; 3].map(|_: u8| world.rng.random_range(0..=2));
     let hash = content(id, says);
@@ -63,7 +64,7 @@
     hash
 }
 
-/// Runs under faults; the world as it is then, with the faults still there.
+/// Runs a cluster under random faults and returns it with the faults still in place.
 pub fn run_under_faults(seed: u64, faults: &Faults) -> World {
     let mut world = World::new(seed, faults.members, faults.voters, faults.timing(), faults.mutant);
     world.net = faults.net.clone();
@@ -100,7 +101,7 @@
     let voter = world.rng.random_range(0..world.voters.len()) as u16;
     let leader = world.leader().unwrap_or(voter);
     let any = world.rng.random_range(0..world.members);
-    // Faults of the leader matter most.
+    // Faults of the leader have the greatest effect, so they are the most frequent.
     let one = match world.rng.random_range(0..4) {
         0 | 1 => leader,
         2 => voter,
@@ -114,7 +115,7 @@
             world.cut_both(one, any);
         }
         2 => {
-            // Receives and can't send, or the other way round.
+            // The process can receive but not send, or send but not receive.
             let hears = world.rng.random_range(0..2) == 0;
             for other in 0..world.members {
                 world.cut.insert(if hears { (one, other) } else { (other, one) });
@@ -149,7 +150,8 @@
         }
         10 | 11 => world.stop(one),
         12 => {
-            // A new incarnation while the old one is only stopped. Voters' state folder is locked by one process.
+            // Starts a new incarnation while the old one is only stopped. This is not done to voters, because only one
+            // process can lock a voter's state folder.
             if !world.voters.contains(&any) {
                 world.stop(any);
                 world.start(any, None);
@@ -168,8 +170,8 @@
     }
 }
 
-/// Ends all faults. Earlier proposals must be finished within `most`, and a new one in force everywhere soon after; how long
-/// both took.
+/// Ends all faults. Earlier proposals must finish within `most`, and a new proposal must then come in force at all
+/// members within 5 s. Returns how long both took.
 pub fn recover(world: &mut World, most: i64) -> Option<(i64, i64)> {
     world.heal();
     world.end_old_incarnations();
@@ -187,7 +189,7 @@
     Some((settled, took))
 }
 
-/// The voters' status and the last proposals' outcomes, for a failure's message.
+/// Describes the voters' status and the outcomes of the last proposals, for the message of a failed test.
 pub fn report(world: &World) -> String {
     let short = |hash: &cottonnotch_consensus::ContentHash| format!("{:x?}", &hash[..6]);
     let over = world.over.iter().rev().take(9);
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -1,6 +1,7 @@
-//! A simulation of many members on virtual time, each with its own clock, over links that lose, delay, duplicate and reorder
-//! messages and can be cut in one direction; processes crash, lose their disk, are stopped and resume. The oracle sees all clocks.
-#![allow(dead_code)] // Each test file uses its own part.
+//! A simulation of many members on virtual time. Each member has its own clock. Links lose, delay, duplicate and
+//! reorder messages, and can be cut in one direction. Processes crash, lose their disk, and are stopped and resumed. An
+//! oracle that sees all clocks checks the invariants.
+#![allow(dead_code)] // Each test file uses only a part of this module.
 
 pub mod chaos;
 pub mod oracle;
@@ -10,7 +11,9 @@
 
 use cottonnotch_consensus::ContentHash;
 
-/// The content of a version: its answers to three questions (0: none), who can't run it, whether it is rejected.
+/// Returns a content hash that encodes the properties of the content: its answers to three questions (0 means no
+/// answer), the member that can't run it, and whether the leader's embedder rejects it. This function sets only the
+/// answers.
 pub fn content(id: u16, says: [u8; 3]) -> ContentHash {
     let mut hash = [0; 32];
     hash[..2].copy_from_slice(&id.to_be_bytes());
@@ -18,14 +21,14 @@
     hash
 }
 
-/// The same content, but this member can't run it.
+/// Returns the same content, changed so that `member` can't run it.
 pub fn not_for(mut hash: ContentHash, member: u16) -> ContentHash {
     hash[5] = 1;
     hash[6..8].copy_from_slice(&member.to_be_bytes());
     hash
 }
 
-/// The same content, but the leader's embedder rejects it.
+/// Returns the same content, changed so that the leader's embedder rejects it.
 pub fn refused(mut hash: ContentHash) -> ContentHash {
     hash[8] = 1;
     hash
@@ -35,7 +38,7 @@
     hash[5] == 0 || u16::from_be_bytes([hash[6], hash[7]]) != member
 }
 
-/// Whether both answer a question, and differently. Not transitive.
+/// Whether both contents answer the same question differently. This relation is not transitive.
 pub fn contradict(one: &ContentHash, other: &ContentHash) -> bool {
     (2..5).any(|at| one[at] != 0 && other[at] != 0 && one[at] != other[at])
 }
--- a/crates/consensus/tests/common/oracle.rs
+++ b/crates/consensus/tests/common/oracle.rs
@@ -1,10 +1,10 @@
-//! Checks the invariants at every instant, with a view of all clocks.
+//! An oracle that checks the invariants at every instant, with a view of all clocks.
 
 use super::contradict;
 use cottonnotch_consensus::{ContentHash, Lease, Topic};
 use std::collections::BTreeMap;
 
-/// A process's lease, by true time.
+/// The lease of a process, with its end by true time.
 #[derive(Clone, Copy, Debug)]
 struct Acting {
     number: u64,
@@ -18,18 +18,19 @@
     floors: [BTreeMap<usize, u64>; 2],
     named: [BTreeMap<u64, ContentHash>; 2],
     pub violation: Option<String>,
-    /// The greatest number that any process had a lease on.
+    /// For each topic, the greatest number that any process had a lease on.
     pub greatest: [u64; 2],
-    /// Since when each process has been without a lease it had before, by true time; and the total time.
+    /// For each topic, the true time since which each process has been without a lease that it had before.
     without_lease_since: [BTreeMap<usize, i64>; 2],
     pub time_without_lease: [i64; 2],
-    /// When a process first had a lease on a number, and when the last one got it.
+    /// For each topic and number, when the first process got a lease on the number, and when the last process got or
+    /// extended one.
     pub first: BTreeMap<(usize, u64), i64>,
     pub last: BTreeMap<(usize, u64), i64>,
 }
 
 impl Oracle {
-    /// A process got a lease, or lost it; `until` by true time.
+    /// Records that a process got or lost a lease. `until` is the end of the lease by true time.
     pub fn lease_changed(&mut self, now: i64, process: usize, lease: Lease, until: i64) {
         let at = lease.topic as usize;
         if let Some(before) = self.acting[at].remove(&process)
@@ -76,7 +77,7 @@
         self.acting[at].insert(process, mine);
     }
 
-    /// The process has ended.
+    /// Removes a process that has ended.
     pub fn remove_process(&mut self, process: usize) {
         for at in 0..2 {
             self.acting[at].remove(&process);
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Processes that may act on this number now.
+    /// Returns the number of processes that may act on this number now.
     pub fn acting_on(&self, topic: Topic, number: u64, now: i64) -> usize {
         self.acting[topic as usize]
             .values()
@@ -92,7 +93,7 @@
             .count()
     }
 
-    /// Processes that may act on anything now.
+    /// Returns the number of processes that may act on any version now.
     pub fn acting(&self, topic: Topic, now: i64) -> usize {
         self.acting[topic as usize].values().filter(|acting| now < acting.until).count()
     }
--- a/crates/consensus/tests/common/scenarios.rs
+++ b/crates/consensus/tests/common/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenarios made by hand: they pass as the code is, and fail with the mutant they are made for.
+//! Hand-written scenarios. Each passes with the unmodified code and fails with the mutant that it targets.
 
 use super::content;
 use super::world::{Disk, MS, World};
@@ -16,7 +16,7 @@
     content(2, [NEW, 0, 0])
 }
 
-/// A cluster that acts on `old` everywhere, and its leader.
+/// Returns a cluster in which all members act on `old`, and its leader.
 pub fn acting(seed: u64, members: u16, voters: u16, mutant: Mutant) -> (World, u16) {
     let mut world = World::new(seed, members, voters, Timing::default(), mutant);
     let everywhere = usize::from(members);
@@ -34,7 +34,8 @@
     world.voters.iter().copied().filter(|&voter| voter != but).collect()
 }
 
-/// The leader is stopped; the others change what is in force; it resumes, cut off from all.
+/// The leader is stopped, the other members put a new version in force, and the old leader resumes while it is cut off
+/// from all members.
 pub fn leader_stopped_during_a_change(seed: u64, mutant: Mutant) -> World {
     let (mut world, leader) = acting(seed, 5, 3, mutant);
     let process = world.at[usize::from(leader)].unwrap_or_default();
@@ -48,8 +49,8 @@
     world
 }
 
-/// One voter doesn't hear the leader and asks for votes; a voter that votes for it breaks its promise to the leader, which is cut
-/// off then and acts on as long as it may.
+/// One voter doesn't hear the leader and requests votes. A voter that grants its vote breaks its promise to the leader,
+/// which is then cut off and acts for as long as its authority lasts.
 pub fn rival_while_leader_is_heard(seed: u64, mutant: Mutant) -> World {
     let (mut world, leader) = acting(seed, 5, 3, mutant);
     let others = other_voters(&world, leader);
@@ -58,7 +59,7 @@
     world.propose(4, Topic::Rules, new());
     world.cut_both(4, leader);
     let won = |world: &World| world.status(rival).is_some_and(|status| status.elections_won > 0);
-    // While promises are kept, it never wins.
+    // The rival never wins while voters keep their promises.
     if world.run_until(2_000 * MS, won).is_some() {
         world.cut_off(leader);
     }
@@ -66,7 +67,7 @@
     world
 }
 
-/// As before, but the voter keeps its promise until it restarts.
+/// Like `rival_while_leader_is_heard`, but the other voter keeps its promise until it restarts.
 pub fn voter_restart_under_a_rival(seed: u64, mutant: Mutant) -> World {
     let (mut world, leader) = acting(seed, 5, 3, mutant);
     let others = other_voters(&world, leader);
@@ -83,7 +84,8 @@
     world
 }
 
-/// A member is stopped and the leader crashes at that moment: the next leader doesn't know that member's lease.
+/// A member is stopped and the leader crashes at the same moment, so that the next leader doesn't know the lease of
+/// that member.
 pub fn lease_of_a_crashed_leader(seed: u64, mutant: Mutant) -> World {
     let (mut world, leader) = acting(seed, 5, 3, mutant);
     world.stop(3);
@@ -93,7 +95,8 @@
     world
 }
 
-/// A voter loses its disk as soon as it helped commit a change; the other that did crashes, and the third doesn't know of it.
+/// A voter loses its disk right after it helped to commit a change. The other voter that committed the change crashes,
+/// and the third voter doesn't know of the change.
 pub fn voter_loses_committed_state(seed: u64, mutant: Mutant) -> World {
     let (mut world, leader) = acting(seed, 5, 3, mutant);
     let others = other_voters(&world, leader);
--- a/crates/consensus/tests/common/time.rs
+++ b/crates/consensus/tests/common/time.rs
@@ -1,8 +1,8 @@
-//! True time, and clocks that deviate from it.
+//! Events on true time, and clocks that deviate from true time.
 
 use super::world::EventKind;
 
-/// An event; the earliest is the greatest, as the heap needs it.
+/// A scheduled event. The ordering is reversed, because `BinaryHeap` returns the greatest event first.
 pub struct Event {
     pub at: i64,
     pub order: u64,
@@ -26,7 +26,7 @@
     }
 }
 
-/// A clock with an offset and an error of its rate.
+/// A clock with an offset and a rate error.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     pub offset: i64,
@@ -38,7 +38,7 @@
         self.offset + (i128::from(real) * i128::from(1_000_000 + self.ppm) / 1_000_000) as i64
     }
 
-    /// The first true time at which this clock shows at least `own`.
+    /// Returns the first true time at which this clock shows at least `own`.
     pub fn real(&self, own: i64) -> i64 {
         if own == i64::MAX {
             return i64::MAX;
--- a/crates/consensus/tests/common/world.rs
+++ b/crates/consensus/tests/common/world.rs
@@ -1,4 +1,4 @@
-//! The simulated members, their clocks and the links between them.
+//! The simulated cluster: its members, their clocks and the links between them.
 
 use super::oracle::Oracle;
 use super::time::{Clock, Event};
@@ -20,24 +20,24 @@
     Input { process: usize, input: Input },
 }
 
-/// What becomes of the disk of a process that crashes.
+/// Whether the disk of a crashing process survives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disk {
     Kept,
     Lost,
 }
 
-/// A process: one incarnation of a member.
+/// A process, which is one incarnation of a member.
 pub struct Process {
     pub ordinal: u16,
     pub member: Member,
     pub clock: Clock,
     pub stopped: bool,
     pub alive: bool,
-    /// Inputs that arrived while it was stopped.
+    /// The inputs that arrived while the process was stopped.
     queued: Vec<Input>,
     timer: u64,
-    /// It crashes while it carries out its outputs, after so many more.
+    /// If set, the process crashes after it has carried out this many more outputs.
     crash_after: Option<u32>,
 }
 
@@ -45,7 +45,7 @@
 pub struct Net {
     pub least: i64,
     pub most: i64,
-    /// In thousandths.
+    /// The probability that a message is lost, in thousandths.
     pub loss: u32,
     pub duplicated: u32,
 }
@@ -71,13 +71,13 @@
     pub members: u16,
     pub voters: Vec<u16>,
     pub processes: Vec<Process>,
-    /// By ordinal: the process that receives its messages.
+    /// For each ordinal, the process that receives the messages of the member.
     pub at: Vec<Option<usize>>,
-    /// By ordinal: the durable state on its disk.
+    /// For each ordinal, the durable state on the disk of the member.
     pub disks: Vec<Option<DurableState>>,
-    /// Members that can't fetch contents.
+    /// The members that can't fetch contents.
     pub fetch_fails: BTreeSet<u16>,
-    /// By ordinal: the contents on its disk.
+    /// For each ordinal, the contents on the disk of the member.
     pub contents: Vec<BTreeSet<ContentHash>>,
     pub net: Net,
     pub cut: BTreeSet<(u16, u16)>,
@@ -86,18 +86,18 @@
     pub outdated: Vec<(u16, u64)>,
     pub mutant: Mutant,
     pub traffic: Traffic,
-    /// Messages from and to each member, lost ones included.
+    /// The messages sent by each member, including lost ones. `received` counts the messages sent to each member.
     pub sent: Vec<Traffic>,
     pub received: Vec<Traffic>,
-    /// Contents that each member served: the source named first is asked first, as the daemon does.
+    /// The number of contents that each member served. As in the daemon, the source that is named first is asked first.
     pub served_contents: Vec<u64>,
-    /// How often a process's timer fired.
+    /// The number of times that the timer of any process fired.
     pub ticks: u64,
-    /// Whether bytes are counted; that costs an encoding a message.
+    /// Whether bytes are counted, which requires encoding each message.
     pub count_bytes: bool,
-    /// Clocks' rates are off by up to this, in millionths.
+    /// The maximum rate error of clocks, in parts per million.
     pub ppm: i64,
-    /// How long a member takes to fetch and compile, at most.
+    /// The maximum time that a member takes to fetch and compile a content.
     pub max_fetch: i64,
     events: BinaryHeap<Event>,
     order: u64,
@@ -149,12 +149,12 @@
         }
     }
 
-    /// Starts a new process of this member; an earlier one, if it still runs, receives nothing any more.
+    /// Starts a new process of this member. An earlier process that still runs receives no more messages.
     pub fn start(&mut self, ordinal: u16, durable_state: Option<DurableState>) -> usize {
         self.incarnations += 1;
         let clock = Clock {
             offset: self.rng.random_range(-1_000_000_000..1_000_000_000),
-            // The ends of the range are where leases fail.
+            // The ends of the range are drawn often, because the lease arithmetic has the least margin there.
             ppm: match self.rng.random_range(0..4) {
                 0 => -self.ppm,
                 1 => self.ppm,
@@ -188,7 +188,7 @@
         process
     }
 
-    /// Ends the process.
+    /// Ends the process of this member.
     pub fn crash(&mut self, ordinal: u16, disk: Disk) {
         if let Some(process) = self.at[usize::from(ordinal)].take() {
             self.processes[process].alive = false;
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Ends the process while it carries out its next outputs.
+    /// Ends the process of this member after it has carried out `after` more outputs.
     pub fn crash_midway(&mut self, ordinal: u16, after: u32) {
         if let Some(process) = self.at[usize::from(ordinal)] {
             self.processes[process].crash_after = Some(after);
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Resumes a stopped process, which handles the inputs that arrived meanwhile.
+    /// Resumes a stopped process, which then handles the inputs that arrived while it was stopped.
     pub fn resume(&mut self, process: usize) {
         if !self.processes[process].alive || !self.processes[process].stopped {
             return;
@@ -366,7 +366,7 @@
                 continue;
             }
             let delay = self.rng.random_range(self.net.least..=self.net.most);
-            // Now and then one arrives very late.
+            // If the network loses messages, one message in 200 arrives very late.
             let delay =
                 if self.net.loss > 0 && self.rng.random_range(0..200) == 0 { delay * 50 } else { delay };
             self.push(self.now + delay, EventKind::Deliver { from, to, message: message.clone() });
@@ -403,7 +403,8 @@
         self.now = end;
     }
 
-    /// Runs until the condition holds, for at most this long; how long it took.
+    /// Runs until the condition holds, for at most `most`. Returns how long it took, or `None` if the condition doesn't
+    /// hold by then or an invariant was violated.
     pub fn run_until(&mut self, most: i64, mut condition: impl FnMut(&World) -> bool) -> Option<i64> {
         let begin = self.now;
         let step = if self.members > 50 { 10 * MS } else { 2 * MS };
@@ -423,7 +424,7 @@
         self.at[usize::from(ordinal)].map(|process| self.processes[process].member.status())
     }
 
-    /// The voter that leads, by its own clock.
+    /// Returns the voter that leads by its own clock.
     pub fn leader(&self) -> Option<u16> {
         self.voters.iter().copied().find(|&voter| {
             let Some(process) = self.at[usize::from(voter)] else { return false };
@@ -435,7 +436,7 @@
         })
     }
 
-    /// Members whose process may act on this content now.
+    /// Returns the number of members whose process may act on this content now.
     pub fn acting_on(&self, topic: Topic, hash: ContentHash) -> usize {
         let acts = |process: &&usize| {
             let one = &self.processes[**process];
@@ -458,7 +459,7 @@
         }
     }
 
-    /// Ends processes that a newer incarnation of their member replaced.
+    /// Ends the processes that a newer incarnation of their member replaced.
     pub fn end_old_incarnations(&mut self) {
         for process in 0..self.processes.len() {
             let ordinal = self.processes[process].ordinal;
@@ -469,7 +470,7 @@
         }
     }
 
-    /// Fails the test if the oracle or a member found an invariant violated.
+    /// Panics if the oracle or a member detected an invariant violation.
     pub fn assert_no_violation(&self) {
         if let Some(violation) = &self.oracle.violation {
             panic!("seed {}, at {} us: {violation}", self.seed, self.now);
--- a/crates/consensus/tests/config.rs
+++ b/crates/consensus/tests/config.rs
@@ -1,4 +1,4 @@
-//! Checks of the configured spans and voters.
+//! Tests the checks of the configured durations and voters.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -23,7 +23,7 @@
 fn rejects_spans_beyond_the_contradiction_with_their_sum() {
     let timing = Timing { lease: 1_700_000, drift_ppm: 10_000, ..Timing::default() };
     let text = timing.check().unwrap_err().to_string();
-    // 1.7 s, a hundredth more for a slow clock, and the act.
+    // The lease of 1.7 s, 1 % more for a slow clock, and the action.
     assert!(text.contains("2017001 us in all"), "{text}");
     assert!(text.contains("contradiction 2000000 us"), "{text}");
     let exact = Timing { contradiction: 2_017_001, ..timing };
@@ -35,7 +35,7 @@
     for timing in [
         Timing { heartbeat: 200_000, ..Timing::default() },
         Timing { election_timeout_max: 520_000, ..Timing::default() },
-        // A slow voter keeps its promise beyond the longest wait.
+        // A voter with a slow clock keeps its promise for longer than the longest wait.
         Timing {
             election_timeout_max: 560_000,
             drift_ppm: 100_000,
--- a/crates/consensus/tests/endpoint_lists.rs
+++ b/crates/consensus/tests/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists: a member whose list is older than that of others is notified, once.
+//! Tests of endpoint lists: a member whose list is older than that of other members is notified once.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -38,7 +38,8 @@
     assert_eq!(outdated, (1..7).map(|member| (member, 12)).collect::<Vec<_>>());
 }
 
-/// One member whose revisions start anew doesn't move the others; a majority does.
+/// A single member whose revisions restart doesn't affect the others. The new epoch is accepted once a majority of the
+/// members is in it.
 #[test]
 fn new_epoch_counts_once_most_members_are_in_it() {
     let mut world = running(2);
@@ -60,7 +61,7 @@
         world.input(member, Input::ListReceived { revision: 1 });
     }
     world.run(2_000 * MS);
-    // The new epoch works as the old one did, also past a change of leader, and for members that start now.
+    // The new epoch works like the old one, also after a change of leader and for a member that starts later.
     let leader = world.leader().unwrap();
     world.crash(leader, Disk::Kept);
     world.run(3_000 * MS);
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -1,6 +1,6 @@
-//! Exhaustive searches of a small cluster: three voters act on one version while an incompatible one is proposed. Either all
-//! orders of messages to a depth, or all schedules of faults by time slots. `ACCORD_DEPTH` adds to the depth of the second,
-//! `ACCORD_STATES` sets how many states the first visits.
+//! Exhaustive searches of a small cluster in which three voters act on one version while an incompatible version is
+//! proposed. One search visits all orders of messages up to a depth; `ACCORD_STATES` sets the number of states that it
+//! visits. The other search runs all schedules of faults in a number of time slots; `ACCORD_DEPTH` adds to this number.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -26,12 +26,13 @@
     member: Member,
     durable_state: Option<DurableState>,
     stopped: bool,
-    /// Inputs that arrived while it was stopped.
+    /// The inputs that arrived while the node was stopped.
     queued: Vec<Input>,
     incarnation: u64,
 }
 
-/// Three voters on one clock. Messages wait until the search delivers them, in any order, or never.
+/// Three voters that share one clock. Messages wait until the search delivers them, which may happen in any order or
+/// never.
 #[derive(Clone)]
 struct SmallCluster {
     now: i64,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Runs for this long; messages arrive at once, in order, where `up` lets them.
+    /// Runs for this long. Messages arrive immediately and in order if `up` allows their link; other messages are lost.
     fn run(&mut self, span: i64, up: &dyn Fn(u16, u16) -> bool) {
         let end = self.now + span;
         let mut steps = 0;
@@ -149,7 +150,7 @@
         self.now = end;
     }
 
-    /// The invariant that is violated at this instant.
+    /// Returns the invariant that is violated at this instant, if any.
     fn broken(&mut self) -> Option<String> {
         for topic in Topic::ALL {
             let leases: Vec<_> = self.nodes.iter().map(|node| node.member.lease(topic)).collect();
@@ -227,7 +228,7 @@
     content(2, [2, 0, 0])
 }
 
-/// A cluster in which all three act on the old version.
+/// Returns a cluster in which all three members act on the old version.
 fn acting(mutant: Mutant) -> SmallCluster {
     let mut cluster = SmallCluster::begin(mutant);
     cluster.run(3_000 * MS, &|_, _| true);
@@ -237,8 +238,8 @@
     cluster
 }
 
-/// Every order of deliveries, with messages duplicated or lost, a restart, and time passing in between: from the
-/// proposal on, and from each of several later points of the change, reached with no fault.
+/// Tries every order of deliveries, with duplicated or lost messages, a restart, and time passing in between. The
+/// search starts at the proposal and at several later points of the change, which are reached without faults.
 #[test]
 fn searches_message_orders_during_a_change() {
     let starts: Vec<usize> = (0..48).step_by(6).collect();
@@ -261,7 +262,8 @@
     }
 }
 
-/// Breadth first, so that up to some depth every state was visited; the number of states, and that depth.
+/// Searches breadth first, so that every state up to some depth is visited. Returns the number of states and this
+/// depth.
 fn orders_from(first: SmallCluster, most: usize) -> (usize, usize) {
     let mut seen = HashSet::from([first.key()]);
     let mut queue = VecDeque::from([(first, 0, 1, 1)]);
@@ -308,7 +310,7 @@
     (seen.len(), whole.unwrap_or(usize::MAX))
 }
 
-/// The fault during a time slot.
+/// The fault during one time slot.
 #[derive(Clone, Copy, Debug)]
 enum Slot {
     Calm,
@@ -362,15 +364,15 @@
     }
 }
 
-/// Whether schedules contain voters that restart without their state.
+/// Whether the schedules include voters that restart without their state.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum LostState {
     Tried,
     Skipped,
 }
 
-/// Runs every schedule of faults, by slots of uneven length; then without faults, and the new version must be in force
-/// everywhere.
+/// Runs every schedule of faults in slots of different lengths. After the last slot, the cluster runs without faults,
+/// and the new version must come in force at all members. Returns the number of schedules.
 fn run_schedules(mutant: Mutant, loses_state: LostState, depth: usize, spans: &[i64]) -> usize {
     let mut first = acting(mutant);
     let proposer = usize::from((first.leader() + 1) % 3);
@@ -385,7 +387,8 @@
         if at == depth {
             run_schedules += 1;
             let mut cluster = cluster;
-            // A proposer that lost its proposal with its incarnation doesn't retry: any member may propose.
+            // A restarted proposer has lost its proposal and doesn't retry it, so all members propose the version
+            // again.
             cluster.run(6_000 * MS, &|_, _| true);
             for node in 0..3 {
                 cluster.give(node, Input::Propose { topic: Topic::Rules, hash: new(), size: 9 });
@@ -396,7 +399,7 @@
         }
         for &slot in &slots {
             let losing_state = matches!(slot, Slot::LostState(_));
-            // Two of three that lost their state are a majority: then only an operator helps.
+            // If two of three voters lose their state, a majority is lost and only an operator can restart the cluster.
             if lost_state && losing_state {
                 continue;
             }
@@ -408,12 +411,12 @@
     run_schedules
 }
 
-/// Every schedule of faults during a change to an incompatible version keeps the invariants.
+/// No schedule of faults during a change to an incompatible version violates an invariant.
 #[test]
 fn searches_fault_schedules_during_a_change() {
     let depth = 2 + env("ACCORD_DEPTH").unwrap_or(0);
     let mut count = 0;
-    // Short ones end within a phase, long ones outlive an election, or a lease.
+    // Short slots end within a phase of the change; long slots last longer than an election or a lease.
     for spans in
         [[3 * MS, 700 * MS, 1_300 * MS], [90 * MS, 1_500 * MS, 400 * MS], [1_000 * MS, 250 * MS, 2_600 * MS]]
     {
@@ -422,7 +425,7 @@
     println!("{count} courses of {depth} slots");
 }
 
-/// The search finds the fault it is made for.
+/// The search detects a leader that activates a version too early.
 #[test]
 #[should_panic(expected = "acted on against")]
 fn search_finds_early_activation() {
--- a/crates/consensus/tests/fault_free.rs
+++ b/crates/consensus/tests/fault_free.rs
@@ -1,4 +1,4 @@
-//! Without faults: proposals come in force everywhere, soon.
+//! Tests without faults: proposals soon come in force at all members.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
--- a/crates/consensus/tests/fault_scenarios.rs
+++ b/crates/consensus/tests/fault_scenarios.rs
@@ -1,4 +1,4 @@
-//! Single faults at the worst moments, and what must hold after them.
+//! Tests of single faults at the worst moments, and of the state after them.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -46,7 +46,7 @@
     for seed in 0..20 {
         let mut world = scenarios::voter_loses_committed_state(seed, NO_MUTANT);
         world.assert_no_violation();
-        // Only the one that crashed has the state: without it, nothing is decided.
+        // Only the crashed voter has the state, so nothing can be decided without it.
         assert_eq!(world.oracle.greatest[0], 2, "seed {seed}");
         world.heal();
         let last = content(3, [1, 1, 1]);
@@ -57,8 +57,8 @@
     }
 }
 
-/// The leader is killed at each of many moments between the proposal and the activation: whatever the phase, the proposal is
-/// in force in the end, since its proposer retries, and only once.
+/// The leader crashes at one of many moments between the proposal and the activation. In every phase, the proposal
+/// still comes in force, because its proposer retries, and it comes in force only once.
 #[test]
 fn leader_crash_during_a_change_loses_nothing() {
     for (seed, after) in (0..60).map(|step| (step, step as u32 * 2)) {
@@ -83,7 +83,7 @@
     }
 }
 
-/// Without a majority nothing is decided, and all leases expire.
+/// Without a majority of the voters, nothing is decided and all leases expire.
 #[test]
 fn decides_nothing_without_a_majority() {
     for seed in 0..10 {
@@ -93,7 +93,7 @@
         let third = 3 - leader - follower;
         world.crash(third, Disk::Kept);
         world.propose(5, Topic::Rules, new());
-        // The leader's authority ends, then the last lease it granted.
+        // The authority of the leader ends, and after it the last lease that the leader granted.
         world.run(500 * MS + 1_200 * MS);
         assert_eq!(
             world.oracle.acting(Topic::Rules, world.now),
@@ -114,7 +114,7 @@
 fn tolerates_voter_that_cannot_send() {
     for seed in 0..10 {
         let (mut world, leader) = acting(seed, 5, 3, NO_MUTANT);
-        // First a follower, then the leader itself.
+        // The fault affects first a follower, then the leader.
         for silent in [(leader + 1) % 3, leader] {
             let before = world.oracle.greatest[0];
             for other in 0..5 {
@@ -132,7 +132,8 @@
     }
 }
 
-/// A voter that receives nothing asks for votes in vain, and its term doesn't depose the leader when it receives again.
+/// A voter that receives no messages requests votes in vain. Its term must not depose the leader once it receives
+/// messages again.
 #[test]
 fn voter_that_cannot_receive_does_not_depose_the_leader() {
     for seed in 0..10 {
@@ -151,7 +152,7 @@
     }
 }
 
-/// Each voter is cut off from its neighbours in a ring: with five, each still reaches two others.
+/// Each of five voters is cut off from its two neighbours in a ring and still reaches the two others.
 #[test]
 fn elects_leader_in_a_ring_of_cuts() {
     for seed in 0..10 {
@@ -169,7 +170,8 @@
     }
 }
 
-/// With three voters cut in one direction around a ring, no two reach each other both ways: nobody leads, all leases expire.
+/// Three voters are cut in one direction around a ring, so that no two voters reach each other in both directions. No
+/// voter leads, and all leases expire.
 #[test]
 fn elects_no_leader_in_a_ring_of_one_way_cuts() {
     for seed in 0..10 {
@@ -209,7 +211,8 @@
     }
 }
 
-/// A follower that lost its disk abstains, then votes again; the leader crashes meanwhile, and nothing committed is lost.
+/// A follower that lost its disk abstains and later votes again. The leader crashes meanwhile, and no committed state
+/// is lost.
 #[test]
 fn voter_without_state_recovers_before_it_votes() {
     for seed in 0..20 {
@@ -222,7 +225,7 @@
         assert_eq!(world.status(recovering).map(|status| status.role), Some(Role::Recovering));
         world.crash(leader, Disk::Kept);
         world.run(4_000 * MS);
-        // One voter of three has durable state: it must not decide with one that has none.
+        // Only one of three voters has durable state. It must not form a majority with a voter that has none.
         assert!(world.leader().is_none(), "seed {seed}: led by a minority with durable state");
         world.restart(leader);
         let took = world.run_until(8_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 5);
@@ -232,7 +235,7 @@
     }
 }
 
-/// All durable state is lost: nothing starts without an operator.
+/// If all durable state is lost, no voter leads until an operator starts the voters with an initial state.
 #[test]
 fn cluster_without_any_state_stays_inactive() {
     let mut world = World::empty(1, 5, 3, Timing::default(), NO_MUTANT);
@@ -250,8 +253,8 @@
     world.assert_no_violation();
 }
 
-/// The old process of a member is only stopped when a new one replaces it: its lease ends by time, whatever the new one says,
-/// and once it resumes it doesn't act.
+/// A member's old process is only stopped when a new process replaces it. The old lease ends only by time, regardless
+/// of what the new process reports, and the old process doesn't act after it resumes.
 #[test]
 fn stopped_incarnation_keeps_its_lease_until_expiry() {
     for seed in 0..20 {
@@ -268,12 +271,12 @@
     }
 }
 
-/// A member that can't fetch the content loses its lease, and catches up once it can.
+/// A member that can't fetch the content of a new version loses its lease, and catches up once it can fetch.
 #[test]
 fn activates_without_a_member_that_cannot_fetch() {
     for seed in 0..5 {
         let (mut world, leader) = acting(seed, 7, 3, NO_MUTANT);
-        // It reaches the leader, so that its lease is renewed, and can't fetch contents from anybody.
+        // The member reaches the leader, so that its lease is renewed, but it can't fetch contents from any member.
         world.fetch_fails.insert(5);
         world.propose(6, Topic::Rules, new());
         let took = world.run_until(5_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 6);
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Messages and durable state keep the bytes that earlier builds gave them.
+//! Tests that the encoding of messages and durable state is the same as in earlier builds.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
--- a/crates/consensus/tests/growth.rs
+++ b/crates/consensus/tests/growth.rs
@@ -1,7 +1,8 @@
-//! How the cost of consensus grows with the members, for a member, a voter that follows, and the leader. Without faults, on
-//! virtual time; bytes are of messages in postcard, without envelope, UDP and IP. `docs/CAPACITY.md` quotes the lines printed.
+//! Measures how the cost of consensus grows with the number of members, for a member, a voter that follows, and the
+//! leader. The runs have no faults and use virtual time. Bytes are those of postcard messages without envelope, UDP and
+//! IP headers. `docs/CAPACITY.md` quotes the printed lines.
 //!
-//! By default up to 110 members; `ACCORD_GROWTH=full` runs 30 to 440.
+//! By default, the clusters have up to 110 members; with `ACCORD_GROWTH=full`, they have 30 to 440.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -16,10 +17,11 @@
 use common::world::{Disk, MS, Traffic, World};
 use cottonnotch_consensus::{Mutant, Topic};
 
-/// The page's bound for a member that neither leads nor votes, in a cluster of any size.
+/// The bounds of `docs/CAPACITY.md` for a member that neither leads nor votes, in a cluster of any size.
 const MEMBER_MESSAGES_PER_S: f64 = 6.0;
 const MEMBER_BYTES_PER_S: f64 = 200.0;
-/// ... and for the leader: its heartbeats to the voters, and this for each member.
+/// The bounds for the leader: messages and bytes per second for its heartbeats to the voters, and the two rates below
+/// for each member.
 const LEADER_OWN: [f64; 2] = [40.0, 600.0];
 const LEADER_MESSAGES_PER_S: f64 = 5.8;
 const LEADER_BYTES_PER_S: f64 = 200.0;
@@ -31,7 +33,8 @@
     }
 }
 
-/// Messages and bytes both ways of the leader, of the mean follower, and of the mean member that doesn't vote.
+/// Returns the messages and bytes per second, sent and received, of the leader, of an average follower, and of an
+/// average member that doesn't vote.
 fn by_role(world: &World, leader: u16, before: &[Traffic], seconds: f64) -> [[f64; 2]; 3] {
     let mut roles = [[0.0; 3]; 3];
     for member in 0..world.members {
@@ -60,12 +63,13 @@
     world.sent.iter().zip(&world.received).map(both).collect()
 }
 
-/// A version that is compatible with every other, so that only its number is new.
+/// Returns a content that is compatible with every other one.
 fn version(number: u16) -> [u8; 32] {
     content(100 + number, [0, 0, 0])
 }
 
-/// A member costs the same in a cluster of any size, and the leader as many times that as there are members.
+/// The cost of a member doesn't depend on the size of the cluster, and the cost of the leader is proportional to the
+/// number of members.
 #[test]
 fn cost_per_member_is_independent_of_cluster_size() {
     for &members in sizes() {
@@ -139,7 +143,8 @@
     }
 }
 
-/// How long an incompatible change takes until all members that can act on it do, in microseconds.
+/// Returns how long an incompatible change takes, in microseconds, until all members that can act on the new version do
+/// so. `harm` injects a fault and returns the number of these members.
 fn to_force(members: u16, seed: u64, harm: impl Fn(&mut World, u16) -> u16) -> i64 {
     let (mut world, leader) = acting(seed, members, 3, Mutant::Unmodified);
     let left = usize::from(harm(&mut world, leader));
@@ -150,7 +155,8 @@
     took.unwrap_or_else(|| panic!("{members} members, seed {seed}: not in force"))
 }
 
-/// What a change waits for: nothing, the lease of a member that stopped, the next leader.
+/// Bounds the duration of a change without faults, with a stopped member whose lease must expire, and with a crashed
+/// leader that must be replaced.
 #[test]
 fn activates_incompatible_change_within_the_stated_time() {
     for &members in sizes() {
@@ -175,7 +181,7 @@
     }
 }
 
-/// Half of the members reach nobody of the other half, where all voters are, for a minute.
+/// For a minute, half of the members can't reach the other half, which contains all voters.
 #[test]
 fn partition_without_voters_recovers_after_healing() {
     for &members in sizes() {
@@ -204,7 +210,7 @@
             let bytes = |at: usize| (after[at].bytes - before[at].bytes) as f64;
             side.clone().map(|member| bytes(usize::from(member))).sum::<f64>() / side.len() as f64 / 60.0
         };
-        // Without the voters, which lead and follow.
+        // The averages exclude the voters, which also exchange heartbeats.
         let (cut, whole) = (of(half..members), of(3..half));
         world.cut.clear();
         let back =
--- a/crates/consensus/tests/measurements.rs
+++ b/crates/consensus/tests/measurements.rs
@@ -1,4 +1,4 @@
-//! Cost and duration, without faults or with one; the bounds are those of the design note.
+//! Measures cost and duration without faults and with a single fault. The bounds are those of the design note.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -109,7 +109,7 @@
     }
 }
 
-/// A member is stopped for good at the worst moment: the new version waits for its lease to expire, and no longer.
+/// A member is stopped for good at the worst moment. The new version waits only for the lease of that member to expire.
 #[test]
 fn stopped_member_delays_a_change_by_one_lease() {
     let mut times = Vec::new();
@@ -129,7 +129,7 @@
     assert!(worst < 1_600.0);
 }
 
-/// The leader crashes: how long members are without a lease until the next leader grants one.
+/// Bounds how long some member is without a lease after the leader crashed, until the next leader grants one.
 #[test]
 fn bounds_time_without_lease_after_a_leader_crash() {
     let mut longest = Vec::new();
@@ -153,13 +153,13 @@
     assert!(tail < 1_000.0);
 }
 
-/// The largest message fits in a datagram with room to spare.
+/// The largest message is below 800 bytes, so that it fits in a datagram.
 #[test]
 fn largest_message_fits_a_datagram() {
     let mut world = World::new(1, 300, 3, Timing::default(), Mutant::Unmodified);
     world.count_bytes = true;
     world.run(2_500 * MS);
-    // Many proposers on both topics, so that the state has as many results as it may.
+    // Many proposers propose on both topics, so that the state contains the maximum number of results.
     for at in 0..14 {
         let topic = if at % 2 == 0 { Topic::Rules } else { Topic::Settings };
         world.propose(200 + at, topic, content(at, [1 + (at / 2 % 2) as u8, 0, 0]));
--- a/crates/consensus/tests/mutants.rs
+++ b/crates/consensus/tests/mutants.rs
@@ -1,4 +1,4 @@
-//! Faults built in on purpose, each of which the oracle must find: tests that can't fail prove nothing.
+//! Tests that the oracle detects each deliberate fault. Without them, the other tests might be unable to fail.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -13,10 +13,10 @@
 use common::world::{MS, Net, World};
 use cottonnotch_consensus::Mutant;
 
-/// Seeds tried; each mutant is found within few of them.
+/// The limit of seeds to try. Few of them are needed to detect each mutant.
 const SEEDS: u64 = 1_000;
 
-/// The first seed on which the oracle finds an invariant violated.
+/// Returns the first seed for which the oracle detects a violation under random faults.
 fn found(mutant: Mutant, shape: impl Fn(u64) -> Faults) -> (u64, String) {
     for seed in 0..SEEDS {
         let faults = Faults { mutant, ..shape(seed) };
@@ -28,7 +28,7 @@
     panic!("{mutant:?} was not found within {SEEDS} seeds");
 }
 
-/// The same in a scenario made for the mutant.
+/// Checks that the oracle detects a violation in a scenario that targets the mutant.
 fn found_in(mutant: Mutant, scene: impl Fn(u64, Mutant) -> World) {
     let found = (0..SEEDS).find_map(|seed| Some((seed, scene(seed, mutant).oracle.violation?)));
     println!("{mutant:?}: {found:?}");
--- a/crates/consensus/tests/random_faults.rs
+++ b/crates/consensus/tests/random_faults.rs
@@ -1,4 +1,4 @@
-//! Random faults on many seeds; `ACCORD_SEEDS` sets how many.
+//! Tests with random faults on many seeds. `ACCORD_SEEDS` sets the number of seeds.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -15,8 +15,8 @@
     std::env::var("ACCORD_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(300)
 }
 
-/// No two members act on incompatible versions; once all faults have ended, earlier proposals are finished in bounded time, and
-/// a new one is in force everywhere soon.
+/// No two members act on incompatible versions. Once all faults have ended, earlier proposals finish in bounded time,
+/// and a new proposal soon comes in force at all members.
 #[test]
 fn survives_random_faults_and_recovers() {
     let threads = std::thread::available_parallelism().map_or(4, usize::from).min(4) as u64;
@@ -46,7 +46,7 @@
     println!("slowest to come back: {slowest:?}");
 }
 
-/// One seed alone, set by `ACCORD_SEED`.
+/// Runs the single seed that `ACCORD_SEED` sets, for debugging.
 #[test]
 fn one_seed() {
     let Some(seed) = std::env::var("ACCORD_SEED").ok().and_then(|text| text.parse().ok()) else { return };
--- a/crates/consensus/tests/wire.rs
+++ b/crates/consensus/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Messages: their size, and that no message from outside stops a member.
+//! Tests that messages are small, and that no received message makes a member panic.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -81,7 +81,7 @@
     assert!(!Message::VoteRequest { term: u64::MAX, pre_vote: false, revision }.bounded());
 }
 
-/// Small numbers meet those of the state; large ones meet the bounds.
+/// Small numbers coincide with numbers of the state; large numbers test the bounds.
 fn number() -> impl Strategy<Value = u64> {
     prop_oneof![4 => 0..6u64, 1 => any::<u64>(), 1 => Just(MOST), 1 => Just(u64::MAX)]
 }
@@ -208,7 +208,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Any message from any sender at any time: no panic, no endless work, and timeouts advance.
+    /// Any message from any sender at any time causes no unexpected panic and a bounded number of outputs, and
+    /// time-outs don't lie in the past.
     #[test]
     fn survives_arbitrary_messages(
         inputs in vec((0..300_000i64, 0..7u16, message(), hash(), 0..8u8), 1..60),
@@ -229,7 +230,8 @@
                 4 => Input::ListReceived { revision: step as u64 },
                 _ => Input::Message { from, message },
             };
-            // Forged messages may say what no leader does; violations they cause are counted, and fail tests of the crate only.
+            // Forged messages may contradict every leader. The resulting violations are counted, and panic only in
+            // builds with debug assertions.
             let _ = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| member.handle(now, input)))
                 .map_err(|panic| {
                     let text = panic.downcast_ref::<String>().cloned().or_else(|| panic.downcast_ref::<&str>().map(|text| (*text).to_string()));
