--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -73,8 +73,8 @@
 pub enum ConfigError {
     /// A lease and an action together may take longer than [`Timing::contradiction`].
     #[error(
-        "lease {lease} us with drift {drift_ppm} ppm is {leased} us, and act {act} us: {sum} us in all, more than \
-         contradiction {contradiction} us"
+        "lease {lease} us lasts up to {leased} us with drift {drift_ppm} ppm; with act {act} us, the sum is {sum} us, more \
+         than contradiction {contradiction} us"
     )]
     Contradiction {
         /// The configured [`Timing::lease`].
@@ -92,7 +92,8 @@
     },
     /// The heartbeat interval and the election time-outs don't fit together.
     #[error(
-        "heartbeat {heartbeat} us, election_least {min} us, election_most {max} us: each must be above zero, least at least three heartbeats, most above least by a tenth"
+        "heartbeat {heartbeat} us, election_least {min} us, election_most {max} us: each must be above zero, election_least \
+         must be at least three heartbeats, and election_most must exceed election_least by a tenth plus the clock drift"
     )]
     Election {
         /// The configured [`Timing::heartbeat`].
@@ -103,7 +104,7 @@
         max: Micros,
     },
     /// A duration is too short, or longer than an hour.
-    #[error("{name} is {value} us; it must be from {min} to 3,600,000,000")]
+    #[error("{name} is {value} us; it must be from {min} to 3,600,000,000 us")]
     Span {
         /// The name of the setting.
         name: &'static str,
@@ -113,13 +114,15 @@
         min: Micros,
     },
     /// The configured drift is too large for leases to be useful.
-    #[error("drift {0} ppm; it must be below 200,000")]
+    #[error("drift is {0} ppm; it must be below 200,000 ppm")]
     Drift(u32),
     /// The number of voters is even, zero or above the limit, or a voter is listed twice.
-    #[error("voters {0:?}: an odd number of different ones is needed, at most {MAX_VOTERS}")]
+    #[error(
+        "voters {0:?}: the number of voters must be odd and at most {MAX_VOTERS}, and no voter may be listed twice"
+    )]
     Voters(Vec<u16>),
     /// The ordinal of this member or of a voter is not below the number of members.
-    #[error("member {ordinal} of {members} there are")]
+    #[error("member {ordinal} does not exist: the cluster has {members} members, with ordinals from 0")]
     UnknownMember {
         /// The unknown ordinal.
         ordinal: u16,
--- a/crates/consensus/src/member/election.rs
+++ b/crates/consensus/src/member/election.rs
@@ -155,7 +155,7 @@
         voter.candidacy = None;
         voter.known_leader = leader;
         voter.election_deadline = deadline;
-        self.check_invariant(is_greater, "a term was to go back");
+        self.check_invariant(is_greater, "the term must not decrease");
     }
 
     /// Becomes the leader: rewrites its state with a revision of its own term, and doesn't use the state until a
--- a/crates/consensus/src/member/leader.rs
+++ b/crates/consensus/src/member/leader.rs
@@ -99,7 +99,7 @@
         if let Some(leader) = &mut voter.leadership {
             leader.is_committed = false;
         }
-        self.check_invariant(may_follow, "a state was to go back");
+        self.check_invariant(may_follow, "the state must not be replaced by an older one");
         self.save_durable_state();
         self.send_heartbeat();
     }
@@ -232,7 +232,7 @@
         leader.is_committed = true;
         let before = leader.committed.replace((revision, state.clone()));
         let may_follow = before.as_ref().is_none_or(|(_, before)| state.may_follow(before));
-        self.check_invariant(may_follow, "a committed state went back");
+        self.check_invariant(may_follow, "the committed state must not be replaced by an older one");
         self.announce_state(before.map(|(_, before)| before));
     }
 }
--- a/crates/consensus/src/member/lease_holder.rs
+++ b/crates/consensus/src/member/lease_holder.rs
@@ -203,7 +203,7 @@
         lease.active = Some((version, same.map_or(until, |(_, earlier)| earlier.max(until))));
         lease.floor = version.number;
         let is_allowed = is_forward || self.has_mutant(Mutant::AcceptRevoked);
-        self.check_invariant(is_allowed, "a member's number went back");
+        self.check_invariant(is_allowed, "the number of a member's version must not decrease");
         self.publish_lease(topic);
     }
 
--- a/crates/consensus/tests/common/oracle.rs
+++ b/crates/consensus/tests/common/oracle.rs
@@ -46,12 +46,14 @@
             self.time_without_lease[at] += now - since;
         }
         let named = *self.named[at].entry(number).or_insert(hash);
-        self.demand(named == hash, || format!("number {number} of {:?} names two versions", lease.topic));
+        self.demand(named == hash, || {
+            format!("number {number} of {:?} identifies two versions", lease.topic)
+        });
         let floor = self.floors[at].entry(process).or_insert(0);
         let forward = number >= *floor;
         *floor = number;
         self.demand(forward, || {
-            format!("process {process}: a number of {:?} went back to {number}", lease.topic)
+            format!("process {process}: the version number of {:?} decreased to {number}", lease.topic)
         });
         self.greatest[at] = self.greatest[at].max(number);
         self.first.entry((at, number)).or_insert(now);
--- a/crates/consensus/tests/common/scenarios.rs
+++ b/crates/consensus/tests/common/scenarios.rs
@@ -23,10 +23,10 @@
     world.run(3_000 * MS);
     world.propose(members - 1, Topic::Rules, old());
     let took = world.run_until(3_000 * MS, |world| world.acting_on(Topic::Rules, old()) == everywhere);
-    assert!(took.is_some(), "seed {seed}: not in force at first");
+    assert!(took.is_some(), "seed {seed}: the first version did not come in force");
     let span = world.rng.random_range(MS..600 * MS);
     world.run(span);
-    let Some(leader) = world.leader() else { panic!("seed {seed}: nobody leads") };
+    let Some(leader) = world.leader() else { panic!("seed {seed}: no voter leads") };
     (world, leader)
 }
 
@@ -42,7 +42,10 @@
     world.stop(leader);
     world.propose(4, Topic::Rules, new());
     let others = world.run_until(6_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 4);
-    assert!(others.is_some() || world.oracle.violation.is_some(), "seed {seed}: the others didn't go on");
+    assert!(
+        others.is_some() || world.oracle.violation.is_some(),
+        "seed {seed}: the other members did not activate the new version"
+    );
     world.cut_off(leader);
     world.resume(process);
     world.run(3_000 * MS);
--- a/crates/consensus/tests/common/world.rs
+++ b/crates/consensus/tests/common/world.rs
@@ -477,7 +477,11 @@
         }
         for process in &self.processes {
             let broken = process.member.status().invariant_violations;
-            assert_eq!(broken, 0, "seed {}: member {} counts broken invariants", self.seed, process.ordinal);
+            assert_eq!(
+                broken, 0,
+                "seed {}: member {} detected invariant violations",
+                self.seed, process.ordinal
+            );
         }
     }
 }
--- a/crates/consensus/tests/config.rs
+++ b/crates/consensus/tests/config.rs
@@ -24,7 +24,7 @@
     let timing = Timing { lease: 1_700_000, drift_ppm: 10_000, ..Timing::default() };
     let text = timing.check().unwrap_err().to_string();
     // The lease of 1.7 s, 1 % more for a slow clock, and the action.
-    assert!(text.contains("2017001 us in all"), "{text}");
+    assert!(text.contains("the sum is 2017001 us"), "{text}");
     assert!(text.contains("contradiction 2000000 us"), "{text}");
     let exact = Timing { contradiction: 2_017_001, ..timing };
     assert_eq!(exact.check(), Ok(()));
@@ -58,7 +58,10 @@
         assert_eq!(error, ConfigError::Voters(voters.to_vec()), "{voters:?}");
     }
     let text = config(0, 9, &[0, 1]).check().unwrap_err().to_string();
-    assert_eq!(text, "voters [0, 1]: an odd number of different ones is needed, at most 9");
+    assert_eq!(
+        text,
+        "voters [0, 1]: the number of voters must be odd and at most 9, and no voter may be listed twice"
+    );
 }
 
 #[test]
@@ -67,5 +70,5 @@
     let error = config(0, 9, &[0, 1, 9]).check().unwrap_err();
     assert_eq!(error, unknown);
     assert_eq!(config(9, 9, &[0, 1, 2]).check(), Err(unknown));
-    assert_eq!(error.to_string(), "member 9 of 9 there are");
+    assert_eq!(error.to_string(), "member 9 does not exist: the cluster has 9 members, with ordinals from 0");
 }
--- a/crates/consensus/tests/endpoint_lists.rs
+++ b/crates/consensus/tests/endpoint_lists.rs
@@ -49,7 +49,7 @@
     world.run(2_000 * MS);
     world.input(0, Input::ListReceived { revision: 1 });
     world.run(2_000 * MS);
-    assert_eq!(world.outdated, [], "one alone was believed");
+    assert_eq!(world.outdated, [], "the new epoch of a single member was accepted");
     for member in 1..4 {
         world.input(member, Input::ListReceived { revision: 1 });
     }
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -139,7 +139,12 @@
             }
             self.check();
             steps += 1;
-            assert!(steps < 100_000, "no end of work at {} us: {:?}", self.now, self.path);
+            assert!(
+                steps < 100_000,
+                "the members are still busy after 100,000 steps at {} us: {:?}",
+                self.now,
+                self.path
+            );
             let next = self.next_timeout();
             if next > end {
                 break;
@@ -161,17 +166,17 @@
                 .collect();
             for (at, one) in acting.iter().enumerate() {
                 if let Some(other) = acting[at..].iter().find(|other| contradict(&one.1, &other.1)) {
-                    return Some(format!("{} acted on against {}", one.0, other.0));
+                    return Some(format!("members act on incompatible versions {} and {}", one.0, other.0));
                 }
                 if topic == Topic::Rules && *self.named.entry(one.0).or_insert(one.1) != one.1 {
-                    return Some(format!("number {} names two versions", one.0));
+                    return Some(format!("number {} identifies two versions", one.0));
                 }
             }
         }
         for (at, node) in self.nodes.iter().enumerate() {
             let status = node.member.status();
             if status.invariant_violations > 0 {
-                return Some(format!("member {at} counts a broken invariant"));
+                return Some(format!("member {at} detected an invariant violation"));
             }
             if status.role == Role::Leader
                 && *self.leaders.entry(status.term).or_insert(at as u16) != at as u16
@@ -184,7 +189,7 @@
 
     fn check(&mut self) {
         if let Some(broken) = self.broken() {
-            panic!("{broken} at {} us, by {:?}", self.now, self.path);
+            panic!("{broken} at {} us, after {:?}", self.now, self.path);
         }
     }
 
@@ -257,7 +262,7 @@
             first.give(to.into(), Input::Message { from, message });
         }
         let (states, depth) = orders_from(first, most);
-        println!("after {start} messages: {states} states, all to depth {depth}");
+        println!("after {start} messages: {states} states, complete to depth {depth}");
         assert!(depth >= 3, "the search from {start} is too shallow");
     }
 }
@@ -278,20 +283,21 @@
             let (from, to, message) = cluster.flight[at].clone();
             let mut one = cluster.clone();
             one.flight.remove(at);
-            let name = format!("{from}>{to} {}", format!("{message:?}").chars().take(24).collect::<String>());
+            let name =
+                format!("{from} -> {to} {}", format!("{message:?}").chars().take(24).collect::<String>());
             one.path.push(name.clone());
             one.give(to.into(), Input::Message { from, message: message.clone() });
             next.push((one, doubles, restarts));
             if doubles > 0 {
                 let mut two = cluster.clone();
-                two.path.push(format!("{name} (stays)"));
+                two.path.push(format!("{name} (duplicated)"));
                 two.give(to.into(), Input::Message { from, message });
                 next.push((two, doubles - 1, restarts));
             }
         }
         let mut later = cluster.clone();
         later.now = later.next_timeout();
-        later.path.push(format!("time {}", later.now));
+        later.path.push(format!("advance time to {}", later.now));
         later.tick_due();
         next.push((later, doubles, restarts));
         for at in 0..if restarts > 0 { 3 } else { 0 } {
@@ -394,7 +400,12 @@
                 cluster.give(node, Input::Propose { topic: Topic::Rules, hash: new(), size: 9 });
             }
             cluster.run(4_000 * MS, &|_, _| true);
-            assert_eq!(cluster.on(new()), 3, "not in force after {:?}", cluster.path);
+            assert_eq!(
+                cluster.on(new()),
+                3,
+                "the new version is not in force at all members after {:?}",
+                cluster.path
+            );
             continue;
         }
         for &slot in &slots {
@@ -422,12 +433,12 @@
     {
         count += run_schedules(Mutant::Unmodified, LostState::Tried, depth, &spans);
     }
-    println!("{count} courses of {depth} slots");
+    println!("{count} schedules of {depth} slots");
 }
 
 /// The search detects a leader that activates a version too early.
 #[test]
-#[should_panic(expected = "acted on against")]
+#[should_panic(expected = "members act on incompatible versions")]
 fn search_finds_early_activation() {
     run_schedules(Mutant::EarlyActivation, LostState::Skipped, 2, &[3 * MS, 700 * MS]);
 }
--- a/crates/consensus/tests/fault_free.rs
+++ b/crates/consensus/tests/fault_free.rs
@@ -15,7 +15,7 @@
 fn settled(seed: u64, members: u16) -> World {
     let mut world = World::new(seed, members, 3, Timing::default(), Mutant::Unmodified);
     world.run(5_000 * MS);
-    assert!(world.leader().is_some(), "seed {seed}: nobody leads");
+    assert!(world.leader().is_some(), "seed {seed}: no voter leads");
     world
 }
 
@@ -26,11 +26,11 @@
         let first = content(1, [1, 0, 0]);
         world.propose(5, Topic::Rules, first);
         let took = world.run_until(1_000 * MS, |world| world.acting_on(Topic::Rules, first) == 7);
-        assert!(took.is_some(), "seed {seed}: not in force everywhere");
+        assert!(took.is_some(), "seed {seed}: the first version is not in force at all members");
         let second = content(2, [2, 0, 0]);
         world.propose(6, Topic::Rules, second);
         let took = world.run_until(1_000 * MS, |world| world.acting_on(Topic::Rules, second) == 7);
-        assert!(took.is_some(), "seed {seed}: a contradicting one not in force everywhere");
+        assert!(took.is_some(), "seed {seed}: the incompatible version is not in force at all members");
         world.run(1_000 * MS);
         assert_eq!(
             world.over,
--- a/crates/consensus/tests/fault_scenarios.rs
+++ b/crates/consensus/tests/fault_scenarios.rs
@@ -67,7 +67,11 @@
         world.propose(4, Topic::Rules, new());
         let rest = |world: &World| world.acting_on(Topic::Rules, new()) >= 4;
         let took = world.run_until(10_000 * MS, rest);
-        assert!(took.is_some(), "seed {seed}: killed after {after} outputs: {}", chaos::report(&world));
+        assert!(
+            took.is_some(),
+            "seed {seed}: leader crashed after {after} outputs: {}",
+            chaos::report(&world)
+        );
         world.run(500 * MS);
         let over = world
             .over
@@ -75,7 +79,7 @@
             .filter(|over| (over.0, over.2, over.3) == (4, new(), ProposalOutcome::InForce))
             .count();
         assert_eq!(over, 1, "seed {seed}");
-        assert_eq!(world.oracle.greatest[0], 2, "seed {seed}: it got a second number");
+        assert_eq!(world.oracle.greatest[0], 2, "seed {seed}: the proposal got a second number");
         world.heal();
         world.run(3_000 * MS);
         assert_eq!(world.acting_on(Topic::Rules, new()), 5, "seed {seed}");
@@ -95,17 +99,13 @@
         world.propose(5, Topic::Rules, new());
         // The authority of the leader ends, and after it the last lease that the leader granted.
         world.run(500 * MS + 1_200 * MS);
-        assert_eq!(
-            world.oracle.acting(Topic::Rules, world.now),
-            0,
-            "seed {seed}: a lease outlives the majority"
-        );
+        assert_eq!(world.oracle.acting(Topic::Rules, world.now), 0, "seed {seed}: a lease has not expired");
         world.run(5_000 * MS);
         assert!(world.leader().is_none(), "seed {seed}");
         assert_eq!(world.oracle.greatest[0], 1, "seed {seed}: decided by a minority");
         world.heal();
         let back = world.run_until(5_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 7);
-        assert!(back.is_some(), "seed {seed}: not in force once all are back");
+        assert!(back.is_some(), "seed {seed}: not in force after the faults ended");
         world.assert_no_violation();
     }
 }
@@ -123,10 +123,10 @@
             let hash = content(10 + silent, [before as u8 % 2 + 1, 0, 0]);
             world.propose(4, Topic::Rules, hash);
             let took = world.run_until(6_000 * MS, |world| world.acting_on(Topic::Rules, hash) >= 4);
-            assert!(took.is_some(), "seed {seed}: {silent} mute: {}", chaos::report(&world));
+            assert!(took.is_some(), "seed {seed}: voter {silent} cannot send: {}", chaos::report(&world));
             world.cut.clear();
             let took = world.run_until(4_000 * MS, |world| world.acting_on(Topic::Rules, hash) == 5);
-            assert!(took.is_some(), "seed {seed}: {silent} heard again: {}", chaos::report(&world));
+            assert!(took.is_some(), "seed {seed}: voter {silent} can send again: {}", chaos::report(&world));
         }
         world.assert_no_violation();
     }
@@ -226,7 +226,10 @@
         world.crash(leader, Disk::Kept);
         world.run(4_000 * MS);
         // Only one of three voters has durable state. It must not form a majority with a voter that has none.
-        assert!(world.leader().is_none(), "seed {seed}: led by a minority with durable state");
+        assert!(
+            world.leader().is_none(),
+            "seed {seed}: a leader was elected by a minority with durable state"
+        );
         world.restart(leader);
         let took = world.run_until(8_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 5);
         assert!(took.is_some(), "seed {seed}: {}", chaos::report(&world));
@@ -264,7 +267,10 @@
         world.start(4, None);
         world.propose(3, Topic::Rules, new());
         let took = world.run_until(6_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 5);
-        assert!(took.is_some_and(|took| took > 300 * MS), "seed {seed}: {took:?}: not waited for");
+        assert!(
+            took.is_some_and(|took| took > 300 * MS),
+            "seed {seed}: {took:?}: the change did not wait for the old lease"
+        );
         world.resume(before);
         world.run(1_000 * MS);
         world.assert_no_violation();
@@ -280,13 +286,20 @@
         world.fetch_fails.insert(5);
         world.propose(6, Topic::Rules, new());
         let took = world.run_until(5_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 6);
-        assert!(took.is_some_and(|took| took >= 3_000 * MS), "seed {seed}: {took:?}: prepare time not given");
+        assert!(
+            took.is_some_and(|took| took >= 3_000 * MS),
+            "seed {seed}: {took:?}: the change did not wait for the prepare time-out"
+        );
         world.run(1_500 * MS);
         assert_eq!(world.acting_on(Topic::Rules, new()), 6, "seed {seed}");
-        assert_eq!(world.oracle.acting(Topic::Rules, world.now), 6, "seed {seed}: it acts on something");
+        assert_eq!(
+            world.oracle.acting(Topic::Rules, world.now),
+            6,
+            "seed {seed}: the member without the content holds a lease"
+        );
         world.fetch_fails.clear();
         let took = world.run_until(3_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 7);
-        assert!(took.is_some(), "seed {seed}: didn't catch up");
+        assert!(took.is_some(), "seed {seed}: the member did not catch up");
         assert_eq!(world.leader(), Some(leader));
         world.assert_no_violation();
     }
--- a/crates/consensus/tests/growth.rs
+++ b/crates/consensus/tests/growth.rs
@@ -77,7 +77,7 @@
         world.count_bytes = true;
         let before = both_ways(&world);
         world.run(6_000 * MS);
-        assert_eq!(world.leader(), Some(leader), "no election in a quiet time");
+        assert_eq!(world.leader(), Some(leader), "the leader changed in a run without faults");
         let [led, follower, member] = by_role(&world, leader, &before, 6.0);
         println!(
             r#"{{"what":"accord idle","members":{members},"leader_messages_per_s":{:.1},"leader_bytes_per_s":{:.0},"voter_messages_per_s":{:.2},"voter_bytes_per_s":{:.0},"member_messages_per_s":{:.2},"member_bytes_per_s":{:.0}}}"#,
@@ -85,7 +85,7 @@
         );
         assert!(
             member[0] < MEMBER_MESSAGES_PER_S && member[1] < MEMBER_BYTES_PER_S,
-            "{members} members: one has {} messages and {} bytes a second",
+            "{members} members: a member has {} messages and {} bytes per second",
             member[0],
             member[1]
         );
@@ -93,7 +93,7 @@
         assert!(
             (led[0] - LEADER_OWN[0]) / each < LEADER_MESSAGES_PER_S
                 && (led[1] - LEADER_OWN[1]) / each < LEADER_BYTES_PER_S,
-            "{members} members: the leader has {} messages and {} bytes a second",
+            "{members} members: the leader has {} messages and {} bytes per second",
             led[0],
             led[1]
         );
@@ -135,10 +135,7 @@
             member[1]
         );
         assert!(times[19] < 1_000 * MS, "{members} members: {} us", times[19]);
-        assert!(
-            all <= 20 * u64::from(members),
-            "{members} members: {all} contents handed out for 20 changes"
-        );
+        assert!(all <= 20 * u64::from(members), "{members} members: {all} contents served for 20 changes");
         world.assert_no_violation();
     }
 }
@@ -194,16 +191,16 @@
         let (greater, lesser) = (usize::from(half), usize::from(members - half));
         let without_lease =
             world.run_until(5_000 * MS, |world| world.oracle.acting(Topic::Rules, world.now) == greater);
-        let without_lease = without_lease.expect("the lesser side's leases end");
+        let without_lease = without_lease.expect("the leases of the half without voters expire");
         world.propose(0, Topic::Rules, new());
         let force = world.run_until(5_000 * MS, |world| world.acting_on(Topic::Rules, new()) == greater);
-        let force = force.expect("the greater side goes on alone");
+        let force = force.expect("the half with the voters activates the change");
         let before = both_ways(&world);
         world.run(60_000 * MS);
         assert_eq!(
             world.oracle.acting(Topic::Rules, world.now),
             greater,
-            "{members} members: no lease is left over there"
+            "{members} members: the half without voters holds a lease"
         );
         let after = both_ways(&world);
         let of = |side: std::ops::Range<u16>| {
@@ -215,7 +212,7 @@
         world.cut.clear();
         let back =
             world.run_until(30_000 * MS, |world| world.acting_on(Topic::Rules, new()) == greater + lesser);
-        let back = back.expect("all act alike after the cut");
+        let back = back.expect("all members act on the new version after the partition heals");
         println!(
             r#"{{"what":"accord, halves cut for a minute","members":{members},"lesser_in_doubt_after_ms":{:.0},"change_in_force_on_the_other_side_ms":{:.0},"lesser_bytes_per_s":{cut:.0},"greater_bytes_per_s":{whole:.0},"all_alike_after_healing_ms":{:.0}}}"#,
             without_lease as f64 / 1e3,
--- a/crates/consensus/tests/measurements.rs
+++ b/crates/consensus/tests/measurements.rs
@@ -30,7 +30,7 @@
         world.run(idle);
         let (messages, bytes) = between(before, world.traffic, members, idle);
         let wakes = (world.ticks - ticks) as f64 / f64::from(members) / (idle as f64 / 1e6);
-        assert!(wakes < 15.0, "{members} members: each wakes {wakes} times a second");
+        assert!(wakes < 15.0, "{members} members: each wakes {wakes} times per second");
         let before = world.traffic;
         world.propose(members - 1, Topic::Rules, new());
         let everywhere = usize::from(members);
@@ -40,8 +40,8 @@
         let per_member = change as f64 / f64::from(members);
         let change_bytes = (world.traffic.bytes - before.bytes) as f64 / f64::from(members);
         println!(
-            "{members} members: idle {messages:.1} messages/s {bytes:.0} bytes/s a member; a change {per_member:.1} \
-             messages {change_bytes:.0} bytes a member in {} ms; largest {} bytes",
+            "{members} members: idle {messages:.1} messages/s {bytes:.0} bytes/s per member; a change {per_member:.1} \
+             messages {change_bytes:.0} bytes per member in {} ms; largest {} bytes",
             took / MS,
             world.traffic.largest
         );
@@ -49,7 +49,7 @@
             messages < 25.0 && bytes < 2_000.0,
             "{members} members: idle {messages} messages/s, {bytes} bytes/s"
         );
-        assert!(per_member < 30.0, "{members} members: {per_member} messages a member for a change");
+        assert!(per_member < 30.0, "{members} members: {per_member} messages per member for a change");
         assert!(world.traffic.largest < 1_000);
         world.assert_no_violation();
     }
@@ -94,15 +94,15 @@
 fn bounds_time_to_activation() {
     for (dead, name, most) in [
         (Dead::Nobody, "no fault", 400.0),
-        (Dead::Follower, "a follower dead for two seconds", 400.0),
-        (Dead::Leader, "the leader dead at that moment", 3_500.0),
+        (Dead::Follower, "a follower crashed two seconds earlier", 400.0),
+        (Dead::Leader, "the leader crashed at the same time", 3_500.0),
     ] {
-        for (says, kind) in [([2, 0, 0], "contradicting"), ([0, 2, 0], "agreeing")] {
+        for (says, kind) in [([2, 0, 0], "incompatible"), ([0, 2, 0], "compatible")] {
             let mut times = to_force(&dead, says, 60);
             let (half, tail) = (percentile(&mut times, 50), percentile(&mut times, 99));
             let worst = percentile(&mut times, 100);
             println!(
-                "{name}, {kind}: everywhere after {half:.0} ms at the median, {tail:.0} p99, {worst:.0} at most"
+                "{name}, {kind}: in force at all members after {half:.0} ms (median), {tail:.0} ms (p99), {worst:.0} ms (maximum)"
             );
             assert!(worst < most, "{name}, {kind}: {worst} ms");
         }
@@ -125,7 +125,7 @@
         world.assert_no_violation();
     }
     let worst = percentile(&mut times, 100);
-    println!("a member stopped: {:.0} ms at the median, {worst:.0} at most", percentile(&mut times, 50));
+    println!("a member stopped: {:.0} ms (median), {worst:.0} ms (maximum)", percentile(&mut times, 50));
     assert!(worst < 1_600.0);
 }
 
@@ -148,7 +148,7 @@
     let (half, tail) = (percentile(&mut longest, 50), percentile(&mut longest, 100));
     let none = longest.iter().filter(|&&time_without_lease| time_without_lease == 0).count();
     println!(
-        "leader dead: some member in doubt {half:.0} ms at the median, {tail:.0} at most; {none} of 60 without any"
+        "leader crashed: some member without a lease for {half:.0} ms (median), {tail:.0} ms (maximum); never in {none} of 60 runs"
     );
     assert!(tail < 1_000.0);
 }
--- a/crates/consensus/tests/mutants.rs
+++ b/crates/consensus/tests/mutants.rs
@@ -25,14 +25,14 @@
             return (seed, violation);
         }
     }
-    panic!("{mutant:?} was not found within {SEEDS} seeds");
+    panic!("{mutant:?} was not detected within {SEEDS} seeds");
 }
 
 /// Checks that the oracle detects a violation in a scenario that targets the mutant.
 fn found_in(mutant: Mutant, scene: impl Fn(u64, Mutant) -> World) {
     let found = (0..SEEDS).find_map(|seed| Some((seed, scene(seed, mutant).oracle.violation?)));
     println!("{mutant:?}: {found:?}");
-    assert!(found.is_some(), "{mutant:?} was not found within {SEEDS} seeds");
+    assert!(found.is_some(), "{mutant:?} was not detected within {SEEDS} seeds");
 }
 
 fn few(seed: u64) -> Faults {
--- a/crates/consensus/tests/random_faults.rs
+++ b/crates/consensus/tests/random_faults.rs
@@ -32,9 +32,15 @@
                         let took = recover(&mut world, 60_000 * MS);
                         world.assert_no_violation();
                         let Some(took) = took else {
-                            panic!("seed {seed}: not in force again: {}", common::chaos::report(&world))
+                            panic!(
+                                "seed {seed}: the cluster did not recover: {}",
+                                common::chaos::report(&world)
+                            )
                         };
-                        assert!(world.oracle.greatest[0] > greatest[0], "seed {seed}: not a greater number");
+                        assert!(
+                            world.oracle.greatest[0] > greatest[0],
+                            "seed {seed}: the last version has no greater number"
+                        );
                         slowest = slowest.max((took, seed));
                     }
                     slowest
@@ -43,7 +49,7 @@
             .collect();
         runs.into_iter().map(|run| run.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic))).max()
     });
-    println!("slowest to come back: {slowest:?}");
+    println!("slowest recovery: {slowest:?}");
 }
 
 /// Runs the single seed that `ACCORD_SEED` sets, for debugging.
--- a/crates/consensus/tests/wire.rs
+++ b/crates/consensus/tests/wire.rs
@@ -236,13 +236,13 @@
                 .map_err(|panic| {
                     let text = panic.downcast_ref::<String>().cloned().or_else(|| panic.downcast_ref::<&str>().map(|text| (*text).to_string()));
                     let text = text.unwrap_or_default();
-                    assert!(text.contains("two leaders in one term") || text.contains("went back") || text.contains("go back"), "{text}");
+                    assert!(text.contains("two leaders in one term") || text.contains("must not decrease") || text.contains("must not be replaced by an older one"), "{text}");
                 });
             let mut outputs = 0;
             while member.poll().is_some() {
                 outputs += 1;
             }
-            prop_assert!(outputs < 200, "{outputs} outputs of one input");
+            prop_assert!(outputs < 200, "one input caused {outputs} outputs");
             prop_assert!(member.next_timeout() > now - 1);
         }
     }
