--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -7,7 +7,7 @@
 /// The largest number of voters. More voters would only make each change slower.
 const MAX_VOTERS: usize = 9;
 /// The upper limit of each configured duration.
-const HOUR: Micros = 3_600_000_000;
+const MAX_DURATION: Micros = 3_600_000_000;
 /// The configured drift must be below this: with more drift, leases would not be useful.
 const MAX_DRIFT_PPM: u32 = 200_000;
 
@@ -73,8 +73,8 @@
 pub enum ConfigError {
     /// A lease and an action together may take longer than [`Timing::contradiction`].
     #[error(
-        "lease {lease} us lasts up to {leased} us with drift {drift_ppm} ppm; with act {act} us, the sum is {sum} us, more \
-         than contradiction {contradiction} us"
+        "lease {lease} us lasts up to {lease_with_drift} us with drift {drift_ppm} ppm; with act {act} us, the sum is \
+         {sum} us, more than contradiction {contradiction} us"
     )]
     Contradiction {
         /// The configured [`Timing::lease`].
@@ -82,10 +82,10 @@
         /// The configured [`Timing::drift_ppm`].
         drift_ppm: u32,
         /// The duration of the lease by the slowest clock.
-        leased: Micros,
+        lease_with_drift: Micros,
         /// The configured [`Timing::act`].
         act: Micros,
-        /// The sum of `leased` and `act`.
+        /// The sum of `lease_with_drift` and `act`.
         sum: Micros,
         /// The configured [`Timing::contradiction`].
         contradiction: Micros,
@@ -141,7 +141,7 @@
 
     fn check_ranges(&self) -> Result<(), ConfigError> {
         // These are the names of the settings, which differ from the names of some fields.
-        let spans = [
+        let durations = [
             ("lease", self.lease, 1_000),
             ("heartbeat", self.heartbeat, 1),
             ("election_least", self.election_timeout_min, 1),
@@ -150,8 +150,8 @@
             ("prepare", self.prepare, 1),
             ("contradiction", self.contradiction, 1),
         ];
-        for (name, value, min) in spans {
-            if value < min || value > HOUR {
+        for (name, value, min) in durations {
+            if value < min || value > MAX_DURATION {
                 return Err(ConfigError::Span { name, value, min });
             }
         }
@@ -160,23 +160,23 @@
 
     fn check_election(&self) -> Result<(), ConfigError> {
         let (min, max) = (self.election_timeout_min, self.election_timeout_max);
-        let promised = lengthen(min, self.drift_ppm);
-        if min < 3 * self.heartbeat || max < promised + min / 10 {
+        let longest_promise = lengthen(min, self.drift_ppm);
+        if min < 3 * self.heartbeat || max < longest_promise + min / 10 {
             return Err(ConfigError::Election { heartbeat: self.heartbeat, min, max });
         }
         Ok(())
     }
 
     fn check_contradiction(&self) -> Result<(), ConfigError> {
-        let leased = lengthen(self.lease, self.drift_ppm);
-        let sum = leased + self.act;
+        let lease_with_drift = lengthen(self.lease, self.drift_ppm);
+        let sum = lease_with_drift + self.act;
         if sum <= self.contradiction {
             return Ok(());
         }
         Err(ConfigError::Contradiction {
             lease: self.lease,
             drift_ppm: self.drift_ppm,
-            leased,
+            lease_with_drift,
             act: self.act,
             sum,
             contradiction: self.contradiction,
--- a/crates/consensus/src/member/activation.rs
+++ b/crates/consensus/src/member/activation.rs
@@ -17,27 +17,28 @@
         let Some(pending) = state.topic(topic).pending else {
             return change.check.as_ref().map_or(Micros::MAX, |check| self.check_timeout(check));
         };
-        let patience = self.config.timing.prepare;
-        let prepared = change.preparing_since.map_or(Micros::MAX, |(_, since)| since + patience);
-        let soon = self.now + self.config.timing.heartbeat;
+        let prepare_timeout = self.config.timing.prepare;
+        let prepare_deadline =
+            change.preparing_since.map_or(Micros::MAX, |(_, since)| since + prepare_timeout);
+        let next_check = self.now + self.config.timing.heartbeat;
         match pending.phase {
             // The leases of members whose processes have ended expire, and the change then no longer waits for these
             // members.
-            Phase::Prepare if prepared > self.now => prepared.min(soon),
-            Phase::Prepare => soon,
-            Phase::Revoke => self.incompatible_until(leader, topic, &pending).unwrap_or(Micros::MAX),
+            Phase::Prepare if prepare_deadline > self.now => prepare_deadline.min(next_check),
+            Phase::Prepare => next_check,
+            Phase::Revoke => self.last_incompatible_expiry(leader, topic, &pending).unwrap_or(Micros::MAX),
         }
     }
 
     /// Returns when the last lease on a version that is incompatible with the pending one expires. `None` means that
     /// there is no such lease.
-    fn incompatible_until(&self, leader: &Leader, topic: Topic, pending: &Pending) -> Option<Micros> {
+    fn last_incompatible_expiry(&self, leader: &Leader, topic: Topic, pending: &Pending) -> Option<Micros> {
         leader.grants.last_expiry_below(topic, pending.version.compatible_from, self.now)
     }
 
     /// Leader: advances the change of this topic as far as possible.
     pub(super) fn advance_change(&mut self, topic: Topic) {
-        let Some(state) = self.settled_state() else { return };
+        let Some(state) = self.authoritative_state() else { return };
         match state.topic(topic).pending {
             None => self.advance_check(topic),
             Some(pending) => match pending.phase {
@@ -51,19 +52,19 @@
     /// of the voters has the content, because the next leader must have it.
     fn advance_prepare(&mut self, topic: Topic, pending: Pending) {
         let now = self.now;
-        let (number, patience) = (pending.version.number, self.config.timing.prepare);
+        let (number, prepare_timeout) = (pending.version.number, self.config.timing.prepare);
         let Some(leader) = self.leader_mut() else { return };
-        let since = leader.changes[topic.index()].prepare_start(number, now);
+        let since = leader.changes[topic.index()].prepare_started_at(number, now);
         if self.is_unsupported_by_a_member(topic, number) {
             return self.drop_pending(topic, pending, ProposalOutcome::Unsupported);
         }
         let has_majority = self.is_ready_at_a_majority(topic, number);
         let is_ready = has_majority && self.is_ready_at_all_members(topic, number);
-        if !is_ready && now < since + patience {
+        if !is_ready && now < since + prepare_timeout {
             return;
         }
         if !has_majority {
-            if now >= since + 2 * patience {
+            if now >= since + 2 * prepare_timeout {
                 self.drop_pending(topic, pending, ProposalOutcome::ContentMissing);
             }
             return;
@@ -72,29 +73,29 @@
     }
 
     fn is_unsupported_by_a_member(&self, topic: Topic, number: u64) -> bool {
-        let (at, lease) = (topic.index(), self.granted_span());
+        let (index, lease) = (topic.index(), self.grant_duration());
         self.leader().is_some_and(|leader| {
-            leader.grants.live(self.now, lease).any(|(_, member)| member.unsupported[at] == Some(number))
+            leader.grants.live(self.now, lease).any(|(_, member)| member.unsupported[index] == Some(number))
         })
     }
 
     /// Whether all live members are ready. This is unknown until every lease of an earlier leader has expired, because
     /// a live member may not have sent a request to this leader yet.
     fn is_ready_at_all_members(&self, topic: Topic, number: u64) -> bool {
-        let (at, lease) = (topic.index(), self.granted_span());
+        let (index, lease) = (topic.index(), self.grant_duration());
         self.earlier_leases_expired()
             && self.leader().is_some_and(|leader| {
-                leader.grants.live(self.now, lease).all(|(_, member)| member.ready[at] == Some(number))
+                leader.grants.live(self.now, lease).all(|(_, member)| member.ready[index] == Some(number))
             })
     }
 
     fn is_ready_at_a_majority(&self, topic: Topic, number: u64) -> bool {
-        let (at, lease) = (topic.index(), self.granted_span());
+        let (index, lease) = (topic.index(), self.grant_duration());
         let Some(leader) = self.leader() else { return false };
         let ready_voters: BTreeSet<u16> = leader
             .grants
             .live(self.now, lease)
-            .filter(|(ordinal, member)| self.config.is_voter(*ordinal) && member.ready[at] == Some(number))
+            .filter(|(ordinal, member)| self.config.is_voter(*ordinal) && member.ready[index] == Some(number))
             .map(|(ordinal, _)| ordinal)
             .collect();
         ready_voters.len() >= self.config.majority()
@@ -104,8 +105,8 @@
     /// incompatible versions.
     fn finish_prepare(&mut self, topic: Topic, pending: Pending) {
         let Some(leader) = self.leader() else { return };
-        let has_incompatible = self.incompatible_until(leader, topic, &pending).is_some();
-        let Some(mut state) = self.settled_state().cloned() else { return };
+        let has_incompatible = self.last_incompatible_expiry(leader, topic, &pending).is_some();
+        let Some(mut state) = self.authoritative_state().cloned() else { return };
         let current = state.topic_mut(topic);
         let is_compatible =
             current.in_force.is_none_or(|version| version.number >= pending.version.compatible_from);
@@ -118,7 +119,7 @@
     }
 
     fn drop_pending(&mut self, topic: Topic, pending: Pending, outcome: ProposalOutcome) {
-        let Some(mut state) = self.settled_state().cloned() else { return };
+        let Some(mut state) = self.authoritative_state().cloned() else { return };
         let current = state.topic_mut(topic);
         current.pending = None;
         current.record_outcome(pending.proposal, outcome);
@@ -130,14 +131,14 @@
     /// on an incompatible version.
     fn advance_revoke(&mut self, topic: Topic, pending: Pending) {
         let Some(leader) = self.leader() else { return };
-        let has_incompatible = self.incompatible_until(leader, topic, &pending).is_some();
+        let has_incompatible = self.last_incompatible_expiry(leader, topic, &pending).is_some();
         if self.earlier_leases_expired() && !has_incompatible {
             self.activate(topic, pending);
         }
     }
 
     fn activate(&mut self, topic: Topic, pending: Pending) {
-        let Some(mut state) = self.settled_state().cloned() else { return };
+        let Some(mut state) = self.authoritative_state().cloned() else { return };
         let current = state.topic_mut(topic);
         current.in_force = Some(pending.version);
         current.pending = None;
@@ -166,7 +167,7 @@
     /// Returns all members if this is the leader's first committed state, and the live members if a version changed.
     fn members_to_notify(&self, leader: &Leader, before: Option<&State>, state: &State) -> Vec<u16> {
         let versions = |state: &State| state.topics.each_ref().map(|topic| (topic.in_force, topic.pending));
-        let lease = self.granted_span();
+        let lease = self.grant_duration();
         match before {
             None => (0..self.config.members).collect(),
             Some(before) if versions(before) != versions(state) => {
--- a/crates/consensus/src/member/compatibility.rs
+++ b/crates/consensus/src/member/compatibility.rs
@@ -23,7 +23,7 @@
     /// Continues the current check, or starts to check the first proposal of the queue.
     pub(super) fn advance_check(&mut self, topic: Topic) {
         let Some(check) = self.current_check(topic) else { return };
-        if self.is_settled(topic, &check.proposal) {
+        if self.is_already_finished(topic, &check.proposal) {
             // The proposer receives the outcome when it sends the proposal again.
             return self.end_check(topic);
         }
@@ -52,8 +52,8 @@
     }
 
     /// Whether the proposal already has an outcome, or its content came in force while the proposal was queued.
-    fn is_settled(&self, topic: Topic, proposal: &QueuedProposal) -> bool {
-        self.settled_state().is_some_and(|state| {
+    fn is_already_finished(&self, topic: Topic, proposal: &QueuedProposal) -> bool {
+        self.authoritative_state().is_some_and(|state| {
             let current = state.topic(topic);
             current.outcome_of(&proposal.id).is_some()
                 || current.in_force.is_some_and(|version| version.hash == proposal.hash)
@@ -94,7 +94,7 @@
             Some(leader) if self.earlier_leases_expired() => leader.grants.leased_versions(topic, self.now),
             _ => Default::default(),
         };
-        let in_force = self.settled_state().and_then(|state| state.topic(topic).in_force);
+        let in_force = self.authoritative_state().and_then(|state| state.topic(topic).in_force);
         versions.extend(in_force.map(|version| (version.number, version.hash)));
         versions.into_iter().collect()
     }
@@ -102,7 +102,7 @@
     /// Applies the verdict: makes the proposal the pending version of the topic, or rejects it.
     fn finish_check(&mut self, topic: Topic, check: CompatibilityCheck, verdict: Verdict) {
         let QueuedProposal { id, hash, size, .. } = check.proposal;
-        let Some(mut state) = self.settled_state().cloned() else { return };
+        let Some(mut state) = self.authoritative_state().cloned() else { return };
         let current = state.topic_mut(topic);
         let number = current.last_number + 1;
         let compatible_from = match verdict {
@@ -131,7 +131,7 @@
     /// start the proposal again.
     fn reject_proposal(&mut self, topic: Topic, id: ProposalId, outcome: ProposalOutcome) {
         self.end_check(topic);
-        let Some(mut state) = self.settled_state().cloned() else { return };
+        let Some(mut state) = self.authoritative_state().cloned() else { return };
         state.topic_mut(topic).record_outcome(id, outcome);
         self.write_state(state);
     }
--- a/crates/consensus/src/member/content.rs
+++ b/crates/consensus/src/member/content.rs
@@ -13,7 +13,7 @@
         }
         let (now, retry_after) = (self.now, self.config.timing.lease);
         let requested = &mut self.lease_holder.topics[topic.index()].requested_contents;
-        requested.retain(|&(_, at)| now < at + retry_after);
+        requested.retain(|&(_, requested_at)| now < requested_at + retry_after);
         if requested.iter().any(|&(requested, _)| requested == hash) {
             return;
         }
--- a/crates/consensus/src/member/endpoint_list.rs
+++ b/crates/consensus/src/member/endpoint_list.rs
@@ -30,15 +30,15 @@
     /// Leader: finds the newest list of the live members. A new epoch is accepted once more than half of them are in it
     /// or in a later one.
     pub(super) fn update_newest_list(&mut self) {
-        let (now, lease) = (self.now, self.granted_span());
+        let (now, lease) = (self.now, self.grant_duration());
         let Some(leader) = self.leader_mut() else { return };
         let mut lists: Vec<ListRevision> =
             leader.grants.live(now, lease).map(|(_, member)| member.list).collect();
         lists.sort_unstable();
         let Some(median) = lists.get(lists.len().saturating_sub(1) / 2) else { return };
-        let epoch = median.epoch.max(leader.list.epoch);
+        let epoch = median.epoch.max(leader.newest_list.epoch);
         if let Some(&newest) = lists.iter().rev().find(|list| list.epoch <= epoch) {
-            leader.list = leader.list.max(newest);
+            leader.newest_list = leader.newest_list.max(newest);
         }
     }
 }
--- a/crates/consensus/src/member/leader.rs
+++ b/crates/consensus/src/member/leader.rs
@@ -14,7 +14,7 @@
             return Some(self.now);
         }
         let mut rounds: Vec<Micros> = leader.acks.values().map(|&(round, _)| round).collect();
-        rounds.sort_unstable_by(|one, other| other.cmp(one));
+        rounds.sort_unstable_by(|left, right| right.cmp(left));
         rounds.get(needed - 1).copied()
     }
 
@@ -40,7 +40,7 @@
     }
 
     /// Returns the committed state if this process leads at this instant and has no uncommitted write.
-    pub(super) fn settled_state(&self) -> Option<&State> {
+    pub(super) fn authoritative_state(&self) -> Option<&State> {
         let leader = self.leader()?;
         let (_, state) = leader.committed.as_ref()?;
         (leader.is_committed && self.has_authority()).then_some(state)
@@ -49,7 +49,7 @@
     /// Returns when every lease of an earlier leader has expired. All these leases were granted before this leader was
     /// elected.
     fn earlier_leases_expire_at(&self, leader: &Leader) -> Micros {
-        leader.elected_at + self.granted_span()
+        leader.elected_at + self.grant_duration()
     }
 
     /// Whether every lease of an earlier leader has expired.
@@ -181,8 +181,10 @@
     pub(super) fn tick_leader(&mut self) {
         let Some(leader) = self.leader() else { return };
         let newest = self.newest_quorum_round(leader).unwrap_or(leader.elected_at).max(leader.elected_at);
-        let silence = self.now - newest;
-        if silence > self.config.timing.election_timeout_max && !self.has_mutant(Mutant::NoAuthorityCheck) {
+        let time_since_quorum = self.now - newest;
+        if time_since_quorum > self.config.timing.election_timeout_max
+            && !self.has_mutant(Mutant::NoAuthorityCheck)
+        {
             return self.step_down();
         }
         if self.now >= leader.next_heartbeat {
@@ -208,7 +210,7 @@
     }
 
     fn remove_expired_grants(&mut self) {
-        let (now, lease) = (self.now, self.granted_span());
+        let (now, lease) = (self.now, self.grant_duration());
         if let Some(leader) = self.leader_mut() {
             leader.grants.remove_expired(now, lease);
         }
@@ -218,15 +220,16 @@
     /// state abstains until its earlier acknowledgements are no longer recent. It then learns from a majority of the
     /// other voters which state was committed with its help.
     fn commit_if_majority(&mut self) {
-        let (now, window) = (self.now, self.config.timing.election_timeout_max);
+        let (now, max_age) = (self.now, self.config.timing.election_timeout_max);
         let Some(voter) = &mut self.voter else { return };
         let Some(leader) = &mut voter.leadership else { return };
         if leader.is_committed {
             return;
         }
         let (revision, state) = (voter.durable_state.revision, &voter.durable_state.state);
-        let have = leader.acks.values().filter(|&&(round, acked)| acked == revision && now <= round + window);
-        if have.count() + 1 < self.config.majority() {
+        let acknowledged =
+            leader.acks.values().filter(|&&(round, acked)| acked == revision && now <= round + max_age);
+        if acknowledged.count() + 1 < self.config.majority() {
             return;
         }
         leader.is_committed = true;
--- a/crates/consensus/src/member/lease_grants.rs
+++ b/crates/consensus/src/member/lease_grants.rs
@@ -13,9 +13,9 @@
         let committed =
             self.leader().filter(|_| self.has_authority()).and_then(|leader| leader.committed.clone());
         let Some((revision, state)) = committed else {
-            return self.hint_at_leader(from, request.sent_at);
+            return self.send_leader_hint(from, request.sent_at);
         };
-        let (now, expires_at) = (self.now, self.now + self.granted_span());
+        let (now, expires_at) = (self.now, self.now + self.grant_duration());
         let Some(leader) = self.leader_mut() else { return };
         let member = leader.grants.members.entry((from, request.incarnation)).or_default();
         if member.last_sent.is_some_and(|last| request.sent_at <= last) {
@@ -29,14 +29,14 @@
             revision,
             versions,
             pending: state.pending(),
-            list: leader.list,
+            list: leader.newest_list,
         };
         self.send(from, Message::LeaseGrant(Box::new(grant)));
     }
 
     /// Sends a hint with the leader, if this voter heard from the leader recently. A leader without a committed state
     /// sends no answer.
-    fn hint_at_leader(&mut self, to: u16, echo: Micros) {
+    fn send_leader_hint(&mut self, to: u16, echo: Micros) {
         let Some(voter) = &self.voter else { return };
         if voter.leadership.is_some() {
             return;
@@ -58,15 +58,15 @@
 ) -> [Option<Version>; 2] {
     let mut versions = [None; 2];
     for topic in Topic::ALL {
-        let at = topic.index();
-        let revoked_below = request.revoked_below[at];
+        let index = topic.index();
+        let revoked_below = request.revoked_below[index];
         // The member doesn't act on versions below this number, and rejects grants of them that are still in transit.
-        member.leases[at].retain(|lease| lease.number >= revoked_below);
+        member.leases[index].retain(|lease| lease.number >= revoked_below);
         let Some(version) = state.topic(topic).in_force else { continue };
         if is_being_revoked(state.topic(topic), &version) || version.number < revoked_below {
             continue;
         }
-        versions[at] = Some(version);
+        versions[index] = Some(version);
         member.extend(topic, &version, expires_at);
     }
     versions
--- a/crates/consensus/src/member/lease_holder.rs
+++ b/crates/consensus/src/member/lease_holder.rs
@@ -16,9 +16,9 @@
     pub(super) fn schedule_first_request(&mut self) {
         let spread = self.rng.random_range(0..=self.config.timing.heartbeat);
         self.lease_holder.requests.next_request = self.now + spread;
-        let at = self.rng.random_range(0..self.config.voters.len());
+        let index = self.rng.random_range(0..self.config.voters.len());
         if self.voter.is_none() {
-            self.lease_holder.requests.target = self.config.voters[at];
+            self.lease_holder.requests.target = self.config.voters[index];
         }
     }
 
@@ -82,7 +82,8 @@
     /// Builds the request that is sent now.
     fn lease_request(&self) -> LeaseRequest {
         let holder = &self.lease_holder;
-        let by_topic = |of: &dyn Fn(&TopicLease) -> Option<u64>| holder.topics.each_ref().map(of);
+        let by_topic =
+            |number_of: &dyn Fn(&TopicLease) -> Option<u64>| holder.topics.each_ref().map(number_of);
         let pending_in = |lease: &TopicLease, contents: &[ContentHash]| {
             lease
                 .pending
@@ -102,8 +103,8 @@
 
     fn try_next_voter(&mut self) {
         let voters = &self.config.voters;
-        let at = voters.iter().position(|&voter| voter == self.lease_holder.requests.target).unwrap_or(0);
-        self.lease_holder.requests.target = voters[(at + 1) % voters.len()];
+        let index = voters.iter().position(|&voter| voter == self.lease_holder.requests.target).unwrap_or(0);
+        self.lease_holder.requests.target = voters[(index + 1) % voters.len()];
         self.lease_holder.requests.target_is_leader = false;
     }
 
@@ -178,7 +179,7 @@
     fn offer_lease(&mut self, topic: Topic, version: Version, until: Micros, leader: u16) {
         let accepts_revoked = self.has_mutant(Mutant::AcceptRevoked);
         let lease = &mut self.lease_holder.topics[topic.index()];
-        if version.number < lease.floor.max(lease.revoked_below) && !accepts_revoked {
+        if version.number < lease.highest_activated.max(lease.revoked_below) && !accepts_revoked {
             return;
         }
         lease.offered = Some((version, until));
@@ -192,16 +193,16 @@
     pub(super) fn activate_offered(&mut self, topic: Topic) {
         let lease = &mut self.lease_holder.topics[topic.index()];
         let Some((version, until)) = lease.offered else { return };
-        let same = lease.active.filter(|(active, _)| active.number == version.number);
-        if (same.is_none() && !self.lease_holder.contents.available.contains(&version.hash))
+        let current = lease.active.filter(|(active, _)| active.number == version.number);
+        if (current.is_none() && !self.lease_holder.contents.available.contains(&version.hash))
             || until <= self.now
         {
             return;
         }
         lease.offered = None;
-        let is_forward = version.number >= lease.floor;
-        lease.active = Some((version, same.map_or(until, |(_, earlier)| earlier.max(until))));
-        lease.floor = version.number;
+        let is_forward = version.number >= lease.highest_activated;
+        lease.active = Some((version, current.map_or(until, |(_, earlier)| earlier.max(until))));
+        lease.highest_activated = version.number;
         let is_allowed = is_forward || self.has_mutant(Mutant::AcceptRevoked);
         self.check_invariant(is_allowed, "the number of a member's version must not decrease");
         self.publish_lease(topic);
--- a/crates/consensus/src/member/mod.rs
+++ b/crates/consensus/src/member/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::clock_drift::{lengthen, shorten};
 use crate::mutant::Mutant;
-use crate::roles::endpoint_lists::ListProgress;
+use crate::roles::endpoint_lists::KnownLists;
 use crate::roles::lease_holder::LeaseHolder;
 use crate::roles::proposer::Proposer;
 use crate::roles::voter::Voter;
@@ -48,7 +48,7 @@
     voter: Option<Voter>,
     lease_holder: LeaseHolder,
     proposer: Proposer,
-    lists: ListProgress,
+    lists: KnownLists,
     counters: Counters,
     #[cfg(feature = "mutants")]
     mutant: Mutant,
@@ -69,7 +69,7 @@
             voter: None,
             lease_holder: LeaseHolder::new(&config, now),
             proposer: Proposer::default(),
-            lists: ListProgress::default(),
+            lists: KnownLists::default(),
             counters: Counters::default(),
             #[cfg(feature = "mutants")]
             mutant: Mutant::Unmodified,
@@ -145,7 +145,7 @@
     }
 
     fn receive(&mut self, from: u16, message: Message) {
-        if !self.accepts(from, &message) {
+        if !self.is_acceptable(from, &message) {
             self.counters.dropped += 1;
             return;
         }
@@ -176,7 +176,7 @@
     }
 
     /// Whether the message is within the bounds and may come from this sender.
-    fn accepts(&self, from: u16, message: &Message) -> bool {
+    fn is_acceptable(&self, from: u16, message: &Message) -> bool {
         let among_voters = message.is_among_voters();
         from < self.config.members
             && message.bounded()
@@ -210,8 +210,8 @@
     }
 
     fn send_to_other_voters(&mut self, message: &Message) {
-        for at in 0..self.config.voters.len() {
-            let to = self.config.voters[at];
+        for index in 0..self.config.voters.len() {
+            let to = self.config.voters[index];
             if to != self.config.ordinal {
                 self.send(to, message.clone());
             }
@@ -233,18 +233,18 @@
     }
 
     /// Calls [`lengthen`] with the configured drift.
-    fn lengthen(&self, span: Micros) -> Micros {
-        lengthen(span, self.drift_ppm())
+    fn lengthen(&self, duration: Micros) -> Micros {
+        lengthen(duration, self.drift_ppm())
     }
 
     /// Calls [`shorten`] with the configured drift.
-    fn shorten(&self, span: Micros) -> Micros {
-        shorten(span, self.drift_ppm())
+    fn shorten(&self, duration: Micros) -> Micros {
+        shorten(duration, self.drift_ppm())
     }
 
     /// Returns how long the leader counts a granted lease by its own clock. This covers the member's lease even if the
     /// two clocks drift apart by the configured maximum.
-    fn granted_span(&self) -> Micros {
+    fn grant_duration(&self) -> Micros {
         self.lengthen(self.config.timing.lease)
     }
 
@@ -279,7 +279,7 @@
         status.revision = voter.durable_state.revision;
         status.state = Some(voter.durable_state.state.clone());
         let Some(leader) = &voter.leadership else { return };
-        let lease = self.granted_span();
+        let lease = self.grant_duration();
         status.authority_until = self.authority_until(leader);
         status.live_members = leader.grants.live(self.now, lease).count() as u32;
         for topic in Topic::ALL {
--- a/crates/consensus/src/member/proposal.rs
+++ b/crates/consensus/src/member/proposal.rs
@@ -33,17 +33,17 @@
     /// Ends the proposals of this topic that haven't been sent yet, because the new proposal would replace them as soon
     /// as they were in force.
     fn supersede_unsent(&mut self, topic: Topic) {
-        let first = self.proposer.first(topic);
-        let mut at = 0;
+        let first_index = self.proposer.first_index(topic);
+        let mut index = 0;
         let outputs = &mut self.outputs;
         self.proposer.proposals.retain(|proposal| {
-            let stays = proposal.topic != topic || Some(at) == first;
-            at += 1;
-            if !stays {
+            let is_kept = proposal.topic != topic || Some(index) == first_index;
+            index += 1;
+            if !is_kept {
                 let outcome = ProposalOutcome::Superseded;
                 outputs.push_back(Output::ProposalFinished { topic, hash: proposal.hash, outcome });
             }
-            stays
+            is_kept
         });
     }
 
@@ -51,9 +51,9 @@
     pub(super) fn tick_proposer(&mut self) {
         let retry_after = self.config.timing.heartbeat * 2;
         for topic in Topic::ALL {
-            let Some(at) = self.proposer.first(topic) else { continue };
+            let Some(index) = self.proposer.first_index(topic) else { continue };
             let jitter = self.rng.random_range(0..=retry_after / 2);
-            let proposal = &mut self.proposer.proposals[at];
+            let proposal = &mut self.proposer.proposals[index];
             if self.now < proposal.next_send {
                 continue;
             }
@@ -66,8 +66,10 @@
     }
 
     pub(super) fn proposal_finished(&mut self, id: ProposalId, outcome: ProposalOutcome) {
-        let Some(at) = self.proposer.proposals.iter().position(|proposal| proposal.id == id) else { return };
-        let OwnProposal { topic, hash, .. } = self.proposer.proposals.remove(at);
+        let Some(index) = self.proposer.proposals.iter().position(|proposal| proposal.id == id) else {
+            return;
+        };
+        let OwnProposal { topic, hash, .. } = self.proposer.proposals.remove(index);
         self.outputs.push_back(Output::ProposalFinished { topic, hash, outcome });
     }
 
@@ -84,7 +86,7 @@
             return self.counters.dropped += 1;
         }
         // Answers must be based on the committed state only.
-        let Some(state) = self.settled_state() else { return };
+        let Some(state) = self.authoritative_state() else { return };
         let current = state.topic(topic);
         if let Some(outcome) = current.outcome_of(&id) {
             return self.send(from, Message::ProposalFinished { id, outcome });
--- a/crates/consensus/src/roles/change.rs
+++ b/crates/consensus/src/roles/change.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns when this leader first saw the version pending. The first call for a number records the current time.
-    pub fn prepare_start(&mut self, number: u64, now: Micros) -> Micros {
+    pub fn prepare_started_at(&mut self, number: u64, now: Micros) -> Micros {
         match self.preparing_since {
             Some((of, since)) if of == number => since,
             _ => {
--- a/crates/consensus/src/roles/endpoint_lists.rs
+++ b/crates/consensus/src/roles/endpoint_lists.rs
@@ -4,7 +4,7 @@
 
 /// The revision of the member's own endpoint list, and of the newer list that the embedder was notified of.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ListProgress {
+pub(crate) struct KnownLists {
     /// The newest list that discovery sent to this member.
     pub own: ListRevision,
     /// The newest list of other members that the embedder was notified of.
--- a/crates/consensus/src/roles/leader.rs
+++ b/crates/consensus/src/roles/leader.rs
@@ -21,7 +21,7 @@
     /// The change of each topic.
     pub changes: [TopicChange; 2],
     /// The newest endpoint list that members have.
-    pub list: ListRevision,
+    pub newest_list: ListRevision,
 }
 
 impl Leader {
@@ -34,7 +34,7 @@
             committed: None,
             grants: LeaseGrants::default(),
             changes: [TopicChange::default(), TopicChange::default()],
-            list: ListRevision::default(),
+            newest_list: ListRevision::default(),
         }
     }
 }
--- a/crates/consensus/src/roles/lease_grants.rs
+++ b/crates/consensus/src/roles/lease_grants.rs
@@ -18,7 +18,7 @@
     /// The `sent_at` of the last request, by the member's clock.
     pub last_sent: Option<Micros>,
     /// When the last request arrived, by the leader's clock.
-    pub seen_at: Micros,
+    pub last_request_at: Micros,
     /// For each topic, the number of the version that the member acts on.
     pub active: [Option<u64>; 2],
     /// For each topic, the number of the pending version if the member is ready to run it.
@@ -33,7 +33,7 @@
     /// Updates the data of the member from a newer request.
     pub fn update(&mut self, now: Micros, request: &LeaseRequest) {
         self.last_sent = Some(request.sent_at);
-        self.seen_at = now;
+        self.last_request_at = now;
         self.active = request.active;
         self.ready = request.ready;
         self.unsupported = request.unsupported;
@@ -64,7 +64,7 @@
     pub fn live(&self, now: Micros, lease: Micros) -> impl Iterator<Item = (u16, &MemberLeases)> {
         self.members
             .iter()
-            .filter(move |(_, member)| now < member.seen_at + lease)
+            .filter(move |(_, member)| now < member.last_request_at + lease)
             .map(|(&(ordinal, _), member)| (ordinal, member))
     }
 
@@ -101,7 +101,7 @@
             for leases in &mut member.leases {
                 leases.retain(|lease| now < lease.expires_at);
             }
-            now < member.seen_at + lease || member.leases.iter().any(|leases| !leases.is_empty())
+            now < member.last_request_at + lease || member.leases.iter().any(|leases| !leases.is_empty())
         });
     }
 }
--- a/crates/consensus/src/roles/lease_holder.rs
+++ b/crates/consensus/src/roles/lease_holder.rs
@@ -12,7 +12,7 @@
     /// A granted version whose content isn't available yet, and when its lease ends.
     pub offered: Option<(Version, Micros)>,
     /// The greatest number that this process has acted on. The process never acts on a smaller number again.
-    pub floor: u64,
+    pub highest_activated: u64,
     /// Versions with smaller numbers were revoked. The process never acts on them again.
     pub revoked_below: u64,
     pub pending: Option<Pending>,
@@ -115,7 +115,7 @@
         TopicStatus {
             active: lease.active.map(|(version, _)| version),
             until: lease.active.map_or(Micros::MIN, |(_, until)| until),
-            newest: pending.max(offered).max(lease.floor),
+            newest: pending.max(offered).max(lease.highest_activated),
             members_by_version: Vec::new(),
         }
     }
--- a/crates/consensus/src/roles/proposer.rs
+++ b/crates/consensus/src/roles/proposer.rs
@@ -28,13 +28,13 @@
     }
 
     /// Returns the index of this topic's first proposal, which is being sent.
-    pub fn first(&self, topic: Topic) -> Option<usize> {
+    pub fn first_index(&self, topic: Topic) -> Option<usize> {
         self.proposals.iter().position(|proposal| proposal.topic == topic)
     }
 
     pub fn next_timeout(&self) -> Micros {
         let firsts =
-            Topic::ALL.iter().filter_map(|&topic| Some(self.proposals[self.first(topic)?].next_send));
+            Topic::ALL.iter().filter_map(|&topic| Some(self.proposals[self.first_index(topic)?].next_send));
         firsts.min().unwrap_or(Micros::MAX)
     }
 }
--- a/crates/consensus/tests/config.rs
+++ b/crates/consensus/tests/config.rs
@@ -47,8 +47,8 @@
     }
     let zero = Timing { heartbeat: 0, ..Timing::default() };
     assert!(matches!(zero.check(), Err(ConfigError::Span { name: "heartbeat", .. })));
-    let wild = Timing { drift_ppm: 200_000, ..Timing::default() };
-    assert_eq!(wild.check(), Err(ConfigError::Drift(200_000)));
+    let too_much_drift = Timing { drift_ppm: 200_000, ..Timing::default() };
+    assert_eq!(too_much_drift.check(), Err(ConfigError::Drift(200_000)));
 }
 
 #[test]
