--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -14,31 +14,31 @@
 /// Returns a content hash that encodes the properties of the content: its answers to three questions (0 means no
 /// answer), the member that can't run it, and whether the leader's embedder rejects it. This function sets only the
 /// answers.
-pub fn content(id: u16, says: [u8; 3]) -> ContentHash {
+pub fn content(id: u16, answers: [u8; 3]) -> ContentHash {
     let mut hash = [0; 32];
     hash[..2].copy_from_slice(&id.to_be_bytes());
-    hash[2..5].copy_from_slice(&says);
+    hash[2..5].copy_from_slice(&answers);
     hash
 }
 
 /// Returns the same content, changed so that `member` can't run it.
-pub fn not_for(mut hash: ContentHash, member: u16) -> ContentHash {
+pub fn unsupported_by(mut hash: ContentHash, member: u16) -> ContentHash {
     hash[5] = 1;
     hash[6..8].copy_from_slice(&member.to_be_bytes());
     hash
 }
 
 /// Returns the same content, changed so that the leader's embedder rejects it.
-pub fn refused(mut hash: ContentHash) -> ContentHash {
+pub fn rejected(mut hash: ContentHash) -> ContentHash {
     hash[8] = 1;
     hash
 }
 
-pub fn runs_at(hash: &ContentHash, member: u16) -> bool {
+pub fn can_run_at(hash: &ContentHash, member: u16) -> bool {
     hash[5] == 0 || u16::from_be_bytes([hash[6], hash[7]]) != member
 }
 
 /// Whether both contents answer the same question differently. This relation is not transitive.
-pub fn contradict(one: &ContentHash, other: &ContentHash) -> bool {
-    (2..5).any(|at| one[at] != 0 && other[at] != 0 && one[at] != other[at])
+pub fn are_incompatible(first: &ContentHash, second: &ContentHash) -> bool {
+    (2..5).any(|index| first[index] != 0 && second[index] != 0 && first[index] != second[index])
 }
--- a/crates/consensus/tests/common/world.rs
+++ b/crates/consensus/tests/common/world.rs
@@ -2,7 +2,7 @@
 
 use super::oracle::Oracle;
 use super::time::{Clock, Event};
-use super::{contradict, runs_at};
+use super::{are_incompatible, can_run_at};
 use cottonnotch_consensus::{
     Config, ContentHash, DurableState, Input, Member, Message, Mutant, Output, ProposalOutcome, Role, Status,
     Timing, Topic, Verdict,
@@ -35,24 +35,24 @@
     pub stopped: bool,
     pub alive: bool,
     /// The inputs that arrived while the process was stopped.
-    queued: Vec<Input>,
+    queued_inputs: Vec<Input>,
     timer: u64,
     /// If set, the process crashes after it has carried out this many more outputs.
-    crash_after: Option<u32>,
+    outputs_until_crash: Option<u32>,
 }
 
 #[derive(Clone, Debug)]
 pub struct Net {
-    pub least: i64,
-    pub most: i64,
+    pub min_delay: i64,
+    pub max_delay: i64,
     /// The probability that a message is lost, in thousandths.
-    pub loss: u32,
-    pub duplicated: u32,
+    pub loss_permille: u32,
+    pub duplicated_permille: u32,
 }
 
 impl Default for Net {
     fn default() -> Self {
-        Self { least: MS / 5, most: MS, loss: 0, duplicated: 0 }
+        Self { min_delay: MS / 5, max_delay: MS, loss_permille: 0, duplicated_permille: 0 }
     }
 }
 
@@ -72,7 +72,7 @@
     pub voters: Vec<u16>,
     pub processes: Vec<Process>,
     /// For each ordinal, the process that receives the messages of the member.
-    pub at: Vec<Option<usize>>,
+    pub current_process: Vec<Option<usize>>,
     /// For each ordinal, the durable state on the disk of the member.
     pub disks: Vec<Option<DurableState>>,
     /// The members that can't fetch contents.
@@ -80,10 +80,10 @@
     /// For each ordinal, the contents on the disk of the member.
     pub contents: Vec<BTreeSet<ContentHash>>,
     pub net: Net,
-    pub cut: BTreeSet<(u16, u16)>,
+    pub cut_links: BTreeSet<(u16, u16)>,
     pub oracle: Oracle,
-    pub over: Vec<(u16, Topic, ContentHash, ProposalOutcome)>,
-    pub outdated: Vec<(u16, u64)>,
+    pub finished_proposals: Vec<(u16, Topic, ContentHash, ProposalOutcome)>,
+    pub outdated_lists: Vec<(u16, u64)>,
     pub mutant: Mutant,
     pub traffic: Traffic,
     /// The messages sent by each member, including lost ones. `received` counts the messages sent to each member.
@@ -96,11 +96,11 @@
     /// Whether bytes are counted, which requires encoding each message.
     pub count_bytes: bool,
     /// The maximum rate error of clocks, in parts per million.
-    pub ppm: i64,
+    pub max_drift_ppm: i64,
     /// The maximum time that a member takes to fetch and compile a content.
     pub max_fetch: i64,
     events: BinaryHeap<Event>,
-    order: u64,
+    last_sequence: u64,
     incarnations: u64,
 }
 
@@ -125,15 +125,15 @@
             members,
             voters: (0..voters).collect(),
             processes: Vec::new(),
-            at: vec![None; members.into()],
+            current_process: vec![None; members.into()],
             disks: vec![None; members.into()],
             contents: vec![BTreeSet::new(); members.into()],
             fetch_fails: BTreeSet::new(),
             net: Net::default(),
-            cut: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             oracle: Oracle::default(),
-            over: Vec::new(),
-            outdated: Vec::new(),
+            finished_proposals: Vec::new(),
+            outdated_lists: Vec::new(),
             mutant,
             traffic: Traffic::default(),
             sent: vec![Traffic::default(); members.into()],
@@ -141,10 +141,10 @@
             served_contents: vec![0; members.into()],
             ticks: 0,
             count_bytes: false,
-            ppm,
+            max_drift_ppm: ppm,
             max_fetch: 20 * MS,
             events: BinaryHeap::new(),
-            order: 0,
+            last_sequence: 0,
             incarnations: 0,
         }
     }
@@ -155,10 +155,10 @@
         let clock = Clock {
             offset: self.rng.random_range(-1_000_000_000..1_000_000_000),
             // The ends of the range are drawn often, because the lease arithmetic has the least margin there.
-            ppm: match self.rng.random_range(0..4) {
-                0 => -self.ppm,
-                1 => self.ppm,
-                _ => self.rng.random_range(-self.ppm..=self.ppm),
+            rate_error_ppm: match self.rng.random_range(0..4) {
+                0 => -self.max_drift_ppm,
+                1 => self.max_drift_ppm,
+                _ => self.rng.random_range(-self.max_drift_ppm..=self.max_drift_ppm),
             },
         };
         let config = Config {
@@ -169,7 +169,7 @@
             incarnation: self.incarnations,
         };
         config.check().unwrap();
-        let mut member = Member::new(config, clock.own(self.now), durable_state, self.rng.random());
+        let mut member = Member::new(config, clock.local_time_at(self.now), durable_state, self.rng.random());
         member.mutate(self.mutant);
         let process = self.processes.len();
         self.processes.push(Process {
@@ -178,19 +178,19 @@
             clock,
             stopped: false,
             alive: true,
-            queued: Vec::new(),
+            queued_inputs: Vec::new(),
             timer: 0,
 
-            crash_after: None,
+            outputs_until_crash: None,
         });
-        self.at[usize::from(ordinal)] = Some(process);
+        self.current_process[usize::from(ordinal)] = Some(process);
         self.set_timer(process);
         process
     }
 
     /// Ends the process of this member.
     pub fn crash(&mut self, ordinal: u16, disk: Disk) {
-        if let Some(process) = self.at[usize::from(ordinal)].take() {
+        if let Some(process) = self.current_process[usize::from(ordinal)].take() {
             self.processes[process].alive = false;
             self.oracle.remove_process(process);
         }
@@ -201,21 +201,21 @@
     }
 
     /// Ends the process of this member after it has carried out `after` more outputs.
-    pub fn crash_midway(&mut self, ordinal: u16, after: u32) {
-        if let Some(process) = self.at[usize::from(ordinal)] {
-            self.processes[process].crash_after = Some(after);
+    pub fn crash_after_outputs(&mut self, ordinal: u16, after: u32) {
+        if let Some(process) = self.current_process[usize::from(ordinal)] {
+            self.processes[process].outputs_until_crash = Some(after);
         }
     }
 
     pub fn restart(&mut self, ordinal: u16) {
-        if self.at[usize::from(ordinal)].is_none() {
+        if self.current_process[usize::from(ordinal)].is_none() {
             let durable_state = self.disks[usize::from(ordinal)].clone();
             self.start(ordinal, durable_state);
         }
     }
 
     pub fn stop(&mut self, ordinal: u16) {
-        if let Some(process) = self.at[usize::from(ordinal)] {
+        if let Some(process) = self.current_process[usize::from(ordinal)] {
             self.processes[process].stopped = true;
         }
     }
@@ -226,78 +226,78 @@
             return;
         }
         self.processes[process].stopped = false;
-        for input in std::mem::take(&mut self.processes[process].queued) {
-            self.give(process, input);
+        for input in std::mem::take(&mut self.processes[process].queued_inputs) {
+            self.handle_input(process, input);
         }
-        self.give(process, Input::Tick);
+        self.handle_input(process, Input::Tick);
     }
 
-    pub fn cut_both(&mut self, one: u16, other: u16) {
-        self.cut.insert((one, other));
-        self.cut.insert((other, one));
+    pub fn cut_both_directions(&mut self, first: u16, second: u16) {
+        self.cut_links.insert((first, second));
+        self.cut_links.insert((second, first));
     }
 
-    pub fn cut_off(&mut self, ordinal: u16) {
+    pub fn isolate(&mut self, ordinal: u16) {
         for other in 0..self.members {
-            self.cut_both(ordinal, other);
+            self.cut_both_directions(ordinal, other);
         }
     }
 
-    fn push(&mut self, at: i64, what: EventKind) {
-        self.order += 1;
-        self.events.push(Event { at: at.max(self.now), order: self.order, what });
+    fn schedule(&mut self, at: i64, kind: EventKind) {
+        self.last_sequence += 1;
+        self.events.push(Event { at: at.max(self.now), sequence: self.last_sequence, kind });
     }
 
     fn set_timer(&mut self, process: usize) {
-        let one = &mut self.processes[process];
-        one.timer += 1;
-        let (timer, at) = (one.timer, one.clock.real(one.member.next_timeout()));
+        let instance = &mut self.processes[process];
+        instance.timer += 1;
+        let (timer, at) = (instance.timer, instance.clock.true_time_at(instance.member.next_timeout()));
         if at < i64::MAX {
-            self.push(at, EventKind::Tick { process, timer });
+            self.schedule(at, EventKind::Tick { process, timer });
         }
     }
 
     pub fn input(&mut self, ordinal: u16, input: Input) {
-        if let Some(process) = self.at[usize::from(ordinal)] {
-            self.give(process, input);
+        if let Some(process) = self.current_process[usize::from(ordinal)] {
+            self.handle_input(process, input);
         }
     }
 
     pub fn propose(&mut self, ordinal: u16, topic: Topic, hash: ContentHash) {
-        if let Some(process) = self.at[usize::from(ordinal)] {
+        if let Some(process) = self.current_process[usize::from(ordinal)] {
             self.contents[usize::from(ordinal)].insert(hash);
-            self.give(process, Input::Propose { topic, hash, size: 1_000 });
+            self.handle_input(process, Input::Propose { topic, hash, size: 1_000 });
         }
     }
 
-    fn give(&mut self, process: usize, input: Input) {
-        let one = &mut self.processes[process];
-        if !one.alive {
+    fn handle_input(&mut self, process: usize, input: Input) {
+        let instance = &mut self.processes[process];
+        if !instance.alive {
             return;
         }
-        if one.stopped {
-            if one.queued.len() < 10_000 {
-                one.queued.push(input);
+        if instance.stopped {
+            if instance.queued_inputs.len() < 10_000 {
+                instance.queued_inputs.push(input);
             }
             return;
         }
-        let own = one.clock.own(self.now);
-        one.member.handle(own, input);
+        let local_time = instance.clock.local_time_at(self.now);
+        instance.member.handle(local_time, input);
         while let Some(output) = self.processes[process].member.poll() {
             let ordinal = self.processes[process].ordinal;
-            match &mut self.processes[process].crash_after {
-                Some(0) if self.at[usize::from(ordinal)] == Some(process) => {
+            match &mut self.processes[process].outputs_until_crash {
+                Some(0) if self.current_process[usize::from(ordinal)] == Some(process) => {
                     return self.crash(ordinal, Disk::Kept);
                 }
-                Some(left) => *left = left.saturating_sub(1),
+                Some(remaining) => *remaining = remaining.saturating_sub(1),
                 None => {}
             }
-            self.carry_out(process, output);
+            self.execute(process, output);
         }
         self.set_timer(process);
     }
 
-    fn carry_out(&mut self, process: usize, output: Output) {
+    fn execute(&mut self, process: usize, output: Output) {
         let ordinal = self.processes[process].ordinal;
         match output {
             Output::Send { to, message } => self.transmit(ordinal, to, message),
@@ -306,45 +306,49 @@
                 let verdict = if hash[8] == 1 {
                     Verdict::Rejected
                 } else {
-                    let agreeing = against.iter().rev().take_while(|(_, other)| !contradict(&hash, other));
-                    agreeing.last().map_or(Verdict::Incompatible, |&(from, _)| Verdict::Compatible { from })
+                    let compatible =
+                        against.iter().rev().take_while(|(_, other)| !are_incompatible(&hash, other));
+                    compatible.last().map_or(Verdict::Incompatible, |&(from, _)| Verdict::Compatible { from })
                 };
                 let at = self.now + 5 * MS;
-                self.push(at, EventKind::Input { process, input: Input::Checked { topic, hash, verdict } });
+                self.schedule(
+                    at,
+                    EventKind::Input { process, input: Input::Checked { topic, hash, verdict } },
+                );
             }
             Output::Fetch { hash, from, .. } => {
-                let own = self.contents[usize::from(ordinal)].contains(&hash);
+                let has_content = self.contents[usize::from(ordinal)].contains(&hash);
                 let source = from.iter().copied().find(|&source| {
-                    let reached =
-                        !self.cut.contains(&(source, ordinal)) && !self.cut.contains(&(ordinal, source));
-                    reached
-                        && self.at[usize::from(source)].is_some_and(|source| {
+                    let is_reachable = !self.cut_links.contains(&(source, ordinal))
+                        && !self.cut_links.contains(&(ordinal, source));
+                    is_reachable
+                        && self.current_process[usize::from(source)].is_some_and(|source| {
                             let ordinal = usize::from(self.processes[source].ordinal);
                             !self.processes[source].stopped && self.contents[ordinal].contains(&hash)
                         })
                 });
-                if !own && source.is_none() || self.fetch_fails.contains(&ordinal) {
+                if !has_content && source.is_none() || self.fetch_fails.contains(&ordinal) {
                     return;
                 }
-                if let Some(source) = source.filter(|_| !own) {
+                if let Some(source) = source.filter(|_| !has_content) {
                     self.served_contents[usize::from(source)] += 1;
                 }
                 let at = self.now + self.rng.random_range(MS..=self.max_fetch);
-                let input = if runs_at(&hash, ordinal) {
+                let input = if can_run_at(&hash, ordinal) {
                     Input::ContentReady { hash }
                 } else {
                     Input::ContentUnsupported { hash }
                 };
-                self.push(at, EventKind::Input { process, input });
+                self.schedule(at, EventKind::Input { process, input });
             }
             Output::LeaseChanged(lease) => {
-                let until = self.processes[process].clock.real(lease.until);
+                let until = self.processes[process].clock.true_time_at(lease.until);
                 self.oracle.lease_changed(self.now, process, lease, until);
             }
             Output::ProposalFinished { topic, hash, outcome } => {
-                self.over.push((ordinal, topic, hash, outcome))
+                self.finished_proposals.push((ordinal, topic, hash, outcome))
             }
-            Output::ListOutdated { revision } => self.outdated.push((ordinal, revision)),
+            Output::ListOutdated { revision } => self.outdated_lists.push((ordinal, revision)),
         }
     }
 
@@ -360,35 +364,40 @@
         self.traffic.messages += 1;
         self.sent[usize::from(from)].messages += 1;
         self.received[usize::from(to)].messages += 1;
-        let copies = if self.rng.random_range(0..1_000) < self.net.duplicated { 2 } else { 1 };
+        let copies = if self.rng.random_range(0..1_000) < self.net.duplicated_permille { 2 } else { 1 };
         for _ in 0..copies {
-            if self.cut.contains(&(from, to)) || self.rng.random_range(0..1_000) < self.net.loss {
+            if self.cut_links.contains(&(from, to))
+                || self.rng.random_range(0..1_000) < self.net.loss_permille
+            {
                 continue;
             }
-            let delay = self.rng.random_range(self.net.least..=self.net.most);
+            let delay = self.rng.random_range(self.net.min_delay..=self.net.max_delay);
             // If the network loses messages, one message in 200 arrives very late.
-            let delay =
-                if self.net.loss > 0 && self.rng.random_range(0..200) == 0 { delay * 50 } else { delay };
-            self.push(self.now + delay, EventKind::Deliver { from, to, message: message.clone() });
+            let delay = if self.net.loss_permille > 0 && self.rng.random_range(0..200) == 0 {
+                delay * 50
+            } else {
+                delay
+            };
+            self.schedule(self.now + delay, EventKind::Deliver { from, to, message: message.clone() });
         }
     }
 
     /// Runs for this long, or until the first violation.
-    pub fn run(&mut self, span: i64) {
-        let end = self.now + span;
+    pub fn run(&mut self, duration: i64) {
+        let end = self.now + duration;
         while self.oracle.violation.is_none() && self.events.peek().is_some_and(|event| event.at <= end) {
             let Some(event) = self.events.pop() else { break };
             self.now = event.at;
-            match event.what {
+            match event.kind {
                 EventKind::Tick { process, timer } => {
                     if self.processes[process].timer == timer {
                         self.ticks += 1;
-                        self.give(process, Input::Tick);
+                        self.handle_input(process, Input::Tick);
                     }
                 }
                 EventKind::Deliver { from, to, message } => {
-                    if let Some(process) = self.at[usize::from(to)] {
-                        self.give(process, Input::Message { from, message });
+                    if let Some(process) = self.current_process[usize::from(to)] {
+                        self.handle_input(process, Input::Message { from, message });
                     }
                 }
                 EventKind::Input { process, input } => {
@@ -396,19 +405,19 @@
                         let ordinal = usize::from(self.processes[process].ordinal);
                         self.contents[ordinal].insert(*hash);
                     }
-                    self.give(process, input);
+                    self.handle_input(process, input);
                 }
             }
         }
         self.now = end;
     }
 
-    /// Runs until the condition holds, for at most `most`. Returns how long it took, or `None` if the condition doesn't
+    /// Runs until the condition holds, for at most `timeout`. Returns how long it took, or `None` if the condition doesn't
     /// hold by then or an invariant was violated.
-    pub fn run_until(&mut self, most: i64, mut condition: impl FnMut(&World) -> bool) -> Option<i64> {
+    pub fn run_until(&mut self, timeout: i64, mut condition: impl FnMut(&World) -> bool) -> Option<i64> {
         let begin = self.now;
         let step = if self.members > 50 { 10 * MS } else { 2 * MS };
-        while self.now < begin + most {
+        while self.now < begin + timeout {
             if condition(self) {
                 return Some(self.now - begin);
             }
@@ -421,37 +430,38 @@
     }
 
     pub fn status(&self, ordinal: u16) -> Option<Status> {
-        self.at[usize::from(ordinal)].map(|process| self.processes[process].member.status())
+        self.current_process[usize::from(ordinal)].map(|process| self.processes[process].member.status())
     }
 
     /// Returns the voter that leads by its own clock.
     pub fn leader(&self) -> Option<u16> {
         self.voters.iter().copied().find(|&voter| {
-            let Some(process) = self.at[usize::from(voter)] else { return false };
-            let one = &self.processes[process];
-            let status = one.member.status();
+            let Some(process) = self.current_process[usize::from(voter)] else { return false };
+            let instance = &self.processes[process];
+            let status = instance.member.status();
             status.role == Role::Leader
-                && !one.stopped
-                && status.authority_until.is_some_and(|until| one.clock.own(self.now) < until)
+                && !instance.stopped
+                && status.authority_until.is_some_and(|until| instance.clock.local_time_at(self.now) < until)
         })
     }
 
     /// Returns the number of members whose process may act on this content now.
-    pub fn acting_on(&self, topic: Topic, hash: ContentHash) -> usize {
-        let acts = |process: &&usize| {
-            let one = &self.processes[**process];
-            let lease = one.member.lease(topic);
-            lease.version.is_some_and(|(_, content)| content == hash) && one.clock.own(self.now) < lease.until
+    pub fn members_acting_on(&self, topic: Topic, hash: ContentHash) -> usize {
+        let is_acting = |process: &&usize| {
+            let instance = &self.processes[**process];
+            let lease = instance.member.lease(topic);
+            lease.version.is_some_and(|(_, content)| content == hash)
+                && instance.clock.local_time_at(self.now) < lease.until
         };
-        self.at.iter().flatten().filter(acts).count()
+        self.current_process.iter().flatten().filter(is_acting).count()
     }
 
     /// Ends all faults.
-    pub fn heal(&mut self) {
-        self.cut.clear();
+    pub fn end_faults(&mut self) {
+        self.cut_links.clear();
         self.net = Net::default();
         for process in 0..self.processes.len() {
-            self.processes[process].crash_after = None;
+            self.processes[process].outputs_until_crash = None;
             self.resume(process);
         }
         for ordinal in 0..self.members {
@@ -463,7 +473,7 @@
     pub fn end_old_incarnations(&mut self) {
         for process in 0..self.processes.len() {
             let ordinal = self.processes[process].ordinal;
-            if self.at[usize::from(ordinal)] != Some(process) {
+            if self.current_process[usize::from(ordinal)] != Some(process) {
                 self.processes[process].alive = false;
                 self.oracle.remove_process(process);
             }
@@ -476,9 +486,9 @@
             panic!("seed {}, at {} us: {violation}", self.seed, self.now);
         }
         for process in &self.processes {
-            let broken = process.member.status().invariant_violations;
+            let violations = process.member.status().invariant_violations;
             assert_eq!(
-                broken, 0,
+                violations, 0,
                 "seed {}: member {} detected invariant violations",
                 self.seed, process.ordinal
             );
--- a/crates/consensus/tests/fault_scenarios.rs
+++ b/crates/consensus/tests/fault_scenarios.rs
@@ -8,7 +8,7 @@
 
 mod common;
 
-use common::scenarios::{self, acting, new, old};
+use common::scenarios::{self, cluster_on_old_version, new_version, old_version};
 use common::world::{Disk, MS, World};
 use common::{chaos, content};
 use cottonnotch_consensus::{DurableState, Mutant, ProposalOutcome, Role, Timing, Topic};
@@ -20,7 +20,7 @@
     for seed in 0..20 {
         let world = scenarios::leader_stopped_during_a_change(seed, NO_MUTANT);
         world.assert_no_violation();
-        assert_eq!(world.acting_on(Topic::Rules, old()), 0, "seed {seed}");
+        assert_eq!(world.members_acting_on(Topic::Rules, old_version()), 0, "seed {seed}");
     }
 }
 
@@ -37,7 +37,7 @@
     for seed in 0..20 {
         let world = scenarios::lease_of_a_crashed_leader(seed, NO_MUTANT);
         world.assert_no_violation();
-        assert_eq!(world.acting_on(Topic::Rules, new()), 3, "seed {seed}");
+        assert_eq!(world.members_acting_on(Topic::Rules, new_version()), 3, "seed {seed}");
     }
 }
 
@@ -47,12 +47,12 @@
         let mut world = scenarios::voter_loses_committed_state(seed, NO_MUTANT);
         world.assert_no_violation();
         // Only the crashed voter has the state, so nothing can be decided without it.
-        assert_eq!(world.oracle.greatest[0], 2, "seed {seed}");
-        world.heal();
+        assert_eq!(world.oracle.greatest_numbers[0], 2, "seed {seed}");
+        world.end_faults();
         let last = content(3, [1, 1, 1]);
-        let took = world.run_until(8_000 * MS, |world| world.acting_on(Topic::Rules, last) == 5);
-        assert!(took.is_some(), "seed {seed}: {}", chaos::report(&world));
-        assert_eq!(world.oracle.greatest[0], 3, "seed {seed}");
+        let took = world.run_until(8_000 * MS, |world| world.members_acting_on(Topic::Rules, last) == 5);
+        assert!(took.is_some(), "seed {seed}: {}", chaos::describe(&world));
+        assert_eq!(world.oracle.greatest_numbers[0], 3, "seed {seed}");
         world.assert_no_violation();
     }
 }
@@ -62,27 +62,30 @@
 #[test]
 fn leader_crash_during_a_change_loses_nothing() {
     for (seed, after) in (0..60).map(|step| (step, step as u32 * 2)) {
-        let (mut world, leader) = acting(seed, 5, 3, NO_MUTANT);
-        world.crash_midway(leader, after);
-        world.propose(4, Topic::Rules, new());
-        let rest = |world: &World| world.acting_on(Topic::Rules, new()) >= 4;
-        let took = world.run_until(10_000 * MS, rest);
+        let (mut world, leader) = cluster_on_old_version(seed, 5, 3, NO_MUTANT);
+        world.crash_after_outputs(leader, after);
+        world.propose(4, Topic::Rules, new_version());
+        let others_act_on_new_version =
+            |world: &World| world.members_acting_on(Topic::Rules, new_version()) >= 4;
+        let took = world.run_until(10_000 * MS, others_act_on_new_version);
         assert!(
             took.is_some(),
             "seed {seed}: leader crashed after {after} outputs: {}",
-            chaos::report(&world)
+            chaos::describe(&world)
         );
         world.run(500 * MS);
-        let over = world
-            .over
+        let finished = world
+            .finished_proposals
             .iter()
-            .filter(|over| (over.0, over.2, over.3) == (4, new(), ProposalOutcome::InForce))
+            .filter(|finished| {
+                (finished.0, finished.2, finished.3) == (4, new_version(), ProposalOutcome::InForce)
+            })
             .count();
-        assert_eq!(over, 1, "seed {seed}");
-        assert_eq!(world.oracle.greatest[0], 2, "seed {seed}: the proposal got a second number");
-        world.heal();
+        assert_eq!(finished, 1, "seed {seed}");
+        assert_eq!(world.oracle.greatest_numbers[0], 2, "seed {seed}: the proposal got a second number");
+        world.end_faults();
         world.run(3_000 * MS);
-        assert_eq!(world.acting_on(Topic::Rules, new()), 5, "seed {seed}");
+        assert_eq!(world.members_acting_on(Topic::Rules, new_version()), 5, "seed {seed}");
         world.assert_no_violation();
     }
 }
@@ -91,21 +94,26 @@
 #[test]
 fn decides_nothing_without_a_majority() {
     for seed in 0..10 {
-        let (mut world, leader) = acting(seed, 7, 3, NO_MUTANT);
+        let (mut world, leader) = cluster_on_old_version(seed, 7, 3, NO_MUTANT);
         let follower = world.voters.iter().copied().find(|&voter| voter != leader).unwrap_or_default();
         world.crash(follower, Disk::Kept);
         let third = 3 - leader - follower;
         world.crash(third, Disk::Kept);
-        world.propose(5, Topic::Rules, new());
+        world.propose(5, Topic::Rules, new_version());
         // The authority of the leader ends, and after it the last lease that the leader granted.
         world.run(500 * MS + 1_200 * MS);
-        assert_eq!(world.oracle.acting(Topic::Rules, world.now), 0, "seed {seed}: a lease has not expired");
+        assert_eq!(
+            world.oracle.processes_acting(Topic::Rules, world.now),
+            0,
+            "seed {seed}: a lease has not expired"
+        );
         world.run(5_000 * MS);
         assert!(world.leader().is_none(), "seed {seed}");
-        assert_eq!(world.oracle.greatest[0], 1, "seed {seed}: decided by a minority");
-        world.heal();
-        let back = world.run_until(5_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 7);
-        assert!(back.is_some(), "seed {seed}: not in force after the faults ended");
+        assert_eq!(world.oracle.greatest_numbers[0], 1, "seed {seed}: decided by a minority");
+        world.end_faults();
+        let recovered =
+            world.run_until(5_000 * MS, |world| world.members_acting_on(Topic::Rules, new_version()) == 7);
+        assert!(recovered.is_some(), "seed {seed}: not in force after the faults ended");
         world.assert_no_violation();
     }
 }
@@ -113,20 +121,20 @@
 #[test]
 fn tolerates_voter_that_cannot_send() {
     for seed in 0..10 {
-        let (mut world, leader) = acting(seed, 5, 3, NO_MUTANT);
+        let (mut world, leader) = cluster_on_old_version(seed, 5, 3, NO_MUTANT);
         // The fault affects first a follower, then the leader.
-        for silent in [(leader + 1) % 3, leader] {
-            let before = world.oracle.greatest[0];
+        for voter in [(leader + 1) % 3, leader] {
+            let before = world.oracle.greatest_numbers[0];
             for other in 0..5 {
-                world.cut.insert((silent, other));
+                world.cut_links.insert((voter, other));
             }
-            let hash = content(10 + silent, [before as u8 % 2 + 1, 0, 0]);
+            let hash = content(10 + voter, [before as u8 % 2 + 1, 0, 0]);
             world.propose(4, Topic::Rules, hash);
-            let took = world.run_until(6_000 * MS, |world| world.acting_on(Topic::Rules, hash) >= 4);
-            assert!(took.is_some(), "seed {seed}: voter {silent} cannot send: {}", chaos::report(&world));
-            world.cut.clear();
-            let took = world.run_until(4_000 * MS, |world| world.acting_on(Topic::Rules, hash) == 5);
-            assert!(took.is_some(), "seed {seed}: voter {silent} can send again: {}", chaos::report(&world));
+            let took = world.run_until(6_000 * MS, |world| world.members_acting_on(Topic::Rules, hash) >= 4);
+            assert!(took.is_some(), "seed {seed}: voter {voter} cannot send: {}", chaos::describe(&world));
+            world.cut_links.clear();
+            let took = world.run_until(4_000 * MS, |world| world.members_acting_on(Topic::Rules, hash) == 5);
+            assert!(took.is_some(), "seed {seed}: voter {voter} can send again: {}", chaos::describe(&world));
         }
         world.assert_no_violation();
     }
@@ -137,14 +145,14 @@
 #[test]
 fn voter_that_cannot_receive_does_not_depose_the_leader() {
     for seed in 0..10 {
-        let (mut world, leader) = acting(seed, 5, 3, NO_MUTANT);
+        let (mut world, leader) = cluster_on_old_version(seed, 5, 3, NO_MUTANT);
         let term = world.status(leader).map(|status| status.term);
-        let deaf = (leader + 1) % 3;
+        let unreachable_voter = (leader + 1) % 3;
         for other in 0..5 {
-            world.cut.insert((other, deaf));
+            world.cut_links.insert((other, unreachable_voter));
         }
         world.run(5_000 * MS);
-        world.cut.clear();
+        world.cut_links.clear();
         world.run(2_000 * MS);
         assert_eq!(world.leader(), Some(leader), "seed {seed}");
         assert_eq!(world.status(leader).map(|status| status.term), term, "seed {seed}");
@@ -156,16 +164,18 @@
 #[test]
 fn elects_leader_in_a_ring_of_cuts() {
     for seed in 0..10 {
-        let (mut world, _) = acting(seed, 8, 5, NO_MUTANT);
+        let (mut world, _) = cluster_on_old_version(seed, 8, 5, NO_MUTANT);
         for voter in 0..5 {
-            world.cut_both(voter, (voter + 1) % 5);
+            world.cut_both_directions(voter, (voter + 1) % 5);
         }
-        world.propose(7, Topic::Rules, new());
-        let took = world.run_until(20_000 * MS, |world| world.acting_on(Topic::Rules, new()) >= 6);
-        assert!(took.is_some(), "seed {seed}: {}", chaos::report(&world));
-        world.cut.clear();
-        let took = world.run_until(5_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 8);
-        assert!(took.is_some(), "seed {seed}: {}", chaos::report(&world));
+        world.propose(7, Topic::Rules, new_version());
+        let took =
+            world.run_until(20_000 * MS, |world| world.members_acting_on(Topic::Rules, new_version()) >= 6);
+        assert!(took.is_some(), "seed {seed}: {}", chaos::describe(&world));
+        world.cut_links.clear();
+        let took =
+            world.run_until(5_000 * MS, |world| world.members_acting_on(Topic::Rules, new_version()) == 8);
+        assert!(took.is_some(), "seed {seed}: {}", chaos::describe(&world));
         world.assert_no_violation();
     }
 }
@@ -175,16 +185,17 @@
 #[test]
 fn elects_no_leader_in_a_ring_of_one_way_cuts() {
     for seed in 0..10 {
-        let (mut world, _) = acting(seed, 5, 3, NO_MUTANT);
+        let (mut world, _) = cluster_on_old_version(seed, 5, 3, NO_MUTANT);
         for voter in 0..3 {
-            world.cut.insert((voter, (voter + 1) % 3));
+            world.cut_links.insert((voter, (voter + 1) % 3));
         }
-        world.propose(4, Topic::Rules, new());
+        world.propose(4, Topic::Rules, new_version());
         world.run(3_000 * MS);
-        assert_eq!(world.oracle.acting(Topic::Rules, world.now), 0, "seed {seed}");
-        world.cut.clear();
-        let took = world.run_until(6_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 5);
-        assert!(took.is_some(), "seed {seed}: {}", chaos::report(&world));
+        assert_eq!(world.oracle.processes_acting(Topic::Rules, world.now), 0, "seed {seed}");
+        world.cut_links.clear();
+        let took =
+            world.run_until(6_000 * MS, |world| world.members_acting_on(Topic::Rules, new_version()) == 5);
+        assert!(took.is_some(), "seed {seed}: {}", chaos::describe(&world));
         world.assert_no_violation();
     }
 }
@@ -192,21 +203,21 @@
 #[test]
 fn orders_simultaneous_proposals() {
     for seed in 0..20 {
-        let (mut world, _) = acting(seed, 7, 3, NO_MUTANT);
+        let (mut world, _) = cluster_on_old_version(seed, 7, 3, NO_MUTANT);
         let other = content(3, [0, 1, 0]);
-        world.propose(5, Topic::Rules, new());
+        world.propose(5, Topic::Rules, new_version());
         world.propose(6, Topic::Rules, other);
         world.run(2_000 * MS);
-        let mut over = world.over.split_off(1);
-        over.sort_by_key(|over| over.0);
+        let mut finished = world.finished_proposals.split_off(1);
+        finished.sort_by_key(|finished| finished.0);
         assert_eq!(
-            over,
+            finished,
             [
-                (5, Topic::Rules, new(), ProposalOutcome::InForce),
+                (5, Topic::Rules, new_version(), ProposalOutcome::InForce),
                 (6, Topic::Rules, other, ProposalOutcome::InForce)
             ]
         );
-        assert_eq!(world.oracle.greatest[0], 3, "seed {seed}");
+        assert_eq!(world.oracle.greatest_numbers[0], 3, "seed {seed}");
         world.assert_no_violation();
     }
 }
@@ -216,11 +227,11 @@
 #[test]
 fn voter_without_state_recovers_before_it_votes() {
     for seed in 0..20 {
-        let (mut world, leader) = acting(seed, 5, 3, NO_MUTANT);
+        let (mut world, leader) = cluster_on_old_version(seed, 5, 3, NO_MUTANT);
         let recovering = (leader + 1) % 3;
         world.crash(recovering, Disk::Lost);
         world.restart(recovering);
-        world.propose(4, Topic::Rules, new());
+        world.propose(4, Topic::Rules, new_version());
         world.run(1_000 * MS);
         assert_eq!(world.status(recovering).map(|status| status.role), Some(Role::Recovering));
         world.crash(leader, Disk::Kept);
@@ -231,8 +242,9 @@
             "seed {seed}: a leader was elected by a minority with durable state"
         );
         world.restart(leader);
-        let took = world.run_until(8_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 5);
-        assert!(took.is_some(), "seed {seed}: {}", chaos::report(&world));
+        let took =
+            world.run_until(8_000 * MS, |world| world.members_acting_on(Topic::Rules, new_version()) == 5);
+        assert!(took.is_some(), "seed {seed}: {}", chaos::describe(&world));
         assert_eq!(world.status(recovering).map(|status| status.role == Role::Recovering), Some(false));
         world.assert_no_violation();
     }
@@ -261,12 +273,13 @@
 #[test]
 fn stopped_incarnation_keeps_its_lease_until_expiry() {
     for seed in 0..20 {
-        let (mut world, _) = acting(seed, 5, 3, NO_MUTANT);
-        let before = world.at[4].unwrap_or_default();
+        let (mut world, _) = cluster_on_old_version(seed, 5, 3, NO_MUTANT);
+        let before = world.current_process[4].unwrap_or_default();
         world.stop(4);
         world.start(4, None);
-        world.propose(3, Topic::Rules, new());
-        let took = world.run_until(6_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 5);
+        world.propose(3, Topic::Rules, new_version());
+        let took =
+            world.run_until(6_000 * MS, |world| world.members_acting_on(Topic::Rules, new_version()) == 5);
         assert!(
             took.is_some_and(|took| took > 300 * MS),
             "seed {seed}: {took:?}: the change did not wait for the old lease"
@@ -281,24 +294,26 @@
 #[test]
 fn activates_without_a_member_that_cannot_fetch() {
     for seed in 0..5 {
-        let (mut world, leader) = acting(seed, 7, 3, NO_MUTANT);
+        let (mut world, leader) = cluster_on_old_version(seed, 7, 3, NO_MUTANT);
         // The member reaches the leader, so that its lease is renewed, but it can't fetch contents from any member.
         world.fetch_fails.insert(5);
-        world.propose(6, Topic::Rules, new());
-        let took = world.run_until(5_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 6);
+        world.propose(6, Topic::Rules, new_version());
+        let took =
+            world.run_until(5_000 * MS, |world| world.members_acting_on(Topic::Rules, new_version()) == 6);
         assert!(
             took.is_some_and(|took| took >= 3_000 * MS),
             "seed {seed}: {took:?}: the change did not wait for the prepare time-out"
         );
         world.run(1_500 * MS);
-        assert_eq!(world.acting_on(Topic::Rules, new()), 6, "seed {seed}");
+        assert_eq!(world.members_acting_on(Topic::Rules, new_version()), 6, "seed {seed}");
         assert_eq!(
-            world.oracle.acting(Topic::Rules, world.now),
+            world.oracle.processes_acting(Topic::Rules, world.now),
             6,
             "seed {seed}: the member without the content holds a lease"
         );
         world.fetch_fails.clear();
-        let took = world.run_until(3_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 7);
+        let took =
+            world.run_until(3_000 * MS, |world| world.members_acting_on(Topic::Rules, new_version()) == 7);
         assert!(took.is_some(), "seed {seed}: the member did not catch up");
         assert_eq!(world.leader(), Some(leader));
         world.assert_no_violation();
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -12,7 +12,7 @@
 };
 use cottonnotch_golden::{assert_bytes, golden_path};
 
-const WHYS: [(&str, ProposalOutcome); 5] = [
+const OUTCOMES: [(&str, ProposalOutcome); 5] = [
     ("in_force", ProposalOutcome::InForce),
     ("cannot_run", ProposalOutcome::Unsupported),
     ("refused", ProposalOutcome::Rejected),
@@ -33,7 +33,7 @@
 }
 
 fn state() -> State {
-    let results = WHYS
+    let results = OUTCOMES
         .iter()
         .zip(1..)
         .map(|((_, outcome), member)| ProposalResult { proposal: proposal(member), outcome: *outcome })
@@ -53,7 +53,7 @@
     let revision = StateRevision { term: 7, seq: 300 };
     let list = ListRevision { epoch: 2, revision: 91 };
     let pending = [Some(pending(12, Phase::Revoke)), None];
-    let renew = LeaseRequest {
+    let lease_request = LeaseRequest {
         incarnation: 1_764_000_000_000_000,
         sent_at: 5_000_000,
         active: [Some(11), None],
@@ -82,7 +82,7 @@
         ("heard", Message::HeartbeatAck { term: 7, round: 9_000_000, revision }),
         ("recover", Message::RecoveryRequest { nonce: u64::MAX }),
         ("recovered", Message::RecoveryResponse { nonce: 5, term: 7, revision, state: Box::new(state()) }),
-        ("renew", Message::LeaseRequest(Box::new(renew))),
+        ("renew", Message::LeaseRequest(Box::new(lease_request))),
         ("grant", Message::LeaseGrant(Box::new(grant))),
         ("hint", Message::LeaderHint { echo: 5_000_000, leader: Some(1) }),
         ("hint_nobody", Message::LeaderHint { echo: 5_000_000, leader: None }),
@@ -93,7 +93,7 @@
     .into_iter()
     .map(|(name, message)| (name.to_owned(), message))
     .collect::<Vec<_>>();
-    messages.extend(WHYS.map(|(name, outcome)| {
+    messages.extend(OUTCOMES.map(|(name, outcome)| {
         (format!("over_{name}"), Message::ProposalFinished { id: proposal(2), outcome })
     }));
     messages
--- a/crates/consensus/tests/growth.rs
+++ b/crates/consensus/tests/growth.rs
@@ -13,7 +13,7 @@
 mod common;
 
 use common::content;
-use common::scenarios::{acting, new};
+use common::scenarios::{cluster_on_old_version, new_version};
 use common::world::{Disk, MS, Traffic, World};
 use cottonnotch_consensus::{Mutant, Topic};
 
@@ -22,7 +22,7 @@
 const MEMBER_BYTES_PER_S: f64 = 200.0;
 /// The bounds for the leader: messages and bytes per second for its heartbeats to the voters, and the two rates below
 /// for each member.
-const LEADER_OWN: [f64; 2] = [40.0, 600.0];
+const LEADER_BASE_PER_S: [f64; 2] = [40.0, 600.0];
 const LEADER_MESSAGES_PER_S: f64 = 5.8;
 const LEADER_BYTES_PER_S: f64 = 200.0;
 
@@ -35,26 +35,26 @@
 
 /// Returns the messages and bytes per second, sent and received, of the leader, of an average follower, and of an
 /// average member that doesn't vote.
-fn by_role(world: &World, leader: u16, before: &[Traffic], seconds: f64) -> [[f64; 2]; 3] {
+fn rates_by_role(world: &World, leader: u16, before: &[Traffic], seconds: f64) -> [[f64; 2]; 3] {
     let mut roles = [[0.0; 3]; 3];
     for member in 0..world.members {
-        let at = usize::from(member);
-        let (sent, received) = (world.sent[at], world.received[at]);
+        let index = usize::from(member);
+        let (sent, received) = (world.sent[index], world.received[index]);
         let role = match member {
             _ if member == leader => 0,
             _ if world.voters.contains(&member) => 1,
             _ => 2,
         };
-        let messages = sent.messages + received.messages - before[at].messages;
-        let bytes = sent.bytes + received.bytes - before[at].bytes;
-        for (sum, add) in roles[role].iter_mut().zip([messages as f64, bytes as f64, 1.0]) {
-            *sum += add;
+        let messages = sent.messages + received.messages - before[index].messages;
+        let bytes = sent.bytes + received.bytes - before[index].bytes;
+        for (sum, value) in roles[role].iter_mut().zip([messages as f64, bytes as f64, 1.0]) {
+            *sum += value;
         }
     }
-    roles.map(|[messages, bytes, many]| [messages / many / seconds, bytes / many / seconds])
+    roles.map(|[messages, bytes, count]| [messages / count / seconds, bytes / count / seconds])
 }
 
-fn both_ways(world: &World) -> Vec<Traffic> {
+fn total_traffic(world: &World) -> Vec<Traffic> {
     let both = |(sent, received): (&Traffic, &Traffic)| Traffic {
         messages: sent.messages + received.messages,
         bytes: sent.bytes + received.bytes,
@@ -64,7 +64,7 @@
 }
 
 /// Returns a content that is compatible with every other one.
-fn version(number: u16) -> [u8; 32] {
+fn compatible_content(number: u16) -> [u8; 32] {
     content(100 + number, [0, 0, 0])
 }
 
@@ -73,15 +73,15 @@
 #[test]
 fn cost_per_member_is_independent_of_cluster_size() {
     for &members in sizes() {
-        let (mut world, leader) = acting(1, members, 3, Mutant::Unmodified);
+        let (mut world, leader) = cluster_on_old_version(1, members, 3, Mutant::Unmodified);
         world.count_bytes = true;
-        let before = both_ways(&world);
+        let before = total_traffic(&world);
         world.run(6_000 * MS);
         assert_eq!(world.leader(), Some(leader), "the leader changed in a run without faults");
-        let [led, follower, member] = by_role(&world, leader, &before, 6.0);
+        let [leader_rates, follower, member] = rates_by_role(&world, leader, &before, 6.0);
         println!(
             r#"{{"what":"accord idle","members":{members},"leader_messages_per_s":{:.1},"leader_bytes_per_s":{:.0},"voter_messages_per_s":{:.2},"voter_bytes_per_s":{:.0},"member_messages_per_s":{:.2},"member_bytes_per_s":{:.0}}}"#,
-            led[0], led[1], follower[0], follower[1], member[0], member[1]
+            leader_rates[0], leader_rates[1], follower[0], follower[1], member[0], member[1]
         );
         assert!(
             member[0] < MEMBER_MESSAGES_PER_S && member[1] < MEMBER_BYTES_PER_S,
@@ -89,13 +89,13 @@
             member[0],
             member[1]
         );
-        let each = f64::from(members);
+        let member_count = f64::from(members);
         assert!(
-            (led[0] - LEADER_OWN[0]) / each < LEADER_MESSAGES_PER_S
-                && (led[1] - LEADER_OWN[1]) / each < LEADER_BYTES_PER_S,
+            (leader_rates[0] - LEADER_BASE_PER_S[0]) / member_count < LEADER_MESSAGES_PER_S
+                && (leader_rates[1] - LEADER_BASE_PER_S[1]) / member_count < LEADER_BYTES_PER_S,
             "{members} members: the leader has {} messages and {} bytes per second",
-            led[0],
-            led[1]
+            leader_rates[0],
+            leader_rates[1]
         );
         world.assert_no_violation();
     }
@@ -104,50 +104,56 @@
 #[test]
 fn activates_twenty_changes_within_a_minute() {
     for &members in sizes() {
-        let (mut world, leader) = acting(2, members, 3, Mutant::Unmodified);
+        let (mut world, leader) = cluster_on_old_version(2, members, 3, Mutant::Unmodified);
         world.count_bytes = true;
-        let everywhere = usize::from(members);
-        let handed = world.served_contents.clone();
-        let (before, mut times) = (both_ways(&world), Vec::new());
-        let began = world.now;
+        let member_count = usize::from(members);
+        let served_before = world.served_contents.clone();
+        let (before, mut times) = (total_traffic(&world), Vec::new());
+        let start = world.now;
         for number in 0..20 {
             let proposer = members - 1 - number % 7;
-            world.propose(proposer, Topic::Rules, version(number));
-            let took = world
-                .run_until(3_000 * MS, |world| world.acting_on(Topic::Rules, version(number)) == everywhere);
+            world.propose(proposer, Topic::Rules, compatible_content(number));
+            let took = world.run_until(3_000 * MS, |world| {
+                world.members_acting_on(Topic::Rules, compatible_content(number)) == member_count
+            });
             let Some(took) = took else { panic!("{members} members: change {number} is not in force") };
             times.push(took);
             world.run(3_000 * MS - took);
         }
-        let seconds = (world.now - began) as f64 / 1e6;
-        let [led, _, member] = by_role(&world, leader, &before, seconds);
+        let seconds = (world.now - start) as f64 / 1e6;
+        let [leader_rates, _, member] = rates_by_role(&world, leader, &before, seconds);
         times.sort_unstable();
-        let out: Vec<u64> =
-            world.served_contents.iter().zip(&handed).map(|(now, before)| now - before).collect();
-        let (all, most) = (out.iter().sum::<u64>(), out.iter().max().copied().unwrap_or(0));
+        let served: Vec<u64> =
+            world.served_contents.iter().zip(&served_before).map(|(now, before)| now - before).collect();
+        let (total_served, max_served) =
+            (served.iter().sum::<u64>(), served.iter().max().copied().unwrap_or(0));
         println!(
             r#"{{"what":"accord, 20 changes in a minute","members":{members},"in_force_median_ms":{:.0},"in_force_most_ms":{:.0},"contents_handed_out_a_change":{:.1},"of_these_by_one":{:.1},"leader_bytes_per_s":{:.0},"member_bytes_per_s":{:.0}}}"#,
             times[10] as f64 / 1e3,
             times[19] as f64 / 1e3,
-            all as f64 / 20.0,
-            most as f64 / 20.0,
-            led[1],
+            total_served as f64 / 20.0,
+            max_served as f64 / 20.0,
+            leader_rates[1],
             member[1]
         );
         assert!(times[19] < 1_000 * MS, "{members} members: {} us", times[19]);
-        assert!(all <= 20 * u64::from(members), "{members} members: {all} contents served for 20 changes");
+        assert!(
+            total_served <= 20 * u64::from(members),
+            "{members} members: {total_served} contents served for 20 changes"
+        );
         world.assert_no_violation();
     }
 }
 
 /// Returns how long an incompatible change takes, in microseconds, until all members that can act on the new version do
-/// so. `harm` injects a fault and returns the number of these members.
-fn to_force(members: u16, seed: u64, harm: impl Fn(&mut World, u16) -> u16) -> i64 {
-    let (mut world, leader) = acting(seed, members, 3, Mutant::Unmodified);
-    let left = usize::from(harm(&mut world, leader));
+/// so. `inject_fault` injects a fault and returns the number of these members.
+fn time_until_in_force(members: u16, seed: u64, inject_fault: impl Fn(&mut World, u16) -> u16) -> i64 {
+    let (mut world, leader) = cluster_on_old_version(seed, members, 3, Mutant::Unmodified);
+    let remaining = usize::from(inject_fault(&mut world, leader));
     let proposer = members - 1;
-    world.propose(proposer, Topic::Rules, new());
-    let took = world.run_until(10_000 * MS, |world| world.acting_on(Topic::Rules, new()) == left);
+    world.propose(proposer, Topic::Rules, new_version());
+    let took = world
+        .run_until(10_000 * MS, |world| world.members_acting_on(Topic::Rules, new_version()) == remaining);
     world.assert_no_violation();
     took.unwrap_or_else(|| panic!("{members} members, seed {seed}: not in force"))
 }
@@ -157,24 +163,27 @@
 #[test]
 fn activates_incompatible_change_within_the_stated_time() {
     for &members in sizes() {
-        let mut worst = [0; 3];
+        let mut longest = [0; 3];
         for seed in 0..5 {
-            let none = to_force(members, seed, |world, _| world.members);
-            let stopped = to_force(members, seed, |world, _| {
+            let no_fault = time_until_in_force(members, seed, |world, _| world.members);
+            let stopped = time_until_in_force(members, seed, |world, _| {
                 world.stop(world.members - 2);
                 world.members - 1
             });
-            let led = to_force(members, seed, |world, leader| {
+            let leader_crashed = time_until_in_force(members, seed, |world, leader| {
                 world.crash(leader, Disk::Kept);
                 world.members - 1
             });
-            worst = [worst[0].max(none), worst[1].max(stopped), worst[2].max(led)];
+            longest = [longest[0].max(no_fault), longest[1].max(stopped), longest[2].max(leader_crashed)];
         }
-        let [none, stopped, led] = worst.map(|took| took as f64 / 1e3);
+        let [no_fault, stopped, leader_crashed] = longest.map(|took| took as f64 / 1e3);
         println!(
-            r#"{{"what":"accord, a contradicting change","members":{members},"n":5,"most_ms":{none:.0},"a_member_stopped_most_ms":{stopped:.0},"leader_dead_most_ms":{led:.0}}}"#
+            r#"{{"what":"accord, a contradicting change","members":{members},"n":5,"most_ms":{no_fault:.0},"a_member_stopped_most_ms":{stopped:.0},"leader_dead_most_ms":{leader_crashed:.0}}}"#
+        );
+        assert!(
+            no_fault < 400.0 && stopped < 1_600.0 && leader_crashed < 3_500.0,
+            "{members} members: {longest:?} us"
         );
-        assert!(none < 400.0 && stopped < 1_600.0 && led < 3_500.0, "{members} members: {worst:?} us");
     }
 }
 
@@ -182,46 +191,51 @@
 #[test]
 fn partition_without_voters_recovers_after_healing() {
     for &members in sizes() {
-        let (mut world, _) = acting(3, members, 3, Mutant::Unmodified);
+        let (mut world, _) = cluster_on_old_version(3, members, 3, Mutant::Unmodified);
         world.count_bytes = true;
         let half = members / 2;
-        for one in 0..half {
-            (half..members).for_each(|other| world.cut_both(one, other));
+        for member in 0..half {
+            (half..members).for_each(|other| world.cut_both_directions(member, other));
         }
-        let (greater, lesser) = (usize::from(half), usize::from(members - half));
-        let without_lease =
-            world.run_until(5_000 * MS, |world| world.oracle.acting(Topic::Rules, world.now) == greater);
+        let (voter_half, other_half) = (usize::from(half), usize::from(members - half));
+        let without_lease = world.run_until(5_000 * MS, |world| {
+            world.oracle.processes_acting(Topic::Rules, world.now) == voter_half
+        });
         let without_lease = without_lease.expect("the leases of the half without voters expire");
-        world.propose(0, Topic::Rules, new());
-        let force = world.run_until(5_000 * MS, |world| world.acting_on(Topic::Rules, new()) == greater);
-        let force = force.expect("the half with the voters activates the change");
-        let before = both_ways(&world);
+        world.propose(0, Topic::Rules, new_version());
+        let activated_after = world.run_until(5_000 * MS, |world| {
+            world.members_acting_on(Topic::Rules, new_version()) == voter_half
+        });
+        let activated_after = activated_after.expect("the half with the voters activates the change");
+        let before = total_traffic(&world);
         world.run(60_000 * MS);
         assert_eq!(
-            world.oracle.acting(Topic::Rules, world.now),
-            greater,
+            world.oracle.processes_acting(Topic::Rules, world.now),
+            voter_half,
             "{members} members: the half without voters holds a lease"
         );
-        let after = both_ways(&world);
+        let after = total_traffic(&world);
         let of = |side: std::ops::Range<u16>| {
-            let bytes = |at: usize| (after[at].bytes - before[at].bytes) as f64;
+            let bytes = |index: usize| (after[index].bytes - before[index].bytes) as f64;
             side.clone().map(|member| bytes(usize::from(member))).sum::<f64>() / side.len() as f64 / 60.0
         };
         // The averages exclude the voters, which also exchange heartbeats.
-        let (cut, whole) = (of(half..members), of(3..half));
-        world.cut.clear();
-        let back =
-            world.run_until(30_000 * MS, |world| world.acting_on(Topic::Rules, new()) == greater + lesser);
-        let back = back.expect("all members act on the new version after the partition heals");
+        let (other_half_bytes, voter_half_bytes) = (of(half..members), of(3..half));
+        world.cut_links.clear();
+        let recovered_after = world.run_until(30_000 * MS, |world| {
+            world.members_acting_on(Topic::Rules, new_version()) == voter_half + other_half
+        });
+        let recovered_after =
+            recovered_after.expect("all members act on the new version after the partition heals");
         println!(
-            r#"{{"what":"accord, halves cut for a minute","members":{members},"lesser_in_doubt_after_ms":{:.0},"change_in_force_on_the_other_side_ms":{:.0},"lesser_bytes_per_s":{cut:.0},"greater_bytes_per_s":{whole:.0},"all_alike_after_healing_ms":{:.0}}}"#,
+            r#"{{"what":"accord, halves cut for a minute","members":{members},"lesser_in_doubt_after_ms":{:.0},"change_in_force_on_the_other_side_ms":{:.0},"lesser_bytes_per_s":{other_half_bytes:.0},"greater_bytes_per_s":{voter_half_bytes:.0},"all_alike_after_healing_ms":{:.0}}}"#,
             without_lease as f64 / 1e3,
-            force as f64 / 1e3,
-            back as f64 / 1e3
+            activated_after as f64 / 1e3,
+            recovered_after as f64 / 1e3
         );
         assert!(
-            without_lease < 1_300 * MS && back < 8_000 * MS,
-            "{members} members: {without_lease} us, {back} us"
+            without_lease < 1_300 * MS && recovered_after < 8_000 * MS,
+            "{members} members: {without_lease} us, {recovered_after} us"
         );
         world.assert_no_violation();
     }
--- a/crates/consensus/tests/measurements.rs
+++ b/crates/consensus/tests/measurements.rs
@@ -9,12 +9,12 @@
 mod common;
 
 use common::content;
-use common::scenarios::{acting, new};
+use common::scenarios::{cluster_on_old_version, new_version};
 use common::world::{Disk, MS, Traffic, World};
 use cottonnotch_consensus::{Mutant, Timing, Topic};
 
-fn between(before: Traffic, after: Traffic, members: u16, span_us: i64) -> (f64, f64) {
-    let seconds = span_us as f64 / 1e6 * f64::from(members);
+fn rates_per_member(before: Traffic, after: Traffic, members: u16, duration_us: i64) -> (f64, f64) {
+    let seconds = duration_us as f64 / 1e6 * f64::from(members);
     let messages = (after.messages - before.messages) as f64 / seconds;
     let bytes = (after.bytes - before.bytes) as f64 / seconds;
     (messages, bytes)
@@ -23,18 +23,20 @@
 #[test]
 fn bounds_message_count_and_size() {
     for members in [3, 7, 30, 300] {
-        let (mut world, _) = acting(1, members, 3, Mutant::Unmodified);
+        let (mut world, _) = cluster_on_old_version(1, members, 3, Mutant::Unmodified);
         world.count_bytes = true;
         let (before, ticks) = (world.traffic, world.ticks);
         let idle = if members > 100 { 2_000 * MS } else { 10_000 * MS };
         world.run(idle);
-        let (messages, bytes) = between(before, world.traffic, members, idle);
+        let (messages, bytes) = rates_per_member(before, world.traffic, members, idle);
         let wakes = (world.ticks - ticks) as f64 / f64::from(members) / (idle as f64 / 1e6);
         assert!(wakes < 15.0, "{members} members: each wakes {wakes} times per second");
         let before = world.traffic;
-        world.propose(members - 1, Topic::Rules, new());
-        let everywhere = usize::from(members);
-        let took = world.run_until(5_000 * MS, |world| world.acting_on(Topic::Rules, new()) == everywhere);
+        world.propose(members - 1, Topic::Rules, new_version());
+        let member_count = usize::from(members);
+        let took = world.run_until(5_000 * MS, |world| {
+            world.members_acting_on(Topic::Rules, new_version()) == member_count
+        });
         let took = took.unwrap_or_else(|| panic!("{members} members: not in force"));
         let change = world.traffic.messages - before.messages;
         let per_member = change as f64 / f64::from(members);
@@ -55,56 +57,57 @@
     }
 }
 
-fn percentile(times: &mut [i64], of: usize) -> f64 {
+fn percentile_ms(times: &mut [i64], percent: usize) -> f64 {
     times.sort_unstable();
-    times[(times.len() - 1) * of / 100] as f64 / MS as f64
+    times[(times.len() - 1) * percent / 100] as f64 / MS as f64
 }
 
-enum Dead {
+enum Crashed {
     Nobody,
     Follower,
     Leader,
 }
 
-fn to_force(dead: &Dead, hash: [u8; 3], seeds: u64) -> Vec<i64> {
-    let one = |seed: u64| {
-        let (mut world, leader) = acting(seed, 7, 3, Mutant::Unmodified);
+fn times_until_in_force(crashed_role: &Crashed, hash: [u8; 3], seeds: u64) -> Vec<i64> {
+    let measure = |seed: u64| {
+        let (mut world, leader) = cluster_on_old_version(seed, 7, 3, Mutant::Unmodified);
         let hash = content(2, hash);
-        let crashed = match dead {
-            Dead::Nobody => None,
-            Dead::Follower => Some((leader + 1) % 3),
-            Dead::Leader => Some(leader),
+        let crashed = match crashed_role {
+            Crashed::Nobody => None,
+            Crashed::Follower => Some((leader + 1) % 3),
+            Crashed::Leader => Some(leader),
         };
         if let Some(crashed) = crashed {
             world.crash(crashed, Disk::Kept);
-            if matches!(dead, Dead::Follower) {
+            if matches!(crashed_role, Crashed::Follower) {
                 world.run(2_000 * MS);
             }
         }
         world.propose(6, Topic::Rules, hash);
-        let living = if crashed.is_some() { 6 } else { 7 };
-        let took = world.run_until(10_000 * MS, |world| world.acting_on(Topic::Rules, hash) == living);
+        let live_members = if crashed.is_some() { 6 } else { 7 };
+        let took =
+            world.run_until(10_000 * MS, |world| world.members_acting_on(Topic::Rules, hash) == live_members);
         world.assert_no_violation();
         took.unwrap_or_else(|| panic!("seed {seed}: not in force"))
     };
-    (0..seeds).map(one).collect()
+    (0..seeds).map(measure).collect()
 }
 
 #[test]
 fn bounds_time_to_activation() {
-    for (dead, name, most) in [
-        (Dead::Nobody, "no fault", 400.0),
-        (Dead::Follower, "a follower crashed two seconds earlier", 400.0),
-        (Dead::Leader, "the leader crashed at the same time", 3_500.0),
+    for (crashed_role, name, limit) in [
+        (Crashed::Nobody, "no fault", 400.0),
+        (Crashed::Follower, "a follower crashed two seconds earlier", 400.0),
+        (Crashed::Leader, "the leader crashed at the same time", 3_500.0),
     ] {
-        for (says, kind) in [([2, 0, 0], "incompatible"), ([0, 2, 0], "compatible")] {
-            let mut times = to_force(&dead, says, 60);
-            let (half, tail) = (percentile(&mut times, 50), percentile(&mut times, 99));
-            let worst = percentile(&mut times, 100);
+        for (answers, kind) in [([2, 0, 0], "incompatible"), ([0, 2, 0], "compatible")] {
+            let mut times = times_until_in_force(&crashed_role, answers, 60);
+            let (median, tail) = (percentile_ms(&mut times, 50), percentile_ms(&mut times, 99));
+            let worst = percentile_ms(&mut times, 100);
             println!(
-                "{name}, {kind}: in force at all members after {half:.0} ms (median), {tail:.0} ms (p99), {worst:.0} ms (maximum)"
+                "{name}, {kind}: in force at all members after {median:.0} ms (median), {tail:.0} ms (p99), {worst:.0} ms (maximum)"
             );
-            assert!(worst < most, "{name}, {kind}: {worst} ms");
+            assert!(worst < limit, "{name}, {kind}: {worst} ms");
         }
     }
 }
@@ -114,18 +117,19 @@
 fn stopped_member_delays_a_change_by_one_lease() {
     let mut times = Vec::new();
     for seed in 0..60 {
-        let (mut world, _) = acting(seed, 7, 3, Mutant::Unmodified);
+        let (mut world, _) = cluster_on_old_version(seed, 7, 3, Mutant::Unmodified);
         world.stop(5);
-        world.propose(6, Topic::Rules, new());
-        let Some(took) = world.run_until(10_000 * MS, |world| world.acting_on(Topic::Rules, new()) == 6)
+        world.propose(6, Topic::Rules, new_version());
+        let Some(took) =
+            world.run_until(10_000 * MS, |world| world.members_acting_on(Topic::Rules, new_version()) == 6)
         else {
             panic!("seed {seed}: not in force")
         };
         times.push(took);
         world.assert_no_violation();
     }
-    let worst = percentile(&mut times, 100);
-    println!("a member stopped: {:.0} ms (median), {worst:.0} ms (maximum)", percentile(&mut times, 50));
+    let worst = percentile_ms(&mut times, 100);
+    println!("a member stopped: {:.0} ms (median), {worst:.0} ms (maximum)", percentile_ms(&mut times, 50));
     assert!(worst < 1_600.0);
 }
 
@@ -134,21 +138,22 @@
 fn bounds_time_without_lease_after_a_leader_crash() {
     let mut longest = Vec::new();
     for seed in 0..60 {
-        let (mut world, leader) = acting(seed, 7, 3, Mutant::Unmodified);
+        let (mut world, leader) = cluster_on_old_version(seed, 7, 3, Mutant::Unmodified);
         world.crash(leader, Disk::Kept);
         let mut time_without_lease = 0;
         for _ in 0..1_500 {
             world.run(2 * MS);
-            time_without_lease += i64::from(world.oracle.acting(Topic::Rules, world.now) < 6) * 2 * MS;
+            time_without_lease +=
+                i64::from(world.oracle.processes_acting(Topic::Rules, world.now) < 6) * 2 * MS;
         }
         longest.push(time_without_lease);
-        assert_eq!(world.oracle.acting(Topic::Rules, world.now), 6, "seed {seed}");
+        assert_eq!(world.oracle.processes_acting(Topic::Rules, world.now), 6, "seed {seed}");
         world.assert_no_violation();
     }
-    let (half, tail) = (percentile(&mut longest, 50), percentile(&mut longest, 100));
+    let (median, tail) = (percentile_ms(&mut longest, 50), percentile_ms(&mut longest, 100));
     let none = longest.iter().filter(|&&time_without_lease| time_without_lease == 0).count();
     println!(
-        "leader crashed: some member without a lease for {half:.0} ms (median), {tail:.0} ms (maximum); never in {none} of 60 runs"
+        "leader crashed: some member without a lease for {median:.0} ms (median), {tail:.0} ms (maximum); never in {none} of 60 runs"
     );
     assert!(tail < 1_000.0);
 }
@@ -160,12 +165,12 @@
     world.count_bytes = true;
     world.run(2_500 * MS);
     // Many proposers propose on both topics, so that the state contains the maximum number of results.
-    for at in 0..14 {
-        let topic = if at % 2 == 0 { Topic::Rules } else { Topic::Settings };
-        world.propose(200 + at, topic, content(at, [1 + (at / 2 % 2) as u8, 0, 0]));
+    for index in 0..14 {
+        let topic = if index % 2 == 0 { Topic::Rules } else { Topic::Settings };
+        world.propose(200 + index, topic, content(index, [1 + (index / 2 % 2) as u8, 0, 0]));
     }
     world.run(3_000 * MS);
-    assert_eq!(world.over.len(), 14);
+    assert_eq!(world.finished_proposals.len(), 14);
     println!("largest: {} bytes", world.traffic.largest);
     assert!(world.traffic.largest < 800, "{} bytes", world.traffic.largest);
 }
--- a/crates/consensus/tests/mutants.rs
+++ b/crates/consensus/tests/mutants.rs
@@ -17,9 +17,9 @@
 const SEEDS: u64 = 1_000;
 
 /// Returns the first seed for which the oracle detects a violation under random faults.
-fn found(mutant: Mutant, shape: impl Fn(u64) -> Faults) -> (u64, String) {
+fn find_violation(mutant: Mutant, faults_for: impl Fn(u64) -> Faults) -> (u64, String) {
     for seed in 0..SEEDS {
-        let faults = Faults { mutant, ..shape(seed) };
+        let faults = Faults { mutant, ..faults_for(seed) };
         if let Some(violation) = run_under_faults(seed, &faults).oracle.violation {
             println!("{mutant:?}: seed {seed}: {violation}");
             return (seed, violation);
@@ -29,67 +29,67 @@
 }
 
 /// Checks that the oracle detects a violation in a scenario that targets the mutant.
-fn found_in(mutant: Mutant, scene: impl Fn(u64, Mutant) -> World) {
-    let found = (0..SEEDS).find_map(|seed| Some((seed, scene(seed, mutant).oracle.violation?)));
+fn find_violation_in_scenario(mutant: Mutant, scenario: impl Fn(u64, Mutant) -> World) {
+    let found = (0..SEEDS).find_map(|seed| Some((seed, scenario(seed, mutant).oracle.violation?)));
     println!("{mutant:?}: {found:?}");
     assert!(found.is_some(), "{mutant:?} was not detected within {SEEDS} seeds");
 }
 
-fn few(seed: u64) -> Faults {
-    let net = Net { most: 100 * MS, loss: 20, duplicated: 100, ..Net::default() };
-    Faults { members: 7, voters: 3, drift_ppm: 1_000, span: 15_000 * MS, net, ..Faults::drawn(seed) }
+fn small_cluster(seed: u64) -> Faults {
+    let net = Net { max_delay: 100 * MS, loss_permille: 20, duplicated_permille: 100, ..Net::default() };
+    Faults { members: 7, voters: 3, drift_ppm: 1_000, duration: 15_000 * MS, net, ..Faults::from_seed(seed) }
 }
 
 #[test]
 fn finds_lease_counted_from_receipt() {
-    found(Mutant::LeaseFromReceipt, few);
+    find_violation(Mutant::LeaseFromReceipt, small_cluster);
 }
 
 #[test]
 fn finds_skipped_recovery() {
-    found_in(Mutant::SkipRecovery, scenarios::voter_loses_committed_state);
+    find_violation_in_scenario(Mutant::SkipRecovery, scenarios::voter_loses_committed_state);
 }
 
 #[test]
 fn finds_early_activation() {
-    found(Mutant::EarlyActivation, few);
+    find_violation(Mutant::EarlyActivation, small_cluster);
 }
 
 #[test]
 fn finds_ignored_drift() {
-    let shape = |seed| Faults { drift_ppm: 100_000, net: Net::default(), ..few(seed) };
-    found(Mutant::IgnoreDrift, shape);
+    let faults_for = |seed| Faults { drift_ppm: 100_000, net: Net::default(), ..small_cluster(seed) };
+    find_violation(Mutant::IgnoreDrift, faults_for);
 }
 
 #[test]
 fn finds_missing_authority_check() {
-    found_in(Mutant::NoAuthorityCheck, scenarios::leader_stopped_during_a_change);
+    find_violation_in_scenario(Mutant::NoAuthorityCheck, scenarios::leader_stopped_during_a_change);
 }
 
 #[test]
 fn finds_skipped_handover() {
-    found_in(Mutant::SkipHandover, scenarios::lease_of_a_crashed_leader);
+    find_violation_in_scenario(Mutant::SkipHandover, scenarios::lease_of_a_crashed_leader);
 }
 
 #[test]
 fn finds_vote_despite_a_leader() {
-    found_in(Mutant::VoteDespiteLeader, scenarios::rival_while_leader_is_heard);
+    find_violation_in_scenario(Mutant::VoteDespiteLeader, scenarios::rival_while_leader_is_heard);
 }
 
 #[test]
 fn finds_vote_right_after_a_restart() {
-    found_in(Mutant::VoteAfterRestart, scenarios::voter_restart_under_a_rival);
+    find_violation_in_scenario(Mutant::VoteAfterRestart, scenarios::voter_restart_under_a_rival);
 }
 
 #[test]
 fn finds_acceptance_of_revoked_versions() {
-    found(Mutant::AcceptRevoked, few);
+    find_violation(Mutant::AcceptRevoked, small_cluster);
 }
 
 #[test]
 fn finds_nothing_without_a_mutant() {
     for seed in 0..50 {
-        let world = run_under_faults(seed, &few(seed));
+        let world = run_under_faults(seed, &small_cluster(seed));
         world.assert_no_violation();
     }
 }
--- a/crates/consensus/tests/random_faults.rs
+++ b/crates/consensus/tests/random_faults.rs
@@ -26,19 +26,19 @@
                 scope.spawn(move || {
                     let mut slowest = ((0, 0), 0);
                     for seed in (thread..seeds()).step_by(threads as usize) {
-                        let mut world = run_under_faults(seed, &Faults::drawn(seed));
+                        let mut world = run_under_faults(seed, &Faults::from_seed(seed));
                         world.assert_no_violation();
-                        let greatest = world.oracle.greatest;
+                        let greatest = world.oracle.greatest_numbers;
                         let took = recover(&mut world, 60_000 * MS);
                         world.assert_no_violation();
                         let Some(took) = took else {
                             panic!(
                                 "seed {seed}: the cluster did not recover: {}",
-                                common::chaos::report(&world)
+                                common::chaos::describe(&world)
                             )
                         };
                         assert!(
-                            world.oracle.greatest[0] > greatest[0],
+                            world.oracle.greatest_numbers[0] > greatest[0],
                             "seed {seed}: the last version has no greater number"
                         );
                         slowest = slowest.max((took, seed));
@@ -56,9 +56,9 @@
 #[test]
 fn one_seed() {
     let Some(seed) = std::env::var("ACCORD_SEED").ok().and_then(|text| text.parse().ok()) else { return };
-    let mut world = run_under_faults(seed, &Faults::drawn(seed));
+    let mut world = run_under_faults(seed, &Faults::from_seed(seed));
     world.assert_no_violation();
     let took = recover(&mut world, 60_000 * MS);
-    println!("{took:?} {}", common::chaos::report(&world));
+    println!("{took:?} {}", common::chaos::describe(&world));
     world.assert_no_violation();
 }
--- a/crates/consensus/tests/wire.rs
+++ b/crates/consensus/tests/wire.rs
@@ -14,15 +14,15 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-const MOST: u64 = (1 << 60) - 1;
+const MAX_VALUE: u64 = (1 << 60) - 1;
 
 fn largest_state() -> State {
     let id = ProposalId { member: u16::MAX, incarnation: u64::MAX, serial: u32::MAX };
-    let version = Version { number: MOST, hash: [255; 32], size: u32::MAX, compatible_from: MOST };
+    let version = Version { number: MAX_VALUE, hash: [255; 32], size: u32::MAX, compatible_from: MAX_VALUE };
     let topic = TopicState {
         in_force: Some(version),
         pending: Some(Pending { version, phase: Phase::Revoke, proposal: id }),
-        last_number: MOST,
+        last_number: MAX_VALUE,
         results: vec![ProposalResult { proposal: id, outcome: ProposalOutcome::Superseded }; 6],
     };
     State { topics: [topic.clone(), topic] }
@@ -31,31 +31,31 @@
 #[test]
 fn bounds_encoded_messages() {
     let state = largest_state();
-    let revision = StateRevision { term: MOST, seq: MOST };
-    let list = ListRevision { epoch: MOST, revision: u64::MAX };
+    let revision = StateRevision { term: MAX_VALUE, seq: MAX_VALUE };
+    let list = ListRevision { epoch: MAX_VALUE, revision: u64::MAX };
     let (versions, pending) =
         ([0, 1].map(|at| state.topics[at].in_force), [0, 1].map(|at| state.topics[at].pending));
-    let many = [Some(u64::MAX); 2];
+    let numbers = [Some(u64::MAX); 2];
     let all = [
         Message::Heartbeat {
-            term: MOST,
-            round: -(MOST as i64),
+            term: MAX_VALUE,
+            round: -(MAX_VALUE as i64),
             revision,
             state: Some(Box::new(state.clone())),
         },
-        Message::RecoveryResponse { nonce: u64::MAX, term: MOST, revision, state: Box::new(state) },
+        Message::RecoveryResponse { nonce: u64::MAX, term: MAX_VALUE, revision, state: Box::new(state) },
         Message::LeaseRequest(Box::new(LeaseRequest {
             incarnation: u64::MAX,
-            sent_at: -(MOST as i64),
-            active: many,
+            sent_at: -(MAX_VALUE as i64),
+            active: numbers,
             revoked_below: [u64::MAX; 2],
-            ready: many,
-            unsupported: many,
+            ready: numbers,
+            unsupported: numbers,
             list,
         })),
         Message::LeaseGrant(Box::new(LeaseGrant {
             incarnation: u64::MAX,
-            echo: -(MOST as i64),
+            echo: -(MAX_VALUE as i64),
             revision,
             versions,
             pending,
@@ -83,7 +83,7 @@
 
 /// Small numbers coincide with numbers of the state; large numbers test the bounds.
 fn number() -> impl Strategy<Value = u64> {
-    prop_oneof![4 => 0..6u64, 1 => any::<u64>(), 1 => Just(MOST), 1 => Just(u64::MAX)]
+    prop_oneof![4 => 0..6u64, 1 => any::<u64>(), 1 => Just(MAX_VALUE), 1 => Just(u64::MAX)]
 }
 
 fn time() -> impl Strategy<Value = i64> {
@@ -116,16 +116,16 @@
 }
 
 fn pending() -> impl Strategy<Value = Pending> {
-    (version(), any::<bool>(), id()).prop_map(|(version, late, proposal)| {
-        let phase = if late { Phase::Revoke } else { Phase::Prepare };
+    (version(), any::<bool>(), id()).prop_map(|(version, is_revoke, proposal)| {
+        let phase = if is_revoke { Phase::Revoke } else { Phase::Prepare };
         Pending { version, phase, proposal }
     })
 }
 
-fn pair<T: std::fmt::Debug + Clone>(
-    of: impl Strategy<Value = T> + Clone,
+fn option_pair<T: std::fmt::Debug + Clone>(
+    element: impl Strategy<Value = T> + Clone,
 ) -> impl Strategy<Value = [Option<T>; 2]> {
-    let one = proptest::option::of(of);
+    let one = proptest::option::of(element);
     (one.clone(), one).prop_map(|(one, other)| [one, other])
 }
 
@@ -145,10 +145,10 @@
 
 fn message() -> impl Strategy<Value = Message> {
     let list = || (number(), number()).prop_map(|(epoch, revision)| ListRevision { epoch, revision });
-    let numbers = || pair(number().boxed());
-    let renew = (number(), time(), numbers(), (number(), number()), numbers(), numbers(), list()).prop_map(
-        |(incarnation, sent_at, active, released, ready, unsupported, list)| {
-            let revoked_below = [released.0, released.1];
+    let numbers = || option_pair(number().boxed());
+    let lease_request = (number(), time(), numbers(), (number(), number()), numbers(), numbers(), list())
+        .prop_map(|(incarnation, sent_at, active, revoked_below, ready, unsupported, list)| {
+            let revoked_below = [revoked_below.0, revoked_below.1];
             Message::LeaseRequest(Box::new(LeaseRequest {
                 incarnation,
                 sent_at,
@@ -158,10 +158,9 @@
                 unsupported,
                 list,
             }))
-        },
-    );
-    let grant = (time(), revision(), pair(version().boxed()), pair(pending().boxed()), list()).prop_map(
-        |(echo, revision, versions, pending, list)| {
+        });
+    let grant = (time(), revision(), option_pair(version().boxed()), option_pair(pending().boxed()), list())
+        .prop_map(|(echo, revision, versions, pending, list)| {
             Message::LeaseGrant(Box::new(LeaseGrant {
                 incarnation: 1,
                 echo,
@@ -170,8 +169,7 @@
                 pending,
                 list,
             }))
-        },
-    );
+        });
     prop_oneof![
         (number(), any::<bool>(), revision()).prop_map(|(term, pre_vote, revision)| Message::VoteRequest {
             term,
@@ -191,11 +189,11 @@
         (number(), number(), revision(), state()).prop_map(|(nonce, term, revision, state)| {
             Message::RecoveryResponse { nonce, term, revision, state }
         }),
-        renew,
+        lease_request,
         grant,
         (time(), proptest::option::of(0..9u16))
             .prop_map(|(echo, leader)| Message::LeaderHint { echo, leader }),
-        (revision(), pair(pending().boxed()))
+        (revision(), option_pair(pending().boxed()))
             .prop_map(|(revision, pending)| Message::Announce { revision, pending }),
         (id(), any::<bool>(), hash()).prop_map(|(id, rules, hash)| {
             let topic = if rules { Topic::Rules } else { Topic::Settings };
@@ -214,11 +212,11 @@
     fn survives_arbitrary_messages(
         inputs in vec((0..300_000i64, 0..7u16, message(), hash(), 0..8u8), 1..60),
         ordinal in 0..5u16,
-        remembers in any::<bool>(),
+        has_durable_state in any::<bool>(),
     ) {
         let config =
             Config { ordinal, members: 5, voters: vec![0, 1, 2], timing: Timing::default(), incarnation: 1 };
-        let mut member = Member::new(config, 0, remembers.then(DurableState::initial), 7);
+        let mut member = Member::new(config, 0, has_durable_state.then(DurableState::initial), 7);
         let mut now = 0;
         for (step, from, message, hash, kind) in inputs {
             now += step;
