--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -81,7 +81,7 @@
         lease: Micros,
         /// The configured [`Timing::drift_ppm`].
         drift_ppm: u32,
-        /// The duration of the lease by the slowest clock.
+        /// The duration of the lease in true time, counted by the slowest clock.
         lease_with_drift: Micros,
         /// The configured [`Timing::act`].
         act: Micros,
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -8,7 +8,8 @@
 //! smallest number that the version is compatible with. The following invariants are checked in tests by an oracle that
 //! sees all clocks. Violations that a single member can detect are counted in [`Status::invariant_violations`]:
 //!
-//! - at no instant may two members act (that is, have a clock before [`Lease::until`]) on incompatible versions;
+//! - at no instant may two members act on incompatible versions; a member may act while its own clock is before
+//!   [`Lease::until`];
 //! - a number always identifies the same version, and numbers never decrease, neither at a member nor in the state;
 //! - a version that a majority committed as in force is only followed by versions with greater numbers;
 //! - a process that was stopped for any length of time finds its lease expired by its own clock.
--- a/crates/consensus/src/member/leader.rs
+++ b/crates/consensus/src/member/leader.rs
@@ -19,7 +19,7 @@
     }
 
     /// Returns until when no other voter can be elected. The voters that acknowledged the heartbeat promised to vote
-    /// for no other candidate for some time after receiving it, which is later than the leader sent it.
+    /// for no other candidate for some time after they received it, and they received it after the leader sent it.
     pub(super) fn authority_until(&self, leader: &Leader) -> Option<Micros> {
         Some(self.newest_quorum_round(leader)? + self.shorten(self.config.timing.election_timeout_min))
     }
--- a/crates/consensus/src/roles/lease_holder.rs
+++ b/crates/consensus/src/roles/lease_holder.rs
@@ -13,7 +13,7 @@
     pub offered: Option<(Version, Micros)>,
     /// The greatest number that this process has acted on. The process never acts on a smaller number again.
     pub highest_activated: u64,
-    /// Versions with smaller numbers were revoked. The process never acts on them again.
+    /// The process never acts on a number below this one again, because those versions were revoked.
     pub revoked_below: u64,
     pub pending: Option<Pending>,
     /// The contents that the embedder was asked to fetch, and when it was asked; the newest first.
--- a/crates/consensus/tests/common/world.rs
+++ b/crates/consensus/tests/common/world.rs
@@ -11,6 +11,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeSet, BinaryHeap};
 
+/// One millisecond, in microseconds.
 pub const MS: i64 = 1_000;
 
 #[derive(Debug)]
@@ -41,12 +42,14 @@
     outputs_until_crash: Option<u32>,
 }
 
+/// The delays and losses of the simulated network. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Net {
     pub min_delay: i64,
     pub max_delay: i64,
     /// The probability that a message is lost, in thousandths.
     pub loss_permille: u32,
+    /// The probability that a message is delivered twice, in thousandths.
     pub duplicated_permille: u32,
 }
 
@@ -80,14 +83,18 @@
     /// For each ordinal, the contents on the disk of the member.
     pub contents: Vec<BTreeSet<ContentHash>>,
     pub net: Net,
+    /// The links, as sender and receiver, that lose all messages.
     pub cut_links: BTreeSet<(u16, u16)>,
     pub oracle: Oracle,
+    /// The outcomes of proposals, with the ordinals of the proposers, in the order in which they arrived.
     pub finished_proposals: Vec<(u16, Topic, ContentHash, ProposalOutcome)>,
+    /// The notifications of newer endpoint lists: the notified member and the newer revision.
     pub outdated_lists: Vec<(u16, u64)>,
     pub mutant: Mutant,
     pub traffic: Traffic,
-    /// The messages sent by each member, including lost ones. `received` counts the messages sent to each member.
+    /// For each ordinal, the messages that the member sent, including lost ones.
     pub sent: Vec<Traffic>,
+    /// For each ordinal, the messages sent to the member, including lost ones.
     pub received: Vec<Traffic>,
     /// The number of contents that each member served. As in the daemon, the source that is named first is asked first.
     pub served_contents: Vec<u64>,
--- a/crates/consensus/tests/wire.rs
+++ b/crates/consensus/tests/wire.rs
@@ -14,6 +14,7 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
+/// The greatest number, term or time that a received message may contain.
 const MAX_VALUE: u64 = (1 << 60) - 1;
 
 fn largest_state() -> State {
