--- a/crates/consensus/src/roles/lease_holder.rs
+++ b/crates/consensus/src/roles/lease_holder.rs
@@ -45,8 +45,8 @@
 
 impl LeaseRequests {
     fn new(config: &Config, now: Micros) -> Self {
-        let own = config.is_voter(config.ordinal).then_some(config.ordinal);
-        let target = own.or_else(|| config.voters.first().copied());
+        let own_ordinal = config.is_voter(config.ordinal).then_some(config.ordinal);
+        let target = own_ordinal.or_else(|| config.voters.first().copied());
         Self {
             target: target.unwrap_or(config.ordinal),
             target_is_leader: false,
--- a/crates/consensus/tests/common/world.rs
+++ b/crates/consensus/tests/common/world.rs
@@ -79,7 +79,7 @@
     /// For each ordinal, the durable state on the disk of the member.
     pub disks: Vec<Option<DurableState>>,
     /// The members that can't fetch contents.
-    pub fetch_fails: BTreeSet<u16>,
+    pub members_unable_to_fetch: BTreeSet<u16>,
     /// For each ordinal, the contents on the disk of the member.
     pub contents: Vec<BTreeSet<ContentHash>>,
     pub net: Net,
@@ -135,7 +135,7 @@
             current_process: vec![None; members.into()],
             disks: vec![None; members.into()],
             contents: vec![BTreeSet::new(); members.into()],
-            fetch_fails: BTreeSet::new(),
+            members_unable_to_fetch: BTreeSet::new(),
             net: Net::default(),
             cut_links: BTreeSet::new(),
             oracle: Oracle::default(),
@@ -207,10 +207,10 @@
         }
     }
 
-    /// Ends the process of this member after it has carried out `after` more outputs.
-    pub fn crash_after_outputs(&mut self, ordinal: u16, after: u32) {
+    /// Ends the process of this member after it has carried out `outputs` more outputs.
+    pub fn crash_after_outputs(&mut self, ordinal: u16, outputs: u32) {
         if let Some(process) = self.current_process[usize::from(ordinal)] {
-            self.processes[process].outputs_until_crash = Some(after);
+            self.processes[process].outputs_until_crash = Some(outputs);
         }
     }
 
@@ -334,7 +334,7 @@
                             !self.processes[source].stopped && self.contents[ordinal].contains(&hash)
                         })
                 });
-                if !has_content && source.is_none() || self.fetch_fails.contains(&ordinal) {
+                if !has_content && source.is_none() || self.members_unable_to_fetch.contains(&ordinal) {
                     return;
                 }
                 if let Some(source) = source.filter(|_| !has_content) {
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -261,18 +261,18 @@
     let starts: Vec<usize> = (0..48).step_by(6).collect();
     let max_states = env_number("ACCORD_STATES").unwrap_or(8_000) / starts.len();
     for start in starts {
-        let mut first = cluster_on_old_version(Mutant::Unmodified);
-        let proposer = usize::from((first.leader() + 1) % 3);
-        first.handle_input(proposer, Input::Propose { topic: Topic::Rules, hash: new_version(), size: 9 });
-        first.in_flight.retain(|(_, _, message)| matches!(message, Message::Propose { .. }));
+        let mut initial = cluster_on_old_version(Mutant::Unmodified);
+        let proposer = usize::from((initial.leader() + 1) % 3);
+        initial.handle_input(proposer, Input::Propose { topic: Topic::Rules, hash: new_version(), size: 9 });
+        initial.in_flight.retain(|(_, _, message)| matches!(message, Message::Propose { .. }));
         for _ in 0..start {
-            if first.in_flight.is_empty() {
+            if initial.in_flight.is_empty() {
                 break;
             }
-            let (from, to, message) = first.in_flight.remove(0);
-            first.handle_input(to.into(), Input::Message { from, message });
+            let (from, to, message) = initial.in_flight.remove(0);
+            initial.handle_input(to.into(), Input::Message { from, message });
         }
-        let (states, depth) = search_orders(first, max_states);
+        let (states, depth) = search_orders(initial, max_states);
         println!("after {start} messages: {states} states, complete to depth {depth}");
         assert!(depth >= 3, "the search from {start} is too shallow");
     }
@@ -280,9 +280,9 @@
 
 /// Searches breadth first, so that every state up to some depth is visited. Returns the number of states and this
 /// depth.
-fn search_orders(first: SmallCluster, max_states: usize) -> (usize, usize) {
-    let mut seen = HashSet::from([first.state_hash()]);
-    let mut queue = VecDeque::from([(first, 0, 1, 1)]);
+fn search_orders(initial: SmallCluster, max_states: usize) -> (usize, usize) {
+    let mut seen = HashSet::from([initial.state_hash()]);
+    let mut queue = VecDeque::from([(initial, 0, 1, 1)]);
     let mut complete_depth = None;
     while let Some((cluster, depth, duplicates, restarts)) = queue.pop_front() {
         if seen.len() >= max_states {
@@ -384,21 +384,21 @@
 /// Whether the schedules include voters that restart without their state.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum LostState {
-    Tried,
-    Skipped,
+    Included,
+    Excluded,
 }
 
 /// Runs every schedule of faults in slots of different lengths. After the last slot, the cluster runs without faults,
 /// and the new version must come in force at all members. Returns the number of schedules.
 fn run_schedules(mutant: Mutant, loses_state: LostState, depth: usize, durations: &[i64]) -> usize {
-    let mut first = cluster_on_old_version(mutant);
-    let proposer = usize::from((first.leader() + 1) % 3);
-    first.handle_input(proposer, Input::Propose { topic: Topic::Rules, hash: new_version(), size: 9 });
-    let mut slots = SlotFault::all();
-    if loses_state == LostState::Tried {
-        slots.extend((0..3).map(SlotFault::LostState));
+    let mut initial = cluster_on_old_version(mutant);
+    let proposer = usize::from((initial.leader() + 1) % 3);
+    initial.handle_input(proposer, Input::Propose { topic: Topic::Rules, hash: new_version(), size: 9 });
+    let mut faults = SlotFault::all();
+    if loses_state == LostState::Included {
+        faults.extend((0..3).map(SlotFault::LostState));
     }
-    let mut stack = vec![(first, 0, false)];
+    let mut stack = vec![(initial, 0, false)];
     let mut schedule_count = 0;
     while let Some((cluster, index, lost_state)) = stack.pop() {
         if index == depth {
@@ -420,14 +420,14 @@
             );
             continue;
         }
-        for &slot in &slots {
-            let slot_loses_state = matches!(slot, SlotFault::LostState(_));
+        for &fault in &faults {
+            let slot_loses_state = matches!(fault, SlotFault::LostState(_));
             // If two of three voters lose their state, a majority is lost and only an operator can restart the cluster.
             if lost_state && slot_loses_state {
                 continue;
             }
             let mut next = cluster.clone();
-            slot.run(&mut next, durations[index % durations.len()]);
+            fault.run(&mut next, durations[index % durations.len()]);
             stack.push((next, index + 1, lost_state || slot_loses_state));
         }
     }
@@ -443,7 +443,7 @@
     for durations in
         [[3 * MS, 700 * MS, 1_300 * MS], [90 * MS, 1_500 * MS, 400 * MS], [1_000 * MS, 250 * MS, 2_600 * MS]]
     {
-        count += run_schedules(Mutant::Unmodified, LostState::Tried, depth, &durations);
+        count += run_schedules(Mutant::Unmodified, LostState::Included, depth, &durations);
     }
     println!("{count} schedules of {depth} slots");
 }
@@ -452,5 +452,5 @@
 #[test]
 #[should_panic(expected = "members act on incompatible versions")]
 fn search_finds_early_activation() {
-    run_schedules(Mutant::EarlyActivation, LostState::Skipped, 2, &[3 * MS, 700 * MS]);
+    run_schedules(Mutant::EarlyActivation, LostState::Excluded, 2, &[3 * MS, 700 * MS]);
 }
--- a/crates/consensus/tests/fault_scenarios.rs
+++ b/crates/consensus/tests/fault_scenarios.rs
@@ -61,16 +61,16 @@
 /// still comes in force, because its proposer retries, and it comes in force only once.
 #[test]
 fn leader_crash_during_a_change_loses_nothing() {
-    for (seed, after) in (0..60).map(|step| (step, step as u32 * 2)) {
+    for (seed, output_count) in (0..60).map(|step| (step, step as u32 * 2)) {
         let (mut world, leader) = cluster_on_old_version(seed, 5, 3, NO_MUTANT);
-        world.crash_after_outputs(leader, after);
+        world.crash_after_outputs(leader, output_count);
         world.propose(4, Topic::Rules, new_version());
         let others_act_on_new_version =
             |world: &World| world.members_acting_on(Topic::Rules, new_version()) >= 4;
         let took = world.run_until(10_000 * MS, others_act_on_new_version);
         assert!(
             took.is_some(),
-            "seed {seed}: leader crashed after {after} outputs: {}",
+            "seed {seed}: leader crashed after {output_count} outputs: {}",
             chaos::describe(&world)
         );
         world.run(500 * MS);
@@ -296,7 +296,7 @@
     for seed in 0..5 {
         let (mut world, leader) = cluster_on_old_version(seed, 7, 3, NO_MUTANT);
         // The member reaches the leader, so that its lease is renewed, but it can't fetch contents from any member.
-        world.fetch_fails.insert(5);
+        world.members_unable_to_fetch.insert(5);
         world.propose(6, Topic::Rules, new_version());
         let took =
             world.run_until(5_000 * MS, |world| world.members_acting_on(Topic::Rules, new_version()) == 6);
@@ -311,7 +311,7 @@
             6,
             "seed {seed}: the member without the content holds a lease"
         );
-        world.fetch_fails.clear();
+        world.members_unable_to_fetch.clear();
         let took =
             world.run_until(3_000 * MS, |world| world.members_acting_on(Topic::Rules, new_version()) == 7);
         assert!(took.is_some(), "seed {seed}: the member did not catch up");
--- a/crates/consensus/tests/measurements.rs
+++ b/crates/consensus/tests/measurements.rs
@@ -29,8 +29,8 @@
         let idle = if members > 100 { 2_000 * MS } else { 10_000 * MS };
         world.run(idle);
         let (messages, bytes) = rates_per_member(before, world.traffic, members, idle);
-        let wakes = (world.ticks - ticks) as f64 / f64::from(members) / (idle as f64 / 1e6);
-        assert!(wakes < 15.0, "{members} members: each wakes {wakes} times per second");
+        let wake_ups = (world.ticks - ticks) as f64 / f64::from(members) / (idle as f64 / 1e6);
+        assert!(wake_ups < 15.0, "{members} members: each wakes {wake_ups} times per second");
         let before = world.traffic;
         world.propose(members - 1, Topic::Rules, new_version());
         let member_count = usize::from(members);
@@ -38,8 +38,8 @@
             world.members_acting_on(Topic::Rules, new_version()) == member_count
         });
         let took = took.unwrap_or_else(|| panic!("{members} members: not in force"));
-        let change = world.traffic.messages - before.messages;
-        let per_member = change as f64 / f64::from(members);
+        let messages_of_change = world.traffic.messages - before.messages;
+        let per_member = messages_of_change as f64 / f64::from(members);
         let change_bytes = (world.traffic.bytes - before.bytes) as f64 / f64::from(members);
         println!(
             "{members} members: idle {messages:.1} messages/s {bytes:.0} bytes/s per member; a change {per_member:.1} \
@@ -68,10 +68,10 @@
     Leader,
 }
 
-fn times_until_in_force(crashed_role: &Crashed, hash: [u8; 3], seeds: u64) -> Vec<i64> {
+fn times_until_in_force(crashed_role: &Crashed, answers: [u8; 3], seeds: u64) -> Vec<i64> {
     let measure = |seed: u64| {
         let (mut world, leader) = cluster_on_old_version(seed, 7, 3, Mutant::Unmodified);
-        let hash = content(2, hash);
+        let hash = content(2, answers);
         let crashed = match crashed_role {
             Crashed::Nobody => None,
             Crashed::Follower => Some((leader + 1) % 3),
@@ -150,12 +150,12 @@
         assert_eq!(world.oracle.processes_acting(Topic::Rules, world.now), 6, "seed {seed}");
         world.assert_no_violation();
     }
-    let (median, tail) = (percentile_ms(&mut longest, 50), percentile_ms(&mut longest, 100));
-    let none = longest.iter().filter(|&&time_without_lease| time_without_lease == 0).count();
+    let (median, maximum) = (percentile_ms(&mut longest, 50), percentile_ms(&mut longest, 100));
+    let unaffected = longest.iter().filter(|&&time_without_lease| time_without_lease == 0).count();
     println!(
-        "leader crashed: some member without a lease for {median:.0} ms (median), {tail:.0} ms (maximum); never in {none} of 60 runs"
+        "leader crashed: some member without a lease for {median:.0} ms (median), {maximum:.0} ms (maximum); never in {unaffected} of 60 runs"
     );
-    assert!(tail < 1_000.0);
+    assert!(maximum < 1_000.0);
 }
 
 /// The largest message is below 800 bytes, so that it fits in a datagram.
