--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -105,7 +105,7 @@
     },
     /// A duration is too short, or longer than an hour.
     #[error("{name} is {value} us; it must be from {min} to 3,600,000,000 us")]
-    Span {
+    OutOfRange {
         /// The name of the setting.
         name: &'static str,
         /// The configured value.
@@ -152,7 +152,7 @@
         ];
         for (name, value, min) in durations {
             if value < min || value > MAX_DURATION {
-                return Err(ConfigError::Span { name, value, min });
+                return Err(ConfigError::OutOfRange { name, value, min });
             }
         }
         if self.drift_ppm >= MAX_DRIFT_PPM { Err(ConfigError::Drift(self.drift_ppm)) } else { Ok(()) }
--- a/crates/consensus/tests/config.rs
+++ b/crates/consensus/tests/config.rs
@@ -46,7 +46,7 @@
         assert!(matches!(timing.check(), Err(ConfigError::Election { .. })), "{timing:?}");
     }
     let zero = Timing { heartbeat: 0, ..Timing::default() };
-    assert!(matches!(zero.check(), Err(ConfigError::Span { name: "heartbeat", .. })));
+    assert!(matches!(zero.check(), Err(ConfigError::OutOfRange { name: "heartbeat", .. })));
     let too_much_drift = Timing { drift_ppm: 200_000, ..Timing::default() };
     assert_eq!(too_much_drift.check(), Err(ConfigError::Drift(200_000)));
 }
--- a/crates/cottonnotch/src/rules/config.rs
+++ b/crates/cottonnotch/src/rules/config.rs
@@ -265,7 +265,7 @@
         let key = match &source {
             ConfigError::Contradiction { .. } => return SectionError::Contradiction { sum: self.sum() },
             ConfigError::Election { .. } => "election_least_ms".to_owned(),
-            ConfigError::Span { name, .. } => format!("{name}_ms"),
+            ConfigError::OutOfRange { name, .. } => format!("{name}_ms"),
             ConfigError::Drift(_) => "drift_ppm".to_owned(),
             ConfigError::Voters(_) | ConfigError::UnknownMember { .. } => "voters".to_owned(),
         };
