--- a/crates/consensus/tests/config.rs
+++ b/crates/consensus/tests/config.rs
@@ -1,4 +1,4 @@
-//! Checks of the configured spans and voters.
+//! Tests the checks of the configured durations and voters.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -23,8 +23,8 @@
 fn rejects_spans_beyond_the_contradiction_with_their_sum() {
     let timing = Timing { lease: 1_700_000, drift_ppm: 10_000, ..Timing::default() };
     let text = timing.check().unwrap_err().to_string();
-    // 1.7 s, a hundredth more for a slow clock, and the act.
-    assert!(text.contains("2017001 us in all"), "{text}");
+    // The lease of 1.7 s, 1 % more for a slow clock, and the action.
+    assert!(text.contains("the sum is 2017001 us"), "{text}");
     assert!(text.contains("contradiction 2000000 us"), "{text}");
     let exact = Timing { contradiction: 2_017_001, ..timing };
     assert_eq!(exact.check(), Ok(()));
@@ -35,7 +35,7 @@
     for timing in [
         Timing { heartbeat: 200_000, ..Timing::default() },
         Timing { election_timeout_max: 520_000, ..Timing::default() },
-        // A slow voter keeps its promise beyond the longest wait.
+        // A voter with a slow clock keeps its promise for longer than the longest wait.
         Timing {
             election_timeout_max: 560_000,
             drift_ppm: 100_000,
@@ -46,9 +46,9 @@
         assert!(matches!(timing.check(), Err(ConfigError::Election { .. })), "{timing:?}");
     }
     let zero = Timing { heartbeat: 0, ..Timing::default() };
-    assert!(matches!(zero.check(), Err(ConfigError::Span { name: "heartbeat", .. })));
-    let wild = Timing { drift_ppm: 200_000, ..Timing::default() };
-    assert_eq!(wild.check(), Err(ConfigError::Drift(200_000)));
+    assert!(matches!(zero.check(), Err(ConfigError::OutOfRange { name: "heartbeat", .. })));
+    let too_much_drift = Timing { drift_ppm: 200_000, ..Timing::default() };
+    assert_eq!(too_much_drift.check(), Err(ConfigError::Drift(200_000)));
 }
 
 #[test]
@@ -58,7 +58,10 @@
         assert_eq!(error, ConfigError::Voters(voters.to_vec()), "{voters:?}");
     }
     let text = config(0, 9, &[0, 1]).check().unwrap_err().to_string();
-    assert_eq!(text, "voters [0, 1]: an odd number of different ones is needed, at most 9");
+    assert_eq!(
+        text,
+        "voters [0, 1]: the number of voters must be odd and at most 9, and no voter may be listed twice"
+    );
 }
 
 #[test]
@@ -67,5 +70,5 @@
     let error = config(0, 9, &[0, 1, 9]).check().unwrap_err();
     assert_eq!(error, unknown);
     assert_eq!(config(9, 9, &[0, 1, 2]).check(), Err(unknown));
-    assert_eq!(error.to_string(), "member 9 of 9 there are");
+    assert_eq!(error.to_string(), "member 9 does not exist: the cluster has 9 members, with ordinals from 0");
 }
--- a/crates/consensus/tests/random_faults.rs
+++ b/crates/consensus/tests/random_faults.rs
@@ -1,4 +1,4 @@
-//! Random faults on many seeds; `ACCORD_SEEDS` sets how many.
+//! Tests with random faults on many seeds. `ACCORD_SEEDS` sets the number of seeds.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -15,8 +15,8 @@
     std::env::var("ACCORD_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(300)
 }
 
-/// No two members act on incompatible versions; once all faults have ended, earlier proposals are finished in bounded time, and
-/// a new one is in force everywhere soon.
+/// No two members act on incompatible versions. Once all faults have ended, earlier proposals finish in bounded time,
+/// and a new proposal soon comes in force at all members.
 #[test]
 fn survives_random_faults_and_recovers() {
     let threads = std::thread::available_parallelism().map_or(4, usize::from).min(4) as u64;
@@ -26,15 +26,21 @@
                 scope.spawn(move || {
                     let mut slowest = ((0, 0), 0);
                     for seed in (thread..seeds()).step_by(threads as usize) {
-                        let mut world = run_under_faults(seed, &Faults::drawn(seed));
+                        let mut world = run_under_faults(seed, &Faults::from_seed(seed));
                         world.assert_no_violation();
-                        let greatest = world.oracle.greatest;
+                        let greatest = world.oracle.greatest_numbers;
                         let took = recover(&mut world, 60_000 * MS);
                         world.assert_no_violation();
                         let Some(took) = took else {
-                            panic!("seed {seed}: not in force again: {}", common::chaos::report(&world))
+                            panic!(
+                                "seed {seed}: the cluster did not recover: {}",
+                                common::chaos::describe(&world)
+                            )
                         };
-                        assert!(world.oracle.greatest[0] > greatest[0], "seed {seed}: not a greater number");
+                        assert!(
+                            world.oracle.greatest_numbers[0] > greatest[0],
+                            "seed {seed}: the last version has no greater number"
+                        );
                         slowest = slowest.max((took, seed));
                     }
                     slowest
@@ -43,16 +49,16 @@
             .collect();
         runs.into_iter().map(|run| run.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic))).max()
     });
-    println!("slowest to come back: {slowest:?}");
+    println!("slowest recovery: {slowest:?}");
 }
 
-/// One seed alone, set by `ACCORD_SEED`.
+/// Runs the single seed that `ACCORD_SEED` sets, for debugging.
 #[test]
 fn one_seed() {
     let Some(seed) = std::env::var("ACCORD_SEED").ok().and_then(|text| text.parse().ok()) else { return };
-    let mut world = run_under_faults(seed, &Faults::drawn(seed));
+    let mut world = run_under_faults(seed, &Faults::from_seed(seed));
     world.assert_no_violation();
     let took = recover(&mut world, 60_000 * MS);
-    println!("{took:?} {}", common::chaos::report(&world));
+    println!("{took:?} {}", common::chaos::describe(&world));
     world.assert_no_violation();
 }
--- a/crates/cottonnotch/src/rules/config.rs
+++ b/crates/cottonnotch/src/rules/config.rs
@@ -269,7 +269,7 @@
                 return SectionError::Contradiction { sum: self.contradiction_sum() };
             }
             ConfigError::Election { .. } => "election_least_ms".to_owned(),
-            ConfigError::Span { name, .. } => format!("{name}_ms"),
+            ConfigError::OutOfRange { name, .. } => format!("{name}_ms"),
             ConfigError::Drift(_) => "drift_ppm".to_owned(),
             ConfigError::Voters(_) | ConfigError::UnknownMember { .. } => "voters".to_owned(),
         };
