--- a/crates/kit/src/emulator/clients.rs
+++ b/crates/kit/src/emulator/clients.rs
@@ -1,5 +1,6 @@
-//! The clients on real sockets: each an object that does what its session says ([`crate::model::client`]), from its
-//! arrival to its end. One thread has every so-manieth session of the plan.
+//! Emulates clients on real sockets. Each client is a reactor object that carries out the outputs of its session model
+//! ([`crate::model::client`]) from the session's arrival to its end. The sessions of the plan are divided among
+//! threads: of `n` threads, each has every `n`-th session.
 
 use crate::addresses::Addresses;
 use crate::board::{Board, Live};
@@ -17,22 +18,22 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Between two looks at the board.
+/// Interval at which a thread measures its lag and, if nothing else happens, checks whether the run is over.
 const TICK: Micros = 5 * MS;
-/// Between two notes of how late this thread ran.
+/// Interval at which the greatest lag is recorded as an observation.
 const LAG_EVERY: Micros = 100 * MS;
 
-/// The owner's timers.
+/// Timers of [`Clients`], which owns the reactor.
 const TICKING: u32 = 0;
 const ARRIVAL: u32 = 1;
 const TIMELINE: u32 = 2;
 
-/// What clients have to tell their loop.
+/// Reports of a client to the thread's loop.
 #[derive(Debug)]
 enum Told {
     Timer(u32),
     Note(Observation),
-    /// A session is up (1), or no more (-1).
+    /// The number of sessions that are up changes: by 1 when one comes up, by -1 when one ends.
     Standing(i64),
 }
 
@@ -42,7 +43,7 @@
     }
 }
 
-/// What all clients of a thread share.
+/// Data shared by all clients of a thread.
 struct Shared {
     plan: Arc<Plan>,
     addresses: Arc<Addresses>,
@@ -52,23 +53,23 @@
 enum Link {
     None,
     Connecting(LineStream),
-    /// The first line is not all written.
+    /// The connection is established, but the first line is not completely written.
     Opening(LineStream),
     Open(LineStream),
 }
 
-/// One client: a session, and its connection while it has one.
+/// One client: a session and, while there is one, its connection.
 struct Client {
     key: Key,
     shared: Rc<Shared>,
     session: Session,
     link: Link,
-    /// The timer that counts; others are outdated.
+    /// When the current timer fires. Timers that fire earlier are outdated and are ignored.
     armed: Micros,
 }
 
 impl Client {
-    /// Tells the session, and does what it wants.
+    /// Passes an input to the session and carries out the session's outputs.
     fn step(&mut self, io: &mut Io<Told>, input: Input<'_>) {
         let (was, mut out) = (self.session.up(), Vec::new());
         let board = Arc::clone(&self.shared.board);
@@ -81,7 +82,7 @@
                     match LineStream::connect(address, io, self.key, Half::Near) {
                         Ok(stream) => self.link = Link::Connecting(stream),
                         Err(error) => {
-                            log::debug!("no connection to {address}: {error}");
+                            log::debug!("cannot connect to {address}: {error}");
                             self.step(io, Input::Unreached);
                         }
                     }
@@ -129,14 +130,15 @@
                 Ok(true) => {
                     if let Link::Opening(stream) = std::mem::replace(&mut self.link, Link::None) {
                         self.link = Link::Open(stream);
-                        // An edge is told once: what came before the first line was out is still to be read.
+                        // Readiness is edge-triggered and reported once: data that arrived before the
+                        // first line was written still has to be read.
                         io.call_again(self.key, Half::Near);
                     }
                     self.step(io, Input::Written);
                 }
                 Err(_) => self.step(io, Input::Unreached),
             },
-            // That it is broken is found by reading.
+            // A write error is ignored: the next read reports the broken connection.
             Link::Open(stream) => drop(stream.flush()),
             Link::None | Link::Connecting(_) => {}
         }
@@ -157,7 +159,7 @@
             };
             self.step(io, Input::Line(trim_end(&line)));
         }
-        // What was read belonged to a connection that was closed on its last line.
+        // The session closed this connection on its last line, so how the read ended no longer matters.
         if !matches!(self.link, Link::Open(_)) {
             return;
         }
@@ -188,7 +190,7 @@
     }
 
     fn timer(&mut self, io: &mut Io<Told>, _: u32) {
-        // Guards against timers that an earlier one has replaced: each would set a new one, for good.
+        // Guards against outdated timers: each of them would set a new timer, without end.
         if io.now() >= self.armed {
             self.armed = Micros::MIN;
             self.step(io, Input::Due);
@@ -200,14 +202,14 @@
     }
 }
 
-/// What a thread counts for the progress line.
+/// Sums of a thread's sessions for the progress line.
 #[derive(Default)]
 struct Figures {
-    /// Sessions that want a connection now: until when, and what a second of theirs is worth, in thousandths.
+    /// Sessions that want a connection now: the time until which they do, and the worth of a second, in thousandths.
     wanting: BinaryHeap<Reverse<(Micros, u64)>>,
-    /// Worth of all of them, in thousandths.
+    /// Total worth per second of the sessions in `wanting`, in thousandths.
     worth: u64,
-    /// Counted up to here.
+    /// Time up to which the wanted seconds have been added to the progress line.
     counted: Micros,
 }
 
@@ -231,14 +233,15 @@
     }
 }
 
-/// One thread's clients.
+/// The clients of one thread.
 struct Clients {
     reactor: Reactor<Client>,
     shared: Rc<Shared>,
-    /// The place of the next session to arrive, and how far it is to the one after it.
+    /// Index in the plan of this thread's next session to arrive.
     next: usize,
+    /// Distance in the plan between two sessions of this thread: the number of threads.
     step: usize,
-    /// Where the timeline stands.
+    /// Index of the next timeline event.
     happened: usize,
     keys: Vec<Key>,
     notes: Notes,
@@ -362,7 +365,7 @@
         }
     }
 
-    /// The same for all clients that there are.
+    /// Passes an input to every client that is not done yet.
     fn each(&mut self, input: Input<'_>) {
         self.keys.retain(|key| self.reactor.contains(*key));
         for key in &self.keys {
@@ -372,9 +375,13 @@
     }
 }
 
-/// Plays the sessions whose place, divided by `shards`, leaves `shard`, until the board says stop. Returns all that
-/// they saw; a [`Seen::Served`] is dated at its span's end and may stand up to a message aim late in the list. Fails
-/// only if the system has no poll to give.
+/// Runs the sessions whose index modulo `shards` is `shard`, until the board stops the run, and returns the
+/// observations. A [`Seen::Served`] carries the time at which its span ends, and may appear in the list up to a message
+/// aim later than that.
+///
+/// # Errors
+///
+/// If the system cannot create a poll instance, or polling fails.
 pub fn run(
     plan: Arc<Plan>,
     addresses: Arc<Addresses>,
--- a/crates/kit/src/emulator/discovery.rs
+++ b/crates/kit/src/emulator/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery's sockets: a thread of its own. What is said when is decided by the [`Discovery`] model.
+//! Emulates the discovery service on real sockets, on a thread of its own. The [`Discovery`] model decides what is sent
+//! and when.
 
 use super::discovery_connection::{DiscoveryConnection, Party, Report, Tells};
 use super::discovery_list::render;
@@ -19,9 +20,9 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Between two looks at whether the run is over.
+/// Interval between two checks whether the run is over.
 const LOOK: Micros = 10 * MS;
-/// Between two checks of how late this loop runs.
+/// Interval at which the lag of this loop is measured.
 const LAG: Micros = 100 * MS;
 const LOOKS: u32 = 0;
 const LAGS: u32 = 1;
@@ -52,12 +53,12 @@
     armed: Option<Micros>,
 }
 
-/// Is discovery until the board says that the run is over; returns what was seen.
+/// Runs the discovery service until the board stops the run, and returns the observations.
 ///
 /// # Errors
 ///
-/// A [`Fault`] inside an [`io::Error`]: an address is taken, no descriptor is left, the system has no poll to give, or
-/// the list can't be written as JSON.
+/// A [`Fault`] inside an [`io::Error`]: an address is in use, no file descriptor is left, polling fails, or the list
+/// cannot be serialized as JSON.
 pub fn run(plan: Arc<Plan>, addresses: Arc<Addresses>, board: Arc<Board>) -> io::Result<Vec<Observation>> {
     let reactor = Reactor::new(board.clock.for_loop()).map_err(|e| Fault::of("discovery", None, e))?;
     let now = board.clock.now();
@@ -138,7 +139,7 @@
     fn timer(&mut self, timer: u32) -> io::Result<()> {
         let now = self.now();
         match timer {
-            // The turn is what matters: the loop looks at the board after it.
+            // The timer only wakes the loop, which then checks whether the run is over.
             LOOKS => self.reactor.io.owner_timer(now + LOOK, LOOKS),
             LAGS => {
                 self.note(Seen::Lag { late: now - self.lag_due });
@@ -204,7 +205,7 @@
                 self.connection(id, |c, io| match how {
                     How::Whole => c.line(&json, tells, io),
                     How::Pieces => c.line_in_pieces(&json, tells, io),
-                    // Cut off in the middle, where a writer without care may end.
+                    // Truncated in the middle, as by a faulty writer, so that the proxy cannot parse it.
                     How::Unreadable => c.line(&json[..json.len() / 2], Tells::default(), io),
                 });
             }
@@ -228,7 +229,8 @@
         Ok(())
     }
 
-    /// A call was answered, or fails. That an open watch ends is told by [`Self::watch_ends`].
+    /// Records that a call for the list was answered or failed. The end of an open watch is recorded by
+    /// [`Self::watch_ends`] instead.
     fn called(&mut self, id: u64, answered: bool) {
         let caller = self.keys.get(&id).and_then(|key| self.callers.get(key));
         if let Some(Caller { proxy, watches: false, .. }) = caller {
@@ -247,7 +249,8 @@
         }
     }
 
-    /// An update as its receiver reads it, and what it tells.
+    /// Serializes an update for the proxy of a connection, and lists the phases of render nodes that it tells the
+    /// proxy.
     fn text(&self, id: u64, update: &Update) -> io::Result<(String, Tells)> {
         let caller = self.keys.get(&id).and_then(|key| self.callers.get(key));
         let proxy = caller.map_or(ProxyId(0), |caller| caller.proxy);
@@ -304,7 +307,7 @@
             let made = self.reactor.insert(|key, io| {
                 Ok(Box::new(Party::Connection(DiscoveryConnection::accepted(stream, key, io)?)))
             });
-            // One that is gone by now was nobody's.
+            // The connection is already closed, and no call was read from it.
             let Ok(key) = made else { continue };
             self.last_id += 1;
             let id = self.last_id;
--- a/crates/kit/src/emulator/discovery_connection.rs
+++ b/crates/kit/src/emulator/discovery_connection.rs
@@ -1,4 +1,5 @@
-//! A proxy's connection to discovery: requests by httparse, answers whole or in chunks.
+//! A proxy's HTTP connection to discovery: requests are parsed by httparse; responses have a stated length or are
+//! chunked.
 
 use crate::model::discovery::Call;
 use crate::plan::NodeId;
@@ -11,37 +12,37 @@
 use std::collections::VecDeque;
 use std::io;
 
-/// A request is not longer.
+/// Longest request head, in bytes.
 const MAX_HEAD: usize = 16 * 1024;
-/// What comes in pieces comes in pieces of so many bytes, ...
+/// Size in bytes of the pieces of a line that is written in pieces.
 const PIECE: usize = 48;
-/// ... this long after one another.
+/// Pause between two pieces.
 const PAUSE: Micros = 10 * MS;
-/// The list's path.
+/// Path at which the list is served.
 const PATH: &str = "/registry/instances";
 
-/// What connections and listeners have to tell.
+/// Reports of connections and listeners to discovery's loop.
 #[derive(Debug)]
 pub(super) enum Report {
     Timer(u32),
     Accept(Key),
     Call(Key, Call),
-    /// All bytes that tell this have been written.
+    /// All bytes of an update have been written to the socket.
     Written {
         key: Key,
         tells: Tells,
         at: Micros,
     },
-    /// The object is about to be dropped.
+    /// The connection is about to be removed from the loop.
     Gone(Key, Micros),
 }
 
-/// What bytes tell a proxy once they are written.
+/// What an update tells a proxy. It counts as told once the update's bytes have been written.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Tells {
-    /// Phases of nodes.
+    /// The phases of render nodes in the update.
     pub nodes: Vec<(NodeId, Phase)>,
-    /// They are a watch's first.
+    /// The update is the first one of a watch.
     pub begins: bool,
 }
 
@@ -51,17 +52,18 @@
     }
 }
 
-/// One connection.
+/// One connection of a proxy.
 #[derive(Debug)]
 pub(super) struct DiscoveryConnection {
     key: Key,
     stream: LineStream,
     raw: Vec<u8>,
-    /// A call is being served; what comes meanwhile waits.
+    /// A call is being served. Further requests wait until it is answered.
     busy: bool,
-    /// Written one after another, with pauses while there is more than one.
+    /// Byte strings to be written in this order, with a pause between two of them. The last piece of an update carries
+    /// what the update tells.
     pieces: VecDeque<(Vec<u8>, Option<Tells>)>,
-    /// What is told once all that was pushed is written.
+    /// What the updates in the stream's output buffer tell once the buffer is written.
     pushed: Vec<Tells>,
     paused: bool,
     closing: bool,
@@ -83,7 +85,7 @@
         })
     }
 
-    /// Answers a call with a text, and takes the next one.
+    /// Answers a call with the given JSON text, and takes up the next call.
     pub fn answer(&mut self, json: &str, tells: Tells, io: &mut Io<Report>) {
         let head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: ";
         let text = format!("{head}{}\r\n\r\n{json}\n", json.len() + 1);
@@ -92,14 +94,14 @@
         self.calls(io);
     }
 
-    /// Answers a call with an error, and closes.
+    /// Answers a call with an HTTP error status, and closes the connection.
     pub fn refuse(&mut self, status: &str, io: &mut Io<Report>) {
         let text = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
         self.write(text.into_bytes(), Tells::default(), io);
         self.close(io);
     }
 
-    /// Begins an answer without end.
+    /// Begins the chunked response of a watch with a first line.
     pub fn begin(&mut self, json: &str, tells: Tells, io: &mut Io<Report>) {
         let head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
         let mut bytes = head.as_bytes().to_vec();
@@ -107,12 +109,12 @@
         self.write(bytes, tells, io);
     }
 
-    /// Goes on with a line.
+    /// Writes a further line of a watch.
     pub fn line(&mut self, line: &str, tells: Tells, io: &mut Io<Report>) {
         self.write(chunk(line), tells, io);
     }
 
-    /// Goes on with a line that comes bit by bit.
+    /// Writes a further line of a watch in pieces of [`PIECE`] bytes, with pauses in between.
     pub fn line_in_pieces(&mut self, line: &str, tells: Tells, io: &mut Io<Report>) {
         let bytes = chunk(line);
         let last = bytes.len().div_ceil(PIECE) - 1;
@@ -122,7 +124,7 @@
         self.next_piece(io);
     }
 
-    /// Closes in order once all is written.
+    /// Closes the connection without a reset once everything is written.
     pub fn close(&mut self, io: &mut Io<Report>) {
         self.closing = true;
         self.flush(io);
@@ -162,7 +164,8 @@
                     io.report(Report::Written { key, tells, at });
                 }
                 if self.closing && self.pieces.is_empty() {
-                    // Closes as soon as the other side has read it and ended: a reset could overtake what is written.
+                    // Ends only the sending: closing the socket now could cause a reset that discards data the peer
+                    // has not read yet. The connection is done once the peer closes it.
                     self.stream.finish();
                     self.done |= self.stream.flush().is_err();
                 }
@@ -172,7 +175,7 @@
         }
     }
 
-    /// Takes the next call, if one has come.
+    /// Parses and reports the next call, if a complete request has arrived.
     fn calls(&mut self, io: &mut Io<Report>) {
         if self.busy || self.closing {
             return;
@@ -205,7 +208,8 @@
     fn readable(&mut self, io: &mut Io<Report>, _: Half) {
         let fill = self.stream.fill();
         let bytes = self.stream.take_rest();
-        // What comes while a watch goes on, or beyond all bounds, is nobody's.
+        // Input beyond the bound, and input after the connection began to close, is discarded. Input that
+        // arrives during a watch is never parsed.
         if !self.closing && self.raw.len() <= MAX_HEAD {
             self.raw.extend(bytes);
         }
@@ -235,7 +239,7 @@
     }
 }
 
-/// What a query asks for.
+/// Parses the query part of a request's target.
 fn call(query: &str) -> Option<Call> {
     let (mut watch, mut from) = (false, 0);
     for pair in query.split('&').filter(|pair| !pair.is_empty()) {
@@ -248,12 +252,12 @@
     Some(if watch { Call::Watch { from } } else { Call::List })
 }
 
-/// A chunk that holds one line.
+/// Encodes one line as a chunk of a chunked response.
 fn chunk(line: &str) -> Vec<u8> {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1).into_bytes()
 }
 
-/// All objects on discovery's loop.
+/// An object on discovery's loop.
 #[derive(Debug)]
 pub(super) enum Party {
     Listener(Listener<Report>),
--- a/crates/kit/src/emulator/discovery_list.rs
+++ b/crates/kit/src/emulator/discovery_list.rs
@@ -1,4 +1,4 @@
-//! The list in the form in which proxies read it.
+//! The discovery list in the JSON form in which proxies read it.
 
 use crate::addresses::Addresses;
 use crate::model::registry::{Registry, Update};
@@ -25,11 +25,12 @@
     up_since_ms: u64,
 }
 
-/// One JSON object in a line, without its end, with the addresses at which this proxy reaches the nodes.
+/// Serializes an update as one JSON object on a single line, without a line end. The addresses are those at which
+/// `proxy` reaches the render nodes.
 ///
 /// # Errors
 ///
-/// If a figure of the plan can't be written as JSON.
+/// If a number of the plan cannot be written as JSON.
 pub fn render(
     update: &Update,
     plan: &Plan,
@@ -37,7 +38,7 @@
     clock: &RunClock,
     proxy: ProxyId,
 ) -> Result<String, simd_json::Error> {
-    // A complete list leaves out who is gone; among changes they are named.
+    // A complete list omits removed render nodes; an update with changes only names them.
     let entries = update.entries.iter().filter(|(_, e)| !(update.complete && e.phase == Phase::Removed));
     let members = entries.filter_map(|(id, entry)| {
         let node = plan.nodes.get(usize::from(id.0))?;
@@ -56,11 +57,11 @@
     simd_json::to_string(&list)
 }
 
-/// The list as it is at the start of a run: what a proxy's configuration gives as `known`.
+/// Serializes the list as it is at the start of a run, for the `known` setting of a proxy's configuration.
 ///
 /// # Errors
 ///
-/// As [`render`].
+/// The same as of [`render`].
 pub fn known(
     plan: &Plan,
     addresses: &Addresses,
--- a/crates/kit/src/emulator/discovery_tests.rs
+++ b/crates/kit/src/emulator/discovery_tests.rs
@@ -35,7 +35,7 @@
     peer
 }
 
-/// The status, and the rest of the head.
+/// Reads the head of a response, and returns the status line and the header lines.
 fn head(peer: &mut Peer) -> (String, String) {
     let status = peer.hear();
     let mut head = String::new();
@@ -48,7 +48,7 @@
     }
 }
 
-/// The text of the next chunk; its line end is in it.
+/// Reads the next chunk, and returns its text including the line end.
 fn chunk(peer: &mut Peer) -> String {
     let size = usize::from_str_radix(peer.hear().trim(), 16).unwrap();
     let text = peer.read_exact(size);
@@ -56,7 +56,7 @@
     text
 }
 
-/// Begins a watch: its connection and its first line.
+/// Begins a watch, and returns its connection and its parsed first line.
 fn watch(stage: &Stage, moves: u16, from: u64) -> (Peer, OwnedValue) {
     let mut peer = call(stage, moves, &format!("?watch=1&from={from}"));
     let (status, head) = head(&mut peer);
@@ -96,7 +96,8 @@
         r#"{{"id":"n0","host_port":"{address}","locality":"a","flavor":"std","cell":0,"phase":"up","size":1.0,"up_since_ms":0}}"#
     );
     assert_eq!(*first, json(&expected));
-    // The same connection serves again; a stranger's path does not.
+    // The same connection serves a second call. Requests for other paths or with other methods, and input that
+    // is not HTTP, are rejected.
     peer.say("GET /registry/instances HTTP/1.1\r\n\r\n");
     assert!(head(&mut peer).0.starts_with("HTTP/1.1 200 "));
     for (request, status) in
@@ -153,7 +154,7 @@
     let stage = stage(vec![(0, fault(DiscoveryChange::Down)), (S, fault(DiscoveryChange::Restore))]);
     let (mut peer, _) = watch(&stage, 0, 0);
     stage.set();
-    assert!(peer.rest().is_err(), "a reset");
+    assert!(peer.rest().is_err(), "an open watch is reset");
     let refused = std::net::TcpStream::connect(stage.addresses.discovery(0, P1)).unwrap_err();
     assert_eq!(refused.kind(), std::io::ErrorKind::ConnectionRefused);
     stage.wait(S);
@@ -206,7 +207,7 @@
     assert_eq!(members(&json(&chunk(&mut peer))), pairs(&[("n1", "draining")]));
     let notes = stage.notes();
     let told = Seen::Told { proxy: P1, node: NodeId(1), phase: Phase::Draining };
-    assert_eq!(notes.iter().filter(|seen| **seen == told).count(), 1, "a bad list tells nothing");
+    assert_eq!(notes.iter().filter(|seen| **seen == told).count(), 1, "an unreadable list tells nothing");
 }
 
 #[test]
@@ -222,7 +223,7 @@
     let refused = std::net::TcpStream::connect(stage.addresses.discovery(0, P1)).unwrap_err();
     assert_eq!(refused.kind(), std::io::ErrorKind::ConnectionRefused);
     let (_new, _) = watch(&stage, 1, 41);
-    old.rest().expect("the old one ends in order");
+    old.rest().expect("the old watch is closed without a reset");
     let stood = stage.board.clock.now() - super::testing::CUE - 500 * MS;
-    assert!(stood > 1400 * MS, "after a while: {stood}");
+    assert!(stood > 1400 * MS, "the old watch was closed {stood} us after the move");
 }
--- a/crates/kit/src/emulator/fault.rs
+++ b/crates/kit/src/emulator/fault.rs
@@ -1,42 +1,44 @@
-//! What keeps a stand-in from doing its part, in a sentence that says what to do.
+//! Errors that prevent an emulator from running, with messages that say how to resolve them.
 
 use std::io;
 use std::net::SocketAddr;
 
-/// `EMFILE` and `ENFILE` of Linux: the process, or the system, has no descriptor left.
+/// Linux `EMFILE` and `ENFILE`: the process or the system has no file descriptors left.
 const NO_DESCRIPTOR: [i32; 2] = [24, 23];
 
-/// The kit's own trouble, not a proxy's: the run is void.
+/// An error of the kit itself, not of a proxy under test. It invalidates the run.
 #[derive(Debug, thiserror::Error)]
 pub enum Fault {
-    /// The limit of descriptors is too low.
+    /// No file descriptor is left.
     #[error(
-        "no descriptor is left for {what}: raise the limit with 'ulimit -n', or make the scenario smaller"
+        "no file descriptor is left for {what}: raise the limit with 'ulimit -n', or make the scenario smaller"
     )]
     Descriptors {
-        /// Whose.
+        /// The emulated part that the error concerns.
         what: String,
     },
-    /// Somebody else listens there.
-    #[error("{address}, meant for {what}, is taken: end what listens there, or start the run again")]
+    /// Another process listens at the address.
+    #[error(
+        "{address}, meant for {what}, is already in use: stop the process that listens there, or run again"
+    )]
     Taken {
-        /// Whose.
+        /// The emulated part that the error concerns.
         what: String,
-        /// Where.
+        /// The address in use.
         address: SocketAddr,
     },
-    /// Anything else that the system refuses.
+    /// Any other error of the system.
     #[error("{what}: {source}")]
     System {
-        /// Whose.
+        /// The emulated part that the error concerns.
         what: String,
-        /// Why.
+        /// The system's error.
         source: io::Error,
     },
 }
 
 impl Fault {
-    /// A system's error at somebody's socket.
+    /// Classifies a system error that concerned `what` and, if given, the socket at `address`.
     pub fn of(what: impl Into<String>, address: Option<SocketAddr>, source: io::Error) -> Self {
         let what = what.into();
         match (address, source.raw_os_error()) {
--- a/crates/kit/src/emulator/front.rs
+++ b/crates/kit/src/emulator/front.rs
@@ -1,11 +1,12 @@
-//! The front: asks each proxy by `PING` whether it serves, and admits it for new clients or not. The clients pick
-//! among the admitted ones themselves ([`crate::model::client`]).
+//! Emulates the front, the load balancer before the proxies: probes each proxy by `PING`, and decides whether new
+//! clients may connect to it. The clients pick among the admitted proxies themselves ([`crate::model::client`]).
 //!
-//! One connection is kept to each proxy and asked on every [`crate::plan::Front::every`]; a broken one is made anew at
-//! the next turn. `PONG` admits a proxy. That a connection broke tells nothing: only a proxy that has not answered for
-//! [`crate::plan::Front::notice`] gets no more clients, so a killed one goes on being given some, and one that is
-//! back sooner was never missed. A held proxy ([`Board::hold`]) is not asked, and its connection is let go: the
-//! answer that admits it again comes from its next process.
+//! The front keeps one connection to each proxy and sends a probe on it every [`crate::plan::Front::every`]. A broken
+//! connection is replaced when the next probe is due. `PONG` admits a proxy. A broken connection alone doesn't end the
+//! admission: only a proxy that has not answered for [`crate::plan::Front::notice`] gets no more clients. So a killed
+//! proxy is still given clients for that time, and one that restarts sooner stays admitted throughout. A held proxy
+//! ([`Board::hold`]) is not probed, and its connection is closed, so the answer that admits it again comes from its
+//! next process.
 
 use crate::addresses::Addresses;
 use crate::board::Board;
@@ -18,10 +19,10 @@
 use std::io;
 use std::sync::Arc;
 
-/// Between two looks at the board, and at what is overdue.
+/// Interval at which the front checks held proxies, overdue answers and due probes.
 const TICK: Micros = 5 * MS;
 
-/// What the probes have to tell.
+/// Reports of the probe connections to the front's loop.
 #[derive(Debug)]
 enum Told {
     Tick,
@@ -34,19 +35,19 @@
     }
 }
 
-/// A connection to a proxy.
+/// The probe connection to one proxy.
 struct Probe {
     proxy: ProxyId,
     link: LineStream,
     connected: bool,
-    /// Not asked yet, or answered.
+    /// No answer is outstanding: no `PING` was sent, or the last one was answered.
     idle: bool,
     broken: bool,
 }
 
 impl Probe {
     fn ask(&mut self) {
-        // One that has not answered is not asked again: the answer is what is wanted, not a heap of questions.
+        // While an answer is outstanding, no further `PING` is sent, so that they don't pile up.
         if std::mem::take(&mut self.idle) {
             self.link.push(b"PING\r\n");
         }
@@ -67,7 +68,7 @@
                     self.idle = true;
                     io.report(Told::Pong(self.proxy));
                 }
-                // Whoever says anything else is not serving, and is asked on a new connection.
+                // Any other answer means that the proxy is not serving; it is probed again on a new connection.
                 _ => self.broken = true,
             }
         }
@@ -93,13 +94,14 @@
     }
 }
 
-/// What the front knows of a proxy.
+/// The front's state for one proxy.
 struct Known {
     probe: Option<Key>,
     ask_due: Micros,
-    /// Its last answer, or when the connection that is waiting for one was begun.
+    /// Start of the current wait for an answer: the last answer, the start of the run, or the close of a silent
+    /// connection.
     heard: Micros,
-    /// As it was noted last.
+    /// The admission that was recorded last.
     admitted: bool,
 }
 
@@ -120,7 +122,7 @@
             self.notes.note(self.reactor.io.now(), Seen::Admitted { proxy, on });
         }
         self.board.admit(proxy, on);
-        // Guards against a hold that came between the look at it and this.
+        // Guards against a race: another thread may hold the proxy after the caller's check.
         if on && self.board.is_held(proxy) {
             self.board.admit(proxy, false);
         }
@@ -155,7 +157,8 @@
         }
         known.probe = known.probe.filter(|key| self.reactor.contains(*key));
         if now - known.heard > notice {
-            // A connection that says nothing for so long may never do: its machine may be another one by now.
+            // A connection that stays silent for this long may never answer: the address may belong to another
+            // machine by now.
             if let Some(key) = known.probe.take() {
                 self.reactor.remove(key);
             }
@@ -181,8 +184,12 @@
     }
 }
 
-/// Plays the front until the board says stop; returns which proxies were admitted when. It notes a held proxy as not
-/// admitted too, so whoever holds it need not. Fails only if the system has no poll to give.
+/// Runs the front until the board stops the run, and returns when each proxy was admitted. A held proxy is recorded as
+/// not admitted, so the holder doesn't need to record that.
+///
+/// # Errors
+///
+/// If the system cannot create a poll instance, or polling fails.
 pub fn run(plan: Arc<Plan>, addresses: Arc<Addresses>, board: Arc<Board>) -> io::Result<Vec<Observation>> {
     let reactor = Reactor::new(board.clock.for_loop())?;
     let now = reactor.io.now();
--- a/crates/kit/src/emulator/liar.rs
+++ b/crates/kit/src/emulator/liar.rs
@@ -1,6 +1,7 @@
-//! A member of the tier that lies: it keeps the protocol, or its lies would be dropped unheard, and says what isn't so.
+//! A gossip member that sends false reports on render nodes. The member keeps to the protocol, since proxies would drop
+//! its reports unread otherwise.
 //!
-//! It speaks by the gossip crate, which is the protocol's; what proxies make of its words is theirs.
+//! The member uses the same gossip crate as the proxies. How a proxy evaluates the reports is decided in the proxy.
 
 use crate::plan::{FalseReport, Plan, ProxyId};
 use crate::time::{MS, Micros, S};
@@ -8,18 +9,18 @@
     EndpointDigest, Entry, Evidence, Gossip, GossipSection, Input, Keys, Load, Output, Settings, Strength, To,
 };
 
-/// Between two rounds of lies: as often as proxies tell theirs.
+/// Interval at which the false state is refreshed: as often as proxies refresh theirs.
 const EVERY: Micros = S;
-/// Load claimed for each render node, in multiples of what it can do.
+/// Load reported for each render node, as a multiple of the node's capacity.
 const CROWDED: f64 = 5.0;
-/// Connections that it claims there.
+/// Connections reported for each render node.
 const CLAIMED: u32 = 100;
-/// What it says of its latest failure: fresh.
+/// Reported age of the latest failure, in tenths of a second: recent enough to count.
 const AGE_TENTHS: u8 = 2;
-/// Failures that it claims.
+/// Failures reported for each render node.
 const FAILURES: u8 = 50;
 
-/// One liar.
+/// One member that sends false reports.
 #[derive(Debug)]
 pub(super) struct Liar {
     gossip: Gossip,
@@ -29,11 +30,11 @@
 }
 
 impl Liar {
-    /// A member with that number; `unix_ms` is its start.
+    /// A member with the given number. `unix_ms` is the wall-clock time at which it starts.
     pub fn new(plan: &Plan, ordinal: ProxyId, lie: FalseReport, unix_ms: u64, now: Micros) -> Self {
         let section = GossipSection { strength: Some(Strength::Address), ..GossipSection::default() };
         let settings = section.check().ok().flatten();
-        let Some(settings) = settings else { unreachable!("the section's own defaults are sound") };
+        let Some(settings) = settings else { unreachable!("the default settings of the section are valid") };
         let settings = Settings { multicast: false, ..settings };
         let members = plan.members();
         let (me, seed) = (u32::from(ordinal.0), plan.seed ^ u64::from(ordinal.0) << 40);
@@ -41,13 +42,13 @@
         Liar { gossip, lie, next: now + 500 * MS, members }
     }
 
-    /// A datagram of a proxy's has come.
+    /// Handles a datagram of a proxy, and returns the datagrams to send.
     pub fn hear(&mut self, now: Micros, from: ProxyId, bytes: &[u8]) -> Vec<(ProxyId, Vec<u8>)> {
         self.gossip.handle(now, Input::Datagram { from: Some(from.0.into()), bytes });
         self.say()
     }
 
-    /// Time has passed.
+    /// Refreshes the false state if that is due, and returns the datagrams to send.
     pub fn tick(&mut self, now: Micros, plan: &Plan) -> Vec<(ProxyId, Vec<u8>)> {
         if self.next <= now {
             self.next = now + EVERY;
--- a/crates/kit/src/emulator/mod.rs
+++ b/crates/kit/src/emulator/mod.rs
@@ -1,5 +1,6 @@
-//! The stand-ins on real sockets: each a loop of the project's reactor on a thread of its own, that plays its part of a
-//! plan on the run's clock and returns what it saw.
+//! Emulators of everything around the proxies, on real sockets: clients, front, network, render nodes and discovery.
+//! Each emulator runs a reactor on a thread of its own, follows its part of the plan by the run's clock, and returns
+//! its observations.
 
 pub mod clients;
 pub mod discovery;
--- a/crates/kit/src/emulator/network.rs
+++ b/crates/kit/src/emulator/network.rs
@@ -1,6 +1,6 @@
-//! The network between proxies: each datagram passes a relay of the kit's, which delays it, loses it, or holds back
-//! what a parted network would not carry. Every relay belongs to one pair, so a proxy sees the sender as the address
-//! that its configuration has for it.
+//! Emulates the network between proxies. Each datagram passes through a relay socket of the kit, and is delayed, or
+//! dropped at random or because the network is partitioned. Every relay belongs to one pair of proxies, so a proxy
+//! receives a datagram from the address that its configuration has for the sender.
 
 use super::liar::Liar;
 use crate::addresses::Addresses;
@@ -17,14 +17,15 @@
 use std::io;
 use std::sync::Arc;
 
-/// Longer datagrams are not carried; they are noted all the same, since the rules allow none over 256 bytes.
+/// Receive buffer, in bytes: of a longer datagram only this much is read and carried. It is recorded with this length,
+/// which breaks the rule too: datagrams must not exceed 256 bytes.
 const LONGEST: usize = 2048;
-/// Between two looks at the board.
+/// Interval between two checks of the timeline and of the end of the run.
 const LOOK: Micros = 10_000;
-/// Read from one relay before others have their turn.
+/// Datagrams read from one relay before other relays have their turn.
 const AT_ONCE: usize = 64;
 
-/// The owner's timers.
+/// Timers of [`Network`], which owns the reactor.
 const LOOKS: u32 = 0;
 const DELIVERS: u32 = 1;
 
@@ -40,7 +41,8 @@
     }
 }
 
-/// The socket at which one proxy sees another one, or all of them.
+/// A socket to which the proxy `seen_by` sends datagrams meant for the member `of`, or for all members if `of` is
+/// `None`. Datagrams of `of` to `seen_by` are sent from the same socket.
 struct Relay {
     socket: UdpSocket,
     key: Key,
@@ -60,7 +62,7 @@
                     io.report(Told::Came { from: self.seen_by, to: self.of, bytes });
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                // A receiver that is down: its port was reported closed. Nothing is owed for a datagram.
+                // A receiver is down, and its system reported the port as closed. A datagram may be lost.
                 Err(_) => {}
             }
         }
@@ -76,7 +78,7 @@
     }
 }
 
-/// A datagram on its way.
+/// A datagram that is being delayed.
 #[derive(Debug)]
 struct OnItsWay {
     from: ProxyId,
@@ -95,12 +97,16 @@
     next: usize,
     on_their_way: BTreeMap<(Micros, u64), OnItsWay>,
     number: u64,
-    /// Members that are no proxies, by their numbers.
+    /// Members that are not proxies and send false reports, by member number.
     liars: BTreeMap<ProxyId, Liar>,
     notes: Notes,
 }
 
-/// Carries datagrams until the run is over. Fails if a relay's address can't be had.
+/// Carries datagrams until the board stops the run, and returns the observations.
+///
+/// # Errors
+///
+/// If a relay cannot bind its address, the system cannot create a poll instance, or polling fails.
 pub fn run(plan: Arc<Plan>, addresses: Arc<Addresses>, board: Arc<Board>) -> io::Result<Vec<Observation>> {
     let mut network = Network {
         plan: &plan,
@@ -131,7 +137,7 @@
     Ok(network.notes.into_inner())
 }
 
-/// The liars, who know the protocol's clock as processes do.
+/// The members that send false reports. Each gets the wall-clock time of its start, as a process would.
 fn liars(plan: &Plan, board: &Board) -> BTreeMap<ProxyId, Liar> {
     let now = board.clock.now();
     let numbered = (plan.proxies.len() as u16..).map(ProxyId).zip(&plan.network.liars);
@@ -163,7 +169,7 @@
         Ok(())
     }
 
-    /// Carries out what the timeline has for the network by now.
+    /// Sends the false reports that are due, and applies the timeline's network changes that are due.
     fn look(&mut self) {
         let now = self.reactor.io.now();
         self.reactor.io.owner_timer(now + LOOK, LOOKS);
@@ -180,7 +186,7 @@
                 NetworkChange::Loss(loss) => self.loss = *loss,
                 NetworkChange::Part(apart) => self.apart = Some(apart.iter().copied().collect()),
                 NetworkChange::Join => self.apart = None,
-                // The render nodes' stand-ins do these.
+                // The render nodes' emulator applies these.
                 NetworkChange::CutOff(..) | NetworkChange::Reach(_) => {}
             }
         }
@@ -199,7 +205,7 @@
         }
     }
 
-    /// On its way, unless it is lost.
+    /// Schedules the delivery of a datagram, unless the datagram is dropped.
     fn carry(&mut self, from: ProxyId, to: ProxyId, bytes: &[u8]) {
         let now = self.reactor.io.now();
         let parted = self.apart.as_ref().is_some_and(|set| set.contains(&from) != set.contains(&to));
@@ -227,7 +233,7 @@
             }
             let Some(key) = self.relays.get(&(from, to)).copied() else { continue };
             let address = self.addresses.peer(to);
-            // Late or never: one that can't be sent now is lost.
+            // A datagram that cannot be sent now is lost.
             self.reactor.with(key, |relay, _| relay.socket.send_to(&bytes, address).is_ok());
         }
     }
--- a/crates/kit/src/emulator/nodes.rs
+++ b/crates/kit/src/emulator/nodes.rs
@@ -1,5 +1,5 @@
-//! The render nodes' sockets: one thread's loop for its share of the nodes. What a node does is decided by
-//! [`NodeModel`]; here it is read, written and noted.
+//! Emulates render nodes on real sockets: one reactor per thread, for the thread's share of the nodes. [`NodeModel`]
+//! decides what a node does; this module reads, writes, and records observations.
 
 use super::fault::Fault;
 use super::nodes_connection::{Party, Report};
@@ -18,39 +18,41 @@
 use std::io;
 use std::sync::Arc;
 
-/// Between two looks at whether the run is over.
+/// Interval between two checks whether the run is over.
 const LOOK: Micros = 10 * MS;
-/// Between two checks of how late this loop runs.
+/// Interval at which the lag of this loop is measured.
 const LAG: Micros = 100 * MS;
-/// The loop's own timers; smaller numbers are nodes.
+/// The loop's own timers. Smaller numbers are timers of the members, by index.
 const LOOKS: u32 = u32::MAX;
 const LAGS: u32 = u32::MAX - 1;
 const TIMELINE: u32 = u32::MAX - 2;
 
-/// One connection of a proxy's.
+/// One connection of a proxy to a render node.
 #[derive(Debug)]
 pub(super) struct Place {
     pub node: usize,
     pub proxy: ProxyId,
-    /// The attempt, once its first line has come.
+    /// The serial of the attempt. `None` until the first line has arrived.
     pub serial: Option<u32>,
-    /// Something of it was written last then. What was read earlier in the same round, and is taken up now, is not
-    /// noted as if it had come before: the attempt was not over when it was answered.
+    /// When the node last wrote to the connection. The attempt's end is never recorded as earlier than this: an end
+    /// that was read before the write but is handled after it would otherwise be recorded as earlier than the answer.
     pub written: Micros,
-    /// The attempt's end has been noted.
+    /// The attempt's end has been recorded.
     pub over: bool,
-    /// Lines that are to be returned, with the client's numbers of them.
+    /// Lines to be returned, each with its number from the client, if it has one.
     pub lines: VecDeque<(Vec<u8>, Option<u32>)>,
-    /// The network lets nothing through; what was to be done meanwhile.
+    /// The emulated network lets nothing through on this connection.
     pub silent: bool,
+    /// Outputs of the model that are deferred while the connection is silent.
     pub held: VecDeque<Output>,
 }
 
+/// One emulated render node.
 #[derive(Debug)]
 pub(super) struct Member {
     pub id: NodeId,
     pub model: NodeModel,
-    /// One for each proxy, while there is something to connect to, or silence.
+    /// The node's listener for each proxy. `None` while the port is closed and connections of that proxy are refused.
     pub posts: Vec<Option<Post>>,
     pub connections: BTreeSet<Key>,
     pub attempts: BTreeMap<u32, Key>,
@@ -86,19 +88,19 @@
     pub(super) places: BTreeMap<Key, Place>,
     pub(super) posts: BTreeMap<Key, (usize, ProxyId)>,
     pub(super) notes: Notes,
-    /// Next of the plan's timeline.
+    /// Index of the next event of the plan's timeline.
     pub(super) next: usize,
     pub(super) lag_due: Micros,
     pub(super) out: Vec<Output>,
-    /// Have fallen over, and their sockets are still to follow.
+    /// Members that have failed under load while cold, and whose connections and listeners are still to be closed.
     pub(super) fallen: Vec<usize>,
 }
 
-/// Is these render nodes until the board says that the run is over; returns what was seen.
+/// Runs the given render nodes until the board stops the run, and returns the observations.
 ///
 /// # Errors
 ///
-/// A [`Fault`] inside an [`io::Error`]: an address is taken, no descriptor is left, or the system has no poll to give.
+/// A [`Fault`] inside an [`io::Error`]: an address is in use, no file descriptor is left, or polling fails.
 pub fn run(
     plan: Arc<Plan>,
     addresses: Arc<Addresses>,
@@ -176,7 +178,7 @@
                     }
                 }
                 Report::Probe(key) => {
-                    // A hung node has no word for a probe either.
+                    // A hung node doesn't answer probes either.
                     if self.places.get(&key).is_some_and(|p| !self.members[p.node].model.is_hung()) {
                         self.connection(key, |c, _| c.say(b"NO\r\n"));
                     }
@@ -202,7 +204,7 @@
     fn timer(&mut self, timer: u32) -> io::Result<()> {
         let now = self.now();
         match timer {
-            // The turn is what matters: the loop looks at the board after it.
+            // The timer only wakes the loop, which then checks whether the run is over.
             LOOKS => self.reactor.io.owner_timer(now + LOOK, LOOKS),
             LAGS => {
                 self.note(Seen::Lag { late: now - self.lag_due });
@@ -268,7 +270,7 @@
             _ => {}
         }
         if change == NodeChange::Kill {
-            // First, so that nobody who was reset finds it still listening.
+            // The listeners are closed first, so that a proxy whose connection is reset cannot connect again.
             self.close_posts(i);
         }
         let restarts = matches!(change, NodeChange::Kill | NodeChange::Start);
@@ -285,7 +287,7 @@
         self.take_reports()
     }
 
-    /// Closes where it listens; what is silent stays so.
+    /// Closes the member's listeners, except silent ones.
     fn close_posts(&mut self, i: usize) {
         for post in &mut self.members[i].posts {
             if let Some(post) = post.take_if(|post| !post.is_silent()) {
@@ -299,7 +301,8 @@
         let keys: Vec<Key> = self.members[i].connections.iter().copied().collect();
         for key in keys {
             let Some(place) = self.places.get(&key) else { continue };
-            // What stands behind a cut is silent still, and reset once the cut is over.
+            // An attempt's connection to a proxy that is cut off stays silent for now. Its reset is
+            // deferred until the proxy is reachable again.
             if place.serial.is_none() || !self.members[i].cut_off.contains(&place.proxy) {
                 self.cut(key);
             }
@@ -313,7 +316,8 @@
         }
     }
 
-    /// Makes a node's sockets follow what it and the network are now: open, closed or silent.
+    /// Opens, closes or silences a member's listeners and connections, as the state of the node and of the network
+    /// demands.
     fn settle(&mut self, i: usize) -> io::Result<()> {
         let name = self.plan.nodes[usize::from(self.members[i].id.0)].name.as_str();
         let running = self.members[i].model.is_running();
@@ -328,7 +332,7 @@
                 self.members[i].posts[p] = Some(post);
             }
             if silent {
-                // Those who waited had come up before.
+                // Connections that wait to be accepted were established before the silence.
                 self.accept(i, proxy, None)?;
             }
             let Some(post) = &mut self.members[i].posts[p] else { continue };
@@ -360,7 +364,8 @@
             }
             let held = std::mem::take(&mut place.held);
             self.connection(key, |c, io| c.wake(io));
-            // What the proxy did meanwhile comes first: an attempt that it gave up is not answered any more.
+            // Input that arrived during the silence is handled before the deferred outputs: an attempt that the
+            // proxy gave up is not answered any more.
             self.take_reports()?;
             for output in held {
                 let given_up = self.places.get(&key).is_none_or(|place| place.over);
--- a/crates/kit/src/emulator/nodes_connection.rs
+++ b/crates/kit/src/emulator/nodes_connection.rs
@@ -1,4 +1,4 @@
-//! A proxy's connection to a render node, as an object on the loop.
+//! A proxy's connection to an emulated render node, as a reactor object.
 
 use crate::time::{Micros, S};
 use cottonnotch_reactor::line::{Fill, LineStream};
@@ -7,34 +7,36 @@
 use mio::net::TcpStream;
 use std::io;
 
-/// After its last word a connection waits this long for the other side's end. Guards against a reset that overtakes
-/// the last word: closing with unread input would be one.
+/// After its last output, a connection waits this long for the proxy to close. Closing a socket with unread input
+/// causes a reset, which could discard that output before the proxy has read it.
 const LINGER: Micros = 5 * S;
 
-/// What connections and listeners have to tell.
+/// Reports of connections and listeners to the render nodes' loop.
 #[derive(Debug)]
 pub(super) enum Report {
     Timer(u32),
-    /// Somebody waits to be accepted.
+    /// Connections wait to be accepted at this listener.
     Accept(Key),
-    /// `PING` or `STATS` in place of a first line.
+    /// The proxy sent `PING` or `STATS` instead of a first line.
     Probe(Key),
+    /// The first line of an attempt.
     First {
         key: Key,
         line: Vec<u8>,
         first_byte: Micros,
         at: Micros,
     },
+    /// A line after the first one.
     Line {
         key: Key,
         line: Vec<u8>,
         at: Micros,
     },
-    /// A line beyond all bounds.
+    /// A line is longer than [`cottonnotch_reactor::line::MAX_LINE`].
     TooLong(Key),
     /// The proxy has ended its sending.
     Ended(Key, Micros),
-    /// The object is about to be dropped.
+    /// The connection is about to be removed from the loop.
     Gone(Key, Micros),
 }
 
@@ -44,18 +46,18 @@
     }
 }
 
-/// One connection.
+/// One connection of a proxy to a render node.
 #[derive(Debug)]
 pub(super) struct NodeConnection {
     key: Key,
     stream: LineStream,
     first_byte: Option<Micros>,
     opened: bool,
-    /// The network lets nothing through.
+    /// The emulated network lets nothing through.
     silent: bool,
     /// The proxy has ended its sending.
     ended: bool,
-    /// The last word has been said.
+    /// The node has ended its sending; further input is discarded.
     leaving: bool,
     done: bool,
 }
@@ -75,12 +77,13 @@
         })
     }
 
+    /// Writes the bytes, now or as soon as the socket takes them.
     pub fn say(&mut self, bytes: &[u8]) {
         self.stream.push(bytes);
         self.flush();
     }
 
-    /// Says this and ends the sending; the rest of what comes is read and forgotten.
+    /// Writes the bytes and ends the sending. Further input is read and discarded.
     pub fn say_last(&mut self, bytes: &[u8], io: &mut Io<Report>) {
         self.leaving = true;
         self.stream.push(bytes);
@@ -97,12 +100,12 @@
         self.done = true;
     }
 
-    /// Neither reads nor writes from now on, until [`wake`](Self::wake).
+    /// Stops reading and writing until [`wake`](Self::wake).
     pub fn hush(&mut self) {
         self.silent = true;
     }
 
-    /// Goes on; what has come meanwhile is read.
+    /// Resumes reading and writing after [`hush`](Self::hush), and reads the input that has arrived meanwhile.
     pub fn wake(&mut self, io: &mut Io<Report>) {
         self.silent = false;
         self.flush();
@@ -193,7 +196,7 @@
     }
 }
 
-/// All objects on a render nodes' loop.
+/// An object on a render nodes' loop.
 #[derive(Debug)]
 pub(super) enum Party {
     Listener(Listener<Report>),
--- a/crates/kit/src/emulator/nodes_load.rs
+++ b/crates/kit/src/emulator/nodes_load.rs
@@ -1,4 +1,4 @@
-//! What the render nodes' loop costs: run by hand, in release, with
+//! Measures the CPU time that the render nodes' loop takes. Run by hand, in release mode, with
 //! `cargo test --release -p cottonnotch-kit -- --ignored --nocapture what_the_loop_costs`.
 
 use super::testing::{Peer, Run, Stage};
@@ -30,7 +30,7 @@
 };
 
 #[test]
-#[ignore = "measures; takes a quarter of a minute"]
+#[ignore = "a measurement, which takes 15 s"]
 fn what_the_loop_costs() {
     let mut plan = plan(NODES, PROXIES, SESSIONS);
     plan.nodes.iter_mut().for_each(|node| (node.capacity, node.setups_max) = (4.0, 1000));
--- a/crates/kit/src/emulator/nodes_post.rs
+++ b/crates/kit/src/emulator/nodes_post.rs
@@ -1,9 +1,9 @@
-//! Where one proxy reaches one render node: a listening socket that can fall silent, as one does whose machine is gone
-//! or cut off.
+//! The listening socket at which one proxy reaches one render node. The socket can be made silent, as if the node's
+//! machine had vanished or were cut off.
 //!
-//! A closed socket would refuse, which a machine that is gone does not. Here the queue of connections that wait to be
-//! accepted is made as short as it can be and filled with one of our own; the system then drops what asks to connect,
-//! and the caller hears nothing (listen(2); `sk_acceptq_is_full` in Linux' tcp_conn_request).
+//! Closing the socket would refuse connections, which a vanished machine doesn't do. Instead, the accept queue is
+//! shortened to the minimum and filled with a connection of the emulator's own. The system then drops connection
+//! requests, and the caller gets no reply (listen(2); `sk_acceptq_is_full` in `tcp_conn_request` of Linux).
 
 use super::nodes_connection::{Party, Report};
 use cottonnotch_reactor::listener::Listener;
@@ -15,15 +15,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Connections that may wait to be accepted at other times; the system bounds it further.
+/// Length of the accept queue once the socket is no longer silent. The system may limit it further.
 const BACKLOG: i32 = 4096;
 
-/// One proxy's way to one render node.
+/// The listener for one proxy at one render node.
 #[derive(Debug)]
 pub(super) struct Post {
     pub key: Key,
     socket: Rc<TcpListener>,
     address: SocketAddr,
+    /// The connection that fills the accept queue while the socket is silent.
     filler: Option<Socket>,
 }
 
@@ -43,21 +44,23 @@
         self.filler.is_some()
     }
 
-    /// From now on nothing comes up here. Whoever waited to be accepted should have been.
+    /// Makes the socket silent: no further connection is established. Connections that wait to be accepted must be
+    /// accepted before.
     pub fn hush(&mut self) -> io::Result<()> {
         SockRef::from(&*self.socket).listen(0)?;
         let filler = Socket::new(Domain::for_address(self.address), Type::STREAM, None)?;
         filler.set_nonblocking(true)?;
-        // A reset leaves nothing behind.
+        // With a zero linger time, dropping the filler sends a reset, which leaves no state behind.
         filler.set_linger(Some(Duration::ZERO))?;
-        // In progress is as good: then another one fills the queue already.
+        // An error is ignored, also `EINPROGRESS`: if the handshake cannot complete, another connection fills the
+        // queue already.
         let _ = filler.connect(&self.address.into());
         self.filler = Some(filler);
         Ok(())
     }
 
-    /// Connections come up again. What waits is to be accepted now: no readiness is told for it.
-    /// Returns where our own one comes from, which is not to be served.
+    /// Lets connections be established again. The caller must accept waiting connections now, since no readiness is
+    /// reported for them. Returns the local address of the filler connection, which must not be served.
     pub fn wake(&mut self) -> io::Result<Option<SocketAddr>> {
         let Some(filler) = self.filler.take() else { return Ok(None) };
         let own = filler.local_addr().ok().and_then(|address| address.as_socket());
@@ -66,14 +69,14 @@
         Ok(own)
     }
 
-    /// The next one that waits.
+    /// Accepts the next waiting connection. Returns `None` if there is none.
     pub fn accept(&self) -> io::Result<Option<(TcpStream, SocketAddr)>> {
         loop {
             match self.socket.accept() {
                 Ok(accepted) => return Ok(Some(accepted)),
                 Err(error) => match error.kind() {
                     io::ErrorKind::WouldBlock => return Ok(None),
-                    // It has left already.
+                    // The peer has closed the connection already, or a signal interrupted the call.
                     io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted => {}
                     _ => return Err(error),
                 },
--- a/crates/kit/src/emulator/nodes_talk.rs
+++ b/crates/kit/src/emulator/nodes_talk.rs
@@ -1,4 +1,5 @@
-//! What proxies say to render nodes, and what these say to them.
+//! The protocol between proxies and emulated render nodes: handles the lines of the proxies and writes the outputs of
+//! the node models.
 
 use super::fault::Fault;
 use super::nodes::{Nodes, Place};
@@ -14,7 +15,7 @@
 use std::net::SocketAddr;
 
 impl Nodes<'_> {
-    /// Lets the model act, and does what it says.
+    /// Passes an input to a member's model and carries out the model's outputs.
     pub(super) fn model(&mut self, i: usize, input: Input) {
         let mut out = std::mem::take(&mut self.out);
         let now = self.now();
@@ -90,13 +91,14 @@
         self.over(key, self.now(), over);
     }
 
-    /// Resets a connection.
+    /// Resets a connection and records the end of its attempt.
     pub(super) fn cut(&mut self, key: Key) {
         self.over(key, self.now(), AttemptEnd::Cut);
         self.connection(key, |c, _| c.reset());
     }
 
-    /// Notes an attempt's end, the first one only: a proxy that ended its sending still gets its `BYE`.
+    /// Records an attempt's end, but only once: a proxy that has ended its sending still gets `BYE`, which does not
+    /// count as a second end.
     pub(super) fn over(&mut self, key: Key, at: Micros, over: AttemptEnd) {
         let Some(place) = self.places.get_mut(&key) else { return };
         let Some(serial) = place.serial.filter(|_| !place.over) else { return };
@@ -131,7 +133,7 @@
             let made = self.reactor.insert(|key, io| {
                 Ok(Box::new(Party::Connection(NodeConnection::accepted(stream, key, io)?)))
             });
-            // One that is gone by now was nobody's.
+            // The connection is already closed, and nothing was read from it.
             let Ok(key) = made else { continue };
             self.members[i].connections.insert(key);
             let (lines, held) = (VecDeque::new(), VecDeque::new());
@@ -165,7 +167,7 @@
         self.model(i, Input::Open(opened));
     }
 
-    /// One way between a proxy and a node.
+    /// One-way latency between a proxy and a member.
     pub(super) fn way(&self, i: usize, proxy: ProxyId) -> Micros {
         let node = &self.plan.nodes[usize::from(self.members[i].id.0)];
         let near = self.plan.proxies.get(usize::from(proxy.0)).is_some_and(|p| p.zone == node.zone);
@@ -220,7 +222,7 @@
     }
 }
 
-/// The number in a client's line, `M NUMBER PADDING`.
+/// Parses the number of a client's line, `M NUMBER PADDING`. Returns `None` for any other line.
 fn number(line: &[u8]) -> Option<u32> {
     let mut words = line.split(|b| matches!(b, b' ' | b'\r' | b'\n'));
     if words.next() != Some(b"M") {
@@ -229,7 +231,7 @@
     std::str::from_utf8(words.next()?).ok()?.parse().ok()
 }
 
-/// A line that is no answer, whatever the number.
+/// A line that is not a valid answer for any value of `noise`.
 fn rubbish(noise: u64) -> Vec<u8> {
     let mut line = vec![0xff];
     line.extend(noise.to_le_bytes().iter().map(|b| b | 0x80));
--- a/crates/kit/src/emulator/nodes_tests.rs
+++ b/crates/kit/src/emulator/nodes_tests.rs
@@ -26,7 +26,7 @@
     peer.say(&first_line(&stage.plan, session, u64::from(session) + 100, 1500, ""));
 }
 
-/// A connection that is up.
+/// Opens a connection to node 0 and waits until the session is up.
 fn up(stage: &Stage, proxy: u16, session: u32) -> Peer {
     let mut peer = peer(stage, 0, proxy);
     ask(stage, &mut peer, session);
@@ -147,7 +147,8 @@
     let usual = took(0);
     stage.wait(10 * MS);
     let slow = took(20);
-    // Twenty draws each; 4 times as slow and more crowded besides.
+    // Each figure is the sum of twenty random latencies. The slow node takes 4 times as long, and is more crowded
+    // besides, so a factor of 2 leaves a margin.
     assert!(slow > 2 * usual, "{usual:?} and {slow:?}");
     assert_eq!(overs(&stage.notes())[0], (2, AttemptEnd::Cut));
 }
@@ -197,12 +198,16 @@
     assert!(never_comes_up(&stage, 0));
     peer.say("M 0\r\n");
     assert!(peer.is_silent_for(QUIET));
-    assert!(never_comes_up(&stage, 0), "still");
+    assert!(never_comes_up(&stage, 0), "a later connection also has to time out");
     assert_eq!(peer.hear(), "M 0\r\n");
     up(&stage, 0, 1);
     let notes = stage.notes();
     assert_eq!(conditions(&notes), [Condition::Sound, Condition::Vanished, Condition::Sound]);
-    assert_eq!(notes.iter().filter(|s| matches!(s, Seen::Attempt { .. })).count(), 2, "no one of our own");
+    assert_eq!(
+        notes.iter().filter(|s| matches!(s, Seen::Attempt { .. })).count(),
+        2,
+        "the emulator's own filler connection is not served"
+    );
 }
 
 #[test]
@@ -280,7 +285,7 @@
         })
         .collect();
     let ends = peers.iter_mut().map(Peer::rest).filter(|end| end.is_err()).count();
-    assert_eq!(ends, 12, "all are reset");
+    assert_eq!(ends, 12, "all connections are reset");
     stage.wait(S + 50 * MS);
     assert!(refused(&stage, 0) && refused(&stage, 1));
     let notes = stage.notes();
@@ -314,5 +319,5 @@
     let _other = std::net::TcpListener::bind(addresses.node(N0, ProxyId(0))).unwrap();
     let board = std::sync::Arc::new(crate::board::Board::new(&plan, 0));
     let error = super::nodes::run(plan, addresses, board, vec![N0]).unwrap_err().to_string();
-    assert!(error.contains("meant for render node n0, is taken"), "{error}");
+    assert!(error.contains("meant for render node n0, is already in use"), "{error}");
 }
--- a/crates/kit/src/emulator/rude.rs
+++ b/crates/kit/src/emulator/rude.rs
@@ -1,5 +1,6 @@
-//! Clients that go beyond the usual ([`Misbehavior`]): each comes at its time to an admitted proxy and does its worst as
-//! fast as the socket takes it, reading all the while. It is owed an error or a close within a few seconds.
+//! Emulates misbehaving clients ([`Misbehavior`]). Each connects to an admitted proxy when the plan says so, writes its
+//! script as fast as the socket takes it, and reads all the while. The proxy has to answer with an error or close the
+//! connection within a few seconds.
 
 use super::rude_script::{Script, script};
 use crate::addresses::Addresses;
@@ -14,20 +15,20 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// A rude client is owed a word or a close within this time of its connection ...
+/// Time after the connect within which the proxy has to answer a misbehaving client or close its connection.
 const OWED_WITHIN: Micros = 3 * S;
-/// ... and one with 60 MB to say, within this.
+/// The same for [`Misbehavior::Huge`], which writes 60 MB.
 const OWED_WITHIN_HUGE: Micros = 6 * S;
-/// After that it stays a little, to see whether it comes late.
+/// Time for which a client stays connected beyond that, to see whether a late answer or close comes.
 const LATE: Micros = S;
-/// One that comes again at once does so for this long.
+/// Time for which a [`Misbehavior::AgainAtOnce`] client reconnects.
 const AGAIN_FOR: Micros = S;
-/// Between two looks at the board.
+/// Interval between two checks for arrivals and for the end of the run.
 const TICK: Micros = 5 * MS;
-/// Written in one callback before the others have their turn.
+/// Bytes written in one callback before other clients have their turn.
 const MAX_TURN: usize = 256 * 1024;
 
-/// The owner's timers.
+/// Timer of [`run`], which owns the reactor.
 const TICKING: u32 = 0;
 
 #[derive(Debug)]
@@ -48,7 +49,7 @@
     board: Arc<Board>,
 }
 
-/// One rude client.
+/// One misbehaving client.
 struct Rude {
     key: Key,
     place: u32,
@@ -59,7 +60,7 @@
     link: LineStream,
     script: Script,
     connected: bool,
-    /// Visits so far.
+    /// Connections established so far.
     visits: u32,
     again_until: Micros,
     by: Micros,
@@ -84,11 +85,11 @@
         self.visits += 1;
     }
 
-    /// Writes as much as the socket takes.
+    /// Writes as much of the script as the socket takes.
     fn say(&mut self, io: &mut Io<Told>) {
         let mut said = 0;
         loop {
-            // That the connection is broken is found by reading.
+            // A write error is ignored: the next read reports the broken connection.
             if !matches!(self.link.flush(), Ok(true)) {
                 return;
             }
@@ -153,7 +154,7 @@
                     io.call_again(self.key, leg);
                 }
                 Ok(false) => return,
-                // It came to nobody.
+                // No connection was established.
                 Err(_) => {
                     self.done = true;
                     return;
@@ -164,7 +165,7 @@
     }
 
     fn timer(&mut self, io: &mut Io<Told>, _: u32) {
-        // Guards against the timers of its earlier visits.
+        // Guards against timers of earlier connections.
         if io.now() >= self.by + LATE {
             self.done = true;
         }
@@ -175,8 +176,12 @@
     }
 }
 
-/// Plays the rude clients until the board says stop. One that finds no proxy admitted, or no open id to steal, stays
-/// away. Fails only if the system has no poll to give.
+/// Runs the misbehaving clients until the board stops the run, and returns the observations. A client does not connect
+/// if no proxy is admitted or if there is no open request whose id it could use.
+///
+/// # Errors
+///
+/// If the system cannot create a poll instance, or polling fails.
 pub fn run(plan: Arc<Plan>, addresses: Arc<Addresses>, board: Arc<Board>) -> io::Result<Vec<Observation>> {
     let mut reactor: Reactor<Rude> = Reactor::new(board.clock.for_loop())?;
     let shared = Rc::new(Shared { plan, addresses, board });
@@ -212,12 +217,12 @@
     let admitted = |proxy: &ProxyId| shared.board.is_admitted(*proxy);
     let proxies: Vec<ProxyId> = (0..shared.plan.proxies.len() as u16).map(ProxyId).filter(admitted).collect();
     let proxy = match stolen {
-        // Another proxy can't know that the id is open.
+        // Only the proxy that serves the request knows that its id is open.
         Some(open) => open.map(|(_, proxy)| proxy),
         None => proxies.get(seed as usize % proxies.len().max(1)).copied(),
     };
     let Some(proxy) = proxy else {
-        log::debug!("rude client {place} ({kind:?}) finds nobody to come to");
+        log::debug!("misbehaving client {place} ({kind:?}) has no proxy to connect to");
         return;
     };
     let script = script(&shared.plan, kind, seed, place, 0, stolen.flatten().map(|(id, _)| id));
@@ -226,7 +231,7 @@
         let link = LineStream::connect(address, io, key, Half::Near)?;
         let shared = Rc::clone(shared);
         let (now, done) = (io.now(), false);
-        // Counts until the connection stands: it is given up like one that is never answered.
+        // Applies until the connection is established: the client gives up then, as if it were never answered.
         let by = now + OWED_WITHIN;
         io.timer(by + LATE, key, 0);
         let (connected, visits, again_until) = (false, 0, now);
@@ -247,6 +252,6 @@
         }))
     });
     if let Err(error) = made {
-        log::debug!("rude client {place} ({kind:?}) has no socket: {error}");
+        log::debug!("misbehaving client {place} ({kind:?}) has no socket: {error}");
     }
 }
--- a/crates/kit/src/emulator/rude_script.rs
+++ b/crates/kit/src/emulator/rude_script.rs
@@ -1,4 +1,4 @@
-//! What each kind of rude client says.
+//! The bytes that each kind of misbehaving client sends.
 
 use crate::model::client::words::request_id;
 use crate::observation::RequestId;
@@ -8,23 +8,24 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
 
-/// Bytes of a value that is far too long.
+/// Length in bytes of the value sent by [`Misbehavior::Huge`].
 const HUGE: usize = 60_000_000;
-/// Pieces in which what is long is written.
+/// Size in bytes of the pieces in which long values are written.
 const PIECE: usize = 64 * 1024;
-/// Bytes that are no text.
+/// Number of bytes that [`Misbehavior::Garbage`] sends, none of which is ASCII.
 const GARBAGE: usize = 300;
-/// Commands at once.
+/// Number of first lines that [`Misbehavior::ManyCommands`] sends at once.
 const COMMANDS: u32 = 400;
 
-/// Bytes to be said, piece by piece.
+/// The bytes that a client sends, piece by piece.
 #[derive(Debug)]
 pub(super) struct Script {
-    /// Each so many times, one after the other.
+    /// Each piece with the number of times that it is sent.
     pieces: VecDeque<(Vec<u8>, usize)>,
-    /// Ends its sending after all of it.
+    /// The client ends its sending after the last piece.
     finishes: bool,
-    /// Ids of its own in whole first lines: what may reach a render node if the proxy is taken in.
+    /// The client's own request ids in complete first lines. They may reach a render node if the proxy accepts the
+    /// lines.
     pub ids: Vec<RequestId>,
 }
 
@@ -33,7 +34,7 @@
         Script { pieces: VecDeque::from([(words.into(), 1)]), finishes: false, ids: Vec::new() }
     }
 
-    /// With these ids of its own.
+    /// Adds the client's own request ids.
     fn asking(mut self, ids: impl IntoIterator<Item = u64>) -> Self {
         self.ids.extend(ids.into_iter().map(RequestId));
         self
@@ -44,7 +45,7 @@
         self
     }
 
-    /// Queues the next piece to be written; its length, none once all was said.
+    /// Queues the next piece to be written, and returns its length. Returns `None` once all pieces have been queued.
     pub fn say_next(&mut self, link: &mut LineStream) -> Option<usize> {
         let Some((piece, times)) = self.pieces.front_mut() else {
             if std::mem::take(&mut self.finishes) {
@@ -63,7 +64,8 @@
     }
 }
 
-/// What the rude client at that place of the plan says on that visit. Ids are no other client's, but for a stolen one.
+/// The script of the misbehaving client at index `place` of the plan for its connection number `visit`. No other client
+/// has its request ids, except the owner of a stolen one.
 pub(super) fn script(
     plan: &Plan,
     kind: Misbehavior,
@@ -74,7 +76,7 @@
 ) -> Script {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let key: u64 = rng.random();
-    // Counted from the far end, where no session is.
+    // Counted down from the greatest session index, so that no request of a session has the same id.
     let id = |number: u32| request_id(plan.seed, u32::MAX - place, number).0;
     let class = plan.classes.first().map_or("-", |class| class.name.as_str());
     let tenant = plan.tenants.first().map_or("-", |tenant| tenant.name.as_str());
--- a/crates/kit/src/emulator/testing.rs
+++ b/crates/kit/src/emulator/testing.rs
@@ -1,4 +1,5 @@
-//! A stand-in in a thread, and peers that a test scripts line by line. Every wait is bounded.
+//! Test support: runs an emulator on a thread, and provides peers that a test scripts line by line. Every wait is
+//! bounded.
 
 use crate::addresses::Addresses;
 use crate::board::Board;
@@ -11,9 +12,9 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// No test waits longer for anything.
+/// Longest time that a test waits for one event.
 pub(super) const PATIENCE: Duration = Duration::from_secs(10);
-/// What happens first happens then: before it, tests set their scenes.
+/// Time at which the timeline's first event may happen. Tests set up their connections before it.
 pub(super) const CUE: Micros = 1_500_000;
 
 pub(super) type Run = fn(Arc<Plan>, Arc<Addresses>, Arc<Board>) -> io::Result<Vec<Observation>>;
@@ -26,7 +27,7 @@
 }
 
 impl Stage {
-    /// Happenings come in order, each so many microseconds after the cue.
+    /// Starts an emulator with the given timeline events, in order. The time of each event is relative to [`CUE`].
     pub fn new(mut plan: Plan, happenings: Vec<(Micros, TimelineChange)>, run: Run) -> Self {
         plan.timeline = happenings
             .into_iter()
@@ -39,26 +40,27 @@
         Stage { plan, addresses, board, thread }
     }
 
-    /// Waits until so long after the cue.
+    /// Waits until a time relative to [`CUE`].
     pub fn wait(&self, after: Micros) {
         std::thread::sleep(self.board.clock.until(CUE + after));
     }
 
-    /// The scene was set before the cue; else the machine is too busy for the test to mean anything.
+    /// Asserts that the test's set-up was complete before [`CUE`]. On a machine too busy for that, the test's result is
+    /// meaningless.
     pub fn set(&self) {
         assert!(self.board.clock.now() < CUE, "the machine is too busy");
     }
 
-    /// Ends the run; what was seen.
+    /// Ends the run and returns the observations, without those of lag.
     pub fn notes(self) -> Vec<Seen> {
         self.notes_and_lags().0
     }
 
-    /// The same, and how late the loop was at each of its own checks.
+    /// Ends the run and returns the observations without those of lag, and the measured lags.
     pub fn notes_and_lags(mut self) -> (Vec<Seen>, Vec<Micros>) {
         self.board.stop();
         let notes = self.thread.take().unwrap().join().unwrap().unwrap();
-        assert!(notes.is_sorted_by_key(|o| o.at), "notes are taken in order");
+        assert!(notes.is_sorted_by_key(|o| o.at), "observations are recorded in the order of their times");
         let lag = |seen: &Seen| if let Seen::Lag { late } = seen { Some(*late) } else { None };
         let lags = notes.iter().filter_map(|o| lag(&o.seen)).collect();
         (notes.into_iter().map(|o| o.seen).filter(|seen| lag(seen).is_none()).collect(), lags)
@@ -67,7 +69,7 @@
 
 impl Drop for Stage {
     fn drop(&mut self) {
-        // A test that fails must not leave its thread.
+        // Ends the emulator's thread also when the test fails.
         self.board.stop();
     }
 }
@@ -75,7 +77,7 @@
 pub(super) struct Peer(BufReader<TcpStream>);
 
 impl Peer {
-    /// Connects, as soon as somebody listens there.
+    /// Connects as soon as the address accepts connections.
     pub fn connect(address: SocketAddr) -> Self {
         let until = Instant::now() + PATIENCE;
         loop {
@@ -95,20 +97,20 @@
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// The next line, its end included; empty at the connection's end.
+    /// Reads the next line, including the line end. The line is empty at the connection's end.
     pub fn hear(&mut self) -> String {
         let mut line = Vec::new();
-        self.0.read_until(b'\n', &mut line).expect("a line or an end in time");
+        self.0.read_until(b'\n', &mut line).expect("no line and no end of the connection in time");
         String::from_utf8_lossy(&line).into_owned()
     }
 
-    /// What is left up to the end; the error if it ends in a reset or does not end.
+    /// Reads up to the connection's end. Fails if the connection is reset or does not end in time.
     pub fn rest(&mut self) -> io::Result<String> {
         let mut text = Vec::new();
         self.0.read_to_end(&mut text).map(|_| String::from_utf8_lossy(&text).into_owned())
     }
 
-    /// Nothing comes for that long, not even an end.
+    /// Whether nothing arrives for the given time, neither input nor the connection's end.
     pub fn is_silent_for(&mut self, time: Duration) -> bool {
         self.0.get_ref().set_read_timeout(Some(time)).unwrap();
         let silent = matches!(self.0.fill_buf(), Err(error) if error.kind() == io::ErrorKind::WouldBlock);
@@ -116,7 +118,7 @@
         silent
     }
 
-    /// Ends only the sending.
+    /// Ends the sending; the peer can still read.
     pub fn finish(&self) {
         self.0.get_ref().shutdown(Shutdown::Write).unwrap();
     }
--- a/crates/kit/src/emulator/tests_of_clients.rs
+++ b/crates/kit/src/emulator/tests_of_clients.rs
@@ -1,4 +1,5 @@
-//! Clients, front and rude clients on loopback sockets, against proxies that a story scripts. Every wait is bounded.
+//! Tests of the emulated clients, front and misbehaving clients on loopback sockets, against proxies that each test
+//! scripts. Every wait is bounded.
 
 use super::{clients, front, rude};
 use crate::addresses::Addresses;
@@ -16,21 +17,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// No story waits longer for anything.
+/// Longest time that a test waits for one event.
 const PATIENCE: Duration = Duration::from_secs(10);
 const PROXY: ProxyId = ProxyId(0);
 
 fn within(what: &str, mut look: impl FnMut() -> bool) {
     let until = Instant::now() + PATIENCE;
     while !look() {
-        assert!(Instant::now() < until, "waited in vain: {what}");
+        assert!(Instant::now() < until, "timed out waiting for: {what}");
         thread::sleep(Duration::from_millis(1));
     }
 }
 
 type Play = fn(Arc<Plan>, Arc<Addresses>, Arc<Board>) -> std::io::Result<Vec<Observation>>;
 
-/// Whoever listens at the run's addresses is to be gone before it: another run may have them then.
+/// An emulator that runs on a thread. Listeners at the run's addresses must be closed before the run is dropped, since
+/// another run may get the addresses then.
 struct Run {
     addresses: Arc<Addresses>,
     board: Arc<Board>,
@@ -38,7 +40,7 @@
 }
 
 impl Run {
-    /// Listens at the proxy's place, and plays against it.
+    /// Listens at the proxy's address, and starts the emulator.
     fn begin(plan: Plan, play: Play) -> (Run, TcpListener) {
         let addresses = Arc::new(Addresses::take(100).unwrap());
         let listener = TcpListener::bind(addresses.proxy(PROXY)).unwrap();
@@ -94,19 +96,19 @@
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// Ends the sending and waits for the client's end.
+    /// Ends the sending and waits until the client closes the connection.
     fn close(mut self) {
         self.0.get_mut().shutdown(Shutdown::Write).unwrap();
         self.await_end();
     }
 
     fn await_end(&mut self) {
-        // A reset is an end too.
+        // A reset ends the connection too.
         let _ = self.0.read_to_string(&mut String::new());
     }
 }
 
-/// What the judge would make of it, in short.
+/// Summarizes the observations that matter to the judge, one word each.
 fn short(notes: &[Observation]) -> String {
     let words = notes.iter().filter_map(|o| match &o.seen {
         Seen::Answered { answer, .. } => Some(format!("{answer:?}")),
@@ -122,7 +124,8 @@
     words.collect::<Vec<_>>().join(" ")
 }
 
-/// One wish of one try, that lasts 2 s; whoever is late is looked for as long as a slow machine may need.
+/// A plan of one client that tries once, with a deadline of 2 s. The long grace period allows for a slow machine: a
+/// late answer is still noticed.
 fn one_try(life: Micros) -> Plan {
     let mut plan = plan(&[0], vec![session(0, life)]);
     plan.classes[0].deadline = 2 * S;
@@ -144,7 +147,7 @@
         ("Busy(7000)", Box::new(say_and_close("BUSY 7\r\n"))),
         ("Failed(\"ERR no\")", Box::new(say_and_close("ERR no\r\n"))),
         ("Closed", Box::new(say_and_close(""))),
-        // Half an answer is none.
+        // An incomplete answer line is not an answer.
         ("Closed", Box::new(say_and_close("UP 1"))),
         ("Up(31) SetupTook Closed", Box::new(say_and_close("UP 1f\r\n"))),
         ("Up(31) SetupTook Moved Closed", Box::new(say_and_close("UP 1f\r\nMOVE\r\n"))),
@@ -202,7 +205,7 @@
         }
     }
     peer.say("BYE\r\n");
-    // It awaits the rest for a while, and is gone then.
+    // The client reads further input for a while, and then closes the connection.
     within("the client's end", || peer.0.get_mut().write_all(b"LOAD 0\r\n").is_err());
     let live = &run.board.live;
     assert_eq!((live.asked.load(Ordering::Relaxed), live.up.load(Ordering::Relaxed)), (1, 1));
@@ -215,7 +218,7 @@
 
 #[test]
 fn nobody_there_is_noted() {
-    // How long a busy machine needs to run the thread is not known: it gets more time until it was enough.
+    // A busy machine may need long to run the thread, so the test is repeated with more and more time.
     let mut notes = String::new();
     for time in [50, 200, 800, 3200] {
         let mut run = Run::at(one_try(30 * S), Arc::new(Addresses::take(100).unwrap()), all_clients);
@@ -231,7 +234,7 @@
 #[test]
 fn a_mass_drop_reaches_the_clients_that_stand() {
     let mut plan = one_try(30 * S);
-    // The first one that finds it up.
+    // The first of these events that happens while the client is up drops its connection.
     plan.timeline = (1..100)
         .map(|n| TimelineEvent {
             at: n * 100 * MS,
@@ -247,7 +250,8 @@
     assert!(notes.starts_with("Wanted Asked Up(31) SetupTook Dropped"), "{notes}");
 }
 
-/// Answers PINGs while `answers`; tells when it last did, and of each new connection.
+/// A proxy that answers `PING` as long as the last value sent to `answering` is true. It stores the time of its last
+/// answer in `last`, and reports each new connection.
 struct Ponger {
     answering: Sender<bool>,
     connections: Receiver<()>,
@@ -304,8 +308,8 @@
     ponger.connections.recv_timeout(PATIENCE).unwrap();
 
     board.hold(PROXY, true);
-    assert!(on(false)(&board), "a held proxy gets no clients at once");
-    // It answers on, until the front lets go of it; that admits it no more.
+    assert!(on(false)(&board), "a proxy is not admitted from the moment it is held");
+    // The proxy goes on answering until the front closes the connection. These answers must not admit it again.
     thread::sleep(Duration::from_millis(100));
     assert!(on(false)(&board));
     board.hold(PROXY, false);
@@ -328,7 +332,7 @@
         .collect();
     let states: Vec<bool> = admitted.iter().map(|(_, on)| *on).collect();
     assert_eq!(states, [true, false, true, false, true]);
-    assert!(admitted[3].0 - silent_since >= 300 * MS, "not before the notice: {admitted:?}");
+    assert!(admitted[3].0 - silent_since >= 300 * MS, "dropped before the notice: {admitted:?}");
 }
 
 #[test]
@@ -340,20 +344,20 @@
     run.board.admit(PROXY, false);
     thread::sleep(Duration::from_millis(200));
     assert!(!run.board.is_admitted(PROXY));
-    // And is, once it comes.
+    // The proxy is admitted once it listens.
     let listener = TcpListener::bind(run.addresses.proxy(PROXY)).unwrap();
     let mut peer = Peer::accept(&listener);
     assert_eq!(peer.hear(), "PING\r\n");
     let answered = run.board.clock.now();
     peer.say("PONG\r\n");
     within("admitted", || run.board.is_admitted(PROXY));
-    // Dead: its connection is closed and new ones are refused, which the front does not see as such.
+    // The proxy dies: its connection is closed and new ones are refused. Neither ends the admission before the notice.
     drop((peer, listener));
     within("dropped", || !run.board.is_admitted(PROXY));
     let notes = run.end();
     let last = notes.last().unwrap();
     assert_eq!(last.seen, Seen::Admitted { proxy: PROXY, on: false });
-    assert!(last.at - answered >= 300 * MS, "not before the notice: {notes:?}");
+    assert!(last.at - answered >= 300 * MS, "dropped before the notice: {notes:?}");
 }
 
 const KINDS: [Misbehavior; 11] = [
@@ -370,7 +374,8 @@
     Misbehavior::Silent,
 ];
 
-/// Reads a line, or so much, or what comes before a silence; then says its answer, if any, and closes.
+/// Reads up to a line end, `most` bytes, or 300 ms without input; then sends the answer, if it is not empty, and
+/// closes. Returns the start of the input and its total length.
 fn treat(stream: TcpStream, answer: &str, most: usize) -> (Vec<u8>, usize) {
     stream.set_nonblocking(false).unwrap();
     stream.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
@@ -387,7 +392,7 @@
             break;
         }
     }
-    // Whoever came and went already needs no answer.
+    // An error means that the client has closed the connection already.
     let _ = peer.0.get_mut().write_all(answer.as_bytes());
     if !answer.is_empty() {
         peer.await_end();
@@ -422,8 +427,8 @@
     let most = if end == MisbehaviorOutcome::Served { 61_000_000 } else { 4096 };
     let mut guests = Vec::new();
     let mut quiet_since = Instant::now();
-    // Longer than the one that comes again at once goes on doing so.
-    within("all to have come and gone", || {
+    // A client that reconnects at once does so for 1 s: the wait ends after 1.5 s without new connections.
+    within("the end of all connections", || {
         while let Ok((stream, _)) = listener.accept() {
             guests.push(thread::spawn(move || treat(stream, answer, most)));
         }
@@ -454,7 +459,7 @@
     }
     for (place, kind) in KINDS.iter().enumerate() {
         let (came, over) = visits.get(&(place as u32)).copied().unwrap_or_default();
-        assert!(came >= 1 && came == over, "{kind:?} came {came} times, dealt with {over} times");
+        assert!(came >= 1 && came == over, "{kind:?}: {came} connections, of which {over} ended");
         let again = *kind == Misbehavior::AgainAtOnce && end != MisbehaviorOutcome::Served;
         assert_eq!(came > 1, again, "{kind:?}");
     }
@@ -466,6 +471,6 @@
     );
     if end == MisbehaviorOutcome::Served {
         let long = heard.iter().filter(|(_, total)| *total >= 60_000_000).count();
-        assert_eq!(long, 2, "the huge value and the endless line");
+        assert_eq!(long, 2, "clients that sent 60 MB: the huge value and the endless line");
     }
 }
