--- a/crates/kit/src/emulator/clients.rs
+++ b/crates/kit/src/emulator/clients.rs
@@ -19,27 +19,27 @@
 use std::sync::atomic::Ordering;
 
 /// Interval at which a thread measures its lag and, if nothing else happens, checks whether the run is over.
-const TICK: Micros = 5 * MS;
+const TICK_INTERVAL: Micros = 5 * MS;
 /// Interval at which the greatest lag is recorded as an observation.
-const LAG_EVERY: Micros = 100 * MS;
+const LAG_INTERVAL: Micros = 100 * MS;
 
 /// Timers of [`Clients`], which owns the reactor.
-const TICKING: u32 = 0;
-const ARRIVAL: u32 = 1;
-const TIMELINE: u32 = 2;
+const TICK_TIMER: u32 = 0;
+const ARRIVAL_TIMER: u32 = 1;
+const TIMELINE_TIMER: u32 = 2;
 
 /// Reports of a client to the thread's loop.
 #[derive(Debug)]
-enum Told {
+enum ClientReport {
     Timer(u32),
-    Note(Observation),
+    Observed(Observation),
     /// The number of sessions that are up changes: by 1 when one comes up, by -1 when one ends.
-    Standing(i64),
+    UpCountChange(i64),
 }
 
-impl Report for Told {
+impl Report for ClientReport {
     fn timer(timer: u32) -> Self {
-        Told::Timer(timer)
+        ClientReport::Timer(timer)
     }
 }
 
@@ -50,11 +50,11 @@
     board: Arc<Board>,
 }
 
-enum Link {
+enum ConnectionState {
     None,
     Connecting(LineStream),
     /// The connection is established, but the first line is not completely written.
-    Opening(LineStream),
+    SendingFirstLine(LineStream),
     Open(LineStream),
 }
 
@@ -63,137 +63,145 @@
     key: Key,
     shared: Rc<Shared>,
     session: Session,
-    link: Link,
+    connection: ConnectionState,
     /// When the current timer fires. Timers that fire earlier are outdated and are ignored.
-    armed: Micros,
+    timer_due: Micros,
 }
 
 impl Client {
     /// Passes an input to the session and carries out the session's outputs.
-    fn step(&mut self, io: &mut Io<Told>, input: Input<'_>) {
-        let (was, mut out) = (self.session.up(), Vec::new());
+    fn handle_input(&mut self, io: &mut Io<ClientReport>, input: Input<'_>) {
+        let (up_before, mut out) = (self.session.up(), Vec::new());
         let board = Arc::clone(&self.shared.board);
         self.session.handle(io.now(), input, &|proxy| board.is_admitted(proxy), &mut out);
         for output in out {
             match output {
-                Output::Note(observation) => io.report(Told::Note(observation)),
+                Output::Note(observation) => io.report(ClientReport::Observed(observation)),
                 Output::Connect(proxy) => {
                     let address = self.shared.addresses.proxy(proxy);
                     match LineStream::connect(address, io, self.key, Half::Near) {
-                        Ok(stream) => self.link = Link::Connecting(stream),
+                        Ok(stream) => self.connection = ConnectionState::Connecting(stream),
                         Err(error) => {
                             log::debug!("cannot connect to {address}: {error}");
-                            self.step(io, Input::Unreached);
+                            self.handle_input(io, Input::Unreached);
                         }
                     }
                 }
-                Output::Send(line) => match &mut self.link {
-                    Link::Opening(stream) | Link::Open(stream) => stream.push(line.as_bytes()),
-                    Link::None | Link::Connecting(_) => {}
+                Output::Send(line) => match &mut self.connection {
+                    ConnectionState::SendingFirstLine(stream) | ConnectionState::Open(stream) => {
+                        stream.push(line.as_bytes())
+                    }
+                    ConnectionState::None | ConnectionState::Connecting(_) => {}
                 },
                 Output::Finish => {
-                    if let Link::Open(stream) = &mut self.link {
+                    if let ConnectionState::Open(stream) = &mut self.connection {
                         stream.finish();
                     }
                 }
-                Output::Close => self.link = Link::None,
+                Output::Close => self.connection = ConnectionState::None,
                 Output::Reset => {
-                    if let Link::Opening(stream) | Link::Open(stream) = &self.link {
+                    if let ConnectionState::SendingFirstLine(stream) | ConnectionState::Open(stream) =
+                        &self.connection
+                    {
                         stream.reset();
                     }
-                    self.link = Link::None;
+                    self.connection = ConnectionState::None;
                 }
             }
         }
-        let is = self.session.up();
-        if was != is {
-            if let Some((request, _)) = was {
+        let up_after = self.session.up();
+        if up_before != up_after {
+            if let Some((request, _)) = up_before {
                 board.closed(request);
-                io.report(Told::Standing(-1));
+                io.report(ClientReport::UpCountChange(-1));
             }
-            if let Some((request, proxy)) = is {
+            if let Some((request, proxy)) = up_after {
                 board.opened(request, proxy);
-                io.report(Told::Standing(1));
+                io.report(ClientReport::UpCountChange(1));
             }
         }
         self.flush(io);
-        if let Some(at) = self.session.next_timeout().filter(|at| *at != self.armed) {
-            self.armed = at;
+        if let Some(at) = self.session.next_timeout().filter(|at| *at != self.timer_due) {
+            self.timer_due = at;
             io.timer(at, self.key, 0);
         }
     }
 
-    fn flush(&mut self, io: &mut Io<Told>) {
-        match &mut self.link {
-            Link::Opening(stream) => match stream.flush() {
+    fn flush(&mut self, io: &mut Io<ClientReport>) {
+        match &mut self.connection {
+            ConnectionState::SendingFirstLine(stream) => match stream.flush() {
                 Ok(false) => {}
                 Ok(true) => {
-                    if let Link::Opening(stream) = std::mem::replace(&mut self.link, Link::None) {
-                        self.link = Link::Open(stream);
+                    if let ConnectionState::SendingFirstLine(stream) =
+                        std::mem::replace(&mut self.connection, ConnectionState::None)
+                    {
+                        self.connection = ConnectionState::Open(stream);
                         // Readiness is edge-triggered and reported once: data that arrived before the
                         // first line was written still has to be read.
                         io.call_again(self.key, Half::Near);
                     }
-                    self.step(io, Input::Written);
+                    self.handle_input(io, Input::Written);
                 }
-                Err(_) => self.step(io, Input::Unreached),
+                Err(_) => self.handle_input(io, Input::Unreached),
             },
             // A write error is ignored: the next read reports the broken connection.
-            Link::Open(stream) => drop(stream.flush()),
-            Link::None | Link::Connecting(_) => {}
+            ConnectionState::Open(stream) => drop(stream.flush()),
+            ConnectionState::None | ConnectionState::Connecting(_) => {}
         }
     }
 }
 
 impl Connection for Client {
-    type Report = Told;
+    type Report = ClientReport;
 
-    fn readable(&mut self, io: &mut Io<Told>, leg: Half) {
-        let Link::Open(stream) = &mut self.link else { return };
+    fn readable(&mut self, io: &mut Io<ClientReport>, half: Half) {
+        let ConnectionState::Open(stream) = &mut self.connection else { return };
         let fill = stream.fill();
-        while let Link::Open(stream) = &mut self.link {
+        while let ConnectionState::Open(stream) = &mut self.connection {
             let line = match stream.take_line() {
                 Ok(Some(line)) => line,
                 Ok(None) => break,
                 Err(TooLong) => stream.take_rest(),
             };
-            self.step(io, Input::Line(trim_end(&line)));
+            self.handle_input(io, Input::Line(trim_end(&line)));
         }
         // The session closed this connection on its last line, so how the read ended no longer matters.
-        if !matches!(self.link, Link::Open(_)) {
+        if !matches!(self.connection, ConnectionState::Open(_)) {
             return;
         }
         match fill {
             Fill::Blocked => {}
-            Fill::More => io.call_again(self.key, leg),
-            Fill::Ended => self.step(io, Input::Ended(ProxyClose::Closed)),
-            Fill::Broken(_) => self.step(io, Input::Ended(ProxyClose::Reset)),
+            Fill::More => io.call_again(self.key, half),
+            Fill::Ended => self.handle_input(io, Input::Ended(ProxyClose::Closed)),
+            Fill::Broken(_) => self.handle_input(io, Input::Ended(ProxyClose::Reset)),
         }
     }
 
-    fn writable(&mut self, io: &mut Io<Told>, _: Half) {
-        if let Link::Connecting(stream) = &mut self.link {
+    fn writable(&mut self, io: &mut Io<ClientReport>, _: Half) {
+        if let ConnectionState::Connecting(stream) = &mut self.connection {
             match stream.connected() {
                 Ok(false) => return,
                 Err(_) => {
-                    self.link = Link::None;
-                    return self.step(io, Input::Unreached);
+                    self.connection = ConnectionState::None;
+                    return self.handle_input(io, Input::Unreached);
                 }
                 Ok(true) => {}
             }
-            if let Link::Connecting(stream) = std::mem::replace(&mut self.link, Link::None) {
-                self.link = Link::Opening(stream);
+            if let ConnectionState::Connecting(stream) =
+                std::mem::replace(&mut self.connection, ConnectionState::None)
+            {
+                self.connection = ConnectionState::SendingFirstLine(stream);
             }
-            return self.step(io, Input::Connected);
+            return self.handle_input(io, Input::Connected);
         }
         self.flush(io);
     }
 
-    fn timer(&mut self, io: &mut Io<Told>, _: u32) {
+    fn timer(&mut self, io: &mut Io<ClientReport>, _: u32) {
         // Guards against outdated timers: each of them would set a new timer, without end.
-        if io.now() >= self.armed {
-            self.armed = Micros::MIN;
-            self.step(io, Input::Due);
+        if io.now() >= self.timer_due {
+            self.timer_due = Micros::MIN;
+            self.handle_input(io, Input::Due);
         }
     }
 
@@ -204,32 +212,32 @@
 
 /// Sums of a thread's sessions for the progress line.
 #[derive(Default)]
-struct Figures {
+struct Demand {
     /// Sessions that want a connection now: the time until which they do, and the worth of a second, in thousandths.
     wanting: BinaryHeap<Reverse<(Micros, u64)>>,
     /// Total worth per second of the sessions in `wanting`, in thousandths.
-    worth: u64,
+    worth_per_s: u64,
     /// Time up to which the wanted seconds have been added to the progress line.
-    counted: Micros,
+    counted_until: Micros,
 }
 
-impl Figures {
-    fn arrived(&mut self, session: &Session) {
+impl Demand {
+    fn add_session(&mut self, session: &Session) {
         let worth = (session.worth() * 1e3) as u64;
         self.wanting.push(Reverse((session.wanted_until(), worth)));
-        self.worth += worth;
+        self.worth_per_s += worth;
     }
 
-    fn count(&mut self, now: Micros, live: &Live) {
+    fn count_until(&mut self, now: Micros, live: &Live) {
         while let Some(Reverse((_, worth))) =
             self.wanting.peek().copied().filter(|Reverse((at, _))| *at <= now)
         {
             self.wanting.pop();
-            self.worth -= worth;
+            self.worth_per_s -= worth;
         }
-        let span = u64::try_from(now - self.counted).unwrap_or(0);
-        self.counted = now.max(self.counted);
-        live.wanted.fetch_add(self.worth * span / 1000, Ordering::Relaxed);
+        let span = u64::try_from(now - self.counted_until).unwrap_or(0);
+        self.counted_until = now.max(self.counted_until);
+        live.wanted.fetch_add(self.worth_per_s * span / 1000, Ordering::Relaxed);
     }
 }
 
@@ -238,14 +246,14 @@
     reactor: Reactor<Client>,
     shared: Rc<Shared>,
     /// Index in the plan of this thread's next session to arrive.
-    next: usize,
+    next_session: usize,
     /// Distance in the plan between two sessions of this thread: the number of threads.
-    step: usize,
+    session_stride: usize,
     /// Index of the next timeline event.
-    happened: usize,
+    next_event: usize,
     keys: Vec<Key>,
     notes: Notes,
-    figures: Figures,
+    demand: Demand,
     tick_due: Micros,
     worst_lag: Micros,
     lag_due: Micros,
@@ -255,51 +263,51 @@
     fn new(shared: Shared, shard: usize, shards: usize) -> io::Result<Self> {
         let reactor = Reactor::new(shared.board.clock.for_loop())?;
         let now = reactor.io.now();
-        let figures = Figures { counted: shared.plan.measured_from, ..Figures::default() };
+        let demand = Demand { counted_until: shared.plan.measured_from, ..Demand::default() };
         Ok(Clients {
             reactor,
             shared: Rc::new(shared),
-            next: shard,
-            step: shards.max(1),
-            happened: 0,
+            next_session: shard,
+            session_stride: shards.max(1),
+            next_event: 0,
             keys: Vec::new(),
             notes: Notes::default(),
-            figures,
+            demand,
             tick_due: now,
             worst_lag: 0,
-            lag_due: now + LAG_EVERY,
+            lag_due: now + LAG_INTERVAL,
         })
     }
 
-    fn play(&mut self) -> io::Result<()> {
+    fn run_until_stopped(&mut self) -> io::Result<()> {
         self.tick();
-        self.arrivals();
-        self.timeline();
+        self.start_arrivals();
+        self.apply_timeline();
         while !self.shared.board.is_stopping() {
             self.reactor.turn()?;
-            self.take_reports();
+            self.handle_reports();
         }
-        self.each(Input::Stop);
+        self.input_to_all(Input::Stop);
         Ok(())
     }
 
-    fn take_reports(&mut self) {
+    fn handle_reports(&mut self) {
         while let Some(report) = self.reactor.io.reports.pop_front() {
             match report {
-                Told::Timer(TICKING) => self.tick(),
-                Told::Timer(ARRIVAL) => self.arrivals(),
-                Told::Timer(_) => self.timeline(),
-                Told::Note(observation) => self.note(observation),
-                Told::Standing(change) => {
+                ClientReport::Timer(TICK_TIMER) => self.tick(),
+                ClientReport::Timer(ARRIVAL_TIMER) => self.start_arrivals(),
+                ClientReport::Timer(_) => self.apply_timeline(),
+                ClientReport::Observed(observation) => self.record(observation),
+                ClientReport::UpCountChange(change) => {
                     self.shared.board.live.standing.fetch_add(change, Ordering::Relaxed);
                 }
             }
         }
     }
 
-    fn note(&mut self, Observation { at, seen }: Observation) {
+    fn record(&mut self, Observation { at, seen }: Observation) {
         let live = &self.shared.board.live;
-        let one_more = match &seen {
+        let counter = match &seen {
             Seen::Asked { .. } => Some(&live.asked),
             Seen::Answered { answer: Answer::Up(_), .. } => Some(&live.up),
             Seen::Answered { answer: Answer::Busy(_), .. } => Some(&live.busy),
@@ -307,7 +315,7 @@
             Seen::Moved { .. } => Some(&live.moved),
             _ => None,
         };
-        if let Some(count) = one_more {
+        if let Some(count) = counter {
             count.fetch_add(1, Ordering::Relaxed);
         }
         if let Seen::Served { session, from, well: true } = seen {
@@ -325,53 +333,59 @@
         self.worst_lag = self.worst_lag.max(now - self.tick_due);
         if now >= self.lag_due {
             self.notes.note(now, Seen::Lag { late: self.worst_lag });
-            (self.worst_lag, self.lag_due) = (0, now + LAG_EVERY);
-            self.figures.count(now, &self.shared.board.live);
+            (self.worst_lag, self.lag_due) = (0, now + LAG_INTERVAL);
+            self.demand.count_until(now, &self.shared.board.live);
         }
-        self.tick_due = now + TICK;
-        self.reactor.io.owner_timer(self.tick_due, TICKING);
+        self.tick_due = now + TICK_INTERVAL;
+        self.reactor.io.owner_timer(self.tick_due, TICK_TIMER);
     }
 
-    fn arrivals(&mut self) {
-        while let Some(planned) = self.shared.plan.sessions.get(self.next) {
+    fn start_arrivals(&mut self) {
+        while let Some(planned) = self.shared.plan.sessions.get(self.next_session) {
             if planned.arrives > self.reactor.io.now() {
-                return self.reactor.io.owner_timer(planned.arrives, ARRIVAL);
+                return self.reactor.io.owner_timer(planned.arrives, ARRIVAL_TIMER);
             }
-            let id = SessionId(self.next as u32);
-            self.next += self.step;
+            let id = SessionId(self.next_session as u32);
+            self.next_session += self.session_stride;
             let Some(session) = Session::new(&self.shared.plan, id) else { continue };
-            self.figures.arrived(&session);
+            self.demand.add_session(&session);
             let shared = Rc::clone(&self.shared);
             let inserted = self.reactor.insert(|key, _| {
-                Ok(Box::new(Client { key, shared, session, link: Link::None, armed: Micros::MIN }))
+                Ok(Box::new(Client {
+                    key,
+                    shared,
+                    session,
+                    connection: ConnectionState::None,
+                    timer_due: Micros::MIN,
+                }))
             });
             if let Ok(key) = inserted {
                 self.keys.push(key);
-                self.reactor.with(key, |client, io| client.step(io, Input::Due));
+                self.reactor.with(key, |client, io| client.handle_input(io, Input::Due));
             }
         }
     }
 
-    fn timeline(&mut self) {
+    fn apply_timeline(&mut self) {
         let shared = Rc::clone(&self.shared);
-        while let Some(event) = shared.plan.timeline.get(self.happened) {
+        while let Some(event) = shared.plan.timeline.get(self.next_event) {
             if let TimelineChange::Drop { share, back_within, seed } = event.change {
                 if event.at > self.reactor.io.now() {
-                    return self.reactor.io.owner_timer(event.at, TIMELINE);
+                    return self.reactor.io.owner_timer(event.at, TIMELINE_TIMER);
                 }
-                self.each(Input::Drop { share, back_within, seed });
+                self.input_to_all(Input::Drop { share, back_within, seed });
             }
-            self.happened += 1;
+            self.next_event += 1;
         }
     }
 
     /// Passes an input to every client that is not done yet.
-    fn each(&mut self, input: Input<'_>) {
+    fn input_to_all(&mut self, input: Input<'_>) {
         self.keys.retain(|key| self.reactor.contains(*key));
         for key in &self.keys {
-            self.reactor.with(*key, |client, io| client.step(io, input));
+            self.reactor.with(*key, |client, io| client.handle_input(io, input));
         }
-        self.take_reports();
+        self.handle_reports();
     }
 }
 
@@ -391,6 +405,6 @@
 ) -> io::Result<Vec<Observation>> {
     let mut clients = Clients::new(Shared { plan, addresses, board }, shard, shards)?;
     clients.shared.board.ready();
-    clients.play()?;
+    clients.run_until_stopped()?;
     Ok(clients.notes.into_inner())
 }
--- a/crates/kit/src/emulator/discovery.rs
+++ b/crates/kit/src/emulator/discovery.rs
@@ -1,7 +1,7 @@
 //! Emulates the discovery service on real sockets, on a thread of its own. The [`Discovery`] model decides what is sent
 //! and when.
 
-use super::discovery_connection::{DiscoveryConnection, Party, Report, Tells};
+use super::discovery_connection::{DiscoveryConnection, DiscoveryReport, DiscoverySocket, UpdateSummary};
 use super::discovery_list::render;
 use super::fault::Fault;
 use crate::addresses::Addresses;
@@ -21,36 +21,41 @@
 use std::sync::Arc;
 
 /// Interval between two checks whether the run is over.
-const LOOK: Micros = 10 * MS;
+const STOP_CHECK_INTERVAL: Micros = 10 * MS;
 /// Interval at which the lag of this loop is measured.
-const LAG: Micros = 100 * MS;
-const LOOKS: u32 = 0;
-const LAGS: u32 = 1;
-const TIMELINE: u32 = 2;
-const MODEL: u32 = 3;
+const LAG_INTERVAL: Micros = 100 * MS;
+const STOP_CHECK_TIMER: u32 = 0;
+const LAG_TIMER: u32 = 1;
+const TIMELINE_TIMER: u32 = 2;
+const MODEL_TIMER: u32 = 3;
 
+/// One connection of a proxy.
 #[derive(Debug)]
 struct Caller {
+    /// Number by which the model knows the connection.
     id: u64,
     proxy: ProxyId,
-    watches: bool,
+    /// The connection has an open watch.
+    is_watching: bool,
 }
 
-struct Service<'a> {
+struct DiscoveryService<'a> {
     plan: &'a Plan,
     addresses: &'a Addresses,
     clock: RunClock,
-    reactor: Reactor<Party>,
+    reactor: Reactor<DiscoverySocket>,
     model: Discovery,
     listeners: BTreeMap<Key, (Rc<TcpListener>, ProxyId)>,
     callers: BTreeMap<Key, Caller>,
-    keys: BTreeMap<u64, Key>,
-    last_id: u64,
-    started: BTreeMap<NodeId, Micros>,
+    keys_by_id: BTreeMap<u64, Key>,
+    last_caller_id: u64,
+    /// Time of the last start of each render node that the timeline has started.
+    starts: BTreeMap<NodeId, Micros>,
     notes: Notes,
-    next: usize,
+    next_event: usize,
     lag_due: Micros,
-    armed: Option<Micros>,
+    /// When the model's timer fires. `None` if no timer is set.
+    model_timer_due: Option<Micros>,
 }
 
 /// Runs the discovery service until the board stops the run, and returns the observations.
@@ -62,7 +67,7 @@
 pub fn run(plan: Arc<Plan>, addresses: Arc<Addresses>, board: Arc<Board>) -> io::Result<Vec<Observation>> {
     let reactor = Reactor::new(board.clock.for_loop()).map_err(|e| Fault::of("discovery", None, e))?;
     let now = board.clock.now();
-    let mut service = Service {
+    let mut service = DiscoveryService {
         plan: &plan,
         addresses: &addresses,
         clock: board.clock,
@@ -70,121 +75,121 @@
         model: Discovery::new(&plan),
         listeners: BTreeMap::new(),
         callers: BTreeMap::new(),
-        keys: BTreeMap::new(),
-        last_id: 0,
-        started: BTreeMap::new(),
+        keys_by_id: BTreeMap::new(),
+        last_caller_id: 0,
+        starts: BTreeMap::new(),
         notes: Notes::default(),
-        next: 0,
-        lag_due: now + LAG,
-        armed: None,
+        next_event: 0,
+        lag_due: now + LAG_INTERVAL,
+        model_timer_due: None,
     };
     service.listen(0)?;
     board.ready();
-    service.note(Seen::DiscoveryUp { up: true });
+    service.record(Seen::DiscoveryUp { up: true });
     for (node, entry) in Registry::new(&plan).whole().entries {
-        service.note(Seen::Listed { node, phase: entry.phase });
+        service.record(Seen::Listed { node, phase: entry.phase });
     }
-    service.reactor.io.owner_timer(now + LOOK, LOOKS);
-    service.reactor.io.owner_timer(service.lag_due, LAGS);
-    service.reactor.io.owner_timer(now, TIMELINE);
+    service.reactor.io.owner_timer(now + STOP_CHECK_INTERVAL, STOP_CHECK_TIMER);
+    service.reactor.io.owner_timer(service.lag_due, LAG_TIMER);
+    service.reactor.io.owner_timer(now, TIMELINE_TIMER);
     while !board.is_stopping() {
         service.reactor.turn().map_err(|e| Fault::of("discovery's loop", None, e))?;
         while let Some(report) = service.reactor.io.reports.pop_front() {
-            service.take(report)?;
+            service.handle_report(report)?;
         }
     }
     Ok(merge(vec![service.notes.into_inner()]))
 }
 
-impl Service<'_> {
+impl DiscoveryService<'_> {
     fn now(&self) -> Micros {
         self.reactor.io.now()
     }
 
-    fn note(&mut self, seen: Seen) {
+    fn record(&mut self, seen: Seen) {
         self.notes.note(self.now(), seen);
     }
 
-    fn take(&mut self, report: Report) -> io::Result<()> {
+    fn handle_report(&mut self, report: DiscoveryReport) -> io::Result<()> {
         match report {
-            Report::Timer(timer) => self.timer(timer),
-            Report::Accept(key) => self.accept(key),
-            Report::Call(key, call) => match self.callers.get(&key) {
-                Some(caller) => self.model(Input::Call(caller.id, call)),
+            DiscoveryReport::Timer(timer) => self.handle_timer(timer),
+            DiscoveryReport::Accept(key) => self.accept_connections(key),
+            DiscoveryReport::Call(key, call) => match self.callers.get(&key) {
+                Some(caller) => self.handle_input(Input::Call(caller.id, call)),
                 None => Ok(()),
             },
-            Report::Written { key, tells, at } => {
+            DiscoveryReport::Written { key, summary, at } => {
                 let Some(caller) = self.callers.get_mut(&key) else { return Ok(()) };
                 let proxy = caller.proxy;
-                if tells.begins {
-                    caller.watches = true;
+                if summary.begins_watch {
+                    caller.is_watching = true;
                     self.notes.note(at, Seen::Watching { proxy, on: true });
                 }
-                for (node, phase) in tells.nodes {
+                for (node, phase) in summary.phases {
                     self.notes.note(at, Seen::Told { proxy, node, phase });
                 }
                 Ok(())
             }
-            Report::Gone(key, at) => {
+            DiscoveryReport::Closed(key, at) => {
                 let Some(caller) = self.callers.remove(&key) else { return Ok(()) };
-                self.keys.remove(&caller.id);
-                if caller.watches {
+                self.keys_by_id.remove(&caller.id);
+                if caller.is_watching {
                     self.notes.note(at, Seen::Watching { proxy: caller.proxy, on: false });
                 }
-                self.model(Input::Ended(caller.id))
+                self.handle_input(Input::Ended(caller.id))
             }
         }
     }
 
-    fn timer(&mut self, timer: u32) -> io::Result<()> {
+    fn handle_timer(&mut self, timer: u32) -> io::Result<()> {
         let now = self.now();
         match timer {
             // The timer only wakes the loop, which then checks whether the run is over.
-            LOOKS => self.reactor.io.owner_timer(now + LOOK, LOOKS),
-            LAGS => {
-                self.note(Seen::Lag { late: now - self.lag_due });
-                self.lag_due = now + LAG;
-                self.reactor.io.owner_timer(self.lag_due, LAGS);
+            STOP_CHECK_TIMER => self.reactor.io.owner_timer(now + STOP_CHECK_INTERVAL, STOP_CHECK_TIMER),
+            LAG_TIMER => {
+                self.record(Seen::Lag { late: now - self.lag_due });
+                self.lag_due = now + LAG_INTERVAL;
+                self.reactor.io.owner_timer(self.lag_due, LAG_TIMER);
             }
-            TIMELINE => self.timeline(now)?,
+            TIMELINE_TIMER => self.apply_timeline(now)?,
             _ => {
-                self.armed.take_if(|at| *at <= now);
-                self.model(Input::Tick)?;
+                self.model_timer_due.take_if(|at| *at <= now);
+                self.handle_input(Input::Tick)?;
             }
         }
         Ok(())
     }
 
-    fn timeline(&mut self, now: Micros) -> io::Result<()> {
+    fn apply_timeline(&mut self, now: Micros) -> io::Result<()> {
         let plan = self.plan;
-        while let Some(event) = plan.timeline.get(self.next) {
+        while let Some(event) = plan.timeline.get(self.next_event) {
             if event.at > now {
-                self.reactor.io.owner_timer(event.at, TIMELINE);
+                self.reactor.io.owner_timer(event.at, TIMELINE_TIMER);
                 break;
             }
-            self.next += 1;
+            self.next_event += 1;
             match event.change {
-                TimelineChange::Node(node, NodeChange::Start) => drop(self.started.insert(node, event.at)),
+                TimelineChange::Node(node, NodeChange::Start) => drop(self.starts.insert(node, event.at)),
                 TimelineChange::Listed(node, phase) => {
-                    self.note(Seen::Listed { node, phase });
-                    self.model(Input::Listed(node, phase, self.started.get(&node).copied()))?;
+                    self.record(Seen::Listed { node, phase });
+                    self.handle_input(Input::Listed(node, phase, self.starts.get(&node).copied()))?;
                 }
-                TimelineChange::Discovery(change) => self.model(Input::Change(change))?,
+                TimelineChange::Discovery(change) => self.handle_input(Input::Change(change))?,
                 _ => {}
             }
         }
         Ok(())
     }
 
-    fn model(&mut self, input: Input) -> io::Result<()> {
-        let mut out = Vec::new();
-        self.model.handle(self.now(), input, &mut out);
-        out.into_iter().try_for_each(|output| self.perform(output))?;
+    fn handle_input(&mut self, input: Input) -> io::Result<()> {
+        let mut outputs = Vec::new();
+        self.model.handle(self.now(), input, &mut outputs);
+        outputs.into_iter().try_for_each(|output| self.perform(output))?;
         if let Some(at) = self.model.next_timeout()
-            && self.armed.is_none_or(|armed| at < armed)
+            && self.model_timer_due.is_none_or(|due| at < due)
         {
-            self.armed = Some(at);
-            self.reactor.io.owner_timer(at, MODEL);
+            self.model_timer_due = Some(at);
+            self.reactor.io.owner_timer(at, MODEL_TIMER);
         }
         Ok(())
     }
@@ -192,98 +197,107 @@
     fn perform(&mut self, output: Output) -> io::Result<()> {
         match output {
             Output::List(id, update) => {
-                let (json, tells) = self.text(id, &update)?;
-                self.called(id, true);
-                self.connection(id, |c, io| c.answer(&json, tells, io));
+                let (json, summary) = self.serialize_update(id, &update)?;
+                self.record_call(id, true);
+                self.with_connection(id, |c, io| c.respond(&json, summary, io));
             }
             Output::Begin(id, update) => {
-                let (json, tells) = self.text(id, &update)?;
-                self.connection(id, |c, io| c.begin(&json, Tells { begins: true, ..tells }, io));
+                let (json, summary) = self.serialize_update(id, &update)?;
+                self.with_connection(id, |c, io| {
+                    c.begin_watch(&json, UpdateSummary { begins_watch: true, ..summary }, io)
+                });
             }
             Output::Line(id, update, how) => {
-                let (json, tells) = self.text(id, &update)?;
-                self.connection(id, |c, io| match how {
-                    How::Whole => c.line(&json, tells, io),
-                    How::Pieces => c.line_in_pieces(&json, tells, io),
+                let (json, summary) = self.serialize_update(id, &update)?;
+                self.with_connection(id, |c, io| match how {
+                    How::Whole => c.write_line(&json, summary, io),
+                    How::Pieces => c.write_line_in_pieces(&json, summary, io),
                     // Truncated in the middle, as by a faulty writer, so that the proxy cannot parse it.
-                    How::Unreadable => c.line(&json[..json.len() / 2], Tells::default(), io),
+                    How::Unreadable => c.write_line(&json[..json.len() / 2], UpdateSummary::default(), io),
                 });
             }
-            Output::Beat(id) => self.connection(id, |c, io| c.line("", Tells::default(), io)),
+            Output::Beat(id) => {
+                self.with_connection(id, |c, io| c.write_line("", UpdateSummary::default(), io))
+            }
             Output::Unavailable(id) => {
-                self.called(id, false);
-                self.connection(id, |c, io| c.refuse("503 Service Unavailable", io));
+                self.record_call(id, false);
+                self.with_connection(id, |c, io| c.respond_error("503 Service Unavailable", io));
             }
             Output::Reset(id) => {
-                self.called(id, false);
-                self.connection(id, |c, _| c.reset());
+                self.record_call(id, false);
+                self.with_connection(id, |c, _| c.reset());
             }
             Output::Close(id) => {
-                self.connection(id, |c, io| c.close(io));
-                self.watch_ends(id);
+                self.with_connection(id, |c, io| c.close(io));
+                self.end_watch(id);
             }
             Output::Listen(moves) => self.listen(moves)?,
-            Output::Deaf => self.deaf(),
-            Output::Reachable(up) => self.note(Seen::DiscoveryUp { up }),
+            Output::Deaf => self.close_listeners(),
+            Output::Reachable(up) => self.record(Seen::DiscoveryUp { up }),
         }
         Ok(())
     }
 
     /// Records that a call for the list was answered or failed. The end of an open watch is recorded by
-    /// [`Self::watch_ends`] instead.
-    fn called(&mut self, id: u64, answered: bool) {
-        let caller = self.keys.get(&id).and_then(|key| self.callers.get(key));
-        if let Some(Caller { proxy, watches: false, .. }) = caller {
+    /// [`Self::end_watch`] instead.
+    fn record_call(&mut self, id: u64, answered: bool) {
+        let caller = self.keys_by_id.get(&id).and_then(|key| self.callers.get(key));
+        if let Some(Caller { proxy, is_watching: false, .. }) = caller {
             let proxy = *proxy;
-            self.note(Seen::ListCall { proxy, answered });
+            self.record(Seen::ListCall { proxy, answered });
         }
     }
 
-    fn watch_ends(&mut self, id: u64) {
-        let caller = self.keys.get(&id).and_then(|key| self.callers.get_mut(key));
+    /// Records the end of a connection's watch, if one is open.
+    fn end_watch(&mut self, id: u64) {
+        let caller = self.keys_by_id.get(&id).and_then(|key| self.callers.get_mut(key));
         if let Some(caller) = caller
-            && std::mem::take(&mut caller.watches)
+            && std::mem::take(&mut caller.is_watching)
         {
             let proxy = caller.proxy;
-            self.note(Seen::Watching { proxy, on: false });
+            self.record(Seen::Watching { proxy, on: false });
         }
     }
 
     /// Serializes an update for the proxy of a connection, and lists the phases of render nodes that it tells the
     /// proxy.
-    fn text(&self, id: u64, update: &Update) -> io::Result<(String, Tells)> {
-        let caller = self.keys.get(&id).and_then(|key| self.callers.get(key));
+    fn serialize_update(&self, id: u64, update: &Update) -> io::Result<(String, UpdateSummary)> {
+        let caller = self.keys_by_id.get(&id).and_then(|key| self.callers.get(key));
         let proxy = caller.map_or(ProxyId(0), |caller| caller.proxy);
         let json = render(update, self.plan, self.addresses, &self.clock, proxy)
             .map_err(|e| Fault::of("discovery's list", None, io::Error::other(e)))?;
-        let nodes = update.entries.iter().map(|(node, entry)| (*node, entry.phase)).collect();
-        Ok((json, Tells { nodes, begins: false }))
+        let phases = update.entries.iter().map(|(node, entry)| (*node, entry.phase)).collect();
+        Ok((json, UpdateSummary { phases, begins_watch: false }))
     }
 
-    fn connection(&mut self, id: u64, use_it: impl FnOnce(&mut DiscoveryConnection, &mut Io<Report>)) {
-        let Some(key) = self.keys.get(&id).copied() else { return };
-        self.reactor.with(key, |party, io| {
-            if let Party::Connection(connection) = party {
-                use_it(connection, io);
+    fn with_connection(
+        &mut self,
+        id: u64,
+        action: impl FnOnce(&mut DiscoveryConnection, &mut Io<DiscoveryReport>),
+    ) {
+        let Some(key) = self.keys_by_id.get(&id).copied() else { return };
+        self.reactor.with(key, |socket, io| {
+            if let DiscoverySocket::Connection(connection) = socket {
+                action(connection, io);
             }
         });
     }
 
-    fn deaf(&mut self) {
+    fn close_listeners(&mut self) {
         for key in std::mem::take(&mut self.listeners).into_keys() {
             self.reactor.remove(key);
         }
     }
 
     fn listen(&mut self, moves: u16) -> io::Result<()> {
-        self.deaf();
+        self.close_listeners();
         for proxy in (0..self.plan.proxies.len()).map(|p| ProxyId(p as u16)) {
             let address = self.addresses.discovery(moves, proxy);
             let mut shared = None;
             let bound = self.reactor.insert(|key, io| {
-                let (listener, socket) = Listener::bind(address, Report::Accept, key, io)?;
+                let (listener, socket) = Listener::bind(address, DiscoveryReport::Accept, key, io)?;
                 shared = Some(socket);
-                Ok(Box::new(Party::Listener(listener)))
+                Ok(Box::new(DiscoverySocket::Listener(listener)))
             });
             let key = bound.map_err(|e| Fault::of("discovery", Some(address), e))?;
             if let Some(socket) = shared {
@@ -293,7 +307,7 @@
         Ok(())
     }
 
-    fn accept(&mut self, listener: Key) -> io::Result<()> {
+    fn accept_connections(&mut self, listener: Key) -> io::Result<()> {
         while let Some((socket, proxy)) = self.listeners.get(&listener) {
             let proxy = *proxy;
             let stream = match socket.accept() {
@@ -304,15 +318,15 @@
                     _ => return Err(Fault::of("discovery's connections", None, error).into()),
                 },
             };
-            let made = self.reactor.insert(|key, io| {
-                Ok(Box::new(Party::Connection(DiscoveryConnection::accepted(stream, key, io)?)))
+            let inserted = self.reactor.insert(|key, io| {
+                Ok(Box::new(DiscoverySocket::Connection(DiscoveryConnection::accepted(stream, key, io)?)))
             });
             // The connection is already closed, and no call was read from it.
-            let Ok(key) = made else { continue };
-            self.last_id += 1;
-            let id = self.last_id;
-            self.callers.insert(key, Caller { id, proxy, watches: false });
-            self.keys.insert(id, key);
+            let Ok(key) = inserted else { continue };
+            self.last_caller_id += 1;
+            let id = self.last_caller_id;
+            self.callers.insert(key, Caller { id, proxy, is_watching: false });
+            self.keys_by_id.insert(id, key);
             self.model.opened(id);
         }
         Ok(())
--- a/crates/kit/src/emulator/front.rs
+++ b/crates/kit/src/emulator/front.rs
@@ -20,53 +20,53 @@
 use std::sync::Arc;
 
 /// Interval at which the front checks held proxies, overdue answers and due probes.
-const TICK: Micros = 5 * MS;
+const TICK_INTERVAL: Micros = 5 * MS;
 
 /// Reports of the probe connections to the front's loop.
 #[derive(Debug)]
-enum Told {
+enum ProbeReport {
     Tick,
     Pong(ProxyId),
 }
 
-impl Report for Told {
+impl Report for ProbeReport {
     fn timer(_: u32) -> Self {
-        Told::Tick
+        ProbeReport::Tick
     }
 }
 
 /// The probe connection to one proxy.
 struct Probe {
     proxy: ProxyId,
-    link: LineStream,
+    stream: LineStream,
     connected: bool,
     /// No answer is outstanding: no `PING` was sent, or the last one was answered.
-    idle: bool,
+    may_ping: bool,
     broken: bool,
 }
 
 impl Probe {
-    fn ask(&mut self) {
+    fn send_ping(&mut self) {
         // While an answer is outstanding, no further `PING` is sent, so that they don't pile up.
-        if std::mem::take(&mut self.idle) {
-            self.link.push(b"PING\r\n");
+        if std::mem::take(&mut self.may_ping) {
+            self.stream.push(b"PING\r\n");
         }
         if self.connected {
-            self.broken |= self.link.flush().is_err();
+            self.broken |= self.stream.flush().is_err();
         }
     }
 }
 
 impl Connection for Probe {
-    type Report = Told;
+    type Report = ProbeReport;
 
-    fn readable(&mut self, io: &mut Io<Told>, _: Half) {
-        let fill = self.link.fill();
-        while let Ok(Some(line)) = self.link.take_line() {
+    fn readable(&mut self, io: &mut Io<ProbeReport>, _: Half) {
+        let fill = self.stream.fill();
+        while let Ok(Some(line)) = self.stream.take_line() {
             match trim_end(&line) {
                 b"PONG" => {
-                    self.idle = true;
-                    io.report(Told::Pong(self.proxy));
+                    self.may_ping = true;
+                    io.report(ProbeReport::Pong(self.proxy));
                 }
                 // Any other answer means that the proxy is not serving; it is probed again on a new connection.
                 _ => self.broken = true,
@@ -75,19 +75,19 @@
         self.broken |= !matches!(fill, Fill::Blocked);
     }
 
-    fn writable(&mut self, _: &mut Io<Told>, _: Half) {
+    fn writable(&mut self, _: &mut Io<ProbeReport>, _: Half) {
         if !self.connected {
-            match self.link.connected() {
+            match self.stream.connected() {
                 Ok(connected) => self.connected = connected,
                 Err(_) => self.broken = true,
             }
         }
         if self.connected {
-            self.broken |= self.link.flush().is_err();
+            self.broken |= self.stream.flush().is_err();
         }
     }
 
-    fn timer(&mut self, _: &mut Io<Told>, _: u32) {}
+    fn timer(&mut self, _: &mut Io<ProbeReport>, _: u32) {}
 
     fn done(&self) -> bool {
         self.broken
@@ -95,12 +95,12 @@
 }
 
 /// The front's state for one proxy.
-struct Known {
+struct ProxyState {
     probe: Option<Key>,
-    ask_due: Micros,
+    ping_due: Micros,
     /// Start of the current wait for an answer: the last answer, the start of the run, or the close of a silent
     /// connection.
-    heard: Micros,
+    waiting_since: Micros,
     /// The admission that was recorded last.
     admitted: bool,
 }
@@ -110,15 +110,15 @@
     plan: Arc<Plan>,
     addresses: Arc<Addresses>,
     board: Arc<Board>,
-    proxies: Vec<Known>,
+    proxies: Vec<ProxyState>,
     notes: Notes,
 }
 
 impl Front {
-    fn set(&mut self, proxy: ProxyId, on: bool) {
-        let known = &mut self.proxies[usize::from(proxy.0)];
-        if known.admitted != on {
-            known.admitted = on;
+    fn set_admitted(&mut self, proxy: ProxyId, on: bool) {
+        let state = &mut self.proxies[usize::from(proxy.0)];
+        if state.admitted != on {
+            state.admitted = on;
             self.notes.note(self.reactor.io.now(), Seen::Admitted { proxy, on });
         }
         self.board.admit(proxy, on);
@@ -128,58 +128,58 @@
         }
     }
 
-    fn pong(&mut self, proxy: ProxyId) {
+    fn handle_pong(&mut self, proxy: ProxyId) {
         if self.board.is_held(proxy) {
             return;
         }
-        self.proxies[usize::from(proxy.0)].heard = self.reactor.io.now();
-        self.set(proxy, true);
+        self.proxies[usize::from(proxy.0)].waiting_since = self.reactor.io.now();
+        self.set_admitted(proxy, true);
     }
 
     fn tick(&mut self) {
-        for place in 0..self.proxies.len() {
-            self.look_after(ProxyId(place as u16));
+        for index in 0..self.proxies.len() {
+            self.check_proxy(ProxyId(index as u16));
         }
-        let next = self.reactor.io.now() + TICK;
+        let next = self.reactor.io.now() + TICK_INTERVAL;
         self.reactor.io.owner_timer(next, 0);
     }
 
-    fn look_after(&mut self, proxy: ProxyId) {
+    fn check_proxy(&mut self, proxy: ProxyId) {
         let now = self.reactor.io.now();
         let (every, notice) = (self.plan.front.every, self.plan.front.notice);
-        let known = &mut self.proxies[usize::from(proxy.0)];
+        let state = &mut self.proxies[usize::from(proxy.0)];
         if self.board.is_held(proxy) {
-            if let Some(key) = known.probe.take() {
+            if let Some(key) = state.probe.take() {
                 self.reactor.remove(key);
             }
-            known.ask_due = now;
-            return self.set(proxy, false);
+            state.ping_due = now;
+            return self.set_admitted(proxy, false);
         }
-        known.probe = known.probe.filter(|key| self.reactor.contains(*key));
-        if now - known.heard > notice {
+        state.probe = state.probe.filter(|key| self.reactor.contains(*key));
+        if now - state.waiting_since > notice {
             // A connection that stays silent for this long may never answer: the address may belong to another
             // machine by now.
-            if let Some(key) = known.probe.take() {
+            if let Some(key) = state.probe.take() {
                 self.reactor.remove(key);
             }
-            known.heard = now;
-            self.set(proxy, false);
+            state.waiting_since = now;
+            self.set_admitted(proxy, false);
         }
-        let known = &mut self.proxies[usize::from(proxy.0)];
-        if now < known.ask_due {
+        let state = &mut self.proxies[usize::from(proxy.0)];
+        if now < state.ping_due {
             return;
         }
-        known.ask_due = now + every.max(TICK);
-        if known.probe.is_none() {
+        state.ping_due = now + every.max(TICK_INTERVAL);
+        if state.probe.is_none() {
             let address = self.addresses.proxy(proxy);
-            let made = self.reactor.insert(|key, io| {
-                let link = LineStream::connect(address, io, key, Half::Near)?;
-                Ok(Box::new(Probe { proxy, link, connected: false, idle: true, broken: false }))
+            let inserted = self.reactor.insert(|key, io| {
+                let stream = LineStream::connect(address, io, key, Half::Near)?;
+                Ok(Box::new(Probe { proxy, stream, connected: false, may_ping: true, broken: false }))
             });
-            known.probe = made.ok();
+            state.probe = inserted.ok();
         }
-        if let Some(key) = known.probe {
-            self.reactor.with(key, |probe, _| probe.ask());
+        if let Some(key) = state.probe {
+            self.reactor.with(key, |probe, _| probe.send_ping());
         }
     }
 }
@@ -193,8 +193,8 @@
 pub fn run(plan: Arc<Plan>, addresses: Arc<Addresses>, board: Arc<Board>) -> io::Result<Vec<Observation>> {
     let reactor = Reactor::new(board.clock.for_loop())?;
     let now = reactor.io.now();
-    let known = || Known { probe: None, ask_due: now, heard: now, admitted: false };
-    let proxies = plan.proxies.iter().map(|_| known()).collect();
+    let new_state = || ProxyState { probe: None, ping_due: now, waiting_since: now, admitted: false };
+    let proxies = plan.proxies.iter().map(|_| new_state()).collect();
     let mut front = Front { reactor, plan, addresses, board, proxies, notes: Notes::default() };
     front.tick();
     front.board.ready();
@@ -202,8 +202,8 @@
         front.reactor.turn()?;
         while let Some(report) = front.reactor.io.reports.pop_front() {
             match report {
-                Told::Tick => front.tick(),
-                Told::Pong(proxy) => front.pong(proxy),
+                ProbeReport::Tick => front.tick(),
+                ProbeReport::Pong(proxy) => front.handle_pong(proxy),
             }
         }
     }
--- a/crates/kit/src/emulator/nodes.rs
+++ b/crates/kit/src/emulator/nodes.rs
@@ -2,8 +2,8 @@
 //! decides what a node does; this module reads, writes, and records observations.
 
 use super::fault::Fault;
-use super::nodes_connection::{Party, Report};
-use super::nodes_post::Post;
+use super::nodes_connection::{NodeReport, NodeSocket};
+use super::nodes_listener::NodeListener;
 use crate::addresses::Addresses;
 use crate::board::Board;
 use crate::model::cold;
@@ -19,51 +19,57 @@
 use std::sync::Arc;
 
 /// Interval between two checks whether the run is over.
-const LOOK: Micros = 10 * MS;
+const STOP_CHECK_INTERVAL: Micros = 10 * MS;
 /// Interval at which the lag of this loop is measured.
-const LAG: Micros = 100 * MS;
-/// The loop's own timers. Smaller numbers are timers of the members, by index.
-const LOOKS: u32 = u32::MAX;
-const LAGS: u32 = u32::MAX - 1;
-const TIMELINE: u32 = u32::MAX - 2;
+const LAG_INTERVAL: Micros = 100 * MS;
+/// The loop's own timers. Smaller numbers are timers of the nodes, by index.
+const STOP_CHECK_TIMER: u32 = u32::MAX;
+const LAG_TIMER: u32 = u32::MAX - 1;
+const TIMELINE_TIMER: u32 = u32::MAX - 2;
 
 /// One connection of a proxy to a render node.
 #[derive(Debug)]
-pub(super) struct Place {
-    pub node: usize,
+pub(super) struct ProxyConnection {
+    /// Index of the render node in [`NodeEmulator::nodes`].
+    pub node_index: usize,
     pub proxy: ProxyId,
     /// The serial of the attempt. `None` until the first line has arrived.
     pub serial: Option<u32>,
     /// When the node last wrote to the connection. The attempt's end is never recorded as earlier than this: an end
     /// that was read before the write but is handled after it would otherwise be recorded as earlier than the answer.
-    pub written: Micros,
+    pub last_write: Micros,
     /// The attempt's end has been recorded.
-    pub over: bool,
+    pub end_recorded: bool,
     /// Lines to be returned, each with its number from the client, if it has one.
-    pub lines: VecDeque<(Vec<u8>, Option<u32>)>,
+    pub pending_lines: VecDeque<(Vec<u8>, Option<u32>)>,
     /// The emulated network lets nothing through on this connection.
     pub silent: bool,
     /// Outputs of the model that are deferred while the connection is silent.
-    pub held: VecDeque<Output>,
+    pub deferred_outputs: VecDeque<Output>,
 }
 
 /// One emulated render node.
 #[derive(Debug)]
-pub(super) struct Member {
+pub(super) struct EmulatedNode {
     pub id: NodeId,
     pub model: NodeModel,
     /// The node's listener for each proxy. `None` while the port is closed and connections of that proxy are refused.
-    pub posts: Vec<Option<Post>>,
+    pub listeners: Vec<Option<NodeListener>>,
     pub connections: BTreeSet<Key>,
+    /// The connection of each attempt, by the attempt's serial.
     pub attempts: BTreeMap<u32, Key>,
-    pub serial: u32,
+    pub next_serial: u32,
+    /// The node's machine has vanished: the node is silent for all proxies.
     pub vanished: bool,
+    /// Proxies that the network has cut off from the node.
     pub cut_off: BTreeSet<ProxyId>,
-    pub condition: Option<Condition>,
-    pub armed: Option<Micros>,
+    /// The condition that was recorded last.
+    pub recorded_condition: Option<Condition>,
+    /// When the model's timer fires. `None` if no timer is set.
+    pub timer_due: Option<Micros>,
 }
 
-impl Member {
+impl EmulatedNode {
     fn is_silent(&self, proxy: ProxyId) -> bool {
         self.vanished || self.cut_off.contains(&proxy)
     }
@@ -79,21 +85,23 @@
     }
 }
 
-pub(super) struct Nodes<'a> {
+/// The render nodes of one thread.
+pub(super) struct NodeEmulator<'a> {
     pub(super) plan: &'a Plan,
     pub(super) addresses: &'a Addresses,
-    pub(super) index: Index<'a>,
-    pub(super) reactor: Reactor<Party>,
-    pub(super) members: Vec<Member>,
-    pub(super) places: BTreeMap<Key, Place>,
-    pub(super) posts: BTreeMap<Key, (usize, ProxyId)>,
+    pub(super) session_index: Index<'a>,
+    pub(super) reactor: Reactor<NodeSocket>,
+    pub(super) nodes: Vec<EmulatedNode>,
+    pub(super) proxy_connections: BTreeMap<Key, ProxyConnection>,
+    /// The index of the node and the proxy that each listener belongs to.
+    pub(super) listeners: BTreeMap<Key, (usize, ProxyId)>,
     pub(super) notes: Notes,
     /// Index of the next event of the plan's timeline.
-    pub(super) next: usize,
+    pub(super) next_event: usize,
     pub(super) lag_due: Micros,
-    pub(super) out: Vec<Output>,
-    /// Members that have failed under load while cold, and whose connections and listeners are still to be closed.
-    pub(super) fallen: Vec<usize>,
+    pub(super) output_buffer: Vec<Output>,
+    /// Nodes that have failed under load while cold, and whose connections and listeners are still to be closed.
+    pub(super) failed_nodes: Vec<usize>,
 }
 
 /// Runs the given render nodes until the board stops the run, and returns the observations.
@@ -105,149 +113,158 @@
     plan: Arc<Plan>,
     addresses: Arc<Addresses>,
     board: Arc<Board>,
-    which: Vec<NodeId>,
+    node_ids: Vec<NodeId>,
 ) -> io::Result<Vec<Observation>> {
     let reactor = Reactor::new(board.clock.for_loop()).map_err(|e| Fault::of("the render nodes", None, e))?;
-    let member = |id: NodeId| Member {
+    let new_node = |id: NodeId| EmulatedNode {
         id,
         model: NodeModel::new(Arc::clone(&plan), id),
-        posts: plan.proxies.iter().map(|_| None).collect(),
+        listeners: plan.proxies.iter().map(|_| None).collect(),
         connections: BTreeSet::new(),
         attempts: BTreeMap::new(),
-        serial: 0,
+        next_serial: 0,
         vanished: false,
         cut_off: BTreeSet::new(),
-        condition: None,
-        armed: None,
+        recorded_condition: None,
+        timer_due: None,
     };
-    let members = which.into_iter().filter(|id| usize::from(id.0) < plan.nodes.len()).map(member).collect();
-    let mut nodes = Nodes {
+    let emulated_nodes =
+        node_ids.into_iter().filter(|id| usize::from(id.0) < plan.nodes.len()).map(new_node).collect();
+    let mut emulator = NodeEmulator {
         plan: &plan,
         addresses: &addresses,
-        index: Index::new(&plan),
+        session_index: Index::new(&plan),
         reactor,
-        members,
-        places: BTreeMap::new(),
-        posts: BTreeMap::new(),
+        nodes: emulated_nodes,
+        proxy_connections: BTreeMap::new(),
+        listeners: BTreeMap::new(),
         notes: Notes::default(),
-        next: 0,
-        lag_due: board.clock.now() + LAG,
-        out: Vec::new(),
-        fallen: Vec::new(),
+        next_event: 0,
+        lag_due: board.clock.now() + LAG_INTERVAL,
+        output_buffer: Vec::new(),
+        failed_nodes: Vec::new(),
     };
-    nodes.begin()?;
+    emulator.start()?;
     board.ready();
     while !board.is_stopping() {
-        nodes.reactor.turn().map_err(|e| Fault::of("the render nodes' loop", None, e))?;
-        nodes.take_reports()?;
+        emulator.reactor.turn().map_err(|e| Fault::of("the render nodes' loop", None, e))?;
+        emulator.handle_reports()?;
     }
-    Ok(merge(vec![nodes.notes.into_inner()]))
+    Ok(merge(vec![emulator.notes.into_inner()]))
 }
 
-impl Nodes<'_> {
+impl NodeEmulator<'_> {
     pub(super) fn now(&self) -> Micros {
         self.reactor.io.now()
     }
 
-    pub(super) fn note(&mut self, seen: Seen) {
+    pub(super) fn record(&mut self, seen: Seen) {
         self.notes.note(self.now(), seen);
     }
 
-    fn begin(&mut self) -> io::Result<()> {
+    fn start(&mut self) -> io::Result<()> {
         let now = self.now();
-        for i in 0..self.members.len() {
-            self.settle(i)?;
-            if self.members[i].model.is_running() {
-                self.note(Seen::Started { node: self.members[i].id, cold: None });
+        for index in 0..self.nodes.len() {
+            self.update_sockets(index)?;
+            if self.nodes[index].model.is_running() {
+                self.record(Seen::Started { node: self.nodes[index].id, cold: None });
             }
-            self.note_condition(i);
+            self.record_condition(index);
         }
-        self.reactor.io.owner_timer(now + LOOK, LOOKS);
-        self.reactor.io.owner_timer(self.lag_due, LAGS);
-        self.reactor.io.owner_timer(now, TIMELINE);
+        self.reactor.io.owner_timer(now + STOP_CHECK_INTERVAL, STOP_CHECK_TIMER);
+        self.reactor.io.owner_timer(self.lag_due, LAG_TIMER);
+        self.reactor.io.owner_timer(now, TIMELINE_TIMER);
         Ok(())
     }
 
-    fn take_reports(&mut self) -> io::Result<()> {
+    fn handle_reports(&mut self) -> io::Result<()> {
         while let Some(report) = self.reactor.io.reports.pop_front() {
             match report {
-                Report::Timer(timer) => self.timer(timer)?,
-                Report::Accept(key) => {
-                    if let Some((node, proxy)) = self.posts.get(&key).copied() {
-                        self.accept(node, proxy, None)?;
+                NodeReport::Timer(timer) => self.handle_timer(timer)?,
+                NodeReport::Accept(key) => {
+                    if let Some((node, proxy)) = self.listeners.get(&key).copied() {
+                        self.accept_connections(node, proxy, None)?;
                     }
                 }
-                Report::Probe(key) => {
+                NodeReport::Probe(key) => {
                     // A hung node doesn't answer probes either.
-                    if self.places.get(&key).is_some_and(|p| !self.members[p.node].model.is_hung()) {
-                        self.connection(key, |c, _| c.say(b"NO\r\n"));
+                    if self
+                        .proxy_connections
+                        .get(&key)
+                        .is_some_and(|connection| !self.nodes[connection.node_index].model.is_hung())
+                    {
+                        self.with_connection(key, |c, _| c.write(b"NO\r\n"));
                     }
                 }
-                Report::First { key, line, first_byte, at } => self.first_line(key, &line, first_byte, at),
-                Report::Line { key, line, at } => self.line(key, line, at),
-                Report::TooLong(key) => match self.places.get(&key).and_then(|p| p.serial) {
-                    Some(_) => self.cut(key),
-                    None => self.bad_first_line(key, b"(a line without end)"),
-                },
-                Report::Ended(key, at) => self.ended(key, at),
-                Report::Gone(key, at) => self.gone(key, at),
+                NodeReport::FirstLine { key, line, first_byte, at } => {
+                    self.handle_first_line(key, &line, first_byte, at)
+                }
+                NodeReport::Line { key, line, at } => self.handle_line(key, line, at),
+                NodeReport::TooLong(key) => {
+                    match self.proxy_connections.get(&key).and_then(|connection| connection.serial) {
+                        Some(_) => self.reset_connection(key),
+                        None => self.reject_first_line(key, b"(a line without end)"),
+                    }
+                }
+                NodeReport::PeerEnded(key, at) => self.handle_peer_end(key, at),
+                NodeReport::Closed(key, at) => self.handle_closed(key, at),
             }
-            while let Some(i) = self.fallen.pop() {
-                self.reset_all(i);
-                self.settle(i)?;
-                self.note_condition(i);
+            while let Some(index) = self.failed_nodes.pop() {
+                self.reset_connections(index);
+                self.update_sockets(index)?;
+                self.record_condition(index);
             }
         }
         Ok(())
     }
 
-    fn timer(&mut self, timer: u32) -> io::Result<()> {
+    fn handle_timer(&mut self, timer: u32) -> io::Result<()> {
         let now = self.now();
         match timer {
             // The timer only wakes the loop, which then checks whether the run is over.
-            LOOKS => self.reactor.io.owner_timer(now + LOOK, LOOKS),
-            LAGS => {
-                self.note(Seen::Lag { late: now - self.lag_due });
-                self.lag_due = now + LAG;
-                self.reactor.io.owner_timer(self.lag_due, LAGS);
+            STOP_CHECK_TIMER => self.reactor.io.owner_timer(now + STOP_CHECK_INTERVAL, STOP_CHECK_TIMER),
+            LAG_TIMER => {
+                self.record(Seen::Lag { late: now - self.lag_due });
+                self.lag_due = now + LAG_INTERVAL;
+                self.reactor.io.owner_timer(self.lag_due, LAG_TIMER);
             }
-            TIMELINE => self.timeline(now)?,
-            node => {
-                let Some(member) = self.members.get_mut(node as usize) else { return Ok(()) };
-                member.armed.take_if(|at| *at <= now);
-                self.model(node as usize, Input::Tick);
+            TIMELINE_TIMER => self.apply_timeline(now)?,
+            index => {
+                let Some(emulated) = self.nodes.get_mut(index as usize) else { return Ok(()) };
+                emulated.timer_due.take_if(|at| *at <= now);
+                self.handle_input(index as usize, Input::Tick);
             }
         }
         Ok(())
     }
 
-    fn timeline(&mut self, now: Micros) -> io::Result<()> {
+    fn apply_timeline(&mut self, now: Micros) -> io::Result<()> {
         let plan = self.plan;
-        while let Some(event) = plan.timeline.get(self.next) {
+        while let Some(event) = plan.timeline.get(self.next_event) {
             if event.at > now {
-                self.reactor.io.owner_timer(event.at, TIMELINE);
+                self.reactor.io.owner_timer(event.at, TIMELINE_TIMER);
                 break;
             }
-            self.next += 1;
+            self.next_event += 1;
             match &event.change {
                 TimelineChange::Node(node, change) => {
-                    let of_ours = self.members.iter().position(|member| member.id == *node);
-                    of_ours.map_or(Ok(()), |i| self.change(i, *change))?;
+                    let index = self.nodes.iter().position(|emulated| emulated.id == *node);
+                    index.map_or(Ok(()), |index| self.apply_change(index, *change))?;
                 }
                 TimelineChange::Network(NetworkChange::CutOff(proxy, nodes)) => {
-                    for i in 0..self.members.len() {
-                        if nodes.contains(&self.members[i].id) {
-                            self.members[i].cut_off.insert(*proxy);
-                            self.reach(i, *proxy, false);
-                            self.settle(i)?;
+                    for index in 0..self.nodes.len() {
+                        if nodes.contains(&self.nodes[index].id) {
+                            self.nodes[index].cut_off.insert(*proxy);
+                            self.record_reach(index, *proxy, false);
+                            self.update_sockets(index)?;
                         }
                     }
                 }
                 TimelineChange::Network(NetworkChange::Reach(proxy)) => {
-                    for i in 0..self.members.len() {
-                        if self.members[i].cut_off.remove(proxy) {
-                            self.reach(i, *proxy, true);
-                            self.settle(i)?;
+                    for index in 0..self.nodes.len() {
+                        if self.nodes[index].cut_off.remove(proxy) {
+                            self.record_reach(index, *proxy, true);
+                            self.update_sockets(index)?;
                         }
                     }
                 }
@@ -257,124 +274,127 @@
         Ok(())
     }
 
-    fn reach(&mut self, i: usize, proxy: ProxyId, on: bool) {
-        let (now, node) = (self.reactor.io.now(), self.members[i].id);
+    fn record_reach(&mut self, index: usize, proxy: ProxyId, on: bool) {
+        let (now, node) = (self.reactor.io.now(), self.nodes[index].id);
         self.notes.note(now, Seen::Reach { proxy, node, on });
     }
 
-    fn change(&mut self, i: usize, change: NodeChange) -> io::Result<()> {
-        let node = self.members[i].id;
+    fn apply_change(&mut self, index: usize, change: NodeChange) -> io::Result<()> {
+        let node = self.nodes[index].id;
         match change {
-            NodeChange::Vanish => self.members[i].vanished = true,
-            NodeChange::Start | NodeChange::Recover => self.members[i].vanished = false,
+            NodeChange::Vanish => self.nodes[index].vanished = true,
+            NodeChange::Start | NodeChange::Recover => self.nodes[index].vanished = false,
             _ => {}
         }
         if change == NodeChange::Kill {
             // The listeners are closed first, so that a proxy whose connection is reset cannot connect again.
-            self.close_posts(i);
+            self.close_listeners(index);
         }
         let restarts = matches!(change, NodeChange::Kill | NodeChange::Start);
-        if restarts && !self.members[i].vanished {
-            self.reset_all(i);
+        if restarts && !self.nodes[index].vanished {
+            self.reset_connections(index);
         }
-        self.model(i, Input::Change(change));
-        if change == NodeChange::Start && self.members[i].model.is_running() {
+        self.handle_input(index, Input::Change(change));
+        if change == NodeChange::Start && self.nodes[index].model.is_running() {
             let cold = Some(cold::figures(&self.plan.nodes[usize::from(node.0)]));
-            self.note(Seen::Started { node, cold });
+            self.record(Seen::Started { node, cold });
         }
-        self.settle(i)?;
-        self.note_condition(i);
-        self.take_reports()
+        self.update_sockets(index)?;
+        self.record_condition(index);
+        self.handle_reports()
     }
 
-    /// Closes the member's listeners, except silent ones.
-    fn close_posts(&mut self, i: usize) {
-        for post in &mut self.members[i].posts {
-            if let Some(post) = post.take_if(|post| !post.is_silent()) {
-                self.posts.remove(&post.key);
-                self.reactor.remove(post.key);
+    /// Closes the node's listeners, except silent ones.
+    fn close_listeners(&mut self, index: usize) {
+        for listener in &mut self.nodes[index].listeners {
+            if let Some(listener) = listener.take_if(|listener| !listener.is_silent()) {
+                self.listeners.remove(&listener.key);
+                self.reactor.remove(listener.key);
             }
         }
     }
 
-    fn reset_all(&mut self, i: usize) {
-        let keys: Vec<Key> = self.members[i].connections.iter().copied().collect();
+    /// Resets all connections of a node, except attempts of proxies that are cut off.
+    fn reset_connections(&mut self, index: usize) {
+        let keys: Vec<Key> = self.nodes[index].connections.iter().copied().collect();
         for key in keys {
-            let Some(place) = self.places.get(&key) else { continue };
+            let Some(connection) = self.proxy_connections.get(&key) else { continue };
             // An attempt's connection to a proxy that is cut off stays silent for now. Its reset is
             // deferred until the proxy is reachable again.
-            if place.serial.is_none() || !self.members[i].cut_off.contains(&place.proxy) {
-                self.cut(key);
+            if connection.serial.is_none() || !self.nodes[index].cut_off.contains(&connection.proxy) {
+                self.reset_connection(key);
             }
         }
     }
 
-    fn note_condition(&mut self, i: usize) {
-        let condition = self.members[i].condition();
-        if self.members[i].condition.replace(condition) != Some(condition) {
-            self.note(Seen::Condition { node: self.members[i].id, condition });
+    fn record_condition(&mut self, index: usize) {
+        let condition = self.nodes[index].condition();
+        if self.nodes[index].recorded_condition.replace(condition) != Some(condition) {
+            self.record(Seen::Condition { node: self.nodes[index].id, condition });
         }
     }
 
-    /// Opens, closes or silences a member's listeners and connections, as the state of the node and of the network
+    /// Opens, closes or silences a node's listeners and connections, as the state of the node and of the network
     /// demands.
-    fn settle(&mut self, i: usize) -> io::Result<()> {
-        let name = self.plan.nodes[usize::from(self.members[i].id.0)].name.as_str();
-        let running = self.members[i].model.is_running();
-        for p in 0..self.members[i].posts.len() {
-            let proxy = ProxyId(p as u16);
-            let silent = self.members[i].is_silent(proxy);
-            let address = self.addresses.node(self.members[i].id, proxy);
+    fn update_sockets(&mut self, index: usize) -> io::Result<()> {
+        let name = self.plan.nodes[usize::from(self.nodes[index].id.0)].name.as_str();
+        let running = self.nodes[index].model.is_running();
+        for proxy_index in 0..self.nodes[index].listeners.len() {
+            let proxy = ProxyId(proxy_index as u16);
+            let silent = self.nodes[index].is_silent(proxy);
+            let address = self.addresses.node(self.nodes[index].id, proxy);
             let fault = |e| Fault::of(format!("render node {name}"), Some(address), e);
-            if (running || silent) && self.members[i].posts[p].is_none() {
-                let post = Post::open(address, &mut self.reactor).map_err(fault)?;
-                self.posts.insert(post.key, (i, proxy));
-                self.members[i].posts[p] = Some(post);
+            if (running || silent) && self.nodes[index].listeners[proxy_index].is_none() {
+                let listener = NodeListener::open(address, &mut self.reactor).map_err(fault)?;
+                self.listeners.insert(listener.key, (index, proxy));
+                self.nodes[index].listeners[proxy_index] = Some(listener);
             }
             if silent {
                 // Connections that wait to be accepted were established before the silence.
-                self.accept(i, proxy, None)?;
+                self.accept_connections(index, proxy, None)?;
             }
-            let Some(post) = &mut self.members[i].posts[p] else { continue };
+            let Some(listener) = &mut self.nodes[index].listeners[proxy_index] else { continue };
             if !running && !silent {
-                self.posts.remove(&post.key);
-                self.reactor.remove(post.key);
-                self.members[i].posts[p] = None;
-            } else if silent && !post.is_silent() {
-                post.hush().map_err(fault)?;
-            } else if !silent && post.is_silent() {
-                let own = post.wake().map_err(fault)?;
-                self.accept(i, proxy, own)?;
+                self.listeners.remove(&listener.key);
+                self.reactor.remove(listener.key);
+                self.nodes[index].listeners[proxy_index] = None;
+            } else if silent && !listener.is_silent() {
+                listener.silence().map_err(fault)?;
+            } else if !silent && listener.is_silent() {
+                let filler = listener.resume().map_err(fault)?;
+                self.accept_connections(index, proxy, filler)?;
             }
         }
-        self.settle_connections(i)
+        self.update_connections(index)
     }
 
-    fn settle_connections(&mut self, i: usize) -> io::Result<()> {
-        let keys: Vec<Key> = self.members[i].connections.iter().copied().collect();
+    /// Silences a node's connections, or resumes them and carries out their deferred outputs.
+    fn update_connections(&mut self, index: usize) -> io::Result<()> {
+        let keys: Vec<Key> = self.nodes[index].connections.iter().copied().collect();
         for key in keys {
-            let Some(place) = self.places.get_mut(&key) else { continue };
-            let silent = self.members[i].is_silent(place.proxy);
-            if std::mem::replace(&mut place.silent, silent) == silent {
+            let Some(connection) = self.proxy_connections.get_mut(&key) else { continue };
+            let silent = self.nodes[index].is_silent(connection.proxy);
+            if std::mem::replace(&mut connection.silent, silent) == silent {
                 continue;
             }
             if silent {
-                self.connection(key, |c, _| c.hush());
+                self.with_connection(key, |c, _| c.silence());
                 continue;
             }
-            let held = std::mem::take(&mut place.held);
-            self.connection(key, |c, io| c.wake(io));
+            let deferred = std::mem::take(&mut connection.deferred_outputs);
+            self.with_connection(key, |c, io| c.resume(io));
             // Input that arrived during the silence is handled before the deferred outputs: an attempt that the
             // proxy gave up is not answered any more.
-            self.take_reports()?;
-            for output in held {
-                let given_up = self.places.get(&key).is_none_or(|place| place.over);
+            self.handle_reports()?;
+            for output in deferred {
+                let given_up =
+                    self.proxy_connections.get(&key).is_none_or(|connection| connection.end_recorded);
                 match output {
                     Output::Answer(_, NodeAnswer::Up(_)) | Output::Load(..) if given_up => {}
                     Output::Answer(..) | Output::Rubbish(..) | Output::Move(_) if given_up => {
-                        self.connection(key, |c, io| c.say_last(b"", io));
+                        self.with_connection(key, |c, io| c.write_last(b"", io));
                     }
-                    output => self.perform(i, output),
+                    output => self.perform(index, output),
                 }
             }
         }
--- a/crates/kit/src/emulator/nodes_connection.rs
+++ b/crates/kit/src/emulator/nodes_connection.rs
@@ -13,14 +13,14 @@
 
 /// Reports of connections and listeners to the render nodes' loop.
 #[derive(Debug)]
-pub(super) enum Report {
+pub(super) enum NodeReport {
     Timer(u32),
     /// Connections wait to be accepted at this listener.
     Accept(Key),
     /// The proxy sent `PING` or `STATS` instead of a first line.
     Probe(Key),
     /// The first line of an attempt.
-    First {
+    FirstLine {
         key: Key,
         line: Vec<u8>,
         first_byte: Micros,
@@ -35,14 +35,14 @@
     /// A line is longer than [`cottonnotch_reactor::line::MAX_LINE`].
     TooLong(Key),
     /// The proxy has ended its sending.
-    Ended(Key, Micros),
+    PeerEnded(Key, Micros),
     /// The connection is about to be removed from the loop.
-    Gone(Key, Micros),
+    Closed(Key, Micros),
 }
 
-impl cottonnotch_reactor::Report for Report {
+impl cottonnotch_reactor::Report for NodeReport {
     fn timer(timer: u32) -> Self {
-        Report::Timer(timer)
+        NodeReport::Timer(timer)
     }
 }
 
@@ -52,40 +52,40 @@
     key: Key,
     stream: LineStream,
     first_byte: Option<Micros>,
-    opened: bool,
+    has_first_line: bool,
     /// The emulated network lets nothing through.
     silent: bool,
     /// The proxy has ended its sending.
-    ended: bool,
+    peer_ended: bool,
     /// The node has ended its sending; further input is discarded.
-    leaving: bool,
+    closing: bool,
     done: bool,
 }
 
 impl NodeConnection {
-    pub fn accepted(stream: TcpStream, key: Key, io: &Io<Report>) -> io::Result<Self> {
+    pub fn accepted(stream: TcpStream, key: Key, io: &Io<NodeReport>) -> io::Result<Self> {
         let stream = LineStream::accepted(stream, io, key)?;
         Ok(NodeConnection {
             key,
             stream,
             first_byte: None,
-            opened: false,
+            has_first_line: false,
             silent: false,
-            ended: false,
-            leaving: false,
+            peer_ended: false,
+            closing: false,
             done: false,
         })
     }
 
     /// Writes the bytes, now or as soon as the socket takes them.
-    pub fn say(&mut self, bytes: &[u8]) {
+    pub fn write(&mut self, bytes: &[u8]) {
         self.stream.push(bytes);
         self.flush();
     }
 
     /// Writes the bytes and ends the sending. Further input is read and discarded.
-    pub fn say_last(&mut self, bytes: &[u8], io: &mut Io<Report>) {
-        self.leaving = true;
+    pub fn write_last(&mut self, bytes: &[u8], io: &mut Io<NodeReport>) {
+        self.closing = true;
         self.stream.push(bytes);
         self.stream.finish();
         self.flush();
@@ -100,13 +100,13 @@
         self.done = true;
     }
 
-    /// Stops reading and writing until [`wake`](Self::wake).
-    pub fn hush(&mut self) {
+    /// Stops reading and writing until [`resume`](Self::resume).
+    pub fn silence(&mut self) {
         self.silent = true;
     }
 
-    /// Resumes reading and writing after [`hush`](Self::hush), and reads the input that has arrived meanwhile.
-    pub fn wake(&mut self, io: &mut Io<Report>) {
+    /// Resumes reading and writing after [`silence`](Self::silence), and reads the input that has arrived meanwhile.
+    pub fn resume(&mut self, io: &mut Io<NodeReport>) {
         self.silent = false;
         self.flush();
         self.readable(io, Half::Near);
@@ -117,69 +117,71 @@
             return;
         }
         match self.stream.flush() {
-            Ok(all) => self.done |= all && self.leaving && self.ended,
+            Ok(all) => self.done |= all && self.closing && self.peer_ended,
             Err(_) => self.done = true,
         }
     }
 
-    fn lines(&mut self, io: &mut Io<Report>) {
+    fn report_lines(&mut self, io: &mut Io<NodeReport>) {
         let at = io.now();
         loop {
             match self.stream.take_line() {
-                Ok(Some(line)) if self.opened => io.report(Report::Line { key: self.key, line, at }),
+                Ok(Some(line)) if self.has_first_line => {
+                    io.report(NodeReport::Line { key: self.key, line, at })
+                }
                 Ok(Some(line)) => {
                     let first_byte = self.first_byte.take().unwrap_or(at);
                     if matches!(&line[..], b"PING\r\n" | b"STATS\r\n") {
-                        io.report(Report::Probe(self.key));
+                        io.report(NodeReport::Probe(self.key));
                     } else {
-                        self.opened = true;
-                        io.report(Report::First { key: self.key, line, first_byte, at });
+                        self.has_first_line = true;
+                        io.report(NodeReport::FirstLine { key: self.key, line, first_byte, at });
                     }
                 }
                 Ok(None) => break,
                 Err(_) => {
                     self.stream.take_rest();
-                    return io.report(Report::TooLong(self.key));
+                    return io.report(NodeReport::TooLong(self.key));
                 }
             }
         }
-        if !self.opened && self.stream.has_input() {
+        if !self.has_first_line && self.stream.has_input() {
             self.first_byte = self.first_byte.or(Some(at));
         }
     }
 }
 
 impl Connection for NodeConnection {
-    type Report = Report;
+    type Report = NodeReport;
 
-    fn readable(&mut self, io: &mut Io<Report>, _: Half) {
-        if self.silent || self.ended {
+    fn readable(&mut self, io: &mut Io<NodeReport>, _: Half) {
+        if self.silent || self.peer_ended {
             return;
         }
-        let fill = if self.leaving { self.stream.discard() } else { self.stream.fill() };
-        if !self.leaving {
-            self.lines(io);
+        let fill = if self.closing { self.stream.discard() } else { self.stream.fill() };
+        if !self.closing {
+            self.report_lines(io);
         }
         match fill {
             Fill::Blocked => {}
             Fill::More => io.call_again(self.key, Half::Near),
             Fill::Ended => {
-                self.ended = true;
-                if self.leaving {
+                self.peer_ended = true;
+                if self.closing {
                     self.flush();
                 } else {
-                    io.report(Report::Ended(self.key, io.now()));
+                    io.report(NodeReport::PeerEnded(self.key, io.now()));
                 }
             }
             Fill::Broken(_) => self.done = true,
         }
     }
 
-    fn writable(&mut self, _: &mut Io<Report>, _: Half) {
+    fn writable(&mut self, _: &mut Io<NodeReport>, _: Half) {
         self.flush();
     }
 
-    fn timer(&mut self, io: &mut Io<Report>, _: u32) {
+    fn timer(&mut self, io: &mut Io<NodeReport>, _: u32) {
         if self.silent {
             io.timer(io.now() + LINGER, self.key, 0);
         } else {
@@ -191,62 +193,62 @@
         self.done
     }
 
-    fn closed(&mut self, io: &mut Io<Report>) {
-        io.report(Report::Gone(self.key, io.now()));
+    fn closed(&mut self, io: &mut Io<NodeReport>) {
+        io.report(NodeReport::Closed(self.key, io.now()));
     }
 }
 
 /// An object on a render nodes' loop.
 #[derive(Debug)]
-pub(super) enum Party {
-    Listener(Listener<Report>),
+pub(super) enum NodeSocket {
+    Listener(Listener<NodeReport>),
     Connection(NodeConnection),
 }
 
-impl Party {
+impl NodeSocket {
     pub fn connection(&mut self) -> Option<&mut NodeConnection> {
         match self {
-            Party::Connection(connection) => Some(connection),
-            Party::Listener(_) => None,
+            NodeSocket::Connection(connection) => Some(connection),
+            NodeSocket::Listener(_) => None,
         }
     }
 }
 
-impl Connection for Party {
-    type Report = Report;
+impl Connection for NodeSocket {
+    type Report = NodeReport;
 
-    fn readable(&mut self, io: &mut Io<Report>, leg: Half) {
+    fn readable(&mut self, io: &mut Io<NodeReport>, half: Half) {
         match self {
-            Party::Listener(listener) => listener.readable(io, leg),
-            Party::Connection(connection) => connection.readable(io, leg),
+            NodeSocket::Listener(listener) => listener.readable(io, half),
+            NodeSocket::Connection(connection) => connection.readable(io, half),
         }
     }
 
-    fn writable(&mut self, io: &mut Io<Report>, leg: Half) {
+    fn writable(&mut self, io: &mut Io<NodeReport>, half: Half) {
         match self {
-            Party::Listener(listener) => listener.writable(io, leg),
-            Party::Connection(connection) => connection.writable(io, leg),
+            NodeSocket::Listener(listener) => listener.writable(io, half),
+            NodeSocket::Connection(connection) => connection.writable(io, half),
         }
     }
 
-    fn timer(&mut self, io: &mut Io<Report>, timer: u32) {
+    fn timer(&mut self, io: &mut Io<NodeReport>, timer: u32) {
         match self {
-            Party::Listener(listener) => listener.timer(io, timer),
-            Party::Connection(connection) => connection.timer(io, timer),
+            NodeSocket::Listener(listener) => listener.timer(io, timer),
+            NodeSocket::Connection(connection) => connection.timer(io, timer),
         }
     }
 
     fn done(&self) -> bool {
         match self {
-            Party::Listener(listener) => listener.done(),
-            Party::Connection(connection) => connection.done(),
+            NodeSocket::Listener(listener) => listener.done(),
+            NodeSocket::Connection(connection) => connection.done(),
         }
     }
 
-    fn closed(&mut self, io: &mut Io<Report>) {
+    fn closed(&mut self, io: &mut Io<NodeReport>) {
         match self {
-            Party::Listener(listener) => listener.closed(io),
-            Party::Connection(connection) => connection.closed(io),
+            NodeSocket::Listener(listener) => listener.closed(io),
+            NodeSocket::Connection(connection) => connection.closed(io),
         }
     }
 }
--- a/crates/kit/src/emulator/nodes_post.rs
+++ b/crates/kit/src/emulator/nodes_listener.rs
@@ -5,7 +5,7 @@
 //! shortened to the minimum and filled with a connection of the emulator's own. The system then drops connection
 //! requests, and the caller gets no reply (listen(2); `sk_acceptq_is_full` in `tcp_conn_request` of Linux).
 
-use super::nodes_connection::{Party, Report};
+use super::nodes_connection::{NodeReport, NodeSocket};
 use cottonnotch_reactor::listener::Listener;
 use cottonnotch_reactor::{Key, Reactor};
 use mio::net::{TcpListener, TcpStream};
@@ -20,7 +20,7 @@
 
 /// The listener for one proxy at one render node.
 #[derive(Debug)]
-pub(super) struct Post {
+pub(super) struct NodeListener {
     pub key: Key,
     socket: Rc<TcpListener>,
     address: SocketAddr,
@@ -28,16 +28,16 @@
     filler: Option<Socket>,
 }
 
-impl Post {
-    pub fn open(address: SocketAddr, reactor: &mut Reactor<Party>) -> io::Result<Self> {
+impl NodeListener {
+    pub fn open(address: SocketAddr, reactor: &mut Reactor<NodeSocket>) -> io::Result<Self> {
         let mut shared = None;
         let key = reactor.insert(|key, io| {
-            let (listener, socket) = Listener::bind(address, Report::Accept, key, io)?;
+            let (listener, socket) = Listener::bind(address, NodeReport::Accept, key, io)?;
             shared = Some(socket);
-            Ok(Box::new(Party::Listener(listener)))
+            Ok(Box::new(NodeSocket::Listener(listener)))
         })?;
         let socket = shared.ok_or(io::ErrorKind::NotFound)?;
-        Ok(Post { key, socket, address, filler: None })
+        Ok(NodeListener { key, socket, address, filler: None })
     }
 
     pub fn is_silent(&self) -> bool {
@@ -46,7 +46,7 @@
 
     /// Makes the socket silent: no further connection is established. Connections that wait to be accepted must be
     /// accepted before.
-    pub fn hush(&mut self) -> io::Result<()> {
+    pub fn silence(&mut self) -> io::Result<()> {
         SockRef::from(&*self.socket).listen(0)?;
         let filler = Socket::new(Domain::for_address(self.address), Type::STREAM, None)?;
         filler.set_nonblocking(true)?;
@@ -61,12 +61,12 @@
 
     /// Lets connections be established again. The caller must accept waiting connections now, since no readiness is
     /// reported for them. Returns the local address of the filler connection, which must not be served.
-    pub fn wake(&mut self) -> io::Result<Option<SocketAddr>> {
+    pub fn resume(&mut self) -> io::Result<Option<SocketAddr>> {
         let Some(filler) = self.filler.take() else { return Ok(None) };
-        let own = filler.local_addr().ok().and_then(|address| address.as_socket());
+        let filler_address = filler.local_addr().ok().and_then(|address| address.as_socket());
         drop(filler);
         SockRef::from(&*self.socket).listen(BACKLOG)?;
-        Ok(own)
+        Ok(filler_address)
     }
 
     /// Accepts the next waiting connection. Returns `None` if there is none.
--- a/crates/kit/src/emulator/nodes_load.rs
+++ b/crates/kit/src/emulator/nodes_load.rs
@@ -1,7 +1,7 @@
 //! Measures the CPU time that the render nodes' loop takes. Run by hand, in release mode, with
-//! `cargo test --release -p cottonnotch-kit -- --ignored --nocapture what_the_loop_costs`.
+//! `cargo test --release -p cottonnotch-kit -- --ignored --nocapture cpu_time_of_the_nodes_loop`.
 
-use super::testing::{Peer, Run, Stage};
+use super::testing::{EmulatorFn, EmulatorRun, Peer};
 use crate::model::testing::{first_line, plan};
 use crate::observation::Seen;
 use crate::plan::{NodeId, ProxyId};
@@ -22,7 +22,7 @@
     text.split(' ').next().unwrap().parse().unwrap()
 }
 
-const RUN: Run = |plan, addresses, board| {
+const EMULATOR: EmulatorFn = |plan, addresses, board| {
     let all = (0..NODES).map(NodeId).collect();
     let seen = super::nodes::run(plan, addresses, board, all);
     CPU_NS.store(thread_cpu_ns(), Ordering::SeqCst);
@@ -31,19 +31,19 @@
 
 #[test]
 #[ignore = "a measurement, which takes 15 s"]
-fn what_the_loop_costs() {
+fn cpu_time_of_the_nodes_loop() {
     let mut plan = plan(NODES, PROXIES, SESSIONS);
     plan.nodes.iter_mut().for_each(|node| (node.capacity, node.setups_max) = (4.0, 1000));
     plan.sessions.iter_mut().for_each(|session| {
         session.loads = (0..20).map(|i| (i * 5_000_000, 0.04 + 0.001 * i as f64)).collect();
     });
-    let stage = Stage::new(plan, vec![], RUN);
+    let run = EmulatorRun::new(plan, vec![], EMULATOR);
     let began = Instant::now();
     let mut peers: Vec<TcpStream> = (0..SESSIONS)
         .map(|s| {
             let (node, proxy) = ((s % u32::from(NODES)) as u16, (s / 7 % u32::from(PROXIES)) as u16);
-            let mut peer = Peer::connect(stage.addresses.node(NodeId(node), ProxyId(proxy)));
-            peer.say(&first_line(&stage.plan, s, u64::from(s), 2000, ""));
+            let mut peer = Peer::connect(run.addresses.node(NodeId(node), ProxyId(proxy)));
+            peer.write(&first_line(&run.plan, s, u64::from(s), 2000, ""));
             let stream = peer.into_inner();
             stream.set_nonblocking(true).unwrap();
             stream
@@ -61,9 +61,9 @@
     }
     std::thread::sleep(LINE_EVERY);
     let wall = began.elapsed() + came_up;
-    let board = std::sync::Arc::clone(&stage.board);
+    let board = std::sync::Arc::clone(&run.board);
     let ran = board.clock.now();
-    let (notes, late) = stage.notes_and_lags();
+    let (notes, late) = run.finish_with_lags();
     let count = |what: fn(&Seen) -> bool| notes.iter().filter(|seen| what(seen)).count();
     let back = count(|seen| matches!(seen, Seen::LineReturned { .. }));
     assert_eq!(count(|seen| matches!(seen, Seen::AttemptAnswered { .. })), SESSIONS as usize);
--- a/crates/kit/src/emulator/rude.rs
+++ b/crates/kit/src/emulator/rude.rs
@@ -2,7 +2,7 @@
 //! script as fast as the socket takes it, and reads all the while. The proxy has to answer with an error or close the
 //! connection within a few seconds.
 
-use super::rude_script::{Script, script};
+use super::rude_script::{Script, build_script};
 use crate::addresses::Addresses;
 use crate::board::Board;
 use crate::notes::Notes;
@@ -16,30 +16,30 @@
 use std::sync::Arc;
 
 /// Time after the connect within which the proxy has to answer a misbehaving client or close its connection.
-const OWED_WITHIN: Micros = 3 * S;
+const ANSWER_WITHIN: Micros = 3 * S;
 /// The same for [`Misbehavior::Huge`], which writes 60 MB.
-const OWED_WITHIN_HUGE: Micros = 6 * S;
+const ANSWER_WITHIN_HUGE: Micros = 6 * S;
 /// Time for which a client stays connected beyond that, to see whether a late answer or close comes.
-const LATE: Micros = S;
+const LATE_ANSWER_WINDOW: Micros = S;
 /// Time for which a [`Misbehavior::AgainAtOnce`] client reconnects.
-const AGAIN_FOR: Micros = S;
+const RECONNECT_PERIOD: Micros = S;
 /// Interval between two checks for arrivals and for the end of the run.
-const TICK: Micros = 5 * MS;
+const TICK_INTERVAL: Micros = 5 * MS;
 /// Bytes written in one callback before other clients have their turn.
-const MAX_TURN: usize = 256 * 1024;
+const MAX_BYTES_PER_TURN: usize = 256 * 1024;
 
 /// Timer of [`run`], which owns the reactor.
-const TICKING: u32 = 0;
+const TICK_TIMER: u32 = 0;
 
 #[derive(Debug)]
-enum Told {
+enum ClientReport {
     Timer(u32),
-    Note(Micros, Seen),
+    Observed(Micros, Seen),
 }
 
-impl Report for Told {
+impl Report for ClientReport {
     fn timer(timer: u32) -> Self {
-        Told::Timer(timer)
+        ClientReport::Timer(timer)
     }
 }
 
@@ -50,108 +50,120 @@
 }
 
 /// One misbehaving client.
-struct Rude {
+struct ScriptedClient {
     key: Key,
-    place: u32,
+    index: u32,
     kind: Misbehavior,
     seed: u64,
     proxy: ProxyId,
     shared: Rc<Shared>,
-    link: LineStream,
+    stream: LineStream,
     script: Script,
     connected: bool,
     /// Connections established so far.
-    visits: u32,
-    again_until: Micros,
-    by: Micros,
+    connections_made: u32,
+    reconnect_until: Micros,
+    answer_due: Micros,
     done: bool,
 }
 
-impl Rude {
-    fn connected(&mut self, io: &mut Io<Told>) {
+impl ScriptedClient {
+    fn handle_connected(&mut self, io: &mut Io<ClientReport>) {
         self.connected = true;
-        let owed = if self.kind == Misbehavior::Huge { OWED_WITHIN_HUGE } else { OWED_WITHIN };
+        let answer_within = if self.kind == Misbehavior::Huge { ANSWER_WITHIN_HUGE } else { ANSWER_WITHIN };
         let now = io.now();
-        self.by = now + owed;
-        io.report(Told::Note(now, Seen::RudeCame { rude: self.place, proxy: self.proxy, by: self.by }));
-        for request in std::mem::take(&mut self.script.ids) {
-            let (rude, proxy) = (self.place, self.proxy);
-            io.report(Told::Note(now, Seen::RudeAsked { rude, request, proxy }));
+        self.answer_due = now + answer_within;
+        io.report(ClientReport::Observed(
+            now,
+            Seen::RudeCame { rude: self.index, proxy: self.proxy, by: self.answer_due },
+        ));
+        for request in std::mem::take(&mut self.script.request_ids) {
+            let (rude, proxy) = (self.index, self.proxy);
+            io.report(ClientReport::Observed(now, Seen::RudeAsked { rude, request, proxy }));
         }
-        io.timer(self.by + LATE, self.key, 0);
-        if self.visits == 0 {
-            self.again_until = now + AGAIN_FOR;
+        io.timer(self.answer_due + LATE_ANSWER_WINDOW, self.key, 0);
+        if self.connections_made == 0 {
+            self.reconnect_until = now + RECONNECT_PERIOD;
         }
-        self.visits += 1;
+        self.connections_made += 1;
     }
 
     /// Writes as much of the script as the socket takes.
-    fn say(&mut self, io: &mut Io<Told>) {
-        let mut said = 0;
+    fn write_script(&mut self, io: &mut Io<ClientReport>) {
+        let mut written = 0;
         loop {
             // A write error is ignored: the next read reports the broken connection.
-            if !matches!(self.link.flush(), Ok(true)) {
+            if !matches!(self.stream.flush(), Ok(true)) {
                 return;
             }
-            if said >= MAX_TURN {
+            if written >= MAX_BYTES_PER_TURN {
                 return io.call_again(self.key, Half::Near);
             }
-            match self.script.say_next(&mut self.link) {
-                Some(length) => said += length,
+            match self.script.push_next(&mut self.stream) {
+                Some(length) => written += length,
                 None => return,
             }
         }
     }
 
-    fn over(&mut self, io: &mut Io<Told>, how: MisbehaviorOutcome) {
-        io.report(Told::Note(io.now(), Seen::RudeOver { rude: self.place, how }));
-        let turned_away = how != MisbehaviorOutcome::Served;
-        self.done = !(self.kind == Misbehavior::AgainAtOnce && turned_away && io.now() < self.again_until);
+    fn finish_connection(&mut self, io: &mut Io<ClientReport>, how: MisbehaviorOutcome) {
+        io.report(ClientReport::Observed(io.now(), Seen::RudeOver { rude: self.index, how }));
+        let not_served = how != MisbehaviorOutcome::Served;
+        self.done = !(self.kind == Misbehavior::AgainAtOnce && not_served && io.now() < self.reconnect_until);
         if !self.done {
-            self.come_again(io);
+            self.reconnect(io);
         }
     }
 
-    fn come_again(&mut self, io: &mut Io<Told>) {
+    fn reconnect(&mut self, io: &mut Io<ClientReport>) {
         let address = self.shared.addresses.proxy(self.proxy);
         match LineStream::connect(address, io, self.key, Half::Near) {
-            Ok(link) => {
-                self.link = link;
+            Ok(stream) => {
+                self.stream = stream;
                 self.connected = false;
-                self.script = script(&self.shared.plan, self.kind, self.seed, self.place, self.visits, None);
-                io.timer(io.now() + OWED_WITHIN, self.key, 0);
+                self.script = build_script(
+                    &self.shared.plan,
+                    self.kind,
+                    self.seed,
+                    self.index,
+                    self.connections_made,
+                    None,
+                );
+                io.timer(io.now() + ANSWER_WITHIN, self.key, 0);
             }
             Err(_) => self.done = true,
         }
     }
 }
 
-impl Connection for Rude {
-    type Report = Told;
+impl Connection for ScriptedClient {
+    type Report = ClientReport;
 
-    fn readable(&mut self, io: &mut Io<Told>, leg: Half) {
+    fn readable(&mut self, io: &mut Io<ClientReport>, half: Half) {
         if !self.connected {
             return;
         }
-        let fill = self.link.fill();
-        match self.link.take_line() {
-            Ok(Some(line)) if line.starts_with(b"UP ") => return self.over(io, MisbehaviorOutcome::Served),
-            Ok(Some(_)) | Err(TooLong) => return self.over(io, MisbehaviorOutcome::Error),
+        let fill = self.stream.fill();
+        match self.stream.take_line() {
+            Ok(Some(line)) if line.starts_with(b"UP ") => {
+                return self.finish_connection(io, MisbehaviorOutcome::Served);
+            }
+            Ok(Some(_)) | Err(TooLong) => return self.finish_connection(io, MisbehaviorOutcome::Error),
             Ok(None) => {}
         }
         match fill {
-            Fill::Blocked => self.say(io),
-            Fill::More => io.call_again(self.key, leg),
-            Fill::Ended | Fill::Broken(_) => self.over(io, MisbehaviorOutcome::Closed),
+            Fill::Blocked => self.write_script(io),
+            Fill::More => io.call_again(self.key, half),
+            Fill::Ended | Fill::Broken(_) => self.finish_connection(io, MisbehaviorOutcome::Closed),
         }
     }
 
-    fn writable(&mut self, io: &mut Io<Told>, leg: Half) {
+    fn writable(&mut self, io: &mut Io<ClientReport>, half: Half) {
         if !self.connected {
-            match self.link.connected() {
+            match self.stream.connected() {
                 Ok(true) => {
-                    self.connected(io);
-                    io.call_again(self.key, leg);
+                    self.handle_connected(io);
+                    io.call_again(self.key, half);
                 }
                 Ok(false) => return,
                 // No connection was established.
@@ -161,12 +173,12 @@
                 }
             }
         }
-        self.say(io);
+        self.write_script(io);
     }
 
-    fn timer(&mut self, io: &mut Io<Told>, _: u32) {
+    fn timer(&mut self, io: &mut Io<ClientReport>, _: u32) {
         // Guards against timers of earlier connections.
-        if io.now() >= self.by + LATE {
+        if io.now() >= self.answer_due + LATE_ANSWER_WINDOW {
             self.done = true;
         }
     }
@@ -183,33 +195,33 @@
 ///
 /// If the system cannot create a poll instance, or polling fails.
 pub fn run(plan: Arc<Plan>, addresses: Arc<Addresses>, board: Arc<Board>) -> io::Result<Vec<Observation>> {
-    let mut reactor: Reactor<Rude> = Reactor::new(board.clock.for_loop())?;
+    let mut reactor: Reactor<ScriptedClient> = Reactor::new(board.clock.for_loop())?;
     let shared = Rc::new(Shared { plan, addresses, board });
-    let (mut notes, mut next) = (Notes::default(), 0);
-    reactor.io.owner_timer(0, TICKING);
+    let (mut notes, mut next_client) = (Notes::default(), 0);
+    reactor.io.owner_timer(0, TICK_TIMER);
     shared.board.ready();
     while !shared.board.is_stopping() {
         reactor.turn()?;
         while let Some(report) = reactor.io.reports.pop_front() {
             match report {
-                Told::Note(at, seen) => notes.note(at, seen),
-                Told::Timer(TICKING) => {
+                ClientReport::Observed(at, seen) => notes.note(at, seen),
+                ClientReport::Timer(TICK_TIMER) => {
                     let now = reactor.io.now();
-                    while shared.plan.rude.get(next).is_some_and(|rude| rude.arrives <= now) {
-                        come(&mut reactor, &shared, next as u32);
-                        next += 1;
+                    while shared.plan.rude.get(next_client).is_some_and(|rude| rude.arrives <= now) {
+                        start_client(&mut reactor, &shared, next_client as u32);
+                        next_client += 1;
                     }
-                    reactor.io.owner_timer(now + TICK, TICKING);
+                    reactor.io.owner_timer(now + TICK_INTERVAL, TICK_TIMER);
                 }
-                Told::Timer(_) => {}
+                ClientReport::Timer(_) => {}
             }
         }
     }
     Ok(notes.into_inner())
 }
 
-fn come(reactor: &mut Reactor<Rude>, shared: &Rc<Shared>, place: u32) {
-    let Some(&crate::plan::MisbehavingClient { kind, seed, .. }) = shared.plan.rude.get(place as usize)
+fn start_client(reactor: &mut Reactor<ScriptedClient>, shared: &Rc<Shared>, index: u32) {
+    let Some(&crate::plan::MisbehavingClient { kind, seed, .. }) = shared.plan.rude.get(index as usize)
     else {
         return;
     };
@@ -222,36 +234,36 @@
         None => proxies.get(seed as usize % proxies.len().max(1)).copied(),
     };
     let Some(proxy) = proxy else {
-        log::debug!("misbehaving client {place} ({kind:?}) has no proxy to connect to");
+        log::debug!("misbehaving client {index} ({kind:?}) has no proxy to connect to");
         return;
     };
-    let script = script(&shared.plan, kind, seed, place, 0, stolen.flatten().map(|(id, _)| id));
+    let script = build_script(&shared.plan, kind, seed, index, 0, stolen.flatten().map(|(id, _)| id));
     let address = shared.addresses.proxy(proxy);
-    let made = reactor.insert(|key, io| {
-        let link = LineStream::connect(address, io, key, Half::Near)?;
+    let inserted = reactor.insert(|key, io| {
+        let stream = LineStream::connect(address, io, key, Half::Near)?;
         let shared = Rc::clone(shared);
         let (now, done) = (io.now(), false);
         // Applies until the connection is established: the client gives up then, as if it were never answered.
-        let by = now + OWED_WITHIN;
-        io.timer(by + LATE, key, 0);
-        let (connected, visits, again_until) = (false, 0, now);
-        Ok(Box::new(Rude {
+        let answer_due = now + ANSWER_WITHIN;
+        io.timer(answer_due + LATE_ANSWER_WINDOW, key, 0);
+        let (connected, connections_made, reconnect_until) = (false, 0, now);
+        Ok(Box::new(ScriptedClient {
             key,
-            place,
+            index,
             kind,
             seed,
             proxy,
             shared,
-            link,
+            stream,
             script,
             connected,
-            visits,
-            again_until,
-            by,
+            connections_made,
+            reconnect_until,
+            answer_due,
             done,
         }))
     });
-    if let Err(error) = made {
-        log::debug!("misbehaving client {place} ({kind:?}) has no socket: {error}");
+    if let Err(error) = inserted {
+        log::debug!("misbehaving client {index} ({kind:?}) has no socket: {error}");
     }
 }
--- a/crates/kit/src/emulator/rude_script.rs
+++ b/crates/kit/src/emulator/rude_script.rs
@@ -9,13 +9,13 @@
 use std::collections::VecDeque;
 
 /// Length in bytes of the value sent by [`Misbehavior::Huge`].
-const HUGE: usize = 60_000_000;
+const HUGE_VALUE_LEN: usize = 60_000_000;
 /// Size in bytes of the pieces in which long values are written.
-const PIECE: usize = 64 * 1024;
+const PIECE_LEN: usize = 64 * 1024;
 /// Number of bytes that [`Misbehavior::Garbage`] sends, none of which is ASCII.
-const GARBAGE: usize = 300;
+const GARBAGE_LEN: usize = 300;
 /// Number of first lines that [`Misbehavior::ManyCommands`] sends at once.
-const COMMANDS: u32 = 400;
+const COMMAND_COUNT: u32 = 400;
 
 /// The bytes that a client sends, piece by piece.
 #[derive(Debug)]
@@ -23,20 +23,20 @@
     /// Each piece with the number of times that it is sent.
     pieces: VecDeque<(Vec<u8>, usize)>,
     /// The client ends its sending after the last piece.
-    finishes: bool,
+    ends_sending: bool,
     /// The client's own request ids in complete first lines. They may reach a render node if the proxy accepts the
     /// lines.
-    pub ids: Vec<RequestId>,
+    pub request_ids: Vec<RequestId>,
 }
 
 impl Script {
-    fn once(words: impl Into<Vec<u8>>) -> Self {
-        Script { pieces: VecDeque::from([(words.into(), 1)]), finishes: false, ids: Vec::new() }
+    fn new(bytes: impl Into<Vec<u8>>) -> Self {
+        Script { pieces: VecDeque::from([(bytes.into(), 1)]), ends_sending: false, request_ids: Vec::new() }
     }
 
     /// Adds the client's own request ids.
-    fn asking(mut self, ids: impl IntoIterator<Item = u64>) -> Self {
-        self.ids.extend(ids.into_iter().map(RequestId));
+    fn with_request_ids(mut self, ids: impl IntoIterator<Item = u64>) -> Self {
+        self.request_ids.extend(ids.into_iter().map(RequestId));
         self
     }
 
@@ -46,15 +46,15 @@
     }
 
     /// Queues the next piece to be written, and returns its length. Returns `None` once all pieces have been queued.
-    pub fn say_next(&mut self, link: &mut LineStream) -> Option<usize> {
+    pub fn push_next(&mut self, stream: &mut LineStream) -> Option<usize> {
         let Some((piece, times)) = self.pieces.front_mut() else {
-            if std::mem::take(&mut self.finishes) {
-                link.finish();
+            if std::mem::take(&mut self.ends_sending) {
+                stream.finish();
                 return Some(0);
             }
             return None;
         };
-        link.push(piece);
+        stream.push(piece);
         let length = piece.len();
         *times = times.saturating_sub(1);
         if *times == 0 {
@@ -64,58 +64,65 @@
     }
 }
 
-/// The script of the misbehaving client at index `place` of the plan for its connection number `visit`. No other client
-/// has its request ids, except the owner of a stolen one.
-pub(super) fn script(
+/// Builds the script of the misbehaving client at `index` in the plan, for its `connection`-th connection, counted from
+/// 0. No other client has its request ids, except the owner of a stolen one.
+pub(super) fn build_script(
     plan: &Plan,
     kind: Misbehavior,
     seed: u64,
-    place: u32,
-    visit: u32,
+    index: u32,
+    connection: u32,
     stolen: Option<RequestId>,
 ) -> Script {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let key: u64 = rng.random();
     // Counted down from the greatest session index, so that no request of a session has the same id.
-    let id = |number: u32| request_id(plan.seed, u32::MAX - place, number).0;
+    let id = |number: u32| request_id(plan.seed, u32::MAX - index, number).0;
     let class = plan.classes.first().map_or("-", |class| class.name.as_str());
     let tenant = plan.tenants.first().map_or("-", |tenant| tenant.name.as_str());
-    let open = |id: u64, class: &str, wait: &str| {
+    let first_line = |id: u64, class: &str, wait: &str| {
         format!("OPEN {id:016x} {key:016x} c={class},t={tenant},d={wait},g={key:016x}\r\n")
     };
     match kind {
         Misbehavior::Garbage => {
-            let mut bytes: Vec<u8> = (0..GARBAGE).map(|_| rng.random_range(0x80..=0xff)).collect();
+            let mut bytes: Vec<u8> = (0..GARBAGE_LEN).map(|_| rng.random_range(0x80..=0xff)).collect();
             bytes.extend_from_slice(b"\r\n");
-            Script::once(bytes)
+            Script::new(bytes)
         }
-        Misbehavior::Endless => Script::once("OPEN ").then(vec![b'x'; PIECE], usize::MAX),
+        Misbehavior::Endless => Script::new("OPEN ").then(vec![b'x'; PIECE_LEN], usize::MAX),
         Misbehavior::Huge => {
-            let head = format!("OPEN {:016x} {key:016x} c={class},t={tenant},d=1000,g=", id(visit));
-            Script::once(head)
-                .then(vec![b'7'; PIECE], HUGE.div_ceil(PIECE))
+            let head = format!("OPEN {:016x} {key:016x} c={class},t={tenant},d=1000,g=", id(connection));
+            Script::new(head)
+                .then(vec![b'7'; PIECE_LEN], HUGE_VALUE_LEN.div_ceil(PIECE_LEN))
                 .then(b"\r\n".to_vec(), 1)
-                .asking([id(visit)])
+                .with_request_ids([id(connection)])
         }
         Misbehavior::NoSuchClass | Misbehavior::AgainAtOnce => {
-            Script::once(open(id(visit), "no-such-class", "1000")).asking([id(visit)])
+            Script::new(first_line(id(connection), "no-such-class", "1000"))
+                .with_request_ids([id(connection)])
         }
         Misbehavior::BadDeadline => {
-            let waits = ["soon", "-5", "99999999999999999999999999", ""];
-            Script::once(open(id(visit), class, waits[rng.random_range(0..waits.len())])).asking([id(visit)])
+            let deadlines = ["soon", "-5", "99999999999999999999999999", ""];
+            Script::new(first_line(id(connection), class, deadlines[rng.random_range(0..deadlines.len())]))
+                .with_request_ids([id(connection)])
         }
         Misbehavior::NoId => {
-            Script::once(format!("OPEN {key:016x} c={class},t={tenant},d=1000,g={key:016x}\r\n"))
+            Script::new(format!("OPEN {key:016x} c={class},t={tenant},d=1000,g={key:016x}\r\n"))
+        }
+        Misbehavior::StolenId => {
+            Script::new(first_line(stolen.map_or(id(connection), |id| id.0), class, "1000"))
         }
-        Misbehavior::StolenId => Script::once(open(stolen.map_or(id(visit), |id| id.0), class, "1000")),
         Misbehavior::Half => {
-            let whole = open(id(visit), class, "1000");
-            Script { finishes: true, ..Script::once(&whole.as_bytes()[..whole.len() / 2]) }
+            let line = first_line(id(connection), class, "1000");
+            Script { ends_sending: true, ..Script::new(&line.as_bytes()[..line.len() / 2]) }
         }
         Misbehavior::ManyCommands => {
-            let words = (0..COMMANDS).map(|number| open(id(number), class, "1000")).collect::<String>();
-            Script::once(words).asking((0..COMMANDS).map(id))
+            let commands =
+                (0..COMMAND_COUNT).map(|number| first_line(id(number), class, "1000")).collect::<String>();
+            Script::new(commands).with_request_ids((0..COMMAND_COUNT).map(id))
+        }
+        Misbehavior::Silent => {
+            Script { pieces: VecDeque::new(), ends_sending: false, request_ids: Vec::new() }
         }
-        Misbehavior::Silent => Script { pieces: VecDeque::new(), finishes: false, ids: Vec::new() },
     }
 }
