--- a/crates/kit/src/emulator/discovery.rs
+++ b/crates/kit/src/emulator/discovery.rs
@@ -160,6 +160,7 @@
         Ok(())
     }
 
+    /// Applies the timeline events that are due, and sets a timer for the next one.
     fn apply_timeline(&mut self, now: Micros) -> io::Result<()> {
         let plan = self.plan;
         while let Some(event) = plan.timeline.get(self.next_event) {
@@ -289,6 +290,7 @@
         }
     }
 
+    /// Listens for every proxy at the address that discovery has after the given number of moves, and nowhere else.
     fn listen(&mut self, moves: u16) -> io::Result<()> {
         self.close_listeners();
         for proxy in (0..self.plan.proxies.len()).map(|p| ProxyId(p as u16)) {
--- a/crates/kit/src/emulator/network.rs
+++ b/crates/kit/src/emulator/network.rs
@@ -201,6 +201,7 @@
         }
     }
 
+    /// Records a datagram of a proxy and transmits it to the member `to`, or to all other members if `to` is `None`.
     fn receive(&mut self, from: ProxyId, to: Option<ProxyId>, bytes: &[u8]) {
         let all = (0..self.plan.members()).map(ProxyId);
         let receivers: Vec<ProxyId> = match to {
@@ -230,6 +231,7 @@
         self.reactor.io.owner_timer(now + delay, DELIVERY_TIMER);
     }
 
+    /// Delivers the datagrams that are due, to proxies by their relays and to false reporters directly.
     fn deliver_due(&mut self) {
         let now = self.reactor.io.now();
         let later = self.in_flight.split_off(&(now + 1, 0));
--- a/crates/kit/src/emulator/nodes.rs
+++ b/crates/kit/src/emulator/nodes.rs
@@ -238,6 +238,7 @@
         Ok(())
     }
 
+    /// Applies the timeline events that are due, and sets a timer for the next one.
     fn apply_timeline(&mut self, now: Micros) -> io::Result<()> {
         let plan = self.plan;
         while let Some(event) = plan.timeline.get(self.next_event) {
--- a/crates/kit/src/emulator/nodes_talk.rs
+++ b/crates/kit/src/emulator/nodes_talk.rs
@@ -83,12 +83,14 @@
         }
     }
 
+    /// Writes an answer that ends the attempt, and records the answer and the end.
     pub(super) fn write_last_answer(&mut self, key: Key, attempt: Attempt, answer: NodeAnswer, line: &[u8]) {
         self.with_connection(key, |c, io| c.write_last(line, io));
         self.record(Seen::AttemptAnswered { attempt, answer });
         self.record_end(key, self.now(), AttemptEnd::Cut);
     }
 
+    /// Writes the last line of an attempt, which may be empty, and records the attempt's end.
     pub(super) fn write_last_line(&mut self, key: Key, line: &[u8], over: AttemptEnd) {
         self.with_connection(key, |c, io| c.write_last(line, io));
         self.record_end(key, self.now(), over);
@@ -199,6 +201,7 @@
         (if near { same } else { cross } * 1e3) as Micros
     }
 
+    /// Records a first line that no client sends. Answers `SYNTAX` unless the node is hung.
     pub(super) fn reject_first_line(&mut self, key: Key, line: &[u8]) {
         let Some(connection) = self.proxy_connections.get(&key) else { return };
         let (node, proxy) = (self.nodes[connection.node_index].id, connection.proxy);
@@ -210,6 +213,7 @@
         }
     }
 
+    /// Queues a line of the client to be returned, unless the attempt is over or the model takes no lines of it.
     pub(super) fn handle_line(&mut self, key: Key, line: Vec<u8>, at: Micros) {
         let Some(connection) =
             self.proxy_connections.get_mut(&key).filter(|connection| !connection.end_recorded)
@@ -227,6 +231,7 @@
         self.handle_input(index, Input::Line(serial));
     }
 
+    /// The proxy has ended its sending.
     pub(super) fn handle_peer_end(&mut self, key: Key, at: Micros) {
         let Some(connection) = self.proxy_connections.get(&key) else { return };
         match (connection.node_index, connection.serial) {
@@ -238,6 +243,7 @@
         }
     }
 
+    /// The connection is about to be removed from the loop.
     pub(super) fn handle_closed(&mut self, key: Key, at: Micros) {
         self.record_end(key, at, AttemptEnd::ByProxy);
         let Some(connection) = self.proxy_connections.remove(&key) else { return };
--- a/crates/kit/src/emulator/rude.rs
+++ b/crates/kit/src/emulator/rude.rs
@@ -62,7 +62,9 @@
     connected: bool,
     /// Connections established so far.
     connections_made: u32,
+    /// Until when the client reconnects if its kind is [`Misbehavior::AgainAtOnce`].
     reconnect_until: Micros,
+    /// When the proxy must have answered or closed the connection.
     answer_due: Micros,
     done: bool,
 }
