--- a/crates/kit/src/conductor.rs
+++ b/crates/kit/src/conductor.rs
@@ -327,7 +327,7 @@
 
     /// The list as a proxy has it from before its start.
     fn known(&self, id: ProxyId) -> Result<simd_json::OwnedValue, ConductError> {
-        let text = discovery_list::known(&self.plan, &self.addresses, &self.board.clock, id)?;
+        let text = discovery_list::initial_list(&self.plan, &self.addresses, &self.board.clock, id)?;
         Ok(simd_json::to_owned_value(&mut text.into_bytes())?)
     }
 
--- a/crates/kit/src/emulator/discovery.rs
+++ b/crates/kit/src/emulator/discovery.rs
@@ -2,7 +2,7 @@
 //! and when.
 
 use super::discovery_connection::{DiscoveryConnection, DiscoveryReport, DiscoverySocket, UpdateSummary};
-use super::discovery_list::render;
+use super::discovery_list;
 use super::fault::Fault;
 use crate::addresses::Addresses;
 use crate::board::Board;
@@ -265,7 +265,7 @@
     fn serialize_update(&self, id: u64, update: &Update) -> io::Result<(String, UpdateSummary)> {
         let caller = self.keys_by_id.get(&id).and_then(|key| self.callers.get(key));
         let proxy = caller.map_or(ProxyId(0), |caller| caller.proxy);
-        let json = render(update, self.plan, self.addresses, &self.clock, proxy)
+        let json = discovery_list::serialize_update(update, self.plan, self.addresses, &self.clock, proxy)
             .map_err(|e| Fault::of("discovery's list", None, io::Error::other(e)))?;
         let phases = update.entries.iter().map(|(node, entry)| (*node, entry.phase)).collect();
         Ok((json, UpdateSummary { phases, begins_watch: false }))
--- a/crates/kit/src/emulator/discovery_list.rs
+++ b/crates/kit/src/emulator/discovery_list.rs
@@ -31,7 +31,7 @@
 /// # Errors
 ///
 /// If a number of the plan cannot be written as JSON.
-pub fn render(
+pub fn serialize_update(
     update: &Update,
     plan: &Plan,
     addresses: &Addresses,
@@ -61,12 +61,12 @@
 ///
 /// # Errors
 ///
-/// The same as of [`render`].
-pub fn known(
+/// The same as of [`serialize_update`].
+pub fn initial_list(
     plan: &Plan,
     addresses: &Addresses,
     clock: &RunClock,
     proxy: ProxyId,
 ) -> Result<String, simd_json::Error> {
-    render(&Registry::new(plan).whole(), plan, addresses, clock, proxy)
+    serialize_update(&Registry::new(plan).whole(), plan, addresses, clock, proxy)
 }
--- a/crates/kit/src/emulator/discovery_tests.rs
+++ b/crates/kit/src/emulator/discovery_tests.rs
@@ -1,4 +1,4 @@
-use super::discovery_list::known;
+use super::discovery_list::initial_list;
 use super::testing::{EmulatorFn, EmulatorRun, Peer};
 use crate::model::testing::plan;
 use crate::observation::Seen;
@@ -87,7 +87,7 @@
     assert!(status.starts_with("HTTP/1.1 200 "), "{status}");
     let length = answer_head.lines().find_map(|line| line.strip_prefix("Content-Length: ")).unwrap();
     let text = peer.read_exact(length.parse().unwrap());
-    assert_eq!(text.trim(), known(&run.plan, &run.addresses, &run.board.clock, P1).unwrap());
+    assert_eq!(text.trim(), initial_list(&run.plan, &run.addresses, &run.board.clock, P1).unwrap());
     let list = parse_json(&text);
     assert_eq!((list.get_u64("revision"), list.get_bool("complete")), (Some(41), Some(true)));
     let first = &list.get_array("members").unwrap()[0];
