--- a/crates/aggregation/src/aggregation.rs
+++ b/crates/aggregation/src/aggregation.rs
@@ -1,5 +1,5 @@
-//! The reports that an aggregator has received. Each member counts with its newest report while that is fresh. Grows with
-//! members times the entries of a report, which the wire bounds.
+//! The load reports that an aggregator has received. The newest report of each member counts until it expires. Memory grows with
+//! the number of members times the entries of a report; the wire format limits those entries.
 
 use crate::fleet_sums::{FleetSums, max_connections};
 use crate::member_report::MemberReport;
@@ -8,24 +8,24 @@
 use crate::{Micros, Settings, report_interval};
 use std::collections::BTreeMap;
 
-/// A summary is kept for this long: with 300 reports a second most would be computed for nothing.
+/// Time for which a computed summary is reused. At 300 reports per second, a summary for each report would mostly be wasted work.
 const SUMMARY_LIFETIME: Micros = 100_000;
-/// After its first report an aggregator waits at least this long for the other members' reports.
+/// Minimum time for which an aggregator collects the other members' reports after the first one.
 const MIN_COLLECTION_TIME: Micros = 1_200_000;
 
-/// All members' reports.
+/// The newest reports of all members, and the summary computed from them.
 #[derive(Debug, Default)]
 pub struct Aggregation {
     reports: BTreeMap<u32, MemberReport>,
-    /// When the first of the present reports arrived: the beginning of this member's time as aggregator.
+    /// When the first report arrived since this member became aggregator; `None` if no report is stored.
     first_report_at: Option<Micros>,
-    /// The last summary, and when it was computed.
+    /// The last summary with the time of its computation; `None` before the first one.
     cached_summary: Option<(Micros, FleetSummary)>,
     extra_bytes: f64,
 }
 
 impl Aggregation {
-    /// Takes one fragment of a report; `bytes` is the size of its datagram.
+    /// Stores one fragment of a report; `bytes` is the size of its datagram.
     pub fn record(&mut self, now: Micros, from: u32, bytes: usize, report: Report) {
         self.expire(now);
         self.first_report_at.get_or_insert(now);
@@ -42,17 +42,18 @@
         stored.add_fragment(now, bytes, report);
     }
 
-    /// Sets how many bytes are exchanged for each report besides the report and its summary.
+    /// Sets the number of bytes exchanged per report in addition to the report and its summary.
     pub fn set_extra_bytes(&mut self, bytes: f64) {
         self.extra_bytes = bytes;
     }
 
-    /// Whether a report of this member counts.
+    /// Whether a report of this member is stored.
     pub fn contains(&self, member: u32) -> bool {
         self.reports.contains_key(&member)
     }
 
-    /// Connections of all members that report, and of the selected ones, none counted for more than the limit.
+    /// The connections of all reporting members, and those of the selected members. Each member counts up to the limit
+    /// [`max_connections`].
     pub fn connections(&self, selected: impl Fn(u32) -> bool) -> (f64, f64) {
         let limit = max_connections(&self.reports);
         let count = |report: &MemberReport| f64::from(report.totals.connections).min(limit);
@@ -64,12 +65,13 @@
     fn expire(&mut self, now: Micros) {
         self.reports.retain(|_, report| now <= report.expires_at);
         if self.reports.is_empty() {
-            // The next report begins a new time as aggregator.
+            // The next report starts a new collection phase.
             self.first_report_at = None;
         }
     }
 
-    /// The summary as of now; `capacity` gives an endpoint's in microseconds of work a second, `None` where it isn't listed.
+    /// The current summary. `capacity` returns the capacity of an endpoint in microseconds of work per second, or `None` if the
+    /// endpoint is not listed.
     pub fn summary(
         &mut self,
         settings: &Settings,
@@ -89,7 +91,7 @@
         summary
     }
 
-    /// Whether some members may not have reported yet: each does within the longest interval that one has announced.
+    /// Whether reports of some members may still be missing. Every member reports within the longest announced interval.
     fn is_collecting(&self, settings: &Settings, now: Micros) -> bool {
         let longest = self.reports.values().map(|report| report.next_report_in).max().unwrap_or(0);
         let collection_time =
@@ -97,7 +99,8 @@
         self.first_report_at.is_none_or(|first| now - first < collection_time)
     }
 
-    /// The fleet's bandwidth limit, divided by its members: the same for all, so that no report expires before the next.
+    /// The report interval at which the whole fleet keeps to its bandwidth limit. The interval is the same for all members, so that
+    /// no report expires before its sender's next one.
     fn report_interval(&self, settings: &Settings, summary: &FleetSummary) -> Micros {
         let reports: usize = self.reports.values().map(|report| report.bytes).sum();
         let summaries: usize = write_summary(summary).iter().map(Vec::len).sum();
--- a/crates/aggregation/src/aggregator.rs
+++ b/crates/aggregation/src/aggregator.rs
@@ -1,4 +1,4 @@
-//! A member's role as aggregator: it takes the others' reports and answers with the sums.
+//! The aggregator role of a member: storing the reports of all members and computing the answers.
 
 use crate::affinity_subsets::EndpointPool;
 use crate::aggregation::Aggregation;
@@ -7,7 +7,7 @@
 use crate::{AffinitySettings, Micros, Settings};
 use std::collections::BTreeMap;
 
-/// The reports received, and the capacities that their sums are measured by.
+/// The received reports, and the endpoint capacities needed to turn summed loads into utilizations.
 #[derive(Debug, Default)]
 pub(crate) struct Aggregator {
     capacities: BTreeMap<EndpointDigest, f64>,
@@ -16,19 +16,19 @@
 }
 
 impl Aggregator {
-    /// Replaces the listed endpoints' capacities, in microseconds of work a second.
+    /// Replaces the capacities of the listed endpoints, in microseconds of work per second.
     pub(crate) fn set_capacities(&mut self, capacities: BTreeMap<EndpointDigest, f64>) {
         self.capacities = capacities;
     }
 
-    /// The listed endpoints.
+    /// The number and the mean capacity of the listed endpoints.
     pub(crate) fn endpoints(&self) -> EndpointPool {
         let count = self.capacities.len();
         let total: f64 = self.capacities.values().sum();
         EndpointPool { count: count as u32, mean_capacity: total / count.max(1) as f64 }
     }
 
-    /// Takes one fragment of a report; `bytes` is the size of its datagram, 0 for this member's own report.
+    /// Stores one fragment of a load report; `bytes` is the size of its datagram, 0 for this member's own report.
     pub(crate) fn record_report(&mut self, now: Micros, from: u32, bytes: usize, report: Report) {
         if report.leaving {
             self.group_reports.remove(from);
@@ -36,7 +36,7 @@
         self.load_reports.record(now, from, bytes, report);
     }
 
-    /// Takes one fragment of a group report; `bytes` is the size of its datagram, 0 for this member's own report.
+    /// Stores one fragment of a group report; `bytes` is the size of its datagram, 0 for this member's own report.
     pub(crate) fn record_groups(
         &mut self,
         settings: &Settings,
@@ -48,19 +48,19 @@
         self.group_reports.record(settings, now, from, bytes, report)
     }
 
-    /// Removes group reports that are too old to count.
+    /// Removes expired group reports.
     pub(crate) fn expire_groups(&mut self, now: Micros) {
         self.group_reports.expire(now);
     }
 
-    /// The fleet summary as of now.
+    /// The current fleet summary.
     pub(crate) fn summary(&mut self, settings: &Settings, now: Micros) -> FleetSummary {
         self.load_reports.set_extra_bytes(self.group_reports.mean_bytes());
         let capacities = &self.capacities;
         self.load_reports.summary(settings, now, |endpoint| capacities.get(&endpoint).copied())
     }
 
-    /// The groups whose affinity subset needs more than five endpoints, and how many.
+    /// The groups whose affinity subset needs more than five endpoints, with the size of the subset.
     pub(crate) fn subset_sizes(
         &mut self,
         settings: &Settings,
@@ -68,7 +68,7 @@
         now: Micros,
         configured_members: u32,
     ) -> Vec<(u64, u32)> {
-        // Every member asks in each interval, and what follows looks at all of them.
+        // Every member asks once per interval, and the computation below visits the reports of all members.
         if let Some(sizes) = self.group_reports.cached_sizes(now) {
             return sizes;
         }
@@ -78,7 +78,8 @@
     }
 
     fn fleet_totals(&mut self, configured_members: u32, summary: &FleetSummary) -> FleetTotals {
-        // A member whose load report was lost has its groups counted with those of the members that aren't heard.
+        // A member without a stored load report counts among the silent members, whose groups are extrapolated. Its group report
+        // must not count in addition.
         self.group_reports.retain(|member| self.load_reports.contains(member));
         let (connections, connections_with_groups) =
             self.load_reports.connections(|member| self.group_reports.contains(member));
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Groups that found no room in an answer so far.
+    /// Number of times that a group was left out of an answer because the limit was reached.
     pub(crate) fn groups_truncated(&self) -> u64 {
         self.group_reports.truncated
     }
--- a/crates/aggregation/src/aggregator_order.rs
+++ b/crates/aggregation/src/aggregator_order.rs
@@ -1,17 +1,17 @@
-//! Which member is aggregator, and which ones take its place: rendezvous hashing of epoch and member, which every member
-//! computes alike.
+//! The order of candidates for the aggregator role: rendezvous hashing over epoch and member, with the same result at every
+//! member.
 
 use crate::Micros;
 
-/// How long one order is in force, in microseconds of Unix time. Short enough that a faulty aggregator, one of 300, is in charge
-/// for 3 s of 1,000; long beside the interval in which a new aggregator collects its reports.
+/// How long one order is in force, in microseconds of Unix time. The epoch is short, so that one faulty member of 300 is aggregator
+/// for only 3 s in 1,000 s, and long compared with the time in which a new aggregator collects reports.
 pub const EPOCH: Micros = 20_000_000;
-/// So many are worth asking when those before them don't answer: with seven of ten dead all at once, all 24 are dead in one
-/// case of 5,000.
+/// Number of candidates in an order. If 70% of the members die at once, the probability that all 24 candidates are dead is
+/// 1 in 5,000.
 const CANDIDATES: usize = 24;
 
 fn score(epoch: u64, member: u32) -> u64 {
-    // Finaliser of splitmix64 (Steele and others 2014): members and epochs are both counters.
+    // Finalizer of splitmix64 (Steele et al. 2014). Members and epochs are consecutive numbers, so the hash must mix their bits.
     let mut z =
         epoch.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(member).wrapping_mul(0xd134_2543_de82_ef95);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -19,7 +19,8 @@
     z ^ (z >> 31)
 }
 
-/// The candidates of an epoch, the aggregator first. One member more or less changes the places of no others.
+/// The candidates of an epoch in order, beginning with the aggregator. Adding or removing a member does not change the relative
+/// order of the others.
 pub fn aggregator_order(epoch: u64, members: u32) -> Vec<u32> {
     let mut scored: Vec<(u64, u32)> = (0..members).map(|member| (score(epoch, member), member)).collect();
     let candidates = CANDIDATES.min(scored.len());
--- a/crates/aggregation/src/aggregator_search.rs
+++ b/crates/aggregation/src/aggregator_search.rs
@@ -1,68 +1,71 @@
-//! Whom a member reports to: the first of the epoch's order that answers, and how far the member has come in asking.
+//! The search for an aggregator that answers: a member reports to the first candidate of the epoch's order and, without an
+//! answer, to the next ones.
 
 use crate::Micros;
 use crate::aggregator_order::aggregator_order;
 
-/// An answer that takes longer is lost: there and back at 38 ms each, three times over.
+/// Time after which an answer counts as lost: about three round trips of 2 * 38 ms.
 const ANSWER_TIMEOUT: Micros = 250_000;
-/// Members asked at once while the aggregator is silent: the same one again, then 1, 2, 4 and so on of those next in order.
+/// Maximum number of members asked in one round while the aggregator does not answer. The first round asks the same member again,
+/// the following rounds ask the next 1, 2, 4, 4, ... candidates.
 const MAX_ASKED_AT_ONCE: usize = 4;
-/// Intervals without an answer of the first in order until its deputy is asked first. Guards against members that follow the
-/// deputy after two lost datagrams: the sums would fall apart, half here and half there.
+/// Report intervals without an answer from the first candidate after which reports go to its deputy first. If members switched after
+/// only two lost datagrams, the reports would be split between two aggregators, and neither would have complete sums.
 const SILENT_INTERVALS: u32 = 2;
-/// Even then every third report goes to the first in order: it may be back.
+/// Every third report still goes to the first candidate, which may have recovered.
 const RETRY_FIRST_EVERY: u16 = 3;
-/// Rounds of asking before a member waits for its next interval, and doubles that.
+/// Rounds of asking after which a member gives up until its next report, whose interval is doubled.
 const MAX_ROUNDS: u32 = 6;
-/// After all rounds, and half a second for the way, an answer is none: this process was stopped meanwhile, and what it finds in
-/// its socket is as old as that.
+/// Maximum age of the report that an answer belongs to: all rounds, plus half a second of transit time. An answer to an older report
+/// is dropped, because it may have waited in the socket while this process was stopped.
 pub(crate) const MAX_ANSWER_AGE: Micros = (MAX_ROUNDS as Micros + 2) * ANSWER_TIMEOUT;
-/// Doublings of the report interval at most, while no report is answered.
+/// Maximum number of times that the report interval is doubled while no report is answered.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// How far the last report has come.
+/// The state of the last report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// It was answered, or given up.
+    /// The report was answered, or the member gave up.
     Idle,
-    /// Candidates were asked.
+    /// The report was sent, and the member waits for an answer.
     Asking {
-        /// The round, from 0.
+        /// The current round, counted from 0.
         round: u32,
-        /// Place in the order of the candidate to ask next.
+        /// Position in the order of the candidate to ask next.
         next: usize,
         /// When the next round begins.
         due: Micros,
     },
 }
 
-/// Whom to ask next.
+/// The decision about the next round.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum NextRound {
-    /// These.
+    /// The report goes to these members.
     Ask(Vec<u32>),
-    /// Nobody answers: cut off, or all are dead. The next report begins at the first candidate again.
+    /// No candidate answers: this member is partitioned off, or all candidates are dead. The next report starts with the first
+    /// candidate again.
     GiveUp,
 }
 
-/// The candidates of an epoch, and the state of asking them.
+/// The candidates of an epoch, and the state of the search among them.
 #[derive(Debug)]
 pub(crate) struct AggregatorSearch {
     epoch: u64,
     order: Vec<u32>,
     aggregator: Option<u32>,
     pub(crate) stage: Stage,
-    /// Whom the last report went to, in the order of asking.
+    /// The members that the last report was sent to, in order of sending.
     asked: Vec<u32>,
-    /// Intervals in which the first in order has not answered.
+    /// Number of consecutive intervals in which the first candidate has not answered.
     first_silent_for: u32,
-    /// Reports that stayed without any answer, one after another.
+    /// Number of consecutive reports without any answer.
     unanswered_reports: u32,
     next_epoch_announced: bool,
 }
 
 impl AggregatorSearch {
-    /// Begins in this epoch; `members` is the size of the fleet.
+    /// Creates the search for an epoch; `members` is the size of the fleet.
     pub(crate) fn new(epoch: u64, members: u32) -> Self {
         AggregatorSearch {
             epoch,
@@ -76,7 +79,7 @@
         }
     }
 
-    /// Computes the order anew if the epoch is another one; whether it is.
+    /// Recomputes the order if the epoch has changed, and returns whether it has.
     pub(crate) fn enter_epoch(&mut self, epoch: u64, members: u32) -> bool {
         if epoch == self.epoch {
             return false;
@@ -88,22 +91,22 @@
         true
     }
 
-    /// The first in order; `None` without members.
+    /// The first candidate; `None` if the fleet has no members.
     pub(crate) fn first(&self) -> Option<u32> {
         self.order.first().copied()
     }
 
-    /// The aggregator, as far as is known.
+    /// The aggregator known to this member; `None` if no candidate has answered.
     pub(crate) fn aggregator(&self) -> Option<u32> {
         self.aggregator
     }
 
-    /// Sets the aggregator; whether it is another one than before.
+    /// Sets the aggregator, and returns whether it has changed.
     pub(crate) fn set_aggregator(&mut self, aggregator: Option<u32>) -> bool {
         std::mem::replace(&mut self.aggregator, aggregator) != aggregator
     }
 
-    /// Begins a report with this sequence number; whom it goes to first.
+    /// Begins a report with this sequence number, and returns its first receiver.
     pub(crate) fn begin_report(&mut self, sequence: u16) -> Option<u32> {
         self.asked.clear();
         let ask_first =
@@ -111,25 +114,25 @@
         if ask_first { self.first() } else { self.aggregator.or(self.first()) }
     }
 
-    /// Waits for the answer of the one whom the report went to first.
+    /// Starts to wait for an answer from the first receiver of the report.
     pub(crate) fn await_answer(&mut self, now: Micros, receiver: u32) {
         let next = self.place(receiver).map_or(0, |place| place + 1);
         self.stage = Stage::Asking { round: 0, next, due: now + ANSWER_TIMEOUT };
     }
 
-    /// Notes whom the report went to.
+    /// Records that the report was sent to this member.
     pub(crate) fn note_asked(&mut self, member: u32) {
         if !self.asked.contains(&member) {
             self.asked.push(member);
         }
     }
 
-    /// Whether the last report went to this member.
+    /// Whether the last report was sent to this member.
     pub(crate) fn has_asked(&self, member: u32) -> bool {
         self.asked.contains(&member)
     }
 
-    /// The answer is late: the same candidate is asked again, then those after it in the order.
+    /// Starts the next round after a timeout: the first receiver is asked once more, then the candidates after it in the order.
     pub(crate) fn next_round(&mut self, now: Micros, round: u32, next: usize) -> NextRound {
         if round >= MAX_ROUNDS || self.order.len() <= 1 {
             self.stage = Stage::Idle;
@@ -149,14 +152,15 @@
         NextRound::Ask((next..next + many).map(|place| self.order[place % self.order.len()]).collect())
     }
 
-    /// Takes this member's answer for the aggregator's, unless a better one was taken before.
+    /// Returns whether the sender of this answer becomes the aggregator. It does not if the report has already been answered by a
+    /// member with a better rank.
     pub(crate) fn accept_answer(&mut self, from: u32) -> bool {
-        // The order may have changed since the report was sent.
+        // If a new epoch has begun since the report was sent, the sender may be missing in the order.
         let rank = self.place(from).unwrap_or(usize::MAX);
         if rank == 0 {
             self.first_silent_for = 0;
         }
-        // Of several that answer, the first in order is everybody's.
+        // If several candidates answer, all members must choose the same one: the first in the order.
         let known_is_better =
             self.aggregator.and_then(|known| self.place(known)).is_some_and(|known| known < rank);
         if self.stage == Stage::Idle && known_is_better {
@@ -166,13 +170,13 @@
         true
     }
 
-    /// The last report has its answer.
+    /// Marks the last report as answered.
     pub(crate) fn end_report(&mut self) {
         self.stage = Stage::Idle;
         self.unanswered_reports = 0;
     }
 
-    /// The aggregator of that epoch if it is a later one that was not announced yet; then it counts as announced.
+    /// Returns the first candidate of `epoch` once, if `epoch` is later than the current one; otherwise `None`.
     pub(crate) fn announce(&mut self, epoch: u64, members: u32) -> Option<u32> {
         if epoch <= self.epoch || self.next_epoch_announced {
             return None;
@@ -181,7 +185,7 @@
         aggregator_order(epoch, members).first().copied()
     }
 
-    /// The interval until the next report, doubled for each report without an answer.
+    /// The interval until the next report, doubled for each consecutive unanswered report.
     pub(crate) fn back_off(&self, interval: Micros) -> Micros {
         interval << self.unanswered_reports.min(MAX_DOUBLINGS)
     }
--- a/crates/aggregation/src/config.rs
+++ b/crates/aggregation/src/config.rs
@@ -1,4 +1,4 @@
-//! The section `[fleet]` of the operator's file.
+//! The section `[fleet]` of the operator's configuration file.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,39 +6,42 @@
 const PERIOD_MS: u32 = 1_000;
 const LONGEST_PERIOD_MS: u32 = 6_000;
 const DATAGRAMS_WITHIN: (f64, f64) = (0.01, 1_000.0);
-/// Milliseconds. Below, answers cross the next report; above, no summary is worth its datagram.
+/// In milliseconds. With a shorter interval the next report is sent before the answer arrives; with a longer one a summary is too
+/// old to be worth its datagram.
 const PERIOD_WITHIN: (u32, u32) = (200, 60_000);
-/// Groups of one report, and of one answer: what 16 datagrams hold, with room for long numbers.
+/// Number of groups in one report or one answer. 320 fit into 16 datagrams even when their numbers are long.
 const GROUPS_WITHIN: (u32, u32) = (1, 320);
-/// Up to a quarter of a node, a group shares each endpoint of its subset with others.
+/// At a quarter of a node's capacity, a group shares each endpoint of its subset with other groups.
 const TARGET_UTILIZATION: f64 = 0.25;
 const TARGET_UTILIZATION_WITHIN: (f64, f64) = (0.05, 0.9);
 const SHRINK_HOLD_S: u32 = 600;
 const RETENTION_S: u32 = 180;
-/// Under 10 s, two answers that are lost would count as silence.
+/// In seconds. Below 10 s, the loss of two answers would be taken for a silent aggregator.
 const SECONDS_WITHIN: (u32, u32) = (10, 86_400);
-/// With fewer members each can send to every other.
+/// With fewer than four members, each one can send its load to every other directly.
 const MEMBERS_WITHIN: (u32, u32) = (4, 65_535);
 
-/// The section as it is written. Off unless `members_from` is set.
+/// The section as written in the file. Aggregation is off unless `members_from` is set.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetSection {
-    /// The number of proxies from which on a fleet aggregates reports, in place of gossip.
+    /// The number of proxies from which a fleet aggregates load reports instead of using gossip.
     pub members_from: Option<u32>,
-    /// Bandwidth limit of the fleet: full datagrams (256 bytes) sent for each request that arrives at any of its proxies.
+    /// Bandwidth limit of the fleet: full datagrams (256 bytes) per request that arrives at any of its proxies.
     pub datagrams_per_request: f64,
-    /// The least time between two reports of a proxy, in milliseconds.
+    /// The minimum time between two reports of a proxy, in milliseconds.
     pub period_ms: u32,
-    /// The most, however few requests arrive, in milliseconds.
+    /// The maximum time between two reports of a proxy, in milliseconds, even when few requests arrive.
     pub longest_period_ms: u32,
-    /// Groups that a proxy reports, the heaviest, and groups that one answer gives more than five endpoints. Off unless set.
+    /// The maximum number of groups in a proxy's report, which names those with the most load, and the maximum number of groups to
+    /// which one answer gives more than five endpoints. Without this key, affinity subsets do not follow the load.
     pub group_homes: Option<u32>,
-    /// Share of a node's capacity that one group is to use at each endpoint of its subset, what it costs there included.
+    /// Share of a node's capacity that one group is to use at each endpoint of its subset, including the fixed cost of the group
+    /// at the endpoint.
     pub home_use: f64,
-    /// Seconds within which a group's subset shrinks by half at most.
+    /// Time in seconds within which a group's subset shrinks by at most half.
     pub homes_hold_s: u32,
-    /// Seconds for which the last answer's sizes count when no other arrives.
+    /// Time in seconds for which the sizes of the last answer stay in force when no further answer arrives.
     pub homes_keep_s: u32,
 }
 
@@ -57,61 +60,61 @@
     }
 }
 
-/// Settings of affinity subsets that follow a group's load, checked. Times in microseconds.
+/// Validated settings of affinity subsets that follow a group's load. Times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AffinitySettings {
-    /// Groups of one report, or of one answer, at most.
+    /// Maximum number of groups in one report or one answer.
     pub max_groups: usize,
-    /// Share of a node's capacity for one group at each endpoint of its subset.
+    /// Share of a node's capacity that one group is to use at each endpoint of its subset.
     pub target_utilization: f64,
-    /// Within this time a subset shrinks by half at most.
+    /// Time within which a subset shrinks by at most half.
     pub shrink_hold: i64,
-    /// How long the last answer counts.
+    /// Time for which the sizes of the last answer stay in force when no further answer arrives.
     pub retention: i64,
 }
 
-/// A checked section that is on. Times in microseconds.
+/// The validated section of a fleet with aggregation. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The least number of members that aggregate.
+    /// The number of members from which the fleet aggregates load reports.
     pub members_from: u32,
-    /// Full datagrams for each request of the fleet.
+    /// Bandwidth limit: full datagrams per request that arrives at the fleet.
     pub datagrams_per_request: f64,
-    /// The least time between two reports.
+    /// The minimum time between two reports of a member.
     pub min_report_interval: i64,
-    /// The most.
+    /// The maximum time between two reports of a member.
     pub max_report_interval: i64,
-    /// Affinity subsets that follow a group's load; `None`: five endpoints, whatever its load.
+    /// Settings of affinity subsets that follow a group's load; `None` if every group has five endpoints.
     pub affinity: Option<AffinitySettings>,
 }
 
-/// What is wrong with the section; the message begins with the key.
+/// An invalid section; the message begins with the key.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FleetSectionError {
-    /// Out of bounds.
+    /// A value is outside its range.
     #[error("fleet.{key} is not within {least} to {most}: '{value}'")]
     OutOfBounds {
-        /// The key.
+        /// The name of the key in the section.
         key: &'static str,
-        /// The least allowed.
+        /// The smallest valid value.
         least: f64,
-        /// The most allowed.
+        /// The largest valid value.
         most: f64,
-        /// What was given.
+        /// The configured value.
         value: f64,
     },
-    /// The longest period is under the shortest.
+    /// `longest_period_ms` is less than `period_ms`.
     #[error("fleet.longest_period_ms is less than period_ms: '{longest}' and '{least}'")]
     Order {
-        /// The longest.
+        /// The value of `longest_period_ms`.
         longest: u32,
-        /// The shortest.
+        /// The value of `period_ms`.
         least: u32,
     },
 }
 
 impl FleetSection {
-    /// The settings, if the section is sound; `None` if it is off. Bounds are checked even then.
+    /// Validates the section and returns its settings, or `None` if aggregation is off. Ranges are checked in both cases.
     pub fn check(&self) -> Result<Option<Settings>, FleetSectionError> {
         let within = |key, value: f64, least: f64, most: f64| match value {
             _ if (least..=most).contains(&value) => Ok(()),
--- a/crates/aggregation/src/interface.rs
+++ b/crates/aggregation/src/interface.rs
@@ -1,78 +1,79 @@
-//! What a member is given and what it gives: inputs, outputs and counts.
+//! The inputs, outputs and counters of a member.
 
 use crate::groups::GroupLoad;
 use crate::wire::{EndpointDigest, Entry, Totals};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What this proxy has at present.
+/// The connections and the load of this proxy at present.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LocalLoad {
-    /// Its sums.
+    /// Sums over all endpoints.
     pub totals: Totals,
-    /// Each endpoint where it has connections or evidence.
+    /// One entry for each endpoint to which this proxy has connections, or of which it has health evidence.
     pub entries: Vec<Entry>,
 }
 
-/// What happened.
+/// An event that the caller passes to [`crate::Member::handle`].
 #[derive(Clone, Debug)]
 pub enum Input<'a> {
     /// A datagram arrived.
     Datagram {
-        /// The ordinal of the member that has the sender's address; `None`: no member has it.
+        /// The ordinal of the member that has the sender's address; `None` if no member has this address.
         from: Option<u32>,
-        /// Its bytes.
+        /// The content of the datagram.
         bytes: &'a [u8],
     },
-    /// What this proxy has now, in place of what it had before.
+    /// Replaces the load of this proxy.
     LocalLoad(LocalLoad),
-    /// The listed endpoints' capacities, microseconds of work a second, for the time when this member is aggregator.
+    /// Replaces the capacities of the listed endpoints, in microseconds of work per second. A member needs them as aggregator.
     Capacities(BTreeMap<EndpointDigest, f64>),
-    /// What this proxy has of each group, in place of what it had before. Only where affinity subsets follow a group's load.
+    /// Replaces the load of each group at this proxy. Of use only where affinity subsets follow a group's load.
     GroupLoads(Vec<GroupLoad>),
-    /// This proxy drains: what it had counts no more.
+    /// This proxy is draining: its load no longer counts.
     Leave,
-    /// [`crate::Member::next_timeout`] has come.
+    /// The time given by [`crate::Member::next_timeout`] has been reached.
     Tick,
 }
 
-/// What is to be done, or to be known.
+/// An action for the caller to perform, or a change to take note of.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send this datagram, 256 bytes at most.
+    /// The caller is to send this datagram of at most 256 bytes.
     Send {
         /// The receiving member's ordinal.
         to: u32,
         /// The datagram.
         bytes: Vec<u8>,
     },
-    /// There is a new [`crate::Member::snapshot`].
+    /// [`crate::Member::snapshot`] was replaced by a newer one.
     Snapshot,
-    /// Another member is aggregator, as far as this one knows; `None`: none answers.
+    /// The aggregator known to this member has changed; `None` if no candidate answers.
     Aggregator(Option<u32>),
     /// [`crate::Member::affinity_subsets`] have changed.
     AffinitySubsets,
 }
 
-/// Sums since the start.
+/// Event counters since the member was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams that were malformed, from no member, or answers to no report.
+    /// Received datagrams that were malformed, came from a sender that is no member, or answered no pending report.
     pub dropped: u64,
-    /// Reports that stayed without an answer, each retry counted.
+    /// Unanswered reports; each retry counts.
     pub unanswered: u64,
-    /// Answers that arrived after their time.
+    /// Answers that arrived after their timeout.
     pub late: u64,
-    /// Datagrams with subset sizes that were accepted.
+    /// Accepted datagrams with subset sizes.
     pub subset_tables_received: u64,
-    /// Times that a group found no room: in this proxy's report, in an answer of its own, or among those that it acts on.
+    /// Times that a group was left out because a limit was reached: in this proxy's report, in its answer as aggregator, or in the
+    /// table of subset sizes in force.
     pub groups_cut: u64,
 }
 
-/// Outputs that wait for [`crate::Member::poll`], and the counts.
+/// The queue of outputs for [`crate::Member::poll`], and the counters.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     pub(crate) counts: Counts,
--- a/crates/aggregation/src/lib.rs
+++ b/crates/aggregation/src/lib.rs
@@ -1,13 +1,14 @@
-//! Aggregation of load reports over a fleet of proxies, sans-io: fully deterministic, no sockets, no clocks, no randomness but that
-//! from one seed. [`Member`] is `handle(now, input)`, `poll() -> output` and `next_timeout()`.
+//! Aggregation of load reports over a fleet of proxies, sans-io and deterministic: the crate opens no sockets, reads no clock and
+//! takes all randomness from one seed. A caller drives a [`Member`] with `handle(now, input)`, `poll() -> output` and
+//! `next_timeout()`.
 //!
-//! Each proxy of a large fleet has a few connections, which say next to nothing of the render nodes. So each member reports
-//! what it has, once an interval, to the member that is *aggregator* for the time being, and gets a *fleet summary*, the sums of
-//! all reports, as the answer. The aggregator is another one every [`EPOCH`]; all members compute the same order.
-//! `docs/design/fleet-view.md` says why, and what it costs.
+//! Each proxy of a large fleet has only a few connections, which reveal almost nothing about the load of the render nodes. Every
+//! member therefore sends a load report once per interval to the current *aggregator*, which is one of the members. The aggregator
+//! answers with a *fleet summary*, the sums over all reports. The aggregator changes every [`EPOCH`]; all members compute the
+//! same order of candidates. `docs/design/fleet-view.md` describes the reasons and the costs.
 //!
-//! The aggregator also sums up what all members have of each large group, and answers how many endpoints the group's affinity
-//! subset needs if five are too few: `docs/design/group-homes.md`.
+//! The aggregator also sums up the load of each large group over all members. If five endpoints are too few for a group, the
+//! answer contains the size that the group's affinity subset needs: `docs/design/group-homes.md`.
 
 pub mod affinity_subsets;
 mod aggregation;
@@ -37,5 +38,5 @@
 pub use snapshot::{EndpointUsage, Snapshot};
 pub use wire::{EndpointDigest, Entry, HealthVerdict};
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = i64;
