--- a/crates/aggregation/src/aggregation.rs
+++ b/crates/aggregation/src/aggregation.rs
@@ -53,7 +53,7 @@
     }
 
     /// The connections of all reporting members, and those of the selected members. Each member counts up to the limit
-    /// [`max_connections`].
+    /// `max_connections`.
     pub fn connections(&self, selected: impl Fn(u32) -> bool) -> (f64, f64) {
         let limit = max_connections(&self.reports);
         let count = |report: &MemberReport| f64::from(report.totals.connections).min(limit);
--- a/crates/aggregation/src/fleet_sums.rs
+++ b/crates/aggregation/src/fleet_sums.rs
@@ -1,4 +1,4 @@
-//! The sums of all members' reports: what one member may add to them, and the fleet summary that follows.
+//! The sums over all members' reports, the limits for the contribution of a single report, and the resulting fleet summary.
 
 use crate::member_report::MemberReport;
 use crate::wire::{
@@ -6,26 +6,27 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Load that each group adds to each endpoint which holds any of it, in mean connection loads: the platform's figure,
-/// which no setting carries.
+/// Fixed cost of a group at every endpoint that has a connection of the group, in multiples of a connection's mean load. The
+/// platform specifies the value; it is not configurable.
 pub(crate) const GROUP_COST: f64 = 3.0;
-/// The limit of what one report counts for, as a multiple of what 19 of 20 report. Guards against faulty members: what one or two
-/// of 40 report doesn't move this mark, and clients never arrive as unevenly.
+/// Limit for a figure of one report, as a multiple of the 95th percentile over all members. Guards against faulty members: one or
+/// two faulty members of 40 do not change the percentile. Clients are never distributed so unevenly that a correct member exceeds
+/// the limit.
 pub(crate) const MAX_OVER_USUAL: f64 = 2.0;
-/// ... and this much, in connections, where most members have none.
+/// Connections added to the limit, so that it is above zero where most members have no connections.
 pub(crate) const ALWAYS_ALLOWED: f64 = 4.0;
-/// ... and this much, in events a second.
+/// Events per second added to the limit of a rate, so that it is above zero where most members report none.
 const ALWAYS_ALLOWED_PER_S: f64 = 0.5;
-/// Mean load of a member's connections, in medians of what members report.
+/// Limit for the mean load of a member's connections, as a multiple of the median over all members.
 const MAX_MEAN_LOAD: f64 = 4.0;
-/// An endpoint on which this many times the usual number of proxies, for its capacity, have just set up connections is reported
-/// as utilized by 0.4 at least. Guards against a crowd that all choose the same endpoint before the next summary shows the
-/// effect.
+/// An endpoint is crowded if the number of proxies that have just set up connections there, per capacity, exceeds the fleet's mean by
+/// this factor. The summary reports a crowded endpoint with a utilization of at least 0.4. Otherwise many proxies could choose
+/// the same endpoint before the next summary shows its load.
 const CROWDED: f64 = 1.5;
-/// So many members must agree on a verdict: one alone may itself be cut off.
+/// Number of members that must agree on a verdict. A single member may itself be partitioned off.
 const MIN_AGREEING: u32 = 2;
 
-/// What one member's report counts for at most.
+/// Upper limits for the figures of one member's report.
 pub(crate) struct ReportLimits {
     connections: f64,
     requests_per_s: f64,
@@ -48,16 +49,16 @@
     }
 }
 
-/// The most connections that one member's report counts for.
+/// Upper limit for the connections of one member's report.
 pub(crate) fn max_connections(reports: &BTreeMap<u32, MemberReport>) -> f64 {
     limit(reports, ALWAYS_ALLOWED, |totals| f64::from(totals.connections))
 }
 
-/// The most of a figure that one member's report counts for.
+/// Upper limit for a figure of one member's report.
 fn limit(reports: &BTreeMap<u32, MemberReport>, always: f64, figure: impl Fn(&Totals) -> f64) -> f64 {
     let mut all: Vec<f64> = reports.values().map(|report| figure(&report.totals)).collect();
     all.sort_by(f64::total_cmp);
-    // The 19th of 20: with 40 members two may report what they like.
+    // The 95th percentile: with 40 members, any value reported by two of them does not affect it.
     let usual = all.get((all.len() * 19 / 20).saturating_sub(1)).copied().unwrap_or(0.0);
     MAX_OVER_USUAL * usual + always
 }
@@ -68,13 +69,13 @@
     means.get(means.len() / 2).copied().unwrap_or(0.0)
 }
 
-/// Mean load of a connection of one member; `None` if it has none.
+/// Mean load of a member's connections; `None` if the member has no connections.
 fn mean_load(report: &MemberReport) -> Option<f64> {
     let load: f64 = report.current_entries().map(|entry| entry.load).sum();
     (report.totals.connections > 0).then(|| load / f64::from(report.totals.connections))
 }
 
-/// Sums of one endpoint.
+/// Sums over all members for one endpoint.
 #[derive(Clone, Debug, Default)]
 struct EndpointSum {
     load: f64,
@@ -106,7 +107,7 @@
 }
 
 impl FleetSums {
-    /// Adds up all reports, none for more than the limits allow.
+    /// Adds up all reports, with each report reduced to the limits.
     pub(crate) fn of(reports: &BTreeMap<u32, MemberReport>) -> Self {
         let limits = ReportLimits::of(reports);
         let mut sums = FleetSums { members: reports.len() as u32, ..FleetSums::default() };
@@ -127,7 +128,7 @@
         self.add_entries(report, factor, limits.connections as usize);
     }
 
-    /// A member has no more groups than connections.
+    /// Adds a report's entries. At most `max_groups` groups of a report count, since a member has no more groups than connections.
     fn add_entries(&mut self, report: &MemberReport, factor: f64, max_groups: usize) {
         let mut groups_left = max_groups;
         for entry in report.current_entries() {
@@ -140,13 +141,13 @@
         }
     }
 
-    /// Mean load of a connection, in microseconds of work a second.
+    /// Mean load of a connection, in microseconds of work per second.
     fn mean_load(&self) -> f64 {
         if self.connections > 0.0 { self.load / self.connections } else { 0.0 }
     }
 
-    /// The summary, but for the report interval; `capacity` gives an endpoint's in microseconds of work a second, `None` where
-    /// it isn't listed.
+    /// The summary without the report interval. `capacity` returns the capacity of an endpoint in microseconds of work per second,
+    /// or `None` if the endpoint is not listed.
     pub(crate) fn into_summary(
         self,
         incomplete: bool,
@@ -176,7 +177,7 @@
     }
 }
 
-/// Proxies that have just set up connections, and the capacity that took them, over all endpoints.
+/// The number of proxies that have just set up connections, and the capacity of the endpoints, each summed over all endpoints.
 struct SetupDensity {
     proxies: f64,
     capacity: f64,
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Whether this number of proxies is far more than usual for an endpoint of this capacity.
+    /// Whether this number of proxies makes an endpoint of this capacity crowded.
     fn is_exceeded(&self, proxies: u32, capacity: f64) -> bool {
         proxies >= MIN_AGREEING
             && f64::from(proxies) / capacity.max(1.0) > CROWDED * self.proxies / self.capacity.max(1.0)
--- a/crates/aggregation/src/group_sums.rs
+++ b/crates/aggregation/src/group_sums.rs
@@ -1,5 +1,5 @@
-//! The group reports that an aggregator has received, and the sizes of the affinity subsets that follow. Grows with members times
-//! the groups of a report, which the wire bounds; a report expires as load reports do.
+//! The group reports that an aggregator has received, and the sizes of the affinity subsets computed from them. Memory grows with
+//! the number of members times the groups of a report; the wire format limits those groups. Group reports expire like load reports.
 
 use crate::affinity_subsets::{EndpointPool, MIN_SUBSET_SIZE, required_size};
 use crate::fleet_sums::{ALWAYS_ALLOWED, MAX_OVER_USUAL};
@@ -9,33 +9,34 @@
 use crate::{AffinitySettings, Micros, Settings};
 use std::collections::BTreeMap;
 
-/// Sizes are kept for this long: a group's load changes within minutes, and 440 members' groups take a millisecond or two.
+/// Time for which computed sizes are reused. A group's load changes within minutes, and computing the sizes for 440 members takes
+/// one or two milliseconds.
 const SIZES_LIFETIME: Micros = 1_000_000;
-/// Members that aren't heard are taken to have as much as the others, up to as many again: with two regions that lose each other,
-/// the connections of the half that is cut off are still there.
+/// Limit for extrapolating sums to members without a report, which are assumed to have the same load as the others. The limit is
+/// twice the reported load: if two regions are partitioned, the connections of the unreachable half are still open.
 const MAX_EXTRAPOLATION: f64 = 2.0;
-/// Bytes of one group in an answer, about.
+/// Approximate number of bytes of one group in an answer.
 const BYTES_PER_SIZE: usize = 10;
 
-/// What the aggregator knows of the fleet besides groups.
+/// What the aggregator knows about the fleet from sources other than group reports.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FleetTotals {
-    /// Members by configuration.
+    /// Number of configured members.
     pub configured_members: u32,
-    /// Members that report.
+    /// Number of members with a load report.
     pub reporting_members: u32,
-    /// Connections of those, none counted for more than the limit.
+    /// Connections of the reporting members; each member counts up to the limit.
     pub connections: f64,
-    /// Connections of the members that report groups: older programs don't.
+    /// Connections of the members that also report groups. Older program versions do not.
     pub connections_with_groups: f64,
-    /// Mean load of a connection.
+    /// Mean load of a connection, in microseconds of work per second.
     pub mean_load: f64,
-    /// The listed endpoints.
+    /// The number and the mean capacity of the listed endpoints.
     pub endpoints: EndpointPool,
 }
 
 impl FleetTotals {
-    /// What a sum over the members that report groups is multiplied with, to stand for all members.
+    /// The factor that extrapolates a sum over the members with group reports to all configured members.
     fn extrapolation(&self) -> f64 {
         let without_groups = if self.connections_with_groups > 0.0 {
             (self.connections / self.connections_with_groups).clamp(1.0, MAX_EXTRAPOLATION)
@@ -53,10 +54,11 @@
     expires_at: Micros,
     sequence: u16,
     fragments: u8,
-    /// Bit n: fragment n has arrived.
+    /// Bit n is set if fragment n has arrived.
     fragments_received: u16,
     bytes: usize,
-    /// Each load with the sequence number of its report: while a fragment of the newest is missing, the previous one stands in.
+    /// Load of each group, with the sequence number of the report that contained it. Groups of the previous report stay until all
+    /// fragments of the newest one have arrived.
     groups: BTreeMap<u64, (u16, f64)>,
 }
 
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Begins a newer report; the previous one's groups stand in for fragments that are still to arrive.
+    /// Begins a newer report. The groups of the previous report replace fragments that have not arrived yet.
     fn supersede(&mut self, report: &GroupReport, order: SequenceOrder) {
         let previous = self.sequence;
         let usable = order != SequenceOrder::Restarted;
@@ -94,12 +96,12 @@
     }
 }
 
-/// Whether a datagram is one that a correct member sends.
+/// The result of recording a fragment of a group report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recorded {
-    /// It was taken, or changed nothing.
+    /// The fragment was stored, or was outdated or a duplicate and changed nothing.
     Accepted,
-    /// A fragment that arrived again names other groups than the first time.
+    /// The fragment has arrived before with other groups. A correct member does not send such a fragment.
     Contradictory,
 }
 
@@ -107,15 +109,15 @@
 #[derive(Debug, Default)]
 pub struct GroupSums {
     reports: BTreeMap<u32, MemberGroups>,
-    /// The last sizes, and when they were computed.
+    /// The last sizes with the time of their computation; `None` before the first one.
     cached_sizes: Option<(Micros, Vec<(u64, u32)>)>,
-    /// Groups that found no room in an answer.
+    /// Number of times that a group was left out of an answer because the limit was reached.
     pub truncated: u64,
 }
 
 impl GroupSums {
-    /// Takes one fragment of a report; `bytes` is the size of its datagram. The same fragment of a report again changes nothing, so a member has two reports here at
-    /// most.
+    /// Stores one fragment of a report; `bytes` is the size of its datagram. A duplicate of a fragment changes no stored group, so at
+    /// most two reports of a member are stored.
     pub fn record(
         &mut self,
         settings: &Settings,
@@ -130,7 +132,7 @@
             SequenceOrder::Same => {}
             order => stored.supersede(&report, order),
         }
-        // No correct member is silent for longer, whatever this one announces.
+        // The announced interval is limited to 2.5 maximum intervals: no correct member waits longer between two reports.
         let next = report.next_report_in.clamp(MIN_NEXT_REPORT_IN, 5 * settings.max_report_interval / 2);
         stored.expires_at = now + LIFETIME_HALF_INTERVALS * next / 2;
         if stored.fragments_received & report.fragment.bit() == 0 {
@@ -141,40 +143,40 @@
         if known { Recorded::Accepted } else { Recorded::Contradictory }
     }
 
-    /// Removes a member that has left.
+    /// Removes the report of a member that has left.
     pub fn remove(&mut self, member: u32) {
         self.reports.remove(&member);
     }
 
-    /// Keeps the selected members only.
+    /// Keeps only the reports of the selected members.
     pub fn retain(&mut self, selected: impl Fn(u32) -> bool) {
         self.reports.retain(|member, _| selected(*member));
     }
 
-    /// Removes reports that are too old to count.
+    /// Removes expired reports.
     pub fn expire(&mut self, now: Micros) {
         self.reports.retain(|_, report| now <= report.expires_at);
     }
 
-    /// Whether this member reports its groups.
+    /// Whether a group report of this member is stored.
     pub fn contains(&self, member: u32) -> bool {
         self.reports.contains_key(&member)
     }
 
-    /// Mean bytes of a group report and its answer.
+    /// Mean number of bytes of a group report and its answer.
     pub fn mean_bytes(&self) -> f64 {
         let reports: usize = self.reports.values().map(|report| report.bytes).sum();
         let answer = self.cached_sizes.as_ref().map_or(0, |(_, sizes)| BYTES_PER_SIZE * sizes.len());
         reports as f64 / self.reports.len().max(1) as f64 + answer as f64
     }
 
-    /// The last sizes, while they are not to be computed anew.
+    /// The last sizes, or `None` if they are older than `SIZES_LIFETIME`.
     pub fn cached_sizes(&self, now: Micros) -> Option<Vec<(u64, u32)>> {
         let cached = self.cached_sizes.as_ref();
         cached.filter(|(computed_at, _)| now - computed_at < SIZES_LIFETIME).map(|(_, sizes)| sizes.clone())
     }
 
-    /// The groups whose subset needs more than five endpoints, the largest subsets first.
+    /// The groups whose subset needs more than five endpoints, with the size of the subset, in descending order of size.
     pub fn subset_sizes(
         &mut self,
         settings: &AffinitySettings,
@@ -200,9 +202,10 @@
         sizes
     }
 
-    /// Each group's load over all members that report theirs. No member counts for more than twice what 19 of 20 have of a group,
-    /// and four connections: a faulty one moves a sum by no more. Half of the configured members count at least, as if the rest
-    /// of that had nothing: an aggregator that hears three members would take one of them for the usual.
+    /// Load of each group, summed over all members with a group report. Each member counts up to twice the 95th percentile of the
+    /// group's load plus four connections, which limits the effect of a faulty member. The percentile is taken over at least half of
+    /// the configured members, with a load of zero for those without a report: otherwise, with only three reports, the report of one
+    /// faulty member would set the percentile.
     pub fn sums(&self, mean_load: f64, configured_members: u32) -> Vec<(u64, f64)> {
         let reported = self.reports.values().flat_map(|report| &report.groups);
         let mut loads: Vec<(u64, f64)> = reported.map(|(group, (_, load))| (*group, *load)).collect();
@@ -213,10 +216,10 @@
     }
 }
 
-/// The sum of one group's loads in ascending order, each limited by what 19 of 20 members have.
+/// The sum of one group's loads, which are in ascending order, with each load limited relative to the 95th percentile.
 fn limited_sum(loads: &[(u64, f64)], members: usize, mean_load: f64) -> f64 {
     let rank = (members * 19 / 20).saturating_sub(1);
-    // Members that don't name the group have nothing of it.
+    // Members that do not name the group count with a load of zero.
     let without = members - loads.len();
     let usual = rank.checked_sub(without).and_then(|rank| loads.get(rank)).map_or(0.0, |(_, load)| *load);
     let limit = MAX_OVER_USUAL * usual + ALWAYS_ALLOWED * mean_load;
--- a/crates/aggregation/src/groups.rs
+++ b/crates/aggregation/src/groups.rs
@@ -1,18 +1,18 @@
-//! The heaviest groups of one proxy: what its group report names. Bounded by the operator's setting.
+//! The selection of the groups for a proxy's group report: those with the most load, up to the configured number.
 
-/// What a proxy has of one group.
+/// The connections and the load of one group at a proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GroupLoad {
-    /// Digest of its name, the same at every proxy.
+    /// Digest of the group's name; every proxy computes the same digest.
     pub group: u64,
-    /// This proxy's connections of it.
+    /// Number of this proxy's connections that belong to the group.
     pub connections: u32,
-    /// Their summed load, work in microseconds a second.
+    /// Summed load of these connections, in microseconds of work per second.
     pub load: f64,
 }
 
-/// The heaviest `max_groups` groups whose load is `min_load` or more, the heaviest first; and how many others had that load.
-/// Of equal ones every proxy keeps the same.
+/// The `max_groups` groups with the most load among those with at least `min_load`, in descending order of load, and the number of
+/// groups left out because of `max_groups`. Ties are broken by the digest, so that every proxy selects the same groups.
 pub fn heaviest(mut groups: Vec<GroupLoad>, max_groups: usize, min_load: f64) -> (Vec<GroupLoad>, usize) {
     groups.retain(|group| group.load.is_finite() && group.load >= min_load);
     let order = |a: &GroupLoad, b: &GroupLoad| b.load.total_cmp(&a.load).then(a.group.cmp(&b.group));
--- a/crates/aggregation/src/member.rs
+++ b/crates/aggregation/src/member.rs
@@ -1,5 +1,5 @@
-//! One member: it reports to the aggregator, asks others while that is silent, and is aggregator when it is asked. What it does
-//! with datagrams is in `receiving`.
+//! The state machine of one member. A member reports to the aggregator, searches for another one if the aggregator does not answer,
+//! and acts as aggregator for every member that reports to it. The module `receiving` handles incoming datagrams.
 
 use crate::aggregator::Aggregator;
 use crate::aggregator_order::EPOCH;
@@ -13,17 +13,17 @@
 use crate::wire::{self, Fragment, GroupReport, Report};
 use crate::{Micros, Settings};
 
-/// How long a snapshot's report interval and connection share count, in multiples of the longest interval.
+/// Time for which the report interval and the connection share of a snapshot are used, in multiples of the maximum report interval.
 const SNAPSHOT_LIFETIME_INTERVALS: Micros = 4;
-/// A member takes its share of all connections to be this much of an even one at least.
+/// Lower limit for the share of all connections that a member assumes to have, as a fraction of an even share.
 const MIN_OF_EVEN_SHARE: f64 = 0.5;
 
-/// Why a report is sent.
+/// The purpose of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReportKind {
-    /// The receiver is to answer.
+    /// The receiver is to answer with a summary.
     Query,
-    /// The receiver will be aggregator soon: it gets what it will need.
+    /// The receiver is the aggregator of the next epoch and stores the report in advance.
     AdvanceNotice,
 }
 
@@ -34,7 +34,7 @@
     pub(crate) me: u32,
     pub(crate) members: u32,
     pub(crate) now: Micros,
-    /// Unix time at the time 0 of the clock, microseconds: epochs are the same for all members.
+    /// Unix time minus `now`, in microseconds. Epochs follow Unix time, so that they are the same for all members.
     unix_offset: Micros,
     pub(crate) search: AggregatorSearch,
     pub(crate) schedule: ReportSchedule,
@@ -47,7 +47,8 @@
 }
 
 impl Member {
-    /// A member with the ordinal `me`, of a fleet of `members`, numbered from 0; `unix` is Unix time in microseconds at `now`.
+    /// Creates the member with the ordinal `me`, counted from 0, in a fleet of `members`; `unix` is the Unix time in microseconds
+    /// at `now`.
     pub fn new(settings: Settings, me: u32, members: u32, seed: u64, now: Micros, unix: Micros) -> Self {
         let unix_offset = unix - now;
         Member {
@@ -67,14 +68,15 @@
         }
     }
 
-    /// Takes an input; then [`Member::poll`] until it gives nothing. `now` never goes back.
+    /// Handles an input. The caller then calls [`Member::poll`] until it returns `None`. Time does not go backwards: if `now` is
+    /// earlier than in a previous call, the previous time is used.
     pub fn handle(&mut self, now: Micros, input: Input<'_>) {
         self.now = self.now.max(now);
         match input {
             Input::Datagram { from, bytes } => self.receive(from, bytes),
             Input::LocalLoad(local) => self.local = local,
             Input::Capacities(capacities) => self.aggregator.set_capacities(capacities),
-            // A report that is due waits for what this proxy has besides groups.
+            // A report that is due is sent by one of the next inputs, so that `Input::LocalLoad` can update the load before it.
             Input::GroupLoads(groups) => return self.set_group_loads(groups),
             Input::Leave => self.leave(),
             Input::Tick => {}
@@ -84,18 +86,18 @@
         }
     }
 
-    /// Sets what the wall clock shows now, in Unix time: it may have been stepped, and epochs follow it, as they do at all members
-    /// whose machines read the same clock. No other time does.
+    /// Sets the current Unix time, after a possible step of the wall clock. Only epochs follow the wall clock, so that members whose
+    /// machines show the same time are in the same epoch. All other times are independent of it.
     pub fn set_wall_clock(&mut self, now: Micros, unix: Micros) {
         self.unix_offset = unix - now;
     }
 
-    /// The next thing to do, if any.
+    /// The next output; `None` if there is no further one.
     pub fn poll(&mut self) -> Option<Output> {
         self.outbox.pop()
     }
 
-    /// When [`Input::Tick`] is due, unless another input comes first.
+    /// When [`Input::Tick`] is due, unless another input is handled before.
     pub fn next_timeout(&self) -> Micros {
         match self.search.stage {
             _ if self.left => Micros::MAX,
@@ -104,34 +106,34 @@
         }
     }
 
-    /// The last fleet summary, if there ever was one. It may be old.
+    /// The last fleet summary, which may be old; `None` before the first one.
     pub fn snapshot(&self) -> Option<&Snapshot> {
         self.snapshot.as_ref()
     }
 
-    /// The time between two reports as the aggregator wants it, within this member's own bounds.
+    /// The time between two reports: the value from the aggregator, limited to the range configured at this member.
     pub fn report_interval(&self) -> Micros {
         let wanted =
             self.fresh_snapshot().map_or(report_interval::DEFAULT, |snapshot| snapshot.report_interval);
         wanted.clamp(self.settings.min_report_interval, self.settings.max_report_interval)
     }
 
-    /// The aggregator, as far as this member knows.
+    /// The aggregator known to this member; `None` if no candidate has answered.
     pub fn aggregator(&self) -> Option<u32> {
         self.search.aggregator()
     }
 
-    /// Whether affinity subsets follow the groups' loads, and [`Input::GroupLoads`] is of use.
+    /// Whether affinity subsets follow the groups' loads, so that the member needs [`Input::GroupLoads`].
     pub fn wants_groups(&self) -> bool {
         self.settings.affinity.is_some() && !self.left
     }
 
-    /// The groups whose affinity subset has more than five endpoints, and how many.
+    /// The groups whose affinity subset has more than five endpoints, with the size of the subset.
     pub fn affinity_subsets(&self) -> impl Iterator<Item = (u64, u32)> {
         self.subsets.subsets()
     }
 
-    /// What was sent and received so far.
+    /// The counters of this member.
     pub fn counts(&self) -> Counts {
         let groups_cut = self.aggregator.groups_truncated() + self.subsets.groups_truncated();
         Counts { groups_cut, ..self.outbox.counts }
@@ -143,7 +145,7 @@
             self.set_aggregator(self.search.first());
         }
         match self.search.stage {
-            // This process was stopped, or very late: what it receives now may be as old as that, so it asks anew.
+            // This process was stopped or severely delayed. Answers received now may be just as old, so the member sends a new report.
             Stage::Asking { .. } if self.answer_is_late() => {
                 self.search.stage = Stage::Idle;
                 self.report();
@@ -158,7 +160,7 @@
         self.now - self.schedule.sent_at > MAX_ANSWER_AGE
     }
 
-    /// Begins a new report.
+    /// Sends a new report to the aggregator and schedules the next one.
     fn report(&mut self) {
         self.schedule.sequence = self.schedule.sequence.wrapping_add(1);
         let receiver = self.search.begin_report(self.schedule.sequence);
@@ -176,7 +178,7 @@
         }
     }
 
-    /// Shortly before another aggregator's time that one gets what it will need.
+    /// Sends the report to the next epoch's aggregator too, if that epoch begins before the next report is due.
     fn announce(&mut self, interval: Micros) {
         let soon = epoch_at(self.now + interval + interval / 10 + self.unix_offset);
         if let Some(next) = self.search.announce(soon, self.members) {
@@ -184,7 +186,7 @@
         }
     }
 
-    /// The answer is late.
+    /// Sends the last report again, or to further candidates, after no answer has arrived in time.
     fn ask_again(&mut self, round: u32, next: usize) {
         self.outbox.counts.unanswered += 1;
         let candidates = match self.search.next_round(self.now, round, next) {
@@ -195,14 +197,14 @@
             candidates.into_iter().partition(|candidate| *candidate == self.me);
         others.into_iter().for_each(|candidate| self.send_report(candidate, ReportKind::Query));
         if !own.is_empty() {
-            // All candidates before this member are silent.
+            // This member is the next candidate, and no candidate before it has answered.
             self.send_report(self.me, ReportKind::Query);
             self.set_aggregator(Some(self.me));
             self.answer_own_report();
         }
     }
 
-    /// Sends this member's report to one of the members; to itself, without a datagram.
+    /// Sends this member's report to a member. A report to itself is stored without a datagram.
     fn send_report(&mut self, to: u32, kind: ReportKind) {
         if kind == ReportKind::Query {
             self.search.note_asked(to);
@@ -228,14 +230,15 @@
             fragment: Fragment::ONLY,
             leaving: self.left,
             advance_notice: kind == ReportKind::AdvanceNotice,
-            // Asking all candidates may have taken longer than to the next report.
+            // While candidates are being asked, the next report may already be overdue.
             next_report_in: (self.schedule.next_at - self.now).max(self.report_interval()),
             totals: self.local.totals,
             entries: if self.left { Vec::new() } else { self.local.entries.clone() },
         }
     }
 
-    /// The group report that goes with a report, if affinity subsets follow the groups' loads.
+    /// The group report to send along with `report`; `None` if affinity subsets do not follow the groups' loads, or if this member
+    /// is leaving.
     fn own_group_report(&self, report: &Report) -> Option<GroupReport> {
         self.settings.affinity.filter(|_| !report.leaving).map(|_| GroupReport {
             sequence: report.sequence,
@@ -259,7 +262,7 @@
         }
     }
 
-    /// This member's share of all connections, as far as it knows.
+    /// This member's share of all connections: an even share if no fresh snapshot exists.
     fn connection_share(&self) -> f64 {
         let even = 1.0 / f64::from(self.members.max(1));
         let known = self.fresh_snapshot().map(Snapshot::connection_share);
@@ -289,7 +292,7 @@
     }
 }
 
-/// The epoch at this Unix time.
+/// The number of the epoch at this Unix time.
 fn epoch_at(unix: Micros) -> u64 {
     (unix.max(0) / EPOCH) as u64
 }
--- a/crates/aggregation/src/member_report.rs
+++ b/crates/aggregation/src/member_report.rs
@@ -1,15 +1,17 @@
-//! What one member has reported: its newest report, and what of the previous one stands in for missing fragments.
+//! The stored report of one member: the newest report, and entries of the previous one in place of missing fragments.
 
 use crate::Micros;
 use crate::sequence::SequenceOrder;
 use crate::wire::{EndpointDigest, Entry, Fragment, Report, Totals};
 use std::collections::BTreeSet;
 
-/// The lifetime of a report, in halves of the time to its sender's next one: two reports may be lost.
+/// Lifetime of a report, in halves of the time until its sender's next report. With 2.5 intervals, a member stays in the sums when
+/// two of its reports are lost.
 pub(crate) const LIFETIME_HALF_INTERVALS: i64 = 5;
-/// No report says that the next one is due sooner than this.
+/// Lower limit for the announced time until a member's next report.
 pub(crate) const MIN_NEXT_REPORT_IN: Micros = 200_000;
-/// The newest report of one member, as far as its fragments have arrived.
+
+/// The received fragments of a member's newest report.
 #[derive(Clone, Debug)]
 pub struct MemberReport {
     pub(crate) expires_at: Micros,
@@ -17,15 +19,15 @@
     pub(crate) bytes: usize,
     pub(crate) sequence: u16,
     fragments: u8,
-    /// Bit n: fragment n has arrived.
+    /// Bit n is set if fragment n has arrived.
     fragments_received: u16,
     pub(crate) totals: Totals,
-    /// Each with the sequence number of the report that it is from.
+    /// Entries with the sequence number of the report that contained them.
     entries: Vec<(u16, Entry)>,
 }
 
 impl MemberReport {
-    /// The report that this datagram begins, with nothing of it taken yet.
+    /// Begins the report that this datagram belongs to, without storing the datagram's entries yet.
     pub(crate) fn begin(now: Micros, report: &Report) -> Self {
         MemberReport {
             expires_at: now,
@@ -43,8 +45,8 @@
         self.fragments_received.count_ones() >= u32::from(self.fragments)
     }
 
-    /// The entries that count: those of the newest report, and while fragments of that are missing, the previous report's entries
-    /// of other endpoints too.
+    /// The entries that count: those of the newest report and, while some of its fragments are missing, the entries of the previous
+    /// report for other endpoints.
     pub(crate) fn current_entries(&self) -> impl Iterator<Item = &Entry> {
         let complete = self.is_complete();
         self.entries
@@ -53,7 +55,7 @@
             .map(|(_, entry)| entry)
     }
 
-    /// Begins a newer report; the previous one's entries stand in for fragments that are still to arrive.
+    /// Begins a newer report. The entries of the previous report replace fragments that have not arrived yet.
     pub(crate) fn supersede(&mut self, now: Micros, report: &Report, order: SequenceOrder) {
         let previous = std::mem::replace(self, MemberReport::begin(now, report));
         let usable = match order {
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Takes one fragment; `bytes` is the size of its datagram.
+    /// Stores one fragment; `bytes` is the size of its datagram.
     pub(crate) fn add_fragment(&mut self, now: Micros, bytes: usize, report: Report) {
         let lifetime = LIFETIME_HALF_INTERVALS * report.next_report_in.max(MIN_NEXT_REPORT_IN) / 2;
         self.expires_at = now + lifetime;
@@ -79,7 +81,7 @@
         self.entries.extend(report.entries.into_iter().map(|entry| (sequence, entry)));
     }
 
-    /// A fragment that arrives twice counts once.
+    /// Adds the size of a fragment. A fragment that arrives twice counts once.
     fn add_bytes(&mut self, fragment: Fragment, bytes: usize) {
         if self.fragments_received & fragment.bit() == 0 {
             self.bytes += bytes;
--- a/crates/aggregation/src/receiving.rs
+++ b/crates/aggregation/src/receiving.rs
@@ -1,18 +1,18 @@
-//! What a member does with the datagrams of others, and with the answer to its own report.
+//! Handling of incoming datagrams, and of the answer to this member's own report.
 
 use crate::group_sums::Recorded;
 use crate::interface::Output;
 use crate::wire::{self, Datagram, FleetSummary, Fragment, GroupReport, Report, SubsetSizes};
 use crate::{AffinitySettings, Member, Micros};
 
-/// A snapshot is replaced by one of fewer members than this share of its own only once it is old: an aggregator that has just
-/// begun has not heard all.
+/// A summary with fewer members than this fraction of the current snapshot's members replaces the snapshot only once the snapshot is
+/// old. An aggregator that has just started may not have received all reports.
 const MIN_MEMBER_RATIO: f64 = 0.6;
-/// The age, in report intervals, from which a snapshot is old in that sense.
+/// Age, in report intervals, from which a summary with far fewer members replaces a snapshot.
 const SNAPSHOT_INTERVALS: Micros = 3;
 
 impl Member {
-    /// Takes a datagram from the member with this address.
+    /// Handles a datagram; `from` is the ordinal of the member with the sender's address.
     pub(crate) fn receive(&mut self, from: Option<u32>, bytes: &[u8]) {
         let from = from.filter(|from| *from != self.me && *from < self.members && !self.left);
         let (Some(from), Some(datagram)) = (from, wire::read(bytes)) else {
@@ -59,8 +59,8 @@
         self.aggregator.subset_sizes(&self.settings, affinity, self.now, self.members)
     }
 
-    /// Whether this answers the last report, in time, and comes from a member that it went to: an earlier aggregator could
-    /// guess the next sequence number.
+    /// Whether a datagram with this sequence number answers the last report in time. Only members that the report was sent to may
+    /// answer: an earlier aggregator could guess the next sequence number.
     fn is_answer(&mut self, from: u32, sequence: u16) -> bool {
         let asked = sequence == self.schedule.sequence && self.search.has_asked(from);
         let late = self.answer_is_late();
@@ -82,7 +82,7 @@
         }
     }
 
-    /// As aggregator, answers this member's own report without a datagram.
+    /// Answers this member's own report, without a datagram, when it is aggregator itself.
     pub(crate) fn answer_own_report(&mut self) {
         self.search.end_report();
         let summary = self.aggregator.summary(&self.settings, self.now);
@@ -102,7 +102,7 @@
         }
         let own_connections = self.local.totals.connections;
         self.snapshot.get_or_insert_default().update(self.now, own_connections, summary);
-        // Where the fleet got more requests, reports come closer at once, not only from the next one on.
+        // If the report interval has become shorter because of more requests, the next report is moved forward too.
         let latest = self.schedule.sent_at + self.report_interval() * 11 / 10;
         self.schedule.next_at = self.schedule.next_at.min(latest);
         self.outbox.push(Output::Snapshot);
--- a/crates/aggregation/src/report_interval.rs
+++ b/crates/aggregation/src/report_interval.rs
@@ -1,14 +1,14 @@
-//! How often members report: the fleet's bandwidth limit, divided by its members.
+//! The report interval that follows from the fleet's bandwidth limit.
 
 use crate::{Micros, Settings};
 
-/// What counts as one full datagram, in bytes.
+/// Size of a full datagram, in bytes.
 const FULL_DATAGRAM: f64 = 256.0;
-/// The interval of a member that has no snapshot yet; the first summary tells a better one.
+/// The interval of a member without a fresh snapshot. The first summary replaces this value.
 pub(crate) const DEFAULT: Micros = 2_000_000;
 
-/// The time between two reports with which all members together keep to the limit: `bytes` are exchanged for each report of
-/// each of `members`, while `requests_per_s` arrive at the fleet.
+/// The time between two reports of a member at which all members together keep to the bandwidth limit. `bytes` is the number of
+/// bytes exchanged per report, and `requests_per_s` the rate of requests at the whole fleet.
 pub(crate) fn report_interval(settings: &Settings, members: f64, bytes: f64, requests_per_s: f64) -> Micros {
     let allowed = FULL_DATAGRAM * settings.datagrams_per_request * requests_per_s;
     let seconds = members * bytes / allowed.max(1e-9);
--- a/crates/aggregation/src/sequence.rs
+++ b/crates/aggregation/src/sequence.rs
@@ -1,20 +1,21 @@
-//! Sequence numbers of reports: 16 bits that wrap and begin anywhere.
+//! Sequence numbers of reports: 16 bits that wrap around and start at a random value.
 
-/// A number this far behind the known one is a new process's; up to here it is a late datagram of the same.
+/// A sequence number at least this far behind the newest known one comes from a restarted process. A smaller distance means a delayed
+/// datagram of the same process.
 const MAX_BEHIND: i16 = 16;
 
-/// How a received sequence number relates to the newest known one of the same member.
+/// Relation of a received sequence number to the newest known one of the same member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SequenceOrder {
-    /// Another fragment of the same report, or the same fragment again.
+    /// The same report: another fragment, or a duplicate.
     Same,
-    /// The report after the known one.
+    /// The report directly after the newest known one.
     Next,
-    /// A report further on: some in between were lost.
+    /// A later report; reports in between were lost or are delayed.
     Later,
-    /// An earlier report, overtaken on the way.
+    /// An earlier report, which arrived after a newer one.
     Overtaken,
-    /// Of a process that began anew.
+    /// A report of a restarted process.
     Restarted,
 }
 
--- a/crates/aggregation/src/snapshot.rs
+++ b/crates/aggregation/src/snapshot.rs
@@ -4,38 +4,38 @@
 use crate::wire::{EndpointDigest, FleetSummary, HealthVerdict, Totals};
 use std::collections::BTreeMap;
 
-/// Set-ups a second under which no failure ratio is given.
+/// Minimum number of set-ups per second for a meaningful failure ratio.
 const MIN_SETUPS_PER_S: f64 = 2.0;
 
-/// What all proxies together have at one endpoint.
+/// Utilization and health of one endpoint, over all proxies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointUsage {
-    /// Load over capacity, what groups cost included; 0 for less than a summary can express.
+    /// Load divided by capacity, including the fixed cost of groups; 0 if below the smallest value that a summary can express.
     pub utilization: f64,
-    /// What most of those who know say.
+    /// The verdict of the majority of the members with evidence.
     pub health: HealthVerdict,
 }
 
-/// A fleet summary as it was received.
+/// The content of the last received fleet summary.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// When it arrived. Its content is about half a report interval older.
+    /// When the summary arrived. The content is about half a report interval older.
     pub received_at: Micros,
-    /// The time that the aggregator wants between two reports.
+    /// The time between two reports that the aggregator asks every member to keep.
     pub report_interval: Micros,
-    /// Members whose reports are in it.
+    /// Number of members whose reports are in the summary.
     pub members: u32,
-    /// Mean load of a connection, work in microseconds a second.
+    /// Mean load of a connection, in microseconds of work per second.
     pub mean_load: f64,
     /// Sums over these members.
     pub totals: Totals,
-    /// This proxy's own connections, open or wanted, as it last reported them.
+    /// This proxy's own connections, open or wanted, when the summary arrived.
     pub own_connections: u32,
     endpoints: BTreeMap<EndpointDigest, EndpointUsage>,
 }
 
 impl Snapshot {
-    /// Takes one datagram of a summary; the first fragment replaces the endpoints, later ones add to them.
+    /// Stores one datagram of a summary. The first fragment replaces the known endpoints; later fragments add to them.
     pub(crate) fn update(&mut self, now: Micros, own_connections: u32, summary: FleetSummary) {
         if summary.fragment.index == 0 {
             self.endpoints.clear();
@@ -51,14 +51,14 @@
         self.own_connections = own_connections;
     }
 
-    /// What is known of an endpoint. One that isn't named is utilized by less than
-    /// [`crate::wire::MIN_REPORTED_UTILIZATION`]; that counts as 0.
+    /// Utilization and health of an endpoint. The utilization of an endpoint that the summary leaves out is below
+    /// [`crate::wire::MIN_REPORTED_UTILIZATION`] and returned as 0.
     pub fn endpoint(&self, endpoint: EndpointDigest) -> EndpointUsage {
         let unnamed = EndpointUsage { utilization: 0.0, health: HealthVerdict::Unknown };
         self.endpoints.get(&endpoint).copied().unwrap_or(unnamed)
     }
 
-    /// The endpoints that are named.
+    /// The endpoints that the summary contains.
     pub fn endpoints(&self) -> impl Iterator<Item = (EndpointDigest, EndpointUsage)> {
         self.endpoints.iter().map(|(endpoint, usage)| (*endpoint, *usage))
     }
@@ -68,7 +68,7 @@
         f64::from(self.own_connections) / f64::from(self.totals.connections.max(self.own_connections).max(1))
     }
 
-    /// The ratio of connection set-ups that failed; 0 where there were too few to tell.
+    /// The share of connection set-ups that failed; 0 if the rate of set-ups is too low for a meaningful ratio.
     pub fn setup_failure_ratio(&self) -> f64 {
         let setups = self.totals.successes_per_s + self.totals.failures_per_s;
         if setups < MIN_SETUPS_PER_S { 0.0 } else { self.totals.failures_per_s / setups }
--- a/crates/aggregation/src/subset_tracker.rs
+++ b/crates/aggregation/src/subset_tracker.rs
@@ -1,4 +1,4 @@
-//! The affinity subsets that a member acts on: from the aggregator's answers, and without these from its own groups.
+//! The affinity subset sizes in force at a member, taken from the aggregator's answers and from the member's own groups.
 
 use crate::affinity_subsets::{
     AffinitySubsets, EndpointPool, MIN_SUBSET_SIZE, load_per_endpoint, required_size,
@@ -6,20 +6,21 @@
 use crate::groups::{GroupLoad, heaviest};
 use crate::{AffinitySettings, Micros};
 
-/// A member reports a group from this fraction of an even share on of the load that needs five endpoints: one in four. Less is
-/// not worth its bytes.
+/// A member reports a group if its load reaches an even share of the load that five endpoints can take, divided by this number. A
+/// smaller load is not worth the bytes in the report.
 const WORTH_REPORTING: f64 = 4.0;
-/// Connections of its own from which a member without answers estimates a group's load: off by a fifth or so.
+/// Minimum number of own connections from which a member without answers estimates a group's total load. The estimate is off by
+/// about a fifth.
 const MIN_SAMPLE: u32 = 30;
 
-/// What a member knows of the fleet when it sizes subsets itself.
+/// What a member knows about the fleet when it computes subset sizes itself.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FleetEstimate {
-    /// Members by configuration.
+    /// Number of configured members.
     pub(crate) members: u32,
-    /// The listed endpoints.
+    /// The number and the mean capacity of the listed endpoints.
     pub(crate) endpoints: EndpointPool,
-    /// Mean load of a connection.
+    /// Mean load of a connection, in microseconds of work per second.
     pub(crate) mean_load: f64,
     /// This member's share of all connections.
     pub(crate) connection_share: f64,
@@ -30,9 +31,9 @@
 pub(crate) struct SubsetTracker {
     own_groups: Vec<GroupLoad>,
     subsets: AffinitySubsets,
-    /// When an answer arrived last, or this member began.
+    /// When the last answer arrived; before the first one, when this member was created.
     answered_at: Micros,
-    /// Own groups that found no room in a report.
+    /// Number of times that an own group was left out of a report because the limit was reached.
     truncated: u64,
 }
 
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Takes what this member has of each group, of which it keeps the heaviest. Whether that changed a size.
+    /// Replaces this member's own groups, of which those with the most load are kept, and returns whether a subset size changed.
     pub(crate) fn set_own_groups(
         &mut self,
         settings: &AffinitySettings,
@@ -60,7 +61,8 @@
         self.require_own_groups(settings, now, fleet)
     }
 
-    /// What is here needs its endpoints, whatever others have.
+    /// Requires the sizes that this member's own groups need, independently of the aggregator's answers. Returns whether a subset
+    /// size changed.
     fn require_own_groups(
         &mut self,
         settings: &AffinitySettings,
@@ -79,7 +81,8 @@
         changed
     }
 
-    /// Takes one datagram of the aggregator's answer; no size counts for more than there are endpoints. Whether that changed a size.
+    /// Applies one datagram of the aggregator's answer, with sizes limited to the number of endpoints, and returns whether a subset
+    /// size changed.
     pub(crate) fn apply_answer(
         &mut self,
         now: Micros,
@@ -96,17 +99,17 @@
         changed
     }
 
-    /// The groups of this member's next group report: digest and load.
+    /// The groups of this member's next group report, as digest and load.
     pub(crate) fn reported_groups(&self) -> Vec<(u64, f64)> {
         self.own_groups.iter().map(|own| (own.group, own.load)).collect()
     }
 
-    /// The groups whose subset has more than five endpoints, and how many.
+    /// The groups whose subset has more than five endpoints, with the size of the subset.
     pub(crate) fn subsets(&self) -> impl Iterator<Item = (u64, u32)> {
         self.subsets.iter()
     }
 
-    /// Groups that found no room so far, in a report or among the sizes in force.
+    /// Number of times that a group was left out of a report or of the subset sizes in force because a limit was reached.
     pub(crate) fn groups_truncated(&self) -> u64 {
         self.truncated + self.subsets.truncated
     }
