--- a/crates/aggregation/src/affinity_subsets_tests.rs
+++ b/crates/aggregation/src/affinity_subsets_tests.rs
@@ -6,7 +6,8 @@
     AffinitySettings { max_groups: 4, target_utilization: 0.25, shrink_hold: 600 * S, retention: 180 * S };
 
 proptest! {
-    /// The plain oracle: the least number whose endpoints each have room for their share and what the group costs there.
+    /// Reference model: the smallest number of endpoints at which each one has capacity for its share of the load plus the group's
+    /// fixed cost.
     #[test]
     fn size_is_the_least_that_fits(load in 0.0..1e9, mean in 1.0..50_000.0, count in 5..4_096_u32, size in 1e6..8e6, used in 0.05..0.9) {
         let nodes = EndpointPool { count, mean_capacity: size };
@@ -18,7 +19,8 @@
         prop_assert!(endpoints == 5 || !fits(endpoints - 1) || load / f64::from(endpoints - 1) + cost > used * size * (1.0 - 1e-9));
     }
 
-    /// Whatever is required, and when: never below five, never more groups than stated, and no faster down than by half in a hold.
+    /// For any sequence of required sizes, no subset is smaller than five, the number of groups stays within the limit, and no
+    /// subset shrinks by more than half within the hold time.
     #[test]
     fn grows_at_once_and_halves_at_most_per_hold(
         steps in prop::collection::vec((0..200_i64, 0..12_u64, 0..3_000_u32), 1..300),
@@ -57,7 +59,8 @@
     assert_eq!(required_size(1e12, 1.0, nodes(3, 2e6), 0.25), 5);
 }
 
-/// A size that oscillates stays at the most of a hold; then it halves once a hold.
+/// While the required size oscillates, the subset keeps the maximum. Once only smaller sizes are required, the subset halves once per
+/// hold time.
 #[test]
 fn oscillating_size_keeps_its_maximum() {
     let mut subsets = AffinitySubsets::new(&SETTINGS);
@@ -66,7 +69,7 @@
         subsets.shrink(second * S);
         assert_eq!(subsets.size_of(1), 40, "after {second} s");
     }
-    // It shrinks to a third: half after a hold, the rest after the next.
+    // The subset shrinks to a third: to half after one hold time, and to the required size after the next.
     for (second, are) in [(1_801, 40), (2_300, 40), (2_402, 20), (2_900, 20), (3_003, 13)] {
         subsets.require(second * S, 1, 13);
         subsets.shrink(second * S);
@@ -74,7 +77,7 @@
     }
 }
 
-/// 100,000 names: those that came first have their room, the others are counted.
+/// Of 100,000 group names, the first ones are stored up to the limit, and the others are counted as truncated.
 #[test]
 fn group_flood_is_bounded_and_counted() {
     let mut subsets = AffinitySubsets::new(&SETTINGS);
--- a/crates/aggregation/src/aggregation_tests.rs
+++ b/crates/aggregation/src/aggregation_tests.rs
@@ -36,7 +36,7 @@
 }
 
 proptest! {
-    // What is summed is neither lost nor counted twice, whatever is doubled, late or overtaken.
+    // No report is lost or counted twice when datagrams are duplicated, delayed or reordered.
     #[test]
     fn counts_newest_report_of_each_member(
         order in prop::collection::vec((0..5_u32, 0..4_u16), 1..60),
@@ -56,7 +56,7 @@
     }
 }
 
-/// The previous report stands in for the lost fragment; a complete report replaces it.
+/// Entries of the previous report replace a lost fragment until a complete report arrives.
 #[test]
 fn previous_report_stands_in_for_lost_fragment() {
     let mut aggregation = Aggregation::default();
@@ -69,7 +69,8 @@
     assert_eq!(used(&mut aggregation, 2 * S), BTreeMap::from([(1, 0.12)]));
 }
 
-/// A new process replaces the old one at once; a member that is silent for three intervals expires.
+/// The report of a restarted process replaces the previous one at once. The report of a member that is silent for three intervals
+/// expires.
 #[test]
 fn restart_replaces_and_silence_expires() {
     let mut aggregation = Aggregation::default();
@@ -82,7 +83,7 @@
     assert!(used(&mut aggregation, 3 * S).is_empty());
 }
 
-/// Two members of forty report far more than any can have.
+/// Two of forty members report far more load and connections than a member can have.
 #[test]
 fn faulty_members_move_sums_little() {
     let correct = |aggregation: &mut Aggregation| {
@@ -99,11 +100,11 @@
         aggregation.record(0, member, 40, reported);
     }
     let after: f64 = used(&mut aggregation, 0).values().sum();
-    // Correct members have 2 connections each; a faulty one counts for 8 of four times the usual load.
+    // Correct members have 2 connections each. A faulty one counts with 8 connections of four times the median load.
     assert!(after - before <= 2.0 * 8.0 * 4.0 * 10.0 / 100.0 + 1e-9, "{before} {after}");
 }
 
-/// Few requests and few failures at most members; two report that all set-ups fail, and that there are many.
+/// Most members report few requests and no failures. Two members report a very high rate of requests and of failed set-ups.
 #[test]
 fn faulty_members_move_rates_little() {
     let mut aggregation = Aggregation::default();
@@ -135,7 +136,7 @@
     assert_eq!(used(&mut aggregation, 8 * S), BTreeMap::from([(1, 0.1)]));
 }
 
-/// Ten nodes; where all take as many, nobody is held off, however many that is.
+/// Ten nodes: if the proxies are spread evenly, no node counts as crowded. If 20 proxies choose one node, that node does.
 #[test]
 fn crowded_endpoint_is_reported_as_utilized() {
     let utilizations = |crowd: u32| {
@@ -154,7 +155,7 @@
     assert!((1..10).all(|node| crowded[&node] < MIN_REPORTED_UTILIZATION), "{crowded:?}");
 }
 
-/// A verdict needs two members, and as many against it undo it.
+/// A verdict needs two members, and an equal number of contrary verdicts cancels it.
 #[test]
 fn verdict_needs_two_and_a_majority() {
     let mut aggregation = Aggregation::default();
--- a/crates/aggregation/src/group_sums_tests.rs
+++ b/crates/aggregation/src/group_sums_tests.rs
@@ -35,7 +35,7 @@
 }
 
 proptest! {
-    /// The plain oracle: the newest report of each, added up. Where all have about the same nobody is cut.
+    /// Reference model: the sum over the newest report of each member. The loads are similar, so no limit applies.
     #[test]
     fn sums_match_plain_addition(
         order in prop::collection::vec((0..30_u32, 0..4_u16, 0..5_u64), 1..200),
@@ -59,7 +59,7 @@
         prop_assert_eq!(sums.sums(MEAN, 30), oracle.into_iter().collect::<Vec<_>>());
     }
 
-    /// Two of forty members report what they like.
+    /// Two of forty members report arbitrary loads.
     #[test]
     fn faulty_members_move_sums_within_bound(
         correct in prop::collection::vec(0.0..2_000.0, 38),
@@ -79,7 +79,7 @@
     }
 }
 
-/// An aggregator that hears few members: of one member alone nothing is believed beyond four connections.
+/// At an aggregator with few reports, a group that only one member reports counts with at most four connections.
 #[test]
 fn few_members_set_no_usual_load() {
     let mut sums = GroupSums::default();
@@ -99,11 +99,11 @@
     });
     sums.record(&settings(), 0, 39, 40, group_report(1, (0, 1), &[(2, 1e9 * MEAN)]));
     let affinity = settings().affinity.unwrap();
-    // 39 x 500 over a quarter of 10,000 less 3 x 100: nine endpoints.
+    // 39 * 500 / (10,000 / 4 - 3 * 100), rounded up: nine endpoints.
     assert_eq!(sums.subset_sizes(&affinity, 0, &fleet_totals(40)), [(1, 9)]);
 }
 
-/// An answer names the groups with the largest subsets, and counts those without room.
+/// An answer contains the groups with the largest subsets; the others are counted as truncated.
 #[test]
 fn names_largest_groups_and_counts_truncated() {
     let mut sums = GroupSums::default();
@@ -118,7 +118,8 @@
     assert_eq!(sums.subset_sizes(&affinity, S / 2, &fleet_totals(30)), sizes, "not made anew each time");
 }
 
-/// Half of the fleet runs an older program, which reports no groups; a region cannot be heard.
+/// The sums are extrapolated if half of the fleet runs an older program version that reports no groups, and if no reports arrive from
+/// part of the fleet.
 #[test]
 fn extrapolates_to_members_without_groups() {
     let affinity = settings().affinity.unwrap();
@@ -146,7 +147,8 @@
     );
 }
 
-/// The previous report stands in for the lost fragment; a silent member expires, whatever it announced.
+/// Groups of the previous report replace a lost fragment. The report of a silent member expires even if the member announced a very
+/// long interval.
 #[test]
 fn previous_report_stands_in_and_silence_expires() {
     let mut sums = GroupSums::default();
@@ -161,7 +163,7 @@
     assert_eq!(sums.sums(MEAN, 30), [(1, 12.0)]);
     sums.expire(5 * S);
     assert!(sums.sums(MEAN, 30).is_empty() && sums.reports.is_empty());
-    // Who says that its next report comes in a year is forgotten as others are.
+    // A member that announces its next report in a year expires like others.
     sums.record(
         &settings(),
         5 * S,
@@ -173,7 +175,7 @@
     assert!(sums.reports.is_empty());
 }
 
-/// As many names as datagrams hold, in each report others: nothing adds up.
+/// A member that reports the maximum number of groups, with new names in every report, does not make the stored groups accumulate.
 #[test]
 fn holds_two_reports_per_member_at_most() {
     let mut sums = GroupSums::default();
@@ -187,7 +189,7 @@
     }
 }
 
-/// One fragment of one report again and again, each time with other names.
+/// A member sends the same fragment of a report repeatedly, each time with other group names.
 #[test]
 fn contradictory_fragment_is_rejected() {
     let mut sums = GroupSums::default();
@@ -198,7 +200,8 @@
     assert_eq!((accepted.count(), sums.reports[&1].groups.len()), (1, 27));
 }
 
-/// The first member of the newer program is aggregator of a fleet of older ones: its groups stand for twice their load at most.
+/// The only member that reports groups is aggregator of a fleet with an older program version: the load of its groups is extrapolated
+/// by at most a factor of two.
 #[test]
 fn extrapolation_is_bounded() {
     let mut sums = GroupSums::default();
--- a/crates/aggregation/src/groups_tests.rs
+++ b/crates/aggregation/src/groups_tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// The plain oracle: sorted as a whole.
+    /// Reference model: a sort of all groups.
     #[test]
     fn keeps_heaviest_like_full_sort(loads in prop::collection::vec(0..50_u32, 0..200), most in 1..40_usize, least in 0..20_u32) {
         let groups: Vec<GroupLoad> = (loads.iter().enumerate())
--- a/crates/aggregation/src/wire/read.rs
+++ b/crates/aggregation/src/wire/read.rs
@@ -1,4 +1,4 @@
-//! Datagrams to messages.
+//! Decoding of datagrams.
 
 use super::scale::{decode_load, decode_rate, decode_tenths};
 use super::{
@@ -7,7 +7,7 @@
     flag, kind,
 };
 
-/// Reads a datagram; `None` if it is none of this protocol, of an unknown kind, or broken anywhere.
+/// Decodes a datagram. Returns `None` if the datagram belongs to another protocol, has an unknown kind, or is malformed.
 pub fn read(bytes: &[u8]) -> Option<Datagram> {
     if bytes.len() > LONGEST {
         return None;
@@ -36,7 +36,8 @@
     }
 }
 
-/// The bytes that are still to be read. Each method takes what it returns off the front; `None` if that isn't there.
+/// The remaining bytes of a datagram. Each method consumes the returned item from the front; `None` means that the bytes are
+/// malformed or too few.
 struct Reader<'a>(&'a [u8]);
 
 impl Reader<'_> {
@@ -154,7 +155,7 @@
         Some(*first)
     }
 
-    /// LEB128, of 32 bits at most.
+    /// Reads an LEB128 number of at most 32 bits.
     fn number(&mut self) -> Option<u32> {
         let mut value = 0_u64;
         for shift in (0..35).step_by(7) {
--- a/crates/aggregation/src/wire/scale.rs
+++ b/crates/aggregation/src/wire/scale.rs
@@ -1,16 +1,16 @@
-//! Loads and rates as single bytes, on logarithmic scales.
+//! Encoding of loads and rates as single bytes on logarithmic scales, and of durations in tenths of a second.
 
 use crate::Micros;
 
-/// Load of byte 1, in microseconds of work a second; each 16 steps double it.
+/// The load encoded as 1, in microseconds of work per second.
 const LOAD_UNIT: f64 = 64.0;
 const LOAD_STEPS_PER_DOUBLING: f64 = 16.0;
-/// Rates are counted in sixteenths a second; each 8 steps double them.
+/// The rate encoded as 1 is one sixteenth per second.
 const RATE_UNITS_PER_S: f64 = 16.0;
 const RATE_STEPS_PER_DOUBLING: f64 = 8.0;
 const TENTH_OF_A_SECOND: Micros = 100_000;
 
-/// A load as a byte: 0 for none, else 64 us a second times 2 to the power of sixteenths; up to 3.8 cores.
+/// Encodes a load as a byte: 0 means no load, and `n` means 64 us per second * 2^((n - 1) / 16), up to 3.8 cores.
 pub fn encode_load(micros_per_s: f64) -> u8 {
     if micros_per_s.is_nan() || micros_per_s < 32.0 {
         0
@@ -19,12 +19,12 @@
     }
 }
 
-/// The load that a byte stands for, in microseconds of work a second.
+/// Decodes a load, in microseconds of work per second.
 pub fn decode_load(byte: u8) -> f64 {
     if byte == 0 { 0.0 } else { LOAD_UNIT * (f64::from(byte - 1) / LOAD_STEPS_PER_DOUBLING).exp2() }
 }
 
-/// A rate as a byte: 0 for none, else 1/16 a second times 2 to the power of eighths.
+/// Encodes a rate as a byte: 0 means no events, and `n` means 1/16 per second * 2^((n - 1) / 8).
 pub fn encode_rate(per_s: f64) -> u8 {
     if per_s.is_nan() || per_s < 0.045 {
         0
@@ -33,17 +33,17 @@
     }
 }
 
-/// The rate a second that a byte stands for.
+/// Decodes a rate, in events per second.
 pub fn decode_rate(byte: u8) -> f64 {
     if byte == 0 { 0.0 } else { (f64::from(byte - 1) / RATE_STEPS_PER_DOUBLING).exp2() / RATE_UNITS_PER_S }
 }
 
-/// A span in tenths of a second, rounded down.
+/// Encodes a duration in tenths of a second, rounded down.
 pub(super) fn encode_tenths(span: Micros) -> u32 {
     (span.max(0) / TENTH_OF_A_SECOND).min(Micros::from(u32::MAX)) as u32
 }
 
-/// A span from tenths of a second.
+/// Decodes a duration given in tenths of a second.
 pub(super) fn decode_tenths(tenths: u32) -> Micros {
     Micros::from(tenths) * TENTH_OF_A_SECOND
 }
--- a/crates/aggregation/src/wire/write.rs
+++ b/crates/aggregation/src/wire/write.rs
@@ -1,4 +1,4 @@
-//! Messages to datagrams. What doesn't fit into [`MAX_FRAGMENTS`] datagrams is left out.
+//! Encoding of messages as datagrams. Entries that do not fit into [`MAX_FRAGMENTS`] datagrams are left out.
 
 use super::scale::{encode_load, encode_rate, encode_tenths};
 use super::{
@@ -7,10 +7,10 @@
     UTILIZATION_STEP, VERSION, flag, kind,
 };
 
-/// Place of the fragment in the header.
+/// Offset of the fragment byte in the header.
 const FRAGMENT_AT: usize = 5;
 
-/// A report as datagrams, one at least; `report.fragment` doesn't matter. The first entries go first.
+/// Encodes a report as one or more datagrams, with the entries in order. `report.fragment` is ignored.
 pub fn write_report(report: &Report) -> Vec<Vec<u8>> {
     let flags = flag_if(report.leaving, flag::LEAVING) | flag_if(report.advance_notice, flag::ADVANCE_NOTICE);
     let mut header = header(kind::REPORT, flags, report.sequence);
@@ -19,7 +19,8 @@
     split_into_fragments(&header, report.entries.iter().map(report_entry))
 }
 
-/// A fleet summary as datagrams, one at least; of the endpoints only those that say something, the fullest first.
+/// Encodes a fleet summary as one or more datagrams. Endpoints are sorted by descending utilization; those without a reportable
+/// utilization or a verdict are left out.
 pub fn write_summary(summary: &FleetSummary) -> Vec<Vec<u8>> {
     let flags = flag_if(summary.incomplete, flag::INCOMPLETE);
     let mut header = header(kind::SUMMARY, flags, summary.sequence);
@@ -35,17 +36,17 @@
     split_into_fragments(&header, endpoints.into_iter().map(summary_entry))
 }
 
-/// A group report as datagrams, one at least; `report.fragment` doesn't matter. The first groups go first.
+/// Encodes a group report as one or more datagrams, with the groups in order. `report.fragment` is ignored.
 pub fn write_group_report(report: &GroupReport) -> Vec<Vec<u8>> {
     let flags = flag_if(report.advance_notice, flag::ADVANCE_NOTICE);
     let mut header = header(kind::GROUP_REPORT, flags, report.sequence);
     push_number(&mut header, encode_tenths(report.next_report_in));
-    // Casts saturate: what is not a number is 0.
+    // The cast saturates, and turns NaN into 0.
     let entry = |(group, load): &(u64, f64)| group_entry(*group, (load / GROUP_LOAD_STEP).round() as u32);
     split_into_fragments(&header, report.groups.iter().map(entry))
 }
 
-/// Subset sizes as datagrams, one at least. The first groups go first.
+/// Encodes subset sizes as one or more datagrams, with the groups in order.
 pub fn write_subset_sizes(sizes: &SubsetSizes) -> Vec<Vec<u8>> {
     let flags = flag_if(sizes.incomplete, flag::INCOMPLETE);
     let header = header(kind::SUBSET_SIZES, flags, sizes.sequence);
@@ -60,7 +61,7 @@
     let mut bytes = Vec::with_capacity(LONGEST);
     bytes.extend([VERSION, kind, flags]);
     bytes.extend(sequence.to_le_bytes());
-    // The fragment is filled in once the number of fragments is known.
+    // The fragment byte is set once the number of fragments is known.
     bytes.push(0);
     bytes
 }
@@ -80,7 +81,7 @@
 }
 
 fn utilization_step(utilization: f64) -> u8 {
-    // An endpoint that is named for its health alone must not look full.
+    // An endpoint that is listed only for its health must not appear utilized.
     if utilization < MIN_REPORTED_UTILIZATION {
         return 0;
     }
@@ -110,7 +111,7 @@
     bytes.extend([totals.requests_per_s, totals.successes_per_s, totals.failures_per_s].map(encode_rate));
 }
 
-/// Packs the entries into datagrams behind the same header, in order.
+/// Packs the entries into datagrams in order. Every datagram begins with the same header, apart from the fragment byte.
 fn split_into_fragments(header: &[u8], entries: impl Iterator<Item = Vec<u8>>) -> Vec<Vec<u8>> {
     let mut fragments = vec![header.to_vec()];
     for entry in entries {
--- a/crates/aggregation/src/wire_tests.rs
+++ b/crates/aggregation/src/wire_tests.rs
@@ -85,7 +85,7 @@
     }
 }
 
-/// A summary leaves out endpoints that are neither full nor judged.
+/// A summary leaves out endpoints with neither a reportable utilization nor a verdict.
 #[test]
 fn summary_names_full_or_judged_endpoints() {
     let node = |n, utilization, health| EndpointSummary { endpoint: EndpointDigest(n), utilization, health };
