--- a/crates/aggregation/benches/homes.rs
+++ b/crates/aggregation/benches/homes.rs
@@ -1,7 +1,8 @@
-//! What affinity subsets by a group's load cost a proxy, and what they do to the fullest node: a fleet on virtual time, with groups whose
-//! sizes fall as 1 over their rank, the largest of a million connections. Without and with, one JSON line each.
+//! Cost of load-based affinity subsets for a proxy, and their effect on the most utilized node. The fleet runs on virtual time. The
+//! number of a group's connections is inversely proportional to the group's rank; the largest group has a million connections.
+//! Each run prints one JSON line, without affinity subsets and with limits of 64 and 320 groups.
 //!
-//! `cargo bench --locked -p cottonnotch-aggregation --bench homes`; `-- 440` for one size.
+//! `cargo bench --locked -p cottonnotch-aggregation --bench homes` runs all fleet sizes; `-- 440` runs one size.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -22,7 +23,7 @@
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 const LARGEST: u32 = 1_000_000;
-/// Groups that the simulation has; smaller ones need five endpoints at any size.
+/// Number of simulated groups. Smaller groups would need only five endpoints at any fleet size.
 const GROUPS: u64 = 400;
 
 fn main() {
--- a/crates/aggregation/tests/affinity_subsets.rs
+++ b/crates/aggregation/tests/affinity_subsets.rs
@@ -1,5 +1,5 @@
-//! Affinity subsets by a group's load, in fleets with faults: loss, delay, stops, restarts, cuts, members that aren't heard, older
-//! programs, strangers and faulty members.
+//! Load-based affinity subsets in simulated fleets with faults: lost and delayed datagrams, stopped and restarted members, partitions,
+//! members whose datagrams are lost, older program versions, unknown senders and faulty members.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -15,12 +15,12 @@
 const LARGE: u64 = 0xfeed_f00d_dead_beef;
 const SMALL: u64 = 77;
 
-/// Where a node takes some 500 connections, and 100 of one group.
+/// A fleet whose nodes have capacity for about 500 connections, of which about 100 may belong to one group.
 fn scale(members: u32) -> Scale {
     Scale { members, nodes: 200, size: 2e6, load: 4_000.0, requests_per_s: f64::from(members) }
 }
 
-/// One group of so many connections a member, and a small one.
+/// A fleet with a large group of `each` connections per member, and a small group.
 fn fleet(seed: u64, members: u32, each: u32, settings: Settings) -> Sim {
     let mut sim = Sim::new(seed, scale(members), settings);
     sim.clients(LARGE, members * each);
@@ -32,7 +32,8 @@
     assert_within(sim, what, 1.3);
 }
 
-/// Subsets are large enough everywhere; no more than so many times what is needed at most members.
+/// Asserts that the subset of the large group is large enough at every member, and that its median size is at most `times` the required
+/// size.
 fn assert_within(sim: &Sim, what: &str, times: f64) {
     let (least, middle, most) = sim.spread(LARGE);
     let needs = sim.required_size(LARGE);
@@ -46,7 +47,7 @@
     assert_eq!(sim.spread(SMALL), (5, 5, 5), "seed {}, {what}: a small group has five", sim.seed);
 }
 
-/// All members compute the same size for a large group, in fleets of every size.
+/// All members use a suitable size for a large group, in fleets of every size.
 #[test]
 fn sizes_large_group_alike_everywhere() {
     for (seed, members, each) in [(1, 30, 200), (2, 110, 60), (3, 300, 30), (4, 440, 30)] {
@@ -98,11 +99,11 @@
         sim.run_for(3 * S);
     }
     sim.run_for(20 * S);
-    // While clients come again, some are counted at two members: subsets too large, not too small.
+    // While clients reconnect, some are counted at two members, which makes subsets too large, not too small.
     assert_within(&sim, "20 s after all were restarted, a third lost", 1.6);
 }
 
-/// Two regions lose each other: all connections go on, each side hears half of the members.
+/// Two regions are partitioned. All connections stay open, but each side receives the reports of only half of the members.
 #[test]
 fn partition_overloads_no_endpoint() {
     let mut sim = fleet(7, 220, 30, settings(Some(64), 60, 30));
@@ -121,7 +122,8 @@
     assert_right(&sim, "25 s after the regions met again");
 }
 
-/// Half has an older program, or the keys off: it drops what it doesn't know, and every second aggregator tells nothing.
+/// Half of the members run an older program version or have the setting switched off. They drop the unknown datagrams, and send no
+/// subset sizes when they are aggregator.
 #[test]
 fn half_of_fleet_without_groups() {
     let mut sim = fleet(8, 120, 60, settings(Some(64), 600, 180));
@@ -143,7 +145,7 @@
     let dropped =
         |of: &[usize]| -> u64 { of.iter().map(|m| sim.members[*m].as_ref().unwrap().counts().dropped).sum() };
     assert!(dropped(&old) > 100, "what it doesn't know it drops and counts");
-    // Answers that cross the next question are dropped in any fleet.
+    // An answer that arrives after the next report was sent is dropped in any fleet.
     assert!(dropped(&new) * 1_000 < sim.sent, "and nobody drops what the older tell: {}", dropped(&new));
     let snapshots = sim
         .members
@@ -153,7 +155,8 @@
     assert!(snapshots.count() > 110, "the fleet's snapshot goes on");
 }
 
-/// Hears all and isn't heard: it gets no answers, keeps what it had for the stated time, and then goes by its own.
+/// A member receives datagrams, but all datagrams that it sends are lost. Without answers, it keeps its subset sizes for the
+/// retention time and then computes them from its own groups.
 #[test]
 fn unheard_member_falls_back_to_own_groups() {
     let mut sim = fleet(9, 60, 100, settings(Some(64), 60, 30));
@@ -165,7 +168,7 @@
         let (size, needs) = (sim.subset_size(4, LARGE), sim.required_size(LARGE));
         assert!(size >= before * 7 / 10 && size <= needs * 2, "{size}, {before} before, needs {needs}");
     }
-    // Its clients leave: by its own count there is nothing.
+    // When its clients leave, the member has no connections of the group any more.
     sim.groups[4].remove(&LARGE);
     let mut last = sim.subset_size(4, LARGE);
     for _ in 0..10 {
@@ -177,7 +180,7 @@
     assert_eq!(last, 5);
 }
 
-/// Stopped for 30 s, as by SIGSTOP: what waits in its socket is as old as that.
+/// A member that was stopped for 30 s, for example by SIGSTOP, ignores the outdated answers waiting in its socket.
 #[test]
 fn stopped_member_ignores_stale_sizes() {
     let mut late = 0;
@@ -185,7 +188,7 @@
         let mut sim = fleet(seed, 40, 100, settings(Some(64), 60, 30));
         sim.loss = 0.0;
         sim.run_for(25 * S);
-        // It stops when it has just asked, so that the answer is on its way.
+        // The member stops just after it has sent a report, so that the answer arrives while it is stopped.
         let member = 7;
         let at = sim.members[7].as_ref().unwrap().next_timeout();
         sim.run_for((at - sim.now).max(0));
@@ -209,13 +212,14 @@
     assert!(late > 0, "none of them found an answer of before in its socket");
 }
 
-/// A group that reports to have a billion listeners, 100,000 names, strangers, wrong sizes, another fleet size.
+/// Faulty members report groups with a billion connections and 100,000 group names; a member receives datagrams from unknown senders,
+/// malformed datagrams and datagrams of a wrong length.
 #[test]
 fn bad_input_is_bounded_and_counted() {
     let mut sim = fleet(20, 40, 100, settings(Some(64), 600, 180));
     sim.run_for(25 * S);
     let (before, bytes) = (sim.spread(LARGE), sim.bytes.iter().sum::<u64>());
-    // Two members lie, at whoever is aggregator; each tells others as many names as it can.
+    // Two members send false reports to every aggregator; each report contains as many new group names as possible.
     for round in 0..200_u64 {
         for faulty in [38, 39] {
             sim.groups[faulty].insert(round << 32 | faulty as u64, 1_000_000_000);
@@ -239,7 +243,7 @@
     let allowed = 2.0 * 1.4 * 256.0 * 3.0 * sim.scale.requests_per_s * 40.0;
     assert!((spent as f64) < allowed, "{spent} bytes to and fro of {allowed}");
 
-    // Strangers and broken datagrams.
+    // Datagrams from unknown senders, unrequested answers and malformed datagrams.
     let one = sim.members[3].as_mut().unwrap();
     let dropped = one.counts().dropped;
     let groups = GroupReport {
@@ -279,7 +283,7 @@
     assert_eq!(sim.subset_size(3, SMALL), 5);
 }
 
-/// An aggregator that answers what it likes: no group gets more endpoints than there are, or fewer than five.
+/// With arbitrary answers from a faulty aggregator, no group gets fewer than five endpoints or more than exist.
 #[test]
 fn faulty_aggregator_is_bounded_by_pool() {
     let mut sim = fleet(21, 30, 100, settings(Some(64), 600, 180));
--- a/crates/aggregation/tests/fleet.rs
+++ b/crates/aggregation/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A whole fleet in one process on virtual time from one seed: datagrams are lost and late, members restart, partitions are cut
-//! off. What is measured is how far the told sums are from the true ones, and what that costs.
+//! Simulation of a whole fleet in one process, on virtual time and from one seed. Datagrams are lost and delayed, members restart, and
+//! the network is partitioned. The tests compare the utilizations in the snapshots with the true ones, and measure the bandwidth.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -15,10 +15,11 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 const S: Micros = 1_000_000;
-/// Any date; not at the beginning of an epoch.
+/// An arbitrary start time that is not at the beginning of an epoch.
 const UNIX: Micros = 1_796_000_000 * S + 7 * S;
-/// Capacity of each render node, and the load of a connection.
+/// Capacity of each render node, in microseconds of work per second.
 const SIZE: f64 = 2e6;
+/// Load of a connection, in microseconds of work per second.
 const LOAD: f64 = 40_000.0;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -34,10 +35,10 @@
     due: BinaryHeap<Reverse<(Micros, u64, Due)>>,
     number: u64,
     loss: f64,
-    /// Members of different partitions don't hear one another.
+    /// Partition of each member. Datagrams between different partitions are lost.
     partition: Vec<u8>,
     members: Vec<Option<Member>>,
-    /// Each member's connections by render node.
+    /// Number of connections of each member, by render node.
     connections: Vec<BTreeMap<u32, u32>>,
     clock: Vec<Micros>,
     nodes: u32,
@@ -48,7 +49,7 @@
 }
 
 impl Simulation {
-    /// Each member has about four connections, heavier on some nodes than on others.
+    /// Creates a fleet in which each member has about four connections, more of them to some nodes than to others.
     fn new(seed: u64, members: u32, nodes: u32) -> Self {
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
         let mut one = || {
@@ -95,7 +96,7 @@
         self.input(member, Input::Capacities(sizes));
     }
 
-    /// A process dies, its connections with it.
+    /// Ends the process of a member, which closes its connections.
     fn kill(&mut self, member: u32) {
         self.members[member as usize] = None;
         self.connections[member as usize].clear();
@@ -159,7 +160,7 @@
                 Due::Arrives { from, to, bytes } => {
                     self.input(to, Input::Datagram { from: Some(from), bytes: &bytes })
                 }
-                // One timer a member counts; others are outdated.
+                // Only the timer at a member's next timeout is valid; earlier timers are outdated.
                 Due::Wakes(member) => {
                     let awaited = self.members[member as usize].as_ref().map(Member::next_timeout);
                     if awaited.is_some_and(|awaited| awaited <= at) {
@@ -171,15 +172,15 @@
         self.now = until;
     }
 
-    /// What all members of a partition have on a node, over its size.
+    /// Utilization of a node by the members of a partition.
     fn used(&self, partition: u8, node: u32) -> f64 {
         let mine = (0..self.size() as usize).filter(|member| self.partition[*member] == partition);
         let count: u32 = mine.filter_map(|member| self.connections[member].get(&node)).sum();
         f64::from(count) * LOAD / SIZE
     }
 
-    /// Mean of what the snapshots of a partition's members show of its full nodes, over what is true; and the share of the members
-    /// whose snapshot is no older than so much.
+    /// Ratio of the utilizations in the fresh snapshots to the true ones, over all nodes with a utilization above 0.5, and the share of the
+    /// partition's members whose snapshot is no older than `fresh`.
     fn accuracy(&self, partition: u8, fresh: Micros) -> (f64, f64) {
         let full: Vec<u32> = (0..self.nodes).filter(|node| self.used(partition, *node) > 0.5).collect();
         let (mut shown, mut truth, mut snapshots, mut live) = (0.0, 0.0, 0.0, 0.0);
@@ -214,7 +215,7 @@
     }
 }
 
-/// Full datagrams for each request while it runs for so long.
+/// Runs the fleet for this time and returns the number of full datagrams sent per request.
 fn price(fleet: &mut Simulation, seconds: i64) -> f64 {
     let before = fleet.bytes;
     fleet.run_for(seconds * S);
@@ -230,14 +231,14 @@
         let accuracy = fleet.accuracy(0, 3 * fleet.settings.max_report_interval);
         fleet.show("60 s at 10% loss", accuracy, datagrams);
         assert!((0.9..1.1).contains(&accuracy.0) && accuracy.1 > 0.9, "seed {}: {accuracy:?}", fleet.seed);
-        // A lost datagram is asked for again: one in five questions has no answer.
+        // With 10% loss, one in five reports stays without an answer and is sent again, hence the tolerance of 1.4.
         let ceiling = fleet.settings.datagrams_per_request;
-        // Small tiers don't ask more often than is useful; their few requests are no reason to ask less.
+        // In small fleets the minimum report interval, not this limit, determines the bandwidth.
         assert!(datagrams <= ceiling * 1.4, "seed {}: {datagrams} of {ceiling}", fleet.seed);
     }
 }
 
-/// Seven of ten members die at once; the rest find another aggregator, without a storm.
+/// Seven of ten members die at once. The others find another aggregator without a storm of retries.
 #[test]
 fn survivors_find_next_aggregator() {
     for seed in 1..6 {
@@ -275,7 +276,7 @@
     );
 }
 
-/// Each side of a partition has a snapshot of its own; both meet again after it.
+/// During a partition, each side has a snapshot of its own members. After the partition, all members share one snapshot again.
 #[test]
 fn partition_keeps_own_snapshot_and_heals() {
     let mut fleet = Simulation::new(12, 300, 90);
@@ -308,7 +309,7 @@
     assert!(accuracy.1 > 0.8 && accuracy.0 > 0.6, "{accuracy:?}");
 }
 
-/// A table that says that all is full, in answer to that report.
+/// A summary in which all nodes are overloaded and unhealthy, as the answer to the report with this sequence number.
 fn false_summary(sequence: u16) -> Vec<u8> {
     let endpoints = (0..9)
         .map(|node| EndpointSummary {
@@ -330,7 +331,8 @@
     wire::write_summary(&summary).remove(0)
 }
 
-/// A member far down in the order, which has just asked: who was asked, and the number of its report.
+/// Lets a member that is not among the first candidates send a report. Returns the member, the receiver, and the sequence number of the
+/// report.
 fn one_that_asks(fleet: &mut Simulation) -> (u32, u32, u16) {
     let epoch = (UNIX / EPOCH) as u64;
     let order = aggregator_order(epoch, fleet.size());
@@ -345,7 +347,7 @@
     (one, to, report.sequence)
 }
 
-/// Only a member that was asked may answer, and only the last report.
+/// A member accepts an answer only from a member that it sent a report to, and only to its last report.
 #[test]
 fn accepts_answers_to_own_report_only() {
     let mut fleet = Simulation::new(14, 30, 9);
@@ -356,7 +358,7 @@
         member.handle(fleet.now, Input::Datagram { from, bytes: &false_summary(sequence) });
         member.snapshot().map(|snapshot| snapshot.endpoint(EndpointDigest(0)).utilization)
     };
-    // An aggregator of an earlier epoch knows the numbers.
+    // The aggregator of an earlier epoch knows the member's sequence numbers.
     assert_eq!(hear(Some(other), sequence), None);
     assert_eq!(hear(None, sequence), None);
     assert_eq!(hear(Some(asked), sequence.wrapping_add(1)), None, "the next one's answer");
@@ -364,13 +366,14 @@
     assert_eq!(member.counts().dropped, 3);
 }
 
-/// Some proxies have many connections on many nodes: their reports are long, and must not age out between two.
+/// Some proxies have many connections to many nodes. Their reports are long, which extends the report interval, and must not expire before
+/// the next ones arrive.
 #[test]
 fn long_reports_never_expire_early() {
     let mut fleet = Simulation::new(15, 60, 90);
     fleet.loss = 0.0;
     fleet.requests_per_s = 8.0;
-    // One in ten, or they would be bounded as faulty members are.
+    // These are only one in ten members, but more than one in twenty, so that their values are not limited as those of faulty members.
     for member in 0..6 {
         fleet.connections[member] = (0..90).map(|node| (node, 10)).collect();
     }
--- a/crates/aggregation/tests/golden.rs
+++ b/crates/aggregation/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Datagrams of the fleet snapshot keep the bytes that earlier builds gave them.
+//! The encoding of datagrams matches the golden files, which earlier builds wrote.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -84,7 +84,7 @@
     sets.into_iter().flat_map(|(name, set)| set.into_iter().map(move |bytes| (name, bytes))).collect()
 }
 
-/// A datagram written again; one datagram has one fragment of its set.
+/// Encodes a decoded datagram again. The content of one datagram fits into one fragment.
 fn rewritten(datagram: &Datagram) -> Vec<Vec<u8>> {
     match datagram {
         Datagram::Report(report) => write_report(report),
@@ -98,7 +98,7 @@
 fn datagrams_keep_their_bytes_and_are_read_back() {
     let made = datagrams();
     let golden = assert_bytes(&golden_path!("datagrams.txt"), &made);
-    // Byte 5 has the fragment and how many there are: a fragment that is written alone is the only one.
+    // Byte 5 contains the index and the number of fragments. It differs, since a fragment that is encoded alone is the only one.
     const FRAGMENT: usize = 5;
     for (bytes, (name, _)) in golden.iter().zip(&made) {
         let datagram = read(bytes).unwrap_or_else(|| panic!("{name} is not read"));
--- a/crates/aggregation/tests/simulation/mod.rs
+++ b/crates/aggregation/tests/simulation/mod.rs
@@ -1,5 +1,6 @@
-//! A fleet on virtual time from one seed, for endpoints by a group's size: datagrams are lost and late, members stop, die, are cut
-//! off, or run an older program. What is judged is what each member would act on, against what all have in truth.
+//! Simulation of a fleet with load-based affinity subsets, on virtual time and from one seed. Datagrams are lost and delayed; members
+//! stop, die, are partitioned off, or run an older program version. The tests compare the subset sizes in force at each member with
+//! the sizes that the true load of the fleet requires.
 #![allow(dead_code)]
 
 use cottonnotch_aggregation::wire::Totals;
@@ -11,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 pub const S: Micros = 1_000_000;
-/// Any date; not at the beginning of an epoch.
+/// An arbitrary start time that is not at the beginning of an epoch.
 const UNIX: Micros = 1_796_000_000 * S + 7 * S;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -20,16 +21,17 @@
     Wakes(u32),
 }
 
-/// Datagrams in the socket of a stopped process, with their senders.
+/// Datagrams waiting in the socket of a stopped process, with their senders.
 pub type Waiting = Vec<(u32, Vec<u8>)>;
 
-/// How large things are.
+/// Dimensions of a simulated fleet.
 #[derive(Clone, Copy)]
 pub struct Scale {
     pub members: u32,
     pub nodes: u32,
-    /// Capacity of a node, and load of a connection: microseconds of work a second.
+    /// Capacity of a node, in microseconds of work per second.
     pub size: f64,
+    /// Load of a connection, in microseconds of work per second.
     pub load: f64,
     pub requests_per_s: f64,
 }
@@ -40,16 +42,16 @@
     pub now: Micros,
     pub scale: Scale,
     pub loss: f64,
-    /// Members of different partitions don't hear one another.
+    /// Partition of each member. Datagrams between different partitions are lost.
     pub partition: Vec<u8>,
-    /// What it sends is lost, though it hears.
+    /// Whether all datagrams from a member are lost. The member still receives datagrams.
     pub mute: Vec<bool>,
-    /// Stopped: nothing runs, datagrams wait in its socket.
+    /// The datagrams waiting for a member whose process is stopped; `None` if the process runs.
     pub stopped: Vec<Option<Waiting>>,
-    /// Each member's settings: an older program has no endpoints.
+    /// Settings of each member. A member with an older program version has no affinity settings.
     pub settings: Vec<Settings>,
     pub members: Vec<Option<Member>>,
-    /// Each member's connections by group.
+    /// Number of connections of each member, by group.
     pub groups: Vec<BTreeMap<u64, u32>>,
     pub bytes: Vec<u64>,
     pub sent: u64,
@@ -94,7 +96,7 @@
         sim
     }
 
-    /// So many connections of a group, spread by chance over the members that are there.
+    /// Adds connections of a group, distributed randomly over the running members.
     pub fn clients(&mut self, group: u64, many: u32) {
         let live: Vec<usize> =
             (0..self.members.len()).filter(|member| self.members[*member].is_some()).collect();
@@ -104,12 +106,12 @@
         }
     }
 
-    /// The group's connections everywhere.
+    /// Number of connections of a group in the whole fleet.
     pub fn count(&self, group: u64) -> u32 {
         self.groups.iter().filter_map(|groups| groups.get(&group)).sum()
     }
 
-    /// The endpoints that all need together, by the same formula as a plain one.
+    /// The subset size that the true load of a group requires, computed independently of the crate.
     pub fn required_size(&self, group: u64) -> u32 {
         let Scale { load, size, nodes, .. } = self.scale;
         let room = 0.25 * size - (3.0 * load).min(0.125 * size);
@@ -126,7 +128,7 @@
         self.input(member, Input::Capacities(sizes));
     }
 
-    /// A process dies; its clients come again at the others.
+    /// Ends the process of a member, whose clients reconnect to the other members.
     pub fn kill(&mut self, member: u32) {
         self.members[member as usize] = None;
         for (group, count) in std::mem::take(&mut self.groups[member as usize]) {
@@ -138,7 +140,7 @@
         self.stopped[member as usize] = Some(Vec::new());
     }
 
-    /// It goes on, and finds what came meanwhile.
+    /// Resumes a stopped member, which then reads the datagrams waiting in its socket.
     pub fn resume(&mut self, member: u32) {
         for (from, bytes) in self.stopped[member as usize].take().into_iter().flatten() {
             self.input(member, Input::Datagram { from: Some(from), bytes: &bytes });
@@ -176,7 +178,7 @@
         if let (Some(waiting), Input::Datagram { from: Some(from), bytes }) =
             (&mut self.stopped[place], &input)
         {
-            // A socket holds some hundred of these.
+            // The receive buffer of a socket has space for a few hundred datagrams.
             if waiting.len() < 200 {
                 waiting.push((*from, bytes.to_vec()));
             }
@@ -228,7 +230,7 @@
                 Due::Arrives { from, to, bytes } => {
                     self.input(to, Input::Datagram { from: Some(from), bytes: &bytes })
                 }
-                // One timer a member counts; others are outdated.
+                // Only the timer at a member's next timeout is valid; earlier timers are outdated.
                 Due::Wakes(member) => {
                     let awaited = self.members[member as usize].as_ref().map(Member::next_timeout);
                     if awaited.is_some_and(|awaited| awaited <= at) {
@@ -240,7 +242,7 @@
         self.now = until;
     }
 
-    /// The endpoints of a group that a member acts on.
+    /// The size of a group's subset that is in force at a member.
     pub fn subset_size(&self, member: u32, group: u64) -> u32 {
         let subsets = self.members[member as usize]
             .as_ref()
@@ -248,7 +250,7 @@
         subsets.and_then(|subsets| subsets.get(&group).copied()).unwrap_or(5)
     }
 
-    /// The least, the middle and the most endpoints of a group, over the members that are there.
+    /// Minimum, median and maximum size of a group's subset over the running members.
     pub fn spread(&self, group: u64) -> (u32, u32, u32) {
         let live = (0..self.scale.members).filter(|member| self.members[*member as usize].is_some());
         let mut all: Vec<u32> = live.map(|member| self.subset_size(member, group)).collect();
@@ -256,8 +258,8 @@
         (all[0], all[all.len() / 2], all[all.len() - 1])
     }
 
-    /// What the group's connections take of its first home, if each member spreads its own evenly over those that it acts on:
-    /// none takes more.
+    /// Utilization of the first endpoint of a group's subset by the group's connections, if each member distributes its connections evenly
+    /// over the subset in force there. No other endpoint has a higher utilization.
     pub fn fullest(&self, group: u64) -> f64 {
         let of = |member: u32| {
             let own = self.groups[member as usize].get(&group).copied().unwrap_or(0);
--- a/crates/aggregation/tests/stopped.rs
+++ b/crates/aggregation/tests/stopped.rs
@@ -1,4 +1,4 @@
-//! A member that was stopped while it asked: what it finds in its socket is as old as that, and it asks anew at once.
+//! A member that was stopped while it waited for an answer drops the outdated answers in its socket and sends a new report at once.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -9,7 +9,7 @@
 use cottonnotch_aggregation::{FleetSection, Input, Member, Micros, Output, Settings, aggregator_order};
 
 const S: Micros = 1_000_000;
-/// The same for all members: the clock shows Unix time.
+/// Start time of the test. The clock of all members shows Unix time.
 const START: Micros = 1_000_000 * S;
 
 fn settings() -> Settings {
@@ -23,7 +23,7 @@
         .collect()
 }
 
-/// A member that is stopped while it asks takes the next prompt answer, and none from before.
+/// A member that is stopped while it waits for an answer accepts the answer to its next report, but no answer from before the stop.
 #[test]
 fn stopped_member_drops_stale_answers() {
     let epoch = (START / cottonnotch_aggregation::EPOCH) as u64;
@@ -35,7 +35,7 @@
         aggregator.handle(now, Input::Datagram { from: Some(me), bytes });
         sent(aggregator).into_iter().filter(|(to, _)| *to == me).map(|(_, bytes)| bytes).collect::<Vec<_>>()
     };
-    // The aggregator hears it for long enough to be none that has just begun.
+    // The aggregator receives reports until its collection phase is over and its summaries are complete.
     while member.snapshot().is_none() {
         let now = member.next_timeout();
         assert!(now < START + 15 * S, "no snapshot before the epoch's end");
@@ -48,7 +48,7 @@
             }
         }
     }
-    // It asks, and is stopped for 3 s: within the epoch, so the aggregator is the same.
+    // The member sends a report and is stopped for 3 s. The epoch and therefore the aggregator stay the same.
     let at = member.snapshot().unwrap().received_at;
     let mut now = member.next_timeout();
     member.handle(now, Input::Tick);
--- a/crates/aggregation/tests/wall_clock.rs
+++ b/crates/aggregation/tests/wall_clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock is stepped: epochs, on which all members must agree, follow it; no other time does.
+//! After a step of the wall clock, epochs follow the new time, since all members must agree on them. No other time follows the step.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -24,14 +24,14 @@
     outputs.filter_map(|output| if let Output::Send { to, .. } = output { Some(to) } else { None }).collect()
 }
 
-/// Members from before and after a step of the wall clock ask the same aggregator.
+/// A member started before a step of the wall clock and a member started after it report to the same aggregator.
 #[test]
 fn epoch_follows_stepped_wall_clock() {
     for step in [-3600 * S, -7 * S, 7 * S, 3600 * S] {
         let unix = UNIX + 2 * S + step;
         let aggregator = aggregator_order((unix / EPOCH) as u64, MEMBERS)[0];
         let me = (aggregator + 1) % MEMBERS;
-        // One that began before the step, on a clock of its own, and one that begins after it.
+        // One member starts before the step, and one after it.
         let mut before = Member::new(settings(), me, MEMBERS, 1, 0, UNIX);
         before.set_wall_clock(2 * S, unix);
         let mut after = Member::new(settings(), me, MEMBERS, 2, 2 * S, unix);
