--- a/crates/aggregation/benches/homes.rs
+++ b/crates/aggregation/benches/homes.rs
@@ -1,6 +1,6 @@
-//! Cost of load-based affinity subsets for a proxy, and their effect on the most utilized node. The fleet runs on virtual time. The
-//! number of a group's connections is inversely proportional to the group's rank; the largest group has a million connections.
-//! Each run prints one JSON line, without affinity subsets and with limits of 64 and 320 groups.
+//! Cost of load-based affinity subsets for a proxy, and their effect on the most utilized node. The fleet runs on virtual time.
+//! The number of a group's connections is inversely proportional to the group's rank; the largest group has a million
+//! connections. Each run prints one JSON line, without affinity subsets and with limits of 64 and 320 groups.
 //!
 //! `cargo bench --locked -p cottonnotch-aggregation --bench homes` runs all fleet sizes; `-- 440` runs one size.
 #![allow(
--- a/crates/aggregation/src/affinity_subsets.rs
+++ b/crates/aggregation/src/affinity_subsets.rs
@@ -1,12 +1,13 @@
 //! Sizes of the groups' affinity subsets: the number of endpoints that a load needs, and the sizes in force at this proxy
 //! ([`AffinitySubsets`]).
 //!
-//! Subsets grow at once and shrink slowly, because the two errors differ in cost. A subset that is too large repeats the group's
-//! fixed cost at every additional endpoint; a subset that is too small overloads its endpoints. A member whose reports stop may be
-//! dead, or only partitioned off with its connections still open.
+//! Subsets grow at once and shrink slowly, because the two errors differ in cost. A subset that is too large repeats the
+//! group's fixed cost at every additional endpoint; a subset that is too small overloads its endpoints. A member whose reports
+//! stop may be dead, or only partitioned off with its connections still open.
 //!
-//! Invariants, asserted in debug builds and counted or clamped in release builds: no subset is smaller than [`MIN_SUBSET_SIZE`];
-//! a subset shrinks by at most half within the hold time; at most twice as many groups are stored as one answer names.
+//! Invariants, asserted in debug builds and counted or clamped in release builds: no subset is smaller than
+//! [`MIN_SUBSET_SIZE`]; a subset shrinks by at most half within the hold time; at most twice as many groups are stored as one
+//! answer names.
 
 use crate::fleet_sums::GROUP_COST;
 use crate::{AffinitySettings, Micros};
@@ -33,8 +34,8 @@
     target - (GROUP_COST * mean_load).min(MAX_COST_SHARE * target)
 }
 
-/// The number of endpoints that a group of this load needs: at least [`MIN_SUBSET_SIZE`], even in a smaller pool, and otherwise at
-/// most the size of the pool. The result is [`MIN_SUBSET_SIZE`] where capacities are unknown.
+/// The number of endpoints that a group of this load needs: at least [`MIN_SUBSET_SIZE`], even in a smaller pool, and otherwise
+/// at most the size of the pool. The result is [`MIN_SUBSET_SIZE`] where capacities are unknown.
 pub fn required_size(load: f64, mean_load: f64, pool: EndpointPool, target_utilization: f64) -> u32 {
     let size = (load / load_per_endpoint(pool, target_utilization, mean_load)).ceil();
     // The cast turns NaN into 0.
@@ -69,8 +70,8 @@
 }
 
 impl AffinitySubsets {
-    /// Creates an empty table. Its limit is twice the number of groups in one answer: the groups of the current answer, and those
-    /// whose subsets are still shrinking.
+    /// Creates an empty table. Its limit is twice the number of groups in one answer: the groups of the current answer, and
+    /// those whose subsets are still shrinking.
     pub fn new(settings: &AffinitySettings) -> Self {
         AffinitySubsets {
             sizes: BTreeMap::new(),
--- a/crates/aggregation/src/affinity_subsets_tests.rs
+++ b/crates/aggregation/src/affinity_subsets_tests.rs
@@ -6,8 +6,8 @@
     AffinitySettings { max_groups: 4, target_utilization: 0.25, shrink_hold: 600 * S, retention: 180 * S };
 
 proptest! {
-    /// Reference model: the smallest number of endpoints at which each one has capacity for its share of the load plus the group's
-    /// fixed cost.
+    /// Reference model: the smallest number of endpoints at which each one has capacity for its share of the load plus the
+    /// group's fixed cost.
     #[test]
     fn size_is_the_least_that_fits(load in 0.0..1e9, mean in 1.0..50_000.0, count in 5..4_096_u32, size in 1e6..8e6, used in 0.05..0.9) {
         let nodes = EndpointPool { count, mean_capacity: size };
@@ -59,8 +59,8 @@
     assert_eq!(required_size(1e12, 1.0, nodes(3, 2e6), 0.25), 5);
 }
 
-/// While the required size oscillates, the subset keeps the maximum. Once only smaller sizes are required, the subset halves once per
-/// hold time.
+/// While the required size oscillates, the subset keeps the maximum. Once only smaller sizes are required, the subset halves
+/// once per hold time.
 #[test]
 fn oscillating_size_keeps_its_maximum() {
     let mut subsets = AffinitySubsets::new(&SETTINGS);
--- a/crates/aggregation/src/aggregation.rs
+++ b/crates/aggregation/src/aggregation.rs
@@ -1,5 +1,5 @@
-//! The load reports that an aggregator has received. The newest report of each member counts until it expires. Memory grows with
-//! the number of members times the entries of a report; the wire format limits those entries.
+//! The load reports that an aggregator has received. The newest report of each member counts until it expires. Memory grows
+//! with the number of members times the entries of a report; the wire format limits those entries.
 
 use crate::fleet_sums::{FleetSums, max_connections};
 use crate::member_report::MemberReport;
@@ -8,7 +8,8 @@
 use crate::{Micros, Settings, report_interval};
 use std::collections::BTreeMap;
 
-/// Time for which a computed summary is reused. At 300 reports per second, a summary for each report would mostly be wasted work.
+/// Time for which a computed summary is reused. At 300 reports per second, a summary for each report would mostly be wasted
+/// work.
 const SUMMARY_LIFETIME: Micros = 100_000;
 /// Minimum time for which an aggregator collects the other members' reports after the first one.
 const MIN_COLLECTION_TIME: Micros = 1_200_000;
@@ -99,8 +100,8 @@
         self.first_report_at.is_none_or(|first| now - first < collection_time)
     }
 
-    /// The report interval at which the whole fleet keeps to its bandwidth limit. The interval is the same for all members, so that
-    /// no report expires before its sender's next one.
+    /// The report interval at which the whole fleet keeps to its bandwidth limit. The interval is the same for all members, so
+    /// that no report expires before its sender's next one.
     fn report_interval(&self, settings: &Settings, summary: &FleetSummary) -> Micros {
         let reports: usize = self.reports.values().map(|report| report.bytes).sum();
         let summaries: usize = write_summary(summary).iter().map(Vec::len).sum();
--- a/crates/aggregation/src/aggregation_tests.rs
+++ b/crates/aggregation/src/aggregation_tests.rs
@@ -69,8 +69,8 @@
     assert_eq!(used(&mut aggregation, 2 * S), BTreeMap::from([(1, 0.12)]));
 }
 
-/// The report of a restarted process replaces the previous one at once. The report of a member that is silent for three intervals
-/// expires.
+/// The report of a restarted process replaces the previous one at once. The report of a member that is silent for three
+/// intervals expires.
 #[test]
 fn restart_replaces_and_silence_expires() {
     let mut aggregation = Aggregation::default();
--- a/crates/aggregation/src/aggregator.rs
+++ b/crates/aggregation/src/aggregator.rs
@@ -78,8 +78,8 @@
     }
 
     fn fleet_totals(&mut self, configured_members: u32, summary: &FleetSummary) -> FleetTotals {
-        // A member without a stored load report counts among the silent members, whose groups are extrapolated. Its group report
-        // must not count in addition.
+        // A member without a stored load report counts among the silent members, whose groups are extrapolated. Its group
+        // report must not count in addition.
         self.group_reports.retain(|member| self.load_reports.contains(member));
         let (connections, connections_with_groups) =
             self.load_reports.connections(|member| self.group_reports.contains(member));
--- a/crates/aggregation/src/aggregator_order.rs
+++ b/crates/aggregation/src/aggregator_order.rs
@@ -3,15 +3,16 @@
 
 use crate::Micros;
 
-/// How long one order is in force, in microseconds of Unix time. The epoch is short, so that one faulty member of 300 is aggregator
-/// for only 3 s in 1,000 s, and long compared with the time in which a new aggregator collects reports.
+/// How long one order is in force, in microseconds of Unix time. The epoch is short, so that one faulty member of 300 is
+/// aggregator for only 3 s in 1,000 s, and long compared with the time in which a new aggregator collects reports.
 pub const EPOCH: Micros = 20_000_000;
 /// Number of candidates in an order. If 70% of the members die at once, the probability that all 24 candidates are dead is
 /// 1 in 5,000.
 const CANDIDATES: usize = 24;
 
 fn score(epoch: u64, member: u32) -> u64 {
-    // Finalizer of splitmix64 (Steele et al. 2014). Members and epochs are consecutive numbers, so the hash must mix their bits.
+    // Finalizer of splitmix64 (Steele et al. 2014). Members and epochs are consecutive numbers, so the hash must mix their
+    // bits.
     let mut z =
         epoch.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(member).wrapping_mul(0xd134_2543_de82_ef95);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/aggregation/src/aggregator_search.rs
+++ b/crates/aggregation/src/aggregator_search.rs
@@ -6,18 +6,18 @@
 
 /// Time after which an answer counts as lost: about three round trips of 2 * 38 ms.
 const ANSWER_TIMEOUT: Micros = 250_000;
-/// Maximum number of members asked in one round while the aggregator does not answer. The first round asks the same member again,
-/// the following rounds ask the next 1, 2, 4, 4, ... candidates.
+/// Maximum number of members asked in one round while the aggregator does not answer. The first round asks the same member
+/// again, the following rounds ask the next 1, 2, 4, 4, ... candidates.
 const MAX_ASKED_AT_ONCE: usize = 4;
-/// Report intervals without an answer from the first candidate after which reports go to its deputy first. If members switched after
-/// only two lost datagrams, the reports would be split between two aggregators, and neither would have complete sums.
+/// Report intervals without an answer from the first candidate after which reports go to its deputy first. If members switched
+/// after only two lost datagrams, the reports would be split between two aggregators, and neither would have complete sums.
 const SILENT_INTERVALS: u32 = 2;
 /// Every third report still goes to the first candidate, which may have recovered.
 const RETRY_FIRST_EVERY: u16 = 3;
 /// Rounds of asking after which a member gives up until its next report, whose interval is doubled.
 const MAX_ROUNDS: u32 = 6;
-/// Maximum age of the report that an answer belongs to: all rounds, plus half a second of transit time. An answer to an older report
-/// is dropped, because it may have waited in the socket while this process was stopped.
+/// Maximum age of the report that an answer belongs to: all rounds, plus half a second of transit time. An answer to an older
+/// report is dropped, because it may have waited in the socket while this process was stopped.
 pub(crate) const MAX_ANSWER_AGE: Micros = (MAX_ROUNDS as Micros + 2) * ANSWER_TIMEOUT;
 /// Maximum number of times that the report interval is doubled while no report is answered.
 const MAX_DOUBLINGS: u32 = 3;
@@ -152,8 +152,8 @@
         NextRound::Ask((next..next + many).map(|place| self.order[place % self.order.len()]).collect())
     }
 
-    /// Returns whether the sender of this answer becomes the aggregator. It does not if the report has already been answered by a
-    /// member with a better rank.
+    /// Returns whether the sender of this answer becomes the aggregator. It does not if the report has already been answered by
+    /// a member with a better rank.
     pub(crate) fn accept_answer(&mut self, from: u32) -> bool {
         // If a new epoch has begun since the report was sent, the sender may be missing in the order.
         let rank = self.place(from).unwrap_or(usize::MAX);
--- a/crates/aggregation/src/config.rs
+++ b/crates/aggregation/src/config.rs
@@ -6,8 +6,8 @@
 const PERIOD_MS: u32 = 1_000;
 const LONGEST_PERIOD_MS: u32 = 6_000;
 const DATAGRAMS_WITHIN: (f64, f64) = (0.01, 1_000.0);
-/// In milliseconds. With a shorter interval the next report is sent before the answer arrives; with a longer one a summary is too
-/// old to be worth its datagram.
+/// In milliseconds. With a shorter interval the next report is sent before the answer arrives; with a longer one a summary is
+/// too old to be worth its datagram.
 const PERIOD_WITHIN: (u32, u32) = (200, 60_000);
 /// Number of groups in one report or one answer. 320 fit into 16 datagrams even when their numbers are long.
 const GROUPS_WITHIN: (u32, u32) = (1, 320);
@@ -33,11 +33,11 @@
     pub period_ms: u32,
     /// The maximum time between two reports of a proxy, in milliseconds, even when few requests arrive.
     pub longest_period_ms: u32,
-    /// The maximum number of groups in a proxy's report, which names those with the most load, and the maximum number of groups to
-    /// which one answer gives more than five endpoints. Without this key, affinity subsets do not follow the load.
+    /// The maximum number of groups in a proxy's report, which names those with the most load, and the maximum number of groups
+    /// to which one answer gives more than five endpoints. Without this key, affinity subsets do not follow the load.
     pub group_homes: Option<u32>,
-    /// Share of a node's capacity that one group is to use at each endpoint of its subset, including the fixed cost of the group
-    /// at the endpoint.
+    /// Share of a node's capacity that one group is to use at each endpoint of its subset, including the fixed cost of the
+    /// group at the endpoint.
     pub home_use: f64,
     /// Time in seconds within which a group's subset shrinks by at most half.
     pub homes_hold_s: u32,
--- a/crates/aggregation/src/fleet_sums.rs
+++ b/crates/aggregation/src/fleet_sums.rs
@@ -9,9 +9,9 @@
 /// Fixed cost of a group at every endpoint that has a connection of the group, in multiples of a connection's mean load. The
 /// platform specifies the value; it is not configurable.
 pub(crate) const GROUP_COST: f64 = 3.0;
-/// Limit for a figure of one report, as a multiple of the 95th percentile over all members. Guards against faulty members: one or
-/// two faulty members of 40 do not change the percentile. Clients are never distributed so unevenly that a correct member exceeds
-/// the limit.
+/// Limit for a figure of one report, as a multiple of the 95th percentile over all members. Guards against faulty members: one
+/// or two faulty members of 40 do not change the percentile. Clients are never distributed so unevenly that a correct member
+/// exceeds the limit.
 pub(crate) const MAX_OVER_USUAL: f64 = 2.0;
 /// Connections added to the limit, so that it is above zero where most members have no connections.
 pub(crate) const ALWAYS_ALLOWED: f64 = 4.0;
@@ -19,9 +19,9 @@
 const ALWAYS_ALLOWED_PER_S: f64 = 0.5;
 /// Limit for the mean load of a member's connections, as a multiple of the median over all members.
 const MAX_MEAN_LOAD: f64 = 4.0;
-/// An endpoint is crowded if the number of proxies that have just set up connections there, per capacity, exceeds the fleet's mean by
-/// this factor. The summary reports a crowded endpoint with a utilization of at least 0.4. Otherwise many proxies could choose
-/// the same endpoint before the next summary shows its load.
+/// An endpoint is crowded if the number of proxies that have just set up connections there, per capacity, exceeds the fleet's
+/// mean by this factor. The summary reports a crowded endpoint with a utilization of at least 0.4. Otherwise many proxies could
+/// choose the same endpoint before the next summary shows its load.
 const CROWDED: f64 = 1.5;
 /// Number of members that must agree on a verdict. A single member may itself be partitioned off.
 const MIN_AGREEING: u32 = 2;
@@ -128,7 +128,8 @@
         self.add_entries(report, factor, limits.connections as usize);
     }
 
-    /// Adds a report's entries. At most `max_groups` groups of a report count, since a member has no more groups than connections.
+    /// Adds a report's entries. At most `max_groups` groups of a report count, since a member has no more groups than
+    /// connections.
     fn add_entries(&mut self, report: &MemberReport, factor: f64, max_groups: usize) {
         let mut groups_left = max_groups;
         for entry in report.current_entries() {
@@ -146,8 +147,8 @@
         if self.connections > 0.0 { self.load / self.connections } else { 0.0 }
     }
 
-    /// The summary without the report interval. `capacity` returns the capacity of an endpoint in microseconds of work per second,
-    /// or `None` if the endpoint is not listed.
+    /// The summary without the report interval. `capacity` returns the capacity of an endpoint in microseconds of work per
+    /// second, or `None` if the endpoint is not listed.
     pub(crate) fn into_summary(
         self,
         incomplete: bool,
--- a/crates/aggregation/src/group_sums.rs
+++ b/crates/aggregation/src/group_sums.rs
@@ -1,5 +1,6 @@
-//! The group reports that an aggregator has received, and the sizes of the affinity subsets computed from them. Memory grows with
-//! the number of members times the groups of a report; the wire format limits those groups. Group reports expire like load reports.
+//! The group reports that an aggregator has received, and the sizes of the affinity subsets computed from them. Memory grows
+//! with the number of members times the groups of a report; the wire format limits those groups. Group reports expire like load
+//! reports.
 
 use crate::affinity_subsets::{EndpointPool, MIN_SUBSET_SIZE, required_size};
 use crate::fleet_sums::{ALWAYS_ALLOWED, MAX_OVER_USUAL};
@@ -9,11 +10,11 @@
 use crate::{AffinitySettings, Micros, Settings};
 use std::collections::BTreeMap;
 
-/// Time for which computed sizes are reused. A group's load changes within minutes, and computing the sizes for 440 members takes
-/// one or two milliseconds.
+/// Time for which computed sizes are reused. A group's load changes within minutes, and computing the sizes for 440 members
+/// takes one or two milliseconds.
 const SIZES_LIFETIME: Micros = 1_000_000;
-/// Limit for extrapolating sums to members without a report, which are assumed to have the same load as the others. The limit is
-/// twice the reported load: if two regions are partitioned, the connections of the unreachable half are still open.
+/// Limit for extrapolating sums to members without a report, which are assumed to have the same load as the others. The limit
+/// is twice the reported load: if two regions are partitioned, the connections of the unreachable half are still open.
 const MAX_EXTRAPOLATION: f64 = 2.0;
 /// Approximate number of bytes of one group in an answer.
 const BYTES_PER_SIZE: usize = 10;
@@ -57,8 +58,8 @@
     /// Bit n is set if fragment n has arrived.
     fragments_received: u16,
     bytes: usize,
-    /// Load of each group, with the sequence number of the report that contained it. Groups of the previous report stay until all
-    /// fragments of the newest one have arrived.
+    /// Load of each group, with the sequence number of the report that contained it. Groups of the previous report stay until
+    /// all fragments of the newest one have arrived.
     groups: BTreeMap<u64, (u16, f64)>,
 }
 
@@ -116,8 +117,8 @@
 }
 
 impl GroupSums {
-    /// Stores one fragment of a report; `bytes` is the size of its datagram. A duplicate of a fragment changes no stored group, so at
-    /// most two reports of a member are stored.
+    /// Stores one fragment of a report; `bytes` is the size of its datagram. A duplicate of a fragment changes no stored group,
+    /// so at most two reports of a member are stored.
     pub fn record(
         &mut self,
         settings: &Settings,
@@ -202,10 +203,10 @@
         sizes
     }
 
-    /// Load of each group, summed over all members with a group report. Each member counts up to twice the 95th percentile of the
-    /// group's load plus four connections, which limits the effect of a faulty member. The percentile is taken over at least half of
-    /// the configured members, with a load of zero for those without a report: otherwise, with only three reports, the report of one
-    /// faulty member would set the percentile.
+    /// Load of each group, summed over all members with a group report. Each member counts up to twice the 95th percentile of
+    /// the group's load plus four connections, which limits the effect of a faulty member. The percentile is taken over at
+    /// least half of the configured members, with a load of zero for those without a report: otherwise, with only three
+    /// reports, the report of one faulty member would set the percentile.
     pub fn sums(&self, mean_load: f64, configured_members: u32) -> Vec<(u64, f64)> {
         let reported = self.reports.values().flat_map(|report| &report.groups);
         let mut loads: Vec<(u64, f64)> = reported.map(|(group, (_, load))| (*group, *load)).collect();
--- a/crates/aggregation/src/group_sums_tests.rs
+++ b/crates/aggregation/src/group_sums_tests.rs
@@ -118,8 +118,8 @@
     assert_eq!(sums.subset_sizes(&affinity, S / 2, &fleet_totals(30)), sizes, "not made anew each time");
 }
 
-/// The sums are extrapolated if half of the fleet runs an older program version that reports no groups, and if no reports arrive from
-/// part of the fleet.
+/// The sums are extrapolated if half of the fleet runs an older program version that reports no groups, and if no reports
+/// arrive from part of the fleet.
 #[test]
 fn extrapolates_to_members_without_groups() {
     let affinity = settings().affinity.unwrap();
@@ -147,8 +147,8 @@
     );
 }
 
-/// Groups of the previous report replace a lost fragment. The report of a silent member expires even if the member announced a very
-/// long interval.
+/// Groups of the previous report replace a lost fragment. The report of a silent member expires even if the member announced a
+/// very long interval.
 #[test]
 fn previous_report_stands_in_and_silence_expires() {
     let mut sums = GroupSums::default();
@@ -175,7 +175,8 @@
     assert!(sums.reports.is_empty());
 }
 
-/// A member that reports the maximum number of groups, with new names in every report, does not make the stored groups accumulate.
+/// A member that reports the maximum number of groups, with new names in every report, does not make the stored groups
+/// accumulate.
 #[test]
 fn holds_two_reports_per_member_at_most() {
     let mut sums = GroupSums::default();
@@ -200,8 +201,8 @@
     assert_eq!((accepted.count(), sums.reports[&1].groups.len()), (1, 27));
 }
 
-/// The only member that reports groups is aggregator of a fleet with an older program version: the load of its groups is extrapolated
-/// by at most a factor of two.
+/// The only member that reports groups is aggregator of a fleet with an older program version: the load of its groups is
+/// extrapolated by at most a factor of two.
 #[test]
 fn extrapolation_is_bounded() {
     let mut sums = GroupSums::default();
--- a/crates/aggregation/src/groups.rs
+++ b/crates/aggregation/src/groups.rs
@@ -11,8 +11,8 @@
     pub load: f64,
 }
 
-/// The `max_groups` groups with the most load among those with at least `min_load`, in descending order of load, and the number of
-/// groups left out because of `max_groups`. Ties are broken by the digest, so that every proxy selects the same groups.
+/// The `max_groups` groups with the most load among those with at least `min_load`, in descending order of load, and the number
+/// of groups left out because of `max_groups`. Ties are broken by the digest, so that every proxy selects the same groups.
 pub fn heaviest(mut groups: Vec<GroupLoad>, max_groups: usize, min_load: f64) -> (Vec<GroupLoad>, usize) {
     groups.retain(|group| group.load.is_finite() && group.load >= min_load);
     let order = |a: &GroupLoad, b: &GroupLoad| b.load.total_cmp(&a.load).then(a.group.cmp(&b.group));
--- a/crates/aggregation/src/interface.rs
+++ b/crates/aggregation/src/interface.rs
@@ -68,8 +68,8 @@
     pub late: u64,
     /// Accepted datagrams with subset sizes.
     pub subset_tables_received: u64,
-    /// Times that a group was left out because a limit was reached: in this proxy's report, in its answer as aggregator, or in the
-    /// table of subset sizes in force.
+    /// Times that a group was left out because a limit was reached: in this proxy's report, in its answer as aggregator, or in
+    /// the table of subset sizes in force.
     pub groups_cut: u64,
 }
 
--- a/crates/aggregation/src/lib.rs
+++ b/crates/aggregation/src/lib.rs
@@ -1,11 +1,11 @@
-//! Aggregation of load reports over a fleet of proxies, sans-io and deterministic: the crate opens no sockets, reads no clock and
-//! takes all randomness from one seed. A caller drives a [`Member`] with `handle(now, input)`, `poll() -> output` and
+//! Aggregation of load reports over a fleet of proxies, sans-io and deterministic: the crate opens no sockets, reads no clock
+//! and takes all randomness from one seed. A caller drives a [`Member`] with `handle(now, input)`, `poll() -> output` and
 //! `next_timeout()`.
 //!
-//! Each proxy of a large fleet has only a few connections, which reveal almost nothing about the load of the render nodes. Every
-//! member therefore sends a load report once per interval to the current *aggregator*, which is one of the members. The aggregator
-//! answers with a *fleet summary*, the sums over all reports. The aggregator changes every [`EPOCH`]; all members compute the
-//! same order of candidates. `docs/design/fleet-view.md` describes the reasons and the costs.
+//! Each proxy of a large fleet has only a few connections, which reveal almost nothing about the load of the render nodes.
+//! Every member therefore sends a load report once per interval to the current *aggregator*, which is one of the members. The
+//! aggregator answers with a *fleet summary*, the sums over all reports. The aggregator changes every [`EPOCH`]; all members
+//! compute the same order of candidates. `docs/design/fleet-view.md` describes the reasons and the costs.
 //!
 //! The aggregator also sums up the load of each large group over all members. If five endpoints are too few for a group, the
 //! answer contains the size that the group's affinity subset needs: `docs/design/group-homes.md`.
--- a/crates/aggregation/src/member.rs
+++ b/crates/aggregation/src/member.rs
@@ -1,5 +1,5 @@
-//! The state machine of one member. A member reports to the aggregator, searches for another one if the aggregator does not answer,
-//! and acts as aggregator for every member that reports to it. The module `receiving` handles incoming datagrams.
+//! The state machine of one member. A member reports to the aggregator, searches for another one if the aggregator does not
+//! answer, and acts as aggregator for every member that reports to it. The module `receiving` handles incoming datagrams.
 
 use crate::aggregator::Aggregator;
 use crate::aggregator_order::EPOCH;
@@ -13,7 +13,8 @@
 use crate::wire::{self, Fragment, GroupReport, Report};
 use crate::{Micros, Settings};
 
-/// Time for which the report interval and the connection share of a snapshot are used, in multiples of the maximum report interval.
+/// Time for which the report interval and the connection share of a snapshot are used, in multiples of the maximum report
+/// interval.
 const SNAPSHOT_LIFETIME_INTERVALS: Micros = 4;
 /// Lower limit for the share of all connections that a member assumes to have, as a fraction of an even share.
 const MIN_OF_EVEN_SHARE: f64 = 0.5;
@@ -47,8 +48,8 @@
 }
 
 impl Member {
-    /// Creates the member with the ordinal `me`, counted from 0, in a fleet of `members`; `unix` is the Unix time in microseconds
-    /// at `now`.
+    /// Creates the member with the ordinal `me`, counted from 0, in a fleet of `members`; `unix` is the Unix time in
+    /// microseconds at `now`.
     pub fn new(settings: Settings, me: u32, members: u32, seed: u64, now: Micros, unix: Micros) -> Self {
         let unix_offset = unix - now;
         Member {
@@ -68,8 +69,8 @@
         }
     }
 
-    /// Handles an input. The caller then calls [`Member::poll`] until it returns `None`. Time does not go backwards: if `now` is
-    /// earlier than in a previous call, the previous time is used.
+    /// Handles an input. The caller then calls [`Member::poll`] until it returns `None`. Time does not go backwards: if `now`
+    /// is earlier than in a previous call, the previous time is used.
     pub fn handle(&mut self, now: Micros, input: Input<'_>) {
         self.now = self.now.max(now);
         match input {
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Sets the current Unix time, after a possible step of the wall clock. Only epochs follow the wall clock, so that members whose
-    /// machines show the same time are in the same epoch. All other times are independent of it.
+    /// Sets the current Unix time, after a possible step of the wall clock. Only epochs follow the wall clock, so that members
+    /// whose machines show the same time are in the same epoch. All other times are independent of it.
     pub fn set_wall_clock(&mut self, now: Micros, unix: Micros) {
         self.unix_offset = unix - now;
     }
@@ -145,7 +146,8 @@
             self.set_aggregator(self.search.first());
         }
         match self.search.stage {
-            // This process was stopped or severely delayed. Answers received now may be just as old, so the member sends a new report.
+            // This process was stopped or severely delayed. Answers received now may be just as old, so the member sends a new
+            // report.
             Stage::Asking { .. } if self.answer_is_late() => {
                 self.search.stage = Stage::Idle;
                 self.report();
@@ -237,8 +239,8 @@
         }
     }
 
-    /// The group report to send along with `report`; `None` if affinity subsets do not follow the groups' loads, or if this member
-    /// is leaving.
+    /// The group report to send along with `report`; `None` if affinity subsets do not follow the groups' loads, or if this
+    /// member is leaving.
     fn own_group_report(&self, report: &Report) -> Option<GroupReport> {
         self.settings.affinity.filter(|_| !report.leaving).map(|_| GroupReport {
             sequence: report.sequence,
--- a/crates/aggregation/src/member_report.rs
+++ b/crates/aggregation/src/member_report.rs
@@ -5,8 +5,8 @@
 use crate::wire::{EndpointDigest, Entry, Fragment, Report, Totals};
 use std::collections::BTreeSet;
 
-/// Lifetime of a report, in halves of the time until its sender's next report. With 2.5 intervals, a member stays in the sums when
-/// two of its reports are lost.
+/// Lifetime of a report, in halves of the time until its sender's next report. With 2.5 intervals, a member stays in the sums
+/// when two of its reports are lost.
 pub(crate) const LIFETIME_HALF_INTERVALS: i64 = 5;
 /// Lower limit for the announced time until a member's next report.
 pub(crate) const MIN_NEXT_REPORT_IN: Micros = 200_000;
@@ -45,8 +45,8 @@
         self.fragments_received.count_ones() >= u32::from(self.fragments)
     }
 
-    /// The entries that count: those of the newest report and, while some of its fragments are missing, the entries of the previous
-    /// report for other endpoints.
+    /// The entries that count: those of the newest report and, while some of its fragments are missing, the entries of the
+    /// previous report for other endpoints.
     pub(crate) fn current_entries(&self) -> impl Iterator<Item = &Entry> {
         let complete = self.is_complete();
         self.entries
--- a/crates/aggregation/src/receiving.rs
+++ b/crates/aggregation/src/receiving.rs
@@ -5,8 +5,8 @@
 use crate::wire::{self, Datagram, FleetSummary, Fragment, GroupReport, Report, SubsetSizes};
 use crate::{AffinitySettings, Member, Micros};
 
-/// A summary with fewer members than this fraction of the current snapshot's members replaces the snapshot only once the snapshot is
-/// old. An aggregator that has just started may not have received all reports.
+/// A summary with fewer members than this fraction of the current snapshot's members replaces the snapshot only once the
+/// snapshot is old. An aggregator that has just started may not have received all reports.
 const MIN_MEMBER_RATIO: f64 = 0.6;
 /// Age, in report intervals, from which a summary with far fewer members replaces a snapshot.
 const SNAPSHOT_INTERVALS: Micros = 3;
@@ -59,8 +59,8 @@
         self.aggregator.subset_sizes(&self.settings, affinity, self.now, self.members)
     }
 
-    /// Whether a datagram with this sequence number answers the last report in time. Only members that the report was sent to may
-    /// answer: an earlier aggregator could guess the next sequence number.
+    /// Whether a datagram with this sequence number answers the last report in time. Only members that the report was sent to
+    /// may answer: an earlier aggregator could guess the next sequence number.
     fn is_answer(&mut self, from: u32, sequence: u16) -> bool {
         let asked = sequence == self.schedule.sequence && self.search.has_asked(from);
         let late = self.answer_is_late();
--- a/crates/aggregation/src/report_schedule.rs
+++ b/crates/aggregation/src/report_schedule.rs
@@ -17,8 +17,8 @@
 }
 
 impl ReportSchedule {
-    /// Schedules the first report at a random time within a quarter of the minimum interval, so that members that start together do
-    /// not report at the same time.
+    /// Schedules the first report at a random time within a quarter of the minimum interval, so that members that start
+    /// together do not report at the same time.
     pub(crate) fn new(settings: &Settings, seed: u64, now: Micros) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let next_at = now + rng.random_range(0..=settings.min_report_interval / 4);
@@ -26,8 +26,8 @@
         ReportSchedule { rng, sequence, sent_at: now, next_at }
     }
 
-    /// Records that a report is sent now, and schedules the next one after `interval`, changed randomly by up to `max_jitter` in
-    /// either direction.
+    /// Records that a report is sent now, and schedules the next one after `interval`, changed randomly by up to `max_jitter`
+    /// in either direction.
     pub(crate) fn advance(&mut self, now: Micros, interval: Micros, max_jitter: Micros) {
         let jitter = self.rng.random_range(-max_jitter..=max_jitter);
         self.sent_at = now;
--- a/crates/aggregation/src/sequence.rs
+++ b/crates/aggregation/src/sequence.rs
@@ -1,7 +1,7 @@
 //! Sequence numbers of reports: 16 bits that wrap around and start at a random value.
 
-/// A sequence number at least this far behind the newest known one comes from a restarted process. A smaller distance means a delayed
-/// datagram of the same process.
+/// A sequence number at least this far behind the newest known one comes from a restarted process. A smaller distance means a
+/// delayed datagram of the same process.
 const MAX_BEHIND: i16 = 16;
 
 /// Relation of a received sequence number to the newest known one of the same member.
--- a/crates/aggregation/src/subset_tracker.rs
+++ b/crates/aggregation/src/subset_tracker.rs
@@ -6,8 +6,8 @@
 use crate::groups::{GroupLoad, heaviest};
 use crate::{AffinitySettings, Micros};
 
-/// A member reports a group if its load reaches an even share of the load that five endpoints can take, divided by this number. A
-/// smaller load is not worth the bytes in the report.
+/// A member reports a group if its load reaches an even share of the load that five endpoints can take, divided by this number.
+/// A smaller load is not worth the bytes in the report.
 const WORTH_REPORTING: f64 = 4.0;
 /// Minimum number of own connections from which a member without answers estimates a group's total load. The estimate is off by
 /// about a fifth.
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Replaces this member's own groups, of which those with the most load are kept, and returns whether a subset size changed.
+    /// Replaces this member's own groups, of which those with the most load are kept, and returns whether a subset size
+    /// changed.
     pub(crate) fn set_own_groups(
         &mut self,
         settings: &AffinitySettings,
@@ -61,8 +62,8 @@
         self.require_own_groups(settings, now, fleet)
     }
 
-    /// Requires the sizes that this member's own groups need, independently of the aggregator's answers. Returns whether a subset
-    /// size changed.
+    /// Requires the sizes that this member's own groups need, independently of the aggregator's answers. Returns whether a
+    /// subset size changed.
     fn require_own_groups(
         &mut self,
         settings: &AffinitySettings,
@@ -81,8 +82,8 @@
         changed
     }
 
-    /// Applies one datagram of the aggregator's answer, with sizes limited to the number of endpoints, and returns whether a subset
-    /// size changed.
+    /// Applies one datagram of the aggregator's answer, with sizes limited to the number of endpoints, and returns whether a
+    /// subset size changed.
     pub(crate) fn apply_answer(
         &mut self,
         now: Micros,
--- a/crates/aggregation/src/wire.rs
+++ b/crates/aggregation/src/wire.rs
@@ -1,5 +1,5 @@
-//! The wire format: datagrams of at most 256 bytes. Numbers of variable width are encoded as LEB128; `n` in the tables means such
-//! a number. Other numbers are little-endian.
+//! The wire format: datagrams of at most 256 bytes. Numbers of variable width are encoded as LEB128; `n` in the tables means
+//! such a number. Other numbers are little-endian.
 //!
 //! | header | bytes | |
 //! | --- | --- | --- |
--- a/crates/aggregation/tests/affinity_subsets.rs
+++ b/crates/aggregation/tests/affinity_subsets.rs
@@ -1,5 +1,5 @@
-//! Load-based affinity subsets in simulated fleets with faults: lost and delayed datagrams, stopped and restarted members, partitions,
-//! members whose datagrams are lost, older program versions, unknown senders and faulty members.
+//! Load-based affinity subsets in simulated fleets with faults: lost and delayed datagrams, stopped and restarted members,
+//! partitions, members whose datagrams are lost, older program versions, unknown senders and faulty members.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -32,8 +32,8 @@
     assert_within(sim, what, 1.3);
 }
 
-/// Asserts that the subset of the large group is large enough at every member, and that its median size is at most `times` the required
-/// size.
+/// Asserts that the subset of the large group is large enough at every member, and that its median size is at most `times` the
+/// required size.
 fn assert_within(sim: &Sim, what: &str, times: f64) {
     let (least, middle, most) = sim.spread(LARGE);
     let needs = sim.required_size(LARGE);
@@ -122,8 +122,8 @@
     assert_right(&sim, "25 s after the regions met again");
 }
 
-/// Half of the members run an older program version or have the setting switched off. They drop the unknown datagrams, and send no
-/// subset sizes when they are aggregator.
+/// Half of the members run an older program version or have the setting switched off. They drop the unknown datagrams, and send
+/// no subset sizes when they are aggregator.
 #[test]
 fn half_of_fleet_without_groups() {
     let mut sim = fleet(8, 120, 60, settings(Some(64), 600, 180));
@@ -212,8 +212,8 @@
     assert!(late > 0, "none of them found an answer of before in its socket");
 }
 
-/// Faulty members report groups with a billion connections and 100,000 group names; a member receives datagrams from unknown senders,
-/// malformed datagrams and datagrams of a wrong length.
+/// Faulty members report groups with a billion connections and 100,000 group names; a member receives datagrams from unknown
+/// senders, malformed datagrams and datagrams of a wrong length.
 #[test]
 fn bad_input_is_bounded_and_counted() {
     let mut sim = fleet(20, 40, 100, settings(Some(64), 600, 180));
--- a/crates/aggregation/tests/fleet.rs
+++ b/crates/aggregation/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Simulation of a whole fleet in one process, on virtual time and from one seed. Datagrams are lost and delayed, members restart, and
-//! the network is partitioned. The tests compare the utilizations in the snapshots with the true ones, and measure the bandwidth.
+//! Simulation of a whole fleet in one process, on virtual time and from one seed. Datagrams are lost and delayed, members
+//! restart, and the network is partitioned. The tests compare the utilizations in the snapshots with the true ones, and measure
+//! the bandwidth.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -179,8 +180,8 @@
         f64::from(count) * LOAD / SIZE
     }
 
-    /// Ratio of the utilizations in the fresh snapshots to the true ones, over all nodes with a utilization above 0.5, and the share of the
-    /// partition's members whose snapshot is no older than `fresh`.
+    /// Ratio of the utilizations in the fresh snapshots to the true ones, over all nodes with a utilization above 0.5, and the
+    /// share of the partition's members whose snapshot is no older than `fresh`.
     fn accuracy(&self, partition: u8, fresh: Micros) -> (f64, f64) {
         let full: Vec<u32> = (0..self.nodes).filter(|node| self.used(partition, *node) > 0.5).collect();
         let (mut shown, mut truth, mut snapshots, mut live) = (0.0, 0.0, 0.0, 0.0);
@@ -331,8 +332,8 @@
     wire::write_summary(&summary).remove(0)
 }
 
-/// Lets a member that is not among the first candidates send a report. Returns the member, the receiver, and the sequence number of the
-/// report.
+/// Lets a member that is not among the first candidates send a report. Returns the member, the receiver, and the sequence
+/// number of the report.
 fn one_that_asks(fleet: &mut Simulation) -> (u32, u32, u16) {
     let epoch = (UNIX / EPOCH) as u64;
     let order = aggregator_order(epoch, fleet.size());
@@ -366,14 +367,15 @@
     assert_eq!(member.counts().dropped, 3);
 }
 
-/// Some proxies have many connections to many nodes. Their reports are long, which extends the report interval, and must not expire before
-/// the next ones arrive.
+/// Some proxies have many connections to many nodes. Their reports are long, which extends the report interval, and must not
+/// expire before the next ones arrive.
 #[test]
 fn long_reports_never_expire_early() {
     let mut fleet = Simulation::new(15, 60, 90);
     fleet.loss = 0.0;
     fleet.requests_per_s = 8.0;
-    // These are only one in ten members, but more than one in twenty, so that their values are not limited as those of faulty members.
+    // These are only one in ten members, but more than one in twenty, so that their values are not limited as those of faulty
+    // members.
     for member in 0..6 {
         fleet.connections[member] = (0..90).map(|node| (node, 10)).collect();
     }
--- a/crates/aggregation/tests/golden.rs
+++ b/crates/aggregation/tests/golden.rs
@@ -98,7 +98,8 @@
 fn datagrams_keep_their_bytes_and_are_read_back() {
     let made = datagrams();
     let golden = assert_bytes(&golden_path!("datagrams.txt"), &made);
-    // Byte 5 contains the index and the number of fragments. It differs, since a fragment that is encoded alone is the only one.
+    // Byte 5 contains the index and the number of fragments. It differs, since a fragment that is encoded alone is the only
+    // one.
     const FRAGMENT: usize = 5;
     for (bytes, (name, _)) in golden.iter().zip(&made) {
         let datagram = read(bytes).unwrap_or_else(|| panic!("{name} is not read"));
--- a/crates/aggregation/tests/simulation/mod.rs
+++ b/crates/aggregation/tests/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! Simulation of a fleet with load-based affinity subsets, on virtual time and from one seed. Datagrams are lost and delayed; members
-//! stop, die, are partitioned off, or run an older program version. The tests compare the subset sizes in force at each member with
-//! the sizes that the true load of the fleet requires.
+//! Simulation of a fleet with load-based affinity subsets, on virtual time and from one seed. Datagrams are lost and delayed;
+//! members stop, die, are partitioned off, or run an older program version. The tests compare the subset sizes in force at each
+//! member with the sizes that the true load of the fleet requires.
 #![allow(dead_code)]
 
 use cottonnotch_aggregation::wire::Totals;
@@ -258,8 +258,8 @@
         (all[0], all[all.len() / 2], all[all.len() - 1])
     }
 
-    /// Utilization of the first endpoint of a group's subset by the group's connections, if each member distributes its connections evenly
-    /// over the subset in force there. No other endpoint has a higher utilization.
+    /// Utilization of the first endpoint of a group's subset by the group's connections, if each member distributes its
+    /// connections evenly over the subset in force there. No other endpoint has a higher utilization.
     pub fn fullest(&self, group: u64) -> f64 {
         let of = |member: u32| {
             let own = self.groups[member as usize].get(&group).copied().unwrap_or(0);
--- a/crates/aggregation/tests/stopped.rs
+++ b/crates/aggregation/tests/stopped.rs
@@ -1,4 +1,5 @@
-//! A member that was stopped while it waited for an answer drops the outdated answers in its socket and sends a new report at once.
+//! A member that was stopped while it waited for an answer drops the outdated answers in its socket and sends a new report at
+//! once.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -23,7 +24,8 @@
         .collect()
 }
 
-/// A member that is stopped while it waits for an answer accepts the answer to its next report, but no answer from before the stop.
+/// A member that is stopped while it waits for an answer accepts the answer to its next report, but no answer from before the
+/// stop.
 #[test]
 fn stopped_member_drops_stale_answers() {
     let epoch = (START / cottonnotch_aggregation::EPOCH) as u64;
--- a/crates/aggregation/tests/wall_clock.rs
+++ b/crates/aggregation/tests/wall_clock.rs
@@ -1,4 +1,5 @@
-//! After a step of the wall clock, epochs follow the new time, since all members must agree on them. No other time follows the step.
+//! After a step of the wall clock, epochs follow the new time, since all members must agree on them. No other time follows the
+//! step.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
