--- a/crates/aggregation/src/affinity_subsets_tests.rs
+++ b/crates/aggregation/src/affinity_subsets_tests.rs
@@ -40,7 +40,7 @@
             for (at, were) in past.iter().filter(|(at, _)| now - at < SETTINGS.shrink_hold) {
                 for (group, were) in were {
                     let is = are.get(group).copied().unwrap_or(MIN_SUBSET_SIZE);
-                    prop_assert!(2 * is >= *were || is == MIN_SUBSET_SIZE && *were <= 10, "{were} at {at}, {is} at {now}");
+                    prop_assert!(2 * is >= *were || is == MIN_SUBSET_SIZE && *were <= 10, "size {were} at {at} us, {is} at {now} us");
                 }
             }
             past.push((now, are));
@@ -51,7 +51,7 @@
 #[test]
 fn size_is_bounded_by_minimum_and_pool() {
     let nodes = |count, size| EndpointPool { count, mean_capacity: size };
-    assert_eq!(required_size(1e12, 1.0, nodes(90, 0.0), 0.25), 5, "sizes are not listed");
+    assert_eq!(required_size(1e12, 1.0, nodes(90, 0.0), 0.25), 5, "unknown capacities");
     assert_eq!(required_size(1e12, 1.0, nodes(0, 0.0), 0.25), 5);
     assert_eq!(required_size(0.0, 0.0, nodes(90, 2e6), 0.25), 5);
     assert_eq!(required_size(f64::NAN, 1.0, nodes(90, 2e6), 0.25), 5);
--- a/crates/aggregation/src/aggregation_tests.rs
+++ b/crates/aggregation/src/aggregation_tests.rs
@@ -78,7 +78,11 @@
     aggregation.record(0, 2, 40, report(5, (0, 1), &[(2, 10.0)]));
     aggregation.record(S, 1, 40, report(0, (0, 1), &[(3, 30.0)]));
     assert_eq!(used(&mut aggregation, S), BTreeMap::from([(2, 0.1), (3, 0.3)]));
-    assert_eq!(used(&mut aggregation, 3 * S), BTreeMap::from([(3, 0.3)]), "2 was silent for three periods");
+    assert_eq!(
+        used(&mut aggregation, 3 * S),
+        BTreeMap::from([(3, 0.3)]),
+        "member 2 was silent for three intervals"
+    );
     aggregation.record(3 * S, 1, 40, Report { leaving: true, ..report(1, (0, 1), &[]) });
     assert!(used(&mut aggregation, 3 * S).is_empty());
 }
@@ -101,7 +105,10 @@
     }
     let after: f64 = used(&mut aggregation, 0).values().sum();
     // Correct members have 2 connections each. A faulty one counts with 8 connections of four times the median load.
-    assert!(after - before <= 2.0 * 8.0 * 4.0 * 10.0 / 100.0 + 1e-9, "{before} {after}");
+    assert!(
+        after - before <= 2.0 * 8.0 * 4.0 * 10.0 / 100.0 + 1e-9,
+        "total utilization {before} without and {after} with faulty members"
+    );
 }
 
 /// Most members report few requests and no failures. Two members report a very high rate of requests and of failed set-ups.
@@ -169,13 +176,13 @@
     assert_eq!(
         verdict_after(&mut aggregation, 1, HealthVerdict::Unhealthy),
         HealthVerdict::Unknown,
-        "one may be cut off itself"
+        "a single member may be partitioned off"
     );
     assert_eq!(verdict_after(&mut aggregation, 2, HealthVerdict::Unhealthy), HealthVerdict::Unhealthy);
     assert_eq!(verdict_after(&mut aggregation, 3, HealthVerdict::Healthy), HealthVerdict::Unhealthy);
     assert_eq!(
         verdict_after(&mut aggregation, 4, HealthVerdict::Healthy),
         HealthVerdict::Unknown,
-        "as many say otherwise"
+        "as many members report the endpoint as healthy"
     );
 }
--- a/crates/aggregation/src/group_sums_tests.rs
+++ b/crates/aggregation/src/group_sums_tests.rs
@@ -74,8 +74,8 @@
         }
         let all: BTreeMap<u64, f64> = sums.sums(MEAN, 30).into_iter().collect();
         let (truth, most): (f64, f64) = (correct.iter().sum(), correct.iter().copied().fold(0.0, f64::max));
-        prop_assert!(all[&1] <= truth + 2.0 * (2.0 * most + 4.0 * MEAN) + 1e-6, "{} {truth}", all[&1]);
-        prop_assert!(all[&9] <= 2.0 * 4.0 * MEAN, "a group of their own: {}", all[&9]);
+        prop_assert!(all[&1] <= truth + 2.0 * (2.0 * most + 4.0 * MEAN) + 1e-6, "sum {}, correct members only {truth}", all[&1]);
+        prop_assert!(all[&9] <= 2.0 * 4.0 * MEAN, "sum of a group reported by faulty members only: {}", all[&9]);
     }
 }
 
@@ -115,7 +115,11 @@
     let sizes = sums.subset_sizes(&affinity, 0, &fleet_totals(30));
     let named: Vec<u64> = sizes.iter().map(|(group, _)| *group).collect();
     assert_eq!((named, sums.truncated), (vec![19, 18, 17], 17));
-    assert_eq!(sums.subset_sizes(&affinity, S / 2, &fleet_totals(30)), sizes, "not made anew each time");
+    assert_eq!(
+        sums.subset_sizes(&affinity, S / 2, &fleet_totals(30)),
+        sizes,
+        "sizes are reused for a second"
+    );
 }
 
 /// The sums are extrapolated if half of the fleet runs an older program version that reports no groups, and if no reports
@@ -138,12 +142,16 @@
         connections_with_groups: 300.0,
         ..fleet_totals(30)
     };
-    assert_eq!(needs(older), 28, "half of the connections are of members that report no groups");
-    assert_eq!(needs(FleetTotals { configured_members: 60, ..fleet_totals(30) }), 28, "half isn't heard");
+    assert_eq!(needs(older), 28, "half of the connections belong to members without group reports");
+    assert_eq!(
+        needs(FleetTotals { configured_members: 60, ..fleet_totals(30) }),
+        28,
+        "no reports from half of the members"
+    );
     assert_eq!(
         needs(FleetTotals { configured_members: 440, ..fleet_totals(30) }),
         28,
-        "no more than as many again"
+        "extrapolated by at most a factor of two"
     );
 }
 
--- a/crates/aggregation/src/wire_tests.rs
+++ b/crates/aggregation/src/wire_tests.rs
@@ -23,7 +23,7 @@
         let mut back = Vec::new();
         for (place, bytes) in fragments.iter().enumerate() {
             prop_assert!(bytes.len() <= LONGEST);
-            let Some(Datagram::Report(read)) = read(bytes) else { panic!("unreadable") };
+            let Some(Datagram::Report(read)) = read(bytes) else { panic!("datagram cannot be decoded") };
             prop_assert_eq!(read.fragment, Fragment { index: place as u8, count: fragments.len() as u8 });
             prop_assert!((read.totals.requests_per_s / 3.0 - 1.0).abs() < 0.05 && read.totals.connections == 70_000);
             prop_assert_eq!(read.next_report_in, next);
@@ -52,7 +52,7 @@
         let fragments = write_group_report(&report);
         for (place, bytes) in fragments.iter().enumerate() {
             prop_assert!(bytes.len() <= LONGEST);
-            let Some(Datagram::GroupReport(read)) = read(bytes) else { panic!("unreadable") };
+            let Some(Datagram::GroupReport(read)) = read(bytes) else { panic!("datagram cannot be decoded") };
             prop_assert_eq!(read.fragment, Fragment { index: place as u8, count: fragments.len() as u8 });
             prop_assert!(read.sequence == sequence && read.advance_notice == notice && read.next_report_in == next);
             back.extend(read.groups);
@@ -66,7 +66,7 @@
         let fragments = write_subset_sizes(&answer);
         for bytes in &fragments {
             prop_assert!(bytes.len() <= LONGEST);
-            let Some(Datagram::SubsetSizes(read)) = read(bytes) else { panic!("unreadable") };
+            let Some(Datagram::SubsetSizes(read)) = read(bytes) else { panic!("datagram cannot be decoded") };
             prop_assert!(read.incomplete == notice && read.sequence == sequence);
             sizes_back.extend(read.sizes);
         }
@@ -106,15 +106,17 @@
         mean_load: 40_000.0,
         endpoints: nodes,
     };
-    let Some(Datagram::Summary(back)) = read(&write_summary(&table)[0]) else { panic!("unreadable") };
+    let Some(Datagram::Summary(back)) = read(&write_summary(&table)[0]) else {
+        panic!("datagram cannot be decoded")
+    };
     let named: Vec<u32> = back.endpoints.iter().map(|node| node.endpoint.0).collect();
-    assert_eq!(named, [4, 3, 2], "the fullest first");
+    assert_eq!(named, [4, 3, 2], "sorted by descending utilization");
     assert!(
         (back.endpoints[1].utilization - 0.93).abs() <= UTILIZATION_STEP / 2.0
             && back.endpoints[1].health == HealthVerdict::Healthy
     );
     assert!((back.mean_load / 40_000.0 - 1.0).abs() < 0.023, "{}", back.mean_load);
-    assert_eq!(back.endpoints[2].utilization, 0.0, "named for its health alone, not as full");
+    assert_eq!(back.endpoints[2].utilization, 0.0, "listed only for its health");
     assert_eq!((back.members, back.sequence, back.report_interval), (300, 9, 1_500_000));
-    assert!(read(&[1, 2, 0, 0, 0, 0]).is_none(), "gossip's version");
+    assert!(read(&[1, 2, 0, 0, 0, 0]).is_none(), "version of the gossip protocol");
 }
--- a/crates/aggregation/tests/affinity_subsets.rs
+++ b/crates/aggregation/tests/affinity_subsets.rs
@@ -38,13 +38,21 @@
     let (least, middle, most) = sim.spread(LARGE);
     let needs = sim.required_size(LARGE);
     eprintln!(
-        "seed {}, {} members, {what}: {least} to {most}, middle {middle}, needs {needs}",
+        "seed {}, {} members, {what}: subset size {least} to {most}, median {middle}, required {needs}",
         sim.seed, sim.scale.members
     );
-    assert!(f64::from(least) >= 0.85 * f64::from(needs), "seed {}, {what}: {least} of {needs}", sim.seed);
-    assert!(f64::from(middle) <= times * f64::from(needs), "seed {}, {what}: {middle} of {needs}", sim.seed);
-    assert!(sim.fullest(LARGE) <= 0.29, "seed {}, {what}: {} of a node", sim.seed, sim.fullest(LARGE));
-    assert_eq!(sim.spread(SMALL), (5, 5, 5), "seed {}, {what}: a small group has five", sim.seed);
+    assert!(
+        f64::from(least) >= 0.85 * f64::from(needs),
+        "seed {}, {what}: minimum {least} of {needs}",
+        sim.seed
+    );
+    assert!(
+        f64::from(middle) <= times * f64::from(needs),
+        "seed {}, {what}: median {middle} of {needs}",
+        sim.seed
+    );
+    assert!(sim.fullest(LARGE) <= 0.29, "seed {}, {what}: utilization {}", sim.seed, sim.fullest(LARGE));
+    assert_eq!(sim.spread(SMALL), (5, 5, 5), "seed {}, {what}: a small group has five endpoints", sim.seed);
 }
 
 /// All members use a suitable size for a large group, in fleets of every size.
@@ -52,7 +60,7 @@
 fn sizes_large_group_alike_everywhere() {
     for (seed, members, each) in [(1, 30, 200), (2, 110, 60), (3, 300, 30), (4, 440, 30)] {
         let mut sim = fleet(seed, members, each, settings(Some(64), 600, 180));
-        assert!(sim.fullest(LARGE) > 1.2, "before the first answer it would push five nodes over");
+        assert!(sim.fullest(LARGE) > 1.2, "before the first answer, five nodes are overloaded");
         sim.run_for(25 * S);
         assert_right(&sim, "25 s after the start");
     }
@@ -65,21 +73,21 @@
     let before = sim.required_size(LARGE);
     sim.clients(LARGE, 6_000);
     sim.run_for(15 * S);
-    assert_right(&sim, "15 s after it grew six times");
+    assert_right(&sim, "15 s after its load grew sixfold");
     let high = sim.spread(LARGE).0;
     for groups in &mut sim.groups {
         groups.insert(LARGE, 15);
     }
     sim.run_for(40 * S);
-    assert!(sim.spread(LARGE).0 >= high, "held for a minute");
+    assert!(sim.spread(LARGE).0 >= high, "the subset keeps its size for the hold time");
     sim.run_for(30 * S);
     let (least, _, most) = sim.spread(LARGE);
-    assert!(least >= high / 2, "{least} to {most} of {high}: by half at most");
+    assert!(least >= high / 2, "size {least} to {most} after {high}: at most halved");
     sim.run_for(70 * S);
     let (least, _, most) = sim.spread(LARGE);
     assert!(
         least >= high / 4 && most < high,
-        "{least} to {most} of {high}: the second hold is over everywhere"
+        "size {least} to {most} after {high}: all members have shrunk their subset"
     );
     sim.run_for(300 * S);
     assert!(sim.spread(LARGE).2 <= before + 2, "{:?}", sim.spread(LARGE));
@@ -100,7 +108,7 @@
     }
     sim.run_for(20 * S);
     // While clients reconnect, some are counted at two members, which makes subsets too large, not too small.
-    assert_within(&sim, "20 s after all were restarted, a third lost", 1.6);
+    assert_within(&sim, "20 s after a rolling restart, with 33% loss", 1.6);
 }
 
 /// Two regions are partitioned. All connections stay open, but each side receives the reports of only half of the members.
@@ -113,13 +121,19 @@
     for minute in 0..10 {
         sim.run_for(60 * S);
         let (least, middle, most) = sim.spread(LARGE);
-        assert!(f64::from(least) >= 0.8 * f64::from(before), "minute {minute}: {least} of {before}");
-        assert!(middle <= before * 3 / 2 && most <= before * 2, "minute {minute}: {middle}, {most}");
-        assert!(sim.fullest(LARGE) <= 0.3, "minute {minute}: {}", sim.fullest(LARGE));
+        assert!(
+            f64::from(least) >= 0.8 * f64::from(before),
+            "minute {minute}: minimum {least}, {before} before"
+        );
+        assert!(
+            middle <= before * 3 / 2 && most <= before * 2,
+            "minute {minute}: median {middle}, maximum {most}"
+        );
+        assert!(sim.fullest(LARGE) <= 0.3, "minute {minute}: utilization {}", sim.fullest(LARGE));
     }
     sim.partition.fill(0);
     sim.run_for(25 * S);
-    assert_right(&sim, "25 s after the regions met again");
+    assert_right(&sim, "25 s after the partition healed");
 }
 
 /// Half of the members run an older program version or have the setting switched off. They drop the unknown datagrams, and send
@@ -136,23 +150,30 @@
     for member in 0..120 {
         let size = sim.subset_size(member, LARGE);
         if member % 2 == 0 {
-            assert!((needs * 85 / 100..=needs * 14 / 10).contains(&size), "{member}: {size} of {needs}");
+            assert!(
+                (needs * 85 / 100..=needs * 14 / 10).contains(&size),
+                "member {member}: {size} of {needs}"
+            );
         } else {
-            assert_eq!(size, 5, "an older program has five");
+            assert_eq!(size, 5, "an older program version uses five endpoints");
         }
     }
     let (old, new): (Vec<_>, Vec<_>) = (0..120).partition(|member| member % 2 == 1);
     let dropped =
         |of: &[usize]| -> u64 { of.iter().map(|m| sim.members[*m].as_ref().unwrap().counts().dropped).sum() };
-    assert!(dropped(&old) > 100, "what it doesn't know it drops and counts");
+    assert!(dropped(&old) > 100, "older versions drop and count unknown datagrams");
     // An answer that arrives after the next report was sent is dropped in any fleet.
-    assert!(dropped(&new) * 1_000 < sim.sent, "and nobody drops what the older tell: {}", dropped(&new));
+    assert!(
+        dropped(&new) * 1_000 < sim.sent,
+        "datagrams of older versions are not dropped: {}",
+        dropped(&new)
+    );
     let snapshots = sim
         .members
         .iter()
         .flatten()
         .filter(|one| one.snapshot().is_some_and(|snapshot| sim.now - snapshot.received_at < 10 * S));
-    assert!(snapshots.count() > 110, "the fleet's snapshot goes on");
+    assert!(snapshots.count() > 110, "snapshots are still updated");
 }
 
 /// A member receives datagrams, but all datagrams that it sends are lost. Without answers, it keeps its subset sizes for the
@@ -166,7 +187,10 @@
     for _ in 0..12 {
         sim.run_for(20 * S);
         let (size, needs) = (sim.subset_size(4, LARGE), sim.required_size(LARGE));
-        assert!(size >= before * 7 / 10 && size <= needs * 2, "{size}, {before} before, needs {needs}");
+        assert!(
+            size >= before * 7 / 10 && size <= needs * 2,
+            "size {size}, {before} before, required {needs}"
+        );
     }
     // When its clients leave, the member has no connections of the group any more.
     sim.groups[4].remove(&LARGE);
@@ -174,7 +198,7 @@
     for _ in 0..10 {
         sim.run_for(60 * S);
         let size = sim.subset_size(4, LARGE);
-        assert!(size >= last / 2, "by half in a hold at most: {size} after {last}");
+        assert!(size >= last / 2, "at most halved per hold time: {size} after {last}");
         last = size;
     }
     assert_eq!(last, 5);
@@ -201,15 +225,15 @@
         let after = sim.members[7].as_ref().unwrap().counts();
         late += after.late - counts.late;
         let accepted = after.subset_tables_received - counts.subset_tables_received;
-        assert_eq!(accepted, 0, "seed {seed}: it accepted sizes of 30 s ago");
+        assert_eq!(accepted, 0, "seed {seed}: the member accepted sizes from 30 s ago");
         assert!(sim.subset_size(member, LARGE) >= before, "seed {seed}");
         sim.run_for(10 * S);
         assert!(
             sim.subset_size(member, LARGE) >= sim.required_size(LARGE) * 8 / 10,
-            "seed {seed}: it goes on with the others"
+            "seed {seed}: the member has caught up with the others"
         );
     }
-    assert!(late > 0, "none of them found an answer of before in its socket");
+    assert!(late > 0, "no stopped member had an outdated answer in its socket");
 }
 
 /// Faulty members report groups with a billion connections and 100,000 group names; a member receives datagrams from unknown
@@ -230,18 +254,21 @@
         sim.run_for(S / 5);
     }
     let (least, _, most) = sim.spread(LARGE);
-    assert!(least >= before.0 && most <= before.2 + before.2 / 5, "{least} to {most}, {before:?} before");
+    assert!(
+        least >= before.0 && most <= before.2 + before.2 / 5,
+        "size {least} to {most}, {before:?} before"
+    );
     for (place, one) in sim.members.iter().flatten().enumerate().take(38) {
         assert!(
             one.affinity_subsets().count() <= 3,
-            "{place}: {:?}",
+            "member {place}: {:?}",
             one.affinity_subsets().collect::<Vec<_>>()
         );
     }
     assert!(sim.sum(|counts| counts.groups_cut) > 1_000);
     let spent = sim.bytes.iter().sum::<u64>() - bytes;
     let allowed = 2.0 * 1.4 * 256.0 * 3.0 * sim.scale.requests_per_s * 40.0;
-    assert!((spent as f64) < allowed, "{spent} bytes to and fro of {allowed}");
+    assert!((spent as f64) < allowed, "{spent} bytes sent and received, {allowed} allowed");
 
     // Datagrams from unknown senders, unrequested answers and malformed datagrams.
     let one = sim.members[3].as_mut().unwrap();
@@ -301,7 +328,7 @@
             asked = Some((to, groups.sequence));
         }
     }
-    let (aggregator, sequence) = asked.expect("it reports its groups");
+    let (aggregator, sequence) = asked.expect("the member sends a group report");
     let homes = vec![(LARGE, 0), (SMALL, u32::MAX), (78, 3)];
     let answer = wire::write_subset_sizes(&SubsetSizes {
         sequence,
@@ -311,7 +338,7 @@
     })
     .remove(0);
     one.handle(sim.now, Input::Datagram { from: Some(aggregator), bytes: &answer });
-    assert_eq!(sim.subset_size(9, SMALL), 200, "all nodes, no more");
+    assert_eq!(sim.subset_size(9, SMALL), 200, "limited to the number of nodes");
     assert_eq!(sim.subset_size(9, 78), 5);
     assert_eq!(sim.subset_size(9, LARGE), honest, "no subset shrinks at once");
 }
--- a/crates/aggregation/tests/fleet.rs
+++ b/crates/aggregation/tests/fleet.rs
@@ -206,8 +206,8 @@
 
     fn show(&self, what: &str, accuracy: (f64, f64), datagrams: f64) {
         eprintln!(
-            "seed {}, {} members, {what}: shown {:.3} of what is true, {:.3} have a fresh snapshot, {datagrams:.2} full datagrams \
-             a request",
+            "seed {}, {} members, {what}: {:.3} of the true utilization, {:.3} of the members with a fresh snapshot, \
+             {datagrams:.2} full datagrams per request",
             self.seed,
             self.size(),
             accuracy.0,
@@ -235,7 +235,11 @@
         // With 10% loss, one in five reports stays without an answer and is sent again, hence the tolerance of 1.4.
         let ceiling = fleet.settings.datagrams_per_request;
         // In small fleets the minimum report interval, not this limit, determines the bandwidth.
-        assert!(datagrams <= ceiling * 1.4, "seed {}: {datagrams} of {ceiling}", fleet.seed);
+        assert!(
+            datagrams <= ceiling * 1.4,
+            "seed {}: {datagrams} datagrams per request, {ceiling} allowed",
+            fleet.seed
+        );
     }
 }
 
@@ -251,7 +255,7 @@
         fleet.show("16 s after 210 died", accuracy, 0.0);
         assert!(accuracy.1 > 0.85, "seed {seed}: {accuracy:?}");
         let datagrams = price(&mut fleet, 30);
-        assert!(datagrams < 4.5, "seed {seed}: {datagrams} datagrams a request: a storm");
+        assert!(datagrams < 4.5, "seed {seed}: {datagrams} datagrams per request");
     }
 }
 
@@ -273,7 +277,7 @@
     fleet.show("8 s after a rolling restart of 16 s", accuracy, datagrams);
     assert!(
         accuracy.1 > 0.9 && datagrams < 2.0 * fleet.settings.datagrams_per_request,
-        "{accuracy:?} {datagrams}"
+        "{accuracy:?}, {datagrams} datagrams per request"
     );
 }
 
@@ -292,7 +296,7 @@
     fleet.partition.fill(0);
     fleet.run_for(25 * S);
     let accuracy = fleet.accuracy(0, 10 * S);
-    fleet.show("25 s after it healed", accuracy, 0.0);
+    fleet.show("25 s after the partition healed", accuracy, 0.0);
     assert!((0.85..1.1).contains(&accuracy.0) && accuracy.1 > 0.9, "{accuracy:?}");
 }
 
@@ -306,7 +310,7 @@
     }
     fleet.run_for(70 * S);
     let accuracy = fleet.accuracy(0, 18 * S);
-    fleet.show("clocks 5 s apart, a third lost", accuracy, 0.0);
+    fleet.show("clock skew of up to 5 s, 33% loss", accuracy, 0.0);
     assert!(accuracy.1 > 0.8 && accuracy.0 > 0.6, "{accuracy:?}");
 }
 
@@ -337,14 +341,17 @@
 fn one_that_asks(fleet: &mut Simulation) -> (u32, u32, u16) {
     let epoch = (UNIX / EPOCH) as u64;
     let order = aggregator_order(epoch, fleet.size());
-    let one =
-        (0..fleet.size()).find(|member| !order[..6].contains(member)).expect("one that is no aggregator");
-    let member = fleet.members[one as usize].as_mut().expect("it runs");
+    let one = (0..fleet.size())
+        .find(|member| !order[..6].contains(member))
+        .expect("a member that is not among the first candidates");
+    let member = fleet.members[one as usize].as_mut().expect("the member runs");
     fleet.now = member.next_timeout();
     member.handle(fleet.now, Input::Tick);
-    let Some(Output::Send { to, bytes }) = member.poll() else { panic!("it asks") };
+    let Some(Output::Send { to, bytes }) = member.poll() else { panic!("the member sends no report") };
     assert_eq!(to, order[0]);
-    let Some(wire::Datagram::Report(report)) = wire::read(&bytes) else { panic!("a report") };
+    let Some(wire::Datagram::Report(report)) = wire::read(&bytes) else {
+        panic!("the datagram is no report")
+    };
     (one, to, report.sequence)
 }
 
@@ -362,7 +369,7 @@
     // The aggregator of an earlier epoch knows the member's sequence numbers.
     assert_eq!(hear(Some(other), sequence), None);
     assert_eq!(hear(None, sequence), None);
-    assert_eq!(hear(Some(asked), sequence.wrapping_add(1)), None, "the next one's answer");
+    assert_eq!(hear(Some(asked), sequence.wrapping_add(1)), None, "the sequence number of the next report");
     assert_eq!(hear(Some(asked), sequence).map(|used| used > 1.9), Some(true));
     assert_eq!(member.counts().dropped, 3);
 }
@@ -387,5 +394,5 @@
             fleet.members[59].as_ref().unwrap().snapshot().unwrap().endpoint(EndpointDigest(3)).utilization;
         least = least.min(shown / fleet.used(0, 3).min(2.35));
     }
-    assert!(least > 0.9, "seed {}: at times {least:.2} of what is true", fleet.seed);
+    assert!(least > 0.9, "seed {}: minimum {least:.2} of the true utilization", fleet.seed);
 }
--- a/crates/aggregation/tests/golden.rs
+++ b/crates/aggregation/tests/golden.rs
@@ -102,9 +102,11 @@
     // one.
     const FRAGMENT: usize = 5;
     for (bytes, (name, _)) in golden.iter().zip(&made) {
-        let datagram = read(bytes).unwrap_or_else(|| panic!("{name} is not read"));
+        let datagram = read(bytes).unwrap_or_else(|| panic!("{name} cannot be decoded"));
         let again = rewritten(&datagram);
-        let [again] = &again[..] else { panic!("{name} is {} datagrams now", again.len()) };
+        let [again] = &again[..] else {
+            panic!("{name} is encoded as {} datagrams instead of one", again.len())
+        };
         assert_eq!(
             (&again[..FRAGMENT], &again[FRAGMENT + 1..]),
             (&bytes[..FRAGMENT], &bytes[FRAGMENT + 1..]),
--- a/crates/aggregation/tests/stopped.rs
+++ b/crates/aggregation/tests/stopped.rs
@@ -40,7 +40,7 @@
     // The aggregator receives reports until its collection phase is over and its summaries are complete.
     while member.snapshot().is_none() {
         let now = member.next_timeout();
-        assert!(now < START + 15 * S, "no snapshot before the epoch's end");
+        assert!(now < START + 15 * S, "no snapshot before the end of the epoch");
         member.handle(now, Input::Tick);
         for (to, bytes) in sent(&mut member) {
             for answer in
@@ -72,7 +72,7 @@
     member.handle(now, Input::Tick);
     let asked = sent(&mut member);
     let asked: Vec<_> = asked.iter().filter(|(to, _)| *to == aggregator_is).collect();
-    assert!(!asked.is_empty(), "it asks at once");
+    assert!(!asked.is_empty(), "the member sends a new report at once");
     for (_, bytes) in asked {
         for answer in answers_to(&mut aggregator, now, bytes) {
             member.handle(now, Input::Datagram { from: Some(aggregator_is), bytes: &answer });
@@ -81,7 +81,7 @@
     assert_eq!(
         member.snapshot().unwrap().received_at,
         now,
-        "the answer to that is none of before: {:?}",
+        "the answer to the new report is accepted: {:?}",
         member.counts()
     );
 }
--- a/crates/aggregation/tests/wall_clock.rs
+++ b/crates/aggregation/tests/wall_clock.rs
@@ -39,8 +39,8 @@
         for member in [&mut before, &mut after] {
             let at = member.next_timeout().max(2 * S);
             let asked = reports_to(member, at);
-            assert_eq!(asked.first(), Some(&aggregator), "step of {step}: asked {asked:?}");
-            assert!(member.next_timeout() < at + 10 * S, "its own times are not stepped");
+            assert_eq!(asked.first(), Some(&aggregator), "step of {step} us: reported to {asked:?}");
+            assert!(member.next_timeout() < at + 10 * S, "the timeout does not follow the step");
         }
     }
 }
