--- a/crates/aggregation/src/affinity_subsets.rs
+++ b/crates/aggregation/src/affinity_subsets.rs
@@ -50,12 +50,12 @@
     /// When this size was last required; the subset may be larger than necessary since then.
     held_since: Micros,
     /// The largest size that was required since `held_since`.
-    largest_since: u32,
+    max_required_since: u32,
 }
 
 impl SubsetSize {
     fn new(size: u32, now: Micros) -> Self {
-        SubsetSize { size, held_since: now, largest_since: 0 }
+        SubsetSize { size, held_since: now, max_required_since: 0 }
     }
 }
 
@@ -64,7 +64,7 @@
 pub struct AffinitySubsets {
     sizes: BTreeMap<u64, SubsetSize>,
     max_groups: usize,
-    hold: Micros,
+    shrink_hold: Micros,
     /// Number of times that a group was left out because `max_groups` was reached.
     pub truncated: u64,
 }
@@ -76,7 +76,7 @@
         AffinitySubsets {
             sizes: BTreeMap::new(),
             max_groups: 2 * settings.max_groups,
-            hold: settings.shrink_hold,
+            shrink_hold: settings.shrink_hold,
             truncated: 0,
         }
     }
@@ -85,7 +85,7 @@
     pub fn require(&mut self, now: Micros, group: u64, size: u32) -> bool {
         if let Some(subset) = self.sizes.get_mut(&group) {
             if size < subset.size {
-                subset.largest_since = subset.largest_since.max(size);
+                subset.max_required_since = subset.max_required_since.max(size);
                 return false;
             }
             let grew = size > subset.size;
@@ -108,8 +108,8 @@
     /// changed. To be called only when sizes have just been received: without an answer nothing is known about a group's load.
     pub fn shrink(&mut self, now: Micros) -> bool {
         let mut changed = false;
-        for subset in self.sizes.values_mut().filter(|subset| now - subset.held_since >= self.hold) {
-            let size = subset.largest_since.max(subset.size.div_ceil(2));
+        for subset in self.sizes.values_mut().filter(|subset| now - subset.held_since >= self.shrink_hold) {
+            let size = subset.max_required_since.max(subset.size.div_ceil(2));
             changed |= size != subset.size;
             *subset = SubsetSize::new(size, now);
         }
--- a/crates/aggregation/src/aggregator.rs
+++ b/crates/aggregation/src/aggregator.rs
@@ -2,7 +2,7 @@
 
 use crate::affinity_subsets::EndpointPool;
 use crate::aggregation::Aggregation;
-use crate::group_sums::{FleetTotals, GroupSums, Recorded};
+use crate::group_sums::{FleetTotals, GroupSums, RecordOutcome};
 use crate::wire::{EndpointDigest, FleetSummary, GroupReport, Report};
 use crate::{AffinitySettings, Micros, Settings};
 use std::collections::BTreeMap;
@@ -44,7 +44,7 @@
         from: u32,
         bytes: usize,
         report: GroupReport,
-    ) -> Recorded {
+    ) -> RecordOutcome {
         self.group_reports.record(settings, now, from, bytes, report)
     }
 
--- a/crates/aggregation/src/aggregator_search.rs
+++ b/crates/aggregation/src/aggregator_search.rs
@@ -11,7 +11,7 @@
 const MAX_ASKED_AT_ONCE: usize = 4;
 /// Report intervals without an answer from the first candidate after which reports go to its deputy first. If members switched
 /// after only two lost datagrams, the reports would be split between two aggregators, and neither would have complete sums.
-const SILENT_INTERVALS: u32 = 2;
+const MAX_SILENT_INTERVALS: u32 = 2;
 /// Every third report still goes to the first candidate, which may have recovered.
 const RETRY_FIRST_EVERY: u16 = 3;
 /// Rounds of asking after which a member gives up until its next report, whose interval is doubled.
@@ -58,10 +58,10 @@
     /// The members that the last report was sent to, in order of sending.
     asked: Vec<u32>,
     /// Number of consecutive intervals in which the first candidate has not answered.
-    first_silent_for: u32,
+    first_candidate_silent_for: u32,
     /// Number of consecutive reports without any answer.
     unanswered_reports: u32,
-    next_epoch_announced: bool,
+    next_epoch_notified: bool,
 }
 
 impl AggregatorSearch {
@@ -73,9 +73,9 @@
             aggregator: None,
             stage: Stage::Idle,
             asked: Vec::new(),
-            first_silent_for: 0,
+            first_candidate_silent_for: 0,
             unanswered_reports: 0,
-            next_epoch_announced: false,
+            next_epoch_notified: false,
         }
     }
 
@@ -86,13 +86,13 @@
         }
         self.epoch = epoch;
         self.order = aggregator_order(epoch, members);
-        self.next_epoch_announced = false;
-        self.first_silent_for = 0;
+        self.next_epoch_notified = false;
+        self.first_candidate_silent_for = 0;
         true
     }
 
     /// The first candidate; `None` if the fleet has no members.
-    pub(crate) fn first(&self) -> Option<u32> {
+    pub(crate) fn first_candidate(&self) -> Option<u32> {
         self.order.first().copied()
     }
 
@@ -109,19 +109,19 @@
     /// Begins a report with this sequence number, and returns its first receiver.
     pub(crate) fn begin_report(&mut self, sequence: u16) -> Option<u32> {
         self.asked.clear();
-        let ask_first =
-            self.first_silent_for < SILENT_INTERVALS || sequence.is_multiple_of(RETRY_FIRST_EVERY);
-        if ask_first { self.first() } else { self.aggregator.or(self.first()) }
+        let ask_first = self.first_candidate_silent_for < MAX_SILENT_INTERVALS
+            || sequence.is_multiple_of(RETRY_FIRST_EVERY);
+        if ask_first { self.first_candidate() } else { self.aggregator.or(self.first_candidate()) }
     }
 
     /// Starts to wait for an answer from the first receiver of the report.
     pub(crate) fn await_answer(&mut self, now: Micros, receiver: u32) {
-        let next = self.place(receiver).map_or(0, |place| place + 1);
+        let next = self.position(receiver).map_or(0, |position| position + 1);
         self.stage = Stage::Asking { round: 0, next, due: now + ANSWER_TIMEOUT };
     }
 
     /// Records that the report was sent to this member.
-    pub(crate) fn note_asked(&mut self, member: u32) {
+    pub(crate) fn record_asked(&mut self, member: u32) {
         if !self.asked.contains(&member) {
             self.asked.push(member);
         }
@@ -145,24 +145,24 @@
             return NextRound::Ask(self.asked.first().copied().into_iter().collect());
         }
         if round == 1 && self.order.first() == self.asked.first() {
-            self.first_silent_for += 1;
+            self.first_candidate_silent_for += 1;
         }
-        let many = (1_usize << (round - 1)).min(MAX_ASKED_AT_ONCE);
-        self.stage = Stage::Asking { round: round + 1, next: next + many, due };
-        NextRound::Ask((next..next + many).map(|place| self.order[place % self.order.len()]).collect())
+        let count = (1_usize << (round - 1)).min(MAX_ASKED_AT_ONCE);
+        self.stage = Stage::Asking { round: round + 1, next: next + count, due };
+        NextRound::Ask((next..next + count).map(|position| self.order[position % self.order.len()]).collect())
     }
 
     /// Returns whether the sender of this answer becomes the aggregator. It does not if the report has already been answered by
     /// a member with a better rank.
     pub(crate) fn accept_answer(&mut self, from: u32) -> bool {
         // If a new epoch has begun since the report was sent, the sender may be missing in the order.
-        let rank = self.place(from).unwrap_or(usize::MAX);
+        let rank = self.position(from).unwrap_or(usize::MAX);
         if rank == 0 {
-            self.first_silent_for = 0;
+            self.first_candidate_silent_for = 0;
         }
         // If several candidates answer, all members must choose the same one: the first in the order.
         let known_is_better =
-            self.aggregator.and_then(|known| self.place(known)).is_some_and(|known| known < rank);
+            self.aggregator.and_then(|known| self.position(known)).is_some_and(|known| known < rank);
         if self.stage == Stage::Idle && known_is_better {
             return false;
         }
@@ -177,11 +177,11 @@
     }
 
     /// Returns the first candidate of `epoch` once, if `epoch` is later than the current one; otherwise `None`.
-    pub(crate) fn announce(&mut self, epoch: u64, members: u32) -> Option<u32> {
-        if epoch <= self.epoch || self.next_epoch_announced {
+    pub(crate) fn take_advance_notice_receiver(&mut self, epoch: u64, members: u32) -> Option<u32> {
+        if epoch <= self.epoch || self.next_epoch_notified {
             return None;
         }
-        self.next_epoch_announced = true;
+        self.next_epoch_notified = true;
         aggregator_order(epoch, members).first().copied()
     }
 
@@ -190,7 +190,7 @@
         interval << self.unanswered_reports.min(MAX_DOUBLINGS)
     }
 
-    fn place(&self, member: u32) -> Option<usize> {
+    fn position(&self, member: u32) -> Option<usize> {
         self.order.iter().position(|candidate| *candidate == member)
     }
 }
--- a/crates/aggregation/src/config.rs
+++ b/crates/aggregation/src/config.rs
@@ -2,24 +2,24 @@
 
 use serde::{Deserialize, Serialize};
 
-const DATAGRAMS_PER_REQUEST: f64 = 3.0;
-const PERIOD_MS: u32 = 1_000;
-const LONGEST_PERIOD_MS: u32 = 6_000;
-const DATAGRAMS_WITHIN: (f64, f64) = (0.01, 1_000.0);
+const DEFAULT_DATAGRAMS_PER_REQUEST: f64 = 3.0;
+const DEFAULT_PERIOD_MS: u32 = 1_000;
+const DEFAULT_LONGEST_PERIOD_MS: u32 = 6_000;
+const DATAGRAMS_PER_REQUEST_RANGE: (f64, f64) = (0.01, 1_000.0);
 /// In milliseconds. With a shorter interval the next report is sent before the answer arrives; with a longer one a summary is
 /// too old to be worth its datagram.
-const PERIOD_WITHIN: (u32, u32) = (200, 60_000);
+const PERIOD_MS_RANGE: (u32, u32) = (200, 60_000);
 /// Number of groups in one report or one answer. 320 fit into 16 datagrams even when their numbers are long.
-const GROUPS_WITHIN: (u32, u32) = (1, 320);
+const GROUPS_RANGE: (u32, u32) = (1, 320);
 /// At a quarter of a node's capacity, a group shares each endpoint of its subset with other groups.
-const TARGET_UTILIZATION: f64 = 0.25;
-const TARGET_UTILIZATION_WITHIN: (f64, f64) = (0.05, 0.9);
-const SHRINK_HOLD_S: u32 = 600;
-const RETENTION_S: u32 = 180;
+const DEFAULT_TARGET_UTILIZATION: f64 = 0.25;
+const TARGET_UTILIZATION_RANGE: (f64, f64) = (0.05, 0.9);
+const DEFAULT_SHRINK_HOLD_S: u32 = 600;
+const DEFAULT_RETENTION_S: u32 = 180;
 /// In seconds. Below 10 s, the loss of two answers would be taken for a silent aggregator.
-const SECONDS_WITHIN: (u32, u32) = (10, 86_400);
+const SECONDS_RANGE: (u32, u32) = (10, 86_400);
 /// With fewer than four members, each one can send its load to every other directly.
-const MEMBERS_WITHIN: (u32, u32) = (4, 65_535);
+const MEMBERS_RANGE: (u32, u32) = (4, 65_535);
 
 /// The section as written in the file. Aggregation is off unless `members_from` is set.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -49,13 +49,13 @@
     fn default() -> Self {
         FleetSection {
             members_from: None,
-            datagrams_per_request: DATAGRAMS_PER_REQUEST,
-            period_ms: PERIOD_MS,
-            longest_period_ms: LONGEST_PERIOD_MS,
+            datagrams_per_request: DEFAULT_DATAGRAMS_PER_REQUEST,
+            period_ms: DEFAULT_PERIOD_MS,
+            longest_period_ms: DEFAULT_LONGEST_PERIOD_MS,
             group_homes: None,
-            home_use: TARGET_UTILIZATION,
-            homes_hold_s: SHRINK_HOLD_S,
-            homes_keep_s: RETENTION_S,
+            home_use: DEFAULT_TARGET_UTILIZATION,
+            homes_hold_s: DEFAULT_SHRINK_HOLD_S,
+            homes_keep_s: DEFAULT_RETENTION_S,
         }
     }
 }
@@ -92,49 +92,52 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FleetSectionError {
     /// A value is outside its range.
-    #[error("fleet.{key} is not within {least} to {most}: '{value}'")]
+    #[error("fleet.{key} is not within {min} to {max}: '{value}'")]
     OutOfBounds {
         /// The name of the key in the section.
         key: &'static str,
         /// The smallest valid value.
-        least: f64,
+        min: f64,
         /// The largest valid value.
-        most: f64,
+        max: f64,
         /// The configured value.
         value: f64,
     },
     /// `longest_period_ms` is less than `period_ms`.
-    #[error("fleet.longest_period_ms is less than period_ms: '{longest}' and '{least}'")]
-    Order {
+    #[error("fleet.longest_period_ms is less than period_ms: '{longest_period_ms}' and '{period_ms}'")]
+    PeriodOrder {
         /// The value of `longest_period_ms`.
-        longest: u32,
+        longest_period_ms: u32,
         /// The value of `period_ms`.
-        least: u32,
+        period_ms: u32,
     },
 }
 
 impl FleetSection {
     /// Validates the section and returns its settings, or `None` if aggregation is off. Ranges are checked in both cases.
     pub fn check(&self) -> Result<Option<Settings>, FleetSectionError> {
-        let within = |key, value: f64, least: f64, most: f64| match value {
-            _ if (least..=most).contains(&value) => Ok(()),
-            _ => Err(FleetSectionError::OutOfBounds { key, least, most, value }),
+        let check_range = |key, value: f64, min: f64, max: f64| match value {
+            _ if (min..=max).contains(&value) => Ok(()),
+            _ => Err(FleetSectionError::OutOfBounds { key, min, max, value }),
         };
-        let (least, most) = (f64::from(MEMBERS_WITHIN.0), f64::from(MEMBERS_WITHIN.1));
-        within("members_from", self.members_from.map_or(least, f64::from), least, most)?;
-        let (least, most) = DATAGRAMS_WITHIN;
-        within("datagrams_per_request", self.datagrams_per_request, least, most)?;
-        let (least, most) = (f64::from(PERIOD_WITHIN.0), f64::from(PERIOD_WITHIN.1));
-        within("period_ms", f64::from(self.period_ms), least, most)?;
-        within("longest_period_ms", f64::from(self.longest_period_ms), least, most)?;
-        let (least, most) = (f64::from(GROUPS_WITHIN.0), f64::from(GROUPS_WITHIN.1));
-        within("group_homes", self.group_homes.map_or(least, f64::from), least, most)?;
-        within("home_use", self.home_use, TARGET_UTILIZATION_WITHIN.0, TARGET_UTILIZATION_WITHIN.1)?;
-        let (least, most) = (f64::from(SECONDS_WITHIN.0), f64::from(SECONDS_WITHIN.1));
-        within("homes_hold_s", f64::from(self.homes_hold_s), least, most)?;
-        within("homes_keep_s", f64::from(self.homes_keep_s), least, most)?;
+        let (min, max) = (f64::from(MEMBERS_RANGE.0), f64::from(MEMBERS_RANGE.1));
+        check_range("members_from", self.members_from.map_or(min, f64::from), min, max)?;
+        let (min, max) = DATAGRAMS_PER_REQUEST_RANGE;
+        check_range("datagrams_per_request", self.datagrams_per_request, min, max)?;
+        let (min, max) = (f64::from(PERIOD_MS_RANGE.0), f64::from(PERIOD_MS_RANGE.1));
+        check_range("period_ms", f64::from(self.period_ms), min, max)?;
+        check_range("longest_period_ms", f64::from(self.longest_period_ms), min, max)?;
+        let (min, max) = (f64::from(GROUPS_RANGE.0), f64::from(GROUPS_RANGE.1));
+        check_range("group_homes", self.group_homes.map_or(min, f64::from), min, max)?;
+        check_range("home_use", self.home_use, TARGET_UTILIZATION_RANGE.0, TARGET_UTILIZATION_RANGE.1)?;
+        let (min, max) = (f64::from(SECONDS_RANGE.0), f64::from(SECONDS_RANGE.1));
+        check_range("homes_hold_s", f64::from(self.homes_hold_s), min, max)?;
+        check_range("homes_keep_s", f64::from(self.homes_keep_s), min, max)?;
         if self.longest_period_ms < self.period_ms {
-            return Err(FleetSectionError::Order { longest: self.longest_period_ms, least: self.period_ms });
+            return Err(FleetSectionError::PeriodOrder {
+                longest_period_ms: self.longest_period_ms,
+                period_ms: self.period_ms,
+            });
         }
         Ok(self.members_from.map(|members_from| Settings {
             members_from,
--- a/crates/aggregation/src/fleet_sums.rs
+++ b/crates/aggregation/src/fleet_sums.rs
@@ -12,19 +12,19 @@
 /// Limit for a figure of one report, as a multiple of the 95th percentile over all members. Guards against faulty members: one
 /// or two faulty members of 40 do not change the percentile. Clients are never distributed so unevenly that a correct member
 /// exceeds the limit.
-pub(crate) const MAX_OVER_USUAL: f64 = 2.0;
+pub(crate) const MAX_OVER_P95: f64 = 2.0;
 /// Connections added to the limit, so that it is above zero where most members have no connections.
-pub(crate) const ALWAYS_ALLOWED: f64 = 4.0;
+pub(crate) const ALLOWED_CONNECTIONS: f64 = 4.0;
 /// Events per second added to the limit of a rate, so that it is above zero where most members report none.
-const ALWAYS_ALLOWED_PER_S: f64 = 0.5;
+const ALLOWED_EVENTS_PER_S: f64 = 0.5;
 /// Limit for the mean load of a member's connections, as a multiple of the median over all members.
-const MAX_MEAN_LOAD: f64 = 4.0;
+const MAX_OVER_MEDIAN_LOAD: f64 = 4.0;
 /// An endpoint is crowded if the number of proxies that have just set up connections there, per capacity, exceeds the fleet's
 /// mean by this factor. The summary reports a crowded endpoint with a utilization of at least 0.4. Otherwise many proxies could
 /// choose the same endpoint before the next summary shows its load.
-const CROWDED: f64 = 1.5;
+const CROWDED_DENSITY_RATIO: f64 = 1.5;
 /// Number of members that must agree on a verdict. A single member may itself be partitioned off.
-const MIN_AGREEING: u32 = 2;
+const MIN_AGREEING_MEMBERS: u32 = 2;
 
 /// Upper limits for the figures of one member's report.
 pub(crate) struct ReportLimits {
@@ -38,29 +38,29 @@
 impl ReportLimits {
     pub(crate) fn of(reports: &BTreeMap<u32, MemberReport>) -> Self {
         let connections = max_connections(reports);
-        let per_s = |figure: fn(&Totals) -> f64| limit(reports, ALWAYS_ALLOWED_PER_S, figure);
+        let per_s = |value: fn(&Totals) -> f64| limit(reports, ALLOWED_EVENTS_PER_S, value);
         ReportLimits {
             connections,
             requests_per_s: per_s(|totals| totals.requests_per_s),
             successes_per_s: per_s(|totals| totals.successes_per_s),
             failures_per_s: per_s(|totals| totals.failures_per_s),
-            load: MAX_MEAN_LOAD * median_mean_load(reports) * connections,
+            load: MAX_OVER_MEDIAN_LOAD * median_mean_load(reports) * connections,
         }
     }
 }
 
 /// Upper limit for the connections of one member's report.
 pub(crate) fn max_connections(reports: &BTreeMap<u32, MemberReport>) -> f64 {
-    limit(reports, ALWAYS_ALLOWED, |totals| f64::from(totals.connections))
+    limit(reports, ALLOWED_CONNECTIONS, |totals| f64::from(totals.connections))
 }
 
 /// Upper limit for a figure of one member's report.
-fn limit(reports: &BTreeMap<u32, MemberReport>, always: f64, figure: impl Fn(&Totals) -> f64) -> f64 {
-    let mut all: Vec<f64> = reports.values().map(|report| figure(&report.totals)).collect();
-    all.sort_by(f64::total_cmp);
+fn limit(reports: &BTreeMap<u32, MemberReport>, allowance: f64, value: impl Fn(&Totals) -> f64) -> f64 {
+    let mut values: Vec<f64> = reports.values().map(|report| value(&report.totals)).collect();
+    values.sort_by(f64::total_cmp);
     // The 95th percentile: with 40 members, any value reported by two of them does not affect it.
-    let usual = all.get((all.len() * 19 / 20).saturating_sub(1)).copied().unwrap_or(0.0);
-    MAX_OVER_USUAL * usual + always
+    let p95 = values.get((values.len() * 19 / 20).saturating_sub(1)).copied().unwrap_or(0.0);
+    MAX_OVER_P95 * p95 + allowance
 }
 
 fn median_mean_load(reports: &BTreeMap<u32, MemberReport>) -> f64 {
@@ -87,10 +87,10 @@
 impl EndpointSum {
     fn verdict(&self) -> HealthVerdict {
         match (self.healthy, self.unhealthy) {
-            (healthy, unhealthy) if unhealthy >= MIN_AGREEING && unhealthy > healthy => {
+            (healthy, unhealthy) if unhealthy >= MIN_AGREEING_MEMBERS && unhealthy > healthy => {
                 HealthVerdict::Unhealthy
             }
-            (MIN_AGREEING.., 0) => HealthVerdict::Healthy,
+            (MIN_AGREEING_MEMBERS.., 0) => HealthVerdict::Healthy,
             _ => HealthVerdict::Unknown,
         }
     }
@@ -155,12 +155,12 @@
         capacity: impl Fn(EndpointDigest) -> Option<f64>,
     ) -> FleetSummary {
         let mean_load = self.mean_load();
-        let usual = SetupDensity::of(&self.endpoints, &capacity);
+        let mean_density = SetupDensity::of(&self.endpoints, &capacity);
         let endpoint = |(endpoint, sum): (EndpointDigest, EndpointSum)| {
             let utilization = capacity(endpoint).map_or(0.0, |capacity| {
                 let load = sum.load + GROUP_COST * mean_load * sum.groups.len() as f64;
                 let utilization = load / capacity.max(1.0);
-                let crowded = usual.is_exceeded(sum.healthy, capacity);
+                let crowded = mean_density.is_crowded(sum.healthy, capacity);
                 if crowded { utilization.max(MIN_REPORTED_UTILIZATION) } else { utilization }
             });
             EndpointSummary { endpoint, utilization, health: sum.verdict() }
@@ -196,8 +196,9 @@
     }
 
     /// Whether this number of proxies makes an endpoint of this capacity crowded.
-    fn is_exceeded(&self, proxies: u32, capacity: f64) -> bool {
-        proxies >= MIN_AGREEING
-            && f64::from(proxies) / capacity.max(1.0) > CROWDED * self.proxies / self.capacity.max(1.0)
+    fn is_crowded(&self, proxies: u32, capacity: f64) -> bool {
+        proxies >= MIN_AGREEING_MEMBERS
+            && f64::from(proxies) / capacity.max(1.0)
+                > CROWDED_DENSITY_RATIO * self.proxies / self.capacity.max(1.0)
     }
 }
--- a/crates/aggregation/src/group_sums.rs
+++ b/crates/aggregation/src/group_sums.rs
@@ -3,7 +3,7 @@
 //! reports.
 
 use crate::affinity_subsets::{EndpointPool, MIN_SUBSET_SIZE, required_size};
-use crate::fleet_sums::{ALWAYS_ALLOWED, MAX_OVER_USUAL};
+use crate::fleet_sums::{ALLOWED_CONNECTIONS, MAX_OVER_P95};
 use crate::member_report::{LIFETIME_HALF_INTERVALS, MIN_NEXT_REPORT_IN};
 use crate::sequence::SequenceOrder;
 use crate::wire::GroupReport;
@@ -92,14 +92,14 @@
         let sequence = self.sequence;
         self.groups.extend(report.groups.into_iter().map(|(group, load)| (group, (sequence, load))));
         if self.fragments_received.count_ones() >= u32::from(self.fragments) {
-            self.groups.retain(|_, (of, _)| *of == sequence);
+            self.groups.retain(|_, (report_sequence, _)| *report_sequence == sequence);
         }
     }
 }
 
 /// The result of recording a fragment of a group report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Recorded {
+pub enum RecordOutcome {
     /// The fragment was stored, or was outdated or a duplicate and changed nothing.
     Accepted,
     /// The fragment has arrived before with other groups. A correct member does not send such a fragment.
@@ -126,22 +126,23 @@
         from: u32,
         bytes: usize,
         report: GroupReport,
-    ) -> Recorded {
+    ) -> RecordOutcome {
         let stored = self.reports.entry(from).or_insert_with(|| MemberGroups::begin(now, &report));
         match SequenceOrder::of(report.sequence, stored.sequence) {
-            SequenceOrder::Overtaken => return Recorded::Accepted,
+            SequenceOrder::Overtaken => return RecordOutcome::Accepted,
             SequenceOrder::Same => {}
             order => stored.supersede(&report, order),
         }
         // The announced interval is limited to 2.5 maximum intervals: no correct member waits longer between two reports.
-        let next = report.next_report_in.clamp(MIN_NEXT_REPORT_IN, 5 * settings.max_report_interval / 2);
-        stored.expires_at = now + LIFETIME_HALF_INTERVALS * next / 2;
+        let next_report_in =
+            report.next_report_in.clamp(MIN_NEXT_REPORT_IN, 5 * settings.max_report_interval / 2);
+        stored.expires_at = now + LIFETIME_HALF_INTERVALS * next_report_in / 2;
         if stored.fragments_received & report.fragment.bit() == 0 {
             stored.add_fragment(bytes, report);
-            return Recorded::Accepted;
+            return RecordOutcome::Accepted;
         }
         let known = report.groups.iter().all(|(group, _)| stored.groups.contains_key(group));
-        if known { Recorded::Accepted } else { Recorded::Contradictory }
+        if known { RecordOutcome::Accepted } else { RecordOutcome::Contradictory }
     }
 
     /// Removes the report of a member that has left.
@@ -212,8 +213,8 @@
         let mut loads: Vec<(u64, f64)> = reported.map(|(group, (_, load))| (*group, *load)).collect();
         loads.sort_unstable_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
         let members = self.reports.len().max(configured_members as usize / 2);
-        let of_one_group = |loads: &[(u64, f64)]| (loads[0].0, limited_sum(loads, members, mean_load));
-        loads.chunk_by(|a, b| a.0 == b.0).map(of_one_group).collect()
+        let sum_of_group = |loads: &[(u64, f64)]| (loads[0].0, limited_sum(loads, members, mean_load));
+        loads.chunk_by(|a, b| a.0 == b.0).map(sum_of_group).collect()
     }
 }
 
@@ -221,9 +222,12 @@
 fn limited_sum(loads: &[(u64, f64)], members: usize, mean_load: f64) -> f64 {
     let rank = (members * 19 / 20).saturating_sub(1);
     // Members that do not name the group count with a load of zero.
-    let without = members - loads.len();
-    let usual = rank.checked_sub(without).and_then(|rank| loads.get(rank)).map_or(0.0, |(_, load)| *load);
-    let limit = MAX_OVER_USUAL * usual + ALWAYS_ALLOWED * mean_load;
+    let members_without_group = members - loads.len();
+    let p95 = rank
+        .checked_sub(members_without_group)
+        .and_then(|rank| loads.get(rank))
+        .map_or(0.0, |(_, load)| *load);
+    let limit = MAX_OVER_P95 * p95 + ALLOWED_CONNECTIONS * mean_load;
     loads.iter().map(|(_, load)| load.min(limit)).sum()
 }
 
--- a/crates/aggregation/src/group_sums_tests.rs
+++ b/crates/aggregation/src/group_sums_tests.rs
@@ -204,7 +204,7 @@
     let mut sums = GroupSums::default();
     let accepted = (0..1_000_u64).filter(|again| {
         let groups: Vec<(u64, f64)> = (0..27).map(|name| (again << 8 | name, 1.0)).collect();
-        sums.record(&settings(), 0, 1, 256, group_report(1, (0, 2), &groups)) == Recorded::Accepted
+        sums.record(&settings(), 0, 1, 256, group_report(1, (0, 2), &groups)) == RecordOutcome::Accepted
     });
     assert_eq!((accepted.count(), sums.reports[&1].groups.len()), (1, 27));
 }
--- a/crates/aggregation/src/member.rs
+++ b/crates/aggregation/src/member.rs
@@ -17,7 +17,7 @@
 /// interval.
 const SNAPSHOT_LIFETIME_INTERVALS: Micros = 4;
 /// Lower limit for the share of all connections that a member assumes to have, as a fraction of an even share.
-const MIN_OF_EVEN_SHARE: f64 = 0.5;
+const MIN_FRACTION_OF_EVEN_SHARE: f64 = 0.5;
 
 /// The purpose of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub struct Member {
     pub(crate) settings: Settings,
-    pub(crate) me: u32,
+    pub(crate) ordinal: u32,
     pub(crate) members: u32,
     pub(crate) now: Micros,
     /// Unix time minus `now`, in microseconds. Epochs follow Unix time, so that they are the same for all members.
@@ -43,17 +43,17 @@
     pub(crate) aggregator: Aggregator,
     pub(crate) subsets: SubsetTracker,
     pub(crate) snapshot: Option<Snapshot>,
-    pub(crate) left: bool,
+    pub(crate) has_left: bool,
     pub(crate) outbox: Outbox,
 }
 
 impl Member {
-    /// Creates the member with the ordinal `me`, counted from 0, in a fleet of `members`; `unix` is the Unix time in
+    /// Creates the member with the given `ordinal`, counted from 0, in a fleet of `members`; `unix` is the Unix time in
     /// microseconds at `now`.
-    pub fn new(settings: Settings, me: u32, members: u32, seed: u64, now: Micros, unix: Micros) -> Self {
+    pub fn new(settings: Settings, ordinal: u32, members: u32, seed: u64, now: Micros, unix: Micros) -> Self {
         let unix_offset = unix - now;
         Member {
-            me,
+            ordinal,
             members,
             now,
             unix_offset,
@@ -63,7 +63,7 @@
             aggregator: Aggregator::default(),
             subsets: SubsetTracker::new(settings.affinity.as_ref(), now),
             snapshot: None,
-            left: false,
+            has_left: false,
             outbox: Outbox::default(),
             settings,
         }
@@ -82,7 +82,7 @@
             Input::Leave => self.leave(),
             Input::Tick => {}
         }
-        if !self.left {
+        if !self.has_left {
             self.run_timers();
         }
     }
@@ -101,7 +101,7 @@
     /// When [`Input::Tick`] is due, unless another input is handled before.
     pub fn next_timeout(&self) -> Micros {
         match self.search.stage {
-            _ if self.left => Micros::MAX,
+            _ if self.has_left => Micros::MAX,
             Stage::Asking { due, .. } => due,
             Stage::Idle => self.schedule.next_at,
         }
@@ -114,9 +114,10 @@
 
     /// The time between two reports: the value from the aggregator, limited to the range configured at this member.
     pub fn report_interval(&self) -> Micros {
-        let wanted =
-            self.fresh_snapshot().map_or(report_interval::DEFAULT, |snapshot| snapshot.report_interval);
-        wanted.clamp(self.settings.min_report_interval, self.settings.max_report_interval)
+        let requested = self
+            .fresh_snapshot()
+            .map_or(report_interval::DEFAULT_INTERVAL, |snapshot| snapshot.report_interval);
+        requested.clamp(self.settings.min_report_interval, self.settings.max_report_interval)
     }
 
     /// The aggregator known to this member; `None` if no candidate has answered.
@@ -126,7 +127,7 @@
 
     /// Whether affinity subsets follow the groups' loads, so that the member needs [`Input::GroupLoads`].
     pub fn wants_groups(&self) -> bool {
-        self.settings.affinity.is_some() && !self.left
+        self.settings.affinity.is_some() && !self.has_left
     }
 
     /// The groups whose affinity subset has more than five endpoints, with the size of the subset.
@@ -143,7 +144,7 @@
     fn run_timers(&mut self) {
         if self.search.enter_epoch(epoch_at(self.now + self.unix_offset), self.members) {
             self.aggregator.expire_groups(self.now);
-            self.set_aggregator(self.search.first());
+            self.set_aggregator(self.search.first_candidate());
         }
         match self.search.stage {
             // This process was stopped or severely delayed. Answers received now may be just as old, so the member sends a new
@@ -152,7 +153,7 @@
                 self.search.stage = Stage::Idle;
                 self.report();
             }
-            Stage::Asking { round, next, due } if due <= self.now => self.ask_again(round, next),
+            Stage::Asking { round, next, due } if due <= self.now => self.retry_report(round, next),
             Stage::Idle if self.schedule.next_at <= self.now => self.report(),
             _ => {}
         }
@@ -171,9 +172,9 @@
             self.search.back_off(self.report_interval()).min(2 * self.settings.max_report_interval);
         self.schedule.advance(self.now, interval, max_jitter);
         let Some(receiver) = receiver else { return };
-        self.announce(interval);
+        self.send_advance_notice(interval);
         self.send_report(receiver, ReportKind::Query);
-        if receiver == self.me {
+        if receiver == self.ordinal {
             self.answer_own_report();
         } else {
             self.search.await_answer(self.now, receiver);
@@ -181,27 +182,27 @@
     }
 
     /// Sends the report to the next epoch's aggregator too, if that epoch begins before the next report is due.
-    fn announce(&mut self, interval: Micros) {
-        let soon = epoch_at(self.now + interval + interval / 10 + self.unix_offset);
-        if let Some(next) = self.search.announce(soon, self.members) {
+    fn send_advance_notice(&mut self, interval: Micros) {
+        let upcoming_epoch = epoch_at(self.now + interval + interval / 10 + self.unix_offset);
+        if let Some(next) = self.search.take_advance_notice_receiver(upcoming_epoch, self.members) {
             self.send_report(next, ReportKind::AdvanceNotice);
         }
     }
 
     /// Sends the last report again, or to further candidates, after no answer has arrived in time.
-    fn ask_again(&mut self, round: u32, next: usize) {
+    fn retry_report(&mut self, round: u32, next: usize) {
         self.outbox.counts.unanswered += 1;
         let candidates = match self.search.next_round(self.now, round, next) {
             NextRound::Ask(candidates) => candidates,
             NextRound::GiveUp => return self.set_aggregator(None),
         };
         let (own, others): (Vec<u32>, Vec<u32>) =
-            candidates.into_iter().partition(|candidate| *candidate == self.me);
+            candidates.into_iter().partition(|candidate| *candidate == self.ordinal);
         others.into_iter().for_each(|candidate| self.send_report(candidate, ReportKind::Query));
         if !own.is_empty() {
             // This member is the next candidate, and no candidate before it has answered.
-            self.send_report(self.me, ReportKind::Query);
-            self.set_aggregator(Some(self.me));
+            self.send_report(self.ordinal, ReportKind::Query);
+            self.set_aggregator(Some(self.ordinal));
             self.answer_own_report();
         }
     }
@@ -209,11 +210,11 @@
     /// Sends this member's report to a member. A report to itself is stored without a datagram.
     fn send_report(&mut self, to: u32, kind: ReportKind) {
         if kind == ReportKind::Query {
-            self.search.note_asked(to);
+            self.search.record_asked(to);
         }
         let report = self.own_report(kind);
         let groups = self.own_group_report(&report);
-        if to == self.me {
+        if to == self.ordinal {
             if let Some(groups) = groups {
                 self.aggregator.record_groups(&self.settings, self.now, to, 0, groups);
             }
@@ -230,12 +231,12 @@
         Report {
             sequence: self.schedule.sequence,
             fragment: Fragment::ONLY,
-            leaving: self.left,
+            leaving: self.has_left,
             advance_notice: kind == ReportKind::AdvanceNotice,
             // While candidates are being asked, the next report may already be overdue.
             next_report_in: (self.schedule.next_at - self.now).max(self.report_interval()),
             totals: self.local.totals,
-            entries: if self.left { Vec::new() } else { self.local.entries.clone() },
+            entries: if self.has_left { Vec::new() } else { self.local.entries.clone() },
         }
     }
 
@@ -268,7 +269,7 @@
     fn connection_share(&self) -> f64 {
         let even = 1.0 / f64::from(self.members.max(1));
         let known = self.fresh_snapshot().map(Snapshot::connection_share);
-        known.map_or(even, |share| share.max(MIN_OF_EVEN_SHARE * even))
+        known.map_or(even, |share| share.max(MIN_FRACTION_OF_EVEN_SHARE * even))
     }
 
     fn fresh_snapshot(&self) -> Option<&Snapshot> {
@@ -283,12 +284,12 @@
     }
 
     fn leave(&mut self) {
-        if self.left {
+        if self.has_left {
             return;
         }
-        self.left = true;
+        self.has_left = true;
         self.schedule.sequence = self.schedule.sequence.wrapping_add(1);
-        if let Some(aggregator) = self.search.aggregator().filter(|aggregator| *aggregator != self.me) {
+        if let Some(aggregator) = self.search.aggregator().filter(|aggregator| *aggregator != self.ordinal) {
             self.send_report(aggregator, ReportKind::Query);
         }
     }
--- a/crates/aggregation/src/receiving.rs
+++ b/crates/aggregation/src/receiving.rs
@@ -1,6 +1,6 @@
 //! Handling of incoming datagrams, and of the answer to this member's own report.
 
-use crate::group_sums::Recorded;
+use crate::group_sums::RecordOutcome;
 use crate::interface::Output;
 use crate::wire::{self, Datagram, FleetSummary, Fragment, GroupReport, Report, SubsetSizes};
 use crate::{AffinitySettings, Member, Micros};
@@ -9,12 +9,12 @@
 /// snapshot is old. An aggregator that has just started may not have received all reports.
 const MIN_MEMBER_RATIO: f64 = 0.6;
 /// Age, in report intervals, from which a summary with far fewer members replaces a snapshot.
-const SNAPSHOT_INTERVALS: Micros = 3;
+const MAX_SNAPSHOT_AGE_INTERVALS: Micros = 3;
 
 impl Member {
     /// Handles a datagram; `from` is the ordinal of the member with the sender's address.
     pub(crate) fn receive(&mut self, from: Option<u32>, bytes: &[u8]) {
-        let from = from.filter(|from| *from != self.me && *from < self.members && !self.left);
+        let from = from.filter(|from| *from != self.ordinal && *from < self.members && !self.has_left);
         let (Some(from), Some(datagram)) = (from, wire::read(bytes)) else {
             self.outbox.counts.dropped += 1;
             return;
@@ -45,8 +45,8 @@
         };
         let sequence = report.sequence;
         let wants_answer = report.fragment.is_last() && !report.advance_notice;
-        let recorded = self.aggregator.record_groups(&self.settings, self.now, from, bytes, report);
-        self.outbox.counts.dropped += u64::from(recorded == Recorded::Contradictory);
+        let outcome = self.aggregator.record_groups(&self.settings, self.now, from, bytes, report);
+        self.outbox.counts.dropped += u64::from(outcome == RecordOutcome::Contradictory);
         if wants_answer {
             let incomplete = self.aggregator.summary(&self.settings, self.now).incomplete;
             let sizes = if incomplete { Vec::new() } else { self.compute_subset_sizes(&affinity) };
@@ -97,7 +97,7 @@
     }
 
     fn apply_summary(&mut self, summary: FleetSummary) {
-        if summary.incomplete || self.lacks_members(&summary) {
+        if summary.incomplete || self.has_too_few_members(&summary) {
             return;
         }
         let own_connections = self.local.totals.connections;
@@ -108,10 +108,10 @@
         self.outbox.push(Output::Snapshot);
     }
 
-    fn lacks_members(&self, summary: &FleetSummary) -> bool {
+    fn has_too_few_members(&self, summary: &FleetSummary) -> bool {
         self.snapshot.as_ref().is_some_and(|snapshot| {
             f64::from(summary.members) < MIN_MEMBER_RATIO * f64::from(snapshot.members)
-                && self.now - snapshot.received_at < SNAPSHOT_INTERVALS * self.report_interval()
+                && self.now - snapshot.received_at < MAX_SNAPSHOT_AGE_INTERVALS * self.report_interval()
         })
     }
 
--- a/crates/aggregation/src/subset_tracker.rs
+++ b/crates/aggregation/src/subset_tracker.rs
@@ -8,10 +8,10 @@
 
 /// A member reports a group if its load reaches an even share of the load that five endpoints can take, divided by this number.
 /// A smaller load is not worth the bytes in the report.
-const WORTH_REPORTING: f64 = 4.0;
+const MIN_REPORTED_LOAD_DIVISOR: f64 = 4.0;
 /// Minimum number of own connections from which a member without answers estimates a group's total load. The estimate is off by
 /// about a fifth.
-const MIN_SAMPLE: u32 = 30;
+const MIN_SAMPLE_CONNECTIONS: u32 = 30;
 
 /// What a member knows about the fleet when it computes subset sizes itself.
 #[derive(Clone, Copy, Debug)]
@@ -73,8 +73,8 @@
         let unanswered = now - self.answered_at > settings.retention;
         let mut changed = false;
         for own in &self.own_groups {
-            let estimates = unanswered && own.connections >= MIN_SAMPLE;
-            let load = if estimates { own.load / fleet.connection_share } else { own.load };
+            let extrapolate = unanswered && own.connections >= MIN_SAMPLE_CONNECTIONS;
+            let load = if extrapolate { own.load / fleet.connection_share } else { own.load };
             let size = required_size(load, fleet.mean_load, fleet.endpoints, settings.target_utilization);
             changed |= self.subsets.require(now, own.group, size);
         }
@@ -118,5 +118,5 @@
 
 fn min_reported_load(settings: &AffinitySettings, fleet: &FleetEstimate) -> f64 {
     let per_endpoint = load_per_endpoint(fleet.endpoints, settings.target_utilization, fleet.mean_load);
-    f64::from(MIN_SUBSET_SIZE) * per_endpoint / f64::from(fleet.members.max(1)) / WORTH_REPORTING
+    f64::from(MIN_SUBSET_SIZE) * per_endpoint / f64::from(fleet.members.max(1)) / MIN_REPORTED_LOAD_DIVISOR
 }
--- a/crates/aggregation/src/wire.rs
+++ b/crates/aggregation/src/wire.rs
@@ -45,7 +45,7 @@
 use crate::Micros;
 
 /// Maximum length of a datagram, in bytes.
-pub const LONGEST: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// Maximum number of datagrams of one message, limited by the 4 bits of the header field.
 pub const MAX_FRAGMENTS: usize = 16;
 /// The smallest utilization other than 0 that a summary can express.
--- a/crates/aggregation/src/wire/read.rs
+++ b/crates/aggregation/src/wire/read.rs
@@ -3,13 +3,13 @@
 use super::scale::{decode_load, decode_rate, decode_tenths};
 use super::{
     Datagram, EndpointDigest, EndpointSummary, Entry, FleetSummary, Fragment, GROUP_LOAD_STEP, GroupReport,
-    HealthVerdict, LONGEST, MIN_REPORTED_UTILIZATION, Report, SubsetSizes, Totals, UTILIZATION_STEP, VERSION,
-    flag, kind,
+    HealthVerdict, MAX_DATAGRAM_BYTES, MIN_REPORTED_UTILIZATION, Report, SubsetSizes, Totals,
+    UTILIZATION_STEP, VERSION, flag, kind,
 };
 
 /// Decodes a datagram. Returns `None` if the datagram belongs to another protocol, has an unknown kind, or is malformed.
 pub fn read(bytes: &[u8]) -> Option<Datagram> {
-    if bytes.len() > LONGEST {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
         return None;
     }
     let mut reader = Reader(bytes);
@@ -63,9 +63,9 @@
             fragment: header.fragment,
             leaving: header.has(flag::LEAVING),
             advance_notice: header.has(flag::ADVANCE_NOTICE),
-            next_report_in: decode_tenths(self.number()?),
+            next_report_in: decode_tenths(self.varint()?),
             totals: self.totals()?,
-            entries: self.until_end(Self::report_entry)?,
+            entries: self.read_to_end(Self::report_entry)?,
         })
     }
 
@@ -81,11 +81,11 @@
             sequence: header.sequence,
             fragment: header.fragment,
             incomplete: header.has(flag::INCOMPLETE),
-            report_interval: decode_tenths(self.number()?),
-            members: self.number()?,
+            report_interval: decode_tenths(self.varint()?),
+            members: self.varint()?,
             totals: self.totals()?,
             mean_load: decode_load(self.byte()?),
-            endpoints: self.until_end(Self::summary_entry)?,
+            endpoints: self.read_to_end(Self::summary_entry)?,
         })
     }
 
@@ -99,9 +99,9 @@
     }
 
     fn group_report(&mut self, header: &Header) -> Option<GroupReport> {
-        let next_report_in = decode_tenths(self.number()?);
-        let load = |(group, steps): (u64, u32)| (group, f64::from(steps) * GROUP_LOAD_STEP);
-        let groups = self.until_end(Self::group_entry)?.into_iter().map(load).collect();
+        let next_report_in = decode_tenths(self.varint()?);
+        let with_load = |(group, steps): (u64, u32)| (group, f64::from(steps) * GROUP_LOAD_STEP);
+        let groups = self.read_to_end(Self::group_entry)?.into_iter().map(with_load).collect();
         Some(GroupReport {
             sequence: header.sequence,
             fragment: header.fragment,
@@ -116,17 +116,17 @@
             sequence: header.sequence,
             fragment: header.fragment,
             incomplete: header.has(flag::INCOMPLETE),
-            sizes: self.until_end(Self::group_entry)?,
+            sizes: self.read_to_end(Self::group_entry)?,
         })
     }
 
     fn group_entry(&mut self) -> Option<(u64, u32)> {
         let (digest, rest) = self.0.split_first_chunk()?;
         self.0 = rest;
-        Some((u64::from_le_bytes(*digest), self.number()?))
+        Some((u64::from_le_bytes(*digest), self.varint()?))
     }
 
-    fn until_end<T>(&mut self, entry: impl Fn(&mut Self) -> Option<T>) -> Option<Vec<T>> {
+    fn read_to_end<T>(&mut self, entry: impl Fn(&mut Self) -> Option<T>) -> Option<Vec<T>> {
         let mut entries = Vec::new();
         while !self.0.is_empty() {
             entries.push(entry(self)?);
@@ -135,7 +135,7 @@
     }
 
     fn totals(&mut self) -> Option<Totals> {
-        let connections = self.number()?;
+        let connections = self.varint()?;
         let mut rate = || self.byte().map(decode_rate);
         Some(Totals {
             connections,
@@ -156,7 +156,7 @@
     }
 
     /// Reads an LEB128 number of at most 32 bits.
-    fn number(&mut self) -> Option<u32> {
+    fn varint(&mut self) -> Option<u32> {
         let mut value = 0_u64;
         for shift in (0..35).step_by(7) {
             let byte = self.byte()?;
--- a/crates/aggregation/src/wire/write.rs
+++ b/crates/aggregation/src/wire/write.rs
@@ -2,19 +2,19 @@
 
 use super::scale::{encode_load, encode_rate, encode_tenths};
 use super::{
-    EndpointSummary, Entry, FleetSummary, GROUP_LOAD_STEP, GroupReport, HealthVerdict, LONGEST,
+    EndpointSummary, Entry, FleetSummary, GROUP_LOAD_STEP, GroupReport, HealthVerdict, MAX_DATAGRAM_BYTES,
     MAX_FRAGMENTS, MAX_GROUPS_PER_ENTRY, MIN_REPORTED_UTILIZATION, Report, SubsetSizes, Totals,
     UTILIZATION_STEP, VERSION, flag, kind,
 };
 
 /// Offset of the fragment byte in the header.
-const FRAGMENT_AT: usize = 5;
+const FRAGMENT_OFFSET: usize = 5;
 
 /// Encodes a report as one or more datagrams, with the entries in order. `report.fragment` is ignored.
 pub fn write_report(report: &Report) -> Vec<Vec<u8>> {
     let flags = flag_if(report.leaving, flag::LEAVING) | flag_if(report.advance_notice, flag::ADVANCE_NOTICE);
     let mut header = header(kind::REPORT, flags, report.sequence);
-    push_number(&mut header, encode_tenths(report.next_report_in));
+    push_varint(&mut header, encode_tenths(report.next_report_in));
     push_totals(&mut header, &report.totals);
     split_into_fragments(&header, report.entries.iter().map(report_entry))
 }
@@ -24,14 +24,14 @@
 pub fn write_summary(summary: &FleetSummary) -> Vec<Vec<u8>> {
     let flags = flag_if(summary.incomplete, flag::INCOMPLETE);
     let mut header = header(kind::SUMMARY, flags, summary.sequence);
-    push_number(&mut header, encode_tenths(summary.report_interval));
-    push_number(&mut header, summary.members);
+    push_varint(&mut header, encode_tenths(summary.report_interval));
+    push_varint(&mut header, summary.members);
     push_totals(&mut header, &summary.totals);
     header.push(encode_load(summary.mean_load));
-    let says_something = |endpoint: &&EndpointSummary| {
+    let is_reportable = |endpoint: &&EndpointSummary| {
         endpoint.utilization >= MIN_REPORTED_UTILIZATION || endpoint.health != HealthVerdict::Unknown
     };
-    let mut endpoints: Vec<&EndpointSummary> = summary.endpoints.iter().filter(says_something).collect();
+    let mut endpoints: Vec<&EndpointSummary> = summary.endpoints.iter().filter(is_reportable).collect();
     endpoints.sort_by(|a, b| b.utilization.total_cmp(&a.utilization));
     split_into_fragments(&header, endpoints.into_iter().map(summary_entry))
 }
@@ -40,7 +40,7 @@
 pub fn write_group_report(report: &GroupReport) -> Vec<Vec<u8>> {
     let flags = flag_if(report.advance_notice, flag::ADVANCE_NOTICE);
     let mut header = header(kind::GROUP_REPORT, flags, report.sequence);
-    push_number(&mut header, encode_tenths(report.next_report_in));
+    push_varint(&mut header, encode_tenths(report.next_report_in));
     // The cast saturates, and turns NaN into 0.
     let entry = |(group, load): &(u64, f64)| group_entry(*group, (load / GROUP_LOAD_STEP).round() as u32);
     split_into_fragments(&header, report.groups.iter().map(entry))
@@ -58,7 +58,7 @@
 }
 
 fn header(kind: u8, flags: u8, sequence: u16) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(LONGEST);
+    let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     bytes.extend([VERSION, kind, flags]);
     bytes.extend(sequence.to_le_bytes());
     // The fragment byte is set once the number of fragments is known.
@@ -90,7 +90,7 @@
 
 fn group_entry(group: u64, number: u32) -> Vec<u8> {
     let mut bytes = group.to_le_bytes().to_vec();
-    push_number(&mut bytes, number);
+    push_varint(&mut bytes, number);
     bytes
 }
 
@@ -98,7 +98,7 @@
     digest.to_le_bytes()[..3].to_vec()
 }
 
-fn push_number(bytes: &mut Vec<u8>, mut value: u32) {
+fn push_varint(bytes: &mut Vec<u8>, mut value: u32) {
     while value >= 0x80 {
         bytes.push(value as u8 | 0x80);
         value >>= 7;
@@ -107,7 +107,7 @@
 }
 
 fn push_totals(bytes: &mut Vec<u8>, totals: &Totals) {
-    push_number(bytes, totals.connections);
+    push_varint(bytes, totals.connections);
     bytes.extend([totals.requests_per_s, totals.successes_per_s, totals.failures_per_s].map(encode_rate));
 }
 
@@ -116,7 +116,7 @@
     let mut fragments = vec![header.to_vec()];
     for entry in entries {
         let last = fragments.len() - 1;
-        if fragments[last].len() + entry.len() <= LONGEST {
+        if fragments[last].len() + entry.len() <= MAX_DATAGRAM_BYTES {
             fragments[last].extend(entry);
         } else if fragments.len() < MAX_FRAGMENTS {
             fragments.push([header, &entry].concat());
@@ -124,9 +124,9 @@
             break;
         }
     }
-    let more = (fragments.len() - 1) as u8;
+    let last_index = (fragments.len() - 1) as u8;
     for (index, fragment) in fragments.iter_mut().enumerate() {
-        fragment[FRAGMENT_AT] = index as u8 | more << 4;
+        fragment[FRAGMENT_OFFSET] = index as u8 | last_index << 4;
     }
     fragments
 }
--- a/crates/aggregation/src/wire_tests.rs
+++ b/crates/aggregation/src/wire_tests.rs
@@ -22,7 +22,7 @@
         let fragments = write_report(&report);
         let mut back = Vec::new();
         for (place, bytes) in fragments.iter().enumerate() {
-            prop_assert!(bytes.len() <= LONGEST);
+            prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             let Some(Datagram::Report(read)) = read(bytes) else { panic!("datagram cannot be decoded") };
             prop_assert_eq!(read.fragment, Fragment { index: place as u8, count: fragments.len() as u8 });
             prop_assert!((read.totals.requests_per_s / 3.0 - 1.0).abs() < 0.05 && read.totals.connections == 70_000);
@@ -51,7 +51,7 @@
         let (mut back, mut sizes_back) = (Vec::new(), Vec::new());
         let fragments = write_group_report(&report);
         for (place, bytes) in fragments.iter().enumerate() {
-            prop_assert!(bytes.len() <= LONGEST);
+            prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             let Some(Datagram::GroupReport(read)) = read(bytes) else { panic!("datagram cannot be decoded") };
             prop_assert_eq!(read.fragment, Fragment { index: place as u8, count: fragments.len() as u8 });
             prop_assert!(read.sequence == sequence && read.advance_notice == notice && read.next_report_in == next);
@@ -65,7 +65,7 @@
         let answer = SubsetSizes { sequence, fragment: Fragment::ONLY, incomplete: notice, sizes };
         let fragments = write_subset_sizes(&answer);
         for bytes in &fragments {
-            prop_assert!(bytes.len() <= LONGEST);
+            prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             let Some(Datagram::SubsetSizes(read)) = read(bytes) else { panic!("datagram cannot be decoded") };
             prop_assert!(read.incomplete == notice && read.sequence == sequence);
             sizes_back.extend(read.sizes);
