--- a/crates/aggregation/benches/homes.rs
+++ b/crates/aggregation/benches/homes.rs
@@ -22,54 +22,60 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-const LARGEST: u32 = 1_000_000;
+const LARGEST_GROUP_CONNECTIONS: u32 = 1_000_000;
 /// Number of simulated groups. Smaller groups would need only five endpoints at any fleet size.
-const GROUPS: u64 = 400;
+const GROUP_COUNT: u64 = 400;
 
 fn main() {
-    let given = std::env::args().find_map(|word| word.parse::<u32>().ok());
-    for members in given.map_or_else(|| vec![30, 110, 220, 440], |members| vec![members]) {
+    let requested_members = std::env::args().find_map(|argument| argument.parse::<u32>().ok());
+    for members in requested_members.map_or_else(|| vec![30, 110, 220, 440], |members| vec![members]) {
         for groups in [None, Some(64), Some(320)] {
-            play(members, groups);
+            run_simulation(members, groups);
         }
     }
 }
 
-fn play(members: u32, groups: Option<u32>) {
-    let scale =
-        Scale { members, nodes: 2_048, size: 2e6, load: 80.0, requests_per_s: 45.0 * f64::from(members) };
+fn run_simulation(members: u32, groups: Option<u32>) {
+    let scale = Scale {
+        members,
+        nodes: 2_048,
+        node_capacity: 2e6,
+        connection_load: 80.0,
+        requests_per_s: 45.0 * f64::from(members),
+    };
     let region = Region::new(ALLOCATOR);
-    let mut sim = Sim::new(1, scale, settings(groups, 600, 180));
+    let mut sim = Simulation::new(1, scale, settings(groups, 600, 180));
     sim.loss = 0.0;
-    for rank in 1..=GROUPS {
-        let each = LARGEST / rank as u32 / members;
-        sim.groups.iter_mut().for_each(|groups| groups.extend([(rank, each)]));
+    for rank in 1..=GROUP_COUNT {
+        let connections = LARGEST_GROUP_CONNECTIONS / rank as u32 / members;
+        sim.groups.iter_mut().for_each(|groups| groups.extend([(rank, connections)]));
     }
-    sim.chance = ChaCha8Rng::seed_from_u64(1);
+    sim.rng = ChaCha8Rng::seed_from_u64(1);
     sim.run_for(40 * S);
-    let (bytes, busy) = (sim.bytes.clone(), sim.busy.clone());
+    let (bytes, cpu_time_before) = (sim.bytes.clone(), sim.cpu_time.clone());
     let seconds = 60;
     sim.run_for(seconds * S);
     let per_s = |sum: f64| sum / seconds as f64;
-    let spent: Vec<f64> = bytes.iter().zip(&sim.bytes).map(|(a, b)| per_s((b - a) as f64)).collect();
-    let core: Vec<f64> = busy.iter().zip(&sim.busy).map(|(a, b)| per_s((*b - *a).as_secs_f64())).collect();
-    let mean = |all: &[f64]| all.iter().sum::<f64>() / all.len() as f64;
-    let most = |all: &[f64]| all.iter().copied().fold(0.0, f64::max);
-    let period = sim.members[0].as_ref().map_or(0, |one| one.report_interval());
-    let (least, middle, highest) = sim.spread(1);
-    let held = region.change();
+    let bytes_per_s: Vec<f64> = bytes.iter().zip(&sim.bytes).map(|(a, b)| per_s((b - a) as f64)).collect();
+    let cores_used: Vec<f64> =
+        cpu_time_before.iter().zip(&sim.cpu_time).map(|(a, b)| per_s((*b - *a).as_secs_f64())).collect();
+    let mean = |values: &[f64]| values.iter().sum::<f64>() / values.len() as f64;
+    let max = |values: &[f64]| values.iter().copied().fold(0.0, f64::max);
+    let report_interval = sim.members[0].as_ref().map_or(0, |member| member.report_interval());
+    let (min_size, median_size, max_size) = sim.subset_size_range(1);
+    let allocations = region.change();
     println!(
-        "{{\"members\": {members}, \"group_homes\": {}, \"homes_of_largest\": [{least}, {middle}, {highest}], \"needs\": {}, \
+        "{{\"members\": {members}, \"group_homes\": {}, \"homes_of_largest\": [{min_size}, {median_size}, {max_size}], \"needs\": {}, \
          \"fullest_of_its_size\": {:.3}, \"period_s\": {:.1}, \"bytes_per_s_mean\": {:.0}, \"bytes_per_s_most_in_a_minute\": {:.0}, \
          \"core_mean\": {:.5}, \"core_most_in_a_minute\": {:.5}, \"memory_each\": {}}}",
         groups.unwrap_or(0),
         sim.required_size(1),
-        sim.fullest(1),
-        period as f64 / 1e6,
-        mean(&spent),
-        most(&spent),
-        mean(&core),
-        most(&core),
-        (held.bytes_allocated - held.bytes_deallocated) / members as usize,
+        sim.max_utilization(1),
+        report_interval as f64 / 1e6,
+        mean(&bytes_per_s),
+        max(&bytes_per_s),
+        mean(&cores_used),
+        max(&cores_used),
+        (allocations.bytes_allocated - allocations.bytes_deallocated) / members as usize,
     );
 }
--- a/crates/aggregation/src/aggregation_tests.rs
+++ b/crates/aggregation/src/aggregation_tests.rs
@@ -29,7 +29,7 @@
     }
 }
 
-fn used(aggregation: &mut Aggregation, now: Micros) -> BTreeMap<u32, f64> {
+fn endpoint_utilizations(aggregation: &mut Aggregation, now: Micros) -> BTreeMap<u32, f64> {
     aggregation.cached_summary = None;
     let summary = aggregation.summary(&settings(), now, |_| Some(100.0));
     summary.endpoints.into_iter().map(|node| (node.endpoint.0, node.utilization)).collect()
@@ -46,10 +46,10 @@
         for (step, (member, sequence)) in order.iter().enumerate() {
             let load = f64::from(*sequence + 1);
             aggregation.record(step as i64, *member, 40, report(*sequence, (0, 1), &[(*member, load)]));
-            let known = newest.entry(*member).or_insert(*sequence);
-            *known = (*known).max(*sequence);
+            let newest_sequence = newest.entry(*member).or_insert(*sequence);
+            *newest_sequence = (*newest_sequence).max(*sequence);
         }
-        let sums = used(&mut aggregation, 100);
+        let sums = endpoint_utilizations(&mut aggregation, 100);
         for (member, sequence) in newest {
             prop_assert_eq!(sums.get(&member).copied(), Some(f64::from(sequence + 1) / 100.0));
         }
@@ -60,13 +60,13 @@
 #[test]
 fn previous_report_stands_in_for_lost_fragment() {
     let mut aggregation = Aggregation::default();
-    let mut take = |now, report| aggregation.record(now, 1, 40, report);
-    take(0, report(1, (0, 2), &[(1, 10.0)]));
-    take(0, report(1, (1, 2), &[(2, 20.0)]));
-    take(S, report(2, (0, 2), &[(1, 11.0)]));
-    assert_eq!(used(&mut aggregation, S), BTreeMap::from([(1, 0.11), (2, 0.2)]));
+    let mut record = |now, report| aggregation.record(now, 1, 40, report);
+    record(0, report(1, (0, 2), &[(1, 10.0)]));
+    record(0, report(1, (1, 2), &[(2, 20.0)]));
+    record(S, report(2, (0, 2), &[(1, 11.0)]));
+    assert_eq!(endpoint_utilizations(&mut aggregation, S), BTreeMap::from([(1, 0.11), (2, 0.2)]));
     aggregation.record(2 * S, 1, 40, report(3, (0, 1), &[(1, 12.0)]));
-    assert_eq!(used(&mut aggregation, 2 * S), BTreeMap::from([(1, 0.12)]));
+    assert_eq!(endpoint_utilizations(&mut aggregation, 2 * S), BTreeMap::from([(1, 0.12)]));
 }
 
 /// The report of a restarted process replaces the previous one at once. The report of a member that is silent for three
@@ -77,14 +77,14 @@
     aggregation.record(0, 1, 40, report(900, (0, 1), &[(1, 10.0)]));
     aggregation.record(0, 2, 40, report(5, (0, 1), &[(2, 10.0)]));
     aggregation.record(S, 1, 40, report(0, (0, 1), &[(3, 30.0)]));
-    assert_eq!(used(&mut aggregation, S), BTreeMap::from([(2, 0.1), (3, 0.3)]));
+    assert_eq!(endpoint_utilizations(&mut aggregation, S), BTreeMap::from([(2, 0.1), (3, 0.3)]));
     assert_eq!(
-        used(&mut aggregation, 3 * S),
+        endpoint_utilizations(&mut aggregation, 3 * S),
         BTreeMap::from([(3, 0.3)]),
         "member 2 was silent for three intervals"
     );
     aggregation.record(3 * S, 1, 40, Report { leaving: true, ..report(1, (0, 1), &[]) });
-    assert!(used(&mut aggregation, 3 * S).is_empty());
+    assert!(endpoint_utilizations(&mut aggregation, 3 * S).is_empty());
 }
 
 /// Two of forty members report far more load and connections than a member can have.
@@ -97,13 +97,13 @@
     };
     let mut aggregation = Aggregation::default();
     correct(&mut aggregation);
-    let before: f64 = used(&mut aggregation, 0).values().sum();
+    let before: f64 = endpoint_utilizations(&mut aggregation, 0).values().sum();
     for member in [38, 39] {
         let mut reported = report(1, (0, 1), &[(0, 4e6), (1, 4e6)]);
         reported.totals.connections = 4_000_000;
         aggregation.record(0, member, 40, reported);
     }
-    let after: f64 = used(&mut aggregation, 0).values().sum();
+    let after: f64 = endpoint_utilizations(&mut aggregation, 0).values().sum();
     // Correct members have 2 connections each. A faulty one counts with 8 connections of four times the median load.
     assert!(
         after - before <= 2.0 * 8.0 * 4.0 * 10.0 / 100.0 + 1e-9,
@@ -139,24 +139,24 @@
     let mut aggregation = Aggregation::default();
     aggregation.record(0, 1, 40, Report { next_report_in: 6 * S, ..report(1, (0, 1), &[(1, 10.0)]) });
     aggregation.record(5 * S, 2, 40, report(1, (0, 1), &[(2, 10.0)]));
-    assert_eq!(used(&mut aggregation, 7 * S), BTreeMap::from([(1, 0.1), (2, 0.1)]));
-    assert_eq!(used(&mut aggregation, 8 * S), BTreeMap::from([(1, 0.1)]));
+    assert_eq!(endpoint_utilizations(&mut aggregation, 7 * S), BTreeMap::from([(1, 0.1), (2, 0.1)]));
+    assert_eq!(endpoint_utilizations(&mut aggregation, 8 * S), BTreeMap::from([(1, 0.1)]));
 }
 
 /// Ten nodes: if the proxies are spread evenly, no node counts as crowded. If 20 proxies choose one node, that node does.
 #[test]
 fn crowded_endpoint_is_reported_as_utilized() {
-    let utilizations = |crowd: u32| {
+    let utilizations = |proxies_at_first_node: u32| {
         let mut aggregation = Aggregation::default();
         for member in 0..60 {
-            let node = if member < crowd { 0 } else { member % 10 };
+            let node = if member < proxies_at_first_node { 0 } else { member % 10 };
             let mut reported = report(1, (0, 1), &[(node, 0.1)]);
             reported.entries[0].health = HealthVerdict::Healthy;
             aggregation.record(0, member, 40, reported);
         }
-        used(&mut aggregation, 0)
+        endpoint_utilizations(&mut aggregation, 0)
     };
-    assert!(utilizations(0).values().all(|used| *used < MIN_REPORTED_UTILIZATION), "{:?}", utilizations(0));
+    assert!(utilizations(0).values().all(|value| *value < MIN_REPORTED_UTILIZATION), "{:?}", utilizations(0));
     let crowded = utilizations(20);
     assert!(crowded[&0] >= MIN_REPORTED_UTILIZATION, "{crowded:?}");
     assert!((1..10).all(|node| crowded[&node] < MIN_REPORTED_UTILIZATION), "{crowded:?}");
--- a/crates/aggregation/src/group_sums_tests.rs
+++ b/crates/aggregation/src/group_sums_tests.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 const S: Micros = 1_000_000;
-const MEAN: f64 = 100.0;
+const MEAN_LOAD: f64 = 100.0;
 
 fn settings() -> Settings {
     let section = FleetSection { members_from: Some(4), group_homes: Some(3), ..FleetSection::default() };
@@ -29,7 +29,7 @@
         reporting_members: members,
         connections,
         connections_with_groups: connections,
-        mean_load: MEAN,
+        mean_load: MEAN_LOAD,
         endpoints,
     }
 }
@@ -47,16 +47,16 @@
             let seen = newest.get(member).copied();
             if seen.is_none_or(|(known, _)| known < *sequence) {
                 newest.insert(*member, (*sequence, *group));
-            } else if seen.is_some_and(|(known, of)| known == *sequence && of != *group) {
+            } else if seen.is_some_and(|(known, known_group)| known == *sequence && known_group != *group) {
                 continue;
             }
             sums.record(&settings(), step as i64, *member, 40, group_report(*sequence, (0, 1), &[(*group, load)]));
         }
-        let mut oracle: BTreeMap<u64, f64> = BTreeMap::new();
+        let mut expected: BTreeMap<u64, f64> = BTreeMap::new();
         for (sequence, group) in newest.values() {
-            *oracle.entry(*group).or_default() += 50.0 + f64::from(*sequence);
+            *expected.entry(*group).or_default() += 50.0 + f64::from(*sequence);
         }
-        prop_assert_eq!(sums.sums(MEAN, 30), oracle.into_iter().collect::<Vec<_>>());
+        prop_assert_eq!(sums.sums(MEAN_LOAD, 30), expected.into_iter().collect::<Vec<_>>());
     }
 
     /// Two of forty members report arbitrary loads.
@@ -72,10 +72,19 @@
         for (member, load) in faulty.iter().enumerate() {
             sums.record(&settings(), 0, 38 + member as u32, 40, group_report(1, (0, 1), &[(1, *load), (9, *load)]));
         }
-        let all: BTreeMap<u64, f64> = sums.sums(MEAN, 30).into_iter().collect();
-        let (truth, most): (f64, f64) = (correct.iter().sum(), correct.iter().copied().fold(0.0, f64::max));
-        prop_assert!(all[&1] <= truth + 2.0 * (2.0 * most + 4.0 * MEAN) + 1e-6, "sum {}, correct members only {truth}", all[&1]);
-        prop_assert!(all[&9] <= 2.0 * 4.0 * MEAN, "sum of a group reported by faulty members only: {}", all[&9]);
+        let sums_by_group: BTreeMap<u64, f64> = sums.sums(MEAN_LOAD, 30).into_iter().collect();
+        let (sum_of_correct, max_load): (f64, f64) =
+            (correct.iter().sum(), correct.iter().copied().fold(0.0, f64::max));
+        prop_assert!(
+            sums_by_group[&1] <= sum_of_correct + 2.0 * (2.0 * max_load + 4.0 * MEAN_LOAD) + 1e-6,
+            "sum {}, correct members only {sum_of_correct}",
+            sums_by_group[&1]
+        );
+        prop_assert!(
+            sums_by_group[&9] <= 2.0 * 4.0 * MEAN_LOAD,
+            "sum of a group reported by faulty members only: {}",
+            sums_by_group[&9]
+        );
     }
 }
 
@@ -84,11 +93,11 @@
 fn few_members_set_no_usual_load() {
     let mut sums = GroupSums::default();
     sums.record(&settings(), 0, 1, 40, group_report(1, (0, 1), &[(2, 1e9)]));
-    assert_eq!(sums.sums(MEAN, 40), [(2, 4.0 * MEAN)]);
+    assert_eq!(sums.sums(MEAN_LOAD, 40), [(2, 4.0 * MEAN_LOAD)]);
     (2..18).for_each(|member| {
         sums.record(&settings(), 0, member, 40, group_report(1, (0, 1), &[(3, 500.0)]));
     });
-    assert_eq!(sums.sums(MEAN, 40), [(2, 4.0 * MEAN), (3, 16.0 * 500.0)]);
+    assert_eq!(sums.sums(MEAN_LOAD, 40), [(2, 4.0 * MEAN_LOAD), (3, 16.0 * 500.0)]);
 }
 
 #[test]
@@ -97,7 +106,7 @@
     (0..39).for_each(|member| {
         sums.record(&settings(), 0, member, 40, group_report(1, (0, 1), &[(1, 500.0)]));
     });
-    sums.record(&settings(), 0, 39, 40, group_report(1, (0, 1), &[(2, 1e9 * MEAN)]));
+    sums.record(&settings(), 0, 39, 40, group_report(1, (0, 1), &[(2, 1e9 * MEAN_LOAD)]));
     let affinity = settings().affinity.unwrap();
     // 39 * 500 / (10,000 / 4 - 3 * 100), rounded up: nine endpoints.
     assert_eq!(sums.subset_sizes(&affinity, 0, &fleet_totals(40)), [(1, 9)]);
@@ -127,29 +136,33 @@
 #[test]
 fn extrapolates_to_members_without_groups() {
     let affinity = settings().affinity.unwrap();
-    let needs = |fleet: FleetTotals| {
+    let required_size_with = |fleet: FleetTotals| {
         let mut sums = GroupSums::default();
         (0..30).for_each(|member| {
             sums.record(&settings(), 0, member, 40, group_report(1, (0, 1), &[(1, 1_000.0)]));
         });
         sums.subset_sizes(&affinity, 0, &fleet)[0].1
     };
-    assert_eq!(needs(fleet_totals(30)), 14);
-    let older = FleetTotals {
+    assert_eq!(required_size_with(fleet_totals(30)), 14);
+    let mixed_versions = FleetTotals {
         configured_members: 60,
         reporting_members: 60,
         connections: 600.0,
         connections_with_groups: 300.0,
         ..fleet_totals(30)
     };
-    assert_eq!(needs(older), 28, "half of the connections belong to members without group reports");
     assert_eq!(
-        needs(FleetTotals { configured_members: 60, ..fleet_totals(30) }),
+        required_size_with(mixed_versions),
+        28,
+        "half of the connections belong to members without group reports"
+    );
+    assert_eq!(
+        required_size_with(FleetTotals { configured_members: 60, ..fleet_totals(30) }),
         28,
         "no reports from half of the members"
     );
     assert_eq!(
-        needs(FleetTotals { configured_members: 440, ..fleet_totals(30) }),
+        required_size_with(FleetTotals { configured_members: 440, ..fleet_totals(30) }),
         28,
         "extrapolated by at most a factor of two"
     );
@@ -160,17 +173,17 @@
 #[test]
 fn previous_report_stands_in_and_silence_expires() {
     let mut sums = GroupSums::default();
-    let mut take = |now, report| sums.record(&settings(), now, 1, 40, report);
-    take(0, group_report(1, (0, 2), &[(1, 10.0)]));
-    take(0, group_report(1, (1, 2), &[(2, 20.0)]));
-    take(S, group_report(2, (0, 2), &[(1, 11.0)]));
-    assert_eq!(sums.sums(MEAN, 30), [(1, 11.0), (2, 20.0)]);
+    let mut record = |now, report| sums.record(&settings(), now, 1, 40, report);
+    record(0, group_report(1, (0, 2), &[(1, 10.0)]));
+    record(0, group_report(1, (1, 2), &[(2, 20.0)]));
+    record(S, group_report(2, (0, 2), &[(1, 11.0)]));
+    assert_eq!(sums.sums(MEAN_LOAD, 30), [(1, 11.0), (2, 20.0)]);
     sums.record(&settings(), 2 * S, 1, 40, group_report(3, (0, 1), &[(1, 12.0)]));
-    assert_eq!(sums.sums(MEAN, 30), [(1, 12.0)]);
+    assert_eq!(sums.sums(MEAN_LOAD, 30), [(1, 12.0)]);
     sums.expire(4 * S);
-    assert_eq!(sums.sums(MEAN, 30), [(1, 12.0)]);
+    assert_eq!(sums.sums(MEAN_LOAD, 30), [(1, 12.0)]);
     sums.expire(5 * S);
-    assert!(sums.sums(MEAN, 30).is_empty() && sums.reports.is_empty());
+    assert!(sums.sums(MEAN_LOAD, 30).is_empty() && sums.reports.is_empty());
     // A member that announces its next report in a year expires like others.
     sums.record(
         &settings(),
@@ -191,7 +204,7 @@
     for sequence in 0..300_u16 {
         for fragment in 0..16_u8 {
             let base = u64::from(sequence) << 16 | u64::from(fragment) << 8;
-            let groups: Vec<(u64, f64)> = (0..27).map(|name| (base | name, 1.0)).collect();
+            let groups: Vec<(u64, f64)> = (0..27).map(|index| (base | index, 1.0)).collect();
             sums.record(&settings(), 0, 1, 256, group_report(sequence, (fragment, 16), &groups));
         }
         assert!(sums.reports[&1].groups.len() <= 2 * 16 * 27, "{}", sums.reports[&1].groups.len());
@@ -202,8 +215,8 @@
 #[test]
 fn contradictory_fragment_is_rejected() {
     let mut sums = GroupSums::default();
-    let accepted = (0..1_000_u64).filter(|again| {
-        let groups: Vec<(u64, f64)> = (0..27).map(|name| (again << 8 | name, 1.0)).collect();
+    let accepted = (0..1_000_u64).filter(|repetition| {
+        let groups: Vec<(u64, f64)> = (0..27).map(|index| (repetition << 8 | index, 1.0)).collect();
         sums.record(&settings(), 0, 1, 256, group_report(1, (0, 2), &groups)) == RecordOutcome::Accepted
     });
     assert_eq!((accepted.count(), sums.reports[&1].groups.len()), (1, 27));
--- a/crates/aggregation/tests/fleet.rs
+++ b/crates/aggregation/tests/fleet.rs
@@ -19,29 +19,29 @@
 /// An arbitrary start time that is not at the beginning of an epoch.
 const UNIX: Micros = 1_796_000_000 * S + 7 * S;
 /// Capacity of each render node, in microseconds of work per second.
-const SIZE: f64 = 2e6;
+const NODE_CAPACITY: f64 = 2e6;
 /// Load of a connection, in microseconds of work per second.
-const LOAD: f64 = 40_000.0;
+const CONNECTION_LOAD: f64 = 40_000.0;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Arrives { from: u32, to: u32, bytes: Vec<u8> },
-    Wakes(u32),
+enum Event {
+    DatagramArrives { from: u32, to: u32, bytes: Vec<u8> },
+    TimerExpires(u32),
 }
 
 struct Simulation {
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     seed: u64,
     now: Micros,
-    due: BinaryHeap<Reverse<(Micros, u64, Due)>>,
-    number: u64,
+    events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
+    event_count: u64,
     loss: f64,
     /// Partition of each member. Datagrams between different partitions are lost.
     partition: Vec<u8>,
     members: Vec<Option<Member>>,
     /// Number of connections of each member, by render node.
     connections: Vec<BTreeMap<u32, u32>>,
-    clock: Vec<Micros>,
+    clock_offset: Vec<Micros>,
     nodes: u32,
     requests_per_s: f64,
     bytes: u64,
@@ -52,28 +52,28 @@
 impl Simulation {
     /// Creates a fleet in which each member has about four connections, more of them to some nodes than to others.
     fn new(seed: u64, members: u32, nodes: u32) -> Self {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
-        let mut one = || {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let mut random_connections = || {
             let mut connections = BTreeMap::new();
-            for _ in 0..chance.random_range(1..=7) {
-                let node = chance.random_range(0..nodes).min(chance.random_range(0..nodes));
+            for _ in 0..rng.random_range(1..=7) {
+                let node = rng.random_range(0..nodes).min(rng.random_range(0..nodes));
                 *connections.entry(node).or_insert(0) += 1;
             }
             connections
         };
-        let connections = (0..members).map(|_| one()).collect();
+        let connections = (0..members).map(|_| random_connections()).collect();
         let section = FleetSection { members_from: Some(4), ..FleetSection::default() };
         let mut fleet = Simulation {
-            chance,
+            rng,
             seed,
             now: 0,
-            due: BinaryHeap::new(),
-            number: 0,
+            events: BinaryHeap::new(),
+            event_count: 0,
             loss: 0.1,
             partition: vec![0; members as usize],
             members: (0..members).map(|_| None).collect(),
             connections,
-            clock: vec![0; members as usize],
+            clock_offset: vec![0; members as usize],
             nodes,
             requests_per_s: f64::from(members) / 4.0,
             bytes: 0,
@@ -84,16 +84,17 @@
         fleet
     }
 
-    fn size(&self) -> u32 {
+    fn member_count(&self) -> u32 {
         self.members.len() as u32
     }
 
     fn start(&mut self, member: u32) {
-        let (seed, clock) = (self.chance.random(), self.clock[member as usize]);
-        let unix = UNIX + self.now + clock;
-        let new = Member::new(self.settings.clone(), member, self.size(), seed, self.now, unix);
-        self.members[member as usize] = Some(new);
-        let sizes = (0..self.nodes).map(|node| (EndpointDigest(node), SIZE)).collect();
+        let (seed, clock_offset) = (self.rng.random(), self.clock_offset[member as usize]);
+        let unix = UNIX + self.now + clock_offset;
+        let member_state =
+            Member::new(self.settings.clone(), member, self.member_count(), seed, self.now, unix);
+        self.members[member as usize] = Some(member_state);
+        let sizes = (0..self.nodes).map(|node| (EndpointDigest(node), NODE_CAPACITY)).collect();
         self.input(member, Input::Capacities(sizes));
     }
 
@@ -103,16 +104,16 @@
         self.connections[member as usize].clear();
     }
 
-    fn push(&mut self, at: Micros, due: Due) {
-        self.number += 1;
-        self.due.push(Reverse((at, self.number, due)));
+    fn push(&mut self, at: Micros, event: Event) {
+        self.event_count += 1;
+        self.events.push(Reverse((at, self.event_count, event)));
     }
 
     fn input(&mut self, member: u32, input: Input<'_>) {
-        let requests = self.requests_per_s / f64::from(self.size());
+        let requests = self.requests_per_s / f64::from(self.member_count());
         let (now, seed) = (self.now, self.seed);
         let connections = &self.connections[member as usize];
-        let Some(one) = &mut self.members[member as usize] else { return };
+        let Some(instance) = &mut self.members[member as usize] else { return };
         let totals = Totals {
             connections: connections.values().sum(),
             requests_per_s: requests,
@@ -121,95 +122,99 @@
         };
         let entry = |(node, count): (&u32, &u32)| Entry {
             endpoint: EndpointDigest(*node),
-            load: LOAD * f64::from(*count),
+            load: CONNECTION_LOAD * f64::from(*count),
             groups: Vec::new(),
             health: HealthVerdict::Unknown,
         };
-        one.handle(
+        instance.handle(
             now,
             Input::LocalLoad(LocalLoad { totals, entries: connections.iter().map(entry).collect() }),
         );
-        one.handle(now, input);
+        instance.handle(now, input);
         let mut sends = Vec::new();
-        while let Some(output) = one.poll() {
+        while let Some(output) = instance.poll() {
             if let Output::Send { to, bytes } = output {
                 assert!(bytes.len() <= 256, "seed {seed}: {} bytes", bytes.len());
                 sends.push((to, bytes));
             }
         }
-        let wakes = one.next_timeout().max(now);
-        self.push(wakes, Due::Wakes(member));
+        let timeout = instance.next_timeout().max(now);
+        self.push(timeout, Event::TimerExpires(member));
         for (to, bytes) in sends {
             self.bytes += bytes.len() as u64;
             self.sent += 1;
             let partitioned = self.partition[member as usize] != self.partition[to as usize];
-            if !partitioned && !self.chance.random_bool(self.loss) {
-                let at = now + self.chance.random_range(1_000..38_000);
-                self.push(at, Due::Arrives { from: member, to, bytes });
+            if !partitioned && !self.rng.random_bool(self.loss) {
+                let at = now + self.rng.random_range(1_000..38_000);
+                self.push(at, Event::DatagramArrives { from: member, to, bytes });
             }
         }
     }
 
     fn run_for(&mut self, span: Micros) {
-        let until = self.now + span;
-        while let Some(Reverse((at, ..))) = self.due.peek()
-            && *at <= until
+        let end = self.now + span;
+        while let Some(Reverse((at, ..))) = self.events.peek()
+            && *at <= end
         {
-            let Some(Reverse((at, _, due))) = self.due.pop() else { break };
+            let Some(Reverse((at, _, event))) = self.events.pop() else { break };
             self.now = at;
-            match due {
-                Due::Arrives { from, to, bytes } => {
+            match event {
+                Event::DatagramArrives { from, to, bytes } => {
                     self.input(to, Input::Datagram { from: Some(from), bytes: &bytes })
                 }
                 // Only the timer at a member's next timeout is valid; earlier timers are outdated.
-                Due::Wakes(member) => {
-                    let awaited = self.members[member as usize].as_ref().map(Member::next_timeout);
-                    if awaited.is_some_and(|awaited| awaited <= at) {
+                Event::TimerExpires(member) => {
+                    let next_timeout = self.members[member as usize].as_ref().map(Member::next_timeout);
+                    if next_timeout.is_some_and(|next_timeout| next_timeout <= at) {
                         self.input(member, Input::Tick);
                     }
                 }
             }
         }
-        self.now = until;
+        self.now = end;
     }
 
     /// Utilization of a node by the members of a partition.
-    fn used(&self, partition: u8, node: u32) -> f64 {
-        let mine = (0..self.size() as usize).filter(|member| self.partition[*member] == partition);
-        let count: u32 = mine.filter_map(|member| self.connections[member].get(&node)).sum();
-        f64::from(count) * LOAD / SIZE
+    fn utilization(&self, partition: u8, node: u32) -> f64 {
+        let of_partition =
+            (0..self.member_count() as usize).filter(|member| self.partition[*member] == partition);
+        let count: u32 = of_partition.filter_map(|member| self.connections[member].get(&node)).sum();
+        f64::from(count) * CONNECTION_LOAD / NODE_CAPACITY
     }
 
     /// Ratio of the utilizations in the fresh snapshots to the true ones, over all nodes with a utilization above 0.5, and the
-    /// share of the partition's members whose snapshot is no older than `fresh`.
-    fn accuracy(&self, partition: u8, fresh: Micros) -> (f64, f64) {
-        let full: Vec<u32> = (0..self.nodes).filter(|node| self.used(partition, *node) > 0.5).collect();
-        let (mut shown, mut truth, mut snapshots, mut live) = (0.0, 0.0, 0.0, 0.0);
-        for member in 0..self.size() as usize {
-            let Some(one) = self.members[member].as_ref().filter(|_| self.partition[member] == partition)
+    /// share of the partition's members whose snapshot is no older than `max_age`.
+    fn accuracy(&self, partition: u8, max_age: Micros) -> (f64, f64) {
+        let utilized_nodes: Vec<u32> =
+            (0..self.nodes).filter(|node| self.utilization(partition, *node) > 0.5).collect();
+        let (mut reported, mut actual, mut fresh_snapshots, mut running_members) = (0.0, 0.0, 0.0, 0.0);
+        for member in 0..self.member_count() as usize {
+            let Some(instance) =
+                self.members[member].as_ref().filter(|_| self.partition[member] == partition)
             else {
                 continue;
             };
-            live += 1.0;
-            let Some(snapshot) = one.snapshot().filter(|snapshot| self.now - snapshot.received_at <= fresh)
+            running_members += 1.0;
+            let Some(snapshot) =
+                instance.snapshot().filter(|snapshot| self.now - snapshot.received_at <= max_age)
             else {
                 continue;
             };
-            snapshots += 1.0;
-            for node in &full {
-                shown += snapshot.endpoint(EndpointDigest(*node)).utilization;
-                truth += self.used(partition, *node).min(2.37);
+            fresh_snapshots += 1.0;
+            for node in &utilized_nodes {
+                reported += snapshot.endpoint(EndpointDigest(*node)).utilization;
+                actual += self.utilization(partition, *node).min(2.37);
             }
         }
-        (if truth > 0.0 { shown / truth } else { 1.0 }, snapshots / f64::max(live, 1.0))
+        (if actual > 0.0 { reported / actual } else { 1.0 }, fresh_snapshots / f64::max(running_members, 1.0))
     }
 
-    fn show(&self, what: &str, accuracy: (f64, f64), datagrams: f64) {
+    fn print_accuracy(&self, description: &str, accuracy: (f64, f64), datagrams: f64) {
         eprintln!(
-            "seed {}, {} members, {what}: {:.3} of the true utilization, {:.3} of the members with a fresh snapshot, \
+            "seed {}, {} members, {description}: {:.3} of the true utilization, {:.3} of the members with a fresh snapshot, \
              {datagrams:.2} full datagrams per request",
             self.seed,
-            self.size(),
+            self.member_count(),
             accuracy.0,
             accuracy.1
         );
@@ -217,7 +222,7 @@
 }
 
 /// Runs the fleet for this time and returns the number of full datagrams sent per request.
-fn price(fleet: &mut Simulation, seconds: i64) -> f64 {
+fn datagrams_per_request(fleet: &mut Simulation, seconds: i64) -> f64 {
     let before = fleet.bytes;
     fleet.run_for(seconds * S);
     (fleet.bytes - before) as f64 / 256.0 / (fleet.requests_per_s * seconds as f64)
@@ -228,16 +233,16 @@
     for (members, nodes) in [(5, 4), (50, 15), (300, 90)] {
         let mut fleet = Simulation::new(u64::from(members), members, nodes);
         fleet.run_for(10 * S);
-        let datagrams = price(&mut fleet, 60);
+        let datagrams = datagrams_per_request(&mut fleet, 60);
         let accuracy = fleet.accuracy(0, 3 * fleet.settings.max_report_interval);
-        fleet.show("60 s at 10% loss", accuracy, datagrams);
+        fleet.print_accuracy("60 s at 10% loss", accuracy, datagrams);
         assert!((0.9..1.1).contains(&accuracy.0) && accuracy.1 > 0.9, "seed {}: {accuracy:?}", fleet.seed);
         // With 10% loss, one in five reports stays without an answer and is sent again, hence the tolerance of 1.4.
-        let ceiling = fleet.settings.datagrams_per_request;
+        let limit = fleet.settings.datagrams_per_request;
         // In small fleets the minimum report interval, not this limit, determines the bandwidth.
         assert!(
-            datagrams <= ceiling * 1.4,
-            "seed {}: {datagrams} datagrams per request, {ceiling} allowed",
+            datagrams <= limit * 1.4,
+            "seed {}: {datagrams} datagrams per request, {limit} allowed",
             fleet.seed
         );
     }
@@ -252,9 +257,9 @@
         (0..300).filter(|member| member % 10 < 7).for_each(|member| fleet.kill(member));
         fleet.run_for(16 * S);
         let accuracy = fleet.accuracy(0, 8 * S);
-        fleet.show("16 s after 210 died", accuracy, 0.0);
+        fleet.print_accuracy("16 s after 210 died", accuracy, 0.0);
         assert!(accuracy.1 > 0.85, "seed {seed}: {accuracy:?}");
-        let datagrams = price(&mut fleet, 30);
+        let datagrams = datagrams_per_request(&mut fleet, 30);
         assert!(datagrams < 4.5, "seed {seed}: {datagrams} datagrams per request");
     }
 }
@@ -265,16 +270,16 @@
     fleet.run_for(20 * S);
     let before = fleet.bytes;
     for tenth in 0..10 {
-        let mine: Vec<u32> = (0..300).filter(|member| member % 10 == tenth).collect();
-        mine.iter().for_each(|member| fleet.kill(*member));
+        let restarted: Vec<u32> = (0..300).filter(|member| member % 10 == tenth).collect();
+        restarted.iter().for_each(|member| fleet.kill(*member));
         fleet.run_for(S);
-        mine.iter().for_each(|member| fleet.start(*member));
+        restarted.iter().for_each(|member| fleet.start(*member));
         fleet.run_for(600_000);
     }
     let datagrams = (fleet.bytes - before) as f64 / 256.0 / (fleet.requests_per_s * 16.0);
     fleet.run_for(8 * S);
     let accuracy = fleet.accuracy(0, 10 * S);
-    fleet.show("8 s after a rolling restart of 16 s", accuracy, datagrams);
+    fleet.print_accuracy("8 s after a rolling restart of 16 s", accuracy, datagrams);
     assert!(
         accuracy.1 > 0.9 && datagrams < 2.0 * fleet.settings.datagrams_per_request,
         "{accuracy:?}, {datagrams} datagrams per request"
@@ -290,13 +295,13 @@
     fleet.run_for(16 * S);
     for partition in [0, 1] {
         let accuracy = fleet.accuracy(partition, 12 * S);
-        fleet.show("one side of a partition", accuracy, 0.0);
+        fleet.print_accuracy("one side of a partition", accuracy, 0.0);
         assert!(accuracy.1 > 0.8, "partition {partition}: {accuracy:?}");
     }
     fleet.partition.fill(0);
     fleet.run_for(25 * S);
     let accuracy = fleet.accuracy(0, 10 * S);
-    fleet.show("25 s after the partition healed", accuracy, 0.0);
+    fleet.print_accuracy("25 s after the partition healed", accuracy, 0.0);
     assert!((0.85..1.1).contains(&accuracy.0) && accuracy.1 > 0.9, "{accuracy:?}");
 }
 
@@ -305,12 +310,12 @@
     let mut fleet = Simulation::new(13, 300, 90);
     fleet.loss = 0.33;
     for member in 0..300 {
-        fleet.clock[member as usize] = i64::from(member % 11 - 5) * S;
+        fleet.clock_offset[member as usize] = i64::from(member % 11 - 5) * S;
         fleet.start(member as u32);
     }
     fleet.run_for(70 * S);
     let accuracy = fleet.accuracy(0, 18 * S);
-    fleet.show("clock skew of up to 5 s, 33% loss", accuracy, 0.0);
+    fleet.print_accuracy("clock skew of up to 5 s, 33% loss", accuracy, 0.0);
     assert!(accuracy.1 > 0.8 && accuracy.0 > 0.6, "{accuracy:?}");
 }
 
@@ -338,13 +343,13 @@
 
 /// Lets a member that is not among the first candidates send a report. Returns the member, the receiver, and the sequence
 /// number of the report.
-fn one_that_asks(fleet: &mut Simulation) -> (u32, u32, u16) {
+fn send_report_from_other_member(fleet: &mut Simulation) -> (u32, u32, u16) {
     let epoch = (UNIX / EPOCH) as u64;
-    let order = aggregator_order(epoch, fleet.size());
-    let one = (0..fleet.size())
+    let order = aggregator_order(epoch, fleet.member_count());
+    let sender = (0..fleet.member_count())
         .find(|member| !order[..6].contains(member))
         .expect("a member that is not among the first candidates");
-    let member = fleet.members[one as usize].as_mut().expect("the member runs");
+    let member = fleet.members[sender as usize].as_mut().expect("the member runs");
     fleet.now = member.next_timeout();
     member.handle(fleet.now, Input::Tick);
     let Some(Output::Send { to, bytes }) = member.poll() else { panic!("the member sends no report") };
@@ -352,25 +357,29 @@
     let Some(wire::Datagram::Report(report)) = wire::read(&bytes) else {
         panic!("the datagram is no report")
     };
-    (one, to, report.sequence)
+    (sender, to, report.sequence)
 }
 
 /// A member accepts an answer only from a member that it sent a report to, and only to its last report.
 #[test]
 fn accepts_answers_to_own_report_only() {
     let mut fleet = Simulation::new(14, 30, 9);
-    let (one, asked, sequence) = one_that_asks(&mut fleet);
-    let member = fleet.members[one as usize].as_mut().unwrap();
-    let other = (0..30).find(|other| *other != one && *other != asked).unwrap();
-    let mut hear = |from, sequence| {
+    let (sender, receiver, sequence) = send_report_from_other_member(&mut fleet);
+    let member = fleet.members[sender as usize].as_mut().unwrap();
+    let other = (0..30).find(|other| *other != sender && *other != receiver).unwrap();
+    let mut receive_summary = |from, sequence| {
         member.handle(fleet.now, Input::Datagram { from, bytes: &false_summary(sequence) });
         member.snapshot().map(|snapshot| snapshot.endpoint(EndpointDigest(0)).utilization)
     };
     // The aggregator of an earlier epoch knows the member's sequence numbers.
-    assert_eq!(hear(Some(other), sequence), None);
-    assert_eq!(hear(None, sequence), None);
-    assert_eq!(hear(Some(asked), sequence.wrapping_add(1)), None, "the sequence number of the next report");
-    assert_eq!(hear(Some(asked), sequence).map(|used| used > 1.9), Some(true));
+    assert_eq!(receive_summary(Some(other), sequence), None);
+    assert_eq!(receive_summary(None, sequence), None);
+    assert_eq!(
+        receive_summary(Some(receiver), sequence.wrapping_add(1)),
+        None,
+        "the sequence number of the next report"
+    );
+    assert_eq!(receive_summary(Some(receiver), sequence).map(|utilization| utilization > 1.9), Some(true));
     assert_eq!(member.counts().dropped, 3);
 }
 
@@ -387,12 +396,12 @@
         fleet.connections[member] = (0..90).map(|node| (node, 10)).collect();
     }
     fleet.run_for(30 * S);
-    let mut least = f64::INFINITY;
+    let mut min_ratio = f64::INFINITY;
     for _ in 0..60 {
         fleet.run_for(500_000);
-        let shown =
+        let reported =
             fleet.members[59].as_ref().unwrap().snapshot().unwrap().endpoint(EndpointDigest(3)).utilization;
-        least = least.min(shown / fleet.used(0, 3).min(2.35));
+        min_ratio = min_ratio.min(reported / fleet.utilization(0, 3).min(2.35));
     }
-    assert!(least > 0.9, "seed {}: minimum {least:.2} of the true utilization", fleet.seed);
+    assert!(min_ratio > 0.9, "seed {}: minimum {min_ratio:.2} of the true utilization", fleet.seed);
 }
--- a/crates/aggregation/tests/golden.rs
+++ b/crates/aggregation/tests/golden.rs
@@ -37,7 +37,7 @@
     }
 }
 
-fn table(nodes: u32) -> FleetSummary {
+fn summary(nodes: u32) -> FleetSummary {
     let word = |n| [HealthVerdict::Unknown, HealthVerdict::Healthy, HealthVerdict::Unhealthy][n as usize % 3];
     let node = |n: u32| EndpointSummary {
         endpoint: EndpointDigest((n * 70_001) & 0xff_ffff),
@@ -56,7 +56,7 @@
     }
 }
 
-fn groups() -> GroupReport {
+fn group_report() -> GroupReport {
     let groups = (1..40).map(|n| (u64::MAX / n, n as f64 * 1_600.0)).collect();
     GroupReport {
         sequence: 513,
@@ -67,49 +67,52 @@
     }
 }
 
-fn homes() -> SubsetSizes {
-    let homes = (1..40).map(|n| (u64::MAX / u64::from(n), 5 + n)).collect();
-    SubsetSizes { sequence: 513, fragment: Fragment::ONLY, incomplete: false, sizes: homes }
+fn subset_sizes() -> SubsetSizes {
+    let sizes = (1..40).map(|n| (u64::MAX / u64::from(n), 5 + n)).collect();
+    SubsetSizes { sequence: 513, fragment: Fragment::ONLY, incomplete: false, sizes }
 }
 
 fn datagrams() -> Vec<(&'static str, Vec<u8>)> {
-    let sets = [
+    let messages = [
         ("report_leaving", write_report(&report(0, true))),
         ("report", write_report(&report(60, false))),
-        ("table_young", write_summary(&table(0))),
-        ("table", write_summary(&table(120))),
-        ("groups", write_group_report(&groups())),
-        ("homes", write_subset_sizes(&homes())),
+        ("table_young", write_summary(&summary(0))),
+        ("table", write_summary(&summary(120))),
+        ("groups", write_group_report(&group_report())),
+        ("homes", write_subset_sizes(&subset_sizes())),
     ];
-    sets.into_iter().flat_map(|(name, set)| set.into_iter().map(move |bytes| (name, bytes))).collect()
+    messages
+        .into_iter()
+        .flat_map(|(name, fragments)| fragments.into_iter().map(move |bytes| (name, bytes)))
+        .collect()
 }
 
 /// Encodes a decoded datagram again. The content of one datagram fits into one fragment.
-fn rewritten(datagram: &Datagram) -> Vec<Vec<u8>> {
+fn reencode(datagram: &Datagram) -> Vec<Vec<u8>> {
     match datagram {
         Datagram::Report(report) => write_report(report),
-        Datagram::Summary(table) => write_summary(table),
+        Datagram::Summary(summary) => write_summary(summary),
         Datagram::GroupReport(groups) => write_group_report(groups),
-        Datagram::SubsetSizes(homes) => write_subset_sizes(homes),
+        Datagram::SubsetSizes(sizes) => write_subset_sizes(sizes),
     }
 }
 
 #[test]
 fn datagrams_keep_their_bytes_and_are_read_back() {
-    let made = datagrams();
-    let golden = assert_bytes(&golden_path!("datagrams.txt"), &made);
+    let encoded = datagrams();
+    let golden = assert_bytes(&golden_path!("datagrams.txt"), &encoded);
     // Byte 5 contains the index and the number of fragments. It differs, since a fragment that is encoded alone is the only
     // one.
-    const FRAGMENT: usize = 5;
-    for (bytes, (name, _)) in golden.iter().zip(&made) {
+    const FRAGMENT_OFFSET: usize = 5;
+    for (bytes, (name, _)) in golden.iter().zip(&encoded) {
         let datagram = read(bytes).unwrap_or_else(|| panic!("{name} cannot be decoded"));
-        let again = rewritten(&datagram);
-        let [again] = &again[..] else {
-            panic!("{name} is encoded as {} datagrams instead of one", again.len())
+        let reencoded = reencode(&datagram);
+        let [reencoded] = &reencoded[..] else {
+            panic!("{name} is encoded as {} datagrams instead of one", reencoded.len())
         };
         assert_eq!(
-            (&again[..FRAGMENT], &again[FRAGMENT + 1..]),
-            (&bytes[..FRAGMENT], &bytes[FRAGMENT + 1..]),
+            (&reencoded[..FRAGMENT_OFFSET], &reencoded[FRAGMENT_OFFSET + 1..]),
+            (&bytes[..FRAGMENT_OFFSET], &bytes[FRAGMENT_OFFSET + 1..]),
             "{name}"
         );
     }
@@ -118,6 +121,6 @@
 #[test]
 fn scales_keep_their_steps() {
     let values = [0.0, 0.1, 1.0, 63.0, 64.0, 100.0, 1e3, 1e4, 1e5, 1e6, 4e6, 1e9];
-    let made = [("load", values.map(encode_load).to_vec()), ("rate", values.map(encode_rate).to_vec())];
-    assert_bytes(&golden_path!("scales.txt"), &made);
+    let encoded = [("load", values.map(encode_load).to_vec()), ("rate", values.map(encode_rate).to_vec())];
+    assert_bytes(&golden_path!("scales.txt"), &encoded);
 }
--- a/crates/aggregation/tests/simulation/mod.rs
+++ b/crates/aggregation/tests/simulation/mod.rs
@@ -16,13 +16,13 @@
 const UNIX: Micros = 1_796_000_000 * S + 7 * S;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Arrives { from: u32, to: u32, bytes: Vec<u8> },
-    Wakes(u32),
+enum Event {
+    DatagramArrives { from: u32, to: u32, bytes: Vec<u8> },
+    TimerExpires(u32),
 }
 
 /// Datagrams waiting in the socket of a stopped process, with their senders.
-pub type Waiting = Vec<(u32, Vec<u8>)>;
+pub type WaitingDatagrams = Vec<(u32, Vec<u8>)>;
 
 /// Dimensions of a simulated fleet.
 #[derive(Clone, Copy)]
@@ -30,14 +30,14 @@
     pub members: u32,
     pub nodes: u32,
     /// Capacity of a node, in microseconds of work per second.
-    pub size: f64,
+    pub node_capacity: f64,
     /// Load of a connection, in microseconds of work per second.
-    pub load: f64,
+    pub connection_load: f64,
     pub requests_per_s: f64,
 }
 
-pub struct Sim {
-    pub chance: ChaCha8Rng,
+pub struct Simulation {
+    pub rng: ChaCha8Rng,
     pub seed: u64,
     pub now: Micros,
     pub scale: Scale,
@@ -45,9 +45,9 @@
     /// Partition of each member. Datagrams between different partitions are lost.
     pub partition: Vec<u8>,
     /// Whether all datagrams from a member are lost. The member still receives datagrams.
-    pub mute: Vec<bool>,
+    pub outgoing_lost: Vec<bool>,
     /// The datagrams waiting for a member whose process is stopped; `None` if the process runs.
-    pub stopped: Vec<Option<Waiting>>,
+    pub stopped: Vec<Option<WaitingDatagrams>>,
     /// Settings of each member. A member with an older program version has no affinity settings.
     pub settings: Vec<Settings>,
     pub members: Vec<Option<Member>>,
@@ -55,9 +55,9 @@
     pub groups: Vec<BTreeMap<u64, u32>>,
     pub bytes: Vec<u64>,
     pub sent: u64,
-    pub busy: Vec<Duration>,
-    due: BinaryHeap<Reverse<(Micros, u64, Due)>>,
-    number: u64,
+    pub cpu_time: Vec<Duration>,
+    events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
+    event_count: u64,
 }
 
 pub fn settings(groups: Option<u32>, hold_s: u32, keep_s: u32) -> Settings {
@@ -71,60 +71,62 @@
     section.check().unwrap().unwrap()
 }
 
-impl Sim {
+impl Simulation {
     pub fn new(seed: u64, scale: Scale, settings: Settings) -> Self {
-        let many = scale.members as usize;
-        let mut sim = Sim {
-            chance: ChaCha8Rng::seed_from_u64(seed),
+        let count = scale.members as usize;
+        let mut sim = Simulation {
+            rng: ChaCha8Rng::seed_from_u64(seed),
             seed,
             now: 0,
             scale,
             loss: 0.1,
-            partition: vec![0; many],
-            mute: vec![false; many],
-            stopped: vec![None; many],
-            settings: vec![settings; many],
-            members: (0..many).map(|_| None).collect(),
-            groups: vec![BTreeMap::new(); many],
-            bytes: vec![0; many],
+            partition: vec![0; count],
+            outgoing_lost: vec![false; count],
+            stopped: vec![None; count],
+            settings: vec![settings; count],
+            members: (0..count).map(|_| None).collect(),
+            groups: vec![BTreeMap::new(); count],
+            bytes: vec![0; count],
             sent: 0,
-            busy: vec![Duration::ZERO; many],
-            due: BinaryHeap::new(),
-            number: 0,
+            cpu_time: vec![Duration::ZERO; count],
+            events: BinaryHeap::new(),
+            event_count: 0,
         };
         (0..scale.members).for_each(|member| sim.start(member));
         sim
     }
 
     /// Adds connections of a group, distributed randomly over the running members.
-    pub fn clients(&mut self, group: u64, many: u32) {
-        let live: Vec<usize> =
+    pub fn add_connections(&mut self, group: u64, count: u32) {
+        let running: Vec<usize> =
             (0..self.members.len()).filter(|member| self.members[*member].is_some()).collect();
-        for _ in 0..many {
-            let member = live[self.chance.random_range(0..live.len())];
+        for _ in 0..count {
+            let member = running[self.rng.random_range(0..running.len())];
             *self.groups[member].entry(group).or_insert(0) += 1;
         }
     }
 
     /// Number of connections of a group in the whole fleet.
-    pub fn count(&self, group: u64) -> u32 {
+    pub fn connections_of(&self, group: u64) -> u32 {
         self.groups.iter().filter_map(|groups| groups.get(&group)).sum()
     }
 
     /// The subset size that the true load of a group requires, computed independently of the crate.
     pub fn required_size(&self, group: u64) -> u32 {
-        let Scale { load, size, nodes, .. } = self.scale;
-        let room = 0.25 * size - (3.0 * load).min(0.125 * size);
-        let endpoints = (f64::from(self.count(group)) * load / room).ceil() as u32;
+        let Scale { connection_load, node_capacity, nodes, .. } = self.scale;
+        let load_per_endpoint = 0.25 * node_capacity - (3.0 * connection_load).min(0.125 * node_capacity);
+        let endpoints =
+            (f64::from(self.connections_of(group)) * connection_load / load_per_endpoint).ceil() as u32;
         endpoints.clamp(5, nodes.max(5))
     }
 
     pub fn start(&mut self, member: u32) {
-        let (seed, unix) = (self.chance.random(), UNIX + self.now);
+        let (seed, unix) = (self.rng.random(), UNIX + self.now);
         let settings = self.settings[member as usize].clone();
-        let new = Member::new(settings, member, self.scale.members, seed, self.now, unix);
-        self.members[member as usize] = Some(new);
-        let sizes = (0..self.scale.nodes).map(|node| (EndpointDigest(node), self.scale.size)).collect();
+        let member_state = Member::new(settings, member, self.scale.members, seed, self.now, unix);
+        self.members[member as usize] = Some(member_state);
+        let sizes =
+            (0..self.scale.nodes).map(|node| (EndpointDigest(node), self.scale.node_capacity)).collect();
         self.input(member, Input::Capacities(sizes));
     }
 
@@ -132,7 +134,7 @@
     pub fn kill(&mut self, member: u32) {
         self.members[member as usize] = None;
         for (group, count) in std::mem::take(&mut self.groups[member as usize]) {
-            self.clients(group, count);
+            self.add_connections(group, count);
         }
     }
 
@@ -148,18 +150,18 @@
         self.input(member, Input::Tick);
     }
 
-    fn push(&mut self, at: Micros, due: Due) {
-        self.number += 1;
-        self.due.push(Reverse((at, self.number, due)));
+    fn push(&mut self, at: Micros, event: Event) {
+        self.event_count += 1;
+        self.events.push(Reverse((at, self.event_count, event)));
     }
 
-    pub fn own(&self, member: u32) -> (LocalLoad, Vec<GroupLoad>) {
+    pub fn local_state(&self, member: u32) -> (LocalLoad, Vec<GroupLoad>) {
         let groups = &self.groups[member as usize];
         let rate = self.scale.requests_per_s / f64::from(self.scale.members);
         let connections = groups.values().fold(0_u32, |sum, count| sum.saturating_add(*count));
         let totals = Totals { connections, requests_per_s: rate, successes_per_s: rate, failures_per_s: 0.0 };
-        let load = self.scale.load;
-        let stands = Entry {
+        let load = self.scale.connection_load;
+        let entry = Entry {
             endpoint: EndpointDigest(0),
             load: f64::from(connections) * load,
             groups: vec![],
@@ -170,13 +172,13 @@
             connections: *count,
             load: load * f64::from(*count),
         };
-        (LocalLoad { totals, entries: vec![stands] }, groups.iter().map(group).collect())
+        (LocalLoad { totals, entries: vec![entry] }, groups.iter().map(group).collect())
     }
 
     fn input(&mut self, member: u32, input: Input<'_>) {
-        let place = member as usize;
+        let index = member as usize;
         if let (Some(waiting), Input::Datagram { from: Some(from), bytes }) =
-            (&mut self.stopped[place], &input)
+            (&mut self.stopped[index], &input)
         {
             // The receive buffer of a socket has space for a few hundred datagrams.
             if waiting.len() < 200 {
@@ -184,91 +186,92 @@
             }
             return;
         }
-        if self.stopped[place].is_some() {
+        if self.stopped[index].is_some() {
             return;
         }
-        let tick = matches!(input, Input::Tick | Input::Capacities(_));
-        let own = tick.then(|| self.own(member));
+        let updates_load = matches!(input, Input::Tick | Input::Capacities(_));
+        let local_state = updates_load.then(|| self.local_state(member));
         let now = self.now;
-        let Some(one) = &mut self.members[place] else { return };
-        let began = Instant::now();
-        if let Some((own, groups)) = own {
-            one.handle(now, Input::GroupLoads(groups));
-            one.handle(now, Input::LocalLoad(own));
+        let Some(instance) = &mut self.members[index] else { return };
+        let started_at = Instant::now();
+        if let Some((local_state, groups)) = local_state {
+            instance.handle(now, Input::GroupLoads(groups));
+            instance.handle(now, Input::LocalLoad(local_state));
         }
-        one.handle(now, input);
+        instance.handle(now, input);
         let mut sends = Vec::new();
-        while let Some(output) = one.poll() {
+        while let Some(output) = instance.poll() {
             if let Output::Send { to, bytes } = output {
                 sends.push((to, bytes));
             }
         }
-        self.busy[place] += began.elapsed();
-        let wakes = one.next_timeout().max(now);
-        self.push(wakes, Due::Wakes(member));
+        self.cpu_time[index] += started_at.elapsed();
+        let timeout = instance.next_timeout().max(now);
+        self.push(timeout, Event::TimerExpires(member));
         for (to, bytes) in sends {
             assert!(bytes.len() <= 256, "seed {}: {} bytes", self.seed, bytes.len());
-            self.bytes[place] += bytes.len() as u64;
+            self.bytes[index] += bytes.len() as u64;
             self.sent += 1;
-            let cut = self.partition[place] != self.partition[to as usize] || self.mute[place];
-            if !cut && !self.chance.random_bool(self.loss) {
+            let is_lost = self.partition[index] != self.partition[to as usize] || self.outgoing_lost[index];
+            if !is_lost && !self.rng.random_bool(self.loss) {
                 self.bytes[to as usize] += bytes.len() as u64;
-                let at = now + self.chance.random_range(1_000..38_000);
-                self.push(at, Due::Arrives { from: member, to, bytes });
+                let at = now + self.rng.random_range(1_000..38_000);
+                self.push(at, Event::DatagramArrives { from: member, to, bytes });
             }
         }
     }
 
     pub fn run_for(&mut self, span: Micros) {
-        let until = self.now + span;
-        while let Some(Reverse((at, ..))) = self.due.peek()
-            && *at <= until
+        let end = self.now + span;
+        while let Some(Reverse((at, ..))) = self.events.peek()
+            && *at <= end
         {
-            let Some(Reverse((at, _, due))) = self.due.pop() else { break };
+            let Some(Reverse((at, _, event))) = self.events.pop() else { break };
             self.now = at;
-            match due {
-                Due::Arrives { from, to, bytes } => {
+            match event {
+                Event::DatagramArrives { from, to, bytes } => {
                     self.input(to, Input::Datagram { from: Some(from), bytes: &bytes })
                 }
                 // Only the timer at a member's next timeout is valid; earlier timers are outdated.
-                Due::Wakes(member) => {
-                    let awaited = self.members[member as usize].as_ref().map(Member::next_timeout);
-                    if awaited.is_some_and(|awaited| awaited <= at) {
+                Event::TimerExpires(member) => {
+                    let next_timeout = self.members[member as usize].as_ref().map(Member::next_timeout);
+                    if next_timeout.is_some_and(|next_timeout| next_timeout <= at) {
                         self.input(member, Input::Tick);
                     }
                 }
             }
         }
-        self.now = until;
+        self.now = end;
     }
 
     /// The size of a group's subset that is in force at a member.
     pub fn subset_size(&self, member: u32, group: u64) -> u32 {
         let subsets = self.members[member as usize]
             .as_ref()
-            .map(|one| one.affinity_subsets().collect::<BTreeMap<u64, u32>>());
+            .map(|instance| instance.affinity_subsets().collect::<BTreeMap<u64, u32>>());
         subsets.and_then(|subsets| subsets.get(&group).copied()).unwrap_or(5)
     }
 
     /// Minimum, median and maximum size of a group's subset over the running members.
-    pub fn spread(&self, group: u64) -> (u32, u32, u32) {
-        let live = (0..self.scale.members).filter(|member| self.members[*member as usize].is_some());
-        let mut all: Vec<u32> = live.map(|member| self.subset_size(member, group)).collect();
-        all.sort_unstable();
-        (all[0], all[all.len() / 2], all[all.len() - 1])
+    pub fn subset_size_range(&self, group: u64) -> (u32, u32, u32) {
+        let running = (0..self.scale.members).filter(|member| self.members[*member as usize].is_some());
+        let mut sizes: Vec<u32> = running.map(|member| self.subset_size(member, group)).collect();
+        sizes.sort_unstable();
+        (sizes[0], sizes[sizes.len() / 2], sizes[sizes.len() - 1])
     }
 
     /// Utilization of the first endpoint of a group's subset by the group's connections, if each member distributes its
     /// connections evenly over the subset in force there. No other endpoint has a higher utilization.
-    pub fn fullest(&self, group: u64) -> f64 {
-        let of = |member: u32| {
-            let own = self.groups[member as usize].get(&group).copied().unwrap_or(0);
-            f64::from(own) / f64::from(self.subset_size(member, group))
+    pub fn max_utilization(&self, group: u64) -> f64 {
+        let utilization = |member: u32| {
+            let connections = self.groups[member as usize].get(&group).copied().unwrap_or(0);
+            f64::from(connections) / f64::from(self.subset_size(member, group))
         };
-        (0..self.scale.members).map(of).sum::<f64>() * self.scale.load / self.scale.size
+        (0..self.scale.members).map(utilization).sum::<f64>() * self.scale.connection_load
+            / self.scale.node_capacity
     }
 
-    pub fn sum(&self, figure: impl Fn(&Counts) -> u64) -> u64 {
+    pub fn sum_counts(&self, figure: impl Fn(&Counts) -> u64) -> u64 {
         self.members.iter().flatten().map(|member| figure(&member.counts())).sum()
     }
 }
--- a/crates/aggregation/tests/stopped.rs
+++ b/crates/aggregation/tests/stopped.rs
@@ -29,13 +29,17 @@
 #[test]
 fn stopped_member_drops_stale_answers() {
     let epoch = (START / cottonnotch_aggregation::EPOCH) as u64;
-    let aggregator_is = aggregator_order(epoch, 4)[0];
-    let me = (aggregator_is + 1) % 4;
-    let mut aggregator = Member::new(settings(), aggregator_is, 4, 1, START, START);
-    let mut member = Member::new(settings(), me, 4, 2, START, START);
+    let aggregator_ordinal = aggregator_order(epoch, 4)[0];
+    let member_ordinal = (aggregator_ordinal + 1) % 4;
+    let mut aggregator = Member::new(settings(), aggregator_ordinal, 4, 1, START, START);
+    let mut member = Member::new(settings(), member_ordinal, 4, 2, START, START);
     let answers_to = |aggregator: &mut Member, now, bytes: &[u8]| {
-        aggregator.handle(now, Input::Datagram { from: Some(me), bytes });
-        sent(aggregator).into_iter().filter(|(to, _)| *to == me).map(|(_, bytes)| bytes).collect::<Vec<_>>()
+        aggregator.handle(now, Input::Datagram { from: Some(member_ordinal), bytes });
+        sent(aggregator)
+            .into_iter()
+            .filter(|(to, _)| *to == member_ordinal)
+            .map(|(_, bytes)| bytes)
+            .collect::<Vec<_>>()
     };
     // The aggregator receives reports until its collection phase is over and its summaries are complete.
     while member.snapshot().is_none() {
@@ -44,38 +48,38 @@
         member.handle(now, Input::Tick);
         for (to, bytes) in sent(&mut member) {
             for answer in
-                if to == aggregator_is { answers_to(&mut aggregator, now, &bytes) } else { Vec::new() }
+                if to == aggregator_ordinal { answers_to(&mut aggregator, now, &bytes) } else { Vec::new() }
             {
-                member.handle(now, Input::Datagram { from: Some(aggregator_is), bytes: &answer });
+                member.handle(now, Input::Datagram { from: Some(aggregator_ordinal), bytes: &answer });
             }
         }
     }
     // The member sends a report and is stopped for 3 s. The epoch and therefore the aggregator stay the same.
-    let at = member.snapshot().unwrap().received_at;
+    let received_at = member.snapshot().unwrap().received_at;
     let mut now = member.next_timeout();
     member.handle(now, Input::Tick);
-    let old: Vec<Vec<u8>> = sent(&mut member)
+    let stale_answers: Vec<Vec<u8>> = sent(&mut member)
         .iter()
-        .filter(|(to, _)| *to == aggregator_is)
+        .filter(|(to, _)| *to == aggregator_ordinal)
         .flat_map(|(_, bytes)| answers_to(&mut aggregator, now, bytes))
         .collect();
-    assert!(!old.is_empty());
+    assert!(!stale_answers.is_empty());
     now += 3 * S;
-    for answer in &old {
-        member.handle(now, Input::Datagram { from: Some(aggregator_is), bytes: answer });
+    for answer in &stale_answers {
+        member.handle(now, Input::Datagram { from: Some(aggregator_ordinal), bytes: answer });
     }
     assert!(
-        member.counts().late > 0 && member.snapshot().unwrap().received_at == at,
+        member.counts().late > 0 && member.snapshot().unwrap().received_at == received_at,
         "{:?}",
         member.counts()
     );
     member.handle(now, Input::Tick);
-    let asked = sent(&mut member);
-    let asked: Vec<_> = asked.iter().filter(|(to, _)| *to == aggregator_is).collect();
-    assert!(!asked.is_empty(), "the member sends a new report at once");
-    for (_, bytes) in asked {
+    let new_reports = sent(&mut member);
+    let new_reports: Vec<_> = new_reports.iter().filter(|(to, _)| *to == aggregator_ordinal).collect();
+    assert!(!new_reports.is_empty(), "the member sends a new report at once");
+    for (_, bytes) in new_reports {
         for answer in answers_to(&mut aggregator, now, bytes) {
-            member.handle(now, Input::Datagram { from: Some(aggregator_is), bytes: &answer });
+            member.handle(now, Input::Datagram { from: Some(aggregator_ordinal), bytes: &answer });
         }
     }
     assert_eq!(
--- a/crates/aggregation/tests/wall_clock.rs
+++ b/crates/aggregation/tests/wall_clock.rs
@@ -19,7 +19,7 @@
     FleetSection { members_from: Some(4), ..FleetSection::default() }.check().unwrap().unwrap()
 }
 
-fn reports_to(member: &mut Member, now: Micros) -> Vec<u32> {
+fn report_receivers(member: &mut Member, now: Micros) -> Vec<u32> {
     member.handle(now, Input::Tick);
     let outputs = std::iter::from_fn(|| member.poll());
     outputs.filter_map(|output| if let Output::Send { to, .. } = output { Some(to) } else { None }).collect()
@@ -31,15 +31,15 @@
     for step in [-3600 * S, -7 * S, 7 * S, 3600 * S] {
         let unix = UNIX + 2 * S + step;
         let aggregator = aggregator_order((unix / EPOCH) as u64, MEMBERS)[0];
-        let me = (aggregator + 1) % MEMBERS;
+        let ordinal = (aggregator + 1) % MEMBERS;
         // One member starts before the step, and one after it.
-        let mut before = Member::new(settings(), me, MEMBERS, 1, 0, UNIX);
+        let mut before = Member::new(settings(), ordinal, MEMBERS, 1, 0, UNIX);
         before.set_wall_clock(2 * S, unix);
-        let mut after = Member::new(settings(), me, MEMBERS, 2, 2 * S, unix);
+        let mut after = Member::new(settings(), ordinal, MEMBERS, 2, 2 * S, unix);
         for member in [&mut before, &mut after] {
             let at = member.next_timeout().max(2 * S);
-            let asked = reports_to(member, at);
-            assert_eq!(asked.first(), Some(&aggregator), "step of {step} us: reported to {asked:?}");
+            let receivers = report_receivers(member, at);
+            assert_eq!(receivers.first(), Some(&aggregator), "step of {step} us: reported to {receivers:?}");
             assert!(member.next_timeout() < at + 10 * S, "the timeout does not follow the step");
         }
     }
