--- a/crates/aggregation/benches/homes.rs
+++ b/crates/aggregation/benches/homes.rs
@@ -51,10 +51,10 @@
         sim.groups.iter_mut().for_each(|groups| groups.extend([(rank, connections)]));
     }
     sim.rng = ChaCha8Rng::seed_from_u64(1);
-    sim.run_for(40 * S);
+    sim.run_for(40 * SECOND);
     let (bytes, cpu_time_before) = (sim.bytes.clone(), sim.cpu_time.clone());
     let seconds = 60;
-    sim.run_for(seconds * S);
+    sim.run_for(seconds * SECOND);
     let per_s = |sum: f64| sum / seconds as f64;
     let bytes_per_s: Vec<f64> = bytes.iter().zip(&sim.bytes).map(|(a, b)| per_s((b - a) as f64)).collect();
     let cores_used: Vec<f64> =
--- a/crates/aggregation/src/affinity_subsets_tests.rs
+++ b/crates/aggregation/src/affinity_subsets_tests.rs
@@ -1,9 +1,13 @@
 use super::*;
 use proptest::prelude::*;
 
-const S: Micros = 1_000_000;
-const SETTINGS: AffinitySettings =
-    AffinitySettings { max_groups: 4, target_utilization: 0.25, shrink_hold: 600 * S, retention: 180 * S };
+const SECOND: Micros = 1_000_000;
+const SETTINGS: AffinitySettings = AffinitySettings {
+    max_groups: 4,
+    target_utilization: 0.25,
+    shrink_hold: 600 * SECOND,
+    retention: 180 * SECOND,
+};
 
 proptest! {
     /// Reference model: the smallest number of endpoints at which each one has capacity for its share of the load plus the
@@ -39,7 +43,7 @@
         let mut history: Vec<(Micros, BTreeMap<u64, u32>)> = Vec::new();
         let mut now = 0;
         for (wait_s, group, size) in steps {
-            now += wait_s * S;
+            now += wait_s * SECOND;
             let has_space = subsets.size_of(group) > MIN_SUBSET_SIZE || subsets.iter().count() < 8;
             subsets.require(now, group, size);
             subsets.shrink(now);
@@ -78,14 +82,14 @@
 fn oscillating_size_keeps_its_maximum() {
     let mut subsets = AffinitySubsets::new(&SETTINGS);
     for now_s in 0..1_800 {
-        subsets.require(now_s * S, 1, if now_s % 7 == 0 { 40 } else { 36 });
-        subsets.shrink(now_s * S);
+        subsets.require(now_s * SECOND, 1, if now_s % 7 == 0 { 40 } else { 36 });
+        subsets.shrink(now_s * SECOND);
         assert_eq!(subsets.size_of(1), 40, "after {now_s} s");
     }
     // The subset shrinks to a third: to half after one hold time, and to the required size after the next.
     for (now_s, expected) in [(1_801, 40), (2_300, 40), (2_402, 20), (2_900, 20), (3_003, 13)] {
-        subsets.require(now_s * S, 1, 13);
-        subsets.shrink(now_s * S);
+        subsets.require(now_s * SECOND, 1, 13);
+        subsets.shrink(now_s * SECOND);
         assert_eq!(subsets.size_of(1), expected, "after {now_s} s");
     }
 }
@@ -95,7 +99,7 @@
 fn group_flood_is_bounded_and_counted() {
     let mut subsets = AffinitySubsets::new(&SETTINGS);
     subsets.require(0, 7, 9);
-    (1_000..101_000).for_each(|name| assert_eq!(subsets.require(S, name, 2_000), name < 1_007));
+    (1_000..101_000).for_each(|name| assert_eq!(subsets.require(SECOND, name, 2_000), name < 1_007));
     assert_eq!((subsets.size_of(7), subsets.iter().count()), (9, 8));
     assert_eq!(subsets.truncated, 100_000 - 7);
 }
--- a/crates/aggregation/src/aggregation_tests.rs
+++ b/crates/aggregation/src/aggregation_tests.rs
@@ -3,7 +3,7 @@
 use crate::wire::{Entry, Fragment, HealthVerdict, MIN_REPORTED_UTILIZATION, Totals};
 use proptest::prelude::*;
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 
 fn settings() -> Settings {
     FleetSection { members_from: Some(4), ..Default::default() }.check().unwrap().unwrap()
@@ -23,7 +23,7 @@
         fragment: Fragment { index: fragment.0, count: fragment.1 },
         leaving: false,
         advance_notice: false,
-        next_report_in: S,
+        next_report_in: SECOND,
         totals,
         entries,
     }
@@ -63,10 +63,10 @@
     let mut record = |now, report| aggregation.record(now, 1, 40, report);
     record(0, report(1, (0, 2), &[(1, 10.0)]));
     record(0, report(1, (1, 2), &[(2, 20.0)]));
-    record(S, report(2, (0, 2), &[(1, 11.0)]));
-    assert_eq!(endpoint_utilizations(&mut aggregation, S), BTreeMap::from([(1, 0.11), (2, 0.2)]));
-    aggregation.record(2 * S, 1, 40, report(3, (0, 1), &[(1, 12.0)]));
-    assert_eq!(endpoint_utilizations(&mut aggregation, 2 * S), BTreeMap::from([(1, 0.12)]));
+    record(SECOND, report(2, (0, 2), &[(1, 11.0)]));
+    assert_eq!(endpoint_utilizations(&mut aggregation, SECOND), BTreeMap::from([(1, 0.11), (2, 0.2)]));
+    aggregation.record(2 * SECOND, 1, 40, report(3, (0, 1), &[(1, 12.0)]));
+    assert_eq!(endpoint_utilizations(&mut aggregation, 2 * SECOND), BTreeMap::from([(1, 0.12)]));
 }
 
 /// The report of a restarted process replaces the previous one at once. The report of a member that is silent for three
@@ -76,15 +76,15 @@
     let mut aggregation = Aggregation::default();
     aggregation.record(0, 1, 40, report(900, (0, 1), &[(1, 10.0)]));
     aggregation.record(0, 2, 40, report(5, (0, 1), &[(2, 10.0)]));
-    aggregation.record(S, 1, 40, report(0, (0, 1), &[(3, 30.0)]));
-    assert_eq!(endpoint_utilizations(&mut aggregation, S), BTreeMap::from([(2, 0.1), (3, 0.3)]));
+    aggregation.record(SECOND, 1, 40, report(0, (0, 1), &[(3, 30.0)]));
+    assert_eq!(endpoint_utilizations(&mut aggregation, SECOND), BTreeMap::from([(2, 0.1), (3, 0.3)]));
     assert_eq!(
-        endpoint_utilizations(&mut aggregation, 3 * S),
+        endpoint_utilizations(&mut aggregation, 3 * SECOND),
         BTreeMap::from([(3, 0.3)]),
         "member 2 was silent for three intervals"
     );
-    aggregation.record(3 * S, 1, 40, Report { leaving: true, ..report(1, (0, 1), &[]) });
-    assert!(endpoint_utilizations(&mut aggregation, 3 * S).is_empty());
+    aggregation.record(3 * SECOND, 1, 40, Report { leaving: true, ..report(1, (0, 1), &[]) });
+    assert!(endpoint_utilizations(&mut aggregation, 3 * SECOND).is_empty());
 }
 
 /// Two of forty members report far more load and connections than a member can have.
@@ -137,10 +137,10 @@
 #[test]
 fn report_lives_until_announced_next_one() {
     let mut aggregation = Aggregation::default();
-    aggregation.record(0, 1, 40, Report { next_report_in: 6 * S, ..report(1, (0, 1), &[(1, 10.0)]) });
-    aggregation.record(5 * S, 2, 40, report(1, (0, 1), &[(2, 10.0)]));
-    assert_eq!(endpoint_utilizations(&mut aggregation, 7 * S), BTreeMap::from([(1, 0.1), (2, 0.1)]));
-    assert_eq!(endpoint_utilizations(&mut aggregation, 8 * S), BTreeMap::from([(1, 0.1)]));
+    aggregation.record(0, 1, 40, Report { next_report_in: 6 * SECOND, ..report(1, (0, 1), &[(1, 10.0)]) });
+    aggregation.record(5 * SECOND, 2, 40, report(1, (0, 1), &[(2, 10.0)]));
+    assert_eq!(endpoint_utilizations(&mut aggregation, 7 * SECOND), BTreeMap::from([(1, 0.1), (2, 0.1)]));
+    assert_eq!(endpoint_utilizations(&mut aggregation, 8 * SECOND), BTreeMap::from([(1, 0.1)]));
 }
 
 /// Ten nodes: if the proxies are spread evenly, no node counts as crowded. If 20 proxies choose one node, that node does.
--- a/crates/aggregation/src/aggregator_order.rs
+++ b/crates/aggregation/src/aggregator_order.rs
@@ -11,8 +11,7 @@
 const CANDIDATES: usize = 24;
 
 fn score(epoch: u64, member: u32) -> u64 {
-    // Finalizer of splitmix64 (Steele et al. 2014). Members and epochs are consecutive numbers, so the hash must mix their
-    // bits.
+    // Finalizer of splitmix64 (Steele et al. 2014): members and epochs are consecutive numbers, whose bits must be mixed well.
     let mut z =
         epoch.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(member).wrapping_mul(0xd134_2543_de82_ef95);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/aggregation/src/aggregator_search.rs
+++ b/crates/aggregation/src/aggregator_search.rs
@@ -6,13 +6,14 @@
 
 /// Time after which an answer counts as lost: about three round trips of 2 * 38 ms.
 const ANSWER_TIMEOUT: Micros = 250_000;
-/// Maximum number of members asked in one round while the aggregator does not answer. The first round asks the same member
-/// again, the following rounds ask the next 1, 2, 4, 4, ... candidates.
+/// Maximum number of members asked in one round while the aggregator does not answer. The first retry goes to the same member
+/// again, and the following ones go to the next 1, 2, 4, 4, ... candidates in the order.
 const MAX_ASKED_AT_ONCE: usize = 4;
-/// Report intervals without an answer from the first candidate after which reports go to its deputy first. If members switched
-/// after only two lost datagrams, the reports would be split between two aggregators, and neither would have complete sums.
+/// Number of report intervals without an answer from the first candidate, after which reports go to the member that answered
+/// last instead. If members switched after only two lost datagrams, the reports would be split between two aggregators, and
+/// neither would have complete sums.
 const MAX_SILENT_INTERVALS: u32 = 2;
-/// Every third report still goes to the first candidate, which may have recovered.
+/// While reports go to another member, every third one still goes to the first candidate, which may have recovered.
 const RETRY_FIRST_EVERY: u16 = 3;
 /// Rounds of asking after which a member gives up until its next report, whose interval is doubled.
 const MAX_ROUNDS: u32 = 6;
--- a/crates/aggregation/src/group_sums_tests.rs
+++ b/crates/aggregation/src/group_sums_tests.rs
@@ -3,7 +3,7 @@
 use crate::wire::Fragment;
 use proptest::prelude::*;
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 const MEAN_LOAD: f64 = 100.0;
 
 fn settings() -> Settings {
@@ -16,7 +16,7 @@
         sequence,
         fragment: Fragment { index: fragment.0, count: fragment.1 },
         advance_notice: false,
-        next_report_in: S,
+        next_report_in: SECOND,
         groups: groups.to_vec(),
     }
 }
@@ -125,7 +125,7 @@
     let named: Vec<u64> = sizes.iter().map(|(group, _)| *group).collect();
     assert_eq!((named, sums.truncated), (vec![19, 18, 17], 17));
     assert_eq!(
-        sums.subset_sizes(&affinity, S / 2, &fleet_totals(30)),
+        sums.subset_sizes(&affinity, SECOND / 2, &fleet_totals(30)),
         sizes,
         "sizes are reused for a second"
     );
@@ -176,23 +176,23 @@
     let mut record = |now, report| sums.record(&settings(), now, 1, 40, report);
     record(0, group_report(1, (0, 2), &[(1, 10.0)]));
     record(0, group_report(1, (1, 2), &[(2, 20.0)]));
-    record(S, group_report(2, (0, 2), &[(1, 11.0)]));
+    record(SECOND, group_report(2, (0, 2), &[(1, 11.0)]));
     assert_eq!(sums.sums(MEAN_LOAD, 30), [(1, 11.0), (2, 20.0)]);
-    sums.record(&settings(), 2 * S, 1, 40, group_report(3, (0, 1), &[(1, 12.0)]));
+    sums.record(&settings(), 2 * SECOND, 1, 40, group_report(3, (0, 1), &[(1, 12.0)]));
     assert_eq!(sums.sums(MEAN_LOAD, 30), [(1, 12.0)]);
-    sums.expire(4 * S);
+    sums.expire(4 * SECOND);
     assert_eq!(sums.sums(MEAN_LOAD, 30), [(1, 12.0)]);
-    sums.expire(5 * S);
+    sums.expire(5 * SECOND);
     assert!(sums.sums(MEAN_LOAD, 30).is_empty() && sums.reports.is_empty());
     // A member that announces its next report in a year expires like others.
     sums.record(
         &settings(),
-        5 * S,
+        5 * SECOND,
         1,
         40,
-        GroupReport { next_report_in: 31_536_000 * S, ..group_report(4, (0, 1), &[(1, 12.0)]) },
+        GroupReport { next_report_in: 31_536_000 * SECOND, ..group_report(4, (0, 1), &[(1, 12.0)]) },
     );
-    sums.expire(60 * S);
+    sums.expire(60 * SECOND);
     assert!(sums.reports.is_empty());
 }
 
--- a/crates/aggregation/src/interface.rs
+++ b/crates/aggregation/src/interface.rs
@@ -25,7 +25,8 @@
     },
     /// Replaces the load of this proxy.
     LocalLoad(LocalLoad),
-    /// Replaces the capacities of the listed endpoints, in microseconds of work per second. A member needs them as aggregator.
+    /// Replaces the capacities of the listed endpoints, in microseconds of work per second. An aggregator needs the capacities
+    /// to compute utilizations, and every member sizes the subsets of its own groups by them.
     Capacities(BTreeMap<EndpointDigest, f64>),
     /// Replaces the load of each group at this proxy. Of use only where affinity subsets follow a group's load.
     GroupLoads(Vec<GroupLoad>),
--- a/crates/aggregation/src/member.rs
+++ b/crates/aggregation/src/member.rs
@@ -35,7 +35,7 @@
     pub(crate) ordinal: u32,
     pub(crate) members: u32,
     pub(crate) now: Micros,
-    /// Unix time minus `now`, in microseconds. Epochs follow Unix time, so that they are the same for all members.
+    /// Unix time minus `now`, in microseconds. Epochs follow Unix time, so that all members are in the same epoch.
     unix_offset: Micros,
     pub(crate) search: AggregatorSearch,
     pub(crate) schedule: ReportSchedule,
@@ -77,7 +77,8 @@
             Input::Datagram { from, bytes } => self.receive(from, bytes),
             Input::LocalLoad(local) => self.local = local,
             Input::Capacities(capacities) => self.aggregator.set_capacities(capacities),
-            // A report that is due is sent by one of the next inputs, so that `Input::LocalLoad` can update the load before it.
+            // The timers do not run here: a report that is due is sent by a later input, after `Input::LocalLoad` has updated
+            // the load.
             Input::GroupLoads(groups) => return self.set_group_loads(groups),
             Input::Leave => self.leave(),
             Input::Tick => {}
--- a/crates/aggregation/tests/affinity_subsets.rs
+++ b/crates/aggregation/tests/affinity_subsets.rs
@@ -38,8 +38,8 @@
     assert_sizes_within(sim, description, 1.3);
 }
 
-/// Asserts that the subset of the large group is large enough at every member, and that its median size is at most `max_ratio` the
-/// required size.
+/// Asserts that the subset of the large group is large enough at every member, and that its median size is at most `max_ratio`
+/// the required size.
 fn assert_sizes_within(sim: &Simulation, description: &str, max_ratio: f64) {
     let (min_size, median_size, max_size) = sim.subset_size_range(LARGE);
     let required = sim.required_size(LARGE);
@@ -77,7 +77,7 @@
     for (seed, members, connections_per_member) in [(1, 30, 200), (2, 110, 60), (3, 300, 30), (4, 440, 30)] {
         let mut sim = fleet(seed, members, connections_per_member, settings(Some(64), 600, 180));
         assert!(sim.max_utilization(LARGE) > 1.2, "before the first answer, five nodes are overloaded");
-        sim.run_for(25 * S);
+        sim.run_for(25 * SECOND);
         assert_suitable_sizes(&sim, "25 s after the start");
     }
 }
@@ -85,33 +85,33 @@
 #[test]
 fn subset_grows_fast_and_shrinks_slowly() {
     let mut sim = fleet(5, 60, 20, settings(Some(64), 60, 30));
-    sim.run_for(20 * S);
+    sim.run_for(20 * SECOND);
     let before = sim.required_size(LARGE);
     sim.add_connections(LARGE, 6_000);
-    sim.run_for(15 * S);
+    sim.run_for(15 * SECOND);
     assert_suitable_sizes(&sim, "15 s after its load grew sixfold");
     let size_before_shrinking = sim.subset_size_range(LARGE).0;
     for groups in &mut sim.groups {
         groups.insert(LARGE, 15);
     }
-    sim.run_for(40 * S);
+    sim.run_for(40 * SECOND);
     assert!(
         sim.subset_size_range(LARGE).0 >= size_before_shrinking,
         "the subset keeps its size for the hold time"
     );
-    sim.run_for(30 * S);
+    sim.run_for(30 * SECOND);
     let (min_size, _, max_size) = sim.subset_size_range(LARGE);
     assert!(
         min_size >= size_before_shrinking / 2,
         "size {min_size} to {max_size} after {size_before_shrinking}: at most halved"
     );
-    sim.run_for(70 * S);
+    sim.run_for(70 * SECOND);
     let (min_size, _, max_size) = sim.subset_size_range(LARGE);
     assert!(
         min_size >= size_before_shrinking / 4 && max_size < size_before_shrinking,
         "size {min_size} to {max_size} after {size_before_shrinking}: all members have shrunk their subset"
     );
-    sim.run_for(300 * S);
+    sim.run_for(300 * SECOND);
     assert!(sim.subset_size_range(LARGE).2 <= before + 2, "{:?}", sim.subset_size_range(LARGE));
 }
 
@@ -119,16 +119,16 @@
 fn survives_loss_and_rolling_restart() {
     let mut sim = fleet(6, 300, 30, settings(Some(64), 600, 180));
     sim.loss = 0.33;
-    sim.run_for(40 * S);
+    sim.run_for(40 * SECOND);
     for round in 0..10 {
         for member in (0..300).filter(|member| member % 10 == round) {
             sim.kill(member);
         }
-        sim.run_for(2 * S);
+        sim.run_for(2 * SECOND);
         (0..300).filter(|member| member % 10 == round).for_each(|member| sim.start(member));
-        sim.run_for(3 * S);
+        sim.run_for(3 * SECOND);
     }
-    sim.run_for(20 * S);
+    sim.run_for(20 * SECOND);
     // While clients reconnect, some are counted at two members, which makes subsets too large, not too small.
     assert_sizes_within(&sim, "20 s after a rolling restart, with 33% loss", 1.6);
 }
@@ -137,11 +137,11 @@
 #[test]
 fn partition_overloads_no_endpoint() {
     let mut sim = fleet(7, 220, 30, settings(Some(64), 60, 30));
-    sim.run_for(25 * S);
+    sim.run_for(25 * SECOND);
     let before = sim.subset_size_range(LARGE).1;
     (0..110).for_each(|member| sim.partition[member] = 1);
     for minute in 0..10 {
-        sim.run_for(60 * S);
+        sim.run_for(60 * SECOND);
         let (min_size, median_size, max_size) = sim.subset_size_range(LARGE);
         assert!(
             f64::from(min_size) >= 0.8 * f64::from(before),
@@ -158,7 +158,7 @@
         );
     }
     sim.partition.fill(0);
-    sim.run_for(25 * S);
+    sim.run_for(25 * SECOND);
     assert_suitable_sizes(&sim, "25 s after the partition healed");
 }
 
@@ -171,7 +171,7 @@
         sim.settings[member as usize] = settings(None, 600, 180);
         sim.start(member);
     }
-    sim.run_for(200 * S);
+    sim.run_for(200 * SECOND);
     let required = sim.required_size(LARGE);
     for member in 0..120 {
         let size = sim.subset_size(member, LARGE);
@@ -195,7 +195,7 @@
         dropped(&new)
     );
     let snapshots = sim.members.iter().flatten().filter(|instance| {
-        instance.snapshot().is_some_and(|snapshot| sim.now - snapshot.received_at < 10 * S)
+        instance.snapshot().is_some_and(|snapshot| sim.now - snapshot.received_at < 10 * SECOND)
     });
     assert!(snapshots.count() > 110, "snapshots are still updated");
 }
@@ -205,11 +205,11 @@
 #[test]
 fn unheard_member_falls_back_to_own_groups() {
     let mut sim = fleet(9, 60, 100, settings(Some(64), 60, 30));
-    sim.run_for(25 * S);
+    sim.run_for(25 * SECOND);
     let before = sim.subset_size(4, LARGE);
     sim.outgoing_lost[4] = true;
     for _ in 0..12 {
-        sim.run_for(20 * S);
+        sim.run_for(20 * SECOND);
         let (size, required) = (sim.subset_size(4, LARGE), sim.required_size(LARGE));
         assert!(
             size >= before * 7 / 10 && size <= required * 2,
@@ -220,7 +220,7 @@
     sim.groups[4].remove(&LARGE);
     let mut last = sim.subset_size(4, LARGE);
     for _ in 0..10 {
-        sim.run_for(60 * S);
+        sim.run_for(60 * SECOND);
         let size = sim.subset_size(4, LARGE);
         assert!(size >= last / 2, "at most halved per hold time: {size} after {last}");
         last = size;
@@ -235,7 +235,7 @@
     for seed in 10..16 {
         let mut sim = fleet(seed, 40, 100, settings(Some(64), 60, 30));
         sim.loss = 0.0;
-        sim.run_for(25 * S);
+        sim.run_for(25 * SECOND);
         // The member stops just after it has sent a report, so that the answer arrives while it is stopped.
         let member = 7;
         let due_at = sim.members[7].as_ref().unwrap().next_timeout();
@@ -243,7 +243,7 @@
         sim.stop(member);
         let before = sim.subset_size(member, LARGE);
         sim.add_connections(LARGE, 40_000);
-        sim.run_for(30 * S);
+        sim.run_for(30 * SECOND);
         let counts = sim.members[7].as_ref().unwrap().counts();
         sim.resume(member);
         let after = sim.members[7].as_ref().unwrap().counts();
@@ -251,7 +251,7 @@
         let accepted = after.subset_tables_received - counts.subset_tables_received;
         assert_eq!(accepted, 0, "seed {seed}: the member accepted sizes from 30 s ago");
         assert!(sim.subset_size(member, LARGE) >= before, "seed {seed}");
-        sim.run_for(10 * S);
+        sim.run_for(10 * SECOND);
         assert!(
             sim.subset_size(member, LARGE) >= sim.required_size(LARGE) * 8 / 10,
             "seed {seed}: the member has caught up with the others"
@@ -265,7 +265,7 @@
 #[test]
 fn bad_input_is_bounded_and_counted() {
     let mut sim = fleet(20, 40, 100, settings(Some(64), 600, 180));
-    sim.run_for(25 * S);
+    sim.run_for(25 * SECOND);
     let (before, bytes) = (sim.subset_size_range(LARGE), sim.bytes.iter().sum::<u64>());
     // Two members send false reports to every aggregator; each report contains as many new group names as possible.
     for round in 0..200_u64 {
@@ -275,7 +275,7 @@
             let more: Vec<_> = new_groups.collect();
             sim.groups[faulty].extend(more);
         }
-        sim.run_for(S / 5);
+        sim.run_for(SECOND / 5);
     }
     let (min_size, _, max_size) = sim.subset_size_range(LARGE);
     assert!(
@@ -301,7 +301,7 @@
         sequence: 1,
         fragment: Fragment::ONLY,
         advance_notice: false,
-        next_report_in: S,
+        next_report_in: SECOND,
         groups: vec![(1, 1e12)],
     };
     let sizes = SubsetSizes {
@@ -339,7 +339,7 @@
 fn faulty_aggregator_is_bounded_by_pool() {
     let mut sim = fleet(21, 30, 100, settings(Some(64), 600, 180));
     sim.loss = 0.0;
-    sim.run_for(25 * S);
+    sim.run_for(25 * SECOND);
     let size_before = sim.subset_size(9, LARGE);
     let instance = sim.members[9].as_mut().unwrap();
     sim.now = instance.next_timeout();
--- a/crates/aggregation/tests/fleet.rs
+++ b/crates/aggregation/tests/fleet.rs
@@ -15,9 +15,9 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 /// An arbitrary start time that is not at the beginning of an epoch.
-const UNIX: Micros = 1_796_000_000 * S + 7 * S;
+const UNIX: Micros = 1_796_000_000 * SECOND + 7 * SECOND;
 /// Capacity of each render node, in microseconds of work per second.
 const NODE_CAPACITY: f64 = 2e6;
 /// Load of a connection, in microseconds of work per second.
@@ -224,7 +224,7 @@
 /// Runs the fleet for this time and returns the number of full datagrams sent per request.
 fn datagrams_per_request(fleet: &mut Simulation, seconds: i64) -> f64 {
     let before = fleet.bytes;
-    fleet.run_for(seconds * S);
+    fleet.run_for(seconds * SECOND);
     (fleet.bytes - before) as f64 / 256.0 / (fleet.requests_per_s * seconds as f64)
 }
 
@@ -232,7 +232,7 @@
 fn sums_and_cost_hold_at_every_size() {
     for (members, nodes) in [(5, 4), (50, 15), (300, 90)] {
         let mut fleet = Simulation::new(u64::from(members), members, nodes);
-        fleet.run_for(10 * S);
+        fleet.run_for(10 * SECOND);
         let datagrams = datagrams_per_request(&mut fleet, 60);
         let accuracy = fleet.accuracy(0, 3 * fleet.settings.max_report_interval);
         fleet.print_accuracy("60 s at 10% loss", accuracy, datagrams);
@@ -253,10 +253,10 @@
 fn survivors_find_next_aggregator() {
     for seed in 1..6 {
         let mut fleet = Simulation::new(seed, 300, 90);
-        fleet.run_for(20 * S);
+        fleet.run_for(20 * SECOND);
         (0..300).filter(|member| member % 10 < 7).for_each(|member| fleet.kill(member));
-        fleet.run_for(16 * S);
-        let accuracy = fleet.accuracy(0, 8 * S);
+        fleet.run_for(16 * SECOND);
+        let accuracy = fleet.accuracy(0, 8 * SECOND);
         fleet.print_accuracy("16 s after 210 died", accuracy, 0.0);
         assert!(accuracy.1 > 0.85, "seed {seed}: {accuracy:?}");
         let datagrams = datagrams_per_request(&mut fleet, 30);
@@ -267,18 +267,18 @@
 #[test]
 fn rolling_restart_causes_no_storm() {
     let mut fleet = Simulation::new(11, 300, 90);
-    fleet.run_for(20 * S);
+    fleet.run_for(20 * SECOND);
     let before = fleet.bytes;
     for tenth in 0..10 {
         let restarted: Vec<u32> = (0..300).filter(|member| member % 10 == tenth).collect();
         restarted.iter().for_each(|member| fleet.kill(*member));
-        fleet.run_for(S);
+        fleet.run_for(SECOND);
         restarted.iter().for_each(|member| fleet.start(*member));
         fleet.run_for(600_000);
     }
     let datagrams = (fleet.bytes - before) as f64 / 256.0 / (fleet.requests_per_s * 16.0);
-    fleet.run_for(8 * S);
-    let accuracy = fleet.accuracy(0, 10 * S);
+    fleet.run_for(8 * SECOND);
+    let accuracy = fleet.accuracy(0, 10 * SECOND);
     fleet.print_accuracy("8 s after a rolling restart of 16 s", accuracy, datagrams);
     assert!(
         accuracy.1 > 0.9 && datagrams < 2.0 * fleet.settings.datagrams_per_request,
@@ -290,17 +290,17 @@
 #[test]
 fn partition_keeps_own_snapshot_and_heals() {
     let mut fleet = Simulation::new(12, 300, 90);
-    fleet.run_for(15 * S);
+    fleet.run_for(15 * SECOND);
     (0..60).for_each(|member| fleet.partition[member] = 1);
-    fleet.run_for(16 * S);
+    fleet.run_for(16 * SECOND);
     for partition in [0, 1] {
-        let accuracy = fleet.accuracy(partition, 12 * S);
+        let accuracy = fleet.accuracy(partition, 12 * SECOND);
         fleet.print_accuracy("one side of a partition", accuracy, 0.0);
         assert!(accuracy.1 > 0.8, "partition {partition}: {accuracy:?}");
     }
     fleet.partition.fill(0);
-    fleet.run_for(25 * S);
-    let accuracy = fleet.accuracy(0, 10 * S);
+    fleet.run_for(25 * SECOND);
+    let accuracy = fleet.accuracy(0, 10 * SECOND);
     fleet.print_accuracy("25 s after the partition healed", accuracy, 0.0);
     assert!((0.85..1.1).contains(&accuracy.0) && accuracy.1 > 0.9, "{accuracy:?}");
 }
@@ -310,11 +310,11 @@
     let mut fleet = Simulation::new(13, 300, 90);
     fleet.loss = 0.33;
     for member in 0..300 {
-        fleet.clock_offset[member as usize] = i64::from(member % 11 - 5) * S;
+        fleet.clock_offset[member as usize] = i64::from(member % 11 - 5) * SECOND;
         fleet.start(member as u32);
     }
-    fleet.run_for(70 * S);
-    let accuracy = fleet.accuracy(0, 18 * S);
+    fleet.run_for(70 * SECOND);
+    let accuracy = fleet.accuracy(0, 18 * SECOND);
     fleet.print_accuracy("clock skew of up to 5 s, 33% loss", accuracy, 0.0);
     assert!(accuracy.1 > 0.8 && accuracy.0 > 0.6, "{accuracy:?}");
 }
@@ -332,7 +332,7 @@
         sequence,
         fragment: Fragment::ONLY,
         incomplete: false,
-        report_interval: S,
+        report_interval: SECOND,
         members: 30,
         totals: Totals::default(),
         mean_load: 0.0,
@@ -395,7 +395,7 @@
     for member in 0..6 {
         fleet.connections[member] = (0..90).map(|node| (node, 10)).collect();
     }
-    fleet.run_for(30 * S);
+    fleet.run_for(30 * SECOND);
     let mut min_ratio = f64::INFINITY;
     for _ in 0..60 {
         fleet.run_for(500_000);
--- a/crates/aggregation/tests/simulation/mod.rs
+++ b/crates/aggregation/tests/simulation/mod.rs
@@ -11,9 +11,9 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::{Duration, Instant};
 
-pub const S: Micros = 1_000_000;
+pub const SECOND: Micros = 1_000_000;
 /// An arbitrary start time that is not at the beginning of an epoch.
-const UNIX: Micros = 1_796_000_000 * S + 7 * S;
+const UNIX: Micros = 1_796_000_000 * SECOND + 7 * SECOND;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
@@ -271,7 +271,7 @@
             / self.scale.node_capacity
     }
 
-    pub fn sum_counts(&self, figure: impl Fn(&Counts) -> u64) -> u64 {
-        self.members.iter().flatten().map(|member| figure(&member.counts())).sum()
+    pub fn sum_counts(&self, value: impl Fn(&Counts) -> u64) -> u64 {
+        self.members.iter().flatten().map(|member| value(&member.counts())).sum()
     }
 }
--- a/crates/aggregation/tests/stopped.rs
+++ b/crates/aggregation/tests/stopped.rs
@@ -9,9 +9,9 @@
 
 use cottonnotch_aggregation::{FleetSection, Input, Member, Micros, Output, Settings, aggregator_order};
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 /// Start time of the test. The clock of all members shows Unix time.
-const START: Micros = 1_000_000 * S;
+const START: Micros = 1_000_000 * SECOND;
 
 fn settings() -> Settings {
     FleetSection { members_from: Some(4), ..FleetSection::default() }.check().unwrap().unwrap()
@@ -44,7 +44,7 @@
     // The aggregator receives reports until its collection phase is over and its summaries are complete.
     while member.snapshot().is_none() {
         let now = member.next_timeout();
-        assert!(now < START + 15 * S, "no snapshot before the end of the epoch");
+        assert!(now < START + 15 * SECOND, "no snapshot before the end of the epoch");
         member.handle(now, Input::Tick);
         for (to, bytes) in sent(&mut member) {
             for answer in
@@ -64,7 +64,7 @@
         .flat_map(|(_, bytes)| answers_to(&mut aggregator, now, bytes))
         .collect();
     assert!(!stale_answers.is_empty());
-    now += 3 * S;
+    now += 3 * SECOND;
     for answer in &stale_answers {
         member.handle(now, Input::Datagram { from: Some(aggregator_ordinal), bytes: answer });
     }
