--- a/crates/aggregation/src/interface.rs
+++ b/crates/aggregation/src/interface.rs
@@ -68,10 +68,10 @@
     /// Answers that arrived after their timeout.
     pub late: u64,
     /// Accepted datagrams with subset sizes.
-    pub subset_tables_received: u64,
+    pub subset_size_datagrams_received: u64,
     /// Times that a group was left out because a limit was reached: in this proxy's report, in its answer as aggregator, or in
     /// the table of subset sizes in force.
-    pub groups_cut: u64,
+    pub groups_truncated: u64,
 }
 
 /// The queue of outputs for [`crate::Member::poll`], and the counters.
--- a/crates/aggregation/src/member.rs
+++ b/crates/aggregation/src/member.rs
@@ -138,8 +138,8 @@
 
     /// The counters of this member.
     pub fn counts(&self) -> Counts {
-        let groups_cut = self.aggregator.groups_truncated() + self.subsets.groups_truncated();
-        Counts { groups_cut, ..self.outbox.counts }
+        let groups_truncated = self.aggregator.groups_truncated() + self.subsets.groups_truncated();
+        Counts { groups_truncated, ..self.outbox.counts }
     }
 
     fn run_timers(&mut self) {
--- a/crates/aggregation/src/receiving.rs
+++ b/crates/aggregation/src/receiving.rs
@@ -116,7 +116,7 @@
     }
 
     fn apply_subset_sizes(&mut self, sizes: Vec<(u64, u32)>, is_last_fragment: bool) {
-        self.outbox.counts.subset_tables_received += 1;
+        self.outbox.counts.subset_size_datagrams_received += 1;
         let max_size = self.aggregator.endpoints().count;
         if self.subsets.apply_answer(self.now, sizes, max_size, is_last_fragment) {
             self.outbox.push(Output::AffinitySubsets);
--- a/crates/aggregation/tests/affinity_subsets.rs
+++ b/crates/aggregation/tests/affinity_subsets.rs
@@ -248,7 +248,7 @@
         sim.resume(member);
         let after = sim.members[7].as_ref().unwrap().counts();
         late_answers += after.late - counts.late;
-        let accepted = after.subset_tables_received - counts.subset_tables_received;
+        let accepted = after.subset_size_datagrams_received - counts.subset_size_datagrams_received;
         assert_eq!(accepted, 0, "seed {seed}: the member accepted sizes from 30 s ago");
         assert!(sim.subset_size(member, LARGE) >= before, "seed {seed}");
         sim.run_for(10 * SECOND);
@@ -289,7 +289,7 @@
             instance.affinity_subsets().collect::<Vec<_>>()
         );
     }
-    assert!(sim.sum_counts(|counts| counts.groups_cut) > 1_000);
+    assert!(sim.sum_counts(|counts| counts.groups_truncated) > 1_000);
     let bytes_used = sim.bytes.iter().sum::<u64>() - bytes;
     let allowed = 2.0 * 1.4 * 256.0 * 3.0 * sim.scale.requests_per_s * 40.0;
     assert!((bytes_used as f64) < allowed, "{bytes_used} bytes sent and received, {allowed} allowed");
--- a/crates/cottonnotch/src/net/driver/peers.rs
+++ b/crates/cottonnotch/src/net/driver/peers.rs
@@ -207,8 +207,8 @@
         Some(AffinityMetrics {
             groups: member.affinity_subsets().count() as u64,
             largest_subset: u64::from(largest_subset),
-            tables_received: counts.subset_tables_received,
-            groups_cut: counts.groups_cut,
+            tables_received: counts.subset_size_datagrams_received,
+            groups_cut: counts.groups_truncated,
             datagrams_dropped: counts.dropped + counts.late,
         })
     }
