--- a/crates/routing-rules/src/book.rs
+++ b/crates/routing-rules/src/book.rs
@@ -1,41 +1,41 @@
-//! The merged book: what the rest of the program reads of the rules.
+//! The merged book: the form of the rules that the rest of the program reads.
 
 use std::collections::BTreeSet;
 
 use serde::{Deserialize, Serialize};
 
-/// One merged book. Owners are sorted by path, rules by (namespace, name); it serialises to the same bytes for the same set
-/// of files.
+/// The rules of all namespaces in force. Owners are sorted by path and rules by (namespace, name), so that the same set of
+/// files always serialises to the same bytes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Book {
-    /// The namespaces that are in force, by path.
+    /// The namespaces in force, sorted by path.
     pub namespaces: Vec<Owner>,
-    /// Their rules, by (namespace, name).
+    /// The rules of these namespaces, sorted by (namespace, name).
     pub rules: Vec<Rule>,
 }
 
-/// A namespace that is in force, and its policy while the version in force is uncertain.
+/// A namespace in force, and its policy while it is uncertain which version is in force.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Owner {
-    /// The namespace's path, such as `consortium/house-a/team`.
+    /// The path of the namespace, such as `consortium/house-a/team`.
     pub path: String,
-    /// The revision that is in force.
+    /// The revision in force.
     pub revision: u64,
-    /// What happens to its requests while the version in force is uncertain.
+    /// What happens to the namespace's requests while it is uncertain which version is in force.
     #[serde(rename = "on_doubt")]
     pub uncertainty_policy: UncertaintyPolicy,
 }
 
-/// What happens to requests under a namespace's requirements while the version in force is uncertain.
+/// What happens to requests under a namespace's requirements while it is uncertain which version is in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum UncertaintyPolicy {
-    /// They are rejected, with a Retry-After.
+    /// The requests are rejected, with a Retry-After.
     Refuse {
         /// The Retry-After of a rejected client, in milliseconds.
         retry_ms: u32,
     },
-    /// They follow the last known version.
+    /// The requests are routed by the last known version.
     #[default]
     Keep,
 }
@@ -47,19 +47,19 @@
     pub namespace: String,
     /// The rule's name, unique within its namespace.
     pub name: String,
-    /// The file that the rule stands in.
+    /// The file that declares the rule.
     pub file: String,
-    /// The line of the file that the rule starts on, from 1.
+    /// The line of the file on which the rule starts, counted from 1.
     pub line: u32,
-    /// Whether it is required.
+    /// Whether the rule is a requirement or a preference.
     pub strength: Strength,
-    /// Which of two preferences of one depth goes first: the higher.
+    /// Orders the preferences of one depth: the one with the higher priority is applied first.
     pub priority: i32,
-    /// How many namespaces stand above its own.
+    /// The number of namespaces above the rule's own namespace.
     pub depth: u32,
-    /// The requests that it applies to.
+    /// The requests that the rule applies to.
     pub on: Selector,
-    /// What it asks for.
+    /// What the rule demands.
     pub kind: RuleKind,
 }
 
@@ -67,28 +67,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Strength {
-    /// It always holds.
+    /// The rule always holds.
     #[serde(rename = "must")]
     Requirement,
-    /// It orders what the requirements allow.
+    /// The rule orders the choices that the requirements allow.
     #[serde(rename = "wish")]
     Preference,
 }
 
-/// The requests that a rule applies to. An empty set means any; a request without a tenant or a group matches only an empty set
-/// there.
+/// The requests that a rule applies to. An empty set matches any value. A request without a tenant or a group is matched only
+/// by a selector whose set of tenants or groups is empty.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Selector {
-    /// The tenants.
+    /// The tenants to match.
     pub tenants: BTreeSet<String>,
-    /// The classes.
+    /// The classes to match.
     pub classes: BTreeSet<String>,
-    /// The score groups: sorted, disjoint.
+    /// The score groups to match, as sorted and disjoint ranges.
     pub groups: Vec<GroupRange>,
 }
 
 impl Selector {
-    /// Whether the rule applies to this request.
+    /// Whether the selector matches the request.
     pub fn matches(&self, request: &Request) -> bool {
         (self.tenants.is_empty() || request.tenant.is_some_and(|tenant| self.tenants.contains(tenant)))
             && (self.classes.is_empty() || self.classes.contains(request.class))
@@ -101,69 +101,70 @@
     }
 }
 
-/// Score groups from the first to the last, both included.
+/// An inclusive range of score groups.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GroupRange {
     /// The first group.
     pub first: u64,
-    /// The last group, not before the first.
+    /// The last group; never less than `first`.
     pub last: u64,
 }
 
-/// What a rule asks for.
+/// What a rule demands.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RuleKind {
-    /// Which nodes a request may go to. A node is meant if the halls are empty or have its hall, and the hardware classes
-    /// are empty or have its class.
+    /// Which nodes a request may go to. The rule selects a node if `halls` is empty or contains the node's hall, and `hardware`
+    /// is empty or contains the node's hardware class.
     Place {
-        /// How the nodes are meant.
+        /// Whether the selected nodes are required, avoided or preferred.
         how: PlacementMode,
-        /// The halls.
+        /// The halls of the selected nodes; empty for any hall.
         halls: BTreeSet<String>,
-        /// The hardware classes.
+        /// The hardware classes of the selected nodes; empty for any class.
         hardware: BTreeSet<String>,
     },
-    /// Most established connections over the whole fleet, on the nodes meant as in [`RuleKind::Place`].
+    /// Limits the established connections of the whole fleet to the selected nodes. Nodes are selected as in
+    /// [`RuleKind::Place`].
     Cap {
-        /// Most connections.
+        /// The maximum number of connections.
         connections: u64,
-        /// The halls.
+        /// The halls of the selected nodes; empty for any hall.
         halls: BTreeSet<String>,
-        /// The hardware classes.
+        /// The hardware classes of the selected nodes; empty for any class.
         hardware: BTreeSet<String>,
     },
-    /// A group's connections are on at most so many nodes.
+    /// Limits the number of nodes that hold connections of one score group.
     Spread {
-        /// Most nodes.
+        /// The maximum number of nodes.
         nodes: u32,
     },
-    /// Most set-ups a second over the whole fleet, in thousandths.
+    /// Limits the rate of connection set-ups over the whole fleet.
     Pace {
-        /// Thousandths of a set-up a second.
+        /// The maximum rate, in thousandths of a set-up per second.
         per_s_milli: u64,
     },
-    /// Most attempts at a request; never more than its class allows.
+    /// Limits the attempts at a request. The class of the request may allow fewer.
     Attempts {
-        /// Most attempts.
+        /// The maximum number of attempts.
         most: u32,
     },
-    /// When a connection may be moved.
+    /// Restricts when a connection may be moved.
     Move {
-        /// When.
+        /// The condition for a move.
         when: MoveCondition,
     },
 }
 
-/// How a placement means its nodes.
+/// How a placement treats the nodes that it selects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlacementMode {
-    /// Only the nodes meant.
+    /// Only selected nodes are allowed.
     Require,
-    /// Any but the nodes meant.
+    /// Selected nodes are not allowed or, in a preference, come after the others.
     Avoid,
-    /// The nodes meant before others.
+    /// Selected nodes come before the others.
     Prefer,
 }
 
@@ -171,33 +172,33 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MoveCondition {
-    /// After the others.
+    /// The connection is moved after all others.
     Last,
-    /// Only when its node drains.
+    /// The connection is moved only when its node drains.
     DrainsOnly,
 }
 
-/// A request, as rules see it.
+/// The properties of a request that rules match.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Request<'a> {
-    /// The tenant that it is for, if it names one.
+    /// The tenant of the request, if the request names one.
     pub tenant: Option<&'a str>,
-    /// Its class.
+    /// The class of the request.
     pub class: &'a str,
-    /// The score group that it belongs to, if any.
+    /// The score group of the request, if it belongs to one.
     pub group: Option<u64>,
 }
 
-/// A node, as rules see it.
+/// The properties of a node that rules match.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Node<'a> {
-    /// The hall that it stands in.
+    /// The hall that the node is in.
     pub hall: &'a str,
-    /// Its hardware class.
+    /// The hardware class of the node.
     pub hardware: &'a str,
 }
 
-/// Whether a node is meant by these halls and hardware classes.
+/// Whether these halls and hardware classes select the node. An empty set selects any.
 pub fn selects_node(halls: &BTreeSet<String>, hardware: &BTreeSet<String>, node: &Node) -> bool {
     (halls.is_empty() || halls.contains(node.hall))
         && (hardware.is_empty() || hardware.contains(node.hardware))
--- a/crates/routing-rules/src/cache.rs
+++ b/crates/routing-rules/src/cache.rs
@@ -1,4 +1,5 @@
-//! What was read and checked before. All of it is keyed by all that it depends on.
+//! A cache of parsed files, compiled namespaces and ineffective preferences from one merge to the next. Each entry is keyed by
+//! everything that it depends on; a change of inventory clears the entries that depend on it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,10 +19,11 @@
     turn: u64,
 }
 
-/// What was read and checked before.
+/// Parsed files, compiled namespaces and ineffective preferences of the previous merge.
 #[derive(Debug, Default)]
 pub(crate) struct Cache {
-    /// By the file's name; a name has several texts while a file isn't taken.
+    /// The parsed files by path on disk. A path has several texts while its newest text is not accepted: the last good text is
+    /// needed as well.
     files: HashMap<String, Vec<CachedFile>>,
     compiled: HashMap<[u8; 32], (Arc<Compiled>, u64)>,
     ineffective: HashMap<[u8; 32], (Vec<Conflict>, u64)>,
@@ -30,7 +32,7 @@
 }
 
 impl Cache {
-    /// Begins a merge. In another inventory nothing that was checked holds.
+    /// Begins a merge. Compiled namespaces depend on the inventory, so a different inventory clears them.
     pub fn begin(&mut self, inventory: &Inventory) {
         self.turn += 1;
         if self.inventory != *inventory {
@@ -40,7 +42,7 @@
         }
     }
 
-    /// Ends a merge: what it had no use for goes.
+    /// Ends a merge: removes all entries that it did not use.
     pub fn end(&mut self) {
         let turn = self.turn;
         self.files.retain(|_, cached| {
@@ -58,7 +60,7 @@
             return cached.outcome.clone();
         }
         let outcome = parsing::read(file).map(|content| {
-            // A file that reads is UTF-8; nothing is lost here.
+            // A file that was parsed is valid UTF-8, so the conversion replaces nothing.
             let text = String::from_utf8_lossy(&file.text);
             Arc::new(ParsedFile::new(content, file.path_on_disk.clone(), Arc::from(text.as_ref())))
         });
@@ -67,7 +69,7 @@
         outcome
     }
 
-    /// Reads a good content again.
+    /// Parses the text of a good revision again, or takes it from the cache. `None` if it can no longer be parsed.
     pub fn reread(&mut self, path_on_disk: &str, text: &Arc<str>) -> Option<Arc<ParsedFile>> {
         let turn = self.turn;
         match self.find(path_on_disk, text.as_bytes()) {
@@ -99,7 +101,7 @@
         compiled
     }
 
-    /// The ineffective preferences of a namespace; `subtree` is a digest of it, all above it and all below it.
+    /// The ineffective preferences of a namespace. `subtree` is a digest of the namespace, its ancestors and its descendants.
     pub fn ineffective(&mut self, of: &Compiled, subtree: [u8; 32], children: &Children) -> &[Conflict] {
         let turn = self.turn;
         let inventory = &self.inventory;
--- a/crates/routing-rules/src/candidate.rs
+++ b/crates/routing-rules/src/candidate.rs
@@ -1,4 +1,5 @@
-//! Which content of each namespace is tried: the file's, or the last good one where the file can't be taken.
+//! Selects the content of each namespace that the merge tries: the content of its file, or the last good content if the file
+//! is refused.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,34 +11,35 @@
 use crate::history::{Entry, History};
 use crate::inventory::Inventory;
 
-/// How new a content is; the greater, the newer.
+/// How new a content is. A greater value means a newer content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Age {
-    /// It is in force since that step.
+    /// The content has been in force since this step.
     Good(u64),
-    /// It came with this merge.
+    /// The content is first seen in this merge.
     New,
-    /// It was held back before: what comes after doesn't suffer from it.
+    /// The content was held back in an earlier merge. It counts as newer than later content, so that it never causes later
+    /// content to be held back.
     HeldBackBefore,
-    /// There is none.
+    /// The namespace has no content.
     Absent,
-    /// Its delegation didn't count before.
+    /// The delegation to the namespace was void after an earlier merge.
     Void,
 }
 
-/// The contents of one namespace.
+/// The new and the last good content of one namespace.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
-    /// The file's content, if it isn't the good one.
+    /// The content of the file; `None` if it is refused or equal to the last good content.
     pub new: Option<Arc<ParsedFile>>,
-    /// The last good content, and the step it was taken at.
+    /// The last good content, and the step at which it was accepted.
     pub good: Option<(Arc<ParsedFile>, u64)>,
-    /// The digest of the content that was held back before.
+    /// The digest of the content that an earlier merge held back.
     refused: Option<String>,
 }
 
 impl Candidate {
-    /// The content that is tried.
+    /// The content that the merge tries: the new one, otherwise the last good one.
     pub fn read(&self) -> Option<&Arc<ParsedFile>> {
         self.new.as_ref().or(self.good.as_ref().map(|(read, _)| read))
     }
@@ -57,7 +59,7 @@
         self.new.is_some() && self.good.is_some()
     }
 
-    /// Goes back from the new content to the good one; false if there is none to go back to.
+    /// Drops the new content in favour of the last good one. Returns false if there was no new content or there is no good one.
     pub fn fall_back(&mut self) -> bool {
         self.new.take().is_some() && self.good.is_some()
     }
@@ -67,22 +69,23 @@
     blake3::Hash::from(read.hash).to_hex().to_string()
 }
 
-/// What the files come to before they are compared.
+/// The candidates of all namespaces, and the files that were refused, before the namespaces are checked against one another.
 #[derive(Debug, Default)]
 pub(crate) struct CandidateSet {
     pub candidates: BTreeMap<String, Candidate>,
-    /// The newest content of each namespace that has a file that reads.
+    /// The content of the newest revision of each namespace that has a readable file.
     pub newest: BTreeMap<String, Arc<ParsedFile>>,
-    /// Those whose file can't be taken by itself, or that were held back for a conflict: why, and by whom.
+    /// The namespaces whose file is refused by itself or that are held back for a conflict, with the reason and the other
+    /// namespace of the conflict.
     pub held: BTreeMap<String, (String, Option<String>)>,
-    /// The namespaces of `held` whose file was refused by itself.
+    /// The namespaces in `held` whose file is refused by itself.
     pub refused: Vec<String>,
     pub conflicts: Vec<Conflict>,
-    /// The children whose delegations don't count.
+    /// The children whose delegations are void.
     pub void: BTreeSet<String>,
 }
 
-/// Reads the files and finds each namespace's contents.
+/// Parses the files and collects the candidate of each namespace.
 pub(crate) fn gather(
     last: &History,
     files: &[RuleFile],
@@ -97,7 +100,8 @@
     for error in broken {
         add_broken(&mut set, error, last, inventory, cache);
     }
-    // What its parent froze stays though its file was removed; whether it is frozen is only known once the parent is read.
+    // A frozen namespace stays in force even if its file is removed. This loop runs last because the freeze is stated in the
+    // parent's file.
     for (path, entry) in &last.namespaces {
         if !set.candidates.contains_key(path) && entry.good.is_some() && frozen(path, &set) {
             candidate(&mut set, path, None, Some(entry), cache);
@@ -106,7 +110,7 @@
     set
 }
 
-/// The files that can be read, by namespace, and the errors of the others; whatever the order of the files.
+/// The readable files by namespace, and the errors of the others. The result does not depend on the order of the files.
 fn read_files(
     files: &[RuleFile],
     cache: &mut Cache,
@@ -125,7 +129,7 @@
     (by_namespace, broken)
 }
 
-/// Adds a namespace by its files: the newest of them, unless it is refused.
+/// Adds a namespace that has readable files: its newest revision, unless that is refused.
 fn add_readable(
     set: &mut CandidateSet,
     path: &str,
@@ -152,7 +156,7 @@
     candidate(set, path, new, entry, cache);
 }
 
-/// Adds the conflict of a file that can't be read, and the last good content of its namespace, if that is known.
+/// Adds the conflict for an unreadable file and, if its namespace is known, the last good content of that namespace.
 fn add_broken(
     set: &mut CandidateSet,
     error: RuleFileError,
@@ -196,7 +200,7 @@
     if let (Some(read), Some((old, _))) = (&new, &mut good)
         && read.hash == old.hash
     {
-        // The same content, perhaps in a file of another name: it is as old as it was.
+        // The same content, possibly from a file of another name, keeps the age of the good content.
         *old = read.clone();
         new = None;
     }
@@ -206,17 +210,18 @@
     }
 }
 
-/// The last good content. One that doesn't read any more, by a newer program say, is none.
+/// The last good content and the step at which it was accepted. `None` if there is none, or if it can no longer be parsed, for
+/// example by a newer version of the program.
 fn good(entry: &Entry, cache: &mut Cache) -> Option<(Arc<ParsedFile>, u64)> {
     let good = entry.good.as_ref()?;
     Some((cache.reread(&good.file, &good.text)?, good.taken))
 }
 
-/// The newest of a namespace's files; two of the newest revision have to be the same.
+/// The file of a namespace with the newest revision. All files of that revision must have the same content.
 fn newest(reads: &[Arc<ParsedFile>], inventory: &Inventory) -> Result<Arc<ParsedFile>, Box<Conflict>> {
     let revision = reads.iter().map(|read| read.file.revision).max().unwrap_or_default();
     let mut newest = reads.iter().filter(|read| read.file.revision == revision);
-    // The files are sorted by path, so the first is the same whatever their order was.
+    // The files are sorted by path, so the first one does not depend on their original order.
     let Some(first) = newest.next() else {
         let error =
             RuleFileError { file: String::new(), line: 0, key: String::new(), why: "no file".to_owned() };
@@ -242,7 +247,8 @@
     Ok(())
 }
 
-/// The witness is a request of the first rule that only one of the contents has, else of any rule.
+/// The conflict of two contents of one revision. The witness is a request of the first rule that only one of the contents has,
+/// or a request without any restriction if they have the same rules.
 fn two_contents(one: &ParsedFile, other: &ParsedFile, inventory: &Inventory) -> Conflict {
     let differs = one.file.rules.iter().find(|rule| !other.file.rules.contains(rule));
     let differs = differs.or(other.file.rules.iter().find(|rule| !one.file.rules.contains(rule)));
@@ -262,8 +268,8 @@
     Witness::new(&inventory.sample(&on), None)
 }
 
-/// The namespace that a broken file stands for: the one last read from it, or the one that its path names. A namespace
-/// that another file speaks for has nothing to fear from it.
+/// The namespace that a broken file is attributed to: the one whose last good content was read from this path, or the one that
+/// the path names. A namespace that has another, readable file is never chosen.
 fn whose(
     error: &RuleFileError,
     last: &History,
@@ -286,7 +292,7 @@
     known.filter(names).filter(free).max_by_key(|path| path.len()).cloned()
 }
 
-/// Where a namespace that has no file stands.
+/// The location of a namespace that has no file.
 pub(crate) fn nowhere(path: &str) -> RuleLocation {
     RuleLocation { namespace: path.to_owned(), file: String::new(), line: 0, name: String::new() }
 }
--- a/crates/routing-rules/src/chain_conflicts.rs
+++ b/crates/routing-rules/src/chain_conflicts.rs
@@ -1,4 +1,4 @@
-//! The conflicts of a namespace with the chain above it, and among what it delegates.
+//! Finds the conflicts of a namespace with the chain of namespaces above it, and the conflicts among its delegations.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,10 +9,10 @@
 use crate::node_kind_set::{NodeKindSet, is_requirement};
 use crate::scope::{Scope, meeting};
 
-/// The most requests without a node that are reported of one namespace: each is another set of requirements.
+/// The maximum number of [`Conflict::NoNode`] reported for one namespace. Each reports a different set of requirements.
 const MAX_REPORTED: usize = 16;
 
-/// All that can be reported without knowing what lies below the namespace.
+/// All conflicts that can be found without knowing the namespaces below.
 pub(crate) fn with_chain(of: &Compiled, inventory: &Inventory) -> Vec<Conflict> {
     let mut conflicts = Vec::new();
     same_subject(of, inventory, &mut conflicts);
@@ -30,7 +30,7 @@
     }
 }
 
-/// What the namespace speaks of and doesn't own.
+/// The rules and delegations of a namespace that name something outside its scope.
 pub(crate) fn not_owned(read: &ParsedFile, scope: &Scope, inventory: &Inventory) -> Vec<Conflict> {
     let mut conflicts = Vec::new();
     let mut report = |one: RuleLocation, beyond: Option<(String, Witness)>| {
@@ -41,7 +41,7 @@
     for rule in &read.file.rules {
         report(read.location(rule.line, &rule.name), scope.rule_beyond(rule, inventory));
     }
-    // One that doesn't count has to be owned as well: it would count once the other claimant is gone.
+    // A void delegation must stay within the scope as well: it takes effect once the other claimant is gone.
     let path = read.file.namespace.as_str();
     let given = read.file.delegates.iter().filter(|to| to.handed_to.is_none() && is_child(path, &to.to));
     for delegate in given {
@@ -51,7 +51,7 @@
     conflicts
 }
 
-/// Only children that share a tenant, or of which one has any tenant, are compared.
+/// Finds pairs of children whose scopes overlap. Only pairs that share a tenant, or of which one has any tenant, are compared.
 fn same_subject(of: &Compiled, inventory: &Inventory, conflicts: &mut Vec<Conflict>) {
     let mut by_tenant = BTreeMap::<&str, Vec<usize>>::new();
     let mut any_tenant = Vec::new();
@@ -125,18 +125,19 @@
     }
 }
 
-/// The tenants of the requests that can come and that the sets, empty for any, match.
+/// The tenants of the requests that the inventory allows and that `named` matches; an empty `named` matches any. `None` stands
+/// for a request without a tenant.
 pub(crate) fn tenants<'a>(
     named: &'a BTreeSet<String>,
     inventory: &'a Inventory,
 ) -> impl Iterator<Item = Option<&'a str>> {
     let any = named.is_empty();
     let all = inventory.tenants.iter().filter(move |tenant| any || named.contains(*tenant));
-    // A request need not name a tenant, but then only a rule for any tenant matches it.
+    // A request without a tenant is matched only by a rule for any tenant.
     any.then_some(None).into_iter().chain(all.map(|tenant| Some(tenant.as_str())))
 }
 
-/// Groups of which one stands for each set of groups that no rule tells apart, and none.
+/// One representative for each set of groups that the rules do not distinguish, and `None` for a request without a group.
 pub(crate) fn groups<'a>(rules: impl Iterator<Item = &'a Rule>) -> BTreeSet<Option<u64>> {
     let mut points = BTreeSet::from([None, Some(0)]);
     for range in rules.flat_map(|rule| &rule.on.groups) {
@@ -154,8 +155,8 @@
     mask
 }
 
-/// Requests that a requirement of this namespace takes the last node from. Those that the requirements above it leave none are reported
-/// there.
+/// Finds requests that are left without a node by a requirement of this namespace. A request that the requirements above
+/// already leave without a node is reported for the namespace above.
 fn no_node(of: &Compiled, inventory: &Inventory, conflicts: &mut Vec<Conflict>) {
     if inventory.nodes.is_empty()
         || !of.placements.all.iter().any(|placed| is_requirement(of.rules[placed.rule].strength))
@@ -170,7 +171,7 @@
             .flat_map(|namespace| namespace.placed_for(tenant))
             .filter(|(rule, _)| is_requirement(rule.strength))
             .collect();
-        // Fewer requirements allow more: if all of them leave a node, any request that some of them match has one.
+        // Fewer requirements allow more nodes: if all of them together allow a node, a request that matches some of them has one.
         if !allowed(&of_tenant, inventory).is_empty() {
             continue;
         }
@@ -202,7 +203,7 @@
     }
 }
 
-/// Requirements that leave no node, of which none can be removed. Those nearer the root are removed first.
+/// A minimal subset of the requirements that still allows no node. Requirements nearer the root are removed first.
 fn minimal_subset<'a>(
     mut requirements: Vec<PlacedRequirement<'a>>,
     inventory: &Inventory,
@@ -222,7 +223,7 @@
     let all: Vec<RuleLocation> = requirements.iter().map(|(rule, _)| location(rule)).collect();
     let nobody =
         || RuleLocation { namespace: String::new(), file: String::new(), line: 0, name: String::new() };
-    // The deepest of them stands last; without it there is a node, and that is the witness.
+    // The deepest requirement is last. A node that the other requirements allow is the witness.
     let one = all.last().cloned().unwrap_or_else(nobody);
     let other = all.first().cloned().unwrap_or_else(nobody);
     let others = &requirements[..requirements.len().saturating_sub(1)];
--- a/crates/routing-rules/src/compilation.rs
+++ b/crates/routing-rules/src/compilation.rs
@@ -1,4 +1,4 @@
-//! Compiles a namespace's content under one chain of namespaces above it.
+//! Compiles the content of a namespace under the chain of namespaces above it.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use crate::node_kind_set::NodeKindSet;
 use crate::scope::Scope;
 
-/// Compiles a content under a parent; `void` are the children whose delegations don't count.
+/// Compiles a content under a parent. `void` lists the children whose delegations are void.
 pub(crate) fn compile(
     key: [u8; 32],
     parent: Option<Arc<Compiled>>,
@@ -24,7 +24,7 @@
     let depth = parent.as_ref().map_or(0, |parent| parent.depth + 1);
     let grants = grants(&read, &scope, void);
     let rules = rules(&read, &scope, &grants, depth);
-    // What isn't owned is in conflict as it is; whether it agrees with the rest is asked once it is owned.
+    // A rule outside the scope is a conflict already. It is checked against other rules only once it is within the scope.
     let conflicts = chain_conflicts::not_owned(&read, &scope, inventory);
     let unowned = Unowned::of(&conflicts, &grants);
     let placements = placements(&rules, &unowned, inventory);
@@ -35,7 +35,7 @@
     compiled
 }
 
-/// What the parent gave a namespace; the root has everything.
+/// The scope that the parent grants a namespace. The root's scope is everything.
 fn scope_under(parent: Option<&Compiled>, path: &str, inventory: &Inventory) -> Scope {
     let Some(parent) = parent else { return Scope::root(inventory) };
     match parent.grants.binary_search_by(|(child, ..)| child.as_str().cmp(path)) {
@@ -44,7 +44,7 @@
     }
 }
 
-/// What the namespace gives its children, as far as it counts; by child.
+/// The grants of the namespace to its children, sorted by child, without the void ones.
 fn grants(read: &ParsedFile, scope: &Scope, void: &[&str]) -> Vec<Grant> {
     let path = read.file.namespace.as_str();
     let counts = |delegate: &&Delegate| {
@@ -59,7 +59,7 @@
     grants
 }
 
-/// The namespace's own rules and those that its delegations stand for; by name.
+/// The rules declared in the namespace and those implied by its delegations, sorted by name.
 fn rules(read: &ParsedFile, scope: &Scope, grants: &[Grant], depth: u32) -> Vec<Rule> {
     let mut rules = own_rules(read, scope, depth);
     for (child, quota, given) in grants {
@@ -71,10 +71,10 @@
     rules
 }
 
-/// The rules and delegations that speak of what the namespace doesn't own.
+/// The rules and delegations that name something outside the namespace's scope.
 struct Unowned<'a> {
     names: BTreeSet<&'a str>,
-    /// The children that are given what the namespace doesn't own.
+    /// The children that are granted something outside the namespace's scope.
     children: BTreeSet<String>,
 }
 
@@ -86,7 +86,7 @@
         Unowned { names, children }
     }
 
-    /// Whether the rule is unowned, or stands for an unowned delegation.
+    /// Whether the rule is unowned, or implied by an unowned delegation.
     fn contains(&self, rule: &str) -> bool {
         let delegates = |child: &String| rule.starts_with(&format!("delegate.{}.", last_segment(child)));
         self.names.contains(rule) || self.children.iter().any(delegates)
@@ -123,8 +123,8 @@
     read.file.rules.iter().map(rule).collect()
 }
 
-/// The requirements that a delegation stands for: the child uses only the nodes and connections that it was given. They are the
-/// parent's, so that they hold whether the child has a file or not.
+/// The requirements implied by a delegation: the child uses only the nodes and connections that it was granted. They belong to
+/// the parent, so that they hold whether or not the child has a file.
 fn delegated_rules(
     read: &ParsedFile,
     to: &Delegate,
--- a/crates/routing-rules/src/compiled.rs
+++ b/crates/routing-rules/src/compiled.rs
@@ -1,4 +1,4 @@
-//! A namespace's content put into the terms of the book, under one chain of namespaces above it.
+//! The content of a namespace, compiled to rules of the book under the chain of namespaces above it.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -9,14 +9,14 @@
 use crate::node_kind_set::NodeKindSet;
 use crate::scope::Scope;
 
-/// A file that was read.
+/// A file that was parsed, with its text.
 #[derive(Debug)]
 pub(crate) struct ParsedFile {
     pub file: NamespaceFile,
     pub path_on_disk: String,
     pub text: Arc<str>,
     pub hash: [u8; 32],
-    /// Where in `file.delegates` each child is.
+    /// The index in `file.delegates` of the delegation to each child.
     pub children: HashMap<String, usize>,
 }
 
@@ -41,10 +41,10 @@
     }
 }
 
-/// A placement: a requirement that allows nodes, or a preference that some nodes satisfy.
+/// A rule of kind [`crate::RuleKind::Place`], and the node kinds that satisfy it.
 #[derive(Debug)]
 pub(crate) struct Placed {
-    /// Where in `Compiled::rules` it is.
+    /// The index of the rule in `Compiled::rules`.
     pub rule: usize,
     pub nodes: NodeKindSet,
 }
@@ -53,14 +53,14 @@
 #[derive(Debug, Default)]
 pub(crate) struct Placements {
     pub all: Vec<Placed>,
-    /// Positions in `all` of those that name a tenant.
+    /// The indices in `all` of the placements that name a tenant, by tenant.
     by_tenant: HashMap<String, Vec<usize>>,
-    /// Positions in `all` of those for any tenant.
+    /// The indices in `all` of the placements for any tenant.
     any_tenant: Vec<usize>,
 }
 
 impl Placements {
-    /// Adds the placement of a rule at this position.
+    /// Adds a placement: the rule at index `position` of `Compiled::rules`, and the nodes that satisfy it.
     pub fn push(&mut self, position: usize, rule: &Rule, nodes: NodeKindSet) {
         let at = self.all.len();
         if rule.on.tenants.is_empty() {
@@ -72,43 +72,45 @@
         self.all.push(Placed { rule: position, nodes });
     }
 
-    /// The placements that can match a request of this tenant.
+    /// The placements that can match a request of the tenant.
     fn matching(&self, tenant: Option<&str>) -> impl Iterator<Item = &Placed> {
         let named = tenant.and_then(|tenant| self.by_tenant.get(tenant)).map_or(&[][..], Vec::as_slice);
         self.any_tenant.iter().chain(named).map(|at| &self.all[*at])
     }
 }
 
-/// What a child was given: its path, its part of the connections, and what it has.
+/// A child's path, its quota of connections if it has one, and its scope.
 pub(crate) type Grant = (String, Option<u64>, Scope);
 
-/// A namespace under one chain of parents. It depends on nothing but the chain's contents and the inventory.
+/// A namespace compiled under one chain of parents. The result depends only on the contents of the chain, the void delegations
+/// and the inventory.
 #[derive(Debug)]
 pub(crate) struct Compiled {
-    /// A digest of all that it depends on.
+    /// A digest of everything except the inventory that the result depends on.
     pub key: [u8; 32],
     pub read: Arc<ParsedFile>,
     pub parent: Option<Arc<Compiled>>,
     pub depth: u32,
     pub scope: Scope,
-    /// What each child was given, as far as it counts.
+    /// The grants to the children, sorted by child, without the void ones.
     pub grants: Vec<Grant>,
-    /// By name.
+    /// The rules, sorted by name.
     pub rules: Vec<Rule>,
     pub placements: Placements,
-    /// The children that it gives what it doesn't have itself.
+    /// The children that are granted something outside the namespace's own scope.
     pub unowned_children: BTreeSet<String>,
-    /// The conflicts of its own with the chain above it, and among its delegations.
+    /// The conflicts of the namespace with the chain above it, and among its delegations.
     pub conflicts: Vec<Conflict>,
 }
 
 impl Compiled {
-    /// The digest for a content under a parent; `void` are the children whose delegations don't count.
+    /// The cache key of a content under a parent. `void` lists the children whose delegations are void.
     pub fn key(parent: Option<&Compiled>, read: &ParsedFile, void: &[&str]) -> [u8; 32] {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&parent.map_or([0; 32], |parent| parent.key));
         hasher.update(&read.hash);
-        // The file's name is in the rules, so it counts. Lengths keep one list of names from passing for another.
+        // The rules contain the file's path, so the key does as well. The length prefixes keep two different lists of names from
+        // hashing the same bytes.
         for name in std::iter::once(read.path_on_disk.as_str()).chain(void.iter().copied()) {
             hasher.update(&(name.len() as u64).to_le_bytes());
             hasher.update(name.as_bytes());
@@ -120,12 +122,12 @@
         &self.read.file.namespace
     }
 
-    /// The placements that can match a request of this tenant, with their rules.
+    /// The rules and node kinds of the placements that can match a request of the tenant.
     pub fn placed_for(&self, tenant: Option<&str>) -> impl Iterator<Item = (&Rule, &NodeKindSet)> {
         self.placements.matching(tenant).map(|placed| (&self.rules[placed.rule], &placed.nodes))
     }
 
-    /// This namespace and those above it, from the root down.
+    /// This namespace and its ancestors, from the root down.
     pub fn chain(&self) -> Vec<&Compiled> {
         let mut chain = vec![self];
         while let Some(parent) = chain.last().and_then(|last| last.parent.as_deref()) {
--- a/crates/routing-rules/src/conflict.rs
+++ b/crates/routing-rules/src/conflict.rs
@@ -1,20 +1,20 @@
-//! What stands in the way of a namespace's newest revision, each with a witness.
+//! The conflicts that hold a namespace's newest revision back, most of them with a witness.
 
 use std::fmt;
 
 use crate::book::{Node, Request};
 use crate::file::RuleFileError;
 
-/// Where something stands, and whose it is.
+/// The location of a namespace, rule or delegation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RuleLocation {
     /// The namespace.
     pub namespace: String,
-    /// Its file; empty if it has none.
+    /// The file of the namespace; empty if there is none.
     pub file: String,
-    /// The line, from 1; 0 if there is none.
+    /// The line in the file, counted from 1; 0 if there is none.
     pub line: u32,
-    /// The rule or delegation that stands there; empty if it is the namespace itself.
+    /// The name of the rule or delegation; empty if the location is that of the namespace itself.
     pub name: String,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// A request and, where it has one, a node that show a conflict.
+/// An example that demonstrates a conflict: a request and, if the conflict involves nodes, a node.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Witness {
     /// The request's tenant.
@@ -51,12 +51,12 @@
         }
     }
 
-    /// The request.
+    /// The request that demonstrates the conflict.
     pub fn request(&self) -> Request<'_> {
         Request { tenant: self.tenant.as_deref(), class: &self.class, group: self.group }
     }
 
-    /// The node.
+    /// The node that demonstrates the conflict; `None` if the conflict does not involve nodes.
     pub fn node(&self) -> Option<Node<'_>> {
         self.node.as_ref().map(|(hall, hardware)| Node { hall, hardware })
     }
@@ -78,37 +78,38 @@
 /// Why a namespace is held back.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum Conflict {
-    /// A file can't be read.
+    /// A file is invalid: it cannot be parsed, or it fails a check.
     #[error("{error}")]
     Broken {
-        /// The namespace it is taken to be of, if that is known.
+        /// The namespace that the file is attributed to, if known.
         namespace: Option<String>,
-        /// What is wrong.
+        /// The reason, with the line and the key.
         error: RuleFileError,
     },
-    /// A file states an older revision than the last good one; a return is a new revision.
+    /// A file states a revision older than the last good one. To return to an old text, it must be given a new revision.
     #[error("{one}: revision {stated} is older than {last}; to go back, give the old text a new revision")]
     OldRevision {
-        /// The file.
+        /// The location of the namespace in the file.
         one: RuleLocation,
-        /// The revision it states.
+        /// The revision stated in the file.
         stated: u64,
         /// The last good revision.
         last: u64,
     },
-    /// Two contents under one revision.
+    /// Two different contents have the same revision.
     #[error("{one} and {other} both are revision {revision}, with different contents; e.g. {witness}")]
     TwoContents {
-        /// The one.
+        /// The first content.
         one: RuleLocation,
-        /// The other: a file, or the last good content.
+        /// The second content: another file, or the last good content.
         other: RuleLocation,
-        /// The revision.
+        /// The revision of both contents.
         revision: u64,
         /// A request that the contents may differ on.
         witness: Witness,
     },
-    /// A namespace delegates to one above it, or to itself.
+    /// A delegation leads back to the delegating namespace: to the namespace itself, to one above it, or through further
+    /// delegations to namespaces that are not children.
     #[error("{one} delegates in a circle to {other}; e.g. {witness}")]
     Circle {
         /// The delegation.
@@ -118,7 +119,7 @@
         /// A request delegated so.
         witness: Witness,
     },
-    /// A namespace delegates to one that isn't its child.
+    /// A namespace delegates to a namespace that is not its child.
     #[error("{one} delegates to {other}, which isn't its child; e.g. {witness}")]
     NotItsChild {
         /// The delegation.
@@ -128,89 +129,89 @@
         /// A request delegated so.
         witness: Witness,
     },
-    /// No parent in force delegates to a namespace.
+    /// A namespace has no delegation from a parent in force.
     #[error("{one} has no delegation from {other}; e.g. {witness}")]
     Orphan {
         /// The namespace.
         one: RuleLocation,
-        /// The parent it should have one from.
+        /// The parent that should delegate to the namespace.
         other: RuleLocation,
-        /// A request it speaks of.
+        /// A request that the namespace's rules apply to.
         witness: Witness,
     },
-    /// A rule or a delegation on what its namespace doesn't own.
+    /// A rule or a delegation names something outside its namespace's scope.
     #[error("{one} speaks of what {other} doesn't give it: {what}; e.g. {witness}")]
     NotOwned {
         /// The rule or the delegation.
         one: RuleLocation,
-        /// What the namespace was given.
+        /// The delegation that grants the namespace its scope.
         other: RuleLocation,
-        /// What is not owned.
+        /// The kind and name of what is outside the scope.
         what: String,
-        /// A request, and a node if it is about nodes.
+        /// A request outside the scope, or a request and a node outside the scope.
         witness: Witness,
     },
-    /// Two siblings claim the same subject.
+    /// The scopes of two siblings overlap.
     #[error("{one} and {other} both claim {witness}")]
     SameSubject {
-        /// The one child, where the parent delegates to it.
+        /// The first child, at the location of its delegation.
         one: RuleLocation,
-        /// The other child, where the parent delegates to it.
+        /// The second child, at the location of its delegation.
         other: RuleLocation,
-        /// The parent.
+        /// The parent that delegates to both.
         parent: RuleLocation,
-        /// A request of both.
+        /// A request in both scopes.
         witness: Witness,
     },
-    /// More connections are promised than there are.
+    /// The quotas of the children together, or a cap, exceed the connections that the namespace has.
     #[error("{one}: {promised} connections are promised of {total} that {other} has; e.g. {witness}")]
     OverCommitted {
-        /// The delegation that passes the total, or the cap above it.
+        /// The first delegation whose quota brings the sum above the total, or the cap that exceeds the total.
         one: RuleLocation,
-        /// Who promises them.
+        /// The namespace that grants the quotas, or the rule that sets the cap.
         promiser: RuleLocation,
-        /// What the quotas are of.
+        /// The delegation that grants the total.
         other: RuleLocation,
-        /// The children that have quotas, where they have them; a cap is alone.
+        /// The children that have quotas, at the locations of their delegations; empty for a cap.
         quotas: Vec<RuleLocation>,
-        /// What is promised in all.
+        /// The sum of the quotas, or the cap.
         promised: u64,
-        /// What there is.
+        /// The connections that the namespace has.
         total: u64,
-        /// A request that has a part.
+        /// A request that the quota or the cap applies to.
         witness: Witness,
     },
-    /// Requirements leave a request no node.
+    /// The requirements on a request allow no node.
     #[error("{one} and {other} leave no node to {witness}")]
     NoNode {
         /// The deepest of the requirements.
         one: RuleLocation,
-        /// The other; the same, if one must is enough.
+        /// The requirement nearest the root; the same as `one` if a single requirement causes the conflict.
         other: RuleLocation,
-        /// All the requirements that it takes: without any of them there is a node.
+        /// A minimal set of requirements in conflict: without any one of them, a node is allowed.
         requirements: Vec<RuleLocation>,
-        /// The request, and a node that the other must allows or would allow.
+        /// The request, and a node that the requirements other than the deepest allow.
         witness: Witness,
     },
-    /// A wish can never take effect.
+    /// A preference can never take effect.
     #[error("{one} can never take effect for {other}; e.g. {witness}")]
     IneffectivePreference {
-        /// The wish.
+        /// The preference.
         one: RuleLocation,
-        /// What stands against it; the wish itself, if no request is matched at all.
+        /// The rule that defeats the preference; the preference itself if no request or no node matches it.
         other: RuleLocation,
-        /// A request that it speaks of, and a node that it would be for.
+        /// A request that the preference applies to, and a node that satisfies it.
         witness: Witness,
     },
 }
 
 impl Conflict {
-    /// The namespaces in it, by path; the one held back is one of these.
+    /// The namespaces that can be held back for the conflict, sorted by path.
     pub fn namespaces(&self) -> Vec<&str> {
         let mut all: Vec<&str> = match self {
             Conflict::Broken { namespace, .. } => namespace.as_deref().into_iter().collect(),
-            // These stand by one namespace alone: a parent can take a delegation back, and nobody answers for being
-            // delegated to by a stranger.
+            // Only the first namespace is responsible: a parent may withdraw a delegation, and a namespace is not responsible
+            // for a delegation from a namespace that is not its parent.
             Conflict::OldRevision { one, .. }
             | Conflict::Orphan { one, .. }
             | Conflict::NotItsChild { one, .. } => vec![&one.namespace],
@@ -234,7 +235,7 @@
         all
     }
 
-    /// The children whose parent promises them what can't be: the one of them held back loses the delegation with it.
+    /// The children whose delegations conflict with one another. The delegation to the one that is held back becomes void.
     pub(crate) fn promised_children(&self) -> Vec<&str> {
         match self {
             Conflict::SameSubject { one, other, .. } => vec![&one.namespace, &other.namespace],
@@ -245,7 +246,7 @@
         }
     }
 
-    /// The rule or delegation that isn't owned.
+    /// The name of the rule or delegation that is outside its namespace's scope.
     pub(crate) fn rule(&self) -> Option<&str> {
         match self {
             Conflict::NotOwned { one, .. } => Some(&one.name),
@@ -253,12 +254,12 @@
         }
     }
 
-    /// Whether holding back this namespace takes its delegation away.
+    /// Whether holding this namespace back voids its delegation.
     pub(crate) fn voids(&self, held: &str) -> bool {
         self.promised_children().contains(&held)
     }
 
-    /// The request and the node that show it; none where no request is spoken of yet.
+    /// The example that demonstrates the conflict. `None` for an unreadable or outdated file, whose rules are not considered.
     pub fn witness(&self) -> Option<&Witness> {
         match self {
             Conflict::Broken { .. } | Conflict::OldRevision { .. } => None,
--- a/crates/routing-rules/src/effective.rs
+++ b/crates/routing-rules/src/effective.rs
@@ -1,4 +1,4 @@
-//! What a book says of one request and one node, in the plainest way: the meaning that any faster form of a book has to keep.
+//! The reference evaluation of a book for one request and one node. Every optimised form of a book must give the same result.
 
 use std::cmp::Reverse;
 
@@ -7,31 +7,32 @@
     selects_node,
 };
 
-/// What a book says of one request and one node.
+/// The combined effect of a book's rules on one request and one node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Effective {
     /// Whether the request may go to the node.
     pub allowed: bool,
-    /// The preferences for nodes that speak of the request, the one that goes first first, and whether the node satisfies
-    /// each. Of two nodes the one that satisfies the first wish that tells them apart is wished for more.
+    /// The preferences for nodes that match the request, in the order in which they apply, and whether the node satisfies each.
+    /// Of two nodes, the preferred one is the one that satisfies the first preference that distinguishes them.
     pub preferences: Vec<(String, bool)>,
-    /// Most attempts.
+    /// The maximum number of attempts; `None` if no rule limits them.
     pub attempts: Option<u32>,
-    /// Most established connections, of the caps that count this node; each is a limit of its own: (rule, connections).
+    /// The caps on established connections that include this node, as (rule, connections). Each cap is a separate limit.
     pub caps: Vec<(String, u64)>,
-    /// Most set-ups a second, in thousandths; each is a limit of its own: (rule, thousandths).
+    /// The limits on the rate of set-ups, as (rule, thousandths of a set-up per second). Each is a separate limit.
     pub paces: Vec<(String, u64)>,
-    /// Most nodes for the request's group.
+    /// The maximum number of nodes for the request's group; `None` if no rule limits it.
     pub spread: Option<u32>,
-    /// When its connection may be moved: the strictest must; without one, the wish that goes first.
+    /// When the request's connection may be moved: the condition of the strictest requirement or, without one, that of the first
+    /// preference.
     pub move_when: Option<MoveCondition>,
-    /// Whether any must speaks of the request.
+    /// Whether any requirement matches the request.
     pub has_requirements: bool,
-    /// What the strictest owner of these requirements asks for in doubt.
+    /// The strictest uncertainty policy among the owners of the requirements that match the request.
     pub uncertainty_policy: Option<UncertaintyPolicy>,
 }
 
-/// What the book says of a request on a node.
+/// Evaluates the rules of a book for a request on a node.
 pub fn effective(book: &Book, request: &Request, node: &Node) -> Effective {
     let mut of = Effective { allowed: true, ..Effective::default() };
     let mut rules: Vec<&Rule> = book.rules.iter().filter(|rule| rule.on.matches(request)).collect();
@@ -73,7 +74,7 @@
 }
 
 impl Rule {
-    /// What orders preferences: that nearer the root goes first, then that of the higher priority, then by namespace and name.
+    /// The sort key of preferences: those nearer the root come first, then those of higher priority, then by namespace and name.
     pub fn preference_order(&self) -> (u32, Reverse<i32>, &str, &str) {
         (self.depth, Reverse(self.priority), &self.namespace, &self.name)
     }
@@ -83,7 +84,7 @@
     Some(one.map_or(other, |one| one.min(other)))
 }
 
-/// Refusing is stricter than keeping; of two that refuse, the longer delay is.
+/// The stricter of two policies. `Refuse` is stricter than `Keep`; of two `Refuse`, the one with the longer delay is stricter.
 pub fn stricter(
     one: Option<UncertaintyPolicy>,
     other: Option<UncertaintyPolicy>,
--- a/crates/routing-rules/src/evaluation_round.rs
+++ b/crates/routing-rules/src/evaluation_round.rs
@@ -1,4 +1,4 @@
-//! One evaluation of the candidates together: which are in force, and all conflicts.
+//! Evaluates a set of candidates together: which namespaces are in force, and all conflicts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,28 +11,28 @@
 use crate::ineffective::Children;
 use crate::inventory::Inventory;
 
-/// What one evaluation found.
+/// The result of one evaluation.
 #[derive(Debug, Default)]
 pub(crate) struct EvaluationRound {
     pub active: BTreeMap<String, Arc<Compiled>>,
     pub conflicts: Vec<Conflict>,
-    /// Those that a parent in force keeps on their last good revision, and that parent.
+    /// The namespaces that a parent in force keeps on their last good revision, with that parent.
     pub frozen: BTreeMap<String, String>,
-    /// Those that a parent in force handed over, and to whom.
+    /// The namespaces that a parent in force handed over, with the namespace that took over.
     pub handed: BTreeMap<String, String>,
 }
 
 /// A namespace's relation to its parent.
 enum Relation<'a> {
     Root,
-    /// Its parent is in conflict itself, or void: nothing is said of it until that is settled.
+    /// The parent has a conflict of its own or is void. The namespace is evaluated once that is resolved.
     Deferred,
     Orphan,
     Under(Arc<Compiled>, &'a Delegate),
 }
 
 impl EvaluationRound {
-    /// Evaluates the candidates together; `void` are the namespaces whose delegations don't count.
+    /// Evaluates the candidates together. `void` lists the namespaces whose delegations are void.
     pub fn run(
         candidates: &BTreeMap<String, Candidate>,
         void: &BTreeSet<String>,
@@ -43,7 +43,7 @@
         let mut deferred = BTreeSet::new();
         // A parent sorts before its children.
         for (path, candidate) in candidates {
-            // What is void has nothing, and so has what lies below it.
+            // A namespace whose delegation is void has no scope, and neither have the namespaces below it.
             if candidate.read().is_some() && void.contains(path) {
                 deferred.insert(path.as_str());
             } else if let Some((parent, read)) = round.admit(path, candidate, &mut deferred, inventory) {
@@ -59,8 +59,8 @@
         round
     }
 
-    /// The content of a candidate that can be in force, and its parent. A candidate that can't be is deferred, in conflict,
-    /// frozen or handed over.
+    /// The parent and the content of a candidate that can be in force. `None` if the candidate is deferred, an orphan, handed
+    /// over, or frozen without a good content.
     fn admit<'a>(
         &mut self,
         path: &'a str,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Takes a compiled content into force.
+    /// Puts a compiled content in force.
     fn activate(&mut self, path: &str, read: &ParsedFile, compiled: Arc<Compiled>) {
         self.conflicts.extend(compiled.conflicts.iter().cloned());
         for delegate in &read.file.delegates {
@@ -101,7 +101,7 @@
         self.active.insert(path.to_owned(), compiled);
     }
 
-    /// Delegations to others than children: in a circle, or to no purpose.
+    /// Finds delegations to namespaces that are not children: each is a cycle or has no effect.
     fn find_foreign_delegations(&mut self, inventory: &Inventory) {
         let mut edges = Vec::new();
         for (path, of) in &self.active {
@@ -118,7 +118,7 @@
             let other = target.map_or(nowhere(&delegate.to), |to| to.read.location(to.read.file.line, ""));
             let on = of.scope.narrow(&delegate.tenants, &delegate.classes, &delegate.groups);
             let witness = Witness::new(&inventory.sample(&on), None);
-            // A namespace leads to all below it, and by its foreign delegations elsewhere.
+            // A namespace reaches all namespaces below it and, through foreign delegations, their targets.
             let mut reached = BTreeSet::from([delegate.to.as_str()]);
             loop {
                 let before = reached.len();
@@ -143,7 +143,7 @@
     fn find_ineffective_preferences(&mut self, cache: &mut Cache) {
         let mut children = Children::new();
         let mut digests = BTreeMap::<&str, blake3::Hasher>::new();
-        // Children sort after their parents, so backwards each is complete before its parent asks for it.
+        // Children sort after their parents, so in reverse order all children are done before their parent.
         for (path, of) in self.active.iter().rev() {
             let mut hasher = digests.remove(path.as_str()).unwrap_or_default();
             hasher.update(&of.key);
@@ -170,7 +170,7 @@
         return Relation::Deferred;
     }
     match above.and_then(|above| Some((above, above.read.delegate(path)?))) {
-        // Nothing is said of what it was given until its parent has that itself.
+        // The child's scope is not evaluated until the parent itself has what it grants.
         Some((above, _)) if above.unowned_children.contains(path) => Relation::Deferred,
         Some((above, delegate)) => Relation::Under(above.clone(), delegate),
         None => Relation::Orphan,
--- a/crates/routing-rules/src/file.rs
+++ b/crates/routing-rules/src/file.rs
@@ -1,109 +1,109 @@
-//! A namespace's file: its bytes as they were found, and what it says.
+//! The file of a namespace: its raw bytes and its parsed content.
 
 use std::collections::BTreeSet;
 
 use crate::book::{GroupRange, RuleKind, Strength, UncertaintyPolicy};
 
-/// The largest file that is read, in bytes.
+/// The maximum size of a file, in bytes.
 pub const MAX_FILE_BYTES: usize = 1 << 20;
-/// The most rules and delegations in one file.
+/// The maximum number of rules and delegations in one file.
 pub const MAX_ITEMS: usize = 5_000;
-/// The deepest namespace: so many stand above it at most.
+/// The maximum depth of a namespace: the number of namespaces above it.
 pub const MAX_DEPTH: usize = 16;
-/// The longest name of one namespace, rule, tenant or the like, in bytes.
+/// The maximum length of a path segment or of the name of a rule, tenant, class, hall or hardware class, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// A file as it was found: nothing is known of its contents yet, not even whether they are text.
+/// An unparsed file, which may not even contain text.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RuleFile {
-    /// Where it was found; it is only named in messages, and tells whose a broken file is.
+    /// The path of the file. It is used only in messages and to attribute a broken file to a namespace.
     pub path_on_disk: String,
-    /// Its bytes.
+    /// The content of the file.
     pub text: Vec<u8>,
 }
 
 impl RuleFile {
-    /// A file of these bytes.
+    /// Creates an unparsed file.
     pub fn new(path_on_disk: impl Into<String>, text: impl Into<Vec<u8>>) -> RuleFile {
         RuleFile { path_on_disk: path_on_disk.into(), text: text.into() }
     }
 }
 
-/// Why a file can't be taken.
+/// The reason why a file is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 #[error("{file}:{line}: {key}: {why}")]
 pub struct RuleFileError {
     /// The file.
     pub file: String,
-    /// The line, from 1; 0 if it is about the file as a whole.
+    /// The line, counted from 1; 0 if the error concerns the whole file.
     pub line: u32,
-    /// The key, or what stands on that line.
+    /// The key in error, or the start of the line if the parser reported the error.
     pub key: String,
-    /// What is wrong.
+    /// What is wrong with the key.
     pub why: String,
 }
 
-/// What one namespace's file says.
+/// The parsed content of a namespace's file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NamespaceFile {
     /// The namespace's path.
     pub namespace: String,
     /// The line that names the namespace.
     pub line: u32,
-    /// Who answers for it.
+    /// The people responsible for the namespace.
     pub owner: String,
-    /// The revision; each content has its own.
+    /// The revision. Two different contents must not have the same revision.
     pub revision: u64,
-    /// What happens to its requests while the version in force is uncertain.
+    /// What happens to the namespace's requests while it is uncertain which version is in force.
     pub uncertainty_policy: UncertaintyPolicy,
-    /// What it leaves to its children, in the file's order.
+    /// The delegations to the children, in file order.
     pub delegates: Vec<Delegate>,
-    /// Its rules, in the file's order.
+    /// The rules, in file order.
     pub rules: Vec<DeclaredRule>,
 }
 
-/// What a namespace leaves to one child. An empty set means all that the namespace has itself.
+/// The scope that a namespace grants to one child. An empty set grants everything that the namespace itself has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delegate {
     /// The child's path.
     pub to: String,
-    /// The line of the delegation.
+    /// The line on which the delegation starts.
     pub line: u32,
-    /// The tenants that the child may speak of.
+    /// The tenants that the child's rules may name.
     pub tenants: BTreeSet<String>,
-    /// The classes that it may speak of.
+    /// The classes that the child's rules may name.
     pub classes: BTreeSet<String>,
-    /// The score groups that it may speak of.
+    /// The score groups that the child's rules may name.
     pub groups: Vec<GroupRange>,
-    /// The halls that it may use.
+    /// The halls that the child may use.
     pub halls: BTreeSet<String>,
-    /// The hardware classes that it may use.
+    /// The hardware classes that the child may use.
     pub hardware: BTreeSet<String>,
-    /// Its part of the namespace's connections.
+    /// The child's quota of the namespace's connections; `None` if the child has no quota of its own.
     pub connections: Option<u64>,
     /// Whether the child stays on its last good revision.
     pub frozen: bool,
-    /// Which namespace took over from the child: the child's file counts no more.
+    /// The namespace that took over from the child. If set, the child's file is ignored.
     pub handed_to: Option<String>,
 }
 
-/// A rule as its file states it: an empty set means all that its namespace has.
+/// A rule as declared in its file. An empty set stands for everything in the namespace's scope.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DeclaredRule {
-    /// Its name.
+    /// The name of the rule.
     pub name: String,
-    /// The line it starts on.
+    /// The line on which the rule starts.
     pub line: u32,
-    /// Whether it is required.
+    /// Whether the rule is a requirement or a preference.
     pub strength: Strength,
-    /// Which of two preferences of one depth goes first.
+    /// Orders the preferences of one depth: the one with the higher priority is applied first.
     pub priority: i32,
-    /// The tenants it names.
+    /// The tenants that the rule names.
     pub tenants: BTreeSet<String>,
-    /// The classes it names.
+    /// The classes that the rule names.
     pub classes: BTreeSet<String>,
-    /// The score groups it names.
+    /// The score groups that the rule names.
     pub groups: Vec<GroupRange>,
-    /// What it asks for.
+    /// What the rule demands.
     pub kind: RuleKind,
 }
--- a/crates/routing-rules/src/file_checks.rs
+++ b/crates/routing-rules/src/file_checks.rs
@@ -1,4 +1,4 @@
-//! Rules and delegations checked for what serde can't say.
+//! Checks on rules and delegations that the serde schema does not express.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +14,7 @@
     line: u32,
     raw: RawDelegate,
 ) -> Result<Delegate, RuleFileError> {
-    // A name alone is a child's, but for the root's: one that delegates to the root should hear of it.
+    // A name without a slash is a child's, except the root's name: a delegation to the root must be reported as a cycle.
     let root = of.split('/').next().unwrap_or(of);
     let path = |to: String| if to.contains('/') || to == root { to } else { format!("{of}/{to}") };
     let to = path(raw.to);
@@ -80,7 +80,7 @@
     })
 }
 
-/// Takes what a rule asks for, if it asks for exactly one thing.
+/// Takes the rule kind out of `raw`. `None` unless exactly one kind is given.
 fn take_only_kind(raw: &mut RawRule) -> Option<RuleKind> {
     let kinds = [
         raw.place.take().map(place),
@@ -99,7 +99,7 @@
     kinds.next().is_none().then_some(kind)
 }
 
-/// Checks the bounds and names of what a rule asks for.
+/// Checks the limits and names in a rule kind.
 fn check_kind(source: &SourceText, line: u32, kind: &RuleKind) -> Result<(), RuleFileError> {
     let error = |key: &str, why: &str| Err(source.error(line, key, why));
     match kind {
@@ -117,7 +117,7 @@
     }
 }
 
-/// The strength that the file states, by either of its keys.
+/// The strength given by the key `must` or `strength`; at most one of them may be present.
 fn stated_strength(
     source: &SourceText,
     line: u32,
@@ -134,7 +134,7 @@
     }
 }
 
-/// The strength of a rule: most kinds can have only one.
+/// The strength of a rule of this kind. Most kinds allow only one strength.
 fn strength(
     source: &SourceText,
     line: u32,
@@ -167,7 +167,7 @@
     RuleKind::Place { how, halls: nodes.halls, hardware: nodes.hardware }
 }
 
-/// A rate in thousandths; what is no rate at all becomes 0, which is refused.
+/// A rate in thousandths. An invalid rate becomes 0, which `check_kind` rejects.
 fn milli(per_s: f64) -> u64 {
     if per_s.is_finite() && per_s > 0.0 && per_s < 1e12 { (per_s * 1_000.0).round() as u64 } else { 0 }
 }
@@ -185,6 +185,7 @@
     Ok(())
 }
 
+/// Why a namespace path is invalid; `None` if it is valid.
 pub(crate) fn path_problem(path: &str) -> Option<&'static str> {
     if path.split('/').count() > MAX_DEPTH + 1 {
         return Some("is too deep");
@@ -192,7 +193,7 @@
     path.split('/').find_map(segment_problem)
 }
 
-/// Dots are kept for the names of rules that delegations stand for.
+/// Why a path segment or rule name is invalid. Dots are reserved for the names of the rules that delegations imply.
 fn segment_problem(name: &str) -> Option<&'static str> {
     let plain = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-' || byte == b'_';
     if name.is_empty() || name.len() > MAX_NAME_BYTES {
--- a/crates/routing-rules/src/file_schema.rs
+++ b/crates/routing-rules/src/file_schema.rs
@@ -1,4 +1,4 @@
-//! A namespace's file as serde reads it, before anything is checked.
+//! The serde schema of a namespace's file. The values are not checked yet.
 
 use std::collections::BTreeSet;
 
--- a/crates/routing-rules/src/groups.rs
+++ b/crates/routing-rules/src/groups.rs
@@ -1,12 +1,12 @@
-//! Ranges of score groups: how files state them, and sets of them, sorted and disjoint.
+//! Ranges of score groups: their notation in files, and operations on sorted, disjoint lists of ranges.
 
 use serde::Deserialize;
 
 use crate::book::GroupRange;
 
-/// A range as a file states it: `"0x10"`, `"0x10-0x1f"`, `16`, or `[16, 31]`.
+/// A range as written in a file: `"0x10"`, `"0x10-0x1f"`, `16`, or `[16, 31]`.
 #[derive(Clone, Debug, Deserialize)]
-// The text that a reader of `check` sees of a range of another kind, word for word.
+// This text is part of the output of `check` for a range of another type. Operators' tools may match it, so it stays unchanged.
 #[serde(untagged, expecting = "data did not match any variant of untagged enum Stated")]
 pub(crate) enum GroupText {
     Text(String),
@@ -14,7 +14,7 @@
     Pair([u64; 2]),
 }
 
-/// Why a range is rejected.
+/// The reason why a range is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum GroupError {
     #[error("{last:#x} comes before {first:#x}")]
@@ -25,7 +25,7 @@
     TooLarge(String),
 }
 
-/// Sorted, disjoint and as few as can be.
+/// The smallest sorted list of disjoint ranges that covers the stated ones.
 pub(crate) fn normal(stated: &[GroupText]) -> Result<Vec<GroupRange>, GroupError> {
     let mut ranges = stated.iter().map(range).collect::<Result<Vec<_>, _>>()?;
     ranges.sort_unstable();
@@ -54,7 +54,7 @@
     Ok(GroupRange { first, last })
 }
 
-/// Hex with or without `0x`: requests state groups so.
+/// Parses a hexadecimal number with or without `0x`, the notation of groups in requests.
 fn number(text: &str) -> Result<u64, GroupError> {
     let digits = text.trim();
     let digits = digits.strip_prefix("0x").unwrap_or(digits);
@@ -64,7 +64,8 @@
     u64::from_str_radix(digits, 16).map_err(|_| GroupError::TooLarge(text.to_owned()))
 }
 
-/// What both have. Empty means nothing here: the caller minds that an empty set in a selector means any.
+/// The intersection of two lists. An empty list means no groups here, unlike in a selector, where it means any; the caller
+/// handles that case.
 pub(crate) fn both(one: &[GroupRange], other: &[GroupRange]) -> Vec<GroupRange> {
     let (mut at, mut to, mut both) = (0, 0, Vec::new());
     while let (Some(a), Some(b)) = (one.get(at), other.get(to)) {
@@ -77,7 +78,7 @@
     both
 }
 
-/// The first group of the one that the other lacks.
+/// The first group in `one` that is not in `other`.
 pub(crate) fn lacks(one: &[GroupRange], other: &[GroupRange]) -> Option<u64> {
     for range in one {
         let mut next = range.first;
--- a/crates/routing-rules/src/history.rs
+++ b/crates/routing-rules/src/history.rs
@@ -1,4 +1,4 @@
-//! What is remembered of each namespace from merge to merge.
+//! The state that each merge hands on to the next.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,43 +7,45 @@
 
 use crate::state::State;
 
-/// Each namespace's state and last good content. An empty one is that of the very first start.
+/// The state and the last good content of each namespace. The first merge starts with an empty history.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct History {
-    /// How many merges changed something.
+    /// The number of merges that changed something.
     pub step: u64,
     /// The namespaces, by path.
     pub namespaces: BTreeMap<String, Entry>,
 }
 
-/// What is remembered of one namespace.
+/// The history of one namespace.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// Its state.
+    /// The state of the namespace.
     pub state: State,
-    /// The revision whose rules are in the book.
+    /// The revision whose rules are in the book; `None` if the namespace is not in force.
     pub in_force: Option<u64>,
-    /// The last content that was in force. It stays when the file goes, so that an older revision can't return.
+    /// The last content that was in force. It is kept when the file is removed, so that an older revision cannot return.
     pub good: Option<GoodRevision>,
-    /// The digest of the content that is held back: it stays newer than whatever comes after.
+    /// The digest of the content that is held back. That content counts as newer than all later content, so that it does not hold
+    /// later content back.
     pub refused: Option<String>,
-    /// Whether what its parent delegates to it doesn't count, since it was promised beyond what there is, or twice.
+    /// Whether the parent's delegation to this namespace is void, because it exceeds the parent's connections or overlaps another
+    /// delegation.
     #[serde(default)]
     pub void: bool,
 }
 
-/// A content that was in force.
+/// A content that is or was in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GoodRevision {
-    /// The file it was read from.
+    /// The file from which the content was read.
     pub file: String,
-    /// Its revision.
+    /// The revision of the content.
     pub revision: u64,
-    /// Its text.
+    /// The text of the file.
     pub text: Arc<str>,
-    /// The step at which it was taken.
+    /// The step at which the content first came into force.
     pub taken: u64,
 }
--- a/crates/routing-rules/src/ineffective.rs
+++ b/crates/routing-rules/src/ineffective.rs
@@ -1,4 +1,4 @@
-//! Preferences that can never take effect: this needs the requirements of the whole chain above and of all that lies below.
+//! Finds preferences that can never take effect. The check needs the requirements of all ancestors and all descendants.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use crate::inventory::Inventory;
 use crate::node_kind_set::{NodeKindSet, is_requirement};
 
-/// The namespaces in force by their parents.
+/// The namespaces in force, grouped by the path of their parent.
 pub(crate) type Children = BTreeMap<String, Vec<Arc<Compiled>>>;
 
 type Placement<'a> = (&'a Rule, &'a NodeKindSet);
@@ -30,7 +30,8 @@
     children: &Children,
     inventory: &Inventory,
 ) -> Option<Conflict> {
-    // What stands against it differs by request. The deepest is reported, since what lies nearer the root isn't enough.
+    // The rule that defeats the preference differs by request. The deepest of these rules is reported, because the rules nearer
+    // the root do not defeat the preference for all requests.
     let mut reported: Option<(Request, Option<&Rule>)> = None;
     for tenant in tenants(&preference.0.on.tenants, inventory) {
         let mut matching: Vec<Placement> = Vec::new();
@@ -70,7 +71,7 @@
     Some(Conflict::IneffectivePreference { one, other, witness: Witness::new(&request, node) })
 }
 
-/// The requirements of the namespaces below that can match the tenant.
+/// Collects the requirements of the descendants that can match the tenant.
 fn below<'a>(of: &Compiled, tenant: Option<&str>, children: &'a Children, matching: &mut Vec<Placement<'a>>) {
     for child in children.get(of.path()).into_iter().flatten() {
         let tenants = &child.scope.on.tenants;
@@ -87,8 +88,8 @@
     Itself,
 }
 
-/// What stands against a preference on one request. It takes effect if a node that satisfies it is allowed and is not behind
-/// each node that doesn't: behind as the preferences before it order them.
+/// The rule that defeats a preference for one request. The preference takes effect if some allowed node that satisfies it is
+/// not ranked behind every allowed node that does not, in the ranking by the preferences that apply before it.
 fn opposition<'a>(
     preference: Placement,
     matching: Vec<Placement<'a>>,
@@ -118,9 +119,10 @@
         preferred.and(nodes);
         others_left.without(nodes);
         match (preferred.is_empty(), others_left.is_empty()) {
-            // Some satisfying node goes before some other: the preferences agree.
+            // Some satisfying node ranks before some other node, so the preference can take effect.
             (false, false) => return Opposition::Nothing,
-            // Only nodes that this preference leaves alike are left undistinguished.
+            // Every other node ranks before every satisfying node: all other nodes meet this preference, and no satisfying node
+            // does.
             (true, true) => return Opposition::Rule(rule),
             (true, false) => others = others_left,
             (false, true) => satisfying = preferred,
--- a/crates/routing-rules/src/inventory.rs
+++ b/crates/routing-rules/src/inventory.rs
@@ -1,4 +1,4 @@
-//! The inventory that rules are merged for: what exists, and so what requests there can be.
+//! The inventory that rules are merged for: the tenants, classes and nodes that exist.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,8 @@
 
 use crate::book::{Node, Request, Selector};
 
-/// What exists. A request can be met if its class is one of these and its tenant, if it names one, too; groups can be any.
+/// The tenants, classes, node kinds and connections that exist. A request is possible if its class and, if it names one, its
+/// tenant are in the inventory; its group can be any.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Inventory {
@@ -18,12 +19,12 @@
     pub classes: BTreeSet<String>,
     /// The kinds of node that exist: hall and hardware class.
     pub nodes: BTreeSet<(String, String)>,
-    /// The fleet's connections in all.
+    /// The total number of connections of the fleet.
     pub connections: u64,
 }
 
 impl Inventory {
-    /// A inventory in which each hall has nodes of each hardware class.
+    /// Creates an inventory in which each hall has nodes of each hardware class.
     pub fn of(
         root: &str,
         tenants: &[&str],
@@ -43,18 +44,18 @@
         }
     }
 
-    /// The kinds of node, in order.
+    /// The kinds of node, in ascending order.
     pub fn nodes(&self) -> impl Iterator<Item = Node<'_>> {
         self.nodes.iter().map(|(hall, hardware)| Node { hall, hardware })
     }
 
-    /// Whether such a request can come at all.
+    /// Whether the request is possible: its class and its tenant, if any, exist.
     pub fn reaches(&self, request: &Request) -> bool {
         request.tenant.is_none_or(|tenant| self.tenants.contains(tenant))
             && self.classes.contains(request.class)
     }
 
-    /// A request that the selector matches: one that can come, if there is one.
+    /// A request that the selector matches, if possible one that the inventory allows.
     pub(crate) fn sample<'a>(&'a self, on: &'a Selector) -> Request<'a> {
         let known = on.tenants.iter().find(|tenant| self.tenants.contains(*tenant));
         let tenant = known.or(on.tenants.first()).map(String::as_str);
--- a/crates/routing-rules/src/lib.rs
+++ b/crates/routing-rules/src/lib.rs
@@ -1,9 +1,13 @@
-//! Routing rules of many owners and their teams, merged into one book, sans-io: a pure function of a set of files, a history and
-//! an inventory, with no files read, no sockets, no clocks and no chance.
+//! Merges the routing rules of many owners and their teams into one book. The merge is sans-io: a pure function of a set of
+//! files, a history and an inventory, without file access, sockets, clocks or random numbers.
 //!
-//! The invariants: the book is the same whatever the order of the files; a requirement of a namespace holds for every namespace
-//! below it; a file that is rejected holds back its own namespace and changes nothing else; rules that conflict are found here,
-//! each with a witness, and never met at run time. `docs/design/rulebook.md` has the reasons.
+//! Invariants:
+//! - The book does not depend on the order of the files.
+//! - A requirement of a namespace holds for every namespace below it.
+//! - A rejected file holds back its own namespace and changes nothing else.
+//! - Conflicting rules are found by the merge, each with a witness, so that a request never encounters a conflict at run time.
+//!
+//! `docs/design/rulebook.md` has the reasons.
 
 mod book;
 mod cache;
--- a/crates/routing-rules/src/merge.rs
+++ b/crates/routing-rules/src/merge.rs
@@ -1,4 +1,5 @@
-//! The merge: candidates are gathered, conflicts found, and the newest held back, until none conflict.
+//! The merge: gathers the candidates, then repeatedly finds conflicts and holds back the newest namespace in conflict until no
+//! conflict is left.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -15,24 +16,24 @@
 use crate::newest_first::Recency;
 use crate::outcome::{self, Outcome};
 
-/// What came of a merge.
+/// The result of a merge.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Merged {
     /// The book in force.
     pub book: Book,
-    /// What to remember.
+    /// The history to pass to the next merge.
     pub history: History,
-    /// What held namespaces back.
+    /// The conflicts for which namespaces are held back.
     pub conflicts: Vec<Conflict>,
 }
 
-/// Merges the files into one book. The outcome depends on nothing but what is given here, and not on the files' order.
+/// Merges the files into one book. The result depends only on the arguments, and not on the order of the files.
 pub fn merge(last: &History, files: &[RuleFile], inventory: &Inventory) -> Merged {
     Merger::default().merge(last, files, inventory)
 }
 
-/// All that conflicts if the newest content of each namespace is taken as it is, before any is held back: what an operator
-/// asks before files are put in place.
+/// All conflicts of the newest content of each namespace, with nothing held back. An operator runs this check before putting
+/// files in place.
 pub fn check(last: &History, files: &[RuleFile], inventory: &Inventory) -> Vec<Conflict> {
     let mut cache = Cache::default();
     cache.begin(inventory);
@@ -44,23 +45,23 @@
     conflicts
 }
 
-/// How often a merge with conflicts is repeated until its book stays.
+/// The maximum number of times that a merge with conflicts is repeated until its book no longer changes.
 const MOST_ROUNDS: usize = 4;
 
-/// A merge that remembers what it has read and checked, so that one changed file costs little. What it gives is always
-/// what [`merge`] gives.
+/// A merge with a cache of parsed files and completed checks, so that a merge after one changed file is cheap. Its results
+/// always equal those of [`merge`].
 #[derive(Debug, Default)]
 pub struct Merger {
     cache: Cache,
 }
 
 impl Merger {
-    /// See [`merge`].
+    /// Merges the files into one book, as [`merge`] does.
     pub fn merge(&mut self, last: &History, files: &[RuleFile], inventory: &Inventory) -> Merged {
         self.cache.begin(inventory);
         let mut merged = self.merge_once(last, files, inventory);
-        // What came in makes others newer in comparison, so that the same files might come to another book next time. The book
-        // that stays is told at once. Nearly always it is the first.
+        // Accepted content becomes older than the rest, so the next merge of the same files could give another book. The merge is
+        // repeated at once until the book is stable. Nearly always the first book is.
         for _ in 0..MOST_ROUNDS {
             if merged.conflicts.is_empty() {
                 break;
@@ -83,7 +84,8 @@
         let void =
             last.namespaces.iter().filter(|(_, entry)| entry.void).map(|(path, _)| path.clone()).collect();
         let mut held = Vec::new();
-        // Each turn moves one namespace down a step, from new to good to out, or voids one delegation: it ends.
+        // The loop ends because each iteration takes one namespace from its new to its good content or out of the merge, or voids
+        // one delegation.
         let mut round = loop {
             let round = selection.run(inventory, &mut self.cache);
             let recency = Recency { candidates: &selection.candidates, void: &void };
@@ -91,7 +93,8 @@
             selection.hold(&namespace, &why);
             held.push(HoldBack { namespace, why, conflicts: round.conflicts });
         };
-        // What was held back for the sake of one that is now held back itself may come in after all, oldest first.
+        // A namespace held back in favour of one that was later held back itself may be admitted after all. The oldest is tried
+        // first.
         let recency = Recency { candidates: &asked, void: &void };
         let mut out: Vec<String> = held.iter().map(|held| held.namespace.clone()).collect();
         out.sort_by_cached_key(|path| recency.of(path));
@@ -105,7 +108,7 @@
                 }
                 None => true,
             });
-            // One that came in may be the parent of one that didn't.
+            // A namespace admitted in this pass may be the parent of one that was not, so another pass follows.
             if out.len() == before {
                 break;
             }
@@ -125,15 +128,15 @@
     }
 }
 
-/// What is tried together.
+/// The candidates and void delegations that are evaluated together.
 #[derive(Clone)]
 struct Selection {
     candidates: BTreeMap<String, Candidate>,
-    /// The children whose delegations don't count.
+    /// The children whose delegations are void.
     void: BTreeSet<String>,
 }
 
-/// One turn: who was held back, for which conflict, and all conflicts there were.
+/// One hold-back: the namespace, the conflict it was held back for, and all conflicts of that evaluation.
 struct HoldBack {
     namespace: String,
     why: Conflict,
@@ -155,11 +158,12 @@
         {
             self.candidates.remove(namespace);
         }
-        // Delegations are void for what other contents say: which of them is asked anew where one of these changed.
+        // Delegations are void because of other contents. One of those changed, so the void delegations are determined anew.
         self.void.clear();
     }
 
-    /// The same with one of those held back let in, if nothing conflicts then and no other delegation is void for it.
+    /// This selection with one of the held-back namespaces admitted. `None` if that causes a conflict or makes another delegation
+    /// void.
     fn with(
         &self,
         path: &str,
--- a/crates/routing-rules/src/newest_first.rs
+++ b/crates/routing-rules/src/newest_first.rs
@@ -1,25 +1,26 @@
-//! Which namespace of a conflict is held back: the newest.
+//! Chooses the namespace of a conflict that is held back: the newest.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::candidate::{Age, Candidate};
 use crate::conflict::Conflict;
 
-/// What tells how new a namespace is.
+/// The data that determines how new a namespace is.
 pub(crate) struct Recency<'a> {
     pub candidates: &'a BTreeMap<String, Candidate>,
-    /// Those whose delegation didn't count before.
+    /// The namespaces whose delegation was void after the previous merge.
     pub void: &'a BTreeSet<String>,
 }
 
-/// Compares as new: of two that came at once the deeper is the newer; of two of one depth, the later by path.
+/// A sort key; the greater is newer. Of two namespaces of the same age, the deeper is newer; at the same depth, the one with the
+/// greater path.
 type Newness = (Age, usize, String);
 
 impl Recency<'_> {
     /// How new a namespace is.
     pub fn of(&self, path: &str) -> Newness {
         let age = if self.void.contains(path) {
-            // A delegation that didn't count doesn't come to count because the other claimant's file is changed.
+            // A void delegation must not take effect merely because the other claimant's file changed.
             Age::Void
         } else {
             self.candidates.get(path).map_or(Age::Absent, Candidate::age)
@@ -37,7 +38,7 @@
         Some((held_back, conflict.clone()))
     }
 
-    /// The namespace of a conflict that is held back.
+    /// The namespace that is held back for a conflict.
     fn held_back(&self, conflict: &Conflict) -> Option<String> {
         let all = conflict.namespaces();
         let children = conflict.promised_children();
@@ -45,8 +46,8 @@
         if children.is_empty() {
             return newest(all.into_iter().filter(|path| self.candidates.contains_key(*path)).collect());
         }
-        // A delegation is as new as the content it stands in: if the newest of those who promise has a good content
-        // to go back to, it does so before a child pays for its new one.
+        // A delegation is as new as the content that states it. If the newest of the delegating namespaces has a good content to
+        // fall back to, it falls back before any child is held back.
         let promisers = all.into_iter().filter(|path| !children.contains(path)).collect();
         let has_fallback = |path: &String| self.candidates.get(path).is_some_and(Candidate::has_fallback);
         newest(promisers).filter(has_fallback).or_else(|| newest(children.clone()))
--- a/crates/routing-rules/src/node_kind_set.rs
+++ b/crates/routing-rules/src/node_kind_set.rs
@@ -1,18 +1,19 @@
-//! Sets of the inventory's kinds of node, as bits.
+//! Bit sets of the inventory's kinds of node.
 
 use crate::book::{PlacementMode, RuleKind, Strength, selects_node};
 use crate::inventory::Inventory;
 
-/// A set of the inventory's kinds of node, by their order.
+/// A set of the inventory's kinds of node. Bit n stands for the n-th kind in the inventory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct NodeKindSet(Vec<u64>);
 
 impl NodeKindSet {
-    /// All kinds of node.
+    /// The set of all kinds of node.
     pub fn all(inventory: &Inventory) -> NodeKindSet {
         NodeKindSet::of(inventory, |_| true)
     }
 
+    /// The set of the kinds of node for which `has` returns true.
     pub fn of(inventory: &Inventory, mut has: impl FnMut(&crate::book::Node) -> bool) -> NodeKindSet {
         let mut mask = NodeKindSet(vec![0; inventory.nodes.len().div_ceil(64)]);
         for (at, node) in inventory.nodes().enumerate() {
@@ -21,7 +22,7 @@
         mask
     }
 
-    /// The nodes that satisfy a placement: those meant, or those not meant if it avoids.
+    /// The kinds of node that satisfy a placement: the selected ones or, for `Avoid`, all others. `None` for other rule kinds.
     pub fn satisfying(inventory: &Inventory, kind: &RuleKind) -> Option<NodeKindSet> {
         let RuleKind::Place { how, halls, hardware } = kind else { return None };
         Some(NodeKindSet::of(inventory, |node| {
@@ -47,7 +48,7 @@
     }
 }
 
-/// Whether a rule's strength is must.
+/// Whether the strength is [`Strength::Requirement`].
 pub(crate) fn is_requirement(strength: Strength) -> bool {
     strength == Strength::Requirement
 }
--- a/crates/routing-rules/src/outcome.rs
+++ b/crates/routing-rules/src/outcome.rs
@@ -1,4 +1,4 @@
-//! The history after a merge.
+//! Computes the history after a merge.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,13 +9,14 @@
 use crate::history::{Entry, GoodRevision, History};
 use crate::state::{State, StateEvent, StateName};
 
-/// The outcome of a merge.
+/// The last evaluation of a merge, and the candidates it was based on.
 pub(crate) struct Outcome<'a> {
     pub round: &'a EvaluationRound,
     pub taken: &'a CandidateSet,
 }
 
-/// The history after the merge. It is the old one if nothing changed, so that merging the same again changes nothing.
+/// The history after the merge. If nothing changed, it is the old one with the same step, so that repeating a merge changes
+/// nothing.
 pub(crate) fn history(last: &History, outcome: &Outcome) -> History {
     let step = last.step.saturating_add(1);
     let mut next = History { step, ..History::default() };
@@ -39,7 +40,7 @@
         Some(active) => Some(good_revision(active, taken.candidates.get(path), step)),
         None => before.and_then(|entry| entry.good.clone()),
     };
-    // What the file says and isn't in force stays the newest until it changes.
+    // The digest of a held-back content is kept, so that the content counts as the newest until it changes.
     let is_other = |read: &&Arc<ParsedFile>| active.is_none_or(|active| active.read.hash != read.hash);
     let refused = taken.newest.get(path).filter(|read| held_back.is_some() && is_other(read));
     let in_force = active.map(|active| active.read.file.revision);
@@ -47,10 +48,10 @@
     Entry { state, in_force, good, refused: refused.map(|read| digest(read)), void }
 }
 
-/// Why a namespace is held back, and by whom.
+/// The reason why a namespace is held back, and the other namespace of the conflict, if there is one.
 type HeldBack = (String, Option<String>);
 
-/// Below a void delegation nothing conflicts, and nothing is in force.
+/// The reason for a namespace below a void delegation. Such a namespace is not in force, although it has no conflict itself.
 fn below_void(path: &str, taken: &CandidateSet) -> Option<HeldBack> {
     let is_below =
         |void: &&String| path.strip_prefix(void.as_str()).is_some_and(|rest| rest.starts_with('/'));
@@ -59,7 +60,7 @@
     has_content.then(|| (format!("the delegation to {void} doesn't count"), Some(void.clone())))
 }
 
-/// What the merge found of a namespace.
+/// The event that the merge found for a namespace.
 fn event(path: &str, Outcome { round, taken }: &Outcome, is_held_back: bool) -> StateEvent {
     if round.handed.contains_key(path) {
         StateEvent::HandOver
@@ -76,7 +77,7 @@
     }
 }
 
-/// The state that the event leads to. It lasts since the step at which it began.
+/// The state that the event leads to. If the state does not change, it keeps the step since which it holds.
 fn state(
     path: &str,
     before: Option<&Entry>,
@@ -104,7 +105,7 @@
     }
 }
 
-/// The content in force; it was taken at the step at which it came in force first.
+/// The content in force, with the step at which it first came into force.
 fn good_revision(active: &Compiled, candidate: Option<&Candidate>, step: u64) -> GoodRevision {
     let read = &active.read;
     let known = candidate.and_then(|candidate| candidate.good.as_ref());
--- a/crates/routing-rules/src/parsing.rs
+++ b/crates/routing-rules/src/parsing.rs
@@ -1,4 +1,5 @@
-//! Parses a namespace's file: TOML read by serde, then checked for what serde can't say. Each rule keeps its line.
+//! Parses a namespace's file: serde reads the TOML, then further checks follow that the schema does not express. Each rule and
+//! delegation keeps its line.
 
 use std::collections::BTreeMap;
 
@@ -12,10 +13,10 @@
 use crate::file_schema::{FileSchema, OnDoubtSchema, RawDelegate, RawRule};
 use crate::source_text::SourceText;
 
-/// The Retry-After of a rejected client where the file states none, in milliseconds.
+/// The Retry-After of a rejected client if the file states none, in milliseconds.
 const DEFAULT_RETRY_MS: u32 = 1_000;
 
-/// Reads a file. The error names file, line and key.
+/// Parses and checks a file. The error names the file, the line and the key.
 pub fn read(file: &RuleFile) -> Result<NamespaceFile, RuleFileError> {
     let text = checked_text(file)?;
     let source = SourceText::new(&file.path_on_disk, text);
@@ -23,7 +24,7 @@
     check(&source, raw)
 }
 
-/// The file's text, if it is complete and not too large.
+/// The text of the file, if the file is not too large, is UTF-8 and does not look truncated.
 fn checked_text(file: &RuleFile) -> Result<&str, RuleFileError> {
     let error = |why: &str| RuleFileError {
         file: file.path_on_disk.clone(),
@@ -35,7 +36,7 @@
         return Err(error("larger than 1 MiB"));
     }
     let text = std::str::from_utf8(&file.text).map_err(|_| error("not UTF-8"))?;
-    // A cut in the middle of the last line may leave a line that still reads, with another number in it.
+    // A file truncated within its last line may still parse, with a different number in that line.
     if !text.ends_with('\n') {
         return Err(error("doesn't end with a line break: it may have been cut short"));
     }
@@ -59,7 +60,8 @@
     Ok(NamespaceFile { namespace, line, owner: raw.owner, revision, uncertainty_policy, delegates, rules })
 }
 
-/// A cut between two rules leaves a file that reads well; the stated count is there to catch it.
+/// Compares the number of rules with the count stated in the file. A file truncated between two rules still parses; the stated
+/// count detects it.
 fn check_count(
     source: &SourceText,
     stated: Option<Spanned<usize>>,
@@ -107,7 +109,7 @@
         }
         delegates.push(delegate);
     }
-    // What is handed over goes to a child that has a delegation itself.
+    // A child can be handed over only to another child with a delegation in this file.
     for delegate in &delegates {
         if delegate.handed_to.as_ref().is_some_and(|to| *to == delegate.to || !children.contains_key(to)) {
             return Err(source.error(delegate.line, "handed_to", "names no other delegation of this file"));
--- a/crates/routing-rules/src/scope.rs
+++ b/crates/routing-rules/src/scope.rs
@@ -1,4 +1,4 @@
-//! What a namespace was given: what it may speak of, and what it may use.
+//! The scope of a namespace: the requests that its rules may match, and the nodes and connections that it may use.
 
 use std::collections::BTreeSet;
 
@@ -8,20 +8,20 @@
 use crate::groups;
 use crate::inventory::Inventory;
 
-/// What a namespace was given. Empty sets mean any.
+/// The scope that a namespace was granted. An empty set means any.
 #[derive(Clone, Debug)]
 pub(crate) struct Scope {
     pub on: Selector,
     pub halls: BTreeSet<String>,
     pub hardware: BTreeSet<String>,
-    /// Its part of the connections, or that of the nearest above it that has one.
+    /// The namespace's quota of connections, or that of the nearest ancestor that has one.
     pub connections: Option<u64>,
-    /// Where it was given.
+    /// The location of the delegation that grants the scope.
     pub location: RuleLocation,
 }
 
 impl Scope {
-    /// The root's: everything.
+    /// The scope of the root: everything.
     pub fn root(inventory: &Inventory) -> Scope {
         Scope {
             on: Selector::default(),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A child's, out of its parent's. It may be more than the parent has: that is found as a conflict.
+    /// The scope that a delegation grants to a child. It may exceed the parent's scope; the caller reports that as a conflict.
     pub fn child(&self, delegate: &Delegate, location: RuleLocation) -> Scope {
         Scope {
             on: self.narrow(&delegate.tenants, &delegate.classes, &delegate.groups),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// What is named, and what the namespace has where nothing is.
+    /// A selector of the named tenants, classes and groups. Where nothing is named, the scope's own set applies.
     pub fn narrow(
         &self,
         tenants: &BTreeSet<String>,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// What a rule names that the namespace wasn't given, and a witness.
+    /// The kind and name of the first item that a rule names outside the scope, with a witness.
     pub fn rule_beyond(&self, rule: &DeclaredRule, inventory: &Inventory) -> Option<(String, Witness)> {
         let none = BTreeSet::new();
         let (halls, hardware) = match &rule.kind {
@@ -75,7 +75,7 @@
         self.beyond(&rule.tenants, &rule.classes, &rule.groups, halls, hardware, inventory)
     }
 
-    /// What a delegation names that the namespace wasn't given, and a witness.
+    /// The kind and name of the first item that a delegation names outside the scope, with a witness.
     pub fn delegate_beyond(&self, to: &Delegate, inventory: &Inventory) -> Option<(String, Witness)> {
         self.beyond(&to.tenants, &to.classes, &to.groups, &to.halls, &to.hardware, inventory)
     }
@@ -131,7 +131,7 @@
     if named.is_empty() { had.clone() } else { named.clone() }
 }
 
-/// The first name that wasn't given; none if any was.
+/// The first of the names that is not in `given`. `None` if `given` is empty, which means any.
 fn lacks<'a>(names: &'a BTreeSet<String>, given: &BTreeSet<String>) -> Option<&'a str> {
     if given.is_empty() {
         return None;
@@ -139,7 +139,7 @@
     names.iter().find(|name| !given.contains(*name)).map(String::as_str)
 }
 
-/// A request that can come and that both selectors match.
+/// A request that the inventory allows and that both selectors match.
 pub(crate) fn meeting<'a>(
     one: &'a Selector,
     other: &'a Selector,
--- a/crates/routing-rules/src/source_text.rs
+++ b/crates/routing-rules/src/source_text.rs
@@ -1,33 +1,33 @@
-//! Positions and errors in a file's text.
+//! Line numbers and errors for positions in a file's text.
 
 use crate::file::{MAX_NAME_BYTES, RuleFileError};
 
-/// A file's text, for the lines and errors of what is read from it.
+/// The text of a file, with an index of its lines.
 pub(crate) struct SourceText<'a> {
     file: &'a str,
     text: &'a str,
-    /// Where each line starts, so that a line is found without reading the file again.
+    /// The byte offset at which each line starts, so that the line of a position is found by binary search.
     starts: Vec<usize>,
 }
 
 impl<'a> SourceText<'a> {
-    /// The text of this file.
+    /// Indexes the lines of a file's text.
     pub fn new(file: &'a str, text: &'a str) -> Self {
         let newlines = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n').map(|(at, _)| at + 1);
         SourceText { file, text, starts: std::iter::once(0).chain(newlines).collect() }
     }
 
-    /// The line at a position in bytes.
+    /// The line that contains a byte offset, counted from 1.
     pub fn line(&self, at: usize) -> u32 {
         u32::try_from(self.starts.partition_point(|start| *start <= at)).unwrap_or(u32::MAX)
     }
 
-    /// An error about a key on that line.
+    /// An error about a key on a line.
     pub fn error(&self, line: u32, key: &str, why: impl Into<String>) -> RuleFileError {
         RuleFileError { file: self.file.to_owned(), line, key: key.to_owned(), why: why.into() }
     }
 
-    /// The parser's error: the key is what its line starts with.
+    /// Converts an error of the TOML parser. The key is the part of the line before the first `=`.
     pub fn parser_error(&self, error: &toml::de::Error) -> RuleFileError {
         let line = error.span().map_or(0, |span| self.line(span.start));
         let text = self.text.lines().nth((line as usize).saturating_sub(1)).unwrap_or_default();
--- a/crates/routing-rules/src/state.rs
+++ b/crates/routing-rules/src/state.rs
@@ -1,42 +1,42 @@
-//! What becomes of a namespace from merge to merge: its states, and the table of what leads from one to another.
+//! The states of a namespace, and the table of transitions between them.
 
 use serde::{Deserialize, Serialize};
 
-/// The state of a namespace. `since` counts merges that changed something: [`crate::History::step`].
+/// The state of a namespace. `since` is the step at which the state began: see [`crate::History::step`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum State {
-    /// It has no file, and no rules.
+    /// The namespace has no file and no rules.
     #[default]
     Absent,
-    /// Its file is in force.
+    /// The namespace's file is in force.
     Good,
-    /// Its file isn't in force. The last good revision is, if there is one that conflicts with nothing.
+    /// The namespace's file is not in force. The last good revision is in force, if there is one without a conflict.
     HeldBack {
-        /// Since which step.
+        /// The step at which the state began.
         since: u64,
-        /// Why.
+        /// The reason: the text of the conflict.
         why: String,
-        /// The namespace that it conflicts with, if it isn't by itself.
+        /// The other namespace of the conflict, if there is one.
         by: Option<String>,
     },
-    /// Its parent keeps it on its last good revision, whatever its file says.
+    /// The parent keeps the namespace on its last good revision and ignores the namespace's file.
     Frozen {
-        /// Since which step.
+        /// The step at which the state began.
         since: u64,
-        /// The parent.
+        /// The parent that froze the namespace.
         by: String,
     },
-    /// Its parent gave what it had to another namespace; its file counts no more.
+    /// The parent handed the namespace's scope over to another namespace. The namespace's file is ignored.
     HandedOver {
-        /// Since which step.
+        /// The step at which the state began.
         since: u64,
-        /// The namespace that has it now.
+        /// The namespace that took over.
         to: String,
     },
 }
 
-/// A state without its particulars.
+/// A [`State`] without its data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StateName {
     /// [`State::Absent`].
@@ -51,25 +51,25 @@
     HandedOver,
 }
 
-/// What a merge finds of a namespace.
+/// What a merge finds out about a namespace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StateEvent {
-    /// Its file is there, and in force.
+    /// The namespace's file is in force.
     Taken,
-    /// Its file can't be taken by itself: broken, an older revision, two contents of one revision.
+    /// The namespace's file is refused by itself: it is invalid, has an older revision, or is one of two contents of a revision.
     Refused,
-    /// Its file, or its last good revision, conflicts with another namespace or with itself.
+    /// The namespace's file or its last good revision conflicts with another namespace or with itself.
     Conflict,
-    /// Its file is gone.
+    /// The namespace's file has been removed.
     Gone,
-    /// Its parent freezes it.
+    /// The parent freezes the namespace.
     Freeze,
-    /// Its parent hands it over.
+    /// The parent hands the namespace over.
     HandOver,
 }
 
 impl State {
-    /// The state's name.
+    /// The name of the state.
     pub fn name(&self) -> StateName {
         match self {
             State::Absent => StateName::Absent,
@@ -91,14 +91,14 @@
 }
 
 impl StateName {
-    /// All, in the table's order.
+    /// All states, in the order of the table in `docs/design/rulebook.md`.
     pub const ALL: [StateName; 5] =
         [StateName::Absent, StateName::Good, StateName::HeldBack, StateName::Frozen, StateName::HandedOver];
 
     /// The state that the event leads to.
     pub fn next(self, event: StateEvent) -> StateName {
         match (self, event) {
-            // A thaw or the end of a hand-over shows as whatever the file then is.
+            // The end of a freeze or of a hand-over has no event of its own: the event of the file in that merge applies.
             (_, StateEvent::Taken) => StateName::Good,
             (_, StateEvent::Refused | StateEvent::Conflict) => StateName::HeldBack,
             (_, StateEvent::Gone) => StateName::Absent,
@@ -109,7 +109,7 @@
 }
 
 impl StateEvent {
-    /// All, in the table's order.
+    /// All events, in the order of the table in `docs/design/rulebook.md`.
     pub const ALL: [StateEvent; 6] = [
         StateEvent::Taken,
         StateEvent::Refused,
