--- a/crates/routing-rules/benches/merge.rs
+++ b/crates/routing-rules/benches/merge.rs
@@ -1,4 +1,4 @@
-//! What a merge of 10,000 rules in 300 namespaces costs: complete, and after one file changed.
+//! Measures a merge of 10,000 rules in 300 namespaces: a complete merge, and a merge after one file changed.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -15,9 +15,9 @@
 use criterion::{Criterion, criterion_group, criterion_main};
 
 const OWNERS: usize = 60;
-/// Sizes at which the growth is shown.
+/// The numbers of owners for which the growth of the merge is measured.
 const SWEEP: [usize; 4] = [6, 20, 60, 180];
-/// Connections for each owner: no quota is exceeded.
+/// Connections per owner. No quota exceeds them.
 const ENOUGH: u64 = 1_700;
 const TEAMS: usize = 4;
 const RULES: usize = 33;
@@ -62,7 +62,7 @@
              groups = [\"{first:#x}-{:#x}\"]\n{kind}\n",
             first + 0xff
         )
-        .expect("a string takes all");
+        .expect("writing to a String cannot fail");
     }
 }
 
@@ -78,7 +78,7 @@
     RuleFile::new(format!("{path}.toml"), text)
 }
 
-/// The consortium and the namespaces below it, 300 with 60 owners, each with four teams.
+/// The files of the consortium and of the namespaces below it. Each owner has four teams: 60 owners make 300 namespaces.
 fn files(owners: usize) -> Vec<RuleFile> {
     let mut root = head("consortium", 1);
     let mut files = Vec::new();
@@ -88,7 +88,7 @@
             root,
             "[[delegate]]\nto = \"house-{owner}\"\ntenants = {all:?}\nhalls = {HALLS:?}\nconnections = 1600\n"
         )
-        .expect("a string takes all");
+        .expect("writing to a String cannot fail");
         let path = format!("consortium/house-{owner}");
         let mut text = head(&path, 1);
         for team in 0..TEAMS {
@@ -97,28 +97,29 @@
                 "[[delegate]]\nto = \"team-{team}\"\ntenants = {:?}\nconnections = 400\n",
                 &all[team * 2..team * 2 + 2]
             )
-            .expect("a string takes all");
+            .expect("writing to a String cannot fail");
         }
         rules(&mut text, owner, 1, &all);
         files.push(RuleFile::new(format!("{path}.toml"), text));
         files.extend((0..TEAMS).map(|at| team(owner, at, 1)));
     }
     writeln!(root, "[[rule]]\nname = \"no-cellar\"\nplace.avoid = {{ halls = [\"cellar\"] }}\n")
-        .expect("a string takes all");
+        .expect("writing to a String cannot fail");
     rules(&mut root, 0, 1, &(0..owners).map(|owner| tenant(owner, 0)).collect::<Vec<_>>());
     files.push(RuleFile::new("consortium.toml", root));
     files
 }
 
-/// Least, median and mean: on a busy machine they lie far apart, and the least is the work itself.
+/// The minimum, median and mean durations. They differ widely on a busy machine; the minimum is closest to the cost of the work
+/// itself.
 fn timed(times: u32, mut run: impl FnMut() -> Duration) -> [Duration; 3] {
     let mut all: Vec<Duration> = (0..times).map(|_| run()).collect();
     all.sort_unstable();
     [all[0], all[all.len() / 2], all.iter().sum::<Duration>() / times]
 }
 
-/// A merge and what comes of it on the wire, at this many owners; `docs/CAPACITY.md` quotes the lines. The content that
-/// proxies send one another is the ledger, the book, and what is small beside them.
+/// Prints the duration of a merge and the encoded sizes of its results for a number of owners. `docs/CAPACITY.md` quotes the
+/// lines. The history (`ledger_bytes`) and the book make up nearly all of the content that proxies send one another.
 fn growth(owners: usize, connections: u64, times: u32) {
     let (files, world) = (files(owners), world(owners, connections));
     let merged = merge(&History::default(), &files, &world);
@@ -128,8 +129,8 @@
         start.elapsed()
     });
     let text: usize = files.iter().map(|file| file.text.len()).sum();
-    let ledger = postcard::to_allocvec(&merged.history).expect("a ledger has a form").len();
-    let book = postcard::to_allocvec(&merged.book).expect("a book has a form").len();
+    let ledger = postcard::to_allocvec(&merged.history).expect("a history can be encoded").len();
+    let book = postcard::to_allocvec(&merged.book).expect("a book can be encoded").len();
     println!(
         r#"{{"what":"merge","namespaces":{},"rules":{},"conflicts":{},"text_bytes":{text},"ledger_bytes":{ledger},"book_bytes":{book},"least_ms":{:.2},"median_ms":{:.2}}}"#,
         merged.book.namespaces.len(),
@@ -142,7 +143,7 @@
 
 fn bench(criterion: &mut Criterion) {
     SWEEP.into_iter().for_each(|owners| growth(owners, ENOUGH * owners as u64, 5));
-    // The consortium promises more than there is: all but one owner are held back one after another.
+    // The quotas of the owners exceed the connections of the fleet, so the merge holds back one owner after another until they fit.
     growth(180, 100_000, 1);
     let (files, world) = (files(OWNERS), world(OWNERS, ENOUGH * OWNERS as u64));
     let first = merge(&History::default(), &files, &world);
@@ -153,7 +154,7 @@
     criterion.bench_function("whole", |bench| {
         bench.iter(|| black_box(merge(&History::default(), &files, &world)));
     });
-    // Two revisions of one team's file in turn; each merge finds one changed file against what it remembers.
+    // One team's file gets a new revision before each merge, so that each merge finds one changed file compared to its cache.
     let mut changed = files.clone();
     let mut merger = Merger::default();
     let mut history = merger.merge(&History::default(), &files, &world).history;
--- a/crates/routing-rules/tests/common/mod.rs
+++ b/crates/routing-rules/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small universe, files for it in few words, and what random ones look like.
+//! A small inventory, a compact description of rule files for it, and proptest strategies for such files.
 #![allow(dead_code, missing_docs)]
 
 use std::collections::BTreeSet;
@@ -19,7 +19,7 @@
     Inventory::of("r", &TENANTS, &CLASSES, &HALLS, &HARDWARE, FLEET_CONNECTIONS)
 }
 
-/// Each request of the universe; one group beyond those that files name stands for all others.
+/// All requests of the inventory. One group that no file names stands for all other groups.
 pub fn requests() -> Vec<Request<'static>> {
     let mut all = Vec::new();
     for tenant in [None].into_iter().chain(TENANTS.into_iter().map(Some)) {
@@ -36,7 +36,7 @@
     HALLS.iter().flat_map(|hall| HARDWARE.iter().map(|hardware| Node { hall, hardware })).collect()
 }
 
-/// A file of a namespace, in the place that its name says.
+/// A file of a namespace, at the path that corresponds to the namespace.
 pub fn file(namespace: &str, revision: u64, body: &str) -> RuleFile {
     let text = format!("namespace = \"{namespace}\"\nowner = \"someone\"\nrevision = {revision}\n{body}\n");
     RuleFile::new(format!("rules/{namespace}.toml"), text)
@@ -93,7 +93,7 @@
 fn list(key: &str, names: &Names, of: &[&str], to: &mut String, line: &str) {
     if !names.is_empty() {
         let names: Vec<String> = names.iter().map(|at| format!("\"{}\"", of[*at])).collect();
-        write!(to, "{key} = [{}]{line}", names.join(", ")).expect("a string takes all");
+        write!(to, "{key} = [{}]{line}", names.join(", ")).expect("writing to a String cannot fail");
     }
 }
 
@@ -102,7 +102,7 @@
     list("classes", &on.classes, &CLASSES, to, "\n");
     if !on.groups.is_empty() {
         let groups: Vec<String> = on.groups.iter().map(|group| format!("\"{group:#x}\"")).collect();
-        writeln!(to, "groups = [{}]", groups.join(", ")).expect("a string takes all");
+        writeln!(to, "groups = [{}]", groups.join(", ")).expect("writing to a String cannot fail");
     }
 }
 
@@ -117,17 +117,17 @@
     pub fn file(&self) -> RuleFile {
         let mut body = String::new();
         for grant in &self.grants {
-            writeln!(body, "[[delegate]]\nto = \"{}\"", grant.to).expect("a string takes all");
+            writeln!(body, "[[delegate]]\nto = \"{}\"", grant.to).expect("writing to a String cannot fail");
             on(&grant.on, &mut body);
             list("halls", &grant.nodes.halls, &HALLS, &mut body, "\n");
             list("hardware", &grant.nodes.hardware, &HARDWARE, &mut body, "\n");
             if let Some(part) = grant.connections {
-                writeln!(body, "connections = {part}").expect("a string takes all");
+                writeln!(body, "connections = {part}").expect("writing to a String cannot fail");
             }
         }
         for (at, rule) in self.rules.iter().enumerate() {
             writeln!(body, "[[rule]]\nname = \"rule-{at}\"\npriority = {}", rule.priority)
-                .expect("a string takes all");
+                .expect("writing to a String cannot fail");
             on(&rule.on, &mut body);
             let kind = match &rule.what {
                 What::Require(nodes) => format!("place.require = {{ {} }}", placed(nodes)),
@@ -137,7 +137,7 @@
                 What::Cap(connections) => format!("cap.connections = {connections}"),
                 What::Attempts(most) => format!("attempts.most = {most}"),
             };
-            writeln!(body, "{kind}").expect("a string takes all");
+            writeln!(body, "{kind}").expect("writing to a String cannot fail");
         }
         file(&self.path, self.revision, &body)
     }
@@ -170,13 +170,13 @@
         1 => (1..150_u64).prop_map(What::Cap),
         1 => (1..5_u32).prop_map(What::Attempts),
     ];
-    // Most rules speak of all that their namespace has: else hardly any universe would be without conflict.
+    // Most rules apply to the whole scope of their namespace. Otherwise hardly any universe would be free of conflicts.
     let on = prop_oneof![3 => Just(On::default()), 1 => any_on()];
     (on, 0..2_i32, what).prop_map(|(on, priority, what)| RuleSpec { on, priority, what })
 }
 
 fn any_grant(to: &'static str) -> impl Strategy<Value = Option<Grant>> {
-    // Half of the grants are by tenant, as they are in earnest: without that, few files would be without conflict.
+    // Two thirds of the grants name one tenant, as real ones do. Otherwise few files would be free of conflicts.
     let own: usize = if to.ends_with('a') || to.ends_with('x') { 0 } else { 1 };
     let on = prop_oneof![
         1 => any_on(),
@@ -208,7 +208,7 @@
     )
 }
 
-/// A consortium with two houses, of which each may have a team; now and then one has no file.
+/// A root with two children, each of which may have one child itself. Every namespace except the root sometimes has no file.
 pub fn any_universe() -> impl Strategy<Value = Vec<Spec>> {
     let maybe = |path, children| prop::option::weighted(0.85, any_spec(path, children));
     (
--- a/crates/routing-rules/tests/common/oracle.rs
+++ b/crates/routing-rules/tests/common/oracle.rs
@@ -1,4 +1,4 @@
-//! What conflicts by trying each request on each node, without a thought for speed.
+//! A brute-force search for conflicts, which tries each request on each node.
 #![allow(missing_docs)]
 
 use std::cmp::Reverse;
@@ -10,7 +10,7 @@
     CLASSES, FLEET_CONNECTIONS, HALLS, HARDWARE, Names, Nodes, On, Spec, TENANTS, What, nodes, requests,
 };
 
-/// What a namespace has, and what it does with it.
+/// A namespace with its scope, its connections and its rules.
 #[derive(Clone, Debug)]
 pub struct Placed {
     pub depth: usize,
@@ -70,7 +70,7 @@
     }
 }
 
-/// Whether a wish is satisfied; none if it isn't one.
+/// Whether the node satisfies a preference; `None` if `what` is not a preference.
 fn satisfied(what: &What, node: &Node) -> Option<bool> {
     match what {
         What::Prefer(of) => Some(means(of, node)),
@@ -95,7 +95,7 @@
                 let grant = parent_spec.and_then(|spec| spec.grants.iter().find(|grant| grant.to == name));
                 match (above, grant) {
                     (Some(above), Some(grant)) => {
-                        // Nothing is said of a child until its parent has what it gives it.
+                        // A child is not evaluated until its parent itself has what it grants to the child.
                         if beyond(&grant.on, &grant.nodes, &above.on, &above.nodes) {
                             continue;
                         }
@@ -106,7 +106,7 @@
                         let whole = grant.connections.unwrap_or(above.whole);
                         (narrow(&grant.on, &above.on), held, whole, above.depth + 1)
                     }
-                    // Of one below an orphan nothing is said until it is settled whether it has a parent.
+                    // A namespace whose parent has a file but is not evaluated is not evaluated either.
                     (None, _) if parent_spec.is_some() => continue,
                     _ => {
                         found.orphans.insert(spec.path.clone());
@@ -153,7 +153,7 @@
         if spec.grants.iter().filter_map(|grant| grant.connections).sum::<u64>() > whole {
             found.over_committed.insert(spec.path.clone());
         }
-        // What isn't owned is asked no further.
+        // Rules outside the scope are not checked further.
         rules.retain(|(name, ..)| !unowned.contains(name));
         placed.insert(spec.path.clone(), Placed { depth, on, nodes: held, whole, rules });
     }
--- a/crates/routing-rules/tests/conflicts.rs
+++ b/crates/routing-rules/tests/conflicts.rs
@@ -1,4 +1,4 @@
-//! Each kind of conflict by name: who is held back, what the message tells, and what goes on.
+//! Tests of each kind of conflict: which namespace is held back, what the conflict reports, and what stays in force.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -76,7 +76,7 @@
     assert_eq!((one.namespace.as_str(), one.line), ("r/a", 4));
     assert_eq!((other.namespace.as_str(), other.line), ("r/b", 7));
     assert_eq!(witness.tenant.as_deref(), Some("t1"));
-    // Both came at once: the later by path is the younger.
+    // Both are first seen in the same merge, so the one with the greater path counts as newer.
     assert_eq!(in_force(&merged), [("r", 1), ("r/a", 1)]);
 }
 
@@ -237,7 +237,7 @@
         assert!(matches!(only(&merged), Conflict::TwoContents { .. }));
         assert_eq!(in_force(&merged), [("r", 1)]);
     }
-    // The same content twice is one.
+    // Two files with the same content do not conflict.
     let copy = RuleFile::new("rules/copy.toml", one.text.clone());
     assert_eq!(fresh(&[root(), one, copy]).conflicts, []);
 }
@@ -255,7 +255,7 @@
 
 #[test]
 fn readmits_what_conflicted_only_with_held_back_content() {
-    // `b` conflicts with the root's must; `x` only with `b`'s wish for what `b` isn't let do.
+    // The new content of `b` conflicts with a requirement of the root. `x` conflicts only with that content of `b`.
     let parent =
         format!("{ROOT}[[rule]]\nname = \"north\"\ntenants = [\"t1\"]\nplace.require.hardware = [\"w0\"]\n");
     let house = "[[delegate]]\nto = \"x\"\n[[rule]]\nname = \"no\"\nplace.require.hardware = [\"w1\"]\n";
@@ -302,7 +302,7 @@
     assert_eq!(in_force(&held), [("r", 1), ("r/a", 1)]);
     let next = merge(&held.history, &[file("r", 2, &parent), bad.clone()], &world());
     assert_eq!(in_force(&next), [("r", 2), ("r/a", 1)]);
-    // Once what stood against it is gone, it comes in by itself.
+    // Once the conflicting requirement is gone, the held-back content comes into force without a new revision.
     let freed = merge(&next.history, &[file("r", 3, ROOT), bad], &world());
     assert_eq!(in_force(&freed), [("r", 3), ("r/a", 2)]);
 }
--- a/crates/routing-rules/tests/examples.rs
+++ b/crates/routing-rules/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The example rules merge without a conflict, and mean what their comments say.
+//! Tests that the example rules merge without a conflict and have the effects that their comments describe.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -18,7 +18,7 @@
     let names = names.into_iter().chain(["consortium/casa-c"]);
     let file = |name: &str| {
         let path = format!("{name}.toml");
-        let text = std::fs::read(dir.join(&path)).expect("the example is there");
+        let text = std::fs::read(dir.join(&path)).expect("the example file can be read");
         RuleFile::new(format!("examples/rules/{path}"), text)
     };
     names.map(file).collect()
@@ -44,24 +44,24 @@
     let ask = |tenant, class, group, hall, hardware| {
         effective(&merged.book, &Request { tenant, class, group }, &Node { hall, hardware })
     };
-    // Verlag B's print goes to the east's large nodes alone; nobody's goes to a small one.
+    // Print requests of Verlag B go only to large nodes in the east. No print request goes to a small node.
     assert!(ask(Some("verlag-b"), "print", None, "east", "large").allowed);
     assert!(!ask(Some("verlag-b"), "print", None, "north", "large").allowed);
     assert!(!ask(None, "print", None, "north", "small").allowed);
-    // Edições A keeps out of the east, its team with it, and the team's wish for the south counts for its own tenant.
+    // Edições A and its team avoid the east. The team's preference for the south applies to the team's own tenant.
     assert!(!ask(Some("edicoes-a-opera"), "proof", None, "east", "large").allowed);
     let opera = ask(Some("edicoes-a-opera"), "proof", Some(0x123), "south", "large");
     assert_eq!(opera.preferences, [("consortium/edicoes-a/opera:opera-in-the-south".to_owned(), true)]);
     assert_eq!((opera.spread, opera.move_when), (Some(3), Some(MoveCondition::DrainsOnly)));
     assert_eq!(opera.uncertainty_policy, Some(UncertaintyPolicy::Refuse { retry_ms: 2_000 }));
-    // The least number of attempts counts.
+    // The lowest limit on attempts applies.
     assert_eq!(ask(Some("verlag-b"), "proof", None, "east", "large").attempts, Some(2));
     assert_eq!(ask(Some("edicoes-a"), "proof", None, "north", "large").attempts, Some(4));
-    // The delegated parts are caps of their own.
+    // Each delegated quota is a separate cap.
     let caps = ask(Some("edicoes-a-opera"), "proof", None, "south", "large").caps;
     assert_eq!(caps.iter().map(|(_, connections)| *connections).max(), Some(4_000));
     assert_eq!(caps.len(), 3);
-    // Casa C has the archive's old groups, not the others.
+    // Casa C owns only the old groups of the archive.
     assert_eq!(ask(Some("archive"), "print", Some(0x4001), "north", "vast").paces.len(), 1);
     assert_eq!(ask(Some("archive"), "print", Some(0x5001), "north", "vast").paces.len(), 0);
     assert!(!ask(Some("archive"), "print", Some(0x8000), "north", "large").allowed);
--- a/crates/routing-rules/tests/files.rs
+++ b/crates/routing-rules/tests/files.rs
@@ -1,4 +1,4 @@
-//! Files that can't be taken: where the error points, and that nothing else changes.
+//! Tests of invalid files: the error names the file, line and key, and no other namespace changes.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -25,7 +25,7 @@
     let body = "on_doubt = \"refuse\"\nretry_ms = 250\nrules = 2\n\n\
                 [[delegate]]\nto = \"x\"\ngroups = [\"0x10-0x1f\", [32, 33], 7, \"ffffffffffffffff\"]\n\n\
                 [[rule]]\nname = \"one\"\npace.per_s = 2.5\n\n[[rule]]\nname = \"two\"\nmove = \"drains-only\"\nstrength = \"wish\"\n";
-    let content = read(&file("r/a", 9, body)).expect("it is whole");
+    let content = read(&file("r/a", 9, body)).expect("the file is valid");
     assert_eq!(
         (content.revision, content.uncertainty_policy),
         (9, UncertaintyPolicy::Refuse { retry_ms: 250 })
@@ -93,9 +93,9 @@
         "rules = 2\n[[rule]]\nname = \"m\"\nattempts.most = 22\n[[rule]]\nname = \"n\"\nspread.nodes = 3",
     );
     assert!(read(&whole).is_ok());
-    // The count stands on the fourth line.
+    // The stated count of rules is on the fourth line, before the first rule.
     let text = String::from_utf8_lossy(&whole.text);
-    let counted = text.find("[[rule]]").expect("it has rules");
+    let counted = text.find("[[rule]]").expect("the file has rules");
     for cut in
         (0..whole.text.len()).filter(|cut| *cut >= counted || whole.text[..*cut].last() != Some(&b'\n'))
     {
@@ -119,12 +119,12 @@
         if why.starts_with("rules/r/a.toml:1: namespace")),
         "{state:?}"
     );
-    // The name it was last read under counts as well, and one that is nobody's holds nobody back.
+    // A broken file whose path belongs to no namespace holds no namespace back.
     let anyone = RuleFile::new("nobody.toml", "namespace = \n");
     let merged = merge(&first.history, &[good.as_slice(), &[anyone]].concat(), &world());
     assert_eq!(merged.book, first.book);
     assert!(matches!(&merged.conflicts[..], [Conflict::Broken { namespace: None, .. }]));
-    // The first start: the file's place tells whose it is.
+    // In a first merge, without a history, the path of the file tells which namespace it belongs to.
     let merged = merge(&History::default(), &[good[0].clone(), broken], &world());
     assert!(
         matches!(&merged.conflicts[..], [Conflict::Broken { namespace: Some(path), .. }] if path == "r/a")
@@ -157,7 +157,7 @@
 
     #[test]
     fn any_bytes_never_panic_and_change_no_other_namespace(universe in any_universe(), bytes in anything(), at in 0..5_usize) {
-        // The last good state, then one file overwritten by anything.
+        // Merges good files, then overwrites one of them with arbitrary bytes.
         let good = files(&universe);
         let first = merge(&History::default(), &good, &world());
         let settled = merge(&first.history, &good, &world());
@@ -167,7 +167,7 @@
         let path = &universe[at].path;
         let merged = merge(&first.history, &bad, &world());
         if read(&bad[at]).is_err() {
-            // What was out may come in now that it is alone; nothing that was in force changes or goes.
+            // A namespace that was held back may come into force now. No rule that was in force changes or disappears.
             for rule in &settled.book.rules {
                 prop_assert!(merged.book.rules.contains(rule), "{path}: {rule:?} is gone");
             }
--- a/crates/routing-rules/tests/oracle.rs
+++ b/crates/routing-rules/tests/oracle.rs
@@ -1,4 +1,4 @@
-//! Conflicts and merges over small universes, against brute force.
+//! Compares the conflicts and merges of small random universes with a brute-force oracle.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -21,7 +21,7 @@
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 
-/// The crate's conflicts in the oracle's terms.
+/// Converts the crate's conflicts to the oracle's representation.
 fn told(conflicts: &[Conflict]) -> Found {
     let mut found = Found::default();
     for conflict in conflicts {
@@ -47,17 +47,17 @@
             Conflict::IneffectivePreference { one, .. } => {
                 found.idle.insert((one.namespace.clone(), one.name.clone()));
             }
-            other => panic!("not in these universes: {other}"),
+            other => panic!("the universes cannot contain this conflict: {other}"),
         }
     }
     found
 }
 
-/// The conflict's own request and node show it, by the book that the files would make as they are.
+/// Checks that the witness of a conflict demonstrates it, by the rules and delegations as declared in the files.
 fn witness_is_real(conflict: &Conflict, universe: &[common::Spec]) -> Result<(), TestCaseError> {
-    let witness = conflict.witness().expect("these have one");
+    let witness = conflict.witness().expect("all conflicts of these universes have a witness");
     let request = witness.request();
-    let spec = |path: &str| universe.iter().find(|spec| spec.path == path).expect("it has a file");
+    let spec = |path: &str| universe.iter().find(|spec| spec.path == path).expect("the namespace has a file");
     match conflict {
         Conflict::NoNode { requirements, .. } => {
             let rules: Vec<_> =
@@ -70,10 +70,10 @@
             for skip in 0..rules.len() {
                 prop_assert!(
                     nodes().iter().any(|node| allowed(Some(skip), node)),
-                    "one to spare: {conflict}"
+                    "the set of requirements is not minimal: {conflict}"
                 );
             }
-            let node = witness.node().expect("there is a node without the last must");
+            let node = witness.node().expect("the witness names a node");
             prop_assert!(allowed(Some(rules.len() - 1), &node), "{conflict}");
         }
         Conflict::IneffectivePreference { one, .. } => {
@@ -82,9 +82,12 @@
         }
         Conflict::SameSubject { one, other, parent, .. } => {
             for child in [one, other] {
-                let name = child.namespace.rsplit('/').next().expect("a path has a last part");
+                let name = child.namespace.rsplit('/').next().expect("split returns at least one part");
                 let grant = spec(&parent.namespace).grants.iter().find(|grant| grant.to == name);
-                prop_assert!(oracle::speaks(&grant.expect("it is delegated").on, &request), "{conflict}");
+                prop_assert!(
+                    oracle::speaks(&grant.expect("the parent delegates to the child").on, &request),
+                    "{conflict}"
+                );
             }
         }
         Conflict::NotOwned { one, .. } if !one.name.starts_with("delegate") => {
@@ -104,28 +107,31 @@
     }
 }
 
-/// A rule as it is stated, without what its namespace narrows it to: its witness has to fit the wider form too.
+/// A rule as declared, not narrowed to the scope of its namespace. A witness of the narrowed rule matches the declared rule too.
 fn rule_of(universe: &[common::Spec], path: &str, name: &str) -> (common::On, common::What) {
-    let spec = universe.iter().find(|spec| spec.path == path).expect("it has a file");
+    let spec = universe.iter().find(|spec| spec.path == path).expect("the namespace has a file");
     if let Some(at) = name.strip_prefix("rule-") {
-        let rule = &spec.rules[at.parse::<usize>().expect("a number")];
+        let rule = &spec.rules[at.parse::<usize>().expect("a rule name ends with its index")];
         return (rule.on.clone(), rule.what.clone());
     }
-    let child = name.strip_prefix("delegate.").and_then(|name| name.strip_suffix(".nodes")).expect("a grant");
-    let grant = spec.grants.iter().find(|grant| grant.to == child).expect("it is delegated");
+    let child = name
+        .strip_prefix("delegate.")
+        .and_then(|name| name.strip_suffix(".nodes"))
+        .expect("the rule is implied by a delegation");
+    let grant = spec.grants.iter().find(|grant| grant.to == child).expect("the delegation exists");
     (grant.on.clone(), common::What::Require(grant.nodes.clone()))
 }
 
-/// No request that a requirement speaks of is without a node, whatever namespaces the requirements are of.
+/// Checks that the book allows at least one node for each request, across the requirements of all namespaces.
 fn each_request_has_a_node(book: &Book) -> Result<(), TestCaseError> {
     for request in requests() {
         let some = nodes().iter().any(|node| effective(book, &request, node).allowed);
-        prop_assert!(some, "{request:?} has no node");
+        prop_assert!(some, "no node is allowed for {request:?}");
     }
     Ok(())
 }
 
-/// As many as take some seconds in debug; `PROPTEST_CASES` asks for more.
+/// The number of proptest cases. The default of 200 takes some seconds in a debug build; `PROPTEST_CASES` overrides it.
 fn cases() -> u32 {
     std::env::var("PROPTEST_CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(200)
 }
@@ -146,7 +152,7 @@
     fn what_is_left_has_no_conflict(universe in any_universe()) {
         let merged = merge(&History::default(), &files(&universe), &world());
         each_request_has_a_node(&merged.book)?;
-        // What is in force, without the delegations that were voided, is without conflict by brute force too.
+        // The oracle finds no conflict either in the namespaces in force without the void delegations.
         let in_force: BTreeSet<&str> = merged.book.namespaces.iter().map(|owner| owner.path.as_str()).collect();
         let mut left = universe.clone();
         left.retain(|spec| in_force.contains(spec.path.as_str()));
@@ -158,20 +164,21 @@
             });
         }
         let found = oracle::conflicts(&left);
-        // An orphan's or a held back child's delegation may still count; only what it doesn't change is compared.
+        // The delegation to an orphan or a held-back child may still be valid, although `left` lacks it. Only the kinds of
+        // conflict that such a delegation does not affect are compared.
         prop_assert_eq!(&found.not_owned, &BTreeSet::new());
         prop_assert_eq!(&found.no_node, &BTreeSet::new());
         prop_assert_eq!(&found.orphans, &BTreeSet::new());
         prop_assert_eq!(&found.same_subject, &BTreeSet::new());
         prop_assert_eq!(&found.over_committed, &BTreeSet::new());
-        // Each that isn't in force is held back, and a conflict names it or what lies above it and is void.
+        // Each namespace that is not in force is held back. A conflict names it, or an ancestor whose delegation is void.
         for spec in universe.iter().filter(|spec| !in_force.contains(spec.path.as_str())) {
             let state = &merged.history.namespaces[&spec.path].state;
             prop_assert!(matches!(state, State::HeldBack { .. }), "{}: {state:?}", spec.path);
             let above = merged.history.namespaces.iter().filter(|(_, entry)| entry.void);
             let mut above = above.map(|(path, _)| path).filter(|path| spec.path.starts_with(&format!("{path}/")));
             let named = |path: &String| merged.conflicts.iter().any(|of| of.namespaces().contains(&path.as_str()));
-            prop_assert!(named(&spec.path) || above.any(named), "{} is out, unnamed", spec.path);
+            prop_assert!(named(&spec.path) || above.any(named), "no conflict names {}, which is not in force", spec.path);
         }
     }
 
@@ -186,14 +193,14 @@
         let shuffled: Vec<RuleFile> = order.iter().map(|at| sorted[*at].clone()).collect();
         let merged = merge(&History::default(), &sorted, &world());
         prop_assert_eq!(&merged, &merge(&History::default(), &shuffled, &world()));
-        let bytes = toml::to_string(&merged.book).expect("a book is written");
+        let bytes = toml::to_string(&merged.book).expect("a book can be serialised");
         let again = merge(&merged.history, &shuffled, &world());
         prop_assert_eq!(&again.book, &merged.book);
-        prop_assert_eq!(bytes, toml::to_string(&again.book).expect("a book is written"));
+        prop_assert_eq!(bytes, toml::to_string(&again.book).expect("a book can be serialised"));
         let third = merge(&again.history, &sorted, &world());
         prop_assert_eq!(&third, &again);
-        let text = toml::to_string(&merged.history).expect("a ledger is written");
-        prop_assert_eq!(toml::from_str::<History>(&text).expect("and read"), merged.history);
+        let text = toml::to_string(&merged.history).expect("a history can be serialised");
+        prop_assert_eq!(toml::from_str::<History>(&text).expect("a serialised history can be parsed"), merged.history);
     }
 
     #[test]
@@ -217,8 +224,8 @@
                 }
             }
         }
-        // The root's own rules are all in force, whatever stands below: of two that conflict the deeper is the younger.
-        // What it holds against itself alone, a child's requirements may settle, so that is left out.
+        // The root's own rules are all in force, whatever is below, because the deeper of two namespaces in conflict counts as
+        // newer. Universes in which the root conflicts with itself are left out: a child's requirements may resolve that conflict.
         let alone = merge(&History::default(), &files(&universe[..1]), &world());
         let own = |book: &Book| {
             let own = book.rules.iter().filter(|rule| rule.namespace == "r" && rule.name.starts_with("rule-"));
@@ -239,12 +246,12 @@
         let mut merger = Merger::default();
         let mut history = History::default();
         for (step, (mut universe, hall)) in steps.into_iter().enumerate() {
-            // Mostly newer revisions; now and then an old one, or the same with another content.
+            // Most files get a newer revision; some get an older one, or the same revision with another content.
             for spec in &mut universe {
                 spec.revision += step as u64;
             }
             let mut world = world();
-            // Now and then a hall is gone.
+            // In one of four steps, only hall `h1` is left.
             if hall == 0 {
                 world.nodes.retain(|(hall, _)| hall == "h1");
             }
@@ -262,13 +269,14 @@
     }
 }
 
-/// Were the universes without conflicts of a kind, the comparison would tell nothing of it.
+/// Guards against strategies that never generate some kind of conflict: the comparison with the oracle would not test it.
 #[test]
 fn universes_have_conflicts_of_each_kind() {
     let mut runner = proptest::test_runner::TestRunner::deterministic();
     let (mut sum, mut none) = ([0_usize; 7], 0);
     for _ in 0..400 {
-        let universe = any_universe().new_tree(&mut runner).expect("universes are made").current();
+        let universe =
+            any_universe().new_tree(&mut runner).expect("the strategy generates a universe").current();
         let found = oracle::conflicts(&universe);
         let kinds = [
             found.orphans.len(),
@@ -282,5 +290,8 @@
         none += usize::from(found == Found::default());
         sum.iter_mut().zip(kinds).for_each(|(sum, kind)| *sum += kind);
     }
-    assert!(sum.iter().all(|kind| *kind >= 10) && none >= 4, "{sum:?}, {none} without any");
+    assert!(
+        sum.iter().all(|kind| *kind >= 10) && none >= 4,
+        "conflicts by kind: {sum:?}; universes without conflicts: {none}"
+    );
 }
--- a/crates/routing-rules/tests/table.rs
+++ b/crates/routing-rules/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table of states in the design document is the table in the code.
+//! Tests that the table of state transitions in the design document equals the one in the code.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -13,7 +13,7 @@
 #[test]
 fn the_documents_table_is_the_codes() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/design/rulebook.md");
-    let text = std::fs::read_to_string(path).expect("the document is there");
+    let text = std::fs::read_to_string(path).expect("the design document can be read");
     let rows: Vec<Vec<String>> = text
         .lines()
         .filter(|line| line.starts_with('|'))
@@ -27,11 +27,11 @@
     let head: Vec<String> = std::iter::once("from".to_owned())
         .chain(StateEvent::ALL.iter().map(|event| plain(format!("{event:?}"))))
         .collect();
-    assert!(rows.contains(&head), "no head {head:?}");
+    assert!(rows.contains(&head), "the document has no table head {head:?}");
     for name in StateName::ALL {
         let row: Vec<String> = std::iter::once(plain(format!("{name:?}")))
             .chain(StateEvent::ALL.iter().map(|event| plain(format!("{:?}", name.next(*event)))))
             .collect();
-        assert!(rows.contains(&row), "no row {row:?}");
+        assert!(rows.contains(&row), "the document has no table row {row:?}");
     }
 }
