--- a/crates/routing-rules/src/cache.rs
+++ b/crates/routing-rules/src/cache.rs
@@ -16,7 +16,8 @@
 struct CachedFile {
     text: Vec<u8>,
     outcome: Result<Arc<ParsedFile>, RuleFileError>,
-    turn: u64,
+    /// The number of the last merge that used the file.
+    last_used: u64,
 }
 
 /// Parsed files, compiled namespaces and ineffective preferences of the previous merge.
@@ -28,13 +29,13 @@
     compiled: HashMap<[u8; 32], (Arc<Compiled>, u64)>,
     ineffective: HashMap<[u8; 32], (Vec<Conflict>, u64)>,
     inventory: Inventory,
-    turn: u64,
+    merge_number: u64,
 }
 
 impl Cache {
     /// Begins a merge. Compiled namespaces depend on the inventory, so a different inventory clears them.
-    pub fn begin(&mut self, inventory: &Inventory) {
-        self.turn += 1;
+    pub fn begin_merge(&mut self, inventory: &Inventory) {
+        self.merge_number += 1;
         if self.inventory != *inventory {
             self.inventory = inventory.clone();
             self.compiled.clear();
@@ -43,20 +44,20 @@
     }
 
     /// Ends a merge: removes all entries that it did not use.
-    pub fn end(&mut self) {
-        let turn = self.turn;
+    pub fn end_merge(&mut self) {
+        let merge_number = self.merge_number;
         self.files.retain(|_, cached| {
-            cached.retain(|cached| cached.turn == turn);
+            cached.retain(|cached| cached.last_used == merge_number);
             !cached.is_empty()
         });
-        self.compiled.retain(|_, (_, used)| *used == turn);
-        self.ineffective.retain(|_, (_, used)| *used == turn);
+        self.compiled.retain(|_, (_, last_used)| *last_used == merge_number);
+        self.ineffective.retain(|_, (_, last_used)| *last_used == merge_number);
     }
 
-    pub fn read(&mut self, file: &RuleFile) -> Result<Arc<ParsedFile>, RuleFileError> {
-        let turn = self.turn;
-        if let Some(cached) = self.find(&file.path_on_disk, &file.text) {
-            cached.turn = turn;
+    pub fn parse(&mut self, file: &RuleFile) -> Result<Arc<ParsedFile>, RuleFileError> {
+        let merge_number = self.merge_number;
+        if let Some(cached) = self.find_file(&file.path_on_disk, &file.text) {
+            cached.last_used = merge_number;
             return cached.outcome.clone();
         }
         let outcome = parsing::read(file).map(|content| {
@@ -64,52 +65,57 @@
             let text = String::from_utf8_lossy(&file.text);
             Arc::new(ParsedFile::new(content, file.path_on_disk.clone(), Arc::from(text.as_ref())))
         });
-        let cached = CachedFile { text: file.text.clone(), outcome: outcome.clone(), turn };
+        let cached =
+            CachedFile { text: file.text.clone(), outcome: outcome.clone(), last_used: merge_number };
         self.files.entry(file.path_on_disk.clone()).or_default().push(cached);
         outcome
     }
 
     /// Parses the text of a good revision again, or takes it from the cache. `None` if it can no longer be parsed.
-    pub fn reread(&mut self, path_on_disk: &str, text: &Arc<str>) -> Option<Arc<ParsedFile>> {
-        let turn = self.turn;
-        match self.find(path_on_disk, text.as_bytes()) {
+    pub fn parse_good_revision(&mut self, path_on_disk: &str, text: &Arc<str>) -> Option<Arc<ParsedFile>> {
+        let merge_number = self.merge_number;
+        match self.find_file(path_on_disk, text.as_bytes()) {
             Some(cached) => {
-                cached.turn = turn;
+                cached.last_used = merge_number;
                 cached.outcome.clone().ok()
             }
-            None => self.read(&RuleFile::new(path_on_disk, text.as_bytes())).ok(),
+            None => self.parse(&RuleFile::new(path_on_disk, text.as_bytes())).ok(),
         }
     }
 
-    fn find(&mut self, path_on_disk: &str, text: &[u8]) -> Option<&mut CachedFile> {
+    fn find_file(&mut self, path_on_disk: &str, text: &[u8]) -> Option<&mut CachedFile> {
         self.files.get_mut(path_on_disk)?.iter_mut().find(|cached| cached.text == text)
     }
 
     pub fn compiled(
         &mut self,
         parent: Option<&Arc<Compiled>>,
-        read: &Arc<ParsedFile>,
+        parsed: &Arc<ParsedFile>,
         void: &[&str],
     ) -> Arc<Compiled> {
-        let key = Compiled::key(parent.map(Arc::as_ref), read, void);
-        if let Some((compiled, used)) = self.compiled.get_mut(&key) {
-            *used = self.turn;
+        let key = Compiled::key(parent.map(Arc::as_ref), parsed, void);
+        if let Some((compiled, last_used)) = self.compiled.get_mut(&key) {
+            *last_used = self.merge_number;
             return compiled.clone();
         }
-        let compiled = Arc::new(compile(key, parent.cloned(), read.clone(), void, &self.inventory));
-        self.compiled.insert(key, (compiled.clone(), self.turn));
+        let compiled = Arc::new(compile(key, parent.cloned(), parsed.clone(), void, &self.inventory));
+        self.compiled.insert(key, (compiled.clone(), self.merge_number));
         compiled
     }
 
-    /// The ineffective preferences of a namespace. `subtree` is a digest of the namespace, its ancestors and its descendants.
-    pub fn ineffective(&mut self, of: &Compiled, subtree: [u8; 32], children: &Children) -> &[Conflict] {
-        let turn = self.turn;
+    /// The ineffective preferences of a namespace. `subtree_digest` is a digest of the namespace, its ancestors and its descendants.
+    pub fn ineffective(
+        &mut self,
+        namespace: &Compiled,
+        subtree_digest: [u8; 32],
+        children: &Children,
+    ) -> &[Conflict] {
+        let merge_number = self.merge_number;
         let inventory = &self.inventory;
-        let cached = self
-            .ineffective
-            .entry(subtree)
-            .or_insert_with(|| (ineffective::preferences(of, children, inventory), turn));
-        cached.1 = turn;
+        let cached = self.ineffective.entry(subtree_digest).or_insert_with(|| {
+            (ineffective::ineffective_preferences(namespace, children, inventory), merge_number)
+        });
+        cached.1 = merge_number;
         &cached.0
     }
 }
--- a/crates/routing-rules/src/candidate.rs
+++ b/crates/routing-rules/src/candidate.rs
@@ -35,18 +35,18 @@
     /// The last good content, and the step at which it was accepted.
     pub good: Option<(Arc<ParsedFile>, u64)>,
     /// The digest of the content that an earlier merge held back.
-    refused: Option<String>,
+    held_back_digest: Option<String>,
 }
 
 impl Candidate {
     /// The content that the merge tries: the new one, otherwise the last good one.
-    pub fn read(&self) -> Option<&Arc<ParsedFile>> {
-        self.new.as_ref().or(self.good.as_ref().map(|(read, _)| read))
+    pub fn content(&self) -> Option<&Arc<ParsedFile>> {
+        self.new.as_ref().or(self.good.as_ref().map(|(parsed, _)| parsed))
     }
 
     pub fn age(&self) -> Age {
-        let Some(read) = self.read() else { return Age::Absent };
-        if self.refused.as_deref() == Some(&digest(read)) {
+        let Some(parsed) = self.content() else { return Age::Absent };
+        if self.held_back_digest.as_deref() == Some(&digest(parsed)) {
             return Age::HeldBackBefore;
         }
         match (&self.new, &self.good) {
@@ -65,8 +65,8 @@
     }
 }
 
-pub(crate) fn digest(read: &ParsedFile) -> String {
-    blake3::Hash::from(read.hash).to_hex().to_string()
+pub(crate) fn digest(parsed: &ParsedFile) -> String {
+    blake3::Hash::from(parsed.hash).to_hex().to_string()
 }
 
 /// The candidates of all namespaces, and the files that were refused, before the namespaces are checked against one another.
@@ -77,8 +77,8 @@
     pub newest: BTreeMap<String, Arc<ParsedFile>>,
     /// The namespaces whose file is refused by itself or that are held back for a conflict, with the reason and the other
     /// namespace of the conflict.
-    pub held: BTreeMap<String, (String, Option<String>)>,
-    /// The namespaces in `held` whose file is refused by itself.
+    pub held_back: BTreeMap<String, (String, Option<String>)>,
+    /// The namespaces in `held_back` whose file is refused by itself.
     pub refused: Vec<String>,
     pub conflicts: Vec<Conflict>,
     /// The children whose delegations are void.
@@ -86,16 +86,16 @@
 }
 
 /// Parses the files and collects the candidate of each namespace.
-pub(crate) fn gather(
+pub(crate) fn collect_candidates(
     last: &History,
     files: &[RuleFile],
     inventory: &Inventory,
     cache: &mut Cache,
 ) -> CandidateSet {
     let mut set = CandidateSet::default();
-    let (by_namespace, broken) = read_files(files, cache);
-    for (path, reads) in by_namespace {
-        add_readable(&mut set, &path, &reads, last, inventory, cache);
+    let (by_namespace, broken) = parse_files(files, cache);
+    for (path, parsed_files) in by_namespace {
+        add_readable(&mut set, &path, &parsed_files, last, inventory, cache);
     }
     for error in broken {
         add_broken(&mut set, error, last, inventory, cache);
@@ -103,15 +103,15 @@
     // A frozen namespace stays in force even if its file is removed. This loop runs last because the freeze is stated in the
     // parent's file.
     for (path, entry) in &last.namespaces {
-        if !set.candidates.contains_key(path) && entry.good.is_some() && frozen(path, &set) {
-            candidate(&mut set, path, None, Some(entry), cache);
+        if !set.candidates.contains_key(path) && entry.good.is_some() && is_frozen(path, &set) {
+            insert_candidate(&mut set, path, None, Some(entry), cache);
         }
     }
     set
 }
 
 /// The readable files by namespace, and the errors of the others. The result does not depend on the order of the files.
-fn read_files(
+fn parse_files(
     files: &[RuleFile],
     cache: &mut Cache,
 ) -> (BTreeMap<String, Vec<Arc<ParsedFile>>>, Vec<RuleFileError>) {
@@ -121,8 +121,8 @@
     let mut broken = Vec::new();
     let mut by_namespace = BTreeMap::<String, Vec<Arc<ParsedFile>>>::new();
     for file in files {
-        match cache.read(file) {
-            Ok(read) => by_namespace.entry(read.file.namespace.clone()).or_default().push(read),
+        match cache.parse(file) {
+            Ok(parsed) => by_namespace.entry(parsed.file.namespace.clone()).or_default().push(parsed),
             Err(error) => broken.push(error),
         }
     }
@@ -133,27 +133,27 @@
 fn add_readable(
     set: &mut CandidateSet,
     path: &str,
-    reads: &[Arc<ParsedFile>],
+    parsed_files: &[Arc<ParsedFile>],
     last: &History,
     inventory: &Inventory,
     cache: &mut Cache,
 ) {
     let entry = last.namespaces.get(path);
-    let checked = newest(reads, inventory).and_then(|read| {
-        set.newest.insert(path.to_owned(), read.clone());
-        match entry.and_then(|entry| good(entry, cache)) {
-            Some((good, _)) => fits(&read, &good, inventory).map(|()| read),
-            None => Ok(read),
+    let checked = newest_revision(parsed_files, inventory).and_then(|parsed| {
+        set.newest.insert(path.to_owned(), parsed.clone());
+        match entry.and_then(|entry| last_good(entry, cache)) {
+            Some((good, _)) => check_revision(&parsed, &good, inventory).map(|()| parsed),
+            None => Ok(parsed),
         }
     });
     let new = match checked {
-        Ok(read) => Some(read),
+        Ok(parsed) => Some(parsed),
         Err(conflict) => {
-            refuse(set, path, *conflict);
+            refuse_file(set, path, *conflict);
             None
         }
     };
-    candidate(set, path, new, entry, cache);
+    insert_candidate(set, path, new, entry, cache);
 }
 
 /// Adds the conflict for an unreadable file and, if its namespace is known, the last good content of that namespace.
@@ -164,85 +164,92 @@
     inventory: &Inventory,
     cache: &mut Cache,
 ) {
-    let path = whose(&error, last, set, inventory);
+    let path = namespace_of_broken_file(&error, last, set, inventory);
     let conflict = Conflict::Broken { namespace: path.clone(), error };
     match path {
         Some(path) => {
-            refuse(set, &path, conflict);
-            candidate(set, &path, None, last.namespaces.get(&path), cache);
+            refuse_file(set, &path, conflict);
+            insert_candidate(set, &path, None, last.namespaces.get(&path), cache);
         }
         None => set.conflicts.push(conflict),
     }
 }
 
-fn frozen(path: &str, taken: &CandidateSet) -> bool {
-    let parent = crate::compiled::parent_of(path).and_then(|parent| taken.candidates.get(parent));
-    let delegate = parent.and_then(Candidate::read).and_then(|read| read.delegate(path));
+fn is_frozen(path: &str, set: &CandidateSet) -> bool {
+    let parent = crate::compiled::parent_of(path).and_then(|parent| set.candidates.get(parent));
+    let delegate = parent.and_then(Candidate::content).and_then(|parsed| parsed.delegate(path));
     delegate.is_some_and(|delegate| delegate.frozen)
 }
 
-fn refuse(taken: &mut CandidateSet, path: &str, conflict: Conflict) {
+fn refuse_file(set: &mut CandidateSet, path: &str, conflict: Conflict) {
     let other = conflict.namespaces().into_iter().find(|other| *other != path).map(str::to_owned);
-    taken.held.entry(path.to_owned()).or_insert((conflict.to_string(), other));
-    taken.refused.push(path.to_owned());
-    taken.conflicts.push(conflict);
+    set.held_back.entry(path.to_owned()).or_insert((conflict.to_string(), other));
+    set.refused.push(path.to_owned());
+    set.conflicts.push(conflict);
 }
 
-fn candidate(
-    taken: &mut CandidateSet,
+fn insert_candidate(
+    set: &mut CandidateSet,
     path: &str,
     new: Option<Arc<ParsedFile>>,
     entry: Option<&Entry>,
     cache: &mut Cache,
 ) {
-    let mut good = entry.and_then(|entry| good(entry, cache));
+    let mut good = entry.and_then(|entry| last_good(entry, cache));
     let mut new = new;
-    if let (Some(read), Some((old, _))) = (&new, &mut good)
-        && read.hash == old.hash
+    if let (Some(parsed), Some((last, _))) = (&new, &mut good)
+        && parsed.hash == last.hash
     {
         // The same content, possibly from a file of another name, keeps the age of the good content.
-        *old = read.clone();
+        *last = parsed.clone();
         new = None;
     }
     if new.is_some() || good.is_some() {
-        let refused = entry.and_then(|entry| entry.refused.clone());
-        taken.candidates.insert(path.to_owned(), Candidate { new, good, refused });
+        let held_back_digest = entry.and_then(|entry| entry.refused.clone());
+        set.candidates.insert(path.to_owned(), Candidate { new, good, held_back_digest });
     }
 }
 
 /// The last good content and the step at which it was accepted. `None` if there is none, or if it can no longer be parsed, for
 /// example by a newer version of the program.
-fn good(entry: &Entry, cache: &mut Cache) -> Option<(Arc<ParsedFile>, u64)> {
+fn last_good(entry: &Entry, cache: &mut Cache) -> Option<(Arc<ParsedFile>, u64)> {
     let good = entry.good.as_ref()?;
-    Some((cache.reread(&good.file, &good.text)?, good.taken))
+    Some((cache.parse_good_revision(&good.file, &good.text)?, good.taken))
 }
 
 /// The file of a namespace with the newest revision. All files of that revision must have the same content.
-fn newest(reads: &[Arc<ParsedFile>], inventory: &Inventory) -> Result<Arc<ParsedFile>, Box<Conflict>> {
-    let revision = reads.iter().map(|read| read.file.revision).max().unwrap_or_default();
-    let mut newest = reads.iter().filter(|read| read.file.revision == revision);
+fn newest_revision(
+    parsed_files: &[Arc<ParsedFile>],
+    inventory: &Inventory,
+) -> Result<Arc<ParsedFile>, Box<Conflict>> {
+    let revision = parsed_files.iter().map(|parsed| parsed.file.revision).max().unwrap_or_default();
+    let mut newest = parsed_files.iter().filter(|parsed| parsed.file.revision == revision);
     // The files are sorted by path, so the first one does not depend on their original order.
     let Some(first) = newest.next() else {
         let error =
             RuleFileError { file: String::new(), line: 0, key: String::new(), why: "no file".to_owned() };
         return Err(Box::new(Conflict::Broken { namespace: None, error }));
     };
-    match newest.find(|read| read.hash != first.hash) {
+    match newest.find(|parsed| parsed.hash != first.hash) {
         Some(other) => Err(Box::new(two_contents(first, other, inventory))),
         None => Ok(first.clone()),
     }
 }
 
-fn fits(read: &ParsedFile, good: &ParsedFile, inventory: &Inventory) -> Result<(), Box<Conflict>> {
-    if read.file.revision < good.file.revision {
+fn check_revision(
+    parsed: &ParsedFile,
+    good: &ParsedFile,
+    inventory: &Inventory,
+) -> Result<(), Box<Conflict>> {
+    if parsed.file.revision < good.file.revision {
         return Err(Box::new(Conflict::OldRevision {
-            one: read.location(read.file.line, ""),
-            stated: read.file.revision,
+            one: parsed.location(parsed.file.line, ""),
+            stated: parsed.file.revision,
             last: good.file.revision,
         }));
     }
-    if read.file.revision == good.file.revision && read.hash != good.hash {
-        return Err(Box::new(two_contents(read, good, inventory)));
+    if parsed.file.revision == good.file.revision && parsed.hash != good.hash {
+        return Err(Box::new(two_contents(parsed, good, inventory)));
     }
     Ok(())
 }
@@ -250,17 +257,18 @@
 /// The conflict of two contents of one revision. The witness is a request of the first rule that only one of the contents has,
 /// or a request without any restriction if they have the same rules.
 fn two_contents(one: &ParsedFile, other: &ParsedFile, inventory: &Inventory) -> Conflict {
-    let differs = one.file.rules.iter().find(|rule| !other.file.rules.contains(rule));
-    let differs = differs.or(other.file.rules.iter().find(|rule| !one.file.rules.contains(rule)));
+    let differing_rule = one.file.rules.iter().find(|rule| !other.file.rules.contains(rule));
+    let differing_rule =
+        differing_rule.or(other.file.rules.iter().find(|rule| !one.file.rules.contains(rule)));
     Conflict::TwoContents {
         one: one.location(one.file.line, ""),
         other: other.location(other.file.line, ""),
         revision: one.file.revision,
-        witness: sample(differs, inventory),
+        witness: sample_witness(differing_rule, inventory),
     }
 }
 
-pub(crate) fn sample(rule: Option<&crate::file::DeclaredRule>, inventory: &Inventory) -> Witness {
+pub(crate) fn sample_witness(rule: Option<&crate::file::DeclaredRule>, inventory: &Inventory) -> Witness {
     let (tenants, classes, groups) = rule
         .map(|rule| (rule.tenants.clone(), rule.classes.clone(), rule.groups.clone()))
         .unwrap_or_default();
@@ -270,29 +278,31 @@
 
 /// The namespace that a broken file is attributed to: the one whose last good content was read from this path, or the one that
 /// the path names. A namespace that has another, readable file is never chosen.
-fn whose(
+fn namespace_of_broken_file(
     error: &RuleFileError,
     last: &History,
-    taken: &CandidateSet,
+    set: &CandidateSet,
     inventory: &Inventory,
 ) -> Option<String> {
-    let free = |path: &&String| !taken.newest.contains_key(*path);
-    let read_from = |entry: &Entry| entry.good.as_ref().is_some_and(|good| good.file == error.file);
-    let by_file = last.namespaces.iter().filter(|(_, entry)| read_from(entry)).map(|(path, _)| path);
-    if let Some(path) = by_file.clone().find(free) {
+    let has_no_readable_file = |path: &&String| !set.newest.contains_key(*path);
+    let was_read_from = |entry: &Entry| entry.good.as_ref().is_some_and(|good| good.file == error.file);
+    let by_file = last.namespaces.iter().filter(|(_, entry)| was_read_from(entry)).map(|(path, _)| path);
+    if let Some(path) = by_file.clone().find(has_no_readable_file) {
         return Some(path.clone());
     }
     let stem = error.file.strip_suffix(".toml").unwrap_or(&error.file);
     let delegated =
-        taken.candidates.values().filter_map(Candidate::read).flat_map(|read| &read.file.delegates);
-    let known = last.namespaces.keys().chain(delegated.map(|delegate| &delegate.to)).chain([&inventory.root]);
-    let names = |path: &&String| {
-        stem.strip_suffix(path.as_str()).is_some_and(|dir| dir.is_empty() || dir.ends_with('/'))
+        set.candidates.values().filter_map(Candidate::content).flat_map(|parsed| &parsed.file.delegates);
+    let known_paths =
+        last.namespaces.keys().chain(delegated.map(|delegate| &delegate.to)).chain([&inventory.root]);
+    let is_named_by_file = |path: &&String| {
+        stem.strip_suffix(path.as_str())
+            .is_some_and(|directory| directory.is_empty() || directory.ends_with('/'))
     };
-    known.filter(names).filter(free).max_by_key(|path| path.len()).cloned()
+    known_paths.filter(is_named_by_file).filter(has_no_readable_file).max_by_key(|path| path.len()).cloned()
 }
 
 /// The location of a namespace that has no file.
-pub(crate) fn nowhere(path: &str) -> RuleLocation {
+pub(crate) fn location_without_file(path: &str) -> RuleLocation {
     RuleLocation { namespace: path.to_owned(), file: String::new(), line: 0, name: String::new() }
 }
--- a/crates/routing-rules/src/compiled.rs
+++ b/crates/routing-rules/src/compiled.rs
@@ -22,13 +22,14 @@
 
 impl ParsedFile {
     pub fn new(file: NamespaceFile, path_on_disk: String, text: Arc<str>) -> ParsedFile {
-        let children = file.delegates.iter().enumerate().map(|(at, d)| (d.to.clone(), at)).collect();
+        let children =
+            file.delegates.iter().enumerate().map(|(index, delegate)| (delegate.to.clone(), index)).collect();
         let hash = *blake3::hash(text.as_bytes()).as_bytes();
         ParsedFile { file, path_on_disk, text, hash, children }
     }
 
     pub fn delegate(&self, child: &str) -> Option<&Delegate> {
-        self.children.get(child).and_then(|at| self.file.delegates.get(*at))
+        self.children.get(child).and_then(|index| self.file.delegates.get(*index))
     }
 
     pub fn location(&self, line: u32, name: &str) -> RuleLocation {
@@ -43,7 +44,7 @@
 
 /// A rule of kind [`crate::RuleKind::Place`], and the node kinds that satisfy it.
 #[derive(Debug)]
-pub(crate) struct Placed {
+pub(crate) struct Placement {
     /// The index of the rule in `Compiled::rules`.
     pub rule: usize,
     pub nodes: NodeKindSet,
@@ -52,7 +53,7 @@
 /// The placements of a namespace, indexed by tenant.
 #[derive(Debug, Default)]
 pub(crate) struct Placements {
-    pub all: Vec<Placed>,
+    pub all: Vec<Placement>,
     /// The indices in `all` of the placements that name a tenant, by tenant.
     by_tenant: HashMap<String, Vec<usize>>,
     /// The indices in `all` of the placements for any tenant.
@@ -60,22 +61,22 @@
 }
 
 impl Placements {
-    /// Adds a placement: the rule at index `position` of `Compiled::rules`, and the nodes that satisfy it.
-    pub fn push(&mut self, position: usize, rule: &Rule, nodes: NodeKindSet) {
-        let at = self.all.len();
+    /// Adds a placement: the rule at index `rule_index` of `Compiled::rules`, and the nodes that satisfy it.
+    pub fn push(&mut self, rule_index: usize, rule: &Rule, nodes: NodeKindSet) {
+        let index = self.all.len();
         if rule.on.tenants.is_empty() {
-            self.any_tenant.push(at);
+            self.any_tenant.push(index);
         }
         for tenant in &rule.on.tenants {
-            self.by_tenant.entry(tenant.clone()).or_default().push(at);
+            self.by_tenant.entry(tenant.clone()).or_default().push(index);
         }
-        self.all.push(Placed { rule: position, nodes });
+        self.all.push(Placement { rule: rule_index, nodes });
     }
 
     /// The placements that can match a request of the tenant.
-    fn matching(&self, tenant: Option<&str>) -> impl Iterator<Item = &Placed> {
-        let named = tenant.and_then(|tenant| self.by_tenant.get(tenant)).map_or(&[][..], Vec::as_slice);
-        self.any_tenant.iter().chain(named).map(|at| &self.all[*at])
+    fn matching(&self, tenant: Option<&str>) -> impl Iterator<Item = &Placement> {
+        let with_tenant = tenant.and_then(|tenant| self.by_tenant.get(tenant)).map_or(&[][..], Vec::as_slice);
+        self.any_tenant.iter().chain(with_tenant).map(|index| &self.all[*index])
     }
 }
 
@@ -88,7 +89,7 @@
 pub(crate) struct Compiled {
     /// A digest of everything except the inventory that the result depends on.
     pub key: [u8; 32],
-    pub read: Arc<ParsedFile>,
+    pub parsed: Arc<ParsedFile>,
     pub parent: Option<Arc<Compiled>>,
     pub depth: u32,
     pub scope: Scope,
@@ -98,20 +99,20 @@
     pub rules: Vec<Rule>,
     pub placements: Placements,
     /// The children that are granted something outside the namespace's own scope.
-    pub unowned_children: BTreeSet<String>,
+    pub out_of_scope_children: BTreeSet<String>,
     /// The conflicts of the namespace with the chain above it, and among its delegations.
     pub conflicts: Vec<Conflict>,
 }
 
 impl Compiled {
     /// The cache key of a content under a parent. `void` lists the children whose delegations are void.
-    pub fn key(parent: Option<&Compiled>, read: &ParsedFile, void: &[&str]) -> [u8; 32] {
+    pub fn key(parent: Option<&Compiled>, parsed: &ParsedFile, void: &[&str]) -> [u8; 32] {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&parent.map_or([0; 32], |parent| parent.key));
-        hasher.update(&read.hash);
+        hasher.update(&parsed.hash);
         // The rules contain the file's path, so the key does as well. The length prefixes keep two different lists of names from
         // hashing the same bytes.
-        for name in std::iter::once(read.path_on_disk.as_str()).chain(void.iter().copied()) {
+        for name in std::iter::once(parsed.path_on_disk.as_str()).chain(void.iter().copied()) {
             hasher.update(&(name.len() as u64).to_le_bytes());
             hasher.update(name.as_bytes());
         }
@@ -119,12 +120,12 @@
     }
 
     pub fn path(&self) -> &str {
-        &self.read.file.namespace
+        &self.parsed.file.namespace
     }
 
     /// The rules and node kinds of the placements that can match a request of the tenant.
-    pub fn placed_for(&self, tenant: Option<&str>) -> impl Iterator<Item = (&Rule, &NodeKindSet)> {
-        self.placements.matching(tenant).map(|placed| (&self.rules[placed.rule], &placed.nodes))
+    pub fn placements_for(&self, tenant: Option<&str>) -> impl Iterator<Item = (&Rule, &NodeKindSet)> {
+        self.placements.matching(tenant).map(|placement| (&self.rules[placement.rule], &placement.nodes))
     }
 
     /// This namespace and its ancestors, from the root down.
--- a/crates/routing-rules/src/conflict.rs
+++ b/crates/routing-rules/src/conflict.rs
@@ -236,7 +236,7 @@
     }
 
     /// The children whose delegations conflict with one another. The delegation to the one that is held back becomes void.
-    pub(crate) fn promised_children(&self) -> Vec<&str> {
+    pub(crate) fn competing_children(&self) -> Vec<&str> {
         match self {
             Conflict::SameSubject { one, other, .. } => vec![&one.namespace, &other.namespace],
             Conflict::OverCommitted { quotas, .. } => {
@@ -247,7 +247,7 @@
     }
 
     /// The name of the rule or delegation that is outside its namespace's scope.
-    pub(crate) fn rule(&self) -> Option<&str> {
+    pub(crate) fn out_of_scope_name(&self) -> Option<&str> {
         match self {
             Conflict::NotOwned { one, .. } => Some(&one.name),
             _ => None,
@@ -255,8 +255,8 @@
     }
 
     /// Whether holding this namespace back voids its delegation.
-    pub(crate) fn voids(&self, held: &str) -> bool {
-        self.promised_children().contains(&held)
+    pub(crate) fn voids_delegation(&self, held_back: &str) -> bool {
+        self.competing_children().contains(&held_back)
     }
 
     /// The example that demonstrates the conflict. `None` for an unreadable or outdated file, whose rules are not considered.
--- a/crates/routing-rules/src/effective.rs
+++ b/crates/routing-rules/src/effective.rs
@@ -34,43 +34,43 @@
 
 /// Evaluates the rules of a book for a request on a node.
 pub fn effective(book: &Book, request: &Request, node: &Node) -> Effective {
-    let mut of = Effective { allowed: true, ..Effective::default() };
+    let mut result = Effective { allowed: true, ..Effective::default() };
     let mut rules: Vec<&Rule> = book.rules.iter().filter(|rule| rule.on.matches(request)).collect();
-    rules.sort_by(|a, b| a.preference_order().cmp(&b.preference_order()));
+    rules.sort_by(|first, second| first.preference_order().cmp(&second.preference_order()));
     let mut move_preference = None;
     for rule in rules {
         let id = format!("{}:{}", rule.namespace, rule.name);
         let is_required = rule.strength == Strength::Requirement;
         if is_required {
-            of.has_requirements = true;
+            result.has_requirements = true;
             let owner = book.namespaces.iter().find(|owner| owner.path == rule.namespace);
-            of.uncertainty_policy =
-                stricter(of.uncertainty_policy, owner.map(|owner| owner.uncertainty_policy));
+            result.uncertainty_policy =
+                stricter(result.uncertainty_policy, owner.map(|owner| owner.uncertainty_policy));
         }
         match &rule.kind {
             RuleKind::Place { how, halls, hardware } => {
                 let satisfied = selects_node(halls, hardware, node) != (*how == PlacementMode::Avoid);
                 if is_required {
-                    of.allowed &= satisfied;
+                    result.allowed &= satisfied;
                 } else {
-                    of.preferences.push((id, satisfied));
+                    result.preferences.push((id, satisfied));
                 }
             }
             RuleKind::Cap { connections, halls, hardware }
                 if is_required && selects_node(halls, hardware, node) =>
             {
-                of.caps.push((id, *connections));
+                result.caps.push((id, *connections));
             }
-            RuleKind::Spread { nodes } if is_required => of.spread = least(of.spread, *nodes),
-            RuleKind::Pace { per_s_milli } if is_required => of.paces.push((id, *per_s_milli)),
-            RuleKind::Attempts { most } if is_required => of.attempts = least(of.attempts, *most),
-            RuleKind::Move { when } if is_required => of.move_when = of.move_when.max(Some(*when)),
+            RuleKind::Spread { nodes } if is_required => result.spread = minimum(result.spread, *nodes),
+            RuleKind::Pace { per_s_milli } if is_required => result.paces.push((id, *per_s_milli)),
+            RuleKind::Attempts { most } if is_required => result.attempts = minimum(result.attempts, *most),
+            RuleKind::Move { when } if is_required => result.move_when = result.move_when.max(Some(*when)),
             RuleKind::Move { when } => move_preference = move_preference.or(Some(*when)),
             _ => {}
         }
     }
-    of.move_when = of.move_when.or(move_preference);
-    of
+    result.move_when = result.move_when.or(move_preference);
+    result
 }
 
 impl Rule {
@@ -80,7 +80,7 @@
     }
 }
 
-fn least(one: Option<u32>, other: u32) -> Option<u32> {
+fn minimum(one: Option<u32>, other: u32) -> Option<u32> {
     Some(one.map_or(other, |one| one.min(other)))
 }
 
@@ -91,9 +91,9 @@
 ) -> Option<UncertaintyPolicy> {
     match (one, other) {
         (
-            Some(UncertaintyPolicy::Refuse { retry_ms: a }),
-            Some(UncertaintyPolicy::Refuse { retry_ms: b }),
-        ) => Some(UncertaintyPolicy::Refuse { retry_ms: a.max(b) }),
+            Some(UncertaintyPolicy::Refuse { retry_ms: first }),
+            Some(UncertaintyPolicy::Refuse { retry_ms: second }),
+        ) => Some(UncertaintyPolicy::Refuse { retry_ms: first.max(second) }),
         (Some(refuse @ UncertaintyPolicy::Refuse { .. }), _)
         | (_, Some(refuse @ UncertaintyPolicy::Refuse { .. })) => Some(refuse),
         (one, other) => one.or(other),
--- a/crates/routing-rules/src/evaluation_round.rs
+++ b/crates/routing-rules/src/evaluation_round.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crate::cache::Cache;
-use crate::candidate::{Candidate, nowhere, sample};
+use crate::candidate::{Candidate, location_without_file, sample_witness};
 use crate::compiled::{Compiled, ParsedFile, is_child, parent_of};
 use crate::conflict::{Conflict, Witness};
 use crate::file::Delegate;
@@ -19,7 +19,7 @@
     /// The namespaces that a parent in force keeps on their last good revision, with that parent.
     pub frozen: BTreeMap<String, String>,
     /// The namespaces that a parent in force handed over, with the namespace that took over.
-    pub handed: BTreeMap<String, String>,
+    pub handed_over: BTreeMap<String, String>,
 }
 
 /// A namespace's relation to its parent.
@@ -44,13 +44,13 @@
         // A parent sorts before its children.
         for (path, candidate) in candidates {
             // A namespace whose delegation is void has no scope, and neither have the namespaces below it.
-            if candidate.read().is_some() && void.contains(path) {
+            if candidate.content().is_some() && void.contains(path) {
                 deferred.insert(path.as_str());
-            } else if let Some((parent, read)) = round.admit(path, candidate, &mut deferred, inventory) {
+            } else if let Some((parent, parsed)) = round.admit(path, candidate, &mut deferred, inventory) {
                 let void: Vec<&str> =
                     void.iter().map(String::as_str).filter(|child| is_child(path, child)).collect();
-                let compiled = cache.compiled(parent.as_ref(), read, &void);
-                round.activate(path, read, compiled);
+                let compiled = cache.compiled(parent.as_ref(), parsed, &void);
+                round.activate(path, parsed, compiled);
             }
         }
         round.find_foreign_delegations(inventory);
@@ -68,17 +68,17 @@
         deferred: &mut BTreeSet<&'a str>,
         inventory: &Inventory,
     ) -> Option<(Option<Arc<Compiled>>, &'a Arc<ParsedFile>)> {
-        let read = candidate.read()?;
-        let above = parent_of(path).and_then(|parent| self.active.get(parent)).cloned();
-        match relation(path, above.as_ref(), deferred, inventory) {
-            Relation::Root => Some((None, read)),
+        let parsed = candidate.content()?;
+        let parent = parent_of(path).and_then(|parent| self.active.get(parent)).cloned();
+        match relation(path, parent.as_ref(), deferred, inventory) {
+            Relation::Root => Some((None, parsed)),
             Relation::Deferred => {
                 deferred.insert(path);
                 None
             }
             Relation::Orphan => {
                 deferred.insert(path);
-                self.conflicts.push(orphan(read, above.as_deref(), inventory));
+                self.conflicts.push(orphan_conflict(parsed, parent.as_deref(), inventory));
                 None
             }
             Relation::Under(_, delegate) if delegate.handed_to.is_some() => None,
@@ -86,16 +86,16 @@
                 self.frozen.insert(path.to_owned(), parent.path().to_owned());
                 candidate.good.as_ref().map(|(good, _)| (Some(parent), good))
             }
-            Relation::Under(parent, _) => Some((Some(parent), read)),
+            Relation::Under(parent, _) => Some((Some(parent), parsed)),
         }
     }
 
     /// Puts a compiled content in force.
-    fn activate(&mut self, path: &str, read: &ParsedFile, compiled: Arc<Compiled>) {
+    fn activate(&mut self, path: &str, parsed: &ParsedFile, compiled: Arc<Compiled>) {
         self.conflicts.extend(compiled.conflicts.iter().cloned());
-        for delegate in &read.file.delegates {
+        for delegate in &parsed.file.delegates {
             if let Some(to) = &delegate.handed_to {
-                self.handed.insert(delegate.to.clone(), to.clone());
+                self.handed_over.insert(delegate.to.clone(), to.clone());
             }
         }
         self.active.insert(path.to_owned(), compiled);
@@ -104,26 +104,29 @@
     /// Finds delegations to namespaces that are not children: each is a cycle or has no effect.
     fn find_foreign_delegations(&mut self, inventory: &Inventory) {
         let mut edges = Vec::new();
-        for (path, of) in &self.active {
-            let foreign = of.read.file.delegates.iter().filter(|delegate| !is_child(path, &delegate.to));
-            edges.extend(foreign.map(|delegate| (path.as_str(), delegate, of)));
+        for (path, compiled) in &self.active {
+            let foreign_delegates =
+                compiled.parsed.file.delegates.iter().filter(|delegate| !is_child(path, &delegate.to));
+            edges.extend(foreign_delegates.map(|delegate| (path.as_str(), delegate, compiled)));
         }
-        let under = |path: &str, above: &str| {
-            path.strip_prefix(above).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
+        let is_at_or_below = |path: &str, ancestor: &str| {
+            path.strip_prefix(ancestor).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
         };
-        let mut found = Vec::new();
-        for (from, delegate, of) in &edges {
-            let one = of.read.location(delegate.line, &format!("delegate {}", delegate.to));
+        let mut conflicts = Vec::new();
+        for (from, delegate, compiled) in &edges {
+            let one = compiled.parsed.location(delegate.line, &format!("delegate {}", delegate.to));
             let target = self.active.get(&delegate.to);
-            let other = target.map_or(nowhere(&delegate.to), |to| to.read.location(to.read.file.line, ""));
-            let on = of.scope.narrow(&delegate.tenants, &delegate.classes, &delegate.groups);
+            let other = target.map_or(location_without_file(&delegate.to), |to| {
+                to.parsed.location(to.parsed.file.line, "")
+            });
+            let on = compiled.scope.narrow(&delegate.tenants, &delegate.classes, &delegate.groups);
             let witness = Witness::new(&inventory.sample(&on), None);
             // A namespace reaches all namespaces below it and, through foreign delegations, their targets.
             let mut reached = BTreeSet::from([delegate.to.as_str()]);
             loop {
                 let before = reached.len();
                 for (start, next, _) in &edges {
-                    if reached.iter().any(|above| under(start, above)) {
+                    if reached.iter().any(|ancestor| is_at_or_below(start, ancestor)) {
                         reached.insert(&next.to);
                     }
                 }
@@ -131,58 +134,58 @@
                     break;
                 }
             }
-            found.push(if reached.iter().any(|above| under(from, above)) {
+            conflicts.push(if reached.iter().any(|ancestor| is_at_or_below(from, ancestor)) {
                 Conflict::Circle { one, other, witness }
             } else {
                 Conflict::NotItsChild { one, other, witness }
             });
         }
-        self.conflicts.extend(found);
+        self.conflicts.extend(conflicts);
     }
 
     fn find_ineffective_preferences(&mut self, cache: &mut Cache) {
         let mut children = Children::new();
         let mut digests = BTreeMap::<&str, blake3::Hasher>::new();
         // Children sort after their parents, so in reverse order all children are done before their parent.
-        for (path, of) in self.active.iter().rev() {
+        for (path, compiled) in self.active.iter().rev() {
             let mut hasher = digests.remove(path.as_str()).unwrap_or_default();
-            hasher.update(&of.key);
+            hasher.update(&compiled.key);
             let digest = *hasher.finalize().as_bytes();
             if let Some(parent) = parent_of(path) {
                 digests.entry(parent).or_default().update(&digest);
-                children.entry(parent.to_owned()).or_default().push(of.clone());
+                children.entry(parent.to_owned()).or_default().push(compiled.clone());
             }
-            self.conflicts.extend_from_slice(cache.ineffective(of, digest, &children));
+            self.conflicts.extend_from_slice(cache.ineffective(compiled, digest, &children));
         }
     }
 }
 
 fn relation<'a>(
     path: &str,
-    above: Option<&'a Arc<Compiled>>,
+    parent: Option<&'a Arc<Compiled>>,
     deferred: &BTreeSet<&str>,
     inventory: &Inventory,
 ) -> Relation<'a> {
-    let Some(parent) = parent_of(path) else {
+    let Some(parent_path) = parent_of(path) else {
         return if path == inventory.root { Relation::Root } else { Relation::Orphan };
     };
-    if deferred.contains(parent) {
+    if deferred.contains(parent_path) {
         return Relation::Deferred;
     }
-    match above.and_then(|above| Some((above, above.read.delegate(path)?))) {
+    match parent.and_then(|parent| Some((parent, parent.parsed.delegate(path)?))) {
         // The child's scope is not evaluated until the parent itself has what it grants.
-        Some((above, _)) if above.unowned_children.contains(path) => Relation::Deferred,
-        Some((above, delegate)) => Relation::Under(above.clone(), delegate),
+        Some((parent, _)) if parent.out_of_scope_children.contains(path) => Relation::Deferred,
+        Some((parent, delegate)) => Relation::Under(parent.clone(), delegate),
         None => Relation::Orphan,
     }
 }
 
-fn orphan(read: &ParsedFile, above: Option<&Compiled>, inventory: &Inventory) -> Conflict {
-    let path = &read.file.namespace;
-    let other = match above {
-        Some(above) => above.read.location(above.read.file.line, ""),
-        None => nowhere(parent_of(path).unwrap_or(&inventory.root)),
+fn orphan_conflict(parsed: &ParsedFile, parent: Option<&Compiled>, inventory: &Inventory) -> Conflict {
+    let path = &parsed.file.namespace;
+    let other = match parent {
+        Some(parent) => parent.parsed.location(parent.parsed.file.line, ""),
+        None => location_without_file(parent_of(path).unwrap_or(&inventory.root)),
     };
-    let one = read.location(read.file.line, "");
-    Conflict::Orphan { one, other, witness: sample(read.file.rules.first(), inventory) }
+    let one = parsed.location(parsed.file.line, "");
+    Conflict::Orphan { one, other, witness: sample_witness(parsed.file.rules.first(), inventory) }
 }
--- a/crates/routing-rules/src/file_checks.rs
+++ b/crates/routing-rules/src/file_checks.rs
@@ -10,13 +10,13 @@
 
 pub(crate) fn check_delegate(
     source: &SourceText,
-    of: &str,
+    namespace: &str,
     line: u32,
     raw: RawDelegate,
 ) -> Result<Delegate, RuleFileError> {
     // A name without a slash is a child's, except the root's name: a delegation to the root must be reported as a cycle.
-    let root = of.split('/').next().unwrap_or(of);
-    let path = |to: String| if to.contains('/') || to == root { to } else { format!("{of}/{to}") };
+    let root = namespace.split('/').next().unwrap_or(namespace);
+    let path = |to: String| if to.contains('/') || to == root { to } else { format!("{namespace}/{to}") };
     let to = path(raw.to);
     let handed_to = raw.handed_to.map(path);
     for (key, path) in [("to", Some(&to)), ("handed_to", handed_to.as_ref())] {
@@ -32,7 +32,7 @@
     ];
     check_names(source, line, &sets)?;
     let groups =
-        groups::normal(&raw.groups).map_err(|error| source.error(line, "groups", error.to_string()))?;
+        groups::normalize(&raw.groups).map_err(|error| source.error(line, "groups", error.to_string()))?;
     if raw.connections == Some(0) {
         return Err(source.error(line, "connections", "is 0; leave it out to promise no part"));
     }
@@ -60,8 +60,8 @@
     }
     check_names(source, line, &[("tenants", &raw.tenants), ("classes", &raw.classes)])?;
     let groups =
-        groups::normal(&raw.groups).map_err(|error| source.error(line, "groups", error.to_string()))?;
-    let Some(kind) = take_only_kind(&mut raw) else {
+        groups::normalize(&raw.groups).map_err(|error| source.error(line, "groups", error.to_string()))?;
+    let Some(kind) = take_single_kind(&mut raw) else {
         let why = "has to have one of place, cap, spread, pace, attempts, move";
         return Err(source.error(line, "rule", why));
     };
@@ -81,7 +81,7 @@
 }
 
 /// Takes the rule kind out of `raw`. `None` unless exactly one kind is given.
-fn take_only_kind(raw: &mut RawRule) -> Option<RuleKind> {
+fn take_single_kind(raw: &mut RawRule) -> Option<RuleKind> {
     let kinds = [
         raw.place.take().map(place),
         raw.cap.take().map(|cap| RuleKind::Cap {
@@ -90,7 +90,7 @@
             hardware: cap.hardware,
         }),
         raw.spread.take().map(|spread| RuleKind::Spread { nodes: spread.nodes }),
-        raw.pace.take().map(|pace| RuleKind::Pace { per_s_milli: milli(pace.per_s) }),
+        raw.pace.take().map(|pace| RuleKind::Pace { per_s_milli: to_thousandths(pace.per_s) }),
         raw.attempts.take().map(|attempts| RuleKind::Attempts { most: attempts.most }),
         raw.r#move.take().map(|when| RuleKind::Move { when }),
     ];
@@ -168,7 +168,7 @@
 }
 
 /// A rate in thousandths. An invalid rate becomes 0, which `check_kind` rejects.
-fn milli(per_s: f64) -> u64 {
+fn to_thousandths(per_s: f64) -> u64 {
     if per_s.is_finite() && per_s > 0.0 && per_s < 1e12 { (per_s * 1_000.0).round() as u64 } else { 0 }
 }
 
@@ -195,9 +195,10 @@
 
 /// Why a path segment or rule name is invalid. Dots are reserved for the names of the rules that delegations imply.
 fn segment_problem(name: &str) -> Option<&'static str> {
-    let plain = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-' || byte == b'_';
+    let is_allowed =
+        |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-' || byte == b'_';
     if name.is_empty() || name.len() > MAX_NAME_BYTES {
         return Some("has a name that is empty or too long");
     }
-    (!name.bytes().all(plain)).then_some("has a name of other than a-z, 0-9, - and _")
+    (!name.bytes().all(is_allowed)).then_some("has a name of other than a-z, 0-9, - and _")
 }
--- a/crates/routing-rules/src/groups.rs
+++ b/crates/routing-rules/src/groups.rs
@@ -26,26 +26,26 @@
 }
 
 /// The smallest sorted list of disjoint ranges that covers the stated ones.
-pub(crate) fn normal(stated: &[GroupText]) -> Result<Vec<GroupRange>, GroupError> {
-    let mut ranges = stated.iter().map(range).collect::<Result<Vec<_>, _>>()?;
+pub(crate) fn normalize(stated: &[GroupText]) -> Result<Vec<GroupRange>, GroupError> {
+    let mut ranges = stated.iter().map(parse_range).collect::<Result<Vec<_>, _>>()?;
     ranges.sort_unstable();
-    let mut normal: Vec<GroupRange> = Vec::with_capacity(ranges.len());
+    let mut normalized: Vec<GroupRange> = Vec::with_capacity(ranges.len());
     for range in ranges {
-        match normal.last_mut() {
+        match normalized.last_mut() {
             Some(last) if range.first <= last.last.saturating_add(1) => last.last = last.last.max(range.last),
-            _ => normal.push(range),
+            _ => normalized.push(range),
         }
     }
-    Ok(normal)
+    Ok(normalized)
 }
 
-fn range(stated: &GroupText) -> Result<GroupRange, GroupError> {
+fn parse_range(stated: &GroupText) -> Result<GroupRange, GroupError> {
     let (first, last) = match stated {
         GroupText::One(group) => (*group, *group),
         GroupText::Pair([first, last]) => (*first, *last),
         GroupText::Text(text) => match text.split_once('-') {
-            Some((first, last)) => (number(first)?, number(last)?),
-            None => (number(text)?, number(text)?),
+            Some((first, last)) => (parse_hex(first)?, parse_hex(last)?),
+            None => (parse_hex(text)?, parse_hex(text)?),
         },
     };
     if last < first {
@@ -55,7 +55,7 @@
 }
 
 /// Parses a hexadecimal number with or without `0x`, the notation of groups in requests.
-fn number(text: &str) -> Result<u64, GroupError> {
+fn parse_hex(text: &str) -> Result<u64, GroupError> {
     let digits = text.trim();
     let digits = digits.strip_prefix("0x").unwrap_or(digits);
     if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_hexdigit()) {
@@ -66,30 +66,30 @@
 
 /// The intersection of two lists. An empty list means no groups here, unlike in a selector, where it means any; the caller
 /// handles that case.
-pub(crate) fn both(one: &[GroupRange], other: &[GroupRange]) -> Vec<GroupRange> {
-    let (mut at, mut to, mut both) = (0, 0, Vec::new());
+pub(crate) fn intersection(one: &[GroupRange], other: &[GroupRange]) -> Vec<GroupRange> {
+    let (mut at, mut to, mut intersection) = (0, 0, Vec::new());
     while let (Some(a), Some(b)) = (one.get(at), other.get(to)) {
         let (first, last) = (a.first.max(b.first), a.last.min(b.last));
         if first <= last {
-            both.push(GroupRange { first, last });
+            intersection.push(GroupRange { first, last });
         }
         if a.last < b.last { at += 1 } else { to += 1 }
     }
-    both
+    intersection
 }
 
 /// The first group in `one` that is not in `other`.
-pub(crate) fn lacks(one: &[GroupRange], other: &[GroupRange]) -> Option<u64> {
+pub(crate) fn first_missing(one: &[GroupRange], other: &[GroupRange]) -> Option<u64> {
     for range in one {
         let mut next = range.first;
         loop {
-            let at = other.partition_point(|o| o.last < next);
+            let at = other.partition_point(|covering| covering.last < next);
             match other.get(at) {
-                Some(o) if o.first <= next => {
-                    if o.last >= range.last {
+                Some(covering) if covering.first <= next => {
+                    if covering.last >= range.last {
                         break;
                     }
-                    next = o.last + 1;
+                    next = covering.last + 1;
                 }
                 _ => return Some(next),
             }
--- a/crates/routing-rules/src/ineffective.rs
+++ b/crates/routing-rules/src/ineffective.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crate::book::{Request, Rule};
-use crate::chain_conflicts::{groups, location, tenants};
+use crate::chain_conflicts::{location, possible_tenants, representative_groups};
 use crate::compiled::Compiled;
 use crate::conflict::{Conflict, Witness};
 use crate::inventory::Inventory;
@@ -16,15 +16,22 @@
 type Placement<'a> = (&'a Rule, &'a NodeKindSet);
 
 /// The preferences of a namespace that can never take effect.
-pub(crate) fn preferences(of: &Compiled, children: &Children, inventory: &Inventory) -> Vec<Conflict> {
-    let chain = of.chain();
-    let preferences = of.placements.all.iter().map(|placed| (&of.rules[placed.rule], &placed.nodes));
+pub(crate) fn ineffective_preferences(
+    namespace: &Compiled,
+    children: &Children,
+    inventory: &Inventory,
+) -> Vec<Conflict> {
+    let chain = namespace.chain();
+    let preferences =
+        namespace.placements.all.iter().map(|placement| (&namespace.rules[placement.rule], &placement.nodes));
     let preferences = preferences.filter(|(rule, _)| !is_requirement(rule.strength));
-    preferences.filter_map(|preference| ineffective(of, preference, &chain, children, inventory)).collect()
+    preferences
+        .filter_map(|preference| ineffective_conflict(namespace, preference, &chain, children, inventory))
+        .collect()
 }
 
-fn ineffective(
-    of: &Compiled,
+fn ineffective_conflict(
+    namespace: &Compiled,
     preference: Placement,
     chain: &[&Compiled],
     children: &Children,
@@ -33,10 +40,10 @@
     // The rule that defeats the preference differs by request. The deepest of these rules is reported, because the rules nearer
     // the root do not defeat the preference for all requests.
     let mut reported: Option<(Request, Option<&Rule>)> = None;
-    for tenant in tenants(&preference.0.on.tenants, inventory) {
+    for tenant in possible_tenants(&preference.0.on.tenants, inventory) {
         let mut matching: Vec<Placement> = Vec::new();
-        matching.extend(chain.iter().flat_map(|namespace| namespace.placed_for(tenant)));
-        below(of, tenant, children, &mut matching);
+        matching.extend(chain.iter().flat_map(|namespace| namespace.placements_for(tenant)));
+        collect_descendant_requirements(namespace, tenant, children, &mut matching);
         matching.retain(|(rule, _)| {
             is_requirement(rule.strength) || rule.preference_order() < preference.0.preference_order()
         });
@@ -46,19 +53,19 @@
             }
             let of_class = |rule: &&Rule| rule.on.classes.is_empty() || rule.on.classes.contains(class);
             let rules = matching.iter().map(|(rule, _)| *rule).filter(of_class);
-            for group in groups(rules.chain([preference.0])) {
+            for group in representative_groups(rules.chain([preference.0])) {
                 let request = Request { tenant, class, group };
                 if !preference.0.on.matches(&request) {
                     continue;
                 }
                 let matching = matching.iter().copied().filter(|(rule, _)| rule.on.matches(&request));
-                let rule = match opposition(preference, matching.collect(), inventory) {
-                    Opposition::Nothing => return None,
+                let rule = match find_opposition(preference, matching.collect(), inventory) {
+                    Opposition::TakesEffect => return None,
                     Opposition::Rule(rule) => Some(rule),
-                    Opposition::Itself => None,
+                    Opposition::NoNodeSatisfies => None,
                 };
                 let depth = |rule: Option<&Rule>| rule.map(|rule| rule.depth);
-                if reported.is_none_or(|(_, before)| depth(before) < depth(rule)) {
+                if reported.is_none_or(|(_, reported_rule)| depth(reported_rule) < depth(rule)) {
                     reported = Some((request, rule));
                 }
             }
@@ -72,25 +79,30 @@
 }
 
 /// Collects the requirements of the descendants that can match the tenant.
-fn below<'a>(of: &Compiled, tenant: Option<&str>, children: &'a Children, matching: &mut Vec<Placement<'a>>) {
-    for child in children.get(of.path()).into_iter().flatten() {
+fn collect_descendant_requirements<'a>(
+    namespace: &Compiled,
+    tenant: Option<&str>,
+    children: &'a Children,
+    matching: &mut Vec<Placement<'a>>,
+) {
+    for child in children.get(namespace.path()).into_iter().flatten() {
         let tenants = &child.scope.on.tenants;
         if tenants.is_empty() || tenant.is_some_and(|tenant| tenants.contains(tenant)) {
-            matching.extend(child.placed_for(tenant).filter(|(rule, _)| is_requirement(rule.strength)));
-            below(child, tenant, children, matching);
+            matching.extend(child.placements_for(tenant).filter(|(rule, _)| is_requirement(rule.strength)));
+            collect_descendant_requirements(child, tenant, children, matching);
         }
     }
 }
 
 enum Opposition<'a> {
-    Nothing,
+    TakesEffect,
     Rule(&'a Rule),
-    Itself,
+    NoNodeSatisfies,
 }
 
 /// The rule that defeats a preference for one request. The preference takes effect if some allowed node that satisfies it is
 /// not ranked behind every allowed node that does not, in the ranking by the preferences that apply before it.
-fn opposition<'a>(
+fn find_opposition<'a>(
     preference: Placement,
     matching: Vec<Placement<'a>>,
     inventory: &Inventory,
@@ -99,34 +111,34 @@
         matching.into_iter().partition(|(rule, _)| is_requirement(rule.strength));
     let mut satisfying = preference.1.clone();
     let mut others = NodeKindSet::all(inventory);
-    others.without(preference.1);
+    others.subtract(preference.1);
     if satisfying.is_empty() {
-        return Opposition::Itself;
+        return Opposition::NoNodeSatisfies;
     }
     for (rule, nodes) in &requirements {
-        satisfying.and(nodes);
-        others.and(nodes);
+        satisfying.intersect(nodes);
+        others.intersect(nodes);
         if satisfying.is_empty() {
             return Opposition::Rule(rule);
         }
     }
     if others.is_empty() {
-        return Opposition::Nothing;
+        return Opposition::TakesEffect;
     }
     preferences.sort_by(|a, b| a.0.preference_order().cmp(&b.0.preference_order()));
     for (rule, nodes) in preferences {
-        let (mut preferred, mut others_left) = (satisfying.clone(), others.clone());
-        preferred.and(nodes);
-        others_left.without(nodes);
-        match (preferred.is_empty(), others_left.is_empty()) {
+        let (mut preferred, mut failing_others) = (satisfying.clone(), others.clone());
+        preferred.intersect(nodes);
+        failing_others.subtract(nodes);
+        match (preferred.is_empty(), failing_others.is_empty()) {
             // Some satisfying node ranks before some other node, so the preference can take effect.
-            (false, false) => return Opposition::Nothing,
+            (false, false) => return Opposition::TakesEffect,
             // Every other node ranks before every satisfying node: all other nodes meet this preference, and no satisfying node
             // does.
             (true, true) => return Opposition::Rule(rule),
-            (true, false) => others = others_left,
+            (true, false) => others = failing_others,
             (false, true) => satisfying = preferred,
         }
     }
-    Opposition::Nothing
+    Opposition::TakesEffect
 }
--- a/crates/routing-rules/src/inventory.rs
+++ b/crates/routing-rules/src/inventory.rs
@@ -50,15 +50,15 @@
     }
 
     /// Whether the request is possible: its class and its tenant, if any, exist.
-    pub fn reaches(&self, request: &Request) -> bool {
+    pub fn is_possible(&self, request: &Request) -> bool {
         request.tenant.is_none_or(|tenant| self.tenants.contains(tenant))
             && self.classes.contains(request.class)
     }
 
     /// A request that the selector matches, if possible one that the inventory allows.
     pub(crate) fn sample<'a>(&'a self, on: &'a Selector) -> Request<'a> {
-        let known = on.tenants.iter().find(|tenant| self.tenants.contains(*tenant));
-        let tenant = known.or(on.tenants.first()).map(String::as_str);
+        let existing = on.tenants.iter().find(|tenant| self.tenants.contains(*tenant));
+        let tenant = existing.or(on.tenants.first()).map(String::as_str);
         let class = if on.classes.is_empty() {
             self.classes.first()
         } else {
--- a/crates/routing-rules/src/merge.rs
+++ b/crates/routing-rules/src/merge.rs
@@ -36,17 +36,17 @@
 /// files in place.
 pub fn check(last: &History, files: &[RuleFile], inventory: &Inventory) -> Vec<Conflict> {
     let mut cache = Cache::default();
-    cache.begin(inventory);
-    let taken = candidate::gather(last, files, inventory, &mut cache);
+    cache.begin_merge(inventory);
+    let candidate_set = candidate::collect_candidates(last, files, inventory, &mut cache);
     let mut conflicts =
-        EvaluationRound::run(&taken.candidates, &BTreeSet::new(), inventory, &mut cache).conflicts;
-    conflicts.extend(taken.conflicts);
+        EvaluationRound::run(&candidate_set.candidates, &BTreeSet::new(), inventory, &mut cache).conflicts;
+    conflicts.extend(candidate_set.conflicts);
     conflicts.sort();
     conflicts
 }
 
 /// The maximum number of times that a merge with conflicts is repeated until its book no longer changes.
-const MOST_ROUNDS: usize = 4;
+const MAX_ROUNDS: usize = 4;
 
 /// A merge with a cache of parsed files and completed checks, so that a merge after one changed file is cheap. Its results
 /// always equal those of [`merge`].
@@ -58,11 +58,11 @@
 impl Merger {
     /// Merges the files into one book, as [`merge`] does.
     pub fn merge(&mut self, last: &History, files: &[RuleFile], inventory: &Inventory) -> Merged {
-        self.cache.begin(inventory);
+        self.cache.begin_merge(inventory);
         let mut merged = self.merge_once(last, files, inventory);
         // Accepted content becomes older than the rest, so the next merge of the same files could give another book. The merge is
         // repeated at once until the book is stable. Nearly always the first book is.
-        for _ in 0..MOST_ROUNDS {
+        for _ in 0..MAX_ROUNDS {
             if merged.conflicts.is_empty() {
                 break;
             }
@@ -72,57 +72,62 @@
             }
             merged = next;
         }
-        self.cache.end();
+        self.cache.end_merge();
         merged
     }
 
     fn merge_once(&mut self, last: &History, files: &[RuleFile], inventory: &Inventory) -> Merged {
-        let mut taken = candidate::gather(last, files, inventory, &mut self.cache);
+        let mut candidate_set = candidate::collect_candidates(last, files, inventory, &mut self.cache);
         let mut selection =
-            Selection { candidates: std::mem::take(&mut taken.candidates), void: BTreeSet::new() };
-        let asked = selection.candidates.clone();
+            Selection { candidates: std::mem::take(&mut candidate_set.candidates), void: BTreeSet::new() };
+        let initial = selection.candidates.clone();
         let void =
             last.namespaces.iter().filter(|(_, entry)| entry.void).map(|(path, _)| path.clone()).collect();
         let mut held = Vec::new();
         // The loop ends because each iteration takes one namespace from its new to its good content or out of the merge, or voids
         // one delegation.
         let mut round = loop {
-            let round = selection.run(inventory, &mut self.cache);
+            let round = selection.evaluate(inventory, &mut self.cache);
             let recency = Recency { candidates: &selection.candidates, void: &void };
             let Some((namespace, why)) = recency.choose(&round.conflicts) else { break round };
-            selection.hold(&namespace, &why);
+            selection.hold_back(&namespace, &why);
             held.push(HoldBack { namespace, why, conflicts: round.conflicts });
         };
         // A namespace held back in favour of one that was later held back itself may be admitted after all. The oldest is tried
         // first.
-        let recency = Recency { candidates: &asked, void: &void };
-        let mut out: Vec<String> = held.iter().map(|held| held.namespace.clone()).collect();
-        out.sort_by_cached_key(|path| recency.of(path));
-        out.dedup();
+        let recency = Recency { candidates: &initial, void: &void };
+        let mut still_held_back: Vec<String> = held.iter().map(|held| held.namespace.clone()).collect();
+        still_held_back.sort_by_cached_key(|path| recency.newness(path));
+        still_held_back.dedup();
         loop {
-            let before = out.len();
-            out.retain(|path| match selection.with(path, &asked, &void, inventory, &mut self.cache) {
-                Some((more, with_it)) => {
-                    (selection, round) = (more, with_it);
-                    false
+            let before = still_held_back.len();
+            still_held_back.retain(|path| {
+                match selection.readmit(path, &initial, &void, inventory, &mut self.cache) {
+                    Some((extended, extended_round)) => {
+                        (selection, round) = (extended, extended_round);
+                        false
+                    }
+                    None => true,
                 }
-                None => true,
             });
             // A namespace admitted in this pass may be the parent of one that was not, so another pass follows.
-            if out.len() == before {
+            if still_held_back.len() == before {
                 break;
             }
         }
-        held.retain(|held| out.contains(&held.namespace));
-        taken.void = selection.void;
-        taken.candidates = selection.candidates;
-        let mut conflicts: BTreeSet<Conflict> = std::mem::take(&mut taken.conflicts).into_iter().collect();
+        held.retain(|held| still_held_back.contains(&held.namespace));
+        candidate_set.void = selection.void;
+        candidate_set.candidates = selection.candidates;
+        let mut conflicts: BTreeSet<Conflict> =
+            std::mem::take(&mut candidate_set.conflicts).into_iter().collect();
         for HoldBack { namespace, why, conflicts: all } in held {
             let other = why.namespaces().into_iter().find(|path| *path != namespace).map(str::to_owned);
-            taken.held.entry(namespace.clone()).or_insert((why.to_string(), other));
-            conflicts.extend(all.into_iter().filter(|of| of.namespaces().contains(&namespace.as_str())));
+            candidate_set.held_back.entry(namespace.clone()).or_insert((why.to_string(), other));
+            conflicts.extend(
+                all.into_iter().filter(|conflict| conflict.namespaces().contains(&namespace.as_str())),
+            );
         }
-        let history = outcome::history(last, &Outcome { round: &round, taken: &taken });
+        let history = outcome::history(last, &Outcome { round: &round, candidate_set: &candidate_set });
         let book = book(&round.active);
         Merged { book, history, conflicts: conflicts.into_iter().collect() }
     }
@@ -144,12 +149,12 @@
 }
 
 impl Selection {
-    fn run(&self, inventory: &Inventory, cache: &mut Cache) -> EvaluationRound {
+    fn evaluate(&self, inventory: &Inventory, cache: &mut Cache) -> EvaluationRound {
         EvaluationRound::run(&self.candidates, &self.void, inventory, cache)
     }
 
-    fn hold(&mut self, namespace: &str, why: &Conflict) {
-        if why.voids(namespace) {
+    fn hold_back(&mut self, namespace: &str, why: &Conflict) {
+        if why.voids_delegation(namespace) {
             self.void.insert(namespace.to_owned());
             return;
         }
@@ -164,28 +169,31 @@
 
     /// This selection with one of the held-back namespaces admitted. `None` if that causes a conflict or makes another delegation
     /// void.
-    fn with(
+    fn readmit(
         &self,
         path: &str,
-        asked: &BTreeMap<String, Candidate>,
+        initial: &BTreeMap<String, Candidate>,
         void_before: &BTreeSet<String>,
         inventory: &Inventory,
         cache: &mut Cache,
     ) -> Option<(Selection, EvaluationRound)> {
-        let mut more = self.clone();
-        let was_void = more.void.remove(path);
-        if let Some(candidate) = asked.get(path) {
-            more.candidates.insert(path.to_owned(), candidate.clone());
+        let mut extended = self.clone();
+        let was_void = extended.void.remove(path);
+        if let Some(candidate) = initial.get(path) {
+            extended.candidates.insert(path.to_owned(), candidate.clone());
         }
         if !was_void {
-            more.void.clear();
+            extended.void.clear();
         }
         loop {
-            let round = more.run(inventory, cache);
-            let recency = Recency { candidates: &more.candidates, void: void_before };
-            let Some((namespace, why)) = recency.choose(&round.conflicts) else { return Some((more, round)) };
-            let as_before = why.voids(&namespace) && self.void.contains(&namespace) && !was_void;
-            if !as_before || !more.void.insert(namespace) {
+            let round = extended.evaluate(inventory, cache);
+            let recency = Recency { candidates: &extended.candidates, void: void_before };
+            let Some((namespace, why)) = recency.choose(&round.conflicts) else {
+                return Some((extended, round));
+            };
+            let was_void_already =
+                why.voids_delegation(&namespace) && self.void.contains(&namespace) && !was_void;
+            if !was_void_already || !extended.void.insert(namespace) {
                 return None;
             }
         }
@@ -193,13 +201,13 @@
 }
 
 fn book(active: &BTreeMap<String, Arc<Compiled>>) -> Book {
-    let owner = |(path, of): (&String, &Arc<Compiled>)| Owner {
+    let owner = |(path, compiled): (&String, &Arc<Compiled>)| Owner {
         path: path.clone(),
-        revision: of.read.file.revision,
-        uncertainty_policy: of.read.file.uncertainty_policy,
+        revision: compiled.parsed.file.revision,
+        uncertainty_policy: compiled.parsed.file.uncertainty_policy,
     };
     let namespaces = active.iter().map(owner).collect();
-    let mut rules = Vec::with_capacity(active.values().map(|of| of.rules.len()).sum());
-    rules.extend(active.values().flat_map(|of| of.rules.iter().cloned()));
+    let mut rules = Vec::with_capacity(active.values().map(|compiled| compiled.rules.len()).sum());
+    rules.extend(active.values().flat_map(|compiled| compiled.rules.iter().cloned()));
     Book { namespaces, rules }
 }
--- a/crates/routing-rules/src/newest_first.rs
+++ b/crates/routing-rules/src/newest_first.rs
@@ -18,7 +18,7 @@
 
 impl Recency<'_> {
     /// How new a namespace is.
-    pub fn of(&self, path: &str) -> Newness {
+    pub fn newness(&self, path: &str) -> Newness {
         let age = if self.void.contains(path) {
             // A void delegation must not take effect merely because the other claimant's file changed.
             Age::Void
@@ -31,25 +31,29 @@
     /// The newest namespace of any conflict, and the first conflict that it is held back for.
     pub fn choose(&self, conflicts: &[Conflict]) -> Option<(String, Conflict)> {
         let candidates = conflicts.iter().filter_map(|conflict| {
-            let held_back = self.held_back(conflict)?;
-            Some((self.of(&held_back), held_back, conflict))
+            let held_back = self.namespace_to_hold_back(conflict)?;
+            Some((self.newness(&held_back), held_back, conflict))
         });
         let (_, held_back, conflict) = candidates.max_by(|a, b| a.0.cmp(&b.0).then_with(|| b.2.cmp(a.2)))?;
         Some((held_back, conflict.clone()))
     }
 
     /// The namespace that is held back for a conflict.
-    fn held_back(&self, conflict: &Conflict) -> Option<String> {
-        let all = conflict.namespaces();
-        let children = conflict.promised_children();
-        let newest = |paths: Vec<&str>| paths.into_iter().max_by_key(|path| self.of(path)).map(str::to_owned);
-        if children.is_empty() {
-            return newest(all.into_iter().filter(|path| self.candidates.contains_key(*path)).collect());
+    fn namespace_to_hold_back(&self, conflict: &Conflict) -> Option<String> {
+        let namespaces = conflict.namespaces();
+        let competing_children = conflict.competing_children();
+        let newest =
+            |paths: Vec<&str>| paths.into_iter().max_by_key(|path| self.newness(path)).map(str::to_owned);
+        if competing_children.is_empty() {
+            return newest(
+                namespaces.into_iter().filter(|path| self.candidates.contains_key(*path)).collect(),
+            );
         }
         // A delegation is as new as the content that states it. If the newest of the delegating namespaces has a good content to
         // fall back to, it falls back before any child is held back.
-        let promisers = all.into_iter().filter(|path| !children.contains(path)).collect();
+        let delegating_namespaces =
+            namespaces.into_iter().filter(|path| !competing_children.contains(path)).collect();
         let has_fallback = |path: &String| self.candidates.get(path).is_some_and(Candidate::has_fallback);
-        newest(promisers).filter(has_fallback).or_else(|| newest(children.clone()))
+        newest(delegating_namespaces).filter(has_fallback).or_else(|| newest(competing_children.clone()))
     }
 }
--- a/crates/routing-rules/src/node_kind_set.rs
+++ b/crates/routing-rules/src/node_kind_set.rs
@@ -13,13 +13,13 @@
         NodeKindSet::of(inventory, |_| true)
     }
 
-    /// The set of the kinds of node for which `has` returns true.
-    pub fn of(inventory: &Inventory, mut has: impl FnMut(&crate::book::Node) -> bool) -> NodeKindSet {
-        let mut mask = NodeKindSet(vec![0; inventory.nodes.len().div_ceil(64)]);
-        for (at, node) in inventory.nodes().enumerate() {
-            mask.0[at / 64] |= u64::from(has(&node)) << (at % 64);
+    /// The set of the kinds of node for which `contains` returns true.
+    pub fn of(inventory: &Inventory, mut contains: impl FnMut(&crate::book::Node) -> bool) -> NodeKindSet {
+        let mut set = NodeKindSet(vec![0; inventory.nodes.len().div_ceil(64)]);
+        for (index, node) in inventory.nodes().enumerate() {
+            set.0[index / 64] |= u64::from(contains(&node)) << (index % 64);
         }
-        mask
+        set
     }
 
     /// The kinds of node that satisfy a placement: the selected ones or, for `Avoid`, all others. `None` for other rule kinds.
@@ -34,17 +34,20 @@
         self.0.iter().all(|word| *word == 0)
     }
 
-    pub fn and(&mut self, other: &NodeKindSet) {
+    /// Keeps only the kinds of node that are also in `other`.
+    pub fn intersect(&mut self, other: &NodeKindSet) {
         self.0.iter_mut().zip(&other.0).for_each(|(a, b)| *a &= b);
     }
 
-    pub fn without(&mut self, other: &NodeKindSet) {
+    /// Removes the kinds of node that are in `other`.
+    pub fn subtract(&mut self, other: &NodeKindSet) {
         self.0.iter_mut().zip(&other.0).for_each(|(a, b)| *a &= !b);
     }
 
+    /// The index of the first kind of node in the set.
     pub fn first(&self) -> Option<usize> {
-        let at = self.0.iter().position(|word| *word != 0)?;
-        Some(at * 64 + self.0[at].trailing_zeros() as usize)
+        let index = self.0.iter().position(|word| *word != 0)?;
+        Some(index * 64 + self.0[index].trailing_zeros() as usize)
     }
 }
 
--- a/crates/routing-rules/src/outcome.rs
+++ b/crates/routing-rules/src/outcome.rs
@@ -12,7 +12,7 @@
 /// The last evaluation of a merge, and the candidates it was based on.
 pub(crate) struct Outcome<'a> {
     pub round: &'a EvaluationRound,
-    pub taken: &'a CandidateSet,
+    pub candidate_set: &'a CandidateSet,
 }
 
 /// The history after the merge. If nothing changed, it is the old one with the same step, so that repeating a merge changes
@@ -20,9 +20,9 @@
 pub(crate) fn history(last: &History, outcome: &Outcome) -> History {
     let step = last.step.saturating_add(1);
     let mut next = History { step, ..History::default() };
-    let taken = outcome.taken;
+    let candidate_set = outcome.candidate_set;
     let mut paths: BTreeSet<&String> = last.namespaces.keys().collect();
-    paths.extend(taken.newest.keys().chain(taken.held.keys()));
+    paths.extend(candidate_set.newest.keys().chain(candidate_set.held_back.keys()));
     for path in paths {
         let before = last.namespaces.get(path);
         next.namespaces.insert(path.clone(), entry(path, before, outcome, step));
@@ -31,42 +31,42 @@
 }
 
 fn entry(path: &str, before: Option<&Entry>, outcome: &Outcome, step: u64) -> Entry {
-    let Outcome { round, taken } = outcome;
+    let Outcome { round, candidate_set } = outcome;
     let active = round.active.get(path);
-    let held_back = taken.held.get(path).cloned().or_else(|| below_void(path, taken));
+    let held_back = candidate_set.held_back.get(path).cloned().or_else(|| below_void(path, candidate_set));
     let event = event(path, outcome, held_back.is_some());
     let state = state(path, before, event, outcome, held_back.clone(), step);
     let good = match active {
-        Some(active) => Some(good_revision(active, taken.candidates.get(path), step)),
+        Some(active) => Some(good_revision(active, candidate_set.candidates.get(path), step)),
         None => before.and_then(|entry| entry.good.clone()),
     };
     // The digest of a held-back content is kept, so that the content counts as the newest until it changes.
-    let is_other = |read: &&Arc<ParsedFile>| active.is_none_or(|active| active.read.hash != read.hash);
-    let refused = taken.newest.get(path).filter(|read| held_back.is_some() && is_other(read));
-    let in_force = active.map(|active| active.read.file.revision);
-    let void = taken.void.contains(path);
-    Entry { state, in_force, good, refused: refused.map(|read| digest(read)), void }
+    let is_other = |parsed: &&Arc<ParsedFile>| active.is_none_or(|active| active.parsed.hash != parsed.hash);
+    let refused = candidate_set.newest.get(path).filter(|parsed| held_back.is_some() && is_other(parsed));
+    let in_force = active.map(|active| active.parsed.file.revision);
+    let void = candidate_set.void.contains(path);
+    Entry { state, in_force, good, refused: refused.map(|parsed| digest(parsed)), void }
 }
 
 /// The reason why a namespace is held back, and the other namespace of the conflict, if there is one.
 type HeldBack = (String, Option<String>);
 
 /// The reason for a namespace below a void delegation. Such a namespace is not in force, although it has no conflict itself.
-fn below_void(path: &str, taken: &CandidateSet) -> Option<HeldBack> {
+fn below_void(path: &str, candidate_set: &CandidateSet) -> Option<HeldBack> {
     let is_below =
         |void: &&String| path.strip_prefix(void.as_str()).is_some_and(|rest| rest.starts_with('/'));
-    let void = taken.void.iter().find(is_below)?;
-    let has_content = taken.candidates.contains_key(path) || taken.newest.contains_key(path);
+    let void = candidate_set.void.iter().find(is_below)?;
+    let has_content = candidate_set.candidates.contains_key(path) || candidate_set.newest.contains_key(path);
     has_content.then(|| (format!("the delegation to {void} doesn't count"), Some(void.clone())))
 }
 
 /// The event that the merge found for a namespace.
-fn event(path: &str, Outcome { round, taken }: &Outcome, is_held_back: bool) -> StateEvent {
-    if round.handed.contains_key(path) {
+fn event(path: &str, Outcome { round, candidate_set }: &Outcome, is_held_back: bool) -> StateEvent {
+    if round.handed_over.contains_key(path) {
         StateEvent::HandOver
     } else if round.frozen.contains_key(path) {
         StateEvent::Freeze
-    } else if taken.refused.iter().any(|refused| refused == path) {
+    } else if candidate_set.refused.iter().any(|refused| refused == path) {
         StateEvent::Refused
     } else if is_held_back {
         StateEvent::Conflict
@@ -95,7 +95,7 @@
         StateName::Good => State::Good,
         StateName::Frozen => State::Frozen { since, by: round.frozen.get(path).cloned().unwrap_or_default() },
         StateName::HandedOver => {
-            State::HandedOver { since, to: round.handed.get(path).cloned().unwrap_or_default() }
+            State::HandedOver { since, to: round.handed_over.get(path).cloned().unwrap_or_default() }
         }
         StateName::HeldBack => {
             let (why, by) = held_back.unwrap_or_default();
@@ -107,9 +107,9 @@
 
 /// The content in force, with the step at which it first came into force.
 fn good_revision(active: &Compiled, candidate: Option<&Candidate>, step: u64) -> GoodRevision {
-    let read = &active.read;
+    let parsed = &active.parsed;
     let known = candidate.and_then(|candidate| candidate.good.as_ref());
-    let taken = known.filter(|(known, _)| known.hash == read.hash).map_or(step, |(_, taken)| *taken);
-    let (file, revision) = (read.path_on_disk.clone(), read.file.revision);
-    GoodRevision { file, revision, text: read.text.clone(), taken }
+    let taken = known.filter(|(known, _)| known.hash == parsed.hash).map_or(step, |(_, taken)| *taken);
+    let (file, revision) = (parsed.path_on_disk.clone(), parsed.file.revision);
+    GoodRevision { file, revision, text: parsed.text.clone(), taken }
 }
--- a/crates/routing-rules/src/parsing.rs
+++ b/crates/routing-rules/src/parsing.rs
@@ -18,14 +18,14 @@
 
 /// Parses and checks a file. The error names the file, the line and the key.
 pub fn read(file: &RuleFile) -> Result<NamespaceFile, RuleFileError> {
-    let text = checked_text(file)?;
+    let text = complete_text(file)?;
     let source = SourceText::new(&file.path_on_disk, text);
     let raw: FileSchema = toml::from_str(text).map_err(|error| source.parser_error(&error))?;
     check(&source, raw)
 }
 
 /// The text of the file, if the file is not too large, is UTF-8 and does not look truncated.
-fn checked_text(file: &RuleFile) -> Result<&str, RuleFileError> {
+fn complete_text(file: &RuleFile) -> Result<&str, RuleFileError> {
     let error = |why: &str| RuleFileError {
         file: file.path_on_disk.clone(),
         line: 0,
@@ -52,7 +52,7 @@
     if raw.rule.len() + raw.delegate.len() > MAX_ITEMS {
         return Err(source.error(0, "rule", format!("more than {MAX_ITEMS} rules and delegations")));
     }
-    check_count(source, raw.rules, raw.rule.len())?;
+    check_rule_count(source, raw.rules, raw.rule.len())?;
     let uncertainty_policy = uncertainty_policy(source, raw.on_doubt, raw.retry_ms)?;
     let delegates = check_delegates(source, &namespace, raw.delegate)?;
     let rules = check_rules(source, raw.rule)?;
@@ -62,7 +62,7 @@
 
 /// Compares the number of rules with the count stated in the file. A file truncated between two rules still parses; the stated
 /// count detects it.
-fn check_count(
+fn check_rule_count(
     source: &SourceText,
     stated: Option<Spanned<usize>>,
     count: usize,
--- a/crates/routing-rules/src/scope.rs
+++ b/crates/routing-rules/src/scope.rs
@@ -41,8 +41,8 @@
     pub fn child(&self, delegate: &Delegate, location: RuleLocation) -> Scope {
         Scope {
             on: self.narrow(&delegate.tenants, &delegate.classes, &delegate.groups),
-            halls: or(&delegate.halls, &self.halls),
-            hardware: or(&delegate.hardware, &self.hardware),
+            halls: non_empty_or(&delegate.halls, &self.halls),
+            hardware: non_empty_or(&delegate.hardware, &self.hardware),
             connections: delegate.connections.or(self.connections),
             location,
         }
@@ -57,14 +57,18 @@
     ) -> Selector {
         let groups = if groups.is_empty() { &self.on.groups } else { groups };
         Selector {
-            tenants: or(tenants, &self.on.tenants),
-            classes: or(classes, &self.on.classes),
+            tenants: non_empty_or(tenants, &self.on.tenants),
+            classes: non_empty_or(classes, &self.on.classes),
             groups: groups.to_vec(),
         }
     }
 
     /// The kind and name of the first item that a rule names outside the scope, with a witness.
-    pub fn rule_beyond(&self, rule: &DeclaredRule, inventory: &Inventory) -> Option<(String, Witness)> {
+    pub fn first_outside_of_rule(
+        &self,
+        rule: &DeclaredRule,
+        inventory: &Inventory,
+    ) -> Option<(String, Witness)> {
         let none = BTreeSet::new();
         let (halls, hardware) = match &rule.kind {
             RuleKind::Place { halls, hardware, .. } | RuleKind::Cap { halls, hardware, .. } => {
@@ -72,15 +76,26 @@
             }
             _ => (&none, &none),
         };
-        self.beyond(&rule.tenants, &rule.classes, &rule.groups, halls, hardware, inventory)
+        self.first_outside(&rule.tenants, &rule.classes, &rule.groups, halls, hardware, inventory)
     }
 
     /// The kind and name of the first item that a delegation names outside the scope, with a witness.
-    pub fn delegate_beyond(&self, to: &Delegate, inventory: &Inventory) -> Option<(String, Witness)> {
-        self.beyond(&to.tenants, &to.classes, &to.groups, &to.halls, &to.hardware, inventory)
+    pub fn first_outside_of_delegate(
+        &self,
+        delegate: &Delegate,
+        inventory: &Inventory,
+    ) -> Option<(String, Witness)> {
+        self.first_outside(
+            &delegate.tenants,
+            &delegate.classes,
+            &delegate.groups,
+            &delegate.halls,
+            &delegate.hardware,
+            inventory,
+        )
     }
 
-    fn beyond(
+    fn first_outside(
         &self,
         tenants: &BTreeSet<String>,
         classes: &BTreeSet<String>,
@@ -91,48 +106,48 @@
     ) -> Option<(String, Witness)> {
         let on = self.narrow(tenants, classes, groups);
         let sample = inventory.sample(&on);
-        let found = |what: &str, name: &str, request: Request| {
-            Some((format!("{what} {name}"), Witness::new(&request, None)))
+        let outside = |kind: &str, name: &str, request: Request| {
+            Some((format!("{kind} {name}"), Witness::new(&request, None)))
         };
-        if let Some(tenant) = lacks(tenants, &self.on.tenants) {
-            return found("tenant", tenant, Request { tenant: Some(tenant), ..sample });
+        if let Some(tenant) = first_missing(tenants, &self.on.tenants) {
+            return outside("tenant", tenant, Request { tenant: Some(tenant), ..sample });
         }
-        if let Some(class) = lacks(classes, &self.on.classes) {
-            return found("class", class, Request { class, ..sample });
+        if let Some(class) = first_missing(classes, &self.on.classes) {
+            return outside("class", class, Request { class, ..sample });
         }
         if !self.on.groups.is_empty()
-            && let Some(group) = groups::lacks(groups, &self.on.groups)
+            && let Some(group) = groups::first_missing(groups, &self.on.groups)
         {
-            return found("group", &format!("{group:#x}"), Request { group: Some(group), ..sample });
+            return outside("group", &format!("{group:#x}"), Request { group: Some(group), ..sample });
         }
-        let node = |what: &str, name: &str, hall: &str, class: &str| {
+        let outside_node = |kind: &str, name: &str, hall: &str, class: &str| {
             let node = crate::book::Node { hall, hardware: class };
-            Some((format!("{what} {name}"), Witness::new(&sample, Some(node))))
+            Some((format!("{kind} {name}"), Witness::new(&sample, Some(node))))
         };
-        if let Some(hall) = lacks(halls, &self.halls) {
+        if let Some(hall) = first_missing(halls, &self.halls) {
             let class = inventory
                 .nodes()
                 .find(|node| node.hall == hall && (hardware.is_empty() || hardware.contains(node.hardware)));
             let class = class.map(|node| node.hardware).or(hardware.first().map(String::as_str));
-            return node("hall", hall, hall, class.unwrap_or_default());
+            return outside_node("hall", hall, hall, class.unwrap_or_default());
         }
-        if let Some(class) = lacks(hardware, &self.hardware) {
+        if let Some(class) = first_missing(hardware, &self.hardware) {
             let hall = inventory
                 .nodes()
                 .find(|node| node.hardware == class && (halls.is_empty() || halls.contains(node.hall)));
             let hall = hall.map(|node| node.hall).or(halls.first().map(String::as_str));
-            return node("hardware", class, hall.unwrap_or_default(), class);
+            return outside_node("hardware", class, hall.unwrap_or_default(), class);
         }
         None
     }
 }
 
-fn or(named: &BTreeSet<String>, had: &BTreeSet<String>) -> BTreeSet<String> {
-    if named.is_empty() { had.clone() } else { named.clone() }
+fn non_empty_or(named: &BTreeSet<String>, granted: &BTreeSet<String>) -> BTreeSet<String> {
+    if named.is_empty() { granted.clone() } else { named.clone() }
 }
 
 /// The first of the names that is not in `given`. `None` if `given` is empty, which means any.
-fn lacks<'a>(names: &'a BTreeSet<String>, given: &BTreeSet<String>) -> Option<&'a str> {
+fn first_missing<'a>(names: &'a BTreeSet<String>, given: &BTreeSet<String>) -> Option<&'a str> {
     if given.is_empty() {
         return None;
     }
@@ -140,18 +155,20 @@
 }
 
 /// A request that the inventory allows and that both selectors match.
-pub(crate) fn meeting<'a>(
+pub(crate) fn common_request<'a>(
     one: &'a Selector,
     other: &'a Selector,
     inventory: &'a Inventory,
 ) -> Option<Request<'a>> {
     let tenant = match (one.tenants.is_empty(), other.tenants.is_empty()) {
         (true, true) => None,
-        (true, false) => Some(other.tenants.iter().find(|t| inventory.tenants.contains(*t))?),
-        (false, true) => Some(one.tenants.iter().find(|t| inventory.tenants.contains(*t))?),
-        (false, false) => {
-            Some(one.tenants.iter().find(|t| other.tenants.contains(*t) && inventory.tenants.contains(*t))?)
-        }
+        (true, false) => Some(other.tenants.iter().find(|tenant| inventory.tenants.contains(*tenant))?),
+        (false, true) => Some(one.tenants.iter().find(|tenant| inventory.tenants.contains(*tenant))?),
+        (false, false) => Some(
+            one.tenants
+                .iter()
+                .find(|tenant| other.tenants.contains(*tenant) && inventory.tenants.contains(*tenant))?,
+        ),
     };
     let in_both = |class: &&String| {
         (one.classes.is_empty() || one.classes.contains(*class))
@@ -161,7 +178,7 @@
     let group = match (one.groups.first(), other.groups.first()) {
         (None, None) => None,
         (Some(range), None) | (None, Some(range)) => Some(range.first),
-        (Some(_), Some(_)) => Some(groups::both(&one.groups, &other.groups).first()?.first),
+        (Some(_), Some(_)) => Some(groups::intersection(&one.groups, &other.groups).first()?.first),
     };
     Some(Request { tenant: tenant.map(String::as_str), class, group })
 }
--- a/crates/routing-rules/src/source_text.rs
+++ b/crates/routing-rules/src/source_text.rs
@@ -7,19 +7,19 @@
     file: &'a str,
     text: &'a str,
     /// The byte offset at which each line starts, so that the line of a position is found by binary search.
-    starts: Vec<usize>,
+    line_starts: Vec<usize>,
 }
 
 impl<'a> SourceText<'a> {
     /// Indexes the lines of a file's text.
     pub fn new(file: &'a str, text: &'a str) -> Self {
         let newlines = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n').map(|(at, _)| at + 1);
-        SourceText { file, text, starts: std::iter::once(0).chain(newlines).collect() }
+        SourceText { file, text, line_starts: std::iter::once(0).chain(newlines).collect() }
     }
 
     /// The line that contains a byte offset, counted from 1.
-    pub fn line(&self, at: usize) -> u32 {
-        u32::try_from(self.starts.partition_point(|start| *start <= at)).unwrap_or(u32::MAX)
+    pub fn line(&self, offset: usize) -> u32 {
+        u32::try_from(self.line_starts.partition_point(|start| *start <= offset)).unwrap_or(u32::MAX)
     }
 
     /// An error about a key on a line.
