--- a/crates/routing-rules/tests/common/mod.rs
+++ b/crates/routing-rules/tests/common/mod.rs
@@ -15,7 +15,7 @@
 pub const GROUPS: u64 = 4;
 pub const FLEET_CONNECTIONS: u64 = 100;
 
-pub fn world() -> Inventory {
+pub fn inventory() -> Inventory {
     Inventory::of("r", &TENANTS, &CLASSES, &HALLS, &HARDWARE, FLEET_CONNECTIONS)
 }
 
@@ -45,97 +45,100 @@
 pub type Names = BTreeSet<usize>;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct On {
+pub struct SelectorSpec {
     pub tenants: Names,
     pub classes: Names,
     pub groups: BTreeSet<u64>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Nodes {
+pub struct NodeSelection {
     pub halls: Names,
     pub hardware: Names,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum What {
-    Require(Nodes),
-    Avoid(Nodes),
-    Prefer(Nodes),
-    RatherNot(Nodes),
+pub enum KindSpec {
+    Require(NodeSelection),
+    Avoid(NodeSelection),
+    Prefer(NodeSelection),
+    PreferOthers(NodeSelection),
     Cap(u64),
     Attempts(u32),
 }
 
 #[derive(Clone, Debug)]
 pub struct RuleSpec {
-    pub on: On,
+    pub selector: SelectorSpec,
     pub priority: i32,
-    pub what: What,
+    pub kind: KindSpec,
 }
 
 #[derive(Clone, Debug)]
-pub struct Grant {
+pub struct DelegateSpec {
     pub to: String,
-    pub on: On,
-    pub nodes: Nodes,
+    pub selector: SelectorSpec,
+    pub nodes: NodeSelection,
     pub connections: Option<u64>,
 }
 
 #[derive(Clone, Debug)]
-pub struct Spec {
+pub struct NamespaceSpec {
     pub path: String,
     pub revision: u64,
-    pub grants: Vec<Grant>,
+    pub delegates: Vec<DelegateSpec>,
     pub rules: Vec<RuleSpec>,
 }
 
-fn list(key: &str, names: &Names, of: &[&str], to: &mut String, line: &str) {
+fn write_names(key: &str, names: &Names, of: &[&str], to: &mut String, line: &str) {
     if !names.is_empty() {
         let names: Vec<String> = names.iter().map(|at| format!("\"{}\"", of[*at])).collect();
         write!(to, "{key} = [{}]{line}", names.join(", ")).expect("writing to a String cannot fail");
     }
 }
 
-fn on(on: &On, to: &mut String) {
-    list("tenants", &on.tenants, &TENANTS, to, "\n");
-    list("classes", &on.classes, &CLASSES, to, "\n");
-    if !on.groups.is_empty() {
-        let groups: Vec<String> = on.groups.iter().map(|group| format!("\"{group:#x}\"")).collect();
+fn write_selector(selector: &SelectorSpec, to: &mut String) {
+    write_names("tenants", &selector.tenants, &TENANTS, to, "\n");
+    write_names("classes", &selector.classes, &CLASSES, to, "\n");
+    if !selector.groups.is_empty() {
+        let groups: Vec<String> = selector.groups.iter().map(|group| format!("\"{group:#x}\"")).collect();
         writeln!(to, "groups = [{}]", groups.join(", ")).expect("writing to a String cannot fail");
     }
 }
 
-fn placed(nodes: &Nodes) -> String {
+fn format_nodes(nodes: &NodeSelection) -> String {
     let mut inner = String::new();
-    list("halls", &nodes.halls, &HALLS, &mut inner, ", ");
-    list("hardware", &nodes.hardware, &HARDWARE, &mut inner, ", ");
+    write_names("halls", &nodes.halls, &HALLS, &mut inner, ", ");
+    write_names("hardware", &nodes.hardware, &HARDWARE, &mut inner, ", ");
     inner.trim_end_matches(", ").to_owned()
 }
 
-impl Spec {
+impl NamespaceSpec {
     pub fn file(&self) -> RuleFile {
         let mut body = String::new();
-        for grant in &self.grants {
-            writeln!(body, "[[delegate]]\nto = \"{}\"", grant.to).expect("writing to a String cannot fail");
-            on(&grant.on, &mut body);
-            list("halls", &grant.nodes.halls, &HALLS, &mut body, "\n");
-            list("hardware", &grant.nodes.hardware, &HARDWARE, &mut body, "\n");
-            if let Some(part) = grant.connections {
-                writeln!(body, "connections = {part}").expect("writing to a String cannot fail");
+        for delegate in &self.delegates {
+            writeln!(body, "[[delegate]]\nto = \"{}\"", delegate.to)
+                .expect("writing to a String cannot fail");
+            write_selector(&delegate.selector, &mut body);
+            write_names("halls", &delegate.nodes.halls, &HALLS, &mut body, "\n");
+            write_names("hardware", &delegate.nodes.hardware, &HARDWARE, &mut body, "\n");
+            if let Some(quota) = delegate.connections {
+                writeln!(body, "connections = {quota}").expect("writing to a String cannot fail");
             }
         }
         for (at, rule) in self.rules.iter().enumerate() {
             writeln!(body, "[[rule]]\nname = \"rule-{at}\"\npriority = {}", rule.priority)
                 .expect("writing to a String cannot fail");
-            on(&rule.on, &mut body);
-            let kind = match &rule.what {
-                What::Require(nodes) => format!("place.require = {{ {} }}", placed(nodes)),
-                What::Avoid(nodes) => format!("place.avoid = {{ {} }}", placed(nodes)),
-                What::Prefer(nodes) => format!("place.prefer = {{ {} }}", placed(nodes)),
-                What::RatherNot(nodes) => format!("must = false\nplace.avoid = {{ {} }}", placed(nodes)),
-                What::Cap(connections) => format!("cap.connections = {connections}"),
-                What::Attempts(most) => format!("attempts.most = {most}"),
+            write_selector(&rule.selector, &mut body);
+            let kind = match &rule.kind {
+                KindSpec::Require(nodes) => format!("place.require = {{ {} }}", format_nodes(nodes)),
+                KindSpec::Avoid(nodes) => format!("place.avoid = {{ {} }}", format_nodes(nodes)),
+                KindSpec::Prefer(nodes) => format!("place.prefer = {{ {} }}", format_nodes(nodes)),
+                KindSpec::PreferOthers(nodes) => {
+                    format!("must = false\nplace.avoid = {{ {} }}", format_nodes(nodes))
+                }
+                KindSpec::Cap(connections) => format!("cap.connections = {connections}"),
+                KindSpec::Attempts(max_count) => format!("attempts.most = {max_count}"),
             };
             writeln!(body, "{kind}").expect("writing to a String cannot fail");
         }
@@ -143,76 +146,80 @@
     }
 }
 
-fn names(of: usize, most: usize) -> impl Strategy<Value = Names> {
-    prop_oneof![1 => Just(Names::new()), 2 => btree_set(0..of, 1..=most)]
+fn names(of: usize, max_count: usize) -> impl Strategy<Value = Names> {
+    prop_oneof![1 => Just(Names::new()), 2 => btree_set(0..of, 1..=max_count)]
 }
 
-fn any_on() -> impl Strategy<Value = On> {
+fn any_selector() -> impl Strategy<Value = SelectorSpec> {
     let groups = prop_oneof![2 => Just(BTreeSet::new()), 1 => btree_set(0..GROUPS, 1..=3)];
-    (names(3, 2), names(2, 1), groups).prop_map(|(tenants, classes, groups)| On { tenants, classes, groups })
+    (names(3, 2), names(2, 1), groups).prop_map(|(tenants, classes, groups)| SelectorSpec {
+        tenants,
+        classes,
+        groups,
+    })
 }
 
-fn any_nodes() -> impl Strategy<Value = Nodes> {
+fn any_nodes() -> impl Strategy<Value = NodeSelection> {
     prop_oneof![
-        btree_set(0..2_usize, 1..=2).prop_map(|halls| Nodes { halls, hardware: Names::new() }),
-        btree_set(0..2_usize, 1..=2).prop_map(|hardware| Nodes { halls: Names::new(), hardware }),
+        btree_set(0..2_usize, 1..=2).prop_map(|halls| NodeSelection { halls, hardware: Names::new() }),
+        btree_set(0..2_usize, 1..=2).prop_map(|hardware| NodeSelection { halls: Names::new(), hardware }),
         (btree_set(0..2_usize, 1..=2), btree_set(0..2_usize, 1..=2))
-            .prop_map(|(halls, hardware)| Nodes { halls, hardware }),
+            .prop_map(|(halls, hardware)| NodeSelection { halls, hardware }),
     ]
 }
 
 fn any_rule() -> impl Strategy<Value = RuleSpec> {
-    let what = prop_oneof![
-        3 => any_nodes().prop_map(What::Require),
-        2 => any_nodes().prop_map(What::Avoid),
-        3 => any_nodes().prop_map(What::Prefer),
-        1 => any_nodes().prop_map(What::RatherNot),
-        1 => (1..150_u64).prop_map(What::Cap),
-        1 => (1..5_u32).prop_map(What::Attempts),
+    let kind = prop_oneof![
+        3 => any_nodes().prop_map(KindSpec::Require),
+        2 => any_nodes().prop_map(KindSpec::Avoid),
+        3 => any_nodes().prop_map(KindSpec::Prefer),
+        1 => any_nodes().prop_map(KindSpec::PreferOthers),
+        1 => (1..150_u64).prop_map(KindSpec::Cap),
+        1 => (1..5_u32).prop_map(KindSpec::Attempts),
     ];
     // Most rules apply to the whole scope of their namespace. Otherwise hardly any universe would be free of conflicts.
-    let on = prop_oneof![3 => Just(On::default()), 1 => any_on()];
-    (on, 0..2_i32, what).prop_map(|(on, priority, what)| RuleSpec { on, priority, what })
+    let selector = prop_oneof![3 => Just(SelectorSpec::default()), 1 => any_selector()];
+    (selector, 0..2_i32, kind).prop_map(|(selector, priority, kind)| RuleSpec { selector, priority, kind })
 }
 
-fn any_grant(to: &'static str) -> impl Strategy<Value = Option<Grant>> {
+fn any_delegate(to: &'static str) -> impl Strategy<Value = Option<DelegateSpec>> {
     // Two thirds of the grants name one tenant, as real ones do. Otherwise few files would be free of conflicts.
-    let own: usize = if to.ends_with('a') || to.ends_with('x') { 0 } else { 1 };
-    let on = prop_oneof![
-        1 => any_on(),
-        2 => Just(On { tenants: BTreeSet::from([own]), ..On::default() }),
+    let tenant: usize = if to.ends_with('a') || to.ends_with('x') { 0 } else { 1 };
+    let selector = prop_oneof![
+        1 => any_selector(),
+        2 => Just(SelectorSpec { tenants: BTreeSet::from([tenant]), ..SelectorSpec::default() }),
     ];
-    let nodes = prop_oneof![2 => Just(Nodes::default()), 1 => any_nodes()];
+    let nodes = prop_oneof![2 => Just(NodeSelection::default()), 1 => any_nodes()];
     let connections = prop_oneof![1 => Just(None), 1 => (1..80_u64).prop_map(Some)];
-    let grant = (on, nodes, connections).prop_map(move |(on, nodes, connections)| Grant {
-        to: to.to_owned(),
-        on,
-        nodes,
-        connections,
+    let delegate = (selector, nodes, connections).prop_map(move |(selector, nodes, connections)| {
+        DelegateSpec { to: to.to_owned(), selector, nodes, connections }
     });
-    prop::option::weighted(0.9, grant)
+    prop::option::weighted(0.9, delegate)
 }
 
-fn any_spec(path: &'static str, children: [Option<&'static str>; 2]) -> impl Strategy<Value = Spec> {
-    let grant = |child: Option<&'static str>| match child {
-        Some(to) => any_grant(to).boxed(),
+fn any_namespace(
+    path: &'static str,
+    children: [Option<&'static str>; 2],
+) -> impl Strategy<Value = NamespaceSpec> {
+    let delegate = |child: Option<&'static str>| match child {
+        Some(to) => any_delegate(to).boxed(),
         None => Just(None).boxed(),
     };
-    (grant(children[0]), grant(children[1]), vec(any_rule(), 0..4), 1..3_u64).prop_map(
-        move |(one, other, rules, revision)| Spec {
+    (delegate(children[0]), delegate(children[1]), vec(any_rule(), 0..4), 1..3_u64).prop_map(
+        move |(one, other, rules, revision)| NamespaceSpec {
             path: path.to_owned(),
             revision,
-            grants: one.into_iter().chain(other).collect(),
+            delegates: one.into_iter().chain(other).collect(),
             rules,
         },
     )
 }
 
 /// A root with two children, each of which may have one child itself. Every namespace except the root sometimes has no file.
-pub fn any_universe() -> impl Strategy<Value = Vec<Spec>> {
-    let maybe = |path, children| prop::option::weighted(0.85, any_spec(path, children));
+pub fn any_universe() -> impl Strategy<Value = Vec<NamespaceSpec>> {
+    let maybe = |path, children| prop::option::weighted(0.85, any_namespace(path, children));
     (
-        any_spec("r", [Some("a"), Some("b")]),
+        any_namespace("r", [Some("a"), Some("b")]),
         maybe("r/a", [Some("x"), None]),
         maybe("r/b", [Some("y"), None]),
         maybe("r/a/x", [None, None]),
@@ -221,6 +228,6 @@
         .prop_map(|(root, a, b, x, y)| [Some(root), a, b, x, y].into_iter().flatten().collect())
 }
 
-pub fn files(universe: &[Spec]) -> Vec<RuleFile> {
-    universe.iter().map(Spec::file).collect()
+pub fn files(universe: &[NamespaceSpec]) -> Vec<RuleFile> {
+    universe.iter().map(NamespaceSpec::file).collect()
 }
--- a/crates/routing-rules/tests/examples.rs
+++ b/crates/routing-rules/tests/examples.rs
@@ -24,7 +24,7 @@
     names.map(file).collect()
 }
 
-fn world() -> Inventory {
+fn inventory() -> Inventory {
     Inventory::of(
         "consortium",
         &["edicoes-a", "edicoes-a-opera", "verlag-b", "archive"],
@@ -37,32 +37,32 @@
 
 #[test]
 fn three_rivals_and_a_consortium_merge_with_no_conflict() {
-    let merged = merge(&History::default(), &files(), &world());
+    let merged = merge(&History::default(), &files(), &inventory());
     assert_eq!(merged.conflicts, []);
     assert_eq!(merged.book.namespaces.len(), 5);
     assert!(merged.history.namespaces.values().all(|entry| entry.state == State::Good));
-    let ask = |tenant, class, group, hall, hardware| {
+    let evaluate = |tenant, class, group, hall, hardware| {
         effective(&merged.book, &Request { tenant, class, group }, &Node { hall, hardware })
     };
     // Print requests of Verlag B go only to large nodes in the east. No print request goes to a small node.
-    assert!(ask(Some("verlag-b"), "print", None, "east", "large").allowed);
-    assert!(!ask(Some("verlag-b"), "print", None, "north", "large").allowed);
-    assert!(!ask(None, "print", None, "north", "small").allowed);
+    assert!(evaluate(Some("verlag-b"), "print", None, "east", "large").allowed);
+    assert!(!evaluate(Some("verlag-b"), "print", None, "north", "large").allowed);
+    assert!(!evaluate(None, "print", None, "north", "small").allowed);
     // Edições A and its team avoid the east. The team's preference for the south applies to the team's own tenant.
-    assert!(!ask(Some("edicoes-a-opera"), "proof", None, "east", "large").allowed);
-    let opera = ask(Some("edicoes-a-opera"), "proof", Some(0x123), "south", "large");
+    assert!(!evaluate(Some("edicoes-a-opera"), "proof", None, "east", "large").allowed);
+    let opera = evaluate(Some("edicoes-a-opera"), "proof", Some(0x123), "south", "large");
     assert_eq!(opera.preferences, [("consortium/edicoes-a/opera:opera-in-the-south".to_owned(), true)]);
     assert_eq!((opera.spread, opera.move_when), (Some(3), Some(MoveCondition::DrainsOnly)));
     assert_eq!(opera.uncertainty_policy, Some(UncertaintyPolicy::Refuse { retry_ms: 2_000 }));
     // The lowest limit on attempts applies.
-    assert_eq!(ask(Some("verlag-b"), "proof", None, "east", "large").attempts, Some(2));
-    assert_eq!(ask(Some("edicoes-a"), "proof", None, "north", "large").attempts, Some(4));
+    assert_eq!(evaluate(Some("verlag-b"), "proof", None, "east", "large").attempts, Some(2));
+    assert_eq!(evaluate(Some("edicoes-a"), "proof", None, "north", "large").attempts, Some(4));
     // Each delegated quota is a separate cap.
-    let caps = ask(Some("edicoes-a-opera"), "proof", None, "south", "large").caps;
+    let caps = evaluate(Some("edicoes-a-opera"), "proof", None, "south", "large").caps;
     assert_eq!(caps.iter().map(|(_, connections)| *connections).max(), Some(4_000));
     assert_eq!(caps.len(), 3);
     // Casa C owns only the old groups of the archive.
-    assert_eq!(ask(Some("archive"), "print", Some(0x4001), "north", "vast").paces.len(), 1);
-    assert_eq!(ask(Some("archive"), "print", Some(0x5001), "north", "vast").paces.len(), 0);
-    assert!(!ask(Some("archive"), "print", Some(0x8000), "north", "large").allowed);
+    assert_eq!(evaluate(Some("archive"), "print", Some(0x4001), "north", "vast").paces.len(), 1);
+    assert_eq!(evaluate(Some("archive"), "print", Some(0x5001), "north", "vast").paces.len(), 0);
+    assert!(!evaluate(Some("archive"), "print", Some(0x8000), "north", "large").allowed);
 }
--- a/crates/routing-rules/tests/files.rs
+++ b/crates/routing-rules/tests/files.rs
@@ -8,7 +8,7 @@
 
 mod common;
 
-use common::{any_universe, file, files, world};
+use common::{any_universe, file, files, inventory};
 use cottonnotch_routing_rules::{
     Conflict, History, MAX_FILE_BYTES, RuleFile, RuleKind, State, Strength, UncertaintyPolicy, merge, read,
 };
@@ -87,19 +87,19 @@
 
 #[test]
 fn a_file_cut_anywhere_but_between_lines_is_broken_and_with_a_count_anywhere_is() {
-    let whole = file(
+    let complete = file(
         "r/a",
         1,
         "rules = 2\n[[rule]]\nname = \"m\"\nattempts.most = 22\n[[rule]]\nname = \"n\"\nspread.nodes = 3",
     );
-    assert!(read(&whole).is_ok());
+    assert!(read(&complete).is_ok());
     // The stated count of rules is on the fourth line, before the first rule.
-    let text = String::from_utf8_lossy(&whole.text);
+    let text = String::from_utf8_lossy(&complete.text);
     let counted = text.find("[[rule]]").expect("the file has rules");
     for cut in
-        (0..whole.text.len()).filter(|cut| *cut >= counted || whole.text[..*cut].last() != Some(&b'\n'))
+        (0..complete.text.len()).filter(|cut| *cut >= counted || complete.text[..*cut].last() != Some(&b'\n'))
     {
-        let part = RuleFile::new("f", &whole.text[..cut]);
+        let part = RuleFile::new("f", &complete.text[..cut]);
         assert!(read(&part).is_err(), "{:?}", String::from_utf8_lossy(&part.text));
     }
 }
@@ -108,9 +108,9 @@
 fn a_broken_file_holds_back_its_own_namespace_alone() {
     let body = "[[delegate]]\nto = \"a\"\ntenants = [\"t0\"]\n[[delegate]]\nto = \"b\"\ntenants = [\"t1\"]\n";
     let good = [file("r", 1, body), file("r/a", 1, ""), file("r/b", 1, "")];
-    let first = merge(&History::default(), &good, &world());
+    let first = merge(&History::default(), &good, &inventory());
     let broken = RuleFile::new("rules/r/a.toml", "namespace = \n");
-    let merged = merge(&first.history, &[good[0].clone(), broken.clone(), file("r/b", 2, "")], &world());
+    let merged = merge(&first.history, &[good[0].clone(), broken.clone(), file("r/b", 2, "")], &inventory());
     let revisions: Vec<u64> = merged.book.namespaces.iter().map(|owner| owner.revision).collect();
     assert_eq!(revisions, [1, 1, 2]);
     let state = &merged.history.namespaces["r/a"].state;
@@ -120,19 +120,19 @@
         "{state:?}"
     );
     // A broken file whose path belongs to no namespace holds no namespace back.
-    let anyone = RuleFile::new("nobody.toml", "namespace = \n");
-    let merged = merge(&first.history, &[good.as_slice(), &[anyone]].concat(), &world());
+    let unattributed = RuleFile::new("nobody.toml", "namespace = \n");
+    let merged = merge(&first.history, &[good.as_slice(), &[unattributed]].concat(), &inventory());
     assert_eq!(merged.book, first.book);
     assert!(matches!(&merged.conflicts[..], [Conflict::Broken { namespace: None, .. }]));
     // In a first merge, without a history, the path of the file tells which namespace it belongs to.
-    let merged = merge(&History::default(), &[good[0].clone(), broken], &world());
+    let merged = merge(&History::default(), &[good[0].clone(), broken], &inventory());
     assert!(
         matches!(&merged.conflicts[..], [Conflict::Broken { namespace: Some(path), .. }] if path == "r/a")
     );
     assert!(matches!(merged.history.namespaces["r/a"].state, State::HeldBack { .. }));
 }
 
-fn anything() -> impl Strategy<Value = Vec<u8>> {
+fn any_bytes() -> impl Strategy<Value = Vec<u8>> {
     let line = prop_oneof![
         Just("namespace = \"r/a\"".to_owned()),
         Just("revision = 7".to_owned()),
@@ -156,19 +156,19 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_bytes_never_panic_and_change_no_other_namespace(universe in any_universe(), bytes in anything(), at in 0..5_usize) {
+    fn any_bytes_never_panic_and_change_no_other_namespace(universe in any_universe(), bytes in any_bytes(), at in 0..5_usize) {
         // Merges good files, then overwrites one of them with arbitrary bytes.
         let good = files(&universe);
-        let first = merge(&History::default(), &good, &world());
-        let settled = merge(&first.history, &good, &world());
+        let first = merge(&History::default(), &good, &inventory());
+        let second = merge(&first.history, &good, &inventory());
         let mut bad = good.clone();
         let at = at % bad.len();
         bad[at].text = bytes;
         let path = &universe[at].path;
-        let merged = merge(&first.history, &bad, &world());
+        let merged = merge(&first.history, &bad, &inventory());
         if read(&bad[at]).is_err() {
             // A namespace that was held back may come into force now. No rule that was in force changes or disappears.
-            for rule in &settled.book.rules {
+            for rule in &second.book.rules {
                 prop_assert!(merged.book.rules.contains(rule), "{path}: {rule:?} is gone");
             }
         }
--- a/crates/routing-rules/tests/oracle.rs
+++ b/crates/routing-rules/tests/oracle.rs
@@ -12,40 +12,40 @@
 
 use std::collections::BTreeSet;
 
-use common::{any_universe, files, nodes, requests, world};
+use common::{any_universe, files, inventory, nodes, requests};
 use cottonnotch_routing_rules::{
     Book, Conflict, History, Merger, PlacementMode, RuleFile, RuleKind, State, Strength, check, effective,
     merge,
 };
-use oracle::Found;
+use oracle::FoundConflicts;
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 
 /// Converts the crate's conflicts to the oracle's representation.
-fn told(conflicts: &[Conflict]) -> Found {
-    let mut found = Found::default();
+fn to_oracle_conflicts(conflicts: &[Conflict]) -> FoundConflicts {
+    let mut found = FoundConflicts::default();
     for conflict in conflicts {
         match conflict {
             Conflict::Orphan { one, .. } => {
                 found.orphans.insert(one.namespace.clone());
             }
             Conflict::NotOwned { one, .. } => {
-                found.not_owned.insert((one.namespace.clone(), one.name.clone()));
+                found.out_of_scope.insert((one.namespace.clone(), one.name.clone()));
             }
             Conflict::SameSubject { one, other, .. } => {
-                found.same_subject.insert((one.namespace.clone(), other.namespace.clone()));
+                found.overlapping_siblings.insert((one.namespace.clone(), other.namespace.clone()));
             }
             Conflict::OverCommitted { one, quotas, .. } if quotas.is_empty() => {
-                found.beyond_caps.insert((one.namespace.clone(), one.name.clone()));
+                found.excessive_caps.insert((one.namespace.clone(), one.name.clone()));
             }
             Conflict::OverCommitted { promiser, .. } => {
-                found.over_committed.insert(promiser.namespace.clone());
+                found.overcommitted.insert(promiser.namespace.clone());
             }
             Conflict::NoNode { one, .. } => {
                 found.no_node.insert(one.namespace.clone());
             }
             Conflict::IneffectivePreference { one, .. } => {
-                found.idle.insert((one.namespace.clone(), one.name.clone()));
+                found.ineffective_preferences.insert((one.namespace.clone(), one.name.clone()));
             }
             other => panic!("the universes cannot contain this conflict: {other}"),
         }
@@ -54,17 +54,22 @@
 }
 
 /// Checks that the witness of a conflict demonstrates it, by the rules and delegations as declared in the files.
-fn witness_is_real(conflict: &Conflict, universe: &[common::Spec]) -> Result<(), TestCaseError> {
+fn check_witness(conflict: &Conflict, universe: &[common::NamespaceSpec]) -> Result<(), TestCaseError> {
     let witness = conflict.witness().expect("all conflicts of these universes have a witness");
     let request = witness.request();
     let spec = |path: &str| universe.iter().find(|spec| spec.path == path).expect("the namespace has a file");
     match conflict {
         Conflict::NoNode { requirements, .. } => {
-            let rules: Vec<_> =
-                requirements.iter().map(|spot| rule_of(universe, &spot.namespace, &spot.name)).collect();
-            prop_assert!(rules.iter().all(|(on, _)| oracle::speaks(on, &request)), "{conflict}");
+            let rules: Vec<_> = requirements
+                .iter()
+                .map(|location| declared_rule(universe, &location.namespace, &location.name))
+                .collect();
+            prop_assert!(
+                rules.iter().all(|(selector, _)| oracle::matches_request(selector, &request)),
+                "{conflict}"
+            );
             let allowed = |skip: Option<usize>, node: &cottonnotch_routing_rules::Node| {
-                rules.iter().enumerate().all(|(at, (_, what))| Some(at) == skip || allows(what, node))
+                rules.iter().enumerate().all(|(at, (_, kind))| Some(at) == skip || allows(kind, node))
             };
             prop_assert!(!nodes().iter().any(|node| allowed(None, node)), "{conflict}");
             for skip in 0..rules.len() {
@@ -77,49 +82,57 @@
             prop_assert!(allowed(Some(rules.len() - 1), &node), "{conflict}");
         }
         Conflict::IneffectivePreference { one, .. } => {
-            let (on, _) = rule_of(universe, &one.namespace, &one.name);
-            prop_assert!(oracle::speaks(&on, &request), "{conflict}");
+            let (selector, _) = declared_rule(universe, &one.namespace, &one.name);
+            prop_assert!(oracle::matches_request(&selector, &request), "{conflict}");
         }
         Conflict::SameSubject { one, other, parent, .. } => {
             for child in [one, other] {
                 let name = child.namespace.rsplit('/').next().expect("split returns at least one part");
-                let grant = spec(&parent.namespace).grants.iter().find(|grant| grant.to == name);
+                let delegate = spec(&parent.namespace).delegates.iter().find(|delegate| delegate.to == name);
                 prop_assert!(
-                    oracle::speaks(&grant.expect("the parent delegates to the child").on, &request),
+                    oracle::matches_request(
+                        &delegate.expect("the parent delegates to the child").selector,
+                        &request
+                    ),
                     "{conflict}"
                 );
             }
         }
         Conflict::NotOwned { one, .. } if !one.name.starts_with("delegate") => {
-            let (on, _) = rule_of(universe, &one.namespace, &one.name);
-            prop_assert!(oracle::speaks(&on, &request), "{conflict}");
+            let (selector, _) = declared_rule(universe, &one.namespace, &one.name);
+            prop_assert!(oracle::matches_request(&selector, &request), "{conflict}");
         }
         _ => {}
     }
     Ok(())
 }
 
-fn allows(what: &common::What, node: &cottonnotch_routing_rules::Node) -> bool {
-    match what {
-        common::What::Require(of) => oracle::means(of, node),
-        common::What::Avoid(of) => !oracle::means(of, node),
+fn allows(kind: &common::KindSpec, node: &cottonnotch_routing_rules::Node) -> bool {
+    match kind {
+        common::KindSpec::Require(of) => oracle::selects_node(of, node),
+        common::KindSpec::Avoid(of) => !oracle::selects_node(of, node),
         _ => true,
     }
 }
 
 /// A rule as declared, not narrowed to the scope of its namespace. A witness of the narrowed rule matches the declared rule too.
-fn rule_of(universe: &[common::Spec], path: &str, name: &str) -> (common::On, common::What) {
+fn declared_rule(
+    universe: &[common::NamespaceSpec],
+    path: &str,
+    name: &str,
+) -> (common::SelectorSpec, common::KindSpec) {
     let spec = universe.iter().find(|spec| spec.path == path).expect("the namespace has a file");
     if let Some(at) = name.strip_prefix("rule-") {
         let rule = &spec.rules[at.parse::<usize>().expect("a rule name ends with its index")];
-        return (rule.on.clone(), rule.what.clone());
+        return (rule.selector.clone(), rule.kind.clone());
     }
     let child = name
         .strip_prefix("delegate.")
         .and_then(|name| name.strip_suffix(".nodes"))
         .expect("the rule is implied by a delegation");
-    let grant = spec.grants.iter().find(|grant| grant.to == child).expect("the delegation exists");
-    (grant.on.clone(), common::What::Require(grant.nodes.clone()))
+    let delegate =
+        spec.delegates.iter().find(|delegate| delegate.to == child).expect("the delegation exists");
+    (delegate.selector.clone(), common::KindSpec::Require(delegate.nodes.clone()))
 }
 
 /// Checks that the book allows at least one node for each request, across the requirements of all namespaces.
@@ -141,36 +154,36 @@
 
     #[test]
     fn conflicts_are_those_of_brute_force(universe in any_universe()) {
-        let conflicts = check(&History::default(), &files(&universe), &world());
-        prop_assert_eq!(told(&conflicts), oracle::conflicts(&universe));
+        let conflicts = check(&History::default(), &files(&universe), &inventory());
+        prop_assert_eq!(to_oracle_conflicts(&conflicts), oracle::conflicts(&universe));
         for conflict in &conflicts {
-            witness_is_real(conflict, &universe)?;
+            check_witness(conflict, &universe)?;
         }
     }
 
     #[test]
     fn what_is_left_has_no_conflict(universe in any_universe()) {
-        let merged = merge(&History::default(), &files(&universe), &world());
+        let merged = merge(&History::default(), &files(&universe), &inventory());
         each_request_has_a_node(&merged.book)?;
         // The oracle finds no conflict either in the namespaces in force without the void delegations.
         let in_force: BTreeSet<&str> = merged.book.namespaces.iter().map(|owner| owner.path.as_str()).collect();
-        let mut left = universe.clone();
-        left.retain(|spec| in_force.contains(spec.path.as_str()));
-        for spec in &mut left {
+        let mut remaining = universe.clone();
+        remaining.retain(|spec| in_force.contains(spec.path.as_str()));
+        for spec in &mut remaining {
             let path = spec.path.clone();
-            spec.grants.retain(|grant| {
-                let child = format!("{path}/{}", grant.to);
+            spec.delegates.retain(|delegate| {
+                let child = format!("{path}/{}", delegate.to);
                 in_force.contains(child.as_str()) || !merged.history.namespaces.contains_key(&child)
             });
         }
-        let found = oracle::conflicts(&left);
-        // The delegation to an orphan or a held-back child may still be valid, although `left` lacks it. Only the kinds of
+        let found = oracle::conflicts(&remaining);
+        // The delegation to an orphan or a held-back child may still be valid, although `remaining` lacks it. Only the kinds of
         // conflict that such a delegation does not affect are compared.
-        prop_assert_eq!(&found.not_owned, &BTreeSet::new());
+        prop_assert_eq!(&found.out_of_scope, &BTreeSet::new());
         prop_assert_eq!(&found.no_node, &BTreeSet::new());
         prop_assert_eq!(&found.orphans, &BTreeSet::new());
-        prop_assert_eq!(&found.same_subject, &BTreeSet::new());
-        prop_assert_eq!(&found.over_committed, &BTreeSet::new());
+        prop_assert_eq!(&found.overlapping_siblings, &BTreeSet::new());
+        prop_assert_eq!(&found.overcommitted, &BTreeSet::new());
         // Each namespace that is not in force is held back. A conflict names it, or an ancestor whose delegation is void.
         for spec in universe.iter().filter(|spec| !in_force.contains(spec.path.as_str())) {
             let state = &merged.history.namespaces[&spec.path].state;
@@ -191,13 +204,13 @@
     ) {
         let sorted = files(&universe);
         let shuffled: Vec<RuleFile> = order.iter().map(|at| sorted[*at].clone()).collect();
-        let merged = merge(&History::default(), &sorted, &world());
-        prop_assert_eq!(&merged, &merge(&History::default(), &shuffled, &world()));
+        let merged = merge(&History::default(), &sorted, &inventory());
+        prop_assert_eq!(&merged, &merge(&History::default(), &shuffled, &inventory()));
         let bytes = toml::to_string(&merged.book).expect("a book can be serialised");
-        let again = merge(&merged.history, &shuffled, &world());
+        let again = merge(&merged.history, &shuffled, &inventory());
         prop_assert_eq!(&again.book, &merged.book);
         prop_assert_eq!(bytes, toml::to_string(&again.book).expect("a book can be serialised"));
-        let third = merge(&again.history, &sorted, &world());
+        let third = merge(&again.history, &sorted, &inventory());
         prop_assert_eq!(&third, &again);
         let text = toml::to_string(&merged.history).expect("a history can be serialised");
         prop_assert_eq!(toml::from_str::<History>(&text).expect("a serialised history can be parsed"), merged.history);
@@ -205,20 +218,20 @@
 
     #[test]
     fn parent_requirements_hold_below(universe in any_universe()) {
-        let merged = merge(&History::default(), &files(&universe), &world());
+        let merged = merge(&History::default(), &files(&universe), &inventory());
         for request in requests() {
             for node in nodes() {
-                let whole = effective(&merged.book, &request, &node);
+                let evaluated = effective(&merged.book, &request, &node);
                 for rule in &merged.book.rules {
                     if rule.strength != Strength::Requirement || !rule.on.matches(&request) {
                         continue;
                     }
                     match &rule.kind {
                         RuleKind::Place { how, halls, hardware } => {
-                            let meant = cottonnotch_routing_rules::selects_node(halls, hardware, &node);
-                            prop_assert!(!whole.allowed || meant == (*how == PlacementMode::Require));
+                            let is_selected = cottonnotch_routing_rules::selects_node(halls, hardware, &node);
+                            prop_assert!(!evaluated.allowed || is_selected == (*how == PlacementMode::Require));
                         }
-                        RuleKind::Attempts { most } => prop_assert!(whole.attempts.is_some_and(|least| least <= *most)),
+                        RuleKind::Attempts { most } => prop_assert!(evaluated.attempts.is_some_and(|least| least <= *most)),
                         _ => {}
                     }
                 }
@@ -226,12 +239,12 @@
         }
         // The root's own rules are all in force, whatever is below, because the deeper of two namespaces in conflict counts as
         // newer. Universes in which the root conflicts with itself are left out: a child's requirements may resolve that conflict.
-        let alone = merge(&History::default(), &files(&universe[..1]), &world());
+        let alone = merge(&History::default(), &files(&universe[..1]), &inventory());
         let own = |book: &Book| {
             let own = book.rules.iter().filter(|rule| rule.namespace == "r" && rule.name.starts_with("rule-"));
             own.cloned().collect::<Vec<_>>()
         };
-        let root_held_back = check(&History::default(), &files(&universe), &world())
+        let root_held_back = check(&History::default(), &files(&universe), &inventory())
             .iter()
             .any(|conflict| conflict.namespaces() == ["r"]);
         if !root_held_back && alone.book.namespaces.len() == 1 {
@@ -250,20 +263,20 @@
             for spec in &mut universe {
                 spec.revision += step as u64;
             }
-            let mut world = world();
+            let mut inventory = inventory();
             // In one of four steps, only hall `h1` is left.
             if hall == 0 {
-                world.nodes.retain(|(hall, _)| hall == "h1");
+                inventory.nodes.retain(|(hall, _)| hall == "h1");
             }
-            let merged = merger.merge(&history, &files(&universe), &world);
-            prop_assert_eq!(&merged, &merge(&history, &files(&universe), &world));
+            let merged = merger.merge(&history, &files(&universe), &inventory);
+            prop_assert_eq!(&merged, &merge(&history, &files(&universe), &inventory));
             for request in requests() {
-                let mut real = world.nodes();
+                let mut real = inventory.nodes();
                 prop_assert!(real.any(|node| effective(&merged.book, &request, &node).allowed), "{request:?}");
             }
-            let again = merger.merge(&merged.history, &files(&universe), &world);
+            let again = merger.merge(&merged.history, &files(&universe), &inventory);
             prop_assert_eq!(&again.book, &merged.book);
-            prop_assert_eq!(&merge(&again.history, &files(&universe), &world), &again);
+            prop_assert_eq!(&merge(&again.history, &files(&universe), &inventory), &again);
             history = again.history;
         }
     }
@@ -273,25 +286,25 @@
 #[test]
 fn universes_have_conflicts_of_each_kind() {
     let mut runner = proptest::test_runner::TestRunner::deterministic();
-    let (mut sum, mut none) = ([0_usize; 7], 0);
+    let (mut totals, mut without_conflicts) = ([0_usize; 7], 0);
     for _ in 0..400 {
         let universe =
             any_universe().new_tree(&mut runner).expect("the strategy generates a universe").current();
         let found = oracle::conflicts(&universe);
         let kinds = [
             found.orphans.len(),
-            found.not_owned.len(),
-            found.same_subject.len(),
-            found.over_committed.len(),
-            found.beyond_caps.len(),
+            found.out_of_scope.len(),
+            found.overlapping_siblings.len(),
+            found.overcommitted.len(),
+            found.excessive_caps.len(),
             found.no_node.len(),
-            found.idle.len(),
+            found.ineffective_preferences.len(),
         ];
-        none += usize::from(found == Found::default());
-        sum.iter_mut().zip(kinds).for_each(|(sum, kind)| *sum += kind);
+        without_conflicts += usize::from(found == FoundConflicts::default());
+        totals.iter_mut().zip(kinds).for_each(|(totals, kind)| *totals += kind);
     }
     assert!(
-        sum.iter().all(|kind| *kind >= 10) && none >= 4,
-        "conflicts by kind: {sum:?}; universes without conflicts: {none}"
+        totals.iter().all(|kind| *kind >= 10) && without_conflicts >= 4,
+        "conflicts by kind: {totals:?}; universes without conflicts: {without_conflicts}"
     );
 }
