--- a/crates/routing-rules/src/cache.rs
+++ b/crates/routing-rules/src/cache.rs
@@ -54,6 +54,7 @@
         self.ineffective.retain(|_, (_, last_used)| *last_used == merge_number);
     }
 
+    /// Parses a file, or takes the result from the cache.
     pub fn parse(&mut self, file: &RuleFile) -> Result<Arc<ParsedFile>, RuleFileError> {
         let merge_number = self.merge_number;
         if let Some(cached) = self.find_file(&file.path_on_disk, &file.text) {
@@ -87,6 +88,7 @@
         self.files.get_mut(path_on_disk)?.iter_mut().find(|cached| cached.text == text)
     }
 
+    /// Compiles a content under a parent, or takes the result from the cache.
     pub fn compiled(
         &mut self,
         parent: Option<&Arc<Compiled>>,
--- a/crates/routing-rules/src/candidate.rs
+++ b/crates/routing-rules/src/candidate.rs
@@ -55,6 +55,7 @@
         }
     }
 
+    /// Whether the candidate has a good content to fall back to from its new content.
     pub fn has_fallback(&self) -> bool {
         self.new.is_some() && self.good.is_some()
     }
@@ -65,6 +66,7 @@
     }
 }
 
+/// The digest of a content, in the form in which the history stores it.
 pub(crate) fn digest(parsed: &ParsedFile) -> String {
     blake3::Hash::from(parsed.hash).to_hex().to_string()
 }
@@ -175,6 +177,7 @@
     }
 }
 
+/// Whether the parent's candidate content freezes the namespace.
 fn is_frozen(path: &str, set: &CandidateSet) -> bool {
     let parent = crate::compiled::parent_of(path).and_then(|parent| set.candidates.get(parent));
     let delegate = parent.and_then(Candidate::content).and_then(|parsed| parsed.delegate(path));
@@ -188,6 +191,7 @@
     set.conflicts.push(conflict);
 }
 
+/// Adds the candidate of a namespace, unless it has neither a new nor a good content.
 fn insert_candidate(
     set: &mut CandidateSet,
     path: &str,
@@ -236,6 +240,7 @@
     }
 }
 
+/// Checks that a content is newer than the last good one or equal to it.
 fn check_revision(
     parsed: &ParsedFile,
     good: &ParsedFile,
@@ -268,6 +273,7 @@
     }
 }
 
+/// A witness with a request that the rule applies to, or with any request if there is no rule.
 pub(crate) fn sample_witness(rule: Option<&crate::file::DeclaredRule>, inventory: &Inventory) -> Witness {
     let (tenants, classes, groups) = rule
         .map(|rule| (rule.tenants.clone(), rule.classes.clone(), rule.groups.clone()))
--- a/crates/routing-rules/src/chain_conflicts.rs
+++ b/crates/routing-rules/src/chain_conflicts.rs
@@ -96,6 +96,7 @@
     }
 }
 
+/// Finds quotas of the children, or caps, that exceed the connections of the namespace.
 fn find_overcommitted_connections(
     namespace: &Compiled,
     inventory: &Inventory,
@@ -161,9 +162,10 @@
     representatives
 }
 
-type PlacedRequirement<'a> = (&'a Rule, &'a NodeKindSet);
+type Requirement<'a> = (&'a Rule, &'a NodeKindSet);
 
-fn allowed_nodes(requirements: &[PlacedRequirement], inventory: &Inventory) -> NodeKindSet {
+/// The kinds of node that all of the requirements allow.
+fn allowed_nodes(requirements: &[Requirement], inventory: &Inventory) -> NodeKindSet {
     let mut allowed = NodeKindSet::all(inventory);
     requirements.iter().for_each(|(_, nodes)| allowed.intersect(nodes));
     allowed
@@ -184,27 +186,33 @@
     let chain = namespace.chain();
     let mut reported = BTreeSet::new();
     for tenant in possible_tenants(&namespace.scope.on.tenants, inventory) {
-        let of_tenant: Vec<PlacedRequirement> = chain
+        let tenant_requirements: Vec<Requirement> = chain
             .iter()
             .flat_map(|namespace| namespace.placements_for(tenant))
             .filter(|(rule, _)| is_requirement(rule.strength))
             .collect();
         // Fewer requirements allow more nodes: if all of them together allow a node, a request that matches some of them has one.
-        if !allowed_nodes(&of_tenant, inventory).is_empty() {
+        if !allowed_nodes(&tenant_requirements, inventory).is_empty() {
             continue;
         }
         for class in &inventory.classes {
             let matches_class = |on: &BTreeSet<String>| on.is_empty() || on.contains(class);
-            let of_class: Vec<PlacedRequirement> =
-                of_tenant.iter().copied().filter(|(rule, _)| matches_class(&rule.on.classes)).collect();
-            if !allowed_nodes(&of_class, inventory).is_empty() {
+            let class_requirements: Vec<Requirement> = tenant_requirements
+                .iter()
+                .copied()
+                .filter(|(rule, _)| matches_class(&rule.on.classes))
+                .collect();
+            if !allowed_nodes(&class_requirements, inventory).is_empty() {
                 continue;
             }
-            for group in representative_groups(of_class.iter().map(|(rule, _)| *rule)) {
+            for group in representative_groups(class_requirements.iter().map(|(rule, _)| *rule)) {
                 let request = Request { tenant, class, group };
-                let requirements: Vec<PlacedRequirement> =
-                    of_class.iter().copied().filter(|(rule, _)| rule.on.matches(&request)).collect();
-                let above: Vec<PlacedRequirement> =
+                let requirements: Vec<Requirement> = class_requirements
+                    .iter()
+                    .copied()
+                    .filter(|(rule, _)| rule.on.matches(&request))
+                    .collect();
+                let above: Vec<Requirement> =
                     requirements.iter().copied().filter(|(rule, _)| rule.depth < namespace.depth).collect();
                 if !allowed_nodes(&requirements, inventory).is_empty()
                     || allowed_nodes(&above, inventory).is_empty()
@@ -224,10 +232,7 @@
 }
 
 /// A minimal subset of the requirements that still allows no node. Requirements nearer the root are removed first.
-fn minimal_subset<'a>(
-    mut requirements: Vec<PlacedRequirement<'a>>,
-    inventory: &Inventory,
-) -> Vec<PlacedRequirement<'a>> {
+fn minimal_subset<'a>(mut requirements: Vec<Requirement<'a>>, inventory: &Inventory) -> Vec<Requirement<'a>> {
     let mut at = 0;
     while at < requirements.len() {
         let removed = requirements.remove(at);
@@ -239,11 +244,7 @@
     requirements
 }
 
-fn no_node_conflict(
-    requirements: &[PlacedRequirement],
-    request: &Request,
-    inventory: &Inventory,
-) -> Conflict {
+fn no_node_conflict(requirements: &[Requirement], request: &Request, inventory: &Inventory) -> Conflict {
     let all: Vec<RuleLocation> = requirements.iter().map(|(rule, _)| location(rule)).collect();
     let no_location =
         || RuleLocation { namespace: String::new(), file: String::new(), line: 0, name: String::new() };
@@ -252,6 +253,6 @@
     let other = all.first().cloned().unwrap_or_else(no_location);
     let others = &requirements[..requirements.len().saturating_sub(1)];
     let node: Option<Node> =
-        allowed_nodes(others, inventory).first().and_then(|at| inventory.nodes().nth(at));
+        allowed_nodes(others, inventory).first().and_then(|index| inventory.nodes().nth(index));
     Conflict::NoNode { one, other, requirements: all, witness: Witness::new(request, node) }
 }
--- a/crates/routing-rules/src/compilation.rs
+++ b/crates/routing-rules/src/compilation.rs
@@ -49,7 +49,7 @@
 fn granted_scope(parent: Option<&Compiled>, path: &str, inventory: &Inventory) -> Scope {
     let Some(parent) = parent else { return Scope::root(inventory) };
     match parent.grants.binary_search_by(|(child, ..)| child.as_str().cmp(path)) {
-        Ok(at) => parent.grants[at].2.clone(),
+        Ok(index) => parent.grants[index].2.clone(),
         Err(_) => parent.scope.clone(),
     }
 }
--- a/crates/routing-rules/src/conflict.rs
+++ b/crates/routing-rules/src/conflict.rs
@@ -8,7 +8,7 @@
 /// The location of a namespace, rule or delegation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RuleLocation {
-    /// The namespace.
+    /// The path of the namespace.
     pub namespace: String,
     /// The file of the namespace; empty if there is none.
     pub file: String,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Why a namespace is held back.
+/// A conflict for which a namespace is held back. The text of a conflict is stored in the history.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum Conflict {
     /// A file is invalid: it cannot be parsed, or it fails a check.
@@ -116,7 +116,7 @@
         one: RuleLocation,
         /// The namespace delegated to.
         other: RuleLocation,
-        /// A request delegated so.
+        /// A request that the delegation covers.
         witness: Witness,
     },
     /// A namespace delegates to a namespace that is not its child.
@@ -126,13 +126,13 @@
         one: RuleLocation,
         /// The namespace delegated to.
         other: RuleLocation,
-        /// A request delegated so.
+        /// A request that the delegation covers.
         witness: Witness,
     },
     /// A namespace has no delegation from a parent in force.
     #[error("{one} has no delegation from {other}; e.g. {witness}")]
     Orphan {
-        /// The namespace.
+        /// The namespace that has no delegation.
         one: RuleLocation,
         /// The parent that should delegate to the namespace.
         other: RuleLocation,
--- a/crates/routing-rules/src/groups.rs
+++ b/crates/routing-rules/src/groups.rs
@@ -67,13 +67,13 @@
 /// The intersection of two lists. An empty list means no groups here, unlike in a selector, where it means any; the caller
 /// handles that case.
 pub(crate) fn intersection(one: &[GroupRange], other: &[GroupRange]) -> Vec<GroupRange> {
-    let (mut at, mut to, mut intersection) = (0, 0, Vec::new());
-    while let (Some(a), Some(b)) = (one.get(at), other.get(to)) {
+    let (mut one_index, mut other_index, mut intersection) = (0, 0, Vec::new());
+    while let (Some(a), Some(b)) = (one.get(one_index), other.get(other_index)) {
         let (first, last) = (a.first.max(b.first), a.last.min(b.last));
         if first <= last {
             intersection.push(GroupRange { first, last });
         }
-        if a.last < b.last { at += 1 } else { to += 1 }
+        if a.last < b.last { one_index += 1 } else { other_index += 1 }
     }
     intersection
 }
@@ -83,8 +83,8 @@
     for range in one {
         let mut next = range.first;
         loop {
-            let at = other.partition_point(|covering| covering.last < next);
-            match other.get(at) {
+            let index = other.partition_point(|covering| covering.last < next);
+            match other.get(index) {
                 Some(covering) if covering.first <= next => {
                     if covering.last >= range.last {
                         break;
--- a/crates/routing-rules/src/ineffective.rs
+++ b/crates/routing-rules/src/ineffective.rs
@@ -51,8 +51,8 @@
             if !preference.0.on.classes.is_empty() && !preference.0.on.classes.contains(class) {
                 continue;
             }
-            let of_class = |rule: &&Rule| rule.on.classes.is_empty() || rule.on.classes.contains(class);
-            let rules = matching.iter().map(|(rule, _)| *rule).filter(of_class);
+            let matches_class = |rule: &&Rule| rule.on.classes.is_empty() || rule.on.classes.contains(class);
+            let rules = matching.iter().map(|(rule, _)| *rule).filter(matches_class);
             for group in representative_groups(rules.chain([preference.0])) {
                 let request = Request { tenant, class, group };
                 if !preference.0.on.matches(&request) {
@@ -72,7 +72,7 @@
         }
     }
     let (request, other) = reported.unwrap_or_else(|| (inventory.sample(&preference.0.on), None));
-    let node = preference.1.first().and_then(|at| inventory.nodes().nth(at));
+    let node = preference.1.first().and_then(|index| inventory.nodes().nth(index));
     let one = location(preference.0);
     let other = other.map_or_else(|| one.clone(), location);
     Some(Conflict::IneffectivePreference { one, other, witness: Witness::new(&request, node) })
--- a/crates/routing-rules/src/merge.rs
+++ b/crates/routing-rules/src/merge.rs
@@ -83,7 +83,7 @@
         let initial = selection.candidates.clone();
         let void =
             last.namespaces.iter().filter(|(_, entry)| entry.void).map(|(path, _)| path.clone()).collect();
-        let mut held = Vec::new();
+        let mut hold_backs = Vec::new();
         // The loop ends because each iteration takes one namespace from its new to its good content or out of the merge, or voids
         // one delegation.
         let mut round = loop {
@@ -91,12 +91,13 @@
             let recency = Recency { candidates: &selection.candidates, void: &void };
             let Some((namespace, why)) = recency.choose(&round.conflicts) else { break round };
             selection.hold_back(&namespace, &why);
-            held.push(HoldBack { namespace, why, conflicts: round.conflicts });
+            hold_backs.push(HoldBack { namespace, why, conflicts: round.conflicts });
         };
         // A namespace held back in favour of one that was later held back itself may be admitted after all. The oldest is tried
         // first.
         let recency = Recency { candidates: &initial, void: &void };
-        let mut still_held_back: Vec<String> = held.iter().map(|held| held.namespace.clone()).collect();
+        let mut still_held_back: Vec<String> =
+            hold_backs.iter().map(|hold_back| hold_back.namespace.clone()).collect();
         still_held_back.sort_by_cached_key(|path| recency.newness(path));
         still_held_back.dedup();
         loop {
@@ -115,12 +116,12 @@
                 break;
             }
         }
-        held.retain(|held| still_held_back.contains(&held.namespace));
+        hold_backs.retain(|hold_back| still_held_back.contains(&hold_back.namespace));
         candidate_set.void = selection.void;
         candidate_set.candidates = selection.candidates;
         let mut conflicts: BTreeSet<Conflict> =
             std::mem::take(&mut candidate_set.conflicts).into_iter().collect();
-        for HoldBack { namespace, why, conflicts: all } in held {
+        for HoldBack { namespace, why, conflicts: all } in hold_backs {
             let other = why.namespaces().into_iter().find(|path| *path != namespace).map(str::to_owned);
             candidate_set.held_back.entry(namespace.clone()).or_insert((why.to_string(), other));
             conflicts.extend(
