--- a/crates/cottonnotch/src/rules/compile_worker.rs
+++ b/crates/cottonnotch/src/rules/compile_worker.rs
@@ -330,7 +330,7 @@
 /// The namespaces that a conflict holds back. Returns the file's name if the namespace cannot be read from the file.
 fn conflicting_namespaces(conflict: &Conflict) -> Vec<&str> {
     match conflict {
-        Conflict::Broken { namespace: None, error } => vec![&*error.file],
+        Conflict::InvalidFile { namespace: None, error } => vec![&*error.file],
         conflict => conflict.namespaces(),
     }
 }
--- a/crates/routing-rules/src/candidate.rs
+++ b/crates/routing-rules/src/candidate.rs
@@ -167,7 +167,7 @@
     cache: &mut Cache,
 ) {
     let path = namespace_of_broken_file(&error, last, set, inventory);
-    let conflict = Conflict::Broken { namespace: path.clone(), error };
+    let conflict = Conflict::InvalidFile { namespace: path.clone(), error };
     match path {
         Some(path) => {
             refuse_file(set, &path, conflict);
@@ -232,10 +232,10 @@
     let Some(first) = newest.next() else {
         let error =
             RuleFileError { file: String::new(), line: 0, key: String::new(), why: "no file".to_owned() };
-        return Err(Box::new(Conflict::Broken { namespace: None, error }));
+        return Err(Box::new(Conflict::InvalidFile { namespace: None, error }));
     };
     match newest.find(|parsed| parsed.hash != first.hash) {
-        Some(other) => Err(Box::new(two_contents(first, other, inventory))),
+        Some(other) => Err(Box::new(duplicate_revision(first, other, inventory))),
         None => Ok(first.clone()),
     }
 }
@@ -254,18 +254,18 @@
         }));
     }
     if parsed.file.revision == good.file.revision && parsed.hash != good.hash {
-        return Err(Box::new(two_contents(parsed, good, inventory)));
+        return Err(Box::new(duplicate_revision(parsed, good, inventory)));
     }
     Ok(())
 }
 
 /// The conflict of two contents of one revision. The witness is a request of the first rule that only one of the contents has,
 /// or a request without any restriction if they have the same rules.
-fn two_contents(one: &ParsedFile, other: &ParsedFile, inventory: &Inventory) -> Conflict {
+fn duplicate_revision(one: &ParsedFile, other: &ParsedFile, inventory: &Inventory) -> Conflict {
     let differing_rule = one.file.rules.iter().find(|rule| !other.file.rules.contains(rule));
     let differing_rule =
         differing_rule.or(other.file.rules.iter().find(|rule| !one.file.rules.contains(rule)));
-    Conflict::TwoContents {
+    Conflict::DuplicateRevision {
         one: one.location(one.file.line, ""),
         other: other.location(other.file.line, ""),
         revision: one.file.revision,
--- a/crates/routing-rules/src/chain_conflicts.rs
+++ b/crates/routing-rules/src/chain_conflicts.rs
@@ -39,7 +39,7 @@
     let mut conflicts = Vec::new();
     let mut report = |one: RuleLocation, outside: Option<(String, Witness)>| {
         if let Some((what, witness)) = outside {
-            conflicts.push(Conflict::NotOwned { one, other: scope.location.clone(), what, witness });
+            conflicts.push(Conflict::OutOfScope { one, other: scope.location.clone(), what, witness });
         }
     };
     for rule in &parsed.file.rules {
@@ -86,7 +86,7 @@
         {
             let parent = namespace.parsed.location(namespace.parsed.file.line, "");
             let witness = Witness::new(&request, None);
-            conflicts.push(Conflict::SameSubject {
+            conflicts.push(Conflict::OverlappingScopes {
                 one: delegation_location(one),
                 other: delegation_location(other),
                 parent,
@@ -115,9 +115,9 @@
         quotas.push(location);
     }
     if let Some((one, witness)) = first_excess {
-        let promiser = namespace.parsed.location(namespace.parsed.file.line, "");
+        let grantor = namespace.parsed.location(namespace.parsed.file.line, "");
         let other = other.clone();
-        conflicts.push(Conflict::OverCommitted { one, promiser, other, quotas, promised, total, witness });
+        conflicts.push(Conflict::OverCommitted { one, grantor, other, quotas, promised, total, witness });
     }
     for rule in &namespace.parsed.file.rules {
         let RuleKind::Cap { connections, .. } = rule.kind else { continue };
@@ -125,17 +125,9 @@
             let one = namespace.parsed.location(rule.line, &rule.name);
             let on = namespace.scope.narrow(&rule.tenants, &rule.classes, &rule.groups);
             let witness = Witness::new(&inventory.sample(&on), None);
-            let (promiser, quotas, other) = (one.clone(), Vec::new(), other.clone());
+            let (grantor, quotas, other) = (one.clone(), Vec::new(), other.clone());
             let promised = connections;
-            conflicts.push(Conflict::OverCommitted {
-                one,
-                promiser,
-                other,
-                quotas,
-                promised,
-                total,
-                witness,
-            });
+            conflicts.push(Conflict::OverCommitted { one, grantor, other, quotas, promised, total, witness });
         }
     }
 }
--- a/crates/routing-rules/src/conflict.rs
+++ b/crates/routing-rules/src/conflict.rs
@@ -80,7 +80,7 @@
 pub enum Conflict {
     /// A file is invalid: it cannot be parsed, or it fails a check.
     #[error("{error}")]
-    Broken {
+    InvalidFile {
         /// The namespace that the file is attributed to, if known.
         namespace: Option<String>,
         /// The reason, with the line and the key.
@@ -98,7 +98,7 @@
     },
     /// Two different contents have the same revision.
     #[error("{one} and {other} both are revision {revision}, with different contents; e.g. {witness}")]
-    TwoContents {
+    DuplicateRevision {
         /// The first content.
         one: RuleLocation,
         /// The second content: another file, or the last good content.
@@ -111,7 +111,7 @@
     /// A delegation leads back to the delegating namespace: to the namespace itself, to one above it, or through further
     /// delegations to namespaces that are not children.
     #[error("{one} delegates in a circle to {other}; e.g. {witness}")]
-    Circle {
+    DelegationCycle {
         /// The delegation.
         one: RuleLocation,
         /// The namespace delegated to.
@@ -121,7 +121,7 @@
     },
     /// A namespace delegates to a namespace that is not its child.
     #[error("{one} delegates to {other}, which isn't its child; e.g. {witness}")]
-    NotItsChild {
+    NotAChild {
         /// The delegation.
         one: RuleLocation,
         /// The namespace delegated to.
@@ -141,7 +141,7 @@
     },
     /// A rule or a delegation names something outside its namespace's scope.
     #[error("{one} speaks of what {other} doesn't give it: {what}; e.g. {witness}")]
-    NotOwned {
+    OutOfScope {
         /// The rule or the delegation.
         one: RuleLocation,
         /// The delegation that grants the namespace its scope.
@@ -153,7 +153,7 @@
     },
     /// The scopes of two siblings overlap.
     #[error("{one} and {other} both claim {witness}")]
-    SameSubject {
+    OverlappingScopes {
         /// The first child, at the location of its delegation.
         one: RuleLocation,
         /// The second child, at the location of its delegation.
@@ -169,7 +169,7 @@
         /// The first delegation whose quota brings the sum above the total, or the cap that exceeds the total.
         one: RuleLocation,
         /// The namespace that grants the quotas, or the rule that sets the cap.
-        promiser: RuleLocation,
+        grantor: RuleLocation,
         /// The delegation that grants the total.
         other: RuleLocation,
         /// The children that have quotas, at the locations of their delegations; empty for a cap.
@@ -209,21 +209,21 @@
     /// The namespaces that can be held back for the conflict, sorted by path.
     pub fn namespaces(&self) -> Vec<&str> {
         let mut all: Vec<&str> = match self {
-            Conflict::Broken { namespace, .. } => namespace.as_deref().into_iter().collect(),
+            Conflict::InvalidFile { namespace, .. } => namespace.as_deref().into_iter().collect(),
             // Only the first namespace is responsible: a parent may withdraw a delegation, and a namespace is not responsible
             // for a delegation from a namespace that is not its parent.
             Conflict::OldRevision { one, .. }
             | Conflict::Orphan { one, .. }
-            | Conflict::NotItsChild { one, .. } => vec![&one.namespace],
-            Conflict::TwoContents { one, other, .. }
-            | Conflict::Circle { one, other, .. }
-            | Conflict::NotOwned { one, other, .. }
+            | Conflict::NotAChild { one, .. } => vec![&one.namespace],
+            Conflict::DuplicateRevision { one, other, .. }
+            | Conflict::DelegationCycle { one, other, .. }
+            | Conflict::OutOfScope { one, other, .. }
             | Conflict::IneffectivePreference { one, other, .. } => vec![&one.namespace, &other.namespace],
-            Conflict::SameSubject { one, other, parent, .. } => {
+            Conflict::OverlappingScopes { one, other, parent, .. } => {
                 vec![&one.namespace, &other.namespace, &parent.namespace]
             }
-            Conflict::OverCommitted { one, promiser, other, quotas, .. } => {
-                let quotas = quotas.iter().chain([one, promiser, other]);
+            Conflict::OverCommitted { one, grantor, other, quotas, .. } => {
+                let quotas = quotas.iter().chain([one, grantor, other]);
                 quotas.map(|location| location.namespace.as_str()).collect()
             }
             Conflict::NoNode { requirements, .. } => {
@@ -238,7 +238,7 @@
     /// The children whose delegations conflict with one another. The delegation to the one that is held back becomes void.
     pub(crate) fn competing_children(&self) -> Vec<&str> {
         match self {
-            Conflict::SameSubject { one, other, .. } => vec![&one.namespace, &other.namespace],
+            Conflict::OverlappingScopes { one, other, .. } => vec![&one.namespace, &other.namespace],
             Conflict::OverCommitted { quotas, .. } => {
                 quotas.iter().map(|location| location.namespace.as_str()).collect()
             }
@@ -249,7 +249,7 @@
     /// The name of the rule or delegation that is outside its namespace's scope.
     pub(crate) fn out_of_scope_name(&self) -> Option<&str> {
         match self {
-            Conflict::NotOwned { one, .. } => Some(&one.name),
+            Conflict::OutOfScope { one, .. } => Some(&one.name),
             _ => None,
         }
     }
@@ -262,13 +262,13 @@
     /// The example that demonstrates the conflict. `None` for an unreadable or outdated file, whose rules are not considered.
     pub fn witness(&self) -> Option<&Witness> {
         match self {
-            Conflict::Broken { .. } | Conflict::OldRevision { .. } => None,
-            Conflict::TwoContents { witness, .. }
-            | Conflict::Circle { witness, .. }
-            | Conflict::NotItsChild { witness, .. }
+            Conflict::InvalidFile { .. } | Conflict::OldRevision { .. } => None,
+            Conflict::DuplicateRevision { witness, .. }
+            | Conflict::DelegationCycle { witness, .. }
+            | Conflict::NotAChild { witness, .. }
             | Conflict::Orphan { witness, .. }
-            | Conflict::NotOwned { witness, .. }
-            | Conflict::SameSubject { witness, .. }
+            | Conflict::OutOfScope { witness, .. }
+            | Conflict::OverlappingScopes { witness, .. }
             | Conflict::OverCommitted { witness, .. }
             | Conflict::NoNode { witness, .. }
             | Conflict::IneffectivePreference { witness, .. } => Some(witness),
--- a/crates/routing-rules/src/evaluation_round.rs
+++ b/crates/routing-rules/src/evaluation_round.rs
@@ -135,9 +135,9 @@
                 }
             }
             conflicts.push(if reached.iter().any(|ancestor| is_at_or_below(from, ancestor)) {
-                Conflict::Circle { one, other, witness }
+                Conflict::DelegationCycle { one, other, witness }
             } else {
-                Conflict::NotItsChild { one, other, witness }
+                Conflict::NotAChild { one, other, witness }
             });
         }
         self.conflicts.extend(conflicts);
--- a/crates/routing-rules/tests/conflicts.rs
+++ b/crates/routing-rules/tests/conflicts.rs
@@ -48,7 +48,7 @@
 fn a_rule_on_what_its_namespace_does_not_own() {
     let body = "[[rule]]\nname = \"greedy\"\ntenants = [\"t0\", \"t1\"]\nattempts.most = 2\n";
     let merged = merge_fresh(&[root(), file("r/a", 1, body), file("r/b", 1, "")]);
-    let Conflict::NotOwned { one, other, what, witness } = single_conflict(&merged) else {
+    let Conflict::OutOfScope { one, other, what, witness } = single_conflict(&merged) else {
         panic!("{:?}", merged.conflicts)
     };
     assert_eq!((one.namespace.as_str(), one.file.as_str(), one.line), ("r/a", "rules/r/a.toml", 4));
@@ -62,7 +62,7 @@
 fn a_rule_for_nodes_that_its_namespace_may_not_use() {
     let body = "[[rule]]\nname = \"away\"\nplace.prefer.halls = [\"h1\"]\n";
     let merged = merge_fresh(&[root(), file("r/b", 1, body)]);
-    let Conflict::NotOwned { what, witness, .. } = single_conflict(&merged) else {
+    let Conflict::OutOfScope { what, witness, .. } = single_conflict(&merged) else {
         panic!("{:?}", merged.conflicts)
     };
     assert_eq!((what.as_str(), witness.node().map(|node| node.hall)), ("hall h1", Some("h1")));
@@ -72,7 +72,7 @@
 fn finds_siblings_with_one_subject() {
     let body = "[[delegate]]\nto = \"a\"\ntenants = [\"t0\", \"t1\"]\n[[delegate]]\nto = \"b\"\ntenants = [\"t1\"]\n";
     let merged = merge_fresh(&[file("r", 1, body), file("r/a", 1, ""), file("r/b", 1, "")]);
-    let Conflict::SameSubject { one, other, witness, .. } = single_conflict(&merged) else {
+    let Conflict::OverlappingScopes { one, other, witness, .. } = single_conflict(&merged) else {
         panic!("{:?}", merged.conflicts)
     };
     assert_eq!((one.namespace.as_str(), one.line), ("r/a", 4));
@@ -96,7 +96,7 @@
     let body = ROOT.replace("[\"t1\"]", "[\"t0\", \"t1\"]");
     let files = [file("r", 2, &body), file("r/a", 1, ""), file("r/b", 2, "")];
     let merged = merge(&first.history, &files, &inventory());
-    assert!(matches!(single_conflict(&merged), Conflict::SameSubject { .. }));
+    assert!(matches!(single_conflict(&merged), Conflict::OverlappingScopes { .. }));
     assert_eq!(in_force(&merged), [("r", 1), ("r/a", 1), ("r/b", 2)]);
     assert!(matches!(state(&merged, "r"), State::HeldBack { since: 2, .. }));
 }
@@ -189,26 +189,30 @@
 #[test]
 fn a_delegation_in_a_circle() {
     let merged = merge_fresh(&[root(), file("r/a", 1, "[[delegate]]\nto = \"r\"\n"), file("r/b", 1, "")]);
-    let Conflict::Circle { one, other, .. } = single_conflict(&merged) else {
+    let Conflict::DelegationCycle { one, other, .. } = single_conflict(&merged) else {
         panic!("{:?}", merged.conflicts)
     };
     assert_eq!((one.namespace.as_str(), other.namespace.as_str()), ("r/a", "r"));
     assert_eq!(in_force(&merged), [("r", 1), ("r/b", 1)]);
     let itself = merge_fresh(&[root(), file("r/a", 1, "[[delegate]]\nto = \"r/a\"\n")]);
-    assert!(matches!(single_conflict(&itself), Conflict::Circle { .. }));
+    assert!(matches!(single_conflict(&itself), Conflict::DelegationCycle { .. }));
     let across = [
         root(),
         file("r/a", 1, "[[delegate]]\nto = \"r/b\"\n"),
         file("r/b", 1, "[[delegate]]\nto = \"r/a\"\n"),
     ];
     let conflicts = check(&History::default(), &across, &inventory());
-    assert_eq!(conflicts.iter().filter(|c| matches!(c, Conflict::Circle { .. })).count(), 2, "{conflicts:?}");
+    assert_eq!(
+        conflicts.iter().filter(|c| matches!(c, Conflict::DelegationCycle { .. })).count(),
+        2,
+        "{conflicts:?}"
+    );
 }
 
 #[test]
 fn holds_back_the_delegator_to_a_stranger() {
     let merged = merge_fresh(&[root(), file("r/a", 1, "[[delegate]]\nto = \"r/b\"\n"), file("r/b", 1, "")]);
-    assert!(matches!(single_conflict(&merged), Conflict::NotItsChild { .. }));
+    assert!(matches!(single_conflict(&merged), Conflict::NotAChild { .. }));
     assert_eq!(in_force(&merged), [("r", 1), ("r/b", 1)]);
 }
 
@@ -241,12 +245,12 @@
         (file("r/a", 1, ""), file("r/a", 1, "[[rule]]\nname = \"m\"\nattempts.most = 2\n"));
     let first = merge_fresh(&[root(), one.clone()]);
     let merged = merge(&first.history, &[root(), other.clone()], &inventory());
-    assert!(matches!(single_conflict(&merged), Conflict::TwoContents { revision: 1, .. }));
+    assert!(matches!(single_conflict(&merged), Conflict::DuplicateRevision { revision: 1, .. }));
     assert_eq!(merged.book, first.book);
     other.path_on_disk = "rules/copy.toml".to_owned();
     for files in [[root(), one.clone(), other.clone()], [other.clone(), one.clone(), root()]] {
         let merged = merge_fresh(&files);
-        assert!(matches!(single_conflict(&merged), Conflict::TwoContents { .. }));
+        assert!(matches!(single_conflict(&merged), Conflict::DuplicateRevision { .. }));
         assert_eq!(in_force(&merged), [("r", 1)]);
     }
     // Two files with the same content do not conflict.
--- a/crates/routing-rules/tests/files.rs
+++ b/crates/routing-rules/tests/files.rs
@@ -123,11 +123,11 @@
     let unattributed = RuleFile::new("nobody.toml", "namespace = \n");
     let merged = merge(&first.history, &[good.as_slice(), &[unattributed]].concat(), &inventory());
     assert_eq!(merged.book, first.book);
-    assert!(matches!(&merged.conflicts[..], [Conflict::Broken { namespace: None, .. }]));
+    assert!(matches!(&merged.conflicts[..], [Conflict::InvalidFile { namespace: None, .. }]));
     // In a first merge, without a history, the path of the file tells which namespace it belongs to.
     let merged = merge(&History::default(), &[good[0].clone(), broken], &inventory());
     assert!(
-        matches!(&merged.conflicts[..], [Conflict::Broken { namespace: Some(path), .. }] if path == "r/a")
+        matches!(&merged.conflicts[..], [Conflict::InvalidFile { namespace: Some(path), .. }] if path == "r/a")
     );
     assert!(matches!(merged.history.namespaces["r/a"].state, State::HeldBack { .. }));
 }
--- a/crates/routing-rules/tests/oracle.rs
+++ b/crates/routing-rules/tests/oracle.rs
@@ -29,17 +29,17 @@
             Conflict::Orphan { one, .. } => {
                 found.orphans.insert(one.namespace.clone());
             }
-            Conflict::NotOwned { one, .. } => {
+            Conflict::OutOfScope { one, .. } => {
                 found.out_of_scope.insert((one.namespace.clone(), one.name.clone()));
             }
-            Conflict::SameSubject { one, other, .. } => {
+            Conflict::OverlappingScopes { one, other, .. } => {
                 found.overlapping_siblings.insert((one.namespace.clone(), other.namespace.clone()));
             }
             Conflict::OverCommitted { one, quotas, .. } if quotas.is_empty() => {
                 found.excessive_caps.insert((one.namespace.clone(), one.name.clone()));
             }
-            Conflict::OverCommitted { promiser, .. } => {
-                found.overcommitted.insert(promiser.namespace.clone());
+            Conflict::OverCommitted { grantor, .. } => {
+                found.overcommitted.insert(grantor.namespace.clone());
             }
             Conflict::NoNode { one, .. } => {
                 found.no_node.insert(one.namespace.clone());
@@ -85,7 +85,7 @@
             let (selector, _) = declared_rule(universe, &one.namespace, &one.name);
             prop_assert!(oracle::matches_request(&selector, &request), "{conflict}");
         }
-        Conflict::SameSubject { one, other, parent, .. } => {
+        Conflict::OverlappingScopes { one, other, parent, .. } => {
             for child in [one, other] {
                 let name = child.namespace.rsplit('/').next().expect("split returns at least one part");
                 let delegate = spec(&parent.namespace).delegates.iter().find(|delegate| delegate.to == name);
@@ -98,7 +98,7 @@
                 );
             }
         }
-        Conflict::NotOwned { one, .. } if !one.name.starts_with("delegate") => {
+        Conflict::OutOfScope { one, .. } if !one.name.starts_with("delegate") => {
             let (selector, _) = declared_rule(universe, &one.namespace, &one.name);
             prop_assert!(oracle::matches_request(&selector, &request), "{conflict}");
         }
