--- a/crates/routing-rules/benches/merge.rs
+++ b/crates/routing-rules/benches/merge.rs
@@ -145,7 +145,8 @@
     OWNER_COUNTS
         .into_iter()
         .for_each(|owners| print_merge_cost(owners, CONNECTIONS_PER_OWNER * owners as u64, 5));
-    // The quotas of the owners exceed the connections of the fleet, so the merge holds back one owner after another until they fit.
+    // The quotas of the owners exceed the connections of the fleet, so the merge holds back one owner after another until they
+    // fit.
     print_merge_cost(180, 100_000, 1);
     let (files, inventory) = (files(OWNERS), inventory(OWNERS, CONNECTIONS_PER_OWNER * OWNERS as u64));
     let first = merge(&History::default(), &files, &inventory);
--- a/crates/routing-rules/src/cache.rs
+++ b/crates/routing-rules/src/cache.rs
@@ -105,7 +105,8 @@
         compiled
     }
 
-    /// The ineffective preferences of a namespace. `subtree_digest` is a digest of the namespace, its ancestors and its descendants.
+    /// The ineffective preferences of a namespace. `subtree_digest` is a digest of the namespace, its ancestors and its
+    /// descendants.
     pub fn ineffective(
         &mut self,
         namespace: &Compiled,
--- a/crates/routing-rules/src/groups.rs
+++ b/crates/routing-rules/src/groups.rs
@@ -6,7 +6,7 @@
 
 /// A range as written in a file: `"0x10"`, `"0x10-0x1f"`, `16`, or `[16, 31]`.
 #[derive(Clone, Debug, Deserialize)]
-// This text is part of the output of `check` for a range of another type. Operators' tools may match it, so it stays unchanged.
+// `check` prints this text for a range of another type. The wording is fixed, so it still has the enum's former name.
 #[serde(untagged, expecting = "data did not match any variant of untagged enum Stated")]
 pub(crate) enum GroupText {
     Text(String),
