--- a/crates/routing-rules/src/merge.rs
+++ b/crates/routing-rules/src/merge.rs
@@ -1,4 +1,5 @@
-//! The merge: candidates are gathered, conflicts found, and the newest held back, until none conflict.
+//! The merge: gathers the candidates, then repeatedly finds conflicts and holds back the newest namespace in conflict until no
+//! conflict is left.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -15,53 +16,53 @@
 use crate::newest_first::Recency;
 use crate::outcome::{self, Outcome};
 
-/// What came of a merge.
+/// The result of a merge.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Merged {
     /// The book in force.
     pub book: Book,
-    /// What to remember.
+    /// The history to pass to the next merge.
     pub history: History,
-    /// What held namespaces back.
+    /// The conflicts for which namespaces are held back.
     pub conflicts: Vec<Conflict>,
 }
 
-/// Merges the files into one book. The outcome depends on nothing but what is given here, and not on the files' order.
+/// Merges the files into one book. The result depends only on the arguments, and not on the order of the files.
 pub fn merge(last: &History, files: &[RuleFile], inventory: &Inventory) -> Merged {
     Merger::default().merge(last, files, inventory)
 }
 
-/// All that conflicts if the newest content of each namespace is taken as it is, before any is held back: what an operator
-/// asks before files are put in place.
+/// All conflicts of the newest content of each namespace, with nothing held back. An operator runs this check before putting
+/// files in place.
 pub fn check(last: &History, files: &[RuleFile], inventory: &Inventory) -> Vec<Conflict> {
     let mut cache = Cache::default();
-    cache.begin(inventory);
-    let taken = candidate::gather(last, files, inventory, &mut cache);
+    cache.begin_merge(inventory);
+    let candidate_set = candidate::collect_candidates(last, files, inventory, &mut cache);
     let mut conflicts =
-        EvaluationRound::run(&taken.candidates, &BTreeSet::new(), inventory, &mut cache).conflicts;
-    conflicts.extend(taken.conflicts);
+        EvaluationRound::run(&candidate_set.candidates, &BTreeSet::new(), inventory, &mut cache).conflicts;
+    conflicts.extend(candidate_set.conflicts);
     conflicts.sort();
     conflicts
 }
 
-/// How often a merge with conflicts is repeated until its book stays.
-const MOST_ROUNDS: usize = 4;
+/// The maximum number of times that a merge with conflicts is repeated until its book no longer changes.
+const MAX_ROUNDS: usize = 4;
 
-/// A merge that remembers what it has read and checked, so that one changed file costs little. What it gives is always
-/// what [`merge`] gives.
+/// A merge with a cache of parsed files and completed checks, so that a merge after one changed file is cheap. Its results
+/// always equal those of [`merge`].
 #[derive(Debug, Default)]
 pub struct Merger {
     cache: Cache,
 }
 
 impl Merger {
-    /// See [`merge`].
+    /// Merges the files into one book, as [`merge`] does.
     pub fn merge(&mut self, last: &History, files: &[RuleFile], inventory: &Inventory) -> Merged {
-        self.cache.begin(inventory);
+        self.cache.begin_merge(inventory);
         let mut merged = self.merge_once(last, files, inventory);
-        // What came in makes others newer in comparison, so that the same files might come to another book next time. The book
-        // that stays is told at once. Nearly always it is the first.
-        for _ in 0..MOST_ROUNDS {
+        // Accepted content becomes older than the rest, so the next merge of the same files could give another book. The merge is
+        // repeated at once until the book is stable. Nearly always the first book is.
+        for _ in 0..MAX_ROUNDS {
             if merged.conflicts.is_empty() {
                 break;
             }
@@ -71,69 +72,77 @@
             }
             merged = next;
         }
-        self.cache.end();
+        self.cache.end_merge();
         merged
     }
 
     fn merge_once(&mut self, last: &History, files: &[RuleFile], inventory: &Inventory) -> Merged {
-        let mut taken = candidate::gather(last, files, inventory, &mut self.cache);
+        let mut candidate_set = candidate::collect_candidates(last, files, inventory, &mut self.cache);
         let mut selection =
-            Selection { candidates: std::mem::take(&mut taken.candidates), void: BTreeSet::new() };
-        let asked = selection.candidates.clone();
+            Selection { candidates: std::mem::take(&mut candidate_set.candidates), void: BTreeSet::new() };
+        let initial = selection.candidates.clone();
         let void =
             last.namespaces.iter().filter(|(_, entry)| entry.void).map(|(path, _)| path.clone()).collect();
-        let mut held = Vec::new();
-        // Each turn moves one namespace down a step, from new to good to out, or voids one delegation: it ends.
+        let mut hold_backs = Vec::new();
+        // The loop ends because each iteration takes one namespace from its new to its good content or out of the merge, or voids
+        // one delegation.
         let mut round = loop {
-            let round = selection.run(inventory, &mut self.cache);
+            let round = selection.evaluate(inventory, &mut self.cache);
             let recency = Recency { candidates: &selection.candidates, void: &void };
             let Some((namespace, why)) = recency.choose(&round.conflicts) else { break round };
-            selection.hold(&namespace, &why);
-            held.push(HoldBack { namespace, why, conflicts: round.conflicts });
+            selection.hold_back(&namespace, &why);
+            hold_backs.push(HoldBack { namespace, why, conflicts: round.conflicts });
         };
-        // What was held back for the sake of one that is now held back itself may come in after all, oldest first.
-        let recency = Recency { candidates: &asked, void: &void };
-        let mut out: Vec<String> = held.iter().map(|held| held.namespace.clone()).collect();
-        out.sort_by_cached_key(|path| recency.of(path));
-        out.dedup();
+        // A namespace held back in favour of one that was later held back itself may be admitted after all. The oldest is tried
+        // first.
+        let recency = Recency { candidates: &initial, void: &void };
+        let mut still_held_back: Vec<String> =
+            hold_backs.iter().map(|hold_back| hold_back.namespace.clone()).collect();
+        still_held_back.sort_by_cached_key(|path| recency.newness(path));
+        still_held_back.dedup();
         loop {
-            let before = out.len();
-            out.retain(|path| match selection.with(path, &asked, &void, inventory, &mut self.cache) {
-                Some((more, with_it)) => {
-                    (selection, round) = (more, with_it);
-                    false
+            let before = still_held_back.len();
+            still_held_back.retain(|path| {
+                match selection.readmit(path, &initial, &void, inventory, &mut self.cache) {
+                    Some((extended, extended_round)) => {
+                        (selection, round) = (extended, extended_round);
+                        false
+                    }
+                    None => true,
                 }
-                None => true,
             });
-            // One that came in may be the parent of one that didn't.
-            if out.len() == before {
+            // A namespace admitted in this pass may be the parent of one that was not, so another pass follows.
+            if still_held_back.len() == before {
                 break;
             }
         }
-        held.retain(|held| out.contains(&held.namespace));
-        taken.void = selection.void;
-        taken.candidates = selection.candidates;
-        let mut conflicts: BTreeSet<Conflict> = std::mem::take(&mut taken.conflicts).into_iter().collect();
-        for HoldBack { namespace, why, conflicts: all } in held {
+        hold_backs.retain(|hold_back| still_held_back.contains(&hold_back.namespace));
+        candidate_set.void = selection.void;
+        candidate_set.candidates = selection.candidates;
+        let mut conflicts: BTreeSet<Conflict> =
+            std::mem::take(&mut candidate_set.conflicts).into_iter().collect();
+        for HoldBack { namespace, why, conflicts: all } in hold_backs {
             let other = why.namespaces().into_iter().find(|path| *path != namespace).map(str::to_owned);
-            taken.held.entry(namespace.clone()).or_insert((why.to_string(), other));
-            conflicts.extend(all.into_iter().filter(|of| of.namespaces().contains(&namespace.as_str())));
+            candidate_set.held_back.entry(namespace.clone()).or_insert((why.to_string(), other));
+            conflicts.extend(
+                all.into_iter().filter(|conflict| conflict.namespaces().contains(&namespace.as_str())),
+            );
         }
-        let history = outcome::history(last, &Outcome { round: &round, taken: &taken });
+        let history = outcome::history(last, &Outcome { round: &round, candidate_set: &candidate_set });
         let book = book(&round.active);
         Merged { book, history, conflicts: conflicts.into_iter().collect() }
     }
 }
 
-/// What is tried together.
+/// The candidates and void delegations that are evaluated together.
 #[derive(Clone)]
 struct Selection {
     candidates: BTreeMap<String, Candidate>,
-    /// The children whose delegations don't count.
+    /// The children whose delegations are void.
     void: BTreeSet<String>,
 }
 
-/// One turn: who was held back, for which conflict, and all conflicts there were.
+/// One hold-back: the namespace, the conflict it was held back for, and all conflicts of that evaluation.
 struct HoldBack {
     namespace: String,
     why: Conflict,
@@ -141,12 +150,12 @@
 }
 
 impl Selection {
-    fn run(&self, inventory: &Inventory, cache: &mut Cache) -> EvaluationRound {
+    fn evaluate(&self, inventory: &Inventory, cache: &mut Cache) -> EvaluationRound {
         EvaluationRound::run(&self.candidates, &self.void, inventory, cache)
     }
 
-    fn hold(&mut self, namespace: &str, why: &Conflict) {
-        if why.voids(namespace) {
+    fn hold_back(&mut self, namespace: &str, why: &Conflict) {
+        if why.voids_delegation(namespace) {
             self.void.insert(namespace.to_owned());
             return;
         }
@@ -155,33 +164,37 @@
         {
             self.candidates.remove(namespace);
         }
-        // Delegations are void for what other contents say: which of them is asked anew where one of these changed.
+        // Delegations are void because of other contents. One of those changed, so the void delegations are determined anew.
         self.void.clear();
     }
 
-    /// The same with one of those held back let in, if nothing conflicts then and no other delegation is void for it.
-    fn with(
+    /// This selection with one of the held-back namespaces admitted. `None` if that causes a conflict or makes another delegation
+    /// void.
+    fn readmit(
         &self,
         path: &str,
-        asked: &BTreeMap<String, Candidate>,
+        initial: &BTreeMap<String, Candidate>,
         void_before: &BTreeSet<String>,
         inventory: &Inventory,
         cache: &mut Cache,
     ) -> Option<(Selection, EvaluationRound)> {
-        let mut more = self.clone();
-        let was_void = more.void.remove(path);
-        if let Some(candidate) = asked.get(path) {
-            more.candidates.insert(path.to_owned(), candidate.clone());
+        let mut extended = self.clone();
+        let was_void = extended.void.remove(path);
+        if let Some(candidate) = initial.get(path) {
+            extended.candidates.insert(path.to_owned(), candidate.clone());
         }
         if !was_void {
-            more.void.clear();
+            extended.void.clear();
         }
         loop {
-            let round = more.run(inventory, cache);
-            let recency = Recency { candidates: &more.candidates, void: void_before };
-            let Some((namespace, why)) = recency.choose(&round.conflicts) else { return Some((more, round)) };
-            let as_before = why.voids(&namespace) && self.void.contains(&namespace) && !was_void;
-            if !as_before || !more.void.insert(namespace) {
+            let round = extended.evaluate(inventory, cache);
+            let recency = Recency { candidates: &extended.candidates, void: void_before };
+            let Some((namespace, why)) = recency.choose(&round.conflicts) else {
+                return Some((extended, round));
+            };
+            let was_void_already =
+                why.voids_delegation(&namespace) && self.void.contains(&namespace) && !was_void;
+            if !was_void_already || !extended.void.insert(namespace) {
                 return None;
             }
         }
@@ -189,13 +202,13 @@
 }
 
 fn book(active: &BTreeMap<String, Arc<Compiled>>) -> Book {
-    let owner = |(path, of): (&String, &Arc<Compiled>)| Owner {
+    let owner = |(path, compiled): (&String, &Arc<Compiled>)| Owner {
         path: path.clone(),
-        revision: of.read.file.revision,
-        uncertainty_policy: of.read.file.uncertainty_policy,
+        revision: compiled.parsed.file.revision,
+        uncertainty_policy: compiled.parsed.file.uncertainty_policy,
     };
     let namespaces = active.iter().map(owner).collect();
-    let mut rules = Vec::with_capacity(active.values().map(|of| of.rules.len()).sum());
-    rules.extend(active.values().flat_map(|of| of.rules.iter().cloned()));
+    let mut rules = Vec::with_capacity(active.values().map(|compiled| compiled.rules.len()).sum());
+    rules.extend(active.values().flat_map(|compiled| compiled.rules.iter().cloned()));
     Book { namespaces, rules }
 }
