--- a/crates/cottonnotch/src/command_line.rs
+++ b/crates/cottonnotch/src/command_line.rs
@@ -1,9 +1,9 @@
-//! The command line. Without an argument the program serves, as the platform starts it.
+//! Command-line arguments. The platform starts the program without arguments, which runs the proxy.
 
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
 
-/// The last part of `--help`.
+/// The text printed at the end of `--help`.
 const ENVIRONMENT: &str = "\
 Environment (what the platform sets; all but GW_CONFIG may stand in that file instead):
   GW_CONFIG     the platform's JSON file: limits, known render nodes, settings
@@ -28,17 +28,17 @@
     /// The operator's TOML file; deploy/cottonnotch.toml shows every setting [default: none, all at defaults]
     #[arg(long, global = true, value_name = "FILE", env = crate::config::OPERATOR_VARIABLE, hide_env_values = true)]
     pub operator: Option<PathBuf>,
-    /// Serves, where none is given.
+    /// The command to run; `None` runs the proxy.
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
-/// A command that is run instead of serving.
+/// A command that runs instead of the proxy and then exits.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Reads all that serving would and opens no socket; prints each value with where it came from
+    /// Checks the whole configuration without opening a socket and prints each value with its source
     ///
-    /// One line a value: KEY = VALUE  # SOURCE. A fault goes to standard error with its key, file and line, and
-    /// the exit code is then 2.
+    /// Prints one line per value: KEY = VALUE  # SOURCE. An error is written to standard error with the key, file and
+    /// line, and the exit code is then 2.
     Check,
 }
--- a/crates/cottonnotch/src/config/effective.rs
+++ b/crates/cottonnotch/src/config/effective.rs
@@ -1,18 +1,18 @@
-//! The effective configuration, as `cottonnotch check` prints it: each value in force and its source. Rows are noted where the
-//! values are read, so a default is defined in one place only.
+//! The effective configuration, as `cottonnotch check` prints it: each value in force and its source. The code that reads a
+//! value also records its row here, so that each default is defined in only one place.
 
 use super::json_file::JsonFile;
 use super::operator_file::OperatorFile;
 use std::fmt;
 
-/// The source of a value.
+/// The source of a configuration value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// No source has it.
+    /// The built-in default: no other source sets the value.
     Default,
-    /// The command line's argument of this name.
+    /// The command-line argument with this name.
     Argument(&'static str),
-    /// The environment's variable of this name.
+    /// The environment variable with this name.
     Environment(&'static str),
     /// The platform's JSON file.
     Json,
@@ -20,42 +20,42 @@
     Operator,
 }
 
-/// One value with its source.
+/// One configuration value and its source.
 #[derive(Debug)]
 pub struct Row {
-    /// Its key, by its full path.
+    /// The full path of the key.
     pub key: String,
     /// The value, as text.
     pub value: String,
-    /// Its source.
+    /// The source that supplied the value.
     pub source: Source,
-    /// No setting of that name exists: it has no effect.
+    /// Whether the key names no known setting, so that the value has no effect.
     pub is_unused: bool,
 }
 
-/// Every value, and the files that they were read from.
+/// All configuration values, and the files from which they were read.
 #[derive(Debug, Default)]
 pub struct Effective {
-    /// In the order in which they were read.
+    /// The values, in the order in which they were read.
     pub rows: Vec<Row>,
-    /// The platform's file, if there is one.
+    /// The platform's JSON file, if one was read.
     pub json: Option<JsonFile>,
-    /// The operator's file, if there is one.
+    /// The operator's TOML file, if one was read.
     pub operator: Option<OperatorFile>,
 }
 
 impl Effective {
-    /// Notes a value in force.
+    /// Records a value that is in force.
     pub fn note(&mut self, key: impl Into<String>, value: impl Into<String>, source: Source) {
         self.rows.push(Row { key: key.into(), value: value.into(), source, is_unused: false });
     }
 
-    /// Notes a value that was given in the platform's file and has no effect.
+    /// Records a value from the platform's file that has no effect.
     pub fn note_unused(&mut self, key: String, value: String) {
         self.rows.push(Row { key, value, source: Source::Json, is_unused: true });
     }
 
-    /// The source as printed, with the line of a file.
+    /// Formats the source of a row; for a file, the text includes the line number if it is known.
     fn source_text(&self, row: &Row) -> String {
         let in_file = |path: &dyn fmt::Display, line: Option<usize>| match line {
             Some(line) => format!("{path}, line {line}"),
@@ -71,8 +71,8 @@
     }
 }
 
-/// A value on one line; an empty one is shown as `-`. Guards against control characters, which could end the
-/// line or write to the terminal.
+/// Formats a value on one line; an empty value becomes `-`. Control characters are escaped because they could end the
+/// line or send commands to the terminal.
 fn one_line(value: &str) -> String {
     if value.is_empty() {
         return "-".to_owned();
@@ -84,7 +84,7 @@
     shown
 }
 
-/// One line a value: `KEY = VALUE  # SOURCE`.
+/// Prints one line per value: `KEY = VALUE  # SOURCE`.
 impl fmt::Display for Effective {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         for row in &self.rows {
--- a/crates/cottonnotch/src/config/environment.rs
+++ b/crates/cottonnotch/src/config/environment.rs
@@ -1,9 +1,9 @@
-//! Variables of the process's environment.
+//! Access to environment variables.
 
-/// Names the operator's file where the command line doesn't.
+/// The variable that holds the path of the operator's file; the command-line argument takes precedence.
 pub const OPERATOR_VARIABLE: &str = "COTTONNOTCH_OPERATOR";
 
-/// A variable of the environment; one that is not UTF-8 counts as unset.
+/// Returns the value of an environment variable; a value that is not UTF-8 counts as unset.
 pub fn variable(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
--- a/crates/cottonnotch/src/config/error.rs
+++ b/crates/cottonnotch/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration is rejected. Each message begins with the faulty key and ends with the file and line.
+//! Errors for which a configuration is rejected. Each message begins with the invalid key and ends with the file and line.
 
 use super::operator_file::OperatorFileError;
 use crate::rules::RulesError;
@@ -6,51 +6,51 @@
 use cottonnotch_gossip::{GossipSectionError, KeysError};
 use cottonnotch_proxy_core::EndpointUpdateError;
 
-/// Why the proxy cannot start, or keeps the configuration that it has.
+/// Why a configuration is rejected. At the start the proxy then exits; on a reload it keeps the configuration in force.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The platform's file can't be read.
+    /// The platform's file cannot be read.
     #[error("GW_CONFIG: '{path}' cannot be read: {error}")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// The system's reason.
+        /// The I/O error.
         #[source]
         error: std::io::Error,
     },
-    /// The platform's file is not JSON.
+    /// The platform's file is not valid JSON.
     #[error("GW_CONFIG: '{path}'{} is not JSON: {error}", at_line(.line))]
     NotJson {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// The line, where the parser knows it.
+        /// The line of the error, if the parser reports a position.
         line: Option<usize>,
-        /// The parser's reason.
+        /// The parser's error.
         #[source]
         error: simd_json::Error,
     },
-    /// A value of the platform's can't be used.
+    /// A value from the platform is invalid.
     #[error("{error} ({place})")]
     Platform {
-        /// What is wrong with it.
+        /// What is wrong with the value.
         #[source]
         error: ValueError,
-        /// The file and line, or the variable.
+        /// The file and line, or the environment variable, that holds the value.
         place: String,
     },
-    /// The gossip section, or what it refers to.
+    /// The gossip section, or a file to which it refers, is invalid.
     #[error(transparent)]
     Gossip(#[from] GossipConfigError),
-    /// The rules sections, or what they refer to.
+    /// One of the sections of the routing rules, or a file to which it refers, is invalid.
     #[error(transparent)]
     Rules(#[from] RulesError),
-    /// The operator's file.
+    /// The operator's file is invalid.
     #[error(transparent)]
     Operator(#[from] OperatorFileError),
 }
 
 impl ConfigError {
-    /// The faulty key, by its full path; what names the file if all of it is faulty.
+    /// Returns the full path of the invalid key; if the whole file is invalid, the setting that names the file.
     pub fn key(&self) -> String {
         match self {
             ConfigError::Unreadable { .. } | ConfigError::NotJson { .. } => "GW_CONFIG".to_owned(),
@@ -62,7 +62,7 @@
     }
 }
 
-/// The key that a message begins with.
+/// Returns the key with which a message begins.
 fn first_word(message: &str) -> &str {
     message.split([':', ' ']).next().unwrap_or_default()
 }
@@ -71,22 +71,22 @@
     line.map_or(String::new(), |line| format!(", line {line},"))
 }
 
-/// What is wrong with a value of the platform's.
+/// What is wrong with a value from the platform.
 #[derive(Debug, thiserror::Error)]
 pub enum ValueError {
-    /// A required key.
+    /// A required key is missing.
     #[error("{key} is missing")]
     Missing {
         /// The key.
         key: &'static str,
     },
-    /// A key that the configuration in force has, and the new one hasn't.
+    /// The configuration in force has this key, but the new one does not.
     #[error("{key} is missing, and the configuration that counts has it")]
     Dropped {
         /// The key.
         key: String,
     },
-    /// A value of the wrong kind, or out of bounds.
+    /// The value has the wrong type or is out of range.
     #[error("{key} {problem}: '{value}'")]
     Invalid {
         /// The key.
@@ -96,21 +96,21 @@
         /// The value.
         value: String,
     },
-    /// The endpoint list that the proxy last had.
+    /// The endpoint list in `known` is invalid.
     #[error("known: {0}")]
     Known(#[from] EndpointUpdateError),
-    /// A setting.
+    /// A setting is invalid.
     #[error("settings.{key} {problem}")]
     Setting {
-        /// The key, below `settings`.
+        /// The path of the key, relative to `settings`.
         key: String,
-        /// What is wrong with it, as a predicate of the key.
+        /// What is wrong with the value, as a predicate of the key.
         problem: String,
     },
 }
 
 impl ValueError {
-    /// The faulty key, by its full path.
+    /// Returns the full path of the invalid key.
     pub fn key(&self) -> String {
         match self {
             ValueError::Missing { key } | ValueError::Invalid { key, .. } => (*key).to_owned(),
@@ -136,30 +136,30 @@
     }
 }
 
-/// Why the gossip protocol can't be used as it is configured. Each message begins with the key.
+/// Why the configuration of the gossip protocol is rejected. Each message begins with the key.
 #[derive(Debug, thiserror::Error)]
 pub enum GossipConfigError {
-    /// The section.
+    /// A value in the section `[gossip]` is invalid.
     #[error(transparent)]
     Section(#[from] GossipSectionError),
-    /// A key file can't be read.
+    /// A key file cannot be read.
     #[error("gossip.key_files: '{path}': {error}")]
     KeyFile {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// The system's reason.
+        /// The I/O error.
         #[source]
         error: std::io::Error,
     },
-    /// This proxy's ordinal is none of the members'.
+    /// This proxy's ordinal is not below the number of members.
     #[error("gossip: settings.ordinal is {ordinal}, and peers names {members} proxies")]
     Ordinal {
         /// This proxy's ordinal.
         ordinal: u32,
-        /// How many members the platform names.
+        /// The number of members that the platform lists.
         members: u32,
     },
-    /// What the key files hold.
+    /// The content of a key file is invalid.
     #[error(transparent)]
     Keys(#[from] KeysError),
 }
--- a/crates/cottonnotch/src/config/gossip.rs
+++ b/crates/cottonnotch/src/config/gossip.rs
@@ -1,4 +1,4 @@
-//! The gossip protocol's configuration: the section `[gossip]`, and the keys that it names.
+//! The configuration of the gossip protocol: the section `[gossip]` and the key files that it names.
 
 use super::error::GossipConfigError;
 use super::model::{GossipConfig, PeerAddresses};
@@ -7,7 +7,8 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Reads what the section names; `None`: gossip is off. Keys are read here, so that a faulty one ends the start or the reload.
+/// Checks the section and loads the key files that it names; returns `None` if gossip is off. Loading the keys here makes the
+/// start or the reload fail if a key is invalid.
 pub fn read(
     section: &GossipSection,
     addresses: &PeerAddresses,
--- a/crates/cottonnotch/src/config/json_file.rs
+++ b/crates/cottonnotch/src/config/json_file.rs
@@ -1,5 +1,5 @@
-//! The platform's JSON file, and on which line of it a key stands. simd-json's values carry no positions, but the
-//! keys of its borrowing values are slices of the text itself, and where such a slice begins is its position.
+//! The platform's JSON file, and the line number of each key in it. simd-json values carry no positions, but the keys of
+//! its borrowed values are slices of the input, so the address of a key yields its offset.
 
 use super::error::ConfigError;
 use simd_json::cow::Cow;
@@ -7,34 +7,34 @@
 use std::cell::OnceCell;
 use std::collections::BTreeMap;
 
-/// The file as it was read.
+/// The platform's file as it was read.
 #[derive(Debug)]
 pub struct JsonFile {
-    /// Its path, as `GW_CONFIG` has it.
+    /// The path, as given in `GW_CONFIG`.
     pub path: String,
     text: Vec<u8>,
     lines: OnceCell<BTreeMap<String, usize>>,
 }
 
 impl JsonFile {
-    /// Reads a file and its value.
+    /// Reads and parses a file; returns the file and its JSON value.
     pub fn read(path: String) -> Result<(JsonFile, OwnedValue), ConfigError> {
         let text = match std::fs::read(&path) {
             Ok(text) => text,
             Err(error) => return Err(ConfigError::Unreadable { path, error }),
         };
-        // Parsing overwrites its input, and positions are those of the original text.
+        // The parser overwrites its input, so it gets a copy: line numbers refer to the original text.
         match simd_json::to_owned_value(&mut text.clone()) {
             Ok(value) => Ok((JsonFile { path, text, lines: OnceCell::new() }, value)),
             Err(error) => {
-                // Errors without a position have 0, too.
+                // simd-json also reports index 0 for an error without a position.
                 let line = (error.index() > 0).then(|| Newlines::of(&text).line(error.index()));
                 Err(ConfigError::NotJson { path, line, error })
             }
         }
     }
 
-    /// The line of a key, or of the nearest thing around it that the file has; `None` for the whole file.
+    /// Returns the line of a key, or of its closest ancestor that the file contains; `None` if it contains neither.
     pub fn line(&self, key: &str) -> Option<usize> {
         let lines = self.lines.get_or_init(|| key_lines(&self.text));
         let mut key = key;
@@ -47,7 +47,7 @@
     }
 }
 
-/// The positions of line ends.
+/// The byte offsets of the newline characters in a text.
 struct Newlines(Vec<usize>);
 
 impl Newlines {
@@ -60,7 +60,7 @@
     }
 }
 
-/// The line of each key by its full path; items of lists are `.0`, `.1` ...
+/// Maps the full path of each key to its line; the path segments of list items are `.0`, `.1` and so on.
 fn key_lines(text: &[u8]) -> BTreeMap<String, usize> {
     let mut found = BTreeMap::new();
     let mut copy = text.to_vec();
@@ -68,7 +68,7 @@
     if let Ok(value) = simd_json::to_borrowed_value(&mut copy) {
         walk("", &value, &mut |path, key: &str| {
             let at = key.as_ptr().addr().wrapping_sub(base);
-            // Guards against a key that is no slice of the text: it would have a position by chance.
+            // Skips a key that is not a slice of the text: its address would yield an arbitrary offset.
             if at > 0 && text.get(at - 1) == Some(&b'"') {
                 found.insert(path.to_owned(), at);
             }
@@ -84,7 +84,7 @@
         BorrowedValue::Object(object) => {
             for (key, value) in object.iter() {
                 let path = below(key);
-                // An escaped key may be a copy.
+                // A key with escape sequences may be a copy instead of a slice of the text.
                 if matches!(key, Cow::Borrowed(_)) {
                     note(&path, key);
                 }
--- a/crates/cottonnotch/src/config/json_text.rs
+++ b/crates/cottonnotch/src/config/json_text.rs
@@ -1,9 +1,9 @@
-//! JSON values as text.
+//! Formatting of JSON values as text.
 
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 
-/// A value as text: a string without quotes, `-` for null.
+/// Formats a value as text: a string without its quotes, null as `-`, anything else as JSON.
 pub fn text_of(value: &OwnedValue) -> String {
     match value.as_str() {
         Some(text) => text.to_owned(),
--- a/crates/cottonnotch/src/config/loading.rs
+++ b/crates/cottonnotch/src/config/loading.rs
@@ -1,4 +1,4 @@
-//! Loads the configuration at the start, and again on SIGHUP, and compares the two.
+//! Loads the configuration at the start and on SIGHUP, and checks that a reloaded configuration may replace the one in force.
 
 use super::effective::Effective;
 use super::error::{ConfigError, ValueError};
@@ -8,20 +8,23 @@
 use std::path::Path;
 
 impl Config {
-    /// Reads the environment and the JSON file at the start, once the operator's file is read.
+    /// Loads the configuration at the start from the environment, the JSON file and the operator's file, which the caller has
+    /// read already.
     pub fn load(operator: OperatorConfig, effective: &mut Effective) -> Result<Self, ConfigError> {
         platform::read(operator, Precedence::Environment, effective)
     }
 
-    /// Reads both files again. The JSON file wins: the environment may still have what the file has replaced.
+    /// Reads both files again on SIGHUP. The JSON file takes precedence over the environment, whose values are still those of
+    /// the start.
     pub fn reload(operator: Option<&Path>) -> Result<Self, ConfigError> {
         let mut effective = Effective::default();
         let operator = OperatorConfig::read(operator, &mut effective)?;
         platform::read(operator, Precedence::File, &mut effective)
     }
 
-    /// Checks that this configuration may replace `old`: that its JSON file has every key that the old one had. Guards against
-    /// a file that was cut down by mistake: a missing key would fall back to its default, or to the environment of the start.
+    /// Checks that this configuration may replace `old`: its JSON file must have every key that the old file had. This rejects
+    /// a file that was truncated by mistake, whose missing keys would fall back to their defaults or to the environment of the
+    /// start.
     pub fn check_replaces(&self, old: &Config) -> Result<(), ConfigError> {
         match self.present_keys.first_missing(&old.present_keys) {
             Some(key) => {
--- a/crates/cottonnotch/src/config/operator.rs
+++ b/crates/cottonnotch/src/config/operator.rs
@@ -1,5 +1,6 @@
-//! The operator's file: everything that is not the platform's. One section a subsystem, whose type is defined in the crate that
-//! it configures. A new section is a field of [`OperatorConfig`], and a line each in `check` and `replacing`.
+//! The operator's file, which holds all configuration that the platform does not set. Each subsystem has one section, whose
+//! type is defined in the crate that it configures. To add a section, add a field to [`OperatorConfig`] and a line to each of
+//! `check` and `replacing`.
 
 use super::effective::{Effective, Source};
 use super::environment::{OPERATOR_VARIABLE, variable};
@@ -17,53 +18,53 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Why the sections can't be used. Each message begins with the key's full path.
+/// Why the sections are rejected. Each message begins with the full path of the key.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
-    /// `[log]`
+    /// The section `[log]` is invalid.
     #[error(transparent)]
     Log(#[from] LogConfigError),
-    /// `[records]`
+    /// The section `[records]` is invalid.
     #[error(transparent)]
     Records(#[from] RecordsSectionError),
-    /// `[gossip]`
+    /// The section `[gossip]` is invalid.
     #[error(transparent)]
     Gossip(#[from] GossipSectionError),
-    /// `[fleet]`
+    /// The section `[fleet]` is invalid.
     #[error(transparent)]
     Fleet(#[from] FleetSectionError),
-    /// `[accord]`
+    /// The section `[accord]` is invalid.
     #[error(transparent)]
     Consensus(#[from] SectionError),
-    /// Aggregation's datagrams are not authenticated, while gossip's are to be.
+    /// Aggregation is on, whose datagrams are not authenticated, while gossip is configured to authenticate its datagrams.
     #[error("fleet.members_from goes with gossip.strength 'address' only, its datagrams have no proof")]
     AggregationHasNoProof,
 }
 
-/// Every section. One that the file leaves out has its defaults, with which its subsystem is off.
+/// All sections of the operator's file. A section that the file omits has its default values, which turn its subsystem off.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorConfig {
-    /// `[log]`
+    /// The section `[log]`.
     pub log: LogConfig,
-    /// `[records]`
+    /// The section `[records]`.
     pub records: RecordsSection,
-    /// `[gossip]`
+    /// The section `[gossip]`.
     pub gossip: GossipSection,
-    /// `[fleet]`
+    /// The section `[fleet]`, which configures aggregation.
     pub fleet: FleetSection,
-    /// `[rules]`
+    /// The section `[rules]`.
     pub rules: RulesSection,
-    /// `[[hardware]]`
+    /// The sections `[[hardware]]`, one for each hardware class.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub hardware: Vec<HardwareSection>,
-    /// `[accord]`
+    /// The section `[accord]`, which configures consensus.
     #[serde(rename = "accord")]
     pub consensus: ConsensusSection,
 }
 
 impl OperatorConfig {
-    /// Reads and checks a file whole, and notes each value; with no file, all are defaults.
+    /// Reads and checks the whole file and records each value in `effective`; without a file, all values are defaults.
     pub fn read(path: Option<&Path>, effective: &mut Effective) -> Result<OperatorConfig, ConfigError> {
         let mut operator = OperatorConfig::default();
         let shown = path.map_or(String::new(), |path| path.display().to_string());
@@ -79,7 +80,7 @@
         Ok(operator)
     }
 
-    /// Checks what serde can't see: bounds, and keys that don't go together.
+    /// Checks what serde does not: the ranges of values, and combinations of keys.
     fn check(&self) -> Result<(), OperatorError> {
         self.log.check()?;
         self.records.check()?;
@@ -93,8 +94,8 @@
         Ok(())
     }
 
-    /// Replaces the `old` one, as far as that is possible while clients are served; the log says what is not. Returns the
-    /// configuration in force from now on.
+    /// Replaces the `old` configuration, except for values that cannot change while clients are served; logs a warning for
+    /// each section that has such a change. Returns the configuration that is now in force.
     pub fn replacing(self, old: &OperatorConfig) -> OperatorConfig {
         if self.records != old.records {
             log::warn!(
@@ -123,10 +124,11 @@
         OperatorConfig { log, records, gossip, fleet, rules, hardware, consensus }
     }
 
-    /// The values as they are written, so that no section is to list its keys a second time.
+    /// Records each value with its source. The keys and values come from serializing the configuration, so that no section
+    /// has to list its keys a second time.
     fn note(&self, effective: &mut Effective) {
         let mut values = BTreeMap::new();
-        // No section holds what JSON can't say; were it so, it would only go unlisted.
+        // All values of the sections can be written as JSON. If serialization failed, `check` would only print fewer lines.
         if let Ok(written) = simd_json::serde::to_owned_value(self) {
             collect_leaves("", &written, &mut values);
         }
@@ -145,7 +147,7 @@
     }
 }
 
-/// The source of the file's path.
+/// Returns the source of the path of the operator's file.
 fn path_source(path: Option<&Path>) -> Source {
     match (path, variable(OPERATOR_VARIABLE)) {
         (None, _) => Source::Default,
--- a/crates/cottonnotch/src/config/operator_file.rs
+++ b/crates/cottonnotch/src/config/operator_file.rs
@@ -1,6 +1,6 @@
-//! Reads a TOML file into a serde type. An error says which key is faulty, on which line, and which name may have been meant.
-//! Independent of the sections: `toml` keeps the spans of keys and values, and the key around an error's span is the faulty
-//! one.
+//! Reads a TOML file into a serde type. An error names the invalid key and its line, and suggests a similar name. This module
+//! does not depend on the sections: `toml` keeps the spans of keys and values, and the key whose span contains the position of
+//! an error is the invalid one.
 
 use crate::spelling::nearest_name;
 use serde::de::DeserializeOwned;
@@ -10,38 +10,38 @@
 use std::path::{Path, PathBuf};
 use toml::de::{DeTable, DeValue};
 
-/// The file as it was read.
+/// The operator's file as it was read.
 #[derive(Debug)]
 pub struct OperatorFile {
-    /// Its path.
+    /// The path of the file.
     pub path: PathBuf,
     text: String,
     spans: BTreeMap<String, KeySpan>,
 }
 
-/// The byte ranges of a key and its value in the text.
+/// The byte ranges of a key and of its value in the text.
 #[derive(Debug)]
 struct KeySpan {
     key: Range<usize>,
     value: Range<usize>,
 }
 
-/// Why the operator's file is rejected; it is applied whole or not at all.
+/// Why the operator's file is rejected. A file is applied completely or not at all.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorFileError {
-    /// It can't be read.
+    /// The file cannot be read.
     #[error("operator's file '{}' cannot be read: {error}", path.display())]
     Unreadable { path: PathBuf, error: std::io::Error },
-    /// It is not TOML.
+    /// The file is not valid TOML.
     #[error("operator's file is not TOML: {problem} ({}, line {line})", path.display())]
     NotToml { path: PathBuf, line: usize, problem: String },
-    /// A key that is unknown, or a value that can't be used.
+    /// A key is unknown, or its value is invalid.
     #[error("{key} {problem} ({}, line {line})", path.display())]
     Key { path: PathBuf, line: usize, key: String, problem: String },
 }
 
 impl OperatorFileError {
-    /// The faulty key, by its full path; what names the file if all of it is faulty.
+    /// Returns the full path of the invalid key; if the whole file is invalid, the setting that names the file.
     pub fn key(&self) -> &str {
         match self {
             OperatorFileError::Unreadable { .. } | OperatorFileError::NotToml { .. } => "operator",
@@ -51,7 +51,7 @@
 }
 
 impl OperatorFile {
-    /// Reads a file and its value. What serde can't see is left to [`Self::reject`].
+    /// Reads and deserializes a file. For errors that serde does not detect, the caller uses [`Self::reject`].
     pub fn read<T: DeserializeOwned>(path: &Path) -> Result<(OperatorFile, T), OperatorFileError> {
         let path = path.to_owned();
         let text = match std::fs::read_to_string(&path) {
@@ -74,12 +74,12 @@
         }
     }
 
-    /// The line of a key; `None` where the file doesn't have it.
+    /// Returns the line of a key; `None` if the file does not contain the key.
     pub fn line(&self, key: &str) -> Option<usize> {
         self.spans.get(key).map(|span| line_at(&self.text, span.key.start))
     }
 
-    /// Rejects the file for an error that serde can't see. Its message begins with the key's full path.
+    /// Builds the error for a problem that serde does not detect. The message of `error` begins with the full path of the key.
     pub fn reject(&self, error: &dyn fmt::Display) -> OperatorFileError {
         let message = error.to_string();
         let (key, problem) = message.split_once(' ').unwrap_or((&message, "is faulty"));
@@ -98,7 +98,7 @@
     fn syntax_error(&self, error: &toml::de::Error) -> OperatorFileError {
         let at = error.span().map_or(0, |span| span.start);
         let is_around = |span: &KeySpan| span.key.contains(&at) || span.value.contains(&at);
-        // The innermost of those around it; a key is longer than what it stands in.
+        // Takes the innermost key that contains the position: the path of a nested key is longer than its parent's.
         let key = self.spans.iter().filter(|(_, span)| is_around(span)).max_by_key(|(key, _)| key.len());
         let key = key.map_or("operator", |(key, _)| key.as_str()).to_owned();
         let (path, line) = (self.path.clone(), line_at(&self.text, at));
@@ -137,8 +137,8 @@
     text.bytes().take(at).filter(|byte| *byte == b'\n').count() + 1
 }
 
-/// Serde's message as a predicate of the key, with the name that may have been meant. Names in its message stand in backticks,
-/// first the unknown one and then the known ones; a message of another form is passed on.
+/// Rewrites serde's message as a predicate of the key, and suggests the name that was probably meant. Names in the message are
+/// in backticks, the unknown name first and the known names after it; a message in another format is passed on.
 fn describe(message: &str) -> String {
     let names: Vec<&str> = message.split('`').skip(1).step_by(2).collect();
     let known = |names: &[&str]| names.iter().map(|name| format!("'{name}'")).collect::<Vec<_>>().join(", ");
--- a/crates/cottonnotch/src/config/operator_tests.rs
+++ b/crates/cottonnotch/src/config/operator_tests.rs
@@ -2,7 +2,7 @@
 
 const SHIPPED: &str = include_str!("../../../../deploy/cottonnotch.toml");
 
-/// The shipped file with its settings, which are the comments without a space, set.
+/// The shipped file with every setting enabled. The file has its settings commented out, as a `#` without a space.
 fn uncommented() -> String {
     let set = |line: &str| match line.strip_prefix('#') {
         Some(set) if set.starts_with("[[") || set.starts_with(|c: char| c.is_ascii_alphabetic()) => {
@@ -19,14 +19,14 @@
     let all = uncommented();
     let set: toml::Table = all.parse().unwrap();
     let read: OperatorConfig = toml::from_str(&all).unwrap();
-    // Of the two targets only one may be set.
+    // `records.file` and `records.descriptor` exclude each other, so each is checked without the other.
     let RecordsSection { file, descriptor, queue_records, flush_ms, .. } = read.records.clone();
     let to_file = RecordsSection { descriptor: None, ..read.records.clone() };
     let usual = RecordsSection::default();
     let to_descriptor = RecordsSection { descriptor, queue_records, flush_ms, ..usual.clone() };
     assert!(file.is_some() && descriptor.is_some());
     for records in [to_file, to_descriptor] {
-        // A fleet view has no proof, so it goes with no other strength than 'address'.
+        // Aggregation is not authenticated, so it cannot be combined with the file's gossip strength, which is not 'address'.
         let fleet = FleetSection::default();
         OperatorConfig { records, fleet, ..read.clone() }.check().unwrap();
     }
--- a/crates/cottonnotch/src/config/platform.rs
+++ b/crates/cottonnotch/src/config/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's configuration: the environment, then the JSON file that `GW_CONFIG` names. Unknown keys are ignored: the
-//! platform may add some.
+//! Reads the platform's configuration: the environment and the JSON file that `GW_CONFIG` names. Unknown keys are ignored,
+//! because the platform may add keys.
 
 use super::effective::{Effective, Source};
 use super::environment::variable;
@@ -17,22 +17,23 @@
 
 pub use super::value_reader::Precedence;
 
-/// The proxy's name, unless set.
+/// The proxy's name if none is set.
 const DEFAULT_NAME: &str = "cottonnotch";
-/// The seed of random numbers, unless set.
+/// The seed of the random number generator if none is set, in hexadecimal.
 const DEFAULT_SEED: &str = "0";
-/// The limit of descriptors, unless set.
+/// The limit of file descriptors if none is set.
 const DEFAULT_SOCKETS: u64 = 1024;
-/// The limit of memory in megabytes, unless set.
+/// The memory limit in MiB if none is set.
 const DEFAULT_MEMORY_MB: u64 = 192;
-/// Each direction of a connection may hold this many bytes at least ...
+/// The lower bound of the buffer size for each direction of a connection.
 const MIN_BUFFER_BYTES: u64 = 8 * 1024;
-/// ... and at most; in between, all buffers together keep to a quarter of the memory.
+/// The upper bound of the buffer size for each direction of a connection. Between the two bounds, the size is a quarter of
+/// the memory limit divided by the limit of file descriptors, so that all buffers together use a quarter of the memory.
 const MAX_BUFFER_BYTES: u64 = 64 * 1024;
-/// Fewer leave no descriptor for a single client beside the proxy's own.
+/// The smallest allowed limit of file descriptors. With fewer, the proxy's own descriptors leave none for a client.
 const MIN_SOCKETS: u64 = 64;
 
-/// Reads everything. Each value is noted with its source.
+/// Reads the whole configuration, and records each value and its source in `effective`.
 pub fn read(
     operator: OperatorConfig,
     precedence: Precedence,
@@ -71,7 +72,7 @@
     })
 }
 
-/// The JSON file's contents; an empty object if there is no file.
+/// Reads the JSON file; returns an empty object if `GW_CONFIG` is not set.
 fn read_file(effective: &mut Effective) -> Result<OwnedValue, ConfigError> {
     let Some(path) = variable("GW_CONFIG") else {
         effective.note("GW_CONFIG", "", Source::Default);
@@ -83,7 +84,7 @@
     Ok(json)
 }
 
-/// The limit of descriptors, and the bytes that each direction of a connection may hold.
+/// Reads the limits; returns the limit of file descriptors and the buffer size for each direction of a connection.
 fn read_limits(reader: &mut ValueReader<'_>) -> Result<(usize, usize), ConfigError> {
     let sockets = reader.limit(
         "limits.sockets",
@@ -104,7 +105,7 @@
     Ok((usize::try_from(sockets).unwrap_or(usize::MAX), buffer_bound as usize))
 }
 
-/// The other proxies. All of it may be left out: such a proxy is alone.
+/// Reads the addresses for datagrams between proxies. All keys are optional: a proxy without them has no peers.
 fn read_peer_addresses(reader: &mut ValueReader<'_>) -> Result<PeerAddresses, ConfigError> {
     let listen = reader.file_address("peer_listen")?;
     let all = reader.file_address("peers_all")?;
@@ -112,7 +113,7 @@
     Ok(PeerAddresses { listen, peers, all })
 }
 
-/// The endpoint list as the proxy last had it.
+/// Reads the last endpoint list that the proxy had.
 fn read_known(reader: &mut ValueReader<'_>) -> Result<EndpointUpdate, ConfigError> {
     let (known, source) = match reader.json.get("known") {
         None => (EndpointUpdate { revision: 0, complete: true, endpoints: Vec::new() }, Source::Default),
@@ -127,7 +128,7 @@
     Ok(known)
 }
 
-/// The routing rules that the operator's file names. An error has that file's line, if there is one.
+/// Reads the routing rules that the operator's file names. If there is such a file, an error includes its path and line.
 fn read_rules(
     operator: &OperatorConfig,
     effective: &Effective,
--- a/crates/cottonnotch/src/config/platform_settings.rs
+++ b/crates/cottonnotch/src/config/platform_settings.rs
@@ -1,4 +1,5 @@
-//! The key `settings` of the platform's file: checked, flattened, and in the decision module's terms.
+//! Reads the key `settings` of the platform's file: checks and flattens the settings, and converts them to the types of the
+//! decision module.
 
 use super::effective::Source;
 use super::error::{ConfigError, ValueError};
@@ -9,21 +10,22 @@
 use simd_json::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A deadline or timeout is a day at most, in microseconds. No connection is ever established in 0.
+/// The allowed deadlines and timeouts in microseconds, up to one day. Zero is not allowed, because no connection could be
+/// established within it.
 const DURATION: Bounds = Bounds { least: 0.0, most: 86_400e6 };
-/// Nobody needs more attempts.
+/// The allowed numbers of attempts per request; no use case needs more.
 const ATTEMPTS: Bounds = Bounds { least: 1.0, most: 1000.0 };
-/// Characters of a value that a message shows.
+/// The maximum number of characters of a value that an error message shows.
 const SHOWN_CHARACTERS: usize = 40;
 
-/// The least and greatest value allowed; 0 itself never is.
+/// The smallest and the largest allowed value; 0 is never allowed.
 #[derive(Clone, Copy, Debug)]
 struct Bounds {
     least: f64,
     most: f64,
 }
 
-/// Reads the settings, and notes each with its source.
+/// Reads the settings, and records each value and its source.
 pub fn read(reader: &mut ValueReader<'_>) -> Result<(Profile, Pairs), ConfigError> {
     let (profile, pairs) =
         parse(reader.json.get("settings")).map_err(|error| reader.error(error, Source::Json))?;
@@ -41,8 +43,8 @@
     if profile.settings.classes.is_empty() {
         return Err(ValueError::Missing { key: "settings.requestClasses" });
     }
-    // Whatever the mode: over sockets a list comes by a watch only. A pushed list counts as sent without one, too, from the
-    // first moment: the settings say so, and the decision module opens the watch at once.
+    // Over sockets, the endpoint list arrives only through a watch, whichever mode the platform sets. In the mode for pushed
+    // lists, `list_pushed` stays set as well, so that the decision module opens the watch at the start without a delay.
     profile.settings.list_on_request = true;
     Ok((profile, pairs))
 }
@@ -59,7 +61,7 @@
             }
         }
     }
-    // Guards against a name that is misspelt and so has no effect: it is ignored, but `check` shows it.
+    // Records keys that no setting uses. They are ignored, but `check` prints them, which reveals a misspelt name.
     let unused: BTreeMap<&String, &String> =
         pairs.values.iter().filter(|(key, _)| !lookups.contains_key(*key)).collect();
     for (key, value) in unused {
@@ -67,8 +69,8 @@
     }
 }
 
-/// Attempts and timeouts are numbers above 0, where they are set. Guards against what a default or a clamp would make of
-/// anything else: requests that nobody answers, or that are given up unsent.
+/// Checks that the number of attempts and the timeout are above 0, if they are set. Otherwise a default or a clamp would
+/// replace the value, and requests would stay unanswered or be given up before they are sent.
 fn check_numbers(settings: &OwnedValue) -> Result<(), ValueError> {
     for (name, bounds) in [("mostTries", ATTEMPTS), ("connectTimeout", DURATION)] {
         if let Some(value) = settings.get("policyLimits").and_then(|limits| limits.get(name)) {
@@ -78,7 +80,7 @@
     Ok(())
 }
 
-/// Classes have names of their own, and deadlines above 0 where they are set.
+/// Checks that the names of the classes are unique, and that their deadlines are above 0 if they are set.
 fn check_classes(settings: &OwnedValue) -> Result<(), ValueError> {
     let classes = settings.get_array("requestClasses").map_or(&[][..], |classes| classes.as_slice());
     let mut names = BTreeSet::new();
@@ -101,7 +103,7 @@
 fn check_number(value: &OwnedValue, bounds: Bounds, key: impl FnOnce() -> String) -> Result<(), ValueError> {
     let shown = || text_of(value).chars().take(SHOWN_CHARACTERS).collect::<String>();
     let Bounds { least, most } = bounds;
-    // A text of digits is not a number either: other readers of this file may read it differently.
+    // A string of digits is rejected as well: other programs that read this file may interpret it differently.
     let problem = match value.cast_f64().filter(|_| value.as_str().is_none()) {
         None => format!("is not a number: '{}'", shown()),
         Some(number) if number > 0.0 && number >= least && number <= most => return Ok(()),
@@ -110,7 +112,7 @@
     Err(ValueError::Setting { key: key(), problem })
 }
 
-/// Flattens nested settings to pairs of a path and a value, the form of the simulator's first message.
+/// Flattens nested settings into pairs of a path and a value, which is the format of the simulator's first message.
 fn flatten(path: &str, value: &OwnedValue, pairs: &mut Pairs) {
     let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     if let Some(object) = value.as_object() {
--- a/crates/cottonnotch/src/config/present_keys.rs
+++ b/crates/cottonnotch/src/config/present_keys.rs
@@ -1,34 +1,35 @@
-//! Which keys the platform's file has, so that a later file can be compared with it.
+//! The keys that the platform's file contains, so that a reloaded file can be compared with it.
 
 use cottonnotch_decision::settings::Pairs;
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 use std::collections::BTreeSet;
 
-/// Keys beside the settings that the proxy reads.
+/// The top-level keys that the proxy reads, except for `settings` and `limits`.
 const TOP_LEVEL: [&str; 9] =
     ["name", "listen", "mgmt", "discovery", "seed", "known", "peers", "peer_listen", "peers_all"];
-/// Keys of `limits` that the proxy reads.
+/// The keys below `limits` that the proxy reads.
 const LIMITS: [&str; 2] = ["sockets", "memory_mb"];
-/// Keys that only some classes have, by their idempotency.
+/// Keys of a class that only apply to some kinds of idempotency, so that they may come and go with it.
 const CLASS_SPECIFIC: [&str; 2] = ["window", "group"];
 
-/// The keys, by their full paths. Items of lists come and go: of them there are the keys that all items have, under `*`.
+/// The full paths of the keys. Because the items of a list may change, a list contributes only the keys that all its items
+/// have, with `*` in place of the index.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PresentKeys {
-    /// The file.
+    /// The path of the file.
     pub path: String,
     keys: BTreeSet<String>,
 }
 
-/// A key of an item of a list.
+/// A key within an item of a list, without the item's index.
 struct ItemKey<'a> {
     list: &'a str,
     key: &'a str,
 }
 
 impl PresentKeys {
-    /// The keys that the file has, of all that the proxy reads.
+    /// Collects the keys that the file contains and the proxy reads.
     pub fn of(path: String, json: &OwnedValue, settings: &Pairs) -> Self {
         let lookups = settings.lookups();
         let present = lookups.iter().filter(|(_, default)| default.is_none()).map(|(key, _)| key.as_str());
@@ -41,14 +42,14 @@
         PresentKeys { path, keys }
     }
 
-    /// A key that an earlier file had and this one hasn't.
+    /// Returns the first key that the earlier file contains and this file does not.
     pub fn first_missing(&self, earlier: &PresentKeys) -> Option<String> {
         earlier.keys.difference(&self.keys).next().cloned()
     }
 }
 
 impl ItemKey<'_> {
-    /// Whether all items of the list have the key.
+    /// Returns whether all items of the list have the key.
     fn all_have(&self, settings: &Pairs) -> bool {
         let ItemKey { list, key } = self;
         let count = settings.values.get(&format!("{list}.count"));
@@ -57,7 +58,7 @@
     }
 }
 
-/// The keys outside the settings.
+/// Returns the keys outside `settings` that the file contains.
 fn top_level_keys(json: &OwnedValue) -> impl Iterator<Item = String> {
     let has = |value: &OwnedValue, key: &str| value.get(key).is_some_and(|value| !value.is_null());
     let top_level = TOP_LEVEL.iter().filter(move |key| has(json, key)).map(|key| (*key).to_owned());
@@ -67,7 +68,7 @@
     top_level.chain(limits)
 }
 
-/// Splits the path of an item's key: the list, the item's number, and the key.
+/// Splits a path of the form `LIST.INDEX.KEY`; returns `None` for a path of another form.
 fn item_key(path: &str) -> Option<ItemKey<'_>> {
     let mut segments = path.splitn(3, '.');
     let (list, number, key) = (segments.next()?, segments.next()?, segments.next()?);
--- a/crates/cottonnotch/src/config/value_reader.rs
+++ b/crates/cottonnotch/src/config/value_reader.rs
@@ -1,4 +1,5 @@
-//! Reads single values of the platform's, each with its precedence, checks and source.
+//! Reads single values from the environment and the platform's JSON file: applies the precedence, checks the value and
+//! records its source.
 
 use super::effective::{Effective, Source};
 use super::environment::variable;
@@ -7,30 +8,30 @@
 use simd_json::prelude::*;
 use std::net::SocketAddr;
 
-/// What is wrong with a value that must be an address.
+/// The problem that is reported for an invalid address.
 const NOT_AN_ADDRESS: &str = "is not an address and port";
 
-/// Which source wins where both have a value.
+/// Which source takes precedence if both have a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Precedence {
-    /// The environment, at the start.
+    /// The environment takes precedence; used at the start.
     Environment,
-    /// The JSON file, on SIGHUP.
+    /// The JSON file takes precedence; used on SIGHUP.
     File,
 }
 
-/// Reads values of the environment and the JSON file, and notes each with its source.
+/// Reads values from the environment and the JSON file, and records each value and its source.
 pub struct ValueReader<'a> {
-    /// The JSON file's contents; an empty object without a file.
+    /// The content of the JSON file; an empty object if there is no file.
     pub json: &'a OwnedValue,
-    /// Which source wins.
+    /// Which source takes precedence.
     pub precedence: Precedence,
-    /// Where each value is noted.
+    /// The rows to which each value is added.
     pub effective: &'a mut Effective,
 }
 
 impl ValueReader<'_> {
-    /// An error with the place of its value.
+    /// Adds the location of the invalid value to an error.
     pub fn error(&self, error: ValueError, source: Source) -> ConfigError {
         let place = match (source, &self.effective.json) {
             (Source::Environment(name), _) => format!("environment {name}"),
@@ -53,7 +54,7 @@
         self.error(ValueError::Invalid { key, problem, value }, source)
     }
 
-    /// A text from the environment or the file, noted with its source.
+    /// Reads a text from the environment variable `name` or from `key` in the file; records it and returns it with its source.
     pub fn text(
         &mut self,
         name: &'static str,
@@ -76,13 +77,13 @@
         Ok((text, source))
     }
 
-    /// A required address.
+    /// Reads a required address.
     pub fn address(&mut self, name: &'static str, key: &'static str) -> Result<SocketAddr, ConfigError> {
         let (text, source) = self.text(name, key, None)?;
         text.parse().map_err(|_| self.invalid(key, NOT_AN_ADDRESS, text, source))
     }
 
-    /// An address that may be left out or empty.
+    /// Reads an address that may be missing or empty.
     pub fn optional_address(
         &mut self,
         name: &'static str,
@@ -95,7 +96,7 @@
         text.parse().map(Some).map_err(|_| self.invalid(key, NOT_AN_ADDRESS, text, source))
     }
 
-    /// An address that only the file can have, and may leave out.
+    /// Reads an optional address that only the file can set.
     pub fn file_address(&mut self, key: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
         let Some(value) = self.json.get(key) else {
             self.effective.note(key, "", Source::Default);
@@ -108,7 +109,7 @@
         Ok(Some(address))
     }
 
-    /// A list of addresses that only the file can have, and may leave out.
+    /// Reads an optional list of addresses that only the file can set.
     pub fn file_addresses(&mut self, key: &'static str) -> Result<Vec<SocketAddr>, ConfigError> {
         let Some(value) = self.json.get(key) else {
             self.effective.note(key, "", Source::Default);
@@ -124,7 +125,7 @@
         Ok(addresses)
     }
 
-    /// A hexadecimal number of 64 bits.
+    /// Reads a 64-bit hexadecimal number.
     pub fn hexadecimal(
         &mut self,
         name: &'static str,
@@ -136,7 +137,8 @@
         u64::from_str_radix(&text, 16).map_err(|_| self.invalid(key, problem, text, source))
     }
 
-    /// A number in the file's `limits`: `key` is its full path, `name` its last part. `check` takes a value that is sound.
+    /// Reads a number below `limits` in the file. `key` is its full path, `name` the last segment of it; `check` converts the
+    /// value and returns `None` if it is invalid.
     pub fn limit<T>(
         &mut self,
         key: &'static str,
--- a/crates/cottonnotch/src/logging.rs
+++ b/crates/cottonnotch/src/logging.rs
@@ -1,5 +1,5 @@
-//! The log: lines on standard error, each with a text and key-values. The `log` and `env_logger` crates do it;
-//! here are the operator's settings, and a logger that can be replaced while the program runs.
+//! Logging to standard error; each line has a text and key-value fields. The `log` and `env_logger` crates do the work. This
+//! module adds the operator's settings, and a logger that can be replaced while the program runs.
 
 use crate::spelling::nearest_name;
 use env_logger::fmt::Formatter;
@@ -16,44 +16,44 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "a table")]
 pub struct LogConfig {
-    /// Which lines are written, as in `RUST_LOG`: a level, or `PART=LEVEL`, separated by commas.
+    /// Selects the lines that are written, in the syntax of `RUST_LOG`: `LEVEL` or `TARGET=LEVEL`, separated by commas.
     pub filter: String,
-    /// The format of a line.
+    /// The format of the log lines.
     pub format: LogFormat,
-    /// `RUST_LOG`, which wins over the filter.
+    /// The value of `RUST_LOG` if it is set, which takes precedence over `filter`.
     #[serde(skip)]
     pub rust_log: Option<String>,
 }
 
-/// The format of a line.
+/// The format of the log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// For people: time, level and part in brackets, the text, then ` key=value` for each.
+    /// Human-readable: time, level and target in brackets, the text, and then ` key=value` for each field.
     #[default]
     Text,
-    /// For programs: one JSON object a line.
+    /// Machine-readable: one JSON object per line.
     Json,
 }
 
-/// Why the section can't be used. Each message begins with the key.
+/// Why the section `[log]` is rejected. Each message begins with the key.
 #[derive(Debug, thiserror::Error)]
 pub enum LogConfigError {
-    /// A level of the filter.
+    /// The filter contains an unknown level.
     #[error("log.filter has an unknown level: '{level}', {}", suggestion(level))]
     UnknownLevel {
-        /// The level.
+        /// The unknown level.
         level: String,
     },
-    /// The filter as a whole.
+    /// The filter cannot be parsed.
     #[error("log.filter cannot be used: {0}")]
     Filter(env_filter::ParseError),
 }
 
-/// The levels of a filter.
+/// The levels that a filter may contain.
 const LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
 
-/// The level that was probably meant, or all of them.
+/// Suggests the level that was probably meant, or lists all levels if none is similar.
 fn suggestion(level: &str) -> String {
     match nearest_name(level, &LEVELS) {
         Some(name) => format!("did you mean '{name}'?"),
@@ -68,13 +68,13 @@
 }
 
 impl LogConfig {
-    /// The configuration without an operator's file: the environment's `RUST_LOG`, or the defaults.
+    /// Returns the configuration without an operator's file: the defaults, with `RUST_LOG` if it is set.
     pub fn from_environment() -> Self {
         LogConfig { rust_log: std::env::var("RUST_LOG").ok(), ..LogConfig::default() }
     }
 
-    /// Rejects a filter that would be read as something else. Guards against a misspelt level: it would be read as a module of
-    /// that name, and everything else would be silent.
+    /// Checks the filter. A misspelt level is rejected here because the parser would take it as the name of a module, and the
+    /// lines of all other modules would be dropped.
     pub fn check(&self) -> Result<(), LogConfigError> {
         for directive in self.filter.split(',').map(str::trim) {
             let level = directive.rsplit_once('=').map_or(directive, |(_, level)| level);
@@ -86,8 +86,8 @@
         filter.map_err(LogConfigError::Filter)
     }
 
-    /// Replaces the `old` one: the filter at once, the format of lines not, since a reader of the log could not see where it
-    /// changes. Returns the configuration in force from now on.
+    /// Replaces the `old` configuration. The new filter applies at once. The format stays, because a program that reads the
+    /// log could not tell where it changes. Returns the configuration that is now in force.
     pub fn replacing(self, old: &LogConfig) -> LogConfig {
         if self.format != old.format {
             let format = old.format;
@@ -128,7 +128,7 @@
     }
 }
 
-/// The program's logger. Lines below the log crate's own level are dropped before they get here.
+/// The program's logger. The `log` crate drops lines below its maximum level before they reach this logger.
 struct ReplaceableLogger(RwLock<Option<Logger>>);
 
 static LOGGER: ReplaceableLogger = ReplaceableLogger(RwLock::new(None));
@@ -149,18 +149,18 @@
     fn flush(&self) {}
 }
 
-/// Logs by this configuration from now on.
+/// Installs a logger with this configuration, or replaces the one that is installed.
 pub fn install(config: &LogConfig) {
     let logger = config.logger();
     let level = logger.filter();
     *LOGGER.0.write().unwrap_or_else(PoisonError::into_inner) = Some(logger);
-    // Fails from the second time on, when it is there already.
+    // This fails if the logger is already set, which is the case from the second call on.
     let _ = log::set_logger(&LOGGER);
     log::set_max_level(level);
 }
 
-/// ` key=value` for each, quoted where a value would not end at the next space. Guards against what others sent
-/// and the log repeats: it must not look like a line or a key of our own.
+/// Writes each field as ` key=value`, with quotes if the value contains characters that would make it ambiguous. Some values
+/// come from other programs; quoting keeps them from imitating a log line or a field of the proxy.
 fn text_fields(out: &mut Formatter, fields: &dyn Source) -> io::Result<()> {
     struct Fields<'a>(&'a mut Formatter);
     impl<'kvs> VisitSource<'kvs> for Fields<'_> {
@@ -178,17 +178,17 @@
     fields.visit(&mut Fields(out)).map_err(io::Error::other)
 }
 
-/// `{"time":...,"level":...,"part":...,"text":...,"fields":{...}}`
+/// Writes a line as `{"time":...,"level":...,"part":...,"text":...,"fields":{...}}`.
 fn json_line(out: &mut Formatter, record: &Record) -> io::Result<()> {
     struct Fields(OwnedValue);
     impl<'kvs> VisitSource<'kvs> for Fields {
         fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
-            // A text that looks like a number stays a text: only what was logged as a number is one.
+            // A value is written as a number only if it was logged as a number; a text that looks like a number stays a text.
             let whole = value.to_u64().map(OwnedValue::from).or(value.to_i64().map(OwnedValue::from));
             let number = whole.or(value.to_f64().map(OwnedValue::from));
             let other = number.or(value.to_bool().map(OwnedValue::from));
             let value = other.unwrap_or_else(|| OwnedValue::from(value.to_string()));
-            // It is an object, so this can't fail.
+            // Inserting cannot fail, because the value is an object.
             let _ = self.0.insert(key.as_str().to_owned(), value);
             Ok(())
         }
--- a/crates/cottonnotch/src/main.rs
+++ b/crates/cottonnotch/src/main.rs
@@ -1,4 +1,5 @@
-//! The proxy: real sockets around the decision module. See `docs/ARCHITECTURE.md` for how the parts fit.
+//! The proxy, which connects the decision module to real sockets. `docs/ARCHITECTURE.md` describes how the parts fit
+//! together.
 
 mod command_line;
 mod config;
@@ -19,7 +20,7 @@
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Exit code of a configuration that can't be used.
+/// The exit code if the configuration is invalid.
 const EXIT_FAULTY: u8 = 2;
 
 fn main() -> ExitCode {
@@ -33,10 +34,11 @@
 fn serve(path: Option<PathBuf>) -> ExitCode {
     let mut effective = Effective::default();
     let operator = OperatorConfig::read(path.as_deref(), &mut effective);
-    // A faulty file is logged too, in the default format.
+    // The error for an invalid file is logged with the default settings.
     logging::install(operator.as_ref().map_or(&LogConfig::from_environment(), |read| &read.log));
     let config = operator.and_then(|operator| Config::load(operator, &mut effective));
-    // Before any socket is opened: an inherited descriptor's number could be given to one.
+    // The recorder is opened before any socket: otherwise the number of the configured descriptor could be assigned to a
+    // socket.
     let ready = config.and_then(|config| Ok((open_recorder(&config, &effective)?, config)));
     let (recorder, config) = match ready {
         Ok(ready) => ready,
@@ -61,13 +63,13 @@
     }
 }
 
-/// Opens the recorder, if records are on.
+/// Opens the recorder; returns a disabled one if records are off.
 fn open_recorder(config: &Config, effective: &Effective) -> Result<Recorder, ConfigError> {
     let Some(file) = &effective.operator else { return Ok(Recorder::off()) };
     let settings = config.operator.records.check().map_err(|error| file.reject(&error))?;
     let Some(settings) = settings else { return Ok(Recorder::off()) };
     let name = config.name.as_str().into();
-    // The start's time: no two runs under one name begin in the same microsecond.
+    // The incarnation is the start time: two runs with the same name do not start in the same microsecond.
     let incarnation =
         SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64);
     let version = env!("CARGO_PKG_VERSION").into();
@@ -75,7 +77,7 @@
     recorder.map_err(|error| file.reject(&recorder_problem(&error)).into())
 }
 
-/// A recorder's error as a message that begins with the key.
+/// Formats a recorder's error as a message that begins with the key.
 fn recorder_problem(error: &RecorderError) -> String {
     match error {
         RecorderError::Target { key, target, error } => {
@@ -87,7 +89,7 @@
     }
 }
 
-/// The report on the rules, if there are any.
+/// Returns the report on the routing rules; empty if no rules are configured.
 fn rules_report(config: &Config) -> String {
     let Some(settings) = &config.rules else { return String::new() };
     let listed =
@@ -99,13 +101,13 @@
     let mut effective = Effective::default();
     let operator = OperatorConfig::read(path, &mut effective);
     let config = operator.and_then(|operator| Config::load(operator, &mut effective));
-    // Serving continues without a faulty rules file; a check reports it.
+    // The proxy starts and runs without an invalid rules file, but the check reports it as an error.
     let config =
         config.and_then(|config| match config.rules.as_ref().map(rules::RulesSettings::check_files) {
             Some(Err(bad)) => Err(bad.into()),
             _ => Ok(config),
         });
-    // The reader of the output may have closed it; there is nobody left to report that to.
+    // Writing fails if the reader has closed the output. That error can be reported only through the exit code.
     let written = match &config {
         Ok(config) => write!(std::io::stdout().lock(), "{effective}{}", rules_report(config)),
         Err(error) => writeln!(std::io::stderr().lock(), "faulty configuration: {error}"),
