--- a/crates/cottonnotch/src/maintenance/maintenance_tests.rs
+++ b/crates/cottonnotch/src/maintenance/maintenance_tests.rs
@@ -5,7 +5,7 @@
     prop_oneof![Just("a".to_owned()), Just("b".to_owned()), Just("s-5be2".to_owned())]
 }
 
-/// The plain model: every override ever set, in the order of its time; the last one of an id counts.
+/// The reference model: given all overrides in the order in which they were set, the last override of an id is in force.
 fn is_out(calls: &[(bool, String)], id: &str) -> bool {
     calls.iter().rev().find(|(_, called)| called == id).is_some_and(|(out, _)| *out)
 }
@@ -26,7 +26,8 @@
                 other.merge(&before);
                 prop_assert_eq!(&one, &other, "both know the same once they have met");
             } else {
-                // A call on one that hasn't heard of the other's yet may find nothing to do: meet at once.
+                // Merges in both directions after each call. A process that does not know the other's overrides might find
+                // nothing to change, and the call would have no effect.
                 one.merge(&other);
                 other.merge(&one.clone());
             }
--- a/crates/cottonnotch/src/maintenance/text_format.rs
+++ b/crates/cottonnotch/src/maintenance/text_format.rs
@@ -1,19 +1,20 @@
-//! The state as a small text that is read completely or not at all: a first line with the format's name and version, one
-//! line for each override, and a last line with a checksum over all before it.
+//! The text format of the saved state: a first line with the format's name and version, one line for each override, and a
+//! last line with a checksum of everything before it. A text is accepted completely or not at all.
 
 use super::{MAX_OVERRIDES, Maintenance, ManualOverride};
 use cottonnotch_decision::names::digest;
 use std::fmt::Write;
 
-/// The first line. Another version's state is rejected: it may mean something else by the same words.
+/// The first line. A state of another version is rejected, because the same words may have another meaning there.
 const FORMAT: &str = "cottonnotch-maintenance 1";
-/// How a line begins whose render node is out, or back in use.
+/// The first word of the line of a render node that is out of use.
 const OUT: &str = "out";
+/// The first word of the line of a render node that is back in use.
 const BACK: &str = "back";
-/// Bytes of the longest saved state that is read.
+/// The maximum size of a saved state in bytes; a larger one is rejected.
 pub const MAX_BYTES: usize = 512 * 1024;
 
-/// Why a saved state is rejected.
+/// Why a saved state cannot be decoded.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum MaintenanceDecodeError {
     #[error("it is longer than {MAX_BYTES} bytes")]
@@ -31,7 +32,7 @@
     let mut text = format!("{FORMAT}\n");
     for (id, ManualOverride { set_at, is_out, out_since }) in state.overrides() {
         let state = if is_out { OUT } else { BACK };
-        // Writing to a string can't fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(text, "{state} {set_at} {out_since} {id}");
     }
     let sum = digest(&text);
@@ -39,7 +40,7 @@
     text
 }
 
-/// Decodes a state. Fails if the text is not one that [`encode`] made, completely.
+/// Decodes a state. Fails unless the text is complete and was written by [`encode`].
 pub fn decode(bytes: &[u8]) -> Result<Maintenance, MaintenanceDecodeError> {
     if bytes.len() > MAX_BYTES {
         return Err(MaintenanceDecodeError::TooLong);
--- a/crates/cottonnotch/src/net/attempt.rs
+++ b/crates/cottonnotch/src/net/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to open a connection at an endpoint: connect, write the client's first line, wait for the answer.
+//! One attempt to establish a connection at an endpoint: connects, writes the client's first line, and waits for the answer.
 
 use super::client_protocol::AttemptParameters;
 use super::network_event::Io;
@@ -10,10 +10,11 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The log's part of this file: filters and collectors know it by this.
+/// The log target of this module, on which log filters and collectors rely.
 const LOG_TARGET: &str = "cottonnotch::net::attempt";
 
-/// Until the last byte of the first line is written, the attempt can't have run; from then on it may have.
+/// The phase of an attempt. The endpoint cannot have executed the request before the last byte of the first line is written;
+/// from then on it may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Connecting,
@@ -21,36 +22,39 @@
     Waiting,
 }
 
-/// How far the attempt is.
+/// The result of advancing an attempt.
 #[derive(Debug)]
 pub enum Progress {
+    /// The attempt waits for its socket.
     Pending,
-    /// Stopped before it would have blocked; to be called again.
+    /// The attempt stopped before the socket would have blocked; the caller must call again.
     Again,
-    /// The endpoint's `UP` line, as it came.
+    /// The endpoint accepted the connection; holds its `UP` line unchanged.
     Up(Vec<u8>),
+    /// The attempt has ended without a connection.
     Ended(Outcome),
 }
 
-/// An attempt in flight.
+/// An attempt that is in flight.
 #[derive(Debug)]
 pub struct Attempt {
     address: SocketAddr,
     link: LineStream,
-    /// Sent once the connection is established, with the time that is left then.
+    /// The client's first line; it is sent once the TCP connection is established, with the time that is left then.
     line: OpenLine,
     phase: Phase,
-    /// That the line is written was reported.
+    /// Whether [`Self::take_newly_written`] has already returned true.
     write_reported: bool,
     started: Micros,
     connect_deadline: Micros,
     deadline: Option<Micros>,
-    /// By the rules' clock.
+    /// The time, on the clock of the rules, from which the first line must not be written any more.
     rules_write_deadline: Option<Micros>,
+    /// The time, on the event loop's clock, from which the first line must not be written any more.
     write_deadline: Option<Micros>,
 }
 
-/// What an answer line means, by the protocol's table.
+/// Classifies an answer line of the endpoint, as the protocol defines it.
 fn classify_answer(address: SocketAddr, line: Vec<u8>) -> Progress {
     let words = trim_end(&line);
     let verb = words.split(|b| *b == b' ').next().unwrap_or_default();
@@ -68,7 +72,7 @@
 }
 
 impl Attempt {
-    /// Begins the attempt; `line` is the client's first line, `deadline` when the proxy stops waiting.
+    /// Starts the attempt. `line` is the client's first line; `deadline` is when the proxy stops waiting for the answer.
     pub fn start(
         io: &mut Io,
         key: Key,
@@ -95,21 +99,21 @@
         })
     }
 
-    /// When the attempt is next due to be ended.
+    /// Returns the earliest time at which the attempt may be overdue; `None` if it has no time limit.
     pub fn next_timeout(&self) -> Option<Micros> {
         let connect = (self.phase == Phase::Connecting).then_some(self.connect_deadline);
         [connect, self.deadline].into_iter().flatten().min()
     }
 
-    /// Time since it began.
+    /// Returns the time since the attempt started.
     pub fn elapsed(&self, now: Micros) -> Micros {
         now - self.started
     }
 
-    /// Goes on as far as the socket allows.
+    /// Continues the attempt as far as the socket allows without blocking.
     pub fn advance(&mut self, now: Micros) -> Progress {
-        // It was connected and its time was up in one turn, of which readiness is reported first: given up is given up, and
-        // a line that is not written can't run.
+        // If the socket becomes ready and the time limit expires in the same turn of the event loop, readiness is handled
+        // first. The attempt is given up here all the same: its first line is not written, so it cannot have been executed.
         if let Some(outcome) = self.overdue(now).filter(|_| !self.is_written()) {
             return Progress::Ended(outcome);
         }
@@ -127,7 +131,7 @@
             match self.link.flush() {
                 Ok(true) => self.phase = Phase::Waiting,
                 Ok(false) => return Progress::Pending,
-                // The last byte was not written: it never ran.
+                // The last byte was not written, so the request was not executed.
                 Err(_) => return Progress::Ended(Outcome::ConnectFailed),
             }
         }
@@ -142,33 +146,34 @@
     }
 
     fn is_too_late_to_write(&self, now: Micros) -> bool {
-        // The process was stopped, or the endpoint slow: by now other rules may count. It is decided anew.
+        // After a suspension of the process, or with a slow endpoint, other rules may be in force by now, so the decision
+        // has to be made again.
         self.rules_write_deadline.is_some_and(|deadline| Clock.now() >= deadline)
-            // A repeat that arrives after its window has an effect of its own.
+            // A retry that arrives after its idempotency window would be executed as a new request.
             || self.write_deadline.is_some_and(|deadline| now >= deadline)
     }
 
-    /// The render node is told how long the proxy waits from now on: the connection may have taken long to establish.
+    /// Queues the first line with the time for which the proxy will wait from now on, because connecting may have taken long.
     fn begin_writing(&mut self, now: Micros) {
         let left = self.deadline.map(|deadline| deadline - now);
         self.link.push(&self.line.forwarded(left));
         self.phase = Phase::Writing;
     }
 
-    /// The first line has been written whole; true once for each attempt.
+    /// Returns whether the first line has been completely written; true only once for each attempt.
     pub fn take_newly_written(&mut self) -> bool {
         self.is_written() && !std::mem::replace(&mut self.write_reported, true)
     }
 
-    /// The first line has been written whole: it may have run.
+    /// Returns whether the first line has been completely written, so that the endpoint may have executed the request.
     pub fn is_written(&self) -> bool {
         self.phase == Phase::Waiting
     }
 
-    /// The outcome of the attempt if its time is over.
+    /// Returns the outcome of the attempt if its time limit has expired.
     pub fn overdue(&self, now: Micros) -> Option<Outcome> {
         if self.deadline.is_some_and(|deadline| deadline <= now) {
-            // While not even connected, nothing can have run.
+            // Before the first line is written, the endpoint cannot have executed the request.
             let waiting = self.phase == Phase::Waiting;
             return Some(if waiting { Outcome::TimedOut } else { Outcome::ConnectFailed });
         }
@@ -176,7 +181,7 @@
         connect_timed_out.then_some(Outcome::ConnectFailed)
     }
 
-    /// The connection, once it is established.
+    /// Returns the connection to the endpoint; called once the endpoint has accepted.
     pub fn into_link(self) -> LineStream {
         self.link
     }
--- a/crates/cottonnotch/src/net/client_connection/attempting.rs
+++ b/crates/cottonnotch/src/net/client_connection/attempting.rs
@@ -1,4 +1,4 @@
-//! While an attempt is in flight.
+//! Handling of a client's connection while an attempt is in flight.
 
 use super::{ATTEMPT_TIMER, ClientConnection, LOG_TARGET, State};
 use crate::net::attempt::Progress;
@@ -8,9 +8,10 @@
 use cottonnotch_reactor::Half;
 
 impl ClientConnection {
-    /// Goes on with the attempt as far as its socket allows.
+    /// Continues the attempt as far as its socket allows without blocking.
     pub(super) fn advance_attempt(&mut self, io: &mut Io) {
-        // It may be connected long after it was begun, and a line that is not written can't run.
+        // The attempt may connect long after its start, when the client may have left. As long as the first line is not
+        // written, the attempt can be dropped without effect.
         let is_unwritten = matches!(&self.state, State::Attempting(attempt) if !attempt.is_written());
         if is_unwritten && !self.check_client_present(io) {
             return;
@@ -28,7 +29,7 @@
         }
     }
 
-    /// The endpoint has answered with its `UP` line: from now on lines are relayed.
+    /// Establishes the connection after the endpoint's `UP` line; from now on lines are relayed.
     fn establish(&mut self, io: &mut Io, up_line: &[u8]) {
         let State::Attempting(attempt) = std::mem::replace(&mut self.state, State::Closed) else { return };
         let elapsed = attempt.elapsed(io.now());
@@ -39,13 +40,13 @@
         self.client.push(up_line);
         self.state = State::Established(Box::new(Relay::new(attempt.into_link(), io.now())));
         self.report(io, ClientEvent::Established { elapsed });
-        // Either side may have sent more already.
+        // Both sides may already have sent more data.
         self.relay(io, Half::Far);
         self.relay(io, Half::Near);
     }
 
     pub(super) fn end_attempt(&mut self, io: &mut Io, outcome: Outcome) {
-        // Dropping the attempt closes its connection: never two attempts in flight.
+        // Replacing the state drops the attempt and closes its connection, so that two attempts are never in flight.
         log::trace!(
             target: LOG_TARGET, client:? = self.key, outcome:?;
             "client {:?}: attempt ended as {outcome:?}", self.key
@@ -54,7 +55,7 @@
         self.report(io, ClientEvent::AttemptEnded(outcome));
     }
 
-    /// The attempt's timer is due: ends the attempt if its time is up, or sets the timer anew.
+    /// Handles the attempt's timer: ends the attempt if its time limit has expired, and sets the timer again otherwise.
     pub(super) fn check_attempt_timeout(&mut self, io: &mut Io) {
         let State::Attempting(attempt) = &self.state else { return };
         let now = io.now();
--- a/crates/cottonnotch/src/net/client_connection/commands.rs
+++ b/crates/cottonnotch/src/net/client_connection/commands.rs
@@ -1,4 +1,4 @@
-//! What the driver asks of the connection.
+//! The commands of the driver to a client's connection.
 
 use super::{ATTEMPT_TIMER, ClientConnection, LOG_TARGET, State};
 use crate::net::attempt::Attempt;
@@ -10,8 +10,8 @@
 use std::fmt::Display;
 
 impl ClientConnection {
-    /// The client waits for an attempt or its answer. Guards against a second answer: it may have left, or have been
-    /// rejected for what it sent too early, and the report of that waits its turn.
+    /// Returns whether the client waits for an attempt or for its final answer. The client may have left, or have been
+    /// rejected because it sent data too early, while the report of it is still queued; it must not get a second answer.
     fn is_queued(&self) -> bool {
         invariant!(
             !matches!(self.state, State::Attempting(_) | State::Established(_)),
@@ -19,7 +19,7 @@
         ) && matches!(self.state, State::Queued)
     }
 
-    /// False if no answer is owed any more.
+    /// Sends the final answer. Returns false if no answer is owed any more.
     fn give_final_answer(&mut self, io: &mut Io, line: impl FnOnce() -> String) -> bool {
         let is_queued = self.is_queued();
         if is_queued {
@@ -84,7 +84,7 @@
     fn migrate(&mut self, io: &mut Io) -> bool {
         let is_established = matches!(self.state, State::Established(_));
         if is_established {
-            // Only whole lines are queued for the client, so this falls between two.
+            // Only whole lines are queued for the client, so this line cannot split another one.
             self.send_final_line(io, MOVE);
         }
         is_established
@@ -92,7 +92,7 @@
 
     fn reject_idle(&mut self, io: &mut Io, retry_after: Micros) -> bool {
         if let State::ReadingFirstLine { .. } = self.state {
-            // A usual client's line may be there already and only not read yet.
+            // The client's first line may have arrived without having been read yet.
             self.read_first_line(io);
         }
         match self.state {
@@ -100,7 +100,7 @@
                 self.send_final_line(io, &busy_line(retry_after));
                 true
             }
-            // It has had its PONG, and would take a BUSY for another one's.
+            // The client has received its PONG, and would take a BUSY for the answer to another request.
             State::ReadingFirstLine { pinged: true, .. } => {
                 self.end_client(io);
                 false
@@ -111,9 +111,10 @@
 
     fn evict_idle(&mut self, io: &mut Io, retry_after: Micros) -> bool {
         let was_rejected = self.reject_idle(io, retry_after);
-        // Guards against those that ask by PING and stay, too: by hundreds, they kept every other client from being accepted.
+        // This also closes the connections of clients that sent PING and stayed: hundreds of them once kept all other clients
+        // from being accepted.
         if let State::Answered { .. } = self.state {
-            // A close over unread bytes resets the connection, and takes the line that was just written with it.
+            // Closing with unread bytes would reset the connection, and the client would lose the line that was just written.
             self.client.discard();
             self.state = State::Closed;
         }
--- a/crates/cottonnotch/src/net/client_connection/first_line.rs
+++ b/crates/cottonnotch/src/net/client_connection/first_line.rs
@@ -1,4 +1,4 @@
-//! Up to the answer: the first line is read, and then the client is only watched for its end.
+//! Handling of a client's connection up to its answer: reads the first line, and then only watches whether the client leaves.
 
 use super::{ClientConnection, LOG_TARGET, PING_TIMEOUT, State};
 use crate::net::final_answer::error_line;
@@ -33,7 +33,7 @@
         }
     }
 
-    /// False if the connection is broken, which closes it.
+    /// Answers a PING. Returns false if the connection is broken, and closes it.
     fn answer_ping(&mut self, io: &mut Io) -> bool {
         self.client.push(b"PONG\r\n");
         if self.client.flush().is_err() {
@@ -56,25 +56,25 @@
                 self.line = Some(line);
                 self.state = State::Queued;
                 self.report(io, ClientEvent::ConnectionRequested(request));
-                // The client's end may have come with the line; an edge is reported once.
+                // The client may have closed its side along with the line. The poll is edge-triggered and does not report that
+                // again, so the socket has to be read once more.
                 io.call_again(self.key, Half::Near);
             }
             Err(error) => self.reject_client(io, error.into()),
         }
     }
 
-    /// While no answer is given, the client's side is read only to see whether it left. Guards against one
-    /// that sends many commands at once: a client waits for its answer, and what it sends before would have
-    /// to be kept, or be lost with the attempt.
+    /// Checks whether the client has left or has sent data before its answer. A client has to wait for its answer: data that
+    /// it sends earlier would have to be buffered, or would be lost with the attempt, so such a client is rejected.
     pub(super) fn watch_client(&mut self, io: &mut Io) {
         let outcome = match &self.state {
             State::Attempting(attempt) if attempt.is_written() => Outcome::Cancelled,
             _ => Outcome::NotSent,
         };
         match self.client.fill() {
-            // By the protocol's pages whoever ends its sending gives up, as the proxy itself does towards an endpoint;
-            // and a client that has closed both sides looks the same from here. But only whoever is answered was not
-            // lost, so it gets an error: one that reads on sees it, and one that left doesn't.
+            // In the protocol, a peer that ends its sending gives up; the proxy does the same towards an endpoint. A client
+            // that has closed both directions cannot be told apart from one that still reads. A request without an answer
+            // counts as lost, so the client gets an error, which it sees if it still reads.
             Fill::Ended => {
                 self.send_final_line(io, &error_line(&"the client has ended its sending"));
                 self.report(io, ClientEvent::Left(outcome));
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Whether an answer is still awaited, as far as the client's socket shows now. Guards against a client that left,
-    /// and whose end waits its turn behind a thousand others' events: nothing may begin for it.
+    /// Reads the client's socket and returns whether an answer is still owed. A client may have left while the event for it
+    /// is queued behind a thousand others; no attempt may start for such a client.
     pub(super) fn check_client_present(&mut self, io: &mut Io) -> bool {
         if self.owes_answer() {
             self.watch_client(io);
--- a/crates/cottonnotch/src/net/client_connection/mod.rs
+++ b/crates/cottonnotch/src/net/client_connection/mod.rs
@@ -1,5 +1,4 @@
-//! A client's connection: the line protocol towards the client, as an explicit state machine from the first line to
-//! the last.
+//! A client's connection: implements the line protocol towards the client as an explicit state machine.
 
 mod attempting;
 mod commands;
@@ -19,48 +18,49 @@
 use cottonnotch_reactor::{Connection, Half, Key};
 use std::net::SocketAddr;
 
-/// A connection whose first line is not there after this gets an error. Guards against clients that connect
-/// and say nothing: they are owed an answer within 3 s, and the descriptor is for others.
+/// The time limit for the first line; a client that exceeds it gets an error. A client that connects and sends nothing must
+/// get an answer within 3 s and must not hold a file descriptor that other clients need.
 const FIRST_LINE_TIMEOUT: Micros = 1_500_000;
-/// The load balancer in front, which asks by PING whether the proxy serves, may be silent for longer.
+/// The time limit for the next line after a PING. The load balancer in front of the proxy checks its health with PING, and
+/// may be silent for longer than other clients.
 const PING_TIMEOUT: Micros = 30_000_000;
-/// A client that was answered is given this long to close first: a close with its bytes unread would reset
-/// the connection and could take the answer with it.
+/// How long the proxy waits for the client to close first after the final answer. Closing with unread bytes would reset the
+/// connection, and the client could lose the answer.
 const LINGER: Micros = 1_000_000;
-/// A client's line unanswered for this long: the endpoint is silent, and the client is migrated. The protocol allows
-/// 7 s from when nothing comes back any more; clients send a line every 2 s, so the first one that shows it may be
-/// that late.
+/// If a client's line stays unanswered for this long, the endpoint counts as silent and the client is migrated. The protocol
+/// allows 7 s from the moment when the endpoint stops answering; clients send a line every 2 s, so up to 2 s pass before the
+/// first unanswered line.
 const SILENCE_TIMEOUT: Micros = 4_500_000;
-/// After the client's end, the endpoint is given this long to end too.
+/// How long the proxy waits for the endpoint to close after the client has ended its sending.
 const ENDPOINT_END_TIMEOUT: Micros = 2_000_000;
 
-/// The timers of a connection.
+// The timer ids of a connection.
 const FIRST_LINE_TIMER: u32 = 0;
 const ATTEMPT_TIMER: u32 = 1;
 const SILENCE_TIMER: u32 = 2;
 const CLOSE_TIMER: u32 = 3;
 const ENDPOINT_END_TIMER: u32 = 4;
 
-/// The log's part of these files: filters and collectors know it by this.
+/// The log target of this module and its submodules, on which log filters and collectors rely.
 const LOG_TARGET: &str = "cottonnotch::net::client_connection";
 
 #[derive(Debug)]
 enum State {
-    /// The first line is not there yet.
+    /// The first line has not arrived; the client is rejected at `until`. `pinged` tells whether the client has sent a PING.
     ReadingFirstLine { until: Micros, pinged: bool },
-    /// A final answer is owed, and no attempt is in flight.
+    /// The client is owed a final answer, and no attempt is in flight.
     Queued,
     /// An attempt is in flight.
     Attempting(Box<Attempt>),
-    /// Established: lines are relayed.
+    /// The connection is established, and lines are relayed.
     Established(Box<Relay>),
-    /// The final answer is given, or the connection is over; the client's end is awaited up to then.
+    /// The final answer was given, or the connection has ended; the proxy waits until `until` for the client to close.
     Answered { until: Micros },
-    /// Nothing is left to do.
+    /// The connection is finished and can be removed.
     Closed,
 }
 
-/// A client's connection, with the attempt or relay behind it.
+/// A client's connection, with its attempt or relay.
 #[derive(Debug)]
 pub struct ClientConnection {
     key: Key,
@@ -68,12 +68,12 @@
     state: State,
     line: Option<OpenLine>,
     deadline: Option<Micros>,
-    /// Where the latest attempt went.
+    /// The address of the endpoint of the latest attempt.
     endpoint_address: Option<SocketAddr>,
 }
 
 impl ClientConnection {
-    /// Takes over an accepted connection.
+    /// Creates the state for an accepted connection.
     pub fn accepted(client: LineStream, key: Key, io: &mut Io) -> Self {
         let until = io.now() + FIRST_LINE_TIMEOUT;
         io.timer(until, key, FIRST_LINE_TIMER);
@@ -85,7 +85,7 @@
         io.report(NetworkEvent::Client(self.key, event));
     }
 
-    /// Writes the client's last line and ends our sending.
+    /// Sends the client its last line and ends the proxy's sending.
     fn send_final_line(&mut self, io: &mut Io, line: &str) {
         self.client.push(line.as_bytes());
         self.end_client(io);
@@ -94,25 +94,25 @@
     fn end_client(&mut self, io: &mut Io) {
         self.client.finish();
         self.client.take_rest();
-        // Dropping the state closes the attempt or the relay's far side.
+        // Replacing the state closes the attempt's connection, or the relay's connection to the endpoint.
         let until = io.now() + LINGER;
         self.state = match self.client.flush() {
             Ok(_) => State::Answered { until },
             Err(_) => State::Closed,
         };
         io.timer(until, self.key, CLOSE_TIMER);
-        // What came with the line is read away, and more that comes: an edge is reported once.
+        // Unread input has to be discarded now, because the poll is edge-triggered and does not report it again.
         io.call_again(self.key, Half::Near);
     }
 
-    /// Rejects a client with an error. Guards against rubbish: it costs one line and is never forwarded, where an
-    /// endpoint would answer SYNTAX, or an error that looks like the endpoint's own fault.
+    /// Rejects a client with an error. Malformed input is answered here and never forwarded, because an endpoint would answer
+    /// it with SYNTAX, or with an error that looks like a failure of the endpoint.
     fn reject_client(&mut self, io: &mut Io, error: RequestError) {
         self.send_final_line(io, &error_line(&error));
         self.report(io, ClientEvent::Rejected(error));
     }
 
-    /// Reads away what an answered client still sends, up to its end.
+    /// Discards the input of a client that has its final answer, until the client closes.
     fn discard_input(&mut self, io: &mut Io) {
         match self.client.discard() {
             Fill::Ended | Fill::Broken(_) => self.state = State::Closed,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// The client's id and the endpoint's address, for a log line.
+    /// Returns the client's id and the endpoint's address for a log line.
     fn log_names(&self) -> (&str, String) {
         let wire_id = self.line.as_ref().map_or("-", OpenLine::id);
         let address = self.endpoint_address.map_or("-".to_owned(), |address| address.to_string());
@@ -139,7 +139,7 @@
             (State::Attempting(_), Half::Far) => self.advance_attempt(io),
             (State::Established(_), half) => self.relay(io, half),
             (State::Answered { .. }, Half::Near) => self.discard_input(io),
-            // Left over from an attempt that is closed.
+            // The event belongs to an attempt that is already closed.
             (_, _) => {}
         }
     }
@@ -149,11 +149,11 @@
             (State::Attempting(_), Half::Far) => self.advance_attempt(io),
             (State::Established(relay), Half::Far) => {
                 relay.flush();
-                // The client may have been left unread while this side was full.
+                // The client may not have been read while the buffer for the endpoint was full.
                 io.call_again(self.key, Half::Near);
             }
             (State::Established(_), Half::Near) => {
-                // A broken connection is found by reading.
+                // A broken connection is detected by the next read.
                 let _ = self.client.flush();
                 io.call_again(self.key, Half::Far);
             }
--- a/crates/cottonnotch/src/net/client_connection/relaying.rs
+++ b/crates/cottonnotch/src/net/client_connection/relaying.rs
@@ -1,4 +1,4 @@
-//! While the connection is established: lines pass both ways, and a silent endpoint is noticed.
+//! Handling of an established connection: relays lines in both directions and detects a silent endpoint.
 
 use super::{
     ClientConnection, ENDPOINT_END_TIMEOUT, ENDPOINT_END_TIMER, LOG_TARGET, SILENCE_TIMEOUT, SILENCE_TIMER,
@@ -12,7 +12,7 @@
 use cottonnotch_reactor::line::MAX_LINE;
 
 impl ClientConnection {
-    /// Relays what came from this half.
+    /// Relays the data that has arrived from this half of the connection.
     pub(super) fn relay(&mut self, io: &mut Io, from: Half) {
         let State::Established(relay) = &mut self.state else { return };
         let now = io.now();
@@ -51,7 +51,7 @@
         self.report(io, ClientEvent::Ended(Outcome::Reset));
     }
 
-    /// The connection is over; the client's side ends as the endpoint's did.
+    /// Ends an established connection: closes or resets the client's side, as `end` says.
     fn end_relay(&mut self, io: &mut Io, outcome: Outcome, end: End) {
         self.report(io, ClientEvent::Ended(outcome));
         match end {
@@ -63,14 +63,15 @@
         }
     }
 
-    /// The client has ended its sending, and the endpoint did not end in its time.
+    /// Closes the connection because the endpoint did not close within [`ENDPOINT_END_TIMEOUT`] after the client ended its
+    /// sending.
     pub(super) fn close_after_client(&mut self, io: &mut Io) {
         self.report(io, ClientEvent::Ended(Outcome::Cancelled));
         self.state = State::Closed;
     }
 
-    /// The silence timer is due: migrates the client if its oldest line is unanswered for too long. Guards against an
-    /// endpoint that hangs or was cut off: its connections stay open and silent, and TCP does not notice.
+    /// Handles the silence timer: migrates the client if its oldest unanswered line has waited too long. The connections of an
+    /// endpoint that hangs or lost its network stay open without any data, and TCP does not detect that.
     pub(super) fn check_silence(&mut self, io: &mut Io) {
         let State::Established(relay) = &self.state else { return };
         let now = io.now();
--- a/crates/cottonnotch/src/net/client_protocol.rs
+++ b/crates/cottonnotch/src/net/client_protocol.rs
@@ -1,60 +1,61 @@
-//! What the driver asks of a client's connection, whatever protocol the client speaks. The line protocol of
-//! [`client_connection`](super::client_connection) is one implementation; one with several channels on a
-//! connection would be another.
+//! The interface through which the driver uses a client's connection, independent of the client's protocol. The line protocol
+//! in [`client_connection`](super::client_connection) is one implementation; a protocol with several channels per connection
+//! could be another.
 
 use super::network_event::Io;
 use cottonnotch_decision::Micros;
 use std::fmt::Display;
 use std::net::SocketAddr;
 
-/// One attempt to be made.
+/// The parameters of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptParameters {
-    /// Where the endpoint listens.
+    /// The address on which the endpoint listens.
     pub address: SocketAddr,
-    /// The attempt ends as timed out after this; 0: when the client gives up.
+    /// The time after which the attempt ends as timed out; 0 means that only the client's deadline limits it.
     pub timeout: Micros,
-    /// The attempt ends as failed if it is not connected after this.
+    /// The time after which the attempt ends as failed if it is not connected.
     pub connect_timeout: Micros,
-    /// Its first line is written before this or not at all, by the rules' clock.
+    /// The time, on the clock of the rules, from which the first line must not be written any more.
     pub rules_write_deadline: Option<Micros>,
-    /// Its first line is written before this or not at all.
+    /// The time, on the event loop's clock, from which the first line must not be written any more.
     pub write_deadline: Option<Micros>,
 }
 
-/// Which attempts are cancelled.
+/// Which attempts are to be cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelScope {
-    /// Whichever is in flight.
+    /// Any attempt that is in flight.
     AnyAttempt,
-    /// One that can't have run: its first line is not written yet.
+    /// An attempt whose first line is not completely written, so that the endpoint cannot have executed the request.
     UnwrittenOnly,
 }
 
-/// A client's connection, as the driver uses it.
+/// A client's connection, independent of its protocol.
 pub trait ClientProtocol {
-    /// Begins an attempt, whose end is reported. False if it could not even begin, for want of something on this
-    /// machine.
+    /// Starts an attempt; its end is reported as an event. Returns false if no answer is owed any more, or if the attempt could
+    /// not start because this machine lacks a resource.
     fn start_attempt(&mut self, io: &mut Io, parameters: AttemptParameters) -> bool;
-    /// Whether the client still waits for its answer and no attempt is in flight: its socket is looked at now. A
-    /// client that has left is reported.
+    /// Reads the client's socket, and returns whether the client still waits for its answer without an attempt in flight. A
+    /// client that has left is reported as an event.
     fn is_awaiting_answer(&mut self, io: &mut Io) -> bool;
-    /// Cancels the attempt in flight, if it is in scope. True if one was cancelled: its end is reported, and an
-    /// answer is still owed.
+    /// Cancels the attempt in flight if it is in scope. Returns true if an attempt was cancelled; its end is then reported as
+    /// an event, and an answer is still owed.
     fn cancel_attempt(&mut self, io: &mut Io, scope: CancelScope) -> bool;
-    /// Final answer: a rejection. Trying again is harmless, after this; 0: nothing said. False if the client has
-    /// left or has had its answer, which is reported.
+    /// Sends a rejection as the final answer. The client may safely retry after `retry_after`; 0 omits that time. Returns false
+    /// if the client has left or already has its answer, which is reported as an event.
     fn reject(&mut self, io: &mut Io, retry_after: Micros) -> bool;
-    /// Final answer: failed. False as for [`Self::reject`].
+    /// Sends an error as the final answer. Returns false in the same cases as [`Self::reject`].
     fn fail(&mut self, io: &mut Io, reason: &dyn Display) -> bool;
-    /// Ends an established connection in good order; the client comes back. False if it is not established.
+    /// Ends an established connection with a `MOVE`, after which the client reconnects. Returns false if the connection is not
+    /// established.
     fn migrate(&mut self, io: &mut Io) -> bool;
-    /// The proxy shuts down: a client that has sent no request yet is rejected. What it sends then is read and
-    /// sent nowhere. True if it was rejected.
+    /// Rejects a client that has not sent a request yet, because the proxy shuts down. Data that it sends afterwards is
+    /// discarded. Returns true if the client was rejected.
     fn reject_idle(&mut self, io: &mut Io, retry_after: Micros) -> bool;
-    /// Capacity is needed: as [`Self::reject_idle`], and the connection is closed at once, as is one that was
+    /// Rejects a client as [`Self::reject_idle`] does, to free capacity: closes the connection at once, also if the client was
     /// answered before.
     fn evict_idle(&mut self, io: &mut Io, retry_after: Micros) -> bool;
-    /// For how long the oldest unanswered line of the client's has waited.
+    /// Returns how long the client's oldest unanswered line has waited; `None` if no line is unanswered.
     fn oldest_unanswered(&self, now: Micros) -> Option<Micros>;
 }
--- a/crates/cottonnotch/src/net/datagrams.rs
+++ b/crates/cottonnotch/src/net/datagrams.rs
@@ -1,4 +1,4 @@
-//! The socket on which proxies exchange datagrams.
+//! The UDP socket on which proxies exchange datagrams.
 
 use super::network_event::{Io, NetworkEvent};
 use super::object::{DatagramSender, Object};
@@ -7,13 +7,14 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The longest datagram that the platform carries, and what a longer one is cut to: one byte more shows it.
+/// The maximum length of a datagram that the platform carries. The receive buffer is one byte longer, which reveals a longer
+/// datagram that the system has truncated.
 pub const MAX_DATAGRAM: usize = 256;
-/// Read in one turn before clients have theirs. Guards against a flood: the rest waits in the system's own bounded
-/// buffer, and what does not fit there is lost before it has cost anything.
+/// The maximum number of datagrams read in one turn, so that a flood does not delay the clients. The rest waits in the system's
+/// bounded buffer; the system drops datagrams that do not fit there at no cost to the proxy.
 const READ_BATCH: usize = 32;
 
-/// The socket of this proxy.
+/// This proxy's datagram socket.
 #[derive(Debug)]
 pub struct Datagrams {
     socket: UdpSocket,
@@ -21,7 +22,7 @@
 }
 
 impl Datagrams {
-    /// Listens at this address. Fails as the system calls do.
+    /// Binds the socket to this address. Returns the error of a failed system call.
     pub fn bind(address: SocketAddr, key: Key, io: &mut Io) -> io::Result<Self> {
         let mut socket = UdpSocket::bind(address)?;
         io.register_reader(&mut socket, key)?;
@@ -30,7 +31,7 @@
 }
 
 impl DatagramSender for Datagrams {
-    /// What can't be sent now is lost, as it may be anywhere on its way.
+    /// Sends a datagram. One that cannot be sent now is lost, just as datagrams may be lost in the network.
     fn send(&self, to: SocketAddr, bytes: &[u8]) -> bool {
         bytes.len() <= MAX_DATAGRAM && self.socket.send_to(bytes, to).is_ok()
     }
@@ -49,7 +50,7 @@
                     io.report(NetworkEvent::Datagrams(received));
                     return;
                 }
-                // What one was sent to is not there; it says nothing of what may still be read.
+                // The error belongs to an earlier datagram whose receiver is unreachable; there may still be datagrams to read.
                 Err(_) => {}
             }
         }
--- a/crates/cottonnotch/src/net/discovery_client.rs
+++ b/crates/cottonnotch/src/net/discovery_client.rs
@@ -1,5 +1,5 @@
-//! The discovery client: a watch on discovery over HTTP/1.1. It reports endpoint updates; when to watch is the decision
-//! module's choice. Another source of lists would be another connection object that reports the same network events.
+//! The discovery client: watches discovery over HTTP/1.1 and reports endpoint updates. The decision module chooses when to
+//! start a watch. Another source of endpoint lists could be added as a connection that reports the same network events.
 
 use super::network_event::{Io, NetworkEvent, WatchLoss};
 use super::object::Object;
@@ -13,16 +13,17 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Guards against a discovery that vanished: its connection stays open, and the list would quietly grow old.
+/// The time without progress after which a watch counts as silent. If discovery fails without closing the connection, the
+/// endpoint list would become outdated unnoticed.
 const SILENCE_TIMEOUT: Micros = WATCH_SILENT_AFTER;
-/// A request waits for its turn at discovery, which answers one after another, and answers 503 itself when that takes
-/// too long. One without an answer for this long counts as silent, like a watch. Chosen: over the 3 s that discovery was
-/// seen to let a request wait.
+/// The time without a response after which a request counts as silent. Discovery answers requests one after another, and
+/// answers 503 if a request waits too long; it has let requests wait for 3 s, so this is longer.
 const ANSWER_TIMEOUT: Micros = 3_500_000;
-/// Single bytes are no progress: a complete head, text or heartbeat is, or this many bytes of a long text.
+/// The number of bytes of an incomplete JSON text that counts as progress. Otherwise only a complete response head, JSON text
+/// or heartbeat counts, so that single bytes do not keep a watch alive.
 const PROGRESS_BYTES: usize = 4_096;
 
-/// One watch.
+/// One watch on discovery.
 #[derive(Debug)]
 pub struct DiscoveryWatch {
     key: Key,
@@ -31,20 +32,20 @@
     response: StreamedResponse,
     texts: JsonStream,
     requested_at: Micros,
-    /// When it last made progress; before that, when it was requested.
+    /// When the watch last made progress; initially, when it was requested.
     last_progress: Micros,
-    /// Bytes since then.
+    /// The number of bytes received since the last progress.
     bytes_since_progress: usize,
-    /// The response's head is complete.
+    /// Whether the head of the response is complete.
     has_head: bool,
-    /// A text or a heartbeat was complete.
+    /// Whether a JSON text or a heartbeat has been received completely.
     has_data: bool,
-    /// Its end was reported.
+    /// Whether the loss of the watch was reported.
     lost: bool,
 }
 
 impl DiscoveryWatch {
-    /// Requests the changes after a revision; 0: the complete list.
+    /// Requests the changes after revision `from`; 0 requests the complete list.
     pub fn start(discovery: SocketAddr, from: u64, key: Key, io: &mut Io) -> io::Result<Self> {
         let mut stream = LineStream::connect(discovery, io, key, Half::Near)?;
         let request = format!(
@@ -71,12 +72,12 @@
         })
     }
 
-    /// How far the response is: its timers carry that number.
+    /// Returns the number of stages that the response has reached; it is also the id of the watch's current timer.
     fn progress_stage(&self) -> u32 {
         u32::from(self.has_head) + u32::from(self.has_data)
     }
 
-    /// When it is to be given up if nothing more comes.
+    /// Returns when the watch is given up if it makes no further progress.
     fn due(&self) -> Micros {
         let silent = self.last_progress + if self.has_head { SILENCE_TIMEOUT } else { ANSWER_TIMEOUT };
         if self.has_data { silent } else { silent.min(self.requested_at + UNANSWERED_AFTER) }
@@ -107,8 +108,8 @@
         for mut text in texts {
             match EndpointUpdate::parse(&mut text) {
                 Ok(update) => io.report(NetworkEvent::EndpointUpdate { watch: self.key, update }),
-                // A bad list is dropped whole and counts as a failed call: the next watch begins at the
-                // last revision that was taken.
+                // An invalid list is dropped completely and counts as a failed request: the next watch starts at the last
+                // revision that was accepted.
                 Err(error) => return self.fail(io, format!("a bad list: {error}")),
             }
         }
@@ -129,7 +130,7 @@
         }
     }
 
-    /// The response has ended. A list that is half there is dropped, and asked for again.
+    /// Handles the end of the response. An incomplete list is dropped and requested again.
     fn end(&mut self, io: &mut Io, why: impl std::fmt::Display) {
         if self.texts.has_partial_text() {
             self.fail(io, format!("{why} in the middle of a list"));
@@ -176,7 +177,7 @@
     fn timer(&mut self, io: &mut Io, timer: u32) {
         let due = self.due();
         if timer != self.progress_stage() {
-            // Another one runs since the response got further.
+            // This timer belongs to an earlier stage of the response; the timer of the current stage is set.
         } else if due > io.now() {
             io.timer(due, self.key, timer);
         } else if self.has_data {
--- a/crates/cottonnotch/src/net/final_answer.rs
+++ b/crates/cottonnotch/src/net/final_answer.rs
@@ -1,14 +1,14 @@
-//! The lines that end a client's connection, as they go over the wire.
+//! The lines that end a client's connection, in their wire format.
 
 use cottonnotch_decision::Micros;
 use std::fmt::Display;
 
-/// The Retry-After of a client for which there is no descriptor.
+/// The Retry-After time for a client for which no file descriptor is left.
 pub const FULL_RETRY_AFTER: Micros = 1_000_000;
-/// Sent to a client that is migrated: it comes back by itself.
+/// The line for a client that is migrated; the client then reconnects.
 pub const MOVE: &str = "MOVE\r\n";
 
-/// A rejection; `retry_after` is rounded up to milliseconds, and 0 says nothing of when to come back.
+/// Formats a rejection. `retry_after` is rounded up to milliseconds; 0 omits the time.
 pub fn busy_line(retry_after: Micros) -> String {
     match retry_after {
         0 => "BUSY\r\n".to_owned(),
@@ -16,7 +16,7 @@
     }
 }
 
-/// An error, with its reason.
+/// Formats an error with its reason.
 pub fn error_line(reason: &dyn Display) -> String {
     format!("ERR {reason}\r\n")
 }
--- a/crates/cottonnotch/src/net/invariant.rs
+++ b/crates/cottonnotch/src/net/invariant.rs
@@ -1,16 +1,17 @@
-//! Invariants: asserted in debug builds, counted and logged in release builds, where a proxy that carries on serves its
-//! clients better than one that has crashed.
+//! Invariants that are asserted in debug builds. In release builds a violation is counted and logged, because a proxy that
+//! continues serves its clients better than one that has crashed.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 static BROKEN: AtomicU64 = AtomicU64::new(0);
 
-/// Counts a broken invariant; returns how many there have been.
+/// Counts a violated invariant; returns the number of violations so far.
 pub fn count() -> u64 {
     BROKEN.fetch_add(1, Ordering::Relaxed) + 1
 }
 
-/// `invariant!(condition, "what must hold")`: the value of the condition, after asserting or counting it.
+/// `invariant!(condition, "what must hold")` asserts the condition, or counts and logs its violation, and evaluates to the value
+/// of the condition.
 macro_rules! invariant {
     ($condition:expr, $what:literal) => {{
         let holds: bool = $condition;
--- a/crates/cottonnotch/src/net/management/admin_connection.rs
+++ b/crates/cottonnotch/src/net/management/admin_connection.rs
@@ -1,4 +1,4 @@
-//! One operator's connection: reads a request, reports it, writes the response, and ends.
+//! An operator's connection: reads one request, reports it to the driver, writes the response, and closes.
 
 use super::admin_request::{AdminRequest, AdminResponse};
 use crate::net::network_event::{Io, NetworkEvent};
@@ -10,22 +10,23 @@
 use mio::net::TcpStream;
 use std::io;
 
-/// A request is complete after this, or the response says that it is late. Guards against connections that send nothing,
-/// half a request, or a byte at a time.
+/// The time limit for a complete request, after which the response is an error. This limits connections that send nothing, an
+/// incomplete request, or one byte at a time.
 const REQUEST_TIMEOUT: Micros = 2_000_000;
-/// An operator that was answered is given this long to read and to close: one that never reads holds a connection no longer.
+/// How long an operator may take to read the response and close the connection, so that a client that never reads does not
+/// hold a connection.
 const LINGER: Micros = 1_000_000;
 
 #[derive(Debug)]
 enum State {
     Reading(RequestReader),
-    /// The request was reported to the driver, which responds in the same turn of the loop.
+    /// The request was reported to the driver, which responds in the same turn of the event loop.
     Reported,
     Answered,
     Closed,
 }
 
-/// An operator's connection, from its beginning to its end.
+/// An operator's connection.
 #[derive(Debug)]
 pub struct AdminConnection {
     key: Key,
@@ -35,7 +36,7 @@
 }
 
 impl AdminConnection {
-    /// Takes over an accepted connection.
+    /// Creates the state for an accepted connection.
     pub fn accepted(stream: TcpStream, key: Key, io: &mut Io) -> io::Result<Self> {
         let stream = LineStream::accepted(stream, io, key)?;
         let until = io.now() + REQUEST_TIMEOUT;
@@ -55,8 +56,8 @@
         };
         self.until = io.now() + LINGER;
         io.timer(self.until, self.key, 0);
-        // What came after the request is read away: a close with bytes unread would reset the connection, and could take
-        // the response with it.
+        // Input after the request is read and discarded: closing with unread bytes would reset the connection, and the operator
+        // could lose the response.
         io.call_again(self.key, Half::Near);
     }
 
@@ -75,7 +76,7 @@
             (Err(bad), _) => self.send_response(io, &bad.into()),
             (Ok(None), Fill::Blocked) => {}
             (Ok(None), Fill::More) => io.call_again(self.key, Half::Near),
-            // Half a request, and no more to come: it may still read why.
+            // The peer has ended its sending in the middle of a request, but may still read the error.
             (Ok(None), Fill::Ended) => self.send_response(io, &BadRequest::Malformed.into()),
             (Ok(None), Fill::Broken(_)) => self.state = State::Closed,
         }
@@ -115,7 +116,8 @@
         }
         match self.state {
             State::Reading(_) => self.send_response(io, &BadRequest::Late.into()),
-            // Its last byte came in the turn in which its time is up: it is carried out, and answered in this turn.
+            // The request became complete in the turn in which its time limit expired. It is executed, and answered in
+            // this turn.
             State::Reported => {}
             _ => self.state = State::Closed,
         }
--- a/crates/cottonnotch/src/net/management/admin_request.rs
+++ b/crates/cottonnotch/src/net/management/admin_request.rs
@@ -1,21 +1,21 @@
-//! The requests that operators may send, and the responses to them.
+//! The requests of operators, and the responses to them.
 
 use cottonnotch_reactor::http_server::{BadRequest, Request, response};
 
-/// A request that is understood.
+/// A valid request of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
-    /// Whether this process is ready to serve.
+    /// Asks whether this process is ready to serve.
     Status,
-    /// The metrics.
+    /// Asks for the metrics.
     Metrics,
-    /// Maintenance begins: no more requests to this render node.
+    /// Starts the maintenance of the render node with this id, which then gets no more requests.
     Enter(String),
-    /// Maintenance ends: this render node may serve again.
+    /// Ends the maintenance of the render node with this id, which may then serve again.
     Exit(String),
 }
 
-/// A response.
+/// The response to an operator's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdminResponse {
     status: u16,
@@ -28,27 +28,27 @@
         AdminResponse { status, allow: None, body: body.into() }
     }
 
-    /// 200: it is so, or was done.
+    /// Creates a response with status 200: the answer to a query, or the confirmation of a change.
     pub fn ok(body: impl Into<String>) -> Self {
         Self::new(200, body)
     }
 
-    /// 404: what the request names is not known.
+    /// Creates a response with status 404: the request names an unknown path or render node.
     pub fn not_found(body: impl Into<String>) -> Self {
         Self::new(404, body)
     }
 
-    /// 500: it can't be done, for a reason of this proxy's.
+    /// Creates a response with status 500: the proxy failed to execute the request.
     pub fn failed(body: impl Into<String>) -> Self {
         Self::new(500, body)
     }
 
-    /// 503: not now.
+    /// Creates a response with status 503: the request cannot be served now.
     pub fn unavailable(body: impl Into<String>) -> Self {
         Self::new(503, body)
     }
 
-    /// The response as it goes over the wire.
+    /// Encodes the response in its wire format.
     pub fn encode(&self) -> Vec<u8> {
         response(self.status, self.allow, &self.body)
     }
@@ -61,7 +61,7 @@
 }
 
 impl AdminRequest {
-    /// Reads a request; a response if it is nothing of ours.
+    /// Parses an HTTP request; if it is not a valid request of an operator, returns the response that rejects it.
     pub fn parse(request: &Request) -> Result<AdminRequest, AdminResponse> {
         let method = request.method.as_str();
         let only = |wanted: &'static str| {
@@ -82,7 +82,7 @@
     }
 }
 
-/// The body as the id of a render node. Guards against a line end that a tool adds.
+/// Parses the body as the id of a render node. Surrounding white space is removed, because some tools add a line end.
 fn id(body: &[u8]) -> Result<String, AdminResponse> {
     let id = std::str::from_utf8(body).map(str::trim).unwrap_or_default();
     let is_id = !id.is_empty() && id.bytes().all(|b| b.is_ascii_graphic());
--- a/crates/cottonnotch/src/net/management/admin_server.rs
+++ b/crates/cottonnotch/src/net/management/admin_server.rs
@@ -1,4 +1,4 @@
-//! The admin server: a listener for operators with connections of its own, so that clients can't take them.
+//! The admin server: a listener for operators. Its connections are limited separately, so that clients cannot use them up.
 
 use super::admin_connection::AdminConnection;
 use crate::net::network_event::NetworkEvent;
@@ -12,28 +12,30 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The log's part of this file: filters and collectors know it by this.
+/// The log target of this module, on which log filters and collectors rely.
 const LOG_TARGET: &str = "cottonnotch::net::management::admin_server";
-/// Connections at a time. One more takes the place of the oldest.
+/// The maximum number of concurrent connections. If it is reached, a new connection replaces the oldest.
 pub const MAX_ADMIN_CONNECTIONS: usize = 12;
-/// No connection is closed for another one sooner than this. Guards against a crowd that would let none finish.
+/// The minimum age at which a connection may be closed for a new one. Without it, many connections at once would replace one
+/// another before any of them finishes.
 const EVICTABLE_AFTER: Micros = 50_000;
-/// Accepted in one turn before others have theirs.
+/// The maximum number of connections accepted in one turn, so that other connections are not delayed.
 const ACCEPT_BATCH: usize = 8;
-/// Wait before accepting again when no connection may be closed yet.
+/// How long to wait before the next accept if no connection may be closed yet, or if the accept failed.
 const ACCEPT_RETRY_AFTER: Micros = 10_000;
 
-/// The listener for operators, with their connections.
+/// The listener for operators, and the open connections.
 pub struct AdminServer {
     listener: Rc<TcpListener>,
     connections: VecDeque<(Micros, Key)>,
-    /// Accepting goes on by a timer.
+    /// Whether a timer is set that continues accepting.
     is_timer_set: bool,
     timer: u32,
 }
 
 impl AdminServer {
-    /// Listens there. Fails as the system's calls do. `timer` is the owner's for [`Self::on_accept_timer`].
+    /// Listens on this address. Returns the error of a failed system call. `timer` is the id of the timer on which the owner
+    /// calls [`Self::on_accept_timer`].
     pub fn open(reactor: &mut Reactor<dyn Object>, address: SocketAddr, timer: u32) -> io::Result<Self> {
         let mut shared = None;
         reactor.insert(|key, io| {
@@ -46,20 +48,20 @@
         Ok(AdminServer { listener, connections: VecDeque::new(), is_timer_set: false, timer })
     }
 
-    /// Where it listens, also where the system chose the port.
+    /// Returns the local address, with the port that the system chose if none was configured.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Operators wait to be accepted.
+    /// Handles the event that connections wait to be accepted.
     pub fn on_connections_waiting(&mut self, reactor: &mut Reactor<dyn Object>) {
-        // While a timer runs, a new connection is no reason to try sooner.
+        // If the timer is set, accepting continues when it fires, not earlier.
         if !self.is_timer_set {
             self.accept(reactor);
         }
     }
 
-    /// The timer is due.
+    /// Handles the accept timer.
     pub fn on_accept_timer(&mut self, reactor: &mut Reactor<dyn Object>) {
         self.is_timer_set = false;
         self.accept(reactor);
@@ -96,7 +98,8 @@
         reactor.io.owner_timer(now + wait, self.timer);
     }
 
-    /// Guards against connections that stay and send nothing: the oldest is closed.
+    /// Closes the oldest connections if there are too many, so that idle ones do not block the server. Returns false if the oldest
+    /// connection may not be closed yet.
     fn make_room(&mut self, reactor: &mut Reactor<dyn Object>) -> bool {
         self.connections.retain(|(_, key)| reactor.contains(*key));
         while self.connections.len() >= MAX_ADMIN_CONNECTIONS {
--- a/crates/cottonnotch/src/net/management/metrics.rs
+++ b/crates/cottonnotch/src/net/management/metrics.rs
@@ -1,56 +1,57 @@
-//! Metrics for operators' tools: counters since the process began, and gauges. Where an ending is recorded it is counted
-//! here too, so that the two can't disagree.
+//! Metrics for operators' tools: gauges, and counters since the start of the process. The code that records the end of a
+//! request also counts it here, so that records and metrics cannot disagree.
 
 use crate::rules::RulesStatus;
 use cottonnotch_consensus::Role;
 use std::collections::HashMap;
 use std::fmt::Write;
 
-/// How the requests of one class were answered.
+/// The counts of answers to the requests of one class.
 #[derive(Debug, Default)]
 struct ClassCounts {
-    /// As it goes over the wire.
+    /// The escaped name of the class, as it appears in the metrics.
     name: String,
     passed: u64,
     dropped: u64,
     bad_gateway: u64,
 }
 
-/// Values of the moment, which the driver knows.
+/// Current values, which the driver supplies.
 #[derive(Clone, Debug, Default)]
 pub struct Gauges {
-    /// Requests accepted and not ended.
+    /// The number of requests that were accepted and have not ended.
     pub in_progress: usize,
-    /// Endpoints in the list.
+    /// The number of endpoints in the endpoint list.
     pub known_endpoints: usize,
-    /// Those of them that get nothing new now, by manual override or by the decision module's choice.
+    /// The number of listed endpoints that currently get no new requests, because of a manual override or a decision of the
+    /// decision module.
     pub skipped_endpoints: usize,
-    /// The status of the rules, if there are any.
+    /// The status of the routing rules; `None` if no rules are configured.
     pub rules: Option<RulesStatus>,
-    /// Affinity subsets by a group's size, where they are on.
+    /// Metrics of the affinity subsets that are sized by their group; `None` if they are off.
     pub affinity: Option<AffinityMetrics>,
 }
 
-/// Affinity subsets by a group's size: values of the moment, and counts since the process began.
+/// Metrics of the affinity subsets that are sized by their group: current values, and counts since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AffinityMetrics {
-    /// Groups whose subset has more than five endpoints.
+    /// The number of groups whose subset has more than five endpoints.
     pub groups: u64,
-    /// Endpoints in the largest subset.
+    /// The number of endpoints in the largest subset.
     pub largest_subset: u64,
-    /// Tables of subsets that were accepted.
+    /// The number of received tables of subsets that were accepted.
     pub tables_received: u64,
-    /// Groups that were cut from a report or a table for want of room.
+    /// The number of groups that were omitted from a report or a table because they did not fit.
     pub groups_cut: u64,
-    /// Datagrams of the fleet that were malformed, from no member, or answers to no request or too late.
+    /// The number of datagrams that were dropped because they were malformed, not from a member, unrequested, or too late.
     pub datagrams_dropped: u64,
 }
 
-/// The counters.
+/// The counters since the start of the process.
 #[derive(Debug, Default)]
 pub struct Metrics {
     handled: Vec<ClassCounts>,
-    /// Places in `handled` by the settings' number of a class: numbers of one name share a place.
+    /// Maps the number of a class in the settings to its index in `handled`. Classes with the same name share an index.
     places: Vec<usize>,
     by_name: HashMap<String, usize>,
     upstream_tries: u64,
@@ -62,7 +63,8 @@
 }
 
 impl Metrics {
-    /// The settings have these classes now, in the order of their numbers. One that was dropped keeps its counts.
+    /// Sets the names of the classes in the current settings, in the order of their numbers. A class that was removed from the
+    /// settings keeps its counts.
     pub fn set_classes<'a>(&mut self, names: impl Iterator<Item = &'a str>) {
         self.places.clear();
         for name in names {
@@ -79,52 +81,52 @@
         self.handled.get_mut(place)
     }
 
-    /// A connection was established.
+    /// Counts an established connection.
     pub fn served(&mut self, class: u32) {
         self.handled(class).into_iter().for_each(|handled| handled.passed += 1);
     }
 
-    /// A request was rejected.
+    /// Counts a rejected request.
     pub fn rejected(&mut self, class: u32) {
         self.handled(class).into_iter().for_each(|handled| handled.dropped += 1);
     }
 
-    /// A request failed.
+    /// Counts a failed request.
     pub fn failed(&mut self, class: u32) {
         self.handled(class).into_iter().for_each(|handled| handled.bad_gateway += 1);
     }
 
-    /// The last byte of an attempt's first line was written.
+    /// Counts an attempt whose first line was completely written.
     pub fn attempt_written(&mut self) {
         self.upstream_tries += 1;
     }
 
-    /// A configuration was applied on SIGHUP.
+    /// Counts a configuration that was applied on SIGHUP.
     pub fn configuration_applied(&mut self) {
         self.loads += 1;
     }
 
-    /// A configuration was rejected on SIGHUP.
+    /// Counts a configuration that was rejected on SIGHUP.
     pub fn configuration_rejected(&mut self) {
         self.load_errors += 1;
     }
 
-    /// The watch on discovery is lost, or a request for it failed.
+    /// Counts a watch on discovery that was lost, or whose request failed.
     pub fn watch_lost(&mut self) {
         self.watches_lost += 1;
     }
 
-    /// A list came with a lower revision than the last one, and was accepted.
+    /// Counts a list that was accepted although its revision is lower than the last one.
     pub fn older_list_accepted(&mut self) {
         self.lists_back += 1;
     }
 
-    /// Changes came with a lower revision than the last one, and were rejected.
+    /// Counts changes to the list that were rejected because their revision is lower than the last one.
     pub fn older_list_rejected(&mut self) {
         self.lists_refused += 1;
     }
 
-    /// All of them, a metric a line; `audit` has the counts of violations and reasons.
+    /// Formats all metrics, one per line. `audit` supplies the counts of violations and of reasons.
     pub fn text(&self, gauges: Gauges, audit: impl Iterator<Item = (String, u64)>) -> String {
         let mut text = MetricsText::default();
         self.write_counts(&mut text);
@@ -187,7 +189,7 @@
     }
 }
 
-/// The text that is fetched: `svc.NAME:VALUE|c` for a counter and `|g` for a gauge, a line each.
+/// The text of the metrics. Each line is `svc.NAME:VALUE|c` for a counter or `svc.NAME:VALUE|g` for a gauge.
 #[derive(Default)]
 struct MetricsText(String);
 
@@ -201,12 +203,13 @@
     }
 
     fn line(&mut self, name: &str, value: u64, kind: char) {
-        // Writing to a string can't fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(self.0, "svc.{name}:{value}|{kind}");
     }
 }
 
-/// A class's name without what would end a name, a value or a line: that is written as `%` and two digits.
+/// Escapes a name. Characters that could end the name, the value or the line are written as `%` and two hexadecimal digits per
+/// byte.
 fn plain(name: &str) -> String {
     let mut plain = String::new();
     for byte in name.bytes() {
--- a/crates/cottonnotch/src/net/management/metrics_tests.rs
+++ b/crates/cottonnotch/src/net/management/metrics_tests.rs
@@ -12,7 +12,7 @@
     );
     metrics.served(1);
     metrics.failed(0);
-    // `edit` goes, and comes back under another number.
+    // The class `edit` is removed, and added again with another number.
     metrics.set_classes(["look", "print"].into_iter());
     metrics.rejected(1);
     metrics.set_classes(["look", "print", "edit"].into_iter());
--- a/crates/cottonnotch/src/net/management/mod.rs
+++ b/crates/cottonnotch/src/net/management/mod.rs
@@ -1,5 +1,5 @@
-//! The operators' address: HTTP/1.1, one request to a connection. A request is read here and answered by the driver,
-//! which knows what is asked for; what is no request of ours is answered at once.
+//! The management interface for operators: HTTP/1.1 with one request per connection. This module reads the requests, which
+//! the driver answers. Invalid requests are answered here at once.
 
 mod admin_connection;
 pub mod admin_request;
--- a/crates/cottonnotch/src/net/mod.rs
+++ b/crates/cottonnotch/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The network side: sockets, protocols and the loop. It decides nothing; see [`driver`].
+//! Network code: sockets, protocols and the event loop. This module makes no routing decisions; see [`driver`].
 
 mod attempt;
 mod client_connection;
--- a/crates/cottonnotch/src/net/network_event.rs
+++ b/crates/cottonnotch/src/net/network_event.rs
@@ -1,5 +1,5 @@
-//! Network events: what client protocols, the discovery client, the listeners and the process's signals report to
-//! the driver.
+//! Network events: the reports of client connections, the discovery client, the listeners and the signal handler to the
+//! driver.
 
 use super::connection_request::ConnectionRequest;
 use super::management::admin_request::AdminRequest;
@@ -9,62 +9,62 @@
 use cottonnotch_reactor::{Key, Report};
 use std::net::SocketAddr;
 
-/// An event on the network or of the process.
+/// An event of the network or of the process.
 #[derive(Debug)]
 pub enum NetworkEvent {
     /// Clients wait to be accepted.
     ClientsWaiting,
     /// An event of one client's connection.
     Client(Key, ClientEvent),
-    /// Discovery has sent the endpoint list, or changes of it.
+    /// Discovery has sent the endpoint list or changes to it.
     EndpointUpdate { watch: Key, update: EndpointUpdate },
-    /// A watch on discovery has ended, or could not begin.
+    /// A watch on discovery has ended or could not start.
     WatchLost { watch: Key, loss: WatchLoss, reason: String },
-    /// Datagrams of other proxies, each with its sender's address.
+    /// Datagrams have arrived; each has its sender's address.
     Datagrams(Vec<(SocketAddr, Vec<u8>)>),
     /// Operators wait to be accepted.
     AdminsWaiting,
-    /// An operator's request; its connection waits for the response.
+    /// An operator has sent a request, and the connection waits for the response.
     AdminRequested(Key, AdminRequest),
     /// The process was asked to stop.
     Terminate,
-    /// The configuration is to be read again.
+    /// The process was asked to reload its configuration.
     Reload,
-    /// A timer of the driver's.
+    /// A timer of the driver is due.
     Timer(u32),
 }
 
 /// An event of one client's connection.
 #[derive(Debug)]
 pub enum ClientEvent {
-    /// The client was rejected with an error. If it had sent a request already, that is its final answer.
+    /// The client was rejected with an error. If it had already sent a request, the error is the final answer.
     Rejected(RequestError),
     /// The client requests a connection; it is owed one final answer.
     ConnectionRequested(ConnectionRequest),
     /// The last byte of an attempt's first line was written.
     AttemptWritten,
-    /// The attempt's endpoint accepted the connection, this long after the attempt began.
+    /// The endpoint of the attempt accepted the connection; `elapsed` is the time since the attempt started.
     Established { elapsed: Micros },
     /// The attempt has ended without a connection; a final answer is still owed.
     AttemptEnded(Outcome),
-    /// The endpoint has stopped answering, and the client was migrated; the connection's end is reported next.
+    /// The endpoint has stopped answering, and the client was migrated. The end of the connection is reported next.
     EndpointSilent,
-    /// An established connection has ended; nothing more is owed.
+    /// An established connection has ended; no answer is owed.
     Ended(Outcome),
-    /// The client left before it had an answer; the outcome is that of its attempt, if one was in flight.
+    /// The client left before it had an answer. The outcome is the one of its attempt if one was in flight.
     Left(Outcome),
     /// The endpoint has reported a load or a latency on this connection.
     LoadReported(f64),
-    /// A line of the client's was answered after this long.
+    /// The endpoint answered a line of the client after this time.
     LineAnswered { latency: Micros },
 }
 
 /// How a watch on discovery was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchLoss {
-    /// Nothing came where a heartbeat was due.
+    /// Neither data nor a heartbeat arrived in time.
     Silent,
-    /// The request failed, or the connection has ended.
+    /// The request failed, or the connection ended.
     Failed,
 }
 
@@ -74,5 +74,5 @@
     }
 }
 
-/// What callbacks may use here.
+/// The reactor's I/O interface for callbacks, with this program's event type.
 pub type Io = cottonnotch_reactor::Io<NetworkEvent>;
--- a/crates/cottonnotch/src/net/object.rs
+++ b/crates/cottonnotch/src/net/object.rs
@@ -1,4 +1,4 @@
-//! The objects on the event loop, and what the driver can reach them as.
+//! The objects on the event loop, and the interfaces through which the driver uses them.
 
 use super::client_protocol::ClientProtocol;
 use super::management::admin_request::AdminResponse;
@@ -8,17 +8,17 @@
 use cottonnotch_reactor::signals::Signals;
 use std::net::SocketAddr;
 
-/// An object on the loop.
+/// An object on the event loop.
 pub trait Object: Connection<Report = NetworkEvent> {
-    /// The object as a client's connection, if it is one.
+    /// Returns the object as a client's connection; `None` if it is something else.
     fn client(&mut self) -> Option<&mut dyn ClientProtocol> {
         None
     }
-    /// The object as an operator's connection, if it is one.
+    /// Returns the object as an operator's connection; `None` if it is something else.
     fn admin(&mut self) -> Option<&mut dyn AdminResponder> {
         None
     }
-    /// The object as the socket between proxies, if it is that.
+    /// Returns the object as the datagram socket; `None` if it is something else.
     fn datagrams(&mut self) -> Option<&mut dyn DatagramSender> {
         None
     }
@@ -29,12 +29,12 @@
 
 /// A connection on which an operator waits for a response.
 pub trait AdminResponder {
-    /// Sends the response; nothing if one was sent before.
+    /// Sends the response; does nothing if a response was already sent.
     fn respond(&mut self, io: &mut Io, response: &AdminResponse);
 }
 
 /// A socket that sends datagrams to other proxies.
 pub trait DatagramSender {
-    /// Sends one; false if it was not sent. A lost datagram is not sent again.
+    /// Sends a datagram; returns false if it was not sent. A lost datagram is not sent again.
     fn send(&self, to: SocketAddr, bytes: &[u8]) -> bool;
 }
--- a/crates/cottonnotch/src/net/open_line.rs
+++ b/crates/cottonnotch/src/net/open_line.rs
@@ -1,11 +1,11 @@
-//! The first line of a client's connection: `OPEN ID KEY name=value,...`.
+//! Parsing of the first line of a client's connection: `OPEN ID KEY name=value,...`.
 
 use super::connection_request::ConnectionRequest;
 use cottonnotch_decision::Micros;
 use cottonnotch_decision::names::digest;
 use std::ops::Range;
 
-/// What is wrong with a first line; the text is what the client is answered.
+/// Why a first line is rejected. The message is sent to the client.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum OpenLineError {
     #[error("the line is not text")]
@@ -20,21 +20,21 @@
     Twice,
 }
 
-/// A first line, kept as it came so that it can be forwarded unchanged.
+/// A valid first line, whose text is kept so that it can be forwarded.
 #[derive(Clone, Debug)]
 pub struct OpenLine {
     text: String,
-    /// Where the value of `d`, the client's deadline, stands in the text.
+    /// The byte range of the value of `d`, the client's deadline; `None` if the line has no `d`.
     deadline_value: Option<Range<usize>>,
 }
 
 impl OpenLine {
-    /// The client's id for this connection, as it came: the request's name in the log.
+    /// Returns the client's id for this connection as the client wrote it; the log identifies the request by it.
     pub fn id(&self) -> &str {
         self.text.split(' ').nth(1).unwrap_or("-")
     }
 
-    /// Reads a line without its end.
+    /// Parses a first line, given without its line end.
     pub fn parse(line: &[u8]) -> Result<(OpenLine, ConnectionRequest), OpenLineError> {
         let text = std::str::from_utf8(line).map_err(|_| OpenLineError::NotText)?;
         if !text.bytes().all(|b| b == b' ' || b.is_ascii_graphic()) {
@@ -73,7 +73,7 @@
         Ok((OpenLine { text: text.to_owned(), deadline_value }, request))
     }
 
-    /// The line for the endpoint: as it came, but `d` says how long the proxy will wait.
+    /// Returns the line for the endpoint: the client's line, with the value of `d` replaced by the time that the proxy will wait.
     pub fn forwarded(&self, wait: Option<Micros>) -> Vec<u8> {
         let text = match (&self.deadline_value, wait) {
             (Some(value), Some(wait)) => {
@@ -86,7 +86,7 @@
     }
 }
 
-/// The id and the names of a line that has its four words.
+/// Splits a line into its four words; returns the id and the list of `name=value` pairs.
 fn split_words(text: &str) -> Result<(&str, &str), OpenLineError> {
     let words: Vec<&str> = text.splitn(5, ' ').collect();
     match words[..] {
@@ -95,7 +95,7 @@
     }
 }
 
-/// Sets the field that this name stands for. Unknown names are forwarded and mean nothing here.
+/// Sets the field of the request that belongs to this name. Unknown names have no effect here and are forwarded.
 fn set_field(request: &mut ConnectionRequest, name: &str, value: &str) -> Result<(), OpenLineError> {
     match name {
         "c" => request.class = value.to_owned(),
@@ -111,13 +111,13 @@
     Ok(())
 }
 
-/// An id: hexadecimal digits, 64 bits at most.
+/// Parses an id: hexadecimal digits whose value fits in 64 bits.
 fn parse_id(word: &str) -> Option<u64> {
     let digits = word.bytes().all(|b| b.is_ascii_hexdigit());
     digits.then(|| u64::from_str_radix(word, 16).ok()).flatten()
 }
 
-/// A deadline: a positive number of milliseconds, of digits alone.
+/// Parses a deadline: a positive number of milliseconds that consists only of digits.
 fn parse_deadline(value: &str) -> Option<Micros> {
     let is_number = value.bytes().all(|b| b.is_ascii_digit());
     let ms: u32 = is_number.then(|| value.parse().ok()).flatten()?;
--- a/crates/cottonnotch/src/net/relay.rs
+++ b/crates/cottonnotch/src/net/relay.rs
@@ -1,84 +1,86 @@
-//! Relaying on an established connection: lines pass unchanged both ways, and an end on one side ends the other in the
-//! same manner.
+//! Relays the lines of an established connection unchanged in both directions. If one side closes or resets the connection,
+//! the relay ends the other side in the same way.
 
 use cottonnotch_decision::{Micros, Outcome};
 use cottonnotch_reactor::line::{Fill, LineStream, TooLong, trim_end};
 use std::collections::VecDeque;
 
-/// Unanswered lines that are remembered: a client that floods is relayed, but costs no more memory. Chosen.
+/// The maximum number of unanswered lines that are tracked. Further lines are relayed without being tracked, so that a client
+/// that sends many lines uses no more memory.
 const MAX_UNANSWERED: usize = 1024;
-/// A render node that answers twice does so within this time of its first answer.
+/// How long after its final answer a render node may repeat it.
 const REPEATED_ANSWER_WINDOW: Micros = 1_000_000;
 
-/// What the relay noticed in the endpoint's lines.
+/// Information from the lines of the endpoint.
 #[derive(Debug, PartialEq)]
 pub enum Observation {
     /// The endpoint reported this load, or a latency.
     Load(f64),
-    /// A line of the client's was answered after this long.
+    /// The endpoint answered a line of the client after this time.
     LineAnswered { latency: Micros },
 }
 
-/// How far relaying in one direction went.
+/// The result of relaying in one direction.
 #[derive(Debug, PartialEq, Eq)]
 pub enum RelayProgress {
-    /// All that could be relayed was; the next event goes on.
+    /// No more data can be relayed now; relaying continues with the next event.
     Idle,
-    /// There may be more to read; to be called again.
+    /// There may be more data to read; the caller must call again.
     More,
-    /// The client ended its sending; what the endpoint still sends is relayed.
+    /// The client ended its sending. Data from the endpoint is still relayed.
     ClientEnded,
-    /// The endpoint sent what is no line. It runs still, so the client is migrated, not cut off.
+    /// The endpoint sent a line that is too long. The client must be migrated instead of disconnected, because the
+    /// connection is still open.
     LineTooLong,
-    /// The connection is over; the client's side is to be ended in this manner.
+    /// The connection has ended; the client's side must be ended in the way that `end` says.
     Ended { outcome: Outcome, end: End },
 }
 
-/// The manner in which a connection ends.
+/// How a connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// After the last byte that was sent.
+    /// The connection is closed after the last byte has been sent.
     Close,
-    /// At once, with a TCP reset.
+    /// The connection is reset at once.
     Reset,
 }
 
-/// A line of the client's that has no answer yet.
+/// A line of the client that has no answer yet.
 #[derive(Debug)]
 struct UnansweredLine {
     relayed_at: Micros,
-    /// It reads like a final answer, and an endpoint that echoes it sends no second one.
+    /// Whether the line reads like a final answer. If an endpoint echoes such a line, the echo is not a repeated answer.
     looks_like_answer: bool,
 }
 
-/// The endpoint's side of an established connection, and what is known of the exchange.
+/// The endpoint's side of an established connection, and the state of the exchange.
 #[derive(Debug)]
 pub struct Relay {
     link: LineStream,
-    /// The client's lines without an answer, oldest first.
+    /// The client's unanswered lines, the oldest first.
     unanswered: VecDeque<UnansweredLine>,
-    /// What the endpoint's last line makes of an end that follows it.
+    /// The outcome if the connection ends after the endpoint's last line; `None` if that line announces no end.
     announced_end: Option<Outcome>,
     client_ended: bool,
-    /// Up to here an answer may still be repeated.
+    /// The time until which the endpoint may repeat its final answer.
     answers_until: Micros,
 }
 
-/// The first word of a line, its end included or not.
+/// Returns the first word of a line, which may include its line end.
 fn verb(line: &[u8]) -> &[u8] {
     trim_end(line).split(|b| *b == b' ').next().unwrap_or_default()
 }
 
 impl Relay {
-    /// A relay whose `UP` line has come now.
+    /// Creates a relay for a connection whose `UP` line arrived at `now`.
     pub fn new(link: LineStream, now: Micros) -> Self {
         let answers_until = now + REPEATED_ANSWER_WINDOW;
         Relay { link, unanswered: VecDeque::new(), announced_end: None, client_ended: false, answers_until }
     }
 
-    /// Whether a line repeats the final answer. It is no line of the session, and to the client it would be a second
-    /// final answer. A client's own line that looks like one comes back only while it is unanswered; an error may be
-    /// the answer to any line.
+    /// Returns whether a line repeats the final answer. Such a line does not belong to the session, and the client would take it
+    /// for a second final answer. `UP` and `BUSY` may also be the echo of an unanswered line of the client; `ERR` may be the
+    /// answer to any unanswered line.
     fn is_second_answer(&self, line: &[u8], now: Micros) -> bool {
         now < self.answers_until
             && match verb(line) {
@@ -88,15 +90,15 @@
             }
     }
 
-    /// For how long the oldest unanswered line has waited.
+    /// Returns how long the oldest unanswered line has waited.
     pub fn oldest_unanswered(&self, now: Micros) -> Option<Micros> {
         self.unanswered.front().map(|line| now - line.relayed_at)
     }
 
-    /// Relays what the client sent.
+    /// Relays the data that the client has sent.
     pub fn relay_client(&mut self, client: &mut LineStream, now: Micros) -> RelayProgress {
         if self.client_ended {
-            // It may have left altogether since.
+            // The client's connection may have broken since then.
             return if client.is_broken() { self.reset() } else { RelayProgress::Idle };
         }
         if self.link.is_full() {
@@ -124,7 +126,7 @@
             Fill::Blocked | Fill::More => {}
         }
         if self.link.flush().is_err() {
-            // What the endpoint sent before it broke is still to be read; that finds the end.
+            // Data that the endpoint sent before the connection broke must still be read; reading also detects the end.
             return RelayProgress::Idle;
         }
         match fill {
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Relays what the endpoint sent, and notes what it shows.
+    /// Relays the data that the endpoint has sent, and adds to `observations` what its lines report.
     pub fn relay_endpoint(
         &mut self,
         client: &mut LineStream,
@@ -185,25 +187,26 @@
         }
     }
 
-    /// Goes on writing to the endpoint what did not fit before.
+    /// Continues writing buffered data to the endpoint.
     pub fn flush(&mut self) {
-        // A broken connection is found by reading.
+        // A broken connection is detected by the next read.
         let _ = self.link.flush();
     }
 
-    /// Relays the client's reset.
+    /// Resets the connection to the endpoint because the client's connection is broken.
     fn reset(&self) -> RelayProgress {
         self.link.reset();
         self.ended(Outcome::Cancelled, End::Reset)
     }
 
-    /// The connection is over: what the endpoint announced, or that the client has left, counts before `outcome`.
+    /// Builds the result for an ended connection. An end that the endpoint announced takes precedence over the client having
+    /// left, which takes precedence over `outcome`.
     fn ended(&self, outcome: Outcome, end: End) -> RelayProgress {
         let left = self.client_ended.then_some(Outcome::Cancelled);
         RelayProgress::Ended { outcome: self.announced_end.or(left).unwrap_or(outcome), end }
     }
 
-    /// Notes what a line of the endpoint's means: its load, the end that it announces, or an answer.
+    /// Evaluates a line of the endpoint: a load report, the announcement of an end, or an answer.
     fn observe_line(&mut self, line: &[u8], now: Micros, observations: &mut Vec<Observation>) {
         self.announced_end = None;
         let mut words = line.split(|b| *b == b' ');
--- a/crates/cottonnotch/src/net/request_error.rs
+++ b/crates/cottonnotch/src/net/request_error.rs
@@ -1,10 +1,10 @@
-//! Why a client gets an error before any endpoint sees its line; the text is what the client is answered.
+//! The errors for which a client is rejected before its first line reaches an endpoint. The message is sent to the client.
 
 use super::open_line::OpenLineError;
 use cottonnotch_reactor::line::TooLong;
 
-/// What is wrong with a client's request. It is kept as a value until somebody needs its text: a flood of such
-/// clients comes with one each.
+/// Why a client's request is rejected. The error is formatted only when its message is needed, because a flood of invalid
+/// clients causes one error each.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
     #[error(transparent)]
@@ -19,8 +19,8 @@
     UnknownClass,
     #[error("the tenant is unknown")]
     UnknownTenant,
-    /// Guards against the id of another client's open connection: every endpoint answers it with an error, and one
-    /// such client would have them all paused.
+    /// The id belongs to another client's open connection. Every endpoint would answer such a request with an error, so that
+    /// one client could cause all endpoints to be paused.
     #[error("the id is open already")]
     IdOpen,
 }
