--- a/crates/cottonnotch/src/config/error.rs
+++ b/crates/cottonnotch/src/config/error.rs
@@ -81,7 +81,7 @@
         key: &'static str,
     },
     /// The configuration in force has this key, but the new one does not.
-    #[error("{key} is missing, and the configuration that counts has it")]
+    #[error("{key} is missing, but the configuration in force has it")]
     Dropped {
         /// The key.
         key: String,
@@ -152,7 +152,7 @@
         error: std::io::Error,
     },
     /// This proxy's ordinal is not below the number of members.
-    #[error("gossip: settings.ordinal is {ordinal}, and peers names {members} proxies")]
+    #[error("gossip: settings.ordinal is {ordinal}, but peers lists {members} proxies")]
     Ordinal {
         /// This proxy's ordinal.
         ordinal: u32,
--- a/crates/cottonnotch/src/config/operator.rs
+++ b/crates/cottonnotch/src/config/operator.rs
@@ -37,7 +37,9 @@
     #[error(transparent)]
     Consensus(#[from] SectionError),
     /// Aggregation is on, whose datagrams are not authenticated, while gossip is configured to authenticate its datagrams.
-    #[error("fleet.members_from goes with gossip.strength 'address' only, its datagrams have no proof")]
+    #[error(
+        "fleet.members_from requires gossip.strength 'address', aggregation datagrams are not authenticated"
+    )]
     AggregationHasNoProof,
 }
 
@@ -100,7 +102,7 @@
         if self.records != old.records {
             log::warn!(
                 key = "records";
-                "records cannot change while clients are served, they go on as at the start"
+                "records cannot change while clients are served, the settings from the start stay in force"
             );
         }
         let gossip = match self.gossip.without_files() == old.gossip.without_files() {
@@ -108,16 +110,16 @@
             false => {
                 log::warn!(
                     key = "gossip";
-                    "of gossip only keys can change while clients are served, the rest goes on as at the start"
+                    "only the keys of gossip can change while clients are served, its other settings stay in force"
                 );
                 old.gossip.clone()
             }
         };
         if self.fleet != old.fleet {
-            log::warn!(key = "fleet"; "the fleet view cannot change while clients are served, it goes on as at the start");
+            log::warn!(key = "fleet"; "fleet cannot change while clients are served, the settings from the start stay in force");
         }
         if self.consensus != old.consensus {
-            log::warn!(key = "accord"; "consensus cannot change while clients are served, it goes on as at the start");
+            log::warn!(key = "accord"; "accord cannot change while clients are served, the settings from the start stay in force");
         }
         let (log, records, fleet) = (self.log.replacing(&old.log), old.records.clone(), old.fleet.clone());
         let (rules, hardware, consensus) = (self.rules, self.hardware, old.consensus.clone());
--- a/crates/cottonnotch/src/config/operator_tests.rs
+++ b/crates/cottonnotch/src/config/operator_tests.rs
@@ -43,7 +43,7 @@
     let (voters, members, state_folder) = (Vec::new(), Vec::new(), plain.state_folder.clone());
     let figures =
         ConsensusSection { listen, cluster, key_file, me, voters, members, state_folder, ..read.consensus };
-    assert_eq!(figures, plain, "the shipped figures are the defaults");
+    assert_eq!(figures, plain, "the shipped values are the defaults");
     let mut keys = BTreeMap::new();
     collect_leaves("", &simd_json::serde::to_owned_value(OperatorConfig::default()).unwrap(), &mut keys);
     for key in keys.keys() {
--- a/crates/cottonnotch/src/config/platform_settings.rs
+++ b/crates/cottonnotch/src/config/platform_settings.rs
@@ -90,8 +90,8 @@
             check_number(deadline, DURATION, || key("deadline"))?;
         }
         let problem = match class.get_str("name").filter(|name| !name.is_empty()) {
-            None => "is missing or no text".to_owned(),
-            Some(name) if !names.insert(name) => format!("is another class's too: '{name}'"),
+            None => "is missing or is not a text".to_owned(),
+            Some(name) if !names.insert(name) => format!("is already the name of another class: '{name}'"),
             Some(_) => continue,
         };
         return Err(ValueError::Setting { key: key("name"), problem });
@@ -107,7 +107,7 @@
     let problem = match value.cast_f64().filter(|_| value.as_str().is_none()) {
         None => format!("is not a number: '{}'", shown()),
         Some(number) if number > 0.0 && number >= least && number <= most => return Ok(()),
-        Some(_) => format!("is not a number above 0, and {most} at most: '{}'", shown()),
+        Some(_) => format!("is not a number above 0 and at most {most}: '{}'", shown()),
     };
     Err(ValueError::Setting { key: key(), problem })
 }
--- a/crates/cottonnotch/src/main.rs
+++ b/crates/cottonnotch/src/main.rs
@@ -84,7 +84,7 @@
             format!("records.{key} cannot be written: '{target}': {error}")
         }
         RecorderError::Thread(error) => {
-            format!("records cannot begin, the system gives no thread: {error}")
+            format!("records cannot start, no thread could be created: {error}")
         }
     }
 }
--- a/crates/cottonnotch/src/maintenance/maintenance_tests.rs
+++ b/crates/cottonnotch/src/maintenance/maintenance_tests.rs
@@ -24,7 +24,7 @@
                 let before = one.clone();
                 one.merge(&other);
                 other.merge(&before);
-                prop_assert_eq!(&one, &other, "both know the same once they have met");
+                prop_assert_eq!(&one, &other, "both states are equal after the merge");
             } else {
                 // Merges in both directions after each call. A process that does not know the other's overrides might find
                 // nothing to change, and the call would have no effect.
@@ -51,7 +51,7 @@
         ab.merge(&b);
         ba.merge(&a);
         prop_assert_eq!(&ab, &ba);
-        prop_assert!(ab.merge(&b).is_empty(), "what is known is no news");
+        prop_assert!(ab.merge(&b).is_empty(), "a second merge changes nothing");
     }
 
     #[test]
@@ -70,10 +70,10 @@
             if i < back_at {
                 prop_assert!(comes_to != ServerState::Ready, "listed as {listed:?} at {i}");
             } else {
-                prop_assert_eq!(comes_to, listed, "the ban's end ends only the ban");
-                prop_assert!(since.is_some_and(|at| at > 50), "it comes back cold: {since:?}");
+                prop_assert_eq!(comes_to, listed, "after the end of the maintenance the listed state applies");
+                prop_assert!(since.is_some_and(|at| at > 50), "it must count as newly started: {since:?}");
             }
-            prop_assert_eq!(state.apply("b", listed, started), (listed, started), "others are left alone");
+            prop_assert_eq!(state.apply("b", listed, started), (listed, started), "other render nodes are not affected");
         }
     }
 
@@ -110,11 +110,11 @@
 fn one_exit_undoes_repeated_enters() {
     let mut state = Maintenance::default();
     assert!(state.enter(1, "a"));
-    assert!(!state.enter(2, "a"), "nothing new");
+    assert!(!state.enter(2, "a"), "it is already out of use");
     assert!(state.exit(3, "a"));
     assert!(!state.is_out("a"));
     assert!(!state.exit(4, "a") && !state.exit(4, "never"));
-    assert!(!state.contains("never"), "what is not out leaves no trace");
+    assert!(!state.contains("never"), "exit without enter adds no override");
 }
 
 #[test]
--- a/crates/cottonnotch/src/maintenance/text_format.rs
+++ b/crates/cottonnotch/src/maintenance/text_format.rs
@@ -19,9 +19,9 @@
 pub enum MaintenanceDecodeError {
     #[error("it is longer than {MAX_BYTES} bytes")]
     TooLong,
-    #[error("it is of another form or version")]
+    #[error("it has another format or version")]
     InvalidFormat,
-    #[error("its checksum is wrong: it is torn, or not ours")]
+    #[error("its checksum is wrong: it is incomplete, damaged or from another program")]
     WrongChecksum,
     #[error("line {0} cannot be read")]
     InvalidLine(usize),
--- a/crates/cottonnotch/src/net/client_connection/attempting.rs
+++ b/crates/cottonnotch/src/net/client_connection/attempting.rs
@@ -35,7 +35,7 @@
         let elapsed = attempt.elapsed(io.now());
         log::trace!(
             target: LOG_TARGET, client:? = self.key, elapsed_us = elapsed;
-            "client {:?} is up after {elapsed} us", self.key
+            "client {:?} is established after {elapsed} us", self.key
         );
         self.client.push(up_line);
         self.state = State::Established(Box::new(Relay::new(attempt.into_link(), io.now())));
@@ -49,7 +49,7 @@
         // Replacing the state drops the attempt and closes its connection, so that two attempts are never in flight.
         log::trace!(
             target: LOG_TARGET, client:? = self.key, outcome:?;
-            "client {:?}: attempt ended as {outcome:?}", self.key
+            "client {:?}: attempt ended with {outcome:?}", self.key
         );
         self.state = State::Queued;
         self.report(io, ClientEvent::AttemptEnded(outcome));
--- a/crates/cottonnotch/src/net/client_connection/first_line.rs
+++ b/crates/cottonnotch/src/net/client_connection/first_line.rs
@@ -47,7 +47,7 @@
     fn handle_first_line(&mut self, io: &mut Io, line: &[u8]) {
         log::trace!(
             target: LOG_TARGET, client:? = self.key;
-            "client {:?} opens with '{}'", self.key, line.escape_ascii()
+            "client {:?} sent the first line '{}'", self.key, line.escape_ascii()
         );
         match OpenLine::parse(line) {
             Ok(_) if self.client.has_input() => self.reject_client(io, RequestError::DataBeforeAnswer),
--- a/crates/cottonnotch/src/net/discovery_client.rs
+++ b/crates/cottonnotch/src/net/discovery_client.rs
@@ -181,12 +181,16 @@
         } else if due > io.now() {
             io.timer(due, self.key, timer);
         } else if self.has_data {
-            self.report_lost(io, WatchLoss::Silent, "a beat has not come, it is silent");
+            self.report_lost(io, WatchLoss::Silent, "discovery sent no heartbeat, it is silent");
         } else {
             self.report_lost(
                 io,
                 WatchLoss::Silent,
-                if self.has_head { "no list, it is silent" } else { "no answer" },
+                if self.has_head {
+                    "discovery sent no list, it is silent"
+                } else {
+                    "discovery sent no response"
+                },
             );
         }
     }
--- a/crates/cottonnotch/src/net/relay.rs
+++ b/crates/cottonnotch/src/net/relay.rs
@@ -108,7 +108,7 @@
         loop {
             match client.take_line() {
                 Ok(Some(line)) => {
-                    log::trace!("client says '{}'", line.escape_ascii());
+                    log::trace!("line from the client: '{}'", line.escape_ascii());
                     self.link.push(&line);
                     self.remember_unanswered(&line, now);
                 }
@@ -150,9 +150,9 @@
         loop {
             match self.link.take_line() {
                 Ok(Some(line)) => {
-                    log::trace!("endpoint says '{}'", line.escape_ascii());
+                    log::trace!("line from the endpoint: '{}'", line.escape_ascii());
                     if self.is_second_answer(trim_end(&line), now) {
-                        log::debug!("dropped a second answer, '{}'", line.escape_ascii());
+                        log::debug!("dropped a repeated answer: '{}'", line.escape_ascii());
                         continue;
                     }
                     self.observe_line(trim_end(&line), now, observations);
