--- a/crates/cottonnotch/src/config/effective.rs
+++ b/crates/cottonnotch/src/config/effective.rs
@@ -35,7 +35,7 @@
 
 /// All configuration values, and the files from which they were read.
 #[derive(Debug, Default)]
-pub struct Effective {
+pub struct EffectiveConfig {
     /// The values, in the order in which they were read.
     pub rows: Vec<Row>,
     /// The platform's JSON file, if one was read.
@@ -44,14 +44,14 @@
     pub operator: Option<OperatorFile>,
 }
 
-impl Effective {
+impl EffectiveConfig {
     /// Records a value that is in force.
-    pub fn note(&mut self, key: impl Into<String>, value: impl Into<String>, source: Source) {
+    pub fn record(&mut self, key: impl Into<String>, value: impl Into<String>, source: Source) {
         self.rows.push(Row { key: key.into(), value: value.into(), source, is_unused: false });
     }
 
     /// Records a value from the platform's file that has no effect.
-    pub fn note_unused(&mut self, key: String, value: String) {
+    pub fn record_unused(&mut self, key: String, value: String) {
         self.rows.push(Row { key, value, source: Source::Json, is_unused: true });
     }
 
@@ -85,7 +85,7 @@
 }
 
 /// Prints one line per value: `KEY = VALUE  # SOURCE`.
-impl fmt::Display for Effective {
+impl fmt::Display for EffectiveConfig {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         for row in &self.rows {
             let unused = if row.is_unused { ", not used" } else { "" };
--- a/crates/cottonnotch/src/config/error.rs
+++ b/crates/cottonnotch/src/config/error.rs
@@ -30,13 +30,13 @@
         error: simd_json::Error,
     },
     /// A value from the platform is invalid.
-    #[error("{error} ({place})")]
+    #[error("{error} ({location})")]
     Platform {
         /// What is wrong with the value.
         #[source]
         error: ValueError,
         /// The file and line, or the environment variable, that holds the value.
-        place: String,
+        location: String,
     },
     /// The gossip section, or a file to which it refers, is invalid.
     #[error(transparent)]
@@ -82,7 +82,7 @@
     },
     /// The configuration in force has this key, but the new one does not.
     #[error("{key} is missing, but the configuration in force has it")]
-    Dropped {
+    MissingAfterReload {
         /// The key.
         key: String,
     },
@@ -115,7 +115,7 @@
         match self {
             ValueError::Missing { key } | ValueError::Invalid { key, .. } => (*key).to_owned(),
             ValueError::Known(error) => known_key(error),
-            ValueError::Dropped { key } => key.clone(),
+            ValueError::MissingAfterReload { key } => key.clone(),
             ValueError::Setting { key, .. } => format!("settings.{key}"),
         }
     }
--- a/crates/cottonnotch/src/config/json_file.rs
+++ b/crates/cottonnotch/src/config/json_file.rs
@@ -52,11 +52,13 @@
 
 impl Newlines {
     fn of(text: &[u8]) -> Self {
-        Newlines(text.iter().enumerate().filter(|(_, byte)| **byte == b'\n').map(|(at, _)| at).collect())
+        Newlines(
+            text.iter().enumerate().filter(|(_, byte)| **byte == b'\n').map(|(offset, _)| offset).collect(),
+        )
     }
 
-    fn line(&self, at: usize) -> usize {
-        self.0.partition_point(|newline| *newline < at) + 1
+    fn line(&self, offset: usize) -> usize {
+        self.0.partition_point(|newline| *newline < offset) + 1
     }
 }
 
@@ -67,33 +69,33 @@
     let base = copy.as_ptr().addr();
     if let Ok(value) = simd_json::to_borrowed_value(&mut copy) {
         walk("", &value, &mut |path, key: &str| {
-            let at = key.as_ptr().addr().wrapping_sub(base);
+            let offset = key.as_ptr().addr().wrapping_sub(base);
             // Skips a key that is not a slice of the text: its address would yield an arbitrary offset.
-            if at > 0 && text.get(at - 1) == Some(&b'"') {
-                found.insert(path.to_owned(), at);
+            if offset > 0 && text.get(offset - 1) == Some(&b'"') {
+                found.insert(path.to_owned(), offset);
             }
         });
     }
     let newlines = Newlines::of(text);
-    found.into_iter().map(|(path, at)| (path, newlines.line(at))).collect()
+    found.into_iter().map(|(path, offset)| (path, newlines.line(offset))).collect()
 }
 
-fn walk(path: &str, value: &BorrowedValue, note: &mut dyn FnMut(&str, &str)) {
-    let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+fn walk(path: &str, value: &BorrowedValue, visit: &mut dyn FnMut(&str, &str)) {
+    let child_path = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     match value {
         BorrowedValue::Object(object) => {
             for (key, value) in object.iter() {
-                let path = below(key);
+                let path = child_path(key);
                 // A key with escape sequences may be a copy instead of a slice of the text.
                 if matches!(key, Cow::Borrowed(_)) {
-                    note(&path, key);
+                    visit(&path, key);
                 }
-                walk(&path, value, note);
+                walk(&path, value, visit);
             }
         }
         BorrowedValue::Array(list) => {
             for (i, item) in list.iter().enumerate() {
-                walk(&below(&i.to_string()), item, note);
+                walk(&child_path(&i.to_string()), item, visit);
             }
         }
         _ => {}
--- a/crates/cottonnotch/src/config/mod.rs
+++ b/crates/cottonnotch/src/config/mod.rs
@@ -21,7 +21,7 @@
 mod present_keys;
 mod value_reader;
 
-pub use effective::Effective;
+pub use effective::EffectiveConfig;
 pub use environment::OPERATOR_VARIABLE;
 pub use error::ConfigError;
 pub use model::{Config, GossipConfig};
--- a/crates/cottonnotch/src/config/operator.rs
+++ b/crates/cottonnotch/src/config/operator.rs
@@ -2,7 +2,7 @@
 //! type is defined in the crate that it configures. To add a section, add a field to [`OperatorConfig`] and a line to each of
 //! `check` and `replacing`.
 
-use super::effective::{Effective, Source};
+use super::effective::{EffectiveConfig, Source};
 use super::environment::{OPERATOR_VARIABLE, variable};
 use super::error::ConfigError;
 use super::json_text::text_of;
@@ -40,7 +40,7 @@
     #[error(
         "fleet.members_from requires gossip.strength 'address', aggregation datagrams are not authenticated"
     )]
-    AggregationHasNoProof,
+    AggregationUnauthenticated,
 }
 
 /// All sections of the operator's file. A section that the file omits has its default values, which turn its subsystem off.
@@ -67,10 +67,10 @@
 
 impl OperatorConfig {
     /// Reads and checks the whole file and records each value in `effective`; without a file, all values are defaults.
-    pub fn read(path: Option<&Path>, effective: &mut Effective) -> Result<OperatorConfig, ConfigError> {
+    pub fn read(path: Option<&Path>, effective: &mut EffectiveConfig) -> Result<OperatorConfig, ConfigError> {
         let mut operator = OperatorConfig::default();
         let shown = path.map_or(String::new(), |path| path.display().to_string());
-        effective.note("operator", shown, path_source(path));
+        effective.record("operator", shown, path_source(path));
         if let Some(path) = path {
             let (file, read) = OperatorFile::read::<OperatorConfig>(path)?;
             read.check().map_err(|error| file.reject(&error))?;
@@ -78,7 +78,7 @@
             effective.operator = Some(file);
         }
         operator.log.rust_log = LogConfig::from_environment().rust_log;
-        operator.note(effective);
+        operator.record_values(effective);
         Ok(operator)
     }
 
@@ -89,9 +89,9 @@
         self.gossip.check()?;
         self.fleet.check()?;
         self.consensus.check()?;
-        let has_proof = !matches!(self.gossip.strength, None | Some(Strength::Address));
-        if self.fleet.members_from.is_some() && has_proof {
-            return Err(OperatorError::AggregationHasNoProof);
+        let authenticates_gossip = !matches!(self.gossip.strength, None | Some(Strength::Address));
+        if self.fleet.members_from.is_some() && authenticates_gossip {
+            return Err(OperatorError::AggregationUnauthenticated);
         }
         Ok(())
     }
@@ -128,11 +128,11 @@
 
     /// Records each value with its source. The keys and values come from serializing the configuration, so that no section
     /// has to list its keys a second time.
-    fn note(&self, effective: &mut Effective) {
+    fn record_values(&self, effective: &mut EffectiveConfig) {
         let mut values = BTreeMap::new();
-        // All values of the sections can be written as JSON. If serialization failed, `check` would only print fewer lines.
-        if let Ok(written) = simd_json::serde::to_owned_value(self) {
-            collect_leaves("", &written, &mut values);
+        // All values of the sections can be serialized as JSON. If serialization failed, `check` would only print fewer lines.
+        if let Ok(serialized) = simd_json::serde::to_owned_value(self) {
+            collect_leaves("", &serialized, &mut values);
         }
         for (key, value) in values {
             let source = match &effective.operator {
@@ -141,9 +141,9 @@
             };
             match &self.log.rust_log {
                 Some(filter) if key == "log.filter" => {
-                    effective.note(key, filter, Source::Environment("RUST_LOG"));
+                    effective.record(key, filter, Source::Environment("RUST_LOG"));
                 }
-                _ => effective.note(key, value, source),
+                _ => effective.record(key, value, source),
             }
         }
     }
--- a/crates/cottonnotch/src/config/operator_file.rs
+++ b/crates/cottonnotch/src/config/operator_file.rs
@@ -96,12 +96,12 @@
     }
 
     fn syntax_error(&self, error: &toml::de::Error) -> OperatorFileError {
-        let at = error.span().map_or(0, |span| span.start);
-        let is_around = |span: &KeySpan| span.key.contains(&at) || span.value.contains(&at);
+        let offset = error.span().map_or(0, |span| span.start);
+        let is_around = |span: &KeySpan| span.key.contains(&offset) || span.value.contains(&offset);
         // Takes the innermost key that contains the position: the path of a nested key is longer than its parent's.
         let key = self.spans.iter().filter(|(_, span)| is_around(span)).max_by_key(|(key, _)| key.len());
         let key = key.map_or("operator", |(key, _)| key.as_str()).to_owned();
-        let (path, line) = (self.path.clone(), line_at(&self.text, at));
+        let (path, line) = (self.path.clone(), line_at(&self.text, offset));
         OperatorFileError::Key { path, line, key, problem: describe(error.message()) }
     }
 }
@@ -109,8 +109,8 @@
 fn collect_table(path: &str, table: &DeTable, spans: &mut BTreeMap<String, KeySpan>) {
     for (key, value) in table.iter() {
         let name = key.get_ref();
-        let below = if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
-        collect_value(&below, key.span(), value.span(), value.get_ref(), spans);
+        let child_path = if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+        collect_value(&child_path, key.span(), value.span(), value.get_ref(), spans);
     }
 }
 
@@ -133,8 +133,8 @@
     spans.insert(path.to_owned(), KeySpan { key, value: span });
 }
 
-fn line_at(text: &str, at: usize) -> usize {
-    text.bytes().take(at).filter(|byte| *byte == b'\n').count() + 1
+fn line_at(text: &str, offset: usize) -> usize {
+    text.bytes().take(offset).filter(|byte| *byte == b'\n').count() + 1
 }
 
 /// Rewrites serde's message as a predicate of the key, and suggests the name that was probably meant. Names in the message are
--- a/crates/cottonnotch/src/config/platform.rs
+++ b/crates/cottonnotch/src/config/platform.rs
@@ -1,7 +1,7 @@
 //! Reads the platform's configuration: the environment and the JSON file that `GW_CONFIG` names. Unknown keys are ignored,
 //! because the platform may add keys.
 
-use super::effective::{Effective, Source};
+use super::effective::{EffectiveConfig, Source};
 use super::environment::variable;
 use super::error::ConfigError;
 use super::json_file::JsonFile;
@@ -37,7 +37,7 @@
 pub fn read(
     operator: OperatorConfig,
     precedence: Precedence,
-    effective: &mut Effective,
+    effective: &mut EffectiveConfig,
 ) -> Result<Config, ConfigError> {
     let json = read_file(effective)?;
     let mut reader = ValueReader { json: &json, precedence, effective };
@@ -73,12 +73,12 @@
 }
 
 /// Reads the JSON file; returns an empty object if `GW_CONFIG` is not set.
-fn read_file(effective: &mut Effective) -> Result<OwnedValue, ConfigError> {
+fn read_file(effective: &mut EffectiveConfig) -> Result<OwnedValue, ConfigError> {
     let Some(path) = variable("GW_CONFIG") else {
-        effective.note("GW_CONFIG", "", Source::Default);
+        effective.record("GW_CONFIG", "", Source::Default);
         return Ok(OwnedValue::object());
     };
-    effective.note("GW_CONFIG", &path, Source::Environment("GW_CONFIG"));
+    effective.record("GW_CONFIG", &path, Source::Environment("GW_CONFIG"));
     let (file, json) = JsonFile::read(path)?;
     effective.json = Some(file);
     Ok(json)
@@ -124,14 +124,14 @@
     };
     let (members, complete) = (known.endpoints.len(), known.complete);
     let shown = format!("revision {}, {members} members, complete {complete}", known.revision);
-    reader.effective.note("known", shown, source);
+    reader.effective.record("known", shown, source);
     Ok(known)
 }
 
 /// Reads the routing rules that the operator's file names. If there is such a file, an error includes its path and line.
 fn read_rules(
     operator: &OperatorConfig,
-    effective: &Effective,
+    effective: &EffectiveConfig,
 ) -> Result<Option<RulesSettings>, ConfigError> {
     let rules = RulesSettings::read(&operator.rules, &operator.hardware, &operator.consensus);
     rules.map_err(|error| match &effective.operator {
--- a/crates/cottonnotch/src/config/platform_settings.rs
+++ b/crates/cottonnotch/src/config/platform_settings.rs
@@ -12,24 +12,24 @@
 
 /// The allowed deadlines and timeouts in microseconds, up to one day. Zero is not allowed, because no connection could be
 /// established within it.
-const DURATION: Bounds = Bounds { least: 0.0, most: 86_400e6 };
+const DURATION_BOUNDS: Bounds = Bounds { min: 0.0, max: 86_400e6 };
 /// The allowed numbers of attempts per request; no use case needs more.
-const ATTEMPTS: Bounds = Bounds { least: 1.0, most: 1000.0 };
+const ATTEMPT_BOUNDS: Bounds = Bounds { min: 1.0, max: 1000.0 };
 /// The maximum number of characters of a value that an error message shows.
-const SHOWN_CHARACTERS: usize = 40;
+const MAX_SHOWN_CHARACTERS: usize = 40;
 
 /// The smallest and the largest allowed value; 0 is never allowed.
 #[derive(Clone, Copy, Debug)]
 struct Bounds {
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
 }
 
 /// Reads the settings, and records each value and its source.
 pub fn read(reader: &mut ValueReader<'_>) -> Result<(Profile, Pairs), ConfigError> {
     let (profile, pairs) =
         parse(reader.json.get("settings")).map_err(|error| reader.error(error, Source::Json))?;
-    note_settings(reader, &pairs);
+    record_settings(reader, &pairs);
     Ok((profile, pairs))
 }
 
@@ -49,15 +49,15 @@
     Ok((profile, pairs))
 }
 
-fn note_settings(reader: &mut ValueReader<'_>, pairs: &Pairs) {
+fn record_settings(reader: &mut ValueReader<'_>, pairs: &Pairs) {
     let lookups = pairs.lookups();
     for (key, default) in &lookups {
         let path = format!("settings.{key}");
         match (default, pairs.values.get(key)) {
-            (None, Some(value)) => reader.effective.note(path, value, Source::Json),
+            (None, Some(value)) => reader.effective.record(path, value, Source::Json),
             (default, _) => {
                 let value = default.as_deref().unwrap_or_default();
-                reader.effective.note(path, value, Source::Default);
+                reader.effective.record(path, value, Source::Default);
             }
         }
     }
@@ -65,14 +65,14 @@
     let unused: BTreeMap<&String, &String> =
         pairs.values.iter().filter(|(key, _)| !lookups.contains_key(*key)).collect();
     for (key, value) in unused {
-        reader.effective.note_unused(format!("settings.{key}"), value.clone());
+        reader.effective.record_unused(format!("settings.{key}"), value.clone());
     }
 }
 
 /// Checks that the number of attempts and the timeout are above 0, if they are set. Otherwise a default or a clamp would
 /// replace the value, and requests would stay unanswered or be given up before they are sent.
 fn check_numbers(settings: &OwnedValue) -> Result<(), ValueError> {
-    for (name, bounds) in [("mostTries", ATTEMPTS), ("connectTimeout", DURATION)] {
+    for (name, bounds) in [("mostTries", ATTEMPT_BOUNDS), ("connectTimeout", DURATION_BOUNDS)] {
         if let Some(value) = settings.get("policyLimits").and_then(|limits| limits.get(name)) {
             check_number(value, bounds, || format!("policyLimits.{name}"))?;
         }
@@ -87,7 +87,7 @@
     for (i, class) in classes.iter().enumerate() {
         let key = |name: &str| format!("requestClasses.{i}.{name}");
         if let Some(deadline) = class.get("deadline") {
-            check_number(deadline, DURATION, || key("deadline"))?;
+            check_number(deadline, DURATION_BOUNDS, || key("deadline"))?;
         }
         let problem = match class.get_str("name").filter(|name| !name.is_empty()) {
             None => "is missing or is not a text".to_owned(),
@@ -101,29 +101,29 @@
 
 /// Checks that a value is a number above 0 and within the bounds.
 fn check_number(value: &OwnedValue, bounds: Bounds, key: impl FnOnce() -> String) -> Result<(), ValueError> {
-    let shown = || text_of(value).chars().take(SHOWN_CHARACTERS).collect::<String>();
-    let Bounds { least, most } = bounds;
+    let shown = || text_of(value).chars().take(MAX_SHOWN_CHARACTERS).collect::<String>();
+    let Bounds { min, max } = bounds;
     // A string of digits is rejected as well: other programs that read this file may interpret it differently.
     let problem = match value.cast_f64().filter(|_| value.as_str().is_none()) {
         None => format!("is not a number: '{}'", shown()),
-        Some(number) if number > 0.0 && number >= least && number <= most => return Ok(()),
-        Some(_) => format!("is not a number above 0 and at most {most}: '{}'", shown()),
+        Some(number) if number > 0.0 && number >= min && number <= max => return Ok(()),
+        Some(_) => format!("is not a number above 0 and at most {max}: '{}'", shown()),
     };
     Err(ValueError::Setting { key: key(), problem })
 }
 
 /// Flattens nested settings into pairs of a path and a value, which is the format of the simulator's first message.
 fn flatten(path: &str, value: &OwnedValue, pairs: &mut Pairs) {
-    let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+    let child_path = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     if let Some(object) = value.as_object() {
         for (name, value) in object.iter() {
-            flatten(&below(name), value, pairs);
+            flatten(&child_path(name), value, pairs);
         }
     } else if let Some(list) = value.as_array() {
         if list.iter().any(|item| item.is_object()) {
-            pairs.values.insert(below("count"), list.len().to_string());
+            pairs.values.insert(child_path("count"), list.len().to_string());
             for (i, item) in list.iter().enumerate() {
-                flatten(&below(&i.to_string()), item, pairs);
+                flatten(&child_path(&i.to_string()), item, pairs);
             }
         } else {
             let items: Vec<String> = list.iter().map(text_of).collect();
--- a/crates/cottonnotch/src/config/present_keys.rs
+++ b/crates/cottonnotch/src/config/present_keys.rs
@@ -33,10 +33,13 @@
     pub fn of(path: String, json: &OwnedValue, settings: &Pairs) -> Self {
         let lookups = settings.lookups();
         let present = lookups.iter().filter(|(_, default)| default.is_none()).map(|(key, _)| key.as_str());
-        let (of_items, plain): (Vec<&str>, Vec<&str>) = present.partition(|key| item_key(key).is_some());
+        let (item_keys, setting_keys): (Vec<&str>, Vec<&str>) =
+            present.partition(|key| item_key(key).is_some());
         let mut keys: BTreeSet<String> = top_level_keys(json).collect();
-        keys.extend(plain.iter().filter(|key| !key.ends_with(".count")).map(|key| format!("settings.{key}")));
-        let common = of_items.iter().filter_map(|key| item_key(key));
+        keys.extend(
+            setting_keys.iter().filter(|key| !key.ends_with(".count")).map(|key| format!("settings.{key}")),
+        );
+        let common = item_keys.iter().filter_map(|key| item_key(key));
         let common = common.filter(|item| !CLASS_SPECIFIC.contains(&item.key) && item.all_have(settings));
         keys.extend(common.map(|ItemKey { list, key }| format!("settings.{list}.*.{key}")));
         PresentKeys { path, keys }
--- a/crates/cottonnotch/src/config/value_reader.rs
+++ b/crates/cottonnotch/src/config/value_reader.rs
@@ -1,7 +1,7 @@
 //! Reads single values from the environment and the platform's JSON file: applies the precedence, checks the value and
 //! records its source.
 
-use super::effective::{Effective, Source};
+use super::effective::{EffectiveConfig, Source};
 use super::environment::variable;
 use super::error::{ConfigError, ValueError};
 use simd_json::OwnedValue;
@@ -27,13 +27,13 @@
     /// Which source takes precedence.
     pub precedence: Precedence,
     /// The rows to which each value is added.
-    pub effective: &'a mut Effective,
+    pub effective: &'a mut EffectiveConfig,
 }
 
 impl ValueReader<'_> {
     /// Adds the location of the invalid value to an error.
     pub fn error(&self, error: ValueError, source: Source) -> ConfigError {
-        let place = match (source, &self.effective.json) {
+        let location = match (source, &self.effective.json) {
             (Source::Environment(name), _) => format!("environment {name}"),
             (_, None) => "GW_CONFIG is not set".to_owned(),
             (_, Some(file)) => match file.line(&error.key()) {
@@ -41,7 +41,7 @@
                 None => file.path.clone(),
             },
         };
-        ConfigError::Platform { error, place }
+        ConfigError::Platform { error, location }
     }
 
     fn invalid(
@@ -61,10 +61,10 @@
         key: &'static str,
         default: Option<&str>,
     ) -> Result<(String, Source), ConfigError> {
-        let inherited = variable(name);
+        let env_value = variable(name);
         let file_wins = self.precedence == Precedence::File;
-        let written = self.json.get(key).filter(|_| file_wins || inherited.is_none());
-        let (text, source) = match (written, inherited, default) {
+        let file_value = self.json.get(key).filter(|_| file_wins || env_value.is_none());
+        let (text, source) = match (file_value, env_value, default) {
             (Some(value), ..) => match value.as_str() {
                 Some(text) => (text.to_owned(), Source::Json),
                 None => return Err(self.invalid(key, "is not a text", value.encode(), Source::Json)),
@@ -73,7 +73,7 @@
             (None, None, Some(text)) => (text.to_owned(), Source::Default),
             (None, None, None) => return Err(self.error(ValueError::Missing { key }, Source::Default)),
         };
-        self.effective.note(key, &text, source);
+        self.effective.record(key, &text, source);
         Ok((text, source))
     }
 
@@ -99,20 +99,20 @@
     /// Reads an optional address that only the file can set.
     pub fn file_address(&mut self, key: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
         let Some(value) = self.json.get(key) else {
-            self.effective.note(key, "", Source::Default);
+            self.effective.record(key, "", Source::Default);
             return Ok(None);
         };
         let address = value.as_str().and_then(|text| text.parse().ok());
         let address: SocketAddr =
             address.ok_or_else(|| self.invalid(key, NOT_AN_ADDRESS, value.encode(), Source::Json))?;
-        self.effective.note(key, address.to_string(), Source::Json);
+        self.effective.record(key, address.to_string(), Source::Json);
         Ok(Some(address))
     }
 
     /// Reads an optional list of addresses that only the file can set.
     pub fn file_addresses(&mut self, key: &'static str) -> Result<Vec<SocketAddr>, ConfigError> {
         let Some(value) = self.json.get(key) else {
-            self.effective.note(key, "", Source::Default);
+            self.effective.record(key, "", Source::Default);
             return Ok(Vec::new());
         };
         let problem = "is not a list of addresses and ports";
@@ -121,7 +121,7 @@
             value.as_array().and_then(|list| list.iter().map(parse).collect());
         let addresses = addresses.ok_or_else(|| self.invalid(key, problem, value.encode(), Source::Json))?;
         let shown = addresses.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
-        self.effective.note(key, shown, Source::Json);
+        self.effective.record(key, shown, Source::Json);
         Ok(addresses)
     }
 
@@ -152,7 +152,7 @@
             None => (OwnedValue::from(default), Source::Default),
         };
         let limit = check(&value).ok_or_else(|| self.invalid(key, problem, value.encode(), source))?;
-        self.effective.note(key, value.encode(), source);
+        self.effective.record(key, value.encode(), source);
         Ok(limit)
     }
 }
--- a/crates/cottonnotch/src/logging.rs
+++ b/crates/cottonnotch/src/logging.rs
@@ -166,8 +166,8 @@
     impl<'kvs> VisitSource<'kvs> for Fields<'_> {
         fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
             let value = value.to_string();
-            let plain = |c: char| !(c.is_whitespace() || c.is_control() || matches!(c, '"' | '=' | '\\'));
-            if !value.is_empty() && value.chars().all(plain) {
+            let is_plain = |c: char| !(c.is_whitespace() || c.is_control() || matches!(c, '"' | '=' | '\\'));
+            if !value.is_empty() && value.chars().all(is_plain) {
                 write!(self.0, " {key}={value}")?;
             } else {
                 write!(self.0, " {key}={value:?}")?;
@@ -184,10 +184,10 @@
     impl<'kvs> VisitSource<'kvs> for Fields {
         fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
             // A value is written as a number only if it was logged as a number; a text that looks like a number stays a text.
-            let whole = value.to_u64().map(OwnedValue::from).or(value.to_i64().map(OwnedValue::from));
-            let number = whole.or(value.to_f64().map(OwnedValue::from));
-            let other = number.or(value.to_bool().map(OwnedValue::from));
-            let value = other.unwrap_or_else(|| OwnedValue::from(value.to_string()));
+            let integer = value.to_u64().map(OwnedValue::from).or(value.to_i64().map(OwnedValue::from));
+            let number = integer.or(value.to_f64().map(OwnedValue::from));
+            let scalar = number.or(value.to_bool().map(OwnedValue::from));
+            let value = scalar.unwrap_or_else(|| OwnedValue::from(value.to_string()));
             // Inserting cannot fail, because the value is an object.
             let _ = self.0.insert(key.as_str().to_owned(), value);
             Ok(())
--- a/crates/cottonnotch/src/main.rs
+++ b/crates/cottonnotch/src/main.rs
@@ -11,7 +11,7 @@
 
 use clap::Parser;
 use command_line::{Command, CommandLine};
-use config::{Config, ConfigError, Effective, OperatorConfig};
+use config::{Config, ConfigError, EffectiveConfig, OperatorConfig};
 use cottonnotch_records::{Identity, Recorder, RecorderError};
 use logging::LogConfig;
 use net::driver::Driver;
@@ -21,7 +21,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// The exit code if the configuration is invalid.
-const EXIT_FAULTY: u8 = 2;
+const EXIT_INVALID_CONFIG: u8 = 2;
 
 fn main() -> ExitCode {
     let CommandLine { operator, command } = CommandLine::parse();
@@ -32,26 +32,26 @@
 }
 
 fn serve(path: Option<PathBuf>) -> ExitCode {
-    let mut effective = Effective::default();
+    let mut effective = EffectiveConfig::default();
     let operator = OperatorConfig::read(path.as_deref(), &mut effective);
     // The error for an invalid file is logged with the default settings.
     logging::install(operator.as_ref().map_or(&LogConfig::from_environment(), |read| &read.log));
     let config = operator.and_then(|operator| Config::load(operator, &mut effective));
     // The recorder is opened before any socket: otherwise the number of the configured descriptor could be assigned to a
     // socket.
-    let ready = config.and_then(|config| Ok((open_recorder(&config, &effective)?, config)));
-    let (recorder, config) = match ready {
-        Ok(ready) => ready,
+    let opened = config.and_then(|config| Ok((open_recorder(&config, &effective)?, config)));
+    let (recorder, config) = match opened {
+        Ok(opened) => opened,
         Err(error) => {
             log::error!(key = error.key(); "cannot start: {error}");
-            return ExitCode::from(EXIT_FAULTY);
+            return ExitCode::from(EXIT_INVALID_CONFIG);
         }
     };
     drop(effective);
     let name = config.name.clone();
-    let reread = Box::new(move || Config::reload(path.as_deref()));
-    let served = Driver::start(config, recorder, reread).and_then(|mut driver| driver.run());
-    match served {
+    let reload = Box::new(move || Config::reload(path.as_deref()));
+    let result = Driver::start(config, recorder, reload).and_then(|mut driver| driver.run());
+    match result {
         Ok(()) => {
             log::info!(name; "{name} has stopped");
             ExitCode::SUCCESS
@@ -64,7 +64,7 @@
 }
 
 /// Opens the recorder; returns a disabled one if records are off.
-fn open_recorder(config: &Config, effective: &Effective) -> Result<Recorder, ConfigError> {
+fn open_recorder(config: &Config, effective: &EffectiveConfig) -> Result<Recorder, ConfigError> {
     let Some(file) = &effective.operator else { return Ok(Recorder::off()) };
     let settings = config.operator.records.check().map_err(|error| file.reject(&error))?;
     let Some(settings) = settings else { return Ok(Recorder::off()) };
@@ -74,11 +74,11 @@
         SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64);
     let version = env!("CARGO_PKG_VERSION").into();
     let recorder = Recorder::open(&settings, Identity { name, incarnation, version });
-    recorder.map_err(|error| file.reject(&recorder_problem(&error)).into())
+    recorder.map_err(|error| file.reject(&describe_recorder_error(&error)).into())
 }
 
 /// Formats a recorder's error as a message that begins with the key.
-fn recorder_problem(error: &RecorderError) -> String {
+fn describe_recorder_error(error: &RecorderError) -> String {
     match error {
         RecorderError::Target { key, target, error } => {
             format!("records.{key} cannot be written: '{target}': {error}")
@@ -92,19 +92,19 @@
 /// Returns the report on the routing rules; empty if no rules are configured.
 fn rules_report(config: &Config) -> String {
     let Some(settings) = &config.rules else { return String::new() };
-    let listed =
+    let node_kinds =
         config.initial_endpoints.endpoints.iter().map(|member| (member.zone.clone(), member.flavor.clone()));
-    rules::report(settings, &config.operator.consensus, &config.profile, listed.collect())
+    rules::report(settings, &config.operator.consensus, &config.profile, node_kinds.collect())
 }
 
 fn check(path: Option<&Path>) -> ExitCode {
-    let mut effective = Effective::default();
+    let mut effective = EffectiveConfig::default();
     let operator = OperatorConfig::read(path, &mut effective);
     let config = operator.and_then(|operator| Config::load(operator, &mut effective));
     // The proxy starts and runs without an invalid rules file, but the check reports it as an error.
     let config =
         config.and_then(|config| match config.rules.as_ref().map(rules::RulesSettings::check_files) {
-            Some(Err(bad)) => Err(bad.into()),
+            Some(Err(error)) => Err(error.into()),
             _ => Ok(config),
         });
     // Writing fails if the reader has closed the output. That error can be reported only through the exit code.
@@ -113,7 +113,7 @@
         Err(error) => writeln!(std::io::stderr().lock(), "faulty configuration: {error}"),
     };
     match (config, written) {
-        (Err(_), _) => ExitCode::from(EXIT_FAULTY),
+        (Err(_), _) => ExitCode::from(EXIT_INVALID_CONFIG),
         (Ok(_), Err(_)) => ExitCode::FAILURE,
         (Ok(_), Ok(())) => ExitCode::SUCCESS,
     }
--- a/crates/cottonnotch/src/maintenance/maintenance_tests.rs
+++ b/crates/cottonnotch/src/maintenance/maintenance_tests.rs
@@ -15,37 +15,37 @@
     fn latest_override_counts_across_processes(
         calls in prop::collection::vec((any::<bool>(), any_id(), any::<bool>(), any::<bool>()), 0..40),
     ) {
-        let (mut one, mut other) = (Maintenance::default(), Maintenance::default());
-        let mut made = Vec::new();
-        for (now, (out, id, at_other, meet)) in (1_000..).zip(calls) {
-            let process = if at_other { &mut other } else { &mut one };
+        let (mut first, mut second) = (Maintenance::default(), Maintenance::default());
+        let mut applied = Vec::new();
+        for (now, (out, id, in_second, merge_now)) in (1_000..).zip(calls) {
+            let process = if in_second { &mut second } else { &mut first };
             if out { process.enter(now, &id) } else { process.exit(now, &id) };
-            if meet {
-                let before = one.clone();
-                one.merge(&other);
-                other.merge(&before);
-                prop_assert_eq!(&one, &other, "both states are equal after the merge");
+            if merge_now {
+                let before = first.clone();
+                first.merge(&second);
+                second.merge(&before);
+                prop_assert_eq!(&first, &second, "both states are equal after the merge");
             } else {
                 // Merges in both directions after each call. A process that does not know the other's overrides might find
                 // nothing to change, and the call would have no effect.
-                one.merge(&other);
-                other.merge(&one.clone());
+                first.merge(&second);
+                second.merge(&first.clone());
             }
-            made.push((out, id));
+            applied.push((out, id));
             for id in ["a", "b", "s-5be2"] {
-                prop_assert_eq!(one.is_out(id), is_out(&made, id), "{} after {:?}", id, made);
+                prop_assert_eq!(first.is_out(id), is_out(&applied, id), "{} after {:?}", id, applied);
             }
         }
-        prop_assert_eq!(decode(encode(&one).as_bytes()), Ok(one));
+        prop_assert_eq!(decode(encode(&first).as_bytes()), Ok(first));
     }
 
     #[test]
     fn merge_is_commutative(
         overrides in prop::collection::vec((any_id(), 0i64..5, any::<bool>(), 0i64..5), 0..12),
-        cut in 0usize..12,
+        split_at in 0usize..12,
     ) {
-        let overrides: Vec<_> = overrides.into_iter().map(|(id, at, out, since)| (id, ManualOverride { set_at: at, is_out: out, out_since: since })).collect();
-        let (a, b) = overrides.split_at(cut.min(overrides.len()));
+        let overrides: Vec<_> = overrides.into_iter().map(|(id, at, out, out_since)| (id, ManualOverride { set_at: at, is_out: out, out_since })).collect();
+        let (a, b) = overrides.split_at(split_at.min(overrides.len()));
         let (a, b) = (Maintenance::from_overrides(a.to_vec()), Maintenance::from_overrides(b.to_vec()));
         let (mut ab, mut ba) = (a.clone(), b.clone());
         ab.merge(&b);
@@ -57,21 +57,21 @@
     #[test]
     fn list_never_ends_maintenance(
         lists in prop::collection::vec((0u8..3, prop::option::of(0i64..99)), 1..20),
-        back_at in 0usize..20,
+        exit_at in 0usize..20,
     ) {
         let mut state = Maintenance::default();
         state.enter(50, "a");
         for (i, (listed, started)) in lists.into_iter().enumerate() {
-            if i == back_at {
+            if i == exit_at {
                 state.exit(60, "a");
             }
             let listed = [ServerState::Ready, ServerState::Draining, ServerState::Removed][listed as usize];
-            let (comes_to, since) = state.apply("a", listed, started);
-            if i < back_at {
-                prop_assert!(comes_to != ServerState::Ready, "listed as {listed:?} at {i}");
+            let (state_with_override, start) = state.apply("a", listed, started);
+            if i < exit_at {
+                prop_assert!(state_with_override != ServerState::Ready, "listed as {listed:?} at {i}");
             } else {
-                prop_assert_eq!(comes_to, listed, "after the end of the maintenance the listed state applies");
-                prop_assert!(since.is_some_and(|at| at > 50), "it must count as newly started: {since:?}");
+                prop_assert_eq!(state_with_override, listed, "after the end of the maintenance the listed state applies");
+                prop_assert!(start.is_some_and(|at| at > 50), "it must count as newly started: {start:?}");
             }
             prop_assert_eq!(state.apply("b", listed, started), (listed, started), "other render nodes are not affected");
         }
@@ -81,7 +81,7 @@
     fn rejects_damaged_state(
         ids in prop::collection::btree_set("[a-z0-9-]{1,9}", 1..6),
         at in any::<prop::sample::Index>(),
-        cut in any::<bool>(),
+        truncate in any::<bool>(),
     ) {
         let mut state = Maintenance::default();
         for (now, id) in (1..).zip(&ids) {
@@ -89,7 +89,7 @@
         }
         let mut bytes = encode(&state).into_bytes();
         let at = at.index(bytes.len());
-        if cut {
+        if truncate {
             bytes.truncate(at);
         } else {
             bytes[at] ^= 1;
@@ -100,9 +100,9 @@
     #[test]
     fn decode_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = decode(&bytes);
-        let mut ours = b"cottonnotch-maintenance 1\n".to_vec();
-        ours.extend(bytes);
-        let _ = decode(&ours);
+        let mut with_header = b"cottonnotch-maintenance 1\n".to_vec();
+        with_header.extend(bytes);
+        let _ = decode(&with_header);
     }
 }
 
@@ -121,9 +121,9 @@
 fn override_counts_after_clock_step_back() {
     let mut state = Maintenance::default();
     state.enter(1_000, "a");
-    let mut other = state.clone();
-    other.exit(5, "a");
-    state.merge(&other);
+    let mut second = state.clone();
+    second.exit(5, "a");
+    state.merge(&second);
     assert!(!state.is_out("a"));
 }
 
--- a/crates/cottonnotch/src/net/attempt.rs
+++ b/crates/cottonnotch/src/net/attempt.rs
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub struct Attempt {
     address: SocketAddr,
-    link: LineStream,
+    stream: LineStream,
     /// The client's first line; it is sent once the TCP connection is established, with the time that is left then.
     line: OpenLine,
     phase: Phase,
@@ -80,14 +80,14 @@
         line: OpenLine,
         deadline: Option<Micros>,
     ) -> io::Result<Self> {
-        let link = LineStream::connect(parameters.address, io, key, Half::Far)?;
+        let stream = LineStream::connect(parameters.address, io, key, Half::Far)?;
         let started = io.now();
         let connect_deadline = started + parameters.connect_timeout;
         let AttemptParameters { address, rules_write_deadline, write_deadline, .. } = *parameters;
         let phase = Phase::Connecting;
         Ok(Attempt {
             address,
-            link,
+            stream,
             line,
             phase,
             write_reported: false,
@@ -114,11 +114,11 @@
     pub fn advance(&mut self, now: Micros) -> Progress {
         // If the socket becomes ready and the time limit expires in the same turn of the event loop, readiness is handled
         // first. The attempt is given up here all the same: its first line is not written, so it cannot have been executed.
-        if let Some(outcome) = self.overdue(now).filter(|_| !self.is_written()) {
+        if let Some(outcome) = self.expiry_outcome(now).filter(|_| !self.is_written()) {
             return Progress::Ended(outcome);
         }
         if self.phase == Phase::Connecting {
-            match self.link.connected() {
+            match self.stream.connected() {
                 Ok(true) => self.begin_writing(now),
                 Ok(false) => return Progress::Pending,
                 Err(_) => return Progress::Ended(Outcome::ConnectFailed),
@@ -128,15 +128,15 @@
             if self.is_too_late_to_write(now) {
                 return Progress::Ended(Outcome::NotSent);
             }
-            match self.link.flush() {
+            match self.stream.flush() {
                 Ok(true) => self.phase = Phase::Waiting,
                 Ok(false) => return Progress::Pending,
                 // The last byte was not written, so the request was not executed.
                 Err(_) => return Progress::Ended(Outcome::ConnectFailed),
             }
         }
-        let fill = self.link.fill();
-        match (self.link.take_line(), fill) {
+        let fill = self.stream.fill();
+        match (self.stream.take_line(), fill) {
             (Ok(Some(line)), _) => classify_answer(self.address, line),
             (Err(_), _) => Progress::Ended(Outcome::Error),
             (Ok(None), Fill::Blocked) => Progress::Pending,
@@ -156,7 +156,7 @@
     /// Queues the first line with the time for which the proxy will wait from now on, because connecting may have taken long.
     fn begin_writing(&mut self, now: Micros) {
         let left = self.deadline.map(|deadline| deadline - now);
-        self.link.push(&self.line.forwarded(left));
+        self.stream.push(&self.line.forwarded(left));
         self.phase = Phase::Writing;
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// Returns the outcome of the attempt if its time limit has expired.
-    pub fn overdue(&self, now: Micros) -> Option<Outcome> {
+    pub fn expiry_outcome(&self, now: Micros) -> Option<Outcome> {
         if self.deadline.is_some_and(|deadline| deadline <= now) {
             // Before the first line is written, the endpoint cannot have executed the request.
             let waiting = self.phase == Phase::Waiting;
@@ -182,7 +182,7 @@
     }
 
     /// Returns the connection to the endpoint; called once the endpoint has accepted.
-    pub fn into_link(self) -> LineStream {
-        self.link
+    pub fn into_stream(self) -> LineStream {
+        self.stream
     }
 }
--- a/crates/cottonnotch/src/net/client_connection/attempting.rs
+++ b/crates/cottonnotch/src/net/client_connection/attempting.rs
@@ -38,7 +38,7 @@
             "client {:?} is established after {elapsed} us", self.key
         );
         self.client.push(up_line);
-        self.state = State::Established(Box::new(Relay::new(attempt.into_link(), io.now())));
+        self.state = State::Established(Box::new(Relay::new(attempt.into_stream(), io.now())));
         self.report(io, ClientEvent::Established { elapsed });
         // Both sides may already have sent more data.
         self.relay(io, Half::Far);
@@ -59,7 +59,7 @@
     pub(super) fn check_attempt_timeout(&mut self, io: &mut Io) {
         let State::Attempting(attempt) = &self.state else { return };
         let now = io.now();
-        if let Some(outcome) = attempt.overdue(now) {
+        if let Some(outcome) = attempt.expiry_outcome(now) {
             self.end_attempt(io, outcome);
         } else if let Some(due) = attempt.next_timeout() {
             io.timer(due.max(now), self.key, ATTEMPT_TIMER);
--- a/crates/cottonnotch/src/net/client_connection/commands.rs
+++ b/crates/cottonnotch/src/net/client_connection/commands.rs
@@ -102,7 +102,7 @@
             }
             // The client has received its PONG, and would take a BUSY for the answer to another request.
             State::ReadingFirstLine { pinged: true, .. } => {
-                self.end_client(io);
+                self.finish_client(io);
                 false
             }
             _ => false,
@@ -110,7 +110,7 @@
     }
 
     fn evict_idle(&mut self, io: &mut Io, retry_after: Micros) -> bool {
-        let was_rejected = self.reject_idle(io, retry_after);
+        let rejected = self.reject_idle(io, retry_after);
         // This also closes the connections of clients that sent PING and stayed: hundreds of them once kept all other clients
         // from being accepted.
         if let State::Answered { .. } = self.state {
@@ -118,7 +118,7 @@
             self.client.discard();
             self.state = State::Closed;
         }
-        was_rejected
+        rejected
     }
 
     fn oldest_unanswered(&self, now: Micros) -> Option<Micros> {
--- a/crates/cottonnotch/src/net/client_connection/mod.rs
+++ b/crates/cottonnotch/src/net/client_connection/mod.rs
@@ -88,10 +88,10 @@
     /// Sends the client its last line and ends the proxy's sending.
     fn send_final_line(&mut self, io: &mut Io, line: &str) {
         self.client.push(line.as_bytes());
-        self.end_client(io);
+        self.finish_client(io);
     }
 
-    fn end_client(&mut self, io: &mut Io) {
+    fn finish_client(&mut self, io: &mut Io) {
         self.client.finish();
         self.client.take_rest();
         // Replacing the state closes the attempt's connection, or the relay's connection to the endpoint.
@@ -122,7 +122,7 @@
     }
 
     /// Returns the client's id and the endpoint's address for a log line.
-    fn log_names(&self) -> (&str, String) {
+    fn log_fields(&self) -> (&str, String) {
         let wire_id = self.line.as_ref().map_or("-", OpenLine::id);
         let address = self.endpoint_address.map_or("-".to_owned(), |address| address.to_string());
         (wire_id, address)
--- a/crates/cottonnotch/src/net/client_connection/relaying.rs
+++ b/crates/cottonnotch/src/net/client_connection/relaying.rs
@@ -42,7 +42,7 @@
     }
 
     fn migrate_after_long_line(&mut self, io: &mut Io) {
-        let (wire_id, address) = self.log_names();
+        let (wire_id, address) = self.log_fields();
         log::warn!(
             target: LOG_TARGET, wire_id, address;
             "endpoint sent a line of over {MAX_LINE} bytes, client migrated"
@@ -59,7 +59,7 @@
                 self.client.reset();
                 self.state = State::Closed;
             }
-            End::Close => self.end_client(io),
+            End::Close => self.finish_client(io),
         }
     }
 
@@ -84,7 +84,7 @@
 
     fn migrate_from_silent_endpoint(&mut self, io: &mut Io, waited: Micros) {
         let waited_ms = waited / 1000;
-        let (wire_id, address) = self.log_names();
+        let (wire_id, address) = self.log_fields();
         log::info!(
             target: LOG_TARGET, wire_id, address, waited_ms;
             "endpoint silent for {waited_ms} ms, client migrated"
--- a/crates/cottonnotch/src/net/datagrams.rs
+++ b/crates/cottonnotch/src/net/datagrams.rs
@@ -40,7 +40,7 @@
 impl Connection for Datagrams {
     type Report = NetworkEvent;
 
-    fn readable(&mut self, io: &mut Io, leg: Half) {
+    fn readable(&mut self, io: &mut Io, half: Half) {
         let mut received = Vec::new();
         let mut bytes = [0; MAX_DATAGRAM + 1];
         for _ in 0..READ_BATCH {
@@ -55,7 +55,7 @@
             }
         }
         io.report(NetworkEvent::Datagrams(received));
-        io.call_again(self.key, leg);
+        io.call_again(self.key, half);
     }
 
     fn writable(&mut self, _: &mut Io, _: Half) {}
--- a/crates/cottonnotch/src/net/discovery_client.rs
+++ b/crates/cottonnotch/src/net/discovery_client.rs
@@ -30,18 +30,18 @@
     stream: LineStream,
     connected: bool,
     response: StreamedResponse,
-    texts: JsonStream,
+    json_texts: JsonStream,
     requested_at: Micros,
     /// When the watch last made progress; initially, when it was requested.
     last_progress: Micros,
     /// The number of bytes received since the last progress.
     bytes_since_progress: usize,
     /// Whether the head of the response is complete.
-    has_head: bool,
+    head_complete: bool,
     /// Whether a JSON text or a heartbeat has been received completely.
     has_data: bool,
     /// Whether the loss of the watch was reported.
-    lost: bool,
+    loss_reported: bool,
 }
 
 impl DiscoveryWatch {
@@ -55,32 +55,37 @@
         stream.push(request.as_bytes());
         let last_progress = io.now();
         io.timer(last_progress + ANSWER_TIMEOUT, key, 0);
-        let (response, texts) = (StreamedResponse::new(), JsonStream::new());
-        let (connected, has_head, has_data, lost) = (false, false, false, false);
+        let (response, json_texts) = (StreamedResponse::new(), JsonStream::new());
+        let (connected, head_complete, has_data, loss_reported) = (false, false, false, false);
         Ok(DiscoveryWatch {
             key,
             stream,
             connected,
             response,
-            texts,
+            json_texts,
             requested_at: last_progress,
             last_progress,
             bytes_since_progress: 0,
-            has_head,
+            head_complete,
             has_data,
-            lost,
+            loss_reported,
         })
     }
 
     /// Returns the number of stages that the response has reached; it is also the id of the watch's current timer.
     fn progress_stage(&self) -> u32 {
-        u32::from(self.has_head) + u32::from(self.has_data)
+        u32::from(self.head_complete) + u32::from(self.has_data)
     }
 
     /// Returns when the watch is given up if it makes no further progress.
-    fn due(&self) -> Micros {
-        let silent = self.last_progress + if self.has_head { SILENCE_TIMEOUT } else { ANSWER_TIMEOUT };
-        if self.has_data { silent } else { silent.min(self.requested_at + UNANSWERED_AFTER) }
+    fn deadline(&self) -> Micros {
+        let silence_deadline =
+            self.last_progress + if self.head_complete { SILENCE_TIMEOUT } else { ANSWER_TIMEOUT };
+        if self.has_data {
+            silence_deadline
+        } else {
+            silence_deadline.min(self.requested_at + UNANSWERED_AFTER)
+        }
     }
 
     fn fail(&mut self, io: &mut Io, reason: impl ToString) {
@@ -88,24 +93,24 @@
     }
 
     fn report_lost(&mut self, io: &mut Io, loss: WatchLoss, reason: impl ToString) {
-        if !self.lost {
-            self.lost = true;
+        if !self.loss_reported {
+            self.loss_reported = true;
             io.report(NetworkEvent::WatchLost { watch: self.key, loss, reason: reason.to_string() });
         }
     }
 
     fn receive(&mut self, io: &mut Io, bytes: &[u8]) {
-        let (mut body, mut texts) = (Vec::new(), Vec::new());
+        let (mut body, mut json_texts) = (Vec::new(), Vec::new());
         let result = self.response.feed(bytes, &mut body);
-        let parsed = self.texts.feed(&body, &mut texts);
+        let parsed = self.json_texts.feed(&body, &mut json_texts);
         self.bytes_since_progress += bytes.len();
-        let is_progress = !texts.is_empty()
-            || !body.is_empty() && !self.texts.has_partial_text()
+        let is_progress = !json_texts.is_empty()
+            || !body.is_empty() && !self.json_texts.has_partial_text()
             || self.bytes_since_progress >= PROGRESS_BYTES;
-        if is_progress || self.response.has_head() && !self.has_head {
+        if is_progress || self.response.has_head() && !self.head_complete {
             self.note_progress(io, is_progress);
         }
-        for mut text in texts {
+        for mut text in json_texts {
             match EndpointUpdate::parse(&mut text) {
                 Ok(update) => io.report(NetworkEvent::EndpointUpdate { watch: self.key, update }),
                 // An invalid list is dropped completely and counts as a failed request: the next watch starts at the last
@@ -123,19 +128,19 @@
 
     fn note_progress(&mut self, io: &mut Io, has_data: bool) {
         let stage_before = self.progress_stage();
-        (self.last_progress, self.bytes_since_progress, self.has_head) = (io.now(), 0, true);
+        (self.last_progress, self.bytes_since_progress, self.head_complete) = (io.now(), 0, true);
         self.has_data |= has_data;
         if self.progress_stage() != stage_before {
-            io.timer(self.due(), self.key, self.progress_stage());
+            io.timer(self.deadline(), self.key, self.progress_stage());
         }
     }
 
     /// Handles the end of the response. An incomplete list is dropped and requested again.
-    fn end(&mut self, io: &mut Io, why: impl std::fmt::Display) {
-        if self.texts.has_partial_text() {
-            self.fail(io, format!("{why} in the middle of a list"));
+    fn end(&mut self, io: &mut Io, reason: impl std::fmt::Display) {
+        if self.json_texts.has_partial_text() {
+            self.fail(io, format!("{reason} in the middle of a list"));
         } else {
-            self.fail(io, why);
+            self.fail(io, reason);
         }
     }
 }
@@ -175,18 +180,18 @@
     }
 
     fn timer(&mut self, io: &mut Io, timer: u32) {
-        let due = self.due();
+        let deadline = self.deadline();
         if timer != self.progress_stage() {
             // This timer belongs to an earlier stage of the response; the timer of the current stage is set.
-        } else if due > io.now() {
-            io.timer(due, self.key, timer);
+        } else if deadline > io.now() {
+            io.timer(deadline, self.key, timer);
         } else if self.has_data {
             self.report_lost(io, WatchLoss::Silent, "discovery sent no heartbeat, it is silent");
         } else {
             self.report_lost(
                 io,
                 WatchLoss::Silent,
-                if self.has_head {
+                if self.head_complete {
                     "discovery sent no list, it is silent"
                 } else {
                     "discovery sent no response"
@@ -196,6 +201,6 @@
     }
 
     fn done(&self) -> bool {
-        self.lost
+        self.loss_reported
     }
 }
--- a/crates/cottonnotch/src/net/invariant.rs
+++ b/crates/cottonnotch/src/net/invariant.rs
@@ -3,11 +3,11 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-static BROKEN: AtomicU64 = AtomicU64::new(0);
+static VIOLATIONS: AtomicU64 = AtomicU64::new(0);
 
 /// Counts a violated invariant; returns the number of violations so far.
-pub fn count() -> u64 {
-    BROKEN.fetch_add(1, Ordering::Relaxed) + 1
+pub fn count_violation() -> u64 {
+    VIOLATIONS.fetch_add(1, Ordering::Relaxed) + 1
 }
 
 /// `invariant!(condition, "what must hold")` asserts the condition, or counts and logs its violation, and evaluates to the value
@@ -17,7 +17,7 @@
         let holds: bool = $condition;
         debug_assert!(holds, "invariant broken: {}", $what);
         if !holds {
-            let count = $crate::net::invariant::count();
+            let count = $crate::net::invariant::count_violation();
             log::error!(invariant = $what, count; "invariant broken ({count} so far): {}", $what);
         }
         holds
--- a/crates/cottonnotch/src/net/management/admin_connection.rs
+++ b/crates/cottonnotch/src/net/management/admin_connection.rs
@@ -32,16 +32,16 @@
     key: Key,
     stream: LineStream,
     state: State,
-    until: Micros,
+    deadline: Micros,
 }
 
 impl AdminConnection {
     /// Creates the state for an accepted connection.
     pub fn accepted(stream: TcpStream, key: Key, io: &mut Io) -> io::Result<Self> {
         let stream = LineStream::accepted(stream, io, key)?;
-        let until = io.now() + REQUEST_TIMEOUT;
-        io.timer(until, key, 0);
-        Ok(AdminConnection { key, stream, state: State::Reading(RequestReader::default()), until })
+        let deadline = io.now() + REQUEST_TIMEOUT;
+        io.timer(deadline, key, 0);
+        Ok(AdminConnection { key, stream, state: State::Reading(RequestReader::default()), deadline })
     }
 
     fn send_response(&mut self, io: &mut Io, response: &AdminResponse) {
@@ -54,8 +54,8 @@
             Ok(_) => State::Answered,
             Err(_) => State::Closed,
         };
-        self.until = io.now() + LINGER;
-        io.timer(self.until, self.key, 0);
+        self.deadline = io.now() + LINGER;
+        io.timer(self.deadline, self.key, 0);
         // Input after the request is read and discarded: closing with unread bytes would reset the connection, and the operator
         // could lose the response.
         io.call_again(self.key, Half::Near);
@@ -71,9 +71,9 @@
                     self.state = State::Reported;
                     io.report(NetworkEvent::AdminRequested(self.key, request));
                 }
-                Err(answer) => self.send_response(io, &answer),
+                Err(response) => self.send_response(io, &response),
             },
-            (Err(bad), _) => self.send_response(io, &bad.into()),
+            (Err(error), _) => self.send_response(io, &error.into()),
             (Ok(None), Fill::Blocked) => {}
             (Ok(None), Fill::More) => io.call_again(self.key, Half::Near),
             // The peer has ended its sending in the middle of a request, but may still read the error.
@@ -111,7 +111,7 @@
     }
 
     fn timer(&mut self, io: &mut Io, _: u32) {
-        if io.now() < self.until {
+        if io.now() < self.deadline {
             return;
         }
         match self.state {
--- a/crates/cottonnotch/src/net/management/admin_request.rs
+++ b/crates/cottonnotch/src/net/management/admin_request.rs
@@ -55,8 +55,8 @@
 }
 
 impl From<BadRequest> for AdminResponse {
-    fn from(bad: BadRequest) -> Self {
-        AdminResponse::new(bad.status(), format!("{bad}\n"))
+    fn from(error: BadRequest) -> Self {
+        AdminResponse::new(error.status(), format!("{error}\n"))
     }
 }
 
@@ -64,29 +64,33 @@
     /// Parses an HTTP request; if it is not a valid request of an operator, returns the response that rejects it.
     pub fn parse(request: &Request) -> Result<AdminRequest, AdminResponse> {
         let method = request.method.as_str();
-        let only = |wanted: &'static str| {
-            let body = format!("{} takes {wanted} only\n", request.path);
-            if method == wanted {
+        let require_method = |allowed: &'static str| {
+            let body = format!("{} takes {allowed} only\n", request.path);
+            if method == allowed {
                 Ok(())
             } else {
-                Err(AdminResponse { allow: Some(wanted), ..AdminResponse::new(405, body) })
+                Err(AdminResponse { allow: Some(allowed), ..AdminResponse::new(405, body) })
             }
         };
         match request.path.as_str() {
-            "/status" => only("GET").map(|()| AdminRequest::Status),
-            "/status/metrics" => only("GET").map(|()| AdminRequest::Metrics),
-            "/maintenance/enter" => only("POST").and_then(|()| id(&request.body)).map(AdminRequest::Enter),
-            "/maintenance/exit" => only("POST").and_then(|()| id(&request.body)).map(AdminRequest::Exit),
+            "/status" => require_method("GET").map(|()| AdminRequest::Status),
+            "/status/metrics" => require_method("GET").map(|()| AdminRequest::Metrics),
+            "/maintenance/enter" => {
+                require_method("POST").and_then(|()| parse_id(&request.body)).map(AdminRequest::Enter)
+            }
+            "/maintenance/exit" => {
+                require_method("POST").and_then(|()| parse_id(&request.body)).map(AdminRequest::Exit)
+            }
             _ => Err(AdminResponse::not_found("there is nothing of that name\n")),
         }
     }
 }
 
 /// Parses the body as the id of a render node. Surrounding white space is removed, because some tools add a line end.
-fn id(body: &[u8]) -> Result<String, AdminResponse> {
+fn parse_id(body: &[u8]) -> Result<String, AdminResponse> {
     let id = std::str::from_utf8(body).map(str::trim).unwrap_or_default();
-    let is_id = !id.is_empty() && id.bytes().all(|b| b.is_ascii_graphic());
-    if is_id {
+    let is_valid = !id.is_empty() && id.bytes().all(|b| b.is_ascii_graphic());
+    if is_valid {
         Ok(id.to_owned())
     } else {
         Err(AdminResponse::new(400, "the body must be the id of one render node\n"))
--- a/crates/cottonnotch/src/net/management/admin_server.rs
+++ b/crates/cottonnotch/src/net/management/admin_server.rs
@@ -37,14 +37,14 @@
     /// Listens on this address. Returns the error of a failed system call. `timer` is the id of the timer on which the owner
     /// calls [`Self::on_accept_timer`].
     pub fn open(reactor: &mut Reactor<dyn Object>, address: SocketAddr, timer: u32) -> io::Result<Self> {
-        let mut shared = None;
+        let mut listener_socket = None;
         reactor.insert(|key, io| {
             let report = |_| NetworkEvent::AdminsWaiting;
             let (listener, socket) = Listener::bind(address, report, key, io)?;
-            shared = Some(socket);
+            listener_socket = Some(socket);
             Ok(Box::new(listener))
         })?;
-        let listener = shared.ok_or(io::ErrorKind::NotConnected)?;
+        let listener = listener_socket.ok_or(io::ErrorKind::NotConnected)?;
         Ok(AdminServer { listener, connections: VecDeque::new(), is_timer_set: false, timer })
     }
 
@@ -70,7 +70,7 @@
     fn accept(&mut self, reactor: &mut Reactor<dyn Object>) {
         for _ in 0..ACCEPT_BATCH {
             if !self.make_room(reactor) {
-                return self.accept_after(reactor, ACCEPT_RETRY_AFTER);
+                return self.schedule_accept(reactor, ACCEPT_RETRY_AFTER);
             }
             match self.listener.accept() {
                 Ok((stream, _)) => {
@@ -85,17 +85,17 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) => {
                     log::debug!(target: LOG_TARGET, "an admin connection was not accepted: {error}");
-                    return self.accept_after(reactor, ACCEPT_RETRY_AFTER);
+                    return self.schedule_accept(reactor, ACCEPT_RETRY_AFTER);
                 }
             }
         }
-        self.accept_after(reactor, 0);
+        self.schedule_accept(reactor, 0);
     }
 
-    fn accept_after(&mut self, reactor: &mut Reactor<dyn Object>, wait: Micros) {
+    fn schedule_accept(&mut self, reactor: &mut Reactor<dyn Object>, delay: Micros) {
         self.is_timer_set = true;
         let now = reactor.io.now();
-        reactor.io.owner_timer(now + wait, self.timer);
+        reactor.io.owner_timer(now + delay, self.timer);
     }
 
     /// Closes the oldest connections if there are too many, so that idle ones do not block the server. Returns false if the oldest
--- a/crates/cottonnotch/src/net/management/metrics.rs
+++ b/crates/cottonnotch/src/net/management/metrics.rs
@@ -50,65 +50,65 @@
 /// The counters since the start of the process.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    handled: Vec<ClassCounts>,
-    /// Maps the number of a class in the settings to its index in `handled`. Classes with the same name share an index.
-    places: Vec<usize>,
+    class_counts: Vec<ClassCounts>,
+    /// Maps the number of a class in the settings to its index in `class_counts`. Classes with the same name share an index.
+    class_indices: Vec<usize>,
     by_name: HashMap<String, usize>,
-    upstream_tries: u64,
-    loads: u64,
-    load_errors: u64,
+    attempts_written: u64,
+    configurations_applied: u64,
+    configurations_rejected: u64,
     watches_lost: u64,
-    lists_back: u64,
-    lists_refused: u64,
+    older_lists_accepted: u64,
+    older_lists_rejected: u64,
 }
 
 impl Metrics {
     /// Sets the names of the classes in the current settings, in the order of their numbers. A class that was removed from the
     /// settings keeps its counts.
     pub fn set_classes<'a>(&mut self, names: impl Iterator<Item = &'a str>) {
-        self.places.clear();
+        self.class_indices.clear();
         for name in names {
-            let place = *self.by_name.entry(name.to_owned()).or_insert_with(|| {
-                self.handled.push(ClassCounts { name: plain(name), ..ClassCounts::default() });
-                self.handled.len() - 1
+            let index = *self.by_name.entry(name.to_owned()).or_insert_with(|| {
+                self.class_counts.push(ClassCounts { name: escape_name(name), ..ClassCounts::default() });
+                self.class_counts.len() - 1
             });
-            self.places.push(place);
+            self.class_indices.push(index);
         }
     }
 
-    fn handled(&mut self, class: u32) -> Option<&mut ClassCounts> {
-        let place = *self.places.get(class as usize)?;
-        self.handled.get_mut(place)
+    fn counts_of(&mut self, class: u32) -> Option<&mut ClassCounts> {
+        let index = *self.class_indices.get(class as usize)?;
+        self.class_counts.get_mut(index)
     }
 
     /// Counts an established connection.
     pub fn served(&mut self, class: u32) {
-        self.handled(class).into_iter().for_each(|handled| handled.passed += 1);
+        self.counts_of(class).into_iter().for_each(|counts| counts.passed += 1);
     }
 
     /// Counts a rejected request.
     pub fn rejected(&mut self, class: u32) {
-        self.handled(class).into_iter().for_each(|handled| handled.dropped += 1);
+        self.counts_of(class).into_iter().for_each(|counts| counts.dropped += 1);
     }
 
     /// Counts a failed request.
     pub fn failed(&mut self, class: u32) {
-        self.handled(class).into_iter().for_each(|handled| handled.bad_gateway += 1);
+        self.counts_of(class).into_iter().for_each(|counts| counts.bad_gateway += 1);
     }
 
     /// Counts an attempt whose first line was completely written.
     pub fn attempt_written(&mut self) {
-        self.upstream_tries += 1;
+        self.attempts_written += 1;
     }
 
     /// Counts a configuration that was applied on SIGHUP.
     pub fn configuration_applied(&mut self) {
-        self.loads += 1;
+        self.configurations_applied += 1;
     }
 
     /// Counts a configuration that was rejected on SIGHUP.
     pub fn configuration_rejected(&mut self) {
-        self.load_errors += 1;
+        self.configurations_rejected += 1;
     }
 
     /// Counts a watch on discovery that was lost, or whose request failed.
@@ -118,12 +118,12 @@
 
     /// Counts a list that was accepted although its revision is lower than the last one.
     pub fn older_list_accepted(&mut self) {
-        self.lists_back += 1;
+        self.older_lists_accepted += 1;
     }
 
     /// Counts changes to the list that were rejected because their revision is lower than the last one.
     pub fn older_list_rejected(&mut self) {
-        self.lists_refused += 1;
+        self.older_lists_rejected += 1;
     }
 
     /// Formats all metrics, one per line. `audit` supplies the counts of violations and of reasons.
@@ -144,17 +144,17 @@
     }
 
     fn write_counts(&self, text: &mut MetricsText) {
-        for ClassCounts { name, passed, dropped, bad_gateway } in &self.handled {
+        for ClassCounts { name, passed, dropped, bad_gateway } in &self.class_counts {
             text.counter(&format!("handled.{name}.passed"), *passed);
             text.counter(&format!("handled.{name}.dropped"), *dropped);
             text.counter(&format!("handled.{name}.bad_gateway"), *bad_gateway);
         }
-        text.counter("upstream_tries", self.upstream_tries);
-        text.counter("loads", self.loads);
-        text.counter("load_errors", self.load_errors);
+        text.counter("upstream_tries", self.attempts_written);
+        text.counter("loads", self.configurations_applied);
+        text.counter("load_errors", self.configurations_rejected);
         text.counter("watches_lost", self.watches_lost);
-        text.counter("lists_back", self.lists_back);
-        text.counter("lists_refused", self.lists_refused);
+        text.counter("lists_back", self.older_lists_accepted);
+        text.counter("lists_refused", self.older_lists_rejected);
     }
 }
 
@@ -185,7 +185,7 @@
     text.counter("rules.unsent_datagrams", rules.unsent_datagrams);
     text.counter("rules.broken", rules.invariant_violations);
     for namespace in rules.held_back.keys() {
-        text.gauge(&format!("rules.held_back.{}", plain(namespace)), 1);
+        text.gauge(&format!("rules.held_back.{}", escape_name(namespace)), 1);
     }
 }
 
@@ -210,16 +210,16 @@
 
 /// Escapes a name. Characters that could end the name, the value or the line are written as `%` and two hexadecimal digits per
 /// byte.
-fn plain(name: &str) -> String {
-    let mut plain = String::new();
+fn escape_name(name: &str) -> String {
+    let mut escaped = String::new();
     for byte in name.bytes() {
         if byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_') {
-            plain.push(char::from(byte));
+            escaped.push(char::from(byte));
         } else {
-            let _ = write!(plain, "%{byte:02x}");
+            let _ = write!(escaped, "%{byte:02x}");
         }
     }
-    plain
+    escaped
 }
 
 #[cfg(test)]
--- a/crates/cottonnotch/src/net/relay.rs
+++ b/crates/cottonnotch/src/net/relay.rs
@@ -56,14 +56,14 @@
 /// The endpoint's side of an established connection, and the state of the exchange.
 #[derive(Debug)]
 pub struct Relay {
-    link: LineStream,
+    endpoint: LineStream,
     /// The client's unanswered lines, the oldest first.
     unanswered: VecDeque<UnansweredLine>,
     /// The outcome if the connection ends after the endpoint's last line; `None` if that line announces no end.
-    announced_end: Option<Outcome>,
+    announced_outcome: Option<Outcome>,
     client_ended: bool,
     /// The time until which the endpoint may repeat its final answer.
-    answers_until: Micros,
+    repeated_answer_until: Micros,
 }
 
 /// Returns the first word of a line, which may include its line end.
@@ -73,16 +73,22 @@
 
 impl Relay {
     /// Creates a relay for a connection whose `UP` line arrived at `now`.
-    pub fn new(link: LineStream, now: Micros) -> Self {
-        let answers_until = now + REPEATED_ANSWER_WINDOW;
-        Relay { link, unanswered: VecDeque::new(), announced_end: None, client_ended: false, answers_until }
+    pub fn new(endpoint: LineStream, now: Micros) -> Self {
+        let repeated_answer_until = now + REPEATED_ANSWER_WINDOW;
+        Relay {
+            endpoint,
+            unanswered: VecDeque::new(),
+            announced_outcome: None,
+            client_ended: false,
+            repeated_answer_until,
+        }
     }
 
     /// Returns whether a line repeats the final answer. Such a line does not belong to the session, and the client would take it
     /// for a second final answer. `UP` and `BUSY` may also be the echo of an unanswered line of the client; `ERR` may be the
     /// answer to any unanswered line.
     fn is_second_answer(&self, line: &[u8], now: Micros) -> bool {
-        now < self.answers_until
+        now < self.repeated_answer_until
             && match verb(line) {
                 b"UP" | b"BUSY" => !self.unanswered.iter().any(|line| line.looks_like_answer),
                 b"ERR" => self.unanswered.is_empty(),
@@ -101,7 +107,7 @@
             // The client's connection may have broken since then.
             return if client.is_broken() { self.reset() } else { RelayProgress::Idle };
         }
-        if self.link.is_full() {
+        if self.endpoint.is_full() {
             return RelayProgress::Idle;
         }
         let fill = client.fill();
@@ -109,7 +115,7 @@
             match client.take_line() {
                 Ok(Some(line)) => {
                     log::trace!("line from the client: '{}'", line.escape_ascii());
-                    self.link.push(&line);
+                    self.endpoint.push(&line);
                     self.remember_unanswered(&line, now);
                 }
                 Ok(None) => break,
@@ -118,14 +124,14 @@
         }
         match fill {
             Fill::Ended => {
-                self.link.push(&client.take_rest());
-                self.link.finish();
+                self.endpoint.push(&client.take_rest());
+                self.endpoint.finish();
                 self.client_ended = true;
             }
             Fill::Broken(_) => return self.reset(),
             Fill::Blocked | Fill::More => {}
         }
-        if self.link.flush().is_err() {
+        if self.endpoint.flush().is_err() {
             // Data that the endpoint sent before the connection broke must still be read; reading also detects the end.
             return RelayProgress::Idle;
         }
@@ -146,9 +152,9 @@
         if client.is_full() {
             return RelayProgress::Idle;
         }
-        let fill = self.link.fill();
+        let fill = self.endpoint.fill();
         loop {
-            match self.link.take_line() {
+            match self.endpoint.take_line() {
                 Ok(Some(line)) => {
                     log::trace!("line from the endpoint: '{}'", line.escape_ascii());
                     if self.is_second_answer(trim_end(&line), now) {
@@ -164,7 +170,7 @@
         }
         let progress = match fill {
             Fill::Ended => {
-                let rest = self.link.take_rest();
+                let rest = self.endpoint.take_rest();
                 if !self.is_second_answer(trim_end(&rest), now) {
                     client.push(&rest);
                 }
@@ -190,12 +196,12 @@
     /// Continues writing buffered data to the endpoint.
     pub fn flush(&mut self) {
         // A broken connection is detected by the next read.
-        let _ = self.link.flush();
+        let _ = self.endpoint.flush();
     }
 
     /// Resets the connection to the endpoint because the client's connection is broken.
     fn reset(&self) -> RelayProgress {
-        self.link.reset();
+        self.endpoint.reset();
         self.ended(Outcome::Cancelled, End::Reset)
     }
 
@@ -203,20 +209,20 @@
     /// left, which takes precedence over `outcome`.
     fn ended(&self, outcome: Outcome, end: End) -> RelayProgress {
         let left = self.client_ended.then_some(Outcome::Cancelled);
-        RelayProgress::Ended { outcome: self.announced_end.or(left).unwrap_or(outcome), end }
+        RelayProgress::Ended { outcome: self.announced_outcome.or(left).unwrap_or(outcome), end }
     }
 
     /// Evaluates a line of the endpoint: a load report, the announcement of an end, or an answer.
     fn observe_line(&mut self, line: &[u8], now: Micros, observations: &mut Vec<Observation>) {
-        self.announced_end = None;
+        self.announced_outcome = None;
         let mut words = line.split(|b| *b == b' ');
         match words.next().unwrap_or_default() {
             b"LOAD" => {
                 let figure = words.next().and_then(|w| std::str::from_utf8(w).ok()?.parse::<f64>().ok());
                 observations.extend(figure.filter(|f| f.is_finite()).map(Observation::Load));
             }
-            b"BYE" => self.announced_end = Some(Outcome::Served),
-            b"MOVE" => self.announced_end = Some(Outcome::Cancelled),
+            b"BYE" => self.announced_outcome = Some(Outcome::Served),
+            b"MOVE" => self.announced_outcome = Some(Outcome::Cancelled),
             _ => {
                 let answered = self.unanswered.pop_front();
                 let latency = answered.map(|line| now - line.relayed_at);
