--- a/crates/cottonnotch/src/maintenance/maintenance_tests.rs
+++ b/crates/cottonnotch/src/maintenance/maintenance_tests.rs
@@ -17,10 +17,10 @@
     ) {
         let (mut first, mut second) = (Maintenance::default(), Maintenance::default());
         let mut applied = Vec::new();
-        for (now, (out, id, in_second, merge_now)) in (1_000..).zip(calls) {
+        for (now, (out, id, in_second, merge_simultaneously)) in (1_000..).zip(calls) {
             let process = if in_second { &mut second } else { &mut first };
             if out { process.enter(now, &id) } else { process.exit(now, &id) };
-            if merge_now {
+            if merge_simultaneously {
                 let before = first.clone();
                 first.merge(&second);
                 second.merge(&before);
