--- a/crates/cottonnotch/src/config/gossip.rs
+++ b/crates/cottonnotch/src/config/gossip.rs
@@ -22,7 +22,7 @@
         return Err(GossipConfigError::Ordinal { ordinal, members });
     }
     let keys = Keys::load(settings.strength, &files, public.as_deref(), ordinal, members)?;
-    let settings = Settings { multicast: addresses.all.is_some(), ..settings };
+    let settings = Settings { multicast: addresses.all_peers.is_some(), ..settings };
     let incarnation =
         SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
     Ok(Some(GossipConfig { settings, keys, incarnation }))
--- a/crates/cottonnotch/src/config/model.rs
+++ b/crates/cottonnotch/src/config/model.rs
@@ -49,7 +49,7 @@
     /// The address of each proxy, including this one, in the order of their ordinals.
     pub peers: Vec<SocketAddr>,
     /// The address to which one datagram reaches all other proxies; `None` if the platform has none.
-    pub all: Option<SocketAddr>,
+    pub all_peers: Option<SocketAddr>,
 }
 
 /// The configuration of the gossip protocol, without the addresses.
--- a/crates/cottonnotch/src/config/platform.rs
+++ b/crates/cottonnotch/src/config/platform.rs
@@ -108,9 +108,9 @@
 /// Reads the addresses for datagrams between proxies. All keys are optional: a proxy without them has no peers.
 fn read_peer_addresses(reader: &mut ValueReader<'_>) -> Result<PeerAddresses, ConfigError> {
     let listen = reader.file_address("peer_listen")?;
-    let all = reader.file_address("peers_all")?;
+    let all_peers = reader.file_address("peers_all")?;
     let peers = reader.file_addresses("peers")?;
-    Ok(PeerAddresses { listen, peers, all })
+    Ok(PeerAddresses { listen, peers, all_peers })
 }
 
 /// Reads the last endpoint list that the proxy had.
--- a/crates/cottonnotch/src/net/driver/clients/admission.rs
+++ b/crates/cottonnotch/src/net/driver/clients/admission.rs
@@ -76,7 +76,7 @@
         } else if connection_request.tenant.as_ref().is_some_and(is_unknown) {
             Some(RequestError::UnknownTenant)
         } else if self.requests.has_wire_id(connection_request.id) {
-            Some(RequestError::IdOpen)
+            Some(RequestError::DuplicateId)
         } else {
             None
         }
--- a/crates/cottonnotch/src/net/driver/golden_tests.rs
+++ b/crates/cottonnotch/src/net/driver/golden_tests.rs
@@ -181,8 +181,8 @@
         OpenLineError::NotText,
         OpenLineError::NotOpen,
         OpenLineError::NoClass,
-        OpenLineError::BadFigure("id"),
-        OpenLineError::Twice,
+        OpenLineError::InvalidValue("id"),
+        OpenLineError::DuplicateName,
     ];
     let mut texts: Vec<String> =
         lines.into_iter().map(|line| RequestError::InvalidLine(line).to_string()).collect();
@@ -192,7 +192,7 @@
         RequestError::DataBeforeAnswer,
         RequestError::UnknownClass,
         RequestError::UnknownTenant,
-        RequestError::IdOpen,
+        RequestError::DuplicateId,
     ];
     texts.extend(others.iter().map(RequestError::to_string));
     assert_text(&golden_path!("client_errors.txt"), &(texts.join("\n") + "\n"));
--- a/crates/cottonnotch/src/net/driver/peers.rs
+++ b/crates/cottonnotch/src/net/driver/peers.rs
@@ -267,7 +267,7 @@
 }
 
 fn roster(context: &Context) -> Roster {
-    Roster::new(&context.config.peer_addresses.peers, context.config.peer_addresses.all)
+    Roster::new(&context.config.peer_addresses.peers, context.config.peer_addresses.all_peers)
 }
 
 fn bind_socket(context: &mut Context, listen: SocketAddr) -> io::Result<Key> {
--- a/crates/cottonnotch/src/net/open_line.rs
+++ b/crates/cottonnotch/src/net/open_line.rs
@@ -15,9 +15,9 @@
     #[error("no class is named")]
     NoClass,
     #[error("the figure of '{0}' cannot be read")]
-    BadFigure(&'static str),
+    InvalidValue(&'static str),
     #[error("a name is given twice")]
-    Twice,
+    DuplicateName,
 }
 
 /// A valid first line, whose text is kept so that it can be forwarded.
@@ -41,7 +41,7 @@
             return Err(OpenLineError::NotText);
         }
         let (id, names) = split_words(text)?;
-        let id = parse_id(id).ok_or(OpenLineError::BadFigure("id"))?;
+        let id = parse_id(id).ok_or(OpenLineError::InvalidValue("id"))?;
         let mut request = ConnectionRequest {
             id,
             class: String::new(),
@@ -58,7 +58,7 @@
         for pair in names.split(',') {
             let (name, value) = pair.split_once('=').ok_or(OpenLineError::NotOpen)?;
             if name.is_empty() || seen.contains(&name) {
-                return Err(OpenLineError::Twice);
+                return Err(OpenLineError::DuplicateName);
             }
             seen.push(name);
             set_field(&mut request, name, value)?;
@@ -100,11 +100,11 @@
     match name {
         "c" => request.class = value.to_owned(),
         "t" => request.tenant = Some(value.to_owned()).filter(|tenant| !tenant.is_empty() && tenant != "-"),
-        "d" => request.time_left = Some(parse_deadline(value).ok_or(OpenLineError::BadFigure("d"))?),
+        "d" => request.time_left = Some(parse_deadline(value).ok_or(OpenLineError::InvalidValue("d"))?),
         "g" => request.group = Some(u64::from_str_radix(value, 16).unwrap_or_else(|_| digest(value))),
-        "h" => request.load_hint = Some(parse_load(value).ok_or(OpenLineError::BadFigure("h"))?),
-        "r" => request.is_repeat |= parse_flag(value).ok_or(OpenLineError::BadFigure("r"))?,
-        "again" => request.is_repeat |= parse_flag(value).ok_or(OpenLineError::BadFigure("again"))?,
+        "h" => request.load_hint = Some(parse_load(value).ok_or(OpenLineError::InvalidValue("h"))?),
+        "r" => request.is_repeat |= parse_flag(value).ok_or(OpenLineError::InvalidValue("r"))?,
+        "again" => request.is_repeat |= parse_flag(value).ok_or(OpenLineError::InvalidValue("again"))?,
         "at" => request.current_endpoint = Some(value.to_owned()),
         _ => {}
     }
--- a/crates/cottonnotch/src/net/request_error.rs
+++ b/crates/cottonnotch/src/net/request_error.rs
@@ -22,5 +22,5 @@
     /// The id belongs to another client's open connection. Every endpoint would answer such a request with an error, so that
     /// one client could cause all endpoints to be paused.
     #[error("the id is open already")]
-    IdOpen,
+    DuplicateId,
 }
