--- a/crates/cottonnotch/src/config/effective.rs
+++ b/crates/cottonnotch/src/config/effective.rs
@@ -1,5 +1,5 @@
-//! The effective configuration, as `cottonnotch check` prints it: each value in force and its source. The code that reads a
-//! value also records its row here, so that each default is defined in only one place.
+//! The effective configuration, as `cottonnotch check` prints it: each value in force and its source. The code that
+//! reads a value also records its row here, so that each default is defined in only one place.
 
 use super::json_file::JsonFile;
 use super::operator_file::OperatorFile;
--- a/crates/cottonnotch/src/config/error.rs
+++ b/crates/cottonnotch/src/config/error.rs
@@ -1,4 +1,5 @@
-//! Errors for which a configuration is rejected. Each message begins with the invalid key and ends with the file and line.
+//! Errors for which a configuration is rejected. Each message begins with the invalid key and ends with the file
+//! and line.
 
 use super::operator_file::OperatorFileError;
 use crate::rules::RulesError;
@@ -6,7 +7,8 @@
 use cottonnotch_gossip::{GossipSectionError, KeysError};
 use cottonnotch_proxy_core::EndpointUpdateError;
 
-/// Why a configuration is rejected. At the start the proxy then exits; on a reload it keeps the configuration in force.
+/// Why a configuration is rejected. At the start the proxy then exits; on a reload it keeps the configuration in
+/// force.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The platform's file cannot be read.
--- a/crates/cottonnotch/src/config/gossip.rs
+++ b/crates/cottonnotch/src/config/gossip.rs
@@ -7,8 +7,8 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Checks the section and loads the key files that it names; returns `None` if gossip is off. Loading the keys here makes the
-/// start or the reload fail if a key is invalid.
+/// Checks the section and loads the key files that it names; returns `None` if gossip is off. Loading the keys here
+/// makes the start or the reload fail if a key is invalid.
 pub fn read(
     section: &GossipSection,
     addresses: &PeerAddresses,
--- a/crates/cottonnotch/src/config/json_file.rs
+++ b/crates/cottonnotch/src/config/json_file.rs
@@ -1,5 +1,5 @@
-//! The platform's JSON file, and the line number of each key in it. simd-json values carry no positions, but the keys of
-//! its borrowed values are slices of the input, so the address of a key yields its offset.
+//! The platform's JSON file, and the line number of each key in it. simd-json values carry no positions, but the
+//! keys of its borrowed values are slices of the input, so the address of a key yields its offset.
 
 use super::error::ConfigError;
 use simd_json::cow::Cow;
--- a/crates/cottonnotch/src/config/mod.rs
+++ b/crates/cottonnotch/src/config/mod.rs
@@ -1,10 +1,10 @@
-//! Reads and checks the configuration and applies defaults; no other module does. There are three sources: the environment
-//! that the platform sets, the JSON file that `GW_CONFIG` names, and the operator's TOML file. All three are read completely
-//! before any value is used.
+//! Reads and checks the configuration and applies defaults; no other module does. There are three sources: the
+//! environment that the platform sets, the JSON file that `GW_CONFIG` names, and the operator's TOML file. All
+//! three are read completely before any value is used.
 //!
-//! The platform's and the operator's keys do not overlap, with one exception: `RUST_LOG` takes precedence over `log.filter`.
-//! At the start, an environment variable takes precedence over the same key in the JSON file; on SIGHUP the file takes
-//! precedence, because the environment cannot have changed.
+//! The platform's and the operator's keys do not overlap, with one exception: `RUST_LOG` takes precedence over
+//! `log.filter`. At the start, an environment variable takes precedence over the same key in the JSON file; on
+//! SIGHUP the file takes precedence, because the environment cannot have changed.
 
 mod effective;
 mod environment;
--- a/crates/cottonnotch/src/config/model.rs
+++ b/crates/cottonnotch/src/config/model.rs
@@ -59,7 +59,7 @@
     pub settings: cottonnotch_gossip::Settings,
     /// The keys that authenticate the members.
     pub keys: Keys,
-    /// Distinguishes this process from earlier processes of the same proxy: the Unix time in milliseconds at which this
-    /// configuration was read.
+    /// Distinguishes this process from earlier processes of the same proxy: the Unix time in milliseconds at which
+    /// this configuration was read.
     pub incarnation: u64,
 }
--- a/crates/cottonnotch/src/config/operator.rs
+++ b/crates/cottonnotch/src/config/operator.rs
@@ -1,6 +1,6 @@
-//! The operator's file, which holds all configuration that the platform does not set. Each subsystem has one section, whose
-//! type is defined in the crate that it configures. To add a section, add a field to [`OperatorConfig`] and a line to each of
-//! `check` and `replacing`.
+//! The operator's file, which holds all configuration that the platform does not set. Each subsystem has one
+//! section, whose type is defined in the crate that it configures. To add a section, add a field to
+//! [`OperatorConfig`] and a line to each of `check` and `replacing`.
 
 use super::effective::{EffectiveConfig, Source};
 use super::environment::{OPERATOR_VARIABLE, variable};
@@ -36,14 +36,16 @@
     /// The section `[accord]` is invalid.
     #[error(transparent)]
     Consensus(#[from] SectionError),
-    /// Aggregation is on, whose datagrams are not authenticated, while gossip is configured to authenticate its datagrams.
+    /// Aggregation is on, whose datagrams are not authenticated, while gossip is configured to authenticate its
+    /// datagrams.
     #[error(
         "fleet.members_from requires gossip.strength 'address', aggregation datagrams are not authenticated"
     )]
     AggregationUnauthenticated,
 }
 
-/// All sections of the operator's file. A section that the file omits has its default values, which turn its subsystem off.
+/// All sections of the operator's file. A section that the file omits has its default values, which turn its
+/// subsystem off.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorConfig {
@@ -66,7 +68,8 @@
 }
 
 impl OperatorConfig {
-    /// Reads and checks the whole file and records each value in `effective`; without a file, all values are defaults.
+    /// Reads and checks the whole file and records each value in `effective`; without a file, all values are
+    /// defaults.
     pub fn read(path: Option<&Path>, effective: &mut EffectiveConfig) -> Result<OperatorConfig, ConfigError> {
         let mut operator = OperatorConfig::default();
         let shown = path.map_or(String::new(), |path| path.display().to_string());
@@ -96,8 +99,8 @@
         Ok(())
     }
 
-    /// Replaces the `old` configuration, except for values that cannot change while clients are served; logs a warning for
-    /// each section that has such a change. Returns the configuration that is now in force.
+    /// Replaces the `old` configuration, except for values that cannot change while clients are served; logs a
+    /// warning for each section that has such a change. Returns the configuration that is now in force.
     pub fn replacing(self, old: &OperatorConfig) -> OperatorConfig {
         if self.records != old.records {
             log::warn!(
@@ -126,11 +129,12 @@
         OperatorConfig { log, records, gossip, fleet, rules, hardware, consensus }
     }
 
-    /// Records each value with its source. The keys and values come from serializing the configuration, so that no section
-    /// has to list its keys a second time.
+    /// Records each value with its source. The keys and values come from serializing the configuration, so that no
+    /// section has to list its keys a second time.
     fn record_values(&self, effective: &mut EffectiveConfig) {
         let mut values = BTreeMap::new();
-        // All values of the sections can be serialized as JSON. If serialization failed, `check` would only print fewer lines.
+        // All values of the sections can be serialized as JSON. If serialization failed, `check` would only print
+        // fewer lines.
         if let Ok(serialized) = simd_json::serde::to_owned_value(self) {
             collect_leaves("", &serialized, &mut values);
         }
--- a/crates/cottonnotch/src/config/operator_file.rs
+++ b/crates/cottonnotch/src/config/operator_file.rs
@@ -1,6 +1,6 @@
-//! Reads a TOML file into a serde type. An error names the invalid key and its line, and suggests a similar name. This module
-//! does not depend on the sections: `toml` keeps the spans of keys and values, and the key whose span contains the position of
-//! an error is the invalid one.
+//! Reads a TOML file into a serde type. An error names the invalid key and its line, and suggests a similar name.
+//! This module does not depend on the sections: `toml` keeps the spans of keys and values, and the key whose span
+//! contains the position of an error is the invalid one.
 
 use crate::spelling::nearest_name;
 use serde::de::DeserializeOwned;
@@ -79,7 +79,8 @@
         self.spans.get(key).map(|span| line_at(&self.text, span.key.start))
     }
 
-    /// Builds the error for a problem that serde does not detect. The message of `error` begins with the full path of the key.
+    /// Builds the error for a problem that serde does not detect. The message of `error` begins with the full path
+    /// of the key.
     pub fn reject(&self, error: &dyn fmt::Display) -> OperatorFileError {
         let message = error.to_string();
         let (key, problem) = message.split_once(' ').unwrap_or((&message, "is faulty"));
@@ -137,8 +138,9 @@
     text.bytes().take(offset).filter(|byte| *byte == b'\n').count() + 1
 }
 
-/// Rewrites serde's message as a predicate of the key, and suggests the name that was probably meant. Names in the message are
-/// in backticks, the unknown name first and the known names after it; a message in another format is passed on.
+/// Rewrites serde's message as a predicate of the key, and suggests the name that was probably meant. Names in the
+/// message are in backticks, the unknown name first and the known names after it; a message in another format is
+/// passed on.
 fn describe(message: &str) -> String {
     let names: Vec<&str> = message.split('`').skip(1).step_by(2).collect();
     let known = |names: &[&str]| names.iter().map(|name| format!("'{name}'")).collect::<Vec<_>>().join(", ");
--- a/crates/cottonnotch/src/config/operator_tests.rs
+++ b/crates/cottonnotch/src/config/operator_tests.rs
@@ -26,7 +26,8 @@
     let to_descriptor = RecordsSection { descriptor, queue_records, flush_ms, ..default_records.clone() };
     assert!(file.is_some() && descriptor.is_some());
     for records in [to_file, to_descriptor] {
-        // Aggregation is not authenticated, so it cannot be combined with the file's gossip strength, which is not 'address'.
+        // Aggregation is not authenticated, so it cannot be combined with the file's gossip strength, which is not
+        // 'address'.
         let fleet = FleetSection::default();
         OperatorConfig { records, fleet, ..read.clone() }.check().unwrap();
     }
--- a/crates/cottonnotch/src/config/platform.rs
+++ b/crates/cottonnotch/src/config/platform.rs
@@ -1,5 +1,5 @@
-//! Reads the platform's configuration: the environment and the JSON file that `GW_CONFIG` names. Unknown keys are ignored,
-//! because the platform may add keys.
+//! Reads the platform's configuration: the environment and the JSON file that `GW_CONFIG` names. Unknown keys are
+//! ignored, because the platform may add keys.
 
 use super::effective::{EffectiveConfig, Source};
 use super::environment::variable;
@@ -27,8 +27,9 @@
 const DEFAULT_MEMORY_MB: u64 = 192;
 /// The lower bound of the buffer size for each direction of a connection.
 const MIN_BUFFER_BYTES: u64 = 8 * 1024;
-/// The upper bound of the buffer size for each direction of a connection. Between the two bounds, the size is a quarter of
-/// the memory limit divided by the limit of file descriptors, so that all buffers together use a quarter of the memory.
+/// The upper bound of the buffer size for each direction of a connection. Between the two bounds, the size is a
+/// quarter of the memory limit divided by the limit of file descriptors, so that all buffers together use a quarter
+/// of the memory.
 const MAX_BUFFER_BYTES: u64 = 64 * 1024;
 /// The smallest allowed limit of file descriptors. With fewer, the proxy's own descriptors leave none for a client.
 const MIN_SOCKETS: u64 = 64;
@@ -128,7 +129,8 @@
     Ok(known)
 }
 
-/// Reads the routing rules that the operator's file names. If there is such a file, an error includes its path and line.
+/// Reads the routing rules that the operator's file names. If there is such a file, an error includes its path and
+/// line.
 fn read_rules(
     operator: &OperatorConfig,
     effective: &EffectiveConfig,
--- a/crates/cottonnotch/src/config/platform_settings.rs
+++ b/crates/cottonnotch/src/config/platform_settings.rs
@@ -1,5 +1,5 @@
-//! Reads the key `settings` of the platform's file: checks and flattens the settings, and converts them to the types of the
-//! decision module.
+//! Reads the key `settings` of the platform's file: checks and flattens the settings, and converts them to the
+//! types of the decision module.
 
 use super::effective::Source;
 use super::error::{ConfigError, ValueError};
@@ -10,8 +10,8 @@
 use simd_json::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The allowed deadlines and timeouts in microseconds, up to one day. Zero is not allowed, because no connection could be
-/// established within it.
+/// The allowed deadlines and timeouts in microseconds, up to one day. Zero is not allowed, because no connection
+/// could be established within it.
 const DURATION_BOUNDS: Bounds = Bounds { min: 0.0, max: 86_400e6 };
 /// The allowed numbers of attempts per request; no use case needs more.
 const ATTEMPT_BOUNDS: Bounds = Bounds { min: 1.0, max: 1000.0 };
@@ -43,8 +43,9 @@
     if profile.settings.classes.is_empty() {
         return Err(ValueError::Missing { key: "settings.requestClasses" });
     }
-    // Over sockets, the endpoint list arrives only through a watch, whichever mode the platform sets. In the mode for pushed
-    // lists, `list_pushed` stays set as well, so that the decision module opens the watch at the start without a delay.
+    // Over sockets, the endpoint list arrives only through a watch, whichever mode the platform sets. In the mode
+    // for pushed lists, `list_pushed` stays set as well, so that the decision module opens the watch at the start
+    // without a delay.
     profile.settings.list_on_request = true;
     Ok((profile, pairs))
 }
@@ -69,8 +70,8 @@
     }
 }
 
-/// Checks that the number of attempts and the timeout are above 0, if they are set. Otherwise a default or a clamp would
-/// replace the value, and requests would stay unanswered or be given up before they are sent.
+/// Checks that the number of attempts and the timeout are above 0, if they are set. Otherwise a default or a clamp
+/// would replace the value, and requests would stay unanswered or be given up before they are sent.
 fn check_numbers(settings: &OwnedValue) -> Result<(), ValueError> {
     for (name, bounds) in [("mostTries", ATTEMPT_BOUNDS), ("connectTimeout", DURATION_BOUNDS)] {
         if let Some(value) = settings.get("policyLimits").and_then(|limits| limits.get(name)) {
--- a/crates/cottonnotch/src/config/present_keys.rs
+++ b/crates/cottonnotch/src/config/present_keys.rs
@@ -13,8 +13,8 @@
 /// Keys of a class that only apply to some kinds of idempotency, so that they may come and go with it.
 const CLASS_SPECIFIC: [&str; 2] = ["window", "group"];
 
-/// The full paths of the keys. Because the items of a list may change, a list contributes only the keys that all its items
-/// have, with `*` in place of the index.
+/// The full paths of the keys. Because the items of a list may change, a list contributes only the keys that all
+/// its items have, with `*` in place of the index.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PresentKeys {
     /// The path of the file.
--- a/crates/cottonnotch/src/config/value_reader.rs
+++ b/crates/cottonnotch/src/config/value_reader.rs
@@ -1,5 +1,5 @@
-//! Reads single values from the environment and the platform's JSON file: applies the precedence, checks the value and
-//! records its source.
+//! Reads single values from the environment and the platform's JSON file: applies the precedence, checks the value
+//! and records its source.
 
 use super::effective::{EffectiveConfig, Source};
 use super::environment::variable;
@@ -54,7 +54,8 @@
         self.error(ValueError::Invalid { key, problem, value }, source)
     }
 
-    /// Reads a text from the environment variable `name` or from `key` in the file; records it and returns it with its source.
+    /// Reads a text from the environment variable `name` or from `key` in the file; records it and returns it with
+    /// its source.
     pub fn text(
         &mut self,
         name: &'static str,
@@ -137,8 +138,8 @@
         u64::from_str_radix(&text, 16).map_err(|_| self.invalid(key, problem, text, source))
     }
 
-    /// Reads a number below `limits` in the file. `key` is its full path, `name` the last segment of it; `check` converts the
-    /// value and returns `None` if it is invalid.
+    /// Reads a number below `limits` in the file. `key` is its full path, `name` the last segment of it; `check`
+    /// converts the value and returns `None` if it is invalid.
     pub fn limit<T>(
         &mut self,
         key: &'static str,
--- a/crates/cottonnotch/src/logging.rs
+++ b/crates/cottonnotch/src/logging.rs
@@ -1,5 +1,5 @@
-//! Logging to standard error; each line has a text and key-value fields. The `log` and `env_logger` crates do the work. This
-//! module adds the operator's settings, and a logger that can be replaced while the program runs.
+//! Logging to standard error; each line has a text and key-value fields. The `log` and `env_logger` crates do the
+//! work. This module adds the operator's settings, and a logger that can be replaced while the program runs.
 
 use crate::spelling::nearest_name;
 use env_logger::fmt::Formatter;
@@ -16,7 +16,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "a table")]
 pub struct LogConfig {
-    /// Selects the lines that are written, in the syntax of `RUST_LOG`: `LEVEL` or `TARGET=LEVEL`, separated by commas.
+    /// Selects the lines that are written, in the syntax of `RUST_LOG`: `LEVEL` or `TARGET=LEVEL`, separated by
+    /// commas.
     pub filter: String,
     /// The format of the log lines.
     pub format: LogFormat,
@@ -73,8 +74,8 @@
         LogConfig { rust_log: std::env::var("RUST_LOG").ok(), ..LogConfig::default() }
     }
 
-    /// Checks the filter. A misspelt level is rejected here because the parser would take it as the name of a module, and the
-    /// lines of all other modules would be dropped.
+    /// Checks the filter. A misspelt level is rejected here because the parser would take it as the name of a
+    /// module, and the lines of all other modules would be dropped.
     pub fn check(&self) -> Result<(), LogConfigError> {
         for directive in self.filter.split(',').map(str::trim) {
             let level = directive.rsplit_once('=').map_or(directive, |(_, level)| level);
@@ -86,8 +87,8 @@
         filter.map_err(LogConfigError::Filter)
     }
 
-    /// Replaces the `old` configuration. The new filter applies at once. The format stays, because a program that reads the
-    /// log could not tell where it changes. Returns the configuration that is now in force.
+    /// Replaces the `old` configuration. The new filter applies at once. The format stays, because a program that
+    /// reads the log could not tell where it changes. Returns the configuration that is now in force.
     pub fn replacing(self, old: &LogConfig) -> LogConfig {
         if self.format != old.format {
             let format = old.format;
@@ -159,8 +160,8 @@
     log::set_max_level(level);
 }
 
-/// Writes each field as ` key=value`, with quotes if the value contains characters that would make it ambiguous. Some values
-/// come from other programs; quoting keeps them from imitating a log line or a field of the proxy.
+/// Writes each field as ` key=value`, with quotes if the value contains characters that would make it ambiguous.
+/// Some values come from other programs; quoting keeps them from imitating a log line or a field of the proxy.
 fn text_fields(out: &mut Formatter, fields: &dyn Source) -> io::Result<()> {
     struct Fields<'a>(&'a mut Formatter);
     impl<'kvs> VisitSource<'kvs> for Fields<'_> {
@@ -183,7 +184,8 @@
     struct Fields(OwnedValue);
     impl<'kvs> VisitSource<'kvs> for Fields {
         fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
-            // A value is written as a number only if it was logged as a number; a text that looks like a number stays a text.
+            // A value is written as a number only if it was logged as a number; a text that looks like a number
+            // stays a text.
             let integer = value.to_u64().map(OwnedValue::from).or(value.to_i64().map(OwnedValue::from));
             let number = integer.or(value.to_f64().map(OwnedValue::from));
             let scalar = number.or(value.to_bool().map(OwnedValue::from));
--- a/crates/cottonnotch/src/main.rs
+++ b/crates/cottonnotch/src/main.rs
@@ -37,8 +37,8 @@
     // The error for an invalid file is logged with the default settings.
     logging::install(operator.as_ref().map_or(&LogConfig::from_environment(), |read| &read.log));
     let config = operator.and_then(|operator| Config::load(operator, &mut effective));
-    // The recorder is opened before any socket: otherwise the number of the configured descriptor could be assigned to a
-    // socket.
+    // The recorder is opened before any socket: otherwise the number of the configured descriptor could be assigned
+    // to a socket.
     let opened = config.and_then(|config| Ok((open_recorder(&config, &effective)?, config)));
     let (recorder, config) = match opened {
         Ok(opened) => opened,
--- a/crates/cottonnotch/src/maintenance/maintenance_tests.rs
+++ b/crates/cottonnotch/src/maintenance/maintenance_tests.rs
@@ -5,7 +5,8 @@
     prop_oneof![Just("a".to_owned()), Just("b".to_owned()), Just("s-5be2".to_owned())]
 }
 
-/// The reference model: given all overrides in the order in which they were set, the last override of an id is in force.
+/// The reference model: given all overrides in the order in which they were set, the last override of an id is in
+/// force.
 fn is_out(calls: &[(bool, String)], id: &str) -> bool {
     calls.iter().rev().find(|(_, called)| called == id).is_some_and(|(out, _)| *out)
 }
@@ -26,8 +27,8 @@
                 second.merge(&before);
                 prop_assert_eq!(&first, &second, "both states are equal after the merge");
             } else {
-                // Merges in both directions after each call. A process that does not know the other's overrides might find
-                // nothing to change, and the call would have no effect.
+                // Merges in both directions after each call. A process that does not know the other's overrides
+                // might find nothing to change, and the call would have no effect.
                 first.merge(&second);
                 second.merge(&first.clone());
             }
--- a/crates/cottonnotch/src/maintenance/mod.rs
+++ b/crates/cottonnotch/src/maintenance/mod.rs
@@ -1,6 +1,6 @@
-//! Manual maintenance, without I/O: the render nodes that operators have taken out of use, and how these overrides apply to
-//! discovery's list. During a hot restart, two processes of one proxy each hold such a state and merge them. For each render
-//! node the later override is in force, so the order of merging does not matter.
+//! Manual maintenance, without I/O: the render nodes that operators have taken out of use, and how these overrides
+//! apply to discovery's list. During a hot restart, two processes of one proxy each hold such a state and merge
+//! them. For each render node the later override is in force, so the order of merging does not matter.
 
 mod text_format;
 
@@ -9,8 +9,8 @@
 use cottonnotch_decision::{Micros, ServerState};
 use std::collections::BTreeMap;
 
-/// How long an override is kept after the maintenance has ended. This exceeds the overlap of two processes in a hot restart
-/// and the length of any slow start.
+/// How long an override is kept after the maintenance has ended. This exceeds the overlap of two processes in a hot
+/// restart and the length of any slow start.
 const RETENTION: Micros = 900_000_000;
 /// The maximum number of overrides, which keeps the saved state a small file.
 pub const MAX_OVERRIDES: usize = 4096;
@@ -18,8 +18,8 @@
 /// The latest override for one render node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ManualOverride {
-    /// When the override was set, in microseconds of Unix time. A later override for the same render node always has a later
-    /// time.
+    /// When the override was set, in microseconds of Unix time. A later override for the same render node always
+    /// has a later time.
     pub set_at: Micros,
     /// Whether the override takes the render node out of use.
     pub is_out: bool,
@@ -64,8 +64,8 @@
         true
     }
 
-    /// Puts a render node back into use, regardless of how often `enter` was called for it. Returns false if it is not out of
-    /// use.
+    /// Puts a render node back into use, regardless of how often `enter` was called for it. Returns false if it is
+    /// not out of use.
     pub fn exit(&mut self, now: Micros, id: &str) -> bool {
         let set_at = self.next_timestamp(now, id);
         match self.overrides.get_mut(id).filter(|manual_override| manual_override.is_out) {
@@ -78,16 +78,16 @@
         }
     }
 
-    /// Returns the time for a new override. It is later than the time of the previous override even if the clock was set back,
-    /// so that the new override takes effect.
+    /// Returns the time for a new override. It is later than the time of the previous override even if the clock
+    /// was set back, so that the new override takes effect.
     fn next_timestamp(&self, now: Micros, id: &str) -> Micros {
         self.overrides
             .get(id)
             .map_or(now, |manual_override| now.max(manual_override.set_at.saturating_add(1)))
     }
 
-    /// Merges another state into this one: for each render node, the later override is kept. Returns the ids of the render
-    /// nodes whose override has changed.
+    /// Merges another state into this one: for each render node, the later override is kept. Returns the ids of the
+    /// render nodes whose override has changed.
     pub fn merge(&mut self, other: &Maintenance) -> Vec<String> {
         let mut changed = Vec::new();
         for (id, theirs) in &other.overrides {
@@ -102,8 +102,9 @@
         changed
     }
 
-    /// Copies the overrides for these render nodes from another state and converts their times with `convert`. Removes all
-    /// overrides that the other state does not have. The overrides for other render nodes keep their times.
+    /// Copies the overrides for these render nodes from another state and converts their times with `convert`.
+    /// Removes all overrides that the other state does not have. The overrides for other render nodes keep their
+    /// times.
     pub fn copy_overrides(
         &mut self,
         other: &Maintenance,
@@ -129,9 +130,9 @@
             .retain(|_, manual_override| manual_override.is_out || now - manual_override.set_at < RETENTION);
     }
 
-    /// Applies the override for a render node to its listed state and start time. A render node that is out of use counts as
-    /// draining unless discovery has removed it. A render node that is back in use counts as newly started at the time when it
-    /// was put back, unless discovery lists a start after it was taken out.
+    /// Applies the override for a render node to its listed state and start time. A render node that is out of use
+    /// counts as draining unless discovery has removed it. A render node that is back in use counts as newly
+    /// started at the time when it was put back, unless discovery lists a start after it was taken out.
     pub fn apply(
         &self,
         id: &str,
@@ -142,8 +143,8 @@
             Some(manual_override) if manual_override.is_out && listed == ServerState::Ready => {
                 (ServerState::Draining, started)
             }
-            // If the listed start is later than `out_since`, the render node was restarted during the maintenance, and
-            // that start time applies.
+            // If the listed start is later than `out_since`, the render node was restarted during the maintenance,
+            // and that start time applies.
             Some(manual_override)
                 if !manual_override.is_out && started.is_none_or(|at| at <= manual_override.out_since) =>
             {
--- a/crates/cottonnotch/src/maintenance/text_format.rs
+++ b/crates/cottonnotch/src/maintenance/text_format.rs
@@ -1,5 +1,5 @@
-//! The text format of the saved state: a first line with the format's name and version, one line for each override, and a
-//! last line with a checksum of everything before it. A text is accepted completely or not at all.
+//! The text format of the saved state: a first line with the format's name and version, one line for each override,
+//! and a last line with a checksum of everything before it. A text is accepted completely or not at all.
 
 use super::{MAX_OVERRIDES, Maintenance, ManualOverride};
 use cottonnotch_decision::names::digest;
--- a/crates/cottonnotch/src/net/attempt.rs
+++ b/crates/cottonnotch/src/net/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt to establish a connection at an endpoint: connects, writes the client's first line, and waits for the answer.
+//! One attempt to establish a connection at an endpoint: connects, writes the client's first line, and waits for
+//! the answer.
 
 use super::client_protocol::AttemptParameters;
 use super::network_event::Io;
@@ -13,8 +14,8 @@
 /// The log target of this module, on which log filters and collectors rely.
 const LOG_TARGET: &str = "cottonnotch::net::attempt";
 
-/// The phase of an attempt. The endpoint cannot have executed the request before the last byte of the first line is written;
-/// from then on it may have.
+/// The phase of an attempt. The endpoint cannot have executed the request before the last byte of the first line is
+/// written; from then on it may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Connecting,
@@ -72,7 +73,8 @@
 }
 
 impl Attempt {
-    /// Starts the attempt. `line` is the client's first line; `deadline` is when the proxy stops waiting for the answer.
+    /// Starts the attempt. `line` is the client's first line; `deadline` is when the proxy stops waiting for the
+    /// answer.
     pub fn start(
         io: &mut Io,
         key: Key,
@@ -112,8 +114,9 @@
 
     /// Continues the attempt as far as the socket allows without blocking.
     pub fn advance(&mut self, now: Micros) -> Progress {
-        // If the socket becomes ready and the time limit expires in the same turn of the event loop, readiness is handled
-        // first. The attempt is given up here all the same: its first line is not written, so it cannot have been executed.
+        // If the socket becomes ready and the time limit expires in the same turn of the event loop, readiness is
+        // handled first. The attempt is given up here all the same: its first line is not written, so it cannot
+        // have been executed.
         if let Some(outcome) = self.expiry_outcome(now).filter(|_| !self.is_written()) {
             return Progress::Ended(outcome);
         }
@@ -146,14 +149,15 @@
     }
 
     fn is_too_late_to_write(&self, now: Micros) -> bool {
-        // After a suspension of the process, or with a slow endpoint, other rules may be in force by now, so the decision
-        // has to be made again.
+        // After a suspension of the process, or with a slow endpoint, other rules may be in force by now, so the
+        // decision has to be made again.
         self.rules_write_deadline.is_some_and(|deadline| Clock.now() >= deadline)
             // A retry that arrives after its idempotency window would be executed as a new request.
             || self.write_deadline.is_some_and(|deadline| now >= deadline)
     }
 
-    /// Queues the first line with the time for which the proxy will wait from now on, because connecting may have taken long.
+    /// Queues the first line with the time for which the proxy will wait from now on, because connecting may have
+    /// taken long.
     fn begin_writing(&mut self, now: Micros) {
         let left = self.deadline.map(|deadline| deadline - now);
         self.stream.push(&self.line.forwarded(left));
@@ -165,7 +169,8 @@
         self.is_written() && !std::mem::replace(&mut self.write_reported, true)
     }
 
-    /// Returns whether the first line has been completely written, so that the endpoint may have executed the request.
+    /// Returns whether the first line has been completely written, so that the endpoint may have executed the
+    /// request.
     pub fn is_written(&self) -> bool {
         self.phase == Phase::Waiting
     }
--- a/crates/cottonnotch/src/net/client_connection/attempting.rs
+++ b/crates/cottonnotch/src/net/client_connection/attempting.rs
@@ -10,8 +10,8 @@
 impl ClientConnection {
     /// Continues the attempt as far as its socket allows without blocking.
     pub(super) fn advance_attempt(&mut self, io: &mut Io) {
-        // The attempt may connect long after its start, when the client may have left. As long as the first line is not
-        // written, the attempt can be dropped without effect.
+        // The attempt may connect long after its start, when the client may have left. As long as the first line is
+        // not written, the attempt can be dropped without effect.
         let is_unwritten = matches!(&self.state, State::Attempting(attempt) if !attempt.is_written());
         if is_unwritten && !self.check_client_present(io) {
             return;
@@ -55,7 +55,8 @@
         self.report(io, ClientEvent::AttemptEnded(outcome));
     }
 
-    /// Handles the attempt's timer: ends the attempt if its time limit has expired, and sets the timer again otherwise.
+    /// Handles the attempt's timer: ends the attempt if its time limit has expired, and sets the timer again
+    /// otherwise.
     pub(super) fn check_attempt_timeout(&mut self, io: &mut Io) {
         let State::Attempting(attempt) = &self.state else { return };
         let now = io.now();
--- a/crates/cottonnotch/src/net/client_connection/commands.rs
+++ b/crates/cottonnotch/src/net/client_connection/commands.rs
@@ -10,8 +10,9 @@
 use std::fmt::Display;
 
 impl ClientConnection {
-    /// Returns whether the client waits for an attempt or for its final answer. The client may have left, or have been
-    /// rejected because it sent data too early, while the report of it is still queued; it must not get a second answer.
+    /// Returns whether the client waits for an attempt or for its final answer. The client may have left, or have
+    /// been rejected because it sent data too early, while the report of it is still queued; it must not get a
+    /// second answer.
     fn is_queued(&self) -> bool {
         invariant!(
             !matches!(self.state, State::Attempting(_) | State::Established(_)),
@@ -100,7 +101,8 @@
                 self.send_final_line(io, &busy_line(retry_after));
                 true
             }
-            // The client has received its PONG, and would take a BUSY for the answer to another request.
+            // The client has received its PONG and has sent no request, so it could mistake a BUSY for another
+            // answer.
             State::ReadingFirstLine { pinged: true, .. } => {
                 self.finish_client(io);
                 false
@@ -111,10 +113,11 @@
 
     fn evict_idle(&mut self, io: &mut Io, retry_after: Micros) -> bool {
         let rejected = self.reject_idle(io, retry_after);
-        // This also closes the connections of clients that sent PING and stayed: hundreds of them once kept all other clients
-        // from being accepted.
+        // This also closes the connections of clients that sent PING and stayed: hundreds of them once kept all
+        // other clients from being accepted.
         if let State::Answered { .. } = self.state {
-            // Closing with unread bytes would reset the connection, and the client would lose the line that was just written.
+            // Closing with unread bytes would reset the connection, and the client would lose the line that was
+            // just written.
             self.client.discard();
             self.state = State::Closed;
         }
--- a/crates/cottonnotch/src/net/client_connection/first_line.rs
+++ b/crates/cottonnotch/src/net/client_connection/first_line.rs
@@ -1,4 +1,5 @@
-//! Handling of a client's connection up to its answer: reads the first line, and then only watches whether the client leaves.
+//! Handling of a client's connection up to its answer: reads the first line, and then only watches whether the
+//! client leaves.
 
 use super::{ClientConnection, LOG_TARGET, PING_TIMEOUT, State};
 use crate::net::final_answer::error_line;
@@ -56,25 +57,26 @@
                 self.line = Some(line);
                 self.state = State::Queued;
                 self.report(io, ClientEvent::ConnectionRequested(request));
-                // The client may have closed its side along with the line. The poll is edge-triggered and does not report that
-                // again, so the socket has to be read once more.
+                // The client may have closed its side along with the line. The poll is edge-triggered and does not
+                // report that again, so the socket has to be read once more.
                 io.call_again(self.key, Half::Near);
             }
             Err(error) => self.reject_client(io, error.into()),
         }
     }
 
-    /// Checks whether the client has left or has sent data before its answer. A client has to wait for its answer: data that
-    /// it sends earlier would have to be buffered, or would be lost with the attempt, so such a client is rejected.
+    /// Checks whether the client has left or has sent data before its answer. A client has to wait for its answer:
+    /// data that it sends earlier would have to be buffered, or would be lost with the attempt, so such a client is
+    /// rejected.
     pub(super) fn watch_client(&mut self, io: &mut Io) {
         let outcome = match &self.state {
             State::Attempting(attempt) if attempt.is_written() => Outcome::Cancelled,
             _ => Outcome::NotSent,
         };
         match self.client.fill() {
-            // In the protocol, a peer that ends its sending gives up; the proxy does the same towards an endpoint. A client
-            // that has closed both directions cannot be told apart from one that still reads. A request without an answer
-            // counts as lost, so the client gets an error, which it sees if it still reads.
+            // In the protocol, a peer that ends its sending gives up; the proxy does the same towards an endpoint.
+            // A client that has closed both directions cannot be told apart from one that still reads. A request
+            // without an answer counts as lost, so the client gets an error, which it sees if it still reads.
             Fill::Ended => {
                 self.send_final_line(io, &error_line(&"the client has ended its sending"));
                 self.report(io, ClientEvent::Left(outcome));
@@ -90,8 +92,8 @@
         }
     }
 
-    /// Reads the client's socket and returns whether an answer is still owed. A client may have left while the event for it
-    /// is queued behind a thousand others; no attempt may start for such a client.
+    /// Reads the client's socket and returns whether an answer is still owed. A client may have left while the
+    /// event for it is queued behind a thousand others; no attempt may start for such a client.
     pub(super) fn check_client_present(&mut self, io: &mut Io) -> bool {
         if self.owes_answer() {
             self.watch_client(io);
--- a/crates/cottonnotch/src/net/client_connection/mod.rs
+++ b/crates/cottonnotch/src/net/client_connection/mod.rs
@@ -18,18 +18,18 @@
 use cottonnotch_reactor::{Connection, Half, Key};
 use std::net::SocketAddr;
 
-/// The time limit for the first line; a client that exceeds it gets an error. A client that connects and sends nothing must
-/// get an answer within 3 s and must not hold a file descriptor that other clients need.
+/// The time limit for the first line; a client that exceeds it gets an error. A client that connects and sends
+/// nothing must get an answer within 3 s and must not hold a file descriptor that other clients need.
 const FIRST_LINE_TIMEOUT: Micros = 1_500_000;
-/// The time limit for the next line after a PING. The load balancer in front of the proxy checks its health with PING, and
-/// may be silent for longer than other clients.
+/// The time limit for the next line after a PING. The load balancer in front of the proxy checks its health with
+/// PING, and may be silent for longer than other clients.
 const PING_TIMEOUT: Micros = 30_000_000;
-/// How long the proxy waits for the client to close first after the final answer. Closing with unread bytes would reset the
-/// connection, and the client could lose the answer.
+/// How long the proxy waits for the client to close first after the final answer. Closing with unread bytes would
+/// reset the connection, and the client could lose the answer.
 const LINGER: Micros = 1_000_000;
-/// If a client's line stays unanswered for this long, the endpoint counts as silent and the client is migrated. The protocol
-/// allows 7 s from the moment when the endpoint stops answering; clients send a line every 2 s, so up to 2 s pass before the
-/// first unanswered line.
+/// If a client's line stays unanswered for this long, the endpoint counts as silent and the client is migrated. The
+/// protocol allows 7 s from the moment when the endpoint stops answering; clients send a line every 2 s, so up to 2
+/// s pass before the first unanswered line.
 const SILENCE_TIMEOUT: Micros = 4_500_000;
 /// How long the proxy waits for the endpoint to close after the client has ended its sending.
 const ENDPOINT_END_TIMEOUT: Micros = 2_000_000;
@@ -46,7 +46,8 @@
 
 #[derive(Debug)]
 enum State {
-    /// The first line has not arrived; the client is rejected at `until`. `pinged` tells whether the client has sent a PING.
+    /// The first line has not arrived; the client is rejected at `until`. `pinged` tells whether the client has
+    /// sent a PING.
     ReadingFirstLine { until: Micros, pinged: bool },
     /// The client is owed a final answer, and no attempt is in flight.
     Queued,
@@ -54,7 +55,8 @@
     Attempting(Box<Attempt>),
     /// The connection is established, and lines are relayed.
     Established(Box<Relay>),
-    /// The final answer was given, or the connection has ended; the proxy waits until `until` for the client to close.
+    /// The final answer was given, or the connection has ended; the proxy waits until `until` for the client to
+    /// close.
     Answered { until: Micros },
     /// The connection is finished and can be removed.
     Closed,
@@ -105,8 +107,8 @@
         io.call_again(self.key, Half::Near);
     }
 
-    /// Rejects a client with an error. Malformed input is answered here and never forwarded, because an endpoint would answer
-    /// it with SYNTAX, or with an error that looks like a failure of the endpoint.
+    /// Rejects a client with an error. Malformed input is answered here and never forwarded, because an endpoint
+    /// would answer it with SYNTAX, or with an error that looks like a failure of the endpoint.
     fn reject_client(&mut self, io: &mut Io, error: RequestError) {
         self.send_final_line(io, &error_line(&error));
         self.report(io, ClientEvent::Rejected(error));
--- a/crates/cottonnotch/src/net/client_connection/relaying.rs
+++ b/crates/cottonnotch/src/net/client_connection/relaying.rs
@@ -63,15 +63,16 @@
         }
     }
 
-    /// Closes the connection because the endpoint did not close within [`ENDPOINT_END_TIMEOUT`] after the client ended its
-    /// sending.
+    /// Closes the connection because the endpoint did not close within [`ENDPOINT_END_TIMEOUT`] after the client
+    /// ended its sending.
     pub(super) fn close_after_client(&mut self, io: &mut Io) {
         self.report(io, ClientEvent::Ended(Outcome::Cancelled));
         self.state = State::Closed;
     }
 
-    /// Handles the silence timer: migrates the client if its oldest unanswered line has waited too long. The connections of an
-    /// endpoint that hangs or lost its network stay open without any data, and TCP does not detect that.
+    /// Handles the silence timer: migrates the client if its oldest unanswered line has waited too long. The
+    /// connections of an endpoint that hangs or lost its network stay open without any data, and TCP does not
+    /// detect that.
     pub(super) fn check_silence(&mut self, io: &mut Io) {
         let State::Established(relay) = &self.state else { return };
         let now = io.now();
--- a/crates/cottonnotch/src/net/datagrams.rs
+++ b/crates/cottonnotch/src/net/datagrams.rs
@@ -7,11 +7,11 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The maximum length of a datagram that the platform carries. The receive buffer is one byte longer, which reveals a longer
-/// datagram that the system has truncated.
+/// The maximum length of a datagram that the platform carries. The receive buffer is one byte longer, which reveals
+/// a longer datagram that the system has truncated.
 pub const MAX_DATAGRAM: usize = 256;
-/// The maximum number of datagrams read in one turn, so that a flood does not delay the clients. The rest waits in the system's
-/// bounded buffer; the system drops datagrams that do not fit there at no cost to the proxy.
+/// The maximum number of datagrams read in one turn, so that a flood does not delay the clients. The rest waits in
+/// the system's bounded buffer; the system drops datagrams that do not fit there at no cost to the proxy.
 const READ_BATCH: usize = 32;
 
 /// This proxy's datagram socket.
@@ -50,7 +50,8 @@
                     io.report(NetworkEvent::Datagrams(received));
                     return;
                 }
-                // The error belongs to an earlier datagram whose receiver is unreachable; there may still be datagrams to read.
+                // The error belongs to an earlier datagram whose receiver is unreachable; there may still be
+                // datagrams to read.
                 Err(_) => {}
             }
         }
--- a/crates/cottonnotch/src/net/discovery_client.rs
+++ b/crates/cottonnotch/src/net/discovery_client.rs
@@ -1,5 +1,6 @@
-//! The discovery client: watches discovery over HTTP/1.1 and reports endpoint updates. The decision module chooses when to
-//! start a watch. Another source of endpoint lists could be added as a connection that reports the same network events.
+//! The discovery client: watches discovery over HTTP/1.1 and reports endpoint updates. The decision module chooses
+//! when to start a watch. Another source of endpoint lists could be added as a connection that reports the same
+//! network events.
 
 use super::network_event::{Io, NetworkEvent, WatchLoss};
 use super::object::Object;
@@ -13,14 +14,14 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The time without progress after which a watch counts as silent. If discovery fails without closing the connection, the
-/// endpoint list would become outdated unnoticed.
+/// The time without progress after which a watch counts as silent. If discovery fails without closing the
+/// connection, the endpoint list would become outdated unnoticed.
 const SILENCE_TIMEOUT: Micros = WATCH_SILENT_AFTER;
-/// The time without a response after which a request counts as silent. Discovery answers requests one after another, and
-/// answers 503 if a request waits too long; it has let requests wait for 3 s, so this is longer.
+/// The time without a response after which a request counts as silent. Discovery answers requests one after
+/// another, and answers 503 if a request waits too long; it has let requests wait for 3 s, so this is longer.
 const ANSWER_TIMEOUT: Micros = 3_500_000;
-/// The number of bytes of an incomplete JSON text that counts as progress. Otherwise only a complete response head, JSON text
-/// or heartbeat counts, so that single bytes do not keep a watch alive.
+/// The number of bytes of an incomplete JSON text that counts as progress. Otherwise only a complete response head,
+/// JSON text or heartbeat counts, so that single bytes do not keep a watch alive.
 const PROGRESS_BYTES: usize = 4_096;
 
 /// One watch on discovery.
@@ -113,8 +114,8 @@
         for mut text in json_texts {
             match EndpointUpdate::parse(&mut text) {
                 Ok(update) => io.report(NetworkEvent::EndpointUpdate { watch: self.key, update }),
-                // An invalid list is dropped completely and counts as a failed request: the next watch starts at the last
-                // revision that was accepted.
+                // An invalid list is dropped completely and counts as a failed request: the next watch starts at
+                // the last revision that was accepted.
                 Err(error) => return self.fail(io, format!("a bad list: {error}")),
             }
         }
--- a/crates/cottonnotch/src/net/invariant.rs
+++ b/crates/cottonnotch/src/net/invariant.rs
@@ -1,5 +1,5 @@
-//! Invariants that are asserted in debug builds. In release builds a violation is counted and logged, because a proxy that
-//! continues serves its clients better than one that has crashed.
+//! Invariants that are asserted in debug builds. In release builds a violation is counted and logged, because a
+//! proxy that continues serves its clients better than one that has crashed.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -10,8 +10,8 @@
     VIOLATIONS.fetch_add(1, Ordering::Relaxed) + 1
 }
 
-/// `invariant!(condition, "what must hold")` asserts the condition, or counts and logs its violation, and evaluates to the value
-/// of the condition.
+/// `invariant!(condition, "what must hold")` asserts the condition, or counts and logs its violation, and evaluates
+/// to the value of the condition.
 macro_rules! invariant {
     ($condition:expr, $what:literal) => {{
         let holds: bool = $condition;
--- a/crates/cottonnotch/src/net/management/admin_connection.rs
+++ b/crates/cottonnotch/src/net/management/admin_connection.rs
@@ -10,11 +10,11 @@
 use mio::net::TcpStream;
 use std::io;
 
-/// The time limit for a complete request, after which the response is an error. This limits connections that send nothing, an
-/// incomplete request, or one byte at a time.
+/// The time limit for a complete request, after which the response is an error. This limits connections that send
+/// nothing, an incomplete request, or one byte at a time.
 const REQUEST_TIMEOUT: Micros = 2_000_000;
-/// How long an operator may take to read the response and close the connection, so that a client that never reads does not
-/// hold a connection.
+/// How long an operator may take to read the response and close the connection, so that a client that never reads
+/// does not hold a connection.
 const LINGER: Micros = 1_000_000;
 
 #[derive(Debug)]
@@ -56,8 +56,8 @@
         };
         self.deadline = io.now() + LINGER;
         io.timer(self.deadline, self.key, 0);
-        // Input after the request is read and discarded: closing with unread bytes would reset the connection, and the operator
-        // could lose the response.
+        // Input after the request is read and discarded: closing with unread bytes would reset the connection, and
+        // the operator could lose the response.
         io.call_again(self.key, Half::Near);
     }
 
@@ -116,8 +116,8 @@
         }
         match self.state {
             State::Reading(_) => self.send_response(io, &BadRequest::Late.into()),
-            // The request became complete in the turn in which its time limit expired. It is executed, and answered in
-            // this turn.
+            // The request became complete in the turn in which its time limit expired. It is executed, and answered
+            // in this turn.
             State::Reported => {}
             _ => self.state = State::Closed,
         }
--- a/crates/cottonnotch/src/net/management/admin_server.rs
+++ b/crates/cottonnotch/src/net/management/admin_server.rs
@@ -1,4 +1,5 @@
-//! The admin server: a listener for operators. Its connections are limited separately, so that clients cannot use them up.
+//! The admin server: a listener for operators. Its connections are limited separately, so that clients cannot use
+//! them up.
 
 use super::admin_connection::AdminConnection;
 use crate::net::network_event::NetworkEvent;
@@ -16,8 +17,8 @@
 const LOG_TARGET: &str = "cottonnotch::net::management::admin_server";
 /// The maximum number of concurrent connections. If it is reached, a new connection replaces the oldest.
 pub const MAX_ADMIN_CONNECTIONS: usize = 12;
-/// The minimum age at which a connection may be closed for a new one. Without it, many connections at once would replace one
-/// another before any of them finishes.
+/// The minimum age at which a connection may be closed for a new one. Without it, many connections at once would
+/// replace one another before any of them finishes.
 const EVICTABLE_AFTER: Micros = 50_000;
 /// The maximum number of connections accepted in one turn, so that other connections are not delayed.
 const ACCEPT_BATCH: usize = 8;
@@ -34,8 +35,8 @@
 }
 
 impl AdminServer {
-    /// Listens on this address. Returns the error of a failed system call. `timer` is the id of the timer on which the owner
-    /// calls [`Self::on_accept_timer`].
+    /// Listens on this address. Returns the error of a failed system call. `timer` is the id of the timer on which
+    /// the owner calls [`Self::on_accept_timer`].
     pub fn open(reactor: &mut Reactor<dyn Object>, address: SocketAddr, timer: u32) -> io::Result<Self> {
         let mut listener_socket = None;
         reactor.insert(|key, io| {
@@ -98,8 +99,8 @@
         reactor.io.owner_timer(now + delay, self.timer);
     }
 
-    /// Closes the oldest connections if there are too many, so that idle ones do not block the server. Returns false if the oldest
-    /// connection may not be closed yet.
+    /// Closes the oldest connections if there are too many, so that idle ones do not block the server. Returns
+    /// false if the oldest connection may not be closed yet.
     fn make_room(&mut self, reactor: &mut Reactor<dyn Object>) -> bool {
         self.connections.retain(|(_, key)| reactor.contains(*key));
         while self.connections.len() >= MAX_ADMIN_CONNECTIONS {
--- a/crates/cottonnotch/src/net/management/metrics.rs
+++ b/crates/cottonnotch/src/net/management/metrics.rs
@@ -1,5 +1,5 @@
-//! Metrics for operators' tools: gauges, and counters since the start of the process. The code that records the end of a
-//! request also counts it here, so that records and metrics cannot disagree.
+//! Metrics for operators' tools: gauges, and counters since the start of the process. The code that records the end
+//! of a request also counts it here, so that records and metrics cannot disagree.
 
 use crate::rules::RulesStatus;
 use cottonnotch_consensus::Role;
@@ -23,8 +23,8 @@
     pub in_progress: usize,
     /// The number of endpoints in the endpoint list.
     pub known_endpoints: usize,
-    /// The number of listed endpoints that currently get no new requests, because of a manual override or a decision of the
-    /// decision module.
+    /// The number of listed endpoints that currently get no new requests, because of a manual override or a
+    /// decision of the decision module.
     pub skipped_endpoints: usize,
     /// The status of the routing rules; `None` if no rules are configured.
     pub rules: Option<RulesStatus>,
@@ -32,7 +32,8 @@
     pub affinity: Option<AffinityMetrics>,
 }
 
-/// Metrics of the affinity subsets that are sized by their group: current values, and counts since the start of the process.
+/// Metrics of the affinity subsets that are sized by their group: current values, and counts since the start of the
+/// process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AffinityMetrics {
     /// The number of groups whose subset has more than five endpoints.
@@ -43,7 +44,8 @@
     pub tables_received: u64,
     /// The number of groups that were omitted from a report or a table because they did not fit.
     pub groups_cut: u64,
-    /// The number of datagrams that were dropped because they were malformed, not from a member, unrequested, or too late.
+    /// The number of datagrams that were dropped because they were malformed, not from a member, unrequested, or
+    /// too late.
     pub datagrams_dropped: u64,
 }
 
@@ -51,7 +53,8 @@
 #[derive(Debug, Default)]
 pub struct Metrics {
     class_counts: Vec<ClassCounts>,
-    /// Maps the number of a class in the settings to its index in `class_counts`. Classes with the same name share an index.
+    /// Maps the number of a class in the settings to its index in `class_counts`. Classes with the same name share
+    /// an index.
     class_indices: Vec<usize>,
     by_name: HashMap<String, usize>,
     attempts_written: u64,
@@ -63,8 +66,8 @@
 }
 
 impl Metrics {
-    /// Sets the names of the classes in the current settings, in the order of their numbers. A class that was removed from the
-    /// settings keeps its counts.
+    /// Sets the names of the classes in the current settings, in the order of their numbers. A class that was
+    /// removed from the settings keeps its counts.
     pub fn set_classes<'a>(&mut self, names: impl Iterator<Item = &'a str>) {
         self.class_indices.clear();
         for name in names {
@@ -208,8 +211,8 @@
     }
 }
 
-/// Escapes a name. Characters that could end the name, the value or the line are written as `%` and two hexadecimal digits per
-/// byte.
+/// Escapes a name. Characters that could end the name, the value or the line are written as `%` and two hexadecimal
+/// digits per byte.
 fn escape_name(name: &str) -> String {
     let mut escaped = String::new();
     for byte in name.bytes() {
--- a/crates/cottonnotch/src/net/network_event.rs
+++ b/crates/cottonnotch/src/net/network_event.rs
@@ -1,5 +1,5 @@
-//! Network events: the reports of client connections, the discovery client, the listeners and the signal handler to the
-//! driver.
+//! Network events: the reports of client connections, the discovery client, the listeners and the signal handler to
+//! the driver.
 
 use super::connection_request::ConnectionRequest;
 use super::management::admin_request::AdminRequest;
--- a/crates/cottonnotch/src/net/open_line.rs
+++ b/crates/cottonnotch/src/net/open_line.rs
@@ -73,7 +73,8 @@
         Ok((OpenLine { text: text.to_owned(), deadline_value }, request))
     }
 
-    /// Returns the line for the endpoint: the client's line, with the value of `d` replaced by the time that the proxy will wait.
+    /// Returns the line for the endpoint: the client's line, with the value of `d` replaced by the time that the
+    /// proxy will wait.
     pub fn forwarded(&self, wait: Option<Micros>) -> Vec<u8> {
         let text = match (&self.deadline_value, wait) {
             (Some(value), Some(wait)) => {
--- a/crates/cottonnotch/src/net/relay.rs
+++ b/crates/cottonnotch/src/net/relay.rs
@@ -1,12 +1,12 @@
-//! Relays the lines of an established connection unchanged in both directions. If one side closes or resets the connection,
-//! the relay ends the other side in the same way.
+//! Relays the lines of an established connection unchanged in both directions. If one side closes or resets the
+//! connection, the relay ends the other side in the same way.
 
 use cottonnotch_decision::{Micros, Outcome};
 use cottonnotch_reactor::line::{Fill, LineStream, TooLong, trim_end};
 use std::collections::VecDeque;
 
-/// The maximum number of unanswered lines that are tracked. Further lines are relayed without being tracked, so that a client
-/// that sends many lines uses no more memory.
+/// The maximum number of unanswered lines that are tracked. Further lines are relayed without being tracked, so
+/// that a client that sends many lines uses no more memory.
 const MAX_UNANSWERED: usize = 1024;
 /// How long after its final answer a render node may repeat it.
 const REPEATED_ANSWER_WINDOW: Micros = 1_000_000;
@@ -49,7 +49,8 @@
 #[derive(Debug)]
 struct UnansweredLine {
     relayed_at: Micros,
-    /// Whether the line reads like a final answer. If an endpoint echoes such a line, the echo is not a repeated answer.
+    /// Whether the line reads like a final answer. If an endpoint echoes such a line, the echo is not a repeated
+    /// answer.
     looks_like_answer: bool,
 }
 
@@ -84,9 +85,9 @@
         }
     }
 
-    /// Returns whether a line repeats the final answer. Such a line does not belong to the session, and the client would take it
-    /// for a second final answer. `UP` and `BUSY` may also be the echo of an unanswered line of the client; `ERR` may be the
-    /// answer to any unanswered line.
+    /// Returns whether a line repeats the final answer. Such a line does not belong to the session, and the client
+    /// would take it for a second final answer. `UP` and `BUSY` may also be the echo of an unanswered line of the
+    /// client; `ERR` may be the answer to any unanswered line.
     fn is_second_answer(&self, line: &[u8], now: Micros) -> bool {
         now < self.repeated_answer_until
             && match verb(line) {
@@ -132,7 +133,8 @@
             Fill::Blocked | Fill::More => {}
         }
         if self.endpoint.flush().is_err() {
-            // Data that the endpoint sent before the connection broke must still be read; reading also detects the end.
+            // Data that the endpoint sent before the connection broke must still be read; reading also detects the
+            // end.
             return RelayProgress::Idle;
         }
         match fill {
@@ -205,8 +207,8 @@
         self.ended(Outcome::Cancelled, End::Reset)
     }
 
-    /// Builds the result for an ended connection. An end that the endpoint announced takes precedence over the client having
-    /// left, which takes precedence over `outcome`.
+    /// Builds the result for an ended connection. An end that the endpoint announced takes precedence over the
+    /// client having left, which takes precedence over `outcome`.
     fn ended(&self, outcome: Outcome, end: End) -> RelayProgress {
         let left = self.client_ended.then_some(Outcome::Cancelled);
         RelayProgress::Ended { outcome: self.announced_outcome.or(left).unwrap_or(outcome), end }
--- a/crates/cottonnotch/src/net/request_error.rs
+++ b/crates/cottonnotch/src/net/request_error.rs
@@ -1,10 +1,11 @@
-//! The errors for which a client is rejected before its first line reaches an endpoint. The message is sent to the client.
+//! The errors for which a client is rejected before its first line reaches an endpoint. The message is sent to the
+//! client.
 
 use super::open_line::OpenLineError;
 use cottonnotch_reactor::line::TooLong;
 
-/// Why a client's request is rejected. The error is formatted only when its message is needed, because a flood of invalid
-/// clients causes one error each.
+/// Why a client's request is rejected. The error is formatted only when its message is needed, because a flood of
+/// invalid clients causes one error each.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
     #[error(transparent)]
@@ -19,8 +20,8 @@
     UnknownClass,
     #[error("the tenant is unknown")]
     UnknownTenant,
-    /// The id belongs to another client's open connection. Every endpoint would answer such a request with an error, so that
-    /// one client could cause all endpoints to be paused.
+    /// The id belongs to another client's open connection. Every endpoint would answer such a request with an
+    /// error, so that one client could cause all endpoints to be paused.
     #[error("the id is open already")]
     DuplicateId,
 }
