--- a/crates/cottonnotch/src/config/json_file.rs
+++ b/crates/cottonnotch/src/config/json_file.rs
@@ -13,6 +13,7 @@
     /// The path, as given in `GW_CONFIG`.
     pub path: String,
     text: Vec<u8>,
+    /// The line of each key by its full path; computed when a line is first requested.
     lines: OnceCell<BTreeMap<String, usize>>,
 }
 
--- a/crates/cottonnotch/src/config/present_keys.rs
+++ b/crates/cottonnotch/src/config/present_keys.rs
@@ -39,9 +39,10 @@
         keys.extend(
             setting_keys.iter().filter(|key| !key.ends_with(".count")).map(|key| format!("settings.{key}")),
         );
-        let common = item_keys.iter().filter_map(|key| item_key(key));
-        let common = common.filter(|item| !CLASS_SPECIFIC.contains(&item.key) && item.all_have(settings));
-        keys.extend(common.map(|ItemKey { list, key }| format!("settings.{list}.*.{key}")));
+        let shared_keys = item_keys.iter().filter_map(|key| item_key(key));
+        let shared_keys =
+            shared_keys.filter(|item| !CLASS_SPECIFIC.contains(&item.key) && item.all_have(settings));
+        keys.extend(shared_keys.map(|ItemKey { list, key }| format!("settings.{list}.*.{key}")));
         PresentKeys { path, keys }
     }
 
@@ -74,7 +75,7 @@
 /// Splits a path of the form `LIST.INDEX.KEY`; returns `None` for a path of another form.
 fn item_key(path: &str) -> Option<ItemKey<'_>> {
     let mut segments = path.splitn(3, '.');
-    let (list, number, key) = (segments.next()?, segments.next()?, segments.next()?);
-    number.parse::<usize>().ok()?;
+    let (list, index, key) = (segments.next()?, segments.next()?, segments.next()?);
+    index.parse::<usize>().ok()?;
     Some(ItemKey { list, key })
 }
--- a/crates/cottonnotch/src/net/attempt.rs
+++ b/crates/cottonnotch/src/net/attempt.rs
@@ -48,6 +48,7 @@
     write_reported: bool,
     started: Micros,
     connect_deadline: Micros,
+    /// When the proxy stops waiting for the answer; `None` if nothing limits it.
     deadline: Option<Micros>,
     /// The time, on the clock of the rules, from which the first line must not be written any more.
     rules_write_deadline: Option<Micros>,
--- a/crates/cottonnotch/src/net/client_connection/mod.rs
+++ b/crates/cottonnotch/src/net/client_connection/mod.rs
@@ -28,8 +28,8 @@
 /// reset the connection, and the client could lose the answer.
 const LINGER: Micros = 1_000_000;
 /// If a client's line stays unanswered for this long, the endpoint counts as silent and the client is migrated. The
-/// protocol allows 7 s from the moment when the endpoint stops answering; clients send a line every 2 s, so up to 2
-/// s pass before the first unanswered line.
+/// protocol allows 7 s from the moment when the endpoint stops answering. Clients send a line every 2 s, so the
+/// first unanswered line may be sent up to 2 s after that moment.
 const SILENCE_TIMEOUT: Micros = 4_500_000;
 /// How long the proxy waits for the endpoint to close after the client has ended its sending.
 const ENDPOINT_END_TIMEOUT: Micros = 2_000_000;
@@ -68,9 +68,11 @@
     key: Key,
     client: LineStream,
     state: State,
+    /// The client's first line; `None` until a valid one has arrived.
     line: Option<OpenLine>,
+    /// When the client stops waiting for its answer; `None` if it named no deadline.
     deadline: Option<Micros>,
-    /// The address of the endpoint of the latest attempt.
+    /// The address of the endpoint of the latest attempt; `None` before the first attempt.
     endpoint_address: Option<SocketAddr>,
 }
 
--- a/crates/cottonnotch/src/net/discovery_client.rs
+++ b/crates/cottonnotch/src/net/discovery_client.rs
@@ -109,7 +109,7 @@
             || !body.is_empty() && !self.json_texts.has_partial_text()
             || self.bytes_since_progress >= PROGRESS_BYTES;
         if is_progress || self.response.has_head() && !self.head_complete {
-            self.note_progress(io, is_progress);
+            self.record_progress(io, is_progress);
         }
         for mut text in json_texts {
             match EndpointUpdate::parse(&mut text) {
@@ -127,7 +127,7 @@
         }
     }
 
-    fn note_progress(&mut self, io: &mut Io, has_data: bool) {
+    fn record_progress(&mut self, io: &mut Io, has_data: bool) {
         let stage_before = self.progress_stage();
         (self.last_progress, self.bytes_since_progress, self.head_complete) = (io.now(), 0, true);
         self.has_data |= has_data;
--- a/crates/cottonnotch/src/net/management/admin_connection.rs
+++ b/crates/cottonnotch/src/net/management/admin_connection.rs
@@ -32,8 +32,9 @@
     key: Key,
     stream: LineStream,
     state: State,
+    /// When reading the request, or waiting for the operator to close, times out.
     deadline: Micros,
-}
+    }
 
 impl AdminConnection {
     /// Creates the state for an accepted connection.
--- a/crates/cottonnotch/src/net/management/admin_server.rs
+++ b/crates/cottonnotch/src/net/management/admin_server.rs
@@ -28,11 +28,13 @@
 /// The listener for operators, and the open connections.
 pub struct AdminServer {
     listener: Rc<TcpListener>,
+    /// The open connections with the times at which they were accepted, the oldest first.
     connections: VecDeque<(Micros, Key)>,
     /// Whether a timer is set that continues accepting.
     is_timer_set: bool,
+    /// The id of the accept timer.
     timer: u32,
-}
+    }
 
 impl AdminServer {
     /// Listens on this address. Returns the error of a failed system call. `timer` is the id of the timer on which
--- a/crates/cottonnotch/src/net/management/metrics.rs
+++ b/crates/cottonnotch/src/net/management/metrics.rs
@@ -11,10 +11,13 @@
 struct ClassCounts {
     /// The escaped name of the class, as it appears in the metrics.
     name: String,
+    /// The number of established connections.
     passed: u64,
+    /// The number of rejected requests.
     dropped: u64,
+    /// The number of failed requests.
     bad_gateway: u64,
-}
+    }
 
 /// Current values, which the driver supplies.
 #[derive(Clone, Debug, Default)]
--- a/crates/cottonnotch/src/net/relay.rs
+++ b/crates/cottonnotch/src/net/relay.rs
@@ -88,7 +88,7 @@
     /// Returns whether a line repeats the final answer. Such a line does not belong to the session, and the client
     /// would take it for a second final answer. `UP` and `BUSY` may also be the echo of an unanswered line of the
     /// client; `ERR` may be the answer to any unanswered line.
-    fn is_second_answer(&self, line: &[u8], now: Micros) -> bool {
+    fn is_repeated_answer(&self, line: &[u8], now: Micros) -> bool {
         now < self.repeated_answer_until
             && match verb(line) {
                 b"UP" | b"BUSY" => !self.unanswered.iter().any(|line| line.looks_like_answer),
@@ -159,7 +159,7 @@
             match self.endpoint.take_line() {
                 Ok(Some(line)) => {
                     log::trace!("line from the endpoint: '{}'", line.escape_ascii());
-                    if self.is_second_answer(trim_end(&line), now) {
+                    if self.is_repeated_answer(trim_end(&line), now) {
                         log::debug!("dropped a repeated answer: '{}'", line.escape_ascii());
                         continue;
                     }
@@ -173,7 +173,7 @@
         let progress = match fill {
             Fill::Ended => {
                 let rest = self.endpoint.take_rest();
-                if !self.is_second_answer(trim_end(&rest), now) {
+                if !self.is_repeated_answer(trim_end(&rest), now) {
                     client.push(&rest);
                 }
                 self.ended(Outcome::Reset, End::Close)
@@ -220,8 +220,8 @@
         let mut words = line.split(|b| *b == b' ');
         match words.next().unwrap_or_default() {
             b"LOAD" => {
-                let figure = words.next().and_then(|w| std::str::from_utf8(w).ok()?.parse::<f64>().ok());
-                observations.extend(figure.filter(|f| f.is_finite()).map(Observation::Load));
+                let load = words.next().and_then(|w| std::str::from_utf8(w).ok()?.parse::<f64>().ok());
+                observations.extend(load.filter(|load| load.is_finite()).map(Observation::Load));
             }
             b"BYE" => self.announced_outcome = Some(Outcome::Served),
             b"MOVE" => self.announced_outcome = Some(Outcome::Cancelled),
