--- a/crates/cottonnotch/src/net/management/admin_connection.rs
+++ b/crates/cottonnotch/src/net/management/admin_connection.rs
@@ -34,7 +34,7 @@
     state: State,
     /// When reading the request, or waiting for the operator to close, times out.
     deadline: Micros,
-    }
+}
 
 impl AdminConnection {
     /// Creates the state for an accepted connection.
--- a/crates/cottonnotch/src/net/management/admin_server.rs
+++ b/crates/cottonnotch/src/net/management/admin_server.rs
@@ -34,7 +34,7 @@
     is_timer_set: bool,
     /// The id of the accept timer.
     timer: u32,
-    }
+}
 
 impl AdminServer {
     /// Listens on this address. Returns the error of a failed system call. `timer` is the id of the timer on which
--- a/crates/cottonnotch/src/net/management/metrics.rs
+++ b/crates/cottonnotch/src/net/management/metrics.rs
@@ -17,7 +17,7 @@
     dropped: u64,
     /// The number of failed requests.
     bad_gateway: u64,
-    }
+}
 
 /// Current values, which the driver supplies.
 #[derive(Clone, Debug, Default)]
