--- a/crates/cottonnotch/src/config/platform_settings.rs
+++ b/crates/cottonnotch/src/config/platform_settings.rs
@@ -92,7 +92,7 @@
         }
         let problem = match class.get_str("name").filter(|name| !name.is_empty()) {
             None => "is missing or is not a text".to_owned(),
-            Some(name) if !names.insert(name) => format!("is already the name of another class: '{name}'"),
+            Some(name) if !names.insert(name) => format!("is another class's name already: '{name}'"),
             Some(_) => continue,
         };
         return Err(ValueError::Setting { key: key("name"), problem });
