--- a/crates/cottonnotch/src/main.rs
+++ b/crates/cottonnotch/src/main.rs
@@ -34,7 +34,7 @@
 fn serve(path: Option<PathBuf>) -> ExitCode {
     let mut effective = EffectiveConfig::default();
     let operator = OperatorConfig::read(path.as_deref(), &mut effective);
-    // The error for an invalid file is logged with the default settings.
+    // An error in the file is logged as well, with the default log settings and `RUST_LOG`.
     logging::install(operator.as_ref().map_or(&LogConfig::from_environment(), |read| &read.log));
     let config = operator.and_then(|operator| Config::load(operator, &mut effective));
     // The recorder is opened before any socket: otherwise the number of the configured descriptor could be assigned
