--- a/crates/cottonnotch/src/config/json_file.rs
+++ b/crates/cottonnotch/src/config/json_file.rs
@@ -1,5 +1,5 @@
-//! The platform's JSON file, and on which line of it a key stands. simd-json's values carry no positions, but the
-//! keys of its borrowing values are slices of the text itself, and where such a slice begins is its position.
+//! The platform's JSON file, and the line number of each key in it. simd-json values carry no positions, but the
+//! keys of its borrowed values are slices of the input, so the address of a key yields its offset.
 
 use super::error::ConfigError;
 use simd_json::cow::Cow;
@@ -7,34 +7,35 @@
 use std::cell::OnceCell;
 use std::collections::BTreeMap;
 
-/// The file as it was read.
+/// The platform's file as it was read.
 #[derive(Debug)]
 pub struct JsonFile {
-    /// Its path, as `GW_CONFIG` has it.
+    /// The path, as given in `GW_CONFIG`.
     pub path: String,
     text: Vec<u8>,
+    /// The line of each key by its full path; computed when a line is first requested.
     lines: OnceCell<BTreeMap<String, usize>>,
 }
 
 impl JsonFile {
-    /// Reads a file and its value.
+    /// Reads and parses a file; returns the file and its JSON value.
     pub fn read(path: String) -> Result<(JsonFile, OwnedValue), ConfigError> {
         let text = match std::fs::read(&path) {
             Ok(text) => text,
             Err(error) => return Err(ConfigError::Unreadable { path, error }),
         };
-        // Parsing overwrites its input, and positions are those of the original text.
+        // The parser overwrites its input, so it gets a copy: line numbers refer to the original text.
         match simd_json::to_owned_value(&mut text.clone()) {
             Ok(value) => Ok((JsonFile { path, text, lines: OnceCell::new() }, value)),
             Err(error) => {
-                // Errors without a position have 0, too.
+                // simd-json also reports index 0 for an error without a position.
                 let line = (error.index() > 0).then(|| Newlines::of(&text).line(error.index()));
                 Err(ConfigError::NotJson { path, line, error })
             }
         }
     }
 
-    /// The line of a key, or of the nearest thing around it that the file has; `None` for the whole file.
+    /// Returns the line of a key, or of its closest ancestor that the file contains; `None` if it contains neither.
     pub fn line(&self, key: &str) -> Option<usize> {
         let lines = self.lines.get_or_init(|| key_lines(&self.text));
         let mut key = key;
@@ -47,53 +48,55 @@
     }
 }
 
-/// The positions of line ends.
+/// The byte offsets of the newline characters in a text.
 struct Newlines(Vec<usize>);
 
 impl Newlines {
     fn of(text: &[u8]) -> Self {
-        Newlines(text.iter().enumerate().filter(|(_, byte)| **byte == b'\n').map(|(at, _)| at).collect())
+        Newlines(
+            text.iter().enumerate().filter(|(_, byte)| **byte == b'\n').map(|(offset, _)| offset).collect(),
+        )
     }
 
-    fn line(&self, at: usize) -> usize {
-        self.0.partition_point(|newline| *newline < at) + 1
+    fn line(&self, offset: usize) -> usize {
+        self.0.partition_point(|newline| *newline < offset) + 1
     }
 }
 
-/// The line of each key by its full path; items of lists are `.0`, `.1` ...
+/// Maps the full path of each key to its line; the path segments of list items are `.0`, `.1` and so on.
 fn key_lines(text: &[u8]) -> BTreeMap<String, usize> {
     let mut found = BTreeMap::new();
     let mut copy = text.to_vec();
     let base = copy.as_ptr().addr();
     if let Ok(value) = simd_json::to_borrowed_value(&mut copy) {
         walk("", &value, &mut |path, key: &str| {
-            let at = key.as_ptr().addr().wrapping_sub(base);
-            // Guards against a key that is no slice of the text: it would have a position by chance.
-            if at > 0 && text.get(at - 1) == Some(&b'"') {
-                found.insert(path.to_owned(), at);
+            let offset = key.as_ptr().addr().wrapping_sub(base);
+            // Skips a key that is not a slice of the text: its address would yield an arbitrary offset.
+            if offset > 0 && text.get(offset - 1) == Some(&b'"') {
+                found.insert(path.to_owned(), offset);
             }
         });
     }
     let newlines = Newlines::of(text);
-    found.into_iter().map(|(path, at)| (path, newlines.line(at))).collect()
+    found.into_iter().map(|(path, offset)| (path, newlines.line(offset))).collect()
 }
 
-fn walk(path: &str, value: &BorrowedValue, note: &mut dyn FnMut(&str, &str)) {
-    let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+fn walk(path: &str, value: &BorrowedValue, visit: &mut dyn FnMut(&str, &str)) {
+    let child_path = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     match value {
         BorrowedValue::Object(object) => {
             for (key, value) in object.iter() {
-                let path = below(key);
-                // An escaped key may be a copy.
+                let path = child_path(key);
+                // A key with escape sequences may be a copy instead of a slice of the text.
                 if matches!(key, Cow::Borrowed(_)) {
-                    note(&path, key);
+                    visit(&path, key);
                 }
-                walk(&path, value, note);
+                walk(&path, value, visit);
             }
         }
         BorrowedValue::Array(list) => {
             for (i, item) in list.iter().enumerate() {
-                walk(&below(&i.to_string()), item, note);
+                walk(&child_path(&i.to_string()), item, visit);
             }
         }
         _ => {}
--- a/crates/cottonnotch/src/config/operator.rs
+++ b/crates/cottonnotch/src/config/operator.rs
@@ -1,7 +1,8 @@
-//! The operator's file: everything that is not the platform's. One section a subsystem, whose type is defined in the crate that
-//! it configures. A new section is a field of [`OperatorConfig`], and a line each in `check` and `replacing`.
+//! The operator's file, which holds all configuration that the platform does not set. Each subsystem has one
+//! section, whose type is defined in the crate that it configures. To add a section, add a field to
+//! [`OperatorConfig`] and a line to each of `check` and `replacing`.
 
-use super::effective::{Effective, Source};
+use super::effective::{EffectiveConfig, Source};
 use super::environment::{OPERATOR_VARIABLE, variable};
 use super::error::ConfigError;
 use super::json_text::text_of;
@@ -17,57 +18,62 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Why the sections can't be used. Each message begins with the key's full path.
+/// Why the sections are rejected. Each message begins with the full path of the key.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
-    /// `[log]`
+    /// The section `[log]` is invalid.
     #[error(transparent)]
     Log(#[from] LogConfigError),
-    /// `[records]`
+    /// The section `[records]` is invalid.
     #[error(transparent)]
     Records(#[from] RecordsSectionError),
-    /// `[gossip]`
+    /// The section `[gossip]` is invalid.
     #[error(transparent)]
     Gossip(#[from] GossipSectionError),
-    /// `[fleet]`
+    /// The section `[fleet]` is invalid.
     #[error(transparent)]
     Fleet(#[from] FleetSectionError),
-    /// `[accord]`
+    /// The section `[accord]` is invalid.
     #[error(transparent)]
     Consensus(#[from] SectionError),
-    /// Aggregation's datagrams are not authenticated, while gossip's are to be.
-    #[error("fleet.members_from goes with gossip.strength 'address' only, its datagrams have no proof")]
-    AggregationHasNoProof,
+    /// Aggregation is on, whose datagrams are not authenticated, while gossip is configured to authenticate its
+    /// datagrams.
+    #[error(
+        "fleet.members_from requires gossip.strength 'address', aggregation datagrams are not authenticated"
+    )]
+    AggregationUnauthenticated,
 }
 
-/// Every section. One that the file leaves out has its defaults, with which its subsystem is off.
+/// All sections of the operator's file. A section that the file omits has its default values, which turn its
+/// subsystem off.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorConfig {
-    /// `[log]`
+    /// The section `[log]`.
     pub log: LogConfig,
-    /// `[records]`
+    /// The section `[records]`.
     pub records: RecordsSection,
-    /// `[gossip]`
+    /// The section `[gossip]`.
     pub gossip: GossipSection,
-    /// `[fleet]`
+    /// The section `[fleet]`, which configures aggregation.
     pub fleet: FleetSection,
-    /// `[rules]`
+    /// The section `[rules]`.
     pub rules: RulesSection,
-    /// `[[hardware]]`
+    /// The sections `[[hardware]]`, one for each hardware class.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub hardware: Vec<HardwareSection>,
-    /// `[accord]`
+    /// The section `[accord]`, which configures consensus.
     #[serde(rename = "accord")]
     pub consensus: ConsensusSection,
 }
 
 impl OperatorConfig {
-    /// Reads and checks a file whole, and notes each value; with no file, all are defaults.
-    pub fn read(path: Option<&Path>, effective: &mut Effective) -> Result<OperatorConfig, ConfigError> {
+    /// Reads and checks the whole file and records each value in `effective`; without a file, all values are
+    /// defaults.
+    pub fn read(path: Option<&Path>, effective: &mut EffectiveConfig) -> Result<OperatorConfig, ConfigError> {
         let mut operator = OperatorConfig::default();
         let shown = path.map_or(String::new(), |path| path.display().to_string());
-        effective.note("operator", shown, path_source(path));
+        effective.record("operator", shown, path_source(path));
         if let Some(path) = path {
             let (file, read) = OperatorFile::read::<OperatorConfig>(path)?;
             read.check().map_err(|error| file.reject(&error))?;
@@ -75,31 +81,31 @@
             effective.operator = Some(file);
         }
         operator.log.rust_log = LogConfig::from_environment().rust_log;
-        operator.note(effective);
+        operator.record_values(effective);
         Ok(operator)
     }
 
-    /// Checks what serde can't see: bounds, and keys that don't go together.
+    /// Checks what serde does not: the ranges of values, and combinations of keys.
     fn check(&self) -> Result<(), OperatorError> {
         self.log.check()?;
         self.records.check()?;
         self.gossip.check()?;
         self.fleet.check()?;
         self.consensus.check()?;
-        let has_proof = !matches!(self.gossip.strength, None | Some(Strength::Address));
-        if self.fleet.members_from.is_some() && has_proof {
-            return Err(OperatorError::AggregationHasNoProof);
+        let authenticates_gossip = !matches!(self.gossip.strength, None | Some(Strength::Address));
+        if self.fleet.members_from.is_some() && authenticates_gossip {
+            return Err(OperatorError::AggregationUnauthenticated);
         }
         Ok(())
     }
 
-    /// Replaces the `old` one, as far as that is possible while clients are served; the log says what is not. Returns the
-    /// configuration in force from now on.
+    /// Replaces the `old` configuration, except for values that cannot change while clients are served; logs a
+    /// warning for each section that has such a change. Returns the configuration that is now in force.
     pub fn replacing(self, old: &OperatorConfig) -> OperatorConfig {
         if self.records != old.records {
             log::warn!(
                 key = "records";
-                "records cannot change while clients are served, they go on as at the start"
+                "records cannot change while clients are served, the settings from the start stay in force"
             );
         }
         let gossip = match self.gossip.without_files() == old.gossip.without_files() {
@@ -107,28 +113,30 @@
             false => {
                 log::warn!(
                     key = "gossip";
-                    "of gossip only keys can change while clients are served, the rest goes on as at the start"
+                    "only the keys of gossip can change while clients are served, its other settings stay in force"
                 );
                 old.gossip.clone()
             }
         };
         if self.fleet != old.fleet {
-            log::warn!(key = "fleet"; "the fleet view cannot change while clients are served, it goes on as at the start");
+            log::warn!(key = "fleet"; "fleet cannot change while clients are served, the settings from the start stay in force");
         }
         if self.consensus != old.consensus {
-            log::warn!(key = "accord"; "consensus cannot change while clients are served, it goes on as at the start");
+            log::warn!(key = "accord"; "accord cannot change while clients are served, the settings from the start stay in force");
         }
         let (log, records, fleet) = (self.log.replacing(&old.log), old.records.clone(), old.fleet.clone());
         let (rules, hardware, consensus) = (self.rules, self.hardware, old.consensus.clone());
         OperatorConfig { log, records, gossip, fleet, rules, hardware, consensus }
     }
 
-    /// The values as they are written, so that no section is to list its keys a second time.
-    fn note(&self, effective: &mut Effective) {
+    /// Records each value with its source. The keys and values come from serializing the configuration, so that no
+    /// section has to list its keys a second time.
+    fn record_values(&self, effective: &mut EffectiveConfig) {
         let mut values = BTreeMap::new();
-        // No section holds what JSON can't say; were it so, it would only go unlisted.
-        if let Ok(written) = simd_json::serde::to_owned_value(self) {
-            collect_leaves("", &written, &mut values);
+        // All values of the sections can be serialized as JSON. If serialization failed, `check` would only print
+        // fewer lines.
+        if let Ok(serialized) = simd_json::serde::to_owned_value(self) {
+            collect_leaves("", &serialized, &mut values);
         }
         for (key, value) in values {
             let source = match &effective.operator {
@@ -137,15 +145,15 @@
             };
             match &self.log.rust_log {
                 Some(filter) if key == "log.filter" => {
-                    effective.note(key, filter, Source::Environment("RUST_LOG"));
+                    effective.record(key, filter, Source::Environment("RUST_LOG"));
                 }
-                _ => effective.note(key, value, source),
+                _ => effective.record(key, value, source),
             }
         }
     }
 }
 
-/// The source of the file's path.
+/// Returns the source of the path of the operator's file.
 fn path_source(path: Option<&Path>) -> Source {
     match (path, variable(OPERATOR_VARIABLE)) {
         (None, _) => Source::Default,
--- a/crates/cottonnotch/src/config/platform.rs
+++ b/crates/cottonnotch/src/config/platform.rs
@@ -1,7 +1,7 @@
-//! The platform's configuration: the environment, then the JSON file that `GW_CONFIG` names. Unknown keys are ignored: the
-//! platform may add some.
+//! Reads the platform's configuration: the environment and the JSON file that `GW_CONFIG` names. Unknown keys are
+//! ignored, because the platform may add keys.
 
-use super::effective::{Effective, Source};
+use super::effective::{EffectiveConfig, Source};
 use super::environment::variable;
 use super::error::ConfigError;
 use super::json_file::JsonFile;
@@ -17,26 +17,28 @@
 
 pub use super::value_reader::Precedence;
 
-/// The proxy's name, unless set.
+/// The proxy's name if none is set.
 const DEFAULT_NAME: &str = "cottonnotch";
-/// The seed of random numbers, unless set.
+/// The seed of the random number generator if none is set, in hexadecimal.
 const DEFAULT_SEED: &str = "0";
-/// The limit of descriptors, unless set.
+/// The limit of file descriptors if none is set.
 const DEFAULT_SOCKETS: u64 = 1024;
-/// The limit of memory in megabytes, unless set.
+/// The memory limit in MiB if none is set.
 const DEFAULT_MEMORY_MB: u64 = 192;
-/// Each direction of a connection may hold this many bytes at least ...
+/// The lower bound of the buffer size for each direction of a connection.
 const MIN_BUFFER_BYTES: u64 = 8 * 1024;
-/// ... and at most; in between, all buffers together keep to a quarter of the memory.
+/// The upper bound of the buffer size for each direction of a connection. Between the two bounds, the size is a
+/// quarter of the memory limit divided by the limit of file descriptors, so that all buffers together use a quarter
+/// of the memory.
 const MAX_BUFFER_BYTES: u64 = 64 * 1024;
-/// Fewer leave no descriptor for a single client beside the proxy's own.
+/// The smallest allowed limit of file descriptors. With fewer, the proxy's own descriptors leave none for a client.
 const MIN_SOCKETS: u64 = 64;
 
-/// Reads everything. Each value is noted with its source.
+/// Reads the whole configuration, and records each value and its source in `effective`.
 pub fn read(
     operator: OperatorConfig,
     precedence: Precedence,
-    effective: &mut Effective,
+    effective: &mut EffectiveConfig,
 ) -> Result<Config, ConfigError> {
     let json = read_file(effective)?;
     let mut reader = ValueReader { json: &json, precedence, effective };
@@ -71,19 +73,19 @@
     })
 }
 
-/// The JSON file's contents; an empty object if there is no file.
-fn read_file(effective: &mut Effective) -> Result<OwnedValue, ConfigError> {
+/// Reads the JSON file; returns an empty object if `GW_CONFIG` is not set.
+fn read_file(effective: &mut EffectiveConfig) -> Result<OwnedValue, ConfigError> {
     let Some(path) = variable("GW_CONFIG") else {
-        effective.note("GW_CONFIG", "", Source::Default);
+        effective.record("GW_CONFIG", "", Source::Default);
         return Ok(OwnedValue::object());
     };
-    effective.note("GW_CONFIG", &path, Source::Environment("GW_CONFIG"));
+    effective.record("GW_CONFIG", &path, Source::Environment("GW_CONFIG"));
     let (file, json) = JsonFile::read(path)?;
     effective.json = Some(file);
     Ok(json)
 }
 
-/// The limit of descriptors, and the bytes that each direction of a connection may hold.
+/// Reads the limits; returns the limit of file descriptors and the buffer size for each direction of a connection.
 fn read_limits(reader: &mut ValueReader<'_>) -> Result<(usize, usize), ConfigError> {
     let sockets = reader.limit(
         "limits.sockets",
@@ -104,15 +106,15 @@
     Ok((usize::try_from(sockets).unwrap_or(usize::MAX), buffer_bound as usize))
 }
 
-/// The other proxies. All of it may be left out: such a proxy is alone.
+/// Reads the addresses for datagrams between proxies. All keys are optional: a proxy without them has no peers.
 fn read_peer_addresses(reader: &mut ValueReader<'_>) -> Result<PeerAddresses, ConfigError> {
     let listen = reader.file_address("peer_listen")?;
-    let all = reader.file_address("peers_all")?;
+    let all_peers = reader.file_address("peers_all")?;
     let peers = reader.file_addresses("peers")?;
-    Ok(PeerAddresses { listen, peers, all })
+    Ok(PeerAddresses { listen, peers, all_peers })
 }
 
-/// The endpoint list as the proxy last had it.
+/// Reads the last endpoint list that the proxy had.
 fn read_known(reader: &mut ValueReader<'_>) -> Result<EndpointUpdate, ConfigError> {
     let (known, source) = match reader.json.get("known") {
         None => (EndpointUpdate { revision: 0, complete: true, endpoints: Vec::new() }, Source::Default),
@@ -123,14 +125,15 @@
     };
     let (members, complete) = (known.endpoints.len(), known.complete);
     let shown = format!("revision {}, {members} members, complete {complete}", known.revision);
-    reader.effective.note("known", shown, source);
+    reader.effective.record("known", shown, source);
     Ok(known)
 }
 
-/// The routing rules that the operator's file names. An error has that file's line, if there is one.
+/// Reads the routing rules that the operator's file names. If there is such a file, an error includes its path and
+/// line.
 fn read_rules(
     operator: &OperatorConfig,
-    effective: &Effective,
+    effective: &EffectiveConfig,
 ) -> Result<Option<RulesSettings>, ConfigError> {
     let rules = RulesSettings::read(&operator.rules, &operator.hardware, &operator.consensus);
     rules.map_err(|error| match &effective.operator {
--- a/crates/cottonnotch/src/config/value_reader.rs
+++ b/crates/cottonnotch/src/config/value_reader.rs
@@ -1,38 +1,39 @@
-//! Reads single values of the platform's, each with its precedence, checks and source.
+//! Reads single values from the environment and the platform's JSON file: applies the precedence, checks the value
+//! and records its source.
 
-use super::effective::{Effective, Source};
+use super::effective::{EffectiveConfig, Source};
 use super::environment::variable;
 use super::error::{ConfigError, ValueError};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 use std::net::SocketAddr;
 
-/// What is wrong with a value that must be an address.
+/// The problem that is reported for an invalid address.
 const NOT_AN_ADDRESS: &str = "is not an address and port";
 
-/// Which source wins where both have a value.
+/// Which source takes precedence if both have a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Precedence {
-    /// The environment, at the start.
+    /// The environment takes precedence; used at the start.
     Environment,
-    /// The JSON file, on SIGHUP.
+    /// The JSON file takes precedence; used on SIGHUP.
     File,
 }
 
-/// Reads values of the environment and the JSON file, and notes each with its source.
+/// Reads values from the environment and the JSON file, and records each value and its source.
 pub struct ValueReader<'a> {
-    /// The JSON file's contents; an empty object without a file.
+    /// The content of the JSON file; an empty object if there is no file.
     pub json: &'a OwnedValue,
-    /// Which source wins.
+    /// Which source takes precedence.
     pub precedence: Precedence,
-    /// Where each value is noted.
-    pub effective: &'a mut Effective,
+    /// The rows to which each value is added.
+    pub effective: &'a mut EffectiveConfig,
 }
 
 impl ValueReader<'_> {
-    /// An error with the place of its value.
+    /// Adds the location of the invalid value to an error.
     pub fn error(&self, error: ValueError, source: Source) -> ConfigError {
-        let place = match (source, &self.effective.json) {
+        let location = match (source, &self.effective.json) {
             (Source::Environment(name), _) => format!("environment {name}"),
             (_, None) => "GW_CONFIG is not set".to_owned(),
             (_, Some(file)) => match file.line(&error.key()) {
@@ -40,7 +41,7 @@
                 None => file.path.clone(),
             },
         };
-        ConfigError::Platform { error, place }
+        ConfigError::Platform { error, location }
     }
 
     fn invalid(
@@ -53,17 +54,18 @@
         self.error(ValueError::Invalid { key, problem, value }, source)
     }
 
-    /// A text from the environment or the file, noted with its source.
+    /// Reads a text from the environment variable `name` or from `key` in the file; records it and returns it with
+    /// its source.
     pub fn text(
         &mut self,
         name: &'static str,
         key: &'static str,
         default: Option<&str>,
     ) -> Result<(String, Source), ConfigError> {
-        let inherited = variable(name);
+        let env_value = variable(name);
         let file_wins = self.precedence == Precedence::File;
-        let written = self.json.get(key).filter(|_| file_wins || inherited.is_none());
-        let (text, source) = match (written, inherited, default) {
+        let file_value = self.json.get(key).filter(|_| file_wins || env_value.is_none());
+        let (text, source) = match (file_value, env_value, default) {
             (Some(value), ..) => match value.as_str() {
                 Some(text) => (text.to_owned(), Source::Json),
                 None => return Err(self.invalid(key, "is not a text", value.encode(), Source::Json)),
@@ -72,17 +74,17 @@
             (None, None, Some(text)) => (text.to_owned(), Source::Default),
             (None, None, None) => return Err(self.error(ValueError::Missing { key }, Source::Default)),
         };
-        self.effective.note(key, &text, source);
+        self.effective.record(key, &text, source);
         Ok((text, source))
     }
 
-    /// A required address.
+    /// Reads a required address.
     pub fn address(&mut self, name: &'static str, key: &'static str) -> Result<SocketAddr, ConfigError> {
         let (text, source) = self.text(name, key, None)?;
         text.parse().map_err(|_| self.invalid(key, NOT_AN_ADDRESS, text, source))
     }
 
-    /// An address that may be left out or empty.
+    /// Reads an address that may be missing or empty.
     pub fn optional_address(
         &mut self,
         name: &'static str,
@@ -95,23 +97,23 @@
         text.parse().map(Some).map_err(|_| self.invalid(key, NOT_AN_ADDRESS, text, source))
     }
 
-    /// An address that only the file can have, and may leave out.
+    /// Reads an optional address that only the file can set.
     pub fn file_address(&mut self, key: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
         let Some(value) = self.json.get(key) else {
-            self.effective.note(key, "", Source::Default);
+            self.effective.record(key, "", Source::Default);
             return Ok(None);
         };
         let address = value.as_str().and_then(|text| text.parse().ok());
         let address: SocketAddr =
             address.ok_or_else(|| self.invalid(key, NOT_AN_ADDRESS, value.encode(), Source::Json))?;
-        self.effective.note(key, address.to_string(), Source::Json);
+        self.effective.record(key, address.to_string(), Source::Json);
         Ok(Some(address))
     }
 
-    /// A list of addresses that only the file can have, and may leave out.
+    /// Reads an optional list of addresses that only the file can set.
     pub fn file_addresses(&mut self, key: &'static str) -> Result<Vec<SocketAddr>, ConfigError> {
         let Some(value) = self.json.get(key) else {
-            self.effective.note(key, "", Source::Default);
+            self.effective.record(key, "", Source::Default);
             return Ok(Vec::new());
         };
         let problem = "is not a list of addresses and ports";
@@ -120,11 +122,11 @@
             value.as_array().and_then(|list| list.iter().map(parse).collect());
         let addresses = addresses.ok_or_else(|| self.invalid(key, problem, value.encode(), Source::Json))?;
         let shown = addresses.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
-        self.effective.note(key, shown, Source::Json);
+        self.effective.record(key, shown, Source::Json);
         Ok(addresses)
     }
 
-    /// A hexadecimal number of 64 bits.
+    /// Reads a 64-bit hexadecimal number.
     pub fn hexadecimal(
         &mut self,
         name: &'static str,
@@ -136,7 +138,8 @@
         u64::from_str_radix(&text, 16).map_err(|_| self.invalid(key, problem, text, source))
     }
 
-    /// A number in the file's `limits`: `key` is its full path, `name` its last part. `check` takes a value that is sound.
+    /// Reads a number below `limits` in the file. `key` is its full path, `name` the last segment of it; `check`
+    /// converts the value and returns `None` if it is invalid.
     pub fn limit<T>(
         &mut self,
         key: &'static str,
@@ -150,7 +153,7 @@
             None => (OwnedValue::from(default), Source::Default),
         };
         let limit = check(&value).ok_or_else(|| self.invalid(key, problem, value.encode(), source))?;
-        self.effective.note(key, value.encode(), source);
+        self.effective.record(key, value.encode(), source);
         Ok(limit)
     }
 }
--- a/crates/cottonnotch/src/net/discovery_client.rs
+++ b/crates/cottonnotch/src/net/discovery_client.rs
@@ -1,5 +1,6 @@
-//! The discovery client: a watch on discovery over HTTP/1.1. It reports endpoint updates; when to watch is the decision
-//! module's choice. Another source of lists would be another connection object that reports the same network events.
+//! The discovery client: watches discovery over HTTP/1.1 and reports endpoint updates. The decision module chooses
+//! when to start a watch. Another source of endpoint lists could be added as a connection that reports the same
+//! network events.
 
 use super::network_event::{Io, NetworkEvent, WatchLoss};
 use super::object::Object;
@@ -13,38 +14,39 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Guards against a discovery that vanished: its connection stays open, and the list would quietly grow old.
+/// The time without progress after which a watch counts as silent. If discovery fails without closing the
+/// connection, the endpoint list would become outdated unnoticed.
 const SILENCE_TIMEOUT: Micros = WATCH_SILENT_AFTER;
-/// A request waits for its turn at discovery, which answers one after another, and answers 503 itself when that takes
-/// too long. One without an answer for this long counts as silent, like a watch. Chosen: over the 3 s that discovery was
-/// seen to let a request wait.
+/// The time without a response after which a request counts as silent. Discovery answers requests one after
+/// another, and answers 503 if a request waits too long; it has let requests wait for 3 s, so this is longer.
 const ANSWER_TIMEOUT: Micros = 3_500_000;
-/// Single bytes are no progress: a complete head, text or heartbeat is, or this many bytes of a long text.
+/// The number of bytes of an incomplete JSON text that counts as progress. Otherwise only a complete response head,
+/// JSON text or heartbeat counts, so that single bytes do not keep a watch alive.
 const PROGRESS_BYTES: usize = 4_096;
 
-/// One watch.
+/// One watch on discovery.
 #[derive(Debug)]
 pub struct DiscoveryWatch {
     key: Key,
     stream: LineStream,
     connected: bool,
     response: StreamedResponse,
-    texts: JsonStream,
+    json_texts: JsonStream,
     requested_at: Micros,
-    /// When it last made progress; before that, when it was requested.
+    /// When the watch last made progress; initially, when it was requested.
     last_progress: Micros,
-    /// Bytes since then.
+    /// The number of bytes received since the last progress.
     bytes_since_progress: usize,
-    /// The response's head is complete.
-    has_head: bool,
-    /// A text or a heartbeat was complete.
+    /// Whether the head of the response is complete.
+    head_complete: bool,
+    /// Whether a JSON text or a heartbeat has been received completely.
     has_data: bool,
-    /// Its end was reported.
-    lost: bool,
+    /// Whether the loss of the watch was reported.
+    loss_reported: bool,
 }
 
 impl DiscoveryWatch {
-    /// Requests the changes after a revision; 0: the complete list.
+    /// Requests the changes after revision `from`; 0 requests the complete list.
     pub fn start(discovery: SocketAddr, from: u64, key: Key, io: &mut Io) -> io::Result<Self> {
         let mut stream = LineStream::connect(discovery, io, key, Half::Near)?;
         let request = format!(
@@ -54,32 +56,37 @@
         stream.push(request.as_bytes());
         let last_progress = io.now();
         io.timer(last_progress + ANSWER_TIMEOUT, key, 0);
-        let (response, texts) = (StreamedResponse::new(), JsonStream::new());
-        let (connected, has_head, has_data, lost) = (false, false, false, false);
+        let (response, json_texts) = (StreamedResponse::new(), JsonStream::new());
+        let (connected, head_complete, has_data, loss_reported) = (false, false, false, false);
         Ok(DiscoveryWatch {
             key,
             stream,
             connected,
             response,
-            texts,
+            json_texts,
             requested_at: last_progress,
             last_progress,
             bytes_since_progress: 0,
-            has_head,
+            head_complete,
             has_data,
-            lost,
+            loss_reported,
         })
     }
 
-    /// How far the response is: its timers carry that number.
+    /// Returns the number of stages that the response has reached; it is also the id of the watch's current timer.
     fn progress_stage(&self) -> u32 {
-        u32::from(self.has_head) + u32::from(self.has_data)
+        u32::from(self.head_complete) + u32::from(self.has_data)
     }
 
-    /// When it is to be given up if nothing more comes.
-    fn due(&self) -> Micros {
-        let silent = self.last_progress + if self.has_head { SILENCE_TIMEOUT } else { ANSWER_TIMEOUT };
-        if self.has_data { silent } else { silent.min(self.requested_at + UNANSWERED_AFTER) }
+    /// Returns when the watch is given up if it makes no further progress.
+    fn deadline(&self) -> Micros {
+        let silence_deadline =
+            self.last_progress + if self.head_complete { SILENCE_TIMEOUT } else { ANSWER_TIMEOUT };
+        if self.has_data {
+            silence_deadline
+        } else {
+            silence_deadline.min(self.requested_at + UNANSWERED_AFTER)
+        }
     }
 
     fn fail(&mut self, io: &mut Io, reason: impl ToString) {
@@ -87,28 +94,28 @@
     }
 
     fn report_lost(&mut self, io: &mut Io, loss: WatchLoss, reason: impl ToString) {
-        if !self.lost {
-            self.lost = true;
+        if !self.loss_reported {
+            self.loss_reported = true;
             io.report(NetworkEvent::WatchLost { watch: self.key, loss, reason: reason.to_string() });
         }
     }
 
     fn receive(&mut self, io: &mut Io, bytes: &[u8]) {
-        let (mut body, mut texts) = (Vec::new(), Vec::new());
+        let (mut body, mut json_texts) = (Vec::new(), Vec::new());
         let result = self.response.feed(bytes, &mut body);
-        let parsed = self.texts.feed(&body, &mut texts);
+        let parsed = self.json_texts.feed(&body, &mut json_texts);
         self.bytes_since_progress += bytes.len();
-        let is_progress = !texts.is_empty()
-            || !body.is_empty() && !self.texts.has_partial_text()
+        let is_progress = !json_texts.is_empty()
+            || !body.is_empty() && !self.json_texts.has_partial_text()
             || self.bytes_since_progress >= PROGRESS_BYTES;
-        if is_progress || self.response.has_head() && !self.has_head {
-            self.note_progress(io, is_progress);
+        if is_progress || self.response.has_head() && !self.head_complete {
+            self.record_progress(io, is_progress);
         }
-        for mut text in texts {
+        for mut text in json_texts {
             match EndpointUpdate::parse(&mut text) {
                 Ok(update) => io.report(NetworkEvent::EndpointUpdate { watch: self.key, update }),
-                // A bad list is dropped whole and counts as a failed call: the next watch begins at the
-                // last revision that was taken.
+                // An invalid list is dropped completely and counts as a failed request: the next watch starts at
+                // the last revision that was accepted.
                 Err(error) => return self.fail(io, format!("a bad list: {error}")),
             }
         }
@@ -120,21 +127,21 @@
         }
     }
 
-    fn note_progress(&mut self, io: &mut Io, has_data: bool) {
+    fn record_progress(&mut self, io: &mut Io, has_data: bool) {
         let stage_before = self.progress_stage();
-        (self.last_progress, self.bytes_since_progress, self.has_head) = (io.now(), 0, true);
+        (self.last_progress, self.bytes_since_progress, self.head_complete) = (io.now(), 0, true);
         self.has_data |= has_data;
         if self.progress_stage() != stage_before {
-            io.timer(self.due(), self.key, self.progress_stage());
+            io.timer(self.deadline(), self.key, self.progress_stage());
         }
     }
 
-    /// The response has ended. A list that is half there is dropped, and asked for again.
-    fn end(&mut self, io: &mut Io, why: impl std::fmt::Display) {
-        if self.texts.has_partial_text() {
-            self.fail(io, format!("{why} in the middle of a list"));
+    /// Handles the end of the response. An incomplete list is dropped and requested again.
+    fn end(&mut self, io: &mut Io, reason: impl std::fmt::Display) {
+        if self.json_texts.has_partial_text() {
+            self.fail(io, format!("{reason} in the middle of a list"));
         } else {
-            self.fail(io, why);
+            self.fail(io, reason);
         }
     }
 }
@@ -174,23 +181,27 @@
     }
 
     fn timer(&mut self, io: &mut Io, timer: u32) {
-        let due = self.due();
+        let deadline = self.deadline();
         if timer != self.progress_stage() {
-            // Another one runs since the response got further.
-        } else if due > io.now() {
-            io.timer(due, self.key, timer);
+            // This timer belongs to an earlier stage of the response; the timer of the current stage is set.
+        } else if deadline > io.now() {
+            io.timer(deadline, self.key, timer);
         } else if self.has_data {
-            self.report_lost(io, WatchLoss::Silent, "a beat has not come, it is silent");
+            self.report_lost(io, WatchLoss::Silent, "discovery sent no heartbeat, it is silent");
         } else {
             self.report_lost(
                 io,
                 WatchLoss::Silent,
-                if self.has_head { "no list, it is silent" } else { "no answer" },
+                if self.head_complete {
+                    "discovery sent no list, it is silent"
+                } else {
+                    "discovery sent no response"
+                },
             );
         }
     }
 
     fn done(&self) -> bool {
-        self.lost
+        self.loss_reported
     }
 }
