--- a/crates/kit/src/bad_proxy/beside.rs
+++ b/crates/kit/src/bad_proxy/beside.rs
@@ -1,4 +1,5 @@
-//! For the fault: an attempt that is out beside the one that counts, on a connection of its own.
+//! The parallel attempt of `Fault::SecondAttempt`, on a connection of its own, while the client's regular attempt
+//! is still pending.
 
 use super::report::{Io, Object, Report};
 use crate::time::{MS, Micros};
@@ -7,10 +8,10 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// How long it is out.
+/// The attempt is closed after this time.
 const OUT: Micros = 400 * MS;
 
-/// The attempt; what comes back is not looked at.
+/// The parallel attempt. Its answer is read and discarded.
 #[derive(Debug)]
 pub(super) struct Beside {
     link: LineStream,
@@ -18,7 +19,7 @@
 }
 
 impl Beside {
-    /// Begins it; `line` is the whole first line.
+    /// Connects to `address` and sends `line`, the complete first line.
     pub fn start(address: SocketAddr, line: &[u8], key: Key, io: &mut Io) -> io::Result<Self> {
         let mut link = LineStream::connect(address, io, key, Half::Near)?;
         link.push(line);
--- a/crates/kit/src/bad_proxy/configuration.rs
+++ b/crates/kit/src/bad_proxy/configuration.rs
@@ -1,5 +1,5 @@
-//! What the platform tells: the environment, and the JSON file that `GW_CONFIG` names. Only what a small proxy needs
-//! is read; anything else may be there.
+//! Configuration from the environment and from the JSON file that `GW_CONFIG` names. Only the keys that this proxy
+//! needs are read; other keys are ignored.
 
 use super::lists::List;
 use crate::time::{MS, Micros, S};
@@ -8,50 +8,50 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Why the proxy can't serve, or no longer.
+/// Why the proxy cannot start, or why it stopped serving.
 #[derive(Debug, thiserror::Error)]
 pub enum BadProxyError {
-    /// The file can't be read.
+    /// The configuration file cannot be read.
     #[error("GW_CONFIG: '{path}' cannot be read: {error}")]
     Unreadable {
-        /// What `GW_CONFIG` names.
+        /// The path in `GW_CONFIG`.
         path: String,
-        /// As the system has it.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// The file is no JSON, or a key has the wrong kind of value.
+    /// The configuration file is not JSON, or a key has a value of the wrong type.
     #[error("GW_CONFIG: '{path}' cannot be used: {error}")]
     NotJson {
-        /// What `GW_CONFIG` names.
+        /// The path in `GW_CONFIG`.
         path: String,
-        /// What is wrong.
+        /// The parser's error.
         error: simd_json::Error,
     },
-    /// Told neither by the environment nor by the file.
+    /// A required setting is given neither by the environment nor by the file.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// No address and port.
+    /// A variable's value is not an address with a port.
     #[error("{key} is not an address and port: '{value}'")]
     NotAddress {
-        /// The variable.
+        /// The name of the environment variable.
         key: &'static str,
-        /// Its value.
+        /// The value of the variable.
         value: String,
     },
-    /// The address can't be listened on: taken, or not this machine's.
+    /// The proxy cannot listen on the address: it is in use, or does not belong to this machine.
     #[error("{address} cannot be listened on: {error}")]
     Listen {
-        /// Where.
+        /// The address and port.
         address: SocketAddr,
-        /// As the system has it.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// The system has no poll, pipe or socket to give.
+    /// The operating system refused a poll, a pipe or a socket.
     #[error("the system refuses: {0}")]
     System(#[from] io::Error),
 }
 
-/// The file as it is written.
+/// The configuration file as deserialized.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct File {
@@ -72,12 +72,12 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        // The least that the platform gives.
+        // The minimum that the platform grants.
         Limits { sockets: 1024 }
     }
 }
 
-/// The simulator's names and units: times are in microseconds.
+/// Settings with the simulator's names and units: times are in microseconds.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 struct Settings {
@@ -107,29 +107,29 @@
     warm_up: f64,
 }
 
-/// What the proxy is told.
+/// The proxy's validated configuration.
 #[derive(Debug)]
 pub(super) struct Configuration {
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    /// File descriptors that the process may hold.
+    /// Maximum number of file descriptors of the process.
     pub sockets: usize,
-    /// Its own end for datagrams, and another proxy's.
+    /// This proxy's address for datagrams, and the address of one peer.
     pub peer: Option<(SocketAddr, SocketAddr)>,
-    /// The list as it was last had.
+    /// The last known endpoint list.
     pub known: Option<List>,
-    /// Proxies of the tier, and this one's number among them.
+    /// Number of proxies in the tier, and this proxy's ordinal among them.
     pub tier: (u16, u16),
     pub most_attempts: u32,
     pub connect_within: Micros,
     pub classes: BTreeSet<String>,
-    /// Of all classes.
+    /// The longest deadline of all request classes.
     pub longest_deadline: Micros,
     pub warm_up: Micros,
 }
 
 impl Configuration {
-    /// At the start: a variable of the environment wins over the file.
+    /// Reads the configuration at start-up. Environment variables take precedence over the file.
     pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Self, BadProxyError> {
         let address = |key: &'static str| match variable(key) {
             None => Ok(None),
@@ -144,7 +144,8 @@
         Self::of(file, listen, discovery)
     }
 
-    /// On SIGHUP: the file wins, since the environment can't have changed.
+    /// Reads the configuration again on SIGHUP. The file takes precedence, since the environment cannot have
+    /// changed.
     pub fn reload(&self) -> Result<Self, BadProxyError> {
         let file = read(&|name| std::env::var(name).ok())?;
         let (listen, discovery) = (Some(self.listen), file.discovery.or(Some(self.discovery)));
@@ -161,7 +162,7 @@
             return Err(BadProxyError::Missing("settings.requestClasses"));
         }
         let tier = (settings.balancers.unwrap_or(1).max(1), settings.ordinal);
-        // The list of peers has this proxy's own address among them.
+        // The list of peers includes this proxy's own address.
         let other = (usize::from(tier.1) + 1) % file.peers.len().max(1);
         let peer = file.peers.get(other).filter(|_| file.peers.len() > 1);
         let deadlines = settings.request_classes.iter().map(|class| class.deadline as Micros);
--- a/crates/kit/src/bad_proxy/fault.rs
+++ b/crates/kit/src/bad_proxy/fault.rs
@@ -1,39 +1,39 @@
-//! What can be wrong with the proxy.
+//! The faults that the proxy can be started with.
 
 use clap::ValueEnum;
 use std::fmt;
 use std::str::FromStr;
 
-/// A fault: one rule that is broken. Its name on the command line is the kebab-case of the variant's.
+/// A fault: it breaks one rule. Its name on the command line is the variant's name in kebab-case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Fault {
-    /// Answers `UP`, and 300 ms later `BUSY` as well
+    /// Answers `UP`, and also `BUSY` 300 ms later
     AnswersTwice,
-    /// Takes a request, never answers it, and closes 500 ms after the client's time is up
+    /// Accepts a request, never answers it, and closes 500 ms after the client's deadline
     NoAnswer,
-    /// Closes without a word
+    /// Closes the connection without an answer
     DropsRequest,
-    /// Answers `UP` with a receipt of its own, and echoes lines so that it looks alive
+    /// Answers `UP` with an invented receipt, and echoes lines as a render node would
     InventedUp,
-    /// Has a second attempt of a request out beside the first for 400 ms
+    /// Keeps a second attempt of a request open for 400 ms, in parallel with the first
     SecondAttempt,
-    /// Sends new requests to a draining render node from 1.2 s after it was told
+    /// Sends new requests to a draining render node from 1.2 s after it was listed as draining
     SendsToDrained,
-    /// Sends everything to a render node that has just started, until it is warm
+    /// Sends all requests to a render node that has just started, until it is warm
     FloodsCold,
-    /// Closes a client without `MOVE` a second after it came up
+    /// Closes a client's connection without `MOVE` 1 s after it came up
     CutsWithoutMove,
-    /// Holds a client's line back for 1.5 s
+    /// Delays a client's line by 1.5 s
     HoldsLine,
-    /// Ends a client's side only 3 s after the render node ended
+    /// Ends the client's connection only 3 s after the render node's connection ended
     KeepsEnded,
     /// Never moves the clients of a render node that hangs
     KeepsSilent,
-    /// Changes a figure of the first line
+    /// Changes a value in the first line
     BadFirstLine,
-    /// Neither answers nor closes rude clients
+    /// Neither answers nor closes misbehaving clients
     IgnoresRude,
-    /// Answers rubbish with an `UP` of its own
+    /// Answers invalid first lines with an `UP` of its own
     ServesRude,
     /// Exits with code 3, 6 s after its first request
     Crashes,
@@ -41,17 +41,17 @@
     Stays,
     /// Makes one attempt more than is allowed
     TooManyAttempts,
-    /// Sends a peer 300 bytes in one datagram
+    /// Sends a peer a datagram of 300 bytes
     BigDatagram,
 }
 
-/// No fault has this name.
+/// The error for a name that no fault has.
 #[derive(Debug, thiserror::Error)]
 #[error("no fault is called '{0}'")]
 pub struct UnknownFault(String);
 
 impl Fault {
-    /// All faults.
+    /// All faults, in the order of their definition.
     pub const ALL: [Fault; 18] = [
         Fault::AnswersTwice,
         Fault::NoAnswer,
@@ -73,13 +73,13 @@
         Fault::BigDatagram,
     ];
 
-    /// What it does, in one line.
+    /// The one-line description that the command line's help shows.
     pub fn meaning(self) -> String {
         self.to_possible_value().and_then(|v| v.get_help().map(ToString::to_string)).unwrap_or_default()
     }
 
-    /// It strikes each request of this number, so that the run goes on; 1 where what it needs (a render node that
-    /// drains, dies, hangs or is cold) is rare enough.
+    /// The fault affects one request in this many, so that the remaining requests keep the run going. The value is
+    /// 1 for faults that need a rare condition: a render node that drains, dies, hangs or is cold.
     pub(super) fn every(self) -> u32 {
         match self {
             Fault::SendsToDrained | Fault::FloodsCold | Fault::KeepsEnded | Fault::KeepsSilent => 1,
--- a/crates/kit/src/bad_proxy/first_line.rs
+++ b/crates/kit/src/bad_proxy/first_line.rs
@@ -2,7 +2,7 @@
 
 use crate::time::{MS, Micros};
 
-/// What is wrong with it; the client reads this after `ERR`.
+/// Why a first line is rejected. The client receives this text after `ERR`.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub(super) enum BadLine {
     #[error("the line is not text")]
@@ -13,20 +13,20 @@
     Figure(&'static str),
 }
 
-/// A first line that can be served.
+/// A valid first line.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct FirstLine {
     pub id: u64,
     pub class: String,
-    /// The render node on which the connection is open already.
+    /// The render node that already holds the connection.
     pub at: Option<String>,
-    /// How long the client waits.
+    /// How long the client waits for its answer.
     pub wait: Option<Micros>,
     text: String,
 }
 
 impl FirstLine {
-    /// Reads a line without its end.
+    /// Parses a line without its line end.
     pub fn parse(line: &[u8]) -> Result<Self, BadLine> {
         let text = std::str::from_utf8(line).map_err(|_| BadLine::NotText)?;
         if !text.bytes().all(|b| b == b' ' || b.is_ascii_graphic()) {
@@ -55,7 +55,7 @@
         Ok(FirstLine { id, class, at, wait, text: text.to_owned() })
     }
 
-    /// The line for a render node: as it came, but `d` tells how long the proxy waits.
+    /// The line for a render node: the client's line, with `d` replaced by the time that the proxy waits.
     pub fn forwarded(&self, wait: Micros) -> Vec<u8> {
         let (head, names) = self.text.rsplit_once(' ').unwrap_or(("", &self.text));
         let d = format!("d={}", (wait / MS).max(1));
@@ -64,10 +64,10 @@
         format!("{head} {}\r\n", names.join(",")).into_bytes()
     }
 
-    /// For the fault: with another key.
+    /// The forwarded line with the last digit of the key changed, for `Fault::BadFirstLine`.
     pub fn falsified(&self, wait: Micros) -> Vec<u8> {
         let mut line = self.forwarded(wait);
-        // The key ends before the third space.
+        // The third space follows the key.
         let spaces = line.iter().enumerate().filter(|(_, b)| **b == b' ').map(|(i, _)| i);
         if let Some(end) = spaces.take(3).last() {
             line[end - 1] = if line[end - 1] == b'0' { b'1' } else { b'0' };
--- a/crates/kit/src/bad_proxy/mod.rs
+++ b/crates/kit/src/bad_proxy/mod.rs
@@ -1,8 +1,8 @@
-//! A small proxy that keeps every standing rule, until it is told to break one of them.
+//! A small proxy that keeps all rules of the judge, unless it is started with a fault that breaks one of them.
 //!
-//! It exists to prove that the judge can fail: each [`Fault`] breaks one rule and no other, and without a fault all
-//! are kept. It places badly (round robin) and shares no code with the daemon, so a mistake there can't hide here.
-//! The kit runs it as a process of its own, in place of the daemon.
+//! It proves that the judge can fail a run: each [`Fault`] breaks exactly one rule, and without a fault all rules
+//! are kept. The proxy places requests by round robin and shares no code with the daemon, so a mistake in the
+//! daemon's code cannot hide a failure here. The kit runs it as a separate process, in place of the daemon.
 
 mod beside;
 mod configuration;
@@ -20,9 +20,10 @@
 pub use configuration::BadProxyError;
 pub use fault::{Fault, UnknownFault};
 
-/// Serves as the platform's environment says (`GW_CONFIG`, `GW_LISTEN`, `GW_DISCOVERY`), with this fault, until
-/// SIGTERM; then moves its clients and returns within some 2 s. [`Fault::Crashes`] ends the process itself, with
-/// code 3. Fails if the environment or the file cannot be used, or the address cannot be listened on.
+/// Runs the proxy with the given fault until SIGTERM, as configured by the environment (`GW_CONFIG`, `GW_LISTEN`,
+/// `GW_DISCOVERY`). After SIGTERM it moves its clients and returns within about 2 s. [`Fault::Crashes`] ends the
+/// process with code 3. Fails if the environment or the configuration file is invalid, or if the address cannot be
+/// listened on.
 pub fn serve(fault: Option<Fault>) -> Result<(), BadProxyError> {
     let configuration = configuration::Configuration::load(|name| std::env::var(name).ok())?;
     proxy::Proxy::start(configuration, fault)?.run()
--- a/crates/kit/src/bad_proxy/proxy.rs
+++ b/crates/kit/src/bad_proxy/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy: takes up what the objects on the loop report, and tells them what to do.
+//! The proxy: handles the reports of the objects on the event loop, and tells these objects what to do.
 
 use super::beside::Beside;
 use super::configuration::{BadProxyError, Configuration};
@@ -18,27 +18,28 @@
 use std::io;
 use std::rc::Rc;
 
-/// A lost watch is begun again after this.
+/// Delay before a lost watch is started again.
 const WATCH_AGAIN: Micros = 200 * MS;
-/// When there is no descriptor for a client, the next look.
+/// Delay before the next attempt to accept, when no descriptor was free for a client.
 const ACCEPT_AGAIN: Micros = 20 * MS;
-/// Descriptors for what is no client: the loop, the watch, signals, the listener, the process's own.
+/// Descriptors that are not for clients: the event loop, the watch, signals, the listener, and those that the
+/// process has from its start.
 const OWN_DESCRIPTORS: usize = 32;
-/// Clients of a draining render node are moved evenly within this.
+/// The clients of a draining render node are moved at an even rate within this time.
 const MOVE_WITHIN: Micros = 1_500 * MS;
-/// One that came up while its render node began to drain is moved after this.
+/// Delay of the move for a client that came up after its render node began to drain.
 const MOVE_SOON: Micros = 500 * MS;
-/// After SIGTERM, clients are moved evenly within this, or less where SIGKILL comes sooner: that is after the
-/// longest deadline (3 s at most) and 700 ms.
+/// After SIGTERM, clients are moved at an even rate within this time, or within less if SIGKILL comes sooner:
+/// SIGKILL follows SIGTERM after the longest deadline (3 s at most) plus 700 ms.
 const LEAVE_WITHIN: Micros = 1_800 * MS;
-/// From then on for the last lines to be read, before the process exits.
+/// Time between the last lines to clients and the exit of the process, for clients to read these lines.
 const LAST_LINES: Micros = 250 * MS;
-/// Between two rounds of moving.
+/// Interval between two rounds of moves.
 const ROUND: Micros = 25 * MS;
-/// For the fault: after the first request.
+/// [`Fault::Crashes`] ends the process this long after the first request.
 const CRASH_AFTER: Micros = 6 * S;
 const CRASH_CODE: i32 = 3;
-/// For the fault; at most 256 bytes are allowed.
+/// The datagram of [`Fault::BigDatagram`]. The rule allows 256 bytes at most.
 const BIG: [u8; 300] = [b'x'; 300];
 
 const WATCH: u32 = 0;
@@ -46,7 +47,7 @@
 const LEAVE: u32 = 2;
 const CRASH: u32 = 3;
 
-/// After SIGTERM.
+/// The progress of the shutdown after SIGTERM.
 #[derive(Debug)]
 struct Leaving {
     began: Micros,
@@ -54,26 +55,26 @@
     moved: usize,
 }
 
-/// The proxy.
+/// The state of the proxy.
 pub(super) struct Proxy {
     reactor: Reactor<dyn Object>,
     configuration: Configuration,
     fault: Option<Fault>,
     listener: Rc<TcpListener>,
-    /// For the fault.
+    /// The socket for peers; only [`Fault::BigDatagram`] uses it.
     datagrams: Option<UdpSocket>,
     roster: Roster,
     watch: Option<Key>,
     clients: BTreeSet<Key>,
     requests: BTreeMap<Key, Request>,
     ids: BTreeMap<u64, Key>,
-    /// Requests that a fault may strike, so far.
+    /// Number of requests so far that a fault with an interval may affect.
     asked: u32,
     leaving: Option<Leaving>,
 }
 
 impl Proxy {
-    /// Listens, and begins to watch discovery.
+    /// Binds the sockets and starts to watch discovery.
     pub fn start(configuration: Configuration, fault: Option<Fault>) -> Result<Self, BadProxyError> {
         let mut reactor: Reactor<dyn Object> = Reactor::new(Clock::unix())?;
         let signals: [(i32, fn() -> Report); 2] =
@@ -119,7 +120,7 @@
         Ok(proxy)
     }
 
-    /// Serves until SIGTERM and the time to leave are over.
+    /// Serves until SIGTERM has been received and the shutdown is complete.
     pub fn run(mut self) -> Result<(), BadProxyError> {
         loop {
             self.reactor.turn()?;
@@ -210,7 +211,7 @@
                     let client = self
                         .reactor
                         .insert(|key, io| Ok(Box::new(Session::accepted(stream, fault, key, io)?)));
-                    // A client that broke off at once is no more.
+                    // An error means that the client has already broken the connection.
                     self.clients.extend(client);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
@@ -220,7 +221,7 @@
         }
     }
 
-    /// A client has asked.
+    /// Handles a client's request: rejects it, applies the fault to it, or places it.
     fn asked(&mut self, key: Key, line: FirstLine) {
         let now = self.reactor.io.now();
         let wrong = if !self.configuration.classes.contains(&line.class) {
@@ -258,7 +259,8 @@
         }
     }
 
-    /// The fault, if it strikes this request. One that opened before the run is spared by those that strike a few.
+    /// Returns the fault if it affects this request. A fault that affects one request in several spares connections
+    /// that were open before the run.
     fn strikes(&mut self, now: Micros, line: &FirstLine) -> Option<Fault> {
         let fault = self.fault?;
         if fault == Fault::Crashes && self.asked == 0 {
@@ -268,13 +270,13 @@
         let every = fault.every();
         let strikes = every == 1 || (line.at.is_none() && self.asked.is_multiple_of(every));
         if let (true, Some(socket), Some((_, peer))) = (strikes, &self.datagrams, self.configuration.peer) {
-            // One that can't be sent is lost, as any may be.
+            // A datagram that cannot be sent counts as lost, which any datagram may be.
             let _ = socket.send_to(&BIG, peer);
         }
         strikes.then_some(fault)
     }
 
-    /// Makes the next attempt, or gives up.
+    /// Makes the next attempt for a request, or refuses it if none is left.
     fn place(&mut self, key: Key) {
         let now = self.reactor.io.now();
         let is_over = self.leaving.as_ref().is_some_and(|leaving| leaving.until <= now);
@@ -290,7 +292,7 @@
             return;
         };
         if let Some(beside) = request.beside(now, &mut self.roster, &order) {
-            // Where it can't be made, the fault is not shown this time.
+            // If the parallel attempt cannot be made, this request does not show the fault.
             let _ = self
                 .reactor
                 .insert(|key, io| Ok(Box::new(Beside::start(beside.address, &beside.line, key, io)?)));
@@ -321,12 +323,12 @@
         self.leave();
     }
 
-    /// One round of leaving: as large a part of the clients has been moved as of the time has passed.
+    /// Runs one round of the shutdown: moves clients until the moved share equals the elapsed share of the time.
     fn leave(&mut self) {
         let now = self.reactor.io.now();
         let Some(leaving) = &mut self.leaving else { return };
         if leaving.until <= now {
-            // Once more at the very end: the loop may be asleep until then.
+            // Without this timer, the event loop could sleep past the end of the shutdown.
             self.reactor.io.owner_timer((leaving.until + LAST_LINES).max(now + ROUND), LEAVE);
             for key in self.clients.clone() {
                 self.session(key, |session, io| session.leave(io));
--- a/crates/kit/src/bad_proxy/relay.rs
+++ b/crates/kit/src/bad_proxy/relay.rs
@@ -1,4 +1,4 @@
-//! The render node's side of a client: an attempt, and the connection that comes of it.
+//! The render node's side of a client: an attempt, and the connection that a successful attempt opens.
 
 use super::report::Io;
 use crate::time::Micros;
@@ -8,33 +8,33 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Unanswered lines that are remembered. Guards against a client that only sends.
+/// At most this many unanswered lines are recorded, so that a client that only sends uses bounded memory.
 const MOST_UNANSWERED: usize = 256;
 
-/// An attempt to be made.
+/// The parameters of an attempt.
 #[derive(Debug)]
 pub(super) struct Order {
     pub address: SocketAddr,
-    /// The whole first line.
+    /// The complete first line.
     pub line: Vec<u8>,
-    /// The connection stands by then, or could not be made.
+    /// The attempt fails if the connection is not established by then.
     pub connect_until: Micros,
-    /// Given up then.
+    /// The attempt fails if it is not answered by then.
     pub until: Micros,
-    /// For the fault: given up then whatever comes back.
+    /// For `Fault::TooManyAttempts`: the answer is discarded, and the attempt ends at `until`.
     pub in_vain: bool,
 }
 
-/// How far an attempt is.
+/// The state of an attempt after it was advanced.
 #[derive(Debug)]
 pub(super) enum Progress {
     Pending,
-    /// The `UP` line, as it came.
+    /// The render node answered with this `UP` line.
     Up(Vec<u8>),
     Failed,
 }
 
-/// An attempt that is out.
+/// An attempt that has not been answered.
 #[derive(Debug)]
 pub(super) struct Attempt {
     link: LineStream,
@@ -49,12 +49,12 @@
         Ok(Attempt { link, connected: false, order })
     }
 
-    /// Its time is up.
+    /// Whether the attempt has exceeded its time to connect or its time for the answer.
     pub fn is_overdue(&self, now: Micros) -> bool {
         self.order.until <= now || (!self.connected && self.order.connect_until <= now)
     }
 
-    /// Goes on as far as the socket allows.
+    /// Connects, sends and reads as far as the socket allows.
     pub fn advance(&mut self) -> Progress {
         if !self.connected {
             match self.link.connected() {
@@ -78,52 +78,53 @@
         }
     }
 
-    /// The connection, now that it is up.
+    /// Converts the attempt, which was answered with `UP`, into a relay.
     pub fn into_relay(self) -> Relay {
         Relay { link: self.link, unanswered: VecDeque::new(), client_ended: false }
     }
 }
 
-/// How a pass over one direction ended.
+/// The result of passing on bytes in one direction.
 #[derive(Debug)]
 pub(super) enum Pass {
     On,
-    /// There may be more; to be called again.
+    /// More input may be available; the caller has to call again.
     More,
-    /// The client has ended its sending; what the render node still sends is passed on.
+    /// The client ended its sending. The render node's output is still passed on.
     ClientEnded,
-    /// The client broke off; nothing is left to do.
+    /// The client broke the connection. Nothing remains to be done.
     ClientBroke,
-    /// The client sent a line without end.
+    /// The client sent a line that exceeds the maximum length.
     TooLong,
-    /// The render node has ended, by a reset or in order; the client's side is to end alike.
+    /// The render node's connection ended, by a reset or in order. The client's connection has to end in the same
+    /// way.
     NodeEnded {
         reset: bool,
     },
 }
 
-/// A connection that is up.
+/// The connection to the render node of a client that is up.
 #[derive(Debug)]
 pub(super) struct Relay {
     link: LineStream,
-    /// When each line of the client's that did not come back yet was passed on.
+    /// The times at which unanswered lines of the client were passed on, oldest first.
     unanswered: VecDeque<Micros>,
     client_ended: bool,
 }
 
 impl Relay {
-    /// Since when the client waits for a line to come back.
+    /// The time since which the client waits for a line to be returned.
     pub fn waiting_since(&self) -> Option<Micros> {
         self.unanswered.front().copied()
     }
 
-    /// Writes on to the render node what did not fit before.
+    /// Writes pending bytes to the render node.
     pub fn flush(&mut self) {
-        // A broken connection is found by reading.
+        // The next read reports a broken connection.
         let _ = self.link.flush();
     }
 
-    /// Passes on what the client sent.
+    /// Passes lines from the client to the render node.
     pub fn pass_client(&mut self, client: &mut LineStream, now: Micros) -> Pass {
         if self.client_ended || self.link.is_full() {
             return Pass::On;
@@ -159,7 +160,7 @@
         pass
     }
 
-    /// Passes on what the render node sent.
+    /// Passes lines from the render node to the client.
     pub fn pass_node(&mut self, client: &mut LineStream) -> Pass {
         if client.is_full() {
             return Pass::On;
--- a/crates/kit/src/bad_proxy/report.rs
+++ b/crates/kit/src/bad_proxy/report.rs
@@ -1,4 +1,4 @@
-//! What the objects on the loop tell the proxy.
+//! The reports of the objects on the event loop to the proxy.
 
 use super::first_line::FirstLine;
 use super::lists::List;
@@ -7,28 +7,28 @@
 use cottonnotch_reactor::signals::Signals;
 use cottonnotch_reactor::{Connection, Key};
 
-/// One thing told.
+/// One report.
 #[derive(Debug)]
 pub(super) enum Report {
-    /// Clients wait to be accepted.
+    /// Clients are waiting to be accepted.
     Acceptable,
-    /// A client has asked; it is owed one final answer.
+    /// A client sent a valid first line. The proxy owes it one final answer.
     Asked(Key, FirstLine),
-    /// Its attempt came to nothing.
+    /// The current attempt of this client failed.
     AttemptOver(Key),
-    /// Its attempt is up.
+    /// The current attempt of this client was answered with `UP`.
     Up(Key),
-    /// The client's connection is no more.
+    /// The client's connection is closed.
     Gone(Key),
-    /// The watch brought a list.
+    /// The watch received an endpoint list.
     Listed(Key, List),
-    /// The watch is no more.
+    /// The watch ended.
     WatchLost(Key),
-    /// SIGTERM.
+    /// SIGTERM was received.
     Terminate,
-    /// SIGHUP.
+    /// SIGHUP was received.
     Reload,
-    /// A timer of the proxy's own.
+    /// A timer of the proxy fired.
     Timer(u32),
 }
 
@@ -38,12 +38,12 @@
     }
 }
 
-/// What callbacks may use here.
+/// The interface of the event loop for the objects' callbacks.
 pub(super) type Io = cottonnotch_reactor::Io<Report>;
 
-/// An object on the loop.
+/// An object on the event loop.
 pub(super) trait Object: Connection<Report = Report> {
-    /// The object as a client's session, if it is one.
+    /// Returns the object as a client's session, if it is one.
     fn session(&mut self) -> Option<&mut Session> {
         None
     }
--- a/crates/kit/src/bad_proxy/request.rs
+++ b/crates/kit/src/bad_proxy/request.rs
@@ -1,5 +1,5 @@
-//! What a client has asked, and how far it got: which attempt comes next, for how long, and what a fault makes of it.
-//! No sockets, no clock.
+//! The state of a client's request: which attempt comes next, how long it may take, and how a fault changes it.
+//! This module uses neither sockets nor a clock.
 
 use super::fault::Fault;
 use super::first_line::FirstLine;
@@ -7,41 +7,42 @@
 use super::roster::{Place, Roster};
 use crate::time::{MS, Micros, S};
 
-/// The final answer is given this long before the client's time is up, or a quarter of the time if that is less.
+/// The final answer is given this long before the client's deadline, or a quarter of the client's wait before it if
+/// that is less.
 const RESERVE: Micros = 80 * MS;
-/// Less time is not worth an attempt.
+/// No attempt is made with less time left.
 const LEAST: Micros = 10 * MS;
-/// For a client that tells none.
+/// The wait that is assumed for a client that gives none.
 const USUAL_WAIT: Micros = 2 * S;
-/// For the fault: attempts that are there to be counted are given up after this; a render node far away has read
-/// the first line by then.
+/// [`Fault::TooManyAttempts`] gives up all attempts but the last after this time, which leaves time for the
+/// additional one. By then, even a distant render node has read the first line.
 const IN_VAIN: Micros = 50 * MS;
 
-/// How far a request is.
+/// The progress of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// No attempt is out.
+    /// No attempt is pending.
     Placing,
-    /// One is out there.
+    /// An attempt at this render node is pending.
     Out(Place),
-    /// Served there.
+    /// The connection is up at this render node.
     Up(Place),
-    /// Answered, moved, or taken by a fault.
+    /// The request was answered, moved, or taken over by a fault.
     Over,
 }
 
-/// One request.
+/// A request with its deadline and its attempts.
 #[derive(Debug)]
 pub(super) struct Request {
     pub line: FirstLine,
     pub fault: Option<Fault>,
     pub stage: Stage,
-    /// When the client gives up.
+    /// The time at which the client gives up.
     pub deadline: Micros,
     tried: Vec<Place>,
 }
 
-/// The figures that bound attempts.
+/// The configured limits of attempts.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Bounds {
     pub most_attempts: u32,
@@ -49,7 +50,7 @@
 }
 
 impl Request {
-    /// Taken now.
+    /// Creates a request that was received now.
     pub fn new(now: Micros, line: FirstLine, fault: Option<Fault>) -> Self {
         let deadline = now + line.wait.unwrap_or(USUAL_WAIT);
         Request { line, fault, stage: Stage::Placing, deadline, tried: Vec::new() }
@@ -60,7 +61,7 @@
         most.saturating_sub(self.tried.len() as u32)
     }
 
-    /// The next attempt; none if nothing is left.
+    /// Returns the next attempt, or `None` if no attempt, no time or no render node is left.
     pub fn next(&mut self, now: Micros, roster: &mut Roster, bounds: Bounds) -> Option<Order> {
         let left = self.attempts_left(bounds);
         let wait = self.line.wait.unwrap_or(USUAL_WAIT);
@@ -71,7 +72,7 @@
         let place = self.choose(now, roster)?;
         let address = roster.address(place)?;
         let in_vain = self.fault == Some(Fault::TooManyAttempts) && left > 1;
-        // Each attempt gets its part of the time that is left.
+        // The time that is left is split evenly over the attempts that are left.
         let part = if in_vain { IN_VAIN.min(time) } else { time / Micros::from(left) };
         let falsified = self.fault == Some(Fault::BadFirstLine) && self.tried.is_empty();
         let line = if falsified { self.line.falsified(part) } else { self.line.forwarded(part) };
@@ -88,14 +89,15 @@
         let faulty = match self.fault {
             Some(Fault::FloodsCold) => roster.cold(now, &self.tried),
             Some(Fault::SendsToDrained) if self.tried.is_empty() => roster.drained(now),
-            // It may run out of others.
+            // All render nodes may have been tried; then one is tried again.
             Some(Fault::TooManyAttempts) => roster.pick(now, &self.tried).or_else(|| roster.pick(now, &[])),
             _ => None,
         };
         faulty.or_else(|| roster.pick(now, &self.tried))
     }
 
-    /// For the fault: an attempt to be made beside the first one. It counts as one.
+    /// Returns the parallel attempt of [`Fault::SecondAttempt`], which goes with the first attempt. It counts as an
+    /// attempt.
     pub fn beside(&mut self, now: Micros, roster: &mut Roster, order: &Order) -> Option<Order> {
         if self.fault != Some(Fault::SecondAttempt) || self.tried.len() != 1 {
             return None;
@@ -106,7 +108,7 @@
         roster.address(place).map(|address| Order { address, line, ..*order })
     }
 
-    /// The attempt that was out came to nothing; its render node, if that was its own doing.
+    /// Records that the pending attempt failed. Returns its render node, unless the fault caused the failure.
     pub fn attempt_over(&mut self) -> Option<Place> {
         let provoked = self.fault == Some(Fault::TooManyAttempts)
             || (self.fault == Some(Fault::BadFirstLine) && self.tried.len() == 1);
--- a/crates/kit/src/bad_proxy/roster.rs
+++ b/crates/kit/src/bad_proxy/roster.rs
@@ -1,20 +1,22 @@
-//! The render nodes as the proxy knows them, and whose turn it is. No sockets, no clock: time is a parameter, as Unix
-//! time, since starts are told so.
+//! The known render nodes and their rotation. This module uses neither sockets nor a clock: time is a parameter. It
+//! is Unix time, because discovery gives the starts of render nodes in Unix time.
 
 use super::lists::List;
 use crate::plan::Phase;
 use crate::time::{MS, Micros, S};
 use std::net::SocketAddr;
 
-/// After a failure, others are preferred for this long.
+/// The rotation skips a render node for this long after a failure.
 const PAUSE: Micros = S;
-/// The proxies together send a cold render node one new connection in each slot, in turn. A window of the rule (2 s)
-/// touches three slots; a small render node's budget there is 4 (3 x 0.3 x 2.3 connections a second x 2 s).
+/// In each slot, one proxy of the tier, in rotation, may send a cold render node one new connection. The window of
+/// the rule (2 s) touches three slots; the budget of a small render node in that window is 4 connections (3 x 0.3 x
+/// 2.3 connections a second x 2 s).
 const SLOT: Micros = S;
-/// The faulty proxy sends to a draining render node from here on; the rule is broken after 1 s and 50 ms.
+/// `Fault::SendsToDrained` sends to a render node that has been draining for this long. The rule is broken 1 s and
+/// 50 ms after the proxy was told.
 const DRAINED: Micros = 1_200 * MS;
 
-/// A render node, by its place in the roster; never given to another one.
+/// The index of a render node in the roster. An index is never reused for another render node.
 pub(super) type Place = usize;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,22 +31,22 @@
     id: String,
     address: SocketAddr,
     standing: Standing,
-    /// 0: long ago.
+    /// The last start; 0 if it was long ago.
     started: Micros,
     paused_until: Micros,
-    /// The last slot in which it was sent something while cold.
+    /// The last slot in which this proxy sent the node a connection while it was cold.
     slot: Micros,
 }
 
-/// The roster.
+/// The known render nodes.
 #[derive(Debug)]
 pub(super) struct Roster {
     nodes: Vec<Node>,
     revision: u64,
     next: Place,
-    /// A render node is cold for this long.
+    /// A render node is cold for this long after its start.
     warm_up: Micros,
-    /// Proxies of the tier, and this one's number.
+    /// Number of proxies in the tier, and this proxy's ordinal among them.
     tier: (u16, u16),
 }
 
@@ -53,27 +55,27 @@
         Roster { nodes: Vec::new(), revision: 0, next: 0, warm_up, tier }
     }
 
-    /// Other figures, from now on.
+    /// Replaces the settings.
     pub fn configure(&mut self, warm_up: Micros, tier: (u16, u16)) {
         (self.warm_up, self.tier) = (warm_up, tier);
     }
 
-    /// To watch from.
+    /// The last revision that was received.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Where it is.
+    /// The address of a render node.
     pub fn address(&self, place: Place) -> Option<SocketAddr> {
         self.nodes.get(place).map(|node| node.address)
     }
 
-    /// It drains or is gone.
+    /// Whether the render node is draining or gone.
     pub fn is_leaving(&self, place: Place) -> bool {
         self.nodes.get(place).is_none_or(|node| node.standing != Standing::Up)
     }
 
-    /// Takes a list in; returns those that were up and now drain or are gone.
+    /// Applies an endpoint list. Returns the render nodes that were up and are now draining or gone.
     pub fn learn(&mut self, now: Micros, list: List) -> Vec<Place> {
         self.revision = list.revision;
         let mut left = Vec::new();
@@ -83,7 +85,7 @@
             let (place, address) = match (known, member.host_port) {
                 (Some(place), address) => (place, address.unwrap_or(self.nodes[place].address)),
                 (None, Some(address)) => (self.nodes.len(), address),
-                // It was removed before it was ever known.
+                // The member was removed before this proxy learned of it.
                 (None, None) => continue,
             };
             let was = known.map(|place| self.nodes[place].standing);
@@ -121,7 +123,7 @@
         left
     }
 
-    /// Whose turn it is: round robin over those that are up, did not fail lately and were not tried.
+    /// Chooses a render node by round robin over those that are up, are not paused and were not tried.
     pub fn pick(&mut self, now: Micros, tried: &[Place]) -> Option<Place> {
         let count = self.nodes.len();
         let turn = (0..count).map(|i| (self.next + i) % count);
@@ -139,7 +141,7 @@
         Some(place)
     }
 
-    /// The slot of a cold render node's warm-up, and whether it is this proxy's; none if it is warm.
+    /// The current slot of a cold render node, and whether it belongs to this proxy; `None` if the node is warm.
     fn slot(&self, node: &Node, now: Micros) -> Option<(Micros, bool)> {
         let age = now - node.started;
         let slot = age.max(0) / SLOT;
@@ -147,19 +149,19 @@
             .then(|| (slot, slot % Micros::from(self.tier.0) == Micros::from(self.tier.1)))
     }
 
-    /// The one of that name, if it is up.
+    /// Finds a render node by its id, if it is up.
     pub fn named(&self, id: &str) -> Option<Place> {
         self.nodes.iter().position(|node| node.id == id && node.standing == Standing::Up)
     }
 
-    /// An attempt there came to nothing.
+    /// Pauses a render node after an attempt there failed.
     pub fn failed(&mut self, now: Micros, place: Place) {
         if let Some(node) = self.nodes.get_mut(place) {
             node.paused_until = now + PAUSE;
         }
     }
 
-    /// For the fault: a cold one, whatever it was sent already.
+    /// For `Fault::FloodsCold`: a cold render node, regardless of its slots.
     pub fn cold(&self, now: Micros, tried: &[Place]) -> Option<Place> {
         (0..self.nodes.len()).find(|place| {
             let node = &self.nodes[*place];
@@ -167,7 +169,7 @@
         })
     }
 
-    /// For the fault: one that has drained for too long to be sent anything.
+    /// For `Fault::SendsToDrained`: a render node that may no longer be sent requests.
     pub fn drained(&self, now: Micros) -> Option<Place> {
         let long =
             |node: &Node| matches!(node.standing, Standing::Draining { told } if told + DRAINED <= now);
--- a/crates/kit/src/bad_proxy/session.rs
+++ b/crates/kit/src/bad_proxy/session.rs
@@ -1,4 +1,4 @@
-//! A client's connection, with the attempt or the render node's connection behind it.
+//! A client's connection, with its current attempt or the render node's connection.
 
 use super::fault::Fault;
 use super::first_line::FirstLine;
@@ -10,24 +10,25 @@
 use mio::net::TcpStream;
 use std::io;
 
-/// A client that has said nothing by then is turned away.
+/// A client that has not sent a first line by then is rejected.
 const FIRST_LINE_WITHIN: Micros = 1_500 * MS;
-/// But the front, which says `PING`, may pause for longer.
+/// Time limit after a `PING`: the front sends these, and may pause for longer than a client.
 const PING_WITHIN: Micros = 30 * S;
-/// A line that did not come back for this long: the render node hangs. The rule allows 7 s.
+/// A render node that has not returned a line for this long is considered hung. The rule allows 7 s.
 const SILENT_FOR: Micros = 5 * S;
-/// After the client's end, its render node is to end too.
+/// After the client has ended its sending, the render node has this long to end its connection.
 const FAR_END_WITHIN: Micros = 3 * S;
-/// A client that has read its last line is given this long to close first.
+/// After the last line to a client, the client has this long to close first.
 const LINGER_FOR: Micros = S;
 
-/// How long, and after what, the faults do what they do.
+/// Delays of the faults [`Fault::AnswersTwice`], [`Fault::CutsWithoutMove`], [`Fault::HoldsLine`] and
+/// [`Fault::KeepsEnded`].
 const SECOND_ANSWER: Micros = 300 * MS;
 const CUT: Micros = S;
 const HELD: Micros = 1_500 * MS;
 const KEPT: Micros = 3 * S;
 
-/// The unavailable status: the client may come again after 200 ms.
+/// The busy answer: the client may retry after 200 ms.
 const BUSY: &str = "BUSY 200\r\n";
 
 const FIRST_LINE: u32 = 0;
@@ -40,28 +41,30 @@
 
 #[derive(Debug)]
 enum State {
-    /// The first line is not there yet.
+    /// The first line has not been read completely.
     Reading {
         until: Micros,
     },
-    /// A final answer is owed, and no attempt is out.
+    /// The client is owed a final answer, and no attempt is pending.
     Waiting,
     Trying(Box<Attempt>),
     Up(Box<Relay>),
-    /// Its last line is written, and its own end awaited.
+    /// The last line was queued for the client, which has to close its connection.
     Ending,
     Gone,
-    /// For the fault: served by nobody, lines are echoed.
+    /// For [`Fault::InventedUp`] and [`Fault::ServesRude`]: no render node serves the client, and its lines are
+    /// echoed.
     Pretending,
-    /// For the fault: never told a word.
+    /// For [`Fault::NoAnswer`] and [`Fault::IgnoresRude`]: nothing is sent to the client.
     Mute,
-    /// For the fault: the render node has ended, and the client is not told yet.
+    /// For [`Fault::KeepsEnded`]: the render node's connection has ended, and the client's connection is still
+    /// open.
     Kept {
         reset: bool,
     },
 }
 
-/// What the fault has done with the client's lines.
+/// The state of [`Fault::HoldsLine`] for this client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Hold {
     NotYet,
@@ -69,7 +72,7 @@
     Released,
 }
 
-/// The connection.
+/// A client's connection.
 #[derive(Debug)]
 pub(super) struct Session {
     key: Key,
@@ -80,7 +83,7 @@
 }
 
 impl Session {
-    /// Takes over an accepted connection.
+    /// Creates a session from an accepted connection.
     pub fn accepted(stream: TcpStream, fault: Option<Fault>, key: Key, io: &mut Io) -> io::Result<Self> {
         let client = LineStream::accepted(stream, io, key)?;
         let until = io.now() + FIRST_LINE_WITHIN;
@@ -88,12 +91,12 @@
         Ok(Session { key, client, state: State::Reading { until }, fault, hold: Hold::NotYet })
     }
 
-    /// The fault that strikes this request, if one does.
+    /// Sets the fault that affects this request.
     pub fn strike(&mut self, fault: Option<Fault>) {
         self.fault = fault;
     }
 
-    /// Makes an attempt; how it ends is reported.
+    /// Starts an attempt. The session reports its outcome.
     pub fn try_at(&mut self, io: &mut Io, order: Order) {
         if !matches!(self.state, State::Waiting) {
             return;
@@ -106,14 +109,14 @@
         }
     }
 
-    /// Final answer: the unavailable status.
+    /// Sends the busy answer, if the client is still owed an answer.
     pub fn refuse(&mut self, io: &mut Io) {
         if matches!(self.state, State::Waiting | State::Trying(_)) {
             self.end(io, BUSY);
         }
     }
 
-    /// Final answer to what can't be served.
+    /// Rejects an invalid request with `ERR`.
     pub fn reject(&mut self, io: &mut Io, why: &str) {
         match self.fault {
             Some(Fault::IgnoresRude) => self.mute(io, None),
@@ -122,20 +125,20 @@
         }
     }
 
-    /// Moves the client then, if it is still up.
+    /// Schedules a move of the client, which takes place if it is still up.
     pub fn move_at(&self, io: &mut Io, at: Micros) {
         io.timer(at, self.key, MOVE);
     }
 
-    /// Moves the client.
+    /// Sends the client `MOVE`, if it is up.
     pub fn move_away(&mut self, io: &mut Io) {
-        // Only whole lines are queued for the client, so this falls between two.
+        // Only complete lines are queued for the client, so `MOVE` cannot split a line.
         if matches!(self.state, State::Up(_) | State::Pretending) {
             self.end(io, "MOVE\r\n");
         }
     }
 
-    /// The proxy ends: each client gets its last line.
+    /// Ends the client's connection because the proxy shuts down.
     pub fn leave(&mut self, io: &mut Io) {
         self.move_away(io);
         self.refuse(io);
@@ -144,7 +147,7 @@
         }
     }
 
-    /// For the fault: says nothing, and closes then.
+    /// For a fault: sends nothing more, and closes at `until` if given.
     pub fn mute(&mut self, io: &mut Io, until: Option<Micros>) {
         self.state = State::Mute;
         if let Some(until) = until {
@@ -153,28 +156,29 @@
         io.call_again(self.key, Half::Near);
     }
 
-    /// For the fault: serves the client without a render node.
+    /// For a fault: answers `UP` without a render node.
     pub fn pretend(&mut self, io: &mut Io) {
-        // Reads as a receipt, whether its digits are taken for decimal or hexadecimal ones.
+        // The receipt is valid both as a decimal and as a hexadecimal number.
         self.client.push(format!("UP {:016}\r\n", io.now()).as_bytes());
         self.client.take_rest();
         self.state = State::Pretending;
         io.call_again(self.key, Half::Near);
     }
 
-    /// For the fault: closes without a word.
+    /// For a fault: closes without an answer.
     pub fn drop_client(&mut self) {
         self.state = State::Gone;
     }
 
-    /// Writes the client's last line and ends our sending; an attempt or relay behind it is closed.
+    /// Sends the client its last line and ends the proxy's sending. A pending attempt or a relay is closed.
     fn end(&mut self, io: &mut Io, last: &str) {
         self.client.push(last.as_bytes());
         self.client.finish();
         self.client.take_rest();
         self.state = if self.client.flush().is_ok() { State::Ending } else { State::Gone };
         io.timer(io.now() + LINGER_FOR, self.key, LINGER);
-        // What else it sent is read away: a close with bytes unread could take the last line with it.
+        // The client's remaining input is read and discarded: a close with unread bytes resets the connection, and
+        // the client could lose its last line.
         io.call_again(self.key, Half::Near);
     }
 
@@ -206,13 +210,15 @@
             Ok(line) => {
                 self.state = State::Waiting;
                 io.report(Report::Asked(self.key, line));
-                // More, or the client's end, may have come with the line; an edge is told once.
+                // Further bytes, or the end of the client's sending, may have arrived with the line. The
+                // edge-triggered poll reports them only once.
                 self.watch_client(io);
             }
         }
     }
 
-    /// A client waits for its answer. Guards against one that sends many commands at once.
+    /// Reads from a client that waits for its answer, and rejects a client that sends further lines before its
+    /// answer.
     fn watch_client(&mut self, io: &mut Io) {
         match self.client.fill() {
             _ if self.client.has_input() => self.reject(io, "more than one line before the answer"),
@@ -236,7 +242,7 @@
                     Some(Fault::CutsWithoutMove) => io.timer(io.now() + CUT, self.key, FAULT),
                     _ => {}
                 }
-                // Either side may have sent more already.
+                // Both sides may already have sent more bytes.
                 self.relay(io, Half::Far);
                 self.relay(io, Half::Near);
             }
@@ -244,7 +250,7 @@
     }
 
     fn attempt_over(&mut self, io: &mut Io) {
-        // This closes it: the next one goes out after that.
+        // This drops the attempt, so its connection is closed before the next attempt starts.
         self.state = State::Waiting;
         io.report(Report::AttemptOver(self.key));
     }
@@ -254,7 +260,7 @@
         let now = io.now();
         if from == Half::Near && self.fault == Some(Fault::HoldsLine) {
             if self.hold == Hold::NotYet {
-                // An end without a line is passed on below, as usual.
+                // An end of the client's sending without a line is passed on below, as without the fault.
                 self.client.fill();
                 if self.client.has_input() {
                     self.hold = Hold::Holding;
@@ -287,7 +293,7 @@
         }
     }
 
-    /// The client's side ends as the render node's did.
+    /// Ends the client's connection as the render node's connection ended.
     fn node_ended(&mut self, io: &mut Io, reset: bool) {
         if reset {
             self.client.reset();
@@ -312,12 +318,12 @@
         }
     }
 
-    /// Nothing is passed on any more: reads away what comes, and sees the client's end.
+    /// Discards the client's input, and detects the end of its connection.
     fn discard(&mut self, io: &mut Io) {
         match (self.client.discard(), &self.state) {
             (Fill::Blocked, _) => {}
             (Fill::More, _) => io.call_again(self.key, Half::Near),
-            // Its last lines may not all be written; it has only ended its own sending.
+            // The client has ended its sending only, and its last lines may not all be written.
             (Fill::Ended, State::Ending) if matches!(self.client.flush(), Ok(false)) => {}
             _ => self.state = State::Gone,
         }
@@ -335,7 +341,7 @@
             (State::Up(_), leg) => self.relay(io, leg),
             (State::Pretending, Half::Near) => self.echo(io),
             (State::Ending | State::Mute | State::Kept { .. }, Half::Near) => self.discard(io),
-            // Left over from what is closed.
+            // The event belongs to an attempt or relay that is closed.
             (_, _) => {}
         }
     }
@@ -345,11 +351,11 @@
             (State::Trying(_), Half::Far) => self.advance(io),
             (State::Up(relay), Half::Far) => {
                 relay.flush();
-                // The client was left unread while this side was full.
+                // The client was not read while the buffer to the render node was full.
                 io.call_again(self.key, Half::Near);
             }
             (_, Half::Near) => {
-                // A broken connection is found by reading.
+                // The next read reports a broken connection.
                 let _ = self.client.flush();
                 io.call_again(self.key, Half::Near);
                 io.call_again(self.key, Half::Far);
--- a/crates/kit/src/bad_proxy/watch.rs
+++ b/crates/kit/src/bad_proxy/watch.rs
@@ -1,4 +1,4 @@
-//! A watch on discovery.
+//! The watch on discovery's endpoint list.
 
 use super::lists::List;
 use super::report::{Io, Object, Report};
@@ -10,11 +10,11 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Discovery says something every 2 s. Guards against one that is silent: what it has to tell counts as told after
-/// 6 s all the same.
+/// Discovery sends something every 2 s. A watch that is silent for longer than this is lost: the rules treat a
+/// change as known to the proxy after 6 s, even if discovery could not deliver it.
 const SILENT: Micros = 4 * S;
 
-/// The watch.
+/// A connection that watches discovery.
 #[derive(Debug)]
 pub(super) struct Watch {
     key: Key,
@@ -26,7 +26,7 @@
 }
 
 impl Watch {
-    /// Asks for the changes after a revision.
+    /// Requests the changes after a revision.
     pub fn start(discovery: SocketAddr, from: u64, key: Key, io: &mut Io) -> io::Result<Self> {
         let mut stream = LineStream::connect(discovery, io, key, Half::Near)?;
         let request =
@@ -69,14 +69,15 @@
         for mut text in texts {
             match List::parse(&mut text) {
                 Ok(list) => io.report(Report::Listed(self.key, list)),
-                // Taken whole or not at all; the next watch begins at the last list that was.
+                // A list that cannot be parsed is not applied. The next watch starts from the last applied
+                // revision.
                 Err(_) => return self.lose(io),
             }
         }
         match (sound, fill) {
             (true, Fill::Blocked) => {}
             (true, Fill::More) => io.call_again(self.key, Half::Near),
-            // Before the connection stands, `writable` finds out.
+            // While the connection is being established, `writable` reports failures.
             (true, Fill::Broken(error)) if error.kind() == io::ErrorKind::NotConnected => {}
             _ => self.lose(io),
         }
