--- a/crates/kit/src/model/client.rs
+++ b/crates/kit/src/model/client.rs
@@ -1,8 +1,9 @@
-//! What a client does next: one session of the plan, sans-io. Time is a parameter, and every draw comes from the
-//! session's own seed, so the same inputs at the same times give the same outputs.
+//! The behaviour of a client in one session of the plan, sans-io. Time is a parameter, and every random draw
+//! derives from the session's own seed, so the same inputs at the same times give the same outputs.
 //!
-//! A session wants a connection from its arrival to the end of its life. A *wish* is one bout of trying for it: some
-//! tries, one after the other, within the class's deadline. `docs/design/clients.md` has the whole of it.
+//! A session wants a connection from its arrival until its end. It makes its tries in series: a *series* is a
+//! number of consecutive tries within one deadline of the class. After a failed series the session backs off, and
+//! then starts the next one. `docs/design/clients.md` has the complete description.
 
 mod endings;
 mod reading;
@@ -19,59 +20,59 @@
 use std::sync::Arc;
 use tries::LEAST_WAIT;
 
-/// Beyond the time in which a late answer is still in order, a client looks so much longer for one.
+/// A client that gave up waits this much longer for a late answer than the rules allow such an answer to take.
 const LATE_MARGIN: Micros = 20 * MS;
-/// After its end of sending, a client awaits the rest for so long.
+/// After a client has ended its sending, it waits this long for the remaining lines.
 const REST_WITHIN: Micros = 2 * S;
 
-/// What has happened to a session.
+/// Events for a session.
 #[derive(Clone, Copy, Debug)]
 #[allow(missing_docs)] // Each variant's sentence names its fields.
 pub enum Input<'a> {
-    /// The time of [`Session::next_timeout`] has come.
+    /// The time that [`Session::next_timeout`] returned has come.
     Due,
-    /// The connection stands, and the first line can be written.
+    /// The connection is established, and the first line can be written.
     Connected,
-    /// The first line's last byte is written.
+    /// The last byte of the first line has been written.
     Written,
-    /// The connection never stood, or broke before that byte was written.
+    /// The connection could not be established, or broke before the last byte of the first line was written.
     Unreached,
-    /// A line was read; without its end.
+    /// A line was read; passed without its line end.
     Line(&'a [u8]),
-    /// The proxy has ended the connection.
+    /// The proxy ended the connection.
     Ended(ProxyClose),
-    /// The timeline's [`TimelineChange::Drop`](crate::plan::TimelineChange::Drop).
+    /// [`TimelineChange::Drop`](crate::plan::TimelineChange::Drop) of the timeline.
     Drop { share: f64, back_within: Micros, seed: u64 },
-    /// The run is over.
+    /// The run ends.
     Stop,
 }
 
-/// What a session wants done.
+/// Actions that a session requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// To be taken down.
+    /// Record this observation.
     Note(Observation),
-    /// Connect to this proxy. There is no other connection.
+    /// Connect to this proxy. The session has no other connection at that time.
     Connect(ProxyId),
-    /// Write this, its line end included.
+    /// Send this line, which includes its line end.
     Send(String),
-    /// End the sending; the rest is still read.
+    /// End the sending. The rest of the input is still read.
     Finish,
     /// Close the connection.
     Close,
-    /// Close it by a reset.
+    /// Reset the connection.
     Reset,
 }
 
-/// When a session tries again.
+/// The time of a session's next try.
 #[derive(Clone, Copy, Debug)]
 struct Next {
     due: Micros,
-    /// With a new wish.
+    /// Whether the try starts a new series.
     fresh: bool,
 }
 
-/// A try that is not put to the proxy yet.
+/// A try whose request the proxy has not yet received.
 #[derive(Clone, Copy, Debug)]
 struct Try {
     due: Micros,
@@ -80,23 +81,23 @@
     gives_up: Micros,
 }
 
-/// Why a connection is kept that can't serve any more.
+/// Why a connection that cannot serve the client is kept open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Why {
-    /// It was refused, or failed: a second answer would be seen.
+    /// The request was refused or failed. The client would see a second answer.
     Refused,
-    /// The client's time was up: a late answer is looked for.
+    /// The client's deadline has passed. The client waits for a late answer.
     Late,
-    /// `MOVE` was read: the proxy is to close.
+    /// `MOVE` was read. The proxy has to close the connection.
     Moved,
 }
 
 #[derive(Debug)]
 enum State {
-    /// No connection; `arrives` if the session has not come yet.
+    /// No connection until the next try. The first try is due at the session's arrival.
     Waiting(Next),
     Connecting(Try),
-    /// The connection stands, the first line is being written.
+    /// The connection is established and the first line is being written. The duration is the wait in that line.
     Opening(Try, Micros),
     Asked {
         of: Try,
@@ -118,20 +119,20 @@
 pub struct Session {
     plan: Arc<Plan>,
     id: SessionId,
-    /// The end of its life, or of the run.
+    /// The end of the session, or the end of the run if that is earlier.
     until: Micros,
     state: State,
     arrived: bool,
-    /// Tries of its whole life; numbers the ids.
+    /// Number of tries of the whole session. Each request's id derives from it.
     tries: u32,
-    /// Tries of this wish, and the end of it.
+    /// Number of tries of the current series, and the deadline of the series.
     wish_tries: u32,
     wish_ends: Micros,
-    /// Wishes that failed since it was last up.
+    /// Number of failed series since the session was last up.
     failed: u32,
-    /// It was up before, and its connection was broken or moved.
+    /// Whether the session was up before and lost its connection by a break, a move or a drop.
     again: bool,
-    /// It tried since it was last up.
+    /// Whether a try has failed since the session was last up.
     repeat: bool,
 }
 
@@ -142,8 +143,8 @@
 }
 
 impl Session {
-    /// A session of the plan before its arrival; none if the plan has no such session or class, or if it would come
-    /// after the run's end.
+    /// Creates a session of the plan, before its arrival. Returns `None` if the plan has no such session or class,
+    /// or if the session would arrive after the run's end.
     pub fn new(plan: &Arc<Plan>, id: SessionId) -> Option<Self> {
         let planned = plan.sessions.get(id.0 as usize)?;
         plan.classes.get(usize::from(planned.class))?;
@@ -171,17 +172,17 @@
         &self.plan.classes[usize::from(self.planned().class)]
     }
 
-    /// Until when it wants a connection.
+    /// The time until which the session wants a connection.
     pub fn wanted_until(&self) -> Micros {
         self.until
     }
 
-    /// What a well-served second of it is worth.
+    /// The weight of a well-served second of this session.
     pub fn worth(&self) -> f64 {
         self.class().worth
     }
 
-    /// The request and proxy that it is up with.
+    /// The request and the proxy of the connection, if the session is up.
     pub fn up(&self) -> Option<(RequestId, ProxyId)> {
         match &self.state {
             State::Up(standing) => Some((standing.whose.request, standing.whose.proxy)),
@@ -189,12 +190,12 @@
         }
     }
 
-    /// Nothing more will come of it.
+    /// Whether the session is over and will request nothing more.
     pub fn is_over(&self) -> bool {
         matches!(self.state, State::AttemptEnd)
     }
 
-    /// When it wants [`Input::Due`]; none once it is over.
+    /// The time at which the session needs [`Input::Due`]; `None` once it is over.
     pub fn next_timeout(&self) -> Option<Micros> {
         match &self.state {
             State::Waiting(next) => Some(if self.has_time(*next) { next.due } else { self.until }),
@@ -207,8 +208,8 @@
         }
     }
 
-    /// Takes an input; `admitted` tells which proxies the front gives new clients now. What does not fit the state is
-    /// ignored: it is about a connection that was closed meanwhile.
+    /// Handles an input. `admitted` tells whether the front currently sends new clients to a proxy. An input that
+    /// does not fit the state belongs to a connection that has been closed meanwhile, and is ignored.
     pub fn handle(&mut self, now: Micros, input: Input<'_>, admitted: &dyn Fn(ProxyId) -> bool, out: Out) {
         match input {
             Input::Due => self.due(now, admitted, out),
@@ -222,7 +223,7 @@
         }
     }
 
-    /// A try at that time could still be answered before the session's end.
+    /// Whether a try at that time could be answered before the session's end.
     fn has_time(&self, next: Next) -> bool {
         next.due + LEAST_WAIT <= self.until
     }
@@ -250,7 +251,7 @@
                 } else {
                     let rules = &self.plan.rules;
                     let until = deadline + rules.answer_slack + rules.grace + LATE_MARGIN;
-                    // Whoever waits for nothing still looks as long for the answer that it is owed.
+                    // A client with a short backoff still waits this long for the answer that the proxy owes it.
                     let next = Next { due: next.due.max(until), ..next };
                     self.state = State::Lingering { request, why: Why::Late, until, next };
                 }
--- a/crates/kit/src/model/client/endings.rs
+++ b/crates/kit/src/model/client/endings.rs
@@ -1,4 +1,4 @@
-//! How a connection ends: by the proxy, by a drop, or with the run.
+//! How a connection ends: by the proxy, by a drop, or at the end of the run.
 
 use super::words::{Draw, draw};
 use super::{Next, Out, Output, Session, State, Why, note};
@@ -7,7 +7,7 @@
 use rand::RngExt;
 
 impl Session {
-    /// Ends the connection itself, without having been served.
+    /// Closes a connection that did not serve the client, and schedules the next try.
     pub(super) fn leave(&mut self, now: Micros, request: RequestId, why: ClientClose, next: Next, out: Out) {
         note(out, now, Seen::Left { request, why });
         out.push(Output::Close);
@@ -16,7 +16,7 @@
 
     pub(super) fn ended(&mut self, now: Micros, how: ProxyClose, out: Out) {
         match &mut self.state {
-            // Before the first line's end nothing was put to the proxy.
+            // The proxy has not received a request before the end of the first line.
             State::Connecting(_) | State::Opening(..) => {
                 out.push(Output::Close);
                 self.unreached(now, out);
--- a/crates/kit/src/model/client/reading.rs
+++ b/crates/kit/src/model/client/reading.rs
@@ -1,4 +1,4 @@
-//! What a client makes of the lines that it reads.
+//! How a client handles the lines that it reads.
 
 use super::standing::{Returned, Standing, Whose};
 use super::words::{Draw, answer, draw, is_load, kept, looks_like_answer};
@@ -7,14 +7,14 @@
 use crate::time::{MS, Micros, S};
 use rand::RngExt;
 
-/// After a refusal or failure, a client that need not come again at once looks so long for the proxy's end, or for a
-/// second answer.
+/// After a refusal or a failure, a client keeps the connection open for this long, or until its next try if that is
+/// earlier, to see the proxy's close or a second answer.
 const REFUSED_LINGER: Micros = S;
 
 impl Session {
     pub(super) fn line(&mut self, now: Micros, line: &[u8], out: Out) {
         if matches!(self.state, State::Asked { deadline, .. } if now >= deadline) {
-            // Guards against a timer that comes after the line: the answer was late all the same.
+            // The timer may fire after the line is read. The answer is late in that case too.
             self.due(now, &|_| false, out);
         }
         match &mut self.state {
@@ -32,7 +32,7 @@
                     note(out, now, Seen::Answered { request: *request, answer: answer(line) });
                 }
                 Why::Refused => note(out, now, Seen::Garbled { request: *request, line: kept(line) }),
-                // What the render node had sent before may still come.
+                // Lines that the render node sent before the move may still arrive.
                 _ => {}
             },
             State::Up(standing) if line == b"MOVE" => {
@@ -42,7 +42,7 @@
                 let next = self.after_break(now);
                 self.state = State::Lingering { request, why: Why::Moved, until: next.due, next };
             }
-            // It crossed the client's own end.
+            // The `MOVE` was sent before the proxy saw the end of the client's sending.
             State::Finishing(..) if line == b"MOVE" => {}
             State::Up(standing) | State::Finishing(standing, _) => relayed(standing, now, line, out),
             _ => {}
@@ -74,9 +74,9 @@
     }
 }
 
-/// A line on a connection that is or was up.
+/// Handles a line on a connection that is up, or that was up until the client ended its sending.
 fn relayed(standing: &mut Standing, now: Micros, line: &[u8], out: Out) {
-    // A render node's farewell comes unasked too, when its own watch runs out first.
+    // A render node also sends `BYE` without a request if its own timer expires first.
     if line == b"BYE" || is_load(line) {
         return;
     }
--- a/crates/kit/src/model/client/standing.rs
+++ b/crates/kit/src/model/client/standing.rs
@@ -1,11 +1,13 @@
-//! A connection that is up: the lines that the client sends, those that came back, and which seconds were well served.
+//! An established connection: the lines that the client sends, the lines that were returned, and the time spans
+//! that were well served.
 //!
-//! Line n is due at `up + phase + n * every`, whatever became of the ones before it (open loop). Its span is the time
-//! from when the line before it was due (from `up`, for the first) until it is due itself, and that span is well
-//! served if the line is back no later than the message aim after it was due. A line that is not back by then makes
-//! its span badly served, even if it comes later. When the connection ends, the time since the last span whose worth
-//! is known counts as that one did, or as well served if there is none: the connection stood, and nothing was late.
-//! So spans are disjoint, cover the whole time up, and end where the session does at the latest.
+//! Line n is due at `up + phase + n * every`, independently of earlier lines (open loop). The span of a line starts
+//! when the previous line was due (at `up`, for the first line) and ends when the line itself is due. The span is
+//! well served if the line returns within the message aim after it was due. If the line has not returned by then,
+//! its span is badly served, even if the line returns later. When the connection ends, the time since the last span
+//! with a known result counts like that span, or as well served if there is none, because the connection was up and
+//! nothing was late. The spans are therefore disjoint, cover the whole time up, and end with the session at the
+//! latest.
 
 use super::words::own_line;
 use super::{Out, note};
@@ -14,18 +16,18 @@
 use crate::time::Micros;
 use std::collections::VecDeque;
 
-/// What a line that was read is.
+/// The classification of a line that was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Returned {
-    /// The client's own, in its turn.
+    /// The oldest line that the client sent and that was not returned.
     Own,
-    /// The client's own, but one before it never came.
+    /// A line of the client, but an earlier line was not returned.
     Skipping,
-    /// None of the client's that is out.
+    /// Not a line that the client sent and that was not returned.
     Not,
 }
 
-/// Whose lines these are.
+/// The session, request and proxy of a connection, with the limits that apply to its spans.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Whose {
     pub session: SessionId,
@@ -33,7 +35,7 @@
     pub proxy: ProxyId,
     pub class: u8,
     pub message_aim: Micros,
-    /// No span reaches beyond this.
+    /// No span extends beyond this time.
     pub until: Micros,
 }
 
@@ -43,24 +45,24 @@
     every: Micros,
     next: u32,
     next_due: Micros,
-    /// Sent and not back: numbers and when they were due.
+    /// Lines that were sent and not returned: their numbers and the times at which they were due.
     away: VecDeque<(u32, Micros)>,
-    /// So many of them, the oldest, are known to be late.
+    /// Number of these lines, counted from the oldest, that are known to be late.
     late: usize,
-    /// The end of the last span that was noted.
+    /// The end of the last span that was recorded.
     noted: Micros,
-    /// Its worth.
+    /// Whether that span was well served.
     well: bool,
 }
 
 impl Standing {
-    /// Up now; the first line is due after `phase`.
+    /// Creates a connection that is up since `now`. Its first line is due after `phase`.
     pub fn begin(now: Micros, phase: Micros, every: Micros, whose: Whose) -> Self {
         let (next_due, away) = (now + phase, VecDeque::new());
         Standing { whose, every, next: 0, next_due, away, late: 0, noted: now, well: true }
     }
 
-    /// When the next line is due, or the next one that is out is late.
+    /// The time at which the next line is due, or at which the next unreturned line becomes late.
     pub fn next_timeout(&self) -> Micros {
         let late = self.away.get(self.late).map(|(_, due)| due + self.whose.message_aim + 1);
         late.map_or(self.next_due, |late| late.min(self.next_due))
@@ -76,7 +78,7 @@
         self.well = well;
     }
 
-    /// Finds lines that are late by now.
+    /// Records the lines that have become late.
     pub fn note_late(&mut self, now: Micros, out: Out) {
         while let Some((_, due)) = self.away.get(self.late).copied() {
             if due + self.whose.message_aim >= now {
@@ -87,7 +89,7 @@
         }
     }
 
-    /// The next line, if it is due.
+    /// Returns the next line, if it is due.
     pub fn due_line(&mut self, now: Micros, out: Out) -> Option<String> {
         if self.next_due > now || self.next_due >= self.whose.until {
             return None;
@@ -100,7 +102,7 @@
         Some(own_line(request, line))
     }
 
-    /// Takes a line that was read, without its end, if it is one of the client's own.
+    /// Handles a line that was read, without its line end, if it is one that the client sent.
     pub fn returned(&mut self, now: Micros, text: &[u8], out: Out) -> Returned {
         let Whose { request, class, .. } = self.whose;
         let is = |number: u32| own_line(request, number).trim_end().as_bytes() == text;
@@ -120,7 +122,7 @@
         if place == 0 { Returned::Own } else { Returned::Skipping }
     }
 
-    /// The connection's time is over: the last span is noted.
+    /// Records the last span when the connection ends.
     pub fn end(&mut self, now: Micros, out: Out) {
         self.note_late(now, out);
         self.note_span(now, self.well, out);
--- a/crates/kit/src/model/client/tests.rs
+++ b/crates/kit/src/model/client/tests.rs
@@ -1,4 +1,4 @@
-//! Stories and properties of a session on virtual time.
+//! Scripted cases and properties of a session on virtual time.
 
 use super::*;
 use crate::observation::Answer;
@@ -6,8 +6,9 @@
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a connection meets: so many ms after its first line was written (or, for `!refuse`, instead), this line;
-/// `!close`, `!reset` and `!drop` are what they say. Own lines come back after `echo` ms.
+/// The script of a connection: each line is read this many milliseconds after the first line was written. `!refuse`
+/// takes place instead of the connection; `!close`, `!reset` and `!drop` are events. The client's own lines are
+/// returned after `echo` milliseconds.
 type Meets<'a> = &'a [(i64, &'a str)];
 
 struct World<'a> {
@@ -15,9 +16,9 @@
     connections: Vec<Meets<'a>>,
     echo: Option<i64>,
     admitted: bool,
-    /// Timers are so late.
+    /// Timers fire this much late.
     lag: Micros,
-    /// What is to come: the connection that it is about, or none for any.
+    /// The pending events, each with the number of its connection; `None` applies to any connection.
     events: BTreeMap<(Micros, usize), (Option<usize>, String)>,
     connection: usize,
     linked: bool,
@@ -124,7 +125,7 @@
         notes.collect()
     }
 
-    /// Spans one after the other of equal worth, as one.
+    /// The recorded spans; adjacent spans with the same result are merged.
     fn spans(&self) -> Vec<(bool, Micros, Micros)> {
         let mut spans: Vec<(bool, Micros, Micros)> = Vec::new();
         for Observation { at, seen } in self.notes() {
@@ -137,7 +138,7 @@
         spans
     }
 
-    /// All but the lines, in words, times in ms.
+    /// All outputs except the client's own lines, as text with times in milliseconds.
     fn told(&self) -> String {
         let mut told = Vec::new();
         for (at, output) in &self.out {
@@ -181,13 +182,13 @@
 fn stories() {
     let (up, busy): (Meets, Meets) = (&[(20, "UP 1f")], &[(10, "BUSY")]);
     let first = "0 connect; 1 d=1799; ";
-    // Served to its end: a late echo costs worth, and none costs it all.
+    // Served until its end. A late echo makes its span badly served, and so does a missing echo.
     let served = format!("{first}21 Up(31); 5000 Done; ");
     assert_eq!(told(|_| (), &[up], Some(10)), served.clone() + "well 21..5000");
     assert_eq!(told(|_| (), &[up], Some(150)), served.clone() + "well 21..5000");
     assert_eq!(told(|_| (), &[up], Some(151)), served.clone() + "ill 21..5000");
     assert_eq!(told(|_| (), &[up], None), served + "ill 21..5000");
-    // Refused: the time that is told counts for those who honour it.
+    // Refused. Clients that honour the retry-after time wait that long.
     let connections: &[Meets] = &[&[(10, "BUSY 500")], up];
     let after = |at: i64| {
         let (open, d, up) = (at, 1800 - at - 1, at + 21);
@@ -202,7 +203,8 @@
         told(|plan| plan.habits.marks_retry = false, connections, Some(1)),
         after(511).replace(" r=1", "")
     );
-    // Beyond the wish's deadline it comes with the next wish, and not before it was told to.
+    // If the retry-after time ends after the deadline of the series, the client waits for the whole time and starts
+    // a new series.
     let rest = "2511 connect; 2512 d=1799 r=1; 2532 Up(31); 5000 Done; well 2532..5000";
     let connections: &[Meets] = &[&[(10, "BUSY 2500")], up];
     assert_eq!(told(|_| (), connections, Some(1)), format!("{first}11 Busy(2500000); {rest}"));
@@ -212,7 +214,7 @@
     assert_eq!(told(|_| (), connections, Some(1)), format!("{first}1831 Up(2); 1831 GaveUp; {rest}"));
     assert_eq!(told(|_| (), &[&[], up], Some(1)), format!("{first}1878 GaveUp; {rest}"));
     assert_eq!(told(|_| (), &[&[(1820, "!close")], up], Some(1)), format!("{first}1821 Closed; {rest}"));
-    // Impatient: it leaves at once, and has time for another try.
+    // An impatient client leaves at once and has time for another try.
     let impatient = |plan: &mut Plan| plan.sessions[0].patience = 0.5;
     let rest = "1000 connect; 1001 d=799 r=1; 1021 Up(31); 5000 Done; well 1021..5000";
     let story = told(impatient, &[&[(950, "UP 2")], up], Some(1));
@@ -234,14 +236,14 @@
     );
     let story = told(|_| (), &[&[(10, "!close")], up], Some(1));
     assert!(story.starts_with(&format!("{first}11 Closed; 111 connect; 112 d=1688 r=1; ")), "{story}");
-    // All tries used: a sulk, which doubles.
+    // After the last try of a series the client backs off, and the backoff doubles.
     let story = told(|_| (), &[busy; 9], None);
     let connects: Vec<_> = story.split("; ").filter_map(|w| w.strip_suffix(" connect")).collect();
     assert_eq!(connects.join(" "), "0 111 222 1233 1344 1455 3466 3577 3688");
-    // Unreached, or with nobody to go to.
+    // The proxy cannot be reached.
     let story = told(|_| (), &[&[(0, "!refuse")], up], Some(1));
     assert!(story.starts_with("0 connect; 1 Unreached; 101 connect; 102 d=1698 r=1; 122 Up(31)"), "{story}");
-    // What no render node or proxy should say.
+    // Lines that no render node or proxy should send.
     let odd: Meets =
         &[(20, "UP 1f"), (30, "ERR no"), (40, "LOAD 0.5"), (50, "LOAD much"), (60, "M 9 x"), (70, "UP 1f")];
     let story = told(|_| (), &[odd], Some(1));
--- a/crates/kit/src/model/client/tries.rs
+++ b/crates/kit/src/model/client/tries.rs
@@ -1,4 +1,4 @@
-//! Tries: when one is due, which proxy it goes to, its first line.
+//! The tries of a client: when a try is due, its proxy, and its first line.
 
 use super::words::{Draw, Opening, draw, first_line, request_id};
 use super::{Next, Out, Output, Session, State, Try, note};
@@ -7,9 +7,9 @@
 use crate::time::{MS, Micros};
 use rand::RngExt;
 
-/// A sulk doubles so many times at most.
+/// Maximum number of times that the backoff between series doubles.
 const SULK_DOUBLINGS: u32 = 4;
-/// A client with less time left does not try: no proxy could be blamed for what comes of that.
+/// A client with less time left makes no try, because no proxy could be held responsible for the outcome.
 pub(super) const LEAST_WAIT: Micros = 10 * MS;
 
 impl Session {
@@ -38,7 +38,8 @@
         }
     }
 
-    /// The front's choice: a proxy of the client's zone where one is admitted, any other one otherwise.
+    /// Chooses a proxy as the front does: an admitted proxy of the client's zone, or any admitted proxy if the zone
+    /// has none.
     pub(super) fn pick(&self, admitted: &dyn Fn(ProxyId) -> bool) -> Option<ProxyId> {
         let zone = self.planned().zone;
         let proxies = || (0..self.plan.proxies.len() as u16).map(ProxyId).filter(|p| admitted(*p));
@@ -52,7 +53,7 @@
         choice.get(place).copied()
     }
 
-    /// When to try again after a try that failed; `told` is the time in its `BUSY MS`.
+    /// The time of the next try after a failed one. `told` is the time of its `BUSY MS`.
     pub(super) fn after_failure(&mut self, now: Micros, told: Micros) -> Next {
         self.repeat = true;
         let habits = &self.plan.habits;
@@ -67,7 +68,7 @@
         Next { due: now + sulk.max(told), fresh: true }
     }
 
-    /// When to come again after a break or a move.
+    /// The time of the next try after a break or a move.
     pub(super) fn after_break(&mut self, now: Micros) -> Next {
         self.again = true;
         let (least, most) = self.plan.habits.rejoin;
@@ -80,7 +81,7 @@
         let State::Connecting(of) = self.state else { return };
         let wait_ms = (of.gives_up - now) / MS;
         if wait_ms < 1 {
-            // `d` is told in whole milliseconds, and 0 is none. The proxy was reached, but nothing was put to it.
+            // `d` is in whole milliseconds and must not be 0. The proxy was reached, but received no request.
             out.push(Output::Close);
             self.state = State::Waiting(self.after_failure(now, 0));
             return;
--- a/crates/kit/src/model/client/words.rs
+++ b/crates/kit/src/model/client/words.rs
@@ -1,4 +1,4 @@
-//! The words of a client: its first line, its own lines, and what it reads in an answer (`PROTOCOL`, "Clients to
+//! The lines of a client: its first line, its own lines, and how it parses answers (`PROTOCOL`, "Clients to
 //! proxies").
 
 use crate::observation::{Answer, RequestId};
@@ -7,12 +7,12 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Padding of a client's line, in bytes: least and most.
+/// Minimum and maximum padding of a client's line, in bytes.
 const PADDING: (u64, u64) = (16, 60);
-/// Of a line that makes no sense, so much is kept for the judge's report.
+/// Number of bytes of an unexpected line that are kept for the judge's report.
 const KEPT: usize = 80;
 
-/// What is drawn; each draw has a stream of its own, so that none depends on what happened before it.
+/// The purpose of a random draw. Each purpose has its own random stream, so no draw depends on earlier events.
 #[derive(Clone, Copy, Debug)]
 #[repr(u64)]
 pub(crate) enum Draw {
@@ -23,7 +23,7 @@
     Drop,
 }
 
-/// The generator for one draw of a session: the same for the same seed, purpose and number.
+/// The random generator for one draw of a session. The same seed, purpose and number give the same generator.
 pub(crate) fn draw(seed: u64, what: Draw, number: u64) -> ChaCha8Rng {
     let mut key = [0; 32];
     key[..8].copy_from_slice(&seed.to_le_bytes());
@@ -32,8 +32,8 @@
     ChaCha8Rng::from_seed(key)
 }
 
-/// The finalizer of SplitMix64 (Steele, Lea and Flood, "Fast splittable pseudorandom number generators", 2014): a
-/// permutation of 64 bits, so what is distinct stays distinct.
+/// The finalizer of SplitMix64 (Steele, Lea and Flood, "Fast splittable pseudorandom number generators", 2014). It
+/// is a permutation of the 64-bit values, so different inputs give different outputs.
 fn mix(mut x: u64) -> u64 {
     x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -41,13 +41,13 @@
     x ^ (x >> 31)
 }
 
-/// The id of a try: distinct for all sessions and tries of a run, not only with high chance. Rude clients have the
-/// places at the far end.
+/// The id of a request. Ids are guaranteed to be unique among all sessions and tries of a run. The highest values
+/// of `place` belong to misbehaving clients.
 pub(crate) fn request_id(seed: u64, place: u32, number: u32) -> RequestId {
     RequestId(mix(seed ^ (u64::from(place) << 32 | u64::from(number))))
 }
 
-/// What a first line says beside what the session is.
+/// The values of a first line that the session's plan does not determine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Opening {
     pub request: RequestId,
@@ -56,7 +56,7 @@
     pub again: bool,
 }
 
-/// The first line of a connection, its end included.
+/// The first line of a connection, including its line end.
 pub(crate) fn first_line(plan: &Plan, session: &Session, opening: Opening) -> String {
     let class = plan.classes.get(usize::from(session.class)).map_or("-", |c| c.name.as_str());
     let tenant = plan.tenants.get(usize::from(session.tenant)).map_or("-", |t| t.name.as_str());
@@ -67,8 +67,8 @@
     format!("OPEN {id:016x} {key:016x} c={class},t={tenant},d={wait_ms},g={group:016x}{repeat}{again}\r\n")
 }
 
-/// A client's line with that number, its end included: the same whenever it is asked for, so that nothing need be
-/// kept to know it again.
+/// The client's line with this number, including its line end. The line is a function of the request and the
+/// number, so returned lines can be recognised without storing the lines that were sent.
 pub(crate) fn own_line(request: RequestId, number: u32) -> String {
     let bits = mix(request.0 ^ u64::from(number));
     let length = (PADDING.0 + bits % (PADDING.1 - PADDING.0 + 1)) as usize;
@@ -82,13 +82,14 @@
     line
 }
 
-/// An answer, if the line has the form of one, whatever stands behind its first word.
+/// Whether the first word of a line is that of an answer.
 pub(crate) fn looks_like_answer(line: &[u8]) -> bool {
     let word = line.split(|b| *b == b' ').next().unwrap_or_default();
     matches!(word, b"UP" | b"BUSY" | b"ERR" | b"NO" | b"SYNTAX")
 }
 
-/// A final answer: `UP` with a receipt in hexadecimal digits, `BUSY` or `BUSY MS`; any other line is a failure.
+/// Parses a final answer: `UP` with a receipt in hexadecimal digits, `BUSY` or `BUSY MS`. Any other line is a
+/// failure.
 pub(crate) fn answer(line: &[u8]) -> Answer {
     let failed = || Answer::Failed(kept(line));
     let Ok(text) = std::str::from_utf8(line) else { return failed() };
@@ -105,13 +106,13 @@
     }
 }
 
-/// A render node's word on the connection's load.
+/// Whether the line is a valid `LOAD` report of a render node.
 pub(crate) fn is_load(line: &[u8]) -> bool {
     let figure = line.strip_prefix(b"LOAD ").and_then(|rest| std::str::from_utf8(rest).ok());
     figure.and_then(|f| f.parse::<f64>().ok()).is_some_and(|load| load.is_finite() && load >= 0.0)
 }
 
-/// The first bytes of a line, for a person.
+/// The first bytes of a line, escaped for reports.
 pub(crate) fn kept(line: &[u8]) -> String {
     line[..line.len().min(KEPT)].escape_ascii().to_string()
 }
--- a/crates/kit/src/model/cold.rs
+++ b/crates/kit/src/model/cold.rs
@@ -1,4 +1,4 @@
-//! What a cold render node bears, and when it falls over.
+//! The rate of new connections that a render node withstands during slow start. Beyond that rate the node fails.
 
 use super::pile::{Ramp, seconds};
 use crate::observation::SlowStart;
@@ -6,21 +6,22 @@
 use crate::time::Micros;
 use std::collections::VecDeque;
 
-/// Arrivals beyond the budget that a window may hold. The budgets are small (some ten arrivals), and proxies that
-/// keep theirs do not see one another.
+/// Number of arrivals beyond the budget that a window may contain. The budgets are small (about ten arrivals), and
+/// proxies that each keep their share of the budget do not coordinate.
 const SLACK: f64 = 4.0;
 
-/// New connections a second that a warm render node bears: those that fill it within its warm-up.
+/// Rate of new connections, per second, that a warm render node withstands: the rate that fills it within its
+/// warm-up.
 pub fn joins_per_s(node: &Node) -> f64 {
     node.capacity * node.connections_per_unit / seconds(node.warm_up.max(1))
 }
 
-/// What the observations say of a node that starts cold.
+/// The slow start of a node as the observations record it.
 pub fn figures(node: &Node) -> SlowStart {
     SlowStart { joins_per_s: joins_per_s(node), from: node.cold_from, warm_up: node.warm_up }
 }
 
-/// The arrivals of one warm-up. Each counts, whatever it is answered.
+/// The budget of new connections for one warm-up. Every arrival counts, whatever its answer is.
 #[derive(Clone, Debug)]
 pub struct Budget {
     ramp: Ramp,
@@ -29,17 +30,17 @@
 }
 
 impl Budget {
-    /// A node that starts now. `ramp` is its capacity when nothing slows it.
+    /// Creates the budget of a node that starts now. `ramp` is the node's capacity without a slowdown.
     pub fn new(node: &Node, ramp: Ramp) -> Self {
         Budget { ramp, joins_per_s: joins_per_s(node), window: VecDeque::new() }
     }
 
-    /// It is warm and bears what comes.
+    /// Whether the node is warm, so that the budget no longer applies.
     pub fn is_over(&self, now: Micros) -> bool {
         now >= self.ramp.warm_at()
     }
 
-    /// One more arrives; true if that is more than the node bears.
+    /// Records an arrival. Returns whether the arrivals of the window exceed the budget.
     pub fn arrival(&mut self, now: Micros, rules: &Rules) -> bool {
         while self.window.front().is_some_and(|then| *then <= now - rules.fall_window) {
             self.window.pop_front();
--- a/crates/kit/src/model/discovery.rs
+++ b/crates/kit/src/model/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: one list of render nodes with revisions, calls that are handled one after another, watches, and its
-//! faults.
+//! The discovery service: an endpoint list with revisions, calls that are served one after another, watches, and
+//! injected faults.
 
 use super::registry::{Registry, Update};
 use crate::plan::Phase;
@@ -7,75 +7,75 @@
 use crate::time::{MS, Micros, S};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Serving one call: a list of some hundred entries from memory.
+/// Time to serve one call: a list of several hundred entries from memory.
 const SERVICE: Micros = 2 * MS;
-/// A call that has waited longer fails, as at the operators' discovery.
+/// A call that has waited longer than this fails, as it does in the operators' discovery service.
 const PATIENCE: Micros = 3 * S;
-/// While nothing changes, a watch hears this often that it stands.
+/// Interval of heartbeats on a watch while nothing changes.
 const BEAT: Micros = 2 * S;
-/// After it has moved, discovery closes what is open at its old address after this.
+/// After a move to a new address, connections to the old address are closed after this time.
 const OLD_ADDRESS: Micros = 1_500 * MS;
 
-/// A call.
+/// A call of a client of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// The whole list.
+    /// Requests the complete list.
     List,
-    /// Changes after a revision, as they come.
+    /// Requests the changes after a revision, and all later changes as they occur.
     Watch {
-        /// The revision.
+        /// The last revision that the caller has.
         from: u64,
     },
 }
 
-/// What happens. Connections are named by numbers that are not used twice.
+/// Events for discovery. Each connection is identified by a number that is never reused.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Input {
-    /// A call has been read.
+    /// A call was read on this connection.
     Call(u64, Call),
     /// The connection has ended.
     Ended(u64),
-    /// Discovery learns of a node: its phase, and its last start if it had one in this run.
+    /// Discovery learns a node's phase, and the node's last start if that was during this run.
     Listed(NodeId, Phase, Option<Micros>),
-    /// Something of the timeline.
+    /// A change of the timeline: a fault begins or ends.
     Change(DiscoveryChange),
     /// Time has passed.
     Tick,
 }
 
-/// How a line of a watch is written.
+/// How an update is written to a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum How {
-    /// At once.
+    /// In one write.
     Whole,
-    /// In pieces, with pauses between.
+    /// In pieces, with pauses in between.
     Pieces,
-    /// So that it can't be read; it tells nothing.
+    /// As bytes that cannot be parsed, so the watch learns nothing from the update.
     Unreadable,
 }
 
-/// What discovery does.
+/// Actions that discovery requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Answers with the list.
+    /// Answer a call with the list.
     List(u64, Update),
-    /// Begins a watch's answer with this.
+    /// Start the answer to a watch with this update.
     Begin(u64, Update),
-    /// Goes on with this.
+    /// Continue the answer to a watch with this update.
     Line(u64, Update, How),
-    /// Writes an empty line.
+    /// Write an empty line as a heartbeat.
     Beat(u64),
-    /// Answers 503.
+    /// Answer with status 503.
     Unavailable(u64),
-    /// Resets the connection.
+    /// Reset the connection.
     Reset(u64),
-    /// Closes the connection in order.
+    /// Close the connection in order.
     Close(u64),
-    /// Listens at its address after so many moves, and nowhere else.
+    /// Listen at the address that follows this number of moves, and at no other address.
     Listen(u16),
-    /// Listens nowhere.
+    /// Stop listening.
     Deaf,
-    /// Can be reached and asked from now on, or not.
+    /// Discovery became reachable for all callers, or unreachable.
     Reachable(bool),
 }
 
@@ -94,26 +94,27 @@
     beat: Micros,
 }
 
-/// The service.
+/// The discovery service.
 #[derive(Debug)]
 pub struct Discovery {
     registry: Registry,
     mood: Mood,
     moves: u16,
-    /// The next watch gets the whole list.
+    /// Whether the next watch receives the complete list regardless of its revision.
     gap: bool,
-    /// How the next change is written, to each watch that stands when it comes.
+    /// How the next update is written to all watches that are open at that time.
     next: How,
     calls: VecDeque<(u64, Call, Micros)>,
-    /// The first call is done then.
+    /// The time at which the first call in the queue is served.
     served: Micros,
     watches: BTreeMap<u64, Watch>,
-    /// Connections that are open; all of them end when discovery goes down or moves.
+    /// The open connections, with the time at which they are closed after a move. All of them are reset when
+    /// discovery goes down.
     open: BTreeMap<u64, Option<Micros>>,
 }
 
 impl Discovery {
-    /// As at the start of a run, at its first address.
+    /// Creates the service as it is at the start of a run, at its first address.
     pub fn new(plan: &Plan) -> Self {
         Discovery {
             registry: Registry::new(plan),
@@ -128,7 +129,7 @@
         }
     }
 
-    /// When it has something to do, if nothing happens before.
+    /// The time of the next action if no other event occurs.
     pub fn next_timeout(&self) -> Option<Micros> {
         let talks = matches!(self.mood, Mood::Usual | Mood::Unavailable);
         let call = self.calls.front().filter(|_| talks).map(|_| self.served);
@@ -137,12 +138,12 @@
         [call, beat, closes].into_iter().flatten().min()
     }
 
-    /// A connection was accepted. It is closed with the others of its address when discovery moves on.
+    /// Records an accepted connection, which will be closed if discovery moves to another address.
     pub fn opened(&mut self, id: u64) {
         self.open.insert(id, None);
     }
 
-    /// Does what is due by now, then takes the input.
+    /// Handles the input, and then everything that is due.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Call(id, _) if self.mood == Mood::Resetting => out.push(Output::Reset(id)),
@@ -189,7 +190,8 @@
         for (id, watch) in self.watches.iter_mut().filter(|(_, watch)| watch.beat <= now) {
             watch.beat = now + BEAT;
             if watch.sent < self.registry.revision() {
-                // What a bad list held back is told with the next beat, to those that stayed.
+                // An update that was written unreadably is sent again with the next heartbeat, on watches that are
+                // still open.
                 out.push(Output::Line(*id, self.registry.since(watch.sent), How::Whole));
                 watch.sent = self.registry.revision();
             } else {
@@ -259,7 +261,7 @@
                     out.push(Output::Listen(self.moves));
                 }
                 self.turn(Mood::Usual, out);
-                // Watches that stood through a silence hear what they have missed.
+                // Watches that stayed open while discovery was silent receive the updates that they missed.
                 self.tell_all(now, How::Whole, out);
             }
         }
--- a/crates/kit/src/model/first_line.rs
+++ b/crates/kit/src/model/first_line.rs
@@ -1,36 +1,37 @@
-//! The first line of a connection to a render node, checked against the plan: but for `d`, it has to be what a client
-//! of the plan sends.
+//! Validates the first line of a connection to a render node against the plan. Except for the value of `d`, the
+//! line has to be one that a client of the plan sends.
 
 use crate::observation::RequestId;
 use crate::plan::{NodeId, Plan, SessionId};
 use crate::time::{MS, Micros};
 use std::collections::HashMap;
 
-/// A first line that a client could have sent.
+/// A first line that a client of the plan could have sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FirstLine {
-    /// Its id.
+    /// The id of the request.
     pub request: RequestId,
-    /// Whose it is; `None` if no session of the plan has its key (a rude client's may not).
+    /// The session with the key of the line; `None` if the plan has no such session, as for some misbehaving
+    /// clients.
     pub session: Option<SessionId>,
-    /// How long the proxy waits.
+    /// The time that the proxy waits for the answer.
     pub wait: Micros,
-    /// The render node at which it was open before the run.
+    /// The render node that held the connection before the run.
     pub at: Option<NodeId>,
 }
 
-/// What a connection's first line is.
+/// The classification of a connection's first line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Said {
     /// `PING` or `STATS`.
     Probe,
-    /// A request.
+    /// A valid request.
     Open(FirstLine),
-    /// No client sends this.
+    /// A line that no client sends.
     Bad,
 }
 
-/// Finds sessions by their keys, and nodes by their names.
+/// Finds sessions by their keys, and render nodes by their names.
 #[derive(Debug)]
 pub struct Index<'a> {
     plan: &'a Plan,
@@ -39,14 +40,14 @@
 }
 
 impl<'a> Index<'a> {
-    /// Of this plan.
+    /// Creates the index of a plan.
     pub fn new(plan: &'a Plan) -> Self {
         let sessions = plan.sessions.iter().zip(0..).map(|(s, i)| (s.key, SessionId(i))).collect();
         let nodes = plan.nodes.iter().zip(0..).map(|(n, i)| (n.name.as_str(), NodeId(i))).collect();
         Index { plan, sessions, nodes }
     }
 
-    /// Reads a line, its end included.
+    /// Classifies a line, which includes its line end.
     pub fn read(&self, line: &[u8]) -> Said {
         match line {
             b"PING\r\n" | b"STATS\r\n" => Said::Probe,
@@ -91,7 +92,7 @@
     }
 }
 
-/// At most 16 hexadecimal digits.
+/// Parses 1 to 16 hexadecimal digits.
 fn hex(word: &str) -> Option<u64> {
     let digits = !word.is_empty() && word.len() <= 16 && word.bytes().all(|b| b.is_ascii_hexdigit());
     digits.then(|| u64::from_str_radix(word, 16).ok()).flatten()
--- a/crates/kit/src/model/mod.rs
+++ b/crates/kit/src/model/mod.rs
@@ -1,5 +1,5 @@
-//! What the stand-ins do, without sockets and clocks: `handle(now, input) -> outputs` and `next_timeout()`. The same
-//! inputs at the same times give the same outputs.
+//! The behaviour of the emulated clients, render nodes and discovery, without sockets and clocks: `handle(now,
+//! input) -> outputs` and `next_timeout()`. The same inputs at the same times give the same outputs.
 
 pub mod client;
 pub mod cold;
--- a/crates/kit/src/model/node.rs
+++ b/crates/kit/src/model/node.rs
@@ -1,5 +1,5 @@
-//! One render node: set-ups, connections whose loads add up, piled-up work, messages that come late when it is crowded.
-//! `docs/design/render-node-model.md` has the formulas and what is left out.
+//! The model of one render node: set-ups, the load of connections, the backlog of work, and message latency that
+//! grows with utilisation. `docs/design/render-node-model.md` has the formulas and the simplifications.
 
 mod attempts;
 mod connection;
@@ -21,81 +21,83 @@
 use std::collections::BinaryHeap;
 use std::sync::Arc;
 
-/// Use beyond which messages take no longer for it: what goes beyond piles up, and the pile is waited for.
+/// Message latency grows with utilisation up to this value. Demand beyond the capacity builds up a backlog, whose
+/// delay is added separately.
 const FULLEST: f64 = 0.98;
 
-/// A first line that has arrived.
+/// A first line that the node received.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Opened {
-    /// The attempt's serial at this node: names the connection from now on.
+    /// The serial number of the attempt at this node. It identifies the connection.
     pub serial: u32,
-    /// The client's id.
+    /// The id in the client's first line.
     pub request: RequestId,
-    /// Whose it is; one of nobody's is answered `ERR`.
+    /// The session of the request; `None` is answered with `ERR`.
     pub session: Option<SessionId>,
-    /// How long the proxy waits.
+    /// The time that the proxy waits for the answer.
     pub wait: Micros,
-    /// Already open here before the run: needs no set-up.
+    /// Whether the connection was open at this node before the run. It needs no set-up then.
     pub standing: bool,
-    /// One way between the proxy and this node: is added, there and back, to what is answered.
+    /// The network delay of one direction between the proxy and this node. Answers and returned lines are delayed
+    /// by both directions.
     pub way: Micros,
 }
 
-/// What happens to the node. Connections are named by their attempts' serials; unknown ones change nothing.
+/// Events for the node. Connections are identified by the serials of their attempts; an unknown serial is ignored.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Input {
-    /// A first line.
+    /// A first line was received.
     Open(Opened),
-    /// A client's line.
+    /// A line of the client was received.
     Line(u32),
-    /// The proxy has ended its sending.
+    /// The proxy ended its sending.
     Ended(u32),
-    /// The connection is gone.
+    /// The connection is closed.
     Gone(u32),
-    /// Something of the timeline. What `Vanish` stands for is done by the network, not by the node.
+    /// A change of the timeline. The emulated network carries out `Vanish`; the node ignores it.
     Change(NodeChange),
     /// Time has passed.
     Tick,
 }
 
-/// What the node does.
+/// Actions that the node requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Output {
-    /// Answers an attempt; after anything but `Up` it ends the connection.
+    /// Answer an attempt, and end the connection unless the answer is `Up`.
     Answer(u32, NodeAnswer),
-    /// Answers an attempt with rubbish, drawn from this number, and ends the connection.
+    /// Answer an attempt with unreadable bytes that are derived from this number, and end the connection.
     Rubbish(u32, u64),
-    /// Tells the connection's new load, in microseconds of work a second.
+    /// Report the connection's new load, in microseconds of work per second.
     Load(u32, u64),
-    /// Returns the eldest line that was not returned yet.
+    /// Return the oldest line that has not been returned.
     Return(u32),
-    /// Says `BYE` and ends the connection.
+    /// Send `BYE` and end the connection.
     Bye(u32),
-    /// Says `MOVE` and ends the connection.
+    /// Send `MOVE` and end the connection.
     Move(u32),
-    /// Ends the connection without a word: the attempt was given up.
+    /// End the connection without a line, because the proxy gave up the attempt.
     Close(u32),
-    /// Resets the connection.
+    /// Reset the connection.
     Reset(u32),
-    /// Was pushed over while cold; stays down.
+    /// The node failed because too many connections arrived during slow start. It stays down.
     Fell,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
-    /// An answer to an attempt.
+    /// An attempt is answered.
     Answer,
-    /// The connection's load changes.
+    /// The load of a connection changes.
     Load,
-    /// What is to be written next on the connection.
+    /// The next item in the connection's queue is written.
     Item,
-    /// A new load is to be told.
+    /// A new load is reported.
     Tell(u64),
-    /// A draining node sends the client away.
+    /// The draining node moves the connection.
     Leave,
 }
 
-/// The node.
+/// The state of a render node.
 #[derive(Debug)]
 pub struct NodeModel {
     plan: Arc<Plan>,
@@ -116,11 +118,12 @@
 }
 
 impl NodeModel {
-    /// A node of the plan: warm and running if it is there from the start, down otherwise.
+    /// Creates a node of the plan. The node is warm and running if it is in service from the start of the run;
+    /// otherwise it is down.
     ///
     /// # Panics
     ///
-    /// If the plan has no such node.
+    /// Panics if the plan has no such node.
     pub fn new(plan: Arc<Plan>, id: NodeId) -> Self {
         let node = &plan.nodes[usize::from(id.0)];
         NodeModel {
@@ -146,37 +149,37 @@
         &self.plan.nodes[usize::from(self.id.0)]
     }
 
-    /// Its process runs.
+    /// Whether the node's process runs.
     pub fn is_running(&self) -> bool {
         self.running
     }
 
-    /// It accepts and never replies.
+    /// Whether the node accepts connections and never replies.
     pub fn is_hung(&self) -> bool {
         self.hung
     }
 
-    /// It answers rubbish to new connections.
+    /// Whether the node answers new connections with unreadable bytes.
     pub fn is_rubbish(&self) -> bool {
         self.rubbish
     }
 
-    /// Whether a line on this connection would be returned: it is up, and neither side has ended it.
+    /// Whether a line on this connection would be returned: the connection is up, and neither side has ended it.
     pub fn takes_lines(&self, serial: u32) -> bool {
         self.crowd.is_up(serial)
     }
 
-    /// Demand over capacity.
+    /// The demand as a share of the current capacity.
     pub fn usage(&self, now: Micros) -> f64 {
         self.crowd.demand() / self.ramp.capacity(now).max(f64::MIN_POSITIVE)
     }
 
-    /// Seconds that the node needs for what was piled up when it last acted.
+    /// The time, in seconds, that the node needs for its backlog as of the last event.
     pub fn piled_up(&self) -> f64 {
         self.pile.seconds(&self.ramp)
     }
 
-    /// When it has something to do, if nothing happens before.
+    /// The time of the next action if no other event occurs.
     pub fn next_timeout(&self) -> Option<Micros> {
         if !self.running {
             return None;
@@ -185,7 +188,7 @@
         due.into_iter().chain(self.sheds_at()).min()
     }
 
-    /// Does what is due by now, then takes the input. Times must not go back.
+    /// Performs the actions that are due, and then handles the input. `now` must not decrease.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         self.catch_up(now, out);
         match input {
@@ -220,7 +223,7 @@
     }
 
     fn set(&mut self, at: Micros, serial: u32, what: Due) {
-        // Of what is due together, the first set is done first.
+        // The number keeps the order of events that are due at the same time.
         self.number += 1;
         self.due.push(Reverse((at, self.number, serial, what)));
     }
@@ -250,7 +253,7 @@
         at.into_iter().for_each(|at| self.set(at, serial, Due::Item));
     }
 
-    /// The last word on a connection, after all that is owed.
+    /// Queues `word` as the last item of the connection, after the lines that are still to be returned.
     fn leave(&mut self, now: Micros, serial: u32, word: Item) {
         let Some(connection) = self.crowd.up_mut(serial) else { return };
         let at = connection.queue(now + connection.way, word);
@@ -298,7 +301,8 @@
         self.pile.beyond(seconds(self.node().buffer), self.crowd.demand(), &self.ramp)
     }
 
-    /// Drops the heaviest connections until what is left fits; each takes its part of the pile along.
+    /// Drops the connections with the highest load until the demand fits the capacity. The backlog shrinks in
+    /// proportion to the demand.
     fn shed(&mut self, now: Micros, out: &mut Vec<Output>) {
         let capacity = self.ramp.capacity(now);
         while self.crowd.demand() > capacity
@@ -351,7 +355,7 @@
         self.running = true;
     }
 
-    /// The process ends at once.
+    /// Ends the process at once.
     fn stop(&mut self, out: &mut Vec<Output>) {
         out.extend(self.crowd.serials().into_iter().map(Output::Reset));
         self.crowd.clear();
--- a/crates/kit/src/model/node/attempts.rs
+++ b/crates/kit/src/model/node/attempts.rs
@@ -1,4 +1,4 @@
-//! From a first line to its answer.
+//! How a render node handles an attempt, from the first line to the answer.
 
 use super::connection::{Connection, Refusal, State};
 use super::{Due, NodeModel, Opened, Output};
@@ -30,7 +30,8 @@
                 let served = self.piled_up() + work / self.ramp.capacity(now).max(f64::MIN_POSITIVE);
                 let ready = now + both + (wait + served.min(1e6) * 1e6) as Micros;
                 if ready > gives_up {
-                    // Found out when its turn comes: it costs its place, and no work.
+                    // The node finds this out only when the set-up's turn comes. The set-up waits until then, and
+                    // adds no work to the backlog.
                     (State::Refused(Refusal::Busy), session, gives_up)
                 } else {
                     self.pile.add(work);
@@ -93,7 +94,7 @@
         session.map_or(0, |session| session.group)
     }
 
-    /// A session's present load, in billionths, and when it changes next.
+    /// The current load of a session, in billionths of a standard core, and the time of its next change.
     pub(super) fn load_of(&self, session: SessionId, now: Micros) -> (i64, Option<Micros>) {
         let Some(session) = self.plan.sessions.get(session.0 as usize) else { return (0, None) };
         let since = now - session.arrives;
@@ -113,8 +114,8 @@
     }
 }
 
-/// A number that no other attempt of the run gets, and that nobody guesses: node, serial and chance, scrambled by a
-/// one-to-one mix (the end of splitmix64, Steele et al. 2014).
+/// A receipt that is unique among all attempts of the run and that cannot be guessed: the node, the serial and a
+/// random number, scrambled by a one-to-one function (the finalizer of SplitMix64, Steele et al. 2014).
 pub(super) fn receipt(node: NodeId, serial: u32, chance: u16) -> u64 {
     let mut x = u64::from(chance) << 48 | u64::from(node.0) << 32 | u64::from(serial);
     x = (x ^ x >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/kit/src/model/node/connection.rs
+++ b/crates/kit/src/model/node/connection.rs
@@ -1,11 +1,11 @@
-//! One connection as its render node knows it.
+//! The state of one connection at a render node.
 
 use crate::observation::RequestId;
 use crate::plan::SessionId;
 use crate::time::Micros;
 use std::collections::VecDeque;
 
-/// How an attempt is turned away.
+/// How an attempt is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Refusal {
     Busy,
@@ -13,21 +13,21 @@
     Rubbish,
 }
 
-/// How far it has come.
+/// The progress of an attempt or connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum State {
     Refused(Refusal),
     SettingUp {
-        /// The proxy does not wait longer.
+        /// The time at which the proxy gives up the attempt.
         gives_up: Micros,
     },
     Up {
-        /// The group that it counts for, while it counts: not once it has been told to leave or has left.
+        /// The group that the connection counts for; `None` once either side has ended the connection.
         group: Option<u64>,
     },
 }
 
-/// What is to be written, in order.
+/// The items that are written to a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Item {
     Return,
@@ -35,16 +35,16 @@
     Move,
 }
 
-/// A connection.
+/// A connection with its queue of items.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub request: RequestId,
     pub session: SessionId,
     pub way: Micros,
     pub state: State,
-    /// The attempt is not answered before.
+    /// The attempt is answered at this time at the earliest.
     pub answer_at: Micros,
-    /// In billionths of a standard core; nothing until it is up.
+    /// The load in billionths of a standard core; 0 until the connection is up.
     pub load: i64,
     pub items: VecDeque<(Micros, Item)>,
     last: Micros,
@@ -55,9 +55,9 @@
         Connection { request, session, way, state, answer_at, load: 0, items: VecDeque::new(), last: 0 }
     }
 
-    /// Queues an item behind the others. If it is the next one, returns when it is due.
+    /// Appends an item to the queue. Returns the time at which the item is due if the queue was empty.
     pub fn queue(&mut self, at: Micros, item: Item) -> Option<Micros> {
-        // Lines come back in order, however the draws of their times fell.
+        // Items keep their order even if a later line has a shorter latency.
         self.last = self.last.max(at);
         self.items.push_back((self.last, item));
         (self.items.len() == 1).then_some(self.last)
--- a/crates/kit/src/model/node/crowd.rs
+++ b/crates/kit/src/model/node/crowd.rs
@@ -1,4 +1,4 @@
-//! All connections of a render node, and the sums over them, which are kept exactly: loads are whole numbers.
+//! All connections of a render node, with their sums. Loads are integers, so the sums are exact.
 
 use super::connection::{Connection, Refusal, State};
 use crate::observation::RequestId;
@@ -9,9 +9,9 @@
 pub(super) struct Crowd {
     connections: BTreeMap<u32, Connection>,
     requests: BTreeSet<RequestId>,
-    /// Connections of each group that is held.
+    /// Number of connections of each group that has any.
     groups: BTreeMap<u64, u32>,
-    /// Work a second that a group costs.
+    /// Work per second that a group costs.
     group_cost: f64,
     load: i64,
     setups: u32,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Work a second that all ask for.
+    /// The work per second that all connections and groups require.
     pub fn demand(&self) -> f64 {
         self.load as f64 / 1e9 + self.group_cost * self.groups.len() as f64
     }
@@ -60,18 +60,19 @@
         self.connections.get_mut(&serial)
     }
 
-    /// It is up and neither side has ended it.
+    /// Whether the connection is up and neither side has ended it.
     pub fn is_up(&self, serial: u32) -> bool {
         matches!(self.connections.get(&serial), Some(Connection { state: State::Up { group: Some(_) }, .. }))
     }
 
-    /// The connection, if it is up and neither side has ended it.
+    /// Returns the connection if it is up and neither side has ended it.
     pub fn up_mut(&mut self, serial: u32) -> Option<&mut Connection> {
         self.connections.get_mut(&serial).filter(|c| matches!(c.state, State::Up { group: Some(_) }))
     }
 
     pub fn insert(&mut self, serial: u32, connection: Connection) {
-        // One that is refused has no claim to its id: the open one with that id keeps it.
+        // A refused attempt does not reserve its id. If a connection with that id is open, the id stays with that
+        // connection.
         if matches!(connection.state, State::SettingUp { .. }) {
             self.setups += 1;
             self.requests.insert(connection.request);
@@ -95,7 +96,8 @@
         connection.load = load;
     }
 
-    /// It has been ended by one side: only what is owed is still written, and it asks for no more work.
+    /// Marks a connection as ended by one side. Its queued items are still written, but it no longer counts towards
+    /// the demand.
     pub fn leaves(&mut self, serial: u32) {
         let Some(connection) = self.connections.get_mut(&serial) else { return };
         let State::Up { group: group @ Some(_) } = &mut connection.state else { return };
@@ -126,7 +128,7 @@
         Some(connection)
     }
 
-    /// Turns away all that are not up yet; returns them.
+    /// Refuses all pending set-ups and returns their serials.
     pub fn refuse_setups(&mut self, now: Micros) -> Vec<u32> {
         let mut refused = Vec::new();
         for (serial, connection) in &mut self.connections {
@@ -141,7 +143,7 @@
         refused
     }
 
-    /// The one with the most load; of several, the eldest.
+    /// The connection with the highest load; the oldest one if several have the same load.
     pub fn heaviest(&self) -> Option<u32> {
         let up = self.connections.iter().filter(|(serial, _)| self.is_up(**serial));
         up.max_by_key(|(serial, c)| (c.load, std::cmp::Reverse(**serial))).map(|(serial, _)| *serial)
--- a/crates/kit/src/model/node/tests.rs
+++ b/crates/kit/src/model/node/tests.rs
@@ -21,7 +21,7 @@
         out
     }
 
-    /// All that is done until then, with the times.
+    /// All outputs until `end`, with their times.
     fn until(&mut self, end: Micros) -> Vec<(Micros, Output)> {
         let mut all = Vec::new();
         while let Some(at) = self.model.next_timeout().filter(|at| *at <= end) {
@@ -82,7 +82,7 @@
 fn nothing_comes_within_the_aim_while_more_is_piled_up() {
     let mut scene = Scene::new(|plan| plan.nodes[0].buffer = 90 * S);
     scene.standing(0, 22);
-    // 10% more than it can do, for a second: a tenth of a second is piled up.
+    // The demand is 10% above the capacity for 1 s, which builds up a backlog of 0.1 s.
     for i in 0..500 {
         scene.at(S + i, Input::Line(0));
     }
@@ -168,7 +168,8 @@
 
 #[test]
 fn a_cold_node_falls_over_just_beyond_its_budget() {
-    // 20 connections fill it in 5 s: 4 a second; at 30%, 3 times this for 2 s are 7.2; 4 more are let pass.
+    // The budget is 4 connections a second, which fill the node's 20 connections in 5 s. At 30% of the capacity the
+    // limit is 3 x 4 x 0.3 x 2 s = 7.2 arrivals in 2 s, plus 4 of slack.
     let fallen = |count: i64, from: Micros, gap: Micros| {
         let mut scene = Scene::new(|plan| plan.nodes[0].from_start = false);
         scene.at(0, Input::Change(NodeChange::Start));
@@ -195,7 +196,8 @@
         plan.sessions[7].loads = vec![(0, 0.05), (S, 0.3)];
     });
     scene.standing(0, 18);
-    // 0.9 until 1 s, then 1.5: a second of work is piled up after 2 s more. Both were told when they grew.
+    // The demand is 0.9 until 1 s, and 1.5 afterwards, so 1 s of work is in the backlog 2 s later. Both connections
+    // reported their load when it grew.
     let out = scene.until(20 * S);
     let told = [(S, Output::Load(4, 400_000)), (S, Output::Load(7, 300_000))];
     assert_eq!(out[..2], told);
--- a/crates/kit/src/model/pile.rs
+++ b/crates/kit/src/model/pile.rs
@@ -1,35 +1,37 @@
-//! Piled-up work as a fluid: it flows in as connections ask for it and flows out as the render node does it. Between
-//! two events the demand is constant and the capacity rises evenly or not at all, so all is integrated exactly.
+//! The backlog of work, modelled as a fluid: connections add work at a rate, and the render node completes work at
+//! a rate. Between two events the demand is constant and the capacity rises linearly or is constant, so the
+//! integration is exact.
 
 use crate::time::Micros;
 
-/// What a render node can do over time: it rises evenly from a part of the full capacity, then stays there.
+/// The capacity of a render node over time: it rises linearly from a share of the full capacity, and then stays
+/// constant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ramp {
-    /// When it began.
+    /// The time at which the ramp starts.
     pub began: Micros,
-    /// Part of the full capacity at the beginning; 1 for one that is warm.
+    /// Share of the full capacity at the start; 1 for a warm node.
     pub from: f64,
-    /// After this it is full.
+    /// Duration of the ramp.
     pub warm_up: Micros,
-    /// The full capacity, in seconds of a standard core's work a second.
+    /// The full capacity, in seconds of a standard core's work per second.
     pub full: f64,
 }
 
 impl Ramp {
-    /// Full from the first moment on.
+    /// The ramp of a node that has its full capacity from the start.
     pub fn warm(full: f64) -> Self {
         Ramp { began: 0, from: 1.0, warm_up: 0, full }
     }
 
-    /// When it is full.
+    /// The time at which the node reaches its full capacity.
     pub fn warm_at(&self) -> Micros {
         self.began.saturating_add(self.warm_up)
     }
 
-    /// The present part of the full capacity.
+    /// The current share of the full capacity.
     pub fn share(&self, now: Micros) -> f64 {
-        // At its first moment already, for one that needs no time to warm up.
+        // With a warm-up of 0, the capacity is full at the start itself.
         if now >= self.warm_at() {
             return 1.0;
         }
@@ -37,12 +39,12 @@
         self.from + (1.0 - self.from) * part.clamp(0.0, 1.0)
     }
 
-    /// The present capacity, in seconds of work a second.
+    /// The current capacity, in seconds of work per second.
     pub fn capacity(&self, now: Micros) -> f64 {
         self.full * self.share(now)
     }
 
-    /// By how much the capacity rises, a second.
+    /// The increase of the capacity per second.
     fn slope(&self, now: Micros) -> f64 {
         if now >= self.warm_at() {
             return 0.0;
@@ -51,7 +53,7 @@
     }
 }
 
-/// Work that has been asked for and not yet been done.
+/// Work that was requested and is not yet done.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Pile {
     at: Micros,
@@ -59,7 +61,8 @@
 }
 
 impl Pile {
-    /// Moves on to `to`, while `demand` seconds of work a second are asked for. A time that has passed changes nothing.
+    /// Advances to the time `to`, with a demand of `demand` seconds of work per second. A time in the past changes
+    /// nothing.
     pub fn advance(&mut self, to: Micros, demand: f64, ramp: &Ramp) {
         while self.at < to {
             let warm = ramp.warm_at();
@@ -70,23 +73,23 @@
         }
     }
 
-    /// Adds work that comes all at once.
+    /// Adds work at once.
     pub fn add(&mut self, work: f64) {
         self.work += work;
     }
 
-    /// Takes away this part of what is piled up.
+    /// Removes this share of the backlog.
     pub fn take(&mut self, part: f64) {
         self.work *= 1.0 - part.clamp(0.0, 1.0);
     }
 
-    /// How many seconds the render node would need for it at its present capacity.
+    /// The time, in seconds, that the render node needs for the backlog at its current capacity.
     pub fn seconds(&self, ramp: &Ramp) -> f64 {
         self.work / ramp.capacity(self.at).max(f64::MIN_POSITIVE)
     }
 
-    /// When it will have grown beyond this many seconds, if nothing changes; `None` while it does not grow that far,
-    /// and while it is beyond it and does not grow.
+    /// The time at which the backlog exceeds `limit` seconds if the demand stays the same. `None` if the backlog
+    /// will not grow that far, or if it is beyond the limit and does not grow.
     pub fn beyond(&self, limit: f64, demand: f64, ramp: &Ramp) -> Option<Micros> {
         let mut from = *self;
         loop {
@@ -102,7 +105,8 @@
             } else {
                 (root >= 0.0).then(|| -2.0 * c / (b + root.sqrt()))
             };
-            // A century is as good as never, and keeps the sum below within its bounds.
+            // A time more than a century ahead counts as never, which also keeps the sum within the range of its
+            // type.
             let at = after.filter(|s| *s < 3e9).map(|s| from.at + (s * 1e6).ceil() as Micros);
             if from.at >= ramp.warm_at() {
                 return at;
@@ -115,7 +119,8 @@
     }
 }
 
-/// The pile after `dt` seconds, at first growing by `net` a second, and by `slope` less with each second.
+/// The backlog after `dt` seconds. It initially grows by `net` per second, and this rate decreases by `slope` each
+/// second.
 fn flow(work: f64, net: f64, slope: f64, dt: f64) -> f64 {
     let root = (net * net + 2.0 * slope * work).sqrt();
     let empty = if net < 0.0 {
@@ -125,11 +130,11 @@
     } else {
         f64::INFINITY
     };
-    // Once empty it stays so: the demand is below the capacity by then, and the capacity does not fall.
+    // An empty backlog stays empty: the demand is below the capacity by then, and the capacity does not decrease.
     if dt >= empty { 0.0 } else { (work + net * dt - slope * dt * dt / 2.0).max(0.0) }
 }
 
-/// A span in seconds.
+/// Converts a duration to seconds.
 pub fn seconds(span: Micros) -> f64 {
     span as f64 / 1e6
 }
@@ -140,7 +145,7 @@
     use crate::time::{MS, S};
     use proptest::prelude::*;
 
-    /// The obviously right way: step by step.
+    /// Reference implementation that integrates in small steps.
     fn step_by_step(pile: Pile, to: Micros, demand: f64, ramp: &Ramp) -> f64 {
         let step = 20;
         let mut work = pile.work;
--- a/crates/kit/src/model/registry.rs
+++ b/crates/kit/src/model/registry.rs
@@ -1,35 +1,35 @@
-//! The list of render nodes and its versions.
+//! The endpoint list of discovery and its revisions.
 
 use crate::plan::Phase;
 use crate::plan::{NodeId, Plan};
 use crate::time::Micros;
 use std::collections::BTreeMap;
 
-/// The revision of the list at the start of a run; any number that is not 0 would do.
+/// The revision of the list at the start of a run. Any value except 0 would work.
 pub(crate) const FIRST: u64 = 41;
 
-/// One entry of the list.
+/// An entry of the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Entry {
-    /// What is known of the node.
+    /// The phase of the node.
     pub phase: Phase,
-    /// Its last start, on the run's clock; `None` for one that has run since long ago.
+    /// The node's last start, on the run's clock; `None` if the node started before the run.
     pub since: Option<Micros>,
     revision: u64,
 }
 
-/// A list, or what changed of it.
+/// A complete list, or the changes since an earlier revision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Update {
-    /// The version.
+    /// The revision that this update leads to.
     pub revision: u64,
-    /// All nodes are named; one that isn't is gone.
+    /// Whether the update names all nodes. If so, a node that is missing was removed.
     pub complete: bool,
-    /// The entries. Those removed are named too; a complete list is written without them.
+    /// The entries, including removed nodes. A complete list is written without the removed nodes.
     pub entries: Vec<(NodeId, Entry)>,
 }
 
-/// The list.
+/// The endpoint list with its current revision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Registry {
     revision: u64,
@@ -37,31 +37,31 @@
 }
 
 impl Registry {
-    /// As it is at the start of a run.
+    /// Creates the list as it is at the start of a run.
     pub fn new(plan: &Plan) -> Self {
         let listed = plan.nodes.iter().zip(0..).filter(|(node, _)| node.from_start);
         let entry = Entry { phase: Phase::Up, since: None, revision: FIRST };
         Registry { revision: FIRST, entries: listed.map(|(_, i)| (NodeId(i), entry)).collect() }
     }
 
-    /// Its version.
+    /// The current revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Takes a change in.
+    /// Applies a change.
     pub fn change(&mut self, node: NodeId, phase: Phase, since: Option<Micros>) {
         self.revision += 1;
         self.entries.insert(node, Entry { phase, since, revision: self.revision });
     }
 
-    /// The whole list.
+    /// Returns the complete list.
     pub fn whole(&self) -> Update {
         let entries = self.entries.iter().map(|(node, entry)| (*node, *entry)).collect();
         Update { revision: self.revision, complete: true, entries }
     }
 
-    /// What has changed after a revision, eldest first; the whole list if that revision isn't known here.
+    /// Returns the changes after a revision, oldest first, or the complete list if the revision is unknown.
     pub fn since(&self, revision: u64) -> Update {
         if !(FIRST..=self.revision).contains(&revision) {
             return self.whole();
--- a/crates/kit/src/model/testing.rs
+++ b/crates/kit/src/model/testing.rs
@@ -3,7 +3,8 @@
 use crate::plan::*;
 use crate::time::{MS, S};
 
-/// A plan with so many render nodes (n0, n1, ..; warm, of capacity 1, 20 connections each), proxies and sessions.
+/// Creates a plan with the given numbers of render nodes, proxies and sessions. The nodes (n0, n1, ...) are warm,
+/// with capacity 1 and 20 connections each.
 pub(crate) fn plan(nodes: u16, proxies: u16, sessions: u32) -> Plan {
     let class = |name: &str, message_aim| Class {
         name: name.into(),
@@ -99,7 +100,7 @@
     }
 }
 
-/// The first line of a session's request.
+/// The first line of a session's request; `more` is appended to its values.
 pub(crate) fn first_line(plan: &Plan, session: u32, id: u64, d: u32, more: &str) -> String {
     let Session { class, tenant, key, group, .. } = &plan.sessions[session as usize];
     let (class, tenant) = (&plan.classes[usize::from(*class)].name, &plan.tenants[usize::from(*tenant)].name);
