--- a/crates/kit/src/bad_proxy/configuration.rs
+++ b/crates/kit/src/bad_proxy/configuration.rs
@@ -20,7 +20,7 @@
         error: io::Error,
     },
     /// The configuration file is not JSON, or a key has a value of the wrong type.
-    #[error("GW_CONFIG: '{path}' cannot be used: {error}")]
+    #[error("GW_CONFIG: '{path}' is not a valid configuration: {error}")]
     NotJson {
         /// The path in `GW_CONFIG`.
         path: String,
@@ -28,7 +28,7 @@
         error: simd_json::Error,
     },
     /// A required setting is given neither by the environment nor by the file.
-    #[error("{0} is missing")]
+    #[error("required setting {0} is missing")]
     Missing(&'static str),
     /// A variable's value is not an address with a port.
     #[error("{key} is not an address and port: '{value}'")]
@@ -47,7 +47,7 @@
         error: io::Error,
     },
     /// The operating system refused a poll, a pipe or a socket.
-    #[error("the system refuses: {0}")]
+    #[error("system call failed: {0}")]
     System(#[from] io::Error),
 }
 
--- a/crates/kit/src/bad_proxy/fault.rs
+++ b/crates/kit/src/bad_proxy/fault.rs
@@ -47,7 +47,7 @@
 
 /// The error for a name that no fault has.
 #[derive(Debug, thiserror::Error)]
-#[error("no fault is called '{0}'")]
+#[error("unknown fault '{0}'")]
 pub struct UnknownFault(String);
 
 impl Fault {
--- a/crates/kit/src/bad_proxy/proxy.rs
+++ b/crates/kit/src/bad_proxy/proxy.rs
@@ -303,7 +303,7 @@
     fn reload(&mut self) {
         match self.configuration.reload() {
             Ok(configuration) => self.configuration = configuration,
-            Err(error) => return eprintln!("nothing is reloaded: {error}"),
+            Err(error) => return eprintln!("configuration not reloaded: {error}"),
         }
         self.roster.configure(self.configuration.warm_up, self.configuration.tier);
         if let Some(old) = self.watch.take() {
--- a/crates/kit/src/bad_proxy/roster.rs
+++ b/crates/kit/src/bad_proxy/roster.rs
@@ -219,7 +219,7 @@
             }
         }
         assert_eq!(sent, [1; 9]);
-        assert!((0..5).all(|_| tier[0].pick(NOW + 9 * S, &[]).is_some()), "warm by now");
+        assert!((0..5).all(|_| tier[0].pick(NOW + 9 * S, &[]).is_some()), "the node is warm");
     }
 
     #[test]
--- a/crates/kit/src/model/client/tests.rs
+++ b/crates/kit/src/model/client/tests.rs
@@ -64,11 +64,14 @@
         };
         let (mut out, admitted) = (Vec::new(), self.admitted);
         self.session.handle(now, input, &|_| admitted, &mut out);
-        assert!(self.session.wish_tries <= self.session.plan.habits.tries.max(1), "tries of a wish");
+        assert!(
+            self.session.wish_tries <= self.session.plan.habits.tries.max(1),
+            "too many tries in a series"
+        );
         for output in &out {
             match output {
                 Output::Connect(_) => {
-                    assert!(!self.linked, "two connections at once");
+                    assert!(!self.linked, "a second connection is open");
                     (self.linked, self.connection) = (true, self.connection + 1);
                     let meets = self.connections.get(self.connection - 1).copied().unwrap_or(&[]);
                     if meets.first().is_some_and(|(_, what)| *what == "!refuse") {
@@ -322,7 +325,7 @@
     assert!(seen(&|seen| *seen == Seen::LineBack { request, line: 1 }));
     assert!(seen(&|seen| matches!(seen, Seen::Garbled { .. })));
     let last: Vec<bool> = world.spans().into_iter().map(|(well, ..)| well).collect();
-    assert_eq!(last, [false, true], "the one that never came costs its span, the other one does not");
+    assert_eq!(last, [false, true], "only the span of the missing line is badly served");
 }
 
 const WORDS: [&str; 16] = [
@@ -378,7 +381,7 @@
         for Observation { at, seen } in world.notes() {
             let over = match seen {
                 Seen::Asked { request, deadline, .. } => {
-                    prop_assert!(ids.insert(request), "an id came again");
+                    prop_assert!(ids.insert(request), "duplicate request id");
                     prop_assert!(open.is_none() && deadline <= until + MS && at <= deadline);
                     open = Some(request);
                     false
@@ -404,7 +407,7 @@
                 up_for += up_since.take().map_or(0, |since| at.min(until) - since);
             }
         }
-        prop_assert!(open.is_none(), "a request without an end");
-        prop_assert_eq!(spans_total, up_for, "the spans cover the time up");
+        prop_assert!(open.is_none(), "a request has no end");
+        prop_assert_eq!(spans_total, up_for, "the spans do not cover the time up");
     }
 }
--- a/crates/kit/src/model/node.rs
+++ b/crates/kit/src/model/node.rs
@@ -38,8 +38,8 @@
     pub wait: Micros,
     /// Whether the connection was open at this node before the run. It needs no set-up then.
     pub standing: bool,
-    /// The network delay of one direction between the proxy and this node. Answers and returned lines are delayed
-    /// by both directions.
+    /// The network delay of one direction between the proxy and this node. Answers and returned lines are delayed by
+    /// both directions, and lines that the node sends without a request by one.
     pub way: Micros,
 }
 
--- a/crates/kit/src/model/node/tests.rs
+++ b/crates/kit/src/model/node/tests.rs
@@ -143,11 +143,11 @@
     for _ in 0..2 {
         assert_eq!(scene.open(0, S), []);
     }
-    assert_eq!(scene.open(0, S), [Output::Answer(5, NodeAnswer::Busy)], "two set-ups at once");
+    assert_eq!(scene.open(0, S), [Output::Answer(5, NodeAnswer::Busy)], "the limit of set-ups is 2");
     assert_eq!(answers(&scene.until(S)).len(), 2);
     assert_eq!(scene.open(S, S), []);
     scene.until(2 * S);
-    assert_eq!(scene.open(2 * S, S), [Output::Answer(7, NodeAnswer::Busy)], "five connections");
+    assert_eq!(scene.open(2 * S, S), [Output::Answer(7, NodeAnswer::Busy)], "the limit of connections is 5");
     scene.at(2 * S, Input::Ended(0));
     scene.at(2 * S, Input::Change(NodeChange::Drain { within: S }));
     assert_eq!(scene.open(2 * S, S).last(), Some(&Output::Answer(8, NodeAnswer::Busy)));
@@ -178,15 +178,15 @@
     };
     assert!(!fallen(11, 0, 1));
     assert!(fallen(12, 0, 1));
-    assert!(!fallen(19, 2500 * MS, 1), "half way at 65% it bears 15.6 and 4");
+    assert!(!fallen(19, 2500 * MS, 1), "at 65% of the capacity the limit is 15.6 + 4");
     assert!(fallen(20, 2500 * MS, 1));
-    assert!(!fallen(200, 5 * S, 1), "a warm one bears them");
-    assert!(!fallen(9, 0, S), "what came long ago does not count");
+    assert!(!fallen(200, 5 * S, 1), "a warm node has no limit");
+    assert!(!fallen(9, 0, S), "arrivals before the window do not count");
     let mut scene = Scene::new(|plan| plan.nodes[0].from_start = false);
     scene.at(0, Input::Change(NodeChange::Start));
     (0..12).for_each(|_| drop(scene.open(0, S)));
     scene.at(9 * S, Input::Change(NodeChange::Start));
-    assert!(!scene.model.is_running(), "it stays down");
+    assert!(!scene.model.is_running(), "a failed node does not restart");
 }
 
 #[test]
