--- a/crates/kit/src/bad_proxy/configuration.rs
+++ b/crates/kit/src/bad_proxy/configuration.rs
@@ -113,15 +113,15 @@
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     /// Maximum number of file descriptors of the process.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// This proxy's address for datagrams, and the address of one peer.
     pub peer: Option<(SocketAddr, SocketAddr)>,
     /// The last known endpoint list.
-    pub known: Option<List>,
+    pub known_list: Option<List>,
     /// Number of proxies in the tier, and this proxy's ordinal among them.
     pub tier: (u16, u16),
-    pub most_attempts: u32,
-    pub connect_within: Micros,
+    pub max_attempts: u32,
+    pub connect_timeout: Micros,
     pub classes: BTreeSet<String>,
     /// The longest deadline of all request classes.
     pub longest_deadline: Micros,
@@ -141,7 +141,7 @@
         let file = read(&variable)?;
         let listen = address("GW_LISTEN")?.or(file.listen);
         let discovery = address("GW_DISCOVERY")?.or(file.discovery);
-        Self::of(file, listen, discovery)
+        Self::from_file(file, listen, discovery)
     }
 
     /// Reads the configuration again on SIGHUP. The file takes precedence, since the environment cannot have
@@ -149,10 +149,10 @@
     pub fn reload(&self) -> Result<Self, BadProxyError> {
         let file = read(&|name| std::env::var(name).ok())?;
         let (listen, discovery) = (Some(self.listen), file.discovery.or(Some(self.discovery)));
-        Self::of(file, listen, discovery)
+        Self::from_file(file, listen, discovery)
     }
 
-    fn of(
+    fn from_file(
         file: File,
         listen: Option<SocketAddr>,
         discovery: Option<SocketAddr>,
@@ -163,18 +163,18 @@
         }
         let tier = (settings.balancers.unwrap_or(1).max(1), settings.ordinal);
         // The list of peers includes this proxy's own address.
-        let other = (usize::from(tier.1) + 1) % file.peers.len().max(1);
-        let peer = file.peers.get(other).filter(|_| file.peers.len() > 1);
+        let next_ordinal = (usize::from(tier.1) + 1) % file.peers.len().max(1);
+        let peer = file.peers.get(next_ordinal).filter(|_| file.peers.len() > 1);
         let deadlines = settings.request_classes.iter().map(|class| class.deadline as Micros);
         Ok(Configuration {
             listen: listen.ok_or(BadProxyError::Missing("GW_LISTEN"))?,
             discovery: discovery.ok_or(BadProxyError::Missing("GW_DISCOVERY"))?,
-            sockets: file.limits.sockets,
+            max_descriptors: file.limits.sockets,
             peer: file.peer_listen.zip(peer.copied()),
-            known: file.known,
+            known_list: file.known,
             tier,
-            most_attempts: settings.policy_limits.most_tries.unwrap_or(3).max(1),
-            connect_within: settings.policy_limits.connect_timeout.map_or(250 * MS, |t| t as Micros),
+            max_attempts: settings.policy_limits.most_tries.unwrap_or(3).max(1),
+            connect_timeout: settings.policy_limits.connect_timeout.map_or(250 * MS, |t| t as Micros),
             longest_deadline: deadlines.max().unwrap_or(2 * S),
             classes: settings.request_classes.into_iter().map(|class| class.name).collect(),
             warm_up: settings.rules.warm_up as Micros,
--- a/crates/kit/src/bad_proxy/fault.rs
+++ b/crates/kit/src/bad_proxy/fault.rs
@@ -74,13 +74,13 @@
     ];
 
     /// The one-line description that the command line's help shows.
-    pub fn meaning(self) -> String {
+    pub fn description(self) -> String {
         self.to_possible_value().and_then(|v| v.get_help().map(ToString::to_string)).unwrap_or_default()
     }
 
     /// The fault affects one request in this many, so that the remaining requests keep the run going. The value is
     /// 1 for faults that need a rare condition: a render node that drains, dies, hangs or is cold.
-    pub(super) fn every(self) -> u32 {
+    pub(super) fn request_interval(self) -> u32 {
         match self {
             Fault::SendsToDrained | Fault::FloodsCold | Fault::KeepsEnded | Fault::KeepsSilent => 1,
             _ => 5,
@@ -108,11 +108,11 @@
     use super::*;
 
     #[test]
-    fn all_are_listed_and_found_by_their_names() {
+    fn all_faults_are_listed_and_parse_from_their_names() {
         assert_eq!(Fault::ALL, Fault::value_variants());
         for fault in Fault::ALL {
             assert_eq!(fault.to_string().parse::<Fault>().unwrap(), fault);
-            assert!(!fault.meaning().is_empty(), "{fault}");
+            assert!(!fault.description().is_empty(), "{fault}");
         }
         assert_eq!(Fault::CutsWithoutMove.to_string(), "cuts-without-move");
         assert!("cuts".parse::<Fault>().is_err());
--- a/crates/kit/src/bad_proxy/first_line.rs
+++ b/crates/kit/src/bad_proxy/first_line.rs
@@ -4,13 +4,13 @@
 
 /// Why a first line is rejected. The client receives this text after `ERR`.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-pub(super) enum BadLine {
+pub(super) enum FirstLineError {
     #[error("the line is not text")]
     NotText,
     #[error("the line is not OPEN ID KEY NAMES")]
-    NotOpen,
+    Malformed,
     #[error("'{0}' is missing or no such figure")]
-    Figure(&'static str),
+    InvalidValue(&'static str),
 }
 
 /// A valid first line.
@@ -27,31 +27,34 @@
 
 impl FirstLine {
     /// Parses a line without its line end.
-    pub fn parse(line: &[u8]) -> Result<Self, BadLine> {
-        let text = std::str::from_utf8(line).map_err(|_| BadLine::NotText)?;
+    pub fn parse(line: &[u8]) -> Result<Self, FirstLineError> {
+        let text = std::str::from_utf8(line).map_err(|_| FirstLineError::NotText)?;
         if !text.bytes().all(|b| b == b' ' || b.is_ascii_graphic()) {
-            return Err(BadLine::NotText);
+            return Err(FirstLineError::NotText);
         }
         let words: Vec<&str> = text.split(' ').collect();
-        let ["OPEN", id, key, names] = words[..] else { return Err(BadLine::NotOpen) };
+        let ["OPEN", id, key, names] = words[..] else { return Err(FirstLineError::Malformed) };
         let hexadecimal = |word: &str| !word.is_empty() && word.bytes().all(|b| b.is_ascii_hexdigit());
         if !hexadecimal(key) {
-            return Err(BadLine::Figure("key"));
+            return Err(FirstLineError::InvalidValue("key"));
         }
-        let id = u64::from_str_radix(id, 16).ok().filter(|_| hexadecimal(id)).ok_or(BadLine::Figure("id"))?;
+        let id = u64::from_str_radix(id, 16)
+            .ok()
+            .filter(|_| hexadecimal(id))
+            .ok_or(FirstLineError::InvalidValue("id"))?;
         let (mut class, mut at, mut wait) = (None, None, None);
         for pair in names.split(',') {
-            match pair.split_once('=').ok_or(BadLine::NotOpen)? {
+            match pair.split_once('=').ok_or(FirstLineError::Malformed)? {
                 ("c", value) => class = Some(value.to_owned()),
                 ("at", value) => at = Some(value.to_owned()),
                 ("d", value) => {
                     let ms = value.parse::<u32>().ok().filter(|ms| *ms > 0 && !value.starts_with('+'));
-                    wait = Some(Micros::from(ms.ok_or(BadLine::Figure("d"))?) * MS);
+                    wait = Some(Micros::from(ms.ok_or(FirstLineError::InvalidValue("d"))?) * MS);
                 }
                 _ => {}
             }
         }
-        let class = class.ok_or(BadLine::Figure("c"))?;
+        let class = class.ok_or(FirstLineError::InvalidValue("c"))?;
         Ok(FirstLine { id, class, at, wait, text: text.to_owned() })
     }
 
@@ -65,7 +68,7 @@
     }
 
     /// The forwarded line with the last digit of the key changed, for `Fault::BadFirstLine`.
-    pub fn falsified(&self, wait: Micros) -> Vec<u8> {
+    pub fn with_wrong_key(&self, wait: Micros) -> Vec<u8> {
         let mut line = self.forwarded(wait);
         // The third space follows the key.
         let spaces = line.iter().enumerate().filter(|(_, b)| **b == b' ').map(|(i, _)| i);
@@ -81,33 +84,33 @@
     use super::*;
 
     #[test]
-    fn only_d_changes_on_the_way() {
+    fn forwarding_changes_only_d() {
         let line = FirstLine::parse(b"OPEN 9b1f 7f30 c=chat,t=acme,d=2000,g=5c0f,h=1.5").unwrap();
         assert_eq!((line.id, line.class.as_str(), line.wait), (0x9b1f, "chat", Some(2_000_000)));
         assert_eq!(line.forwarded(350_900), b"OPEN 9b1f 7f30 c=chat,t=acme,d=350,g=5c0f,h=1.5\r\n");
-        assert_eq!(line.falsified(350_900), b"OPEN 9b1f 7f31 c=chat,t=acme,d=350,g=5c0f,h=1.5\r\n");
-        let standing = FirstLine::parse(b"OPEN 1 2 c=chat,at=s-5b").unwrap();
-        assert_eq!((standing.at.as_deref(), standing.wait), (Some("s-5b"), None));
-        assert_eq!(standing.forwarded(1), b"OPEN 1 2 c=chat,at=s-5b\r\n");
+        assert_eq!(line.with_wrong_key(350_900), b"OPEN 9b1f 7f31 c=chat,t=acme,d=350,g=5c0f,h=1.5\r\n");
+        let open_before = FirstLine::parse(b"OPEN 1 2 c=chat,at=s-5b").unwrap();
+        assert_eq!((open_before.at.as_deref(), open_before.wait), (Some("s-5b"), None));
+        assert_eq!(open_before.forwarded(1), b"OPEN 1 2 c=chat,at=s-5b\r\n");
     }
 
     #[test]
-    fn rubbish_is_told_apart() {
-        use BadLine::*;
-        let bad: [(&[u8], BadLine); 10] = [
+    fn invalid_lines_are_rejected_with_their_reason() {
+        use FirstLineError::*;
+        let bad: [(&[u8], FirstLineError); 10] = [
             (b"\xff\x00", NotText),
-            (b"", NotOpen),
-            (b"GET / HTTP/1.1", NotOpen),
-            (b"OPEN 1 2 c", NotOpen),
-            (b"OPEN 1 2 c=a d=1", NotOpen),
-            (b"OPEN  2 c=a", Figure("id")),
-            (b"OPEN 1  c=a", Figure("key")),
-            (b"OPEN 11111111111111111 2 c=a", Figure("id")),
-            (b"OPEN 1 2 c=a,d=-1", Figure("d")),
-            (b"OPEN 1 2 d=5", Figure("c")),
+            (b"", Malformed),
+            (b"GET / HTTP/1.1", Malformed),
+            (b"OPEN 1 2 c", Malformed),
+            (b"OPEN 1 2 c=a d=1", Malformed),
+            (b"OPEN  2 c=a", InvalidValue("id")),
+            (b"OPEN 1  c=a", InvalidValue("key")),
+            (b"OPEN 11111111111111111 2 c=a", InvalidValue("id")),
+            (b"OPEN 1 2 c=a,d=-1", InvalidValue("d")),
+            (b"OPEN 1 2 d=5", InvalidValue("c")),
         ];
-        for (line, wrong) in bad {
-            assert_eq!(FirstLine::parse(line), Err(wrong), "{}", line.escape_ascii());
+        for (line, error) in bad {
+            assert_eq!(FirstLine::parse(line), Err(error), "{}", line.escape_ascii());
         }
     }
 }
--- a/crates/kit/src/bad_proxy/mod.rs
+++ b/crates/kit/src/bad_proxy/mod.rs
@@ -4,11 +4,11 @@
 //! are kept. The proxy places requests by round robin and shares no code with the daemon, so a mistake in the
 //! daemon's code cannot hide a failure here. The kit runs it as a separate process, in place of the daemon.
 
-mod beside;
 mod configuration;
 mod fault;
 mod first_line;
 mod lists;
+mod parallel_attempt;
 mod proxy;
 mod relay;
 mod report;
--- a/crates/kit/src/bad_proxy/beside.rs
+++ b/crates/kit/src/bad_proxy/parallel_attempt.rs
@@ -9,44 +9,44 @@
 use std::net::SocketAddr;
 
 /// The attempt is closed after this time.
-const OUT: Micros = 400 * MS;
+const CLOSE_AFTER: Micros = 400 * MS;
 
 /// The parallel attempt. Its answer is read and discarded.
 #[derive(Debug)]
-pub(super) struct Beside {
-    link: LineStream,
-    over: bool,
+pub(super) struct ParallelAttempt {
+    stream: LineStream,
+    closed: bool,
 }
 
-impl Beside {
+impl ParallelAttempt {
     /// Connects to `address` and sends `line`, the complete first line.
     pub fn start(address: SocketAddr, line: &[u8], key: Key, io: &mut Io) -> io::Result<Self> {
-        let mut link = LineStream::connect(address, io, key, Half::Near)?;
-        link.push(line);
-        io.timer(io.now() + OUT, key, 0);
-        Ok(Beside { link, over: false })
+        let mut stream = LineStream::connect(address, io, key, Half::Near)?;
+        stream.push(line);
+        io.timer(io.now() + CLOSE_AFTER, key, 0);
+        Ok(ParallelAttempt { stream, closed: false })
     }
 }
 
-impl Object for Beside {}
+impl Object for ParallelAttempt {}
 
-impl Connection for Beside {
+impl Connection for ParallelAttempt {
     type Report = Report;
 
     fn readable(&mut self, _: &mut Io, _: Half) {
-        self.link.discard();
+        self.stream.discard();
     }
 
     fn writable(&mut self, _: &mut Io, _: Half) {
-        let written = self.link.connected().and_then(|up| if up { self.link.flush() } else { Ok(true) });
-        self.over |= written.is_err();
+        let written = self.stream.connected().and_then(|up| if up { self.stream.flush() } else { Ok(true) });
+        self.closed |= written.is_err();
     }
 
     fn timer(&mut self, _: &mut Io, _: u32) {
-        self.over = true;
+        self.closed = true;
     }
 
     fn done(&self) -> bool {
-        self.over
+        self.closed
     }
 }
--- a/crates/kit/src/bad_proxy/relay.rs
+++ b/crates/kit/src/bad_proxy/relay.rs
@@ -9,20 +9,20 @@
 use std::net::SocketAddr;
 
 /// At most this many unanswered lines are recorded, so that a client that only sends uses bounded memory.
-const MOST_UNANSWERED: usize = 256;
+const MAX_UNANSWERED: usize = 256;
 
 /// The parameters of an attempt.
 #[derive(Debug)]
-pub(super) struct Order {
+pub(super) struct AttemptSpec {
     pub address: SocketAddr,
     /// The complete first line.
     pub line: Vec<u8>,
     /// The attempt fails if the connection is not established by then.
-    pub connect_until: Micros,
+    pub connect_deadline: Micros,
     /// The attempt fails if it is not answered by then.
-    pub until: Micros,
+    pub deadline: Micros,
     /// For `Fault::TooManyAttempts`: the answer is discarded, and the attempt ends at `until`.
-    pub in_vain: bool,
+    pub discard_answer: bool,
 }
 
 /// The state of an attempt after it was advanced.
@@ -37,41 +37,41 @@
 /// An attempt that has not been answered.
 #[derive(Debug)]
 pub(super) struct Attempt {
-    link: LineStream,
+    stream: LineStream,
     connected: bool,
-    order: Order,
+    spec: AttemptSpec,
 }
 
 impl Attempt {
-    pub fn start(order: Order, key: Key, io: &mut Io) -> io::Result<Self> {
-        let mut link = LineStream::connect(order.address, io, key, Half::Far)?;
-        link.push(&order.line);
-        Ok(Attempt { link, connected: false, order })
+    pub fn start(spec: AttemptSpec, key: Key, io: &mut Io) -> io::Result<Self> {
+        let mut stream = LineStream::connect(spec.address, io, key, Half::Far)?;
+        stream.push(&spec.line);
+        Ok(Attempt { stream, connected: false, spec })
     }
 
     /// Whether the attempt has exceeded its time to connect or its time for the answer.
     pub fn is_overdue(&self, now: Micros) -> bool {
-        self.order.until <= now || (!self.connected && self.order.connect_until <= now)
+        self.spec.deadline <= now || (!self.connected && self.spec.connect_deadline <= now)
     }
 
     /// Connects, sends and reads as far as the socket allows.
     pub fn advance(&mut self) -> Progress {
         if !self.connected {
-            match self.link.connected() {
+            match self.stream.connected() {
                 Ok(true) => self.connected = true,
                 Ok(false) => return Progress::Pending,
                 Err(_) => return Progress::Failed,
             }
         }
-        if self.link.flush().is_err() {
+        if self.stream.flush().is_err() {
             return Progress::Failed;
         }
-        if self.order.in_vain {
-            self.link.discard();
+        if self.spec.discard_answer {
+            self.stream.discard();
             return Progress::Pending;
         }
-        let fill = self.link.fill();
-        match (self.link.take_line(), fill) {
+        let fill = self.stream.fill();
+        match (self.stream.take_line(), fill) {
             (Ok(Some(line)), _) if line.starts_with(b"UP ") => Progress::Up(line),
             (Ok(None), Fill::Blocked | Fill::More) => Progress::Pending,
             _ => Progress::Failed,
@@ -80,22 +80,22 @@
 
     /// Converts the attempt, which was answered with `UP`, into a relay.
     pub fn into_relay(self) -> Relay {
-        Relay { link: self.link, unanswered: VecDeque::new(), client_ended: false }
+        Relay { stream: self.stream, unanswered: VecDeque::new(), client_ended: false }
     }
 }
 
 /// The result of passing on bytes in one direction.
 #[derive(Debug)]
-pub(super) enum Pass {
-    On,
+pub(super) enum ForwardOutcome {
+    Idle,
     /// More input may be available; the caller has to call again.
-    More,
+    MoreInput,
     /// The client ended its sending. The render node's output is still passed on.
     ClientEnded,
     /// The client broke the connection. Nothing remains to be done.
-    ClientBroke,
+    ClientBroken,
     /// The client sent a line that exceeds the maximum length.
-    TooLong,
+    LineTooLong,
     /// The render node's connection ended, by a reset or in order. The client's connection has to end in the same
     /// way.
     NodeEnded {
@@ -106,7 +106,7 @@
 /// The connection to the render node of a client that is up.
 #[derive(Debug)]
 pub(super) struct Relay {
-    link: LineStream,
+    stream: LineStream,
     /// The times at which unanswered lines of the client were passed on, oldest first.
     unanswered: VecDeque<Micros>,
     client_ended: bool,
@@ -114,60 +114,60 @@
 
 impl Relay {
     /// The time since which the client waits for a line to be returned.
-    pub fn waiting_since(&self) -> Option<Micros> {
+    pub fn unanswered_since(&self) -> Option<Micros> {
         self.unanswered.front().copied()
     }
 
     /// Writes pending bytes to the render node.
     pub fn flush(&mut self) {
         // The next read reports a broken connection.
-        let _ = self.link.flush();
+        let _ = self.stream.flush();
     }
 
     /// Passes lines from the client to the render node.
-    pub fn pass_client(&mut self, client: &mut LineStream, now: Micros) -> Pass {
-        if self.client_ended || self.link.is_full() {
-            return Pass::On;
+    pub fn forward_from_client(&mut self, client: &mut LineStream, now: Micros) -> ForwardOutcome {
+        if self.client_ended || self.stream.is_full() {
+            return ForwardOutcome::Idle;
         }
         let fill = client.fill();
         loop {
             match client.take_line() {
                 Ok(Some(line)) => {
-                    self.link.push(&line);
-                    if self.unanswered.len() < MOST_UNANSWERED {
+                    self.stream.push(&line);
+                    if self.unanswered.len() < MAX_UNANSWERED {
                         self.unanswered.push_back(now);
                     }
                 }
                 Ok(None) => break,
-                Err(_) => return Pass::TooLong,
+                Err(_) => return ForwardOutcome::LineTooLong,
             }
         }
-        let pass = match fill {
-            Fill::Blocked => Pass::On,
-            Fill::More => Pass::More,
+        let result = match fill {
+            Fill::Blocked => ForwardOutcome::Idle,
+            Fill::More => ForwardOutcome::MoreInput,
             Fill::Ended => {
-                self.link.push(&client.take_rest());
-                self.link.finish();
+                self.stream.push(&client.take_rest());
+                self.stream.finish();
                 self.client_ended = true;
-                Pass::ClientEnded
+                ForwardOutcome::ClientEnded
             }
             Fill::Broken(_) => {
-                self.link.reset();
-                return Pass::ClientBroke;
+                self.stream.reset();
+                return ForwardOutcome::ClientBroken;
             }
         };
         self.flush();
-        pass
+        result
     }
 
     /// Passes lines from the render node to the client.
-    pub fn pass_node(&mut self, client: &mut LineStream) -> Pass {
+    pub fn forward_from_node(&mut self, client: &mut LineStream) -> ForwardOutcome {
         if client.is_full() {
-            return Pass::On;
+            return ForwardOutcome::Idle;
         }
-        let fill = self.link.fill();
+        let fill = self.stream.fill();
         loop {
-            match self.link.take_line() {
+            match self.stream.take_line() {
                 Ok(Some(line)) => {
                     let verb = trim_end(&line).split(|b| *b == b' ').next().unwrap_or_default();
                     if !matches!(verb, b"LOAD" | b"BYE" | b"MOVE") {
@@ -176,24 +176,24 @@
                     client.push(&line);
                 }
                 Ok(None) => break,
-                Err(_) => return Pass::NodeEnded { reset: true },
+                Err(_) => return ForwardOutcome::NodeEnded { reset: true },
             }
         }
-        let pass = match fill {
-            Fill::Blocked => Pass::On,
-            Fill::More => Pass::More,
+        let result = match fill {
+            Fill::Blocked => ForwardOutcome::Idle,
+            Fill::More => ForwardOutcome::MoreInput,
             Fill::Ended => {
-                client.push(&self.link.take_rest());
-                Pass::NodeEnded { reset: false }
+                client.push(&self.stream.take_rest());
+                ForwardOutcome::NodeEnded { reset: false }
             }
-            Fill::Broken(_) => Pass::NodeEnded { reset: true },
+            Fill::Broken(_) => ForwardOutcome::NodeEnded { reset: true },
         };
         match client.flush() {
-            Err(_) if !matches!(pass, Pass::NodeEnded { .. }) => {
-                self.link.reset();
-                Pass::ClientBroke
+            Err(_) if !matches!(result, ForwardOutcome::NodeEnded { .. }) => {
+                self.stream.reset();
+                ForwardOutcome::ClientBroken
             }
-            _ => pass,
+            _ => result,
         }
     }
 }
--- a/crates/kit/src/bad_proxy/report.rs
+++ b/crates/kit/src/bad_proxy/report.rs
@@ -13,15 +13,15 @@
     /// Clients are waiting to be accepted.
     Acceptable,
     /// A client sent a valid first line. The proxy owes it one final answer.
-    Asked(Key, FirstLine),
+    RequestReceived(Key, FirstLine),
     /// The current attempt of this client failed.
-    AttemptOver(Key),
+    AttemptFailed(Key),
     /// The current attempt of this client was answered with `UP`.
     Up(Key),
     /// The client's connection is closed.
-    Gone(Key),
+    ClientClosed(Key),
     /// The watch received an endpoint list.
-    Listed(Key, List),
+    ListReceived(Key, List),
     /// The watch ended.
     WatchLost(Key),
     /// SIGTERM was received.
--- a/crates/kit/src/bad_proxy/session.rs
+++ b/crates/kit/src/bad_proxy/session.rs
@@ -2,7 +2,7 @@
 
 use super::fault::Fault;
 use super::first_line::FirstLine;
-use super::relay::{Attempt, Order, Pass, Progress, Relay};
+use super::relay::{Attempt, AttemptSpec, ForwardOutcome, Progress, Relay};
 use super::report::{Io, Object, Report};
 use crate::time::{MS, Micros, S};
 use cottonnotch_reactor::line::{Fill, LineStream, trim_end};
@@ -11,63 +11,63 @@
 use std::io;
 
 /// A client that has not sent a first line by then is rejected.
-const FIRST_LINE_WITHIN: Micros = 1_500 * MS;
+const FIRST_LINE_TIMEOUT: Micros = 1_500 * MS;
 /// Time limit after a `PING`: the front sends these, and may pause for longer than a client.
-const PING_WITHIN: Micros = 30 * S;
+const PING_TIMEOUT: Micros = 30 * S;
 /// A render node that has not returned a line for this long is considered hung. The rule allows 7 s.
-const SILENT_FOR: Micros = 5 * S;
+const HANG_TIMEOUT: Micros = 5 * S;
 /// After the client has ended its sending, the render node has this long to end its connection.
-const FAR_END_WITHIN: Micros = 3 * S;
+const NODE_END_TIMEOUT: Micros = 3 * S;
 /// After the last line to a client, the client has this long to close first.
-const LINGER_FOR: Micros = S;
+const LINGER_TIMEOUT: Micros = S;
 
 /// Delays of the faults [`Fault::AnswersTwice`], [`Fault::CutsWithoutMove`], [`Fault::HoldsLine`] and
 /// [`Fault::KeepsEnded`].
-const SECOND_ANSWER: Micros = 300 * MS;
-const CUT: Micros = S;
-const HELD: Micros = 1_500 * MS;
-const KEPT: Micros = 3 * S;
+const SECOND_ANSWER_DELAY: Micros = 300 * MS;
+const CUT_DELAY: Micros = S;
+const HOLD_TIME: Micros = 1_500 * MS;
+const KEEP_ENDED_TIME: Micros = 3 * S;
 
 /// The busy answer: the client may retry after 200 ms.
-const BUSY: &str = "BUSY 200\r\n";
+const BUSY_ANSWER: &str = "BUSY 200\r\n";
 
-const FIRST_LINE: u32 = 0;
-const ATTEMPT: u32 = 1;
-const SILENCE: u32 = 2;
-const MOVE: u32 = 3;
-const FAR_END: u32 = 4;
-const LINGER: u32 = 5;
-const FAULT: u32 = 6;
+const FIRST_LINE_TIMER: u32 = 0;
+const ATTEMPT_TIMER: u32 = 1;
+const HANG_TIMER: u32 = 2;
+const MOVE_TIMER: u32 = 3;
+const NODE_END_TIMER: u32 = 4;
+const LINGER_TIMER: u32 = 5;
+const FAULT_TIMER: u32 = 6;
 
 #[derive(Debug)]
 enum State {
     /// The first line has not been read completely.
-    Reading {
+    ReadingFirstLine {
         until: Micros,
     },
     /// The client is owed a final answer, and no attempt is pending.
     Waiting,
-    Trying(Box<Attempt>),
+    Attempting(Box<Attempt>),
     Up(Box<Relay>),
     /// The last line was queued for the client, which has to close its connection.
-    Ending,
-    Gone,
+    Closing,
+    Closed,
     /// For [`Fault::InventedUp`] and [`Fault::ServesRude`]: no render node serves the client, and its lines are
     /// echoed.
-    Pretending,
+    Echoing,
     /// For [`Fault::NoAnswer`] and [`Fault::IgnoresRude`]: nothing is sent to the client.
-    Mute,
+    Silent,
     /// For [`Fault::KeepsEnded`]: the render node's connection has ended, and the client's connection is still
     /// open.
-    Kept {
+    KeptOpen {
         reset: bool,
     },
 }
 
 /// The state of [`Fault::HoldsLine`] for this client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Hold {
-    NotYet,
+enum HoldState {
+    NotHeld,
     Holding,
     Released,
 }
@@ -79,227 +79,237 @@
     client: LineStream,
     state: State,
     fault: Option<Fault>,
-    hold: Hold,
+    hold_state: HoldState,
 }
 
 impl Session {
     /// Creates a session from an accepted connection.
     pub fn accepted(stream: TcpStream, fault: Option<Fault>, key: Key, io: &mut Io) -> io::Result<Self> {
         let client = LineStream::accepted(stream, io, key)?;
-        let until = io.now() + FIRST_LINE_WITHIN;
-        io.timer(until, key, FIRST_LINE);
-        Ok(Session { key, client, state: State::Reading { until }, fault, hold: Hold::NotYet })
+        let until = io.now() + FIRST_LINE_TIMEOUT;
+        io.timer(until, key, FIRST_LINE_TIMER);
+        Ok(Session {
+            key,
+            client,
+            state: State::ReadingFirstLine { until },
+            fault,
+            hold_state: HoldState::NotHeld,
+        })
     }
 
     /// Sets the fault that affects this request.
-    pub fn strike(&mut self, fault: Option<Fault>) {
+    pub fn set_fault(&mut self, fault: Option<Fault>) {
         self.fault = fault;
     }
 
     /// Starts an attempt. The session reports its outcome.
-    pub fn try_at(&mut self, io: &mut Io, order: Order) {
+    pub fn start_attempt(&mut self, io: &mut Io, spec: AttemptSpec) {
         if !matches!(self.state, State::Waiting) {
             return;
         }
-        io.timer(order.connect_until, self.key, ATTEMPT);
-        io.timer(order.until, self.key, ATTEMPT);
-        match Attempt::start(order, self.key, io) {
-            Ok(attempt) => self.state = State::Trying(Box::new(attempt)),
-            Err(_) => io.report(Report::AttemptOver(self.key)),
+        io.timer(spec.connect_deadline, self.key, ATTEMPT_TIMER);
+        io.timer(spec.deadline, self.key, ATTEMPT_TIMER);
+        match Attempt::start(spec, self.key, io) {
+            Ok(attempt) => self.state = State::Attempting(Box::new(attempt)),
+            Err(_) => io.report(Report::AttemptFailed(self.key)),
         }
     }
 
     /// Sends the busy answer, if the client is still owed an answer.
-    pub fn refuse(&mut self, io: &mut Io) {
-        if matches!(self.state, State::Waiting | State::Trying(_)) {
-            self.end(io, BUSY);
+    pub fn answer_busy(&mut self, io: &mut Io) {
+        if matches!(self.state, State::Waiting | State::Attempting(_)) {
+            self.send_last_line(io, BUSY_ANSWER);
         }
     }
 
     /// Rejects an invalid request with `ERR`.
     pub fn reject(&mut self, io: &mut Io, why: &str) {
         match self.fault {
-            Some(Fault::IgnoresRude) => self.mute(io, None),
-            Some(Fault::ServesRude) => self.pretend(io),
-            _ => self.end(io, &format!("ERR {why}\r\n")),
+            Some(Fault::IgnoresRude) => self.stay_silent(io, None),
+            Some(Fault::ServesRude) => self.serve_by_echo(io),
+            _ => self.send_last_line(io, &format!("ERR {why}\r\n")),
         }
     }
 
     /// Schedules a move of the client, which takes place if it is still up.
-    pub fn move_at(&self, io: &mut Io, at: Micros) {
-        io.timer(at, self.key, MOVE);
+    pub fn schedule_move(&self, io: &mut Io, at: Micros) {
+        io.timer(at, self.key, MOVE_TIMER);
     }
 
     /// Sends the client `MOVE`, if it is up.
-    pub fn move_away(&mut self, io: &mut Io) {
+    pub fn move_client(&mut self, io: &mut Io) {
         // Only complete lines are queued for the client, so `MOVE` cannot split a line.
-        if matches!(self.state, State::Up(_) | State::Pretending) {
-            self.end(io, "MOVE\r\n");
+        if matches!(self.state, State::Up(_) | State::Echoing) {
+            self.send_last_line(io, "MOVE\r\n");
         }
     }
 
     /// Ends the client's connection because the proxy shuts down.
-    pub fn leave(&mut self, io: &mut Io) {
-        self.move_away(io);
-        self.refuse(io);
-        if let State::Reading { .. } = self.state {
-            self.end(io, "");
+    pub fn shut_down(&mut self, io: &mut Io) {
+        self.move_client(io);
+        self.answer_busy(io);
+        if let State::ReadingFirstLine { .. } = self.state {
+            self.send_last_line(io, "");
         }
     }
 
     /// For a fault: sends nothing more, and closes at `until` if given.
-    pub fn mute(&mut self, io: &mut Io, until: Option<Micros>) {
-        self.state = State::Mute;
+    pub fn stay_silent(&mut self, io: &mut Io, until: Option<Micros>) {
+        self.state = State::Silent;
         if let Some(until) = until {
-            io.timer(until, self.key, FAULT);
+            io.timer(until, self.key, FAULT_TIMER);
         }
         io.call_again(self.key, Half::Near);
     }
 
     /// For a fault: answers `UP` without a render node.
-    pub fn pretend(&mut self, io: &mut Io) {
+    pub fn serve_by_echo(&mut self, io: &mut Io) {
         // The receipt is valid both as a decimal and as a hexadecimal number.
         self.client.push(format!("UP {:016}\r\n", io.now()).as_bytes());
         self.client.take_rest();
-        self.state = State::Pretending;
+        self.state = State::Echoing;
         io.call_again(self.key, Half::Near);
     }
 
     /// For a fault: closes without an answer.
-    pub fn drop_client(&mut self) {
-        self.state = State::Gone;
+    pub fn close_without_answer(&mut self) {
+        self.state = State::Closed;
     }
 
     /// Sends the client its last line and ends the proxy's sending. A pending attempt or a relay is closed.
-    fn end(&mut self, io: &mut Io, last: &str) {
-        self.client.push(last.as_bytes());
+    fn send_last_line(&mut self, io: &mut Io, last_line: &str) {
+        self.client.push(last_line.as_bytes());
         self.client.finish();
         self.client.take_rest();
-        self.state = if self.client.flush().is_ok() { State::Ending } else { State::Gone };
-        io.timer(io.now() + LINGER_FOR, self.key, LINGER);
+        self.state = if self.client.flush().is_ok() { State::Closing } else { State::Closed };
+        io.timer(io.now() + LINGER_TIMEOUT, self.key, LINGER_TIMER);
         // The client's remaining input is read and discarded: a close with unread bytes resets the connection, and
         // the client could lose its last line.
         io.call_again(self.key, Half::Near);
     }
 
-    fn first_line(&mut self, io: &mut Io) {
+    fn read_first_line(&mut self, io: &mut Io) {
         loop {
             let fill = self.client.fill();
             match (self.client.take_line(), fill) {
                 (Ok(Some(line)), _) if trim_end(&line) == b"PING" => {
                     self.client.push(b"PONG\r\n");
                     if self.client.flush().is_err() {
-                        return self.state = State::Gone;
+                        return self.state = State::Closed;
                     }
-                    let until = io.now() + PING_WITHIN;
-                    self.state = State::Reading { until };
-                    io.timer(until, self.key, FIRST_LINE);
+                    let until = io.now() + PING_TIMEOUT;
+                    self.state = State::ReadingFirstLine { until };
+                    io.timer(until, self.key, FIRST_LINE_TIMER);
                 }
-                (Ok(Some(line)), _) => return self.opened(io, trim_end(&line)),
+                (Ok(Some(line)), _) => return self.handle_first_line(io, trim_end(&line)),
                 (Err(error), _) => return self.reject(io, &error.to_string()),
                 (Ok(None), Fill::Blocked) => return,
                 (Ok(None), Fill::More) => return io.call_again(self.key, Half::Near),
-                (Ok(None), _) => return self.state = State::Gone,
+                (Ok(None), _) => return self.state = State::Closed,
             }
         }
     }
 
-    fn opened(&mut self, io: &mut Io, line: &[u8]) {
+    fn handle_first_line(&mut self, io: &mut Io, line: &[u8]) {
         match FirstLine::parse(line) {
             Err(error) => self.reject(io, &error.to_string()),
             Ok(line) => {
                 self.state = State::Waiting;
-                io.report(Report::Asked(self.key, line));
+                io.report(Report::RequestReceived(self.key, line));
                 // Further bytes, or the end of the client's sending, may have arrived with the line. The
                 // edge-triggered poll reports them only once.
-                self.watch_client(io);
+                self.check_waiting_client(io);
             }
         }
     }
 
     /// Reads from a client that waits for its answer, and rejects a client that sends further lines before its
     /// answer.
-    fn watch_client(&mut self, io: &mut Io) {
+    fn check_waiting_client(&mut self, io: &mut Io) {
         match self.client.fill() {
             _ if self.client.has_input() => self.reject(io, "more than one line before the answer"),
-            Fill::Ended | Fill::Broken(_) => self.state = State::Gone,
+            Fill::Ended | Fill::Broken(_) => self.state = State::Closed,
             Fill::Blocked | Fill::More => {}
         }
     }
 
-    fn advance(&mut self, io: &mut Io) {
-        let State::Trying(attempt) = &mut self.state else { return };
+    fn advance_attempt(&mut self, io: &mut Io) {
+        let State::Attempting(attempt) = &mut self.state else { return };
         match attempt.advance() {
             Progress::Pending => {}
-            Progress::Failed => self.attempt_over(io),
+            Progress::Failed => self.fail_attempt(io),
             Progress::Up(line) => {
                 self.client.push(&line);
-                let State::Trying(attempt) = std::mem::replace(&mut self.state, State::Gone) else { return };
+                let State::Attempting(attempt) = std::mem::replace(&mut self.state, State::Closed) else {
+                    return;
+                };
                 self.state = State::Up(Box::new(attempt.into_relay()));
                 io.report(Report::Up(self.key));
                 match self.fault {
-                    Some(Fault::AnswersTwice) => io.timer(io.now() + SECOND_ANSWER, self.key, FAULT),
-                    Some(Fault::CutsWithoutMove) => io.timer(io.now() + CUT, self.key, FAULT),
+                    Some(Fault::AnswersTwice) => {
+                        io.timer(io.now() + SECOND_ANSWER_DELAY, self.key, FAULT_TIMER)
+                    }
+                    Some(Fault::CutsWithoutMove) => io.timer(io.now() + CUT_DELAY, self.key, FAULT_TIMER),
                     _ => {}
                 }
                 // Both sides may already have sent more bytes.
-                self.relay(io, Half::Far);
-                self.relay(io, Half::Near);
+                self.forward(io, Half::Far);
+                self.forward(io, Half::Near);
             }
         }
     }
 
-    fn attempt_over(&mut self, io: &mut Io) {
+    fn fail_attempt(&mut self, io: &mut Io) {
         // This drops the attempt, so its connection is closed before the next attempt starts.
         self.state = State::Waiting;
-        io.report(Report::AttemptOver(self.key));
+        io.report(Report::AttemptFailed(self.key));
     }
 
-    fn relay(&mut self, io: &mut Io, from: Half) {
+    fn forward(&mut self, io: &mut Io, from: Half) {
         let State::Up(relay) = &mut self.state else { return };
         let now = io.now();
         if from == Half::Near && self.fault == Some(Fault::HoldsLine) {
-            if self.hold == Hold::NotYet {
+            if self.hold_state == HoldState::NotHeld {
                 // An end of the client's sending without a line is passed on below, as without the fault.
                 self.client.fill();
                 if self.client.has_input() {
-                    self.hold = Hold::Holding;
-                    io.timer(now + HELD, self.key, FAULT);
+                    self.hold_state = HoldState::Holding;
+                    io.timer(now + HOLD_TIME, self.key, FAULT_TIMER);
                 }
             }
-            if self.hold == Hold::Holding {
+            if self.hold_state == HoldState::Holding {
                 return;
             }
         }
-        let pass = match from {
-            Half::Near => relay.pass_client(&mut self.client, now),
-            Half::Far => relay.pass_node(&mut self.client),
+        let result = match from {
+            Half::Near => relay.forward_from_client(&mut self.client, now),
+            Half::Far => relay.forward_from_node(&mut self.client),
         };
-        if from == Half::Near && relay.waiting_since().is_some() {
-            io.timer(now + SILENT_FOR, self.key, SILENCE);
+        if from == Half::Near && relay.unanswered_since().is_some() {
+            io.timer(now + HANG_TIMEOUT, self.key, HANG_TIMER);
         }
-        match pass {
-            Pass::On => {}
-            Pass::More => io.call_again(self.key, from),
-            Pass::ClientEnded => io.timer(now + FAR_END_WITHIN, self.key, FAR_END),
-            Pass::ClientBroke => self.state = State::Gone,
-            Pass::TooLong => self.move_away(io),
-            Pass::NodeEnded { reset } if self.fault == Some(Fault::KeepsEnded) => {
-                self.state = State::Kept { reset };
-                io.timer(now + KEPT, self.key, FAULT);
+        match result {
+            ForwardOutcome::Idle => {}
+            ForwardOutcome::MoreInput => io.call_again(self.key, from),
+            ForwardOutcome::ClientEnded => io.timer(now + NODE_END_TIMEOUT, self.key, NODE_END_TIMER),
+            ForwardOutcome::ClientBroken => self.state = State::Closed,
+            ForwardOutcome::LineTooLong => self.move_client(io),
+            ForwardOutcome::NodeEnded { reset } if self.fault == Some(Fault::KeepsEnded) => {
+                self.state = State::KeptOpen { reset };
+                io.timer(now + KEEP_ENDED_TIME, self.key, FAULT_TIMER);
                 io.call_again(self.key, Half::Near);
             }
-            Pass::NodeEnded { reset } => self.node_ended(io, reset),
+            ForwardOutcome::NodeEnded { reset } => self.end_as_render_node(io, reset),
         }
     }
 
     /// Ends the client's connection as the render node's connection ended.
-    fn node_ended(&mut self, io: &mut Io, reset: bool) {
+    fn end_as_render_node(&mut self, io: &mut Io, reset: bool) {
         if reset {
             self.client.reset();
-            self.state = State::Gone;
+            self.state = State::Closed;
         } else {
-            self.end(io, "");
+            self.send_last_line(io, "");
         }
     }
 
@@ -310,11 +320,11 @@
         }
         let broken = self.client.flush().is_err();
         match fill {
-            _ if broken => self.state = State::Gone,
+            _ if broken => self.state = State::Closed,
             Fill::Blocked => {}
-            Fill::More if self.client.is_full() => self.state = State::Gone,
+            Fill::More if self.client.is_full() => self.state = State::Closed,
             Fill::More => io.call_again(self.key, Half::Near),
-            Fill::Ended | Fill::Broken(_) => self.end(io, ""),
+            Fill::Ended | Fill::Broken(_) => self.send_last_line(io, ""),
         }
     }
 
@@ -324,8 +334,8 @@
             (Fill::Blocked, _) => {}
             (Fill::More, _) => io.call_again(self.key, Half::Near),
             // The client has ended its sending only, and its last lines may not all be written.
-            (Fill::Ended, State::Ending) if matches!(self.client.flush(), Ok(false)) => {}
-            _ => self.state = State::Gone,
+            (Fill::Ended, State::Closing) if matches!(self.client.flush(), Ok(false)) => {}
+            _ => self.state = State::Closed,
         }
     }
 }
@@ -335,12 +345,12 @@
 
     fn readable(&mut self, io: &mut Io, leg: Half) {
         match (&self.state, leg) {
-            (State::Reading { .. }, Half::Near) => self.first_line(io),
-            (State::Waiting | State::Trying(_), Half::Near) => self.watch_client(io),
-            (State::Trying(_), Half::Far) => self.advance(io),
-            (State::Up(_), leg) => self.relay(io, leg),
-            (State::Pretending, Half::Near) => self.echo(io),
-            (State::Ending | State::Mute | State::Kept { .. }, Half::Near) => self.discard(io),
+            (State::ReadingFirstLine { .. }, Half::Near) => self.read_first_line(io),
+            (State::Waiting | State::Attempting(_), Half::Near) => self.check_waiting_client(io),
+            (State::Attempting(_), Half::Far) => self.advance_attempt(io),
+            (State::Up(_), leg) => self.forward(io, leg),
+            (State::Echoing, Half::Near) => self.echo(io),
+            (State::Closing | State::Silent | State::KeptOpen { .. }, Half::Near) => self.discard(io),
             // The event belongs to an attempt or relay that is closed.
             (_, _) => {}
         }
@@ -348,7 +358,7 @@
 
     fn writable(&mut self, io: &mut Io, leg: Half) {
         match (&mut self.state, leg) {
-            (State::Trying(_), Half::Far) => self.advance(io),
+            (State::Attempting(_), Half::Far) => self.advance_attempt(io),
             (State::Up(relay), Half::Far) => {
                 relay.flush();
                 // The client was not read while the buffer to the render node was full.
@@ -367,43 +377,45 @@
     fn timer(&mut self, io: &mut Io, timer: u32) {
         let now = io.now();
         match (timer, &mut self.state) {
-            (FIRST_LINE, State::Reading { until }) if *until <= now => self.reject(io, "no first line came"),
-            (ATTEMPT, State::Trying(attempt)) if attempt.is_overdue(now) => self.attempt_over(io),
-            (SILENCE, State::Up(relay)) => {
-                let hangs = relay.waiting_since().is_some_and(|since| since + SILENT_FOR <= now);
-                if hangs && self.fault != Some(Fault::KeepsSilent) {
-                    self.move_away(io);
+            (FIRST_LINE_TIMER, State::ReadingFirstLine { until }) if *until <= now => {
+                self.reject(io, "no first line came")
+            }
+            (ATTEMPT_TIMER, State::Attempting(attempt)) if attempt.is_overdue(now) => self.fail_attempt(io),
+            (HANG_TIMER, State::Up(relay)) => {
+                let is_hung = relay.unanswered_since().is_some_and(|since| since + HANG_TIMEOUT <= now);
+                if is_hung && self.fault != Some(Fault::KeepsSilent) {
+                    self.move_client(io);
                 }
             }
-            (MOVE, _) => self.move_away(io),
-            (FAR_END, State::Up(_)) => self.end(io, ""),
-            (LINGER, State::Ending) => self.state = State::Gone,
-            (FAULT, State::Up(_)) => match self.fault {
+            (MOVE_TIMER, _) => self.move_client(io),
+            (NODE_END_TIMER, State::Up(_)) => self.send_last_line(io, ""),
+            (LINGER_TIMER, State::Closing) => self.state = State::Closed,
+            (FAULT_TIMER, State::Up(_)) => match self.fault {
                 Some(Fault::AnswersTwice) => {
-                    self.client.push(BUSY.as_bytes());
+                    self.client.push(BUSY_ANSWER.as_bytes());
                     let _ = self.client.flush();
                 }
-                Some(Fault::CutsWithoutMove) => self.end(io, ""),
+                Some(Fault::CutsWithoutMove) => self.send_last_line(io, ""),
                 _ => {
-                    self.hold = Hold::Released;
+                    self.hold_state = HoldState::Released;
                     io.call_again(self.key, Half::Near);
                 }
             },
-            (FAULT, State::Mute) => self.state = State::Gone,
-            (FAULT, State::Kept { reset }) => {
+            (FAULT_TIMER, State::Silent) => self.state = State::Closed,
+            (FAULT_TIMER, State::KeptOpen { reset }) => {
                 let reset = *reset;
-                self.node_ended(io, reset);
+                self.end_as_render_node(io, reset);
             }
             _ => {}
         }
     }
 
     fn done(&self) -> bool {
-        matches!(self.state, State::Gone)
+        matches!(self.state, State::Closed)
     }
 
     fn closed(&mut self, io: &mut Io) {
-        io.report(Report::Gone(self.key));
+        io.report(Report::ClientClosed(self.key));
     }
 }
 
--- a/crates/kit/src/bad_proxy/watch.rs
+++ b/crates/kit/src/bad_proxy/watch.rs
@@ -12,7 +12,7 @@
 
 /// Discovery sends something every 2 s. A watch that is silent for longer than this is lost: the rules treat a
 /// change as known to the proxy after 6 s, even if discovery could not deliver it.
-const SILENT: Micros = 4 * S;
+const SILENCE_TIMEOUT: Micros = 4 * S;
 
 /// A connection that watches discovery.
 #[derive(Debug)]
@@ -20,8 +20,8 @@
     key: Key,
     stream: LineStream,
     response: StreamedResponse,
-    texts: JsonStream,
-    heard: Micros,
+    json_stream: JsonStream,
+    last_input: Micros,
     lost: bool,
 }
 
@@ -32,19 +32,19 @@
         let request =
             format!("GET /registry/instances?watch=1&from={from} HTTP/1.1\r\nHost: {discovery}\r\n\r\n");
         stream.push(request.as_bytes());
-        let heard = io.now();
-        io.timer(heard + SILENT, key, 0);
+        let last_input = io.now();
+        io.timer(last_input + SILENCE_TIMEOUT, key, 0);
         Ok(Watch {
             key,
             stream,
             response: StreamedResponse::new(),
-            texts: JsonStream::new(),
-            heard,
+            json_stream: JsonStream::new(),
+            last_input,
             lost: false,
         })
     }
 
-    fn lose(&mut self, io: &mut Io) {
+    fn report_lost(&mut self, io: &mut Io) {
         if !self.lost {
             self.lost = true;
             io.report(Report::WatchLost(self.key));
@@ -61,41 +61,41 @@
         let fill = self.stream.fill();
         let bytes = self.stream.take_rest();
         if !bytes.is_empty() {
-            self.heard = io.now();
+            self.last_input = io.now();
         }
         let (mut body, mut texts) = (Vec::new(), Vec::new());
-        let sound = self.response.feed(&bytes, &mut body).is_ok();
-        let sound = self.texts.feed(&body, &mut texts).is_ok() && sound;
+        let is_valid = self.response.feed(&bytes, &mut body).is_ok();
+        let is_valid = self.json_stream.feed(&body, &mut texts).is_ok() && is_valid;
         for mut text in texts {
             match List::parse(&mut text) {
-                Ok(list) => io.report(Report::Listed(self.key, list)),
+                Ok(list) => io.report(Report::ListReceived(self.key, list)),
                 // A list that cannot be parsed is not applied. The next watch starts from the last applied
                 // revision.
-                Err(_) => return self.lose(io),
+                Err(_) => return self.report_lost(io),
             }
         }
-        match (sound, fill) {
+        match (is_valid, fill) {
             (true, Fill::Blocked) => {}
             (true, Fill::More) => io.call_again(self.key, Half::Near),
             // While the connection is being established, `writable` reports failures.
             (true, Fill::Broken(error)) if error.kind() == io::ErrorKind::NotConnected => {}
-            _ => self.lose(io),
+            _ => self.report_lost(io),
         }
     }
 
     fn writable(&mut self, io: &mut Io, _: Half) {
         let written = self.stream.connected().and_then(|up| if up { self.stream.flush() } else { Ok(true) });
         if written.is_err() {
-            self.lose(io);
+            self.report_lost(io);
         }
     }
 
     fn timer(&mut self, io: &mut Io, _: u32) {
-        let due = self.heard + SILENT;
-        if due <= io.now() {
-            self.lose(io);
+        let timeout_at = self.last_input + SILENCE_TIMEOUT;
+        if timeout_at <= io.now() {
+            self.report_lost(io);
         } else {
-            io.timer(due, self.key, 0);
+            io.timer(timeout_at, self.key, 0);
         }
     }
 
