--- a/crates/kit/src/model/pile.rs
+++ b/crates/kit/src/model/backlog.rs
@@ -9,66 +9,66 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ramp {
     /// The time at which the ramp starts.
-    pub began: Micros,
+    pub start: Micros,
     /// Share of the full capacity at the start; 1 for a warm node.
-    pub from: f64,
+    pub initial_share: f64,
     /// Duration of the ramp.
     pub warm_up: Micros,
     /// The full capacity, in seconds of a standard core's work per second.
-    pub full: f64,
+    pub full_capacity: f64,
 }
 
 impl Ramp {
     /// The ramp of a node that has its full capacity from the start.
-    pub fn warm(full: f64) -> Self {
-        Ramp { began: 0, from: 1.0, warm_up: 0, full }
+    pub fn warm(full_capacity: f64) -> Self {
+        Ramp { start: 0, initial_share: 1.0, warm_up: 0, full_capacity }
     }
 
     /// The time at which the node reaches its full capacity.
-    pub fn warm_at(&self) -> Micros {
-        self.began.saturating_add(self.warm_up)
+    pub fn full_at(&self) -> Micros {
+        self.start.saturating_add(self.warm_up)
     }
 
     /// The current share of the full capacity.
     pub fn share(&self, now: Micros) -> f64 {
         // With a warm-up of 0, the capacity is full at the start itself.
-        if now >= self.warm_at() {
+        if now >= self.full_at() {
             return 1.0;
         }
-        let part = (now - self.began) as f64 / self.warm_up.max(1) as f64;
-        self.from + (1.0 - self.from) * part.clamp(0.0, 1.0)
+        let part = (now - self.start) as f64 / self.warm_up.max(1) as f64;
+        self.initial_share + (1.0 - self.initial_share) * part.clamp(0.0, 1.0)
     }
 
     /// The current capacity, in seconds of work per second.
     pub fn capacity(&self, now: Micros) -> f64 {
-        self.full * self.share(now)
+        self.full_capacity * self.share(now)
     }
 
     /// The increase of the capacity per second.
     fn slope(&self, now: Micros) -> f64 {
-        if now >= self.warm_at() {
+        if now >= self.full_at() {
             return 0.0;
         }
-        self.full * (1.0 - self.from) / seconds(self.warm_up)
+        self.full_capacity * (1.0 - self.initial_share) / seconds(self.warm_up)
     }
 }
 
 /// Work that was requested and is not yet done.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Pile {
+pub struct Backlog {
     at: Micros,
     work: f64,
 }
 
-impl Pile {
+impl Backlog {
     /// Advances to the time `to`, with a demand of `demand` seconds of work per second. A time in the past changes
     /// nothing.
     pub fn advance(&mut self, to: Micros, demand: f64, ramp: &Ramp) {
         while self.at < to {
-            let warm = ramp.warm_at();
+            let warm = ramp.full_at();
             let end = if self.at < warm { to.min(warm) } else { to };
             let net = demand - ramp.capacity(self.at);
-            self.work = flow(self.work, net, ramp.slope(self.at), seconds(end - self.at));
+            self.work = backlog_after(self.work, net, ramp.slope(self.at), seconds(end - self.at));
             self.at = end;
         }
     }
@@ -79,8 +79,8 @@
     }
 
     /// Removes this share of the backlog.
-    pub fn take(&mut self, part: f64) {
-        self.work *= 1.0 - part.clamp(0.0, 1.0);
+    pub fn remove_share(&mut self, share: f64) {
+        self.work *= 1.0 - share.clamp(0.0, 1.0);
     }
 
     /// The time, in seconds, that the render node needs for the backlog at its current capacity.
@@ -90,7 +90,7 @@
 
     /// The time at which the backlog exceeds `limit` seconds if the demand stays the same. `None` if the backlog
     /// will not grow that far, or if it is beyond the limit and does not grow.
-    pub fn beyond(&self, limit: f64, demand: f64, ramp: &Ramp) -> Option<Micros> {
+    pub fn exceeds_at(&self, limit: f64, demand: f64, ramp: &Ramp) -> Option<Micros> {
         let mut from = *self;
         loop {
             let (capacity, slope) = (ramp.capacity(from.at), ramp.slope(from.at));
@@ -108,20 +108,20 @@
             // A time more than a century ahead counts as never, which also keeps the sum within the range of its
             // type.
             let at = after.filter(|s| *s < 3e9).map(|s| from.at + (s * 1e6).ceil() as Micros);
-            if from.at >= ramp.warm_at() {
+            if from.at >= ramp.full_at() {
                 return at;
             }
-            if let Some(at) = at.filter(|at| *at <= ramp.warm_at()) {
+            if let Some(at) = at.filter(|at| *at <= ramp.full_at()) {
                 return Some(at);
             }
-            from.advance(ramp.warm_at(), demand, ramp);
+            from.advance(ramp.full_at(), demand, ramp);
         }
     }
 }
 
 /// The backlog after `dt` seconds. It initially grows by `net` per second, and this rate decreases by `slope` each
 /// second.
-fn flow(work: f64, net: f64, slope: f64, dt: f64) -> f64 {
+fn backlog_after(work: f64, net: f64, slope: f64, dt: f64) -> f64 {
     let root = (net * net + 2.0 * slope * work).sqrt();
     let empty = if net < 0.0 {
         2.0 * work / (root - net)
@@ -146,10 +146,10 @@
     use proptest::prelude::*;
 
     /// Reference implementation that integrates in small steps.
-    fn step_by_step(pile: Pile, to: Micros, demand: f64, ramp: &Ramp) -> f64 {
+    fn step_by_step(backlog: Backlog, to: Micros, demand: f64, ramp: &Ramp) -> f64 {
         let step = 20;
-        let mut work = pile.work;
-        let mut at = pile.at;
+        let mut work = backlog.work;
+        let mut at = backlog.at;
         while at < to {
             let middle = (ramp.capacity(at) + ramp.capacity(at + step)) / 2.0;
             work = (work + (demand - middle) * seconds(step)).max(0.0);
@@ -161,60 +161,63 @@
     proptest! {
         #![proptest_config(ProptestConfig { cases: 60, failure_persistence: None, ..ProptestConfig::default() })]
         #[test]
-        fn the_exact_way_agrees_with_small_steps(
-            work in 0.0..2.0_f64, demand in 0.0..4.0_f64, full in 0.2..3.0_f64, from in 0.2..1.0_f64,
+        fn exact_integration_agrees_with_small_steps(
+            work in 0.0..2.0_f64, demand in 0.0..4.0_f64, full_capacity in 0.2..3.0_f64,
+            initial_share in 0.2..1.0_f64,
             warm_up in 0..1_500_i64, pieces in prop::collection::vec(1..400_i64, 1..6),
         ) {
-            let ramp = Ramp { began: 0, from, warm_up: warm_up * MS, full };
-            let mut pile = Pile { at: 0, work };
+            let ramp = Ramp { start: 0, initial_share, warm_up: warm_up * MS, full_capacity };
+            let mut backlog = Backlog { at: 0, work };
             let end = pieces.iter().sum::<i64>() * MS;
-            let plain = step_by_step(pile, end, demand, &ramp);
+            let expected = step_by_step(backlog, end, demand, &ramp);
             for piece in pieces {
-                pile.advance(pile.at + piece * MS, demand, &ramp);
+                backlog.advance(backlog.at + piece * MS, demand, &ramp);
             }
-            prop_assert!((pile.work - plain).abs() < 1e-3, "{} and {plain}", pile.work);
+            prop_assert!((backlog.work - expected).abs() < 1e-3, "{} and {expected}", backlog.work);
         }
 
         #[test]
-        fn the_moment_beyond_a_limit_is_the_first_one(
-            work in 0.0..0.5_f64, demand in 0.0..4.0_f64, full in 0.2..3.0_f64, from in 0.2..1.0_f64,
+        fn exceeds_at_returns_the_first_time(
+            work in 0.0..0.5_f64, demand in 0.0..4.0_f64, full_capacity in 0.2..3.0_f64,
+            initial_share in 0.2..1.0_f64,
             warm_up in 0..3_000_i64, limit in 0.05..1.0_f64,
         ) {
-            let ramp = Ramp { began: 0, from, warm_up: warm_up * MS, full };
-            let start = Pile { at: 0, work };
-            let found = start.beyond(limit, demand, &ramp);
-            let grows = |pile: &Pile| demand - ramp.capacity(pile.at) - limit * ramp.slope(pile.at) > 0.0;
+            let ramp = Ramp { start: 0, initial_share, warm_up: warm_up * MS, full_capacity };
+            let start = Backlog { at: 0, work };
+            let found = start.exceeds_at(limit, demand, &ramp);
+            let grows =
+                |backlog: &Backlog| demand - ramp.capacity(backlog.at) - limit * ramp.slope(backlog.at) > 0.0;
             for at in (0..5 * S).step_by(10_000) {
-                let mut pile = start;
-                pile.advance(at, demand, &ramp);
-                let beyond = pile.seconds(&ramp) > limit + 1e-6 && grows(&pile);
+                let mut backlog = start;
+                backlog.advance(at, demand, &ramp);
+                let beyond = backlog.seconds(&ramp) > limit + 1e-6 && grows(&backlog);
                 prop_assert!(!beyond || found.is_some_and(|f| f <= at + 10_000), "at {at}, found {found:?}");
             }
             if let Some(at) = found {
-                let mut pile = start;
-                pile.advance(at, demand, &ramp);
-                prop_assert!(pile.seconds(&ramp) >= limit - 1e-5, "{} at {at}", pile.seconds(&ramp));
+                let mut backlog = start;
+                backlog.advance(at, demand, &ramp);
+                prop_assert!(backlog.seconds(&ramp) >= limit - 1e-5, "{} at {at}", backlog.seconds(&ramp));
             }
         }
     }
 
     #[test]
-    fn without_a_warm_up_it_is_warm_at_once() {
-        let ramp = Ramp { began: 0, from: 0.2, warm_up: 0, full: 2.0 };
-        let mut pile = Pile::default();
-        pile.advance(S, 1.5, &ramp);
-        assert_eq!(pile.seconds(&ramp), 0.0);
+    fn without_a_warm_up_the_capacity_is_full_at_once() {
+        let ramp = Ramp { start: 0, initial_share: 0.2, warm_up: 0, full_capacity: 2.0 };
+        let mut backlog = Backlog::default();
+        backlog.advance(S, 1.5, &ramp);
+        assert_eq!(backlog.seconds(&ramp), 0.0);
     }
 
     #[test]
-    fn a_pile_drains_once_less_is_asked_for_than_can_be_done() {
+    fn the_backlog_drains_once_the_demand_is_below_the_capacity() {
         let ramp = Ramp::warm(2.0);
-        let mut pile = Pile::default();
-        pile.advance(2 * S, 3.0, &ramp);
-        assert!((pile.seconds(&ramp) - 1.0).abs() < 1e-9);
-        pile.advance(3 * S, 1.0, &ramp);
-        assert!((pile.seconds(&ramp) - 0.5).abs() < 1e-9);
-        pile.advance(9 * S, 1.0, &ramp);
-        assert_eq!(pile.seconds(&ramp), 0.0);
+        let mut backlog = Backlog::default();
+        backlog.advance(2 * S, 3.0, &ramp);
+        assert!((backlog.seconds(&ramp) - 1.0).abs() < 1e-9);
+        backlog.advance(3 * S, 1.0, &ramp);
+        assert!((backlog.seconds(&ramp) - 0.5).abs() < 1e-9);
+        backlog.advance(9 * S, 1.0, &ramp);
+        assert_eq!(backlog.seconds(&ramp), 0.0);
     }
 }
--- a/crates/kit/src/model/client.rs
+++ b/crates/kit/src/model/client.rs
@@ -6,8 +6,8 @@
 //! then starts the next one. `docs/design/clients.md` has the complete description.
 
 mod endings;
+mod established;
 mod reading;
-mod standing;
 #[cfg(test)]
 mod tests;
 mod tries;
@@ -16,14 +16,14 @@
 use crate::observation::{ClientClose, Observation, ProxyClose, RequestId, Seen};
 use crate::plan::{Plan, ProxyId, Session as Planned, SessionId};
 use crate::time::{MS, Micros, S};
-use standing::Standing;
+use established::EstablishedConnection;
 use std::sync::Arc;
-use tries::LEAST_WAIT;
+use tries::MIN_WAIT;
 
 /// A client that gave up waits this much longer for a late answer than the rules allow such an answer to take.
-const LATE_MARGIN: Micros = 20 * MS;
+const LATE_ANSWER_MARGIN: Micros = 20 * MS;
 /// After a client has ended its sending, it waits this long for the remaining lines.
-const REST_WITHIN: Micros = 2 * S;
+const REST_TIMEOUT: Micros = 2 * S;
 
 /// Events for a session.
 #[derive(Clone, Copy, Debug)]
@@ -66,10 +66,10 @@
 
 /// The time of a session's next try.
 #[derive(Clone, Copy, Debug)]
-struct Next {
+struct NextTry {
     due: Micros,
     /// Whether the try starts a new series.
-    fresh: bool,
+    starts_series: bool,
 }
 
 /// A try whose request the proxy has not yet received.
@@ -78,12 +78,12 @@
     due: Micros,
     proxy: ProxyId,
     request: RequestId,
-    gives_up: Micros,
+    gives_up_at: Micros,
 }
 
 /// Why a connection that cannot serve the client is kept open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Why {
+enum LingerReason {
     /// The request was refused or failed. The client would see a second answer.
     Refused,
     /// The client's deadline has passed. The client waits for a late answer.
@@ -95,23 +95,23 @@
 #[derive(Debug)]
 enum State {
     /// No connection until the next try. The first try is due at the session's arrival.
-    Waiting(Next),
+    Waiting(NextTry),
     Connecting(Try),
     /// The connection is established and the first line is being written. The duration is the wait in that line.
-    Opening(Try, Micros),
+    SendingFirstLine(Try, Micros),
     Asked {
-        of: Try,
+        current_try: Try,
         deadline: Micros,
     },
     Lingering {
         request: RequestId,
-        why: Why,
+        why: LingerReason,
         until: Micros,
-        next: Next,
+        next: NextTry,
     },
-    Up(Box<Standing>),
-    Finishing(Box<Standing>, Micros),
-    AttemptEnd,
+    Up(Box<EstablishedConnection>),
+    Finishing(Box<EstablishedConnection>, Micros),
+    Over,
 }
 
 /// A session, from its arrival to its end.
@@ -126,19 +126,19 @@
     /// Number of tries of the whole session. Each request's id derives from it.
     tries: u32,
     /// Number of tries of the current series, and the deadline of the series.
-    wish_tries: u32,
-    wish_ends: Micros,
+    series_tries: u32,
+    series_deadline: Micros,
     /// Number of failed series since the session was last up.
-    failed: u32,
+    failed_series: u32,
     /// Whether the session was up before and lost its connection by a break, a move or a drop.
-    again: bool,
+    lost_connection: bool,
     /// Whether a try has failed since the session was last up.
-    repeat: bool,
+    is_retry: bool,
 }
 
-type Out<'a> = &'a mut Vec<Output>;
+type Outputs<'a> = &'a mut Vec<Output>;
 
-fn note(out: Out, at: Micros, seen: Seen) {
+fn record(out: Outputs, at: Micros, seen: Seen) {
     out.push(Output::Note(Observation { at, seen }));
 }
 
@@ -153,14 +153,14 @@
             plan: Arc::clone(plan),
             id,
             until,
-            state: State::Waiting(Next { due: planned.arrives, fresh: true }),
+            state: State::Waiting(NextTry { due: planned.arrives, starts_series: true }),
             arrived: false,
             tries: 0,
-            wish_tries: 0,
-            wish_ends: 0,
-            failed: 0,
-            again: false,
-            repeat: false,
+            series_tries: 0,
+            series_deadline: 0,
+            failed_series: 0,
+            lost_connection: false,
+            is_retry: false,
         })
     }
 
@@ -185,107 +185,117 @@
     /// The request and the proxy of the connection, if the session is up.
     pub fn up(&self) -> Option<(RequestId, ProxyId)> {
         match &self.state {
-            State::Up(standing) => Some((standing.whose.request, standing.whose.proxy)),
+            State::Up(connection) => Some((connection.info.request, connection.info.proxy)),
             _ => None,
         }
     }
 
     /// Whether the session is over and will request nothing more.
     pub fn is_over(&self) -> bool {
-        matches!(self.state, State::AttemptEnd)
+        matches!(self.state, State::Over)
     }
 
     /// The time at which the session needs [`Input::Due`]; `None` once it is over.
     pub fn next_timeout(&self) -> Option<Micros> {
         match &self.state {
             State::Waiting(next) => Some(if self.has_time(*next) { next.due } else { self.until }),
-            State::Connecting(of) | State::Opening(of, _) => Some(of.gives_up),
+            State::Connecting(current_try) | State::SendingFirstLine(current_try, _) => {
+                Some(current_try.gives_up_at)
+            }
             State::Asked { deadline, .. } => Some(*deadline),
             State::Lingering { until, next, .. } => Some(*until.min(&next.due)),
-            State::Up(standing) => Some(standing.next_timeout().min(self.until)),
+            State::Up(connection) => Some(connection.next_timeout().min(self.until)),
             State::Finishing(_, until) => Some(*until),
-            State::AttemptEnd => None,
+            State::Over => None,
         }
     }
 
     /// Handles an input. `admitted` tells whether the front currently sends new clients to a proxy. An input that
     /// does not fit the state belongs to a connection that has been closed meanwhile, and is ignored.
-    pub fn handle(&mut self, now: Micros, input: Input<'_>, admitted: &dyn Fn(ProxyId) -> bool, out: Out) {
+    pub fn handle(
+        &mut self,
+        now: Micros,
+        input: Input<'_>,
+        admitted: &dyn Fn(ProxyId) -> bool,
+        out: Outputs,
+    ) {
         match input {
-            Input::Due => self.due(now, admitted, out),
-            Input::Connected => self.connected(now, out),
-            Input::Written => self.written(now, out),
-            Input::Unreached => self.unreached(now, out),
-            Input::Line(line) => self.line(now, line, out),
-            Input::Ended(how) => self.ended(now, how, out),
-            Input::Drop { share, back_within, seed } => self.dropped(now, share, back_within, seed, out),
+            Input::Due => self.handle_due(now, admitted, out),
+            Input::Connected => self.handle_connected(now, out),
+            Input::Written => self.handle_written(now, out),
+            Input::Unreached => self.handle_unreached(now, out),
+            Input::Line(line) => self.handle_line(now, line, out),
+            Input::Ended(how) => self.handle_end(now, how, out),
+            Input::Drop { share, back_within, seed } => self.handle_drop(now, share, back_within, seed, out),
             Input::Stop => self.stop(now, out),
         }
     }
 
     /// Whether a try at that time could be answered before the session's end.
-    fn has_time(&self, next: Next) -> bool {
-        next.due + LEAST_WAIT <= self.until
+    fn has_time(&self, next: NextTry) -> bool {
+        next.due + MIN_WAIT <= self.until
     }
 
-    fn due(&mut self, now: Micros, admitted: &dyn Fn(ProxyId) -> bool, out: Out) {
+    fn handle_due(&mut self, now: Micros, admitted: &dyn Fn(ProxyId) -> bool, out: Outputs) {
         match &mut self.state {
             State::Waiting(next) if next.due <= now => {
                 let next = *next;
                 if self.has_time(next) {
-                    self.begin_try(next, admitted, out);
+                    self.start_try(next, admitted, out);
                 } else if now >= self.until {
-                    self.state = State::AttemptEnd;
+                    self.state = State::Over;
                 }
             }
-            State::Waiting(_) if now >= self.until => self.state = State::AttemptEnd,
-            State::Connecting(of) | State::Opening(of, _) if now >= of.gives_up => {
+            State::Waiting(_) if now >= self.until => self.state = State::Over,
+            State::Connecting(current_try) | State::SendingFirstLine(current_try, _)
+                if now >= current_try.gives_up_at =>
+            {
                 out.push(Output::Close);
-                self.unreached(now, out);
+                self.handle_unreached(now, out);
             }
-            State::Asked { of, deadline } if now >= *deadline => {
-                let (request, deadline) = (of.request, *deadline);
-                let next = self.after_failure(deadline, 0);
+            State::Asked { current_try, deadline } if now >= *deadline => {
+                let (request, deadline) = (current_try.request, *deadline);
+                let next = self.schedule_after_failure(deadline, 0);
                 if self.planned().patience < 1.0 {
-                    self.leave(now, request, ClientClose::Impatient, next, out);
+                    self.close_unserved(now, request, ClientClose::Impatient, next, out);
                 } else {
                     let rules = &self.plan.rules;
-                    let until = deadline + rules.answer_slack + rules.grace + LATE_MARGIN;
+                    let until = deadline + rules.answer_slack + rules.grace + LATE_ANSWER_MARGIN;
                     // A client with a short backoff still waits this long for the answer that the proxy owes it.
-                    let next = Next { due: next.due.max(until), ..next };
-                    self.state = State::Lingering { request, why: Why::Late, until, next };
+                    let next = NextTry { due: next.due.max(until), ..next };
+                    self.state = State::Lingering { request, why: LingerReason::Late, until, next };
                 }
             }
             State::Lingering { request, why, until, next } if now >= (*until).min(next.due) => {
                 let (request, why, next) = (*request, *why, *next);
-                if why == Why::Late {
-                    note(out, now, Seen::Left { request, why: ClientClose::GaveUp });
+                if why == LingerReason::Late {
+                    record(out, now, Seen::Left { request, why: ClientClose::GaveUp });
                 }
                 out.push(Output::Close);
                 self.state = State::Waiting(next);
             }
-            State::Up(_) => self.due_up(now, out),
+            State::Up(_) => self.handle_due_up(now, out),
             State::Finishing(_, until) if now >= *until => {
                 out.push(Output::Close);
-                self.state = State::AttemptEnd;
+                self.state = State::Over;
             }
             _ => {}
         }
     }
 
-    fn due_up(&mut self, now: Micros, out: Out) {
-        let State::Up(mut standing) = std::mem::replace(&mut self.state, State::AttemptEnd) else { return };
-        standing.note_late(now, out);
-        while let Some(line) = standing.due_line(now, out) {
+    fn handle_due_up(&mut self, now: Micros, out: Outputs) {
+        let State::Up(mut connection) = std::mem::replace(&mut self.state, State::Over) else { return };
+        connection.record_late_lines(now, out);
+        while let Some(line) = connection.take_due_line(now, out) {
             out.push(Output::Send(line));
         }
         if now < self.until {
-            self.state = State::Up(standing);
+            self.state = State::Up(connection);
             return;
         }
-        standing.end(now, out);
-        note(out, now, Seen::Left { request: standing.whose.request, why: ClientClose::Done });
+        connection.end(now, out);
+        record(out, now, Seen::Left { request: connection.info.request, why: ClientClose::Done });
         out.push(Output::Finish);
-        self.state = State::Finishing(standing, now + REST_WITHIN);
+        self.state = State::Finishing(connection, now + REST_TIMEOUT);
     }
 }
--- a/crates/kit/src/model/client/words.rs
+++ b/crates/kit/src/model/client/words.rs
@@ -10,7 +10,7 @@
 /// Minimum and maximum padding of a client's line, in bytes.
 const PADDING: (u64, u64) = (16, 60);
 /// Number of bytes of an unexpected line that are kept for the judge's report.
-const KEPT: usize = 80;
+const MAX_KEPT_BYTES: usize = 80;
 
 /// The purpose of a random draw. Each purpose has its own random stream, so no draw depends on earlier events.
 #[derive(Clone, Copy, Debug)]
@@ -24,7 +24,7 @@
 }
 
 /// The random generator for one draw of a session. The same seed, purpose and number give the same generator.
-pub(crate) fn draw(seed: u64, what: Draw, number: u64) -> ChaCha8Rng {
+pub(crate) fn random_draw(seed: u64, what: Draw, number: u64) -> ChaCha8Rng {
     let mut key = [0; 32];
     key[..8].copy_from_slice(&seed.to_le_bytes());
     key[8..16].copy_from_slice(&(what as u64).to_le_bytes());
@@ -49,7 +49,7 @@
 
 /// The values of a first line that the session's plan does not determine.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Opening {
+pub(crate) struct FirstLineValues {
     pub request: RequestId,
     pub wait_ms: i64,
     pub repeat: bool,
@@ -57,19 +57,19 @@
 }
 
 /// The first line of a connection, including its line end.
-pub(crate) fn first_line(plan: &Plan, session: &Session, opening: Opening) -> String {
+pub(crate) fn first_line(plan: &Plan, session: &Session, values: FirstLineValues) -> String {
     let class = plan.classes.get(usize::from(session.class)).map_or("-", |c| c.name.as_str());
     let tenant = plan.tenants.get(usize::from(session.tenant)).map_or("-", |t| t.name.as_str());
-    let Opening { request: RequestId(id), wait_ms, .. } = opening;
-    let repeat = if opening.repeat { ",r=1" } else { "" };
-    let again = if opening.again { ",again=1" } else { "" };
+    let FirstLineValues { request: RequestId(id), wait_ms, .. } = values;
+    let repeat = if values.repeat { ",r=1" } else { "" };
+    let again = if values.again { ",again=1" } else { "" };
     let (key, group) = (session.key, session.group);
     format!("OPEN {id:016x} {key:016x} c={class},t={tenant},d={wait_ms},g={group:016x}{repeat}{again}\r\n")
 }
 
 /// The client's line with this number, including its line end. The line is a function of the request and the
 /// number, so returned lines can be recognised without storing the lines that were sent.
-pub(crate) fn own_line(request: RequestId, number: u32) -> String {
+pub(crate) fn client_line(request: RequestId, number: u32) -> String {
     let bits = mix(request.0 ^ u64::from(number));
     let length = (PADDING.0 + bits % (PADDING.1 - PADDING.0 + 1)) as usize;
     let mut line = format!("M {number} ");
@@ -90,8 +90,8 @@
 
 /// Parses a final answer: `UP` with a receipt in hexadecimal digits, `BUSY` or `BUSY MS`. Any other line is a
 /// failure.
-pub(crate) fn answer(line: &[u8]) -> Answer {
-    let failed = || Answer::Failed(kept(line));
+pub(crate) fn parse_answer(line: &[u8]) -> Answer {
+    let failed = || Answer::Failed(escaped_prefix(line));
     let Ok(text) = std::str::from_utf8(line) else { return failed() };
     let mut words = text.split(' ');
     match (words.next(), words.next(), words.next()) {
@@ -107,12 +107,12 @@
 }
 
 /// Whether the line is a valid `LOAD` report of a render node.
-pub(crate) fn is_load(line: &[u8]) -> bool {
+pub(crate) fn is_load_report(line: &[u8]) -> bool {
     let figure = line.strip_prefix(b"LOAD ").and_then(|rest| std::str::from_utf8(rest).ok());
     figure.and_then(|f| f.parse::<f64>().ok()).is_some_and(|load| load.is_finite() && load >= 0.0)
 }
 
 /// The first bytes of a line, escaped for reports.
-pub(crate) fn kept(line: &[u8]) -> String {
-    line[..line.len().min(KEPT)].escape_ascii().to_string()
+pub(crate) fn escaped_prefix(line: &[u8]) -> String {
+    line[..line.len().min(MAX_KEPT_BYTES)].escape_ascii().to_string()
 }
--- a/crates/kit/src/model/cold.rs
+++ b/crates/kit/src/model/cold.rs
@@ -1,6 +1,6 @@
 //! The rate of new connections that a render node withstands during slow start. Beyond that rate the node fails.
 
-use super::pile::{Ramp, seconds};
+use super::backlog::{Ramp, seconds};
 use crate::observation::SlowStart;
 use crate::plan::{Node, Rules};
 use crate::time::Micros;
@@ -8,7 +8,7 @@
 
 /// Number of arrivals beyond the budget that a window may contain. The budgets are small (about ten arrivals), and
 /// proxies that each keep their share of the budget do not coordinate.
-const SLACK: f64 = 4.0;
+const ARRIVAL_SLACK: f64 = 4.0;
 
 /// Rate of new connections, per second, that a warm render node withstands: the rate that fills it within its
 /// warm-up.
@@ -23,31 +23,31 @@
 
 /// The budget of new connections for one warm-up. Every arrival counts, whatever its answer is.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct ArrivalBudget {
     ramp: Ramp,
     joins_per_s: f64,
     window: VecDeque<Micros>,
 }
 
-impl Budget {
+impl ArrivalBudget {
     /// Creates the budget of a node that starts now. `ramp` is the node's capacity without a slowdown.
     pub fn new(node: &Node, ramp: Ramp) -> Self {
-        Budget { ramp, joins_per_s: joins_per_s(node), window: VecDeque::new() }
+        ArrivalBudget { ramp, joins_per_s: joins_per_s(node), window: VecDeque::new() }
     }
 
     /// Whether the node is warm, so that the budget no longer applies.
-    pub fn is_over(&self, now: Micros) -> bool {
-        now >= self.ramp.warm_at()
+    pub fn is_expired(&self, now: Micros) -> bool {
+        now >= self.ramp.full_at()
     }
 
     /// Records an arrival. Returns whether the arrivals of the window exceed the budget.
-    pub fn arrival(&mut self, now: Micros, rules: &Rules) -> bool {
-        while self.window.front().is_some_and(|then| *then <= now - rules.fall_window) {
+    pub fn record_arrival(&mut self, now: Micros, rules: &Rules) -> bool {
+        while self.window.front().is_some_and(|arrival| *arrival <= now - rules.fall_window) {
             self.window.pop_front();
         }
         self.window.push_back(now);
-        let bears =
+        let limit =
             rules.fall_multiple * self.joins_per_s * self.ramp.share(now) * seconds(rules.fall_window);
-        self.window.len() as f64 > bears + SLACK
+        self.window.len() as f64 > limit + ARRIVAL_SLACK
     }
 }
--- a/crates/kit/src/model/discovery.rs
+++ b/crates/kit/src/model/discovery.rs
@@ -8,13 +8,13 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Time to serve one call: a list of several hundred entries from memory.
-const SERVICE: Micros = 2 * MS;
+const SERVICE_TIME: Micros = 2 * MS;
 /// A call that has waited longer than this fails, as it does in the operators' discovery service.
-const PATIENCE: Micros = 3 * S;
+const CALL_TIMEOUT: Micros = 3 * S;
 /// Interval of heartbeats on a watch while nothing changes.
-const BEAT: Micros = 2 * S;
+const HEARTBEAT_INTERVAL: Micros = 2 * S;
 /// After a move to a new address, connections to the old address are closed after this time.
-const OLD_ADDRESS: Micros = 1_500 * MS;
+const OLD_ADDRESS_LINGER: Micros = 1_500 * MS;
 
 /// A call of a client of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -80,8 +80,8 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Mood {
-    Usual,
+enum Mode {
+    Normal,
     Down,
     Unavailable,
     Resetting,
@@ -90,27 +90,27 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Watch {
-    sent: u64,
-    beat: Micros,
+    sent_revision: u64,
+    heartbeat_at: Micros,
 }
 
 /// The discovery service.
 #[derive(Debug)]
 pub struct Discovery {
     registry: Registry,
-    mood: Mood,
+    mode: Mode,
     moves: u16,
     /// Whether the next watch receives the complete list regardless of its revision.
     gap: bool,
     /// How the next update is written to all watches that are open at that time.
-    next: How,
+    next_write: How,
     calls: VecDeque<(u64, Call, Micros)>,
     /// The time at which the first call in the queue is served.
-    served: Micros,
+    served_at: Micros,
     watches: BTreeMap<u64, Watch>,
     /// The open connections, with the time at which they are closed after a move. All of them are reset when
     /// discovery goes down.
-    open: BTreeMap<u64, Option<Micros>>,
+    connections: BTreeMap<u64, Option<Micros>>,
 }
 
 impl Discovery {
@@ -118,90 +118,94 @@
     pub fn new(plan: &Plan) -> Self {
         Discovery {
             registry: Registry::new(plan),
-            mood: Mood::Usual,
+            mode: Mode::Normal,
             moves: 0,
             gap: false,
-            next: How::Whole,
+            next_write: How::Whole,
             calls: VecDeque::new(),
-            served: 0,
+            served_at: 0,
             watches: BTreeMap::new(),
-            open: BTreeMap::new(),
+            connections: BTreeMap::new(),
         }
     }
 
     /// The time of the next action if no other event occurs.
     pub fn next_timeout(&self) -> Option<Micros> {
-        let talks = matches!(self.mood, Mood::Usual | Mood::Unavailable);
-        let call = self.calls.front().filter(|_| talks).map(|_| self.served);
-        let beat = self.watches.values().map(|watch| watch.beat).min().filter(|_| talks);
-        let closes = self.open.values().flatten().min().copied();
+        let responds = matches!(self.mode, Mode::Normal | Mode::Unavailable);
+        let call = self.calls.front().filter(|_| responds).map(|_| self.served_at);
+        let beat = self.watches.values().map(|watch| watch.heartbeat_at).min().filter(|_| responds);
+        let closes = self.connections.values().flatten().min().copied();
         [call, beat, closes].into_iter().flatten().min()
     }
 
     /// Records an accepted connection, which will be closed if discovery moves to another address.
     pub fn opened(&mut self, id: u64) {
-        self.open.insert(id, None);
+        self.connections.insert(id, None);
     }
 
     /// Handles the input, and then everything that is due.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Call(id, _) if self.mood == Mood::Resetting => out.push(Output::Reset(id)),
+            Input::Call(id, _) if self.mode == Mode::Resetting => out.push(Output::Reset(id)),
             Input::Call(id, call) => {
                 if self.calls.is_empty() {
-                    self.served = now + SERVICE;
+                    self.served_at = now + SERVICE_TIME;
                 }
                 self.calls.push_back((id, call, now));
             }
-            Input::Ended(id) => self.forget(id),
+            Input::Ended(id) => self.remove_connection(id),
             Input::Listed(node, phase, since) => {
                 self.registry.change(node, phase, since);
-                let how = std::mem::replace(&mut self.next, How::Whole);
-                self.tell_all(now, how, out);
+                let how = std::mem::replace(&mut self.next_write, How::Whole);
+                self.send_updates(now, how, out);
             }
             Input::Change(change) => self.change(now, change, out),
             Input::Tick => {}
         }
-        self.catch_up(now, out);
+        self.perform_due(now, out);
     }
 
-    fn forget(&mut self, id: u64) {
+    fn remove_connection(&mut self, id: u64) {
         self.calls.retain(|(other, ..)| *other != id);
         self.watches.remove(&id);
-        self.open.remove(&id);
+        self.connections.remove(&id);
     }
 
-    fn catch_up(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let closing: Vec<u64> =
-            self.open.iter().filter(|(_, at)| at.is_some_and(|at| at <= now)).map(|(id, _)| *id).collect();
+    fn perform_due(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let closing: Vec<u64> = self
+            .connections
+            .iter()
+            .filter(|(_, at)| at.is_some_and(|at| at <= now))
+            .map(|(id, _)| *id)
+            .collect();
         for id in closing {
-            self.forget(id);
+            self.remove_connection(id);
             out.push(Output::Close(id));
         }
-        if !matches!(self.mood, Mood::Usual | Mood::Unavailable) {
+        if !matches!(self.mode, Mode::Normal | Mode::Unavailable) {
             return;
         }
-        while self.served <= now
-            && let Some((id, call, came)) = self.calls.pop_front()
+        while self.served_at <= now
+            && let Some((id, call, received_at)) = self.calls.pop_front()
         {
-            self.answer(now, id, call, came, out);
-            self.served += SERVICE;
+            self.answer(now, id, call, received_at, out);
+            self.served_at += SERVICE_TIME;
         }
-        for (id, watch) in self.watches.iter_mut().filter(|(_, watch)| watch.beat <= now) {
-            watch.beat = now + BEAT;
-            if watch.sent < self.registry.revision() {
+        for (id, watch) in self.watches.iter_mut().filter(|(_, watch)| watch.heartbeat_at <= now) {
+            watch.heartbeat_at = now + HEARTBEAT_INTERVAL;
+            if watch.sent_revision < self.registry.revision() {
                 // An update that was written unreadably is sent again with the next heartbeat, on watches that are
                 // still open.
-                out.push(Output::Line(*id, self.registry.since(watch.sent), How::Whole));
-                watch.sent = self.registry.revision();
+                out.push(Output::Line(*id, self.registry.since(watch.sent_revision), How::Whole));
+                watch.sent_revision = self.registry.revision();
             } else {
                 out.push(Output::Beat(*id));
             }
         }
     }
 
-    fn answer(&mut self, now: Micros, id: u64, call: Call, came: Micros, out: &mut Vec<Output>) {
-        if self.mood == Mood::Unavailable || now - came > PATIENCE {
+    fn answer(&mut self, now: Micros, id: u64, call: Call, received_at: Micros, out: &mut Vec<Output>) {
+        if self.mode == Mode::Unavailable || now - received_at > CALL_TIMEOUT {
             return out.push(Output::Unavailable(id));
         }
         match call {
@@ -209,24 +213,27 @@
             Call::Watch { from } => {
                 let gap = std::mem::take(&mut self.gap);
                 let update = if gap { self.registry.whole() } else { self.registry.since(from) };
-                self.watches.insert(id, Watch { sent: update.revision, beat: now + BEAT });
+                self.watches.insert(
+                    id,
+                    Watch { sent_revision: update.revision, heartbeat_at: now + HEARTBEAT_INTERVAL },
+                );
                 out.push(Output::Begin(id, update));
             }
         }
     }
 
-    fn tell_all(&mut self, now: Micros, how: How, out: &mut Vec<Output>) {
-        if !matches!(self.mood, Mood::Usual | Mood::Unavailable) {
+    fn send_updates(&mut self, now: Micros, how: How, out: &mut Vec<Output>) {
+        if !matches!(self.mode, Mode::Normal | Mode::Unavailable) {
             return;
         }
         for (id, watch) in &mut self.watches {
-            if watch.sent == self.registry.revision() {
+            if watch.sent_revision == self.registry.revision() {
                 continue;
             }
-            out.push(Output::Line(*id, self.registry.since(watch.sent), how));
-            watch.beat = now + BEAT;
+            out.push(Output::Line(*id, self.registry.since(watch.sent_revision), how));
+            watch.heartbeat_at = now + HEARTBEAT_INTERVAL;
             if how != How::Unreadable {
-                watch.sent = self.registry.revision();
+                watch.sent_revision = self.registry.revision();
             }
         }
     }
@@ -235,47 +242,47 @@
         match change {
             DiscoveryChange::Down => {
                 out.push(Output::Deaf);
-                self.end_all(out);
-                self.turn(Mood::Down, out);
+                self.reset_all(out);
+                self.set_mode(Mode::Down, out);
             }
-            DiscoveryChange::Unavailable => self.turn(Mood::Unavailable, out),
+            DiscoveryChange::Unavailable => self.set_mode(Mode::Unavailable, out),
             DiscoveryChange::Resetting => {
-                self.end_all(out);
-                self.turn(Mood::Resetting, out);
+                self.reset_all(out);
+                self.set_mode(Mode::Resetting, out);
             }
-            DiscoveryChange::Silent => self.turn(Mood::Silent, out),
-            DiscoveryChange::InPieces => self.next = How::Pieces,
-            DiscoveryChange::BadList => self.next = How::Unreadable,
+            DiscoveryChange::Silent => self.set_mode(Mode::Silent, out),
+            DiscoveryChange::InPieces => self.next_write = How::Pieces,
+            DiscoveryChange::BadList => self.next_write = How::Unreadable,
             DiscoveryChange::Gap => self.gap = true,
             DiscoveryChange::MoveAway => {
                 self.moves += 1;
                 out.push(Output::Listen(self.moves));
-                for closes in self.open.values_mut() {
-                    *closes = closes.or(Some(now + OLD_ADDRESS));
+                for closes in self.connections.values_mut() {
+                    *closes = closes.or(Some(now + OLD_ADDRESS_LINGER));
                 }
-                self.turn(Mood::Usual, out);
+                self.set_mode(Mode::Normal, out);
             }
             DiscoveryChange::Restore => {
-                (self.gap, self.next) = (false, How::Whole);
-                if self.mood == Mood::Down {
+                (self.gap, self.next_write) = (false, How::Whole);
+                if self.mode == Mode::Down {
                     out.push(Output::Listen(self.moves));
                 }
-                self.turn(Mood::Usual, out);
+                self.set_mode(Mode::Normal, out);
                 // Watches that stayed open while discovery was silent receive the updates that they missed.
-                self.tell_all(now, How::Whole, out);
+                self.send_updates(now, How::Whole, out);
             }
         }
     }
 
-    fn turn(&mut self, mood: Mood, out: &mut Vec<Output>) {
-        let was = std::mem::replace(&mut self.mood, mood);
-        if (was == Mood::Usual) != (mood == Mood::Usual) {
-            out.push(Output::Reachable(mood == Mood::Usual));
+    fn set_mode(&mut self, mode: Mode, out: &mut Vec<Output>) {
+        let previous = std::mem::replace(&mut self.mode, mode);
+        if (previous == Mode::Normal) != (mode == Mode::Normal) {
+            out.push(Output::Reachable(mode == Mode::Normal));
         }
     }
 
-    fn end_all(&mut self, out: &mut Vec<Output>) {
-        out.extend(std::mem::take(&mut self.open).into_keys().map(Output::Reset));
+    fn reset_all(&mut self, out: &mut Vec<Output>) {
+        out.extend(std::mem::take(&mut self.connections).into_keys().map(Output::Reset));
         self.watches.clear();
         self.calls.clear();
     }
--- a/crates/kit/src/model/first_line.rs
+++ b/crates/kit/src/model/first_line.rs
@@ -51,25 +51,25 @@
     pub fn read(&self, line: &[u8]) -> Said {
         match line {
             b"PING\r\n" | b"STATS\r\n" => Said::Probe,
-            _ => self.open(line).map_or(Said::Bad, Said::Open),
+            _ => self.parse_request(line).map_or(Said::Bad, Said::Open),
         }
     }
 
-    fn open(&self, line: &[u8]) -> Option<FirstLine> {
+    fn parse_request(&self, line: &[u8]) -> Option<FirstLine> {
         let text = std::str::from_utf8(line.strip_suffix(b"\r\n")?).ok()?;
         let words: Vec<&str> = text.split(' ').collect();
         let ["OPEN", id, key, names] = words[..] else { return None };
         let (request, key) = (RequestId(hex(id)?), hex(key)?);
-        let mut given: Vec<(&str, &str)> = Vec::new();
+        let mut values: Vec<(&str, &str)> = Vec::new();
         for pair in names.split(',') {
             let (name, value) = pair.split_once('=')?;
-            let known = matches!(name, "c" | "t" | "d" | "g" | "r" | "again" | "at" | "h");
-            if !known || value.is_empty() || given.iter().any(|(other, _)| *other == name) {
+            let is_known = matches!(name, "c" | "t" | "d" | "g" | "r" | "again" | "at" | "h");
+            if !is_known || value.is_empty() || values.iter().any(|(other, _)| *other == name) {
                 return None;
             }
-            given.push((name, value));
+            values.push((name, value));
         }
-        let value = |name: &str| given.iter().find(|(other, _)| *other == name).map(|(_, value)| *value);
+        let value = |name: &str| values.iter().find(|(other, _)| *other == name).map(|(_, value)| *value);
         let wait = value("d").filter(|d| d.bytes().all(|b| b.is_ascii_digit()))?.parse::<u32>().ok()?;
         if wait == 0 || ["r", "again"].iter().any(|mark| value(mark).is_some_and(|set| set != "1")) {
             return None;
@@ -82,8 +82,9 @@
         if let Some(known) = session.and_then(|s| self.plan.sessions.get(s.0 as usize)) {
             let class = self.plan.classes.get(usize::from(known.class)).map(|class| class.name.as_str());
             let tenant = self.plan.tenants.get(usize::from(known.tenant)).map(|tenant| tenant.name.as_str());
-            let same = value("c") == class && value("t") == tenant && hex(value("g")?)? == known.group;
-            if !same {
+            let matches_plan =
+                value("c") == class && value("t") == tenant && hex(value("g")?)? == known.group;
+            if !matches_plan {
                 return None;
             }
         }
@@ -104,7 +105,7 @@
     use crate::model::testing::{first_line, plan};
 
     #[test]
-    fn only_a_clients_line_passes_and_only_d_may_differ() {
+    fn only_a_clients_line_is_valid_and_only_d_may_differ() {
         let plan = plan(2, 2, 3);
         let index = Index::new(&plan);
         let line = first_line(&plan, 1, 0xab, 700, "");
@@ -134,7 +135,7 @@
             assert_eq!(index.read(line.replace(from, to).as_bytes()), Said::Bad, "{from} -> {to}");
         }
         assert_eq!(index.read(b"PING\r\n"), Said::Probe);
-        let stranger = line.replace(&format!("{:016x}", plan.sessions[1].key), "77");
-        assert!(matches!(index.read(stranger.as_bytes()), Said::Open(FirstLine { session: None, .. })));
+        let unknown_key = line.replace(&format!("{:016x}", plan.sessions[1].key), "77");
+        assert!(matches!(index.read(unknown_key.as_bytes()), Said::Open(FirstLine { session: None, .. })));
     }
 }
--- a/crates/kit/src/model/mod.rs
+++ b/crates/kit/src/model/mod.rs
@@ -1,12 +1,12 @@
 //! The behaviour of the emulated clients, render nodes and discovery, without sockets and clocks: `handle(now,
 //! input) -> outputs` and `next_timeout()`. The same inputs at the same times give the same outputs.
 
+pub mod backlog;
 pub mod client;
 pub mod cold;
 pub mod discovery;
 pub mod first_line;
 pub mod node;
-pub mod pile;
 pub mod registry;
 #[cfg(test)]
 pub(crate) mod testing;
--- a/crates/kit/src/model/node.rs
+++ b/crates/kit/src/model/node.rs
@@ -3,17 +3,17 @@
 
 mod attempts;
 mod connection;
-mod crowd;
+mod connection_table;
 #[cfg(test)]
 mod tests;
 
-use super::cold::Budget;
-use super::pile::{Pile, Ramp, seconds};
+use super::backlog::{Backlog, Ramp, seconds};
+use super::cold::ArrivalBudget;
 use crate::observation::{NodeAnswer, RequestId};
 use crate::plan::{Node, NodeChange, NodeId, Plan, SessionId};
 use crate::time::Micros;
 use connection::{Item, State};
-use crowd::Crowd;
+use connection_table::ConnectionTable;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 use rand_distr::{Distribution, Exp1};
@@ -23,7 +23,7 @@
 
 /// Message latency grows with utilisation up to this value. Demand beyond the capacity builds up a backlog, whose
 /// delay is added separately.
-const FULLEST: f64 = 0.98;
+const MAX_UTILISATION: f64 = 0.98;
 
 /// A first line that the node received.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -84,17 +84,17 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Event {
     /// An attempt is answered.
     Answer,
     /// The load of a connection changes.
-    Load,
+    ChangeLoad,
     /// The next item in the connection's queue is written.
-    Item,
+    WriteItem,
     /// A new load is reported.
-    Tell(u64),
+    ReportLoad(u64),
     /// The draining node moves the connection.
-    Leave,
+    MoveClient,
 }
 
 /// The state of a render node.
@@ -104,17 +104,17 @@
     id: NodeId,
     rng: ChaCha8Rng,
     ramp: Ramp,
-    slow: f64,
-    pile: Pile,
-    budget: Option<Budget>,
+    slowdown: f64,
+    backlog: Backlog,
+    budget: Option<ArrivalBudget>,
     running: bool,
-    fell: bool,
+    failed: bool,
     hung: bool,
     rubbish: bool,
     draining: bool,
-    crowd: Crowd,
-    due: BinaryHeap<Reverse<(Micros, u64, u32, Due)>>,
-    number: u64,
+    connections: ConnectionTable,
+    events: BinaryHeap<Reverse<(Micros, u64, u32, Event)>>,
+    event_number: u64,
 }
 
 impl NodeModel {
@@ -129,17 +129,17 @@
         NodeModel {
             rng: ChaCha8Rng::seed_from_u64(node.seed ^ plan.seed.rotate_left(32)),
             ramp: Ramp::warm(node.capacity),
-            slow: 1.0,
-            pile: Pile::default(),
+            slowdown: 1.0,
+            backlog: Backlog::default(),
             budget: None,
             running: node.from_start,
-            fell: false,
+            failed: false,
             hung: false,
             rubbish: false,
             draining: false,
-            crowd: Crowd::new(node.group_cost / node.connections_per_unit),
-            due: BinaryHeap::new(),
-            number: 0,
+            connections: ConnectionTable::new(node.group_cost / node.connections_per_unit),
+            events: BinaryHeap::new(),
+            event_number: 0,
             plan,
             id,
         }
@@ -166,17 +166,17 @@
 
     /// Whether a line on this connection would be returned: the connection is up, and neither side has ended it.
     pub fn takes_lines(&self, serial: u32) -> bool {
-        self.crowd.is_up(serial)
+        self.connections.is_up(serial)
     }
 
     /// The demand as a share of the current capacity.
-    pub fn usage(&self, now: Micros) -> f64 {
-        self.crowd.demand() / self.ramp.capacity(now).max(f64::MIN_POSITIVE)
+    pub fn utilisation(&self, now: Micros) -> f64 {
+        self.connections.demand() / self.ramp.capacity(now).max(f64::MIN_POSITIVE)
     }
 
     /// The time, in seconds, that the node needs for its backlog as of the last event.
-    pub fn piled_up(&self) -> f64 {
-        self.pile.seconds(&self.ramp)
+    pub fn backlog_seconds(&self) -> f64 {
+        self.backlog.seconds(&self.ramp)
     }
 
     /// The time of the next action if no other event occurs.
@@ -184,8 +184,8 @@
         if !self.running {
             return None;
         }
-        let due = self.due.peek().map(|Reverse((at, ..))| *at);
-        due.into_iter().chain(self.sheds_at()).min()
+        let due = self.events.peek().map(|Reverse((at, ..))| *at);
+        due.into_iter().chain(self.shed_time()).min()
     }
 
     /// Performs the actions that are due, and then handles the input. `now` must not decrease.
@@ -193,9 +193,9 @@
         self.catch_up(now, out);
         match input {
             Input::Open(opened) => self.open(now, opened, out),
-            Input::Line(serial) => self.line(now, serial),
-            Input::Ended(serial) => self.ended(now, serial, out),
-            Input::Gone(serial) => drop(self.crowd.remove(serial)),
+            Input::Line(serial) => self.handle_line(now, serial),
+            Input::Ended(serial) => self.handle_end(now, serial, out),
+            Input::Gone(serial) => drop(self.connections.remove(serial)),
             Input::Change(change) => self.change(now, change, out),
             Input::Tick => {}
         }
@@ -204,70 +204,72 @@
 
     fn catch_up(&mut self, now: Micros, out: &mut Vec<Output>) {
         while self.running {
-            let due = self.due.peek().map(|Reverse((at, ..))| *at).filter(|at| *at <= now);
-            match self.sheds_at().filter(|at| *at <= due.unwrap_or(now)) {
+            let due = self.events.peek().map(|Reverse((at, ..))| *at).filter(|at| *at <= now);
+            match self.shed_time().filter(|at| *at <= due.unwrap_or(now)) {
                 Some(at) => {
-                    self.pile.advance(at, self.crowd.demand(), &self.ramp);
+                    self.backlog.advance(at, self.connections.demand(), &self.ramp);
                     self.shed(at, out);
                 }
                 None => {
                     let Some(at) = due else { break };
-                    self.pile.advance(at, self.crowd.demand(), &self.ramp);
-                    if let Some(Reverse((_, _, serial, what))) = self.due.pop() {
-                        self.act(at, serial, what, out);
+                    self.backlog.advance(at, self.connections.demand(), &self.ramp);
+                    if let Some(Reverse((_, _, serial, event))) = self.events.pop() {
+                        self.perform(at, serial, event, out);
                     }
                 }
             }
         }
-        self.pile.advance(now, self.crowd.demand(), &self.ramp);
+        self.backlog.advance(now, self.connections.demand(), &self.ramp);
     }
 
-    fn set(&mut self, at: Micros, serial: u32, what: Due) {
+    fn schedule(&mut self, at: Micros, serial: u32, event: Event) {
         // The number keeps the order of events that are due at the same time.
-        self.number += 1;
-        self.due.push(Reverse((at, self.number, serial, what)));
+        self.event_number += 1;
+        self.events.push(Reverse((at, self.event_number, serial, event)));
     }
 
-    fn act(&mut self, at: Micros, serial: u32, what: Due, out: &mut Vec<Output>) {
-        match what {
-            Due::Answer => self.answer(at, serial, out),
-            Due::Load => self.load(at, serial),
-            Due::Item => self.items(at, serial, out),
-            Due::Tell(us) if !self.hung && self.crowd.is_up(serial) => out.push(Output::Load(serial, us)),
-            Due::Tell(_) => {}
-            Due::Leave => self.leave(at, serial, Item::Move),
+    fn perform(&mut self, at: Micros, serial: u32, event: Event, out: &mut Vec<Output>) {
+        match event {
+            Event::Answer => self.answer(at, serial, out),
+            Event::ChangeLoad => self.change_load(at, serial),
+            Event::WriteItem => self.write_items(at, serial, out),
+            Event::ReportLoad(us) if !self.hung && self.connections.is_up(serial) => {
+                out.push(Output::Load(serial, us))
+            }
+            Event::ReportLoad(_) => {}
+            Event::MoveClient => self.queue_last_item(at, serial, Item::Move),
         }
     }
 
     // -- connections --
 
-    fn line(&mut self, now: Micros, serial: u32) {
-        let (usage, piled) = (self.usage(now).min(FULLEST), self.piled_up());
+    fn handle_line(&mut self, now: Micros, serial: u32) {
+        let (utilisation, backlog) = (self.utilisation(now).min(MAX_UTILISATION), self.backlog_seconds());
         let node = self.node();
-        let waiting = 1.0 + node.bursty * usage * usage / (1.0 - usage);
-        let mean = node.message as f64 * self.slow * waiting;
+        let queueing_factor = 1.0 + node.bursty * utilisation * utilisation / (1.0 - utilisation);
+        let mean = node.message as f64 * self.slowdown * queueing_factor;
         let draw: f64 = Exp1.sample(&mut self.rng);
-        let took = (mean * draw + piled.min(1e6) * 1e6) as Micros;
-        let Some(connection) = self.crowd.up_mut(serial) else { return };
-        let at = connection.queue(now + took + 2 * connection.way, Item::Return);
-        at.into_iter().for_each(|at| self.set(at, serial, Due::Item));
+        let latency = (mean * draw + backlog.min(1e6) * 1e6) as Micros;
+        let Some(connection) = self.connections.up_mut(serial) else { return };
+        let at = connection.push_item(now + latency + 2 * connection.network_delay, Item::Return);
+        at.into_iter().for_each(|at| self.schedule(at, serial, Event::WriteItem));
     }
 
     /// Queues `word` as the last item of the connection, after the lines that are still to be returned.
-    fn leave(&mut self, now: Micros, serial: u32, word: Item) {
-        let Some(connection) = self.crowd.up_mut(serial) else { return };
-        let at = connection.queue(now + connection.way, word);
-        at.into_iter().for_each(|at| self.set(at, serial, Due::Item));
-        self.crowd.leaves(serial);
+    fn queue_last_item(&mut self, now: Micros, serial: u32, last_item: Item) {
+        let Some(connection) = self.connections.up_mut(serial) else { return };
+        let at = connection.push_item(now + connection.network_delay, last_item);
+        at.into_iter().for_each(|at| self.schedule(at, serial, Event::WriteItem));
+        self.connections.end(serial);
     }
 
-    fn items(&mut self, now: Micros, serial: u32, out: &mut Vec<Output>) {
+    fn write_items(&mut self, now: Micros, serial: u32, out: &mut Vec<Output>) {
         while !self.hung
-            && let Some(connection) = self.crowd.get_mut(serial)
+            && let Some(connection) = self.connections.get_mut(serial)
             && let Some((at, item)) = connection.items.front().copied()
         {
             if at > now {
-                return self.set(at, serial, Due::Item);
+                return self.schedule(at, serial, Event::WriteItem);
             }
             connection.items.pop_front();
             match item {
@@ -276,16 +278,16 @@
                 Item::Move => out.push(Output::Move(serial)),
             }
             if item != Item::Return {
-                self.crowd.remove(serial);
+                self.connections.remove(serial);
             }
         }
     }
 
-    fn ended(&mut self, now: Micros, serial: u32, out: &mut Vec<Output>) {
-        match self.crowd.get(serial).map(|c| c.state) {
-            Some(State::Up { .. }) => self.leave(now, serial, Item::Bye),
+    fn handle_end(&mut self, now: Micros, serial: u32, out: &mut Vec<Output>) {
+        match self.connections.get(serial).map(|c| c.state) {
+            Some(State::Up { .. }) => self.queue_last_item(now, serial, Item::Bye),
             Some(_) => {
-                self.crowd.remove(serial);
+                self.connections.remove(serial);
                 out.push(Output::Close(serial));
             }
             None => {}
@@ -294,33 +296,33 @@
 
     // -- the whole node --
 
-    fn sheds_at(&self) -> Option<Micros> {
+    fn shed_time(&self) -> Option<Micros> {
         if self.hung {
             return None;
         }
-        self.pile.beyond(seconds(self.node().buffer), self.crowd.demand(), &self.ramp)
+        self.backlog.exceeds_at(seconds(self.node().buffer), self.connections.demand(), &self.ramp)
     }
 
     /// Drops the connections with the highest load until the demand fits the capacity. The backlog shrinks in
     /// proportion to the demand.
     fn shed(&mut self, now: Micros, out: &mut Vec<Output>) {
         let capacity = self.ramp.capacity(now);
-        while self.crowd.demand() > capacity
-            && let Some(serial) = self.crowd.heaviest()
+        while self.connections.demand() > capacity
+            && let Some(serial) = self.connections.heaviest()
         {
-            let before = self.crowd.demand();
-            self.crowd.remove(serial);
-            self.pile.take(1.0 - self.crowd.demand() / before);
+            let before = self.connections.demand();
+            self.connections.remove(serial);
+            self.backlog.remove_share(1.0 - self.connections.demand() / before);
             out.push(Output::Reset(serial));
         }
     }
 
     fn change(&mut self, now: Micros, change: NodeChange, out: &mut Vec<Output>) {
         match change {
-            NodeChange::Start if !self.fell => self.start(now, out),
+            NodeChange::Start if !self.failed => self.start(now, out),
             _ if !self.running => {
                 if let NodeChange::Slow(slow) = change {
-                    self.slow = slow.max(1e-3);
+                    self.slowdown = slow.max(1e-3);
                 }
             }
             NodeChange::Start | NodeChange::Vanish => {}
@@ -328,14 +330,14 @@
             NodeChange::Hang => self.hung = true,
             NodeChange::Rubbish => self.rubbish = true,
             NodeChange::Slow(slow) => {
-                self.slow = slow.max(1e-3);
-                self.ramp.full = self.node().capacity / self.slow;
+                self.slowdown = slow.max(1e-3);
+                self.ramp.full_capacity = self.node().capacity / self.slowdown;
             }
             NodeChange::Recover => {
                 (self.hung, self.rubbish) = (false, false);
-                for serial in self.crowd.serials() {
+                for serial in self.connections.serials() {
                     self.answer(now, serial, out);
-                    self.items(now, serial, out);
+                    self.write_items(now, serial, out);
                 }
             }
             NodeChange::Drain { within } => self.drain(now, within),
@@ -345,21 +347,21 @@
     fn start(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.stop(out);
         let node = &self.plan.nodes[usize::from(self.id.0)];
-        let (from, warm_up) = (node.cold_from, node.warm_up);
-        let usual = Ramp { began: now, from, warm_up, full: node.capacity };
-        self.budget = Some(Budget::new(node, usual));
-        self.ramp = Ramp { full: node.capacity / self.slow, ..usual };
-        self.pile = Pile::default();
-        self.pile.advance(now, 0.0, &self.ramp);
+        let (initial_share, warm_up) = (node.cold_from, node.warm_up);
+        let nominal_ramp = Ramp { start: now, initial_share, warm_up, full_capacity: node.capacity };
+        self.budget = Some(ArrivalBudget::new(node, nominal_ramp));
+        self.ramp = Ramp { full_capacity: node.capacity / self.slowdown, ..nominal_ramp };
+        self.backlog = Backlog::default();
+        self.backlog.advance(now, 0.0, &self.ramp);
         (self.hung, self.rubbish, self.draining) = (false, false, false);
         self.running = true;
     }
 
     /// Ends the process at once.
     fn stop(&mut self, out: &mut Vec<Output>) {
-        out.extend(self.crowd.serials().into_iter().map(Output::Reset));
-        self.crowd.clear();
-        self.due.clear();
+        out.extend(self.connections.serials().into_iter().map(Output::Reset));
+        self.connections.clear();
+        self.events.clear();
         self.running = false;
     }
 
@@ -367,13 +369,14 @@
         if std::mem::replace(&mut self.draining, true) {
             return;
         }
-        for serial in self.crowd.refuse_setups(now) {
-            self.set(now, serial, Due::Answer);
+        for serial in self.connections.refuse_setups(now) {
+            self.schedule(now, serial, Event::Answer);
         }
-        let leaving: Vec<u32> = self.crowd.serials().into_iter().filter(|s| self.crowd.is_up(*s)).collect();
+        let leaving: Vec<u32> =
+            self.connections.serials().into_iter().filter(|s| self.connections.is_up(*s)).collect();
         let parts = leaving.len() as Micros + 1;
         for (serial, i) in leaving.into_iter().zip(1..) {
-            self.set(now + within * i / parts, serial, Due::Leave);
+            self.schedule(now + within * i / parts, serial, Event::MoveClient);
         }
     }
 }
--- a/crates/kit/src/model/node/attempts.rs
+++ b/crates/kit/src/model/node/attempts.rs
@@ -1,7 +1,7 @@
 //! How a render node handles an attempt, from the first line to the answer.
 
 use super::connection::{Connection, Refusal, State};
-use super::{Due, NodeModel, Opened, Output};
+use super::{Event, NodeModel, Opened, Output};
 use crate::observation::NodeAnswer;
 use crate::plan::{NodeId, SessionId};
 use crate::time::Micros;
@@ -12,49 +12,52 @@
         if !self.running {
             return out.push(Output::Reset(opened.serial));
         }
-        self.budget.take_if(|budget| budget.is_over(now));
+        self.budget.take_if(|budget| budget.is_expired(now));
         if let Some(budget) = &mut self.budget
-            && budget.arrival(now, &self.plan.rules)
+            && budget.record_arrival(now, &self.plan.rules)
         {
-            self.fell = true;
+            self.failed = true;
             out.push(Output::Reset(opened.serial));
             self.stop(out);
             return out.push(Output::Fell);
         }
-        let (both, gives_up) = (2 * opened.way, now + opened.wait);
+        let (round_trip, gives_up) = (2 * opened.way, now + opened.wait);
         let (state, session, at) = match (self.refusal(&opened), opened.session) {
-            (None, Some(session)) if opened.standing => (State::SettingUp { gives_up }, session, now + both),
+            (None, Some(session)) if opened.standing => {
+                (State::SettingUp { gives_up }, session, now + round_trip)
+            }
             (None, Some(session)) => {
                 let work = self.node().setup_work;
-                let wait = self.node().setup_wait as f64 * self.slow;
-                let served = self.piled_up() + work / self.ramp.capacity(now).max(f64::MIN_POSITIVE);
-                let ready = now + both + (wait + served.min(1e6) * 1e6) as Micros;
+                let wait = self.node().setup_wait as f64 * self.slowdown;
+                let work_seconds =
+                    self.backlog_seconds() + work / self.ramp.capacity(now).max(f64::MIN_POSITIVE);
+                let ready = now + round_trip + (wait + work_seconds.min(1e6) * 1e6) as Micros;
                 if ready > gives_up {
                     // The node finds this out only when the set-up's turn comes. The set-up waits until then, and
                     // adds no work to the backlog.
                     (State::Refused(Refusal::Busy), session, gives_up)
                 } else {
-                    self.pile.add(work);
+                    self.backlog.add(work);
                     (State::SettingUp { gives_up }, session, ready)
                 }
             }
             (refusal, session) => {
                 let refusal = refusal.unwrap_or(Refusal::Error);
-                (State::Refused(refusal), session.unwrap_or(SessionId(u32::MAX)), now + both)
+                (State::Refused(refusal), session.unwrap_or(SessionId(u32::MAX)), now + round_trip)
             }
         };
         let connection = Connection::new(opened.request, session, opened.way, state, at);
-        self.crowd.insert(opened.serial, connection);
-        self.set(at, opened.serial, Due::Answer);
+        self.connections.insert(opened.serial, connection);
+        self.schedule(at, opened.serial, Event::Answer);
     }
 
     fn refusal(&self, opened: &Opened) -> Option<Refusal> {
         let node = self.node();
-        let full = self.crowd.setups() + self.crowd.up() >= node.connections_max
-            || (!opened.standing && self.crowd.setups() >= node.setups_max);
+        let full = self.connections.setups() + self.connections.up() >= node.connections_max
+            || (!opened.standing && self.connections.setups() >= node.setups_max);
         if self.rubbish {
             Some(Refusal::Rubbish)
-        } else if opened.session.is_none() || self.crowd.is_open(opened.request) {
+        } else if opened.session.is_none() || self.connections.is_open(opened.request) {
             Some(Refusal::Error)
         } else {
             (self.draining || full).then_some(Refusal::Busy)
@@ -62,7 +65,8 @@
     }
 
     pub(super) fn answer(&mut self, now: Micros, serial: u32, out: &mut Vec<Output>) {
-        let Some(connection) = self.crowd.get(serial).filter(|c| c.answer_at <= now && !self.hung) else {
+        let Some(connection) = self.connections.get(serial).filter(|c| c.answer_at <= now && !self.hung)
+        else {
             return;
         };
         let refusal = match connection.state {
@@ -75,11 +79,11 @@
                 let receipt = receipt(self.id, serial, self.rng.random());
                 out.push(Output::Answer(serial, NodeAnswer::Up(receipt)));
                 let (load, next) = self.load_of(connection.session, now);
-                self.crowd.set_up(serial, load, self.group_of(serial));
-                next.into_iter().for_each(|at| self.set(at, serial, Due::Load));
+                self.connections.mark_up(serial, load, self.group_of(serial));
+                next.into_iter().for_each(|at| self.schedule(at, serial, Event::ChangeLoad));
             }
             Some(refusal) => {
-                self.crowd.remove(serial);
+                self.connections.remove(serial);
                 out.push(match refusal {
                     Refusal::Busy => Output::Answer(serial, NodeAnswer::Busy),
                     Refusal::Error => Output::Answer(serial, NodeAnswer::Error),
@@ -90,7 +94,7 @@
     }
 
     fn group_of(&self, serial: u32) -> u64 {
-        let session = self.crowd.get(serial).and_then(|c| self.plan.sessions.get(c.session.0 as usize));
+        let session = self.connections.get(serial).and_then(|c| self.plan.sessions.get(c.session.0 as usize));
         session.map_or(0, |session| session.group)
     }
 
@@ -102,22 +106,24 @@
         ((session.load_at(since) * 1e9).round() as i64, next)
     }
 
-    pub(super) fn load(&mut self, now: Micros, serial: u32) {
-        let Some(connection) = self.crowd.get(serial).filter(|_| self.crowd.is_up(serial)) else { return };
-        let (way, was) = (connection.way, connection.load);
+    pub(super) fn change_load(&mut self, now: Micros, serial: u32) {
+        let Some(connection) = self.connections.get(serial).filter(|_| self.connections.is_up(serial)) else {
+            return;
+        };
+        let (network_delay, previous) = (connection.network_delay, connection.load);
         let (load, next) = self.load_of(connection.session, now);
-        self.crowd.set_load(serial, load);
-        next.into_iter().for_each(|at| self.set(at, serial, Due::Load));
-        if load != was {
-            self.set(now + way, serial, Due::Tell((load / 1000).max(0) as u64));
+        self.connections.set_load(serial, load);
+        next.into_iter().for_each(|at| self.schedule(at, serial, Event::ChangeLoad));
+        if load != previous {
+            self.schedule(now + network_delay, serial, Event::ReportLoad((load / 1000).max(0) as u64));
         }
     }
 }
 
 /// A receipt that is unique among all attempts of the run and that cannot be guessed: the node, the serial and a
 /// random number, scrambled by a one-to-one function (the finalizer of SplitMix64, Steele et al. 2014).
-pub(super) fn receipt(node: NodeId, serial: u32, chance: u16) -> u64 {
-    let mut x = u64::from(chance) << 48 | u64::from(node.0) << 32 | u64::from(serial);
+pub(super) fn receipt(node: NodeId, serial: u32, random: u16) -> u64 {
+    let mut x = u64::from(random) << 48 | u64::from(node.0) << 32 | u64::from(serial);
     x = (x ^ x >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ x >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ x >> 31
--- a/crates/kit/src/model/node/connection.rs
+++ b/crates/kit/src/model/node/connection.rs
@@ -40,26 +40,41 @@
 pub(super) struct Connection {
     pub request: RequestId,
     pub session: SessionId,
-    pub way: Micros,
+    pub network_delay: Micros,
     pub state: State,
     /// The attempt is answered at this time at the earliest.
     pub answer_at: Micros,
     /// The load in billionths of a standard core; 0 until the connection is up.
     pub load: i64,
     pub items: VecDeque<(Micros, Item)>,
-    last: Micros,
+    last_item_at: Micros,
 }
 
 impl Connection {
-    pub fn new(request: RequestId, session: SessionId, way: Micros, state: State, answer_at: Micros) -> Self {
-        Connection { request, session, way, state, answer_at, load: 0, items: VecDeque::new(), last: 0 }
+    pub fn new(
+        request: RequestId,
+        session: SessionId,
+        network_delay: Micros,
+        state: State,
+        answer_at: Micros,
+    ) -> Self {
+        Connection {
+            request,
+            session,
+            network_delay,
+            state,
+            answer_at,
+            load: 0,
+            items: VecDeque::new(),
+            last_item_at: 0,
+        }
     }
 
     /// Appends an item to the queue. Returns the time at which the item is due if the queue was empty.
-    pub fn queue(&mut self, at: Micros, item: Item) -> Option<Micros> {
+    pub fn push_item(&mut self, at: Micros, item: Item) -> Option<Micros> {
         // Items keep their order even if a later line has a shorter latency.
-        self.last = self.last.max(at);
-        self.items.push_back((self.last, item));
-        (self.items.len() == 1).then_some(self.last)
+        self.last_item_at = self.last_item_at.max(at);
+        self.items.push_back((self.last_item_at, item));
+        (self.items.len() == 1).then_some(self.last_item_at)
     }
 }
--- a/crates/kit/src/model/node/crowd.rs
+++ b/crates/kit/src/model/node/connection_table.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Debug)]
-pub(super) struct Crowd {
+pub(super) struct ConnectionTable {
     connections: BTreeMap<u32, Connection>,
     requests: BTreeSet<RequestId>,
     /// Number of connections of each group that has any.
@@ -18,9 +18,9 @@
     up: u32,
 }
 
-impl Crowd {
+impl ConnectionTable {
     pub fn new(group_cost: f64) -> Self {
-        Crowd {
+        ConnectionTable {
             connections: BTreeMap::new(),
             requests: BTreeSet::new(),
             groups: BTreeMap::new(),
@@ -80,7 +80,7 @@
         self.connections.insert(serial, connection);
     }
 
-    pub fn set_up(&mut self, serial: u32, load: i64, group: u64) {
+    pub fn mark_up(&mut self, serial: u32, load: i64, group: u64) {
         let Some(connection) = self.connections.get_mut(&serial) else { return };
         connection.state = State::Up { group: Some(group) };
         connection.load = load;
@@ -98,24 +98,24 @@
 
     /// Marks a connection as ended by one side. Its queued items are still written, but it no longer counts towards
     /// the demand.
-    pub fn leaves(&mut self, serial: u32) {
+    pub fn end(&mut self, serial: u32) {
         let Some(connection) = self.connections.get_mut(&serial) else { return };
         let State::Up { group: group @ Some(_) } = &mut connection.state else { return };
-        let held = group.take();
+        let group_id = group.take();
         self.load -= std::mem::take(&mut connection.load);
         self.up -= 1;
-        if let Some(held) = held
-            && let Some(count) = self.groups.get_mut(&held)
+        if let Some(group_id) = group_id
+            && let Some(count) = self.groups.get_mut(&group_id)
         {
             *count -= 1;
             if *count == 0 {
-                self.groups.remove(&held);
+                self.groups.remove(&group_id);
             }
         }
     }
 
     pub fn remove(&mut self, serial: u32) -> Option<Connection> {
-        self.leaves(serial);
+        self.end(serial);
         let connection = self.connections.remove(&serial)?;
         match connection.state {
             State::Refused(_) => {}
@@ -150,6 +150,6 @@
     }
 
     pub fn clear(&mut self) {
-        *self = Crowd::new(self.group_cost);
+        *self = ConnectionTable::new(self.group_cost);
     }
 }
--- a/crates/kit/src/model/registry.rs
+++ b/crates/kit/src/model/registry.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// The revision of the list at the start of a run. Any value except 0 would work.
-pub(crate) const FIRST: u64 = 41;
+pub(crate) const FIRST_REVISION: u64 = 41;
 
 /// An entry of the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -40,8 +40,8 @@
     /// Creates the list as it is at the start of a run.
     pub fn new(plan: &Plan) -> Self {
         let listed = plan.nodes.iter().zip(0..).filter(|(node, _)| node.from_start);
-        let entry = Entry { phase: Phase::Up, since: None, revision: FIRST };
-        Registry { revision: FIRST, entries: listed.map(|(_, i)| (NodeId(i), entry)).collect() }
+        let entry = Entry { phase: Phase::Up, since: None, revision: FIRST_REVISION };
+        Registry { revision: FIRST_REVISION, entries: listed.map(|(_, i)| (NodeId(i), entry)).collect() }
     }
 
     /// The current revision.
@@ -63,7 +63,7 @@
 
     /// Returns the changes after a revision, oldest first, or the complete list if the revision is unknown.
     pub fn since(&self, revision: u64) -> Update {
-        if !(FIRST..=self.revision).contains(&revision) {
+        if !(FIRST_REVISION..=self.revision).contains(&revision) {
             return self.whole();
         }
         let mut entries: Vec<_> = self.entries.iter().map(|(node, entry)| (*node, *entry)).collect();
