--- a/crates/kit/src/emulator/mod.rs
+++ b/crates/kit/src/emulator/mod.rs
@@ -1,17 +1,18 @@
-//! The stand-ins on real sockets: each a loop of the project's reactor on a thread of its own, that plays its part of a
-//! plan on the run's clock and returns what it saw.
+//! Emulators of everything around the proxies, on real sockets: clients, front, network, render nodes and discovery.
+//! Each emulator runs a reactor on a thread of its own, follows its part of the plan by the run's clock, and returns
+//! its observations.
 
 pub mod clients;
 pub mod discovery;
 mod discovery_connection;
 pub mod discovery_list;
+mod false_reporter;
 pub mod fault;
 pub mod front;
-mod liar;
 pub mod network;
 pub mod nodes;
 mod nodes_connection;
-mod nodes_post;
+mod nodes_listener;
 mod nodes_talk;
 pub mod rude;
 mod rude_script;
--- a/crates/kit/src/judge/subject.rs
+++ b/crates/kit/src/judge/subject.rs
@@ -1,4 +1,4 @@
-//! The parties that a violation concerns, and which observations belong to them.
+//! Identifies the parties that a violation concerns, and selects the observations that relate to them.
 
 use crate::observation::{Attempt, RequestId, Seen};
 use crate::plan::{NodeId, ProxyId, SessionId};
@@ -13,27 +13,28 @@
     pub session: Option<SessionId>,
     pub node: Option<NodeId>,
     pub proxy: Option<ProxyId>,
-    /// The misbehaving client, by its place in the plan.
-    pub rude: Option<u32>,
-    /// The request's attempts.
+    /// The misbehaving client, by its index in the plan.
+    pub misbehaving_client: Option<u32>,
+    /// Attempts of the request.
     pub attempts: Vec<Attempt>,
 }
 
 /// How an observation relates to a subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Relation {
-    /// It concerns the request itself, or whatever else violates the rule.
+    /// The observation concerns the request itself, or the party that violates a rule without a request.
     Direct,
-    /// It concerns the state of the render node or proxy.
+    /// The observation concerns the state of the render node, the proxy, discovery or the scenario.
     Related,
+    /// The observation does not concern the subject.
     Unrelated,
 }
 
 impl Subject {
     /// How an observation relates to the subject.
     pub fn relation(&self, seen: &Seen) -> Relation {
-        let direct = |is: bool| if is { Relation::Direct } else { Relation::Unrelated };
-        let related = |is: bool| if is { Relation::Related } else { Relation::Unrelated };
+        let direct = |matches: bool| if matches { Relation::Direct } else { Relation::Unrelated };
+        let related = |matches: bool| if matches { Relation::Related } else { Relation::Unrelated };
         let (node, proxy) = (self.node, self.proxy);
         match seen {
             Seen::Asked { request, .. }
@@ -51,7 +52,9 @@
             | Seen::AttemptOver { attempt, .. }
             | Seen::LineAtNode { attempt, .. }
             | Seen::LineReturned { attempt, .. } => direct(self.attempts.contains(attempt)),
-            Seen::RudeCame { rude, .. } | Seen::RudeOver { rude, .. } => direct(self.rude == Some(*rude)),
+            Seen::RudeCame { rude, .. } | Seen::RudeOver { rude, .. } => {
+                direct(self.misbehaving_client == Some(*rude))
+            }
             Seen::BadFirstLine { proxy: p, .. } => direct(self.request.is_none() && proxy == Some(*p)),
             Seen::Datagram { from, bytes, .. } => direct(*bytes > MAX_DATAGRAM_BYTES && proxy == Some(*from)),
             Seen::Started { node: n, .. }
