--- a/crates/kit/src/model/client.rs
+++ b/crates/kit/src/model/client.rs
@@ -1,24 +1,24 @@
 //! The behaviour of a client in one session of the plan, sans-io. Time is a parameter, and every random draw
 //! derives from the session's own seed, so the same inputs at the same times give the same outputs.
 //!
-//! A session wants a connection from its arrival until its end. It makes its tries in series: a *series* is a
-//! number of consecutive tries within one deadline of the class. After a failed series the session backs off, and
+//! A session wants a connection from its arrival until its end. It makes its attempts in series: a *series* is a
+//! number of consecutive attempts within one deadline of the class. After a failed series the session backs off, and
 //! then starts the next one. `docs/design/clients.md` has the complete description.
 
+mod attempts;
 mod endings;
 mod established;
 mod reading;
 #[cfg(test)]
 mod tests;
-mod tries;
 pub(crate) mod words;
 
 use crate::observation::{ClientClose, Observation, ProxyClose, RequestId, Seen};
 use crate::plan::{Plan, ProxyId, Session as Planned, SessionId};
 use crate::time::{MS, Micros, S};
+use attempts::MIN_WAIT;
 use established::EstablishedConnection;
 use std::sync::Arc;
-use tries::MIN_WAIT;
 
 /// A client that gave up waits this much longer for a late answer than the rules allow such an answer to take.
 const LATE_ANSWER_MARGIN: Micros = 20 * MS;
@@ -64,17 +64,17 @@
     Reset,
 }
 
-/// The time of a session's next try.
+/// The time of a session's next attempt.
 #[derive(Clone, Copy, Debug)]
-struct NextTry {
+struct NextAttempt {
     due: Micros,
-    /// Whether the try starts a new series.
+    /// Whether the attempt starts a new series.
     starts_series: bool,
 }
 
-/// A try whose request the proxy has not yet received.
+/// An attempt whose request the proxy has not yet received.
 #[derive(Clone, Copy, Debug)]
-struct Try {
+struct Attempt {
     due: Micros,
     proxy: ProxyId,
     request: RequestId,
@@ -94,20 +94,20 @@
 
 #[derive(Debug)]
 enum State {
-    /// No connection until the next try. The first try is due at the session's arrival.
-    Waiting(NextTry),
-    Connecting(Try),
+    /// No connection until the next attempt. The first attempt is due at the session's arrival.
+    Waiting(NextAttempt),
+    Connecting(Attempt),
     /// The connection is established and the first line is being written. The duration is the wait in that line.
-    SendingFirstLine(Try, Micros),
+    SendingFirstLine(Attempt, Micros),
     Asked {
-        current_try: Try,
+        attempt: Attempt,
         deadline: Micros,
     },
     Lingering {
         request: RequestId,
         why: LingerReason,
         until: Micros,
-        next: NextTry,
+        next: NextAttempt,
     },
     Up(Box<EstablishedConnection>),
     Finishing(Box<EstablishedConnection>, Micros),
@@ -123,16 +123,16 @@
     until: Micros,
     state: State,
     arrived: bool,
-    /// Number of tries of the whole session. Each request's id derives from it.
-    tries: u32,
-    /// Number of tries of the current series, and the deadline of the series.
-    series_tries: u32,
+    /// Number of attempts of the whole session. Each request's id derives from it.
+    attempts: u32,
+    /// Number of attempts of the current series, and the deadline of the series.
+    series_attempts: u32,
     series_deadline: Micros,
     /// Number of failed series since the session was last up.
     failed_series: u32,
     /// Whether the session was up before and lost its connection by a break, a move or a drop.
     lost_connection: bool,
-    /// Whether a try has failed since the session was last up.
+    /// Whether an attempt has failed since the session was last up.
     is_retry: bool,
 }
 
@@ -153,10 +153,10 @@
             plan: Arc::clone(plan),
             id,
             until,
-            state: State::Waiting(NextTry { due: planned.arrives, starts_series: true }),
+            state: State::Waiting(NextAttempt { due: planned.arrives, starts_series: true }),
             arrived: false,
-            tries: 0,
-            series_tries: 0,
+            attempts: 0,
+            series_attempts: 0,
             series_deadline: 0,
             failed_series: 0,
             lost_connection: false,
@@ -199,9 +199,7 @@
     pub fn next_timeout(&self) -> Option<Micros> {
         match &self.state {
             State::Waiting(next) => Some(if self.has_time(*next) { next.due } else { self.until }),
-            State::Connecting(current_try) | State::SendingFirstLine(current_try, _) => {
-                Some(current_try.gives_up_at)
-            }
+            State::Connecting(attempt) | State::SendingFirstLine(attempt, _) => Some(attempt.gives_up_at),
             State::Asked { deadline, .. } => Some(*deadline),
             State::Lingering { until, next, .. } => Some(*until.min(&next.due)),
             State::Up(connection) => Some(connection.next_timeout().min(self.until)),
@@ -231,8 +229,8 @@
         }
     }
 
-    /// Whether a try at that time could be answered before the session's end.
-    fn has_time(&self, next: NextTry) -> bool {
+    /// Whether an attempt at that time could be answered before the session's end.
+    fn has_time(&self, next: NextAttempt) -> bool {
         next.due + MIN_WAIT <= self.until
     }
 
@@ -241,20 +239,20 @@
             State::Waiting(next) if next.due <= now => {
                 let next = *next;
                 if self.has_time(next) {
-                    self.start_try(next, admitted, out);
+                    self.start_attempt(next, admitted, out);
                 } else if now >= self.until {
                     self.state = State::Over;
                 }
             }
             State::Waiting(_) if now >= self.until => self.state = State::Over,
-            State::Connecting(current_try) | State::SendingFirstLine(current_try, _)
-                if now >= current_try.gives_up_at =>
+            State::Connecting(attempt) | State::SendingFirstLine(attempt, _)
+                if now >= attempt.gives_up_at =>
             {
                 out.push(Output::Close);
                 self.handle_unreached(now, out);
             }
-            State::Asked { current_try, deadline } if now >= *deadline => {
-                let (request, deadline) = (current_try.request, *deadline);
+            State::Asked { attempt, deadline } if now >= *deadline => {
+                let (request, deadline) = (attempt.request, *deadline);
                 let next = self.schedule_after_failure(deadline, 0);
                 if self.planned().patience < 1.0 {
                     self.close_unserved(now, request, ClientClose::Impatient, next, out);
@@ -262,7 +260,7 @@
                     let rules = &self.plan.rules;
                     let until = deadline + rules.answer_slack + rules.grace + LATE_ANSWER_MARGIN;
                     // A client with a short backoff still waits this long for the answer that the proxy owes it.
-                    let next = NextTry { due: next.due.max(until), ..next };
+                    let next = NextAttempt { due: next.due.max(until), ..next };
                     self.state = State::Lingering { request, why: LingerReason::Late, until, next };
                 }
             }
--- a/crates/kit/src/model/client/endings.rs
+++ b/crates/kit/src/model/client/endings.rs
@@ -1,19 +1,19 @@
 //! How a connection ends: by the proxy, by a drop, or at the end of the run.
 
 use super::words::{Draw, random_draw};
-use super::{LingerReason, NextTry, Output, Outputs, Session, State, record};
+use super::{LingerReason, NextAttempt, Output, Outputs, Session, State, record};
 use crate::observation::{ClientClose, ProxyClose, RequestId, Seen};
 use crate::time::Micros;
 use rand::RngExt;
 
 impl Session {
-    /// Closes a connection that did not serve the client, and schedules the next try.
+    /// Closes a connection that did not serve the client, and schedules the next attempt.
     pub(super) fn close_unserved(
         &mut self,
         now: Micros,
         request: RequestId,
         why: ClientClose,
-        next: NextTry,
+        next: NextAttempt,
         out: Outputs,
     ) {
         record(out, now, Seen::Left { request, why });
@@ -28,8 +28,8 @@
                 out.push(Output::Close);
                 self.handle_unreached(now, out);
             }
-            State::Asked { current_try, .. } => {
-                let request = current_try.request;
+            State::Asked { attempt, .. } => {
+                let request = attempt.request;
                 record(out, now, Seen::Ended { request, how });
                 out.push(Output::Close);
                 self.state = State::Waiting(self.schedule_after_failure(now, 0));
@@ -76,7 +76,7 @@
         record(out, now, Seen::Left { request, why: ClientClose::Dropped });
         out.push(Output::Reset);
         self.lost_connection = true;
-        self.state = State::Waiting(NextTry { due, starts_series: true });
+        self.state = State::Waiting(NextAttempt { due, starts_series: true });
     }
 
     pub(super) fn stop(&mut self, now: Micros, out: Outputs) {
@@ -85,9 +85,9 @@
                 connection.end(now, out);
                 record(out, now, Seen::Left { request: connection.info.request, why: ClientClose::Done });
             }
-            State::Asked { current_try, deadline } => {
+            State::Asked { attempt, deadline } => {
                 let why = if now < deadline { ClientClose::Impatient } else { ClientClose::GaveUp };
-                record(out, now, Seen::Left { request: current_try.request, why });
+                record(out, now, Seen::Left { request: attempt.request, why });
             }
             State::Lingering { request, why: LingerReason::Late, .. } => {
                 record(out, now, Seen::Left { request, why: ClientClose::GaveUp });
--- a/crates/kit/src/model/client/reading.rs
+++ b/crates/kit/src/model/client/reading.rs
@@ -2,13 +2,13 @@
 
 use super::established::{ConnectionInfo, EstablishedConnection, ReturnedLine};
 use super::words::{Draw, escaped_prefix, is_load_report, looks_like_answer, parse_answer, random_draw};
-use super::{LingerReason, Outputs, Session, State, Try, record};
+use super::{Attempt, LingerReason, Outputs, Session, State, record};
 use crate::observation::{Answer, ClientClose, Seen};
 use crate::time::{MS, Micros, S};
 use rand::RngExt;
 
-/// After a refusal or a failure, a client keeps the connection open for this long, or until its next try if that is
-/// earlier, to see the proxy's close or a second answer.
+/// After a refusal or a failure, a client keeps the connection open for this long, or until its next attempt if that
+/// is earlier, to see the proxy's close or a second answer.
 const REFUSED_LINGER: Micros = S;
 
 impl Session {
@@ -18,9 +18,9 @@
             self.handle_due(now, &|_| false, out);
         }
         match &mut self.state {
-            State::Asked { current_try, .. } => {
-                let current_try = *current_try;
-                self.handle_answer(now, current_try, parse_answer(line), out);
+            State::Asked { attempt, .. } => {
+                let attempt = *attempt;
+                self.handle_answer(now, attempt, parse_answer(line), out);
             }
             State::Lingering { request, why: LingerReason::Late, next, .. } => {
                 let (request, next) = (*request, *next);
@@ -53,20 +53,20 @@
         }
     }
 
-    pub(super) fn handle_answer(&mut self, now: Micros, current_try: Try, answer: Answer, out: Outputs) {
-        let request = current_try.request;
+    pub(super) fn handle_answer(&mut self, now: Micros, attempt: Attempt, answer: Answer, out: Outputs) {
+        let request = attempt.request;
         record(out, now, Seen::Answered { request, answer: answer.clone() });
         let retry_after = match answer {
             Answer::Up(_) => {
                 let class = self.planned().class;
-                record(out, now, Seen::SetupTook { class, took: now - current_try.due });
+                record(out, now, Seen::SetupTook { class, took: now - attempt.due });
                 let line_interval = self.plan.habits.line_every.max(MS);
-                let phase = random_draw(self.planned().seed, Draw::Phase, u64::from(self.tries))
+                let phase = random_draw(self.planned().seed, Draw::Phase, u64::from(self.attempts))
                     .random_range(0..line_interval);
                 let message_aim = self.class().message_aim;
                 let (session, until) = (self.id, self.until);
                 let info =
-                    ConnectionInfo { session, request, proxy: current_try.proxy, class, message_aim, until };
+                    ConnectionInfo { session, request, proxy: attempt.proxy, class, message_aim, until };
                 self.state = State::Up(Box::new(EstablishedConnection::new(now, phase, line_interval, info)));
                 (self.failed_series, self.lost_connection, self.is_retry) = (0, false, false);
                 return;
--- a/crates/kit/src/model/client/tests.rs
+++ b/crates/kit/src/model/client/tests.rs
@@ -65,8 +65,8 @@
         let (mut out, admitted) = (Vec::new(), self.admitted);
         self.session.handle(now, input, &|_| admitted, &mut out);
         assert!(
-            self.session.series_tries <= self.session.plan.habits.tries.max(1),
-            "too many tries in a series"
+            self.session.series_attempts <= self.session.plan.habits.tries.max(1),
+            "too many attempts in a series"
         );
         for output in &out {
             match output {
@@ -226,7 +226,7 @@
         transcript(|_| (), &[&[(1820, "!close")], up], Some(1)),
         format!("{first}1821 Closed; {rest}")
     );
-    // An impatient client leaves at once and has time for another try.
+    // An impatient client leaves at once and has time for another attempt.
     let impatient = |plan: &mut Plan| plan.sessions[0].patience = 0.5;
     let rest = "1000 connect; 1001 d=799 r=1; 1021 Up(31); 5000 Done; well 1021..5000";
     let result = transcript(impatient, &[&[(950, "UP 2")], up], Some(1));
@@ -248,7 +248,7 @@
     );
     let result = transcript(|_| (), &[&[(10, "!close")], up], Some(1));
     assert!(result.starts_with(&format!("{first}11 Closed; 111 connect; 112 d=1688 r=1; ")), "{result}");
-    // After the last try of a series the client backs off, and the backoff doubles.
+    // After the last attempt of a series the client backs off, and the backoff doubles.
     let result = transcript(|_| (), &[busy; 9], None);
     let connects: Vec<_> = result.split("; ").filter_map(|w| w.strip_suffix(" connect")).collect();
     assert_eq!(connects.join(" "), "0 111 222 1233 1344 1455 3466 3577 3688");
--- a/crates/kit/src/model/client/words.rs
+++ b/crates/kit/src/model/client/words.rs
@@ -41,7 +41,7 @@
     x ^ (x >> 31)
 }
 
-/// The id of a request. Ids are guaranteed to be unique among all sessions and tries of a run. The highest values
+/// The id of a request. Ids are guaranteed to be unique among all sessions and attempts of a run. The highest values
 /// of `place` belong to misbehaving clients.
 pub(crate) fn request_id(seed: u64, place: u32, number: u32) -> RequestId {
     RequestId(mix(seed ^ (u64::from(place) << 32 | u64::from(number))))
