--- a/crates/kit/src/emulator/clients.rs
+++ b/crates/kit/src/emulator/clients.rs
@@ -76,7 +76,7 @@
         self.session.handle(io.now(), input, &|proxy| board.is_admitted(proxy), &mut out);
         for output in out {
             match output {
-                Output::Note(observation) => io.report(ClientReport::Observed(observation)),
+                Output::Record(observation) => io.report(ClientReport::Observed(observation)),
                 Output::Connect(proxy) => {
                     let address = self.shared.addresses.proxy(proxy);
                     match LineStream::connect(address, io, self.key, Half::Near) {
--- a/crates/kit/src/emulator/discovery.rs
+++ b/crates/kit/src/emulator/discovery.rs
@@ -6,7 +6,7 @@
 use super::fault::Fault;
 use crate::addresses::Addresses;
 use crate::board::Board;
-use crate::model::discovery::{Discovery, How, Input, Output};
+use crate::model::discovery::{Discovery, Input, Output, WriteMode};
 use crate::model::registry::{Registry, Update};
 use crate::notes::{Notes, merge};
 use crate::observation::{Observation, Seen};
@@ -86,7 +86,7 @@
     service.listen(0)?;
     board.ready();
     service.record(Seen::DiscoveryUp { up: true });
-    for (node, entry) in Registry::new(&plan).whole().entries {
+    for (node, entry) in Registry::new(&plan).complete_list().entries {
         service.record(Seen::Listed { node, phase: entry.phase });
     }
     service.reactor.io.owner_timer(now + STOP_CHECK_INTERVAL, STOP_CHECK_TIMER);
@@ -202,22 +202,24 @@
                 self.record_call(id, true);
                 self.with_connection(id, |c, io| c.respond(&json, summary, io));
             }
-            Output::Begin(id, update) => {
+            Output::StartWatch(id, update) => {
                 let (json, summary) = self.serialize_update(id, &update)?;
                 self.with_connection(id, |c, io| {
                     c.begin_watch(&json, UpdateSummary { begins_watch: true, ..summary }, io)
                 });
             }
-            Output::Line(id, update, how) => {
+            Output::ContinueWatch(id, update, how) => {
                 let (json, summary) = self.serialize_update(id, &update)?;
                 self.with_connection(id, |c, io| match how {
-                    How::Whole => c.write_line(&json, summary, io),
-                    How::Pieces => c.write_line_in_pieces(&json, summary, io),
+                    WriteMode::Whole => c.write_line(&json, summary, io),
+                    WriteMode::Pieces => c.write_line_in_pieces(&json, summary, io),
                     // Truncated in the middle, as by a faulty writer, so that the proxy cannot parse it.
-                    How::Unreadable => c.write_line(&json[..json.len() / 2], UpdateSummary::default(), io),
+                    WriteMode::Unreadable => {
+                        c.write_line(&json[..json.len() / 2], UpdateSummary::default(), io)
+                    }
                 });
             }
-            Output::Beat(id) => {
+            Output::Heartbeat(id) => {
                 self.with_connection(id, |c, io| c.write_line("", UpdateSummary::default(), io))
             }
             Output::Unavailable(id) => {
@@ -233,7 +235,7 @@
                 self.end_watch(id);
             }
             Output::Listen(moves) => self.listen(moves)?,
-            Output::Deaf => self.close_listeners(),
+            Output::StopListening => self.close_listeners(),
             Output::Reachable(up) => self.record(Seen::DiscoveryUp { up }),
         }
         Ok(())
@@ -329,7 +331,7 @@
             let id = self.last_caller_id;
             self.callers.insert(key, Caller { id, proxy, is_watching: false });
             self.keys_by_id.insert(id, key);
-            self.model.opened(id);
+            self.model.record_accepted(id);
         }
         Ok(())
     }
--- a/crates/kit/src/emulator/discovery_list.rs
+++ b/crates/kit/src/emulator/discovery_list.rs
@@ -50,7 +50,7 @@
             cell: node.cell,
             phase: entry.phase,
             size: node.size,
-            up_since_ms: entry.since.map_or(0, |at| clock.unix_ms(at + plan.wall_clock_offset(at))),
+            up_since_ms: entry.started.map_or(0, |at| clock.unix_ms(at + plan.wall_clock_offset(at))),
         })
     });
     let list = List { revision: update.revision, complete: update.complete, members: members.collect() };
@@ -68,5 +68,5 @@
     clock: &RunClock,
     proxy: ProxyId,
 ) -> Result<String, simd_json::Error> {
-    serialize_update(&Registry::new(plan).whole(), plan, addresses, clock, proxy)
+    serialize_update(&Registry::new(plan).complete_list(), plan, addresses, clock, proxy)
 }
--- a/crates/kit/src/emulator/nodes.rs
+++ b/crates/kit/src/emulator/nodes.rs
@@ -6,9 +6,9 @@
 use super::nodes_listener::NodeListener;
 use crate::addresses::Addresses;
 use crate::board::Board;
-use crate::model::cold;
-use crate::model::first_line::Index;
+use crate::model::first_line::PlanIndex;
 use crate::model::node::{Input, NodeModel, Output};
+use crate::model::slow_start;
 use crate::notes::{Notes, merge};
 use crate::observation::{Condition, NodeAnswer, Observation, Seen};
 use crate::plan::{NetworkChange, NodeChange, NodeId, Plan, ProxyId, TimelineChange};
@@ -89,7 +89,7 @@
 pub(super) struct NodeEmulator<'a> {
     pub(super) plan: &'a Plan,
     pub(super) addresses: &'a Addresses,
-    pub(super) session_index: Index<'a>,
+    pub(super) session_index: PlanIndex<'a>,
     pub(super) reactor: Reactor<NodeSocket>,
     pub(super) nodes: Vec<EmulatedNode>,
     pub(super) proxy_connections: BTreeMap<Key, ProxyConnection>,
@@ -133,7 +133,7 @@
     let mut emulator = NodeEmulator {
         plan: &plan,
         addresses: &addresses,
-        session_index: Index::new(&plan),
+        session_index: PlanIndex::new(&plan),
         reactor,
         nodes: emulated_nodes,
         proxy_connections: BTreeMap::new(),
@@ -297,7 +297,7 @@
         }
         self.handle_input(index, Input::Change(change));
         if change == NodeChange::Start && self.nodes[index].model.is_running() {
-            let cold = Some(cold::figures(&self.plan.nodes[usize::from(node.0)]));
+            let cold = Some(slow_start::for_node(&self.plan.nodes[usize::from(node.0)]));
             self.record(Seen::Started { node, cold });
         }
         self.update_sockets(index)?;
--- a/crates/kit/src/emulator/nodes_talk.rs
+++ b/crates/kit/src/emulator/nodes_talk.rs
@@ -4,8 +4,8 @@
 use super::fault::Fault;
 use super::nodes::{NodeEmulator, ProxyConnection};
 use super::nodes_connection::{NodeConnection, NodeReport, NodeSocket};
-use crate::model::first_line::Said;
-use crate::model::node::{Input, Opened, Output};
+use crate::model::first_line::LineKind;
+use crate::model::node::{Input, NewAttempt, Output};
 use crate::observation::{Attempt, AttemptEnd, NodeAnswer, Seen};
 use crate::plan::ProxyId;
 use crate::time::Micros;
@@ -44,7 +44,7 @@
             | Output::Move(serial)
             | Output::Close(serial)
             | Output::Reset(serial) => serial,
-            Output::Fell => {
+            Output::Failed => {
                 self.record(Seen::Fell { node: self.nodes[index].id });
                 return self.failed_nodes.push(index);
             }
@@ -79,7 +79,7 @@
             Output::Bye(_) => self.write_last_line(key, b"BYE\r\n", AttemptEnd::Bye),
             Output::Move(_) => self.write_last_line(key, b"MOVE\r\n", AttemptEnd::Move),
             Output::Close(_) => self.write_last_line(key, b"", AttemptEnd::ByProxy),
-            Output::Reset(_) | Output::Fell => self.reset_connection(key),
+            Output::Reset(_) | Output::Failed => self.reset_connection(key),
         }
     }
 
@@ -170,8 +170,8 @@
     }
 
     pub(super) fn handle_first_line(&mut self, key: Key, line: &[u8], first_byte: Micros, at: Micros) {
-        let open = match self.session_index.read(line) {
-            Said::Open(open) => open,
+        let open = match self.session_index.classify(line) {
+            LineKind::Request(open) => open,
             _ => return self.reject_first_line(key, line),
         };
         let Some(connection) = self.proxy_connections.get_mut(&key) else { return };
@@ -182,14 +182,20 @@
         connection.serial = Some(serial);
         node.attempts.insert(serial, key);
         let attempt = Attempt { node: node.id, serial };
-        let standing = open.at == Some(node.id);
+        let open_before_run = open.at == Some(node.id);
         self.notes.note(
             at,
             Seen::Attempt { attempt, request: open.request, session: open.session, proxy, first_byte },
         );
-        let way = self.one_way_latency(index, proxy);
-        let opened =
-            Opened { serial, request: open.request, session: open.session, wait: open.wait, standing, way };
+        let network_delay = self.one_way_latency(index, proxy);
+        let opened = NewAttempt {
+            serial,
+            request: open.request,
+            session: open.session,
+            wait: open.wait,
+            open_before_run,
+            network_delay,
+        };
         self.handle_input(index, Input::Open(opened));
     }
 
@@ -251,7 +257,7 @@
         node.connections.remove(&key);
         if let Some(serial) = connection.serial {
             node.attempts.remove(&serial);
-            self.handle_input(connection.node_index, Input::Gone(serial));
+            self.handle_input(connection.node_index, Input::Closed(serial));
         }
     }
 }
--- a/crates/kit/src/emulator/rude_script.rs
+++ b/crates/kit/src/emulator/rude_script.rs
@@ -1,6 +1,6 @@
 //! The bytes that each kind of misbehaving client sends.
 
-use crate::model::client::words::request_id;
+use crate::model::client::lines::request_id;
 use crate::observation::RequestId;
 use crate::plan::{Misbehavior, Plan};
 use cottonnotch_reactor::line::LineStream;
--- a/crates/kit/src/model/client.rs
+++ b/crates/kit/src/model/client.rs
@@ -8,10 +8,10 @@
 mod attempts;
 mod endings;
 mod established;
+pub(crate) mod lines;
 mod reading;
 #[cfg(test)]
 mod tests;
-pub(crate) mod words;
 
 use crate::observation::{ClientClose, Observation, ProxyClose, RequestId, Seen};
 use crate::plan::{Plan, ProxyId, Session as Planned, SessionId};
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Record this observation.
-    Note(Observation),
+    Record(Observation),
     /// Connect to this proxy. The session has no other connection at that time.
     Connect(ProxyId),
     /// Send this line, which includes its line end.
@@ -139,7 +139,7 @@
 type Outputs<'a> = &'a mut Vec<Output>;
 
 fn record(out: Outputs, at: Micros, seen: Seen) {
-    out.push(Output::Note(Observation { at, seen }));
+    out.push(Output::Record(Observation { at, seen }));
 }
 
 impl Session {
--- a/crates/kit/src/model/client/attempts.rs
+++ b/crates/kit/src/model/client/attempts.rs
@@ -1,6 +1,6 @@
 //! The attempts of a client: when an attempt is due, its proxy, and its first line.
 
-use super::words::{Draw, FirstLineValues, first_line, random_draw, request_id};
+use super::lines::{Draw, FirstLineValues, first_line, random_draw, request_id};
 use super::{Attempt, NextAttempt, Output, Outputs, Session, State, record};
 use crate::observation::Seen;
 use crate::plan::{ProxyId, Session as Planned};
--- a/crates/kit/src/model/client/endings.rs
+++ b/crates/kit/src/model/client/endings.rs
@@ -1,6 +1,6 @@
 //! How a connection ends: by the proxy, by a drop, or at the end of the run.
 
-use super::words::{Draw, random_draw};
+use super::lines::{Draw, random_draw};
 use super::{LingerReason, NextAttempt, Output, Outputs, Session, State, record};
 use crate::observation::{ClientClose, ProxyClose, RequestId, Seen};
 use crate::time::Micros;
--- a/crates/kit/src/model/client/established.rs
+++ b/crates/kit/src/model/client/established.rs
@@ -9,7 +9,7 @@
 //! connection was up and nothing was late. The spans are therefore disjoint, cover the whole time up, and end with
 //! the session at the latest.
 
-use super::words::client_line;
+use super::lines::client_line;
 use super::{Outputs, record};
 use crate::observation::{RequestId, Seen};
 use crate::plan::{ProxyId, SessionId};
--- a/crates/kit/src/model/client/reading.rs
+++ b/crates/kit/src/model/client/reading.rs
@@ -1,7 +1,7 @@
 //! How a client handles the lines that it reads.
 
 use super::established::{ConnectionInfo, EstablishedConnection, ReturnedLine};
-use super::words::{Draw, escaped_prefix, is_load_report, looks_like_answer, parse_answer, random_draw};
+use super::lines::{Draw, escaped_prefix, is_load_report, looks_like_answer, parse_answer, random_draw};
 use super::{Attempt, LingerReason, Outputs, Session, State, record};
 use crate::observation::{Answer, ClientClose, Seen};
 use crate::time::{MS, Micros, S};
--- a/crates/kit/src/model/client/tests.rs
+++ b/crates/kit/src/model/client/tests.rs
@@ -98,8 +98,8 @@
                     self.schedule(now + 5 * MS, "!close");
                 }
                 Output::Close | Output::Reset => self.connected = false,
-                Output::Note(Observation { seen: Seen::Unreached { .. }, .. }) => self.connected = false,
-                Output::Note(_) => {}
+                Output::Record(Observation { seen: Seen::Unreached { .. }, .. }) => self.connected = false,
+                Output::Record(_) => {}
             }
         }
         self.out.extend(out.into_iter().map(|output| (now, output)));
@@ -124,7 +124,7 @@
 
     fn observations(&self) -> Vec<Observation> {
         let observations = self.out.iter().filter_map(|(_, output)| match output {
-            Output::Note(observation) => Some(observation.clone()),
+            Output::Record(observation) => Some(observation.clone()),
             _ => None,
         });
         observations.collect()
@@ -155,7 +155,7 @@
                         line.trim_end().split(',').filter(|w| !w.starts_with("t=") && !w.starts_with("g="));
                     format!("{at} {}", flags.skip(1).collect::<Vec<_>>().join(" "))
                 }
-                Output::Note(Observation { seen, .. }) => match seen {
+                Output::Record(Observation { seen, .. }) => match seen {
                     Seen::Answered { answer, .. } => format!("{at} {answer:?}"),
                     Seen::Ended { how, .. } => format!("{at} {how:?}"),
                     Seen::Left { why, .. } => format!("{at} {why:?}"),
@@ -330,7 +330,7 @@
         let seen = |o: &Observation| (o.seen == Seen::LineSent { request, line }).then_some(o.at);
         simulation.observations().iter().find_map(seen).unwrap()
     };
-    let (first, second) = (sent(&simulation, 1), words::client_line(request, 1));
+    let (first, second) = (sent(&simulation, 1), lines::client_line(request, 1));
     let mut simulation = Simulation::new(often, &[&[(20, "UP 1")]], None);
     simulation.run_until(first + 10);
     simulation.apply(first + 10, second.trim_end());
--- a/crates/kit/src/model/discovery.rs
+++ b/crates/kit/src/model/discovery.rs
@@ -45,7 +45,7 @@
 
 /// How an update is written to a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum WriteMode {
     /// In one write.
     Whole,
     /// In pieces, with pauses in between.
@@ -60,11 +60,11 @@
     /// Answer a call with the list.
     List(u64, Update),
     /// Start the answer to a watch with this update.
-    Begin(u64, Update),
+    StartWatch(u64, Update),
     /// Continue the answer to a watch with this update.
-    Line(u64, Update, How),
+    ContinueWatch(u64, Update, WriteMode),
     /// Write an empty line as a heartbeat.
-    Beat(u64),
+    Heartbeat(u64),
     /// Answer with status 503.
     Unavailable(u64),
     /// Reset the connection.
@@ -74,7 +74,7 @@
     /// Listen at the address that follows this number of moves, and at no other address.
     Listen(u16),
     /// Stop listening.
-    Deaf,
+    StopListening,
     /// Discovery became reachable for all callers, or unreachable.
     Reachable(bool),
 }
@@ -103,7 +103,7 @@
     /// Whether the next watch receives the complete list regardless of its revision.
     gap: bool,
     /// How the next update is written to all watches that are open at that time.
-    next_write: How,
+    next_write: WriteMode,
     calls: VecDeque<(u64, Call, Micros)>,
     /// The time at which the first call in the queue is served.
     served_at: Micros,
@@ -121,7 +121,7 @@
             mode: Mode::Normal,
             moves: 0,
             gap: false,
-            next_write: How::Whole,
+            next_write: WriteMode::Whole,
             calls: VecDeque::new(),
             served_at: 0,
             watches: BTreeMap::new(),
@@ -133,13 +133,13 @@
     pub fn next_timeout(&self) -> Option<Micros> {
         let responds = matches!(self.mode, Mode::Normal | Mode::Unavailable);
         let call = self.calls.front().filter(|_| responds).map(|_| self.served_at);
-        let beat = self.watches.values().map(|watch| watch.heartbeat_at).min().filter(|_| responds);
+        let heartbeat = self.watches.values().map(|watch| watch.heartbeat_at).min().filter(|_| responds);
         let closes = self.connections.values().flatten().min().copied();
-        [call, beat, closes].into_iter().flatten().min()
+        [call, heartbeat, closes].into_iter().flatten().min()
     }
 
     /// Records an accepted connection, which will be closed if discovery moves to another address.
-    pub fn opened(&mut self, id: u64) {
+    pub fn record_accepted(&mut self, id: u64) {
         self.connections.insert(id, None);
     }
 
@@ -156,8 +156,8 @@
             Input::Ended(id) => self.remove_connection(id),
             Input::Listed(node, phase, since) => {
                 self.registry.change(node, phase, since);
-                let how = std::mem::replace(&mut self.next_write, How::Whole);
-                self.send_updates(now, how, out);
+                let mode = std::mem::replace(&mut self.next_write, WriteMode::Whole);
+                self.send_updates(now, mode, out);
             }
             Input::Change(change) => self.change(now, change, out),
             Input::Tick => {}
@@ -196,10 +196,14 @@
             if watch.sent_revision < self.registry.revision() {
                 // An update that was written unreadably is sent again with the next heartbeat, on watches that are
                 // still open.
-                out.push(Output::Line(*id, self.registry.since(watch.sent_revision), How::Whole));
+                out.push(Output::ContinueWatch(
+                    *id,
+                    self.registry.changes_since(watch.sent_revision),
+                    WriteMode::Whole,
+                ));
                 watch.sent_revision = self.registry.revision();
             } else {
-                out.push(Output::Beat(*id));
+                out.push(Output::Heartbeat(*id));
             }
         }
     }
@@ -209,20 +213,21 @@
             return out.push(Output::Unavailable(id));
         }
         match call {
-            Call::List => out.push(Output::List(id, self.registry.whole())),
+            Call::List => out.push(Output::List(id, self.registry.complete_list())),
             Call::Watch { from } => {
                 let gap = std::mem::take(&mut self.gap);
-                let update = if gap { self.registry.whole() } else { self.registry.since(from) };
+                let update =
+                    if gap { self.registry.complete_list() } else { self.registry.changes_since(from) };
                 self.watches.insert(
                     id,
                     Watch { sent_revision: update.revision, heartbeat_at: now + HEARTBEAT_INTERVAL },
                 );
-                out.push(Output::Begin(id, update));
+                out.push(Output::StartWatch(id, update));
             }
         }
     }
 
-    fn send_updates(&mut self, now: Micros, how: How, out: &mut Vec<Output>) {
+    fn send_updates(&mut self, now: Micros, mode: WriteMode, out: &mut Vec<Output>) {
         if !matches!(self.mode, Mode::Normal | Mode::Unavailable) {
             return;
         }
@@ -230,9 +235,9 @@
             if watch.sent_revision == self.registry.revision() {
                 continue;
             }
-            out.push(Output::Line(*id, self.registry.since(watch.sent_revision), how));
+            out.push(Output::ContinueWatch(*id, self.registry.changes_since(watch.sent_revision), mode));
             watch.heartbeat_at = now + HEARTBEAT_INTERVAL;
-            if how != How::Unreadable {
+            if mode != WriteMode::Unreadable {
                 watch.sent_revision = self.registry.revision();
             }
         }
@@ -241,7 +246,7 @@
     fn change(&mut self, now: Micros, change: DiscoveryChange, out: &mut Vec<Output>) {
         match change {
             DiscoveryChange::Down => {
-                out.push(Output::Deaf);
+                out.push(Output::StopListening);
                 self.reset_all(out);
                 self.set_mode(Mode::Down, out);
             }
@@ -251,8 +256,8 @@
                 self.set_mode(Mode::Resetting, out);
             }
             DiscoveryChange::Silent => self.set_mode(Mode::Silent, out),
-            DiscoveryChange::InPieces => self.next_write = How::Pieces,
-            DiscoveryChange::BadList => self.next_write = How::Unreadable,
+            DiscoveryChange::InPieces => self.next_write = WriteMode::Pieces,
+            DiscoveryChange::BadList => self.next_write = WriteMode::Unreadable,
             DiscoveryChange::Gap => self.gap = true,
             DiscoveryChange::MoveAway => {
                 self.moves += 1;
@@ -263,13 +268,13 @@
                 self.set_mode(Mode::Normal, out);
             }
             DiscoveryChange::Restore => {
-                (self.gap, self.next_write) = (false, How::Whole);
+                (self.gap, self.next_write) = (false, WriteMode::Whole);
                 if self.mode == Mode::Down {
                     out.push(Output::Listen(self.moves));
                 }
                 self.set_mode(Mode::Normal, out);
                 // Watches that stayed open while discovery was silent receive the updates that they missed.
-                self.send_updates(now, How::Whole, out);
+                self.send_updates(now, WriteMode::Whole, out);
             }
         }
     }
--- a/crates/kit/src/model/discovery/tests.rs
+++ b/crates/kit/src/model/discovery/tests.rs
@@ -11,7 +11,7 @@
 
     fn at(&mut self, now: Micros, input: Input) -> Vec<Output> {
         if let Input::Call(id, _) = input {
-            self.0.opened(id);
+            self.0.record_accepted(id);
         }
         self.0.handle(now, input, &mut self.1);
         std::mem::take(&mut self.1)
@@ -40,14 +40,14 @@
         (5, 0, true, vec![(0, Phase::Draining), (1, Phase::Removed)]),
     ] {
         let out = fixture.watch(1000 * id as Micros, id, from);
-        let [Output::Begin(_, update)] = &out[..] else { panic!("{out:?}") };
+        let [Output::StartWatch(_, update)] = &out[..] else { panic!("{out:?}") };
         assert_eq!((update.complete, nodes(update)), (complete, expected), "from {from}");
     }
     fixture.at(20_000, Input::Change(DiscoveryChange::Gap));
     let out = fixture.watch(30_000, 6, FIRST_REVISION + 2);
-    assert!(matches!(&out[..], [Output::Begin(6, Update { complete: true, .. })]), "{out:?}");
+    assert!(matches!(&out[..], [Output::StartWatch(6, Update { complete: true, .. })]), "{out:?}");
     let out = fixture.watch(40_000, 7, FIRST_REVISION + 2);
-    assert!(matches!(&out[..], [Output::Begin(7, Update { complete: false, .. })]), "{out:?}");
+    assert!(matches!(&out[..], [Output::StartWatch(7, Update { complete: false, .. })]), "{out:?}");
 }
 
 #[test]
@@ -71,12 +71,12 @@
     let mut fixture = Fixture::new();
     fixture.watch(0, 1, FIRST_REVISION);
     let beat = fixture.0.next_timeout().unwrap();
-    assert_eq!(fixture.at(beat, Input::Tick), [Output::Beat(1)]);
+    assert_eq!(fixture.at(beat, Input::Tick), [Output::Heartbeat(1)]);
     fixture.at(beat + 1, Input::Change(DiscoveryChange::BadList));
     let out = fixture.at(beat + S, Input::Listed(NodeId(0), Phase::Draining, None));
-    assert!(matches!(&out[..], [Output::Line(1, _, How::Unreadable)]), "{out:?}");
+    assert!(matches!(&out[..], [Output::ContinueWatch(1, _, WriteMode::Unreadable)]), "{out:?}");
     let out = fixture.at(fixture.0.next_timeout().unwrap(), Input::Tick);
-    let [Output::Line(1, update, How::Whole)] = &out[..] else { panic!("{out:?}") };
+    let [Output::ContinueWatch(1, update, WriteMode::Whole)] = &out[..] else { panic!("{out:?}") };
     assert_eq!(nodes(update), [(0, Phase::Draining)]);
 }
 
@@ -89,12 +89,12 @@
     assert_eq!(fixture.at(S, Input::Listed(NodeId(0), Phase::Removed, None)), []);
     assert_eq!(fixture.0.next_timeout(), None);
     let out = fixture.at(9 * S, change(DiscoveryChange::Restore));
-    assert!(matches!(&out[..], [Output::Reachable(true), Output::Line(1, ..)]), "{out:?}");
+    assert!(matches!(&out[..], [Output::Reachable(true), Output::ContinueWatch(1, ..)]), "{out:?}");
     fixture.at(9 * S, change(DiscoveryChange::Unavailable));
     assert_eq!(fixture.watch(9 * S, 2, 0), [Output::Unavailable(2)]);
     let out = fixture.at(10 * S, change(DiscoveryChange::Resetting));
     assert_eq!(out, [Output::Reset(1), Output::Reset(2)]);
-    fixture.0.opened(3);
+    fixture.0.record_accepted(3);
     assert_eq!(fixture.at(10 * S, Input::Call(3, Call::List)), [Output::Reset(3)]);
     fixture.at(11 * S, change(DiscoveryChange::Restore));
     fixture.watch(11 * S, 4, 0);
@@ -104,7 +104,7 @@
     let out = fixture.at(12 * S + OLD_ADDRESS_LINGER, Input::Tick);
     assert!(out.contains(&Output::Close(4)) && !out.contains(&Output::Close(5)), "{out:?}");
     let out = fixture.at(14 * S, change(DiscoveryChange::Down));
-    assert_eq!(out, [Output::Deaf, Output::Reset(5), Output::Reachable(false)]);
+    assert_eq!(out, [Output::StopListening, Output::Reset(5), Output::Reachable(false)]);
     let out = fixture.at(15 * S, change(DiscoveryChange::Restore));
     assert_eq!(out, [Output::Listen(1), Output::Reachable(true)]);
 }
--- a/crates/kit/src/model/first_line.rs
+++ b/crates/kit/src/model/first_line.rs
@@ -22,36 +22,36 @@
 
 /// The classification of a connection's first line.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum LineKind {
     /// `PING` or `STATS`.
     Probe,
     /// A valid request.
-    Open(FirstLine),
+    Request(FirstLine),
     /// A line that no client sends.
-    Bad,
+    Invalid,
 }
 
 /// Finds sessions by their keys, and render nodes by their names.
 #[derive(Debug)]
-pub struct Index<'a> {
+pub struct PlanIndex<'a> {
     plan: &'a Plan,
     sessions: HashMap<u64, SessionId>,
     nodes: HashMap<&'a str, NodeId>,
 }
 
-impl<'a> Index<'a> {
+impl<'a> PlanIndex<'a> {
     /// Creates the index of a plan.
     pub fn new(plan: &'a Plan) -> Self {
         let sessions = plan.sessions.iter().zip(0..).map(|(s, i)| (s.key, SessionId(i))).collect();
         let nodes = plan.nodes.iter().zip(0..).map(|(n, i)| (n.name.as_str(), NodeId(i))).collect();
-        Index { plan, sessions, nodes }
+        PlanIndex { plan, sessions, nodes }
     }
 
     /// Classifies a line, which includes its line end.
-    pub fn read(&self, line: &[u8]) -> Said {
+    pub fn classify(&self, line: &[u8]) -> LineKind {
         match line {
-            b"PING\r\n" | b"STATS\r\n" => Said::Probe,
-            _ => self.parse_request(line).map_or(Said::Bad, Said::Open),
+            b"PING\r\n" | b"STATS\r\n" => LineKind::Probe,
+            _ => self.parse_request(line).map_or(LineKind::Invalid, LineKind::Request),
         }
     }
 
@@ -107,14 +107,14 @@
     #[test]
     fn only_a_clients_line_is_valid_and_only_d_may_differ() {
         let plan = plan(2, 2, 3);
-        let index = Index::new(&plan);
+        let index = PlanIndex::new(&plan);
         let line = first_line(&plan, 1, 0xab, 700, "");
-        let said = index.read(line.as_bytes());
+        let kind = index.classify(line.as_bytes());
         let open =
             FirstLine { request: RequestId(0xab), session: Some(SessionId(1)), wait: 700 * MS, at: None };
-        assert_eq!(said, Said::Open(open.clone()));
-        let again = index.read(first_line(&plan, 1, 0xab, 9, ",r=1,again=1,at=n1").as_bytes());
-        assert_eq!(again, Said::Open(FirstLine { wait: 9 * MS, at: Some(NodeId(1)), ..open }));
+        assert_eq!(kind, LineKind::Request(open.clone()));
+        let again = index.classify(first_line(&plan, 1, 0xab, 9, ",r=1,again=1,at=n1").as_bytes());
+        assert_eq!(again, LineKind::Request(FirstLine { wait: 9 * MS, at: Some(NodeId(1)), ..open }));
         for (from, to) in [
             ("\r\n", "\n"),
             ("OPEN ", "open "),
@@ -132,10 +132,17 @@
             ("d=700", "d=700,at=nobody"),
         ] {
             assert!(line.contains(from));
-            assert_eq!(index.read(line.replace(from, to).as_bytes()), Said::Bad, "{from} -> {to}");
+            assert_eq!(
+                index.classify(line.replace(from, to).as_bytes()),
+                LineKind::Invalid,
+                "{from} -> {to}"
+            );
         }
-        assert_eq!(index.read(b"PING\r\n"), Said::Probe);
+        assert_eq!(index.classify(b"PING\r\n"), LineKind::Probe);
         let unknown_key = line.replace(&format!("{:016x}", plan.sessions[1].key), "77");
-        assert!(matches!(index.read(unknown_key.as_bytes()), Said::Open(FirstLine { session: None, .. })));
+        assert!(matches!(
+            index.classify(unknown_key.as_bytes()),
+            LineKind::Request(FirstLine { session: None, .. })
+        ));
     }
 }
--- a/crates/kit/src/model/mod.rs
+++ b/crates/kit/src/model/mod.rs
@@ -3,10 +3,10 @@
 
 pub mod backlog;
 pub mod client;
-pub mod cold;
 pub mod discovery;
 pub mod first_line;
 pub mod node;
 pub mod registry;
+pub mod slow_start;
 #[cfg(test)]
 pub(crate) mod testing;
--- a/crates/kit/src/model/node.rs
+++ b/crates/kit/src/model/node.rs
@@ -8,7 +8,7 @@
 mod tests;
 
 use super::backlog::{Backlog, Ramp, seconds};
-use super::cold::ArrivalBudget;
+use super::slow_start::ArrivalBudget;
 use crate::observation::{NodeAnswer, RequestId};
 use crate::plan::{Node, NodeChange, NodeId, Plan, SessionId};
 use crate::time::Micros;
@@ -27,7 +27,7 @@
 
 /// A first line that the node received.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Opened {
+pub struct NewAttempt {
     /// The serial number of the attempt at this node. It identifies the connection.
     pub serial: u32,
     /// The id in the client's first line.
@@ -37,23 +37,23 @@
     /// The time that the proxy waits for the answer.
     pub wait: Micros,
     /// Whether the connection was open at this node before the run. It needs no set-up then.
-    pub standing: bool,
+    pub open_before_run: bool,
     /// The network delay of one direction between the proxy and this node. Answers and returned lines are delayed by
     /// both directions, and lines that the node sends without a request by one.
-    pub way: Micros,
+    pub network_delay: Micros,
 }
 
 /// Events for the node. Connections are identified by the serials of their attempts; an unknown serial is ignored.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Input {
     /// A first line was received.
-    Open(Opened),
+    Open(NewAttempt),
     /// A line of the client was received.
     Line(u32),
     /// The proxy ended its sending.
     Ended(u32),
     /// The connection is closed.
-    Gone(u32),
+    Closed(u32),
     /// A change of the timeline. The emulated network carries out `Vanish`; the node ignores it.
     Change(NodeChange),
     /// Time has passed.
@@ -80,7 +80,7 @@
     /// Reset the connection.
     Reset(u32),
     /// The node failed because too many connections arrived during slow start. It stays down.
-    Fell,
+    Failed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -192,10 +192,10 @@
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         self.catch_up(now, out);
         match input {
-            Input::Open(opened) => self.open(now, opened, out),
+            Input::Open(attempt) => self.open(now, attempt, out),
             Input::Line(serial) => self.handle_line(now, serial),
             Input::Ended(serial) => self.handle_end(now, serial, out),
-            Input::Gone(serial) => drop(self.connections.remove(serial)),
+            Input::Closed(serial) => drop(self.connections.remove(serial)),
             Input::Change(change) => self.change(now, change, out),
             Input::Tick => {}
         }
--- a/crates/kit/src/model/node/attempts.rs
+++ b/crates/kit/src/model/node/attempts.rs
@@ -1,29 +1,29 @@
 //! How a render node handles an attempt, from the first line to the answer.
 
 use super::connection::{Connection, Refusal, State};
-use super::{Event, NodeModel, Opened, Output};
+use super::{Event, NewAttempt, NodeModel, Output};
 use crate::observation::NodeAnswer;
 use crate::plan::{NodeId, SessionId};
 use crate::time::Micros;
 use rand::RngExt;
 
 impl NodeModel {
-    pub(super) fn open(&mut self, now: Micros, opened: Opened, out: &mut Vec<Output>) {
+    pub(super) fn open(&mut self, now: Micros, attempt: NewAttempt, out: &mut Vec<Output>) {
         if !self.running {
-            return out.push(Output::Reset(opened.serial));
+            return out.push(Output::Reset(attempt.serial));
         }
         self.budget.take_if(|budget| budget.is_expired(now));
         if let Some(budget) = &mut self.budget
             && budget.record_arrival(now, &self.plan.rules)
         {
             self.failed = true;
-            out.push(Output::Reset(opened.serial));
+            out.push(Output::Reset(attempt.serial));
             self.stop(out);
-            return out.push(Output::Fell);
+            return out.push(Output::Failed);
         }
-        let (round_trip, gives_up) = (2 * opened.way, now + opened.wait);
-        let (state, session, at) = match (self.refusal(&opened), opened.session) {
-            (None, Some(session)) if opened.standing => {
+        let (round_trip, gives_up) = (2 * attempt.network_delay, now + attempt.wait);
+        let (state, session, at) = match (self.refusal(&attempt), attempt.session) {
+            (None, Some(session)) if attempt.open_before_run => {
                 (State::SettingUp { gives_up }, session, now + round_trip)
             }
             (None, Some(session)) => {
@@ -46,18 +46,18 @@
                 (State::Refused(refusal), session.unwrap_or(SessionId(u32::MAX)), now + round_trip)
             }
         };
-        let connection = Connection::new(opened.request, session, opened.way, state, at);
-        self.connections.insert(opened.serial, connection);
-        self.schedule(at, opened.serial, Event::Answer);
+        let connection = Connection::new(attempt.request, session, attempt.network_delay, state, at);
+        self.connections.insert(attempt.serial, connection);
+        self.schedule(at, attempt.serial, Event::Answer);
     }
 
-    fn refusal(&self, opened: &Opened) -> Option<Refusal> {
+    fn refusal(&self, attempt: &NewAttempt) -> Option<Refusal> {
         let node = self.node();
         let full = self.connections.setups() + self.connections.up() >= node.connections_max
-            || (!opened.standing && self.connections.setups() >= node.setups_max);
+            || (!attempt.open_before_run && self.connections.setups() >= node.setups_max);
         if self.rubbish {
             Some(Refusal::Rubbish)
-        } else if opened.session.is_none() || self.connections.is_open(opened.request) {
+        } else if attempt.session.is_none() || self.connections.is_open(attempt.request) {
             Some(Refusal::Error)
         } else {
             (self.draining || full).then_some(Refusal::Busy)
--- a/crates/kit/src/model/node/tests.rs
+++ b/crates/kit/src/model/node/tests.rs
@@ -30,22 +30,29 @@
         all
     }
 
-    fn new_attempt(&mut self, wait: Micros) -> Opened {
+    fn new_attempt(&mut self, wait: Micros) -> NewAttempt {
         let serial = self.serial;
         self.serial += 1;
         let request = RequestId(u64::from(serial));
-        Opened { serial, request, session: Some(SessionId(serial)), wait, standing: false, way: 0 }
+        NewAttempt {
+            serial,
+            request,
+            session: Some(SessionId(serial)),
+            wait,
+            open_before_run: false,
+            network_delay: 0,
+        }
     }
 
     fn open(&mut self, now: Micros, wait: Micros) -> Vec<Output> {
-        let opened = self.new_attempt(wait);
-        self.at(now, Input::Open(opened))
+        let attempt = self.new_attempt(wait);
+        self.at(now, Input::Open(attempt))
     }
 
     fn open_before_run(&mut self, now: Micros, count: u32) {
         for _ in 0..count {
-            let opened = Opened { standing: true, ..self.new_attempt(S) };
-            let out = self.at(now, Input::Open(opened));
+            let attempt = NewAttempt { open_before_run: true, ..self.new_attempt(S) };
+            let out = self.at(now, Input::Open(attempt));
             assert!(matches!(out[..], [Output::Answer(_, NodeAnswer::Up(_))]), "{out:?}");
         }
     }
@@ -89,7 +96,7 @@
     let first = fixture.until(9 * S).iter().find(|(_, o)| *o == Output::Return(0)).map(|(at, _)| *at);
     assert!(first.is_some_and(|at| at - S > 95 * MS), "{first:?}");
     for serial in 0..4 {
-        fixture.at(9 * S, Input::Gone(serial));
+        fixture.at(9 * S, Input::Closed(serial));
     }
     fixture.at(9 * S, Input::Tick);
     assert!((fixture.model.backlog_seconds() - 0.9).abs() < 1e-6, "{}", fixture.model.backlog_seconds());
@@ -138,7 +145,7 @@
 fn a_full_or_draining_node_and_a_duplicate_id_are_refused() {
     let mut fixture = Fixture::new(|plan| (plan.nodes[0].setups_max, plan.nodes[0].connections_max) = (2, 5));
     fixture.open_before_run(0, 2);
-    let duplicate = Opened { request: RequestId(0), ..fixture.new_attempt(S) };
+    let duplicate = NewAttempt { request: RequestId(0), ..fixture.new_attempt(S) };
     assert_eq!(fixture.at(0, Input::Open(duplicate)), [Output::Answer(2, NodeAnswer::Error)]);
     for _ in 0..2 {
         assert_eq!(fixture.open(0, S), []);
@@ -177,7 +184,7 @@
     let fails = |count: i64, from: Micros, gap: Micros| {
         let mut fixture = Fixture::new(|plan| plan.nodes[0].from_start = false);
         fixture.at(0, Input::Change(NodeChange::Start));
-        let has_failed = |out: Vec<Output>| out.contains(&Output::Fell);
+        let has_failed = |out: Vec<Output>| out.contains(&Output::Failed);
         (0..count).any(|i| has_failed(fixture.open(from + i * gap, S)))
     };
     assert!(!fails(11, 0, 1));
@@ -218,8 +225,8 @@
     fixture.open_before_run(0, 6);
     let expected = 6.0 * 0.05 + 2.0 * (2.0 / 20.0);
     assert!((fixture.model.utilisation(0) - expected).abs() < 1e-9);
-    fixture.at(0, Input::Gone(5));
-    fixture.at(0, Input::Gone(0));
+    fixture.at(0, Input::Closed(5));
+    fixture.at(0, Input::Closed(0));
     assert!((fixture.model.utilisation(0) - (0.2 + 0.1)).abs() < 1e-9);
     fixture.at(S, Input::Change(NodeChange::Slow(4.0)));
     assert!((fixture.model.utilisation(S) - 4.0 * 0.3).abs() < 1e-9);
--- a/crates/kit/src/model/registry.rs
+++ b/crates/kit/src/model/registry.rs
@@ -14,7 +14,7 @@
     /// The phase of the node.
     pub phase: Phase,
     /// The node's last start, on the run's clock; `None` if the node started before the run.
-    pub since: Option<Micros>,
+    pub started: Option<Micros>,
     revision: u64,
 }
 
@@ -40,7 +40,7 @@
     /// Creates the list as it is at the start of a run.
     pub fn new(plan: &Plan) -> Self {
         let listed = plan.nodes.iter().zip(0..).filter(|(node, _)| node.from_start);
-        let entry = Entry { phase: Phase::Up, since: None, revision: FIRST_REVISION };
+        let entry = Entry { phase: Phase::Up, started: None, revision: FIRST_REVISION };
         Registry { revision: FIRST_REVISION, entries: listed.map(|(_, i)| (NodeId(i), entry)).collect() }
     }
 
@@ -50,21 +50,21 @@
     }
 
     /// Applies a change.
-    pub fn change(&mut self, node: NodeId, phase: Phase, since: Option<Micros>) {
+    pub fn change(&mut self, node: NodeId, phase: Phase, started: Option<Micros>) {
         self.revision += 1;
-        self.entries.insert(node, Entry { phase, since, revision: self.revision });
+        self.entries.insert(node, Entry { phase, started, revision: self.revision });
     }
 
     /// Returns the complete list.
-    pub fn whole(&self) -> Update {
+    pub fn complete_list(&self) -> Update {
         let entries = self.entries.iter().map(|(node, entry)| (*node, *entry)).collect();
         Update { revision: self.revision, complete: true, entries }
     }
 
     /// Returns the changes after a revision, oldest first, or the complete list if the revision is unknown.
-    pub fn since(&self, revision: u64) -> Update {
+    pub fn changes_since(&self, revision: u64) -> Update {
         if !(FIRST_REVISION..=self.revision).contains(&revision) {
-            return self.whole();
+            return self.complete_list();
         }
         let mut entries: Vec<_> = self.entries.iter().map(|(node, entry)| (*node, *entry)).collect();
         entries.retain(|(_, entry)| entry.revision > revision);
--- a/crates/kit/src/model/cold.rs
+++ b/crates/kit/src/model/slow_start.rs
@@ -17,7 +17,7 @@
 }
 
 /// The slow start of a node as the observations record it.
-pub fn figures(node: &Node) -> SlowStart {
+pub fn for_node(node: &Node) -> SlowStart {
     SlowStart { joins_per_s: joins_per_s(node), from: node.cold_from, warm_up: node.warm_up }
 }
 
