--- a/crates/kit/src/model/backlog.rs
+++ b/crates/kit/src/model/backlog.rs
@@ -1,4 +1,4 @@
-//! The backlog of work, modelled as a fluid: connections add work at a rate, and the render node completes work at
+//! The backlog of work, modeled as a fluid: connections add work at a rate, and the render node completes work at
 //! a rate. Between two events the demand is constant and the capacity rises linearly or is constant, so the
 //! integration is exact.
 
--- a/crates/kit/src/model/client.rs
+++ b/crates/kit/src/model/client.rs
@@ -1,4 +1,4 @@
-//! The behaviour of a client in one session of the plan, sans-io. Time is a parameter, and every random draw
+//! The behavior of a client in one session of the plan, sans-io. Time is a parameter, and every random draw
 //! derives from the session's own seed, so the same inputs at the same times give the same outputs.
 //!
 //! A session wants a connection from its arrival until its end. It makes its attempts in series: a *series* is a
--- a/crates/kit/src/model/client/lines.rs
+++ b/crates/kit/src/model/client/lines.rs
@@ -68,7 +68,7 @@
 }
 
 /// The client's line with this number, including its line end. The line is a function of the request and the
-/// number, so returned lines can be recognised without storing the lines that were sent.
+/// number, so returned lines can be recognized without storing the lines that were sent.
 pub(crate) fn client_line(request: RequestId, number: u32) -> String {
     let bits = mix(request.0 ^ u64::from(number));
     let length = (PADDING.0 + bits % (PADDING.1 - PADDING.0 + 1)) as usize;
--- a/crates/kit/src/model/mod.rs
+++ b/crates/kit/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! The behaviour of the emulated clients, render nodes and discovery, without sockets and clocks: `handle(now,
+//! The behavior of the emulated clients, render nodes and discovery, without sockets and clocks: `handle(now,
 //! input) -> outputs` and `next_timeout()`. The same inputs at the same times give the same outputs.
 
 pub mod backlog;
--- a/crates/kit/src/model/node.rs
+++ b/crates/kit/src/model/node.rs
@@ -1,5 +1,5 @@
 //! The model of one render node: set-ups, the load of connections, the backlog of work, and message latency that
-//! grows with utilisation. `docs/design/render-node-model.md` has the formulas and the simplifications.
+//! grows with utilization. `docs/design/render-node-model.md` has the formulas and the simplifications.
 
 mod attempts;
 mod connection;
@@ -21,9 +21,9 @@
 use std::collections::BinaryHeap;
 use std::sync::Arc;
 
-/// Message latency grows with utilisation up to this value. Demand beyond the capacity builds up a backlog, whose
+/// Message latency grows with utilization up to this value. Demand beyond the capacity builds up a backlog, whose
 /// delay is added separately.
-const MAX_UTILISATION: f64 = 0.98;
+const MAX_UTILIZATION: f64 = 0.98;
 
 /// A first line that the node received.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -170,7 +170,7 @@
     }
 
     /// The demand as a share of the current capacity.
-    pub fn utilisation(&self, now: Micros) -> f64 {
+    pub fn utilization(&self, now: Micros) -> f64 {
         self.connections.demand() / self.ramp.capacity(now).max(f64::MIN_POSITIVE)
     }
 
@@ -190,7 +190,7 @@
 
     /// Performs the actions that are due, and then handles the input. `now` must not decrease.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
-        self.catch_up(now, out);
+        self.perform_due(now, out);
         match input {
             Input::Open(attempt) => self.open(now, attempt, out),
             Input::Line(serial) => self.handle_line(now, serial),
@@ -199,10 +199,10 @@
             Input::Change(change) => self.change(now, change, out),
             Input::Tick => {}
         }
-        self.catch_up(now, out);
+        self.perform_due(now, out);
     }
 
-    fn catch_up(&mut self, now: Micros, out: &mut Vec<Output>) {
+    fn perform_due(&mut self, now: Micros, out: &mut Vec<Output>) {
         while self.running {
             let due = self.events.peek().map(|Reverse((at, ..))| *at).filter(|at| *at <= now);
             match self.shed_time().filter(|at| *at <= due.unwrap_or(now)) {
@@ -244,9 +244,9 @@
     // -- connections --
 
     fn handle_line(&mut self, now: Micros, serial: u32) {
-        let (utilisation, backlog) = (self.utilisation(now).min(MAX_UTILISATION), self.backlog_seconds());
+        let (utilization, backlog) = (self.utilization(now).min(MAX_UTILIZATION), self.backlog_seconds());
         let node = self.node();
-        let queueing_factor = 1.0 + node.bursty * utilisation * utilisation / (1.0 - utilisation);
+        let queueing_factor = 1.0 + node.bursty * utilization * utilization / (1.0 - utilization);
         let mean = node.message as f64 * self.slowdown * queueing_factor;
         let draw: f64 = Exp1.sample(&mut self.rng);
         let latency = (mean * draw + backlog.min(1e6) * 1e6) as Micros;
@@ -255,7 +255,7 @@
         at.into_iter().for_each(|at| self.schedule(at, serial, Event::WriteItem));
     }
 
-    /// Queues `word` as the last item of the connection, after the lines that are still to be returned.
+    /// Queues `last_item` as the last item of the connection, after the lines that are still to be returned.
     fn queue_last_item(&mut self, now: Micros, serial: u32, last_item: Item) {
         let Some(connection) = self.connections.up_mut(serial) else { return };
         let at = connection.push_item(now + connection.network_delay, last_item);
--- a/crates/kit/src/model/node/tests.rs
+++ b/crates/kit/src/model/node/tests.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn message_latency_grows_with_utilisation() {
+fn message_latency_grows_with_utilization() {
     let share = |connections| {
         let mut fixture = Fixture::new(|_| {});
         fixture.open_before_run(0, connections);
@@ -213,7 +213,7 @@
     let load_reports = [(S, Output::Load(4, 400_000)), (S, Output::Load(7, 300_000))];
     assert_eq!(out[..2], load_reports);
     assert_eq!(out[2..], [(3 * S, Output::Reset(4)), (3 * S, Output::Reset(7))]);
-    assert!(fixture.model.utilisation(20 * S) < 1.0);
+    assert!(fixture.model.utilization(20 * S) < 1.0);
 }
 
 #[test]
@@ -224,21 +224,21 @@
     });
     fixture.open_before_run(0, 6);
     let expected = 6.0 * 0.05 + 2.0 * (2.0 / 20.0);
-    assert!((fixture.model.utilisation(0) - expected).abs() < 1e-9);
+    assert!((fixture.model.utilization(0) - expected).abs() < 1e-9);
     fixture.at(0, Input::Closed(5));
     fixture.at(0, Input::Closed(0));
-    assert!((fixture.model.utilisation(0) - (0.2 + 0.1)).abs() < 1e-9);
+    assert!((fixture.model.utilization(0) - (0.2 + 0.1)).abs() < 1e-9);
     fixture.at(S, Input::Change(NodeChange::Slow(4.0)));
-    assert!((fixture.model.utilisation(S) - 4.0 * 0.3).abs() < 1e-9);
+    assert!((fixture.model.utilization(S) - 4.0 * 0.3).abs() < 1e-9);
     fixture.at(S, Input::Change(NodeChange::Slow(1.0)));
     fixture.at(S, Input::Change(NodeChange::Kill));
     fixture.at(2 * S, Input::Change(NodeChange::Start));
     fixture.open_before_run(2 * S, 2);
-    let utilisation = [2, 7].map(|s| fixture.model.utilisation(s * S));
+    let utilization = [2, 7].map(|s| fixture.model.utilization(s * S));
     let demand = 2.0 * 0.05 + 2.0 * 0.1;
     assert!(
-        (utilisation[0] - demand / 0.3).abs() < 1e-9 && (utilisation[1] - demand).abs() < 1e-9,
-        "{utilisation:?}"
+        (utilization[0] - demand / 0.3).abs() < 1e-9 && (utilization[1] - demand).abs() < 1e-9,
+        "{utilization:?}"
     );
 }
 
