--- a/crates/aggregation/src/receiving.rs
+++ b/crates/aggregation/src/receiving.rs
@@ -1,20 +1,20 @@
-//! What a member does with the datagrams of others, and with the answer to its own report.
+//! Handling of incoming datagrams, and of the answer to this member's own report.
 
-use crate::group_sums::Recorded;
+use crate::group_sums::RecordOutcome;
 use crate::interface::Output;
 use crate::wire::{self, Datagram, FleetSummary, Fragment, GroupReport, Report, SubsetSizes};
 use crate::{AffinitySettings, Member, Micros};
 
-/// A snapshot is replaced by one of fewer members than this share of its own only once it is old: an aggregator that has just
-/// begun has not heard all.
+/// A summary with fewer members than this fraction of the current snapshot's members replaces the snapshot only once the
+/// snapshot is old. An aggregator that has just started may not have received all reports.
 const MIN_MEMBER_RATIO: f64 = 0.6;
-/// The age, in report intervals, from which a snapshot is old in that sense.
-const SNAPSHOT_INTERVALS: Micros = 3;
+/// Age, in report intervals, from which a summary with far fewer members replaces a snapshot.
+const MAX_SNAPSHOT_AGE_INTERVALS: Micros = 3;
 
 impl Member {
-    /// Takes a datagram from the member with this address.
+    /// Handles a datagram; `from` is the ordinal of the member with the sender's address.
     pub(crate) fn receive(&mut self, from: Option<u32>, bytes: &[u8]) {
-        let from = from.filter(|from| *from != self.me && *from < self.members && !self.left);
+        let from = from.filter(|from| *from != self.ordinal && *from < self.members && !self.has_left);
         let (Some(from), Some(datagram)) = (from, wire::read(bytes)) else {
             self.outbox.counts.dropped += 1;
             return;
@@ -45,8 +45,8 @@
         };
         let sequence = report.sequence;
         let wants_answer = report.fragment.is_last() && !report.advance_notice;
-        let recorded = self.aggregator.record_groups(&self.settings, self.now, from, bytes, report);
-        self.outbox.counts.dropped += u64::from(recorded == Recorded::Contradictory);
+        let outcome = self.aggregator.record_groups(&self.settings, self.now, from, bytes, report);
+        self.outbox.counts.dropped += u64::from(outcome == RecordOutcome::Contradictory);
         if wants_answer {
             let incomplete = self.aggregator.summary(&self.settings, self.now).incomplete;
             let sizes = if incomplete { Vec::new() } else { self.compute_subset_sizes(&affinity) };
@@ -59,8 +59,8 @@
         self.aggregator.subset_sizes(&self.settings, affinity, self.now, self.members)
     }
 
-    /// Whether this answers the last report, in time, and comes from a member that it went to: an earlier aggregator could
-    /// guess the next sequence number.
+    /// Whether a datagram with this sequence number answers the last report in time. Only members that the report was sent to
+    /// may answer: an earlier aggregator could guess the next sequence number.
     fn is_answer(&mut self, from: u32, sequence: u16) -> bool {
         let asked = sequence == self.schedule.sequence && self.search.has_asked(from);
         let late = self.answer_is_late();
@@ -82,7 +82,7 @@
         }
     }
 
-    /// As aggregator, answers this member's own report without a datagram.
+    /// Answers this member's own report, without a datagram, when it is aggregator itself.
     pub(crate) fn answer_own_report(&mut self) {
         self.search.end_report();
         let summary = self.aggregator.summary(&self.settings, self.now);
@@ -97,26 +97,26 @@
     }
 
     fn apply_summary(&mut self, summary: FleetSummary) {
-        if summary.incomplete || self.lacks_members(&summary) {
+        if summary.incomplete || self.has_too_few_members(&summary) {
             return;
         }
         let own_connections = self.local.totals.connections;
         self.snapshot.get_or_insert_default().update(self.now, own_connections, summary);
-        // Where the fleet got more requests, reports come closer at once, not only from the next one on.
+        // If the report interval has become shorter because of more requests, the next report is moved forward too.
         let latest = self.schedule.sent_at + self.report_interval() * 11 / 10;
         self.schedule.next_at = self.schedule.next_at.min(latest);
         self.outbox.push(Output::Snapshot);
     }
 
-    fn lacks_members(&self, summary: &FleetSummary) -> bool {
+    fn has_too_few_members(&self, summary: &FleetSummary) -> bool {
         self.snapshot.as_ref().is_some_and(|snapshot| {
             f64::from(summary.members) < MIN_MEMBER_RATIO * f64::from(snapshot.members)
-                && self.now - snapshot.received_at < SNAPSHOT_INTERVALS * self.report_interval()
+                && self.now - snapshot.received_at < MAX_SNAPSHOT_AGE_INTERVALS * self.report_interval()
         })
     }
 
     fn apply_subset_sizes(&mut self, sizes: Vec<(u64, u32)>, is_last_fragment: bool) {
-        self.outbox.counts.subset_tables_received += 1;
+        self.outbox.counts.subset_size_datagrams_received += 1;
         let max_size = self.aggregator.endpoints().count;
         if self.subsets.apply_answer(self.now, sizes, max_size, is_last_fragment) {
             self.outbox.push(Output::AffinitySubsets);
--- a/crates/aggregation/tests/wall_clock.rs
+++ b/crates/aggregation/tests/wall_clock.rs
@@ -1,4 +1,5 @@
-//! The wall clock is stepped: epochs, on which all members must agree, follow it; no other time does.
+//! After a step of the wall clock, epochs follow the new time, since all members must agree on them. No other time follows the
+//! step.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -10,36 +11,36 @@
     EPOCH, FleetSection, Input, Member, Micros, Output, Settings, aggregator_order,
 };
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 const MEMBERS: u32 = 12;
-const UNIX: Micros = 90_000 * EPOCH + S;
+const UNIX: Micros = 90_000 * EPOCH + SECOND;
 
 fn settings() -> Settings {
     FleetSection { members_from: Some(4), ..FleetSection::default() }.check().unwrap().unwrap()
 }
 
-fn reports_to(member: &mut Member, now: Micros) -> Vec<u32> {
+fn report_receivers(member: &mut Member, now: Micros) -> Vec<u32> {
     member.handle(now, Input::Tick);
     let outputs = std::iter::from_fn(|| member.poll());
     outputs.filter_map(|output| if let Output::Send { to, .. } = output { Some(to) } else { None }).collect()
 }
 
-/// Members from before and after a step of the wall clock ask the same aggregator.
+/// A member started before a step of the wall clock and a member started after it report to the same aggregator.
 #[test]
 fn epoch_follows_stepped_wall_clock() {
-    for step in [-3600 * S, -7 * S, 7 * S, 3600 * S] {
-        let unix = UNIX + 2 * S + step;
+    for step in [-3600 * SECOND, -7 * SECOND, 7 * SECOND, 3600 * SECOND] {
+        let unix = UNIX + 2 * SECOND + step;
         let aggregator = aggregator_order((unix / EPOCH) as u64, MEMBERS)[0];
-        let me = (aggregator + 1) % MEMBERS;
-        // One that began before the step, on a clock of its own, and one that begins after it.
-        let mut before = Member::new(settings(), me, MEMBERS, 1, 0, UNIX);
-        before.set_wall_clock(2 * S, unix);
-        let mut after = Member::new(settings(), me, MEMBERS, 2, 2 * S, unix);
+        let ordinal = (aggregator + 1) % MEMBERS;
+        // One member starts before the step, and one after it.
+        let mut before = Member::new(settings(), ordinal, MEMBERS, 1, 0, UNIX);
+        before.set_wall_clock(2 * SECOND, unix);
+        let mut after = Member::new(settings(), ordinal, MEMBERS, 2, 2 * SECOND, unix);
         for member in [&mut before, &mut after] {
-            let at = member.next_timeout().max(2 * S);
-            let asked = reports_to(member, at);
-            assert_eq!(asked.first(), Some(&aggregator), "step of {step}: asked {asked:?}");
-            assert!(member.next_timeout() < at + 10 * S, "its own times are not stepped");
+            let at = member.next_timeout().max(2 * SECOND);
+            let receivers = report_receivers(member, at);
+            assert_eq!(receivers.first(), Some(&aggregator), "step of {step} us: reported to {receivers:?}");
+            assert!(member.next_timeout() < at + 10 * SECOND, "the timeout does not follow the step");
         }
     }
 }
