--- a/crates/kit/src/model/client.rs
+++ b/crates/kit/src/model/client.rs
@@ -1,116 +1,117 @@
-//! What a client does next: one session of the plan, sans-io. Time is a parameter, and every draw comes from the
-//! session's own seed, so the same inputs at the same times give the same outputs.
+//! The behavior of a client in one session of the plan, sans-io. Time is a parameter, and every random draw
+//! derives from the session's own seed, so the same inputs at the same times give the same outputs.
 //!
-//! A session wants a connection from its arrival to the end of its life. A *wish* is one bout of trying for it: some
-//! tries, one after the other, within the class's deadline. `docs/design/clients.md` has the whole of it.
+//! A session wants a connection from its arrival until its end. It makes its attempts in series: a *series* is a
+//! number of consecutive attempts within one deadline of the class. After a failed series the session backs off, and
+//! then starts the next one. `docs/design/clients.md` has the complete description.
 
+mod attempts;
 mod endings;
+mod established;
+pub(crate) mod lines;
 mod reading;
-mod standing;
 #[cfg(test)]
 mod tests;
-mod tries;
-pub(crate) mod words;
 
 use crate::observation::{ClientClose, Observation, ProxyClose, RequestId, Seen};
 use crate::plan::{Plan, ProxyId, Session as Planned, SessionId};
 use crate::time::{MS, Micros, S};
-use standing::Standing;
+use attempts::MIN_WAIT;
+use established::EstablishedConnection;
 use std::sync::Arc;
-use tries::LEAST_WAIT;
 
-/// Beyond the time in which a late answer is still in order, a client looks so much longer for one.
-const LATE_MARGIN: Micros = 20 * MS;
-/// After its end of sending, a client awaits the rest for so long.
-const REST_WITHIN: Micros = 2 * S;
+/// A client that gave up waits this much longer for a late answer than the rules allow such an answer to take.
+const LATE_ANSWER_MARGIN: Micros = 20 * MS;
+/// After a client has ended its sending, it waits this long for the remaining lines.
+const REST_TIMEOUT: Micros = 2 * S;
 
-/// What has happened to a session.
+/// Events for a session.
 #[derive(Clone, Copy, Debug)]
 #[allow(missing_docs)] // Each variant's sentence names its fields.
 pub enum Input<'a> {
-    /// The time of [`Session::next_timeout`] has come.
+    /// The time that [`Session::next_timeout`] returned has come.
     Due,
-    /// The connection stands, and the first line can be written.
+    /// The connection is established, and the first line can be written.
     Connected,
-    /// The first line's last byte is written.
+    /// The last byte of the first line has been written.
     Written,
-    /// The connection never stood, or broke before that byte was written.
+    /// The connection could not be established, or broke before the last byte of the first line was written.
     Unreached,
-    /// A line was read; without its end.
+    /// A line was read; passed without its line end.
     Line(&'a [u8]),
-    /// The proxy has ended the connection.
+    /// The proxy ended the connection.
     Ended(ProxyClose),
-    /// The timeline's [`TimelineChange::Drop`](crate::plan::TimelineChange::Drop).
+    /// [`TimelineChange::Drop`](crate::plan::TimelineChange::Drop) of the timeline.
     Drop { share: f64, back_within: Micros, seed: u64 },
-    /// The run is over.
+    /// The run ends.
     Stop,
 }
 
-/// What a session wants done.
+/// Actions that a session requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// To be taken down.
-    Note(Observation),
-    /// Connect to this proxy. There is no other connection.
+    /// Record this observation.
+    Record(Observation),
+    /// Connect to this proxy. The session has no other connection at that time.
     Connect(ProxyId),
-    /// Write this, its line end included.
+    /// Send this line, which includes its line end.
     Send(String),
-    /// End the sending; the rest is still read.
+    /// End the sending. The rest of the input is still read.
     Finish,
     /// Close the connection.
     Close,
-    /// Close it by a reset.
+    /// Reset the connection.
     Reset,
 }
 
-/// When a session tries again.
+/// The time of a session's next attempt.
 #[derive(Clone, Copy, Debug)]
-struct Next {
+struct NextAttempt {
     due: Micros,
-    /// With a new wish.
-    fresh: bool,
+    /// Whether the attempt starts a new series.
+    starts_series: bool,
 }
 
-/// A try that is not put to the proxy yet.
+/// An attempt whose request the proxy has not yet received.
 #[derive(Clone, Copy, Debug)]
-struct Try {
+struct Attempt {
     due: Micros,
     proxy: ProxyId,
     request: RequestId,
-    gives_up: Micros,
+    gives_up_at: Micros,
 }
 
-/// Why a connection is kept that can't serve any more.
+/// Why a connection that cannot serve the client is kept open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Why {
-    /// It was refused, or failed: a second answer would be seen.
+enum LingerReason {
+    /// The request was refused or failed. The client would see a second answer.
     Refused,
-    /// The client's time was up: a late answer is looked for.
+    /// The client's deadline has passed. The client waits for a late answer.
     Late,
-    /// `MOVE` was read: the proxy is to close.
+    /// `MOVE` was read. The proxy has to close the connection.
     Moved,
 }
 
 #[derive(Debug)]
 enum State {
-    /// No connection; `arrives` if the session has not come yet.
-    Waiting(Next),
-    Connecting(Try),
-    /// The connection stands, the first line is being written.
-    Opening(Try, Micros),
+    /// No connection until the next attempt. The first attempt is due at the session's arrival.
+    Waiting(NextAttempt),
+    Connecting(Attempt),
+    /// The connection is established and the first line is being written. The duration is the wait in that line.
+    SendingFirstLine(Attempt, Micros),
     Asked {
-        of: Try,
+        attempt: Attempt,
         deadline: Micros,
     },
     Lingering {
         request: RequestId,
-        why: Why,
+        why: LingerReason,
         until: Micros,
-        next: Next,
+        next: NextAttempt,
     },
-    Up(Box<Standing>),
-    Finishing(Box<Standing>, Micros),
-    AttemptEnd,
+    Up(Box<EstablishedConnection>),
+    Finishing(Box<EstablishedConnection>, Micros),
+    Over,
 }
 
 /// A session, from its arrival to its end.
@@ -118,32 +119,32 @@
 pub struct Session {
     plan: Arc<Plan>,
     id: SessionId,
-    /// The end of its life, or of the run.
+    /// The end of the session, or the end of the run if that is earlier.
     until: Micros,
     state: State,
     arrived: bool,
-    /// Tries of its whole life; numbers the ids.
-    tries: u32,
-    /// Tries of this wish, and the end of it.
-    wish_tries: u32,
-    wish_ends: Micros,
-    /// Wishes that failed since it was last up.
-    failed: u32,
-    /// It was up before, and its connection was broken or moved.
-    again: bool,
-    /// It tried since it was last up.
-    repeat: bool,
+    /// Number of attempts of the whole session. Each request's id derives from it.
+    attempts: u32,
+    /// Number of attempts of the current series, and the deadline of the series.
+    series_attempts: u32,
+    series_deadline: Micros,
+    /// Number of failed series since the session was last up.
+    failed_series: u32,
+    /// Whether the session was up before and lost its connection by a break, a move or a drop.
+    lost_connection: bool,
+    /// Whether an attempt has failed since the session was last up.
+    is_retry: bool,
 }
 
-type Out<'a> = &'a mut Vec<Output>;
+type Outputs<'a> = &'a mut Vec<Output>;
 
-fn note(out: Out, at: Micros, seen: Seen) {
-    out.push(Output::Note(Observation { at, seen }));
+fn record(out: Outputs, at: Micros, seen: Seen) {
+    out.push(Output::Record(Observation { at, seen }));
 }
 
 impl Session {
-    /// A session of the plan before its arrival; none if the plan has no such session or class, or if it would come
-    /// after the run's end.
+    /// Creates a session of the plan, before its arrival. Returns `None` if the plan has no such session or class,
+    /// or if the session would arrive after the run's end.
     pub fn new(plan: &Arc<Plan>, id: SessionId) -> Option<Self> {
         let planned = plan.sessions.get(id.0 as usize)?;
         plan.classes.get(usize::from(planned.class))?;
@@ -152,14 +153,14 @@
             plan: Arc::clone(plan),
             id,
             until,
-            state: State::Waiting(Next { due: planned.arrives, fresh: true }),
+            state: State::Waiting(NextAttempt { due: planned.arrives, starts_series: true }),
             arrived: false,
-            tries: 0,
-            wish_tries: 0,
-            wish_ends: 0,
-            failed: 0,
-            again: false,
-            repeat: false,
+            attempts: 0,
+            series_attempts: 0,
+            series_deadline: 0,
+            failed_series: 0,
+            lost_connection: false,
+            is_retry: false,
         })
     }
 
@@ -171,120 +172,128 @@
         &self.plan.classes[usize::from(self.planned().class)]
     }
 
-    /// Until when it wants a connection.
+    /// The time until which the session wants a connection.
     pub fn wanted_until(&self) -> Micros {
         self.until
     }
 
-    /// What a well-served second of it is worth.
+    /// The weight of a well-served second of this session.
     pub fn worth(&self) -> f64 {
         self.class().worth
     }
 
-    /// The request and proxy that it is up with.
+    /// The request and the proxy of the connection, if the session is up.
     pub fn up(&self) -> Option<(RequestId, ProxyId)> {
         match &self.state {
-            State::Up(standing) => Some((standing.whose.request, standing.whose.proxy)),
+            State::Up(connection) => Some((connection.info.request, connection.info.proxy)),
             _ => None,
         }
     }
 
-    /// Nothing more will come of it.
+    /// Whether the session is over and will request nothing more.
     pub fn is_over(&self) -> bool {
-        matches!(self.state, State::AttemptEnd)
+        matches!(self.state, State::Over)
     }
 
-    /// When it wants [`Input::Due`]; none once it is over.
+    /// The time at which the session needs [`Input::Due`]; `None` once it is over.
     pub fn next_timeout(&self) -> Option<Micros> {
         match &self.state {
             State::Waiting(next) => Some(if self.has_time(*next) { next.due } else { self.until }),
-            State::Connecting(of) | State::Opening(of, _) => Some(of.gives_up),
+            State::Connecting(attempt) | State::SendingFirstLine(attempt, _) => Some(attempt.gives_up_at),
             State::Asked { deadline, .. } => Some(*deadline),
             State::Lingering { until, next, .. } => Some(*until.min(&next.due)),
-            State::Up(standing) => Some(standing.next_timeout().min(self.until)),
+            State::Up(connection) => Some(connection.next_timeout().min(self.until)),
             State::Finishing(_, until) => Some(*until),
-            State::AttemptEnd => None,
+            State::Over => None,
         }
     }
 
-    /// Takes an input; `admitted` tells which proxies the front gives new clients now. What does not fit the state is
-    /// ignored: it is about a connection that was closed meanwhile.
-    pub fn handle(&mut self, now: Micros, input: Input<'_>, admitted: &dyn Fn(ProxyId) -> bool, out: Out) {
+    /// Handles an input. `admitted` tells whether the front currently sends new clients to a proxy. An input that
+    /// does not fit the state belongs to a connection that has been closed meanwhile, and is ignored.
+    pub fn handle(
+        &mut self,
+        now: Micros,
+        input: Input<'_>,
+        admitted: &dyn Fn(ProxyId) -> bool,
+        out: Outputs,
+    ) {
         match input {
-            Input::Due => self.due(now, admitted, out),
-            Input::Connected => self.connected(now, out),
-            Input::Written => self.written(now, out),
-            Input::Unreached => self.unreached(now, out),
-            Input::Line(line) => self.line(now, line, out),
-            Input::Ended(how) => self.ended(now, how, out),
-            Input::Drop { share, back_within, seed } => self.dropped(now, share, back_within, seed, out),
+            Input::Due => self.handle_due(now, admitted, out),
+            Input::Connected => self.handle_connected(now, out),
+            Input::Written => self.handle_written(now, out),
+            Input::Unreached => self.handle_unreached(now, out),
+            Input::Line(line) => self.handle_line(now, line, out),
+            Input::Ended(how) => self.handle_end(now, how, out),
+            Input::Drop { share, back_within, seed } => self.handle_drop(now, share, back_within, seed, out),
             Input::Stop => self.stop(now, out),
         }
     }
 
-    /// A try at that time could still be answered before the session's end.
-    fn has_time(&self, next: Next) -> bool {
-        next.due + LEAST_WAIT <= self.until
+    /// Whether an attempt at that time could be answered before the session's end.
+    fn has_time(&self, next: NextAttempt) -> bool {
+        next.due + MIN_WAIT <= self.until
     }
 
-    fn due(&mut self, now: Micros, admitted: &dyn Fn(ProxyId) -> bool, out: Out) {
+    fn handle_due(&mut self, now: Micros, admitted: &dyn Fn(ProxyId) -> bool, out: Outputs) {
         match &mut self.state {
             State::Waiting(next) if next.due <= now => {
                 let next = *next;
                 if self.has_time(next) {
-                    self.begin_try(next, admitted, out);
+                    self.start_attempt(next, admitted, out);
                 } else if now >= self.until {
-                    self.state = State::AttemptEnd;
+                    self.state = State::Over;
                 }
             }
-            State::Waiting(_) if now >= self.until => self.state = State::AttemptEnd,
-            State::Connecting(of) | State::Opening(of, _) if now >= of.gives_up => {
+            State::Waiting(_) if now >= self.until => self.state = State::Over,
+            State::Connecting(attempt) | State::SendingFirstLine(attempt, _)
+                if now >= attempt.gives_up_at =>
+            {
                 out.push(Output::Close);
-                self.unreached(now, out);
+                self.handle_unreached(now, out);
             }
-            State::Asked { of, deadline } if now >= *deadline => {
-                let (request, deadline) = (of.request, *deadline);
-                let next = self.after_failure(deadline, 0);
+            State::Asked { attempt, deadline } if now >= *deadline => {
+                let (request, deadline) = (attempt.request, *deadline);
+                let next = self.schedule_after_failure(deadline, 0);
                 if self.planned().patience < 1.0 {
-                    self.leave(now, request, ClientClose::Impatient, next, out);
+                    self.close_unserved(now, request, ClientClose::Impatient, next, out);
                 } else {
                     let rules = &self.plan.rules;
-                    let until = deadline + rules.answer_slack + rules.grace + LATE_MARGIN;
-                    // Whoever waits for nothing still looks as long for the answer that it is owed.
-                    let next = Next { due: next.due.max(until), ..next };
-                    self.state = State::Lingering { request, why: Why::Late, until, next };
+                    let until = deadline + rules.answer_slack + rules.grace + LATE_ANSWER_MARGIN;
+                    // A client with a short backoff still waits this long for the answer that the proxy owes it.
+                    let next = NextAttempt { due: next.due.max(until), ..next };
+                    self.state = State::Lingering { request, why: LingerReason::Late, until, next };
                 }
             }
             State::Lingering { request, why, until, next } if now >= (*until).min(next.due) => {
                 let (request, why, next) = (*request, *why, *next);
-                if why == Why::Late {
-                    note(out, now, Seen::Left { request, why: ClientClose::GaveUp });
+                if why == LingerReason::Late {
+                    record(out, now, Seen::Left { request, why: ClientClose::GaveUp });
                 }
                 out.push(Output::Close);
                 self.state = State::Waiting(next);
             }
-            State::Up(_) => self.due_up(now, out),
+            State::Up(_) => self.handle_due_up(now, out),
             State::Finishing(_, until) if now >= *until => {
                 out.push(Output::Close);
-                self.state = State::AttemptEnd;
+                self.state = State::Over;
             }
             _ => {}
         }
     }
 
-    fn due_up(&mut self, now: Micros, out: Out) {
-        let State::Up(mut standing) = std::mem::replace(&mut self.state, State::AttemptEnd) else { return };
-        standing.note_late(now, out);
-        while let Some(line) = standing.due_line(now, out) {
+    fn handle_due_up(&mut self, now: Micros, out: Outputs) {
+        let State::Up(mut connection) = std::mem::replace(&mut self.state, State::Over) else { return };
+        connection.record_late_lines(now, out);
+        while let Some(line) = connection.take_due_line(now, out) {
             out.push(Output::Send(line));
         }
         if now < self.until {
-            self.state = State::Up(standing);
+            self.state = State::Up(connection);
             return;
         }
-        standing.end(now, out);
-        note(out, now, Seen::Left { request: standing.whose.request, why: ClientClose::Done });
+        connection.end(now, out);
+        record(out, now, Seen::Left { request: connection.info.request, why: ClientClose::Done });
         out.push(Output::Finish);
-        self.state = State::Finishing(standing, now + REST_WITHIN);
+        self.state = State::Finishing(connection, now + REST_TIMEOUT);
     }
 }
