--- a/crates/kit/src/load/echo.rs
+++ b/crates/kit/src/load/echo.rs
@@ -1,4 +1,4 @@
-//! Render nodes that do no work: each connection is up at once and everything it sends comes back.
+//! Render nodes that do no work: they answer `UP` to each first line at once and echo everything that follows.
 
 use cottonnotch_reactor::line::{Fill, LineStream};
 use cottonnotch_reactor::listener::Listener;
@@ -12,12 +12,12 @@
 use std::sync::mpsc::{Sender, channel};
 use std::thread::{self, JoinHandle};
 
-/// Between two looks at whether to stop.
+/// Interval between two checks of the stop flag.
 const LOOK: Micros = 20_000;
-/// Each direction of a connection holds this much.
+/// Bytes that each direction of a connection buffers at most.
 const BUFFER: usize = 256 * 1024;
 
-/// Receipts that no two connections share.
+/// The next receipt. No two connections get the same one.
 static RECEIPT: AtomicU64 = AtomicU64::new(1);
 
 enum Told {
@@ -90,7 +90,7 @@
             if echoing.stream.flush().is_err() {
                 echoing.over = true;
             }
-            // What came while the output was full was left unread.
+            // `readable` left the input unread while the output was full.
             io.call_again(echoing.key, Half::Near);
         }
     }
@@ -102,14 +102,14 @@
     }
 }
 
-/// Echoing render nodes, one for each thread.
+/// The echo render nodes, each on a thread of its own.
 pub struct Echo {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<io::Result<()>>>,
 }
 
 impl Echo {
-    /// Listens at each address. Fails if one can't be had.
+    /// Starts a render node at each address. Fails if it cannot listen at one of them.
     pub fn start(at: &[SocketAddr]) -> io::Result<Echo> {
         let stop = Arc::new(AtomicBool::new(false));
         let (ready, bound) = channel();
@@ -121,7 +121,7 @@
             })
             .collect();
         let echo = Echo { stop, threads };
-        // Each says once how its binding went; a thread that fails before that drops its end.
+        // Each thread sends the result of its binding. A thread that fails earlier drops its sender.
         drop(ready);
         for _ in at {
             bound.recv().map_err(|_| io::Error::from(io::ErrorKind::BrokenPipe))??;
@@ -129,7 +129,7 @@
         Ok(echo)
     }
 
-    /// Ends the threads.
+    /// Stops the threads and returns the first error of a thread.
     pub fn stop(mut self) -> io::Result<()> {
         self.stop.store(true, Ordering::Release);
         let mut results = self.threads.drain(..).map(JoinHandle::join);
@@ -152,7 +152,7 @@
         listener = Some(socket);
         Ok(Box::new(Object::Listener(object)))
     });
-    // Nobody is left to be told if the starter has given up.
+    // Sending fails only if `Echo::start` has already returned with an error.
     let _ = ready.send(bound.map(drop));
     let Some(listener) = listener else { return Ok(()) };
     let now = reactor.io.now();
@@ -173,13 +173,13 @@
 }
 
 fn accept(reactor: &mut Reactor<Object>, listener: &TcpListener) {
-    // An error means that nobody waits, or that one was gone before it was accepted.
+    // An error means that no connection is pending, or that a client closed its connection before it was accepted.
     while let Ok((stream, _)) = listener.accept() {
         let object = reactor.insert(|key, io| {
             let stream = LineStream::accepted(stream, io, key)?;
             Ok(Box::new(Object::Connection(Echoing { key, stream, up: false, over: false })))
         });
-        // It could not be registered: its client sees the end.
+        // A connection that could not be registered is closed here.
         drop(object);
     }
 }
--- a/crates/kit/src/load/generator.rs
+++ b/crates/kit/src/load/generator.rs
@@ -1,4 +1,4 @@
-//! Clients of the load: work that is due at fixed times, whether the last of it is done or not.
+//! The load generator: clients whose units of work are due at fixed times, whether earlier units are done or not.
 
 use super::{LoadError, system};
 use cottonnotch_reactor::line::{Fill, LineStream};
@@ -12,15 +12,16 @@
 use std::thread;
 use std::time::Duration;
 
-/// Between two looks at what is due. Latency counts from when it was due, so this shows in it.
+/// Interval between two checks for due work. Latency counts from the due time, so it includes this delay.
 const TICK: Micros = 500;
-/// Latencies up to a minute, with three figures.
+/// Longest latency that the histogram records, in microseconds, with three significant figures.
 const LONGEST: u64 = 60_000_000;
-/// What is under way when a step ends is given this long to be done; it counts as late.
+/// Time after the end of a step in which units in progress may still complete. Such units count as done, but not as
+/// done in time.
 const AFTER: Micros = 300_000;
-/// Set-ups that are under way at once: beyond, the rate is not borne anyhow.
+/// Maximum number of set-ups in progress per thread. A proxy with more in progress does not sustain the rate anyway.
 pub(super) const MOST_AT_ONCE: usize = 2000;
-/// Each direction of a connection holds this much.
+/// Bytes that each direction of a connection buffers at most.
 const BUFFER: usize = 64 * 1024;
 
 static NUMBER: AtomicU64 = AtomicU64::new(1);
@@ -28,57 +29,58 @@
 /// A kind of work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Work {
-    /// A connection is opened, is up, and is ended.
+    /// Opens a connection, waits until it is up, and closes it.
     Setups,
-    /// A line on a connection that stands goes there and comes back.
+    /// Sends a line on an established connection and waits for its echo.
     Lines {
-        /// Connections that stand.
+        /// Number of established connections.
         connections: usize,
-        /// Lines in flight on each at most; what is due beyond waits, and its latency grows.
+        /// Maximum number of lines in flight on each connection. Further due lines wait, and their latency grows.
         in_flight: usize,
     },
 }
 
-/// A step to be played.
+/// Parameters of one step of the load.
 #[derive(Clone, Copy, Debug)]
 pub struct Aim {
-    /// Of what.
+    /// The kind of work.
     pub work: Work,
-    /// Units a second.
+    /// Units of work per second.
     pub rate: f64,
-    /// For how long.
+    /// Duration of the step.
     pub length: Duration,
-    /// Threads.
+    /// Number of threads that share the work.
     pub shards: usize,
 }
 
-/// What came of a step.
+/// Result of one step.
 #[derive(Debug)]
 pub struct Done {
-    /// Units that were due.
+    /// Number of units that were due.
     pub due: u64,
-    /// Units that were done, a little after the end at most.
+    /// Number of units that were done, including those done shortly after the end of the step.
     pub done: u64,
-    /// Those done before the step's length was over.
+    /// Number of units that were done before the end of the step.
     pub in_time: u64,
-    /// Of what was done, in microseconds from when it was due.
+    /// Latency of the units that were done, in microseconds from their due time.
     pub latency: Histogram<u64>,
 }
 
 impl Done {
     fn none() -> Self {
         let Ok(latency) = Histogram::new_with_bounds(1, LONGEST, 3) else {
-            unreachable!("a microsecond to a minute with three figures are bounds that a histogram has")
+            unreachable!("the bounds of 1 us to 60 s with 3 significant figures are valid")
         };
         Done { due: 0, done: 0, in_time: 0, latency }
     }
 
-    /// Part that was done.
+    /// Share of the due units that were done.
     pub fn part(&self) -> f64 {
         self.done as f64 / self.due.max(1) as f64
     }
 
-    /// The rate was borne: nearly all is done, and 99 of 100 within the bound.
+    /// Whether the rate was sustained: at least the share `part` of the units is done, and the 99th percentile of the
+    /// latency is at most `slowest`.
     pub fn borne(&self, part: f64, slowest: Duration) -> bool {
         let slow = self.latency.value_at_quantile(0.99);
         self.part() >= part && u128::from(slow) <= slowest.as_micros()
@@ -93,33 +95,33 @@
         self.due += other.due;
         self.done += other.done;
         self.in_time += other.in_time;
-        // Both have the same bounds.
+        // Adding fails only if the bounds of the histograms differ, and they are the same.
         let _ = self.latency.add(&other.latency);
     }
 }
 
-/// Where the threads of a step wait, their connections standing, until all are told to go on.
+/// A barrier at which the threads of a step wait with their connections established, until it is opened.
 #[derive(Debug)]
 pub struct Gate {
-    /// Threads that have not come yet; whether it is open.
+    /// Number of threads that have not arrived yet, and whether the gate is open.
     state: Mutex<(usize, bool)>,
     changed: Condvar,
 }
 
 impl Gate {
-    /// For so many threads.
+    /// Creates a closed gate for this number of threads.
     pub fn new(threads: usize) -> Arc<Gate> {
         Arc::new(Gate { state: Mutex::new((threads, false)), changed: Condvar::new() })
     }
 
-    /// Waits until all have come. Returns whether they have.
+    /// Waits until all threads have arrived, for at most `most`. Returns whether they have.
     pub fn wait(&self, most: Duration) -> bool {
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let all = self.changed.wait_timeout_while(state, most, |(left, _)| *left > 0);
         all.unwrap_or_else(PoisonError::into_inner).0.0 == 0
     }
 
-    /// Lets all go on.
+    /// Opens the gate, so that all waiting threads continue.
     pub fn open(&self) {
         self.state.lock().unwrap_or_else(PoisonError::into_inner).1 = true;
         self.changed.notify_all();
@@ -133,14 +135,14 @@
     }
 }
 
-/// Plays one step against these addresses, in turn.
+/// Runs one step. Connections go to the addresses in turn.
 pub fn play(aim: &Aim, to: &[SocketAddr]) -> Result<Done, LoadError> {
     let gate = Gate::new(aim.shards);
     gate.open();
     play_at(aim, to, &gate)
 }
 
-/// The same, begun when the gate opens: what is to stand does so before.
+/// Runs one step once the gate opens. Connections for lines are established before that.
 pub fn play_at(aim: &Aim, to: &[SocketAddr], gate: &Arc<Gate>) -> Result<Done, LoadError> {
     let shards: Vec<_> = (0..aim.shards)
         .map(|shard| {
@@ -151,18 +153,18 @@
     let mut all = Done::none();
     for shard in shards {
         let done = shard.join().map_err(|_| LoadError::Panicked)?;
-        all.add(&done.map_err(system("the load cannot be made"))?);
+        all.add(&done.map_err(system("the load generator failed"))?);
     }
     Ok(all)
 }
 
 enum Told {
     Timer,
-    /// A unit that was due at that time is done.
+    /// The unit that was due at this time is done.
     Done(Micros),
-    /// A connection is up.
+    /// The `UP` answer of a connection has arrived.
     Up,
-    /// A connection is over.
+    /// A connection has ended.
     AttemptEnd,
 }
 
@@ -172,23 +174,23 @@
     }
 }
 
-/// A client's connection.
+/// One client connection.
 struct Client {
     key: Key,
     stream: LineStream,
     connected: bool,
     up: bool,
     over: bool,
-    /// It is ended as soon as it is up: a set-up. When that was due.
+    /// Due time of the set-up. Such a connection is closed as soon as it is up. `None` on a connection for lines.
     setup: Option<Micros>,
-    /// When each line that is out was due.
+    /// Due time of each line in flight, oldest first.
     out: VecDeque<Micros>,
-    /// Lines that are due and wait for room.
+    /// Due time of each line that waits because too many lines are in flight.
     waiting: VecDeque<Micros>,
     in_flight: usize,
 }
 
-/// A first line, with an id of its own.
+/// Builds a first line with a unique id.
 fn first_line() -> String {
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
     format!("OPEN {number:016x} {number:016x} c=load,d=10000\r\n")
@@ -210,7 +212,7 @@
         Ok(Client { key, stream, connected: false, up: false, over: false, setup, out, waiting, in_flight })
     }
 
-    /// A line is due.
+    /// Queues a line that was due at the given time, and sends it if few enough lines are in flight.
     fn due(&mut self, at: Micros) {
         self.waiting.push_back(at);
         self.send();
@@ -242,7 +244,7 @@
                     io.report(Told::Up);
                     if let Some(due) = self.setup {
                         io.report(Told::Done(due));
-                        // No port is left behind waiting: thousands a second would use them up.
+                        // A reset leaves no port in TIME_WAIT. Thousands of set-ups a second would use up the ports.
                         self.stream.reset();
                         self.over = true;
                         break;
@@ -291,7 +293,7 @@
         if self.stream.flush().is_err() {
             self.over = true;
         }
-        // What came with the connect is not told again.
+        // The poller does not signal again for input that arrived together with the connect event.
         io.call_again(self.key, Half::Near);
     }
 
@@ -307,17 +309,17 @@
     }
 }
 
-/// One thread's part of a step.
+/// One thread of a step, with its share of the work.
 struct Shard {
     reactor: Reactor<Client>,
     to: Vec<SocketAddr>,
     done: Done,
-    /// Connections that stand, for lines.
+    /// Established connections for lines.
     standing: Vec<Key>,
     up: usize,
     open: usize,
     turn: usize,
-    /// When the step's length is over.
+    /// Time at which the step ends.
     over: Micros,
 }
 
@@ -352,7 +354,7 @@
         Ok(key)
     }
 
-    /// Opens the connections that stand, a few at a time.
+    /// Opens the connections for lines, at most 64 at a time.
     fn stand(&mut self, connections: usize, in_flight: usize) -> io::Result<()> {
         let until = self.reactor.io.now() + 20_000_000;
         while self.up < connections && self.reactor.io.now() < until {
@@ -386,7 +388,7 @@
 
     fn step(&mut self, aim: &Aim, shard: usize) -> io::Result<()> {
         let each = 1e6 * aim.shards as f64 / aim.rate;
-        // Shards fall due between one another.
+        // The due times of the shards interleave.
         let began = self.reactor.io.now() + (each * shard as f64 / aim.shards as f64) as Micros;
         let length = aim.length.as_micros() as Micros;
         let total = (length as f64 / each) as u64;
@@ -425,15 +427,15 @@
     }
 }
 
-/// Connections that are up and idle, opened one after the other.
+/// Idle connections that are up, opened one after the other.
 pub struct Standing(Vec<TcpStream>);
 
 impl Standing {
-    /// Opens so many.
+    /// Opens this number of connections.
     pub fn open(to: SocketAddr, connections: usize) -> Result<Standing, LoadError> {
         let mut all = Vec::with_capacity(connections);
         for _ in 0..connections {
-            all.push(Self::one(to).map_err(system("a standing connection"))?);
+            all.push(Self::one(to).map_err(system("cannot open an idle connection"))?);
         }
         Ok(Standing(all))
     }
@@ -447,12 +449,12 @@
         if answer.starts_with("UP ") { Ok(stream) } else { Err(io::ErrorKind::ConnectionRefused.into()) }
     }
 
-    /// How many.
+    /// Number of connections.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// None.
+    /// Whether there are no connections.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -461,7 +463,7 @@
 impl Drop for Standing {
     fn drop(&mut self) {
         for stream in &self.0 {
-            // Fails only on a socket that is gone.
+            // Setting the option fails only on a socket that is already closed.
             let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
         }
     }
--- a/crates/kit/src/load/mod.rs
+++ b/crates/kit/src/load/mod.rs
@@ -1,9 +1,10 @@
-//! How much one proxy bears: set-ups and line round trips a second, latency, CPU, and memory for each standing
-//! connection; always through the proxy and directly to a render node in one run, with the ratio.
+//! Load test of one proxy: set-ups and line round trips per second, latency, CPU time, and memory per idle connection.
+//! Each run measures both the path through the proxy and the direct path to a render node, so that the two can be
+//! compared.
 //!
-//! The load is open: work is due at fixed times, whoever is late with the last one, and its latency counts from when
-//! it was due. A rate is borne if nearly all of it is done by the end of its step and its 99th percentile stays under
-//! a bound; the ceiling is the highest rate that is.
+//! The load is open-loop: each unit of work is due at a fixed time even if earlier units are late, and its latency
+//! counts from its due time. The proxy sustains a rate if nearly all units of a step are done when the step ends and
+//! the 99th percentile of the latency stays under a limit. The ceiling is the highest sustained rate.
 
 pub mod echo;
 pub mod generator;
@@ -24,64 +25,65 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A rate counts as borne if this part of what was due is done when its step ends ...
+/// Minimum share of the due units that must be done in a step for its rate to count as sustained.
 const DONE: f64 = 0.98;
-/// ... and 99 of 100 took no longer than this.
+/// Maximum 99th percentile of the latency in a step for its rate to count as sustained.
 const SLOWEST: Duration = Duration::from_millis(50);
-/// Each step's rate is this multiple of the one before, until one is not borne ...
+/// Factor from the rate of one step to the rate of the next, until a rate is not sustained.
 const STEP: f64 = 1.6;
-/// ... then the ceiling is sought between the two, by halving so often: to some 4%.
+/// Number of bisection steps between the last sustained rate and the first rate that was not sustained. They locate
+/// the ceiling to about 4%.
 const HALVINGS: u32 = 4;
-/// What was let go last is given this long to be gone, before memory is read.
+/// Wait before the memory of the proxy is read, so that connections that were closed before are gone.
 const SETTLES: Duration = Duration::from_millis(300);
-/// Latency is reported at this part of the ceiling: at the ceiling itself there is only the queue to see.
+/// Share of the ceiling at which the latency is reported. At the ceiling itself, queueing dominates the latency.
 const AT: f64 = 0.7;
 
-/// Descriptors for all that is no connection.
+/// Descriptors reserved for everything that is not a connection.
 const OTHER_DESCRIPTORS: u64 = 512;
 
-/// What is to be measured.
+/// Parameters of a load test.
 #[derive(Clone, Debug)]
 pub struct LoadSetup {
-    /// The program that is put in as the proxy.
+    /// The proxy program to measure.
     pub daemon: Daemon,
-    /// Length of each step.
+    /// Duration of each step.
     pub step: Duration,
-    /// Standing connections for line round trips and for the memory of each.
+    /// Number of established connections for the line round trips and for the memory measurement.
     pub connections: usize,
-    /// Lines that each standing connection has in flight at most.
+    /// Maximum number of lines in flight on each connection.
     pub in_flight: usize,
-    /// Threads that make the load, and as many that answer it.
+    /// Number of threads that generate the load, and number of echo render nodes, each with its own thread.
     pub threads: usize,
-    /// Set from outside to end early.
+    /// The caller sets this flag to end the measurement early.
     pub interrupted: Arc<AtomicBool>,
 }
 
-/// Why nothing could be measured.
+/// Why a measurement failed.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// A process or the system's limits.
+    /// A process could not be started, or a limit of the system is too low.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// No part of the loopback network is free.
+    /// No address range of the loopback network is free.
     #[error(transparent)]
     Place(#[from] NoPlace),
-    /// A socket or a file.
+    /// An operation on a socket or a file failed.
     #[error("{what}: {error}")]
     System {
-        /// What could not be done.
+        /// The operation that failed, as the first part of the message.
         what: &'static str,
-        /// The system's reason.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// A thread has panicked: a fault of the kit's.
-    #[error("a thread of the load has failed, which is a fault of the kit's")]
+    /// A thread panicked, which is a bug in the kit.
+    #[error("a load generator thread panicked, which is a bug in the kit")]
     Panicked,
-    /// It was ended from outside.
-    #[error("ended before all was measured")]
+    /// The caller ended the measurement early.
+    #[error("interrupted before the measurement was complete")]
     Interrupted,
-    /// The proxy never served.
-    #[error("the proxy does not answer at {0}")]
+    /// The proxy did not accept connections in time.
+    #[error("the proxy does not accept connections at {0}")]
     Silent(SocketAddr),
 }
 
@@ -89,51 +91,51 @@
     move |error| LoadError::System { what, error }
 }
 
-/// One way, through the proxy or directly.
+/// Results on one path, through the proxy or directly to a render node.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Way {
-    /// The highest rate that was borne, a second.
+    /// Highest sustained rate, in units per second.
     pub ceiling: f64,
-    /// Latency in microseconds at 0.7 of it: median, 99th and 99.9th percentile, longest.
+    /// Latency in microseconds at 0.7 of the ceiling: median, 99th percentile, 99.9th percentile and maximum.
     pub latency_us: [u64; 4],
-    /// CPU time of the proxy for each unit of work at that rate, in microseconds; 0 when it is not in the way.
+    /// CPU time of the proxy per unit of work at that rate, in microseconds; 0 on the direct path.
     pub proxy_cpu_us: f64,
-    /// CPU time of the kit for each.
+    /// CPU time of the kit per unit of work at that rate, in microseconds.
     pub kit_cpu_us: f64,
 }
 
-/// One kind of work both ways.
+/// Results of one kind of work on both paths.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct BothWays {
-    /// Through the proxy.
+    /// Results through the proxy.
     pub through: Way,
-    /// Directly to a render node: what the kit itself can do.
+    /// Results directly to a render node, which show the limit of the kit itself.
     pub direct: Way,
 }
 
 impl BothWays {
-    /// How many times the proxy's ceiling the kit bears.
+    /// Ratio of the kit's own ceiling to the proxy's ceiling.
     pub fn headroom(&self) -> f64 {
         self.direct.ceiling / self.through.ceiling.max(1e-9)
     }
 }
 
-/// What was measured.
+/// Results of a load test.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Load {
-    /// Connections set up and ended a second.
+    /// Results for connections that are set up and closed at once.
     pub setups: BothWays,
-    /// Lines there and back a second, over the standing connections.
+    /// Results for line round trips over the established connections.
     pub lines: BothWays,
-    /// Standing connections.
+    /// Number of established connections.
     pub connections: usize,
-    /// Resident memory of the proxy for each of them, in bytes.
+    /// Resident memory of the proxy per established connection, in bytes.
     pub memory_each: f64,
-    /// Descriptors of the proxy for each of them.
+    /// Descriptors of the proxy per established connection.
     pub descriptors_each: f64,
 }
 
-/// The proxy's configuration here: one class, no groups, and the list it knows stands.
+/// The configuration of the proxy: one class, no groups, and an endpoint list that never changes.
 fn configuration(listen: SocketAddr, nodes: &[SocketAddr], sockets: u64) -> String {
     let members: Vec<String> = nodes
         .iter()
@@ -152,10 +154,11 @@
     )
 }
 
-/// Measures. `say` is told what is being done, for a person who waits.
+/// Runs the load test. `say` receives progress messages for the user.
 pub fn measure(setup: &LoadSetup, mut say: impl FnMut(&str)) -> Result<Load, LoadError> {
     setup.daemon.check()?;
-    // Both ends of all that stands and of all that is being set up; the proxy has two of its own for each as well.
+    // The kit holds both ends of each established connection and of each set-up in progress. The proxy needs two
+    // descriptors for each as well.
     let sockets =
         2 * (setup.connections + generator::MOST_AT_ONCE * setup.threads) as u64 + OTHER_DESCRIPTORS;
     need_descriptors(sockets)?;
@@ -163,15 +166,16 @@
     let nodes: Vec<SocketAddr> =
         (0..setup.threads.max(1)).map(|n| addresses.node(NodeId(n as u16), ProxyId(0))).collect();
     let echo = echo::Echo::start(&nodes).map_err(system("a render node cannot listen"))?;
-    let folder = tempfile::tempdir().map_err(system("no folder for the run's files"))?;
+    let folder = tempfile::tempdir().map_err(system("cannot create a folder for the run's files"))?;
     let listen = addresses.proxy(ProxyId(0));
     let proxy = start(&setup.daemon, folder.path(), &configuration(listen, &nodes, sockets), sockets)?;
     await_proxy(listen)?;
 
     let mut load = Load { connections: setup.connections, ..Load::default() };
     let measure = Measure { setup, pid: proxy.pid() };
-    // First of all: what a proxy has once needed it keeps, and later connections would seem to cost nothing.
-    say("memory of standing connections");
+    // The memory comes first: a proxy keeps the memory that it once allocated, so connections opened after a load would
+    // appear to need none.
+    say("memory of established connections");
     (load.memory_each, load.descriptors_each) = measure.memory(listen)?;
     say("set-ups, directly to a render node");
     load.setups.direct = measure.way(Work::Setups, &nodes, 4000.0, false, &mut say)?;
@@ -182,14 +186,14 @@
     load.lines.direct = measure.way(lines, &nodes, 20_000.0, false, &mut say)?;
     say("lines, through the proxy");
     load.lines.through = measure.way(lines, &[listen], 5000.0, true, &mut say)?;
-    echo.stop().map_err(system("a render node"))?;
+    echo.stop().map_err(system("an echo render node failed"))?;
     Ok(load)
 }
 
 fn start(daemon: &Daemon, folder: &Path, text: &str, sockets: u64) -> Result<Process, LoadError> {
     let path = folder.join("load.json");
-    std::fs::write(&path, text).map_err(system("the proxy's configuration cannot be written"))?;
-    let log = std::fs::File::create(folder.join("load.log")).map_err(system("no log for the proxy"))?;
+    std::fs::write(&path, text).map_err(system("cannot write the proxy's configuration"))?;
+    let log = std::fs::File::create(folder.join("load.log")).map_err(system("cannot create the proxy's log file"))?;
     let environment: [(&str, OsString); 1] = [("GW_CONFIG", path.into_os_string())];
     Ok(Process::start(daemon, &environment, sockets, log)?)
 }
@@ -229,7 +233,7 @@
                 false => above = Some(rate),
             }
             halvings += u32::from(above.is_some());
-            // While even the first was too much, the ceiling so far is 0.
+            // The ceiling is still 0 if the first rate was not sustained.
             rate = above.map_or(rate * STEP, |above: f64| f64::midpoint(ceiling, above));
         }
         if ceiling == 0.0 {
@@ -258,7 +262,7 @@
         generator::play(&aim, to)
     }
 
-    /// Resident memory and descriptors of the proxy for each connection that stands and is idle.
+    /// Resident memory in bytes and descriptors of the proxy per idle connection.
     fn memory(&self, listen: SocketAddr) -> Result<(f64, f64), LoadError> {
         let before = usage(self.pid).unwrap_or_default();
         let standing = generator::Standing::open(listen, self.setup.connections)?;
--- a/crates/kit/src/load/steady.rs
+++ b/crates/kit/src/load/steady.rs
@@ -1,5 +1,6 @@
-//! One proxy under a fixed load for a while: lines at a fixed rate over connections that stand, while the list changes and
-//! clients go and come again. Latency counts from when a line was due, and every line that was due counts, done or not.
+//! One proxy under a constant load: lines at a fixed rate over established connections, while the endpoint list changes
+//! and other clients connect and disconnect. Latency counts from the time at which a line was due. Every due line is
+//! counted, whether it was done or not.
 
 use super::generator::{self, Aim, Work};
 use super::{LoadError, LoadSetup, OTHER_DESCRIPTORS, await_proxy, echo, start, system};
@@ -14,47 +15,48 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// What is to be played beside the connections of [`LoadSetup`].
+/// Parameters of the constant load, in addition to those of [`LoadSetup`].
 #[derive(Clone, Copy, Debug)]
 pub struct Steady {
-    /// Lines there and back a second.
+    /// Line round trips per second.
     pub lines_per_s: f64,
-    /// Connections set up and ended a second meanwhile.
+    /// Connections that are set up and closed per second at the same time.
     pub setups_per_s: f64,
-    /// Render nodes that are listed; all share the few addresses that answer.
+    /// Number of render nodes in the endpoint list. They share the few addresses at which an echo render node listens.
     pub listed: usize,
-    /// Between two changes of the list; none if 0.
+    /// Interval between two changes of the endpoint list; zero means that the list never changes.
     pub list_every: Duration,
 }
 
-/// What came of it.
+/// Results under the constant load.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Seen {
-    /// Connections that stood.
+    /// Number of established connections.
     pub connections: usize,
-    /// Render nodes listed.
+    /// Number of render nodes in the endpoint list.
     pub listed: usize,
-    /// Seconds.
+    /// Duration of the load in seconds.
     pub seconds: f64,
-    /// Lines due, and done within a third of a second after the end at most.
+    /// Number of lines that were due, and that were done by a third of a second after the end.
     pub lines: [u64; 2],
-    /// From when a line was due until it was back, in microseconds: median, 99th, 99.9th percentile, longest.
+    /// Latency of a line from its due time to its return, in microseconds: median, 99th percentile, 99.9th percentile and
+    /// maximum.
     pub line_us: [u64; 4],
-    /// Set-ups due and done.
+    /// Number of set-ups that were due, and that were done.
     pub setups: [u64; 2],
-    /// From when one was due until it was up: as for lines.
+    /// Latency of a set-up from its due time until the connection was up, in the same form as for lines.
     pub setup_us: [u64; 4],
-    /// Changes of the list that were written to the proxy.
+    /// Number of changes of the endpoint list that were sent to the proxy.
     pub lists: u64,
-    /// CPU time of the proxy, as a part of one core.
+    /// CPU use of the proxy, as a share of one core.
     pub cpu: f64,
-    /// Resident memory of the proxy before, with all connections standing, and at the end, in KiB.
+    /// Resident memory of the proxy in KiB: before the connections, with all connections established, and at the end.
     pub resident_kib: [u64; 3],
-    /// Descriptors of the proxy with all connections standing.
+    /// Descriptors of the proxy with all connections established.
     pub descriptors: u64,
 }
 
-/// Plays it. `say` is told what is being done.
+/// Runs the constant load. `say` receives progress messages for the user.
 pub fn play(setup: &LoadSetup, steady: &Steady, mut say: impl FnMut(&str)) -> Result<Seen, LoadError> {
     setup.daemon.check()?;
     let at_once = if steady.setups_per_s > 0.0 { generator::MOST_AT_ONCE } else { 0 };
@@ -65,7 +67,7 @@
         (0..setup.threads.max(1)).map(|n| addresses.node(NodeId(n as u16), ProxyId(0))).collect();
     let echo = echo::Echo::start(&nodes).map_err(system("a render node cannot listen"))?;
     let lists = Lists::start(nodes.clone(), steady).map_err(system("discovery cannot listen"))?;
-    let folder = tempfile::tempdir().map_err(system("no folder for the run's files"))?;
+    let folder = tempfile::tempdir().map_err(system("cannot create a folder for the run's files"))?;
     let listen = addresses.proxy(ProxyId(0));
     let text = configuration(listen, lists.at, &members(&nodes, steady.listed, 1), sockets);
     let proxy = start(&setup.daemon, folder.path(), &text, sockets)?;
@@ -75,12 +77,12 @@
     let mut seen = Seen { connections: setup.connections, listed: steady.listed, ..Seen::default() };
     seen.resident_kib[0] = used().resident_kib;
 
-    say("connections come to stand");
+    say("opening connections");
     let threads = setup.threads.max(1);
     let lines = Work::Lines { connections: setup.connections, in_flight: setup.in_flight };
     let length = setup.step;
     let aim = |work, rate, shards| Aim { work, rate, length, shards };
-    // All stand before the first line is due, so that the two kinds of work begin together.
+    // All connections are established before the first line is due, so that both kinds of work begin together.
     let standing = generator::Gate::new(threads);
     let (gate, to) = (Arc::clone(&standing), vec![listen]);
     let lines_aim = aim(lines, steady.lines_per_s.max(1.0), threads);
@@ -90,7 +92,7 @@
     }
     let before = used();
     (seen.resident_kib[1], seen.descriptors) = (before.resident_kib, before.descriptors);
-    say(&format!("{} stand; {:.0} lines a second", setup.connections, steady.lines_per_s));
+    say(&format!("{} connections established; {:.0} lines a second", setup.connections, steady.lines_per_s));
     lists.change.store(true, Ordering::Release);
     standing.open();
     let began = Instant::now();
@@ -114,11 +116,11 @@
         (seen.setups, seen.setup_us) = ([setups.due, setups.done], quantiles(&setups));
     }
     lists.stop();
-    echo.stop().map_err(system("a render node"))?;
+    echo.stop().map_err(system("an echo render node failed"))?;
     Ok(seen)
 }
 
-/// The list: all are up, and share the few addresses that answer; cells change with the revision.
+/// The endpoint list: all render nodes are up and share the few addresses, and their cells change with the revision.
 fn members(nodes: &[SocketAddr], listed: usize, revision: u64) -> String {
     let one = |number: usize| {
         let at = nodes[number % nodes.len()];
@@ -141,7 +143,8 @@
     )
 }
 
-/// Discovery: one watch at a time, a whole list at once and another one after each span, a beat every 2 s.
+/// A discovery server for one watch at a time. A watch gets the complete list at once, the complete next list after
+/// each interval, and a heartbeat every 2 s.
 struct Lists {
     at: SocketAddr,
     stop: Arc<AtomicBool>,
@@ -165,7 +168,7 @@
             let mut revision = 1;
             while !stop.load(Ordering::Acquire) {
                 match listener.accept() {
-                    // A watch that breaks is opened anew by its proxy.
+                    // The proxy opens a new watch if this one breaks.
                     Ok((mut watch, _)) => {
                         let mut tell = |watch: &mut TcpStream| -> io::Result<()> {
                             watch.set_nonblocking(false)?;
@@ -197,7 +200,7 @@
 
     fn stop(self) {
         self.stop.store(true, Ordering::Release);
-        // A thread that failed has nothing more to end.
+        // A panic of the thread is ignored, since the thread has ended either way.
         let _ = self.thread.join();
     }
 }
--- a/crates/kit/src/load/versus.rs
+++ b/crates/kit/src/load/versus.rs
@@ -1,5 +1,6 @@
-//! Two proxies under the same overload in turn: which does more. A ceiling found by steps is known to some percent; what
-//! is done in a second of overload, round about, is known better, and drifts of the machine hit both.
+//! Compares two proxies by their throughput under the same overload, in alternating rounds. The ceiling of a load test is
+//! only known to a few percent. The throughput under overload is known more precisely, and since the rounds alternate,
+//! drifts of the machine's speed affect both proxies.
 
 use super::generator::{self, Aim, Work};
 use super::{LoadError, LoadSetup, OTHER_DESCRIPTORS, await_proxy, configuration, echo, start, system};
@@ -11,33 +12,33 @@
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 
-/// Due in each round: more than any proxy bears on one core.
+/// Due set-ups and lines per second in each round: more than any proxy sustains on one core.
 const SETUPS: f64 = 60_000.0;
 const LINES: f64 = 200_000.0;
 
-/// One kind of work done by both.
+/// Comparison of both proxies by one kind of work.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Ratio {
-    /// Done a second in each round by the first, and by the second.
+    /// Units done per second in each round, by the first proxy and by the second.
     pub rounds: Vec<[f64; 2]>,
-    /// CPU time for each unit, in microseconds: medians of the first and the second.
+    /// Median CPU time per unit in microseconds, of the first proxy and of the second.
     pub cpu_us: [f64; 2],
-    /// Mean over the rounds of the second's over the first's.
+    /// Mean over the rounds of the second proxy's throughput divided by the first's.
     pub ratio: f64,
-    /// 95% interval of it.
+    /// 95% confidence interval of the ratio.
     pub interval: (f64, f64),
 }
 
-/// Both kinds.
+/// Comparison of both proxies by both kinds of work.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Versus {
-    /// Set-ups.
+    /// Comparison by set-ups.
     pub setups: Ratio,
-    /// Line round trips.
+    /// Comparison by line round trips.
     pub lines: Ratio,
 }
 
-/// Measures `setup.daemon` against `other`, in turn, so many rounds.
+/// Measures `setup.daemon` and `other` alternately, for this number of rounds.
 pub fn measure(
     setup: &LoadSetup,
     other: &Daemon,
@@ -55,7 +56,7 @@
     let echo = echo::Echo::start(&nodes).map_err(system("a render node cannot listen"))?;
     let mut arms = Vec::new();
     for (number, daemon) in [&setup.daemon, other].into_iter().enumerate() {
-        let folder = tempfile::tempdir().map_err(system("no folder for the run's files"))?;
+        let folder = tempfile::tempdir().map_err(system("cannot create a folder for the run's files"))?;
         let listen = addresses.proxy(ProxyId(number as u16));
         let proxy = start(daemon, folder.path(), &configuration(listen, &nodes, sockets), sockets)?;
         await_proxy(listen)?;
@@ -67,7 +68,7 @@
         let (mut seen, mut cpu) = (Vec::new(), [Vec::new(), Vec::new()]);
         for round in 0..rounds {
             let mut done = [0.0; 2];
-            // Who is first changes from round to round.
+            // The order of the two proxies alternates from round to round.
             for arm in [round % 2, 1 - round % 2] {
                 if setup.interrupted.load(Ordering::Acquire) {
                     return Err(LoadError::Interrupted);
@@ -89,7 +90,7 @@
             Work::Lines { .. } => versus.lines = ratio,
         }
     }
-    echo.stop().map_err(system("a render node"))?;
+    echo.stop().map_err(system("an echo render node failed"))?;
     Ok(versus)
 }
 
