--- a/crates/kit/src/load/mod.rs
+++ b/crates/kit/src/load/mod.rs
@@ -1,6 +1,6 @@
-//! Load test of one proxy: set-ups and line round trips per second, latency, CPU time, and memory per idle connection.
-//! Each run measures both the path through the proxy and the direct path to a render node, so that the two can be
-//! compared.
+//! Load test of one proxy: set-ups and line round trips per second, latency, CPU time, and memory per idle
+//! connection. Each run measures both the path through the proxy and the direct path to a render node, so that the
+//! two can be compared.
 //!
 //! The load is open-loop: each unit of work is due at a fixed time even if earlier units are late, and its latency
 //! counts from its due time. The proxy sustains a rate if nearly all units of a step are done when the step ends and
@@ -173,8 +173,8 @@
 
     let mut load = Load { connections: setup.connections, ..Load::default() };
     let measure = Measure { setup, pid: proxy.pid() };
-    // The memory comes first: a proxy keeps the memory that it once allocated, so connections opened after a load would
-    // appear to need none.
+    // The memory comes first: a proxy keeps the memory that it once allocated, so connections opened after a load
+    // would appear to need none.
     say("memory of established connections");
     (load.memory_each, load.descriptors_each) = measure.memory(listen)?;
     say("set-ups, directly to a render node");
@@ -193,7 +193,8 @@
 fn start(daemon: &Daemon, folder: &Path, text: &str, sockets: u64) -> Result<Process, LoadError> {
     let path = folder.join("load.json");
     std::fs::write(&path, text).map_err(system("cannot write the proxy's configuration"))?;
-    let log = std::fs::File::create(folder.join("load.log")).map_err(system("cannot create the proxy's log file"))?;
+    let log = std::fs::File::create(folder.join("load.log"))
+        .map_err(system("cannot create the proxy's log file"))?;
     let environment: [(&str, OsString); 1] = [("GW_CONFIG", path.into_os_string())];
     Ok(Process::start(daemon, &environment, sockets, log)?)
 }
--- a/crates/kit/src/load/steady.rs
+++ b/crates/kit/src/load/steady.rs
@@ -1,6 +1,6 @@
-//! One proxy under a constant load: lines at a fixed rate over established connections, while the endpoint list changes
-//! and other clients connect and disconnect. Latency counts from the time at which a line was due. Every due line is
-//! counted, whether it was done or not.
+//! One proxy under a constant load: lines at a fixed rate over established connections, while the endpoint list
+//! changes and other clients connect and disconnect. Latency counts from the time at which a line was due. Every due
+//! line is counted, whether it was done or not.
 
 use super::generator::{self, Aim, Work};
 use super::{LoadError, LoadSetup, OTHER_DESCRIPTORS, await_proxy, echo, start, system};
@@ -22,7 +22,8 @@
     pub lines_per_s: f64,
     /// Connections that are set up and closed per second at the same time.
     pub setups_per_s: f64,
-    /// Number of render nodes in the endpoint list. They share the few addresses at which an echo render node listens.
+    /// Number of render nodes in the endpoint list. They share the few addresses at which an echo render node
+    /// listens.
     pub listed: usize,
     /// Interval between two changes of the endpoint list; zero means that the list never changes.
     pub list_every: Duration,
@@ -39,8 +40,8 @@
     pub seconds: f64,
     /// Number of lines that were due, and that were done by a third of a second after the end.
     pub lines: [u64; 2],
-    /// Latency of a line from its due time to its return, in microseconds: median, 99th percentile, 99.9th percentile and
-    /// maximum.
+    /// Latency of a line from its due time to its return, in microseconds: median, 99th percentile, 99.9th percentile
+    /// and maximum.
     pub line_us: [u64; 4],
     /// Number of set-ups that were due, and that were done.
     pub setups: [u64; 2],
--- a/crates/kit/src/load/versus.rs
+++ b/crates/kit/src/load/versus.rs
@@ -1,6 +1,6 @@
-//! Compares two proxies by their throughput under the same overload, in alternating rounds. The ceiling of a load test is
-//! only known to a few percent. The throughput under overload is known more precisely, and since the rounds alternate,
-//! drifts of the machine's speed affect both proxies.
+//! Compares two proxies by their throughput under the same overload, in alternating rounds. The ceiling of a load
+//! test is only known to a few percent. The throughput under overload is known more precisely, and since the rounds
+//! alternate, drifts of the machine's speed affect both proxies.
 
 use super::generator::{self, Aim, Work};
 use super::{LoadError, LoadSetup, OTHER_DESCRIPTORS, await_proxy, configuration, echo, start, system};
--- a/crates/kit/src/scenario/chance.rs
+++ b/crates/kit/src/scenario/chance.rs
@@ -1,34 +1,34 @@
-//! All chance of a run, from one seed: a stream of its own for each concern, so that what is drawn for one
-//! does not shift what is drawn for another.
+//! The random numbers of a run, derived from one seed. Each purpose has a stream of its own, so that the numbers
+//! drawn for one purpose do not shift those drawn for another.
 
 use fnv::FnvHasher;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 use std::hash::Hasher;
 
-/// Where random numbers come from: ChaCha with eight rounds, whose streams are the same on every machine.
+/// The source of random numbers: ChaCha with eight rounds, whose streams are the same on every machine.
 #[derive(Clone, Debug)]
 pub struct Chance {
     root: ChaCha8Rng,
 }
 
 impl Chance {
-    /// From the seed that a run prints.
+    /// Creates the source from the seed that a run prints.
     pub fn new(seed: u64) -> Self {
         Chance { root: ChaCha8Rng::seed_from_u64(seed) }
     }
 
-    /// The stream of a concern.
+    /// Returns the stream for a purpose.
     pub fn of(&self, concern: &str) -> ChaCha8Rng {
         self.of_each(concern, 0)
     }
 
-    /// The stream of one item of a concern.
+    /// Returns the stream for one item of a purpose.
     pub fn of_each(&self, concern: &str, item: u64) -> ChaCha8Rng {
         let mut name = FnvHasher::default();
         name.write(concern.as_bytes());
         name.write_u8(0xff);
-        // Written byte by byte: `write_u64` would depend on the machine's order of bytes.
+        // `write_u64` would depend on the byte order of the machine.
         name.write(&item.to_le_bytes());
         let mut stream = self.root.clone();
         stream.set_stream(name.finish());
--- a/crates/kit/src/scenario/check.rs
+++ b/crates/kit/src/scenario/check.rs
@@ -1,5 +1,5 @@
-//! Looks at a scenario as a whole: figures out of bounds, shares that are too many, faults that contradict
-//! each other.
+//! Validates a scenario as a whole: values out of range, shares that add up to more than 1, and faults that conflict
+//! with each other.
 
 use super::error::{Trouble, wrong};
 use super::fault::{Fault, Kind, NetworkKind, ProxyKind, Then, Told};
@@ -9,12 +9,12 @@
 use crate::addresses::Addresses;
 use std::collections::BTreeSet;
 
-/// Longest measured part: a day.
+/// Maximum length of the measured part in seconds: one day.
 const LONGEST_S: f64 = 86_400.0;
-/// Rounding of shares that were written as decimal fractions.
+/// Tolerance for the sum of shares, since decimal fractions are rounded.
 const ROUNDING: f64 = 1e-9;
 
-/// All checks.
+/// Runs all checks and returns the first problem.
 pub(super) fn check(scenario: &Scenario) -> Result<(), Trouble> {
     sections(&scenario.body)?;
     for (i, fault) in scenario.faults.iter().enumerate() {
@@ -143,7 +143,8 @@
     part("demand.worst_window", body.demand.worst_window)
 }
 
-/// Beyond this a mean rests on a session in a million, and no run shows it.
+/// Rejects a sigma over 2. With a higher one, the mean depends on about one session in a million, so no run would
+/// show it.
 fn sigma_bound(key: &str, sigma: Range) -> Result<(), Trouble> {
     if sigma.most > 2.0 { wrong(key, format!("must not be over 2: {}", sigma.most)) } else { Ok(()) }
 }
@@ -178,7 +179,7 @@
         above(&format!("fleet.kind[{i}].speed"), kind.speed.least)?;
         let spread = format!("fleet.kind[{i}].speed_spread");
         if kind.speed_spread.most > 0.3 {
-            // Beyond, three standard deviations would reach a speed of nearly nothing.
+            // With a larger spread, three standard deviations would reach a speed near 0.
             return wrong(spread, format!("must not be over 0.3: {}", kind.speed_spread.most));
         }
     }
@@ -328,7 +329,7 @@
     if told == Told::Before { above(key, lead_s) } else { amount(key, lead_s) }
 }
 
-/// `grow` cannot start more than there are.
+/// Checks that the `grow` faults start no more render nodes than `fleet.spare`.
 fn spares(scenario: &Scenario) -> Result<(), Trouble> {
     let mut left = scenario.body.fleet.spare;
     for (i, fault) in scenario.faults.iter().enumerate() {
@@ -344,7 +345,8 @@
     Ok(())
 }
 
-/// Of what there is one of, no two faults may last at a time: the end of the first would end the second.
+/// Checks that no two lasting faults of discovery, and no two network faults of the same kind, overlap in time. There
+/// is only one discovery and one network, so the end of the first fault would also end the second.
 fn lasting(scenario: &Scenario) -> Result<(), Trouble> {
     let of = |fault: &Fault| match &fault.kind {
         Kind::Discovery(it) if it.change.lasts() => Some(("discovery", it.for_s)),
@@ -377,7 +379,8 @@
     Ok(())
 }
 
-/// No draw can give more sessions than this, but for a chance of one in 10^20.
+/// An upper bound of the number of sessions in any plan of the scenario. A plan exceeds it with a probability of
+/// about 1 in 10^20.
 fn most_sessions(scenario: &Scenario) -> f64 {
     let body = &scenario.body;
     let life = body.load.life_s.at(body.scale);
--- a/crates/kit/src/scenario/curve.rs
+++ b/crates/kit/src/scenario/curve.rs
@@ -1,14 +1,14 @@
-//! A factor that changes over time, written as a list of points.
+//! A factor that changes over time, given as a list of points.
 
 use serde::de::{self, Deserialize, Deserializer};
 
-/// Points of a time in seconds of the measured part and a factor there: even slopes in between, level before
-/// the first and after the last.
+/// Pairs of a time, in seconds of the measured part, and the factor at that time. The factor is interpolated linearly
+/// between two points, and constant before the first and after the last.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Curve(Vec<(f64, f64)>);
 
 impl Curve {
-    /// The factor at a time; 1 without any point.
+    /// Returns the factor at time `s`; 1 if there are no points.
     pub fn at(&self, s: f64) -> f64 {
         let after = self.0.partition_point(|(at, _)| *at <= s);
         match (after.checked_sub(1).map(|i| self.0[i]), self.0.get(after).copied()) {
@@ -18,12 +18,12 @@
         }
     }
 
-    /// The highest factor.
+    /// Returns the highest factor; 1 if there are no points.
     pub fn top(&self) -> f64 {
         self.0.iter().map(|(_, factor)| *factor).reduce(f64::max).unwrap_or(1.0)
     }
 
-    /// Nothing was written.
+    /// Whether there are no points.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/kit/src/scenario/draw/clients.rs
+++ b/crates/kit/src/scenario/draw/clients.rs
@@ -1,4 +1,4 @@
-//! Sessions and rude clients of a run.
+//! Draws the sessions and the misbehaving clients of a run.
 
 use super::Draw;
 use super::faults::LoadCourse;
@@ -13,44 +13,45 @@
 use rand_distr::{Distribution, Exp1, StandardNormal};
 use std::collections::BTreeSet;
 
-/// Keys and groups have 53 bits: they must survive a reader whose numbers are floating.
+/// Keys and groups have 53 bits, so that a parser that stores numbers as floating point keeps them exact.
 const KEY_BITS: u32 = 53;
-/// No session is shorter: a client that wants nothing is none.
+/// Minimum life of a session, so that every session requests a connection.
 const SHORTEST: Micros = 100 * MS;
-/// No life is longer, so that times can be added safely.
+/// Maximum life of a session, so that sums of times do not overflow.
 const LONGEST: Micros = 1_000_000 * S;
-/// A session's load does not change twice within this, so that the list of its loads has a bound.
+/// Minimum time in seconds between two changes of a session's load, so that the list of its loads is bounded.
 const SHORTEST_STEP: f64 = 0.1;
-/// An impatient client gives up after this part of the deadline at least.
+/// Minimum share of the deadline after which an impatient client gives up.
 const LEAST_PATIENCE: f64 = 0.2;
 
-/// A class's figures in a run.
+/// The drawn values of a class.
 struct ClassFigures {
-    /// Mean load of a session, work a second.
+    /// Mean load of a session, in work per second.
     load: f64,
     load_sigma: f64,
     swing_sigma: f64,
     change_s: f64,
     idle: f64,
-    /// Mean life, seconds.
+    /// Mean life of a session, in seconds.
     life: f64,
 }
 
-/// Who the clients are: what all sessions are drawn from.
+/// The distributions from which all sessions are drawn.
 pub(super) struct Crowd<'a> {
     draw: &'a Draw<'a>,
     classes: Vec<ClassFigures>,
-    /// Parts of the classes among arrivals, added up.
+    /// Cumulative shares of the classes among arriving sessions.
     arriving: Vec<f64>,
-    /// Parts of the classes among those that stand, added up: longer lives, larger part.
+    /// Cumulative shares of the classes among standing sessions. A class with longer lives has a larger share than
+    /// among the arriving sessions.
     standing: Vec<f64>,
-    /// Tenants' parts, before their course over time.
+    /// Weights of the tenants, before `usage_over_time` is applied.
     usage: Vec<f64>,
     zones: Vec<f64>,
     groups: Vec<(f64, u64)>,
     life_sigma: f64,
     mean_life: f64,
-    /// Sessions that stand on the mean, where the factor of the shape is 1.
+    /// Mean number of standing sessions while the factor of the load shape is 1.
     stand: f64,
     wave: (f64, f64),
     burst: (f64, f64, f64),
@@ -88,8 +89,8 @@
             (None, None) => asked * capacity * connections_per_unit,
         };
 
-        // So that `connections_per_unit` standing sessions ask for one unit on the mean, whatever the classes
-        // are.
+        // The loads are normalized so that, for any classes, `connections_per_unit` standing sessions use one unit of
+        // capacity on average.
         let weights: Vec<f64> = shares.iter().zip(&lives).map(|(share, of)| share * of).collect();
         let all: f64 = weights.iter().sum();
         let mean: f64 = weights.iter().zip(&classes).map(|(weight, class)| weight / all * class.load).sum();
@@ -118,12 +119,12 @@
         }
     }
 
-    /// Mean life of an arriving session in seconds.
+    /// Mean life of an arriving session, in seconds.
     pub fn mean_life(&self) -> f64 {
         self.mean_life
     }
 
-    /// All sessions, in the order of their arrival.
+    /// Draws all sessions, in the order of their arrival.
     pub fn sessions(&self, course: &LoadCourse) -> Vec<Session> {
         let (draw, chance) = (self.draw, &self.draw.chance);
         let mut keys = BTreeSet::new();
@@ -134,8 +135,8 @@
                 let mut own = chance.of_each("standing", i);
                 let class = pick(&self.standing, &mut own);
                 let arrives = (fill as f64 * own.random::<f64>()) as Micros;
-                // Of a session that stands at a moment, the life is drawn in proportion to its length, and
-                // any part of it may be over.
+                // Sessions that stand at a given moment have length-biased lives, and the elapsed share of a life is
+                // uniformly distributed.
                 let whole = self.life(class, true, &mut own);
                 let left = (whole as f64 * own.random::<f64>()) as Micros;
                 self.session(arrives, class, draw.from - arrives + left, &mut keys, own)
@@ -166,7 +167,8 @@
         sessions
     }
 
-    /// Times of a Poisson process in seconds of the measured part, whose rate is a factor of the usual one.
+    /// Draws the times of a Poisson process, in seconds of the measured part. Its rate is `factor` times the usual
+    /// arrival rate; `top` is the maximum of `factor`.
     fn arrivals(
         &self,
         concern: &str,
@@ -179,7 +181,7 @@
         let most = self.stand / self.mean_life * top;
         let mut at = from;
         std::iter::from_fn(move || {
-            // At a rate of 0 the first gap is endless, and the process over.
+            // If the rate is 0, the first gap is infinite and there are no arrivals.
             loop {
                 let gap: f64 = Exp1.sample(&mut chance);
                 at += gap / most;
@@ -202,7 +204,8 @@
     fn life(&self, class: usize, by_length: bool, own: &mut ChaCha8Rng) -> Micros {
         let (mean, sigma) = (self.classes[class].life, self.life_sigma);
         let normal: f64 = StandardNormal.sample(own);
-        // A lognormal weighted by length is one moved by sigma squared.
+        // The length-biased form of a lognormal distribution is the same distribution with its mu increased by sigma
+        // squared.
         let middle = if by_length { sigma * sigma / 2.0 } else { -sigma * sigma / 2.0 };
         micros(mean * (middle + sigma * normal).exp()).clamp(SHORTEST, LONGEST)
     }
@@ -239,8 +242,8 @@
         }
     }
 
-    /// Steps of one session's load: its own level, about which it swings, and parts in which it asks for
-    /// nothing; on the mean its class's load.
+    /// Draws the steps of a session's load: variations around the session's own level, and idle steps with a load of
+    /// 0. The mean over the sessions is the load of the class.
     fn loads(&self, class: usize, until: Micros, own: &mut ChaCha8Rng) -> Vec<(Micros, f64)> {
         let class = &self.classes[class];
         let level = class.load / (1.0 - class.idle) * around_one(class.load_sigma, own);
@@ -257,7 +260,7 @@
         loads
     }
 
-    /// By how much arrivals are above the usual rate at a time.
+    /// Factor of the load shape on the usual arrival rate at time `s`.
     fn factor(&self, s: f64) -> f64 {
         match self.draw.body.load.shape {
             Shape::Steady => 1.0,
@@ -281,13 +284,13 @@
 }
 
 impl Draw<'_> {
-    /// Part of the clients that are impatient.
+    /// Draws the share of the clients that are impatient.
     fn impatient(&self) -> f64 {
         self.body.clients.impatient.draw(&mut self.chance.of("impatient"))
     }
 }
 
-/// Rude clients, in the order of their arrival.
+/// Draws the misbehaving clients, in the order of their arrival.
 pub(super) fn rude(draw: &Draw<'_>, scenario: &Scenario) -> Vec<MisbehavingClient> {
     let mut all = Vec::new();
     let end = draw.body.seconds;
@@ -324,7 +327,7 @@
     }
 }
 
-/// Groups and the parts of the sessions up to each, by Zipf's law.
+/// Draws the groups, each with its cumulative share of the sessions. The sizes follow Zipf's law.
 fn groups(draw: &Draw<'_>, stand: f64) -> Vec<(f64, u64)> {
     let mut chance = draw.chance.of("groups");
     let size = draw.body.groups.mean_size.draw(&mut chance);
@@ -334,13 +337,13 @@
     added_up(&weights).into_iter().map(|up_to| (up_to, chance.random::<u64>() >> (64 - KEY_BITS))).collect()
 }
 
-/// Lognormal with mean 1.
+/// Draws from a lognormal distribution with mean 1.
 fn around_one(sigma: f64, chance: &mut ChaCha8Rng) -> f64 {
     let normal: f64 = StandardNormal.sample(chance);
     (sigma * normal - sigma * sigma / 2.0).exp()
 }
 
-/// Weights as parts of 1, each with all before it.
+/// Returns the cumulative sums of the weights, normalized to a total of 1.
 fn added_up(weights: &[f64]) -> Vec<f64> {
     let sum: f64 = weights.iter().sum();
     let mut so_far = 0.0;
--- a/crates/kit/src/scenario/draw/faults.rs
+++ b/crates/kit/src/scenario/draw/faults.rs
@@ -1,4 +1,4 @@
-//! The timeline of a run: the scenario's faults, and what follows from them.
+//! Draws the timeline of a run: the events of the scenario's faults, and the resulting changes of the endpoint list.
 
 use super::Draw;
 use super::listing::{Truth, entries};
@@ -17,18 +17,20 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// A proxy that is restarted without a word on when starts so long after it has ended for certain.
+/// Seconds after which a restarted proxy starts again if `for_s` is not set, counted from the time at which it is
+/// certain to have ended.
 const PROXY_AGAIN_S: f64 = 0.2;
 
-/// What the faults do to the arrivals.
+/// Changes of the arrival rate that the faults cause.
 #[derive(Debug, Default)]
 pub(super) struct LoadCourse {
     falls: Vec<Span>,
-    /// Additional arrivals, with the name of their streams.
+    /// Additional arrivals, each with the name of its random stream.
     pub surges: Vec<(String, Span)>,
 }
 
-/// A factor on the arrivals, in seconds of the measured part; reached evenly within `over`.
+/// A factor on the arrival rate between two times in seconds of the measured part. The rate changes linearly to the
+/// factor during the first `over` seconds.
 #[derive(Debug)]
 pub(super) struct Span {
     pub from: f64,
@@ -38,7 +40,7 @@
 }
 
 impl LoadCourse {
-    /// Part of the usual arrivals that come at a time.
+    /// Share of the usual arrivals that is kept at time `s`.
     pub fn kept(&self, s: f64) -> f64 {
         let now = self.falls.iter().filter(|fall| fall.from <= s && s < fall.until);
         now.map(|fall| {
@@ -49,14 +51,14 @@
     }
 }
 
-/// What the faults make of a run.
+/// The effects of all faults on a run.
 pub(super) struct Course {
     pub timeline: Vec<TimelineEvent>,
     pub load: LoadCourse,
 }
 
-/// Each fault with a name for its streams that does not depend on the others: its kind, its time, and which
-/// it is of the same kind at the same time.
+/// Returns each fault with the name of its random streams. The name consists of the kind, the time and a number among
+/// the faults of that kind and time, so that it does not depend on other faults.
 pub(super) fn named(scenario: &Scenario) -> Vec<(&Fault, String)> {
     let mut seen: BTreeMap<String, u32> = BTreeMap::new();
     let name = |fault: &Fault| format!("fault {} at {}", fault.kind_name(), micros(fault.at_s));
@@ -71,7 +73,7 @@
 
 pub(super) fn draw(draw: &Draw<'_>, scenario: &Scenario) -> Course {
     let faults = named(scenario);
-    // A file whose claims cannot be read is refused before it gets here.
+    // Validation has already rejected a scenario whose claims have errors.
     let claims = holds::holds(scenario).unwrap_or_default();
     let who = holds::assign(draw.body, &claims, |hold: &Hold| {
         let pool = if hold.pool == Pool::Nodes { "nodes" } else { "proxies" };
@@ -99,7 +101,7 @@
     events: Vec<TimelineEvent>,
     truths: BTreeMap<u16, Vec<Truth>>,
     load: LoadCourse,
-    /// The next spare node.
+    /// Number of the next spare render node.
     spare: u16,
 }
 
@@ -211,7 +213,7 @@
         }
     }
 
-    #[allow(clippy::too_many_arguments)] // The figures of one fault, already drawn.
+    #[allow(clippy::too_many_arguments)] // The drawn values of one fault.
     fn down(
         &mut self,
         at: Micros,
@@ -244,7 +246,7 @@
                     self.node(at, *node, NodeChange::Vanish);
                     self.truth(*node, at, Phase::Removed, false, notice);
                 }
-                // The process runs, and that is all that discovery knows.
+                // Discovery does not notice, since the process still runs.
                 DownKind::Hang => self.node(at, *node, NodeChange::Hang),
                 DownKind::Rubbish => self.node(at, *node, NodeChange::Rubbish),
             }
@@ -281,7 +283,7 @@
         self.load.falls.push(Span { from: at_s, over: over_s, until: f64::INFINITY, load });
     }
 
-    /// A node sends its clients away and goes; gives the time at which it is gone.
+    /// Drains a render node and ends its process. Returns the time at which the process ends.
     fn drain(
         &mut self,
         node: u16,
--- a/crates/kit/src/scenario/draw/fleet.rs
+++ b/crates/kit/src/scenario/draw/fleet.rs
@@ -1,4 +1,4 @@
-//! The render nodes of a run.
+//! Draws the render nodes of a run.
 
 use super::Draw;
 use crate::plan::Node;
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, StandardNormal};
 
-/// What all nodes of a kind have in common in a run.
+/// Values that all render nodes of a kind share in a run.
 struct Drawn {
     cores: f64,
     speed: f64,
@@ -20,7 +20,8 @@
     warm_up: Micros,
 }
 
-/// All render nodes, the spare ones last, and how many connections of mean load fill a unit of capacity.
+/// Returns all render nodes, the spare ones last, and the number of connections whose mean load uses one unit of
+/// capacity.
 pub(super) fn nodes(draw: &Draw<'_>) -> (Vec<Node>, f64) {
     let fleet = &draw.body.fleet;
     let mut chance = draw.chance.of("fleet");
@@ -80,15 +81,17 @@
     }
 }
 
-/// What a machine really does, over what it is said to do: lognormal with mean 1, and never further off than
-/// three standard deviations, so that no node is next to nothing and the number of sessions has a bound.
+/// Draws the ratio of a machine's actual speed to its registered speed. The distribution is lognormal with mean 1,
+/// clamped to three standard deviations, so that no render node has nearly no capacity and the number of sessions is
+/// bounded.
 fn true_speed(spread: f64, chance: &mut ChaCha8Rng) -> f64 {
     let sigma = (1.0 + spread * spread).ln().sqrt();
     let normal: f64 = StandardNormal.sample(chance);
     (sigma * normal - sigma * sigma / 2.0).exp().clamp(1.0 - 3.0 * spread, 1.0 + 3.0 * spread)
 }
 
-/// So many places for each kind as its share says (largest remainder), in random order.
+/// Returns the kind of each of `count` render nodes, in random order. The numbers per kind follow the shares by the
+/// largest remainder method.
 fn kinds(shares: &[f64], count: usize, chance: &mut ChaCha8Rng) -> Vec<usize> {
     let sum: f64 = shares.iter().sum();
     let exact: Vec<f64> = shares.iter().map(|share| share / sum * count as f64).collect();
--- a/crates/kit/src/scenario/draw/listing.rs
+++ b/crates/kit/src/scenario/draw/listing.rs
@@ -1,29 +1,29 @@
-//! What discovery learns of a render node, from what really happens to it: late, and never what is over by
-//! then.
+//! Derives the changes of a render node in the endpoint list from the changes of its actual state. Discovery lists a
+//! change with a delay, and skips it if a later change has superseded it by then.
 
 use crate::plan::Phase;
 use crate::time::{MS, Micros};
 
-/// Something that happened to a render node and that discovery may learn.
+/// A change of a render node's actual state, which discovery may list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Truth {
-    /// When it happened.
+    /// Time of the change.
     pub at: Micros,
-    /// What the list should say of it.
+    /// Phase of the render node after the change, as the list should show it.
     pub phase: Phase,
-    /// `up` with a new process.
+    /// Whether a new process has started.
     pub fresh: bool,
-    /// When discovery would say so.
+    /// Time at which discovery would list the change.
     pub listed: Micros,
 }
 
-/// The changes of the list for one render node, in order; `truths` in the order of their times.
+/// Returns the changes of the endpoint list for one render node, in order of time. `truths` must be in order of time.
 pub(super) fn entries(truths: &[Truth], up_at_start: bool) -> Vec<(Micros, Phase)> {
     let mut said = if up_at_start { Phase::Up } else { Phase::Removed };
     let mut entries: Vec<(Micros, Phase)> = Vec::new();
     for (i, truth) in truths.iter().enumerate() {
-        // Discovery looks late: what has turned into something else by then is not seen. A drain that
-        // somebody planned stays true until the node runs again.
+        // Discovery does not see a state that has changed by the time it would list it. Only a planned drain stays
+        // valid until the render node is up again.
         let over = truths[i + 1..].iter().any(|later| {
             let changes = truth.phase != Phase::Draining || later.phase == Phase::Up;
             changes && later.at <= truth.listed
--- a/crates/kit/src/scenario/draw/mod.rs
+++ b/crates/kit/src/scenario/draw/mod.rs
@@ -1,4 +1,4 @@
-//! From a scenario and a seed to a plan.
+//! Draws the plan of a run from a scenario and a seed.
 
 mod clients;
 mod faults;
@@ -14,16 +14,16 @@
 use crate::time::{MS, Micros, S};
 use rand::RngExt;
 
-/// Part of what the fleet can do that the tenants' quotas are made of: the operators' 0.74 to 0.9.
+/// Sum of the tenants' quotas as a share of the fleet's capacity. The operators use 0.74 to 0.9.
 const QUOTA: Range = Range::new(0.74, 0.9);
 
-/// What the parts of a draw share.
+/// Context that all parts of the draw share.
 struct Draw<'a> {
     body: &'a Body,
     chance: Chance,
-    /// When the measured part begins.
+    /// Start of the measured part.
     from: Micros,
-    /// When it ends.
+    /// End of the measured part.
     ends: Micros,
 }
 
@@ -137,7 +137,7 @@
         told_within: ms(rules.told_within_ms),
         fall_multiple: rules.fall_multiple,
         fall_window: ms(rules.fall_window_ms),
-        // The bounds, not what was drawn: nobody is told how a node really warms up.
+        // These are the bounds instead of the drawn values, since proxies do not know a render node's actual warm-up.
         cold_from: body.fleet.cold_from.least,
         warm_up: micros(body.fleet.warm_up_s.at(body.scale).most),
         line_held: ms(rules.line_held_ms),
--- a/crates/kit/src/scenario/error.rs
+++ b/crates/kit/src/scenario/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a scenario, where in which file, and what was probably meant.
+//! Errors in a scenario, with the file, the line, the key and a suggested correction.
 
 use std::fmt;
 use std::ops::Range;
@@ -6,27 +6,27 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// A scenario that cannot be used.
+/// Why a scenario cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum BadScenario {
-    /// The file cannot be read.
+    /// The file could not be read.
     #[error("{}: cannot be read: {error}", file.display())]
     Unreadable {
-        /// Which file.
+        /// Path of the file.
         file: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// Something in it is wrong.
+    /// The content of the file is wrong.
     #[error("{}{}", At(file, *line, key), trouble)]
     Wrong {
-        /// Which file.
+        /// Path of the file.
         file: PathBuf,
-        /// In which line, from 1, where one can be named.
+        /// Line number, counted from 1; `None` if the problem has no line.
         line: Option<usize>,
-        /// At which key, by its full path; items of a list are counted from 0. Empty for the whole file.
+        /// Full path of the key, with items of a list counted from 0. Empty if the problem is in the whole file.
         key: String,
-        /// What is wrong, to be read after the key.
+        /// Description of the problem, which follows the key in the message.
         trouble: String,
     },
 }
@@ -44,19 +44,20 @@
     }
 }
 
-/// A trouble at a key, before it is known where in the file that key is.
+/// A problem with the value of a key, before the line of the key is looked up.
 #[derive(Debug, PartialEq)]
 pub(super) struct Trouble {
     pub key: String,
     pub what: String,
 }
 
-/// A trouble, as the result of a check.
+/// Returns a problem as the result of a check.
 pub(super) fn wrong<T>(key: impl Into<String>, what: impl Into<String>) -> Result<T, Trouble> {
     Err(Trouble { key: key.into(), what: what.into() })
 }
 
-/// What was probably meant, to be put behind a message; nothing if no candidate is near.
+/// Returns a suggestion to append to a message: the candidate nearest to `given`. Empty if no candidate is similar
+/// enough.
 pub(super) fn near_miss<'a>(given: &str, candidates: impl IntoIterator<Item = &'a str>) -> String {
     let nearest = (candidates.into_iter())
         .map(|candidate| (strsim::damerau_levenshtein(given, candidate), candidate))
@@ -65,14 +66,14 @@
     nearest.map_or(String::new(), |(_, candidate)| format!(": did you mean '{candidate}'?"))
 }
 
-/// A scenario's text, to find keys in.
+/// The text of a scenario file, in which the lines of keys are looked up.
 pub(super) struct Source<'a> {
     pub file: &'a Path,
     pub text: &'a str,
 }
 
 impl Source<'_> {
-    /// From an error of the TOML reader.
+    /// Converts an error of the TOML parser.
     pub fn unread(&self, error: &toml::de::Error) -> BadScenario {
         let span = error.span();
         let line = span.as_ref().map(|span| self.line(span.start));
@@ -81,7 +82,7 @@
         BadScenario::Wrong { file: self.file.to_owned(), line, key, trouble: suggest(error.message()) }
     }
 
-    /// From a check.
+    /// Converts a problem that a check found.
     pub fn found(&self, Trouble { key, what }: Trouble) -> BadScenario {
         let table = DeTable::parse(self.text).ok();
         let line = table.and_then(|table| place_of(&key, &table)).map(|place| self.line(place));
@@ -93,7 +94,7 @@
     }
 }
 
-/// Puts what was probably meant behind the reader's "unknown field `x`, expected one of `y`, `z`".
+/// Appends a suggestion to the TOML parser's message "unknown field `x`, expected one of `y`, `z`".
 fn suggest(message: &str) -> String {
     let message = message.trim();
     let mut words = message.split('`').skip(1).step_by(2);
@@ -101,13 +102,14 @@
         Some(given) if message.starts_with("unknown") => near_miss(given, words),
         _ => String::new(),
     };
-    // The list of all that is expected would bury what was meant.
+    // The list of expected names is dropped if there is a suggestion, since the suggestion would be hard to find
+    // after it.
     let short =
         message.split_once(", expected").filter(|_| !near.is_empty()).map_or(message, |(short, _)| short);
     format!("{short}{near}")
 }
 
-/// The path of the smallest thing that holds this place.
+/// Returns the path of the smallest key or value that contains the range `at` of the text.
 fn key_at(table: &Spanned<DeTable<'_>>, at: &Range<usize>) -> String {
     let mut best = (usize::MAX, String::new());
     search_table(table.get_ref(), "", at, &mut best);
@@ -144,7 +146,7 @@
     }
 }
 
-/// Where a key is; where it is not written, where the nearest thing above it is.
+/// Returns the byte offset of a key. If the key is not in the file, returns the offset of its closest parent that is.
 fn place_of(key: &str, table: &Spanned<DeTable<'_>>) -> Option<usize> {
     let mut here = table.get_ref();
     let mut place = None;
--- a/crates/kit/src/scenario/fault/mod.rs
+++ b/crates/kit/src/scenario/fault/mod.rs
@@ -1,5 +1,5 @@
-//! What goes wrong in a scenario: `[[fault]]`, each with `at_s` (seconds of the measured part), `kind`, and
-//! the figures of that kind.
+//! The faults of a scenario: each `[[fault]]` has `at_s` (seconds of the measured part), `kind`, and the parameters
+//! of that kind.
 
 mod read;
 
@@ -13,13 +13,13 @@
 /// A fault.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// When, in seconds of the measured part.
+    /// Start of the fault, in seconds of the measured part.
     pub at_s: f64,
-    /// What.
+    /// Kind of the fault, with its parameters.
     pub kind: Kind,
 }
 
-/// The kinds, by the names that files use.
+/// The kinds of faults. Each comment is the name of the kind in a scenario file.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Kind {
     /// `kill`, `vanish`, `hang`, `rubbish`.
@@ -48,51 +48,52 @@
     Rude(RudeWave),
 }
 
-/// How render nodes stop to serve.
+/// How a render node stops serving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DownKind {
-    /// The process ends.
+    /// The process is killed.
     Kill,
-    /// The machine is gone without a word.
+    /// The machine disappears without closing its connections.
     Vanish,
-    /// It accepts and never replies.
+    /// The render node accepts connections and never replies.
     Hang,
-    /// It answers rubbish.
+    /// The render node answers new connections with unreadable bytes.
     Rubbish,
 }
 
-/// What follows a fault of a render node.
+/// What happens to a render node after its fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Then {
-    /// The process starts, cold.
+    /// A new process starts, cold.
     Start,
-    /// It goes on where it was.
+    /// The same process continues.
     Recover,
-    /// Nothing: it stays as it is.
+    /// The fault lasts until the end of the run.
     Stay,
 }
 
-/// Figures of `kill`, `vanish`, `hang` and `rubbish`. Exactly one of the first four says which nodes.
+/// Parameters of `kill`, `vanish`, `hang` and `rubbish`. Exactly one of the first four fields selects the render
+/// nodes.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Down {
-    /// This part of the fleet.
+    /// Selects this share of the fleet at random.
     pub share: Option<f64>,
-    /// So many nodes.
+    /// Selects this number of render nodes at random.
     pub nodes: Option<u16>,
-    /// These.
+    /// Selects the render nodes with these names.
     pub names: Option<Vec<String>>,
-    /// All of this zone.
+    /// Selects all render nodes of this zone.
     pub zone: Option<String>,
-    /// One after the other within this time; 0 for together.
+    /// The fault begins on each render node at a random time within these seconds; 0 means on all at once.
     #[serde(default)]
     pub spread_s: f64,
-    /// For so long; the operators' 5.9 to 24 s, drawn once for all of them, so that they also come back
-    /// together.
+    /// Duration of the fault; the operators' 5.9 to 24 s by default. It is drawn once for all the render nodes, so
+    /// that they also return together.
     #[serde(default = "Down::for_s")]
     pub for_s: Span,
-    /// What follows; `start` unless said.
+    /// What happens afterwards; `start` by default.
     #[serde(default = "Down::then")]
     pub then: Then,
 }
@@ -107,10 +108,10 @@
     }
 }
 
-/// Figures of `slow`: nodes do everything so many times slower.
+/// Parameters of `slow`: all work of the render nodes takes several times as long.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-#[allow(missing_docs)] // The first five as in `Down`.
+#[allow(missing_docs)] // The first five fields are the same as in `Down`.
 pub struct Slow {
     pub share: Option<f64>,
     pub nodes: Option<u16>,
@@ -118,10 +119,10 @@
     pub zone: Option<String>,
     #[serde(default)]
     pub spread_s: f64,
-    /// For so long; the operators' 16 to 32 s.
+    /// Duration of the fault; the operators' 16 to 32 s by default.
     #[serde(default = "Slow::for_s")]
     pub for_s: Span,
-    /// So many times slower; the operators' 2.1 to 9.4.
+    /// Slowdown factor; the operators' 2.1 to 9.4 by default.
     #[serde(default = "Slow::times")]
     pub times: Range,
 }
@@ -136,35 +137,37 @@
     }
 }
 
-/// Who learns first that a node is to leave.
+/// When the endpoint list shows that a render node drains, relative to the start of the drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Told {
-    /// The list says so `lead_s` before the node begins to send its clients away.
+    /// The list shows the drain `lead_s` before the render node starts to move its clients away.
     Before,
-    /// The node begins, and the list says so after discovery's notice: the operators' world.
+    /// The list shows the drain after the render node has started it, with discovery's delay. The operators' fleet
+    /// works like this.
     After,
 }
 
-/// Figures of `shrink`: part of the fleet drains, goes and is taken off the list.
+/// Parameters of `shrink`: a part of the fleet drains, ends and is removed from the endpoint list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Shrink {
-    /// To this part of the fleet; the operators' 0.42 to 0.77.
+    /// Share of the fleet that remains. The operators' fleet shrinks to 0.42 to 0.77.
     pub to: f64,
-    /// The nodes begin to drain within this time; the operators' 8.3 to 25 s.
+    /// The render nodes start to drain at random times within this period; the operators' 8.3 to 25 s by default.
     #[serde(default = "Shrink::over_s")]
     pub over_s: Span,
-    /// Each sends its clients away within this; the operators' 2.5 to 4.7 s. Then it goes.
+    /// Time in which each render node moves its clients away before its process ends; the operators' 2.5 to 4.7 s by
+    /// default.
     #[serde(default = "drain_s")]
     pub drain_s: Range,
-    /// Who learns first.
+    /// When the list shows the drain; `after` by default.
     #[serde(default = "Shrink::told")]
     pub told: Told,
-    /// With `told = "before"`: by so much.
+    /// With `told = "before"`: seconds by which the list shows the drain before it starts.
     #[serde(default = "lead_s")]
     pub lead_s: f64,
-    /// Arrivals fall to this factor meanwhile, and stay there; to the same as `to` if left out.
+    /// Factor to which the arrivals fall during `over_s` and at which they stay; the value of `to` by default.
     pub load_to: Option<f64>,
 }
 
@@ -182,27 +185,28 @@
     Range::new(2.5, 4.7)
 }
 
-/// Half a second more than the time after which nothing new may be sent to a node that drains.
+/// 0.5 s more than the default of `rules.stop_within_ms`, the time after which a proxy may not send new requests to a
+/// draining render node.
 fn lead_s() -> f64 {
     1.5
 }
 
-/// Figures of `rolling-restart`: the whole fleet, one node after the other.
+/// Parameters of `rolling-restart`: all render nodes restart, one after the other.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rolling {
-    /// From one node to the next.
+    /// Interval from the start of one render node's restart to the start of the next one's.
     pub every_s: f64,
-    /// Each sends its clients away within this.
+    /// Time in which each render node moves its clients away before its process ends.
     #[serde(default = "drain_s")]
     pub drain_s: Range,
-    /// From the end of its process to the start of the next.
+    /// Time from the end of a render node's process to the start of its new process.
     #[serde(default = "Rolling::down_s")]
     pub down_s: Range,
-    /// Who learns first; `before` unless said, since somebody plans it.
+    /// When the list shows the drain; `before` by default, since a rolling restart is planned.
     #[serde(default = "Rolling::told")]
     pub told: Told,
-    /// With `told = "before"`: by so much.
+    /// With `told = "before"`: seconds by which the list shows the drain before it starts.
     #[serde(default = "lead_s")]
     pub lead_s: f64,
 }
@@ -217,21 +221,21 @@
     }
 }
 
-/// Figures of `flap`: nodes are killed and start again, several times.
+/// Parameters of `flap`: render nodes are killed and start again, several times.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-#[allow(missing_docs)] // The first four as in `Down`.
+#[allow(missing_docs)] // The first four fields are the same as in `Down`.
 pub struct Flap {
     pub share: Option<f64>,
     pub nodes: Option<u16>,
     pub names: Option<Vec<String>>,
     pub zone: Option<String>,
-    /// So many times down.
+    /// Number of times that each render node is killed.
     pub times: u32,
-    /// Each time for so long.
+    /// Time that a render node is down each time.
     #[serde(default = "Flap::down_s")]
     pub down_s: Range,
-    /// And up for so long in between.
+    /// Time that a render node is up between two kills.
     #[serde(default = "Flap::up_s")]
     pub up_s: Range,
 }
@@ -246,25 +250,25 @@
     }
 }
 
-/// Figures of `grow`: spare nodes start, cold.
+/// Parameters of `grow`: spare render nodes start, cold.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Grow {
-    /// So many of the spare ones.
+    /// Number of spare render nodes that start.
     pub nodes: u16,
-    /// One after the other within this time.
+    /// Each render node starts at a random time within these seconds; 0 means all at once.
     #[serde(default)]
     pub spread_s: f64,
 }
 
-/// Figures of `drop`: clients drop their connections at once.
+/// Parameters of `drop`: many clients close their connections at the same time.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DropClients {
-    /// This part of the sessions that stand; the operators' 0.2 to 0.57.
+    /// Share of the standing sessions; the operators' 0.2 to 0.57 by default.
     #[serde(default = "DropClients::share")]
     pub share: Range,
-    /// They come again within this; the operators' 0.45 to 2.7 s.
+    /// Time within which the clients reconnect; the operators' 0.45 to 2.7 s by default.
     #[serde(default = "DropClients::back_within_s")]
     pub back_within_s: Range,
 }
@@ -279,20 +283,20 @@
     }
 }
 
-/// Figures of `surge`: more arrivals (or fewer) for a time.
+/// Parameters of `surge`: more or fewer arrivals for some time.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Surge {
-    /// Arrivals times this.
+    /// Factor on the arrival rate.
     pub load: f64,
-    /// For so long.
+    /// Duration of the surge.
     pub for_s: f64,
 }
 
-/// What happens to discovery; see [`DiscoveryChange`].
+/// A fault of discovery; see [`DiscoveryChange`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-#[allow(missing_docs)] // As in `DiscoveryChange`.
+#[allow(missing_docs)] // The variants are the same as in `DiscoveryChange`.
 pub enum DiscoveryKind {
     Down,
     Unavailable,
@@ -305,13 +309,13 @@
 }
 
 impl DiscoveryKind {
-    /// It lasts until discovery is restored; the others happen once.
+    /// Whether the fault lasts until discovery is restored. The other faults happen once.
     pub fn lasts(self) -> bool {
         use DiscoveryKind::*;
         matches!(self, Down | Unavailable | Resetting | Silent)
     }
 
-    /// In the plan's terms.
+    /// The corresponding change in a plan.
     pub(super) fn change(self) -> DiscoveryChange {
         match self {
             DiscoveryKind::Down => DiscoveryChange::Down,
@@ -326,91 +330,92 @@
     }
 }
 
-/// Figures of `discovery`.
+/// Parameters of `discovery`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DiscoveryFault {
-    /// What.
+    /// The fault of discovery.
     pub change: DiscoveryKind,
-    /// For so long, where it lasts; to the end if left out.
+    /// Duration of a fault that lasts; `None` means until the end of the run.
     pub for_s: Option<f64>,
 }
 
-/// What is done to a proxy.
+/// A fault of a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ProxyKind {
-    /// SIGKILL; started again after `for_s`, or never.
+    /// The proxy gets SIGKILL. It starts again after `for_s`, or never if `for_s` is not set.
     Kill,
-    /// SIGTERM; started again `for_s` after the time for leaving is over, or never.
+    /// The proxy gets SIGTERM. It starts again `for_s` after its time to shut down is over, or never if `for_s` is
+    /// not set.
     Terminate,
-    /// As `terminate`, and started again at once if `for_s` does not say when.
+    /// The same as `terminate`, but the proxy starts again shortly after its shutdown if `for_s` is not set.
     Restart,
-    /// Its files are written anew and it gets SIGHUP.
+    /// The files of the proxy are written again, and it gets SIGHUP.
     Reload,
 }
 
-/// Figures of `proxy`.
+/// Parameters of `proxy`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProxyFault {
-    /// What.
+    /// The fault of the proxies.
     pub change: ProxyKind,
-    /// So many, drawn; 1 unless said.
+    /// Selects this number of proxies at random; 1 by default.
     pub proxies: Option<u16>,
-    /// These.
+    /// Selects the proxies with these names.
     pub names: Option<Vec<String>>,
-    /// Away for so long.
+    /// Time until the proxies start again; see [`ProxyKind`] for the case that it is not set.
     pub for_s: Option<f64>,
 }
 
-/// What happens to the network.
+/// A fault of the network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NetworkKind {
-    /// Part of the datagrams between proxies is lost.
+    /// A share of the datagrams between proxies is lost.
     Loss,
-    /// No datagram passes between some proxies and the others.
+    /// Datagrams between the selected proxies and the other proxies are lost.
     Part,
-    /// Some proxies can't reach some render nodes.
+    /// The selected proxies cannot reach the selected render nodes.
     CutOff,
 }
 
-/// Figures of `network`.
+/// Parameters of `network`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NetworkFault {
-    /// What.
+    /// The fault of the network.
     pub change: NetworkKind,
-    /// For `loss`: the part that is lost.
+    /// For `loss`: share of the datagrams that is lost.
     pub loss: Option<f64>,
-    /// For `part` and `cut-off`: so many proxies, drawn.
+    /// For `part` and `cut-off`: selects this number of proxies at random.
     pub proxies: Option<u16>,
-    /// Or these.
+    /// For `part` and `cut-off`: selects the proxies with these names.
     pub proxy_names: Option<Vec<String>>,
-    /// For `cut-off`: so many render nodes, drawn.
+    /// For `cut-off`: selects this number of render nodes at random.
     pub nodes: Option<u16>,
-    /// Or these.
+    /// For `cut-off`: selects the render nodes with these names.
     pub names: Option<Vec<String>>,
-    /// For so long; to the end if left out.
+    /// Duration of the fault; `None` means until the end of the run.
     pub for_s: Option<f64>,
 }
 
-/// Figures of `rude`: rude clients for a time, beside those of the section of that name.
+/// Parameters of `rude`: misbehaving clients for some time, in addition to those of the section `[rude]`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RudeWave {
-    /// So many a second.
+    /// Arrivals per second.
     pub per_s: f64,
-    /// For so long.
+    /// Duration of the arrivals.
     pub for_s: f64,
-    /// What they do.
+    /// The kinds of misbehavior, drawn with equal probability; all kinds by default.
     #[serde(default = "Rude::every_kind")]
     pub kinds: Vec<Misbehavior>,
 }
 
 impl Fault {
-    /// The kind, as files write it.
+    /// Name of the kind in scenario files.
     pub fn kind_name(&self) -> &'static str {
         match &self.kind {
             Kind::Down(DownKind::Kill, _) => "kill",
--- a/crates/kit/src/scenario/fault/read.rs
+++ b/crates/kit/src/scenario/fault/read.rs
@@ -1,5 +1,5 @@
-//! Reading faults: the kind first, then the figures of that kind. An enum of serde's would do the same, but
-//! it loses the places in the file, and with them the line of a mistake.
+//! Parses the faults of a scenario: first the kind of a fault, then the parameters of that kind. A serde enum would
+//! do the same, but it loses the positions in the file, so that errors would have no line number.
 
 use super::{
     DiscoveryFault, Down, DownKind, DropClients, Fault, Flap, Grow, Kind, NetworkFault, ProxyFault, Rolling,
@@ -29,7 +29,7 @@
     "rude",
 ];
 
-/// Reads all faults of a file.
+/// Parses all faults of a file.
 pub(in crate::scenario) fn read_all(source: &Source<'_>) -> Result<Vec<Fault>, BadScenario> {
     let table = DeTable::parse(source.text).map_err(|error| source.unread(&error))?.into_inner();
     let Some((_, value)) = table.into_iter().find(|(name, _)| name.get_ref() == "fault") else {
@@ -100,7 +100,7 @@
         "discovery" => Kind::Discovery(DiscoveryFault::deserialize(rest)?),
         "proxy" => Kind::Proxy(ProxyFault::deserialize(rest)?),
         "network" => Kind::Network(NetworkFault::deserialize(rest)?),
-        // `kind_of` lets nothing else through.
+        // `kind_of` has rejected every name that is not in `KINDS`, so this is "rude".
         _ => Kind::Rude(RudeWave::deserialize(rest)?),
     })
 }
--- a/crates/kit/src/scenario/format/fleet.rs
+++ b/crates/kit/src/scenario/format/fleet.rs
@@ -1,4 +1,4 @@
-//! The sections about machines.
+//! The sections `fleet` and `proxies` of a scenario file.
 
 use crate::plan::FalseReport;
 use crate::scenario::range::{Range, Span};
@@ -8,36 +8,36 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fleet {
-    /// Up and warm from the start; their names are `render-0`, `render-1` ...
+    /// Number of render nodes that are up and warm from the start. They are named `render-0`, `render-1` and so on.
     pub nodes: u16,
-    /// Further ones, not up at the start: a fault `grow` starts them.
+    /// Number of additional render nodes that are not up at the start. `grow` faults start them.
     pub spare: u16,
-    /// Names of the zones; nodes and proxies take turns through them. The operators' five halls, but no more
-    /// than there are proxies.
+    /// Names of the zones, to which render nodes and proxies are assigned in turn. `None` means the operators' five
+    /// halls, but at most one for each proxy.
     pub zones: Option<Vec<String>>,
-    /// Machines.
+    /// Kinds of machines.
     pub kind: Vec<Kind>,
-    /// Render nodes of a cell.
+    /// Number of render nodes in a cell.
     pub cell_size: Range,
-    /// Connections whose mean load fills a core of standard speed.
+    /// Number of connections whose mean load fully uses a core of standard speed.
     pub connections_per_core: Range,
-    /// Connections that a node bears, in multiples of those that fill it.
+    /// Maximum number of connections of a render node, as a multiple of the number that fully uses it.
     pub connections_cap: Range,
-    /// Set-ups that it takes in at once, for each core.
+    /// Maximum number of simultaneous set-ups per core.
     pub setups_per_core: Range,
-    /// Work of a set-up on a standard core.
+    /// Work of a set-up, as time on a core of standard speed.
     pub setup_work_ms: Range,
-    /// The call to the session store.
+    /// Time that a set-up waits for the session store.
     pub setup_wait_ms: Range,
-    /// A message on an idle node.
+    /// Time to process a message on an idle render node.
     pub message_ms: Range,
-    /// How unevenly messages come.
+    /// Burstiness of the messages: the factor by which the waiting time grows with utilization.
     pub bursty: Range,
-    /// Connections are shed when more is piled up.
+    /// Longest backlog of work; a render node sheds connections beyond it.
     pub buffer_s: Range,
-    /// A cold node begins at this part of its capacity ...
+    /// Share of the capacity at which a cold render node begins slow start.
     pub cold_from: Range,
-    /// ... and is warm after this.
+    /// Duration of slow start.
     pub warm_up_s: Span,
 }
 
@@ -57,7 +57,7 @@
             setups_per_core: Range::new(3.0, 10.0),
             setup_work_ms: Range::new(2.0, 17.0),
             setup_wait_ms: Range::new(5.0, 40.0),
-            // 0.03 to 0.12 of the shortest aim of a message, 60 ms.
+            // 0.03 to 0.12 of 60 ms, the shortest message target of the default classes.
             message_ms: Range::new(1.8, 7.2),
             bursty: Range::new(1.0, 5.0),
             buffer_s: Range::new(0.5, 3.0),
@@ -71,16 +71,18 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
-    /// Its name.
+    /// Name of the kind.
     pub name: String,
-    /// Its part of the fleet; what is drawn is brought to a sum of 1.
+    /// Share of the fleet. The drawn shares of all kinds are normalized to a sum of 1.
     pub share: Range,
-    /// Cores.
+    /// Number of cores.
     #[serde(default = "two_cores")]
     pub cores: Range,
-    /// Speed of a core, in standard cores: what the list's `size` tells.
+    /// Registered speed of a core, as a multiple of a standard core. The endpoint list shows the product of cores and
+    /// speed as `size`.
     pub speed: Range,
-    /// How far true speeds spread about it (standard deviation over mean); told to no one.
+    /// Spread of the actual speeds around the registered speed (standard deviation over mean). No proxy is told the
+    /// actual speeds.
     #[serde(default = "usual_spread")]
     pub speed_spread: Range,
 }
@@ -103,13 +105,14 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Proxies {
-    /// How many; their names are `proxy-0`, `proxy-1` ...
+    /// Number of proxies. They are named `proxy-0`, `proxy-1` and so on.
     pub count: u16,
-    /// Descriptors that each may hold.
+    /// Maximum number of descriptors of each proxy.
     pub sockets: u32,
-    /// Memory of each.
+    /// Memory of each proxy in MB.
     pub memory_mb: u32,
-    /// Further members of the tier, who serve nobody and lie to the proxies: `nothing`, `all-unwell`, `all-crowded`.
+    /// Additional faulty members that serve no clients and send false reports to the proxies: `nothing`, `all-unwell`
+    /// or `all-crowded`.
     pub liars: Vec<FalseReport>,
 }
 
--- a/crates/kit/src/scenario/format/load.rs
+++ b/crates/kit/src/scenario/format/load.rs
@@ -1,61 +1,62 @@
-//! The sections about what is asked for: load, classes, tenants, groups.
+//! The sections `load`, `class`, `tenant` and `groups` of a scenario file.
 
 use super::one;
 use crate::scenario::curve::Curve;
 use crate::scenario::range::{Range, Span};
 use serde::Deserialize;
 
-/// How the arrivals of clients go up and down.
+/// How the arrival rate of clients changes over time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Shape {
-    /// Always the same rate.
+    /// The rate is constant.
     Steady,
-    /// A sine about it.
+    /// The rate follows a sine wave.
     Wave,
-    /// The rate, and at even distances a multiple of it.
+    /// The rate is constant, except for bursts at regular intervals.
     Bursts,
-    /// A factor over time, as written.
+    /// The rate follows the factors of `trace`.
     Trace,
 }
 
-/// How many clients come and how long they stay. Exactly one of the first three; a share of 0.35 (the
-/// operators' rough days) if none is given.
+/// How many clients arrive and how long they stay. At most one of the first three fields may be set; the default is a
+/// share of 0.35, as on the operators' rough days.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Load {
-    /// Load of the standing sessions, as a part of what the nodes that are up at the start can do. Costs of
-    /// set-ups and groups come on top. The operators' days: quiet 0.25, rough 0.35, overload 0.65.
+    /// Load of the standing sessions, as a share of the capacity of the render nodes that are up at the start. The
+    /// costs of set-ups and groups are not included. The operators' share is 0.25 on quiet days, 0.35 on rough days
+    /// and 0.65 on days of overload.
     pub share: Option<Range>,
-    /// New sessions a second.
+    /// New sessions per second.
     pub arrivals_per_s: Option<Range>,
-    /// Sessions that stand.
+    /// Number of standing sessions.
     pub standing: Option<Range>,
-    /// How arrivals go up and down; the figures above are those of a factor of 1.
+    /// How the arrival rate changes over time. The values above apply while its factor is 1.
     pub shape: Shape,
-    /// Length of a wave.
+    /// For the shape `wave`: period of the wave.
     pub period_s: Range,
-    /// Its height: the factor goes from 1 - swing to 1 + swing.
+    /// For the shape `wave`: amplitude of the wave. The factor goes from 1 - swing to 1 + swing.
     pub swing: Range,
-    /// From one burst to the next.
+    /// For the shape `bursts`: interval from one burst to the next.
     pub every_s: Range,
-    /// Length of a burst.
+    /// For the shape `bursts`: duration of a burst.
     pub burst_s: Range,
-    /// Its height.
+    /// For the shape `bursts`: factor during a burst.
     pub burst: Range,
-    /// For the shape `trace`: points of a time and a factor.
+    /// For the shape `trace`: the factor over time.
     pub trace: Curve,
     /// Mean life of a session.
     pub life_s: Span,
-    /// Spread of lives (sigma of a lognormal).
+    /// Spread of the lives (sigma of a lognormal distribution).
     pub life_sigma: Range,
-    /// How uneven the zones' parts of the clients are.
+    /// Maximum deviation of a zone's weight among the clients from 1.
     pub zone_skew: Range,
-    /// The standing sessions come up within this time before the measured part ...
+    /// Time at the start of the run within which the initial standing sessions arrive.
     pub fill_s: f64,
-    /// ... which begins after this much more.
+    /// Time between the end of `fill_s` and the start of the measured part.
     pub settle_s: f64,
-    /// A scenario that may draw more sessions than this is refused.
+    /// A scenario that may draw more sessions than this is rejected.
     pub max_sessions: u32,
 }
 
@@ -86,38 +87,38 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Its part of the arrivals; what is drawn is brought to a sum of 1.
+    /// Share of the arrivals. The drawn shares of all classes are normalized to a sum of 1.
     pub share: Range,
-    /// Its mean load, in multiples that only matter between classes.
+    /// Mean load of a session, relative to the other classes.
     #[serde(default = "Class::load")]
     pub load: Range,
-    /// Its mean life, in multiples of the usual one.
+    /// Mean life of a session, as a multiple of `load.life_s`.
     #[serde(default = "Class::life")]
     pub life: Range,
-    /// Spread of its sessions' loads (sigma of a lognormal).
+    /// Spread of the loads between sessions (sigma of a lognormal distribution).
     #[serde(default = "Class::load_sigma")]
     pub load_sigma: Range,
-    /// Spread of one session's load over time.
+    /// Spread of a session's load over time (sigma of a lognormal distribution).
     #[serde(default = "Class::swing_sigma")]
     pub swing_sigma: Range,
     /// Mean time between two changes of a session's load.
     #[serde(default = "Class::change_s")]
     pub change_s: Span,
-    /// Part of the time in which a session asks for nothing.
+    /// Share of the time in which a session has no load.
     #[serde(default = "Class::idle")]
     pub idle: Range,
-    /// A set-up within this is wanted.
+    /// Target time of a set-up.
     #[serde(default = "Class::setup_aim_ms")]
     pub setup_aim_ms: u32,
-    /// A client waits so long for `UP`.
+    /// Time that a client waits for `UP`.
     #[serde(default = "Class::deadline_ms")]
     pub deadline_ms: u32,
-    /// A message within this is well served.
+    /// Target time of a message. A message that is returned within it counts as well served.
     #[serde(default = "Class::message_aim_ms")]
     pub message_aim_ms: u32,
-    /// Worth of a well-served second.
+    /// Weight of a well-served connection second in the service ratios.
     #[serde(default = "one")]
     pub worth: f64,
 }
@@ -159,7 +160,7 @@
         150
     }
 
-    /// The operators' three classes.
+    /// The default classes: the three of the operators.
     pub(in crate::scenario) fn usual() -> Vec<Self> {
         let page_view = Class {
             name: "page-view".to_owned(),
@@ -209,14 +210,14 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Its part of the service: what its quota is made of.
+    /// Share of the service, from which the tenant's quota is computed.
     pub share: f64,
-    /// Its part of the arrivals, in multiples of its share; brought to a sum of 1 with the others'.
+    /// Share of the arrivals, as a multiple of `share`. The shares of all tenants are normalized to a sum of 1.
     #[serde(default = "Tenant::usage")]
     pub usage: Range,
-    /// A further factor on it over time.
+    /// Additional factor on `usage` over time.
     #[serde(default)]
     pub usage_over_time: Curve,
 }
@@ -226,7 +227,7 @@
         Range::new(0.52, 1.4)
     }
 
-    /// The operators' three member houses.
+    /// The default tenants: the three member houses of the operators.
     pub(in crate::scenario) fn usual() -> Vec<Self> {
         let house = |name: &str, share, least, most| Tenant {
             name: name.to_owned(),
@@ -242,15 +243,15 @@
     }
 }
 
-/// Sessions that edit the same score share work.
+/// Groups of sessions. The sessions of a group edit the same score and share work.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Groups {
-    /// Mean number of standing sessions of a group.
+    /// Mean number of standing sessions in a group.
     pub mean_size: Range,
-    /// How uneven sizes are: the exponent of Zipf's law.
+    /// Exponent of Zipf's law, which the sizes of the groups follow.
     pub zipf: Range,
-    /// What a node pays for each group of which it holds any, in mean connection loads.
+    /// Cost of each group that has a session on a render node, in mean connection loads.
     pub cost: Range,
 }
 
--- a/crates/kit/src/scenario/format/mod.rs
+++ b/crates/kit/src/scenario/format/mod.rs
@@ -1,5 +1,5 @@
-//! The sections of a scenario's file. What is left out has the figures of the operators' fleet (the site file
-//! and the bench's page that came with the task); units are in the names.
+//! The sections of a scenario file. The defaults are the values of the operators' fleet, from the operators' site
+//! file and bench page. The names include the units.
 
 mod fleet;
 mod load;
@@ -11,19 +11,19 @@
 use crate::plan::Misbehavior;
 use serde::Deserialize;
 
-/// All of a file but its faults.
+/// All sections of a scenario file except the faults.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Body {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub name: String,
-    /// What it rehearses, in a sentence.
+    /// Description of the rehearsal in one sentence.
     #[serde(default)]
     pub about: String,
-    /// Length of the measured part.
+    /// Duration of the measured part.
     pub seconds: f64,
-    /// Lives, load changes, warm-ups, notices and faults that the file leaves to the usual figures are so
-    /// many times as long. What the file writes is taken as written.
+    /// Factor on the default durations of lives, load changes, warm-ups, notices and faults. Durations that the file
+    /// sets are used as they are.
     #[serde(default = "one")]
     pub scale: f64,
     #[serde(default)]
@@ -35,10 +35,10 @@
     #[serde(default)]
     #[allow(missing_docs)]
     pub load: Load,
-    /// Classes of requests; given any, they replace the operators' three.
+    /// Classes of requests, which replace the three default classes.
     #[serde(default = "Class::usual")]
     pub class: Vec<Class>,
-    /// Tenants; given any, they replace the operators' three.
+    /// Tenants, which replace the three default tenants.
     #[serde(default = "Tenant::usual")]
     pub tenant: Vec<Tenant>,
     #[serde(default)]
@@ -47,7 +47,7 @@
     #[serde(default)]
     #[allow(missing_docs)]
     pub clients: Clients,
-    /// Rude clients beside the others.
+    /// Misbehaving clients, in addition to the sessions; `None` means that there are none.
     #[serde(default)]
     pub rude: Option<Rude>,
     #[serde(default)]
@@ -65,7 +65,7 @@
     #[serde(default)]
     #[allow(missing_docs)]
     pub demand: Demand,
-    /// Read one by one, each by its kind.
+    /// The faults, which are ignored here and parsed separately by their kind.
     #[serde(default, rename = "fault")]
     pub(super) _fault: Option<serde::de::IgnoredAny>,
 }
@@ -74,25 +74,27 @@
     1.0
 }
 
-/// How clients behave.
+/// Behavior of the clients.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Clients {
-    /// Between two lines.
+    /// Interval between two lines of a client.
     pub line_every_s: f64,
-    /// Tries again after a failed one, before a long wait.
+    /// Number of further attempts in a series after the first one failed. The wait `sulk_s` follows a series that
+    /// failed.
     pub retries: Range,
-    /// Wait before a try again; 0 for at once.
+    /// Wait before a further attempt in a series; 0 means no wait.
     pub backoff_ms: Range,
-    /// The long wait; doubles up to 2^4 times this.
+    /// Wait after all attempts of a series failed. It doubles with each failed series, up to 2^4 times this value.
     pub sulk_s: Range,
-    /// Part of the clients that follow the time in `BUSY MS`.
+    /// Share of the clients that follow the wait in `BUSY MS`.
     pub honour: Range,
-    /// After a break or a move they come again within these bounds, drawn each time.
+    /// Bounds of the wait after which a client reconnects when its connection broke or was moved. The wait is drawn
+    /// each time.
     pub rejoin_ms: Range,
-    /// Repeats are marked `r=1`.
+    /// Whether clients mark retries with `r=1`.
     pub marks_retry: bool,
-    /// Part of the clients that give up a try before its time.
+    /// Share of the clients that give up an attempt before its deadline.
     pub impatient: Range,
 }
 
@@ -111,25 +113,25 @@
     }
 }
 
-/// Clients that go beyond the usual.
+/// Clients that break the protocol on purpose.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rude {
-    /// How many come a second.
+    /// Arrivals per second.
     pub per_s: f64,
-    /// What they do; drawn evenly.
+    /// The kinds of misbehavior, drawn with equal probability; all kinds by default.
     #[serde(default = "Rude::every_kind")]
     pub kinds: Vec<Misbehavior>,
-    /// They come from here ...
+    /// Time of the measured part at which they begin to arrive.
     #[serde(default)]
     pub from_s: f64,
-    /// ... until here; to the end if left out.
+    /// Time of the measured part at which they stop arriving; `None` means the end of the run.
     #[serde(default)]
     pub until_s: Option<f64>,
 }
 
 impl Rude {
-    /// All that are known.
+    /// Returns all kinds of misbehavior.
     pub(super) fn every_kind() -> Vec<Misbehavior> {
         use Misbehavior::*;
         vec![
@@ -148,15 +150,15 @@
     }
 }
 
-/// How the front behaves.
+/// Behavior of the front.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Front {
-    /// Between two `PING`s to each proxy.
+    /// Interval between two `PING`s to each proxy.
     pub ping_ms: Range,
-    /// A proxy that has not answered for this long gets no more clients.
+    /// A proxy that has not answered for this long gets no new clients.
     pub notice_s: Span,
-    /// After SIGTERM clients keep arriving for this long.
+    /// For this long after SIGTERM a proxy still gets new clients.
     pub leaves_ms: Range,
 }
 
@@ -170,15 +172,15 @@
     }
 }
 
-/// How late discovery learns things; drawn for each change.
+/// Delays with which discovery lists changes, drawn for each change.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
-    /// Of a process that drains or has ended.
+    /// Delay for a process that drains or has ended.
     pub notice_s: Span,
-    /// Of a machine that is gone without a word.
+    /// Delay for a machine that disappeared without closing its connections.
     pub silent_notice_s: Span,
-    /// Of a process that runs (again).
+    /// Delay for a process that has started or recovered.
     pub up_s: Span,
 }
 
@@ -192,19 +194,19 @@
     }
 }
 
-/// What holds between the parties.
+/// Properties of the network.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Network {
-    /// One way between a proxy and a render node of its zone.
+    /// One-way delay between a proxy and a render node of the same zone.
     pub same_zone_ms: Range,
-    /// Of another zone.
+    /// One-way delay between a proxy and a render node of a different zone.
     pub cross_zone_ms: Range,
-    /// One way of a datagram between proxies: drawn for each between these bounds.
+    /// Bounds of the one-way delay of a datagram between proxies, drawn for each datagram.
     pub datagram_ms: Range,
-    /// Part of the datagrams that is lost.
+    /// Share of the datagrams that is lost.
     pub loss: f64,
-    /// Proxies may send one another datagrams.
+    /// Whether datagrams between proxies are allowed.
     pub datagrams: bool,
 }
 
@@ -220,10 +222,10 @@
     }
 }
 
-/// The figures of the rules; those of the protocol's page and of the operators' settings.
+/// Limits of the rules. The defaults are those of the protocol page and of the operators' settings.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-#[allow(missing_docs)] // As in `plan::Rules`.
+#[allow(missing_docs)] // The fields are the same as in `plan::Rules`.
 pub struct Rules {
     pub answer_slack_ms: u32,
     pub stop_within_ms: u32,
@@ -238,7 +240,7 @@
     pub connect_timeout_ms: u32,
     pub retry_after_max_ms: u32,
     pub grace_ms: u32,
-    /// The longest deadline (3 s where it is shorter) and 0.7 s if left out.
+    /// Time from SIGTERM to SIGKILL of a proxy. `None` means the longest deadline, but at least 3 s, plus 0.7 s.
     pub term_to_kill_ms: Option<u32>,
 }
 
@@ -263,14 +265,14 @@
     }
 }
 
-/// What the run must reach, beside keeping every rule.
+/// Values that a run must reach, besides following every rule.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Demand {
-    /// Service of the whole run, as a part of 1.
+    /// Minimum service ratio of the whole run, from 0 to 1; 0 means no demand.
     pub service: f64,
-    /// Service of the worst 10 s.
+    /// Minimum service ratio of the worst 10 s, from 0 to 1; 0 means no demand.
     pub worst_window: f64,
-    /// Bytes of datagrams that a proxy may send in any second, as delivered; 0: nothing is demanded.
+    /// Maximum datagram bytes that a proxy may send in any second, as delivered; 0 means no limit.
     pub datagram_bytes_per_s: u64,
 }
--- a/crates/kit/src/scenario/holds.rs
+++ b/crates/kit/src/scenario/holds.rs
@@ -1,6 +1,6 @@
-//! Which render nodes and proxies a fault has to itself, and for how long: two faults on one at a time would
-//! contradict each other. The same bounds serve the check of a file and the draw, so what was checked can be
-//! drawn.
+//! Claims of faults on render nodes and proxies: which of them a fault affects, and for how long. Two faults on the
+//! same render node or proxy at the same time would contradict each other. The validation of a file and the draw of a
+//! plan use the same bounds, so a plan can be drawn from every valid scenario.
 
 use super::Scenario;
 use super::error::{Trouble, near_miss, wrong};
@@ -9,21 +9,21 @@
 use rand::Rng;
 use rand::seq::SliceRandom;
 
-/// From the end of a hung process to the start of the next: whoever watches it kills and starts it.
+/// Seconds from the end of a hung process to the start of the next: a supervisor kills and restarts it.
 pub(super) const RESTART_S: f64 = 0.5;
-/// A node that drains goes so long after its time for sending clients away.
+/// Seconds between the end of a render node's drain time and the end of its process.
 pub(super) const LEAVE_S: f64 = 0.3;
-/// A proxy needs so long from its start to be ready, with room to spare.
+/// Seconds from the start of a proxy until it is ready, with a margin.
 const PROXY_STARTS_S: f64 = 1.0;
 
-/// What a fault is about.
+/// The kind of process that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Pool {
     Nodes,
     Proxies,
 }
 
-/// Which of them.
+/// Which render nodes or proxies a fault affects: a number of randomly drawn ones, or the listed ones.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Wanted {
     Any(usize),
@@ -39,7 +39,8 @@
     }
 }
 
-/// A fault's claim. Times in seconds of the measured part; the longest that may be drawn.
+/// The claim of a fault on render nodes or proxies. The times are in seconds of the measured part, and they cover the
+/// longest durations that may be drawn.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Hold {
     pub fault: usize,
@@ -47,7 +48,7 @@
     pub wanted: Wanted,
     pub from: f64,
     pub until: f64,
-    /// The claim is on these alone, not against other faults.
+    /// Whether other faults may affect the same render nodes or proxies at the same time.
     pub shared: bool,
 }
 
@@ -58,7 +59,7 @@
     }
 }
 
-/// All claims, in the order of the faults; a fault may have two (proxies and nodes).
+/// Returns all claims, in the order of the faults. A fault has up to two: one on proxies and one on render nodes.
 pub(super) fn holds(scenario: &Scenario) -> Result<Vec<Hold>, Trouble> {
     let mut all = Vec::new();
     for (i, fault) in scenario.faults.iter().enumerate() {
@@ -144,7 +145,8 @@
     Ok(())
 }
 
-/// SIGKILL comes so long after SIGTERM: the longest deadline (3 s where it is shorter) and 0.7 s.
+/// Seconds from SIGTERM to SIGKILL of a proxy. Unless the file sets them: the longest deadline, but at least 3 s,
+/// plus 0.7 s.
 pub(super) fn term_to_kill_s(body: &Body) -> f64 {
     let longest = body.class.iter().map(|class| class.deadline_ms).max().unwrap_or(0).max(3000);
     f64::from(body.rules.term_to_kill_ms.unwrap_or(longest + 700)) / 1e3
@@ -198,7 +200,7 @@
     }
 }
 
-/// The places of `render-3`, `proxy-0` and the like.
+/// Parses names such as `render-3` or `proxy-0` and returns their numbers.
 fn these(names: &[String], what: &str, count: u16, key: &str) -> Result<Wanted, Trouble> {
     let mut places = Vec::new();
     for name in names {
@@ -215,7 +217,7 @@
     if places.is_empty() { wrong(key, "names nothing") } else { Ok(Wanted::These(places)) }
 }
 
-/// Looks for claims that cannot all be had.
+/// Checks that all claims can be met at the same time.
 pub(super) fn check(scenario: &Scenario) -> Result<(), Trouble> {
     let all = holds(scenario)?;
     let words = |hold: &Hold| {
@@ -239,8 +241,8 @@
                 return wrong(key, format!("'{name}' is already in {}", words(other)));
             }
         }
-        // Drawn in the order of time, after all that are named: those that began earlier and go on are in the
-        // way.
+        // Random claims are assigned in the order of time, after all claims on listed names. So the claims on names
+        // and the random claims that start earlier reduce what is available, if they overlap in time.
         let Wanted::Any(wanted) = hold.wanted else { continue };
         let in_way: Vec<&Hold> = (all.iter().enumerate())
             .filter(|(j, other)| *j != i && hold.meets(other) && comes_first(other, *j, hold, i))
@@ -263,8 +265,8 @@
     matches!(other.wanted, Wanted::These(_)) || (other.from, j) < (hold.from, i)
 }
 
-/// Draws who is meant, one list for each claim: those named first, then in the order of time, each with its
-/// own chance. Needs a scenario that was checked.
+/// Assigns render nodes or proxies to each claim and returns one list for each. Claims on listed names come first,
+/// then the random ones in the order of time, each with its own random stream. The scenario must have been validated.
 pub(super) fn assign<R: Rng>(body: &Body, all: &[Hold], chance: impl Fn(&Hold) -> R) -> Vec<Vec<u16>> {
     let mut order: Vec<usize> = (0..all.len()).collect();
     order.sort_by(|a, b| {
--- a/crates/kit/src/scenario/mod.rs
+++ b/crates/kit/src/scenario/mod.rs
@@ -1,9 +1,9 @@
-//! Scenarios: what is rehearsed, written by hand in TOML, and the plan that a scenario and a seed give.
+//! Scenarios: TOML files that describe a rehearsal. A scenario and a seed determine the plan of a run.
 //!
-//! A file says what differs from the operators' fleet; the rest has its figures ([`mod@format`]). It is read
-//! and checked whole before anything is drawn. All chance comes from the seed, a stream for each concern
-//! ([`chance`]), so that one seed gives one plan to the microsecond and a further fault leaves the arrivals
-//! as they were. See `docs/design/scenarios.md`.
+//! A file contains what differs from the operators' fleet; other values have the defaults of [`mod@format`]. The
+//! whole file is parsed and validated before anything is drawn. All random numbers are derived from the seed, with a
+//! stream for each purpose ([`chance`]), so that a seed gives the same plan to the microsecond, and an additional
+//! fault does not change the arrivals. See `docs/design/scenarios.md`.
 
 pub mod chance;
 mod check;
@@ -25,29 +25,29 @@
 use range::Range;
 use std::path::Path;
 
-/// The operators' halls.
+/// Default zones: the halls of the operators.
 const HALLS: [&str; 5] = ["hall-a", "hall-b", "hall-c", "hall-d", "hall-e"];
-/// The operators' rough days.
+/// Default load share: that of the operators' rough days.
 const USUAL_SHARE: Range = Range::new(0.35, 0.35);
 
-/// A scenario that was checked.
+/// A validated scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// All but the faults.
+    /// All sections except the faults.
     pub body: Body,
-    /// The faults, in the file's order.
+    /// The faults, in the order of the file.
     pub faults: Vec<Fault>,
 }
 
 impl Scenario {
-    /// Reads a file.
+    /// Reads and validates a scenario file.
     pub fn load(file: &Path) -> Result<Self, BadScenario> {
         let text = std::fs::read_to_string(file)
             .map_err(|error| BadScenario::Unreadable { file: file.to_owned(), error })?;
         Self::read(file, &text)
     }
 
-    /// Reads a text; `file` is its name in messages.
+    /// Parses and validates the text of a scenario; `file` is the path for error messages.
     pub fn read(file: &Path, text: &str) -> Result<Self, BadScenario> {
         let source = Source { file, text };
         let body: Body = toml::from_str(text).map_err(|error| source.unread(&error))?;
@@ -57,14 +57,14 @@
         Ok(scenario)
     }
 
-    /// The plan that this scenario and a seed give; always the same.
+    /// Draws the plan for a seed. The same scenario and seed always give the same plan.
     pub fn draw(&self, seed: u64) -> Plan {
         draw::draw(self, seed)
     }
 }
 
 impl Body {
-    /// Names of the zones.
+    /// Names of the zones. Defaults to the operators' halls, but at most one for each proxy.
     pub fn zones(&self) -> Vec<String> {
         let usual =
             || HALLS.iter().take(usize::from(self.proxies.count.max(1))).map(|hall| (*hall).to_owned());
@@ -87,7 +87,7 @@
 }
 
 impl format::Load {
-    /// The part of the fleet's capacity that is asked for, where that is how the load is given.
+    /// The load as a share of the fleet's capacity, used if neither `arrivals_per_s` nor `standing` is set.
     fn share(&self) -> Range {
         self.share.unwrap_or(USUAL_SHARE)
     }
--- a/crates/kit/src/scenario/range.rs
+++ b/crates/kit/src/scenario/range.rs
@@ -1,55 +1,56 @@
-//! Figures of a scenario: a number, or two bounds between which each run draws one.
+//! Values of a scenario: a number, or two bounds between which each run draws a number.
 
 use crate::time::{Micros, S};
 use rand::{Rng, RngExt};
 use serde::de::{self, Deserialize, Deserializer, SeqAccess, Visitor};
 use std::fmt;
 
-/// A figure: `5` for always the same, `[2, 5]` for one drawn evenly between. Never negative, always finite.
+/// A value of a scenario: `5` is a fixed number, and `[2, 5]` is drawn from the uniform distribution between the
+/// bounds. Both bounds are finite and not negative.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Range {
-    /// The least that may be drawn.
+    /// Lower bound.
     pub least: f64,
-    /// The most.
+    /// Upper bound.
     pub most: f64,
 }
 
 impl Range {
-    /// Between these bounds.
+    /// Creates a range with these bounds.
     pub const fn new(least: f64, most: f64) -> Self {
         Range { least, most }
     }
 
-    /// One figure.
+    /// Draws a number.
     pub fn draw(&self, chance: &mut impl Rng) -> f64 {
-        // A figure is taken from the stream in any case, so that a range can become a number without moving
-        // what is drawn after it.
+        // A random number is consumed even if the bounds are equal, so that replacing a range with a fixed number
+        // does not change the values drawn after it.
         self.least + (self.most - self.least) * chance.random::<f64>()
     }
 
-    /// One span, from a figure in seconds.
+    /// Draws a duration from a range in seconds.
     pub fn draw_s(&self, chance: &mut impl Rng) -> Micros {
         micros(self.draw(chance))
     }
 
-    /// One span, from a figure in milliseconds.
+    /// Draws a duration from a range in milliseconds.
     pub fn draw_ms(&self, chance: &mut impl Rng) -> Micros {
         micros(self.draw(chance) / 1e3)
     }
 
-    /// One whole number, both bounds included.
+    /// Draws an integer, both bounds included.
     pub fn draw_count(&self, chance: &mut impl Rng) -> u32 {
         let (least, most) = (self.least.ceil(), self.most.floor());
         (least + ((most - least + 1.0) * chance.random::<f64>()).floor()).clamp(least, most.max(least)) as u32
     }
 
-    /// Both bounds times this.
+    /// Multiplies both bounds by a factor.
     pub fn times(self, factor: f64) -> Self {
         Range { least: self.least * factor, most: self.most * factor }
     }
 }
 
-/// Seconds as microseconds.
+/// Converts seconds to microseconds.
 pub fn micros(seconds: f64) -> Micros {
     (seconds * S as f64).round() as Micros
 }
@@ -102,8 +103,7 @@
     }
 }
 
-/// A span of time. What a file writes itself is taken as written; what it leaves to the operators' figures is
-/// shortened by the scenario's `scale`.
+/// A range of durations. A value in the file is used as it is; a default is multiplied by the scenario's `scale`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Span {
     range: Range,
@@ -111,17 +111,17 @@
 }
 
 impl Span {
-    /// The operators' figure.
+    /// Creates a default range, which the scenario's `scale` applies to.
     pub const fn usual(least: f64, most: f64) -> Self {
         Span { range: Range::new(least, most), written: false }
     }
 
-    /// The span that holds where lives and faults are so many times as long as the operators'.
+    /// Returns the range under the scenario's `scale`.
     pub fn at(&self, scale: f64) -> Range {
         if self.written { self.range } else { self.range.times(scale) }
     }
 
-    /// Whether a file says it.
+    /// Whether the value comes from the file.
     pub fn is_written(&self) -> bool {
         self.written
     }
