--- a/crates/kit/src/scenario/check.rs
+++ b/crates/kit/src/scenario/check.rs
@@ -29,7 +29,7 @@
         return wrong(
             "load.max_sessions",
             format!(
-                "up to {most:.0} sessions may be drawn, more than {bound}: lower the load or `seconds`, or raise this"
+                "up to {most:.0} sessions may be drawn, but the limit is {bound}: lower the load or `seconds`, or raise the limit"
             ),
         );
     }
@@ -45,7 +45,11 @@
 }
 
 fn part(key: &str, value: f64) -> Result<(), Trouble> {
-    if (0.0..=1.0).contains(&value) { Ok(()) } else { wrong(key, format!("is a part of 1: {value}")) }
+    if (0.0..=1.0).contains(&value) {
+        Ok(())
+    } else {
+        wrong(key, format!("must be between 0 and 1: {value}"))
+    }
 }
 
 fn parts(key: &str, range: Range) -> Result<(), Trouble> {
@@ -58,14 +62,14 @@
         if name.is_empty() || !name.chars().all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c)) {
             return wrong(
                 format!("{key}[{i}]"),
-                format!("'{name}' is no name: letters, digits, and - _ . only"),
+                format!("'{name}' is not a valid name: only letters, digits, '-', '_' and '.' are allowed"),
             );
         }
         if !seen.insert(name) {
-            return wrong(format!("{key}[{i}]"), format!("there are two called '{name}'"));
+            return wrong(format!("{key}[{i}]"), format!("the name '{name}' is used twice"));
         }
     }
-    if seen.is_empty() { wrong(key, "names nothing: leave it out for the usual ones") } else { Ok(()) }
+    if seen.is_empty() { wrong(key, "must not be empty: omit it to use the defaults") } else { Ok(()) }
 }
 
 fn shares(key: &str, shares: &[Range]) -> Result<(), Trouble> {
@@ -86,7 +90,7 @@
         .map_err(|trouble| Trouble { key: "name".into(), ..trouble })?;
     above("seconds", body.seconds)?;
     if body.seconds > LONGEST_S {
-        return wrong("seconds", format!("is over a day: {}", body.seconds));
+        return wrong("seconds", format!("must not be longer than a day: {}", body.seconds));
     }
     above("scale", body.scale)?;
     fleet(body)?;
@@ -105,7 +109,10 @@
         above(&key("deadline_ms"), f64::from(class.deadline_ms))?;
         above(&key("message_aim_ms"), f64::from(class.message_aim_ms))?;
         if class.setup_aim_ms > class.deadline_ms {
-            return wrong(key("setup_aim_ms"), format!("is beyond the deadline of {} ms", class.deadline_ms));
+            return wrong(
+                key("setup_aim_ms"),
+                format!("must not exceed the deadline of {} ms", class.deadline_ms),
+            );
         }
         amount(&key("worth"), class.worth)?;
     }
@@ -129,7 +136,7 @@
         if !(rude.from_s >= 0.0 && rude.from_s < until) {
             return wrong(
                 "rude.from_s",
-                format!("{} s is not before the end of rude clients, {until} s", rude.from_s),
+                format!("{} s is not before the end of the arrivals at {until} s", rude.from_s),
             );
         }
     }
@@ -154,21 +161,21 @@
     let all = u32::from(fleet.nodes) + u32::from(fleet.spare);
     if fleet.nodes == 0 || all > u32::from(Addresses::MOST_NODES) {
         let most = Addresses::MOST_NODES;
-        return wrong("fleet.nodes", format!("must be 1 to {most}, the spare ones included: {all}"));
+        return wrong("fleet.nodes", format!("must be 1 to {most}, including `fleet.spare`: {all}"));
     }
     let count = body.proxies.count;
     let liars = body.proxies.liars.len();
     if liars > usize::from(Addresses::MOST_PROXIES.saturating_sub(count)) {
         return wrong(
             "proxies.liars",
-            format!("with the proxies at most {}: {liars}", Addresses::MOST_PROXIES),
+            format!("must not exceed {} together with the proxies: {liars}", Addresses::MOST_PROXIES),
         );
     }
     if count == 0 || count > Addresses::MOST_PROXIES {
         return wrong("proxies.count", format!("must be 1 to {}: {count}", Addresses::MOST_PROXIES));
     }
     if body.proxies.sockets < 64 {
-        return wrong("proxies.sockets", format!("a proxy needs 64 at least: {}", body.proxies.sockets));
+        return wrong("proxies.sockets", format!("must be at least 64: {}", body.proxies.sockets));
     }
     above("proxies.memory_mb", f64::from(body.proxies.memory_mb))?;
     names("fleet.zones", body.zones().iter())?;
@@ -195,10 +202,10 @@
     let load = &body.load;
     let given = [load.share, load.arrivals_per_s, load.standing].iter().flatten().count();
     if given > 1 {
-        return wrong("load", "needs one of `share`, `arrivals_per_s` and `standing`, not two");
+        return wrong("load", "at most one of `share`, `arrivals_per_s` and `standing` may be set");
     }
     if let Some(share) = load.share.filter(|share| share.most > 5.0) {
-        return wrong("load.share", format!("is over five times what the fleet can do: {}", share.most));
+        return wrong("load.share", format!("must not be over 5 times the fleet's capacity: {}", share.most));
     }
     above("load.life_s", load.life_s.at(body.scale).least)?;
     sigma_bound("load.life_sigma", load.life_sigma)?;
@@ -215,7 +222,7 @@
     }
     match (load.shape == Shape::Trace, load.trace.is_empty()) {
         (true, true) => {
-            wrong("load.trace", "is missing: points of a time and a factor, [[0, 1.0], [10, 2.0]]")
+            wrong("load.trace", "is missing: pairs of a time and a factor, such as [[0, 1.0], [10, 2.0]]")
         }
         (false, false) => wrong("load.trace", "is only for the shape \"trace\""),
         _ => Ok(()),
@@ -227,7 +234,11 @@
     if per_s > 1000.0 {
         return wrong(format!("{key}.per_s"), format!("must not be over 1000: {per_s}"));
     }
-    if kinds == 0 { wrong(format!("{key}.kinds"), "names nothing: leave it out for all") } else { Ok(()) }
+    if kinds == 0 {
+        wrong(format!("{key}.kinds"), "must not be empty: omit it to use all kinds")
+    } else {
+        Ok(())
+    }
 }
 
 fn check_fault(body: &Body, i: usize, fault: &Fault) -> Result<(), Trouble> {
@@ -240,10 +251,10 @@
         Kind::Down(kind, down) => {
             amount(&key("spread_s"), down.spread_s)?;
             if *kind == super::fault::DownKind::Kill && down.then == Then::Recover {
-                return wrong(key("then"), "a process that was killed cannot recover: \"start\" or \"stay\"");
+                return wrong(key("then"), "a killed process cannot recover: use \"start\" or \"stay\"");
             }
             if down.then == Then::Stay && down.for_s.is_written() {
-                return wrong(key("for_s"), "means nothing where `then` is \"stay\"");
+                return wrong(key("for_s"), "has no effect if `then` is \"stay\"");
             }
             above(&key("for_s"), down.for_s.at(body.scale).least)
         }
@@ -257,7 +268,10 @@
         }
         Kind::Shrink(shrink) => {
             if !(shrink.to > 0.0 && shrink.to < 1.0) {
-                return wrong(key("to"), format!("is a part of the fleet, between 0 and 1: {}", shrink.to));
+                return wrong(
+                    key("to"),
+                    format!("must be a share of the fleet between 0 and 1: {}", shrink.to),
+                );
             }
             part(&key("load_to"), shrink.load_to.unwrap_or(1.0))?;
             lead(shrink.told, shrink.lead_s, &key("lead_s"))?;
@@ -288,14 +302,14 @@
         Kind::Discovery(discovery) => {
             lasts(discovery.for_s)?;
             if discovery.for_s.is_some() && !discovery.change.lasts() {
-                return wrong(key("for_s"), "means nothing here: this happens once");
+                return wrong(key("for_s"), "has no effect: this fault happens once");
             }
             Ok(())
         }
         Kind::Proxy(proxy) => {
             lasts(proxy.for_s)?;
             if proxy.for_s.is_some() && proxy.change == ProxyKind::Reload {
-                return wrong(key("for_s"), "means nothing here: a reload happens once");
+                return wrong(key("for_s"), "has no effect: a reload happens once");
             }
             Ok(())
         }
@@ -309,12 +323,12 @@
             match network.change {
                 NetworkKind::Loss if network.loss.is_none() => wrong(key("loss"), "is missing"),
                 NetworkKind::Loss if about_proxies || about_nodes => {
-                    wrong(key("change"), "\"loss\" is about all proxies: it takes `loss` and `for_s` only")
+                    wrong(key("change"), "\"loss\" affects all proxies: only `loss` and `for_s` may be set")
                 }
                 NetworkKind::Part | NetworkKind::CutOff if network.loss.is_some() => {
                     wrong(key("loss"), "is only for \"loss\"")
                 }
-                NetworkKind::Part if about_nodes => wrong(key("change"), "\"part\" is about proxies only"),
+                NetworkKind::Part if about_nodes => wrong(key("change"), "\"part\" affects only proxies"),
                 _ => Ok(()),
             }
         }
@@ -337,7 +351,10 @@
         if grow.nodes > left {
             return wrong(
                 format!("fault[{i}].nodes"),
-                format!("{} spare render nodes are left, not {}: raise fleet.spare", left, grow.nodes),
+                format!(
+                    "only {} spare render nodes are left, but the fault needs {}: raise `fleet.spare`",
+                    left, grow.nodes
+                ),
             );
         }
         left -= grow.nodes;
@@ -353,8 +370,8 @@
         Kind::Network(it) => Some((
             match it.change {
                 NetworkKind::Loss => "the loss of datagrams",
-                NetworkKind::Part => "a partition",
-                NetworkKind::CutOff => "a cut between proxies and render nodes",
+                NetworkKind::Part => "the paths between proxies",
+                NetworkKind::CutOff => "the paths between proxies and render nodes",
             },
             it.for_s,
         )),
@@ -371,7 +388,7 @@
             {
                 return wrong(
                     format!("fault[{i}]"),
-                    format!("{what} is already the matter of fault[{j}] then"),
+                    format!("fault[{j}] already affects {what} at that time"),
                 );
             }
         }
--- a/crates/kit/src/scenario/curve.rs
+++ b/crates/kit/src/scenario/curve.rs
@@ -39,7 +39,7 @@
             return Err(de::Error::custom("times and factors must be finite and not negative"));
         }
         if !points.windows(2).all(|pair| pair[0].0 < pair[1].0) {
-            return Err(de::Error::custom("the times of the points must rise: [[0, 1.0], [10, 2.0]]"));
+            return Err(de::Error::custom("the times of the points must increase: [[0, 1.0], [10, 2.0]]"));
         }
         Ok(Curve(points))
     }
--- a/crates/kit/src/scenario/fault/read.rs
+++ b/crates/kit/src/scenario/fault/read.rs
@@ -36,9 +36,10 @@
         return Ok(Vec::new());
     };
     let DeValue::Array(items) = value.into_inner() else {
-        return Err(
-            source.found(Trouble { key: "fault".into(), what: "is written [[fault]], once for each".into() })
-        );
+        return Err(source.found(Trouble {
+            key: "fault".into(),
+            what: "must be written as [[fault]], once for each fault".into(),
+        }));
     };
     items.into_iter().enumerate().map(|(i, item)| read(source, i, item)).collect()
 }
@@ -59,7 +60,7 @@
         return wrong(format!("fault[{i}]"), format!("has no `kind`; the kinds are {}", KINDS.join(", ")));
     };
     let key = format!("fault[{i}].kind");
-    let Some(name) = value.get_ref().as_str() else { return wrong(key, "is not a text") };
+    let Some(name) = value.get_ref().as_str() else { return wrong(key, "is not a string") };
     if KINDS.contains(&name) {
         return Ok(name.to_owned());
     }
@@ -70,7 +71,7 @@
 
 fn time_of(i: usize, value: Option<Spanned<DeValue<'_>>>) -> Result<f64, Trouble> {
     let Some(value) = value else {
-        return wrong(format!("fault[{i}]"), "has no `at_s`: seconds of the measured part");
+        return wrong(format!("fault[{i}]"), "has no `at_s`: its start in seconds of the measured part");
     };
     let number = match value.get_ref() {
         DeValue::Integer(number) => number.to_string().parse().ok(),
@@ -79,7 +80,7 @@
     };
     match number.filter(|at: &f64| at.is_finite() && *at >= 0.0) {
         Some(at) => Ok(at),
-        None => wrong(format!("fault[{i}].at_s"), "is not a number of seconds from 0 on"),
+        None => wrong(format!("fault[{i}].at_s"), "is not a number of seconds of at least 0"),
     }
 }
 
--- a/crates/kit/src/scenario/holds.rs
+++ b/crates/kit/src/scenario/holds.rs
@@ -129,7 +129,7 @@
             all.push(claim(Pool::Proxies, wanted));
             if network.change == NetworkKind::CutOff {
                 let wanted = match (&network.nodes, &network.names) {
-                    (None, None) => return wrong(key("nodes"), "is missing: how many, or `names`"),
+                    (None, None) => return wrong(key("nodes"), "is missing: set it or `names`"),
                     (nodes, names) => who(body, i, None, *nodes, names, &None)?,
                 };
                 all.push(claim(Pool::Nodes, wanted));
@@ -165,7 +165,10 @@
     match (share, nodes, names, zone) {
         (Some(share), None, None, None) => {
             if !(share > 0.0 && share <= 1.0) {
-                return wrong(key("share"), format!("is a part of the fleet, over 0 and up to 1: {share}"));
+                return wrong(
+                    key("share"),
+                    format!("must be a share of the fleet, over 0 and up to 1: {share}"),
+                );
             }
             Ok(Wanted::Any(((fleet as f64 * share).round() as usize).max(1)))
         }
@@ -214,7 +217,7 @@
             }
         }
     }
-    if places.is_empty() { wrong(key, "names nothing") } else { Ok(Wanted::These(places)) }
+    if places.is_empty() { wrong(key, "must not be empty") } else { Ok(Wanted::These(places)) }
 }
 
 /// Checks that all claims can be met at the same time.
@@ -230,7 +233,7 @@
         let what = if hold.pool == Pool::Nodes { "render nodes" } else { "proxies" };
         let key = format!("fault[{}]", hold.fault);
         if hold.wanted.count() > size {
-            return wrong(key, format!("is about {} {what}, and there are {size}", hold.wanted.count()));
+            return wrong(key, format!("affects {} {what}, but there are only {size}", hold.wanted.count()));
         }
         for other in all[..i].iter().filter(|other| hold.meets(other)) {
             let (Wanted::These(mine), Wanted::These(theirs)) = (&hold.wanted, &other.wanted) else {
@@ -238,7 +241,7 @@
             };
             if let Some(both) = mine.iter().find(|place| theirs.contains(place)) {
                 let name = scenario.body.name_of(hold.pool, *both);
-                return wrong(key, format!("'{name}' is already in {}", words(other)));
+                return wrong(key, format!("'{name}' is already affected by {}", words(other)));
             }
         }
         // Random claims are assigned in the order of time, after all claims on listed names. So the claims on names
@@ -254,7 +257,10 @@
             let free = size.saturating_sub(taken);
             return wrong(
                 key,
-                format!("is about {wanted} {what}, but only {free} of {size} are free of {}", by.join(", ")),
+                format!(
+                    "affects {wanted} {what}, but only {free} of {size} are not affected by {}",
+                    by.join(", ")
+                ),
             );
         }
     }
--- a/crates/kit/src/scenario/range.rs
+++ b/crates/kit/src/scenario/range.rs
@@ -72,7 +72,7 @@
             return Err(E::custom(format!("must not be negative: {least}")));
         }
         if most < least {
-            return Err(E::custom(format!("[{least}, {most}] is upside down: the least comes first")));
+            return Err(E::custom(format!("[{least}, {most}] is reversed: the lower bound comes first")));
         }
         Ok(Range { least, most })
     }
--- a/crates/kit/tests/scenarios.rs
+++ b/crates/kit/tests/scenarios.rs
@@ -344,7 +344,13 @@
             }
             Err(error) => {
                 let error = error.to_string();
-                let contradiction = ["is already", "are free of", "and there are", "are left"];
+                let contradiction = [
+                    "is already affected by",
+                    "already affects",
+                    "are not affected by",
+                    "but there are only",
+                    "are left",
+                ];
                 prop_assert!(contradiction.iter().any(|words| error.contains(words)), "{}\n{}", error, text);
             }
         }
