--- a/crates/kit/src/load/echo.rs
+++ b/crates/kit/src/load/echo.rs
@@ -13,38 +13,38 @@
 use std::thread::{self, JoinHandle};
 
 /// Interval between two checks of the stop flag.
-const LOOK: Micros = 20_000;
+const STOP_CHECK_INTERVAL: Micros = 20_000;
 /// Bytes that each direction of a connection buffers at most.
-const BUFFER: usize = 256 * 1024;
+const BUFFER_BYTES: usize = 256 * 1024;
 
 /// The next receipt. No two connections get the same one.
-static RECEIPT: AtomicU64 = AtomicU64::new(1);
+static NEXT_RECEIPT: AtomicU64 = AtomicU64::new(1);
 
-enum Told {
+enum EchoReport {
     Timer,
-    Acceptable,
+    AcceptReady,
 }
 
-impl Report for Told {
+impl Report for EchoReport {
     fn timer(_: u32) -> Self {
-        Told::Timer
+        EchoReport::Timer
     }
 }
 
 enum Object {
-    Listener(Listener<Told>),
-    Connection(Echoing),
+    Listener(Listener<EchoReport>),
+    Connection(EchoConnection),
 }
 
-struct Echoing {
+struct EchoConnection {
     key: Key,
     stream: LineStream,
     up: bool,
-    over: bool,
+    closed: bool,
 }
 
-impl Echoing {
-    fn readable(&mut self, io: &mut Io<Told>) {
+impl EchoConnection {
+    fn readable(&mut self, io: &mut Io<EchoReport>) {
         if self.stream.is_full() {
             return;
         }
@@ -53,11 +53,11 @@
             match self.stream.take_line() {
                 Ok(Some(_)) => {
                     self.up = true;
-                    let receipt = RECEIPT.fetch_add(1, Ordering::Relaxed);
+                    let receipt = NEXT_RECEIPT.fetch_add(1, Ordering::Relaxed);
                     self.stream.push(format!("UP {receipt:x}\r\n").as_bytes());
                 }
                 Ok(None) => {}
-                Err(_) => self.over = true,
+                Err(_) => self.closed = true,
             }
         }
         if self.up {
@@ -65,68 +65,68 @@
             self.stream.push(&rest);
         }
         if self.stream.flush().is_err() {
-            self.over = true;
+            self.closed = true;
         }
         match fill {
             Fill::Blocked => {}
             Fill::More => io.call_again(self.key, Half::Near),
-            Fill::Ended | Fill::Broken(_) => self.over = true,
+            Fill::Ended | Fill::Broken(_) => self.closed = true,
         }
     }
 }
 
 impl Connection for Object {
-    type Report = Told;
+    type Report = EchoReport;
 
-    fn readable(&mut self, io: &mut Io<Told>, leg: Half) {
+    fn readable(&mut self, io: &mut Io<EchoReport>, leg: Half) {
         match self {
             Object::Listener(listener) => listener.readable(io, leg),
-            Object::Connection(echoing) => echoing.readable(io),
+            Object::Connection(connection) => connection.readable(io),
         }
     }
 
-    fn writable(&mut self, io: &mut Io<Told>, _: Half) {
-        if let Object::Connection(echoing) = self {
-            if echoing.stream.flush().is_err() {
-                echoing.over = true;
+    fn writable(&mut self, io: &mut Io<EchoReport>, _: Half) {
+        if let Object::Connection(connection) = self {
+            if connection.stream.flush().is_err() {
+                connection.closed = true;
             }
             // `readable` left the input unread while the output was full.
-            io.call_again(echoing.key, Half::Near);
+            io.call_again(connection.key, Half::Near);
         }
     }
 
-    fn timer(&mut self, _: &mut Io<Told>, _: u32) {}
+    fn timer(&mut self, _: &mut Io<EchoReport>, _: u32) {}
 
     fn done(&self) -> bool {
-        matches!(self, Object::Connection(Echoing { over: true, .. }))
+        matches!(self, Object::Connection(EchoConnection { closed: true, .. }))
     }
 }
 
 /// The echo render nodes, each on a thread of its own.
-pub struct Echo {
+pub struct EchoNodes {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<io::Result<()>>>,
 }
 
-impl Echo {
+impl EchoNodes {
     /// Starts a render node at each address. Fails if it cannot listen at one of them.
-    pub fn start(at: &[SocketAddr]) -> io::Result<Echo> {
+    pub fn start(addresses: &[SocketAddr]) -> io::Result<EchoNodes> {
         let stop = Arc::new(AtomicBool::new(false));
-        let (ready, bound) = channel();
-        let threads = at
+        let (result_sender, bind_results) = channel();
+        let threads = addresses
             .iter()
             .map(|address| {
-                let (address, stop, ready) = (*address, Arc::clone(&stop), ready.clone());
-                thread::spawn(move || serve(address, &stop, &ready))
+                let (address, stop, result_sender) = (*address, Arc::clone(&stop), result_sender.clone());
+                thread::spawn(move || serve(address, &stop, &result_sender))
             })
             .collect();
-        let echo = Echo { stop, threads };
+        let nodes = EchoNodes { stop, threads };
         // Each thread sends the result of its binding. A thread that fails earlier drops its sender.
-        drop(ready);
-        for _ in at {
-            bound.recv().map_err(|_| io::Error::from(io::ErrorKind::BrokenPipe))??;
+        drop(result_sender);
+        for _ in addresses {
+            bind_results.recv().map_err(|_| io::Error::from(io::ErrorKind::BrokenPipe))??;
         }
-        Ok(echo)
+        Ok(nodes)
     }
 
     /// Stops the threads and returns the first error of a thread.
@@ -137,35 +137,35 @@
     }
 }
 
-impl Drop for Echo {
+impl Drop for EchoNodes {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Release);
     }
 }
 
-fn serve(address: SocketAddr, stop: &AtomicBool, ready: &Sender<io::Result<()>>) -> io::Result<()> {
+fn serve(address: SocketAddr, stop: &AtomicBool, result_sender: &Sender<io::Result<()>>) -> io::Result<()> {
     let mut reactor: Reactor<Object> = Reactor::new(Clock::unix())?;
-    reactor.io.buffer_bound = BUFFER;
+    reactor.io.buffer_bound = BUFFER_BYTES;
     let mut listener: Option<Rc<TcpListener>> = None;
-    let bound = reactor.insert(|key, io| {
-        let (object, socket) = Listener::bind(address, |_| Told::Acceptable, key, io)?;
+    let bind_result = reactor.insert(|key, io| {
+        let (object, socket) = Listener::bind(address, |_| EchoReport::AcceptReady, key, io)?;
         listener = Some(socket);
         Ok(Box::new(Object::Listener(object)))
     });
-    // Sending fails only if `Echo::start` has already returned with an error.
-    let _ = ready.send(bound.map(drop));
+    // Sending fails only if `EchoNodes::start` has already returned with an error.
+    let _ = result_sender.send(bind_result.map(drop));
     let Some(listener) = listener else { return Ok(()) };
     let now = reactor.io.now();
-    reactor.io.owner_timer(now + LOOK, 0);
+    reactor.io.owner_timer(now + STOP_CHECK_INTERVAL, 0);
     while !stop.load(Ordering::Acquire) {
         reactor.turn()?;
-        while let Some(told) = reactor.io.reports.pop_front() {
-            match told {
-                Told::Timer => {
+        while let Some(report) = reactor.io.reports.pop_front() {
+            match report {
+                EchoReport::Timer => {
                     let now = reactor.io.now();
-                    reactor.io.owner_timer(now + LOOK, 0);
+                    reactor.io.owner_timer(now + STOP_CHECK_INTERVAL, 0);
                 }
-                Told::Acceptable => accept(&mut reactor, &listener),
+                EchoReport::AcceptReady => accept(&mut reactor, &listener),
             }
         }
     }
@@ -177,7 +177,7 @@
     while let Ok((stream, _)) = listener.accept() {
         let object = reactor.insert(|key, io| {
             let stream = LineStream::accepted(stream, io, key)?;
-            Ok(Box::new(Object::Connection(Echoing { key, stream, up: false, over: false })))
+            Ok(Box::new(Object::Connection(EchoConnection { key, stream, up: false, closed: false })))
         });
         // A connection that could not be registered is closed here.
         drop(object);
--- a/crates/kit/src/load/generator.rs
+++ b/crates/kit/src/load/generator.rs
@@ -1,6 +1,6 @@
 //! The load generator: clients whose units of work are due at fixed times, whether earlier units are done or not.
 
-use super::{LoadError, system};
+use super::{LoadError, system_error};
 use cottonnotch_reactor::line::{Fill, LineStream};
 use cottonnotch_reactor::{Clock, Connection, Half, Io, Key, Micros, Reactor, Report};
 use hdrhistogram::Histogram;
@@ -13,18 +13,18 @@
 use std::time::Duration;
 
 /// Interval between two checks for due work. Latency counts from the due time, so it includes this delay.
-const TICK: Micros = 500;
+const POLL_INTERVAL: Micros = 500;
 /// Longest latency that the histogram records, in microseconds, with three significant figures.
-const LONGEST: u64 = 60_000_000;
+const MAX_LATENCY: u64 = 60_000_000;
 /// Time after the end of a step in which units in progress may still complete. Such units count as done, but not as
 /// done in time.
-const AFTER: Micros = 300_000;
+const GRACE_PERIOD: Micros = 300_000;
 /// Maximum number of set-ups in progress per thread. A proxy with more in progress does not sustain the rate anyway.
-pub(super) const MOST_AT_ONCE: usize = 2000;
+pub(super) const MAX_SETUPS_IN_PROGRESS: usize = 2000;
 /// Bytes that each direction of a connection buffers at most.
-const BUFFER: usize = 64 * 1024;
+const BUFFER_BYTES: usize = 64 * 1024;
 
-static NUMBER: AtomicU64 = AtomicU64::new(1);
+static NEXT_NUMBER: AtomicU64 = AtomicU64::new(1);
 
 /// A kind of work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,7 +42,7 @@
 
 /// Parameters of one step of the load.
 #[derive(Clone, Copy, Debug)]
-pub struct Aim {
+pub struct Step {
     /// The kind of work.
     pub work: Work,
     /// Units of work per second.
@@ -55,7 +55,7 @@
 
 /// Result of one step.
 #[derive(Debug)]
-pub struct Done {
+pub struct StepResult {
     /// Number of units that were due.
     pub due: u64,
     /// Number of units that were done, including those done shortly after the end of the step.
@@ -66,24 +66,24 @@
     pub latency: Histogram<u64>,
 }
 
-impl Done {
-    fn none() -> Self {
-        let Ok(latency) = Histogram::new_with_bounds(1, LONGEST, 3) else {
+impl StepResult {
+    fn empty() -> Self {
+        let Ok(latency) = Histogram::new_with_bounds(1, MAX_LATENCY, 3) else {
             unreachable!("the bounds of 1 us to 60 s with 3 significant figures are valid")
         };
-        Done { due: 0, done: 0, in_time: 0, latency }
+        StepResult { due: 0, done: 0, in_time: 0, latency }
     }
 
     /// Share of the due units that were done.
-    pub fn part(&self) -> f64 {
+    pub fn done_share(&self) -> f64 {
         self.done as f64 / self.due.max(1) as f64
     }
 
-    /// Whether the rate was sustained: at least the share `part` of the units is done, and the 99th percentile of the
-    /// latency is at most `slowest`.
-    pub fn borne(&self, part: f64, slowest: Duration) -> bool {
-        let slow = self.latency.value_at_quantile(0.99);
-        self.part() >= part && u128::from(slow) <= slowest.as_micros()
+    /// Whether the rate was sustained: at least `min_done_share` of the units are done, and the 99th percentile of the
+    /// latency is at most `max_p99`.
+    pub fn is_sustained(&self, min_done_share: f64, max_p99: Duration) -> bool {
+        let p99 = self.latency.value_at_quantile(0.99);
+        self.done_share() >= min_done_share && u128::from(p99) <= max_p99.as_micros()
     }
 
     fn record(&mut self, latency: Micros) {
@@ -91,7 +91,7 @@
         self.latency.saturating_record(latency.max(1) as u64);
     }
 
-    fn add(&mut self, other: &Done) {
+    fn merge(&mut self, other: &StepResult) {
         self.due += other.due;
         self.done += other.done;
         self.in_time += other.in_time;
@@ -114,11 +114,11 @@
         Arc::new(Gate { state: Mutex::new((threads, false)), changed: Condvar::new() })
     }
 
-    /// Waits until all threads have arrived, for at most `most`. Returns whether they have.
-    pub fn wait(&self, most: Duration) -> bool {
+    /// Waits until all threads have arrived or the timeout is over. Returns whether they have.
+    pub fn wait_for_threads(&self, timeout: Duration) -> bool {
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        let all = self.changed.wait_timeout_while(state, most, |(left, _)| *left > 0);
-        all.unwrap_or_else(PoisonError::into_inner).0.0 == 0
+        let waited = self.changed.wait_timeout_while(state, timeout, |(missing, _)| *missing > 0);
+        waited.unwrap_or_else(PoisonError::into_inner).0.0 == 0
     }
 
     /// Opens the gate, so that all waiting threads continue.
@@ -127,7 +127,7 @@
         self.changed.notify_all();
     }
 
-    fn pass(&self) {
+    fn arrive_and_wait(&self) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.0 = state.0.saturating_sub(1);
         self.changed.notify_all();
@@ -136,41 +136,45 @@
 }
 
 /// Runs one step. Connections go to the addresses in turn.
-pub fn play(aim: &Aim, to: &[SocketAddr]) -> Result<Done, LoadError> {
-    let gate = Gate::new(aim.shards);
+pub fn run_step(step: &Step, addresses: &[SocketAddr]) -> Result<StepResult, LoadError> {
+    let gate = Gate::new(step.shards);
     gate.open();
-    play_at(aim, to, &gate)
+    run_step_at_gate(step, addresses, &gate)
 }
 
 /// Runs one step once the gate opens. Connections for lines are established before that.
-pub fn play_at(aim: &Aim, to: &[SocketAddr], gate: &Arc<Gate>) -> Result<Done, LoadError> {
-    let shards: Vec<_> = (0..aim.shards)
+pub fn run_step_at_gate(
+    step: &Step,
+    addresses: &[SocketAddr],
+    gate: &Arc<Gate>,
+) -> Result<StepResult, LoadError> {
+    let shards: Vec<_> = (0..step.shards)
         .map(|shard| {
-            let (aim, to, gate) = (*aim, to.to_vec(), Arc::clone(gate));
-            thread::spawn(move || Shard::play(&aim, &to, shard, &gate))
+            let (step, addresses, gate) = (*step, addresses.to_vec(), Arc::clone(gate));
+            thread::spawn(move || Shard::run(&step, &addresses, shard, &gate))
         })
         .collect();
-    let mut all = Done::none();
+    let mut total = StepResult::empty();
     for shard in shards {
-        let done = shard.join().map_err(|_| LoadError::Panicked)?;
-        all.add(&done.map_err(system("the load generator failed"))?);
+        let result = shard.join().map_err(|_| LoadError::Panicked)?;
+        total.merge(&result.map_err(system_error("the load generator failed"))?);
     }
-    Ok(all)
+    Ok(total)
 }
 
-enum Told {
+enum ClientReport {
     Timer,
     /// The unit that was due at this time is done.
-    Done(Micros),
+    UnitDone(Micros),
     /// The `UP` answer of a connection has arrived.
-    Up,
+    ConnectionUp,
     /// A connection has ended.
-    AttemptEnd,
+    ConnectionEnded,
 }
 
-impl Report for Told {
+impl Report for ClientReport {
     fn timer(_: u32) -> Self {
-        Told::Timer
+        ClientReport::Timer
     }
 }
 
@@ -180,19 +184,19 @@
     stream: LineStream,
     connected: bool,
     up: bool,
-    over: bool,
+    closed: bool,
     /// Due time of the set-up. Such a connection is closed as soon as it is up. `None` on a connection for lines.
-    setup: Option<Micros>,
+    setup_due: Option<Micros>,
     /// Due time of each line in flight, oldest first.
-    out: VecDeque<Micros>,
+    in_flight_due: VecDeque<Micros>,
     /// Due time of each line that waits because too many lines are in flight.
-    waiting: VecDeque<Micros>,
-    in_flight: usize,
+    waiting_due: VecDeque<Micros>,
+    max_in_flight: usize,
 }
 
 /// Builds a first line with a unique id.
 fn first_line() -> String {
-    let number = NUMBER.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     format!("OPEN {number:016x} {number:016x} c=load,d=10000\r\n")
 }
 
@@ -200,64 +204,74 @@
 
 impl Client {
     fn connect(
-        to: SocketAddr,
-        setup: Option<Micros>,
-        in_flight: usize,
+        address: SocketAddr,
+        setup_due: Option<Micros>,
+        max_in_flight: usize,
         key: Key,
-        io: &Io<Told>,
+        io: &Io<ClientReport>,
     ) -> io::Result<Self> {
-        let mut stream = LineStream::connect(to, io, key, Half::Near)?;
+        let mut stream = LineStream::connect(address, io, key, Half::Near)?;
         stream.push(first_line().as_bytes());
-        let (out, waiting) = (VecDeque::new(), VecDeque::new());
-        Ok(Client { key, stream, connected: false, up: false, over: false, setup, out, waiting, in_flight })
+        let (in_flight_due, waiting_due) = (VecDeque::new(), VecDeque::new());
+        Ok(Client {
+            key,
+            stream,
+            connected: false,
+            up: false,
+            closed: false,
+            setup_due,
+            in_flight_due,
+            waiting_due,
+            max_in_flight,
+        })
     }
 
     /// Queues a line that was due at the given time, and sends it if few enough lines are in flight.
-    fn due(&mut self, at: Micros) {
-        self.waiting.push_back(at);
-        self.send();
+    fn queue_line(&mut self, due: Micros) {
+        self.waiting_due.push_back(due);
+        self.send_waiting();
     }
 
-    fn send(&mut self) {
-        let mut any = false;
-        while self.out.len() < self.in_flight {
-            let Some(due) = self.waiting.pop_front() else { break };
-            self.out.push_back(due);
+    fn send_waiting(&mut self) {
+        let mut sent = false;
+        while self.in_flight_due.len() < self.max_in_flight {
+            let Some(due) = self.waiting_due.pop_front() else { break };
+            self.in_flight_due.push_back(due);
             self.stream.push(LINE);
-            any = true;
+            sent = true;
         }
-        if any && self.stream.flush().is_err() {
-            self.over = true;
+        if sent && self.stream.flush().is_err() {
+            self.closed = true;
         }
     }
 
-    fn read(&mut self, io: &mut Io<Told>) {
+    fn read(&mut self, io: &mut Io<ClientReport>) {
         let fill = self.stream.fill();
         loop {
             match self.stream.take_line() {
                 Ok(Some(line)) if !self.up => {
                     if !line.starts_with(b"UP ") {
-                        self.over = true;
+                        self.closed = true;
                         break;
                     }
                     self.up = true;
-                    io.report(Told::Up);
-                    if let Some(due) = self.setup {
-                        io.report(Told::Done(due));
+                    io.report(ClientReport::ConnectionUp);
+                    if let Some(due) = self.setup_due {
+                        io.report(ClientReport::UnitDone(due));
                         // A reset leaves no port in TIME_WAIT. Thousands of set-ups a second would use up the ports.
                         self.stream.reset();
-                        self.over = true;
+                        self.closed = true;
                         break;
                     }
                 }
                 Ok(Some(_)) => {
-                    if let Some(due) = self.out.pop_front() {
-                        io.report(Told::Done(due));
+                    if let Some(due) = self.in_flight_due.pop_front() {
+                        io.report(ClientReport::UnitDone(due));
                     }
                 }
                 Ok(None) => break,
                 Err(_) => {
-                    self.over = true;
+                    self.closed = true;
                     break;
                 }
             }
@@ -265,161 +279,166 @@
         match fill {
             Fill::Blocked => {}
             Fill::More => io.call_again(self.key, Half::Near),
-            Fill::Ended | Fill::Broken(_) => self.over = true,
+            Fill::Ended | Fill::Broken(_) => self.closed = true,
         }
-        if !self.over {
-            self.send();
+        if !self.closed {
+            self.send_waiting();
         }
     }
 }
 
 impl Connection for Client {
-    type Report = Told;
+    type Report = ClientReport;
 
-    fn readable(&mut self, io: &mut Io<Told>, _: Half) {
+    fn readable(&mut self, io: &mut Io<ClientReport>, _: Half) {
         if self.connected {
             self.read(io);
         }
     }
 
-    fn writable(&mut self, io: &mut Io<Told>, _: Half) {
+    fn writable(&mut self, io: &mut Io<ClientReport>, _: Half) {
         if !self.connected {
             match self.stream.connected() {
                 Ok(true) => self.connected = true,
                 Ok(false) => return,
-                Err(_) => self.over = true,
+                Err(_) => self.closed = true,
             }
         }
         if self.stream.flush().is_err() {
-            self.over = true;
+            self.closed = true;
         }
         // The poller does not signal again for input that arrived together with the connect event.
         io.call_again(self.key, Half::Near);
     }
 
-    fn timer(&mut self, _: &mut Io<Told>, _: u32) {}
+    fn timer(&mut self, _: &mut Io<ClientReport>, _: u32) {}
 
     fn done(&self) -> bool {
-        self.over
+        self.closed
     }
 
-    fn closed(&mut self, io: &mut Io<Told>) {
+    fn closed(&mut self, io: &mut Io<ClientReport>) {
         self.stream.reset();
-        io.report(Told::AttemptEnd);
+        io.report(ClientReport::ConnectionEnded);
     }
 }
 
 /// One thread of a step, with its share of the work.
 struct Shard {
     reactor: Reactor<Client>,
-    to: Vec<SocketAddr>,
-    done: Done,
+    addresses: Vec<SocketAddr>,
+    result: StepResult,
     /// Established connections for lines.
-    standing: Vec<Key>,
-    up: usize,
-    open: usize,
-    turn: usize,
+    line_connections: Vec<Key>,
+    up_count: usize,
+    open_count: usize,
+    round_robin: usize,
     /// Time at which the step ends.
-    over: Micros,
+    step_end: Micros,
 }
 
 impl Shard {
-    fn play(aim: &Aim, to: &[SocketAddr], shard: usize, gate: &Gate) -> io::Result<Done> {
+    fn run(step: &Step, addresses: &[SocketAddr], shard: usize, gate: &Gate) -> io::Result<StepResult> {
         let mut reactor = Reactor::new(Clock::unix())?;
-        reactor.io.buffer_bound = BUFFER;
+        reactor.io.buffer_bound = BUFFER_BYTES;
         let mut this = Shard {
             reactor,
-            to: to.to_vec(),
-            done: Done::none(),
-            standing: Vec::new(),
-            up: 0,
-            open: 0,
-            turn: shard,
-            over: Micros::MAX,
+            addresses: addresses.to_vec(),
+            result: StepResult::empty(),
+            line_connections: Vec::new(),
+            up_count: 0,
+            open_count: 0,
+            round_robin: shard,
+            step_end: Micros::MAX,
         };
-        if let Work::Lines { connections, in_flight } = aim.work {
-            this.stand(connections / aim.shards, in_flight)?;
+        if let Work::Lines { connections, in_flight } = step.work {
+            this.open_line_connections(connections / step.shards, in_flight)?;
         }
-        gate.pass();
-        this.step(aim, shard)?;
-        Ok(this.done)
+        gate.arrive_and_wait();
+        this.generate(step, shard)?;
+        Ok(this.result)
     }
 
-    fn connect(&mut self, setup: Option<Micros>, in_flight: usize) -> io::Result<Key> {
-        self.turn += 1;
-        let to = self.to[self.turn % self.to.len()];
-        let key =
-            self.reactor.insert(|key, io| Client::connect(to, setup, in_flight, key, io).map(Box::new))?;
-        self.open += 1;
+    fn connect(&mut self, setup_due: Option<Micros>, max_in_flight: usize) -> io::Result<Key> {
+        self.round_robin += 1;
+        let address = self.addresses[self.round_robin % self.addresses.len()];
+        let key = self
+            .reactor
+            .insert(|key, io| Client::connect(address, setup_due, max_in_flight, key, io).map(Box::new))?;
+        self.open_count += 1;
         Ok(key)
     }
 
     /// Opens the connections for lines, at most 64 at a time.
-    fn stand(&mut self, connections: usize, in_flight: usize) -> io::Result<()> {
+    fn open_line_connections(&mut self, connections: usize, in_flight: usize) -> io::Result<()> {
         let until = self.reactor.io.now() + 20_000_000;
-        while self.up < connections && self.reactor.io.now() < until {
-            while self.standing.len() < connections && self.standing.len() < self.up + 64 {
+        while self.up_count < connections && self.reactor.io.now() < until {
+            while self.line_connections.len() < connections
+                && self.line_connections.len() < self.up_count + 64
+            {
                 let key = self.connect(None, in_flight)?;
-                self.standing.push(key);
+                self.line_connections.push(key);
             }
-            self.turn_once()?;
+            self.poll_once()?;
         }
         Ok(())
     }
 
-    fn turn_once(&mut self) -> io::Result<()> {
+    fn poll_once(&mut self) -> io::Result<()> {
         let now = self.reactor.io.now();
-        self.reactor.io.owner_timer(now + TICK, 0);
+        self.reactor.io.owner_timer(now + POLL_INTERVAL, 0);
         self.reactor.turn()?;
         let now = self.reactor.io.now();
-        while let Some(told) = self.reactor.io.reports.pop_front() {
-            match told {
-                Told::Timer => {}
-                Told::Done(due) => {
-                    self.done.record(now - due);
-                    self.done.in_time += u64::from(now <= self.over);
+        while let Some(report) = self.reactor.io.reports.pop_front() {
+            match report {
+                ClientReport::Timer => {}
+                ClientReport::UnitDone(due) => {
+                    self.result.record(now - due);
+                    self.result.in_time += u64::from(now <= self.step_end);
                 }
-                Told::Up => self.up += 1,
-                Told::AttemptEnd => self.open -= 1,
+                ClientReport::ConnectionUp => self.up_count += 1,
+                ClientReport::ConnectionEnded => self.open_count -= 1,
             }
         }
         Ok(())
     }
 
-    fn step(&mut self, aim: &Aim, shard: usize) -> io::Result<()> {
-        let each = 1e6 * aim.shards as f64 / aim.rate;
+    fn generate(&mut self, step: &Step, shard: usize) -> io::Result<()> {
+        let interval = 1e6 * step.shards as f64 / step.rate;
         // The due times of the shards interleave.
-        let began = self.reactor.io.now() + (each * shard as f64 / aim.shards as f64) as Micros;
-        let length = aim.length.as_micros() as Micros;
-        let total = (length as f64 / each) as u64;
-        let over = began + length;
-        self.over = over;
+        let start = self.reactor.io.now() + (interval * shard as f64 / step.shards as f64) as Micros;
+        let length = step.length.as_micros() as Micros;
+        let total = (length as f64 / interval) as u64;
+        let step_end = start + length;
+        self.step_end = step_end;
         loop {
             let now = self.reactor.io.now();
-            while self.done.due < total {
-                let due = began + (self.done.due as f64 * each) as Micros;
+            while self.result.due < total {
+                let due = start + (self.result.due as f64 * interval) as Micros;
                 if due > now {
                     break;
                 }
-                self.done.due += 1;
-                self.begin(aim.work, due)?;
+                self.result.due += 1;
+                self.start_unit(step.work, due)?;
             }
-            let finished = self.done.due == total && self.done.done >= total;
-            if now > over + AFTER || finished && now >= over {
+            let finished = self.result.due == total && self.result.done >= total;
+            if now > step_end + GRACE_PERIOD || finished && now >= step_end {
                 return Ok(());
             }
-            self.turn_once()?;
+            self.poll_once()?;
         }
     }
 
-    fn begin(&mut self, work: Work, due: Micros) -> io::Result<()> {
+    fn start_unit(&mut self, work: Work, due: Micros) -> io::Result<()> {
         match work {
-            Work::Setups if self.open < MOST_AT_ONCE => self.connect(Some(due), 1).map(drop),
+            Work::Setups if self.open_count < MAX_SETUPS_IN_PROGRESS => self.connect(Some(due), 1).map(drop),
             Work::Setups => Ok(()),
             Work::Lines { .. } => {
-                self.turn += 1;
-                if let Some(key) = self.standing.get(self.turn % self.standing.len().max(1)).copied() {
-                    self.reactor.with(key, |client, _| client.due(due));
+                self.round_robin += 1;
+                if let Some(key) =
+                    self.line_connections.get(self.round_robin % self.line_connections.len().max(1)).copied()
+                {
+                    self.reactor.with(key, |client, _| client.queue_line(due));
                 }
                 Ok(())
             }
@@ -428,20 +447,20 @@
 }
 
 /// Idle connections that are up, opened one after the other.
-pub struct Standing(Vec<TcpStream>);
+pub struct IdleConnections(Vec<TcpStream>);
 
-impl Standing {
+impl IdleConnections {
     /// Opens this number of connections.
-    pub fn open(to: SocketAddr, connections: usize) -> Result<Standing, LoadError> {
-        let mut all = Vec::with_capacity(connections);
+    pub fn open(address: SocketAddr, connections: usize) -> Result<IdleConnections, LoadError> {
+        let mut streams = Vec::with_capacity(connections);
         for _ in 0..connections {
-            all.push(Self::one(to).map_err(system("cannot open an idle connection"))?);
+            streams.push(Self::open_one(address).map_err(system_error("cannot open an idle connection"))?);
         }
-        Ok(Standing(all))
+        Ok(IdleConnections(streams))
     }
 
-    fn one(to: SocketAddr) -> io::Result<TcpStream> {
-        let stream = TcpStream::connect(to)?;
+    fn open_one(address: SocketAddr) -> io::Result<TcpStream> {
+        let stream = TcpStream::connect(address)?;
         stream.set_read_timeout(Some(Duration::from_secs(10)))?;
         (&stream).write_all(first_line().as_bytes())?;
         let mut answer = String::new();
@@ -460,7 +479,7 @@
     }
 }
 
-impl Drop for Standing {
+impl Drop for IdleConnections {
     fn drop(&mut self) {
         for stream in &self.0 {
             // Setting the option fails only on a socket that is already closed.
--- a/crates/kit/src/load/mod.rs
+++ b/crates/kit/src/load/mod.rs
@@ -14,7 +14,7 @@
 use crate::addresses::{Addresses, NoPlace};
 use crate::plan::{NodeId, ProxyId};
 use crate::processes::{Daemon, Process, ProcessError, need_descriptors, usage};
-use generator::{Aim, Done, Work};
+use generator::{Step, StepResult, Work};
 use serde::Serialize;
 use std::ffi::OsString;
 use std::io;
@@ -26,21 +26,21 @@
 use std::time::{Duration, Instant};
 
 /// Minimum share of the due units that must be done in a step for its rate to count as sustained.
-const DONE: f64 = 0.98;
+const MIN_DONE_SHARE: f64 = 0.98;
 /// Maximum 99th percentile of the latency in a step for its rate to count as sustained.
-const SLOWEST: Duration = Duration::from_millis(50);
+const MAX_P99: Duration = Duration::from_millis(50);
 /// Factor from the rate of one step to the rate of the next, until a rate is not sustained.
-const STEP: f64 = 1.6;
+const RATE_FACTOR: f64 = 1.6;
 /// Number of bisection steps between the last sustained rate and the first rate that was not sustained. They locate
 /// the ceiling to about 4%.
-const HALVINGS: u32 = 4;
+const BISECTIONS: u32 = 4;
 /// Wait before the memory of the proxy is read, so that connections that were closed before are gone.
-const SETTLES: Duration = Duration::from_millis(300);
+const SETTLE_TIME: Duration = Duration::from_millis(300);
 /// Share of the ceiling at which the latency is reported. At the ceiling itself, queueing dominates the latency.
-const AT: f64 = 0.7;
+const LATENCY_RATE_SHARE: f64 = 0.7;
 
 /// Descriptors reserved for everything that is not a connection.
-const OTHER_DESCRIPTORS: u64 = 512;
+const RESERVED_DESCRIPTORS: u64 = 512;
 
 /// Parameters of a load test.
 #[derive(Clone, Debug)]
@@ -67,7 +67,7 @@
     Process(#[from] ProcessError),
     /// No address range of the loopback network is free.
     #[error(transparent)]
-    Place(#[from] NoPlace),
+    NoAddresses(#[from] NoPlace),
     /// An operation on a socket or a file failed.
     #[error("{what}: {error}")]
     System {
@@ -84,16 +84,16 @@
     Interrupted,
     /// The proxy did not accept connections in time.
     #[error("the proxy does not accept connections at {0}")]
-    Silent(SocketAddr),
+    ProxyNotReady(SocketAddr),
 }
 
-fn system(what: &'static str) -> impl Fn(io::Error) -> LoadError {
+fn system_error(what: &'static str) -> impl Fn(io::Error) -> LoadError {
     move |error| LoadError::System { what, error }
 }
 
 /// Results on one path, through the proxy or directly to a render node.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Way {
+pub struct PathResult {
     /// Highest sustained rate, in units per second.
     pub ceiling: f64,
     /// Latency in microseconds at 0.7 of the ceiling: median, 99th percentile, 99.9th percentile and maximum.
@@ -108,9 +108,9 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct BothWays {
     /// Results through the proxy.
-    pub through: Way,
+    pub through: PathResult,
     /// Results directly to a render node, which show the limit of the kit itself.
-    pub direct: Way,
+    pub direct: PathResult,
 }
 
 impl BothWays {
@@ -122,7 +122,7 @@
 
 /// Results of a load test.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Load {
+pub struct LoadResult {
     /// Results for connections that are set up and closed at once.
     pub setups: BothWays,
     /// Results for line round trips over the established connections.
@@ -136,7 +136,7 @@
 }
 
 /// The configuration of the proxy: one class, no groups, and an endpoint list that never changes.
-fn configuration(listen: SocketAddr, nodes: &[SocketAddr], sockets: u64) -> String {
+fn proxy_configuration(listen: SocketAddr, nodes: &[SocketAddr], sockets: u64) -> String {
     let members: Vec<String> = nodes
         .iter()
         .enumerate()
@@ -154,47 +154,48 @@
     )
 }
 
-/// Runs the load test. `say` receives progress messages for the user.
-pub fn measure(setup: &LoadSetup, mut say: impl FnMut(&str)) -> Result<Load, LoadError> {
+/// Runs the load test. `progress` receives progress messages for the user.
+pub fn measure(setup: &LoadSetup, mut progress: impl FnMut(&str)) -> Result<LoadResult, LoadError> {
     setup.daemon.check()?;
     // The kit holds both ends of each established connection and of each set-up in progress. The proxy needs two
     // descriptors for each as well.
-    let sockets =
-        2 * (setup.connections + generator::MOST_AT_ONCE * setup.threads) as u64 + OTHER_DESCRIPTORS;
+    let sockets = 2 * (setup.connections + generator::MAX_SETUPS_IN_PROGRESS * setup.threads) as u64
+        + RESERVED_DESCRIPTORS;
     need_descriptors(sockets)?;
     let addresses = Addresses::take(std::process::id() as u8)?;
     let nodes: Vec<SocketAddr> =
         (0..setup.threads.max(1)).map(|n| addresses.node(NodeId(n as u16), ProxyId(0))).collect();
-    let echo = echo::Echo::start(&nodes).map_err(system("a render node cannot listen"))?;
-    let folder = tempfile::tempdir().map_err(system("cannot create a folder for the run's files"))?;
+    let echo_nodes = echo::EchoNodes::start(&nodes).map_err(system_error("a render node cannot listen"))?;
+    let folder = tempfile::tempdir().map_err(system_error("cannot create a folder for the run's files"))?;
     let listen = addresses.proxy(ProxyId(0));
-    let proxy = start(&setup.daemon, folder.path(), &configuration(listen, &nodes, sockets), sockets)?;
+    let proxy =
+        start_proxy(&setup.daemon, folder.path(), &proxy_configuration(listen, &nodes, sockets), sockets)?;
     await_proxy(listen)?;
 
-    let mut load = Load { connections: setup.connections, ..Load::default() };
-    let measure = Measure { setup, pid: proxy.pid() };
+    let mut result = LoadResult { connections: setup.connections, ..LoadResult::default() };
+    let measurement = Measurement { setup, pid: proxy.pid() };
     // The memory comes first: a proxy keeps the memory that it once allocated, so connections opened after a load
     // would appear to need none.
-    say("memory of established connections");
-    (load.memory_each, load.descriptors_each) = measure.memory(listen)?;
-    say("set-ups, directly to a render node");
-    load.setups.direct = measure.way(Work::Setups, &nodes, 4000.0, false, &mut say)?;
-    say("set-ups, through the proxy");
-    load.setups.through = measure.way(Work::Setups, &[listen], 1000.0, true, &mut say)?;
+    progress("memory of established connections");
+    (result.memory_each, result.descriptors_each) = measurement.memory_per_connection(listen)?;
+    progress("set-ups, directly to a render node");
+    result.setups.direct = measurement.measure_path(Work::Setups, &nodes, 4000.0, false, &mut progress)?;
+    progress("set-ups, through the proxy");
+    result.setups.through = measurement.measure_path(Work::Setups, &[listen], 1000.0, true, &mut progress)?;
     let lines = Work::Lines { connections: setup.connections, in_flight: setup.in_flight };
-    say("lines, directly to a render node");
-    load.lines.direct = measure.way(lines, &nodes, 20_000.0, false, &mut say)?;
-    say("lines, through the proxy");
-    load.lines.through = measure.way(lines, &[listen], 5000.0, true, &mut say)?;
-    echo.stop().map_err(system("an echo render node failed"))?;
-    Ok(load)
+    progress("lines, directly to a render node");
+    result.lines.direct = measurement.measure_path(lines, &nodes, 20_000.0, false, &mut progress)?;
+    progress("lines, through the proxy");
+    result.lines.through = measurement.measure_path(lines, &[listen], 5000.0, true, &mut progress)?;
+    echo_nodes.stop().map_err(system_error("an echo render node failed"))?;
+    Ok(result)
 }
 
-fn start(daemon: &Daemon, folder: &Path, text: &str, sockets: u64) -> Result<Process, LoadError> {
+fn start_proxy(daemon: &Daemon, folder: &Path, text: &str, sockets: u64) -> Result<Process, LoadError> {
     let path = folder.join("load.json");
-    std::fs::write(&path, text).map_err(system("cannot write the proxy's configuration"))?;
+    std::fs::write(&path, text).map_err(system_error("cannot write the proxy's configuration"))?;
     let log = std::fs::File::create(folder.join("load.log"))
-        .map_err(system("cannot create the proxy's log file"))?;
+        .map_err(system_error("cannot create the proxy's log file"))?;
     let environment: [(&str, OsString); 1] = [("GW_CONFIG", path.into_os_string())];
     Ok(Process::start(daemon, &environment, sockets, log)?)
 }
@@ -207,74 +208,74 @@
         }
         thread::sleep(Duration::from_millis(5));
     }
-    Err(LoadError::Silent(listen))
+    Err(LoadError::ProxyNotReady(listen))
 }
 
-struct Measure<'a> {
+struct Measurement<'a> {
     setup: &'a LoadSetup,
     pid: u32,
 }
 
-impl Measure<'_> {
-    fn way(
+impl Measurement<'_> {
+    fn measure_path(
         &self,
         work: Work,
-        to: &[SocketAddr],
-        first: f64,
+        addresses: &[SocketAddr],
+        first_rate: f64,
         through: bool,
-        say: &mut impl FnMut(&str),
-    ) -> Result<Way, LoadError> {
-        let (mut ceiling, mut above, mut rate, mut halvings) = (0.0, None, first, 0);
-        while halvings <= HALVINGS && rate > 1.0 {
-            let done = self.step(work, to, rate)?;
-            let slow = done.latency.value_at_quantile(0.99);
-            say(&format!("  {rate:.0}/s: {:.1}% done, p99 {slow} us", 100.0 * done.part()));
-            match done.borne(DONE, SLOWEST) {
+        progress: &mut impl FnMut(&str),
+    ) -> Result<PathResult, LoadError> {
+        let (mut ceiling, mut failed_rate, mut rate, mut bisections) = (0.0, None, first_rate, 0);
+        while bisections <= BISECTIONS && rate > 1.0 {
+            let result = self.run_step(work, addresses, rate)?;
+            let p99 = result.latency.value_at_quantile(0.99);
+            progress(&format!("  {rate:.0}/s: {:.1}% done, p99 {p99} us", 100.0 * result.done_share()));
+            match result.is_sustained(MIN_DONE_SHARE, MAX_P99) {
                 true => ceiling = rate,
-                false => above = Some(rate),
+                false => failed_rate = Some(rate),
             }
-            halvings += u32::from(above.is_some());
+            bisections += u32::from(failed_rate.is_some());
             // The ceiling is still 0 if the first rate was not sustained.
-            rate = above.map_or(rate * STEP, |above: f64| f64::midpoint(ceiling, above));
+            rate = failed_rate.map_or(rate * RATE_FACTOR, |failed: f64| f64::midpoint(ceiling, failed));
         }
         if ceiling == 0.0 {
-            return Ok(Way::default());
+            return Ok(PathResult::default());
         }
         let cpu =
             || (usage(self.pid).map_or(0, |u| u.cpu_us), usage(std::process::id()).map_or(0, |u| u.cpu_us));
         let before = cpu();
-        let done = self.step(work, to, ceiling * AT)?;
+        let result = self.run_step(work, addresses, ceiling * LATENCY_RATE_SHARE)?;
         let after = cpu();
-        let each = |from: u64, to: u64| to.saturating_sub(from) as f64 / done.done.max(1) as f64;
-        let quantile = |q| done.latency.value_at_quantile(q);
-        Ok(Way {
+        let each = |from: u64, to: u64| to.saturating_sub(from) as f64 / result.done.max(1) as f64;
+        let quantile = |q| result.latency.value_at_quantile(q);
+        Ok(PathResult {
             ceiling,
-            latency_us: [quantile(0.5), quantile(0.99), quantile(0.999), done.latency.max()],
+            latency_us: [quantile(0.5), quantile(0.99), quantile(0.999), result.latency.max()],
             proxy_cpu_us: if through { each(before.0, after.0) } else { 0.0 },
             kit_cpu_us: each(before.1, after.1),
         })
     }
 
-    fn step(&self, work: Work, to: &[SocketAddr], rate: f64) -> Result<Done, LoadError> {
+    fn run_step(&self, work: Work, addresses: &[SocketAddr], rate: f64) -> Result<StepResult, LoadError> {
         if self.setup.interrupted.load(Ordering::Acquire) {
             return Err(LoadError::Interrupted);
         }
-        let aim = Aim { work, rate, length: self.setup.step, shards: self.setup.threads.max(1) };
-        generator::play(&aim, to)
+        let step = Step { work, rate, length: self.setup.step, shards: self.setup.threads.max(1) };
+        generator::run_step(&step, addresses)
     }
 
     /// Resident memory in bytes and descriptors of the proxy per idle connection.
-    fn memory(&self, listen: SocketAddr) -> Result<(f64, f64), LoadError> {
+    fn memory_per_connection(&self, listen: SocketAddr) -> Result<(f64, f64), LoadError> {
         let before = usage(self.pid).unwrap_or_default();
-        let standing = generator::Standing::open(listen, self.setup.connections)?;
-        thread::sleep(SETTLES);
+        let idle = generator::IdleConnections::open(listen, self.setup.connections)?;
+        thread::sleep(SETTLE_TIME);
         let after = usage(self.pid).unwrap_or_default();
-        let each = |from: u64, to: u64| (to as f64 - from as f64) / standing.len().max(1) as f64;
-        let figures = (
+        let each = |from: u64, to: u64| (to as f64 - from as f64) / idle.len().max(1) as f64;
+        let per_connection = (
             1024.0 * each(before.resident_kib, after.resident_kib),
             each(before.descriptors, after.descriptors),
         );
-        drop(standing);
-        Ok(figures)
+        drop(idle);
+        Ok(per_connection)
     }
 }
--- a/crates/kit/src/load/steady.rs
+++ b/crates/kit/src/load/steady.rs
@@ -2,8 +2,8 @@
 //! changes and other clients connect and disconnect. Latency counts from the time at which a line was due. Every due
 //! line is counted, whether it was done or not.
 
-use super::generator::{self, Aim, Work};
-use super::{LoadError, LoadSetup, OTHER_DESCRIPTORS, await_proxy, echo, start, system};
+use super::generator::{self, Step, Work};
+use super::{LoadError, LoadSetup, RESERVED_DESCRIPTORS, await_proxy, echo, start_proxy, system_error};
 use crate::addresses::Addresses;
 use crate::plan::{NodeId, ProxyId};
 use crate::processes::{need_descriptors, usage};
@@ -57,80 +57,85 @@
     pub descriptors: u64,
 }
 
-/// Runs the constant load. `say` receives progress messages for the user.
-pub fn play(setup: &LoadSetup, steady: &Steady, mut say: impl FnMut(&str)) -> Result<Seen, LoadError> {
+/// Runs the constant load. `progress` receives progress messages for the user.
+pub fn play(setup: &LoadSetup, steady: &Steady, mut progress: impl FnMut(&str)) -> Result<Seen, LoadError> {
     setup.daemon.check()?;
-    let at_once = if steady.setups_per_s > 0.0 { generator::MOST_AT_ONCE } else { 0 };
-    let sockets = 2 * (setup.connections + at_once) as u64 + OTHER_DESCRIPTORS;
+    let setups_in_progress = if steady.setups_per_s > 0.0 { generator::MAX_SETUPS_IN_PROGRESS } else { 0 };
+    let sockets = 2 * (setup.connections + setups_in_progress) as u64 + RESERVED_DESCRIPTORS;
     need_descriptors(sockets)?;
     let addresses = Addresses::take(std::process::id() as u8)?;
     let nodes: Vec<SocketAddr> =
         (0..setup.threads.max(1)).map(|n| addresses.node(NodeId(n as u16), ProxyId(0))).collect();
-    let echo = echo::Echo::start(&nodes).map_err(system("a render node cannot listen"))?;
-    let lists = Lists::start(nodes.clone(), steady).map_err(system("discovery cannot listen"))?;
-    let folder = tempfile::tempdir().map_err(system("cannot create a folder for the run's files"))?;
+    let echo_nodes = echo::EchoNodes::start(&nodes).map_err(system_error("a render node cannot listen"))?;
+    let discovery =
+        DiscoveryServer::start(nodes.clone(), steady).map_err(system_error("discovery cannot listen"))?;
+    let folder = tempfile::tempdir().map_err(system_error("cannot create a folder for the run's files"))?;
     let listen = addresses.proxy(ProxyId(0));
-    let text = configuration(listen, lists.at, &members(&nodes, steady.listed, 1), sockets);
-    let proxy = start(&setup.daemon, folder.path(), &text, sockets)?;
+    let text = configuration(listen, discovery.at, &endpoint_list(&nodes, steady.listed, 1), sockets);
+    let proxy = start_proxy(&setup.daemon, folder.path(), &text, sockets)?;
     await_proxy(listen)?;
     let pid = proxy.pid();
-    let used = || usage(pid).unwrap_or_default();
+    let proxy_usage = || usage(pid).unwrap_or_default();
     let mut seen = Seen { connections: setup.connections, listed: steady.listed, ..Seen::default() };
-    seen.resident_kib[0] = used().resident_kib;
+    seen.resident_kib[0] = proxy_usage().resident_kib;
 
-    say("opening connections");
+    progress("opening connections");
     let threads = setup.threads.max(1);
     let lines = Work::Lines { connections: setup.connections, in_flight: setup.in_flight };
     let length = setup.step;
-    let aim = |work, rate, shards| Aim { work, rate, length, shards };
+    let step = |work, rate, shards| Step { work, rate, length, shards };
     // All connections are established before the first line is due, so that both kinds of work begin together.
-    let standing = generator::Gate::new(threads);
-    let (gate, to) = (Arc::clone(&standing), vec![listen]);
-    let lines_aim = aim(lines, steady.lines_per_s.max(1.0), threads);
-    let playing = thread::spawn(move || generator::play_at(&lines_aim, &to, &gate));
-    if !standing.wait(Duration::from_secs(120)) {
-        return Err(LoadError::Silent(listen));
+    let gate = generator::Gate::new(threads);
+    let (thread_gate, addresses) = (Arc::clone(&gate), vec![listen]);
+    let lines_step = step(lines, steady.lines_per_s.max(1.0), threads);
+    let lines_thread =
+        thread::spawn(move || generator::run_step_at_gate(&lines_step, &addresses, &thread_gate));
+    if !gate.wait_for_threads(Duration::from_secs(120)) {
+        return Err(LoadError::ProxyNotReady(listen));
     }
-    let before = used();
+    let before = proxy_usage();
     (seen.resident_kib[1], seen.descriptors) = (before.resident_kib, before.descriptors);
-    say(&format!("{} connections established; {:.0} lines a second", setup.connections, steady.lines_per_s));
-    lists.change.store(true, Ordering::Release);
-    standing.open();
-    let began = Instant::now();
+    progress(&format!(
+        "{} connections established; {:.0} lines a second",
+        setup.connections, steady.lines_per_s
+    ));
+    discovery.change.store(true, Ordering::Release);
+    gate.open();
+    let start = Instant::now();
     let setups = if steady.setups_per_s > 0.0 {
-        Some(generator::play(&aim(Work::Setups, steady.setups_per_s, 1), &[listen])?)
+        Some(generator::run_step(&step(Work::Setups, steady.setups_per_s, 1), &[listen])?)
     } else {
         None
     };
-    let lines = playing.join().map_err(|_| LoadError::Panicked)??;
-    let after = used();
-    seen.seconds = began.elapsed().as_secs_f64();
+    let lines = lines_thread.join().map_err(|_| LoadError::Panicked)??;
+    let after = proxy_usage();
+    seen.seconds = start.elapsed().as_secs_f64();
     seen.cpu = after.cpu_us.saturating_sub(before.cpu_us) as f64 / 1e6 / seen.seconds;
     seen.resident_kib[2] = after.resident_kib;
-    seen.lists = lists.written.load(Ordering::Relaxed);
-    let quantiles = |done: &generator::Done| {
-        let at = |q| done.latency.value_at_quantile(q);
-        [at(0.5), at(0.99), at(0.999), done.latency.max()]
+    seen.lists = discovery.written.load(Ordering::Relaxed);
+    let quantiles = |result: &generator::StepResult| {
+        let at = |q| result.latency.value_at_quantile(q);
+        [at(0.5), at(0.99), at(0.999), result.latency.max()]
     };
     (seen.lines, seen.line_us) = ([lines.due, lines.done], quantiles(&lines));
     if let Some(setups) = setups {
         (seen.setups, seen.setup_us) = ([setups.due, setups.done], quantiles(&setups));
     }
-    lists.stop();
-    echo.stop().map_err(system("an echo render node failed"))?;
+    discovery.stop();
+    echo_nodes.stop().map_err(system_error("an echo render node failed"))?;
     Ok(seen)
 }
 
 /// The endpoint list: all render nodes are up and share the few addresses, and their cells change with the revision.
-fn members(nodes: &[SocketAddr], listed: usize, revision: u64) -> String {
-    let one = |number: usize| {
+fn endpoint_list(nodes: &[SocketAddr], listed: usize, revision: u64) -> String {
+    let member = |number: usize| {
         let at = nodes[number % nodes.len()];
         let cell = number as u64 / 8 + revision % 2;
         format!(
             r#"{{"id":"render-{number}","host_port":"{at}","locality":"a","cell":{cell},"phase":"up","size":1.0,"up_since_ms":0}}"#
         )
     };
-    let all: Vec<String> = (0..listed.max(nodes.len())).map(one).collect();
+    let all: Vec<String> = (0..listed.max(nodes.len())).map(member).collect();
     format!(r#"{{"revision":{revision},"complete":true,"members":[{}]}}"#, all.join(","))
 }
 
@@ -146,7 +151,7 @@
 
 /// A discovery server for one watch at a time. A watch gets the complete list at once, the complete next list after
 /// each interval, and a heartbeat every 2 s.
-struct Lists {
+struct DiscoveryServer {
     at: SocketAddr,
     stop: Arc<AtomicBool>,
     change: Arc<AtomicBool>,
@@ -154,10 +159,10 @@
     thread: JoinHandle<()>,
 }
 
-const LOOK: Duration = Duration::from_millis(20);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-impl Lists {
-    fn start(nodes: Vec<SocketAddr>, steady: &Steady) -> io::Result<Lists> {
+impl DiscoveryServer {
+    fn start(nodes: Vec<SocketAddr>, steady: &Steady) -> io::Result<DiscoveryServer> {
         let listener = TcpListener::bind((std::net::Ipv4Addr::LOCALHOST, 0))?;
         listener.set_nonblocking(true)?;
         let (at, steady) = (listener.local_addr()?, *steady);
@@ -171,32 +176,32 @@
                 match listener.accept() {
                     // The proxy opens a new watch if this one breaks.
                     Ok((mut watch, _)) => {
-                        let mut tell = |watch: &mut TcpStream| -> io::Result<()> {
+                        let mut serve = |watch: &mut TcpStream| -> io::Result<()> {
                             watch.set_nonblocking(false)?;
-                            head(watch)?;
-                            chunk(watch, &members(&nodes, steady.listed, revision))?;
-                            let (mut last, mut beat) = (Instant::now(), Instant::now());
+                            begin_response(watch)?;
+                            write_chunk(watch, &endpoint_list(&nodes, steady.listed, revision))?;
+                            let (mut last_change, mut last_heartbeat) = (Instant::now(), Instant::now());
                             while !stop.load(Ordering::Acquire) {
-                                thread::sleep(LOOK);
+                                thread::sleep(STOP_CHECK_INTERVAL);
                                 let changes = change.load(Ordering::Acquire) && !steady.list_every.is_zero();
-                                if changes && last.elapsed() >= steady.list_every {
-                                    (last, revision) = (Instant::now(), revision + 1);
-                                    chunk(watch, &members(&nodes, steady.listed, revision))?;
+                                if changes && last_change.elapsed() >= steady.list_every {
+                                    (last_change, revision) = (Instant::now(), revision + 1);
+                                    write_chunk(watch, &endpoint_list(&nodes, steady.listed, revision))?;
                                     written.fetch_add(1, Ordering::Relaxed);
-                                } else if beat.elapsed() >= Duration::from_secs(2) {
-                                    beat = Instant::now();
-                                    chunk(watch, "\n")?;
+                                } else if last_heartbeat.elapsed() >= Duration::from_secs(2) {
+                                    last_heartbeat = Instant::now();
+                                    write_chunk(watch, "\n")?;
                                 }
                             }
                             Ok(())
                         };
-                        let _ = tell(&mut watch);
+                        let _ = serve(&mut watch);
                     }
-                    Err(_) => thread::sleep(LOOK),
+                    Err(_) => thread::sleep(STOP_CHECK_INTERVAL),
                 }
             }
         });
-        Ok(Lists { at, stop, change, written, thread })
+        Ok(DiscoveryServer { at, stop, change, written, thread })
     }
 
     fn stop(self) {
@@ -206,13 +211,13 @@
     }
 }
 
-fn head(watch: &mut TcpStream) -> io::Result<()> {
+fn begin_response(watch: &mut TcpStream) -> io::Result<()> {
     let mut lines = BufReader::new(watch.try_clone()?).lines();
     while lines.next().transpose()?.is_some_and(|line| !line.is_empty()) {}
     watch
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
-fn chunk(watch: &mut TcpStream, text: &str) -> io::Result<()> {
+fn write_chunk(watch: &mut TcpStream, text: &str) -> io::Result<()> {
     watch.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
 }
