--- a/crates/kit/src/scenario/curve.rs
+++ b/crates/kit/src/scenario/curve.rs
@@ -10,8 +10,8 @@
 impl Curve {
     /// Returns the factor at time `s`; 1 if there are no points.
     pub fn at(&self, s: f64) -> f64 {
-        let after = self.0.partition_point(|(at, _)| *at <= s);
-        match (after.checked_sub(1).map(|i| self.0[i]), self.0.get(after).copied()) {
+        let next = self.0.partition_point(|(at, _)| *at <= s);
+        match (next.checked_sub(1).map(|i| self.0[i]), self.0.get(next).copied()) {
             (None, None) => 1.0,
             (Some((_, level)), None) | (None, Some((_, level))) => level,
             (Some((from, low)), Some((to, high))) => low + (high - low) * (s - from) / (to - from),
@@ -19,7 +19,7 @@
     }
 
     /// Returns the highest factor; 1 if there are no points.
-    pub fn top(&self) -> f64 {
+    pub fn max_factor(&self) -> f64 {
         self.0.iter().map(|(_, factor)| *factor).reduce(f64::max).unwrap_or(1.0)
     }
 
@@ -53,6 +53,6 @@
     fn slopes_between_points_and_level_beyond() {
         let curve = Curve(vec![(10.0, 1.0), (20.0, 3.0)]);
         assert_eq!([0.0, 10.0, 15.0, 20.0, 99.0].map(|s| curve.at(s)), [1.0, 1.0, 2.0, 3.0, 3.0]);
-        assert_eq!((curve.top(), Curve::default().at(4.0)), (3.0, 1.0));
+        assert_eq!((curve.max_factor(), Curve::default().at(4.0)), (3.0, 1.0));
     }
 }
--- a/crates/kit/src/scenario/draw/faults.rs
+++ b/crates/kit/src/scenario/draw/faults.rs
@@ -1,16 +1,17 @@
 //! Draws the timeline of a run: the events of the scenario's faults, and the resulting changes of the endpoint list.
 
-use super::Draw;
-use super::listing::{Truth, entries};
+use super::DrawContext;
+use super::listing::{StateChange, list_changes};
 use crate::plan::Phase;
 use crate::plan::{
     DiscoveryChange, NetworkChange, NodeChange, NodeId, ProxyChange, ProxyId, TimelineChange, TimelineEvent,
 };
 use crate::scenario::Scenario;
+use crate::scenario::claims::{self, Claim, EXIT_DELAY_S, RESTART_DELAY_S, TargetKind, term_to_kill_s};
 use crate::scenario::fault::{
-    DownKind, Fault, Kind, NetworkFault, NetworkKind, ProxyFault, ProxyKind, Shrink, Then, Told,
+    AfterOutage, DrainNotice, Fault, FaultKind, NetworkFault, NetworkKind, OutageKind, ProxyFault, ProxyKind,
+    Shrink,
 };
-use crate::scenario::holds::{self, Hold, LEAVE_S, Pool, RESTART_S, term_to_kill_s};
 use crate::scenario::range::micros;
 use crate::time::{Micros, S};
 use rand::RngExt;
@@ -19,47 +20,52 @@
 
 /// Seconds after which a restarted proxy starts again if `for_s` is not set, counted from the time at which it is
 /// certain to have ended.
-const PROXY_AGAIN_S: f64 = 0.2;
+const PROXY_RESTART_DELAY_S: f64 = 0.2;
 
 /// Changes of the arrival rate that the faults cause.
 #[derive(Debug, Default)]
-pub(super) struct LoadCourse {
-    falls: Vec<Span>,
+pub(super) struct ArrivalChanges {
+    reductions: Vec<ArrivalChange>,
     /// Additional arrivals, each with the name of its random stream.
-    pub surges: Vec<(String, Span)>,
+    pub surges: Vec<(String, ArrivalChange)>,
 }
 
 /// A factor on the arrival rate between two times in seconds of the measured part. The rate changes linearly to the
-/// factor during the first `over` seconds.
+/// factor during the first `ramp_s` seconds.
 #[derive(Debug)]
-pub(super) struct Span {
+pub(super) struct ArrivalChange {
     pub from: f64,
-    pub over: f64,
+    pub ramp_s: f64,
     pub until: f64,
-    pub load: f64,
+    pub factor: f64,
 }
 
-impl LoadCourse {
+impl ArrivalChanges {
     /// Share of the usual arrivals that is kept at time `s`.
-    pub fn kept(&self, s: f64) -> f64 {
-        let now = self.falls.iter().filter(|fall| fall.from <= s && s < fall.until);
-        now.map(|fall| {
-            let part = if fall.over > 0.0 { ((s - fall.from) / fall.over).min(1.0) } else { 1.0 };
-            1.0 + (fall.load - 1.0) * part
-        })
-        .product()
+    pub fn kept_share(&self, s: f64) -> f64 {
+        let active = self.reductions.iter().filter(|reduction| reduction.from <= s && s < reduction.until);
+        active
+            .map(|reduction| {
+                let progress = if reduction.ramp_s > 0.0 {
+                    ((s - reduction.from) / reduction.ramp_s).min(1.0)
+                } else {
+                    1.0
+                };
+                1.0 + (reduction.factor - 1.0) * progress
+            })
+            .product()
     }
 }
 
 /// The effects of all faults on a run.
-pub(super) struct Course {
+pub(super) struct FaultEffects {
     pub timeline: Vec<TimelineEvent>,
-    pub load: LoadCourse,
+    pub arrivals: ArrivalChanges,
 }
 
 /// Returns each fault with the name of its random streams. The name consists of the kind, the time and a number among
 /// the faults of that kind and time, so that it does not depend on other faults.
-pub(super) fn named(scenario: &Scenario) -> Vec<(&Fault, String)> {
+pub(super) fn named_faults(scenario: &Scenario) -> Vec<(&Fault, String)> {
     let mut seen: BTreeMap<String, u32> = BTreeMap::new();
     let name = |fault: &Fault| format!("fault {} at {}", fault.kind_name(), micros(fault.at_s));
     (scenario.faults.iter())
@@ -71,345 +77,368 @@
         .collect()
 }
 
-pub(super) fn draw(draw: &Draw<'_>, scenario: &Scenario) -> Course {
-    let faults = named(scenario);
+pub(super) fn draw_effects(context: &DrawContext<'_>, scenario: &Scenario) -> FaultEffects {
+    let faults = named_faults(scenario);
     // Validation has already rejected a scenario whose claims have errors.
-    let claims = holds::holds(scenario).unwrap_or_default();
-    let who = holds::assign(draw.body, &claims, |hold: &Hold| {
-        let pool = if hold.pool == Pool::Nodes { "nodes" } else { "proxies" };
-        draw.chance.of(&format!("{} {pool}", faults[hold.fault].1))
+    let claims = claims::all_claims(scenario).unwrap_or_default();
+    let targets = claims::assign(context.body, &claims, |claim: &Claim| {
+        let kind = if claim.kind == TargetKind::Nodes { "nodes" } else { "proxies" };
+        context.streams.stream(&format!("{} {kind}", faults[claim.fault].1))
     });
-    let mut writer = Writer {
-        draw,
+    let mut writer = TimelineWriter {
+        context,
         events: Vec::new(),
-        truths: BTreeMap::new(),
-        load: LoadCourse::default(),
-        spare: draw.body.fleet.nodes,
+        state_changes: BTreeMap::new(),
+        arrivals: ArrivalChanges::default(),
+        next_spare: context.body.fleet.nodes,
     };
     for (i, (fault, name)) in faults.iter().enumerate() {
-        let of = |pool: Pool| {
-            let mine = claims.iter().position(|hold| hold.fault == i && hold.pool == pool);
-            mine.map(|place| who[place].clone()).unwrap_or_default()
+        let targets_of = |kind: TargetKind| {
+            let position = claims.iter().position(|claim| claim.fault == i && claim.kind == kind);
+            position.map(|index| targets[index].clone()).unwrap_or_default()
         };
-        writer.fault(fault, name, &of(Pool::Nodes), &of(Pool::Proxies));
+        writer.fault(fault, name, &targets_of(TargetKind::Nodes), &targets_of(TargetKind::Proxies));
     }
     writer.finish()
 }
 
-struct Writer<'a> {
-    draw: &'a Draw<'a>,
+struct TimelineWriter<'a> {
+    context: &'a DrawContext<'a>,
     events: Vec<TimelineEvent>,
-    truths: BTreeMap<u16, Vec<Truth>>,
-    load: LoadCourse,
+    state_changes: BTreeMap<u16, Vec<StateChange>>,
+    arrivals: ArrivalChanges,
     /// Number of the next spare render node.
-    spare: u16,
+    next_spare: u16,
 }
 
-impl Writer<'_> {
-    fn push(&mut self, at: Micros, what: TimelineChange) {
-        self.events.push(TimelineEvent { at, change: what });
+impl TimelineWriter<'_> {
+    fn push(&mut self, at: Micros, change: TimelineChange) {
+        self.events.push(TimelineEvent { at, change });
     }
 
-    fn mark(&mut self, at: Micros, words: String) {
-        self.push(at, TimelineChange::Mark(words));
+    fn mark(&mut self, at: Micros, text: String) {
+        self.push(at, TimelineChange::Mark(text));
     }
 
     fn node(&mut self, at: Micros, node: u16, change: NodeChange) {
         self.push(at, TimelineChange::Node(NodeId(node), change));
     }
 
-    fn truth(&mut self, node: u16, at: Micros, phase: Phase, fresh: bool, notice: Micros) {
-        self.truths.entry(node).or_default().push(Truth { at, phase, fresh, listed: at + notice });
+    fn record_state(&mut self, node: u16, at: Micros, phase: Phase, new_process: bool, delay: Micros) {
+        self.state_changes.entry(node).or_default().push(StateChange {
+            at,
+            phase,
+            new_process,
+            listed_at: at + delay,
+        });
     }
 
     fn fault(&mut self, fault: &Fault, name: &str, nodes: &[u16], proxies: &[u16]) {
-        let at = self.draw.from + micros(fault.at_s);
-        let mut chance = self.draw.chance.of(name);
-        let scale = self.draw.body.scale;
+        let at = self.context.from + micros(fault.at_s);
+        let mut rng = self.context.streams.stream(name);
+        let scale = self.context.body.scale;
         match &fault.kind {
-            Kind::Down(kind, down) => {
-                let lasts = (down.then != Then::Stay).then(|| down.for_s.at(scale).draw_s(&mut chance));
-                self.down(at, *kind, nodes, micros(down.spread_s), lasts, down.then, &mut chance);
+            FaultKind::Outage(kind, outage) => {
+                let duration =
+                    (outage.then != AfterOutage::Stay).then(|| outage.for_s.scaled(scale).draw_s(&mut rng));
+                self.outage(at, *kind, nodes, micros(outage.spread_s), duration, outage.then, &mut rng);
             }
-            Kind::Slow(slow) => {
-                let (lasts, times) = (slow.for_s.at(scale).draw_s(&mut chance), slow.times.draw(&mut chance));
-                self.mark(at, format!("{times:.1} times slower: {}", names(nodes)));
+            FaultKind::Slow(slow) => {
+                let (duration, times) =
+                    (slow.for_s.scaled(scale).draw_s(&mut rng), slow.times.draw(&mut rng));
+                self.mark(at, format!("{times:.1} times slower: {}", node_names(nodes)));
                 for node in nodes {
-                    let at = at + within(slow.spread_s, &mut chance);
+                    let at = at + random_delay(slow.spread_s, &mut rng);
                     self.node(at, *node, NodeChange::Slow(times));
-                    self.node(at + lasts, *node, NodeChange::Slow(1.0));
+                    self.node(at + duration, *node, NodeChange::Slow(1.0));
                 }
-                let over = at + lasts + micros(slow.spread_s);
-                self.mark(over, format!("as fast as before: {}", names(nodes)));
+                let end = at + duration + micros(slow.spread_s);
+                self.mark(end, format!("as fast as before: {}", node_names(nodes)));
             }
-            Kind::Shrink(shrink) => self.shrink(at, fault.at_s, shrink, nodes, &mut chance),
-            Kind::Rolling(rolling) => {
+            FaultKind::Shrink(shrink) => self.shrink(at, fault.at_s, shrink, nodes, &mut rng),
+            FaultKind::RollingRestart(rolling) => {
                 self.mark(at, "the whole fleet is restarted, one node after the other".to_owned());
                 let mut order = nodes.to_vec();
-                rand::seq::SliceRandom::shuffle(&mut order[..], &mut chance);
+                rand::seq::SliceRandom::shuffle(&mut order[..], &mut rng);
                 for (i, node) in order.into_iter().enumerate() {
-                    let begins = at + micros(rolling.every_s * i as f64);
-                    let drain = rolling.drain_s.draw_s(&mut chance);
-                    let gone = self.drain(node, begins, drain, rolling.told, rolling.lead_s, &mut chance);
-                    self.start(node, gone + rolling.down_s.draw_s(&mut chance), &mut chance);
+                    let start = at + micros(rolling.every_s * i as f64);
+                    let drain = rolling.drain_s.draw_s(&mut rng);
+                    let end = self.drain(node, start, drain, rolling.told, rolling.lead_s, &mut rng);
+                    self.start(node, end + rolling.down_s.draw_s(&mut rng), &mut rng);
                 }
             }
-            Kind::Flap(flap) => {
-                self.mark(at, format!("down and up again, {} times: {}", flap.times, names(nodes)));
+            FaultKind::Flap(flap) => {
+                self.mark(at, format!("down and up again, {} times: {}", flap.times, node_names(nodes)));
                 for node in nodes {
                     let mut at = at;
                     for _ in 0..flap.times {
-                        self.kill(*node, at, &mut chance);
-                        at += flap.down_s.draw_s(&mut chance);
-                        self.start(*node, at, &mut chance);
-                        at += flap.up_s.draw_s(&mut chance);
+                        self.kill(*node, at, &mut rng);
+                        at += flap.down_s.draw_s(&mut rng);
+                        self.start(*node, at, &mut rng);
+                        at += flap.up_s.draw_s(&mut rng);
                     }
                 }
             }
-            Kind::Grow(grow) => {
-                let new: Vec<u16> = (self.spare..self.spare + grow.nodes).collect();
-                self.spare += grow.nodes;
-                self.mark(at, format!("added, cold: {}", names(&new)));
-                for node in new {
-                    self.start(node, at + within(grow.spread_s, &mut chance), &mut chance);
+            FaultKind::Grow(grow) => {
+                let added: Vec<u16> = (self.next_spare..self.next_spare + grow.nodes).collect();
+                self.next_spare += grow.nodes;
+                self.mark(at, format!("added, cold: {}", node_names(&added)));
+                for node in added {
+                    self.start(node, at + random_delay(grow.spread_s, &mut rng), &mut rng);
                 }
             }
-            Kind::Drop(drop) => {
-                let share = drop.share.draw(&mut chance);
-                let back_within = drop.back_within_s.draw_s(&mut chance);
+            FaultKind::Drop(drop) => {
+                let share = drop.share.draw(&mut rng);
+                let back_within = drop.back_within_s.draw_s(&mut rng);
                 let back_s = back_within as f64 / S as f64;
                 self.mark(
                     at,
                     format!("{:.0}% of the clients drop and come again within {back_s:.1} s", share * 100.0),
                 );
-                self.push(at, TimelineChange::Drop { share, back_within, seed: chance.random() });
+                self.push(at, TimelineChange::Drop { share, back_within, seed: rng.random() });
             }
-            Kind::Surge(surge) => {
+            FaultKind::Surge(surge) => {
                 self.mark(at, format!("arrivals are {} times the usual for {} s", surge.load, surge.for_s));
-                let span =
-                    Span { from: fault.at_s, over: 0.0, until: fault.at_s + surge.for_s, load: surge.load };
+                let change = ArrivalChange {
+                    from: fault.at_s,
+                    ramp_s: 0.0,
+                    until: fault.at_s + surge.for_s,
+                    factor: surge.load,
+                };
                 if surge.load > 1.0 {
-                    self.load.surges.push((format!("{name} arrivals"), span));
+                    self.arrivals.surges.push((format!("{name} arrivals"), change));
                 } else {
-                    self.load.falls.push(span);
+                    self.arrivals.reductions.push(change);
                 }
                 self.mark(at + micros(surge.for_s), "arrivals are as usual again".to_owned());
             }
-            Kind::Discovery(discovery) => {
+            FaultKind::Discovery(discovery) => {
                 let change = discovery.change.change();
-                self.mark(at, format!("discovery: {}", words(change)));
+                self.mark(at, format!("discovery: {}", describe_discovery(change)));
                 self.push(at, TimelineChange::Discovery(change));
-                if let Some(lasts) = discovery.for_s {
-                    let over = at + micros(lasts);
-                    self.mark(over, "discovery is as usual again".to_owned());
-                    self.push(over, TimelineChange::Discovery(DiscoveryChange::Restore));
+                if let Some(duration) = discovery.for_s {
+                    let end = at + micros(duration);
+                    self.mark(end, "discovery is as usual again".to_owned());
+                    self.push(end, TimelineChange::Discovery(DiscoveryChange::Restore));
                 }
             }
-            Kind::Proxy(proxy) => self.proxy(at, proxy, proxies),
-            Kind::Network(network) => self.network(at, network, nodes, proxies),
-            Kind::Rude(rude) => {
+            FaultKind::Proxy(proxy) => self.proxy(at, proxy, proxies),
+            FaultKind::Network(network) => self.network(at, network, nodes, proxies),
+            FaultKind::MisbehaviorWave(rude) => {
                 self.mark(at, format!("{} rude clients a second for {} s", rude.per_s, rude.for_s));
             }
         }
     }
 
     #[allow(clippy::too_many_arguments)] // The drawn values of one fault.
-    fn down(
+    fn outage(
         &mut self,
         at: Micros,
-        kind: DownKind,
+        kind: OutageKind,
         nodes: &[u16],
         spread: Micros,
-        lasts: Option<Micros>,
-        then: Then,
-        chance: &mut ChaCha8Rng,
+        duration: Option<Micros>,
+        then: AfterOutage,
+        rng: &mut ChaCha8Rng,
     ) {
         let what = match kind {
-            DownKind::Kill => "killed",
-            DownKind::Vanish => "vanished without a word",
-            DownKind::Hang => "hung: accepting and never replying",
-            DownKind::Rubbish => "answering rubbish",
+            OutageKind::Kill => "killed",
+            OutageKind::Vanish => "vanished without a word",
+            OutageKind::Hang => "hung: accepting and never replying",
+            OutageKind::Rubbish => "answering rubbish",
         };
-        let how = match (nodes.len(), spread) {
+        let detail = match (nodes.len(), spread) {
             (0 | 1, _) => "",
             (_, 0) => ", all together",
             _ => ", one after the other",
         };
-        self.mark(at, format!("{what}{how}: {}", names(nodes)));
+        self.mark(at, format!("{what}{detail}: {}", node_names(nodes)));
         for node in nodes {
-            let at = at + within(spread as f64 / S as f64, chance);
+            let at = at + random_delay(spread as f64 / S as f64, rng);
             match kind {
-                DownKind::Kill => self.kill(*node, at, chance),
-                DownKind::Vanish => {
-                    let notice =
-                        self.draw.body.discovery.silent_notice_s.at(self.draw.body.scale).draw_s(chance);
+                OutageKind::Kill => self.kill(*node, at, rng),
+                OutageKind::Vanish => {
+                    let delay = self
+                        .context
+                        .body
+                        .discovery
+                        .silent_notice_s
+                        .scaled(self.context.body.scale)
+                        .draw_s(rng);
                     self.node(at, *node, NodeChange::Vanish);
-                    self.truth(*node, at, Phase::Removed, false, notice);
+                    self.record_state(*node, at, Phase::Removed, false, delay);
                 }
                 // Discovery does not notice, since the process still runs.
-                DownKind::Hang => self.node(at, *node, NodeChange::Hang),
-                DownKind::Rubbish => self.node(at, *node, NodeChange::Rubbish),
+                OutageKind::Hang => self.node(at, *node, NodeChange::Hang),
+                OutageKind::Rubbish => self.node(at, *node, NodeChange::Rubbish),
             }
-            let Some(over) = lasts.map(|lasts| at + lasts) else { continue };
+            let Some(end) = duration.map(|duration| at + duration) else { continue };
             match (then, kind) {
-                (Then::Stay, _) => {}
-                (Then::Recover, _) => {
-                    self.node(over, *node, NodeChange::Recover);
-                    let notice = self.up_notice(chance);
-                    self.truth(*node, over, Phase::Up, false, notice);
+                (AfterOutage::Stay, _) => {}
+                (AfterOutage::Recover, _) => {
+                    self.node(end, *node, NodeChange::Recover);
+                    let delay = self.up_delay(rng);
+                    self.record_state(*node, end, Phase::Up, false, delay);
                 }
-                (Then::Start, DownKind::Kill | DownKind::Vanish) => self.start(*node, over, chance),
-                (Then::Start, DownKind::Hang | DownKind::Rubbish) => {
-                    self.kill(*node, over, chance);
-                    self.start(*node, over + micros(RESTART_S), chance);
+                (AfterOutage::Start, OutageKind::Kill | OutageKind::Vanish) => self.start(*node, end, rng),
+                (AfterOutage::Start, OutageKind::Hang | OutageKind::Rubbish) => {
+                    self.kill(*node, end, rng);
+                    self.start(*node, end + micros(RESTART_DELAY_S), rng);
                 }
             }
         }
-        if let Some(lasts) = lasts {
-            let how = if then == Then::Recover { "as before" } else { "cold" };
-            self.mark(at + lasts, format!("back, {how}: {}", names(nodes)));
+        if let Some(duration) = duration {
+            let detail = if then == AfterOutage::Recover { "as before" } else { "cold" };
+            self.mark(at + duration, format!("back, {detail}: {}", node_names(nodes)));
         }
     }
 
-    fn shrink(&mut self, at: Micros, at_s: f64, shrink: &Shrink, nodes: &[u16], chance: &mut ChaCha8Rng) {
-        let over_s = shrink.over_s.at(self.draw.body.scale).draw(chance);
-        self.mark(at, format!("the fleet shrinks, within {over_s:.1} s, by {}", names(nodes)));
+    fn shrink(&mut self, at: Micros, at_s: f64, shrink: &Shrink, nodes: &[u16], rng: &mut ChaCha8Rng) {
+        let over_s = shrink.over_s.scaled(self.context.body.scale).draw(rng);
+        self.mark(at, format!("the fleet shrinks, within {over_s:.1} s, by {}", node_names(nodes)));
         for node in nodes {
-            let begins = at + within(over_s, chance);
-            let drain = shrink.drain_s.draw_s(chance);
-            self.drain(*node, begins, drain, shrink.told, shrink.lead_s, chance);
+            let start = at + random_delay(over_s, rng);
+            let drain = shrink.drain_s.draw_s(rng);
+            self.drain(*node, start, drain, shrink.told, shrink.lead_s, rng);
         }
-        let load = shrink.load_to.unwrap_or(shrink.to);
-        self.load.falls.push(Span { from: at_s, over: over_s, until: f64::INFINITY, load });
+        let factor = shrink.load_to.unwrap_or(shrink.to);
+        self.arrivals.reductions.push(ArrivalChange {
+            from: at_s,
+            ramp_s: over_s,
+            until: f64::INFINITY,
+            factor,
+        });
     }
 
     /// Drains a render node and ends its process. Returns the time at which the process ends.
     fn drain(
         &mut self,
         node: u16,
-        begins: Micros,
+        start: Micros,
         drain: Micros,
-        told: Told,
+        told: DrainNotice,
         lead_s: f64,
-        chance: &mut ChaCha8Rng,
+        rng: &mut ChaCha8Rng,
     ) -> Micros {
-        let notice = self.down_notice(chance);
-        let (drains, notice) = match told {
-            Told::Before => (begins + micros(lead_s), 0),
-            Told::After => (begins, notice),
+        let delay = self.down_delay(rng);
+        let (drain_start, delay) = match told {
+            DrainNotice::Before => (start + micros(lead_s), 0),
+            DrainNotice::After => (start, delay),
         };
-        self.truth(node, begins, Phase::Draining, false, notice);
-        self.node(drains, node, NodeChange::Drain { within: drain });
-        let gone = drains + drain + micros(LEAVE_S);
-        self.kill(node, gone, chance);
-        gone
+        self.record_state(node, start, Phase::Draining, false, delay);
+        self.node(drain_start, node, NodeChange::Drain { within: drain });
+        let end = drain_start + drain + micros(EXIT_DELAY_S);
+        self.kill(node, end, rng);
+        end
     }
 
-    fn kill(&mut self, node: u16, at: Micros, chance: &mut ChaCha8Rng) {
-        let notice = self.down_notice(chance);
+    fn kill(&mut self, node: u16, at: Micros, rng: &mut ChaCha8Rng) {
+        let delay = self.down_delay(rng);
         self.node(at, node, NodeChange::Kill);
-        self.truth(node, at, Phase::Removed, false, notice);
+        self.record_state(node, at, Phase::Removed, false, delay);
     }
 
-    fn start(&mut self, node: u16, at: Micros, chance: &mut ChaCha8Rng) {
-        let notice = self.up_notice(chance);
+    fn start(&mut self, node: u16, at: Micros, rng: &mut ChaCha8Rng) {
+        let delay = self.up_delay(rng);
         self.node(at, node, NodeChange::Start);
-        self.truth(node, at, Phase::Up, true, notice);
+        self.record_state(node, at, Phase::Up, true, delay);
     }
 
-    fn down_notice(&self, chance: &mut ChaCha8Rng) -> Micros {
-        self.draw.body.discovery.notice_s.at(self.draw.body.scale).draw_s(chance)
+    fn down_delay(&self, rng: &mut ChaCha8Rng) -> Micros {
+        self.context.body.discovery.notice_s.scaled(self.context.body.scale).draw_s(rng)
     }
 
-    fn up_notice(&self, chance: &mut ChaCha8Rng) -> Micros {
-        self.draw.body.discovery.up_s.at(self.draw.body.scale).draw_s(chance)
+    fn up_delay(&self, rng: &mut ChaCha8Rng) -> Micros {
+        self.context.body.discovery.up_s.scaled(self.context.body.scale).draw_s(rng)
     }
 
     fn proxy(&mut self, at: Micros, fault: &ProxyFault, proxies: &[u16]) {
-        let who = proxies.iter().map(|proxy| format!("proxy-{proxy}")).collect::<Vec<_>>().join(", ");
+        let names = proxies.iter().map(|proxy| format!("proxy-{proxy}")).collect::<Vec<_>>().join(", ");
         let (change, what, ended) = match fault.change {
             ProxyKind::Kill => (ProxyChange::Kill, "killed", at),
             ProxyKind::Terminate | ProxyKind::Restart => {
-                (ProxyChange::Terminate, "told to stop", at + micros(term_to_kill_s(self.draw.body)))
+                (ProxyChange::Terminate, "told to stop", at + micros(term_to_kill_s(self.context.body)))
             }
             ProxyKind::Reload => (ProxyChange::Reload, "told to read its files again", at),
         };
-        let again = fault.for_s.or((fault.change == ProxyKind::Restart).then_some(PROXY_AGAIN_S));
-        self.mark(at, format!("{what}: {who}"));
+        let restart_after =
+            fault.for_s.or((fault.change == ProxyKind::Restart).then_some(PROXY_RESTART_DELAY_S));
+        self.mark(at, format!("{what}: {names}"));
         for proxy in proxies.iter().copied().map(ProxyId) {
             self.push(at, TimelineChange::Proxy(proxy, change));
-            if let Some(away) = again {
-                self.push(ended + micros(away), TimelineChange::Proxy(proxy, ProxyChange::Start));
+            if let Some(delay) = restart_after {
+                self.push(ended + micros(delay), TimelineChange::Proxy(proxy, ProxyChange::Start));
             }
         }
-        if let Some(away) = again {
-            self.mark(ended + micros(away), format!("started again: {who}"));
+        if let Some(delay) = restart_after {
+            self.mark(ended + micros(delay), format!("started again: {names}"));
         }
     }
 
     fn network(&mut self, at: Micros, fault: &NetworkFault, nodes: &[u16], proxies: &[u16]) {
         let proxies: Vec<ProxyId> = proxies.iter().copied().map(ProxyId).collect();
-        let who = proxies.iter().map(|proxy| format!("proxy-{}", proxy.0)).collect::<Vec<_>>().join(", ");
-        let (words, begin, end): (String, Vec<NetworkChange>, Vec<NetworkChange>) = match fault.change {
-            NetworkKind::Loss => {
-                let loss = fault.loss.unwrap_or_default();
-                (
-                    format!("{:.0}% of the datagrams between proxies are lost", loss * 100.0),
-                    vec![NetworkChange::Loss(loss)],
-                    vec![NetworkChange::Loss(self.draw.body.network.loss)],
-                )
-            }
-            NetworkKind::Part => (
-                format!("no datagram passes between the others and {who}"),
-                vec![NetworkChange::Part(proxies)],
-                vec![NetworkChange::Join],
-            ),
-            NetworkKind::CutOff => {
-                let cut: Vec<NodeId> = nodes.iter().copied().map(NodeId).collect();
-                (
-                    format!("cut off from {}: {who}", names(nodes)),
-                    proxies.iter().map(|proxy| NetworkChange::CutOff(*proxy, cut.clone())).collect(),
-                    proxies.iter().map(|proxy| NetworkChange::Reach(*proxy)).collect(),
-                )
-            }
-        };
-        self.mark(at, words);
-        for change in begin {
+        let names = proxies.iter().map(|proxy| format!("proxy-{}", proxy.0)).collect::<Vec<_>>().join(", ");
+        let (text, start_changes, end_changes): (String, Vec<NetworkChange>, Vec<NetworkChange>) =
+            match fault.change {
+                NetworkKind::Loss => {
+                    let loss = fault.loss.unwrap_or_default();
+                    (
+                        format!("{:.0}% of the datagrams between proxies are lost", loss * 100.0),
+                        vec![NetworkChange::Loss(loss)],
+                        vec![NetworkChange::Loss(self.context.body.network.loss)],
+                    )
+                }
+                NetworkKind::Part => (
+                    format!("no datagram passes between the others and {names}"),
+                    vec![NetworkChange::Part(proxies)],
+                    vec![NetworkChange::Join],
+                ),
+                NetworkKind::CutOff => {
+                    let cut: Vec<NodeId> = nodes.iter().copied().map(NodeId).collect();
+                    (
+                        format!("cut off from {}: {names}", node_names(nodes)),
+                        proxies.iter().map(|proxy| NetworkChange::CutOff(*proxy, cut.clone())).collect(),
+                        proxies.iter().map(|proxy| NetworkChange::Reach(*proxy)).collect(),
+                    )
+                }
+            };
+        self.mark(at, text);
+        for change in start_changes {
             self.push(at, TimelineChange::Network(change));
         }
-        if let Some(lasts) = fault.for_s {
-            let over = at + micros(lasts);
-            self.mark(over, "the network is as usual again".to_owned());
-            for change in end {
-                self.push(over, TimelineChange::Network(change));
+        if let Some(duration) = fault.for_s {
+            let end = at + micros(duration);
+            self.mark(end, "the network is as usual again".to_owned());
+            for change in end_changes {
+                self.push(end, TimelineChange::Network(change));
             }
         }
     }
 
-    fn finish(mut self) -> Course {
-        for (node, mut truths) in std::mem::take(&mut self.truths) {
-            truths.sort_by_key(|truth| truth.at);
-            let up_at_start = node < self.draw.body.fleet.nodes;
-            for (at, phase) in entries(&truths, up_at_start) {
+    fn finish(mut self) -> FaultEffects {
+        for (node, mut state_changes) in std::mem::take(&mut self.state_changes) {
+            state_changes.sort_by_key(|change| change.at);
+            let up_at_start = node < self.context.body.fleet.nodes;
+            for (at, phase) in list_changes(&state_changes, up_at_start) {
                 self.push(at, TimelineChange::Listed(NodeId(node), phase));
             }
         }
         let mut timeline = self.events;
-        timeline.retain(|happening| happening.at <= self.draw.ends);
-        timeline.sort_by_key(|happening| happening.at);
-        Course { timeline, load: self.load }
+        timeline.retain(|event| event.at <= self.context.ends);
+        timeline.sort_by_key(|event| event.at);
+        FaultEffects { timeline, arrivals: self.arrivals }
     }
 }
 
-fn within(seconds: f64, chance: &mut ChaCha8Rng) -> Micros {
-    micros(seconds * chance.random::<f64>())
+fn random_delay(seconds: f64, rng: &mut ChaCha8Rng) -> Micros {
+    micros(seconds * rng.random::<f64>())
 }
 
-fn names(nodes: &[u16]) -> String {
+fn node_names(nodes: &[u16]) -> String {
     nodes.iter().map(|node| format!("render-{node}")).collect::<Vec<_>>().join(", ")
 }
 
-fn words(change: DiscoveryChange) -> &'static str {
+fn describe_discovery(change: DiscoveryChange) -> &'static str {
     match change {
         DiscoveryChange::Down => "gone",
         DiscoveryChange::Unavailable => "answers 503",
--- a/crates/kit/src/scenario/draw/mod.rs
+++ b/crates/kit/src/scenario/draw/mod.rs
@@ -6,44 +6,44 @@
 mod listing;
 
 use super::Scenario;
-use super::chance::Chance;
+use super::claims::term_to_kill_s;
 use super::format::Body;
-use super::holds::term_to_kill_s;
+use super::random_streams::RandomStreams;
 use super::range::{Range, micros};
 use crate::plan::{Class, Demands, Front, Habits, Network, Plan, Proxy, Rules, Tenant};
 use crate::time::{MS, Micros, S};
 use rand::RngExt;
 
 /// Sum of the tenants' quotas as a share of the fleet's capacity. The operators use 0.74 to 0.9.
-const QUOTA: Range = Range::new(0.74, 0.9);
+const QUOTA_SHARE: Range = Range::new(0.74, 0.9);
 
 /// Context that all parts of the draw share.
-struct Draw<'a> {
+struct DrawContext<'a> {
     body: &'a Body,
-    chance: Chance,
+    streams: RandomStreams,
     /// Start of the measured part.
     from: Micros,
     /// End of the measured part.
     ends: Micros,
 }
 
-pub(super) fn draw(scenario: &Scenario, seed: u64) -> Plan {
+pub(super) fn draw_plan(scenario: &Scenario, seed: u64) -> Plan {
     let body = &scenario.body;
     let from = micros(body.load.fill_s + body.load.settle_s);
     let ends = from + micros(body.seconds);
-    let draw = Draw { body, chance: Chance::new(seed), from, ends };
-    let (nodes, connections_per_unit) = fleet::nodes(&draw);
+    let context = DrawContext { body, streams: RandomStreams::new(seed), from, ends };
+    let (nodes, connections_per_unit) = fleet::nodes(&context);
     let capacity: f64 = nodes.iter().filter(|node| node.from_start).map(|node| node.capacity).sum();
-    let course = faults::draw(&draw, scenario);
-    let crowd = clients::Crowd::new(&draw, capacity, connections_per_unit);
-    let sessions = crowd.sessions(&course.load);
-    let quota = QUOTA.draw(&mut draw.chance.of("quota"));
+    let effects = faults::draw_effects(&context, scenario);
+    let sampler = clients::SessionSampler::new(&context, capacity, connections_per_unit);
+    let sessions = sampler.sessions(&effects.arrivals);
+    let quota = QUOTA_SHARE.draw(&mut context.streams.stream("quota"));
     let tenants = (body.tenant.iter())
         .map(|tenant| Tenant {
             name: tenant.name.clone(),
             share: tenant.share,
             quota_connections: (quota * capacity * connections_per_unit * tenant.share).round().max(1.0),
-            quota_per_s: quota * capacity * connections_per_unit * tenant.share / crowd.mean_life(),
+            quota_per_s: quota * capacity * connections_per_unit * tenant.share / sampler.mean_life(),
         })
         .collect();
     let classes = (body.class.iter())
@@ -64,13 +64,13 @@
         classes,
         tenants,
         nodes,
-        proxies: proxies(&draw),
+        proxies: proxies(&context),
         sessions,
-        rude: clients::rude(&draw, scenario),
-        timeline: course.timeline,
-        habits: habits(&draw),
-        front: front(&draw),
-        network: network(&draw),
+        rude: clients::misbehaving_clients(&context, scenario),
+        timeline: effects.timeline,
+        habits: habits(&context),
+        front: front(&context),
+        network: network(&context),
         rules: rules(body),
         demands: Demands {
             service: body.demand.service,
@@ -81,55 +81,55 @@
     }
 }
 
-fn proxies(draw: &Draw<'_>) -> Vec<Proxy> {
-    let zones = draw.body.zones().len() as u16;
-    (0..draw.body.proxies.count)
-        .map(|place| Proxy {
-            name: draw.body.name_of(super::Pool::Proxies, place),
-            zone: place % zones,
-            sockets: draw.body.proxies.sockets,
-            memory_mb: draw.body.proxies.memory_mb,
-            seed: draw.chance.of_each("proxy", u64::from(place)).random(),
+fn proxies(context: &DrawContext<'_>) -> Vec<Proxy> {
+    let zones = context.body.zones().len() as u16;
+    (0..context.body.proxies.count)
+        .map(|index| Proxy {
+            name: context.body.target_name(super::TargetKind::Proxies, index),
+            zone: index % zones,
+            sockets: context.body.proxies.sockets,
+            memory_mb: context.body.proxies.memory_mb,
+            seed: context.streams.item_stream("proxy", u64::from(index)).random(),
         })
         .collect()
 }
 
-fn habits(draw: &Draw<'_>) -> Habits {
-    let (clients, mut chance) = (&draw.body.clients, draw.chance.of("habits"));
+fn habits(context: &DrawContext<'_>) -> Habits {
+    let (clients, mut rng) = (&context.body.clients, context.streams.stream("habits"));
     Habits {
         line_every: micros(clients.line_every_s),
-        tries: 1 + clients.retries.draw_count(&mut chance),
-        backoff: clients.backoff_ms.draw_ms(&mut chance),
-        sulk: clients.sulk_s.draw_s(&mut chance),
-        honour: clients.honour.draw(&mut chance),
-        rejoin: (micros(clients.rejoin_ms.least / 1e3), micros(clients.rejoin_ms.most / 1e3)),
+        tries: 1 + clients.retries.draw_count(&mut rng),
+        backoff: clients.backoff_ms.draw_ms(&mut rng),
+        sulk: clients.sulk_s.draw_s(&mut rng),
+        honour: clients.honour.draw(&mut rng),
+        rejoin: (micros(clients.rejoin_ms.min / 1e3), micros(clients.rejoin_ms.max / 1e3)),
         marks_retry: clients.marks_retry,
     }
 }
 
-fn front(draw: &Draw<'_>) -> Front {
-    let (front, mut chance) = (&draw.body.front, draw.chance.of("front"));
+fn front(context: &DrawContext<'_>) -> Front {
+    let (front, mut rng) = (&context.body.front, context.streams.stream("front"));
     Front {
-        every: front.ping_ms.draw_ms(&mut chance),
-        notice: front.notice_s.at(draw.body.scale).draw_s(&mut chance),
-        leaves_after: front.leaves_ms.draw_ms(&mut chance),
+        every: front.ping_ms.draw_ms(&mut rng),
+        notice: front.notice_s.scaled(context.body.scale).draw_s(&mut rng),
+        leaves_after: front.leaves_ms.draw_ms(&mut rng),
     }
 }
 
-fn network(draw: &Draw<'_>) -> Network {
-    let (network, mut chance) = (&draw.body.network, draw.chance.of("network"));
+fn network(context: &DrawContext<'_>) -> Network {
+    let (network, mut rng) = (&context.body.network, context.streams.stream("network"));
     Network {
-        node_ms: (network.same_zone_ms.draw(&mut chance), network.cross_zone_ms.draw(&mut chance)),
-        datagram: (micros(network.datagram_ms.least / 1e3), micros(network.datagram_ms.most / 1e3)),
+        node_ms: (network.same_zone_ms.draw(&mut rng), network.cross_zone_ms.draw(&mut rng)),
+        datagram: (micros(network.datagram_ms.min / 1e3), micros(network.datagram_ms.max / 1e3)),
         loss: network.loss,
         datagrams: network.datagrams,
-        liars: draw.body.proxies.liars.clone(),
+        liars: context.body.proxies.liars.clone(),
     }
 }
 
 fn rules(body: &Body) -> Rules {
     let rules = &body.rules;
-    let ms = |figure: u32| Micros::from(figure) * MS;
+    let ms = |value: u32| Micros::from(value) * MS;
     Rules {
         answer_slack: ms(rules.answer_slack_ms),
         stop_within: ms(rules.stop_within_ms),
@@ -138,8 +138,8 @@
         fall_multiple: rules.fall_multiple,
         fall_window: ms(rules.fall_window_ms),
         // These are the bounds instead of the drawn values, since proxies do not know a render node's actual warm-up.
-        cold_from: body.fleet.cold_from.least,
-        warm_up: micros(body.fleet.warm_up_s.at(body.scale).most),
+        cold_from: body.fleet.cold_from.min,
+        warm_up: micros(body.fleet.warm_up_s.scaled(body.scale).max),
         line_held: ms(rules.line_held_ms),
         ended_within: ms(rules.ended_within_ms),
         silent_within: ms(rules.silent_within_ms),
--- a/crates/kit/src/scenario/error.rs
+++ b/crates/kit/src/scenario/error.rs
@@ -18,8 +18,8 @@
         error: std::io::Error,
     },
     /// The content of the file is wrong.
-    #[error("{}{}", At(file, *line, key), trouble)]
-    Wrong {
+    #[error("{}{}", Position(file, *line, key), problem)]
+    Invalid {
         /// Path of the file.
         file: PathBuf,
         /// Line number, counted from 1; `None` if the problem has no line.
@@ -27,13 +27,13 @@
         /// Full path of the key, with items of a list counted from 0. Empty if the problem is in the whole file.
         key: String,
         /// Description of the problem, which follows the key in the message.
-        trouble: String,
+        problem: String,
     },
 }
 
-struct At<'a>(&'a Path, Option<usize>, &'a str);
+struct Position<'a>(&'a Path, Option<usize>, &'a str);
 
-impl fmt::Display for At<'_> {
+impl fmt::Display for Position<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:", self.0.display())?;
         if let Some(line) = self.1 {
@@ -46,19 +46,19 @@
 
 /// A problem with the value of a key, before the line of the key is looked up.
 #[derive(Debug, PartialEq)]
-pub(super) struct Trouble {
+pub(super) struct Problem {
     pub key: String,
-    pub what: String,
+    pub message: String,
 }
 
 /// Returns a problem as the result of a check.
-pub(super) fn wrong<T>(key: impl Into<String>, what: impl Into<String>) -> Result<T, Trouble> {
-    Err(Trouble { key: key.into(), what: what.into() })
+pub(super) fn invalid<T>(key: impl Into<String>, message: impl Into<String>) -> Result<T, Problem> {
+    Err(Problem { key: key.into(), message: message.into() })
 }
 
 /// Returns a suggestion to append to a message: the candidate nearest to `given`. Empty if no candidate is similar
 /// enough.
-pub(super) fn near_miss<'a>(given: &str, candidates: impl IntoIterator<Item = &'a str>) -> String {
+pub(super) fn suggest_name<'a>(given: &str, candidates: impl IntoIterator<Item = &'a str>) -> String {
     let nearest = (candidates.into_iter())
         .map(|candidate| (strsim::damerau_levenshtein(given, candidate), candidate))
         .filter(|(distance, candidate)| *distance <= (candidate.len().max(given.len()) / 3).max(1))
@@ -74,39 +74,46 @@
 
 impl Source<'_> {
     /// Converts an error of the TOML parser.
-    pub fn unread(&self, error: &toml::de::Error) -> BadScenario {
+    pub fn parse_error(&self, error: &toml::de::Error) -> BadScenario {
         let span = error.span();
         let line = span.as_ref().map(|span| self.line(span.start));
         let key = span.as_ref().and_then(|span| Some(key_at(&DeTable::parse(self.text).ok()?, span)));
         let key = key.unwrap_or_default();
-        BadScenario::Wrong { file: self.file.to_owned(), line, key, trouble: suggest(error.message()) }
+        BadScenario::Invalid {
+            file: self.file.to_owned(),
+            line,
+            key,
+            problem: with_suggestion(error.message()),
+        }
     }
 
     /// Converts a problem that a check found.
-    pub fn found(&self, Trouble { key, what }: Trouble) -> BadScenario {
+    pub fn error_at(&self, Problem { key, message }: Problem) -> BadScenario {
         let table = DeTable::parse(self.text).ok();
-        let line = table.and_then(|table| place_of(&key, &table)).map(|place| self.line(place));
-        BadScenario::Wrong { file: self.file.to_owned(), line, key, trouble: what }
+        let line = table.and_then(|table| offset_of(&key, &table)).map(|offset| self.line(offset));
+        BadScenario::Invalid { file: self.file.to_owned(), line, key, problem: message }
     }
 
-    fn line(&self, place: usize) -> usize {
-        1 + self.text.bytes().take(place).filter(|byte| *byte == b'\n').count()
+    fn line(&self, offset: usize) -> usize {
+        1 + self.text.bytes().take(offset).filter(|byte| *byte == b'\n').count()
     }
 }
 
 /// Appends a suggestion to the TOML parser's message "unknown field `x`, expected one of `y`, `z`".
-fn suggest(message: &str) -> String {
+fn with_suggestion(message: &str) -> String {
     let message = message.trim();
     let mut words = message.split('`').skip(1).step_by(2);
-    let near = match words.next() {
-        Some(given) if message.starts_with("unknown") => near_miss(given, words),
+    let suggestion = match words.next() {
+        Some(given) if message.starts_with("unknown") => suggest_name(given, words),
         _ => String::new(),
     };
     // The list of expected names is dropped if there is a suggestion, since the suggestion would be hard to find
     // after it.
-    let short =
-        message.split_once(", expected").filter(|_| !near.is_empty()).map_or(message, |(short, _)| short);
-    format!("{short}{near}")
+    let short = message
+        .split_once(", expected")
+        .filter(|_| !suggestion.is_empty())
+        .map_or(message, |(short, _)| short);
+    format!("{short}{suggestion}")
 }
 
 /// Returns the path of the smallest key or value that contains the range `at` of the text.
@@ -140,31 +147,31 @@
 
 fn consider(span: &Range<usize>, path: &str, at: &Range<usize>, best: &mut (usize, String)) {
     let size = span.end.saturating_sub(span.start);
-    let holds = span.start <= at.start && at.start < span.end.max(span.start + 1) && at.end <= span.end;
-    if holds && (size < best.0 || (size == best.0 && path.len() > best.1.len())) {
+    let contains = span.start <= at.start && at.start < span.end.max(span.start + 1) && at.end <= span.end;
+    if contains && (size < best.0 || (size == best.0 && path.len() > best.1.len())) {
         *best = (size, path.to_owned());
     }
 }
 
 /// Returns the byte offset of a key. If the key is not in the file, returns the offset of its closest parent that is.
-fn place_of(key: &str, table: &Spanned<DeTable<'_>>) -> Option<usize> {
-    let mut here = table.get_ref();
-    let mut place = None;
+fn offset_of(key: &str, table: &Spanned<DeTable<'_>>) -> Option<usize> {
+    let mut table = table.get_ref();
+    let mut offset = None;
     for step in key.split('.') {
         let (name, item) = match step.split_once('[') {
             Some((name, item)) => (name, item.trim_end_matches(']').parse::<usize>().ok()),
             None => (step, None),
         };
-        let Some((found, mut value)) = here.get_key_value(name) else { break };
-        place = Some(found.span().start);
+        let Some((found, mut value)) = table.get_key_value(name) else { break };
+        offset = Some(found.span().start);
         if let Some(inner) = item.and_then(|item| value.get_ref().as_array()?.get(item)) {
-            place = Some(inner.span().start);
+            offset = Some(inner.span().start);
             value = inner;
         }
         match value.get_ref() {
-            DeValue::Table(inner) => here = inner,
+            DeValue::Table(inner) => table = inner,
             _ => break,
         }
     }
-    place
+    offset
 }
--- a/crates/kit/src/scenario/fault/mod.rs
+++ b/crates/kit/src/scenario/fault/mod.rs
@@ -3,10 +3,10 @@
 
 mod read;
 
-pub(super) use read::read_all;
+pub(super) use read::parse_all;
 
-use super::format::Rude;
-use super::range::{Range, Span};
+use super::format::MisbehavingClients;
+use super::range::{DurationRange, Range};
 use crate::plan::{DiscoveryChange, Misbehavior};
 use serde::Deserialize;
 
@@ -16,20 +16,20 @@
     /// Start of the fault, in seconds of the measured part.
     pub at_s: f64,
     /// Kind of the fault, with its parameters.
-    pub kind: Kind,
+    pub kind: FaultKind,
 }
 
 /// The kinds of faults. Each comment is the name of the kind in a scenario file.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Kind {
+pub enum FaultKind {
     /// `kill`, `vanish`, `hang`, `rubbish`.
-    Down(DownKind, Down),
+    Outage(OutageKind, Outage),
     /// `slow`.
     Slow(Slow),
     /// `shrink`.
     Shrink(Shrink),
     /// `rolling-restart`.
-    Rolling(Rolling),
+    RollingRestart(RollingRestart),
     /// `flap`.
     Flap(Flap),
     /// `grow`.
@@ -45,12 +45,12 @@
     /// `network`.
     Network(NetworkFault),
     /// `rude`.
-    Rude(RudeWave),
+    MisbehaviorWave(MisbehaviorWave),
 }
 
 /// How a render node stops serving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DownKind {
+pub enum OutageKind {
     /// The process is killed.
     Kill,
     /// The machine disappears without closing its connections.
@@ -64,7 +64,7 @@
 /// What happens to a render node after its fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Then {
+pub enum AfterOutage {
     /// A new process starts, cold.
     Start,
     /// The same process continues.
@@ -77,7 +77,7 @@
 /// nodes.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Down {
+pub struct Outage {
     /// Selects this share of the fleet at random.
     pub share: Option<f64>,
     /// Selects this number of render nodes at random.
@@ -91,20 +91,20 @@
     pub spread_s: f64,
     /// Duration of the fault; the operators' 5.9 to 24 s by default. It is drawn once for all the render nodes, so
     /// that they also return together.
-    #[serde(default = "Down::for_s")]
-    pub for_s: Span,
+    #[serde(default = "Outage::default_for_s")]
+    pub for_s: DurationRange,
     /// What happens afterwards; `start` by default.
-    #[serde(default = "Down::then")]
-    pub then: Then,
+    #[serde(default = "Outage::default_then")]
+    pub then: AfterOutage,
 }
 
-impl Down {
-    fn for_s() -> Span {
-        Span::usual(5.9, 24.0)
+impl Outage {
+    fn default_for_s() -> DurationRange {
+        DurationRange::scalable(5.9, 24.0)
     }
 
-    fn then() -> Then {
-        Then::Start
+    fn default_then() -> AfterOutage {
+        AfterOutage::Start
     }
 }
 
@@ -120,19 +120,19 @@
     #[serde(default)]
     pub spread_s: f64,
     /// Duration of the fault; the operators' 16 to 32 s by default.
-    #[serde(default = "Slow::for_s")]
-    pub for_s: Span,
+    #[serde(default = "Slow::default_for_s")]
+    pub for_s: DurationRange,
     /// Slowdown factor; the operators' 2.1 to 9.4 by default.
-    #[serde(default = "Slow::times")]
+    #[serde(default = "Slow::default_times")]
     pub times: Range,
 }
 
 impl Slow {
-    fn for_s() -> Span {
-        Span::usual(16.0, 32.0)
+    fn default_for_s() -> DurationRange {
+        DurationRange::scalable(16.0, 32.0)
     }
 
-    fn times() -> Range {
+    fn default_times() -> Range {
         Range::new(2.1, 9.4)
     }
 }
@@ -140,7 +140,7 @@
 /// When the endpoint list shows that a render node drains, relative to the start of the drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Told {
+pub enum DrainNotice {
     /// The list shows the drain `lead_s` before the render node starts to move its clients away.
     Before,
     /// The list shows the drain after the render node has started it, with discovery's delay. The operators' fleet
@@ -155,69 +155,69 @@
     /// Share of the fleet that remains. The operators' fleet shrinks to 0.42 to 0.77.
     pub to: f64,
     /// The render nodes start to drain at random times within this period; the operators' 8.3 to 25 s by default.
-    #[serde(default = "Shrink::over_s")]
-    pub over_s: Span,
+    #[serde(default = "Shrink::default_over_s")]
+    pub over_s: DurationRange,
     /// Time in which each render node moves its clients away before its process ends; the operators' 2.5 to 4.7 s by
     /// default.
-    #[serde(default = "drain_s")]
+    #[serde(default = "default_drain_s")]
     pub drain_s: Range,
     /// When the list shows the drain; `after` by default.
-    #[serde(default = "Shrink::told")]
-    pub told: Told,
+    #[serde(default = "Shrink::default_told")]
+    pub told: DrainNotice,
     /// With `told = "before"`: seconds by which the list shows the drain before it starts.
-    #[serde(default = "lead_s")]
+    #[serde(default = "default_lead_s")]
     pub lead_s: f64,
     /// Factor to which the arrivals fall during `over_s` and at which they stay; the value of `to` by default.
     pub load_to: Option<f64>,
 }
 
 impl Shrink {
-    fn over_s() -> Span {
-        Span::usual(8.3, 25.0)
+    fn default_over_s() -> DurationRange {
+        DurationRange::scalable(8.3, 25.0)
     }
 
-    fn told() -> Told {
-        Told::After
+    fn default_told() -> DrainNotice {
+        DrainNotice::After
     }
 }
 
-fn drain_s() -> Range {
+fn default_drain_s() -> Range {
     Range::new(2.5, 4.7)
 }
 
 /// 0.5 s more than the default of `rules.stop_within_ms`, the time after which a proxy may not send new requests to a
 /// draining render node.
-fn lead_s() -> f64 {
+fn default_lead_s() -> f64 {
     1.5
 }
 
 /// Parameters of `rolling-restart`: all render nodes restart, one after the other.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Rolling {
+pub struct RollingRestart {
     /// Interval from the start of one render node's restart to the start of the next one's.
     pub every_s: f64,
     /// Time in which each render node moves its clients away before its process ends.
-    #[serde(default = "drain_s")]
+    #[serde(default = "default_drain_s")]
     pub drain_s: Range,
     /// Time from the end of a render node's process to the start of its new process.
-    #[serde(default = "Rolling::down_s")]
+    #[serde(default = "RollingRestart::default_down_s")]
     pub down_s: Range,
     /// When the list shows the drain; `before` by default, since a rolling restart is planned.
-    #[serde(default = "Rolling::told")]
-    pub told: Told,
+    #[serde(default = "RollingRestart::default_told")]
+    pub told: DrainNotice,
     /// With `told = "before"`: seconds by which the list shows the drain before it starts.
-    #[serde(default = "lead_s")]
+    #[serde(default = "default_lead_s")]
     pub lead_s: f64,
 }
 
-impl Rolling {
-    fn down_s() -> Range {
+impl RollingRestart {
+    fn default_down_s() -> Range {
         Range::new(0.5, 1.5)
     }
 
-    fn told() -> Told {
-        Told::Before
+    fn default_told() -> DrainNotice {
+        DrainNotice::Before
     }
 }
 
@@ -233,19 +233,19 @@
     /// Number of times that each render node is killed.
     pub times: u32,
     /// Time that a render node is down each time.
-    #[serde(default = "Flap::down_s")]
+    #[serde(default = "Flap::default_down_s")]
     pub down_s: Range,
     /// Time that a render node is up between two kills.
-    #[serde(default = "Flap::up_s")]
+    #[serde(default = "Flap::default_up_s")]
     pub up_s: Range,
 }
 
 impl Flap {
-    fn down_s() -> Range {
+    fn default_down_s() -> Range {
         Range::new(0.5, 2.0)
     }
 
-    fn up_s() -> Range {
+    fn default_up_s() -> Range {
         Range::new(2.0, 5.0)
     }
 }
@@ -266,19 +266,19 @@
 #[serde(deny_unknown_fields)]
 pub struct DropClients {
     /// Share of the standing sessions; the operators' 0.2 to 0.57 by default.
-    #[serde(default = "DropClients::share")]
+    #[serde(default = "DropClients::default_share")]
     pub share: Range,
     /// Time within which the clients reconnect; the operators' 0.45 to 2.7 s by default.
-    #[serde(default = "DropClients::back_within_s")]
+    #[serde(default = "DropClients::default_back_within_s")]
     pub back_within_s: Range,
 }
 
 impl DropClients {
-    fn share() -> Range {
+    fn default_share() -> Range {
         Range::new(0.2, 0.57)
     }
 
-    fn back_within_s() -> Range {
+    fn default_back_within_s() -> Range {
         Range::new(0.45, 2.7)
     }
 }
@@ -310,7 +310,7 @@
 
 impl DiscoveryKind {
     /// Whether the fault lasts until discovery is restored. The other faults happen once.
-    pub fn lasts(self) -> bool {
+    pub fn is_lasting(self) -> bool {
         use DiscoveryKind::*;
         matches!(self, Down | Unavailable | Resetting | Silent)
     }
@@ -404,13 +404,13 @@
 /// Parameters of `rude`: misbehaving clients for some time, in addition to those of the section `[rude]`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RudeWave {
+pub struct MisbehaviorWave {
     /// Arrivals per second.
     pub per_s: f64,
     /// Duration of the arrivals.
     pub for_s: f64,
     /// The kinds of misbehavior, drawn with equal probability; all kinds by default.
-    #[serde(default = "Rude::every_kind")]
+    #[serde(default = "MisbehavingClients::all_kinds")]
     pub kinds: Vec<Misbehavior>,
 }
 
@@ -418,21 +418,21 @@
     /// Name of the kind in scenario files.
     pub fn kind_name(&self) -> &'static str {
         match &self.kind {
-            Kind::Down(DownKind::Kill, _) => "kill",
-            Kind::Down(DownKind::Vanish, _) => "vanish",
-            Kind::Down(DownKind::Hang, _) => "hang",
-            Kind::Down(DownKind::Rubbish, _) => "rubbish",
-            Kind::Slow(_) => "slow",
-            Kind::Shrink(_) => "shrink",
-            Kind::Rolling(_) => "rolling-restart",
-            Kind::Flap(_) => "flap",
-            Kind::Grow(_) => "grow",
-            Kind::Drop(_) => "drop",
-            Kind::Surge(_) => "surge",
-            Kind::Discovery(_) => "discovery",
-            Kind::Proxy(_) => "proxy",
-            Kind::Network(_) => "network",
-            Kind::Rude(_) => "rude",
+            FaultKind::Outage(OutageKind::Kill, _) => "kill",
+            FaultKind::Outage(OutageKind::Vanish, _) => "vanish",
+            FaultKind::Outage(OutageKind::Hang, _) => "hang",
+            FaultKind::Outage(OutageKind::Rubbish, _) => "rubbish",
+            FaultKind::Slow(_) => "slow",
+            FaultKind::Shrink(_) => "shrink",
+            FaultKind::RollingRestart(_) => "rolling-restart",
+            FaultKind::Flap(_) => "flap",
+            FaultKind::Grow(_) => "grow",
+            FaultKind::Drop(_) => "drop",
+            FaultKind::Surge(_) => "surge",
+            FaultKind::Discovery(_) => "discovery",
+            FaultKind::Proxy(_) => "proxy",
+            FaultKind::Network(_) => "network",
+            FaultKind::MisbehaviorWave(_) => "rude",
         }
     }
 }
--- a/crates/kit/src/scenario/format/fleet.rs
+++ b/crates/kit/src/scenario/format/fleet.rs
@@ -1,7 +1,7 @@
 //! The sections `fleet` and `proxies` of a scenario file.
 
 use crate::plan::FalseReport;
-use crate::scenario::range::{Range, Span};
+use crate::scenario::range::{DurationRange, Range};
 use serde::Deserialize;
 
 /// The render nodes.
@@ -16,7 +16,7 @@
     /// halls, but at most one for each proxy.
     pub zones: Option<Vec<String>>,
     /// Kinds of machines.
-    pub kind: Vec<Kind>,
+    pub kind: Vec<MachineKind>,
     /// Number of render nodes in a cell.
     pub cell_size: Range,
     /// Number of connections whose mean load fully uses a core of standard speed.
@@ -38,7 +38,7 @@
     /// Share of the capacity at which a cold render node begins slow start.
     pub cold_from: Range,
     /// Duration of slow start.
-    pub warm_up_s: Span,
+    pub warm_up_s: DurationRange,
 }
 
 impl Default for Fleet {
@@ -48,8 +48,18 @@
             spare: 0,
             zones: None,
             kind: vec![
-                Kind::usual("fast-2c", Range::new(0.44, 0.6), Range::new(1.3, 1.7), Range::new(0.11, 0.24)),
-                Kind::usual("std-2c", Range::new(0.41, 0.55), Range::new(0.85, 1.1), Range::new(0.12, 0.24)),
+                MachineKind::new(
+                    "fast-2c",
+                    Range::new(0.44, 0.6),
+                    Range::new(1.3, 1.7),
+                    Range::new(0.11, 0.24),
+                ),
+                MachineKind::new(
+                    "std-2c",
+                    Range::new(0.41, 0.55),
+                    Range::new(0.85, 1.1),
+                    Range::new(0.12, 0.24),
+                ),
             ],
             cell_size: Range::new(6.0, 10.0),
             connections_per_core: Range::new(12.0, 24.0),
@@ -62,7 +72,7 @@
             bursty: Range::new(1.0, 5.0),
             buffer_s: Range::new(0.5, 3.0),
             cold_from: Range::new(0.3, 0.59),
-            warm_up_s: Span::usual(3.2, 9.0),
+            warm_up_s: DurationRange::scalable(3.2, 9.0),
         }
     }
 }
@@ -70,34 +80,34 @@
 /// A kind of machine.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Kind {
+pub struct MachineKind {
     /// Name of the kind.
     pub name: String,
     /// Share of the fleet. The drawn shares of all kinds are normalized to a sum of 1.
     pub share: Range,
     /// Number of cores.
-    #[serde(default = "two_cores")]
+    #[serde(default = "default_cores")]
     pub cores: Range,
     /// Registered speed of a core, as a multiple of a standard core. The endpoint list shows the product of cores and
     /// speed as `size`.
     pub speed: Range,
     /// Spread of the actual speeds around the registered speed (standard deviation over mean). No proxy is told the
     /// actual speeds.
-    #[serde(default = "usual_spread")]
+    #[serde(default = "default_speed_spread")]
     pub speed_spread: Range,
 }
 
-fn two_cores() -> Range {
+fn default_cores() -> Range {
     Range::new(2.0, 2.0)
 }
 
-fn usual_spread() -> Range {
+fn default_speed_spread() -> Range {
     Range::new(0.11, 0.24)
 }
 
-impl Kind {
-    fn usual(name: &str, share: Range, speed: Range, speed_spread: Range) -> Self {
-        Kind { name: name.to_owned(), share, cores: two_cores(), speed, speed_spread }
+impl MachineKind {
+    fn new(name: &str, share: Range, speed: Range, speed_spread: Range) -> Self {
+        MachineKind { name: name.to_owned(), share, cores: default_cores(), speed, speed_spread }
     }
 }
 
--- a/crates/kit/src/scenario/format/load.rs
+++ b/crates/kit/src/scenario/format/load.rs
@@ -1,8 +1,8 @@
 //! The sections `load`, `class`, `tenant` and `groups` of a scenario file.
 
-use super::one;
+use super::default_one;
 use crate::scenario::curve::Curve;
-use crate::scenario::range::{Range, Span};
+use crate::scenario::range::{DurationRange, Range};
 use serde::Deserialize;
 
 /// How the arrival rate of clients changes over time.
@@ -47,7 +47,7 @@
     /// For the shape `trace`: the factor over time.
     pub trace: Curve,
     /// Mean life of a session.
-    pub life_s: Span,
+    pub life_s: DurationRange,
     /// Spread of the lives (sigma of a lognormal distribution).
     pub life_sigma: Range,
     /// Maximum deviation of a zone's weight among the clients from 1.
@@ -73,7 +73,7 @@
             burst_s: Range::new(1.0, 2.0),
             burst: Range::new(2.0, 3.0),
             trace: Curve::default(),
-            life_s: Span::usual(31.0, 59.0),
+            life_s: DurationRange::scalable(31.0, 59.0),
             life_sigma: Range::new(0.8, 1.4),
             zone_skew: Range::new(0.15, 0.45),
             fill_s: 4.0,
@@ -92,85 +92,85 @@
     /// Share of the arrivals. The drawn shares of all classes are normalized to a sum of 1.
     pub share: Range,
     /// Mean load of a session, relative to the other classes.
-    #[serde(default = "Class::load")]
+    #[serde(default = "Class::default_load")]
     pub load: Range,
     /// Mean life of a session, as a multiple of `load.life_s`.
-    #[serde(default = "Class::life")]
+    #[serde(default = "Class::default_life")]
     pub life: Range,
     /// Spread of the loads between sessions (sigma of a lognormal distribution).
-    #[serde(default = "Class::load_sigma")]
+    #[serde(default = "Class::default_load_sigma")]
     pub load_sigma: Range,
     /// Spread of a session's load over time (sigma of a lognormal distribution).
-    #[serde(default = "Class::swing_sigma")]
+    #[serde(default = "Class::default_swing_sigma")]
     pub swing_sigma: Range,
     /// Mean time between two changes of a session's load.
-    #[serde(default = "Class::change_s")]
-    pub change_s: Span,
+    #[serde(default = "Class::default_change_s")]
+    pub change_s: DurationRange,
     /// Share of the time in which a session has no load.
-    #[serde(default = "Class::idle")]
+    #[serde(default = "Class::default_idle")]
     pub idle: Range,
     /// Target time of a set-up.
-    #[serde(default = "Class::setup_aim_ms")]
+    #[serde(default = "Class::default_setup_aim_ms")]
     pub setup_aim_ms: u32,
     /// Time that a client waits for `UP`.
-    #[serde(default = "Class::deadline_ms")]
+    #[serde(default = "Class::default_deadline_ms")]
     pub deadline_ms: u32,
     /// Target time of a message. A message that is returned within it counts as well served.
-    #[serde(default = "Class::message_aim_ms")]
+    #[serde(default = "Class::default_message_aim_ms")]
     pub message_aim_ms: u32,
     /// Weight of a well-served connection second in the service ratios.
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     pub worth: f64,
 }
 
 impl Class {
-    fn load() -> Range {
+    fn default_load() -> Range {
         Range::new(1.0, 1.0)
     }
 
-    fn life() -> Range {
+    fn default_life() -> Range {
         Range::new(1.0, 1.0)
     }
 
-    fn load_sigma() -> Range {
+    fn default_load_sigma() -> Range {
         Range::new(0.56, 1.1)
     }
 
-    fn swing_sigma() -> Range {
+    fn default_swing_sigma() -> Range {
         Range::new(0.34, 0.84)
     }
 
-    fn change_s() -> Span {
-        Span::usual(10.0, 19.0)
+    fn default_change_s() -> DurationRange {
+        DurationRange::scalable(10.0, 19.0)
     }
 
-    fn idle() -> Range {
+    fn default_idle() -> Range {
         Range::new(0.062, 0.48)
     }
 
-    fn setup_aim_ms() -> u32 {
+    fn default_setup_aim_ms() -> u32 {
         300
     }
 
-    fn deadline_ms() -> u32 {
+    fn default_deadline_ms() -> u32 {
         1800
     }
 
-    fn message_aim_ms() -> u32 {
+    fn default_message_aim_ms() -> u32 {
         150
     }
 
     /// The default classes: the three of the operators.
-    pub(in crate::scenario) fn usual() -> Vec<Self> {
+    pub(in crate::scenario) fn default_classes() -> Vec<Self> {
         let page_view = Class {
             name: "page-view".to_owned(),
             share: Range::new(0.38, 0.58),
-            load: Self::load(),
-            life: Self::life(),
-            load_sigma: Self::load_sigma(),
-            swing_sigma: Self::swing_sigma(),
-            change_s: Self::change_s(),
-            idle: Self::idle(),
+            load: Self::default_load(),
+            life: Self::default_life(),
+            load_sigma: Self::default_load_sigma(),
+            swing_sigma: Self::default_swing_sigma(),
+            change_s: Self::default_change_s(),
+            idle: Self::default_idle(),
             setup_aim_ms: 300,
             deadline_ms: 1800,
             message_aim_ms: 150,
@@ -182,7 +182,7 @@
             load: Range::new(2.0, 4.0),
             load_sigma: Range::new(0.75, 1.1),
             swing_sigma: Range::new(0.3, 0.86),
-            change_s: Span::usual(4.5, 13.0),
+            change_s: DurationRange::scalable(4.5, 13.0),
             idle: Range::new(0.18, 0.48),
             deadline_ms: 1200,
             message_aim_ms: 60,
@@ -194,7 +194,7 @@
             load: Range::new(0.2, 0.5),
             load_sigma: Range::new(0.51, 1.1),
             swing_sigma: Range::new(0.42, 0.81),
-            change_s: Span::usual(7.8, 17.0),
+            change_s: DurationRange::scalable(7.8, 17.0),
             idle: Range::new(0.18, 0.49),
             setup_aim_ms: 500,
             deadline_ms: 2000,
@@ -215,7 +215,7 @@
     /// Share of the service, from which the tenant's quota is computed.
     pub share: f64,
     /// Share of the arrivals, as a multiple of `share`. The shares of all tenants are normalized to a sum of 1.
-    #[serde(default = "Tenant::usage")]
+    #[serde(default = "Tenant::default_usage")]
     pub usage: Range,
     /// Additional factor on `usage` over time.
     #[serde(default)]
@@ -223,16 +223,16 @@
 }
 
 impl Tenant {
-    fn usage() -> Range {
+    fn default_usage() -> Range {
         Range::new(0.52, 1.4)
     }
 
     /// The default tenants: the three member houses of the operators.
-    pub(in crate::scenario) fn usual() -> Vec<Self> {
-        let house = |name: &str, share, least, most| Tenant {
+    pub(in crate::scenario) fn default_tenants() -> Vec<Self> {
+        let house = |name: &str, share, min, max| Tenant {
             name: name.to_owned(),
             share,
-            usage: Range::new(least, most),
+            usage: Range::new(min, max),
             usage_over_time: Curve::default(),
         };
         vec![
--- a/crates/kit/src/scenario/format/mod.rs
+++ b/crates/kit/src/scenario/format/mod.rs
@@ -4,10 +4,10 @@
 mod fleet;
 mod load;
 
-pub use fleet::{Fleet, Kind, Proxies};
+pub use fleet::{Fleet, MachineKind, Proxies};
 pub use load::{Class, Groups, Load, Shape, Tenant};
 
-use super::range::{Range, Span};
+use super::range::{DurationRange, Range};
 use crate::plan::Misbehavior;
 use serde::Deserialize;
 
@@ -24,7 +24,7 @@
     pub seconds: f64,
     /// Factor on the default durations of lives, load changes, warm-ups, notices and faults. Durations that the file
     /// sets are used as they are.
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     pub scale: f64,
     #[serde(default)]
     #[allow(missing_docs)]
@@ -36,10 +36,10 @@
     #[allow(missing_docs)]
     pub load: Load,
     /// Classes of requests, which replace the three default classes.
-    #[serde(default = "Class::usual")]
+    #[serde(default = "Class::default_classes")]
     pub class: Vec<Class>,
     /// Tenants, which replace the three default tenants.
-    #[serde(default = "Tenant::usual")]
+    #[serde(default = "Tenant::default_tenants")]
     pub tenant: Vec<Tenant>,
     #[serde(default)]
     #[allow(missing_docs)]
@@ -49,7 +49,7 @@
     pub clients: Clients,
     /// Misbehaving clients, in addition to the sessions; `None` means that there are none.
     #[serde(default)]
-    pub rude: Option<Rude>,
+    pub rude: Option<MisbehavingClients>,
     #[serde(default)]
     #[allow(missing_docs)]
     pub front: Front,
@@ -70,7 +70,7 @@
     pub(super) _fault: Option<serde::de::IgnoredAny>,
 }
 
-fn one() -> f64 {
+fn default_one() -> f64 {
     1.0
 }
 
@@ -116,11 +116,11 @@
 /// Clients that break the protocol on purpose.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Rude {
+pub struct MisbehavingClients {
     /// Arrivals per second.
     pub per_s: f64,
     /// The kinds of misbehavior, drawn with equal probability; all kinds by default.
-    #[serde(default = "Rude::every_kind")]
+    #[serde(default = "MisbehavingClients::all_kinds")]
     pub kinds: Vec<Misbehavior>,
     /// Time of the measured part at which they begin to arrive.
     #[serde(default)]
@@ -130,9 +130,9 @@
     pub until_s: Option<f64>,
 }
 
-impl Rude {
+impl MisbehavingClients {
     /// Returns all kinds of misbehavior.
-    pub(super) fn every_kind() -> Vec<Misbehavior> {
+    pub(super) fn all_kinds() -> Vec<Misbehavior> {
         use Misbehavior::*;
         vec![
             Garbage,
@@ -157,7 +157,7 @@
     /// Interval between two `PING`s to each proxy.
     pub ping_ms: Range,
     /// A proxy that has not answered for this long gets no new clients.
-    pub notice_s: Span,
+    pub notice_s: DurationRange,
     /// For this long after SIGTERM a proxy still gets new clients.
     pub leaves_ms: Range,
 }
@@ -166,7 +166,7 @@
     fn default() -> Self {
         Front {
             ping_ms: Range::new(250.0, 250.0),
-            notice_s: Span::usual(0.97, 4.0),
+            notice_s: DurationRange::scalable(0.97, 4.0),
             leaves_ms: Range::new(200.0, 400.0),
         }
     }
@@ -177,19 +177,19 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
     /// Delay for a process that drains or has ended.
-    pub notice_s: Span,
+    pub notice_s: DurationRange,
     /// Delay for a machine that disappeared without closing its connections.
-    pub silent_notice_s: Span,
+    pub silent_notice_s: DurationRange,
     /// Delay for a process that has started or recovered.
-    pub up_s: Span,
+    pub up_s: DurationRange,
 }
 
 impl Default for Discovery {
     fn default() -> Self {
         Discovery {
-            notice_s: Span::usual(0.52, 5.0),
-            silent_notice_s: Span::usual(6.8, 12.0),
-            up_s: Span::usual(0.5, 2.4),
+            notice_s: DurationRange::scalable(0.52, 5.0),
+            silent_notice_s: DurationRange::scalable(6.8, 12.0),
+            up_s: DurationRange::scalable(0.5, 2.4),
         }
     }
 }
--- a/crates/kit/src/scenario/mod.rs
+++ b/crates/kit/src/scenario/mod.rs
@@ -2,33 +2,33 @@
 //!
 //! A file contains what differs from the operators' fleet; other values have the defaults of [`mod@format`]. The
 //! whole file is parsed and validated before anything is drawn. All random numbers are derived from the seed, with a
-//! stream for each purpose ([`chance`]), so that a seed gives the same plan to the microsecond, and an additional
-//! fault does not change the arrivals. See `docs/design/scenarios.md`.
+//! stream for each purpose ([`random_streams`]), so that a seed gives the same plan to the microsecond, and an
+//! additional fault does not change the arrivals. See `docs/design/scenarios.md`.
 
-pub mod chance;
 mod check;
+mod claims;
 pub mod curve;
 mod draw;
 mod error;
 pub mod fault;
 pub mod format;
-mod holds;
+pub mod random_streams;
 pub mod range;
 
 pub use error::BadScenario;
 
 use crate::plan::Plan;
+use claims::TargetKind;
 use error::Source;
 use fault::Fault;
 use format::Body;
-use holds::Pool;
 use range::Range;
 use std::path::Path;
 
 /// Default zones: the halls of the operators.
-const HALLS: [&str; 5] = ["hall-a", "hall-b", "hall-c", "hall-d", "hall-e"];
+const DEFAULT_ZONES: [&str; 5] = ["hall-a", "hall-b", "hall-c", "hall-d", "hall-e"];
 /// Default load share: that of the operators' rough days.
-const USUAL_SHARE: Range = Range::new(0.35, 0.35);
+const DEFAULT_LOAD_SHARE: Range = Range::new(0.35, 0.35);
 
 /// A validated scenario.
 #[derive(Clone, Debug, PartialEq)]
@@ -50,38 +50,39 @@
     /// Parses and validates the text of a scenario; `file` is the path for error messages.
     pub fn read(file: &Path, text: &str) -> Result<Self, BadScenario> {
         let source = Source { file, text };
-        let body: Body = toml::from_str(text).map_err(|error| source.unread(&error))?;
-        let faults = fault::read_all(&source)?;
+        let body: Body = toml::from_str(text).map_err(|error| source.parse_error(&error))?;
+        let faults = fault::parse_all(&source)?;
         let scenario = Scenario { body, faults };
-        check::check(&scenario).map_err(|trouble| source.found(trouble))?;
+        check::check(&scenario).map_err(|problem| source.error_at(problem))?;
         Ok(scenario)
     }
 
     /// Draws the plan for a seed. The same scenario and seed always give the same plan.
     pub fn draw(&self, seed: u64) -> Plan {
-        draw::draw(self, seed)
+        draw::draw_plan(self, seed)
     }
 }
 
 impl Body {
     /// Names of the zones. Defaults to the operators' halls, but at most one for each proxy.
     pub fn zones(&self) -> Vec<String> {
-        let usual =
-            || HALLS.iter().take(usize::from(self.proxies.count.max(1))).map(|hall| (*hall).to_owned());
-        self.fleet.zones.clone().unwrap_or_else(|| usual().collect())
+        let default = || {
+            DEFAULT_ZONES.iter().take(usize::from(self.proxies.count.max(1))).map(|zone| (*zone).to_owned())
+        };
+        self.fleet.zones.clone().unwrap_or_else(|| default().collect())
     }
 
-    fn size(&self, pool: Pool) -> usize {
-        usize::from(match pool {
-            Pool::Nodes => self.fleet.nodes,
-            Pool::Proxies => self.proxies.count,
+    fn target_count(&self, kind: TargetKind) -> usize {
+        usize::from(match kind {
+            TargetKind::Nodes => self.fleet.nodes,
+            TargetKind::Proxies => self.proxies.count,
         })
     }
 
-    fn name_of(&self, pool: Pool, place: u16) -> String {
-        match pool {
-            Pool::Nodes => format!("render-{place}"),
-            Pool::Proxies => format!("proxy-{place}"),
+    fn target_name(&self, kind: TargetKind, index: u16) -> String {
+        match kind {
+            TargetKind::Nodes => format!("render-{index}"),
+            TargetKind::Proxies => format!("proxy-{index}"),
         }
     }
 }
@@ -89,6 +90,6 @@
 impl format::Load {
     /// The load as a share of the fleet's capacity, used if neither `arrivals_per_s` nor `standing` is set.
     fn share(&self) -> Range {
-        self.share.unwrap_or(USUAL_SHARE)
+        self.share.unwrap_or(DEFAULT_LOAD_SHARE)
     }
 }
--- a/crates/kit/src/scenario/range.rs
+++ b/crates/kit/src/scenario/range.rs
@@ -10,43 +10,43 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Range {
     /// Lower bound.
-    pub least: f64,
+    pub min: f64,
     /// Upper bound.
-    pub most: f64,
+    pub max: f64,
 }
 
 impl Range {
     /// Creates a range with these bounds.
-    pub const fn new(least: f64, most: f64) -> Self {
-        Range { least, most }
+    pub const fn new(min: f64, max: f64) -> Self {
+        Range { min, max }
     }
 
     /// Draws a number.
-    pub fn draw(&self, chance: &mut impl Rng) -> f64 {
+    pub fn draw(&self, rng: &mut impl Rng) -> f64 {
         // A random number is consumed even if the bounds are equal, so that replacing a range with a fixed number
         // does not change the values drawn after it.
-        self.least + (self.most - self.least) * chance.random::<f64>()
+        self.min + (self.max - self.min) * rng.random::<f64>()
     }
 
     /// Draws a duration from a range in seconds.
-    pub fn draw_s(&self, chance: &mut impl Rng) -> Micros {
-        micros(self.draw(chance))
+    pub fn draw_s(&self, rng: &mut impl Rng) -> Micros {
+        micros(self.draw(rng))
     }
 
     /// Draws a duration from a range in milliseconds.
-    pub fn draw_ms(&self, chance: &mut impl Rng) -> Micros {
-        micros(self.draw(chance) / 1e3)
+    pub fn draw_ms(&self, rng: &mut impl Rng) -> Micros {
+        micros(self.draw(rng) / 1e3)
     }
 
     /// Draws an integer, both bounds included.
-    pub fn draw_count(&self, chance: &mut impl Rng) -> u32 {
-        let (least, most) = (self.least.ceil(), self.most.floor());
-        (least + ((most - least + 1.0) * chance.random::<f64>()).floor()).clamp(least, most.max(least)) as u32
+    pub fn draw_count(&self, rng: &mut impl Rng) -> u32 {
+        let (min, max) = (self.min.ceil(), self.max.floor());
+        (min + ((max - min + 1.0) * rng.random::<f64>()).floor()).clamp(min, max.max(min)) as u32
     }
 
     /// Multiplies both bounds by a factor.
-    pub fn times(self, factor: f64) -> Self {
-        Range { least: self.least * factor, most: self.most * factor }
+    pub fn multiplied(self, factor: f64) -> Self {
+        Range { min: self.min * factor, max: self.max * factor }
     }
 }
 
@@ -64,17 +64,17 @@
 struct RangeVisitor;
 
 impl RangeVisitor {
-    fn between<E: de::Error>(least: f64, most: f64) -> Result<Range, E> {
-        if !(least.is_finite() && most.is_finite()) {
+    fn from_bounds<E: de::Error>(min: f64, max: f64) -> Result<Range, E> {
+        if !(min.is_finite() && max.is_finite()) {
             return Err(E::custom("must be a finite number"));
         }
-        if least < 0.0 {
-            return Err(E::custom(format!("must not be negative: {least}")));
+        if min < 0.0 {
+            return Err(E::custom(format!("must not be negative: {min}")));
         }
-        if most < least {
-            return Err(E::custom(format!("[{least}, {most}] is reversed: the lower bound comes first")));
+        if max < min {
+            return Err(E::custom(format!("[{min}, {max}] is reversed: the lower bound comes first")));
         }
-        Ok(Range { least, most })
+        Ok(Range { min, max })
     }
 }
 
@@ -86,50 +86,50 @@
     }
 
     fn visit_f64<E: de::Error>(self, value: f64) -> Result<Range, E> {
-        Self::between(value, value)
+        Self::from_bounds(value, value)
     }
 
     fn visit_i64<E: de::Error>(self, value: i64) -> Result<Range, E> {
-        Self::between(value as f64, value as f64)
+        Self::from_bounds(value as f64, value as f64)
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Range, A::Error> {
-        let (Some(least), Some(most), None) =
+        let (Some(min), Some(max), None) =
             (seq.next_element::<f64>()?, seq.next_element::<f64>()?, seq.next_element::<f64>()?)
         else {
             return Err(de::Error::custom("must be a number, or two: [least, most]"));
         };
-        Self::between(least, most)
+        Self::from_bounds(min, max)
     }
 }
 
 /// A range of durations. A value in the file is used as it is; a default is multiplied by the scenario's `scale`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Span {
+pub struct DurationRange {
     range: Range,
-    written: bool,
+    explicit: bool,
 }
 
-impl Span {
+impl DurationRange {
     /// Creates a default range, which the scenario's `scale` applies to.
-    pub const fn usual(least: f64, most: f64) -> Self {
-        Span { range: Range::new(least, most), written: false }
+    pub const fn scalable(min: f64, max: f64) -> Self {
+        DurationRange { range: Range::new(min, max), explicit: false }
     }
 
     /// Returns the range under the scenario's `scale`.
-    pub fn at(&self, scale: f64) -> Range {
-        if self.written { self.range } else { self.range.times(scale) }
+    pub fn scaled(&self, scale: f64) -> Range {
+        if self.explicit { self.range } else { self.range.multiplied(scale) }
     }
 
     /// Whether the value comes from the file.
-    pub fn is_written(&self) -> bool {
-        self.written
+    pub fn is_explicit(&self) -> bool {
+        self.explicit
     }
 }
 
-impl<'de> Deserialize<'de> for Span {
+impl<'de> Deserialize<'de> for DurationRange {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        Ok(Span { range: Range::deserialize(deserializer)?, written: true })
+        Ok(DurationRange { range: Range::deserialize(deserializer)?, explicit: true })
     }
 }
 
@@ -141,10 +141,10 @@
 
     #[test]
     fn whole_numbers_reach_both_bounds_and_no_further() {
-        let mut chance = ChaCha8Rng::seed_from_u64(1);
+        let mut rng = ChaCha8Rng::seed_from_u64(1);
         let mut seen = [0; 6];
         for _ in 0..300 {
-            seen[Range::new(2.0, 4.0).draw_count(&mut chance) as usize] += 1;
+            seen[Range::new(2.0, 4.0).draw_count(&mut rng) as usize] += 1;
         }
         assert_eq!((seen[0], seen[1], seen[5]), (0, 0, 0));
         assert!(seen[2..=4].iter().all(|n| *n > 60), "{seen:?}");
@@ -154,10 +154,10 @@
     fn only_usual_spans_are_scaled() {
         #[derive(serde::Deserialize)]
         struct File {
-            life_s: Span,
+            life_s: DurationRange,
         }
         let file: File = toml::from_str("life_s = [4, 8]").unwrap();
-        assert_eq!(file.life_s.at(0.1), Range::new(4.0, 8.0));
-        assert_eq!(Span::usual(40.0, 80.0).at(0.1), Range::new(4.0, 8.0));
+        assert_eq!(file.life_s.scaled(0.1), Range::new(4.0, 8.0));
+        assert_eq!(DurationRange::scalable(40.0, 80.0).scaled(0.1), Range::new(4.0, 8.0));
     }
 }
