--- a/crates/kit/src/scenario/curve.rs
+++ b/crates/kit/src/scenario/curve.rs
@@ -50,7 +50,7 @@
     use super::*;
 
     #[test]
-    fn slopes_between_points_and_level_beyond() {
+    fn interpolates_between_points_and_is_constant_outside() {
         let curve = Curve(vec![(10.0, 1.0), (20.0, 3.0)]);
         assert_eq!([0.0, 10.0, 15.0, 20.0, 99.0].map(|s| curve.at(s)), [1.0, 1.0, 2.0, 3.0, 3.0]);
         assert_eq!((curve.max_factor(), Curve::default().at(4.0)), (3.0, 1.0));
--- a/crates/kit/src/scenario/draw/fleet.rs
+++ b/crates/kit/src/scenario/draw/fleet.rs
@@ -112,7 +112,7 @@
     use rand_chacha::rand_core::SeedableRng;
 
     #[test]
-    fn kinds_get_their_shares() {
+    fn each_kind_gets_its_share_of_the_nodes() {
         let mut kind_indices = assign_kinds(&[0.5, 0.3, 0.1], 16, &mut ChaCha8Rng::seed_from_u64(3));
         kind_indices.sort();
         let count = |kind| kind_indices.iter().filter(|index| **index == kind).count();
--- a/crates/kit/src/scenario/draw/listing.rs
+++ b/crates/kit/src/scenario/draw/listing.rs
@@ -53,7 +53,7 @@
     }
 
     #[test]
-    fn a_short_absence_is_seen_as_a_new_start_only() {
+    fn a_short_absence_is_listed_as_a_new_start_only() {
         assert_eq!(listed(&[change(0, Removed, 900), change(500, Up, 1500)]), [(1500, Up)]);
         assert_eq!(listed(&[change(0, Removed, 400), change(500, Up, 1500)]), [(400, Removed), (1500, Up)]);
     }
@@ -65,7 +65,7 @@
     }
 
     #[test]
-    fn a_drain_is_listed_before_the_removal_however_late() {
+    fn a_late_drain_is_listed_before_the_removal() {
         let changes = [change(0, Draining, 5000), change(3000, Removed, 3500)];
         assert_eq!(listed(&changes), [(5000, Draining), (5001, Removed)]);
         let again = [change(0, Draining, 5000), change(3000, Removed, 3500), change(4000, Up, 4600)];
@@ -73,7 +73,7 @@
     }
 
     #[test]
-    fn who_comes_back_unlisted_is_not_listed_again() {
+    fn a_recovery_is_listed_only_if_the_removal_was_listed() {
         let back = StateChange { new_process: false, ..change(500, Up, 1000) };
         assert_eq!(listed(&[change(0, Removed, 7000), back]), []);
         assert_eq!(listed(&[change(0, Removed, 300), back]), [(300, Removed), (1000, Up)]);
--- a/crates/kit/src/scenario/range.rs
+++ b/crates/kit/src/scenario/range.rs
@@ -140,7 +140,7 @@
     use rand_chacha::rand_core::SeedableRng;
 
     #[test]
-    fn whole_numbers_reach_both_bounds_and_no_further() {
+    fn drawn_integers_include_both_bounds_and_nothing_beyond() {
         let mut rng = ChaCha8Rng::seed_from_u64(1);
         let mut seen = [0; 6];
         for _ in 0..300 {
@@ -151,7 +151,7 @@
     }
 
     #[test]
-    fn only_usual_spans_are_scaled() {
+    fn only_default_durations_are_scaled() {
         #[derive(serde::Deserialize)]
         struct File {
             life_s: DurationRange,
