--- a/crates/kit/src/cli/load.rs
+++ b/crates/kit/src/cli/load.rs
@@ -2,8 +2,8 @@
 
 use super::{DaemonArgs, Ended, interrupt, write_json};
 use clap::Args;
-use cottonnotch_kit::load::steady::{self, Steady};
-use cottonnotch_kit::load::{self, BothWays, LoadError, LoadSetup, versus};
+use cottonnotch_kit::load::steady::{self, SteadyLoad};
+use cottonnotch_kit::load::{self, LoadError, LoadSetup, PathComparison, versus};
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -74,7 +74,8 @@
             let list_every = Duration::from_millis(self.list_every_ms);
             let (setups_per_s, listed) = (self.setups_per_s, self.listed);
             let seen =
-                match steady::play(&setup, &Steady { lines_per_s, setups_per_s, listed, list_every }, say) {
+                match steady::run(&setup, &SteadyLoad { lines_per_s, setups_per_s, listed, list_every }, say)
+                {
                     Err(LoadError::Interrupted) => return Ok(Ended::Interrupted),
                     result => result.map_err(|error| error.to_string())?,
                 };
@@ -123,7 +124,7 @@
     }
 }
 
-fn print_steady(seen: &steady::Seen) {
+fn print_steady(seen: &steady::SteadyResult) {
     let [before, standing, after] = seen.resident_kib;
     println!(
         "{} connections, {} render nodes listed, {:.1} s, {} lists: CPU {:.1}% of a core; memory {before}, {standing}, {after} KiB; {} descriptors",
@@ -141,7 +142,7 @@
     }
 }
 
-fn print_both(what: &str, both: &BothWays) {
+fn print_both(what: &str, both: &PathComparison) {
     for (name, way) in [("through the proxy", &both.through), ("directly", &both.direct)] {
         let [p50, p99, p999, longest] = way.latency_us;
         println!(
--- a/crates/kit/src/load/mod.rs
+++ b/crates/kit/src/load/mod.rs
@@ -106,14 +106,14 @@
 
 /// Results of one kind of work on both paths.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct BothWays {
+pub struct PathComparison {
     /// Results through the proxy.
     pub through: PathResult,
     /// Results directly to a render node, which show the limit of the kit itself.
     pub direct: PathResult,
 }
 
-impl BothWays {
+impl PathComparison {
     /// Ratio of the kit's own ceiling to the proxy's ceiling.
     pub fn headroom(&self) -> f64 {
         self.direct.ceiling / self.through.ceiling.max(1e-9)
@@ -124,9 +124,9 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LoadResult {
     /// Results for connections that are set up and closed at once.
-    pub setups: BothWays,
+    pub setups: PathComparison,
     /// Results for line round trips over the established connections.
-    pub lines: BothWays,
+    pub lines: PathComparison,
     /// Number of established connections.
     pub connections: usize,
     /// Resident memory of the proxy per established connection, in bytes.
--- a/crates/kit/src/load/steady.rs
+++ b/crates/kit/src/load/steady.rs
@@ -17,7 +17,7 @@
 
 /// Parameters of the constant load, in addition to those of [`LoadSetup`].
 #[derive(Clone, Copy, Debug)]
-pub struct Steady {
+pub struct SteadyLoad {
     /// Line round trips per second.
     pub lines_per_s: f64,
     /// Connections that are set up and closed per second at the same time.
@@ -31,7 +31,7 @@
 
 /// Results under the constant load.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Seen {
+pub struct SteadyResult {
     /// Number of established connections.
     pub connections: usize,
     /// Number of render nodes in the endpoint list.
@@ -58,7 +58,11 @@
 }
 
 /// Runs the constant load. `progress` receives progress messages for the user.
-pub fn play(setup: &LoadSetup, steady: &Steady, mut progress: impl FnMut(&str)) -> Result<Seen, LoadError> {
+pub fn run(
+    setup: &LoadSetup,
+    steady: &SteadyLoad,
+    mut progress: impl FnMut(&str),
+) -> Result<SteadyResult, LoadError> {
     setup.daemon.check()?;
     let setups_in_progress = if steady.setups_per_s > 0.0 { generator::MAX_SETUPS_IN_PROGRESS } else { 0 };
     let sockets = 2 * (setup.connections + setups_in_progress) as u64 + RESERVED_DESCRIPTORS;
@@ -76,8 +80,9 @@
     await_proxy(listen)?;
     let pid = proxy.pid();
     let proxy_usage = || usage(pid).unwrap_or_default();
-    let mut seen = Seen { connections: setup.connections, listed: steady.listed, ..Seen::default() };
-    seen.resident_kib[0] = proxy_usage().resident_kib;
+    let mut result =
+        SteadyResult { connections: setup.connections, listed: steady.listed, ..SteadyResult::default() };
+    result.resident_kib[0] = proxy_usage().resident_kib;
 
     progress("opening connections");
     let threads = setup.threads.max(1);
@@ -94,7 +99,7 @@
         return Err(LoadError::ProxyNotReady(listen));
     }
     let before = proxy_usage();
-    (seen.resident_kib[1], seen.descriptors) = (before.resident_kib, before.descriptors);
+    (result.resident_kib[1], result.descriptors) = (before.resident_kib, before.descriptors);
     progress(&format!(
         "{} connections established; {:.0} lines a second",
         setup.connections, steady.lines_per_s
@@ -109,21 +114,21 @@
     };
     let lines = lines_thread.join().map_err(|_| LoadError::Panicked)??;
     let after = proxy_usage();
-    seen.seconds = start.elapsed().as_secs_f64();
-    seen.cpu = after.cpu_us.saturating_sub(before.cpu_us) as f64 / 1e6 / seen.seconds;
-    seen.resident_kib[2] = after.resident_kib;
-    seen.lists = discovery.written.load(Ordering::Relaxed);
-    let quantiles = |result: &generator::StepResult| {
-        let at = |q| result.latency.value_at_quantile(q);
-        [at(0.5), at(0.99), at(0.999), result.latency.max()]
+    result.seconds = start.elapsed().as_secs_f64();
+    result.cpu = after.cpu_us.saturating_sub(before.cpu_us) as f64 / 1e6 / result.seconds;
+    result.resident_kib[2] = after.resident_kib;
+    result.lists = discovery.written.load(Ordering::Relaxed);
+    let quantiles = |step: &generator::StepResult| {
+        let at = |q| step.latency.value_at_quantile(q);
+        [at(0.5), at(0.99), at(0.999), step.latency.max()]
     };
-    (seen.lines, seen.line_us) = ([lines.due, lines.done], quantiles(&lines));
+    (result.lines, result.line_us) = ([lines.due, lines.done], quantiles(&lines));
     if let Some(setups) = setups {
-        (seen.setups, seen.setup_us) = ([setups.due, setups.done], quantiles(&setups));
+        (result.setups, result.setup_us) = ([setups.due, setups.done], quantiles(&setups));
     }
     discovery.stop();
     echo_nodes.stop().map_err(system_error("an echo render node failed"))?;
-    Ok(seen)
+    Ok(result)
 }
 
 /// The endpoint list: all render nodes are up and share the few addresses, and their cells change with the revision.
@@ -162,7 +167,7 @@
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 impl DiscoveryServer {
-    fn start(nodes: Vec<SocketAddr>, steady: &Steady) -> io::Result<DiscoveryServer> {
+    fn start(nodes: Vec<SocketAddr>, steady: &SteadyLoad) -> io::Result<DiscoveryServer> {
         let listener = TcpListener::bind((std::net::Ipv4Addr::LOCALHOST, 0))?;
         listener.set_nonblocking(true)?;
         let (at, steady) = (listener.local_addr()?, *steady);
--- a/crates/kit/src/prove.rs
+++ b/crates/kit/src/prove.rs
@@ -5,7 +5,7 @@
 use crate::judge::{Rule, Verdict};
 use crate::processes::Daemon;
 use crate::rehearse::{self, CannotRun, Setup};
-use crate::scenario::{BadScenario, Scenario};
+use crate::scenario::{Scenario, ScenarioError};
 use std::collections::VecDeque;
 use std::fmt;
 use std::path::Path;
@@ -23,7 +23,7 @@
 pub enum CannotProve {
     /// The scenario that ships with this program can't be read: a fault of the kit's.
     #[error("{0}")]
-    Scenario(#[from] BadScenario),
+    Scenario(#[from] ScenarioError),
     /// A run.
     #[error(transparent)]
     Run(#[from] CannotRun),
--- a/crates/kit/src/scenario/error.rs
+++ b/crates/kit/src/scenario/error.rs
@@ -8,7 +8,7 @@
 
 /// Why a scenario cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum BadScenario {
+pub enum ScenarioError {
     /// The file could not be read.
     #[error("{}: cannot be read: {error}", file.display())]
     Unreadable {
@@ -74,12 +74,12 @@
 
 impl Source<'_> {
     /// Converts an error of the TOML parser.
-    pub fn parse_error(&self, error: &toml::de::Error) -> BadScenario {
+    pub fn parse_error(&self, error: &toml::de::Error) -> ScenarioError {
         let span = error.span();
         let line = span.as_ref().map(|span| self.line(span.start));
         let key = span.as_ref().and_then(|span| Some(key_at(&DeTable::parse(self.text).ok()?, span)));
         let key = key.unwrap_or_default();
-        BadScenario::Invalid {
+        ScenarioError::Invalid {
             file: self.file.to_owned(),
             line,
             key,
@@ -88,10 +88,10 @@
     }
 
     /// Converts a problem that a check found.
-    pub fn error_at(&self, Problem { key, message }: Problem) -> BadScenario {
+    pub fn error_at(&self, Problem { key, message }: Problem) -> ScenarioError {
         let table = DeTable::parse(self.text).ok();
         let line = table.and_then(|table| offset_of(&key, &table)).map(|offset| self.line(offset));
-        BadScenario::Invalid { file: self.file.to_owned(), line, key, problem: message }
+        ScenarioError::Invalid { file: self.file.to_owned(), line, key, problem: message }
     }
 
     fn line(&self, offset: usize) -> usize {
--- a/crates/kit/src/scenario/fault/read.rs
+++ b/crates/kit/src/scenario/fault/read.rs
@@ -5,7 +5,7 @@
     DiscoveryFault, DropClients, Fault, FaultKind, Flap, Grow, MisbehaviorWave, NetworkFault, Outage,
     OutageKind, ProxyFault, RollingRestart, Shrink, Slow, Surge,
 };
-use crate::scenario::BadScenario;
+use crate::scenario::ScenarioError;
 use crate::scenario::error::{Problem, Source, invalid, suggest_name};
 use serde::Deserialize;
 use toml::Spanned;
@@ -30,7 +30,7 @@
 ];
 
 /// Parses all faults of a file.
-pub(in crate::scenario) fn parse_all(source: &Source<'_>) -> Result<Vec<Fault>, BadScenario> {
+pub(in crate::scenario) fn parse_all(source: &Source<'_>) -> Result<Vec<Fault>, ScenarioError> {
     let table = DeTable::parse(source.text).map_err(|error| source.parse_error(&error))?.into_inner();
     let Some((_, value)) = table.into_iter().find(|(name, _)| name.get_ref() == "fault") else {
         return Ok(Vec::new());
@@ -44,7 +44,7 @@
     items.into_iter().enumerate().map(|(i, item)| read_fault(source, i, item)).collect()
 }
 
-fn read_fault(source: &Source<'_>, i: usize, item: Spanned<DeValue<'_>>) -> Result<Fault, BadScenario> {
+fn read_fault(source: &Source<'_>, i: usize, item: Spanned<DeValue<'_>>) -> Result<Fault, ScenarioError> {
     let span = item.span();
     let DeValue::Table(mut table) = item.into_inner() else {
         return Err(source.error_at(Problem { key: format!("fault[{i}]"), message: "is not a table".into() }));
--- a/crates/kit/src/scenario/mod.rs
+++ b/crates/kit/src/scenario/mod.rs
@@ -15,7 +15,7 @@
 pub mod random_streams;
 pub mod range;
 
-pub use error::BadScenario;
+pub use error::ScenarioError;
 
 use crate::plan::Plan;
 use claims::TargetKind;
@@ -41,14 +41,14 @@
 
 impl Scenario {
     /// Reads and validates a scenario file.
-    pub fn load(file: &Path) -> Result<Self, BadScenario> {
+    pub fn load(file: &Path) -> Result<Self, ScenarioError> {
         let text = std::fs::read_to_string(file)
-            .map_err(|error| BadScenario::Unreadable { file: file.to_owned(), error })?;
+            .map_err(|error| ScenarioError::Unreadable { file: file.to_owned(), error })?;
         Self::read(file, &text)
     }
 
     /// Parses and validates the text of a scenario; `file` is the path for error messages.
-    pub fn read(file: &Path, text: &str) -> Result<Self, BadScenario> {
+    pub fn read(file: &Path, text: &str) -> Result<Self, ScenarioError> {
         let source = Source { file, text };
         let body: Body = toml::from_str(text).map_err(|error| source.parse_error(&error))?;
         let faults = fault::parse_all(&source)?;
--- a/crates/soak/src/generator.rs
+++ b/crates/soak/src/generator.rs
@@ -3,7 +3,7 @@
 
 use crate::shim_schedule::{ShimChange, ShimSchedule};
 use cottonnotch_kit::plan::{Plan, WallStep};
-use cottonnotch_kit::scenario::{BadScenario, Scenario};
+use cottonnotch_kit::scenario::{Scenario, ScenarioError};
 use cottonnotch_kit::time::{Micros, S};
 use cottonnotch_shim_control::Setting;
 use rand::seq::SliceRandom;
@@ -77,7 +77,7 @@
     [(Setting::Wait, 20), (Setting::Interrupt, 30), (Setting::Short, 100)];
 
 /// Generates a run. Fails only by a defect of this crate: a scenario that the kit rejects.
-pub fn generate(seed: u64, size: Size) -> Result<GeneratedRun, BadScenario> {
+pub fn generate(seed: u64, size: Size) -> Result<GeneratedRun, ScenarioError> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let proxies = rng.random_range(size.proxies.0..=size.proxies.1);
     let scenario = scenario_text(&mut rng, proxies, size.seconds);
