--- a/crates/kit/src/load/steady.rs
+++ b/crates/kit/src/load/steady.rs
@@ -1,8 +1,9 @@
-//! One proxy under a fixed load for a while: lines at a fixed rate over connections that stand, while the list changes and
-//! clients go and come again. Latency counts from when a line was due, and every line that was due counts, done or not.
+//! One proxy under a constant load: lines at a fixed rate over established connections, while the endpoint list
+//! changes and other clients connect and disconnect. Latency counts from the time at which a line was due. Every due
+//! line is counted, whether it was done or not.
 
-use super::generator::{self, Aim, Work};
-use super::{LoadError, LoadSetup, OTHER_DESCRIPTORS, await_proxy, echo, start, system};
+use super::generator::{self, Step, Work};
+use super::{LoadError, LoadSetup, RESERVED_DESCRIPTORS, await_proxy, echo, start_proxy, system_error};
 use crate::addresses::Addresses;
 use crate::plan::{NodeId, ProxyId};
 use crate::processes::{need_descriptors, usage};
@@ -14,120 +15,132 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// What is to be played beside the connections of [`LoadSetup`].
+/// Parameters of the constant load, in addition to those of [`LoadSetup`].
 #[derive(Clone, Copy, Debug)]
-pub struct Steady {
-    /// Lines there and back a second.
+pub struct SteadyLoad {
+    /// Line round trips per second.
     pub lines_per_s: f64,
-    /// Connections set up and ended a second meanwhile.
+    /// Connections that are set up and closed per second at the same time.
     pub setups_per_s: f64,
-    /// Render nodes that are listed; all share the few addresses that answer.
+    /// Number of render nodes in the endpoint list. They share the few addresses at which an echo render node
+    /// listens.
     pub listed: usize,
-    /// Between two changes of the list; none if 0.
+    /// Interval between two changes of the endpoint list; zero means that the list never changes.
     pub list_every: Duration,
 }
 
-/// What came of it.
+/// Results under the constant load.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Seen {
-    /// Connections that stood.
+pub struct SteadyResult {
+    /// Number of established connections.
     pub connections: usize,
-    /// Render nodes listed.
+    /// Number of render nodes in the endpoint list.
     pub listed: usize,
-    /// Seconds.
+    /// Duration of the load in seconds.
     pub seconds: f64,
-    /// Lines due, and done within a third of a second after the end at most.
+    /// Number of lines that were due, and that were done by a third of a second after the end.
     pub lines: [u64; 2],
-    /// From when a line was due until it was back, in microseconds: median, 99th, 99.9th percentile, longest.
+    /// Latency of a line from its due time to its return, in microseconds: median, 99th percentile, 99.9th percentile
+    /// and maximum.
     pub line_us: [u64; 4],
-    /// Set-ups due and done.
+    /// Number of set-ups that were due, and that were done.
     pub setups: [u64; 2],
-    /// From when one was due until it was up: as for lines.
+    /// Latency of a set-up from its due time until the connection was up, in the same form as for lines.
     pub setup_us: [u64; 4],
-    /// Changes of the list that were written to the proxy.
+    /// Number of changes of the endpoint list that were sent to the proxy.
     pub lists: u64,
-    /// CPU time of the proxy, as a part of one core.
+    /// CPU use of the proxy, as a share of one core.
     pub cpu: f64,
-    /// Resident memory of the proxy before, with all connections standing, and at the end, in KiB.
+    /// Resident memory of the proxy in KiB: before the connections, with all connections established, and at the end.
     pub resident_kib: [u64; 3],
-    /// Descriptors of the proxy with all connections standing.
+    /// Descriptors of the proxy with all connections established.
     pub descriptors: u64,
 }
 
-/// Plays it. `say` is told what is being done.
-pub fn play(setup: &LoadSetup, steady: &Steady, mut say: impl FnMut(&str)) -> Result<Seen, LoadError> {
+/// Runs the constant load. `progress` receives progress messages for the user.
+pub fn run(
+    setup: &LoadSetup,
+    steady: &SteadyLoad,
+    mut progress: impl FnMut(&str),
+) -> Result<SteadyResult, LoadError> {
     setup.daemon.check()?;
-    let at_once = if steady.setups_per_s > 0.0 { generator::MOST_AT_ONCE } else { 0 };
-    let sockets = 2 * (setup.connections + at_once) as u64 + OTHER_DESCRIPTORS;
+    let setups_in_progress = if steady.setups_per_s > 0.0 { generator::MAX_SETUPS_IN_PROGRESS } else { 0 };
+    let sockets = 2 * (setup.connections + setups_in_progress) as u64 + RESERVED_DESCRIPTORS;
     need_descriptors(sockets)?;
     let addresses = Addresses::take(std::process::id() as u8)?;
     let nodes: Vec<SocketAddr> =
         (0..setup.threads.max(1)).map(|n| addresses.node(NodeId(n as u16), ProxyId(0))).collect();
-    let echo = echo::Echo::start(&nodes).map_err(system("a render node cannot listen"))?;
-    let lists = Lists::start(nodes.clone(), steady).map_err(system("discovery cannot listen"))?;
-    let folder = tempfile::tempdir().map_err(system("no folder for the run's files"))?;
+    let echo_nodes = echo::EchoNodes::start(&nodes).map_err(system_error("a render node cannot listen"))?;
+    let discovery =
+        DiscoveryServer::start(nodes.clone(), steady).map_err(system_error("discovery cannot listen"))?;
+    let folder = tempfile::tempdir().map_err(system_error("cannot create a folder for the run's files"))?;
     let listen = addresses.proxy(ProxyId(0));
-    let text = configuration(listen, lists.at, &members(&nodes, steady.listed, 1), sockets);
-    let proxy = start(&setup.daemon, folder.path(), &text, sockets)?;
+    let text = configuration(listen, discovery.at, &endpoint_list(&nodes, steady.listed, 1), sockets);
+    let proxy = start_proxy(&setup.daemon, folder.path(), &text, sockets)?;
     await_proxy(listen)?;
     let pid = proxy.pid();
-    let used = || usage(pid).unwrap_or_default();
-    let mut seen = Seen { connections: setup.connections, listed: steady.listed, ..Seen::default() };
-    seen.resident_kib[0] = used().resident_kib;
+    let proxy_usage = || usage(pid).unwrap_or_default();
+    let mut result =
+        SteadyResult { connections: setup.connections, listed: steady.listed, ..SteadyResult::default() };
+    result.resident_kib[0] = proxy_usage().resident_kib;
 
-    say("connections come to stand");
+    progress("opening connections");
     let threads = setup.threads.max(1);
     let lines = Work::Lines { connections: setup.connections, in_flight: setup.in_flight };
     let length = setup.step;
-    let aim = |work, rate, shards| Aim { work, rate, length, shards };
-    // All stand before the first line is due, so that the two kinds of work begin together.
-    let standing = generator::Gate::new(threads);
-    let (gate, to) = (Arc::clone(&standing), vec![listen]);
-    let lines_aim = aim(lines, steady.lines_per_s.max(1.0), threads);
-    let playing = thread::spawn(move || generator::play_at(&lines_aim, &to, &gate));
-    if !standing.wait(Duration::from_secs(120)) {
-        return Err(LoadError::Silent(listen));
+    let step = |work, rate, shards| Step { work, rate, length, shards };
+    // All connections are established before the first line is due, so that both kinds of work begin together.
+    let gate = generator::Gate::new(threads);
+    let (thread_gate, addresses) = (Arc::clone(&gate), vec![listen]);
+    let lines_step = step(lines, steady.lines_per_s.max(1.0), threads);
+    let lines_thread =
+        thread::spawn(move || generator::run_step_at_gate(&lines_step, &addresses, &thread_gate));
+    if !gate.wait_for_threads(Duration::from_secs(120)) {
+        return Err(LoadError::ProxyNotReady(listen));
     }
-    let before = used();
-    (seen.resident_kib[1], seen.descriptors) = (before.resident_kib, before.descriptors);
-    say(&format!("{} stand; {:.0} lines a second", setup.connections, steady.lines_per_s));
-    lists.change.store(true, Ordering::Release);
-    standing.open();
-    let began = Instant::now();
+    let before = proxy_usage();
+    (result.resident_kib[1], result.descriptors) = (before.resident_kib, before.descriptors);
+    progress(&format!(
+        "{} connections established; {:.0} lines a second",
+        setup.connections, steady.lines_per_s
+    ));
+    discovery.change.store(true, Ordering::Release);
+    gate.open();
+    let start = Instant::now();
     let setups = if steady.setups_per_s > 0.0 {
-        Some(generator::play(&aim(Work::Setups, steady.setups_per_s, 1), &[listen])?)
+        Some(generator::run_step(&step(Work::Setups, steady.setups_per_s, 1), &[listen])?)
     } else {
         None
     };
-    let lines = playing.join().map_err(|_| LoadError::Panicked)??;
-    let after = used();
-    seen.seconds = began.elapsed().as_secs_f64();
-    seen.cpu = after.cpu_us.saturating_sub(before.cpu_us) as f64 / 1e6 / seen.seconds;
-    seen.resident_kib[2] = after.resident_kib;
-    seen.lists = lists.written.load(Ordering::Relaxed);
-    let quantiles = |done: &generator::Done| {
-        let at = |q| done.latency.value_at_quantile(q);
-        [at(0.5), at(0.99), at(0.999), done.latency.max()]
+    let lines = lines_thread.join().map_err(|_| LoadError::Panicked)??;
+    let after = proxy_usage();
+    result.seconds = start.elapsed().as_secs_f64();
+    result.cpu = after.cpu_us.saturating_sub(before.cpu_us) as f64 / 1e6 / result.seconds;
+    result.resident_kib[2] = after.resident_kib;
+    result.lists = discovery.written.load(Ordering::Relaxed);
+    let quantiles = |step: &generator::StepResult| {
+        let at = |q| step.latency.value_at_quantile(q);
+        [at(0.5), at(0.99), at(0.999), step.latency.max()]
     };
-    (seen.lines, seen.line_us) = ([lines.due, lines.done], quantiles(&lines));
+    (result.lines, result.line_us) = ([lines.due, lines.done], quantiles(&lines));
     if let Some(setups) = setups {
-        (seen.setups, seen.setup_us) = ([setups.due, setups.done], quantiles(&setups));
+        (result.setups, result.setup_us) = ([setups.due, setups.done], quantiles(&setups));
     }
-    lists.stop();
-    echo.stop().map_err(system("a render node"))?;
-    Ok(seen)
+    discovery.stop();
+    echo_nodes.stop().map_err(system_error("an echo render node failed"))?;
+    Ok(result)
 }
 
-/// The list: all are up, and share the few addresses that answer; cells change with the revision.
-fn members(nodes: &[SocketAddr], listed: usize, revision: u64) -> String {
-    let one = |number: usize| {
+/// The endpoint list: all render nodes are up and share the few addresses, and their cells change with the revision.
+fn endpoint_list(nodes: &[SocketAddr], listed: usize, revision: u64) -> String {
+    let member = |number: usize| {
         let at = nodes[number % nodes.len()];
         let cell = number as u64 / 8 + revision % 2;
         format!(
             r#"{{"id":"render-{number}","host_port":"{at}","locality":"a","cell":{cell},"phase":"up","size":1.0,"up_since_ms":0}}"#
         )
     };
-    let all: Vec<String> = (0..listed.max(nodes.len())).map(one).collect();
+    let all: Vec<String> = (0..listed.max(nodes.len())).map(member).collect();
     format!(r#"{{"revision":{revision},"complete":true,"members":[{}]}}"#, all.join(","))
 }
 
@@ -141,8 +154,9 @@
     )
 }
 
-/// Discovery: one watch at a time, a whole list at once and another one after each span, a beat every 2 s.
-struct Lists {
+/// A discovery server for one watch at a time. A watch gets the complete list at once, the complete next list after
+/// each interval, and a heartbeat every 2 s.
+struct DiscoveryServer {
     at: SocketAddr,
     stop: Arc<AtomicBool>,
     change: Arc<AtomicBool>,
@@ -150,10 +164,10 @@
     thread: JoinHandle<()>,
 }
 
-const LOOK: Duration = Duration::from_millis(20);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-impl Lists {
-    fn start(nodes: Vec<SocketAddr>, steady: &Steady) -> io::Result<Lists> {
+impl DiscoveryServer {
+    fn start(nodes: Vec<SocketAddr>, steady: &SteadyLoad) -> io::Result<DiscoveryServer> {
         let listener = TcpListener::bind((std::net::Ipv4Addr::LOCALHOST, 0))?;
         listener.set_nonblocking(true)?;
         let (at, steady) = (listener.local_addr()?, *steady);
@@ -165,50 +179,50 @@
             let mut revision = 1;
             while !stop.load(Ordering::Acquire) {
                 match listener.accept() {
-                    // A watch that breaks is opened anew by its proxy.
+                    // The proxy opens a new watch if this one breaks.
                     Ok((mut watch, _)) => {
-                        let mut tell = |watch: &mut TcpStream| -> io::Result<()> {
+                        let mut serve = |watch: &mut TcpStream| -> io::Result<()> {
                             watch.set_nonblocking(false)?;
-                            head(watch)?;
-                            chunk(watch, &members(&nodes, steady.listed, revision))?;
-                            let (mut last, mut beat) = (Instant::now(), Instant::now());
+                            begin_response(watch)?;
+                            write_chunk(watch, &endpoint_list(&nodes, steady.listed, revision))?;
+                            let (mut last_change, mut last_heartbeat) = (Instant::now(), Instant::now());
                             while !stop.load(Ordering::Acquire) {
-                                thread::sleep(LOOK);
+                                thread::sleep(STOP_CHECK_INTERVAL);
                                 let changes = change.load(Ordering::Acquire) && !steady.list_every.is_zero();
-                                if changes && last.elapsed() >= steady.list_every {
-                                    (last, revision) = (Instant::now(), revision + 1);
-                                    chunk(watch, &members(&nodes, steady.listed, revision))?;
+                                if changes && last_change.elapsed() >= steady.list_every {
+                                    (last_change, revision) = (Instant::now(), revision + 1);
+                                    write_chunk(watch, &endpoint_list(&nodes, steady.listed, revision))?;
                                     written.fetch_add(1, Ordering::Relaxed);
-                                } else if beat.elapsed() >= Duration::from_secs(2) {
-                                    beat = Instant::now();
-                                    chunk(watch, "\n")?;
+                                } else if last_heartbeat.elapsed() >= Duration::from_secs(2) {
+                                    last_heartbeat = Instant::now();
+                                    write_chunk(watch, "\n")?;
                                 }
                             }
                             Ok(())
                         };
-                        let _ = tell(&mut watch);
+                        let _ = serve(&mut watch);
                     }
-                    Err(_) => thread::sleep(LOOK),
+                    Err(_) => thread::sleep(STOP_CHECK_INTERVAL),
                 }
             }
         });
-        Ok(Lists { at, stop, change, written, thread })
+        Ok(DiscoveryServer { at, stop, change, written, thread })
     }
 
     fn stop(self) {
         self.stop.store(true, Ordering::Release);
-        // A thread that failed has nothing more to end.
+        // A panic of the thread is ignored, since the thread has ended either way.
         let _ = self.thread.join();
     }
 }
 
-fn head(watch: &mut TcpStream) -> io::Result<()> {
+fn begin_response(watch: &mut TcpStream) -> io::Result<()> {
     let mut lines = BufReader::new(watch.try_clone()?).lines();
     while lines.next().transpose()?.is_some_and(|line| !line.is_empty()) {}
     watch
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
-fn chunk(watch: &mut TcpStream, text: &str) -> io::Result<()> {
+fn write_chunk(watch: &mut TcpStream, text: &str) -> io::Result<()> {
     watch.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
 }
--- a/crates/kit/src/scenario/error.rs
+++ b/crates/kit/src/scenario/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a scenario, where in which file, and what was probably meant.
+//! Errors in a scenario, with the file, the line, the key and a suggested correction.
 
 use std::fmt;
 use std::ops::Range;
@@ -6,34 +6,34 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// A scenario that cannot be used.
+/// Why a scenario cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum BadScenario {
-    /// The file cannot be read.
+pub enum ScenarioError {
+    /// The file could not be read.
     #[error("{}: cannot be read: {error}", file.display())]
     Unreadable {
-        /// Which file.
+        /// Path of the file.
         file: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// Something in it is wrong.
-    #[error("{}{}", At(file, *line, key), trouble)]
-    Wrong {
-        /// Which file.
+    /// The content of the file is wrong.
+    #[error("{}{}", Position(file, *line, key), problem)]
+    Invalid {
+        /// Path of the file.
         file: PathBuf,
-        /// In which line, from 1, where one can be named.
+        /// Line number, counted from 1; `None` if the problem has no line.
         line: Option<usize>,
-        /// At which key, by its full path; items of a list are counted from 0. Empty for the whole file.
+        /// Full path of the key, with items of a list counted from 0. Empty if the problem is in the whole file.
         key: String,
-        /// What is wrong, to be read after the key.
-        trouble: String,
+        /// Description of the problem, which follows the key in the message.
+        problem: String,
     },
 }
 
-struct At<'a>(&'a Path, Option<usize>, &'a str);
+struct Position<'a>(&'a Path, Option<usize>, &'a str);
 
-impl fmt::Display for At<'_> {
+impl fmt::Display for Position<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:", self.0.display())?;
         if let Some(line) = self.1 {
@@ -44,20 +44,21 @@
     }
 }
 
-/// A trouble at a key, before it is known where in the file that key is.
+/// A problem with the value of a key, before the line of the key is looked up.
 #[derive(Debug, PartialEq)]
-pub(super) struct Trouble {
+pub(super) struct Problem {
     pub key: String,
-    pub what: String,
+    pub message: String,
 }
 
-/// A trouble, as the result of a check.
-pub(super) fn wrong<T>(key: impl Into<String>, what: impl Into<String>) -> Result<T, Trouble> {
-    Err(Trouble { key: key.into(), what: what.into() })
+/// Returns a problem as the result of a check.
+pub(super) fn invalid<T>(key: impl Into<String>, message: impl Into<String>) -> Result<T, Problem> {
+    Err(Problem { key: key.into(), message: message.into() })
 }
 
-/// What was probably meant, to be put behind a message; nothing if no candidate is near.
-pub(super) fn near_miss<'a>(given: &str, candidates: impl IntoIterator<Item = &'a str>) -> String {
+/// Returns a suggestion to append to a message: the candidate nearest to `given`. Empty if no candidate is similar
+/// enough.
+pub(super) fn suggest_name<'a>(given: &str, candidates: impl IntoIterator<Item = &'a str>) -> String {
     let nearest = (candidates.into_iter())
         .map(|candidate| (strsim::damerau_levenshtein(given, candidate), candidate))
         .filter(|(distance, candidate)| *distance <= (candidate.len().max(given.len()) / 3).max(1))
@@ -65,49 +66,57 @@
     nearest.map_or(String::new(), |(_, candidate)| format!(": did you mean '{candidate}'?"))
 }
 
-/// A scenario's text, to find keys in.
+/// The text of a scenario file, in which the lines of keys are looked up.
 pub(super) struct Source<'a> {
     pub file: &'a Path,
     pub text: &'a str,
 }
 
 impl Source<'_> {
-    /// From an error of the TOML reader.
-    pub fn unread(&self, error: &toml::de::Error) -> BadScenario {
+    /// Converts an error of the TOML parser.
+    pub fn parse_error(&self, error: &toml::de::Error) -> ScenarioError {
         let span = error.span();
         let line = span.as_ref().map(|span| self.line(span.start));
         let key = span.as_ref().and_then(|span| Some(key_at(&DeTable::parse(self.text).ok()?, span)));
         let key = key.unwrap_or_default();
-        BadScenario::Wrong { file: self.file.to_owned(), line, key, trouble: suggest(error.message()) }
+        ScenarioError::Invalid {
+            file: self.file.to_owned(),
+            line,
+            key,
+            problem: with_suggestion(error.message()),
+        }
     }
 
-    /// From a check.
-    pub fn found(&self, Trouble { key, what }: Trouble) -> BadScenario {
+    /// Converts a problem that a check found.
+    pub fn error_at(&self, Problem { key, message }: Problem) -> ScenarioError {
         let table = DeTable::parse(self.text).ok();
-        let line = table.and_then(|table| place_of(&key, &table)).map(|place| self.line(place));
-        BadScenario::Wrong { file: self.file.to_owned(), line, key, trouble: what }
+        let line = table.and_then(|table| offset_of(&key, &table)).map(|offset| self.line(offset));
+        ScenarioError::Invalid { file: self.file.to_owned(), line, key, problem: message }
     }
 
-    fn line(&self, place: usize) -> usize {
-        1 + self.text.bytes().take(place).filter(|byte| *byte == b'\n').count()
+    fn line(&self, offset: usize) -> usize {
+        1 + self.text.bytes().take(offset).filter(|byte| *byte == b'\n').count()
     }
 }
 
-/// Puts what was probably meant behind the reader's "unknown field `x`, expected one of `y`, `z`".
-fn suggest(message: &str) -> String {
+/// Appends a suggestion to the TOML parser's message "unknown field `x`, expected one of `y`, `z`".
+fn with_suggestion(message: &str) -> String {
     let message = message.trim();
     let mut words = message.split('`').skip(1).step_by(2);
-    let near = match words.next() {
-        Some(given) if message.starts_with("unknown") => near_miss(given, words),
+    let suggestion = match words.next() {
+        Some(given) if message.starts_with("unknown") => suggest_name(given, words),
         _ => String::new(),
     };
-    // The list of all that is expected would bury what was meant.
-    let short =
-        message.split_once(", expected").filter(|_| !near.is_empty()).map_or(message, |(short, _)| short);
-    format!("{short}{near}")
+    // The list of expected names is dropped if there is a suggestion, since the suggestion would be hard to find
+    // after it.
+    let short = message
+        .split_once(", expected")
+        .filter(|_| !suggestion.is_empty())
+        .map_or(message, |(short, _)| short);
+    format!("{short}{suggestion}")
 }
 
-/// The path of the smallest thing that holds this place.
+/// Returns the path of the smallest key or value that contains the range `at` of the text.
 fn key_at(table: &Spanned<DeTable<'_>>, at: &Range<usize>) -> String {
     let mut best = (usize::MAX, String::new());
     search_table(table.get_ref(), "", at, &mut best);
@@ -138,31 +147,31 @@
 
 fn consider(span: &Range<usize>, path: &str, at: &Range<usize>, best: &mut (usize, String)) {
     let size = span.end.saturating_sub(span.start);
-    let holds = span.start <= at.start && at.start < span.end.max(span.start + 1) && at.end <= span.end;
-    if holds && (size < best.0 || (size == best.0 && path.len() > best.1.len())) {
+    let contains = span.start <= at.start && at.start < span.end.max(span.start + 1) && at.end <= span.end;
+    if contains && (size < best.0 || (size == best.0 && path.len() > best.1.len())) {
         *best = (size, path.to_owned());
     }
 }
 
-/// Where a key is; where it is not written, where the nearest thing above it is.
-fn place_of(key: &str, table: &Spanned<DeTable<'_>>) -> Option<usize> {
-    let mut here = table.get_ref();
-    let mut place = None;
+/// Returns the byte offset of a key. If the key is not in the file, returns the offset of its closest parent that is.
+fn offset_of(key: &str, table: &Spanned<DeTable<'_>>) -> Option<usize> {
+    let mut table = table.get_ref();
+    let mut offset = None;
     for step in key.split('.') {
         let (name, item) = match step.split_once('[') {
             Some((name, item)) => (name, item.trim_end_matches(']').parse::<usize>().ok()),
             None => (step, None),
         };
-        let Some((found, mut value)) = here.get_key_value(name) else { break };
-        place = Some(found.span().start);
+        let Some((found, mut value)) = table.get_key_value(name) else { break };
+        offset = Some(found.span().start);
         if let Some(inner) = item.and_then(|item| value.get_ref().as_array()?.get(item)) {
-            place = Some(inner.span().start);
+            offset = Some(inner.span().start);
             value = inner;
         }
         match value.get_ref() {
-            DeValue::Table(inner) => here = inner,
+            DeValue::Table(inner) => table = inner,
             _ => break,
         }
     }
-    place
+    offset
 }
--- a/crates/kit/src/scenario/format/load.rs
+++ b/crates/kit/src/scenario/format/load.rs
@@ -1,61 +1,62 @@
-//! The sections about what is asked for: load, classes, tenants, groups.
+//! The sections `load`, `class`, `tenant` and `groups` of a scenario file.
 
-use super::one;
+use super::default_one;
 use crate::scenario::curve::Curve;
-use crate::scenario::range::{Range, Span};
+use crate::scenario::range::{DurationRange, Range};
 use serde::Deserialize;
 
-/// How the arrivals of clients go up and down.
+/// How the arrival rate of clients changes over time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Shape {
-    /// Always the same rate.
+    /// The rate is constant.
     Steady,
-    /// A sine about it.
+    /// The rate follows a sine wave.
     Wave,
-    /// The rate, and at even distances a multiple of it.
+    /// The rate is constant, except for bursts at regular intervals.
     Bursts,
-    /// A factor over time, as written.
+    /// The rate follows the factors of `trace`.
     Trace,
 }
 
-/// How many clients come and how long they stay. Exactly one of the first three; a share of 0.35 (the
-/// operators' rough days) if none is given.
+/// How many clients arrive and how long they stay. At most one of the first three fields may be set; the default is a
+/// share of 0.35, as on the operators' rough days.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Load {
-    /// Load of the standing sessions, as a part of what the nodes that are up at the start can do. Costs of
-    /// set-ups and groups come on top. The operators' days: quiet 0.25, rough 0.35, overload 0.65.
+    /// Load of the standing sessions, as a share of the capacity of the render nodes that are up at the start. The
+    /// costs of set-ups and groups are not included. The operators' share is 0.25 on quiet days, 0.35 on rough days
+    /// and 0.65 on days of overload.
     pub share: Option<Range>,
-    /// New sessions a second.
+    /// New sessions per second.
     pub arrivals_per_s: Option<Range>,
-    /// Sessions that stand.
+    /// Number of standing sessions.
     pub standing: Option<Range>,
-    /// How arrivals go up and down; the figures above are those of a factor of 1.
+    /// How the arrival rate changes over time. The values above apply while its factor is 1.
     pub shape: Shape,
-    /// Length of a wave.
+    /// For the shape `wave`: period of the wave.
     pub period_s: Range,
-    /// Its height: the factor goes from 1 - swing to 1 + swing.
+    /// For the shape `wave`: amplitude of the wave. The factor goes from 1 - swing to 1 + swing.
     pub swing: Range,
-    /// From one burst to the next.
+    /// For the shape `bursts`: interval from one burst to the next.
     pub every_s: Range,
-    /// Length of a burst.
+    /// For the shape `bursts`: duration of a burst.
     pub burst_s: Range,
-    /// Its height.
+    /// For the shape `bursts`: factor during a burst.
     pub burst: Range,
-    /// For the shape `trace`: points of a time and a factor.
+    /// For the shape `trace`: the factor over time.
     pub trace: Curve,
     /// Mean life of a session.
-    pub life_s: Span,
-    /// Spread of lives (sigma of a lognormal).
+    pub life_s: DurationRange,
+    /// Spread of the lives (sigma of a lognormal distribution).
     pub life_sigma: Range,
-    /// How uneven the zones' parts of the clients are.
+    /// Maximum deviation of a zone's weight among the clients from 1.
     pub zone_skew: Range,
-    /// The standing sessions come up within this time before the measured part ...
+    /// Time at the start of the run within which the initial standing sessions arrive.
     pub fill_s: f64,
-    /// ... which begins after this much more.
+    /// Time between the end of `fill_s` and the start of the measured part.
     pub settle_s: f64,
-    /// A scenario that may draw more sessions than this is refused.
+    /// A scenario that may draw more sessions than this is rejected.
     pub max_sessions: u32,
 }
 
@@ -72,7 +73,7 @@
             burst_s: Range::new(1.0, 2.0),
             burst: Range::new(2.0, 3.0),
             trace: Curve::default(),
-            life_s: Span::usual(31.0, 59.0),
+            life_s: DurationRange::scalable(31.0, 59.0),
             life_sigma: Range::new(0.8, 1.4),
             zone_skew: Range::new(0.15, 0.45),
             fill_s: 4.0,
@@ -86,90 +87,90 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Its part of the arrivals; what is drawn is brought to a sum of 1.
+    /// Share of the arrivals. The drawn shares of all classes are normalized to a sum of 1.
     pub share: Range,
-    /// Its mean load, in multiples that only matter between classes.
-    #[serde(default = "Class::load")]
+    /// Mean load of a session, relative to the other classes.
+    #[serde(default = "Class::default_load")]
     pub load: Range,
-    /// Its mean life, in multiples of the usual one.
-    #[serde(default = "Class::life")]
+    /// Mean life of a session, as a multiple of `load.life_s`.
+    #[serde(default = "Class::default_life")]
     pub life: Range,
-    /// Spread of its sessions' loads (sigma of a lognormal).
-    #[serde(default = "Class::load_sigma")]
+    /// Spread of the loads between sessions (sigma of a lognormal distribution).
+    #[serde(default = "Class::default_load_sigma")]
     pub load_sigma: Range,
-    /// Spread of one session's load over time.
-    #[serde(default = "Class::swing_sigma")]
+    /// Spread of a session's load over time (sigma of a lognormal distribution).
+    #[serde(default = "Class::default_swing_sigma")]
     pub swing_sigma: Range,
     /// Mean time between two changes of a session's load.
-    #[serde(default = "Class::change_s")]
-    pub change_s: Span,
-    /// Part of the time in which a session asks for nothing.
-    #[serde(default = "Class::idle")]
+    #[serde(default = "Class::default_change_s")]
+    pub change_s: DurationRange,
+    /// Share of the time in which a session has no load.
+    #[serde(default = "Class::default_idle")]
     pub idle: Range,
-    /// A set-up within this is wanted.
-    #[serde(default = "Class::setup_aim_ms")]
+    /// Target time of a set-up.
+    #[serde(default = "Class::default_setup_aim_ms")]
     pub setup_aim_ms: u32,
-    /// A client waits so long for `UP`.
-    #[serde(default = "Class::deadline_ms")]
+    /// Time that a client waits for `UP`.
+    #[serde(default = "Class::default_deadline_ms")]
     pub deadline_ms: u32,
-    /// A message within this is well served.
-    #[serde(default = "Class::message_aim_ms")]
+    /// Target time of a message. A message that is returned within it counts as well served.
+    #[serde(default = "Class::default_message_aim_ms")]
     pub message_aim_ms: u32,
-    /// Worth of a well-served second.
-    #[serde(default = "one")]
+    /// Weight of a well-served connection second in the service ratios.
+    #[serde(default = "default_one")]
     pub worth: f64,
 }
 
 impl Class {
-    fn load() -> Range {
+    fn default_load() -> Range {
         Range::new(1.0, 1.0)
     }
 
-    fn life() -> Range {
+    fn default_life() -> Range {
         Range::new(1.0, 1.0)
     }
 
-    fn load_sigma() -> Range {
+    fn default_load_sigma() -> Range {
         Range::new(0.56, 1.1)
     }
 
-    fn swing_sigma() -> Range {
+    fn default_swing_sigma() -> Range {
         Range::new(0.34, 0.84)
     }
 
-    fn change_s() -> Span {
-        Span::usual(10.0, 19.0)
+    fn default_change_s() -> DurationRange {
+        DurationRange::scalable(10.0, 19.0)
     }
 
-    fn idle() -> Range {
+    fn default_idle() -> Range {
         Range::new(0.062, 0.48)
     }
 
-    fn setup_aim_ms() -> u32 {
+    fn default_setup_aim_ms() -> u32 {
         300
     }
 
-    fn deadline_ms() -> u32 {
+    fn default_deadline_ms() -> u32 {
         1800
     }
 
-    fn message_aim_ms() -> u32 {
+    fn default_message_aim_ms() -> u32 {
         150
     }
 
-    /// The operators' three classes.
-    pub(in crate::scenario) fn usual() -> Vec<Self> {
+    /// The default classes: the three of the operators.
+    pub(in crate::scenario) fn default_classes() -> Vec<Self> {
         let page_view = Class {
             name: "page-view".to_owned(),
             share: Range::new(0.38, 0.58),
-            load: Self::load(),
-            life: Self::life(),
-            load_sigma: Self::load_sigma(),
-            swing_sigma: Self::swing_sigma(),
-            change_s: Self::change_s(),
-            idle: Self::idle(),
+            load: Self::default_load(),
+            life: Self::default_life(),
+            load_sigma: Self::default_load_sigma(),
+            swing_sigma: Self::default_swing_sigma(),
+            change_s: Self::default_change_s(),
+            idle: Self::default_idle(),
             setup_aim_ms: 300,
             deadline_ms: 1800,
             message_aim_ms: 150,
@@ -181,7 +182,7 @@
             load: Range::new(2.0, 4.0),
             load_sigma: Range::new(0.75, 1.1),
             swing_sigma: Range::new(0.3, 0.86),
-            change_s: Span::usual(4.5, 13.0),
+            change_s: DurationRange::scalable(4.5, 13.0),
             idle: Range::new(0.18, 0.48),
             deadline_ms: 1200,
             message_aim_ms: 60,
@@ -193,7 +194,7 @@
             load: Range::new(0.2, 0.5),
             load_sigma: Range::new(0.51, 1.1),
             swing_sigma: Range::new(0.42, 0.81),
-            change_s: Span::usual(7.8, 17.0),
+            change_s: DurationRange::scalable(7.8, 17.0),
             idle: Range::new(0.18, 0.49),
             setup_aim_ms: 500,
             deadline_ms: 2000,
@@ -209,29 +210,29 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Its part of the service: what its quota is made of.
+    /// Share of the service, from which the tenant's quota is computed.
     pub share: f64,
-    /// Its part of the arrivals, in multiples of its share; brought to a sum of 1 with the others'.
-    #[serde(default = "Tenant::usage")]
+    /// Share of the arrivals, as a multiple of `share`. The shares of all tenants are normalized to a sum of 1.
+    #[serde(default = "Tenant::default_usage")]
     pub usage: Range,
-    /// A further factor on it over time.
+    /// Additional factor on `usage` over time.
     #[serde(default)]
     pub usage_over_time: Curve,
 }
 
 impl Tenant {
-    fn usage() -> Range {
+    fn default_usage() -> Range {
         Range::new(0.52, 1.4)
     }
 
-    /// The operators' three member houses.
-    pub(in crate::scenario) fn usual() -> Vec<Self> {
-        let house = |name: &str, share, least, most| Tenant {
+    /// The default tenants: the three member houses of the operators.
+    pub(in crate::scenario) fn default_tenants() -> Vec<Self> {
+        let house = |name: &str, share, min, max| Tenant {
             name: name.to_owned(),
             share,
-            usage: Range::new(least, most),
+            usage: Range::new(min, max),
             usage_over_time: Curve::default(),
         };
         vec![
@@ -242,15 +243,15 @@
     }
 }
 
-/// Sessions that edit the same score share work.
+/// Groups of sessions. The sessions of a group edit the same score and share work.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Groups {
-    /// Mean number of standing sessions of a group.
+    /// Mean number of standing sessions in a group.
     pub mean_size: Range,
-    /// How uneven sizes are: the exponent of Zipf's law.
+    /// Exponent of Zipf's law, which the sizes of the groups follow.
     pub zipf: Range,
-    /// What a node pays for each group of which it holds any, in mean connection loads.
+    /// Cost of each group that has a session on a render node, in mean connection loads.
     pub cost: Range,
 }
 
