--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -1,8 +1,8 @@
-//! The whole contract between the decision module and its embedder.
+//! The complete interface between the decision module and its embedder.
 //!
-//! An embedder turns what its node sees into [`Event`]s, hands each to
-//! [`Balancer::handle`](crate::Balancer::handle) with the present time, and carries out the
-//! [`Action`]s it gets back, in order. Times are microseconds of one clock that never goes back.
+//! An embedder translates what its node observes into [`Event`]s, passes each of them to
+//! [`Balancer::handle`](crate::Balancer::handle) together with the current time, and executes the
+//! returned [`Action`]s in order. All times are microseconds of one monotonic clock.
 
 mod action;
 mod event;
@@ -12,28 +12,29 @@
 pub use event::{Entry, Event, FleetStatus, Outcome, PeerVerdict, Request, ServerState};
 pub use settings::{Class, Idempotency, Scope, Settings, Tenant};
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = i64;
 
-/// A second, in [`Micros`].
+/// One second, in [`Micros`].
 pub(crate) const SECOND: Micros = 1_000_000;
 
-/// A server, as the embedder numbers it: small numbers, the same for the life of the instance.
+/// Number of a server. The embedder assigns small numbers, which don't change during the life of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerId(pub u32);
 
-/// A request (a client's wish for one connection); never repeated within an instance's life.
+/// Id of a request, which is a client's request for one connection. An id is never reused during the life of
+/// an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// Place of a class in [`Settings::classes`].
+/// Index of a class in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassId(pub u16);
 
-/// Place of a tenant in [`Settings::tenants`].
+/// Index of a tenant in [`Settings::tenants`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantId(pub u16);
 
-/// A zone, as the embedder numbers them.
+/// Number of a zone, assigned by the embedder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneId(pub u16);
--- a/crates/decision/src/interface/action.rs
+++ b/crates/decision/src/interface/action.rs
@@ -1,112 +1,113 @@
-//! What an instance wants done.
+//! The actions that an instance returns to its embedder.
 
 use super::{Micros, RequestId, ServerId};
 
-/// What is to be logged; the embedder words it.
+/// An occurrence to be logged. The embedder chooses the text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notification {
-    /// A server has been paused after failures, or again after a failed trial.
+    /// A server was paused after failures, or paused again after a failed trial.
     PausedFailing,
     /// A paused server's trial succeeded.
     Recovered,
-    /// No server may be used now; requests are queued.
+    /// No server can be used at the moment, so requests are queued.
     Queueing,
-    /// The server list cannot be had.
+    /// Several calls in a row for the server list have failed.
     ListUnreachable,
 }
 
-/// The health of a server, as an instance sees it.
+/// The health of a server from the point of view of one instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerHealth {
-    /// It may be used.
+    /// The server may be used.
     Up,
-    /// It gets no connections.
+    /// The server gets no connections.
     Paused {
-        /// Until then.
+        /// End of the pause.
         until: Micros,
     },
-    /// After a pause, one attempt tries it.
+    /// The pause is over, and a single attempt tests the server.
     Trial,
-    /// It gets nothing new.
+    /// The server gets no new connections.
     Draining,
-    /// It is not there, or was never listed.
+    /// The server was removed from the list, or was never listed.
     #[default]
     Unlisted,
 }
 
-/// Why a request gets a final answer without having been served.
+/// Why a request is answered without having been served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// The node shuts down.
+    /// The node is shutting down.
     ShuttingDown,
-    /// It has had all attempts that its class or a rule allows.
+    /// All attempts that the class or a rule allows were made.
     AttemptsExhausted,
-    /// Too little of its time is left for an attempt.
+    /// Too little time is left before the deadline for another attempt.
     DeadlineTooClose,
-    /// The time in which its repeats have no effect is over.
+    /// The window in which servers drop repeats of the request is over.
     IdempotencyWindowOver,
-    /// A rule rejects it.
+    /// A rule rejects the request.
     RejectedByRule,
-    /// No server may take it within the time that it can wait.
+    /// No server may take the request within the time that it can wait.
     NoServer,
 }
 
-/// What an instance wants done.
+/// An instruction to the embedder.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt (numbered 0, 1, 2 ... for each request in the order sent).
+    /// Send an attempt. The attempts of each request are numbered from 0 in the order in which they are sent.
     Send {
         /// The request.
         request: RequestId,
         /// The server.
         server: ServerId,
-        /// End it as timed out after this; 0: when the client gives up.
+        /// Time after which the attempt ends as timed out; 0: the attempt ends when the client gives up.
         timeout: Micros,
-        /// Its first line is written before then or not at all: repeats have no effect only up to there.
+        /// The first line of the attempt must be written before this time or not at all, because servers stop
+        /// dropping repeats of the request then. `None` if there is no such limit.
         before: Option<Micros>,
     },
-    /// Final answer: rejected, a retry is harmless.
+    /// Answer the request as rejected. The client may safely retry it.
     Reject {
         /// The request.
         request: RequestId,
-        /// The client is to retry after this time (Retry-After); 0: none is stated.
+        /// Time after which the client should retry (Retry-After); 0 if none is stated.
         retry_after: Micros,
-        /// Why it is not served.
+        /// Why the request is not served.
         reason: RejectionReason,
     },
-    /// Final answer: failed, no promise.
+    /// Answer the request as failed. The answer does not say whether a retry is safe.
     Fail {
         /// The request.
         request: RequestId,
-        /// Why it is not served.
+        /// Why the request is not served.
         reason: RejectionReason,
     },
-    /// Migrate an established connection: end it cleanly, and the client comes back.
+    /// Migrate an established connection: end it cleanly, so that its client connects again.
     Migrate(RequestId),
-    /// Ask for changes of the server list.
+    /// Call for the server list and subscribe to its changes.
     WatchList,
     /// Send a health check to a server.
     Probe(ServerId),
-    /// Send an [`Event::Timer`](crate::Event::Timer) after this time.
+    /// Deliver an [`Event::Timer`](crate::Event::Timer) after a delay.
     Timer {
-        /// From now.
+        /// The delay, from now.
         after: Micros,
-        /// The token of that event.
+        /// The token that the event carries.
         token: u32,
     },
-    /// Write a line in the log.
+    /// Write a line to the log.
     Log {
         /// What to log.
         notification: Notification,
-        /// About which server.
+        /// The server concerned, if any.
         server: Option<ServerId>,
     },
-    /// Nothing is to be done: a server's health, as the instance sees it, has changed. That a pause has lapsed shows when
-    /// the server is next considered.
+    /// Informs the embedder that the health of a server has changed; no action is needed. The end of a pause
+    /// is reported when the server is next considered for a request.
     HealthChanged {
         /// The server.
         server: ServerId,
-        /// Its health from now on.
+        /// The new health.
         health: ServerHealth,
     },
 }
--- a/crates/decision/src/interface/event.rs
+++ b/crates/decision/src/interface/event.rs
@@ -1,15 +1,15 @@
-//! The events of which an instance is notified while it runs.
+//! The events that an embedder passes to an instance.
 
 use super::{ClassId, Micros, RequestId, ServerId, Settings, TenantId, ZoneId};
 
-/// State of a server in the list.
+/// State of a server in the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// Takes new connections.
+    /// The server takes new connections.
     Ready,
-    /// Finishing what it has; must get nothing new.
+    /// The server finishes its open connections and must get no new ones.
     Draining,
-    /// Withdrawn.
+    /// The server was removed.
     Removed,
 }
 
@@ -18,110 +18,111 @@
 pub struct Entry {
     /// The server.
     pub server: ServerId,
-    /// A digest of the server's name, the same at every node: gives all nodes one common order.
+    /// Digest of the server's name. It is the same on all nodes and gives them a common order of the servers.
     pub digest: u64,
-    /// Its state.
+    /// The server's state.
     pub state: ServerState,
-    /// Its zone.
+    /// The server's zone.
     pub zone: ZoneId,
-    /// Its cell: a small group of servers that share which keys they have seen.
+    /// The server's cell: a small group of servers that share which idempotency keys they have seen.
     pub cell: u32,
-    /// When it last started; `None`: long ago.
+    /// When the server last started; `None`: long ago.
     pub started: Option<Micros>,
-    /// Its size beside other servers' (see [`Settings::weighted`]).
+    /// Size of the server relative to other servers (see [`Settings::weighted`]).
     pub weight: f64,
 }
 
-/// A request, or a connection open from before the start.
+/// A request, or a connection that was already open when the instance started.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// The request's id.
     pub id: RequestId,
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// Its tenant, if there are tenants.
+    /// The request's tenant, if it states one.
     pub tenant: Option<TenantId>,
-    /// Time until the client gives up; `None`: not stated.
+    /// Time until the client gives up; `None` if the client did not state one.
     pub left: Option<Micros>,
-    /// Expected load, work in microseconds a second.
+    /// Expected load, in microseconds of work per second; `None` if unknown.
     pub load_hint: Option<f64>,
-    /// The group it shares work with.
+    /// The group whose connections share work on a server; `None` if the request has no group.
     pub group: Option<u64>,
-    /// The client came back: after a break or a migration, or with a repeat where clients mark them.
+    /// The client has come back after its connection broke or was migrated, or marked the request as a retry.
     pub again: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The attempt was served.
     Served,
     /// The server answered with an error.
     Error,
-    /// Rejected by the server as full, unseen; never ran.
+    /// The server was full and rejected the attempt without looking at it. The attempt never ran.
     Full,
-    /// No answer in the time allowed.
+    /// The server did not answer in time.
     TimedOut,
-    /// No connection; never ran.
+    /// No connection to the server could be opened. The attempt never ran.
     ConnectFailed,
-    /// Connection lost.
+    /// The connection was reset.
     Reset,
-    /// Withdrawn, or the client left.
+    /// The attempt was cancelled, or its client left.
     Cancelled,
-    /// Not sent at all; never ran.
+    /// The attempt was not sent. It never ran.
     NotSent,
 }
 
 impl Outcome {
-    /// The outcome proves that the attempt never ran.
+    /// Whether the outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// What a node met at a server within the last few seconds, as it reports itself.
+/// A peer's own account of its attempts at a server within the last few seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerVerdict {
     /// Attempts succeeded, and none failed.
     Healthy,
-    /// Attempts failed to connect, timed out or met silence, and none succeeded.
+    /// Attempts failed to connect, timed out or got no response, and none succeeded.
     Unhealthy,
-    /// Neither, or both.
+    /// No attempt counted, or some succeeded and others failed.
     Inconclusive,
 }
 
-/// What an instance is notified of.
+/// An event that the embedder passes to an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The settings have changed. What is numbered keeps its number.
+    /// The settings have changed. Classes, tenants and zones keep their numbers.
     Settings(Box<Settings>),
-    /// The server list: all of it (`full`), or what changed.
+    /// The server list has arrived, in full or as a set of changes.
     List {
-        /// Servers absent from a full list are removed.
+        /// The list is complete: servers that it does not name are removed.
         full: bool,
-        /// This is the copy that came with the start, possibly outdated; it answers no call for the list.
+        /// This is the copy that the node starts with. It may be outdated, and does not answer a call for the
+        /// list.
         copy: bool,
         /// The entries.
         entries: Vec<Entry>,
     },
-    /// What the operators said of servers by hand, laid over the list: entries as in a list that names what changed.
-    /// It answers no call for the list. A server that was draining and may serve again begins anew.
+    /// Operators have overridden the list by hand. The entries are applied like changes of the list, but
+    /// don't answer a call for it. A server that was draining and may serve again is treated as newly listed.
     ManualOverride {
         /// The entries.
         entries: Vec<Entry>,
     },
     /// A call for the list failed, or the subscription broke.
     ListFailed,
-    /// The subscription has sent nothing for longer than it ever should: the changes that it misses will soon count as
-    /// notified.
+    /// The subscription has been silent for longer than its heartbeats allow. Changes that it misses will
+    /// soon count as notified.
     ListSilent,
-    /// A client's request; one final answer is owed.
+    /// A client has sent a request, which must get one final answer.
     Request(Request),
-    /// A connection that already runs (attempt 0).
+    /// A connection (attempt 0) was already open when the instance started.
     Open {
         /// The connection.
         request: Request,
-        /// Where it runs.
+        /// The server of the connection.
         server: ServerId,
     },
     /// An attempt has become an established connection.
@@ -135,7 +136,7 @@
         /// Time since the attempt was sent.
         elapsed: Micros,
     },
-    /// An attempt has ended; exactly one for each sent.
+    /// An attempt has ended. Each attempt that was sent ends exactly once.
     Ended {
         /// The request.
         request: RequestId,
@@ -143,63 +144,65 @@
         attempt: u32,
         /// The server.
         server: ServerId,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Nothing more is owed for the request.
+        /// The request needs no further attempt and no answer.
         last: bool,
     },
     /// The load of an established connection has changed.
     LoadUpdate {
         /// The connection's request.
         request: RequestId,
-        /// The load now, work in microseconds a second.
+        /// The current load, in microseconds of work per second.
         load: f64,
     },
     /// The latency of messages at a server has changed.
     LatencyUpdate {
         /// The server.
         server: ServerId,
-        /// Time that a message takes now.
+        /// The current latency of a message.
         latency: Micros,
     },
-    /// The client has closed its connection; nothing more is owed.
+    /// The client has closed its connection; its request needs no answer any more.
     ClientClosed(RequestId),
-    /// Result of a health check.
+    /// A health check has finished.
     Probed {
         /// The server.
         server: ServerId,
-        /// The load report's values, in the order of the settings; `None`: the check failed.
+        /// The values of the load report, in the order of the settings; `None` if the check failed.
         report: Option<Vec<f64>>,
     },
-    /// What another node has met at a server lately. It is that node's claim: it may be mistaken or false.
+    /// Another node has reported the results of its recent attempts at a server. The report may be mistaken
+    /// or false.
     PeerReport {
         /// Number of the sender.
         from: u32,
         /// The server.
         server: ServerId,
-        /// What the sender met there.
+        /// The sender's verdict on the server.
         verdict: PeerVerdict,
     },
-    /// What is known of all nodes together.
+    /// A new status of the whole fleet has arrived.
     Fleet(FleetStatus),
-    /// The groups whose connections rotate over more than [`MIN_SUBSET_SIZE`](crate::affinity::MIN_SUBSET_SIZE)
-    /// servers, by [`Request::group`], and over how many. It replaces the earlier ones: all other groups have that minimum.
+    /// The groups whose affinity subset has more than [`MIN_SUBSET_SIZE`](crate::affinity::MIN_SUBSET_SIZE)
+    /// servers: pairs of [`Request::group`] and subset size. They replace all earlier pairs; the subsets of
+    /// all other groups have the minimum size.
     AffinitySubsets(Vec<(u64, u32)>),
-    /// The rules have changed: queued requests are evaluated anew.
+    /// The rules have changed, so queued requests are evaluated again.
     RulesChanged,
-    /// The node shuts down: what is owed or still arrives is answered, and nothing is sent any more.
+    /// The node shuts down. Queued requests and new ones are answered, and no further attempt is sent.
     ShuttingDown,
-    /// A timer is due; its token.
+    /// The timer with this token is due.
     Timer(u32),
 }
 
-/// The status of all nodes together, as one of them last received it.
+/// The status of the whole fleet, as this node last received it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetStatus {
-    /// How many nodes take part.
+    /// Number of nodes that the status covers.
     pub nodes: f64,
-    /// This node's share of all that clients want, 0 to 1.
+    /// This node's share of the clients' total demand, 0 to 1.
     pub demand_share: f64,
-    /// Part of all nodes' latest set-ups that failed, wherever they went, 0 to 1.
+    /// Fraction of the recent set-ups of all nodes, at all servers, that failed, 0 to 1.
     pub failure_rate: f64,
 }
--- a/crates/decision/src/interface/settings.rs
+++ b/crates/decision/src/interface/settings.rs
@@ -1,20 +1,21 @@
-//! The settings of an instance: classes of requests, tenants, limits.
+//! The settings of an instance: request classes, tenants and limits.
 
 use super::{Micros, ZoneId};
 
-/// Which servers drop repeats of a keyed request.
+/// Which servers drop repeats of a keyed request after one of them may have run it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     /// Every server.
     All,
-    /// Those of the zone of the server that may have run it.
+    /// The servers in the zone of the server that may have run the request.
     Zone,
-    /// Those of its cell.
+    /// The servers in the cell of the server that may have run the request.
     Cell,
 }
 
 impl Scope {
-    /// Whether a server at one locality (zone and cell) may run again what one at the other may have run.
+    /// Whether a server at one locality (zone and cell) may run a request again that a server at the other
+    /// locality may already have run.
     pub fn separates(self, one: (ZoneId, u32), other: (ZoneId, u32)) -> bool {
         match self {
             Scope::All => false,
@@ -24,24 +25,25 @@
     }
 }
 
-/// What repeating a request does.
+/// Effect of sending a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// Repeats are harmless.
     Idempotent,
-    /// Repeats are dropped by the servers in `scope`, for `window` after the first send that may have run.
+    /// The servers in `scope` drop repeats, for `window` after the first attempt that may have run was sent.
     Keyed {
-        /// Who drops repeats.
+        /// The servers that drop repeats.
         scope: Scope,
-        /// For how long.
+        /// How long they drop repeats.
         window: Micros,
     },
-    /// A repeat is allowed only while no earlier attempt may have run.
+    /// A request may be sent again only if no earlier attempt may have run.
     NotIdempotent,
 }
 
 impl Idempotency {
-    /// Until when a repeat may be sent, if the first send that may have run was then; `None`: without end.
+    /// Returns the time until which a request may be sent again, where `first_sent` is when the first attempt
+    /// that may have run was sent; `None` if there is no limit.
     pub fn repeat_until(self, first_sent: Micros) -> Option<Micros> {
         match self {
             Idempotency::Idempotent => None,
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Whether a rejection, which invites a retry, is allowed though an attempt may have run.
+    /// Whether a request may be rejected, which invites a retry, even though an attempt may have run.
     pub fn may_reject(self) -> bool {
         matches!(self, Idempotency::Idempotent | Idempotency::Keyed { scope: Scope::All, .. })
     }
@@ -59,35 +61,36 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Latency objective: connections set up within this time earn their weight; 0 if not stated.
+    /// Latency objective for set-ups: a connection that is up within this time counts with its priority
+    /// weight; 0 if not stated.
     pub target: Micros,
-    /// How long a client waits in all; 0 if not stated.
+    /// How long a client waits in total; 0 if not stated.
     pub deadline: Micros,
     /// Latency objective of one message on an established connection; 0 if not stated.
     pub message_latency_objective: Micros,
-    /// Most attempts for one request.
+    /// Maximum number of attempts for one request.
     pub attempts: u32,
-    /// What a repeat does.
+    /// Effect of a repeat.
     pub idempotency: Idempotency,
-    /// Priority weight of a request (or of a second, or of a unit of work).
+    /// Priority weight of a request, or of a unit of its work (see [`Settings::weight_by_work`]).
     pub priority_weight: f64,
 }
 
 /// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// New connections a second within its quota, over all nodes; 0 if not stated.
+    /// The tenant's quota of new connections per second, over all nodes; 0 if not stated.
     pub allowance_per_s: f64,
-    /// Open connections within its quota, over all nodes; 0 if not stated.
+    /// The tenant's quota of open connections, over all nodes; 0 if not stated.
     pub allowance_open: f64,
 }
 
-/// The settings with which an instance starts.
+/// The settings of an instance.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// Number of this node among its peers, from 0.
     pub ordinal: u32,
-    /// How many nodes there are.
+    /// Number of nodes.
     pub nodes: u32,
     /// Zone of this node.
     pub zone: ZoneId,
@@ -97,78 +100,80 @@
     pub tenants: Vec<Tenant>,
     /// Connections of one group share work on a server.
     pub groups: bool,
-    /// The priority weight counts for each unit of work, not for each request or second.
+    /// The priority weight counts per unit of work, not per request or second.
     pub weight_by_work: bool,
-    /// Priority weight of a request beyond its tenant's quota, as a part of the usual.
+    /// Priority weight of a request beyond its tenant's quota, as a fraction of the class's priority weight.
     pub over_quota_weight: f64,
-    /// Events arrive in batches, at most this often.
+    /// Minimum time between two batches of events.
     pub step: Micros,
-    /// The server list must be polled.
+    /// The server list must be polled; it is not sent unasked.
     pub list_on_request: bool,
-    /// Its changes count as notified from the start, whether or not it was polled: the first poll is not put off.
+    /// Changes of the server list count as notified from the start, even if the list was not polled yet. The
+    /// first poll is therefore not delayed.
     pub list_pushed: bool,
-    /// The list's `weight` says how servers compare in size.
+    /// The `weight` of list entries states the relative size of servers.
     pub weighted: bool,
-    /// Rejections carry a time after which the client may retry (Retry-After).
+    /// Rejections state a time after which the client may retry (Retry-After).
     pub retry_after: bool,
-    /// The longest such time that clients honour.
+    /// The longest retry time that clients honour.
     pub max_retry_after: Micros,
-    /// A server starts at this share of its capacity or more ...
+    /// Minimum share of its capacity that a server has right after its start.
     pub slow_start_from: f64,
-    /// ... and has warmed up after this time.
+    /// Time after its start at which a server has its full capacity.
     pub slow_start_window: Micros,
-    /// A warming server falls over if all nodes send it more than this multiple of what it can do.
+    /// A warming server fails if all nodes together send it more than this multiple of its current capacity.
     pub overload_multiple: f64,
-    /// How long it bears that; 0 if not stated.
+    /// How long a warming server withstands such an overload; 0 if not stated.
     pub overload_window: Micros,
     /// Health checks are allowed.
     pub probes: bool,
-    /// Place of "load over capacity" in a load report, if reports have it.
+    /// Index of "load over capacity" in a load report; `None` if reports don't contain it.
     pub report_load: Option<usize>,
-    /// Price of one health check for each request, as a part of the result.
+    /// Price of one health check per request, as a fraction of the result.
     pub probe_price: f64,
-    /// Price of one migration for each request, as a part of the result.
+    /// Price of one migration per request, as a fraction of the result.
     pub migration_price: f64,
 }
 
 impl Settings {
-    /// What a repeat does in a class; an unknown one is treated as what allows least.
+    /// Returns the effect of a repeat in a class. An unknown class is treated as not idempotent.
     pub fn idempotency(&self, class: usize) -> Idempotency {
         self.classes.get(class).map_or(Idempotency::NotIdempotent, |c| c.idempotency)
     }
 
-    /// Most attempts for one request of a class.
+    /// Returns the maximum number of attempts for one request of a class; 1 for an unknown class.
     pub fn attempts(&self, class: usize) -> u32 {
         self.classes.get(class).map_or(1, |c| c.attempts)
     }
 
-    /// Within this time a connection of a class is to be set up; `None`: not stated.
+    /// Returns the time within which a connection of a class should be set up; `None` if not stated.
     pub fn target(&self, class: usize) -> Option<Micros> {
         self.classes.get(class).map(|c| c.target).filter(|target| *target > 0)
     }
 
-    /// The shortest latency objective of a message, if any class states one.
+    /// Returns the shortest latency objective of a message; `None` if no class states one.
     pub fn shortest_message_objective(&self) -> Option<Micros> {
         self.classes.iter().map(|c| c.message_latency_objective).filter(|aim| *aim > 0).min()
     }
 
-    /// New connections a second that all tenants are allowed together, over all nodes; `None` if not stated.
+    /// Returns the sum of all tenants' quotas of new connections per second; `None` if no quota is stated.
     pub fn allowance_per_s(&self) -> Option<f64> {
         let allowed = self.tenants.iter().map(|tenant| tenant.allowance_per_s).sum();
         (allowed > 0.0).then_some(allowed)
     }
 
-    /// Connections that all tenants may hold open together, over all nodes and servers; 0 if not stated.
+    /// Returns the sum of all tenants' quotas of open connections; 0 if no quota is stated.
     pub fn allowance_open(&self) -> f64 {
         self.tenants.iter().map(|tenant| tenant.allowance_open).sum()
     }
 
-    /// A set-up that takes no longer shows that what all set-ups share has capacity left: a quarter of the shortest target.
+    /// Returns the longest duration of a set-up that counts as quick: a quarter of the shortest target. A
+    /// quick set-up shows that the resource that all set-ups share has capacity left.
     pub fn quick(&self) -> Micros {
         (0..self.classes.len()).filter_map(|class| self.target(class)).min().unwrap_or(0) / 4
     }
 
-    /// The part of its capacity that a server has for certain, this long after its start.
+    /// Returns the share of its capacity that a server is certain to have at this time after its start.
     pub fn share_at(&self, age: Micros) -> f64 {
         let from = self.slow_start_from.clamp(0.05, 1.0);
         let warmth = age.max(0) as f64 / self.slow_start_window.max(1) as f64;
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,5 +1,5 @@
-//! The decisions of one proxy, without sockets and without a clock: events in, actions out. The proxy and the
-//! simulator's adapter both embed it. See `docs/design.md`.
+//! The balancing policy of one proxy, in sans-io form: it takes events and returns actions, and uses no
+//! sockets and no clock. The proxy and the simulator's adapter both embed it. See `docs/design.md`.
 
 pub mod affinity;
 mod budget;
--- a/crates/decision/src/list_polling.rs
+++ b/crates/decision/src/list_polling.rs
@@ -1,82 +1,95 @@
-//! When the server list is polled: at once where that can be, spread over the fleet, with backoff while it fails.
+//! Schedules the polls of the server list, with jitter that depends on the size of the fleet and with backoff
+//! while calls fail.
 //!
-//! The list service answers one call after another and all nodes call it, often for the same reason: a joint start, an
-//! outage that is over, watches that fell silent together. What it bears is a figure of the whole fleet, so each node
-//! keeps to its share: with few nodes a call goes out at once, with 300 and more they are spread over a second.
-//! The other end is a clock: whatever became of the last call, the next one is due within [`BETWEEN_CALLS`] of it.
+//! The list service answers calls one after another. All nodes often call it for the same reason: they
+//! started together, an outage has ended, or their watches fell silent at the same time. The service has a
+//! limited rate for the whole fleet, so each node keeps to its share of that rate. In a small fleet a call
+//! goes out almost at once; in a fleet of 300 nodes or more the calls are spread over one second. The delay
+//! is limited, so that the node does not miss changes for too long: the next call is due within
+//! [`BETWEEN_CALLS`] of the last one, however that one ended.
 
 use crate::interface::{Micros, SECOND};
 
-/// A subscription that has sent nothing for this long has fallen silent: heartbeats come every 2 s. A change that it misses
-/// counts as notified 6 s after its last message, so what is left has to do for a call, and for one or two that fail.
+/// Time without a message after which a subscription counts as silent. Heartbeats come every 2 s. A change
+/// that a silent subscription misses counts as notified 6 s after the last message; the time left must
+/// suffice for one successful call after one or two failed ones.
 pub const WATCH_SILENT_AFTER: Micros = 2_750_000;
 
-/// Calls a second that the list service gets from all nodes together after a fault that hit all. Chosen: 300 nodes poll
-/// again within the second that is left of the six after a silence has been noticed and a call has failed.
+/// Rate of calls that all nodes together send to the list service after a fault that affects the whole fleet.
+/// After a silence was detected and a call has failed, one of the six seconds is left; at this rate, 300
+/// nodes poll again within that second.
 const FLEET_CALLS_PER_S: i64 = 300;
-/// Wait after the first failed call; doubles with each further one, as far as [`BETWEEN_CALLS`] lets it.
+/// Delay after the first failed call. It doubles with each further failure, within the limit of
+/// [`BETWEEN_CALLS`].
 const BACKOFF: Micros = SECOND / 2;
-/// Longest time from a call that fails to the next. A change counts as notified 6 s after the service had it and could be
-/// reached, whatever became of earlier calls: 2 s are left for the next one to wait for its turn.
+/// Maximum time from a failing call to the next one. A change counts as notified 6 s after the service had it
+/// and could be reached, even if earlier calls failed; this leaves 2 s for the next call to wait in the
+/// service's queue.
 pub const BETWEEN_CALLS: Micros = 4 * SECOND;
-/// A call that brings no complete answer for so long has fallen silent, and its caller reports that: with its place in
-/// the spread, the next goes out 5 s after it.
+/// Time without a complete answer after which the caller reports a call as silent. Together with the spread
+/// of the fleet's calls, the next call goes out at most 5 s after the silent one.
 pub const UNANSWERED_AFTER: Micros = 4 * SECOND;
-/// A call of which nothing at all is reported is given up as lost after this: a long list may take its time.
+/// Time after which a call counts as lost if the caller reports nothing about it. A long list takes time to
+/// arrive.
 const LOST_AFTER: Micros = 15 * SECOND;
-/// A subscription that lasted for so long shows that the service is well; a shorter one only that it was reached.
+/// Duration after which a subscription shows that the service is healthy. A shorter one only shows that the
+/// service was reachable.
 const STABLE_AFTER: Micros = 2 * SECOND;
-/// Failures in a row at which the operator is notified.
+/// Number of consecutive failures at which the operator is notified.
 const REPORTED_FAILURES: u32 = 3;
-/// Doublings after which the backoff grows no more.
+/// Maximum number of times that the backoff doubles.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// When this node is to poll next.
+/// Determines when this node polls the server list next.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ListPoller {
     nodes: u32,
     next_poll: Option<Micros>,
     consecutive_failures: u32,
-    /// When the last call went out, unless it was answered since.
+    /// When the last call went out; `None` if it was answered or has failed.
     called_at: Option<Micros>,
-    /// When the service first answered after the last failure.
+    /// When the service first answered after the last failure; `None` if it has not answered since.
     answered_at: Option<Micros>,
 }
 
 impl ListPoller {
-    /// A node among so many that have not polled yet.
+    /// Returns the poller of a node in a fleet of `nodes`, before the first poll.
     pub fn among(nodes: u32) -> Self {
         ListPoller { nodes, ..ListPoller::default() }
     }
 
-    /// The number of nodes has changed.
+    /// Sets the number of nodes of the fleet.
     pub fn set_nodes(&mut self, nodes: u32) {
         self.nodes = nodes;
     }
 
-    /// Over this time all nodes' calls are spread: a second at most, later ones wait for their turn at the service.
+    /// Returns the time over which the calls of all nodes are spread: at most one second. Calls beyond the
+    /// service's rate wait in its queue.
     fn spread(&self) -> Micros {
         (i64::from(self.nodes) * SECOND / FLEET_CALLS_PER_S).clamp(1, SECOND)
     }
 
-    /// The copy that came with the start is there: polls soon. Returns after how long; `chance` is 0 to 1.
+    /// Schedules the first poll, after the node has loaded its copy of the list, and returns the delay.
+    /// `chance` is a random number from 0 to 1.
     ///
-    /// Guards against all nodes calling a small service at once after a joint start: a second at least, as a start is
-    /// noisy anyway and the copy serves meanwhile.
+    /// The calls are spread over at least one second, so that nodes that start together don't all call a
+    /// small service at once. The copy serves until the list arrives.
     pub fn started(&mut self, now: Micros, chance: f64) -> Micros {
         self.poll_in(now, random_share(self.spread().max(SECOND), chance))
     }
 
-    /// The subscription has fallen silent: no failure of the service, so it is polled at once, at this node's place in
-    /// the time over which the fleet spreads its calls. Returns after how long; `chance` is 0 to 1.
+    /// Schedules the next poll after the subscription has fallen silent, and returns the delay. Silence is no
+    /// failure of the service, so there is no backoff: the delay only spreads the calls of the fleet.
+    /// `chance` is a random number from 0 to 1.
     pub fn fell_silent(&mut self, now: Micros, chance: f64) -> Micros {
         self.poll_in(now, random_share(self.spread(), chance))
     }
 
-    /// A call failed or the subscription broke; `chance` is 0 to 1. Returns after how long the next call is made, and
-    /// whether this failure is the one at which the operator is notified.
+    /// Schedules the next poll after a call failed or the subscription broke. Returns the delay, and whether
+    /// the operator is to be notified of this failure. `chance` is a random number from 0 to 1.
     pub fn failed(&mut self, now: Micros, chance: f64) -> (Micros, bool) {
-        // Guards against calling a service several times a second that answers and breaks off each time.
+        // An answer alone does not reset the count of failures. Otherwise a service that answers and breaks
+        // off each time would be called several times a second.
         if self.answered_at.take().is_some_and(|at| now - at >= STABLE_AFTER) {
             self.consecutive_failures = 0;
         }
@@ -86,7 +99,8 @@
         (self.poll_in(now, after), self.consecutive_failures == REPORTED_FAILURES)
     }
 
-    /// Exponential, with jitter over the last two thirds of it, and no longer than the clock of the list leaves.
+    /// Returns the exponential backoff, with jitter over its last two thirds, limited by the time that
+    /// [`BETWEEN_CALLS`] leaves.
     fn backoff(&self, now: Micros, chance: f64) -> Micros {
         let since_call = self.called_at.map_or(0, |at| now - at);
         let longest = (BETWEEN_CALLS - since_call).max(self.spread());
@@ -99,13 +113,13 @@
         }
     }
 
-    /// A call goes out now. Returns after how long it is given up unless something arrives.
+    /// Records that a call goes out now. Returns the time after which the call counts as lost.
     pub fn called(&mut self, now: Micros) -> Micros {
         self.called_at = Some(now);
         self.poll_in(now, LOST_AFTER)
     }
 
-    /// The service has answered.
+    /// Records that the service has answered.
     pub fn answered(&mut self, now: Micros) {
         (self.next_poll, self.called_at) = (None, None);
         self.answered_at = self.answered_at.or(Some(now));
@@ -122,7 +136,7 @@
     }
 }
 
-/// A random part of a span, never 0; `chance` is 0 to 1.
+/// Returns the fraction `chance` (0 to 1) of a duration, plus one microsecond so that the result is never 0.
 fn random_share(span: Micros, chance: f64) -> Micros {
     (span as f64 * chance) as Micros + 1
 }
--- a/crates/decision/src/quota.rs
+++ b/crates/decision/src/quota.rs
@@ -1,22 +1,27 @@
-//! A node's quota: its share of what belongs to all nodes together, be it a budget, a rate or a trial. The one place where
-//! that is computed, so that what 300 nodes do at once adds up to the same as what 2 do.
+//! The quota of a node: its share of a budget, a rate or a number of trials that belongs to the whole fleet.
+//! All such shares are computed here, so that the shares of 300 nodes add up to the same total as the shares
+//! of 2.
 //!
-//! What all may do is divided evenly by the settings' number of nodes, unless a recent status of the fleet
-//! ([`Event::Fleet`](crate::Event::Fleet)) gives this node's share of the demand: clients arrive unevenly, and nodes that
-//! are down need nothing.
+//! The total is divided evenly by the number of nodes in the settings, unless a recent status of the fleet
+//! ([`Event::Fleet`](crate::Event::Fleet)) states this node's share of the demand. The demand is uneven:
+//! clients are not distributed evenly over the nodes, and nodes that are down need nothing.
 
 use crate::interface::{FleetStatus, Micros};
 
-/// A status of the fleet counts for this long; after that the shares are even again.
+/// How long a status of the fleet is valid. Without a valid status the shares are even.
 const STATUS_VALID_FOR: Micros = 8_000_000;
-/// However small a node's share of the demand was, it gets this much of an even share: clients may reach it next.
+/// Minimum share of a node, as a fraction of an even share. A node with little demand so far may get clients
+/// next.
 const MIN_SHARE_OF_EVEN: f64 = 0.5;
-/// The budget of a warming server is used by half, and conservative shares add up to the total at most: with this, all nodes
-/// together use two thirds of it, and chance has the rest. 2 earns more on the vast days (24 further seeds a kind: the worst third 0.35
-/// for 0.26 with 1) and breaks no rule there, but a simulation of 100 nodes pushes warming servers over.
+/// Factor by which a node may exceed its conservative share while other nodes are idle. Only half of a
+/// warming server's budget is used, and conservative shares add up to at most the total; with this factor all
+/// nodes together use two thirds of the budget, and the rest absorbs random variation. A factor of 2 gave a
+/// better result in the largest benchmark scenarios (24 further seeds per kind: 0.35 for the worst third,
+/// against 0.26 with a factor of 1) without breaking a rule there, but it overloaded warming servers in a
+/// simulation of 100 nodes.
 const IDLE_FACTOR: f64 = 4.0 / 3.0;
 
-/// How large a node's share is, as far as it knows.
+/// The share of a node in what belongs to the whole fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Quota {
     nodes: f64,
@@ -30,41 +35,44 @@
 }
 
 impl Quota {
-    /// An even share among so many nodes; none counts as one.
+    /// Returns an even share among `nodes`; 0 nodes count as 1.
     pub fn even(nodes: u32) -> Self {
         Quota { nodes: f64::from(nodes.max(1)), status: None }
     }
 
-    /// The settings name another number of nodes. The status of the fleet stays.
+    /// Sets the number of nodes. The status of the fleet stays in force.
     pub fn set_nodes(&mut self, nodes: u32) {
         self.nodes = f64::from(nodes.max(1));
     }
 
-    /// A new status of the fleet.
+    /// Records a new status of the fleet.
     pub fn update(&mut self, now: Micros, fleet: FleetStatus) {
         self.status = Some((fleet, now));
     }
 
-    /// The status of the fleet, if it still counts.
+    /// Returns the status of the fleet; `None` if there is none or it is no longer valid.
     pub fn fleet(&self, now: Micros) -> Option<FleetStatus> {
         self.status.filter(|(_, at)| now - at < STATUS_VALID_FOR).map(|(fleet, _)| fleet)
     }
 
-    /// Part of the latest set-ups that failed, 0 to 1: of this node's own, or of all nodes', whichever is more.
+    /// Returns the fraction of recent set-ups that failed, 0 to 1: the larger of this node's own (`own`) and
+    /// the fleet's.
     pub fn failure_ratio(&self, now: Micros, own: f64) -> f64 {
         self.fleet(now).map_or(own, |fleet| own.max(fleet.failure_rate))
     }
 
-    /// How many times its share of a budget a node may use in a large fleet, which is one with a status: most of the others
-    /// have nobody waiting at the moment, and what they don't use is lost to all.
+    /// Returns the multiple of its share of a budget that a node may use. It is above 1 in a large fleet,
+    /// which is a fleet that has a status: most other nodes have no client waiting at the moment, and the
+    /// shares that they don't use would be lost.
     pub fn idle_factor(&self, now: Micros) -> f64 {
         if self.fleet(now).is_some() { IDLE_FACTOR } else { 1.0 }
     }
 
-    /// This node's share of a `figure` that must not be overdrawn. Without a status of the fleet it is no less than `own`,
-    /// what the node has of it already. With one, shares are half by demand and half even, and add up to no more than the
-    /// figure: nodes that the status leaves out are taken to be there and to use theirs. Guards against two sides of a
-    /// partition, each of which would use the whole figure.
+    /// Returns this node's share of a total (`figure`) that the fleet must not exceed. Without a status of
+    /// the fleet, the share is even, but not below `own`, the amount that the node already uses. With a
+    /// status, half of the share depends on the demand and half is even. The shares add up to at most the
+    /// total, because nodes that the status does not cover are assumed to be running and to use their shares.
+    /// Otherwise, each of the two sides of a partition would use the whole total.
     pub fn conservative_share_of(&self, now: Micros, figure: f64, own: f64) -> f64 {
         match self.fleet(now) {
             Some(fleet) if fleet.demand_share.is_finite() && fleet.nodes.is_finite() => {
@@ -76,7 +84,8 @@
         }
     }
 
-    /// This node's share of a figure of the whole fleet. Over all nodes the shares add up to at most one and a half times it.
+    /// Returns this node's share of a total (`figure`) of the whole fleet. The shares of all nodes add up to
+    /// at most one and a half times the total.
     pub fn share_of(&self, now: Micros, figure: f64) -> f64 {
         let share = match self.fleet(now) {
             Some(fleet) if fleet.demand_share.is_finite() && fleet.nodes.is_finite() => {
@@ -89,24 +98,25 @@
     }
 }
 
-/// A token bucket whose rate may change. It holds what a second brings, or two tokens if that is less.
+/// A token bucket whose rate may change. It holds at most the tokens of one second, but at least two.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TokenBucket {
     tokens: f64,
     refilled_at: Micros,
 }
 
-/// A node whose share is less than that a second may still place two clients that come together.
+/// Minimum capacity of a bucket, in tokens. With it, a node whose rate is lower can still place two clients
+/// that arrive together.
 const MAX_SAVED_TOKENS: f64 = 2.0;
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Returns a bucket that holds two tokens.
     pub fn new(now: Micros) -> Self {
         TokenBucket { tokens: MAX_SAVED_TOKENS, refilled_at: now }
     }
 
-    /// Adds the tokens since the last time, at `per_s` a second, and returns whether there is one to take. At an infinite
-    /// rate there always is.
+    /// Adds the tokens that have accrued since the last refill, at `per_s` per second. Returns whether a
+    /// whole token is available, which is always the case at an infinite rate.
     pub fn refill(&mut self, now: Micros, per_s: f64) -> bool {
         if per_s.is_infinite() {
             (self.tokens, self.refilled_at) = (MAX_SAVED_TOKENS, now);
@@ -118,17 +128,17 @@
         self.tokens >= 1.0
     }
 
-    /// Takes a token; one that is not there is owed.
+    /// Takes a token. The number of tokens may become negative.
     pub fn take(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// Gives back a token that was taken and not used.
+    /// Returns a token that was taken but not used.
     pub fn give_back(&mut self) {
         self.tokens += 1.0;
     }
 
-    /// When there will be a token, at `per_s` a second.
+    /// Returns when the next whole token is available, at a rate of `per_s` per second.
     pub fn next_token_at(&self, per_s: f64) -> Micros {
         let short = (1.0 - self.tokens).max(0.0) * 1e6 / per_s.max(1e-6);
         self.refilled_at.saturating_add(short as Micros)
--- a/crates/decision/src/rules.rs
+++ b/crates/decision/src/rules.rs
@@ -1,12 +1,12 @@
-//! The verdict of routing rules on one request: the interface between the decisions and whoever evaluates the rules. The
-//! module asks at each dispatch, also of queued requests, and knows nothing else of them: a verdict counts for that moment
-//! only.
+//! The interface between the decision module and the evaluator of routing rules. The module asks for a
+//! verdict each time it dispatches a request, including queued requests, and has no other knowledge of the
+//! rules. A verdict is valid only at the time of the evaluation.
 
 use crate::interface::{Micros, Request, ServerId};
 use std::fmt::Debug;
 use std::sync::Arc;
 
-/// A set of servers, as a bit set of their numbers.
+/// A set of servers, stored as a bit set of their numbers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServerSet(Vec<u64>);
 
@@ -32,12 +32,12 @@
         self.0.get(number as usize / 64).is_some_and(|word| word >> (number % 64) & 1 == 1)
     }
 
-    /// Whether the set has no member.
+    /// Whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0.iter().all(|word| *word == 0)
     }
 
-    /// Removes all members that are not in the other set.
+    /// Removes all servers that are not in the other set.
     pub fn intersect(&mut self, other: &ServerSet) {
         for (i, word) in self.0.iter_mut().enumerate() {
             *word &= other.0.get(i).copied().unwrap_or(0);
@@ -53,59 +53,60 @@
     }
 }
 
-/// The verdict of the rules on a request at this moment.
+/// The verdict of the rules on a request at the time of the evaluation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoutingVerdict {
-    /// The servers that it may be sent to; `None`: all.
+    /// The servers that the request may be sent to; `None`: all servers.
     pub allowed: Option<Arc<ServerSet>>,
-    /// Of those that may take it now, these come first. No request waits for them.
+    /// The servers that come first among those that may take the request now; `None`: no preference. A
+    /// request does not wait for a preferred server.
     pub preferred: Option<Arc<ServerSet>>,
-    /// Most attempts. The class's own bound holds as well.
+    /// Maximum number of attempts. The limit of the request's class applies as well.
     pub attempts: u32,
-    /// It is not sent before this.
+    /// Time before which the request must not be sent; `None`: it may be sent now.
     pub not_before: Option<Micros>,
-    /// It is not sent at all, and the client may retry after this time: it is uncertain whether the rules that were
-    /// evaluated are still in force.
+    /// The request must be rejected, because it is uncertain whether the evaluated rules are still in force.
+    /// The client may retry after this time. `None`: the request is not rejected.
     pub refuse: Option<Micros>,
 }
 
 impl Default for RoutingVerdict {
-    /// The verdict on a request that no rule concerns.
+    /// Returns the verdict on a request that no rule applies to.
     fn default() -> Self {
         RoutingVerdict { allowed: None, preferred: None, attempts: u32::MAX, not_before: None, refuse: None }
     }
 }
 
 impl RoutingVerdict {
-    /// Whether the request may be sent there.
+    /// Whether the request may be sent to `server`.
     pub fn allows(&self, server: ServerId) -> bool {
         self.allowed.as_ref().is_none_or(|set| set.contains(server))
     }
 
-    /// Whether others come first, if there are any.
+    /// Whether the verdict prefers other servers to `server`.
     pub fn is_second_choice(&self, server: ServerId) -> bool {
         self.preferred.as_ref().is_some_and(|set| !set.contains(server))
     }
 }
 
-/// When an established connection may be migrated for the sake of its server's load.
+/// Restricts the migration of an established connection off an overloaded server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stickiness {
-    /// After those without stickiness.
+    /// The connection is migrated after those without stickiness.
     MigrateLast,
-    /// Not at all: only when its server drains.
+    /// The connection is migrated only when its server drains.
     UntilDrained,
 }
 
 /// Evaluates routing rules.
 pub trait RoutingRules: Debug {
-    /// The verdict on a request now.
+    /// Returns the verdict on a request at this time.
     fn evaluate(&mut self, now: Micros, request: &Request) -> RoutingVerdict;
 
-    /// The request is sent there, as the last verdict allowed.
+    /// Records that the request is sent to `server`, as its last verdict allowed.
     fn record_attempt(&mut self, now: Micros, request: &Request, server: ServerId);
 
-    /// How its connection sticks to that server; `None`: no rule concerns it.
+    /// Returns the stickiness of the request's connection to `server`; `None` if no rule applies to it.
     fn stickiness(&mut self, _now: Micros, _request: &Request, _server: ServerId) -> Option<Stickiness> {
         None
     }
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -1,6 +1,7 @@
-//! The settings' names and units, read into the module's own terms: the one mapping that the adapter (the
-//! simulator's first message) and the proxy (its configuration) share. Unknown keys are ignored; a value of a known one
-//! that can't be used is an error, with the key's full path, what was found and what is allowed.
+//! Reads the platform's settings into the module's own types. The adapter (from the simulator's first
+//! message) and the proxy (from its configuration) share this mapping. Unknown keys are ignored. An unusable
+//! value of a known key is an error, which states the key's full path, the value found and the values
+//! allowed.
 
 mod pairs;
 mod read;
@@ -12,7 +13,7 @@
 pub use pairs::{InvalidSetting, Pairs};
 pub use read::read;
 
-/// The module's settings, and the names that the wire uses.
+/// The module's settings, and the names of classes, tenants and zones.
 #[derive(Debug)]
 pub struct Profile {
     /// The settings with which the module starts.
@@ -21,25 +22,26 @@
     pub classes: Names,
     /// Tenants, numbered as in the settings.
     pub tenants: Names,
-    /// Classes that were withdrawn: connections that are open still have them, new ones may not.
+    /// Classes that the current settings no longer offer. Open connections keep them; new requests may not
+    /// use them.
     pub withdrawn: BTreeSet<u32>,
-    /// Zones, numbered as in the settings; a list may name more.
+    /// Zones, numbered as in the settings. A server list may add further zones.
     pub zones: Names,
-    /// A connection that is not up after this long could not be made.
+    /// Time after which an attempt to open a connection to a server counts as failed.
     pub connect_timeout: Micros,
-    /// Servers report the latency of messages, too, and not only the loads of connections.
+    /// Servers report the latency of messages in addition to the loads of connections.
     pub reports_latency: bool,
 }
 
 impl Profile {
-    /// The number of a class that requests may have.
+    /// Returns the number of a class; `None` if new requests may not use it.
     pub fn class(&self, name: &str) -> Option<u32> {
         self.classes.find(name).filter(|class| !self.withdrawn.contains(class))
     }
 
-    /// These settings in place of `old` ones, under the numbers that those gave. Guards against connections
-    /// that are open: they carry a class, a tenant and a zone by number, and a new file may have another
-    /// order, or leave some out.
+    /// Returns these settings with the numbers that the `old` settings assigned. Open connections refer to
+    /// their class, tenant and zone by number, and a new configuration may change the order or leave some
+    /// out.
     pub fn renumbered_from(mut self, old: &Profile) -> Profile {
         let (mut classes, mut class_list) = (old.classes.clone(), old.settings.classes.clone());
         let offered: BTreeSet<u32> = (self.settings.classes.drain(..).enumerate())
@@ -47,7 +49,7 @@
             .collect();
         self.withdrawn = (0..class_list.len() as u32).filter(|class| !offered.contains(class)).collect();
         for class in &self.withdrawn {
-            // No new message is measured by the objective of a class that is not offered any more.
+            // The latency objective of a class that is not offered any more applies to no new message.
             class_list[*class as usize].message_latency_objective = 0;
         }
         let (mut tenants, mut tenant_list) = (old.tenants.clone(), old.settings.tenants.clone());
@@ -61,11 +63,13 @@
     }
 }
 
-/// Numbers of classes are 16 bits wide, and each set of rules that a class had takes one.
+/// Maximum number of class numbers. They are 16 bits wide, and each distinct definition that a class had
+/// takes one.
 const MAX_CLASSES: usize = 60_000;
 
-/// Puts a class under a number of its name that has the same rules, or under a new one. Guards against requests that were
-/// taken by the old rules: they go by them to their end. Only the latency objective of messages changes for all at once.
+/// Puts a class under a number of its name that has the same definition, or under a new number, and returns
+/// the number. Requests that were accepted under an old definition therefore keep it until they end. Only a
+/// change of the latency objective of messages applies to all connections at once.
 fn place_class(names: &mut Names, list: &mut Vec<Class>, name: &str, class: Class) -> u32 {
     let alike = |there: &Class| {
         Class { message_latency_objective: class.message_latency_objective, ..there.clone() } == class
@@ -85,7 +89,7 @@
     }
 }
 
-/// Puts an item under the number of its name.
+/// Puts an item under the number of its name, and returns the number.
 fn place<T>(names: &mut Names, list: &mut Vec<T>, name: &str, item: T) -> u32 {
     let number = names.intern(name);
     match list.get_mut(number as usize) {
--- a/crates/decision/src/settings/pairs.rs
+++ b/crates/decision/src/settings/pairs.rs
@@ -1,16 +1,17 @@
-//! Settings as flat pairs, read key by key: each look-up is noted, and a value that cannot be used names its key.
+//! Settings as flat pairs of key and value, with typed look-ups. Each look-up is recorded, and the error for
+//! an unusable value names the key.
 
 use crate::interface::Micros;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
-/// A setting that cannot be used: its key, and the problem with its value.
+/// Error for a setting whose value cannot be used.
 #[derive(Debug, PartialEq, Eq)]
 pub struct InvalidSetting {
-    /// The faulty key, by its full path.
+    /// The full path of the key.
     pub key: String,
-    /// What is wrong, to be read after the key.
+    /// The problem with the value, phrased to follow the key.
     pub problem: String,
 }
 
@@ -29,31 +30,33 @@
 
 impl std::error::Error for InvalidSetting {}
 
-/// No time is longer, in microseconds; what is, is as good as without end.
+/// Maximum duration, in microseconds. Longer values are reduced to this one, which is practically infinite.
 pub(super) const LONGEST: f64 = 4e15;
 
 fn number(text: &str) -> Option<f64> {
     text.parse().ok().filter(|value: &f64| value.is_finite())
 }
 
-/// Settings as flat pairs of a path and a value: a list of plain values is joined with commas; a list of
-/// objects has its length under `.count` and its items under `.0`, `.1` ...
+/// Settings as flat pairs of path and value. A list of plain values is joined with commas. A list of objects
+/// has its length under `.count` and its items under `.0`, `.1` and so on.
 #[derive(Debug, Default)]
 pub struct Pairs {
     /// The values by path.
     pub values: HashMap<String, String>,
-    /// The keys that were looked up, and the defaults that were taken.
+    /// The keys that were looked up, each with the default that was used; `None` if the key had a value.
     lookups: RefCell<BTreeMap<String, Option<String>>>,
 }
 
 impl Pairs {
-    /// The keys that [`read`](super::read) looked up: the default that it took, or nothing where the pairs had a value. For
-    /// those who check a configuration: a key that is there and was not looked up has no effect.
+    /// Returns the keys that [`read`](super::read) looked up, each with the default that was used; `None` if
+    /// the key had a value. A check of a configuration can detect keys without effect: they were not looked
+    /// up.
     pub fn lookups(&self) -> BTreeMap<String, Option<String>> {
         self.lookups.borrow().clone()
     }
 
-    /// The value of a key; `default` is only noted.
+    /// Returns the value of a key; `None` if it is absent, empty or `-`. Records the look-up, and `default`
+    /// as the value used if there is none.
     fn given(&self, key: &str, default: impl ToString) -> Option<&str> {
         let text = self.values.get(key).map(String::as_str).filter(|v| !v.is_empty() && *v != "-");
         let default = text.is_none().then(|| default.to_string());
@@ -65,13 +68,14 @@
         self.given(key, "-")
     }
 
-    /// A finite number.
+    /// Returns a finite number.
     pub(super) fn figure(&self, key: &str, default: f64) -> Result<f64, InvalidSetting> {
         let Some(text) = self.given(key, default) else { return Ok(default) };
         number(text).ok_or_else(|| InvalidSetting::new(key, "is not a number", text, "a finite number"))
     }
 
-    /// A number that can't be below `least`. Guards against what a clamp would make of it in silence.
+    /// Returns a finite number that is not below `least`. A lower one is an error; clamping would change it
+    /// silently.
     pub(super) fn from(&self, least: f64, key: &str, default: f64) -> Result<f64, InvalidSetting> {
         let value = self.figure(key, default)?;
         if value >= least {
@@ -94,8 +98,8 @@
         Ok(matches!(value, "true" | "1"))
     }
 
-    /// One of the allowed values. Guards against a misspelt one, which would be read as something else in silence: unknown keys
-    /// are ignored, but the error lists the values of a known one in full.
+    /// Returns one of the allowed values. A misspelt value is an error that lists all allowed values;
+    /// otherwise it would silently be read as another one.
     pub(super) fn one_of<'a>(
         &'a self,
         key: &str,
@@ -109,7 +113,7 @@
         Err(InvalidSetting::new(key, "has an unknown value", value, &allowed.join(", ")))
     }
 
-    /// A list of numbers of 0 or more; what is left out of it is 0.
+    /// Returns a list of numbers of 0 or more. An empty item or `-` counts as 0.
     pub(super) fn figures(&self, key: &str) -> Result<Vec<f64>, InvalidSetting> {
         let figure = |(i, text): (usize, &str)| match number(text) {
             _ if text.is_empty() || text == "-" => Ok(0.0),
--- a/crates/decision/src/settings/read.rs
+++ b/crates/decision/src/settings/read.rs
@@ -1,4 +1,4 @@
-//! The mapping from the settings' keys to the module's own terms.
+//! Maps the keys of the settings to the module's own types.
 
 use super::Profile;
 use super::pairs::{InvalidSetting, LONGEST, Pairs};
@@ -6,13 +6,13 @@
 use crate::names::Names;
 use std::collections::BTreeSet;
 
-/// Most classes, and most tenants, that are read.
+/// Maximum number of classes, and of tenants, that are read.
 const MAX_ITEMS: u32 = 10_000;
 
-/// Reads flat pairs into the module's terms.
+/// Reads flat pairs into a [`Profile`].
 ///
 /// # Errors
-/// The first key whose value cannot be used, in the order in which they are read.
+/// Returns the error for the first unusable value, in the order in which the keys are read.
 pub fn read(pairs: &Pairs) -> Result<Profile, InvalidSetting> {
     let mut zones = Names::default();
     for zone in pairs.list("zones") {
@@ -32,7 +32,7 @@
     })
 }
 
-/// The classes that have a name. Of several of one name the first counts.
+/// Reads the classes that have a name. Where several classes have the same name, the first one counts.
 fn read_classes(pairs: &Pairs) -> Result<(Names, Vec<Class>), InvalidSetting> {
     let (mut names, mut classes) = (Names::default(), Vec::new());
     let objectives = pairs.figures("familyInfo.messageAim")?;
@@ -60,7 +60,7 @@
     Ok(match pairs.one_of(&key("effect"), "unsafe", &["safe", "keyed", "unsafe"])? {
         "safe" => Idempotency::Idempotent,
         "keyed" => {
-            // Left out, it is what allows least.
+            // The default is the most restrictive scope.
             let scope = match pairs.one_of(&key("group"), "cell", &["all", "zone", "cell"])? {
                 "all" => Scope::All,
                 "zone" => Scope::Zone,
@@ -72,7 +72,7 @@
     })
 }
 
-/// The tenants that have a name. Of several of one name the first counts.
+/// Reads the tenants that have a name. Where several tenants have the same name, the first one counts.
 fn read_tenants(pairs: &Pairs) -> Result<(Names, Vec<Tenant>), InvalidSetting> {
     let (mut names, mut tenants) = (Names::default(), Vec::new());
     let open = pairs.figures("familyInfo.tenantQuotaConnections")?;
