--- a/crates/simhost/src/actions.rs
+++ b/crates/simhost/src/actions.rs
@@ -1,11 +1,11 @@
-//! The module's actions, written as lines of the wire.
+//! Writes the actions of the decision module as lines of the simulator's wire.
 
 use crate::instance::Instance;
 use cottonnotch_decision::{Action, Notification, ServerId};
 use std::io::{self, Write};
 
 impl Instance {
-    /// Writes the line that an action stands for, if it has one.
+    /// Writes the line of an action, if the wire has one for it.
     pub fn write_action(&mut self, node: u64, action: &Action, to: &mut Vec<u8>) -> io::Result<()> {
         match action {
             Action::Send { request, server, timeout, .. } => {
@@ -25,7 +25,7 @@
                 self.timers.insert(name, *token);
                 Ok(())
             }
-            // The wire has no line for it.
+            // The wire has no line for a change of health.
             Action::HealthChanged { .. } => Ok(()),
             Action::Log { notification, server } => {
                 self.write_record(node, message(*notification), *server, to)
@@ -47,7 +47,7 @@
     }
 }
 
-/// The text of a notification in the simulator's log.
+/// Returns the text of a notification in the simulator's log.
 fn message(notification: Notification) -> &'static str {
     match notification {
         Notification::PausedFailing => "server paused, keeps failing",
--- a/crates/simhost/src/events.rs
+++ b/crates/simhost/src/events.rs
@@ -1,4 +1,5 @@
-//! The wire's messages to an instance, read into the module's events: a function for each message.
+//! Reads the wire's messages to an instance into events of the decision module, with one function per
+//! message.
 
 use crate::fields::{Fields, MalformedLine, excerpt, malformed};
 use crate::instance::{GOSSIP_TIMER, Instance};
@@ -6,15 +7,15 @@
 use base64::engine::general_purpose::STANDARD;
 use cottonnotch_decision::{Event, Micros, Outcome, Request, RequestId};
 
-/// A request's `bitmap`: the load hint holds.
+/// Bit of a request's `bitmap`: the load hint is valid.
 const LOAD_HINT_HOLDS: u32 = 1;
-/// A request's `bitmap`: the client came back, after a break or with a repeat.
+/// Bits of a request's `bitmap`: the client came back after its connection ended, or it sends a retry.
 const CAME_BACK: u32 = 2 | 16;
-/// Longest latency, in microseconds; what is longer is taken for this.
+/// Maximum latency, in microseconds. Longer ones are reduced to this value.
 const MAX_LATENCY_US: f64 = 4e15;
 
 impl Instance {
-    /// The event that a message stands for; `None` if it says nothing to the module.
+    /// Reads the message `name` into an event; `None` if the message does not concern the decision module.
     pub fn read_event(
         &mut self,
         name: &str,
@@ -84,7 +85,8 @@
         Ok(Event::Ended { request, attempt, server, outcome, last })
     }
 
-    /// What an established connection reports: its load (sort 1), or its server's latency in milliseconds (sort 2).
+    /// Reads the report of an established connection: its load (sort 1), or the latency of its server in
+    /// milliseconds (sort 2). Other sorts are ignored.
     fn read_heartbeat(&self, fields: &mut Fields) -> Result<Option<Event>, MalformedLine> {
         let request = RequestId(fields.number("tid")?);
         let value = fields.figure("value")?.unwrap_or(0.0);
@@ -109,11 +111,11 @@
         Ok(Event::Probed { server, report: is_good.then(|| values.unwrap_or_default()) })
     }
 
-    /// A datagram from a peer: for gossip alone.
+    /// Reads a datagram from a peer and passes it to the gossip member. The decision module gets no event.
     fn read_datagram(&mut self, mut fields: Fields, now: Micros) -> Result<(), MalformedLine> {
         let from = fields.number("originPeer")?;
         let raw = fields.raw("raw")?;
-        // An empty payload is written as for any other absent value.
+        // An empty payload is written as `-`, like any other absent value.
         let bytes = if raw == "-" { Ok(Vec::new()) } else { STANDARD.decode(raw) };
         let Ok(bytes) = bytes else { return malformed("raw", "is not base64") };
         fields.end()?;
@@ -123,7 +125,7 @@
         Ok(())
     }
 
-    /// A timer that was set here; gossip's is no event of the module.
+    /// Reads the expiry of a timer. The timer of the gossip member is no event for the decision module.
     fn read_timer(&self, fields: &mut Fields) -> Result<Option<Event>, MalformedLine> {
         let name = fields.text("name")?;
         if name == GOSSIP_TIMER && self.member.is_some() {
@@ -131,7 +133,7 @@
         }
         match self.timers.get(name) {
             Some(token) => Ok(Some(Event::Timer(*token))),
-            None => malformed("name", format!("is no timer set here: '{}'", excerpt(name))),
+            None => malformed("name", format!("is not a timer of this instance: '{}'", excerpt(name))),
         }
     }
 }
@@ -158,7 +160,7 @@
     })
 }
 
-/// A load report: finite numbers, separated by commas; `None` if there is none.
+/// Reads a load report, a list of finite numbers separated by commas; `None` if the field has no value.
 fn read_report(text: &str) -> Result<Option<Vec<f64>>, MalformedLine> {
     if text.is_empty() || text == "-" {
         return Ok(None);
@@ -166,6 +168,6 @@
     let values: Result<Vec<f64>, _> = text.split(',').map(|v| v.parse::<f64>()).collect();
     match values {
         Ok(values) if values.iter().all(|v| v.is_finite()) => Ok(Some(values)),
-        _ => malformed("feedback", format!("is not a row of numbers: '{}'", excerpt(text))),
+        _ => malformed("feedback", format!("is not a list of finite numbers: '{}'", excerpt(text))),
     }
 }
--- a/crates/simhost/src/fields.rs
+++ b/crates/simhost/src/fields.rs
@@ -1,12 +1,13 @@
-//! Reading the tab-separated fields of a wire line; an error names the field and what is wrong with it.
+//! Reads the tab-separated fields of a wire line. An error names the field and states the problem with it.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// Characters of a faulty text that a message shows.
+/// Maximum number of characters of an invalid text that an error message shows.
 const MAX_SHOWN: usize = 40;
 
-/// What is wrong with a line: the field, and the problem with it, to be read after the field's name.
+/// Error for a line that cannot be read: the field, and the problem with it, phrased to follow the field's
+/// name.
 #[derive(Debug)]
 pub struct MalformedLine {
     field: &'static str,
@@ -27,12 +28,12 @@
 
 impl std::error::Error for MalformedLine {}
 
-/// An error, for a `return`.
+/// Returns a [`MalformedLine`] as an `Err`, for use in a `return` or a match arm.
 pub fn malformed<T>(field: &'static str, problem: impl Into<String>) -> Result<T, MalformedLine> {
     Err(MalformedLine::new(field, problem))
 }
 
-/// The fields of one line, taken in order. `-` stands for an absent value.
+/// Reader of the fields of one line, in order. A field `-` has no value.
 pub struct Fields<'a> {
     rest: Option<&'a str>,
 }
@@ -42,7 +43,7 @@
         Fields { rest: Some(line) }
     }
 
-    /// The next field as it stands; it may be `-` or empty.
+    /// Returns the next field unchanged; it may be `-` or empty.
     pub fn raw(&mut self, field: &'static str) -> Result<&'a str, MalformedLine> {
         let Some(rest) = self.rest else { return malformed(field, "is missing") };
         match rest.split_once('\t') {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// The next field, which must have a value.
+    /// Returns the next field, which must have a value.
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, MalformedLine> {
         match self.raw(field)? {
             "" | "-" => malformed(field, "is absent"),
@@ -65,12 +66,12 @@
         }
     }
 
-    /// The next field as a number, which must have a value.
+    /// Returns the next field as a number. The field must have a value.
     pub fn number<T: FromStr>(&mut self, field: &'static str) -> Result<T, MalformedLine> {
         self.optional(field)?.ok_or_else(|| MalformedLine::new(field, "is absent"))
     }
 
-    /// The next field as a number; `None` if it has no value.
+    /// Returns the next field as a number; `None` if the field has no value.
     pub fn optional<T: FromStr>(&mut self, field: &'static str) -> Result<Option<T>, MalformedLine> {
         match self.raw(field)? {
             "" | "-" => Ok(None),
@@ -81,7 +82,7 @@
         }
     }
 
-    /// The next field as a finite number with a fraction; `None` if it has no value.
+    /// Returns the next field as a finite floating-point number; `None` if the field has no value.
     pub fn figure(&mut self, field: &'static str) -> Result<Option<f64>, MalformedLine> {
         match self.optional::<f64>(field)? {
             Some(value) if !value.is_finite() => malformed(field, "is not finite"),
@@ -89,7 +90,7 @@
         }
     }
 
-    /// The next field as a flag; no value is `false`.
+    /// Returns the next field as a flag: `1` is true, `0` and `-` are false.
     pub fn flag(&mut self, field: &'static str) -> Result<bool, MalformedLine> {
         match self.raw(field)? {
             "1" => Ok(true),
@@ -98,21 +99,21 @@
         }
     }
 
-    /// There must be no further field.
+    /// Checks that the line has no further field.
     pub fn end(self) -> Result<(), MalformedLine> {
         match self.rest {
             None => Ok(()),
-            Some(rest) => malformed("end of line", format!("has parts too many: '{}'", excerpt(rest))),
+            Some(rest) => malformed("end of line", format!("is expected, but found '{}'", excerpt(rest))),
         }
     }
 
-    /// All that is left of the line.
+    /// Returns the rest of the line.
     pub fn remainder(self) -> &'a str {
         self.rest.unwrap_or("")
     }
 }
 
-/// The start of a text that may be long, for a message.
+/// Returns the start of a text, for an error message.
 pub fn excerpt(text: &str) -> String {
     text.chars().take(MAX_SHOWN).collect()
 }
--- a/crates/simhost/src/gossip_member.rs
+++ b/crates/simhost/src/gossip_member.rs
@@ -1,5 +1,6 @@
-//! One instance's gossip member, on the simulator's wire: datagrams are `post` and `inbox`. Only what the simulator does
-//! not report itself is sent: who is alive, and what was met at servers. Loads are left out, since it reports latencies.
+//! The gossip member of one instance. On the simulator's wire, `post` sends a datagram and `inbox` delivers
+//! one. The member sends only information that the simulator does not provide: which members are alive, and
+//! the outcomes of attempts at servers. It does not send loads, because the simulator reports latencies.
 
 use cottonnotch_decision::names::Names;
 use cottonnotch_decision::{Event, Micros, Outcome, PeerVerdict, ServerId};
@@ -9,37 +10,40 @@
 };
 use std::collections::BTreeMap;
 
-/// Evidence that is older, by its sender's account, counts for nothing; in tenths of a second.
+/// Maximum age of a peer's evidence, as stated by the peer, in tenths of a second. Older evidence is
+/// inconclusive.
 const MAX_EVIDENCE_AGE_TENTHS: u8 = 30;
 
 /// A datagram to be sent.
 pub struct Datagram {
-    /// The peer's number; `None`: to every peer.
+    /// The number of the receiving peer; `None`: the datagram goes to every peer.
     pub to: Option<u32>,
     pub bytes: Vec<u8>,
 }
 
-/// The member, its observations of servers, and its timer.
+/// A gossip member, with its observations of servers and its timer.
 pub struct GossipMember {
     gossip: Gossip,
-    /// Servers by the digest of their names; `None` where two names have the same.
+    /// Servers by the digest of their names; `None` if two names have the same digest.
     servers: BTreeMap<EndpointDigest, Option<ServerId>>,
-    /// How many names have been digested.
+    /// Number of names that were added to `servers`.
     digested: usize,
     observations: Observations<ServerId>,
     period: Micros,
     next_broadcast: Micros,
-    /// When the timer fires that was set last, if it is still to come.
+    /// When the timer that was set last fires; `None` if it has fired.
     timer_due: Option<Micros>,
 }
 
 impl GossipMember {
-    /// The instance's member, which broadcasts its state once in `period_ms`. `None` if that is no valid period.
+    /// Returns the member of instance `me`, which broadcasts its state every `period_ms` milliseconds; `None`
+    /// if the period is invalid.
     pub fn new(period_ms: u32, me: u32, members: u32, seed: u64, now: Micros) -> Option<Self> {
         let section =
             GossipSection { strength: Some(Strength::Address), period_ms, ..GossipSection::default() };
         let settings = Settings { multicast: true, ..section.check().ok()?? };
-        // Incarnations of one instance are told apart by their start; the wire's clock only moves forward.
+        // The start time distinguishes the incarnations of an instance, because the wire's clock is
+        // monotonic.
         let incarnation = u64::try_from(now / 1000).unwrap_or(0) + 1;
         let period = settings.period;
         let gossip = Gossip::new(settings, Keys::Address, me, members, incarnation, seed, now);
@@ -54,7 +58,7 @@
         })
     }
 
-    /// Records what an event for the module shows of a server.
+    /// Records what an event shows about the health of a server.
     pub fn observe(&mut self, now: Micros, event: &Event) {
         let (server, observation) = match event {
             Event::Established { server, .. } => (*server, Observation::Served),
@@ -70,12 +74,12 @@
         self.observations.record(now, server, observation);
     }
 
-    /// A datagram has arrived.
+    /// Handles a datagram from a peer.
     pub fn receive(&mut self, now: Micros, from: u32, bytes: &[u8]) {
         self.gossip.handle(now, Input::Datagram { from: Some(from), bytes });
     }
 
-    /// Does what is due by now.
+    /// Does the work that is due at `now`.
     pub fn tick(&mut self, now: Micros, names: &Names) {
         self.digest_new_names(names);
         if self.next_broadcast <= now {
@@ -96,7 +100,7 @@
         self.digested = names.len();
     }
 
-    /// Hands gossip the observations that are still fresh.
+    /// Broadcasts the observations that are still recent.
     fn broadcast(&mut self, now: Micros, names: &Names) {
         self.observations.forget_old(now);
         let entry = |server: ServerId| {
@@ -107,7 +111,7 @@
         self.gossip.handle(now, Input::LocalState(entries));
     }
 
-    /// The datagrams that are to be sent, and the events for the module.
+    /// Returns the datagrams to be sent and the events for the decision module.
     pub fn drain(&mut self) -> (Vec<Datagram>, Vec<Event>) {
         let (mut datagrams, mut events) = (Vec::new(), Vec::new());
         while let Some(output) = self.gossip.poll() {
@@ -131,7 +135,7 @@
         (datagrams, events)
     }
 
-    /// After how long a timer is to fire, if none is set that fires sooner.
+    /// Returns the delay after which a new timer must fire; `None` if the current timer fires early enough.
     pub fn next_timer(&mut self, now: Micros) -> Option<Micros> {
         self.timer_due.take_if(|at| *at <= now);
         let due = self.gossip.next_timeout().min(self.next_broadcast).max(now + 1);
@@ -143,7 +147,7 @@
     }
 }
 
-/// What a peer's evidence says of a server.
+/// Returns the verdict on a server that follows from a peer's evidence.
 fn verdict(evidence: &Evidence) -> PeerVerdict {
     let failures = u32::from(evidence.failed) + u32::from(evidence.timed_out) + u32::from(evidence.silent);
     match (evidence.age_tenths <= MAX_EVIDENCE_AGE_TENTHS, failures, evidence.served) {
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -1,5 +1,5 @@
-//! The instances of one process: each line of the wire goes to the instance that it names, and what that answers is
-//! gathered into the reply to the batch.
+//! The instances of one process. Each line of the wire goes to the instance that it names, and the lines that
+//! the instance writes are added to the reply to the batch.
 
 use crate::fields::{Fields, MalformedLine, excerpt, malformed};
 use crate::instance::Instance;
@@ -22,38 +22,38 @@
     "ring",
 ];
 
-/// All instances, and the batch in hand.
+/// All instances, and the state of the current batch.
 #[derive(Default)]
 pub struct Host {
     now: Micros,
     instances: HashMap<u64, Instance>,
     open_list: Option<OpenList>,
     actions: Vec<Action>,
-    /// Lines that were read so far; the number of the line in hand.
+    /// Number of the current line, from 1.
     pub line_number: u64,
-    /// The lines of the reply to the batch in hand.
+    /// The lines of the reply to the current batch.
     pub reply: Vec<u8>,
-    /// Instances gossip once in so many milliseconds; `None`: not at all.
+    /// Gossip period of the instances, in milliseconds; `None`: they don't gossip.
     gossip_ms: Option<u32>,
 }
 
-/// What follows from a line.
+/// State of the batch after a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// The batch goes on.
+    /// The batch continues.
     InBatch,
     /// The batch is complete and the reply is due.
     ReplyDue,
 }
 
-/// What a message about the server list announces.
+/// Kind of a message about the server list.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ListKind {
     Changes,
     Full,
-    /// The copy that came with the start.
+    /// The copy that the instance starts with.
     StartupCopy,
-    /// The list cannot be had.
+    /// The list is unavailable.
     Lost,
 }
 
@@ -85,7 +85,7 @@
             return Event::ListFailed;
         }
         let copy = self.kind == ListKind::StartupCopy;
-        // A list with a row lost must not drop servers: it counts as changes only.
+        // A list in which rows are missing must not remove servers, so it counts as a set of changes.
         let is_whole = !self.is_incomplete && self.rows_left == 0;
         let full = (copy || self.kind == ListKind::Full) && is_whole;
         Event::List { full, copy, entries: self.entries }
@@ -93,7 +93,8 @@
 }
 
 impl Host {
-    /// A process without instances. They gossip once in `gossip_ms` milliseconds, if at all.
+    /// Returns a host without instances. `gossip_ms` is their gossip period in milliseconds; `None`: they
+    /// don't gossip.
     pub fn new(gossip_ms: Option<u32>) -> Self {
         Host { gossip_ms, ..Host::default() }
     }
@@ -106,7 +107,7 @@
             return self.read_row(fields).map(|()| Progress::InBatch);
         }
         if let Err(late) = self.close_list() {
-            // The list is short of rows; this line itself is sound.
+            // The previous list lacks rows, but the current line is valid.
             self.report(&late);
         }
         match name {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Says on standard error that a line was ignored, and why.
+    /// Reports on standard error that a line was ignored, and why.
     pub fn report(&self, error: &MalformedLine) {
         eprintln!("line {}: {error}; ignored", self.line_number);
     }
@@ -147,7 +148,7 @@
     fn create(&mut self, node: u64, mut fields: Fields) -> Result<(), MalformedLine> {
         let seed = fields.number("nonce64")?;
         let mut instance = Instance::new(seed, fields.remainder(), self.gossip_ms, self.now)?;
-        // Writing to memory cannot fail; a member that has just started has no event yet.
+        // Writing to memory cannot fail, and a member that has just started has no events.
         let _ = instance.drive_gossip(node, self.now, &mut self.reply);
         self.instances.insert(node, instance);
         Ok(())
@@ -172,7 +173,7 @@
         Ok(())
     }
 
-    /// The head of a server list; its rows follow.
+    /// Reads the head of a server list. Its rows follow as separate lines.
     fn open_list(&mut self, node: u64, mut fields: Fields) -> Result<(), MalformedLine> {
         self.instance(node)?;
         let kind = ListKind::read(fields.text("how")?)?;
@@ -207,18 +208,18 @@
         result
     }
 
-    /// Hands over a list whose rows are all there, or as many as arrived.
+    /// Passes the list to its instance, with the rows that have arrived. Missing rows are an error.
     fn close_list(&mut self) -> Result<(), MalformedLine> {
         let Some(list) = self.open_list.take() else { return Ok(()) };
         let (node, rows_left) = (list.node, list.rows_left);
         self.handle(node, list.into_event());
         if rows_left > 0 {
-            return malformed("hosts", format!("counts {rows_left} rows that did not come"));
+            return malformed("hosts", format!("announces {rows_left} more rows than arrived"));
         }
         Ok(())
     }
 
-    /// Hands an event to an instance and writes its actions into the reply.
+    /// Passes an event to an instance and writes the resulting actions into the reply.
     fn handle(&mut self, node: u64, event: Event) {
         let Some(instance) = self.instances.get_mut(&node) else { return };
         self.actions.clear();
@@ -235,7 +236,7 @@
     fn instance(&mut self, node: u64) -> Result<&mut Instance, MalformedLine> {
         match self.instances.get_mut(&node) {
             Some(instance) => Ok(instance),
-            None => malformed("node", format!("names an instance that does not run: 'node-{node}'")),
+            None => malformed("node", format!("names an instance that is not running: 'node-{node}'")),
         }
     }
 }
@@ -243,6 +244,6 @@
 fn node_number(text: &str) -> Result<u64, MalformedLine> {
     match text.strip_prefix("node-").and_then(|n| n.parse().ok()) {
         Some(number) => Ok(number),
-        None => malformed("node", format!("is not an instance: '{}'", excerpt(text))),
+        None => malformed("node", format!("is not the name of an instance: '{}'", excerpt(text))),
     }
 }
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -1,4 +1,5 @@
-//! One instance of the module: its settings, the names on its wire, its timers and its gossip.
+//! One instance of the decision module: its settings, the names that the wire uses, its timers and its gossip
+//! member.
 
 use crate::fields::{Fields, MalformedLine, excerpt, malformed};
 use crate::gossip_member::GossipMember;
@@ -12,22 +13,22 @@
 use std::collections::HashMap;
 use std::io::{self, Write};
 
-/// The name of gossip's timer. The module's are `timer-` and a number.
+/// Name of the gossip member's timer. The names of the decision module's timers are `timer-` and a number.
 pub const GOSSIP_TIMER: &str = "gossip";
 
-/// One instance and what it needs to speak on the wire.
+/// One instance, and the state that translates between its interface and the wire.
 pub struct Instance {
     pub balancer: Balancer,
     profile: Profile,
     pub servers: Names,
-    /// The module's tokens by the names of their timers.
+    /// The tokens of the decision module's timers, by the names of the timers.
     pub timers: HashMap<String, u32>,
-    /// Its gossip member, if instances gossip.
+    /// The gossip member; `None` if instances don't gossip.
     pub member: Option<GossipMember>,
 }
 
 impl Instance {
-    /// An instance with the settings that stand in `profile`, as `path=value` fields.
+    /// Returns an instance with the settings in `profile`, which are `path=value` fields.
     pub fn new(seed: u64, profile: &str, gossip_ms: Option<u32>, now: Micros) -> Result<Self, MalformedLine> {
         let profile = read_profile(profile)?;
         let balancer = Balancer::new(profile.settings.clone(), seed, now);
@@ -37,7 +38,7 @@
         Ok(Instance { balancer, profile, servers, timers, member })
     }
 
-    /// A `row` of the server list.
+    /// Reads a `row` of the server list.
     pub fn read_entry(&mut self, mut fields: Fields) -> Result<Entry, MalformedLine> {
         let cell = fields.optional("stripe")?.unwrap_or(0);
         let state = read_state(fields.text("lifecycle")?)?;
@@ -53,7 +54,7 @@
         Ok(Entry { server, digest, state, zone, cell, started, weight })
     }
 
-    /// Does what is due of gossip and writes its lines; returns the events for the module.
+    /// Does the gossip work that is due, writes its lines, and returns the events for the decision module.
     pub fn drive_gossip(&mut self, node: u64, now: Micros, to: &mut Vec<u8>) -> io::Result<Vec<Event>> {
         let Some(member) = &mut self.member else { return Ok(Vec::new()) };
         member.tick(now, &self.servers);
@@ -72,7 +73,7 @@
     pub fn class(&self, name: &str) -> Result<ClassId, MalformedLine> {
         match self.profile.classes.find(name) {
             Some(number) => Ok(ClassId(number as u16)),
-            None => malformed("qos", format!("is no class of the settings: '{}'", excerpt(name))),
+            None => malformed("qos", format!("is not a class of the settings: '{}'", excerpt(name))),
         }
     }
 
@@ -82,14 +83,14 @@
         }
         match self.profile.tenants.find(name) {
             Some(number) => Ok(Some(TenantId(number as u16))),
-            None => malformed("party", format!("is no tenant of the settings: '{}'", excerpt(name))),
+            None => malformed("party", format!("is not a tenant of the settings: '{}'", excerpt(name))),
         }
     }
 
     pub fn server(&self, name: &str) -> Result<ServerId, MalformedLine> {
         match self.servers.find(name) {
             Some(number) => Ok(ServerId(number)),
-            None => malformed("host", format!("was in no list: '{}'", excerpt(name))),
+            None => malformed("host", format!("is not in any server list: '{}'", excerpt(name))),
         }
     }
 }
@@ -103,7 +104,7 @@
     })
 }
 
-/// The settings as the first message carries them: `path=value` fields.
+/// Reads the settings of the `create` message, which are `path=value` fields.
 fn read_profile(text: &str) -> Result<Profile, MalformedLine> {
     let mut pairs = Pairs::default();
     for pair in text.split('\t').filter(|p| !p.is_empty() && *p != "-") {
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,7 +1,8 @@
-//! The simulator's adapter: turns the wire's lines into the module's events and its actions into lines. It decides nothing.
+//! The simulator's adapter. It translates lines of the wire into events of the decision module, and the
+//! module's actions into lines. All decisions are left to the module.
 //!
-//! It reads batches of lines from standard input and answers each with a reply on standard output. A line that cannot be
-//! read is reported on standard error and ignored.
+//! The adapter reads batches of lines from standard input and writes a reply to each batch to standard
+//! output. A line that cannot be read is reported on standard error and ignored.
 
 mod actions;
 mod events;
@@ -14,7 +15,7 @@
 use host::{Host, Progress};
 use std::io::{self, BufRead, Write};
 
-/// Bytes of standard input that are read at once.
+/// Size of the buffer for standard input, in bytes.
 const INPUT_BUFFER: usize = 1 << 16;
 
 fn main() -> io::Result<()> {
@@ -57,7 +58,8 @@
     Ok(())
 }
 
-/// `--gossip MS`: instances gossip once in so many milliseconds. Off unless stated: the platform's line has no argument.
+/// Reads the argument `--gossip MS`, the gossip period in milliseconds. Without it instances don't gossip,
+/// because the platform starts the adapter without arguments.
 fn gossip_ms() -> io::Result<Option<u32>> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     match arguments.iter().map(String::as_str).collect::<Vec<_>>()[..] {
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter on the bench's wire: transcripts, malformed ones among them.
+//! Runs the adapter on transcripts of the simulator's wire, including malformed lines, and checks its output.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -18,7 +18,7 @@
         .unwrap();
     child.stdin.take().unwrap().write_all(input).unwrap();
     let output = child.wait_with_output().unwrap();
-    assert!(output.status.success(), "the adapter ends with its input");
+    assert!(output.status.success(), "the adapter must exit successfully at the end of its input");
     (String::from_utf8(output.stdout).unwrap(), String::from_utf8(output.stderr).unwrap())
 }
 
@@ -30,7 +30,7 @@
 
 fn after_start(lines: &str) -> (String, String) {
     let (out, err) = run(format!("{START}{lines}").as_bytes());
-    (out.strip_prefix("yield\n").expect("first reply is empty").to_owned(), err)
+    (out.strip_prefix("yield\n").expect("the first reply must have no actions").to_owned(), err)
 }
 
 #[test]
@@ -47,7 +47,7 @@
     assert_eq!(err, "");
     let sends: Vec<&str> = out.lines().filter(|l| l.starts_with("place\tnode-3\t9\thost_")).collect();
     assert!(sends.len() >= 2, "{out}");
-    assert!(sends[0].contains("host_one") != sends[1].contains("host_one"), "tried elsewhere: {out}");
+    assert!(sends[0].contains("host_one") != sends[1].contains("host_one"), "same server twice: {out}");
 }
 
 #[test]
@@ -96,7 +96,7 @@
     ] {
         let (out, err) = after_start(&format!("batch\t1000100\n{line}\nyour_turn\n"));
         assert_eq!(out, "yield\n", "{line}");
-        assert_eq!(err.lines().count(), 1, "one message for {line}: {err}");
+        assert_eq!(err.lines().count(), 1, "{line} must cause one message: {err}");
         assert!(err.contains(&format!("field {field} ")) && err.starts_with("line "), "{line}: {err}");
     }
     let (out, err) = run(b"batch\t5\n\xff\xfe\nyour_turn\nbatch\t6");
