--- a/crates/decision/src/settings/pairs.rs
+++ b/crates/decision/src/settings/pairs.rs
@@ -118,7 +118,7 @@
         let figure = |(i, text): (usize, &str)| match number(text) {
             _ if text.is_empty() || text == "-" => Ok(0.0),
             Some(value) if value >= 0.0 => Ok(value),
-            _ => Err(InvalidSetting::new(&format!("{key}.{i}"), "is no such number", text, "0 or more")),
+            _ => Err(InvalidSetting::new(&format!("{key}.{i}"), "is not a valid number", text, "0 or more")),
         };
         self.list(key).into_iter().enumerate().map(figure).collect()
     }
