--- a/crates/decision/src/interface/settings.rs
+++ b/crates/decision/src/interface/settings.rs
@@ -153,13 +153,13 @@
 
     /// Returns the shortest latency objective of a message; `None` if no class states one.
     pub fn shortest_message_objective(&self) -> Option<Micros> {
-        self.classes.iter().map(|c| c.message_latency_objective).filter(|aim| *aim > 0).min()
+        self.classes.iter().map(|c| c.message_latency_objective).filter(|objective| *objective > 0).min()
     }
 
     /// Returns the sum of all tenants' quotas of new connections per second; `None` if no quota is stated.
     pub fn allowance_per_s(&self) -> Option<f64> {
-        let allowed = self.tenants.iter().map(|tenant| tenant.allowance_per_s).sum();
-        (allowed > 0.0).then_some(allowed)
+        let total = self.tenants.iter().map(|tenant| tenant.allowance_per_s).sum();
+        (total > 0.0).then_some(total)
     }
 
     /// Returns the sum of all tenants' quotas of open connections; 0 if no quota is stated.
@@ -175,8 +175,8 @@
 
     /// Returns the share of its capacity that a server is certain to have at this time after its start.
     pub fn share_at(&self, age: Micros) -> f64 {
-        let from = self.slow_start_from.clamp(0.05, 1.0);
-        let warmth = age.max(0) as f64 / self.slow_start_window.max(1) as f64;
-        from + (1.0 - from) * warmth.min(1.0)
+        let initial = self.slow_start_from.clamp(0.05, 1.0);
+        let progress = age.max(0) as f64 / self.slow_start_window.max(1) as f64;
+        initial + (1.0 - initial) * progress.min(1.0)
     }
 }
--- a/crates/decision/src/list_polling.rs
+++ b/crates/decision/src/list_polling.rs
@@ -6,7 +6,7 @@
 //! limited rate for the whole fleet, so each node keeps to its share of that rate. In a small fleet a call
 //! goes out almost at once; in a fleet of 300 nodes or more the calls are spread over one second. The delay
 //! is limited, so that the node does not miss changes for too long: the next call is due within
-//! [`BETWEEN_CALLS`] of the last one, however that one ended.
+//! [`MAX_CALL_INTERVAL`] of the last one, however that one ended.
 
 use crate::interface::{Micros, SECOND};
 
@@ -20,25 +20,25 @@
 /// nodes poll again within that second.
 const FLEET_CALLS_PER_S: i64 = 300;
 /// Delay after the first failed call. It doubles with each further failure, within the limit of
-/// [`BETWEEN_CALLS`].
-const BACKOFF: Micros = SECOND / 2;
+/// [`MAX_CALL_INTERVAL`].
+const INITIAL_BACKOFF: Micros = SECOND / 2;
 /// Maximum time from a failing call to the next one. A change counts as notified 6 s after the service had it
 /// and could be reached, even if earlier calls failed; this leaves 2 s for the next call to wait in the
 /// service's queue.
-pub const BETWEEN_CALLS: Micros = 4 * SECOND;
+pub const MAX_CALL_INTERVAL: Micros = 4 * SECOND;
 /// Time without a complete answer after which the caller reports a call as silent. Together with the spread
 /// of the fleet's calls, the next call goes out at most 5 s after the silent one.
 pub const UNANSWERED_AFTER: Micros = 4 * SECOND;
 /// Time after which a call counts as lost if the caller reports nothing about it. A long list takes time to
 /// arrive.
-const LOST_AFTER: Micros = 15 * SECOND;
+const LOST_CALL_TIMEOUT: Micros = 15 * SECOND;
 /// Duration after which a subscription shows that the service is healthy. A shorter one only shows that the
 /// service was reachable.
-const STABLE_AFTER: Micros = 2 * SECOND;
+const MIN_STABLE_DURATION: Micros = 2 * SECOND;
 /// Number of consecutive failures at which the operator is notified.
-const REPORTED_FAILURES: u32 = 3;
+const FAILURES_UNTIL_NOTIFIED: u32 = 3;
 /// Maximum number of times that the backoff doubles.
-const MAX_DOUBLINGS: u32 = 4;
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
 /// Determines when this node polls the server list next.
 #[derive(Clone, Copy, Debug, Default)]
@@ -70,53 +70,53 @@
     }
 
     /// Schedules the first poll, after the node has loaded its copy of the list, and returns the delay.
-    /// `chance` is a random number from 0 to 1.
+    /// `random` is a random number from 0 to 1.
     ///
     /// The calls are spread over at least one second, so that nodes that start together don't all call a
     /// small service at once. The copy serves until the list arrives.
-    pub fn started(&mut self, now: Micros, chance: f64) -> Micros {
-        self.poll_in(now, random_share(self.spread().max(SECOND), chance))
+    pub fn started(&mut self, now: Micros, random: f64) -> Micros {
+        self.poll_in(now, jitter(self.spread().max(SECOND), random))
     }
 
     /// Schedules the next poll after the subscription has fallen silent, and returns the delay. Silence is no
     /// failure of the service, so there is no backoff: the delay only spreads the calls of the fleet.
-    /// `chance` is a random number from 0 to 1.
-    pub fn fell_silent(&mut self, now: Micros, chance: f64) -> Micros {
-        self.poll_in(now, random_share(self.spread(), chance))
+    /// `random` is a random number from 0 to 1.
+    pub fn fell_silent(&mut self, now: Micros, random: f64) -> Micros {
+        self.poll_in(now, jitter(self.spread(), random))
     }
 
     /// Schedules the next poll after a call failed or the subscription broke. Returns the delay, and whether
-    /// the operator is to be notified of this failure. `chance` is a random number from 0 to 1.
-    pub fn failed(&mut self, now: Micros, chance: f64) -> (Micros, bool) {
+    /// the operator is to be notified of this failure. `random` is a random number from 0 to 1.
+    pub fn failed(&mut self, now: Micros, random: f64) -> (Micros, bool) {
         // An answer alone does not reset the count of failures. Otherwise a service that answers and breaks
         // off each time would be called several times a second.
-        if self.answered_at.take().is_some_and(|at| now - at >= STABLE_AFTER) {
+        if self.answered_at.take().is_some_and(|at| now - at >= MIN_STABLE_DURATION) {
             self.consecutive_failures = 0;
         }
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
-        let after = self.backoff(now, chance);
+        let after = self.backoff(now, random);
         self.called_at = None;
-        (self.poll_in(now, after), self.consecutive_failures == REPORTED_FAILURES)
+        (self.poll_in(now, after), self.consecutive_failures == FAILURES_UNTIL_NOTIFIED)
     }
 
     /// Returns the exponential backoff, with jitter over its last two thirds, limited by the time that
-    /// [`BETWEEN_CALLS`] leaves.
-    fn backoff(&self, now: Micros, chance: f64) -> Micros {
+    /// [`MAX_CALL_INTERVAL`] leaves.
+    fn backoff(&self, now: Micros, random: f64) -> Micros {
         let since_call = self.called_at.map_or(0, |at| now - at);
-        let longest = (BETWEEN_CALLS - since_call).max(self.spread());
-        let doublings = (self.consecutive_failures - 1).min(MAX_DOUBLINGS);
-        let wait = (BACKOFF << doublings).max(self.spread());
-        if wait + wait / 2 <= longest {
-            wait / 2 + random_share(wait, chance)
+        let max_delay = (MAX_CALL_INTERVAL - since_call).max(self.spread());
+        let doublings = (self.consecutive_failures - 1).min(MAX_BACKOFF_DOUBLINGS);
+        let backoff = (INITIAL_BACKOFF << doublings).max(self.spread());
+        if backoff + backoff / 2 <= max_delay {
+            backoff / 2 + jitter(backoff, random)
         } else {
-            longest / 3 * 2 + random_share(longest / 3, chance)
+            max_delay / 3 * 2 + jitter(max_delay / 3, random)
         }
     }
 
     /// Records that a call goes out now. Returns the time after which the call counts as lost.
     pub fn called(&mut self, now: Micros) -> Micros {
         self.called_at = Some(now);
-        self.poll_in(now, LOST_AFTER)
+        self.poll_in(now, LOST_CALL_TIMEOUT)
     }
 
     /// Records that the service has answered.
@@ -136,7 +136,7 @@
     }
 }
 
-/// Returns the fraction `chance` (0 to 1) of a duration, plus one microsecond so that the result is never 0.
-fn random_share(span: Micros, chance: f64) -> Micros {
-    (span as f64 * chance) as Micros + 1
+/// Returns the fraction `random` (0 to 1) of a duration, plus one microsecond so that the result is never 0.
+fn jitter(duration: Micros, random: f64) -> Micros {
+    (duration as f64 * random) as Micros + 1
 }
--- a/crates/decision/src/names.rs
+++ b/crates/decision/src/names.rs
@@ -26,7 +26,7 @@
 
     /// Assigns a new number to `name`, which look-ups of the name return from now on. Its earlier numbers
     /// still stand for the name.
-    pub fn renew(&mut self, name: &str) -> u32 {
+    pub fn assign_new_number(&mut self, name: &str) -> u32 {
         let number = self.names.len() as u32;
         self.numbers.insert(name.to_owned(), number);
         self.names.push(name.to_owned());
@@ -35,7 +35,7 @@
 
     /// Makes look-ups of the name that `number` stands for return `number`, where the name has several
     /// numbers.
-    pub fn prefer(&mut self, number: u32) {
+    pub fn make_current(&mut self, number: u32) {
         if let Some(name) = self.names.get(number as usize) {
             self.numbers.insert(name.clone(), number);
         }
--- a/crates/decision/src/quota.rs
+++ b/crates/decision/src/quota.rs
@@ -57,8 +57,8 @@
 
     /// Returns the fraction of recent set-ups that failed, 0 to 1: the larger of this node's own (`own`) and
     /// the fleet's.
-    pub fn failure_ratio(&self, now: Micros, own: f64) -> f64 {
-        self.fleet(now).map_or(own, |fleet| own.max(fleet.failure_rate))
+    pub fn failure_ratio(&self, now: Micros, own_ratio: f64) -> f64 {
+        self.fleet(now).map_or(own_ratio, |fleet| own_ratio.max(fleet.failure_rate))
     }
 
     /// Returns the multiple of its share of a budget that a node may use. It is above 1 in a large fleet,
@@ -68,25 +68,25 @@
         if self.fleet(now).is_some() { IDLE_FACTOR } else { 1.0 }
     }
 
-    /// Returns this node's share of a total (`figure`) that the fleet must not exceed. Without a status of
+    /// Returns this node's share of a `total` that the fleet must not exceed. Without a status of
     /// the fleet, the share is even, but not below `own`, the amount that the node already uses. With a
     /// status, half of the share depends on the demand and half is even. The shares add up to at most the
     /// total, because nodes that the status does not cover are assumed to be running and to use their shares.
     /// Otherwise, each of the two sides of a partition would use the whole total.
-    pub fn conservative_share_of(&self, now: Micros, figure: f64, own: f64) -> f64 {
+    pub fn conservative_share_of(&self, now: Micros, total: f64, own: f64) -> f64 {
         match self.fleet(now) {
             Some(fleet) if fleet.demand_share.is_finite() && fleet.nodes.is_finite() => {
-                let heard = fleet.nodes.clamp(1.0, self.nodes) / self.nodes;
-                figure * (fleet.demand_share.clamp(0.0, 1.0) * heard + 1.0 / self.nodes) / 2.0
+                let coverage = fleet.nodes.clamp(1.0, self.nodes) / self.nodes;
+                total * (fleet.demand_share.clamp(0.0, 1.0) * coverage + 1.0 / self.nodes) / 2.0
             }
-            Some(_) => self.share_of(now, figure),
-            None => self.share_of(now, figure).max(own),
+            Some(_) => self.share_of(now, total),
+            None => self.share_of(now, total).max(own),
         }
     }
 
-    /// Returns this node's share of a total (`figure`) of the whole fleet. The shares of all nodes add up to
+    /// Returns this node's share of a `total` of the whole fleet. The shares of all nodes add up to
     /// at most one and a half times the total.
-    pub fn share_of(&self, now: Micros, figure: f64) -> f64 {
+    pub fn share_of(&self, now: Micros, total: f64) -> f64 {
         let share = match self.fleet(now) {
             Some(fleet) if fleet.demand_share.is_finite() && fleet.nodes.is_finite() => {
                 let even = 1.0 / fleet.nodes.clamp(1.0, self.nodes);
@@ -94,7 +94,7 @@
             }
             _ => 1.0 / self.nodes,
         };
-        figure * share
+        total * share
     }
 }
 
@@ -107,23 +107,23 @@
 
 /// Minimum capacity of a bucket, in tokens. With it, a node whose rate is lower can still place two clients
 /// that arrive together.
-const MAX_SAVED_TOKENS: f64 = 2.0;
+const MIN_BUCKET_CAPACITY: f64 = 2.0;
 
 impl TokenBucket {
     /// Returns a bucket that holds two tokens.
     pub fn new(now: Micros) -> Self {
-        TokenBucket { tokens: MAX_SAVED_TOKENS, refilled_at: now }
+        TokenBucket { tokens: MIN_BUCKET_CAPACITY, refilled_at: now }
     }
 
     /// Adds the tokens that have accrued since the last refill, at `per_s` per second. Returns whether a
     /// whole token is available, which is always the case at an infinite rate.
     pub fn refill(&mut self, now: Micros, per_s: f64) -> bool {
         if per_s.is_infinite() {
-            (self.tokens, self.refilled_at) = (MAX_SAVED_TOKENS, now);
+            (self.tokens, self.refilled_at) = (MIN_BUCKET_CAPACITY, now);
             return true;
         }
         let seconds = (now - self.refilled_at).max(0) as f64 / 1e6;
-        self.tokens = (self.tokens + per_s * seconds).min(per_s.max(MAX_SAVED_TOKENS));
+        self.tokens = (self.tokens + per_s * seconds).min(per_s.max(MIN_BUCKET_CAPACITY));
         self.refilled_at = now;
         self.tokens >= 1.0
     }
@@ -140,7 +140,7 @@
 
     /// Returns when the next whole token is available, at a rate of `per_s` per second.
     pub fn next_token_at(&self, per_s: f64) -> Micros {
-        let short = (1.0 - self.tokens).max(0.0) * 1e6 / per_s.max(1e-6);
-        self.refilled_at.saturating_add(short as Micros)
+        let wait = (1.0 - self.tokens).max(0.0) * 1e6 / per_s.max(1e-6);
+        self.refilled_at.saturating_add(wait as Micros)
     }
 }
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -44,17 +44,18 @@
     /// out.
     pub fn renumbered_from(mut self, old: &Profile) -> Profile {
         let (mut classes, mut class_list) = (old.classes.clone(), old.settings.classes.clone());
-        let offered: BTreeSet<u32> = (self.settings.classes.drain(..).enumerate())
-            .map(|(i, class)| place_class(&mut classes, &mut class_list, self.classes.name(i as u32), class))
+        let offered_classes: BTreeSet<u32> = (self.settings.classes.drain(..).enumerate())
+            .map(|(i, class)| number_class(&mut classes, &mut class_list, self.classes.name(i as u32), class))
             .collect();
-        self.withdrawn = (0..class_list.len() as u32).filter(|class| !offered.contains(class)).collect();
+        self.withdrawn =
+            (0..class_list.len() as u32).filter(|class| !offered_classes.contains(class)).collect();
         for class in &self.withdrawn {
             // The latency objective of a class that is not offered any more applies to no new message.
             class_list[*class as usize].message_latency_objective = 0;
         }
         let (mut tenants, mut tenant_list) = (old.tenants.clone(), old.settings.tenants.clone());
         for (i, tenant) in self.settings.tenants.drain(..).enumerate() {
-            place(&mut tenants, &mut tenant_list, self.tenants.name(i as u32), tenant);
+            insert_or_replace(&mut tenants, &mut tenant_list, self.tenants.name(i as u32), tenant);
         }
         let mut zones = old.zones.clone();
         self.settings.zone = ZoneId(zones.intern(self.zones.name(u32::from(self.settings.zone.0))) as u16);
@@ -70,30 +71,31 @@
 /// Puts a class under a number of its name that has the same definition, or under a new number, and returns
 /// the number. Requests that were accepted under an old definition therefore keep it until they end. Only a
 /// change of the latency objective of messages applies to all connections at once.
-fn place_class(names: &mut Names, list: &mut Vec<Class>, name: &str, class: Class) -> u32 {
-    let alike = |there: &Class| {
-        Class { message_latency_objective: class.message_latency_objective, ..there.clone() } == class
+fn number_class(names: &mut Names, list: &mut Vec<Class>, name: &str, class: Class) -> u32 {
+    let has_same_definition = |existing: &Class| {
+        Class { message_latency_objective: class.message_latency_objective, ..existing.clone() } == class
     };
-    let same = names.numbers_of(name).find(|number| list.get(*number as usize).is_some_and(alike));
+    let same =
+        names.numbers_of(name).find(|number| list.get(*number as usize).is_some_and(has_same_definition));
     match same {
         Some(number) => {
-            names.prefer(number);
+            names.make_current(number);
             list[number as usize].message_latency_objective = class.message_latency_objective;
             number
         }
-        None if list.len() >= MAX_CLASSES => place(names, list, name, class),
+        None if list.len() >= MAX_CLASSES => insert_or_replace(names, list, name, class),
         None => {
             list.push(class);
-            names.renew(name)
+            names.assign_new_number(name)
         }
     }
 }
 
 /// Puts an item under the number of its name, and returns the number.
-fn place<T>(names: &mut Names, list: &mut Vec<T>, name: &str, item: T) -> u32 {
+fn insert_or_replace<T>(names: &mut Names, list: &mut Vec<T>, name: &str, item: T) -> u32 {
     let number = names.intern(name);
     match list.get_mut(number as usize) {
-        Some(there) => *there = item,
+        Some(existing) => *existing = item,
         None => list.push(item),
     }
     number
--- a/crates/decision/src/settings/pairs.rs
+++ b/crates/decision/src/settings/pairs.rs
@@ -17,8 +17,8 @@
 
 impl InvalidSetting {
     fn new(key: &str, problem: &str, found: &str, allowed: &str) -> Self {
-        let short: String = found.chars().take(40).collect();
-        InvalidSetting { key: key.to_owned(), problem: format!("{problem}: '{short}', allowed: {allowed}") }
+        let excerpt: String = found.chars().take(40).collect();
+        InvalidSetting { key: key.to_owned(), problem: format!("{problem}: '{excerpt}', allowed: {allowed}") }
     }
 }
 
@@ -31,9 +31,9 @@
 impl std::error::Error for InvalidSetting {}
 
 /// Maximum duration, in microseconds. Longer values are reduced to this one, which is practically infinite.
-pub(super) const LONGEST: f64 = 4e15;
+pub(super) const MAX_TIME_US: f64 = 4e15;
 
-fn number(text: &str) -> Option<f64> {
+fn parse_finite(text: &str) -> Option<f64> {
     text.parse().ok().filter(|value: &f64| value.is_finite())
 }
 
@@ -57,7 +57,7 @@
 
     /// Returns the value of a key; `None` if it is absent, empty or `-`. Records the look-up, and `default`
     /// as the value used if there is none.
-    fn given(&self, key: &str, default: impl ToString) -> Option<&str> {
+    fn look_up(&self, key: &str, default: impl ToString) -> Option<&str> {
         let text = self.values.get(key).map(String::as_str).filter(|v| !v.is_empty() && *v != "-");
         let default = text.is_none().then(|| default.to_string());
         self.lookups.borrow_mut().insert(key.to_owned(), default);
@@ -65,19 +65,19 @@
     }
 
     pub(super) fn text(&self, key: &str) -> Option<&str> {
-        self.given(key, "-")
+        self.look_up(key, "-")
     }
 
     /// Returns a finite number.
-    pub(super) fn figure(&self, key: &str, default: f64) -> Result<f64, InvalidSetting> {
-        let Some(text) = self.given(key, default) else { return Ok(default) };
-        number(text).ok_or_else(|| InvalidSetting::new(key, "is not a number", text, "a finite number"))
+    pub(super) fn number(&self, key: &str, default: f64) -> Result<f64, InvalidSetting> {
+        let Some(text) = self.look_up(key, default) else { return Ok(default) };
+        parse_finite(text).ok_or_else(|| InvalidSetting::new(key, "is not a number", text, "a finite number"))
     }
 
     /// Returns a finite number that is not below `least`. A lower one is an error; clamping would change it
     /// silently.
-    pub(super) fn from(&self, least: f64, key: &str, default: f64) -> Result<f64, InvalidSetting> {
-        let value = self.figure(key, default)?;
+    pub(super) fn number_at_least(&self, least: f64, key: &str, default: f64) -> Result<f64, InvalidSetting> {
+        let value = self.number(key, default)?;
         if value >= least {
             return Ok(value);
         }
@@ -86,11 +86,11 @@
     }
 
     pub(super) fn time(&self, key: &str, default: Micros) -> Result<Micros, InvalidSetting> {
-        Ok(self.from(0.0, key, default as f64)?.min(LONGEST) as Micros)
+        Ok(self.number_at_least(0.0, key, default as f64)?.min(MAX_TIME_US) as Micros)
     }
 
     pub(super) fn count(&self, least: u32, key: &str, default: u32) -> Result<u32, InvalidSetting> {
-        Ok(self.from(f64::from(least), key, f64::from(default))?.min(4e9) as u32)
+        Ok(self.number_at_least(f64::from(least), key, f64::from(default))?.min(4e9) as u32)
     }
 
     pub(super) fn flag(&self, key: &str) -> Result<bool, InvalidSetting> {
@@ -106,7 +106,7 @@
         default: &'a str,
         allowed: &[&str],
     ) -> Result<&'a str, InvalidSetting> {
-        let value = self.given(key, default).unwrap_or(default);
+        let value = self.look_up(key, default).unwrap_or(default);
         if allowed.contains(&value) {
             return Ok(value);
         }
@@ -114,13 +114,13 @@
     }
 
     /// Returns a list of numbers of 0 or more. An empty item or `-` counts as 0.
-    pub(super) fn figures(&self, key: &str) -> Result<Vec<f64>, InvalidSetting> {
-        let figure = |(i, text): (usize, &str)| match number(text) {
+    pub(super) fn numbers(&self, key: &str) -> Result<Vec<f64>, InvalidSetting> {
+        let parse_item = |(i, text): (usize, &str)| match parse_finite(text) {
             _ if text.is_empty() || text == "-" => Ok(0.0),
             Some(value) if value >= 0.0 => Ok(value),
             _ => Err(InvalidSetting::new(&format!("{key}.{i}"), "is not a valid number", text, "0 or more")),
         };
-        self.list(key).into_iter().enumerate().map(figure).collect()
+        self.list(key).into_iter().enumerate().map(parse_item).collect()
     }
 
     pub(super) fn list(&self, key: &str) -> Vec<&str> {
--- a/crates/decision/src/settings/read.rs
+++ b/crates/decision/src/settings/read.rs
@@ -1,7 +1,7 @@
 //! Maps the keys of the settings to the module's own types.
 
 use super::Profile;
-use super::pairs::{InvalidSetting, LONGEST, Pairs};
+use super::pairs::{InvalidSetting, MAX_TIME_US, Pairs};
 use crate::interface::{Class, Idempotency, Micros, Scope, Settings, Tenant, ZoneId};
 use crate::names::Names;
 use std::collections::BTreeSet;
@@ -35,7 +35,7 @@
 /// Reads the classes that have a name. Where several classes have the same name, the first one counts.
 fn read_classes(pairs: &Pairs) -> Result<(Names, Vec<Class>), InvalidSetting> {
     let (mut names, mut classes) = (Names::default(), Vec::new());
-    let objectives = pairs.figures("familyInfo.messageAim")?;
+    let objectives = pairs.numbers("familyInfo.messageAim")?;
     let attempts = pairs.count(1, "policyLimits.mostTries", 1)?;
     for i in 0..pairs.count(0, "requestClasses.count", 0)?.min(MAX_ITEMS) {
         let key = |name: &str| format!("requestClasses.{i}.{name}");
@@ -47,10 +47,10 @@
         classes.push(Class {
             target: pairs.time(&key("target"), 0)?,
             deadline: pairs.time(&key("deadline"), 0)?,
-            message_latency_objective: objectives.get(i as usize).map_or(0, |o| o.min(LONGEST) as Micros),
+            message_latency_objective: objectives.get(i as usize).map_or(0, |o| o.min(MAX_TIME_US) as Micros),
             attempts,
             idempotency,
-            priority_weight: pairs.from(0.0, &key("gain"), 1.0)?,
+            priority_weight: pairs.number_at_least(0.0, &key("gain"), 1.0)?,
         });
     }
     Ok((names, classes))
@@ -75,7 +75,7 @@
 /// Reads the tenants that have a name. Where several tenants have the same name, the first one counts.
 fn read_tenants(pairs: &Pairs) -> Result<(Names, Vec<Tenant>), InvalidSetting> {
     let (mut names, mut tenants) = (Names::default(), Vec::new());
-    let open = pairs.figures("familyInfo.tenantQuotaConnections")?;
+    let open = pairs.numbers("familyInfo.tenantQuotaConnections")?;
     for i in 0..pairs.count(0, "tenants.count", 0)?.min(MAX_ITEMS) {
         let key = |name: &str| format!("tenants.{i}.{name}");
         let Some(name) = pairs.text(&key("name")) else { continue };
@@ -83,7 +83,7 @@
             continue;
         }
         tenants.push(Tenant {
-            allowance_per_s: pairs.from(0.0, &key("allowancePerS"), 0.0)?,
+            allowance_per_s: pairs.number_at_least(0.0, &key("allowancePerS"), 0.0)?,
             allowance_open: open.get(i as usize).copied().unwrap_or(0.0),
         });
     }
@@ -106,20 +106,20 @@
         tenants,
         groups: pairs.flag("familyInfo.groups")?,
         weight_by_work: pairs.text("worthBy") == Some("work"),
-        over_quota_weight: pairs.from(0.0, "overShareWorth", 1.0)?,
+        over_quota_weight: pairs.number_at_least(0.0, "overShareWorth", 1.0)?,
         step: pairs.time("step", 1_000)?,
         list_on_request,
         list_pushed: !list_on_request,
         weighted: pairs.text("weights").is_some_and(|w| w != "none"),
         retry_after: pairs.flag("policyLimits.retryAfter")?,
         max_retry_after: pairs.time("policyLimits.maxRetryAfter", 0)?,
-        slow_start_from: pairs.from(0.0, "rules.coldFrom", 1.0)?,
+        slow_start_from: pairs.number_at_least(0.0, "rules.coldFrom", 1.0)?,
         slow_start_window: pairs.time("rules.warmUp", 0)?,
-        overload_multiple: pairs.from(0.0, "rules.fallMultiple", 1.0)?,
+        overload_multiple: pairs.number_at_least(0.0, "rules.fallMultiple", 1.0)?,
         overload_window: pairs.time("rules.fall", 0)?,
         probes: pairs.flag("policyLimits.probes")?,
         report_load: columns.iter().position(|c| *c == "x0"),
-        probe_price: pairs.figure("prices.probe", 0.0)?,
-        migration_price: pairs.figure("prices.moves", 0.0)?,
+        probe_price: pairs.number("prices.probe", 0.0)?,
+        migration_price: pairs.number("prices.moves", 0.0)?,
     })
 }
--- a/crates/decision/tests/any_settings/checker.rs
+++ b/crates/decision/tests/any_settings/checker.rs
@@ -11,18 +11,18 @@
     /// Each accepted request gets one final answer, in time.
     Answered,
     /// No request has two attempts in flight.
-    OneOut,
+    OneAttemptInFlight,
     /// No request gets more attempts than its class allows.
     Attempts,
     /// No request is retried or rejected if a repeat could take effect twice.
-    NoEffectTwice,
+    AtMostOneEffect,
     /// No attempt is sent to a server after the grace period that follows its notification as draining or
     /// removed.
     Draining,
     /// No attempt is sent for a request whose client has left.
     ClientClosed,
     /// Each attempt complies with the verdict of the rules at the time when it is sent.
-    RulesObeyed,
+    CompliesWithRules,
     /// No attempt is sent after the start of the shutdown, and all queued requests are answered.
     ShuttingDown,
 }
@@ -31,13 +31,13 @@
 #[derive(Clone, Debug)]
 #[allow(dead_code)]
 pub struct Violation {
-    pub rule: Invariant,
+    pub invariant: Invariant,
     pub detail: String,
 }
 
 /// The parameters of the checks.
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct Parameters {
     /// How late an answer may be.
     pub slack: Micros,
     /// How long after its notification as draining a server may still get attempts.
@@ -69,7 +69,7 @@
     attempts: Vec<Attempt>,
     /// Why the request needs no answer any more: it was answered, is up, or its client left. `None` if it
     /// still needs one.
-    over: Option<&'static str>,
+    settled: Option<&'static str>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -81,7 +81,7 @@
 
 #[derive(Debug)]
 pub struct Checker {
-    figures: Figures,
+    parameters: Parameters,
     requests: BTreeMap<RequestId, RequestState>,
     servers: BTreeMap<ServerId, ServerRecord>,
     shutdown: Option<Micros>,
@@ -89,13 +89,13 @@
 }
 
 impl Checker {
-    pub fn new(figures: Figures) -> Self {
+    pub fn new(parameters: Parameters) -> Self {
         let (requests, servers) = (BTreeMap::new(), BTreeMap::new());
-        Checker { figures, requests, servers, shutdown: None, violations: Vec::new() }
+        Checker { parameters, requests, servers, shutdown: None, violations: Vec::new() }
     }
 
-    fn broken(&mut self, rule: Invariant, detail: String) {
-        self.violations.push(Violation { rule, detail });
+    fn report(&mut self, invariant: Invariant, detail: String) {
+        self.violations.push(Violation { invariant, detail });
     }
 
     // ---- events that the node is notified of ----
@@ -115,7 +115,7 @@
     pub fn request(&mut self, now: Micros, request: &Request, class: &Class) {
         let deadline = request.left.map(|left| now.saturating_add(left));
         let (idempotency, max_attempts) = (class.idempotency, class.attempts);
-        let state = RequestState { idempotency, max_attempts, deadline, attempts: Vec::new(), over: None };
+        let state = RequestState { idempotency, max_attempts, deadline, attempts: Vec::new(), settled: None };
         self.requests.insert(request.id, state);
     }
 
@@ -128,13 +128,13 @@
                 written: Some(now),
                 outcome: None,
             });
-            state.over = Some("it is up");
+            state.settled = Some("it is up");
         }
     }
 
     pub fn client_closed(&mut self, id: RequestId) {
         if let Some(state) = self.requests.get_mut(&id) {
-            state.over = state.over.or(Some("its client left"));
+            state.settled = state.settled.or(Some("its client left"));
         }
     }
 
@@ -154,14 +154,14 @@
                 let after = now - earlier.sent;
                 let detail =
                     format!("{id:?}: written {after} us after an attempt that may have run, window {window}");
-                return self.broken(Invariant::NoEffectTwice, detail);
+                return self.report(Invariant::AtMostOneEffect, detail);
             }
         }
     }
 
     pub fn established(&mut self, id: RequestId) {
         if let Some(state) = self.requests.get_mut(&id) {
-            state.over = state.over.or(Some("it is up"));
+            state.settled = state.settled.or(Some("it is up"));
         }
     }
 
@@ -185,42 +185,47 @@
     fn send(&mut self, now: Micros, id: RequestId, server: ServerId) {
         let known = self.servers.get(&server).copied();
         if self.shutdown.is_some() {
-            self.broken(Invariant::ShuttingDown, format!("{id:?} is sent at {now}, during the shutdown"));
+            self.report(Invariant::ShuttingDown, format!("{id:?} is sent at {now}, during the shutdown"));
         }
-        let grace = self.figures.grace;
-        let late = known.is_none_or(|known| known.withdrawn_at.is_some_and(|detail| now > detail + grace));
+        let grace = self.parameters.grace;
+        let late = known.is_none_or(|known| known.withdrawn_at.is_some_and(|at| now > at + grace));
         if late {
             let detail = format!("{id:?} is sent to {server:?} at {now}, grace {grace}: {known:?}");
-            self.broken(Invariant::Draining, detail);
+            self.report(Invariant::Draining, detail);
         }
         let sent = self.requests.get(&id).map_or(0, |state| state.attempts.len());
-        if let Some(ruling) = self.figures.verdicts.map(|verdicts| verdicts.verdict(now, id)) {
-            let early = ruling.not_before.is_some_and(|at| now < at);
-            let spent = sent >= ruling.attempts as usize;
-            if early || spent || ruling.refuse.is_some() || !ruling.allows(server) {
-                let detail = format!("{id:?} is sent to {server:?} at {now} after {sent} others: {ruling:?}");
-                self.broken(Invariant::RulesObeyed, detail);
+        if let Some(verdict) = self.parameters.verdicts.map(|verdicts| verdicts.verdict(now, id)) {
+            let early = verdict.not_before.is_some_and(|at| now < at);
+            let exhausted = sent >= verdict.attempts as usize;
+            if early || exhausted || verdict.refuse.is_some() || !verdict.allows(server) {
+                let detail =
+                    format!("{id:?} is sent to {server:?} at {now} after {sent} others: {verdict:?}");
+                self.report(Invariant::CompliesWithRules, detail);
             }
         }
         let Some(state) = self.requests.get_mut(&id) else {
-            return self.broken(Invariant::Answered, format!("{id:?} is sent, but was never requested"));
+            return self.report(Invariant::Answered, format!("{id:?} is sent, but was never requested"));
         };
         let locality = known.unwrap_or_default().locality;
         let earlier = state.attempts.clone();
         state.attempts.push(Attempt { locality, sent: now, written: None, outcome: None });
-        let (idempotency, max_attempts, over) = (state.idempotency, state.max_attempts, state.over);
-        if let Some(why) = over {
-            let rule = if why == "its client left" { Invariant::ClientClosed } else { Invariant::Answered };
-            self.broken(rule, format!("{id:?} is sent at {now}, but {why}"));
+        let (idempotency, max_attempts, settled) = (state.idempotency, state.max_attempts, state.settled);
+        if let Some(why) = settled {
+            let invariant =
+                if why == "its client left" { Invariant::ClientClosed } else { Invariant::Answered };
+            self.report(invariant, format!("{id:?} is sent at {now}, but {why}"));
         }
         if earlier.len() >= max_attempts as usize {
-            self.broken(
+            self.report(
                 Invariant::Attempts,
                 format!("{id:?}: attempt {} of {max_attempts}", earlier.len() + 1),
             );
         }
         if earlier.iter().any(|attempt| attempt.outcome.is_none()) {
-            self.broken(Invariant::OneOut, format!("{id:?}: two attempts in flight at {now}: {earlier:?}"));
+            self.report(
+                Invariant::OneAttemptInFlight,
+                format!("{id:?}: two attempts in flight at {now}: {earlier:?}"),
+            );
         }
         for first in earlier.iter().filter(|attempt| attempt.may_have_run()) {
             let harmless = match idempotency {
@@ -238,29 +243,29 @@
             if !harmless {
                 let detail =
                     format!("{id:?}, {idempotency:?}: sent to {locality:?} at {now} after {first:?}");
-                return self.broken(Invariant::NoEffectTwice, detail);
+                return self.report(Invariant::AtMostOneEffect, detail);
             }
         }
     }
 
-    fn answer(&mut self, now: Micros, id: RequestId, refusal: bool) {
+    fn answer(&mut self, now: Micros, id: RequestId, is_rejection: bool) {
         let Some(state) = self.requests.get_mut(&id) else {
-            return self.broken(Invariant::Answered, format!("{id:?} is answered, but was never requested"));
+            return self.report(Invariant::Answered, format!("{id:?} is answered, but was never requested"));
         };
-        let over = state.over.replace("it is answered");
+        let settled = state.settled.replace("it is answered");
         let (idempotency, deadline, attempts) = (state.idempotency, state.deadline, state.attempts.clone());
-        if let Some(why) = over {
-            self.broken(Invariant::Answered, format!("{id:?} is answered at {now}, but {why}"));
+        if let Some(why) = settled {
+            self.report(Invariant::Answered, format!("{id:?} is answered at {now}, but {why}"));
         }
-        if let Some(late) = deadline.map(|at| now - at).filter(|late| *late > self.figures.slack) {
-            self.broken(Invariant::Answered, format!("{id:?} is answered {late} us after its deadline"));
+        if let Some(late) = deadline.map(|at| now - at).filter(|late| *late > self.parameters.slack) {
+            self.report(Invariant::Answered, format!("{id:?} is answered {late} us after its deadline"));
         }
         let may_have_run = attempts.iter().any(Attempt::may_have_run);
-        let fair =
+        let may_reject =
             matches!(idempotency, Idempotency::Idempotent | Idempotency::Keyed { scope: Scope::All, .. });
-        if refusal && may_have_run && !fair {
-            self.broken(
-                Invariant::NoEffectTwice,
+        if is_rejection && may_have_run && !may_reject {
+            self.report(
+                Invariant::AtMostOneEffect,
                 format!("{id:?}, {idempotency:?}: rejected after {attempts:?}"),
             );
         }
@@ -269,36 +274,36 @@
     // ---- time ----
 
     /// Records that time has advanced to `now`, and checks for answers that are overdue.
-    pub fn passed(&mut self, now: Micros) {
-        let slack = self.figures.slack;
+    pub fn advance_to(&mut self, now: Micros) {
+        let slack = self.parameters.slack;
         let mut broken = Vec::new();
-        for (id, state) in self.requests.iter_mut().filter(|(_, state)| state.over.is_none()) {
-            let out = state.attempts.iter().any(|attempt| attempt.outcome.is_none());
+        for (id, state) in self.requests.iter_mut().filter(|(_, state)| state.settled.is_none()) {
+            let in_flight = state.attempts.iter().any(|attempt| attempt.outcome.is_none());
             if let Some(at) = state.deadline.filter(|at| now > at.saturating_add(slack)) {
                 broken.push((
                     Invariant::Answered,
                     format!("{id:?} has no answer at {now}, its deadline was {at}"),
                 ));
-                state.over = Some("it is lost");
-            } else if self.shutdown.is_some_and(|at| now > at) && !out {
+                state.settled = Some("it is lost");
+            } else if self.shutdown.is_some_and(|at| now > at) && !in_flight {
                 broken.push((
                     Invariant::ShuttingDown,
                     format!("{id:?} is still queued at {now}, during the shutdown"),
                 ));
-                state.over = Some("it is lost");
+                state.settled = Some("it is lost");
             }
         }
-        broken.into_iter().for_each(|(rule, detail)| self.broken(rule, detail));
+        broken.into_iter().for_each(|(invariant, detail)| self.report(invariant, detail));
         // Finished requests are kept, so that a second answer to one of them is detected.
     }
 
     /// Checks at the end of the simulation that each request was answered. The simulation leaves enough time
     /// for all answers.
-    pub fn end(&mut self) {
-        let owed: Vec<RequestId> =
-            self.requests.iter().filter(|(_, state)| state.over.is_none()).map(|(id, _)| *id).collect();
-        for id in owed {
-            self.broken(Invariant::Answered, format!("{id:?} was never answered"));
+    pub fn finish(&mut self) {
+        let unanswered: Vec<RequestId> =
+            self.requests.iter().filter(|(_, state)| state.settled.is_none()).map(|(id, _)| *id).collect();
+        for id in unanswered {
+            self.report(Invariant::Answered, format!("{id:?} was never answered"));
         }
     }
 }
--- a/crates/decision/tests/any_settings/main.rs
+++ b/crates/decision/tests/any_settings/main.rs
@@ -17,13 +17,13 @@
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, TestRng, TestRunner};
-use simulation::{Counts, play};
+use simulation::{Counts, simulate};
 use std::collections::BTreeSet;
 use strategies::{Plan, plan};
 
-/// Returns the number of simulations: the environment variable `PLAYS`, or `usual` if it is not set.
-fn plays(usual: u32) -> u32 {
-    std::env::var("PLAYS").ok().and_then(|plays| plays.parse().ok()).unwrap_or(usual)
+/// Returns the number of simulations: the environment variable `PLAYS`, or `default` if it is not set.
+fn case_count(default: u32) -> u32 {
+    std::env::var("PLAYS").ok().and_then(|count| count.parse().ok()).unwrap_or(default)
 }
 
 /// Returns plans that are the same in each run.
@@ -35,11 +35,11 @@
 }
 
 proptest! {
-    #![proptest_config(Config { cases: plays(256), failure_persistence: None, ..Config::default() })]
+    #![proptest_config(Config { cases: case_count(256), failure_persistence: None, ..Config::default() })]
 
     #[test]
     fn keeps_invariants_under_any_settings(plan in plan()) {
-        let (_, violations) = play(&plan, None);
+        let (_, violations) = simulate(&plan, None);
         prop_assert!(violations.is_empty(), "seed {}: {violations:#?}", plan.seed);
     }
 }
@@ -48,22 +48,31 @@
 #[test]
 fn simulations_exercise_each_invariant() {
     let mut all = Counts::default();
-    for plan in plans(plays(200)) {
-        let (counts, violations) = play(&plan, None);
+    for plan in plans(case_count(200)) {
+        let (counts, violations) = simulate(&plan, None);
         assert!(violations.is_empty(), "seed {}: {violations:#?} in {plan:#?}", plan.seed);
         all.sent += counts.sent;
         all.retries_after_a_run += counts.retries_after_a_run;
         all.suppressed_writes += counts.suppressed_writes;
-        all.up += counts.up;
+        all.established += counts.established;
         all.rejected += counts.rejected;
         all.failed += counts.failed;
-        all.left += counts.left;
+        all.clients_left += counts.clients_left;
         all.answered_at_shutdown += counts.answered_at_shutdown;
         all.drains += counts.drains;
     }
     println!("{all:?}");
-    let Counts { sent, retries_after_a_run, suppressed_writes, up, rejected, failed, left, .. } = all;
-    let often = [sent, retries_after_a_run, up, rejected, failed, left, all.drains];
+    let Counts {
+        sent,
+        retries_after_a_run,
+        suppressed_writes,
+        established,
+        rejected,
+        failed,
+        clients_left,
+        ..
+    } = all;
+    let often = [sent, retries_after_a_run, established, rejected, failed, clients_left, all.drains];
     assert!(often.iter().all(|count| *count >= 100), "{all:?}");
     assert!(suppressed_writes >= 3 && all.answered_at_shutdown >= 20, "{all:?}");
 }
@@ -71,13 +80,13 @@
 /// The checker detects the invariant that each mutant breaks.
 #[test]
 fn checker_detects_each_mutant() {
-    let plans = plans(plays(150));
-    for (mutant, rule) in mutants::ALL {
+    let plans = plans(case_count(150));
+    for (mutant, invariant) in mutants::ALL {
         let named: BTreeSet<Invariant> = (plans.iter())
-            .flat_map(|plan| play(plan, Some(mutant)).1)
-            .map(|violation| violation.rule)
+            .flat_map(|plan| simulate(plan, Some(mutant)).1)
+            .map(|violation| violation.invariant)
             .collect();
-        assert!(named.contains(&rule), "{mutant:?} breaks {rule:?}, the checker names {named:?}");
+        assert!(named.contains(&invariant), "{mutant:?} breaks {invariant:?}, the checker names {named:?}");
         println!("{mutant:?}: {named:?}");
     }
 }
--- a/crates/decision/tests/any_settings/mutants.rs
+++ b/crates/decision/tests/any_settings/mutants.rs
@@ -11,15 +11,15 @@
     IgnoresWakeUp,
     SendsTwice,
     MakesExtraAttempt,
-    TakesErrorsForRejections,
-    ForgetsTheWindow,
-    ForgetsTheScope,
+    TreatsErrorsAsRejections,
+    IgnoresIdempotencyWindow,
+    IgnoresIdempotencyScope,
     IgnoresWriteDeadline,
-    RejectsWhatFailed,
-    MissesDrains,
-    MissesVerdicts,
-    MissesClosedClients,
-    MissesShutdown,
+    RejectsInsteadOfFailing,
+    IgnoresDraining,
+    IgnoresRules,
+    IgnoresClosedClients,
+    IgnoresShutdown,
     QueuesAtShutdown,
 }
 
@@ -27,17 +27,17 @@
     (Mutant::DropsAnswers, Invariant::Answered),
     (Mutant::AnswersTwice, Invariant::Answered),
     (Mutant::IgnoresWakeUp, Invariant::Answered),
-    (Mutant::SendsTwice, Invariant::OneOut),
+    (Mutant::SendsTwice, Invariant::OneAttemptInFlight),
     (Mutant::MakesExtraAttempt, Invariant::Attempts),
-    (Mutant::TakesErrorsForRejections, Invariant::NoEffectTwice),
-    (Mutant::ForgetsTheWindow, Invariant::NoEffectTwice),
-    (Mutant::ForgetsTheScope, Invariant::NoEffectTwice),
-    (Mutant::IgnoresWriteDeadline, Invariant::NoEffectTwice),
-    (Mutant::RejectsWhatFailed, Invariant::NoEffectTwice),
-    (Mutant::MissesDrains, Invariant::Draining),
-    (Mutant::MissesVerdicts, Invariant::RulesObeyed),
-    (Mutant::MissesClosedClients, Invariant::ClientClosed),
-    (Mutant::MissesShutdown, Invariant::ShuttingDown),
+    (Mutant::TreatsErrorsAsRejections, Invariant::AtMostOneEffect),
+    (Mutant::IgnoresIdempotencyWindow, Invariant::AtMostOneEffect),
+    (Mutant::IgnoresIdempotencyScope, Invariant::AtMostOneEffect),
+    (Mutant::IgnoresWriteDeadline, Invariant::AtMostOneEffect),
+    (Mutant::RejectsInsteadOfFailing, Invariant::AtMostOneEffect),
+    (Mutant::IgnoresDraining, Invariant::Draining),
+    (Mutant::IgnoresRules, Invariant::CompliesWithRules),
+    (Mutant::IgnoresClosedClients, Invariant::ClientClosed),
+    (Mutant::IgnoresShutdown, Invariant::ShuttingDown),
     (Mutant::QueuesAtShutdown, Invariant::ShuttingDown),
 ];
 
@@ -47,8 +47,10 @@
         for class in &mut settings.classes {
             match (self, &mut class.idempotency) {
                 (Mutant::MakesExtraAttempt, _) => class.attempts += 1,
-                (Mutant::ForgetsTheWindow, Idempotency::Keyed { window, .. }) => *window = i64::MAX / 4,
-                (Mutant::ForgetsTheScope, Idempotency::Keyed { scope, .. }) => *scope = Scope::All,
+                (Mutant::IgnoresIdempotencyWindow, Idempotency::Keyed { window, .. }) => {
+                    *window = i64::MAX / 4
+                }
+                (Mutant::IgnoresIdempotencyScope, Idempotency::Keyed { scope, .. }) => *scope = Scope::All,
                 _ => {}
             }
         }
@@ -58,44 +60,44 @@
     /// Returns the event that the mutant passes to the module; `None` if it drops the event.
     pub fn event(self, event: Event) -> Option<Event> {
         match (self, event) {
-            (Mutant::MissesClosedClients, Event::ClientClosed(_)) => None,
-            (Mutant::MissesClosedClients, Event::Ended { request, attempt, server, outcome, .. }) => {
+            (Mutant::IgnoresClosedClients, Event::ClientClosed(_)) => None,
+            (Mutant::IgnoresClosedClients, Event::Ended { request, attempt, server, outcome, .. }) => {
                 Some(Event::Ended { request, attempt, server, outcome, last: false })
             }
-            (Mutant::MissesShutdown | Mutant::QueuesAtShutdown, Event::ShuttingDown) => None,
-            (Mutant::MissesDrains, Event::List { full: false, copy, mut entries }) => {
+            (Mutant::IgnoresShutdown | Mutant::QueuesAtShutdown, Event::ShuttingDown) => None,
+            (Mutant::IgnoresDraining, Event::List { full: false, copy, mut entries }) => {
                 entries.iter_mut().for_each(|entry| entry.state = ServerState::Ready);
                 Some(Event::List { full: false, copy, entries })
             }
             (
-                Mutant::TakesErrorsForRejections,
+                Mutant::TreatsErrorsAsRejections,
                 Event::Ended { request, attempt, server, outcome: Outcome::Error, last },
             ) => Some(Event::Ended { request, attempt, server, outcome: Outcome::Full, last }),
             (_, event) => Some(event),
         }
     }
 
-    /// Returns the actions that the mutant takes instead of the module's. `ends` is true after the start of
-    /// the shutdown.
-    pub fn actions(self, ends: bool, actions: Vec<Action>) -> Vec<Action> {
-        let mut done = Vec::new();
+    /// Returns the actions that the mutant takes instead of the module's. `shutting_down` is true after the
+    /// start of the shutdown.
+    pub fn actions(self, shutting_down: bool, actions: Vec<Action>) -> Vec<Action> {
+        let mut altered = Vec::new();
         for action in actions {
             let is_answer = matches!(action, Action::Reject { .. } | Action::Fail { .. });
             match (self, action) {
                 (Mutant::DropsAnswers, _) if is_answer => {}
-                (Mutant::AnswersTwice, answer) if is_answer => done.extend([answer.clone(), answer]),
+                (Mutant::AnswersTwice, answer) if is_answer => altered.extend([answer.clone(), answer]),
                 (Mutant::IgnoresWakeUp, Action::Timer { token: 0, .. }) => {}
-                (Mutant::QueuesAtShutdown, Action::Send { .. }) if ends => {}
-                (Mutant::SendsTwice, send @ Action::Send { .. }) => done.extend([send.clone(), send]),
+                (Mutant::QueuesAtShutdown, Action::Send { .. }) if shutting_down => {}
+                (Mutant::SendsTwice, send @ Action::Send { .. }) => altered.extend([send.clone(), send]),
                 (Mutant::IgnoresWriteDeadline, Action::Send { request, server, timeout, .. }) => {
-                    done.push(Action::Send { request, server, timeout, before: None });
+                    altered.push(Action::Send { request, server, timeout, before: None });
                 }
-                (Mutant::RejectsWhatFailed, Action::Fail { request, reason }) => {
-                    done.push(Action::Reject { request, retry_after: 0, reason });
+                (Mutant::RejectsInsteadOfFailing, Action::Fail { request, reason }) => {
+                    altered.push(Action::Reject { request, retry_after: 0, reason });
                 }
-                (_, action) => done.push(action),
+                (_, action) => altered.push(action),
             }
         }
-        done
+        altered
     }
 }
--- a/crates/decision/tests/any_settings/routing_verdicts.rs
+++ b/crates/decision/tests/any_settings/routing_verdicts.rs
@@ -14,24 +14,24 @@
 impl RandomVerdicts {
     pub fn verdict(self, now: Micros, id: RequestId) -> RoutingVerdict {
         let second = (now / S) as u64;
-        let mix =
+        let mixed =
             self.seed ^ id.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ second.wrapping_mul(0xd6e8_feb8_6659_fd93);
-        let mut z = (mix ^ (mix >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
+        let mut z = (mixed ^ (mixed >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
         z ^= z >> 32;
         let set = |bits: u64| {
-            let some = (0..self.servers).filter(|server| bits >> (server % 16) & 1 == 1).map(ServerId);
-            Some(Arc::new(some.collect::<ServerSet>()))
+            let members = (0..self.servers).filter(|server| bits >> (server % 16) & 1 == 1).map(ServerId);
+            Some(Arc::new(members.collect::<ServerSet>()))
         };
-        let mut ruling = RoutingVerdict::default();
+        let mut verdict = RoutingVerdict::default();
         match z % 8 {
-            0 => ruling.allowed = set(z >> 8),
-            1 => ruling.preferred = set(z >> 8),
-            2 => ruling.attempts = (z >> 8) as u32 % 4,
-            3 => ruling.not_before = Some((second as Micros) * S + (z >> 8) as Micros % (3 * S)),
-            4 if z >> 8 & 3 == 0 => ruling.refuse = Some((z >> 16) as Micros % (500 * MS)),
+            0 => verdict.allowed = set(z >> 8),
+            1 => verdict.preferred = set(z >> 8),
+            2 => verdict.attempts = (z >> 8) as u32 % 4,
+            3 => verdict.not_before = Some((second as Micros) * S + (z >> 8) as Micros % (3 * S)),
+            4 if z >> 8 & 3 == 0 => verdict.refuse = Some((z >> 16) as Micros % (500 * MS)),
             _ => {}
         }
-        ruling
+        verdict
     }
 }
 
--- a/crates/decision/tests/any_settings/strategies.rs
+++ b/crates/decision/tests/any_settings/strategies.rs
@@ -20,13 +20,13 @@
     pub requests: u32,
     pub grace: Micros,
     /// Percentage of list calls that fail.
-    pub list_fails: u64,
+    pub list_failure_percent: u64,
     /// Percentage of clients that leave early.
-    pub clients_leave: u64,
+    pub client_leave_percent: u64,
     /// Percentage of servers that are faulty.
-    pub faulty: u64,
+    pub faulty_percent: u64,
     /// Whether the node has routing rules.
-    pub under_rules: bool,
+    pub has_rules: bool,
     /// Time from the start to the shutdown of the node; `None`: the node does not shut down.
     pub shutdown: Option<Micros>,
 }
@@ -51,29 +51,29 @@
         attempts in 1..=5_u32,
         idempotency in idempotency(),
         priority_weight in prop_oneof![Just(0.0), Just(1.0), 0.0..1e6],
-        told in prop_oneof![5 => Just(100), 2 => 1..=100_i64, 1 => Just(0)],
+        percent in prop_oneof![5 => Just(100), 2 => 1..=100_i64, 1 => Just(0)],
     ) -> (Class, Option<Micros>) {
         // The request states the whole deadline, a part of it, or no deadline.
-        let left = (deadline > 0 && told > 0).then(|| (deadline / 100 * told).max(1));
+        let left = (deadline > 0 && percent > 0).then(|| (deadline / 100 * percent).max(1));
         (Class { target, deadline, message_latency_objective, attempts, idempotency, priority_weight }, left)
     }
 }
 
-fn figure() -> impl Strategy<Value = f64> {
+fn number() -> impl Strategy<Value = f64> {
     prop_oneof![Just(0.0), Just(1.0), Just(0.001), 0.0..1.0, 1.0..50.0, Just(1e12)]
 }
 
 prop_compose! {
     fn limits()(
-        tenants in prop_oneof![Just(Vec::new()), prop::collection::vec((figure(), figure()), 1..5)],
+        tenants in prop_oneof![Just(Vec::new()), prop::collection::vec((number(), number()), 1..5)],
         nodes in prop_oneof![Just(1_u32), 1..=10_u32, 1..=300_u32],
         ordinal in 0..300_u32,
         flags in any::<[bool; 6]>(),
         step in prop_oneof![Just(0), 1..=5 * MS],
         max_retry_after in prop_oneof![Just(0), 1..=10 * S],
-        cold in (figure(), prop_oneof![Just(0), 1..=20 * S], figure(), prop_oneof![Just(0), 1..=5 * S]),
+        slow_start in (number(), prop_oneof![Just(0), 1..=20 * S], number(), prop_oneof![Just(0), 1..=5 * S]),
         prices in (prop_oneof![Just(0.0), 0.0..1.0], prop_oneof![Just(0.0), 0.0..1.0]),
-        over_quota_weight in figure(),
+        over_quota_weight in number(),
     ) -> Settings {
         let tenant = |(allowance_per_s, allowance_open)| Tenant { allowance_per_s, allowance_open };
         Settings {
@@ -91,10 +91,10 @@
             weighted: flags[4],
             retry_after: flags[5],
             max_retry_after,
-            slow_start_from: cold.0,
-            slow_start_window: cold.1,
-            overload_multiple: cold.2,
-            overload_window: cold.3,
+            slow_start_from: slow_start.0,
+            slow_start_window: slow_start.1,
+            overload_multiple: slow_start.2,
+            overload_window: slow_start.3,
             probes: false,
             report_load: None,
             probe_price: prices.0,
@@ -114,15 +114,15 @@
         requests in 1..=80_u32,
         grace in prop_oneof![Just(0), 1..=S],
         faults in (0..=60_u64, 0..=30_u64, 0..=100_u64),
-        under_rules in any::<bool>(),
+        has_rules in any::<bool>(),
         shutdown in prop_oneof![3 => Just(None), 1 => (0..=13 * S).prop_map(Some)],
     ) -> Plan {
         let (classes, patience) = classes.into_iter().unzip();
         let settings = Settings { classes, ..limits };
-        let (list_fails, clients_leave, faulty) = faults;
+        let (list_failure_percent, client_leave_percent, faulty_percent) = faults;
         Plan {
-            seed, settings, patience, servers, zones, cells, requests, grace, list_fails, clients_leave, faulty,
-            shutdown, under_rules,
+            seed, settings, patience, servers, zones, cells, requests, grace, list_failure_percent,
+            client_leave_percent, faulty_percent, shutdown, has_rules,
         }
     }
 }
--- a/crates/simhost/src/events.rs
+++ b/crates/simhost/src/events.rs
@@ -8,9 +8,9 @@
 use cottonnotch_decision::{Event, Micros, Outcome, Request, RequestId};
 
 /// Bit of a request's `bitmap`: the load hint is valid.
-const LOAD_HINT_HOLDS: u32 = 1;
+const LOAD_HINT_VALID: u32 = 1;
 /// Bits of a request's `bitmap`: the client came back after its connection ended, or it sends a retry.
-const CAME_BACK: u32 = 2 | 16;
+const CLIENT_CAME_BACK: u32 = 2 | 16;
 /// Maximum latency, in microseconds. Longer ones are reduced to this value.
 const MAX_LATENCY_US: f64 = 4e15;
 
@@ -34,35 +34,35 @@
             "ring" => self.read_timer(&mut fields)?,
             _ => return malformed("message", format!("is unknown: '{}'", excerpt(name))),
         };
-        fields.end()?;
+        fields.expect_end()?;
         Ok(event)
     }
 
     fn read_request(&self, fields: &mut Fields) -> Result<Event, MalformedLine> {
         let id = RequestId(fields.number("tid")?);
-        let hint = fields.figure("hint")?;
+        let hint = fields.float("hint")?;
         let party = fields.raw("party")?;
         let left = fields.optional("left")?;
         let group = fields.optional("group")?;
-        let bits = fields.optional("bitmap")?.unwrap_or(0);
+        let bitmap = fields.optional("bitmap")?.unwrap_or(0);
         let class = self.class(fields.text("qos")?)?;
         fields.optional::<u64>("pathKey")?;
         let tenant = self.tenant(party)?;
-        let (load_hint, again) = (load_hint(hint, bits), came_back(bits));
+        let (load_hint, again) = (load_hint(hint, bitmap), came_back(bitmap));
         Ok(Event::Request(Request { id, class, tenant, left, load_hint, group, again }))
     }
 
     fn read_existing(&self, fields: &mut Fields) -> Result<Event, MalformedLine> {
         let id = RequestId(fields.number("tid")?);
         fields.optional::<u64>("pathKey")?;
-        let bits = fields.optional("bitmap")?.unwrap_or(0);
+        let bitmap = fields.optional("bitmap")?.unwrap_or(0);
         let group = fields.optional("group")?;
         let tenant = self.tenant(fields.raw("party")?)?;
         let class = self.class(fields.text("qos")?)?;
         let server = self.server(fields.text("host")?)?;
-        let hint = fields.figure("hint")?;
+        let hint = fields.float("hint")?;
         let left = fields.optional("left")?;
-        let (load_hint, again) = (load_hint(hint, bits), came_back(bits));
+        let (load_hint, again) = (load_hint(hint, bitmap), came_back(bitmap));
         Ok(Event::Open { request: Request { id, class, tenant, left, load_hint, group, again }, server })
     }
 
@@ -89,7 +89,7 @@
     /// milliseconds (sort 2). Other sorts are ignored.
     fn read_heartbeat(&self, fields: &mut Fields) -> Result<Option<Event>, MalformedLine> {
         let request = RequestId(fields.number("tid")?);
-        let value = fields.figure("value")?.unwrap_or(0.0);
+        let value = fields.float("value")?.unwrap_or(0.0);
         let sort: u32 = fields.number("sort")?;
         let server = self.server(fields.text("host")?)?;
         fields.optional::<u32>("copy")?;
@@ -105,10 +105,10 @@
 
     fn read_probed(&self, fields: &mut Fields) -> Result<Event, MalformedLine> {
         let server = self.server(fields.text("host")?)?;
-        let is_good = read_outcome(fields.text("rc")?)? == Outcome::Served;
+        let is_served = read_outcome(fields.text("rc")?)? == Outcome::Served;
         fields.optional::<Micros>("spent")?;
         let values = read_report(fields.raw("feedback")?)?;
-        Ok(Event::Probed { server, report: is_good.then(|| values.unwrap_or_default()) })
+        Ok(Event::Probed { server, report: is_served.then(|| values.unwrap_or_default()) })
     }
 
     /// Reads a datagram from a peer and passes it to the gossip member. The decision module gets no event.
@@ -118,8 +118,8 @@
         // An empty payload is written as `-`, like any other absent value.
         let bytes = if raw == "-" { Ok(Vec::new()) } else { STANDARD.decode(raw) };
         let Ok(bytes) = bytes else { return malformed("raw", "is not base64") };
-        fields.end()?;
-        if let Some(member) = &mut self.member {
+        fields.expect_end()?;
+        if let Some(member) = &mut self.gossip_member {
             member.receive(now, from, &bytes);
         }
         Ok(())
@@ -128,7 +128,7 @@
     /// Reads the expiry of a timer. The timer of the gossip member is no event for the decision module.
     fn read_timer(&self, fields: &mut Fields) -> Result<Option<Event>, MalformedLine> {
         let name = fields.text("name")?;
-        if name == GOSSIP_TIMER && self.member.is_some() {
+        if name == GOSSIP_TIMER && self.gossip_member.is_some() {
             return Ok(None);
         }
         match self.timers.get(name) {
@@ -138,12 +138,12 @@
     }
 }
 
-fn load_hint(hint: Option<f64>, bits: u32) -> Option<f64> {
-    hint.filter(|_| bits & LOAD_HINT_HOLDS != 0)
+fn load_hint(hint: Option<f64>, bitmap: u32) -> Option<f64> {
+    hint.filter(|_| bitmap & LOAD_HINT_VALID != 0)
 }
 
-fn came_back(bits: u32) -> bool {
-    bits & CAME_BACK != 0
+fn came_back(bitmap: u32) -> bool {
+    bitmap & CLIENT_CAME_BACK != 0
 }
 
 fn read_outcome(code: &str) -> Result<Outcome, MalformedLine> {
--- a/crates/simhost/src/fields.rs
+++ b/crates/simhost/src/fields.rs
@@ -4,7 +4,7 @@
 use std::str::FromStr;
 
 /// Maximum number of characters of an invalid text that an error message shows.
-const MAX_SHOWN: usize = 40;
+const MAX_EXCERPT_CHARS: usize = 40;
 
 /// Error for a line that cannot be read: the field, and the problem with it, phrased to follow the field's
 /// name.
@@ -83,7 +83,7 @@
     }
 
     /// Returns the next field as a finite floating-point number; `None` if the field has no value.
-    pub fn figure(&mut self, field: &'static str) -> Result<Option<f64>, MalformedLine> {
+    pub fn float(&mut self, field: &'static str) -> Result<Option<f64>, MalformedLine> {
         match self.optional::<f64>(field)? {
             Some(value) if !value.is_finite() => malformed(field, "is not finite"),
             value => Ok(value),
@@ -100,7 +100,7 @@
     }
 
     /// Checks that the line has no further field.
-    pub fn end(self) -> Result<(), MalformedLine> {
+    pub fn expect_end(self) -> Result<(), MalformedLine> {
         match self.rest {
             None => Ok(()),
             Some(rest) => malformed("end of line", format!("is expected, but found '{}'", excerpt(rest))),
@@ -115,5 +115,5 @@
 
 /// Returns the start of a text, for an error message.
 pub fn excerpt(text: &str) -> String {
-    text.chars().take(MAX_SHOWN).collect()
+    text.chars().take(MAX_EXCERPT_CHARS).collect()
 }
--- a/crates/simhost/src/gossip_member.rs
+++ b/crates/simhost/src/gossip_member.rs
@@ -27,7 +27,7 @@
     /// Servers by the digest of their names; `None` if two names have the same digest.
     servers: BTreeMap<EndpointDigest, Option<ServerId>>,
     /// Number of names that were added to `servers`.
-    digested: usize,
+    digested_names: usize,
     observations: Observations<ServerId>,
     period: Micros,
     next_broadcast: Micros,
@@ -36,9 +36,9 @@
 }
 
 impl GossipMember {
-    /// Returns the member of instance `me`, which broadcasts its state every `period_ms` milliseconds; `None`
-    /// if the period is invalid.
-    pub fn new(period_ms: u32, me: u32, members: u32, seed: u64, now: Micros) -> Option<Self> {
+    /// Returns the member of instance `ordinal`, which broadcasts its state every `period_ms` milliseconds;
+    /// `None` if the period is invalid.
+    pub fn new(period_ms: u32, ordinal: u32, members: u32, seed: u64, now: Micros) -> Option<Self> {
         let section =
             GossipSection { strength: Some(Strength::Address), period_ms, ..GossipSection::default() };
         let settings = Settings { multicast: true, ..section.check().ok()?? };
@@ -46,11 +46,11 @@
         // monotonic.
         let incarnation = u64::try_from(now / 1000).unwrap_or(0) + 1;
         let period = settings.period;
-        let gossip = Gossip::new(settings, Keys::Address, me, members, incarnation, seed, now);
+        let gossip = Gossip::new(settings, Keys::Address, ordinal, members, incarnation, seed, now);
         Some(GossipMember {
             gossip,
             servers: BTreeMap::new(),
-            digested: 0,
+            digested_names: 0,
             observations: Observations::default(),
             period,
             next_broadcast: now + period,
@@ -92,12 +92,12 @@
     }
 
     fn digest_new_names(&mut self, names: &Names) {
-        for number in self.digested..names.len() {
+        for number in self.digested_names..names.len() {
             let digest = EndpointDigest::of(names.name(number as u32));
             let server = Some(ServerId(number as u32));
             self.servers.entry(digest).and_modify(|known| *known = None).or_insert(server);
         }
-        self.digested = names.len();
+        self.digested_names = names.len();
     }
 
     /// Broadcasts the observations that are still recent.
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -106,13 +106,13 @@
         if name == "row" {
             return self.read_row(fields).map(|()| Progress::InBatch);
         }
-        if let Err(late) = self.close_list() {
+        if let Err(error) = self.finish_list() {
             // The previous list lacks rows, but the current line is valid.
-            self.report(&late);
+            self.report(&error);
         }
         match name {
             "batch" => self.begin_batch(fields).map(|()| Progress::InBatch),
-            "your_turn" => fields.end().map(|()| Progress::ReplyDue),
+            "your_turn" => fields.expect_end().map(|()| Progress::ReplyDue),
             _ => self.read_instance_message(name, fields).map(|()| Progress::InBatch),
         }
     }
@@ -124,7 +124,7 @@
 
     fn begin_batch(&mut self, mut fields: Fields) -> Result<(), MalformedLine> {
         let now = fields.number("clock")?;
-        fields.end()?;
+        fields.expect_end()?;
         if now < self.now {
             return malformed("clock", "runs backwards");
         }
@@ -140,7 +140,7 @@
         match name {
             "create" => self.create(node, fields),
             "destroy" => self.destroy(node, fields),
-            "peers_known" => self.open_list(node, fields),
+            "peers_known" => self.begin_list(node, fields),
             _ => self.read_event(node, name, fields),
         }
     }
@@ -157,7 +157,7 @@
     fn destroy(&mut self, node: u64, fields: Fields) -> Result<(), MalformedLine> {
         self.instance(node)?;
         self.instances.remove(&node);
-        fields.end()
+        fields.expect_end()
     }
 
     fn read_event(&mut self, node: u64, name: &str, fields: Fields) -> Result<(), MalformedLine> {
@@ -174,14 +174,14 @@
     }
 
     /// Reads the head of a server list. Its rows follow as separate lines.
-    fn open_list(&mut self, node: u64, mut fields: Fields) -> Result<(), MalformedLine> {
+    fn begin_list(&mut self, node: u64, mut fields: Fields) -> Result<(), MalformedLine> {
         self.instance(node)?;
         let kind = ListKind::read(fields.text("how")?)?;
         fields.optional::<u64>("stamp")?;
         let rows_left = fields.optional("hosts")?.unwrap_or(0);
-        fields.end()?;
+        fields.expect_end()?;
         self.open_list = Some(OpenList { node, kind, rows_left, entries: Vec::new(), is_incomplete: false });
-        if rows_left == 0 { self.close_list() } else { Ok(()) }
+        if rows_left == 0 { self.finish_list() } else { Ok(()) }
     }
 
     fn read_row(&mut self, fields: Fields) -> Result<(), MalformedLine> {
@@ -203,13 +203,13 @@
         };
         self.open_list = Some(list);
         if is_last {
-            self.close_list()?;
+            self.finish_list()?;
         }
         result
     }
 
     /// Passes the list to its instance, with the rows that have arrived. Missing rows are an error.
-    fn close_list(&mut self) -> Result<(), MalformedLine> {
+    fn finish_list(&mut self) -> Result<(), MalformedLine> {
         let Some(list) = self.open_list.take() else { return Ok(()) };
         let (node, rows_left) = (list.node, list.rows_left);
         self.handle(node, list.into_event());
@@ -223,7 +223,7 @@
     fn handle(&mut self, node: u64, event: Event) {
         let Some(instance) = self.instances.get_mut(&node) else { return };
         self.actions.clear();
-        if let Some(member) = &mut instance.member {
+        if let Some(member) = &mut instance.gossip_member {
             member.observe(self.now, &event);
         }
         instance.balancer.handle(self.now, event, &mut self.actions);
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -24,7 +24,7 @@
     /// The tokens of the decision module's timers, by the names of the timers.
     pub timers: HashMap<String, u32>,
     /// The gossip member; `None` if instances don't gossip.
-    pub member: Option<GossipMember>,
+    pub gossip_member: Option<GossipMember>,
 }
 
 impl Instance {
@@ -33,9 +33,9 @@
         let profile = read_profile(profile)?;
         let balancer = Balancer::new(profile.settings.clone(), seed, now);
         let (ordinal, nodes) = (profile.settings.ordinal, profile.settings.nodes);
-        let member = gossip_ms.and_then(|ms| GossipMember::new(ms, ordinal, nodes, seed, now));
+        let gossip_member = gossip_ms.and_then(|ms| GossipMember::new(ms, ordinal, nodes, seed, now));
         let (servers, timers) = (Names::default(), HashMap::new());
-        Ok(Instance { balancer, profile, servers, timers, member })
+        Ok(Instance { balancer, profile, servers, timers, gossip_member })
     }
 
     /// Reads a `row` of the server list.
@@ -45,9 +45,9 @@
         let zone = fields.raw("rackZone")?;
         let host = fields.text("host")?;
         let started = fields.optional("upSince")?.filter(|at| *at != 0);
-        let weight = fields.figure("nominal")?.unwrap_or(1.0);
+        let weight = fields.float("nominal")?.unwrap_or(1.0);
         fields.raw("classOfHost")?;
-        fields.end()?;
+        fields.expect_end()?;
         let zone = ZoneId(self.profile.zones.intern(zone) as u16);
         let digest = digest(host);
         let server = ServerId(self.servers.intern(host));
@@ -55,17 +55,17 @@
     }
 
     /// Does the gossip work that is due, writes its lines, and returns the events for the decision module.
-    pub fn drive_gossip(&mut self, node: u64, now: Micros, to: &mut Vec<u8>) -> io::Result<Vec<Event>> {
-        let Some(member) = &mut self.member else { return Ok(Vec::new()) };
+    pub fn drive_gossip(&mut self, node: u64, now: Micros, output: &mut Vec<u8>) -> io::Result<Vec<Event>> {
+        let Some(member) = &mut self.gossip_member else { return Ok(Vec::new()) };
         member.tick(now, &self.servers);
         let (datagrams, events) = member.drain();
         for datagram in datagrams {
             let peer = datagram.to.map_or(-1, i64::from);
             let raw = STANDARD.encode(datagram.bytes);
-            writeln!(to, "post\tnode-{node}\t{peer}\t{raw}")?;
+            writeln!(output, "post\tnode-{node}\t{peer}\t{raw}")?;
         }
         if let Some(after) = member.next_timer(now) {
-            writeln!(to, "arm\tnode-{node}\t{after}\t{GOSSIP_TIMER}")?;
+            writeln!(output, "arm\tnode-{node}\t{after}\t{GOSSIP_TIMER}")?;
         }
         Ok(events)
     }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -16,11 +16,11 @@
 use std::io::{self, BufRead, Write};
 
 /// Size of the buffer for standard input, in bytes.
-const INPUT_BUFFER: usize = 1 << 16;
+const INPUT_BUFFER_BYTES: usize = 1 << 16;
 
 fn main() -> io::Result<()> {
     let mut host = Host::new(gossip_ms()?);
-    let mut input = io::BufReader::with_capacity(INPUT_BUFFER, io::stdin().lock());
+    let mut input = io::BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
     let mut output = io::stdout().lock();
     let mut line = Vec::new();
     loop {
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -28,7 +28,7 @@
     peers_known\tnode-3\twarm_copy\t1\t2\n\
     row\t0\tRunning\ta\thost_one\t-\t1\tstd\nrow\t0\tRunning\tb\thost_two\t-\t1.5\tstd\nyour_turn\n";
 
-fn after_start(lines: &str) -> (String, String) {
+fn run_after_start(lines: &str) -> (String, String) {
     let (out, err) = run(format!("{START}{lines}").as_bytes());
     (out.strip_prefix("yield\n").expect("the first reply must have no actions").to_owned(), err)
 }
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_request_is_placed_retried_and_ended() {
-    let (out, err) = after_start(
+    let (out, err) = run_after_start(
         "batch\t1000100\njob_in\tnode-3\t9\t-\t-\t800000\t-\t0\tlook\t-\nyour_turn\n\
          batch\t1000200\nresponse\tnode-3\t9\tFULL\t0\t0\thost_two\t90\t-\nyour_turn\n",
     );
@@ -52,16 +52,16 @@
 
 #[test]
 fn killed_and_started_again_within_one_batch() {
-    let again = START.replace("batch\t1000000\n", "batch\t1000500\ndestroy\tnode-3\n");
-    let (out, err) = after_start(&format!(
-        "{again}batch\t1000600\nresponse\tnode-3\t9\tGOOD\t0\t1\thost_one\t90\t-\nyour_turn\n"
+    let restart = START.replace("batch\t1000000\n", "batch\t1000500\ndestroy\tnode-3\n");
+    let (out, err) = run_after_start(&format!(
+        "{restart}batch\t1000600\nresponse\tnode-3\t9\tGOOD\t0\t1\thost_one\t90\t-\nyour_turn\n"
     ));
     assert_eq!((out.as_str(), err.as_str()), ("yield\nyield\n", ""));
 }
 
 #[test]
 fn open_connections_and_notes_are_taken() {
-    let (_, err) = after_start(
+    let (_, err) = run_after_start(
         "batch\t1000100\nexisting\tnode-3\t5\t-\t1\t-\t-\tlook\thost_one\t12000\t-\n\
          heartbeat\tnode-3\t5\t0.5\t1\thost_one\t0\nheartbeat\tnode-3\t5\t700\t2\thost_one\t0\n\
          begun\tnode-3\t5\t0\thost_one\t9250\nsampled\tnode-3\thost_one\tGOOD\t1400\t0.5,2\n\
@@ -94,7 +94,7 @@
         ("ring\tnode-3\tnever-set", "name"),
         ("batch\t5", "clock"),
     ] {
-        let (out, err) = after_start(&format!("batch\t1000100\n{line}\nyour_turn\n"));
+        let (out, err) = run_after_start(&format!("batch\t1000100\n{line}\nyour_turn\n"));
         assert_eq!(out, "yield\n", "{line}");
         assert_eq!(err.lines().count(), 1, "{line} must cause one message: {err}");
         assert!(err.contains(&format!("field {field} ")) && err.starts_with("line "), "{line}: {err}");
