--- a/crates/decision/benches/affinity.rs
+++ b/crates/decision/benches/affinity.rs
@@ -16,16 +16,19 @@
 
 /// Load of one connection, in microseconds of work per second. At this load, 20 million connections use two
 /// fifths of 2,048 nodes of two cores.
-const LOAD: f64 = 80.0;
+const CONNECTION_LOAD_US: f64 = 80.0;
 /// Capacity of a node of two cores, in microseconds of work per second.
-const SIZE: f64 = 2e6;
+const NODE_CAPACITY_US: f64 = 2e6;
 /// Fraction of its capacity that a member of the subset uses for the group.
-const MEMBER_USE: f64 = 0.25;
+const MEMBER_UTILIZATION: f64 = 0.25;
 
 /// Returns the subset size that a group needs. On each node, the group itself costs as much as three
 /// connections.
-fn needed(connections: u64) -> u32 {
-    ((connections as f64 * LOAD / (MEMBER_USE * SIZE - 3.0 * LOAD)).ceil() as u32).max(5)
+fn needed_subset_size(connections: u64) -> u32 {
+    ((connections as f64 * CONNECTION_LOAD_US
+        / (MEMBER_UTILIZATION * NODE_CAPACITY_US - 3.0 * CONNECTION_LOAD_US))
+        .ceil() as u32)
+        .max(5)
 }
 
 fn balancer(ordinal: u32, members: u32, nodes: u32, subset_size: u32) -> Balancer {
@@ -63,16 +66,16 @@
 
 /// Places connections; returns the number of connections on each node, and the time that the placements took,
 /// in seconds.
-fn place(ordinal: u32, members: u32, nodes: u32, subset_size: u32, many: u64) -> (Vec<u64>, f64) {
-    let (mut one, mut out) = (balancer(ordinal, members, nodes, subset_size), Vec::new());
+fn place(ordinal: u32, members: u32, nodes: u32, subset_size: u32, connections: u64) -> (Vec<u64>, f64) {
+    let (mut balancer, mut out) = (balancer(ordinal, members, nodes, subset_size), Vec::new());
     let mut placed = vec![0; nodes as usize];
     let began = Instant::now();
-    for id in 0..many {
+    for id in 0..connections {
         let now = id as Micros * 1_000;
         let id = RequestId(id);
         let (class, group) = (ClassId(0), Some(7));
         let request = Request { id, class, tenant: None, left: None, load_hint: None, group, again: false };
-        one.handle(now, Event::Request(request), &mut out);
+        balancer.handle(now, Event::Request(request), &mut out);
         for action in out.drain(..) {
             if let Action::Send { server, .. } = action {
                 placed[server.0 as usize] += 1;
@@ -83,32 +86,33 @@
 }
 
 fn main() {
-    let given: Vec<String> = std::env::args().collect();
-    let value = |key: &str, usual: u64| {
-        let place = given.iter().position(|word| word == key);
-        place.and_then(|place| given.get(place + 1)?.parse().ok()).unwrap_or(usual)
+    let arguments: Vec<String> = std::env::args().collect();
+    let value = |key: &str, default: u64| {
+        let position = arguments.iter().position(|word| word == key);
+        position.and_then(|position| arguments.get(position + 1)?.parse().ok()).unwrap_or(default)
     };
     let (members, group) = (value("--members", 440), value("--group", 1_000_000));
     // Proxies differ only by their ordinal. By default a few of them are simulated, and the result is scaled
     // up.
-    let played = value("--played", 8).min(members);
+    let simulated = value("--played", 8).min(members);
     for nodes in [90, 256, 1_024, 2_048, 4_096] {
-        for subset_size in [5, needed(group)] {
-            let (mut all, mut seconds) = (vec![0; nodes as usize], 0.0);
+        for subset_size in [5, needed_subset_size(group)] {
+            let (mut placed_on, mut seconds) = (vec![0; nodes as usize], 0.0);
             let each = group / members;
-            for ordinal in 0..played {
-                let ordinal = ordinal * members / played;
+            for ordinal in 0..simulated {
+                let ordinal = ordinal * members / simulated;
                 let (placed, took) = place(ordinal as u32, members as u32, nodes, subset_size, each);
-                all.iter_mut().zip(placed).for_each(|(sum, placed)| *sum += placed);
+                placed_on.iter_mut().zip(placed).for_each(|(sum, placed)| *sum += placed);
                 seconds += took;
             }
-            let fullest = all.iter().copied().max().unwrap_or(0) as f64 * members as f64 / played as f64;
-            let used = all.iter().filter(|count| **count > 0).count();
-            let micros = seconds * 1e6 / (each * played) as f64;
+            let fullest =
+                placed_on.iter().copied().max().unwrap_or(0) as f64 * members as f64 / simulated as f64;
+            let used = placed_on.iter().filter(|count| **count > 0).count();
+            let micros = seconds * 1e6 / (each * simulated) as f64;
             println!(
-                "{{\"members\": {members}, \"played\": {played}, \"group\": {group}, \"nodes\": {nodes}, \"homes\": {subset_size}, \"used\": {used}, \
+                "{{\"members\": {members}, \"played\": {simulated}, \"group\": {group}, \"nodes\": {nodes}, \"homes\": {subset_size}, \"used\": {used}, \
                  \"fullest\": {fullest:.0}, \"of_its_size\": {:.3}, \"placement_us\": {micros:.1}}}",
-                fullest * LOAD / SIZE
+                fullest * CONNECTION_LOAD_US / NODE_CAPACITY_US
             );
         }
     }
--- a/crates/decision/benches/growth.rs
+++ b/crates/decision/benches/growth.rs
@@ -83,12 +83,12 @@
     let event = request(id, groups);
     let start = Instant::now();
     balancer.handle(now, event, out);
-    let took = start.elapsed();
+    let elapsed = start.elapsed();
     let server = sent(out).expect("all servers may be used");
     let request = RequestId(id);
     balancer.handle(now, Event::Established { request, attempt: 0, server, elapsed: 1_000 }, out);
     balancer.handle(now, Event::ClientClosed(request), out);
-    took
+    elapsed
 }
 
 fn quantiles(mut all: Vec<Duration>) -> [f64; 3] {
@@ -96,7 +96,7 @@
     [0, all.len() / 2, all.len() * 99 / 100].map(|at| all[at].as_secs_f64() * 1e6)
 }
 
-fn placements(nodes: u32, groups: bool) {
+fn measure_placements(nodes: u32, groups: bool) {
     let mut now = 100 * S;
     let mut balancer = balancer(nodes, groups, now);
     let mut out = Vec::new();
@@ -111,8 +111,8 @@
 }
 
 /// Measures wake-ups: all render nodes are paused, requests arrive and are queued, and then the pauses end.
-fn wake(nodes: u32, groups: bool) {
-    let (mut holding, mut rings, mut waking, mut placed) = (Vec::new(), Vec::new(), Vec::new(), 0);
+fn measure_wake_up(nodes: u32, groups: bool) {
+    let (mut queueing, mut expiries, mut wake_ups, mut placed) = (Vec::new(), Vec::new(), Vec::new(), 0);
     for _ in 0..WAKES {
         let now = 100 * S + 1_000;
         let mut balancer = balancer(nodes, groups, now);
@@ -125,46 +125,46 @@
         for id in 0..QUEUED {
             balancer.handle(now + 1_000, request(id, groups), &mut out);
         }
-        holding.push(start.elapsed());
+        queueing.push(start.elapsed());
         assert!(sent(&out).is_none(), "{nodes} render nodes: all requests are queued");
         // The timer fires several times before the pauses end, and each time tries to dispatch all queued
         // requests.
         let mut at = now + 1_000;
-        let mut due: Vec<Micros> = timers(&out, at);
+        let mut timers_due: Vec<Micros> = timers(&out, at);
         out.clear();
         while sent(&out).is_none() {
-            due.sort_unstable();
-            at = due.remove(0).max(at);
+            timers_due.sort_unstable();
+            at = timers_due.remove(0).max(at);
             let start = Instant::now();
             balancer.handle(at, Event::Timer(0), &mut out);
-            rings.push(start.elapsed());
-            due.extend(timers(&out, at));
+            expiries.push(start.elapsed());
+            timers_due.extend(timers(&out, at));
         }
         // At the last expiry the pauses were over: one request is placed for each trial that is allowed.
-        waking.extend(rings.pop());
+        wake_ups.extend(expiries.pop());
         placed = out.iter().filter(|action| matches!(action, Action::Send { .. })).count();
         black_box(&out);
     }
-    let [_, holding, _] = quantiles(holding);
-    let [_, futile, _] = quantiles(rings);
-    let [least, median, most] = quantiles(waking);
+    let [_, queueing, _] = quantiles(queueing);
+    let [_, futile, _] = quantiles(expiries);
+    let [least, median, most] = quantiles(wake_ups);
     println!(
-        r#"{{"what":"wake","nodes":{nodes},"groups":{groups},"held":{QUEUED},"n":{WAKES},"hold_all_us":{holding:.0},"futile_us":{futile:.0},"least_us":{least:.0},"median_us":{median:.0},"most_us":{most:.0},"placed":{placed}}}"#
+        r#"{{"what":"wake","nodes":{nodes},"groups":{groups},"held":{QUEUED},"n":{WAKES},"hold_all_us":{queueing:.0},"futile_us":{futile:.0},"least_us":{least:.0},"median_us":{median:.0},"most_us":{most:.0},"placed":{placed}}}"#
     );
 }
 
 fn timers(out: &[Action], now: Micros) -> Vec<Micros> {
-    let wake = |action: &Action| match action {
+    let due_at = |action: &Action| match action {
         Action::Timer { after, token: 0 } => Some(now + after),
         _ => None,
     };
-    out.iter().filter_map(wake).collect()
+    out.iter().filter_map(due_at).collect()
 }
 
 fn main() {
     for groups in [false, true] {
-        NODES.into_iter().for_each(|nodes| placements(nodes, groups));
-        NODES.into_iter().for_each(|nodes| wake(nodes, groups));
+        NODES.into_iter().for_each(|nodes| measure_placements(nodes, groups));
+        NODES.into_iter().for_each(|nodes| measure_wake_up(nodes, groups));
     }
     let mut criterion = Criterion::default().sample_size(20).configure_from_args();
     for nodes in [90, 4_096] {
@@ -173,11 +173,11 @@
         let (mut id, mut out) = (0, Vec::new());
         criterion.bench_function(&format!("a group's placement, {nodes} render nodes"), |bench| {
             bench.iter_custom(|times| {
-                let one = |_| {
+                let place_one = |_| {
                     (id, now) = (id + 1, now + 1_000);
                     place(&mut balancer, now, id, true, &mut out)
                 };
-                (0..times).map(one).sum()
+                (0..times).map(place_one).sum()
             });
         });
     }
--- a/crates/decision/tests/list_clock.rs
+++ b/crates/decision/tests/list_clock.rs
@@ -13,7 +13,7 @@
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
 /// Time from a call to its answer or failure.
-const CALL: Micros = 50 * MS;
+const CALL_DURATION: Micros = 50 * MS;
 /// Time after the last message of a silent watch at which the changes that it misses count as notified.
 const NOTIFIED_WITHIN: Micros = 6 * S;
 /// Time after that notification from which a withdrawn server must get no new connections.
@@ -26,7 +26,7 @@
 
 /// Returns when a new watch of the node answers, and the times of its calls. The last message of the old
 /// watch was at time 0, and the first `failures` calls fail.
-fn answered(node: &mut Balancer, failures: usize) -> (Micros, Vec<Micros>) {
+fn simulate_reopening(node: &mut Balancer, failures: usize) -> (Micros, Vec<Micros>) {
     let mut out = Vec::new();
     let mut now = WATCH_SILENT_AFTER;
     let mut calls = Vec::new();
@@ -38,7 +38,7 @@
         node.handle(now, Event::Timer(token), &mut out);
         assert_eq!(out[0], Action::WatchList);
         calls.push(now);
-        now += CALL;
+        now += CALL_DURATION;
         out.clear();
         if calls.len() > failures {
             return (now, calls);
@@ -58,7 +58,7 @@
                     // This is the case of a watch that falls silent right after a heartbeat, which is an
                     // empty line. If it falls silent right before the next heartbeat, 2 s later, that much
                     // more time is left.
-                    let (after, calls) = answered(&mut node(ordinal, nodes, seed), failures);
+                    let (after, calls) = simulate_reopening(&mut node(ordinal, nodes, seed), failures);
                     worst = worst.max(after);
                     first.push(calls[0]);
                 }
@@ -82,8 +82,9 @@
 fn polls_after_common_silence_are_spread() {
     for (nodes, most) in [(2, 2), (100, 50), (300, 60)] {
         for seed in 0..10 {
-            let mut calls: Vec<Micros> =
-                (0..nodes).map(|ordinal| answered(&mut node(ordinal, nodes, seed), 0).1[0]).collect();
+            let mut calls: Vec<Micros> = (0..nodes)
+                .map(|ordinal| simulate_reopening(&mut node(ordinal, nodes, seed), 0).1[0])
+                .collect();
             calls.sort_unstable();
             let window =
                 |i: usize| calls.iter().filter(|at| (calls[i]..calls[i] + 100 * MS).contains(at)).count();
@@ -110,9 +111,13 @@
         node.handle(now, Event::Timer(token), &mut out);
         calls += 1;
         out.clear();
-        node.handle(now + CALL, Event::List { full: true, copy: false, entries: Vec::new() }, &mut out);
-        node.handle(now + 2 * CALL, Event::ListFailed, &mut out);
-        now += 2 * CALL;
+        node.handle(
+            now + CALL_DURATION,
+            Event::List { full: true, copy: false, entries: Vec::new() },
+            &mut out,
+        );
+        node.handle(now + 2 * CALL_DURATION, Event::ListFailed, &mut out);
+        now += 2 * CALL_DURATION;
     }
     assert!((6..=20).contains(&calls), "{calls} calls in a minute");
     // A subscription that lasted resets the count of failures, so the next failure has the shortest backoff.
@@ -123,9 +128,9 @@
 }
 
 /// Returns the actions of a node after it has loaded the copy of the list that it starts with.
-fn start(ordinal: u32, nodes: u32, pushed: bool) -> Vec<Action> {
-    let asked = Settings { ordinal, nodes, list_on_request: true, ..Settings::default() };
-    let settings = Settings { list_pushed: pushed, ..asked };
+fn actions_after_start(ordinal: u32, nodes: u32, list_pushed: bool) -> Vec<Action> {
+    let polled = Settings { ordinal, nodes, list_on_request: true, ..Settings::default() };
+    let settings = Settings { list_pushed, ..polled };
     let mut out = Vec::new();
     let copy = Event::List { full: true, copy: true, entries: Vec::new() };
     Balancer::new(settings, u64::from(ordinal), 0).handle(0, copy, &mut out);
@@ -136,7 +141,7 @@
 fn pushed_list_is_polled_at_once() {
     for nodes in [1, 5, 300] {
         for ordinal in 0..nodes {
-            let out = start(ordinal, nodes, true);
+            let out = actions_after_start(ordinal, nodes, true);
             assert_eq!(out.first(), Some(&Action::WatchList), "{nodes} nodes: {out:?}");
         }
     }
@@ -145,7 +150,7 @@
 #[test]
 fn requested_list_is_polled_in_turn_after_joint_start() {
     for nodes in [2_u32, 300] {
-        let after = |ordinal| match start(ordinal, nodes, false)[..] {
+        let after = |ordinal| match actions_after_start(ordinal, nodes, false)[..] {
             [Action::Timer { after, .. }] => after,
             ref other => panic!("{other:?}"),
         };
@@ -165,10 +170,10 @@
     node.handle(0, Event::List { full: true, copy: true, entries: Vec::new() }, &mut out);
     let [Action::WatchList, Action::Timer { after: given_up, token }] = out[..] else { panic!("{out:?}") };
     out.clear();
-    node.handle(CALL, Event::ListFailed, &mut out);
+    node.handle(CALL_DURATION, Event::ListFailed, &mut out);
     let [Action::Timer { after, .. }] = out[..] else { panic!("{out:?}") };
     assert!(after < S && after < given_up, "{after}");
     out.clear();
-    node.handle(CALL + after, Event::Timer(token), &mut out);
+    node.handle(CALL_DURATION + after, Event::Timer(token), &mut out);
     assert_eq!(out.first(), Some(&Action::WatchList));
 }
--- a/crates/decision/tests/list_polling.rs
+++ b/crates/decision/tests/list_polling.rs
@@ -18,20 +18,20 @@
 /// Time after which a change that discovery has counts as notified.
 const NOTIFIED_WITHIN: Micros = 6 * S;
 /// Part of that time that must be left when the next call goes out.
-const LEFT: Micros = S;
+const MARGIN: Micros = S;
 /// Time after which a call is rejected or reset, if that happens at once.
-const AT_ONCE: Micros = 5 * MS;
+const REJECTION_DELAY: Micros = 5 * MS;
 
 /// Result of calls while discovery is faulty.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     /// The call is refused, reset, or answered with 503 at once.
-    Refused,
+    RejectedAtOnce,
     /// The call is answered with 503 after this time.
-    Waited(Micros),
+    RejectedAfter(Micros),
     /// The call is accepted, but its answer is missing, stops after the head, or arrives too slowly. The
     /// proxy gives the call up after this time.
-    GivenUp(Micros),
+    GivenUpAfter(Micros),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -39,16 +39,16 @@
     /// Calls per second that discovery answers, one after another.
     rate: f64,
     /// Longest time that a call may wait in the queue. A call that would wait longer is answered with 503.
-    patience: Micros,
+    max_wait: Micros,
     /// Whether that 503 is sent at once, or after the longest waiting time.
-    at_once: bool,
+    rejects_at_once: bool,
     fault: Fault,
     /// When the fault ends.
-    well_from: Micros,
+    fault_ends_at: Micros,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum SimEvent {
     Timer(u32),
     Silent,
     Failed,
@@ -57,38 +57,38 @@
 
 /// Results of the simulation of a fleet.
 #[derive(Debug, Default)]
-struct Seen {
+struct SimulationResult {
     /// Longest time between two consecutive calls of a proxy.
-    gap: Micros,
+    max_call_gap: Micros,
     /// Time from the end of the fault until all proxies had the list.
-    all_notified: Micros,
+    time_to_notify_all: Micros,
     /// Number of calls after the end of the fault.
-    calls_to_well: usize,
+    calls_after_fault: usize,
     /// Number of calls in the busiest second.
-    busiest: usize,
+    max_calls_in_a_second: usize,
 }
 
 /// Simulates a fleet whose watches all receive their last message at time 0, and a discovery that is faulty
 /// until
-/// `well_from`.
-fn play(nodes: u32, discovery: Discovery, seed: u64) -> Seen {
+/// `fault_ends_at`.
+fn simulate(nodes: u32, discovery: Discovery, seed: u64) -> SimulationResult {
     let settings = |ordinal| Settings { ordinal, nodes, list_on_request: true, ..Settings::default() };
     let fleet = (0..nodes).map(|n| Balancer::new(settings(n), seed ^ (u64::from(n) << 20), 0));
     let mut fleet: Vec<Balancer> = fleet.collect();
-    let mut due: BinaryHeap<Reverse<(Micros, u32, Due)>> =
-        (0..nodes).map(|n| Reverse((WATCH_SILENT_AFTER, n, Due::Silent))).collect();
-    let (mut last, mut calls) = (vec![None; nodes as usize], Vec::new());
-    let (mut seen, mut notified, mut free) = (Seen::default(), 0, 0);
+    let mut due: BinaryHeap<Reverse<(Micros, u32, SimEvent)>> =
+        (0..nodes).map(|n| Reverse((WATCH_SILENT_AFTER, n, SimEvent::Silent))).collect();
+    let (mut last_call, mut calls) = (vec![None; nodes as usize], Vec::new());
+    let (mut result, mut notified, mut free) = (SimulationResult::default(), 0, 0);
     let mut recent: VecDeque<Micros> = VecDeque::new();
     while notified < nodes {
         let Reverse((now, n, what)) = due.pop().expect("calls never stop");
         assert!(now < 10 * 60 * S, "seed {seed}, {nodes} proxies, {discovery:?}: {notified} notified");
         let event = match what {
-            Due::Timer(token) => Event::Timer(token),
-            Due::Silent => Event::ListSilent,
-            Due::Failed => Event::ListFailed,
-            Due::Answered => {
-                (notified, seen.all_notified) = (notified + 1, now - discovery.well_from);
+            SimEvent::Timer(token) => Event::Timer(token),
+            SimEvent::Silent => Event::ListSilent,
+            SimEvent::Failed => Event::ListFailed,
+            SimEvent::Answered => {
+                (notified, result.time_to_notify_all) = (notified + 1, now - discovery.fault_ends_at);
                 Event::List { full: false, copy: false, entries: Vec::new() }
             }
         };
@@ -96,30 +96,33 @@
         fleet[n as usize].handle(now, event, &mut out);
         for action in out {
             match action {
-                Action::Timer { after, token } => due.push(Reverse((now + after, n, Due::Timer(token)))),
+                Action::Timer { after, token } => due.push(Reverse((now + after, n, SimEvent::Timer(token)))),
                 Action::WatchList => {
-                    let before: Option<Micros> = last[n as usize].replace(now);
-                    seen.gap = seen.gap.max(before.map_or(0, |before| now - before));
+                    let before: Option<Micros> = last_call[n as usize].replace(now);
+                    result.max_call_gap = result.max_call_gap.max(before.map_or(0, |before| now - before));
                     calls.push(now);
                     recent.push_back(now);
                     while recent.front().is_some_and(|at| now - at > S) {
                         recent.pop_front();
                     }
-                    seen.busiest = seen.busiest.max(recent.len());
-                    seen.calls_to_well += usize::from(now >= discovery.well_from);
-                    let (after, what) = if now < discovery.well_from {
+                    result.max_calls_in_a_second = result.max_calls_in_a_second.max(recent.len());
+                    result.calls_after_fault += usize::from(now >= discovery.fault_ends_at);
+                    let (after, what) = if now < discovery.fault_ends_at {
                         match discovery.fault {
-                            Fault::Refused => (AT_ONCE, Due::Failed),
-                            Fault::Waited(wait) => (wait, Due::Failed),
-                            Fault::GivenUp(wait) => (wait, Due::Silent),
+                            Fault::RejectedAtOnce => (REJECTION_DELAY, SimEvent::Failed),
+                            Fault::RejectedAfter(wait) => (wait, SimEvent::Failed),
+                            Fault::GivenUpAfter(wait) => (wait, SimEvent::Silent),
                         }
                     } else {
                         let begins = free.max(now);
-                        if begins - now > discovery.patience {
-                            (if discovery.at_once { AT_ONCE } else { discovery.patience }, Due::Failed)
+                        if begins - now > discovery.max_wait {
+                            (
+                                if discovery.rejects_at_once { REJECTION_DELAY } else { discovery.max_wait },
+                                SimEvent::Failed,
+                            )
                         } else {
                             free = begins + (S as f64 / discovery.rate) as Micros;
-                            (free - now, Due::Answered)
+                            (free - now, SimEvent::Answered)
                         }
                     };
                     due.push(Reverse((now + after, n, what)));
@@ -128,11 +131,11 @@
             }
         }
     }
-    seen
+    result
 }
 
-/// Fleets: the number of proxies, and the rate, patience and `at_once` of discovery. The rates are those that
-/// discovery was observed to sustain at about that fleet size.
+/// Fleets: the number of proxies, and the rate, `max_wait` and `rejects_at_once` of discovery. The rates are
+/// those that discovery was observed to sustain at about that fleet size.
 const FLEETS: [(u32, f64, Micros, bool); 5] = [
     (1, 4.0, 800 * MS, true),
     (30, 4.0, 800 * MS, true),
@@ -142,11 +145,11 @@
 ];
 
 const FAULTS: [Fault; 5] = [
-    Fault::Refused,
-    Fault::Waited(800 * MS),
-    Fault::Waited(2 * S),
-    Fault::Waited(3 * S),
-    Fault::GivenUp(UNANSWERED_AFTER),
+    Fault::RejectedAtOnce,
+    Fault::RejectedAfter(800 * MS),
+    Fault::RejectedAfter(2 * S),
+    Fault::RejectedAfter(3 * S),
+    Fault::GivenUpAfter(UNANSWERED_AFTER),
 ];
 
 /// After any outcome of a call, the next call goes out at least one second before a change counts as
@@ -154,44 +157,45 @@
 #[test]
 fn next_poll_leaves_a_second_of_six() {
     let mut worst = Vec::new();
-    for (nodes, rate, patience, at_once) in FLEETS {
+    for (nodes, rate, max_wait, rejects_at_once) in FLEETS {
         for fault in FAULTS {
             // The outages last from a single failed call to half a minute.
             for down in [3, 6, 12, 30] {
                 for seed in 0..4 {
-                    let discovery = Discovery { rate, patience, at_once, fault, well_from: down * S };
-                    let seen = play(nodes, discovery, seed);
-                    println!("{nodes} proxies, {down} s {fault:?}, seed {seed}: {seen:?}");
-                    worst.push((seen.gap, nodes, fault, down, seed));
+                    let discovery =
+                        Discovery { rate, max_wait, rejects_at_once, fault, fault_ends_at: down * S };
+                    let result = simulate(nodes, discovery, seed);
+                    println!("{nodes} proxies, {down} s {fault:?}, seed {seed}: {result:?}");
+                    worst.push((result.max_call_gap, nodes, fault, down, seed));
                 }
             }
         }
     }
     for (nodes, ..) in FLEETS {
-        let of = worst.iter().filter(|(_, n, ..)| *n == nodes).max_by_key(|(gap, ..)| *gap).unwrap();
-        println!("largest gap of {nodes} proxies: {of:?}");
+        let largest = worst.iter().filter(|(_, n, ..)| *n == nodes).max_by_key(|(gap, ..)| *gap).unwrap();
+        println!("largest gap of {nodes} proxies: {largest:?}");
     }
     let worst = worst.iter().max_by_key(|(gap, ..)| *gap).unwrap();
-    assert!(worst.0 <= NOTIFIED_WITHIN - LEFT, "a gap of {} us: {worst:?}", worst.0);
+    assert!(worst.0 <= NOTIFIED_WITHIN - MARGIN, "a gap of {} us: {worst:?}", worst.0);
 }
 
 #[test]
 fn polling_fleet_does_not_overload_discovery() {
-    for (nodes, rate, patience, at_once) in FLEETS {
-        for fault in [Fault::Refused, Fault::Waited(2 * S)] {
+    for (nodes, rate, max_wait, rejects_at_once) in FLEETS {
+        for fault in [Fault::RejectedAtOnce, Fault::RejectedAfter(2 * S)] {
             for seed in 0..4 {
-                let discovery = Discovery { rate, patience, at_once, fault, well_from: 30 * S };
-                let seen = play(nodes, discovery, seed);
-                let notified =
-                    format!("seed {seed}, {nodes} proxies at {rate} a second, {fault:?}: {seen:?}");
-                println!("{notified}");
+                let discovery = Discovery { rate, max_wait, rejects_at_once, fault, fault_ends_at: 30 * S };
+                let result = simulate(nodes, discovery, seed);
+                let context =
+                    format!("seed {seed}, {nodes} proxies at {rate} a second, {fault:?}: {result:?}");
+                println!("{context}");
                 // Discovery needs this time to answer all proxies. A proxy that is rejected last calls again
                 // within the usual time.
                 let least = (f64::from(nodes) / rate * S as f64) as Micros;
-                assert!(seen.all_notified <= least * 3 / 2 + NOTIFIED_WITHIN, "{notified}");
-                assert!(seen.calls_to_well <= 5 * nodes as usize + 5, "{notified}");
+                assert!(result.time_to_notify_all <= least * 3 / 2 + NOTIFIED_WITHIN, "{context}");
+                assert!(result.calls_after_fault <= 5 * nodes as usize + 5, "{context}");
                 // Each proxy makes one call, and two more after the first two backoffs, which are short.
-                assert!(seen.busiest <= 3 * nodes as usize, "{notified}");
+                assert!(result.max_calls_in_a_second <= 3 * nodes as usize, "{context}");
             }
         }
     }
--- a/crates/decision/tests/quota.rs
+++ b/crates/decision/tests/quota.rs
@@ -27,10 +27,10 @@
     // The status covers 100 of 300 nodes, ten of which have half of the connections.
     let shares = (0..100).map(|node| if node < 10 { 0.05 } else { 0.5 / 90.0 });
     let shares: Vec<f64> = shares
-        .map(|quota| {
-            let mut own = Quota::even(300);
-            own.update(0, FleetStatus { nodes: 100.0, demand_share: quota, failure_rate: 0.0 });
-            own.share_of(S, 60.0)
+        .map(|demand_share| {
+            let mut quota = Quota::even(300);
+            quota.update(0, FleetStatus { nodes: 100.0, demand_share, failure_rate: 0.0 });
+            quota.share_of(S, 60.0)
         })
         .collect();
     let sum: f64 = shares.iter().sum();
@@ -71,17 +71,17 @@
 #[test]
 fn conservative_shares_never_exceed_total() {
     for (nodes, side) in [(2_u32, 1_u32), (20, 6), (30, 10), (440, 147)] {
-        let quota = |heard: u32, quota: f64| {
-            let mut own = Quota::even(nodes);
-            own.update(0, FleetStatus { nodes: f64::from(heard), demand_share: quota, failure_rate: 0.0 });
-            own.conservative_share_of(S, 60.0, 1e9)
+        let share = |known_nodes: u32, demand_share: f64| {
+            let mut quota = Quota::even(nodes);
+            quota.update(0, FleetStatus { nodes: f64::from(known_nodes), demand_share, failure_rate: 0.0 });
+            quota.conservative_share_of(S, 60.0, 1e9)
         };
         // On each side one node has all the demand, and the others have none.
-        let of_side = |heard: u32| quota(heard, 1.0) + f64::from(heard - 1) * quota(heard, 0.0);
-        let (whole, cut) = (of_side(nodes), of_side(side) + of_side(nodes - side));
+        let side_total = |nodes: u32| share(nodes, 1.0) + f64::from(nodes - 1) * share(nodes, 0.0);
+        let (whole, cut) = (side_total(nodes), side_total(side) + side_total(nodes - side));
         assert!((whole - 60.0).abs() < 1e-6, "{nodes} nodes: {whole}");
         assert!((cut - 60.0).abs() < 1e-6, "{nodes} nodes, {side} of them cut off: {cut}");
-        assert!((quota(1, 1.0) * f64::from(nodes)) <= 60.0 + 1e-6, "each node knows only itself");
+        assert!((share(1, 1.0) * f64::from(nodes)) <= 60.0 + 1e-6, "each node knows only itself");
     }
 }
 
--- a/crates/decision/tests/routing_rules.rs
+++ b/crates/decision/tests/routing_rules.rs
@@ -19,21 +19,21 @@
 
 /// Routing rules with a fixed verdict, which the test can change while the module uses them.
 #[derive(Clone, Debug, Default)]
-struct FixedVerdict(Rc<RefCell<Inner>>);
+struct FixedVerdict(Rc<RefCell<RulesState>>);
 
 #[derive(Debug, Default)]
-struct Inner {
+struct RulesState {
     verdict: RoutingVerdict,
     evaluations: usize,
     sent: Vec<ServerId>,
-    sticky: BTreeMap<RequestId, Stickiness>,
+    stickiness: BTreeMap<RequestId, Stickiness>,
 }
 
 impl RoutingRules for FixedVerdict {
     fn evaluate(&mut self, _: Micros, _: &Request) -> RoutingVerdict {
-        let mut inner = self.0.borrow_mut();
-        inner.evaluations += 1;
-        inner.verdict.clone()
+        let mut state = self.0.borrow_mut();
+        state.evaluations += 1;
+        state.verdict.clone()
     }
 
     fn record_attempt(&mut self, _: Micros, _: &Request, server: ServerId) {
@@ -41,7 +41,7 @@
     }
 
     fn stickiness(&mut self, _: Micros, request: &Request, _: ServerId) -> Option<Stickiness> {
-        self.0.borrow().sticky.get(&request.id).copied()
+        self.0.borrow().stickiness.get(&request.id).copied()
     }
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-fn under(settings: Settings, servers: u32) -> (Node, FixedVerdict) {
+fn node_with_rules(settings: Settings, servers: u32) -> (Node, FixedVerdict) {
     let rules = FixedVerdict::default();
     let mut node = Node::new(settings.clone(), 0);
     node.balancer = Balancer::new(settings, 7, node.now).with_rules(Box::new(rules.clone()));
@@ -60,19 +60,19 @@
     (node, rules)
 }
 
-fn only(servers: &[u32]) -> Option<Arc<ServerSet>> {
+fn server_set(servers: &[u32]) -> Option<Arc<ServerSet>> {
     Some(Arc::new(servers.iter().copied().map(ServerId).collect()))
 }
 
-fn allow(servers: &[u32]) -> RoutingVerdict {
-    RoutingVerdict { allowed: only(servers), ..RoutingVerdict::default() }
+fn allow_only(servers: &[u32]) -> RoutingVerdict {
+    RoutingVerdict { allowed: server_set(servers), ..RoutingVerdict::default() }
 }
 
 /// Only allowed servers get attempts, even while the allowed ones are full and the others are idle.
 #[test]
 fn forbidden_server_gets_nothing() {
-    let (mut node, rules) = under(settings(Idempotency::Idempotent), 6);
-    rules.set(allow(&[1, 4]));
+    let (mut node, rules) = node_with_rules(settings(Idempotency::Idempotent), 6);
+    rules.set(allow_only(&[1, 4]));
     for id in 0..40 {
         node.run_to(node.now + 20 * MS);
         let at = node.place(id);
@@ -100,8 +100,8 @@
 
 #[test]
 fn rejects_early_without_allowed_server() {
-    let (mut node, rules) = under(settings(Idempotency::Idempotent), 3);
-    rules.set(allow(&[7]));
+    let (mut node, rules) = node_with_rules(settings(Idempotency::Idempotent), 3);
+    rules.set(allow_only(&[7]));
     let answer = node.ask(1, 500 * MS);
     assert!(rejected(&answer), "a request that cannot wait for the next try is rejected at once: {answer:?}");
     node.ask(2, 3 * S);
@@ -111,17 +111,17 @@
 
 #[test]
 fn queued_request_is_reevaluated() {
-    let (mut node, rules) = under(settings(Idempotency::Idempotent), 3);
-    rules.set(allow(&[]));
+    let (mut node, rules) = node_with_rules(settings(Idempotency::Idempotent), 3);
+    rules.set(allow_only(&[]));
     assert_eq!(sent(&node.ask(1, 20 * S)), None);
     node.run_to(node.now + 3 * S);
     let evaluations = rules.0.borrow().evaluations;
     assert!(evaluations >= 3, "{evaluations} evaluations in three seconds");
     // A change of the rules dispatches the queued request at once.
-    rules.set(allow(&[2]));
+    rules.set(allow_only(&[2]));
     assert_eq!(sent(&node.notify(Event::RulesChanged)).map(|(server, _)| server), Some(ServerId(2)));
     // A request that was queued under the old rules is rejected under the new ones.
-    rules.set(allow(&[]));
+    rules.set(allow_only(&[]));
     assert!(!rejected(&node.ask(2, 20 * S)));
     rules.set(RoutingVerdict { refuse: Some(700 * MS), ..RoutingVerdict::default() });
     let answer = node.notify(Event::RulesChanged);
@@ -138,7 +138,7 @@
 #[test]
 fn uncertain_rules_reject_with_retry_after() {
     let uncertain = |after| RoutingVerdict { refuse: Some(after), ..RoutingVerdict::default() };
-    let (mut node, rules) = under(settings(Idempotency::NotIdempotent), 3);
+    let (mut node, rules) = node_with_rules(settings(Idempotency::NotIdempotent), 3);
     rules.set(uncertain(500 * MS));
     let answer = node.ask(1, 20 * S);
     assert_eq!(
@@ -161,7 +161,8 @@
         "the time is limited to the longest one that clients honour"
     );
     // A request that may have run must not be rejected, because a rejection says that a retry is safe.
-    let (mut node, rules) = under(settings(Idempotency::Keyed { scope: Scope::Zone, window: 10 * S }), 3);
+    let (mut node, rules) =
+        node_with_rules(settings(Idempotency::Keyed { scope: Scope::Zone, window: 10 * S }), 3);
     let at = node.place(3);
     rules.set(uncertain(500 * MS));
     let answer = node.end(3, at, Outcome::TimedOut, false);
@@ -170,7 +171,7 @@
 
 #[test]
 fn waits_for_not_before_or_rejects_early() {
-    let (mut node, rules) = under(settings(Idempotency::Idempotent), 3);
+    let (mut node, rules) = node_with_rules(settings(Idempotency::Idempotent), 3);
     let at = node.now + 400 * MS;
     rules.set(RoutingVerdict { not_before: Some(at), ..RoutingVerdict::default() });
     let short = node.ask(1, 300 * MS);
@@ -189,8 +190,9 @@
 
 #[test]
 fn preferred_servers_come_first_without_waiting() {
-    let (mut node, rules) = under(settings(Idempotency::Idempotent), 6);
-    let prefer = |servers: &[u32]| RoutingVerdict { preferred: only(servers), ..RoutingVerdict::default() };
+    let (mut node, rules) = node_with_rules(settings(Idempotency::Idempotent), 6);
+    let prefer =
+        |servers: &[u32]| RoutingVerdict { preferred: server_set(servers), ..RoutingVerdict::default() };
     rules.set(prefer(&[2, 3]));
     for id in 0..200 {
         node.run_to(node.now + 20 * MS);
@@ -206,28 +208,28 @@
     // After the preference is gone, the other servers don't catch up on the turns that they missed.
     node.run_to(node.now + 30 * S);
     rules.set(RoutingVerdict::default());
-    let mut got = [0; 6];
+    let mut placed = [0; 6];
     for id in 400..460 {
         node.run_to(node.now + 100 * MS);
         let at = node.place(id);
         node.begin(id, at);
-        got[at.0 as usize] += 1;
+        placed[at.0 as usize] += 1;
     }
-    assert!(got.iter().all(|n| (6..=14).contains(n)), "{got:?}");
+    assert!(placed.iter().all(|n| (6..=14).contains(n)), "{placed:?}");
 }
 
 #[test]
 fn attempts_are_bounded_by_class_and_rule() {
-    for (by_rule, most) in [(2, 2), (9, 4), (u32::MAX, 4)] {
-        let (mut node, rules) = under(settings(Idempotency::Idempotent), 9);
+    for (by_rule, expected) in [(2, 2), (9, 4), (u32::MAX, 4)] {
+        let (mut node, rules) = node_with_rules(settings(Idempotency::Idempotent), 9);
         rules.set(RoutingVerdict { attempts: by_rule, ..RoutingVerdict::default() });
-        let mut tries = 0;
+        let mut attempts_made = 0;
         let mut last = node.ask(1, 2 * S);
         while let Some((at, _)) = sent(&last) {
-            tries += 1;
+            attempts_made += 1;
             last = node.end(1, at, Outcome::Full, false);
         }
-        assert_eq!(tries, most);
+        assert_eq!(attempts_made, expected);
         assert!(rejected(&last), "{last:?}");
     }
 }
@@ -235,8 +237,8 @@
 #[test]
 fn subset_is_within_allowed_servers() {
     let grouped = Settings { groups: true, ..settings(Idempotency::Idempotent) };
-    let (mut node, rules) = under(grouped, 40);
-    rules.set(allow(&[11, 30]));
+    let (mut node, rules) = node_with_rules(grouped, 40);
+    rules.set(allow_only(&[11, 30]));
     for group in 0..50 {
         let request = Request { group: Some(group), ..request(group, Some(2 * S)) };
         let (at, _) = sent(&node.notify(Event::Request(request))).expect("placed at once");
@@ -248,22 +250,23 @@
 
 #[test]
 fn migration_follows_stickiness() {
-    let (mut node, rules) = under(settings(Idempotency::Idempotent), 1);
+    let (mut node, rules) = node_with_rules(settings(Idempotency::Idempotent), 1);
     node.carry(0..40, 50 * MS);
     for id in 0..40 {
         let stickiness =
             [None, Some(Stickiness::MigrateLast), Some(Stickiness::UntilDrained)][id as usize % 3];
-        rules.0.borrow_mut().sticky.extend(stickiness.map(|stickiness| (RequestId(id), stickiness)));
+        rules.0.borrow_mut().stickiness.extend(stickiness.map(|stickiness| (RequestId(id), stickiness)));
     }
     let mut moved = Vec::new();
     for _ in 0..60 {
         node.run_to(node.now + S);
         moved.extend(migrated(&node.notify(Event::LatencyUpdate { server: ServerId(0), latency: 400 * MS })));
     }
-    let first_last =
+    let first_sticky =
         moved.iter().position(|id| id % 3 == 1).expect("MigrateLast connections are migrated, too");
     assert!(
-        moved[..first_last].iter().all(|id| id % 3 == 0) && moved[first_last..].iter().all(|id| id % 3 == 1)
+        moved[..first_sticky].iter().all(|id| id % 3 == 0)
+            && moved[first_sticky..].iter().all(|id| id % 3 == 1)
     );
     assert_eq!(moved.len(), 27, "UntilDrained connections stay");
     node.notify(Event::List { full: false, copy: false, entries: vec![entry(0, ServerState::Draining)] });
@@ -274,25 +277,26 @@
 /// One step of a random history, in terms that are valid in any state.
 #[derive(Clone, Debug)]
 enum Step {
-    Ask { left: Option<u16>, group: Option<u8> },
+    Request { left: Option<u16>, group: Option<u8> },
     End { which: u8, outcome: u8 },
-    Begin { which: u8 },
+    Establish { which: u8 },
     List { server: u8, state: u8, started: bool },
-    Delay { server: u8, ms: u16 },
-    PeerReport { from: u8, server: u8, well: bool },
+    Latency { server: u8, ms: u16 },
+    PeerReport { from: u8, server: u8, healthy: bool },
     Wait { ms: u16 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         5 => (proptest::option::of(50_u16..4_000), proptest::option::of(0_u8..4))
-            .prop_map(|(left, group)| Step::Ask { left, group }),
+            .prop_map(|(left, group)| Step::Request { left, group }),
         5 => (any::<u8>(), 0_u8..8).prop_map(|(which, outcome)| Step::End { which, outcome }),
-        4 => any::<u8>().prop_map(|which| Step::Begin { which }),
+        4 => any::<u8>().prop_map(|which| Step::Establish { which }),
         1 => (0_u8..8, 0_u8..3, any::<bool>())
             .prop_map(|(server, state, started)| Step::List { server, state, started }),
-        1 => (0_u8..8, 0_u16..400).prop_map(|(server, ms)| Step::Delay { server, ms }),
-        1 => (0_u8..4, 0_u8..8, any::<bool>()).prop_map(|(from, server, well)| Step::PeerReport { from, server, well }),
+        1 => (0_u8..8, 0_u16..400).prop_map(|(server, ms)| Step::Latency { server, ms }),
+        1 => (0_u8..4, 0_u8..8, any::<bool>())
+            .prop_map(|(from, server, healthy)| Step::PeerReport { from, server, healthy }),
         4 => (1_u16..1_500).prop_map(|ms| Step::Wait { ms }),
     ]
 }
@@ -309,23 +313,23 @@
 ];
 
 /// Runs the steps and returns all actions of the node.
-fn play(mut node: Node, steps: &[Step]) -> Vec<Action> {
-    let mut out: Vec<(u64, ServerId)> = Vec::new();
+fn run_steps(mut node: Node, steps: &[Step]) -> Vec<Action> {
+    let mut in_flight: Vec<(u64, ServerId)> = Vec::new();
     for (id, step) in (1..).zip(steps) {
         let before = node.done.len();
         match step {
-            Step::Ask { left, group } => {
+            Step::Request { left, group } => {
                 let left = left.map(|left| Micros::from(left) * MS);
                 let group = group.map(u64::from);
                 node.notify(Event::Request(Request { group, ..request(id, left) }));
             }
-            Step::End { which, outcome } if !out.is_empty() => {
-                let (id, at) = out.remove(usize::from(*which) % out.len());
+            Step::End { which, outcome } if !in_flight.is_empty() => {
+                let (id, at) = in_flight.remove(usize::from(*which) % in_flight.len());
                 let outcome = OUTCOMES[usize::from(*outcome)];
                 node.end(id, at, outcome, outcome == Outcome::Served);
             }
-            Step::Begin { which } if !out.is_empty() => {
-                let (id, at) = out.remove(usize::from(*which) % out.len());
+            Step::Establish { which } if !in_flight.is_empty() => {
+                let (id, at) = in_flight.remove(usize::from(*which) % in_flight.len());
                 node.begin(id, at);
             }
             Step::List { server, state, started } => {
@@ -335,23 +339,23 @@
                 let entries = vec![Entry { started, ..entry(u32::from(*server), state) }];
                 node.notify(Event::List { full: false, copy: false, entries });
             }
-            Step::Delay { server, ms } => {
-                let (server, delay) = (ServerId(u32::from(*server)), Micros::from(*ms) * MS);
-                node.notify(Event::LatencyUpdate { server, latency: delay });
+            Step::Latency { server, ms } => {
+                let (server, latency) = (ServerId(u32::from(*server)), Micros::from(*ms) * MS);
+                node.notify(Event::LatencyUpdate { server, latency });
             }
-            Step::PeerReport { from, server, well } => {
-                let word = if *well { PeerVerdict::Healthy } else { PeerVerdict::Unhealthy };
+            Step::PeerReport { from, server, healthy } => {
+                let verdict = if *healthy { PeerVerdict::Healthy } else { PeerVerdict::Unhealthy };
                 let server = ServerId(u32::from(*server));
-                node.notify(Event::PeerReport { from: u32::from(*from), server, verdict: word });
+                node.notify(Event::PeerReport { from: u32::from(*from), server, verdict });
             }
             Step::Wait { ms } => {
                 node.run_to(node.now + Micros::from(*ms) * MS);
             }
-            Step::End { .. } | Step::Begin { .. } => {}
+            Step::End { .. } | Step::Establish { .. } => {}
         }
         for action in &node.done[before..] {
             if let Action::Send { request, server, .. } = action {
-                out.push((request.0, *server));
+                in_flight.push((request.0, *server));
             }
         }
     }
@@ -368,10 +372,14 @@
     ) {
         let settings = Settings { groups, ..settings(Idempotency::Idempotent) };
         let all: Vec<u32> = (0..8).collect();
-        for verdict in [RoutingVerdict::default(), allow(&all), RoutingVerdict { preferred: only(&all), ..allow(&all) }] {
-            let (node, rules) = under(settings.clone(), 8);
+        for verdict in [
+            RoutingVerdict::default(),
+            allow_only(&all),
+            RoutingVerdict { preferred: server_set(&all), ..allow_only(&all) },
+        ] {
+            let (node, rules) = node_with_rules(settings.clone(), 8);
             rules.set(verdict);
-            prop_assert_eq!(play(Node::new(settings.clone(), 8), &steps), play(node, &steps));
+            prop_assert_eq!(run_steps(Node::new(settings.clone(), 8), &steps), run_steps(node, &steps));
         }
     }
 
@@ -383,17 +391,18 @@
         attempts in 1_u32..4,
     ) {
         let settings = Settings { groups: true, ..settings(Idempotency::Idempotent) };
-        let (node, rules) = under(settings, 8);
-        let servers = |set: &std::collections::BTreeSet<u32>| only(&set.iter().copied().collect::<Vec<_>>());
+        let (node, rules) = node_with_rules(settings, 8);
+        let servers =
+            |set: &std::collections::BTreeSet<u32>| server_set(&set.iter().copied().collect::<Vec<_>>());
         let (allowed_set, preferred) = (servers(&allowed), servers(&preferred));
         rules.set(RoutingVerdict { allowed: allowed_set, preferred, attempts, ..RoutingVerdict::default() });
-        let mut tries = std::collections::BTreeMap::new();
-        for action in play(node, &steps) {
+        let mut attempts_made = std::collections::BTreeMap::new();
+        for action in run_steps(node, &steps) {
             if let Action::Send { request, server, .. } = action {
                 prop_assert!(allowed.contains(&server.0), "{:?} of {:?}", server, allowed);
-                let tries = tries.entry(request).or_insert(0);
-                *tries += 1;
-                prop_assert!(*tries <= attempts);
+                let attempts_made = attempts_made.entry(request).or_insert(0);
+                *attempts_made += 1;
+                prop_assert!(*attempts_made <= attempts);
             }
         }
     }
--- a/crates/decision/tests/settings.rs
+++ b/crates/decision/tests/settings.rs
@@ -112,7 +112,7 @@
     zones=hall-a,hall-b,hall-c,hall-d,hall-e";
 
 /// Reads the example with some values replaced, or with keys removed (`None`).
-fn with(changes: &[(&str, Option<&str>)]) -> Result<Profile, InvalidSetting> {
+fn read_with(changes: &[(&str, Option<&str>)]) -> Result<Profile, InvalidSetting> {
     let mut pairs = Pairs::default();
     for pair in EXAMPLE.split(' ') {
         let (key, value) = pair.split_once('=').expect("a pair");
@@ -127,13 +127,13 @@
     read(&pairs)
 }
 
-fn class_of(changes: &[(&str, Option<&str>)]) -> Class {
-    with(changes).expect("sound").settings.classes[0].clone()
+fn first_class_with(changes: &[(&str, Option<&str>)]) -> Class {
+    read_with(changes).expect("valid settings").settings.classes[0].clone()
 }
 
 #[test]
 fn reads_documented_example() {
-    let Profile { settings, connect_timeout, reports_latency, .. } = with(&[]).expect("sound");
+    let Profile { settings, connect_timeout, reports_latency, .. } = read_with(&[]).expect("valid settings");
     assert_eq!((settings.nodes, settings.classes.len(), settings.tenants.len()), (5, 3, 3));
     assert_eq!(settings.classes[2].target, 500_000);
     assert_eq!(settings.classes[1].message_latency_objective, 60_000);
@@ -146,7 +146,7 @@
 #[test]
 fn rejects_unusable_values() {
     let keyed = ("requestClasses.0.effect", Some("keyed"));
-    for (key, value, trouble) in [
+    for (key, value, problem) in [
         ("policyLimits.mostTries", "0", "is below 1: '0', allowed: 1 or more"),
         ("policyLimits.mostTries", "0.5", "is below 1: '0.5', allowed: 1 or more"),
         ("policyLimits.mostTries", "-3", "is below 1: '-3', allowed: 1 or more"),
@@ -169,22 +169,22 @@
         ("balancers", "-5", "is below 0: '-5', allowed: 0 or more"),
         ("step", "-1", "is below 0: '-1', allowed: 0 or more"),
     ] {
-        let bad = with(&[keyed, (key, Some(value))]).expect_err(key);
+        let error = read_with(&[keyed, (key, Some(value))]).expect_err(key);
         let list = ["familyInfo.messageAim", "familyInfo.tenantQuotaConnections"].contains(&key);
         let path = match key {
             "familyInfo.messageAim" => format!("{key}.2"),
             _ if list => format!("{key}.0"),
             _ => key.to_owned(),
         };
-        assert_eq!((bad.key, bad.problem.as_str()), (path, trouble));
+        assert_eq!((error.key, error.problem.as_str()), (path, problem));
     }
 }
 
 #[test]
 fn error_shows_excerpt_of_value() {
     let long = "x".repeat(5_000);
-    let bad = with(&[("step", Some(&long))]).expect_err("no number");
-    assert!(bad.problem.len() < 120, "{}", bad.problem);
+    let error = read_with(&[("step", Some(&long))]).expect_err("no number");
+    assert!(error.problem.len() < 120, "{}", error.problem);
 }
 
 #[test]
@@ -217,8 +217,8 @@
         ("tenants.count", "0"),
         ("a.key.of.tomorrow", "-7"),
     ] {
-        if let Err(bad) = with(&[(key, Some(value))]) {
-            panic!("{key}={value}: {bad:?}");
+        if let Err(error) = read_with(&[(key, Some(value))]) {
+            panic!("{key}={value}: {error:?}");
         }
     }
 }
@@ -226,14 +226,17 @@
 #[test]
 fn missing_values_allow_least() {
     let idempotency = |value| ("requestClasses.0.effect", value);
-    assert_eq!(class_of(&[idempotency(None)]).idempotency, Idempotency::NotIdempotent);
+    assert_eq!(first_class_with(&[idempotency(None)]).idempotency, Idempotency::NotIdempotent);
     let group = |value| [idempotency(Some("keyed")), ("requestClasses.0.group", value)];
     let window = 5_000_000;
-    assert_eq!(class_of(&group(Some("zone"))).idempotency, Idempotency::Keyed { scope: Scope::Zone, window });
-    assert_eq!(class_of(&group(None)).idempotency, Idempotency::Keyed { scope: Scope::Cell, window });
+    assert_eq!(
+        first_class_with(&group(Some("zone"))).idempotency,
+        Idempotency::Keyed { scope: Scope::Zone, window }
+    );
+    assert_eq!(first_class_with(&group(None)).idempotency, Idempotency::Keyed { scope: Scope::Cell, window });
     let no_window = [idempotency(Some("keyed")), ("requestClasses.0.window", None)];
-    assert_eq!(class_of(&no_window).idempotency, Idempotency::Keyed { scope: Scope::All, window: 0 });
-    assert_eq!(class_of(&[("policyLimits.mostTries", None)]).attempts, 1);
-    let pushed = with(&[("registryMode", None)]).expect("sound").settings;
+    assert_eq!(first_class_with(&no_window).idempotency, Idempotency::Keyed { scope: Scope::All, window: 0 });
+    assert_eq!(first_class_with(&[("policyLimits.mostTries", None)]).attempts, 1);
+    let pushed = read_with(&[("registryMode", None)]).expect("valid settings").settings;
     assert_eq!((pushed.list_on_request, pushed.list_pushed), (false, true));
 }
--- a/crates/decision/tests/size.rs
+++ b/crates/decision/tests/size.rs
@@ -15,7 +15,7 @@
 const MAX_WIDTH: usize = 110;
 
 /// Returns the path of `policy.rs` and of the files in its folder.
-fn files_that_decide() -> Vec<PathBuf> {
+fn policy_files() -> Vec<PathBuf> {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let folder = std::fs::read_dir(source.join("policy")).unwrap().map(|entry| entry.unwrap().path());
     folder.chain([source.join("policy.rs")]).collect()
@@ -23,7 +23,7 @@
 
 #[test]
 fn deciding_files_stay_printable() {
-    let files = files_that_decide();
+    let files = policy_files();
     assert!(files.len() > 1, "{files:?}");
     for path in files {
         let name = path.display();
@@ -53,7 +53,7 @@
         std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/balancer.toml"));
     let text = text.unwrap();
     let policy = text.lines().find(|line| line.starts_with("policy = ")).expect("a list of files");
-    let files = files_that_decide();
+    let files = policy_files();
     for path in &files {
         let file = path.strip_prefix(env!("CARGO_MANIFEST_DIR")).unwrap().display();
         assert!(policy.contains(&format!("\"crates/decision/{file}\"")), "{file} is not listed");
