--- a/crates/cottonnotch/src/rules/node_kinds.rs
+++ b/crates/cottonnotch/src/rules/node_kinds.rs
@@ -1,7 +1,7 @@
 //! The render nodes, grouped by kind: hall and hardware class. A fleet has few kinds, so rules are evaluated for each kind
 //! instead of each node. The set of nodes of given kinds is cached until the next update of the endpoint list.
 
-use cottonnotch_decision::names::unit;
+use cottonnotch_decision::names::hash_to_unit;
 use cottonnotch_decision::{Entry, ServerId, ServerSet, ServerState};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -122,7 +122,7 @@
     /// list compute the same subset. The order equals that of the decision module's affinity subsets.
     pub fn affinity_subset(&self, kinds: &NodeKindSet, group: u64, size: usize) -> ServerSet {
         let rank = |node: &Node| {
-            unit(node.digest ^ group.wrapping_mul(0x9e37_79b9_7f4a_7c15)).powf(1.0 / node.weight)
+            hash_to_unit(node.digest ^ group.wrapping_mul(0x9e37_79b9_7f4a_7c15)).powf(1.0 / node.weight)
         };
         let numbered = (0..).map(ServerId).zip(&self.nodes);
         let mut order: Vec<(f64, ServerId)> = numbered
--- a/crates/cottonnotch/src/rules/routing_verdict.rs
+++ b/crates/cottonnotch/src/rules/routing_verdict.rs
@@ -245,7 +245,7 @@
 
     fn reject(&mut self, retry_after: Micros) -> RoutingVerdict {
         self.rejected_while_uncertain += 1;
-        RoutingVerdict { refuse: Some(retry_after), ..RoutingVerdict::default() }
+        RoutingVerdict { reject_with_retry_after: Some(retry_after), ..RoutingVerdict::default() }
     }
 
     /// Updates the evaluation after a change of the version or of the endpoint list.
--- a/crates/cottonnotch/src/rules/routing_verdict_tests.rs
+++ b/crates/cottonnotch/src/rules/routing_verdict_tests.rs
@@ -230,7 +230,8 @@
 fn uncertainty_follows_owners_and_operators() {
     let rules = "[[rule]]\nname = \"north\"\ntenants = [\"north\"]\nplace = { require = { halls = [\"a\"] } }\n\
          [[rule]]\nname = \"near\"\nplace = { prefer = { hardware = [\"y\"] } }\n";
-    let rejected = |after| RoutingVerdict { refuse: Some(after), ..RoutingVerdict::default() };
+    let rejected =
+        |after| RoutingVerdict { reject_with_retry_after: Some(after), ..RoutingVerdict::default() };
     let (mut verdicts, published) = verdicts(rules);
     let (north, other) = (request(1, 0, Some(0), None), request(2, 0, None, None));
     assert!(verdicts.evaluate(0, &north).preferred.is_some());
--- a/crates/decision/src/affinity.rs
+++ b/crates/decision/src/affinity.rs
@@ -5,7 +5,7 @@
 //! ([`Event::AffinitySubsets`](crate::Event::AffinitySubsets)) and thereby bounds how many sizes are
 //! stored.
 
-use crate::names::unit;
+use crate::names::hash_to_unit;
 use std::collections::BTreeMap;
 
 /// The smallest size of a subset, and the size for groups whose size the embedder did not state.
@@ -41,5 +41,5 @@
 /// Returns a server's score in a group's order, from 0 to 1. The servers with the highest scores form the
 /// subset.
 pub(crate) fn score(group: u64, digest: u64, weight: f64) -> f64 {
-    unit(digest ^ group.wrapping_mul(0x9e37_79b9_7f4a_7c15)).powf(1.0 / weight)
+    hash_to_unit(digest ^ group.wrapping_mul(0x9e37_79b9_7f4a_7c15)).powf(1.0 / weight)
 }
--- a/crates/decision/src/interface/settings.rs
+++ b/crates/decision/src/interface/settings.rs
@@ -169,7 +169,7 @@
 
     /// Returns the longest duration of a set-up that counts as quick: a quarter of the shortest target. A
     /// quick set-up shows that the resource that all set-ups share has capacity left.
-    pub fn quick(&self) -> Micros {
+    pub fn quick_setup_time(&self) -> Micros {
         (0..self.classes.len()).filter_map(|class| self.target(class)).min().unwrap_or(0) / 4
     }
 
--- a/crates/decision/src/list_polling.rs
+++ b/crates/decision/src/list_polling.rs
@@ -54,7 +54,7 @@
 
 impl ListPoller {
     /// Returns the poller of a node in a fleet of `nodes`, before the first poll.
-    pub fn among(nodes: u32) -> Self {
+    pub fn new(nodes: u32) -> Self {
         ListPoller { nodes, ..ListPoller::default() }
     }
 
--- a/crates/decision/src/names.rs
+++ b/crates/decision/src/names.rs
@@ -76,7 +76,7 @@
 
 /// Hashes `x` to a pseudo-random number from 0 to 1 with the finalizer of SplitMix64. The result is the same
 /// on every node.
-pub fn unit(mut x: u64) -> f64 {
+pub fn hash_to_unit(mut x: u64) -> f64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     ((x ^ (x >> 31)) >> 11) as f64 / (1u64 << 53) as f64
--- a/crates/decision/src/policy/balancer.rs
+++ b/crates/decision/src/policy/balancer.rs
@@ -8,7 +8,7 @@
 use crate::affinity::AffinitySubsets;
 use crate::interface::*;
 use crate::list_polling::ListPoller;
-use crate::names::unit;
+use crate::names::hash_to_unit;
 use crate::pending_request::PendingRequest;
 use crate::quota::Quota;
 use crate::rules::RoutingRules;
@@ -50,7 +50,7 @@
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         Balancer {
             quota: Quota::even(settings.nodes),
-            list_poller: ListPoller::among(settings.nodes),
+            list_poller: ListPoller::new(settings.nodes),
             jitter: Jitter { state: seed },
             arrivals: ArrivalRate::new(now),
             setups: SetupPacing::new(now),
@@ -160,7 +160,7 @@
         out: &mut Vec<Action>,
     ) {
         self.add_connection(request, server);
-        self.setups.record_success(now, elapsed <= self.settings.quick());
+        self.setups.record_success(now, elapsed <= self.settings.quick_setup_time());
         if let Some(s) = self.servers.get_mut(server) {
             s.peer_reports.record_own_success(now);
         }
@@ -189,6 +189,6 @@
     /// Returns the next random number, from 0 to 1.
     pub(super) fn draw(&mut self) -> f64 {
         self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        unit(self.state)
+        hash_to_unit(self.state)
     }
 }
--- a/crates/decision/src/policy/dispatch.rs
+++ b/crates/decision/src/policy/dispatch.rs
@@ -78,7 +78,7 @@
             let retry_at = self.next_attempt_at(now, &verdict, limits.dedup_group);
             return self.answer(now, id, retry_at, reason, out);
         }
-        if let Some(after) = verdict.refuse {
+        if let Some(after) = verdict.reject_with_retry_after {
             return self.answer(now, id, now.saturating_add(after), RejectionReason::RejectedByRule, out);
         }
         let not_before = verdict.not_before.unwrap_or(now);
--- a/crates/decision/src/policy/rotation.rs
+++ b/crates/decision/src/policy/rotation.rs
@@ -100,7 +100,7 @@
         let selection =
             select_candidate(&mut self.servers, &self.settings, &self.rotation, now, usual, &constraints);
         self.rotation.mostly_overloaded =
-            2 * selection.overloaded > selection.observed && self.quota.fleet(now).is_none();
+            2 * selection.overloaded > selection.observed && self.quota.fleet_status(now).is_none();
         let (_, server) = selection.best?;
         self.pace_setups(now, usual);
         self.take_turn(id, server, selection.first_due.1)
--- a/crates/decision/src/policy/server_list.rs
+++ b/crates/decision/src/policy/server_list.rs
@@ -6,7 +6,7 @@
 use super::turns::Turn;
 use crate::budget::SetupBudget;
 use crate::interface::*;
-use crate::names::unit;
+use crate::names::hash_to_unit;
 
 impl Balancer {
     /// Handles an update of the list, or the copy of the list that the node had at its start.
@@ -116,7 +116,7 @@
     /// server.
     fn first_turn(&self, now: Micros, entry: &Entry, weight: f64, is_back: bool) -> (Turn, SetupBudget) {
         let phase = f64::from(self.settings.ordinal) / f64::from(self.settings.nodes.max(1));
-        let ring_position = (unit(entry.digest) - phase).rem_euclid(1.0);
+        let ring_position = (hash_to_unit(entry.digest) - phase).rem_euclid(1.0);
         let (next_due, tokens) = if is_back {
             (0.0, (ring_position + self.quota.share_of(now, 1.0)).min(1.0))
         } else {
--- a/crates/decision/src/policy/setup_rates.rs
+++ b/crates/decision/src/policy/setup_rates.rs
@@ -63,7 +63,7 @@
     /// Returns how many set-ups per second this node may send; infinite if they are not limited. In a large
     /// fleet, whose status is known, the speed of this node's last set-up says little.
     pub(super) fn setups_per_s(&self, now: Micros) -> f64 {
-        let is_quick = self.quota.fleet(now).is_none() && self.setups.was_recently_quick(now);
+        let is_quick = self.quota.fleet_status(now).is_none() && self.setups.was_recently_quick(now);
         let allowed = self.settings.allowance_per_s().filter(|_| !is_quick);
         allowed.map_or(f64::INFINITY, |allowed| self.quota.share_of(now, SETUPS * allowed))
     }
--- a/crates/decision/src/quota.rs
+++ b/crates/decision/src/quota.rs
@@ -51,21 +51,21 @@
     }
 
     /// Returns the status of the fleet; `None` if there is none or it is no longer valid.
-    pub fn fleet(&self, now: Micros) -> Option<FleetStatus> {
+    pub fn fleet_status(&self, now: Micros) -> Option<FleetStatus> {
         self.status.filter(|(_, at)| now - at < STATUS_VALID_FOR).map(|(fleet, _)| fleet)
     }
 
     /// Returns the fraction of recent set-ups that failed, 0 to 1: the larger of this node's own (`own`) and
     /// the fleet's.
     pub fn failure_ratio(&self, now: Micros, own_ratio: f64) -> f64 {
-        self.fleet(now).map_or(own_ratio, |fleet| own_ratio.max(fleet.failure_rate))
+        self.fleet_status(now).map_or(own_ratio, |fleet| own_ratio.max(fleet.failure_rate))
     }
 
     /// Returns the multiple of its share of a budget that a node may use. It is above 1 in a large fleet,
     /// which is a fleet that has a status: most other nodes have no client waiting at the moment, and the
     /// shares that they don't use would be lost.
     pub fn idle_factor(&self, now: Micros) -> f64 {
-        if self.fleet(now).is_some() { IDLE_FACTOR } else { 1.0 }
+        if self.fleet_status(now).is_some() { IDLE_FACTOR } else { 1.0 }
     }
 
     /// Returns this node's share of a `total` that the fleet must not exceed. Without a status of
@@ -74,7 +74,7 @@
     /// total, because nodes that the status does not cover are assumed to be running and to use their shares.
     /// Otherwise, each of the two sides of a partition would use the whole total.
     pub fn conservative_share_of(&self, now: Micros, total: f64, own: f64) -> f64 {
-        match self.fleet(now) {
+        match self.fleet_status(now) {
             Some(fleet) if fleet.demand_share.is_finite() && fleet.nodes.is_finite() => {
                 let coverage = fleet.nodes.clamp(1.0, self.nodes) / self.nodes;
                 total * (fleet.demand_share.clamp(0.0, 1.0) * coverage + 1.0 / self.nodes) / 2.0
@@ -87,7 +87,7 @@
     /// Returns this node's share of a `total` of the whole fleet. The shares of all nodes add up to
     /// at most one and a half times the total.
     pub fn share_of(&self, now: Micros, total: f64) -> f64 {
-        let share = match self.fleet(now) {
+        let share = match self.fleet_status(now) {
             Some(fleet) if fleet.demand_share.is_finite() && fleet.nodes.is_finite() => {
                 let even = 1.0 / fleet.nodes.clamp(1.0, self.nodes);
                 fleet.demand_share.clamp(MIN_SHARE_OF_EVEN * even, 1.0)
--- a/crates/decision/src/rules.rs
+++ b/crates/decision/src/rules.rs
@@ -67,13 +67,19 @@
     pub not_before: Option<Micros>,
     /// The request must be rejected, because it is uncertain whether the evaluated rules are still in force.
     /// The client may retry after this time. `None`: the request is not rejected.
-    pub refuse: Option<Micros>,
+    pub reject_with_retry_after: Option<Micros>,
 }
 
 impl Default for RoutingVerdict {
     /// Returns the verdict on a request that no rule applies to.
     fn default() -> Self {
-        RoutingVerdict { allowed: None, preferred: None, attempts: u32::MAX, not_before: None, refuse: None }
+        RoutingVerdict {
+            allowed: None,
+            preferred: None,
+            attempts: u32::MAX,
+            not_before: None,
+            reject_with_retry_after: None,
+        }
     }
 }
 
--- a/crates/decision/tests/affinity.rs
+++ b/crates/decision/tests/affinity.rs
@@ -38,7 +38,7 @@
             _ => None,
         });
         let server = server.expect("the request is sent to a server");
-        node.begin(id, server);
+        node.establish(id, server);
         *connections_by_server.entry(server.0).or_insert(0) += 1;
     }
     connections_by_server
@@ -90,7 +90,7 @@
         let score = |server: &u32| {
             let digest = entry(*server, ServerState::Ready).digest;
             let mixed = digest ^ group.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-            (names::unit(mixed) * 1e18) as u64
+            (names::hash_to_unit(mixed) * 1e18) as u64
         };
         let mut order: Vec<u32> = (0..servers).collect();
         order.sort_by_key(|server| std::cmp::Reverse(score(server)));
@@ -156,7 +156,7 @@
         else {
             panic!("{first:?}")
         };
-        let again = node.end(id, *at, Outcome::Reset, false);
+        let again = node.end_attempt(id, *at, Outcome::Reset, false);
         for action in again {
             if let Action::Send { server, .. } = action {
                 assert_eq!(server.0 % 2, at.0 % 2, "a server of another zone could run the request twice");
--- a/crates/decision/tests/any_settings/checker.rs
+++ b/crates/decision/tests/any_settings/checker.rs
@@ -197,7 +197,7 @@
         if let Some(verdict) = self.parameters.verdicts.map(|verdicts| verdicts.verdict(now, id)) {
             let early = verdict.not_before.is_some_and(|at| now < at);
             let exhausted = sent >= verdict.attempts as usize;
-            if early || exhausted || verdict.refuse.is_some() || !verdict.allows(server) {
+            if early || exhausted || verdict.reject_with_retry_after.is_some() || !verdict.allows(server) {
                 let detail =
                     format!("{id:?} is sent to {server:?} at {now} after {sent} others: {verdict:?}");
                 self.report(Invariant::CompliesWithRules, detail);
--- a/crates/decision/tests/any_settings/routing_verdicts.rs
+++ b/crates/decision/tests/any_settings/routing_verdicts.rs
@@ -28,7 +28,7 @@
             1 => verdict.preferred = set(z >> 8),
             2 => verdict.attempts = (z >> 8) as u32 % 4,
             3 => verdict.not_before = Some((second as Micros) * S + (z >> 8) as Micros % (3 * S)),
-            4 if z >> 8 & 3 == 0 => verdict.refuse = Some((z >> 16) as Micros % (500 * MS)),
+            4 if z >> 8 & 3 == 0 => verdict.reject_with_retry_after = Some((z >> 16) as Micros % (500 * MS)),
             _ => {}
         }
         verdict
--- a/crates/decision/tests/balancer.rs
+++ b/crates/decision/tests/balancer.rs
@@ -50,7 +50,7 @@
     let mut node = Node::new(settings(Idempotency::Idempotent), 2);
     node.now = 100 * S + 300 * MS;
     let full = node.place(1);
-    let (other, _) = sent(&node.end(1, full, Outcome::Full, false))
+    let (other, _) = sent(&node.end_attempt(1, full, Outcome::Full, false))
         .expect("the request is sent to another server at once");
     assert_ne!(full, other);
     for id in 2..8 {
@@ -68,7 +68,7 @@
 fn lapsed_pause_allows_one_trial() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 2);
     let failing = node.place(1);
-    node.end(1, failing, Outcome::ConnectFailed, false);
+    node.end_attempt(1, failing, Outcome::ConnectFailed, false);
     node.run_to(103 * S);
     let to_failing = (10..60).filter(|id| node.place(*id) == failing).count();
     assert_eq!(to_failing, 1, "a half-open server gets one attempt until its outcome is known");
@@ -80,17 +80,17 @@
     let mut waits = Vec::new();
     for id in 1..5 {
         let from = node.now;
-        while sent(&node.ask(id * 1000 + waits.len() as u64, 90 * MS)).is_none() {
+        while sent(&node.send_request(id * 1000 + waits.len() as u64, 90 * MS)).is_none() {
             node.run_to(node.now + 100 * MS);
             assert!(node.now < from + 60 * S, "the server is never tried again");
             waits.push(0);
         }
         waits.push(node.now - from);
-        let last = node.done.iter().rev().find_map(|a| match a {
+        let last = node.actions.iter().rev().find_map(|a| match a {
             Action::Send { request, .. } => Some(request.0),
             _ => None,
         });
-        node.end(last.unwrap(), ServerId(0), Outcome::ConnectFailed, true);
+        node.end_attempt(last.unwrap(), ServerId(0), Outcome::ConnectFailed, true);
     }
     waits.retain(|w| *w > 0);
     assert!(waits.len() == 3 && waits[0] < waits[1] && waits[1] < waits[2], "{waits:?}");
@@ -102,9 +102,9 @@
     let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     node.now = 100 * S + 500 * MS;
     let server = node.place(1);
-    node.end(1, server, Outcome::Full, true);
-    assert!(sent(&node.ask(2, 2 * S)).is_none());
-    assert!(!rejected(&node.done));
+    node.end_attempt(1, server, Outcome::Full, true);
+    assert!(sent(&node.send_request(2, 2 * S)).is_none());
+    assert!(!rejected(&node.actions));
     let later = node.run_to(102 * S + 300 * MS);
     assert!(sent(&later).is_some(), "the queued request is sent when the pause ends: {later:?}");
 }
@@ -114,8 +114,8 @@
     let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     node.now = 100 * S + 100 * MS;
     let server = node.place(1);
-    node.end(1, server, Outcome::Full, true);
-    let now = node.ask(2, 300 * MS);
+    node.end_attempt(1, server, Outcome::Full, true);
+    let now = node.send_request(2, 300 * MS);
     assert!(
         now.iter().any(|a| matches!(a, Action::Reject { retry_after, .. } if *retry_after > 0)),
         "the pause ends after the client gives up: {now:?}"
@@ -132,9 +132,9 @@
 #[test]
 fn answers_in_time_without_servers() {
     let mut node = Node::new(Settings::default(), 0);
-    node.ask(1, 1500 * MS);
+    node.send_request(1, 1500 * MS);
     node.run_to(102 * S);
-    assert!(failed(&node.done) || rejected(&node.done));
+    assert!(failed(&node.actions) || rejected(&node.actions));
 }
 
 /// A non-idempotent request is retried only while no attempt may have run.
@@ -142,9 +142,9 @@
 fn non_idempotent_request_is_not_retried() {
     let mut node = Node::new(settings(Idempotency::NotIdempotent), 3);
     let server = node.place(1);
-    let (server, _) = sent(&node.end(1, server, Outcome::ConnectFailed, false))
+    let (server, _) = sent(&node.end_attempt(1, server, Outcome::ConnectFailed, false))
         .expect("an attempt that never ran is retried");
-    let end = node.end(1, server, Outcome::Error, false);
+    let end = node.end_attempt(1, server, Outcome::Error, false);
     assert!(sent(&end).is_none() && failed(&end) && !rejected(&end), "{end:?}");
 }
 
@@ -154,23 +154,23 @@
     let mut node = Node::new(settings(keyed(Scope::Zone)), 6);
     let at = node.place(1);
     let (next, _) =
-        sent(&node.end(1, at, Outcome::TimedOut, false)).expect("a server in the zone drops repeats");
+        sent(&node.end_attempt(1, at, Outcome::TimedOut, false)).expect("a server in the zone drops repeats");
     assert_eq!(at.0 % 2, next.0 % 2, "same zone");
     node.now += 700 * MS;
-    let end = node.end(1, next, Outcome::TimedOut, false);
+    let end = node.end_attempt(1, next, Outcome::TimedOut, false);
     assert!(sent(&end).is_none() && failed(&end), "the idempotency window is over: {end:?}");
 
     let mut node = Node::new(settings(keyed(Scope::Cell)), 6);
     let at = node.place(1);
     let (next, _) =
-        sent(&node.end(1, at, Outcome::Reset, false)).expect("a server in the cell drops repeats");
+        sent(&node.end_attempt(1, at, Outcome::Reset, false)).expect("a server in the cell drops repeats");
     assert_eq!(at.0 / 2, next.0 / 2, "same cell");
 
     let mut node = Node::new(settings(keyed(Scope::All)), 2);
     let at = node.place(1);
     node.now += 700 * MS;
     assert!(
-        rejected(&node.end(1, at, Outcome::TimedOut, false)),
+        rejected(&node.end_attempt(1, at, Outcome::TimedOut, false)),
         "a rejection is allowed where all servers drop repeats"
     );
 }
@@ -195,7 +195,7 @@
 fn new_incarnation_forgets_earlier_state() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     let server = node.place(1);
-    node.end(1, server, Outcome::ConnectFailed, true);
+    node.end_attempt(1, server, Outcome::ConnectFailed, true);
     let mut restarted = entry(0, ServerState::Ready);
     restarted.started = Some(node.now - 20 * S);
     node.notify(Event::List { full: false, copy: false, entries: vec![restarted] });
@@ -205,10 +205,10 @@
 #[test]
 fn timeout_leaves_time_for_retry() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 2);
-    let (server, timeout) = sent(&node.ask(1, 600 * MS)).unwrap();
+    let (server, timeout) = sent(&node.send_request(1, 600 * MS)).unwrap();
     assert!(timeout > 0 && timeout <= 300 * MS);
     node.now += timeout;
-    assert!(sent(&node.end(1, server, Outcome::TimedOut, false)).is_some());
+    assert!(sent(&node.end_attempt(1, server, Outcome::TimedOut, false)).is_some());
 }
 
 #[test]
@@ -216,9 +216,9 @@
     let mut node = Node::new(settings(Idempotency::Idempotent), 9);
     let mut server = node.place(1);
     for _ in 0..3 {
-        server = sent(&node.end(1, server, Outcome::ConnectFailed, false)).unwrap().0;
+        server = sent(&node.end_attempt(1, server, Outcome::ConnectFailed, false)).unwrap().0;
     }
-    let end = node.end(1, server, Outcome::ConnectFailed, false);
+    let end = node.end_attempt(1, server, Outcome::ConnectFailed, false);
     assert!(sent(&end).is_none() && rejected(&end));
 }
 
@@ -226,12 +226,12 @@
 fn sends_nothing_after_client_closed() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     let server = node.place(1);
-    node.end(1, server, Outcome::Full, true);
-    node.ask(2, 2 * S);
+    node.end_attempt(1, server, Outcome::Full, true);
+    node.send_request(2, 2 * S);
     node.notify(Event::ClientClosed(RequestId(2)));
-    node.done.clear();
+    node.actions.clear();
     node.run_to(110 * S);
-    assert!(sent(&node.done).is_none() && !rejected(&node.done));
+    assert!(sent(&node.actions).is_none() && !rejected(&node.actions));
 }
 
 #[test]
@@ -258,16 +258,16 @@
 #[test]
 fn recovering_server_is_bounded_to_usual_rate() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 4);
-    node.carry(0..20, 500 * MS);
+    node.place_and_establish(0..20, 500 * MS);
     let overloaded_at = ServerId(2);
-    node.end(900, overloaded_at, Outcome::Full, true);
+    node.end_attempt(900, overloaded_at, Outcome::Full, true);
     node.run_to(node.now + 2 * S);
     let mut taken = 0;
     for id in 1000..1200 {
         node.run_to(node.now + 5 * MS);
         let returning = Request { again: true, ..request(id, Some(2 * S)) };
         if let Some((at, _)) = sent(&node.notify(Event::Request(returning))) {
-            node.begin(id, at);
+            node.establish(id, at);
             taken += usize::from(at == overloaded_at);
         }
     }
@@ -281,7 +281,7 @@
 #[test]
 fn reconnect_storm_does_not_overload_warming_server() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 4);
-    node.carry(0..40, 250 * MS);
+    node.place_and_establish(0..40, 250 * MS);
     let mut warming = entry(9, ServerState::Ready);
     warming.started = Some(node.now);
     node.notify(Event::List { full: false, copy: false, entries: vec![warming] });
@@ -305,7 +305,7 @@
     let mut node = Node::new(settings(Idempotency::Idempotent), 2);
     for id in 0..80 {
         let at = node.place(id);
-        node.begin(id, at);
+        node.establish(id, at);
     }
     let slow = ServerId(0);
     let latency_report = |delay| Event::LatencyUpdate { server: slow, latency: delay };
@@ -328,12 +328,12 @@
     let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     for id in 0..30 {
         node.place(id);
-        node.begin(id, ServerId(0));
+        node.establish(id, ServerId(0));
     }
     for id in 0..30 {
-        node.end(id, ServerId(0), Outcome::Reset, true);
+        node.end_attempt(id, ServerId(0), Outcome::Reset, true);
     }
-    node.ask(100, 2 * S);
+    node.send_request(100, 2 * S);
     assert!(
         sent(&node.run_to(102 * S + 500 * MS)).is_some(),
         "the pause is that of one failure, not of thirty"
@@ -375,10 +375,10 @@
     let classes = vec![Class { attempts: 9, ..class(Idempotency::Idempotent) }];
     let mut node = Node::new(Settings { groups: true, classes, ..settings(Idempotency::Idempotent) }, 12);
     let ask = |id| Request { group: Some(4711), ..request(id, Some(2 * S)) };
-    node.carry(100..160, 100 * MS);
+    node.place_and_establish(100..160, 100 * MS);
     let (first, _) = sent(&node.notify(Event::Request(ask(1)))).unwrap();
     let mut members = vec![first];
-    while let Some((next, _)) = sent(&node.end(1, members[members.len() - 1], Outcome::Full, false)) {
+    while let Some((next, _)) = sent(&node.end_attempt(1, members[members.len() - 1], Outcome::Full, false)) {
         assert!(!members.contains(&next), "the next attempt goes to another member of the subset");
         members.push(next);
     }
@@ -395,7 +395,7 @@
     let mut node = Node::new(settings(Idempotency::Idempotent), 1);
     for id in 0..40 {
         node.place(id);
-        node.begin(id, ServerId(0));
+        node.establish(id, ServerId(0));
     }
     let mut migrated = |delay| {
         node.now += S;
@@ -415,9 +415,9 @@
     for id in 0..60 {
         node.run_to(node.now + 100 * MS);
         let at = node.place(id);
-        node.begin(id, at);
+        node.establish(id, at);
         if at.0 >= 5 {
-            node.end(id, at, Outcome::Served, true);
+            node.end_attempt(id, at, Outcome::Served, true);
         }
     }
     for server in (0..5).map(ServerId) {
@@ -436,7 +436,7 @@
 #[test]
 fn sends_are_paced_while_most_fail() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 50);
-    node.carry(0..20, 500 * MS);
+    node.place_and_establish(0..20, 500 * MS);
     let mut sends = 0;
     for id in 1000..1100 {
         node.run_to(node.now + 20 * MS);
@@ -444,7 +444,7 @@
         let mut actions = node.notify(Event::Request(returning));
         while let Some((at, _)) = sent(&actions) {
             sends += 1;
-            actions = node.end(id, at, Outcome::Error, false);
+            actions = node.end_attempt(id, at, Outcome::Error, false);
         }
     }
     assert!((3..=20).contains(&sends), "{sends} attempts in two seconds, at a usual rate of 2 a second");
@@ -454,8 +454,8 @@
 #[test]
 fn draining_server_is_emptied_in_rounds() {
     let mut node = Node::new(settings(Idempotency::Idempotent), 2);
-    node.carry(0..20, 50 * MS);
-    let on_draining_server = node.placed_at(ServerId(0));
+    node.place_and_establish(0..20, 50 * MS);
+    let on_draining_server = node.requests_sent_to(ServerId(0));
     assert!(on_draining_server.len() >= 8, "{on_draining_server:?}");
     let draining = Event::List { full: false, copy: false, entries: vec![entry(0, ServerState::Draining)] };
     let mut moved = migrated(&node.notify(draining));
@@ -479,13 +479,13 @@
     for id in 1..4 {
         node.place(id);
     }
-    node.end(1, only, Outcome::Full, false);
+    node.end_attempt(1, only, Outcome::Full, false);
     // The same fault broke this connection, so its failure changes nothing.
-    node.end(2, only, Outcome::Reset, true);
+    node.end_attempt(2, only, Outcome::Reset, true);
     node.notify(Event::LatencyUpdate { server: only, latency: S });
     node.run_to(103 * S);
     // Request 1 was queued until the pause ended, and is the trial.
-    node.begin(1, only);
+    node.establish(1, only);
     for state in [ServerState::Ready, ServerState::Draining, ServerState::Draining, ServerState::Removed] {
         node.notify(Event::List { full: false, copy: false, entries: vec![entry(0, state)] });
     }
@@ -493,7 +493,7 @@
     back.started = Some(node.now);
     node.notify(Event::List { full: false, copy: false, entries: vec![back] });
     node.notify(Event::List { full: true, copy: false, entries: vec![] });
-    let notified = node.done.iter().filter_map(|action| match action {
+    let notified = node.actions.iter().filter_map(|action| match action {
         Action::HealthChanged { server, health } => Some((*server, *health)),
         _ => None,
     });
@@ -510,28 +510,28 @@
     let mut node = Node::new(settings(Idempotency::Idempotent), 3);
     let manual_override =
         |state, started| Event::ManualOverride { entries: vec![Entry { started, ..entry(0, state) }] };
-    node.carry(100..130, 100 * MS);
+    node.place_and_establish(100..130, 100 * MS);
     let mut id = 200;
     loop {
         let at = node.place(id);
         if at == ServerId(0) {
             break;
         }
-        node.begin(id, at);
+        node.establish(id, at);
         id += 1;
     }
-    node.end(id, ServerId(0), Outcome::ConnectFailed, false);
+    node.end_attempt(id, ServerId(0), Outcome::ConnectFailed, false);
     node.notify(manual_override(ServerState::Draining, None));
     for id in 300..330 {
         node.run_to(node.now + 100 * MS);
         let at = node.place(id);
         assert_ne!(at, ServerId(0), "the server is draining");
-        node.begin(id, at);
+        node.establish(id, at);
     }
     let started = Some(node.now);
     node.notify(manual_override(ServerState::Ready, started));
     assert_eq!(node.place(400), ServerId(0), "the server is not paused and gets the next turn");
-    node.begin(400, ServerId(0));
+    node.establish(400, ServerId(0));
     let burst: Vec<ServerId> = (401..411).map(|id| node.place(id)).collect();
     assert!(!burst.contains(&ServerId(0)), "the server is warming up and its budget is spent: {burst:?}");
 }
@@ -545,7 +545,7 @@
     let ask = |id| Event::Request(Request { again: true, ..request(id, Some(2 * S)) });
     for id in 0..6 {
         let (at, _) = sent(&node.notify(ask(id))).expect("too few set-ups have failed for a limit");
-        node.end(id, at, Outcome::TimedOut, true);
+        node.end_attempt(id, at, Outcome::TimedOut, true);
     }
     let mut tried = 0;
     for id in 100..200 {
@@ -555,7 +555,7 @@
             continue;
         };
         tried += 1;
-        node.end(id, at, Outcome::TimedOut, true);
+        node.end_attempt(id, at, Outcome::TimedOut, true);
     }
     assert!((8..=11).contains(&tried), "{tried} attempts in ten seconds, instead of about one a second");
 }
@@ -570,7 +570,7 @@
         Event::List { full: false, copy: false, entries: vec![entry(late.0, ServerState::Draining)] };
     node.notify(draining);
     node.run_to(node.now + 3 * S);
-    let mut moved = migrated(&node.begin(1, late));
+    let mut moved = migrated(&node.establish(1, late));
     moved.extend(migrated(&node.run_to(node.now + S)));
     assert_eq!(moved, [1]);
 }
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -9,7 +9,7 @@
 pub struct Node {
     pub now: Micros,
     pub balancer: Balancer,
-    pub done: Vec<Action>,
+    pub actions: Vec<Action>,
     pub timers: Vec<(Micros, u32)>,
 }
 
@@ -67,7 +67,7 @@
     pub fn new(settings: Settings, servers: u32) -> Self {
         let now = 100 * S;
         let balancer = Balancer::new(settings, 7, now);
-        let mut node = Node { now, balancer, done: Vec::new(), timers: Vec::new() };
+        let mut node = Node { now, balancer, actions: Vec::new(), timers: Vec::new() };
         let entries = (0..servers).map(|s| entry(s, ServerState::Ready)).collect();
         node.notify(Event::List { full: true, copy: true, entries });
         node
@@ -81,7 +81,7 @@
                 self.timers.push((self.now + after, *token));
             }
         }
-        self.done.extend(out.iter().cloned());
+        self.actions.extend(out.iter().cloned());
         out
     }
 
@@ -98,39 +98,39 @@
         all
     }
 
-    pub fn ask(&mut self, id: u64, left: Micros) -> Vec<Action> {
-        self.notify(Event::Request(request(id, Some(left))))
+    pub fn send_request(&mut self, id: u64, time_left: Micros) -> Vec<Action> {
+        self.notify(Event::Request(request(id, Some(time_left))))
     }
 
-    pub fn end(&mut self, id: u64, server: ServerId, outcome: Outcome, last: bool) -> Vec<Action> {
+    pub fn end_attempt(&mut self, id: u64, server: ServerId, outcome: Outcome, last: bool) -> Vec<Action> {
         self.notify(Event::Ended { request: RequestId(id), attempt: 0, server, outcome, last })
     }
 
-    pub fn begin(&mut self, id: u64, server: ServerId) -> Vec<Action> {
+    pub fn establish(&mut self, id: u64, server: ServerId) -> Vec<Action> {
         self.notify(Event::Established { request: RequestId(id), attempt: 0, server, elapsed: MS })
     }
 
     /// Places and establishes one connection per id, each `apart` after the previous one.
-    pub fn carry(&mut self, ids: std::ops::Range<u64>, apart: Micros) {
+    pub fn place_and_establish(&mut self, ids: std::ops::Range<u64>, apart: Micros) {
         for id in ids {
             self.run_to(self.now + apart);
             let at = self.place(id);
-            self.begin(id, at);
+            self.establish(id, at);
         }
     }
 
     /// Returns the ids of the requests that were sent to `server`.
-    pub fn placed_at(&self, server: ServerId) -> Vec<u64> {
+    pub fn requests_sent_to(&self, server: ServerId) -> Vec<u64> {
         let to = |a: &Action| match a {
             Action::Send { request, server: at, .. } if *at == server => Some(request.0),
             _ => None,
         };
-        self.done.iter().filter_map(to).collect()
+        self.actions.iter().filter_map(to).collect()
     }
 
     /// Sends a request to the balancer and returns the server that it was placed on.
     pub fn place(&mut self, id: u64) -> ServerId {
-        sent(&self.ask(id, 2 * S)).expect("the request is sent").0
+        sent(&self.send_request(id, 2 * S)).expect("the request is sent").0
     }
 }
 
--- a/crates/decision/tests/fleet.rs
+++ b/crates/decision/tests/fleet.rs
@@ -262,7 +262,7 @@
     node.place(1);
     let status = |failure_rate| Event::Fleet(FleetStatus { nodes: 300.0, demand_share: 0.003, failure_rate });
     node.notify(status(0.9));
-    assert!(sent(&node.ask(2, 2 * S)).is_none(), "the fleet reports that the store is down");
+    assert!(sent(&node.send_request(2, 2 * S)).is_none(), "the fleet reports that the store is down");
     node.notify(status(0.0));
     let later = node.run_to(node.now + S);
     assert!(sent(&later).is_some(), "the request is sent once the store is back: {later:?}");
@@ -277,7 +277,7 @@
     let mut placed = 0;
     for id in 0..60 {
         node.now += 20 * MS;
-        if let Some((at, _)) = sent(&node.ask(id, 2 * S)) {
+        if let Some((at, _)) = sent(&node.send_request(id, 2 * S)) {
             placed += 1;
             let elapsed = if id < 40 { 40 * MS } else { 400 * MS };
             let up = Event::Established { request: RequestId(id), attempt: 0, server: at, elapsed };
--- a/crates/decision/tests/invariants.rs
+++ b/crates/decision/tests/invariants.rs
@@ -77,7 +77,7 @@
                         may_have_run: None,
                     },
                 );
-                node.ask(id, left)
+                node.send_request(id, left)
             }
             4 => {
                 let server = rng.next(8) as u32;
@@ -99,7 +99,7 @@
             6..=7 => match chosen.and_then(|id| Some((id, open[&id].attempt?))) {
                 Some((id, (server, _))) if !open[&id].established => {
                     open.get_mut(&id).unwrap().established = true;
-                    node.begin(id, server)
+                    node.establish(id, server)
                 }
                 _ => vec![],
             },
@@ -116,7 +116,7 @@
                         open.remove(&id);
                         finished.insert(id);
                     }
-                    node.end(id, server, outcome, last)
+                    node.end_attempt(id, server, outcome, last)
                 }
                 None => vec![],
             },
@@ -133,7 +133,7 @@
             let entry = open.get_mut(&id).unwrap();
             let (server, sent) = entry.attempt.take().unwrap();
             entry.may_have_run.get_or_insert((server, sent));
-            let mut actions = node.end(id, server, Outcome::TimedOut, false);
+            let mut actions = node.end_attempt(id, server, Outcome::TimedOut, false);
             check(&mut node, &mut actions, &mut open, &mut finished, &mut answers, &listed, idempotency);
             assert!(!open.contains_key(&id), "a request that times out at its deadline is answered at once");
         }
@@ -268,7 +268,7 @@
                 _ => Event::Timer(rng.next(4) as u32),
             };
             node.notify(event);
-            node.done.clear();
+            node.actions.clear();
         }
     }
 }
--- a/crates/decision/tests/peer_reports.rs
+++ b/crates/decision/tests/peer_reports.rs
@@ -23,7 +23,7 @@
 
 fn paused(node: &Node) -> Vec<u32> {
     let mut health_by_server = std::collections::BTreeMap::new();
-    for action in &node.done {
+    for action in &node.actions {
         if let Action::HealthChanged { server, health } = action {
             health_by_server.insert(server.0, *health);
         }
@@ -72,7 +72,7 @@
 fn one_report_and_own_failure_suffice() {
     let mut node = quiet_node(8);
     let at = node.place(1);
-    node.end(1, at, Outcome::Full, true);
+    node.end_attempt(1, at, Outcome::Full, true);
     node.now = 201 * S + 10 * MS;
     assert_eq!(paused(&node), []);
     report(&mut node, 3, at.0, PeerVerdict::Unhealthy);
@@ -83,7 +83,7 @@
 fn own_recent_success_outweighs_reports() {
     let mut node = quiet_node(8);
     let at = node.place(1);
-    node.begin(1, at);
+    node.establish(1, at);
     for from in 1..200 {
         report(&mut node, from, at.0, PeerVerdict::Unhealthy);
     }
@@ -135,7 +135,7 @@
             break at;
         }
     };
-    node.end(id, at, Outcome::ConnectFailed, true);
+    node.end_attempt(id, at, Outcome::ConnectFailed, true);
     assert_eq!(paused(&node), [5], "the node's own failed trial counts");
 }
 
@@ -146,13 +146,13 @@
     // Three failures lead to a pause of several seconds.
     for id in 1..20 {
         node.run_to(node.now + 700 * MS);
-        if let Some((at, _)) = sent(&node.ask(id, 2 * S)) {
+        if let Some((at, _)) = sent(&node.send_request(id, 2 * S)) {
             let outcome = if at == ServerId(1) { Outcome::ConnectFailed } else { Outcome::Served };
-            node.end(id, at, outcome, true);
+            node.end_attempt(id, at, outcome, true);
         }
     }
     let until = |node: &Node| {
-        node.done.iter().rev().find_map(|action| match action {
+        node.actions.iter().rev().find_map(|action| match action {
             Action::HealthChanged { server: ServerId(1), health: ServerHealth::Paused { until } } => {
                 Some(*until)
             }
--- a/crates/decision/tests/routing_rules.rs
+++ b/crates/decision/tests/routing_rules.rs
@@ -77,14 +77,14 @@
         node.run_to(node.now + 20 * MS);
         let at = node.place(id);
         assert!([1, 4].contains(&at.0), "{at:?}");
-        node.begin(id, at);
+        node.establish(id, at);
     }
-    assert!(!node.placed_at(ServerId(1)).is_empty() && !node.placed_at(ServerId(4)).is_empty());
+    assert!(!node.requests_sent_to(ServerId(1)).is_empty() && !node.requests_sent_to(ServerId(4)).is_empty());
     // Both allowed servers are full. The others have capacity left, but the request must not be sent to them.
-    let (first, _) = sent(&node.ask(100, 300 * MS)).unwrap();
-    let (second, _) = sent(&node.end(100, first, Outcome::Full, false)).unwrap();
+    let (first, _) = sent(&node.send_request(100, 300 * MS)).unwrap();
+    let (second, _) = sent(&node.end_attempt(100, first, Outcome::Full, false)).unwrap();
     assert_eq!(first.0 + second.0, 5);
-    let queued = node.end(100, second, Outcome::Full, false);
+    let queued = node.end_attempt(100, second, Outcome::Full, false);
     assert_eq!(sent(&queued), None);
     let later = node.run_to(node.now + 2 * S);
     let to = sent(&later).map(|(server, _)| server);
@@ -94,7 +94,7 @@
     );
     assert_eq!(
         rules.0.borrow().sent.len(),
-        node.done.iter().filter(|a| matches!(a, Action::Send { .. })).count()
+        node.actions.iter().filter(|a| matches!(a, Action::Send { .. })).count()
     );
 }
 
@@ -102,9 +102,9 @@
 fn rejects_early_without_allowed_server() {
     let (mut node, rules) = node_with_rules(settings(Idempotency::Idempotent), 3);
     rules.set(allow_only(&[7]));
-    let answer = node.ask(1, 500 * MS);
+    let answer = node.send_request(1, 500 * MS);
     assert!(rejected(&answer), "a request that cannot wait for the next try is rejected at once: {answer:?}");
-    node.ask(2, 3 * S);
+    node.send_request(2, 3 * S);
     let later = node.run_to(node.now + 4 * S);
     assert!(rejected(&later) && sent(&later).is_none(), "{later:?}");
 }
@@ -113,7 +113,7 @@
 fn queued_request_is_reevaluated() {
     let (mut node, rules) = node_with_rules(settings(Idempotency::Idempotent), 3);
     rules.set(allow_only(&[]));
-    assert_eq!(sent(&node.ask(1, 20 * S)), None);
+    assert_eq!(sent(&node.send_request(1, 20 * S)), None);
     node.run_to(node.now + 3 * S);
     let evaluations = rules.0.borrow().evaluations;
     assert!(evaluations >= 3, "{evaluations} evaluations in three seconds");
@@ -122,8 +122,8 @@
     assert_eq!(sent(&node.notify(Event::RulesChanged)).map(|(server, _)| server), Some(ServerId(2)));
     // A request that was queued under the old rules is rejected under the new ones.
     rules.set(allow_only(&[]));
-    assert!(!rejected(&node.ask(2, 20 * S)));
-    rules.set(RoutingVerdict { refuse: Some(700 * MS), ..RoutingVerdict::default() });
+    assert!(!rejected(&node.send_request(2, 20 * S)));
+    rules.set(RoutingVerdict { reject_with_retry_after: Some(700 * MS), ..RoutingVerdict::default() });
     let answer = node.notify(Event::RulesChanged);
     assert!(
         answer.contains(&Action::Reject {
@@ -137,10 +137,11 @@
 
 #[test]
 fn uncertain_rules_reject_with_retry_after() {
-    let uncertain = |after| RoutingVerdict { refuse: Some(after), ..RoutingVerdict::default() };
+    let uncertain =
+        |after| RoutingVerdict { reject_with_retry_after: Some(after), ..RoutingVerdict::default() };
     let (mut node, rules) = node_with_rules(settings(Idempotency::NotIdempotent), 3);
     rules.set(uncertain(500 * MS));
-    let answer = node.ask(1, 20 * S);
+    let answer = node.send_request(1, 20 * S);
     assert_eq!(
         answer,
         [Action::Reject {
@@ -150,7 +151,7 @@
         }]
     );
     rules.set(uncertain(60 * S));
-    let answer = node.ask(2, 20 * S);
+    let answer = node.send_request(2, 20 * S);
     assert_eq!(
         answer,
         [Action::Reject {
@@ -165,7 +166,7 @@
         node_with_rules(settings(Idempotency::Keyed { scope: Scope::Zone, window: 10 * S }), 3);
     let at = node.place(3);
     rules.set(uncertain(500 * MS));
-    let answer = node.end(3, at, Outcome::TimedOut, false);
+    let answer = node.end_attempt(3, at, Outcome::TimedOut, false);
     assert!(failed(&answer) && !rejected(&answer) && sent(&answer).is_none(), "{answer:?}");
 }
 
@@ -174,7 +175,7 @@
     let (mut node, rules) = node_with_rules(settings(Idempotency::Idempotent), 3);
     let at = node.now + 400 * MS;
     rules.set(RoutingVerdict { not_before: Some(at), ..RoutingVerdict::default() });
-    let short = node.ask(1, 300 * MS);
+    let short = node.send_request(1, 300 * MS);
     assert!(
         short.contains(&Action::Reject {
             request: RequestId(1),
@@ -183,7 +184,7 @@
         }),
         "{short:?}"
     );
-    assert_eq!(sent(&node.ask(2, 2 * S)), None);
+    assert_eq!(sent(&node.send_request(2, 2 * S)), None);
     assert_eq!(sent(&node.run_to(at - 1)), None);
     assert!(sent(&node.run_to(at + S)).is_some());
 }
@@ -198,12 +199,12 @@
         node.run_to(node.now + 20 * MS);
         let at = node.place(id);
         assert!([2, 3].contains(&at.0), "{at:?}");
-        node.begin(id, at);
+        node.establish(id, at);
     }
-    let (first, _) = sent(&node.ask(300, 2 * S)).unwrap();
-    let (second, _) = sent(&node.end(300, first, Outcome::Full, false)).unwrap();
+    let (first, _) = sent(&node.send_request(300, 2 * S)).unwrap();
+    let (second, _) = sent(&node.end_attempt(300, first, Outcome::Full, false)).unwrap();
     assert_eq!(first.0 + second.0, 5, "the other preferred server is next");
-    let third = sent(&node.end(300, second, Outcome::Full, false)).expect("sent at once").0;
+    let third = sent(&node.end_attempt(300, second, Outcome::Full, false)).expect("sent at once").0;
     assert!(![2, 3].contains(&third.0));
     // After the preference is gone, the other servers don't catch up on the turns that they missed.
     node.run_to(node.now + 30 * S);
@@ -212,7 +213,7 @@
     for id in 400..460 {
         node.run_to(node.now + 100 * MS);
         let at = node.place(id);
-        node.begin(id, at);
+        node.establish(id, at);
         placed[at.0 as usize] += 1;
     }
     assert!(placed.iter().all(|n| (6..=14).contains(n)), "{placed:?}");
@@ -224,10 +225,10 @@
         let (mut node, rules) = node_with_rules(settings(Idempotency::Idempotent), 9);
         rules.set(RoutingVerdict { attempts: by_rule, ..RoutingVerdict::default() });
         let mut attempts_made = 0;
-        let mut last = node.ask(1, 2 * S);
+        let mut last = node.send_request(1, 2 * S);
         while let Some((at, _)) = sent(&last) {
             attempts_made += 1;
-            last = node.end(1, at, Outcome::Full, false);
+            last = node.end_attempt(1, at, Outcome::Full, false);
         }
         assert_eq!(attempts_made, expected);
         assert!(rejected(&last), "{last:?}");
@@ -243,7 +244,7 @@
         let request = Request { group: Some(group), ..request(group, Some(2 * S)) };
         let (at, _) = sent(&node.notify(Event::Request(request))).expect("placed at once");
         assert!([11, 30].contains(&at.0));
-        node.begin(group, at);
+        node.establish(group, at);
         node.run_to(node.now + 100 * MS);
     }
 }
@@ -251,7 +252,7 @@
 #[test]
 fn migration_follows_stickiness() {
     let (mut node, rules) = node_with_rules(settings(Idempotency::Idempotent), 1);
-    node.carry(0..40, 50 * MS);
+    node.place_and_establish(0..40, 50 * MS);
     for id in 0..40 {
         let stickiness =
             [None, Some(Stickiness::MigrateLast), Some(Stickiness::UntilDrained)][id as usize % 3];
@@ -271,7 +272,7 @@
     assert_eq!(moved.len(), 27, "UntilDrained connections stay");
     node.notify(Event::List { full: false, copy: false, entries: vec![entry(0, ServerState::Draining)] });
     node.run_to(node.now + 5 * S);
-    assert_eq!(migrated(&node.done).len(), 40, "UntilDrained connections leave a draining server");
+    assert_eq!(migrated(&node.actions).len(), 40, "UntilDrained connections leave a draining server");
 }
 
 /// One step of a random history, in terms that are valid in any state.
@@ -316,7 +317,7 @@
 fn run_steps(mut node: Node, steps: &[Step]) -> Vec<Action> {
     let mut in_flight: Vec<(u64, ServerId)> = Vec::new();
     for (id, step) in (1..).zip(steps) {
-        let before = node.done.len();
+        let before = node.actions.len();
         match step {
             Step::Request { left, group } => {
                 let left = left.map(|left| Micros::from(left) * MS);
@@ -326,11 +327,11 @@
             Step::End { which, outcome } if !in_flight.is_empty() => {
                 let (id, at) = in_flight.remove(usize::from(*which) % in_flight.len());
                 let outcome = OUTCOMES[usize::from(*outcome)];
-                node.end(id, at, outcome, outcome == Outcome::Served);
+                node.end_attempt(id, at, outcome, outcome == Outcome::Served);
             }
             Step::Establish { which } if !in_flight.is_empty() => {
                 let (id, at) = in_flight.remove(usize::from(*which) % in_flight.len());
-                node.begin(id, at);
+                node.establish(id, at);
             }
             Step::List { server, state, started } => {
                 let state =
@@ -353,13 +354,13 @@
             }
             Step::End { .. } | Step::Establish { .. } => {}
         }
-        for action in &node.done[before..] {
+        for action in &node.actions[before..] {
             if let Action::Send { request, server, .. } = action {
                 in_flight.push((request.0, *server));
             }
         }
     }
-    node.done
+    node.actions
 }
 
 proptest! {
--- a/crates/decision/tests/short_deadlines.rs
+++ b/crates/decision/tests/short_deadlines.rs
@@ -23,19 +23,19 @@
         let mut node = Node::new(settings_with_deadline(deadline, 1), 2);
         let context = format!("deadline {} ms", deadline / MS);
         let (first, timeout) =
-            sent(&node.ask(1, deadline)).unwrap_or_else(|| panic!("{context}: no attempt was made"));
+            sent(&node.send_request(1, deadline)).unwrap_or_else(|| panic!("{context}: no attempt was made"));
         assert!((1..=deadline / 2).contains(&timeout), "{context}: time-out {timeout}");
         // Half of the client's time has passed, and the other server is healthy.
         node.run_to(node.now + deadline / 2);
-        let (second, _) = sent(&node.end(1, first, Outcome::TimedOut, false))
+        let (second, _) = sent(&node.end_attempt(1, first, Outcome::TimedOut, false))
             .unwrap_or_else(|| panic!("{context}: no second attempt with half of the time left"));
         assert_ne!(first, second, "{context}");
         // The second server is full and there is no other, so the request is answered before the client
         // gives up.
         let gives_up = node.now + deadline / 2;
-        node.end(1, second, Outcome::Full, false);
+        node.end_attempt(1, second, Outcome::Full, false);
         node.run_to(gives_up - 1);
-        assert!(rejected(&node.done), "{context}: no answer in time");
+        assert!(rejected(&node.actions), "{context}: no answer in time");
     }
 }
 
@@ -44,9 +44,9 @@
     for deadline in [40 * MS, 100 * MS, 300 * MS, S, 60 * S] {
         let mut node = Node::new(settings_with_deadline(deadline, 1), 0);
         let gives_up = node.now + deadline;
-        node.ask(1, deadline);
+        node.send_request(1, deadline);
         node.run_to(gives_up - deadline.min(S) / 100);
-        assert!(rejected(&node.done), "deadline {} ms", deadline / MS);
+        assert!(rejected(&node.actions), "deadline {} ms", deadline / MS);
     }
 }
 
@@ -54,8 +54,8 @@
 fn deadlines_over_a_second_use_full_margins() {
     for deadline in [S, 2 * S, 60 * S] {
         let mut node = Node::new(settings_with_deadline(deadline, 1), 1);
-        assert!(sent(&node.ask(1, 60 * MS)).is_some());
-        assert!(rejected(&node.ask(2, 60 * MS - 1)), "too little time is left for an attempt");
+        assert!(sent(&node.send_request(1, 60 * MS)).is_some());
+        assert!(rejected(&node.send_request(2, 60 * MS - 1)), "too little time is left for an attempt");
     }
 }
 
@@ -64,7 +64,7 @@
     let without_target = Class { target: 0, ..class(Idempotency::Idempotent) };
     let mut node =
         Node::new(Settings { classes: vec![without_target], ..settings(Idempotency::Idempotent) }, 2);
-    assert_eq!(sent(&node.ask(1, 600 * MS)).expect("sent").1, 300 * MS);
+    assert_eq!(sent(&node.send_request(1, 600 * MS)).expect("sent").1, 300 * MS);
     let unbounded = sent(&node.notify(Event::Request(request(2, None)))).expect("sent");
     assert_eq!(unbounded.1, S);
 }
@@ -80,16 +80,19 @@
         for window in [120 * MS, 380 * MS, 777 * MS] {
             let mut node = Node::new(keyed(scope, window), 1);
             let started_at = node.now;
-            let at = sent(&node.ask(1, 30 * S)).expect("sent").0;
+            let at = sent(&node.send_request(1, 30 * S)).expect("sent").0;
             node.run_to(started_at + 20 * MS);
-            assert!(sent(&node.end(1, at, Outcome::Reset, false)).is_none(), "the only server is paused");
+            assert!(
+                sent(&node.end_attempt(1, at, Outcome::Reset, false)).is_none(),
+                "the only server is paused"
+            );
             node.run_to(started_at + window - 1);
             assert!(
-                !rejected(&node.done) && !failed(&node.done),
+                !rejected(&node.actions) && !failed(&node.actions),
                 "{scope:?}, window {window} us: the request was answered while a repeat was still allowed"
             );
             node.run_to(started_at + window + MS);
-            let answered = if rejectable { rejected(&node.done) } else { failed(&node.done) };
+            let answered = if rejectable { rejected(&node.actions) } else { failed(&node.actions) };
             assert!(
                 answered,
                 "{scope:?}, window {} ms: the request was queued beyond the window's end",
@@ -105,12 +108,13 @@
     // are not.
     let mut node = Node::new(keyed(Scope::Cell, 20 * S), 6);
     node.run_to(100 * S + 100 * MS);
-    let first = sent(&node.ask(1, 30 * S)).expect("sent").0;
-    let second =
-        sent(&node.end(1, first, Outcome::Reset, false)).expect("the cell's other server gets the retry").0;
+    let first = sent(&node.send_request(1, 30 * S)).expect("sent").0;
+    let second = sent(&node.end_attempt(1, first, Outcome::Reset, false))
+        .expect("the cell's other server gets the retry")
+        .0;
     assert_eq!(first.0 / 2, second.0 / 2);
     let earlier_timers = node.timers.len();
-    assert!(sent(&node.end(1, second, Outcome::Full, false)).is_none(), "the request is queued");
+    assert!(sent(&node.end_attempt(1, second, Outcome::Full, false)).is_none(), "the request is queued");
     let next_timer = node.timers[earlier_timers..].iter().map(|(at, _)| *at).min();
     assert!(
         next_timer >= Some(101 * S),
@@ -123,10 +127,11 @@
     // The server moves to another cell while the attempt is in progress. The servers of its old cell have
     // seen the request's key.
     let mut node = Node::new(keyed(Scope::Cell, 20 * S), 6);
-    let at = sent(&node.ask(1, 30 * S)).expect("sent").0;
+    let at = sent(&node.send_request(1, 30 * S)).expect("sent").0;
     let moved =
         Entry { cell: (at.0 / 2 + 1) % 3, started: Some(node.now), ..entry(at.0, ServerState::Ready) };
     node.notify(Event::List { full: false, copy: false, entries: vec![moved] });
-    let next = sent(&node.end(1, at, Outcome::Reset, false)).expect("the old cell has another server").0;
+    let next =
+        sent(&node.end_attempt(1, at, Outcome::Reset, false)).expect("the old cell has another server").0;
     assert_eq!((at.0 / 2, next != at), (next.0 / 2, true), "from {at:?} to {next:?}");
 }
--- a/crates/scale/src/shape.rs
+++ b/crates/scale/src/shape.rs
@@ -1,6 +1,6 @@
 //! The sizes of a fleet, and the synthetic connections that follow from them and a seed.
 
-use cottonnotch_decision::names::unit;
+use cottonnotch_decision::names::hash_to_unit;
 use cottonnotch_decision::{Class, Idempotency, Micros, Settings, ZoneId};
 use serde::{Deserialize, Serialize};
 
@@ -97,7 +97,7 @@
 
     /// The load of a member's connection, work in microseconds a second: half to one and a half of the mean.
     pub fn load(&self, member: u32, connection: u64) -> f64 {
-        LOAD * (0.5 + unit(mixed(u64::from(member), connection)))
+        LOAD * (0.5 + hash_to_unit(mixed(u64::from(member), connection)))
     }
 
     /// A node's listed size, in cores of standard speed.
--- a/crates/scale/src/virtual_time.rs
+++ b/crates/scale/src/virtual_time.rs
@@ -10,7 +10,7 @@
 use crate::shape::{Shape, mixed};
 use cottonnotch_consensus::DurableState;
 use cottonnotch_decision::Micros;
-use cottonnotch_decision::names::unit;
+use cottonnotch_decision::names::hash_to_unit;
 use cottonnotch_proxy_core::{EndpointUpdate, Roster};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -262,13 +262,13 @@
 
     fn send(&mut self, from: u32, to: u32, deliveries: Delivery) {
         let chance = mixed(self.shape.seed ^ self.number, u64::from(from) << 32 | u64::from(to));
-        if unit(chance) < self.loss {
+        if hash_to_unit(chance) < self.loss {
             self.number += 1;
             return;
         }
         let far = self.shape.is_far(from) != self.shape.is_far(to);
         let delay = if far { DELAY_BETWEEN_REGIONS } else { DELAY_WITHIN_REGION };
-        let jitter = (unit(chance.rotate_left(17)) * delay as f64 / 2.0) as Micros;
+        let jitter = (hash_to_unit(chance.rotate_left(17)) * delay as f64 / 2.0) as Micros;
         self.push(self.now + delay + jitter, deliveries);
     }
 
