--- a/crates/decision/tests/fleet.rs
+++ b/crates/decision/tests/fleet.rs
@@ -45,7 +45,7 @@
 
 struct Fleet {
     nodes: Vec<Balancer>,
-    due: BinaryHeap<Reverse<(Micros, u64, SimEvent)>>,
+    schedule: BinaryHeap<Reverse<(Micros, u64, SimEvent)>>,
     last_sequence_number: u64,
     /// When the store has processed all set-ups that it has received.
     store_busy_until: Micros,
@@ -71,7 +71,7 @@
         };
         let mut fleet = Fleet {
             nodes: (0..nodes).map(balancer).collect(),
-            due: BinaryHeap::new(),
+            schedule: BinaryHeap::new(),
             last_sequence_number: 0,
             store_busy_until: 0,
             requests: Vec::new(),
@@ -87,9 +87,9 @@
         fleet
     }
 
-    fn push(&mut self, at: Micros, due: SimEvent) {
+    fn push(&mut self, at: Micros, event: SimEvent) {
         self.last_sequence_number += 1;
-        self.due.push(Reverse((at, self.last_sequence_number, due)));
+        self.schedule.push(Reverse((at, self.last_sequence_number, event)));
     }
 
     fn notify(&mut self, node: usize, now: Micros, event: Event) {
@@ -128,11 +128,11 @@
 
     /// Runs the simulation until the given time.
     fn run_until(&mut self, end: Micros) {
-        while let Some(Reverse((now, ..))) = self.due.peek()
+        while let Some(Reverse((now, ..))) = self.schedule.peek()
             && *now <= end
         {
-            let Some(Reverse((now, number, due))) = self.due.pop() else { break };
-            match due {
+            let Some(Reverse((now, number, event))) = self.schedule.pop() else { break };
+            match event {
                 SimEvent::Request { client, retries } => {
                     // The front end distributes the clients over the nodes.
                     let node = (client.wrapping_mul(7919) + number) as usize % self.nodes.len();
--- a/crates/decision/tests/list_polling.rs
+++ b/crates/decision/tests/list_polling.rs
@@ -69,21 +69,20 @@
 }
 
 /// Simulates a fleet whose watches all receive their last message at time 0, and a discovery that is faulty
-/// until
-/// `fault_ends_at`.
+/// until `fault_ends_at`.
 fn simulate(nodes: u32, discovery: Discovery, seed: u64) -> SimulationResult {
     let settings = |ordinal| Settings { ordinal, nodes, list_on_request: true, ..Settings::default() };
     let fleet = (0..nodes).map(|n| Balancer::new(settings(n), seed ^ (u64::from(n) << 20), 0));
     let mut fleet: Vec<Balancer> = fleet.collect();
-    let mut due: BinaryHeap<Reverse<(Micros, u32, SimEvent)>> =
+    let mut schedule: BinaryHeap<Reverse<(Micros, u32, SimEvent)>> =
         (0..nodes).map(|n| Reverse((WATCH_SILENT_AFTER, n, SimEvent::Silent))).collect();
     let (mut last_call, mut calls) = (vec![None; nodes as usize], Vec::new());
-    let (mut result, mut notified, mut free) = (SimulationResult::default(), 0, 0);
+    let (mut result, mut notified, mut service_free_at) = (SimulationResult::default(), 0, 0);
     let mut recent: VecDeque<Micros> = VecDeque::new();
     while notified < nodes {
-        let Reverse((now, n, what)) = due.pop().expect("calls never stop");
+        let Reverse((now, n, sim_event)) = schedule.pop().expect("calls never stop");
         assert!(now < 10 * 60 * S, "seed {seed}, {nodes} proxies, {discovery:?}: {notified} notified");
-        let event = match what {
+        let event = match sim_event {
             SimEvent::Timer(token) => Event::Timer(token),
             SimEvent::Silent => Event::ListSilent,
             SimEvent::Failed => Event::ListFailed,
@@ -96,7 +95,9 @@
         fleet[n as usize].handle(now, event, &mut out);
         for action in out {
             match action {
-                Action::Timer { after, token } => due.push(Reverse((now + after, n, SimEvent::Timer(token)))),
+                Action::Timer { after, token } => {
+                    schedule.push(Reverse((now + after, n, SimEvent::Timer(token))))
+                }
                 Action::WatchList => {
                     let before: Option<Micros> = last_call[n as usize].replace(now);
                     result.max_call_gap = result.max_call_gap.max(before.map_or(0, |before| now - before));
@@ -107,25 +108,25 @@
                     }
                     result.max_calls_in_a_second = result.max_calls_in_a_second.max(recent.len());
                     result.calls_after_fault += usize::from(now >= discovery.fault_ends_at);
-                    let (after, what) = if now < discovery.fault_ends_at {
+                    let (after, sim_event) = if now < discovery.fault_ends_at {
                         match discovery.fault {
                             Fault::RejectedAtOnce => (REJECTION_DELAY, SimEvent::Failed),
                             Fault::RejectedAfter(wait) => (wait, SimEvent::Failed),
                             Fault::GivenUpAfter(wait) => (wait, SimEvent::Silent),
                         }
                     } else {
-                        let begins = free.max(now);
-                        if begins - now > discovery.max_wait {
+                        let starts_at = service_free_at.max(now);
+                        if starts_at - now > discovery.max_wait {
                             (
                                 if discovery.rejects_at_once { REJECTION_DELAY } else { discovery.max_wait },
                                 SimEvent::Failed,
                             )
                         } else {
-                            free = begins + (S as f64 / discovery.rate) as Micros;
-                            (free - now, SimEvent::Answered)
+                            service_free_at = starts_at + (S as f64 / discovery.rate) as Micros;
+                            (service_free_at - now, SimEvent::Answered)
                         }
                     };
-                    due.push(Reverse((now + after, n, what)));
+                    schedule.push(Reverse((now + after, n, sim_event)));
                 }
                 _ => {}
             }
@@ -191,8 +192,8 @@
                 println!("{context}");
                 // Discovery needs this time to answer all proxies. A proxy that is rejected last calls again
                 // within the usual time.
-                let least = (f64::from(nodes) / rate * S as f64) as Micros;
-                assert!(result.time_to_notify_all <= least * 3 / 2 + NOTIFIED_WITHIN, "{context}");
+                let min_time = (f64::from(nodes) / rate * S as f64) as Micros;
+                assert!(result.time_to_notify_all <= min_time * 3 / 2 + NOTIFIED_WITHIN, "{context}");
                 assert!(result.calls_after_fault <= 5 * nodes as usize + 5, "{context}");
                 // Each proxy makes one call, and two more after the first two backoffs, which are short.
                 assert!(result.max_calls_in_a_second <= 3 * nodes as usize, "{context}");
