--- a/crates/decision/src/settings/pairs.rs
+++ b/crates/decision/src/settings/pairs.rs
@@ -48,9 +48,9 @@
 }
 
 impl Pairs {
-    /// Returns the keys that [`read`](super::read) looked up, each with the default that was used; `None` if
-    /// the key had a value. A check of a configuration can detect keys without effect: they were not looked
-    /// up.
+    /// Returns the keys that [`read`](fn@super::read) looked up, each with the default that was used; `None`
+    /// if the key had a value. A check of a configuration can detect keys without effect: they were not
+    /// looked up.
     pub fn lookups(&self) -> BTreeMap<String, Option<String>> {
         self.lookups.borrow().clone()
     }
