--- a/crates/kit/src/addresses.rs
+++ b/crates/kit/src/addresses.rs
@@ -1,56 +1,56 @@
-//! Where everything is: fixed places in a part of 127.0.0.0/8 that a run has for itself.
+//! Addresses of all parties of a run, in a part of 127.0.0.0/8 that the run has for itself.
 //!
-//! Fixed, since a proxy or render node that is started again must come back at its old address, and a port that the
-//! system chose could be given to somebody else meanwhile. Each proxy reaches every other party at an address of its
-//! own, so a stand-in knows who calls, and one proxy can be cut off without the others.
+//! The addresses are fixed, since a restarted proxy or render node must have its old address, and the system could
+//! meanwhile give a port that it chose to another process. Each party has a separate address for each proxy that
+//! connects to it, so an emulator knows the calling proxy, and one proxy can be cut off without the others.
 
 use crate::plan::{NodeId, ProxyId};
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 
-/// Render nodes, seen by proxy 0; by proxy p at this port + p.
+/// Port of the render nodes for proxy 0; proxy p uses this port + p.
 const NODES: u16 = 8000;
-/// Proxies, for clients.
+/// Port of the proxies for clients.
 const CLIENTS: u16 = 8000;
-/// Discovery; a later address of it at this port + its move.
+/// First port of discovery; after n moves, discovery uses this port + n.
 const DISCOVERY: u16 = 8500;
-/// A proxy's own end for datagrams.
+/// Port of a proxy's own datagram socket.
 const PEER: u16 = 7946;
-/// The relays of datagrams, seen by proxy 0; by proxy p at this port + p.
+/// Port of the datagram relays for proxy 0; proxy p uses this port + p.
 const RELAYS: u16 = 9000;
-/// Held by a run as long as it goes on.
+/// Port on which a run listens until it ends, as a lock on its part of the network.
 const LOCK: u16 = 7999;
-/// Render nodes for one value of the third byte.
+/// Number of render nodes for one value of the address's third byte.
 const ROW: u16 = 250;
 
-/// The places of one run.
+/// The addresses of one run.
 #[derive(Debug)]
 pub struct Addresses {
     part: u8,
     _lock: TcpListener,
 }
 
-/// No place could be had.
+/// Why no part of the loopback network could be taken.
 #[derive(Debug, thiserror::Error)]
 pub enum NoPlace {
     /// All parts of the loopback network that a run may use are in use.
     #[error("every part of 127.0.0.0/8 that a run may use is taken: end the other runs of the kit first")]
     Taken,
-    /// The system allows none.
+    /// The system does not allow the lock's socket.
     #[error("no socket can be opened on the loopback network: {0}")]
     System(#[from] io::Error),
 }
 
 impl Addresses {
-    /// Most render nodes of a run.
+    /// Maximum number of render nodes of a run.
     pub const MOST_NODES: u16 = ROW * 250;
-    /// Most proxies of a run.
+    /// Maximum number of proxies of a run.
     pub const MOST_PROXIES: u16 = 200;
 
-    /// Takes a part of the loopback network that no other run has; looks from `hint` on.
+    /// Takes a part of the loopback network that no other run uses. The search begins at `hint`.
     pub fn take(hint: u8) -> Result<Self, NoPlace> {
         for step in 0..240_u8 {
-            // 127.0.x.x is everybody's, and 127.1.x.x easily somebody's.
+            // Many programs use 127.0.x.x, and some use the parts just above it, such as 127.1.x.x.
             let part = 10 + (hint % 240 + step) % 240;
             match TcpListener::bind((Ipv4Addr::new(127, part, 0, 0), LOCK)) {
                 Ok(lock) => return Ok(Addresses { part, _lock: lock }),
@@ -65,32 +65,33 @@
         SocketAddr::from((Ipv4Addr::new(127, self.part, row, place), port))
     }
 
-    /// A render node, as a proxy sees it.
+    /// Returns the address at which the proxy `seen_by` reaches a render node.
     pub fn node(&self, node: NodeId, seen_by: ProxyId) -> SocketAddr {
         self.at((node.0 / ROW) as u8, (node.0 % ROW) as u8 + 1, NODES + seen_by.0)
     }
 
-    /// Where clients reach a proxy.
+    /// Returns the address at which clients reach a proxy.
     pub fn proxy(&self, proxy: ProxyId) -> SocketAddr {
         self.at(251, proxy.0 as u8 + 1, CLIENTS)
     }
 
-    /// Discovery after so many moves, as a proxy sees it.
+    /// Returns the address at which the proxy `seen_by` reaches discovery after `moves` moves.
     pub fn discovery(&self, moves: u16, seen_by: ProxyId) -> SocketAddr {
         self.at(252, seen_by.0 as u8 + 1, DISCOVERY + moves)
     }
 
-    /// A proxy's own end for datagrams.
+    /// Returns the address of a proxy's own datagram socket.
     pub fn peer(&self, proxy: ProxyId) -> SocketAddr {
         self.at(251, proxy.0 as u8 + 1, PEER)
     }
 
-    /// The relay at which one proxy sees another one: what is sent there reaches that one from its own relay.
+    /// Returns the address of the relay at which the proxy `seen_by` reaches the proxy `of`. The receiver sees each
+    /// datagram come from the relay at which it reaches the sender.
     pub fn relay(&self, of: ProxyId, seen_by: ProxyId) -> SocketAddr {
         self.at(253, of.0 as u8 + 1, RELAYS + seen_by.0)
     }
 
-    /// The relay at which a proxy reaches all others.
+    /// Returns the address of the relay at which the proxy `seen_by` reaches all others.
     pub fn relay_to_all(&self, seen_by: ProxyId) -> SocketAddr {
         self.at(254, 1, RELAYS + seen_by.0)
     }
--- a/crates/kit/src/board.rs
+++ b/crates/kit/src/board.rs
@@ -1,4 +1,5 @@
-//! What the threads of a run share: the clock, who is admitted, the end, and a few counts for the progress line.
+//! State that the threads of a run share: the clock, the admitted proxies, the stop flag, and counts for the progress
+//! line.
 
 use crate::observation::RequestId;
 use crate::plan::{Plan, ProxyId};
@@ -7,36 +8,36 @@
 use std::sync::atomic::{AtomicBool, AtomicI64, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Ids of open requests that are kept for rude clients to steal; a few at a time are enough.
+/// Number of ids of open requests that are kept for misbehaving clients to steal. They need only a few at a time.
 const MOST_OPEN_IDS: usize = 32;
 
-/// Counts that a person may watch while the run goes on; the judge does not use them.
+/// Counts for the progress line during the run; the judge does not use them.
 #[derive(Debug, Default)]
 pub struct Live {
-    /// Sessions that are up now.
+    /// Sessions that are established now.
     pub standing: AtomicI64,
-    /// Connection seconds asked for so far, times their worth, in microseconds.
+    /// Connection time requested so far, multiplied by its worth, in microseconds.
     pub wanted: AtomicU64,
-    /// Those well served.
+    /// The part of `wanted` that was well served.
     pub well: AtomicU64,
-    /// Requests put to proxies.
+    /// Requests sent to proxies.
     pub asked: AtomicU64,
-    /// Answers `UP`, `BUSY`, and any other.
+    /// Answers `UP`.
     pub up: AtomicU64,
-    /// Refused.
+    /// Answers `BUSY`.
     pub busy: AtomicU64,
-    /// Failed.
+    /// All other answers.
     pub failed: AtomicU64,
-    /// `MOVE` lines.
+    /// `MOVE` lines read by clients.
     pub moved: AtomicU64,
 }
 
-/// The board.
+/// The shared state of a run.
 #[derive(Debug)]
 pub struct Board {
-    /// The one clock.
+    /// The clock of the run.
     pub clock: RunClock,
-    /// For the progress line.
+    /// Counts for the progress line.
     pub live: Live,
     admitted: Vec<AtomicBool>,
     ready: AtomicUsize,
@@ -46,7 +47,7 @@
 }
 
 impl Board {
-    /// A board for a run that begins this long from now.
+    /// Creates the state of a run that begins after `lead`.
     pub fn new(plan: &Plan, lead: Micros) -> Self {
         let flags = || plan.proxies.iter().map(|_| AtomicBool::new(false)).collect();
         Board {
@@ -60,31 +61,32 @@
         }
     }
 
-    /// The front gives this proxy new clients, or no more.
+    /// Sets whether the front sends new clients to this proxy.
     pub fn admit(&self, proxy: ProxyId, on: bool) {
         if let Some(admitted) = self.admitted.get(usize::from(proxy.0)) {
             admitted.store(on, Ordering::Release);
         }
     }
 
-    /// Whether new clients go to it.
+    /// Returns whether the front sends new clients to this proxy.
     pub fn is_admitted(&self, proxy: ProxyId) -> bool {
         self.admitted.get(usize::from(proxy.0)).is_some_and(|admitted| admitted.load(Ordering::Acquire))
     }
 
-    /// A stand-in's thread has opened its sockets.
+    /// Reports that a thread of an emulator has opened its sockets.
     pub fn ready(&self) {
         self.ready.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// So many threads have opened their sockets.
+    /// Returns the number of threads that have opened their sockets.
     pub fn are_ready(&self) -> usize {
         self.ready.load(Ordering::Acquire)
     }
 
-    /// Held, a proxy gets no new clients at once, and the front does not admit it again, whatever it answers. The
-    /// runner holds one that was told to stop, once its last clients have come ([`crate::plan::Front::leaves_after`]),
-    /// and lets go when its process was started again; then it is admitted as soon as it answers the front.
+    /// Holds a proxy (`on`) or releases it. A held proxy gets no new clients from this moment, and the front does not
+    /// admit it again even if it answers. The runner holds a proxy that was told to stop, after the time in which it
+    /// still gets clients ([`crate::plan::Front::leaves_after`]), and releases it when its process was started again.
+    /// The front then admits the proxy as soon as it answers.
     pub fn hold(&self, proxy: ProxyId, on: bool) {
         if let Some(held) = self.held.get(usize::from(proxy.0)) {
             held.store(on, Ordering::Release);
@@ -94,17 +96,18 @@
         }
     }
 
-    /// The front must not admit it.
+    /// Returns whether the proxy is held, so that the front must not admit it.
     pub fn is_held(&self, proxy: ProxyId) -> bool {
         self.held.get(usize::from(proxy.0)).is_some_and(|held| held.load(Ordering::Acquire))
     }
 
     fn open(&self) -> MutexGuard<'_, VecDeque<(RequestId, ProxyId)>> {
-        // A list of ids is whole even if a thread died while it had it.
+        // The list is consistent even if a thread panicked while it held the lock.
         self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A request is up, and its id may be stolen; beyond a few the oldest is forgotten.
+    /// Records the id of an open request for misbehaving clients to steal. The oldest id is dropped when the
+    /// list is full.
     pub fn opened(&self, request: RequestId, proxy: ProxyId) {
         let mut open = self.open();
         if open.len() == MOST_OPEN_IDS {
@@ -113,22 +116,22 @@
         open.push_back((request, proxy));
     }
 
-    /// It is up no more.
+    /// Removes the id of a request that is no longer open.
     pub fn closed(&self, request: RequestId) {
         self.open().retain(|(open, _)| *open != request);
     }
 
-    /// The id that was opened last of those that are up, and the proxy that serves it.
+    /// Returns the id of the most recently opened request that is still open, and the proxy that serves it.
     pub fn an_open_id(&self) -> Option<(RequestId, ProxyId)> {
         self.open().back().copied()
     }
 
-    /// The run is over; threads end as soon as they notice, which they do every few milliseconds.
+    /// Ends the run. Threads check the flag every few milliseconds and end.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Release);
     }
 
-    /// The run is over.
+    /// Returns whether the run is over.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Acquire)
     }
--- a/crates/kit/src/cli/compare.rs
+++ b/crates/kit/src/cli/compare.rs
@@ -1,4 +1,4 @@
-//! `compare`: two arms, the same seeds, side by side.
+//! The command `compare`: runs two proxies on the same scenarios and seeds.
 
 use super::rehearse::scenarios;
 use super::{Ended, interrupt, write_json};
@@ -8,39 +8,39 @@
 use std::path::PathBuf;
 use std::sync::atomic::Ordering;
 
-/// Plays two builds, or two settings, side by side on the same seeds.
+/// Runs two builds, or two settings, of the proxy side by side on the same seeds.
 #[derive(Debug, Args)]
 pub struct Compare {
-    /// The first arm: a proxy's program, with its arguments behind it if quoted ("target/release/cottonnotch
-    /// --operator a.toml").
+    /// The first arm: a proxy's program; to pass arguments, quote them together with the program
+    /// ("target/release/cottonnotch --operator a.toml").
     a: String,
-    /// The second arm.
+    /// The second arm, in the same form.
     b: String,
-    /// Scenario files, or folders of them.
+    /// Scenario files, or folders that contain them.
     #[arg(long = "scenario", required = true, value_name = "FILE|DIR")]
     scenarios: Vec<PathBuf>,
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds, from the first one on.
+    /// Number of consecutive seeds, beginning with the first.
     #[arg(long, default_value_t = 8)]
     seeds: u64,
-    /// Writes all pairs and the conclusion here, as JSON.
+    /// File to which all pairs and the result are written as JSON.
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
 }
 
-/// A program with its arguments.
+/// Parses an arm: a program and its arguments, separated by white space.
 pub fn arm(text: &str) -> Result<Arm, String> {
     let mut words = text.split_whitespace();
-    let program = words.next().ok_or("an arm is a program, and this one is empty")?;
+    let program = words.next().ok_or("an arm must name a program, but is empty")?;
     let daemon = Daemon { program: program.into(), arguments: words.map(Into::into).collect() };
     daemon.check().map_err(|error| error.to_string())?;
     Ok(Arm { name: text.to_owned(), daemon })
 }
 
 impl Compare {
-    /// Plays all pairs and concludes.
+    /// Runs all pairs, and prints each of them and the result.
     pub fn run(self) -> Result<Ended, String> {
         let (a, b) = (arm(&self.a)?, arm(&self.b)?);
         let scenarios = scenarios(&self.scenarios)?;
--- a/crates/kit/src/cli/demo.rs
+++ b/crates/kit/src/cli/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: for a newcomer, with nothing to start and no file to write.
+//! The command `demo`: a short rehearsal for new users that needs no preparation and no scenario file.
 
 use super::rehearse::Progress;
 use super::{DaemonArgs, Ended, interrupt, progress_over};
@@ -9,15 +9,16 @@
 use std::io::IsTerminal;
 use std::time::{Duration, Instant};
 
-/// What is played.
+/// Text of the demo's scenario.
 const SCENARIO: &str = include_str!("demo.toml");
-/// Where nobody watches a line being rewritten, one is printed this often.
+/// Interval between two progress lines when standard error is not a terminal.
 const PRINTED: Duration = Duration::from_secs(2);
 
-/// Two proxies and eight render nodes under load for under half a minute: one render node is killed, one drains.
+/// Runs two proxies and eight render nodes under load for less than half a minute; one render node is killed, and one
+/// drains.
 #[derive(Debug, Args)]
 pub struct Demo {
-    /// What is drawn.
+    /// Seed from which the plan is drawn.
     #[arg(long, default_value_t = 1)]
     seed: u64,
     #[command(flatten)]
@@ -25,7 +26,7 @@
 }
 
 impl Demo {
-    /// Plays it and explains.
+    /// Runs the demo and prints its events and its verdict.
     pub fn run(self) -> Result<Ended, String> {
         let daemon = self.daemon.daemon()?;
         let scenario = Scenario::read("demo".as_ref(), SCENARIO).map_err(|error| error.to_string())?;
@@ -37,7 +38,7 @@
             plan.sessions.len(),
             plan.ends as f64 / S as f64
         );
-        println!("service: worth of the connection seconds that were well served, over those asked for.\n");
+        println!("service: worth of the well-served connection seconds, divided by the worth of the requested ones.\n");
         let setup = Setup { daemon, keep: None, interrupted: interrupt()? };
         let watched = std::io::stderr().is_terminal();
         let (mut line, mut printed, mut mark) = (Progress::default(), Instant::now(), 0);
--- a/crates/kit/src/cli/prove.rs
+++ b/crates/kit/src/cli/prove.rs
@@ -1,4 +1,4 @@
-//! `prove`: the judge is shown proxies with known faults, and must find each.
+//! The command `prove`: checks that the judge finds the fault of each scripted proxy.
 
 use super::{Ended, interrupt};
 use clap::Args;
@@ -6,26 +6,28 @@
 use cottonnotch_kit::prove;
 use std::sync::atomic::Ordering;
 
-/// Plays a scripted proxy with each known fault: each must break its rule and no other, and the honest one none.
+/// Runs a scripted proxy with each known fault, which must break its rule and no other, and one without a fault, which
+/// must break none.
 #[derive(Debug, Args)]
 pub struct Prove {
-    /// Only these faults.
+    /// The faults to run; all if none is given.
     faults: Vec<Fault>,
-    /// The seed.
+    /// Seed from which the scenario is drawn.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Runs at one time.
+    /// Number of concurrent runs.
     #[arg(long, default_value_t = 3)]
     jobs: usize,
 }
 
 impl Prove {
-    /// Plays all.
+    /// Runs the cases and prints the result of each.
     pub fn run(self) -> Result<Ended, String> {
         let interrupted = interrupt()?;
         let faults = if self.faults.is_empty() { Fault::ALL.to_vec() } else { self.faults };
         let cases: Vec<Option<Fault>> = std::iter::once(None).chain(faults.into_iter().map(Some)).collect();
-        let program = std::env::current_exe().map_err(|error| format!("where this program is: {error}"))?;
+        let program = std::env::current_exe()
+            .map_err(|error| format!("cannot find the path of this program: {error}"))?;
         let proofs = prove::all(&program, &cases, self.seed, self.jobs.max(1), &interrupted);
         let proofs = proofs.map_err(|error| error.to_string())?;
         for proof in &proofs {
--- a/crates/kit/src/cli/show.rs
+++ b/crates/kit/src/cli/show.rs
@@ -1,4 +1,4 @@
-//! `show`: what a scenario draws, without playing it.
+//! The command `show`: prints the plan of a scenario without running it.
 
 use super::Ended;
 use super::rehearse::scenarios;
@@ -8,22 +8,22 @@
 use cottonnotch_kit::time::S;
 use std::path::PathBuf;
 
-/// Prints what a scenario draws from a seed.
+/// Prints the plan that a scenario draws from a seed.
 #[derive(Debug, Args)]
 pub struct Show {
-    /// Scenario files, or folders of them.
+    /// Scenario files, or folders that contain them.
     #[arg(required = true, value_name = "FILE|DIR")]
     scenarios: Vec<PathBuf>,
-    /// The seed.
+    /// Seed from which the plan is drawn.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Each happening, not only the marks.
+    /// Prints each event of the timeline, not only the marks.
     #[arg(long)]
     all: bool,
 }
 
 impl Show {
-    /// Prints.
+    /// Draws and prints the plan of each scenario.
     pub fn run(self) -> Result<Ended, String> {
         for scenario in scenarios(&self.scenarios)? {
             let plan = scenario.draw(self.seed);
--- a/crates/kit/src/lib.rs
+++ b/crates/kit/src/lib.rs
@@ -1,6 +1,6 @@
-//! The rehearsal kit: stand-in render nodes, discovery, front and clients around real proxies, faults from a scenario,
-//! and a judge that is fed only by what the stand-ins saw. See `docs/design/kit.md`.
-// Left from before the workspace's lints: docs/ROADMAP.md lists the functions.
+//! The rehearsal kit: it runs real proxies among emulated render nodes, discovery, front and clients, injects the
+//! faults of a scenario, and has a judge whose only input is the emulators' observations. See `docs/design/kit.md`.
+// Some functions predate the workspace's lints and are too long; docs/ROADMAP.md lists them.
 #![allow(clippy::too_many_lines)]
 
 pub mod addresses;
--- a/crates/kit/src/main.rs
+++ b/crates/kit/src/main.rs
@@ -1,5 +1,5 @@
 //! The command line of the rehearsal kit.
-// Left from before the workspace's lints: docs/ROADMAP.md lists the functions.
+// Some functions predate the workspace's lints and are too long; docs/ROADMAP.md lists them.
 #![allow(clippy::too_many_lines)]
 
 mod cli;
--- a/crates/kit/src/notes.rs
+++ b/crates/kit/src/notes.rs
@@ -1,28 +1,29 @@
-//! Where a stand-in keeps what it saw: a list of its own, so that no thread waits for another one.
+//! Recording of observations. Each emulator thread has its own list, so that no thread waits for another one.
 
 use crate::observation::{Observation, Seen};
 use crate::time::Micros;
 
-/// The notes of one thread, in the order in which they were taken.
+/// The observations of one thread, in the order in which the thread recorded them.
 #[derive(Debug, Default)]
 pub struct Notes(Vec<Observation>);
 
 impl Notes {
-    /// Notes something seen at that time.
+    /// Records the event `seen` with the time `at`.
     pub fn note(&mut self, at: Micros, seen: Seen) {
         self.0.push(Observation { at, seen });
     }
 
-    /// All notes.
+    /// Returns all recorded observations.
     pub fn into_inner(self) -> Vec<Observation> {
         self.0
     }
 }
 
-/// The notes of all threads, in the order of their times; what one thread noted at one moment stays in its order.
+/// Merges the observations of all threads in order of time. Observations of one thread with equal times keep their
+/// order.
 pub fn merge(notes: Vec<Vec<Observation>>) -> Vec<Observation> {
     let mut all: Vec<Observation> = notes.into_iter().flatten().collect();
-    // Stable, and fast on what is sorted piece by piece.
+    // The sort is stable, and fast on a concatenation of sorted lists.
     all.sort_by_key(|observation| observation.at);
     all
 }
--- a/crates/kit/src/settings.rs
+++ b/crates/kit/src/settings.rs
@@ -1,21 +1,22 @@
-//! The platform's `settings` for a proxy, as its JSON configuration has them: the names and units of the
-//! simulator's first message, nested. Times are microseconds.
+//! The platform's `settings` in the JSON configuration of a proxy. They have the names and units of the simulator's
+//! first message, nested. Times are in microseconds.
 
 use crate::plan::{Plan, ProxyId};
 use crate::time::{MS, Micros, S};
 use simd_json::{OwnedValue, json};
 use std::collections::BTreeSet;
 
-/// What traffic beyond a tenant's share is worth: the operators' figure.
+/// Worth of traffic beyond a tenant's share. The operators set this value.
 const OVER_SHARE_WORTH: f64 = 0.05;
-/// A proxy handles what has come in once in this long: the operators' figure.
+/// Interval at which a proxy handles its pending input. The operators set this value.
 const STEP: Micros = 2 * MS;
-/// Processor time that a proxy may use in a second: the operators' figure.
+/// CPU time in microseconds that a proxy may use in a second. The operators set this value.
 const CPU_US_PER_S: u32 = 800_000;
-/// Idle connections are closed after this; none are idle here, since each belongs to a session.
+/// Time after which an idle connection is closed. No connection of a rehearsal is idle, since each belongs to a
+/// session.
 const IDLE: Micros = 10 * S;
 
-/// The settings of one proxy. Whatever the plan does not vary has the operators' figure.
+/// Returns the settings of one proxy. Settings that the plan does not vary have the operators' values.
 pub fn settings(plan: &Plan, proxy: ProxyId) -> OwnedValue {
     let zone = plan.proxies.get(usize::from(proxy.0)).and_then(|it| plan.zones.get(usize::from(it.zone)));
     let kinds: Vec<&str> =
--- a/crates/kit/src/testing.rs
+++ b/crates/kit/src/testing.rs
@@ -1,9 +1,10 @@
-//! What tests of several modules begin with.
+//! Test data shared by the unit tests of several modules.
 
 use crate::plan::{Class, Demands, Front, Habits, Network, Plan, Proxy, Rules, Session, Tenant};
 use crate::time::{MS, Micros, S};
 
-/// One proxy for each zone given; a deadline of 1.8 s, an aim of 150 ms, fixed waits.
+/// Returns a plan with one proxy for each item of `zones`, a deadline of 1.8 s, a message aim of 150 ms and
+/// fixed waits.
 pub(crate) fn plan(zones: &[u16], sessions: Vec<Session>) -> Plan {
     let name = str::to_owned;
     let proxy = |(i, zone): (usize, &u16)| Proxy {
@@ -72,7 +73,7 @@
     }
 }
 
-/// A session that comes at that time.
+/// Returns a session that arrives at `arrives` and lasts `life`.
 pub(crate) fn session(arrives: Micros, life: Micros) -> Session {
     let (class, tenant, zone, key, group) = (0, 0, 0, 0xabc, 7);
     Session { arrives, life, class, tenant, zone, key, group, loads: vec![(0, 1.0)], patience: 1.0, seed: 5 }
