--- a/crates/kit/src/addresses.rs
+++ b/crates/kit/src/addresses.rs
@@ -9,19 +9,19 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 
 /// Port of the render nodes for proxy 0; proxy p uses this port + p.
-const NODES: u16 = 8000;
+const NODE_PORT: u16 = 8000;
 /// Port of the proxies for clients.
-const CLIENTS: u16 = 8000;
+const CLIENT_PORT: u16 = 8000;
 /// First port of discovery; after n moves, discovery uses this port + n.
-const DISCOVERY: u16 = 8500;
+const DISCOVERY_PORT: u16 = 8500;
 /// Port of a proxy's own datagram socket.
-const PEER: u16 = 7946;
+const PEER_PORT: u16 = 7946;
 /// Port of the datagram relays for proxy 0; proxy p uses this port + p.
-const RELAYS: u16 = 9000;
+const RELAY_PORT: u16 = 9000;
 /// Port on which a run listens until it ends, as a lock on its part of the network.
-const LOCK: u16 = 7999;
+const LOCK_PORT: u16 = 7999;
 /// Number of render nodes for one value of the address's third byte.
-const ROW: u16 = 250;
+const NODES_PER_ROW: u16 = 250;
 
 /// The addresses of one run.
 #[derive(Debug)]
@@ -43,7 +43,7 @@
 
 impl Addresses {
     /// Maximum number of render nodes of a run.
-    pub const MOST_NODES: u16 = ROW * 250;
+    pub const MOST_NODES: u16 = NODES_PER_ROW * 250;
     /// Maximum number of proxies of a run.
     pub const MOST_PROXIES: u16 = 200;
 
@@ -52,7 +52,7 @@
         for step in 0..240_u8 {
             // Many programs use 127.0.x.x, and some use the parts just above it, such as 127.1.x.x.
             let part = 10 + (hint % 240 + step) % 240;
-            match TcpListener::bind((Ipv4Addr::new(127, part, 0, 0), LOCK)) {
+            match TcpListener::bind((Ipv4Addr::new(127, part, 0, 0), LOCK_PORT)) {
                 Ok(lock) => return Ok(Addresses { part, _lock: lock }),
                 Err(error) if error.kind() == io::ErrorKind::AddrInUse => {}
                 Err(error) => return Err(error.into()),
@@ -67,33 +67,33 @@
 
     /// Returns the address at which the proxy `seen_by` reaches a render node.
     pub fn node(&self, node: NodeId, seen_by: ProxyId) -> SocketAddr {
-        self.at((node.0 / ROW) as u8, (node.0 % ROW) as u8 + 1, NODES + seen_by.0)
+        self.at((node.0 / NODES_PER_ROW) as u8, (node.0 % NODES_PER_ROW) as u8 + 1, NODE_PORT + seen_by.0)
     }
 
     /// Returns the address at which clients reach a proxy.
     pub fn proxy(&self, proxy: ProxyId) -> SocketAddr {
-        self.at(251, proxy.0 as u8 + 1, CLIENTS)
+        self.at(251, proxy.0 as u8 + 1, CLIENT_PORT)
     }
 
     /// Returns the address at which the proxy `seen_by` reaches discovery after `moves` moves.
     pub fn discovery(&self, moves: u16, seen_by: ProxyId) -> SocketAddr {
-        self.at(252, seen_by.0 as u8 + 1, DISCOVERY + moves)
+        self.at(252, seen_by.0 as u8 + 1, DISCOVERY_PORT + moves)
     }
 
     /// Returns the address of a proxy's own datagram socket.
     pub fn peer(&self, proxy: ProxyId) -> SocketAddr {
-        self.at(251, proxy.0 as u8 + 1, PEER)
+        self.at(251, proxy.0 as u8 + 1, PEER_PORT)
     }
 
     /// Returns the address of the relay at which the proxy `seen_by` reaches the proxy `of`. The receiver sees each
     /// datagram come from the relay at which it reaches the sender.
     pub fn relay(&self, of: ProxyId, seen_by: ProxyId) -> SocketAddr {
-        self.at(253, of.0 as u8 + 1, RELAYS + seen_by.0)
+        self.at(253, of.0 as u8 + 1, RELAY_PORT + seen_by.0)
     }
 
     /// Returns the address of the relay at which the proxy `seen_by` reaches all others.
     pub fn relay_to_all(&self, seen_by: ProxyId) -> SocketAddr {
-        self.at(254, 1, RELAYS + seen_by.0)
+        self.at(254, 1, RELAY_PORT + seen_by.0)
     }
 }
 
--- a/crates/kit/src/board.rs
+++ b/crates/kit/src/board.rs
@@ -9,7 +9,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 /// Number of ids of open requests that are kept for misbehaving clients to steal. They need only a few at a time.
-const MOST_OPEN_IDS: usize = 32;
+const MAX_OPEN_IDS: usize = 32;
 
 /// Counts for the progress line during the run; the judge does not use them.
 #[derive(Debug, Default)]
@@ -110,7 +110,7 @@
     /// list is full.
     pub fn opened(&self, request: RequestId, proxy: ProxyId) {
         let mut open = self.open();
-        if open.len() == MOST_OPEN_IDS {
+        if open.len() == MAX_OPEN_IDS {
             open.pop_front();
         }
         open.push_back((request, proxy));
--- a/crates/kit/src/cli/demo.rs
+++ b/crates/kit/src/cli/demo.rs
@@ -12,7 +12,7 @@
 /// Text of the demo's scenario.
 const SCENARIO: &str = include_str!("demo.toml");
 /// Interval between two progress lines when standard error is not a terminal.
-const PRINTED: Duration = Duration::from_secs(2);
+const PRINT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Runs two proxies and eight render nodes under load for less than half a minute; one render node is killed, and one
 /// drains.
@@ -38,14 +38,16 @@
             plan.sessions.len(),
             plan.ends as f64 / S as f64
         );
-        println!("service: worth of the well-served connection seconds, divided by the worth of the requested ones.\n");
+        println!(
+            "service: worth of the well-served connection seconds, divided by the worth of the requested ones.\n"
+        );
         let setup = Setup { daemon, keep: None, interrupted: interrupt()? };
         let watched = std::io::stderr().is_terminal();
-        let (mut line, mut printed, mut mark) = (Progress::default(), Instant::now(), 0);
+        let (mut line, mut printed, mut next_event) = (Progress::default(), Instant::now(), 0);
         let run = rehearse::run(plan, &setup, |plan, board| {
             let now = board.clock.now();
-            while let Some(event) = plan.timeline.get(mark).filter(|event| event.at <= now) {
-                mark += 1;
+            while let Some(event) = plan.timeline.get(next_event).filter(|event| event.at <= now) {
+                next_event += 1;
                 if let cottonnotch_kit::plan::TimelineChange::Mark(text) = &event.change {
                     clear_if(watched);
                     println!("{:>5.1} s  {text}", event.at as f64 / S as f64);
@@ -53,7 +55,7 @@
             }
             if watched {
                 line.show(plan, board);
-            } else if printed.elapsed() >= PRINTED {
+            } else if printed.elapsed() >= PRINT_INTERVAL {
                 printed = Instant::now();
                 println!("{}", line.line(plan, board));
             }
--- a/crates/kit/src/settings.rs
+++ b/crates/kit/src/settings.rs
@@ -9,12 +9,12 @@
 /// Worth of traffic beyond a tenant's share. The operators set this value.
 const OVER_SHARE_WORTH: f64 = 0.05;
 /// Interval at which a proxy handles its pending input. The operators set this value.
-const STEP: Micros = 2 * MS;
+const STEP_INTERVAL: Micros = 2 * MS;
 /// CPU time in microseconds that a proxy may use in a second. The operators set this value.
 const CPU_US_PER_S: u32 = 800_000;
 /// Time after which an idle connection is closed. No connection of a rehearsal is idle, since each belongs to a
 /// session.
-const IDLE: Micros = 10 * S;
+const IDLE_TIMEOUT: Micros = 10 * S;
 
 /// Returns the settings of one proxy. Settings that the plan does not vary have the operators' values.
 pub fn settings(plan: &Plan, proxy: ProxyId) -> OwnedValue {
@@ -59,7 +59,7 @@
         "workload": "conn",
         "worthBy": "request",
         "registryMode": "on_request",
-        "step": STEP,
+        "step": STEP_INTERVAL,
         "overShareWorth": OVER_SHARE_WORTH,
         "requestClasses": classes,
         "tenants": tenants,
@@ -86,7 +86,7 @@
             "maxRetryAfter": plan.rules.retry_after_max,
             "mayTell": plan.network.datagrams,
             "connectTimeout": plan.rules.connect_timeout,
-            "connIdle": IDLE,
+            "connIdle": IDLE_TIMEOUT,
             "maxOpen": 1_000_000,
             "maxStreams": 1_048_576,
             "cpuUsPerS": CPU_US_PER_S,
