--- a/crates/kit/src/cli/load.rs
+++ b/crates/kit/src/cli/load.rs
@@ -1,4 +1,4 @@
-//! `load`: what one proxy bears.
+//! The command `load`: measures the capacity of one proxy.
 
 use super::{DaemonArgs, Ended, interrupt, write_json};
 use clap::Args;
@@ -7,46 +7,46 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Measures what one proxy bears, through it and directly to a render node in one run. Open loop: work is due at
-/// fixed times, and latency counts from then.
+/// Measures the capacity of one proxy, and of a direct connection to a render node in the same run. The load is open
+/// loop: operations are due at fixed times, and latency is measured from the due time.
 #[derive(Debug, Args)]
 pub struct Load {
-    /// Standing connections.
+    /// Number of established connections.
     #[arg(long, default_value_t = 1000)]
     connections: usize,
-    /// Lines in flight on each of them at most.
+    /// Maximum number of lines in flight on each connection.
     #[arg(long, default_value_t = 1)]
     in_flight: usize,
-    /// Seconds of each step.
+    /// Duration of each step in seconds.
     #[arg(long, default_value_t = 2.0)]
     step_s: f64,
-    /// Threads that make the load, and as many that answer it.
+    /// Number of threads that generate the load; the same number of threads answers it.
     #[arg(long, default_value_t = 3)]
     threads: usize,
-    /// Instead of seeking what is borne: so many lines a second for one step of --step-s, over connections that all stand
-    /// before; prints latency, CPU and memory.
+    /// Instead of searching for the capacity, sends this many lines a second for one step of --step-s, over connections
+    /// that are all established before the step; prints latency, CPU and memory.
     #[arg(long, value_name = "RATE", conflicts_with = "versus")]
     lines_per_s: Option<f64>,
-    /// With --lines-per-s: clients that come and go again meanwhile, a second.
+    /// With --lines-per-s: number of further clients a second that connect and leave during the step.
     #[arg(long, value_name = "RATE", default_value_t = 0.0, requires = "lines_per_s")]
     setups_per_s: f64,
-    /// With --lines-per-s: render nodes in the list; they share the --threads addresses that answer.
+    /// With --lines-per-s: number of render nodes in the endpoint list; they share the --threads addresses that answer.
     #[arg(long, default_value_t = 0, requires = "lines_per_s")]
     listed: usize,
-    /// With --lines-per-s: milliseconds from one whole list to the next; 0: it stays as it is.
+    /// With --lines-per-s: milliseconds between two complete endpoint lists; with 0 the list does not change.
     #[arg(long, value_name = "MS", default_value_t = 0, requires = "lines_per_s")]
     list_every_ms: u64,
-    /// Measures a second proxy in turn with the first, under the same overload, and prints the ratio: a program, with
-    /// its arguments behind it if quoted.
+    /// Measures a second proxy alternately with the first, under the same overload, and prints the ratio. The value is a
+    /// program; to pass arguments, quote them together with the program.
     #[arg(long, value_name = "PROXY")]
     versus: Option<String>,
-    /// Rounds of each, with --versus.
+    /// With --versus: number of rounds of each proxy.
     #[arg(long, default_value_t = 8)]
     rounds: usize,
-    /// Writes the figures here, as JSON.
+    /// File to which the results are written as JSON.
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Says nothing while it measures.
+    /// Prints no progress during the measurement.
     #[arg(long)]
     quiet: bool,
     #[command(flatten)]
@@ -54,9 +54,9 @@
 }
 
 impl Load {
-    /// Measures and prints.
+    /// Runs the measurement and prints the results.
     pub fn run(self) -> Result<Ended, String> {
-        let step = Duration::try_from_secs_f64(self.step_s).map_err(|_| "--step-s is no length of time")?;
+        let step = Duration::try_from_secs_f64(self.step_s).map_err(|_| "--step-s is not a valid duration")?;
         let setup = LoadSetup {
             daemon: self.daemon.daemon()?,
             step,
--- a/crates/kit/src/cli/mod.rs
+++ b/crates/kit/src/cli/mod.rs
@@ -1,6 +1,6 @@
-//! What the kit can be asked for. Each command prints for a person and says by its exit code what came of it: 0 all
-//! rules kept and all demands reached, 1 not, 2 it could not be played, 3 void (the kit itself ran late), 130 ended
-//! by Ctrl-C.
+//! The commands of the kit. Each command prints text for people and has an exit code: 0 if all rules were kept and all
+//! demands met, 1 if not, 2 if the command could not be carried out, 3 if the run is void because the kit itself ran
+//! late, 130 if Ctrl-C ended it.
 
 mod compare;
 mod demo;
@@ -19,8 +19,8 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 
-/// Rehearses failures of the cottonnotch proxy: stand-in render nodes, discovery, front and clients around real
-/// proxies on this machine, faults from a scenario, and a judge of the rules. Everything stays on loopback addresses.
+/// Rehearses failures of the cottonnotch proxy: runs real proxies on this machine among emulated render nodes,
+/// discovery, front and clients, injects the faults of a scenario, and judges the rules. It uses only loopback addresses.
 #[derive(Debug, Parser)]
 #[command(name = "cottonnotch-kit", version)]
 pub struct Cli {
@@ -30,24 +30,24 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Shows it all in half a minute: two proxies and eight render nodes under load, one killed, one drained.
+    /// Runs a demo of half a minute: two proxies and eight render nodes under load, one killed, one drained.
     Demo(demo::Demo),
-    /// Plays scenarios and judges each of them.
+    /// Runs scenarios and judges each run.
     Rehearse(rehearse::Rehearse),
-    /// Measures what one proxy bears, through it and directly to a render node.
+    /// Measures the capacity of one proxy, and for comparison that of a direct connection to a render node.
     Load(load::Load),
-    /// Plays two builds, or two settings, side by side on the same seeds, and says which serves better.
+    /// Runs two builds, or two settings, side by side on the same seeds, and reports which serves better.
     Compare(compare::Compare),
-    /// Proves that the judge can fail: plays a proxy with each known fault, which must break its rule and no other.
+    /// Checks that the judge finds faults: runs a proxy with each known fault, which must break its rule and no other.
     Prove(prove::Prove),
-    /// Prints what a scenario draws from a seed, without playing it.
+    /// Prints the plan that a scenario draws from a seed, without running it.
     Show(show::Show),
-    /// Becomes a proxy, bound to the kit's life. Used by the kit itself.
+    /// Executes a proxy that is killed when the kit ends. Used by the kit itself.
     #[command(hide = true)]
     Keeper {
-        /// The kit's process.
+        /// Process id of the kit.
         parent: u32,
-        /// Descriptors that the program may hold.
+        /// Limit of the program's open file descriptors.
         descriptors: u64,
         /// The program and its arguments.
         #[arg(last = true, required = true)]
@@ -56,21 +56,21 @@
     /// Serves as a scripted proxy that breaks a rule. Used by `prove`.
     #[command(hide = true)]
     BadProxy {
-        /// Which fault; none: an honest one.
+        /// The fault; the proxy has none if this is absent.
         fault: Option<Fault>,
     },
 }
 
-/// Which program is put in as the proxy.
+/// The program that runs as the proxy.
 #[derive(Clone, Debug, Default, Args)]
 struct DaemonArgs {
-    /// The proxy to play with; otherwise the one beside this program.
+    /// The proxy's program; by default the one in the folder of this program, or in the folder above.
     #[arg(long, value_name = "PATH")]
     daemon: Option<PathBuf>,
-    /// An argument for it; may be given again and again.
+    /// An argument for the proxy; the option can be repeated.
     #[arg(long = "daemon-arg", value_name = "ARGUMENT", allow_hyphen_values = true)]
     daemon_args: Vec<OsString>,
-    /// The operator's file for it (its `--operator FILE`).
+    /// The operator's file for the proxy (its `--operator FILE`).
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
 }
@@ -93,7 +93,7 @@
     }
 }
 
-/// How a command ended.
+/// The result of a command, from which its exit code follows.
 enum Ended {
     Well,
     Broken,
@@ -113,7 +113,7 @@
 }
 
 impl Cli {
-    /// Does what was asked for.
+    /// Runs the command and returns its exit code.
     pub fn run(self) -> ExitCode {
         let result = match self.command {
             Command::Demo(demo) => demo.run(),
@@ -142,34 +142,35 @@
     }
 }
 
-/// Set by Ctrl-C. A second one ends the kit at once, and the system ends its processes with it.
+/// Returns a flag that SIGINT (Ctrl-C) and SIGTERM set. Once it is set, a SIGINT ends the kit at once, and the system
+/// kills the kit's proxies.
 fn interrupt() -> Result<Arc<AtomicBool>, String> {
     let flag = Arc::new(AtomicBool::new(false));
     let twice =
         signal_hook::flag::register_conditional_shutdown(signal_hook::consts::SIGINT, 130, Arc::clone(&flag));
     let once = signal_hook::flag::register(signal_hook::consts::SIGINT, Arc::clone(&flag));
     let term = signal_hook::flag::register(signal_hook::consts::SIGTERM, Arc::clone(&flag));
-    twice.and(once).and(term).map_err(|error| format!("signals cannot be heard: {error}"))?;
+    twice.and(once).and(term).map_err(|error| format!("cannot install the signal handlers: {error}"))?;
     Ok(flag)
 }
 
-/// Writes a report, whole or not at all.
+/// Writes a report as JSON. A temporary file is renamed, so the file is never incomplete.
 fn write_json(path: &std::path::Path, value: &impl serde::Serialize) -> Result<(), String> {
     let text =
-        simd_json::to_string_pretty(value).map_err(|error| format!("the report is no JSON: {error}"))?;
+        simd_json::to_string_pretty(value).map_err(|error| format!("cannot serialize the report: {error}"))?;
     let fresh = path.with_extension("json.new");
     let written = std::fs::write(&fresh, text + "\n").and_then(|()| std::fs::rename(&fresh, path));
     written.map_err(|error| format!("{}: {error}", path.display()))
 }
 
-/// Writes a line that the next one replaces, where a person watches.
+/// Writes a progress line to the terminal in place of the previous one.
 fn progress(line: &str) {
-    // A closed terminal is no reason to end a run.
+    // A closed terminal must not end the run, so errors are ignored.
     let _ = write!(std::io::stderr(), "\r\x1b[2K{line}");
     let _ = std::io::stderr().flush();
 }
 
-/// Clears that line, if there is one.
+/// Clears the progress line if standard error is a terminal.
 fn progress_over() {
     if std::io::stderr().is_terminal() {
         progress("");
--- a/crates/kit/src/compare.rs
+++ b/crates/kit/src/compare.rs
@@ -1,8 +1,9 @@
-//! Two builds, or two settings, on the same seeds: paired differences of the service ratio with an interval.
+//! Comparison of two builds, or two settings, on the same seeds: paired differences of the service ratio, with a
+//! confidence interval.
 //!
-//! Both arms of a pair play the same plan at the same time side by side, so what the machine does hits both; the
-//! difference of a pair is then free of what the seed drew. The interval is a percentile bootstrap of the mean
-//! difference (Efron 1979): pairs are drawn anew with replacement, many times.
+//! Both arms of a pair run the same plan at the same time, so that disturbances of the machine affect both, and the
+//! difference within a pair does not depend on the seed's draw. The interval is a percentile bootstrap of the mean
+//! difference (Efron 1979): the differences are resampled with replacement many times.
 
 use crate::plan::Plan;
 use crate::processes::Daemon;
@@ -16,54 +17,54 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 
-/// Resamples: enough for the ends of a 95% interval to stand to two figures.
+/// Number of bootstrap resamples. With it, the bounds of a 95% interval are stable to two digits.
 const RESAMPLES: usize = 10_000;
-/// A pair one of whose runs was void is played again this often.
+/// Maximum number of repetitions of a pair in which a run was void.
 const AGAIN: u32 = 2;
 
-/// One arm.
+/// One of the two proxies that are compared.
 #[derive(Clone, Debug)]
 pub struct Arm {
-    /// Its name in the report.
+    /// Name of the arm in the report.
     pub name: String,
-    /// The program with its arguments.
+    /// The proxy's program and its arguments.
     pub daemon: Daemon,
 }
 
-/// One pair that was played.
+/// The result of both arms for one scenario and one seed.
 #[derive(Clone, Debug, Serialize)]
 pub struct Pair {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The seed.
+    /// Seed of the plan.
     pub seed: u64,
-    /// Service of either arm.
+    /// Service ratio of each arm.
     pub service: [f64; 2],
-    /// Rules that either arm broke, by name.
+    /// Names of the rules that each arm broke.
     pub broken: [Vec<String>; 2],
 }
 
-/// What came of it.
+/// The result of a comparison.
 #[derive(Clone, Debug, Serialize)]
 pub struct Comparison {
     /// Names of the arms.
     pub arms: [String; 2],
-    /// All pairs that count.
+    /// All pairs without a void run.
     pub pairs: Vec<Pair>,
-    /// Pairs that were left out since the machine was too busy each time.
+    /// Number of pairs left out because the machine was too busy in each repetition.
     pub void: usize,
-    /// Mean of either arm.
+    /// Mean service ratio of each arm.
     pub means: [f64; 2],
-    /// Standard deviation over the pairs of either arm.
+    /// Standard deviation of each arm's service ratio over the pairs.
     pub spread: [f64; 2],
-    /// Mean difference, the second arm's service less the first one's.
+    /// Mean difference: the second arm's service ratio minus the first arm's.
     pub difference: f64,
-    /// 95% interval of it.
+    /// 95% confidence interval of `difference`.
     pub interval: (f64, f64),
 }
 
 impl Comparison {
-    /// The better arm, if the interval leaves out no difference.
+    /// Returns the name of the better arm; `None` if the interval contains zero.
     pub fn better(&self) -> Option<&str> {
         match self.interval {
             (least, _) if least > 0.0 => Some(&self.arms[1]),
@@ -73,7 +74,8 @@
     }
 }
 
-/// A 95% interval of the mean, by percentile bootstrap; the values' own if there is but one.
+/// Returns a 95% confidence interval of the mean, by percentile bootstrap. With a single value, both bounds equal
+/// it.
 pub fn bootstrap(values: &[f64], seed: u64) -> (f64, f64) {
     if values.is_empty() {
         return (0.0, 0.0);
@@ -88,7 +90,7 @@
     (at(0.025), at(0.975))
 }
 
-/// Mean and standard deviation.
+/// Returns the mean and the sample standard deviation.
 pub fn mean_and_spread(values: &[f64]) -> (f64, f64) {
     let n = values.len() as f64;
     if values.is_empty() {
@@ -99,7 +101,7 @@
     (mean, if values.len() > 1 { (squares / (n - 1.0)).sqrt() } else { 0.0 })
 }
 
-/// Plays all pairs: each scenario with each seed. `say` hears of each pair as it ends.
+/// Runs all pairs: each scenario with each seed. `say` is called with each pair when it ends.
 pub fn compare(
     arms: [&Arm; 2],
     scenarios: &[Scenario],
@@ -146,7 +148,7 @@
 fn conclude(arms: [String; 2], pairs: Vec<Pair>, void: usize) -> Comparison {
     let of = |arm: usize| -> Vec<f64> { pairs.iter().map(|pair| pair.service[arm]).collect() };
     let (one, other) = (mean_and_spread(&of(0)), mean_and_spread(&of(1)));
-    // Pairs of one seed share what it drew: they are drawn anew together.
+    // Pairs with the same seed share its random draws and are not independent, so they are resampled together.
     let mut by_seed: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
     for pair in &pairs {
         by_seed.entry(pair.seed).or_default().push(pair.service[1] - pair.service[0]);
@@ -212,7 +214,7 @@
 
     #[test]
     fn the_interval_of_a_normal_sample_has_the_textbook_width() {
-        // 400 values with a standard deviation of 1: the mean's is 0.05, the interval 3.92 of these.
+        // The standard deviation of 400 values is 1, so that of their mean is 0.05, and the interval is 3.92 times that.
         let values: Vec<f64> = (0..400).map(|i| if i % 2 == 0 { 1.0 } else { -1.0 }).collect();
         let (least, most) = bootstrap(&values, 7);
         assert!((0.17..0.23).contains(&(most - least)), "{least} to {most}");
--- a/crates/kit/src/processes.rs
+++ b/crates/kit/src/processes.rs
@@ -1,9 +1,10 @@
-//! The proxies' processes: started with their limits, signalled, watched, and never left behind.
+//! The proxies' processes: starts them with their resource limits, signals them, observes their exit and ends them with
+//! the run.
 //!
-//! A proxy is started by way of the kit's own program (`keeper`), which asks the system to kill the process when the
-//! kit dies, sets its limit of descriptors, and then becomes the proxy. So no stray process outlives a kit that
-//! panicked or was killed. Where the kit's program can't be found, the proxy is started plainly and only a kit that
-//! ends in order takes it along.
+//! A proxy is started through the kit's own program (command `keeper`), which asks the system to kill the process when
+//! the kit dies, sets the limit of descriptors, and then executes the proxy. So no proxy outlives a kit that panicked or
+//! was killed. If the kit's program can't be found, the proxy is started directly, and only a kit that exits normally
+//! ends the proxy.
 
 use rustix::process::{Pid, Resource, Rlimit, Signal as Sig, kill_process};
 use std::ffi::OsString;
@@ -13,39 +14,39 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
 
-/// Descriptors that a process needs beside those that a proxy's configuration counts: standard streams, and room
-/// for the loader. The limit is there to stop a proxy that leaks, not to trip one that is honest.
+/// Descriptors that a process needs in addition to those of a proxy's configuration, for standard streams and the
+/// loader. The limit must stop a proxy that leaks descriptors, and not affect one that doesn't.
 const SPARE: u64 = 16;
 
-/// A program that is put in as the proxy.
+/// A program that runs as the proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Daemon {
-    /// Its path.
+    /// Path of the program.
     pub program: PathBuf,
-    /// Its arguments.
+    /// Arguments of the program.
     pub arguments: Vec<OsString>,
 }
 
-/// What is wrong with a program or a process.
+/// An error of a program or a process.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// There is no such program.
+    /// No file exists at the program's path.
     #[error("there is no proxy at {0}: build it (cargo build --release) or name one with --daemon PATH")]
     Missing(PathBuf),
-    /// It can't be started.
+    /// The program can't be started.
     #[error("{program} cannot be started: {error}")]
     Start {
-        /// The program.
+        /// Path of the program.
         program: PathBuf,
-        /// The system's reason.
+        /// The system's error.
         error: io::Error,
     },
     /// A signal could not be sent.
     #[error("process {pid} cannot be signalled: {error}")]
     Signal {
-        /// The process.
+        /// Process id.
         pid: u32,
-        /// The system's reason.
+        /// The system's error.
         error: io::Error,
     },
     /// The system's limit of descriptors is too low for the run.
@@ -53,15 +54,16 @@
         "this run needs {needed} open files and the system allows {allowed}: raise it (ulimit -n {needed}), or play a smaller scenario"
     )]
     Descriptors {
-        /// So many are needed.
+        /// Number of descriptors that the run needs.
         needed: u64,
-        /// So many are allowed.
+        /// Number of descriptors that the system allows.
         allowed: u64,
     },
 }
 
 impl Daemon {
-    /// The proxy beside the program that runs now, or in the folder above it (where tests run).
+    /// Returns the proxy in the folder of the running program, or in the folder above (for test programs); `None` if
+    /// neither has one.
     pub fn beside_us() -> Option<Daemon> {
         let own = std::env::current_exe().ok()?;
         let near = own.parent()?;
@@ -70,13 +72,13 @@
         Some(Daemon { program, arguments: Vec::new() })
     }
 
-    /// Checks that there is such a program.
+    /// Checks that the program exists.
     pub fn check(&self) -> Result<(), ProcessError> {
         if self.program.is_file() { Ok(()) } else { Err(ProcessError::Missing(self.program.clone())) }
     }
 }
 
-/// The kit's own program, if it can be found.
+/// Returns the path of the kit's own program; `None` if it can't be found.
 pub fn keeper() -> Option<PathBuf> {
     let own = std::env::current_exe().ok()?;
     if own.file_stem().is_some_and(|name| name == "cottonnotch-kit") {
@@ -87,13 +89,13 @@
     found.into_iter().find(|path| path.is_file())
 }
 
-/// The keeper's part: binds the process to its parent's life, sets the limit, and becomes the program. Returns only
-/// if that failed.
+/// Carries out the command `keeper`: asks the system to kill this process when its parent dies, sets the limit of
+/// descriptors, and executes the program. Returns only if one of these steps failed.
 pub fn keep(parent: u32, descriptors: u64, program: &Path, arguments: &[OsString]) -> io::Error {
     if let Err(error) = rustix::process::set_parent_process_death_signal(Some(Sig::KILL)) {
         return error.into();
     }
-    // The parent may have died before that was asked for: then nobody would tell.
+    // If the parent died before the call above, the system sends no signal.
     if rustix::process::getppid().map(|pid| pid.as_raw_nonzero().get() as u32) != Some(parent) {
         return io::Error::new(io::ErrorKind::BrokenPipe, "the kit has died");
     }
@@ -104,7 +106,7 @@
     Command::new(program).args(arguments).exec()
 }
 
-/// Raises this process's limit of descriptors as far as it goes, and checks that so many are there.
+/// Checks that the system allows `needed` descriptors, and raises this process's limit to the maximum if it is too low.
 pub fn need_descriptors(needed: u64) -> Result<(), ProcessError> {
     let limit = rustix::process::getrlimit(Resource::Nofile);
     let allowed = limit.maximum.unwrap_or(u64::MAX);
@@ -120,23 +122,23 @@
         .map_err(|_| ProcessError::Descriptors { needed, allowed })
 }
 
-/// What a process has used so far.
+/// Resources that a process uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
 pub struct Usage {
-    /// CPU time, in microseconds.
+    /// CPU time so far, in microseconds.
     pub cpu_us: u64,
-    /// Most memory that was resident at once, in KiB.
+    /// Peak of the resident memory, in KiB.
     pub peak_kib: u64,
-    /// Memory that is resident now, in KiB.
+    /// Resident memory now, in KiB.
     pub resident_kib: u64,
     /// Descriptors that are open now.
     pub descriptors: u64,
 }
 
-/// Reads from the system what a process has used; `None` once it is gone.
+/// Reads the resource usage of a process from the system; `None` if the process no longer exists.
 pub fn usage(pid: u32) -> Option<Usage> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // The name, in brackets, may hold anything; what follows the last one is figures.
+    // The process name, in brackets, can contain brackets and spaces. The fields after the last bracket contain neither.
     let figures: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let ticks: u64 = figures.get(11)?.parse::<u64>().ok()? + figures.get(12)?.parse::<u64>().ok()?;
     let per_second = rustix::param::clock_ticks_per_second().max(1);
@@ -151,7 +153,7 @@
     Some(Usage { cpu_us, peak_kib, resident_kib, descriptors })
 }
 
-/// A proxy's process. Killed when it is dropped.
+/// A proxy's process. Dropping the value kills the process.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
@@ -159,7 +161,7 @@
 }
 
 impl Process {
-    /// Starts a program with this environment; its log goes to the file.
+    /// Starts a program with the given environment variables. Its standard output and standard error go to `log`.
     pub fn start(
         daemon: &Daemon,
         environment: &[(&str, OsString)],
@@ -175,7 +177,7 @@
             }
             None => Command::new(&daemon.program),
         };
-        // A group of its own: Ctrl-C is for the kit, which ends its proxies itself.
+        // A separate process group, so that Ctrl-C reaches only the kit, which then ends its proxies itself.
         command.process_group(0);
         command.args(&daemon.arguments).env_remove("COTTONNOTCH_OPERATOR").stdin(Stdio::null());
         for (name, value) in environment {
@@ -189,12 +191,12 @@
         Ok(Process { child, exited: None })
     }
 
-    /// The system's number of it.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal, unless it is gone.
+    /// Sends a signal to the process unless it has exited.
     pub fn signal(&mut self, signal: Sig) -> Result<(), ProcessError> {
         if self.exited().is_some() {
             return Ok(());
@@ -205,7 +207,7 @@
         sent.map_err(|error| ProcessError::Signal { pid, error: error.into() })
     }
 
-    /// How it ended, once it has.
+    /// Returns the exit status; `None` while the process runs.
     pub fn exited(&mut self) -> Option<ExitStatus> {
         if self.exited.is_none() {
             self.exited = self.child.try_wait().ok().flatten();
@@ -216,7 +218,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have exited already.
+        // Errors are ignored, since the process may already have exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/kit/src/prove.rs
+++ b/crates/kit/src/prove.rs
@@ -1,5 +1,6 @@
-//! Proof that the judge can fail: scripted proxies with known faults, each of which must break its rule and no other,
-//! and an honest one that must break none. A rehearsal's "passed" is worth something only beside this.
+//! Validation of the judge: runs scripted proxies with known faults, each of which must break its rule and no other,
+//! and one without a fault, which must break none. Without this check, a passed rehearsal could mean that the judge
+//! misses faults.
 
 use crate::bad_proxy::Fault;
 use crate::judge::{Rule, Verdict};
@@ -13,32 +14,32 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 
-/// What is played.
+/// Text of the scenario that all cases run.
 const SCENARIO: &str = include_str!("../../../rehearsals/short/scripted.toml");
-/// A run that was void is played again this often.
+/// Maximum number of repetitions of a void run.
 const AGAIN: u32 = 2;
 
-/// Why nothing could be proved.
+/// Why the cases could not be run.
 #[derive(Debug, thiserror::Error)]
 pub enum CannotProve {
-    /// The scenario that ships with this program can't be read: a fault of the kit's.
+    /// The scenario built into this program is invalid, which is a bug of the kit.
     #[error("{0}")]
     Scenario(#[from] BadScenario),
-    /// A run.
+    /// A run could not be carried out.
     #[error(transparent)]
     Run(#[from] CannotRun),
 }
 
-/// What one case showed.
+/// The result of one case.
 #[derive(Debug)]
 pub struct Proof {
-    /// The proxy's fault; none: an honest one.
+    /// The proxy's fault; `None` for the proxy without a fault.
     pub fault: Option<Fault>,
-    /// What the judge said.
+    /// The judge's verdict.
     pub verdict: Verdict,
 }
 
-/// The rule that a fault breaks.
+/// Returns the rule that a fault breaks.
 pub fn rule(fault: Fault) -> Rule {
     match fault {
         Fault::AnswersTwice | Fault::NoAnswer | Fault::DropsRequest => Rule::OneFinalAnswer,
@@ -61,7 +62,8 @@
 }
 
 impl Proof {
-    /// The judge found the fault's rule broken and no other; none for an honest proxy.
+    /// Returns whether the judge found exactly the expected violations: those of the fault's rule, or none for the
+    /// proxy without a fault.
     pub fn holds(&self) -> bool {
         let expected: Vec<Rule> = self.fault.map(rule).into_iter().collect();
         !self.verdict.is_void() && self.verdict.violated_rules().collect::<Vec<_>>() == expected
@@ -87,7 +89,8 @@
     }
 }
 
-/// Plays all cases with `program`, the kit's own, so many at one time. What an interruption leaves out is missing.
+/// Runs all cases with `program`, the kit's own program, `jobs` of them at a time. After an interruption, the result
+/// lacks the cases that were not run.
 pub fn all(
     program: &Path,
     cases: &[Option<Fault>],
