--- a/crates/kit/src/cli/load.rs
+++ b/crates/kit/src/cli/load.rs
@@ -36,8 +36,8 @@
     /// With --lines-per-s: milliseconds between two complete endpoint lists; with 0 the list does not change.
     #[arg(long, value_name = "MS", default_value_t = 0, requires = "lines_per_s")]
     list_every_ms: u64,
-    /// Measures a second proxy alternately with the first, under the same overload, and prints the ratio. The value is a
-    /// program; to pass arguments, quote them together with the program.
+    /// Measures a second proxy alternately with the first, under the same overload, and prints the ratio. The value is
+    /// a program; to pass arguments, quote them together with the program.
     #[arg(long, value_name = "PROXY")]
     versus: Option<String>,
     /// With --versus: number of rounds of each proxy.
@@ -56,7 +56,8 @@
 impl Load {
     /// Runs the measurement and prints the results.
     pub fn run(self) -> Result<Ended, String> {
-        let step = Duration::try_from_secs_f64(self.step_s).map_err(|_| "--step-s is not a valid duration")?;
+        let step =
+            Duration::try_from_secs_f64(self.step_s).map_err(|_| "--step-s is not a valid duration")?;
         let setup = LoadSetup {
             daemon: self.daemon.daemon()?,
             step,
--- a/crates/kit/src/cli/mod.rs
+++ b/crates/kit/src/cli/mod.rs
@@ -20,7 +20,8 @@
 use std::sync::atomic::AtomicBool;
 
 /// Rehearses failures of the cottonnotch proxy: runs real proxies on this machine among emulated render nodes,
-/// discovery, front and clients, injects the faults of a scenario, and judges the rules. It uses only loopback addresses.
+/// discovery, front and clients, injects the faults of a scenario, and judges the rules. It uses only loopback
+/// addresses.
 #[derive(Debug, Parser)]
 #[command(name = "cottonnotch-kit", version)]
 pub struct Cli {
@@ -156,8 +157,8 @@
 
 /// Writes a report as JSON. A temporary file is renamed, so the file is never incomplete.
 fn write_json(path: &std::path::Path, value: &impl serde::Serialize) -> Result<(), String> {
-    let text =
-        simd_json::to_string_pretty(value).map_err(|error| format!("cannot serialize the report: {error}"))?;
+    let text = simd_json::to_string_pretty(value)
+        .map_err(|error| format!("cannot serialize the report: {error}"))?;
     let fresh = path.with_extension("json.new");
     let written = std::fs::write(&fresh, text + "\n").and_then(|()| std::fs::rename(&fresh, path));
     written.map_err(|error| format!("{}: {error}", path.display()))
--- a/crates/kit/src/cli/rehearse.rs
+++ b/crates/kit/src/cli/rehearse.rs
@@ -1,4 +1,4 @@
-//! `rehearse`: plays scenarios, judges each, and fails loudly.
+//! The command `rehearse`: runs scenarios, judges each run, and reports failures in the output and the exit code.
 
 use super::{DaemonArgs, Ended, interrupt, progress, progress_over, write_json};
 use clap::Args;
@@ -15,38 +15,38 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A run that was void is played again this often: the machine was busy.
+/// Maximum number of repetitions of a void run. A run is void if the machine was too busy.
 const AGAIN: u32 = 1;
 
-/// Plays scenarios and judges each of them.
+/// Runs scenarios and judges each run.
 #[derive(Debug, Args)]
 pub struct Rehearse {
-    /// Scenario files, or folders of them.
+    /// Scenario files, or folders that contain them.
     #[arg(required = true, value_name = "FILE|DIR")]
     scenarios: Vec<PathBuf>,
     /// The first seed; the same scenario and seed give the same faults and arrivals.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds, from the first one on.
+    /// Number of consecutive seeds, beginning with the first.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Plays each plan so often: what differs then is the machine's doing.
+    /// Number of runs of each plan. Differences between these runs come from the machine, not from the plan.
     #[arg(long, default_value_t = 1)]
     repeat: u64,
-    /// Runs at one time. Each needs about two cores; a run that the machine was too busy for is void.
+    /// Number of concurrent runs. Each needs about two cores; a run is void if the machine was too busy for it.
     #[arg(long, default_value_t = 1)]
     jobs: usize,
-    /// Writes what came of it here, as JSON.
+    /// File to which the reports are written as JSON.
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Keeps configurations and logs of the proxies here.
+    /// Folder in which configurations and logs of the proxies are kept.
     #[arg(long, value_name = "DIR")]
     logs: Option<PathBuf>,
     #[command(flatten)]
     daemon: DaemonArgs,
 }
 
-/// Reads scenario files, and those of folders in the order of their names.
+/// Reads scenario files, and all scenario files of folders in the order of their names.
 pub fn scenarios(paths: &[PathBuf]) -> Result<Vec<Scenario>, String> {
     let mut files = Vec::new();
     for path in paths {
@@ -66,6 +66,7 @@
     files.iter().map(|path| Scenario::load(path).map_err(|error| error.to_string())).collect()
 }
 
+/// The result of one run.
 struct Played {
     lines: String,
     report: Option<simd_json::OwnedValue>,
@@ -74,7 +75,7 @@
 }
 
 impl Rehearse {
-    /// Plays them all.
+    /// Runs all plans and prints each result and a summary.
     pub fn run(self) -> Result<Ended, String> {
         let daemon = self.daemon.daemon()?;
         let scenarios = scenarios(&self.scenarios)?;
@@ -206,7 +207,7 @@
     Played { lines, report: value, ended, service: run.verdict.service() }
 }
 
-/// The line that is rewritten while a run goes on.
+/// The progress line of a run, which is updated in place.
 pub struct Progress {
     shown: Instant,
     before: [u64; 2],
@@ -220,7 +221,7 @@
 }
 
 impl Progress {
-    /// Shows where the run is, once a second.
+    /// Updates the line on the terminal, at most once a second.
     pub fn show(&mut self, plan: &Plan, board: &Board) {
         if self.shown.elapsed() < Duration::from_secs(1) {
             return;
@@ -229,7 +230,7 @@
         progress(&self.line(plan, board));
     }
 
-    /// The line's text.
+    /// Returns the text of the line. The service ratio covers the time since the previous call.
     pub fn line(&mut self, plan: &Plan, board: &Board) -> String {
         let live = &board.live;
         let get = |counter: &std::sync::atomic::AtomicU64| counter.load(Ordering::Relaxed);
--- a/crates/kit/tests/commands.rs
+++ b/crates/kit/tests/commands.rs
@@ -1,5 +1,5 @@
-//! The kit as its user runs it: exit codes, plain words, and nothing left behind. These run beside the proxy's program,
-//! which `cargo test` builds for the whole workspace.
+//! Tests of the kit's command line: exit codes, messages, and that no process is left running. They need the proxy's
+//! program in the same folder, which `cargo test` builds for the whole workspace.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -13,7 +13,7 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-/// No command here takes longer.
+/// Upper bound for the duration of every command in these tests.
 const PATIENCE: Duration = Duration::from_secs(240);
 
 fn kit() -> Command {
@@ -26,7 +26,8 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The proxy beside the kit. Guards against a run of this crate's tests alone, which does not build it.
+/// Returns the path of the proxy beside the kit. Fails if only this crate's tests were built, which doesn't build the
+/// proxy.
 fn daemon() -> PathBuf {
     let path = Path::new(env!("CARGO_BIN_EXE_cottonnotch-kit")).with_file_name("cottonnotch");
     assert!(path.is_file(), "no {}: run the tests of the whole workspace (cargo test)", path.display());
@@ -38,19 +39,19 @@
     format!("exit {:?}\n{out}\n{err}", output.status.code())
 }
 
-/// Waits until `look` finds something.
+/// Calls `look` repeatedly until it returns a value. Fails after `PATIENCE`.
 fn within<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
     let until = Instant::now() + PATIENCE;
     loop {
         if let Some(found) = look() {
             return found;
         }
-        assert!(Instant::now() < until, "waited in vain: {what}");
+        assert!(Instant::now() < until, "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Processes whose parent is this one, by the system's own list.
+/// Returns the process ids of the children of `parent`, from `/proc`.
 fn children(parent: u32) -> Vec<u32> {
     let of = |pid: u32| {
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
@@ -62,7 +63,7 @@
 
 fn is_alive(pid: u32) -> bool {
     let status = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    // A zombie has ended; whoever took it over has not looked yet.
+    // A zombie has exited, but its new parent has not collected its exit status yet.
     status.rsplit_once(')').is_some_and(|(_, rest)| !rest.trim_start().starts_with('Z'))
 }
 
@@ -70,7 +71,7 @@
     kill_process(Pid::from_raw(pid as i32).unwrap(), signal).unwrap();
 }
 
-/// A rehearsal that has its two proxies running.
+/// Starts a rehearsal and waits until its two proxies run.
 fn begun() -> (Child, Vec<u32>) {
     daemon();
     let mut command = kit();
