--- a/crates/kit/src/cli/compare.rs
+++ b/crates/kit/src/cli/compare.rs
@@ -1,7 +1,7 @@
 //! The command `compare`: runs two proxies on the same scenarios and seeds.
 
 use super::rehearse::scenarios;
-use super::{Ended, interrupt, write_json};
+use super::{Outcome, interrupt, write_json};
 use clap::Args;
 use cottonnotch_kit::compare::{self, Arm, Pair};
 use cottonnotch_kit::processes::Daemon;
@@ -41,7 +41,7 @@
 
 impl Compare {
     /// Runs all pairs, and prints each of them and the result.
-    pub fn run(self) -> Result<Ended, String> {
+    pub fn run(self) -> Result<Outcome, String> {
         let (a, b) = (arm(&self.a)?, arm(&self.b)?);
         let scenarios = scenarios(&self.scenarios)?;
         let seeds: Vec<u64> = (self.seed..self.seed + self.seeds).collect();
@@ -84,6 +84,6 @@
         if let Some(path) = &self.json {
             write_json(path, &seen)?;
         }
-        Ok(if interrupted.load(Ordering::Acquire) { Ended::Interrupted } else { Ended::Well })
+        Ok(if interrupted.load(Ordering::Acquire) { Outcome::Interrupted } else { Outcome::Success })
     }
 }
--- a/crates/kit/src/cli/demo.rs
+++ b/crates/kit/src/cli/demo.rs
@@ -1,7 +1,7 @@
 //! The command `demo`: a short rehearsal for new users that needs no preparation and no scenario file.
 
 use super::rehearse::Progress;
-use super::{DaemonArgs, Ended, interrupt, progress_over};
+use super::{DaemonArgs, Outcome, interrupt, progress_over};
 use clap::Args;
 use cottonnotch_kit::rehearse::{self, Setup};
 use cottonnotch_kit::scenario::Scenario;
@@ -27,7 +27,7 @@
 
 impl Demo {
     /// Runs the demo and prints its events and its verdict.
-    pub fn run(self) -> Result<Ended, String> {
+    pub fn run(self) -> Result<Outcome, String> {
         let daemon = self.daemon.daemon()?;
         let scenario = Scenario::read("demo".as_ref(), SCENARIO).map_err(|error| error.to_string())?;
         let plan = scenario.draw(self.seed);
@@ -64,15 +64,15 @@
         let run = run.map_err(|error| error.to_string())?;
         println!("\n{}", run.verdict);
         if run.interrupted {
-            return Ok(Ended::Interrupted);
+            return Ok(Outcome::Interrupted);
         }
         println!(
             "Next: `cottonnotch-kit rehearse rehearsals/quarter-dies.toml`; docs/ops/rehearsal.md says which when."
         );
         Ok(match (run.verdict.is_void(), run.verdict.passed()) {
-            (true, _) => Ended::Void,
-            (false, true) => Ended::Well,
-            (false, false) => Ended::Broken,
+            (true, _) => Outcome::Void,
+            (false, true) => Outcome::Success,
+            (false, false) => Outcome::Failure,
         })
     }
 }
--- a/crates/kit/src/cli/load.rs
+++ b/crates/kit/src/cli/load.rs
@@ -1,6 +1,6 @@
 //! The command `load`: measures the capacity of one proxy.
 
-use super::{DaemonArgs, Ended, interrupt, write_json};
+use super::{DaemonArgs, Outcome, interrupt, write_json};
 use clap::Args;
 use cottonnotch_kit::load::steady::{self, Steady};
 use cottonnotch_kit::load::{self, BothWays, LoadError, LoadSetup, versus};
@@ -55,7 +55,7 @@
 
 impl Load {
     /// Runs the measurement and prints the results.
-    pub fn run(self) -> Result<Ended, String> {
+    pub fn run(self) -> Result<Outcome, String> {
         let step =
             Duration::try_from_secs_f64(self.step_s).map_err(|_| "--step-s is not a valid duration")?;
         let setup = LoadSetup {
@@ -76,19 +76,19 @@
             let (setups_per_s, listed) = (self.setups_per_s, self.listed);
             let seen =
                 match steady::play(&setup, &Steady { lines_per_s, setups_per_s, listed, list_every }, say) {
-                    Err(LoadError::Interrupted) => return Ok(Ended::Interrupted),
+                    Err(LoadError::Interrupted) => return Ok(Outcome::Interrupted),
                     result => result.map_err(|error| error.to_string())?,
                 };
             print_steady(&seen);
             return match &self.json {
-                Some(path) => write_json(path, &seen).map(|()| Ended::Well),
-                None => Ok(Ended::Well),
+                Some(path) => write_json(path, &seen).map(|()| Outcome::Success),
+                None => Ok(Outcome::Success),
             };
         }
         if let Some(other) = &self.versus {
             let other = super::compare::arm(other)?.daemon;
             let versus = match versus::measure(&setup, &other, self.rounds.max(1), say) {
-                Err(LoadError::Interrupted) => return Ok(Ended::Interrupted),
+                Err(LoadError::Interrupted) => return Ok(Outcome::Interrupted),
                 result => result.map_err(|error| error.to_string())?,
             };
             for (name, ratio) in [("set-ups", &versus.setups), ("line round trips", &versus.lines)] {
@@ -103,12 +103,12 @@
                 );
             }
             return match &self.json {
-                Some(path) => write_json(path, &versus).map(|()| Ended::Well),
-                None => Ok(Ended::Well),
+                Some(path) => write_json(path, &versus).map(|()| Outcome::Success),
+                None => Ok(Outcome::Success),
             };
         }
         let load = match load::measure(&setup, say) {
-            Err(LoadError::Interrupted) => return Ok(Ended::Interrupted),
+            Err(LoadError::Interrupted) => return Ok(Outcome::Interrupted),
             other => other.map_err(|error| error.to_string())?,
         };
         print_both("set-ups", &load.setups);
@@ -120,7 +120,7 @@
         if let Some(path) = &self.json {
             write_json(path, &load)?;
         }
-        Ok(Ended::Well)
+        Ok(Outcome::Success)
     }
 }
 
--- a/crates/kit/src/cli/mod.rs
+++ b/crates/kit/src/cli/mod.rs
@@ -95,20 +95,20 @@
 }
 
 /// The result of a command, from which its exit code follows.
-enum Ended {
-    Well,
-    Broken,
+enum Outcome {
+    Success,
+    Failure,
     Void,
     Interrupted,
 }
 
-impl From<Ended> for ExitCode {
-    fn from(ended: Ended) -> ExitCode {
-        ExitCode::from(match ended {
-            Ended::Well => 0,
-            Ended::Broken => 1,
-            Ended::Void => 3,
-            Ended::Interrupted => 130,
+impl From<Outcome> for ExitCode {
+    fn from(outcome: Outcome) -> ExitCode {
+        ExitCode::from(match outcome {
+            Outcome::Success => 0,
+            Outcome::Failure => 1,
+            Outcome::Void => 3,
+            Outcome::Interrupted => 130,
         })
     }
 }
@@ -129,12 +129,12 @@
                 Err(format!("{}: {error}", program.display()))
             }
             Command::BadProxy { fault } => match bad_proxy::serve(fault) {
-                Ok(()) => Ok(Ended::Well),
+                Ok(()) => Ok(Outcome::Success),
                 Err(error) => Err(error.to_string()),
             },
         };
         match result {
-            Ok(ended) => ended.into(),
+            Ok(outcome) => outcome.into(),
             Err(trouble) => {
                 eprintln!("cottonnotch-kit: {trouble}");
                 ExitCode::from(2)
--- a/crates/kit/src/cli/prove.rs
+++ b/crates/kit/src/cli/prove.rs
@@ -1,6 +1,6 @@
 //! The command `prove`: checks that the judge finds the fault of each scripted proxy.
 
-use super::{Ended, interrupt};
+use super::{Outcome, interrupt};
 use clap::Args;
 use cottonnotch_kit::bad_proxy::Fault;
 use cottonnotch_kit::prove;
@@ -22,7 +22,7 @@
 
 impl Prove {
     /// Runs the cases and prints the result of each.
-    pub fn run(self) -> Result<Ended, String> {
+    pub fn run(self) -> Result<Outcome, String> {
         let interrupted = interrupt()?;
         let faults = if self.faults.is_empty() { Fault::ALL.to_vec() } else { self.faults };
         let cases: Vec<Option<Fault>> = std::iter::once(None).chain(faults.into_iter().map(Some)).collect();
@@ -34,8 +34,8 @@
             println!("{proof}");
         }
         if interrupted.load(Ordering::Acquire) {
-            return Ok(Ended::Interrupted);
+            return Ok(Outcome::Interrupted);
         }
-        Ok(if proofs.iter().all(prove::Proof::holds) { Ended::Well } else { Ended::Broken })
+        Ok(if proofs.iter().all(prove::Proof::holds) { Outcome::Success } else { Outcome::Failure })
     }
 }
--- a/crates/kit/src/cli/rehearse.rs
+++ b/crates/kit/src/cli/rehearse.rs
@@ -1,6 +1,6 @@
 //! The command `rehearse`: runs scenarios, judges each run, and reports failures in the output and the exit code.
 
-use super::{DaemonArgs, Ended, interrupt, progress, progress_over, write_json};
+use super::{DaemonArgs, Outcome, interrupt, progress, progress_over, write_json};
 use clap::Args;
 use cottonnotch_kit::board::Board;
 use cottonnotch_kit::plan::Plan;
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 /// Maximum number of repetitions of a void run. A run is void if the machine was too busy.
-const AGAIN: u32 = 1;
+const MAX_RERUNS: u32 = 1;
 
 /// Runs scenarios and judges each run.
 #[derive(Debug, Args)]
@@ -67,16 +67,16 @@
 }
 
 /// The result of one run.
-struct Played {
+struct RunResult {
     lines: String,
     report: Option<simd_json::OwnedValue>,
-    ended: Ended,
+    outcome: Outcome,
     service: f64,
 }
 
 impl Rehearse {
     /// Runs all plans and prints each result and a summary.
-    pub fn run(self) -> Result<Ended, String> {
+    pub fn run(self) -> Result<Outcome, String> {
         let daemon = self.daemon.daemon()?;
         let scenarios = scenarios(&self.scenarios)?;
         let interrupted = interrupt()?;
@@ -133,10 +133,10 @@
     }
 }
 
-fn summary(played: &[Played], total: usize) -> Ended {
-    let count = |ended: fn(&Ended) -> bool| played.iter().filter(|one| ended(&one.ended)).count();
-    let (well, broken) = (count(|e| matches!(e, Ended::Well)), count(|e| matches!(e, Ended::Broken)));
-    let (void, cut) = (count(|e| matches!(e, Ended::Void)), count(|e| matches!(e, Ended::Interrupted)));
+fn summary(played: &[RunResult], total: usize) -> Outcome {
+    let count = |matches: fn(&Outcome) -> bool| played.iter().filter(|one| matches(&one.outcome)).count();
+    let (well, broken) = (count(|e| matches!(e, Outcome::Success)), count(|e| matches!(e, Outcome::Failure)));
+    let (void, cut) = (count(|e| matches!(e, Outcome::Void)), count(|e| matches!(e, Outcome::Interrupted)));
     if total > 1 {
         let services: Vec<f64> = played.iter().map(|one| one.service).collect();
         let (mean, spread) = cottonnotch_kit::compare::mean_and_spread(&services);
@@ -146,17 +146,17 @@
         );
     }
     if cut > 0 || played.len() < total {
-        Ended::Interrupted
+        Outcome::Interrupted
     } else if broken > 0 {
-        Ended::Broken
+        Outcome::Failure
     } else if void > 0 {
-        Ended::Void
+        Outcome::Void
     } else {
-        Ended::Well
+        Outcome::Success
     }
 }
 
-fn play(plan: Plan, setup: &Setup, watch: bool) -> Result<Played, String> {
+fn play(plan: Plan, setup: &Setup, watch: bool) -> Result<RunResult, String> {
     let mut tries = 0;
     loop {
         let watch = watch && std::io::stderr().is_terminal();
@@ -168,23 +168,23 @@
         });
         let run = run.map_err(|error| error.to_string())?;
         tries += 1;
-        if run.verdict.is_void() && tries <= AGAIN && !run.interrupted {
+        if run.verdict.is_void() && tries <= MAX_RERUNS && !run.interrupted {
             continue;
         }
         return Ok(conclude(&run));
     }
 }
 
-fn conclude(run: &Run) -> Played {
+fn conclude(run: &Run) -> RunResult {
     let report: Report = run.report();
-    let ended = if run.interrupted {
-        Ended::Interrupted
+    let outcome = if run.interrupted {
+        Outcome::Interrupted
     } else if run.verdict.is_void() {
-        Ended::Void
+        Outcome::Void
     } else if run.verdict.passed() {
-        Ended::Well
+        Outcome::Success
     } else {
-        Ended::Broken
+        Outcome::Failure
     };
     let mut lines = format!("{} seed {} (plan {})", report.scenario, report.seed, report.plan);
     if run.interrupted {
@@ -204,7 +204,7 @@
         );
     }
     let value = simd_json::serde::to_owned_value(&report).ok();
-    Played { lines, report: value, ended, service: run.verdict.service() }
+    RunResult { lines, report: value, outcome, service: run.verdict.service() }
 }
 
 /// The progress line of a run, which is updated in place.
--- a/crates/kit/src/cli/show.rs
+++ b/crates/kit/src/cli/show.rs
@@ -1,6 +1,6 @@
 //! The command `show`: prints the plan of a scenario without running it.
 
-use super::Ended;
+use super::Outcome;
 use super::rehearse::scenarios;
 use clap::Args;
 use cottonnotch_kit::plan::TimelineChange;
@@ -24,7 +24,7 @@
 
 impl Show {
     /// Draws and prints the plan of each scenario.
-    pub fn run(self) -> Result<Ended, String> {
+    pub fn run(self) -> Result<Outcome, String> {
         for scenario in scenarios(&self.scenarios)? {
             let plan = scenario.draw(self.seed);
             println!("{}: {}", plan.name, scenario.body.about);
@@ -48,6 +48,6 @@
                 }
             }
         }
-        Ok(Ended::Well)
+        Ok(Outcome::Success)
     }
 }
--- a/crates/kit/src/compare.rs
+++ b/crates/kit/src/compare.rs
@@ -20,7 +20,7 @@
 /// Number of bootstrap resamples. With it, the bounds of a 95% interval are stable to two digits.
 const RESAMPLES: usize = 10_000;
 /// Maximum number of repetitions of a pair in which a run was void.
-const AGAIN: u32 = 2;
+const MAX_RERUNS: u32 = 2;
 
 /// One of the two proxies that are compared.
 #[derive(Clone, Debug)]
@@ -67,8 +67,8 @@
     /// Returns the name of the better arm; `None` if the interval contains zero.
     pub fn better(&self) -> Option<&str> {
         match self.interval {
-            (least, _) if least > 0.0 => Some(&self.arms[1]),
-            (_, most) if most < 0.0 => Some(&self.arms[0]),
+            (lower, _) if lower > 0.0 => Some(&self.arms[1]),
+            (_, upper) if upper < 0.0 => Some(&self.arms[0]),
             _ => None,
         }
     }
@@ -80,9 +80,9 @@
     if values.is_empty() {
         return (0.0, 0.0);
     }
-    let mut chance = ChaCha8Rng::seed_from_u64(seed);
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut means: Vec<f64> = (0..RESAMPLES)
-        .map(|_| (0..values.len()).map(|_| values[chance.random_range(0..values.len())]).sum::<f64>())
+        .map(|_| (0..values.len()).map(|_| values[rng.random_range(0..values.len())]).sum::<f64>())
         .map(|sum| sum / values.len() as f64)
         .collect();
     means.sort_unstable_by(f64::total_cmp);
@@ -122,7 +122,7 @@
                     break Some(runs);
                 }
                 tries += 1;
-                if tries > AGAIN {
+                if tries > MAX_RERUNS {
                     break None;
                 }
             };
@@ -216,7 +216,7 @@
     fn the_interval_of_a_normal_sample_has_the_textbook_width() {
         // The standard deviation of the 400 values is 1, so that of their mean is 0.05; the interval is 3.92 times that.
         let values: Vec<f64> = (0..400).map(|i| if i % 2 == 0 { 1.0 } else { -1.0 }).collect();
-        let (least, most) = bootstrap(&values, 7);
-        assert!((0.17..0.23).contains(&(most - least)), "{least} to {most}");
+        let (lower, upper) = bootstrap(&values, 7);
+        assert!((0.17..0.23).contains(&(upper - lower)), "{lower} to {upper}");
     }
 }
--- a/crates/kit/src/processes.rs
+++ b/crates/kit/src/processes.rs
@@ -16,7 +16,7 @@
 
 /// Descriptors that a process needs in addition to those of a proxy's configuration, for standard streams and the
 /// loader. The limit must stop a proxy that leaks descriptors, and not affect one that doesn't.
-const SPARE: u64 = 16;
+const EXTRA_DESCRIPTORS: u64 = 16;
 
 /// A program that runs as the proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -172,7 +172,7 @@
             Some(keeper) => {
                 let mut command = Command::new(keeper);
                 command.arg("keeper").arg(std::process::id().to_string());
-                command.arg((descriptors + SPARE).to_string()).arg("--").arg(&daemon.program);
+                command.arg((descriptors + EXTRA_DESCRIPTORS).to_string()).arg("--").arg(&daemon.program);
                 command
             }
             None => Command::new(&daemon.program),
--- a/crates/kit/src/prove.rs
+++ b/crates/kit/src/prove.rs
@@ -17,7 +17,7 @@
 /// Text of the scenario that all cases run.
 const SCENARIO: &str = include_str!("../../../rehearsals/short/scripted.toml");
 /// Maximum number of repetitions of a void run.
-const AGAIN: u32 = 2;
+const MAX_RERUNS: u32 = 2;
 
 /// Why the cases could not be run.
 #[derive(Debug, thiserror::Error)]
@@ -82,8 +82,8 @@
         };
         write!(f, "{} {name:<18} {said}", if self.holds() { "ok  " } else { "FAIL" })?;
         if !self.holds() {
-            let owed = self.fault.map_or("none".to_owned(), |fault| rule(fault).to_string());
-            write!(f, "\n  to be broken: {owed}\n{}", self.verdict)?;
+            let expected = self.fault.map_or("none".to_owned(), |fault| rule(fault).to_string());
+            write!(f, "\n  to be broken: {expected}\n{}", self.verdict)?;
         }
         Ok(())
     }
@@ -137,7 +137,7 @@
     loop {
         let run = rehearse::run(scenario.draw(seed), &setup, |_, _| {})?;
         tries += 1;
-        if !run.verdict.is_void() || tries > AGAIN || run.interrupted {
+        if !run.verdict.is_void() || tries > MAX_RERUNS || run.interrupted {
             return Ok(Proof { fault, verdict: run.verdict });
         }
     }
--- a/crates/kit/tests/commands.rs
+++ b/crates/kit/tests/commands.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 /// Upper bound for the duration of every command in these tests.
-const PATIENCE: Duration = Duration::from_secs(240);
+const TIMEOUT: Duration = Duration::from_secs(240);
 
 fn kit() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cottonnotch-kit"));
@@ -34,14 +34,14 @@
     path
 }
 
-fn said(output: &Output) -> String {
+fn output_text(output: &Output) -> String {
     let (out, err) = (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
     format!("exit {:?}\n{out}\n{err}", output.status.code())
 }
 
-/// Calls `look` repeatedly until it returns a value. Fails after `PATIENCE`.
-fn within<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let until = Instant::now() + PATIENCE;
+/// Calls `look` repeatedly until it returns a value. Fails after `TIMEOUT`.
+fn wait_for<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+    let until = Instant::now() + TIMEOUT;
     loop {
         if let Some(found) = look() {
             return found;
@@ -72,12 +72,12 @@
 }
 
 /// Starts a rehearsal and waits until its two proxies run.
-fn begun() -> (Child, Vec<u32>) {
+fn start_rehearsal() -> (Child, Vec<u32>) {
     daemon();
     let mut command = kit();
     command.args(["rehearse", "rehearsals/short/calm.toml"]);
     let child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
-    let proxies = within("two proxies", || Some(children(child.id())).filter(|pids| pids.len() == 2));
+    let proxies = wait_for("two proxies", || Some(children(child.id())).filter(|pids| pids.len() == 2));
     (child, proxies)
 }
 
@@ -85,13 +85,13 @@
 fn short_rehearsals_pass_with_the_proxy() {
     daemon();
     let output = kit().args(["rehearse", "rehearsals/short", "--jobs", "3"]).output().unwrap();
-    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
 }
 
 #[test]
 fn every_scripted_fault_fails_by_its_rule_and_the_honest_proxy_passes() {
     let output = kit().args(["prove", "--jobs", "5"]).output().unwrap();
-    let text = said(&output);
+    let text = output_text(&output);
     assert_eq!(output.status.code(), Some(0), "{text}");
     assert_eq!(text.lines().filter(|line| line.starts_with("ok  ")).count(), 19, "{text}");
 }
@@ -107,7 +107,7 @@
         .arg(&report)
         .output()
         .unwrap();
-    let text = said(&output);
+    let text = output_text(&output);
     assert_eq!(output.status.code(), Some(1), "{text}");
     for part in ["FAILED", "BROKEN one-final-answer", "request ", "proxy proxy-", " s, ", "      | "] {
         assert!(text.contains(part), "no '{part}' in {text}");
@@ -143,7 +143,7 @@
         env!("CARGO_BIN_EXE_cottonnotch-kit")
     );
     let output = Command::new("/bin/sh").args(["-c", &line]).current_dir(root()).output().unwrap();
-    let text = said(&output);
+    let text = output_text(&output);
     assert_eq!(output.status.code(), Some(2), "{text}");
     assert!(text.contains("ulimit -n") && text.contains("200"), "{text}");
 }
@@ -162,17 +162,17 @@
         ])
         .output()
         .unwrap();
-    let text = said(&output);
+    let text = output_text(&output);
     assert_eq!(output.status.code(), Some(2), "{text}");
     assert!(text.contains("did not answer the front's PING") && text.contains("no-such-command"), "{text}");
 }
 
 #[test]
 fn an_interrupt_ends_every_process_and_prints_what_there_is() {
-    let (child, proxies) = begun();
+    let (child, proxies) = start_rehearsal();
     signal(child.id(), Signal::INT);
     let output = child.wait_with_output().unwrap();
-    let text = said(&output);
+    let text = output_text(&output);
     assert_eq!(output.status.code(), Some(130), "{text}");
     assert!(text.contains("ended early") && text.contains("requests "), "{text}");
     assert!(!proxies.into_iter().any(is_alive), "{text}");
@@ -180,10 +180,10 @@
 
 #[test]
 fn a_kit_that_is_killed_takes_its_proxies_along() {
-    let (mut child, proxies) = begun();
+    let (mut child, proxies) = start_rehearsal();
     signal(child.id(), Signal::KILL);
     child.wait().unwrap();
-    within("the proxies to be gone", || proxies.iter().all(|pid| !is_alive(*pid)).then_some(()));
+    wait_for("the proxies to be gone", || proxies.iter().all(|pid| !is_alive(*pid)).then_some(()));
     let mut rest = String::new();
     child.stdout.take().unwrap().read_to_string(&mut rest).unwrap();
     assert!(!rest.contains("PASSED"), "{rest}");
@@ -193,7 +193,7 @@
 fn the_same_seed_shows_the_same_plan() {
     let show = |seed: &str| {
         let output = kit().args(["show", "rehearsals", "--all", "--seed", seed]).output().unwrap();
-        assert_eq!(output.status.code(), Some(0), "{}", said(&output));
+        assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
         String::from_utf8(output.stdout).unwrap()
     };
     assert_eq!(show("7"), show("7"));
