--- a/crates/kit/src/compare.rs
+++ b/crates/kit/src/compare.rs
@@ -214,7 +214,8 @@
 
     #[test]
     fn the_interval_of_a_normal_sample_has_the_textbook_width() {
-        // The standard deviation of the 400 values is 1, so that of their mean is 0.05; the interval is 3.92 times that.
+        // The standard deviation of the 400 values is 1, so that of their mean is 0.05; the interval is 3.92 times
+        // that.
         let values: Vec<f64> = (0..400).map(|i| if i % 2 == 0 { 1.0 } else { -1.0 }).collect();
         let (lower, upper) = bootstrap(&values, 7);
         assert!((0.17..0.23).contains(&(upper - lower)), "{lower} to {upper}");
--- a/crates/kit/src/processes.rs
+++ b/crates/kit/src/processes.rs
@@ -3,8 +3,8 @@
 //!
 //! A proxy is started through the kit's own program (command `keeper`), which asks the system to kill the process when
 //! the kit dies, sets the limit of descriptors, and then executes the proxy. So no proxy outlives a kit that panicked
-//! or was killed. If the kit's program can't be found, the proxy is started directly, and only a kit that exits normally
-//! ends the proxy.
+//! or was killed. If the kit's program can't be found, the proxy is started directly, and only a kit that exits
+//! normally ends the proxy.
 
 use rustix::process::{Pid, Resource, Rlimit, Signal as Sig, kill_process};
 use std::ffi::OsString;
@@ -138,7 +138,7 @@
 /// Reads the resource usage of a process from the system; `None` if the process no longer exists.
 pub fn usage(pid: u32) -> Option<Usage> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // The process name, in brackets, can contain brackets and spaces; the fields after the last bracket contain neither.
+    // The process name, in brackets, can contain brackets and spaces; the fields after the last bracket can't.
     let figures: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let ticks: u64 = figures.get(11)?.parse::<u64>().ok()? + figures.get(12)?.parse::<u64>().ok()?;
     let per_second = rustix::param::clock_ticks_per_second().max(1);
--- a/crates/kit/src/rehearse.rs
+++ b/crates/kit/src/rehearse.rs
@@ -1,4 +1,5 @@
-//! One run from beginning to end: stand-ins on their threads, proxies as processes, and the judge afterwards.
+//! Carries out one run: starts the emulators as threads and the proxies as processes, and has the judge assess the
+//! observations afterwards.
 
 use crate::addresses::{Addresses, NoPlace};
 use crate::board::Board;
@@ -17,78 +18,79 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// From the start of the processes to the run's first moment: a proxy is up within some 20 ms, and the front asks
-/// it by then; the rest is for a machine that is busy.
+/// Time from the start of the processes to the beginning of the run. A proxy starts within about 20 ms, and the front
+/// must have reached it by the beginning; the rest is a margin for a busy machine.
 const LEAD: Micros = 1500 * MS;
-/// And this much for each pair of render node and proxy: the stand-in for the one opens an address for the other.
+/// Additional time for each pair of render node and proxy, since the emulated render node opens an address for each
+/// proxy.
 const LEAD_OF_A_PAIR: Micros = 3 * MS;
-/// The stand-ins must have opened their sockets by then.
+/// Maximum time that the run waits for the emulators to open their sockets.
 const OPEN_WITHIN: Duration = Duration::from_secs(10);
-/// Render nodes, and sessions, that one thread bears.
+/// Maximum numbers of render nodes and of sessions that one thread handles.
 const NODES_A_THREAD: usize = 128;
 const SESSIONS_A_THREAD: f64 = 6000.0;
-/// Descriptors of the kit that are no connection: polls, pipes, standard streams, watches.
+/// Descriptors of the kit that are not connections of sessions: event polls, pipes, standard streams, watches.
 const OWN_DESCRIPTORS: u64 = 256;
 
-/// What a run needs beside its plan.
+/// Parameters of a run in addition to its plan.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// The program that is put in as the proxy.
+    /// The program that runs as the proxy.
     pub daemon: Daemon,
-    /// Configurations and logs are kept here; otherwise they go with the run.
+    /// Folder in which configurations and logs are kept; `None` if they are deleted after the run.
     pub keep: Option<PathBuf>,
-    /// Set from outside to end the run early.
+    /// The caller sets this flag to end the run early.
     pub interrupted: Arc<AtomicBool>,
 }
 
-/// Why there was no run, or no whole one.
+/// Why a run could not be started or completed.
 #[derive(Debug, thiserror::Error)]
 pub enum CannotRun {
-    /// A process or the system's limits.
+    /// A process could not be started or signalled, or a limit of the system is too low.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// The proxies' processes.
+    /// The conductor, which controls the proxies' processes, failed.
     #[error(transparent)]
     Conduct(#[from] ConductError),
     /// No part of the loopback network is free.
     #[error(transparent)]
     Place(#[from] NoPlace),
-    /// A folder for the run's files.
-    #[error("no folder for the run's files: {0}")]
+    /// The folder for the run's files could not be created.
+    #[error("cannot create the folder for the run's files: {0}")]
     Folder(io::Error),
-    /// A stand-in.
-    #[error("the stand-in for {who} cannot go on: {error}")]
+    /// An emulator failed with an I/O error.
+    #[error("the emulator of {who} failed: {error}")]
     StandIn {
-        /// Whose.
+        /// The parties that the emulator emulates.
         who: &'static str,
-        /// The system's reason.
+        /// The system's error.
         error: io::Error,
     },
-    /// A stand-in has panicked: a fault of the kit's.
-    #[error("the stand-in for {0} has failed, which is a fault of the kit's: its message stands above")]
+    /// A thread of the kit panicked, which is a bug of the kit.
+    #[error("the thread for {0} panicked, which is a bug of the kit; see its message above")]
     Panicked(&'static str),
 }
 
-/// A run that was played.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Run {
-    /// What was played.
+    /// The plan of the run.
     pub plan: Arc<Plan>,
-    /// What was seen, in order.
+    /// All observations in order of time.
     pub observations: Vec<Observation>,
-    /// What the judge says of it.
+    /// The judge's verdict on the run.
     pub verdict: Verdict,
-    /// What each proxy used.
+    /// Resource usage of each proxy.
     pub usage: Vec<ProxyUsage>,
-    /// It was ended early: the figures are of its first part.
+    /// Whether the run was ended early. If so, the figures cover only its first part.
     pub interrupted: bool,
-    /// How long the judge took.
+    /// Time that the judge took.
     pub judged_in: Duration,
 }
 
 type Stand = (&'static str, JoinHandle<io::Result<Vec<Observation>>>);
 
-/// Plays a plan. `watch` is called every few milliseconds with the board, for a progress line.
+/// Runs a plan. `watch` is called every few milliseconds with the shared state, for a progress line.
 pub fn run(plan: Plan, setup: &Setup, mut watch: impl FnMut(&Plan, &Board)) -> Result<Run, CannotRun> {
     setup.daemon.check()?;
     need_descriptors(descriptors(&plan))?;
@@ -138,7 +140,7 @@
     Ok(Run { plan, observations, verdict, usage, interrupted, judged_in })
 }
 
-/// Judges a run by what was seen up to its end.
+/// Judges a run by the observations up to the time `ended`.
 pub fn judge(plan: &Arc<Plan>, observations: &[Observation], ended: Micros) -> Verdict {
     let mut judge = Judge::new(Arc::clone(plan));
     for observation in observations.iter().take_while(|observation| observation.at <= ended) {
@@ -147,15 +149,15 @@
     judge.finish(ended)
 }
 
-/// Descriptors that the kit needs for a plan: a client's and a render node's end for each session, listeners for each
-/// pair of render node and proxy, relays for each pair of proxies.
+/// Returns the number of descriptors that the kit needs for a plan: a client's and a render node's socket for each
+/// session, a listener for each pair of render node and proxy, and a relay for each pair of proxies.
 fn descriptors(plan: &Plan) -> u64 {
     let (nodes, proxies) = (plan.nodes.len() as u64, plan.proxies.len() as u64);
     let sessions = standing(plan) * 2.1;
     OWN_DESCRIPTORS + nodes * proxies + proxies * (proxies + 8) + sessions as u64 + 4 * plan.rude.len() as u64
 }
 
-/// The most sessions that want a connection at one time.
+/// Returns the maximum number of sessions that request a connection at the same time.
 fn standing(plan: &Plan) -> f64 {
     let mut changes: Vec<(Micros, i64)> =
         plan.sessions.iter().flat_map(|s| [(s.arrives, 1), (s.arrives + s.life, -1)]).collect();
@@ -194,7 +196,7 @@
     threads
 }
 
-/// The stand-ins' threads. They are ended when this is dropped, however the run ends.
+/// The emulators' threads. Dropping the value ends them, so they also end if the run fails.
 struct Stands {
     board: Arc<Board>,
     threads: Vec<Stand>,
@@ -210,7 +212,7 @@
         Ok(())
     }
 
-    /// Fails if one has ended though the run goes on.
+    /// Returns an error if a thread has failed while the run continues.
     fn check(&mut self) -> Result<(), CannotRun> {
         match self.threads.iter().position(|(_, thread)| thread.is_finished()) {
             Some(index) => join(self.threads.swap_remove(index)).map(drop),
@@ -228,7 +230,7 @@
     fn drop(&mut self) {
         self.board.stop();
         for (_, thread) in self.threads.drain(..) {
-            // Its notes are of no use any more.
+            // The run has failed, so the thread's observations are not needed.
             let _ = thread.join();
         }
     }
@@ -242,29 +244,29 @@
     }
 }
 
-/// The text of a run's course for `--json`: what was drawn and what came of it.
+/// The report on a run for `--json`: the plan that was drawn and the results.
 #[derive(Debug, serde::Serialize)]
 pub struct Report<'a> {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: &'a str,
-    /// The seed, as it is given on the command line.
+    /// Seed of the plan, as given on the command line.
     pub seed: u64,
-    /// Digest of the plan: equal for equal plans.
+    /// Digest of the plan; equal plans have equal digests.
     pub plan: String,
-    /// The verdict with its figures.
+    /// The judge's verdict with its figures.
     pub verdict: &'a Verdict,
-    /// What each proxy used.
+    /// Resource usage of each proxy.
     pub usage: &'a [ProxyUsage],
-    /// It was ended early.
+    /// Whether the run was ended early.
     pub interrupted: bool,
-    /// Things seen.
+    /// Number of observations.
     pub observations: usize,
-    /// Microseconds that the judge took.
+    /// Time that the judge took, in microseconds.
     pub judged_in_us: u64,
 }
 
 impl Run {
-    /// The report of this run.
+    /// Returns the report on this run.
     pub fn report(&self) -> Report<'_> {
         Report {
             scenario: &self.plan.name,
@@ -278,7 +280,7 @@
         }
     }
 
-    /// Marks of the timeline, for a person.
+    /// Returns the marks of the timeline with their times, for display.
     pub fn marks(&self) -> impl Iterator<Item = (Micros, &str)> {
         self.observations.iter().filter_map(|observation| match &observation.seen {
             Seen::Mark { text } => Some((observation.at, text.as_str())),
@@ -287,12 +289,12 @@
     }
 }
 
-/// How long a run of this plan takes, in seconds of real time.
+/// Returns the duration of a run of this plan in seconds, including the time before its beginning.
 pub fn lasts(plan: &Plan) -> f64 {
     (lead(plan) + plan.ends) as f64 / S as f64
 }
 
-/// From the start of the processes to the first moment of this run.
+/// Returns the time from the start of the processes to the beginning of the run.
 fn lead(plan: &Plan) -> Micros {
     let pairs = (plan.nodes.len() * plan.proxies.len()) as Micros;
     LEAD + pairs * LEAD_OF_A_PAIR
