--- a/crates/kit/src/rehearse.rs
+++ b/crates/kit/src/rehearse.rs
@@ -23,12 +23,12 @@
 const LEAD: Micros = 1500 * MS;
 /// Additional time for each pair of render node and proxy, since the emulated render node opens an address for each
 /// proxy.
-const LEAD_OF_A_PAIR: Micros = 3 * MS;
+const LEAD_PER_PAIR: Micros = 3 * MS;
 /// Maximum time that the run waits for the emulators to open their sockets.
-const OPEN_WITHIN: Duration = Duration::from_secs(10);
+const OPEN_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum numbers of render nodes and of sessions that one thread handles.
-const NODES_A_THREAD: usize = 128;
-const SESSIONS_A_THREAD: f64 = 6000.0;
+const NODES_PER_THREAD: usize = 128;
+const SESSIONS_PER_THREAD: f64 = 6000.0;
 /// Descriptors of the kit that are not connections of sessions: event polls, pipes, standard streams, watches.
 const OWN_DESCRIPTORS: u64 = 256;
 
@@ -88,7 +88,7 @@
     pub judged_in: Duration,
 }
 
-type Stand = (&'static str, JoinHandle<io::Result<Vec<Observation>>>);
+type EmulatorThread = (&'static str, JoinHandle<io::Result<Vec<Observation>>>);
 
 /// Runs a plan. `watch` is called every few milliseconds with the shared state, for a progress line.
 pub fn run(plan: Plan, setup: &Setup, mut watch: impl FnMut(&Plan, &Board)) -> Result<Run, CannotRun> {
@@ -101,9 +101,9 @@
     let folder = setup.keep.as_deref().unwrap_or(temporary.path());
     std::fs::create_dir_all(folder).map_err(CannotRun::Folder)?;
 
-    let mut stands =
-        Stands { board: Arc::clone(&board), threads: start_stand_ins(&plan, &addresses, &board) };
-    stands.await_ready()?;
+    let mut emulators =
+        EmulatorThreads { board: Arc::clone(&board), threads: start_emulators(&plan, &addresses, &board) };
+    emulators.await_ready()?;
     let mut conductor = Conductor::new(
         Arc::clone(&plan),
         Arc::clone(&addresses),
@@ -121,7 +121,7 @@
             conductor.check_started()?;
         }
         watch(&plan, &board);
-        stands.check()?;
+        emulators.check()?;
         if now >= plan.ends {
             break false;
         }
@@ -130,7 +130,7 @@
         }
     };
     let ended = board.clock.now();
-    let mut all = stands.finish()?;
+    let mut all = emulators.finish()?;
     let (notes, usage) = conductor.finish();
     all.push(notes);
     let observations = notes::merge(all);
@@ -153,12 +153,12 @@
 /// session, a listener for each pair of render node and proxy, and a relay for each pair of proxies.
 fn descriptors(plan: &Plan) -> u64 {
     let (nodes, proxies) = (plan.nodes.len() as u64, plan.proxies.len() as u64);
-    let sessions = standing(plan) * 2.1;
+    let sessions = max_concurrent_sessions(plan) * 2.1;
     OWN_DESCRIPTORS + nodes * proxies + proxies * (proxies + 8) + sessions as u64 + 4 * plan.rude.len() as u64
 }
 
 /// Returns the maximum number of sessions that request a connection at the same time.
-fn standing(plan: &Plan) -> f64 {
+fn max_concurrent_sessions(plan: &Plan) -> f64 {
     let mut changes: Vec<(Micros, i64)> =
         plan.sessions.iter().flat_map(|s| [(s.arrives, 1), (s.arrives + s.life, -1)]).collect();
     changes.sort_unstable();
@@ -169,16 +169,16 @@
     most.max().unwrap_or(0) as f64
 }
 
-fn start_stand_ins(plan: &Arc<Plan>, addresses: &Arc<Addresses>, board: &Arc<Board>) -> Vec<Stand> {
-    let mut threads: Vec<Stand> = Vec::new();
+fn start_emulators(plan: &Arc<Plan>, addresses: &Arc<Addresses>, board: &Arc<Board>) -> Vec<EmulatorThread> {
+    let mut threads: Vec<EmulatorThread> = Vec::new();
     let shared = || (Arc::clone(plan), Arc::clone(addresses), Arc::clone(board));
-    let node_threads = plan.nodes.len().div_ceil(NODES_A_THREAD);
+    let node_threads = plan.nodes.len().div_ceil(NODES_PER_THREAD);
     for shard in 0..node_threads {
         let which = (shard..plan.nodes.len()).step_by(node_threads).map(|n| NodeId(n as u16)).collect();
         let (p, a, b) = shared();
         threads.push(("render nodes", thread::spawn(move || nodes::run(p, a, b, which))));
     }
-    let client_threads = ((standing(plan) / SESSIONS_A_THREAD).ceil() as usize).max(1);
+    let client_threads = ((max_concurrent_sessions(plan) / SESSIONS_PER_THREAD).ceil() as usize).max(1);
     for shard in 0..client_threads {
         let (p, a, b) = shared();
         threads.push(("clients", thread::spawn(move || clients::run(p, a, b, shard, client_threads))));
@@ -197,14 +197,14 @@
 }
 
 /// The emulators' threads. Dropping the value ends them, so they also end if the run fails.
-struct Stands {
+struct EmulatorThreads {
     board: Arc<Board>,
-    threads: Vec<Stand>,
+    threads: Vec<EmulatorThread>,
 }
 
-impl Stands {
+impl EmulatorThreads {
     fn await_ready(&mut self) -> Result<(), CannotRun> {
-        let until = Instant::now() + OPEN_WITHIN;
+        let until = Instant::now() + OPEN_TIMEOUT;
         while self.board.are_ready() < self.threads.len() && Instant::now() < until {
             self.check()?;
             thread::sleep(Duration::from_millis(1));
@@ -226,7 +226,7 @@
     }
 }
 
-impl Drop for Stands {
+impl Drop for EmulatorThreads {
     fn drop(&mut self) {
         self.board.stop();
         for (_, thread) in self.threads.drain(..) {
@@ -236,7 +236,7 @@
     }
 }
 
-fn join((who, thread): Stand) -> Result<Vec<Observation>, CannotRun> {
+fn join((who, thread): EmulatorThread) -> Result<Vec<Observation>, CannotRun> {
     match thread.join() {
         Ok(Ok(notes)) => Ok(notes),
         Ok(Err(error)) => Err(CannotRun::StandIn { who, error }),
@@ -297,5 +297,5 @@
 /// Returns the time from the start of the processes to the beginning of the run.
 fn lead(plan: &Plan) -> Micros {
     let pairs = (plan.nodes.len() * plan.proxies.len()) as Micros;
-    LEAD + pairs * LEAD_OF_A_PAIR
+    LEAD + pairs * LEAD_PER_PAIR
 }
