--- a/crates/kit/src/cli/load.rs
+++ b/crates/kit/src/cli/load.rs
@@ -93,7 +93,7 @@
             };
             for (name, ratio) in [("set-ups", &versus.setups), ("line round trips", &versus.lines)] {
                 println!(
-                    "{name}: the second does {:.3} of the first (95% interval {:.3} to {:.3}, {} rounds); CPU each {:.1} and {:.1} us",
+                    "{name}: the second proxy reaches {:.3} times the rate of the first (95% interval {:.3} to {:.3}, {} rounds); CPU each {:.1} and {:.1} us",
                     ratio.ratio,
                     ratio.interval.0,
                     ratio.interval.1,
@@ -150,5 +150,5 @@
             way.ceiling, way.proxy_cpu_us, way.kit_cpu_us
         );
     }
-    println!("{what}: the kit bears {:.1} times what the proxy does", both.headroom());
+    println!("{what}: the kit can sustain {:.1} times the maximum rate of the proxy", both.headroom());
 }
--- a/crates/kit/src/cli/rehearse.rs
+++ b/crates/kit/src/cli/rehearse.rs
@@ -93,7 +93,7 @@
         let seconds: f64 = queue.iter().map(|(plan, _)| rehearse::lasts(plan)).sum();
         eprintln!("{total} runs, {:.0} s in all", seconds / self.jobs.max(1) as f64);
         let (queue, played) = (Mutex::new(queue), Mutex::new(Vec::new()));
-        let trouble = Mutex::new(None);
+        let failure = Mutex::new(None);
         thread::scope(|scope| {
             for _ in 0..self.jobs.max(1) {
                 scope.spawn(|| {
@@ -112,7 +112,7 @@
                                 played.lock().unwrap_or_else(PoisonError::into_inner).push(one);
                             }
                             Err(error) => {
-                                *trouble.lock().unwrap_or_else(PoisonError::into_inner) = Some(error);
+                                *failure.lock().unwrap_or_else(PoisonError::into_inner) = Some(error);
                                 queue.lock().unwrap_or_else(PoisonError::into_inner).clear();
                                 break;
                             }
@@ -121,8 +121,8 @@
                 });
             }
         });
-        if let Some(trouble) = trouble.into_inner().unwrap_or_else(PoisonError::into_inner) {
-            return Err(trouble);
+        if let Some(failure) = failure.into_inner().unwrap_or_else(PoisonError::into_inner) {
+            return Err(failure);
         }
         let mut played = played.into_inner().unwrap_or_else(PoisonError::into_inner);
         if let Some(path) = &self.json {
