--- a/crates/kit/src/cli/demo.rs
+++ b/crates/kit/src/cli/demo.rs
@@ -1,7 +1,7 @@
-//! `demo`: for a newcomer, with nothing to start and no file to write.
+//! The command `demo`: a short rehearsal for new users that needs no preparation and no scenario file.
 
 use super::rehearse::Progress;
-use super::{DaemonArgs, Ended, interrupt, progress_over};
+use super::{DaemonArgs, Outcome, interrupt, progress_over};
 use clap::Args;
 use cottonnotch_kit::rehearse::{self, Setup};
 use cottonnotch_kit::scenario::Scenario;
@@ -9,15 +9,16 @@
 use std::io::IsTerminal;
 use std::time::{Duration, Instant};
 
-/// What is played.
+/// Text of the demo's scenario.
 const SCENARIO: &str = include_str!("demo.toml");
-/// Where nobody watches a line being rewritten, one is printed this often.
-const PRINTED: Duration = Duration::from_secs(2);
+/// Interval between two progress lines when standard error is not a terminal.
+const PRINT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Two proxies and eight render nodes under load for under half a minute: one render node is killed, one drains.
+/// Runs two proxies and eight render nodes under load for less than half a minute; one render node is killed, and one
+/// drains.
 #[derive(Debug, Args)]
 pub struct Demo {
-    /// What is drawn.
+    /// Seed from which the plan is drawn.
     #[arg(long, default_value_t = 1)]
     seed: u64,
     #[command(flatten)]
@@ -25,8 +26,8 @@
 }
 
 impl Demo {
-    /// Plays it and explains.
-    pub fn run(self) -> Result<Ended, String> {
+    /// Runs the demo and prints its events and its verdict.
+    pub fn run(self) -> Result<Outcome, String> {
         let daemon = self.daemon.daemon()?;
         let scenario = Scenario::read("demo".as_ref(), SCENARIO).map_err(|error| error.to_string())?;
         let plan = scenario.draw(self.seed);
@@ -37,14 +38,16 @@
             plan.sessions.len(),
             plan.ends as f64 / S as f64
         );
-        println!("service: worth of the connection seconds that were well served, over those asked for.\n");
+        println!(
+            "service: worth of the well-served connection seconds, divided by the worth of the requested ones.\n"
+        );
         let setup = Setup { daemon, keep: None, interrupted: interrupt()? };
         let watched = std::io::stderr().is_terminal();
-        let (mut line, mut printed, mut mark) = (Progress::default(), Instant::now(), 0);
+        let (mut line, mut printed, mut next_event) = (Progress::default(), Instant::now(), 0);
         let run = rehearse::run(plan, &setup, |plan, board| {
             let now = board.clock.now();
-            while let Some(event) = plan.timeline.get(mark).filter(|event| event.at <= now) {
-                mark += 1;
+            while let Some(event) = plan.timeline.get(next_event).filter(|event| event.at <= now) {
+                next_event += 1;
                 if let cottonnotch_kit::plan::TimelineChange::Mark(text) = &event.change {
                     clear_if(watched);
                     println!("{:>5.1} s  {text}", event.at as f64 / S as f64);
@@ -52,7 +55,7 @@
             }
             if watched {
                 line.show(plan, board);
-            } else if printed.elapsed() >= PRINTED {
+            } else if printed.elapsed() >= PRINT_INTERVAL {
                 printed = Instant::now();
                 println!("{}", line.line(plan, board));
             }
@@ -61,15 +64,15 @@
         let run = run.map_err(|error| error.to_string())?;
         println!("\n{}", run.verdict);
         if run.interrupted {
-            return Ok(Ended::Interrupted);
+            return Ok(Outcome::Interrupted);
         }
         println!(
             "Next: `cottonnotch-kit rehearse rehearsals/quarter-dies.toml`; docs/ops/rehearsal.md says which when."
         );
         Ok(match (run.verdict.is_void(), run.verdict.passed()) {
-            (true, _) => Ended::Void,
-            (false, true) => Ended::Well,
-            (false, false) => Ended::Broken,
+            (true, _) => Outcome::Void,
+            (false, true) => Outcome::Success,
+            (false, false) => Outcome::Failure,
         })
     }
 }
--- a/crates/kit/src/cli/rehearse.rs
+++ b/crates/kit/src/cli/rehearse.rs
@@ -1,6 +1,6 @@
-//! `rehearse`: plays scenarios, judges each, and fails loudly.
+//! The command `rehearse`: runs scenarios, judges each run, and reports failures in the output and the exit code.
 
-use super::{DaemonArgs, Ended, interrupt, progress, progress_over, write_json};
+use super::{DaemonArgs, Outcome, interrupt, progress, progress_over, write_json};
 use clap::Args;
 use cottonnotch_kit::board::Board;
 use cottonnotch_kit::plan::Plan;
@@ -15,38 +15,38 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A run that was void is played again this often: the machine was busy.
-const AGAIN: u32 = 1;
+/// Maximum number of repetitions of a void run. A run is void if the machine was too busy.
+const MAX_RERUNS: u32 = 1;
 
-/// Plays scenarios and judges each of them.
+/// Runs scenarios and judges each run.
 #[derive(Debug, Args)]
 pub struct Rehearse {
-    /// Scenario files, or folders of them.
+    /// Scenario files, or folders that contain them.
     #[arg(required = true, value_name = "FILE|DIR")]
     scenarios: Vec<PathBuf>,
     /// The first seed; the same scenario and seed give the same faults and arrivals.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds, from the first one on.
+    /// Number of consecutive seeds, beginning with the first.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Plays each plan so often: what differs then is the machine's doing.
+    /// Number of runs of each plan. Differences between these runs come from the machine, not from the plan.
     #[arg(long, default_value_t = 1)]
     repeat: u64,
-    /// Runs at one time. Each needs about two cores; a run that the machine was too busy for is void.
+    /// Number of concurrent runs. Each needs about two cores; a run is void if the machine was too busy for it.
     #[arg(long, default_value_t = 1)]
     jobs: usize,
-    /// Writes what came of it here, as JSON.
+    /// File to which the reports are written as JSON.
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Keeps configurations and logs of the proxies here.
+    /// Folder in which configurations and logs of the proxies are kept.
     #[arg(long, value_name = "DIR")]
     logs: Option<PathBuf>,
     #[command(flatten)]
     daemon: DaemonArgs,
 }
 
-/// Reads scenario files, and those of folders in the order of their names.
+/// Reads scenario files, and all scenario files of folders in the order of their names.
 pub fn scenarios(paths: &[PathBuf]) -> Result<Vec<Scenario>, String> {
     let mut files = Vec::new();
     for path in paths {
@@ -66,16 +66,17 @@
     files.iter().map(|path| Scenario::load(path).map_err(|error| error.to_string())).collect()
 }
 
-struct Played {
+/// The result of one run.
+struct RunResult {
     lines: String,
     report: Option<simd_json::OwnedValue>,
-    ended: Ended,
+    outcome: Outcome,
     service: f64,
 }
 
 impl Rehearse {
-    /// Plays them all.
-    pub fn run(self) -> Result<Ended, String> {
+    /// Runs all plans and prints each result and a summary.
+    pub fn run(self) -> Result<Outcome, String> {
         let daemon = self.daemon.daemon()?;
         let scenarios = scenarios(&self.scenarios)?;
         let interrupted = interrupt()?;
@@ -92,7 +93,7 @@
         let seconds: f64 = queue.iter().map(|(plan, _)| rehearse::lasts(plan)).sum();
         eprintln!("{total} runs, {:.0} s in all", seconds / self.jobs.max(1) as f64);
         let (queue, played) = (Mutex::new(queue), Mutex::new(Vec::new()));
-        let trouble = Mutex::new(None);
+        let failure = Mutex::new(None);
         thread::scope(|scope| {
             for _ in 0..self.jobs.max(1) {
                 scope.spawn(|| {
@@ -111,7 +112,7 @@
                                 played.lock().unwrap_or_else(PoisonError::into_inner).push(one);
                             }
                             Err(error) => {
-                                *trouble.lock().unwrap_or_else(PoisonError::into_inner) = Some(error);
+                                *failure.lock().unwrap_or_else(PoisonError::into_inner) = Some(error);
                                 queue.lock().unwrap_or_else(PoisonError::into_inner).clear();
                                 break;
                             }
@@ -120,8 +121,8 @@
                 });
             }
         });
-        if let Some(trouble) = trouble.into_inner().unwrap_or_else(PoisonError::into_inner) {
-            return Err(trouble);
+        if let Some(failure) = failure.into_inner().unwrap_or_else(PoisonError::into_inner) {
+            return Err(failure);
         }
         let mut played = played.into_inner().unwrap_or_else(PoisonError::into_inner);
         if let Some(path) = &self.json {
@@ -132,10 +133,10 @@
     }
 }
 
-fn summary(played: &[Played], total: usize) -> Ended {
-    let count = |ended: fn(&Ended) -> bool| played.iter().filter(|one| ended(&one.ended)).count();
-    let (well, broken) = (count(|e| matches!(e, Ended::Well)), count(|e| matches!(e, Ended::Broken)));
-    let (void, cut) = (count(|e| matches!(e, Ended::Void)), count(|e| matches!(e, Ended::Interrupted)));
+fn summary(played: &[RunResult], total: usize) -> Outcome {
+    let count = |matches: fn(&Outcome) -> bool| played.iter().filter(|one| matches(&one.outcome)).count();
+    let (well, broken) = (count(|e| matches!(e, Outcome::Success)), count(|e| matches!(e, Outcome::Failure)));
+    let (void, cut) = (count(|e| matches!(e, Outcome::Void)), count(|e| matches!(e, Outcome::Interrupted)));
     if total > 1 {
         let services: Vec<f64> = played.iter().map(|one| one.service).collect();
         let (mean, spread) = cottonnotch_kit::compare::mean_and_spread(&services);
@@ -145,17 +146,17 @@
         );
     }
     if cut > 0 || played.len() < total {
-        Ended::Interrupted
+        Outcome::Interrupted
     } else if broken > 0 {
-        Ended::Broken
+        Outcome::Failure
     } else if void > 0 {
-        Ended::Void
+        Outcome::Void
     } else {
-        Ended::Well
+        Outcome::Success
     }
 }
 
-fn play(plan: Plan, setup: &Setup, watch: bool) -> Result<Played, String> {
+fn play(plan: Plan, setup: &Setup, watch: bool) -> Result<RunResult, String> {
     let mut tries = 0;
     loop {
         let watch = watch && std::io::stderr().is_terminal();
@@ -167,23 +168,23 @@
         });
         let run = run.map_err(|error| error.to_string())?;
         tries += 1;
-        if run.verdict.is_void() && tries <= AGAIN && !run.interrupted {
+        if run.verdict.is_void() && tries <= MAX_RERUNS && !run.interrupted {
             continue;
         }
         return Ok(conclude(&run));
     }
 }
 
-fn conclude(run: &Run) -> Played {
+fn conclude(run: &Run) -> RunResult {
     let report: Report = run.report();
-    let ended = if run.interrupted {
-        Ended::Interrupted
+    let outcome = if run.interrupted {
+        Outcome::Interrupted
     } else if run.verdict.is_void() {
-        Ended::Void
+        Outcome::Void
     } else if run.verdict.passed() {
-        Ended::Well
+        Outcome::Success
     } else {
-        Ended::Broken
+        Outcome::Failure
     };
     let mut lines = format!("{} seed {} (plan {})", report.scenario, report.seed, report.plan);
     if run.interrupted {
@@ -203,10 +204,10 @@
         );
     }
     let value = simd_json::serde::to_owned_value(&report).ok();
-    Played { lines, report: value, ended, service: run.verdict.service() }
+    RunResult { lines, report: value, outcome, service: run.verdict.service() }
 }
 
-/// The line that is rewritten while a run goes on.
+/// The progress line of a run, which is updated in place.
 pub struct Progress {
     shown: Instant,
     before: [u64; 2],
@@ -220,7 +221,7 @@
 }
 
 impl Progress {
-    /// Shows where the run is, once a second.
+    /// Updates the line on the terminal, at most once a second.
     pub fn show(&mut self, plan: &Plan, board: &Board) {
         if self.shown.elapsed() < Duration::from_secs(1) {
             return;
@@ -229,7 +230,7 @@
         progress(&self.line(plan, board));
     }
 
-    /// The line's text.
+    /// Returns the text of the line. The service ratio covers the time since the previous call.
     pub fn line(&mut self, plan: &Plan, board: &Board) -> String {
         let live = &board.live;
         let get = |counter: &std::sync::atomic::AtomicU64| counter.load(Ordering::Relaxed);
--- a/crates/kit/tests/commands.rs
+++ b/crates/kit/tests/commands.rs
@@ -1,5 +1,5 @@
-//! The kit as its user runs it: exit codes, plain words, and nothing left behind. These run beside the proxy's program,
-//! which `cargo test` builds for the whole workspace.
+//! Tests of the kit's command line: exit codes, messages, and that no process is left running. They need the proxy's
+//! program in the same folder, which `cargo test` builds for the whole workspace.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -13,8 +13,8 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-/// No command here takes longer.
-const PATIENCE: Duration = Duration::from_secs(240);
+/// Upper bound for the duration of every command in these tests.
+const TIMEOUT: Duration = Duration::from_secs(240);
 
 fn kit() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cottonnotch-kit"));
@@ -26,31 +26,32 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The proxy beside the kit. Guards against a run of this crate's tests alone, which does not build it.
+/// Returns the path of the proxy beside the kit. Fails if only this crate's tests were built, which doesn't build the
+/// proxy.
 fn daemon() -> PathBuf {
     let path = Path::new(env!("CARGO_BIN_EXE_cottonnotch-kit")).with_file_name("cottonnotch");
     assert!(path.is_file(), "no {}: run the tests of the whole workspace (cargo test)", path.display());
     path
 }
 
-fn said(output: &Output) -> String {
+fn output_text(output: &Output) -> String {
     let (out, err) = (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
     format!("exit {:?}\n{out}\n{err}", output.status.code())
 }
 
-/// Waits until `look` finds something.
-fn within<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let until = Instant::now() + PATIENCE;
+/// Calls `look` repeatedly until it returns a value. Fails after `TIMEOUT`.
+fn wait_for<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+    let until = Instant::now() + TIMEOUT;
     loop {
         if let Some(found) = look() {
             return found;
         }
-        assert!(Instant::now() < until, "waited in vain: {what}");
+        assert!(Instant::now() < until, "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Processes whose parent is this one, by the system's own list.
+/// Returns the process ids of the children of `parent`, from `/proc`.
 fn children(parent: u32) -> Vec<u32> {
     let of = |pid: u32| {
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
@@ -62,7 +63,7 @@
 
 fn is_alive(pid: u32) -> bool {
     let status = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    // A zombie has ended; whoever took it over has not looked yet.
+    // A zombie has exited, but its new parent has not collected its exit status yet.
     status.rsplit_once(')').is_some_and(|(_, rest)| !rest.trim_start().starts_with('Z'))
 }
 
@@ -70,13 +71,13 @@
     kill_process(Pid::from_raw(pid as i32).unwrap(), signal).unwrap();
 }
 
-/// A rehearsal that has its two proxies running.
-fn begun() -> (Child, Vec<u32>) {
+/// Starts a rehearsal and waits until its two proxies run.
+fn start_rehearsal() -> (Child, Vec<u32>) {
     daemon();
     let mut command = kit();
     command.args(["rehearse", "rehearsals/short/calm.toml"]);
     let child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
-    let proxies = within("two proxies", || Some(children(child.id())).filter(|pids| pids.len() == 2));
+    let proxies = wait_for("two proxies", || Some(children(child.id())).filter(|pids| pids.len() == 2));
     (child, proxies)
 }
 
@@ -84,13 +85,13 @@
 fn short_rehearsals_pass_with_the_proxy() {
     daemon();
     let output = kit().args(["rehearse", "rehearsals/short", "--jobs", "3"]).output().unwrap();
-    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
 }
 
 #[test]
 fn every_scripted_fault_fails_by_its_rule_and_the_honest_proxy_passes() {
     let output = kit().args(["prove", "--jobs", "5"]).output().unwrap();
-    let text = said(&output);
+    let text = output_text(&output);
     assert_eq!(output.status.code(), Some(0), "{text}");
     assert_eq!(text.lines().filter(|line| line.starts_with("ok  ")).count(), 19, "{text}");
 }
@@ -106,7 +107,7 @@
         .arg(&report)
         .output()
         .unwrap();
-    let text = said(&output);
+    let text = output_text(&output);
     assert_eq!(output.status.code(), Some(1), "{text}");
     for part in ["FAILED", "BROKEN one-final-answer", "request ", "proxy proxy-", " s, ", "      | "] {
         assert!(text.contains(part), "no '{part}' in {text}");
@@ -142,7 +143,7 @@
         env!("CARGO_BIN_EXE_cottonnotch-kit")
     );
     let output = Command::new("/bin/sh").args(["-c", &line]).current_dir(root()).output().unwrap();
-    let text = said(&output);
+    let text = output_text(&output);
     assert_eq!(output.status.code(), Some(2), "{text}");
     assert!(text.contains("ulimit -n") && text.contains("200"), "{text}");
 }
@@ -161,17 +162,17 @@
         ])
         .output()
         .unwrap();
-    let text = said(&output);
+    let text = output_text(&output);
     assert_eq!(output.status.code(), Some(2), "{text}");
     assert!(text.contains("did not answer the front's PING") && text.contains("no-such-command"), "{text}");
 }
 
 #[test]
 fn an_interrupt_ends_every_process_and_prints_what_there_is() {
-    let (child, proxies) = begun();
+    let (child, proxies) = start_rehearsal();
     signal(child.id(), Signal::INT);
     let output = child.wait_with_output().unwrap();
-    let text = said(&output);
+    let text = output_text(&output);
     assert_eq!(output.status.code(), Some(130), "{text}");
     assert!(text.contains("ended early") && text.contains("requests "), "{text}");
     assert!(!proxies.into_iter().any(is_alive), "{text}");
@@ -179,10 +180,10 @@
 
 #[test]
 fn a_kit_that_is_killed_takes_its_proxies_along() {
-    let (mut child, proxies) = begun();
+    let (mut child, proxies) = start_rehearsal();
     signal(child.id(), Signal::KILL);
     child.wait().unwrap();
-    within("the proxies to be gone", || proxies.iter().all(|pid| !is_alive(*pid)).then_some(()));
+    wait_for("the proxies to be gone", || proxies.iter().all(|pid| !is_alive(*pid)).then_some(()));
     let mut rest = String::new();
     child.stdout.take().unwrap().read_to_string(&mut rest).unwrap();
     assert!(!rest.contains("PASSED"), "{rest}");
@@ -192,7 +193,7 @@
 fn the_same_seed_shows_the_same_plan() {
     let show = |seed: &str| {
         let output = kit().args(["show", "rehearsals", "--all", "--seed", seed]).output().unwrap();
-        assert_eq!(output.status.code(), Some(0), "{}", said(&output));
+        assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
         String::from_utf8(output.stdout).unwrap()
     };
     assert_eq!(show("7"), show("7"));
