--- a/crates/rule-compiler/benches/lookup.rs
+++ b/crates/rule-compiler/benches/lookup.rs
@@ -1,5 +1,5 @@
-//! What lookups, lowering and swaps cost. A plain main that prints ratios, as ratios are what is asked of them; Criterion
-//! measures the single lookups.
+//! Measures the cost of lookups, compilation and plan swaps. The requirements are stated as ratios, so `main` measures and
+//! prints ratios itself; Criterion measures single lookups.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -34,8 +34,8 @@
     [format!("{of}{}", mix(number) % among)].into()
 }
 
-/// Rules of a thousand tenants of a consortium's houses, most for a tenant, a class, groups or more of them. The first six and
-/// one in `common` are for all tenants.
+/// A book of `count` rules, most of which select a tenant, a class, groups or several of these. The first six rules and one
+/// in `common` of the others apply to all tenants.
 fn book(count: u64, common: u64) -> Book {
     let paths = ["consortium", "consortium/house", "consortium/house/team"];
     let rule = |number: u64| {
@@ -98,7 +98,7 @@
     hardware: String,
 }
 
-/// Requests that rules speak of, in no order.
+/// Requests and nodes that match the rules of a book of `count` rules, in a mixed order.
 fn asked(count: u64) -> Vec<Asked> {
     let one = |number: u64| Asked {
         tenant: format!("tenant-{}", mix(number * 31) % (count / 10).max(3)),
@@ -118,7 +118,8 @@
     (lookup.allows_key(key), lookup.rank_key(key), lookup.attempts())
 }
 
-/// Nanoseconds of a lookup with a node's verdict and rank: the least of some rounds, as other work disturbs the rest.
+/// The time of one lookup with a node's admission and rank, in nanoseconds. Returns the minimum of many rounds, because other
+/// processes slow down some of the rounds.
 fn lookup_ns(plan: &Plan, asked: &[Asked]) -> f64 {
     let round = || {
         let start = Instant::now();
@@ -127,7 +128,7 @@
         }
         start.elapsed().as_secs_f64() * 1e9 / asked.len() as f64
     };
-    // Rounds are short, so that some fall between what else the machine does.
+    // Rounds are short, so that some of them run undisturbed by other processes.
     (0..1000).map(|_| round()).fold(f64::INFINITY, f64::min)
 }
 
@@ -144,7 +145,7 @@
     (0..5).map(|_| round()).fold(f64::INFINITY, f64::min)
 }
 
-/// What eight threads see of single lookups, with plans swapped below them or not.
+/// The latencies of lookups on eight threads that share a plan. If `swaps` is set, the plan is replaced every 10 ms.
 fn shared(plans: &[Arc<Plan>; 2], asked: &[Asked], swaps: bool) -> Histogram<u64> {
     let plan = ArcSwap::new(plans[0].clone());
     let over = AtomicBool::new(false);
@@ -152,7 +153,7 @@
         let mut seen = histogram();
         let mut at = from * 511;
         while !over.load(Ordering::Relaxed) {
-            // Some lookups in one reading of the clock, which else is what is measured.
+            // Each sample covers several lookups, because reading the clock would dominate the time of one.
             let start = Instant::now();
             for _ in 0..8 {
                 let plan = plan.load();
@@ -185,7 +186,7 @@
 }
 
 fn main() {
-    // `cargo test --benches` only sees whether this runs.
+    // `cargo test --benches` runs this without `--bench` and only checks that it doesn't fail.
     let brief = !std::env::args().any(|arg| arg == "--bench");
     let (small, large) = (book(10, 100), book(if brief { 200 } else { 10_000 }, 100));
     let plan_small = compile(&small, &profiles()).plan;
@@ -196,7 +197,7 @@
         black_box((one_lookup(&plan_small, &few[0]), one_lookup(&plan_large, &many[0])));
         return;
     }
-    // `docs/CAPACITY.md` quotes these.
+    // `docs/CAPACITY.md` quotes these lines.
     for rules in [1_000, 3_000, 10_000, 30_000] {
         let book = book(rules, 100);
         let plan = compile(&book, &profiles()).plan;
@@ -210,7 +211,7 @@
     }
     let (ns_small, ns_large) = (lookup_ns(&plan_small, &few), lookup_ns(&plan_large, &many));
     println!(
-        "look at 10 rules {ns_small:.0} ns, at {count} {ns_large:.0} ns, ratio {:.2}",
+        "lookup among 10 rules {ns_small:.0} ns, among {count} {ns_large:.0} ns, ratio {:.2}",
         ns_large / ns_small
     );
     let heavy = compile(&book(count, 10), &profiles()).plan;
@@ -222,10 +223,11 @@
         bytes.len(),
         plan_large.index_bytes()
     );
-    println!("lower {count}: {:.1} ms", seconds(|| compile(&large, &profiles())) * 1e3);
+    println!("compile {count}: {:.1} ms", seconds(|| compile(&large, &profiles())) * 1e3);
     println!("decode {count}: {:.1} ms", seconds(|| Plan::from_bytes(&bytes)) * 1e3);
 
-    // The least that any request gets is halved for all tenants but one by one: every slot changes, and nothing differs.
+    // The two plans bound attempts alike, one by a rule for all tenants, the other by a rule for each tenant as well. Every
+    // slot changes, but no request is treated differently.
     let tenants: BTreeSet<&String> = large.rules.iter().flat_map(|rule| &rule.on.tenants).collect();
     let bound = |name: String, tenants: BTreeSet<String>| Rule {
         namespace: "consortium".into(),
@@ -258,7 +260,7 @@
         let swapped = shared(&plans, &many, true);
         let of = |seen: &Histogram<u64>| seen.value_at_quantile(0.9999) as f64;
         println!(
-            "eight threads, 8 looks each time: p50 {} ns, p99.99 {} ns; swapped 100 times a second {} ns, {} ns, ratio {:.2}",
+            "eight threads, 8 lookups per sample: p50 {} ns, p99.99 {} ns; swapped 100 times a second {} ns, {} ns, ratio {:.2}",
             still.value_at_quantile(0.5),
             of(&still),
             swapped.value_at_quantile(0.5),
--- a/crates/rule-compiler/src/bits.rs
+++ b/crates/rule-compiler/src/bits.rs
@@ -1,13 +1,13 @@
-//! Sets of (hall, hardware class) pairs, each kept once.
+//! Interned bit sets of (hall, hardware class) pairs.
 
 use std::collections::HashMap;
 
 use fnv::FnvBuildHasher;
 
-/// A set's number.
+/// Identifies an interned set.
 pub(crate) type SetId = u32;
 
-/// Distinct sets over so many pairs.
+/// Distinct sets over a fixed number of pairs, stored one after the other as bit sets.
 #[derive(Debug)]
 pub(crate) struct Sets {
     pairs: u32,
@@ -15,36 +15,36 @@
     flat: Vec<u64>,
 }
 
-/// The sets while they are built.
+/// Interns sets and builds [`Sets`].
 pub(crate) struct SetsBuilder {
     sets: Sets,
     known: HashMap<Box<[u64]>, SetId, FnvBuildHasher>,
 }
 
 impl Sets {
-    /// Whether a set has a pair.
+    /// Whether a set contains a pair.
     pub(crate) fn has(&self, set: SetId, pair: u32) -> bool {
         let word = set as usize * self.words + (pair / 64) as usize;
         self.flat.get(word).is_some_and(|word| word >> (pair % 64) & 1 == 1)
     }
 
-    /// A set's words.
+    /// The words of a set's bits; bit `p % 64` of word `p / 64` stands for pair `p`.
     pub(crate) fn words(&self, set: SetId) -> &[u64] {
         &self.flat[set as usize * self.words..][..self.words]
     }
 
-    /// How many words each has.
+    /// The number of words in each set.
     pub(crate) fn len(&self) -> usize {
         self.words
     }
 
-    /// A word of the set of all pairs.
+    /// The word at this position in the set of all pairs.
     pub(crate) fn full_word(&self, at: usize) -> u64 {
         let rest = self.pairs as usize - 64 * at;
         if rest >= 64 { u64::MAX } else { (1 << rest) - 1 }
     }
 
-    /// The bytes they take.
+    /// The size of all sets in bytes.
     pub(crate) fn bytes(&self) -> usize {
         self.flat.len() * size_of::<u64>()
     }
@@ -60,7 +60,7 @@
         &self.sets
     }
 
-    /// The number of the set with these pairs.
+    /// Interns the set of these pairs.
     pub(crate) fn of(&mut self, pairs: impl Iterator<Item = u32>) -> SetId {
         let mut words = vec![0; self.sets.words];
         for pair in pairs {
@@ -69,7 +69,7 @@
         self.intern_words(words)
     }
 
-    /// The number of the set with these words.
+    /// Interns the set with these words.
     pub(crate) fn intern_words(&mut self, words: Vec<u64>) -> SetId {
         if let Some(&id) = self.known.get(words.as_slice()) {
             return id;
--- a/crates/rule-compiler/src/bounded_list.rs
+++ b/crates/rule-compiler/src/bounded_list.rs
@@ -1,4 +1,4 @@
-//! Reading lists of bounded length.
+//! Deserializes lists of bounded length.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -6,7 +6,8 @@
 use serde::de::{SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 
-/// Reads a list of bounded length: a rule takes far more room in memory than on the wire.
+/// Deserializes a list of at most `MAX` entries. The bound limits memory use: a rule takes far more memory than it takes
+/// bytes on the wire.
 pub(crate) fn bounded_list<'de, D: Deserializer<'de>, T: Deserialize<'de>, const MAX: usize>(
     from: D,
 ) -> Result<Vec<T>, D::Error> {
--- a/crates/rule-compiler/src/canonical.rs
+++ b/crates/rule-compiler/src/canonical.rs
@@ -1,15 +1,15 @@
-//! The canonical form of a plan: which body is the one encoding of its meaning.
+//! The canonical form of a plan's body. Of all bodies that mean the same, one is accepted.
 
 use cottonnotch_routing_rules::{GroupRange, UncertaintyPolicy};
 
 use crate::plan_body::{Body, CompiledForm, CompiledRule, PlanError};
 
-/// The level that rules need of a build.
+/// The lowest level that a build must support to run these rules.
 pub(crate) fn needs(rules: &[CompiledRule]) -> u16 {
     rules.iter().map(|rule| rule.form.needs()).max().unwrap_or(1)
 }
 
-/// Whether a body is as [`compile`](crate::compile()) makes it.
+/// Returns an error unless the body is in the canonical form that [`compile`](crate::compile()) makes.
 pub(crate) fn check(body: &Body) -> Result<(), PlanError> {
     if body.needs != needs(&body.rules) {
         return Err(PlanError::Canonical("needs"));
@@ -28,36 +28,36 @@
         places.is_sorted_by(|a, b| a < b) && places.last().is_none_or(|&last| usize::from(last) < end)
     };
     if !listed(&rule.out, hardware.len() + 1) {
-        return Err(PlanError::Canonical("classes that are out"));
+        return Err(PlanError::Canonical("indices of excluded classes"));
     }
     if !is_normalized(&rule.on.groups) {
         return Err(PlanError::Canonical("groups"));
     }
     if rule.form.is_preference() && rule.uncertainty_policy != UncertaintyPolicy::Keep {
-        return Err(PlanError::Canonical("a wish in doubt"));
+        return Err(PlanError::Canonical("a preference with an uncertainty policy"));
     }
     let named = rule.form.nodes().map(|nodes| &nodes.hardware);
     if named.is_some_and(|named| named.iter().any(|name| hardware.binary_search(name).is_err())) {
-        return Err(PlanError::Canonical("classes that aren't listed"));
+        return Err(PlanError::Canonical("classes that the plan doesn't list"));
     }
     match &rule.form {
         CompiledForm::Spread { counted: Some(counted), .. } if counted.nodes.hardware.is_empty() => {
-            Err(PlanError::Canonical("a spread counted nowhere"))
+            Err(PlanError::Canonical("a counted spread without classes"))
         }
         CompiledForm::Move { drains_only, .. } if !listed(drains_only, hardware.len()) => {
-            Err(PlanError::Canonical("classes that drain only"))
+            Err(PlanError::Canonical("indices of classes that move on drain only"))
         }
         _ => Ok(()),
     }
 }
 
-/// Whether ranges are sorted, disjoint and not next to each other.
+/// Whether the ranges are non-empty, sorted, disjoint and not adjacent.
 fn is_normalized(ranges: &[GroupRange]) -> bool {
     ranges.iter().all(|range| range.first <= range.last)
         && ranges.windows(2).all(|two| two[0].last.checked_add(1).is_some_and(|next| next < two[1].first))
 }
 
-/// The ranges that mean the same groups, sorted, disjoint and not next to each other.
+/// Merges the ranges into sorted, disjoint and non-adjacent ranges that contain the same groups.
 pub(crate) fn normalized(ranges: &[GroupRange]) -> Vec<GroupRange> {
     let mut sorted: Vec<_> = ranges.iter().copied().filter(|range| range.first <= range.last).collect();
     sorted.sort();
--- a/crates/rule-compiler/src/compile.rs
+++ b/crates/rule-compiler/src/compile.rs
@@ -1,4 +1,4 @@
-//! From a book and the profiles to a plan and the table that explains it.
+//! Compiles a book and the profiles of hardware classes into a plan and the table that explains the plan.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,26 +12,28 @@
 use crate::profile::{Budgets, Profile, Profiles};
 use crate::table::{Execution, Row, UNKNOWN};
 
-/// What became of a book.
+/// The result of compiling a book.
 #[derive(Debug)]
 pub struct Compiled {
-    /// The plan.
+    /// The compiled plan.
     pub plan: Plan,
-    /// Each rule on each class of which it selects nodes: rules by namespace and name, classes by name, unknown ones last.
+    /// One row for each rule and each class of which the rule selects nodes. Rows are ordered by the rule's namespace and
+    /// name, then by the class's name, with unknown classes last.
     pub table: Vec<Row>,
-    /// How many preferences are dropped on some class.
+    /// How many preferences are dropped on at least one class.
     pub dropped: usize,
 }
 
-/// The Retry-After of a rejected client where a rule's namespace isn't in the book, which a merge never makes.
+/// The Retry-After, in milliseconds, of a client rejected by a rule whose namespace isn't in the book. A merge never
+/// makes such a book.
 const STRAY_RETRY_MS: u32 = 1000;
-const PLAN_FULL: &str = "no plan holds so many rules; those that go last are left out";
-const TOO_MANY_REQUIREMENTS: &str = "the musts are more than a plan holds: nothing is allowed";
+const PLAN_FULL: &str = "the plan is full; the rules that come last in the order are left out";
+const TOO_MANY_REQUIREMENTS: &str = "the requirements exceed the size of a plan: nothing is allowed";
 
-/// What owners ask for while a version is uncertain, by namespace.
+/// The uncertainty policy of each namespace's owner.
 type Policies<'a> = BTreeMap<&'a str, UncertaintyPolicy>;
 
-/// Compiles a book: each rule for each class exactly, in a stricter form, or not at all.
+/// Compiles a book. On each class, each rule runs exactly, in a stricter form, or not at all.
 pub fn compile(book: &Book, profiles: &Profiles) -> Compiled {
     let classes = classes(book, profiles);
     let mut forms: Vec<RuleForms> = book.rules.iter().map(|rule| rule_forms(rule, &classes)).collect();
@@ -46,8 +48,8 @@
     Compiled { plan, table, dropped }
 }
 
-/// The plan of as many rules as one holds. What no plan holds is left out from the end of the order, preferences first; where
-/// the requirements alone are too many, nothing is allowed.
+/// Builds the plan from as many rules as fit into a plan. Preferences are left out from the end of the order until the rest
+/// fits. If the requirements alone don't fit, the plan rejects every request.
 fn fit_plan(book: &Book, forms: &mut [RuleForms], order: &[usize], hardware: &[String]) -> Plan {
     let policies: Policies =
         book.namespaces.iter().map(|owner| (owner.path.as_str(), owner.uncertainty_policy)).collect();
@@ -78,7 +80,7 @@
     }
 }
 
-/// The classes that have a profile or that a rule names, and then every other.
+/// The classes that have a profile or that a rule names, followed by one entry that stands for all other classes.
 fn classes(book: &Book, profiles: &Profiles) -> Vec<Class> {
     let named = book.rules.iter().filter_map(|rule| match &rule.kind {
         RuleKind::Place { hardware, .. } | RuleKind::Cap { hardware, .. } => Some(hardware),
@@ -93,15 +95,16 @@
     names.iter().map(|name| class(name, true)).chain([class(UNKNOWN, false)]).collect()
 }
 
-/// Requirements first, and of each sort those of fewer depth, then of higher priority, then by namespace and name.
+/// The indices of the rules in the order in which budgets admit them: requirements before preferences, and within each by
+/// ascending depth, then descending priority, then namespace and name.
 fn order(rules: &[Rule]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..rules.len()).collect();
     order.sort_by_key(|&at| (is_preference(&rules[at]), rules[at].preference_order()));
     order
 }
 
-/// Takes rules from a class from the first one on that is past one of its budgets: so preferences go first, those of lowest
-/// rank before others.
+/// Removes from a class the first rule that exceeds one of the class's budgets and every rule after it in `order`. Thus
+/// preferences are removed before requirements, and preferences of lower rank before those of higher rank.
 fn keep_budgets(rules: &[Rule], forms: &mut [RuleForms], order: &[usize], at: usize, class: &Class) {
     let mut usage = BudgetUsage::default();
     let mut exceeded: Option<&'static str> = None;
@@ -122,7 +125,7 @@
     }
 }
 
-/// What rules take of a class's budgets.
+/// How much of a class's budgets the rules use.
 #[derive(Default)]
 struct BudgetUsage<'a> {
     rules: u32,
@@ -133,7 +136,7 @@
 impl<'a> BudgetUsage<'a> {
     fn add(&mut self, rule: &'a Rule, budgets: &Budgets) {
         self.rules += 1;
-        // An unlimited budget needs no sums.
+        // Usage of an unlimited budget isn't tracked.
         if budgets.selectors < u32::MAX {
             self.selectors.insert(&rule.on);
         }
@@ -155,7 +158,7 @@
     }
 }
 
-/// The bytes that a rule takes of a class's budget.
+/// How many bytes of a class's budget a rule uses.
 fn size(rule: &Rule) -> u64 {
     let fields = (&rule.namespace, &rule.name, &rule.on, &rule.kind);
     postcard::to_allocvec(&fields).map_or(u64::from(u32::MAX), |bytes| bytes.len() as u64)
@@ -172,12 +175,12 @@
     Plan::new(hardware.to_vec(), compiled.collect())
 }
 
-/// The rule of the plan; `None` if it concerns no request, or is a preference that is dropped on every class.
+/// Compiles one rule. Returns `None` if the rule matches no request, or is a preference that is dropped on every class.
 fn compile_rule(rule: &Rule, forms: &RuleForms, policies: &Policies) -> Option<CompiledRule> {
     let mut on = rule.on.clone();
     on.groups = normalized(&on.groups);
     if on.groups.is_empty() != rule.on.groups.is_empty() {
-        // Its ranges hold no group, so it concerns no request.
+        // All of the rule's ranges are empty, so the rule matches no request.
         return None;
     }
     let is_out =
@@ -205,7 +208,7 @@
     })
 }
 
-/// The plan that allows nothing.
+/// A plan that rejects every request.
 fn reject_all() -> Plan {
     let rule = CompiledRule {
         namespace: String::new(),
--- a/crates/rule-compiler/src/contradiction.rs
+++ b/crates/rule-compiler/src/contradiction.rs
@@ -1,4 +1,4 @@
-//! Whether two plans may be acted on at once.
+//! Finds out whether proxies may act on two plans at the same time.
 
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
@@ -10,32 +10,32 @@
 use crate::plan::Plan;
 use crate::plan_body::{CompiledForm, CompiledRule};
 
-/// A request and a node on which two plans differ, and a requirement of each that concerns it. The name of a requirement is empty on the
-/// side that has none to show.
+/// A request and a node on which two plans differ, with a requirement of each plan that matches the request. The
+/// requirement's name is empty for a plan without a matching requirement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Witness {
     /// The request's tenant.
     pub tenant: Option<String>,
-    /// Its class.
+    /// The request's class.
     pub class: String,
-    /// Its group.
+    /// The request's group.
     pub group: Option<u64>,
     /// The node's hall.
     pub hall: String,
     /// The node's hardware class.
     pub hardware: String,
-    /// The old plan's must, as `namespace:name`.
+    /// The old plan's requirement, as `namespace:name`.
     pub old_rule: String,
-    /// The new plan's must, as `namespace:name`.
+    /// The new plan's requirement, as `namespace:name`.
     pub new_rule: String,
 }
 
-/// Finds a request that the requirements of two plans differ on: a node that one allows and the other forbids, or a bound that
-/// only one has or that is another. It is symmetric: which of two plans is the newer doesn't matter, as either may be acted
-/// on by a process that the other has left behind. Preferences never contradict.
+/// Finds a request for which the requirements of two plans differ: one plan allows a node that the other forbids, or a bound
+/// exists in one plan only or has another value. Swapping the plans doesn't change whether a request is found, because a
+/// process that lags behind may still act on either of them. Preferences never contradict.
 ///
-/// It is exact: requests fall into finitely many cells, which the names and the ends of intervals in either plan bound, and
-/// only cells that a changed must speaks of can differ.
+/// The search is exact. The names and the interval bounds in either plan divide the requests into finitely many cells, and
+/// only cells that a changed requirement matches can differ.
 pub fn contradiction(old: &Plan, new: &Plan) -> Option<Witness> {
     if old.hash() == new.hash() {
         return None;
@@ -43,9 +43,10 @@
     Search::new(old, new).witness_in()
 }
 
-/// A tenant or any, and a class or any.
+/// A tenant and a class; `None` means any.
 type Key<'a> = (Option<&'a str>, Option<&'a str>);
-/// Where the slots of both plans say different things: by key, the groups, and whether requests without one too.
+/// The keys whose slots have different effects in the two plans, each with the groups for which the effects differ and
+/// whether they also differ for requests without a group.
 type Unequal<'a> = Vec<(Key<'a>, (Vec<GroupRange>, bool))>;
 
 /// How two lookups differ.
@@ -57,16 +58,18 @@
 struct Search<'a> {
     old: &'a Plan,
     new: &'a Plan,
-    /// Every hall and class of either plan, and one that is in neither, as the plans know them.
+    /// Every hall and hardware class of either plan, and one of each that is in neither plan, with the node's key in the
+    /// old and in the new plan.
     nodes: Vec<(String, String, NodeKey, NodeKey)>,
     other_class: String,
-    /// Whether both plans number the pairs of halls and classes alike.
+    /// Whether both plans number the pairs of halls and classes in the same way.
     alike: bool,
-    /// Every hardware class of either plan, with its place in each; past the last if it is in none.
+    /// The index of every hardware class in the old and in the new plan, and of one class that is in neither. The index of
+    /// a class that a plan doesn't list is one past the plan's last class.
     hardware: Vec<(u16, u16)>,
 }
 
-/// A name that none of these are.
+/// A name that isn't in the set.
 fn other(names: &BTreeSet<&str>) -> String {
     let mut name = String::from("other");
     while names.contains(name.as_str()) {
@@ -102,7 +105,7 @@
         Self { old, new, nodes, other_class, alike, hardware }
     }
 
-    /// What the requirements are on that only one plan has, or that differ.
+    /// The selectors of the requirements that only one plan has or that differ between the plans.
     fn changed(&self) -> Vec<&'a Selector> {
         let requirements = |plan: &'a Plan| -> Vec<&'a CompiledRule> {
             plan.body.rules.iter().filter(|rule| !rule.form.is_preference()).collect()
@@ -128,7 +131,8 @@
         }
     }
 
-    /// Whether two requirements of one name do the same in both plans, which may list other classes.
+    /// Whether two requirements of the same name have the same effect. The two plans may list different classes, so class
+    /// indices are compared by the classes that they stand for.
     fn same(&self, a: &CompiledRule, b: &CompiledRule) -> bool {
         let form = match (&a.form, &b.form) {
             (
@@ -140,8 +144,8 @@
         form && a.on == b.on && self.hardware.iter().all(|(x, y)| a.out.contains(x) == b.out.contains(y))
     }
 
-    /// The slots that a changed must is in, as far as what they say by themselves isn't the same. Only they matter: where two
-    /// slots say the same, adding both to what else is said changes nothing about whether it is the same.
+    /// The slots of changed requirements whose own effects differ between the plans. Slots with equal effects need no
+    /// search: combining equal effects with other effects can't cause a difference.
     fn unequal(&self) -> Unequal<'a> {
         let mut keys: BTreeSet<Key> = BTreeSet::new();
         let names = |set: &'a BTreeSet<String>| -> Vec<Option<&'a str>> {
@@ -173,8 +177,8 @@
         (ranges.filter(|range| differ(Some(range.first))).collect(), differ(None))
     }
 
-    /// A request that the plans differ on. The cell of each unequal slot is looked at; any other is equal if these are, as it
-    /// is what the cells of fewer names say together, and nothing more.
+    /// A request for which the plans differ. Only the cells of unequal slots are searched. The effect in any other cell is
+    /// the combination of the effects in cells with fewer names, so it is equal if those are.
     fn witness_in(&self) -> Option<Witness> {
         self.unequal().into_iter().find_map(|((tenant, class), (ranges, none))| {
             let name = class.unwrap_or(&self.other_class);
@@ -183,7 +187,7 @@
         })
     }
 
-    /// One group for each interval within some ranges on which nothing changes for this tenant and class.
+    /// One group of each interval within the ranges on which both plans' effects are constant for this tenant and class.
     fn groups(
         &self,
         tenant: Option<&str>,
@@ -239,7 +243,7 @@
     }
 
     fn witness(&self, request: &Request, old: &Lookup, new: &Lookup, difference: &Difference) -> Witness {
-        // A number is shown on a node that the requirements allow, if they allow any.
+        // The witness for a differing number is a node that the requirements allow, if they allow any.
         let allowed = || self.nodes.iter().position(|node| old.allows_key(node.2));
         let at = match difference {
             Difference::At(at) => *at,
@@ -267,7 +271,7 @@
     }
 }
 
-/// The slot of a plan that a key names, if it has rules.
+/// The plan's slot for a key, if the slot has rules.
 fn slot(plan: &Plan, (tenant, class): Key) -> Option<Slot> {
     let number = |names: &Names, name: Option<&str>| match name {
         Some(name) => names.get(name).copied(),
--- a/crates/rule-compiler/src/effects.rs
+++ b/crates/rule-compiler/src/effects.rs
@@ -1,4 +1,4 @@
-//! The combined effect of a set of rules, computed once for each set that occurs.
+//! The combined effect of a set of rules, computed once for each distinct set.
 
 use std::collections::{HashMap, HashSet};
 
@@ -9,31 +9,31 @@
 use crate::groups::NONE;
 use crate::plan_body::{CompiledForm, CompiledRule};
 
-/// A run of [`Effects::lists`].
+/// The start and the length of a slice of [`Effects::lists`].
 pub(crate) type Span = (u32, u32);
 
 /// The combined effect of some rules.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Effect {
-    /// The pairs that the requirements allow, or [`NONE`]: they allow all.
+    /// The pairs that the requirements allow, or [`NONE`] if they allow all pairs.
     pub allow: SetId,
     pub attempts: Option<u32>,
     pub spread: Option<u32>,
     pub uncertainty_policy: Option<UncertaintyPolicy>,
-    /// The requirements.
+    /// The indices of the requirements.
     pub requirements: Span,
-    /// Those of them that limit standing connections.
+    /// The indices of the requirements that limit established connections.
     pub limits: Span,
-    /// Those of them that are spreads.
+    /// The indices of the requirements that are counted spreads.
     pub counted: Span,
     pub paces: Span,
-    /// Requirements and preferences.
+    /// The indices of the requirements and preferences about moving connections.
     pub moves: Span,
-    /// Places among all preferences of those that order nodes, the first first.
+    /// The positions, among all preferences, of the preferences that order nodes, in ascending order.
     pub preferences: Span,
 }
 
-/// Every effect that occurs.
+/// The effects of all distinct sets of rules.
 #[derive(Debug, Default)]
 pub(crate) struct Effects {
     pub all: Vec<Effect>,
@@ -50,20 +50,20 @@
     }
 }
 
-/// What a rule does by itself, as far as pairs and order go.
+/// The effect of one rule on its own: the pairs that it allows, and its position among the preferences.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RuleEffect {
-    /// The pairs that it allows, or [`NONE`].
+    /// The pairs that the rule allows, or [`NONE`] if it allows all pairs.
     pub allow: SetId,
-    /// Its place among all preferences, or [`NONE`].
+    /// The rule's position among all preferences, or [`NONE`] for a requirement.
     pub place: u32,
 }
 
-/// The effects while they are built.
+/// Interns sets of rules and builds [`Effects`].
 pub(crate) struct EffectsBuilder<'a> {
     rules: &'a [CompiledRule],
     own: &'a [RuleEffect],
-    /// The pairs that each preference is for, by its place.
+    /// The pairs that each preference prefers, by the preference's position.
     preferences: &'a [SetId],
     sets: &'a mut SetsBuilder,
     effects: Effects,
@@ -71,7 +71,7 @@
     max_bytes: usize,
 }
 
-/// The lesser of two bounds, either of which may be missing.
+/// The lower of two optional bounds.
 pub(crate) fn least(a: Option<u32>, b: Option<u32>) -> Option<u32> {
     match (a, b) {
         (Some(a), Some(b)) => Some(a.min(b)),
@@ -98,19 +98,19 @@
         }
     }
 
-    /// The effects, unless they take too many bytes; then what was numbered means nothing.
+    /// The effects, or `None` if they exceed the limit on bytes. In that case the ids that were handed out are invalid.
     pub(crate) fn finish(self) -> Option<Effects> {
         (!self.is_full()).then_some(self.effects)
     }
 
-    /// Whether the effects take more bytes than they may.
+    /// Whether the effects exceed the limit on bytes.
     pub(crate) fn is_full(&self) -> bool {
         self.effects.bytes() + self.sets.sets().bytes() > self.max_bytes
     }
 
-    /// The number of the effect of these rules, which are sorted.
+    /// Interns the effect of these rules and returns its id. The rules must be sorted.
     pub(crate) fn of(&mut self, members: &[u32]) -> u32 {
-        // Nothing more is added past the bound, which one slot alone could pass by far.
+        // Nothing is added past the limit, because one slot alone could exceed it by far.
         if self.is_full() {
             return NONE;
         }
@@ -124,7 +124,7 @@
         id
     }
 
-    /// The combined effect of these rules.
+    /// Computes the combined effect of these rules.
     fn combine(&mut self, members: &[u32]) -> Effect {
         let rules = self.rules;
         let form = |&member: &u32| &rules[member as usize].form;
@@ -145,7 +145,7 @@
         }
     }
 
-    /// The pairs that all of these rules allow, or [`NONE`]: they allow all.
+    /// The pairs that every one of the rules allows, or [`NONE`] if the rules allow all pairs.
     fn allowed_pairs(&mut self, members: &[u32]) -> SetId {
         let mut allowed: Option<Vec<u64>> = None;
         let allows = members.iter().map(|&member| self.own[member as usize].allow);
@@ -159,14 +159,14 @@
         allowed.map_or(NONE, |words| self.sets.intern_words(words))
     }
 
-    /// The places of the preferences that order nodes, the first first.
+    /// The positions of the preferences that order nodes, in ascending order.
     fn ordering_preferences(&mut self, members: &[u32]) -> Span {
         let is_ordering =
             |&&member: &&u32| matches!(self.rules[member as usize].form, CompiledForm::Preference { .. });
         let ordering = members.iter().filter(is_ordering);
         let mut places: Vec<u32> = ordering.map(|&member| self.own[member as usize].place).collect();
         places.sort_unstable();
-        // A preference for the same nodes as one before it tells no two nodes apart.
+        // A preference for the same nodes as an earlier one doesn't change the order, so it is left out.
         let mut seen = HashSet::with_hasher(FnvBuildHasher::default());
         places.retain(|&place| seen.insert(self.preferences[place as usize]));
         self.list(&places, |_| true)
--- a/crates/rule-compiler/src/forms.rs
+++ b/crates/rule-compiler/src/forms.rs
@@ -1,4 +1,4 @@
-//! What each kind of rule becomes on each class, by the class's features.
+//! Determines the form in which each kind of rule runs on each hardware class, given the class's features.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,27 +9,28 @@
 use crate::profile::{Budgets, Features};
 use crate::table::Execution;
 
-/// A hardware class, or every class that isn't listed.
+/// A hardware class, or the entry that stands for all classes that the plan doesn't list.
 pub(crate) struct Class {
     pub name: Arc<str>,
-    /// Whether it is in the plan's list.
+    /// Whether the plan lists the class.
     pub listed: bool,
     pub features: Features,
     pub budgets: Budgets,
 }
 
-/// How a rule runs on a class, and what is lost.
+/// How a rule runs on a class, and the reason, which says what is lost. The reason is empty if the rule runs exactly.
 pub(crate) type ClassExecution = (Execution, &'static str);
 
 const EXACTLY: ClassExecution = (Execution::Exactly, "");
 
-/// A rule's form, if it has any, and how it runs on each class; `None` where it selects no node of the class.
+/// A rule's compiled form, and how the rule runs on each class. The form is `None` for a preference that can't order nodes;
+/// an execution is `None` for a class of which the rule selects no nodes.
 pub(crate) struct RuleForms {
     pub form: Option<CompiledForm>,
     pub executions: Vec<Option<ClassExecution>>,
 }
 
-/// Whether a rule only orders nodes.
+/// Whether a rule is a preference, which only orders nodes.
 pub(crate) fn is_preference(rule: &Rule) -> bool {
     rule.strength == Strength::Preference
 }
@@ -44,7 +45,7 @@
     }
 }
 
-/// Compiles a rule by the features of the classes, whatever their budgets.
+/// Compiles a rule for the classes' features, without regard to their budgets.
 pub(crate) fn rule_forms(rule: &Rule, classes: &[Class]) -> RuleForms {
     let each = |executions: &dyn Fn(&Class) -> ClassExecution| each(rule, classes, executions);
     let forms = |form, executions| RuleForms { form: Some(form), executions };
@@ -54,7 +55,7 @@
     match &rule.kind {
         RuleKind::Place { how, halls, hardware } => {
             let nodes = NodeSet { halls: halls.clone(), hardware: hardware.clone() };
-            // A requirement that prefers holds as one that requires, as the routing rules read it.
+            // A requirement with `prefer` has the effect of one with `require`, as in the routing rules.
             let form = if *how == PlacementMode::Avoid {
                 CompiledForm::Avoid(nodes)
             } else {
@@ -109,11 +110,12 @@
             });
             RuleForms { form: Some(CompiledForm::MovePreference(*when)), executions }
         }
-        // A preference orders what is allowed, and a number orders nothing: to enforce it would be to reject by a preference.
+        // A preference only orders the allowed nodes. A numeric limit can't order nodes, and enforcing it would reject
+        // requests because of a preference.
         _ => RuleForms {
             form: None,
             executions: each(&|_| {
-                (Execution::Dropped, "a number orders nothing, so as a wish it does nothing")
+                (Execution::Dropped, "a number orders nothing, so it has no effect as a preference")
             }),
         },
     }
@@ -126,7 +128,7 @@
     } else if features.reports_latency {
         (
             Execution::Stricter,
-            "ordered all or nothing, by told delays: without weights, no share can be moved",
+            "ordered all or nothing, by reported latencies: without weights, no share can be moved",
         )
     } else {
         let why = "it takes no weights and tells no delays, so preferred nodes would be overrun unseen";
@@ -138,8 +140,7 @@
     if class.features.reports_loads {
         EXACTLY
     } else if class.features.answers_probes {
-        let reason =
-            "its standing connections are known by probes only: the whole cap is held at three quarters";
+        let reason = "its established connections are known from probes only: the whole cap is lowered to three quarters";
         (Execution::Stricter, reason)
     } else {
         (
@@ -149,15 +150,18 @@
     }
 }
 
-/// Where what stands is known by probes only, up to a third more may stand than is counted, so three quarters are held of
-/// the whole: held of that class's part only, the other classes could still fill up the rest.
+/// Lowers a cap to three quarters if a class's connections are known from probes only, since up to a third more connections
+/// may be established there than are counted. The whole cap is lowered: if only that class's part were, the other classes
+/// could use up the difference.
 fn cap(connections: u64, mut executions: Vec<Option<ClassExecution>>) -> (u64, Vec<Option<ClassExecution>>) {
     if !executions.iter().any(|run| is(run, Execution::Stricter)) {
         return (connections, executions);
     }
     for exact in executions.iter_mut().flatten().filter(|run| run.0 == Execution::Exactly) {
-        *exact =
-            (Execution::Stricter, "shares its cap with a class known by probes only: held at three quarters");
+        *exact = (
+            Execution::Stricter,
+            "shares its cap with a class known from probes only: lowered to three quarters",
+        );
     }
     (connections - connections.div_ceil(4), executions)
 }
@@ -166,8 +170,8 @@
     if class.features.keeps_groups {
         EXACTLY
     } else if class.features.reports_loads {
-        let reason = "a hall preference and a cap of as many connections of the group, as each could be on a node of \
-                     its own: the group gets no more connections there than it may have nodes";
+        let reason = "a hall preference and a cap on the group's connections: each could be on a node of its own, so \
+                     the group gets no more connections there than it may have nodes";
         (Execution::Stricter, reason)
     } else {
         (
@@ -177,8 +181,9 @@
     }
 }
 
-/// A group on both sorts of classes gets half of the nodes as a bound on connections where they are counted and the rest as
-/// nodes, as the sum is what is bounded.
+/// Compiles a spread. On classes that keep no groups, the spread becomes a bound on a group's connections. If there are also
+/// classes that keep groups, half of the nodes go to the bound on connections and the rest stay a bound on nodes, so that
+/// the sum is within the spread.
 fn spread(
     nodes: u32,
     mut executions: Vec<Option<ClassExecution>>,
@@ -194,7 +199,7 @@
     if counted_on.is_empty() || counted == 0 {
         for stricter in executions.iter_mut().flatten().filter(|run| run.0 == Execution::Stricter) {
             *stricter =
-                (Execution::Unsupported, "it keeps no groups, and the spread is too small to give it a part");
+                (Execution::Unsupported, "it keeps no groups, and the spread is too small to be divided");
         }
         return (CompiledForm::Spread { nodes, counted: None }, executions);
     }
@@ -218,13 +223,12 @@
     if when == MoveCondition::DrainsOnly || class.features.drained_by_pieces {
         EXACTLY
     } else if class.features.reports_loads {
-        let reason =
-            "moved only when its node drains: its nodes move all that they hold at once, so nothing is last";
+        let reason = "moved only when the node drains: its nodes move all connections at once, so none can be moved last";
         (Execution::Stricter, reason)
     } else {
         (
             Execution::Unsupported,
-            "its nodes move all that they hold at once, and don't tell when they are about to",
+            "its nodes move all connections at once, and don't report when they are about to do so",
         )
     }
 }
--- a/crates/rule-compiler/src/groups.rs
+++ b/crates/rule-compiler/src/groups.rs
@@ -1,27 +1,29 @@
-//! What holds of each group: disjoint intervals, or where rules overlap too much, a segment tree, so that what is kept stays
-//! within some tens of entries for each interval of a rule.
+//! Maps each group to the effects that apply to it. The map is a list of disjoint intervals or, where the rules overlap too
+//! much, a segment tree. This bounds the memory to some tens of entries for each interval of a rule.
 
 use std::collections::BTreeSet;
 
 use cottonnotch_routing_rules::GroupRange;
 
-/// No effect.
+/// Marks the absence of an effect, a set or a position.
 pub(crate) const NONE: u32 = u32::MAX;
-/// Entries per interval up to which a plain list is kept: past that, a tree keeps at most two by the levels.
+/// The average number of rules per interval up to which a flat list is used. Above it, a segment tree is used, which keeps
+/// at most two entries per level for each range of a rule.
 const FLAT: u64 = 16;
 
-/// Which effects hold for a group.
+/// The effects that apply to each group.
 #[derive(Debug)]
 pub(crate) struct Groups {
-    /// Where an interval starts; it ends where the next one starts.
+    /// The first group of each interval. An interval ends where the next one starts.
     starts: Box<[u64]>,
-    /// Each interval's effect, or the nodes of a tree whose leaf for interval `i` is `starts.len() + i`.
+    /// The effect of each interval, or the effects of the nodes of a segment tree, in which the leaf of interval `i` has the
+    /// index `starts.len() + i`.
     effects: Box<[u32]>,
     tree: bool,
 }
 
 impl Groups {
-    /// From each rule's ranges; `intern` numbers a set of rules.
+    /// Builds the map from each rule's ranges. `intern` returns the id of the effect of a set of rules.
     pub(crate) fn new(rules: &[(u32, &[GroupRange])], mut intern: impl FnMut(&[u32]) -> u32) -> Self {
         let mut starts = BTreeSet::from([0]);
         for range in rules.iter().flat_map(|(_, ranges)| *ranges) {
@@ -63,7 +65,7 @@
         Self { effects: effects.collect(), starts, tree }
     }
 
-    /// Visits the effects that hold for a group, each once.
+    /// Visits each effect that applies to a group.
     pub(crate) fn each(&self, group: u64, mut visit: impl FnMut(u32)) {
         let at = self.starts.partition_point(|&start| start <= group) - 1;
         if !self.tree {
@@ -81,12 +83,12 @@
         }
     }
 
-    /// Where its intervals start.
+    /// The first group of each interval.
     pub(crate) fn starts(&self) -> &[u64] {
         &self.starts
     }
 
-    /// The bytes it takes.
+    /// The size in bytes.
     pub(crate) fn bytes(&self) -> usize {
         size_of_val(&*self.starts) + size_of_val(&*self.effects)
     }
--- a/crates/rule-compiler/src/index.rs
+++ b/crates/rule-compiler/src/index.rs
@@ -1,7 +1,8 @@
-//! The index over a plan's rules, made when the plan is made or decoded, and no part of its bytes.
+//! The index over a plan's rules. It is built when the plan is built or decoded and isn't part of the plan's bytes.
 //!
-//! Each rule stands in the slot of every (tenant or any, class or any) that its selector names. A request is in at most four
-//! slots, and each slot says at once what its rules say together, for the request's group too.
+//! A slot holds the rules for one pair of a tenant (or any tenant) and a class (or any class). Each rule is in the slot of
+//! every such pair that its selector names. A request matches at most four slots, and each slot stores the combined effect
+//! of its rules, also for the request's group.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -14,57 +15,61 @@
 use crate::groups::{Groups, NONE};
 use crate::plan_body::{Body, CompiledForm, CompiledRule, MAX_PAIRS, PlanError};
 
-/// Any tenant, or any class.
+/// Stands for any tenant or any class.
 pub(crate) const ANY: u32 = u32::MAX;
-/// Most entries of rules in slots, each interval counted.
+/// The maximum number of rule entries in all slots; a rule counts once plus once for each of its intervals of groups.
 const MAX_ENTRIES: usize = 1 << 20;
-/// Most bytes of effects and sets.
+/// The maximum size of effects and sets, in bytes.
 const MAX_INDEX: usize = 256 << 20;
 
 pub(crate) type Names = HashMap<Box<str>, u32, FnvBuildHasher>;
 
-/// What one slot's rules say.
+/// The effects of one slot's rules.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Slot {
-    /// The effect on any request of the slot, or [`NONE`].
+    /// The effect of the rules without groups, which applies to every request of the slot, or [`NONE`].
     pub plain: u32,
-    /// Where among [`Index::groups`] the effects on requests of groups are, or [`NONE`].
+    /// The index in [`Index::groups`] of the effects on requests with a group, or [`NONE`].
     pub groups: u32,
 }
 
-/// The slots of one tenant. They lie close to each other, as what a lookup costs is the memory that it touches.
+/// The slots of one tenant, or of any tenant. They are stored next to each other, because the memory that a lookup touches
+/// dominates its cost.
 #[derive(Clone, Copy, Debug)]
 struct Row {
-    /// That of any class.
+    /// The slot of any class.
     any: Slot,
-    /// Those of classes, as a run of [`Index::classed`].
+    /// The slots of single classes: the start and the length of a slice of [`Index::classed`].
     classed: (u32, u32),
 }
 
 const EMPTY: Row = Row { any: Slot { plain: NONE, groups: NONE }, classed: (0, 0) };
 
+/// Maps the tenant, class and group of a request to the combined effects of the rules that match the request.
 #[derive(Debug)]
 pub(crate) struct Index {
     pub tenants: Names,
     pub classes: Names,
     pub halls: Names,
     pub hardware: Names,
-    /// That of any tenant, and then those of each.
+    /// The row of any tenant, followed by the row of each tenant.
     rows: Vec<Row>,
+    /// The slots of single classes, each with its class's number, sorted by tenant and then by class.
     classed: Vec<(u32, Slot)>,
     pub groups: Vec<Groups>,
     pub effects: Effects,
     pub sets: Sets,
-    /// The pairs that each preference is for, by its place among all.
+    /// The pairs that each preference prefers, by the preference's position among all preferences.
     pub preferences: Vec<SetId>,
-    /// By rule: the pairs that a requirement allows, and a preference's place.
+    /// For each rule: the pairs that it allows if it is a requirement, and its position if it is a preference.
     pub own: Vec<RuleEffect>,
-    /// By rule: `namespace:name`.
+    /// For each rule: `namespace:name`.
     pub ids: Vec<Box<str>>,
-    /// By rule: its number in limits, the same in every plan.
+    /// For each rule: the number in its [`LimitId`](crate::LimitId), the same in every plan.
     pub limits: Vec<u64>,
 }
 
+/// Numbers the distinct names in alphabetical order.
 fn names<'a>(names: impl IntoIterator<Item = &'a String>) -> Names {
     let sorted: BTreeSet<&String> = names.into_iter().collect();
     sorted.into_iter().zip(0..).map(|(name, number)| (name.as_str().into(), number)).collect()
@@ -115,7 +120,7 @@
         })
     }
 
-    /// A node's pair.
+    /// The number of a node's (hall, hardware class) pair. Unknown halls share one number, and so do unknown classes.
     pub(crate) fn pair(&self, node: &Node) -> u32 {
         let hall = self.halls.get(node.hall).copied().unwrap_or(self.halls.len() as u32);
         let hardware = self.hardware.get(node.hardware).copied().unwrap_or(self.hardware.len() as u32);
@@ -127,19 +132,19 @@
         self.own[rule].allow == NONE || self.sets.has(self.own[rule].allow, pair)
     }
 
-    /// The hall and the class of a pair, as numbers.
+    /// The numbers of a pair's hall and hardware class.
     pub(crate) fn split(&self, pair: u32) -> (u32, u32) {
         let width = self.hardware.len() as u32 + 1;
         (pair / width, pair % width)
     }
 
-    /// The numbers of a tenant and a class; [`ANY`] if no rule names them.
+    /// The numbers of a tenant and a class, each [`ANY`] if no rule names it.
     pub(crate) fn numbers(&self, tenant: Option<&str>, class: &str) -> (u32, u32) {
         let tenant = tenant.and_then(|tenant| self.tenants.get(tenant)).copied().unwrap_or(ANY);
         (tenant, self.classes.get(class).copied().unwrap_or(ANY))
     }
 
-    /// The slot of a tenant or any, and a class or any, if it has rules.
+    /// The slot of a tenant or [`ANY`], and a class or [`ANY`], if the slot has rules.
     pub(crate) fn slot(&self, tenant: u32, class: u32) -> Option<Slot> {
         let row = &self.rows[row_of(tenant)];
         if class == ANY {
@@ -149,7 +154,7 @@
         classed.binary_search_by_key(&class, |(class, _)| *class).ok().map(|at| classed[at].1)
     }
 
-    /// The slots that a request of this tenant and class is in.
+    /// Visits the slots that match a request of this tenant and class.
     pub(crate) fn each_slot(&self, tenant: u32, class: u32, mut visit: impl FnMut(Slot)) {
         self.slot(ANY, ANY).into_iter().for_each(&mut visit);
         if class != ANY {
@@ -163,12 +168,12 @@
         }
     }
 
-    /// The intervals of groups of a slot.
+    /// The effects of a slot on requests with a group, if the slot has any.
     pub(crate) fn groups_of(&self, slot: Slot) -> Option<&Groups> {
         self.groups.get(slot.groups as usize)
     }
 
-    /// About the bytes it takes.
+    /// The approximate size of the index in bytes.
     pub(crate) fn bytes(&self) -> usize {
         let names = [&self.tenants, &self.classes, &self.halls, &self.hardware];
         let names: usize = names.iter().flat_map(|names| names.keys()).map(|name| name.len() + 32).sum();
@@ -179,10 +184,11 @@
     }
 }
 
-/// Ranks the preferences, the first first, and takes from each the pairs that it is for.
+/// Assigns each preference its position, and moves the pairs that it prefers from `own` into the returned list, which is
+/// ordered by position.
 fn rank_preferences(rules: &[CompiledRule], own: &mut [RuleEffect]) -> Vec<SetId> {
     let mut order: Vec<usize> = (0..rules.len()).filter(|&at| rules[at].form.is_preference()).collect();
-    // Rules are sorted by namespace and name already, and this sort keeps that among equals.
+    // The rules are sorted by namespace and name, and the stable sort keeps that order among equals.
     order.sort_by_key(|&at| (rules[at].depth, Reverse(rules[at].priority)));
     let mut preferences = Vec::with_capacity(order.len());
     for at in order {
@@ -192,7 +198,7 @@
     preferences
 }
 
-/// The slots while the index is built.
+/// The slots of an index under construction.
 struct SlotTable {
     rows: Vec<Row>,
     classed: Vec<(u32, Slot)>,
@@ -204,7 +210,7 @@
         Self { rows: vec![EMPTY; tenants + 1], classed: Vec::new(), groups: Vec::new() }
     }
 
-    /// Adds a slot. They are added sorted by tenant and then by class, any class the last.
+    /// Adds a slot. Slots must be added sorted by tenant and then by class, with [`ANY`] last.
     fn push(&mut self, tenant: u32, class: u32, slot: Slot) {
         let row = &mut self.rows[row_of(tenant)];
         if class == ANY {
@@ -219,19 +225,20 @@
     }
 }
 
-/// A limit's number: from the rule's name only, so that counts go on from one plan to the next.
+/// A rule's number as a limit. It depends on the rule's id only, so that counts carry over from one plan to the next.
 fn limit(id: &str) -> u64 {
     let hash = blake3::hash(id.as_bytes());
     hash.as_bytes().iter().take(8).fold(0, |number, &byte| number << 8 | u64::from(byte))
 }
 
+/// Numbers of halls and hardware classes, from which the numbers of pairs are computed.
 struct PairNumbers<'a> {
     halls: &'a Names,
     hardware: &'a Names,
 }
 
 impl PairNumbers<'_> {
-    /// The pairs that a rule allows or, for a preference, that it is for.
+    /// The pairs that a requirement allows or a preference prefers.
     fn own(&self, rule: &CompiledRule, sets: &mut SetsBuilder) -> RuleEffect {
         let (meant, nodes) = match &rule.form {
             CompiledForm::Require(nodes) => (true, Some(nodes)),
@@ -259,8 +266,10 @@
     }
 }
 
+/// The indices of the rules in each slot, by the numbers of the slot's tenant and class.
 type InSlots = BTreeMap<(u32, u32), Vec<u32>>;
 
+/// Assigns each rule to the slots that its selector names.
 fn in_slots(rules: &[CompiledRule], tenants: &Names, classes: &Names) -> Result<InSlots, PlanError> {
     let mut slots = InSlots::new();
     let mut entries: usize = 0;
@@ -274,7 +283,7 @@
         let (tenants, classes) = (numbers(&rule.on.tenants, tenants), numbers(&rule.on.classes, classes));
         let more = tenants.len().saturating_mul(classes.len()).saturating_mul(1 + rule.on.groups.len());
         entries = entries.saturating_add(more);
-        // A rule of very many tenants, classes and intervals at once would take memory out of proportion to its bytes.
+        // A rule with many tenants, classes and intervals at once would take far more memory than its bytes suggest.
         if entries > MAX_ENTRIES {
             return Err(PlanError::TooLarge("tenants, classes and groups of rules"));
         }
@@ -287,10 +296,12 @@
     Ok(slots)
 }
 
+/// The index in `rows` of a tenant's row.
 fn row_of(tenant: u32) -> usize {
     if tenant == ANY { 0 } else { tenant as usize + 1 }
 }
 
+/// Builds the slot of these rules.
 fn slot(
     rules: &[CompiledRule],
     members: &[u32],
--- a/crates/rule-compiler/src/lib.rs
+++ b/crates/rule-compiler/src/lib.rs
@@ -1,15 +1,17 @@
-//! What each hardware class of render node can run of merged routing rules, sans-io: no sockets, no clocks, no chance, no
-//! threads. Its invariants:
+//! Compiles merged routing rules into a plan for the hardware classes of render nodes. The crate is sans-io: it uses no
+//! sockets, clocks, randomness or threads. Its invariants:
 //!
-//! - *Never looser.* Whatever [`compile`] makes of a book, its [`Plan`] allows no node that a requirement of the book
-//!   forbids, and no number of it is above the book's. Where a class can't run a requirement, that class gets none of its requests.
-//! - *The same everywhere.* One book and the same profiles give the same bytes, and so the same hash, on every machine.
-//! - *Any bytes.* [`Plan::from_bytes`] takes whatever comes: it never panics, bounds what it builds, and what it takes is
-//!   the one encoding of that plan.
-//! - *A lookup is cheap.* [`Plan::lookup`] allocates nothing and takes some probes of hash tables, however many rules there
-//!   are.
+//! - *A plan is never looser than its book.* A [`Plan`] made by [`compile`] allows no node that a requirement of the book
+//!   forbids, and none of its limits is above the book's. A class that can't run a requirement gets none of the requests
+//!   that the requirement matches.
+//! - *Compilation is deterministic.* The same book and profiles give the same bytes, and so the same hash, on every
+//!   machine.
+//! - *Decoding is safe on untrusted bytes.* [`Plan::from_bytes`] never panics, bounds the memory that it allocates, and
+//!   accepts only the canonical encoding of a plan.
+//! - *A lookup is cheap.* [`Plan::lookup`] allocates nothing and probes a few hash tables, regardless of the number of
+//!   rules.
 //!
-//! `docs/design/lowering.md` says which kind of rule becomes what on which class, and what is lost.
+//! `docs/design/lowering.md` describes the compiled form of each kind of rule on each class, and what is lost.
 
 mod bits;
 mod bounded_list;
--- a/crates/rule-compiler/src/lookup.rs
+++ b/crates/rule-compiler/src/lookup.rs
@@ -1,4 +1,4 @@
-//! Lookup: the rules of a plan that concern one request, and what they allow.
+//! Looks up the rules of a plan that match a request, and what they allow.
 
 use cottonnotch_routing_rules::{MoveCondition, Node, Request, UncertaintyPolicy, stricter};
 
@@ -8,45 +8,45 @@
 use crate::plan::Plan;
 use crate::plan_body::{CompiledForm, NodeSet};
 
-/// Most effects that hold for a request: in each of four slots one without groups, and one for each level of a tree over
-/// less than 2^22 intervals.
+/// The maximum number of effects that apply to a request. Each of the four slots has one effect for rules without groups,
+/// and one for each level of a segment tree over less than 2^22 intervals.
 const MAX_EFFECTS: usize = 96;
-/// Most preferences that order one request's nodes: those that go first.
+/// The maximum number of preferences that order a request's nodes. Later preferences are ignored.
 pub(crate) const MAX_PREFERENCES: usize = 31;
 
-/// A limit that connections count under: a rule's, the same in every plan that has the rule. A spread that is counted has
-/// one for each group.
+/// Identifies a limit under which connections are counted. A rule's limit has the same id in every plan. A counted spread
+/// has one limit for each group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LimitId {
-    /// From the rule's namespace and name.
+    /// A hash of the rule's namespace and name.
     pub rule: u64,
-    /// The group, if the limit is a group's own.
+    /// The group, if the limit applies to one group.
     pub group: Option<u64>,
 }
 
-/// A node's hall and class, found once. It holds for the plan that it was made by.
+/// The number of a node's hall and hardware class. It is valid only for the plan that made it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeKey(pub(crate) u32);
 
-/// The rules of a plan that concern one request.
+/// The rules of a plan that match one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Lookup<'a> {
     plan: &'a Plan,
     group: Option<u64>,
     effect_ids: [u32; MAX_EFFECTS],
     len: usize,
-    /// Places of the preferences that order the nodes.
+    /// Positions of the preferences that order the nodes, in ascending order and padded with [`NONE`].
     preferences: [u32; MAX_PREFERENCES],
     preference_count: usize,
 }
 
 impl Plan {
-    /// The rules of a request.
+    /// Looks up the rules that match a request.
     pub fn lookup(&self, request: &Request) -> Lookup<'_> {
         Lookup::new(self, request)
     }
 
-    /// Finds a node's hall and class once, for lookups in the same plan.
+    /// The key of a node's hall and class. It saves searching their names in repeated lookups in this plan.
     pub fn node_key(&self, node: &Node) -> NodeKey {
         NodeKey(self.index.pair(node))
     }
@@ -71,7 +71,7 @@
         lookup
     }
 
-    /// The rules of one slot alone.
+    /// The rules of one slot only.
     pub(crate) fn of_slot(plan: &'a Plan, slot: Option<Slot>, group: Option<u64>) -> Self {
         let mut lookup = Self::empty(plan, group);
         slot.into_iter().for_each(|slot| lookup.add_slot(slot));
@@ -94,14 +94,14 @@
         self.merge_preferences(effects.span(effects.all[effect as usize].preferences));
     }
 
-    /// Merges sorted places of preferences with those that are there, as far as they are among the first.
+    /// Merges sorted positions of preferences into `preferences` and keeps the first [`MAX_PREFERENCES`].
     fn merge_preferences(&mut self, span: &[u32]) {
         if span.first().is_none_or(|first| *first >= self.preferences[MAX_PREFERENCES - 1]) {
             return;
         }
         let before = self.preferences;
         let (mut old, mut new) = (0, 0);
-        // Past its end, either is at NONE, which is above every place.
+        // Past the end of either list, its next position is NONE, which is above every position.
         for place in &mut self.preferences {
             let (a, b) = (before[old], span.get(new).copied().unwrap_or(NONE));
             *place = a.min(b);
@@ -132,7 +132,7 @@
         self.allows_key(self.plan.node_key(node))
     }
 
-    /// Whether the requirements allow a node.
+    /// Whether the requirements allow the node with this key.
     pub fn allows_key(&self, node: NodeKey) -> bool {
         let index = &self.plan.index;
         self.effect_ids().iter().all(|&effect_id| {
@@ -141,7 +141,7 @@
         })
     }
 
-    /// Whether it allows the same pairs as a lookup at a plan that numbers pairs alike.
+    /// Whether this lookup allows the same pairs as a lookup in a plan that numbers pairs in the same way.
     pub(crate) fn allows_as(&self, other: &Lookup) -> bool {
         let word = |lookup: &Lookup, at: usize| {
             let sets = &lookup.plan.index.sets;
@@ -151,13 +151,14 @@
         (0..self.plan.index.sets.len()).all(|at| word(self, at) == word(other, at))
     }
 
-    /// How far behind the preferences put a node: 0 for one that all of them are for. The first preference outweighs all
-    /// later ones.
+    /// The rank of a node by the preferences, where lower ranks are preferred. Each preference outweighs all later ones. The
+    /// lowest bit is set for a node outside the hall that is chosen for a group with a counted spread. A node has rank 0 if
+    /// all preferences prefer the node and that bit isn't set.
     pub fn rank(&self, node: &Node) -> u32 {
         self.rank_key(self.plan.node_key(node))
     }
 
-    /// As [`rank`](Self::rank).
+    /// The [`rank`](Self::rank) of the node with this key.
     pub fn rank_key(&self, node: NodeKey) -> u32 {
         let index = &self.plan.index;
         let preferences = self.preferences[..self.preference_count].iter();
@@ -167,14 +168,14 @@
         rank << 1 | u32::from(self.is_far(node))
     }
 
-    /// How many matching preferences don't order the nodes, as more than 31 go before them.
+    /// How many matching preferences don't order the nodes, because the maximum of 31 is reached.
     pub fn ignored_preferences(&self) -> usize {
         let all: usize = self.effects().map(|effect| effect.preferences.1 as usize).sum();
         all - self.preference_count
     }
 
-    /// Whether a node of a class on which a spread is counted is in another hall than its group's. The few connections that
-    /// such a group has are put near each other that way.
+    /// Whether the node is of a class on which a spread is counted, and is outside the hall chosen for the request's group.
+    /// Preferring one hall keeps the few connections of such a group close to each other.
     fn is_far(&self, node: NodeKey) -> bool {
         let index = &self.plan.index;
         let (Some(group), halls) = (self.group, index.halls.len() as u64) else { return false };
@@ -192,17 +193,17 @@
         })
     }
 
-    /// Most attempts, if a requirement bounds them.
+    /// The maximum number of attempts, if a requirement bounds attempts.
     pub fn attempts(&self) -> Option<u32> {
         self.effects().fold(None, |most, effect| least(most, effect.attempts))
     }
 
-    /// Most nodes that the connections of the request's group may be on, if a requirement bounds them.
+    /// The maximum number of nodes that may hold connections of the request's group, if a requirement bounds it.
     pub fn spread(&self) -> Option<u32> {
         self.effects().fold(None, |most, effect| least(most, effect.spread))
     }
 
-    /// The bounds on set-ups over the whole fleet, in thousandths a second. Each holds.
+    /// The limits on connection set-ups over the whole fleet, in thousandths of a set-up per second. All limits apply.
     pub fn paces(&self) -> impl Iterator<Item = (LimitId, u64)> {
         let plan = self.plan;
         self.of(|effect| effect.paces).filter_map(move |at| match plan.body.rules[at].form {
@@ -211,7 +212,8 @@
         })
     }
 
-    /// The bounds on standing connections over the whole fleet, each with the nodes that it counts on. Each holds.
+    /// The limits on established connections over the whole fleet, each with the nodes whose connections are counted. All
+    /// limits apply.
     pub fn caps(&self) -> impl Iterator<Item = (LimitId, u64, &'a NodeSet)> {
         let (plan, group) = (self.plan, self.group);
         self.of(|effect| effect.limits).filter_map(move |at| {
@@ -229,20 +231,20 @@
         })
     }
 
-    /// When its connections may be moved, wherever they are: the strictest that a requirement asks for on any class, or what the
-    /// first preference asks for if no requirement does.
+    /// When the request's connections may be moved, whatever node they are on: the strictest condition that a requirement
+    /// sets on any class or, without such a requirement, the condition of the first preference.
     pub fn move_when(&self) -> Option<MoveCondition> {
         self.required_move(|drains_only| !drains_only.is_empty()).or_else(|| self.preferred_move(|_| true))
     }
 
-    /// When its connections on a node may be moved.
+    /// When the request's connections on this node may be moved.
     pub fn move_when_on(&self, node: &Node) -> Option<MoveCondition> {
         let index = &self.plan.index;
         let class = index.hardware.get(node.hardware).copied().unwrap_or(index.hardware.len() as u32) as u16;
         self.required_move_at(class).or_else(|| self.preferred_move(|out| !out.contains(&class)))
     }
 
-    /// When its connections on a listed class may be moved, by the requirements alone.
+    /// When the requirements allow the request's connections on the class with this index to be moved.
     pub(crate) fn required_move_at(&self, class: u16) -> Option<MoveCondition> {
         self.required_move(|drains_only| drains_only.contains(&class))
     }
@@ -266,18 +268,19 @@
         preferences.min().map(|(_, when)| when)
     }
 
-    /// Whether any requirement concerns the request.
+    /// Whether any requirement matches the request.
     pub fn has_requirements(&self) -> bool {
         self.effects().any(|effect| effect.requirements.1 > 0)
     }
 
-    /// What the owners of its requirements ask for while the version is uncertain, the strictest. None without requirements.
+    /// The strictest policy for an uncertain version among the owners of the matching requirements. `None` if no requirement
+    /// matches.
     pub fn uncertainty_policy(&self) -> Option<UncertaintyPolicy> {
         self.effects()
             .fold(None, |uncertainty_policy, effect| stricter(uncertainty_policy, effect.uncertainty_policy))
     }
 
-    /// The requirements that concern it, as `namespace:name`.
+    /// The ids of the matching requirements, as `namespace:name`.
     pub fn rule_names(&self) -> impl Iterator<Item = &'a str> {
         let ids = &self.plan.index.ids;
         self.requirements().map(move |at| &*ids[at])
@@ -288,7 +291,7 @@
     }
 }
 
-/// Spreads neighbouring groups over the halls.
+/// Hashes a group's number, so that consecutive groups are spread over the halls.
 fn mixed(group: u64) -> u64 {
     let mixed = (group ^ group >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     (mixed ^ mixed >> 27).wrapping_mul(0x94d0_49bb_1331_11eb) >> 33
--- a/crates/rule-compiler/src/plan.rs
+++ b/crates/rule-compiler/src/plan.rs
@@ -1,4 +1,4 @@
-//! The plan: what of a book runs how on which class, with one encoding and its hash.
+//! The compiled plan, its canonical encoding and its hash.
 
 use std::fmt;
 
@@ -8,7 +8,7 @@
     Body, CompiledRule, FORMAT, LEVEL, MAX_BYTES, MAX_HARDWARE, MAX_RULES, PlanError, encode,
 };
 
-/// What the rules say of each request, on the classes that the operator states. Immutable; known by its hash.
+/// The rules of a book as they run on the hardware classes. A plan is immutable and identified by its hash.
 pub struct Plan {
     pub(crate) body: Body,
     pub(crate) index: Index,
@@ -31,7 +31,7 @@
 impl Eq for Plan {}
 
 impl Plan {
-    /// From what [`compile`](crate::compile()) found; the rules needn't be sorted.
+    /// Builds a plan from compiled rules, which needn't be sorted.
     pub(crate) fn new(hardware: Vec<String>, mut rules: Vec<CompiledRule>) -> Result<Self, PlanError> {
         rules.sort();
         let body = Body { format: FORMAT, needs: needs(&rules), hardware, rules };
@@ -54,22 +54,22 @@
         Ok(Self { body, index, hash: *blake3::hash(bytes).as_bytes() })
     }
 
-    /// The hash of its bytes.
+    /// The BLAKE3 hash of the plan's encoding.
     pub fn hash(&self) -> [u8; 32] {
         self.hash
     }
 
-    /// Its one encoding.
+    /// The plan's canonical encoding.
     pub fn to_bytes(&self) -> Vec<u8> {
         encode(&self.body)
     }
 
-    /// The plan that these bytes are the encoding of.
+    /// Decodes a plan. Returns an error unless the bytes are the canonical encoding of a plan that this build can run.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, PlanError> {
         if bytes.len() > MAX_BYTES {
             return Err(PlanError::TooLarge("bytes"));
         }
-        // Another format may be laid out in another way from here on, so these two are looked at before the rest.
+        // Other formats may have another layout after these two fields, so they are checked before the rest is decoded.
         let ((format, needs), _) =
             postcard::take_from_bytes::<(u16, u16)>(bytes).map_err(|_| PlanError::Decode)?;
         if format != FORMAT {
@@ -85,17 +85,17 @@
         Self::build(body, bytes)
     }
 
-    /// The level of forms that a build must run to act on it.
+    /// The lowest [`LEVEL`] that a build must support to run the plan.
     pub fn needs(&self) -> u16 {
         self.body.needs
     }
 
-    /// How many rules it has.
+    /// The number of rules.
     pub fn rules(&self) -> usize {
         self.body.rules.len()
     }
 
-    /// About how many bytes it takes in memory besides the rules themselves.
+    /// The approximate size of the index in memory, in bytes. The rules themselves aren't included.
     pub fn index_bytes(&self) -> usize {
         self.index.bytes()
     }
--- a/crates/rule-compiler/src/plan_body.rs
+++ b/crates/rule-compiler/src/plan_body.rs
@@ -1,6 +1,6 @@
-//! What a plan's bytes hold: the rules in the forms in which they run, and the bounds on them.
+//! The encoded part of a plan: the compiled rules, and the limits on their number and size.
 //!
-//! The bytes are hashed and voted on: the order of fields and variants is part of the format, their names are not.
+//! The bytes are hashed and voted on. The order of fields and variants is part of the format; their names are not.
 
 use std::collections::BTreeSet;
 
@@ -10,58 +10,57 @@
 
 use crate::bounded_list::bounded_list;
 
-/// The encoding's version.
+/// The version of the encoding.
 pub const FORMAT: u16 = 1;
-/// The highest level of forms that this build runs. 1: placements, caps, spreads, paces, attempts, moves and preferences. 2: a
-/// spread that is counted on some classes, a move that is stricter on some.
+/// The highest level of compiled forms that this build runs. Level 1 has placements, caps, spreads, paces, attempts, moves
+/// and preferences. Level 2 adds spreads that are counted on some classes and moves that are stricter on some classes.
 pub const LEVEL: u16 = 2;
-/// Most bytes of a plan.
+/// The maximum size of an encoded plan, in bytes.
 pub const MAX_BYTES: usize = 8 << 20;
-/// Most rules of a plan.
+/// The maximum number of rules in a plan.
 pub(crate) const MAX_RULES: usize = 1 << 16;
-/// Most pairs of a hall and a hardware class, the others included.
+/// The maximum number of pairs of a hall and a hardware class, including the entries for unlisted halls and classes.
 pub(crate) const MAX_PAIRS: usize = 1 << 16;
-/// Most hardware classes.
+/// The maximum number of hardware classes in a plan.
 pub(crate) const MAX_HARDWARE: usize = 255;
 
-/// Why bytes are no plan that this build runs.
+/// Why a plan can't be built or decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PlanError {
-    /// More than [`MAX_BYTES`], or too many rules, intervals, halls or classes.
+    /// The plan exceeds [`MAX_BYTES`] or the limit on rules, intervals, halls or classes.
     #[error("the plan is too large: {0}")]
     TooLarge(&'static str),
-    /// Another format.
+    /// The plan has another format than [`FORMAT`].
     #[error("the plan is of format {0}, and this build reads {FORMAT}")]
     Format(u16),
-    /// It needs a newer build.
+    /// The plan needs a level above [`LEVEL`], and so a newer build.
     #[error("the plan needs level {0}, and this build runs {LEVEL}")]
     Needs(u16),
-    /// Not the encoding of anything.
+    /// The bytes don't decode to a plan.
     #[error("the plan can't be decoded")]
     Decode,
-    /// Not as [`compile`](crate::compile()) makes it.
+    /// The plan isn't in the canonical form that [`compile`](crate::compile()) makes.
     #[error("the plan isn't in its canonical form: {0}")]
     Canonical(&'static str),
 }
 
-/// A set of nodes: those whose hall is among the halls, if there are any, and whose class is among the classes, if there are
-/// any.
+/// A set of nodes, selected by hall and hardware class. A node must match both.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeSet {
-    /// The halls; none means any.
+    /// The halls; an empty set matches any hall.
     pub halls: BTreeSet<String>,
-    /// The hardware classes; none means any.
+    /// The hardware classes; an empty set matches any class.
     pub hardware: BTreeSet<String>,
 }
 
 impl NodeSet {
-    /// Whether a node is of the set.
+    /// Whether the set contains a node.
     pub fn contains(&self, node: &Node) -> bool {
         selects_node(&self.halls, &self.hardware, node)
     }
 }
 
-/// What a rule became.
+/// The form in which a rule runs.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) enum CompiledForm {
     Require(NodeSet),
@@ -70,19 +69,19 @@
         connections: u64,
         nodes: NodeSet,
     },
-    /// On these classes, as many connections of a group at most.
+    /// Bounds the nodes of a group, and on the classes in `counted` the connections of a group instead.
     Spread {
         nodes: u32,
         counted: Option<Counted>,
     },
     Pace(u64),
     Attempts(u32),
-    /// On these classes, only when the node drains.
+    /// Restricts moving connections to `when`, and on the classes in `drains_only` to nodes that drain.
     Move {
         when: MoveCondition,
         drains_only: Vec<u16>,
     },
-    /// No node at all: what couldn't be put into a plan.
+    /// Allows no node. Used when the requirements don't fit into a plan.
     RejectAll,
     Preference {
         avoid: bool,
@@ -91,11 +90,11 @@
     MovePreference(MoveCondition),
 }
 
-/// What stands for a spread where a class keeps no groups.
+/// The bound on a group's connections that replaces a spread on classes that keep no groups.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct Counted {
     pub connections: u32,
-    /// The classes, as a set of nodes; never empty.
+    /// The nodes of those classes. The set of classes is never empty.
     pub nodes: NodeSet,
 }
 
@@ -104,7 +103,7 @@
         matches!(self, Self::Preference { .. } | Self::MovePreference(_))
     }
 
-    /// Most attempts that it allows, if it bounds them.
+    /// The maximum number of attempts, if the rule bounds attempts.
     pub(crate) fn attempts(&self) -> Option<u32> {
         match self {
             Self::Attempts(most) => Some(*most),
@@ -112,7 +111,7 @@
         }
     }
 
-    /// Most nodes that it allows a group, if it bounds them.
+    /// The maximum number of nodes of a group, if the rule bounds it.
     pub(crate) fn spread(&self) -> Option<u32> {
         match self {
             Self::Spread { nodes, .. } => Some(*nodes),
@@ -124,17 +123,17 @@
         matches!(self, Self::Spread { counted: Some(_), .. })
     }
 
-    /// It bounds established connections.
+    /// Whether the rule bounds established connections.
     pub(crate) fn is_connection_limit(&self) -> bool {
         matches!(self, Self::Cap { .. }) || self.is_counted_spread()
     }
 
-    /// It says when connections may be migrated.
+    /// Whether the rule says when connections may be moved.
     pub(crate) fn is_move(&self) -> bool {
         matches!(self, Self::Move { .. } | Self::MovePreference(_))
     }
 
-    /// The level of forms that a build must run to act on it.
+    /// The lowest [`LEVEL`] that a build must support to run the rule.
     pub(crate) fn needs(&self) -> u16 {
         match self {
             Self::Spread { counted: Some(_), .. } => 2,
@@ -143,7 +142,7 @@
         }
     }
 
-    /// The nodes that it names.
+    /// The nodes that the rule selects, if it selects nodes.
     pub(crate) fn nodes(&self) -> Option<&NodeSet> {
         match self {
             Self::Require(nodes) | Self::Avoid(nodes) => Some(nodes),
@@ -154,7 +153,7 @@
     }
 }
 
-/// A rule as it runs.
+/// A compiled rule.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct CompiledRule {
     pub namespace: String,
@@ -164,25 +163,25 @@
     pub on: Selector,
     pub uncertainty_policy: UncertaintyPolicy,
     pub form: CompiledForm,
-    /// The classes, by their place in the plan's list, that a requirement takes out of its requests' candidates, or that a preference
-    /// doesn't order. The place after the last is every other class.
+    /// The excluded classes, by index in the plan's list. A requirement rejects their nodes for the requests that it
+    /// matches; a preference doesn't order their nodes. The index after the last one stands for all unlisted classes.
     pub out: Vec<u16>,
 }
 
-/// What is encoded.
+/// The encoded content of a plan.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Body {
     pub format: u16,
     pub needs: u16,
-    /// The classes that have a profile or that a rule names.
+    /// The listed hardware classes: those that have a profile or that a rule names.
     #[serde(deserialize_with = "bounded_list::<_, _, MAX_HARDWARE>")]
     pub hardware: Vec<String>,
     #[serde(deserialize_with = "bounded_list::<_, _, MAX_RULES>")]
     pub rules: Vec<CompiledRule>,
 }
 
-/// The one encoding of a body.
+/// Encodes a body.
 pub(crate) fn encode(body: &Body) -> Vec<u8> {
-    // Nothing in a body fails to serialise; were it so, the empty bytes would be no plan for anybody.
+    // Serializing a body can't fail. If it did, the empty bytes would be rejected as a plan.
     postcard::to_allocvec(body).unwrap_or_default()
 }
--- a/crates/rule-compiler/src/profile.rs
+++ b/crates/rule-compiler/src/profile.rs
@@ -1,68 +1,68 @@
-//! What the operator states of each hardware class.
+//! The operator's description of each hardware class.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// The profiles by name of hardware class. A class that isn't among them has [`Profile::least`].
+/// The profiles by name of hardware class. A class without a profile has [`Profile::least`].
 pub type Profiles = BTreeMap<String, Profile>;
 
-/// What one hardware class can run of the rules.
+/// Describes which rules a hardware class can run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Profile {
-    /// What its nodes can do.
+    /// The capabilities of the class's nodes.
     pub features: Features,
-    /// How much of the rules it takes.
+    /// The limits on the rules that the class runs.
     pub budgets: Budgets,
 }
 
-/// What the nodes of a class can do. What isn't stated, they can't.
+/// The capabilities of a class's nodes. A feature that isn't set is absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Features {
-    /// They report how many connections they have.
+    /// The nodes report how many connections they have.
     #[serde(rename = "tells-loads")]
     pub reports_loads: bool,
-    /// They report the latencies that they see.
+    /// The nodes report the latencies that they see.
     #[serde(rename = "tells-delays")]
     pub reports_latency: bool,
-    /// They can be drained by pieces, so some connections leave before others.
+    /// The nodes can be drained gradually, so that some connections are moved before others.
     pub drained_by_pieces: bool,
-    /// They keep the connections of a group together, so it is known which nodes a group is on.
+    /// The nodes keep the connections of a group together, so that the nodes of each group are known.
     pub keeps_groups: bool,
-    /// They take weights.
+    /// The nodes can be given weights.
     pub takes_weights: bool,
-    /// They answer probes.
+    /// The nodes answer probes.
     pub answers_probes: bool,
 }
 
-/// How much of the rules a class takes. A rule that means none of its nodes takes nothing of them.
+/// The limits on the rules that a class runs. A rule that selects none of the class's nodes doesn't count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Budgets {
-    /// Most rules.
+    /// The maximum number of rules.
     pub rules: u32,
-    /// Most distinct selectors.
+    /// The maximum number of distinct selectors.
     pub selectors: u32,
-    /// Most bytes that its rules take in a plan.
+    /// The maximum encoded size of the class's rules, in bytes.
     pub bytes: u32,
 }
 
 impl Default for Budgets {
-    /// Those of the least profile.
+    /// The budgets of the least profile.
     fn default() -> Self {
         Self { rules: 64, selectors: 64, bytes: 16 * 1024 }
     }
 }
 
 impl Profile {
-    /// The profile of a class that nothing is known of: no features, and small budgets.
+    /// The profile of an unknown class: no features, and small budgets.
     pub fn least() -> Self {
         Self::default()
     }
 
-    /// The profile of a class that can do everything and takes any number of rules.
+    /// The profile of a class that has all features and runs any number of rules.
     pub fn full() -> Self {
         Self {
             features: Features {
@@ -78,9 +78,9 @@
     }
 }
 
-/// The profiles to go by when they change while in use: a class whose features are others than `before`, or that is stated no
-/// more, gets the least profile, as part of its nodes may be of either kind. New budgets and new classes are taken as they
-/// are.
+/// The profiles to use after a change from `before` to `now`. A class whose features changed or whose profile was removed
+/// gets the least profile, because some of its nodes may have the old features and some the new. New budgets and new
+/// classes are used unchanged.
 pub fn effective_profiles(before: &Profiles, now: &Profiles) -> Profiles {
     let mut settled = now.clone();
     for (class, old) in before {
--- a/crates/rule-compiler/src/table.rs
+++ b/crates/rule-compiler/src/table.rs
@@ -1,26 +1,26 @@
-//! The table that explains a plan: which rule runs how on which class, and why.
+//! The table that explains a plan: how each rule runs on each class, and why.
 
 use std::fmt;
 use std::sync::Arc;
 
-/// The name that the table gives every class without a profile that no rule names either.
+/// The table's name for all classes that have no profile and that no rule names.
 pub const UNKNOWN: &str = "(unknown)";
 
 /// How a rule runs on one class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Execution {
-    /// As it is written.
+    /// The rule runs as written.
     Exactly,
-    /// In a form that allows less; the reason says what is lost.
+    /// The rule runs in a form that allows less. The reason says what is lost.
     Stricter,
-    /// A requirement that can't run: the class gets none of the requests that the rule concerns.
+    /// The rule is a requirement that can't run. The class gets none of the requests that the rule matches.
     Unsupported,
-    /// A preference that can't run: it doesn't order the nodes of this class.
+    /// The rule is a preference that can't run. It doesn't order the nodes of the class.
     Dropped,
 }
 
 impl Execution {
-    /// The rule doesn't run on the class.
+    /// Whether the rule doesn't run on the class.
     pub(crate) fn is_left_out(self) -> bool {
         matches!(self, Self::Unsupported | Self::Dropped)
     }
@@ -37,16 +37,16 @@
     }
 }
 
-/// One rule on one class. Rules that select no node of a class have no row for it.
+/// How one rule runs on one class. A rule has no row for a class of which it selects no nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
     /// The rule, as `namespace:name`.
     pub rule: Arc<str>,
     /// The hardware class, or [`UNKNOWN`].
     pub class: Arc<str>,
-    /// How it runs.
+    /// How the rule runs on the class.
     pub execution: Execution,
-    /// Why, and what is lost. Empty where it runs exactly.
+    /// Why the rule doesn't run exactly, and what is lost. Empty if the rule runs exactly.
     pub reason: &'static str,
 }
 
--- a/crates/rule-compiler/tests/common/mod.rs
+++ b/crates/rule-compiler/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Small books over few names, and what they say by a plain reading of their rules.
+//! Strategies for small books over few names, and a naive evaluation of their rules as a reference.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -15,13 +15,13 @@
 pub const TENANTS: [&str; 3] = ["t0", "t1", "t2"];
 pub const CLASSES: [&str; 2] = ["c0", "c1"];
 pub const HALLS: [&str; 3] = ["h0", "h1", "h2"];
-/// The last one has no profile, though rules may name it.
+/// The last class has no profile, but rules may name it.
 pub const HARDWARE: [&str; 4] = ["w0", "w1", "w2", "strange"];
 pub const PROFILED: usize = 3;
 const OWNERS: [(&str, u32); 3] = [("a", 0), ("a/b", 1), ("a/b/c", 2)];
 pub const LAST_GROUP: u64 = 12;
 
-/// Every request that rules can tell apart, and more.
+/// Requests that cover every distinction that the generated rules can make.
 pub fn requests() -> impl Iterator<Item = Request<'static>> {
     let tenants = TENANTS.into_iter().map(Some).chain([None, Some("nobody")]);
     tenants.flat_map(|tenant| {
@@ -32,7 +32,7 @@
     })
 }
 
-/// Every node that rules can tell apart.
+/// Nodes that cover every distinction that the generated rules can make.
 pub fn nodes() -> impl Iterator<Item = Node<'static>> {
     HALLS.into_iter().chain(["elsewhere"]).flat_map(|hall| {
         HARDWARE.into_iter().chain(["unlisted"]).map(move |hardware| Node { hall, hardware })
@@ -49,7 +49,7 @@
     prop_oneof![6 => small, 1 => high, 1 => Just(GroupRange { first: u64::MAX, last: u64::MAX })]
 }
 
-/// Sorted and disjoint, as a book has them, though possibly next to each other.
+/// Ranges of groups that are sorted and disjoint, as in a merged book, but possibly adjacent.
 fn groups() -> impl Strategy<Value = Vec<GroupRange>> {
     let some = vec(range(), 1..3).prop_map(|mut ranges| {
         ranges.sort();
@@ -87,7 +87,7 @@
     ]
 }
 
-/// A rule, named by `number` so that names are unique.
+/// A rule whose name contains `number`, so that names are unique.
 pub fn rule(number: usize) -> impl Strategy<Value = Rule> {
     let strength = prop::sample::select(vec![Strength::Requirement, Strength::Preference]);
     (0..OWNERS.len(), strength, -1..2i32, selector(), kind()).prop_map(
@@ -167,7 +167,7 @@
     })
 }
 
-/// What each preference says of a node, the preference that goes first first: whether the node is none that it is for.
+/// For each matching preference in order of precedence, whether the preference disfavours the node.
 pub fn unwished(book: &Book, request: &Request, node: &Node) -> Vec<bool> {
     let mut preferences: Vec<&Rule> =
         book.rules.iter().filter(|rule| !is_requirement(rule) && rule.on.matches(request)).collect();
@@ -181,7 +181,7 @@
     preferences.iter().filter_map(says).collect()
 }
 
-/// The least number that a matching must of one kind has.
+/// The lowest number among the matching requirements of one kind.
 pub fn least<T: Ord>(book: &Book, request: &Request, number: impl Fn(&RuleKind) -> Option<T>) -> Option<T> {
     requirements(book, request).iter().filter_map(|rule| number(&rule.kind)).min()
 }
@@ -191,7 +191,7 @@
         let owner = book.namespaces.iter().find(|owner| owner.path == rule.namespace);
         owner.expect("every rule has an owner").uncertainty_policy
     };
-    // Of refusals, the one that asks for the longest wait; any refusal before keeping.
+    // Any `Refuse` is stricter than `Keep`, and a longer wait is stricter than a shorter one.
     requirements(book, request).iter().map(owner).min_by_key(|uncertain| match uncertain {
         UncertaintyPolicy::Refuse { retry_ms } => (0, Reverse(*retry_ms)),
         UncertaintyPolicy::Keep => (1, Reverse(0)),
--- a/crates/rule-compiler/tests/compile.rs
+++ b/crates/rule-compiler/tests/compile.rs
@@ -1,4 +1,4 @@
-//! What a plan says against a plain reading of the book.
+//! Compares compiled plans with a naive evaluation of the book.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -18,7 +18,7 @@
 use cottonnotch_rule_compiler::{Execution, Lookup, Plan, Profiles, compile};
 use proptest::prelude::*;
 
-/// What has to hold of a lookup, whatever the profiles.
+/// Checks that a lookup is at least as strict as the book. This must hold for all profiles.
 fn never_looser(book: &Book, request: &Request, lookup: &Lookup) -> Result<(), TestCaseError> {
     let matching = requirements(book, request);
     prop_assert_eq!(lookup.has_requirements(), !matching.is_empty());
@@ -62,8 +62,9 @@
     Ok(())
 }
 
-/// Puts connections of a group on nodes as long as a plan lets it, seeing only what the classes let be seen: which nodes the
-/// group is on where groups are kept, and how many connections it has where loads are told. Gives how many nodes it is on.
+/// Places connections of a group on the wanted nodes while the plan allows it, and returns how many nodes the group is on.
+/// Only what the classes' features make visible is used: the nodes of the group on classes that keep groups, and its number
+/// of connections on classes that report loads.
 fn crowd(lookup: &Lookup, profiles: &Profiles, wanted: &[(usize, u8)]) -> usize {
     let all: Vec<Node> = nodes().collect();
     let mut on: Vec<(usize, u8)> = Vec::new();
@@ -238,7 +239,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(6))]
 
-    /// So many overlapping ranges that the index keeps trees.
+    /// The rules have enough overlapping ranges that the index uses segment trees.
     #[test]
     fn overlapping_groups_lose_nothing(
         ranges in proptest::collection::vec((0..400u64, 0..400u64, 0..3usize, any::<bool>()), 150),
--- a/crates/rule-compiler/tests/contradiction.rs
+++ b/crates/rule-compiler/tests/contradiction.rs
@@ -1,4 +1,4 @@
-//! Contradictions against a search of every cell.
+//! Compares `contradiction` with an exhaustive search over all requests.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -18,7 +18,7 @@
 use cottonnotch_rule_compiler::{LimitId, Lookup, NodeSet, Plan, Profile, Profiles, compile, contradiction};
 use proptest::prelude::*;
 
-/// What requirements bound by numbers.
+/// The limits of requirements: attempts, spread, paces, caps, and the move condition on each node.
 type Numbers =
     (Option<u32>, Option<u32>, Vec<(LimitId, u64)>, Vec<(LimitId, u64, NodeSet)>, Vec<Option<MoveCondition>>);
 
@@ -27,7 +27,7 @@
     paces.sort();
     let mut caps: Vec<_> = lookup.caps().map(|(id, cap, nodes)| (id, cap, nodes.clone())).collect();
     caps.sort();
-    // The books of these tests have no preferences for moves, so what a lookup says of moves is what requirements say.
+    // The books of these tests have no preferences for moves, so a lookup's move condition comes from requirements only.
     let moves = nodes().map(|node| lookup.move_when_on(&node)).collect();
     (lookup.attempts(), lookup.spread(), paces, caps, moves)
 }
@@ -49,7 +49,7 @@
     })
 }
 
-/// A book, and one that some rules are changed in, are gone from or have come to.
+/// A book, and a variant of it in which some rules are changed, removed or added.
 fn neighbours() -> impl Strategy<Value = (Book, Book)> {
     (quiet_book(7), quiet_book(7), proptest::collection::vec(any::<u8>(), 8)).prop_map(
         |(old, other, picks)| {
@@ -59,7 +59,7 @@
                 rules.extend(match pick % 8 {
                     0 => put.cloned(),
                     1 => None,
-                    // A change of the selector alone, so that one rule's number holds for other requests.
+                    // Only the selector changes, so that the rule's limit applies to other requests.
                     2 => kept.cloned().map(|mut rule| {
                         rule.on = put.map_or_else(Default::default, |put| put.on.clone());
                         rule
@@ -151,13 +151,14 @@
     let two = plan(vec![avoid("first", &["h0"]), avoid("second", &["h1"])]);
     assert_ne!(one.hash(), two.hash());
     assert_eq!(contradiction(&one, &two), None);
-    // One hall less is a contradiction, shown there.
+    // Removing a hall is a contradiction, and the witness names that hall.
     let witness = contradiction(&two, &plan(vec![avoid("first", &["h0"])])).expect("h1 is allowed now");
     assert_eq!((witness.hall.as_str(), witness.old_rule.as_str()), ("h1", "a:second"));
     assert_eq!(witness.new_rule, "a:first");
 }
 
-/// What is hidden by another slot's rule on the first groups of a range comes out on the later ones.
+/// A rule of another slot hides the change on the first groups of a range. The search must also try the later groups, where
+/// the change has an effect.
 #[test]
 fn change_hidden_on_some_groups_is_found_on_others() {
     let range = |last| vec![GroupRange { first: 0, last }];
@@ -173,7 +174,8 @@
     assert_eq!(contradiction(&plan(vec![hides.clone()]), &plan(vec![hides, changed])), None);
 }
 
-/// The rule is out on the second class of either plan's list, which aren't the same class.
+/// Both plans exclude the second class of their list, but the two classes differ. Comparing indices instead of names would miss
+/// the contradiction.
 #[test]
 fn classes_are_compared_by_name() {
     let profiles = |small: &str| -> Profiles {
--- a/crates/rule-compiler/tests/golden.rs
+++ b/crates/rule-compiler/tests/golden.rs
@@ -1,4 +1,5 @@
-//! The book and the plan of the example rules keep the bytes that earlier builds gave them: proxies vote on their hashes.
+//! Checks that the book and the plan of the example rules keep the bytes of earlier builds, because proxies vote on their
+//! hashes.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -19,7 +20,7 @@
     "consortium/verlag-b.toml",
 ];
 
-/// Rules of the kinds that the example leaves out, and one in conflict with its parent's.
+/// Rules of the kinds that the example files lack, and one that conflicts with a rule of its parent namespace.
 const MORE: &str = r#"
 namespace = "consortium/verlag-b/archive"
 owner = "archive@verlag-b.example"
@@ -47,7 +48,7 @@
 spread = { nodes = 2 }
 "#;
 
-/// Lets that namespace speak.
+/// Delegates to the namespace of [`MORE`].
 const DELEGATION: &str = r#"
 [[delegate]]
 to = "archive"
--- a/crates/rule-compiler/tests/kinds.rs
+++ b/crates/rule-compiler/tests/kinds.rs
@@ -1,4 +1,5 @@
-//! Each kind of rule on a full, a weak, an unknown class and on one that loses a feature; and the budgets.
+//! Tests each kind of rule on a class with all features, a class with few features, an unknown class and a class that loses
+//! a feature, and tests the budgets.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -56,7 +57,7 @@
     classes.iter().map(|(name, profile)| (name.to_string(), *profile)).collect()
 }
 
-/// A class that can do everything, and one that can do `weak` only.
+/// A class with all features, and a class with the features in `weak`.
 fn full_and(weak: Features) -> Profiles {
     profiles(&[("full", Profile::full()), ("weak", with(weak))])
 }
@@ -150,7 +151,8 @@
     );
 }
 
-/// A class that is known by probes may hold a third more than is counted, which the lower cap leaves room for.
+/// A class whose connections are known from probes only may have a third more of them than are counted. The lowered cap must
+/// leave room for these, and must be the highest cap that does.
 #[test]
 fn lower_cap_bounds_established_connections() {
     for connections in 0..500u64 {
@@ -171,7 +173,7 @@
         (Some(6), vec![], 1)
     );
 
-    // Half of the nodes for each sort of class.
+    // The class that keeps groups and the class that counts connections get half of the nodes each.
     let compiled = compile(&spread(6), &full_and(loads));
     let weak: BTreeSet<String> = ["weak".to_string()].into();
     assert_eq!(compiled.plan.lookup(&ASKED).spread(), Some(3));
@@ -181,7 +183,7 @@
         (Some(Execution::Stricter), Some(Execution::Stricter))
     );
 
-    // One node has no half, so it goes to the class that keeps groups.
+    // A spread of one node can't be divided, so only the class that keeps groups is allowed.
     let compiled = compile(&spread(1), &full_and(loads));
     assert_eq!((compiled.plan.lookup(&ASKED).spread(), allowed(&compiled)), (Some(1), vec!["full"]));
 
@@ -295,10 +297,10 @@
     assert_eq!(allowed(&compile(&book, &before)), ["full", "weak"]);
     let compiled = compile(&book, &settled);
     assert_eq!((allowed(&compiled), compiled.plan.lookup(&ASKED).spread()), (vec!["full"], Some(4)));
-    // Which is a change that can't be acted on beside the other.
+    // Proxies must not act on the plans before and after the change at the same time.
     let witness = contradiction(&compile(&book, &before).plan, &compiled.plan).expect("a class is out");
     assert_eq!(witness.hardware, "weak");
-    // A class that is stated no more is unknown from then on; a budget changes at will.
+    // A class whose profile is removed gets the least profile; a change of budgets is used unchanged.
     assert_eq!(effective_profiles(&before, &Profiles::new())["full"], Profile::least());
     now.entry("full".into()).or_default().budgets.rules = 3;
     assert_eq!(effective_profiles(&before, &now)["full"].budgets.rules, 3);
@@ -335,15 +337,15 @@
         change(&mut profile);
         profiles(&[("full", Profile::full()), ("small", profile)])
     };
-    // Three rules: both requirements and the preference that goes first.
+    // A budget of three rules has room for both requirements and the first preference.
     let compiled = compile(&many(3, 2), &budget(|small| small.budgets.rules = 3));
     let all = ["a:m0", "a:m1", "a:w0", "a:w1", "a:w2"].map(|name| how(&compiled, name));
     assert_eq!(
         all,
         [Execution::Exactly, Execution::Exactly, Execution::Exactly, Execution::Dropped, Execution::Dropped]
     );
-    assert_eq!(compiled.dropped, 3, "and the class that nobody knows drops all three");
-    // One rule: the second must costs the class its requests, and those only.
+    assert_eq!(compiled.dropped, 3, "the unknown class drops all three");
+    // A budget of one rule excludes the second requirement, and the class gets none of that requirement's requests.
     let compiled = compile(&many(3, 2), &budget(|small| small.budgets.rules = 1));
     assert_eq!(
         (how(&compiled, "a:m1"), how(&compiled, "a:w0")),
@@ -351,7 +353,7 @@
     );
     let goes = |group| compiled.plan.lookup(&Request { group, ..ASKED }).allows(&on("h", "small"));
     assert!(goes(Some(0)) && !goes(Some(1)) && goes(Some(2)) && goes(None));
-    // Preferences here have the one selector, requirements one each.
+    // All preferences share one selector, and each requirement has its own.
     let compiled = compile(&many(3, 2), &budget(|small| small.budgets.selectors = 2));
     assert_eq!((how(&compiled, "a:m1"), how(&compiled, "a:w0")), (Execution::Exactly, Execution::Dropped));
     let compiled = compile(&many(3, 2), &budget(|small| small.budgets.bytes = 0));
@@ -391,7 +393,7 @@
     let lookup = compiled.plan.lookup(&ASKED);
     assert!(lookup.allows(&on("h", "full")) && !lookup.allows(&on("g", "full")));
     assert!((1..40).contains(&compiled.dropped) || compiled.dropped == 40);
-    assert!(compiled.plan.rules() > 1, "as many wishes as it holds are kept");
+    assert!(compiled.plan.rules() > 1, "the plan keeps the preferences that fit");
 }
 
 #[test]
