--- a/crates/rule-compiler/benches/lookup.rs
+++ b/crates/rule-compiler/benches/lookup.rs
@@ -30,8 +30,8 @@
     (number ^ number >> 27).wrapping_mul(0x94d0_49bb_1331_11eb) >> 16
 }
 
-fn some(of: &str, number: u64, among: u64) -> BTreeSet<String> {
-    [format!("{of}{}", mix(number) % among)].into()
+fn one_of(prefix: &str, number: u64, among: u64) -> BTreeSet<String> {
+    [format!("{prefix}{}", mix(number) % among)].into()
 }
 
 /// A book of `count` rules, most of which select a tenant, a class, groups or several of these. The first six rules and one
@@ -42,16 +42,16 @@
         let which = mix(number + 77);
         let mut on = Selector::default();
         if number >= 6 && !which.is_multiple_of(common) {
-            on.tenants = some("tenant-", number * 3, (count / 10).max(3));
+            on.tenants = one_of("tenant-", number * 3, (count / 10).max(3));
         }
         if (which / 10).is_multiple_of(3) {
-            on.classes = some("class-", number * 5, 10);
+            on.classes = one_of("class-", number * 5, 10);
         }
         if (which / 100).is_multiple_of(3) && number >= 6 {
             let first = mix(number * 7) % 100_000;
             on.groups = vec![GroupRange { first, last: first + mix(number * 9) % 1_000 }];
         }
-        let (halls, hardware) = (some("hall-", number * 11, HALLS), some("node-", number * 13, CLASSES));
+        let (halls, hardware) = (one_of("hall-", number * 11, HALLS), one_of("node-", number * 13, CLASSES));
         let kind = match which / 1000 % 10 {
             0..4 => RuleKind::Place { how: PlacementMode::Avoid, halls, hardware },
             4..7 => RuleKind::Place { how: PlacementMode::Prefer, halls, hardware: BTreeSet::new() },
@@ -90,7 +90,7 @@
     (0..CLASSES).map(|class| (format!("node-{class}"), Profile::full())).collect()
 }
 
-struct Asked {
+struct RequestAndNode {
     tenant: String,
     class: String,
     group: Option<u64>,
@@ -98,9 +98,9 @@
     hardware: String,
 }
 
-/// Requests and nodes that match the rules of a book of `count` rules, in a mixed order.
-fn asked(count: u64) -> Vec<Asked> {
-    let one = |number: u64| Asked {
+/// Requests and nodes that match the rules of a book of `count` rules, in no order.
+fn asked(count: u64) -> Vec<RequestAndNode> {
+    let one = |number: u64| RequestAndNode {
         tenant: format!("tenant-{}", mix(number * 31) % (count / 10).max(3)),
         class: format!("class-{}", mix(number * 37) % 12),
         group: number.is_multiple_of(2).then(|| mix(number * 41) % 100_000),
@@ -110,7 +110,7 @@
     (0..4096).map(one).collect()
 }
 
-fn one_lookup(plan: &Plan, asked: &Asked) -> (bool, u32, Option<u32>) {
+fn one_lookup(plan: &Plan, asked: &RequestAndNode) -> (bool, u32, Option<u32>) {
     let request = Request { tenant: Some(&asked.tenant), class: &asked.class, group: asked.group };
     let node = Node { hall: &asked.hall, hardware: &asked.hardware };
     let lookup = plan.lookup(&request);
@@ -120,7 +120,7 @@
 
 /// The time of one lookup with a node's admission and rank, in nanoseconds. Returns the minimum of many rounds, because other
 /// processes slow down some of the rounds.
-fn lookup_ns(plan: &Plan, asked: &[Asked]) -> f64 {
+fn lookup_ns(plan: &Plan, asked: &[RequestAndNode]) -> f64 {
     let round = || {
         let start = Instant::now();
         for asked in asked {
@@ -146,7 +146,7 @@
 }
 
 /// The latencies of lookups on eight threads that share a plan. If `swaps` is set, the plan is replaced every 10 ms.
-fn shared(plans: &[Arc<Plan>; 2], asked: &[Asked], swaps: bool) -> Histogram<u64> {
+fn shared(plans: &[Arc<Plan>; 2], asked: &[RequestAndNode], swaps: bool) -> Histogram<u64> {
     let plan = ArcSwap::new(plans[0].clone());
     let over = AtomicBool::new(false);
     let reader = |from: usize| {
--- a/crates/rule-compiler/src/compile.rs
+++ b/crates/rule-compiler/src/compile.rs
@@ -26,7 +26,7 @@
 
 /// The Retry-After, in milliseconds, of a client rejected by a rule whose namespace isn't in the book. A merge never
 /// makes such a book.
-const STRAY_RETRY_MS: u32 = 1000;
+const UNKNOWN_NAMESPACE_RETRY_MS: u32 = 1000;
 const PLAN_FULL: &str = "the plan is full; the rules that come last in the order are left out";
 const TOO_MANY_REQUIREMENTS: &str = "the requirements exceed the size of a plan: nothing is allowed";
 
@@ -39,7 +39,7 @@
     let mut forms: Vec<RuleForms> = book.rules.iter().map(|rule| rule_forms(rule, &classes)).collect();
     let order = order(&book.rules);
     for (at, class) in classes.iter().enumerate() {
-        keep_budgets(&book.rules, &mut forms, &order, at, class);
+        enforce_budgets(&book.rules, &mut forms, &order, at, class);
     }
     let hardware: Vec<String> =
         classes.iter().filter(|class| class.listed).map(|class| class.name.to_string()).collect();
@@ -105,7 +105,7 @@
 
 /// Removes from a class the first rule that exceeds one of the class's budgets and every rule after it in `order`. Thus
 /// preferences are removed before requirements, and preferences of lower rank before those of higher rank.
-fn keep_budgets(rules: &[Rule], forms: &mut [RuleForms], order: &[usize], at: usize, class: &Class) {
+fn enforce_budgets(rules: &[Rule], forms: &mut [RuleForms], order: &[usize], at: usize, class: &Class) {
     let mut usage = BudgetUsage::default();
     let mut exceeded: Option<&'static str> = None;
     for &rule_at in order {
@@ -194,7 +194,7 @@
     let uncertainty_policy = match policies.get(rule.namespace.as_str()) {
         _ if form.is_preference() => UncertaintyPolicy::Keep,
         Some(&policy) => policy,
-        None => UncertaintyPolicy::Refuse { retry_ms: STRAY_RETRY_MS },
+        None => UncertaintyPolicy::Refuse { retry_ms: UNKNOWN_NAMESPACE_RETRY_MS },
     };
     Some(CompiledRule {
         namespace: rule.namespace.clone(),
@@ -216,7 +216,7 @@
         depth: 0,
         priority: 0,
         on: Selector::default(),
-        uncertainty_policy: UncertaintyPolicy::Refuse { retry_ms: STRAY_RETRY_MS },
+        uncertainty_policy: UncertaintyPolicy::Refuse { retry_ms: UNKNOWN_NAMESPACE_RETRY_MS },
         form: CompiledForm::RejectAll,
         out: Vec::new(),
     };
--- a/crates/rule-compiler/src/contradiction.rs
+++ b/crates/rule-compiler/src/contradiction.rs
@@ -40,14 +40,14 @@
     if old.hash() == new.hash() {
         return None;
     }
-    Search::new(old, new).witness_in()
+    Search::new(old, new).find_witness()
 }
 
 /// A tenant and a class; `None` means any.
 type Key<'a> = (Option<&'a str>, Option<&'a str>);
 /// The keys whose slots have different effects in the two plans, each with the groups for which the effects differ and
 /// whether they also differ for requests without a group.
-type Unequal<'a> = Vec<(Key<'a>, (Vec<GroupRange>, bool))>;
+type UnequalSlots<'a> = Vec<(Key<'a>, (Vec<GroupRange>, bool))>;
 
 /// How two lookups differ.
 enum Difference {
@@ -63,14 +63,14 @@
     nodes: Vec<(String, String, NodeKey, NodeKey)>,
     other_class: String,
     /// Whether both plans number the pairs of halls and classes in the same way.
-    alike: bool,
+    same_pair_numbers: bool,
     /// The index of every hardware class in the old and in the new plan, and of one class that is in neither. The index of
     /// a class that a plan doesn't list is one past the plan's last class.
     hardware: Vec<(u16, u16)>,
 }
 
 /// A name that isn't in the set.
-fn other(names: &BTreeSet<&str>) -> String {
+fn unused_name(names: &BTreeSet<&str>) -> String {
     let mut name = String::from("other");
     while names.contains(name.as_str()) {
         name.push('-');
@@ -85,7 +85,7 @@
             both.iter().flat_map(|index| index.halls.keys()).map(|name| &**name).collect();
         let classes: BTreeSet<&str> =
             both.iter().flat_map(|index| index.hardware.keys()).map(|name| &**name).collect();
-        let (other_hall, other_hardware) = (other(&halls), other(&classes));
+        let (other_hall, other_hardware) = (unused_name(&halls), unused_name(&classes));
         let mut nodes = Vec::new();
         for hall in halls.iter().copied().chain([other_hall.as_str()]) {
             for hardware in classes.iter().copied().chain([other_hardware.as_str()]) {
@@ -100,9 +100,10 @@
         let hardware = hardware.map(|name| (place(old, name), place(new, name))).collect();
         let classes: BTreeSet<&str> =
             both.iter().flat_map(|index| index.classes.keys()).map(|name| &**name).collect();
-        let other_class = other(&classes);
-        let alike = old.index.halls == new.index.halls && old.index.hardware == new.index.hardware;
-        Self { old, new, nodes, other_class, alike, hardware }
+        let other_class = unused_name(&classes);
+        let same_pair_numbers =
+            old.index.halls == new.index.halls && old.index.hardware == new.index.hardware;
+        Self { old, new, nodes, other_class, same_pair_numbers, hardware }
     }
 
     /// The selectors of the requirements that only one plan has or that differ between the plans.
@@ -146,7 +147,7 @@
 
     /// The slots of changed requirements whose own effects differ between the plans. Slots with equal effects need no
     /// search: combining equal effects with other effects can't cause a difference.
-    fn unequal(&self) -> Unequal<'a> {
+    fn unequal_slots(&self) -> UnequalSlots<'a> {
         let mut keys: BTreeSet<Key> = BTreeSet::new();
         let names = |set: &'a BTreeSet<String>| -> Vec<Option<&'a str>> {
             if set.is_empty() { vec![None] } else { set.iter().map(|name| Some(name.as_str())).collect() }
@@ -156,11 +157,11 @@
             let tenants = names(&on.tenants);
             keys.extend(tenants.iter().flat_map(|tenant| classes.iter().map(move |class| (*tenant, *class))));
         }
-        let said = keys.into_iter().map(|key| (key, self.unequal_in(key)));
+        let said = keys.into_iter().map(|key| (key, self.unequal_groups(key)));
         said.filter(|(_, (groups, none))| *none || !groups.is_empty()).collect()
     }
 
-    fn unequal_in(&self, key: Key) -> (Vec<GroupRange>, bool) {
+    fn unequal_groups(&self, key: Key) -> (Vec<GroupRange>, bool) {
         let slots = [self.old, self.new].map(|plan| slot(plan, key));
         let differ = |group: Option<u64>| {
             let [old, new] = [(self.old, slots[0]), (self.new, slots[1])]
@@ -179,8 +180,8 @@
 
     /// A request for which the plans differ. Only the cells of unequal slots are searched. The effect in any other cell is
     /// the combination of the effects in cells with fewer names, so it is equal if those are.
-    fn witness_in(&self) -> Option<Witness> {
-        self.unequal().into_iter().find_map(|((tenant, class), (ranges, none))| {
+    fn find_witness(&self) -> Option<Witness> {
+        self.unequal_slots().into_iter().find_map(|((tenant, class), (ranges, none))| {
             let name = class.unwrap_or(&self.other_class);
             let groups = self.groups(tenant, class, &ranges, none);
             groups.into_iter().find_map(|group| self.differs(&Request { tenant, class: name, group }))
@@ -218,7 +219,7 @@
 
     fn difference(&self, old: &Lookup, new: &Lookup) -> Option<Difference> {
         let differs = |node: &(_, _, NodeKey, NodeKey)| old.allows_key(node.2) != new.allows_key(node.3);
-        if !(self.alike && old.allows_as(new))
+        if !(self.same_pair_numbers && old.allows_as(new))
             && let Some(at) = self.nodes.iter().position(differs)
         {
             return Some(Difference::At(at));
--- a/crates/rule-compiler/src/groups.rs
+++ b/crates/rule-compiler/src/groups.rs
@@ -9,7 +9,7 @@
 pub(crate) const NONE: u32 = u32::MAX;
 /// The average number of rules per interval up to which a flat list is used. Above it, a segment tree is used, which keeps
 /// at most two entries per level for each range of a rule.
-const FLAT: u64 = 16;
+const MAX_FLAT_RULES_PER_INTERVAL: u64 = 16;
 
 /// The effects that apply to each group.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
             covers.extend(ranges.iter().map(|range| (place(range.first), place(range.last) + 1, *rule)));
         }
         let entries: u64 = covers.iter().map(|(from, to, _)| (to - from) as u64).sum();
-        let tree = entries > FLAT * starts.len() as u64;
+        let tree = entries > MAX_FLAT_RULES_PER_INTERVAL * starts.len() as u64;
         let mut lists: Vec<Vec<u32>> = vec![Vec::new(); starts.len() * if tree { 2 } else { 1 }];
         for (from, to, rule) in covers {
             if !tree {
--- a/crates/rule-compiler/src/index.rs
+++ b/crates/rule-compiler/src/index.rs
@@ -20,7 +20,7 @@
 /// The maximum number of rule entries in all slots; a rule counts once plus once for each of its intervals of groups.
 const MAX_ENTRIES: usize = 1 << 20;
 /// The maximum size of effects and sets, in bytes.
-const MAX_INDEX: usize = 256 << 20;
+const MAX_EFFECT_BYTES: usize = 256 << 20;
 
 pub(crate) type Names = HashMap<Box<str>, u32, FnvBuildHasher>;
 
@@ -90,10 +90,10 @@
         let numbers = PairNumbers { halls: &halls, hardware: &hardware };
         let mut own: Vec<RuleEffect> = rules.iter().map(|rule| numbers.own(rule, &mut sets)).collect();
         let preferences = rank_preferences(rules, &mut own);
-        let in_slots = in_slots(rules, &tenants, &classes)?;
-        let mut effects = EffectsBuilder::new(rules, &own, &preferences, &mut sets, MAX_INDEX);
+        let slot_members = slot_members(rules, &tenants, &classes)?;
+        let mut effects = EffectsBuilder::new(rules, &own, &preferences, &mut sets, MAX_EFFECT_BYTES);
         let mut slots = SlotTable::new(tenants.len());
-        for ((tenant, class), members) in in_slots {
+        for ((tenant, class), members) in slot_members {
             let slot = slot(rules, &members, &mut effects, &mut slots.groups);
             slots.push(tenant, class, slot);
         }
@@ -267,11 +267,11 @@
 }
 
 /// The indices of the rules in each slot, by the numbers of the slot's tenant and class.
-type InSlots = BTreeMap<(u32, u32), Vec<u32>>;
+type SlotMembers = BTreeMap<(u32, u32), Vec<u32>>;
 
 /// Assigns each rule to the slots that its selector names.
-fn in_slots(rules: &[CompiledRule], tenants: &Names, classes: &Names) -> Result<InSlots, PlanError> {
-    let mut slots = InSlots::new();
+fn slot_members(rules: &[CompiledRule], tenants: &Names, classes: &Names) -> Result<SlotMembers, PlanError> {
+    let mut slots = SlotMembers::new();
     let mut entries: usize = 0;
     let numbers = |set: &BTreeSet<String>, names: &Names| -> Vec<u32> {
         if set.is_empty() {
--- a/crates/rule-compiler/src/lookup.rs
+++ b/crates/rule-compiler/src/lookup.rs
@@ -165,7 +165,7 @@
         let rank = preferences.fold(0, |rank, &place| {
             rank << 1 | u32::from(!index.sets.has(index.preferences[place as usize], node.0))
         });
-        rank << 1 | u32::from(self.is_far(node))
+        rank << 1 | u32::from(self.is_outside_group_hall(node))
     }
 
     /// How many matching preferences don't order the nodes, because the maximum of 31 is reached.
@@ -176,7 +176,7 @@
 
     /// Whether the node is of a class on which a spread is counted, and is outside the hall chosen for the request's group.
     /// Preferring one hall keeps the few connections of such a group close to each other.
-    fn is_far(&self, node: NodeKey) -> bool {
+    fn is_outside_group_hall(&self, node: NodeKey) -> bool {
         let index = &self.plan.index;
         let (Some(group), halls) = (self.group, index.halls.len() as u64) else { return false };
         if self.effects().all(|effect| effect.counted.1 == 0) {
@@ -184,7 +184,7 @@
         }
         let (hall, class) = index.split(node.0);
         let Some(class) = self.plan.body.hardware.get(class as usize) else { return false };
-        if halls == 0 || u64::from(hall) == mixed(group) % halls {
+        if halls == 0 || u64::from(hall) == hashed(group) % halls {
             return false;
         }
         self.of(|effect| effect.counted).any(|at| match &self.plan.body.rules[at].form {
@@ -292,7 +292,7 @@
 }
 
 /// Hashes a group's number, so that consecutive groups are spread over the halls.
-fn mixed(group: u64) -> u64 {
-    let mixed = (group ^ group >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    (mixed ^ mixed >> 27).wrapping_mul(0x94d0_49bb_1331_11eb) >> 33
+fn hashed(group: u64) -> u64 {
+    let hashed = (group ^ group >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    (hashed ^ hashed >> 27).wrapping_mul(0x94d0_49bb_1331_11eb) >> 33
 }
--- a/crates/rule-compiler/src/profile.rs
+++ b/crates/rule-compiler/src/profile.rs
@@ -82,11 +82,11 @@
 /// gets the least profile, because some of its nodes may have the old features and some the new. New budgets and new
 /// classes are used unchanged.
 pub fn effective_profiles(before: &Profiles, now: &Profiles) -> Profiles {
-    let mut settled = now.clone();
+    let mut effective = now.clone();
     for (class, old) in before {
         if now.get(class).is_none_or(|new| new.features != old.features) {
-            settled.insert(class.clone(), Profile::least());
+            effective.insert(class.clone(), Profile::least());
         }
     }
-    settled
+    effective
 }
--- a/crates/rule-compiler/tests/common/mod.rs
+++ b/crates/rule-compiler/tests/common/mod.rs
@@ -110,17 +110,17 @@
 pub fn book(most: usize) -> impl Strategy<Value = Book> {
     let rules = (0..=most).prop_flat_map(|count| (0..count).map(rule).collect::<Vec<_>>());
     (rules, [uncertainty_policy(), uncertainty_policy(), uncertainty_policy()])
-        .prop_map(|(rules, doubts)| book_of(rules, &doubts))
+        .prop_map(|(rules, policies)| book_of(rules, &policies))
 }
 
-pub fn book_of(mut rules: Vec<Rule>, doubts: &[UncertaintyPolicy; 3]) -> Book {
+pub fn book_of(mut rules: Vec<Rule>, policies: &[UncertaintyPolicy; 3]) -> Book {
     rules.sort_by(|a, b| (&a.namespace, &a.name).cmp(&(&b.namespace, &b.name)));
     let owner = |((path, _), uncertainty_policy): (&(&str, u32), &UncertaintyPolicy)| Owner {
         path: path.to_string(),
         revision: 1,
         uncertainty_policy: *uncertainty_policy,
     };
-    Book { namespaces: OWNERS.iter().zip(doubts).map(owner).collect(), rules }
+    Book { namespaces: OWNERS.iter().zip(policies).map(owner).collect(), rules }
 }
 
 pub fn profiles() -> impl Strategy<Value = Profiles> {
@@ -168,7 +168,7 @@
 }
 
 /// For each matching preference in order of precedence, whether the preference disfavours the node.
-pub fn unwished(book: &Book, request: &Request, node: &Node) -> Vec<bool> {
+pub fn unsatisfied_preferences(book: &Book, request: &Request, node: &Node) -> Vec<bool> {
     let mut preferences: Vec<&Rule> =
         book.rules.iter().filter(|rule| !is_requirement(rule) && rule.on.matches(request)).collect();
     preferences.sort_by_key(|rule| (rule.depth, Reverse(rule.priority), &rule.namespace, &rule.name));
--- a/crates/rule-compiler/tests/compile.rs
+++ b/crates/rule-compiler/tests/compile.rs
@@ -65,7 +65,7 @@
 /// Places connections of a group on the wanted nodes while the plan allows it, and returns how many nodes the group is on.
 /// Only what the classes' features make visible is used: the nodes of the group on classes that keep groups, and its number
 /// of connections on classes that report loads.
-fn crowd(lookup: &Lookup, profiles: &Profiles, wanted: &[(usize, u8)]) -> usize {
+fn place_connections(lookup: &Lookup, profiles: &Profiles, wanted: &[(usize, u8)]) -> usize {
     let all: Vec<Node> = nodes().collect();
     let mut on: Vec<(usize, u8)> = Vec::new();
     for &(node, server) in wanted {
@@ -113,7 +113,7 @@
         let plan = compile(&book, &profiles).plan;
         let bound = spreads.into_iter().min().unwrap_or(0);
         let request = Request { tenant: None, class: "c0", group: Some(3) };
-        prop_assert!(crowd(&plan.lookup(&request), &profiles, &wanted) <= bound as usize);
+        prop_assert!(place_connections(&plan.lookup(&request), &profiles, &wanted) <= bound as usize);
     }
 
     #[test]
@@ -156,10 +156,10 @@
                 let caps = lookup.caps().filter(|(_, _, nodes)| nodes.contains(node)).map(|(_, cap, _)| cap);
                 let caps: BTreeSet<u64> = caps.collect();
                 prop_assert_eq!(caps, said.caps.into_iter().map(|(_, cap)| cap).collect::<BTreeSet<_>>());
-                let unwished_by: Vec<bool> = said.preferences.iter().map(|(_, satisfied)| !satisfied).collect();
-                prop_assert_eq!(unwished_by, unwished(&book, &request, node));
+                let unsatisfied_by: Vec<bool> = said.preferences.iter().map(|(_, satisfied)| !satisfied).collect();
+                prop_assert_eq!(unsatisfied_by, unsatisfied_preferences(&book, &request, node));
                 for other in &known {
-                    let order = unwished(&book, &request, node).cmp(&unwished(&book, &request, other));
+                    let order = unsatisfied_preferences(&book, &request, node).cmp(&unsatisfied_preferences(&book, &request, other));
                     prop_assert_eq!(lookup.rank(node).cmp(&lookup.rank(other)), order);
                 }
             }
--- a/crates/rule-compiler/tests/contradiction.rs
+++ b/crates/rule-compiler/tests/contradiction.rs
@@ -38,7 +38,7 @@
 }
 
 /// A book without preferences for moves.
-fn quiet_book(most: usize) -> impl Strategy<Value = Book> {
+fn book_without_move_preferences(most: usize) -> impl Strategy<Value = Book> {
     book(most).prop_map(|mut book| {
         for rule in &mut book.rules {
             if matches!(rule.kind, RuleKind::Move { .. }) {
@@ -50,9 +50,13 @@
 }
 
 /// A book, and a variant of it in which some rules are changed, removed or added.
-fn neighbours() -> impl Strategy<Value = (Book, Book)> {
-    (quiet_book(7), quiet_book(7), proptest::collection::vec(any::<u8>(), 8)).prop_map(
-        |(old, other, picks)| {
+fn book_and_variant() -> impl Strategy<Value = (Book, Book)> {
+    (
+        book_without_move_preferences(7),
+        book_without_move_preferences(7),
+        proptest::collection::vec(any::<u8>(), 8),
+    )
+        .prop_map(|(old, other, picks)| {
             let mut rules = Vec::new();
             for (at, pick) in picks.iter().enumerate() {
                 let (kept, put) = (old.rules.get(at), other.rules.get(at));
@@ -80,8 +84,7 @@
             rules.dedup_by(|a, b| (&a.namespace, &a.name).cmp(&(&b.namespace, &b.name)) == Ordering::Equal);
             let new = Book { namespaces: old.namespaces.clone(), rules };
             (old, new)
-        },
-    )
+        })
 }
 
 proptest! {
@@ -89,7 +92,7 @@
 
     #[test]
     fn matches_exhaustive_search(
-        (old, new) in neighbours(),
+        (old, new) in book_and_variant(),
         profiles in profiles(),
         others in proptest::option::weighted(0.2, profiles()),
     ) {
--- a/crates/rule-compiler/tests/kinds.rs
+++ b/crates/rule-compiler/tests/kinds.rs
@@ -20,7 +20,7 @@
     contradiction, effective_profiles,
 };
 
-const ASKED: Request = Request { tenant: Some("t0"), class: "c0", group: Some(5) };
+const REQUEST: Request = Request { tenant: Some("t0"), class: "c0", group: Some(5) };
 
 fn rule(name: &str, strength: Strength, kind: RuleKind) -> Rule {
     Rule {
@@ -71,14 +71,14 @@
 }
 
 fn allowed(compiled: &Compiled) -> Vec<&'static str> {
-    let lookup = compiled.plan.lookup(&ASKED);
+    let lookup = compiled.plan.lookup(&REQUEST);
     ["full", "weak", "never heard of"].into_iter().filter(|class| lookup.allows(&on("h", class))).collect()
 }
 
 fn caps(compiled: &Compiled) -> Vec<(Option<u64>, u64, BTreeSet<String>)> {
     compiled
         .plan
-        .lookup(&ASKED)
+        .lookup(&REQUEST)
         .caps()
         .map(|(id, cap, nodes)| (id.group, cap, nodes.hardware.clone()))
         .collect()
@@ -91,8 +91,8 @@
         let meant = how == PlacementMode::Require;
         for class in ["full", "weak", UNKNOWN] {
             assert_eq!(execution(&compiled, class), Some(Execution::Exactly));
-            assert_eq!(compiled.plan.lookup(&ASKED).allows(&on("h", class)), meant);
-            assert_eq!(compiled.plan.lookup(&ASKED).allows(&on("g", class)), !meant);
+            assert_eq!(compiled.plan.lookup(&REQUEST).allows(&on("h", class)), meant);
+            assert_eq!(compiled.plan.lookup(&REQUEST).allows(&on("g", class)), !meant);
         }
     }
 }
@@ -117,7 +117,7 @@
         [("full", Execution::Exactly), ("delays", Execution::Stricter), ("weak", Execution::Dropped)];
     for (class, how) in expected {
         assert_eq!(execution(&compiled, class), Some(how));
-        let lookup = compiled.plan.lookup(&ASKED);
+        let lookup = compiled.plan.lookup(&REQUEST);
         assert_eq!(lookup.rank(&on("h", class)) < lookup.rank(&on("g", class)), how != Execution::Dropped);
         assert!(lookup.allows(&on("g", class)) && !lookup.has_requirements());
     }
@@ -169,14 +169,14 @@
     let spread = |nodes| requirement(RuleKind::Spread { nodes });
     let compiled = compile(&spread(6), &profiles(&[("full", Profile::full())]));
     assert_eq!(
-        (compiled.plan.lookup(&ASKED).spread(), caps(&compiled), compiled.plan.needs()),
+        (compiled.plan.lookup(&REQUEST).spread(), caps(&compiled), compiled.plan.needs()),
         (Some(6), vec![], 1)
     );
 
     // The class that keeps groups and the class that counts connections get half of the nodes each.
     let compiled = compile(&spread(6), &full_and(loads));
     let weak: BTreeSet<String> = ["weak".to_string()].into();
-    assert_eq!(compiled.plan.lookup(&ASKED).spread(), Some(3));
+    assert_eq!(compiled.plan.lookup(&REQUEST).spread(), Some(3));
     assert_eq!((caps(&compiled), compiled.plan.needs()), (vec![(Some(5), 3, weak.clone())], 2));
     assert_eq!(
         (execution(&compiled, "full"), execution(&compiled, "weak")),
@@ -185,10 +185,13 @@
 
     // A spread of one node can't be divided, so only the class that keeps groups is allowed.
     let compiled = compile(&spread(1), &full_and(loads));
-    assert_eq!((compiled.plan.lookup(&ASKED).spread(), allowed(&compiled)), (Some(1), vec!["full"]));
+    assert_eq!((compiled.plan.lookup(&REQUEST).spread(), allowed(&compiled)), (Some(1), vec!["full"]));
 
     let compiled = compile(&spread(4), &profiles(&[("weak", with(loads))]));
-    assert_eq!((compiled.plan.lookup(&ASKED).spread(), caps(&compiled)), (Some(4), vec![(Some(5), 4, weak)]));
+    assert_eq!(
+        (compiled.plan.lookup(&REQUEST).spread(), caps(&compiled)),
+        (Some(4), vec![(Some(5), 4, weak)])
+    );
 
     let compiled = compile(&spread(4), &full_and(Features::default()));
     assert_eq!(
@@ -209,7 +212,7 @@
     let compiled = compile(&book_of(rules, &[UncertaintyPolicy::Keep; 3]), &full_and(loads));
     let mut preferred = BTreeSet::new();
     for group in 0..40 {
-        let lookup = compiled.plan.lookup(&Request { group: Some(group), ..ASKED });
+        let lookup = compiled.plan.lookup(&Request { group: Some(group), ..REQUEST });
         let near: Vec<_> = halls.iter().filter(|hall| lookup.rank(&on(hall, "weak")) == 0).collect();
         assert_eq!(near.len(), 1, "group {group}");
         assert!(halls.iter().all(|hall| lookup.rank(&on(hall, "full")) == 0));
@@ -227,7 +230,7 @@
     let compiled = compile(&book_of(rules, &[UncertaintyPolicy::Keep; 3]), &full_and(Features::default()));
     assert!(compiled.table.iter().all(|row| row.execution == Execution::Exactly));
     assert_eq!(allowed(&compiled), ["full", "weak", "never heard of"]);
-    let lookup = compiled.plan.lookup(&ASKED);
+    let lookup = compiled.plan.lookup(&REQUEST);
     assert_eq!((lookup.attempts(), lookup.paces().map(|(_, pace)| pace).collect()), (Some(2), vec![1500]));
 }
 
@@ -236,7 +239,7 @@
     let last = || requirement(RuleKind::Move { when: MoveCondition::Last });
     let loads = Features { reports_loads: true, ..Features::default() };
     let compiled = compile(&last(), &full_and(loads));
-    let lookup = compiled.plan.lookup(&ASKED);
+    let lookup = compiled.plan.lookup(&REQUEST);
     assert_eq!(lookup.move_when_on(&on("h", "full")), Some(MoveCondition::Last));
     assert_eq!(lookup.move_when_on(&on("h", "weak")), Some(MoveCondition::DrainsOnly));
     assert_eq!(
@@ -246,7 +249,7 @@
 
     let compiled = compile(&last(), &full_and(Features::default()));
     assert_eq!(
-        (compiled.plan.lookup(&ASKED).move_when(), allowed(&compiled)),
+        (compiled.plan.lookup(&REQUEST).move_when(), allowed(&compiled)),
         (Some(MoveCondition::Last), vec!["full"])
     );
 
@@ -261,7 +264,7 @@
 fn move_preference_is_dropped_without_partial_draining() {
     let compiled =
         compile(&preference(RuleKind::Move { when: MoveCondition::Last }), &full_and(Features::default()));
-    let lookup = compiled.plan.lookup(&ASKED);
+    let lookup = compiled.plan.lookup(&REQUEST);
     assert_eq!(lookup.move_when_on(&on("h", "full")), Some(MoveCondition::Last));
     assert_eq!(
         (lookup.move_when_on(&on("h", "weak")), execution(&compiled, "weak")),
@@ -291,12 +294,12 @@
     let before = full_and(Profile::full().features);
     let mut now = before.clone();
     now.entry("weak".into()).or_default().features.keeps_groups = false;
-    let settled = effective_profiles(&before, &now);
-    assert_eq!((settled["full"], settled["weak"]), (Profile::full(), Profile::least()));
+    let effective = effective_profiles(&before, &now);
+    assert_eq!((effective["full"], effective["weak"]), (Profile::full(), Profile::least()));
     let book = requirement(RuleKind::Spread { nodes: 4 });
     assert_eq!(allowed(&compile(&book, &before)), ["full", "weak"]);
-    let compiled = compile(&book, &settled);
-    assert_eq!((allowed(&compiled), compiled.plan.lookup(&ASKED).spread()), (vec!["full"], Some(4)));
+    let compiled = compile(&book, &effective);
+    assert_eq!((allowed(&compiled), compiled.plan.lookup(&REQUEST).spread()), (vec!["full"], Some(4)));
     // Proxies must not act on the plans before and after the change at the same time.
     let witness = contradiction(&compile(&book, &before).plan, &compiled.plan).expect("a class is out");
     assert_eq!(witness.hardware, "weak");
@@ -351,7 +354,7 @@
         (how(&compiled, "a:m1"), how(&compiled, "a:w0")),
         (Execution::Unsupported, Execution::Dropped)
     );
-    let goes = |group| compiled.plan.lookup(&Request { group, ..ASKED }).allows(&on("h", "small"));
+    let goes = |group| compiled.plan.lookup(&Request { group, ..REQUEST }).allows(&on("h", "small"));
     assert!(goes(Some(0)) && !goes(Some(1)) && goes(Some(2)) && goes(None));
     // All preferences share one selector, and each requirement has its own.
     let compiled = compile(&many(3, 2), &budget(|small| small.budgets.selectors = 2));
@@ -390,7 +393,7 @@
         book.rules.push(rule);
     }
     let compiled = compile(&book, &full_and(Profile::full().features));
-    let lookup = compiled.plan.lookup(&ASKED);
+    let lookup = compiled.plan.lookup(&REQUEST);
     assert!(lookup.allows(&on("h", "full")) && !lookup.allows(&on("g", "full")));
     assert!((1..40).contains(&compiled.dropped) || compiled.dropped == 40);
     assert!(compiled.plan.rules() > 1, "the plan keeps the preferences that fit");
@@ -399,7 +402,7 @@
 #[test]
 fn excess_preferences_are_counted() {
     let compiled = compile(&many(40, 0), &profiles(&[("full", Profile::full())]));
-    let lookup = compiled.plan.lookup(&ASKED);
+    let lookup = compiled.plan.lookup(&REQUEST);
     assert_eq!(lookup.ignored_preferences(), 9);
     assert_eq!((lookup.rank(&on("h", "full")), lookup.rank(&on("g", "full"))), (0, u32::MAX - 1));
 }
@@ -412,7 +415,7 @@
     again.depth = 1;
     book.rules.insert(1, again);
     let compiled = compile(&book, &profiles(&[("full", Profile::full())]));
-    assert_eq!(compiled.plan.lookup(&ASKED).ignored_preferences(), 0);
+    assert_eq!(compiled.plan.lookup(&REQUEST).ignored_preferences(), 0);
 }
 
 #[test]
@@ -437,7 +440,12 @@
         requirement(RuleKind::Cap { connections, halls: BTreeSet::new(), hardware: BTreeSet::new() })
     };
     let id = |book| {
-        compile(&book, &full_and(Profile::full().features)).plan.lookup(&ASKED).caps().next().map(|cap| cap.0)
+        compile(&book, &full_and(Profile::full().features))
+            .plan
+            .lookup(&REQUEST)
+            .caps()
+            .next()
+            .map(|cap| cap.0)
     };
     assert_eq!(id(cap(3)), id(cap(4)));
     assert!(id(cap(3)).is_some());
