--- a/crates/rule-compiler/src/bits.rs
+++ b/crates/rule-compiler/src/bits.rs
@@ -12,25 +12,25 @@
 pub(crate) struct Sets {
     pairs: u32,
     words: usize,
-    flat: Vec<u64>,
+    bits: Vec<u64>,
 }
 
 /// Interns sets and builds [`Sets`].
 pub(crate) struct SetsBuilder {
     sets: Sets,
-    known: HashMap<Box<[u64]>, SetId, FnvBuildHasher>,
+    ids: HashMap<Box<[u64]>, SetId, FnvBuildHasher>,
 }
 
 impl Sets {
     /// Whether a set contains a pair.
-    pub(crate) fn has(&self, set: SetId, pair: u32) -> bool {
+    pub(crate) fn contains(&self, set: SetId, pair: u32) -> bool {
         let word = set as usize * self.words + (pair / 64) as usize;
-        self.flat.get(word).is_some_and(|word| word >> (pair % 64) & 1 == 1)
+        self.bits.get(word).is_some_and(|word| word >> (pair % 64) & 1 == 1)
     }
 
     /// The words of a set's bits; bit `p % 64` of word `p / 64` stands for pair `p`.
     pub(crate) fn words(&self, set: SetId) -> &[u64] {
-        &self.flat[set as usize * self.words..][..self.words]
+        &self.bits[set as usize * self.words..][..self.words]
     }
 
     /// The number of words in each set.
@@ -46,14 +46,14 @@
 
     /// The size of all sets in bytes.
     pub(crate) fn bytes(&self) -> usize {
-        self.flat.len() * size_of::<u64>()
+        self.bits.len() * size_of::<u64>()
     }
 }
 
 impl SetsBuilder {
     pub(crate) fn new(pairs: u32) -> Self {
         let words = pairs.div_ceil(64) as usize;
-        Self { sets: Sets { pairs, words, flat: Vec::new() }, known: HashMap::default() }
+        Self { sets: Sets { pairs, words, bits: Vec::new() }, ids: HashMap::default() }
     }
 
     pub(crate) fn sets(&self) -> &Sets {
@@ -61,7 +61,7 @@
     }
 
     /// Interns the set of these pairs.
-    pub(crate) fn of(&mut self, pairs: impl Iterator<Item = u32>) -> SetId {
+    pub(crate) fn intern(&mut self, pairs: impl Iterator<Item = u32>) -> SetId {
         let mut words = vec![0; self.sets.words];
         for pair in pairs {
             words[(pair / 64) as usize] |= 1 << (pair % 64);
@@ -71,12 +71,12 @@
 
     /// Interns the set with these words.
     pub(crate) fn intern_words(&mut self, words: Vec<u64>) -> SetId {
-        if let Some(&id) = self.known.get(words.as_slice()) {
+        if let Some(&id) = self.ids.get(words.as_slice()) {
             return id;
         }
-        let id = self.known.len() as SetId;
-        self.sets.flat.extend_from_slice(&words);
-        self.known.insert(words.into(), id);
+        let id = self.ids.len() as SetId;
+        self.sets.bits.extend_from_slice(&words);
+        self.ids.insert(words.into(), id);
         id
     }
 
--- a/crates/rule-compiler/src/effects.rs
+++ b/crates/rule-compiler/src/effects.rs
@@ -67,7 +67,7 @@
     preferences: &'a [SetId],
     sets: &'a mut SetsBuilder,
     effects: Effects,
-    known: HashMap<Box<[u32]>, u32, FnvBuildHasher>,
+    ids: HashMap<Box<[u32]>, u32, FnvBuildHasher>,
     max_bytes: usize,
 }
 
@@ -93,7 +93,7 @@
             preferences,
             sets,
             effects: Effects::default(),
-            known: HashMap::default(),
+            ids: HashMap::default(),
             max_bytes,
         }
     }
@@ -109,18 +109,18 @@
     }
 
     /// Interns the effect of these rules and returns its id. The rules must be sorted.
-    pub(crate) fn of(&mut self, members: &[u32]) -> u32 {
+    pub(crate) fn intern(&mut self, members: &[u32]) -> u32 {
         // Nothing is added past the limit, because one slot alone could exceed it by far.
         if self.is_full() {
             return NONE;
         }
-        if let Some(&id) = self.known.get(members) {
+        if let Some(&id) = self.ids.get(members) {
             return id;
         }
         let id = self.effects.all.len() as u32;
         let effect = self.combine(members);
         self.effects.all.push(effect);
-        self.known.insert(members.into(), id);
+        self.ids.insert(members.into(), id);
         id
     }
 
--- a/crates/rule-compiler/src/index.rs
+++ b/crates/rule-compiler/src/index.rs
@@ -39,11 +39,11 @@
 struct Row {
     /// The slot of any class.
     any: Slot,
-    /// The slots of single classes: the start and the length of a slice of [`Index::classed`].
-    classed: (u32, u32),
+    /// The slots of single classes: the start and the length of a slice of [`Index::class_slots`].
+    class_slots: (u32, u32),
 }
 
-const EMPTY: Row = Row { any: Slot { plain: NONE, groups: NONE }, classed: (0, 0) };
+const EMPTY: Row = Row { any: Slot { plain: NONE, groups: NONE }, class_slots: (0, 0) };
 
 /// Maps the tenant, class and group of a request to the combined effects of the rules that match the request.
 #[derive(Debug)]
@@ -55,7 +55,7 @@
     /// The row of any tenant, followed by the row of each tenant.
     rows: Vec<Row>,
     /// The slots of single classes, each with its class's number, sorted by tenant and then by class.
-    classed: Vec<(u32, Slot)>,
+    class_slots: Vec<(u32, Slot)>,
     pub groups: Vec<Groups>,
     pub effects: Effects,
     pub sets: Sets,
@@ -97,7 +97,7 @@
             let slot = slot(rules, &members, &mut effects, &mut slots.groups);
             slots.push(tenant, class, slot);
         }
-        let SlotTable { rows, classed, groups } = slots;
+        let SlotTable { rows, class_slots, groups } = slots;
         let ids = rules.iter().map(|rule| format!("{}:{}", rule.namespace, rule.name).into_boxed_str());
         let ids: Vec<Box<str>> = ids.collect();
         let limits = ids.iter().map(|id| limit(id)).collect();
@@ -109,7 +109,7 @@
             halls,
             hardware,
             rows,
-            classed,
+            class_slots,
             groups,
             effects,
             sets,
@@ -129,7 +129,7 @@
 
     /// Whether one requirement allows a pair.
     pub(crate) fn allows(&self, rule: usize, pair: u32) -> bool {
-        self.own[rule].allow == NONE || self.sets.has(self.own[rule].allow, pair)
+        self.own[rule].allow == NONE || self.sets.contains(self.own[rule].allow, pair)
     }
 
     /// The numbers of a pair's hall and hardware class.
@@ -150,8 +150,8 @@
         if class == ANY {
             return (row.any.plain != NONE || row.any.groups != NONE).then_some(row.any);
         }
-        let classed = &self.classed[row.classed.0 as usize..][..row.classed.1 as usize];
-        classed.binary_search_by_key(&class, |(class, _)| *class).ok().map(|at| classed[at].1)
+        let class_slots = &self.class_slots[row.class_slots.0 as usize..][..row.class_slots.1 as usize];
+        class_slots.binary_search_by_key(&class, |(class, _)| *class).ok().map(|at| class_slots[at].1)
     }
 
     /// Visits the slots that match a request of this tenant and class.
@@ -178,7 +178,7 @@
         let names = [&self.tenants, &self.classes, &self.halls, &self.hardware];
         let names: usize = names.iter().flat_map(|names| names.keys()).map(|name| name.len() + 32).sum();
         let groups: usize = self.groups.iter().map(|groups| groups.bytes() + size_of::<Groups>()).sum();
-        let slots = size_of_val(&*self.rows) + size_of_val(&*self.classed) + groups;
+        let slots = size_of_val(&*self.rows) + size_of_val(&*self.class_slots) + groups;
         let ids: usize = self.ids.iter().map(|id| id.len() + 24).sum();
         names + slots + ids + self.effects.bytes() + self.sets.bytes() + self.preferences.len() * 4
     }
@@ -201,13 +201,13 @@
 /// The slots of an index under construction.
 struct SlotTable {
     rows: Vec<Row>,
-    classed: Vec<(u32, Slot)>,
+    class_slots: Vec<(u32, Slot)>,
     groups: Vec<Groups>,
 }
 
 impl SlotTable {
     fn new(tenants: usize) -> Self {
-        Self { rows: vec![EMPTY; tenants + 1], classed: Vec::new(), groups: Vec::new() }
+        Self { rows: vec![EMPTY; tenants + 1], class_slots: Vec::new(), groups: Vec::new() }
     }
 
     /// Adds a slot. Slots must be added sorted by tenant and then by class, with [`ANY`] last.
@@ -217,11 +217,11 @@
             row.any = slot;
             return;
         }
-        if row.classed.1 == 0 {
-            row.classed.0 = self.classed.len() as u32;
+        if row.class_slots.1 == 0 {
+            row.class_slots.0 = self.class_slots.len() as u32;
         }
-        row.classed.1 += 1;
-        self.classed.push((class, slot));
+        row.class_slots.1 += 1;
+        self.class_slots.push((class, slot));
     }
 }
 
@@ -244,7 +244,9 @@
             CompiledForm::Require(nodes) => (true, Some(nodes)),
             CompiledForm::Avoid(nodes) => (false, Some(nodes)),
             CompiledForm::Preference { avoid, nodes } => (!avoid, Some(nodes)),
-            CompiledForm::RejectAll => return RuleEffect { allow: sets.of(std::iter::empty()), place: NONE },
+            CompiledForm::RejectAll => {
+                return RuleEffect { allow: sets.intern(std::iter::empty()), place: NONE };
+            }
             _ if rule.out.is_empty() => return RuleEffect { allow: NONE, place: NONE },
             _ => (true, None),
         };
@@ -262,7 +264,7 @@
                 && hardware.as_ref().is_none_or(|hardware| hardware[class as usize]);
             selects_node == meant && !rule.out.contains(&(class as u16))
         });
-        RuleEffect { allow: sets.of(pairs), place: NONE }
+        RuleEffect { allow: sets.intern(pairs), place: NONE }
     }
 }
 
@@ -310,11 +312,11 @@
 ) -> Slot {
     let groups_of = |&at: &u32| -> &[GroupRange] { &rules[at as usize].on.groups };
     let (plain, grouped): (Vec<u32>, Vec<u32>) = members.iter().partition(|at| groups_of(at).is_empty());
-    let plain = if plain.is_empty() { NONE } else { effects.of(&plain) };
+    let plain = if plain.is_empty() { NONE } else { effects.intern(&plain) };
     let ranges: Vec<_> = grouped.iter().map(|at| (*at, groups_of(at))).collect();
     if ranges.is_empty() {
         return Slot { plain, groups: NONE };
     }
-    groups.push(Groups::new(&ranges, |members| effects.of(members)));
+    groups.push(Groups::new(&ranges, |members| effects.intern(members)));
     Slot { plain, groups: groups.len() as u32 - 1 }
 }
--- a/crates/rule-compiler/src/lookup.rs
+++ b/crates/rule-compiler/src/lookup.rs
@@ -137,7 +137,7 @@
         let index = &self.plan.index;
         self.effect_ids().iter().all(|&effect_id| {
             let allow = index.effects.all[effect_id as usize].allow;
-            allow == NONE || index.sets.has(allow, node.0)
+            allow == NONE || index.sets.contains(allow, node.0)
         })
     }
 
@@ -163,7 +163,7 @@
         let index = &self.plan.index;
         let preferences = self.preferences[..self.preference_count].iter();
         let rank = preferences.fold(0, |rank, &place| {
-            rank << 1 | u32::from(!index.sets.has(index.preferences[place as usize], node.0))
+            rank << 1 | u32::from(!index.sets.contains(index.preferences[place as usize], node.0))
         });
         rank << 1 | u32::from(self.is_outside_group_hall(node))
     }
