--- a/crates/rule-compiler/src/contradiction.rs
+++ b/crates/rule-compiler/src/contradiction.rs
@@ -49,10 +49,10 @@
 /// whether they also differ for requests without a group.
 type UnequalSlots<'a> = Vec<(Key<'a>, (Vec<GroupRange>, bool))>;
 
-/// How two lookups differ.
+/// How two lookups differ: on the node with this index, or in a limit of rules of the matching form.
 enum Difference {
-    At(usize),
-    Number(fn(&CompiledForm) -> bool),
+    Node(usize),
+    Limit(fn(&CompiledForm) -> bool),
 }
 
 struct Search<'a> {
@@ -222,23 +222,23 @@
         if !(self.same_pair_numbers && old.allows_as(new))
             && let Some(at) = self.nodes.iter().position(differs)
         {
-            return Some(Difference::At(at));
+            return Some(Difference::Node(at));
         }
         if old.attempts() != new.attempts() {
-            return Some(Difference::Number(|form| matches!(form, CompiledForm::Attempts(_))));
+            return Some(Difference::Limit(|form| matches!(form, CompiledForm::Attempts(_))));
         }
         if old.spread() != new.spread() {
-            return Some(Difference::Number(|form| matches!(form, CompiledForm::Spread { .. })));
+            return Some(Difference::Limit(|form| matches!(form, CompiledForm::Spread { .. })));
         }
         if sorted(old.paces()) != sorted(new.paces()) {
-            return Some(Difference::Number(|form| matches!(form, CompiledForm::Pace(_))));
+            return Some(Difference::Limit(|form| matches!(form, CompiledForm::Pace(_))));
         }
         if sorted(old.caps()) != sorted(new.caps()) {
-            return Some(Difference::Number(CompiledForm::is_connection_limit));
+            return Some(Difference::Limit(CompiledForm::is_connection_limit));
         }
         let moves = |a, b| old.required_move_at(a) != new.required_move_at(b);
         if self.hardware.iter().any(|&(a, b)| moves(a, b)) {
-            return Some(Difference::Number(|form| matches!(form, CompiledForm::Move { .. })));
+            return Some(Difference::Limit(|form| matches!(form, CompiledForm::Move { .. })));
         }
         None
     }
@@ -247,15 +247,15 @@
         // The witness for a differing number is a node that the requirements allow, if they allow any.
         let allowed = || self.nodes.iter().position(|node| old.allows_key(node.2));
         let at = match difference {
-            Difference::At(at) => *at,
-            Difference::Number(_) => allowed().unwrap_or(0),
+            Difference::Node(at) => *at,
+            Difference::Limit(_) => allowed().unwrap_or(0),
         };
         let (hall, hardware, old_node, new_node) = &self.nodes[at];
         let rule = |plan: &Plan, lookup: &Lookup, node: NodeKey| {
             let requirements: Vec<usize> = lookup.requirements().collect();
             let speaks = |&&requirement: &&usize| match difference {
-                Difference::At(_) => !plan.index.allows(requirement, node.0),
-                Difference::Number(is) => is(&plan.body.rules[requirement].form),
+                Difference::Node(_) => !plan.index.allows(requirement, node.0),
+                Difference::Limit(is) => is(&plan.body.rules[requirement].form),
             };
             let requirement = requirements.iter().find(speaks).or(requirements.first());
             requirement.map_or_else(String::new, |&requirement| plan.index.ids[requirement].to_string())
--- a/crates/rule-compiler/src/effects.rs
+++ b/crates/rule-compiler/src/effects.rs
@@ -56,13 +56,13 @@
     /// The pairs that the rule allows, or [`NONE`] if it allows all pairs.
     pub allow: SetId,
     /// The rule's position among all preferences, or [`NONE`] for a requirement.
-    pub place: u32,
+    pub position: u32,
 }
 
 /// Interns sets of rules and builds [`Effects`].
 pub(crate) struct EffectsBuilder<'a> {
     rules: &'a [CompiledRule],
-    own: &'a [RuleEffect],
+    rule_effects: &'a [RuleEffect],
     /// The pairs that each preference prefers, by the preference's position.
     preferences: &'a [SetId],
     sets: &'a mut SetsBuilder,
@@ -82,14 +82,14 @@
 impl<'a> EffectsBuilder<'a> {
     pub(crate) fn new(
         rules: &'a [CompiledRule],
-        own: &'a [RuleEffect],
+        rule_effects: &'a [RuleEffect],
         preferences: &'a [SetId],
         sets: &'a mut SetsBuilder,
         max_bytes: usize,
     ) -> Self {
         Self {
             rules,
-            own,
+            rule_effects,
             preferences,
             sets,
             effects: Effects::default(),
@@ -148,7 +148,7 @@
     /// The pairs that every one of the rules allows, or [`NONE`] if the rules allow all pairs.
     fn allowed_pairs(&mut self, members: &[u32]) -> SetId {
         let mut allowed: Option<Vec<u64>> = None;
-        let allows = members.iter().map(|&member| self.own[member as usize].allow);
+        let allows = members.iter().map(|&member| self.rule_effects[member as usize].allow);
         for allow in allows.filter(|allow| *allow != NONE) {
             let words = self.sets.sets().words(allow);
             match &mut allowed {
@@ -164,7 +164,8 @@
         let is_ordering =
             |&&member: &&u32| matches!(self.rules[member as usize].form, CompiledForm::Preference { .. });
         let ordering = members.iter().filter(is_ordering);
-        let mut places: Vec<u32> = ordering.map(|&member| self.own[member as usize].place).collect();
+        let mut places: Vec<u32> =
+            ordering.map(|&member| self.rule_effects[member as usize].position).collect();
         places.sort_unstable();
         // A preference for the same nodes as an earlier one doesn't change the order, so it is left out.
         let mut seen = HashSet::with_hasher(FnvBuildHasher::default());
--- a/crates/rule-compiler/src/forms.rs
+++ b/crates/rule-compiler/src/forms.rs
@@ -50,7 +50,7 @@
     let each = |executions: &dyn Fn(&Class) -> ClassExecution| each(rule, classes, executions);
     let forms = |form, executions| RuleForms { form: Some(form), executions };
     if is_preference(rule) {
-        return preference(rule, classes);
+        return compile_preference(rule, classes);
     }
     match &rule.kind {
         RuleKind::Place { how, halls, hardware } => {
@@ -65,25 +65,25 @@
         }
         RuleKind::Cap { connections, halls, hardware } => {
             let nodes = NodeSet { halls: halls.clone(), hardware: hardware.clone() };
-            let (connections, executions) = cap(*connections, each(&cap_on));
+            let (connections, executions) = compile_cap(*connections, each(&cap_on));
             forms(CompiledForm::Cap { connections, nodes }, executions)
         }
         RuleKind::Spread { nodes } => {
-            let (form, executions) = spread(*nodes, each(&spread_on), classes);
+            let (form, executions) = compile_spread(*nodes, each(&spread_on), classes);
             forms(form, executions)
         }
         RuleKind::Pace { per_s_milli } => forms(CompiledForm::Pace(*per_s_milli), each(&|_| EXACTLY)),
         RuleKind::Attempts { most } => forms(CompiledForm::Attempts(*most), each(&|_| EXACTLY)),
         RuleKind::Move { when } => {
             let executions = each(&|class| move_on(*when, class));
-            let stricter = executions.iter().zip(0..).filter(|(run, _)| is(run, Execution::Stricter));
+            let stricter = executions.iter().zip(0..).filter(|(run, _)| runs_as(run, Execution::Stricter));
             let drains_only = stricter.map(|(_, class)| class).collect();
             forms(CompiledForm::Move { when: *when, drains_only }, executions)
         }
     }
 }
 
-fn is(run: &Option<ClassExecution>, execution: Execution) -> bool {
+fn runs_as(run: &Option<ClassExecution>, execution: Execution) -> bool {
     run.as_ref().is_some_and(|run| run.0 == execution)
 }
 
@@ -95,7 +95,7 @@
     classes.iter().map(|class| selects(rule, class).then(|| executions(class))).collect()
 }
 
-fn preference(rule: &Rule, classes: &[Class]) -> RuleForms {
+fn compile_preference(rule: &Rule, classes: &[Class]) -> RuleForms {
     let each = |executions: &dyn Fn(&Class) -> ClassExecution| each(rule, classes, executions);
     match &rule.kind {
         RuleKind::Place { how, halls, hardware } => {
@@ -153,8 +153,11 @@
 /// Lowers a cap to three quarters if a class's connections are known from probes only, since up to a third more connections
 /// may be established there than are counted. The whole cap is lowered: if only that class's part were, the other classes
 /// could use up the difference.
-fn cap(connections: u64, mut executions: Vec<Option<ClassExecution>>) -> (u64, Vec<Option<ClassExecution>>) {
-    if !executions.iter().any(|run| is(run, Execution::Stricter)) {
+fn compile_cap(
+    connections: u64,
+    mut executions: Vec<Option<ClassExecution>>,
+) -> (u64, Vec<Option<ClassExecution>>) {
+    if !executions.iter().any(|run| runs_as(run, Execution::Stricter)) {
         return (connections, executions);
     }
     for exact in executions.iter_mut().flatten().filter(|run| run.0 == Execution::Exactly) {
@@ -184,14 +187,14 @@
 /// Compiles a spread. On classes that keep no groups, the spread becomes a bound on a group's connections. If there are also
 /// classes that keep groups, half of the nodes go to the bound on connections and the rest stay a bound on nodes, so that
 /// the sum is within the spread.
-fn spread(
+fn compile_spread(
     nodes: u32,
     mut executions: Vec<Option<ClassExecution>>,
     classes: &[Class],
 ) -> (CompiledForm, Vec<Option<ClassExecution>>) {
-    let exact = executions.iter().any(|run| is(run, Execution::Exactly));
+    let exact = executions.iter().any(|run| runs_as(run, Execution::Exactly));
     let names = |executions: &[Option<ClassExecution>]| -> BTreeSet<String> {
-        let stricter = executions.iter().zip(classes).filter(|(run, _)| is(run, Execution::Stricter));
+        let stricter = executions.iter().zip(classes).filter(|(run, _)| runs_as(run, Execution::Stricter));
         stricter.map(|(_, class)| class.name.to_string()).collect()
     };
     let counted_on = names(&executions);
--- a/crates/rule-compiler/src/index.rs
+++ b/crates/rule-compiler/src/index.rs
@@ -62,7 +62,7 @@
     /// The pairs that each preference prefers, by the preference's position among all preferences.
     pub preferences: Vec<SetId>,
     /// For each rule: the pairs that it allows if it is a requirement, and its position if it is a preference.
-    pub own: Vec<RuleEffect>,
+    pub rule_effects: Vec<RuleEffect>,
     /// For each rule: `namespace:name`.
     pub ids: Vec<Box<str>>,
     /// For each rule: the number in its [`LimitId`](crate::LimitId), the same in every plan.
@@ -88,10 +88,12 @@
         }
         let mut sets = SetsBuilder::new(pairs as u32);
         let numbers = PairNumbers { halls: &halls, hardware: &hardware };
-        let mut own: Vec<RuleEffect> = rules.iter().map(|rule| numbers.own(rule, &mut sets)).collect();
-        let preferences = rank_preferences(rules, &mut own);
+        let mut rule_effects: Vec<RuleEffect> =
+            rules.iter().map(|rule| numbers.rule_effect(rule, &mut sets)).collect();
+        let preferences = rank_preferences(rules, &mut rule_effects);
         let slot_members = slot_members(rules, &tenants, &classes)?;
-        let mut effects = EffectsBuilder::new(rules, &own, &preferences, &mut sets, MAX_EFFECT_BYTES);
+        let mut effects =
+            EffectsBuilder::new(rules, &rule_effects, &preferences, &mut sets, MAX_EFFECT_BYTES);
         let mut slots = SlotTable::new(tenants.len());
         for ((tenant, class), members) in slot_members {
             let slot = slot(rules, &members, &mut effects, &mut slots.groups);
@@ -114,7 +116,7 @@
             effects,
             sets,
             preferences,
-            own,
+            rule_effects,
             ids,
             limits,
         })
@@ -129,7 +131,7 @@
 
     /// Whether one requirement allows a pair.
     pub(crate) fn allows(&self, rule: usize, pair: u32) -> bool {
-        self.own[rule].allow == NONE || self.sets.contains(self.own[rule].allow, pair)
+        self.rule_effects[rule].allow == NONE || self.sets.contains(self.rule_effects[rule].allow, pair)
     }
 
     /// The numbers of a pair's hall and hardware class.
@@ -184,16 +186,16 @@
     }
 }
 
-/// Assigns each preference its position, and moves the pairs that it prefers from `own` into the returned list, which is
+/// Assigns each preference its position, and moves the pairs that it prefers from `rule_effects` into the returned list, which is
 /// ordered by position.
-fn rank_preferences(rules: &[CompiledRule], own: &mut [RuleEffect]) -> Vec<SetId> {
+fn rank_preferences(rules: &[CompiledRule], rule_effects: &mut [RuleEffect]) -> Vec<SetId> {
     let mut order: Vec<usize> = (0..rules.len()).filter(|&at| rules[at].form.is_preference()).collect();
     // The rules are sorted by namespace and name, and the stable sort keeps that order among equals.
     order.sort_by_key(|&at| (rules[at].depth, Reverse(rules[at].priority)));
     let mut preferences = Vec::with_capacity(order.len());
     for at in order {
-        own[at].place = preferences.len() as u32;
-        preferences.push(std::mem::replace(&mut own[at].allow, NONE));
+        rule_effects[at].position = preferences.len() as u32;
+        preferences.push(std::mem::replace(&mut rule_effects[at].allow, NONE));
     }
     preferences
 }
@@ -239,15 +241,15 @@
 
 impl PairNumbers<'_> {
     /// The pairs that a requirement allows or a preference prefers.
-    fn own(&self, rule: &CompiledRule, sets: &mut SetsBuilder) -> RuleEffect {
+    fn rule_effect(&self, rule: &CompiledRule, sets: &mut SetsBuilder) -> RuleEffect {
         let (meant, nodes) = match &rule.form {
             CompiledForm::Require(nodes) => (true, Some(nodes)),
             CompiledForm::Avoid(nodes) => (false, Some(nodes)),
             CompiledForm::Preference { avoid, nodes } => (!avoid, Some(nodes)),
             CompiledForm::RejectAll => {
-                return RuleEffect { allow: sets.intern(std::iter::empty()), place: NONE };
+                return RuleEffect { allow: sets.intern(std::iter::empty()), position: NONE };
             }
-            _ if rule.out.is_empty() => return RuleEffect { allow: NONE, place: NONE },
+            _ if rule.out.is_empty() => return RuleEffect { allow: NONE, position: NONE },
             _ => (true, None),
         };
         let numbers = |set: &BTreeSet<String>, names: &Names| -> Option<Vec<bool>> {
@@ -264,7 +266,7 @@
                 && hardware.as_ref().is_none_or(|hardware| hardware[class as usize]);
             selects_node == meant && !rule.out.contains(&(class as u16))
         });
-        RuleEffect { allow: sets.intern(pairs), place: NONE }
+        RuleEffect { allow: sets.intern(pairs), position: NONE }
     }
 }
 
--- a/crates/rule-compiler/src/lookup.rs
+++ b/crates/rule-compiler/src/lookup.rs
@@ -260,9 +260,11 @@
     }
 
     fn preferred_move(&self, is_ordered: impl Fn(&[u16]) -> bool) -> Option<MoveCondition> {
-        let (rules, own) = (&self.plan.body.rules, &self.plan.index.own);
+        let (rules, rule_effects) = (&self.plan.body.rules, &self.plan.index.rule_effects);
         let preferences = self.of(|effect| effect.moves).filter_map(|at| match &rules[at].form {
-            CompiledForm::MovePreference(when) if is_ordered(&rules[at].out) => Some((own[at].place, *when)),
+            CompiledForm::MovePreference(when) if is_ordered(&rules[at].out) => {
+                Some((rule_effects[at].position, *when))
+            }
             _ => None,
         });
         preferences.min().map(|(_, when)| when)
