--- a/crates/rule-compiler/src/contradiction.rs
+++ b/crates/rule-compiler/src/contradiction.rs
@@ -157,8 +157,8 @@
             let tenants = names(&on.tenants);
             keys.extend(tenants.iter().flat_map(|tenant| classes.iter().map(move |class| (*tenant, *class))));
         }
-        let said = keys.into_iter().map(|key| (key, self.unequal_groups(key)));
-        said.filter(|(_, (groups, none))| *none || !groups.is_empty()).collect()
+        let unequal = keys.into_iter().map(|key| (key, self.unequal_groups(key)));
+        unequal.filter(|(_, (groups, none))| *none || !groups.is_empty()).collect()
     }
 
     fn unequal_groups(&self, key: Key) -> (Vec<GroupRange>, bool) {
@@ -253,11 +253,11 @@
         let (hall, hardware, old_node, new_node) = &self.nodes[at];
         let rule = |plan: &Plan, lookup: &Lookup, node: NodeKey| {
             let requirements: Vec<usize> = lookup.requirements().collect();
-            let speaks = |&&requirement: &&usize| match difference {
+            let explains = |&&requirement: &&usize| match difference {
                 Difference::Node(_) => !plan.index.allows(requirement, node.0),
                 Difference::Limit(is) => is(&plan.body.rules[requirement].form),
             };
-            let requirement = requirements.iter().find(speaks).or(requirements.first());
+            let requirement = requirements.iter().find(explains).or(requirements.first());
             requirement.map_or_else(String::new, |&requirement| plan.index.ids[requirement].to_string())
         };
         Witness {
--- a/crates/rule-compiler/src/effects.rs
+++ b/crates/rule-compiler/src/effects.rs
@@ -164,13 +164,13 @@
         let is_ordering =
             |&&member: &&u32| matches!(self.rules[member as usize].form, CompiledForm::Preference { .. });
         let ordering = members.iter().filter(is_ordering);
-        let mut places: Vec<u32> =
+        let mut positions: Vec<u32> =
             ordering.map(|&member| self.rule_effects[member as usize].position).collect();
-        places.sort_unstable();
+        positions.sort_unstable();
         // A preference for the same nodes as an earlier one doesn't change the order, so it is left out.
         let mut seen = HashSet::with_hasher(FnvBuildHasher::default());
-        places.retain(|&place| seen.insert(self.preferences[place as usize]));
-        self.list(&places, |_| true)
+        positions.retain(|&position| seen.insert(self.preferences[position as usize]));
+        self.list(&positions, |_| true)
     }
 
     fn list(&mut self, members: &[u32], which: impl Fn(&u32) -> bool) -> Span {
--- a/crates/rule-compiler/src/lookup.rs
+++ b/crates/rule-compiler/src/lookup.rs
@@ -102,10 +102,10 @@
         let before = self.preferences;
         let (mut old, mut new) = (0, 0);
         // Past the end of either list, its next position is NONE, which is above every position.
-        for place in &mut self.preferences {
+        for position in &mut self.preferences {
             let (a, b) = (before[old], span.get(new).copied().unwrap_or(NONE));
-            *place = a.min(b);
-            if *place == NONE {
+            *position = a.min(b);
+            if *position == NONE {
                 break;
             }
             (old, new) = if a < b { (old + 1, new) } else { (old, new + 1) };
@@ -162,8 +162,8 @@
     pub fn rank_key(&self, node: NodeKey) -> u32 {
         let index = &self.plan.index;
         let preferences = self.preferences[..self.preference_count].iter();
-        let rank = preferences.fold(0, |rank, &place| {
-            rank << 1 | u32::from(!index.sets.contains(index.preferences[place as usize], node.0))
+        let rank = preferences.fold(0, |rank, &position| {
+            rank << 1 | u32::from(!index.sets.contains(index.preferences[position as usize], node.0))
         });
         rank << 1 | u32::from(self.is_outside_group_hall(node))
     }
--- a/crates/rule-compiler/tests/compile.rs
+++ b/crates/rule-compiler/tests/compile.rs
@@ -148,15 +148,15 @@
             for node in &known {
                 prop_assert_eq!(lookup.allows(node), allowed(&book, &request, node), "{:?} on {:?}", request, node);
                 prop_assert_eq!(lookup.allows(node), lookup.allows_key(compiled.plan.node_key(node)));
-                let said = effective(&book, &request, node);
-                prop_assert_eq!(lookup.allows(node), said.allowed);
-                prop_assert_eq!((lookup.attempts(), lookup.spread()), (said.attempts, said.spread));
-                prop_assert_eq!((lookup.move_when(), lookup.move_when_on(node)), (said.move_when, said.move_when));
-                prop_assert_eq!((lookup.has_requirements(), lookup.uncertainty_policy()), (said.has_requirements, said.uncertainty_policy));
+                let reference = effective(&book, &request, node);
+                prop_assert_eq!(lookup.allows(node), reference.allowed);
+                prop_assert_eq!((lookup.attempts(), lookup.spread()), (reference.attempts, reference.spread));
+                prop_assert_eq!((lookup.move_when(), lookup.move_when_on(node)), (reference.move_when, reference.move_when));
+                prop_assert_eq!((lookup.has_requirements(), lookup.uncertainty_policy()), (reference.has_requirements, reference.uncertainty_policy));
                 let caps = lookup.caps().filter(|(_, _, nodes)| nodes.contains(node)).map(|(_, cap, _)| cap);
                 let caps: BTreeSet<u64> = caps.collect();
-                prop_assert_eq!(caps, said.caps.into_iter().map(|(_, cap)| cap).collect::<BTreeSet<_>>());
-                let unsatisfied_by: Vec<bool> = said.preferences.iter().map(|(_, satisfied)| !satisfied).collect();
+                prop_assert_eq!(caps, reference.caps.into_iter().map(|(_, cap)| cap).collect::<BTreeSet<_>>());
+                let unsatisfied_by: Vec<bool> = reference.preferences.iter().map(|(_, satisfied)| !satisfied).collect();
                 prop_assert_eq!(unsatisfied_by, unsatisfied_preferences(&book, &request, node));
                 for other in &known {
                     let order = unsatisfied_preferences(&book, &request, node).cmp(&unsatisfied_preferences(&book, &request, other));
