--- a/crates/rule-compiler/src/contradiction.rs
+++ b/crates/rule-compiler/src/contradiction.rs
@@ -1,4 +1,4 @@
-//! Whether two plans may be acted on at once.
+//! Finds out whether proxies may act on two plans at the same time.
 
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
@@ -10,64 +10,67 @@
 use crate::plan::Plan;
 use crate::plan_body::{CompiledForm, CompiledRule};
 
-/// A request and a node on which two plans differ, and a requirement of each that concerns it. The name of a requirement is empty on the
-/// side that has none to show.
+/// A request and a node on which two plans differ, with a requirement of each plan that matches the request. The
+/// requirement's name is empty for a plan without a matching requirement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Witness {
     /// The request's tenant.
     pub tenant: Option<String>,
-    /// Its class.
+    /// The request's class.
     pub class: String,
-    /// Its group.
+    /// The request's group.
     pub group: Option<u64>,
     /// The node's hall.
     pub hall: String,
     /// The node's hardware class.
     pub hardware: String,
-    /// The old plan's must, as `namespace:name`.
+    /// The old plan's requirement, as `namespace:name`.
     pub old_rule: String,
-    /// The new plan's must, as `namespace:name`.
+    /// The new plan's requirement, as `namespace:name`.
     pub new_rule: String,
 }
 
-/// Finds a request that the requirements of two plans differ on: a node that one allows and the other forbids, or a bound that
-/// only one has or that is another. It is symmetric: which of two plans is the newer doesn't matter, as either may be acted
-/// on by a process that the other has left behind. Preferences never contradict.
+/// Finds a request for which the requirements of two plans differ: one plan allows a node that the other forbids, or a bound
+/// exists in one plan only or has another value. Swapping the plans doesn't change whether a request is found, because a
+/// process that lags behind may still act on either of them. Preferences never contradict.
 ///
-/// It is exact: requests fall into finitely many cells, which the names and the ends of intervals in either plan bound, and
-/// only cells that a changed must speaks of can differ.
+/// The search is exact. The names and the interval bounds in either plan divide the requests into finitely many cells, and
+/// only cells that a changed requirement matches can differ.
 pub fn contradiction(old: &Plan, new: &Plan) -> Option<Witness> {
     if old.hash() == new.hash() {
         return None;
     }
-    Search::new(old, new).witness_in()
+    Search::new(old, new).find_witness()
 }
 
-/// A tenant or any, and a class or any.
+/// A tenant and a class; `None` means any.
 type Key<'a> = (Option<&'a str>, Option<&'a str>);
-/// Where the slots of both plans say different things: by key, the groups, and whether requests without one too.
-type Unequal<'a> = Vec<(Key<'a>, (Vec<GroupRange>, bool))>;
+/// The keys whose slots have different effects in the two plans, each with the groups for which the effects differ and
+/// whether they also differ for requests without a group.
+type UnequalSlots<'a> = Vec<(Key<'a>, (Vec<GroupRange>, bool))>;
 
-/// How two lookups differ.
+/// How two lookups differ: on the node with this index, or in a limit of rules of the matching form.
 enum Difference {
-    At(usize),
-    Number(fn(&CompiledForm) -> bool),
+    Node(usize),
+    Limit(fn(&CompiledForm) -> bool),
 }
 
 struct Search<'a> {
     old: &'a Plan,
     new: &'a Plan,
-    /// Every hall and class of either plan, and one that is in neither, as the plans know them.
+    /// Every hall and hardware class of either plan, and one of each that is in neither plan, with the node's key in the
+    /// old and in the new plan.
     nodes: Vec<(String, String, NodeKey, NodeKey)>,
     other_class: String,
-    /// Whether both plans number the pairs of halls and classes alike.
-    alike: bool,
-    /// Every hardware class of either plan, with its place in each; past the last if it is in none.
+    /// Whether both plans number the pairs of halls and classes in the same way.
+    same_pair_numbers: bool,
+    /// The index of every hardware class in the old and in the new plan, and of one class that is in neither. The index of
+    /// a class that a plan doesn't list is one past the plan's last class.
     hardware: Vec<(u16, u16)>,
 }
 
-/// A name that none of these are.
-fn other(names: &BTreeSet<&str>) -> String {
+/// A name that isn't in the set.
+fn unused_name(names: &BTreeSet<&str>) -> String {
     let mut name = String::from("other");
     while names.contains(name.as_str()) {
         name.push('-');
@@ -82,7 +85,7 @@
             both.iter().flat_map(|index| index.halls.keys()).map(|name| &**name).collect();
         let classes: BTreeSet<&str> =
             both.iter().flat_map(|index| index.hardware.keys()).map(|name| &**name).collect();
-        let (other_hall, other_hardware) = (other(&halls), other(&classes));
+        let (other_hall, other_hardware) = (unused_name(&halls), unused_name(&classes));
         let mut nodes = Vec::new();
         for hall in halls.iter().copied().chain([other_hall.as_str()]) {
             for hardware in classes.iter().copied().chain([other_hardware.as_str()]) {
@@ -97,12 +100,13 @@
         let hardware = hardware.map(|name| (place(old, name), place(new, name))).collect();
         let classes: BTreeSet<&str> =
             both.iter().flat_map(|index| index.classes.keys()).map(|name| &**name).collect();
-        let other_class = other(&classes);
-        let alike = old.index.halls == new.index.halls && old.index.hardware == new.index.hardware;
-        Self { old, new, nodes, other_class, alike, hardware }
+        let other_class = unused_name(&classes);
+        let same_pair_numbers =
+            old.index.halls == new.index.halls && old.index.hardware == new.index.hardware;
+        Self { old, new, nodes, other_class, same_pair_numbers, hardware }
     }
 
-    /// What the requirements are on that only one plan has, or that differ.
+    /// The selectors of the requirements that only one plan has or that differ between the plans.
     fn changed(&self) -> Vec<&'a Selector> {
         let requirements = |plan: &'a Plan| -> Vec<&'a CompiledRule> {
             plan.body.rules.iter().filter(|rule| !rule.form.is_preference()).collect()
@@ -128,7 +132,8 @@
         }
     }
 
-    /// Whether two requirements of one name do the same in both plans, which may list other classes.
+    /// Whether two requirements of the same name have the same effect. The two plans may list different classes, so class
+    /// indices are compared by the classes that they stand for.
     fn same(&self, a: &CompiledRule, b: &CompiledRule) -> bool {
         let form = match (&a.form, &b.form) {
             (
@@ -140,9 +145,9 @@
         form && a.on == b.on && self.hardware.iter().all(|(x, y)| a.out.contains(x) == b.out.contains(y))
     }
 
-    /// The slots that a changed must is in, as far as what they say by themselves isn't the same. Only they matter: where two
-    /// slots say the same, adding both to what else is said changes nothing about whether it is the same.
-    fn unequal(&self) -> Unequal<'a> {
+    /// The slots of changed requirements whose own effects differ between the plans. Slots with equal effects need no
+    /// search: combining equal effects with other effects can't cause a difference.
+    fn unequal_slots(&self) -> UnequalSlots<'a> {
         let mut keys: BTreeSet<Key> = BTreeSet::new();
         let names = |set: &'a BTreeSet<String>| -> Vec<Option<&'a str>> {
             if set.is_empty() { vec![None] } else { set.iter().map(|name| Some(name.as_str())).collect() }
@@ -152,11 +157,11 @@
             let tenants = names(&on.tenants);
             keys.extend(tenants.iter().flat_map(|tenant| classes.iter().map(move |class| (*tenant, *class))));
         }
-        let said = keys.into_iter().map(|key| (key, self.unequal_in(key)));
-        said.filter(|(_, (groups, none))| *none || !groups.is_empty()).collect()
+        let unequal = keys.into_iter().map(|key| (key, self.unequal_groups(key)));
+        unequal.filter(|(_, (groups, none))| *none || !groups.is_empty()).collect()
     }
 
-    fn unequal_in(&self, key: Key) -> (Vec<GroupRange>, bool) {
+    fn unequal_groups(&self, key: Key) -> (Vec<GroupRange>, bool) {
         let slots = [self.old, self.new].map(|plan| slot(plan, key));
         let differ = |group: Option<u64>| {
             let [old, new] = [(self.old, slots[0]), (self.new, slots[1])]
@@ -173,17 +178,17 @@
         (ranges.filter(|range| differ(Some(range.first))).collect(), differ(None))
     }
 
-    /// A request that the plans differ on. The cell of each unequal slot is looked at; any other is equal if these are, as it
-    /// is what the cells of fewer names say together, and nothing more.
-    fn witness_in(&self) -> Option<Witness> {
-        self.unequal().into_iter().find_map(|((tenant, class), (ranges, none))| {
+    /// A request for which the plans differ. Only the cells of unequal slots are searched. The effect in any other cell is
+    /// the combination of the effects in cells with fewer names, so it is equal if those are.
+    fn find_witness(&self) -> Option<Witness> {
+        self.unequal_slots().into_iter().find_map(|((tenant, class), (ranges, none))| {
             let name = class.unwrap_or(&self.other_class);
             let groups = self.groups(tenant, class, &ranges, none);
             groups.into_iter().find_map(|group| self.differs(&Request { tenant, class: name, group }))
         })
     }
 
-    /// One group for each interval within some ranges on which nothing changes for this tenant and class.
+    /// One group of each interval within the ranges on which both plans' effects are constant for this tenant and class.
     fn groups(
         &self,
         tenant: Option<&str>,
@@ -214,45 +219,45 @@
 
     fn difference(&self, old: &Lookup, new: &Lookup) -> Option<Difference> {
         let differs = |node: &(_, _, NodeKey, NodeKey)| old.allows_key(node.2) != new.allows_key(node.3);
-        if !(self.alike && old.allows_as(new))
+        if !(self.same_pair_numbers && old.allows_as(new))
             && let Some(at) = self.nodes.iter().position(differs)
         {
-            return Some(Difference::At(at));
+            return Some(Difference::Node(at));
         }
         if old.attempts() != new.attempts() {
-            return Some(Difference::Number(|form| matches!(form, CompiledForm::Attempts(_))));
+            return Some(Difference::Limit(|form| matches!(form, CompiledForm::Attempts(_))));
         }
         if old.spread() != new.spread() {
-            return Some(Difference::Number(|form| matches!(form, CompiledForm::Spread { .. })));
+            return Some(Difference::Limit(|form| matches!(form, CompiledForm::Spread { .. })));
         }
         if sorted(old.paces()) != sorted(new.paces()) {
-            return Some(Difference::Number(|form| matches!(form, CompiledForm::Pace(_))));
+            return Some(Difference::Limit(|form| matches!(form, CompiledForm::Pace(_))));
         }
         if sorted(old.caps()) != sorted(new.caps()) {
-            return Some(Difference::Number(CompiledForm::is_connection_limit));
+            return Some(Difference::Limit(CompiledForm::is_connection_limit));
         }
         let moves = |a, b| old.required_move_at(a) != new.required_move_at(b);
         if self.hardware.iter().any(|&(a, b)| moves(a, b)) {
-            return Some(Difference::Number(|form| matches!(form, CompiledForm::Move { .. })));
+            return Some(Difference::Limit(|form| matches!(form, CompiledForm::Move { .. })));
         }
         None
     }
 
     fn witness(&self, request: &Request, old: &Lookup, new: &Lookup, difference: &Difference) -> Witness {
-        // A number is shown on a node that the requirements allow, if they allow any.
+        // The witness for a differing number is a node that the requirements allow, if they allow any.
         let allowed = || self.nodes.iter().position(|node| old.allows_key(node.2));
         let at = match difference {
-            Difference::At(at) => *at,
-            Difference::Number(_) => allowed().unwrap_or(0),
+            Difference::Node(at) => *at,
+            Difference::Limit(_) => allowed().unwrap_or(0),
         };
         let (hall, hardware, old_node, new_node) = &self.nodes[at];
         let rule = |plan: &Plan, lookup: &Lookup, node: NodeKey| {
             let requirements: Vec<usize> = lookup.requirements().collect();
-            let speaks = |&&requirement: &&usize| match difference {
-                Difference::At(_) => !plan.index.allows(requirement, node.0),
-                Difference::Number(is) => is(&plan.body.rules[requirement].form),
+            let explains = |&&requirement: &&usize| match difference {
+                Difference::Node(_) => !plan.index.allows(requirement, node.0),
+                Difference::Limit(is) => is(&plan.body.rules[requirement].form),
             };
-            let requirement = requirements.iter().find(speaks).or(requirements.first());
+            let requirement = requirements.iter().find(explains).or(requirements.first());
             requirement.map_or_else(String::new, |&requirement| plan.index.ids[requirement].to_string())
         };
         Witness {
@@ -267,7 +272,7 @@
     }
 }
 
-/// The slot of a plan that a key names, if it has rules.
+/// The plan's slot for a key, if the slot has rules.
 fn slot(plan: &Plan, (tenant, class): Key) -> Option<Slot> {
     let number = |names: &Names, name: Option<&str>| match name {
         Some(name) => names.get(name).copied(),
--- a/crates/rule-compiler/src/effects.rs
+++ b/crates/rule-compiler/src/effects.rs
@@ -1,4 +1,4 @@
-//! The combined effect of a set of rules, computed once for each set that occurs.
+//! The combined effect of a set of rules, computed once for each distinct set.
 
 use std::collections::{HashMap, HashSet};
 
@@ -9,31 +9,31 @@
 use crate::groups::NONE;
 use crate::plan_body::{CompiledForm, CompiledRule};
 
-/// A run of [`Effects::lists`].
+/// The start and the length of a slice of [`Effects::lists`].
 pub(crate) type Span = (u32, u32);
 
 /// The combined effect of some rules.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Effect {
-    /// The pairs that the requirements allow, or [`NONE`]: they allow all.
+    /// The pairs that the requirements allow, or [`NONE`] if they allow all pairs.
     pub allow: SetId,
     pub attempts: Option<u32>,
     pub spread: Option<u32>,
     pub uncertainty_policy: Option<UncertaintyPolicy>,
-    /// The requirements.
+    /// The indices of the requirements.
     pub requirements: Span,
-    /// Those of them that limit standing connections.
+    /// The indices of the requirements that limit established connections.
     pub limits: Span,
-    /// Those of them that are spreads.
+    /// The indices of the requirements that are counted spreads.
     pub counted: Span,
     pub paces: Span,
-    /// Requirements and preferences.
+    /// The indices of the requirements and preferences about moving connections.
     pub moves: Span,
-    /// Places among all preferences of those that order nodes, the first first.
+    /// The positions, among all preferences, of the preferences that order nodes, in ascending order.
     pub preferences: Span,
 }
 
-/// Every effect that occurs.
+/// The effects of all distinct sets of rules.
 #[derive(Debug, Default)]
 pub(crate) struct Effects {
     pub all: Vec<Effect>,
@@ -50,28 +50,28 @@
     }
 }
 
-/// What a rule does by itself, as far as pairs and order go.
+/// The effect of one rule on its own: the pairs that it allows, and its position among the preferences.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RuleEffect {
-    /// The pairs that it allows, or [`NONE`].
+    /// The pairs that the rule allows, or [`NONE`] if it allows all pairs.
     pub allow: SetId,
-    /// Its place among all preferences, or [`NONE`].
-    pub place: u32,
+    /// The rule's position among all preferences, or [`NONE`] for a requirement.
+    pub position: u32,
 }
 
-/// The effects while they are built.
+/// Interns sets of rules and builds [`Effects`].
 pub(crate) struct EffectsBuilder<'a> {
     rules: &'a [CompiledRule],
-    own: &'a [RuleEffect],
-    /// The pairs that each preference is for, by its place.
+    rule_effects: &'a [RuleEffect],
+    /// The pairs that each preference prefers, by the preference's position.
     preferences: &'a [SetId],
     sets: &'a mut SetsBuilder,
     effects: Effects,
-    known: HashMap<Box<[u32]>, u32, FnvBuildHasher>,
+    ids: HashMap<Box<[u32]>, u32, FnvBuildHasher>,
     max_bytes: usize,
 }
 
-/// The lesser of two bounds, either of which may be missing.
+/// The lower of two optional bounds.
 pub(crate) fn least(a: Option<u32>, b: Option<u32>) -> Option<u32> {
     match (a, b) {
         (Some(a), Some(b)) => Some(a.min(b)),
@@ -82,49 +82,49 @@
 impl<'a> EffectsBuilder<'a> {
     pub(crate) fn new(
         rules: &'a [CompiledRule],
-        own: &'a [RuleEffect],
+        rule_effects: &'a [RuleEffect],
         preferences: &'a [SetId],
         sets: &'a mut SetsBuilder,
         max_bytes: usize,
     ) -> Self {
         Self {
             rules,
-            own,
+            rule_effects,
             preferences,
             sets,
             effects: Effects::default(),
-            known: HashMap::default(),
+            ids: HashMap::default(),
             max_bytes,
         }
     }
 
-    /// The effects, unless they take too many bytes; then what was numbered means nothing.
+    /// The effects, or `None` if they exceed the limit on bytes. In that case the ids that were handed out are invalid.
     pub(crate) fn finish(self) -> Option<Effects> {
         (!self.is_full()).then_some(self.effects)
     }
 
-    /// Whether the effects take more bytes than they may.
+    /// Whether the effects exceed the limit on bytes.
     pub(crate) fn is_full(&self) -> bool {
         self.effects.bytes() + self.sets.sets().bytes() > self.max_bytes
     }
 
-    /// The number of the effect of these rules, which are sorted.
-    pub(crate) fn of(&mut self, members: &[u32]) -> u32 {
-        // Nothing more is added past the bound, which one slot alone could pass by far.
+    /// Interns the effect of these rules and returns its id. The rules must be sorted.
+    pub(crate) fn intern(&mut self, members: &[u32]) -> u32 {
+        // Nothing is added past the limit, because one slot alone could exceed it by far.
         if self.is_full() {
             return NONE;
         }
-        if let Some(&id) = self.known.get(members) {
+        if let Some(&id) = self.ids.get(members) {
             return id;
         }
         let id = self.effects.all.len() as u32;
         let effect = self.combine(members);
         self.effects.all.push(effect);
-        self.known.insert(members.into(), id);
+        self.ids.insert(members.into(), id);
         id
     }
 
-    /// The combined effect of these rules.
+    /// Computes the combined effect of these rules.
     fn combine(&mut self, members: &[u32]) -> Effect {
         let rules = self.rules;
         let form = |&member: &u32| &rules[member as usize].form;
@@ -145,10 +145,10 @@
         }
     }
 
-    /// The pairs that all of these rules allow, or [`NONE`]: they allow all.
+    /// The pairs that every one of the rules allows, or [`NONE`] if the rules allow all pairs.
     fn allowed_pairs(&mut self, members: &[u32]) -> SetId {
         let mut allowed: Option<Vec<u64>> = None;
-        let allows = members.iter().map(|&member| self.own[member as usize].allow);
+        let allows = members.iter().map(|&member| self.rule_effects[member as usize].allow);
         for allow in allows.filter(|allow| *allow != NONE) {
             let words = self.sets.sets().words(allow);
             match &mut allowed {
@@ -159,17 +159,18 @@
         allowed.map_or(NONE, |words| self.sets.intern_words(words))
     }
 
-    /// The places of the preferences that order nodes, the first first.
+    /// The positions of the preferences that order nodes, in ascending order.
     fn ordering_preferences(&mut self, members: &[u32]) -> Span {
         let is_ordering =
             |&&member: &&u32| matches!(self.rules[member as usize].form, CompiledForm::Preference { .. });
         let ordering = members.iter().filter(is_ordering);
-        let mut places: Vec<u32> = ordering.map(|&member| self.own[member as usize].place).collect();
-        places.sort_unstable();
-        // A preference for the same nodes as one before it tells no two nodes apart.
+        let mut positions: Vec<u32> =
+            ordering.map(|&member| self.rule_effects[member as usize].position).collect();
+        positions.sort_unstable();
+        // A preference for the same nodes as an earlier one doesn't change the order, so it is left out.
         let mut seen = HashSet::with_hasher(FnvBuildHasher::default());
-        places.retain(|&place| seen.insert(self.preferences[place as usize]));
-        self.list(&places, |_| true)
+        positions.retain(|&position| seen.insert(self.preferences[position as usize]));
+        self.list(&positions, |_| true)
     }
 
     fn list(&mut self, members: &[u32], which: impl Fn(&u32) -> bool) -> Span {
--- a/crates/rule-compiler/tests/compile.rs
+++ b/crates/rule-compiler/tests/compile.rs
@@ -1,4 +1,4 @@
-//! What a plan says against a plain reading of the book.
+//! Compares compiled plans with a naive evaluation of the book.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -18,7 +18,7 @@
 use cottonnotch_rule_compiler::{Execution, Lookup, Plan, Profiles, compile};
 use proptest::prelude::*;
 
-/// What has to hold of a lookup, whatever the profiles.
+/// Checks that a lookup is at least as strict as the book. This must hold for all profiles.
 fn never_looser(book: &Book, request: &Request, lookup: &Lookup) -> Result<(), TestCaseError> {
     let matching = requirements(book, request);
     prop_assert_eq!(lookup.has_requirements(), !matching.is_empty());
@@ -62,9 +62,10 @@
     Ok(())
 }
 
-/// Puts connections of a group on nodes as long as a plan lets it, seeing only what the classes let be seen: which nodes the
-/// group is on where groups are kept, and how many connections it has where loads are told. Gives how many nodes it is on.
-fn crowd(lookup: &Lookup, profiles: &Profiles, wanted: &[(usize, u8)]) -> usize {
+/// Places connections of a group on the wanted nodes while the plan allows it, and returns how many nodes the group is on.
+/// Only what the classes' features make visible is used: the nodes of the group on classes that keep groups, and its number
+/// of connections on classes that report loads.
+fn place_connections(lookup: &Lookup, profiles: &Profiles, wanted: &[(usize, u8)]) -> usize {
     let all: Vec<Node> = nodes().collect();
     let mut on: Vec<(usize, u8)> = Vec::new();
     for &(node, server) in wanted {
@@ -112,7 +113,7 @@
         let plan = compile(&book, &profiles).plan;
         let bound = spreads.into_iter().min().unwrap_or(0);
         let request = Request { tenant: None, class: "c0", group: Some(3) };
-        prop_assert!(crowd(&plan.lookup(&request), &profiles, &wanted) <= bound as usize);
+        prop_assert!(place_connections(&plan.lookup(&request), &profiles, &wanted) <= bound as usize);
     }
 
     #[test]
@@ -147,18 +148,18 @@
             for node in &known {
                 prop_assert_eq!(lookup.allows(node), allowed(&book, &request, node), "{:?} on {:?}", request, node);
                 prop_assert_eq!(lookup.allows(node), lookup.allows_key(compiled.plan.node_key(node)));
-                let said = effective(&book, &request, node);
-                prop_assert_eq!(lookup.allows(node), said.allowed);
-                prop_assert_eq!((lookup.attempts(), lookup.spread()), (said.attempts, said.spread));
-                prop_assert_eq!((lookup.move_when(), lookup.move_when_on(node)), (said.move_when, said.move_when));
-                prop_assert_eq!((lookup.has_requirements(), lookup.uncertainty_policy()), (said.has_requirements, said.uncertainty_policy));
+                let reference = effective(&book, &request, node);
+                prop_assert_eq!(lookup.allows(node), reference.allowed);
+                prop_assert_eq!((lookup.attempts(), lookup.spread()), (reference.attempts, reference.spread));
+                prop_assert_eq!((lookup.move_when(), lookup.move_when_on(node)), (reference.move_when, reference.move_when));
+                prop_assert_eq!((lookup.has_requirements(), lookup.uncertainty_policy()), (reference.has_requirements, reference.uncertainty_policy));
                 let caps = lookup.caps().filter(|(_, _, nodes)| nodes.contains(node)).map(|(_, cap, _)| cap);
                 let caps: BTreeSet<u64> = caps.collect();
-                prop_assert_eq!(caps, said.caps.into_iter().map(|(_, cap)| cap).collect::<BTreeSet<_>>());
-                let unwished_by: Vec<bool> = said.preferences.iter().map(|(_, satisfied)| !satisfied).collect();
-                prop_assert_eq!(unwished_by, unwished(&book, &request, node));
+                prop_assert_eq!(caps, reference.caps.into_iter().map(|(_, cap)| cap).collect::<BTreeSet<_>>());
+                let unsatisfied_by: Vec<bool> = reference.preferences.iter().map(|(_, satisfied)| !satisfied).collect();
+                prop_assert_eq!(unsatisfied_by, unsatisfied_preferences(&book, &request, node));
                 for other in &known {
-                    let order = unwished(&book, &request, node).cmp(&unwished(&book, &request, other));
+                    let order = unsatisfied_preferences(&book, &request, node).cmp(&unsatisfied_preferences(&book, &request, other));
                     prop_assert_eq!(lookup.rank(node).cmp(&lookup.rank(other)), order);
                 }
             }
@@ -238,7 +239,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(6))]
 
-    /// So many overlapping ranges that the index keeps trees.
+    /// The rules have enough overlapping ranges that the index uses segment trees.
     #[test]
     fn overlapping_groups_lose_nothing(
         ranges in proptest::collection::vec((0..400u64, 0..400u64, 0..3usize, any::<bool>()), 150),
