--- a/crates/reactor/src/clock.rs
+++ b/crates/reactor/src/clock.rs
@@ -1,11 +1,11 @@
-//! The loop's clock.
+//! The clock of the event loop.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = i64;
 
-/// A monotonic clock that reads `base` at its start.
+/// A monotonic clock that shows the time `base` at the instant `started`.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
@@ -13,23 +13,23 @@
 }
 
 impl Clock {
-    /// Unix time, taken once and then advanced by the monotonic clock: it never goes back, and differs from Unix time once the
-    /// wall clock was stepped.
+    /// Starts at the current Unix time and advances with the monotonic clock. The clock never goes backwards; after the wall
+    /// clock is stepped, the two differ.
     pub fn unix() -> Self {
         Clock { started: Instant::now(), base: Self::wall_now() }
     }
 
-    /// Reads `base` at that moment: loops that are given the same share their time.
+    /// Creates a clock that shows `base` at `started`. Event loops with the same arguments have the same time.
     pub fn starting_at(started: Instant, base: Micros) -> Self {
         Clock { started, base }
     }
 
-    /// What the machine's wall clock shows now, in Unix time. It may be stepped, either way.
+    /// Returns the Unix time of the machine's wall clock, which may be stepped forwards or backwards.
     pub fn wall_now() -> Micros {
         SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as Micros)
     }
 
-    /// The present time.
+    /// Returns the current time.
     pub fn now(&self) -> Micros {
         self.base + self.started.elapsed().as_micros() as Micros
     }
--- a/crates/reactor/src/http.rs
+++ b/crates/reactor/src/http.rs
@@ -1,25 +1,25 @@
-//! A streamed HTTP/1.1 response, fed as it comes: the head by httparse, then the body as it is framed, in chunks, by a
-//! length or by the connection's end. It may be split anywhere, within a chunk's size line too.
+//! An incremental parser for HTTP/1.1 responses, without I/O. httparse parses the head; the body is chunked, has a
+//! Content-Length, or ends when the connection closes. The input may be split at any byte, also within a chunk's size line.
 
-/// A response head is not longer.
+/// Maximum length of a response head or of a chunk's size line, in bytes.
 const MAX_HEAD: usize = 16 * 1024;
 
-/// Why the response cannot be read on.
+/// The reason why parsing of a response stopped.
 #[derive(Debug, thiserror::Error)]
 pub enum ResponseError {
-    /// The head can't be parsed.
+    /// The head is not valid HTTP.
     #[error("the response cannot be read: {0}")]
     Malformed(#[from] httparse::Error),
     /// The status is not 200.
     #[error("the response is answered {0}")]
     Status(u16),
-    /// The body's length is no number, or comes beside chunks.
+    /// The Content-Length is not a number, or the combination of framing headers is not supported.
     #[error("the response's length cannot be read")]
     BadLength,
-    /// The chunking is broken.
+    /// A chunk's size line or the line end after its data is invalid.
     #[error("a chunk's size or end cannot be read")]
     BadChunk,
-    /// The head is longer than its bound.
+    /// The head or a chunk's size line is longer than `MAX_HEAD`.
     #[error("the response's head is too long")]
     TooLong,
     /// The whole response was received.
@@ -33,13 +33,13 @@
     Size,
     Data(u64),
     DataEnd,
-    /// Within a body of a known length, of which so many bytes are to come.
+    /// In a body of known length; holds the number of remaining bytes.
     Left(u64),
-    /// Within a body that the connection's end delimits.
+    /// In a body that ends when the connection closes.
     UntilClose,
 }
 
-/// Reads a response's body.
+/// Parses a response and extracts its body.
 #[derive(Debug)]
 pub struct StreamedResponse {
     state: State,
@@ -53,12 +53,12 @@
 }
 
 impl StreamedResponse {
-    /// Before the first byte.
+    /// Creates a parser that has received no bytes.
     pub fn new() -> Self {
         StreamedResponse { state: State::Head, raw: Vec::new() }
     }
 
-    /// Takes bytes as they arrived and appends what they hold of the body to `body`, also what preceded an error.
+    /// Parses received bytes and appends their part of the response body to `body`, including the part before an error.
     pub fn feed(&mut self, bytes: &[u8], body: &mut Vec<u8>) -> Result<(), ResponseError> {
         self.raw.extend_from_slice(bytes);
         loop {
@@ -109,12 +109,12 @@
         }
     }
 
-    /// Whether the head is complete.
+    /// Whether the whole head has been received.
     pub fn has_head(&self) -> bool {
         !matches!(self.state, State::Head)
     }
 
-    /// Appends at most `left` bytes to the body; returns how many, and how many are then left to come.
+    /// Appends at most `left` bytes to the body. Returns the number of bytes appended and the number that remain.
     fn forward_body(&self, left: u64, body: &mut Vec<u8>) -> (usize, u64) {
         let taken = self.raw.len().min(usize::try_from(left).unwrap_or(usize::MAX));
         body.extend_from_slice(&self.raw[..taken]);
--- a/crates/reactor/src/http_server.rs
+++ b/crates/reactor/src/http_server.rs
@@ -1,49 +1,49 @@
-//! HTTP/1.1 as a server sees it, without I/O: one request, fed as it arrives and split anywhere, and its response. httparse
-//! parses the head; here are the bounds, and the body.
+//! The server side of HTTP/1.1, without I/O: an incremental parser for one request, whose input may be split at any byte, and
+//! the serialization of its response. httparse parses the head; this module enforces the size limits and reads the body.
 
-/// A request's head is not longer.
+/// Maximum length of a request head, in bytes.
 const MAX_HEAD: usize = 8 * 1024;
-/// Nor has it more headers.
+/// Maximum number of headers in a request.
 const MAX_HEADERS: usize = 64;
-/// No body is longer.
+/// Maximum length of a request body, in bytes.
 pub const MAX_BODY: usize = 1024;
 
 /// A complete request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// `GET`, `POST`, ..., as it came.
+    /// The method as received, for example `GET` or `POST`.
     pub method: String,
-    /// The target's path, without a query.
+    /// The path of the request target, without the query.
     pub path: String,
-    /// The body; empty where there is none.
+    /// The body; empty if the request has none.
     pub body: Vec<u8>,
 }
 
-/// Why a request is rejected; [`BadRequest::status`] is the response.
+/// The reason why a request is rejected. [`BadRequest::status`] is the status code of the response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BadRequest {
-    /// It can't be parsed, or says two things at once.
+    /// The request cannot be parsed, or has contradictory Content-Length headers.
     #[error("the call cannot be read")]
     Malformed,
-    /// The head has no end within its bound.
+    /// The head exceeds `MAX_HEAD` or `MAX_HEADERS`.
     #[error("the head is longer than {MAX_HEAD} bytes or {MAX_HEADERS} headers")]
     HeadTooLong,
-    /// The body would be longer than its bound.
+    /// The Content-Length exceeds [`MAX_BODY`].
     #[error("the body is longer than {MAX_BODY} bytes")]
     BodyTooLong,
-    /// The body comes in a way that is not read here.
+    /// The request has a Transfer-Encoding, which is not supported.
     #[error("a body must come whole, with its length")]
     Encoded,
-    /// The client expects to be asked to go on (RFC 9110, section 10.1.1).
+    /// The request has an Expect header (RFC 9110, section 10.1.1), which is not supported.
     #[error("no expectation is met")]
     Expectation,
-    /// The request was not complete in its time.
+    /// The request was not complete before the time-out.
     #[error("the call did not come in time")]
     Late,
 }
 
 impl BadRequest {
-    /// The status code that says so (RFC 9110, section 15; RFC 6585, section 5).
+    /// Returns the status code for this error (RFC 9110, section 15; RFC 6585, section 5).
     pub fn status(&self) -> u16 {
         match self {
             BadRequest::Malformed => 400,
@@ -56,7 +56,7 @@
     }
 }
 
-/// A request's head.
+/// The parsed parts of a request head that are used.
 #[derive(Debug)]
 struct Head {
     method: String,
@@ -64,7 +64,7 @@
     length: usize,
 }
 
-/// Reads one request. After it, or after an error, nothing more is read.
+/// Parses one request. The reader must not be fed after it has returned a request or an error.
 #[derive(Debug, Default)]
 pub struct RequestReader {
     raw: Vec<u8>,
@@ -72,7 +72,7 @@
 }
 
 impl RequestReader {
-    /// Takes bytes as they arrived; returns the request once it is complete. What follows it is ignored.
+    /// Parses received bytes and returns the request once it is complete. Bytes after the request are ignored.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Request>, BadRequest> {
         self.raw.extend_from_slice(bytes);
         if self.head.is_none() {
@@ -93,7 +93,8 @@
 fn parse_head(raw: &[u8]) -> Result<Option<(usize, Head)>, BadRequest> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
-    // Guards against a head that is read anew with each byte of it: past the bound nobody looks for its end.
+    // Each call parses the head from its start. Limiting the parsed length bounds the cost of a head that arrives
+    // byte by byte.
     let searched = &raw[..raw.len().min(MAX_HEAD)];
     let used = match request.parse(searched) {
         Ok(httparse::Status::Complete(used)) => used,
@@ -114,7 +115,7 @@
             return Err(BadRequest::Expectation);
         } else if is("content-length") {
             let said = read_length(header.value)?;
-            // Guards against two readers of one request that disagree on where it ends (RFC 9112, section 6.3).
+            // With two different lengths, two parsers could disagree on where the request ends (RFC 9112, section 6.3).
             if length.is_some_and(|length| length != said) {
                 return Err(BadRequest::Malformed);
             }
@@ -130,12 +131,12 @@
     if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
         return Err(BadRequest::Malformed);
     }
-    // A length that no number holds is too long, too.
+    // A length that overflows `usize` is too long as well.
     let length = text.parse().unwrap_or(usize::MAX);
     if length > MAX_BODY { Err(BadRequest::BodyTooLong) } else { Ok(length) }
 }
 
-/// The complete response to a request: the connection ends after it.
+/// Serializes a complete response, after which the server closes the connection.
 pub fn response(status: u16, allow: Option<&str>, body: &str) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
--- a/crates/reactor/src/json_stream.rs
+++ b/crates/reactor/src/json_stream.rs
@@ -1,22 +1,22 @@
-//! A stream of JSON texts one after another, each ending where it is complete: neither a line's nor a chunk's end means
-//! anything, and a text may be spread over many lines. No I/O.
+//! Splits a stream of concatenated JSON objects, without I/O. Line ends and chunk ends do not delimit the objects, and an
+//! object may span many lines.
 //!
-//! Where a text ends is found by `serde_json`'s stream, which keeps no values; whoever takes the text reads it with
-//! the parser of his choice. What that costs: a text is looked through twice, and one that comes in many pieces up
-//! to three times more.
+//! `serde_json`'s stream deserializer finds the end of an object without building its value; the caller parses the text
+//! with a parser of its choice. Each text is therefore scanned twice, and a text that arrives in many pieces up to three
+//! times more.
 
 use serde::de::IgnoredAny;
 
-/// A text is not longer: a list of some thirty thousand members.
+/// Maximum length of a JSON text in bytes, enough for a list of about 30,000 members.
 pub const MAX_TEXT: usize = 4 * 1024 * 1024;
 
-/// Why the stream cannot be read on.
+/// The reason why the stream cannot be read any further.
 #[derive(Debug, thiserror::Error)]
 pub enum JsonStreamError {
-    /// It is no JSON object. Line and column are counted from the text's beginning.
+    /// The text is not a JSON object. Line and column are relative to the start of the text.
     #[error("it is not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// The text is longer than its bound.
+    /// The text is longer than [`MAX_TEXT`].
     #[error("a JSON text of over {MAX_TEXT} bytes")]
     TooLong,
 }
@@ -24,21 +24,21 @@
 /// Splits a stream of bytes into JSON objects.
 #[derive(Debug, Default)]
 pub struct JsonStream {
-    /// From the beginning of the text that is not complete yet.
+    /// The received part of a text that is not complete yet.
     buffer: Vec<u8>,
-    /// The last byte that is no blank closed an object.
+    /// Whether the last byte other than whitespace was a closing brace.
     ends_with_object: bool,
-    /// Length of the buffer when it was last searched in vain.
+    /// Length of the buffer after it was last searched for complete texts.
     searched: usize,
 }
 
 impl JsonStream {
-    /// Before the first byte.
+    /// Creates a stream that has received no bytes.
     pub fn new() -> Self {
         JsonStream::default()
     }
 
-    /// Takes bytes as they arrived and appends the texts that are complete now. Those before an error are appended too.
+    /// Adds received bytes and appends all texts that are now complete to `texts`, including those before an error.
     pub fn feed(&mut self, bytes: &[u8], texts: &mut Vec<Vec<u8>>) -> Result<(), JsonStreamError> {
         let bytes = if self.buffer.is_empty() { bytes.trim_ascii_start() } else { bytes };
         self.buffer.extend_from_slice(bytes);
@@ -48,13 +48,14 @@
         if self.buffer.len() > MAX_TEXT { Err(JsonStreamError::TooLong) } else { Ok(()) }
     }
 
-    /// Whether a text has begun and is not complete.
+    /// Whether the buffer holds the start of an incomplete text.
     pub fn has_partial_text(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Guards against a search through a long text with each piece of it: one is due when an object may have ended, which a
-    /// comma or another bracket behind it rules out, or when twice as much is there as the last time.
+    /// Whether to search the buffer for a complete text. Searching a long text with every piece would take quadratic time, so
+    /// a search is done only if an object may have ended (its closing brace is not followed by a comma or another closing
+    /// bracket), or if the buffer has doubled since the last search.
     fn may_be_complete(&mut self, bytes: &[u8]) -> bool {
         let mut ended = false;
         for byte in bytes.iter().filter(|byte| !byte.is_ascii_whitespace()) {
@@ -71,7 +72,7 @@
             let rest = &self.buffer[used..];
             let begin = rest.len() - rest.trim_ascii_start().len();
             let rest = &rest[begin..];
-            // Only objects show by themselves where they end: of a number more digits may come.
+            // Only objects are accepted, as they are self-delimiting: a number could continue with more digits.
             if rest.first().is_some_and(|first| *first != b'{') {
                 fault = serde_json::from_slice::<serde_json::Map<String, serde_json::Value>>(rest).err();
                 break;
@@ -99,8 +100,8 @@
     }
 }
 
-/// The text only ends within a number so far: after its sign, its point or the `e`. Guards against a piece that ends right
-/// there: what skips values in `serde_json` calls that a bad number, and not a text whose end is missing.
+/// Whether the text ends within a number, for example after its sign, its decimal point or its `e`. When `serde_json` skips
+/// values, it reports such a text as an invalid number instead of an unexpected end of input.
 fn is_cut_within_a_number(text: &[u8]) -> bool {
     let is_figure = |byte: &u8| matches!(byte, b'0'..=b'9' | b'+' | b'-' | b'.' | b'e' | b'E');
     let before = &text[..text.len() - text.iter().rev().take_while(|byte| is_figure(byte)).count()];
--- a/crates/reactor/src/json_stream_tests.rs
+++ b/crates/reactor/src/json_stream_tests.rs
@@ -1,4 +1,4 @@
-//! Texts in a stream of bytes, wherever the pieces' borders fall.
+//! Splitting a byte stream into JSON texts, independent of how the stream is divided into pieces.
 
 use super::*;
 use proptest::prelude::*;
@@ -17,7 +17,8 @@
     assert_eq!(found, [indented, "{}", "{\"a\":[]}"]);
 }
 
-/// Found on short days: a piece that ended right behind the point of `"size":1.25` cost the watch, and with it a drain.
+/// Guards against rejecting a piece that ends directly after the decimal point of `"size":1.25`: the error closed the watch,
+/// so that a drain was missed.
 #[test]
 fn a_truncated_text_is_incomplete() {
     let complete = br#"{"a":-1.25e-3,"b":[1.0,2E+7,-0.5,-7],"c":"\u00e9\n","d":[true,false,null],"e":0}"#;
@@ -70,7 +71,7 @@
 }
 
 proptest! {
-    /// Wherever the pieces' borders fall, the same texts come, and any bytes are taken without a panic.
+    /// Any division of the stream into pieces gives the same texts.
     #[test]
     fn any_split_gives_the_same_texts(
         values in prop::collection::vec(("[a-z{}\\[\\],\\\\\" \n]{0,8}", -9.0_f64..9.0, any::<bool>()), 0..6),
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -1,5 +1,6 @@
-//! An event loop on mio: connections are objects with callbacks, and no thread or task is started for one. Lines, HTTP and JSON
-//! streams on non-blocking sockets. It knows nothing of proxies: its objects' reports are of the owner's own type.
+//! An event loop on mio. Connections are objects with callbacks; no thread or task is started for a connection. The crate also
+//! has line, HTTP and JSON stream parsers for non-blocking sockets. It does not depend on the proxy: the owner of the loop
+//! defines the type of the reports that connections send to it.
 
 pub mod clock;
 pub mod http;
--- a/crates/reactor/src/line.rs
+++ b/crates/reactor/src/line.rs
@@ -1,4 +1,5 @@
-//! Lines on a non-blocking socket: CRLF framing with a bound, partial reads and writes, bounded buffers.
+//! A line protocol on a non-blocking socket: CRLF framing with a maximum line length, partial reads and writes, and bounded
+//! buffers.
 
 use crate::reactor::{Half, Io, Key, Report};
 use mio::net::TcpStream;
@@ -7,54 +8,56 @@
 use std::os::fd::OwnedFd;
 use std::time::Duration;
 
-/// No line is longer, its end included.
+/// Maximum length of a line in bytes, including the line end.
 pub const MAX_LINE: usize = 4096;
-/// Bytes read in one callback before other connections have their turn.
+/// Maximum number of bytes read in one callback, so that other connections are served too.
 const MAX_TURN: usize = 16 * 1024;
 
-/// How one call of [`LineStream::fill`] ended.
+/// The result of a call of [`LineStream::fill`].
 #[derive(Debug)]
 pub enum Fill {
-    /// All that has arrived is in the buffer.
+    /// The socket has no more data, or the input buffer is full.
     Blocked,
-    /// There may be more; to be called again.
+    /// The socket may have more data; the caller must call again.
     More,
-    /// The peer has ended its sending.
+    /// The peer has shut down its sending side.
     Ended,
     /// The connection is broken.
     Broken(io::Error),
 }
 
-/// A line is longer than [`MAX_LINE`].
+/// Error for a line that is longer than [`MAX_LINE`].
 #[derive(Debug, thiserror::Error)]
 #[error("a line of over {MAX_LINE} bytes")]
 pub struct TooLong;
 
-/// A socket that speaks lines.
+/// A socket of a line protocol, with its input and output buffers.
 #[derive(Debug)]
 pub struct LineStream {
     stream: TcpStream,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// While more than this waits to be written, the other side is not read; nor is more than this read and
-    /// not yet taken.
+    /// Size in bytes above which a buffer is full. While the output buffer is full, the other side of a relayed connection is
+    /// not read; while the input buffer is full, this socket is not read.
     bound: usize,
-    /// End our sending once all is written.
+    /// Whether to shut down the sending side once the output buffer is empty.
     finish: bool,
     finished: bool,
-    /// How it broke. The system reports that once, to the first read or write; a read after that returns an orderly end.
+    /// The error that broke the connection. The operating system reports it only to the first read or write; later reads
+    /// return an orderly end.
     broken: Option<io::ErrorKind>,
-    /// What is written is sent at once (TCP_NODELAY). Until the system has accepted that, it is asked at each write.
+    /// Whether TCP_NODELAY is set. Until setting the option succeeds, each flush tries again.
     nagle_is_disabled: bool,
 }
 
-/// An accepted socket that could not be registered with the poll. It is given back: its client is still owed an answer.
+/// Error for an accepted socket that could not be registered with the poll. It returns the socket, since the client must still
+/// get an answer.
 #[derive(Debug, thiserror::Error)]
 #[error("an accepted socket cannot be watched: {error}")]
 pub struct RegistrationError {
     /// The socket.
     pub stream: TcpStream,
-    /// Why.
+    /// The error of the registration.
     pub error: io::Error,
 }
 
@@ -65,14 +68,14 @@
 }
 
 impl LineStream {
-    /// Takes over an accepted socket. It is given back in the error if it can't be registered.
+    /// Takes ownership of an accepted socket and registers it. If that fails, the error returns the socket.
     pub fn accepted<R: Report>(
         mut stream: TcpStream,
         io: &Io<R>,
         key: Key,
     ) -> Result<Self, RegistrationError> {
         if let Err(error) = io.register(&mut stream, key, Half::Near) {
-            // As a source that no poll has seen: in debug builds mio takes one only once.
+            // In debug builds mio registers a source only once, so the socket is wrapped in a new source.
             let fresh = std::net::TcpStream::from(OwnedFd::from(stream));
             return Err(RegistrationError { stream: TcpStream::from_std(fresh), error });
         }
@@ -85,7 +88,7 @@
         self.nagle_is_disabled = self.nagle_is_disabled || self.stream.set_nodelay(true).is_ok();
     }
 
-    /// Begins to connect.
+    /// Starts a non-blocking connect.
     pub fn connect<R: Report>(address: SocketAddr, io: &Io<R>, key: Key, half: Half) -> io::Result<Self> {
         let mut stream = TcpStream::connect(address)?;
         io.register(&mut stream, key, half)?;
@@ -98,7 +101,7 @@
         LineStream { stream, input, output, bound, finish, finished, broken, nagle_is_disabled }
     }
 
-    /// After `writable`: whether the connection stands by now.
+    /// Whether the connect has completed. To be called after `writable`.
     pub fn connected(&mut self) -> io::Result<bool> {
         if let Some(error) = self.stream.take_error()? {
             return Err(error);
@@ -113,13 +116,13 @@
         }
     }
 
-    /// Reads what has arrived, as far as this turn allows.
+    /// Reads received data into the input buffer, at most `MAX_TURN` bytes or up to the buffer's bound.
     pub fn fill(&mut self) -> Fill {
         let mut chunk = [0; MAX_LINE];
         let mut taken = 0;
         while taken < MAX_TURN.min(self.bound) {
-            // Guards against a client that sends on and on before it is answered: what it sends then is
-            // read by whoever takes over the buffer, and the rest waits in its own socket.
+            // Bounds the memory for a client that keeps sending before it is answered. The buffered bytes go to
+            // whoever takes the buffer over, and the rest stays in the socket.
             if self.input.len() >= self.bound {
                 return Fill::Blocked;
             }
@@ -140,7 +143,7 @@
         Fill::More
     }
 
-    /// Takes the next complete line, its end included.
+    /// Takes the next complete line, including the line end.
     pub fn take_line(&mut self) -> Result<Option<Vec<u8>>, TooLong> {
         let end = self.input.iter().take(MAX_LINE).position(|b| *b == b'\n');
         match end {
@@ -150,7 +153,7 @@
         }
     }
 
-    /// Reads what has arrived and drops it.
+    /// Reads received data and discards it.
     pub fn discard(&mut self) -> Fill {
         self.input.clear();
         let fill = self.fill();
@@ -158,17 +161,18 @@
         fill
     }
 
-    /// The peer has broken the connection after it ended its sending: reading shows only the end, for good.
+    /// Whether the socket has a pending error. After the peer has shut down its sending side, reads keep returning the end of the
+    /// stream and do not show that the connection was broken later.
     pub fn is_broken(&self) -> bool {
         !matches!(self.stream.take_error(), Ok(None))
     }
 
-    /// Whether bytes have arrived that were not taken.
+    /// Whether the input buffer holds bytes that were not taken.
     pub fn has_input(&self) -> bool {
         !self.input.is_empty()
     }
 
-    /// Takes the bytes that have arrived and are no complete line.
+    /// Takes all bytes of the input buffer.
     pub fn take_rest(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.input)
     }
@@ -178,12 +182,12 @@
         self.output.extend_from_slice(bytes);
     }
 
-    /// Ends our sending once all that was queued is written.
+    /// Shuts down the sending side once all queued bytes are written.
     pub fn finish(&mut self) {
         self.finish = true;
     }
 
-    /// Writes what is queued; true once every byte has been written.
+    /// Writes queued bytes. Returns true once all of them are written.
     pub fn flush(&mut self) -> io::Result<bool> {
         self.disable_nagle();
         let mut sent = 0;
@@ -197,7 +201,8 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break Ok(false),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => {
-                    // A broken pipe is no news: the peer had ended in order before, or the reset was reported already.
+                    // A broken pipe is not recorded: either the peer closed the connection in an orderly way, or the reset
+                    // was reported before.
                     if error.kind() != io::ErrorKind::BrokenPipe {
                         self.broken = Some(error.kind());
                     }
@@ -208,25 +213,25 @@
         self.output.drain(..sent);
         if self.finish && !self.finished && self.output.is_empty() {
             self.finished = true;
-            // The peer may be gone already; then there is nothing left to end.
+            // Fails if the peer has already closed the connection, which needs no action.
             let _ = self.stream.shutdown(Shutdown::Write);
         }
         result
     }
 
-    /// Too much waits to be written for more to be read from the other side.
+    /// Whether the output buffer is full. While it is, no more data may be read from the other side of a relayed connection.
     pub fn is_full(&self) -> bool {
         self.output.len() >= self.bound
     }
 
-    /// Makes the coming close a reset, as the other side's was.
+    /// Makes the next close send a reset, to pass on a reset from the other side of a relayed connection.
     pub fn reset(&self) {
-        // Fails only on a socket that is gone, which needs no reset.
+        // Fails only on a closed socket, which needs no reset.
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 }
 
-/// A line without its end.
+/// Returns the line without its line end.
 pub fn trim_end(line: &[u8]) -> &[u8] {
     let line = line.strip_suffix(b"\n").unwrap_or(line);
     line.strip_suffix(b"\r").unwrap_or(line)
--- a/crates/reactor/src/listener.rs
+++ b/crates/reactor/src/listener.rs
@@ -1,4 +1,4 @@
-//! A listening socket. Its owner accepts connections one by one, as it has capacity.
+//! A listening socket, from which its owner accepts single connections as its capacity allows.
 
 use crate::reactor::{Connection, Half, Io, Key, Report};
 use mio::net::TcpListener;
@@ -7,20 +7,21 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Connections that may wait to be accepted, if the system's own bound allows. Guards against a flood: past the usual 128, a
-/// client's SYN is dropped, and sent again after a second.
+/// Maximum number of connections that wait to be accepted; the operating system may have a lower limit. With the usual 128, a
+/// burst of connects would overflow the backlog: the SYNs are dropped, and clients resend them only after a second.
 const BACKLOG: i32 = 4096;
 
-/// Who else may listen at the address.
+/// Whether other sockets may listen on the same address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Binding {
-    /// Nobody: a second listener fails.
+    /// A second listener on the address fails.
     Exclusive,
-    /// Any process of the same user that says so too (SO_REUSEPORT): the system spreads those who connect.
+    /// Other processes of the same user may listen with this binding too (SO_REUSEPORT). The operating system distributes new
+    /// connections among them.
     Shared,
 }
 
-/// Reports, with its key, that a connection waits to be accepted.
+/// A listening socket that reports, with its key, when a connection can be accepted.
 #[derive(Debug)]
 pub struct Listener<R> {
     _socket: Rc<TcpListener>,
@@ -29,7 +30,8 @@
 }
 
 impl<R: Report> Listener<R> {
-    /// Listens exclusively; the socket is shared with the owner. Fails as the system's calls do: address in use, no descriptor.
+    /// Listens with [`Binding::Exclusive`] and shares the socket with the owner. Fails if a system call fails, for example because
+    /// the address is in use or no file descriptor is left.
     pub fn bind(
         address: SocketAddr,
         report: fn(Key) -> R,
@@ -39,7 +41,7 @@
         Self::bind_with(Binding::Exclusive, address, report, key, io)
     }
 
-    /// Listens with this binding; otherwise as [`Self::bind`].
+    /// Like [`Self::bind`], with the given binding.
     pub fn bind_with(
         binding: Binding,
         address: SocketAddr,
@@ -48,7 +50,7 @@
         io: &mut Io<R>,
     ) -> io::Result<(Self, Rc<TcpListener>)> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
-        // As the plain way to listen does: a restart must not wait for the old connections' ends.
+        // Like the standard library's listener, so that a restart need not wait for old connections in TIME_WAIT.
         socket.set_reuse_address(true)?;
         socket.set_reuse_port(binding == Binding::Shared)?;
         socket.set_nonblocking(true)?;
@@ -61,11 +63,12 @@
     }
 }
 
-/// Makes the system drop new connections to the listener, while those whose handshake has begun can be completed and accepted.
-/// Guards against resets: a listener that is closed resets whatever is in its backlog. A new client's SYN is dropped, and sent
-/// again a second later, to whoever listens then. Fails where the system has no such filter.
+/// Makes the operating system drop the SYNs of new connections to the listener. Connections whose handshake has begun can still
+/// be completed and accepted. Without this, closing the listener would reset all connections in its backlog. A client whose SYN
+/// is dropped sends it again a second later, to the process that listens then. Fails if the operating system does not support
+/// socket filters.
 pub fn reject_new_connections(listener: &TcpListener) -> io::Result<()> {
-    // Classic BPF: load the flags, byte 13 of the TCP header; keep nothing of what has SYN set, all of anything else.
+    // Classic BPF: loads the flags (byte 13 of the TCP header), drops packets with SYN set and accepts all others.
     const LOAD_BYTE: u16 = 0x30;
     const JUMP_IF_SET: u16 = 0x45;
     const RETURN: u16 = 0x06;
--- a/crates/reactor/src/rate_limited_log.rs
+++ b/crates/reactor/src/rate_limited_log.rs
@@ -1,11 +1,11 @@
-//! Rate limit of a log line that may be due many times a second. Guards against a log that fills up in a flood.
+//! A rate limit for a log line that may occur many times a second, so that a burst of events does not fill up the log.
 
 use crate::clock::Micros;
 
-/// Between two such lines, in microseconds.
+/// Minimum time between two log lines, in microseconds.
 const INTERVAL: Micros = 10_000_000;
 
-/// When the line may be written next, and how often it was suppressed since the last time.
+/// The rate limit of one log line: when the line may be written next, and how often it was suppressed since the last time.
 #[derive(Debug, Default)]
 pub struct RateLimitedLog {
     next: Micros,
@@ -13,7 +13,8 @@
 }
 
 impl RateLimitedLog {
-    /// How many lines were suppressed, if one is to be written now; otherwise counts this one as suppressed.
+    /// If a line may be written now, returns how many were suppressed since the last one. Otherwise counts the line as suppressed
+    /// and returns `None`.
     pub fn due(&mut self, now: Micros) -> Option<u64> {
         if now < self.next {
             self.suppressed += 1;
--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -1,8 +1,8 @@
-//! The event loop: one mio poll, a slab of connection objects with callbacks, a heap of timers, one clock.
+//! The event loop: one mio poll, a slab of connection objects with callbacks, a heap of timers, and one clock.
 //!
-//! Readiness is edge-triggered: an object reads and writes until it would block, or asks to be called again when it has used up
-//! its share of a turn. Objects never call one another; they report what happens, and the loop's owner handles the reports
-//! after each round of callbacks.
+//! Readiness is edge-triggered: an object reads and writes until the socket would block, or asks to be called again after it
+//! has read its maximum for one callback. Objects never call one another; they send reports to the loop's owner, which handles
+//! them after each round of callbacks.
 
 use crate::clock::{Clock, Micros};
 use mio::event::Source;
@@ -13,16 +13,16 @@
 use std::io;
 use std::time::Duration;
 
-/// Which half of an object's connection: most objects have one socket, a relayed connection has two.
+/// Identifies one of an object's sockets. Most objects have one socket; a relayed connection has two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Half {
-    /// The client's, or the only one.
+    /// The client's socket, or the only socket.
     Near,
-    /// The endpoint's.
+    /// The endpoint's socket.
     Far,
 }
 
-/// Identifies a connection object; never a later object that reuses its slot.
+/// Identifies a connection object. The generation distinguishes it from later objects that reuse its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key {
     index: u32,
@@ -44,34 +44,34 @@
 
 /// A report from an object to the loop's owner.
 pub trait Report {
-    /// A timer of the owner's own is due.
+    /// Creates the report that a timer of the owner is due.
     fn timer(timer: u32) -> Self;
 }
 
-/// A connection as the loop sees it.
+/// An object whose callbacks the loop calls, usually a connection.
 pub trait Connection {
-    /// Its reports to the loop's owner.
+    /// The type of its reports to the loop's owner.
     type Report: Report;
-    /// There may be something to read.
+    /// Called when the socket may be readable.
     fn readable(&mut self, io: &mut Io<Self::Report>, half: Half);
-    /// There may be room to write, or a connect has ended.
+    /// Called when the socket may be writable, or a connect has succeeded or failed.
     fn writable(&mut self, io: &mut Io<Self::Report>, half: Half);
-    /// A timer that the object set is due; it may be outdated.
+    /// Called when a timer of the object is due. Timers cannot be cancelled, so the timer may be outdated.
     fn timer(&mut self, io: &mut Io<Self::Report>, timer: u32);
-    /// The object is finished and will be dropped.
+    /// Whether the object is finished, so that the loop drops it.
     fn done(&self) -> bool;
-    /// Last call before the drop.
+    /// Called before the loop drops a finished object.
     fn closed(&mut self, _io: &mut Io<Self::Report>) {}
 }
 
-/// Whose timer it is.
+/// The owner of a timer: the owner of the loop, or a connection object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Owner {
     Loop,
     Connection(Key),
 }
 
-/// What a callback may use.
+/// The parts of the loop that callbacks use: registration, clock, timers and reports.
 #[derive(Debug)]
 pub struct Io<R> {
     registry: Registry,
@@ -81,32 +81,32 @@
     again: VecDeque<(Key, Half)>,
     /// Reports that the owner has not handled yet.
     pub reports: VecDeque<R>,
-    /// Bytes that each direction of a connection may hold.
+    /// Size of the buffer for each direction of a connection, in bytes.
     pub buffer_bound: usize,
 }
 
 impl<R: Report> Io<R> {
-    /// The present time.
+    /// Returns the current time.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
 
-    /// Registers a socket for both directions.
+    /// Registers a socket for reading and writing.
     pub fn register(&self, source: &mut impl Source, key: Key, half: Half) -> io::Result<()> {
         self.registry.register(source, key.token(half), Interest::READABLE | Interest::WRITABLE)
     }
 
-    /// Registers a source that is only read.
+    /// Registers a source for reading only.
     pub fn register_reader(&self, source: &mut impl Source, key: Key) -> io::Result<()> {
         self.registry.register(source, key.token(Half::Near), Interest::READABLE)
     }
 
-    /// Calls the object's `timer` at that time.
+    /// Sets a timer that calls the object's `timer` at the time `at`.
     pub fn timer(&mut self, at: Micros, key: Key, timer: u32) {
         self.set(at, Owner::Connection(key), timer);
     }
 
-    /// Reports [`Report::timer`] at that time.
+    /// Sets a timer that reports [`Report::timer`] at the time `at`.
     pub fn owner_timer(&mut self, at: Micros, timer: u32) {
         self.set(at, Owner::Loop, timer);
     }
@@ -116,13 +116,13 @@
         self.timers.push(Reverse((at, self.timer_number, owner, timer)));
     }
 
-    /// Calls `readable` again in the next round: the object stopped before it would have blocked, so that
-    /// one busy connection does not keep the others waiting.
+    /// Schedules another call of `readable` in the next round. To be used by an object that stops reading before the socket
+    /// would block, so that one busy connection does not delay the others.
     pub fn call_again(&mut self, key: Key, half: Half) {
         self.again.push_back((key, half));
     }
 
-    /// Reports to the owner.
+    /// Sends a report to the loop's owner.
     pub fn report(&mut self, report: R) {
         self.reports.push_back(report);
     }
@@ -133,18 +133,18 @@
     connection: Box<C>,
 }
 
-/// The loop and its objects: of one type, or of any that are a `dyn` trait of the owner's.
+/// The event loop and its objects, which are either of one type or trait objects of a trait that the owner defines.
 pub struct Reactor<C: Connection + ?Sized> {
     poll: Poll,
     events: Events,
     slots: Slab<Slot<C>>,
     generation: u32,
-    /// What callbacks and the owner use.
+    /// Registration, clock, timers and reports, for callbacks and for the owner.
     pub io: Io<C::Report>,
 }
 
 impl<C: Connection + ?Sized> Reactor<C> {
-    /// A loop on that clock. Fails if the system has no poll to give.
+    /// Creates a loop with the given clock. Fails if the operating system cannot create a poll.
     pub fn new(clock: Clock) -> io::Result<Self> {
         let poll = Poll::new()?;
         let io = Io {
@@ -159,7 +159,7 @@
         Ok(Reactor { poll, events: Events::with_capacity(1024), slots: Slab::new(), generation: 0, io })
     }
 
-    /// Adds an object; `make` gets the key under which its sockets are to be registered.
+    /// Adds an object. `make` creates the object and registers its sockets with the given key.
     pub fn insert(
         &mut self,
         make: impl FnOnce(Key, &mut Io<C::Report>) -> io::Result<Box<C>>,
@@ -172,9 +172,9 @@
         Ok(key)
     }
 
-    /// Calls `use_it` on the object, if it still exists, and drops the object if that finished it.
+    /// Calls `use_it` on the object if the object still exists, then drops the object if it is finished.
     pub fn with<T>(&mut self, key: Key, use_it: impl FnOnce(&mut C, &mut Io<C::Report>) -> T) -> Option<T> {
-        // Guards against stale tokens and timers: a slot that was given to a later object is not meant.
+        // A stale token or timer must not reach a later object that reuses the slot.
         let slot = self.slots.get_mut(key.index as usize).filter(|s| s.generation == key.generation)?;
         let result = use_it(slot.connection.as_mut(), &mut self.io);
         if slot.connection.done() {
@@ -189,12 +189,12 @@
         self.slots.get(key.index as usize).is_some_and(|slot| slot.generation == key.generation)
     }
 
-    /// How many objects there are.
+    /// Returns the number of objects.
     pub fn connections(&self) -> usize {
         self.slots.len()
     }
 
-    /// Drops an object.
+    /// Drops an object without calling its `closed`.
     pub fn remove(&mut self, key: Key) {
         if self.slots.get(key.index as usize).is_some_and(|s| s.generation == key.generation) {
             self.slots.remove(key.index as usize);
--- a/crates/reactor/src/signals.rs
+++ b/crates/reactor/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals, delivered to the loop through a pipe.
+//! Delivery of signals to the event loop through a socket pair.
 
 use crate::clock::Micros;
 use crate::reactor::{Connection, Half, Io, Key, Report};
@@ -9,36 +9,36 @@
 
 pub use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
-/// Between two checks for a signal that arrived without a byte in the pipe, in microseconds. Well under the shortest time in
-/// which a process has to react to one, and rare enough to cost nothing.
+/// Time between two checks for a signal whose handler could not write to the pipe, in microseconds. It is well below the
+/// shortest time in which a process must react to a signal, and long enough that the cost is negligible.
 const POLL_INTERVAL: Micros = 250_000;
 
-/// The reading end of the pipe that a signal writes to, and what the signal means.
+/// The reading end of the pipe that the signal handler writes to, and the report that a signal causes.
 #[derive(Debug)]
 pub struct Signals<R> {
     pipe: UnixStream,
-    /// Set by the signal as well. Guards against a write in its handler that fails, which nobody would repeat.
+    /// Also set by the signal handler, in case its write to the pipe fails: nothing repeats that write.
     pending: Arc<AtomicBool>,
     report: fn() -> R,
     key: Key,
 }
 
 impl<R: Report> Signals<R> {
-    /// Reports each arrival of the signal, in place of the system's default action.
+    /// Registers a handler that replaces the signal's default action and reports each signal.
     pub fn register(signal: i32, report: fn() -> R, key: Key, io: &mut Io<R>) -> io::Result<Self> {
         let (read, write) = std::os::unix::net::UnixStream::pair()?;
         read.set_nonblocking(true)?;
         let mut pipe = UnixStream::from_std(read);
         io.register_reader(&mut pipe, key)?;
         let pending = Arc::new(AtomicBool::new(false));
-        // In this order: the pipe wakes the loop when the flag is set already.
+        // In this order, the flag is already set when the pipe wakes the loop.
         signal_hook::flag::register(signal, Arc::clone(&pending))?;
         signal_hook::low_level::pipe::register(signal, write)?;
         io.timer(io.now() + POLL_INTERVAL, key, 0);
         Ok(Signals { pipe, pending, report, key })
     }
 
-    /// Reports signals that have arrived, through the pipe or without it.
+    /// Reports signals that have arrived, whether or not their handler could write to the pipe.
     fn report_pending(&mut self, io: &mut Io<R>) {
         let is_pending = self.pending.swap(false, Ordering::AcqRel);
         let was_reported = self.drain_pipe(io);
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Drains the pipe and reports a signal for each read; whether it reported any.
+    /// Drains the pipe and reports a signal for each successful read. Returns whether any was reported.
     fn drain_pipe(&mut self, io: &mut Io<R>) -> bool {
         let mut bytes = [0; 16];
         let mut was_reported = false;
@@ -58,7 +58,7 @@
                     was_reported = true;
                     io.report((self.report)());
                 }
-                // Readiness is edge-triggered: what is not read now would wait for the next signal.
+                // Readiness is edge-triggered: after an interrupted read, unread bytes would wait for the next signal.
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => return was_reported,
             }
--- a/crates/reactor/tests/http_server.rs
+++ b/crates/reactor/tests/http_server.rs
@@ -1,4 +1,4 @@
-//! A call's framing: however it is split, and whatever it is.
+//! Parsing of HTTP requests: framing, status codes of errors, and input that is split at any byte.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -62,7 +62,7 @@
     assert!(text.ends_with("\r\n\r\nno\n"), "{text}");
 }
 
-/// What a reader makes of bytes that come in these pieces.
+/// Feeds the bytes to a reader in pieces that end at the given cuts, and returns its result.
 fn in_pieces(bytes: &[u8], cuts: &[prop::sample::Index]) -> Result<Option<Request>, BadRequest> {
     let mut cuts: Vec<usize> = cuts.iter().map(|cut| cut.index(bytes.len() + 1)).collect();
     cuts.push(bytes.len());
--- a/crates/reactor/tests/line.rs
+++ b/crates/reactor/tests/line.rs
@@ -1,4 +1,4 @@
-//! How a connection ended, whoever came upon it first: a write, a read, or a read after those.
+//! How the end of a connection is reported, whether a write, a read or a later read detects it first.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -20,7 +20,7 @@
     }
 }
 
-/// Holds a stream on the loop; these stories read and write by themselves.
+/// Registers a stream with the loop. Its callbacks do nothing, since the tests read and write directly.
 struct Holder(LineStream);
 
 impl Connection for Holder {
@@ -33,7 +33,7 @@
     }
 }
 
-/// Tries again until it finds something; fails the test if it never does.
+/// Polls until a value is found. Fails the test after 10 s.
 fn until<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let end = Instant::now() + Duration::from_secs(10);
     loop {
@@ -44,7 +44,7 @@
     }
 }
 
-/// A stream and its peer, used by a test.
+/// Runs a test with a connected stream and its peer.
 fn with_connection(test: impl FnOnce(&mut LineStream, TcpStream)) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -61,7 +61,7 @@
     socket2::SockRef::from(peer).set_linger(Some(Duration::ZERO)).unwrap();
 }
 
-/// Writes until that fails.
+/// Writes until a write fails, and returns the error's kind.
 fn broken(stream: &mut LineStream) -> ErrorKind {
     until("a write that fails", || {
         stream.push(b"M 1 a\r\n");
@@ -108,7 +108,7 @@
     with_connection(|stream, mut peer| {
         peer.write_all(b"BYE\r\n").unwrap();
         drop(peer);
-        // The peer's system answers what it gets now with a reset.
+        // The peer's operating system answers data for a closed socket with a reset.
         assert_eq!(broken(stream), ErrorKind::BrokenPipe);
         assert!(matches!(stream.fill(), Fill::Ended));
         assert_eq!(stream.take_line().unwrap().unwrap(), b"BYE\r\n");
--- a/crates/reactor/tests/listener.rs
+++ b/crates/reactor/tests/listener.rs
@@ -1,4 +1,4 @@
-//! A listener that is about to be closed.
+//! Rejecting new connections at a listener that is about to be closed, without resetting pending ones.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
