--- a/crates/proxy-core/src/aggregation_member.rs
+++ b/crates/proxy-core/src/aggregation_member.rs
@@ -1,5 +1,5 @@
-//! The aggregation protocol: this proxy's load report, and what the aggregator's snapshot means here. Which member is the
-//! aggregator and how often it is sent reports is the aggregation crate's concern; what follows, the decision module's.
+//! The proxy's side of the aggregation protocol: builds the proxy's load report and translates the aggregator's snapshots into
+//! events. The aggregation crate chooses the aggregator and the report interval; the decision module reacts to the events.
 
 use crate::interface::{Environment, Input, LocalState, Output, ProtocolDriver, ProtocolMember};
 use crate::member_driver::MemberDriver;
@@ -12,13 +12,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::convert::Infallible;
 
-/// Time constant of rates, in microseconds: they are averaged over about this long.
+/// Time constant of the exponentially weighted rates, in microseconds.
 const RATE_WINDOW: f64 = 4_000_000.0;
-/// Peers in whose name the aggregator's verdict is reported: two, as many as the decision module asks for. No proxy has these
-/// ordinals.
+/// Ordinals under which the aggregator's verdict is reported. There are two since the decision module requires the same verdict
+/// from two peers. No proxy has these ordinals.
 const AGGREGATE_PEERS: [u32; 2] = [u32::MAX, u32::MAX - 1];
 
-/// A rate with exponential forgetting.
+/// An event rate with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rate {
     sum: f64,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Rates of this proxy's requests and attempts.
+/// Rates of this proxy's requests and of its successful and failed attempts.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rates {
     requests: Rate,
@@ -45,7 +45,7 @@
     failures: Rate,
 }
 
-/// This proxy as a member of a fleet that aggregates load reports.
+/// This proxy as a member of the aggregation protocol.
 pub(crate) struct AggregationMember {
     pub member: Member,
     names: WireNames,
@@ -54,13 +54,13 @@
 }
 
 impl AggregationMember {
-    /// A member that has observed nothing yet.
+    /// Creates a member without observations.
     pub fn new(member: Member) -> Self {
         let (names, observations) = (WireNames::default(), Observations::default());
         AggregationMember { member, names, observations, rates: Rates::default() }
     }
 
-    /// Observes an event that the decision module is about to handle.
+    /// Records what an event shows, before the decision module handles the event.
     pub fn observe(&mut self, now: Micros, event: &Event) {
         if let Event::Request(_) = event {
             self.rates.requests.add(now, 1.0);
@@ -74,7 +74,7 @@
         self.observations.record(now, server, observation);
     }
 
-    /// Handles an input, and executes the outputs.
+    /// Handles an input and executes the resulting outputs.
     pub fn handle(&mut self, now: Micros, input: Input<'_>, environment: &mut Environment<'_, '_>) {
         let Ok(()) = match input {
             Input::EverySecond => {
@@ -92,19 +92,19 @@
         };
     }
 
-    /// Hands over fresh local state before the member acts on its timeout.
+    /// Passes the current local state to the member before its timeout.
     fn handle_timeout(
         &mut self,
         now: Micros,
         environment: &mut Environment<'_, '_>,
     ) -> Result<(), Infallible> {
         if self.member.wants_groups() {
-            // Nothing is sent on these alone.
+            // This input never causes a report by itself.
             let groups = environment.local.latencies.load_by_group(now);
             self.handle_input(now, cottonnotch_aggregation::Input::GroupLoads(groups), environment)?;
         }
         let local_load = self.local_load(now, environment.local);
-        // A report that is due is sent on this input, or on the timeout.
+        // A due report is sent either on this input or on the timeout.
         self.handle_input(now, cottonnotch_aggregation::Input::LocalLoad(local_load), environment)?;
         ProtocolDriver { member: self, environment }.handle_timeout(now)
     }
@@ -118,11 +118,11 @@
         ProtocolDriver { member: self, environment }.handle_input(now, input)
     }
 
-    /// Capacities by endpoint, in microseconds of work a second.
+    /// Returns each endpoint's capacity, in microseconds of work per second.
     fn capacities(&mut self, now: Micros, local: &LocalState<'_>) -> BTreeMap<wire::EndpointDigest, f64> {
         self.names.learn(local.servers);
         let capacity = |(server, capacity): (ServerId, f64)| {
-            // One in slow start can do less than its size says, and looks empty.
+            // An endpoint in slow start has less capacity than its listed size, and its low load would make it look empty.
             let started = local.servers.started(server);
             let share = started.map_or(1.0, |at| local.settings.share_at(now.saturating_sub(at)));
             Some((self.digest(server)?, capacity * share))
@@ -130,7 +130,7 @@
         local.latencies.capacities().filter_map(capacity).collect()
     }
 
-    /// This proxy's load report: totals, and an entry for each endpoint with connections or evidence.
+    /// Builds this proxy's load report: the totals, and an entry for each endpoint with connections or a health verdict.
     fn local_load(&mut self, now: Micros, local: &LocalState<'_>) -> LocalLoad {
         self.names.learn(local.servers);
         self.observations.forget_old(now);
@@ -148,7 +148,7 @@
         LocalLoad { totals, entries }
     }
 
-    /// The report's entry of one endpoint. One without connections and without a verdict is not worth its bytes.
+    /// Builds the report's entry for one endpoint. An endpoint without connections and without a verdict is left out to save space.
     fn entry(&self, now: Micros, server: ServerId, established: Option<(f64, Vec<u8>)>) -> Option<Entry> {
         let health = match verdict(&self.observations.evidence(now, server)) {
             PeerVerdict::Healthy => wire::HealthVerdict::Healthy,
@@ -170,7 +170,7 @@
         self.names.server(EndpointDigest::from_bits(digest.0))
     }
 
-    /// What a snapshot means to the decision module.
+    /// Translates a snapshot into events for the decision module.
     fn events<'a>(&'a self, snapshot: &'a Snapshot) -> impl Iterator<Item = Event> + 'a {
         let status = FleetStatus {
             nodes: f64::from(snapshot.members.max(1)),
@@ -189,7 +189,7 @@
         std::iter::once(Event::Fleet(status)).chain(reports.flatten())
     }
 
-    /// A new snapshot: its events, then its utilisations for the latency estimates.
+    /// Handles a new snapshot: sends its events, then stores its utilisations for the latency estimates.
     fn snapshot_received(&self, environment: &mut Environment<'_, '_>) {
         let Some(snapshot) = self.member.snapshot() else { return };
         self.events(snapshot).for_each(|event| environment.notify(event));
--- a/crates/proxy-core/src/endpoint_update.rs
+++ b/crates/proxy-core/src/endpoint_update.rs
@@ -1,6 +1,7 @@
-//! An endpoint update: discovery's list of endpoints as it was sent, whole or as changes to the previous one, in JSON.
+//! Parses endpoint updates from discovery, without I/O. An update is a JSON text with either the complete list of endpoints or
+//! the changes to the previous list.
 //!
-//! An update is applied whole or not at all: half a list would drop endpoints. No I/O.
+//! An update is applied completely or not at all, since a partial list would remove endpoints.
 
 use cottonnotch_decision::{Micros, ServerState};
 use simd_json::OwnedValue;
@@ -13,56 +14,57 @@
 pub struct EndpointEntry {
     /// The endpoint's name.
     pub id: String,
-    /// Where it can be reached; a removed one may have no address.
+    /// The endpoint's address. Only a removed endpoint may have none.
     pub address: Option<SocketAddr>,
-    /// The zone, as discovery names it.
+    /// The zone, from discovery's `locality`; empty if discovery sends none.
     pub zone: String,
     /// The hardware class; empty if discovery sends none.
     pub flavor: String,
-    /// The cell: a small group of nodes that share which idempotency keys they have seen.
+    /// The cell: a small group of render nodes that share the idempotency keys they have seen.
     pub cell: u32,
-    /// Whether it accepts new connections.
+    /// The endpoint's state, which says whether it accepts new connections.
     pub state: ServerState,
-    /// The capacity relative to other endpoints.
+    /// The capacity relative to other endpoints, from discovery's `size`.
     pub weight: f64,
-    /// When its process last started, in Unix microseconds of its own machine; `None`: long ago.
+    /// When the endpoint's process last started, in Unix microseconds by its own machine's clock. `None` if discovery sends no valid
+    /// time; the process then counts as started long ago.
     pub up_since: Option<Micros>,
 }
 
-/// A list of endpoints, or changes to the previous one.
+/// A complete list of endpoints, or changes to the previous list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointUpdate {
-    /// Discovery's revision; rises from update to update.
+    /// Discovery's revision, which increases with each update.
     pub revision: u64,
-    /// The list names every endpoint: one that is missing has been removed.
+    /// Whether the list is complete, so that an endpoint missing from it has been removed.
     pub complete: bool,
-    /// The endpoints in the order sent.
+    /// The endpoints, in the order in which discovery sent them.
     pub endpoints: Vec<EndpointEntry>,
 }
 
-/// Why an update is rejected.
+/// The reason why an update is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointUpdateError {
     /// The text is not JSON.
     #[error("it is not JSON: {0}")]
     NotJson(#[from] simd_json::Error),
-    /// A field of the update itself.
+    /// A field of the update itself is missing or has the wrong type.
     #[error("'{0}' is missing or of the wrong kind")]
     Field(&'static str),
-    /// A field of the endpoint at this position.
+    /// A field of the endpoint at this position is missing or has the wrong type.
     #[error("member {0}: '{1}' is missing or of the wrong kind")]
     Endpoint(usize, &'static str),
-    /// A complete list names the endpoint at this position twice.
+    /// A complete list has an earlier, different entry for the endpoint at this position.
     #[error("member {0} is named twice, with different contents")]
     Contradicts(usize),
 }
 
-/// The field of an entry that is missing or of the wrong kind.
+/// The name of an entry's field that is missing or has the wrong type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct InvalidField(&'static str);
 
 impl EndpointUpdate {
-    /// Parses one JSON text. The buffer's contents are overwritten.
+    /// Parses one JSON text. The parser overwrites the buffer.
     pub fn parse(text: &mut [u8]) -> Result<Self, EndpointUpdateError> {
         Self::from_json(&simd_json::to_owned_value(text)?)
     }
@@ -77,7 +79,7 @@
         };
         let endpoints: Vec<EndpointEntry> =
             members.iter().enumerate().map(parse).collect::<Result<_, _>>()?;
-        // In a list of changes a later entry supersedes an earlier one; a complete list has one entry an endpoint.
+        // In a list of changes, a later entry replaces an earlier one; a complete list has one entry per endpoint.
         if complete {
             check_unambiguous(&endpoints)?;
         }
@@ -85,7 +87,7 @@
     }
 }
 
-/// Rejects a list that has two different entries for one endpoint.
+/// Rejects a list with two different entries for the same endpoint.
 fn check_unambiguous(endpoints: &[EndpointEntry]) -> Result<(), EndpointUpdateError> {
     let mut first = HashMap::with_capacity(endpoints.len());
     for (position, endpoint) in endpoints.iter().enumerate() {
@@ -122,7 +124,7 @@
     }
 }
 
-/// Unix milliseconds in microseconds; `None` for 0 and for what does not fit.
+/// Converts Unix milliseconds to microseconds. `None` for 0, which means that the time is unknown, and on overflow.
 fn unix_micros(unix_ms: u64) -> Option<Micros> {
     if unix_ms == 0 { None } else { Micros::try_from(unix_ms).ok()?.checked_mul(1000) }
 }
--- a/crates/proxy-core/src/envelope.rs
+++ b/crates/proxy-core/src/envelope.rs
@@ -1,27 +1,28 @@
-//! The envelope of consensus messages: a datagram that authenticates its sender, its receiver and its cluster. One that fails
-//! to, or is of another format, is dropped unread.
+//! The envelope of consensus messages, which authenticates the sender, the receiver and the cluster of a datagram. A datagram
+//! that is not authentic or has another format is dropped without decoding its message.
 //!
-//! A datagram is the envelope in postcard's encoding, followed by a keyed BLAKE3 hash of it.
+//! A datagram is the postcard encoding of the envelope, followed by a keyed BLAKE3 hash of that encoding.
 
 use cottonnotch_consensus::Message;
 use serde::{Deserialize, Serialize};
 
-/// The format of envelope and message. Another one is dropped: the bytes may mean something else.
+/// Format version of the envelope and its message. Datagrams of other versions are dropped, as their bytes may have another
+/// meaning.
 const FORMAT: u16 = 1;
-/// Context string of the key's derivation: keys of one use are not keys of another.
+/// Context string of the key derivation, which separates this key from keys derived for other purposes.
 const KEY_CONTEXT: &str = "cottonnotch 2026 accord, shared key of datagrams, version 1";
-/// Hexadecimal digits of a key file.
+/// Number of hexadecimal digits in a key file.
 const KEY_DIGITS: usize = 64;
-/// Bytes of the authentication tag at the end.
+/// Length in bytes of the authentication tag at the end of a datagram.
 const TAG_BYTES: usize = 32;
-/// No datagram is larger: it would be fragmented on the way.
+/// Maximum size of a datagram in bytes. A larger datagram could be fragmented on the network.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
-/// The key that the members of a cluster share, and this member's own identity.
+/// The key that the members of a cluster share, and this member's ordinal.
 #[derive(Clone)]
 pub struct EnvelopeKey {
     key: [u8; 32],
-    /// The first bytes of the cluster name's hash.
+    /// The first eight bytes of the hash of the cluster's name.
     cluster: u64,
     me: u16,
 }
@@ -36,32 +37,33 @@
     message: Message,
 }
 
-/// Why a datagram is dropped.
+/// The reason why a datagram is dropped or cannot be sealed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EnvelopeError {
-    /// No key of the cluster made it, or it was changed on the way.
+    /// The tag does not match: the datagram was made with another key, or was modified in transit.
     #[error("it is not proven")]
     NotAuthentic,
-    /// It can't be decoded, or is of another format.
+    /// The datagram cannot be decoded, has another format version, or its message exceeds the message limits.
     #[error("it is of another form")]
     UnknownFormat,
-    /// It is for another member or cluster, or an echo of this member's own.
+    /// The datagram is for another member or cluster, or was sent by this member.
     #[error("it is for another member or cluster")]
     WrongReceiver,
-    /// It would be larger than [`MAX_DATAGRAM_BYTES`].
+    /// The datagram would be larger than [`MAX_DATAGRAM_BYTES`].
     #[error("it is too large")]
     TooLarge,
 }
 
 impl std::fmt::Debug for EnvelopeKey {
-    /// Never shows the key.
+    /// Formats the value without the key.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("EnvelopeKey").field("me", &self.me).finish_non_exhaustive()
     }
 }
 
 impl EnvelopeKey {
-    /// A key from the contents of its file; `None` if that is not 64 hexadecimal digits and nothing else.
+    /// Creates a key from the contents of a key file. `None` if the contents are anything but 64 hexadecimal digits and surrounding
+    /// whitespace.
     pub fn new(key_file: &[u8], cluster: &str, me: u16) -> Option<Self> {
         let digits = key_file.trim_ascii();
         if digits.len() != KEY_DIGITS || !digits.iter().all(u8::is_ascii_hexdigit) {
@@ -73,7 +75,7 @@
         Some(EnvelopeKey { key, cluster: u64::from_le_bytes(cluster), me })
     }
 
-    /// Seals a message to a member in a datagram.
+    /// Encodes and authenticates a message to the member `to` as a datagram.
     pub fn seal(&self, to: u16, message: Message) -> Result<Vec<u8>, EnvelopeError> {
         let envelope = Envelope { format: FORMAT, cluster: self.cluster, from: self.me, to, message };
         let mut bytes = postcard::to_allocvec(&envelope).map_err(|_| EnvelopeError::UnknownFormat)?;
@@ -82,7 +84,7 @@
         if bytes.len() > MAX_DATAGRAM_BYTES { Err(EnvelopeError::TooLarge) } else { Ok(bytes) }
     }
 
-    /// Opens a datagram: its sender and message.
+    /// Authenticates and decodes a datagram. Returns its sender and message.
     pub fn open(&self, datagram: &[u8]) -> Result<(u16, Message), EnvelopeError> {
         let bytes = self.authenticate(datagram)?;
         let (format, _) =
@@ -100,10 +102,10 @@
         Ok((envelope.from, envelope.message))
     }
 
-    /// The bytes in front of the tag, if the tag is theirs.
+    /// Verifies the tag and returns the bytes before it.
     fn authenticate<'a>(&self, datagram: &'a [u8]) -> Result<&'a [u8], EnvelopeError> {
         let (bytes, tag) = datagram.split_last_chunk::<TAG_BYTES>().ok_or(EnvelopeError::NotAuthentic)?;
-        // Comparing two of these takes the same time wherever they differ.
+        // `blake3::Hash` compares in constant time.
         if blake3::keyed_hash(&self.key, bytes) != blake3::Hash::from_bytes(*tag) {
             return Err(EnvelopeError::NotAuthentic);
         }
--- a/crates/proxy-core/src/envelope_tests.rs
+++ b/crates/proxy-core/src/envelope_tests.rs
@@ -37,7 +37,7 @@
     #[test]
     fn rejects_arbitrary_bytes(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         prop_assert!(key('a', "site", 1).open(&bytes).is_err());
-        // Authentic bytes that are no envelope, as of another build.
+        // Authentic bytes that are not a valid envelope, as another build might send.
         let sender = key('a', "site", 0);
         let mut authentic = bytes.clone();
         authentic.extend_from_slice(blake3::keyed_hash(&sender.key, &bytes).as_bytes());
--- a/crates/proxy-core/src/gossip_member.rs
+++ b/crates/proxy-core/src/gossip_member.rs
@@ -1,5 +1,6 @@
-//! The gossip protocol: this proxy's load and evidence for the others, and what their reports mean here. Membership and which
-//! reports count is the gossip crate's concern; what follows from a verdict, the decision module's.
+//! The proxy's side of the gossip protocol: reports the proxy's loads and health evidence to its peers and translates the peers'
+//! reports into events. The gossip crate tracks membership and selects the reports that count; the decision module reacts to the
+//! verdicts.
 
 use crate::interface::{Environment, Input, LocalState, Output, ProtocolDriver, ProtocolMember};
 use crate::member_driver::MemberDriver;
@@ -11,7 +12,7 @@
 use std::collections::BTreeSet;
 use std::convert::Infallible;
 
-/// This proxy as a member of a fleet that gossips.
+/// This proxy as a member of the gossip protocol.
 pub(crate) struct GossipMember {
     pub gossip: Gossip,
     strength: Strength,
@@ -20,20 +21,20 @@
 }
 
 impl GossipMember {
-    /// A member that has observed nothing yet.
+    /// Creates a member without observations.
     pub fn new(gossip: Gossip, strength: Strength) -> Self {
         let (names, observations) = (WireNames::default(), Observations::default());
         GossipMember { gossip, strength, names, observations }
     }
 
-    /// Observes an event that the decision module is about to handle.
+    /// Records what an event shows, before the decision module handles the event.
     pub fn observe(&mut self, now: Micros, event: &Event) {
         if let Some((server, observation)) = observation(event) {
             self.observations.record(now, server, observation);
         }
     }
 
-    /// Handles an input, and executes the outputs.
+    /// Handles an input and executes the resulting outputs.
     pub fn handle(&mut self, now: Micros, input: Input<'_>, environment: &mut Environment<'_, '_>) {
         let Ok(()) = match input {
             Input::EverySecond => {
@@ -45,7 +46,7 @@
                 let from = environment.roster.ordinal(from);
                 self.handle_input(now, cottonnotch_gossip::Input::Datagram { from, bytes }, environment)
             }
-            // Another strength takes a restart; the log has said so.
+            // A different key strength takes effect only after a restart; the embedder has logged that.
             Input::Keys(keys) if keys.strength() == self.strength => {
                 self.handle_input(now, cottonnotch_gossip::Input::Keys(keys), environment)
             }
@@ -64,7 +65,7 @@
         ProtocolDriver { member: self, environment }.handle_input(now, input)
     }
 
-    /// This proxy's connections and evidence by endpoint, for the others.
+    /// Builds the entries that report this proxy's connections and health evidence for each endpoint.
     fn entries(&mut self, now: Micros, local: &LocalState<'_>) -> Vec<Entry> {
         let established = local.latencies.established();
         self.observations.forget_old(now);
@@ -81,7 +82,7 @@
         servers.into_iter().filter_map(entry).collect()
     }
 
-    /// A peer's report: its load counts for the estimates, its verdict is an event.
+    /// Handles a peer's report on one endpoint: stores the load for the latency estimates and sends the verdict as an event.
     fn report_received(&self, now: Micros, from: u32, entry: &Entry, environment: &mut Environment<'_, '_>) {
         let Some(server) = self.names.server(entry.endpoint) else { return };
         let load = entry.load.micros_per_s() as f64;
--- a/crates/proxy-core/src/interface.rs
+++ b/crates/proxy-core/src/interface.rs
@@ -1,5 +1,5 @@
-//! What the peer protocols share: the inputs and outputs of [`crate::Peers`], and the environment in which a protocol member's
-//! outputs are executed.
+//! Types that both peer protocols use: the inputs and outputs of [`crate::Peers`], and the environment in which a protocol
+//! member's outputs are executed.
 
 use crate::member_driver::{MemberDriver, SansIoMember};
 use crate::message_latency::MessageLatencies;
@@ -9,33 +9,33 @@
 use std::convert::Infallible;
 use std::net::SocketAddr;
 
-/// The render nodes, as the embedder numbers them: from 0, and no number is reused.
+/// The render nodes, which the embedder numbers from 0. A number is never reused.
 pub trait Servers {
-    /// How many have been named so far.
+    /// Returns the number of render nodes seen so far.
     fn count(&self) -> usize;
 
-    /// A node's name.
+    /// Returns a render node's name.
     fn name(&self, server: ServerId) -> &str;
 
-    /// When its process last started, by this process's clock; `None`: long ago.
+    /// Returns when the node's process last started, by this process's clock. `None` if it is unknown or long ago.
     fn started(&self, server: ServerId) -> Option<Micros>;
 }
 
-/// This proxy's own state, which it reports to the others.
+/// This proxy's own state, which it reports to its peers.
 pub struct LocalState<'a> {
-    /// Its connections and their loads; what the others report is put here too.
+    /// The latency estimates, which hold this proxy's connections and loads and also store the peers' reports.
     pub latencies: &'a mut MessageLatencies,
     /// The render nodes.
     pub servers: &'a dyn Servers,
     /// The decision module's settings.
     pub settings: &'a Settings,
-    /// Requests that are pending or served.
+    /// Number of requests that are pending or have an established connection.
     pub requests: usize,
-    /// What the wall clock shows, Unix time in microseconds.
+    /// The wall clock's Unix time, in microseconds.
     pub unix: Micros,
 }
 
-/// The members' addresses, by their ordinals.
+/// The members' addresses and ordinals.
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     peers: Vec<SocketAddr>,
@@ -44,13 +44,14 @@
 }
 
 impl Roster {
-    /// The members in the order of their ordinals, and the address that reaches all, if there is one.
+    /// Creates a roster from the members' addresses in the order of their ordinals, and the address that reaches all members, if
+    /// there is one.
     pub fn new(peers: &[SocketAddr], all: Option<SocketAddr>) -> Self {
         let ordinals = (0..).zip(peers).map(|(ordinal, address)| (*address, ordinal)).collect();
         Roster { peers: peers.to_vec(), all, ordinals }
     }
 
-    /// How many members there are.
+    /// Returns the number of members.
     pub fn members(&self) -> usize {
         self.peers.len()
     }
@@ -70,45 +71,45 @@
 /// An input to [`crate::Peers`].
 #[derive(Clone, Debug)]
 pub enum Input<'a> {
-    /// A second has passed: local state is read anew.
+    /// A second has passed, so the member reads the local state again.
     EverySecond,
     /// A datagram arrived.
     Datagram {
         /// The sender's address.
         from: SocketAddr,
-        /// Its bytes.
+        /// The datagram's bytes.
         bytes: &'a [u8],
     },
-    /// Keys may have changed.
+    /// The keys were read again and may have changed.
     Keys(Keys),
-    /// The proxy shuts down and its clients have been moved: the others count it no more.
+    /// The proxy shuts down and has moved its clients. The peers stop counting its load.
     Leave,
     /// [`crate::Peers::next_timeout`] may have passed.
     Tick,
 }
 
-/// An output of [`crate::Peers`]: an action, or news.
+/// An output of [`crate::Peers`]: an action to take or a change to report.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send this datagram; if that fails it is lost.
+    /// Send this datagram. A datagram that cannot be sent is dropped.
     Send {
         /// The receiver's address.
         to: SocketAddr,
-        /// The datagram, 256 bytes at most.
+        /// The datagram, at most 256 bytes.
         bytes: Vec<u8>,
     },
     /// An event for the decision module.
     Event(Event),
-    /// The believed state of another proxy has changed.
+    /// This proxy's view of another proxy's state has changed.
     Member {
         /// The proxy's ordinal.
         ordinal: u32,
-        /// Its state from now on.
+        /// The proxy's new state.
         state: State,
-        /// Its incarnation.
+        /// The proxy's incarnation.
         incarnation: u64,
     },
-    /// Another proxy is the aggregator, as far as this one knows; `None`: none answers.
+    /// This proxy's view of the current aggregator has changed. `None` if no aggregator answers.
     Aggregator(Option<u32>),
 }
 
@@ -120,7 +121,7 @@
 }
 
 impl Environment<'_, '_> {
-    /// Queues a datagram. One to an ordinal that the roster doesn't have is dropped.
+    /// Queues a datagram. A datagram to an ordinal that is not in the roster is dropped.
     pub fn send(&mut self, to: To, bytes: Vec<u8>) {
         if let Some(to) = self.roster.address(to) {
             self.outputs.push_back(Output::Send { to, bytes });
@@ -133,12 +134,12 @@
     }
 }
 
-/// A member of one protocol, whose outputs become those of [`crate::Peers`].
+/// A member of one protocol. It translates the outputs of its sans-io member into outputs of [`crate::Peers`].
 pub(crate) trait ProtocolMember {
     /// The protocol's sans-io member.
     type Member: SansIoMember;
 
-    /// The sans-io member.
+    /// Returns the sans-io member.
     fn member(&mut self) -> &mut Self::Member;
 
     /// Executes one output of the sans-io member.
--- a/crates/proxy-core/src/lib.rs
+++ b/crates/proxy-core/src/lib.rs
@@ -1,15 +1,14 @@
-//! What stands between a proxy and the other members of its fleet, sans-io: fully deterministic, no sockets, no clocks, no
-//! threads, and no chance but that of the members' own seeds. The daemon and hollow proxies embed the very same code.
+//! The sans-io layer between a proxy and the other members of its fleet. The code is deterministic: it has no sockets, clocks or
+//! threads, and its only randomness comes from the members' seeds. The daemon and the hollow proxies embed the same code.
 //!
-//! [`SansIoMember`] is the one shape of a sans-io member: `handle(now, input)`, `poll() -> output` and `next_timeout()`;
-//! [`MemberDriver`] drives one. [`Peers`] has that shape too: it reports this proxy's established connections
-//! ([`MessageLatencies`]) and observations, and makes events for the decision module of the others' reports.
-//! `docs/design/scale.md` says who drives it.
+//! [`SansIoMember`] is the common interface of sans-io members: `handle(now, input)`, `poll() -> output` and `next_timeout()`;
+//! [`MemberDriver`] drives a member. [`Peers`] has methods of the same form: it reports this proxy's established connections
+//! ([`MessageLatencies`]) and observations, and turns the peers' reports into events for the decision module.
+//! `docs/design/scale.md` describes which code drives [`Peers`].
 //!
 //! [`Guard`] checks each step of the proxy against the rules, [`LoadLines`] and [`MessageLatencies`] estimate how long messages
-//! take, [`WallClock`] converts other machines' times, [`envelope`] authenticates consensus messages, and an [`EndpointUpdate`]
-//! is discovery's list as sent. The crate embeds `aggregation`, `gossip` and `consensus`, which know nothing of one another: to
-//! put them together is what it is for.
+//! take, [`WallClock`] converts other machines' times, [`envelope`] authenticates consensus messages, and [`EndpointUpdate`]
+//! parses discovery's list. The crate combines `aggregation`, `gossip` and `consensus`, which do not depend on one another.
 
 mod aggregation_member;
 mod endpoint_update;
--- a/crates/proxy-core/src/load_lines.rs
+++ b/crates/proxy-core/src/load_lines.rs
@@ -1,36 +1,38 @@
-//! What a render node's `LOAD` lines mean. Two kinds of figures come under that one name, and nothing in the line says which:
+//! Classifies the `LOAD` lines of render nodes. A `LOAD` line carries one of two kinds of figures, and the line itself does not
+//! say which:
 //!
-//! 1. a connection's load, microseconds of work a second, whenever that changes;
-//! 2. how long a message takes at the render node, milliseconds, once a second on one connection of each proxy while that is
-//!    over a third of the shortest latency objective, and once more when it is back under (the settings say whether these are
-//!    sent).
+//! 1. the load of a connection in microseconds of work per second, sent when the load changes;
+//! 2. the latency of a message at the render node in milliseconds, sent once a second on one connection of each proxy while the
+//!    latency is over a third of the shortest latency objective, and once more when it is back under that threshold (the
+//!    settings say whether render nodes send latencies).
 //!
-//! Their timing tells them apart: figures of the second kind are periodic, a second after one another, at the same phase of
-//! the second for as long as the render node lives, whichever connection they come on. The first one is undecided until the
-//! second has arrived, or until that is overdue; from then on the phase is known.
+//! The kinds are distinguished by their timing: latencies are one second apart, at the same phase of the second as long as the
+//! render node's process runs, on whichever connection they arrive. The first latency is undecided until the second one
+//! arrives, after which the phase is known, or until the second one is overdue.
 //!
-//! It grows with the render nodes, each with a bounded number of undecided lines. No I/O, no clock.
+//! Memory use is proportional to the number of render nodes, each with a bounded number of undecided lines. The module has no
+//! I/O and no clock.
 
 use cottonnotch_decision::{Micros, RequestId, ServerId};
 use std::collections::BTreeMap;
 
-/// Between two advertised latencies, in microseconds.
+/// Time between two advertised latencies, in microseconds.
 const PERIOD: Micros = 1_000_000;
-/// How far an advertised latency may be from its phase: it waits for its turn in two event loops.
+/// Maximum deviation of an advertised latency from its phase, in microseconds. The line is delayed by two event loops.
 const JITTER: Micros = 15_000;
-/// A latency in milliseconds is no more than this: render nodes drop connections, or clients give up, long before.
+/// Maximum plausible latency, in milliseconds. At far lower latencies, render nodes drop connections or clients give up.
 const MAX_LATENCY_MS: f64 = 10_000.0;
-/// Undecided lines of one render node; in a flood of them the rest is taken for loads at once.
+/// Maximum number of undecided lines per render node. Further lines are classified as loads at once.
 const MAX_UNDECIDED: usize = 256;
 
-/// What one `LOAD` line means.
+/// The meaning of one `LOAD` line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LoadLine {
-    /// The load of its connection, microseconds of work a second.
+    /// The load of the line's connection, in microseconds of work per second.
     Load(f64),
-    /// The time that a message takes at the render node, in microseconds.
+    /// The latency of a message at the render node, in microseconds.
     Latency(Micros),
-    /// Not known yet: [`LoadLines::settle`] returns it if it was a load after all.
+    /// The meaning is not known yet. [`LoadLines::settle`] returns the line later if it was a load.
     Undecided,
 }
 
@@ -39,13 +41,13 @@
 struct UndecidedLine {
     at: Micros,
     request: RequestId,
-    /// The figure as a load; `None`: a later load of its connection has replaced it.
+    /// The figure as a load. `None` if a later load of the connection has replaced it, or the figure is not finite.
     load: Option<f64>,
 }
 
 #[derive(Debug, Default)]
 struct NodeLines {
-    /// The time of the latest advertised latency, whose phase the next ones have; `None`: no two have shown it yet.
+    /// The time of the latest advertised latency, which gives the phase of the next ones. `None` until two latencies have arrived.
     phase: Option<Micros>,
     undecided: Vec<UndecidedLine>,
 }
@@ -56,26 +58,26 @@
     nodes: BTreeMap<ServerId, NodeLines>,
 }
 
-/// Whether two times are whole periods apart.
+/// Whether two times are a whole number of periods apart, within [`JITTER`].
 fn is_in_phase(a: Micros, b: Micros) -> bool {
     let apart = (a - b).rem_euclid(PERIOD);
     apart.min(PERIOD - apart) <= JITTER
 }
 
-/// Whether a line now comes one period after that time.
+/// Whether `now` is one period after `at`, within [`JITTER`].
 fn follows(now: Micros, at: Micros) -> bool {
     now - at > PERIOD / 2 && now - at < 2 * PERIOD && is_in_phase(now, at)
 }
 
 impl NodeLines {
-    /// A load came on a connection: an undecided line of the same connection is outdated as a load, and may still be the
-    /// first advertised latency.
+    /// Handles a load on a connection. Undecided lines of the same connection are outdated as loads, but may still be the first
+    /// advertised latency.
     fn supersede_load(&mut self, request: RequestId) {
         let of_request = self.undecided.iter_mut().filter(|line| line.request == request);
         of_request.for_each(|line| line.load = None);
     }
 
-    /// Looks for the line one period earlier, which makes this one the second latency in phase.
+    /// Looks for an undecided line one period earlier. If there is one, both lines are latencies and the phase is known.
     fn learn_phase(&mut self, now: Micros) {
         if let Some(earlier) = self.undecided.iter().position(|line| follows(now, line.at)) {
             self.undecided.remove(earlier);
@@ -85,7 +87,7 @@
 }
 
 impl LoadLines {
-    /// Classifies a line with this figure that came on a connection to that render node.
+    /// Classifies a line that arrived on the connection of `request` to the render node `server`.
     pub fn classify(&mut self, now: Micros, server: ServerId, request: RequestId, figure: f64) -> LoadLine {
         let node = self.nodes.entry(server).or_default();
         if figure > MAX_LATENCY_MS {
@@ -94,7 +96,7 @@
         }
         node.learn_phase(now);
         if node.phase.is_some_and(|phase| is_in_phase(now, phase)) {
-            // The phase follows a clock that drifts.
+            // The phase is updated, since the render node's clock drifts.
             node.phase = Some(now);
             return LoadLine::Latency((figure.max(0.0) * 1_000.0) as Micros);
         }
@@ -109,7 +111,7 @@
         LoadLine::Undecided
     }
 
-    /// Returns the undecided lines that were loads after all, as nothing followed them. To be called once a second.
+    /// Returns the undecided lines that were loads, since no line followed them after one period. To be called once a second.
     pub fn settle(&mut self, now: Micros) -> Vec<(RequestId, f64)> {
         let is_overdue = |line: &UndecidedLine| now - line.at > PERIOD + JITTER;
         let mut loads = Vec::new();
@@ -121,7 +123,7 @@
         loads
     }
 
-    /// Forgets a render node: a restarted process has another phase.
+    /// Forgets a render node's phase and undecided lines, since a restarted process has another phase.
     pub fn forget(&mut self, server: ServerId) {
         self.nodes.remove(&server);
     }
--- a/crates/proxy-core/src/load_lines_tests.rs
+++ b/crates/proxy-core/src/load_lines_tests.rs
@@ -8,8 +8,8 @@
     lines.classify(at, NODE, RequestId(request), figure)
 }
 
-/// Found on zone+vast, seed 9: 1,230 ms at a node came as `LOAD 1230` and was taken for a load of next to nothing, so that
-/// the fullest node looked the emptiest.
+/// Guards against taking a latency for a load: in scenario zone+vast with seed 9, a render node sent its latency of 1,230 ms as
+/// `LOAD 1230`. It was taken for a very small load, so that the fullest node looked the emptiest.
 #[test]
 fn periodic_figures_are_latencies_on_any_connection() {
     let mut lines = LoadLines::default();
@@ -17,7 +17,7 @@
     assert_eq!(classify(&mut lines, 523 * MS, 1, 46.0), LoadLine::Undecided, "it may be a small load");
     assert_eq!(classify(&mut lines, 1_525 * MS, 2, 475.0), LoadLine::Latency(475 * MS));
     assert_eq!(classify(&mut lines, 1_900 * MS, 2, 475.0), LoadLine::Undecided, "out of step");
-    // Back after a time without: the phase is known.
+    // After a pause without latencies, the phase is still known.
     assert_eq!(classify(&mut lines, 9_521 * MS, 1, 31.0), LoadLine::Latency(31 * MS));
     assert_eq!(
         classify(&mut lines, 10_522 * MS, 1, 12.0),
@@ -48,7 +48,7 @@
 }
 
 proptest! {
-    // Loads that change at random moments, periodic latencies between them: nearly each is classified right.
+    // Loads at random times and periodic latencies are mixed. Nearly all lines must be classified correctly.
     #[test]
     fn separates_loads_from_latencies(
         loads in prop::collection::vec((0..20_000_i64, 400.0..60_000.0_f64), 0..40),
@@ -68,14 +68,14 @@
             wrong += usize::from(matches!(line, LoadLine::Latency(_)) != *is_latency && !(*is_latency && line == LoadLine::Undecided));
             prop_assert!(!*is_latency || !matches!(line, LoadLine::Load(_)), "{line:?}");
             if *is_latency {
-                // One that follows another after a second is known for what it is.
+                // A latency that follows another one after a second must be recognized.
                 missed += usize::from(at - latest == PERIOD && line == LoadLine::Undecided);
                 latest = *at;
             }
         }
         // Two small loads a second apart move the phase, and the next latency is missed.
         prop_assert!(missed <= small / 2, "{missed} missed among {small} small loads");
-        // One in 33 small loads is in phase by chance; the first may be taken for a latency until the next.
+        // One in 33 small loads is in phase by chance, and may be classified as a latency.
         prop_assert!(wrong <= 3 + small / 3, "{wrong} of {}", all.len());
     }
 }
--- a/crates/proxy-core/src/member_driver.rs
+++ b/crates/proxy-core/src/member_driver.rs
@@ -1,28 +1,28 @@
-//! How a sans-io member is driven: inputs go in with their time, outputs are executed in their order.
+//! Drives sans-io members: passes inputs with their time to a member and executes its outputs in order.
 
 use cottonnotch_decision::Micros;
 
-/// A sans-io member: an input with its time, then outputs until there is none.
+/// A sans-io member. After each input, the caller polls outputs until there are none.
 pub trait SansIoMember {
-    /// What happened.
+    /// An event that the member reacts to.
     type Input<'a>;
-    /// An action to take, or news.
+    /// An action to take or a change to report.
     type Output;
 
-    /// The input for a timeout that has passed.
+    /// Returns the input for a timeout that has passed.
     fn tick() -> Self::Input<'static>;
 
-    /// Handles an input at that time, in microseconds.
+    /// Handles an input at the time `now`, in microseconds.
     fn handle(&mut self, now: Micros, input: Self::Input<'_>);
 
-    /// The next output, if any.
+    /// Returns the next output, if any.
     fn poll(&mut self) -> Option<Self::Output>;
 
-    /// When [`SansIoMember::tick`] is due, unless another input comes first.
+    /// Returns the time at which [`SansIoMember::tick`] is due. Another input may change that time.
     fn next_timeout(&self) -> Micros;
 }
 
-/// Implements [`SansIoMember`] by the inherent methods of the same names.
+/// Implements [`SansIoMember`] with the inherent methods of the same names.
 macro_rules! impl_sans_io_member {
     ($member:ty, $input:ty, $tick:expr, $output:ty) => {
         impl SansIoMember for $member {
@@ -67,24 +67,24 @@
     cottonnotch_gossip::Output
 );
 
-/// Owns a member and executes its outputs.
+/// Passes inputs to a member and executes its outputs.
 pub trait MemberDriver {
-    /// The member.
+    /// The type of the member.
     type Member: SansIoMember;
-    /// Why an output can't be executed; the outputs after it are not.
+    /// The error of an output that cannot be executed. Later outputs are then not executed.
     type Error;
 
-    /// Its member.
+    /// Returns the member.
     fn member(&mut self) -> &mut Self::Member;
 
-    /// Executes one output; they come in their order.
+    /// Executes one output. Outputs are executed in the order in which the member returned them.
     fn execute(
         &mut self,
         now: Micros,
         output: <Self::Member as SansIoMember>::Output,
     ) -> Result<(), Self::Error>;
 
-    /// Hands the member an input, and executes all outputs.
+    /// Passes an input to the member and executes all outputs.
     fn handle_input(
         &mut self,
         now: Micros,
@@ -97,7 +97,7 @@
         Ok(())
     }
 
-    /// Hands the member its timeout, if that has passed.
+    /// Passes the member's timeout to it, if the timeout has passed.
     fn handle_timeout(&mut self, now: Micros) -> Result<(), Self::Error> {
         if self.member().next_timeout() <= now {
             self.handle_input(now, Self::Member::tick())?;
@@ -106,19 +106,20 @@
     }
 }
 
-/// The timer of an embedder that can't cancel timers: it may fire early, and never late.
+/// A timer for embedders that cannot cancel timers. It may fire earlier than the latest due time, but never later.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WakeUpTimer {
     due: Option<Micros>,
 }
 
 impl WakeUpTimer {
-    /// The timer has fired.
+    /// Records that the timer has fired.
     pub fn fired(&mut self) {
         self.due = None;
     }
 
-    /// After how long a timer has to fire for what is due then, in microseconds; `None`: one that is set already suffices.
+    /// Returns the delay in microseconds after which the embedder must set a timer to fire for `due`. `None` if an earlier timer is
+    /// already set or nothing is due.
     pub fn arm(&mut self, now: Micros, due: Micros) -> Option<Micros> {
         if due == Micros::MAX || self.due.is_some_and(|armed| armed <= due) {
             return None;
--- a/crates/proxy-core/src/observations.rs
+++ b/crates/proxy-core/src/observations.rs
@@ -1,12 +1,12 @@
-//! What a decision event shows of an endpoint's health, and the verdict that a peer's evidence amounts to.
+//! Derives health observations from decision events, and health verdicts from a peer's evidence.
 
 use cottonnotch_decision::{Event, Outcome, PeerVerdict, ServerId};
 use cottonnotch_gossip::{Evidence, Observation};
 
-/// Older evidence doesn't count, in tenths of a second; a peer's evidence is as old as it says.
+/// Maximum age of evidence that counts, in tenths of a second. The age of a peer's evidence is the one that the peer reports.
 const MAX_AGE_TENTHS: u8 = 30;
 
-/// What an event shows of an endpoint's health, if anything.
+/// Returns the endpoint and the health observation of an event, if the event has any.
 pub(crate) fn observation(event: &Event) -> Option<(ServerId, Observation)> {
     let (server, outcome) = match event {
         Event::Established { server, .. } => (*server, Outcome::Served),
@@ -26,8 +26,8 @@
     Some((server, observation))
 }
 
-/// The verdict of a peer's evidence. That a render node is full shows nothing of its health, and a client that was rejected
-/// shows the others nothing that they would not be told at once.
+/// Returns the health verdict of a peer's evidence. A full render node says nothing about its health: it rejects clients, and
+/// every other proxy would get the same rejection at once.
 pub(crate) fn verdict(evidence: &Evidence) -> PeerVerdict {
     let failures = u32::from(evidence.failed) + u32::from(evidence.timed_out) + u32::from(evidence.silent);
     match (evidence.age_tenths <= MAX_AGE_TENTHS, failures, evidence.served) {
--- a/crates/proxy-core/src/peer_loads.rs
+++ b/crates/proxy-core/src/peer_loads.rs
@@ -1,91 +1,93 @@
-//! The loads that other proxies report: their own sums for each render node, as long as these are fresh.
+//! The loads that other proxies report for each render node, weighted by the age of the reports.
 //!
-//! A peer that reported lately counts with its report; one that is alive and has not reported counts with a guess, which
-//! leans on the reports of the others; one that has left counts for nothing. Freshness fades, so the guess comes back smoothly
-//! when reports stop. It grows with the peers' reports: for each peer the render nodes that it has connections to.
+//! A peer with a recent report counts with the reported load. A peer that is alive without a recent report counts with an
+//! estimate, which also uses the other peers' reports. A peer that has left does not count. The weight of a report decreases
+//! gradually with its age, so the estimate replaces outdated reports without a jump. Memory use is proportional to the reported
+//! loads: for each peer, the render nodes that it has connections to.
 
 use cottonnotch_decision::{Micros, ServerId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A report counts in full for this long: two and a half periods of a second ...
+/// Age up to which a report has full weight, in microseconds: two and a half report periods of a second.
 const FRESH: Micros = 2_500_000;
-/// ... and for nothing after this.
+/// Age from which a report has no weight, in microseconds.
 const STALE: Micros = 6_000_000;
-/// The guess weighs as much as this many peers that reported.
+/// Weight of the guess in the estimate for a peer without a report, in number of peers with a report.
 const GUESS_WEIGHT: f64 = 1.0;
-/// Multiplier of Fibonacci hashing, 2^64 over the golden ratio: a group's key may be a counter, the product's highest
-/// bits are spread.
+/// Multiplier of Fibonacci hashing: 2^64 divided by the golden ratio. A group's key may be a counter; the highest bits of the
+/// product are well distributed.
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
-/// The highest five bits choose one of 32.
+/// Shift that leaves the highest five bits, which select one of 32 bits.
 const BIT_SHIFT: u32 = u64::BITS - 5;
 
-/// A proxy's established connections to one render node, summed.
+/// The sum over one proxy's established connections to one render node.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EstablishedLoad {
-    /// Load in microseconds of work a second.
+    /// The load, in microseconds of work per second.
     pub load: f64,
-    /// The groups: one bit of 32 for each (`group_bit`), joined.
+    /// The union of the groups' bits (`group_bit`), one of 32 for each group.
     pub groups: u32,
 }
 
-/// What is known of all other proxies' connections to one render node.
+/// An estimate of all other proxies' connections to one render node.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OtherProxies {
-    /// Their summed load, reported or guessed.
+    /// The sum of their loads, reported or estimated, in microseconds of work per second.
     pub load: f64,
-    /// Their groups, as far as reported.
+    /// The union of the reported groups' bits.
     pub groups: u32,
-    /// The fraction of the load that was reported and not guessed, 0 to 1.
+    /// The fraction of the other proxies whose load was reported and not estimated, 0 to 1.
     pub reported: f64,
 }
 
 #[derive(Debug, Default)]
 struct Peer {
     reported_at: Option<Micros>,
-    /// By render node's number.
+    /// Reported connections, by the render node's number.
     established: BTreeMap<u32, EstablishedLoad>,
 }
 
 impl Peer {
-    /// How far its reports count now: 1 while fresh, 0 once stale; `None`: it never reported.
+    /// Returns the weight of the peer's reports: 1 while fresh, 0 once stale. `None` if the peer has never reported.
     fn freshness(&self, now: Micros) -> Option<f64> {
         let age = now - self.reported_at?;
         Some(((STALE - age) as f64 / (STALE - FRESH) as f64).clamp(0.0, 1.0))
     }
 }
 
-/// The reports of the peers that are alive, as far as is known.
+/// The load reports of the peers that are alive.
 #[derive(Debug, Default)]
 pub struct PeerLoads {
-    /// Other proxies that are alive; `None`: membership is unknown, so all that the settings count.
+    /// Ordinals of the other proxies that are alive. `None` if membership is unknown; the number of proxies in the settings is used
+    /// instead.
     alive: Option<BTreeSet<u32>>,
     peers: BTreeMap<u32, Peer>,
 }
 
-/// A group's hash; its highest bits are the best spread.
+/// Returns a group's hash, whose highest bits are the best distributed.
 pub(crate) fn group_hash(group: u64) -> u64 {
     group.wrapping_mul(GOLDEN_RATIO)
 }
 
-/// The bit of 32 that stands for a group.
+/// Returns a group's bit, one of 32.
 pub fn group_bit(group: u64) -> u32 {
     1 << (group_hash(group) >> BIT_SHIFT)
 }
 
-/// How many groups joined bits stand for (linear counting, Whang et al. 1990); at most some 110.
+/// Estimates the number of groups from the union of their bits (linear counting, Whang et al. 1990); about 110 at most.
 pub fn group_count(bits: u32) -> f64 {
     let empty = f64::from(bits.count_zeros()).max(1.0);
     -32.0 * (empty / 32.0).ln()
 }
 
 impl PeerLoads {
-    /// Sets which other proxies are alive. One that is not among them has left with all its load.
+    /// Sets which other proxies are alive. The reports of all other peers are dropped.
     pub fn set_alive(&mut self, alive: BTreeSet<u32>) {
         self.peers.retain(|peer, _| alive.contains(peer));
         self.alive = Some(alive);
     }
 
-    /// A peer reported its connections to a render node; `None`: it has none there any more.
+    /// Stores a peer's report of its connections to a render node. `established` is `None` if the peer has no connections there.
     pub fn report_received(
         &mut self,
         now: Micros,
@@ -101,13 +103,13 @@
         }
     }
 
-    /// How many other proxies there are, of so many by the settings.
+    /// Returns the number of other proxies; `configured` is that number by the settings, for unknown membership.
     pub fn count(&self, configured: f64) -> f64 {
         self.alive.as_ref().map_or(configured, |alive| alive.len() as f64)
     }
 
-    /// The connections of all other proxies to a render node. There are so many proxies by the settings; `guess` is the load
-    /// that one of them is thought to have there.
+    /// Estimates the connections of all other proxies to a render node. `configured` is the number of other proxies by the settings;
+    /// `guess` is the assumed load of one other proxy there.
     pub fn others(&self, now: Micros, server: ServerId, configured: f64, guess: f64) -> OtherProxies {
         let count = self.count(configured);
         let (mut load, mut groups, mut heard) = (0.0, 0, 0.0);
@@ -118,7 +120,7 @@
             heard += weight;
             groups |= if weight > 0.0 { established.groups } else { 0 };
         }
-        // More may have reported than are alive for a moment, when one has just left.
+        // For a short time after a peer has left, more peers may have reported than are alive.
         let heard = heard.min(count);
         let unheard_load = (guess * GUESS_WEIGHT + load) / (GUESS_WEIGHT + heard);
         let load = load + (count - heard) * unheard_load;
@@ -129,7 +131,8 @@
         if count > 0.0 {
             heard / count
         } else if self.alive.is_some() {
-            // Membership says that nobody else is there; without gossip only the settings do.
+            // Membership shows that there are no other proxies, so nothing is estimated. Without membership, only the
+            // settings say so.
             1.0
         } else {
             0.0
--- a/crates/proxy-core/src/peers.rs
+++ b/crates/proxy-core/src/peers.rs
@@ -1,5 +1,5 @@
-//! The other proxies of the fleet: a small fleet gossips, a large one aggregates load reports; this proxy is a member of one of
-//! the two protocols. Its state grows with the number of members and of render nodes, not with their product.
+//! Communication with the other proxies of the fleet. A small fleet uses the gossip protocol, a large fleet the aggregation
+//! protocol. Memory use is proportional to the sum of the numbers of members and render nodes, not to their product.
 
 use crate::aggregation_member::AggregationMember;
 use crate::gossip_member::GossipMember;
@@ -21,12 +21,12 @@
 }
 
 impl Peers {
-    /// A member of a fleet that gossips.
+    /// Creates a member of a fleet that uses gossip.
     pub fn with_gossip(member: Gossip, strength: Strength, roster: Roster) -> Self {
         Self::new(Protocol::Gossip(Box::new(GossipMember::new(member, strength))), roster)
     }
 
-    /// A member of a fleet that aggregates load reports.
+    /// Creates a member of a fleet that uses aggregation.
     pub fn with_aggregation(member: cottonnotch_aggregation::Member, roster: Roster) -> Self {
         Self::new(Protocol::Aggregation(Box::new(AggregationMember::new(member))), roster)
     }
@@ -35,7 +35,7 @@
         Peers { protocol, roster, outputs: VecDeque::new() }
     }
 
-    /// Observes an event that the decision module is about to handle.
+    /// Records what an event shows, before the decision module handles the event.
     pub fn observe(&mut self, now: Micros, event: &Event) {
         match &mut self.protocol {
             Protocol::Gossip(member) => member.observe(now, event),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Handles an input; then [`Peers::poll`] until it returns nothing. `now` never goes back.
+    /// Handles an input. Afterwards the caller calls [`Peers::poll`] until it returns `None`. `now` must not decrease.
     pub fn handle(&mut self, now: Micros, input: Input<'_>, local: &mut LocalState<'_>) {
         let environment = &mut Environment { local, roster: &self.roster, outputs: &mut self.outputs };
         match &mut self.protocol {
@@ -52,12 +52,12 @@
         }
     }
 
-    /// The next output, if any.
+    /// Returns the next output, if any.
     pub fn poll(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// When [`Input::Tick`] is due, unless another input comes first; [`Micros::MAX`]: never.
+    /// Returns the time at which [`Input::Tick`] is due, or [`Micros::MAX`] if none is due. Another input may change that time.
     pub fn next_timeout(&self) -> Micros {
         match &self.protocol {
             Protocol::Gossip(member) => member.gossip.next_timeout(),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The aggregation protocol's member, where that is the protocol.
+    /// Returns the aggregation member if the fleet uses aggregation.
     pub fn aggregation_member(&self) -> Option<&cottonnotch_aggregation::Member> {
         match &self.protocol {
             Protocol::Aggregation(member) => Some(&member.member),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The gossip protocol's member, where that is the protocol.
+    /// Returns the gossip member if the fleet uses gossip.
     pub fn gossip_member(&self) -> Option<&Gossip> {
         match &self.protocol {
             Protocol::Gossip(member) => Some(&member.gossip),
