--- a/crates/proxy-core/src/guard/checks.rs
+++ b/crates/proxy-core/src/guard/checks.rs
@@ -1,4 +1,4 @@
-//! The guard itself: each step, and the rules that it may violate.
+//! The guard: checks each step of the proxy against the rules.
 
 use super::request::{ClassRules, PendingAttempt, PendingRequest};
 use super::server::TrackedServer;
@@ -6,21 +6,21 @@
 use cottonnotch_decision::{Entry, Micros, Outcome, Request, RequestId, ServerId, Settings};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A final answer that the proxy itself gives.
+/// A final answer from the proxy itself, without an established connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// Rejected; a retry is harmless.
+    /// The request is rejected, and a retry is safe.
     Rejected,
-    /// Failed, no promise.
+    /// The request has failed; a retry may not be safe.
     Failed,
 }
 
-/// What a list of servers stands for.
+/// Whether a list of servers is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// All servers: one that it doesn't name has been removed.
+    /// The list has all servers; a server that is missing from it has been removed.
     Complete,
-    /// Changes to the previous list.
+    /// The list has changes to the previous list.
     Changes,
 }
 
@@ -29,39 +29,39 @@
 pub struct Guard {
     settings: Settings,
     servers: Vec<TrackedServer>,
-    /// Summed weight of the servers that are ready.
+    /// Sum of the weights of all ready servers.
     total_weight: f64,
-    /// When the latest list was taken.
+    /// When the latest list was applied.
     latest_list: Option<Micros>,
     /// Requests that await their final answer.
     pending: BTreeMap<RequestId, PendingRequest>,
-    /// Requests whose connections are established.
+    /// Requests with an established connection.
     established: BTreeSet<RequestId>,
     violations: Violations,
 }
 
-/// Whether a step violates a rule, and which.
+/// The result of a check: the violated rule as the error, if any.
 pub type GuardResult = Result<(), Violation>;
 
 impl Guard {
-    /// A guard under these settings.
+    /// Creates a guard with the given settings.
     pub fn new(settings: Settings) -> Self {
         Guard { settings, ..Guard::default() }
     }
 
-    /// Applies changed settings. Classes keep their numbers.
+    /// Applies changed settings. The numbers of existing classes must not change.
     pub fn configure(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
-    /// How often each kind was seen.
+    /// Returns the number of violations of each kind.
     pub fn violations(&self) -> &Violations {
         &self.violations
     }
 
     // ---- servers ----
 
-    /// A list counts from now on.
+    /// Applies a list of servers.
     pub fn listed(&mut self, now: Micros, scope: ListScope, entries: &[Entry]) {
         if scope == ListScope::Complete {
             self.servers.iter_mut().for_each(|server| server.stop(now));
@@ -81,19 +81,19 @@
 
     // ---- requests ----
 
-    /// A client's request was taken: one final answer is due.
+    /// Records a client's request, which must get exactly one final answer.
     pub fn requested(&mut self, now: Micros, request: &Request) {
         let deadline = request.left.map(|left| now.saturating_add(left));
         self.pending.insert(request.id, PendingRequest::new(usize::from(request.class.0), deadline));
     }
 
-    /// A connection from before the start is established again.
+    /// Records a connection that was established before this process started.
     pub fn reestablished(&mut self, request: &Request) {
         self.established.insert(request.id);
     }
 
-    /// Checks an attempt that is about to be sent. It must not be sent if this fails; a slow start's budget is counted all the
-    /// same.
+    /// Checks an attempt before it is sent. The attempt must not be sent if the check fails. An attempt that exceeds the slow-start
+    /// budget is still counted towards that budget.
     pub fn check_attempt(&mut self, now: Micros, id: RequestId, server: ServerId) -> GuardResult {
         let checked = self.start_attempt(now, id, server);
         self.counted(checked)
@@ -120,7 +120,7 @@
         }
     }
 
-    /// The last byte of the attempt's line was written: from now on it may run.
+    /// Checks an attempt whose line has been written completely, so that the server may run it from now on.
     pub fn attempt_written(&mut self, now: Micros, id: RequestId) -> GuardResult {
         let Some(request) = self.pending.get(&id) else { return Ok(()) };
         let Some(attempt) = request.attempt else { return Ok(()) };
@@ -132,14 +132,14 @@
         self.counted(checked)
     }
 
-    /// The attempt under way ended without an established connection.
+    /// Records that the pending attempt ended without an established connection.
     pub fn attempt_ended(&mut self, id: RequestId, outcome: Outcome) {
         if let Some(request) = self.pending.get_mut(&id) {
             request.attempt_ended(outcome);
         }
     }
 
-    /// The attempt under way established the connection, which is the final answer.
+    /// Checks a connection that the pending attempt has established, which is the request's final answer.
     pub fn established(&mut self, now: Micros, id: RequestId) -> GuardResult {
         let checked = match self.pending.remove(&id) {
             Some(request) => {
@@ -151,7 +151,7 @@
         self.counted(checked)
     }
 
-    /// The proxy gives a final answer now.
+    /// Checks a final answer from the proxy itself.
     pub fn answered(&mut self, now: Micros, id: RequestId, answer: FinalAnswer) -> GuardResult {
         let checked = self.check_answer(now, id, answer);
         self.pending.remove(&id);
@@ -169,18 +169,18 @@
         check_in_time(request, now)
     }
 
-    /// The client has left before its answer: none is due any more.
+    /// Records that the client has left before its final answer, so that no answer is required.
     pub fn client_left(&mut self, id: RequestId) {
         self.pending.remove(&id);
     }
 
-    /// An established connection has ended, or is ended with `MOVE`.
+    /// Checks the end of an established connection, which has ended by itself or is ended with `MOVE`.
     pub fn closed(&mut self, id: RequestId) -> GuardResult {
         let was_established = self.established.remove(&id);
         self.counted(was_established.then_some(()).ok_or(Violation::ClosedNotEstablished))
     }
 
-    /// Requests whose time for an answer has passed by now; each is returned and counted once.
+    /// Returns the requests that count as lost without an answer. Each request is returned and counted once.
     pub fn overdue(&mut self, now: Micros) -> Vec<RequestId> {
         let overdue =
             self.pending.iter_mut().filter_map(|(id, request)| request.newly_overdue(now).then_some(*id));
@@ -189,8 +189,8 @@
         overdue
     }
 
-    /// The process ends: returns the requests that still await an answer. Those that were overdue before are not counted
-    /// again.
+    /// Ends the checks at the end of the process: returns and counts the requests without a final answer, except those that
+    /// [`Self::overdue`] has already counted.
     pub fn finish(&mut self) -> Vec<RequestId> {
         let unanswered = self.pending.iter().filter(|(_, request)| !request.was_overdue());
         let unanswered: Vec<RequestId> = unanswered.map(|(id, _)| *id).collect();
@@ -207,7 +207,8 @@
     ClassRules { idempotency: settings.idempotency(class), attempts: settings.attempts(class) }
 }
 
-/// An answer to a request that is lost violates the deadline, unless it was counted as overdue before.
+/// Checks that a request that is answered now does not count as lost. A request that was already counted as overdue is not
+/// counted again.
 fn check_in_time(request: &PendingRequest, now: Micros) -> GuardResult {
     if request.is_lost_at(now) && !request.was_overdue() { Err(Violation::AnsweredLate) } else { Ok(()) }
 }
--- a/crates/proxy-core/src/guard/mod.rs
+++ b/crates/proxy-core/src/guard/mod.rs
@@ -1,9 +1,8 @@
-//! One guard for the steps in which a rule can be violated: sending, retrying, closing and slow start. It observes which
-//! requests the proxy takes, which attempts it sends and how they end, knows nothing of how that was decided, and says which
-//! step violates a rule. Sans-io.
+//! A guard that checks the proxy's steps against the rules for sending, retrying, closing and slow start, without I/O. The guard
+//! observes the requests, the attempts and their outcomes, independent of the code that decides them, and reports violations.
 //!
-//! It grows with the pending requests, the established connections, and the servers; no step looks at more than one of each,
-//! but [`Guard::overdue`], which looks at all pending requests and is meant for once a second.
+//! Memory use is proportional to the pending requests, the established connections and the servers. A step for a request
+//! looks up one entry of each; [`Guard::overdue`] scans all pending requests and is to be called once a second.
 
 mod checks;
 mod request;
--- a/crates/proxy-core/src/guard/request.rs
+++ b/crates/proxy-core/src/guard/request.rs
@@ -1,21 +1,21 @@
-//! What the guard tracks of one request.
+//! The guard's state of one request.
 
 use super::violation::Violation;
 use cottonnotch_decision::{Idempotency, Micros, Outcome, ServerId, ZoneId};
 
-/// Up to so long after its deadline an answer only earns nothing; after that the request is lost. The platform's standing
-/// test has the same bound, in microseconds.
+/// Time after the deadline, in microseconds, after which an unanswered request counts as lost. An earlier answer after the
+/// deadline only earns nothing. The platform's standing test has the same bound.
 pub(super) const LOST_AFTER: Micros = 500_000;
 
 /// A server's zone and cell.
 pub(super) type Locality = (ZoneId, u32);
 
-/// What a request's class allows.
+/// The limits of a request's class.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ClassRules {
-    /// What a retry of it may do.
+    /// The idempotency of the class, which limits retries.
     pub idempotency: Idempotency,
-    /// Most attempts.
+    /// Maximum number of attempts.
     pub attempts: u32,
 }
 
@@ -31,24 +31,24 @@
 #[derive(Clone, Debug)]
 pub(super) struct PendingRequest {
     pub class: usize,
-    /// Attempts sent so far.
+    /// Number of attempts sent.
     pub attempts: u32,
-    /// The attempt that is under way.
+    /// The pending attempt, if any.
     pub attempt: Option<PendingAttempt>,
     deadline: Option<Micros>,
-    /// The first attempt that may have run: its locality, and when it was sent.
+    /// Locality and send time of the first attempt that may have run.
     may_have_run: Option<(Locality, Micros)>,
-    /// The violation that no answer came in time has been counted.
+    /// Whether the missing answer has been counted as a violation.
     overdue: bool,
 }
 
 impl PendingRequest {
-    /// A request of this class that no attempt was sent for yet.
+    /// Creates a request of this class without attempts.
     pub fn new(class: usize, deadline: Option<Micros>) -> Self {
         PendingRequest { class, attempts: 0, attempt: None, deadline, may_have_run: None, overdue: false }
     }
 
-    /// Whether an attempt may be sent to a server there now, as far as earlier attempts allow.
+    /// Checks whether earlier attempts allow another attempt to a server of this locality now.
     pub fn check_retry(&self, rules: ClassRules, locality: Locality, now: Micros) -> Result<(), Violation> {
         let Some((first_locality, first_sent)) = self.may_have_run else { return Ok(()) };
         match rules.idempotency {
@@ -64,13 +64,13 @@
         }
     }
 
-    /// Whether the request may be rejected now, which invites the client to retry.
+    /// Checks whether the request may be rejected. A rejection invites the client to retry.
     pub fn check_rejection(&self, rules: ClassRules) -> Result<(), Violation> {
         let allowed = self.may_have_run.is_none() || rules.idempotency.may_reject();
         allowed.then_some(()).ok_or(Violation::RejectedAfterEffect)
     }
 
-    /// The attempt under way has ended.
+    /// Records that the pending attempt has ended.
     pub fn attempt_ended(&mut self, outcome: Outcome) {
         let Some(attempt) = self.attempt.take() else { return };
         if !outcome.never_ran() {
@@ -78,17 +78,17 @@
         }
     }
 
-    /// Whether an answer at that time is too late to count.
+    /// Whether the request counts as lost at the time `now`.
     pub fn is_lost_at(&self, now: Micros) -> bool {
         self.deadline.is_some_and(|deadline| now > deadline.saturating_add(LOST_AFTER))
     }
 
-    /// Whether the request is overdue; true once.
+    /// Whether the request has become overdue. Returns true only once.
     pub fn newly_overdue(&mut self, now: Micros) -> bool {
         self.is_lost_at(now) && !std::mem::replace(&mut self.overdue, true)
     }
 
-    /// Whether [`Self::newly_overdue`] was true before.
+    /// Whether [`Self::newly_overdue`] has returned true.
     pub fn was_overdue(&self) -> bool {
         self.overdue
     }
--- a/crates/proxy-core/src/guard/server.rs
+++ b/crates/proxy-core/src/guard/server.rs
@@ -1,40 +1,42 @@
-//! What the guard tracks of one server: its locality, whether it may get new work, and what it was sent in slow start.
+//! The guard's state of one server: its locality, whether it may get attempts, and the attempts sent to it in slow start.
 
 use super::request::Locality;
 use cottonnotch_decision::{Entry, Micros, ServerState, Settings};
 use std::collections::VecDeque;
 
-/// Microseconds of a second.
+/// Microseconds per second.
 const SECOND: f64 = 1_000_000.0;
-/// New work to a server that is draining or removed ends within this time, in microseconds (`rules.stopSendingWithin`; every
-/// limit on sockets is 50 ms longer).
+/// Time within which attempts to a draining or removed server must stop, in microseconds: `rules.stopSendingWithin` plus the
+/// 50 ms by which every limit is longer when measured on sockets.
 const STOP_WITHIN: Micros = 1_050_000;
-/// Under so many connections a window, chance is given a wider margin, as in the platform's standing test.
+/// Number of attempts per window below which the margin for random variation is wider, as in the platform's standing test.
 const SMALL_COUNT: f64 = 30.0;
 
-/// One server.
+/// The tracked state of one server.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TrackedServer {
     pub locality: Locality,
     pub is_ready: bool,
-    /// Since when it may get no new work.
+    /// When the server stopped accepting new attempts.
     stopped_at: Micros,
-    /// Its size; 0 until a list has named it.
+    /// The server's size; 0 until a list has named the server.
     pub weight: f64,
-    /// When its process started, as the list says.
+    /// When the server's process started, according to the list.
     started: Option<Micros>,
-    /// The latest time at which this process of it was certainly not running: it can't be older than that. `None`: unknown.
+    /// The latest time at which the server's current process was certainly not running yet, which bounds its age. `None` if
+    /// unknown.
     not_running_at: Option<Micros>,
-    /// When it was sent attempts lately, oldest first. Bounded by what a window allows, as long as it is in slow start.
+    /// Send times of the attempts in the current window, oldest first. Recorded only while the server is in slow start, so that
+    /// the length is bounded by the attempts of one window.
     sent: VecDeque<Micros>,
 }
 
 impl TrackedServer {
-    /// A list names it; `previous_list` is when the list before that was taken, if there was one.
+    /// Applies the server's entry in a list; `previous_list` is when the list before that was applied, if there was one.
     pub fn listed(&mut self, now: Micros, entry: &Entry, previous_list: Option<Micros>) {
         let is_new = self.weight == 0.0;
         if is_new || self.started != entry.started {
-            // What the first list names may have started at any time before it.
+            // A server in the first list may have started at any time before that list.
             self.not_running_at = previous_list.filter(|_| entry.started.is_some());
             self.sent.clear();
         }
@@ -48,20 +50,21 @@
         self.weight = if entry.weight.is_finite() && entry.weight > 0.0 { entry.weight } else { 1.0 };
     }
 
-    /// It may get no new work from now on.
+    /// Marks the server as not accepting new attempts.
     pub fn stop(&mut self, now: Micros) {
         if std::mem::take(&mut self.is_ready) || self.weight == 0.0 {
             self.stopped_at = now;
         }
     }
 
-    /// Whether an attempt may still reach it: one that was on its way when it stopped may.
+    /// Whether an attempt may still reach the server. After the server has stopped, this holds for a short time, for attempts that
+    /// were already being sent.
     pub fn may_be_reached(&self, now: Micros) -> bool {
         self.is_ready || now - self.stopped_at <= STOP_WITHIN
     }
 
-    /// Counts an attempt that is sent to it. False if that is more than all proxies together may send, by what is known of its
-    /// age from monotonic time alone.
+    /// Counts an attempt to the server. Returns false if this proxy alone has sent more than all proxies together may send to a
+    /// server of this age. The age is bounded by monotonic time only.
     pub fn count_attempt(&mut self, now: Micros, settings: &Settings, total_weight: f64) -> bool {
         let Some(capacity_share) = self.slow_start_share(now, settings) else {
             self.sent.clear();
@@ -80,8 +83,8 @@
         self.sent.len() as f64 <= with_margin(allowed)
     }
 
-    /// The share of its capacity that it has for certain in slow start; `None`: it is warm, its age is unknown, or the settings
-    /// don't say what it bears.
+    /// Returns the share of its capacity that the server has in slow start, for the highest age it can have. `None` if the server
+    /// has finished slow start, its age is unknown, or the settings have no overload limit.
     fn slow_start_share(&self, now: Micros, settings: &Settings) -> Option<f64> {
         let age = now - self.not_running_at?;
         let is_configured = settings.overload_window > 0 && settings.allowance_open() > 0.0;
@@ -90,7 +93,7 @@
     }
 }
 
-/// The bound of the platform's standing test: N + 2 x root of N + 2, and for N under 30 N + 3 x root of N + 3.
+/// Returns the bound of the platform's standing test: N + 2 sqrt(N) + 2, or N + 3 sqrt(N) + 3 for N under 30.
 fn with_margin(allowed: f64) -> f64 {
     let deviations = if allowed < SMALL_COUNT { 3.0 } else { 2.0 };
     allowed + deviations * allowed.sqrt() + deviations
--- a/crates/proxy-core/src/guard/violation.rs
+++ b/crates/proxy-core/src/guard/violation.rs
@@ -1,40 +1,40 @@
-//! The kinds of violation, and how often each was seen.
+//! The kinds of violations, and the number of violations of each kind.
 
-/// A rule that was violated, or would have been had the step been taken.
+/// A violated rule, or a rule that a checked step would violate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Violation {
-    /// Sending: an attempt for a request that awaits no answer.
+    /// Sending: an attempt for a request that is not pending.
     AttemptWithoutRequest,
-    /// Sending: an attempt while another one of the same request is under way.
+    /// Sending: an attempt while another attempt of the same request is pending.
     ConcurrentAttempt,
     /// Sending: more attempts than the class allows.
     TooManyAttempts,
-    /// Sending: to a server that is draining or removed.
+    /// Sending: an attempt to a server that is draining or removed.
     AttemptToStoppedServer,
     /// Retrying: a request that is not idempotent and may have run.
     RetriedNotIdempotent,
-    /// Retrying: a request with an idempotency key at a server that doesn't know the key.
+    /// Retrying: a request with an idempotency key at a server that does not share the key.
     RetriedOutsideScope,
     /// Retrying: a request with an idempotency key after the key's window.
     RetriedAfterWindow,
-    /// Retrying: a rejection, which invites a retry, of what may have run and must not be retried everywhere.
+    /// Retrying: a rejection, which invites a retry, of a request that may have run and must not be retried at every server.
     RejectedAfterEffect,
-    /// Closing: a second final answer, or one to nobody.
+    /// Closing: a second final answer, or a final answer without a request.
     AnswerWithoutRequest,
-    /// Closing: a final answer while an attempt is under way.
+    /// Closing: a final answer while an attempt is pending.
     AnsweredDuringAttempt,
-    /// Closing: a final answer so late that the request counts as lost.
+    /// Closing: a final answer after the request counts as lost.
     AnsweredLate,
-    /// Closing: no final answer in its time, or none before the end of the process.
+    /// Closing: no final answer before the request counts as lost, or before the end of the process.
     Unanswered,
-    /// Closing: a connection ended as if it had been established.
+    /// Closing: the end of a connection that was not established.
     ClosedNotEstablished,
-    /// Starting: a server in slow start got more from this proxy than all proxies together may send it.
+    /// Slow start: more attempts from this proxy to a server in slow start than all proxies together may send.
     SlowStartOverBudget,
 }
 
 impl Violation {
-    /// All kinds, in the order in which they are declared.
+    /// All kinds, in declaration order.
     pub const ALL: [Violation; 14] = [
         Violation::AttemptWithoutRequest,
         Violation::ConcurrentAttempt,
@@ -52,7 +52,7 @@
         Violation::SlowStartOverBudget,
     ];
 
-    /// Its name in metrics and logs. Dashboards refer to it, so it stays when a variant is renamed.
+    /// Returns the kind's name in metrics and logs. Dashboards refer to the name, so it must not change when a variant is renamed.
     pub fn name(self) -> &'static str {
         match self {
             Violation::AttemptWithoutRequest => "sent_unowed",
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Whether a process that is stopped or starved from outside can violate it without a fault of its own: such a violation
-    /// is counted, never asserted.
+    /// Whether the violation can occur without a fault in the proxy, because the process was stopped or got too little CPU time.
+    /// Such a violation is counted, never asserted.
     pub fn may_have_external_cause(self) -> bool {
         matches!(self, Violation::AnsweredLate | Violation::Unanswered | Violation::SlowStartOverBudget)
     }
@@ -83,7 +83,7 @@
     }
 }
 
-/// How often each kind was seen.
+/// The number of violations of each kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Violations([u64; Violation::ALL.len()]);
 
@@ -92,12 +92,12 @@
         self.0[violation.index()] += 1;
     }
 
-    /// How often this kind was seen.
+    /// Returns the number of violations of this kind.
     pub fn of(&self, violation: Violation) -> u64 {
         self.0[violation.index()]
     }
 
-    /// Each kind with its count.
+    /// Iterates over all kinds with their counts.
     pub fn iter(&self) -> impl Iterator<Item = (Violation, u64)> {
         Violation::ALL.into_iter().map(|violation| (violation, self.of(violation)))
     }
--- a/crates/proxy-core/src/wall_clock.rs
+++ b/crates/proxy-core/src/wall_clock.rs
@@ -1,49 +1,49 @@
-//! Converts Unix times that other machines sent to times of this process's own clock, though the wall clock be stepped.
+//! Converts Unix times from other machines to times of this process's monotonic clock, also when the wall clock is stepped.
 //!
-//! The wall clock of a machine may be set by seconds or an hour, either way, while its monotonic clock runs on. A time that was
-//! sent before such a step is of the old clock and may arrive after it. So each offset between the two clocks is remembered with
-//! the time in which it held, and a Unix time belongs to the offset in whose time it can have been read. Sans-io: both clocks
-//! are read by the embedder.
+//! A machine's wall clock may be stepped by seconds or an hour in either direction, while its monotonic clock is not affected. A
+//! time that was read before such a step may arrive after it. The module therefore keeps each offset between the two clocks with
+//! the interval in which it held, and converts a Unix time with the offset in whose interval the time can have been read. The
+//! module is sans-io: the embedder reads both clocks.
 //!
-//! It grows with the steps that are remembered, eight at most.
+//! At most eight intervals are kept.
 
 use cottonnotch_decision::Micros;
 use std::collections::VecDeque;
 
-/// A clock that is slewed, or read a little late, is off by no more than this between two observations, in microseconds;
-/// beyond it has been stepped.
+/// Maximum change of the offset between two observations, in microseconds, that is attributed to slewing or a delayed reading. A
+/// larger change counts as a step.
 const MAX_SLEW: Micros = 100_000;
-/// Machines read the same clock, but not at the same moment.
+/// Tolerance at the ends of an interval, in microseconds, as machines notice a step of their shared clock at different times.
 const TOLERANCE: Micros = 250_000;
-/// Offsets that are remembered. Each is of use for as long as a render node may be in slow start.
+/// Maximum number of offsets that are kept. An offset is useful only as long as a render node may be in slow start.
 const MAX_OFFSETS: usize = 8;
 
-/// An offset between the wall clock and the monotonic one, and when it held.
+/// An offset between the wall clock and the monotonic clock, and the interval in which it held.
 #[derive(Clone, Copy, Debug)]
 struct Interval {
-    /// Wall clock less this process's.
+    /// Wall clock time minus monotonic time, in microseconds.
     offset: Micros,
-    /// When the offset before was observed last; `None`: none is known.
+    /// When the previous offset was last observed. `None` if no previous offset is known.
     from: Option<Micros>,
-    /// When this one was observed last.
+    /// When this offset was last observed.
     seen: Micros,
-    /// When the next one was observed first; `None`: this is the present one.
+    /// When the next offset was first observed. `None` for the current offset.
     until: Option<Micros>,
 }
 
-/// An offset that a process hands to the next one. The next offset begins where this one was observed last.
+/// An offset that a process passes on to its successor. The next offset's interval begins where this one was last observed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockOffset {
-    /// Wall clock less the process's own, in microseconds.
+    /// Wall clock time minus the process's monotonic time, in microseconds.
     pub offset: Micros,
-    /// When the offset before was observed last; `None`: none is known.
+    /// When the previous offset was last observed. `None` if no previous offset is known.
     pub from: Option<Micros>,
-    /// When this one was observed last.
+    /// When this offset was last observed.
     pub seen: Micros,
 }
 
 impl Interval {
-    /// The time of this process's clock at which the wall clock showed that Unix time, if it did so in this interval.
+    /// Returns the monotonic time at which the wall clock showed `unix`, if that was in this interval.
     fn to_monotonic(self, now: Micros, unix: Micros) -> Option<Micros> {
         let time = unix.saturating_sub(self.offset);
         let is_early = self.from.is_some_and(|from| time < from - TOLERANCE);
@@ -52,7 +52,7 @@
     }
 }
 
-/// The offsets between the wall clock and this process's own.
+/// The recent offsets between the wall clock and this process's monotonic clock.
 #[derive(Clone, Debug)]
 pub struct WallClock {
     /// Oldest first; never empty.
@@ -60,14 +60,14 @@
 }
 
 impl WallClock {
-    /// A process that begins: its clock shows `now`, the wall clock `unix`.
+    /// Creates a clock without history. The monotonic clock shows `now`, the wall clock `unix`.
     pub fn new(now: Micros, unix: Micros) -> Self {
         let interval = Interval { offset: unix - now, from: None, seen: now, until: None };
         WallClock { intervals: VecDeque::from([interval]) }
     }
 
-    /// As [`Self::new`], for a process that knows the offsets that earlier ones observed, by its own clock and oldest first.
-    /// If they can't be true, all are dropped.
+    /// Creates a clock with the offsets that earlier processes observed, relative to this process's clock and oldest first. If the
+    /// offsets are inconsistent, all of them are dropped.
     pub fn with_history(earlier: Vec<ClockOffset>, now: Micros, unix: Micros) -> Self {
         let mut intervals: VecDeque<Interval> = VecDeque::new();
         for ClockOffset { offset, from, seen } in earlier.into_iter().take(MAX_OFFSETS) {
@@ -88,14 +88,14 @@
         clock
     }
 
-    /// The offsets, for the next process.
+    /// Returns the offsets, to be passed on to the next process.
     pub fn offsets(&self) -> impl Iterator<Item = ClockOffset> {
         let offset = |of: &Interval| ClockOffset { offset: of.offset, from: of.from, seen: of.seen };
         self.intervals.iter().map(offset)
     }
 
-    /// Takes a reading of both clocks. To be called once a second at least, and before a time is converted. True if the wall
-    /// clock was stepped since the last call.
+    /// Records a reading of both clocks. To be called at least once a second, and before a time is converted. Returns true if the
+    /// wall clock was stepped since the last call.
     pub fn observe(&mut self, now: Micros, unix: Micros) -> bool {
         let offset = unix - now;
         let Some(present) = self.intervals.back_mut() else { return false };
@@ -112,15 +112,16 @@
         true
     }
 
-    /// Unix time, by the wall clock as it was observed last.
+    /// Converts a monotonic time to Unix time with the latest offset.
     pub fn unix(&self, now: Micros) -> Micros {
         now + self.intervals.back().map_or(0, |present| present.offset)
     }
 
-    /// Converts a Unix time to this process's clock: never later than now, and now where no offset fits, since what is young is
-    /// treated with more care. Where the wall clock showed it twice, the later time counts for the same reason.
+    /// Converts a Unix time to this process's clock. The result is never later than `now`. If no offset fits, the result is `now`,
+    /// and if the wall clock showed the time twice, the result is the later time: a recently started render node is treated with
+    /// more care.
     ///
-    /// A step before this process began is known only if an earlier process handed it on ([`Self::with_history`]).
+    /// A step before the start of this process is known only if an earlier process passed it on ([`Self::with_history`]).
     pub fn to_monotonic(&self, now: Micros, unix: Micros) -> Micros {
         self.intervals.iter().filter_map(|interval| interval.to_monotonic(now, unix)).max().unwrap_or(now)
     }
--- a/crates/proxy-core/tests/golden.rs
+++ b/crates/proxy-core/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Envelopes keep the bytes that earlier builds gave them.
+//! Envelopes have the same bytes as in earlier builds.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
--- a/crates/proxy-core/tests/guard.rs
+++ b/crates/proxy-core/tests/guard.rs
@@ -1,4 +1,4 @@
-//! Each rule of the guard, kept and broken.
+//! Each rule of the guard, with steps that keep the rule and steps that violate it.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -43,7 +43,7 @@
     Request { id: RequestId(id), class, tenant: None, left, load_hint: None, group: None, again: false }
 }
 
-/// Two servers, of cells 0 and 1, and one request that was taken at 0.
+/// Creates a guard with two servers, in cells 0 and 1, and one request that arrived at time 0.
 fn guard(idempotency: Idempotency) -> Guard {
     let mut guard = Guard::new(settings(idempotency));
     guard.listed(
@@ -159,8 +159,8 @@
 
 #[test]
 fn bounds_attempts_to_a_server_in_slow_start() {
-    // Two servers share 100 connections that fill them in 10 s: at 0.3 of its capacity a server bears 3 x 0.3 x 5 a second,
-    // 9 in a window of 2 s, and 21 with chance.
+    // Two servers share 100 connections that fill them in 10 s. At 0.3 of its capacity, a server may get 3 x 0.3 x 5 attempts
+    // per second, which are 9 in a window of 2 s, and 21 with the margin for random variation.
     for started in [Some(-3600 * S), Some(5 * S), Some(3600 * S)] {
         let mut guard = Guard::new(settings(Idempotency::Idempotent));
         guard.listed(
--- a/crates/proxy-core/tests/wall_clock.rs
+++ b/crates/proxy-core/tests/wall_clock.rs
@@ -1,4 +1,4 @@
-//! Unix times told before, around and after steps of the wall clock.
+//! Conversion of Unix times that were read before, around and after steps of the wall clock.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -12,10 +12,10 @@
 
 const S: Micros = 1_000_000;
 const HOUR: Micros = 3600 * S;
-/// The process's own clock need not be near Unix time.
+/// Unix time at monotonic time 0. The process's own clock need not be near Unix time.
 const UNIX: Micros = 1_800_000_000 * S;
 
-/// A process that looked once a second, and whose wall clock was stepped half a second after a look.
+/// Creates a clock that was observed once a second until `until`, while the wall clock was stepped by `by` at the time `at`.
 fn stepped(at: Micros, by: Micros, until: Micros) -> WallClock {
     let mut clock = WallClock::new(0, UNIX);
     for now in (0..=until).step_by(S as usize) {
@@ -52,11 +52,11 @@
 fn converts_times_from_before_a_step() {
     for by in [-HOUR, -7 * S, -2 * S, 2 * S, 7 * S, HOUR] {
         let clock = stepped(20 * S - S / 2, by, 30 * S);
-        // Read on the old clock a second before the step, and told after it.
+        // The time was read before the step and arrives after it.
         let time = clock.to_monotonic(30 * S, UNIX + 18 * S);
         assert!((18 * S..=30 * S).contains(&time), "step of {by}: {time}");
     }
-    // An hour leaves no doubt which clock it was.
+    // A step of an hour leaves only one offset that fits.
     for by in [-HOUR, HOUR] {
         assert_eq!(stepped(20 * S - S / 2, by, 30 * S).to_monotonic(30 * S, UNIX + 18 * S), 18 * S);
     }
@@ -76,7 +76,7 @@
 fn history_covers_steps_before_the_start() {
     for by in [-HOUR, HOUR] {
         let earlier = stepped(HOUR, 0, 20 * S);
-        // It ended; the clock was stepped at 25 s; the next process begins at 30 s.
+        // The first process ends, the wall clock is stepped at 25 s, and the next process starts at 30 s.
         let next = WallClock::with_history(earlier.offsets().collect(), 30 * S, UNIX + 30 * S + by);
         assert_eq!(next.to_monotonic(30 * S, UNIX + 24 * S), 24 * S, "told by the old clock");
         assert_eq!(next.to_monotonic(30 * S, UNIX + 28 * S + by), 28 * S, "told by the new one");
@@ -96,7 +96,7 @@
 }
 
 proptest! {
-    /// Whatever the steps: what is told is never taken for older than it is, by more than a look and the tolerance.
+    /// For any steps, a time is never converted to one that is too early by more than an observation period and the tolerance.
     #[test]
     fn never_overestimates_an_age(
         steps in proptest::collection::vec((0..60 * S, -HOUR..HOUR), 0..5),
@@ -110,7 +110,7 @@
             clock.observe(look, UNIX + look + offset(look));
         }
         let time = clock.to_monotonic(now, UNIX + sent_at + offset(sent_at));
-        // Two steps between two looks leave an offset that was never seen; small ones look like slewing.
+        // Two steps between two observations leave an offset that was never observed, and small steps look like slewing.
         let seen: Vec<Micros> = (0..now).step_by(S as usize).chain([now]).map(offset).collect();
         prop_assume!(seen.iter().any(|seen| *seen == offset(sent_at)));
         prop_assert!(time >= sent_at - S - 350_000, "{time} for {sent_at}");
