--- a/crates/proxy-core/src/message_latency/connections.rs
+++ b/crates/proxy-core/src/message_latency/connections.rs
@@ -1,43 +1,43 @@
-//! This proxy's established connections, and the sums over them. It grows with the connections.
+//! This proxy's established connections and sums over them. Memory use is proportional to the number of connections.
 
 use crate::peer_loads::{EstablishedLoad, group_bit, group_hash};
 use cottonnotch_aggregation::GroupLoad;
 use cottonnotch_decision::{Micros, RequestId, ServerId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A digest of a group is its hash's highest byte.
+/// Shift that leaves the highest byte of a group's hash, which is the group's digest.
 const DIGEST_SHIFT: u32 = u64::BITS - u8::BITS;
 
 /// One established connection.
 #[derive(Debug)]
 pub(super) struct Connection {
-    /// The render node that serves it.
+    /// The render node that serves the connection.
     pub server: ServerId,
-    /// Its group, if it has one and groups count.
+    /// The connection's group, if it has one and groups are taken into account.
     pub group: Option<u64>,
-    /// Its load in microseconds of work a second; `None`: the render node has not advertised one.
+    /// The load in microseconds of work per second. `None` if the render node has not advertised a load.
     pub load: Option<f64>,
-    /// When it was established.
+    /// When the connection was established.
     pub since: Micros,
 }
 
 /// Sums over this proxy's connections to one render node.
 #[derive(Debug, Default)]
 pub(super) struct NodeConnections {
-    /// Their load, in microseconds of work a second.
+    /// Sum of the loads, in microseconds of work per second.
     pub load: f64,
-    /// How many belong to no group.
+    /// Number of connections without a group.
     pub ungrouped: f64,
-    /// The groups of the others.
+    /// The groups of the other connections.
     pub groups: BTreeSet<u64>,
 }
 
-/// Sums over all connections, for an estimate of each render node's utilisation.
+/// Sums over all connections, from which each render node's utilisation is estimated.
 #[derive(Debug, Default)]
 pub(super) struct ConnectionSums {
-    /// By render node's number.
+    /// Sums by the render node's number.
     pub by_server: BTreeMap<u32, NodeConnections>,
-    /// Connections by group, then by render node's number.
+    /// Number of connections by group, then by the render node's number.
     pub by_group: BTreeMap<u64, BTreeMap<u32, f64>>,
 }
 
@@ -66,14 +66,14 @@
         self.0.len()
     }
 
-    /// Mean load of the connections whose load is known; 0 if none is.
+    /// Returns the mean load of the connections whose load is known, or 0 if no load is known.
     pub fn mean_load(&self) -> f64 {
         let loads = self.iter().filter_map(|connection| connection.load);
         let (sum, count) = loads.fold((0.0, 0.0), |(sum, count), load| (sum + load, count + 1.0));
         if count > 0.0 { sum / count } else { 0.0 }
     }
 
-    /// Connections and their load by render node. One whose load is unknown counts with the mean.
+    /// Returns the number of connections and their load, by render node. A connection whose load is unknown counts with the mean.
     pub fn established(&self) -> BTreeMap<ServerId, (u32, EstablishedLoad)> {
         let mean = self.mean_load();
         let mut all: BTreeMap<ServerId, (u32, EstablishedLoad)> = BTreeMap::new();
@@ -86,7 +86,7 @@
         all
     }
 
-    /// Load and a one-byte digest of each group, by render node. A connection whose load is unknown counts with `usual_load`.
+    /// Returns the load and a one-byte digest of each group, by render node. A connection whose load is unknown counts with `usual_load`.
     pub fn established_by_group(&self, usual_load: f64) -> BTreeMap<ServerId, (f64, Vec<u8>)> {
         let mut all: BTreeMap<ServerId, (f64, Vec<u8>)> = BTreeMap::new();
         for connection in self.iter() {
@@ -98,7 +98,7 @@
         all
     }
 
-    /// Connections and load of each group, in no order. A connection whose load is unknown counts with `usual_load`.
+    /// Returns the number of connections and the load of each group, in no particular order. A connection whose load is unknown counts with `usual_load`.
     pub fn load_by_group(&self, usual_load: f64) -> Vec<GroupLoad> {
         let mut all: HashMap<u64, GroupLoad> = HashMap::new();
         for connection in self.iter() {
@@ -110,7 +110,7 @@
         all.into_values().collect()
     }
 
-    /// Sums by render node and by group. A connection whose load is unknown counts with `mean_load`.
+    /// Returns sums by render node and by group. A connection whose load is unknown counts with `mean_load`.
     pub fn sums(&self, mean_load: f64) -> ConnectionSums {
         let mut sums = ConnectionSums::default();
         for connection in self.iter() {
--- a/crates/proxy-core/src/message_latency/latencies.rs
+++ b/crates/proxy-core/src/message_latency/latencies.rs
@@ -1,4 +1,4 @@
-//! Message latencies of all render nodes: what is known of each, and the reports that are due.
+//! Message latencies of all render nodes: the state of each node and the reports that are due.
 
 use super::connections::{Connection, Connections, NodeConnections};
 use super::utilisation::{Evidence, FleetUtilisation, Utilisation};
@@ -7,49 +7,52 @@
 use cottonnotch_decision::{Micros, RequestId, ServerId, Settings};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Between two rounds of latency reports, in microseconds.
+/// Time between two rounds of latency reports, in microseconds.
 pub const REPORT_INTERVAL: Micros = 1_000_000;
-/// A measured round trip counts for this long: clients send a line every 2 s.
+/// Time for which a measured round trip is valid, in microseconds. Clients send a line every 2 s.
 const MEASUREMENT_VALID: Micros = 4_000_000;
-/// A render node advertises its latency once a second, while there is one to advertise; with some lateness.
+/// Time for which an advertised latency is valid, in microseconds. A render node over the threshold advertises its latency once
+/// a second; the rest allows for delays.
 const ADVERTISED_VALID: Micros = 1_200_000;
-/// What a core of standard speed, a listed size of 1, does: work in microseconds a second.
+/// Capacity of a core of standard speed, which has a listed size of 1, in microseconds of work per second.
 const WORK_OF_A_CORE: f64 = 1e6;
-/// Load that each group adds to each render node which serves any of it, in mean connection loads: the platform's figure,
-/// which no setting carries.
+/// Load that a group adds to each render node that serves any of its connections, in mean connection loads. The figure is given
+/// by the platform; there is no setting for it.
 const GROUP_COST: f64 = 3.0;
-/// How far the other proxies' connections are taken to be as heavy as this one's there, and not as the mean: its few are a
-/// small sample.
+/// Weight of this proxy's own load at a render node, against its mean load, in the estimate of the other proxies' load there. It
+/// is under 1 since the proxy's few connections are a small sample.
 const OWN_SAMPLE_WEIGHT: f64 = 0.4;
-/// A group's spread over its render nodes is taken from this many imagined connections by size, besides the real ones.
+/// Number of prior connections, distributed by size, that are added to a group's real connections to estimate how the group is
+/// distributed over its render nodes.
 const PRIOR_CONNECTIONS: f64 = 5.0;
-/// Weight of the past at each set-up of a render node, and of the whole fleet.
+/// Factor by which the weight of a render node's past set-ups decreases at each new set-up.
 const SETUP_MEMORY: f64 = 0.85;
+/// Factor by which the weight of the fleet's past set-ups decreases at each new set-up.
 const FLEET_SETUP_MEMORY: f64 = 0.98;
-/// So many usual set-ups are imagined beside those seen, since a single one says little.
+/// Number of prior set-ups of the usual duration that are added to the observed ones, since a single set-up is a weak sample.
 const PRIOR_SETUPS: f64 = 3.0;
-/// A set-up is at least this long, in microseconds: shorter ones are not told apart.
+/// Minimum set-up time, in microseconds. Shorter set-ups count as this long.
 const SHORTEST_SETUP: Micros = 1_000;
-/// How much smaller a render node is taken to be for set-ups that are longer than usual: the power of their ratio, found by
-/// trials. A set-up also waits for the session store, which is the same everywhere.
+/// Exponent with which the ratio of a render node's set-up time to the usual one reduces its capacity. It is over 1 since a
+/// set-up also waits for the session store, which takes the same time for every node.
 const SETUP_POWER: f64 = 4.0;
-/// A guess at the other proxies' load needs so many connections of this one for each render node. Guards against 300 proxies
-/// that each take their one connection here for one of 300 alike, and move their clients all at once (calm day: 227 moves in
-/// the first second of 1,169 clients).
+/// Minimum number of this proxy's connections per render node for an estimate of the other proxies' load. Otherwise each of 300
+/// proxies with a single connection to a node would assume that all the others have one too, and all would move their clients
+/// at once (in scenario calm day: 227 moves of 1,169 clients in the first second).
 const LEAST_SAMPLE: f64 = 1.0;
-/// ... unless as large a fraction of it was reported.
+/// Reported fraction of the other proxies' load from which [`LEAST_SAMPLE`] is not required.
 const ENOUGH_REPORTED: f64 = 0.5;
-/// A listed size is taken to be at least this.
+/// Minimum size of a render node. Smaller listed sizes count as this size.
 const LEAST_WEIGHT: f64 = 0.01;
 
-/// What estimates need of the settings.
+/// The settings that the estimates use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LatencySettings {
-    /// How many proxies there are by the settings.
+    /// Number of proxies.
     pub proxies: u32,
-    /// The shortest latency objective of a message, in microseconds; without one nothing is reported.
+    /// The shortest latency objective of a message, in microseconds. `None` disables the reports.
     pub objective: Option<Micros>,
-    /// Whether lists carry sizes, so that loads can be compared with capacities.
+    /// Whether lists have sizes, so that loads can be compared with capacities.
     pub sizes_are_listed: bool,
 }
 
@@ -63,7 +66,7 @@
     }
 }
 
-/// An average with exponential forgetting: the weighted sum, and the weight of what went into it.
+/// An average with exponential decay, as a weighted sum and the sum of the weights.
 #[derive(Clone, Copy, Debug, Default)]
 struct DecayingAverage {
     sum: f64,
@@ -77,7 +80,7 @@
     }
 }
 
-/// A latency, and when it was learned.
+/// A latency and the time at which it was measured or advertised.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
     at: Micros,
@@ -90,15 +93,15 @@
     }
 }
 
-/// What is known of one render node.
+/// The state of one render node.
 #[derive(Debug)]
 struct NodeState {
     weight: f64,
-    /// Logarithms of set-up times in microseconds.
+    /// Average of the logarithms of set-up times in microseconds.
     setups: DecayingAverage,
     measured: Option<Sample>,
     advertised: Option<Sample>,
-    /// The last report was over the threshold, so that one more is due when it is back under.
+    /// Whether the last report was over the threshold, so that another report is due when the latency is back under it.
     is_over: bool,
 }
 
@@ -107,11 +110,11 @@
 pub struct LatencyReport {
     /// The render node.
     pub server: ServerId,
-    /// The time that a message takes there, in microseconds.
+    /// The message latency at the render node, in microseconds.
     pub latency: Micros,
 }
 
-/// Message latencies of all render nodes, as far as this proxy can know them.
+/// Advertised, measured and estimated message latencies of all render nodes.
 #[derive(Debug)]
 pub struct MessageLatencies {
     proxies: f64,
@@ -122,16 +125,17 @@
     connections: Connections,
     /// Set-up times over all render nodes.
     setups: DecayingAverage,
-    /// The loads that the other proxies report.
+    /// The loads reported by the other proxies.
     pub peers: PeerLoads,
-    /// The load of all proxies together, as the aggregator reports it.
+    /// The utilisation by all proxies together, as reported by the aggregator.
     pub fleet: Option<FleetUtilisation>,
-    /// Render nodes advertise their latencies: one that is silent to a connection of this proxy has none.
+    /// Whether any render node has advertised a latency. If so, a node that sends none on a connection of this proxy has a latency
+    /// under the threshold.
     any_advertised: bool,
 }
 
 impl MessageLatencies {
-    /// With no render node and no connection yet.
+    /// Creates an instance without render nodes and connections.
     pub fn new(settings: LatencySettings) -> Self {
         let mut latencies = MessageLatencies {
             proxies: 1.0,
@@ -155,7 +159,7 @@
         self.sizes_are_listed = settings.sizes_are_listed;
     }
 
-    /// A list names a render node and its size.
+    /// Records a render node and its size from a list.
     pub fn endpoint_listed(&mut self, server: ServerId, weight: f64) {
         let unseen = NodeState {
             weight,
@@ -167,14 +171,14 @@
         self.nodes.entry(server.0).or_insert(unseen).weight = weight.max(LEAST_WEIGHT);
     }
 
-    /// A render node's process has restarted: what the old one showed is forgotten.
+    /// Forgets the set-up times and the advertised latency of a render node whose process has restarted.
     pub fn process_restarted(&mut self, server: ServerId) {
         if let Some(node) = self.nodes.get_mut(&server.0) {
             (node.setups, node.advertised) = (DecayingAverage::default(), None);
         }
     }
 
-    /// A connection is established; `setup` is how long that took, in microseconds.
+    /// Records an established connection. `setup` is the duration of its set-up, in microseconds.
     pub fn connection_opened(
         &mut self,
         now: Micros,
@@ -191,21 +195,21 @@
         }
     }
 
-    /// A connection's load has changed, in microseconds of work a second.
+    /// Records a changed load of a connection, in microseconds of work per second.
     pub fn load_changed(&mut self, request: RequestId, load: f64) {
         if let Some(connection) = self.connections.get_mut(request) {
             connection.load = Some(load.max(0.0));
         }
     }
 
-    /// A client's line was answered after this long, or has waited so long by now.
+    /// Records the round trip of a client's line: the time until its answer, or the time it has waited so far.
     pub fn round_trip_measured(&mut self, now: Micros, server: ServerId, latency: Micros) {
         if let Some(node) = self.nodes.get_mut(&server.0) {
             node.measured = Some(Sample { at: now, latency });
         }
     }
 
-    /// A render node has advertised how long a message takes there. The report is due at once.
+    /// Records a latency advertised by a render node. Returns the report, which is due at once.
     pub fn latency_advertised(
         &mut self,
         now: Micros,
@@ -219,12 +223,12 @@
         Some(LatencyReport { server, latency })
     }
 
-    /// A connection is closed, if it was established.
+    /// Removes a closed connection. Has no effect if the connection was not established.
     pub fn connection_closed(&mut self, request: RequestId) {
         self.connections.remove(request);
     }
 
-    /// The reports that are due, once every [`REPORT_INTERVAL`].
+    /// Returns the reports that are due. To be called once every [`REPORT_INTERVAL`].
     pub fn due_reports(&mut self, now: Micros) -> Vec<LatencyReport> {
         let Some(objective) = self.objective else { return Vec::new() };
         let mut reports = Vec::new();
@@ -247,44 +251,46 @@
         reports
     }
 
-    /// Connections and their load by render node, for the other proxies.
+    /// Returns the number of connections and their load by render node, which is reported to the other proxies.
     pub fn established(&self) -> BTreeMap<ServerId, (u32, EstablishedLoad)> {
         self.connections.established()
     }
 
-    /// Load and a one-byte digest of each group, by render node. A connection whose load is unknown counts with the fleet's
-    /// mean, if that is known: where a proxy has three, its own say nothing, and new ones would weigh nothing.
+    /// Returns the load and a one-byte digest of each group, by render node. A connection whose load is unknown counts with the
+    /// fleet's mean, if known: a proxy with three connections has too small a sample of its own, and new connections would count
+    /// as no load.
     pub fn established_by_group(&self, now: Micros) -> BTreeMap<ServerId, (f64, Vec<u8>)> {
         self.connections.established_by_group(self.usual_load(now))
     }
 
-    /// This proxy's connections and load of each group; a connection whose load is unknown counts with the mean. Takes time
-    /// in proportion to the connections.
+    /// Returns this proxy's connections and load of each group. A connection whose load is unknown counts with the mean. The time
+    /// is proportional to the number of connections.
     pub fn load_by_group(&self, now: Micros) -> Vec<GroupLoad> {
         self.connections.load_by_group(self.usual_load(now))
     }
 
-    /// The listed render nodes' capacities, in microseconds of work a second; none where sizes are not listed.
+    /// Returns the listed render nodes' capacities, in microseconds of work per second. Empty if lists have no sizes.
     pub fn capacities(&self) -> impl Iterator<Item = (ServerId, f64)> + '_ {
         let sized = self.nodes.iter().filter(|_| self.sizes_are_listed);
         sized.map(|(number, node)| (ServerId(*number), node.weight * WORK_OF_A_CORE))
     }
 
-    /// The fleet's mean load of a connection, or this proxy's where none was reported.
+    /// Returns the fleet's mean load of a connection, or this proxy's mean if no valid one was reported.
     fn usual_load(&self, now: Micros) -> f64 {
         let fleet = self.fleet.as_ref().filter(|fleet| fleet.is_valid(now));
         fleet.and_then(FleetUtilisation::mean_load).unwrap_or_else(|| self.connections.mean_load())
     }
 
-    /// Render nodes with a connection of this proxy that is old enough to have been sent a latency, if there were one.
+    /// Returns render nodes with a connection of this proxy that is old enough to have received an advertised latency. Empty if no
+    /// node advertises latencies.
     fn silent_nodes(&self, now: Micros) -> BTreeSet<u32> {
         let is_old =
             |connection: &&Connection| self.any_advertised && now - connection.since > ADVERTISED_VALID;
         self.connections.iter().filter(is_old).map(|connection| connection.server.0).collect()
     }
 
-    /// Estimated utilisation: of each listed render node by the aggregator's report, or else of each that serves a connection
-    /// of this proxy.
+    /// Estimates the utilisation of all listed render nodes from a valid aggregator's report or, without one, of the render nodes
+    /// that serve a connection of this proxy.
     fn utilisations(&self, now: Micros) -> BTreeMap<u32, Utilisation> {
         match self.fleet.as_ref().filter(|fleet| fleet.is_valid(now)) {
             Some(fleet) => self.nodes.keys().map(|number| (*number, fleet.of(ServerId(*number)))).collect(),
@@ -297,7 +303,7 @@
         let sums = self.connections.sums(mean);
         let estimate = |(number, own): (u32, NodeConnections)| {
             let spreads = own.groups.iter().filter_map(|group| sums.by_group.get(group));
-            // Connections of this proxy that one would expect here: those of its groups, spread by size.
+            // The expected number of this proxy's connections here, if its groups were distributed by size.
             let expected: f64 =
                 spreads.map(|spread| self.expected_connections(number, spread)).sum::<f64>() + own.ungrouped;
             (number, self.estimate(now, number, &own, expected, mean))
@@ -305,7 +311,7 @@
         sums.by_server.into_iter().map(estimate).collect()
     }
 
-    /// Estimates one render node from this proxy's connections there and the peers' reports.
+    /// Estimates one render node's utilisation from this proxy's connections to the node and the peers' reports.
     fn estimate(
         &self,
         now: Micros,
@@ -317,7 +323,7 @@
         let guess = OWN_SAMPLE_WEIGHT * own.load + (1.0 - OWN_SAMPLE_WEIGHT) * expected * mean;
         let others = self.peers.others(now, ServerId(number), self.proxies - 1.0, guess);
         let own_groups = own.groups.iter().fold(0, |bits, group| bits | group_bit(*group));
-        // Groups that only the others serve there cost as much; the bits say how many, roughly.
+        // Groups that only other proxies have there cost as much; the bits give their approximate number.
         let only_theirs = (group_count(own_groups | others.groups) - group_count(own_groups)).max(0.0);
         let groups = GROUP_COST * mean * (own.groups.len() as f64 + only_theirs);
         let load = own.load + others.load + groups;
@@ -326,12 +332,13 @@
         Utilisation { ratio, evidence: Evidence::Peers { reported: others.reported } }
     }
 
-    /// Whether this proxy's connections are a sample of the fleet's.
+    /// Whether this proxy has enough connections to be a sample of the fleet's.
     fn has_enough_connections(&self) -> bool {
         self.connections.len() as f64 >= LEAST_SAMPLE * self.nodes.len() as f64
     }
 
-    /// A group's connections that one would expect at a render node, of those that this proxy has by render node.
+    /// Returns the expected number of a group's connections at a render node; `spread` has this proxy's connections of the group, by
+    /// render node.
     fn expected_connections(&self, number: u32, spread: &BTreeMap<u32, f64>) -> f64 {
         let total: f64 = spread.values().sum();
         let weight = |number: u32| self.nodes.get(&number).map_or(1.0, |node| node.weight);
@@ -340,7 +347,7 @@
         total * (here + PRIOR_CONNECTIONS * weight(number) / weights) / (total + PRIOR_CONNECTIONS)
     }
 
-    /// A render node's capacity in microseconds of work a second: its listed size, less for set-ups that take longer than
+    /// Returns a render node's capacity in microseconds of work per second: its listed size, reduced if its set-ups take longer than
     /// usual.
     fn capacity(&self, number: u32) -> f64 {
         let Some(node) = self.nodes.get(&number) else { return WORK_OF_A_CORE };
@@ -350,7 +357,7 @@
     }
 }
 
-/// Whether a latency is over the threshold of reports, a third of the objective.
+/// Whether a latency is over the report threshold, which is a third of the objective.
 fn is_over(latency: Micros, objective: f64) -> bool {
     latency as f64 > objective / 3.0
 }
--- a/crates/proxy-core/src/wall_clock.rs
+++ b/crates/proxy-core/src/wall_clock.rs
@@ -13,7 +13,7 @@
 /// Maximum change of the offset between two observations, in microseconds, that is attributed to slewing or a delayed reading. A
 /// larger change counts as a step.
 const MAX_SLEW: Micros = 100_000;
-/// Tolerance at the ends of an interval, in microseconds, as machines notice a step of their shared clock at different times.
+/// Tolerance at the ends of an interval, in microseconds, as machines do not read their clocks at the same moment.
 const TOLERANCE: Micros = 250_000;
 /// Maximum number of offsets that are kept. An offset is useful only as long as a render node may be in slow start.
 const MAX_OFFSETS: usize = 8;
