--- a/crates/proxy-core/benches/growth.rs
+++ b/crates/proxy-core/benches/growth.rs
@@ -1,5 +1,5 @@
-//! What a list costs by its length, and what a proxy's once-a-second work costs by its connections and by render nodes. A line
-//! of JSON a point; `docs/CAPACITY.md` quotes them.
+//! Measures the time to parse a list by its length, and the time of a proxy's once-a-second work by its connections and by render
+//! nodes. Prints a JSON line for each point; `docs/CAPACITY.md` quotes the results.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -17,9 +17,9 @@
 /// 440 proxies with an objective of 60 ms.
 const SETTINGS: LatencySettings =
     LatencySettings { proxies: 440, objective: Some(60_000), sizes_are_listed: true };
-/// Rounds of each point.
+/// Number of measurements of each point.
 const ROUNDS: usize = 9;
-/// Groups: 62,000 pairs, with five render nodes each.
+/// Number of groups. With five render nodes per group there are 62,000 pairs.
 const GROUPS: u64 = 12_400;
 
 fn list(members: usize) -> String {
@@ -34,7 +34,7 @@
     format!(r#"{{"revision":1234567,"complete":true,"members":[{}]}}"#, all.join(","))
 }
 
-/// Least and median, in microseconds.
+/// Returns the minimum and median duration of `work`, in microseconds.
 fn timed(mut work: impl FnMut()) -> [f64; 2] {
     let round = |_| {
         let start = Instant::now();
@@ -62,7 +62,7 @@
     }
 }
 
-/// A proxy's connections, spread evenly, each of a group at one of its five render nodes.
+/// Creates evenly distributed connections, each to one of the five render nodes of its group.
 fn latencies(nodes: u32, connections: u64) -> MessageLatencies {
     let mut latencies = MessageLatencies::new(SETTINGS);
     (0..nodes).for_each(|node| latencies.endpoint_listed(ServerId(node), 2.0));
@@ -76,8 +76,8 @@
     latencies
 }
 
-/// What the reports are made of: what this proxy alone knows (no fresh snapshot), a snapshot of the fleet, and the latencies
-/// that render nodes advertise beside it.
+/// The data from which the reports are made: only this proxy's own data (no fresh snapshot), a snapshot of the fleet, or a
+/// snapshot and the latencies that render nodes advertise.
 #[derive(Clone, Copy)]
 enum Known {
     Alone,
@@ -86,7 +86,7 @@
 }
 
 impl Known {
-    /// Its name in the figures' lines, which stays when a variant is renamed.
+    /// Returns the name in the printed results, which must not change when a variant is renamed.
     fn name(self) -> &'static str {
         match self {
             Known::Alone => "Alone",
--- a/crates/proxy-core/src/message_latency/latencies_tests.rs
+++ b/crates/proxy-core/src/message_latency/latencies_tests.rs
@@ -9,7 +9,7 @@
     LatencySettings { proxies: 100, objective: Some(60 * MS), sizes_are_listed: true }
 }
 
-/// The aggregator reports both render nodes as full; this proxy has a connection at one of them, since the time 0.
+/// The aggregator reports both render nodes as full; this proxy has had a connection to one of them since time 0.
 fn reported_full() -> MessageLatencies {
     let mut latencies = MessageLatencies::new(settings());
     for server in [OURS, OTHERS] {
@@ -21,7 +21,7 @@
     latencies
 }
 
-/// Render nodes that are reported over the threshold.
+/// Returns the render nodes that are reported over the threshold.
 fn reported_over(latencies: &mut MessageLatencies, now: Micros) -> Vec<ServerId> {
     let is_over = |report: &LatencyReport| report.latency > 20 * MS;
     latencies.due_reports(now).iter().filter(|report| is_over(report)).map(|report| report.server).collect()
@@ -33,8 +33,8 @@
     assert_eq!(reported_over(&mut latencies, 3 * S), [OURS, OTHERS]);
 }
 
-/// Found on the vast days: estimates kept clients off nodes that advertised nothing to this proxy, having no latency to
-/// advertise.
+/// Guards against estimates that keep clients off render nodes which advertise nothing to this proxy because their latency is
+/// under the threshold, as happened in the vast scenarios.
 #[test]
 fn a_node_silent_to_a_connection_has_no_latency() {
     let mut latencies = reported_full();
@@ -61,7 +61,7 @@
         latencies.due_reports(3 * S + S / 2).iter().map(|report| report.server).collect();
     assert_eq!(due, [OTHERS], "not a second time with the tick, nor as back under");
     assert_eq!(latencies.latency_advertised(4 * S, ServerId(9), 300 * MS), None, "never listed");
-    // A restarted process is not judged by what the old one advertised.
+    // The latency advertised by the old process does not count for the restarted one.
     latencies.endpoint_listed(OURS, 2.0);
     latencies.process_restarted(OURS);
     latencies.connection_closed(RequestId(1));
--- a/crates/proxy-core/tests/growth.rs
+++ b/crates/proxy-core/tests/growth.rs
@@ -1,5 +1,5 @@
-//! What a proxy keeps of its connections' loads and of a list, in bytes of heap: so much for each, whatever there is of the
-//! other. `docs/CAPACITY.md` quotes the slopes; a test fails when one grows past that.
+//! Heap use of the connections' loads and of a list: a constant number of bytes per connection, render node and list member.
+//! `docs/CAPACITY.md` quotes these numbers; the test fails if one of them exceeds its limit.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -19,12 +19,14 @@
 /// 440 proxies with an objective of 60 ms.
 const SETTINGS: LatencySettings =
     LatencySettings { proxies: 440, objective: Some(60_000), sizes_are_listed: true };
-/// Bytes at most for each connection, for each render node, and for each member of a list that was read.
+/// Maximum number of bytes per connection.
 const A_CONNECTION: f64 = 130.0;
+/// Maximum number of bytes per render node.
 const A_NODE: f64 = 220.0;
+/// Maximum number of bytes per member of a parsed list.
 const A_MEMBER: f64 = 220.0;
 
-/// Bytes of heap that what `make` returns takes.
+/// Returns the heap use in bytes of the value that `make` returns.
 fn heap_of<T>(make: impl FnOnce() -> T) -> f64 {
     let region = Region::new(HEAP);
     let made = make();
@@ -56,7 +58,7 @@
     format!(r#"{{"revision":1,"complete":true,"members":[{}]}}"#, all.join(",")).into_bytes()
 }
 
-/// One test, since what other tests of the process hold would count.
+/// A single test, since the memory of other tests in the same process would be counted too.
 #[test]
 fn loads_and_lists_cost_so_much_each() {
     for nodes in [90, 4_096] {
