--- a/crates/proxy-core/benches/growth.rs
+++ b/crates/proxy-core/benches/growth.rs
@@ -51,7 +51,7 @@
         let text = list(members);
         let [least, median] = timed(|| {
             let mut bytes = text.clone().into_bytes();
-            black_box(EndpointUpdate::parse(&mut bytes).expect("a sound list"));
+            black_box(EndpointUpdate::parse(&mut bytes).expect("a valid list"));
         });
         let bytes = text.len();
         println!(
--- a/crates/proxy-core/src/envelope.rs
+++ b/crates/proxy-core/src/envelope.rs
@@ -41,16 +41,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EnvelopeError {
     /// The tag does not match: the datagram was made with another key, or was modified in transit.
-    #[error("it is not proven")]
+    #[error("the datagram is not authentic")]
     NotAuthentic,
     /// The datagram cannot be decoded, has another format version, or its message exceeds the message limits.
-    #[error("it is of another form")]
+    #[error("the datagram has an unknown or invalid format")]
     UnknownFormat,
     /// The datagram is for another member or cluster, or was sent by this member.
-    #[error("it is for another member or cluster")]
+    #[error("the datagram is for another member or cluster")]
     WrongReceiver,
     /// The datagram would be larger than [`MAX_DATAGRAM_BYTES`].
-    #[error("it is too large")]
+    #[error("the datagram is too large")]
     TooLarge,
 }
 
--- a/crates/proxy-core/src/envelope_tests.rs
+++ b/crates/proxy-core/src/envelope_tests.rs
@@ -13,16 +13,24 @@
 fn only_the_receiver_opens_it() {
     let datagram = key('a', "site", 0).seal(1, message()).unwrap();
     assert_eq!(key('a', "site", 1).open(&datagram), Ok((0, message())));
-    assert_eq!(key('A', "site", 1).open(&datagram), Ok((0, message())), "digits have no case");
+    assert_eq!(
+        key('A', "site", 1).open(&datagram),
+        Ok((0, message())),
+        "hexadecimal digits are case-insensitive"
+    );
     assert_eq!(key('a', "site", 2).open(&datagram), Err(EnvelopeError::WrongReceiver));
     assert_eq!(key('a', "other", 1).open(&datagram), Err(EnvelopeError::WrongReceiver));
     assert_eq!(key('b', "site", 1).open(&datagram), Err(EnvelopeError::NotAuthentic));
     let own = key('a', "site", 1).seal(1, message()).unwrap();
-    assert_eq!(key('a', "site", 1).open(&own), Err(EnvelopeError::WrongReceiver), "its own echo");
+    assert_eq!(
+        key('a', "site", 1).open(&own),
+        Err(EnvelopeError::WrongReceiver),
+        "sent by the receiver itself"
+    );
     for text in ["", "abc", &"g".repeat(64), &"a".repeat(65)] {
         assert!(EnvelopeKey::new(text.as_bytes(), "site", 0).is_none());
     }
-    assert!(!format!("{:?}", key('a', "site", 0)).contains("97"), "the key is not shown");
+    assert!(!format!("{:?}", key('a', "site", 0)).contains("97"), "the key must not be shown");
 }
 
 proptest! {
--- a/crates/proxy-core/src/load_lines_tests.rs
+++ b/crates/proxy-core/src/load_lines_tests.rs
@@ -14,17 +14,25 @@
 fn periodic_figures_are_latencies_on_any_connection() {
     let mut lines = LoadLines::default();
     assert_eq!(classify(&mut lines, 23 * MS, 1, 41_000.0), LoadLine::Load(41_000.0));
-    assert_eq!(classify(&mut lines, 523 * MS, 1, 46.0), LoadLine::Undecided, "it may be a small load");
+    assert_eq!(
+        classify(&mut lines, 523 * MS, 1, 46.0),
+        LoadLine::Undecided,
+        "the figure may be a small load"
+    );
     assert_eq!(classify(&mut lines, 1_525 * MS, 2, 475.0), LoadLine::Latency(475 * MS));
-    assert_eq!(classify(&mut lines, 1_900 * MS, 2, 475.0), LoadLine::Undecided, "out of step");
+    assert_eq!(classify(&mut lines, 1_900 * MS, 2, 475.0), LoadLine::Undecided, "out of phase");
     // After a pause without latencies, the phase is still known.
     assert_eq!(classify(&mut lines, 9_521 * MS, 1, 31.0), LoadLine::Latency(31 * MS));
     assert_eq!(
         classify(&mut lines, 10_522 * MS, 1, 12.0),
         LoadLine::Latency(12 * MS),
-        "once more when it is back under"
+        "the latency is sent once more when it is back under the threshold"
+    );
+    assert_eq!(
+        lines.settle(10_600 * MS),
+        [(RequestId(2), 475.0)],
+        "a line that no other followed was a load"
     );
-    assert_eq!(lines.settle(10_600 * MS), [(RequestId(2), 475.0)], "what nothing followed was a load");
     assert_eq!(lines.settle(10_600 * MS), []);
 }
 
--- a/crates/proxy-core/src/message_latency/latencies_tests.rs
+++ b/crates/proxy-core/src/message_latency/latencies_tests.rs
@@ -42,12 +42,20 @@
     assert_eq!(
         reported_over(&mut latencies, 5 * S),
         [OTHERS],
-        "silent to our connection; the other one's report is old"
+        "one node is silent on our connection; the latency advertised by the other is too old"
     );
     latencies.connection_closed(RequestId(1));
-    assert_eq!(reported_over(&mut latencies, 6 * S), [OURS, OTHERS], "no connection there to advertise on");
+    assert_eq!(
+        reported_over(&mut latencies, 6 * S),
+        [OURS, OTHERS],
+        "no connection on which the node could advertise"
+    );
     latencies.connection_opened(7 * S, RequestId(2), OURS, None, None);
-    assert_eq!(reported_over(&mut latencies, 8 * S), [OURS, OTHERS], "too new to have got one");
+    assert_eq!(
+        reported_over(&mut latencies, 8 * S),
+        [OURS, OTHERS],
+        "the connection is too new to have received a latency"
+    );
 }
 
 #[test]
@@ -59,7 +67,11 @@
     );
     let due: Vec<ServerId> =
         latencies.due_reports(3 * S + S / 2).iter().map(|report| report.server).collect();
-    assert_eq!(due, [OTHERS], "not a second time with the tick, nor as back under");
+    assert_eq!(
+        due,
+        [OTHERS],
+        "the advertised latency is not reported again, nor as back under the threshold"
+    );
     assert_eq!(latencies.latency_advertised(4 * S, ServerId(9), 300 * MS), None, "never listed");
     // The latency advertised by the old process does not count for the restarted one.
     latencies.endpoint_listed(OURS, 2.0);
--- a/crates/proxy-core/src/observations_tests.rs
+++ b/crates/proxy-core/src/observations_tests.rs
@@ -9,7 +9,7 @@
     assert_eq!(
         verdict(&Evidence { full: 9, ..Evidence::default() }),
         PeerVerdict::Inconclusive,
-        "full is not failing"
+        "a full render node is not unhealthy"
     );
     assert_eq!(verdict(&Evidence { served: 3, ..Evidence::default() }), PeerVerdict::Healthy);
     assert_eq!(verdict(&Evidence::default()), PeerVerdict::Inconclusive);
--- a/crates/proxy-core/src/peer_loads_tests.rs
+++ b/crates/proxy-core/src/peer_loads_tests.rs
@@ -22,8 +22,11 @@
     let at = |now| peers.others(now, AT, 4.0, 10.0);
     assert_eq!(at(2 * S), OtherProxies { load: 120.0, groups: group_bit(7), reported: 1.0 });
     let loads: Vec<f64> = (0..=12).map(|half| at(half * S / 2).load).collect();
-    assert!(loads.is_sorted_by(|a, b| a >= b), "no jump back up: {loads:?}");
-    assert!(loads.windows(2).all(|pair| pair[0] - pair[1] < 40.0), "no step: {loads:?}");
+    assert!(loads.is_sorted_by(|a, b| a >= b), "the load must not increase: {loads:?}");
+    assert!(
+        loads.windows(2).all(|pair| pair[0] - pair[1] < 40.0),
+        "the load must not drop in one step: {loads:?}"
+    );
     assert_eq!(at(6 * S), OtherProxies { load: 40.0, groups: 0, reported: 0.0 });
 }
 
--- a/crates/proxy-core/tests/growth.rs
+++ b/crates/proxy-core/tests/growth.rs
@@ -76,7 +76,7 @@
     }
     for members in [90, 1_024, 4_096] {
         let mut text = list(members);
-        let bytes = heap_of(|| EndpointUpdate::parse(&mut text).expect("a sound list"));
+        let bytes = heap_of(|| EndpointUpdate::parse(&mut text).expect("a valid list"));
         let each = bytes / members as f64;
         println!(r#"{{"what":"list heap","members":{members},"bytes_a_member":{each:.1}}}"#);
         assert!(each < A_MEMBER, "{members} members: {each} bytes each");
--- a/crates/proxy-core/tests/guard.rs
+++ b/crates/proxy-core/tests/guard.rs
@@ -94,7 +94,7 @@
     assert_eq!(guard.check_attempt(2, ID, ServerId(0)), Err(Violation::AttemptToStoppedServer));
     guard.check_attempt(3, ID, ServerId(1)).unwrap();
     guard.listed(4, ListScope::Complete, &[entry(0, 0, ServerState::Ready, None)]);
-    assert_eq!(guard.attempt_written(5, ID), Ok(()), "it was on its way");
+    assert_eq!(guard.attempt_written(5, ID), Ok(()), "the attempt was already being sent");
     assert_eq!(
         guard.attempt_written(2 * S, ID),
         Err(Violation::AttemptToStoppedServer),
@@ -144,7 +144,7 @@
     guard.requested(0, &request(2));
     guard.requested(0, &request(3));
     guard.requested(0, &request(4));
-    assert!(guard.overdue(2 * S + S / 2).is_empty(), "up to half a second late it only earns nothing");
+    assert!(guard.overdue(2 * S + S / 2).is_empty(), "up to half a second late, a request is not lost");
     assert_eq!(
         guard.answered(2 * S + S / 2 + 1, RequestId(2), FinalAnswer::Failed),
         Err(Violation::AnsweredLate)
--- a/crates/proxy-core/tests/wall_clock.rs
+++ b/crates/proxy-core/tests/wall_clock.rs
@@ -33,9 +33,9 @@
     assert_eq!(
         clock.to_monotonic(10 * S, UNIX + 10 * S + S / 10),
         10 * S,
-        "another machine is a little ahead"
+        "another machine's clock is a little ahead"
     );
-    assert_eq!(clock.to_monotonic(10 * S, UNIX + HOUR), 10 * S, "a time to come counts as now");
+    assert_eq!(clock.to_monotonic(10 * S, UNIX + HOUR), 10 * S, "a future time counts as now");
     assert_eq!(clock.unix(10 * S), UNIX + 10 * S);
 }
 
@@ -78,10 +78,14 @@
         let earlier = stepped(HOUR, 0, 20 * S);
         // The first process ends, the wall clock is stepped at 25 s, and the next process starts at 30 s.
         let next = WallClock::with_history(earlier.offsets().collect(), 30 * S, UNIX + 30 * S + by);
-        assert_eq!(next.to_monotonic(30 * S, UNIX + 24 * S), 24 * S, "told by the old clock");
-        assert_eq!(next.to_monotonic(30 * S, UNIX + 28 * S + by), 28 * S, "told by the new one");
+        assert_eq!(next.to_monotonic(30 * S, UNIX + 24 * S), 24 * S, "read before the step");
+        assert_eq!(next.to_monotonic(30 * S, UNIX + 28 * S + by), 28 * S, "read after the step");
         let third = WallClock::with_history(next.offsets().collect(), 40 * S, UNIX + 40 * S + by);
-        assert_eq!(third.to_monotonic(40 * S, UNIX + 24 * S), 24 * S, "as the one after that knows");
+        assert_eq!(
+            third.to_monotonic(40 * S, UNIX + 24 * S),
+            24 * S,
+            "the third process knows the first offset"
+        );
     }
 }
 
--- a/crates/reactor/src/http.rs
+++ b/crates/reactor/src/http.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ResponseError {
     /// The head is not valid HTTP.
-    #[error("the response cannot be read: {0}")]
+    #[error("the response head is malformed: {0}")]
     Malformed(#[from] httparse::Error),
     /// The status is not 200.
     #[error("the response is answered {0}")]
@@ -17,10 +17,10 @@
     #[error("the response's length cannot be read")]
     BadLength,
     /// A chunk's size line or the line end after its data is invalid.
-    #[error("a chunk's size or end cannot be read")]
+    #[error("a chunk has an invalid size or end")]
     BadChunk,
     /// The head or a chunk's size line is longer than `MAX_HEAD`.
-    #[error("the response's head is too long")]
+    #[error("the response head is too long")]
     TooLong,
     /// The whole response was received.
     #[error("the response has ended")]
--- a/crates/reactor/src/json_stream.rs
+++ b/crates/reactor/src/json_stream.rs
@@ -17,7 +17,7 @@
     #[error("it is not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
     /// The text is longer than [`MAX_TEXT`].
-    #[error("a JSON text of over {MAX_TEXT} bytes")]
+    #[error("a JSON text is longer than {MAX_TEXT} bytes")]
     TooLong,
 }
 
--- a/crates/reactor/src/json_stream_tests.rs
+++ b/crates/reactor/src/json_stream_tests.rs
@@ -24,12 +24,15 @@
     let complete = br#"{"a":-1.25e-3,"b":[1.0,2E+7,-0.5,-7],"c":"\u00e9\n","d":[true,false,null],"e":0}"#;
     for cut in 1..complete.len() {
         let (found, result) = split(&[&complete[..cut], &complete[cut..]]);
-        assert!(result.is_ok(), "cut behind '{}': {result:?}", complete[..cut].escape_ascii());
+        assert!(result.is_ok(), "cut after '{}': {result:?}", complete[..cut].escape_ascii());
         assert_eq!(found, [std::str::from_utf8(complete).unwrap()]);
     }
     for faulty in ["{\"a\":1.", "{\"a\":-", "{\"a\":1e", "{\"a\":0"] {
         let (found, result) = split(&[faulty.as_bytes(), b"x}"]);
-        assert!(found.is_empty() && result.is_err(), "{faulty}: a number that goes on wrongly is a fault");
+        assert!(
+            found.is_empty() && result.is_err(),
+            "{faulty}: an invalid continuation of a number is an error"
+        );
     }
 }
 
@@ -39,7 +42,7 @@
     texts.feed(b"{\"a\":1", &mut found).unwrap();
     assert!(found.is_empty() && texts.has_partial_text());
     texts.feed(b"}", &mut found).unwrap();
-    assert!(found.len() == 1 && !texts.has_partial_text(), "no line's end is waited for");
+    assert!(found.len() == 1 && !texts.has_partial_text(), "a text is complete without a line end");
     texts.feed(b"\n{\"b\":{}", &mut found).unwrap();
     assert!(found.len() == 1 && texts.has_partial_text());
 }
@@ -67,7 +70,7 @@
     };
     let fed = (0..most).take_while(|_| feed()).count();
     assert!(fed < most && found.is_empty());
-    assert!((2..=20).contains(&looks), "{looks} looks through {fed} pieces");
+    assert!((2..=20).contains(&looks), "{looks} searches through {fed} pieces");
 }
 
 proptest! {
--- a/crates/reactor/src/line.rs
+++ b/crates/reactor/src/line.rs
@@ -53,7 +53,7 @@
 /// Error for an accepted socket that could not be registered with the poll. It returns the socket, since the client must still
 /// get an answer.
 #[derive(Debug, thiserror::Error)]
-#[error("an accepted socket cannot be watched: {error}")]
+#[error("an accepted socket cannot be registered with the poll: {error}")]
 pub struct RegistrationError {
     /// The socket.
     pub stream: TcpStream,
--- a/crates/reactor/tests/http_server.rs
+++ b/crates/reactor/tests/http_server.rs
@@ -46,7 +46,7 @@
         (post(&"A: b\r\n".repeat(100)), 431),
         ([b"GET /".to_vec(), vec![b'x'; 9000]].concat(), 431),
     ] {
-        let bad = read(&bytes).expect_err("a fault");
+        let bad = read(&bytes).expect_err("a malformed or unsupported request");
         assert_eq!(bad.status(), status, "{:?}", String::from_utf8_lossy(&bytes[..bytes.len().min(80)]));
     }
 }
--- a/crates/reactor/tests/line.rs
+++ b/crates/reactor/tests/line.rs
@@ -40,7 +40,7 @@
         if let Some(found) = poll() {
             return found;
         }
-        assert!(Instant::now() < end, "waited in vain: {what}");
+        assert!(Instant::now() < end, "timed out waiting for {what}");
     }
 }
 
--- a/crates/reactor/tests/listener.rs
+++ b/crates/reactor/tests/listener.rs
@@ -22,15 +22,20 @@
     assert_eq!(
         late.unwrap_err().kind(),
         ErrorKind::TimedOut,
-        "its first packet is dropped, and nothing is reset"
+        "the SYN is dropped and the connection is not reset"
+    );
+    let (mut inside, _) =
+        listener.accept().expect("the connection was established before new ones were rejected");
+    assert_eq!(
+        listener.accept().unwrap_err().kind(),
+        ErrorKind::WouldBlock,
+        "no other connection is pending"
     );
-    let (mut inside, _) = listener.accept().expect("it was on its way in");
-    assert_eq!(listener.accept().unwrap_err().kind(), ErrorKind::WouldBlock, "and nobody else was");
     drop(listener);
     early.write_all(b"hello").unwrap();
     let mut heard = [0; 5];
     while let Err(error) = inside.read(&mut heard) {
         assert_eq!(error.kind(), ErrorKind::WouldBlock);
     }
-    assert_eq!(&heard, b"hello", "what was accepted goes on after the close");
+    assert_eq!(&heard, b"hello", "an accepted connection survives the close of the listener");
 }
