--- a/crates/reactor/src/http.rs
+++ b/crates/reactor/src/http.rs
@@ -24,17 +24,17 @@
     TooLong,
     /// The whole response was received.
     #[error("the response has ended")]
-    Over,
+    Complete,
 }
 
 #[derive(Debug)]
 enum State {
     Head,
-    Size,
-    Data(u64),
-    DataEnd,
+    ChunkSize,
+    ChunkData(u64),
+    ChunkEnd,
     /// In a body of known length; holds the number of remaining bytes.
-    Left(u64),
+    SizedBody(u64),
     /// In a body that ends when the connection closes.
     UntilClose,
 }
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct StreamedResponse {
     state: State,
-    raw: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl Default for StreamedResponse {
@@ -55,55 +55,55 @@
 impl StreamedResponse {
     /// Creates a parser that has received no bytes.
     pub fn new() -> Self {
-        StreamedResponse { state: State::Head, raw: Vec::new() }
+        StreamedResponse { state: State::Head, buffer: Vec::new() }
     }
 
     /// Parses received bytes and appends their part of the response body to `body`, including the part before an error.
     pub fn feed(&mut self, bytes: &[u8], body: &mut Vec<u8>) -> Result<(), ResponseError> {
-        self.raw.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         loop {
-            let used = match self.state {
-                State::Head => self.head()?,
-                State::Size => match httparse::parse_chunk_size(&self.raw) {
-                    Ok(httparse::Status::Partial) if self.raw.len() > MAX_HEAD => {
+            let consumed = match self.state {
+                State::Head => self.parse_head()?,
+                State::ChunkSize => match httparse::parse_chunk_size(&self.buffer) {
+                    Ok(httparse::Status::Partial) if self.buffer.len() > MAX_HEAD => {
                         return Err(ResponseError::TooLong);
                     }
                     Ok(httparse::Status::Partial) => None,
-                    Ok(httparse::Status::Complete((_, 0))) => return Err(ResponseError::Over),
-                    Ok(httparse::Status::Complete((used, size))) => {
-                        self.state = State::Data(size);
-                        Some(used)
+                    Ok(httparse::Status::Complete((_, 0))) => return Err(ResponseError::Complete),
+                    Ok(httparse::Status::Complete((consumed, size))) => {
+                        self.state = State::ChunkData(size);
+                        Some(consumed)
                     }
                     Err(_) => return Err(ResponseError::BadChunk),
                 },
-                State::Data(left) => {
-                    let (taken, left) = self.forward_body(left, body);
-                    self.state = if left == 0 { State::DataEnd } else { State::Data(left) };
+                State::ChunkData(left) => {
+                    let (taken, left) = self.append_body(left, body);
+                    self.state = if left == 0 { State::ChunkEnd } else { State::ChunkData(left) };
                     (taken > 0).then_some(taken)
                 }
-                State::DataEnd => match self.raw.get(..2) {
+                State::ChunkEnd => match self.buffer.get(..2) {
                     Some(b"\r\n") => {
-                        self.state = State::Size;
+                        self.state = State::ChunkSize;
                         Some(2)
                     }
                     Some(_) => return Err(ResponseError::BadChunk),
                     None => None,
                 },
-                State::Left(left) => {
-                    let (taken, left) = self.forward_body(left, body);
+                State::SizedBody(left) => {
+                    let (taken, left) = self.append_body(left, body);
                     if left == 0 {
-                        return Err(ResponseError::Over);
+                        return Err(ResponseError::Complete);
                     }
-                    self.state = State::Left(left);
+                    self.state = State::SizedBody(left);
                     (taken > 0).then_some(taken)
                 }
                 State::UntilClose => {
-                    let (taken, _) = self.forward_body(u64::MAX, body);
+                    let (taken, _) = self.append_body(u64::MAX, body);
                     (taken > 0).then_some(taken)
                 }
             };
-            match used {
-                Some(used) => drop(self.raw.drain(..used)),
+            match consumed {
+                Some(consumed) => drop(self.buffer.drain(..consumed)),
                 None => return Ok(()),
             }
         }
@@ -115,34 +115,34 @@
     }
 
     /// Appends at most `left` bytes to the body. Returns the number of bytes appended and the number that remain.
-    fn forward_body(&self, left: u64, body: &mut Vec<u8>) -> (usize, u64) {
-        let taken = self.raw.len().min(usize::try_from(left).unwrap_or(usize::MAX));
-        body.extend_from_slice(&self.raw[..taken]);
+    fn append_body(&self, left: u64, body: &mut Vec<u8>) -> (usize, u64) {
+        let taken = self.buffer.len().min(usize::try_from(left).unwrap_or(usize::MAX));
+        body.extend_from_slice(&self.buffer[..taken]);
         (taken, left - taken as u64)
     }
 
-    fn head(&mut self) -> Result<Option<usize>, ResponseError> {
+    fn parse_head(&mut self) -> Result<Option<usize>, ResponseError> {
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut response = httparse::Response::new(&mut headers);
-        let used = match response.parse(&self.raw)? {
-            httparse::Status::Partial if self.raw.len() > MAX_HEAD => return Err(ResponseError::TooLong),
+        let consumed = match response.parse(&self.buffer)? {
+            httparse::Status::Partial if self.buffer.len() > MAX_HEAD => return Err(ResponseError::TooLong),
             httparse::Status::Partial => return Ok(None),
-            httparse::Status::Complete(used) => used,
+            httparse::Status::Complete(consumed) => consumed,
         };
         match response.code {
             Some(200) => {}
             code => return Err(ResponseError::Status(code.unwrap_or(0))),
         }
-        let named = |name: &str| response.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
-        self.state = match (named("transfer-encoding"), named("content-length")) {
-            (Some(coding), None) if coding.value.eq_ignore_ascii_case(b"chunked") => State::Size,
+        let find_header = |name: &str| response.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
+        self.state = match (find_header("transfer-encoding"), find_header("content-length")) {
+            (Some(coding), None) if coding.value.eq_ignore_ascii_case(b"chunked") => State::ChunkSize,
             (None, Some(length)) => {
                 let length = std::str::from_utf8(length.value).ok().and_then(|text| text.trim().parse().ok());
-                State::Left(length.ok_or(ResponseError::BadLength)?)
+                State::SizedBody(length.ok_or(ResponseError::BadLength)?)
             }
             (None, None) => State::UntilClose,
             _ => return Err(ResponseError::BadLength),
         };
-        Ok(Some(used))
+        Ok(Some(consumed))
     }
 }
--- a/crates/reactor/src/http_server.rs
+++ b/crates/reactor/src/http_server.rs
@@ -33,10 +33,10 @@
     BodyTooLong,
     /// The request has a Transfer-Encoding, which is not supported.
     #[error("a body must come whole, with its length")]
-    Encoded,
+    UnsupportedTransferEncoding,
     /// The request has an Expect header (RFC 9110, section 10.1.1), which is not supported.
     #[error("no expectation is met")]
-    Expectation,
+    UnsupportedExpect,
     /// The request was not complete before the time-out.
     #[error("the call did not come in time")]
     Late,
@@ -49,9 +49,9 @@
             BadRequest::Malformed => 400,
             BadRequest::Late => 408,
             BadRequest::BodyTooLong => 413,
-            BadRequest::Expectation => 417,
+            BadRequest::UnsupportedExpect => 417,
             BadRequest::HeadTooLong => 431,
-            BadRequest::Encoded => 501,
+            BadRequest::UnsupportedTransferEncoding => 501,
         }
     }
 }
@@ -67,22 +67,22 @@
 /// Parses one request. The reader must not be fed after it has returned a request or an error.
 #[derive(Debug, Default)]
 pub struct RequestReader {
-    raw: Vec<u8>,
+    buffer: Vec<u8>,
     head: Option<Head>,
 }
 
 impl RequestReader {
     /// Parses received bytes and returns the request once it is complete. Bytes after the request are ignored.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Request>, BadRequest> {
-        self.raw.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         if self.head.is_none() {
-            let Some((used, head)) = parse_head(&self.raw)? else { return Ok(None) };
-            self.raw.drain(..used);
+            let Some((used, head)) = parse_head(&self.buffer)? else { return Ok(None) };
+            self.buffer.drain(..used);
             self.head = Some(head);
         }
         match &self.head {
-            Some(head) if self.raw.len() >= head.length => {
-                let body = self.raw[..head.length].to_vec();
+            Some(head) if self.buffer.len() >= head.length => {
+                let body = self.buffer[..head.length].to_vec();
                 Ok(Some(Request { method: head.method.clone(), path: head.path.clone(), body }))
             }
             _ => Ok(None),
@@ -90,15 +90,15 @@
     }
 }
 
-fn parse_head(raw: &[u8]) -> Result<Option<(usize, Head)>, BadRequest> {
+fn parse_head(buffer: &[u8]) -> Result<Option<(usize, Head)>, BadRequest> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     // Each call parses the head from its start. Limiting the parsed length bounds the cost of a head that arrives
     // byte by byte.
-    let searched = &raw[..raw.len().min(MAX_HEAD)];
+    let searched = &buffer[..buffer.len().min(MAX_HEAD)];
     let used = match request.parse(searched) {
         Ok(httparse::Status::Complete(used)) => used,
-        Ok(httparse::Status::Partial) if raw.len() >= MAX_HEAD => return Err(BadRequest::HeadTooLong),
+        Ok(httparse::Status::Partial) if buffer.len() >= MAX_HEAD => return Err(BadRequest::HeadTooLong),
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(httparse::Error::TooManyHeaders) => return Err(BadRequest::HeadTooLong),
         Err(_) => return Err(BadRequest::Malformed),
@@ -110,23 +110,23 @@
     for header in request.headers.iter() {
         let is = |name: &str| header.name.eq_ignore_ascii_case(name);
         if is("transfer-encoding") {
-            return Err(BadRequest::Encoded);
+            return Err(BadRequest::UnsupportedTransferEncoding);
         } else if is("expect") {
-            return Err(BadRequest::Expectation);
+            return Err(BadRequest::UnsupportedExpect);
         } else if is("content-length") {
-            let said = read_length(header.value)?;
+            let parsed = parse_content_length(header.value)?;
             // With two different lengths, two parsers could disagree on where the request ends (RFC 9112, section 6.3).
-            if length.is_some_and(|length| length != said) {
+            if length.is_some_and(|length| length != parsed) {
                 return Err(BadRequest::Malformed);
             }
-            length = Some(said);
+            length = Some(parsed);
         }
     }
     let path = target.split('?').next().unwrap_or_default().to_owned();
     Ok(Some((used, Head { method: method.to_owned(), path, length: length.unwrap_or(0) })))
 }
 
-fn read_length(value: &[u8]) -> Result<usize, BadRequest> {
+fn parse_content_length(value: &[u8]) -> Result<usize, BadRequest> {
     let text = std::str::from_utf8(value).map_err(|_| BadRequest::Malformed)?.trim_matches([' ', '\t']);
     if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
         return Err(BadRequest::Malformed);
--- a/crates/reactor/src/json_stream.rs
+++ b/crates/reactor/src/json_stream.rs
@@ -29,7 +29,7 @@
     /// Whether the last byte other than whitespace was a closing brace.
     ends_with_object: bool,
     /// Length of the buffer after it was last searched for complete texts.
-    searched: usize,
+    searched_len: usize,
 }
 
 impl JsonStream {
@@ -62,19 +62,20 @@
             ended |= self.ends_with_object && !matches!(byte, b',' | b']' | b'}');
             self.ends_with_object = *byte == b'}';
         }
-        !self.buffer.is_empty() && (ended || self.ends_with_object || self.buffer.len() >= 2 * self.searched)
+        !self.buffer.is_empty()
+            && (ended || self.ends_with_object || self.buffer.len() >= 2 * self.searched_len)
     }
 
     fn split(&mut self, texts: &mut Vec<Vec<u8>>) -> Result<(), JsonStreamError> {
         let mut used = 0;
-        let mut fault = None;
+        let mut failure = None;
         loop {
             let rest = &self.buffer[used..];
             let begin = rest.len() - rest.trim_ascii_start().len();
             let rest = &rest[begin..];
             // Only objects are accepted, as they are self-delimiting: a number could continue with more digits.
             if rest.first().is_some_and(|first| *first != b'{') {
-                fault = serde_json::from_slice::<serde_json::Map<String, serde_json::Value>>(rest).err();
+                failure = serde_json::from_slice::<serde_json::Map<String, serde_json::Value>>(rest).err();
                 break;
             }
             let mut stream = serde_json::Deserializer::from_slice(rest).into_iter::<IgnoredAny>();
@@ -84,8 +85,8 @@
                     texts.push(rest[..end].to_vec());
                     used += begin + end;
                 }
-                Some(Err(error)) if !error.is_eof() && !is_cut_within_a_number(rest) => {
-                    fault = Some(error);
+                Some(Err(error)) if !error.is_eof() && !ends_within_number(rest) => {
+                    failure = Some(error);
                     break;
                 }
                 Some(Err(_)) | None => {
@@ -95,16 +96,16 @@
             }
         }
         self.buffer.drain(..used);
-        self.searched = self.buffer.len();
-        fault.map_or(Ok(()), |error| Err(error.into()))
+        self.searched_len = self.buffer.len();
+        failure.map_or(Ok(()), |error| Err(error.into()))
     }
 }
 
 /// Whether the text ends within a number, for example after its sign, its decimal point or its `e`. When `serde_json` skips
 /// values, it reports such a text as an invalid number instead of an unexpected end of input.
-fn is_cut_within_a_number(text: &[u8]) -> bool {
-    let is_figure = |byte: &u8| matches!(byte, b'0'..=b'9' | b'+' | b'-' | b'.' | b'e' | b'E');
-    let before = &text[..text.len() - text.iter().rev().take_while(|byte| is_figure(byte)).count()];
+fn ends_within_number(text: &[u8]) -> bool {
+    let is_number_byte = |byte: &u8| matches!(byte, b'0'..=b'9' | b'+' | b'-' | b'.' | b'e' | b'E');
+    let before = &text[..text.len() - text.iter().rev().take_while(|byte| is_number_byte(byte)).count()];
     let rest = serde_json::Deserializer::from_slice(before).into_iter::<IgnoredAny>().next();
     before.len() < text.len() && rest.is_some_and(|rest| rest.is_err_and(|error| error.is_eof()))
 }
--- a/crates/reactor/src/json_stream_tests.rs
+++ b/crates/reactor/src/json_stream_tests.rs
@@ -27,11 +27,11 @@
         assert!(result.is_ok(), "cut after '{}': {result:?}", complete[..cut].escape_ascii());
         assert_eq!(found, [std::str::from_utf8(complete).unwrap()]);
     }
-    for faulty in ["{\"a\":1.", "{\"a\":-", "{\"a\":1e", "{\"a\":0"] {
-        let (found, result) = split(&[faulty.as_bytes(), b"x}"]);
+    for malformed in ["{\"a\":1.", "{\"a\":-", "{\"a\":1e", "{\"a\":0"] {
+        let (found, result) = split(&[malformed.as_bytes(), b"x}"]);
         assert!(
             found.is_empty() && result.is_err(),
-            "{faulty}: an invalid continuation of a number is an error"
+            "{malformed}: an invalid continuation of a number is an error"
         );
     }
 }
@@ -62,15 +62,15 @@
     texts.feed(b"{\"a\":[", &mut found).unwrap();
     let piece = b"{\"id\":\"x\"},".repeat(1000);
     let most = MAX_TEXT / piece.len() + 2;
-    let mut looks = 0;
+    let mut searches = 0;
     let mut feed = || {
         let result = texts.feed(&piece, &mut found);
-        looks += u32::from(texts.searched == texts.buffer.len());
+        searches += u32::from(texts.searched_len == texts.buffer.len());
         result.is_ok()
     };
     let fed = (0..most).take_while(|_| feed()).count();
     assert!(fed < most && found.is_empty());
-    assert!((2..=20).contains(&looks), "{looks} searches through {fed} pieces");
+    assert!((2..=20).contains(&searches), "{searches} searches through {fed} pieces");
 }
 
 proptest! {
--- a/crates/reactor/src/line.rs
+++ b/crates/reactor/src/line.rs
@@ -11,7 +11,7 @@
 /// Maximum length of a line in bytes, including the line end.
 pub const MAX_LINE: usize = 4096;
 /// Maximum number of bytes read in one callback, so that other connections are served too.
-const MAX_TURN: usize = 16 * 1024;
+const MAX_READ_PER_CALL: usize = 16 * 1024;
 
 /// The result of a call of [`LineStream::fill`].
 #[derive(Debug)]
@@ -39,10 +39,10 @@
     output: Vec<u8>,
     /// Size in bytes above which a buffer is full. While the output buffer is full, the other side of a relayed connection is
     /// not read; while the input buffer is full, this socket is not read.
-    bound: usize,
+    buffer_limit: usize,
     /// Whether to shut down the sending side once the output buffer is empty.
-    finish: bool,
-    finished: bool,
+    shutdown_requested: bool,
+    shutdown_done: bool,
     /// The error that broke the connection. The operating system reports it only to the first read or write; later reads
     /// return an orderly end.
     broken: Option<io::ErrorKind>,
@@ -96,9 +96,18 @@
     }
 
     fn new<R: Report>(stream: TcpStream, io: &Io<R>) -> Self {
-        let (input, output, bound) = (Vec::new(), Vec::new(), io.buffer_bound);
-        let (finish, finished, broken, nagle_is_disabled) = (false, false, None, false);
-        LineStream { stream, input, output, bound, finish, finished, broken, nagle_is_disabled }
+        let (input, output, buffer_limit) = (Vec::new(), Vec::new(), io.buffer_bound);
+        let (shutdown_requested, shutdown_done, broken, nagle_is_disabled) = (false, false, None, false);
+        LineStream {
+            stream,
+            input,
+            output,
+            buffer_limit,
+            shutdown_requested,
+            shutdown_done,
+            broken,
+            nagle_is_disabled,
+        }
     }
 
     /// Whether the connect has completed. To be called after `writable`.
@@ -116,14 +125,14 @@
         }
     }
 
-    /// Reads received data into the input buffer, at most `MAX_TURN` bytes or up to the buffer's bound.
+    /// Reads received data into the input buffer, at most `MAX_READ_PER_CALL` bytes or up to the buffer's limit.
     pub fn fill(&mut self) -> Fill {
         let mut chunk = [0; MAX_LINE];
         let mut taken = 0;
-        while taken < MAX_TURN.min(self.bound) {
+        while taken < MAX_READ_PER_CALL.min(self.buffer_limit) {
             // Bounds the memory for a client that keeps sending before it is answered. The buffered bytes go to
             // whoever takes the buffer over, and the rest stays in the socket.
-            if self.input.len() >= self.bound {
+            if self.input.len() >= self.buffer_limit {
                 return Fill::Blocked;
             }
             match self.stream.read(&mut chunk) {
@@ -184,7 +193,7 @@
 
     /// Shuts down the sending side once all queued bytes are written.
     pub fn finish(&mut self) {
-        self.finish = true;
+        self.shutdown_requested = true;
     }
 
     /// Writes queued bytes. Returns true once all of them are written.
@@ -211,8 +220,8 @@
             }
         };
         self.output.drain(..sent);
-        if self.finish && !self.finished && self.output.is_empty() {
-            self.finished = true;
+        if self.shutdown_requested && !self.shutdown_done && self.output.is_empty() {
+            self.shutdown_done = true;
             // Fails if the peer has already closed the connection, which needs no action.
             let _ = self.stream.shutdown(Shutdown::Write);
         }
@@ -221,7 +230,7 @@
 
     /// Whether the output buffer is full. While it is, no more data may be read from the other side of a relayed connection.
     pub fn is_full(&self) -> bool {
-        self.output.len() >= self.bound
+        self.output.len() >= self.buffer_limit
     }
 
     /// Makes the next close send a reset, to pass on a reset from the other side of a relayed connection.
--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -78,7 +78,7 @@
     clock: Clock,
     timers: BinaryHeap<Reverse<(Micros, u64, Owner, u32)>>,
     timer_number: u64,
-    again: VecDeque<(Key, Half)>,
+    pending_reads: VecDeque<(Key, Half)>,
     /// Reports that the owner has not handled yet.
     pub reports: VecDeque<R>,
     /// Size of the buffer for each direction of a connection, in bytes.
@@ -119,7 +119,7 @@
     /// Schedules another call of `readable` in the next round. To be used by an object that stops reading before the socket
     /// would block, so that one busy connection does not delay the others.
     pub fn call_again(&mut self, key: Key, half: Half) {
-        self.again.push_back((key, half));
+        self.pending_reads.push_back((key, half));
     }
 
     /// Sends a report to the loop's owner.
@@ -152,7 +152,7 @@
             clock,
             timers: BinaryHeap::new(),
             timer_number: 0,
-            again: VecDeque::new(),
+            pending_reads: VecDeque::new(),
             reports: VecDeque::new(),
             buffer_bound: 16 * 1024,
         };
@@ -172,11 +172,11 @@
         Ok(key)
     }
 
-    /// Calls `use_it` on the object if the object still exists, then drops the object if it is finished.
-    pub fn with<T>(&mut self, key: Key, use_it: impl FnOnce(&mut C, &mut Io<C::Report>) -> T) -> Option<T> {
+    /// Calls `callback` on the object if the object still exists, then drops the object if it is finished.
+    pub fn with<T>(&mut self, key: Key, callback: impl FnOnce(&mut C, &mut Io<C::Report>) -> T) -> Option<T> {
         // A stale token or timer must not reach a later object that reuses the slot.
         let slot = self.slots.get_mut(key.index as usize).filter(|s| s.generation == key.generation)?;
-        let result = use_it(slot.connection.as_mut(), &mut self.io);
+        let result = callback(slot.connection.as_mut(), &mut self.io);
         if slot.connection.done() {
             slot.connection.closed(&mut self.io);
             self.slots.remove(key.index as usize);
@@ -205,7 +205,7 @@
     pub fn turn(&mut self) -> io::Result<()> {
         let now = self.io.now();
         let wait = match self.io.timers.peek() {
-            _ if !self.io.again.is_empty() => Some(Duration::ZERO),
+            _ if !self.io.pending_reads.is_empty() => Some(Duration::ZERO),
             Some(Reverse((at, ..))) => Some(Duration::from_micros((at - now).max(0) as u64)),
             None => None,
         };
@@ -230,7 +230,7 @@
                 self.with(key, |c, io| c.readable(io, half));
             }
         }
-        for (key, half) in std::mem::take(&mut self.io.again) {
+        for (key, half) in std::mem::take(&mut self.io.pending_reads) {
             self.with(key, |c, io| c.readable(io, half));
         }
         let now = self.io.now();
--- a/crates/reactor/tests/listener.rs
+++ b/crates/reactor/tests/listener.rs
@@ -16,15 +16,15 @@
 fn rejects_new_connections_and_accepts_pending_ones() {
     let listener = TcpListener::bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
-    let mut early = TcpStream::connect(address).unwrap();
+    let mut pending = TcpStream::connect(address).unwrap();
     reject_new_connections(&listener).unwrap();
-    let late = TcpStream::connect_timeout(&address, Duration::from_millis(300));
+    let rejected = TcpStream::connect_timeout(&address, Duration::from_millis(300));
     assert_eq!(
-        late.unwrap_err().kind(),
+        rejected.unwrap_err().kind(),
         ErrorKind::TimedOut,
         "the SYN is dropped and the connection is not reset"
     );
-    let (mut inside, _) =
+    let (mut accepted, _) =
         listener.accept().expect("the connection was established before new ones were rejected");
     assert_eq!(
         listener.accept().unwrap_err().kind(),
@@ -32,10 +32,10 @@
         "no other connection is pending"
     );
     drop(listener);
-    early.write_all(b"hello").unwrap();
-    let mut heard = [0; 5];
-    while let Err(error) = inside.read(&mut heard) {
+    pending.write_all(b"hello").unwrap();
+    let mut received = [0; 5];
+    while let Err(error) = accepted.read(&mut received) {
         assert_eq!(error.kind(), ErrorKind::WouldBlock);
     }
-    assert_eq!(&heard, b"hello", "an accepted connection survives the close of the listener");
+    assert_eq!(&received, b"hello", "an accepted connection survives the close of the listener");
 }
