--- a/crates/proxy-core/benches/growth.rs
+++ b/crates/proxy-core/benches/growth.rs
@@ -79,25 +79,25 @@
 /// The data from which the reports are made: only this proxy's own data (no fresh snapshot), a snapshot of the fleet, or a
 /// snapshot and the latencies that render nodes advertise.
 #[derive(Clone, Copy)]
-enum Known {
+enum DataSource {
     Alone,
     Snapshot,
     SnapshotAndAdvertised,
 }
 
-impl Known {
+impl DataSource {
     /// Returns the name in the printed results, which must not change when a variant is renamed.
     fn name(self) -> &'static str {
         match self {
-            Known::Alone => "Alone",
-            Known::Snapshot => "View",
-            Known::SnapshotAndAdvertised => "ViewAndTold",
+            DataSource::Alone => "Alone",
+            DataSource::Snapshot => "View",
+            DataSource::SnapshotAndAdvertised => "ViewAndTold",
         }
     }
 }
 
 fn each_second() {
-    for known in [Known::Alone, Known::Snapshot, Known::SnapshotAndAdvertised] {
+    for known in [DataSource::Alone, DataSource::Snapshot, DataSource::SnapshotAndAdvertised] {
         for nodes in [90, 1_024, 4_096] {
             for connections in [1_000, 10_000, 45_455, 90_909] {
                 second(known, nodes, connections);
@@ -106,16 +106,16 @@
     }
 }
 
-fn second(known: Known, nodes: u32, connections: u64) {
+fn second(known: DataSource, nodes: u32, connections: u64) {
     let mut latencies = latencies(nodes, connections);
     let mut now = 100 * S;
-    if !matches!(known, Known::Alone) {
-        let used = (0..nodes).step_by(3).map(|node| (ServerId(node), 0.6)).collect();
-        latencies.fleet = Some(FleetUtilisation::new(now, 1_000 * S, 100.0, used));
+    if !matches!(known, DataSource::Alone) {
+        let ratios = (0..nodes).step_by(3).map(|node| (ServerId(node), 0.6)).collect();
+        latencies.fleet = Some(FleetUtilisation::new(now, 1_000 * S, 100.0, ratios));
     }
-    let [_, notes] = timed(|| {
+    let [_, due_reports] = timed(|| {
         now += S;
-        if matches!(known, Known::SnapshotAndAdvertised) {
+        if matches!(known, DataSource::SnapshotAndAdvertised) {
             (0..nodes).for_each(|node| {
                 black_box(latencies.latency_advertised(now, ServerId(node), 5_000));
             });
@@ -129,7 +129,7 @@
         black_box(latencies.load_by_group(now));
     });
     println!(
-        r#"{{"what":"each second","known":"{}","nodes":{nodes},"connections":{connections},"n":{ROUNDS},"notes_median_us":{notes:.0},"report_median_us":{report:.0},"groups_median_us":{groups:.0}}}"#,
+        r#"{{"what":"each second","known":"{}","nodes":{nodes},"connections":{connections},"n":{ROUNDS},"notes_median_us":{due_reports:.0},"report_median_us":{report:.0},"groups_median_us":{groups:.0}}}"#,
         known.name()
     );
 }
--- a/crates/proxy-core/src/guard/server.rs
+++ b/crates/proxy-core/src/guard/server.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 
 /// Microseconds per second.
-const SECOND: f64 = 1_000_000.0;
+const MICROS_PER_SECOND: f64 = 1_000_000.0;
 /// Time within which attempts to a draining or removed server must stop, in microseconds: `rules.stopSendingWithin` plus the
 /// 50 ms by which every limit is longer when measured on sockets.
 const STOP_WITHIN: Micros = 1_050_000;
@@ -77,9 +77,11 @@
         self.sent.push_back(now);
         let weight = if settings.weighted { self.weight } else { 1.0 };
         let fleet_share = weight / total_weight.max(1e-9);
-        let filled_per_s = settings.allowance_open() * SECOND / settings.slow_start_window.max(1) as f64;
+        let filled_per_s =
+            settings.allowance_open() * MICROS_PER_SECOND / settings.slow_start_window.max(1) as f64;
         let allowed =
-            capacity_share * settings.overload_multiple * filled_per_s * fleet_share * window as f64 / SECOND;
+            capacity_share * settings.overload_multiple * filled_per_s * fleet_share * window as f64
+                / MICROS_PER_SECOND;
         self.sent.len() as f64 <= with_margin(allowed)
     }
 
--- a/crates/proxy-core/src/load_lines.rs
+++ b/crates/proxy-core/src/load_lines.rs
@@ -60,8 +60,8 @@
 
 /// Whether two times are a whole number of periods apart, within [`JITTER`].
 fn is_in_phase(a: Micros, b: Micros) -> bool {
-    let apart = (a - b).rem_euclid(PERIOD);
-    apart.min(PERIOD - apart) <= JITTER
+    let distance = (a - b).rem_euclid(PERIOD);
+    distance.min(PERIOD - distance) <= JITTER
 }
 
 /// Whether `now` is one period after `at`, within [`JITTER`].
--- a/crates/proxy-core/src/message_latency/latencies.rs
+++ b/crates/proxy-core/src/message_latency/latencies.rs
@@ -15,7 +15,7 @@
 /// a second; the rest allows for delays.
 const ADVERTISED_VALID: Micros = 1_200_000;
 /// Capacity of a core of standard speed, which has a listed size of 1, in microseconds of work per second.
-const WORK_OF_A_CORE: f64 = 1e6;
+const CORE_CAPACITY: f64 = 1e6;
 /// Load that a group adds to each render node that serves any of its connections, in mean connection loads. The figure is given
 /// by the platform; there is no setting for it.
 const GROUP_COST: f64 = 3.0;
@@ -26,24 +26,24 @@
 /// distributed over its render nodes.
 const PRIOR_CONNECTIONS: f64 = 5.0;
 /// Factor by which the weight of a render node's past set-ups decreases at each new set-up.
-const SETUP_MEMORY: f64 = 0.85;
+const SETUP_DECAY: f64 = 0.85;
 /// Factor by which the weight of the fleet's past set-ups decreases at each new set-up.
-const FLEET_SETUP_MEMORY: f64 = 0.98;
+const FLEET_SETUP_DECAY: f64 = 0.98;
 /// Number of prior set-ups of the usual duration that are added to the observed ones, since a single set-up is a weak sample.
 const PRIOR_SETUPS: f64 = 3.0;
 /// Minimum set-up time, in microseconds. Shorter set-ups count as this long.
-const SHORTEST_SETUP: Micros = 1_000;
+const MIN_SETUP: Micros = 1_000;
 /// Exponent with which the ratio of a render node's set-up time to the usual one reduces its capacity. It is over 1 since a
 /// set-up also waits for the session store, which takes the same time for every node.
-const SETUP_POWER: f64 = 4.0;
+const SETUP_EXPONENT: f64 = 4.0;
 /// Minimum number of this proxy's connections per render node for an estimate of the other proxies' load. Otherwise each of 300
 /// proxies with a single connection to a node would assume that all the others have one too, and all would move their clients
 /// at once (in scenario calm day: 227 moves of 1,169 clients in the first second).
-const LEAST_SAMPLE: f64 = 1.0;
-/// Reported fraction of the other proxies' load from which [`LEAST_SAMPLE`] is not required.
-const ENOUGH_REPORTED: f64 = 0.5;
+const MIN_CONNECTIONS_PER_NODE: f64 = 1.0;
+/// Reported fraction of the other proxies' load from which [`MIN_CONNECTIONS_PER_NODE`] is not required.
+const MIN_REPORTED_FRACTION: f64 = 0.5;
 /// Minimum size of a render node. Smaller listed sizes count as this size.
-const LEAST_WEIGHT: f64 = 0.01;
+const MIN_WEIGHT: f64 = 0.01;
 
 /// The settings that the estimates use.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -74,9 +74,9 @@
 }
 
 impl DecayingAverage {
-    fn add(&mut self, value: f64, memory: f64) {
-        self.sum = self.sum * memory + value;
-        self.count = self.count * memory + 1.0;
+    fn add(&mut self, value: f64, decay: f64) {
+        self.sum = self.sum * decay + value;
+        self.count = self.count * decay + 1.0;
     }
 }
 
@@ -168,7 +168,7 @@
             advertised: None,
             is_over: false,
         };
-        self.nodes.entry(server.0).or_insert(unseen).weight = weight.max(LEAST_WEIGHT);
+        self.nodes.entry(server.0).or_insert(unseen).weight = weight.max(MIN_WEIGHT);
     }
 
     /// Forgets the set-up times and the advertised latency of a render node whose process has restarted.
@@ -189,9 +189,9 @@
     ) {
         self.connections.insert(request, Connection { server, group, load: None, since: now });
         if let (Some(setup), Some(node)) = (setup, self.nodes.get_mut(&server.0)) {
-            let time = (setup.max(SHORTEST_SETUP) as f64).ln();
-            node.setups.add(time, SETUP_MEMORY);
-            self.setups.add(time, FLEET_SETUP_MEMORY);
+            let time = (setup.max(MIN_SETUP) as f64).ln();
+            node.setups.add(time, SETUP_DECAY);
+            self.setups.add(time, FLEET_SETUP_DECAY);
         }
     }
 
@@ -272,7 +272,7 @@
     /// Returns the listed render nodes' capacities, in microseconds of work per second. Empty if lists have no sizes.
     pub fn capacities(&self) -> impl Iterator<Item = (ServerId, f64)> + '_ {
         let sized = self.nodes.iter().filter(|_| self.sizes_are_listed);
-        sized.map(|(number, node)| (ServerId(*number), node.weight * WORK_OF_A_CORE))
+        sized.map(|(number, node)| (ServerId(*number), node.weight * CORE_CAPACITY))
     }
 
     /// Returns the fleet's mean load of a connection, or this proxy's mean if no valid one was reported.
@@ -324,17 +324,17 @@
         let others = self.peers.others(now, ServerId(number), self.proxies - 1.0, guess);
         let own_groups = own.groups.iter().fold(0, |bits, group| bits | group_bit(*group));
         // Groups that only other proxies have there cost as much; the bits give their approximate number.
-        let only_theirs = (group_count(own_groups | others.groups) - group_count(own_groups)).max(0.0);
-        let groups = GROUP_COST * mean * (own.groups.len() as f64 + only_theirs);
+        let other_groups = (group_count(own_groups | others.groups) - group_count(own_groups)).max(0.0);
+        let groups = GROUP_COST * mean * (own.groups.len() as f64 + other_groups);
         let load = own.load + others.load + groups;
-        let is_known = self.has_enough_connections() || others.reported >= ENOUGH_REPORTED;
+        let is_known = self.has_enough_connections() || others.reported >= MIN_REPORTED_FRACTION;
         let ratio = if self.sizes_are_listed && is_known { load / self.capacity(number) } else { 0.0 };
         Utilisation { ratio, evidence: Evidence::Peers { reported: others.reported } }
     }
 
     /// Whether this proxy has enough connections to be a sample of the fleet's.
     fn has_enough_connections(&self) -> bool {
-        self.connections.len() as f64 >= LEAST_SAMPLE * self.nodes.len() as f64
+        self.connections.len() as f64 >= MIN_CONNECTIONS_PER_NODE * self.nodes.len() as f64
     }
 
     /// Returns the expected number of a group's connections at a render node; `spread` has this proxy's connections of the group, by
@@ -350,10 +350,10 @@
     /// Returns a render node's capacity in microseconds of work per second: its listed size, reduced if its set-ups take longer than
     /// usual.
     fn capacity(&self, number: u32) -> f64 {
-        let Some(node) = self.nodes.get(&number) else { return WORK_OF_A_CORE };
+        let Some(node) = self.nodes.get(&number) else { return CORE_CAPACITY };
         let usual = self.setups.sum / self.setups.count.max(1e-9);
-        let longer = (node.setups.sum - usual * node.setups.count) / (node.setups.count + PRIOR_SETUPS);
-        node.weight * WORK_OF_A_CORE / (longer.max(0.0) * SETUP_POWER).exp()
+        let log_excess = (node.setups.sum - usual * node.setups.count) / (node.setups.count + PRIOR_SETUPS);
+        node.weight * CORE_CAPACITY / (log_excess.max(0.0) * SETUP_EXPONENT).exp()
     }
 }
 
--- a/crates/proxy-core/src/message_latency/utilisation.rs
+++ b/crates/proxy-core/src/message_latency/utilisation.rs
@@ -14,7 +14,7 @@
 }
 
 /// Thresholds if the other proxies' load is only estimated. That estimate is biased low.
-const GUESSED: Thresholds = Thresholds { busy: 0.6, overloaded: 1.0 };
+const ESTIMATED: Thresholds = Thresholds { busy: 0.6, overloaded: 1.0 };
 /// Thresholds if the other proxies have reported their load.
 const REPORTED: Thresholds = Thresholds { busy: 0.85, overloaded: 1.15 };
 /// Thresholds if the aggregator reports the sum over all proxies. They are lower since loads vary within seconds and the sum is
@@ -65,8 +65,8 @@
         match self {
             Evidence::Aggregated => AGGREGATED,
             Evidence::Peers { reported } => Thresholds {
-                busy: GUESSED.busy + (REPORTED.busy - GUESSED.busy) * reported,
-                overloaded: GUESSED.overloaded + (REPORTED.overloaded - GUESSED.overloaded) * reported,
+                busy: ESTIMATED.busy + (REPORTED.busy - ESTIMATED.busy) * reported,
+                overloaded: ESTIMATED.overloaded + (REPORTED.overloaded - ESTIMATED.overloaded) * reported,
             },
         }
     }
--- a/crates/proxy-core/src/peer_loads.rs
+++ b/crates/proxy-core/src/peer_loads.rs
@@ -9,14 +9,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Age up to which a report has full weight, in microseconds: two and a half report periods of a second.
-const FRESH: Micros = 2_500_000;
+const FULL_WEIGHT_AGE: Micros = 2_500_000;
 /// Age from which a report has no weight, in microseconds.
-const STALE: Micros = 6_000_000;
+const ZERO_WEIGHT_AGE: Micros = 6_000_000;
 /// Weight of the guess in the estimate for a peer without a report, in number of peers with a report.
 const GUESS_WEIGHT: f64 = 1.0;
 /// Multiplier of Fibonacci hashing: 2^64 divided by the golden ratio. A group's key may be a counter; the highest bits of the
 /// product are well distributed.
-const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
+const FIBONACCI_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 /// Shift that leaves the highest five bits, which select one of 32 bits.
 const BIT_SHIFT: u32 = u64::BITS - 5;
 
@@ -51,7 +51,7 @@
     /// Returns the weight of the peer's reports: 1 while fresh, 0 once stale. `None` if the peer has never reported.
     fn freshness(&self, now: Micros) -> Option<f64> {
         let age = now - self.reported_at?;
-        Some(((STALE - age) as f64 / (STALE - FRESH) as f64).clamp(0.0, 1.0))
+        Some(((ZERO_WEIGHT_AGE - age) as f64 / (ZERO_WEIGHT_AGE - FULL_WEIGHT_AGE) as f64).clamp(0.0, 1.0))
     }
 }
 
@@ -66,7 +66,7 @@
 
 /// Returns a group's hash, whose highest bits are the best distributed.
 pub(crate) fn group_hash(group: u64) -> u64 {
-    group.wrapping_mul(GOLDEN_RATIO)
+    group.wrapping_mul(FIBONACCI_MULTIPLIER)
 }
 
 /// Returns a group's bit, one of 32.
@@ -112,24 +112,24 @@
     /// `guess` is the assumed load of one other proxy there.
     pub fn others(&self, now: Micros, server: ServerId, configured: f64, guess: f64) -> OtherProxies {
         let count = self.count(configured);
-        let (mut load, mut groups, mut heard) = (0.0, 0, 0.0);
+        let (mut load, mut groups, mut reported_count) = (0.0, 0, 0.0);
         for peer in self.peers.values() {
             let Some(weight) = peer.freshness(now) else { continue };
             let established = peer.established.get(&server.0).copied().unwrap_or_default();
             load += weight * established.load;
-            heard += weight;
+            reported_count += weight;
             groups |= if weight > 0.0 { established.groups } else { 0 };
         }
         // For a short time after a peer has left, more peers may have reported than are alive.
-        let heard = heard.min(count);
-        let unheard_load = (guess * GUESS_WEIGHT + load) / (GUESS_WEIGHT + heard);
-        let load = load + (count - heard) * unheard_load;
-        OtherProxies { load, groups, reported: self.reported_fraction(heard, count) }
+        let reported_count = reported_count.min(count);
+        let estimated_load = (guess * GUESS_WEIGHT + load) / (GUESS_WEIGHT + reported_count);
+        let load = load + (count - reported_count) * estimated_load;
+        OtherProxies { load, groups, reported: self.reported_fraction(reported_count, count) }
     }
 
-    fn reported_fraction(&self, heard: f64, count: f64) -> f64 {
+    fn reported_fraction(&self, reported_count: f64, count: f64) -> f64 {
         if count > 0.0 {
-            heard / count
+            reported_count / count
         } else if self.alive.is_some() {
             // Membership shows that there are no other proxies, so nothing is estimated. Without membership, only the
             // settings say so.
--- a/crates/proxy-core/tests/growth.rs
+++ b/crates/proxy-core/tests/growth.rs
@@ -20,11 +20,11 @@
 const SETTINGS: LatencySettings =
     LatencySettings { proxies: 440, objective: Some(60_000), sizes_are_listed: true };
 /// Maximum number of bytes per connection.
-const A_CONNECTION: f64 = 130.0;
+const MAX_BYTES_PER_CONNECTION: f64 = 130.0;
 /// Maximum number of bytes per render node.
-const A_NODE: f64 = 220.0;
+const MAX_BYTES_PER_NODE: f64 = 220.0;
 /// Maximum number of bytes per member of a parsed list.
-const A_MEMBER: f64 = 220.0;
+const MAX_BYTES_PER_MEMBER: f64 = 220.0;
 
 /// Returns the heap use in bytes of the value that `make` returns.
 fn heap_of<T>(make: impl FnOnce() -> T) -> f64 {
@@ -65,13 +65,16 @@
         let empty = heap_of(|| latencies(nodes, 0));
         let each = empty / f64::from(nodes);
         println!(r#"{{"what":"loads heap","nodes":{nodes},"connections":0,"bytes_a_node":{each:.1}}}"#);
-        assert!(each < A_NODE, "{nodes} nodes: {each} bytes each");
+        assert!(each < MAX_BYTES_PER_NODE, "{nodes} nodes: {each} bytes each");
         for connections in [1_000, 10_000, 45_455, 90_909] {
             let each = (heap_of(|| latencies(nodes, connections)) - empty) / connections as f64;
             println!(
                 r#"{{"what":"loads heap","nodes":{nodes},"connections":{connections},"bytes_a_connection":{each:.1}}}"#
             );
-            assert!(each < A_CONNECTION, "{nodes} nodes, {connections} connections: {each} bytes each");
+            assert!(
+                each < MAX_BYTES_PER_CONNECTION,
+                "{nodes} nodes, {connections} connections: {each} bytes each"
+            );
         }
     }
     for members in [90, 1_024, 4_096] {
@@ -79,6 +82,6 @@
         let bytes = heap_of(|| EndpointUpdate::parse(&mut text).expect("a valid list"));
         let each = bytes / members as f64;
         println!(r#"{{"what":"list heap","members":{members},"bytes_a_member":{each:.1}}}"#);
-        assert!(each < A_MEMBER, "{members} members: {each} bytes each");
+        assert!(each < MAX_BYTES_PER_MEMBER, "{members} members: {each} bytes each");
     }
 }
