--- a/crates/proxy-core/src/message_latency/latencies.rs
+++ b/crates/proxy-core/src/message_latency/latencies.rs
@@ -39,8 +39,8 @@
 /// Minimum number of this proxy's connections per render node for an estimate of the other proxies' load. Otherwise each of 300
 /// proxies with a single connection to a node would assume that all the others have one too, and all would move their clients
 /// at once (in scenario calm day: 227 moves of 1,169 clients in the first second).
-const MIN_CONNECTIONS_PER_NODE: f64 = 1.0;
-/// Reported fraction of the other proxies' load from which [`MIN_CONNECTIONS_PER_NODE`] is not required.
+const LEAST_SAMPLE: f64 = 1.0;
+/// Reported fraction of the other proxies' load from which [`LEAST_SAMPLE`] is not required.
 const MIN_REPORTED_FRACTION: f64 = 0.5;
 /// Minimum size of a render node. Smaller listed sizes count as this size.
 const MIN_WEIGHT: f64 = 0.01;
@@ -334,7 +334,7 @@
 
     /// Whether this proxy has enough connections to be a sample of the fleet's.
     fn has_enough_connections(&self) -> bool {
-        self.connections.len() as f64 >= MIN_CONNECTIONS_PER_NODE * self.nodes.len() as f64
+        self.connections.len() as f64 >= LEAST_SAMPLE * self.nodes.len() as f64
     }
 
     /// Returns the expected number of a group's connections at a render node; `spread` has this proxy's connections of the group, by
