--- a/crates/proxy-core/tests/guard.rs
+++ b/crates/proxy-core/tests/guard.rs
@@ -1,4 +1,4 @@
-//! Each rule of the guard, kept and broken.
+//! Each rule of the guard, with steps that keep the rule and steps that violate it.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -43,7 +43,7 @@
     Request { id: RequestId(id), class, tenant: None, left, load_hint: None, group: None, again: false }
 }
 
-/// Two servers, of cells 0 and 1, and one request that was taken at 0.
+/// Creates a guard with two servers, in cells 0 and 1, and one request that arrived at time 0.
 fn guard(idempotency: Idempotency) -> Guard {
     let mut guard = Guard::new(settings(idempotency));
     guard.listed(
@@ -94,7 +94,7 @@
     assert_eq!(guard.check_attempt(2, ID, ServerId(0)), Err(Violation::AttemptToStoppedServer));
     guard.check_attempt(3, ID, ServerId(1)).unwrap();
     guard.listed(4, ListScope::Complete, &[entry(0, 0, ServerState::Ready, None)]);
-    assert_eq!(guard.attempt_written(5, ID), Ok(()), "it was on its way");
+    assert_eq!(guard.attempt_written(5, ID), Ok(()), "the attempt was already being sent");
     assert_eq!(
         guard.attempt_written(2 * S, ID),
         Err(Violation::AttemptToStoppedServer),
@@ -144,7 +144,7 @@
     guard.requested(0, &request(2));
     guard.requested(0, &request(3));
     guard.requested(0, &request(4));
-    assert!(guard.overdue(2 * S + S / 2).is_empty(), "up to half a second late it only earns nothing");
+    assert!(guard.overdue(2 * S + S / 2).is_empty(), "up to half a second late, a request is not lost");
     assert_eq!(
         guard.answered(2 * S + S / 2 + 1, RequestId(2), FinalAnswer::Failed),
         Err(Violation::AnsweredLate)
@@ -159,8 +159,8 @@
 
 #[test]
 fn bounds_attempts_to_a_server_in_slow_start() {
-    // Two servers share 100 connections that fill them in 10 s: at 0.3 of its capacity a server bears 3 x 0.3 x 5 a second,
-    // 9 in a window of 2 s, and 21 with chance.
+    // Two servers share 100 connections that fill them in 10 s. At 0.3 of its capacity, a server may get 3 x 0.3 x 5 attempts
+    // per second, which are 9 in a window of 2 s, and 21 with the margin for random variation.
     for started in [Some(-3600 * S), Some(5 * S), Some(3600 * S)] {
         let mut guard = Guard::new(settings(Idempotency::Idempotent));
         guard.listed(
--- a/crates/reactor/src/json_stream_tests.rs
+++ b/crates/reactor/src/json_stream_tests.rs
@@ -1,4 +1,4 @@
-//! Texts in a stream of bytes, wherever the pieces' borders fall.
+//! Splitting a byte stream into JSON texts, independent of how the stream is divided into pieces.
 
 use super::*;
 use proptest::prelude::*;
@@ -17,18 +17,22 @@
     assert_eq!(found, [indented, "{}", "{\"a\":[]}"]);
 }
 
-/// Found on short days: a piece that ended right behind the point of `"size":1.25` cost the watch, and with it a drain.
+/// Guards against rejecting a piece that ends directly after the decimal point of `"size":1.25`: the error closed the watch,
+/// so that a drain was missed.
 #[test]
 fn a_truncated_text_is_incomplete() {
     let complete = br#"{"a":-1.25e-3,"b":[1.0,2E+7,-0.5,-7],"c":"\u00e9\n","d":[true,false,null],"e":0}"#;
     for cut in 1..complete.len() {
         let (found, result) = split(&[&complete[..cut], &complete[cut..]]);
-        assert!(result.is_ok(), "cut behind '{}': {result:?}", complete[..cut].escape_ascii());
+        assert!(result.is_ok(), "cut after '{}': {result:?}", complete[..cut].escape_ascii());
         assert_eq!(found, [std::str::from_utf8(complete).unwrap()]);
     }
-    for faulty in ["{\"a\":1.", "{\"a\":-", "{\"a\":1e", "{\"a\":0"] {
-        let (found, result) = split(&[faulty.as_bytes(), b"x}"]);
-        assert!(found.is_empty() && result.is_err(), "{faulty}: a number that goes on wrongly is a fault");
+    for malformed in ["{\"a\":1.", "{\"a\":-", "{\"a\":1e", "{\"a\":0"] {
+        let (found, result) = split(&[malformed.as_bytes(), b"x}"]);
+        assert!(
+            found.is_empty() && result.is_err(),
+            "{malformed}: an invalid continuation of a number is an error"
+        );
     }
 }
 
@@ -38,7 +42,7 @@
     texts.feed(b"{\"a\":1", &mut found).unwrap();
     assert!(found.is_empty() && texts.has_partial_text());
     texts.feed(b"}", &mut found).unwrap();
-    assert!(found.len() == 1 && !texts.has_partial_text(), "no line's end is waited for");
+    assert!(found.len() == 1 && !texts.has_partial_text(), "a text is complete without a line end");
     texts.feed(b"\n{\"b\":{}", &mut found).unwrap();
     assert!(found.len() == 1 && texts.has_partial_text());
 }
@@ -58,19 +62,19 @@
     texts.feed(b"{\"a\":[", &mut found).unwrap();
     let piece = b"{\"id\":\"x\"},".repeat(1000);
     let most = MAX_TEXT / piece.len() + 2;
-    let mut looks = 0;
+    let mut searches = 0;
     let mut feed = || {
         let result = texts.feed(&piece, &mut found);
-        looks += u32::from(texts.searched == texts.buffer.len());
+        searches += u32::from(texts.searched_len == texts.buffer.len());
         result.is_ok()
     };
     let fed = (0..most).take_while(|_| feed()).count();
     assert!(fed < most && found.is_empty());
-    assert!((2..=20).contains(&looks), "{looks} looks through {fed} pieces");
+    assert!((2..=20).contains(&searches), "{searches} searches through {fed} pieces");
 }
 
 proptest! {
-    /// Wherever the pieces' borders fall, the same texts come, and any bytes are taken without a panic.
+    /// Any division of the stream into pieces gives the same texts.
     #[test]
     fn any_split_gives_the_same_texts(
         values in prop::collection::vec(("[a-z{}\\[\\],\\\\\" \n]{0,8}", -9.0_f64..9.0, any::<bool>()), 0..6),
--- a/crates/reactor/tests/listener.rs
+++ b/crates/reactor/tests/listener.rs
@@ -1,4 +1,4 @@
-//! A listener that is about to be closed.
+//! Rejecting new connections at a listener that is about to be closed, without resetting pending ones.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -16,21 +16,26 @@
 fn rejects_new_connections_and_accepts_pending_ones() {
     let listener = TcpListener::bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
-    let mut early = TcpStream::connect(address).unwrap();
+    let mut pending = TcpStream::connect(address).unwrap();
     reject_new_connections(&listener).unwrap();
-    let late = TcpStream::connect_timeout(&address, Duration::from_millis(300));
+    let rejected = TcpStream::connect_timeout(&address, Duration::from_millis(300));
     assert_eq!(
-        late.unwrap_err().kind(),
+        rejected.unwrap_err().kind(),
         ErrorKind::TimedOut,
-        "its first packet is dropped, and nothing is reset"
+        "the SYN is dropped and the connection is not reset"
+    );
+    let (mut accepted, _) =
+        listener.accept().expect("the connection was established before new ones were rejected");
+    assert_eq!(
+        listener.accept().unwrap_err().kind(),
+        ErrorKind::WouldBlock,
+        "no other connection is pending"
     );
-    let (mut inside, _) = listener.accept().expect("it was on its way in");
-    assert_eq!(listener.accept().unwrap_err().kind(), ErrorKind::WouldBlock, "and nobody else was");
     drop(listener);
-    early.write_all(b"hello").unwrap();
-    let mut heard = [0; 5];
-    while let Err(error) = inside.read(&mut heard) {
+    pending.write_all(b"hello").unwrap();
+    let mut received = [0; 5];
+    while let Err(error) = accepted.read(&mut received) {
         assert_eq!(error.kind(), ErrorKind::WouldBlock);
     }
-    assert_eq!(&heard, b"hello", "what was accepted goes on after the close");
+    assert_eq!(&received, b"hello", "an accepted connection survives the close of the listener");
 }
