--- a/crates/gossip/src/bandwidth_limit.rs
+++ b/crates/gossip/src/bandwidth_limit.rs
@@ -1,19 +1,20 @@
-//! The limit on what a member sends.
+//! The limit on the datagrams and bytes that a member sends.
 
 use crate::{Micros, Purpose, Settings};
 use std::collections::VecDeque;
 
 const SECOND: Micros = 1_000_000;
 
-/// A limit on what is sent in any second. A token bucket with a full second's burst would let almost two seconds' worth
-/// through within one; so the datagrams of the last second are kept and summed, whose number the limit itself bounds.
+/// Limits the datagrams and bytes sent in any second. A token bucket with a burst of one second would pass almost twice the
+/// limit within a second. This limiter therefore keeps and sums the datagrams of the last second; the limit bounds how many
+/// there are.
 ///
-/// The share of digests is reserved for them, and answers and probes have half of the rest each: neither peers that ask much
-/// nor many peers to be asked may silence a proxy, for then it would be suspected itself.
+/// Digests have a reserved share, and answers and probes get half of the rest each. Otherwise peers that send many requests,
+/// or many peers that must be probed, could keep a proxy from sending heartbeats, and it would be suspected itself.
 #[derive(Debug)]
 pub(crate) struct BandwidthLimit {
     total: Allowance,
-    /// By purpose.
+    /// One allowance for each [`Purpose`].
     by_purpose: [Allowance; 3],
     last_second: VecDeque<SentDatagram>,
 }
@@ -23,11 +24,11 @@
     at: Micros,
     purpose: Purpose,
     copies: u64,
-    /// Of all copies together.
+    /// Total bytes of all copies.
     bytes: u64,
 }
 
-/// What may be sent in a second, and what was.
+/// The limits of one second, and how much of them the last second used.
 #[derive(Clone, Copy, Debug)]
 struct Allowance {
     max_datagrams: u64,
@@ -62,20 +63,20 @@
         let (digests, datagram_bytes) = (settings.digests_per_s(), settings.datagram_bytes as u64);
         let other_datagrams = datagrams.saturating_sub(digests);
         let other_bytes = bytes.saturating_sub(digests * datagram_bytes);
-        // However low the limit is, one datagram at a time can pass.
+        // Even with the lowest limit, one datagram at a time can pass.
         let half = Allowance::new((other_datagrams / 2).max(1), (other_bytes / 2).max(datagram_bytes));
         let total = Allowance::new(datagrams, bytes);
         BandwidthLimit { total, by_purpose: [total, half, half], last_second: VecDeque::new() }
     }
 
-    /// Whether a datagram of this size may be sent in this number of copies.
+    /// Returns whether `copies` datagrams of `bytes` each may be sent now.
     pub(crate) fn has_room(&mut self, now: Micros, purpose: Purpose, copies: u64, bytes: u64) -> bool {
         self.expire(now);
         let bytes = copies * bytes;
         self.total.has_room(copies, bytes) && self.by_purpose[purpose as usize].has_room(copies, bytes)
     }
 
-    /// Notes what is sent.
+    /// Records that `copies` datagrams of `bytes` each were sent.
     pub(crate) fn record(&mut self, now: Micros, purpose: Purpose, copies: u64, bytes: u64) {
         let sent = SentDatagram { at: now, purpose, copies, bytes: copies * bytes };
         self.total.add(&sent);
--- a/crates/gossip/src/config.rs
+++ b/crates/gossip/src/config.rs
@@ -1,72 +1,76 @@
-//! The section `[gossip]` of the operator's file.
+//! The `[gossip]` section of the operator's configuration file.
 
 use crate::keys::Strength;
 use crate::wire::LONGEST;
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
 
-/// Milliseconds between two digests by default: the embedder's view changes about as fast.
+/// Default milliseconds between two digests: the embedder's view of its endpoints changes about once a second.
 const PERIOD_MS: u32 = 1_000;
-/// Below, heartbeats come closer than datagrams may be apart on a slow path (38 ms, three times); above, no report is fresh.
+/// Below the minimum, heartbeats are closer together than the jitter of a slow path (three times 38 ms). Above the maximum,
+/// reports are stale when they arrive.
 const PERIOD_WITHIN: (u32, u32) = (100, 60_000);
-/// Receivers of a digest each period by default: with five proxies, all others.
+/// Default number of receivers of a digest in each period: with five proxies, all others.
 const FAN_OUT: u32 = 4;
 const FAN_OUT_WITHIN: (u32, u32) = (1, 64);
-/// Datagrams of one digest by default: one holds about 18 endpoints.
+/// Default number of datagrams in one digest; a datagram holds about 18 endpoints.
 const DIGEST_DATAGRAMS: u32 = 1;
 const DIGEST_DATAGRAMS_WITHIN: (u32, u32) = (1, 16);
-/// Datagrams a second by default: four times what an idle fleet of hundreds of members needs, for the times when many start or
-/// leave.
+/// Default limit on datagrams per second: four times what a member of an idle fleet of hundreds needs, so that there is
+/// enough when many members start or leave at once.
 const DATAGRAMS_PER_S: u32 = 32;
 const DATAGRAMS_WITHIN: (u32, u32) = (2, 10_000);
-/// Bytes a second by default: all those datagrams full.
+/// Default limit on bytes per second: enough for [`DATAGRAMS_PER_S`] datagrams of the greatest length.
 const BYTES_PER_S: u32 = DATAGRAMS_PER_S * LONGEST as u32;
 const BYTES_WITHIN: (u32, u32) = (2 * LONGEST as u32, 10_000 * LONGEST as u32);
-/// A signature takes 64 and a header up to 25: below, too little of a datagram is left.
+/// A signature takes 64 bytes and a header up to 25, so a datagram below the minimum has too little space for content.
 const DATAGRAM_BYTES_WITHIN: (u32, u32) = (128, LONGEST as u32);
-/// Milliseconds until an answer is late by default: there and back at 38 ms each, three times over.
+/// Default milliseconds until an answer is late: three round trips at 38 ms each way.
 const PROBE_TIMEOUT_MS: u32 = 250;
 const PROBE_TIMEOUT_WITHIN: (u32, u32) = (10, 10_000);
-/// Periods without a datagram until a member is probed by default: at 30% loss 1 of 37 such spans has lost three heartbeats in
-/// a row, so pings stay rare.
+/// Default number of periods without a datagram after which a member is probed. At 30% loss, three heartbeats in a row are
+/// lost in 1 of 37 cases, so pings stay rare.
 const SILENT_PERIODS: u32 = 3;
 const SILENT_WITHIN: (u32, u32) = (1, 100);
-/// Periods that a suspicion lasts at least for up to ten members by default. For more it grows with the logarithm, as the time
-/// does in which a refutation reaches all.
+/// Default minimum duration of a suspicion, in periods, with up to ten members. With more members it grows with their
+/// logarithm, as does the time that a refutation takes to reach all of them.
 const SUSPICION_PERIODS: u32 = 3;
 const SUSPICION_WITHIN: (u32, u32) = (1, 100);
-/// A period is longer or shorter by up to this fraction of it, one in twenty, so that proxies don't act in step.
+/// Divisor of the period: each period is longer or shorter by up to 1/20, so that proxies don't synchronize.
 pub(crate) const JITTER: i64 = 20;
-/// Eighths of the bandwidth limit that digests may need: the configuration leaves a quarter to answers and probes.
+/// Eighths of the bandwidth limit that digests may use. A quarter of the limit stays for answers and probes.
 const MAX_DIGEST_EIGHTHS: u64 = 6;
 
-/// The section as it is written. Off unless `strength` is set.
+/// The section as written in the file. Gossip is off unless `strength` is set.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GossipSection {
-    /// How senders prove themselves: `address`, `shared` or `signed`. Gossip is off without it.
+    /// How senders are authenticated: `address`, `shared` or `signed`. Gossip is off if this is not set.
     pub strength: Option<Strength>,
-    /// Secret keys, each file 64 hexadecimal digits. For `shared` one, or two while keys change; for `signed` this proxy's.
+    /// Files of secret keys, each with 64 hexadecimal digits: for `shared` one file, or two during a key change; for `signed`
+    /// the file of this proxy's key.
     pub key_files: Vec<PathBuf>,
-    /// For `signed`: the public keys, one line a member in the order of the list of peers, one or two keys in it.
+    /// For `signed`: the file of public keys, with one line per member in the order of the list of peers. A line holds one or
+    /// two keys.
     pub public_keys: Option<PathBuf>,
-    /// Milliseconds between two digests.
+    /// Milliseconds from one digest to the next.
     pub period_ms: u32,
-    /// Members that get a digest each period; if there are no more, all do.
+    /// Number of members that receive a digest in each period; all of them if there are no more than this.
     pub fan_out: u32,
-    /// Datagrams of one digest to one member each period at most.
+    /// Maximum datagrams of one digest to one member in each period.
     pub digest_datagrams: u32,
-    /// Datagrams sent in any second at most, counted as delivered; as many are processed from each peer.
+    /// Maximum datagrams sent in any second, where a multicast counts once per receiver. The same number is processed from
+    /// each peer.
     pub datagrams_per_s: u32,
-    /// Bytes sent in any second at most, counted as delivered.
+    /// Maximum bytes sent in any second, where a multicast counts once per receiver.
     pub bytes_per_s: u32,
-    /// Bytes of a datagram at most.
+    /// Maximum bytes of a datagram.
     pub datagram_bytes: u32,
     /// Milliseconds until an answer is late.
     pub probe_timeout_ms: u32,
-    /// Periods without a datagram until a member is probed.
+    /// Periods without a datagram after which a member is probed.
     pub silent_periods: u32,
-    /// Periods that a suspicion lasts at least, for up to ten members.
+    /// Minimum duration of a suspicion, in periods, with up to ten members.
     pub suspicion_periods: u32,
 }
 
@@ -89,49 +93,50 @@
     }
 }
 
-/// A checked section that is on. Times in microseconds.
+/// The validated settings of a section that turns gossip on. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How senders prove themselves; the keys must fit.
+    /// How senders are authenticated; the keys must be of this strength.
     pub strength: Strength,
-    /// Between two digests.
+    /// Time from one digest to the next.
     pub period: i64,
-    /// Members that get a digest each period.
+    /// Number of members that receive a digest in each period.
     pub fan_out: usize,
-    /// Datagrams of one digest at most.
+    /// Maximum datagrams of one digest.
     pub digest_datagrams: u32,
-    /// Datagrams sent in any second at most.
+    /// Maximum datagrams sent in any second.
     pub datagrams_per_s: u32,
-    /// Bytes sent in any second at most.
+    /// Maximum bytes sent in any second.
     pub bytes_per_s: u32,
-    /// Bytes of a datagram at most.
+    /// Maximum bytes of a datagram.
     pub datagram_bytes: usize,
-    /// Until an answer is late.
+    /// Time until an answer is late.
     pub probe_timeout: i64,
-    /// Without a datagram until a member is probed.
+    /// Time without a datagram after which a member is probed.
     pub silence: i64,
-    /// The least suspicion for up to ten members.
+    /// Minimum duration of a suspicion with up to ten members.
     pub suspicion: i64,
-    /// The network copies one datagram to all others (`peers_all`). Not in the file: the embedder knows.
+    /// Whether the network copies one datagram to all other members (`peers_all`). The embedder sets this; it is not in the
+    /// file.
     pub multicast: bool,
 }
 
-/// What is wrong with the section; the message names the key.
+/// An error in the section. Its message names the key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum GossipSectionError {
-    /// Out of bounds.
+    /// A value is out of bounds.
     #[error("gossip.{key} is not within {least} to {most}: '{value}'")]
     OutOfBounds {
         /// The key.
         key: &'static str,
-        /// The least allowed.
+        /// The lowest allowed value.
         least: u32,
-        /// The most allowed.
+        /// The highest allowed value.
         most: u32,
-        /// What was given.
+        /// The configured value.
         value: u32,
     },
-    /// Digests alone would use up the bandwidth.
+    /// Digests would use more than their share of the bandwidth limit.
     #[error(
         "gossip.{key} is too low: digests alone (fan_out times digest_datagrams each period_ms) may need {needed}, and get \
          three quarters of it; raise it or lower one of those"
@@ -139,39 +144,40 @@
     BandwidthTooLow {
         /// The key.
         key: &'static str,
-        /// What digests need a second.
+        /// Datagrams or bytes that digests need per second.
         needed: u64,
     },
-    /// Files of keys that don't go with the strength.
+    /// The configured key files don't match the strength.
     #[error("gossip.{key}: {why}")]
     KeyFiles {
         /// The key.
         key: &'static str,
-        /// What does not go.
+        /// Why they don't match.
         why: &'static str,
     },
 }
 
-/// In any second: periods are up to a twentieth shorter, and one more may begin within it.
+/// Maximum datagrams of digests in any second. Jitter shortens a period by up to 1/20, and one more period may begin within
+/// the second.
 fn digests_per_s(fan_out: u32, datagrams_per_digest: u32, period: i64) -> u64 {
     let shortest = period - period / JITTER;
     u64::from(fan_out) * u64::from(datagrams_per_digest) * (1_000_000 / shortest + 1) as u64
 }
 
 impl Settings {
-    /// Datagrams that digests may need in a second.
+    /// Maximum datagrams of digests in any second.
     pub(crate) fn digests_per_s(&self) -> u64 {
         digests_per_s(self.fan_out as u32, self.digest_datagrams, self.period)
     }
 }
 
 impl GossipSection {
-    /// The section but for the files of keys, which may change while it is in use.
+    /// Copies the section without the key files, the only settings that may change in a running process.
     pub fn without_files(&self) -> GossipSection {
         GossipSection { key_files: Vec::new(), public_keys: None, ..self.clone() }
     }
 
-    /// The settings, if the section is sound; `None` if it is off. Bounds are checked even then.
+    /// Validates the section. Returns `None` if gossip is off; bounds are checked even then.
     pub fn check(&self) -> Result<Option<Settings>, GossipSectionError> {
         let within = |key, value: u32, (least, most): (u32, u32)| match value {
             _ if (least..=most).contains(&value) => Ok(value),
--- a/crates/gossip/src/counts.rs
+++ b/crates/gossip/src/counts.rs
@@ -1,32 +1,32 @@
-//! What was sent and received, for records and on-call.
+//! Counters of datagrams sent, received, dropped and withheld, for records and on-call.
 
 /// Why a received datagram was dropped, in the order of the checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DropReason {
-    /// From no member's address.
+    /// The address belongs to no member.
     UnknownSender,
-    /// Beyond what is processed of one peer, or of all.
+    /// The limit on datagrams from one peer, or from all peers together, is exceeded.
     RateLimited,
     /// Too long, or too short for a header and its proof.
     Length,
-    /// Of a newer version of the protocol.
+    /// The datagram has a newer protocol version.
     NewerVersion,
-    /// Not of this protocol.
+    /// The bytes are no datagram of this protocol.
     Malformed,
-    /// Of another strength than is configured here.
+    /// The sender uses another strength than is configured here.
     WrongStrength,
-    /// The sender's ordinal is not that of its address.
+    /// The ordinal in the header does not match the sender's address.
     WrongSender,
-    /// Of an incarnation that was superseded.
+    /// The sender's incarnation was superseded.
     Superseded,
-    /// Seen before, or too old to tell.
+    /// The datagram was seen before, or is too old for the replay window.
     Replayed,
-    /// The proof is wrong.
+    /// The proof of the sender is invalid.
     Forged,
 }
 
 impl DropReason {
-    /// All, in order.
+    /// All reasons in the order of the checks.
     pub const ALL: [DropReason; 10] = [
         DropReason::UnknownSender,
         DropReason::RateLimited,
@@ -41,27 +41,27 @@
     ];
 }
 
-/// What a datagram is for. Each purpose has its share of the bandwidth.
+/// The purpose of a datagram. Each purpose has a share of the bandwidth limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Purpose {
-    /// Digests, which are the heartbeats, and farewells.
+    /// Digests, which also serve as heartbeats, and farewells.
     Digest,
-    /// Answers, refutations, pings on another member's behalf.
+    /// Answers, refutations, and pings on another member's behalf.
     Answer,
     /// Pings and indirect pings.
     Probe,
 }
 
-/// Sums since the start. Bytes are those of datagrams, without the network's headers.
+/// Totals since the process started. Byte counts exclude the headers of the network.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Datagrams sent, as delivered: one to all counts once for each other member.
+    /// Datagrams sent. A datagram to all members counts once for each receiver.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams received, dropped ones included.
+    /// Datagrams received, including those dropped.
     pub received: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams received.
     pub received_bytes: u64,
     dropped: [u64; DropReason::ALL.len()],
     withheld: [u64; 3],
@@ -78,7 +78,7 @@
         self.dropped.iter().sum()
     }
 
-    /// Datagrams that the bandwidth limit withheld.
+    /// Datagrams of this purpose that were not sent because of a rate limit.
     pub fn withheld(&self, purpose: Purpose) -> u64 {
         self.withheld[purpose as usize]
     }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,9 +1,10 @@
-//! Gossip between proxies, sans-io: their membership, and what they report to one another. Fully deterministic, no sockets, no
-//! clocks, no randomness but that from one seed. [`Gossip`] is `handle(now, input)`, `poll() -> output` and `next_timeout()`.
+//! Sans-io gossip between proxies: it maintains their membership and exchanges their reports on endpoints. The crate is fully
+//! deterministic: it uses no sockets and no clocks, and takes all randomness from one seed. The embedder drives [`Gossip`]
+//! with `handle(now, input)`, `poll() -> output` and `next_timeout()`.
 //!
-//! Members are ordinals from 0, as many as the configuration says; addresses stay with the embedder. Times are
-//! microseconds of one clock that never goes back. `docs/design/gossip.md` says why it is built so, what goes over the wire,
-//! and what a faulty peer can and can't do.
+//! Members are identified by ordinals from 0 up to the configured number; the embedder maps them to addresses. Times are
+//! microseconds of a monotonic clock. `docs/design/gossip.md` describes the design, the wire format, and what a faulty
+//! peer can and can't do.
 
 mod bandwidth_limit;
 mod broadcast_queue;
@@ -45,5 +46,5 @@
 pub use peer::State;
 pub use recipient::To;
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = i64;
