--- a/crates/gossip/src/config.rs
+++ b/crates/gossip/src/config.rs
@@ -7,8 +7,8 @@
 
 /// Default milliseconds between two digests: the embedder's view of its endpoints changes about once a second.
 const PERIOD_MS: u32 = 1_000;
-/// Below the minimum, heartbeats are closer together than the jitter of a slow path (three times 38 ms). Above the maximum,
-/// reports are stale when they arrive.
+/// Below the minimum, heartbeats are sent closer together than datagrams may arrive apart on a slow path (three times
+/// 38 ms). Above the maximum, no report is fresh.
 const PERIOD_WITHIN: (u32, u32) = (100, 60_000);
 /// Default number of receivers of a digest in each period: with five proxies, all others.
 const FAN_OUT: u32 = 4;
--- a/crates/gossip/src/gossip.rs
+++ b/crates/gossip/src/gossip.rs
@@ -1,5 +1,5 @@
-//! One member: its inputs, its outputs, its clock. What it does with a datagram is in `receiving` and `indirect_reports`, how it
-//! probes and suspects others in `probing`, what it sends in `sending`.
+//! One member of the fleet: its inputs, outputs and timers. The handling of received datagrams is in `receiving` and
+//! `indirect_reports`, probes and suspicions are in `probing`, and the sending of datagrams is in `sending`.
 
 use crate::bandwidth_limit::BandwidthLimit;
 use crate::broadcast_queue::BroadcastQueue;
@@ -19,50 +19,50 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Members at most; ordinals have 16 bits on the wire, and one value stands for all.
+/// Maximum number of members. Ordinals have 16 bits on the wire, and one value is reserved for "all members".
 const MAX_MEMBERS: u32 = u16::MAX as u32;
-/// Time-outs of probes fall on multiples of this, so that hundreds of suspects don't wake the loop one by one.
+/// Time-outs of probes are rounded up to multiples of this, so that hundreds of suspects don't each wake the event loop.
 const TIMER_GRANULARITY: Micros = 10_000;
-/// Datagrams looked at from all peers, in multiples of what one may send: with the dearest proof (40 us, twice that
-/// while keys change) 256 a second are 1% of a core.
+/// Limit on datagrams processed from all peers together, in multiples of the limit for one peer. With the most expensive
+/// proof (40 us, or twice that during a key change), the resulting 256 datagrams per second take 1% of a core.
 const INBOUND_MULTIPLIER: u32 = 8;
-/// The first period begins within this fraction of a period.
+/// Divisor of the period: the first period begins after a random delay of up to 1/10 of a period.
 const START_SPREAD: Micros = 10;
 
-/// How this member finds out who is dead.
+/// Detects members that are dead.
 #[derive(Debug, Default)]
 pub(crate) struct FailureDetector {
     pub(crate) probes: Probes,
     pub(crate) suspicions: BTreeMap<u16, Suspicion>,
-    /// In whose order silent members are probed.
+    /// The order in which silent members are probed.
     pub(crate) rotation: Rotation,
     pub(crate) health: LocalHealth,
 }
 
-/// What this member passes on.
+/// The information that this member sends to others.
 #[derive(Debug, Default)]
 pub(crate) struct Dissemination {
     pub(crate) broadcasts: BroadcastQueue,
     pub(crate) local_state: LocalState,
-    /// In whose order members get digests.
+    /// The order in which members receive digests.
     pub(crate) rotation: Rotation,
 }
 
-/// What this member sends and handles at most.
+/// Rate limits on sent and received datagrams.
 #[derive(Debug)]
 pub(crate) struct Limits {
     pub(crate) bandwidth: BandwidthLimit,
-    /// Datagrams of all peers together.
+    /// Limits the datagrams processed from all peers together.
     pub(crate) inbound: TokenBucket,
 }
 
-/// When this member acts of its own.
+/// The timers of this member.
 #[derive(Debug)]
 pub(crate) struct Schedule {
     pub(crate) next_period: Micros,
-    /// Periods so far.
+    /// Number of periods since the start.
     pub(crate) periods: u64,
-    /// The time-out that the embedder was given last.
+    /// The time that [`Gossip::next_timeout`] returns.
     timeout: Micros,
 }
 
@@ -85,8 +85,9 @@
 }
 
 impl Gossip {
-    /// A member with the ordinal `me`, of a fleet of `members`, numbered from 0. `generation` distinguishes this process from earlier ones of the same ordinal:
-    /// Unix time in milliseconds at its start. The keys must be of the settings' strength.
+    /// Creates the member with the ordinal `me` of a fleet of `members`, which are numbered from 0. `generation` distinguishes
+    /// this process from earlier ones with the same ordinal: it is the Unix time in milliseconds when the process started.
+    /// The keys must be of the settings' strength.
     pub fn new(
         settings: Settings,
         keys: Keys,
@@ -118,15 +119,16 @@
             keys,
         };
         gossip.set_members(members);
-        // At once, so that a process that restarts is known before anybody missed it; not all of a start in one instant.
+        // The first period begins soon, so that other members hear a restarted process before they miss it. The delay is
+        // random, so that members that start together don't all send at the same instant.
         let spread = gossip.settings.period / START_SPREAD;
         gossip.schedule.next_period = now + gossip.rng.random_range(0..=spread);
         gossip.set_timeout();
         gossip
     }
 
-    /// Takes an input; then [`Gossip::poll`] until it gives nothing. `now` never goes back (one that does counts as the
-    /// latest).
+    /// Handles an input. Afterwards the embedder calls [`Gossip::poll`] until it returns `None`. A `now` before the latest one
+    /// is replaced by the latest one.
     pub fn handle(&mut self, now: Micros, input: Input<'_>) {
         self.now = self.now.max(now);
         self.compensate_for_lateness();
@@ -146,51 +148,51 @@
         self.set_timeout();
     }
 
-    /// The next thing to do, if any.
+    /// Returns the next output, if there is one.
     pub fn poll(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// When [`Input::Tick`] is due, unless another input comes first. Late ones count as this proxy's own slowness.
+    /// Returns when [`Input::Tick`] is due, unless another input comes first. A late input counts as slowness of this proxy.
     pub fn next_timeout(&self) -> Micros {
         self.schedule.timeout
     }
 
-    /// How many members are active, this one included, as far as is known: suspects are. A member that was not heard yet is
-    /// until it had its time to speak; so this errs upwards.
+    /// Returns the number of members known as active, including this one and suspects. A member that was never heard counts as
+    /// active until its time to send a first datagram is over, so the number may be too high.
     pub fn alive(&self) -> u32 {
         1 + self.peers.active() as u32
     }
 
-    /// The other members: ordinal, state, incarnation.
+    /// Returns the ordinal, state and incarnation of each other member.
     pub fn members(&self) -> impl Iterator<Item = (u32, State, Incarnation)> {
         self.peers.iter().map(|(ordinal, peer)| (u32::from(ordinal), peer.state, peer.incarnation))
     }
 
-    /// What a peer reported that is in force: entries, and how long ago each was received. Nothing of one that is dead or left.
+    /// Returns the current entries of a peer and how long ago each was received. A peer that is dead or has left has none.
     pub fn digest_of(&self, origin: u32) -> impl Iterator<Item = (&Entry, Micros)> {
         let entries = self.peers.get(origin).into_iter().flat_map(|peer| peer.reported_state.entries());
         entries.map(|(entry, received_at)| (entry, self.now - received_at))
     }
 
-    /// How long ago a peer last reported of its endpoints, and how many it has; those not in [`Gossip::digest_of`] were not
-    /// received yet.
+    /// Returns how long ago the newest digest of a peer was received, and how many entries the peer has. Entries missing from
+    /// [`Gossip::digest_of`] were not received yet.
     pub fn freshness(&self, origin: u32) -> Option<(Micros, usize)> {
         let (received_at, total) = self.peers.get(origin)?.reported_state.newest_digest()?;
         Some((self.now - received_at, total))
     }
 
-    /// What was sent and received so far.
+    /// Returns the counters of datagrams sent, received, dropped and withheld.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// This member's incarnation; it counts how often this member had to refute reports of its end.
+    /// Returns this member's incarnation, which counts the refutations of reports that it is suspect or has left.
     pub fn incarnation(&self) -> Incarnation {
         self.identity.incarnation
     }
 
-    /// After [`Input::Leave`]: all members were sent a farewell as often as is useful, the process may end.
+    /// Returns whether sending farewells after [`Input::Leave`] is complete, so that the process may end.
     pub fn has_left(&self) -> bool {
         self.farewell.as_ref().is_some_and(|farewell| farewell.next_at().is_none())
     }
@@ -199,7 +201,7 @@
         self.outputs.push_back(output);
     }
 
-    /// Sets a peer's state and reports it; what a member that is gone reported is void.
+    /// Sets a peer's state and outputs the change. The entries of a peer that is no longer active are discarded.
     pub(crate) fn set_state(&mut self, ordinal: u16, state: State) {
         let incarnation = self.peers[ordinal].incarnation;
         if !self.peers.set_state(ordinal, state) {
@@ -211,12 +213,12 @@
         self.output(Output::Member { ordinal: ordinal.into(), state, incarnation });
     }
 
-    /// Whether all active members hear from this one each period, and it from them.
+    /// Returns whether all active members receive a digest from this member in each period, and it from them.
     pub(crate) fn reaches_all_each_period(&self) -> bool {
         self.peers.active() <= self.settings.fan_out
     }
 
-    /// Rounds in which all active members get a digest once.
+    /// Returns the number of rounds in which every active member receives a digest once.
     pub(crate) fn rounds_to_reach_all(&self) -> u32 {
         self.peers.active().div_ceil(self.settings.fan_out).max(1) as u32
     }
@@ -231,15 +233,16 @@
         self.detector.rotation = Rotation::new(members, me, &mut self.rng);
     }
 
-    /// When this process was stopped, or its loop was late, others' silence in that time proves nothing: they all get more time,
-    /// and the member trusts its own timing less.
+    /// Compensates for a process that was stopped or an event loop that was late: the silence of other members in that time
+    /// proves nothing. All of them get more time, and this member's local health degrades.
     fn compensate_for_lateness(&mut self) {
         let late = self.now.saturating_sub(self.schedule.timeout);
         if late <= self.settings.probe_timeout / 2 {
             return;
         }
         self.detector.health.degrade();
-        // What arrived meanwhile is read in the next turns: nobody is judged before.
+        // The datagrams that arrived meanwhile are read in the next iterations of the event loop; no member is suspected or
+        // declared dead before that.
         let extra = late + self.settings.probe_timeout;
         for peer in self.peers.iter_mut() {
             peer.last_alive_at = peer.last_alive_at.saturating_add(extra).min(self.now);
@@ -258,7 +261,8 @@
         }
     }
 
-    /// Never in the past: what became due by another member's report was not due before, and nobody was late.
+    /// Sets the next time-out, never in the past: a report may make a step due at once, and that must not count as lateness of
+    /// this member.
     fn set_timeout(&mut self) {
         let due = match &self.farewell {
             Some(farewell) => farewell.next_at().unwrap_or(Micros::MAX),
--- a/crates/gossip/src/identity.rs
+++ b/crates/gossip/src/identity.rs
@@ -1,23 +1,23 @@
-//! This member itself, as it appears in its datagrams.
+//! The identity of this member as written in the headers of its datagrams.
 
 use crate::wire::Header;
 use crate::{Incarnation, Micros, Strength};
 
-/// This member's ordinal, incarnation and counter.
+/// This member's ordinal, incarnation and datagram counter.
 #[derive(Debug)]
 pub(crate) struct Identity {
     pub(crate) ordinal: u16,
     pub(crate) incarnation: Incarnation,
-    /// Of the last datagram sent.
+    /// Counter of the last datagram sent.
     counter: u64,
-    /// When a report of a later generation of its own was last believed.
+    /// When this member last adopted a later generation because others reported one.
     pub(crate) jumped_at: Option<Micros>,
-    /// When it last refuted reports of its end with a round of datagrams.
+    /// When this member last sent a round of datagrams to refute reports about itself.
     pub(crate) refuted_at: Option<Micros>,
 }
 
 impl Identity {
-    /// A process that has sent nothing yet.
+    /// Creates the identity of a process that has sent no datagram yet.
     pub(crate) fn new(ordinal: u16, generation: u64) -> Self {
         Identity {
             ordinal,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The header of the next datagram; counted only by [`Identity::count_sent`].
+    /// Returns the header of the next datagram. [`Identity::count_sent`] advances the counter.
     pub(crate) fn next_header(&self, strength: Strength, to_all: bool) -> Header {
         Header {
             strength,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// A datagram is sent: the next one has another counter.
+    /// Advances the counter after a datagram was sent.
     pub(crate) fn count_sent(&mut self) {
         self.counter += 1;
     }
--- a/crates/gossip/src/incarnation.rs
+++ b/crates/gossip/src/incarnation.rs
@@ -1,26 +1,27 @@
-//! The number that orders what a member says of itself, and what others say of it.
+//! The number that orders a member's own statements and the reports of other members about it.
 
-/// A generation may lie this much beyond the known one and still be believed: 34 years of milliseconds. More is of a faulty
-/// peer, and would use the numbers up.
+/// The greatest accepted step from the known generation to a reported one: 34 years in milliseconds. Only a faulty peer
+/// reports a greater one, and accepting it would use up the generation numbers.
 const MAX_GENERATION_JUMP: u64 = 1 << 40;
 
-/// A member's incarnation. Compared only with other incarnations of the same member, so it matters to nobody whether
-/// the member's clock is right; only a clock that went back between two processes matters, and then the others correct it.
+/// A member's incarnation. It is compared only with other incarnations of the same member, so the member's clock need not be
+/// right. If the clock goes back between two processes, other members send a correction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Incarnation {
-    /// Which process: as the embedder gave it, Unix time in milliseconds at the start. 0: by configuration, not heard.
+    /// Identifies the process by the Unix time in milliseconds at its start, as the embedder provides it. 0 means that the
+    /// member is known from the configuration but was never heard.
     pub generation: u64,
-    /// How often this process had to refute that it is gone.
+    /// Number of times this process refuted reports that it is suspect or has left.
     pub refutations: u16,
 }
 
 impl Incarnation {
-    /// The first of a process.
+    /// Returns the first incarnation of a process.
     pub fn first(generation: u64) -> Self {
         Incarnation { generation, refutations: 0 }
     }
 
-    /// The least that supersedes this one.
+    /// Returns the lowest incarnation that supersedes this one.
     pub(crate) fn next(self) -> Self {
         match self.refutations.checked_add(1) {
             Some(refutations) => Incarnation { refutations, ..self },
@@ -28,7 +29,8 @@
         }
     }
 
-    /// Whether a report of this incarnation can be true, where that one is known. A member that was never heard may have any.
+    /// Returns whether a report of this incarnation is plausible when `known` is the newest known one. A member that was never
+    /// heard may have any incarnation.
     pub(crate) fn plausible_after(self, known: Incarnation) -> bool {
         let in_reach = self.generation <= known.generation.saturating_add(MAX_GENERATION_JUMP);
         self.generation < u64::MAX && (known.generation == 0 || in_reach)
--- a/crates/gossip/src/indirect_reports.rs
+++ b/crates/gossip/src/indirect_reports.rs
@@ -1,31 +1,32 @@
-//! What others report of members. Reports prompt probes, never give the verdict: nobody is dead or back by indirect reports alone.
+//! Handling of reports from other members about a member's state. A suspicion or a farewell reported by others only prompts
+//! a probe by this member; such reports never decide alone that a member is dead.
 
 use crate::peer::State;
 use crate::probes::ProbeKind;
 use crate::wire::{Broadcast, ReportedState};
 use crate::{Gossip, Incarnation, Micros, Purpose, To};
 
-/// A later generation of this member's own that others report is believed this often at most: a faulty peer would use the numbers
-/// up.
+/// Minimum time between two adoptions of a later generation of this member that others report. A faulty peer could otherwise
+/// use up the generation numbers.
 const JUMP_INTERVAL: Micros = 10_000_000;
 
-/// Between two probes of a member that all others suspect: half of the answers that the bandwidth limit lets it give by
-/// default.
+/// Time between two probes of a member that all other members are prompted to probe. Their probes take half of the answers
+/// that the default bandwidth limit allows the member.
 const PROMPTED_PROBE_SPACING: Micros = 125_000;
 
 impl Gossip {
-    /// Takes what one member reports of another.
+    /// Handles the report of one member about another.
     pub(crate) fn receive_broadcast(&mut self, from: u16, broadcast: Broadcast) {
         let subject = broadcast.subject;
         if subject == self.identity.ordinal {
             return self.receive_report_on_self(broadcast.incarnation, broadcast.state);
         }
-        // A member reports on itself by its own datagrams.
+        // A member's own datagrams already show its state.
         if subject == from || !self.peers.contains(subject) {
             return;
         }
         let known = self.peers[subject].incarnation;
-        // A reporter that never heard the subject can't say of which incarnation it speaks.
+        // A reporter that never heard the subject does not know its incarnation.
         let is_unknown = broadcast.incarnation.generation == 0;
         let incarnation = if is_unknown { known } else { broadcast.incarnation };
         if incarnation < known || !incarnation.plausible_after(known) {
@@ -38,8 +39,8 @@
         }
     }
 
-    /// The subject refuted a suspicion, or restarted. Only this raises the incarnation known: if suspicions did, every
-    /// refutation would come too late.
+    /// Handles a report that the subject refuted a suspicion or restarted. Among reports only this kind raises the known
+    /// incarnation: if suspicions raised it too, every refutation would be out of date.
     fn receive_alive(&mut self, from: u16, broadcast: Broadcast, is_newer: bool) {
         let subject = broadcast.subject;
         let peer = &mut self.peers[subject];
@@ -48,7 +49,8 @@
             peer.reports.clear_alive();
         }
         let state = peer.state;
-        // By their reports faulty peers could let the dead come and go: more than those must agree, or it is probed.
+        // Faulty peers could report a dead member alive again and again. More reporters than the tolerated faulty peers must
+        // agree; until then the member is probed.
         let is_confirmed = !state.is_active() && peer.reports.add_alive(from);
         match state {
             State::Alive | State::Suspect if !is_newer => {}
@@ -70,13 +72,13 @@
         self.dissemination.broadcasts.enqueue(broadcast);
     }
 
-    /// The reporter found it itself: suspicions are not passed on by members that only heard of them. Nor is this one: the
-    /// subject is probed, and suspected by this member too only if it does not answer.
+    /// Handles a report that the reporter itself could not reach the subject. Members don't forward suspicions of others, and
+    /// this one does not either: it probes the subject and suspects it only if the probe gets no answer.
     fn receive_suspect(&mut self, from: u16, subject: u16) {
         let (now, silence) = (self.now, self.settings.silence);
         let peer = &mut self.peers[subject];
         peer.reports.add_accuser(from);
-        // Own fresh datagrams outweigh any number of reports, while they are fresh.
+        // A recent datagram from the subject itself outweighs any number of reports.
         let is_fresh = now - peer.last_alive_at < silence;
         let is_pending = peer.reports.probe_when_silent;
         if peer.state != State::Alive || is_pending || !self.accepts_prompt(from, subject) {
@@ -89,8 +91,8 @@
         }
     }
 
-    /// The subject may have left a moment after it was heard last, so that does not refute this: it is probed. But if it
-    /// has answered such a probe lately, that does.
+    /// Handles a report that the subject has left. Even a recent datagram does not refute the report, since the subject may
+    /// have left just after it; the subject is probed. A recent answer to a prompted probe does refute the report.
     fn receive_left(&mut self, from: u16, subject: u16) {
         let peer = &mut self.peers[subject];
         if !peer.state.is_active() {
@@ -102,8 +104,8 @@
         }
     }
 
-    /// Whether this reporter may prompt a probe of that member. Each prompts few of them, and nobody is probed again and again:
-    /// faulty peers could have all probe all, or one, and no answer would arrive in time.
+    /// Returns whether this reporter may prompt a probe of the subject. The probes per reporter and per subject are limited:
+    /// otherwise faulty peers could make all members probe all others, or all probe one, and answers would come too late.
     fn accepts_prompt(&mut self, from: u16, subject: u16) -> bool {
         !self.detector.probes.is_probing(subject)
             && self.may_be_prompted_to_probe(subject)
@@ -115,8 +117,8 @@
         self.probe_within(subject, ProbeKind::WithIndirect, self.probe_spread());
     }
 
-    /// Whether it is long enough that reports prompted this member to probe that one. If all members do so, it can still
-    /// answer.
+    /// Returns whether enough time has passed since reports last prompted this member to probe the subject. The interval is
+    /// long enough that the subject can answer even if all members probe it.
     pub(crate) fn may_be_prompted_to_probe(&self, subject: u16) -> bool {
         let spacing = self.peers.members() as Micros * PROMPTED_PROBE_SPACING;
         let interval = self.settings.silence.max(spacing);
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Takes an incarnation beyond the reported one, and refutes with it.
+    /// Adopts an incarnation that supersedes the reported one, and refutes the report with it.
     fn supersede(&mut self, reported: Incarnation) {
         let is_later_generation = reported.generation > self.identity.incarnation.generation;
         if is_later_generation {
@@ -150,13 +152,15 @@
             }
             self.identity.jumped_at = Some(self.now);
         }
-        // Beyond another process's number it must be a generation of its own, for its counter began anew.
+        // The reported generation is that of another process with its own datagram counter, so this process needs a generation
+        // of its own.
         self.identity.incarnation =
             if is_later_generation { Incarnation::first(reported.generation + 1) } else { reported.next() };
         self.refute();
     }
 
-    /// Refutes at once, for a suspicion has its time; but a faulty peer can't make this member send all the time.
+    /// Queues a refutation and sends it at once, because a suspicion expires. It is sent at most once per period, so that a
+    /// faulty peer can't make this member send continuously.
     fn refute(&mut self) {
         self.dissemination.broadcasts.enqueue(Broadcast {
             subject: self.identity.ordinal,
@@ -171,7 +175,7 @@
         }
     }
 
-    /// Believes for the present that a member may be dead: it did not answer, directly or through others.
+    /// Marks a member as suspect after a probe that got no answer, directly or through others.
     pub(crate) fn suspect(&mut self, subject: u16) {
         let incarnation = self.peers[subject].incarnation;
         self.set_state(subject, State::Suspect);
@@ -180,7 +184,7 @@
         self.begin_suspicion(subject);
     }
 
-    /// Ends a suspicion for good: the member is dead, or has left if any member reports that.
+    /// Ends a suspicion: the member is dead, or has left if any member reports that it left.
     pub(crate) fn confirm_gone(&mut self, subject: u16) {
         let peer = &self.peers[subject];
         let (incarnation, has_left) = (peer.incarnation, peer.reports.any_left());
@@ -191,7 +195,7 @@
         }
     }
 
-    /// A member proved to be alive, itself or through another.
+    /// Marks a member as alive after a datagram from it, or after another member confirmed that it is alive.
     pub(crate) fn mark_alive(&mut self, subject: u16) {
         self.peers[subject].mark_alive(self.now);
         self.detector.probes.remove(subject);
--- a/crates/gossip/src/interface.rs
+++ b/crates/gossip/src/interface.rs
@@ -1,57 +1,57 @@
-//! What a member is given and what it gives: inputs and outputs.
+//! The inputs and outputs of a member.
 
 use crate::{Entry, Incarnation, Keys, State, To};
 
-/// What happened.
+/// An event that the embedder passes to [`crate::Gossip::handle`].
 #[derive(Clone, Debug)]
 pub enum Input<'a> {
     /// A datagram arrived.
     Datagram {
-        /// The ordinal of the member that has the sender's address; `None`: no member has it.
+        /// The ordinal of the member with the sender's address, or `None` if the address belongs to no member.
         from: Option<u32>,
-        /// Its bytes.
+        /// The bytes of the datagram.
         bytes: &'a [u8],
     },
-    /// All that this proxy has to report of its endpoints, in place of what it had before; about once a period. See
-    /// [`crate::Directory`] for names. The next digests are of this.
+    /// The complete list of this proxy's entries, which replaces the previous list and is sent in the next digests. The
+    /// embedder provides it about once a period. [`crate::Directory`] maps names to digests.
     LocalState(Vec<Entry>),
-    /// This proxy leaves (SIGTERM): the others are sent a farewell at once. See [`crate::Gossip::has_left`].
+    /// This proxy leaves the fleet (SIGTERM). The other members are sent a farewell at once; see [`crate::Gossip::has_left`].
     Leave,
-    /// Keys changed (reload). Of the same strength; another one takes a restart.
+    /// A reload changed the keys. They must be of the same strength; changing the strength requires a restart.
     Keys(Keys),
-    /// How many members there are by configuration changed (reload). Ordinals keep their meaning; with a list in another
-    /// order, begin anew.
+    /// A reload changed the configured number of members. Ordinals must keep their meaning; if the list has another order,
+    /// create a new [`crate::Gossip`].
     Members(u32),
-    /// [`crate::Gossip::next_timeout`] has come.
+    /// The time of [`crate::Gossip::next_timeout`] is reached.
     Tick,
 }
 
-/// What is to be done, or to be known.
+/// An action for the embedder to carry out, or a change for it to note.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send this datagram; never more than 256 bytes.
+    /// Send this datagram, which has at most 256 bytes.
     Send {
-        /// To whom.
+        /// The receiver.
         to: To,
         /// The datagram.
         bytes: Vec<u8>,
     },
-    /// The state of a member has changed; also when a new process of it took the place of the old one.
+    /// The state of a member changed, or a new process took the place of the member's old one.
     Member {
-        /// Which one.
+        /// The member's ordinal.
         ordinal: u32,
-        /// Its state.
+        /// The member's new state.
         state: State,
-        /// Its incarnation, as known.
+        /// The newest known incarnation of the member.
         incarnation: Incarnation,
     },
-    /// A peer reported something new of its endpoints. Each entry takes the place of what the same peer reported of the same
-    /// endpoint before; an empty one says that there is nothing any more. [`crate::Gossip::digest_of`] has all of them. When a
-    /// member is dead, has left or restarted, all that it reported is void.
+    /// A peer reported new entries. Each entry replaces the same peer's earlier entry for that endpoint; an empty entry removes
+    /// it. [`crate::Gossip::digest_of`] returns all current entries. All entries of a member become void when it is dead, has
+    /// left or has restarted.
     PeerReport {
-        /// Who.
+        /// The ordinal of the peer.
         from: u32,
-        /// What is new.
+        /// The entries that are new.
         entries: Vec<Entry>,
     },
 }
