--- a/crates/gossip/src/recipient.rs
+++ b/crates/gossip/src/recipient.rs
@@ -1,10 +1,10 @@
-//! Whom a datagram is for.
+//! The receiver of a datagram.
 
-/// Whom a datagram is for.
+/// The receiver of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum To {
     /// One member, by its ordinal.
     One(u32),
-    /// All others, by one datagram that the network copies (`peers_all`).
+    /// All other members, by one datagram that the network copies (`peers_all`).
     All,
 }
--- a/crates/gossip/src/replay_window.rs
+++ b/crates/gossip/src/replay_window.rs
@@ -1,18 +1,19 @@
-//! Which of a sender's counters were seen: a sliding window as in RFC 4303, section 3.4.3.
+//! Replay protection: a sliding window over a sender's datagram counters, as in RFC 4303, section 3.4.3.
 
-/// How far behind the newest a late datagram may be: some seconds of what a peer sends, and a delay is 38 ms.
+/// How far a late datagram's counter may be behind the newest. A peer takes some seconds to send this many datagrams, far
+/// longer than a network delay of 38 ms.
 const WIDTH: u64 = 64;
 
-/// The newest counter seen, and which of the [`WIDTH`] up to it were.
+/// Records the newest counter seen, and which of the last [`WIDTH`] counters were seen.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ReplayWindow {
     newest: u64,
-    /// Bit n: `newest - n` was seen.
+    /// Bit n is set if the counter `newest - n` was seen.
     seen: u64,
 }
 
 impl ReplayWindow {
-    /// Whether the counter is new, and not too old to tell.
+    /// Returns whether the counter was not seen before and is not older than the window.
     pub(crate) fn accepts(&self, counter: u64) -> bool {
         match self.newest.checked_sub(counter) {
             None => true,
@@ -20,7 +21,7 @@
         }
     }
 
-    /// Notes a counter; only after its datagram was found authentic, or a forger could move the window on.
+    /// Records a counter. The datagram must be authenticated first, or a forger could advance the window.
     pub(crate) fn record(&mut self, counter: u64) {
         match self.newest.checked_sub(counter) {
             Some(behind) if behind < WIDTH => self.seen |= 1 << behind,
--- a/crates/gossip/src/rotation.rs
+++ b/crates/gossip/src/rotation.rs
@@ -1,9 +1,9 @@
-//! Members in a random order, each once before any is repeated.
+//! Selects members in a random order, each of them once before any is repeated.
 
 use rand::RngExt;
 use rand::seq::SliceRandom;
 
-/// The order. Shuffled anew after each round, so that members don't fall into step (SWIM, section 4.3).
+/// A random order of members. It is shuffled again after each round, so that members don't synchronize (SWIM, section 4.3).
 #[derive(Debug, Default)]
 pub(crate) struct Rotation {
     order: Vec<u16>,
@@ -11,14 +11,14 @@
 }
 
 impl Rotation {
-    /// Of all members but one.
+    /// Creates a rotation of all members except `excluded`.
     pub(crate) fn new(members: u16, excluded: u16, rng: &mut impl RngExt) -> Self {
         let mut order: Vec<u16> = (0..members).filter(|ordinal| *ordinal != excluded).collect();
         order.shuffle(rng);
         Rotation { order, position: 0 }
     }
 
-    /// The next `count` selected members at most; none twice.
+    /// Returns up to `count` next members for which `selected` holds, none of them twice.
     pub(crate) fn next(
         &mut self,
         count: usize,
--- a/crates/gossip/src/token_bucket.rs
+++ b/crates/gossip/src/token_bucket.rs
@@ -1,26 +1,26 @@
-//! A limit on what is handled of others: a token bucket, since one peer's datagrams may be delayed together.
+//! A rate limit on received datagrams. A token bucket allows bursts, because datagrams of one peer may be delayed together.
 
 use crate::Micros;
 
 const SECOND: Micros = 1_000_000;
 
-/// Holds the tokens of one second at most.
+/// A token bucket that holds at most the tokens of one second.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenBucket {
     per_s: i64,
-    /// In tokens times [`SECOND`].
+    /// Available tokens, multiplied by [`SECOND`].
     level: i64,
     filled_at: Micros,
 }
 
 impl TokenBucket {
-    /// A full bucket that gets `per_s` tokens a second.
+    /// Creates a full bucket that is refilled with `per_s` tokens per second.
     pub(crate) fn new(per_s: u32, now: Micros) -> Self {
         let per_s = i64::from(per_s);
         TokenBucket { per_s, level: per_s * SECOND, filled_at: now }
     }
 
-    /// Takes a token; whether there was one.
+    /// Takes a token if there is one, and returns whether there was.
     pub(crate) fn try_take(&mut self, now: Micros) -> bool {
         let passed = (now - self.filled_at).clamp(0, SECOND);
         self.filled_at = now;
