--- a/crates/gossip/src/observations.rs
+++ b/crates/gossip/src/observations.rs
@@ -1,26 +1,26 @@
-//! What an embedder observed at each endpoint lately, and the evidence that it makes.
+//! The recent outcomes that an embedder observed at each endpoint, and the evidence computed from them.
 
 use crate::{Evidence, Micros};
 use std::collections::{BTreeMap, VecDeque};
 
-/// An older observation is no evidence of now: three periods of a second.
+/// Observations older than this, three default periods, are not evidence of an endpoint's present state.
 const LIFETIME: Micros = 3_000_000;
-/// So many are kept for each endpoint: the counts of the wire end at 255.
+/// Maximum observations kept for each endpoint. Counts on the wire saturate at 255.
 const MAX_PER_ENDPOINT: usize = 256;
 const TENTH_OF_A_SECOND: Micros = 100_000;
 
-/// How an attempt at an endpoint, or a connection there, ended.
+/// The outcome of an attempt or a connection at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// Rejected as full.
+    /// The endpoint rejected the attempt as full.
     Full,
     /// The connection could not be set up.
     Failed,
-    /// There was no answer, or an error.
+    /// The attempt got no answer, or an error.
     TimedOut,
     /// A connection was lost or went silent.
     Silent,
-    /// It was served.
+    /// The attempt was served.
     Served,
 }
 
@@ -41,7 +41,8 @@
     }
 }
 
-/// The recent observations, by the embedder's own names of endpoints. Grows with the endpoints observed in the last seconds.
+/// The recent observations by endpoint, with the embedder's own type of endpoint key. The size grows with the number of
+/// endpoints observed in the last seconds.
 #[derive(Clone, Debug)]
 pub struct Observations<K> {
     by_endpoint: BTreeMap<K, VecDeque<(Micros, Observation)>>,
@@ -54,7 +55,7 @@
 }
 
 impl<K: Copy + Ord> Observations<K> {
-    /// Takes an observation.
+    /// Records an observation.
     pub fn record(&mut self, now: Micros, endpoint: K, observation: Observation) {
         let observed = self.by_endpoint.entry(endpoint).or_default();
         if observed.len() == MAX_PER_ENDPOINT {
@@ -63,7 +64,7 @@
         observed.push_back((now, observation));
     }
 
-    /// Forgets what is too old to be reported.
+    /// Removes observations that are too old to be reported.
     pub fn forget_old(&mut self, now: Micros) {
         self.by_endpoint.retain(|_, observed| {
             while observed.front().is_some_and(|(at, _)| now - at > LIFETIME) {
@@ -73,15 +74,16 @@
         });
     }
 
-    /// The endpoints where anything was observed.
+    /// Returns the endpoints with observations.
     pub fn endpoints(&self) -> impl Iterator<Item = K> {
         self.by_endpoint.keys().copied()
     }
 
-    /// What was observed at an endpoint, counted. What was served before the newest fault says nothing of now and is left out.
+    /// Counts the observations at an endpoint. Attempts served before the newest fault are left out, since they don't show the
+    /// present state.
     pub fn evidence(&self, now: Micros, endpoint: K) -> Evidence {
         let mut evidence = Evidence::default();
-        // The newest fault, or without any the newest observation.
+        // The newest fault, or the newest observation if there is no fault.
         let mut decisive: Option<(Micros, Observation)> = None;
         for (at, observation) in self.by_endpoint.get(&endpoint).into_iter().flatten() {
             observation.count_in(&mut evidence);
--- a/crates/gossip/src/peer_state.rs
+++ b/crates/gossip/src/peer_state.rs
@@ -1,39 +1,39 @@
-//! What one peer has reported of its endpoints.
+//! The entries that one peer has reported for its endpoints.
 
 use crate::Micros;
 use crate::entry::{EndpointDigest, Entry};
 use crate::local_state::MAX_ENTRIES;
 use std::collections::BTreeMap;
 
-/// Empty entries at most. They are kept so that a late datagram does not bring back what the peer no longer has.
+/// Maximum empty entries kept. They prevent a late datagram from restoring an entry that the peer has removed.
 const MAX_EMPTY: usize = 64;
 
 #[derive(Clone, Copy, Debug)]
 struct ReceivedEntry {
     entry: Entry,
-    /// Counter of the datagram that carried it.
+    /// Counter of the datagram that carried the entry.
     version: u64,
     received_at: Micros,
 }
 
-/// The newest digest of a peer.
+/// Summary of the newest digest received from a peer.
 #[derive(Clone, Copy, Debug)]
 struct DigestSummary {
-    /// Counter of its datagram.
+    /// Counter of the datagram that carried the digest.
     version: u64,
     received_at: Micros,
-    /// Entries that the peer says it has.
+    /// Number of entries that the peer states to have.
     total: usize,
 }
 
-/// Which entries are trimmed.
+/// Selects the entries that [`PeerState::trim`] may remove.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EntryKind {
     Present,
     Empty,
 }
 
-/// A peer's entries, as one process of it reported them.
+/// The entries reported by one process of a peer.
 #[derive(Debug, Default)]
 pub(crate) struct PeerState {
     entries: BTreeMap<EndpointDigest, ReceivedEntry>,
@@ -41,21 +41,22 @@
 }
 
 impl PeerState {
-    /// Merges what a datagram carries; returns what of it is new.
+    /// Merges the entries of a datagram, and returns those that are newer than the known ones.
     pub(crate) fn merge(&mut self, version: u64, now: Micros, total: u32, entries: &[Entry]) -> Vec<Entry> {
         let news = entries.iter().copied().filter(|entry| self.merge_entry(version, now, *entry)).collect();
         if self.newest_digest.is_none_or(|newest| newest.version < version) {
             let total = (total as usize).min(MAX_ENTRIES);
             self.newest_digest = Some(DigestSummary { version, received_at: now, total });
         }
-        // Of more than the peer has, it no longer has the oldest: it reported them as empty, and that was lost.
+        // If more entries are known than the peer has, the peer removed the oldest ones and the datagrams that reported them as
+        // empty were lost.
         let total = self.newest_digest.map_or(0, |newest| newest.total);
         self.trim(EntryKind::Present, total);
         self.trim(EntryKind::Empty, MAX_EMPTY);
         news
     }
 
-    /// Whether the entry is newer than what is known.
+    /// Stores the entry if it is newer than the known one, and returns whether it is.
     fn merge_entry(&mut self, version: u64, now: Micros, entry: Entry) -> bool {
         let received = ReceivedEntry { entry, version, received_at: now };
         let known = self.entries.entry(entry.endpoint).or_insert(ReceivedEntry { version: 0, ..received });
@@ -66,7 +67,7 @@
         is_newer
     }
 
-    /// Drops the oldest beyond the limit.
+    /// Removes the oldest entries of this kind beyond the limit.
     fn trim(&mut self, kind: EntryKind, limit: usize) {
         let is_of_kind = |entry: &Entry| entry.is_empty() == (kind == EntryKind::Empty);
         let mut by_age: Vec<(u64, EndpointDigest)> = self
@@ -83,13 +84,13 @@
         }
     }
 
-    /// The entries that are not empty, each with when it was received.
+    /// Returns the entries that are not empty, each with the time when it was received.
     pub(crate) fn entries(&self) -> impl Iterator<Item = (&Entry, Micros)> {
         let present = self.entries.values().filter(|received| !received.entry.is_empty());
         present.map(|received| (&received.entry, received.received_at))
     }
 
-    /// When the newest digest was received, and how many entries the peer has.
+    /// Returns when the newest digest was received, and how many entries the peer has.
     pub(crate) fn newest_digest(&self) -> Option<(Micros, usize)> {
         self.newest_digest.map(|newest| (newest.received_at, newest.total))
     }
--- a/crates/gossip/src/probes.rs
+++ b/crates/gossip/src/probes.rs
@@ -1,23 +1,23 @@
-//! Probes that wait for an answer: this member's own, and those that it makes for others (SWIM's indirect pings).
+//! Pending probes: this member's own probes, and the pings that it sends for others (SWIM's indirect pings).
 
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Indirect pings on others' behalf that wait for an answer: a flood of them takes no more memory.
+/// Maximum pending pings on behalf of others, which bounds the memory that a flood of requests can take.
 const MAX_RELAYS: usize = 64;
 
-/// How far a probe has come.
+/// The stage of a probe.
 #[derive(Debug)]
 pub(crate) enum ProbeStage {
-    /// Nothing sent yet, so that not all members probe at once.
+    /// The probe is delayed, so that not all members probe the target at once. Nothing was sent yet.
     Waiting,
-    /// A ping was sent.
+    /// A ping was sent to the target.
     Direct,
-    /// These members were asked to ping it.
+    /// These members were asked to ping the target.
     Indirect(Vec<u16>),
 }
 
-/// Whether a member that does not answer is probed through others too.
+/// Whether a member that does not answer a direct ping is also probed through other members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProbeKind {
     DirectOnly,
@@ -43,12 +43,12 @@
     pub(crate) expires_at: Micros,
 }
 
-/// All that wait for an answer.
+/// All probes and relayed pings that wait for an answer.
 #[derive(Debug, Default)]
 pub(crate) struct Probes {
     last_nonce: u16,
     by_target: BTreeMap<u16, Probe>,
-    /// By the nonce of this member's ping.
+    /// Pings on behalf of others, by the nonce of the ping that this member sent.
     relays: BTreeMap<u16, Relay>,
 }
 
@@ -58,17 +58,17 @@
         self.last_nonce
     }
 
-    /// Adds a probe, or puts it back with its next stage.
+    /// Adds a probe, or returns one that [`Probes::remove`] took out.
     pub(crate) fn insert(&mut self, target: u16, probe: Probe) {
         self.by_target.insert(target, probe);
     }
 
-    /// Takes a probe out, to go on to its next stage or because the member is known to be alive.
+    /// Removes a probe, either to advance it to its next stage or because the target is known to be alive.
     pub(crate) fn remove(&mut self, target: u16) -> Option<Probe> {
         self.by_target.remove(&target)
     }
 
-    /// Removes a probe that has sent nothing yet: its reason is void.
+    /// Removes a probe that has sent nothing yet, because the report that prompted it no longer holds.
     pub(crate) fn cancel_waiting(&mut self, target: u16) {
         if self.by_target.get(&target).is_some_and(|probe| matches!(probe.stage, ProbeStage::Waiting)) {
             self.by_target.remove(&target);
@@ -79,18 +79,18 @@
         self.by_target.contains_key(&target)
     }
 
-    /// The probes whose next stage is due.
+    /// Returns the targets of the probes whose next stage is due.
     pub(crate) fn due(&self, now: Micros) -> Vec<u16> {
         let is_due = |(target, probe): (&u16, &Probe)| (probe.due <= now).then_some(*target);
         self.by_target.iter().filter_map(is_due).collect()
     }
 
-    /// When the first next stage is due.
+    /// Returns the earliest time when the next stage of a probe is due.
     pub(crate) fn next_due(&self) -> Option<Micros> {
         self.by_target.values().map(|probe| probe.due).min()
     }
 
-    /// The member that this helper was asked to ping under this nonce.
+    /// Returns the member that this helper was asked to ping with this nonce.
     pub(crate) fn target_of_indirect(&self, helper: u16, nonce: u16) -> Option<u16> {
         let is_asked = |probe: &Probe| {
             probe.nonce == nonce
@@ -99,7 +99,7 @@
         self.by_target.iter().find(|(_, probe)| is_asked(probe)).map(|(target, _)| *target)
     }
 
-    /// Forgets pings on others' behalf that were not answered in time.
+    /// Removes pings on behalf of others that were not answered in time.
     pub(crate) fn expire_relays(&mut self, now: Micros) {
         self.relays.retain(|_, relay| relay.expires_at > now);
     }
@@ -108,26 +108,26 @@
         self.relays.len() < MAX_RELAYS
     }
 
-    /// Adds a ping on another's behalf; its nonce.
+    /// Adds a ping on another member's behalf and returns its nonce.
     pub(crate) fn add_relay(&mut self, relay: Relay) -> u16 {
         let nonce = self.next_nonce();
         self.relays.insert(nonce, relay);
         nonce
     }
 
-    /// Takes out the ping on another's behalf that this member's answer is for.
+    /// Removes and returns the ping on another member's behalf that `target` answered with this nonce.
     pub(crate) fn remove_relay(&mut self, target: u16, nonce: u16) -> Option<Relay> {
         self.relays.get(&nonce).filter(|relay| relay.target == target)?;
         self.relays.remove(&nonce)
     }
 
-    /// Forgets members that there are no more.
+    /// Removes the probes and relayed pings of members whose ordinals are no longer configured.
     pub(crate) fn retain_below(&mut self, members: u16) {
         self.by_target.retain(|target, _| *target < members);
         self.relays.retain(|_, relay| relay.requester < members && relay.target < members);
     }
 
-    /// Gives all targets this much more time.
+    /// Postpones the next stage of all probes by this duration.
     pub(crate) fn postpone(&mut self, by: Micros) {
         self.by_target.values_mut().for_each(|probe| probe.due += by);
     }
