--- a/crates/gossip/src/local_state.rs
+++ b/crates/gossip/src/local_state.rs
@@ -1,24 +1,25 @@
-//! What this proxy reports of its endpoints, and in which order.
+//! The entries that this proxy reports for its endpoints, and the order in which they are sent.
 
 use crate::entry::{EndpointDigest, Entry};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Entries at most: five times the endpoints that the fleet has. Of more, those with the least load are not reported.
+/// Maximum number of entries: five times the number of endpoints in the fleet. Beyond it, the entries with the least load are
+/// not reported.
 pub(crate) const MAX_ENTRIES: usize = 1_024;
-/// Times that a change is sent to each member at least, also that an entry became empty: at 30% loss one of 37 members
-/// misses it, until the rotation comes round.
+/// Minimum number of times that a change, including that an entry became empty, is sent to each member. At 30% loss one of
+/// 37 members misses all three, and receives the entry when the rotation reaches it again.
 const TRANSMISSIONS_PER_CHANGE: u32 = 3;
 
 #[derive(Debug)]
 struct LocalEntry {
     current: Entry,
     last_sent: Entry,
-    /// How much it changed when it did.
+    /// Size of the greatest change that is still to be sent.
     change: u64,
-    /// Rounds in which the change is still to be sent.
+    /// Number of rounds in which the change is still to be sent.
     rounds_left: u32,
-    /// The round in which it was last sent.
+    /// The round in which the entry was last sent.
     sent_in_round: u64,
 }
 
@@ -28,7 +29,7 @@
         LocalEntry { current: empty, last_sent: empty, change: 0, rounds_left: 0, sent_in_round: 0 }
     }
 
-    /// Takes the present entry; `rounds` is what it takes to reach all members once.
+    /// Sets the current entry; `rounds` is the number of rounds that reach all members once.
     fn update(&mut self, entry: Entry, rounds: u32) {
         let change = entry.difference(&self.last_sent);
         if change > 0 || (entry.is_empty() && !self.current.is_empty()) {
@@ -48,7 +49,7 @@
     }
 }
 
-/// This proxy's entries.
+/// All entries of this proxy.
 #[derive(Debug, Default)]
 pub(crate) struct LocalState {
     entries: BTreeMap<EndpointDigest, LocalEntry>,
@@ -56,7 +57,7 @@
 }
 
 impl LocalState {
-    /// Takes the complete present list; `rounds` is what it takes to reach all members once.
+    /// Replaces all entries by this list; `rounds` is the number of rounds that reach all members once.
     pub(crate) fn replace(&mut self, list: Vec<Entry>, rounds: u32) {
         let mut list: BTreeMap<EndpointDigest, Entry> =
             heaviest(list).into_iter().map(|entry| (entry.endpoint, entry)).collect();
@@ -70,19 +71,20 @@
         }
     }
 
-    /// Entries that are not empty.
+    /// Returns the number of entries that are not empty.
     pub(crate) fn len(&self) -> u32 {
         self.entries.values().filter(|entry| !entry.current.is_empty()).count() as u32
     }
 
-    /// All entries, the most urgent first: one that changed, by how much, then one that was not sent for longest, in turn.
+    /// Returns all entries, the most urgent first. It alternates between changed entries, the largest change first, and all
+    /// entries, the one sent longest ago first.
     pub(crate) fn by_urgency(&self) -> Vec<Entry> {
         let mut by_change: Vec<&LocalEntry> =
             self.entries.values().filter(|entry| entry.rounds_left > 0).collect();
         let mut by_age: Vec<&LocalEntry> = self.entries.values().collect();
         by_change.sort_by_key(|entry| Reverse((entry.change, Reverse(entry.sent_in_round))));
         by_age.sort_by_key(|entry| entry.sent_in_round);
-        // Half by half, so that much change never keeps the rest from coming round.
+        // Alternating ensures that frequent changes never keep the other entries from being sent.
         let (mut by_change, mut by_age) = (by_change.into_iter(), by_age.into_iter());
         let (mut order, mut taken) = (Vec::with_capacity(self.entries.len()), BTreeSet::new());
         while order.len() < self.entries.len() {
@@ -93,7 +95,7 @@
         order
     }
 
-    /// Notes that these were sent in one round.
+    /// Records that these entries were sent in one round.
     pub(crate) fn mark_sent(&mut self, sent: &[Entry]) {
         self.round += 1;
         for entry in sent {
--- a/crates/gossip/src/peer.rs
+++ b/crates/gossip/src/peer.rs
@@ -1,79 +1,82 @@
-//! What is known of one other member.
+//! The knowledge of this member about one other member.
 
 use crate::peer_state::PeerState;
 use crate::replay_window::ReplayWindow;
 use crate::token_bucket::TokenBucket;
 use crate::{Incarnation, Micros};
 
-/// Members that are remembered for a report: more don't shorten a suspicion (Lifeguard's K), and two faulty peers are
-/// tolerated: of three, one heard it from the member, or checked for itself.
+/// Maximum reporters counted for a report. More of them don't shorten a suspicion (Lifeguard's K). Two faulty peers are
+/// tolerated: of three reporters, at least one heard the member itself or made its own checks.
 pub(crate) const MAX_REPORTERS: usize = 3;
 
-/// Requests of one peer that are answered a second. A peer that suspects asks twice in half a second, on its own behalf and on
-/// each of a few others'; one that asks more wants to use up this member's bandwidth.
+/// Requests of one peer that are answered per second. A peer with a suspicion sends two requests in half a second for itself
+/// and for each of a few others. A peer that sends more would use up this member's bandwidth.
 const REQUESTS_PER_S: u32 = 4;
 
-/// Probes that one peer's reports prompt a second. Deaths are rarer, and of many at once, many report.
+/// Probes per second that one peer's reports may prompt. Deaths are less frequent, and when many members die at once, many
+/// others report them.
 const PROMPTED_PROBES_PER_S: u32 = 2;
 
-/// What a member is believed to be.
+/// The state of a member, as this member believes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
-    /// Alive, or not heard yet and still in its time to speak.
+    /// Alive, or not heard yet and not silent for long enough to be probed.
     Alive,
-    /// May be dead. Counts as alive until that is certain.
+    /// Possibly dead. A suspect counts as active until it is declared dead.
     Suspect,
-    /// Dead: does not answer, directly or through others.
+    /// Dead: the member does not answer, directly or through others.
     Dead,
-    /// Announced that it leaves, and does not answer.
+    /// The member announced that it leaves, or others reported so and it does not answer.
     Left,
 }
 
 impl State {
-    /// Whether it is a member of the fleet, as far as is known.
+    /// Returns whether the member counts as part of the fleet.
     pub fn is_active(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 }
 
-/// The process whose datagrams were received from the member itself.
+/// The process of the member from which datagrams were received directly.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Session {
     pub(crate) incarnation: Incarnation,
     pub(crate) window: ReplayWindow,
 }
 
-/// What other members report of this one since it was last known to be alive. Each reporter counts once, whatever it repeats.
+/// The reports of other members on a peer since it was last known to be alive. Each reporter counts once, even if it repeats
+/// a report.
 #[derive(Debug, Default)]
 pub(crate) struct ReportsOnPeer {
-    /// Members that report it alive though it was believed gone.
+    /// Members that report the peer alive although this member believes that it is dead or has left.
     alive: Vec<u16>,
-    /// Members that report that it left.
+    /// Members that report that the peer left.
     left: Vec<u16>,
-    /// Members that could not reach it themselves, and those that report that it left.
+    /// Members that could not reach the peer themselves, and those that report that it left.
     accusers: Vec<u16>,
-    /// It was accused: to be probed once it is silent.
+    /// Whether the peer was accused while it was heard, and must be probed once it is silent.
     pub(crate) probe_when_silent: bool,
 }
 
 impl ReportsOnPeer {
-    /// Notes that this member could not reach the peer.
+    /// Records that this reporter could not reach the peer.
     pub(crate) fn add_accuser(&mut self, reporter: u16) {
         add_reporter(&mut self.accusers, reporter);
     }
 
-    /// Notes that this member reports the peer alive; whether more do than there may be faulty peers.
+    /// Records that this reporter says the peer is alive. Returns whether there are more such reporters than tolerated faulty
+    /// peers.
     pub(crate) fn add_alive(&mut self, reporter: u16) -> bool {
         add_reporter(&mut self.alive, reporter);
         self.alive.len() == MAX_REPORTERS
     }
 
-    /// Forgets who reported it alive: those reports were of an older incarnation.
+    /// Clears the reports that the peer is alive, because they were about an older incarnation.
     pub(crate) fn clear_alive(&mut self) {
         self.alive.clear();
     }
 
-    /// Notes that this member reports that the peer left.
+    /// Records that this reporter says the peer left.
     pub(crate) fn add_left(&mut self, reporter: u16) {
         add_reporter(&mut self.accusers, reporter);
         add_reporter(&mut self.left, reporter);
@@ -83,12 +86,12 @@
         self.accusers.len()
     }
 
-    /// Whether any member reports that it left.
+    /// Returns whether any member reports that the peer left.
     pub(crate) fn any_left(&self) -> bool {
         !self.left.is_empty()
     }
 
-    /// Whether enough members report that it left to stop waiting.
+    /// Returns whether enough members report that the peer left to end a suspicion without waiting for its time-out.
     pub(crate) fn left_is_certain(&self) -> bool {
         self.left.len() >= MAX_REPORTERS
     }
@@ -100,14 +103,14 @@
     }
 }
 
-/// Limits on what a peer can make this member do.
+/// Limits on the work that a peer can cause for this member.
 #[derive(Debug)]
 pub(crate) struct PeerLimits {
-    /// Datagrams of it that are looked at.
+    /// Limits the datagrams of the peer that are processed.
     pub(crate) inbound: TokenBucket,
-    /// Requests of it that are answered.
+    /// Limits the requests of the peer that are answered.
     pub(crate) requests: TokenBucket,
-    /// Probes of others that its reports prompt.
+    /// Limits the probes of other members that reports of the peer prompt.
     pub(crate) prompted_probes: TokenBucket,
 }
 
@@ -115,26 +118,27 @@
 #[derive(Debug)]
 pub(crate) struct Peer {
     pub(crate) state: State,
-    /// The newest incarnation known, from itself or by reports: orders reports. What it says itself is ordered by `session`
-    /// alone, or a faulty peer could make it look old.
+    /// The newest known incarnation, from the peer itself or from reports. It orders reports. The peer's own datagrams are
+    /// ordered by `session` alone; otherwise a faulty peer could make them appear superseded.
     pub(crate) incarnation: Incarnation,
-    /// `None` before anything was received from itself.
+    /// `None` until a datagram was received from the peer itself.
     pub(crate) session: Option<Session>,
-    /// When it last was known to be alive: it spoke here, answered another on our behalf, or got its time to speak.
+    /// When the peer was last known to be alive: it sent a datagram, or answered an indirect ping. It also starts with the
+    /// time when the peer was added, and moves forward when this process was late.
     pub(crate) last_alive_at: Micros,
-    /// The counter of its farewell: what it sent before does not bring it back.
+    /// The counter of the peer's farewell. Datagrams sent before the farewell don't make the peer active again.
     pub(crate) farewell: Option<u64>,
     pub(crate) reports: ReportsOnPeer,
     pub(crate) reported_state: PeerState,
     pub(crate) limits: PeerLimits,
     /// When others' reports last prompted this member to probe it.
     pub(crate) prompted_at: Option<Micros>,
-    /// When it last was sent a correction: that it is known by a newer incarnation.
+    /// When the peer was last sent a correction, which tells it that a newer incarnation of it is known.
     pub(crate) corrected_at: Option<Micros>,
 }
 
 impl Peer {
-    /// A member that was not heard yet; `datagrams_per_s` of its datagrams are processed.
+    /// Creates a peer that was not heard yet. Up to `datagrams_per_s` of its datagrams are processed per second.
     pub(crate) fn new(now: Micros, datagrams_per_s: u32) -> Self {
         Peer {
             state: State::Alive,
@@ -154,13 +158,13 @@
         }
     }
 
-    /// It is known to be alive: what others reported is void.
+    /// Records that the peer is alive, and discards the reports of others.
     pub(crate) fn mark_alive(&mut self, now: Micros) {
         self.last_alive_at = now;
         self.discard_reports();
     }
 
-    /// What others reported was of an older incarnation.
+    /// Discards the reports of others, which no longer hold.
     pub(crate) fn discard_reports(&mut self) {
         self.reports = ReportsOnPeer::default();
     }
