--- a/crates/gossip/src/receiving.rs
+++ b/crates/gossip/src/receiving.rs
@@ -1,36 +1,36 @@
-//! A datagram that arrived. Checked in the order of cost: a flood costs a look-up.
+//! Handling of received datagrams. The checks are ordered by cost, so that dropping a datagram of a flood costs a look-up.
 
 use crate::interface::Output;
 use crate::peer::{Peer, Session, State};
 use crate::wire::{self, Broadcast, Header, ReportedState, Section};
 use crate::{DropReason, Gossip, Incarnation, Purpose, To};
 
-/// Whether the sender leaves with this datagram.
+/// Whether the datagram is a farewell of its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Presence {
     Stays,
     Leaves,
 }
 
-/// What a datagram says of its sender's process.
+/// How the process that sent a datagram relates to the known state of the sender.
 #[derive(Clone, Copy, Debug)]
 struct Contact {
-    /// Nothing was received from the sender before.
+    /// No datagram was received from the sender before.
     is_first: bool,
-    /// The process is another one than before.
+    /// The datagram comes from another process than the previous one.
     is_new_process: bool,
-    /// The incarnation is newer than the one known.
+    /// The incarnation is newer than the known one.
     is_newer: bool,
 }
 
 impl Gossip {
-    /// Takes a datagram from the member with this address.
+    /// Handles a datagram; `from` is the member with the sender's address, if there is one.
     pub(crate) fn receive(&mut self, from: Option<u32>, bytes: &[u8]) {
         self.counts.received += 1;
         self.counts.received_bytes += bytes.len() as u64;
         match self.admit(from, bytes) {
             Ok((header, sections)) => {
-                // A process that leaves has nothing to send but farewells.
+                // A process that is leaving sends only farewells.
                 if self.farewell.is_none() {
                     self.process(header, sections);
                 }
@@ -39,7 +39,8 @@
         }
     }
 
-    /// The datagram's content, if it is one, is new, and is its sender's. A dropped one changes nothing but counts.
+    /// Returns the content of a datagram that is well-formed, new and authentic. A dropped datagram
+    /// changes only the counters, except that a superseded incarnation is answered with a correction.
     fn admit(&mut self, from: Option<u32>, bytes: &[u8]) -> Result<(Header, Vec<Section>), DropReason> {
         let from = self.admit_sender(from)?;
         let proof = self.settings.strength.proof_bytes();
@@ -61,7 +62,7 @@
         Ok((header, sections))
     }
 
-    /// The sender's ordinal, if it is another member whose datagrams may still be looked at.
+    /// Returns the sender's ordinal if it is another member and its datagrams are within the rate limits.
     fn admit_sender(&mut self, from: Option<u32>) -> Result<u16, DropReason> {
         let from = from.and_then(|from| u16::try_from(from).ok()).ok_or(DropReason::UnknownSender)?;
         if from == self.identity.ordinal || !self.peers.contains(from) {
@@ -74,7 +75,7 @@
         Ok(from)
     }
 
-    /// Whether the header is this sender's and new, as far as can be told before the proof is checked.
+    /// Checks that the header matches the sender and is new. The proof is checked later.
     fn check_header(&mut self, from: u16, header: &Header) -> Result<(), DropReason> {
         if header.strength != self.settings.strength {
             return Err(DropReason::WrongStrength);
@@ -87,7 +88,7 @@
             self.send_correction(from, session.incarnation);
             return Err(DropReason::Superseded);
         }
-        // Within a process the counter goes on when it refutes.
+        // Within a process the counter continues when the process refutes a report with a new incarnation.
         let same_process = header.incarnation.generation == session.incarnation.generation;
         if same_process && !session.window.accepts(header.counter) {
             return Err(DropReason::Replayed);
@@ -95,8 +96,9 @@
         Ok(())
     }
 
-    /// Tells a member that it is known by a newer incarnation than it uses: its clock went back between two processes, and it
-    /// can't be heard before it goes beyond. At most once a period, for this answers a datagram that nothing proves.
+    /// Tells a member that a newer incarnation of it is known than the one it uses. This happens when its clock went back between
+    /// two processes; its datagrams are dropped until it uses a newer incarnation. The correction is sent at most once a period,
+    /// since the datagram that causes it is not authenticated.
     fn send_correction(&mut self, member: u16, incarnation: Incarnation) {
         let (now, period) = (self.now, self.settings.period);
         let peer = &mut self.peers[member];
@@ -108,7 +110,7 @@
         self.send(To::One(member.into()), Purpose::Answer, &[Section::Broadcasts(vec![broadcast])]);
     }
 
-    /// Processes the content of a fresh, authentic datagram.
+    /// Processes the sections of a new, authentic datagram.
     fn process(&mut self, header: Header, sections: Vec<Section>) {
         let leaves = sections.contains(&Section::Leave);
         let presence = if leaves { Presence::Leaves } else { Presence::Stays };
@@ -148,8 +150,8 @@
         }
     }
 
-    /// Notes a fresh, authentic datagram: its sender is alive, unless it says farewell, or said so after sending this. Whether its
-    /// content counts.
+    /// Records a new, authentic datagram. Its sender is alive unless the datagram is a farewell or was sent before a farewell.
+    /// Returns whether the sections are to be processed.
     fn record_contact(&mut self, header: &Header, presence: Presence) -> bool {
         let contact = self.peers[header.sender].record_datagram(header);
         if !self.peers[header.sender].record_presence(header, presence) {
@@ -177,7 +179,8 @@
     fn record_alive(&mut self, ordinal: u16, contact: Contact) {
         let Peer { state, incarnation, .. } = self.peers[ordinal];
         if !state.is_active() && !contact.is_newer {
-            // Others may believe it gone too, and believe only a newer incarnation: it is sent a datagram, so that it refutes.
+            // Other members may also believe that the sender is dead or has left, and accept only a newer incarnation. This
+            // datagram carries the suspicion, so that the sender refutes it.
             self.send(To::One(ordinal.into()), Purpose::Answer, &[]);
         }
         self.mark_alive(ordinal);
@@ -192,7 +195,7 @@
 }
 
 impl Peer {
-    /// Notes the incarnation and counter of a fresh, authentic datagram. A new process's reports begin anew.
+    /// Records the incarnation and counter of a new, authentic datagram. The entries of an earlier process are discarded.
     fn record_datagram(&mut self, header: &Header) -> Contact {
         let contact = Contact {
             is_first: self.session.is_none(),
@@ -210,14 +213,14 @@
         let session = self.session.get_or_insert(unused);
         session.incarnation = header.incarnation;
         session.window.record(header.counter);
-        // Before it was heard, a faulty peer could report any incarnation of it.
+        // Until the member was heard, a faulty peer could report any incarnation of it; an implausible one is replaced.
         if contact.is_newer || !self.incarnation.plausible_after(header.incarnation) {
             self.incarnation = header.incarnation;
         }
         contact
     }
 
-    /// Notes a farewell, or that it is void; false if the datagram was sent before the farewell.
+    /// Records a farewell, or clears an earlier one. Returns false if the datagram was sent before the farewell.
     fn record_presence(&mut self, header: &Header, presence: Presence) -> bool {
         match presence {
             Presence::Leaves => self.farewell = self.farewell.max(Some(header.counter)),
--- a/crates/gossip/src/sending.rs
+++ b/crates/gossip/src/sending.rs
@@ -1,4 +1,4 @@
-//! What is sent, each period and in between, within the bandwidth limit.
+//! Sending of datagrams, in each period and in between, within the bandwidth limit.
 
 use crate::broadcast_queue::transmit_limit;
 use crate::config::JITTER;
@@ -10,7 +10,7 @@
 use rand::RngExt;
 use rand::seq::SliceRandom;
 
-/// Part of a digest: the entries that are left to send, and how many there are in all.
+/// The part of a digest that is still to be sent: the remaining entries, and the total number of entries.
 #[derive(Clone, Copy, Debug)]
 struct DigestPart<'a> {
     total: u32,
@@ -18,12 +18,13 @@
 }
 
 impl Gossip {
-    /// Sends a datagram with these sections and the broadcasts that there is room for; whether the bandwidth limit let it pass.
+    /// Sends a datagram with these sections and the broadcasts that fit. Returns whether the bandwidth limit let it pass.
     pub(crate) fn send(&mut self, to: To, purpose: Purpose, sections: &[Section]) -> bool {
         self.send_datagram(to, purpose, sections, None).is_some()
     }
 
-    /// The same with entries from the first on; how many of them fitted.
+    /// Sends a datagram with these sections, the broadcasts that fit, and as many entries of the digest as fit. Returns the
+    /// number of entries sent, or `None` if the bandwidth limit withheld the datagram.
     fn send_datagram(
         &mut self,
         to: To,
@@ -36,7 +37,7 @@
             To::All => None,
         };
         let copies = if receiver.is_some() { 1 } else { self.peers.ordinals().count() as u64 };
-        // Before anything is written: a proxy that has to probe many is at its limit for long.
+        // Check the limit before writing the datagram: a proxy that must probe many members stays at its limit for long.
         if !self.has_bandwidth(purpose, copies, 0) {
             return None;
         }
@@ -57,7 +58,7 @@
         self.identity.count_sent();
         self.counts.sent += copies;
         self.counts.sent_bytes += copies * bytes;
-        // What went to a member that may be dead hardly counts as transmitted.
+        // A datagram to a member that may be dead does not count as a transmission of the broadcasts.
         if suspicion.is_none() {
             let limit = transmit_limit(self.peers.active() + 1, self.settings.fan_out);
             self.dissemination.broadcasts.mark_transmitted(&broadcasts, copies as u32, limit);
@@ -67,7 +68,7 @@
         Some(entries)
     }
 
-    /// Whether the limit lets a datagram of this size pass in this number of copies; counted as withheld if not.
+    /// Returns whether the bandwidth limit allows `copies` datagrams of `bytes` each, and counts a datagram as withheld if not.
     pub(crate) fn has_bandwidth(&mut self, purpose: Purpose, copies: u64, bytes: u64) -> bool {
         let has_room = self.limits.bandwidth.has_room(self.now, purpose, copies, bytes);
         if !has_room {
@@ -76,7 +77,8 @@
         has_room
     }
 
-    /// Writes the suspicion of the receiver and what is queued, in `room` bytes; returns what fitted.
+    /// Writes the suspicion of the receiver and the queued broadcasts into at most `room` bytes. Returns the broadcasts that
+    /// fitted.
     fn write_broadcasts(
         &self,
         draft: &mut Draft,
@@ -93,7 +95,7 @@
         broadcasts
     }
 
-    /// A member that is not believed alive learns so with whatever it is sent, so that it can refute.
+    /// Returns the suspicion that is added to each datagram to a member that is not believed alive, so that it can refute.
     fn suspicion_for(&self, receiver: u16) -> Option<Broadcast> {
         let peer = &self.peers[receiver];
         (peer.state != State::Alive).then_some(Broadcast {
@@ -103,13 +105,13 @@
         })
     }
 
-    /// The receivers of this member's next round: all active members if they are few, else the next of them.
+    /// Returns the receivers of the next round: all active members if the fan-out covers them, else the next in the rotation.
     pub(crate) fn next_receivers(&mut self) -> Vec<u16> {
         let (peers, fan_out) = (&self.peers, self.settings.fan_out);
         self.dissemination.rotation.next(fan_out, &mut self.rng, |other| peers[other].state.is_active())
     }
 
-    /// A period is over, another one begins.
+    /// Begins a period: schedules the next one, probes silent members and sends digests.
     pub(crate) fn begin_period(&mut self) {
         self.schedule.periods += 1;
         let jitter = self.settings.period / JITTER;
@@ -120,7 +122,8 @@
         self.send_digests();
     }
 
-    /// A member that hears nobody is likelier cut off itself than all others dead. Of two, neither can tell.
+    /// Updates the local health. If this member hears no other, it is more likely cut off than all others are dead. With only
+    /// one other active member, the two cases can't be told apart.
     fn update_health(&mut self) {
         let active = self.peers.iter().filter(|(_, peer)| peer.state.is_active());
         let silence = self.settings.silence;
@@ -135,7 +138,7 @@
     fn send_digests(&mut self) {
         let receivers = self.digest_receivers();
         let entries = self.dissemination.local_state.by_urgency();
-        // Entries that every receiver got; the sections before them differ in length.
+        // The number of entries that every receiver was sent. It differs between receivers, as do the sections before the entries.
         let mut sent_to_all: Option<usize> = None;
         for to in receivers {
             let sent = self.send_digest(to, &entries);
@@ -156,12 +159,12 @@
         receivers.into_iter().map(|receiver| To::One(receiver.into())).collect()
     }
 
-    /// Sends as many datagrams as a digest may have; how many entries fitted.
+    /// Sends up to the configured number of datagrams of a digest. Returns the number of entries sent.
     fn send_digest(&mut self, to: To, entries: &[Entry]) -> usize {
         let total = self.dissemination.local_state.len();
         let mut sent = 0;
         for datagram in 0..self.settings.digest_datagrams {
-            // The first is sent even without entries: it is the heartbeat.
+            // The first datagram is sent even without entries, since it is the heartbeat.
             if datagram > 0 && sent == entries.len() {
                 break;
             }
@@ -174,14 +177,14 @@
         sent
     }
 
-    /// Begins to leave, for a period at most.
+    /// Begins to leave the fleet, which takes at most a period.
     pub(crate) fn leave(&mut self) {
         if self.farewell.is_none() {
             self.farewell = Some(Farewell::begin(self.now, self.settings.period));
         }
     }
 
-    /// Goes on with leaving.
+    /// Sends the farewells that are due.
     pub(crate) fn run_farewell(&mut self) {
         let Some(mut farewell) = self.farewell.take() else { return };
         if farewell.is_due(self.now) {
@@ -194,7 +197,7 @@
         self.farewell = Some(farewell);
     }
 
-    /// The members to be sent a farewell one by one in a new round: none if one datagram reached all.
+    /// Returns the members to which a new round sends farewells one by one: none if a multicast datagram was sent to all.
     fn begin_farewell_round(&mut self) -> Vec<u16> {
         let mut receivers: Vec<u16> =
             self.peers.iter().filter(|(_, peer)| peer.state.is_active()).map(|(other, _)| other).collect();
