--- a/crates/gossip/src/keys.rs
+++ b/crates/gossip/src/keys.rs
@@ -1,20 +1,20 @@
-//! Proofs of a datagram's sender and receiver.
+//! Keys, and the proofs that authenticate the sender and the receiver of a datagram.
 
 use crate::recipient::To;
 use ed25519_dalek::{Signature, Signer, SigningKey, VerifyingKey};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Bytes of a key of either kind, written as twice as many hexadecimal digits.
+/// Bytes of a shared or signing key. Files hold two hexadecimal digits for each byte.
 const KEY_BYTES: usize = 32;
-/// Bytes of a tag: 128 bits, as strong as the key is where few datagrams a second can be tried.
+/// Bytes of a tag. 128 bits are as strong as the key, because an attacker can try only few datagrams per second.
 const TAG_BYTES: usize = 16;
-/// Keys of one use are not keys of another.
+/// Context of the key derivation. It makes the derived key different from keys that other uses derive from the same secret.
 const CONTEXT: &str = "cottonnotch 2026 gossip, shared key of datagrams, version 1";
-/// In place of a receiver's ordinal for datagrams to all: no member has it.
+/// Stands for the receiver's ordinal in the proof of a datagram to all members; no member has this ordinal.
 const ALL_RECEIVERS: u16 = u16::MAX;
 
-/// How a sender is proven.
+/// How senders are authenticated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Strength {
@@ -27,7 +27,7 @@
 }
 
 impl Strength {
-    /// Bytes at the end of each datagram.
+    /// Returns the number of bytes that the proof takes at the end of each datagram.
     pub const fn proof_bytes(self) -> usize {
         match self {
             Strength::Address => 0,
@@ -37,29 +37,29 @@
     }
 }
 
-/// What proves senders. Two keys are valid at a time, so that they can be changed without a gap: add the new one as second
-/// everywhere, swap, drop the old one; one reload for each step.
+/// The keys that authenticate senders. Two keys can be valid at a time, so that a key change causes no interruption: add the
+/// new key as the second one on all proxies, swap the two, then remove the old one, with a reload for each step.
 #[derive(Clone)]
 pub enum Keys {
-    /// None.
+    /// No keys.
     Address,
-    /// The first signs, both verify.
+    /// One or two shared keys. The first one signs, and all of them verify.
     Shared(Vec<SharedKey>),
-    /// This proxy's own, and those that verify each member's datagrams, by ordinal.
+    /// This proxy's secret key, and the public keys of all members.
     Signed {
         /// This proxy's secret key.
         own: Box<SigningKey>,
-        /// One or two for each member.
+        /// One or two public keys for each member, by ordinal.
         public: Vec<Vec<VerifyingKey>>,
     },
 }
 
-/// A key made for this use from the operator's.
+/// A key for datagrams, derived from the operator's secret.
 #[derive(Clone, PartialEq, Eq)]
 pub struct SharedKey([u8; KEY_BYTES]);
 
 impl fmt::Debug for Keys {
-    /// Never shows a secret.
+    /// Formats the keys without showing a secret.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Keys::Address => f.write_str("Address"),
@@ -69,49 +69,49 @@
     }
 }
 
-/// What is wrong with the keys. Never holds any of their text.
+/// An error in the keys. It never contains text of the key files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeysError {
-    /// Not 64 hexadecimal digits.
+    /// The file with this number does not hold 64 hexadecimal digits.
     #[error(
         "gossip.key_files: file {0} does not hold 64 hexadecimal digits and nothing else (`openssl rand -hex 32` makes a key)"
     )]
     Secret(usize),
-    /// The wrong number of files.
+    /// The number of key files does not match the strength.
     #[error("gossip.key_files: strength '{strength}' needs {needs}")]
     Files {
-        /// The strength.
+        /// The configured strength.
         strength: &'static str,
-        /// What it needs.
+        /// The files that the strength needs.
         needs: &'static str,
     },
-    /// Two files, one key.
+    /// Both files hold the same key.
     #[error("gossip.key_files: both files hold the same key")]
     Same,
-    /// No file of public keys, or one where none is used.
+    /// The file of public keys is missing, or is present although the strength does not use it.
     #[error("gossip.public_keys: needed for strength 'signed', and only for it")]
     Public,
-    /// A line of it.
+    /// The line with this number in the file of public keys is invalid.
     #[error(
         "gossip.public_keys: line {0} does not hold one or two public keys of 64 hexadecimal digits each"
     )]
     Line(usize),
-    /// Not one line a member.
+    /// The file of public keys does not have one line per member.
     #[error(
         "gossip.public_keys: {lines} lines for {members} members: one line a member, in the order of the list of peers"
     )]
     Lines {
-        /// Lines.
+        /// Number of lines in the file.
         lines: usize,
-        /// Members.
+        /// Number of members.
         members: usize,
     },
-    /// This proxy's line does not hold its public key: nobody would believe it.
+    /// This proxy's line, with this number, does not hold its public key, so other members would drop its datagrams.
     #[error("gossip.public_keys: line {0}, this proxy's, does not hold the public key of gossip.key_files")]
     NotMine(usize),
 }
 
-/// The key that 64 hexadecimal digits stand for.
+/// Parses a key of 64 hexadecimal digits.
 fn parse_hex(text: &[u8]) -> Option<[u8; KEY_BYTES]> {
     let digit = |c: u8| char::from(c).to_digit(16).map(|digit| digit as u8);
     let mut key = [0; KEY_BYTES];
@@ -126,7 +126,7 @@
 }
 
 impl Keys {
-    /// The keys from the contents of their files. `me` and `members` as for [`crate::Gossip::new`].
+    /// Loads the keys from the contents of their files. `me` and `members` are as for [`crate::Gossip::new`].
     pub fn load(
         strength: Strength,
         key_files: &[Vec<u8>],
@@ -168,13 +168,13 @@
         }
     }
 
-    /// The public key that belongs to a secret one, in the form of `gossip.public_keys`; `None` if that isn't a key.
+    /// Returns the public key of a secret key in the format of `gossip.public_keys`, or `None` if the file holds no key.
     pub fn public_of(key_file: &[u8]) -> Option<String> {
         let public = SigningKey::from_bytes(&parse_hex(key_file.trim_ascii())?).verifying_key();
         Some(public.as_bytes().iter().map(|byte| format!("{byte:02x}")).collect())
     }
 
-    /// Which strength they give.
+    /// Returns the strength of these keys.
     pub fn strength(&self) -> Strength {
         match self {
             Keys::Address => Strength::Address,
@@ -183,7 +183,8 @@
         }
     }
 
-    /// Appends the proof. It covers the receiver too, which is not sent: a datagram replayed to another member proves nothing.
+    /// Appends the proof to a datagram. The proof also covers the receiver, which is not in the datagram, so that a datagram
+    /// replayed to another member is not authentic.
     pub(crate) fn seal(&self, datagram: &mut Vec<u8>, to: To) {
         let to = match to {
             To::One(ordinal) => ordinal as u16,
@@ -204,7 +205,8 @@
         }
     }
 
-    /// Whether the end of a datagram proves that this sender wrote it for that receiver (`None`: for all).
+    /// Returns whether the proof at the end of a datagram is that of this sender for this receiver, where `None` stands for all
+    /// members.
     pub(crate) fn proves(&self, sender: u16, to: Option<u16>, datagram: &[u8]) -> bool {
         let to = to.unwrap_or(ALL_RECEIVERS);
         let Some(length) = datagram.len().checked_sub(self.strength().proof_bytes()) else { return false };
@@ -213,7 +215,8 @@
             Keys::Address => true,
             Keys::Shared(keys) => keys.iter().any(|key| {
                 let tag = tag(key, to, written);
-                // Both ends alike, so that the comparison in constant time is that of the hash's own type.
+                // The bytes beyond the tag are copied from the expected hash, so that the constant-time comparison of
+                // `blake3::Hash` can be used.
                 let mut shown = *tag.as_bytes();
                 shown[..TAG_BYTES].copy_from_slice(proof);
                 tag == blake3::Hash::from_bytes(shown)
@@ -228,7 +231,7 @@
     }
 }
 
-/// The public keys of each member, one line a member.
+/// Parses the public keys of all members, one line per member.
 fn parse_public_keys(text: &[u8]) -> Result<Vec<Vec<VerifyingKey>>, KeysError> {
     let mut members = Vec::new();
     for (n, line) in text.trim_ascii().split(|byte| *byte == b'\n').enumerate() {
@@ -248,7 +251,7 @@
     blake3::keyed_hash(&key.0, &for_receiver(to, written))
 }
 
-/// What a proof covers: the receiver, then the datagram.
+/// Returns the bytes that a proof covers: the receiver, then the datagram.
 fn for_receiver(to: u16, written: &[u8]) -> Vec<u8> {
     [&to.to_le_bytes(), written].concat()
 }
--- a/crates/gossip/src/probing.rs
+++ b/crates/gossip/src/probing.rs
@@ -1,7 +1,8 @@
-//! Probing of silent members, and the suspicions that follow when they don't answer.
+//! Probing of silent members, and suspicion of those that don't answer.
 //!
-//! SWIM (Das, Gupta, Motivala 2002) with Lifeguard's health and suspicion (Dadgar, Phillips, Currey 2018), and one rule more:
-//! a member is dead only if this one probed it itself, directly and through others, and got no answer.
+//! This follows SWIM (Das, Gupta, Motivala 2002) with the local health and the suspicion of Lifeguard (Dadgar, Phillips,
+//! Currey 2018), and adds a rule: a member is declared dead only after this member itself probed it, directly and through
+//! others, and got no answer.
 
 use crate::peer::State;
 use crate::probes::{Probe, ProbeKind, ProbeStage, Relay};
@@ -11,20 +12,21 @@
 use rand::RngExt;
 use rand::seq::IndexedRandom;
 
-/// Members through which one that does not answer is probed (SWIM's and memberlist's k).
+/// Number of members asked to ping a member that does not answer (SWIM's and memberlist's k).
 const INDIRECT_PROBES: usize = 3;
-/// With more suspects than this a partition is likelier than that many deaths: one other is asked for each, and no suspect more
-/// often than it must be, or probing all of them takes minutes.
+/// With more suspects than this, a partition is more likely than as many deaths. Each is then probed through one other member
+/// only, and no more often than required; otherwise probing all of them would take minutes.
 const MANY_SUSPECTS: usize = 8;
-/// Longer than any suspicion lasts.
+/// A pause longer than any suspicion.
 const NEVER: Micros = 1 << 50;
-/// Periods between two probes of dead or left members, one of them at a time: a partition that heals is noticed by this.
+/// Number of periods between two probes of members that are dead or have left, one member at a time. These probes detect that
+/// a partition has healed.
 const GONE_PROBE_PERIODS: u64 = 3;
-/// Members for which suspicions last as configured; for more they grow with the logarithm.
+/// Number of members up to which suspicions last as configured. With more members they grow with the logarithm.
 const CONFIGURED_FOR_MEMBERS: u32 = 10;
 
 impl Gossip {
-    /// How long an answer may take, as far as this member trusts its own timing.
+    /// Returns the time-out for an answer, extended by the local health multiplier.
     fn probe_timeout(&self) -> Micros {
         self.settings.probe_timeout * self.detector.health.multiplier()
     }
@@ -33,24 +35,25 @@
         SuspicionTimeouts::new(self.min_suspicion(), self.alive())
     }
 
-    /// The least that a suspicion lasts: grows with the logarithm of the members, as the time does in which a refutation
-    /// reaches all.
+    /// Returns the minimum duration of a suspicion. It grows with the logarithm of the number of members, as does the time that a
+    /// refutation takes to reach all of them.
     fn min_suspicion(&self) -> Micros {
         let members = f64::from(self.alive().max(CONFIGURED_FOR_MEMBERS));
         (self.settings.suspicion as f64 * members.log10()) as Micros * self.detector.health.multiplier()
     }
 
-    /// Between a check that failed and the next. Few members can afford to go on without a pause.
+    /// Returns the pause between a failed check and the next. A small fleet has the bandwidth to go on without a pause.
     fn check_interval(&self) -> Micros {
         if self.reaches_all_each_period() { 0 } else { self.settings.period }
     }
 
-    /// In how long members spread a probe that all of them are prompted to by the same report, so that not all probe at once.
+    /// Returns the maximum random delay of a probe that a report prompts, so that members prompted by the same report don't all
+    /// probe at once.
     pub(crate) fn probe_spread(&self) -> Micros {
         self.settings.probe_timeout * if self.reaches_all_each_period() { 1 } else { 2 }
     }
 
-    /// When a probe or a suspicion is due next.
+    /// Returns when the next step of a probe or a suspicion is due.
     pub(crate) fn next_probe_timeout(&self) -> Option<Micros> {
         let timeouts = self.suspicion_timeouts();
         let next_step = |(subject, suspicion): (&u16, &Suspicion)| match suspicion.next_step(
@@ -65,12 +68,12 @@
         self.detector.probes.next_due().into_iter().chain(suspicions).min()
     }
 
-    /// Probes a member, unless that is being done.
+    /// Probes a member at once, unless a probe of it is pending.
     pub(crate) fn probe(&mut self, target: u16, kind: ProbeKind) {
         self.probe_within(target, kind, 0);
     }
 
-    /// Probes a member after a random wait of up to `within`, where many members may do so at the same time.
+    /// Probes a member after a random delay of up to `within`, because many members may probe it at the same time.
     pub(crate) fn probe_within(&mut self, target: u16, kind: ProbeKind, within: Micros) {
         if self.detector.probes.is_probing(target) {
             return;
@@ -84,7 +87,7 @@
         }
     }
 
-    /// Believes for the present that a member may be dead: it did not answer, directly or through others.
+    /// Begins the suspicion of a member that did not answer, directly or through others.
     pub(crate) fn begin_suspicion(&mut self, subject: u16) {
         let suspicion = Suspicion::begin(self.now, self.check_interval());
         self.detector.suspicions.insert(subject, suspicion);
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Goes on with a probe: a ping, then indirect ones, then the check has failed.
+    /// Advances a probe to its next stage: a direct ping, then indirect pings, then the check has failed.
     fn advance_probe(&mut self, target: u16) {
         let Some(mut probe) = self.detector.probes.remove(target) else { return };
         match probe.stage {
@@ -143,15 +146,15 @@
         }
     }
 
-    /// When to retry what the bandwidth limit withheld. It was not sent, so it must not count as unanswered: among hundreds
-    /// of members that made new suspects faster than they could refute.
+    /// Returns when to retry a ping that the bandwidth limit withheld. A ping that was not sent must not count as unanswered:
+    /// with hundreds of members this created new suspects faster than they could refute.
     fn retry_time(&mut self) -> Micros {
         let period = self.settings.period;
         self.now + self.rng.random_range(period / 2..=period)
     }
 
-    /// Asks others to ping it, and pings once more itself, for one datagram lost is the likeliest cause; returns whom. `None`: the
-    /// bandwidth limit has no room for that.
+    /// Asks other members to ping the target, and pings it once more directly, because a lost datagram is the most likely cause.
+    /// Returns the members asked, or `None` if the bandwidth limit does not allow it.
     fn send_indirect_pings(&mut self, target: u16, nonce: u16) -> Option<Vec<u16>> {
         let able: Vec<u16> = self
             .peers
@@ -161,7 +164,7 @@
             .collect();
         let count = if self.has_many_suspects() { 1 } else { INDIRECT_PROBES };
         let mut helpers: Vec<u16> = able.sample(&mut self.rng, count).copied().collect();
-        // All or nothing: half of it, retried again and again, would leave no room for anything.
+        // Either all of these pings are sent or none. Sending and retrying some of them would use up the bandwidth limit.
         if !self.has_bandwidth(Purpose::Probe, helpers.len() as u64 + 1, 0) {
             return None;
         }
@@ -176,7 +179,7 @@
         self.detector.suspicions.len() > MANY_SUSPECTS
     }
 
-    /// A probe had no answer.
+    /// Handles a probe that got no answer.
     fn check_failed(&mut self, target: u16) {
         match self.peers[target].state {
             State::Alive => self.suspect(target),
@@ -190,7 +193,7 @@
         let (interval, rare_interval) = (self.check_interval(), self.min_suspicion() / 2);
         let Some(suspicion) = self.detector.suspicions.get_mut(&target) else { return };
         suspicion.add_failed_check(self.now);
-        // Enough of them: the bandwidth for probes is for others, of whom many may be suspected at once.
+        // After enough failed checks, the bandwidth for probes is left to other members, many of which may be suspects.
         let pause = match suspicion.failed_checks {
             ..MIN_FAILED_CHECKS => interval,
             _ if few_members => interval,
@@ -200,8 +203,8 @@
         suspicion.check_at(self.now + pause);
     }
 
-    /// Each period: members that were not heard lately are probed; among many, only the next of them, since others probe the
-    /// others.
+    /// Probes silent members at the beginning of a period. In a large fleet only the next of them in the rotation is probed,
+    /// since other members probe the rest.
     pub(crate) fn probe_silent_members(&mut self) {
         let count = if self.reaches_all_each_period() { self.peers.members() } else { 1 };
         let accused: Vec<u16> = self.peers.ordinals().filter(|other| self.is_to_be_probed(*other)).collect();
@@ -220,7 +223,7 @@
         }
     }
 
-    /// Whether a member was accused, has fallen silent since, and may be probed for that.
+    /// Returns whether a member was accused, has become silent since, and may be probed again because of reports.
     fn is_to_be_probed(&self, other: u16) -> bool {
         let peer = &self.peers[other];
         peer.reports.probe_when_silent
@@ -237,15 +240,16 @@
         }
     }
 
-    /// Another member asks to ping this one for it.
+    /// Handles a request of another member to ping the target on its behalf.
     pub(crate) fn receive_indirect_ping(&mut self, requester: u16, requester_nonce: u16, target: u16) {
         self.detector.probes.expire_relays(self.now);
         let is_known = self.peers.contains(target) && target != self.identity.ordinal && target != requester;
         if is_known {
-            // It asks because the target did not answer it.
+            // The request shows that the target did not answer the requester.
             self.peers[target].reports.add_accuser(requester);
         }
-        // A suspect is probed on this member's own behalf: in a partition it would ping for everybody, and get to nothing else.
+        // This member probes suspects on its own behalf. In a partition, pinging them for all requesters too would use up its
+        // bandwidth.
         let is_suspect = self.detector.suspicions.contains_key(&target);
         if !is_known || is_suspect || !self.detector.probes.has_room_for_relay() {
             return;
@@ -255,7 +259,8 @@
         self.send(To::One(target.into()), Purpose::Answer, &[Section::Ping { nonce }]);
     }
 
-    /// A member answers a ping. The datagram itself proved it alive; here only the member that asked for the ping is answered.
+    /// Handles the answer to a ping. The datagram already showed that its sender is alive, so this only answers the member that
+    /// requested the ping, if any.
     pub(crate) fn receive_ack(&mut self, from: u16, nonce: u16) {
         let Some(relay) = self.detector.probes.remove_relay(from, nonce) else { return };
         if relay.expires_at > self.now {
@@ -264,7 +269,8 @@
         }
     }
 
-    /// A helper reports that the member which it was asked to ping has answered. Counts only from members that were asked.
+    /// Handles a helper's report that the member which it was asked to ping has answered. Reports from members that were not
+    /// asked are ignored.
     pub(crate) fn receive_indirect_ack(&mut self, helper: u16, nonce: u16) {
         if let Some(target) = self.detector.probes.target_of_indirect(helper, nonce) {
             self.mark_alive(target);
--- a/crates/gossip/src/sending.rs
+++ b/crates/gossip/src/sending.rs
@@ -138,7 +138,7 @@
     fn send_digests(&mut self) {
         let receivers = self.digest_receivers();
         let entries = self.dissemination.local_state.by_urgency();
-        // The number of entries that every receiver was sent. It differs between receivers, as do the sections before the entries.
+        // The number of entries that all receivers were sent: receivers differ in it, as the sections before the entries do.
         let mut sent_to_all: Option<usize> = None;
         for to in receivers {
             let sent = self.send_digest(to, &entries);
