--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A whole fleet in one process on virtual time from one seed: datagrams are lost, delayed, doubled and overtaken.
-#![allow(dead_code)] // Each test binary uses its part.
+//! Simulation of a fleet in one process with virtual time and one seed. Datagrams are lost, delayed, duplicated and reordered.
+#![allow(dead_code)] // Each test binary uses only some of these items.
 
 use cottonnotch_gossip::wire::{Broadcast, Draft, Header, ReportedState, Section};
 use cottonnotch_gossip::*;
@@ -10,7 +10,7 @@
 
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
-/// Unix time in milliseconds of the virtual time 0.
+/// The Unix time in milliseconds at the virtual time 0.
 pub const EPOCH: u64 = 1_796_000_000_000;
 
 pub fn settings() -> Settings {
@@ -30,23 +30,23 @@
     pub delay: (Micros, Micros),
     /// Members in different partitions don't reach one another.
     pub partitions: Vec<u8>,
-    /// One way only: from, to.
+    /// Links that are cut in one direction: sender, receiver.
     pub cut: Vec<(u32, u32)>,
 }
 
 pub struct Node {
     pub gossip: Option<Gossip>,
     wakes: Micros,
-    /// Handles nothing before.
+    /// The node handles no event before this time.
     pub asleep_until: Micros,
-    /// Everything comes to it later by up to this.
+    /// Maximum additional delay of each event for this node.
     pub slow: Micros,
     sent: VecDeque<(Micros, u64, u64)>,
-    /// Its last datagrams, for a faulty peer to replay: to whom, what.
+    /// The last datagrams that the node sent, with their receivers, for a faulty peer to replay.
     pub recent: VecDeque<(To, Vec<u8>)>,
 }
 
-/// What a member came to believe: when, who, of whom, what.
+/// A change of state that a member reported: time, observing member, subject, the subject's state and incarnation.
 pub type Belief = (Micros, u32, u32, State, Incarnation);
 
 pub struct Fleet {
@@ -111,7 +111,7 @@
         let keys = self.keys[member as usize].clone();
         let gossip = Gossip::new(self.settings.clone(), keys, member, members, generation, seed, self.now);
         self.nodes[member as usize].gossip = Some(gossip);
-        // A process can't know what the one before it sent.
+        // A new process does not know what the previous one sent, so its bandwidth limit begins anew.
         self.nodes[member as usize].sent.clear();
         self.after(member);
         let reports_at = self.now + self.chance.random_range(0..S);
@@ -134,7 +134,7 @@
         self.after(member);
     }
 
-    /// Sends as if from a member's address, past the network's faults.
+    /// Delivers a datagram with this sender address, without the faults of the simulated network.
     pub fn inject(&mut self, from: Option<u32>, to: u32, bytes: Vec<u8>) {
         let at = self.now + MS;
         self.push(at, Event::Arrives { from, to, bytes });
@@ -144,7 +144,8 @@
         self.gossip(member).members().find(|(ordinal, ..)| *ordinal == of).expect("a member").1
     }
 
-    /// Those that run and believe the member to be in that state, out of those that run.
+    /// Returns the number of running members, except the subject, that believe the subject to be in this state, and the number
+    /// of all of these running members.
     pub fn count_believing(&self, of: u32, state: State) -> (usize, usize) {
         let running: Vec<u32> = self.running().filter(|member| *member != of).collect();
         (running.iter().filter(|member| self.state_seen_by(**member, of) == state).count(), running.len())
@@ -170,7 +171,8 @@
         self.now = until;
     }
 
-    /// Runs until it is so; how long that took, `None` if not within the span. Looked at every 50 ms.
+    /// Runs until the condition `so` holds and returns how long that took, or `None` if it does not hold within this time. The
+    /// condition is checked every 50 ms.
     pub fn run_until(&mut self, within: Micros, so: impl Fn(&Fleet) -> bool) -> Option<Micros> {
         let began = self.now;
         while !so(self) {
@@ -280,7 +282,7 @@
         }
     }
 
-    /// In every second, whatever happens; and no datagram is too long.
+    /// Asserts that the member stays within its bandwidth limit in every second, and that no datagram is too long.
     fn check_bandwidth(&mut self, member: u32, copies: u64, bytes: u64) {
         assert!(bytes <= 256, "seed {}: member {member} sent {bytes} bytes", self.seed);
         let now = self.now;
@@ -299,7 +301,7 @@
     }
 }
 
-/// A datagram as a member would write it.
+/// Writes a datagram as a correct member would.
 pub fn write(
     keys: &Keys,
     sender: u32,
@@ -324,7 +326,7 @@
     Broadcast { subject: subject as u16, incarnation, state }
 }
 
-/// Median and worst, in seconds.
+/// Returns the median and the worst of the times, in seconds.
 pub fn median_and_worst(times: &mut [Micros]) -> (f64, f64) {
     times.sort_unstable();
     let seconds = |time: Option<&Micros>| time.map_or(f64::NAN, |time| *time as f64 / S as f64);
--- a/crates/gossip/tests/faulty_peers.rs
+++ b/crates/gossip/tests/faulty_peers.rs
@@ -1,4 +1,4 @@
-//! Faulty peers: false reports, replays, forgeries, floods and other protocol versions, and what they achieve.
+//! Tests with faulty peers: false reports, replays, forgeries, floods and other protocol versions.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -21,7 +21,7 @@
     Keys::load(Strength::Shared, &files, None, 0, 5).unwrap()
 }
 
-/// Of five; `second` adds another valid key to member 2's.
+/// The keys of a member of five. `second` adds another valid public key for member 2.
 fn signed(me: u32, own: u8, second: Option<u8>) -> Keys {
     let public = |byte| Keys::public_of(&key(byte)).unwrap();
     let lines: Vec<String> = (0..5u8)
@@ -46,13 +46,14 @@
 
 const STRENGTHS: [Strength; 3] = [Strength::Address, Strength::Shared, Strength::Signed];
 
-/// The incarnation by which a member is known to another.
+/// Returns the newest incarnation of the member `of` that the member `by` knows.
 fn known(fleet: &Fleet, by: u32, of: u32) -> Incarnation {
     fleet.gossip(by).members().find(|member| member.0 == of).unwrap().2
 }
 
-/// Faulty peers in place of the last members: each reports to each correct one, four times a second, that so many of the other correct
-/// ones are unreachable and have left, by incarnations that correct ones would use and by great ones.
+/// Replaces the last members by faulty peers. Four times a second, each of them reports to each correct member that the first
+/// `of` correct members are unreachable and have left. The reports use known incarnations, plausible later ones, and
+/// generations far ahead.
 fn report_falsely(fleet: &mut Fleet, faulty_peers: u32, of: u32, seconds: u32) {
     let members = fleet.members();
     let correct = members - faulty_peers;
@@ -92,7 +93,8 @@
 #[test]
 fn two_faulty_peers_cannot_kill_a_member() {
     let few = (0..4).map(|seed| (5, 0.0, 5, seed)).chain((4..8).map(|seed| (5, 0.1, 5, seed)));
-    // Of many: all of them, some, one. Faulty peers that have all probe one, or all, must not keep it from answering in time.
+    // In large fleets, the reports are about all members, some, or one. Faulty peers that prompt all members to probe one, or
+    // all others, must not keep a member from answering in time.
     let many = [(24, 0.02, 24, 8), (100, 0.02, 10, 9), (100, 0.02, 1, 10)];
     for (members, loss, of, seed) in few.chain(many) {
         let mut fleet = Fleet::new(members, seed, settings());
@@ -108,7 +110,7 @@
             assert_eq!(suspected, 0, "seed {seed}: own fresh datagrams outweigh reports");
         }
         fleet.run_for(10 * S);
-        // Among a hundred at 2% loss somebody is suspected for a moment at any time.
+        // In a fleet of a hundred at 2% loss, some member is briefly suspected at almost any time.
         let well = |state: State| if members < 100 { state == State::Alive } else { state.is_active() };
         for member in 0..correct {
             let sees = (0..correct)
@@ -193,7 +195,8 @@
         fleet.kill(1);
         let began = fleet.now;
         let mut replayed = 0;
-        // To whom it was said, from its own address, again and again; with a proof, to anybody.
+        // Datagrams are replayed again and again from the sender's address: without a proof to their original receivers, with a
+        // proof all to member 0.
         while fleet.now - began < 15 * S {
             for (to, bytes) in &said {
                 let shown = if strength == Strength::Address { *to } else { To::One(0) };
@@ -204,7 +207,7 @@
         }
         let (see, all) = fleet.count_believing(1, State::Dead);
         assert_eq!(see, all, "seed {seed}, {strength:?}: {replayed} replays kept nobody alive");
-        // The next process, and the old one's datagrams again.
+        // A new process starts, and the datagrams of the old one are replayed.
         fleet.start(1, EPOCH + 100_000);
         fleet.run_for(5 * S);
         let superseded = fleet.gossip(0).counts().dropped(DropReason::Superseded);
@@ -228,12 +231,13 @@
         let farewell = |counter| {
             write(&faulty_peers, 1, Incarnation::first(EPOCH), counter, To::One(0), &[Section::Leave])
         };
-        // From its own address: the name does not fit.
+        // The datagram comes from the faulty peer's own address, which does not match the ordinal in the header.
         fleet.inject(Some(3), 0, farewell(1_000));
         fleet.run_for(10 * MS);
         assert_eq!(fleet.gossip(0).counts().dropped(DropReason::WrongSender), 1, "seed {seed}, {strength:?}");
         assert_eq!(fleet.state_seen_by(0, 1), State::Alive, "seed {seed}, {strength:?}");
-        // From the other's address, which it should not be able to: only a signature helps.
+        // The datagram comes from the other member's address, as if the faulty peer could send from it. Only a signature
+        // detects this.
         fleet.inject(Some(1), 0, farewell(1_001));
         fleet.run_for(10 * MS);
         let (forged, state) =
@@ -276,7 +280,7 @@
     expect("zeros", Some(1), &[0; 100], DropReason::Malformed);
     expect("another strength", Some(1), &[&[1, 0], &good[2..]].concat(), DropReason::WrongStrength);
     expect("said before", Some(1), &good, DropReason::Replayed);
-    // With a counter that is new, so that only the proof is left to tell.
+    // The counter is new, so that only the proof can show that a datagram is invalid.
     let new =
         write(&shared(&[7]), 1, Incarnation::first(EPOCH), 5_000, To::One(0), &[Section::Ping { nonce: 1 }]);
     expect("cut within the header", Some(1), &new[..17], DropReason::Length);
@@ -288,7 +292,7 @@
     expect("changed", Some(1), &changed, DropReason::Forged);
     let strangers = write(&shared(&[8]), 1, Incarnation::first(EPOCH), 5_000, To::One(0), &[Section::Leave]);
     expect("under another key", Some(1), &strangers, DropReason::Forged);
-    // None of these moved the replay window on.
+    // None of the dropped datagrams advanced the replay window.
     fleet.inject(Some(1), 0, new);
     let before = fleet.gossip(0).counts().sent;
     fleet.run_for(MS);
@@ -308,7 +312,7 @@
             To::One(0),
             std::slice::from_ref(&ping),
         );
-        // A section that is not known here, and a field more in one that is.
+        // A section of an unknown kind, and a known section with an additional field.
         bytes.extend([200, 3, 1, 2, 3, 2, 4, 1, 0, 9, 9]);
         bytes
     };
@@ -341,7 +345,7 @@
             }
             fleet.run_for(50 * MS);
         }
-        // 20,000 in 10 s: looked at are 32 a second. The bandwidth limit is checked by the simulation itself.
+        // Of 20,000 datagrams in 10 s, 32 per second are processed. The simulation itself checks the bandwidth limit.
         let flood = fleet.gossip(0).counts().dropped(DropReason::RateLimited);
         assert!(flood >= 20_000 - 12 * 32, "seed {seed}, {strength:?}: {flood} dropped");
         let blamed: Vec<Belief> = fleet.beliefs_since(began, State::Dead);
@@ -365,7 +369,7 @@
     }
     assert_eq!(fleet.beliefs_since(began, State::Suspect), [], "seed 80");
     assert!((0..5).all(|member| fleet.gossip(member).counts().dropped(DropReason::Forged) == 0), "seed 80");
-    // A member that has only the old key is none.
+    // The other members drop the datagrams of a member that has only the old key, and declare it dead.
     fleet.input(2, Input::Keys(shared(&[7])));
     fleet.run_for(20 * S);
     assert_eq!(fleet.count_believing(2, State::Dead).0, 4, "seed 80");
--- a/crates/gossip/tests/membership.rs
+++ b/crates/gossip/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Membership: killed, partitioned, restarted, slow and leaving members, among few and many, on a bad network.
+//! Tests of membership with killed, partitioned, restarted, slow and leaving members, in small and large fleets, on a faulty
+//! network.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -10,7 +11,7 @@
 use common::*;
 use cottonnotch_gossip::*;
 
-/// Members and how many seeds are tried: as many as a few seconds hold.
+/// Numbers of members, and the number of seeds for each: as many as run in a few seconds.
 const SIZES: [(u32, u64); 4] = [(3, 30), (5, 30), (50, 4), (300, 1)];
 
 fn settled(members: u32, seed: u64, loss: f64) -> Fleet {
@@ -49,7 +50,7 @@
     }
 }
 
-/// Datagrams and bytes sent by all so far.
+/// Returns the datagrams and bytes that all running members have sent.
 fn sent(fleet: &Fleet) -> (u64, u64) {
     fleet.running().fold((0, 0), |sum, m| {
         let counts = fleet.gossip(m).counts();
@@ -57,7 +58,9 @@
     })
 }
 
-/// Members, seeds, and how many are on the smaller side; partitioned until each side believes the other dead, or for so long.
+/// Partitions fleets and heals the partition. `sizes` holds the number of members, of seeds, and of members on the smaller
+/// side. The partition lasts until each side believes the other dead, or `for_at_most`; afterwards all members must be known
+/// as active again `within` this time.
 fn partition_and_heal(sizes: &[(u32, u64, u32)], for_at_most: Micros, within: Micros) {
     for &(members, seeds, away) in sizes {
         let (mut times, mut dead) = (Vec::new(), Vec::new());
@@ -88,7 +91,7 @@
             let before = sent(&fleet).0;
             fleet.run_for(10 * S);
             assert_eq!(fleet.beliefs_since(met, State::Dead), [], "seed {seed}, {members} members");
-            // Suspicions that feed on the traffic that they cause would show here.
+            // A feedback loop, where suspicions cause traffic that causes more suspicions, would raise this rate.
             let rate = (sent(&fleet).0 - before) as f64 / f64::from(members) / 10.0;
             assert!(rate < 8.0, "seed {seed}, {members} members: {rate} datagrams a second each, long after");
         }
@@ -113,7 +116,8 @@
     partition_and_heal(&[(300, 1, 30), (300, 1, 120)], 300 * S, 60 * S);
 }
 
-/// Hours of virtual time with five members and 30% loss; how often a live member was suspected, and believed dead.
+/// Runs five members with 30% loss for hours of virtual time. Returns how often a live member was suspected, and how often it
+/// was believed dead.
 fn false_deaths(seed: u64, hours: i64) -> (usize, usize) {
     let mut fleet = Fleet::new(5, seed, settings());
     fleet.endpoints = 1;
@@ -158,7 +162,8 @@
     rates
         .iter()
         .for_each(|(members, datagrams, bytes)| println!("{members:7}  {datagrams:11.2}  {bytes:7.0}"));
-    // Few: a digest to each other, pings only upon suspicion. Many: the same number of digests, a ping, its answer, and news.
+    // In a small fleet each member sends a digest to each other one, and pings only silent members. In a large fleet it sends
+    // the same number of digests, a ping, an answer to a ping, and broadcasts.
     let few = rates[1];
     assert!((3.8..=4.3).contains(&few.1), "{few:?}");
     for many in &rates[2..] {
@@ -193,7 +198,7 @@
         let back: Vec<Belief> =
             fleet.beliefs_since(began, State::Alive).into_iter().filter(|b| b.2 == 1).collect();
         assert_eq!(back, [], "seed 11, {members} members: what it said before its farewell came after");
-        // It restarts as another process, at once.
+        // The member restarts at once as another process.
         fleet.start(1, EPOCH + 60_000);
         let back =
             fleet.run_until(60 * S, |fleet| fleet.count_believing(1, State::Alive).0 == members as usize - 1);
@@ -211,7 +216,7 @@
         let began = fleet.now;
         fleet.kill(2);
         fleet.run_for(200 * MS);
-        // Five seconds off either way: its clock, or the one that it had before.
+        // The clock of the new process is five seconds ahead of the old one's, or behind it.
         let generation = EPOCH.checked_add_signed(back_by_ms).unwrap();
         fleet.start(2, generation);
         let newer = |fleet: &Fleet| {
