--- a/crates/gossip/src/keys_tests.rs
+++ b/crates/gossip/src/keys_tests.rs
@@ -18,8 +18,8 @@
         keys.seal(&mut datagram, To::One(2));
         assert_eq!(datagram.len(), 8 + keys.strength().proof_bytes());
         assert!(keys.proves(1, Some(2), &datagram));
-        assert!(!keys.proves(1, Some(0), &datagram), "{keys:?} shown to another");
-        assert!(!keys.proves(1, None, &datagram), "{keys:?} shown to all");
+        assert!(!keys.proves(1, Some(0), &datagram), "{keys:?} replayed to another member");
+        assert!(!keys.proves(1, None, &datagram), "{keys:?} replayed to all");
         assert_eq!(keys.proves(0, Some(2), &datagram), !binds_sender, "{keys:?} in another's name");
         for place in 0..datagram.len() {
             let mut changed = datagram.clone();
--- a/crates/gossip/src/local_state_tests.rs
+++ b/crates/gossip/src/local_state_tests.rs
@@ -26,7 +26,7 @@
             *rounds_sent.entry(entry.endpoint.bits()).or_default() += 1;
         }
     }
-    assert_eq!(rounds_sent.len(), 100, "11 rounds of 10 tell all, and the changed one three times");
+    assert_eq!(rounds_sent.len(), 100, "11 rounds of 10 send all entries, and the changed one three times");
 }
 
 #[test]
--- a/crates/gossip/src/peer_state_tests.rs
+++ b/crates/gossip/src/peer_state_tests.rs
@@ -12,9 +12,9 @@
 fn newer_version_wins_in_any_order() {
     let mut state = PeerState::default();
     assert_eq!(state.merge(5, 0, 2, &[entry(1, 10), entry(2, 20)]).len(), 2);
-    assert_eq!(state.merge(4, 1, 3, &[entry(1, 9), entry(2, 9)]), [], "older, late");
-    assert_eq!(state.merge(7, 2, 1, &[entry(1, 0)]), [entry(1, 0)], "no more");
-    assert_eq!(state.merge(6, 3, 2, &[entry(1, 10)]), [], "does not come back");
+    assert_eq!(state.merge(4, 1, 3, &[entry(1, 9), entry(2, 9)]), [], "an older datagram is late");
+    assert_eq!(state.merge(7, 2, 1, &[entry(1, 0)]), [entry(1, 0)], "the entry is removed");
+    assert_eq!(state.merge(6, 3, 2, &[entry(1, 10)]), [], "a late datagram does not restore the entry");
     assert_eq!(connections(&state), [(2, 20)]);
     assert_eq!(state.newest_digest(), Some((2, 1)));
 }
--- a/crates/gossip/tests/faulty_peers.rs
+++ b/crates/gossip/tests/faulty_peers.rs
@@ -116,7 +116,11 @@
             let sees = (0..correct)
                 .filter(|other| *other != member && well(fleet.state_seen_by(member, *other)))
                 .count();
-            assert_eq!(sees, correct as usize - 1, "seed {seed}, {members} members: {member} after the lies");
+            assert_eq!(
+                sees,
+                correct as usize - 1,
+                "seed {seed}, {members} members: {member} after the false reports"
+            );
         }
     }
 }
@@ -128,7 +132,7 @@
     fleet.network.cut = vec![(0, 1), (1, 0)];
     report_falsely(&mut fleet, 2, 5, 120);
     let gone: Vec<Belief> = fleet.beliefs.iter().filter(|b| !b.3.is_active() && b.2 < 3).copied().collect();
-    assert_eq!(gone, [], "seed 21: 2 reaches both");
+    assert_eq!(gone, [], "seed 21: member 2 reaches both");
 }
 
 #[test]
@@ -180,10 +184,10 @@
         fleet.run_for(500 * MS);
     }
     let jumps = (fleet.gossip(0).incarnation().generation - before.generation) >> 40;
-    assert!(jumps <= 11, "seed 23: {jumps} leaps in 100 s; u64 has room for 16 million");
+    assert!(jumps <= 11, "seed 23: {jumps} generation jumps in 100 s; u64 has room for 16 million");
     assert!(
         !fleet.beliefs.iter().any(|b| b.2 == 0 && !b.3.is_active()),
-        "seed 23: and it is heard all the time"
+        "seed 23: the member must stay active"
     );
 }
 
@@ -247,7 +251,7 @@
             _ => assert_eq!(
                 (forged, state),
                 (0, State::Left),
-                "seed {seed}, {strength:?}: the hole that is known"
+                "seed {seed}, {strength:?}: a known limitation of this strength"
             ),
         }
     }
@@ -271,15 +275,15 @@
         assert_eq!(gossip.freshness(1).unwrap().1, newest.1, "{what}");
         fleet.nodes[0].gossip = Some(gossip);
     };
-    expect("a stranger", None, &good, DropReason::UnknownSender);
-    expect("nobody's ordinal", Some(5), &good, DropReason::UnknownSender);
-    expect("no ordinal at all", Some(70_000), &good, DropReason::UnknownSender);
-    expect("its own echo", Some(0), &good, DropReason::UnknownSender);
-    expect("nothing", Some(1), &[], DropReason::Length);
-    expect("a byte too much", Some(1), &[1; 257], DropReason::Length);
+    expect("an unknown sender", None, &good, DropReason::UnknownSender);
+    expect("an unconfigured ordinal", Some(5), &good, DropReason::UnknownSender);
+    expect("an ordinal out of range", Some(70_000), &good, DropReason::UnknownSender);
+    expect("its own ordinal", Some(0), &good, DropReason::UnknownSender);
+    expect("an empty datagram", Some(1), &[], DropReason::Length);
+    expect("a byte too long", Some(1), &[1; 257], DropReason::Length);
     expect("zeros", Some(1), &[0; 100], DropReason::Malformed);
     expect("another strength", Some(1), &[&[1, 0], &good[2..]].concat(), DropReason::WrongStrength);
-    expect("said before", Some(1), &good, DropReason::Replayed);
+    expect("a replayed datagram", Some(1), &good, DropReason::Replayed);
     // The counter is new, so that only the proof can show that a datagram is invalid.
     let new =
         write(&shared(&[7]), 1, Incarnation::first(EPOCH), 5_000, To::One(0), &[Section::Ping { nonce: 1 }]);
@@ -319,12 +323,16 @@
     let before = fleet.gossip(0).counts();
     fleet.inject(Some(1), 0, newer(5_000));
     fleet.run_for(MS);
-    assert_eq!(fleet.gossip(0).counts().sent, before.sent + 1, "what is known is answered");
+    assert_eq!(fleet.gossip(0).counts().sent, before.sent + 1, "the known section is answered");
     let mut version_2 = newer(5_001);
     version_2[0] = 2;
     fleet.inject(Some(1), 0, version_2);
     fleet.run_for(MS);
-    assert_eq!(fleet.gossip(0).counts().sent, before.sent + 1, "of another version nothing is");
+    assert_eq!(
+        fleet.gossip(0).counts().sent,
+        before.sent + 1,
+        "a datagram of another version is not answered"
+    );
     assert_eq!(fleet.gossip(0).counts().dropped(DropReason::NewerVersion), 1);
 }
 
--- a/crates/gossip/tests/membership.rs
+++ b/crates/gossip/tests/membership.rs
@@ -79,13 +79,16 @@
             let parted = fleet.run_until(for_at_most, all_given_up);
             assert!(
                 parted.is_some() || for_at_most < 300 * S,
-                "seed {seed}, {members} members: who is not given up?"
+                "seed {seed}, {members} members: some members are not believed dead"
             );
             dead.push(parted.unwrap_or(for_at_most));
             fleet.network.partitions = vec![0; members as usize];
             let healed =
                 fleet.run_until(within, |fleet| fleet.running().all(|m| fleet.gossip(m).alive() == members));
-            times.push(healed.unwrap_or_else(|| panic!("seed {seed}, {members} members: they don't meet")));
+            times
+                .push(healed.unwrap_or_else(|| {
+                    panic!("seed {seed}, {members} members: the partition does not heal")
+                }));
             let met = fleet.now;
             fleet.run_for(20 * S);
             let before = sent(&fleet).0;
@@ -135,7 +138,7 @@
     let (suspected, dead) = false_deaths(7, 3);
     println!("3 hours, 5 members, 30% loss: {suspected} suspicions, {dead} deaths");
     assert_eq!(dead, 0, "seed 7");
-    assert!(suspected > 0, "the network was not bad enough to tell");
+    assert!(suspected > 0, "the loss was too low for the test to be meaningful");
 }
 
 #[test]
@@ -179,7 +182,8 @@
         fleet.run_for(10 * S);
         let began = fleet.now;
         fleet.input(1, Input::Leave);
-        let ready = fleet.run_until(5 * S, |fleet| fleet.gossip(1).has_left()).expect("it may go");
+        let ready =
+            fleet.run_until(5 * S, |fleet| fleet.gossip(1).has_left()).expect("the farewell completes");
         fleet.kill(1);
         let more =
             fleet.run_until(60 * S, |fleet| fleet.count_believing(1, State::Left).0 == members as usize - 1);
@@ -197,7 +201,11 @@
         assert_eq!(fleet.beliefs_since(began, State::Dead), [], "seed 11, {members} members");
         let back: Vec<Belief> =
             fleet.beliefs_since(began, State::Alive).into_iter().filter(|b| b.2 == 1).collect();
-        assert_eq!(back, [], "seed 11, {members} members: what it said before its farewell came after");
+        assert_eq!(
+            back,
+            [],
+            "seed 11, {members} members: a datagram sent before the farewell arrived after it"
+        );
         // The member restarts at once as another process.
         fleet.start(1, EPOCH + 60_000);
         let back =
@@ -237,7 +245,7 @@
         if members == 5 {
             assert!(
                 took < S,
-                "clock {back_by_ms} ms off: told at once that it is known by a newer number, not when missed"
+                "clock {back_by_ms} ms off: the correction must be sent at once, not after a time-out"
             );
             assert!((0..5).filter(|m| *m != 2).all(|m| fleet.gossip(m).freshness(2).unwrap().0 < 3 * S));
         }
@@ -259,7 +267,7 @@
             fleet.beliefs_since(began, State::Suspect).into_iter().filter(|belief| belief.1 == 0).collect();
         assert_eq!(accused, [], "seed {seed}");
         let dead = fleet.beliefs_since(began, State::Dead);
-        assert_eq!(dead, [], "seed {seed}: and it is still heard");
+        assert_eq!(dead, [], "seed {seed}: the slow member is still heard");
     }
 }
 
@@ -282,11 +290,15 @@
     for (member, of) in [(0, 1), (4, 2)] {
         let gossip = fleet.gossip(member);
         assert_eq!(gossip.freshness(of).unwrap().1, 200);
-        assert_eq!(gossip.digest_of(of).count(), 200, "rotation tells what changes crowd out");
+        assert_eq!(
+            gossip.digest_of(of).count(),
+            200,
+            "the rotation also sends the entries that did not change"
+        );
     }
     fleet.endpoints = 3;
     fleet.run_for(30 * S);
-    assert_eq!(fleet.gossip(0).digest_of(1).count(), 3, "what is no more is gone");
+    assert_eq!(fleet.gossip(0).digest_of(1).count(), 3, "removed entries are gone");
     assert!(fleet.gossip(0).digest_of(1).all(|(_, age)| age < 2 * S));
 }
 
--- a/crates/gossip/tests/one_member.rs
+++ b/crates/gossip/tests/one_member.rs
@@ -130,7 +130,7 @@
         sim.send_next_as(1, &[Section::Broadcasts(vec![broadcast])]);
     }
     sim.run_for(700 * MS);
-    // Two, and one in its turn.
+    // The limit allows two prompted probes; one more member is probed by the rotation of silent members.
     assert!((2..=3).contains(&sim.asked.len()), "{:?}", sim.asked);
 }
 
@@ -159,16 +159,16 @@
     let ping = [Section::Ping { nonce: 9 }];
     let before = sent(&sim);
     (0..30).for_each(|_| sim.send_next_as(1, &ping));
-    assert_eq!(sent(&sim) - before, 4, "the requests of one");
+    assert_eq!(sent(&sim) - before, 4, "requests of one member are limited");
     sim.send_next_as(2, &ping);
-    assert_eq!(sent(&sim) - before, 5, "and one of another");
+    assert_eq!(sent(&sim) - before, 5, "a request of another member is answered");
     (0..3).flat_map(|_| 4..24).for_each(|member| sim.send_next_as(member, &ping));
     let answered = sent(&sim) - before;
     assert!((10..=16).contains(&answered), "{answered} of 91 answered");
     let withheld = sim.gossip.counts().withheld(Purpose::Digest);
     sim.run_for(1_100 * MS);
     assert_eq!(sim.gossip.counts().withheld(Purpose::Digest), withheld);
-    assert!(sent(&sim) - before >= answered + 4, "the heartbeats of the same second");
+    assert!(sent(&sim) - before >= answered + 4, "heartbeats are sent in the same second");
 }
 
 #[test]
@@ -186,7 +186,7 @@
     sim.run_for(20 * S);
     sim.accuse(ReportedState::Left);
     sim.run_for(6 * S);
-    assert_eq!(sim.believed(3).last(), Some(&State::Left), "and if it fails again, it is believed");
+    assert_eq!(sim.believed(3).last(), Some(&State::Left), "the report is believed once more checks fail");
 }
 
 #[test]
@@ -214,5 +214,9 @@
     sim.send_as(3, 11, &[Section::Digest { total: 0, entries: vec![] }]);
     assert_eq!(sim.believed(3), [State::Alive, State::Left]);
     sim.send_as(3, 13, &[]);
-    assert_eq!(sim.believed(3), [State::Alive, State::Left, State::Alive], "what it says after does");
+    assert_eq!(
+        sim.believed(3),
+        [State::Alive, State::Left, State::Alive],
+        "a datagram after the farewell revives the member"
+    );
 }
