--- a/crates/gossip/src/peer_state.rs
+++ b/crates/gossip/src/peer_state.rs
@@ -43,7 +43,8 @@
 impl PeerState {
     /// Merges the entries of a datagram, and returns those that are newer than the known ones.
     pub(crate) fn merge(&mut self, version: u64, now: Micros, total: u32, entries: &[Entry]) -> Vec<Entry> {
-        let news = entries.iter().copied().filter(|entry| self.merge_entry(version, now, *entry)).collect();
+        let new_entries =
+            entries.iter().copied().filter(|entry| self.merge_entry(version, now, *entry)).collect();
         if self.newest_digest.is_none_or(|newest| newest.version < version) {
             let total = (total as usize).min(MAX_ENTRIES);
             self.newest_digest = Some(DigestSummary { version, received_at: now, total });
@@ -53,7 +54,7 @@
         let total = self.newest_digest.map_or(0, |newest| newest.total);
         self.trim(EntryKind::Present, total);
         self.trim(EntryKind::Empty, MAX_EMPTY);
-        news
+        new_entries
     }
 
     /// Stores the entry if it is newer than the known one, and returns whether it is.
--- a/crates/gossip/src/probing.rs
+++ b/crates/gossip/src/probing.rs
@@ -156,14 +156,14 @@
     /// Asks other members to ping the target, and pings it once more directly, because a lost datagram is the most likely cause.
     /// Returns the members asked, or `None` if the bandwidth limit does not allow it.
     fn send_indirect_pings(&mut self, target: u16, nonce: u16) -> Option<Vec<u16>> {
-        let able: Vec<u16> = self
+        let candidates: Vec<u16> = self
             .peers
             .iter()
             .filter(|(other, peer)| *other != target && peer.state == State::Alive)
             .map(|(other, _)| other)
             .collect();
         let count = if self.has_many_suspects() { 1 } else { INDIRECT_PROBES };
-        let mut helpers: Vec<u16> = able.sample(&mut self.rng, count).copied().collect();
+        let mut helpers: Vec<u16> = candidates.sample(&mut self.rng, count).copied().collect();
         // Either all of these pings are sent or none. Sending and retrying some of them would use up the bandwidth limit.
         if !self.has_bandwidth(Purpose::Probe, helpers.len() as u64 + 1, 0) {
             return None;
@@ -172,7 +172,7 @@
             self.send(To::One((*helper).into()), Purpose::Probe, &[Section::IndirectPing { nonce, target }])
         });
         self.send(To::One(target.into()), Purpose::Probe, &[Section::Ping { nonce }]);
-        (able.is_empty() || !helpers.is_empty()).then_some(helpers)
+        (candidates.is_empty() || !helpers.is_empty()).then_some(helpers)
     }
 
     fn has_many_suspects(&self) -> bool {
--- a/crates/gossip/src/receiving.rs
+++ b/crates/gossip/src/receiving.rs
@@ -141,9 +141,9 @@
             }
             Section::Digest { total, entries } if presence == Presence::Stays => {
                 let state = &mut self.peers[from].reported_state;
-                let news = state.merge(header.counter, self.now, total, &entries);
-                if !news.is_empty() {
-                    self.output(Output::PeerReport { from: from.into(), entries: news });
+                let new_entries = state.merge(header.counter, self.now, total, &entries);
+                if !new_entries.is_empty() {
+                    self.output(Output::PeerReport { from: from.into(), entries: new_entries });
                 }
             }
             Section::Leave | Section::Digest { .. } => {}
--- a/crates/gossip/src/wire/write.rs
+++ b/crates/gossip/src/wire/write.rs
@@ -64,8 +64,8 @@
 }
 
 impl Draft {
-    /// Begins a datagram of at most `most` bytes including its proof, and never more than [`MAX_DATAGRAM_BYTES`].
-    pub fn new(header: &Header, most: usize) -> Self {
+    /// Begins a datagram of at most `max_bytes` bytes including its proof, and never more than [`MAX_DATAGRAM_BYTES`].
+    pub fn new(header: &Header, max_bytes: usize) -> Self {
         let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
         let strength = match header.strength {
             Strength::Address => 0,
@@ -77,7 +77,7 @@
         number(&mut bytes, u64::from(header.sender));
         incarnation(&mut bytes, header.incarnation);
         number(&mut bytes, header.counter);
-        Draft { bytes, limit: most.min(MAX_DATAGRAM_BYTES) - header.strength.proof_bytes() }
+        Draft { bytes, limit: max_bytes.min(MAX_DATAGRAM_BYTES) - header.strength.proof_bytes() }
     }
 
     /// Returns the number of bytes that still fit.
@@ -115,15 +115,15 @@
         }
     }
 
-    /// Adds the first broadcasts that fit, in a section of at most `most` bytes, and returns how many fitted.
-    pub fn broadcasts(&mut self, broadcasts: &[Broadcast], most: usize) -> usize {
-        self.list(kind::BROADCASTS, most, |_| {}, broadcasts, broadcast)
+    /// Adds the first broadcasts that fit, in a section of at most `max_bytes` bytes, and returns how many fitted.
+    pub fn broadcasts(&mut self, broadcasts: &[Broadcast], max_bytes: usize) -> usize {
+        self.list(kind::BROADCASTS, max_bytes, |_| {}, broadcasts, broadcast)
     }
 
     /// Adds the first entries that fit, and returns how many fitted. An empty list still writes the section, which reports that
     /// the proxy has no entries.
-    pub fn entries(&mut self, of: u32, entries: &[Entry]) -> usize {
-        self.list(kind::DIGEST, MAX_DATAGRAM_BYTES, |bytes| number(bytes, u64::from(of)), entries, entry)
+    pub fn entries(&mut self, total: u32, entries: &[Entry]) -> usize {
+        self.list(kind::DIGEST, MAX_DATAGRAM_BYTES, |bytes| number(bytes, u64::from(total)), entries, entry)
     }
 
     fn section(&mut self, kind: u8, content: impl FnOnce(&mut Vec<u8>)) -> bool {
@@ -136,13 +136,13 @@
     fn list<T>(
         &mut self,
         kind: u8,
-        most: usize,
+        max_bytes: usize,
         head: impl FnOnce(&mut Vec<u8>),
         items: &[T],
         write: impl Fn(&mut Vec<u8>, &T),
     ) -> usize {
         let begin = self.bytes.len();
-        let end = self.limit.min(begin.saturating_add(most));
+        let end = self.limit.min(begin.saturating_add(max_bytes));
         self.bytes.extend_from_slice(&[kind, 0]);
         head(&mut self.bytes);
         let mut fitted = 0;
