--- a/crates/gossip/src/wire/write.rs
+++ b/crates/gossip/src/wire/write.rs
@@ -1,6 +1,8 @@
-//! Messages to datagrams, within a bound.
+//! Encoding of datagrams within a length limit.
 
-use super::{Broadcast, Header, LONGEST, ReportedState, STRENGTH_BITS, Section, TO_ALL_BIT, VERSION, kind};
+use super::{
+    Broadcast, Header, MAX_DATAGRAM_BYTES, ReportedState, STRENGTH_BITS, Section, TO_ALL_BIT, VERSION, kind,
+};
 use crate::{Entry, Incarnation, Keys, Strength, To};
 
 fn number(bytes: &mut Vec<u8>, value: u64) {
@@ -53,18 +55,18 @@
     bytes[flags_at] = flags;
 }
 
-/// A datagram that is being written. What does not fit is left out, and the return value shows it.
+/// A datagram that is being written. Content that does not fit is left out, and the return value of each method shows this.
 #[derive(Debug)]
 pub struct Draft {
     bytes: Vec<u8>,
-    /// Bytes that header and sections may have.
+    /// Maximum bytes of the header and the sections together.
     limit: usize,
 }
 
 impl Draft {
-    /// Begins a datagram of at most `most` bytes, its proof included; never more than [`LONGEST`].
-    pub fn new(header: &Header, most: usize) -> Self {
-        let mut bytes = Vec::with_capacity(LONGEST);
+    /// Begins a datagram of at most `max_bytes` bytes including its proof, and never more than [`MAX_DATAGRAM_BYTES`].
+    pub fn new(header: &Header, max_bytes: usize) -> Self {
+        let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
         let strength = match header.strength {
             Strength::Address => 0,
             Strength::Shared => 1,
@@ -75,20 +77,21 @@
         number(&mut bytes, u64::from(header.sender));
         incarnation(&mut bytes, header.incarnation);
         number(&mut bytes, header.counter);
-        Draft { bytes, limit: most.min(LONGEST) - header.strength.proof_bytes() }
+        Draft { bytes, limit: max_bytes.min(MAX_DATAGRAM_BYTES) - header.strength.proof_bytes() }
     }
 
-    /// Bytes that still fit.
+    /// Returns the number of bytes that still fit.
     pub fn room(&self) -> usize {
         self.limit - self.bytes.len()
     }
 
-    /// Bytes that it has so far, without the proof.
+    /// Returns the number of bytes written so far, without the proof.
     pub fn written(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Adds a section if it fits; of a list only what fits, see [`Draft::broadcasts`] and [`Draft::entries`].
+    /// Adds a section if it fits, and returns whether it fitted whole. Of a list, the items that fit are added; see
+    /// [`Draft::broadcasts`] and [`Draft::entries`].
     pub fn push(&mut self, section: &Section) -> bool {
         match section {
             Section::Ping { nonce } => {
@@ -105,20 +108,22 @@
                 number(bytes, u64::from(*target));
             }),
             Section::Leave => self.section(kind::LEAVE, |_| {}),
-            Section::Broadcasts(broadcasts) => self.broadcasts(broadcasts, LONGEST) == broadcasts.len(),
+            Section::Broadcasts(broadcasts) => {
+                self.broadcasts(broadcasts, MAX_DATAGRAM_BYTES) == broadcasts.len()
+            }
             Section::Digest { total, entries } => self.entries(*total, entries) == entries.len(),
         }
     }
 
-    /// Adds broadcasts from the first on, in a section of at most `most` bytes; how many fitted.
-    pub fn broadcasts(&mut self, broadcasts: &[Broadcast], most: usize) -> usize {
-        self.list(kind::BROADCASTS, most, |_| {}, broadcasts, broadcast)
+    /// Adds the first broadcasts that fit, in a section of at most `max_bytes` bytes, and returns how many fitted.
+    pub fn broadcasts(&mut self, broadcasts: &[Broadcast], max_bytes: usize) -> usize {
+        self.list(kind::BROADCASTS, max_bytes, |_| {}, broadcasts, broadcast)
     }
 
-    /// Adds entries from the first on; how many fitted. Without any the section is still written: a proxy without
-    /// connections reports that.
-    pub fn entries(&mut self, of: u32, entries: &[Entry]) -> usize {
-        self.list(kind::DIGEST, LONGEST, |bytes| number(bytes, u64::from(of)), entries, entry)
+    /// Adds the first entries that fit, and returns how many fitted. An empty list still writes the section, which reports that
+    /// the proxy has no entries.
+    pub fn entries(&mut self, total: u32, entries: &[Entry]) -> usize {
+        self.list(kind::DIGEST, MAX_DATAGRAM_BYTES, |bytes| number(bytes, u64::from(total)), entries, entry)
     }
 
     fn section(&mut self, kind: u8, content: impl FnOnce(&mut Vec<u8>)) -> bool {
@@ -131,13 +136,13 @@
     fn list<T>(
         &mut self,
         kind: u8,
-        most: usize,
+        max_bytes: usize,
         head: impl FnOnce(&mut Vec<u8>),
         items: &[T],
         write: impl Fn(&mut Vec<u8>, &T),
     ) -> usize {
         let begin = self.bytes.len();
-        let end = self.limit.min(begin.saturating_add(most));
+        let end = self.limit.min(begin.saturating_add(max_bytes));
         self.bytes.extend_from_slice(&[kind, 0]);
         head(&mut self.bytes);
         let mut fitted = 0;
@@ -158,7 +163,7 @@
         fitted
     }
 
-    /// Writes the length of the section that began there, or takes it back if it is too long.
+    /// Writes the length of the section that begins at `begin`, or removes the section if it is too long.
     fn close(&mut self, begin: usize) -> bool {
         let length =
             u8::try_from(self.bytes.len() - begin - 2).ok().filter(|_| self.bytes.len() <= self.limit);
@@ -169,10 +174,14 @@
         length.is_some()
     }
 
-    /// The finished datagram, proven to come from this sender and to be for that receiver.
+    /// Appends the proof of the sender and the receiver, and returns the finished datagram.
     pub fn finish(mut self, keys: &Keys, to: To) -> Vec<u8> {
         keys.seal(&mut self.bytes, to);
-        assert!(self.bytes.len() <= LONGEST, "a datagram of {} bytes would void the run", self.bytes.len());
+        assert!(
+            self.bytes.len() <= MAX_DATAGRAM_BYTES,
+            "a datagram of {} bytes would void the run",
+            self.bytes.len()
+        );
         self.bytes
     }
 }
--- a/crates/gossip/tests/faulty_peers.rs
+++ b/crates/gossip/tests/faulty_peers.rs
@@ -1,4 +1,4 @@
-//! Faulty peers: false reports, replays, forgeries, floods and other protocol versions, and what they achieve.
+//! Tests with faulty peers: false reports, replays, forgeries, floods and other protocol versions.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -21,7 +21,7 @@
     Keys::load(Strength::Shared, &files, None, 0, 5).unwrap()
 }
 
-/// Of five; `second` adds another valid key to member 2's.
+/// The keys of a member of five. `second` adds another valid public key for member 2.
 fn signed(me: u32, own: u8, second: Option<u8>) -> Keys {
     let public = |byte| Keys::public_of(&key(byte)).unwrap();
     let lines: Vec<String> = (0..5u8)
@@ -40,19 +40,20 @@
         Strength::Signed => signed(member, member as u8 + 1, None),
     });
     let mut fleet = Fleet::with_keys(5, seed, Settings { strength, ..settings() }, keys.collect());
-    fleet.run_for(10 * S);
+    fleet.run_for(10 * SECOND);
     fleet
 }
 
 const STRENGTHS: [Strength; 3] = [Strength::Address, Strength::Shared, Strength::Signed];
 
-/// The incarnation by which a member is known to another.
+/// Returns the newest incarnation of the member `of` that the member `by` knows.
 fn known(fleet: &Fleet, by: u32, of: u32) -> Incarnation {
     fleet.gossip(by).members().find(|member| member.0 == of).unwrap().2
 }
 
-/// Faulty peers in place of the last members: each reports to each correct one, four times a second, that so many of the other correct
-/// ones are unreachable and have left, by incarnations that correct ones would use and by great ones.
+/// Replaces the last members by faulty peers. Four times a second, each of them reports to each correct member that the first
+/// `of` correct members are unreachable and have left. The reports use known incarnations, plausible later ones, and
+/// generations far ahead.
 fn report_falsely(fleet: &mut Fleet, faulty_peers: u32, of: u32, seconds: u32) {
     let members = fleet.members();
     let correct = members - faulty_peers;
@@ -64,7 +65,7 @@
             for to in 0..correct {
                 for subject in (0..correct.min(of)).filter(|subject| *subject != to) {
                     let now = known(fleet, to, subject);
-                    let said = match fleet.chance.random_range(0..4) {
+                    let said = match fleet.rng.random_range(0..4) {
                         0 => Incarnation { refutations: now.refutations.saturating_add(3), ..now },
                         1 if to == 0 => Incarnation::first(now.generation + (1 << 39)),
                         _ => now,
@@ -92,12 +93,13 @@
 #[test]
 fn two_faulty_peers_cannot_kill_a_member() {
     let few = (0..4).map(|seed| (5, 0.0, 5, seed)).chain((4..8).map(|seed| (5, 0.1, 5, seed)));
-    // Of many: all of them, some, one. Faulty peers that have all probe one, or all, must not keep it from answering in time.
+    // In large fleets, the reports are about all members, some, or one. Faulty peers that prompt all members to probe one, or
+    // all others, must not keep a member from answering in time.
     let many = [(24, 0.02, 24, 8), (100, 0.02, 10, 9), (100, 0.02, 1, 10)];
     for (members, loss, of, seed) in few.chain(many) {
         let mut fleet = Fleet::new(members, seed, settings());
         fleet.network.loss = loss;
-        fleet.run_for(10 * S);
+        fleet.run_for(10 * SECOND);
         report_falsely(&mut fleet, 2, of, if members < 100 { 60 } else { 30 });
         let correct = members - 2;
         let gone: Vec<Belief> =
@@ -107,14 +109,18 @@
             let suspected = fleet.beliefs.iter().filter(|b| b.3 == State::Suspect && b.2 < correct).count();
             assert_eq!(suspected, 0, "seed {seed}: own fresh datagrams outweigh reports");
         }
-        fleet.run_for(10 * S);
-        // Among a hundred at 2% loss somebody is suspected for a moment at any time.
+        fleet.run_for(10 * SECOND);
+        // In a fleet of a hundred at 2% loss, some member is briefly suspected at almost any time.
         let well = |state: State| if members < 100 { state == State::Alive } else { state.is_active() };
         for member in 0..correct {
             let sees = (0..correct)
                 .filter(|other| *other != member && well(fleet.state_seen_by(member, *other)))
                 .count();
-            assert_eq!(sees, correct as usize - 1, "seed {seed}, {members} members: {member} after the lies");
+            assert_eq!(
+                sees,
+                correct as usize - 1,
+                "seed {seed}, {members} members: {member} after the false reports"
+            );
         }
     }
 }
@@ -122,19 +128,19 @@
 #[test]
 fn two_faulty_peers_cannot_kill_a_half_reachable_member() {
     let mut fleet = Fleet::new(5, 21, settings());
-    fleet.run_for(10 * S);
+    fleet.run_for(10 * SECOND);
     fleet.network.cut = vec![(0, 1), (1, 0)];
     report_falsely(&mut fleet, 2, 5, 120);
     let gone: Vec<Belief> = fleet.beliefs.iter().filter(|b| !b.3.is_active() && b.2 < 3).copied().collect();
-    assert_eq!(gone, [], "seed 21: 2 reaches both");
+    assert_eq!(gone, [], "seed 21: member 2 reaches both");
 }
 
 #[test]
 fn faulty_peer_cannot_revive_the_dead() {
     let mut fleet = Fleet::new(5, 22, settings());
-    fleet.run_for(10 * S);
+    fleet.run_for(10 * SECOND);
     fleet.kill(1);
-    fleet.run_for(15 * S);
+    fleet.run_for(15 * SECOND);
     assert_eq!(fleet.count_believing(1, State::Dead), (4, 4), "seed 22");
     fleet.kill(4);
     let began = fleet.now;
@@ -162,7 +168,7 @@
 #[test]
 fn faulty_peer_cannot_exhaust_incarnations() {
     let mut fleet = Fleet::new(5, 23, settings());
-    fleet.run_for(10 * S);
+    fleet.run_for(10 * SECOND);
     let before = fleet.gossip(0).incarnation();
     for counter in 0..200 {
         let far = Incarnation { generation: u64::MAX - 1 - counter % 2, refutations: u16::MAX };
@@ -178,10 +184,10 @@
         fleet.run_for(500 * MS);
     }
     let jumps = (fleet.gossip(0).incarnation().generation - before.generation) >> 40;
-    assert!(jumps <= 11, "seed 23: {jumps} leaps in 100 s; u64 has room for 16 million");
+    assert!(jumps <= 11, "seed 23: {jumps} generation jumps in 100 s; u64 has room for 16 million");
     assert!(
         !fleet.beliefs.iter().any(|b| b.2 == 0 && !b.3.is_active()),
-        "seed 23: and it is heard all the time"
+        "seed 23: the member must stay active"
     );
 }
 
@@ -193,25 +199,26 @@
         fleet.kill(1);
         let began = fleet.now;
         let mut replayed = 0;
-        // To whom it was said, from its own address, again and again; with a proof, to anybody.
-        while fleet.now - began < 15 * S {
+        // Datagrams are replayed again and again from the sender's address: without a proof to their original receivers, with a
+        // proof all to member 0.
+        while fleet.now - began < 15 * SECOND {
             for (to, bytes) in &said {
                 let shown = if strength == Strength::Address { *to } else { To::One(0) };
                 fleet.inject(Some(1), if let To::One(to) = shown { to } else { 0 }, bytes.clone());
                 replayed += 1;
             }
-            fleet.run_for(2 * S);
+            fleet.run_for(2 * SECOND);
         }
         let (see, all) = fleet.count_believing(1, State::Dead);
         assert_eq!(see, all, "seed {seed}, {strength:?}: {replayed} replays kept nobody alive");
-        // The next process, and the old one's datagrams again.
+        // A new process starts, and the datagrams of the old one are replayed.
         fleet.start(1, EPOCH + 100_000);
-        fleet.run_for(5 * S);
+        fleet.run_for(5 * SECOND);
         let superseded = fleet.gossip(0).counts().dropped(DropReason::Superseded);
         for (_, bytes) in said.iter().filter(|(to, _)| *to == To::One(0)) {
             fleet.inject(Some(1), 0, bytes.clone());
         }
-        fleet.run_for(5 * S);
+        fleet.run_for(5 * SECOND);
         assert!(
             fleet.gossip(0).counts().dropped(DropReason::Superseded) > superseded,
             "seed {seed}, {strength:?}"
@@ -228,12 +235,13 @@
         let farewell = |counter| {
             write(&faulty_peers, 1, Incarnation::first(EPOCH), counter, To::One(0), &[Section::Leave])
         };
-        // From its own address: the name does not fit.
+        // The datagram comes from the faulty peer's own address, which does not match the ordinal in the header.
         fleet.inject(Some(3), 0, farewell(1_000));
         fleet.run_for(10 * MS);
         assert_eq!(fleet.gossip(0).counts().dropped(DropReason::WrongSender), 1, "seed {seed}, {strength:?}");
         assert_eq!(fleet.state_seen_by(0, 1), State::Alive, "seed {seed}, {strength:?}");
-        // From the other's address, which it should not be able to: only a signature helps.
+        // The datagram comes from the other member's address, as if the faulty peer could send from it. Only a signature
+        // detects this.
         fleet.inject(Some(1), 0, farewell(1_001));
         fleet.run_for(10 * MS);
         let (forged, state) =
@@ -243,7 +251,7 @@
             _ => assert_eq!(
                 (forged, state),
                 (0, State::Left),
-                "seed {seed}, {strength:?}: the hole that is known"
+                "seed {seed}, {strength:?}: a known limitation of this strength"
             ),
         }
     }
@@ -267,16 +275,16 @@
         assert_eq!(gossip.freshness(1).unwrap().1, newest.1, "{what}");
         fleet.nodes[0].gossip = Some(gossip);
     };
-    expect("a stranger", None, &good, DropReason::UnknownSender);
-    expect("nobody's ordinal", Some(5), &good, DropReason::UnknownSender);
-    expect("no ordinal at all", Some(70_000), &good, DropReason::UnknownSender);
-    expect("its own echo", Some(0), &good, DropReason::UnknownSender);
-    expect("nothing", Some(1), &[], DropReason::Length);
-    expect("a byte too much", Some(1), &[1; 257], DropReason::Length);
+    expect("an unknown sender", None, &good, DropReason::UnknownSender);
+    expect("an unconfigured ordinal", Some(5), &good, DropReason::UnknownSender);
+    expect("an ordinal out of range", Some(70_000), &good, DropReason::UnknownSender);
+    expect("its own ordinal", Some(0), &good, DropReason::UnknownSender);
+    expect("an empty datagram", Some(1), &[], DropReason::Length);
+    expect("a byte too long", Some(1), &[1; 257], DropReason::Length);
     expect("zeros", Some(1), &[0; 100], DropReason::Malformed);
     expect("another strength", Some(1), &[&[1, 0], &good[2..]].concat(), DropReason::WrongStrength);
-    expect("said before", Some(1), &good, DropReason::Replayed);
-    // With a counter that is new, so that only the proof is left to tell.
+    expect("a replayed datagram", Some(1), &good, DropReason::Replayed);
+    // The counter is new, so that only the proof can show that a datagram is invalid.
     let new =
         write(&shared(&[7]), 1, Incarnation::first(EPOCH), 5_000, To::One(0), &[Section::Ping { nonce: 1 }]);
     expect("cut within the header", Some(1), &new[..17], DropReason::Length);
@@ -288,7 +296,7 @@
     expect("changed", Some(1), &changed, DropReason::Forged);
     let strangers = write(&shared(&[8]), 1, Incarnation::first(EPOCH), 5_000, To::One(0), &[Section::Leave]);
     expect("under another key", Some(1), &strangers, DropReason::Forged);
-    // None of these moved the replay window on.
+    // None of the dropped datagrams advanced the replay window.
     fleet.inject(Some(1), 0, new);
     let before = fleet.gossip(0).counts().sent;
     fleet.run_for(MS);
@@ -308,19 +316,23 @@
             To::One(0),
             std::slice::from_ref(&ping),
         );
-        // A section that is not known here, and a field more in one that is.
+        // A section of an unknown kind, and a known section with an additional field.
         bytes.extend([200, 3, 1, 2, 3, 2, 4, 1, 0, 9, 9]);
         bytes
     };
     let before = fleet.gossip(0).counts();
     fleet.inject(Some(1), 0, newer(5_000));
     fleet.run_for(MS);
-    assert_eq!(fleet.gossip(0).counts().sent, before.sent + 1, "what is known is answered");
+    assert_eq!(fleet.gossip(0).counts().sent, before.sent + 1, "the known section is answered");
     let mut version_2 = newer(5_001);
     version_2[0] = 2;
     fleet.inject(Some(1), 0, version_2);
     fleet.run_for(MS);
-    assert_eq!(fleet.gossip(0).counts().sent, before.sent + 1, "of another version nothing is");
+    assert_eq!(
+        fleet.gossip(0).counts().sent,
+        before.sent + 1,
+        "a datagram of another version is not answered"
+    );
     assert_eq!(fleet.gossip(0).counts().dropped(DropReason::NewerVersion), 1);
 }
 
@@ -341,7 +353,7 @@
             }
             fleet.run_for(50 * MS);
         }
-        // 20,000 in 10 s: looked at are 32 a second. The bandwidth limit is checked by the simulation itself.
+        // Of 20,000 datagrams in 10 s, 32 per second are processed. The simulation itself checks the bandwidth limit.
         let flood = fleet.gossip(0).counts().dropped(DropReason::RateLimited);
         assert!(flood >= 20_000 - 12 * 32, "seed {seed}, {strength:?}: {flood} dropped");
         let blamed: Vec<Belief> = fleet.beliefs_since(began, State::Dead);
@@ -365,9 +377,9 @@
     }
     assert_eq!(fleet.beliefs_since(began, State::Suspect), [], "seed 80");
     assert!((0..5).all(|member| fleet.gossip(member).counts().dropped(DropReason::Forged) == 0), "seed 80");
-    // A member that has only the old key is none.
+    // The other members drop the datagrams of a member that has only the old key, and declare it dead.
     fleet.input(2, Input::Keys(shared(&[7])));
-    fleet.run_for(20 * S);
+    fleet.run_for(20 * SECOND);
     assert_eq!(fleet.count_believing(2, State::Dead).0, 4, "seed 80");
     assert!(fleet.gossip(0).counts().dropped(DropReason::Forged) > 0);
 }
@@ -381,7 +393,7 @@
         fleet.run_for(1_300 * MS);
     }
     fleet.input(2, Input::Keys(signed(2, 99, Some(99))));
-    fleet.run_for(10 * S);
+    fleet.run_for(10 * SECOND);
     assert_eq!(fleet.beliefs_since(began, State::Suspect), [], "seed 81");
     assert!((0..5).all(|member| fleet.gossip(member).counts().dropped(DropReason::Forged) == 0), "seed 81");
 }
--- a/crates/gossip/tests/one_member.rs
+++ b/crates/gossip/tests/one_member.rs
@@ -1,4 +1,5 @@
-//! One member, the others simulated by hand: what a fleet of correct members hides, because several guards hold at once.
+//! Tests of one member while the test writes the datagrams of all others. In a fleet of correct members, several guards hold at
+//! once, so the failure of one of them would not show.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -12,16 +13,16 @@
 use cottonnotch_gossip::*;
 use std::collections::BTreeSet;
 
-/// Member 0 of 24, and the counters of those that are simulated.
+/// Member 0 of 24, and the state of the simulated members.
 struct OneMember {
     gossip: Gossip,
     now: Micros,
     counter: u64,
-    /// Pings that member 3 got.
+    /// Number of pings sent to member 3.
     pings: usize,
-    /// Members that got one.
+    /// Members that were sent a ping.
     asked: BTreeSet<u32>,
-    /// Member 3 answers.
+    /// Whether member 3 answers pings.
     answers: bool,
     beliefs: Vec<(u32, State)>,
 }
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Lets time pass, on time.
+    /// Advances the time and handles each time-out punctually.
     fn run_for(&mut self, span: Micros) {
         let until = self.now + span;
         while self.gossip.next_timeout() <= until {
@@ -122,14 +123,14 @@
 #[test]
 fn accuser_prompts_few_probes() {
     let mut sim = OneMember::new();
-    sim.run_for(3 * S);
+    sim.run_for(3 * SECOND);
     sim.asked.clear();
     for subject in 3..24 {
         let broadcast = broadcast(subject, Incarnation::first(EPOCH), ReportedState::Suspect);
         sim.send_next_as(1, &[Section::Broadcasts(vec![broadcast])]);
     }
     sim.run_for(700 * MS);
-    // Two, and one in its turn.
+    // The limit allows two prompted probes; one more member is probed by the rotation of silent members.
     assert!((2..=3).contains(&sim.asked.len()), "{:?}", sim.asked);
 }
 
@@ -137,7 +138,7 @@
 fn refuted_report_prompts_no_probe() {
     for refuted in [false, true] {
         let mut sim = OneMember::new();
-        sim.run_for(3 * S);
+        sim.run_for(3 * SECOND);
         sim.send_next_as(3, &[]);
         sim.accuse(ReportedState::Suspect);
         if refuted {
@@ -153,21 +154,21 @@
 #[test]
 fn requests_leave_bandwidth_for_others_and_heartbeats() {
     let mut sim = OneMember::new();
-    sim.run_for(10 * S);
+    sim.run_for(10 * SECOND);
     let sent = |sim: &OneMember| sim.gossip.counts().sent;
     let ping = [Section::Ping { nonce: 9 }];
     let before = sent(&sim);
     (0..30).for_each(|_| sim.send_next_as(1, &ping));
-    assert_eq!(sent(&sim) - before, 4, "the requests of one");
+    assert_eq!(sent(&sim) - before, 4, "requests of one member are limited");
     sim.send_next_as(2, &ping);
-    assert_eq!(sent(&sim) - before, 5, "and one of another");
+    assert_eq!(sent(&sim) - before, 5, "a request of another member is answered");
     (0..3).flat_map(|_| 4..24).for_each(|member| sim.send_next_as(member, &ping));
     let answered = sent(&sim) - before;
     assert!((10..=16).contains(&answered), "{answered} of 91 answered");
     let withheld = sim.gossip.counts().withheld(Purpose::Digest);
     sim.run_for(1_100 * MS);
     assert_eq!(sim.gossip.counts().withheld(Purpose::Digest), withheld);
-    assert!(sent(&sim) - before >= answered + 4, "the heartbeats of the same second");
+    assert!(sent(&sim) - before >= answered + 4, "heartbeats are sent in the same second");
 }
 
 #[test]
@@ -179,13 +180,13 @@
     sim.run_for(1_500 * MS);
     assert_eq!(sim.believed(3), [State::Alive, State::Suspect]);
     sim.answers = true;
-    sim.run_for(20 * S);
+    sim.run_for(20 * SECOND);
     assert_eq!(sim.believed(3), [State::Alive, State::Suspect, State::Alive]);
     sim.answers = false;
-    sim.run_for(20 * S);
+    sim.run_for(20 * SECOND);
     sim.accuse(ReportedState::Left);
-    sim.run_for(6 * S);
-    assert_eq!(sim.believed(3).last(), Some(&State::Left), "and if it fails again, it is believed");
+    sim.run_for(6 * SECOND);
+    assert_eq!(sim.believed(3).last(), Some(&State::Left), "the report is believed once more checks fail");
 }
 
 #[test]
@@ -196,8 +197,9 @@
     while sim.pings < 2 {
         sim.run_for(50 * MS);
     }
-    // Asked directly and through others; the answer comes while this one sleeps, and its timer is seen first.
-    sim.now += 2 * S;
+    // Member 3 was probed directly and through others. Its answer arrives while this member is stopped, but the member handles
+    // its expired timer first.
+    sim.now += 2 * SECOND;
     sim.gossip.handle(sim.now, Input::Tick);
     sim.drain();
     sim.send_next_as(3, &[]);
@@ -212,5 +214,9 @@
     sim.send_as(3, 11, &[Section::Digest { total: 0, entries: vec![] }]);
     assert_eq!(sim.believed(3), [State::Alive, State::Left]);
     sim.send_as(3, 13, &[]);
-    assert_eq!(sim.believed(3), [State::Alive, State::Left, State::Alive], "what it says after does");
+    assert_eq!(
+        sim.believed(3),
+        [State::Alive, State::Left, State::Alive],
+        "a datagram after the farewell revives the member"
+    );
 }
