--- a/crates/gossip/benches/cost.rs
+++ b/crates/gossip/benches/cost.rs
@@ -1,5 +1,5 @@
-//! What gossip costs a proxy: reading a datagram by each strength, dropping one that is not worth reading, and a whole
-//! period with few and many members and endpoints.
+//! The CPU cost of gossip: receiving a datagram with each strength, dropping an invalid one, and a whole period with different
+//! numbers of members and endpoints.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -33,7 +33,7 @@
 }
 
 fn settings(strength: Strength) -> Settings {
-    // Limits out of the way: what is measured is the work that they bound.
+    // The limits are raised so that they don't cut short the work that is measured.
     Settings {
         strength,
         datagrams_per_s: 1 << 30,
@@ -103,8 +103,9 @@
     group.finish();
 }
 
-/// One period of one member: its list replaced, the digests and what else is due sent, and as many digests read as come
-/// from the others. Nobody answers pings here, so among many some tens are suspected at any time: the dear case.
+/// Measures one period of one member: it replaces its local state, sends the digests and other datagrams that are due, and
+/// reads as many digests as others send it. No member answers pings here, so in a large fleet some tens are suspected at any
+/// time, which is the expensive case.
 fn period(c: &mut Criterion) {
     let mut group = c.benchmark_group("period");
     for members in [5u32, 50, 300] {
--- a/crates/gossip/src/entry_tests.rs
+++ b/crates/gossip/src/entry_tests.rs
@@ -3,7 +3,7 @@
 
 #[test]
 fn colliding_names_are_left_out() {
-    // Found by trying: among 20,000 names about 12 pairs share 24 bits.
+    // Among 20,000 names, about 12 pairs have the same 24-bit digest.
     let names: Vec<String> = (0..20_000).map(|n| format!("s-{n}")).collect();
     let mut digests: Vec<_> = names.iter().map(|name| (EndpointDigest::of(name), name)).collect();
     digests.sort();
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -1,8 +1,10 @@
-//! Datagrams as bytes. By hand: a field has the size that its usual value needs, what a newer program adds is skipped by
-//! length, and the bound of 256 bytes is checked while writing; a general codec gives the first of these three at most.
+//! The encoding of datagrams. The codec is hand-written because it must do three things: encode a field in the size that its
+//! usual value needs, skip by length what a newer program adds, and check the limit of 256 bytes while writing. A general
+//! codec provides at most the first.
 //!
-//! A header, sections (kind, length, content), and what proves the sender (see [`crate::Keys`]). Numbers are LEB128 with
-//! no byte more than needed unless a width is said; those are little-endian. `docs/design/gossip.md` has the tables.
+//! A datagram consists of a header, sections (kind, length, content), and the proof of its sender (see [`crate::Keys`]).
+//! Numbers are minimal LEB128 unless a width is stated; numbers of a fixed width are little-endian.
+//! `docs/design/gossip.md` has the tables.
 
 mod read;
 mod write;
@@ -11,21 +13,21 @@
 
 use crate::{Entry, Incarnation, Strength};
 
-/// The most bytes that a datagram may have: a longer one voids the run (`PROTOCOL-cottonnotch.md`, Between proxies).
+/// Maximum bytes of a datagram. A longer one voids the run (`PROTOCOL-cottonnotch.md`, Between proxies).
 pub const LONGEST: usize = 256;
-/// The version of the protocol that is spoken here. A newer one is counted and ignored. What an old program can do
-/// without comes as a new kind of section and needs no new version.
+/// The protocol version of this program. Datagrams of a newer version are counted and dropped. An addition that older programs
+/// can ignore is a new kind of section and needs no new version.
 pub const VERSION: u8 = 1;
 
 pub(crate) const STRENGTH_BITS: u8 = 0b11;
 pub(crate) const TO_ALL_BIT: u8 = 0b100;
 
-/// What a datagram begins with.
+/// The header of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// How its sender is proven.
+    /// How the sender is authenticated.
     pub strength: Strength,
-    /// Whether it was sent to all members.
+    /// Whether the datagram was sent to all members.
     pub to_all: bool,
     /// The sender's ordinal.
     pub sender: u16,
@@ -38,57 +40,57 @@
 /// What one member reports of another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Broadcast {
-    /// Of whom.
+    /// The ordinal of the member that the report is about.
     pub subject: u16,
-    /// Of which incarnation: a report of an older one is void.
+    /// The incarnation that the report is about. A report about an older incarnation than the known one is ignored.
     pub incarnation: Incarnation,
-    /// What it reports.
+    /// The reported state.
     pub state: ReportedState,
 }
 
-/// What can be reported of a member. "Dead" can't: no member's report is more than a suspicion.
+/// The state that a report gives a member. There is no "dead", since another member's report is never more than a suspicion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportedState {
-    /// It is alive, and was heard to say so.
+    /// The subject is alive in this incarnation, as its own datagrams showed.
     Alive,
-    /// The sender itself could not reach it, directly or through others. Members that only heard of it don't pass it on.
+    /// The sender itself could not reach the subject, directly or through others. Members don't forward suspicions of others.
     Suspect,
-    /// It announced that it leaves.
+    /// The subject announced that it leaves.
     Left,
 }
 
 /// A section of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Section {
-    /// Asks for a [`Section::Ack`] of the same number.
+    /// Requests a [`Section::Ack`] with the same nonce.
     Ping {
-        /// The sender's number.
+        /// A number chosen by the sender.
         nonce: u16,
     },
     /// Answers a ping.
     Ack {
-        /// That of the ping.
+        /// The nonce of the ping.
         nonce: u16,
     },
-    /// Asks to ping another member, and for a [`Section::IndirectAck`] if it answers.
+    /// Requests a ping of another member, and a [`Section::IndirectAck`] if that member answers.
     IndirectPing {
-        /// The sender's number.
+        /// A number chosen by the sender.
         nonce: u16,
-        /// Whom to ping.
+        /// The ordinal of the member to ping.
         target: u16,
     },
     /// The target of an indirect ping has answered.
     IndirectAck {
-        /// That of the indirect ping.
+        /// The nonce of the indirect ping.
         nonce: u16,
     },
-    /// The sender leaves.
+    /// The sender leaves the fleet.
     Leave,
-    /// Reports of other members.
+    /// Reports about members.
     Broadcasts(Vec<Broadcast>),
-    /// Some of what the sender reports of its endpoints.
+    /// A part of the entries that the sender reports.
     Digest {
-        /// How many entries it has in all: shows the receiver when it holds some that are no more.
+        /// Total number of the sender's entries. It shows the receiver when it holds entries that the sender has removed.
         total: u32,
         /// The entries of this datagram.
         entries: Vec<Entry>,
@@ -106,19 +108,19 @@
     pub(crate) const DIGEST: u8 = 7;
 }
 
-/// Not a datagram of this protocol.
+/// The error for bytes that are no datagram of this protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("malformed datagram")]
 pub struct Malformed;
 
 impl Header {
-    /// Reads a header, and gives how many bytes it has. The version is the caller's to check first.
+    /// Reads a header and returns it with its length in bytes. The caller must check the version first.
     pub fn read(bytes: &[u8]) -> Result<(Header, usize), Malformed> {
         read::header(bytes)
     }
 }
 
-/// Reads the sections: what follows the header, without the proof at the end.
+/// Reads the sections from the bytes between the header and the proof.
 pub fn read_sections(bytes: &[u8]) -> Result<Vec<Section>, Malformed> {
     read::sections(bytes)
 }
--- a/crates/gossip/src/wire/read.rs
+++ b/crates/gossip/src/wire/read.rs
@@ -1,4 +1,4 @@
-//! Datagrams to messages: never panics, never takes more than the datagram has.
+//! Decoding of datagrams. It never panics and never reads beyond the end of the datagram.
 
 use super::{Broadcast, Header, Malformed, ReportedState, STRENGTH_BITS, Section, TO_ALL_BIT, kind};
 use crate::entry::{EndpointDigest, Entry, Evidence, Load};
@@ -32,7 +32,7 @@
         for shift in (0..64).step_by(7) {
             let byte = self.byte()?;
             let bits = u64::from(byte & 0x7f);
-            // Bits beyond the 64th, or a last byte that says nothing: there is one way only to write a number.
+            // Reject bits beyond the 64th and a superfluous last byte, so that each number has only one encoding.
             if (bits << shift) >> shift != bits || (byte == 0 && shift > 0) {
                 return Err(Malformed);
             }
@@ -110,7 +110,7 @@
     let (mut reader, mut sections) = (Reader(bytes), Vec::new());
     while !reader.0.is_empty() {
         let (kind, length) = (reader.byte()?, reader.byte()?);
-        // What a newer program writes behind the fields that are known here stays unread.
+        // Fields that a newer program appends to the known ones are not read.
         let mut content = Reader(reader.bytes(usize::from(length))?);
         sections.push(match kind {
             kind::PING => Section::Ping { nonce: content.u16()? },
--- a/crates/gossip/src/wire/tests.rs
+++ b/crates/gossip/src/wire/tests.rs
@@ -62,7 +62,7 @@
     ]
 }
 
-/// What of a section must come back when only the first items of its list fitted.
+/// Returns the section that must be read back when only the first items of its list fitted.
 fn truncated(section: &Section, fitted: usize) -> Section {
     match section {
         Section::Broadcasts(broadcasts) => Section::Broadcasts(broadcasts[..fitted].to_vec()),
@@ -127,7 +127,7 @@
 
 #[test]
 fn skips_unknown_sections_and_fields() {
-    // A ping with a field behind its number, a section of an unknown kind, and a leave.
+    // A ping with an additional field after its nonce, a section of an unknown kind, and a leave section.
     let bytes = [kind::PING, 4, 1, 2, 77, 77, 200, 3, 9, 9, 9, kind::LEAVE, 0];
     assert_eq!(read_sections(&bytes), Ok(vec![Section::Ping { nonce: 0x0201 }, Section::Leave]));
 }
--- a/crates/gossip/src/wire/write.rs
+++ b/crates/gossip/src/wire/write.rs
@@ -1,4 +1,4 @@
-//! Messages to datagrams, within a bound.
+//! Encoding of datagrams within a length limit.
 
 use super::{Broadcast, Header, LONGEST, ReportedState, STRENGTH_BITS, Section, TO_ALL_BIT, VERSION, kind};
 use crate::{Entry, Incarnation, Keys, Strength, To};
@@ -53,16 +53,16 @@
     bytes[flags_at] = flags;
 }
 
-/// A datagram that is being written. What does not fit is left out, and the return value shows it.
+/// A datagram that is being written. Content that does not fit is left out, and the return value of each method shows this.
 #[derive(Debug)]
 pub struct Draft {
     bytes: Vec<u8>,
-    /// Bytes that header and sections may have.
+    /// Maximum bytes of the header and the sections together.
     limit: usize,
 }
 
 impl Draft {
-    /// Begins a datagram of at most `most` bytes, its proof included; never more than [`LONGEST`].
+    /// Begins a datagram of at most `most` bytes including its proof, and never more than [`LONGEST`].
     pub fn new(header: &Header, most: usize) -> Self {
         let mut bytes = Vec::with_capacity(LONGEST);
         let strength = match header.strength {
@@ -78,17 +78,18 @@
         Draft { bytes, limit: most.min(LONGEST) - header.strength.proof_bytes() }
     }
 
-    /// Bytes that still fit.
+    /// Returns the number of bytes that still fit.
     pub fn room(&self) -> usize {
         self.limit - self.bytes.len()
     }
 
-    /// Bytes that it has so far, without the proof.
+    /// Returns the number of bytes written so far, without the proof.
     pub fn written(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Adds a section if it fits; of a list only what fits, see [`Draft::broadcasts`] and [`Draft::entries`].
+    /// Adds a section if it fits, and returns whether it fitted whole. Of a list, the items that fit are added; see
+    /// [`Draft::broadcasts`] and [`Draft::entries`].
     pub fn push(&mut self, section: &Section) -> bool {
         match section {
             Section::Ping { nonce } => {
@@ -110,13 +111,13 @@
         }
     }
 
-    /// Adds broadcasts from the first on, in a section of at most `most` bytes; how many fitted.
+    /// Adds the first broadcasts that fit, in a section of at most `most` bytes, and returns how many fitted.
     pub fn broadcasts(&mut self, broadcasts: &[Broadcast], most: usize) -> usize {
         self.list(kind::BROADCASTS, most, |_| {}, broadcasts, broadcast)
     }
 
-    /// Adds entries from the first on; how many fitted. Without any the section is still written: a proxy without
-    /// connections reports that.
+    /// Adds the first entries that fit, and returns how many fitted. An empty list still writes the section, which reports that
+    /// the proxy has no entries.
     pub fn entries(&mut self, of: u32, entries: &[Entry]) -> usize {
         self.list(kind::DIGEST, LONGEST, |bytes| number(bytes, u64::from(of)), entries, entry)
     }
@@ -158,7 +159,7 @@
         fitted
     }
 
-    /// Writes the length of the section that began there, or takes it back if it is too long.
+    /// Writes the length of the section that begins at `begin`, or removes the section if it is too long.
     fn close(&mut self, begin: usize) -> bool {
         let length =
             u8::try_from(self.bytes.len() - begin - 2).ok().filter(|_| self.bytes.len() <= self.limit);
@@ -169,7 +170,7 @@
         length.is_some()
     }
 
-    /// The finished datagram, proven to come from this sender and to be for that receiver.
+    /// Appends the proof of the sender and the receiver, and returns the finished datagram.
     pub fn finish(mut self, keys: &Keys, to: To) -> Vec<u8> {
         keys.seal(&mut self.bytes, to);
         assert!(self.bytes.len() <= LONGEST, "a datagram of {} bytes would void the run", self.bytes.len());
--- a/crates/gossip/tests/golden.rs
+++ b/crates/gossip/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Datagrams keep the bytes that earlier builds gave them, with each kind of proof.
+//! Golden-file tests: the encoding of datagrams, with each kind of proof, is the same as in earlier builds.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
--- a/crates/gossip/tests/one_member.rs
+++ b/crates/gossip/tests/one_member.rs
@@ -1,4 +1,5 @@
-//! One member, the others simulated by hand: what a fleet of correct members hides, because several guards hold at once.
+//! Tests of one member while the test writes the datagrams of all others. In a fleet of correct members, several guards hold at
+//! once, so the failure of one of them would not show.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -12,16 +13,16 @@
 use cottonnotch_gossip::*;
 use std::collections::BTreeSet;
 
-/// Member 0 of 24, and the counters of those that are simulated.
+/// Member 0 of 24, and the state of the simulated members.
 struct OneMember {
     gossip: Gossip,
     now: Micros,
     counter: u64,
-    /// Pings that member 3 got.
+    /// Number of pings sent to member 3.
     pings: usize,
-    /// Members that got one.
+    /// Members that were sent a ping.
     asked: BTreeSet<u32>,
-    /// Member 3 answers.
+    /// Whether member 3 answers pings.
     answers: bool,
     beliefs: Vec<(u32, State)>,
 }
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Lets time pass, on time.
+    /// Advances the time and handles each time-out punctually.
     fn run_for(&mut self, span: Micros) {
         let until = self.now + span;
         while self.gossip.next_timeout() <= until {
@@ -196,7 +197,8 @@
     while sim.pings < 2 {
         sim.run_for(50 * MS);
     }
-    // Asked directly and through others; the answer comes while this one sleeps, and its timer is seen first.
+    // Member 3 was probed directly and through others. Its answer arrives while this member is stopped, but the member handles
+    // its expired timer first.
     sim.now += 2 * S;
     sim.gossip.handle(sim.now, Input::Tick);
     sim.drain();
