--- a/crates/gossip/src/config.rs
+++ b/crates/gossip/src/config.rs
@@ -1,7 +1,7 @@
 //! The `[gossip]` section of the operator's configuration file.
 
 use crate::keys::Strength;
-use crate::wire::LONGEST;
+use crate::wire::MAX_DATAGRAM_BYTES;
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
 
@@ -21,10 +21,10 @@
 const DATAGRAMS_PER_S: u32 = 32;
 const DATAGRAMS_WITHIN: (u32, u32) = (2, 10_000);
 /// Default limit on bytes per second: enough for [`DATAGRAMS_PER_S`] datagrams of the greatest length.
-const BYTES_PER_S: u32 = DATAGRAMS_PER_S * LONGEST as u32;
-const BYTES_WITHIN: (u32, u32) = (2 * LONGEST as u32, 10_000 * LONGEST as u32);
+const BYTES_PER_S: u32 = DATAGRAMS_PER_S * MAX_DATAGRAM_BYTES as u32;
+const BYTES_WITHIN: (u32, u32) = (2 * MAX_DATAGRAM_BYTES as u32, 10_000 * MAX_DATAGRAM_BYTES as u32);
 /// A signature takes 64 bytes and a header up to 25, so a datagram below the minimum has too little space for content.
-const DATAGRAM_BYTES_WITHIN: (u32, u32) = (128, LONGEST as u32);
+const DATAGRAM_BYTES_WITHIN: (u32, u32) = (128, MAX_DATAGRAM_BYTES as u32);
 /// Default milliseconds until an answer is late: three round trips at 38 ms each way.
 const PROBE_TIMEOUT_MS: u32 = 250;
 const PROBE_TIMEOUT_WITHIN: (u32, u32) = (10, 10_000);
@@ -85,7 +85,7 @@
             digest_datagrams: DIGEST_DATAGRAMS,
             datagrams_per_s: DATAGRAMS_PER_S,
             bytes_per_s: BYTES_PER_S,
-            datagram_bytes: LONGEST as u32,
+            datagram_bytes: MAX_DATAGRAM_BYTES as u32,
             probe_timeout_ms: PROBE_TIMEOUT_MS,
             silent_periods: SILENT_PERIODS,
             suspicion_periods: SUSPICION_PERIODS,
--- a/crates/gossip/src/receiving.rs
+++ b/crates/gossip/src/receiving.rs
@@ -44,7 +44,7 @@
     fn admit(&mut self, from: Option<u32>, bytes: &[u8]) -> Result<(Header, Vec<Section>), DropReason> {
         let from = self.admit_sender(from)?;
         let proof = self.settings.strength.proof_bytes();
-        if bytes.len() > wire::LONGEST || bytes.len() <= proof {
+        if bytes.len() > wire::MAX_DATAGRAM_BYTES || bytes.len() <= proof {
             return Err(DropReason::Length);
         }
         match bytes[0] {
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -14,7 +14,7 @@
 use crate::{Entry, Incarnation, Strength};
 
 /// Maximum bytes of a datagram. A longer one voids the run (`PROTOCOL-cottonnotch.md`, Between proxies).
-pub const LONGEST: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// The protocol version of this program. Datagrams of a newer version are counted and dropped. An addition that older programs
 /// can ignore is a new kind of section and needs no new version.
 pub const VERSION: u8 = 1;
--- a/crates/gossip/src/wire/tests.rs
+++ b/crates/gossip/src/wire/tests.rs
@@ -81,7 +81,7 @@
         for section in &sections {
             let before = draft.written();
             let fitted = match section {
-                Section::Broadcasts(broadcasts) => draft.broadcasts(broadcasts, LONGEST),
+                Section::Broadcasts(broadcasts) => draft.broadcasts(broadcasts, MAX_DATAGRAM_BYTES),
                 Section::Digest { total, entries } => draft.entries(*total, entries),
                 section => usize::from(draft.push(section)),
             };
@@ -90,7 +90,7 @@
             }
         }
         let bytes = draft.finish(&Keys::Address, To::All);
-        prop_assert!(bytes.len() <= most.min(LONGEST));
+        prop_assert!(bytes.len() <= most.min(MAX_DATAGRAM_BYTES));
         let (read, length) = Header::read(&bytes).unwrap();
         prop_assert_eq!(read, header);
         prop_assert_eq!(read_sections(&bytes[length..]).unwrap(), wanted);
@@ -101,7 +101,7 @@
         let _ = Header::read(&bytes);
         let Ok(sections) = read_sections(&bytes) else { return Ok(()) };
         let header = Header { strength: Strength::Address, to_all: false, sender: 0, incarnation: Incarnation::default(), counter: 0 };
-        let mut draft = Draft::new(&header, LONGEST);
+        let mut draft = Draft::new(&header, MAX_DATAGRAM_BYTES);
         let begin = draft.written();
         let fitted = sections.iter().take_while(|section| draft.push(section)).count();
         prop_assume!(fitted == sections.len());
@@ -111,7 +111,7 @@
     #[test]
     fn corrupted_sections_never_panic(sections in prop::collection::vec(section(), 1..4), at in 0usize..250, with: u8) {
         let header = Header { strength: Strength::Address, to_all: false, sender: 7, incarnation: Incarnation::first(1 << 41), counter: 9 };
-        let mut draft = Draft::new(&header, LONGEST);
+        let mut draft = Draft::new(&header, MAX_DATAGRAM_BYTES);
         for section in &sections {
             draft.push(section);
         }
